--- a/crates/scheduler/tests/simulation/main.rs
+++ b/crates/scheduler/tests/simulation/main.rs
@@ -2,83 +2,30 @@
 //! network with delays, a record that applies operations, and troubles drawn from a seed.
 
 mod checks;
+mod day;
 mod model_agent;
 mod model_server;
 mod work;
 mod workload;
 mod world;
 
+use day::{play, JOBS};
 use lupinrack_cluster_api::job::JobState;
-use model_server::Conduct;
 use quickcheck::{QuickCheck, TestResult};
-use world::{Troubles, World};
-
-const TRAFFIC_MS: u64 = 12_000;
-const TROUBLE_MS: u64 = 15_000;
-/// After the last trouble all jobs have to end within this time.
-const FINISH_MS: u64 = 60_000;
-const MACHINES: usize = 6;
-const JOBS: u64 = 60;
+use world::{RoundObserver, Troubles, World};
+
 /// Days that each test plays, unless [`DAYS_VARIABLE`] says otherwise.
 const DAYS: u64 = 12;
 /// Days that each test plays in a longer search for broken rules.
 const DAYS_VARIABLE: &str = "SCHEDULER_TEST_DAYS";
 
-/// Something goes wrong now and then.
-fn trouble(world: &mut World) {
-    let machine = world.rng.usize(0..MACHINES);
-    let troubles = world.troubles;
-    let now = world.now;
-    if troubles.crashes && world.rng.u32(0..400) == 0 {
-        let back = world.rng.u64(100..5_000);
-        world.crash(machine, back);
-    }
-    if troubles.cuts && world.rng.u32(0..300) == 0 {
-        let length = world.rng.u64(50..6_000);
-        world.disconnect(machine);
-        world.machines[machine].cut_until = Some(now + length);
-    }
-    if troubles.drains && world.rng.u32(0..600) == 0 {
-        let stays = world.rng.u64(1_500..6_000);
-        if let Some(server) = world.machines[machine].server.as_mut().filter(|one| one.leaves_at.is_none()) {
-            server.draining_since = Some(now);
-            server.leaves_at = Some(now + stays);
-        }
-    }
-    if troubles.takeovers && world.rng.u32(0..700) == 0 {
-        world.take_over();
-    }
-}
-
-fn play(seed: u64, troubles: Troubles, jobs: u64) -> World {
-    let mut world = World::new(seed, MACHINES, troubles);
-    world.submit_jobs(jobs, TRAFFIC_MS);
-    let begin = world.now;
-    if troubles.failing_server {
-        world.set_conduct(1, Conduct::Failing);
-    }
-    if troubles.still_server {
-        world.set_conduct(2, Conduct::Still);
-    }
-    while world.now < begin + TROUBLE_MS {
-        world.step();
-        trouble(&mut world);
-    }
-    let deadline = world.now + FINISH_MS;
-    while world.now < deadline && !world.open_jobs().is_empty() {
-        world.step();
-    }
-    // Ends of the last runs are still to be told.
-    let settled = world.now + 5_000;
-    while world.now < settled {
-        world.step();
-    }
-    world.check_outcomes();
-    world
+/// Nobody looks at single rounds.
+fn ignored() -> RoundObserver {
+    Box::new(|_, _, _| {})
 }
 
 fn verdict(seed: u64, troubles: Troubles) -> TestResult {
-    let world = play(seed, troubles, JOBS);
+    let world = play(seed, troubles, JOBS, ignored());
     if world.checks.broken.is_empty() {
         return TestResult::passed();
     }
@@ -155,7 +102,7 @@
 fn urgent_jobs_of_calm_days_meet_their_objective() {
     let mut urgent = Urgent::default();
     for seed in 0..8 {
-        let world = play(seed, Troubles::default(), JOBS / 2);
+        let world = play(seed, Troubles::default(), JOBS / 2, ignored());
         urgent.count(&world);
     }
     assert!(urgent.jobs > 100, "{urgent:?}");
--- a/crates/scheduler/tests/simulation/world.rs
+++ b/crates/scheduler/tests/simulation/world.rs
@@ -12,7 +12,7 @@
 use lupinrack_cluster_api::server::ServerFacts;
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_control_state::ControlState;
-use lupinrack_scheduler::{Scheduler, SchedulerSettings};
+use lupinrack_scheduler::{Round, Scheduler, SchedulerSettings};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -72,6 +72,9 @@
     Cancel(JobId),
 }
 
+/// Sees each round: when it was, of which owner, and what it came to.
+pub type RoundObserver = Box<dyn FnMut(Millis, usize, &Round)>;
+
 pub struct World {
     pub now: u64,
     pub rng: fastrand::Rng,
@@ -88,6 +91,7 @@
     jobs: u64,
     /// When the newest message of a connection arrives, by its direction: messages of one connection keep their order.
     arrivals: BTreeMap<(u64, Direction), u64>,
+    observer: RoundObserver,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -126,7 +130,7 @@
 }
 
 impl World {
-    pub fn new(seed: u64, machines: usize, troubles: Troubles) -> World {
+    pub fn new(seed: u64, machines: usize, troubles: Troubles, observer: RoundObserver) -> World {
         let mut world = World {
             now: 10_000,
             rng: fastrand::Rng::with_seed(seed),
@@ -142,6 +146,7 @@
             connections: 0,
             jobs: 0,
             arrivals: BTreeMap::new(),
+            observer,
         };
         let result = world.state.apply(&configuration());
         assert_eq!(result, OperationResult::Done, "the configuration is taken");
@@ -362,6 +367,7 @@
             let (now, wall) = (Millis(self.now), WallMillis(self.wall()));
             let until = Millis(self.owners[owner].authority_until);
             let round = self.owners[owner].scheduler.round(&self.state, now, wall, until);
+            (self.observer)(now, owner, &round);
             for operation in round.operations {
                 let delay = self.rng.u64(10..60);
                 if !self.is_lost() {
