--- /dev/null
+++ b/crates/scheduler/tests/golden/days.rs
@@ -0,0 +1,141 @@
+//! Days of the simulation, each with a fixed seed: a digest of what was decided in each second.
+
+use crate::day::{play, JOBS};
+use crate::files::{check, Golden};
+use crate::text::{rule_word, summary_text};
+use crate::world::{Troubles, World};
+use lupinrack_cluster_api::job::JobState;
+use lupinrack_cluster_api::time::Millis;
+use lupinrack_scheduler::Round;
+use std::cell::RefCell;
+use std::fmt::Write;
+use std::rc::Rc;
+
+const SEEDS: [u64; 3] = [11, 12, 13];
+const SECOND_MS: u64 = 1_000;
+/// Hexadecimal digits of a digest that are kept.
+const DIGITS: usize = 16;
+
+/// What one second came to.
+#[derive(Default)]
+struct Second {
+    number: u64,
+    rounds: usize,
+    operations: usize,
+    messages: usize,
+    lapsed: usize,
+    /// The encodings of all rounds, in their order.
+    bytes: Vec<u8>,
+}
+
+impl Second {
+    fn add(&mut self, at: Millis, owner: usize, round: &Round) {
+        self.rounds += 1;
+        self.operations += round.operations.len();
+        self.messages += round.messages.len();
+        self.lapsed += round.lapsed.len();
+        let messages: Vec<_> =
+            round.messages.iter().map(|order| (order.agent, order.connection, &order.message)).collect();
+        let lapsed = round.lapsed.iter();
+        let lapsed: Vec<_> =
+            lapsed.map(|run| (run.task, run.attempt, &run.server, rule_word(run.rule))).collect();
+        let round = (at, owner as u64, &round.operations, messages, lapsed);
+        self.bytes.extend(borsh::to_vec(&round).expect("all of it has an encoding"));
+    }
+
+    fn line(&self) -> String {
+        let Second { number, rounds, operations, messages, lapsed, .. } = self;
+        let digest = blake3::hash(&self.bytes).to_hex();
+        let digest = &digest[..DIGITS];
+        format!("second {number}: rounds {rounds} operations {operations} messages {messages} lapsed {lapsed} digest {digest}\n")
+    }
+}
+
+/// The lines of one day.
+#[derive(Default)]
+struct DayTrace {
+    text: String,
+    second: Second,
+}
+
+impl DayTrace {
+    fn add(&mut self, at: Millis, owner: usize, round: &Round) {
+        let number = at.0 / SECOND_MS;
+        if number != self.second.number {
+            self.finish_second();
+            self.second.number = number;
+        }
+        self.second.add(at, owner, round);
+    }
+
+    fn finish_second(&mut self) {
+        let second = std::mem::take(&mut self.second);
+        if second.rounds > 0 {
+            self.text.push_str(&second.line());
+        }
+    }
+}
+
+/// The trace of a day, what its jobs came to, and how the last owner sees its service in the end.
+fn day_text(seed: u64, troubles: Troubles) -> String {
+    let trace = Rc::new(RefCell::new(DayTrace::default()));
+    let observer = {
+        let trace = trace.clone();
+        Box::new(move |at: Millis, owner, round: &Round| trace.borrow_mut().add(at, owner, round))
+    };
+    let world = play(seed, troubles, JOBS, observer);
+    assert!(world.checks.broken.is_empty(), "seed {seed}: {:?}", world.checks.broken);
+    trace.borrow_mut().finish_second();
+    let mut text = format!("seed {seed}\n{}", trace.borrow().text);
+    write!(text, "{}", outcome(&world)).expect("strings take all");
+    text
+}
+
+fn outcome(world: &World) -> String {
+    let count = |state: JobState| world.state.jobs.values().filter(|job| job.state == state).count();
+    let owner = &world.owners[world.owners.len() - 1].scheduler;
+    format!(
+        "jobs: succeeded {} failed {} cancelled {}\nowners: {}\n{}",
+        count(JobState::Succeeded),
+        count(JobState::Failed),
+        count(JobState::Cancelled),
+        world.owners.len(),
+        summary_text(world.now, &owner.summary(Millis(world.now)))
+    )
+}
+
+/// What goes wrong in the days of each file.
+fn kinds_of_days() -> [(&'static str, Troubles); 9] {
+    let calm = Troubles::default();
+    [
+        ("calm", calm),
+        ("lossy", Troubles { lossy: true, ..calm }),
+        ("takeovers", Troubles { takeovers: true, ..calm }),
+        ("crashes", Troubles { crashes: true, ..calm }),
+        ("cuts", Troubles { cuts: true, ..calm }),
+        ("drains", Troubles { drains: true, ..calm }),
+        ("failing-server", Troubles { failing_server: true, ..calm }),
+        ("still-server", Troubles { still_server: true, ..calm }),
+        (
+            "everything",
+            Troubles {
+                takeovers: true,
+                crashes: true,
+                cuts: true,
+                drains: true,
+                failing_server: false,
+                still_server: true,
+                lossy: true,
+            },
+        ),
+    ]
+}
+
+#[test]
+fn days_are_decided_as_kept() {
+    let file = |(name, troubles): (&str, Troubles)| Golden {
+        name: format!("{name}.txt"),
+        text: SEEDS.map(|seed| day_text(seed, troubles)).concat(),
+    };
+    check("days", &kinds_of_days().map(file));
+}
--- /dev/null
+++ b/crates/scheduler/tests/golden/log_lines.rs
@@ -0,0 +1,45 @@
+//! What log lines say of a service and of ends that follow from a rule.
+
+use crate::files::{check, Golden};
+use crate::text::rule_word;
+use lupinrack_cluster_api::job::Resources;
+use lupinrack_scheduler::{LapseRule, ServerSummary, ServiceSummary, WaitingSummary};
+use std::collections::BTreeMap;
+
+const RULES: [LapseRule; 7] = [
+    LapseRule::ServerLeft,
+    LapseRule::LaterLife,
+    LapseRule::HoldOver,
+    LapseRule::TakeoverBound,
+    LapseRule::NeverTold,
+    LapseRule::StoppedUntold,
+    LapseRule::StopSeen,
+];
+
+fn server(name: &str, placeable: bool, suspect: bool) -> ServerSummary {
+    ServerSummary {
+        server: name.to_owned(),
+        capacity: Resources { cpu: 16_000, memory_mb: 32_000, gpu: 8 },
+        free: Resources { cpu: 1_500, memory_mb: 2_500, gpu: 3 },
+        runs: BTreeMap::from([(0, 4), (2, 5)]),
+        stopping: 6,
+        queued: 7,
+        placeable,
+        draining: !placeable,
+        suspect,
+    }
+}
+
+#[test]
+fn log_lines_are_those_kept() {
+    let rules = RULES.map(|rule| format!("{}: {rule}\n", rule_word(rule))).concat();
+    let servers = vec![server("s1", true, false), server("s2", false, true)];
+    let waiting = |tasks, longest_ms| WaitingSummary { tasks, longest_ms };
+    let waiting = BTreeMap::from([(0, waiting(1, 20)), (3, waiting(4, 5_000))]);
+    let summary = ServiceSummary { servers, waiting };
+    let built = [
+        Golden { name: "rules.txt".to_owned(), text: rules },
+        Golden { name: "summary.txt".to_owned(), text: format!("{summary}\n") },
+    ];
+    check("log-lines", &built);
+}
--- /dev/null
+++ b/crates/scheduler/tests/golden/main.rs
@@ -0,0 +1,33 @@
+//! Decisions of the scheduler, compared with traces that are kept beside these sources: a change of the code that moves
+//! a decision is seen here, whether or not it breaks a rule.
+//!
+//! Traces name nothing of the code: they are written by [`text`] word for word, or are digests of the encodings that go
+//! over the wire. With [`files::UPDATE_VARIABLE`] set they are written anew.
+//!
+//! Some decisions rest on floating point, `powf` among it, whose last bit is left to the platform. Traces are good for
+//! the platform that the software is built for: Linux on x86-64.
+
+#[allow(dead_code)]
+#[path = "../decisions/bench.rs"]
+mod bench;
+#[path = "../simulation/checks.rs"]
+mod checks;
+#[path = "../simulation/day.rs"]
+mod day;
+mod days;
+mod files;
+mod log_lines;
+#[path = "../simulation/model_agent.rs"]
+mod model_agent;
+#[path = "../simulation/model_server.rs"]
+mod model_server;
+mod scenario;
+mod scenarios;
+mod settings;
+mod text;
+#[path = "../simulation/work.rs"]
+mod work;
+#[path = "../simulation/workload.rs"]
+mod workload;
+#[path = "../simulation/world.rs"]
+mod world;
--- /dev/null
+++ b/crates/scheduler/tests/golden/scenario.rs
@@ -0,0 +1,172 @@
+//! A bench whose servers do what they are given, and the trace of its rounds.
+
+use crate::bench::{Bench, Place};
+use crate::text::{round_text, summary_text};
+use lupinrack_cluster_api::agent::{Assignment, OwnerMessage};
+use lupinrack_cluster_api::identity::{Attempt, TaskId};
+use lupinrack_cluster_api::job::Step;
+use lupinrack_cluster_api::server::{RunEnd, RunningTask};
+use lupinrack_cluster_api::time::Millis;
+use lupinrack_control_state::ControlState;
+use lupinrack_scheduler::Round;
+use std::collections::BTreeMap;
+
+/// Between two heartbeats of every server, and two rounds, in milliseconds.
+const STEP_MS: u64 = 50;
+
+/// What a server does with what it is given.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Conduct {
+    /// Work takes as long as estimated.
+    #[default]
+    Sound,
+    /// Work takes three times as long.
+    Slow,
+    /// Everything fails at once.
+    Failing,
+    /// Nothing moves.
+    Still,
+}
+
+pub struct Scenario {
+    pub bench: Bench,
+    pub conduct: BTreeMap<u16, Conduct>,
+    began: BTreeMap<(TaskId, Attempt), u64>,
+    text: String,
+}
+
+impl Scenario {
+    /// Servers of 16 cores with these labels, beside agents of the numbers from 1 on.
+    pub fn new(labels: &[&[&str]]) -> Scenario {
+        let mut bench = Bench::new();
+        for (machine, labels) in (1..).zip(labels) {
+            bench.attach(machine, 1, labels);
+        }
+        Scenario { bench, conduct: BTreeMap::new(), began: BTreeMap::new(), text: String::new() }
+    }
+
+    /// What was decided, and the service as it is summed up in the end.
+    pub fn finish(mut self) -> String {
+        self.note_summary();
+        self.text
+    }
+
+    /// Writes down how the scheduler sums its service up now.
+    pub fn note_summary(&mut self) {
+        let summary = self.bench.scheduler.summary(Millis(self.bench.now));
+        self.text.push_str(&summary_text(self.bench.now, &summary));
+    }
+
+    /// One round, without a word from the servers.
+    pub fn round(&mut self) -> Round {
+        self.round_until(u64::MAX)
+    }
+
+    /// One round of an owner whose authority ends at this time.
+    pub fn round_until(&mut self, authority_until: u64) -> Round {
+        let round = self.bench.round_until(authority_until);
+        self.text.push_str(&round_text(self.bench.now, &round));
+        round
+    }
+
+    /// Moves on while the servers work and beat.
+    pub fn run_for(&mut self, milliseconds: u64) {
+        let until = self.bench.now + milliseconds;
+        while self.bench.now < until {
+            self.bench.now += STEP_MS;
+            self.work();
+            self.follow();
+            self.round();
+        }
+    }
+
+    /// Moves on without a word from the servers.
+    pub fn silent_for(&mut self, milliseconds: u64) {
+        let until = self.bench.now + milliseconds;
+        while self.bench.now < until {
+            self.bench.now += STEP_MS;
+            self.round();
+        }
+    }
+
+    /// The servers take the messages that are on their way, and beat.
+    pub fn follow(&mut self) {
+        for (machine, message) in std::mem::take(&mut self.bench.messages) {
+            let place = self.bench.places.get_mut(&machine);
+            if let Some(place) = place.filter(|place| place.id == message.server) {
+                take_orders(place, message);
+            }
+        }
+        let machines: Vec<u16> = self.bench.places.keys().copied().collect();
+        machines.into_iter().for_each(|machine| self.bench.beat(machine));
+    }
+
+    /// A server or its agent, as it is now.
+    pub fn place(&mut self, machine: u16) -> &mut Place {
+        self.bench.places.get_mut(&machine).expect("it is there")
+    }
+
+    /// Ends a run wherever it runs.
+    pub fn end(&mut self, task: TaskId, end: RunEnd) {
+        for place in self.bench.places.values_mut() {
+            let attempt = place.running.iter().find(|run| run.task == task).map(|run| run.attempt);
+            if let Some(attempt) = attempt {
+                place.end(task, attempt, end);
+            }
+        }
+    }
+
+    fn work(&mut self) {
+        for (machine, place) in &mut self.bench.places {
+            let conduct = self.conduct.get(machine).copied().unwrap_or_default();
+            let mut over = Vec::new();
+            for run in &mut place.running {
+                let began = *self.began.entry((run.task, run.attempt)).or_insert(self.bench.now);
+                let Some(step) = step_of(&self.bench.state, run.task) else { continue };
+                let worked_ms = self.bench.now - began;
+                if let Some(end) = work_on(run, step, conduct, worked_ms) {
+                    over.push((run.task, run.attempt, end));
+                }
+            }
+            over.into_iter().for_each(|(task, attempt, end)| place.end(task, attempt, end));
+        }
+    }
+}
+
+/// A server that drains starts nothing; what runs or has ended there is not started again.
+fn take_orders(place: &mut Place, message: OwnerMessage) {
+    place.orders_seen = message.number;
+    for Assignment { task, attempt, saved, .. } in message.assign {
+        let runs = place.running.iter().any(|run| (run.task, run.attempt) == (task, attempt));
+        let ended = place.finished.iter().any(|end| (end.task, end.attempt) == (task, attempt));
+        if !(runs || ended || place.draining) {
+            place.running.push(RunningTask { task, attempt, saved, percent: 0 });
+        }
+    }
+    for (task, attempt) in message.stop {
+        place.end(task, attempt, RunEnd::Stopped);
+    }
+    place.finished.retain(|end| end.number > message.observed);
+}
+
+/// Moves a run on to where it is after so much work; gives its end if it is over.
+fn work_on(run: &mut RunningTask, step: &Step, conduct: Conduct, worked_ms: u64) -> Option<RunEnd> {
+    let total_ms = match conduct {
+        Conduct::Sound => step.estimate_ms,
+        Conduct::Slow => 3 * step.estimate_ms,
+        Conduct::Failing => return Some(RunEnd::Failed),
+        Conduct::Still => return None,
+    };
+    if step.long_running {
+        return None;
+    }
+    run.percent = (100 * worked_ms / total_ms.max(1)).min(100) as u32;
+    if step.checkpoints && run.percent >= 10 {
+        run.saved = format!("{}0 %", run.percent / 10);
+    }
+    (worked_ms >= total_ms).then_some(RunEnd::Done)
+}
+
+fn step_of(state: &ControlState, task: TaskId) -> Option<&Step> {
+    state.jobs.get(&task.job)?.spec.steps.get(task.step as usize)
+}
--- /dev/null
+++ b/crates/scheduler/tests/golden/settings.rs
@@ -0,0 +1,46 @@
+//! The default settings, and the bounds that follow from them.
+
+use crate::files::{check, Golden};
+use lupinrack_scheduler::SchedulerSettings;
+
+#[test]
+fn defaults_are_those_kept() {
+    let settings = SchedulerSettings::default();
+    let rows = [
+        ("far factor", settings.far_factor.to_string()),
+        ("stop", milliseconds(settings.stop_ms)),
+        ("gang", milliseconds(settings.gang_ms)),
+        ("early", milliseconds(settings.early_ms)),
+        ("drain", milliseconds(settings.drain_ms)),
+        ("hold", milliseconds(settings.hold_ms)),
+        ("authority of an old owner", milliseconds(settings.old_owner_authority_ms)),
+        ("clock drift", settings.clock_drift.to_string()),
+        ("hold margin", milliseconds(settings.hold_margin_ms)),
+        ("save", milliseconds(settings.save_ms)),
+        ("restore", milliseconds(settings.restore_ms)),
+        ("resubmission", milliseconds(settings.resubmit_ms)),
+        ("silence", milliseconds(settings.silence_ms)),
+        ("busy beat", milliseconds(settings.busy_beat_ms)),
+        ("active beat", milliseconds(settings.active_beat_ms)),
+        ("active", milliseconds(settings.active_ms)),
+        ("idle beat", milliseconds(settings.idle_beat_ms)),
+        ("soon", milliseconds(settings.soon_ms)),
+        ("preempt after", milliseconds(settings.preempt_after_ms)),
+        ("stall", milliseconds(settings.stall_ms)),
+        ("trial", milliseconds(settings.trial_ms)),
+        ("queue share", settings.queue_share.to_string()),
+        ("reservations", settings.reservations_most.to_string()),
+        ("dispatch depth", settings.dispatch.depth.to_string()),
+        ("dispatch least weight ratio", settings.dispatch.minimum_weight_ratio.to_string()),
+        ("dispatch stream idle", milliseconds(settings.dispatch.stream_idle_ms)),
+        ("dispatch passes", settings.dispatch.passes_most.to_string()),
+        ("bound on holds", milliseconds(settings.hold_bound_ms())),
+        ("bound after a takeover", milliseconds(settings.takeover_bound_ms())),
+    ];
+    let text = rows.iter().map(|(name, value)| format!("{name}: {value}\n")).collect();
+    check("settings", &[Golden { name: "defaults.txt".to_owned(), text }]);
+}
+
+fn milliseconds(value: u64) -> String {
+    format!("{value} ms")
+}
--- /dev/null
+++ b/crates/scheduler/tests/golden/text.rs
@@ -0,0 +1,137 @@
+//! Rounds as text, every field of every operation and message written out.
+
+use lupinrack_cluster_api::agent::OwnerMessage;
+use lupinrack_cluster_api::job::Resources;
+use lupinrack_cluster_api::operation::{EndRecord, Operation, StartRecord};
+use lupinrack_cluster_api::server::RunEnd;
+use lupinrack_scheduler::{AgentOrder, LapseRule, LapsedRun, Round, ServerSummary, ServiceSummary};
+use std::fmt::Write;
+
+/// The lines of a round; none where nothing was decided.
+pub fn round_text(at: u64, round: &Round) -> String {
+    let mut text = String::new();
+    round.lapsed.iter().for_each(|lapsed| text.push_str(&lapsed_text(lapsed)));
+    round.operations.iter().for_each(|operation| text.push_str(&operation_text(operation)));
+    round.messages.iter().for_each(|order| text.push_str(&order_text(order)));
+    if text.is_empty() {
+        return text;
+    }
+    format!("at {at}\n{text}")
+}
+
+fn lapsed_text(lapsed: &LapsedRun) -> String {
+    let LapsedRun { task, attempt, server, rule } = lapsed;
+    format!("  lapsed {task} attempt {attempt} on {}: {}\n", server.0, rule_word(*rule))
+}
+
+/// A word for a rule, whatever its log line says.
+pub fn rule_word(rule: LapseRule) -> &'static str {
+    match rule {
+        LapseRule::ServerLeft => "server-left",
+        LapseRule::LaterLife => "later-life",
+        LapseRule::HoldOver => "hold-over",
+        LapseRule::TakeoverBound => "takeover-bound",
+        LapseRule::NeverTold => "never-told",
+        LapseRule::StoppedUntold => "stopped-untold",
+        LapseRule::StopSeen => "stop-seen",
+    }
+}
+
+fn operation_text(operation: &Operation) -> String {
+    match operation {
+        Operation::RecordServer { service, token, server, agent } => {
+            format!("  server of {} token {}: {} beside {}\n", service.0, token.0, server.0, agent.0)
+        }
+        Operation::RecordStarts { service, token, starts } => {
+            let starts: String = starts.iter().map(start_text).collect();
+            format!("  starts of {} token {}:\n{starts}", service.0, token.0)
+        }
+        Operation::RecordEnds { service, token, ends, at } => {
+            let ends: String = ends.iter().map(end_text).collect();
+            format!("  ends of {} token {} at {}:\n{ends}", service.0, token.0, at.0)
+        }
+        other => panic!("a scheduler submits no such operation: {other:?}"),
+    }
+}
+
+fn start_text(start: &StartRecord) -> String {
+    let StartRecord { task, attempt, server, saved } = start;
+    format!("    {task} attempt {attempt} on {} from {saved:?}\n", server.0)
+}
+
+fn end_text(end: &EndRecord) -> String {
+    let EndRecord { task, attempt, end, saved } = end;
+    format!("    {task} attempt {attempt} {} saved {saved:?}\n", end_word(*end))
+}
+
+fn end_word(end: RunEnd) -> &'static str {
+    match end {
+        RunEnd::Done => "done",
+        RunEnd::Failed => "failed",
+        RunEnd::Stopped => "stopped",
+        RunEnd::Lapsed => "lapsed",
+        RunEnd::Broken => "broken",
+        RunEnd::Alone => "alone",
+        RunEnd::Refused => "refused",
+    }
+}
+
+fn order_text(order: &AgentOrder) -> String {
+    let AgentOrder { agent, connection, message } = order;
+    let mut text = format!("  order to {} on connection {connection}: {}\n", agent.0, order_head(message));
+    for assignment in &message.assign {
+        let (task, attempt) = (assignment.task, assignment.attempt);
+        writeln!(text, "    run {task} attempt {attempt} {:?} from {:?}", assignment.spec, assignment.saved)
+            .expect("strings take all");
+    }
+    for (task, attempt) in &message.stop {
+        writeln!(text, "    stop {task} attempt {attempt}").expect("strings take all");
+    }
+    text
+}
+
+fn order_head(message: &OwnerMessage) -> String {
+    let extent = if message.whole { "whole" } else { "more" };
+    format!(
+        "token {} server {} number {} {extent} observed {} hold {} from {} beat {}",
+        message.token.0,
+        message.server.0,
+        message.number,
+        message.observed,
+        message.hold_ms,
+        message.hold_from.0,
+        message.beat_after_ms
+    )
+}
+
+/// A summary with every field.
+pub fn summary_text(at: u64, summary: &ServiceSummary) -> String {
+    let mut text = format!("summary at {at}\n");
+    for (priority, waiting) in &summary.waiting {
+        writeln!(text, "  priority {priority}: {} wait, {} ms", waiting.tasks, waiting.longest_ms)
+            .expect("strings take all");
+    }
+    summary.servers.iter().for_each(|server| text.push_str(&server_text(server)));
+    text
+}
+
+fn server_text(summary: &ServerSummary) -> String {
+    let runs: Vec<String> =
+        summary.runs.iter().map(|(priority, runs)| format!("{priority}:{runs}")).collect();
+    format!(
+        "  {} capacity {} free {} runs [{}] stopping {} queued {} placeable {} draining {} suspect {}\n",
+        summary.server,
+        resources_text(&summary.capacity),
+        resources_text(&summary.free),
+        runs.join(" "),
+        summary.stopping,
+        summary.queued,
+        summary.placeable,
+        summary.draining,
+        summary.suspect
+    )
+}
+
+fn resources_text(resources: &Resources) -> String {
+    format!("{}/{}/{}", resources.cpu, resources.memory_mb, resources.gpu)
+}
