--- /dev/null
+++ b/crates/worker-agent/tests/golden.rs
@@ -0,0 +1,417 @@
+//! Heartbeats as they are read, answers as they are written, the texts of errors, and the agent's decisions, pinned by
+//! the files under `tests/golden/`.
+
+mod golden_file;
+mod golden_trace;
+#[path = "model/random.rs"]
+mod random;
+
+use borsh::BorshDeserialize;
+use golden_file::{check_folder, hex, unhex, GoldenFile};
+use golden_trace::Bulk;
+use lupinrack_cluster_api::agent::{Assignment, Heartbeat};
+use lupinrack_cluster_api::identity::{FencingToken, JobId, ServerId, ServiceName, TaskId};
+use lupinrack_cluster_api::job::Resources;
+use lupinrack_cluster_api::server::{FinishedTask, RunEnd, RunningTask, ServerFacts};
+use lupinrack_worker_agent::heartbeat_json::{parse, render, UnknownRun};
+use lupinrack_worker_agent::{HeartbeatAnswer, RefusedMessage, ServerHeartbeat, StopOrder};
+use std::collections::BTreeMap;
+
+const SERVER: &str = "server-1";
+const TASK: &str = "00000000000000ab.3.1.2";
+const OTHER_TASK: &str = "00000000000000ab.3.1.4";
+
+fn task() -> TaskId {
+    TaskId { job: JobId(0xab), occurrence: 3, step: 1, index: 2 }
+}
+
+fn other_task() -> TaskId {
+    TaskId { job: JobId(0xab), occurrence: 3, step: 1, index: 4 }
+}
+
+/// What is read of a body that holds no more than is required.
+fn least_heartbeat() -> ServerHeartbeat {
+    ServerHeartbeat {
+        facts: ServerFacts {
+            id: ServerId(SERVER.into()),
+            service: ServiceName("search".into()),
+            version: String::new(),
+            zone: String::new(),
+            capacity: Resources { cpu: 0, memory_mb: 0, gpu: 0 },
+            labels: Vec::new(),
+        },
+        heartbeat: Heartbeat {
+            server: ServerId(SERVER.into()),
+            sequence: 7,
+            draining: false,
+            remaining_ms: None,
+            running: Vec::new(),
+            finished: Vec::new(),
+            orders_seen: 0,
+        },
+        unknown_runs: Vec::new(),
+        ends_listed: 0,
+        address: String::new(),
+        slots: 0,
+        cold_remaining_ms: 0,
+        clock_ms: 0,
+    }
+}
+
+fn full_heartbeat() -> ServerHeartbeat {
+    ServerHeartbeat {
+        facts: ServerFacts {
+            id: ServerId(SERVER.into()),
+            service: ServiceName("search".into()),
+            version: "v3".into(),
+            zone: "north".into(),
+            capacity: Resources { cpu: 16_000, memory_mb: 32_768, gpu: 5 },
+            labels: vec!["big".into(), "rack-2".into()],
+        },
+        heartbeat: Heartbeat {
+            server: ServerId(SERVER.into()),
+            sequence: 7,
+            draining: true,
+            remaining_ms: Some(3_400),
+            running: vec![RunningTask { task: task(), attempt: 6, saved: "0f0f".into(), percent: 41 }],
+            finished: vec![FinishedTask {
+                number: 58,
+                task: other_task(),
+                attempt: 9,
+                end: RunEnd::Done,
+                saved: "0e0e".into(),
+            }],
+            orders_seen: 0,
+        },
+        unknown_runs: Vec::new(),
+        ends_listed: 1,
+        address: "127.0.0.1:80".into(),
+        slots: 8,
+        cold_remaining_ms: 12,
+        clock_ms: 99,
+    }
+}
+
+fn least_body(fields: &str) -> String {
+    format!(r#"{{"service":"search","state":"ready","sequence":7{fields}}}"#)
+}
+
+fn full_body() -> String {
+    let runs =
+        format!(r#""running":[["{TASK}",6,"0f0f",41]],"finished":[[58,"{OTHER_TASK}",9,"done","0e0e"]]"#);
+    format!(
+        concat!(
+            r#"{{"service":"search","state":"draining","sequence":7,"address":"127.0.0.1:80","zone":"north","#,
+            r#""version":"v3","slots":8,"cold-remaining-ms":12,"remaining-ms":3400,"#,
+            r#""capacity":{{"cpu":16000,"mem-mb":32768,"gpu":5}},"labels":["big","rack-2"],"clock-ms":99,{}}}"#
+        ),
+        runs
+    )
+}
+
+/// A body with its fields in a list, in place of names: the order of the fields counts.
+fn full_body_as_list() -> String {
+    format!(
+        concat!(
+            r#"["search","draining",7,"127.0.0.1:80","north","v3",8,12,3400,[16000,32768,5],["big","rack-2"],99,"#,
+            r#"[["{}",6,"0f0f",41]],[[58,"{}",9,"done","0e0e"]]]"#
+        ),
+        TASK, OTHER_TASK
+    )
+}
+
+/// A heartbeat that lists the ends of both tasks, one of each word.
+fn heartbeat_of_every_end() -> (String, ServerHeartbeat) {
+    let ends = [
+        ("done", RunEnd::Done),
+        ("failed", RunEnd::Failed),
+        ("stopped", RunEnd::Stopped),
+        ("lapsed", RunEnd::Lapsed),
+        ("broken", RunEnd::Broken),
+        ("alone", RunEnd::Alone),
+        ("refused", RunEnd::Refused),
+    ];
+    let rows: Vec<String> = ends
+        .iter()
+        .zip(1..)
+        .map(|((word, _), number)| format!(r#"[{number},"{TASK}",{},"{word}","s{number}"]"#, number + 20))
+        .collect();
+    let body = least_body(&format!(r#","finished":[{}]"#, rows.join(",")));
+    let finished = ends.iter().zip(1..).map(|((_, end), number)| FinishedTask {
+        number,
+        task: task(),
+        attempt: number as u32 + 20,
+        end: *end,
+        saved: format!("s{number}"),
+    });
+    let mut read = least_heartbeat();
+    read.heartbeat.finished = finished.collect();
+    read.ends_listed = ends.len();
+    (body, read)
+}
+
+/// Rows that lack fields at their end, or have more of them; rows out of order.
+fn heartbeat_of_short_and_long_rows() -> (String, ServerHeartbeat) {
+    let running = format!(
+        r#"[["{OTHER_TASK}",4,"0d",88,"more"],["{TASK}",2],["{TASK}",3,null,12.7],["{OTHER_TASK}",3,"0c"]]"#
+    );
+    let finished = format!(r#"[[9,"{TASK}",2,"failed",null,5],[8,"{OTHER_TASK}",1,"stopped"]]"#);
+    let body = least_body(&format!(r#","running":{running},"finished":{finished},"mood":{{"good":[1]}}"#));
+    let run =
+        |task, attempt, saved: &str, percent| RunningTask { task, attempt, saved: saved.into(), percent };
+    let end = |number, task, attempt, end| FinishedTask { number, task, attempt, end, saved: String::new() };
+    let mut read = least_heartbeat();
+    read.heartbeat.running = vec![
+        run(task(), 2, "", 0),
+        run(task(), 3, "", 12),
+        run(other_task(), 3, "0c", 0),
+        run(other_task(), 4, "0d", 88),
+    ];
+    read.heartbeat.finished =
+        vec![end(8, other_task(), 1, RunEnd::Stopped), end(9, task(), 2, RunEnd::Failed)];
+    read.ends_listed = 2;
+    (body, read)
+}
+
+/// Runs whose names are not written as this system writes them.
+fn heartbeat_of_unknown_runs() -> (String, ServerHeartbeat) {
+    let upper = TASK.to_uppercase();
+    let body = least_body(&format!(
+        r#","running":[["other",3,"",1],["{TASK}",1,"",2],["{upper}",4]],"finished":[[1,"other",2,"done",""]]"#
+    ));
+    let mut read = least_heartbeat();
+    read.heartbeat.running = vec![RunningTask { task: task(), attempt: 1, saved: String::new(), percent: 2 }];
+    read.unknown_runs =
+        vec![UnknownRun { task: "other".into(), attempt: 3 }, UnknownRun { task: upper, attempt: 4 }];
+    read.ends_listed = 1;
+    (body, read)
+}
+
+/// Numbers that are negative, broken or too large.
+fn heartbeat_of_odd_numbers() -> (String, ServerHeartbeat) {
+    let body = least_body(&format!(
+        concat!(
+            r#","slots":-3,"cold-remaining-ms":2.9,"remaining-ms":-0.5,"clock-ms":18446744073709551615,"#,
+            r#""running":[["{}",4294967296,"",4294967297]],"#,
+            r#""capacity":{{"cpu":1e3,"mem-mb":-1}}"#
+        ),
+        TASK
+    ));
+    let mut read = least_heartbeat();
+    read.cold_remaining_ms = 2;
+    read.heartbeat.remaining_ms = Some(0);
+    read.clock_ms = u64::MAX;
+    read.heartbeat.running =
+        vec![RunningTask { task: task(), attempt: u32::MAX, saved: String::new(), percent: u32::MAX }];
+    read.facts.capacity.cpu = 1_000;
+    (body, read)
+}
+
+/// Heartbeats by names: bodies, and what is read of them.
+fn heartbeats() -> Vec<(&'static str, String, ServerHeartbeat)> {
+    let named = |name, (body, read): (String, ServerHeartbeat)| (name, body, read);
+    let mut without_remaining = least_heartbeat();
+    without_remaining.heartbeat.draining = true;
+    vec![
+        named("least", (least_body(""), least_heartbeat())),
+        named("every field", (full_body(), full_heartbeat())),
+        named("every field in a list", (full_body_as_list(), full_heartbeat())),
+        named(
+            "draining, without the time that remains",
+            (
+                r#"{"service":"search","state":"draining","sequence":7,"remaining-ms":null}"#.into(),
+                without_remaining,
+            ),
+        ),
+        named("every kind of end", heartbeat_of_every_end()),
+        named("short and long rows", heartbeat_of_short_and_long_rows()),
+        named("unknown runs", heartbeat_of_unknown_runs()),
+        named("odd numbers", heartbeat_of_odd_numbers()),
+    ]
+}
+
+/// What was read, apart from the facts and the heartbeat proper, which have a binary form.
+fn rest_of(read: &ServerHeartbeat) -> String {
+    let unknown: Vec<String> =
+        read.unknown_runs.iter().map(|run| format!("{}/{}", run.task, run.attempt)).collect();
+    format!(
+        "unknown-runs=[{}] ends-listed={} address={} slots={} cold-remaining-ms={} clock-ms={}",
+        unknown.join(" "),
+        read.ends_listed,
+        read.address,
+        read.slots,
+        read.cold_remaining_ms,
+        read.clock_ms
+    )
+}
+
+#[test]
+fn heartbeats_are_read_as_before() {
+    let mut bodies = GoldenFile::new("heartbeats.txt");
+    let mut read_forms = GoldenFile::new("heartbeats-read.txt");
+    for (name, body, read) in heartbeats() {
+        bodies.add(name, body);
+        read_forms.add_bytes(format!("{name} | facts"), &borsh::to_vec(&read.facts).expect("borsh"));
+        read_forms.add_bytes(format!("{name} | heartbeat"), &borsh::to_vec(&read.heartbeat).expect("borsh"));
+        read_forms.add(format!("{name} | rest"), rest_of(&read));
+    }
+    let bodies = bodies.check();
+    let read_forms = read_forms.check();
+    for (name, _, expected) in heartbeats() {
+        let read = parse(SERVER, bodies[name].as_bytes()).unwrap_or_else(|fault| panic!("{name}: {fault}"));
+        assert_eq!(read, expected, "{name}");
+        let facts = unhex(&read_forms[&format!("{name} | facts")]);
+        assert_eq!(ServerFacts::try_from_slice(&facts).expect("facts"), read.facts, "{name}");
+        let heartbeat = unhex(&read_forms[&format!("{name} | heartbeat")]);
+        assert_eq!(Heartbeat::try_from_slice(&heartbeat).expect("a heartbeat"), read.heartbeat, "{name}");
+        assert_eq!(read_forms[&format!("{name} | rest")], rest_of(&read), "{name}");
+    }
+}
+
+fn assignment(task: TaskId, attempt: u32, spec: &str, saved: &str) -> Assignment {
+    Assignment { task, attempt, spec: spec.into(), saved: saved.into() }
+}
+
+fn full_answer() -> HeartbeatAnswer {
+    HeartbeatAnswer {
+        starts: vec![
+            assignment(task(), 6, "say \"hello\"\n\u{1}\u{e9}", "0f0f"),
+            assignment(other_task(), 9, "work", ""),
+        ],
+        stops: vec![
+            StopOrder { task: TASK.into(), attempt: 5 },
+            StopOrder { task: "o\\ther".into(), attempt: 2 },
+        ],
+        observed: 58,
+        token: FencingToken(7),
+        hold_ms: 4_000,
+        beat_after_ms: 200,
+    }
+}
+
+/// Answers by names: each field alone, all, and none.
+fn answers() -> Vec<(&'static str, HeartbeatAnswer)> {
+    let none = HeartbeatAnswer::default;
+    vec![
+        ("empty", none()),
+        ("all", full_answer()),
+        ("starts", HeartbeatAnswer { starts: full_answer().starts, ..none() }),
+        ("stops", HeartbeatAnswer { stops: full_answer().stops, ..none() }),
+        ("observed", HeartbeatAnswer { observed: 58, ..none() }),
+        ("token", HeartbeatAnswer { token: FencingToken(u64::MAX), ..none() }),
+        ("hold", HeartbeatAnswer { hold_ms: 4_000, ..none() }),
+        ("beat after", HeartbeatAnswer { beat_after_ms: 200, ..none() }),
+    ]
+}
+
+#[test]
+fn answers_are_written_as_before() {
+    let mut file = GoldenFile::new("answers.txt");
+    for (name, answer) in answers() {
+        file.add(name, render(&answer));
+    }
+    let kept = file.check();
+    for (name, answer) in answers() {
+        let json: serde_json::Value = serde_json::from_str(&kept[name]).expect("JSON");
+        let starts = json["start"].as_array().map_or(0, Vec::len);
+        let stops = json["stop"].as_array().map_or(0, Vec::len);
+        assert_eq!((starts, stops), (answer.starts.len(), answer.stops.len()), "{name}");
+        assert_eq!(json["fence-token"].as_u64().unwrap_or(0), answer.token.0, "{name}");
+        assert_eq!(json["hold-ms"].as_u64().unwrap_or(0), answer.hold_ms, "{name}");
+        assert_eq!(json["observed"].as_u64().unwrap_or(0), answer.observed, "{name}");
+        assert_eq!(json["retry-after-ms"].as_u64().unwrap_or(0), answer.beat_after_ms, "{name}");
+    }
+}
+
+/// Bodies that cannot be read, by names.
+fn faulty_bodies() -> BTreeMap<&'static str, String> {
+    let row = |fields: &str| least_body(&format!(r#","running":[{fields}]"#));
+    let end = |fields: &str| least_body(&format!(r#","finished":[{fields}]"#));
+    BTreeMap::from([
+        ("nothing", String::new()),
+        ("cut off", r#"{"service":"#.into()),
+        ("service missing", r#"{"state":"ready","sequence":7}"#.into()),
+        ("state missing", r#"{"service":"search","sequence":7}"#.into()),
+        ("sequence missing", r#"{"service":"search","state":"ready"}"#.into()),
+        ("service twice", least_body(r#","service":"search""#)),
+        ("unknown state", r#"{"service":"search","state":"asleep","sequence":7}"#.into()),
+        ("sequence as text", r#"{"service":"search","state":"ready","sequence":"seven"}"#.into()),
+        ("labels as text", least_body(r#","labels":"big""#)),
+        ("address as number", least_body(r#","address":80"#)),
+        ("running as object", least_body(r#","running":{}"#)),
+        ("run as text", row(r#""x""#)),
+        ("run without task", row("[]")),
+        ("run without start", row(&format!(r#"["{TASK}"]"#))),
+        ("run with task as number", row("[5,1]")),
+        ("run with start as text", row(&format!(r#"["{TASK}","x"]"#))),
+        ("run with saved as number", row(&format!(r#"["{TASK}",1,2]"#))),
+        ("end as number", end("4")),
+        ("end without number", end("[]")),
+        ("end without task", end("[1]")),
+        ("end without start", end(&format!(r#"[1,"{TASK}"]"#))),
+        ("end without word", end(&format!(r#"[1,"{TASK}",1]"#))),
+        ("end with unknown word", end(&format!(r#"[1,"{TASK}",1,"vanished",""]"#))),
+    ])
+}
+
+#[test]
+fn errors_are_told_as_before() {
+    let mut file = GoldenFile::new("errors.txt");
+    let mut add_fault = |name: &str, id: &str, body: &str| match parse(id, body.as_bytes()) {
+        Ok(_) => panic!("{name} was read"),
+        Err(fault) => file.add(format!("heartbeat, {name}"), fault.to_string()),
+    };
+    add_fault("identity empty", "", &least_body(""));
+    add_fault("identity too long", &"x".repeat(257), &least_body(""));
+    for (name, body) in faulty_bodies() {
+        add_fault(name, SERVER, &body);
+    }
+    let refused = [
+        ("other connection", RefusedMessage::OtherConnection),
+        ("other life", RefusedMessage::OtherLife),
+        ("lower token", RefusedMessage::LowerToken),
+        ("earlier session", RefusedMessage::EarlierSession),
+        ("repeated", RefusedMessage::Repeated),
+        ("gap", RefusedMessage::Gap),
+    ];
+    for (name, refused) in refused {
+        file.add(format!("refused message, {name}"), refused.to_string());
+    }
+    file.check();
+    assert!(parse(&"x".repeat(256), least_body("").as_bytes()).is_ok());
+}
+
+#[test]
+fn the_agent_decides_as_before() {
+    const STEPS: usize = 200;
+    let mut file = GoldenFile::new("agent-trace.txt");
+    for seed in 1..=3 {
+        for (step, line) in golden_trace::play(seed, STEPS, Bulk::Without).into_iter().enumerate() {
+            file.add(format!("seed {seed} step {step}"), line);
+        }
+    }
+    file.check();
+}
+
+#[test]
+fn the_agent_decides_as_before_over_long_runs() {
+    const STEPS: usize = 3_000;
+    let mut file = GoldenFile::new("agent-trace-digests.txt");
+    for seed in 100..140 {
+        let lines = golden_trace::play(seed, STEPS, Bulk::With);
+        file.add(format!("seed {seed}"), hex(&golden_trace::digest(&lines).to_be_bytes()));
+    }
+    file.check();
+}
+
+#[test]
+fn every_golden_file_is_compared() {
+    check_folder(&[
+        "agent-trace-digests.txt",
+        "agent-trace.txt",
+        "answers.txt",
+        "errors.txt",
+        "heartbeats-read.txt",
+        "heartbeats.txt",
+    ]);
+}
--- /dev/null
+++ b/crates/worker-agent/tests/golden_trace/owner.rs
@@ -0,0 +1,130 @@
+//! The owner of a trace: it answers attaches, orders starts and stops, and now and then says what owners do not.
+
+use super::Bulk;
+use crate::random::Random;
+use lupinrack_cluster_api::agent::{AgentMessage, Assignment, OwnerMessage};
+use lupinrack_cluster_api::identity::{Attempt, FencingToken, JobId, ServerId, TaskId};
+use lupinrack_cluster_api::time::Millis;
+
+const TASKS: u64 = 6;
+const ATTEMPTS: u64 = 4;
+
+/// More than half of an answer's room.
+const LARGE_SPEC_BYTES: usize = 300_000;
+
+/// The owner of the server's shard, and its session.
+pub struct Owner {
+    token: u64,
+    connections: u64,
+    connected: bool,
+    server: ServerId,
+    number: u64,
+    heard_at: Millis,
+    observed: u64,
+    bulk: Bulk,
+}
+
+impl Owner {
+    pub fn new(bulk: Bulk) -> Owner {
+        Owner {
+            token: 1,
+            connections: 0,
+            connected: false,
+            server: ServerId(String::new()),
+            number: 0,
+            heard_at: Millis(0),
+            observed: 0,
+            bulk,
+        }
+    }
+
+    pub fn is_connected(&self) -> bool {
+        self.connected
+    }
+
+    pub fn connection(&self) -> u64 {
+        self.connections
+    }
+
+    /// Opens the next connection, at times as another owner.
+    pub fn connect(&mut self, random: &mut Random) -> u64 {
+        self.connections += 1;
+        self.connected = true;
+        if random.once_in(3) {
+            self.token += 1;
+        }
+        self.connections
+    }
+
+    pub fn lost(&mut self, connection: u64) {
+        self.connected &= connection != self.connections;
+    }
+
+    pub fn receive(&mut self, message: &AgentMessage) {
+        match message {
+            AgentMessage::Attach { facts, heartbeat, sent_at, .. } => {
+                self.server = facts.id.clone();
+                self.number = 0;
+                self.heard_at = *sent_at;
+                self.observed = heartbeat.finished.last().map_or(0, |end| end.number);
+            }
+            AgentMessage::Report { heartbeat, sent_at } => {
+                self.heard_at = *sent_at;
+                if let Some(heartbeat) = heartbeat {
+                    self.observed = heartbeat.finished.last().map_or(self.observed, |end| end.number);
+                }
+            }
+            AgentMessage::Leave { .. } => {}
+        }
+    }
+
+    /// The connection and the next message; one in eight is not what an owner would say.
+    pub fn message(&mut self, now: u64, random: &mut Random) -> (u64, OwnerMessage) {
+        self.number += 1;
+        let whole = self.number == 1;
+        let mut message = OwnerMessage {
+            token: FencingToken(self.token),
+            server: self.server.clone(),
+            number: self.number,
+            whole,
+            assign: (0..random.below(4)).map(|_| self.assignment(random)).collect(),
+            stop: (0..random.below(5).saturating_sub(3)).map(|_| run(random)).collect(),
+            observed: if random.once_in(2) { self.observed } else { 0 },
+            hold_from: self.heard_at,
+            hold_ms: 500 + random.below(8_000),
+            beat_after_ms: random.below(3) * 150,
+        };
+        if random.once_in(8) {
+            self.distort(&mut message, now, random);
+        }
+        let connection = if random.once_in(30) { self.connections + 1 } else { self.connections };
+        (connection, message)
+    }
+
+    fn assignment(&self, random: &mut Random) -> Assignment {
+        let (task, attempt) = run(random);
+        let large = random.once_in(400) && self.bulk == Bulk::With;
+        let spec = if large { "x".repeat(LARGE_SPEC_BYTES) } else { format!("work {}", task.index) };
+        let saved = if random.once_in(4) { String::from("0f") } else { String::new() };
+        Assignment { task, attempt, spec, saved }
+    }
+
+    fn distort(&mut self, message: &mut OwnerMessage, now: u64, random: &mut Random) {
+        match random.below(8) {
+            0 => message.token = FencingToken(self.token.saturating_sub(1)),
+            1 => message.token = FencingToken(self.token + 1),
+            2 => message.server = ServerId("life-9".into()),
+            3 => message.number = message.number.saturating_sub(1),
+            4 => message.number += 1,
+            5 => message.whole = !message.whole,
+            6 => message.hold_from = Millis(now.saturating_sub(random.below(3_000))),
+            _ => message.hold_from = Millis(now + random.below(3_000)),
+        }
+    }
+}
+
+fn run(random: &mut Random) -> (TaskId, Attempt) {
+    let index = random.below(TASKS) as u32;
+    let attempt = 1 + random.below(ATTEMPTS) as u32;
+    (TaskId { job: JobId(7), occurrence: 0, step: 0, index }, attempt)
+}
--- /dev/null
+++ b/crates/worker-agent/tests/golden_trace/server.rs
@@ -0,0 +1,136 @@
+//! The server of a trace: it beats, runs what it is told to run, and now and then does what servers do not.
+
+use super::Bulk;
+use crate::random::Random;
+use lupinrack_cluster_api::identity::Attempt;
+use lupinrack_worker_agent::HeartbeatAnswer;
+use serde_json::{json, Value};
+use std::collections::BTreeMap;
+
+const END_WORDS: [&str; 7] = ["done", "failed", "stopped", "lapsed", "broken", "alone", "refused"];
+
+/// One end in so many comes in a list that is full, with ends of other systems.
+const FULL_LISTS: u64 = 40;
+
+/// One life of the server.
+pub struct Server {
+    life: u64,
+    sequence: u64,
+    version: u64,
+    draining: bool,
+    running: BTreeMap<String, Run>,
+    finished: Vec<Value>,
+    last_number: u64,
+    bulk: Bulk,
+}
+
+struct Run {
+    attempt: Attempt,
+    saved: String,
+    percent: u64,
+}
+
+/// The identity of a life.
+pub fn id_of(life: u64) -> String {
+    format!("life-{life}")
+}
+
+impl Server {
+    pub fn new(life: u64, bulk: Bulk) -> Server {
+        Server {
+            life,
+            sequence: 0,
+            version: 1,
+            draining: false,
+            running: BTreeMap::new(),
+            finished: Vec::new(),
+            last_number: 0,
+            bulk,
+        }
+    }
+
+    pub fn life(&self) -> u64 {
+        self.life
+    }
+
+    /// The identity and the body of the next heartbeat, which may be an earlier one again.
+    pub fn beat(&mut self, now: u64, random: &mut Random) -> (String, String) {
+        self.live(random);
+        let again = self.sequence > 0 && random.once_in(20);
+        if !again {
+            self.sequence += 1;
+        }
+        let sequence = if random.once_in(30) { self.sequence.saturating_sub(2) } else { self.sequence };
+        let life = if random.once_in(40) { self.life.saturating_sub(1) } else { self.life };
+        (id_of(life), self.body(sequence, now, random))
+    }
+
+    /// Takes an answer.
+    pub fn answered(&mut self, answer: &HeartbeatAnswer, random: &mut Random) {
+        self.finished.retain(|end| end[0].as_u64().is_some_and(|number| number > answer.observed));
+        for stop in &answer.stops {
+            if self.running.get(&stop.task).is_some_and(|run| run.attempt == stop.attempt) {
+                self.end(&stop.task, "stopped");
+            }
+        }
+        for start in &answer.starts {
+            if !random.once_in(5) {
+                let run = Run { attempt: start.attempt, saved: start.saved.clone(), percent: 0 };
+                self.running.insert(start.task.to_string(), run);
+            }
+        }
+    }
+
+    fn live(&mut self, random: &mut Random) {
+        self.draining |= random.once_in(80);
+        if random.once_in(100) {
+            self.version += 1;
+        }
+        for run in self.running.values_mut() {
+            run.percent = (run.percent + random.below(9)).min(100);
+            if random.once_in(10) {
+                run.saved = format!("{:02x}", random.below(256));
+            }
+        }
+        let tasks: Vec<String> = self.running.keys().cloned().collect();
+        for task in tasks {
+            if random.once_in(12) {
+                let word = END_WORDS[random.below(END_WORDS.len() as u64) as usize];
+                self.end(&task, word);
+            }
+        }
+        if random.once_in(50) {
+            self.running.insert("other".into(), Run { attempt: 3, saved: String::new(), percent: 1 });
+        }
+    }
+
+    fn end(&mut self, task: &str, word: &str) {
+        if let Some(run) = self.running.remove(task) {
+            self.last_number += 1;
+            self.finished.push(json!([self.last_number, task, run.attempt, word, run.saved]));
+        }
+    }
+
+    fn body(&self, sequence: u64, now: u64, random: &mut Random) -> String {
+        let running: Vec<Value> = self
+            .running
+            .iter()
+            .map(|(task, run)| json!([task, run.attempt, run.saved, run.percent]))
+            .collect();
+        let mut finished = self.finished.clone();
+        let full = random.once_in(FULL_LISTS) && self.bulk == Bulk::With;
+        if !finished.is_empty() && full {
+            finished.extend((0..500).map(|number| json!([1_000_000 + number, "other", 1, "done"])));
+        }
+        let state = if self.draining { "draining" } else { "ready" };
+        let mut body = json!({
+            "service": "search", "state": state, "sequence": sequence, "version": format!("v{}", self.version),
+            "zone": "north", "slots": 8, "capacity": {"cpu": 4000, "mem-mb": 8192}, "clock-ms": now,
+            "running": running, "finished": finished,
+        });
+        if self.draining {
+            body["remaining-ms"] = json!(random.below(5_000));
+        }
+        body.to_string()
+    }
+}
