--- /dev/null
+++ b/crates/control-state/tests/golden.rs
@@ -0,0 +1,133 @@
+//! The stored form of the state, and the reading of configurations, compared with the examples in `tests/golden`.
+
+mod golden_values;
+
+use golden_values::*;
+use lupinrack_cluster_api::error::ErrorKind;
+use lupinrack_cluster_api::job::JobState;
+use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange, Operation, OperationResult};
+use lupinrack_control_state::configuration_body::apply_body;
+use lupinrack_control_state::{
+    check_body, ChangeDigest, ConfigurationDocument, ControlState, Occurrence, TakenChanges, TaskRecord,
+};
+use lupinrack_golden_files::{compare_text, GoldenFile};
+
+/// The path of a golden file.
+fn path(name: &str) -> String {
+    format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR"))
+}
+
+#[test]
+fn records() {
+    let mut file = GoldenFile::open(path("records.hex"));
+    for (name, status) in task_statuses() {
+        file.borsh(&format!("status {name}"), &status);
+        file.borsh(&format!("task {name}"), &task_record(status));
+    }
+    file.borsh("task that was never started", &TaskRecord::new());
+    file.borsh("occurrence", &occurrence());
+    file.borsh("occurrence that is done", &Occurrence::default());
+    file.borsh("open job", &job_record(JobState::Running, None));
+    file.borsh("ended job", &job_record(JobState::Failed, Some(20)));
+    file.borsh("shard", &shard(21));
+    file.borsh("place", &place(22));
+    file.borsh("document", &document());
+    file.borsh("document of nothing", &ConfigurationDocument::default());
+    file.finish();
+}
+
+#[test]
+fn digests_of_changes() {
+    let mut file = GoldenFile::open(path("change_digests.hex"));
+    let whole = ConfigurationBody::Whole("{}".to_owned());
+    let patch = ConfigurationBody::Patch("{}".to_owned());
+    for (name, if_match, body) in
+        [("whole on 0", 0, whole.clone()), ("whole on 1", 1, whole), ("patch on 1", 1, patch)]
+    {
+        file.borsh(name, &ChangeDigest::of(&ConfigurationChange { if_match, body }));
+    }
+    file.finish();
+}
+
+#[test]
+fn snapshots() {
+    let mut file = GoldenFile::open(path("snapshots.hex"));
+    for (name, state) in [("empty", ControlState::default()), ("every kind of record", whole_state())] {
+        let bytes = state.to_bytes().expect("a state has bytes");
+        file.bytes(name, &bytes);
+        let kept = file.kept_bytes(name).unwrap_or(bytes);
+        assert_eq!(ControlState::from_bytes(&kept), Ok(state), "{name}");
+    }
+    file.finish();
+}
+
+/// The digest at base 9 is that of no change; bases up to 7 are forgotten.
+#[test]
+fn the_record_of_taken_changes_keeps_its_meaning() {
+    let mut file = GoldenFile::open(path("taken_changes.hex"));
+    let bytes = [&1u32.to_le_bytes()[..], &9u64.to_le_bytes(), &[0xab; 32], &7u64.to_le_bytes()].concat();
+    file.bytes("one remembered, some forgotten", &bytes);
+    let kept = file.kept_bytes("one remembered, some forgotten").unwrap_or(bytes);
+    let changes_taken: TakenChanges = borsh::from_slice(&kept).expect("a record of changes");
+    assert_eq!(borsh::to_vec(&changes_taken).expect("a record has bytes"), kept);
+    assert_eq!(changes_taken.len(), 1);
+    let state = ControlState { changes_taken, ..ControlState::default() };
+    let refusal = |if_match| {
+        let body = ConfigurationBody::Whole(PUT.to_owned());
+        let change = ConfigurationChange { if_match, body };
+        state.clone().apply(&Operation::ChangeConfiguration(change))
+    };
+    assert_eq!(refusal(7), OperationResult::Refused(ErrorKind::InDoubt));
+    assert_eq!(refusal(8), OperationResult::Refused(ErrorKind::VersionConflict));
+    assert_eq!(refusal(9), OperationResult::Refused(ErrorKind::VersionConflict));
+    file.finish();
+}
+
+/// The bodies of `PUT` and `PATCH`, what they are given back as, and what is read from them.
+#[test]
+fn bodies_of_changes() {
+    compare_text(path("put.json"), PUT);
+    compare_text(path("patch.json"), PATCH);
+    let mut state = ControlState::default();
+    assert_eq!(state.apply(&change(0, ConfigurationBody::Whole(PUT.to_owned()))), OperationResult::Done);
+    compare_text(path("put_given_back.json"), &format!("{}\n", state.document_json()));
+    let put = state.clone();
+    let patch = ConfigurationBody::Patch(PATCH.to_owned());
+    assert_eq!(state.apply(&change(7, patch)), OperationResult::Done);
+    compare_text(path("patch_given_back.json"), &format!("{}\n", state.document_json()));
+    let mut file = GoldenFile::open(path("configurations.hex"));
+    file.borsh("document of the put", &put.document);
+    file.borsh("configuration of the put", &put.configuration);
+    file.borsh("document of the patch", &state.document);
+    file.borsh("configuration of the patch", &state.configuration);
+    file.finish();
+}
+
+fn change(if_match: u64, body: ConfigurationBody) -> Operation {
+    Operation::ChangeConfiguration(ConfigurationChange { if_match, body })
+}
+
+#[test]
+fn faults_of_bodies() {
+    let mut file = GoldenFile::open(path("faults.txt"));
+    for (name, body) in faulty_bodies() {
+        let fault = check_body(&body).expect_err(name);
+        file.text(name, &fault.to_string());
+    }
+    file.finish();
+}
+
+/// Faults that a body has only beside the configuration that is current.
+#[test]
+fn faults_of_bodies_on_a_configuration() {
+    let mut file = GoldenFile::open(path("faults_on_a_configuration.txt"));
+    let mut state = ControlState::default();
+    state.apply(&change(0, ConfigurationBody::Whole(PUT.to_owned())));
+    for (name, patch) in faulty_patches_of_put() {
+        let body = ConfigurationBody::Patch(patch.to_owned());
+        assert_eq!(check_body(&body), Ok(()), "{name}");
+        let changed = apply_body(&state.document, &body).expect(name);
+        file.text(name, &changed.check().expect_err(name).to_string());
+    }
+    file.finish();
+}
