--- /dev/null
+++ b/crates/view-agreement/tests/golden.rs
@@ -0,0 +1,116 @@
+//! Encoded forms that must stay as they are: the vote on the disk, and the messages that an agreement sends.
+
+mod common;
+
+mod golden {
+    pub mod examples;
+}
+
+use common::{address, disk, view, voter};
+use golden::examples::assert_kept;
+use lupinrack_cluster_api::identity::PeerAddress;
+use lupinrack_cluster_api::time::Millis;
+use lupinrack_cluster_api::wire::{AgreementMessage, Ballot};
+use lupinrack_view_agreement::{Agreement, Effect, VoteState};
+use std::collections::{BTreeSet, VecDeque};
+
+const NOW: Millis = Millis(1000);
+/// The machines that found the system.
+const FOUNDERS: [u8; 3] = [1, 2, 3];
+
+/// A message on its way: from, to, and what.
+type Envelope = (PeerAddress, PeerAddress, AgreementMessage);
+
+#[test]
+fn the_vote_on_the_disk() {
+    let promised = Ballot { round: 0x0102_0304, life: 0x1112_1314_1516_1718 };
+    let accepted_ballot = Ballot { round: 0x0201, life: 0x2122_2324_2526_2728 };
+    let founding =
+        VoteState { promised, founders: vec![address(1), address(2), address(3)], ..VoteState::default() };
+    let first_accepted =
+        VoteState { accepted_ballot, accepted: view(1, &[1, 2, 3], &[3, 1]), ..founding.clone() };
+    let whole = VoteState {
+        agreed: view(1, &[1, 2, 3], &[3, 1]),
+        accepted: view(2, &[4, 2, 1, 3, 5], &[1]),
+        ..first_accepted.clone()
+    };
+    let newcomer = VoteState { agreed: view(0x0901, &[7, 8], &[8, 7]), ..VoteState::default() };
+    let examples = [
+        ("nothing", VoteState::default()),
+        ("founding", founding),
+        ("view 1 accepted", first_accepted),
+        ("view 2 accepted", whole),
+        ("newcomer", newcomer),
+    ];
+    assert_kept("vote.hex", &examples.map(|(name, vote)| (name.to_owned(), vote)));
+}
+
+#[test]
+fn the_messages_of_an_agreement() {
+    let mut messages = founding();
+    messages.extend(overtaken_ballot());
+    let kinds: BTreeSet<&str> = messages.iter().map(|(_, _, message)| kind(message)).collect();
+    assert_eq!(kinds.len(), 6, "{kinds:?}");
+    let named = messages.into_iter().enumerate().map(|(number, (from, to, message))| {
+        (format!("{number:02} {} {} to {}", kind(&message), from.0.ip(), to.0.ip()), message)
+    });
+    assert_kept("messages.hex", &named.collect::<Vec<_>>());
+}
+
+/// All messages from the proposal of view 1 until every founder knows it.
+fn founding() -> Vec<Envelope> {
+    let mut founders: Vec<Agreement> = FOUNDERS.into_iter().map(founder).collect();
+    let proposed = founders[0].propose(view(1, &FOUNDERS, &[2, 3, 1]), NOW);
+    let mut queue = VecDeque::from(messages(address(FOUNDERS[0]), proposed));
+    let mut seen = Vec::new();
+    while let Some((from, to, message)) = queue.pop_front() {
+        seen.push((from, to, message.clone()));
+        let index = FOUNDERS.iter().position(|index| address(*index) == to).unwrap();
+        queue.extend(messages(to, founders[index].receive(from, message, NOW)));
+    }
+    assert!(founders.iter().all(|founder| founder.current().number == 1));
+    seen
+}
+
+/// What a proposer gets that asks under a lower ballot than was promised.
+fn overtaken_ballot() -> Vec<Envelope> {
+    let (proposer, acceptor) = (address(9), address(2));
+    let promised = Ballot { round: 0x0706, life: 0x3132_3334_3536_3738 };
+    let agreed = view(5, &[2, 9, 4], &[4, 2]);
+    let vote = VoteState { promised, agreed, ..VoteState::default() };
+    let mut agreement = Agreement::new(voter(2), life(2), vote, Vec::new());
+    let lower = Ballot { round: 0x0605, life: 0x4142_4344_4546_4748 };
+    let effects = agreement.receive(proposer, AgreementMessage::Prepare { ballot: lower }, NOW);
+    messages(acceptor, effects)
+}
+
+fn founder(index: u8) -> Agreement {
+    let founders = FOUNDERS.map(address).to_vec();
+    Agreement::new(voter(index), life(index), VoteState::default(), founders)
+}
+
+/// What the process of the machine of this index drew.
+fn life(index: u8) -> u64 {
+    0x5152_5354_5556_5700 + disk(index).0
+}
+
+/// The messages among the effects of a process, both those that go out at once and those that wait for its disk.
+fn messages(from: PeerAddress, effects: Vec<Effect>) -> Vec<Envelope> {
+    let of = |effect| match effect {
+        Effect::Persist { then, .. } => then,
+        Effect::Send(to, message) => vec![(to, message)],
+        Effect::Agreed(_) => Vec::new(),
+    };
+    effects.into_iter().flat_map(of).map(|(to, message)| (from, to, message)).collect()
+}
+
+fn kind(message: &AgreementMessage) -> &'static str {
+    match message {
+        AgreementMessage::Prepare { .. } => "prepare",
+        AgreementMessage::Promise { .. } => "prepared",
+        AgreementMessage::Accept { .. } => "accept",
+        AgreementMessage::Accepted { .. } => "accepted",
+        AgreementMessage::Rejected { .. } => "rejected",
+        AgreementMessage::Agreed { .. } => "agreed",
+    }
+}
