--- /dev/null
+++ b/crates/chain/tests/golden.rs
@@ -0,0 +1,202 @@
+//! Encoded forms that must stay as they are: the standing on the disk, snapshots and their checksum, and the messages of
+//! replicas.
+
+mod common;
+
+mod golden {
+    pub mod examples;
+}
+
+use common::{entry, view, START};
+use golden::examples::{assert_file, assert_kept, to_hex};
+use lupinrack_chain::limits::SNAPSHOT_PIECE_BYTES;
+use lupinrack_chain::{snapshot_checksum, Chain, Effect, Standing, Stored};
+use lupinrack_cluster_api::identity::DiskId;
+use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange, Operation};
+use lupinrack_cluster_api::time::Millis;
+use lupinrack_cluster_api::wire::ChainMessage;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+const HEAD: DiskId = DiskId(0x21);
+const TAIL: DiskId = DiskId(0x32);
+const SPARE: DiskId = DiskId(0x43);
+/// The view that all of them begin in.
+const VIEW: u64 = 0x0504;
+/// The index that the snapshot of the members covers.
+const SNAPSHOT_INDEX: u64 = 0x0708;
+
+#[test]
+fn the_standing_on_the_disk() {
+    let name = |standing| match standing {
+        Standing::Complete => "complete",
+        Standing::Joining => "joining",
+    };
+    let examples = [Standing::Complete, Standing::Joining];
+    assert_kept("standing.hex", &examples.map(|standing| (name(standing).to_owned(), standing)));
+}
+
+#[test]
+fn the_checksum_of_a_snapshot() {
+    let lengths = [0, 1, 7, 8, 9, 15, 16, 17, 1000, SNAPSHOT_PIECE_BYTES + 3];
+    let line = |length| format!("{length} bytes: {:016x}\n", snapshot_checksum(&state(length)));
+    assert_file("checksum.hex", &lengths.map(line).concat());
+}
+
+/// The message up to the piece's bytes, whose own part is kept as their number and their checksum.
+#[test]
+fn the_pieces_of_a_snapshot() {
+    let mut text = String::new();
+    for length in [0, 5, SNAPSHOT_PIECE_BYTES, SNAPSHOT_PIECE_BYTES + 1, 3 * SNAPSHOT_PIECE_BYTES - 1] {
+        for message in pieces(state(length)) {
+            let encoded = borsh::to_vec(&message).unwrap();
+            assert_eq!(borsh::from_slice::<ChainMessage>(&encoded).unwrap(), message);
+            let ChainMessage::Snapshot { piece, bytes, .. } = message else {
+                panic!("no piece: {message:?}")
+            };
+            let (head, tail) = encoded.split_at(encoded.len() - bytes.len());
+            assert_eq!(tail, bytes);
+            let checksum = snapshot_checksum(&bytes);
+            let (head, count) = (to_hex(head), bytes.len());
+            text += &format!("{length} bytes, chunk {piece}: {head} and {count} bytes of {checksum:016x}\n");
+        }
+    }
+    assert_file("chunks.hex", &text);
+}
+
+#[test]
+fn the_messages_of_replicas() {
+    let mut replicas = Replicas::new();
+    replicas.adopt_by(&[HEAD, TAIL, SPARE], VIEW, &[HEAD, TAIL]);
+    replicas.submit(Operation::ChangeConfiguration(ConfigurationChange {
+        if_match: 0x0a09,
+        body: ConfigurationBody::Patch("{}".into()),
+    }));
+    replicas.submit(entry(0, 0x0c0b).operation);
+    replicas.start_barrier();
+    replicas.tick();
+    replicas.tick();
+    // A new view, which the spare does not know at first.
+    replicas.adopt_by(&[HEAD, TAIL], VIEW + 1, &[TAIL]);
+    replicas.tick();
+    let kinds: BTreeSet<&str> = replicas.sent.iter().map(|(_, message)| kind(message)).collect();
+    assert_eq!(kinds.len(), 8, "{kinds:?}");
+    assert_kept("messages.hex", &replicas.sent);
+}
+
+/// A state of so many bytes.
+fn state(length: usize) -> Vec<u8> {
+    (0..length).map(|index| (index * 7 + index / 256) as u8).collect()
+}
+
+/// The messages that bring this state to a spare.
+fn pieces(state: Vec<u8>) -> Vec<ChainMessage> {
+    let mut tail = member(TAIL, 1);
+    tail.new_view(view(VIEW, &[TAIL.0]), START);
+    let join = ChainMessage::Join { view: VIEW, disk: SPARE, have: Some(0) };
+    assert!(tail.receive(SPARE, join, START).contains(&Effect::NeedSnapshot));
+    let message = |effect| match effect {
+        Effect::Send(_, message) => message,
+        other => panic!("no message: {other:?}"),
+    };
+    tail.provide_snapshot(SNAPSHOT_INDEX, state, START).into_iter().map(message).collect()
+}
+
+/// A disk that has nothing but a snapshot.
+fn member(disk: DiskId, minimum_length: usize) -> Chain {
+    Chain::new(disk, minimum_length, Stored { snapshot_index: SNAPSHOT_INDEX, ..Stored::default() })
+}
+
+/// A head, a tail and a spare whose writes and messages are done at once, in order.
+struct Replicas {
+    chains: BTreeMap<DiskId, Chain>,
+    now: Millis,
+    /// Every message, under its number and what it is.
+    sent: Vec<(String, ChainMessage)>,
+}
+
+impl Replicas {
+    fn new() -> Replicas {
+        let spare = Chain::new(SPARE, 1, Stored::default());
+        let chains = [(HEAD, member(HEAD, 1)), (TAIL, member(TAIL, 1)), (SPARE, spare)];
+        Replicas { chains: BTreeMap::from(chains), now: START, sent: Vec::new() }
+    }
+
+    /// Lets these disks adopt a view with this chain.
+    fn adopt_by(&mut self, disks: &[DiskId], number: u64, chain: &[DiskId]) {
+        let chain: Vec<u64> = chain.iter().map(|disk| disk.0).collect();
+        for disk in disks {
+            let now = self.now;
+            let effects = self.chain(*disk).new_view(view(number, &chain), now);
+            self.run(*disk, effects);
+        }
+    }
+
+    fn submit(&mut self, operation: Operation) {
+        let now = self.now;
+        let (_, effects) = self.chain(HEAD).submit(operation, now).unwrap();
+        self.run(HEAD, effects);
+    }
+
+    fn start_barrier(&mut self) {
+        let now = self.now;
+        let (_, effects) = self.chain(HEAD).start_barrier(now).unwrap();
+        self.run(HEAD, effects);
+    }
+
+    fn tick(&mut self) {
+        self.now = self.now.plus(200);
+        for disk in [HEAD, TAIL, SPARE] {
+            let now = self.now;
+            let effects = self.chain(disk).tick(now);
+            self.run(disk, effects);
+        }
+    }
+
+    fn chain(&mut self, disk: DiskId) -> &mut Chain {
+        self.chains.get_mut(&disk).unwrap()
+    }
+
+    fn run(&mut self, disk: DiskId, effects: Vec<Effect>) {
+        let mut queue: VecDeque<_> = effects.into_iter().map(|effect| (disk, effect)).collect();
+        while let Some((disk, effect)) = queue.pop_front() {
+            let (at, effects) = self.carry_out(disk, effect);
+            queue.extend(effects.into_iter().map(|effect| (at, effect)));
+        }
+    }
+
+    /// Carries out one order; whose effects follow, and which.
+    fn carry_out(&mut self, disk: DiskId, effect: Effect) -> (DiskId, Vec<Effect>) {
+        let now = self.now;
+        let chain = self.chains.get_mut(&disk).unwrap();
+        let effects = match effect {
+            Effect::Send(to, message) => return (to, self.deliver(disk, to, message)),
+            Effect::Append(entries) => chain.written(entries.last().unwrap().index, now),
+            Effect::TruncateAfter(index) => chain.truncated(index, now),
+            Effect::Install { index, .. } => chain.installed(index, now),
+            Effect::StoreStanding(_) => chain.standing_stored(now),
+            Effect::NeedSnapshot => chain.provide_snapshot(chain.committed(), state(5), now),
+            Effect::Commit(_) | Effect::Barrier(_) => Vec::new(),
+        };
+        (disk, effects)
+    }
+
+    fn deliver(&mut self, from: DiskId, to: DiskId, message: ChainMessage) -> Vec<Effect> {
+        let name = format!("{:02} {} {:x} to {:x}", self.sent.len(), kind(&message), from.0, to.0);
+        self.sent.push((name, message.clone()));
+        let now = self.now;
+        self.chain(to).receive(from, message, now)
+    }
+}
+
+fn kind(message: &ChainMessage) -> &'static str {
+    match message {
+        ChainMessage::Append { entries, .. } if entries.is_empty() => "probe",
+        ChainMessage::Append { .. } => "append",
+        ChainMessage::Acknowledge { .. } => "acknowledge",
+        ChainMessage::Resend { .. } => "resend",
+        ChainMessage::Snapshot { .. } => "snapshot",
+        ChainMessage::SnapshotReceived { .. } => "snapshot received",
+        ChainMessage::Join { .. } => "join",
+        ChainMessage::Outdated { .. } => "outdated",
+    }
+}
