--- /dev/null
+++ b/crates/cluster-node/tests/support/process.rs
@@ -0,0 +1,108 @@
+//! Whole processes on loopback, in threads of the test.
+
+use lupinrack_cluster_settings::NodeSettings;
+use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// How long something may take that is waited for.
+const WITHIN: Duration = Duration::from_secs(60);
+/// Between two looks at it.
+const LOOK_AGAIN: Duration = Duration::from_millis(20);
+
+/// The addresses of one test: a network of its own on loopback, and ports that are free there.
+#[derive(Clone, Copy, Debug)]
+pub struct Addresses {
+    network: u8,
+    internal: u16,
+    control: u16,
+    front: u16,
+    readiness: u16,
+}
+
+/// The number of the scripted core process among a test's addresses.
+pub const CORE: u8 = 1;
+/// The number of the process under test.
+pub const PROCESS: u8 = 2;
+
+impl Addresses {
+    /// Draws ports. Tests of one process give different networks.
+    pub fn draw(network: u8) -> Addresses {
+        let own = |number| ip(network, number);
+        let listeners: Vec<TcpListener> =
+            (0..4).map(|_| TcpListener::bind((own(PROCESS), 0)).expect("a free port")).collect();
+        let ports: Vec<u16> =
+            listeners.iter().map(|listener| listener.local_addr().expect("an address").port()).collect();
+        Addresses { network, internal: ports[0], control: ports[1], front: ports[2], readiness: ports[3] }
+    }
+
+    /// Where a process listens for others of the system.
+    pub fn internal(&self, number: u8) -> SocketAddrV4 {
+        SocketAddrV4::new(ip(self.network, number), self.internal)
+    }
+
+    /// Where it takes control calls or heartbeats.
+    pub fn control(&self, number: u8) -> SocketAddrV4 {
+        SocketAddrV4::new(ip(self.network, number), self.control)
+    }
+
+    /// Where the process under test takes clients' calls.
+    pub fn front(&self) -> SocketAddrV4 {
+        SocketAddrV4::new(ip(self.network, PROCESS), self.front)
+    }
+
+    /// Where it says whether it is ready.
+    pub fn readiness(&self) -> SocketAddrV4 {
+        SocketAddrV4::new(ip(self.network, PROCESS), self.readiness)
+    }
+
+    /// The settings of the process under test: the lines that all classes share, and further ones.
+    pub fn settings(&self, node: &str, serves: &str, further: &[String]) -> NodeSettings {
+        let mut lines = vec![
+            format!("node={node}"),
+            format!("role={serves}"),
+            format!("machine-class={serves}"),
+            format!("serves={serves}"),
+            format!("ip={}", ip(self.network, PROCESS)),
+            "zone=north".to_owned(),
+            "region=loopback".to_owned(),
+            "zones.north=loopback".to_owned(),
+            format!("port-range={0},{0}", self.internal),
+            format!("seeds={}", self.control(CORE)),
+            "heartbeat-ms=1000".to_owned(),
+            "commands=heartbeat".to_owned(),
+        ];
+        lines.extend_from_slice(further);
+        NodeSettings::parse(&lines.join("\n")).expect("good settings")
+    }
+
+    /// A text with the test's own addresses in place of those that were drawn.
+    pub fn masked(&self, text: &str) -> String {
+        text.replace(&self.internal(CORE).to_string(), "CORE")
+            .replace(&self.internal(PROCESS).to_string(), "PROCESS")
+    }
+}
+
+fn ip(network: u8, number: u8) -> Ipv4Addr {
+    let [high, low] = (std::process::id() as u16).to_be_bytes();
+    // Nets 64 to 127 of loopback, by the process; other tests use lower ones.
+    Ipv4Addr::new(127, 64 + high % 64, low, network * 10 + number)
+}
+
+/// Runs a process until the test is over.
+pub fn spawn(settings: NodeSettings) {
+    thread::spawn(move || lupinrack_cluster_node::run(settings));
+}
+
+/// Waits until something is so.
+///
+/// # Panics
+///
+/// Where it does not become so.
+pub fn wait_until(what: &str, mut is_so: impl FnMut() -> bool) {
+    let late = Instant::now() + WITHIN;
+    while !is_so() {
+        assert!(Instant::now() < late, "waited in vain: {what}");
+        thread::sleep(LOOK_AGAIN);
+    }
+}
