--- a/crates/cluster-node/tests/network/mod.rs
+++ b/crates/cluster-node/tests/network/mod.rs
@@ -9,11 +9,11 @@
 pub mod operator;
 
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
-use lupinrack_cluster_api::request::{Reply, Request};
+use lupinrack_cluster_api::request::{ProcessQuery, Reply, Request};
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::Voter;
 use lupinrack_cluster_api::wire::{Frame, Hello, Role};
-use lupinrack_cluster_node::control_api::ControlCall;
+use lupinrack_cluster_node::control_api::{ControlCall, QueryCall};
 use lupinrack_cluster_node::core::{CoreEffect, CoreEvent, CoreMachine, CoreSettings, Moment};
 use lupinrack_control_store::Recovered;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -36,7 +36,9 @@
 
 struct Process {
     machine: CoreMachine,
-    /// Its disk and its life at once: both are new where it begins anew.
+    /// Its disk, its address and its zone.
+    me: Voter,
+    /// Its life; new where it begins anew.
     incarnation: u64,
     is_frozen: bool,
     has_ended: bool,
@@ -44,6 +46,12 @@
     held: VecDeque<CoreEvent>,
 }
 
+impl Process {
+    fn new(machine: CoreMachine, me: Voter, incarnation: u64) -> Process {
+        Process { machine, me, incarnation, is_frozen: false, has_ended: false, held: VecDeque::new() }
+    }
+}
+
 /// A frame that a process sent to the outside.
 pub struct Outward {
     /// The process.
@@ -83,11 +91,33 @@
         let processes = (0..count).map(|number| {
             let incarnation = number as u64 + 1;
             let machine = machine(number, count, incarnation, true);
-            Process { machine, incarnation, is_frozen: false, has_ended: false, held: VecDeque::new() }
+            Process::new(machine, voter(number, incarnation), incarnation)
         });
+        Network::of(processes.collect())
+    }
+
+    /// Core processes that begin anew, each as this voter, with what was found on its disk.
+    pub fn restored(disks: Vec<(Voter, Recovered)>) -> Network {
+        let seeds: Vec<PeerAddress> = disks.iter().map(|(me, _)| me.address).collect();
+        let restored = |(number, (me, recovered)): (usize, (Voter, Recovered))| {
+            let incarnation = number as u64 + 1;
+            let settings = CoreSettings {
+                name: format!("core-{incarnation}"),
+                seeds: seeds.clone(),
+                tolerated_losses: (seeds.len() - 1) / 2,
+                remember_ms: REMEMBER_MS,
+                ..CoreSettings::with_defaults(me.clone(), incarnation)
+            };
+            let machine = CoreMachine::new(settings, recovered, beginning()).expect("the disk can be read");
+            Process::new(machine, me, incarnation)
+        };
+        Network::of(disks.into_iter().enumerate().map(restored).collect())
+    }
+
+    fn of(processes: Vec<Process>) -> Network {
         let mut network = Network {
             now: 1,
-            processes: processes.collect(),
+            processes,
             due: VecDeque::new(),
             cuts: BTreeSet::new(),
             waiting: BTreeMap::new(),
@@ -109,6 +139,11 @@
         self.processes.len()
     }
 
+    /// Where a process listens, or the outside.
+    fn address(&self, number: usize) -> PeerAddress {
+        self.processes.get(number).map_or_else(|| address(number), |process| process.me.address)
+    }
+
     fn links(&self) -> Vec<(usize, usize)> {
         let count = self.count();
         let all = (0..count).flat_map(|from| (0..count).map(move |to| (from, to)));
@@ -154,8 +189,7 @@
         self.end(number);
         let incarnation = self.processes.iter().map(|process| process.incarnation).max().unwrap_or(0) + 1;
         let machine = machine(number, self.count(), incarnation, false);
-        self.processes[number] =
-            Process { machine, incarnation, is_frozen: false, has_ended: false, held: VecDeque::new() };
+        self.processes[number] = Process::new(machine, voter(number, incarnation), incarnation);
         for other in (0..self.count()).filter(|other| *other != number) {
             self.greet(number, other);
             self.greet(other, number);
@@ -165,7 +199,7 @@
     /// Ends a process with all its connections.
     fn end(&mut self, number: usize) {
         self.processes[number].has_ended = true;
-        let from = address(number);
+        let from = self.address(number);
         self.due.retain(|due| {
             due.to != number && !matches!(&due.event, CoreEvent::Frame { from: by, .. } if *by == from)
         });
@@ -176,13 +210,13 @@
     }
 
     fn greet(&mut self, from: usize, to: usize) {
-        let voter = voter(from, self.processes[from].incarnation);
+        let Process { me, incarnation, .. } = &self.processes[from];
         let hello = Hello {
-            address: voter.address,
+            address: me.address,
             role: Role::Core,
-            zone: voter.zone,
-            life: self.processes[from].incarnation,
-            disk: Some(voter.disk),
+            zone: me.zone.clone(),
+            life: *incarnation,
+            disk: Some(me.disk),
         };
         self.deliver(from, to, Frame::Hello(hello));
     }
@@ -195,6 +229,13 @@
         reply
     }
 
+    /// What a process tells operators of itself.
+    pub fn status(&mut self, number: usize) -> String {
+        let (answerer, mut text) = oneshot::channel();
+        self.receive(number, CoreEvent::Query(QueryCall { query: ProcessQuery::Status, answerer }));
+        text.try_recv().expect("a question to a process is answered at once")
+    }
+
     /// A frame of the outside to a process.
     pub fn send_from_outside(&mut self, to: usize, frame: Frame) {
         self.deliver(self.outside(), to, frame);
@@ -248,7 +289,7 @@
     fn carry_out(&mut self, from: usize, effect: CoreEffect) {
         match effect {
             CoreEffect::Send { to, frame } => {
-                let to = (0..self.count()).find(|number| address(*number) == to);
+                let to = (0..self.count()).find(|number| self.address(*number) == to);
                 if let Some(to) = to {
                     self.send(from, to, frame);
                 }
@@ -278,7 +319,8 @@
 
     fn deliver(&mut self, from: usize, to: usize, frame: Frame) {
         let life = self.processes.get(from).map_or(0, |process| process.incarnation);
-        let event = CoreEvent::Frame { from: address(from), life, connection: connection(from, to), frame };
+        let address = self.address(from);
+        let event = CoreEvent::Frame { from: address, life, connection: connection(from, to), frame };
         self.due.push_back(Due { at: self.now + LINK_MS, to, event });
     }
 }
@@ -294,6 +336,9 @@
         ..CoreSettings::with_defaults(voter(number, incarnation), incarnation)
     };
     let recovered = Recovered { disk: Some(DiskId(incarnation)), ..Recovered::default() };
-    let moment = Moment { now: Millis(1), wall: WallMillis(1_700_000_000_000) };
-    CoreMachine::new(settings, recovered, moment).expect("an empty disk can be read")
+    CoreMachine::new(settings, recovered, beginning()).expect("an empty disk can be read")
+}
+
+fn beginning() -> Moment {
+    Moment { now: Millis(1), wall: WallMillis(1_700_000_000_000) }
 }
--- a/crates/cluster-node/tests/support/mod.rs
+++ b/crates/cluster-node/tests/support/mod.rs
@@ -5,5 +5,6 @@
 
 pub mod exchange;
 pub mod golden_file;
+pub mod packed_disk;
 pub mod process;
 pub mod scripted_core;
--- /dev/null
+++ b/crates/cluster-node/tests/support/packed_disk.rs
@@ -0,0 +1,91 @@
+//! Disks of a former version, packed by LZ4 in its block format after four bytes of their length, little-endian.
+//!
+//! The format: <https://github.com/lz4/lz4/blob/dev/doc/lz4_Block_format.md>.
+
+use std::fs;
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicU32, Ordering};
+
+/// Bytes of the length in front.
+const LENGTH_BYTES: usize = 4;
+/// A length of this in a token goes on in the bytes that follow.
+const LENGTH_GOES_ON: usize = 15;
+/// The shortest match, in bytes.
+const MATCH_LEAST: usize = 4;
+
+/// Unpacks a file.
+///
+/// # Panics
+///
+/// Where it was not packed whole.
+pub fn unpack(packed: &[u8]) -> Vec<u8> {
+    let (length, block) = packed.split_at(LENGTH_BYTES);
+    let length = u32::from_le_bytes(length.try_into().expect("four bytes")) as usize;
+    let unpacked = decode_block(block);
+    assert_eq!(unpacked.len(), length, "the file was packed whole");
+    unpacked
+}
+
+fn decode_block(block: &[u8]) -> Vec<u8> {
+    let mut input = block.iter().copied();
+    let mut output: Vec<u8> = Vec::new();
+    while let Some(token) = input.next() {
+        let literals = read_length(usize::from(token >> 4), &mut input);
+        output.extend(input.by_ref().take(literals));
+        let Some(low) = input.next() else { break };
+        let offset = usize::from(u16::from_le_bytes([low, input.next().expect("an offset of two bytes")]));
+        let length = read_length(usize::from(token & 0x0f), &mut input) + MATCH_LEAST;
+        // A match may overlap what it writes: then it repeats itself.
+        for _ in 0..length {
+            output.push(output[output.len() - offset]);
+        }
+    }
+    output
+}
+
+fn read_length(in_token: usize, input: &mut impl Iterator<Item = u8>) -> usize {
+    let mut length = in_token;
+    if in_token == LENGTH_GOES_ON {
+        loop {
+            let byte = input.next().expect("a length goes on");
+            length += usize::from(byte);
+            if byte != u8::MAX {
+                break;
+            }
+        }
+    }
+    length
+}
+
+/// A folder with an unpacked disk; removed when it is dropped.
+#[derive(Debug)]
+pub struct UnpackedDisk(PathBuf);
+
+/// How many disks were unpacked by this process.
+static UNPACKED: AtomicU32 = AtomicU32::new(0);
+
+impl UnpackedDisk {
+    /// Unpacks the disk of this name under `tests/disks` into a folder of its own, as the file of this name.
+    pub fn new(name: &str, file: &str) -> UnpackedDisk {
+        let number = UNPACKED.fetch_add(1, Ordering::Relaxed);
+        let folder = format!("lupinrack-{name}-{}-{number}", std::process::id());
+        let folder = std::env::temp_dir().join(folder);
+        let packed = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("tests/disks/{name}.lz4"));
+        let packed = fs::read(packed).expect("the packed disk can be read");
+        fs::create_dir_all(&folder).expect("a folder can be made");
+        fs::write(folder.join(file), unpack(&packed)).expect("the disk can be written");
+        UnpackedDisk(folder)
+    }
+
+    /// The folder.
+    pub fn folder(&self) -> &Path {
+        &self.0
+    }
+}
+
+impl Drop for UnpackedDisk {
+    fn drop(&mut self) {
+        // What stays behind is in a folder for temporary files.
+        let _ = fs::remove_dir_all(&self.0);
+    }
+}
