--- /dev/null
+++ b/crates/cluster-local/tests/golden.rs
@@ -0,0 +1,301 @@
+//! What a local cluster writes, sends and prints, compared byte for byte with the files in `tests/golden`.
+//!
+//! `UPDATE_GOLDEN=1` writes the files anew.
+
+use lupinrack_cluster_api::identity::JobId;
+use lupinrack_cluster_api::job::JobState;
+use lupinrack_cluster_json::job_body;
+use lupinrack_cluster_local::jobs::{Kind, PlayedJob};
+use lupinrack_cluster_local::layout::{Class, Member};
+use lupinrack_cluster_local::ports::Ports;
+use lupinrack_cluster_local::report::LocalReport;
+use lupinrack_cluster_local::{play, Killed, LocalError, LocalSettings, Part, WrongJob};
+use lupinrack_cluster_settings::NodeSettings;
+use serde_json::Value;
+use stand_ins::worker::floor::{Event, Floor, RunName};
+use stand_ins::worker::messages::End;
+use std::collections::BTreeSet;
+use std::fs;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{SocketAddrV4, TcpListener};
+use std::os::unix::fs::PermissionsExt;
+use std::path::{Path, PathBuf};
+use std::thread::JoinHandle;
+use std::time::{Duration, Instant};
+
+const PORTS: Ports = Ports { internal: 7_000, control: 7_001, front: 7_002, readiness: 7_003 };
+/// Files beside those of the settings.
+const FILES: [&str; 8] = [
+    "configuration-call.txt",
+    "errors.txt",
+    "job-bodies.txt",
+    "process-start.txt",
+    "report-bad.json",
+    "report-good.json",
+    "reports.txt",
+    "words.txt",
+];
+/// How long the stand-in of a core process waits to be asked.
+const ASKED_WITHIN: Duration = Duration::from_secs(30);
+
+fn golden_folder() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden")
+}
+
+fn settings_file(member: Member, first: bool) -> String {
+    format!("{member}.{}.conf", if first { "first" } else { "again" })
+}
+
+fn starts() -> impl Iterator<Item = (Member, bool)> {
+    Member::all().into_iter().flat_map(|member| [(member, true), (member, false)])
+}
+
+/// Compares a text with its file, or writes the file.
+fn assert_golden(name: &str, text: &str) {
+    let path = golden_folder().join(name);
+    if std::env::var_os("UPDATE_GOLDEN").is_some() {
+        fs::write(&path, text).expect("a golden file written");
+    }
+    let kept = fs::read_to_string(&path).unwrap_or_else(|error| panic!("{name}: {error}"));
+    assert_eq!(text, kept, "{name} differs");
+}
+
+fn lines(named: impl IntoIterator<Item = (String, String)>) -> String {
+    named.into_iter().map(|(name, text)| format!("{name}: {text}\n")).collect()
+}
+
+#[test]
+fn every_golden_file_is_built_by_a_test() {
+    let files = fs::read_dir(golden_folder()).expect("the golden files");
+    let kept: BTreeSet<String> =
+        files.map(|file| file.expect("a file").file_name().to_string_lossy().into_owned()).collect();
+    let settings = starts().map(|(member, first)| settings_file(member, first));
+    let built: BTreeSet<String> = FILES.map(str::to_owned).into_iter().chain(settings).collect();
+    if std::env::var_os("UPDATE_GOLDEN").is_none() {
+        assert_eq!(kept, built);
+    }
+}
+
+#[test]
+fn settings_files_stay_the_same() {
+    for (member, first) in starts() {
+        let text = member.settings(&PORTS, Path::new("/folder"), first);
+        let name = settings_file(member, first);
+        assert_golden(&name, &text);
+        let kept = fs::read_to_string(golden_folder().join(&name)).expect("a golden file");
+        let settings = NodeSettings::parse(&kept).unwrap_or_else(|error| panic!("{name}: {error}"));
+        assert_eq!(settings.node, member.to_string());
+        assert_eq!(settings.internal_address, SocketAddrV4::new(member.ip(), PORTS.internal));
+        assert_eq!(settings.is_founder(), first && member.class == Class::Core);
+    }
+}
+
+#[test]
+fn job_bodies_stay_the_same() {
+    let body = |kind: Kind| (kind.word().to_owned(), job_body(&kind.spec()));
+    assert_golden("job-bodies.txt", &lines(Kind::ALL.map(body)));
+}
+
+#[test]
+fn words_and_addresses_stay_the_same() {
+    let kind = |kind: Kind| (format!("kind {}", kind.word()), format!("ends {}", kind.expected().word()));
+    let part = |part: Part| {
+        let class = match part {
+            Part::Head => "head",
+            Part::Front => "front",
+            Part::Agent => "agent",
+        };
+        (format!("part {class}"), part.word().to_owned())
+    };
+    let member = |member: Member| {
+        let (control, front) = (member.control(&PORTS), member.front(&PORTS));
+        (format!("member {member}"), format!("{control} {front} {}", member.readiness(&PORTS)))
+    };
+    let members = Member::all().into_iter().map(member);
+    let all = Kind::ALL.map(kind).into_iter().chain(Part::ALL.map(part)).chain(members);
+    assert_golden("words.txt", &lines(all));
+}
+
+#[test]
+fn errors_stay_the_same() {
+    let broken = || std::io::Error::other("no space");
+    let errors = [
+        ("no-ports", LocalError::NoPorts),
+        ("folder", LocalError::Folder("/folder".into(), broken())),
+        ("start", LocalError::Start("core-1".to_owned(), broken())),
+        ("ended", LocalError::Ended("front-2".to_owned(), "/folder/front-2.log".into())),
+        ("timed-out", LocalError::TimedOut("becoming ready", "/folder".into())),
+        ("refused", LocalError::Refused(412)),
+    ];
+    assert_golden("errors.txt", &lines(errors.map(|(name, error)| (name.to_owned(), error.to_string()))));
+}
+
+/// A job of each kind and a wrong one for each state and for none, with distinct values in every field.
+fn bad_report() -> LocalReport {
+    let states = [
+        None,
+        Some(JobState::Queued),
+        Some(JobState::Running),
+        Some(JobState::Succeeded),
+        Some(JobState::Failed),
+        Some(JobState::Cancelled),
+    ];
+    let wrong = |(number, state): (usize, Option<JobState>)| {
+        let kind = Kind::ALL[number % Kind::ALL.len()];
+        WrongJob {
+            job: JobId(0x0123_4567_89ab_cd00 + number as u64).to_string(),
+            kind: kind.word(),
+            accepted: state.is_some(),
+            expected: kind.expected().word(),
+            state: state.map(JobState::word),
+        }
+    };
+    let killed = |(number, part): (u64, Part)| Killed {
+        part: part.word(),
+        member: format!("member-{number}"),
+        at_ms: 1_000 + number,
+    };
+    let ends = [End::Done, End::Failed, End::Stopped, End::Lapsed, End::Broken, End::Alone, End::Refused];
+    LocalReport {
+        good: false,
+        jobs: 31,
+        as_expected: Kind::ALL.iter().zip(41..).map(|(kind, count)| (kind.word(), count)).collect(),
+        wrong: states.into_iter().enumerate().map(wrong).collect(),
+        sent_again: 51,
+        run_ends: ends.into_iter().zip(61..).collect(),
+        run_twice: 71,
+        out_of_order: 72,
+        left_running: 73,
+        killed: (0..).zip(Part::ALL).map(killed).collect(),
+        took_ms: 81,
+    }
+}
+
+fn good_report() -> LocalReport {
+    let played = |kind: Kind| PlayedJob {
+        job: JobId(kind as u64 + 1),
+        kind,
+        sends: 3,
+        accepted: true,
+        state: Some(kind.expected()),
+    };
+    let floor = Floor::default();
+    let run = RunName { task: format!("{}.0.0.0", JobId(1)), run: 1 };
+    floor.note(Event::Started { run: run.clone(), worker: "worker".to_owned() });
+    floor.note(Event::Ended { run, end: End::Done });
+    LocalReport::new(&Kind::ALL.map(played), &floor, Vec::new(), 1_234)
+}
+
+#[test]
+fn reports_as_json_stay_the_same() {
+    for (name, report) in [("report-good.json", good_report()), ("report-bad.json", bad_report())] {
+        let text = serde_json::to_string(&report).expect("a report as JSON");
+        assert_golden(name, &format!("{text}\n"));
+        let kept = fs::read_to_string(golden_folder().join(name)).expect("a golden file");
+        let kept: Value = serde_json::from_str(&kept).expect("JSON");
+        assert_eq!(kept, serde_json::to_value(&report).expect("a report as JSON"));
+    }
+}
+
+#[test]
+fn reports_for_people_stay_the_same() {
+    assert_golden("reports.txt", &format!("{}\n{}", good_report(), bad_report()));
+}
+
+/// Writes a program that keeps its arguments and the levels of its log beside its settings, and then waits.
+fn write_stand_in(folder: &Path) -> PathBuf {
+    let program = folder.join("stand-in");
+    let text = "#!/bin/sh\nprintf '%s\\n' \"arguments: $*\" \"levels: $LUPINRACK_LOG\" > \"$3.start\"\nexec sleep 60\n";
+    fs::write(&program, text).expect("a program");
+    fs::set_permissions(&program, fs::Permissions::from_mode(0o755)).expect("it can be run");
+    program
+}
+
+/// Waits until a file has its whole text: until it can be read and this finds what it looks for in it.
+fn wait_for<T>(path: &Path, find: impl Fn(&str) -> Option<T>) -> T {
+    let late = Instant::now() + ASKED_WITHIN;
+    loop {
+        let found = fs::read_to_string(path).ok().as_deref().and_then(&find);
+        if let Some(found) = found {
+            return found;
+        }
+        assert!(Instant::now() < late, "{} is not written", path.display());
+        std::thread::sleep(Duration::from_millis(5));
+    }
+}
+
+fn settings_value(text: &str, key: &str) -> Option<String> {
+    let lines = text.strip_suffix('\n')?.lines();
+    lines
+        .filter_map(|line| line.split_once('='))
+        .find(|(name, _)| *name == key)
+        .map(|(_, value)| value.to_owned())
+}
+
+/// What each process was started with, by its name.
+fn wait_for_starts(folder: &Path) -> String {
+    let whole = |text: &str| text.lines().any(|line| line.starts_with("levels: ")).then(|| text.to_owned());
+    let start = |member: Member| {
+        let start = wait_for(&folder.join(format!("{member}.conf.start")), whole);
+        format!("{member}\n{}", start.replace(&folder.display().to_string(), "FOLDER"))
+    };
+    Member::all().into_iter().map(start).collect()
+}
+
+/// What the play did to its surroundings.
+struct Seen {
+    /// What the processes were started with.
+    starts: String,
+    /// The first call of the operator.
+    call: String,
+}
+
+/// Waits until all processes have started, then stands at the control address of the first core process, takes one call and
+/// refuses it.
+fn see(folder: PathBuf) -> JoinHandle<Seen> {
+    std::thread::spawn(move || {
+        let starts = wait_for_starts(&folder);
+        let address =
+            wait_for(&folder.join("core-1.conf"), |text| settings_value(text, "bind-addresses.control"));
+        let listener = TcpListener::bind(&address).expect("the control address");
+        let (stream, _) = listener.accept().expect("a call");
+        let mut reader = BufReader::new(&stream);
+        let mut head = String::new();
+        while !head.ends_with("\r\n\r\n") {
+            assert_ne!(reader.read_line(&mut head).expect("a line"), 0, "{head}");
+        }
+        let length = head.lines().find_map(|line| {
+            let (name, value) = line.split_once(": ")?;
+            name.eq_ignore_ascii_case("content-length").then(|| value.parse::<usize>().ok())?
+        });
+        let mut body = vec![0; length.expect("a length")];
+        reader.read_exact(&mut body).expect("a body");
+        (&stream).write_all(b"HTTP/1.1 400 x\r\ncontent-length: 0\r\n\r\n").expect("an answer");
+        let body = String::from_utf8(body).expect("text");
+        let call = format!("{}{body}\n", head.replace('\r', "").replace(&address, "ADDRESS"));
+        Seen { starts, call }
+    })
+}
+
+#[tokio::test]
+async fn the_start_of_a_process_and_the_call_with_the_configuration_stay_the_same() {
+    let folder = std::env::temp_dir().join(format!("lupinrack-local-golden-{}", std::process::id()));
+    fs::create_dir(&folder).expect("a folder");
+    let settings = LocalSettings {
+        program: write_stand_in(&folder),
+        folder: folder.clone(),
+        hand_in_for: Duration::from_secs(1),
+        end_within: Duration::from_secs(1),
+        kill: Vec::new(),
+        prints: false,
+    };
+    let seen = see(folder.clone());
+    let refused = play(&settings).await;
+    assert!(matches!(refused, Err(LocalError::Refused(400))), "{refused:?}");
+    let Seen { starts, call } = seen.join().expect("a call");
+    assert_golden("configuration-call.txt", &call);
+    // Levels that are set for the test itself are passed on.
+    let levels = std::env::var("LUPINRACK_LOG").unwrap_or_else(|_| "info".to_owned());
+    assert_golden("process-start.txt", &starts.replace(&format!("levels: {levels}\n"), "levels: info\n"));
+    fs::remove_dir_all(&folder).expect("the folder removed");
+}
