--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -14,7 +14,10 @@
 
 fn main() {
     let (stdin, stdout) = (io::stdin().lock(), io::stdout().lock());
-    if let Err(what) = serve(io::BufReader::with_capacity(1 << 16, stdin), io::BufWriter::new(stdout)) {
+    if let Err(what) = serve(
+        io::BufReader::with_capacity(1 << 16, stdin),
+        io::BufWriter::new(stdout),
+    ) {
         eprintln!("lupinrack-benchlink: {what}");
         std::process::exit(1);
     }
@@ -39,7 +42,9 @@
                 },
                 Incoming::Stop => drop(brains.remove(&instance)),
                 Incoming::Event(event) => {
-                    let Some((brain, _)) = brains.get_mut(&instance) else { continue };
+                    let Some((brain, _)) = brains.get_mut(&instance) else {
+                        continue;
+                    };
                     brain.handle(now, event, &mut actions);
                     for action in actions.drain(..) {
                         reply.action(instance, &action);
@@ -47,7 +52,10 @@
                 }
             }
         }
-        output.write_all(&reply.finish()).and_then(|()| output.flush()).map_err(|e| e.to_string())?;
+        output
+            .write_all(&reply.finish())
+            .and_then(|()| output.flush())
+            .map_err(|e| e.to_string())?;
     }
     Ok(())
 }
@@ -72,9 +80,15 @@
     }
     let length = length + 12;
     let mut frame = Vec::new();
-    input.take(length as u64).read_to_end(&mut frame).map_err(|e| e.to_string())?;
+    input
+        .take(length as u64)
+        .read_to_end(&mut frame)
+        .map_err(|e| e.to_string())?;
     if frame.len() < length {
-        return Err(format!("input ends inside a batch: {} of {length} bytes", frame.len()));
+        return Err(format!(
+            "input ends inside a batch: {} of {length} bytes",
+            frame.len()
+        ));
     }
     Ok(Some(frame))
 }
--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -27,7 +27,11 @@
 impl<'a> Fields<'a> {
     fn take(&mut self, n: usize) -> Result<&'a [u8], String> {
         if self.rest.len() < n {
-            return Err(format!("{}: {} bytes left where {n} are needed", self.what, self.rest.len()));
+            return Err(format!(
+                "{}: {} bytes left where {n} are needed",
+                self.what,
+                self.rest.len()
+            ));
         }
         let (head, rest) = self.rest.split_at(n);
         self.rest = rest;
@@ -69,8 +73,13 @@
 
 /// Splits a frame (without its length) into its clock and its records.
 #[allow(clippy::type_complexity)]
-pub fn batch(frame: &[u8]) -> Result<(Micros, impl Iterator<Item = Result<(u8, &[u8]), String>>), String> {
-    let mut f = Fields { rest: frame, what: "batch" };
+pub fn batch(
+    frame: &[u8],
+) -> Result<(Micros, impl Iterator<Item = Result<(u8, &[u8]), String>>), String> {
+    let mut f = Fields {
+        rest: frame,
+        what: "batch",
+    };
     let now = f.time()?;
     let count = f.u32()?;
     let mut left = count;
@@ -120,7 +129,10 @@
         90 => {
             let seed = f.u64()?;
             let n = f.u32()? as usize;
-            Incoming::Start { seed, info: String::from_utf8_lossy(f.take(n)?).into_owned() }
+            Incoming::Start {
+                seed,
+                info: String::from_utf8_lossy(f.take(n)?).into_owned(),
+            }
         }
         100 => Incoming::Stop,
         60 => Incoming::Event(announce(&mut f)?),
@@ -136,7 +148,12 @@
         10 => {
             let (waited, node, outcome) = (f.time()?, NodeId(f.u32()?), outcome(f.u16()?)?);
             let load = load(&mut f, columns(instance))?;
-            Incoming::Event(Event::Probed { node, outcome, waited, load })
+            Incoming::Event(Event::Probed {
+                node,
+                outcome,
+                waited,
+                load,
+            })
         }
         _ => {
             f.u32()?;
@@ -212,7 +229,17 @@
     let volume_use = (used > 0).then(|| f64::from(used - 1) / 100.0);
     let served_elsewhere = f64::from(f.u16()?);
     let load = load(f, columns)?;
-    Ok(Answer { request, attempt, node, outcome, waited, finished, volume_use, served_elsewhere, load })
+    Ok(Answer {
+        request,
+        attempt,
+        node,
+        outcome,
+        waited,
+        finished,
+        volume_use,
+        served_elsewhere,
+        load,
+    })
 }
 
 fn outcome(code: u16) -> Result<Outcome, String> {
@@ -270,7 +297,11 @@
 
     fn text(&mut self, code: u8, instance: u16, line: &str) {
         let bytes = &line.as_bytes()[..line.len().min(usize::from(u16::MAX))];
-        self.put(code, instance, &[&(bytes.len() as u16).to_be_bytes(), bytes]);
+        self.put(
+            code,
+            instance,
+            &[&(bytes.len() as u16).to_be_bytes(), bytes],
+        );
     }
 
     /// The decision code of this instance cannot run.
@@ -283,18 +314,34 @@
         let id = |r: &RequestId| r.0.to_be_bytes();
         let ms = |t: &Option<Micros>| t.map_or(0.0, millis).to_be_bytes();
         match action {
-            Action::Send { request, node, timeout, .. } => {
-                self.put(70, instance, &[&id(request), &node.0.to_be_bytes(), &ms(timeout)]);
+            Action::Send {
+                request,
+                node,
+                timeout,
+                ..
+            } => {
+                self.put(
+                    70,
+                    instance,
+                    &[&id(request), &node.0.to_be_bytes(), &ms(timeout)],
+                );
             }
             Action::Cancel { request, attempt } => {
                 self.put(80, instance, &[&id(request), &attempt.to_be_bytes()]);
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 self.put(90, instance, &[&id(request), &ms(retry_after)]);
             }
             Action::Fail { request } => self.put(30, instance, &[&id(request)]),
             Action::Wake { at, token } => {
-                self.put(40, instance, &[&millis(*at).to_be_bytes(), &token.to_be_bytes()]);
+                self.put(
+                    40,
+                    instance,
+                    &[&millis(*at).to_be_bytes(), &token.to_be_bytes()],
+                );
             }
             Action::Probe(node) => self.put(120, instance, &[&node.0.to_be_bytes()]),
             // Nothing on this wire asks for more units: no transfer is ever in hand.
--- a/crates/benchlink/tests/adapter.rs
+++ b/crates/benchlink/tests/adapter.rs
@@ -93,7 +93,11 @@
 #[test]
 fn a_request_is_sent_to_the_node_that_holds_its_shard() {
     let out = run(&batch(10_000.0, &[start(INFO), list(), ingress(5.0)]));
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+    assert!(
+        out.status.success(),
+        "{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
     let mut want = vec![0, 3, 0, 0, 0, 9, 0, 0, 0, 7];
     want.extend(0f64.to_be_bytes());
     assert!(records(&out.stdout).contains(&(70, want)));
@@ -108,7 +112,10 @@
 
 #[test]
 fn a_missing_setting_is_named_through_the_fault() {
-    for (gone, name) in [("resolution=2.0\n", "resolution"), ("classes.0.aim=300.0\n", "classes.0.aim")] {
+    for (gone, name) in [
+        ("resolution=2.0\n", "resolution"),
+        ("classes.0.aim=300.0\n", "classes.0.aim"),
+    ] {
         let out = run(&batch(1.0, &[start(&INFO.replace(gone, ""))]));
         let said = records(&out.stdout);
         assert_eq!(said[0].0, 10);
@@ -132,11 +139,31 @@
     let mut wrong_count = batch(1.0, &[list()]);
     wrong_count[15] = 2;
     let cases: [(&str, Vec<u8>, &str); 8] = [
-        ("a frame cut short", good[..good.len() - 3].to_vec(), "input ends inside"),
-        ("a header cut short", good[..2].to_vec(), "input ends inside"),
-        ("a record too short", batch(1.0, &[start(INFO), short_field]), "ingress"),
-        ("a record too long", batch(1.0, &[start(INFO), long_field]), "too many"),
-        ("an unknown code", batch(1.0, &[(7, vec![0, 3])]), "unknown record code 7"),
+        (
+            "a frame cut short",
+            good[..good.len() - 3].to_vec(),
+            "input ends inside",
+        ),
+        (
+            "a header cut short",
+            good[..2].to_vec(),
+            "input ends inside",
+        ),
+        (
+            "a record too short",
+            batch(1.0, &[start(INFO), short_field]),
+            "ingress",
+        ),
+        (
+            "a record too long",
+            batch(1.0, &[start(INFO), long_field]),
+            "too many",
+        ),
+        (
+            "an unknown code",
+            batch(1.0, &[(7, vec![0, 3])]),
+            "unknown record code 7",
+        ),
         ("more records than there are", wrong_count, "batch"),
         (
             "an unknown outcome",
--- a/crates/carrier/src/budget.rs
+++ b/crates/carrier/src/budget.rs
@@ -23,7 +23,12 @@
 impl Bucket {
     fn new(now: Micros, per_s: f64, least: f64) -> Bucket {
         let most = (per_s * BURST_S).max(least);
-        Bucket { per_s, most, level: most, at: now }
+        Bucket {
+            per_s,
+            most,
+            level: most,
+            at: now,
+        }
     }
 
     fn fill(&mut self, now: Micros) {
@@ -46,9 +51,16 @@
         let behind = Tag::ALL.iter().filter(|t| **t != Tag::MEMBERSHIP);
         let each = datagrams_per_s * SHARE;
         let own = behind.map(|t| {
-            (*t, Bucket::new(now, each, 1.0), Bucket::new(now, each * LONGEST as f64 * SHARE, LONGEST as f64))
+            (
+                *t,
+                Bucket::new(now, each, 1.0),
+                Bucket::new(now, each * LONGEST as f64 * SHARE, LONGEST as f64),
+            )
         });
-        Budget { whole: Bucket::new(now, datagrams_per_s, 1.0), own: own.collect() }
+        Budget {
+            whole: Bucket::new(now, datagrams_per_s, 1.0),
+            own: own.collect(),
+        }
     }
 
     /// What of the burst is left to those before this place among all.
@@ -64,12 +76,15 @@
             self.whole.level -= f64::from(u8::from(may));
             return may;
         }
-        let Some(at) = self.own.iter().position(|o| o.0 == tag) else { return false };
+        let Some(at) = self.own.iter().position(|o| o.0 == tag) else {
+            return false;
+        };
         let kept = self.kept(at + 1);
         let (_, datagrams, size) = &mut self.own[at];
         datagrams.fill(now);
         size.fill(now);
-        let may = datagrams.level >= 1.0 && size.level >= bytes as f64 && self.whole.level >= kept + 1.0;
+        let may =
+            datagrams.level >= 1.0 && size.level >= bytes as f64 && self.whole.level >= kept + 1.0;
         if may {
             datagrams.level -= 1.0;
             size.level -= bytes as f64;
@@ -101,7 +116,10 @@
                 }
                 while at < now as f64 {
                     at += 1e6 / (per_s * 0.9);
-                    assert!(budget.draw(now, Tag::MEMBERSHIP, LONGEST), "seed {seed} at {now}");
+                    assert!(
+                        budget.draw(now, Tag::MEMBERSHIP, LONGEST),
+                        "seed {seed} at {now}"
+                    );
                     sent += 1;
                 }
             }
--- a/crates/carrier/src/frame.rs
+++ b/crates/carrier/src/frame.rs
@@ -37,7 +37,13 @@
     /// Keys known to be missing.
     pub const MISSING: Tag = Tag(4);
     /// All there are, the most urgent first.
-    pub const ALL: [Tag; 5] = [Tag::MEMBERSHIP, Tag::REGISTRY, Tag::OVERLOAD, Tag::MISSING, Tag::STREAM];
+    pub const ALL: [Tag; 5] = [
+        Tag::MEMBERSHIP,
+        Tag::REGISTRY,
+        Tag::OVERLOAD,
+        Tag::MISSING,
+        Tag::STREAM,
+    ];
 }
 
 /// A key, 32 bytes.
@@ -124,7 +130,9 @@
     if bytes.len() > LONGEST || bytes.len() < HEAD || bytes[..2] != MAGIC {
         return Err(Void::Form);
     }
-    let (all, theirs) = bytes.split_at_checked(bytes.len() - tail(keys)).ok_or(Void::Form)?;
+    let (all, theirs) = bytes
+        .split_at_checked(bytes.len() - tail(keys))
+        .ok_or(Void::Form)?;
     let right = |key: &Option<Key>| sum(key, all) == theirs;
     if !(right(&keys.sign) || keys.also.is_some() && right(&keys.also)) {
         return Err(Void::Sum);
@@ -135,7 +143,14 @@
         let (roster, from, seq) = (r.u32()?, r.u16()?, r.u32()?);
         let (life, to_life) = (r.u64()?, r.u64()?);
         let sound = usize::from(from) < n && zero == 0 && life != 0;
-        sound.then_some(Head { tag, roster, from, seq, life, to_life })
+        sound.then_some(Head {
+            tag,
+            roster,
+            from,
+            seq,
+            life,
+            to_life,
+        })
     };
     let head = head().ok_or(Void::Content)?;
     Ok((head, r.0))
--- a/crates/carrier/src/stream.rs
+++ b/crates/carrier/src/stream.rs
@@ -163,7 +163,11 @@
         if s.waiting.is_empty() {
             s.begin(now);
         }
-        s.waiting.push_back(Message { number: s.next, tag, bytes });
+        s.waiting.push_back(Message {
+            number: s.next,
+            tag,
+            bytes,
+        });
         Ok(s.next)
     }
 
@@ -190,7 +194,12 @@
     }
 
     /// Carries on at a moment: pieces that are due, at most a window for each front. `may` says whether one more may go.
-    pub fn tick(&mut self, now: Micros, mut may: impl FnMut(u16, usize) -> bool, out: &mut Vec<Out>) {
+    pub fn tick(
+        &mut self,
+        now: Micros,
+        mut may: impl FnMut(u16, usize) -> bool,
+        out: &mut Vec<Out>,
+    ) {
         for (to, s) in &mut self.sending {
             let Some(m) = s.waiting.front().filter(|_| now - s.moved_at < PATIENCE) else {
                 if let Some(m) = s.waiting.pop_front() {
@@ -228,7 +237,13 @@
                 if at == end || !piece(at, end) {
                     break;
                 }
-                s.window.push_back(Piece { at, end, sent: now, twice: false, there: false });
+                s.window.push_back(Piece {
+                    at,
+                    end,
+                    sent: now,
+                    twice: false,
+                    there: false,
+                });
             }
         }
     }
@@ -236,8 +251,18 @@
     /// Takes the body of a datagram from another front.
     pub fn hear(&mut self, now: Micros, from: u16, body: &[u8], out: &mut Vec<Out>) {
         let mut r = Reader(body);
-        let mut read = || Some((r.u8()?, r.u8()?, r.u32()?, r.u32()? as usize, r.u32()? as usize));
-        let Some((kind, tag, number, total, at)) = read() else { return };
+        let mut read = || {
+            Some((
+                r.u8()?,
+                r.u8()?,
+                r.u32()?,
+                r.u32()? as usize,
+                r.u32()? as usize,
+            ))
+        };
+        let Some((kind, tag, number, total, at)) = read() else {
+            return;
+        };
         match kind {
             0 => self.piece(from, (tag, number, total, at), r.0, out),
             1 if r.0.is_empty() => self.said(now, from, (number, total, at), out),
@@ -245,10 +270,21 @@
         }
     }
 
-    fn piece(&mut self, from: u16, head: (u8, u32, usize, usize), bytes: &[u8], out: &mut Vec<Out>) {
+    fn piece(
+        &mut self,
+        from: u16,
+        head: (u8, u32, usize, usize),
+        bytes: &[u8],
+        out: &mut Vec<Out>,
+    ) {
         let (tag, number, total, at) = head;
         let deaf = self.deaf.iter().any(|t| t.0 == tag);
-        if bytes.is_empty() || total > MESSAGE_MOST || at + bytes.len() > total || number == 0 || deaf {
+        if bytes.is_empty()
+            || total > MESSAGE_MOST
+            || at + bytes.len() > total
+            || number == 0
+            || deaf
+        {
             return;
         }
         let c = self.coming.entry(from).or_default();
@@ -257,7 +293,11 @@
             let same = c.total > 0 && (number, total, tag) == (c.whole + 1, c.total, c.tag);
             if !same {
                 self.partial -= c.total;
-                *c = Coming { whole: c.whole, tag, ..Coming::default() };
+                *c = Coming {
+                    whole: c.whole,
+                    tag,
+                    ..Coming::default()
+                };
                 if self.partial + total > PARTIAL_MOST {
                     return;
                 }
@@ -269,7 +309,13 @@
             }
             if c.had() == c.total {
                 self.partial -= c.total;
-                let whole = std::mem::replace(c, Coming { whole: number, ..Coming::default() });
+                let whole = std::mem::replace(
+                    c,
+                    Coming {
+                        whole: number,
+                        ..Coming::default()
+                    },
+                );
                 out.push(Out::Came(from, Tag(tag), whole.bytes));
             }
         }
@@ -283,12 +329,28 @@
     }
 
     /// The other end has the piece at `at`, and all up to `had`.
-    fn said(&mut self, now: Micros, from: u16, (number, at, had): (u32, usize, usize), out: &mut Vec<Out>) {
-        let Some(s) = self.sending.get_mut(&from) else { return };
-        let Some(m) = s.waiting.front().filter(|m| m.number == number && had <= m.bytes.len()) else {
+    fn said(
+        &mut self,
+        now: Micros,
+        from: u16,
+        (number, at, had): (u32, usize, usize),
+        out: &mut Vec<Out>,
+    ) {
+        let Some(s) = self.sending.get_mut(&from) else {
+            return;
+        };
+        let Some(m) = s
+            .waiting
+            .front()
+            .filter(|m| m.number == number && had <= m.bytes.len())
+        else {
             return;
         };
-        for p in s.window.iter_mut().filter(|p| !p.there && (p.at == at || p.end <= had)) {
+        for p in s
+            .window
+            .iter_mut()
+            .filter(|p| !p.there && (p.at == at || p.end <= had))
+        {
             p.there = true;
             (s.heard, s.moved_at) = (true, now);
             if p.at == at && !p.twice {
--- a/crates/carrier/tests/stream.rs
+++ b/crates/carrier/tests/stream.rs
@@ -64,14 +64,20 @@
         );
         let mut back = Vec::new();
         while way.peek().is_some_and(|Reverse(w)| w.0 <= now) {
-            let Some(Reverse((_, _, to_b, of, bytes))) = way.pop() else { break };
+            let Some(Reverse((_, _, to_b, of, bytes))) = way.pop() else {
+                break;
+            };
             match to_b {
                 _ if of != life => {}
                 true => b.hear(now, 0, &bytes, &mut back),
                 false => a.hear(now, 1, &bytes, &mut out),
             }
         }
-        for (from_a, o) in out.into_iter().map(|o| (true, o)).chain(back.into_iter().map(|o| (false, o))) {
+        for (from_a, o) in out
+            .into_iter()
+            .map(|o| (true, o))
+            .chain(back.into_iter().map(|o| (false, o)))
+        {
             match o {
                 Out::Piece(_, bytes) => {
                     assert!(bytes.len() <= ROOM);
@@ -90,7 +96,10 @@
                 }
                 Out::Came(_, tag, bytes) => {
                     let number = u32::from_le_bytes(bytes[..4].try_into().unwrap());
-                    assert_eq!((tag, bytes == message(number, bytes.len())), (Tag::REGISTRY, true));
+                    assert_eq!(
+                        (tag, bytes == message(number, bytes.len())),
+                        (Tag::REGISTRY, true)
+                    );
                     seen.came.push(number);
                 }
                 Out::Done(..) => seen.done += 1,
@@ -116,9 +125,20 @@
     let mut lost = 0;
     for seed in 0..60 {
         let seen = play(seed, 0.1, true);
-        assert!(seen.came.windows(2).all(|w| w[0] < w[1]), "seed {seed}: {:?}", seen.came);
-        assert_eq!((seen.done + seen.lost) as usize, seen.sent.len(), "seed {seed}");
-        assert!(seen.done as usize <= seen.came.len(), "seed {seed}: done, but never given");
+        assert!(
+            seen.came.windows(2).all(|w| w[0] < w[1]),
+            "seed {seed}: {:?}",
+            seen.came
+        );
+        assert_eq!(
+            (seen.done + seen.lost) as usize,
+            seen.sent.len(),
+            "seed {seed}"
+        );
+        assert!(
+            seen.done as usize <= seen.came.len(),
+            "seed {seed}: done, but never given"
+        );
         lost += seen.lost;
     }
     assert!(lost > 0, "the deaths do cost something");
@@ -128,7 +148,11 @@
 fn where_nothing_comes_through_messages_are_lost_and_said_to_be() {
     let seen = play(5, 1.0, false);
     assert!(seen.came.is_empty() && seen.refused > 0);
-    assert!(seen.lost >= 3, "one after another, each after its patience: {}", seen.lost);
+    assert!(
+        seen.lost >= 3,
+        "one after another, each after its patience: {}",
+        seen.lost
+    );
 }
 
 #[test]
@@ -148,5 +172,9 @@
         streams.hear(i64::from(round), dice.u16(0..1024), &body, &mut out);
         assert!(out.len() <= 2);
     }
-    assert_eq!(streams.waiting(), 1, "the end of a message is told by who has it, by its number");
+    assert_eq!(
+        streams.waiting(),
+        1,
+        "the end of a message is told by who has it, by its number"
+    );
 }
--- a/crates/chain/src/chain.rs
+++ b/crates/chain/src/chain.rs
@@ -132,7 +132,10 @@
             minimum_length,
             bytes: ByteLimits::default(),
             view: stored.view,
-            disk: DiskState { synced: log.last(), ..DiskState::default() },
+            disk: DiskState {
+                synced: log.last(),
+                ..DiskState::default()
+            },
             log,
             standing: stored.standing,
             verified: stored.snapshot_index,
@@ -172,7 +175,11 @@
     /// # Errors
     ///
     /// Where this is not the head, or it is not ready, or too much is uncommitted, or the operation is too large.
-    pub fn submit(&mut self, operation: Operation, now: Millis) -> Result<(u64, Vec<Effect>), SubmitError> {
+    pub fn submit(
+        &mut self,
+        operation: Operation,
+        now: Millis,
+    ) -> Result<(u64, Vec<Effect>), SubmitError> {
         if !self.ready() {
             return Err(SubmitError::NotReady);
         }
@@ -275,7 +282,8 @@
     pub fn compacted(&mut self, index: u64) {
         let followers = self.successor.iter().chain(self.joiners.values());
         let needed = followers.map(Follower::needs_after).min();
-        self.log.compact(index.min(self.committed), needed, &self.bytes);
+        self.log
+            .compact(index.min(self.committed), needed, &self.bytes);
     }
 
     /// Whether this head acts in its view.
--- a/crates/chain/src/feeder.rs
+++ b/crates/chain/src/feeder.rs
@@ -20,7 +20,10 @@
 impl Feeder {
     /// The tail, at the beginning of a view.
     pub(crate) fn tail(now: Millis) -> Feeder {
-        Feeder { turn: 0, heard_at: now }
+        Feeder {
+            turn: 0,
+            heard_at: now,
+        }
     }
 
     /// Which member it is.
@@ -37,7 +40,10 @@
     /// Turns to the next one if this one is silent.
     pub(crate) fn look(&mut self, now: Millis) {
         if now.since(self.heard_at) >= FEEDER_SILENT_MS {
-            *self = Feeder { turn: self.turn + 1, heard_at: now };
+            *self = Feeder {
+                turn: self.turn + 1,
+                heard_at: now,
+            };
         }
     }
 }
--- a/crates/chain/src/flow.rs
+++ b/crates/chain/src/flow.rs
@@ -19,7 +19,10 @@
 
 impl Flow {
     pub(crate) fn new(now: Millis) -> Flow {
-        Flow { stalls: 0, advanced_at: now }
+        Flow {
+            stalls: 0,
+            advanced_at: now,
+        }
     }
 
     /// Bytes that may be on their way, of at most `widest`.
@@ -41,7 +44,8 @@
     /// Whether so many bytes on their way are to be taken for lost; the next wait is longer then.
     pub(crate) fn has_stalled(&mut self, on_their_way: u64, now: Millis) -> bool {
         let on_the_link = on_their_way * 1_000 / SLOW_LINK_BYTES_PER_S;
-        let patience = ((JOINER_STALLED_MS + on_the_link) << self.stalls).min(JOINER_STALLED_MOST_MS);
+        let patience =
+            ((JOINER_STALLED_MS + on_the_link) << self.stalls).min(JOINER_STALLED_MOST_MS);
         let stalled = now.since(self.advanced_at) >= patience;
         if stalled {
             self.stalls = (self.stalls + 1).min(STALLS_MOST);
--- a/crates/chain/src/follower.rs
+++ b/crates/chain/src/follower.rs
@@ -125,10 +125,20 @@
         let entries = log.batch(previous, limit);
         self.sent = previous + entries.len() as u64;
         // A barrier vouches for everything that the sender has, so it goes out only behind all of that.
-        let barrier = if self.sent >= state.limit { state.barrier } else { 0 };
+        let barrier = if self.sent >= state.limit {
+            state.barrier
+        } else {
+            0
+        };
         self.barrier_told = self.barrier_told.max(barrier);
         self.committed_told = state.committed;
-        ChainMessage::Append { view: state.view, previous, entries, committed: state.committed, barrier }
+        ChainMessage::Append {
+            view: state.view,
+            previous,
+            entries,
+            committed: state.committed,
+            barrier,
+        }
     }
 
     /// Whether the committed index was not told yet.
@@ -143,7 +153,9 @@
 
     /// Whether it owes an acknowledgement.
     pub(crate) fn is_behind(&self, state: SenderState) -> bool {
-        let acknowledged = self.acknowledged.is_some_and(|index| index >= self.sent.max(state.limit));
+        let acknowledged = self
+            .acknowledged
+            .is_some_and(|index| index >= self.sent.max(state.limit));
         !acknowledged || self.barrier_acknowledged < state.barrier
     }
 
@@ -170,12 +182,17 @@
         self.heard_at = now;
         let before = self.rewound.filter(|rewound| rewound.have == have);
         let times = before.map_or(0, |rewound| rewound.times + 1);
-        let is_repetition = |rewound: Rewound| now.since(rewound.at) < RESEND_MS << rewound.times.min(4);
+        let is_repetition =
+            |rewound: Rewound| now.since(rewound.at) < RESEND_MS << rewound.times.min(4);
         let is_much = log.bytes_between(have, limit) > WINDOW_BYTES_LEAST;
         if is_much && before.is_some_and(is_repetition) {
             return false;
         }
-        self.rewound = Some(Rewound { have, at: now, times });
+        self.rewound = Some(Rewound {
+            have,
+            at: now,
+            times,
+        });
         self.rewind(have, limit, now);
         true
     }
@@ -230,7 +247,9 @@
             Transfer::NotNeeded => true,
             Transfer::Wanted | Transfer::Sending(_) => false,
             Transfer::Received { index, at } => {
-                let installed = self.acknowledged.is_some_and(|acknowledged| acknowledged >= *index);
+                let installed = self
+                    .acknowledged
+                    .is_some_and(|acknowledged| acknowledged >= *index);
                 installed || now.since(*at) >= SNAPSHOT_RETRY_MS
             }
         };
@@ -249,8 +268,15 @@
     }
 
     /// The next pieces of a snapshot, as many as the window holds; those that seem to be lost come again.
-    pub(crate) fn next_pieces(&mut self, view: u64, bytes: &ByteLimits, now: Millis) -> Vec<ChainMessage> {
-        let Transfer::Sending(snapshot) = &mut self.transfer else { return Vec::new() };
+    pub(crate) fn next_pieces(
+        &mut self,
+        view: u64,
+        bytes: &ByteLimits,
+        now: Millis,
+    ) -> Vec<ChainMessage> {
+        let Transfer::Sending(snapshot) = &mut self.transfer else {
+            return Vec::new();
+        };
         if snapshot.is_unanswered() && self.flow.has_stalled(snapshot.on_their_way(), now) {
             snapshot.rewind();
         }
@@ -259,7 +285,12 @@
     }
 
     /// Takes the receiver's word on how much of a snapshot it has.
-    pub(crate) fn snapshot_received(&mut self, identity: SnapshotIdentity, pieces: u32, now: Millis) {
+    pub(crate) fn snapshot_received(
+        &mut self,
+        identity: SnapshotIdentity,
+        pieces: u32,
+        now: Millis,
+    ) {
         self.heard_at = now;
         match &mut self.transfer {
             Transfer::Sending(snapshot) => {
@@ -278,7 +309,9 @@
 
     /// Goes on with entries once the receiver has what the snapshot covers.
     fn end_transfer_at(&mut self, have: u64, now: Millis) {
-        let Transfer::Sending(snapshot) = &self.transfer else { return };
+        let Transfer::Sending(snapshot) = &self.transfer else {
+            return;
+        };
         let index = snapshot.index();
         if have >= index {
             self.sent = index;
--- a/crates/chain/src/keeping_up.rs
+++ b/crates/chain/src/keeping_up.rs
@@ -40,6 +40,7 @@
 
     /// Whether everything was synced that the tail called committed so lately.
     pub(crate) fn reached_within(&self, milliseconds: u64, now: Millis) -> bool {
-        self.reached_at.is_some_and(|at| now.since(at) <= milliseconds)
+        self.reached_at
+            .is_some_and(|at| now.since(at) <= milliseconds)
     }
 }
--- a/crates/chain/src/limits.rs
+++ b/crates/chain/src/limits.rs
@@ -89,7 +89,9 @@
             0 => BUDGET_DEFAULT,
             known => known.saturating_mul(MEGABYTE) / parts,
         };
-        let budget = part(memory_mb, MEMORY_PARTS).min(part(disk_mb, DISK_PARTS)).max(BUDGET_LEAST);
+        let budget = part(memory_mb, MEMORY_PARTS)
+            .min(part(disk_mb, DISK_PARTS))
+            .max(BUDGET_LEAST);
         ByteLimits {
             uncommitted: budget / 8,
             snapshot_after: budget * 3 / 16,
--- a/crates/chain/src/log.rs
+++ b/crates/chain/src/log.rs
@@ -30,7 +30,11 @@
 impl Log {
     /// A log whose first entry follows `floor`. Entries that do not continue it are left out.
     pub(crate) fn new(floor: u64, entries: Vec<LogEntry>) -> Log {
-        let mut log = Log { floor, floor_end: 0, entries: VecDeque::with_capacity(entries.len()) };
+        let mut log = Log {
+            floor,
+            floor_end: 0,
+            entries: VecDeque::with_capacity(entries.len()),
+        };
         for entry in entries {
             if entry.index == log.last() + 1 {
                 log.push(entry);
@@ -87,7 +91,9 @@
     /// that joins, as far as a wider bound goes.
     pub(crate) fn compact(&mut self, index: u64, needed: Option<u64>, limits: &ByteLimits) {
         while self.floor < index && self.exceeds_retention(needed, limits) {
-            let Some(dropped) = self.entries.pop_front() else { break };
+            let Some(dropped) = self.entries.pop_front() else {
+                break;
+            };
             self.floor_end = dropped.end;
             self.floor += 1;
         }
@@ -104,9 +110,12 @@
 
     /// Copies of the entries after `previous`, up to `limit`, as many as fit a message; at least one where there is one.
     pub(crate) fn batch(&self, previous: u64, limit: u64) -> Vec<LogEntry> {
-        let fits =
-            |index: &u64| *index == previous + 1 || self.bytes_between(previous, *index) <= BATCH_BYTES;
+        let fits = |index: &u64| {
+            *index == previous + 1 || self.bytes_between(previous, *index) <= BATCH_BYTES
+        };
         let indices = (previous + 1..=limit).take_while(fits);
-        indices.map_while(|index| self.get(index).cloned()).collect()
+        indices
+            .map_while(|index| self.get(index).cloned())
+            .collect()
     }
 }
--- a/crates/chain/src/membership.rs
+++ b/crates/chain/src/membership.rs
@@ -48,7 +48,8 @@
     }
 
     fn forget_last_view(&mut self) {
-        self.effects.retain(|effect| !matches!(effect, Effect::Send(..)));
+        self.effects
+            .retain(|effect| !matches!(effect, Effect::Send(..)));
         self.barrier = 0;
         self.leadership = Leadership::default();
         self.successor = None;
@@ -79,7 +80,11 @@
         if self.standing == Standing::Joining {
             self.truncate_after(self.committed);
         }
-        self.verified = if self.is_head() { self.log.last() } else { self.committed };
+        self.verified = if self.is_head() {
+            self.log.last()
+        } else {
+            self.committed
+        };
         self.leadership.base = self.log.last();
         let position = self.view.position(self.me).unwrap_or_default();
         let successor = self.view.chain.get(position + 1).copied();
--- a/crates/chain/src/progress.rs
+++ b/crates/chain/src/progress.rs
@@ -88,7 +88,10 @@
 
     /// Once everybody has what this head had, everybody is to note that it is complete.
     fn start_recovery_barrier(&mut self, now: Millis) {
-        let heard = self.successor.as_ref().is_none_or(|successor| successor.acknowledged.is_some());
+        let heard = self
+            .successor
+            .as_ref()
+            .is_none_or(|successor| successor.acknowledged.is_some());
         if self.barrier == 0 && heard && self.replicated() >= self.leadership.base {
             self.barrier = RECOVERY_BARRIER;
             self.feed_successor(now);
@@ -118,13 +121,25 @@
 
     /// Acknowledges to the predecessor what was not acknowledged yet.
     fn acknowledge(&mut self) {
-        let Some(predecessor) = self.predecessor().filter(|_| self.aligned) else { return };
-        let news = Acknowledged { synced: self.replicated(), barrier: self.barrier_passed() };
+        let Some(predecessor) = self.predecessor().filter(|_| self.aligned) else {
+            return;
+        };
+        let news = Acknowledged {
+            synced: self.replicated(),
+            barrier: self.barrier_passed(),
+        };
         if self.acknowledged == Some(news) {
             return;
         }
         self.acknowledged = Some(news);
         let Acknowledged { synced, barrier } = news;
-        self.send(predecessor, ChainMessage::Acknowledge { view: self.view.number, synced, barrier });
+        self.send(
+            predecessor,
+            ChainMessage::Acknowledge {
+                view: self.view.number,
+                synced,
+                barrier,
+            },
+        );
     }
 }
--- a/crates/chain/src/receive.rs
+++ b/crates/chain/src/receive.rs
@@ -22,9 +22,16 @@
     /// Takes a message. One of an older view is answered with the newer one; one of a newer view is dropped, since its
     /// sender repeats itself. The view in an `Outdated` message is for the driver, who has it agreed and stored first.
     pub fn receive(&mut self, from: DiskId, message: ChainMessage, now: Millis) -> Vec<Effect> {
-        let Some(view) = view_number(&message) else { return self.take_effects() };
+        let Some(view) = view_number(&message) else {
+            return self.take_effects();
+        };
         if view < self.view.number {
-            self.send(from, ChainMessage::Outdated { view: self.view.clone() });
+            self.send(
+                from,
+                ChainMessage::Outdated {
+                    view: self.view.clone(),
+                },
+            );
         } else if view == self.view.number {
             self.receive_current(from, message, now);
         }
@@ -33,19 +40,43 @@
 
     fn receive_current(&mut self, from: DiskId, message: ChainMessage, now: Millis) {
         match message {
-            ChainMessage::Append { previous, entries, committed, barrier, .. } => {
-                self.receive_append(from, Append { previous, entries, committed, barrier }, now)
-            }
-            ChainMessage::Acknowledge { synced, barrier, .. } => {
-                self.receive_acknowledge(from, synced, barrier, now)
-            }
+            ChainMessage::Append {
+                previous,
+                entries,
+                committed,
+                barrier,
+                ..
+            } => self.receive_append(
+                from,
+                Append {
+                    previous,
+                    entries,
+                    committed,
+                    barrier,
+                },
+                now,
+            ),
+            ChainMessage::Acknowledge {
+                synced, barrier, ..
+            } => self.receive_acknowledge(from, synced, barrier, now),
             ChainMessage::Resend { have, .. } => self.receive_resend(from, have, now),
-            ChainMessage::Snapshot { snapshot, piece, bytes, .. } => {
-                self.receive_piece(from, SnapshotPiece { snapshot, piece, bytes }, now)
-            }
-            ChainMessage::SnapshotReceived { snapshot, pieces, .. } => {
-                self.receive_snapshot_answer(from, snapshot, pieces, now)
-            }
+            ChainMessage::Snapshot {
+                snapshot,
+                piece,
+                bytes,
+                ..
+            } => self.receive_piece(
+                from,
+                SnapshotPiece {
+                    snapshot,
+                    piece,
+                    bytes,
+                },
+                now,
+            ),
+            ChainMessage::SnapshotReceived {
+                snapshot, pieces, ..
+            } => self.receive_snapshot_answer(from, snapshot, pieces, now),
             ChainMessage::Join { have, .. } => self.receive_join(from, have.unwrap_or(0), now),
             ChainMessage::Outdated { .. } => {}
         }
@@ -101,19 +132,30 @@
         self.keeping_up.told(append.committed, now);
         self.told_committed = self.told_committed.max(append.committed);
         let committed = append.committed;
-        self.take_entries(append.entries.into_iter().take_while(|entry| entry.index <= committed).collect());
+        self.take_entries(
+            append
+                .entries
+                .into_iter()
+                .take_while(|entry| entry.index <= committed)
+                .collect(),
+        );
         self.progress(now);
     }
 
     /// Compares entries with the log, and appends from the first one that differs or is new.
     fn take_entries(&mut self, entries: Vec<LogEntry>) {
         let verified = self.verified;
-        let mut entries = entries.into_iter().skip_while(|entry| entry.index <= verified).peekable();
+        let mut entries = entries
+            .into_iter()
+            .skip_while(|entry| entry.index <= verified)
+            .peekable();
         while let Some(entry) = entries.next_if(|entry| self.log.get(entry.index) == Some(entry)) {
             self.verified = entry.index;
         }
         let news: Vec<LogEntry> = entries.collect();
-        let continues = news.first().is_some_and(|entry| entry.index == self.verified + 1);
+        let continues = news
+            .first()
+            .is_some_and(|entry| entry.index == self.verified + 1);
         if !continues {
             return;
         }
@@ -134,7 +176,11 @@
     }
 
     fn receive_acknowledge(&mut self, from: DiskId, synced: u64, barrier: u64, now: Millis) {
-        let Some(successor) = self.successor.as_mut().filter(|successor| successor.disk == from) else {
+        let Some(successor) = self
+            .successor
+            .as_mut()
+            .filter(|successor| successor.disk == from)
+        else {
             return;
         };
         successor.acknowledge(synced, barrier, now);
@@ -144,7 +190,11 @@
 
     fn receive_resend(&mut self, from: DiskId, have: u64, now: Millis) {
         let limit = self.verified;
-        if let Some(successor) = self.successor.as_mut().filter(|successor| successor.disk == from) {
+        if let Some(successor) = self
+            .successor
+            .as_mut()
+            .filter(|successor| successor.disk == from)
+        {
             if successor.resend_after(have, limit, &self.log, now) {
                 self.probe_successor(now);
             }
@@ -160,8 +210,10 @@
             return;
         }
         let committed = self.committed;
-        let joiner =
-            self.joiners.entry(from).or_insert_with(|| Follower::new(from, have.min(committed), now));
+        let joiner = self
+            .joiners
+            .entry(from)
+            .or_insert_with(|| Follower::new(from, have.min(committed), now));
         joiner.joiner_stands_at(have, committed, &self.log, now);
         self.feed_joiner(from, true, now);
     }
@@ -188,7 +240,14 @@
 
     pub(crate) fn answer_piece(&mut self, snapshot: SnapshotIdentity, pieces: u32) {
         let Some(source) = self.source() else { return };
-        self.send(source, ChainMessage::SnapshotReceived { view: self.view.number, snapshot, pieces });
+        self.send(
+            source,
+            ChainMessage::SnapshotReceived {
+                view: self.view.number,
+                snapshot,
+                pieces,
+            },
+        );
     }
 
     fn receive_snapshot_answer(
@@ -198,8 +257,13 @@
         pieces: u32,
         now: Millis,
     ) {
-        let successor = self.successor.as_mut().filter(|successor| successor.disk == from);
-        let Some(follower) = successor.or(self.joiners.get_mut(&from)) else { return };
+        let successor = self
+            .successor
+            .as_mut()
+            .filter(|successor| successor.disk == from);
+        let Some(follower) = successor.or(self.joiners.get_mut(&from)) else {
+            return;
+        };
         follower.snapshot_received(snapshot, pieces, now);
         self.send_pieces(now);
         self.feed_successor(now);
@@ -222,12 +286,19 @@
     /// Asks the source for entries after `have`, unless it was asked for the same a moment ago.
     pub(crate) fn ask_resend(&mut self, have: u64, now: Millis) {
         let Some(source) = self.source() else { return };
-        let asked = |request: &ResendRequest| request.have == have && now.since(request.at) < RESEND_MS;
+        let asked =
+            |request: &ResendRequest| request.have == have && now.since(request.at) < RESEND_MS;
         if self.resend.as_ref().is_some_and(asked) {
             return;
         }
         self.resend = Some(ResendRequest { have, at: now });
-        self.send(source, ChainMessage::Resend { view: self.view.number, have });
+        self.send(
+            source,
+            ChainMessage::Resend {
+                view: self.view.number,
+                have,
+            },
+        );
     }
 }
 
--- a/crates/chain/src/snapshot.rs
+++ b/crates/chain/src/snapshot.rs
@@ -19,8 +19,15 @@
     pub(crate) fn new(index: u64, bytes: Vec<u8>) -> SharedSnapshot {
         // An empty snapshot has one empty piece.
         let pieces = bytes.len().div_ceil(SNAPSHOT_PIECE_BYTES).max(1) as u32;
-        let identity = SnapshotIdentity { index, pieces, checksum: checksum(&bytes) };
-        SharedSnapshot { identity, bytes: Arc::new(bytes) }
+        let identity = SnapshotIdentity {
+            index,
+            pieces,
+            checksum: checksum(&bytes),
+        };
+        SharedSnapshot {
+            identity,
+            bytes: Arc::new(bytes),
+        }
     }
 
     pub(crate) fn index(&self) -> u64 {
@@ -41,8 +48,11 @@
     const PRIME: u64 = 0x0100_0000_01b3;
     let mix = |hash: u64, word: u64| (hash ^ word).wrapping_mul(PRIME).rotate_left(23);
     let (words, rest) = bytes.as_chunks::<8>();
-    let hash = words.iter().fold(BASIS, |hash, word| mix(hash, u64::from_le_bytes(*word)));
-    rest.iter().fold(hash, |hash, byte| mix(hash, u64::from(*byte)))
+    let hash = words
+        .iter()
+        .fold(BASIS, |hash, word| mix(hash, u64::from_le_bytes(*word)));
+    rest.iter()
+        .fold(hash, |hash, byte| mix(hash, u64::from(*byte)))
 }
 
 /// A snapshot that is being sent to one disk.
@@ -56,7 +66,11 @@
 
 impl OutgoingSnapshot {
     pub(crate) fn new(snapshot: SharedSnapshot) -> OutgoingSnapshot {
-        OutgoingSnapshot { snapshot, next_piece: 0, received: 0 }
+        OutgoingSnapshot {
+            snapshot,
+            next_piece: 0,
+            received: 0,
+        }
     }
 
     pub(crate) fn index(&self) -> u64 {
@@ -104,7 +118,12 @@
         let piece = self.next_piece;
         self.next_piece += 1;
         let bytes = self.snapshot.piece(piece);
-        Some(ChainMessage::Snapshot { view, snapshot: self.snapshot.identity, piece, bytes })
+        Some(ChainMessage::Snapshot {
+            view,
+            snapshot: self.snapshot.identity,
+            piece,
+            bytes,
+        })
     }
 }
 
@@ -164,9 +183,18 @@
         }
         if piece.piece == 0 && self.may_begin(piece.snapshot, now) {
             let snapshot = piece.snapshot;
-            self.partial = Some(Partial { snapshot, pieces: 0, bytes: Vec::new(), advanced_at: now });
+            self.partial = Some(Partial {
+                snapshot,
+                pieces: 0,
+                bytes: Vec::new(),
+                advanced_at: now,
+            });
         }
-        let Some(partial) = self.partial.as_mut().filter(|partial| partial.snapshot == piece.snapshot) else {
+        let Some(partial) = self
+            .partial
+            .as_mut()
+            .filter(|partial| partial.snapshot == piece.snapshot)
+        else {
             return Taken::Pieces(0);
         };
         if partial.pieces == piece.piece {
--- a/crates/chain/src/timer.rs
+++ b/crates/chain/src/timer.rs
@@ -33,7 +33,11 @@
     pub fn disconnected(&mut self, disk: DiskId, now: Millis) {
         if let Some(joiner) = self.joiners.get_mut(&disk) {
             joiner.disconnected(now);
-        } else if let Some(successor) = self.successor.as_mut().filter(|successor| successor.disk == disk) {
+        } else if let Some(successor) = self
+            .successor
+            .as_mut()
+            .filter(|successor| successor.disk == disk)
+        {
             successor.disconnected(now);
         }
     }
@@ -55,7 +59,8 @@
         self.send_pieces(now);
         self.feed_successor(now);
         self.tick_successor(now);
-        self.joiners.retain(|_, joiner| now.since(joiner.heard_at) <= JOINER_SILENT_MS);
+        self.joiners
+            .retain(|_, joiner| now.since(joiner.heard_at) <= JOINER_SILENT_MS);
         let joiners: Vec<DiskId> = self.joiners.keys().copied().collect();
         for joiner in joiners {
             self.feed_joiner(joiner, false, now);
@@ -72,7 +77,9 @@
 
     fn tick_successor(&mut self, now: Millis) {
         let state = self.member_state();
-        let Some(successor) = self.successor.as_mut() else { return };
+        let Some(successor) = self.successor.as_mut() else {
+            return;
+        };
         let silent = now.since(successor.heard_at) >= PROBE_MS;
         if silent && successor.is_behind(state) {
             successor.heard_at = now;
@@ -102,7 +109,14 @@
         self.joined_at = Some(now);
         self.joined_with = self.disk.synced;
         let have = Some(self.disk.synced);
-        self.send(feeder, ChainMessage::Join { view: self.view.number, disk: self.me, have });
+        self.send(
+            feeder,
+            ChainMessage::Join {
+                view: self.view.number,
+                disk: self.me,
+                have,
+            },
+        );
     }
 
     /// Tells the tail before the time once much was synced, so that its window moves on.
@@ -125,7 +139,9 @@
         if !self.may_send() {
             return;
         }
-        let Some(successor) = self.successor.as_mut() else { return };
+        let Some(successor) = self.successor.as_mut() else {
+            return;
+        };
         let lacks_snapshot = feed(successor, &self.log, state, &mut self.effects, now);
         if successor.lacks_barrier(state) {
             let message = successor.probe(&self.log, state);
@@ -137,7 +153,11 @@
     /// Tells the successor what is committed where no entry has carried it.
     pub(crate) fn relay_committed(&mut self, now: Millis) {
         let state = self.member_state();
-        if self.successor.as_ref().is_some_and(|successor| successor.lacks_committed(state)) {
+        if self
+            .successor
+            .as_ref()
+            .is_some_and(|successor| successor.lacks_committed(state))
+        {
             self.probe_successor(now);
         }
     }
@@ -158,7 +178,9 @@
     /// Sends a spare what it was not sent yet; a message in any case where `answer` is set.
     pub(crate) fn feed_joiner(&mut self, disk: DiskId, answer: bool, now: Millis) {
         let state = self.joiner_state();
-        let Some(joiner) = self.joiners.get_mut(&disk) else { return };
+        let Some(joiner) = self.joiners.get_mut(&disk) else {
+            return;
+        };
         if answer || joiner.lacks_committed(state) {
             let message = joiner.probe(&self.log, state);
             self.effects.push(Effect::Send(disk, message));
@@ -173,7 +195,10 @@
             return;
         }
         let log = &self.log;
-        if let Some(snapshot) = self.outgoing.take_if(|snapshot| snapshot.index() >= log.floor()) {
+        if let Some(snapshot) = self
+            .outgoing
+            .take_if(|snapshot| snapshot.index() >= log.floor())
+        {
             return self.start_snapshot(snapshot, now);
         }
         if !self.snapshot_asked {
--- a/crates/chain/tests/byte_bounds.rs
+++ b/crates/chain/tests/byte_bounds.rs
@@ -18,12 +18,16 @@
 /// The bytes of all entries in these messages.
 fn entry_bytes(messages: &[(DiskId, ChainMessage)]) -> usize {
     let of_message = |message: &ChainMessage| match message {
-        ChainMessage::Append { entries, .. } => {
-            entries.iter().map(|entry| borsh::object_length(entry).expect("counts")).sum()
-        }
+        ChainMessage::Append { entries, .. } => entries
+            .iter()
+            .map(|entry| borsh::object_length(entry).expect("counts"))
+            .sum(),
         _ => 0,
     };
-    messages.iter().map(|(_, message)| of_message(message)).sum()
+    messages
+        .iter()
+        .map(|(_, message)| of_message(message))
+        .sum()
 }
 
 /// The only member of a chain, which has committed this many large changes.
@@ -31,8 +35,9 @@
     let mut head = Chain::new(DiskId(1), 1, Stored::default());
     head.new_view(view(1, &[1]), START);
     for number in 1..=changes {
-        let (index, _) =
-            head.submit(large_operation(number, CHANGE_BYTES), START).expect("the head takes it");
+        let (index, _) = head
+            .submit(large_operation(number, CHANGE_BYTES), START)
+            .expect("the head takes it");
         head.written(index, START);
     }
     head
@@ -41,7 +46,11 @@
 #[test]
 fn a_joiner_far_behind_is_not_sent_more_than_a_connection_holds() {
     let mut head = head_with_changes(40);
-    let join = ChainMessage::Join { view: 1, disk: DiskId(2), have: Some(0) };
+    let join = ChainMessage::Join {
+        view: 1,
+        disk: DiskId(2),
+        have: Some(0),
+    };
     let sent = entry_bytes(&messages(&head.receive(DiskId(2), join, START)));
     assert!(sent > 0, "it is sent something");
     assert!(sent < CONNECTION_BYTES_MOST, "{sent} bytes at once");
@@ -56,11 +65,16 @@
     let mut sent = 0;
     let mut taken = 0;
     for number in 1..=CHANGES {
-        let Ok((_, effects)) = head.submit(large_operation(number, CHANGE_BYTES), START) else { break };
+        let Ok((_, effects)) = head.submit(large_operation(number, CHANGE_BYTES), START) else {
+            break;
+        };
         taken += CHANGE_BYTES;
         sent += entry_bytes(&messages(&effects));
     }
-    assert!(sent < CONNECTION_BYTES_MOST, "{sent} bytes without an acknowledgement");
+    assert!(
+        sent < CONNECTION_BYTES_MOST,
+        "{sent} bytes without an acknowledgement"
+    );
     assert!(taken < 6 * 1024 * 1024, "{taken} bytes uncommitted");
 }
 
@@ -69,19 +83,34 @@
     let mut head = head_with_changes(1);
     let mut most = 0;
     for number in 2..=CHANGES {
-        let (index, effects) = head.submit(large_operation(number, CHANGE_BYTES), START).expect("takes it");
+        let (index, effects) = head
+            .submit(large_operation(number, CHANGE_BYTES), START)
+            .expect("takes it");
         assert!(matches!(effects.first(), Some(Effect::Append(_))));
         head.written(index, START);
         if number % 20 == 0 {
             head.compacted(index);
         }
-        most = most.max((1..=index).filter(|index| head.entry(*index).is_some()).count());
+        most = most.max(
+            (1..=index)
+                .filter(|index| head.entry(*index).is_some())
+                .count(),
+        );
     }
-    assert!(most * CHANGE_BYTES <= 14 * 1024 * 1024, "{most} entries in memory");
+    assert!(
+        most * CHANGE_BYTES <= 14 * 1024 * 1024,
+        "{most} entries in memory"
+    );
 }
 
 /// Megabytes of memory and disk of a core machine.
-const MACHINES: [(u64, u64); 5] = [(128, 128), (192, 128), (256, 192), (384, 256), (64_000, 2_000_000)];
+const MACHINES: [(u64, u64); 5] = [
+    (128, 128),
+    (192, 128),
+    (256, 192),
+    (384, 256),
+    (64_000, 2_000_000),
+];
 
 #[test]
 fn the_bounds_leave_most_of_a_machine_to_others() {
@@ -89,17 +118,29 @@
         let limits = ByteLimits::of_machine(memory_mb, disk_mb);
         let since_snapshot = limits.snapshot_after + limits.uncommitted;
         let in_memory = since_snapshot + limits.retained.max(limits.catch_up);
-        assert!(in_memory <= memory_mb * 1_000_000 / 8, "{memory_mb} MB: {limits:?}");
+        assert!(
+            in_memory <= memory_mb * 1_000_000 / 8,
+            "{memory_mb} MB: {limits:?}"
+        );
         // An entry takes whole pages on the disk, at worst twice its size.
-        assert!(2 * since_snapshot <= disk_mb * 1_000_000 / 4, "{disk_mb} MB: {limits:?}");
-        assert!(limits.window <= CONNECTION_BYTES_MOST as u64 / 2, "{limits:?}");
+        assert!(
+            2 * since_snapshot <= disk_mb * 1_000_000 / 4,
+            "{disk_mb} MB: {limits:?}"
+        );
+        assert!(
+            limits.window <= CONNECTION_BYTES_MOST as u64 / 2,
+            "{limits:?}"
+        );
         assert!(limits.retained <= limits.catch_up, "{limits:?}");
     }
 }
 
 #[test]
 fn a_machine_that_says_nothing_of_itself_has_bounds() {
-    assert_eq!(ByteLimits::of_machine(0, 0), ByteLimits::of_machine(256, 128));
+    assert_eq!(
+        ByteLimits::of_machine(0, 0),
+        ByteLimits::of_machine(256, 128)
+    );
     assert_eq!(ByteLimits::of_machine(0, 0), ByteLimits::default());
     assert!(ByteLimits::of_machine(1, 1).uncommitted > 0);
 }
@@ -113,18 +154,30 @@
 #[test]
 fn every_message_fits_a_frame_and_what_would_not_is_refused() {
     let mut head = head_with_changes(3);
-    assert_eq!(head.submit(change_of(ENTRY_BYTES_MOST + 1_000), START), Err(SubmitError::TooLarge));
-    let (index, _) = head.submit(change_of(ENTRY_BYTES_MOST), START).expect("the largest one");
+    assert_eq!(
+        head.submit(change_of(ENTRY_BYTES_MOST + 1_000), START),
+        Err(SubmitError::TooLarge)
+    );
+    let (index, _) = head
+        .submit(change_of(ENTRY_BYTES_MOST), START)
+        .expect("the largest one");
     head.written(index, START);
     let mut have = 0;
     let mut now = START;
     while have < index {
         now = now.plus(10);
-        let join = ChainMessage::Join { view: 1, disk: DiskId(2), have: Some(have) };
+        let join = ChainMessage::Join {
+            view: 1,
+            disk: DiskId(2),
+            have: Some(have),
+        };
         for (_, message) in messages(&head.receive(DiskId(2), join, now)) {
             let frame = Frame::Chain(message);
             assert!(borsh::object_length(&frame).expect("counts") <= FRAME_BYTES_MOST);
-            if let Frame::Chain(ChainMessage::Append { previous, entries, .. }) = frame {
+            if let Frame::Chain(ChainMessage::Append {
+                previous, entries, ..
+            }) = frame
+            {
                 have = have.max(previous + entries.len() as u64);
             }
         }
@@ -134,7 +187,15 @@
 #[test]
 fn the_same_request_again_and_again_is_answered_less_and_less_often() {
     let mut head = head_with_changes(10);
-    head.receive(DiskId(2), ChainMessage::Join { view: 1, disk: DiskId(2), have: Some(0) }, START);
+    head.receive(
+        DiskId(2),
+        ChainMessage::Join {
+            view: 1,
+            disk: DiskId(2),
+            have: Some(0),
+        },
+        START,
+    );
     let mut answered = 0;
     for time in 0..20 {
         let resend = ChainMessage::Resend { view: 1, have: 0 };
--- a/crates/chain/tests/catch_up/mod.rs
+++ b/crates/chain/tests/catch_up/mod.rs
@@ -86,7 +86,9 @@
     fn perform(&mut self, write: &Effect) {
         match write {
             Effect::Append(entries) => self.stored.entries.extend(entries.iter().cloned()),
-            Effect::TruncateAfter(index) => self.stored.entries.retain(|entry| entry.index <= *index),
+            Effect::TruncateAfter(index) => {
+                self.stored.entries.retain(|entry| entry.index <= *index)
+            }
             Effect::StoreStanding(standing) => self.stored.standing = *standing,
             Effect::Install { index, .. } => {
                 self.stored.snapshot_index = *index;
@@ -180,7 +182,9 @@
 
     pub fn change(&mut self) {
         let operation = large_operation(self.changes + 1, self.circumstances.change_bytes);
-        let Ok((index, effects)) = self.head.submit(operation, self.moment()) else { return };
+        let Ok((index, effects)) = self.head.submit(operation, self.moment()) else {
+            return;
+        };
         self.changes += 1;
         self.at_head(effects);
         if index.is_multiple_of(self.circumstances.snapshot_every) {
@@ -212,7 +216,9 @@
     /// The joiner's process dies; some of its writes under way reached the disk.
     pub fn crash_joiner(&mut self, writes_kept: usize) {
         for _ in 0..writes_kept {
-            let Some(write) = self.disk.writes.pop_front() else { break };
+            let Some(write) = self.disk.writes.pop_front() else {
+                break;
+            };
             self.disk.perform(&write);
         }
         self.disk.writes.clear();
@@ -254,7 +260,9 @@
                     let last = entries.last().map_or(0, |entry| entry.index);
                     work.extend(self.head.written(last, self.moment()));
                 }
-                Effect::TruncateAfter(index) => work.extend(self.head.truncated(index, self.moment())),
+                Effect::TruncateAfter(index) => {
+                    work.extend(self.head.truncated(index, self.moment()))
+                }
                 Effect::StoreStanding(_) => work.extend(self.head.standing_stored(self.moment())),
                 Effect::Install { .. } | Effect::Commit(_) | Effect::Barrier(_) => {}
             }
@@ -267,10 +275,19 @@
                 Effect::Send(_, message) => self.to_head.push(message),
                 Effect::Install { index, bytes } => {
                     let expected = state(index, self.circumstances.state_bytes);
-                    assert!(bytes == expected, "the snapshot up to {index} is not that state");
-                    assert!(index <= self.head.committed(), "a snapshot newer than anything committed");
+                    assert!(
+                        bytes == expected,
+                        "the snapshot up to {index} is not that state"
+                    );
+                    assert!(
+                        index <= self.head.committed(),
+                        "a snapshot newer than anything committed"
+                    );
                     self.installs += 1;
-                    self.disk.writes.push_back(Effect::Install { index, bytes: Vec::new() });
+                    self.disk.writes.push_back(Effect::Install {
+                        index,
+                        bytes: Vec::new(),
+                    });
                 }
                 Effect::Append(_) | Effect::TruncateAfter(_) | Effect::StoreStanding(_) => {
                     self.disk.writes.push_back(effect);
@@ -310,8 +327,13 @@
 
     fn note_log(&mut self) {
         let last = self.head.last_index();
-        let in_memory = (1..=last).rev().take_while(|index| self.head.entry(*index).is_some()).count();
-        self.log_most = self.log_most.max(in_memory as u64 * self.circumstances.change_bytes as u64);
+        let in_memory = (1..=last)
+            .rev()
+            .take_while(|index| self.head.entry(*index).is_some())
+            .count();
+        self.log_most = self
+            .log_most
+            .max(in_memory as u64 * self.circumstances.change_bytes as u64);
     }
 
     fn sync(&mut self) {
@@ -321,15 +343,25 @@
             }
             self.disk.sync = None;
             for _ in 0..writes {
-                let Some(write) = self.disk.writes.pop_front() else { break };
+                let Some(write) = self.disk.writes.pop_front() else {
+                    break;
+                };
                 self.disk.perform(&write);
                 let effects = self.report(write);
                 self.at_joiner(effects);
             }
         }
         if !self.disk.writes.is_empty() {
-            let installs = self.disk.writes.iter().any(|write| matches!(write, Effect::Install { .. }));
-            let hang_ms = if installs { self.disk.hang_ms.take() } else { None };
+            let installs = self
+                .disk
+                .writes
+                .iter()
+                .any(|write| matches!(write, Effect::Install { .. }));
+            let hang_ms = if installs {
+                self.disk.hang_ms.take()
+            } else {
+                None
+            };
             let end = self.now + hang_ms.unwrap_or(self.circumstances.joiner_sync_ms);
             self.disk.sync = Some((end, self.disk.writes.len()));
         }
@@ -338,9 +370,9 @@
     fn report(&mut self, write: Effect) -> Vec<Effect> {
         let now = self.moment();
         match write {
-            Effect::Append(entries) => {
-                self.joiner.written(entries.last().map_or(0, |entry| entry.index), now)
-            }
+            Effect::Append(entries) => self
+                .joiner
+                .written(entries.last().map_or(0, |entry| entry.index), now),
             Effect::TruncateAfter(index) => self.joiner.truncated(index, now),
             Effect::Install { index, .. } => self.joiner.installed(index, now),
             Effect::StoreStanding(_) => self.joiner.standing_stored(now),
@@ -351,7 +383,10 @@
     /// The last index on the joiner's disk.
     pub fn on_disk(&self) -> u64 {
         let stored = &self.disk.stored;
-        stored.entries.last().map_or(stored.snapshot_index, |entry| entry.index)
+        stored
+            .entries
+            .last()
+            .map_or(stored.snapshot_index, |entry| entry.index)
     }
 
     /// A joiner that says it has caught up lacks nothing that was committed before its word, and the time on the link.
@@ -361,9 +396,16 @@
         }
         let on_link = CONNECTION_BYTES_MOST * 1_000 / self.circumstances.link_bytes_per_s;
         let allowed = lupinrack_chain::limits::CAUGHT_UP_MS + on_link + 2 * STEP_MS;
-        let then = self.committed.len().saturating_sub((allowed / STEP_MS) as usize);
+        let then = self
+            .committed
+            .len()
+            .saturating_sub((allowed / STEP_MS) as usize);
         let expected = self.committed[..then].last().copied().unwrap_or(0);
-        assert!(self.on_disk() >= expected, "caught up at {} with {expected} committed", self.on_disk());
+        assert!(
+            self.on_disk() >= expected,
+            "caught up at {} with {expected} committed",
+            self.on_disk()
+        );
         assert!(!self.joiner.is_complete(), "no spare is complete");
     }
 
--- a/crates/chain/tests/catching_up.rs
+++ b/crates/chain/tests/catching_up.rs
@@ -40,7 +40,13 @@
 
 #[test]
 fn a_disk_thirty_times_slower_is_back_within_four_seconds() {
-    let (world, took) = catch_up(Circumstances { joiner_sync_ms: 270, ..USUAL }, 20_000);
+    let (world, took) = catch_up(
+        Circumstances {
+            joiner_sync_ms: 270,
+            ..USUAL
+        },
+        20_000,
+    );
     assert!(took.is_some_and(|took| took <= 4_000), "{took:?}");
     assert_eq!(world.to_joiner.overflows, 0);
 }
@@ -48,7 +54,13 @@
 #[test]
 fn a_link_hardly_faster_than_the_changes_is_enough() {
     // 1.2 MB of changes a second over a link of 2 MB a second.
-    let (world, took) = catch_up(Circumstances { link_bytes_per_s: 2_000_000, ..USUAL }, 60_000);
+    let (world, took) = catch_up(
+        Circumstances {
+            link_bytes_per_s: 2_000_000,
+            ..USUAL
+        },
+        60_000,
+    );
     assert!(took.is_some_and(|took| took <= 15_000), "{took:?}");
     assert_eq!(world.to_joiner.overflows, 0);
     assert!(world.installs <= 2, "{} rounds", world.installs);
@@ -56,7 +68,11 @@
 
 #[test]
 fn a_slow_link_and_a_slow_disk_together() {
-    let circumstances = Circumstances { link_bytes_per_s: 4_000_000, joiner_sync_ms: 270, ..USUAL };
+    let circumstances = Circumstances {
+        link_bytes_per_s: 4_000_000,
+        joiner_sync_ms: 270,
+        ..USUAL
+    };
     let (world, took) = catch_up(circumstances, 60_000);
     assert!(took.is_some_and(|took| took <= 15_000), "{took:?}");
     assert_eq!(world.to_joiner.overflows, 0);
@@ -65,13 +81,22 @@
 #[test]
 fn under_a_steady_load_a_joiner_is_caught_up_although_something_is_always_under_way() {
     // A change every step, each synced in several steps.
-    let circumstances = Circumstances { change_bytes: 500, change_every_ms: 5, joiner_sync_ms: 20, ..USUAL };
+    let circumstances = Circumstances {
+        change_bytes: 500,
+        change_every_ms: 5,
+        joiner_sync_ms: 20,
+        ..USUAL
+    };
     let (mut world, took) = catch_up(circumstances, 10_000);
     assert!(took.is_some_and(|took| took <= 1_000), "{took:?}");
     let mut caught_up = 0;
     for _ in 0..200 {
         world.step();
-        caught_up += u32::from(world.joiner.caught_up(lupinrack_cluster_api::time::Millis(world.now)));
+        caught_up += u32::from(
+            world
+                .joiner
+                .caught_up(lupinrack_cluster_api::time::Millis(world.now)),
+        );
     }
     assert_eq!(caught_up, 200, "of 200 steps");
 }
@@ -79,18 +104,29 @@
 #[test]
 fn what_follows_its_snapshot_stays_in_memory_while_it_joins() {
     // The head drops what it can after every change; meanwhile 4.8 MB come, more than it keeps for nobody.
-    let circumstances =
-        Circumstances { link_bytes_per_s: 2_000_000, state_bytes: 8_000_000, snapshot_every: 1, ..USUAL };
+    let circumstances = Circumstances {
+        link_bytes_per_s: 2_000_000,
+        state_bytes: 8_000_000,
+        snapshot_every: 1,
+        ..USUAL
+    };
     let (world, took) = catch_up(circumstances, 60_000);
     assert!(took.is_some(), "it never catches up");
     assert_eq!(world.installs, 1, "rounds");
-    assert!(world.log_most <= 20_000_000, "{} bytes in memory", world.log_most);
+    assert!(
+        world.log_most <= 20_000_000,
+        "{} bytes in memory",
+        world.log_most
+    );
 }
 
 #[test]
 fn a_disk_that_hangs_while_it_installs_needs_no_second_snapshot() {
     // Meanwhile 6 MB come, more than a head keeps for nobody.
-    let circumstances = Circumstances { snapshot_every: 1, ..USUAL };
+    let circumstances = Circumstances {
+        snapshot_every: 1,
+        ..USUAL
+    };
     let mut world = World::new(circumstances);
     world.hang_at_next_install(5_000);
     world.change_alone(AWAY);
@@ -102,7 +138,11 @@
 #[test]
 fn a_long_log_does_not_wait_for_the_next_join_after_each_window() {
     // 30 MB of log: the head has made no snapshot yet.
-    let mut world = World::new(Circumstances { snapshot_every: 1_000, change_every_ms: u64::MAX, ..USUAL });
+    let mut world = World::new(Circumstances {
+        snapshot_every: 1_000,
+        change_every_ms: u64::MAX,
+        ..USUAL
+    });
     world.change_alone(100);
     let took = world.until_caught_up(10_000);
     assert_eq!(world.installs, 0);
@@ -112,8 +152,12 @@
 #[test]
 fn repetitions_do_not_pile_up_on_a_very_slow_link() {
     // One piece takes 2.6 s, and the whole state 10 s.
-    let circumstances =
-        Circumstances { link_bytes_per_s: 100_000, snapshot_every: 1, change_every_ms: u64::MAX, ..USUAL };
+    let circumstances = Circumstances {
+        link_bytes_per_s: 100_000,
+        snapshot_every: 1,
+        change_every_ms: u64::MAX,
+        ..USUAL
+    };
     let mut world = World::new(circumstances);
     world.change_alone(50);
     let took = world.until_caught_up(120_000);
@@ -126,14 +170,23 @@
 #[test]
 fn a_joiner_slower_than_the_changes_stays_within_a_few_snapshots_of_them() {
     // 1.2 MB of changes a second over a link of 0.6 MB a second.
-    let (mut world, took) = catch_up(Circumstances { link_bytes_per_s: 600_000, ..USUAL }, 60_000);
+    let (mut world, took) = catch_up(
+        Circumstances {
+            link_bytes_per_s: 600_000,
+            ..USUAL
+        },
+        60_000,
+    );
     assert_eq!(took, None, "it says that it has caught up");
     let mut behind = 0;
     for _ in 0..12_000 {
         world.step();
         behind = behind.max(world.head.committed() - world.on_disk());
     }
-    println!("{behind} changes behind at most, {} installs", world.installs);
+    println!(
+        "{behind} changes behind at most, {} installs",
+        world.installs
+    );
     assert!(behind <= 60, "{behind} changes behind");
     assert_eq!(world.to_joiner.overflows, 0);
 }
--- a/crates/chain/tests/common/mod.rs
+++ b/crates/chain/tests/common/mod.rs
@@ -4,7 +4,9 @@
 
 use lupinrack_chain::{Chain, Effect, Standing, Stored};
 use lupinrack_cluster_api::identity::DiskId;
-use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange, LogEntry, Operation};
+use lupinrack_cluster_api::operation::{
+    ConfigurationBody, ConfigurationChange, LogEntry, Operation,
+};
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::View;
 use lupinrack_cluster_api::wire::ChainMessage;
@@ -13,20 +15,34 @@
 pub const START: Millis = Millis(1000);
 
 pub fn operation(number: u64) -> Operation {
-    Operation::ForgetJobs { ended_before: WallMillis(number) }
+    Operation::ForgetJobs {
+        ended_before: WallMillis(number),
+    }
 }
 
 pub fn entry(index: u64, number: u64) -> LogEntry {
-    LogEntry { index, operation: operation(number) }
+    LogEntry {
+        index,
+        operation: operation(number),
+    }
 }
 
 /// A view whose chain has these disks.
 pub fn view(number: u64, chain: &[u64]) -> View {
-    View { number, voters: Vec::new(), chain: chain.iter().map(|disk| DiskId(*disk)).collect() }
+    View {
+        number,
+        voters: Vec::new(),
+        chain: chain.iter().map(|disk| DiskId(*disk)).collect(),
+    }
 }
 
 pub fn stored(entries: Vec<LogEntry>, view: View, standing: Standing) -> Stored {
-    Stored { snapshot_index: 0, entries, view, standing }
+    Stored {
+        snapshot_index: 0,
+        entries,
+        view,
+        standing,
+    }
 }
 
 pub fn append(
@@ -36,11 +52,21 @@
     committed: u64,
     barrier: u64,
 ) -> ChainMessage {
-    ChainMessage::Append { view, previous, entries, committed, barrier }
+    ChainMessage::Append {
+        view,
+        previous,
+        entries,
+        committed,
+        barrier,
+    }
 }
 
 pub fn acknowledge(view: u64, synced: u64, barrier: u64) -> ChainMessage {
-    ChainMessage::Acknowledge { view, synced, barrier }
+    ChainMessage::Acknowledge {
+        view,
+        synced,
+        barrier,
+    }
 }
 
 /// The messages among the effects.
@@ -54,7 +80,11 @@
 
 /// The effects that are no messages.
 pub fn orders(effects: &[Effect]) -> Vec<Effect> {
-    effects.iter().filter(|effect| !matches!(effect, Effect::Send(..))).cloned().collect()
+    effects
+        .iter()
+        .filter(|effect| !matches!(effect, Effect::Send(..)))
+        .cloned()
+        .collect()
 }
 
 /// Replicas whose writes and messages are done at once, in order.
@@ -119,7 +149,8 @@
     }
 
     pub fn run(&mut self, disk: usize, effects: Vec<Effect>) {
-        self.queue.extend(effects.into_iter().map(|effect| (disk, effect)));
+        self.queue
+            .extend(effects.into_iter().map(|effect| (disk, effect)));
         while let Some((disk, effect)) = self.queue.pop_front() {
             self.carry_out(disk, effect);
         }
@@ -148,15 +179,22 @@
             }
             Effect::NeedSnapshot => {
                 let committed = chain.committed();
-                (disk, chain.provide_snapshot(committed, vec![7; 600 * 1024], now))
+                (
+                    disk,
+                    chain.provide_snapshot(committed, vec![7; 600 * 1024], now),
+                )
             }
         };
-        self.queue.extend(effects.into_iter().map(|effect| (at, effect)));
+        self.queue
+            .extend(effects.into_iter().map(|effect| (at, effect)));
     }
 }
 
 /// An operation of about so many bytes.
 pub fn large_operation(number: u64, bytes: usize) -> Operation {
     let body = ConfigurationBody::Whole("x".repeat(bytes));
-    Operation::ChangeConfiguration(ConfigurationChange { if_match: number, body })
+    Operation::ChangeConfiguration(ConfigurationChange {
+        if_match: number,
+        body,
+    })
 }
--- a/crates/chain/tests/golden.rs
+++ b/crates/chain/tests/golden.rs
@@ -32,13 +32,21 @@
         Standing::Joining => "joining",
     };
     let examples = [Standing::Complete, Standing::Joining];
-    assert_kept("standing.hex", &examples.map(|standing| (name(standing).to_owned(), standing)));
+    assert_kept(
+        "standing.hex",
+        &examples.map(|standing| (name(standing).to_owned(), standing)),
+    );
 }
 
 #[test]
 fn the_checksum_of_a_snapshot() {
     let lengths = [0, 1, 7, 8, 9, 15, 16, 17, 1000, SNAPSHOT_PIECE_BYTES + 3];
-    let line = |length| format!("{length} bytes: {:016x}\n", snapshot_checksum(&state(length)));
+    let line = |length| {
+        format!(
+            "{length} bytes: {:016x}\n",
+            snapshot_checksum(&state(length))
+        )
+    };
     assert_file("checksum.hex", &lengths.map(line).concat());
 }
 
@@ -46,10 +54,19 @@
 #[test]
 fn the_pieces_of_a_snapshot() {
     let mut text = String::new();
-    for length in [0, 5, SNAPSHOT_PIECE_BYTES, SNAPSHOT_PIECE_BYTES + 1, 3 * SNAPSHOT_PIECE_BYTES - 1] {
+    for length in [
+        0,
+        5,
+        SNAPSHOT_PIECE_BYTES,
+        SNAPSHOT_PIECE_BYTES + 1,
+        3 * SNAPSHOT_PIECE_BYTES - 1,
+    ] {
         for message in pieces(state(length)) {
             let encoded = borsh::to_vec(&message).unwrap();
-            assert_eq!(borsh::from_slice::<ChainMessage>(&encoded).unwrap(), message);
+            assert_eq!(
+                borsh::from_slice::<ChainMessage>(&encoded).unwrap(),
+                message
+            );
             let ChainMessage::Snapshot { piece, bytes, .. } = message else {
                 panic!("no piece: {message:?}")
             };
@@ -57,7 +74,9 @@
             assert_eq!(tail, bytes);
             let checksum = snapshot_checksum(&bytes);
             let (head, count) = (to_hex(head), bytes.len());
-            text += &format!("{length} bytes, chunk {piece}: {head} and {count} bytes of {checksum:016x}\n");
+            text += &format!(
+                "{length} bytes, chunk {piece}: {head} and {count} bytes of {checksum:016x}\n"
+            );
         }
     }
     assert_file("chunks.hex", &text);
@@ -78,32 +97,54 @@
     // A new view, which the spare does not know at first.
     replicas.adopt_by(&[HEAD, TAIL], VIEW + 1, &[TAIL]);
     replicas.tick();
-    let kinds: BTreeSet<&str> = replicas.sent.iter().map(|(_, message)| kind(message)).collect();
+    let kinds: BTreeSet<&str> = replicas
+        .sent
+        .iter()
+        .map(|(_, message)| kind(message))
+        .collect();
     assert_eq!(kinds.len(), 8, "{kinds:?}");
     assert_kept("messages.hex", &replicas.sent);
 }
 
 /// A state of so many bytes.
 fn state(length: usize) -> Vec<u8> {
-    (0..length).map(|index| (index * 7 + index / 256) as u8).collect()
+    (0..length)
+        .map(|index| (index * 7 + index / 256) as u8)
+        .collect()
 }
 
 /// The messages that bring this state to a spare.
 fn pieces(state: Vec<u8>) -> Vec<ChainMessage> {
     let mut tail = member(TAIL, 1);
     tail.new_view(view(VIEW, &[TAIL.0]), START);
-    let join = ChainMessage::Join { view: VIEW, disk: SPARE, have: Some(0) };
-    assert!(tail.receive(SPARE, join, START).contains(&Effect::NeedSnapshot));
+    let join = ChainMessage::Join {
+        view: VIEW,
+        disk: SPARE,
+        have: Some(0),
+    };
+    assert!(tail
+        .receive(SPARE, join, START)
+        .contains(&Effect::NeedSnapshot));
     let message = |effect| match effect {
         Effect::Send(_, message) => message,
         other => panic!("no message: {other:?}"),
     };
-    tail.provide_snapshot(SNAPSHOT_INDEX, state, START).into_iter().map(message).collect()
+    tail.provide_snapshot(SNAPSHOT_INDEX, state, START)
+        .into_iter()
+        .map(message)
+        .collect()
 }
 
 /// A disk that has nothing but a snapshot.
 fn member(disk: DiskId, minimum_length: usize) -> Chain {
-    Chain::new(disk, minimum_length, Stored { snapshot_index: SNAPSHOT_INDEX, ..Stored::default() })
+    Chain::new(
+        disk,
+        minimum_length,
+        Stored {
+            snapshot_index: SNAPSHOT_INDEX,
+            ..Stored::default()
+        },
+    )
 }
 
 /// A head, a tail and a spare whose writes and messages are done at once, in order.
@@ -117,8 +158,16 @@
 impl Replicas {
     fn new() -> Replicas {
         let spare = Chain::new(SPARE, 1, Stored::default());
-        let chains = [(HEAD, member(HEAD, 1)), (TAIL, member(TAIL, 1)), (SPARE, spare)];
-        Replicas { chains: BTreeMap::from(chains), now: START, sent: Vec::new() }
+        let chains = [
+            (HEAD, member(HEAD, 1)),
+            (TAIL, member(TAIL, 1)),
+            (SPARE, spare),
+        ];
+        Replicas {
+            chains: BTreeMap::from(chains),
+            now: START,
+            sent: Vec::new(),
+        }
     }
 
     /// Lets these disks adopt a view with this chain.
@@ -181,7 +230,13 @@
     }
 
     fn deliver(&mut self, from: DiskId, to: DiskId, message: ChainMessage) -> Vec<Effect> {
-        let name = format!("{:02} {} {:x} to {:x}", self.sent.len(), kind(&message), from.0, to.0);
+        let name = format!(
+            "{:02} {} {:x} to {:x}",
+            self.sent.len(),
+            kind(&message),
+            from.0,
+            to.0
+        );
         self.sent.push((name, message.clone()));
         let now = self.now;
         self.chain(to).receive(from, message, now)
--- a/crates/chain/tests/golden/examples.rs
+++ b/crates/chain/tests/golden/examples.rs
@@ -14,25 +14,37 @@
 where
     T: BorshSerialize + BorshDeserialize + PartialEq + Debug,
 {
-    let line = |(name, value): &(String, T)| format!("{name}: {}\n", to_hex(&borsh::to_vec(value).unwrap()));
+    let line = |(name, value): &(String, T)| {
+        format!("{name}: {}\n", to_hex(&borsh::to_vec(value).unwrap()))
+    };
     let kept = assert_file(file, &examples.iter().map(line).collect::<String>());
     let names: BTreeSet<&str> = examples.iter().map(|(name, _)| name.as_str()).collect();
     assert_eq!(names.len(), examples.len(), "two examples have one name");
     for ((name, value), line) in examples.iter().zip(kept.lines()) {
         let (_, hex) = line.split_once(": ").unwrap();
-        assert_eq!(&borsh::from_slice::<T>(&from_hex(hex)).unwrap(), value, "{name}");
+        assert_eq!(
+            &borsh::from_slice::<T>(&from_hex(hex)).unwrap(),
+            value,
+            "{name}"
+        );
     }
 }
 
 /// Checks that the file holds this text and nothing else, and gives the text of the file.
 pub fn assert_file(file: &str, text: &str) -> String {
-    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(file);
     if env::var(UPDATE_GOLDEN).is_ok_and(|value| value == "1") {
         fs::write(&path, text).unwrap();
     }
-    let kept = fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
+    let kept =
+        fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
     for (kept, built) in kept.lines().zip(text.lines()) {
-        assert_eq!(kept, built, "{file} holds another line than the test builds");
+        assert_eq!(
+            kept, built,
+            "{file} holds another line than the test builds"
+        );
     }
     assert_eq!(
         kept.lines().count(),
--- a/crates/chain/tests/joining.rs
+++ b/crates/chain/tests/joining.rs
@@ -12,16 +12,30 @@
 use lupinrack_cluster_api::wire::{ChainMessage, SnapshotIdentity};
 
 fn join(view: u64, disk: u64, have: u64) -> ChainMessage {
-    ChainMessage::Join { view, disk: DiskId(disk), have: Some(have) }
+    ChainMessage::Join {
+        view,
+        disk: DiskId(disk),
+        have: Some(have),
+    }
 }
 
 #[test]
 fn a_spare_truncates_before_it_joins() {
-    let kept = stored(vec![entry(1, 1), entry(2, 2)], view(1, &[1, 2]), Standing::Complete);
+    let kept = stored(
+        vec![entry(1, 1), entry(2, 2)],
+        view(1, &[1, 2]),
+        Standing::Complete,
+    );
     let mut spare = Chain::new(DiskId(2), 1, kept);
     spare.receive(DiskId(1), append(1, 1, vec![], 1, 0), START);
     let effects = spare.new_view(view(2, &[1]), START);
-    assert_eq!(orders(&effects), [Effect::TruncateAfter(1), Effect::StoreStanding(Standing::Joining)]);
+    assert_eq!(
+        orders(&effects),
+        [
+            Effect::TruncateAfter(1),
+            Effect::StoreStanding(Standing::Joining)
+        ]
+    );
     assert_eq!(spare.tick(START), []);
     assert_eq!(spare.truncated(1, START), []);
     assert_eq!(spare.tick(START), []);
@@ -66,7 +80,9 @@
         let effects = spare.tick(*now);
         let joins = messages(&effects).into_iter();
         joined.extend(
-            joins.filter(|(_, message)| matches!(message, ChainMessage::Join { .. })).map(|(to, _)| to),
+            joins
+                .filter(|(_, message)| matches!(message, ChainMessage::Join { .. }))
+                .map(|(to, _)| to),
         );
     }
     joined
@@ -102,12 +118,19 @@
 fn a_tail_streams_committed_entries_only() {
     let mut tail = Chain::new(DiskId(2), 2, Stored::default());
     tail.new_view(view(1, &[1, 2]), START);
-    tail.receive(DiskId(1), append(1, 0, vec![entry(1, 1), entry(2, 2)], 0, 0), START);
+    tail.receive(
+        DiskId(1),
+        append(1, 0, vec![entry(1, 1), entry(2, 2)], 0, 0),
+        START,
+    );
     tail.written(2, START);
     tail.receive(DiskId(1), append(1, 2, vec![], 1, 0), START);
     let effects = tail.receive(DiskId(3), join(1, 3, 0), START);
     let sent = messages(&effects);
-    assert_eq!(sent.last(), Some(&(DiskId(3), append(1, 0, vec![entry(1, 1)], 1, 0))));
+    assert_eq!(
+        sent.last(),
+        Some(&(DiskId(3), append(1, 0, vec![entry(1, 1)], 1, 0)))
+    );
 }
 
 #[test]
@@ -121,7 +144,11 @@
     let to_spare = |effects: &[Effect]| messages(effects).iter().any(|(to, _)| *to == DiskId(3));
     assert!(!to_spare(&tail.tick(START.plus(JOINER_SILENT_MS + 1))));
     tail.receive(DiskId(3), join(1, 3, 0), START.plus(JOINER_SILENT_MS + 2));
-    assert!(to_spare(&tail.receive(DiskId(3), join(1, 3, 0), START.plus(JOINER_SILENT_MS + 2))));
+    assert!(to_spare(&tail.receive(
+        DiskId(3),
+        join(1, 3, 0),
+        START.plus(JOINER_SILENT_MS + 2)
+    )));
 }
 
 #[test]
@@ -171,7 +198,10 @@
     let effects = cluster.chain(2).standing_stored(START);
     cluster.run(1, effects);
     cluster.pass(1000);
-    let installs = cluster.seen.iter().filter(|(_, effect)| matches!(effect, Effect::Install { .. }));
+    let installs = cluster
+        .seen
+        .iter()
+        .filter(|(_, effect)| matches!(effect, Effect::Install { .. }));
     assert_eq!(installs.count(), 1);
     assert_eq!(cluster.chain(2).committed(), RETAINED_ENTRIES + 10);
     let now = cluster.now;
@@ -180,11 +210,20 @@
 
 #[test]
 fn pieces_have_their_size_and_a_missing_one_spoils_the_snapshot() {
-    let mut tail = Chain::new(DiskId(1), 1, Stored { snapshot_index: 5, ..Stored::default() });
+    let mut tail = Chain::new(
+        DiskId(1),
+        1,
+        Stored {
+            snapshot_index: 5,
+            ..Stored::default()
+        },
+    );
     tail.new_view(view(1, &[1]), START);
     let effects = tail.receive(DiskId(2), join(1, 2, 0), START);
     assert!(orders(&effects).contains(&Effect::NeedSnapshot));
-    let bytes: Vec<u8> = (0..2 * SNAPSHOT_PIECE_BYTES + 1).map(|at| at as u8).collect();
+    let bytes: Vec<u8> = (0..2 * SNAPSHOT_PIECE_BYTES + 1)
+        .map(|at| at as u8)
+        .collect();
     let pieces = messages(&tail.provide_snapshot(5, bytes.clone(), START));
     assert_eq!(pieces.len(), 3);
     let spare = || {
@@ -193,7 +232,10 @@
         spare
     };
     let feed = |spare: &mut Chain, numbers: &[usize]| -> Vec<Effect> {
-        numbers.iter().flat_map(|at| spare.receive(DiskId(1), pieces[*at].1.clone(), START)).collect()
+        numbers
+            .iter()
+            .flat_map(|at| spare.receive(DiskId(1), pieces[*at].1.clone(), START))
+            .collect()
     };
     let whole = Effect::Install { index: 5, bytes };
     assert_eq!(orders(&feed(&mut spare(), &[0, 1, 2])).last(), Some(&whole));
@@ -205,8 +247,17 @@
 fn a_complete_member_takes_no_snapshot() {
     let mut tail = Chain::new(DiskId(2), 1, Stored::default());
     tail.new_view(view(1, &[1, 2]), START);
-    let snapshot = SnapshotIdentity { index: 5, pieces: 1, checksum: 0 };
-    let piece = ChainMessage::Snapshot { view: 1, snapshot, piece: 0, bytes: vec![1] };
+    let snapshot = SnapshotIdentity {
+        index: 5,
+        pieces: 1,
+        checksum: 0,
+    };
+    let piece = ChainMessage::Snapshot {
+        view: 1,
+        snapshot,
+        piece: 0,
+        bytes: vec![1],
+    };
     assert_eq!(tail.receive(DiskId(1), piece, START), []);
 }
 
@@ -226,7 +277,10 @@
     tail.new_view(view(2, &[1, 2]), START);
     tail.receive(DiskId(1), append(2, 0, vec![], 0, 0), START);
     let effects = tail.receive(DiskId(1), append(2, 0, vec![], 0, 1), START);
-    assert_eq!(orders(&effects), [Effect::StoreStanding(Standing::Complete)]);
+    assert_eq!(
+        orders(&effects),
+        [Effect::StoreStanding(Standing::Complete)]
+    );
     assert_eq!(messages(&effects), [(DiskId(1), acknowledge(2, 0, 0))]);
     assert!(!tail.is_complete());
     let effects = tail.standing_stored(START);
--- a/crates/chain/tests/properties.rs
+++ b/crates/chain/tests/properties.rs
@@ -12,15 +12,29 @@
 const LOG: u64 = 40;
 
 fn slice_of_log(previous: u64, length: u64) -> Vec<LogEntry> {
-    (previous + 1..=(previous + length).min(LOG)).map(|index| entry(index, index * 3)).collect()
+    (previous + 1..=(previous + length).min(LOG))
+        .map(|index| entry(index, index * 3))
+        .collect()
 }
 
 /// A member of a chain of two which has another sequence on its disk from some index on.
 fn follower(own_from: u8) -> Chain {
     let own_from = u64::from(own_from) % LOG;
-    let entries =
-        (1..=LOG / 2).map(|index| entry(index, if index < own_from { index * 3 } else { 1000 + index }));
-    let stored = Stored { entries: entries.collect(), view: view(1, &[1, 2]), ..Stored::default() };
+    let entries = (1..=LOG / 2).map(|index| {
+        entry(
+            index,
+            if index < own_from {
+                index * 3
+            } else {
+                1000 + index
+            },
+        )
+    });
+    let stored = Stored {
+        entries: entries.collect(),
+        view: view(1, &[1, 2]),
+        ..Stored::default()
+    };
     let mut chain = Chain::new(DiskId(2), 2, stored);
     chain.new_view(view(2, &[1, 2]), START);
     chain
@@ -75,7 +89,8 @@
 
 /// An acknowledgement covers entries of the head only.
 fn is_sound(chain: &Chain, effect: &Effect) -> bool {
-    let Effect::Send(_, lupinrack_cluster_api::wire::ChainMessage::Acknowledge { synced, .. }) = effect
+    let Effect::Send(_, lupinrack_cluster_api::wire::ChainMessage::Acknowledge { synced, .. }) =
+        effect
     else {
         return true;
     };
--- a/crates/chain/tests/replication.rs
+++ b/crates/chain/tests/replication.rs
@@ -2,11 +2,15 @@
 
 mod common;
 
-use common::{acknowledge, append, entry, messages, operation, orders, stored, view, Cluster, START};
+use common::{
+    acknowledge, append, entry, messages, operation, orders, stored, view, Cluster, START,
+};
 use lupinrack_chain::limits::{BATCH_BYTES, PROBE_MS, UNCOMMITTED_ENTRIES_MOST};
 use lupinrack_chain::{Chain, Effect, Standing, Stored, SubmitError};
 use lupinrack_cluster_api::identity::DiskId;
-use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange, LogEntry, Operation};
+use lupinrack_cluster_api::operation::{
+    ConfigurationBody, ConfigurationChange, LogEntry, Operation,
+};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::wire::ChainMessage;
 
@@ -22,7 +26,11 @@
 
 /// Disk 2 as the tail of a chain of two, with these entries on its disk.
 fn tail_with(entries: Vec<LogEntry>) -> Chain {
-    let mut tail = Chain::new(DiskId(2), 2, stored(entries, view(1, &[1, 2]), Standing::Complete));
+    let mut tail = Chain::new(
+        DiskId(2),
+        2,
+        stored(entries, view(1, &[1, 2]), Standing::Complete),
+    );
     tail.new_view(view(2, &[1, 2]), START);
     tail
 }
@@ -33,7 +41,10 @@
     let (index, effects) = head.submit(operation(7), START).expect("the head is ready");
     assert_eq!(index, 1);
     assert_eq!(orders(&effects), [Effect::Append(vec![entry(1, 7)])]);
-    assert_eq!(messages(&effects), [(DiskId(2), append(1, 0, vec![entry(1, 7)], 0, 1))]);
+    assert_eq!(
+        messages(&effects),
+        [(DiskId(2), append(1, 0, vec![entry(1, 7)], 0, 1))]
+    );
     let effects = head.receive(DiskId(2), acknowledge(1, 1, 1), START);
     assert_eq!(orders(&effects), []);
     assert_eq!(head.committed(), 0);
@@ -50,7 +61,10 @@
     assert!(effects.contains(&Effect::Append(vec![entry(1, 7)])));
     let forwarded = (DiskId(3), append(1, 0, vec![entry(1, 7)], 0, 0));
     assert!(messages(&effects).contains(&forwarded), "{effects:?}");
-    assert_eq!(messages(&middle.receive(DiskId(3), acknowledge(1, 1, 0), START)), []);
+    assert_eq!(
+        messages(&middle.receive(DiskId(3), acknowledge(1, 1, 0), START)),
+        []
+    );
     let effects = middle.written(1, START);
     assert_eq!(messages(&effects), [(DiskId(1), acknowledge(1, 1, 0))]);
 }
@@ -65,7 +79,11 @@
     cluster.pass(200);
     for disk in 1..=3 {
         assert_eq!(cluster.chain(disk).committed(), 2, "disk {disk}");
-        assert_eq!(cluster.chain(disk).entry(2), Some(&entry(2, 8)), "disk {disk}");
+        assert_eq!(
+            cluster.chain(disk).entry(2),
+            Some(&entry(2, 8)),
+            "disk {disk}"
+        );
     }
 }
 
@@ -124,7 +142,10 @@
 fn a_barrier_does_not_pass_without_the_tail() {
     let mut head = ready_head();
     let (number, effects) = head.start_barrier(START).expect("the head is ready");
-    assert_eq!(messages(&effects), [(DiskId(2), append(1, 0, vec![], 0, number))]);
+    assert_eq!(
+        messages(&effects),
+        [(DiskId(2), append(1, 0, vec![], 0, number))]
+    );
     assert_eq!(orders(&head.tick(START)), []);
     let effects = head.receive(DiskId(2), acknowledge(1, 0, number), START);
     assert_eq!(effects, [Effect::Barrier(number)]);
@@ -134,7 +155,15 @@
 fn an_older_view_is_answered_and_a_newer_one_ignored() {
     let mut tail = tail_with(vec![]);
     let effects = tail.receive(DiskId(1), append(1, 0, vec![entry(1, 7)], 0, 0), START);
-    assert_eq!(effects, [Effect::Send(DiskId(1), ChainMessage::Outdated { view: view(2, &[1, 2]) })]);
+    assert_eq!(
+        effects,
+        [Effect::Send(
+            DiskId(1),
+            ChainMessage::Outdated {
+                view: view(2, &[1, 2])
+            }
+        )]
+    );
     let effects = tail.receive(DiskId(1), append(3, 0, vec![entry(1, 7)], 0, 0), START);
     assert_eq!(effects, []);
     assert_eq!(tail.last_index(), 0);
@@ -143,21 +172,38 @@
 #[test]
 fn entries_come_from_the_predecessor_only() {
     let mut tail = tail_with(vec![]);
-    assert_eq!(tail.receive(DiskId(3), append(2, 0, vec![entry(1, 7)], 0, 0), START), []);
+    assert_eq!(
+        tail.receive(DiskId(3), append(2, 0, vec![entry(1, 7)], 0, 0), START),
+        []
+    );
     assert_eq!(tail.last_index(), 0);
 }
 
 #[test]
 fn a_gap_is_asked_for() {
     let mut tail = tail_with(vec![]);
-    let effects = tail.receive(DiskId(1), append(2, 4, vec![entry(5, 7)], 0, 0), START.plus(200));
-    assert_eq!(effects, [Effect::Send(DiskId(1), ChainMessage::Resend { view: 2, have: 0 })]);
+    let effects = tail.receive(
+        DiskId(1),
+        append(2, 4, vec![entry(5, 7)], 0, 0),
+        START.plus(200),
+    );
+    assert_eq!(
+        effects,
+        [Effect::Send(
+            DiskId(1),
+            ChainMessage::Resend { view: 2, have: 0 }
+        )]
+    );
     let mut head = ready_head();
     for number in 0..3 {
-        head.submit(operation(number), START).expect("the head takes it");
+        head.submit(operation(number), START)
+            .expect("the head takes it");
     }
     let effects = head.receive(DiskId(2), ChainMessage::Resend { view: 1, have: 1 }, START);
-    let sent: Vec<u64> = messages(&effects).iter().flat_map(|(_, message)| indexes(message)).collect();
+    let sent: Vec<u64> = messages(&effects)
+        .iter()
+        .flat_map(|(_, message)| indexes(message))
+        .collect();
     assert_eq!(sent, [2, 3]);
 }
 
@@ -171,12 +217,26 @@
 #[test]
 fn entries_that_differ_are_replaced_and_equal_ones_kept() {
     let mut tail = tail_with(vec![entry(1, 1), entry(2, 2), entry(3, 3)]);
-    let effects = tail.receive(DiskId(1), append(2, 0, vec![entry(1, 1), entry(2, 9)], 0, 0), START);
-    assert_eq!(orders(&effects), [Effect::TruncateAfter(1), Effect::Append(vec![entry(2, 9)])]);
+    let effects = tail.receive(
+        DiskId(1),
+        append(2, 0, vec![entry(1, 1), entry(2, 9)], 0, 0),
+        START,
+    );
+    assert_eq!(
+        orders(&effects),
+        [Effect::TruncateAfter(1), Effect::Append(vec![entry(2, 9)])]
+    );
     assert_eq!(tail.last_index(), 2);
-    assert_eq!(messages(&tail.written(3, START)), [], "a report of the replaced entries");
+    assert_eq!(
+        messages(&tail.written(3, START)),
+        [],
+        "a report of the replaced entries"
+    );
     assert_eq!(messages(&tail.truncated(1, START)), []);
-    assert_eq!(messages(&tail.written(2, START)), [(DiskId(1), acknowledge(2, 2, 0))]);
+    assert_eq!(
+        messages(&tail.written(2, START)),
+        [(DiskId(1), acknowledge(2, 2, 0))]
+    );
 }
 
 #[test]
@@ -201,12 +261,18 @@
     let mut head = Chain::new(DiskId(1), 2, kept);
     assert!(head.needs_view());
     assert_eq!(head.tick(Millis(5000)), []);
-    assert_eq!(head.receive(DiskId(2), ChainMessage::Resend { view: 1, have: 0 }, START), []);
+    assert_eq!(
+        head.receive(DiskId(2), ChainMessage::Resend { view: 1, have: 0 }, START),
+        []
+    );
     head.receive(DiskId(2), acknowledge(1, 5, 1), START);
     assert!(!head.ready());
     let effects = head.new_view(view(2, &[1, 2]), START);
     assert!(!head.needs_view());
-    assert_eq!(messages(&effects), [(DiskId(2), append(2, 1, vec![], 0, 0))]);
+    assert_eq!(
+        messages(&effects),
+        [(DiskId(2), append(2, 1, vec![], 0, 0))]
+    );
 }
 
 #[test]
@@ -216,7 +282,11 @@
     let mut cluster = Cluster::new(2, 2);
     cluster.chains = vec![
         Chain::new(DiskId(1), 2, kept()),
-        Chain::new(DiskId(2), 2, stored(vec![], view(1, &[1, 2]), Standing::Complete)),
+        Chain::new(
+            DiskId(2),
+            2,
+            stored(vec![], view(1, &[1, 2]), Standing::Complete),
+        ),
     ];
     cluster.adopt(view(2, &[1, 2]));
     cluster.pass(1000);
@@ -231,7 +301,10 @@
     head.submit(operation(7), START).expect("the head takes it");
     assert_eq!(head.tick(START.plus(PROBE_MS - 1)), []);
     let effects = head.tick(START.plus(PROBE_MS));
-    assert_eq!(messages(&effects), [(DiskId(2), append(1, 1, vec![], 0, 1))]);
+    assert_eq!(
+        messages(&effects),
+        [(DiskId(2), append(1, 1, vec![], 0, 1))]
+    );
 }
 
 #[test]
@@ -246,12 +319,19 @@
 
 #[test]
 fn the_head_waits_for_all_that_it_had_before_it_has_members_complete() {
-    let kept = stored(vec![entry(1, 1), entry(2, 2)], view(1, &[1, 2]), Standing::Complete);
+    let kept = stored(
+        vec![entry(1, 1), entry(2, 2)],
+        view(1, &[1, 2]),
+        Standing::Complete,
+    );
     let mut head = Chain::new(DiskId(1), 2, kept);
     head.new_view(view(2, &[1, 2]), START);
     assert_eq!(head.receive(DiskId(2), acknowledge(2, 1, 0), START), []);
     let effects = head.receive(DiskId(2), acknowledge(2, 2, 0), START);
-    assert_eq!(effects, [Effect::Send(DiskId(2), append(2, 2, vec![], 0, 1))]);
+    assert_eq!(
+        effects,
+        [Effect::Send(DiskId(2), append(2, 2, vec![], 0, 1))]
+    );
     assert!(!head.ready());
     let effects = head.receive(DiskId(2), acknowledge(2, 2, 1), START);
     assert_eq!(orders(&effects), [Effect::Commit(2)]);
@@ -264,18 +344,23 @@
     for _ in 0..3 {
         let body = ConfigurationBody::Whole("x".repeat(BATCH_BYTES as usize * 2 / 3));
         let change = ConfigurationChange { if_match: 0, body };
-        head.submit(Operation::ChangeConfiguration(change), START).expect("the head takes it");
+        head.submit(Operation::ChangeConfiguration(change), START)
+            .expect("the head takes it");
     }
     let effects = head.receive(DiskId(2), ChainMessage::Resend { view: 1, have: 0 }, START);
-    let barriers: Vec<(usize, u64)> =
-        messages(&effects).iter().map(|(_, message)| carried(message)).collect();
+    let barriers: Vec<(usize, u64)> = messages(&effects)
+        .iter()
+        .map(|(_, message)| carried(message))
+        .collect();
     assert_eq!(barriers, [(0, 0), (1, 0), (1, 0), (1, 1)]);
 }
 
 /// How many entries a message carries, and its barrier.
 fn carried(message: &ChainMessage) -> (usize, u64) {
     match message {
-        ChainMessage::Append { entries, barrier, .. } => (entries.len(), *barrier),
+        ChainMessage::Append {
+            entries, barrier, ..
+        } => (entries.len(), *barrier),
         _ => (0, 0),
     }
 }
@@ -283,22 +368,37 @@
 /// A head restarted from a snapshot, without the entries that a follower has after it: those were never committed.
 #[test]
 fn a_follower_gives_up_what_a_head_without_the_tail_of_the_log_does_not_have() {
-    let mut head =
-        Chain::new(DiskId(1), 2, Stored { snapshot_index: 2, view: view(1, &[1, 2]), ..Stored::default() });
+    let mut head = Chain::new(
+        DiskId(1),
+        2,
+        Stored {
+            snapshot_index: 2,
+            view: view(1, &[1, 2]),
+            ..Stored::default()
+        },
+    );
     let mut follower = tail_with((1..=5).map(|index| entry(index, index)).collect());
     head.new_view(view(2, &[1, 2]), START);
     // The head tells what is committed, and finds the follower to have just that.
     let probe = append(2, 2, vec![], 2, 0);
     let effects = follower.receive(DiskId(1), probe, START);
-    assert_eq!(messages(&effects).last(), Some(&(DiskId(1), acknowledge(2, 2, 0))));
+    assert_eq!(
+        messages(&effects).last(),
+        Some(&(DiskId(1), acknowledge(2, 2, 0)))
+    );
     assert_eq!(follower.committed(), 2, "no more than the head has");
     for (synced, barrier) in [(2, 0), (2, 1)] {
         head.receive(DiskId(2), acknowledge(2, synced, barrier), START);
     }
-    let (index, effects) = head.submit(operation(30), START).expect("the head is ready");
+    let (index, effects) = head
+        .submit(operation(30), START)
+        .expect("the head is ready");
     assert_eq!(index, 3);
     let (_, message) = messages(&effects).pop().expect("it is sent on");
     let effects = follower.receive(DiskId(1), message, START);
-    assert_eq!(orders(&effects), [Effect::TruncateAfter(2), Effect::Append(vec![entry(3, 30)])]);
+    assert_eq!(
+        orders(&effects),
+        [Effect::TruncateAfter(2), Effect::Append(vec![entry(3, 30)])]
+    );
     assert_eq!(follower.last_index(), 3);
 }
--- a/crates/chain/tests/simulation.rs
+++ b/crates/chain/tests/simulation.rs
@@ -85,11 +85,14 @@
 
 #[test]
 fn a_view_whose_head_was_not_complete_does_no_harm() {
-    let violations: Vec<Violation> =
-        (0..HISTORIES).filter_map(|seed| play(seed, PlantedFault::AnyHead).violation).collect();
+    let violations: Vec<Violation> = (0..HISTORIES)
+        .filter_map(|seed| play(seed, PlantedFault::AnyHead).violation)
+        .collect();
     assert!(!violations.is_empty(), "the fault was not met");
     assert!(
-        violations.iter().all(|violation| matches!(violation, Violation::Stuck { .. })),
+        violations
+            .iter()
+            .all(|violation| matches!(violation, Violation::Stuck { .. })),
         "{violations:?}"
     );
 }
--- a/crates/chain/tests/snapshot_pieces.rs
+++ b/crates/chain/tests/snapshot_pieces.rs
@@ -16,9 +16,20 @@
 
 /// A tail whose log begins after `index`, in this view, and the pieces of this state that it sends.
 fn pieces_of(view_number: u64, index: u64, fill: u8) -> Vec<ChainMessage> {
-    let mut tail = Chain::new(TAIL, 1, Stored { snapshot_index: index, ..Stored::default() });
+    let mut tail = Chain::new(
+        TAIL,
+        1,
+        Stored {
+            snapshot_index: index,
+            ..Stored::default()
+        },
+    );
     tail.new_view(view(view_number, &[1]), START);
-    let join = ChainMessage::Join { view: view_number, disk: SPARE, have: Some(0) };
+    let join = ChainMessage::Join {
+        view: view_number,
+        disk: SPARE,
+        have: Some(0),
+    };
     assert!(orders(&tail.receive(SPARE, join, START)).contains(&Effect::NeedSnapshot));
     sent(&tail.provide_snapshot(index, bytes(fill), START))
 }
@@ -30,7 +41,11 @@
 /// The pieces among these effects.
 fn sent(effects: &[Effect]) -> Vec<ChainMessage> {
     let is_piece = |message: &ChainMessage| matches!(message, ChainMessage::Snapshot { .. });
-    messages(effects).into_iter().map(|(_, message)| message).filter(is_piece).collect()
+    messages(effects)
+        .into_iter()
+        .map(|(_, message)| message)
+        .filter(is_piece)
+        .collect()
 }
 
 fn spare(view_number: u64) -> Chain {
@@ -41,9 +56,14 @@
 
 /// What the spare installs from these pieces.
 fn installed(spare: &mut Chain, pieces: &[ChainMessage]) -> Vec<Effect> {
-    let effects: Vec<Effect> =
-        pieces.iter().flat_map(|piece| spare.receive(TAIL, piece.clone(), START)).collect();
-    effects.into_iter().filter(|effect| matches!(effect, Effect::Install { .. })).collect()
+    let effects: Vec<Effect> = pieces
+        .iter()
+        .flat_map(|piece| spare.receive(TAIL, piece.clone(), START))
+        .collect();
+    effects
+        .into_iter()
+        .filter(|effect| matches!(effect, Effect::Install { .. }))
+        .collect()
 }
 
 fn identity(piece: &ChainMessage) -> SnapshotIdentity {
@@ -71,10 +91,24 @@
     let mut spare = spare(1);
     assert_eq!(installed(&mut spare, &old[..3]), []);
     spare.new_view(view(2, &[1]), START);
-    assert_eq!(installed(&mut spare, &old[3..]), [], "the rest of one that began in the old view");
+    assert_eq!(
+        installed(&mut spare, &old[3..]),
+        [],
+        "the rest of one that began in the old view"
+    );
     let new = pieces_of(2, 5, 1);
-    assert_eq!(installed(&mut spare, &new[1..]), [], "what came in the old view is forgotten");
-    assert_eq!(installed(&mut spare, &new), [Effect::Install { index: 5, bytes: bytes(1) }]);
+    assert_eq!(
+        installed(&mut spare, &new[1..]),
+        [],
+        "what came in the old view is forgotten"
+    );
+    assert_eq!(
+        installed(&mut spare, &new),
+        [Effect::Install {
+            index: 5,
+            bytes: bytes(1)
+        }]
+    );
 }
 
 #[test]
@@ -90,9 +124,17 @@
 #[test]
 fn a_repeated_piece_and_a_late_one_cost_nothing() {
     let (old, new) = (pieces_of(1, 5, 1), pieces_of(1, 6, 2));
-    let order = [&new[0], &new[0], &new[1], &old[0], &old[1], &new[1], &new[2], &old[0], &new[3]];
+    let order = [
+        &new[0], &new[0], &new[1], &old[0], &old[1], &new[1], &new[2], &old[0], &new[3],
+    ];
     let order: Vec<ChainMessage> = order.into_iter().cloned().collect();
-    assert_eq!(installed(&mut spare(1), &order), [Effect::Install { index: 6, bytes: bytes(2) }]);
+    assert_eq!(
+        installed(&mut spare(1), &order),
+        [Effect::Install {
+            index: 6,
+            bytes: bytes(2)
+        }]
+    );
 }
 
 #[test]
@@ -102,17 +144,26 @@
     installed(&mut spare, &new[..2]);
     assert_eq!(installed(&mut spare, &old), []);
     let later = START.plus(JOINER_STALLED_MS);
-    let effects: Vec<Effect> =
-        old.iter().flat_map(|piece| spare.receive(TAIL, piece.clone(), later)).collect();
-    assert!(effects.contains(&Effect::Install { index: 5, bytes: bytes(1) }));
+    let effects: Vec<Effect> = old
+        .iter()
+        .flat_map(|piece| spare.receive(TAIL, piece.clone(), later))
+        .collect();
+    assert!(effects.contains(&Effect::Install {
+        index: 5,
+        bytes: bytes(1)
+    }));
 }
 
 #[test]
 fn spoilt_pieces_are_not_taken() {
     let pieces = pieces_of(1, 5, 1);
     let right = identity(&pieces[0]);
-    let piece =
-        |snapshot, piece, length| ChainMessage::Snapshot { view: 1, snapshot, piece, bytes: vec![1; length] };
+    let piece = |snapshot, piece, length| ChainMessage::Snapshot {
+        view: 1,
+        snapshot,
+        piece,
+        bytes: vec![1; length],
+    };
     let mut spare = spare(1);
     let spoilt = [
         piece(right, PIECES, 5),
@@ -141,17 +192,39 @@
 
 /// A tail that sends a snapshot of many pieces, with a narrow window, and the first of them.
 fn sending_tail() -> (Chain, Vec<ChainMessage>) {
-    let limits = ByteLimits { window: 2 * SNAPSHOT_PIECE_BYTES as u64, ..ByteLimits::default() };
-    let mut tail =
-        Chain::new(TAIL, 1, Stored { snapshot_index: 5, ..Stored::default() }).with_byte_limits(limits);
+    let limits = ByteLimits {
+        window: 2 * SNAPSHOT_PIECE_BYTES as u64,
+        ..ByteLimits::default()
+    };
+    let mut tail = Chain::new(
+        TAIL,
+        1,
+        Stored {
+            snapshot_index: 5,
+            ..Stored::default()
+        },
+    )
+    .with_byte_limits(limits);
     tail.new_view(view(1, &[1]), START);
-    tail.receive(SPARE, ChainMessage::Join { view: 1, disk: SPARE, have: Some(0) }, START);
+    tail.receive(
+        SPARE,
+        ChainMessage::Join {
+            view: 1,
+            disk: SPARE,
+            have: Some(0),
+        },
+        START,
+    );
     let pieces = sent(&tail.provide_snapshot(5, bytes(1), START));
     (tail, pieces)
 }
 
 fn answer(tail: &mut Chain, snapshot: SnapshotIdentity, pieces: u32, now: Millis) -> Vec<u32> {
-    let answer = ChainMessage::SnapshotReceived { view: 1, snapshot, pieces };
+    let answer = ChainMessage::SnapshotReceived {
+        view: 1,
+        snapshot,
+        pieces,
+    };
     numbers(&sent(&tail.receive(SPARE, answer, now)))
 }
 
@@ -179,13 +252,32 @@
     let (mut tail, first) = sending_tail();
     let snapshot = identity(&first[0]);
     assert_eq!(answer(&mut tail, snapshot, 1, START), [2]);
-    assert_eq!(sent(&tail.tick(START.plus(JOINER_STALLED_MS))), [], "a slow link may still carry them");
+    assert_eq!(
+        sent(&tail.tick(START.plus(JOINER_STALLED_MS))),
+        [],
+        "a slow link may still carry them"
+    );
     // It is not forgotten meanwhile.
-    let join = ChainMessage::Join { view: 1, disk: SPARE, have: Some(0) };
-    assert_eq!(sent(&tail.receive(SPARE, join, START.plus(2 * JOINER_STALLED_MS))), []);
+    let join = ChainMessage::Join {
+        view: 1,
+        disk: SPARE,
+        have: Some(0),
+    };
+    assert_eq!(
+        sent(&tail.receive(SPARE, join, START.plus(2 * JOINER_STALLED_MS))),
+        []
+    );
     let later = START.plus(3 * JOINER_STALLED_MS);
-    assert_eq!(numbers(&sent(&tail.tick(later))), [1], "lost pieces come again, in a narrower window");
-    assert_eq!(answer(&mut tail, snapshot, 0, later), [0], "a receiver that was restarted has nothing");
+    assert_eq!(
+        numbers(&sent(&tail.tick(later))),
+        [1],
+        "lost pieces come again, in a narrower window"
+    );
+    assert_eq!(
+        answer(&mut tail, snapshot, 0, later),
+        [0],
+        "a receiver that was restarted has nothing"
+    );
 }
 
 #[test]
@@ -193,9 +285,18 @@
     let (mut tail, first) = sending_tail();
     let snapshot = identity(&first[0]);
     let others = [
-        SnapshotIdentity { index: 4, ..snapshot },
-        SnapshotIdentity { pieces: 9, ..snapshot },
-        SnapshotIdentity { checksum: snapshot.checksum ^ 1, ..snapshot },
+        SnapshotIdentity {
+            index: 4,
+            ..snapshot
+        },
+        SnapshotIdentity {
+            pieces: 9,
+            ..snapshot
+        },
+        SnapshotIdentity {
+            checksum: snapshot.checksum ^ 1,
+            ..snapshot
+        },
     ];
     for other in others {
         assert_eq!(answer(&mut tail, other, 3, START), [0; 0]);
@@ -207,7 +308,11 @@
 #[test]
 fn one_snapshot_is_encoded_for_all_that_join() {
     let (mut tail, _) = sending_tail();
-    let other = ChainMessage::Join { view: 1, disk: DiskId(3), have: Some(0) };
+    let other = ChainMessage::Join {
+        view: 1,
+        disk: DiskId(3),
+        have: Some(0),
+    };
     let effects = tail.receive(DiskId(3), other, START.plus(50));
     assert!(!orders(&effects).contains(&Effect::NeedSnapshot));
     assert_eq!(numbers(&sent(&effects)), [0, 1]);
@@ -222,5 +327,9 @@
     tail.disconnected(SPARE, START.plus(30));
     assert_eq!(numbers(&sent(&tail.tick(START.plus(50)))), [1, 2]);
     tail.disconnected(DiskId(9), START.plus(60));
-    assert_eq!(sent(&tail.tick(START.plus(75))), [], "somebody else's connection");
+    assert_eq!(
+        sent(&tail.tick(START.plus(75))),
+        [],
+        "somebody else's connection"
+    );
 }
--- a/crates/chain/tests/support/checker.rs
+++ b/crates/chain/tests/support/checker.rs
@@ -14,11 +14,20 @@
     /// Something was first committed by a replica that is not the head of its view.
     CommittedByFollower { disk: DiskId, index: u64 },
     /// Something was first committed in a view after a newer one had committed.
-    CommittedInOldView { disk: DiskId, index: u64, view: u64, newest: u64 },
+    CommittedInOldView {
+        disk: DiskId,
+        index: u64,
+        view: u64,
+        newest: u64,
+    },
     /// Something was committed in a chain that is too short.
     CommittedInShortChain { disk: DiskId, index: u64 },
     /// A barrier passed at a head that lacks what was committed before the barrier began.
-    StaleBarrier { disk: DiskId, committed: u64, expected: u64 },
+    StaleBarrier {
+        disk: DiskId,
+        committed: u64,
+        expected: u64,
+    },
     /// A snapshot does not hold the state of its index.
     WrongSnapshot { disk: DiskId, index: u64 },
     /// A replica holds as committed what nobody committed.
@@ -50,7 +59,10 @@
 
 impl Checker {
     pub fn new() -> Checker {
-        Checker { states: vec![0], ..Checker::default() }
+        Checker {
+            states: vec![0],
+            ..Checker::default()
+        }
     }
 
     /// The last index that was committed anywhere.
@@ -75,7 +87,10 @@
     pub fn applied(&mut self, by: Committer, index: u64, operation: &Operation) {
         if index <= self.committed() {
             if self.operations[index as usize - 1] != *operation {
-                self.report(Violation::Diverged { disk: by.disk, index });
+                self.report(Violation::Diverged {
+                    disk: by.disk,
+                    index,
+                });
             }
             return;
         }
@@ -92,7 +107,12 @@
         }
         if by.view < self.newest_view {
             let newest = self.newest_view;
-            self.report(Violation::CommittedInOldView { disk, index, view: by.view, newest });
+            self.report(Violation::CommittedInOldView {
+                disk,
+                index,
+                view: by.view,
+                newest,
+            });
         }
         self.newest_view = self.newest_view.max(by.view);
         let state = self.states.last().copied().unwrap_or_default();
@@ -104,7 +124,9 @@
     pub fn loaded(&mut self, disk: DiskId, index: u64, state: u64) {
         match self.states.get(index as usize) {
             None => self.report(Violation::CommittedByNobody { disk, index }),
-            Some(expected) if *expected != state => self.report(Violation::WrongSnapshot { disk, index }),
+            Some(expected) if *expected != state => {
+                self.report(Violation::WrongSnapshot { disk, index })
+            }
             Some(_) => {}
         }
     }
@@ -112,7 +134,11 @@
     /// A barrier passes which began when `expected` was committed.
     pub fn barrier(&mut self, disk: DiskId, committed: u64, expected: u64) {
         if committed < expected {
-            self.report(Violation::StaleBarrier { disk, committed, expected });
+            self.report(Violation::StaleBarrier {
+                disk,
+                committed,
+                expected,
+            });
         }
     }
 }
--- a/crates/chain/tests/support/disk.rs
+++ b/crates/chain/tests/support/disk.rs
@@ -99,12 +99,20 @@
 
     /// Of the writes under way nothing lasts, or a first part, whose last write may be torn.
     pub fn lose_power(&mut self, random: &mut fastrand::Rng, fault: PlantedFault) {
-        let kept = if random.bool() { 0 } else { random.usize(0..=self.writes.len()) };
+        let kept = if random.bool() {
+            0
+        } else {
+            random.usize(0..=self.writes.len())
+        };
         for _ in 0..kept {
             self.sync_next(fault);
         }
         if let Some(Write::Append(mut entries)) = self.writes.pop_front() {
-            entries.truncate(if kept == 0 { 0 } else { random.usize(0..=entries.len()) });
+            entries.truncate(if kept == 0 {
+                0
+            } else {
+                random.usize(0..=entries.len())
+            });
             self.perform(Write::Append(entries), fault);
         }
         self.writes.clear();
--- a/crates/chain/tests/support/mod.rs
+++ b/crates/chain/tests/support/mod.rs
@@ -13,13 +13,19 @@
 
 /// An operation that can be told from all others.
 pub fn operation(number: u64) -> Operation {
-    Operation::ForgetJobs { ended_before: WallMillis(number) }
+    Operation::ForgetJobs {
+        ended_before: WallMillis(number),
+    }
 }
 
 /// The state after one more operation.
 pub fn apply(state: u64, operation: &Operation) -> u64 {
-    let Operation::ForgetJobs { ended_before } = operation else { return state };
-    (state ^ ended_before.0).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29)
+    let Operation::ForgetJobs { ended_before } = operation else {
+        return state;
+    };
+    (state ^ ended_before.0)
+        .wrapping_mul(0x9e37_79b9_7f4a_7c15)
+        .rotate_left(29)
 }
 
 /// A mistake of the driver that the checker has to notice.
--- a/crates/chain/tests/support/network.rs
+++ b/crates/chain/tests/support/network.rs
@@ -53,19 +53,36 @@
         if link.cut_until > now && !self.calm {
             return Vec::new();
         }
-        let delay = if random.u8(..) < 8 { random.u64(0..200) } else { random.u64(1..6) };
+        let delay = if random.u8(..) < 8 {
+            random.u64(0..200)
+        } else {
+            random.u64(1..6)
+        };
         link.busy_until = link.busy_until.max(now + delay);
-        let packet = Packet { from, to, message, connection: link.connection };
-        let mut arrivals = vec![Arrival { at: link.busy_until, packet: packet.clone() }];
+        let packet = Packet {
+            from,
+            to,
+            message,
+            connection: link.connection,
+        };
+        let mut arrivals = vec![Arrival {
+            at: link.busy_until,
+            packet: packet.clone(),
+        }];
         if random.u8(..) < 10 {
-            arrivals.push(Arrival { at: link.busy_until + random.u64(0..3000), packet });
+            arrivals.push(Arrival {
+                at: link.busy_until + random.u64(0..3000),
+                packet,
+            });
         }
         arrivals
     }
 
     /// Whether a packet arrives after all.
     pub fn arrives(&self, packet: &Packet) -> bool {
-        !self.lost.contains(&(packet.from, packet.to, packet.connection))
+        !self
+            .lost
+            .contains(&(packet.from, packet.to, packet.connection))
     }
 
     /// A connection ends: what it carries is lost, or arrives among what the next connection carries.
--- a/crates/chain/tests/support/node.rs
+++ b/crates/chain/tests/support/node.rs
@@ -70,7 +70,9 @@
     }
 
     pub fn learn(&mut self, view: View, now: Millis, checker: &mut Checker) -> Requests {
-        let Some(chain) = self.chain.as_mut() else { return Requests::default() };
+        let Some(chain) = self.chain.as_mut() else {
+            return Requests::default();
+        };
         if chain.view().number >= view.number {
             return Requests::default();
         }
@@ -91,7 +93,9 @@
         now: Millis,
         checker: &mut Checker,
     ) -> Requests {
-        let Some(chain) = self.chain.as_mut() else { return Requests::default() };
+        let Some(chain) = self.chain.as_mut() else {
+            return Requests::default();
+        };
         if self.fault == PlantedFault::AcceptOtherViews {
             renumber(&mut message, chain.view().number);
         }
@@ -100,21 +104,32 @@
     }
 
     pub fn tick(&mut self, now: Millis, checker: &mut Checker) -> Requests {
-        let Some(chain) = self.chain.as_mut() else { return Requests::default() };
+        let Some(chain) = self.chain.as_mut() else {
+            return Requests::default();
+        };
         let effects = chain.tick(now);
         self.carry_out(effects, now, checker)
     }
 
     pub fn submit(&mut self, number: u64, now: Millis, checker: &mut Checker) -> Requests {
-        let submitted =
-            self.chain.as_mut().and_then(|chain| chain.submit(super::operation(number), now).ok());
-        let Some((_, effects)) = submitted else { return Requests::default() };
+        let submitted = self
+            .chain
+            .as_mut()
+            .and_then(|chain| chain.submit(super::operation(number), now).ok());
+        let Some((_, effects)) = submitted else {
+            return Requests::default();
+        };
         self.carry_out(effects, now, checker)
     }
 
     pub fn start_barrier(&mut self, now: Millis, checker: &mut Checker) -> Requests {
-        let started = self.chain.as_mut().and_then(|chain| chain.start_barrier(now));
-        let Some((number, effects)) = started else { return Requests::default() };
+        let started = self
+            .chain
+            .as_mut()
+            .and_then(|chain| chain.start_barrier(now));
+        let Some((number, effects)) = started else {
+            return Requests::default();
+        };
         self.barriers.insert(number, checker.committed());
         self.carry_out(effects, now, checker)
     }
@@ -122,7 +137,9 @@
     /// The oldest write of the disk is done.
     pub fn synced(&mut self, now: Millis, checker: &mut Checker) -> Requests {
         let write = self.disk.sync_next(self.fault);
-        let (Some(write), Some(chain)) = (write, self.chain.as_mut()) else { return Requests::default() };
+        let (Some(write), Some(chain)) = (write, self.chain.as_mut()) else {
+            return Requests::default();
+        };
         let effects = match write {
             Write::Append(entries) => {
                 let last = entries.last().map_or(0, |entry| entry.index);
@@ -138,10 +155,15 @@
 
     /// Makes a snapshot of the applied state; only while no write is under way.
     pub fn compact(&mut self) {
-        let Some(chain) = self.chain.as_mut() else { return };
+        let Some(chain) = self.chain.as_mut() else {
+            return;
+        };
         if self.disk.is_idle() {
             let too_new = u64::from(self.fault == PlantedFault::StoredSnapshotTooNew);
-            self.disk.compact(Snapshot { index: self.applied.index + too_new, ..self.applied });
+            self.disk.compact(Snapshot {
+                index: self.applied.index + too_new,
+                ..self.applied
+            });
             chain.compacted(self.applied.index);
         }
     }
@@ -163,7 +185,9 @@
         checker: &mut Checker,
         requests: &mut Requests,
     ) -> Vec<Effect> {
-        let Some(chain) = self.chain.as_mut() else { return Vec::new() };
+        let Some(chain) = self.chain.as_mut() else {
+            return Vec::new();
+        };
         match effect {
             Effect::Send(to, message) => requests.outgoing.push(Outgoing { to, message }),
             Effect::Append(entries) => {
@@ -201,16 +225,24 @@
         let (words, _) = bytes.as_chunks::<8>();
         let is_whole = bytes.len() == SNAPSHOT_BYTES && words.iter().all(|word| *word == words[0]);
         if !is_whole {
-            checker.report(Violation::WrongSnapshot { disk: self.id, index });
+            checker.report(Violation::WrongSnapshot {
+                disk: self.id,
+                index,
+            });
         }
-        let snapshot = Snapshot { index, state: u64::from_le_bytes(words[0]) };
+        let snapshot = Snapshot {
+            index,
+            state: u64::from_le_bytes(words[0]),
+        };
         checker.loaded(self.id, index, snapshot.state);
         self.applied = snapshot;
         self.disk.order(Write::Install(snapshot));
     }
 
     fn apply_through(&mut self, index: u64, checker: &mut Checker) {
-        let Some(chain) = self.chain.as_ref() else { return };
+        let Some(chain) = self.chain.as_ref() else {
+            return;
+        };
         let view = chain.view();
         let by = Committer {
             disk: self.id,
@@ -221,11 +253,17 @@
         while self.applied.index < index {
             let next = self.applied.index + 1;
             let Some(entry) = chain.entry(next) else {
-                checker.report(Violation::MissingEntry { disk: self.id, index: next });
+                checker.report(Violation::MissingEntry {
+                    disk: self.id,
+                    index: next,
+                });
                 return;
             };
             checker.applied(by, next, &entry.operation);
-            self.applied = Snapshot { index: next, state: apply(self.applied.state, &entry.operation) };
+            self.applied = Snapshot {
+                index: next,
+                state: apply(self.applied.state, &entry.operation),
+            };
         }
     }
 }
--- a/crates/chain/tests/support/policy.rs
+++ b/crates/chain/tests/support/policy.rs
@@ -16,7 +16,10 @@
 impl Claims {
     fn turn_to(&mut self, view: u64) {
         if self.view != view {
-            *self = Claims { view, ..Claims::default() };
+            *self = Claims {
+                view,
+                ..Claims::default()
+            };
         }
     }
 
@@ -41,18 +44,27 @@
         fault: PlantedFault,
     ) -> Option<View> {
         let fresh = self.view == current.number;
-        let may_lead =
-            |disk: &DiskId| fault == PlantedFault::AnyHead || (fresh && self.complete.contains(disk));
+        let may_lead = |disk: &DiskId| {
+            fault == PlantedFault::AnyHead || (fresh && self.complete.contains(disk))
+        };
         let kept = current.chain.iter().copied().filter(|disk| usable(*disk));
         let mut chain: Vec<DiskId> = kept.skip_while(|disk| !may_lead(disk)).collect();
         if chain.is_empty() {
             return None;
         }
-        let spares = self.caught_up.iter().copied().filter(|disk| fresh && usable(*disk));
+        let spares = self
+            .caught_up
+            .iter()
+            .copied()
+            .filter(|disk| fresh && usable(*disk));
         let mut spares: Vec<DiskId> = spares.filter(|disk| !chain.contains(disk)).collect();
         spares.retain(|disk| current.position(*disk).is_none());
         random.shuffle(&mut spares);
         chain.extend(spares);
-        Some(View { number: current.number + 1, voters: Vec::new(), chain })
+        Some(View {
+            number: current.number + 1,
+            voters: Vec::new(),
+            chain,
+        })
     }
 }
--- a/crates/chain/tests/support/trouble.rs
+++ b/crates/chain/tests/support/trouble.rs
@@ -32,7 +32,12 @@
         let node = self.any_node();
         let until = self.now + self.random.u64(50..2500);
         let me = self.nodes[node].id;
-        let others: Vec<DiskId> = self.nodes.iter().map(|node| node.id).filter(|id| *id != me).collect();
+        let others: Vec<DiskId> = self
+            .nodes
+            .iter()
+            .map(|node| node.id)
+            .filter(|id| *id != me)
+            .collect();
         for other in others {
             if self.random.u8(..) < 180 {
                 self.network.cut(me, other, until, &mut self.random);
@@ -132,7 +137,9 @@
     fn can_lead_on(&self, node: &Node) -> bool {
         let known = node.disk.view.number.max(1) as usize;
         let is_founder_or_complete = node.disk.standing() == Standing::Complete;
-        let always_member = self.views[known - 1..].iter().all(|view| view.position(node.id).is_some());
+        let always_member = self.views[known - 1..]
+            .iter()
+            .all(|view| view.position(node.id).is_some());
         is_founder_or_complete && always_member
     }
 
@@ -142,7 +149,9 @@
         let drawn = std::cell::RefCell::new(&mut drawn);
         let usable = |_: DiskId| drawn.borrow_mut().u8(..) <= keep;
         let current = self.newest().clone();
-        let next = self.claims.next_view(&current, usable, &mut self.random, self.fault);
+        let next = self
+            .claims
+            .next_view(&current, usable, &mut self.random, self.fault);
         self.adopt(next);
     }
 
@@ -160,7 +169,9 @@
         }
         let alive: Vec<DiskId> = self.nodes.iter().map(|node| node.id).collect();
         let usable = |disk: DiskId| alive.contains(&disk);
-        let next = self.claims.next_view(&current, usable, &mut self.random, self.fault);
+        let next = self
+            .claims
+            .next_view(&current, usable, &mut self.random, self.fault);
         self.adopt(next);
     }
 
--- a/crates/chain/tests/support/world.rs
+++ b/crates/chain/tests/support/world.rs
@@ -87,7 +87,11 @@
         let losses = random.usize(0..=(count - 1) / 2);
         let minimum_length = losses + 1;
         let disks: Vec<DiskId> = (1..=count as u64).map(DiskId).collect();
-        let founding = View { number: 1, voters: Vec::new(), chain: disks[..count / 2 + 1].to_vec() };
+        let founding = View {
+            number: 1,
+            voters: Vec::new(),
+            chain: disks[..count / 2 + 1].to_vec(),
+        };
         let mut world = World {
             random,
             fault,
@@ -95,7 +99,10 @@
             sequence: 0,
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
-            nodes: disks.iter().map(|disk| Node::new(*disk, minimum_length, fault)).collect(),
+            nodes: disks
+                .iter()
+                .map(|disk| Node::new(*disk, minimum_length, fault))
+                .collect(),
             network: Network::default(),
             claims: Claims::default(),
             checker: Checker::new(),
@@ -128,7 +135,9 @@
 
     fn run_until(&mut self, end: u64) {
         while self.checker.violation().is_none() {
-            let Some(Reverse((at, key))) = self.queue.peek().copied() else { return };
+            let Some(Reverse((at, key))) = self.queue.peek().copied() else {
+                return;
+            };
             if at > end {
                 self.now = end;
                 return;
@@ -193,20 +202,33 @@
     /// A process hears of the newest view, sooner or later.
     pub(super) fn announce(&mut self, node: usize) {
         let view = self.newest().clone();
-        let delay = if self.random.u8(..) < 40 { self.random.u64(0..2000) } else { self.random.u64(0..30) };
+        let delay = if self.random.u8(..) < 40 {
+            self.random.u64(0..2000)
+        } else {
+            self.random.u64(0..30)
+        };
         self.schedule(self.now + delay, Event::Learn { node, view });
     }
 
     fn arrive(&mut self, packet: Packet, life: u64) {
-        let Some(node) = self.position(packet.to) else { return };
+        let Some(node) = self.position(packet.to) else {
+            return;
+        };
         if self.nodes[node].life != life || !self.network.arrives(&packet) {
             return;
         }
         if let ChainMessage::Outdated { view } = &packet.message {
-            self.schedule(self.now + 1, Event::Learn { node, view: view.clone() });
+            self.schedule(
+                self.now + 1,
+                Event::Learn {
+                    node,
+                    view: view.clone(),
+                },
+            );
         }
         let now = self.moment();
-        let requests = self.nodes[node].receive(packet.from, packet.message, now, &mut self.checker);
+        let requests =
+            self.nodes[node].receive(packet.from, packet.message, now, &mut self.checker);
         self.serve(node, requests);
     }
 
@@ -221,7 +243,10 @@
 
     fn note_claims(&mut self, node: usize) {
         let newest = self.newest().number;
-        let Some(chain) = self.nodes[node].chain.as_ref().filter(|chain| chain.view().number == newest)
+        let Some(chain) = self.nodes[node]
+            .chain
+            .as_ref()
+            .filter(|chain| chain.view().number == newest)
         else {
             return;
         };
@@ -238,14 +263,30 @@
         let from = self.nodes[node].id;
         self.start_sync(node);
         for outgoing in requests.outgoing {
-            self.summary.snapshots += u64::from(matches!(outgoing.message, ChainMessage::Snapshot { .. }));
-            let Some(to) = self.position(outgoing.to).filter(|to| self.nodes[*to].chain.is_some()) else {
+            self.summary.snapshots +=
+                u64::from(matches!(outgoing.message, ChainMessage::Snapshot { .. }));
+            let Some(to) = self
+                .position(outgoing.to)
+                .filter(|to| self.nodes[*to].chain.is_some())
+            else {
                 continue;
             };
             let life = self.nodes[to].life;
-            let arrivals = self.network.send(from, outgoing.to, outgoing.message, self.now, &mut self.random);
+            let arrivals = self.network.send(
+                from,
+                outgoing.to,
+                outgoing.message,
+                self.now,
+                &mut self.random,
+            );
             for arrival in arrivals {
-                self.schedule(arrival.at, Event::Arrive { packet: arrival.packet, life });
+                self.schedule(
+                    arrival.at,
+                    Event::Arrive {
+                        packet: arrival.packet,
+                        life,
+                    },
+                );
             }
         }
     }
@@ -257,7 +298,11 @@
             return;
         }
         let slow = self.nodes[node].disk_slow_until > self.now;
-        let span = if slow { self.random.u64(100..900) } else { self.random.u64(1..12) };
+        let span = if slow {
+            self.random.u64(100..900)
+        } else {
+            self.random.u64(1..12)
+        };
         let life = self.nodes[node].life;
         self.schedule(self.now + span, Event::Synced { node, life, writes });
     }
@@ -337,10 +382,16 @@
         };
         let (committed, expected) = (chain.committed(), self.checker.committed());
         if committed < expected {
-            self.checker.report(Violation::Lost { committed, expected });
+            self.checker.report(Violation::Lost {
+                committed,
+                expected,
+            });
         }
         // Every replica follows closely, members and spares.
-        let behind = self.nodes.iter().any(|node| node.applied.index + 1000 < expected);
+        let behind = self
+            .nodes
+            .iter()
+            .any(|node| node.applied.index + 1000 < expected);
         if behind {
             self.checker.report(Violation::Stuck { view });
         }
--- a/crates/cluster-api/src/configuration.rs
+++ b/crates/cluster-api/src/configuration.rs
@@ -65,7 +65,10 @@
     /// The route of a request: its host, and the longest prefix with which the path begins.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let fits = |route: &&Route| route.host == host && path.starts_with(&route.path_prefix);
-        self.routes.iter().filter(fits).max_by_key(|route| route.path_prefix.len())
+        self.routes
+            .iter()
+            .filter(fits)
+            .max_by_key(|route| route.path_prefix.len())
     }
 
     /// The route of this name.
--- a/crates/cluster-api/src/error.rs
+++ b/crates/cluster-api/src/error.rs
@@ -3,7 +3,9 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 
 /// Why a call is not answered with success.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize, displaydoc::Display)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize, displaydoc::Display,
+)]
 pub enum ErrorKind {
     /// the request cannot be read
     Malformed,
@@ -77,6 +79,9 @@
             ErrorKind::ShuttingDown => (503, Some(1)),
             ErrorKind::TooSlow => (408, None),
         };
-        Answer { status, retry_after_s }
+        Answer {
+            status,
+            retry_after_s,
+        }
     }
 }
--- a/crates/cluster-api/src/identity.rs
+++ b/crates/cluster-api/src/identity.rs
@@ -7,19 +7,27 @@
 
 /// A disk of a core machine, drawn at random when the disk is first found empty. A replica and a voter is a disk, not
 /// an address: a machine that comes back with an empty disk has another identity.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
+)]
 pub struct DiskId(pub u64);
 
 /// The internal address of a process (machine address and first port of the internal range).
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
+)]
 pub struct PeerAddress(pub SocketAddrV4);
 
 /// A job: sixteen hexadecimal digits that its client chose.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
+)]
 pub struct JobId(pub u64);
 
 /// A task of a job: `JOB.OCCURRENCE.STEP.INDEX` on the wire.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
+)]
 pub struct TaskId {
     /// Its job.
     pub job: JobId,
@@ -48,7 +56,17 @@
 
 /// Rises with each move of a shard; an order under a lower token is refused.
 #[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
+    Clone,
+    Copy,
+    Debug,
+    Default,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Hash,
+    BorshSerialize,
+    BorshDeserialize,
 )]
 pub struct FencingToken(pub u64);
 
@@ -66,13 +84,19 @@
         if !digits {
             return Err(MalformedIdentity);
         }
-        u64::from_str_radix(text, 16).map(JobId).map_err(|_| MalformedIdentity)
+        u64::from_str_radix(text, 16)
+            .map(JobId)
+            .map_err(|_| MalformedIdentity)
     }
 }
 
 impl fmt::Display for TaskId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{}.{}.{}", self.job, self.occurrence, self.step, self.index)
+        write!(
+            f,
+            "{}.{}.{}.{}",
+            self.job, self.occurrence, self.step, self.index
+        )
     }
 }
 
@@ -89,7 +113,12 @@
         if parts.next().is_some() {
             return Err(MalformedIdentity);
         }
-        Ok(TaskId { job, occurrence, step, index })
+        Ok(TaskId {
+            job,
+            occurrence,
+            step,
+            index,
+        })
     }
 }
 
--- a/crates/cluster-api/src/job.rs
+++ b/crates/cluster-api/src/job.rs
@@ -75,7 +75,10 @@
 impl JobState {
     /// Whether it changes no more.
     pub fn is_final(self) -> bool {
-        matches!(self, JobState::Succeeded | JobState::Failed | JobState::Cancelled)
+        matches!(
+            self,
+            JobState::Succeeded | JobState::Failed | JobState::Cancelled
+        )
     }
 
     /// Its word on the wire.
--- a/crates/cluster-api/src/rendezvous.rs
+++ b/crates/cluster-api/src/rendezvous.rs
@@ -19,7 +19,9 @@
 fn fold(bytes: &[u8]) -> u64 {
     const BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
-    bytes.iter().fold(BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
+    bytes.iter().fold(BASIS, |hash, byte| {
+        (hash ^ u64::from(*byte)).wrapping_mul(PRIME)
+    })
 }
 
 /// Spreads every bit of a number over all bits of the result.
--- a/crates/cluster-api/src/request.rs
+++ b/crates/cluster-api/src/request.rs
@@ -20,7 +20,9 @@
 }
 
 /// The identity of a call: no other call of any process, in any of its lives, has the same one.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
+)]
 pub struct CallId {
     /// The life of the process that calls, drawn at random when it began. Numbers begin anew with each life, and a process
     /// that was restarted listens at the same address: without this it would take an answer to its former life's call
--- a/crates/cluster-api/src/time.rs
+++ b/crates/cluster-api/src/time.rs
@@ -4,13 +4,33 @@
 
 /// A moment on this process's steady clock, in milliseconds since the process began.
 #[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
+    Clone,
+    Copy,
+    Debug,
+    Default,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Hash,
+    BorshSerialize,
+    BorshDeserialize,
 )]
 pub struct Millis(pub u64);
 
 /// A moment of the day, in milliseconds since 1970. It may jump and differ between machines.
 #[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
+    Clone,
+    Copy,
+    Debug,
+    Default,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Hash,
+    BorshSerialize,
+    BorshDeserialize,
 )]
 pub struct WallMillis(pub u64);
 
--- a/crates/cluster-api/src/wire.rs
+++ b/crates/cluster-api/src/wire.rs
@@ -43,7 +43,17 @@
 
 /// A ballot of the agreement on views: unique, since its proposer is.
 #[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
+    Clone,
+    Copy,
+    Debug,
+    Default,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Hash,
+    BorshSerialize,
+    BorshDeserialize,
 )]
 pub struct Ballot {
     /// Above that of every ballot that the proposer had heard of.
--- a/crates/cluster-api/tests/golden.rs
+++ b/crates/cluster-api/tests/golden.rs
@@ -14,7 +14,8 @@
 };
 use lupinrack_cluster_api::job::{JobSpec, Resources, Step};
 use lupinrack_cluster_api::operation::{
-    ConfigurationBody, ConfigurationChange, ConfigurationSnapshot, LogEntry, Operation, OperationResult,
+    ConfigurationBody, ConfigurationChange, ConfigurationSnapshot, LogEntry, Operation,
+    OperationResult,
 };
 use lupinrack_cluster_api::rendezvous::{address_weight, mix, weight};
 use lupinrack_cluster_api::request::CallId;
@@ -26,7 +27,10 @@
 
 /// The file of this name.
 fn golden(name: &str) -> GoldenFile {
-    GoldenFile::open(format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR")))
+    GoldenFile::open(format!(
+        "{}/tests/golden/{name}",
+        env!("CARGO_MANIFEST_DIR")
+    ))
 }
 
 #[test]
@@ -43,8 +47,20 @@
     file.borsh("token", &FencingToken(0x2122));
     file.borsh("moment", &Millis(0x3132));
     file.borsh("moment of the day", &WallMillis(0x4142));
-    file.borsh("call", &CallId { life: 0x5152, number: 0x6162 });
-    file.borsh("ballot", &Ballot { round: 0x7172, life: 0x8182 });
+    file.borsh(
+        "call",
+        &CallId {
+            life: 0x5152,
+            number: 0x6162,
+        },
+    );
+    file.borsh(
+        "ballot",
+        &Ballot {
+            round: 0x7172,
+            life: 0x8182,
+        },
+    );
     file.finish();
 }
 
@@ -54,9 +70,15 @@
     let job = JobId(0x0a0b_0c0d_0e0f_1011);
     file.text("job", &job.to_string());
     file.text("task", &task(9).to_string());
-    let job_text = file.kept_text("job").unwrap_or("0a0b0c0d0e0f1011").parse::<JobId>();
+    let job_text = file
+        .kept_text("job")
+        .unwrap_or("0a0b0c0d0e0f1011")
+        .parse::<JobId>();
     assert_eq!(job_text, Ok(job));
-    let task_text = file.kept_text("task").unwrap_or("0000000000000009.10.11.12").parse::<TaskId>();
+    let task_text = file
+        .kept_text("task")
+        .unwrap_or("0000000000000009.10.11.12")
+        .parse::<TaskId>();
     assert_eq!(task_text, Ok(task(9)));
     file.finish();
 }
@@ -69,8 +91,14 @@
     file.text("no key, candidate 0", &weight(b"", 0).to_string());
     file.text("key worker, candidate 1", &weight(b"worker", 1).to_string());
     file.text("key worker, candidate 2", &weight(b"worker", 2).to_string());
-    file.text("key worker, address 4", &address_weight(b"worker", address(4)).to_string());
-    file.text("key worker, address 5", &address_weight(b"worker", address(5)).to_string());
+    file.text(
+        "key worker, address 4",
+        &address_weight(b"worker", address(4)).to_string(),
+    );
+    file.text(
+        "key worker, address 5",
+        &address_weight(b"worker", address(5)).to_string(),
+    );
     file.finish();
 }
 
@@ -98,7 +126,10 @@
     for state in JOB_STATES {
         let finality = if state.is_final() { "final" } else { "open" };
         let encoded = borsh::to_vec(&state).expect("a state has bytes");
-        file.text(&format!("state {}", to_hex(&encoded)), &format!("{} {finality}", state.word()));
+        file.text(
+            &format!("state {}", to_hex(&encoded)),
+            &format!("{} {finality}", state.word()),
+        );
     }
     file.finish();
 }
@@ -118,8 +149,13 @@
     let mut file = golden("error_kinds.txt");
     for (name, kind) in ERROR_KINDS {
         let answer = kind.answer();
-        let retry = answer.retry_after_s.map_or("none".to_owned(), |seconds| format!("{seconds} s"));
-        file.text(name, &format!("{}, retry after {retry}, {kind}", answer.status));
+        let retry = answer
+            .retry_after_s
+            .map_or("none".to_owned(), |seconds| format!("{seconds} s"));
+        file.text(
+            name,
+            &format!("{}, retry after {retry}, {kind}", answer.status),
+        );
     }
     file.finish();
 }
@@ -127,7 +163,12 @@
 #[test]
 fn configurations() {
     let mut file = golden("configurations.hex");
-    let Configuration { routes, services, limits, .. } = configuration();
+    let Configuration {
+        routes,
+        services,
+        limits,
+        ..
+    } = configuration();
     file.borsh("route", &routes[0]);
     file.borsh("service that guards", &services[0]);
     file.borsh("service that does not guard", &services[1]);
@@ -135,7 +176,12 @@
     file.borsh("limits of nothing", &Limits::default());
     file.borsh("configuration", &configuration());
     file.borsh("no configuration", &Configuration::default());
-    file.borsh("snapshot", &ConfigurationSnapshot { configuration: configuration() });
+    file.borsh(
+        "snapshot",
+        &ConfigurationSnapshot {
+            configuration: configuration(),
+        },
+    );
     file.finish();
 }
 
@@ -164,9 +210,18 @@
         sent_at: Millis(78),
     };
     file.borsh("attach", &attach);
-    let report = AgentMessage::Report { heartbeat: Some(heartbeat), sent_at: Millis(79) };
+    let report = AgentMessage::Report {
+        heartbeat: Some(heartbeat),
+        sent_at: Millis(79),
+    };
     file.borsh("report", &report);
-    file.borsh("report without news", &AgentMessage::Report { heartbeat: None, sent_at: Millis(80) });
+    file.borsh(
+        "report without news",
+        &AgentMessage::Report {
+            heartbeat: None,
+            sent_at: Millis(80),
+        },
+    );
     file.borsh("leave", &AgentMessage::Leave { server: server() });
     file.finish();
 }
@@ -176,7 +231,12 @@
     let mut file = golden("owner_messages.hex");
     file.borsh("assignment", &assignment());
     file.borsh("whole", &owner_message());
-    let change = OwnerMessage { whole: false, assign: Vec::new(), stop: Vec::new(), ..owner_message() };
+    let change = OwnerMessage {
+        whole: false,
+        assign: Vec::new(),
+        stop: Vec::new(),
+        ..owner_message()
+    };
     file.borsh("change", &change);
     file.finish();
 }
@@ -188,14 +248,23 @@
     let patch = ConfigurationBody::Patch("{2}".to_owned());
     for (name, body) in [("whole", whole), ("patch", patch)] {
         file.borsh(&format!("body {name}"), &body);
-        file.borsh(&format!("change {name}"), &ConfigurationChange { if_match: 81, body });
+        file.borsh(
+            &format!("change {name}"),
+            &ConfigurationChange { if_match: 81, body },
+        );
     }
     file.borsh("start", &start_record());
     file.borsh("end", &end_record(RunEnd::Failed));
     for (name, operation) in all_operations() {
         file.borsh(name, &operation);
     }
-    file.borsh("entry", &LogEntry { index: 82, operation: Operation::Nothing });
+    file.borsh(
+        "entry",
+        &LogEntry {
+            index: 82,
+            operation: Operation::Nothing,
+        },
+    );
     file.finish();
 }
 
@@ -204,7 +273,10 @@
     let mut file = golden("operation_results.hex");
     file.borsh("done", &OperationResult::Done);
     for state in JOB_STATES {
-        file.borsh(&format!("job {}", state.word()), &OperationResult::Job(state));
+        file.borsh(
+            &format!("job {}", state.word()),
+            &OperationResult::Job(state),
+        );
     }
     file.borsh("starts", &OperationResult::Starts(vec![true, false, true]));
     for (name, kind) in ERROR_KINDS {
@@ -263,18 +335,46 @@
 #[test]
 fn parts_of_frames() {
     let mut file = golden("frame_parts.hex");
-    for (name, role) in [("frontend", Role::Frontend), ("agent", Role::Agent), ("core", Role::Core)] {
+    for (name, role) in [
+        ("frontend", Role::Frontend),
+        ("agent", Role::Agent),
+        ("core", Role::Core),
+    ] {
         file.borsh(name, &role);
         file.borsh(&format!("hello of {name}"), &hello(role, None));
     }
     file.borsh("hello with a disk", &hello(Role::Core, Some(DiskId(84))));
     file.borsh("replica of nothing", &ReplicaReport::default());
-    file.borsh("replica caught up", &ReplicaReport { caught_up: true, ..ReplicaReport::default() });
-    file.borsh("replica complete", &ReplicaReport { complete: true, ..ReplicaReport::default() });
-    file.borsh("replica that needs a view", &ReplicaReport { needs_view: true, ..ReplicaReport::default() });
+    file.borsh(
+        "replica caught up",
+        &ReplicaReport {
+            caught_up: true,
+            ..ReplicaReport::default()
+        },
+    );
+    file.borsh(
+        "replica complete",
+        &ReplicaReport {
+            complete: true,
+            ..ReplicaReport::default()
+        },
+    );
+    file.borsh(
+        "replica that needs a view",
+        &ReplicaReport {
+            needs_view: true,
+            ..ReplicaReport::default()
+        },
+    );
     file.borsh("interest in views", &Interest::Views);
-    file.borsh("interest in configurations", &Interest::Configuration { have: 85 });
-    file.bytes("bytes of a frame at most", &(FRAME_BYTES_MOST as u64).to_le_bytes());
+    file.borsh(
+        "interest in configurations",
+        &Interest::Configuration { have: 85 },
+    );
+    file.bytes(
+        "bytes of a frame at most",
+        &(FRAME_BYTES_MOST as u64).to_le_bytes(),
+    );
     file.finish();
 }
 
--- a/crates/cluster-api/tests/golden_values/control.rs
+++ b/crates/cluster-api/tests/golden_values/control.rs
@@ -31,11 +31,41 @@
 /// A step for each of its flags, under the flag's name, with this one alone set.
 pub fn steps_with_one_flag() -> Vec<(&'static str, Step)> {
     vec![
-        ("checkpoints", Step { checkpoints: true, ..Step::default() }),
-        ("gang", Step { gang: true, ..Step::default() }),
-        ("same_rack", Step { same_rack: true, ..Step::default() }),
-        ("speculative", Step { speculative: true, ..Step::default() }),
-        ("long_running", Step { long_running: true, ..Step::default() }),
+        (
+            "checkpoints",
+            Step {
+                checkpoints: true,
+                ..Step::default()
+            },
+        ),
+        (
+            "gang",
+            Step {
+                gang: true,
+                ..Step::default()
+            },
+        ),
+        (
+            "same_rack",
+            Step {
+                same_rack: true,
+                ..Step::default()
+            },
+        ),
+        (
+            "speculative",
+            Step {
+                speculative: true,
+                ..Step::default()
+            },
+        ),
+        (
+            "long_running",
+            Step {
+                long_running: true,
+                ..Step::default()
+            },
+        ),
     ]
 }
 
@@ -65,8 +95,14 @@
         version: 14,
         routes: vec![route("import", 20), route("render", 30)],
         services: vec![
-            Service { name: ServiceName("guard".to_owned()), guards: true },
-            Service { name: service(), guards: false },
+            Service {
+                name: ServiceName("guard".to_owned()),
+                guards: true,
+            },
+            Service {
+                name: service(),
+                guards: false,
+            },
         ],
         limits: Limits {
             max_header_bytes: 15,
@@ -78,15 +114,28 @@
 }
 
 pub fn start_record() -> StartRecord {
-    StartRecord { task: task(40), attempt: 41, server: server(), saved: "half".to_owned() }
+    StartRecord {
+        task: task(40),
+        attempt: 41,
+        server: server(),
+        saved: "half".to_owned(),
+    }
 }
 
 pub fn end_record(end: RunEnd) -> EndRecord {
-    EndRecord { task: task(42), attempt: 43, end, saved: "most".to_owned() }
+    EndRecord {
+        task: task(42),
+        attempt: 43,
+        end,
+        saved: "most".to_owned(),
+    }
 }
 
 pub fn configuration_change() -> ConfigurationChange {
-    ConfigurationChange { if_match: 44, body: ConfigurationBody::Whole("{}".to_owned()) }
+    ConfigurationChange {
+        if_match: 44,
+        body: ConfigurationBody::Whole("{}".to_owned()),
+    }
 }
 
 /// Every operation, under a name.
@@ -94,12 +143,28 @@
     let (job, queue, at) = (JobId(45), QueueName("render".to_owned()), WallMillis(46));
     let (service, token) = (service(), FencingToken(47));
     vec![
-        ("change of the configuration", Operation::ChangeConfiguration(configuration_change())),
-        ("accept", Operation::AcceptJob { job, queue: queue.clone(), spec: job_spec(), at }),
+        (
+            "change of the configuration",
+            Operation::ChangeConfiguration(configuration_change()),
+        ),
+        (
+            "accept",
+            Operation::AcceptJob {
+                job,
+                queue: queue.clone(),
+                spec: job_spec(),
+                at,
+            },
+        ),
         ("cancel", Operation::CancelJob { job, queue, at }),
         (
             "take a shard",
-            Operation::TakeShard { service: service.clone(), token, owner: DiskId(48), life: 49 },
+            Operation::TakeShard {
+                service: service.clone(),
+                token,
+                owner: DiskId(48),
+                life: 49,
+            },
         ),
         (
             "starts",
@@ -118,25 +183,63 @@
                 at,
             },
         ),
-        ("server", Operation::RecordServer { service, token, server: server(), agent: address(50) }),
-        ("forget", Operation::ForgetJobs { ended_before: WallMillis(51) }),
+        (
+            "server",
+            Operation::RecordServer {
+                service,
+                token,
+                server: server(),
+                agent: address(50),
+            },
+        ),
+        (
+            "forget",
+            Operation::ForgetJobs {
+                ended_before: WallMillis(51),
+            },
+        ),
         ("nothing", Operation::Nothing),
     ]
 }
 
 pub fn target() -> Target {
-    Target { host: "render.example".to_owned(), path: "/render/jobs/1".to_owned() }
+    Target {
+        host: "render.example".to_owned(),
+        path: "/render/jobs/1".to_owned(),
+    }
 }
 
 /// Every request, under a name.
 pub fn all_requests() -> Vec<(&'static str, Request)> {
     let (target, job) = (target(), JobId(52));
     vec![
-        ("change of the configuration", Request::ChangeConfiguration(configuration_change())),
+        (
+            "change of the configuration",
+            Request::ChangeConfiguration(configuration_change()),
+        ),
         ("read the configuration", Request::ReadConfiguration),
-        ("submit", Request::SubmitJob { target: target.clone(), job, spec: job_spec() }),
-        ("read a job", Request::ReadJob { target: target.clone(), job }),
-        ("cancel", Request::CancelJob { target: target.clone(), job }),
+        (
+            "submit",
+            Request::SubmitJob {
+                target: target.clone(),
+                job,
+                spec: job_spec(),
+            },
+        ),
+        (
+            "read a job",
+            Request::ReadJob {
+                target: target.clone(),
+                job,
+            },
+        ),
+        (
+            "cancel",
+            Request::CancelJob {
+                target: target.clone(),
+                job,
+            },
+        ),
         ("read a queue", Request::ReadQueue { target }),
         ("confirm a view", Request::ConfirmView { number: 53 }),
     ]
@@ -146,7 +249,10 @@
 pub fn all_replies() -> Vec<(String, Reply)> {
     let mut replies = vec![
         ("done".to_owned(), Reply::Done),
-        ("document".to_owned(), Reply::ConfigurationDocument("{\"version\":1}".to_owned())),
+        (
+            "document".to_owned(),
+            Reply::ConfigurationDocument("{\"version\":1}".to_owned()),
+        ),
         ("pending".to_owned(), Reply::Pending(54)),
         ("not the head".to_owned(), Reply::NotHead(view(55))),
     ];
--- a/crates/cluster-api/tests/golden_values/messages.rs
+++ b/crates/cluster-api/tests/golden_values/messages.rs
@@ -1,8 +1,8 @@
 //! Messages between processes, and the frames that carry them.
 
 use super::{
-    address, all_operations, all_replies, all_requests, configuration, resources, server, service, task,
-    view, voter,
+    address, all_operations, all_replies, all_requests, configuration, resources, server, service,
+    task, view, voter,
 };
 use lupinrack_cluster_api::agent::{AgentMessage, Assignment, Heartbeat, OwnerMessage};
 use lupinrack_cluster_api::identity::{DiskId, FencingToken};
@@ -11,7 +11,8 @@
 use lupinrack_cluster_api::server::{FinishedTask, RunEnd, RunningTask, ServerFacts};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::wire::{
-    AgreementMessage, Ballot, ChainMessage, Frame, Hello, Interest, ReplicaReport, Role, SnapshotIdentity,
+    AgreementMessage, Ballot, ChainMessage, Frame, Hello, Interest, ReplicaReport, Role,
+    SnapshotIdentity,
 };
 
 pub fn server_facts() -> ServerFacts {
@@ -26,11 +27,22 @@
 }
 
 pub fn running_task() -> RunningTask {
-    RunningTask { task: task(61), attempt: 62, saved: "half".to_owned(), percent: 63 }
+    RunningTask {
+        task: task(61),
+        attempt: 62,
+        saved: "half".to_owned(),
+        percent: 63,
+    }
 }
 
 pub fn finished_task(end: RunEnd) -> FinishedTask {
-    FinishedTask { number: 64, task: task(65), attempt: 66, end, saved: String::new() }
+    FinishedTask {
+        number: 64,
+        task: task(65),
+        attempt: 66,
+        end,
+        saved: String::new(),
+    }
 }
 
 pub fn heartbeat(remaining_ms: Option<u64>) -> Heartbeat {
@@ -46,7 +58,12 @@
 }
 
 pub fn assignment() -> Assignment {
-    Assignment { task: task(69), attempt: 70, spec: "work".to_owned(), saved: "half".to_owned() }
+    Assignment {
+        task: task(69),
+        attempt: 70,
+        spec: "work".to_owned(),
+        saved: "half".to_owned(),
+    }
 }
 
 pub fn owner_message() -> OwnerMessage {
@@ -65,17 +82,34 @@
 }
 
 pub fn ballot(round: u64) -> Ballot {
-    Ballot { round, life: round + 100 }
+    Ballot {
+        round,
+        life: round + 100,
+    }
 }
 
 /// Every message of the agreement on views, under a name.
 pub fn all_agreement_messages() -> Vec<(&'static str, AgreementMessage)> {
     let (ballot, disk) = (ballot(81), DiskId(82));
-    let higher = Ballot { round: 83, life: 84 };
-    let lower = Ballot { round: 85, life: 86 };
+    let higher = Ballot {
+        round: 83,
+        life: 84,
+    };
+    let lower = Ballot {
+        round: 85,
+        life: 86,
+    };
     vec![
         ("prepare", AgreementMessage::Prepare { ballot }),
-        ("promise", AgreementMessage::Promise { ballot, disk, accepted_ballot: lower, accepted: view(87) }),
+        (
+            "promise",
+            AgreementMessage::Promise {
+                ballot,
+                disk,
+                accepted_ballot: lower,
+                accepted: view(87),
+            },
+        ),
         (
             "promise of a voter that accepted nothing",
             AgreementMessage::Promise {
@@ -85,15 +119,31 @@
                 accepted: Default::default(),
             },
         ),
-        ("accept", AgreementMessage::Accept { ballot, view: view(88) }),
+        (
+            "accept",
+            AgreementMessage::Accept {
+                ballot,
+                view: view(88),
+            },
+        ),
         ("accepted", AgreementMessage::Accepted { ballot, disk }),
-        ("rejected", AgreementMessage::Rejected { ballot, promised: higher }),
+        (
+            "rejected",
+            AgreementMessage::Rejected {
+                ballot,
+                promised: higher,
+            },
+        ),
         ("agreed", AgreementMessage::Agreed { view: view(89) }),
     ]
 }
 
 pub fn snapshot_identity() -> SnapshotIdentity {
-    SnapshotIdentity { index: 90, pieces: 91, checksum: 92 }
+    SnapshotIdentity {
+        index: 90,
+        pieces: 91,
+        checksum: 92,
+    }
 }
 
 /// Every message of the replication chain, under a name.
@@ -104,7 +154,13 @@
     vec![
         (
             "append",
-            ChainMessage::Append { view: view_number, previous: 95, entries, committed: 96, barrier: 97 },
+            ChainMessage::Append {
+                view: view_number,
+                previous: 95,
+                entries,
+                committed: 96,
+                barrier: 97,
+            },
         ),
         (
             "append of no entries",
@@ -116,43 +172,112 @@
                 barrier: 100,
             },
         ),
-        ("acknowledge", ChainMessage::Acknowledge { view: view_number, synced: 101, barrier: 102 }),
-        ("resend", ChainMessage::Resend { view: view_number, have: 103 }),
+        (
+            "acknowledge",
+            ChainMessage::Acknowledge {
+                view: view_number,
+                synced: 101,
+                barrier: 102,
+            },
+        ),
+        (
+            "resend",
+            ChainMessage::Resend {
+                view: view_number,
+                have: 103,
+            },
+        ),
         (
             "snapshot",
-            ChainMessage::Snapshot { view: view_number, snapshot, piece: 104, bytes: vec![1, 2, 3] },
+            ChainMessage::Snapshot {
+                view: view_number,
+                snapshot,
+                piece: 104,
+                bytes: vec![1, 2, 3],
+            },
+        ),
+        (
+            "snapshot received",
+            ChainMessage::SnapshotReceived {
+                view: view_number,
+                snapshot,
+                pieces: 105,
+            },
+        ),
+        (
+            "join",
+            ChainMessage::Join {
+                view: view_number,
+                disk: DiskId(106),
+                have: Some(107),
+            },
+        ),
+        (
+            "join without a log",
+            ChainMessage::Join {
+                view: view_number,
+                disk: DiskId(108),
+                have: None,
+            },
         ),
-        ("snapshot received", ChainMessage::SnapshotReceived { view: view_number, snapshot, pieces: 105 }),
-        ("join", ChainMessage::Join { view: view_number, disk: DiskId(106), have: Some(107) }),
-        ("join without a log", ChainMessage::Join { view: view_number, disk: DiskId(108), have: None }),
         ("outdated", ChainMessage::Outdated { view: view(109) }),
     ]
 }
 
 pub fn hello(role: Role, disk: Option<DiskId>) -> Hello {
-    Hello { address: address(110), role, zone: "zone-b".to_owned(), life: 111, disk }
+    Hello {
+        address: address(110),
+        role,
+        zone: "zone-b".to_owned(),
+        life: 111,
+        disk,
+    }
 }
 
 /// Every kind of frame, under a name; frames that carry calls or operations with each of those.
 pub fn all_frames() -> Vec<(String, Frame)> {
     let mut frames = vec![
-        ("hello".to_owned(), Frame::Hello(hello(Role::Core, Some(DiskId(112))))),
-        ("hello without a disk".to_owned(), Frame::Hello(hello(Role::Frontend, None))),
+        (
+            "hello".to_owned(),
+            Frame::Hello(hello(Role::Core, Some(DiskId(112)))),
+        ),
+        (
+            "hello without a disk".to_owned(),
+            Frame::Hello(hello(Role::Frontend, None)),
+        ),
     ];
-    let id = CallId { life: 113, number: 114 };
+    let id = CallId {
+        life: 113,
+        number: 114,
+    };
     frames.extend(all_requests().into_iter().map(|(name, request)| {
-        (format!("request {name}"), Frame::Request { id, remaining_ms: 115, request })
+        (
+            format!("request {name}"),
+            Frame::Request {
+                id,
+                remaining_ms: 115,
+                request,
+            },
+        )
     }));
     let replies = all_replies().into_iter();
-    frames.extend(replies.map(|(name, reply)| (format!("reply {name}"), Frame::Reply { id, reply })));
+    frames
+        .extend(replies.map(|(name, reply)| (format!("reply {name}"), Frame::Reply { id, reply })));
     frames.extend(heartbeats());
     let agreement = all_agreement_messages().into_iter();
-    frames.extend(agreement.map(|(name, message)| (format!("agreement {name}"), Frame::Agreement(message))));
+    frames.extend(
+        agreement.map(|(name, message)| (format!("agreement {name}"), Frame::Agreement(message))),
+    );
     let chain = all_chain_messages().into_iter();
     frames.extend(chain.map(|(name, message)| (format!("chain {name}"), Frame::Chain(message))));
     let operations = all_operations().into_iter();
-    frames.extend(operations.map(|(name, operation)| (format!("submit {name}"), Frame::Submit(operation))));
-    frames.push(("agent".to_owned(), Frame::Agent(AgentMessage::Leave { server: server() })));
+    frames.extend(
+        operations.map(|(name, operation)| (format!("submit {name}"), Frame::Submit(operation))),
+    );
+    frames.push((
+        "agent".to_owned(),
+        Frame::Agent(AgentMessage::Leave { server: server() }),
+    ));
     frames.push(("owner".to_owned(), Frame::Owner(owner_message())));
     frames.push(("news of a view".to_owned(), Frame::ViewNews(view(116))));
     frames.extend(subscriptions());
@@ -168,28 +293,62 @@
         leaving,
         replica,
     };
-    let caught_up = ReplicaReport { caught_up: true, ..ReplicaReport::default() };
-    let complete = ReplicaReport { complete: true, ..ReplicaReport::default() };
-    let needs_view = ReplicaReport { needs_view: true, ..ReplicaReport::default() };
+    let caught_up = ReplicaReport {
+        caught_up: true,
+        ..ReplicaReport::default()
+    };
+    let complete = ReplicaReport {
+        complete: true,
+        ..ReplicaReport::default()
+    };
+    let needs_view = ReplicaReport {
+        needs_view: true,
+        ..ReplicaReport::default()
+    };
     vec![
-        ("heartbeat of a healthy disk".to_owned(), heartbeat(true, false, caught_up)),
-        ("heartbeat of one that leaves".to_owned(), heartbeat(false, true, complete)),
-        ("heartbeat of one that needs a view".to_owned(), heartbeat(false, false, needs_view)),
+        (
+            "heartbeat of a healthy disk".to_owned(),
+            heartbeat(true, false, caught_up),
+        ),
+        (
+            "heartbeat of one that leaves".to_owned(),
+            heartbeat(false, true, complete),
+        ),
+        (
+            "heartbeat of one that needs a view".to_owned(),
+            heartbeat(false, false, needs_view),
+        ),
     ]
 }
 
 /// Subscriptions, and what subscribers are told.
 fn subscriptions() -> Vec<(String, Frame)> {
     let asked_at = Millis(119);
-    let news =
-        |configuration| Frame::ConfigurationNews { asked_at, age_ms: 120, version: 121, configuration };
+    let news = |configuration| Frame::ConfigurationNews {
+        asked_at,
+        age_ms: 120,
+        version: 121,
+        configuration,
+    };
     vec![
-        ("subscription to views".to_owned(), Frame::Subscribe { interest: Interest::Views, asked_at }),
+        (
+            "subscription to views".to_owned(),
+            Frame::Subscribe {
+                interest: Interest::Views,
+                asked_at,
+            },
+        ),
         (
             "subscription to configurations".to_owned(),
-            Frame::Subscribe { interest: Interest::Configuration { have: 122 }, asked_at },
+            Frame::Subscribe {
+                interest: Interest::Configuration { have: 122 },
+                asked_at,
+            },
+        ),
+        (
+            "news of a configuration".to_owned(),
+            news(Some(configuration())),
         ),
-        ("news of a configuration".to_owned(), news(Some(configuration()))),
         ("news of no new configuration".to_owned(), news(None)),
     ]
 }
--- a/crates/cluster-api/tests/golden_values/mod.rs
+++ b/crates/cluster-api/tests/golden_values/mod.rs
@@ -14,8 +14,13 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 /// Every state of a job.
-pub const JOB_STATES: [JobState; 5] =
-    [JobState::Queued, JobState::Running, JobState::Succeeded, JobState::Failed, JobState::Cancelled];
+pub const JOB_STATES: [JobState; 5] = [
+    JobState::Queued,
+    JobState::Running,
+    JobState::Succeeded,
+    JobState::Failed,
+    JobState::Cancelled,
+];
 
 /// Every end of a run, under a name.
 pub const RUN_ENDS: [(&str, RunEnd); 7] = [
@@ -46,11 +51,19 @@
 ];
 
 pub fn address(number: u8) -> PeerAddress {
-    PeerAddress(SocketAddrV4::new(Ipv4Addr::new(10, 2, 3, number), 7000 + u16::from(number)))
+    PeerAddress(SocketAddrV4::new(
+        Ipv4Addr::new(10, 2, 3, number),
+        7000 + u16::from(number),
+    ))
 }
 
 pub fn task(number: u32) -> TaskId {
-    TaskId { job: JobId(u64::from(number)), occurrence: number + 1, step: number + 2, index: number + 3 }
+    TaskId {
+        job: JobId(u64::from(number)),
+        occurrence: number + 1,
+        step: number + 2,
+        index: number + 3,
+    }
 }
 
 pub fn server() -> ServerId {
@@ -62,13 +75,25 @@
 }
 
 pub fn resources(first: u64) -> Resources {
-    Resources { cpu: first, memory_mb: first + 1, gpu: first + 2 }
+    Resources {
+        cpu: first,
+        memory_mb: first + 1,
+        gpu: first + 2,
+    }
 }
 
 pub fn voter(number: u8) -> Voter {
-    Voter { disk: DiskId(u64::from(number)), address: address(number), zone: format!("zone-{number}") }
+    Voter {
+        disk: DiskId(u64::from(number)),
+        address: address(number),
+        zone: format!("zone-{number}"),
+    }
 }
 
 pub fn view(number: u64) -> View {
-    View { number, voters: vec![voter(1), voter(2), voter(3)], chain: vec![DiskId(3), DiskId(1)] }
+    View {
+        number,
+        voters: vec![voter(1), voter(2), voter(3)],
+        chain: vec![DiskId(3), DiskId(1)],
+    }
 }
--- a/crates/cluster-json/src/answer.rs
+++ b/crates/cluster-json/src/answer.rs
@@ -7,8 +7,13 @@
 use std::borrow::Cow;
 
 /// Every state of a job.
-const STATES: [JobState; 5] =
-    [JobState::Queued, JobState::Running, JobState::Succeeded, JobState::Failed, JobState::Cancelled];
+const STATES: [JobState; 5] = [
+    JobState::Queued,
+    JobState::Running,
+    JobState::Succeeded,
+    JobState::Failed,
+    JobState::Cancelled,
+];
 
 #[derive(Serialize, Deserialize)]
 struct StateForm<'a> {
@@ -29,7 +34,9 @@
 
 /// The answer to a question for a job's state.
 pub fn job_state_body(state: JobState) -> String {
-    body(&StateForm { state: Cow::Borrowed(state.word()) })
+    body(&StateForm {
+        state: Cow::Borrowed(state.word()),
+    })
 }
 
 /// The answer to a question for the number of a queue's jobs that have not ended.
@@ -39,13 +46,18 @@
 
 /// Reads what [`job_state_body`] wrote.
 pub fn parse_job_state(body: &[u8]) -> Result<JobState, UnknownAnswer> {
-    let Object(form) = serde_json::from_slice::<Object<StateForm>>(body).map_err(|_| UnknownAnswer)?;
-    STATES.into_iter().find(|state| state.word() == form.state).ok_or(UnknownAnswer)
+    let Object(form) =
+        serde_json::from_slice::<Object<StateForm>>(body).map_err(|_| UnknownAnswer)?;
+    STATES
+        .into_iter()
+        .find(|state| state.word() == form.state)
+        .ok_or(UnknownAnswer)
 }
 
 /// Reads what [`pending_body`] wrote.
 pub fn parse_pending(body: &[u8]) -> Result<u64, UnknownAnswer> {
-    let Object(form) = serde_json::from_slice::<Object<PendingForm>>(body).map_err(|_| UnknownAnswer)?;
+    let Object(form) =
+        serde_json::from_slice::<Object<PendingForm>>(body).map_err(|_| UnknownAnswer)?;
     Ok(form.pending)
 }
 
--- a/crates/cluster-json/src/job.rs
+++ b/crates/cluster-json/src/job.rs
@@ -15,8 +15,9 @@
     check_steps(&form, limits)?;
     let repeat = checked_repeat(&form, limits)?;
     let steps = form.steps.into_iter().enumerate();
-    let steps =
-        steps.map(|(number, Object(step))| checked_step(number, step, limits)).collect::<Result<_, _>>()?;
+    let steps = steps
+        .map(|(number, Object(step))| checked_step(number, step, limits))
+        .collect::<Result<_, _>>()?;
     Ok(JobSpec {
         spec: form.spec.into_owned(),
         steps,
@@ -30,7 +31,11 @@
 pub fn job_body(job: &JobSpec) -> String {
     let form = JobForm {
         spec: Cow::Borrowed(&job.spec),
-        steps: job.steps.iter().map(|step| Object(step_form(step))).collect(),
+        steps: job
+            .steps
+            .iter()
+            .map(|step| Object(step_form(step)))
+            .collect(),
         repeat: u64::from(job.repeat),
         start_at_ms: job.start_at_ms,
         interval_ms: job.interval_ms,
@@ -52,14 +57,23 @@
         return Err(JobFault::NoSteps);
     }
     if steps > limits.max_steps {
-        return Err(JobFault::TooManySteps { steps, limit: limits.max_steps });
+        return Err(JobFault::TooManySteps {
+            steps,
+            limit: limits.max_steps,
+        });
     }
-    let tasks = form.steps.iter().fold(0u64, |sum, Object(step)| sum.saturating_add(step.count));
+    let tasks = form
+        .steps
+        .iter()
+        .fold(0u64, |sum, Object(step)| sum.saturating_add(step.count));
     for (step, Object(form)) in form.steps.iter().enumerate() {
         check_count(step, form.count, limits)?;
     }
     match tasks > limits.max_tasks {
-        true => Err(JobFault::TooManyTasks { tasks, limit: limits.max_tasks }),
+        true => Err(JobFault::TooManyTasks {
+            tasks,
+            limit: limits.max_tasks,
+        }),
         false => Ok(()),
     }
 }
@@ -74,12 +88,20 @@
 }
 
 fn checked_repeat(form: &JobForm, limits: JobLimits) -> Result<u32, JobFault> {
-    let too_many = JobFault::TooManyTimes { repeat: form.repeat, limit: limits.max_repeat };
+    let too_many = JobFault::TooManyTimes {
+        repeat: form.repeat,
+        limit: limits.max_repeat,
+    };
     if form.repeat > limits.max_repeat {
         return Err(too_many);
     }
-    let span = form.interval_ms.checked_mul(form.repeat).ok_or(JobFault::TimeOverflow)?;
-    form.start_at_ms.checked_add(span).ok_or(JobFault::TimeOverflow)?;
+    let span = form
+        .interval_ms
+        .checked_mul(form.repeat)
+        .ok_or(JobFault::TimeOverflow)?;
+    form.start_at_ms
+        .checked_add(span)
+        .ok_or(JobFault::TimeOverflow)?;
     u32::try_from(form.repeat).map_err(|_| too_many)
 }
 
@@ -108,7 +130,12 @@
 
 fn checked_figure(step: usize, figure: Figure, value: u64, limit: u64) -> Result<u64, JobFault> {
     match value > limit {
-        true => Err(JobFault::FigureTooLarge { step, figure, value, limit }),
+        true => Err(JobFault::FigureTooLarge {
+            step,
+            figure,
+            value,
+            limit,
+        }),
         false => Ok(value),
     }
 }
@@ -117,9 +144,15 @@
 fn checked_dependencies(step: usize, stated: &[u64]) -> Result<Vec<u32>, JobFault> {
     let earlier = |dependency: &u64| match usize::try_from(*dependency) {
         Ok(number) if number < step => Ok(number as u32),
-        _ => Err(JobFault::NotAnEarlierStep { step, dependency: *dependency }),
+        _ => Err(JobFault::NotAnEarlierStep {
+            step,
+            dependency: *dependency,
+        }),
     };
-    let mut dependencies = stated.iter().map(earlier).collect::<Result<Vec<u32>, JobFault>>()?;
+    let mut dependencies = stated
+        .iter()
+        .map(earlier)
+        .collect::<Result<Vec<u32>, JobFault>>()?;
     dependencies.sort_unstable();
     dependencies.dedup();
     Ok(dependencies)
--- a/crates/cluster-json/src/path.rs
+++ b/crates/cluster-json/src/path.rs
@@ -19,10 +19,19 @@
 pub fn target_of(path: &str) -> JobTarget<'_> {
     let path = path.split_once('?').map_or(path, |(path, _)| path);
     let segment = path.rfind('/').map_or(0, |slash| slash + 1);
-    let boundary = path.len().checked_sub(JOB_ID_DIGITS).filter(|boundary| *boundary >= segment);
+    let boundary = path
+        .len()
+        .checked_sub(JOB_ID_DIGITS)
+        .filter(|boundary| *boundary >= segment);
     let job = boundary.and_then(|at| Some((path.get(..at)?, path.get(at..)?.parse().ok()?)));
     match job {
-        Some((prefix, job)) => JobTarget { prefix, job: Some(job) },
-        None => JobTarget { prefix: path, job: None },
+        Some((prefix, job)) => JobTarget {
+            prefix,
+            job: Some(job),
+        },
+        None => JobTarget {
+            prefix: path,
+            job: None,
+        },
     }
 }
--- a/crates/cluster-json/tests/golden.rs
+++ b/crates/cluster-json/tests/golden.rs
@@ -5,33 +5,49 @@
 use lupinrack_cluster_api::identity::JobId;
 use lupinrack_cluster_api::job::{JobSpec, JobState, Resources, Step};
 use lupinrack_cluster_json::{
-    job_body, job_state_body, parse_job, parse_job_state, parse_pending, pending_body, target_of, Figure,
-    JobFault, JobLimits, UnknownAnswer,
+    job_body, job_state_body, parse_job, parse_job_state, parse_pending, pending_body, target_of,
+    Figure, JobFault, JobLimits, UnknownAnswer,
 };
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use std::{env, fs};
 
 /// The files that the tests here build.
-const FILES: [&str; 6] = ["answers.txt", "faults.txt", "jobs.txt", "limits.txt", "paths.txt", "requests.txt"];
+const FILES: [&str; 6] = [
+    "answers.txt",
+    "faults.txt",
+    "jobs.txt",
+    "limits.txt",
+    "paths.txt",
+    "requests.txt",
+];
 
 fn folder() -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests").join("golden")
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests")
+        .join("golden")
 }
 
 /// Compares entries with a golden file, which holds one `name: text` line for each, and returns the file's entries.
 fn check(file: &str, built: &[(String, String)]) -> Vec<(String, String)> {
     assert!(FILES.contains(&file), "{file} is not listed");
     let path = folder().join(file);
-    let lines: String = built.iter().map(|(name, text)| format!("{name}: {text}\n")).collect();
+    let lines: String = built
+        .iter()
+        .map(|(name, text)| format!("{name}: {text}\n"))
+        .collect();
     if env::var("UPDATE_GOLDEN").as_deref() == Ok("1") {
         fs::create_dir_all(folder()).expect("the folder is made");
         fs::write(&path, &lines).expect("the file is written");
     }
     let kept = fs::read_to_string(&path).expect("the golden file is there");
     assert_eq!(kept, lines, "{file}");
-    let entries = kept.lines().map(|line| line.split_once(": ").expect("a name and a text"));
-    entries.map(|(name, text)| (name.to_string(), text.to_string())).collect()
+    let entries = kept
+        .lines()
+        .map(|line| line.split_once(": ").expect("a name and a text"));
+    entries
+        .map(|(name, text)| (name.to_string(), text.to_string()))
+        .collect()
 }
 
 fn entry(name: &str, text: impl ToString) -> (String, String) {
@@ -44,11 +60,23 @@
 
 /// A job with a value of its own in every field.
 fn full_job() -> JobSpec {
-    let first = Step { count: 11, ..Step::default() };
-    let second = Step { count: 12, gang: true, same_rack: true, ..Step::default() };
+    let first = Step {
+        count: 11,
+        ..Step::default()
+    };
+    let second = Step {
+        count: 12,
+        gang: true,
+        same_rack: true,
+        ..Step::default()
+    };
     let third = Step {
         count: 13,
-        needs: Resources { cpu: 2_001, memory_mb: 1_025, gpu: 3 },
+        needs: Resources {
+            cpu: 2_001,
+            memory_mb: 1_025,
+            gpu: 3,
+        },
         estimate_ms: 7_002,
         depends_on: vec![0, 1],
         checkpoints: true,
@@ -60,7 +88,11 @@
         speculative: true,
         long_running: false,
     };
-    let fourth = Step { count: 14, long_running: true, ..Step::default() };
+    let fourth = Step {
+        count: 14,
+        long_running: true,
+        ..Step::default()
+    };
     JobSpec {
         spec: "crush \"all\" é\n\u{1}".to_string(),
         steps: vec![first, second, third, fourth],
@@ -72,9 +104,15 @@
 
 /// A job of one step, with one flag.
 fn job_with_flag(set: impl Fn(&mut Step)) -> JobSpec {
-    let mut step = Step { count: 1, ..Step::default() };
+    let mut step = Step {
+        count: 1,
+        ..Step::default()
+    };
     set(&mut step);
-    JobSpec { steps: vec![step], ..JobSpec::default() }
+    JobSpec {
+        steps: vec![step],
+        ..JobSpec::default()
+    }
 }
 
 #[test]
@@ -86,9 +124,15 @@
         ("gang", job_with_flag(|step| step.gang = true)),
         ("same rack", job_with_flag(|step| step.same_rack = true)),
         ("speculative", job_with_flag(|step| step.speculative = true)),
-        ("long running", job_with_flag(|step| step.long_running = true)),
+        (
+            "long running",
+            job_with_flag(|step| step.long_running = true),
+        ),
     ];
-    let kept = check("jobs.txt", &jobs.clone().map(|(name, job)| entry(name, job_body(&job))));
+    let kept = check(
+        "jobs.txt",
+        &jobs.clone().map(|(name, job)| entry(name, job_body(&job))),
+    );
     for ((name, text), (_, job)) in kept.iter().zip(jobs) {
         assert_eq!(parse(text), Ok(job), "{name}");
     }
@@ -114,9 +158,18 @@
     let requests = [
         ("every field", REQUEST_WITH_EVERY_FIELD),
         ("zeros and empty texts", REQUEST_OF_ZEROS),
-        ("unknown fields", r#"{"colour":{"a":[1,null]},"steps":[{"count":1,"new":[{}]}]}"#),
-        ("fields in other spellings", r#"{"start_at_ms":7,"startAtMs":8,"steps":[{"count":1,"mem_mb":9}]}"#),
-        ("repeated dependencies", r#"{"steps":[{"count":1},{"count":1},{"count":1,"depends-on":[1,0,1]}]}"#),
+        (
+            "unknown fields",
+            r#"{"colour":{"a":[1,null]},"steps":[{"count":1,"new":[{}]}]}"#,
+        ),
+        (
+            "fields in other spellings",
+            r#"{"start_at_ms":7,"startAtMs":8,"steps":[{"count":1,"mem_mb":9}]}"#,
+        ),
+        (
+            "repeated dependencies",
+            r#"{"steps":[{"count":1},{"count":1},{"count":1,"depends-on":[1,0,1]}]}"#,
+        ),
         ("white space", " { \"steps\" : [ { \"count\" : 1 } ] } "),
     ];
     let read = |request: &str| job_body(&parse(request).expect("a job"));
@@ -152,7 +205,8 @@
 fn refused_bodies() -> Vec<String> {
     let with_step = |step: &str| format!(r#"{{"steps":[{{"count":1}},{step}]}}"#);
     let with_times = |times: &str| format!(r#"{{{times},"steps":[{{"count":1}}]}}"#);
-    let steps = |number: usize, step: &str| format!(r#"{{"steps":[{}]}}"#, vec![step; number].join(","));
+    let steps =
+        |number: usize, step: &str| format!(r#"{{"steps":[{}]}}"#, vec![step; number].join(","));
     let mut bodies: Vec<String> = vec![
         "".to_string(),
         "null".to_string(),
@@ -180,29 +234,51 @@
         with_times(r#""repeat":1,"interval-ms":1,"start-at-ms":18446744073709551615"#),
     ];
     let figures = ["cpu", "mem-mb", "gpu", "estimate-ms", "anti-affinity"];
-    bodies.extend(figures.map(|figure| with_step(&format!(r#"{{"count":1,"{figure}":4294967297}}"#))));
+    bodies.extend(
+        figures.map(|figure| with_step(&format!(r#"{{"count":1,"{figure}":4294967297}}"#))),
+    );
     bodies
 }
 
 #[test]
 fn faults_keep_their_texts() {
-    let faults: Vec<JobFault> = refused_bodies().iter().map(|body| parse(body).expect_err(body)).collect();
-    let number_and_name =
-        |(number, fault): (usize, &JobFault)| entry(&format!("{number} {}", name_of_fault(fault)), fault);
-    check("faults.txt", &faults.iter().enumerate().map(number_and_name).collect::<Vec<_>>());
+    let faults: Vec<JobFault> = refused_bodies()
+        .iter()
+        .map(|body| parse(body).expect_err(body))
+        .collect();
+    let number_and_name = |(number, fault): (usize, &JobFault)| {
+        entry(&format!("{number} {}", name_of_fault(fault)), fault)
+    };
+    check(
+        "faults.txt",
+        &faults
+            .iter()
+            .enumerate()
+            .map(number_and_name)
+            .collect::<Vec<_>>(),
+    );
 
     let kinds: BTreeSet<&str> = faults.iter().map(name_of_fault).collect();
     assert_eq!(kinds.len(), 15, "every fault occurs, and every figure");
-    assert!(faults.into_iter().all(|fault| ErrorKind::from(fault) == ErrorKind::Malformed));
+    assert!(faults
+        .into_iter()
+        .all(|fault| ErrorKind::from(fault) == ErrorKind::Malformed));
 }
 
 #[test]
 fn answers_keep_their_form() {
-    let states =
-        [JobState::Queued, JobState::Running, JobState::Succeeded, JobState::Failed, JobState::Cancelled];
+    let states = [
+        JobState::Queued,
+        JobState::Running,
+        JobState::Succeeded,
+        JobState::Failed,
+        JobState::Cancelled,
+    ];
     let counts = [0, 12, u64::MAX];
-    let mut entries: Vec<(String, String)> =
-        states.iter().map(|state| entry(&format!("{state:?}"), job_state_body(*state))).collect();
+    let mut entries: Vec<(String, String)> = states
+        .iter()
+        .map(|state| entry(&format!("{state:?}"), job_state_body(*state)))
+        .collect();
     entries.extend(counts.map(|pending| entry("pending", pending_body(pending))));
     entries.push(entry("unknown answer", UnknownAnswer));
     let kept = check("answers.txt", &entries);
@@ -230,7 +306,9 @@
     ];
     let told = |path: &str| {
         let target = target_of(path);
-        let job = target.job.map_or("no job".to_string(), |JobId(number)| format!("job {number:016x}"));
+        let job = target.job.map_or("no job".to_string(), |JobId(number)| {
+            format!("job {number:016x}")
+        });
         format!("{} and {job}", target.prefix)
     };
     check("paths.txt", &paths.map(|path| entry(path, told(path))));
@@ -238,8 +316,14 @@
 
 #[test]
 fn default_limits_stay() {
-    let JobLimits { max_spec_bytes, max_steps, max_tasks_per_step, max_tasks, max_repeat, max_figure } =
-        JobLimits::default();
+    let JobLimits {
+        max_spec_bytes,
+        max_steps,
+        max_tasks_per_step,
+        max_tasks,
+        max_repeat,
+        max_figure,
+    } = JobLimits::default();
     let entries = [
         entry("spec, bytes", max_spec_bytes),
         entry("steps", max_steps),
@@ -255,6 +339,9 @@
 fn every_golden_file_is_checked() {
     for entry in fs::read_dir(folder()).expect("the folder") {
         let name = entry.expect("an entry").file_name();
-        assert!(FILES.iter().any(|file| name == *file), "no test builds {name:?}");
+        assert!(
+            FILES.iter().any(|file| name == *file),
+            "no test builds {name:?}"
+        );
     }
 }
--- a/crates/cluster-json/tests/jobs.rs
+++ b/crates/cluster-json/tests/jobs.rs
@@ -21,7 +21,13 @@
 #[test]
 fn absent_fields_are_empty() {
     let job = parse(r#"{"steps":[{"count":3}]}"#).expect("a job");
-    let expected = JobSpec { steps: vec![Step { count: 3, ..Step::default() }], ..JobSpec::default() };
+    let expected = JobSpec {
+        steps: vec![Step {
+            count: 3,
+            ..Step::default()
+        }],
+        ..JobSpec::default()
+    };
     assert_eq!(job, expected);
 }
 
@@ -33,7 +39,11 @@
         "speculative":true,"long-running":true}]}"#;
     let second = Step {
         count: 20,
-        needs: Resources { cpu: 2000, memory_mb: 1024, gpu: 2 },
+        needs: Resources {
+            cpu: 2000,
+            memory_mb: 1024,
+            gpu: 2,
+        },
         estimate_ms: 7000,
         depends_on: vec![0],
         checkpoints: true,
@@ -47,7 +57,13 @@
     };
     let expected = JobSpec {
         spec: "crush \"all\" é".into(),
-        steps: vec![Step { count: 1, ..Step::default() }, second],
+        steps: vec![
+            Step {
+                count: 1,
+                ..Step::default()
+            },
+            second,
+        ],
         repeat: 4,
         start_at_ms: 1_700_000_000_000,
         interval_ms: 500,
@@ -63,18 +79,30 @@
 
 #[test]
 fn repeated_dependencies_count_once() {
-    let job =
-        parse(r#"{"steps":[{"count":1},{"count":1},{"count":1,"depends-on":[1,0,1]}]}"#).expect("a job");
+    let job = parse(r#"{"steps":[{"count":1},{"count":1},{"count":1,"depends-on":[1,0,1]}]}"#)
+        .expect("a job");
     assert_eq!(job.steps[2].depends_on, [0, 1]);
 }
 
 #[test]
 fn what_is_not_a_json_object_is_refused() {
-    for body in ["", "{", "null", "3", "\"job\"", "[]", r#"["text",[{"count":1}]]"#, r#"{"steps":[[1]]}"#] {
+    for body in [
+        "",
+        "{",
+        "null",
+        "3",
+        "\"job\"",
+        "[]",
+        r#"["text",[{"count":1}]]"#,
+        r#"{"steps":[[1]]}"#,
+    ] {
         assert!(is_syntax_fault(body), "{body}");
     }
     assert!(is_syntax_fault(r#"{"steps":[{"count":1}]} more"#));
-    assert!(matches!(parse_job(b"{\"spec\":\"\xff\"}", JobLimits::default()), Err(JobFault::Syntax(_))));
+    assert!(matches!(
+        parse_job(b"{\"spec\":\"\xff\"}", JobLimits::default()),
+        Err(JobFault::Syntax(_))
+    ));
 }
 
 #[test]
@@ -87,7 +115,10 @@
         r#""repeat":1.5"#,
         r#""interval-ms":true"#,
     ] {
-        assert!(is_syntax_fault(&format!(r#"{{{field},"steps":[{{"count":1}}]}}"#)), "{field}");
+        assert!(
+            is_syntax_fault(&format!(r#"{{{field},"steps":[{{"count":1}}]}}"#)),
+            "{field}"
+        );
     }
     for field in [
         r#""cpu":"1""#,
@@ -97,7 +128,10 @@
         r#""depends-on":[-1]"#,
         r#""requires":[]"#,
     ] {
-        assert!(is_syntax_fault(&format!(r#"{{"steps":[{{"count":1,{field}}}]}}"#)), "{field}");
+        assert!(
+            is_syntax_fault(&format!(r#"{{"steps":[{{"count":1,{field}}}]}}"#)),
+            "{field}"
+        );
     }
     assert!(is_syntax_fault(r#"{"steps":{"count":1}}"#));
     assert!(is_syntax_fault(r#"{"steps":null}"#));
@@ -105,7 +139,9 @@
 
 #[test]
 fn repeated_fields_are_refused() {
-    assert!(is_syntax_fault(r#"{"spec":"a","spec":"a","steps":[{"count":1}]}"#));
+    assert!(is_syntax_fault(
+        r#"{"spec":"a","spec":"a","steps":[{"count":1}]}"#
+    ));
     assert!(is_syntax_fault(r#"{"steps":[{"count":1,"count":1}]}"#));
 }
 
@@ -113,43 +149,88 @@
 fn the_text_is_bounded_in_bytes() {
     let body = |text: String| format!(r#"{{"spec":"{text}","steps":[{{"count":1}}]}}"#);
     assert!(parse(&body("x".repeat(4000))).is_ok());
-    assert_eq!(parse(&body("x".repeat(4001))), Err(JobFault::SpecTooLong { bytes: 4001, limit: 4000 }));
-    assert_eq!(parse(&body("é".repeat(2001))), Err(JobFault::SpecTooLong { bytes: 4002, limit: 4000 }));
+    assert_eq!(
+        parse(&body("x".repeat(4001))),
+        Err(JobFault::SpecTooLong {
+            bytes: 4001,
+            limit: 4000
+        })
+    );
+    assert_eq!(
+        parse(&body("é".repeat(2001))),
+        Err(JobFault::SpecTooLong {
+            bytes: 4002,
+            limit: 4000
+        })
+    );
 }
 
 #[test]
 fn steps_are_bounded() {
-    let body = |steps: usize| format!(r#"{{"steps":[{}]}}"#, vec![r#"{"count":1}"#; steps].join(","));
+    let body = |steps: usize| {
+        format!(
+            r#"{{"steps":[{}]}}"#,
+            vec![r#"{"count":1}"#; steps].join(",")
+        )
+    };
     assert_eq!(parse("{}"), Err(JobFault::NoSteps));
     assert_eq!(parse(&body(0)), Err(JobFault::NoSteps));
     assert!(parse(&body(256)).is_ok());
-    assert_eq!(parse(&body(257)), Err(JobFault::TooManySteps { steps: 257, limit: 256 }));
+    assert_eq!(
+        parse(&body(257)),
+        Err(JobFault::TooManySteps {
+            steps: 257,
+            limit: 256
+        })
+    );
 }
 
 #[test]
 fn tasks_are_bounded() {
     assert_eq!(fault_of_step("{}"), JobFault::NoTasks { step: 0 });
-    assert_eq!(fault_of_step(r#"{"count":0}"#), JobFault::NoTasks { step: 0 });
+    assert_eq!(
+        fault_of_step(r#"{"count":0}"#),
+        JobFault::NoTasks { step: 0 }
+    );
     assert!(parse(r#"{"steps":[{"count":10000}]}"#).is_ok());
-    let too_many = JobFault::TooManyTasksInStep { step: 0, tasks: 10_001, limit: 10_000 };
+    let too_many = JobFault::TooManyTasksInStep {
+        step: 0,
+        tasks: 10_001,
+        limit: 10_000,
+    };
     assert_eq!(fault_of_step(r#"{"count":10001}"#), too_many);
     let full = [r#"{"count":10000}"#; 10].join(",");
     assert!(parse(&format!(r#"{{"steps":[{full}]}}"#)).is_ok());
     let over = parse(&format!(r#"{{"steps":[{full},{{"count":1}}]}}"#));
-    assert_eq!(over, Err(JobFault::TooManyTasks { tasks: 100_001, limit: 100_000 }));
+    assert_eq!(
+        over,
+        Err(JobFault::TooManyTasks {
+            tasks: 100_001,
+            limit: 100_000
+        })
+    );
 }
 
 #[test]
 fn only_earlier_steps_can_be_depended_on() {
     assert_eq!(
         fault_of_step(r#"{"count":1,"depends-on":[0]}"#),
-        JobFault::NotAnEarlierStep { step: 0, dependency: 0 }
+        JobFault::NotAnEarlierStep {
+            step: 0,
+            dependency: 0
+        }
     );
     for dependency in [1, 2, 4_294_967_296, u64::MAX] {
         let later = parse(&format!(
             r#"{{"steps":[{{"count":1}},{{"count":1,"depends-on":[{dependency}]}},{{"count":1}}]}}"#
         ));
-        assert_eq!(later, Err(JobFault::NotAnEarlierStep { step: 1, dependency }));
+        assert_eq!(
+            later,
+            Err(JobFault::NotAnEarlierStep {
+                step: 1,
+                dependency
+            })
+        );
     }
 }
 
@@ -165,8 +246,19 @@
     ];
     for (name, figure) in figures {
         let fault = fault_of_step(&format!(r#"{{"count":1,"{name}":{value}}}"#));
-        assert_eq!(fault, JobFault::FigureTooLarge { step: 0, figure, value, limit });
-        assert!(parse(&format!(r#"{{"steps":[{{"count":1,"{name}":{limit}}}]}}"#)).is_ok(), "{name}");
+        assert_eq!(
+            fault,
+            JobFault::FigureTooLarge {
+                step: 0,
+                figure,
+                value,
+                limit
+            }
+        );
+        assert!(
+            parse(&format!(r#"{{"steps":[{{"count":1,"{name}":{limit}}}]}}"#)).is_ok(),
+            "{name}"
+        );
     }
 }
 
@@ -174,10 +266,16 @@
 fn times_are_bounded() {
     let body = |times: &str| format!(r#"{{{times},"steps":[{{"count":1}}]}}"#);
     assert!(parse(&body(r#""repeat":1000000"#)).is_ok());
-    let too_many = JobFault::TooManyTimes { repeat: 1_000_001, limit: 1_000_000 };
+    let too_many = JobFault::TooManyTimes {
+        repeat: 1_000_001,
+        limit: 1_000_000,
+    };
     assert_eq!(parse(&body(r#""repeat":1000001"#)), Err(too_many));
     let max = u64::MAX;
-    assert_eq!(parse(&body(&format!(r#""repeat":2,"interval-ms":{max}"#))), Err(JobFault::TimeOverflow));
+    assert_eq!(
+        parse(&body(&format!(r#""repeat":2,"interval-ms":{max}"#))),
+        Err(JobFault::TimeOverflow)
+    );
     let late = format!(r#""repeat":1,"interval-ms":1,"start-at-ms":{max}"#);
     assert_eq!(parse(&body(&late)), Err(JobFault::TimeOverflow));
     assert!(parse(&body(&format!(r#""start-at-ms":{max}"#))).is_ok());
@@ -185,7 +283,11 @@
 
 #[test]
 fn other_limits_hold() {
-    let limits = JobLimits { max_spec_bytes: 2, max_steps: 1, ..JobLimits::default() };
+    let limits = JobLimits {
+        max_spec_bytes: 2,
+        max_steps: 1,
+        ..JobLimits::default()
+    };
     let long = parse_job(br#"{"spec":"abc","steps":[{"count":1}]}"#, limits);
     assert_eq!(long, Err(JobFault::SpecTooLong { bytes: 3, limit: 2 }));
     let steps = parse_job(br#"{"steps":[{"count":1},{"count":1}]}"#, limits);
@@ -195,13 +297,19 @@
 #[test]
 fn faults_read_well_and_are_malformed_requests() {
     let fault = fault_of_step(r#"{"count":1,"mem-mb":5000000000}"#);
-    assert_eq!(fault.to_string(), "step 0 states 5000000000 for mem-mb, over 4294967296");
+    assert_eq!(
+        fault.to_string(),
+        "step 0 states 5000000000 for mem-mb, over 4294967296"
+    );
     assert_eq!(ErrorKind::from(fault), ErrorKind::Malformed);
 }
 
 #[test]
 fn nested_rubbish_ends_in_a_fault() {
-    assert!(is_syntax_fault(&format!(r#"{{"other":{}"#, "[".repeat(100_000))));
+    assert!(is_syntax_fault(&format!(
+        r#"{{"other":{}"#,
+        "[".repeat(100_000)
+    )));
 }
 
 /// A job that keeps all bounds.
@@ -223,7 +331,11 @@
 
 fn sound_step(g: &mut Gen, number: u32) -> Step {
     let mut figure = || u64::from(u32::arbitrary(g));
-    let needs = Resources { cpu: figure(), memory_mb: figure(), gpu: figure() };
+    let needs = Resources {
+        cpu: figure(),
+        memory_mb: figure(),
+        gpu: figure(),
+    };
     Step {
         count: 1 + u32::arbitrary(g) % 10_000,
         needs,
