--- a/crates/cluster-json/tests/paths_and_answers.rs
+++ b/crates/cluster-json/tests/paths_and_answers.rs
@@ -11,21 +11,59 @@
 
 #[test]
 fn a_job_is_named_by_the_last_sixteen_digits() {
-    let expected = JobTarget { prefix: "/orders/", job: Some(ID) };
+    let expected = JobTarget {
+        prefix: "/orders/",
+        job: Some(ID),
+    };
     assert_eq!(target_of("/orders/5c0e7a21d94b36f8"), expected);
     assert_eq!(target_of("/orders/5c0e7a21d94b36f8?again=1"), expected);
-    assert_eq!(target_of("/orders5c0e7a21d94b36f8"), JobTarget { prefix: "/orders", job: Some(ID) });
-    assert_eq!(target_of("/a/b/5c0e7a21d94b36f8"), JobTarget { prefix: "/a/b/", job: Some(ID) });
+    assert_eq!(
+        target_of("/orders5c0e7a21d94b36f8"),
+        JobTarget {
+            prefix: "/orders",
+            job: Some(ID)
+        }
+    );
+    assert_eq!(
+        target_of("/a/b/5c0e7a21d94b36f8"),
+        JobTarget {
+            prefix: "/a/b/",
+            job: Some(ID)
+        }
+    );
 }
 
 #[test]
 fn every_other_path_is_taken_for_a_queue() {
-    for path in ["", "/", "/orders/", "/orders", "/orders/5c0e7a21d94b36f", "/orders/5c0e7a21d94b36fg"] {
-        assert_eq!(target_of(path), JobTarget { prefix: path, job: None });
+    for path in [
+        "",
+        "/",
+        "/orders/",
+        "/orders",
+        "/orders/5c0e7a21d94b36f",
+        "/orders/5c0e7a21d94b36fg",
+    ] {
+        assert_eq!(
+            target_of(path),
+            JobTarget {
+                prefix: path,
+                job: None
+            }
+        );
     }
-    for path in ["/5c0e7a2/1d94b36f8", "/5c0e7a21d94b36f8/", "/orders/+c0e7a21d94b36f8", "/é0e7a21d94b36f8"]
-    {
-        assert_eq!(target_of(path), JobTarget { prefix: path, job: None });
+    for path in [
+        "/5c0e7a2/1d94b36f8",
+        "/5c0e7a21d94b36f8/",
+        "/orders/+c0e7a21d94b36f8",
+        "/é0e7a21d94b36f8",
+    ] {
+        assert_eq!(
+            target_of(path),
+            JobTarget {
+                prefix: path,
+                job: None
+            }
+        );
     }
 }
 
@@ -37,8 +75,13 @@
 
 #[test]
 fn states_come_back() {
-    let states =
-        [JobState::Queued, JobState::Running, JobState::Succeeded, JobState::Failed, JobState::Cancelled];
+    let states = [
+        JobState::Queued,
+        JobState::Running,
+        JobState::Succeeded,
+        JobState::Failed,
+        JobState::Cancelled,
+    ];
     for state in states {
         assert_eq!(parse_job_state(job_state_body(state).as_bytes()), Ok(state));
     }
@@ -46,7 +89,13 @@
 
 #[test]
 fn other_answers_are_not_states() {
-    for body in ["", "{}", r#"{"state":"gone"}"#, r#"{"state":1}"#, r#"["running"]"#] {
+    for body in [
+        "",
+        "{}",
+        r#"{"state":"gone"}"#,
+        r#"{"state":1}"#,
+        r#"["running"]"#,
+    ] {
         assert!(parse_job_state(body.as_bytes()).is_err(), "{body}");
     }
     for body in ["", "{}", r#"{"pending":-1}"#, "[1]"] {
--- a/crates/cluster-local/src/calls.rs
+++ b/crates/cluster-local/src/calls.rs
@@ -42,7 +42,9 @@
 
 /// Makes a call; none where no answer came.
 pub async fn exchange(address: SocketAddrV4, call: &Call) -> Option<Answer> {
-    let mut request = Request::builder().method(call.method.clone()).uri(&call.path);
+    let mut request = Request::builder()
+        .method(call.method.clone())
+        .uri(&call.path);
     if !call.host.is_empty() {
         request = request.header(header::HOST, &call.host);
     }
@@ -51,6 +53,11 @@
     }
     let request = request.header(header::CONTENT_TYPE, "application/json");
     let request = request.body(Bytes::from(call.body.clone())).ok()?;
-    let answer = http_client::call(address, request, CALL_WITHIN).await.ok()?;
-    Some(Answer { status: answer.status().as_u16(), body: answer.into_body() })
+    let answer = http_client::call(address, request, CALL_WITHIN)
+        .await
+        .ok()?;
+    Some(Answer {
+        status: answer.status().as_u16(),
+        body: answer.into_body(),
+    })
 }
--- a/crates/cluster-local/src/cluster.rs
+++ b/crates/cluster-local/src/cluster.rs
@@ -15,7 +15,11 @@
 use tokio::time::Instant;
 
 /// What each worker has.
-const CAPACITY: Capacity = Capacity { cpu: 4_000, mem_mb: 4_096, gpu: 0 };
+const CAPACITY: Capacity = Capacity {
+    cpu: 4_000,
+    mem_mb: 4_096,
+    gpu: 0,
+};
 
 /// A running cluster; everything ends when it is dropped.
 #[derive(Debug)]
@@ -67,7 +71,9 @@
 
     /// An error where a process has ended by itself.
     pub fn check(&mut self) -> Result<(), LocalError> {
-        self.processes.iter_mut().try_for_each(|(_, process)| process.check())
+        self.processes
+            .iter_mut()
+            .try_for_each(|(_, process)| process.check())
     }
 
     fn start_one(&mut self, member: Member, first: bool) -> Result<(), LocalError> {
@@ -92,8 +98,11 @@
             stop_takes_ms: STOP_MS / 2,
             gang_waits_ms: GANG_MS,
         };
-        let beats =
-            BeatSettings { agent: agent.control(ports), every: Duration::from_millis(HEARTBEAT_MS), epoch };
+        let beats = BeatSettings {
+            agent: agent.control(ports),
+            every: Duration::from_millis(HEARTBEAT_MS),
+            epoch,
+        };
         workers.spawn(beats::run(Worker::new(settings, floor.clone()), beats));
     }
     workers
--- a/crates/cluster-local/src/faults.rs
+++ b/crates/cluster-local/src/faults.rs
@@ -59,7 +59,11 @@
         sleep(AWAY).await;
         cluster.restart(member)?;
         journal.tell(format!("{member} starts again"));
-        killed.push(Killed { part: part.word(), member: member.to_string(), at_ms });
+        killed.push(Killed {
+            part: part.word(),
+            member: member.to_string(),
+            at_ms,
+        });
     }
     Ok(killed)
 }
@@ -80,7 +84,10 @@
             return Ok(head);
         }
         if Instant::now() >= late {
-            return Err(LocalError::TimedOut("finding the head", cluster.folder().to_owned()));
+            return Err(LocalError::TimedOut(
+                "finding the head",
+                cluster.folder().to_owned(),
+            ));
         }
         sleep(ASK_AGAIN).await;
     }
--- a/crates/cluster-local/src/jobs.rs
+++ b/crates/cluster-local/src/jobs.rs
@@ -45,7 +45,13 @@
 
 impl Kind {
     /// Every kind.
-    pub const ALL: [Kind; 5] = [Kind::Plain, Kind::Gang, Kind::Dependent, Kind::Cancelled, Kind::Failing];
+    pub const ALL: [Kind; 5] = [
+        Kind::Plain,
+        Kind::Gang,
+        Kind::Dependent,
+        Kind::Cancelled,
+        Kind::Failing,
+    ];
 
     /// Its word in reports.
     pub fn word(self) -> &'static str {
@@ -69,21 +75,66 @@
 
     /// What such a job asks for.
     pub fn spec(self) -> JobSpec {
-        let work = Work { takes_ms: SHORT_MS, cpu: TASK_CPU, gang: 0, fails: false };
+        let work = Work {
+            takes_ms: SHORT_MS,
+            cpu: TASK_CPU,
+            gang: 0,
+            fails: false,
+        };
         let (work, steps) = match self {
             Kind::Plain => (work, vec![step(3), step(2)]),
-            Kind::Gang => (Work { gang: 3, ..work }, vec![Step { gang: true, ..step(3) }]),
-            Kind::Dependent => (work, vec![step(2), Step { depends_on: vec![0], ..step(2) }]),
-            Kind::Cancelled => (Work { takes_ms: ENDLESS_MS, ..work }, vec![step(1)]),
-            Kind::Failing => (Work { fails: true, ..work }, vec![step(1)]),
+            Kind::Gang => (
+                Work { gang: 3, ..work },
+                vec![Step {
+                    gang: true,
+                    ..step(3)
+                }],
+            ),
+            Kind::Dependent => (
+                work,
+                vec![
+                    step(2),
+                    Step {
+                        depends_on: vec![0],
+                        ..step(2)
+                    },
+                ],
+            ),
+            Kind::Cancelled => (
+                Work {
+                    takes_ms: ENDLESS_MS,
+                    ..work
+                },
+                vec![step(1)],
+            ),
+            Kind::Failing => (
+                Work {
+                    fails: true,
+                    ..work
+                },
+                vec![step(1)],
+            ),
         };
-        JobSpec { spec: work.to_string(), steps, ..JobSpec::default() }
+        JobSpec {
+            spec: work.to_string(),
+            steps,
+            ..JobSpec::default()
+        }
     }
 }
 
 fn step(count: u32) -> Step {
-    let needs = Resources { cpu: TASK_CPU, memory_mb: TASK_MEMORY_MB, gpu: 0 };
-    Step { count, needs, estimate_ms: SHORT_MS, ..Step::default() }
+    let needs = Resources {
+        cpu: TASK_CPU,
+        memory_mb: TASK_MEMORY_MB,
+        gpu: 0,
+    };
+    Step {
+        count,
+        needs,
+        estimate_ms: SHORT_MS,
+        ..Step::default()
+    }
 }
 
 /// What became of a job.
@@ -120,9 +171,20 @@
 impl Client {
     /// Hands a job in and follows it to its end.
     pub async fn play(self, job: JobId, kind: Kind) -> PlayedJob {
-        let mut played = PlayedJob { job, kind, sends: 0, accepted: false, state: None };
-        let submission = Call { body: job_body(&kind.spec()), ..call(Method::POST, job) };
-        let Some(sends) = self.insist(&submission, Answer::is_success).await else { return played };
+        let mut played = PlayedJob {
+            job,
+            kind,
+            sends: 0,
+            accepted: false,
+            state: None,
+        };
+        let submission = Call {
+            body: job_body(&kind.spec()),
+            ..call(Method::POST, job)
+        };
+        let Some(sends) = self.insist(&submission, Answer::is_success).await else {
+            return played;
+        };
         played.sends = sends;
         played.accepted = true;
         if kind == Kind::Cancelled {
@@ -142,7 +204,10 @@
                 return None;
             }
             sends += 1;
-            if exchange(*front, call).await.is_some_and(|answer| will_do(&answer)) {
+            if exchange(*front, call)
+                .await
+                .is_some_and(|answer| will_do(&answer))
+            {
                 return Some(sends);
             }
             sleep(RETRY_PAUSE).await;
@@ -168,5 +233,10 @@
 }
 
 fn call(method: Method, job: JobId) -> Call {
-    Call { method, path: format!("{PREFIX}{job}"), host: HOST.to_owned(), ..Call::default() }
+    Call {
+        method,
+        path: format!("{PREFIX}{job}"),
+        host: HOST.to_owned(),
+        ..Call::default()
+    }
 }
--- a/crates/cluster-local/src/layout.rs
+++ b/crates/cluster-local/src/layout.rs
@@ -57,12 +57,17 @@
     /// Every process of the cluster, core processes first.
     pub fn all() -> Vec<Member> {
         let of = |class, count| (1..=count).map(move |number| Member { class, number });
-        of(Class::Core, CORES).chain(of(Class::Front, FRONTS)).chain(of(Class::Agent, AGENTS)).collect()
+        of(Class::Core, CORES)
+            .chain(of(Class::Front, FRONTS))
+            .chain(of(Class::Agent, AGENTS))
+            .collect()
     }
 
     /// Every process of a class.
     pub fn of(class: Class) -> impl Iterator<Item = Member> {
-        Member::all().into_iter().filter(move |member| member.class == class)
+        Member::all()
+            .into_iter()
+            .filter(move |member| member.class == class)
     }
 
     /// The loopback address that stands for its machine.
@@ -101,8 +106,9 @@
             Class::Front => ("frontend", "frontend"),
             Class::Agent => ("side", "side"),
         };
-        let seeds: Vec<String> =
-            Member::of(Class::Core).map(|core| core.control(ports).to_string()).collect();
+        let seeds: Vec<String> = Member::of(Class::Core)
+            .map(|core| core.control(ports).to_string())
+            .collect();
         let mut lines = vec![
             format!("node={self}"),
             format!("role={class}"),
@@ -126,11 +132,17 @@
         match self.class {
             Class::Core => {
                 lines.push(format!("bind-addresses.control={}", self.control(ports)));
-                lines.push(format!("data-dir={}", folder.join(self.to_string()).display()));
+                lines.push(format!(
+                    "data-dir={}",
+                    folder.join(self.to_string()).display()
+                ));
             }
             Class::Front => {
                 lines.push(format!("bind-addresses.front={}", self.front(ports)));
-                lines.push(format!("bind-addresses.readiness={}", self.readiness(ports)));
+                lines.push(format!(
+                    "bind-addresses.readiness={}",
+                    self.readiness(ports)
+                ));
             }
             Class::Agent => lines.push(format!("bind-addresses.control={}", self.control(ports))),
         }
--- a/crates/cluster-local/src/operator.rs
+++ b/crates/cluster-local/src/operator.rs
@@ -66,7 +66,10 @@
 
 /// Whether all fronts are ready.
 pub async fn all_fronts_ready(ports: &Ports) -> bool {
-    let call = Call { path: "/lupinrack/ready".to_owned(), ..Call::default() };
+    let call = Call {
+        path: "/lupinrack/ready".to_owned(),
+        ..Call::default()
+    };
     for front in Member::of(Class::Front) {
         let answer = exchange(front.readiness(ports), &call).await;
         if !answer.is_some_and(|answer| answer.is_success()) {
@@ -83,7 +86,9 @@
             Class::Core | Class::Agent => member.control(ports),
             Class::Front => member.readiness(ports),
         };
-        let first_line = status(address).await.and_then(|text| text.lines().next().map(str::to_owned));
+        let first_line = status(address)
+            .await
+            .and_then(|text| text.lines().next().map(str::to_owned));
         if first_line != Some(format!("node {member}")) {
             return false;
         }
@@ -104,7 +109,10 @@
 
 /// What the process at this address tells of itself.
 async fn status(address: SocketAddrV4) -> Option<String> {
-    let call = Call { path: STATUS_PATH.to_owned(), ..Call::default() };
+    let call = Call {
+        path: STATUS_PATH.to_owned(),
+        ..Call::default()
+    };
     let answer = exchange(address, &call).await.filter(Answer::is_success)?;
     Some(String::from_utf8_lossy(&answer.body).into_owned())
 }
--- a/crates/cluster-local/src/ports.rs
+++ b/crates/cluster-local/src/ports.rs
@@ -29,16 +29,28 @@
     /// Draws ports until all are free at all addresses.
     pub fn draw() -> Result<Ports, LocalError> {
         let drawn = (0..TRIES).map(|_| Ports::from_first(fastrand::u16(FIRST..LAST)));
-        drawn.into_iter().find(Ports::are_free).ok_or(LocalError::NoPorts)
+        drawn
+            .into_iter()
+            .find(Ports::are_free)
+            .ok_or(LocalError::NoPorts)
     }
 
     fn from_first(first: u16) -> Ports {
-        Ports { internal: first, control: first + 1, front: first + 2, readiness: first + 3 }
+        Ports {
+            internal: first,
+            control: first + 1,
+            front: first + 2,
+            readiness: first + 3,
+        }
     }
 
     fn are_free(&self) -> bool {
         let range = self.internal..self.internal + COUNT;
         let mut addresses = Member::all().into_iter().map(Member::ip);
-        addresses.all(|ip| range.clone().all(|port| TcpListener::bind(SocketAddrV4::new(ip, port)).is_ok()))
+        addresses.all(|ip| {
+            range
+                .clone()
+                .all(|port| TcpListener::bind(SocketAddrV4::new(ip, port)).is_ok())
+        })
     }
 }
--- a/crates/cluster-local/src/process.rs
+++ b/crates/cluster-local/src/process.rs
@@ -34,8 +34,8 @@
         fs::create_dir_all(data).map_err(in_folder)?;
         fs::write(&settings, member.settings(ports, folder, first)).map_err(in_folder)?;
         let log = folder.join(format!("{member}.log"));
-        let child =
-            spawn(program, &settings, &log).map_err(|error| LocalError::Start(member.to_string(), error))?;
+        let child = spawn(program, &settings, &log)
+            .map_err(|error| LocalError::Start(member.to_string(), error))?;
         Ok(Process { member, child, log })
     }
 
@@ -63,5 +63,9 @@
     if std::env::var_os(LOG_VARIABLE).is_none() {
         command.env(LOG_VARIABLE, "info");
     }
-    command.stdin(Stdio::null()).stdout(log.try_clone()?).stderr(log).spawn()
+    command
+        .stdin(Stdio::null())
+        .stdout(log.try_clone()?)
+        .stderr(log)
+        .spawn()
 }
--- a/crates/cluster-local/src/report.rs
+++ b/crates/cluster-local/src/report.rs
@@ -66,14 +66,26 @@
 
 impl LocalReport {
     /// From the jobs, and what the workers noted.
-    pub fn new(played: &[PlayedJob], floor: &Floor, killed: Vec<Killed>, took_ms: u64) -> LocalReport {
+    pub fn new(
+        played: &[PlayedJob],
+        floor: &Floor,
+        killed: Vec<Killed>,
+        took_ms: u64,
+    ) -> LocalReport {
         let mut as_expected = BTreeMap::new();
         for job in played.iter().filter(|job| job.is_as_expected()) {
             *as_expected.entry(job.kind.word()).or_default() += 1;
         }
-        let wrong: Vec<WrongJob> = played.iter().filter(|job| !job.is_as_expected()).map(wrong).collect();
-        let (run_twice, out_of_order, left_running) =
-            (floor.run_twice(), crate::order::out_of_order(played, &floor.events()), floor.alive());
+        let wrong: Vec<WrongJob> = played
+            .iter()
+            .filter(|job| !job.is_as_expected())
+            .map(wrong)
+            .collect();
+        let (run_twice, out_of_order, left_running) = (
+            floor.run_twice(),
+            crate::order::out_of_order(played, &floor.events()),
+            floor.alive(),
+        );
         LocalReport {
             good: wrong.is_empty() && run_twice + out_of_order + left_running == 0,
             jobs: played.len(),
@@ -103,13 +115,21 @@
 impl fmt::Display for LocalReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let ended: usize = self.as_expected.values().sum();
-        writeln!(f, "jobs: {ended} of {} ended as they should, in {} ms", self.jobs, self.took_ms)?;
+        writeln!(
+            f,
+            "jobs: {ended} of {} ended as they should, in {} ms",
+            self.jobs, self.took_ms
+        )?;
         for (kind, count) in &self.as_expected {
             writeln!(f, "  {kind}: {count}")?;
         }
         for job in &self.wrong {
             let state = job.state.unwrap_or("not known");
-            writeln!(f, "  wrong: {} ({}) is {state}, should be {}", job.job, job.kind, job.expected)?;
+            writeln!(
+                f,
+                "  wrong: {} ({}) is {state}, should be {}",
+                job.job, job.kind, job.expected
+            )?;
         }
         writeln!(f, "sent again: {}", self.sent_again)?;
         writeln!(f, "runs by end: {:?}", self.run_ends)?;
@@ -131,7 +151,10 @@
 impl Journal {
     /// Begins now; prints to standard output or keeps silent.
     pub fn begin(prints: bool) -> Journal {
-        Journal { began: Instant::now(), prints }
+        Journal {
+            began: Instant::now(),
+            prints,
+        }
     }
 
     /// Milliseconds since it began.
--- a/crates/cluster-local/src/scenario.rs
+++ b/crates/cluster-local/src/scenario.rs
@@ -48,12 +48,16 @@
 pub async fn play(settings: &LocalSettings) -> Result<LocalReport, LocalError> {
     let journal = Journal::begin(settings.prints);
     let mut cluster = Cluster::start(&settings.program, &settings.folder)?;
-    journal.tell(format!("processes started, ports from {}", cluster.ports.internal));
+    journal.tell(format!(
+        "processes started, ports from {}",
+        cluster.ports.internal
+    ));
     become_ready(&mut cluster, &journal).await?;
     let from = Instant::now();
     let until = from + settings.hand_in_for;
-    let fronts: Vec<SocketAddrV4> =
-        Member::of(Class::Front).map(|front| front.front(&cluster.ports)).collect();
+    let fronts: Vec<SocketAddrV4> = Member::of(Class::Front)
+        .map(|front| front.front(&cluster.ports))
+        .collect();
     let (played, killed) = tokio::join!(
         hand_in(&fronts, until, until + settings.end_within),
         kill_in_turn(&mut cluster, &settings.kill, from, until, &journal),
@@ -62,7 +66,12 @@
     cluster.check()?;
     journal.tell(format!("{} jobs followed to their ends", played.len()));
     all_runs_end(&cluster).await;
-    Ok(LocalReport::new(&played, &cluster.floor, killed, journal.elapsed_ms()))
+    Ok(LocalReport::new(
+        &played,
+        &cluster.floor,
+        killed,
+        journal.elapsed_ms(),
+    ))
 }
 
 async fn become_ready(cluster: &mut Cluster, journal: &Journal) -> Result<(), LocalError> {
@@ -99,7 +108,10 @@
     while next_round < until {
         for kind in Kind::ALL {
             fronts.rotate_left(1);
-            let client = Client { fronts: fronts.clone(), until: ended_by };
+            let client = Client {
+                fronts: fronts.clone(),
+                until: ended_by,
+            };
             clients.spawn(client.play(JobId(fastrand::u64(..)), kind));
         }
         next_round += ROUND;
--- a/crates/cluster-local/tests/golden.rs
+++ b/crates/cluster-local/tests/golden.rs
@@ -23,7 +23,12 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-const PORTS: Ports = Ports { internal: 7_000, control: 7_001, front: 7_002, readiness: 7_003 };
+const PORTS: Ports = Ports {
+    internal: 7_000,
+    control: 7_001,
+    front: 7_002,
+    readiness: 7_003,
+};
 /// Files beside those of the settings.
 const FILES: [&str; 8] = [
     "configuration-call.txt",
@@ -47,7 +52,9 @@
 }
 
 fn starts() -> impl Iterator<Item = (Member, bool)> {
-    Member::all().into_iter().flat_map(|member| [(member, true), (member, false)])
+    Member::all()
+        .into_iter()
+        .flat_map(|member| [(member, true), (member, false)])
 }
 
 /// Compares a text with its file, or writes the file.
@@ -61,16 +68,29 @@
 }
 
 fn lines(named: impl IntoIterator<Item = (String, String)>) -> String {
-    named.into_iter().map(|(name, text)| format!("{name}: {text}\n")).collect()
+    named
+        .into_iter()
+        .map(|(name, text)| format!("{name}: {text}\n"))
+        .collect()
 }
 
 #[test]
 fn every_golden_file_is_built_by_a_test() {
     let files = fs::read_dir(golden_folder()).expect("the golden files");
-    let kept: BTreeSet<String> =
-        files.map(|file| file.expect("a file").file_name().to_string_lossy().into_owned()).collect();
+    let kept: BTreeSet<String> = files
+        .map(|file| {
+            file.expect("a file")
+                .file_name()
+                .to_string_lossy()
+                .into_owned()
+        })
+        .collect();
     let settings = starts().map(|(member, first)| settings_file(member, first));
-    let built: BTreeSet<String> = FILES.map(str::to_owned).into_iter().chain(settings).collect();
+    let built: BTreeSet<String> = FILES
+        .map(str::to_owned)
+        .into_iter()
+        .chain(settings)
+        .collect();
     if std::env::var_os("UPDATE_GOLDEN").is_none() {
         assert_eq!(kept, built);
     }
@@ -85,7 +105,10 @@
         let kept = fs::read_to_string(golden_folder().join(&name)).expect("a golden file");
         let settings = NodeSettings::parse(&kept).unwrap_or_else(|error| panic!("{name}: {error}"));
         assert_eq!(settings.node, member.to_string());
-        assert_eq!(settings.internal_address, SocketAddrV4::new(member.ip(), PORTS.internal));
+        assert_eq!(
+            settings.internal_address,
+            SocketAddrV4::new(member.ip(), PORTS.internal)
+        );
         assert_eq!(settings.is_founder(), first && member.class == Class::Core);
     }
 }
@@ -98,7 +121,12 @@
 
 #[test]
 fn words_and_addresses_stay_the_same() {
-    let kind = |kind: Kind| (format!("kind {}", kind.word()), format!("ends {}", kind.expected().word()));
+    let kind = |kind: Kind| {
+        (
+            format!("kind {}", kind.word()),
+            format!("ends {}", kind.expected().word()),
+        )
+    };
     let part = |part: Part| {
         let class = match part {
             Part::Head => "head",
@@ -109,10 +137,17 @@
     };
     let member = |member: Member| {
         let (control, front) = (member.control(&PORTS), member.front(&PORTS));
-        (format!("member {member}"), format!("{control} {front} {}", member.readiness(&PORTS)))
+        (
+            format!("member {member}"),
+            format!("{control} {front} {}", member.readiness(&PORTS)),
+        )
     };
     let members = Member::all().into_iter().map(member);
-    let all = Kind::ALL.map(kind).into_iter().chain(Part::ALL.map(part)).chain(members);
+    let all = Kind::ALL
+        .map(kind)
+        .into_iter()
+        .chain(Part::ALL.map(part))
+        .chain(members);
     assert_golden("words.txt", &lines(all));
 }
 
@@ -123,11 +158,20 @@
         ("no-ports", LocalError::NoPorts),
         ("folder", LocalError::Folder("/folder".into(), broken())),
         ("start", LocalError::Start("core-1".to_owned(), broken())),
-        ("ended", LocalError::Ended("front-2".to_owned(), "/folder/front-2.log".into())),
-        ("timed-out", LocalError::TimedOut("becoming ready", "/folder".into())),
+        (
+            "ended",
+            LocalError::Ended("front-2".to_owned(), "/folder/front-2.log".into()),
+        ),
+        (
+            "timed-out",
+            LocalError::TimedOut("becoming ready", "/folder".into()),
+        ),
         ("refused", LocalError::Refused(412)),
     ];
-    assert_golden("errors.txt", &lines(errors.map(|(name, error)| (name.to_owned(), error.to_string()))));
+    assert_golden(
+        "errors.txt",
+        &lines(errors.map(|(name, error)| (name.to_owned(), error.to_string()))),
+    );
 }
 
 /// A job of each kind and a wrong one for each state and for none, with distinct values in every field.
@@ -155,11 +199,23 @@
         member: format!("member-{number}"),
         at_ms: 1_000 + number,
     };
-    let ends = [End::Done, End::Failed, End::Stopped, End::Lapsed, End::Broken, End::Alone, End::Refused];
+    let ends = [
+        End::Done,
+        End::Failed,
+        End::Stopped,
+        End::Lapsed,
+        End::Broken,
+        End::Alone,
+        End::Refused,
+    ];
     LocalReport {
         good: false,
         jobs: 31,
-        as_expected: Kind::ALL.iter().zip(41..).map(|(kind, count)| (kind.word(), count)).collect(),
+        as_expected: Kind::ALL
+            .iter()
+            .zip(41..)
+            .map(|(kind, count)| (kind.word(), count))
+            .collect(),
         wrong: states.into_iter().enumerate().map(wrong).collect(),
         sent_again: 51,
         run_ends: ends.into_iter().zip(61..).collect(),
@@ -180,26 +236,44 @@
         state: Some(kind.expected()),
     };
     let floor = Floor::default();
-    let run = RunName { task: format!("{}.0.0.0", JobId(1)), run: 1 };
-    floor.note(Event::Started { run: run.clone(), worker: "worker".to_owned() });
-    floor.note(Event::Ended { run, end: End::Done });
+    let run = RunName {
+        task: format!("{}.0.0.0", JobId(1)),
+        run: 1,
+    };
+    floor.note(Event::Started {
+        run: run.clone(),
+        worker: "worker".to_owned(),
+    });
+    floor.note(Event::Ended {
+        run,
+        end: End::Done,
+    });
     LocalReport::new(&Kind::ALL.map(played), &floor, Vec::new(), 1_234)
 }
 
 #[test]
 fn reports_as_json_stay_the_same() {
-    for (name, report) in [("report-good.json", good_report()), ("report-bad.json", bad_report())] {
+    for (name, report) in [
+        ("report-good.json", good_report()),
+        ("report-bad.json", bad_report()),
+    ] {
         let text = serde_json::to_string(&report).expect("a report as JSON");
         assert_golden(name, &format!("{text}\n"));
         let kept = fs::read_to_string(golden_folder().join(name)).expect("a golden file");
         let kept: Value = serde_json::from_str(&kept).expect("JSON");
-        assert_eq!(kept, serde_json::to_value(&report).expect("a report as JSON"));
+        assert_eq!(
+            kept,
+            serde_json::to_value(&report).expect("a report as JSON")
+        );
     }
 }
 
 #[test]
 fn reports_for_people_stay_the_same() {
-    assert_golden("reports.txt", &format!("{}\n{}", good_report(), bad_report()));
+    assert_golden(
+        "reports.txt",
+        &format!("{}\n{}", good_report(), bad_report()),
+    );
 }
 
 /// Writes a program that keeps its arguments and the levels of its log beside its settings, and then waits.
@@ -234,10 +308,17 @@
 
 /// What each process was started with, by its name.
 fn wait_for_starts(folder: &Path) -> String {
-    let whole = |text: &str| text.lines().any(|line| line.starts_with("levels: ")).then(|| text.to_owned());
+    let whole = |text: &str| {
+        text.lines()
+            .any(|line| line.starts_with("levels: "))
+            .then(|| text.to_owned())
+    };
     let start = |member: Member| {
         let start = wait_for(&folder.join(format!("{member}.conf.start")), whole);
-        format!("{member}\n{}", start.replace(&folder.display().to_string(), "FOLDER"))
+        format!(
+            "{member}\n{}",
+            start.replace(&folder.display().to_string(), "FOLDER")
+        )
     };
     Member::all().into_iter().map(start).collect()
 }
@@ -255,8 +336,9 @@
 fn see(folder: PathBuf) -> JoinHandle<Seen> {
     std::thread::spawn(move || {
         let starts = wait_for_starts(&folder);
-        let address =
-            wait_for(&folder.join("core-1.conf"), |text| settings_value(text, "bind-addresses.control"));
+        let address = wait_for(&folder.join("core-1.conf"), |text| {
+            settings_value(text, "bind-addresses.control")
+        });
         let listener = TcpListener::bind(&address).expect("the control address");
         let (stream, _) = listener.accept().expect("a call");
         let mut reader = BufReader::new(&stream);
@@ -266,20 +348,27 @@
         }
         let length = head.lines().find_map(|line| {
             let (name, value) = line.split_once(": ")?;
-            name.eq_ignore_ascii_case("content-length").then(|| value.parse::<usize>().ok())?
+            name.eq_ignore_ascii_case("content-length")
+                .then(|| value.parse::<usize>().ok())?
         });
         let mut body = vec![0; length.expect("a length")];
         reader.read_exact(&mut body).expect("a body");
-        (&stream).write_all(b"HTTP/1.1 400 x\r\ncontent-length: 0\r\n\r\n").expect("an answer");
+        (&stream)
+            .write_all(b"HTTP/1.1 400 x\r\ncontent-length: 0\r\n\r\n")
+            .expect("an answer");
         let body = String::from_utf8(body).expect("text");
-        let call = format!("{}{body}\n", head.replace('\r', "").replace(&address, "ADDRESS"));
+        let call = format!(
+            "{}{body}\n",
+            head.replace('\r', "").replace(&address, "ADDRESS")
+        );
         Seen { starts, call }
     })
 }
 
 #[tokio::test]
 async fn the_start_of_a_process_and_the_call_with_the_configuration_stay_the_same() {
-    let folder = std::env::temp_dir().join(format!("lupinrack-local-golden-{}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("lupinrack-local-golden-{}", std::process::id()));
     fs::create_dir(&folder).expect("a folder");
     let settings = LocalSettings {
         program: write_stand_in(&folder),
@@ -291,11 +380,17 @@
     };
     let seen = see(folder.clone());
     let refused = play(&settings).await;
-    assert!(matches!(refused, Err(LocalError::Refused(400))), "{refused:?}");
+    assert!(
+        matches!(refused, Err(LocalError::Refused(400))),
+        "{refused:?}"
+    );
     let Seen { starts, call } = seen.join().expect("a call");
     assert_golden("configuration-call.txt", &call);
     // Levels that are set for the test itself are passed on.
     let levels = std::env::var("LUPINRACK_LOG").unwrap_or_else(|_| "info".to_owned());
-    assert_golden("process-start.txt", &starts.replace(&format!("levels: {levels}\n"), "levels: info\n"));
+    assert_golden(
+        "process-start.txt",
+        &starts.replace(&format!("levels: {levels}\n"), "levels: info\n"),
+    );
     fs::remove_dir_all(&folder).expect("the folder removed");
 }
--- a/crates/cluster-local/tests/layout.rs
+++ b/crates/cluster-local/tests/layout.rs
@@ -7,7 +7,12 @@
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 
-const PORTS: Ports = Ports { internal: 7_000, control: 7_001, front: 7_002, readiness: 7_003 };
+const PORTS: Ports = Ports {
+    internal: 7_000,
+    control: 7_001,
+    front: 7_002,
+    readiness: 7_003,
+};
 
 fn settings(member: Member, first: bool) -> NodeSettings {
     let text = member.settings(&PORTS, Path::new("/folder"), first);
@@ -20,7 +25,10 @@
     let members = Member::all();
     let addresses: BTreeSet<_> = members.iter().map(|member| member.ip()).collect();
     let names: BTreeSet<_> = members.iter().map(Member::to_string).collect();
-    assert_eq!((members.len(), addresses.len(), names.len()), (count, count, count));
+    assert_eq!(
+        (members.len(), addresses.len(), names.len()),
+        (count, count, count)
+    );
     assert!(addresses.iter().all(|ip| ip.is_loopback()));
 }
 
@@ -33,22 +41,34 @@
             Class::Front => Serves::Frontend,
             Class::Agent => Serves::Side,
         };
-        assert_eq!((settings.node.clone(), settings.serves.clone()), (member.to_string(), vec![serves]));
-        assert_eq!(settings.internal_address, SocketAddrV4::new(member.ip(), PORTS.internal));
+        assert_eq!(
+            (settings.node.clone(), settings.serves.clone()),
+            (member.to_string(), vec![serves])
+        );
+        assert_eq!(
+            settings.internal_address,
+            SocketAddrV4::new(member.ip(), PORTS.internal)
+        );
     }
 }
 
 #[test]
 fn the_core_processes_found_the_cluster_and_only_at_the_first_start() {
     for member in Member::all() {
-        assert_eq!(settings(member, true).is_founder(), member.class == Class::Core, "{member}");
+        assert_eq!(
+            settings(member, true).is_founder(),
+            member.class == Class::Core,
+            "{member}"
+        );
         assert!(!settings(member, false).is_founder(), "{member}");
     }
 }
 
 #[test]
 fn only_core_processes_have_disks_and_each_its_own() {
-    let disks: BTreeSet<PathBuf> =
-        Member::all().into_iter().filter_map(|member| settings(member, true).data_dir).collect();
+    let disks: BTreeSet<PathBuf> = Member::all()
+        .into_iter()
+        .filter_map(|member| settings(member, true).data_dir)
+        .collect();
     assert_eq!(disks.len(), usize::from(CORES));
 }
--- a/crates/cluster-local/tests/report.rs
+++ b/crates/cluster-local/tests/report.rs
@@ -11,19 +11,34 @@
 const JOB: JobId = JobId(1);
 
 fn played(kind: Kind, state: Option<JobState>) -> PlayedJob {
-    PlayedJob { job: JOB, kind, sends: 2, accepted: true, state }
+    PlayedJob {
+        job: JOB,
+        kind,
+        sends: 2,
+        accepted: true,
+        state,
+    }
 }
 
 fn run(step: u32, index: u32) -> RunName {
-    RunName { task: format!("{JOB}.0.{step}.{index}"), run: 1 }
+    RunName {
+        task: format!("{JOB}.0.{step}.{index}"),
+        run: 1,
+    }
 }
 
 fn started(step: u32, index: u32) -> Event {
-    Event::Started { run: run(step, index), worker: "worker".to_owned() }
+    Event::Started {
+        run: run(step, index),
+        worker: "worker".to_owned(),
+    }
 }
 
 fn ended(step: u32, index: u32, end: End) -> Event {
-    Event::Ended { run: run(step, index), end }
+    Event::Ended {
+        run: run(step, index),
+        end,
+    }
 }
 
 fn report(jobs: &[PlayedJob], events: Vec<Event>) -> LocalReport {
@@ -43,7 +58,10 @@
 
 #[test]
 fn a_job_in_another_state_or_in_none_or_never_accepted_is_wrong() {
-    let not_accepted = PlayedJob { accepted: false, ..played(Kind::Plain, Some(JobState::Succeeded)) };
+    let not_accepted = PlayedJob {
+        accepted: false,
+        ..played(Kind::Plain, Some(JobState::Succeeded))
+    };
     for job in [
         played(Kind::Plain, Some(JobState::Running)),
         played(Kind::Cancelled, Some(JobState::Succeeded)),
@@ -64,7 +82,12 @@
 
 #[test]
 fn a_second_run_beside_the_first_is_not_good() {
-    let events = vec![started(0, 0), started(0, 0), ended(0, 0, End::Done), ended(0, 0, End::Done)];
+    let events = vec![
+        started(0, 0),
+        started(0, 0),
+        ended(0, 0, End::Done),
+        ended(0, 0, End::Done),
+    ];
     let report = report(&[], events);
     assert_eq!((report.good, report.run_twice), (false, 1));
 }
--- a/crates/cluster-log/src/levels.rs
+++ b/crates/cluster-log/src/levels.rs
@@ -36,7 +36,10 @@
 
 impl Default for Levels {
     fn default() -> Levels {
-        Levels { default: Some(DEFAULT_LEVEL), modules: Vec::new() }
+        Levels {
+            default: Some(DEFAULT_LEVEL),
+            modules: Vec::new(),
+        }
     }
 }
 
@@ -45,8 +48,14 @@
 
     fn from_str(text: &str) -> Result<Levels, MalformedLevels> {
         let mut levels = Levels::default();
-        for part in text.split(',').map(str::trim).filter(|part| !part.is_empty()) {
-            levels.add(part).ok_or_else(|| MalformedLevels(part.to_string()))?;
+        for part in text
+            .split(',')
+            .map(str::trim)
+            .filter(|part| !part.is_empty())
+        {
+            levels
+                .add(part)
+                .ok_or_else(|| MalformedLevels(part.to_string()))?;
         }
         Ok(levels)
     }
@@ -56,7 +65,10 @@
     /// Whether an event of this module and level is logged.
     pub fn allow(&self, module: &str, level: Level) -> bool {
         let module = without_crate_prefix(module);
-        let fitting = self.modules.iter().filter(|named| contains(&named.module, module));
+        let fitting = self
+            .modules
+            .iter()
+            .filter(|named| contains(&named.module, module));
         let closest = fitting.max_by_key(|named| named.module.len());
         let least = closest.map_or(self.default, |named| named.level);
         filter(least).test(level)
@@ -64,7 +76,11 @@
 
     /// A filter that lets through whatever is logged of any module.
     pub fn widest(&self) -> LevelFilter {
-        let all = self.modules.iter().map(|named| named.level).chain([self.default]);
+        let all = self
+            .modules
+            .iter()
+            .map(|named| named.level)
+            .chain([self.default]);
         filter(all.flatten().max_by_key(|level| *level as usize))
     }
 
@@ -74,7 +90,10 @@
             None => self.default = parse_level(part)?,
             Some((module, level)) => {
                 let module = module_name(module)?;
-                self.modules.push(ModuleLevel { module, level: parse_level(level)? });
+                self.modules.push(ModuleLevel {
+                    module,
+                    level: parse_level(level)?,
+                });
             }
         }
         Some(())
@@ -107,5 +126,7 @@
 
 /// Whether a module is the outer one or lies in it.
 fn contains(outer: &str, module: &str) -> bool {
-    module.strip_prefix(outer).is_some_and(|rest| rest.is_empty() || rest.starts_with("::"))
+    module
+        .strip_prefix(outer)
+        .is_some_and(|rest| rest.is_empty() || rest.starts_with("::"))
 }
--- a/crates/cluster-log/src/line.rs
+++ b/crates/cluster-log/src/line.rs
@@ -31,7 +31,9 @@
 
 /// The module that an event comes from.
 pub(crate) fn module_of<'a>(record: &Record<'a>) -> &'a str {
-    record.source_location().map_or(NO_MODULE, |location| location.module_path())
+    record
+        .source_location()
+        .map_or(NO_MODULE, |location| location.module_path())
 }
 
 fn push_on_one_line(line: &mut StringBuf, message: &str) {
--- a/crates/cluster-log/src/start.rs
+++ b/crates/cluster-log/src/start.rs
@@ -37,7 +37,10 @@
 
 /// Logs to standard error from now on.
 pub fn init(levels: Levels) -> Result<(), LogError> {
-    let standard_error = StdStreamSink::builder().stderr().style_mode(StyleMode::Never).build()?;
+    let standard_error = StdStreamSink::builder()
+        .stderr()
+        .style_mode(StyleMode::Never)
+        .build()?;
     spdlog::set_default_logger(Arc::new(logger(levels, Arc::new(standard_error))?));
     Ok(())
 }
@@ -47,5 +50,8 @@
     sink.set_formatter(Box::new(LineFormatter));
     let widest = levels.widest();
     let by_module = ModuleSink::new(levels, sink);
-    Ok(Logger::builder().sink(Arc::new(by_module)).level_filter(widest).build()?)
+    Ok(Logger::builder()
+        .sink(Arc::new(by_module))
+        .level_filter(widest)
+        .build()?)
 }
--- a/crates/cluster-log/tests/golden.rs
+++ b/crates/cluster-log/tests/golden.rs
@@ -1,7 +1,9 @@
 //! Lines of the log as they are kept in `tests/golden`, and the text of every error. `UPDATE_GOLDEN=1` writes the
 //! files.
 
-use lupinrack_cluster_log::{error_chain, logger, Levels, LogError, MalformedLevels, LEVEL_VARIABLE};
+use lupinrack_cluster_log::{
+    error_chain, logger, Levels, LogError, MalformedLevels, LEVEL_VARIABLE,
+};
 use spdlog::sink::WriteSink;
 use spdlog::{Level, LevelFilter};
 use std::io;
@@ -16,14 +18,19 @@
 const TIME: &str = "YYYY-MM-DDThh:mm:ss.mmmZ";
 
 fn folder() -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests").join("golden")
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests")
+        .join("golden")
 }
 
 /// Compares entries with a golden file, which holds one `name: text` line for each.
 fn check(file: &str, built: &[(String, String)]) {
     assert!(FILES.contains(&file), "{file} is not listed");
     let path = folder().join(file);
-    let lines: String = built.iter().map(|(name, text)| format!("{name}: {text}\n")).collect();
+    let lines: String = built
+        .iter()
+        .map(|(name, text)| format!("{name}: {text}\n"))
+        .collect();
     if env::var("UPDATE_GOLDEN").as_deref() == Ok("1") {
         fs::create_dir_all(folder()).expect("the folder is made");
         fs::write(&path, &lines).expect("the file is written");
@@ -34,7 +41,12 @@
 
 /// What a logger that leaves nothing out writes.
 fn written(log: impl Fn(&spdlog::Logger)) -> String {
-    let sink = Arc::new(WriteSink::builder().target(Vec::new()).build().expect("a sink"));
+    let sink = Arc::new(
+        WriteSink::builder()
+            .target(Vec::new())
+            .build()
+            .expect("a sink"),
+    );
     let levels = "trace".parse().expect("good levels");
     let logger = logger(levels, sink.clone()).expect("a logger");
     log(&logger);
@@ -79,7 +91,12 @@
 #[test]
 fn lines_keep_their_form() {
     let mut entries: Vec<(String, String)> = Level::iter()
-        .map(|level| (level.to_string(), without_time(&written(|logger| log_at(logger, level)))))
+        .map(|level| {
+            (
+                level.to_string(),
+                without_time(&written(|logger| log_at(logger, level))),
+            )
+        })
         .collect();
     let messages = [
         ("empty", ""),
@@ -91,13 +108,18 @@
         let line = written(|logger| spdlog::info!(logger: logger, "{message}"));
         entries.push((name.to_string(), without_time(&line)));
     }
-    entries.push(("module".to_string(), without_time(&written(outer::inner::log))));
+    entries.push((
+        "module".to_string(),
+        without_time(&written(outer::inner::log)),
+    ));
     check("lines.txt", &entries);
 }
 
 /// Whether an event of each level is logged, the most severe first.
 fn allowed(levels: &Levels, module: &str) -> String {
-    let words = Level::iter().filter(|level| levels.allow(module, *level)).map(|level| level.to_string());
+    let words = Level::iter()
+        .filter(|level| levels.allow(module, *level))
+        .map(|level| level.to_string());
     format!("[{}]", words.collect::<Vec<_>>().join(" "))
 }
 
@@ -123,11 +145,18 @@
         "info,chain=debug",
         "warn, lupinrack_cluster-net::peers = off, cluster-net=trace",
     ];
-    let modules = ["lupinrack_chain::member", "lupinrack_cluster_net", "lupinrack_cluster_net::peers::dial"];
+    let modules = [
+        "lupinrack_chain::member",
+        "lupinrack_cluster_net",
+        "lupinrack_cluster_net::peers::dial",
+    ];
     let entries = texts.map(|text| {
         let levels: Levels = text.parse().expect("good levels");
         let by_module = modules.map(|module| format!("{module} {}", allowed(&levels, module)));
-        (format!("{text:?}"), format!("widest {}; {}", widest(&levels), by_module.join("; ")))
+        (
+            format!("{text:?}"),
+            format!("widest {}; {}", widest(&levels), by_module.join("; ")),
+        )
     });
     check("levels.txt", &entries);
 }
@@ -156,6 +185,9 @@
 fn every_golden_file_is_checked() {
     for entry in fs::read_dir(folder()).expect("the folder") {
         let name = entry.expect("an entry").file_name();
-        assert!(FILES.iter().any(|file| name == *file), "no test builds {name:?}");
+        assert!(
+            FILES.iter().any(|file| name == *file),
+            "no test builds {name:?}"
+        );
     }
 }
--- a/crates/cluster-log/tests/log.rs
+++ b/crates/cluster-log/tests/log.rs
@@ -14,7 +14,12 @@
 
 /// What a logger of these levels writes.
 fn written(text: &str, log: impl Fn(&spdlog::Logger)) -> String {
-    let sink = Arc::new(WriteSink::builder().target(Vec::new()).build().expect("a sink"));
+    let sink = Arc::new(
+        WriteSink::builder()
+            .target(Vec::new())
+            .build()
+            .expect("a sink"),
+    );
     let logger = logger(levels(text), sink.clone()).expect("a logger");
     log(&logger);
     String::from_utf8(sink.clone_target()).expect("text")
@@ -43,7 +48,10 @@
 
 #[test]
 fn the_longest_module_counts() {
-    for text in ["error,chain=trace,chain::member=warn", "error,chain::member=warn,lupinrack_chain=trace"] {
+    for text in [
+        "error,chain=trace,chain::member=warn",
+        "error,chain::member=warn,lupinrack_chain=trace",
+    ] {
         let levels = levels(text);
         assert!(levels.allow("lupinrack_chain::head", Level::Trace));
         assert!(!levels.allow("lupinrack_chain::member", Level::Info));
@@ -62,17 +70,29 @@
 fn malformed_levels_are_named() {
     for part in ["loud", "chain=loud", "=info", "chain="] {
         let text = format!("info,{part}");
-        assert_eq!(text.parse::<Levels>(), Err(MalformedLevels(part.to_string())));
+        assert_eq!(
+            text.parse::<Levels>(),
+            Err(MalformedLevels(part.to_string()))
+        );
     }
 }
 
 #[test]
 fn an_event_is_one_line() {
-    let text = written("info", |logger| spdlog::warn!(logger: logger, "disk slow: {} ms\nonce", 40));
+    let text = written(
+        "info",
+        |logger| spdlog::warn!(logger: logger, "disk slow: {} ms\nonce", 40),
+    );
     let (time, rest) = text.split_once(' ').expect("a time");
-    assert_eq!(rest, format!("warn {} disk slow: 40 ms\\nonce\n", module_path!()));
+    assert_eq!(
+        rest,
+        format!("warn {} disk slow: 40 ms\\nonce\n", module_path!())
+    );
     assert_eq!(time.len(), "2024-01-01T00:00:00.000Z".len());
-    assert!(time.ends_with('Z') && time.as_bytes()[10] == b'T' && time.as_bytes()[19] == b'.', "{time}");
+    assert!(
+        time.ends_with('Z') && time.as_bytes()[10] == b'T' && time.as_bytes()[19] == b'.',
+        "{time}"
+    );
 }
 
 #[test]
@@ -82,7 +102,12 @@
         spdlog::error!(logger: logger, "fault");
     };
     assert_eq!(written("info,other=debug", log).lines().count(), 1);
-    assert_eq!(written(&format!("off,{}=debug", module_path!()), log).lines().count(), 2);
+    assert_eq!(
+        written(&format!("off,{}=debug", module_path!()), log)
+            .lines()
+            .count(),
+        2
+    );
     assert_eq!(written("debug,log=off", log), "");
 }
 
@@ -104,8 +129,14 @@
 #[test]
 fn errors_are_told_with_their_causes() {
     let cause = Layer("permission denied", None);
-    let error = Layer("cannot open the log", Some(Box::new(Layer("cannot read", Some(Box::new(cause))))));
-    assert_eq!(error_chain(&error), "cannot open the log: cannot read: permission denied");
+    let error = Layer(
+        "cannot open the log",
+        Some(Box::new(Layer("cannot read", Some(Box::new(cause))))),
+    );
+    assert_eq!(
+        error_chain(&error),
+        "cannot open the log: cannot read: permission denied"
+    );
 }
 
 quickcheck! {
--- a/crates/cluster-membership/src/gossip.rs
+++ b/crates/cluster-membership/src/gossip.rs
@@ -21,8 +21,11 @@
 
     /// The news for one datagram, in so many bytes at most.
     pub(crate) fn take(&mut self, roster: &Roster, bytes_most: usize) -> Vec<MemberUpdate> {
-        let mut queue: Vec<(u32, PeerAddress)> =
-            self.remaining.iter().map(|(address, remaining)| (*remaining, *address)).collect();
+        let mut queue: Vec<(u32, PeerAddress)> = self
+            .remaining
+            .iter()
+            .map(|(address, remaining)| (*remaining, *address))
+            .collect();
         queue.sort_unstable_by_key(|(remaining, address)| (Reverse(*remaining), *address));
         let mut taken = Vec::new();
         let mut bytes_left = bytes_most;
--- a/crates/cluster-membership/src/live_table.rs
+++ b/crates/cluster-membership/src/live_table.rs
@@ -42,13 +42,21 @@
 
     /// The member at an address.
     pub fn get(&self, address: PeerAddress) -> Option<&LiveMember> {
-        let found = self.members.binary_search_by_key(&address, |member| member.address);
+        let found = self
+            .members
+            .binary_search_by_key(&address, |member| member.address);
         found.ok().and_then(|index| self.members.get(index))
     }
 
     /// Those of one kind in a zone.
-    pub fn in_zone<'a>(&'a self, zone: &'a str, role: Role) -> impl Iterator<Item = &'a LiveMember> {
-        self.members.iter().filter(move |member| member.role == role && member.zone == zone)
+    pub fn in_zone<'a>(
+        &'a self,
+        zone: &'a str,
+        role: Role,
+    ) -> impl Iterator<Item = &'a LiveMember> {
+        self.members
+            .iter()
+            .filter(move |member| member.role == role && member.zone == zone)
     }
 
     /// The front of a zone that subscribes to the head for the others of it, for a service or for everything. None in a
--- a/crates/cluster-membership/src/member.rs
+++ b/crates/cluster-membership/src/member.rs
@@ -64,7 +64,8 @@
 impl MemberUpdate {
     /// Compares this with other word of the same member: greater is newer. Equal ones may differ in who suspects.
     pub fn compare_age(&self, other: &MemberUpdate) -> Ordering {
-        let version = |update: &MemberUpdate| (update.incarnation, update.life, update.state.rank());
+        let version =
+            |update: &MemberUpdate| (update.incarnation, update.life, update.state.rank());
         version(self).cmp(&version(other))
     }
 }
--- a/crates/cluster-membership/src/probing.rs
+++ b/crates/cluster-membership/src/probing.rs
@@ -35,13 +35,19 @@
         distant: bool,
         random: &mut fastrand::Rng,
     ) -> Option<PeerAddress> {
-        let group = if distant { &mut self.distant } else { &mut self.near };
+        let group = if distant {
+            &mut self.distant
+        } else {
+            &mut self.near
+        };
         while let Some(address) = group.pop() {
             if roster.is_present(address) {
                 return Some(address);
             }
         }
-        let in_group = roster.present().filter(|update| (update.zone != zone) == distant);
+        let in_group = roster
+            .present()
+            .filter(|update| (update.zone != zone) == distant);
         group.extend(in_group.map(|update| update.address));
         random.shuffle(group);
         group.pop()
--- a/crates/cluster-membership/src/roster.rs
+++ b/crates/cluster-membership/src/roster.rs
@@ -49,7 +49,8 @@
     }
 
     pub(crate) fn is_present(&self, address: PeerAddress) -> bool {
-        self.get(address).is_some_and(|update| update.state.is_present())
+        self.get(address)
+            .is_some_and(|update| update.state.is_present())
     }
 
     /// How many are there.
@@ -71,18 +72,29 @@
     }
 
     pub(crate) fn suspects(&self) -> impl Iterator<Item = &MemberUpdate> {
-        self.iter().filter(|update| matches!(update.state, MemberState::Suspect { .. }))
+        self.iter()
+            .filter(|update| matches!(update.state, MemberState::Suspect { .. }))
     }
 
     /// Members at higher addresses than this, in their order.
-    pub(crate) fn after(&self, address: Option<PeerAddress>) -> impl Iterator<Item = &MemberUpdate> {
+    pub(crate) fn after(
+        &self,
+        address: Option<PeerAddress>,
+    ) -> impl Iterator<Item = &MemberUpdate> {
         let start = address.map_or(Bound::Unbounded, Bound::Excluded);
-        self.members.range((start, Bound::Unbounded)).map(|(_, member)| &member.update)
+        self.members
+            .range((start, Bound::Unbounded))
+            .map(|(_, member)| &member.update)
     }
 
     /// Takes word of another member over if it is newer. An end of a member that is not known is no news: it was
     /// forgotten, and would go round for ever.
-    pub(crate) fn apply(&mut self, update: &MemberUpdate, confirmations: usize, now: Millis) -> Applied {
+    pub(crate) fn apply(
+        &mut self,
+        update: &MemberUpdate,
+        confirmations: usize,
+        now: Millis,
+    ) -> Applied {
         let Some(member) = self.members.get_mut(&update.address) else {
             if !update.state.is_present() || self.members.len() >= MEMBERS_MOST {
                 return Applied::Nothing;
@@ -93,7 +105,8 @@
         match update.compare_age(&member.update) {
             Ordering::Less => Applied::Nothing,
             Ordering::Equal => {
-                let (Some(suspicion), MemberState::Suspect { by }) = (&mut member.suspicion, update.state)
+                let (Some(suspicion), MemberState::Suspect { by }) =
+                    (&mut member.suspicion, update.state)
                 else {
                     return Applied::Nothing;
                 };
@@ -120,20 +133,32 @@
         health: LocalHealth,
         now: Millis,
     ) -> Vec<MemberUpdate> {
-        let is_over = |suspicion: &Suspicion| suspicion.is_over(settings, self.present, health, now);
-        let over = self.members.values().filter(|member| member.suspicion.as_ref().is_some_and(is_over));
-        over.map(|member| MemberUpdate { state: MemberState::Dead, ..member.update.clone() }).collect()
+        let is_over =
+            |suspicion: &Suspicion| suspicion.is_over(settings, self.present, health, now);
+        let over = self
+            .members
+            .values()
+            .filter(|member| member.suspicion.as_ref().is_some_and(is_over));
+        over.map(|member| MemberUpdate {
+            state: MemberState::Dead,
+            ..member.update.clone()
+        })
+        .collect()
     }
 
     /// Forgets members that ended long ago.
     pub(crate) fn forget(&mut self, forget_ms: u64, now: Millis) {
-        self.members
-            .retain(|_, member| member.update.state.is_present() || now.since(member.since) < forget_ms);
+        self.members.retain(|_, member| {
+            member.update.state.is_present() || now.since(member.since) < forget_ms
+        });
     }
 
     /// This process was frozen for so long.
     pub(crate) fn extend_suspicions(&mut self, milliseconds: u64) {
-        let suspicions = self.members.values_mut().filter_map(|member| member.suspicion.as_mut());
+        let suspicions = self
+            .members
+            .values_mut()
+            .filter_map(|member| member.suspicion.as_mut());
         suspicions.for_each(|suspicion| suspicion.extend(milliseconds));
     }
 
@@ -142,7 +167,11 @@
             MemberState::Suspect { by } => Some(Suspicion::new(by, now)),
             _ => None,
         };
-        let member = Member { update: update.clone(), since: now, suspicion };
+        let member = Member {
+            update: update.clone(),
+            since: now,
+            suspicion,
+        };
         self.digest ^= presence_digest(update);
         self.present += usize::from(update.state.is_present());
         if let Some(replaced) = self.members.insert(update.address, member) {
--- a/crates/cluster-membership/src/suspicion.rs
+++ b/crates/cluster-membership/src/suspicion.rs
@@ -3,7 +3,9 @@
 use crate::settings::SwimSettings;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_failure_detection::{confirmations_needed, size_factor, suspicion_length, LocalHealth};
+use lupinrack_failure_detection::{
+    confirmations_needed, size_factor, suspicion_length, LocalHealth,
+};
 
 /// A suspicion as this process sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -15,7 +17,10 @@
 
 impl Suspicion {
     pub(crate) fn new(by: PeerAddress, now: Millis) -> Suspicion {
-        Suspicion { began: now, by: vec![by] }
+        Suspicion {
+            began: now,
+            by: vec![by],
+        }
     }
 
     /// Another member shares it; whether that is new and counts.
@@ -39,7 +44,8 @@
         health: LocalHealth,
         now: Millis,
     ) -> bool {
-        let least = settings.suspicion_ms as f64 * f64::from(health.multiplier()) * size_factor(members);
+        let least =
+            settings.suspicion_ms as f64 * f64::from(health.multiplier()) * size_factor(members);
         let needed = confirmations_needed(settings.confirmations, members);
         let ratio = f64::from(settings.suspicion_ratio);
         let length = suspicion_length(least, ratio, self.by.len().saturating_sub(1), needed);
--- a/crates/cluster-membership/src/swim.rs
+++ b/crates/cluster-membership/src/swim.rs
@@ -96,8 +96,20 @@
         let mut random = fastrand::Rng::with_seed(seed);
         // Members that start together do not probe in step.
         let next_period = now.plus(random.u64(0..settings.period_ms.max(1)));
-        let LiveMember { address, role, zone, life } = own;
-        let own = MemberUpdate { address, role, zone, life, incarnation: 0, state: MemberState::Alive };
+        let LiveMember {
+            address,
+            role,
+            zone,
+            life,
+        } = own;
+        let own = MemberUpdate {
+            address,
+            role,
+            zone,
+            life,
+            incarnation: 0,
+            state: MemberState::Alive,
+        };
         let seeds = seeds.into_iter().filter(|seed| *seed != address).collect();
         Swim {
             own,
@@ -108,7 +120,12 @@
             order: ProbeOrder::default(),
             probe: None,
             relays: Vec::new(),
-            paging: Paging { cursor: None, joining: true, fruitful: false, due: now },
+            paging: Paging {
+                cursor: None,
+                joining: true,
+                fruitful: false,
+                due: now,
+            },
             differs: None,
             health: LocalHealth::default(),
             random,
@@ -152,7 +169,10 @@
         let probe = self.probe.as_ref().map(Probe::due);
         let relays = self.relays.iter().map(Relay::due);
         let page = self.wants_page().then_some(self.paging.due);
-        relays.chain(probe).chain(page).fold(self.next_period, Millis::min)
+        relays
+            .chain(probe)
+            .chain(page)
+            .fold(self.next_period, Millis::min)
     }
 
     /// Does what is due.
@@ -179,7 +199,10 @@
     /// Takes a datagram that came from this address.
     pub fn receive(&mut self, from: PeerAddress, datagram: Datagram, now: Millis) -> Vec<Outgoing> {
         let genuine = datagram.sender.address == from && from != self.own.address;
-        let speaks = matches!(datagram.sender.state, MemberState::Alive | MemberState::Left);
+        let speaks = matches!(
+            datagram.sender.state,
+            MemberState::Alive | MemberState::Left
+        );
         if self.has_left() || !genuine || !speaks {
             return Vec::new();
         }
@@ -213,7 +236,8 @@
             return Vec::new();
         }
         self.own.state = MemberState::Left;
-        let mut others: Vec<PeerAddress> = self.roster.present().map(|update| update.address).collect();
+        let mut others: Vec<PeerAddress> =
+            self.roster.present().map(|update| update.address).collect();
         self.random.shuffle(&mut others);
         for to in others.into_iter().take(FAREWELLS) {
             self.send(to, Message::News);
@@ -297,12 +321,28 @@
 
     fn push(&mut self, to: PeerAddress, message: Message, updates: Vec<MemberUpdate>) {
         let sender = self.own.clone();
-        let datagram = Datagram { sender, roster_digest: self.roster_digest(), message, updates };
+        let datagram = Datagram {
+            sender,
+            roster_digest: self.roster_digest(),
+            message,
+            updates,
+        };
         self.outgoing.push(Outgoing { to, datagram });
     }
 }
 
 fn live_member(update: &MemberUpdate) -> LiveMember {
-    let MemberUpdate { address, role, zone, life, .. } = update.clone();
-    LiveMember { address, role, zone, life }
+    let MemberUpdate {
+        address,
+        role,
+        zone,
+        life,
+        ..
+    } = update.clone();
+    LiveMember {
+        address,
+        role,
+        zone,
+        life,
+    }
 }
--- a/crates/cluster-membership/src/swim/pages.rs
+++ b/crates/cluster-membership/src/swim/pages.rs
@@ -32,12 +32,16 @@
             true => self.random.choice(self.seeds.iter().copied()),
             false => None,
         };
-        seed.or_else(|| self.order.next(&self.roster, &self.own.zone, false, &mut self.random))
+        seed.or_else(|| {
+            self.order
+                .next(&self.roster, &self.own.zone, false, &mut self.random)
+        })
     }
 
     pub(super) fn send_page(&mut self, sender: &MemberUpdate, after: Option<PeerAddress>) {
         let mut updates = self.contradiction(sender);
-        let mut room = room_for_updates(&self.own).saturating_sub(updates.iter().map(encoded_len).sum());
+        let mut room =
+            room_for_updates(&self.own).saturating_sub(updates.iter().map(encoded_len).sum());
         let mut last = None;
         for update in self.roster.after(after) {
             let Some(left) = room.checked_sub(encoded_len(update)) else {
--- a/crates/cluster-membership/src/swim/probes.rs
+++ b/crates/cluster-membership/src/swim/probes.rs
@@ -11,7 +11,10 @@
             self.learn(&death, now);
         }
         self.roster.forget(self.settings.forget_ms, now);
-        if self.periods.is_multiple_of(self.settings.reach_every.max(1)) {
+        if self
+            .periods
+            .is_multiple_of(self.settings.reach_every.max(1))
+        {
             self.reach_out();
         }
         if let Some(target) = self.choose_target() {
@@ -21,13 +24,20 @@
 
     fn choose_target(&mut self) -> Option<PeerAddress> {
         if self.periods.is_multiple_of(SUSPECT_EVERY) {
-            let suspects: Vec<PeerAddress> = self.roster.suspects().map(|update| update.address).collect();
+            let suspects: Vec<PeerAddress> = self
+                .roster
+                .suspects()
+                .map(|update| update.address)
+                .collect();
             if let Some(suspect) = self.random.choice(suspects) {
                 return Some(suspect);
             }
         }
-        let distant = self.periods.is_multiple_of(self.settings.distant_every.max(1));
-        self.order.next(&self.roster, &self.own.zone, distant, &mut self.random)
+        let distant = self
+            .periods
+            .is_multiple_of(self.settings.distant_every.max(1));
+        self.order
+            .next(&self.roster, &self.own.zone, distant, &mut self.random)
     }
 
     fn begin_probe(&mut self, target: PeerAddress, now: Millis) {
@@ -37,7 +47,9 @@
         let nonce = self.draw_nonce();
         let direct_ms = self.settings.direct_ms;
         let patience_most = self.settings.period_ms * DIRECT_PERCENT_MOST / 100;
-        let patience = (direct_ms * u64::from(self.health.multiplier())).min(patience_most).max(direct_ms);
+        let patience = (direct_ms * u64::from(self.health.multiplier()))
+            .min(patience_most)
+            .max(direct_ms);
         self.probe = Some(Probe {
             target,
             life,
@@ -53,7 +65,10 @@
 
     /// A member that is suspected hears of it with the probe.
     fn send_probe(&mut self, target: PeerAddress, nonce: u32) {
-        let suspected = self.roster.get(target).filter(|held| held.state != MemberState::Alive);
+        let suspected = self
+            .roster
+            .get(target)
+            .filter(|held| held.state != MemberState::Alive);
         let first = suspected.cloned().into_iter().collect();
         self.send_with(target, Message::Probe { nonce }, first);
     }
@@ -77,9 +92,13 @@
     }
 
     fn ask_helpers(&mut self, target: PeerAddress, nonce: u32) {
-        let alive = self.roster.iter().filter(|update| update.state == MemberState::Alive);
+        let alive = self
+            .roster
+            .iter()
+            .filter(|update| update.state == MemberState::Alive);
         let addresses = alive.map(|update| update.address);
-        let mut helpers: Vec<PeerAddress> = addresses.filter(|address| *address != target).collect();
+        let mut helpers: Vec<PeerAddress> =
+            addresses.filter(|address| *address != target).collect();
         self.random.shuffle(&mut helpers);
         helpers.truncate(self.settings.helpers);
         for helper in &helpers {
@@ -98,15 +117,21 @@
             return;
         };
         let held = self.roster.get(probe.target);
-        let Some(held) = held.filter(|held| held.life == probe.life && held.state.is_present()) else {
+        let Some(held) = held.filter(|held| held.life == probe.life && held.state.is_present())
+        else {
             return;
         };
         let all_answered = probe.helpers_asked > 0 && probe.silent_helpers.is_empty();
         if held.state == MemberState::Alive && !all_answered {
             self.health.worsen();
         }
-        let state = MemberState::Suspect { by: self.own.address };
-        let suspicion = MemberUpdate { state, ..held.clone() };
+        let state = MemberState::Suspect {
+            by: self.own.address,
+        };
+        let suspicion = MemberUpdate {
+            state,
+            ..held.clone()
+        };
         self.learn(&suspicion, now);
     }
 
@@ -116,10 +141,18 @@
             self.probe = None;
             self.health.improve();
         }
-        let relayed = self.relays.iter().position(|relay| relay.nonce == nonce && relay.target == from);
+        let relayed = self
+            .relays
+            .iter()
+            .position(|relay| relay.nonce == nonce && relay.target == from);
         if let Some(index) = relayed {
             let relay = self.relays.remove(index);
-            self.send(relay.asker, Message::Acknowledge { nonce: relay.asker_nonce });
+            self.send(
+                relay.asker,
+                Message::Acknowledge {
+                    nonce: relay.asker_nonce,
+                },
+            );
         }
     }
 
@@ -129,7 +162,13 @@
         }
     }
 
-    pub(super) fn relay(&mut self, asker: PeerAddress, asker_nonce: u32, target: PeerAddress, now: Millis) {
+    pub(super) fn relay(
+        &mut self,
+        asker: PeerAddress,
+        asker_nonce: u32,
+        target: PeerAddress,
+        now: Millis,
+    ) {
         if target == self.own.address {
             self.send(asker, Message::Acknowledge { nonce: asker_nonce });
             return;
@@ -140,13 +179,24 @@
         let nonce = self.draw_nonce();
         let again_at = Some(now.plus(self.settings.repeat_ms));
         let ends = now.plus(self.settings.relay_ms);
-        self.relays.push(Relay { target, nonce, asker, asker_nonce, again_at, ends });
+        self.relays.push(Relay {
+            target,
+            nonce,
+            asker,
+            asker_nonce,
+            again_at,
+            ends,
+        });
         self.send_probe(target, nonce);
     }
 
     pub(super) fn continue_relays(&mut self, now: Millis) {
-        let due =
-            |relay: &mut Relay| relay.again_at.take_if(|at| now >= *at).map(|_| (relay.target, relay.nonce));
+        let due = |relay: &mut Relay| {
+            relay
+                .again_at
+                .take_if(|at| now >= *at)
+                .map(|_| (relay.target, relay.nonce))
+        };
         let again: Vec<(PeerAddress, u32)> = self.relays.iter_mut().filter_map(due).collect();
         for (target, nonce) in again {
             self.send_probe(target, nonce);
@@ -155,18 +205,28 @@
     }
 
     fn end_relays(&mut self, now: Millis) {
-        let (over, open) = mem::take(&mut self.relays).into_iter().partition(|relay| relay.ends <= now);
+        let (over, open) = mem::take(&mut self.relays)
+            .into_iter()
+            .partition(|relay| relay.ends <= now);
         self.relays = open;
         let over: Vec<Relay> = over;
         for relay in over {
-            self.send(relay.asker, Message::NotReached { nonce: relay.asker_nonce });
+            self.send(
+                relay.asker,
+                Message::NotReached {
+                    nonce: relay.asker_nonce,
+                },
+            );
         }
     }
 
     /// Looks for a seed or member that is not held for there, which may be on the other side of a cut.
     fn reach_out(&mut self) {
-        let gone =
-            self.roster.iter().filter(|update| !update.state.is_present()).map(|update| update.address);
+        let gone = self
+            .roster
+            .iter()
+            .filter(|update| !update.state.is_present())
+            .map(|update| update.address);
         let mut away: Vec<PeerAddress> = self.seeds.iter().copied().chain(gone).collect();
         away.retain(|address| !self.roster.is_present(*address));
         if let Some(target) = self.random.choice(away) {
--- a/crates/cluster-membership/tests/age.rs
+++ b/crates/cluster-membership/tests/age.rs
@@ -11,7 +11,14 @@
 }
 
 fn update(incarnation: u32, life: u64, state: MemberState) -> MemberUpdate {
-    MemberUpdate { address: address(1), role: Role::Core, zone: "east".to_string(), life, incarnation, state }
+    MemberUpdate {
+        address: address(1),
+        role: Role::Core,
+        zone: "east".to_string(),
+        life,
+        incarnation,
+        state,
+    }
 }
 
 fn assert_newer(newer: &MemberUpdate, older: &MemberUpdate) {
@@ -22,7 +29,12 @@
 #[test]
 fn within_an_incarnation_the_worse_state_holds() {
     let suspect = MemberState::Suspect { by: address(2) };
-    let states = [MemberState::Alive, suspect, MemberState::Dead, MemberState::Left];
+    let states = [
+        MemberState::Alive,
+        suspect,
+        MemberState::Dead,
+        MemberState::Left,
+    ];
     for pair in states.windows(2) {
         assert_newer(&update(3, 7, pair[1]), &update(3, 7, pair[0]));
     }
@@ -30,17 +42,34 @@
 
 #[test]
 fn a_higher_incarnation_holds_whatever_the_state_and_the_life() {
-    assert_newer(&update(4, 1, MemberState::Alive), &update(3, 9, MemberState::Left));
+    assert_newer(
+        &update(4, 1, MemberState::Alive),
+        &update(3, 9, MemberState::Left),
+    );
 }
 
 #[test]
 fn the_end_of_one_life_says_nothing_of_another_one() {
-    assert_newer(&update(3, 9, MemberState::Alive), &update(3, 1, MemberState::Dead));
-    assert_newer(&update(3, 9, MemberState::Dead), &update(3, 1, MemberState::Left));
+    assert_newer(
+        &update(3, 9, MemberState::Alive),
+        &update(3, 1, MemberState::Dead),
+    );
+    assert_newer(
+        &update(3, 9, MemberState::Dead),
+        &update(3, 1, MemberState::Left),
+    );
 }
 
 #[test]
 fn who_suspects_makes_word_no_newer() {
-    let by = |number| update(3, 7, MemberState::Suspect { by: address(number) });
+    let by = |number| {
+        update(
+            3,
+            7,
+            MemberState::Suspect {
+                by: address(number),
+            },
+        )
+    };
     assert_eq!(by(2).compare_age(&by(5)), Ordering::Equal);
 }
--- a/crates/cluster-membership/tests/chaos.rs
+++ b/crates/cluster-membership/tests/chaos.rs
@@ -46,7 +46,8 @@
         Fault::Freeze(index) => network.freeze(index),
         Fault::Thaw(index) => network.thaw(index),
         Fault::Part(mask) => {
-            (0..MEMBERS).for_each(|index| network.move_to_island(index, usize::from(mask >> index & 1)));
+            (0..MEMBERS)
+                .for_each(|index| network.move_to_island(index, usize::from(mask >> index & 1)));
         }
         Fault::Join if network.running().len() < 2 * MEMBERS => {
             network.add();
@@ -78,5 +79,7 @@
         let agreed = network.run_until(CALM_MS, |network| network.agree_on(&running));
         TestResult::from_bool(agreed.is_some())
     }
-    QuickCheck::new().tests(40).quickcheck(property as fn(Vec<Fault>, u8, u64) -> TestResult);
+    QuickCheck::new()
+        .tests(40)
+        .quickcheck(property as fn(Vec<Fault>, u8, u64) -> TestResult);
 }
--- a/crates/cluster-membership/tests/common/mod.rs
+++ b/crates/cluster-membership/tests/common/mod.rs
@@ -101,7 +101,12 @@
             _ => Role::Agent,
         };
         let zone = zone_of(index).to_string();
-        let own = LiveMember { address: address(index), role, zone, life: self.random.u64(..) };
+        let own = LiveMember {
+            address: address(index),
+            role,
+            zone,
+            life: self.random.u64(..),
+        };
         let seeds = (0..SEEDS).map(address).collect();
         let swim = Swim::new(own, seeds, self.settings, self.random.u64(..), self.now);
         self.nodes[index].swim = Some(swim);
@@ -151,7 +156,9 @@
     }
 
     pub fn running(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|index| self.nodes[*index].swim.is_some()).collect()
+        (0..self.nodes.len())
+            .filter(|index| self.nodes[*index].swim.is_some())
+            .collect()
     }
 
     /// Whether every one of these has all of these, and nobody else, in its table.
@@ -162,7 +169,12 @@
     }
 
     pub fn table_of(&self, index: usize) -> Vec<PeerAddress> {
-        self.swim(index).live_table().members().iter().map(|member| member.address).collect()
+        self.swim(index)
+            .live_table()
+            .members()
+            .iter()
+            .map(|member| member.address)
+            .collect()
     }
 
     /// How many of these hold this one for there.
@@ -176,7 +188,9 @@
     }
 
     pub fn clear_sent(&mut self) {
-        self.nodes.iter_mut().for_each(|node| node.sent = Sent::default());
+        self.nodes
+            .iter_mut()
+            .for_each(|node| node.sent = Sent::default());
     }
 
     /// Runs on for so long.
@@ -252,13 +266,21 @@
     fn send_all(&mut self, from: usize, outgoing: Vec<Outgoing>) {
         for Outgoing { to, datagram } in outgoing {
             let bytes = datagram.encode();
-            assert_eq!(Datagram::decode(&bytes).as_ref(), Ok(&datagram), "nothing was cut off");
+            assert_eq!(
+                Datagram::decode(&bytes).as_ref(),
+                Ok(&datagram),
+                "nothing was cut off"
+            );
             let to = index_of(to);
             let between = to.is_none_or(|to| zone_of(from) != zone_of(to));
             let sent = &mut self.nodes[from].sent;
             sent.datagrams += 1;
             sent.bytes += bytes.len() as u64 + HEADER_BYTES;
-            sent.bytes_between_zones += if between { bytes.len() as u64 + HEADER_BYTES } else { 0 };
+            sent.bytes_between_zones += if between {
+                bytes.len() as u64 + HEADER_BYTES
+            } else {
+                0
+            };
             let lost = self.random.u64(0..100) < self.loss_percent;
             let Some(to) = to.filter(|to| !lost && *to < self.nodes.len()) else {
                 continue;
@@ -272,5 +294,7 @@
 }
 
 fn index_of(peer: PeerAddress) -> Option<usize> {
-    (u32::from(*peer.0.ip()) & 0xffff).checked_sub(1).map(|index| index as usize)
+    (u32::from(*peer.0.ip()) & 0xffff)
+        .checked_sub(1)
+        .map(|index| index as usize)
 }
--- a/crates/cluster-membership/tests/cost.rs
+++ b/crates/cluster-membership/tests/cost.rs
@@ -30,7 +30,10 @@
 fn without_loss_the_cost_of_a_member_does_not_depend_on_their_number() {
     for count in [5, 20, 80, 300] {
         let (mean, most) = cost(count, 0);
-        assert!((140..=160).contains(&mean.bytes), "{count} members: {mean:?}");
+        assert!(
+            (140..=160).contains(&mean.bytes),
+            "{count} members: {mean:?}"
+        );
         assert!(most.bytes <= 200, "{count} members: {most:?}");
         assert!(mean.datagrams <= 2, "{count} members: {mean:?}");
     }
@@ -40,7 +43,10 @@
 fn most_probes_stay_within_the_zone() {
     for count in [20, 80, 300] {
         let (mean, _) = cost(count, 0);
-        assert!(mean.bytes_between_zones * 10 <= mean.bytes * 3, "{count} members: {mean:?}");
+        assert!(
+            mean.bytes_between_zones * 10 <= mean.bytes * 3,
+            "{count} members: {mean:?}"
+        );
     }
 }
 
--- a/crates/cluster-membership/tests/datagrams.rs
+++ b/crates/cluster-membership/tests/datagrams.rs
@@ -25,7 +25,12 @@
 impl Arbitrary for AnyUpdate {
     fn arbitrary(random: &mut Gen) -> Self {
         let by = any_address(random);
-        let states = [MemberState::Alive, MemberState::Suspect { by }, MemberState::Dead, MemberState::Left];
+        let states = [
+            MemberState::Alive,
+            MemberState::Suspect { by },
+            MemberState::Dead,
+            MemberState::Left,
+        ];
         let roles = [Role::Frontend, Role::Agent, Role::Core];
         AnyUpdate(MemberUpdate {
             address: any_address(random),
@@ -33,7 +38,10 @@
             zone: "z".repeat(usize::arbitrary(random) % (ZONE_BYTES_MOST + 1)),
             life: u64::arbitrary(random) % 3,
             incarnation: u32::arbitrary(random) % 4,
-            state: random.choose(&states).copied().unwrap_or(MemberState::Alive),
+            state: random
+                .choose(&states)
+                .copied()
+                .unwrap_or(MemberState::Alive),
         })
     }
 }
@@ -43,11 +51,18 @@
         let nonce = u32::arbitrary(random);
         let messages = [
             Message::Probe { nonce },
-            Message::ProbeRequest { nonce, target: any_address(random) },
+            Message::ProbeRequest {
+                nonce,
+                target: any_address(random),
+            },
             Message::Acknowledge { nonce },
             Message::NotReached { nonce },
-            Message::PageRequest { after: bool::arbitrary(random).then(|| any_address(random)) },
-            Message::Page { last: bool::arbitrary(random).then(|| any_address(random)) },
+            Message::PageRequest {
+                after: bool::arbitrary(random).then(|| any_address(random)),
+            },
+            Message::Page {
+                last: bool::arbitrary(random).then(|| any_address(random)),
+            },
             Message::News,
         ];
         let AnyUpdate(sender) = AnyUpdate::arbitrary(random);
@@ -56,7 +71,10 @@
             sender,
             roster_digest: u64::arbitrary(random),
             message: random.choose(&messages).copied().unwrap_or(Message::News),
-            updates: updates.into_iter().map(|AnyUpdate(update)| update).collect(),
+            updates: updates
+                .into_iter()
+                .map(|AnyUpdate(update)| update)
+                .collect(),
         })
     }
 }
@@ -140,7 +158,10 @@
         message: Message::News,
         updates: Vec::new(),
     };
-    assert_eq!(Datagram::decode(&datagram.encode()), Err(DatagramError::Malformed));
+    assert_eq!(
+        Datagram::decode(&datagram.encode()),
+        Err(DatagramError::Malformed)
+    );
     datagram.sender.zone.pop();
     assert_eq!(Datagram::decode(&datagram.encode()), Ok(datagram));
 }
--- a/crates/cluster-membership/tests/failures.rs
+++ b/crates/cluster-membership/tests/failures.rs
@@ -66,10 +66,16 @@
     let mut missing = 0;
     for _ in 0..seconds {
         network.run(1_000);
-        missing += all.iter().map(|index| count - network.table_of(*index).len()).sum::<usize>();
+        missing += all
+            .iter()
+            .map(|index| count - network.table_of(*index).len())
+            .sum::<usize>();
     }
     let looks = seconds * count * count;
-    assert!(missing * 1_000 < looks, "{missing} of {looks} looks did not find a living member");
+    assert!(
+        missing * 1_000 < looks,
+        "{missing} of {looks} looks did not find a living member"
+    );
 }
 
 #[test]
@@ -81,7 +87,9 @@
     for index in &right {
         network.move_to_island(*index, 1);
     }
-    let parted = network.run_until(90_000, |network| network.agree_on(&left) && network.agree_on(&right));
+    let parted = network.run_until(90_000, |network| {
+        network.agree_on(&left) && network.agree_on(&right)
+    });
     assert!(parted.is_some());
     for index in &right {
         network.move_to_island(*index, 0);
@@ -99,23 +107,35 @@
         network.move_to_island(index, 1);
     }
     network.run(60_000 + network.settings.forget_ms);
-    assert!(network.swim(11).members().all(|update| update.address != address(0)), "forgotten");
+    assert!(
+        network
+            .swim(11)
+            .members()
+            .all(|update| update.address != address(0)),
+        "forgotten"
+    );
     for index in 6..12 {
         network.move_to_island(index, 0);
     }
-    assert!(network.run_until(60_000, |network| network.agree_on(&all)).is_some());
+    assert!(network
+        .run_until(60_000, |network| network.agree_on(&all))
+        .is_some());
 }
 
 #[test]
 fn the_cut_of_a_whole_zone_is_noticed() {
     let mut network = Network::start(18, 0, 43);
     network.run(20_000);
-    let (cut, rest): (Vec<usize>, Vec<usize>) =
-        network.running().iter().partition(|index| zone_of(**index) == ZONES[1]);
+    let (cut, rest): (Vec<usize>, Vec<usize>) = network
+        .running()
+        .iter()
+        .partition(|index| zone_of(**index) == ZONES[1]);
     for index in &cut {
         network.move_to_island(*index, 1);
     }
-    let noticed = network.run_until(90_000, |network| network.agree_on(&rest) && network.agree_on(&cut));
+    let noticed = network.run_until(90_000, |network| {
+        network.agree_on(&rest) && network.agree_on(&cut)
+    });
     assert!(noticed.is_some());
 }
 
@@ -170,7 +190,10 @@
     for _ in 0..600 {
         network.run(100);
         for index in network.running() {
-            let alive = network.swim(index).members().all(|update| update.state == MemberState::Alive);
+            let alive = network
+                .swim(index)
+                .members()
+                .all(|update| update.state == MemberState::Alive);
             assert!(alive, "helpers reach whom a member does not reach itself");
         }
     }
--- a/crates/cluster-membership/tests/golden.rs
+++ b/crates/cluster-membership/tests/golden.rs
@@ -7,7 +7,8 @@
 use lupinrack_cluster_membership::datagram::{DatagramError, DATAGRAM_BYTES_MOST};
 use lupinrack_cluster_membership::member::ZONE_BYTES_MOST;
 use lupinrack_cluster_membership::{
-    Datagram, LiveMember, LiveTable, MemberState, MemberUpdate, Message, Outgoing, Swim, SwimSettings,
+    Datagram, LiveMember, LiveTable, MemberState, MemberUpdate, Message, Outgoing, Swim,
+    SwimSettings,
 };
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -15,27 +16,41 @@
 use std::{env, fs};
 
 /// The files that the tests here build.
-const FILES: [&str; 5] =
-    ["datagrams.txt", "datagrams_of_swim.txt", "errors.txt", "homes.txt", "protocol_defaults.txt"];
+const FILES: [&str; 5] = [
+    "datagrams.txt",
+    "datagrams_of_swim.txt",
+    "errors.txt",
+    "homes.txt",
+    "protocol_defaults.txt",
+];
 
 const START: Millis = Millis(1_000);
 
 fn folder() -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests").join("golden")
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests")
+        .join("golden")
 }
 
 /// Compares entries with a golden file, which holds one `name: text` line for each, and returns the file's entries.
 fn check(file: &str, built: &[(String, String)]) -> Vec<(String, String)> {
     assert!(FILES.contains(&file), "{file} is not listed");
     let path = folder().join(file);
-    let lines: String = built.iter().map(|(name, text)| format!("{name}: {text}\n")).collect();
+    let lines: String = built
+        .iter()
+        .map(|(name, text)| format!("{name}: {text}\n"))
+        .collect();
     if env::var("UPDATE_GOLDEN").as_deref() == Ok("1") {
         fs::create_dir_all(folder()).expect("the folder is made");
         fs::write(&path, &lines).expect("the file is written");
     }
     let kept = fs::read_to_string(&path).expect("the golden file is there");
-    let entries = kept.lines().map(|line| line.split_once(": ").expect("a name and a text"));
-    let entries: Vec<(String, String)> = entries.map(|(name, text)| (name.into(), text.into())).collect();
+    let entries = kept
+        .lines()
+        .map(|line| line.split_once(": ").expect("a name and a text"));
+    let entries: Vec<(String, String)> = entries
+        .map(|(name, text)| (name.into(), text.into()))
+        .collect();
     assert_eq!(entries, built, "{file}");
     assert_eq!(kept, lines, "{file}");
     entries
@@ -48,7 +63,9 @@
 fn bytes_of_hex(text: &str) -> Vec<u8> {
     assert!(text.is_ascii() && text.len().is_multiple_of(2), "{text}");
     let pairs = (0..text.len()).step_by(2).map(|at| &text[at..at + 2]);
-    pairs.map(|pair| u8::from_str_radix(pair, 16).expect("hexadecimal digits")).collect()
+    pairs
+        .map(|pair| u8::from_str_radix(pair, 16).expect("hexadecimal digits"))
+        .collect()
 }
 
 /// Checks that datagrams are encoded as the file says, and that the file decodes to them.
@@ -56,7 +73,11 @@
     let encoded = |(name, datagram): &(String, Datagram)| (name.clone(), hex(&datagram.encode()));
     let kept = check(file, &datagrams.iter().map(encoded).collect::<Vec<_>>());
     for ((name, text), (_, datagram)) in kept.iter().zip(datagrams) {
-        assert_eq!(Datagram::decode(&bytes_of_hex(text)).as_ref(), Ok(datagram), "{name}");
+        assert_eq!(
+            Datagram::decode(&bytes_of_hex(text)).as_ref(),
+            Ok(datagram),
+            "{name}"
+        );
     }
 }
 
@@ -77,12 +98,23 @@
 
 /// A member in every state.
 fn members_in_every_state() -> Vec<MemberUpdate> {
-    let suspect = MemberState::Suspect { by: address(9, 7_009) };
+    let suspect = MemberState::Suspect {
+        by: address(9, 7_009),
+    };
     vec![
         alive(11, Role::Frontend, "north"),
-        MemberUpdate { state: suspect, ..alive(12, Role::Agent, "east") },
-        MemberUpdate { state: MemberState::Dead, ..alive(13, Role::Core, "") },
-        MemberUpdate { state: MemberState::Left, ..alive(14, Role::Agent, "far_west") },
+        MemberUpdate {
+            state: suspect,
+            ..alive(12, Role::Agent, "east")
+        },
+        MemberUpdate {
+            state: MemberState::Dead,
+            ..alive(13, Role::Core, "")
+        },
+        MemberUpdate {
+            state: MemberState::Left,
+            ..alive(14, Role::Agent, "far_west")
+        },
     ]
 }
 
@@ -121,13 +153,20 @@
 fn messages() -> [Message; 9] {
     [
         Message::Probe { nonce: 0x2122_2324 },
-        Message::ProbeRequest { nonce: 0x3132_3334, target: address(31, 7_031) },
+        Message::ProbeRequest {
+            nonce: 0x3132_3334,
+            target: address(31, 7_031),
+        },
         Message::Acknowledge { nonce: 0x4142_4344 },
         Message::NotReached { nonce: 0x5152_5354 },
         Message::PageRequest { after: None },
-        Message::PageRequest { after: Some(address(61, 7_061)) },
+        Message::PageRequest {
+            after: Some(address(61, 7_061)),
+        },
         Message::Page { last: None },
-        Message::Page { last: Some(address(71, 7_071)) },
+        Message::Page {
+            last: Some(address(71, 7_071)),
+        },
         Message::News,
     ]
 }
@@ -144,28 +183,68 @@
     let mut datagrams = Vec::new();
     for message in messages() {
         let name = name_of_message(message);
-        datagrams.push((name.to_string(), datagram(core.clone(), message, Vec::new())));
+        datagrams.push((
+            name.to_string(),
+            datagram(core.clone(), message, Vec::new()),
+        ));
         let updates = members_in_every_state();
-        datagrams.push((format!("{name}_with_updates"), datagram(core.clone(), message, updates)));
+        datagrams.push((
+            format!("{name}_with_updates"),
+            datagram(core.clone(), message, updates),
+        ));
     }
     for sender in members_in_every_state() {
-        let name = format!("from_{}_{}", name_of_state(sender.state), name_of_role(sender.role));
+        let name = format!(
+            "from_{}_{}",
+            name_of_state(sender.state),
+            name_of_role(sender.role)
+        );
         datagrams.push((name, datagram(sender, Message::News, Vec::new())));
     }
     let longest_zone = alive(1, Role::Core, &"z".repeat(ZONE_BYTES_MOST));
-    datagrams.push(("from_the_longest_zone".to_string(), datagram(longest_zone, Message::News, Vec::new())));
+    datagrams.push((
+        "from_the_longest_zone".to_string(),
+        datagram(longest_zone, Message::News, Vec::new()),
+    ));
     check_datagrams("datagrams.txt", &datagrams);
 
     let senders = members_in_every_state();
-    let states: BTreeSet<&str> = senders.iter().map(|sender| name_of_state(sender.state)).collect();
-    let roles: BTreeSet<&str> = senders.iter().map(|sender| name_of_role(sender.role)).collect();
-    assert_eq!((states.len(), roles.len()), (4, 3), "every state and every role occurs");
+    let states: BTreeSet<&str> = senders
+        .iter()
+        .map(|sender| name_of_state(sender.state))
+        .collect();
+    let roles: BTreeSet<&str> = senders
+        .iter()
+        .map(|sender| name_of_role(sender.role))
+        .collect();
+    assert_eq!(
+        (states.len(), roles.len()),
+        (4, 3),
+        "every state and every role occurs"
+    );
 }
 
 /// A member of the protocol at the first address, in zone `north`.
 fn swim() -> Swim {
-    let MemberUpdate { address, role, zone, life, .. } = alive(1, Role::Core, "north");
-    Swim::new(LiveMember { address, role, zone, life }, Vec::new(), SwimSettings::default(), 5, START)
+    let MemberUpdate {
+        address,
+        role,
+        zone,
+        life,
+        ..
+    } = alive(1, Role::Core, "north");
+    Swim::new(
+        LiveMember {
+            address,
+            role,
+            zone,
+            life,
+        },
+        Vec::new(),
+        SwimSettings::default(),
+        5,
+        START,
+    )
 }
 
 /// What a member sends back for this.
@@ -175,7 +254,12 @@
     message: Message,
     updates: &[MemberUpdate],
 ) -> Vec<Outgoing> {
-    let datagram = Datagram { sender: sender.clone(), roster_digest: 0, message, updates: updates.to_vec() };
+    let datagram = Datagram {
+        sender: sender.clone(),
+        roster_digest: 0,
+        message,
+        updates: updates.to_vec(),
+    };
     swim.receive(sender.address, datagram, START)
 }
 
@@ -183,7 +267,10 @@
 fn named(what: &str, outgoing: Vec<Outgoing>) -> Vec<(String, Datagram)> {
     let name = |(place, sent): (usize, &Outgoing)| format!("{what} {place} to {}", sent.to.0);
     let names: Vec<String> = outgoing.iter().enumerate().map(name).collect();
-    names.into_iter().zip(outgoing.into_iter().map(|sent| sent.datagram)).collect()
+    names
+        .into_iter()
+        .zip(outgoing.into_iter().map(|sent| sent.datagram))
+        .collect()
 }
 
 /// Digests of rosters, updates that ride on answers and pages: what other processes compare or rely on.
@@ -193,26 +280,74 @@
     let mut swim = swim();
     let mut sent = Vec::new();
     let mut record = |what: &str, outgoing| sent.extend(named(what, outgoing));
-    record("probe", answers(&mut swim, &other, Message::Probe { nonce: 41 }, &members_in_every_state()));
-    let own = Message::ProbeRequest { nonce: 42, target: address(1, 7_000) };
-    record("request to probe itself", answers(&mut swim, &other, own, &[]));
-    let third = Message::ProbeRequest { nonce: 43, target: address(12, 7_000) };
-    record("request to probe a suspect", answers(&mut swim, &other, third, &[]));
+    record(
+        "probe",
+        answers(
+            &mut swim,
+            &other,
+            Message::Probe { nonce: 41 },
+            &members_in_every_state(),
+        ),
+    );
+    let own = Message::ProbeRequest {
+        nonce: 42,
+        target: address(1, 7_000),
+    };
+    record(
+        "request to probe itself",
+        answers(&mut swim, &other, own, &[]),
+    );
+    let third = Message::ProbeRequest {
+        nonce: 43,
+        target: address(12, 7_000),
+    };
+    record(
+        "request to probe a suspect",
+        answers(&mut swim, &other, third, &[]),
+    );
     let suspect = alive(12, Role::Agent, "east");
-    record("answer to a relayed probe", answers(&mut swim, &suspect, Message::Acknowledge { nonce: 1 }, &[]));
-    record("contradicted probe", answers(&mut swim, &suspect, Message::Probe { nonce: 44 }, &[]));
-    let accused = MemberUpdate { state: MemberState::Dead, ..alive(1, Role::Core, "north") };
-    record("word of its own death", answers(&mut swim, &other, Message::Probe { nonce: 45 }, &[accused]));
-    let many: Vec<MemberUpdate> = (100..160).map(|last| alive(last, Role::Agent, "north")).collect();
+    record(
+        "answer to a relayed probe",
+        answers(&mut swim, &suspect, Message::Acknowledge { nonce: 1 }, &[]),
+    );
+    record(
+        "contradicted probe",
+        answers(&mut swim, &suspect, Message::Probe { nonce: 44 }, &[]),
+    );
+    let accused = MemberUpdate {
+        state: MemberState::Dead,
+        ..alive(1, Role::Core, "north")
+    };
+    record(
+        "word of its own death",
+        answers(&mut swim, &other, Message::Probe { nonce: 45 }, &[accused]),
+    );
+    let many: Vec<MemberUpdate> = (100..160)
+        .map(|last| alive(last, Role::Agent, "north"))
+        .collect();
     record("news", answers(&mut swim, &other, Message::News, &many));
-    record("first page", answers(&mut swim, &other, Message::PageRequest { after: None }, &[]));
+    record(
+        "first page",
+        answers(&mut swim, &other, Message::PageRequest { after: None }, &[]),
+    );
     let after = Some(address(140, 7_000));
-    record("page after an address", answers(&mut swim, &other, Message::PageRequest { after }, &[]));
+    record(
+        "page after an address",
+        answers(&mut swim, &other, Message::PageRequest { after }, &[]),
+    );
     check_datagrams("datagrams_of_swim.txt", &sent);
 
-    let last_pages = sent.iter().filter(|(_, sent)| sent.message == Message::Page { last: None });
-    let pages = sent.iter().filter(|(_, sent)| matches!(sent.message, Message::Page { .. }));
-    assert_eq!((pages.count(), last_pages.count()), (2, 1), "one page is cut and one reaches the end");
+    let last_pages = sent
+        .iter()
+        .filter(|(_, sent)| sent.message == Message::Page { last: None });
+    let pages = sent
+        .iter()
+        .filter(|(_, sent)| matches!(sent.message, Message::Page { .. }));
+    assert_eq!(
+        (pages.count(), last_pages.count()),
+        (2, 1),
+        "one page is cut and one reaches the end"
+    );
 }
 
 #[test]
@@ -224,8 +359,15 @@
     let [Outgoing { to, datagram }] = farewells.as_slice() else {
         panic!("one farewell, not {farewells:?}");
     };
-    let own = MemberUpdate { incarnation: 0, state: MemberState::Left, ..alive(1, Role::Core, "north") };
-    assert_eq!((*to, &datagram.sender, datagram.message), (other.address, &own, Message::News));
+    let own = MemberUpdate {
+        incarnation: 0,
+        state: MemberState::Left,
+        ..alive(1, Role::Core, "north")
+    };
+    assert_eq!(
+        (*to, &datagram.sender, datagram.message),
+        (other.address, &own, Message::News)
+    );
 }
 
 #[test]
@@ -238,15 +380,29 @@
     let too_large = vec![1; DATAGRAM_BYTES_MOST + 1];
     let refused = [too_large.as_slice(), &[2, 0], &[1, 0]];
     let errors = refused.map(|bytes| Datagram::decode(bytes).expect_err("no datagram"));
-    check("errors.txt", &errors.map(|error| (name(error).to_string(), error.to_string())));
+    check(
+        "errors.txt",
+        &errors.map(|error| (name(error).to_string(), error.to_string())),
+    );
 }
 
 /// Which process is asked follows from the table alone, alike in every build.
 #[test]
 fn homes_and_sources_of_views_stay_where_they_are() {
     let member = |last, role, zone: &str| {
-        let MemberUpdate { address, role, zone, life, .. } = alive(last, role, zone);
-        LiveMember { address, role, zone, life }
+        let MemberUpdate {
+            address,
+            role,
+            zone,
+            life,
+            ..
+        } = alive(last, role, zone);
+        LiveMember {
+            address,
+            role,
+            zone,
+            life,
+        }
     };
     let fronts = (1..=6).map(|last| member(last, Role::Frontend, "north"));
     let cores = (21..=24).map(|last| member(last, Role::Core, "north"));
@@ -254,17 +410,24 @@
     let alone = [member(41, Role::Frontend, "west")];
     let table = LiveTable::new(fronts.chain(cores).chain(distant).chain(alone).collect());
 
-    let text = |found: Option<PeerAddress>| found.map_or("none".to_string(), |found| found.0.to_string());
+    let text =
+        |found: Option<PeerAddress>| found.map_or("none".to_string(), |found| found.0.to_string());
     let mut entries = Vec::new();
     for zone in ["north", "east", "west", "south"] {
-        entries.push((format!("home of {zone}"), text(table.home_front(zone, None))));
+        entries.push((
+            format!("home of {zone}"),
+            text(table.home_front(zone, None)),
+        ));
         for service in ["orders", "mail", "search"] {
             let home = table.home_front(zone, Some(&ServiceName(service.to_string())));
             entries.push((format!("home of {zone} for {service}"), text(home)));
         }
         for subscriber in [address(51, 7_000), address(52, 7_001), address(53, 7_002)] {
             let source = table.view_source(zone, subscriber);
-            entries.push((format!("source of views in {zone} for {}", subscriber.0), text(source)));
+            entries.push((
+                format!("source of views in {zone} for {}", subscriber.0),
+                text(source),
+            ));
         }
     }
     check("homes.txt", &entries);
@@ -307,13 +470,19 @@
         ("largest datagram, bytes", DATAGRAM_BYTES_MOST as u64),
         ("longest zone, bytes", ZONE_BYTES_MOST as u64),
     ];
-    check("protocol_defaults.txt", &entries.map(|(name, value)| (name.to_string(), value.to_string())));
+    check(
+        "protocol_defaults.txt",
+        &entries.map(|(name, value)| (name.to_string(), value.to_string())),
+    );
 }
 
 #[test]
 fn every_golden_file_is_checked() {
     for entry in fs::read_dir(folder()).expect("the folder") {
         let name = entry.expect("an entry").file_name();
-        assert!(FILES.iter().any(|file| name == *file), "no test builds {name:?}");
+        assert!(
+            FILES.iter().any(|file| name == *file),
+            "no test builds {name:?}"
+        );
     }
 }
--- a/crates/cluster-membership/tests/joining.rs
+++ b/crates/cluster-membership/tests/joining.rs
@@ -14,7 +14,10 @@
     let mut network = Network::start(count, loss_percent, 11);
     let all = network.running();
     let took = network.run_until(join_bound_ms(count), |network| network.agree_on(&all));
-    assert!(took.is_some(), "{count} members did not all know one another at a loss of {loss_percent} %");
+    assert!(
+        took.is_some(),
+        "{count} members did not all know one another at a loss of {loss_percent} %"
+    );
 }
 
 #[test]
@@ -47,7 +50,9 @@
         let took = network.run_until(60_000, |network| network.agree_on(&all));
         TestResult::from_bool(took.is_some())
     }
-    QuickCheck::new().tests(25).quickcheck(property as fn(u8, u8, u64) -> TestResult);
+    QuickCheck::new()
+        .tests(25)
+        .quickcheck(property as fn(u8, u8, u64) -> TestResult);
 }
 
 #[test]
@@ -65,22 +70,35 @@
     for seed in 0..10 {
         let mut network = Network::start(12, 0, seed);
         network.run(15_000);
-        let life_before = network.swim(0).live_table().get(address(7)).map(|member| member.life);
+        let life_before = network
+            .swim(0)
+            .live_table()
+            .get(address(7))
+            .map(|member| member.life);
         network.kill(7);
         network.run(500);
         network.restart(7);
-        let life = network.swim(7).live_table().get(address(7)).map(|member| member.life);
+        let life = network
+            .swim(7)
+            .live_table()
+            .get(address(7))
+            .map(|member| member.life);
         assert_ne!(life, life_before);
         let all = network.running();
         let knows_new_life = |network: &Network| {
             let known = all.iter().map(|index| network.swim(*index).live_table());
-            let lives: Vec<_> = known.map(|table| table.get(address(7)).map(|member| member.life)).collect();
+            let lives: Vec<_> = known
+                .map(|table| table.get(address(7)).map(|member| member.life))
+                .collect();
             lives.iter().all(|known| *known == life)
         };
         let took = network.run_until(15_000, knows_new_life);
         assert!(took.is_some(), "seed {seed}");
         network.run(30_000);
-        assert!(network.agree_on(&all), "the end of the old life is not taken for the new one's");
+        assert!(
+            network.agree_on(&all),
+            "the end of the old life is not taken for the new one's"
+        );
     }
 }
 
@@ -92,7 +110,9 @@
     network.run(25_000);
     network.restart(4);
     let all = network.running();
-    assert!(network.run_until(15_000, |network| network.agree_on(&all)).is_some());
+    assert!(network
+        .run_until(15_000, |network| network.agree_on(&all))
+        .is_some());
 }
 
 #[test]
@@ -113,7 +133,10 @@
     network.kill(15);
     network.run(30_000 + network.settings.forget_ms);
     for index in network.running() {
-        assert!(network.swim(index).members().all(|update| update.address != address(15)));
+        assert!(network
+            .swim(index)
+            .members()
+            .all(|update| update.address != address(15)));
     }
 }
 
@@ -130,5 +153,8 @@
     network.restart(0);
     let all = network.running();
     let came_back = network.run_until(30_000, |network| network.agree_on(&all));
-    assert!(came_back.is_some(), "others look for seeds that are not there");
+    assert!(
+        came_back.is_some(),
+        "others look for seeds that are not there"
+    );
 }
--- a/crates/cluster-membership/tests/live_table.rs
+++ b/crates/cluster-membership/tests/live_table.rs
@@ -13,11 +13,19 @@
 }
 
 fn member(number: u16, role: Role, zone: &str) -> LiveMember {
-    LiveMember { address: address(number), role, zone: zone.to_string(), life: u64::from(number) }
+    LiveMember {
+        address: address(number),
+        role,
+        zone: zone.to_string(),
+        life: u64::from(number),
+    }
 }
 
 fn fronts(numbers: impl IntoIterator<Item = u16>, zone: &str) -> Vec<LiveMember> {
-    numbers.into_iter().map(|number| member(number, Role::Frontend, zone)).collect()
+    numbers
+        .into_iter()
+        .map(|number| member(number, Role::Frontend, zone))
+        .collect()
 }
 
 #[test]
@@ -38,7 +46,9 @@
     let mut homes = BTreeMap::new();
     for number in 0..400 {
         let service = ServiceName(format!("service-{number}"));
-        *homes.entry(table.home_front("east", Some(&service))).or_insert(0) += 1;
+        *homes
+            .entry(table.home_front("east", Some(&service)))
+            .or_insert(0) += 1;
     }
     assert_eq!(homes.len(), 4);
     assert!(homes.values().all(|count| *count > 50), "{homes:?}");
@@ -53,8 +63,9 @@
     members.extend((10..12).map(|number| member(number, Role::Core, "east")));
     members.push(member(20, Role::Core, "west"));
     let table = LiveTable::new(members);
-    let sources: BTreeSet<_> =
-        (100..200).filter_map(|number| table.view_source("east", address(number))).collect();
+    let sources: BTreeSet<_> = (100..200)
+        .filter_map(|number| table.view_source("east", address(number)))
+        .collect();
     assert_eq!(sources, BTreeSet::from([address(10), address(11)]));
     assert_eq!(table.view_source("north", address(99)), None);
 }
--- a/crates/cluster-membership/tests/rules.rs
+++ b/crates/cluster-membership/tests/rules.rs
@@ -24,12 +24,28 @@
 }
 
 fn swim() -> Swim {
-    let own = LiveMember { address: address(1), role: Role::Agent, zone: "east".to_string(), life: 1 };
+    let own = LiveMember {
+        address: address(1),
+        role: Role::Agent,
+        zone: "east".to_string(),
+        life: 1,
+    };
     Swim::new(own, vec![address(2)], SwimSettings::default(), 5, Millis(0))
 }
 
-fn say(swim: &mut Swim, from: u8, message: Message, updates: Vec<MemberUpdate>, now: u64) -> Vec<Outgoing> {
-    let datagram = Datagram { sender: alive(from), roster_digest: 0, message, updates };
+fn say(
+    swim: &mut Swim,
+    from: u8,
+    message: Message,
+    updates: Vec<MemberUpdate>,
+    now: u64,
+) -> Vec<Outgoing> {
+    let datagram = Datagram {
+        sender: alive(from),
+        roster_digest: 0,
+        message,
+        updates,
+    };
     swim.receive(address(from), datagram, Millis(now))
 }
 
@@ -40,7 +56,10 @@
     assert_eq!(sent.len(), 1);
     assert_eq!(sent[0].to, address(2));
     assert_eq!(sent[0].datagram.message, Message::Acknowledge { nonce: 77 });
-    assert!(swim.live_table().get(address(2)).is_some(), "who probes is there");
+    assert!(
+        swim.live_table().get(address(2)).is_some(),
+        "who probes is there"
+    );
 }
 
 #[test]
@@ -60,29 +79,55 @@
 fn a_suspicion_of_oneself_is_refuted_by_a_higher_incarnation() {
     let mut swim = swim();
     let state = MemberState::Suspect { by: address(3) };
-    let suspicion = MemberUpdate { state, incarnation: 4, ..alive(1) };
-    let sent = say(&mut swim, 2, Message::Probe { nonce: 1 }, vec![suspicion.clone()], 10);
+    let suspicion = MemberUpdate {
+        state,
+        incarnation: 4,
+        ..alive(1)
+    };
+    let sent = say(
+        &mut swim,
+        2,
+        Message::Probe { nonce: 1 },
+        vec![suspicion.clone()],
+        10,
+    );
     assert_eq!(swim.incarnation(), 5);
     assert_eq!(sent[0].datagram.sender.incarnation, 5);
     assert_eq!(swim.health_score(), 1);
     say(&mut swim, 2, Message::News, vec![suspicion], 20);
-    assert_eq!(swim.incarnation(), 5, "an old suspicion needs no further refutation");
+    assert_eq!(
+        swim.incarnation(),
+        5,
+        "an old suspicion needs no further refutation"
+    );
 }
 
 #[test]
 fn a_new_life_rises_above_the_old_ones_incarnation() {
     let mut swim = swim();
-    let old_life = MemberUpdate { life: 900, incarnation: 3, state: MemberState::Dead, ..alive(1) };
+    let old_life = MemberUpdate {
+        life: 900,
+        incarnation: 3,
+        state: MemberState::Dead,
+        ..alive(1)
+    };
     say(&mut swim, 2, Message::News, vec![old_life], 10);
     assert_eq!(swim.incarnation(), 4);
-    assert_eq!(swim.health_score(), 0, "the end of an old life tells nothing of the own health");
+    assert_eq!(
+        swim.health_score(),
+        0,
+        "the end of an old life tells nothing of the own health"
+    );
 }
 
 #[test]
 fn who_is_held_for_dead_is_told_so() {
     let mut swim = swim();
     say(&mut swim, 2, Message::News, vec![alive(3)], 10);
-    let death = MemberUpdate { state: MemberState::Dead, ..alive(3) };
+    let death = MemberUpdate {
+        state: MemberState::Dead,
+        ..alive(3)
+    };
     say(&mut swim, 2, Message::News, vec![death.clone()], 20);
     assert!(swim.live_table().get(address(3)).is_none());
     let sent = say(&mut swim, 3, Message::Probe { nonce: 9 }, Vec::new(), 30);
@@ -93,7 +138,10 @@
 fn a_suspect_is_still_held_for_there_until_the_suspicion_ends() {
     let mut swim = swim();
     say(&mut swim, 2, Message::News, vec![alive(3)], 10);
-    let suspicion = MemberUpdate { state: MemberState::Suspect { by: address(2) }, ..alive(3) };
+    let suspicion = MemberUpdate {
+        state: MemberState::Suspect { by: address(2) },
+        ..alive(3)
+    };
     say(&mut swim, 2, Message::News, vec![suspicion], 20);
     assert!(swim.live_table().get(address(3)).is_some());
     for now in (100..30_000).step_by(100) {
@@ -106,7 +154,13 @@
 fn the_end_of_an_unknown_member_is_no_news() {
     let mut swim = swim();
     for state in [MemberState::Dead, MemberState::Left] {
-        say(&mut swim, 2, Message::News, vec![MemberUpdate { state, ..alive(7) }], 10);
+        say(
+            &mut swim,
+            2,
+            Message::News,
+            vec![MemberUpdate { state, ..alive(7) }],
+            10,
+        );
     }
     assert!(swim.members().all(|update| update.address != address(7)));
 }
@@ -115,17 +169,36 @@
 fn a_helper_passes_the_answer_on_or_says_that_there_was_none() {
     let mut swim = swim();
     say(&mut swim, 3, Message::News, Vec::new(), 10);
-    let request = Message::ProbeRequest { nonce: 50, target: address(3) };
+    let request = Message::ProbeRequest {
+        nonce: 50,
+        target: address(3),
+    };
     let sent = say(&mut swim, 2, request, Vec::new(), 20);
-    let Message::Probe { nonce } = sent[0].datagram.message else { panic!("a probe of the target") };
+    let Message::Probe { nonce } = sent[0].datagram.message else {
+        panic!("a probe of the target")
+    };
     assert_eq!(sent[0].to, address(3));
     let passed = say(&mut swim, 3, Message::Acknowledge { nonce }, Vec::new(), 30);
-    assert_eq!((passed[0].to, passed[0].datagram.message), (address(2), Message::Acknowledge { nonce: 50 }));
+    assert_eq!(
+        (passed[0].to, passed[0].datagram.message),
+        (address(2), Message::Acknowledge { nonce: 50 })
+    );
 
-    say(&mut swim, 2, Message::ProbeRequest { nonce: 51, target: address(3) }, Vec::new(), 40);
+    say(
+        &mut swim,
+        2,
+        Message::ProbeRequest {
+            nonce: 51,
+            target: address(3),
+        },
+        Vec::new(),
+        40,
+    );
     let settings = SwimSettings::default();
     let sent = swim.tick(Millis(40 + settings.relay_ms));
-    let told = sent.iter().find(|outgoing| outgoing.datagram.message == Message::NotReached { nonce: 51 });
+    let told = sent
+        .iter()
+        .find(|outgoing| outgoing.datagram.message == Message::NotReached { nonce: 51 });
     assert_eq!(told.map(|outgoing| outgoing.to), Some(address(2)));
 }
 
@@ -135,7 +208,9 @@
     say(&mut swim, 2, Message::News, vec![alive(3)], 10);
     let farewells = swim.leave();
     assert_eq!(farewells.len(), 2);
-    assert!(farewells.iter().all(|outgoing| outgoing.datagram.sender.state == MemberState::Left));
+    assert!(farewells
+        .iter()
+        .all(|outgoing| outgoing.datagram.sender.state == MemberState::Left));
     assert!(swim.tick(Millis(5_000)).is_empty());
     assert!(say(&mut swim, 2, Message::Probe { nonce: 1 }, Vec::new(), 6_000).is_empty());
     assert!(swim.leave().is_empty());
@@ -149,7 +224,13 @@
     let joined = swim.version();
     assert!(joined > before);
     let state = MemberState::Suspect { by: address(3) };
-    say(&mut swim, 2, Message::News, vec![MemberUpdate { state, ..alive(2) }], 20);
+    say(
+        &mut swim,
+        2,
+        Message::News,
+        vec![MemberUpdate { state, ..alive(2) }],
+        20,
+    );
     assert_eq!(swim.version(), joined, "a suspect stays in the table");
 }
 
@@ -157,12 +238,18 @@
 fn the_time_of_a_freeze_does_not_count_against_a_suspect() {
     let mut swim = swim();
     say(&mut swim, 2, Message::News, vec![alive(3)], 10);
-    let suspicion = MemberUpdate { state: MemberState::Suspect { by: address(2) }, ..alive(3) };
+    let suspicion = MemberUpdate {
+        state: MemberState::Suspect { by: address(2) },
+        ..alive(3)
+    };
     say(&mut swim, 2, Message::News, vec![suspicion], 20);
     swim.tick(Millis(500));
     for now in (60_000..61_500).step_by(100) {
         swim.tick(Millis(now));
-        assert!(swim.live_table().get(address(3)).is_some(), "its refutation may wait in the socket");
+        assert!(
+            swim.live_table().get(address(3)).is_some(),
+            "its refutation may wait in the socket"
+        );
     }
 }
 
@@ -172,7 +259,8 @@
     say(&mut swim, 2, Message::News, Vec::new(), 10);
     let probed = (100..2_000).step_by(50).map(Millis).find(|now| {
         let sent = swim.tick(*now);
-        sent.iter().any(|outgoing| matches!(outgoing.datagram.message, Message::Probe { .. }))
+        sent.iter()
+            .any(|outgoing| matches!(outgoing.datagram.message, Message::Probe { .. }))
     });
     let probed = probed.expect("a probe in each period");
     swim.tick(probed.plus(30_000));
--- a/crates/cluster-net/src/http_client.rs
+++ b/crates/cluster-net/src/http_client.rs
@@ -41,7 +41,9 @@
     timeout: Duration,
 ) -> Result<Response<Bytes>, CallError> {
     let exchange = connect_and_exchange(address, prepared(address, request));
-    tokio::time::timeout(timeout, exchange).await.unwrap_or(Err(CallError::TimedOut))
+    tokio::time::timeout(timeout, exchange)
+        .await
+        .unwrap_or(Err(CallError::TimedOut))
 }
 
 /// The request as it is sent.
@@ -61,9 +63,13 @@
     address: SocketAddrV4,
     request: Request<Full<Bytes>>,
 ) -> Result<Response<Bytes>, CallError> {
-    let stream = TcpStream::connect(address).await.map_err(CallError::Connect)?;
+    let stream = TcpStream::connect(address)
+        .await
+        .map_err(CallError::Connect)?;
     stream.set_nodelay(true).map_err(CallError::Connect)?;
-    let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(CallError::Http)?;
+    let (sender, connection) = http1::handshake(TokioIo::new(stream))
+        .await
+        .map_err(CallError::Http)?;
     tokio::select! {
         result = exchange(sender, request) => result,
         never = drive(connection) => match never {},
@@ -80,8 +86,15 @@
     mut sender: http1::SendRequest<Full<Bytes>>,
     request: Request<Full<Bytes>>,
 ) -> Result<Response<Bytes>, CallError> {
-    let (parts, body) = sender.send_request(request).await.map_err(CallError::Http)?.into_parts();
-    let body = Limited::new(body, ANSWER_BYTES_MOST).collect().await.map_err(body_error)?;
+    let (parts, body) = sender
+        .send_request(request)
+        .await
+        .map_err(CallError::Http)?
+        .into_parts();
+    let body = Limited::new(body, ANSWER_BYTES_MOST)
+        .collect()
+        .await
+        .map_err(body_error)?;
     Ok(Response::from_parts(parts, body.to_bytes()))
 }
 
--- a/crates/cluster-net/src/http_server/activity.rs
+++ b/crates/cluster-net/src/http_server/activity.rs
@@ -106,7 +106,9 @@
     }
 
     fn wrote(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        self.activity.write_blocked.store(result.is_pending(), Ordering::Relaxed);
+        self.activity
+            .write_blocked
+            .store(result.is_pending(), Ordering::Relaxed);
         result
     }
 }
--- a/crates/cluster-net/src/http_server/answer.rs
+++ b/crates/cluster-net/src/http_server/answer.rs
@@ -21,24 +21,39 @@
 impl HttpAnswer {
     /// A status and nothing else.
     pub fn empty(status: u16) -> Self {
-        HttpAnswer { status, retry_after_s: None, location: None, body: Bytes::new() }
+        HttpAnswer {
+            status,
+            retry_after_s: None,
+            location: None,
+            body: Bytes::new(),
+        }
     }
 
     /// 200 with a body in JSON.
     pub fn json(body: impl Into<Bytes>) -> Self {
-        HttpAnswer { body: body.into(), ..HttpAnswer::empty(200) }
+        HttpAnswer {
+            body: body.into(),
+            ..HttpAnswer::empty(200)
+        }
     }
 
     /// The answer to an error of this kind, with its description.
     pub fn error(kind: ErrorKind) -> Self {
         let answer = kind.answer();
         let body = Bytes::from(format!("{{\"error\":\"{kind}\"}}"));
-        HttpAnswer { retry_after_s: answer.retry_after_s, body, ..HttpAnswer::empty(answer.status) }
+        HttpAnswer {
+            retry_after_s: answer.retry_after_s,
+            body,
+            ..HttpAnswer::empty(answer.status)
+        }
     }
 
     /// 307 to another address.
     pub fn redirect(location: impl Into<String>) -> Self {
-        HttpAnswer { location: Some(location.into()), ..HttpAnswer::empty(307) }
+        HttpAnswer {
+            location: Some(location.into()),
+            ..HttpAnswer::empty(307)
+        }
     }
 
     /// The answer as it is sent; 500 where it cannot be.
@@ -48,12 +63,18 @@
             StatusCode::from_u16(self.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         let headers = response.headers_mut();
         if !self.body.is_empty() {
-            headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
+            headers.insert(
+                header::CONTENT_TYPE,
+                HeaderValue::from_static("application/json"),
+            );
         }
         if let Some(seconds) = self.retry_after_s {
             headers.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
         }
-        if let Some(location) = self.location.and_then(|text| HeaderValue::from_maybe_shared(text).ok()) {
+        if let Some(location) = self
+            .location
+            .and_then(|text| HeaderValue::from_maybe_shared(text).ok())
+        {
             headers.insert(header::LOCATION, location);
         }
         if close {
--- a/crates/cluster-net/src/http_server/call.rs
+++ b/crates/cluster-net/src/http_server/call.rs
@@ -56,7 +56,9 @@
 /// The number in a value, which may stand in quotes.
 fn unquoted(value: &HeaderValue) -> Option<u64> {
     let text = value.to_str().ok()?.trim();
-    let inner = text.strip_prefix('"').and_then(|rest| rest.strip_suffix('"'));
+    let inner = text
+        .strip_prefix('"')
+        .and_then(|rest| rest.strip_suffix('"'));
     digits(inner.unwrap_or(text))
 }
 
@@ -72,8 +74,18 @@
 
 /// The host of the request's target, or of its header.
 fn host(parts: &Parts) -> String {
-    let header = || parts.headers.get(header::HOST).and_then(|value| value.to_str().ok());
-    let authority = parts.uri.authority().map(|authority| authority.as_str()).or_else(header).unwrap_or("");
+    let header = || {
+        parts
+            .headers
+            .get(header::HOST)
+            .and_then(|value| value.to_str().ok())
+    };
+    let authority = parts
+        .uri
+        .authority()
+        .map(|authority| authority.as_str())
+        .or_else(header)
+        .unwrap_or("");
     without_port(authority.trim()).to_ascii_lowercase()
 }
 
--- a/crates/cluster-net/src/http_server/connection.rs
+++ b/crates/cluster-net/src/http_server/connection.rs
@@ -31,7 +31,8 @@
 const LINGER_BYTES: u64 = 1024 * 1024;
 
 /// What a client gets whose request's head takes too long.
-const SLOW_HEAD: &[u8] = b"HTTP/1.1 408 Request Timeout\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
+const SLOW_HEAD: &[u8] =
+    b"HTTP/1.1 408 Request Timeout\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
 
 /// How a connection came to its end.
 enum End {
@@ -71,7 +72,9 @@
 }
 
 fn builder(limits: &HttpLimits) -> http1::Builder {
-    let head = usize::try_from(limits.max_header_bytes).unwrap_or(usize::MAX).min(BUFFER_BYTES_MOST);
+    let head = usize::try_from(limits.max_header_bytes)
+        .unwrap_or(usize::MAX)
+        .min(BUFFER_BYTES_MOST);
     let mut builder = http1::Builder::new();
     builder
         .half_close(true)
--- a/crates/cluster-net/src/http_server/server.rs
+++ b/crates/cluster-net/src/http_server/server.rs
@@ -95,7 +95,9 @@
 
     /// Whether the idle connection that asks is the one to close.
     pub(super) fn is_unwanted(&self) -> bool {
-        let closed = self.unwanted.compare_exchange(1, 0, Ordering::AcqRel, Ordering::Relaxed);
+        let closed = self
+            .unwanted
+            .compare_exchange(1, 0, Ordering::AcqRel, Ordering::Relaxed);
         closed.is_ok()
     }
 
--- a/crates/cluster-net/src/http_server/service.rs
+++ b/crates/cluster-net/src/http_server/service.rs
@@ -27,7 +27,11 @@
 impl<F> JsonService<F> {
     /// Passes requests to this handler.
     pub(super) fn new(handler: Arc<F>, server: Arc<Server>, activity: Arc<Activity>) -> Self {
-        JsonService { handler, server, activity }
+        JsonService {
+            handler,
+            server,
+            activity,
+        }
     }
 }
 
@@ -42,7 +46,11 @@
 
     fn call(&self, request: Request<Incoming>) -> Self::Future {
         self.activity.request_began();
-        let (handler, server, activity) = (self.handler.clone(), self.server.clone(), self.activity.clone());
+        let (handler, server, activity) = (
+            self.handler.clone(),
+            self.server.clone(),
+            self.activity.clone(),
+        );
         Box::pin(async move {
             let (parts, body) = request.into_parts();
             let answer = match read_body(body, &server.limits.load()).await {
@@ -67,7 +75,9 @@
         return Err(ErrorKind::TooLarge);
     }
     let latest = Instant::now() + limits.idle_timeout();
-    timeout_at(latest, collect(body, limits)).await.unwrap_or(Err(ErrorKind::TooSlow))
+    timeout_at(latest, collect(body, limits))
+        .await
+        .unwrap_or(Err(ErrorKind::TooSlow))
 }
 
 /// Collects the pieces of a body, each of which has to come in time.
@@ -75,9 +85,15 @@
     let expected = usize::try_from(body.size_hint().lower()).map_err(|_| ErrorKind::TooLarge)?;
     let mut collected = BytesMut::new();
     loop {
-        let next = timeout(limits.header_timeout(), body.frame()).await.map_err(|_| ErrorKind::TooSlow)?;
-        let Some(frame) = next else { return Ok(collected.freeze()) };
-        let Ok(data) = frame.map_err(|_| ErrorKind::Malformed)?.into_data() else { continue };
+        let next = timeout(limits.header_timeout(), body.frame())
+            .await
+            .map_err(|_| ErrorKind::TooSlow)?;
+        let Some(frame) = next else {
+            return Ok(collected.freeze());
+        };
+        let Ok(data) = frame.map_err(|_| ErrorKind::Malformed)?.into_data() else {
+            continue;
+        };
         if collected.is_empty() && data.len() == expected {
             return Ok(data);
         }
--- a/crates/cluster-net/src/http_server/watchdog.rs
+++ b/crates/cluster-net/src/http_server/watchdog.rs
@@ -94,7 +94,9 @@
 
     /// Ready at the deadline. A timer that is set for an earlier moment stays, and is set anew when it fires.
     fn poll_timer(&mut self, context: &mut Context<'_>, deadline: Instant) -> Poll<()> {
-        let timer = self.timer.get_or_insert_with(|| Box::pin(sleep_until(deadline)));
+        let timer = self
+            .timer
+            .get_or_insert_with(|| Box::pin(sleep_until(deadline)));
         if timer.deadline() > deadline {
             timer.as_mut().reset(deadline);
         }
--- a/crates/cluster-net/src/listen.rs
+++ b/crates/cluster-net/src/listen.rs
@@ -39,7 +39,10 @@
     let give_up = tokio::time::Instant::now() + IN_USE_MOST;
     loop {
         match bind_once(address) {
-            Err(e) if e.kind() == io::ErrorKind::AddrInUse && tokio::time::Instant::now() < give_up => {
+            Err(e)
+                if e.kind() == io::ErrorKind::AddrInUse
+                    && tokio::time::Instant::now() < give_up =>
+            {
                 tokio::time::sleep(IN_USE_RETRY).await;
             }
             result => return result,
--- a/crates/cluster-net/src/peers/accept.rs
+++ b/crates/cluster-net/src/peers/accept.rs
@@ -37,15 +37,23 @@
     let (mut read_half, write_half) = stream.into_split();
     let mut reader = FrameReader::new(HELLO_BYTES_MOST);
     let hello = read_hello(&shared, &mut reader, &mut read_half);
-    let Ok(Some(hello)) = tokio::time::timeout(shared.settings.hello_timeout, hello).await else { return };
+    let Ok(Some(hello)) = tokio::time::timeout(shared.settings.hello_timeout, hello).await else {
+        return;
+    };
     reader.set_frame_bytes_most(FRAME_BYTES_MOST);
-    let connection = shared.table().open(hello.address, &shared.hello, &shared.settings);
+    let connection = shared
+        .table()
+        .open(hello.address, &shared.hello, &shared.settings);
     tokio::spawn(tasks::write(connection.clone(), write_half));
     tasks::read(shared, connection, read_half, reader, Some(hello)).await;
 }
 
 /// The first frame, where it is a greeting.
-async fn read_hello(shared: &Shared, reader: &mut FrameReader, stream: &mut OwnedReadHalf) -> Option<Hello> {
+async fn read_hello(
+    shared: &Shared,
+    reader: &mut FrameReader,
+    stream: &mut OwnedReadHalf,
+) -> Option<Hello> {
     loop {
         match reader.next() {
             Ok(Some(Frame::Hello(hello))) => return Some(hello),
--- a/crates/cluster-net/src/peers/codec.rs
+++ b/crates/cluster-net/src/peers/codec.rs
@@ -31,7 +31,11 @@
     buffer.extend_from_slice(&[0; LENGTH_BYTES]);
     let encoded = borsh::to_writer(&mut *buffer, frame).map_err(|_| FrameError::Garbage);
     let length = buffer.len() - start - LENGTH_BYTES;
-    let checked = if length > FRAME_BYTES_MOST { Err(FrameError::TooLarge) } else { encoded };
+    let checked = if length > FRAME_BYTES_MOST {
+        Err(FrameError::TooLarge)
+    } else {
+        encoded
+    };
     if checked.is_err() {
         buffer.truncate(start);
         return checked;
@@ -50,7 +54,10 @@
 impl FrameReader {
     /// A reader that takes no frame above `frame_bytes_most`.
     pub(super) fn new(frame_bytes_most: usize) -> Self {
-        FrameReader { buffer: BytesMut::new(), frame_bytes_most }
+        FrameReader {
+            buffer: BytesMut::new(),
+            frame_bytes_most,
+        }
     }
 
     /// Changes the size of the largest frame.
@@ -59,7 +66,10 @@
     }
 
     /// Reads once; 0 at the end of the stream. Nothing is lost where the future is dropped.
-    pub(super) async fn read(&mut self, stream: &mut (impl AsyncRead + Unpin)) -> io::Result<usize> {
+    pub(super) async fn read(
+        &mut self,
+        stream: &mut (impl AsyncRead + Unpin),
+    ) -> io::Result<usize> {
         if self.buffer.is_empty() && self.buffer.capacity() > KEPT_BYTES {
             self.buffer = BytesMut::new();
         }
@@ -70,11 +80,15 @@
 
     /// The next frame, where it has come whole.
     pub(super) fn next(&mut self) -> Result<Option<Frame>, FrameError> {
-        let Some(length) = self.frame_length() else { return Ok(None) };
+        let Some(length) = self.frame_length() else {
+            return Ok(None);
+        };
         if length > self.frame_bytes_most {
             return Err(FrameError::TooLarge);
         }
-        let Some(bytes) = self.buffer.get(LENGTH_BYTES..LENGTH_BYTES + length) else { return Ok(None) };
+        let Some(bytes) = self.buffer.get(LENGTH_BYTES..LENGTH_BYTES + length) else {
+            return Ok(None);
+        };
         let frame = borsh::from_slice(bytes).map_err(|_| FrameError::Garbage)?;
         self.buffer.advance(LENGTH_BYTES + length);
         Ok(Some(frame))
@@ -93,6 +107,8 @@
 
     /// How many bytes of the frame at the front have not come.
     fn missing(&self) -> usize {
-        self.frame_length().map_or(0, |length| (LENGTH_BYTES + length).saturating_sub(self.buffer.len()))
+        self.frame_length().map_or(0, |length| {
+            (LENGTH_BYTES + length).saturating_sub(self.buffer.len())
+        })
     }
 }
--- a/crates/cluster-net/src/peers/dial.rs
+++ b/crates/cluster-net/src/peers/dial.rs
@@ -49,8 +49,14 @@
     /// The wait after so many failures in a row: drawn between the least wait and a bound that doubles.
     fn retry_after(&self, failures: u32) -> Duration {
         let least = self.settings.retry_least;
-        let bound = least.saturating_mul(1 << failures.min(8)).min(self.settings.retry_most).max(least);
-        let spread = (bound - least).as_micros().try_into().unwrap_or(u64::MAX - 1);
+        let bound = least
+            .saturating_mul(1 << failures.min(8))
+            .min(self.settings.retry_most)
+            .max(least);
+        let spread = (bound - least)
+            .as_micros()
+            .try_into()
+            .unwrap_or(u64::MAX - 1);
         let mut jitter = self.jitter.lock().unwrap_or_else(PoisonError::into_inner);
         least + Duration::from_micros(jitter.u64(0..=spread))
     }
--- a/crates/cluster-net/src/peers/mod.rs
+++ b/crates/cluster-net/src/peers/mod.rs
@@ -148,16 +148,23 @@
 
     /// Sends a frame on the newest connection to a peer, or opens one for it. Never blocks.
     pub fn send(&self, to: PeerAddress, frame: impl Borrow<Frame>) -> SendOutcome {
-        let handed = self.shared.table().send(to, frame.borrow(), &self.shared.settings);
+        let handed = self
+            .shared
+            .table()
+            .send(to, frame.borrow(), &self.shared.settings);
         if handed.dial {
-            self.shared.runtime.spawn(dial::run(to, self.shared.clone()));
+            self.shared
+                .runtime
+                .spawn(dial::run(to, self.shared.clone()));
         }
         handed.outcome
     }
 
     /// Sends a frame on this very connection; false where it is gone. Never blocks.
     pub fn send_on(&self, connection: u64, frame: impl Borrow<Frame>) -> bool {
-        self.shared.table().send_on(connection, frame.borrow(), &self.shared.settings)
+        self.shared
+            .table()
+            .send_on(connection, frame.borrow(), &self.shared.settings)
     }
 
     /// Closes all connections to a peer at once; what was not written yet is lost.
--- a/crates/cluster-net/src/peers/table.rs
+++ b/crates/cluster-net/src/peers/table.rs
@@ -42,24 +42,39 @@
 
 impl Table {
     /// Hands a frame to the newest connection to a peer, or lets it wait for one.
-    pub(super) fn send(&mut self, to: PeerAddress, frame: &Frame, settings: &PeerSettings) -> Handed {
+    pub(super) fn send(
+        &mut self,
+        to: PeerAddress,
+        frame: &Frame,
+        settings: &PeerSettings,
+    ) -> Handed {
         let peer = self.peers.entry(to).or_default();
         if let Some(outcome) = peer.push(frame, settings) {
-            return Handed { outcome, dial: false };
+            return Handed {
+                outcome,
+                dial: false,
+            };
         }
         let mut bytes = Vec::new();
         if codec::append(&mut bytes, frame).is_err() {
-            return Handed { outcome: SendOutcome::Dropped, dial: false };
+            return Handed {
+                outcome: SendOutcome::Dropped,
+                dial: false,
+            };
         }
         peer.waiting.push(bytes, Instant::now(), settings);
         let dial = !std::mem::replace(&mut peer.dialing, true);
-        Handed { outcome: SendOutcome::Waiting, dial }
+        Handed {
+            outcome: SendOutcome::Waiting,
+            dial,
+        }
     }
 
     /// Hands a frame to one certain connection.
     pub(super) fn send_on(&mut self, number: u64, frame: &Frame, settings: &PeerSettings) -> bool {
         let connection = self.numbers.get(&number);
-        connection.is_some_and(|connection| connection.push(frame, settings.outgoing_bytes_most).is_ok())
+        connection
+            .is_some_and(|connection| connection.push(frame, settings.outgoing_bytes_most).is_ok())
     }
 
     /// Adds a connection on which `hello` and all that waits for the peer are sent, and from now on all else.
@@ -88,35 +103,52 @@
 
     /// Closes older connections to former lives of the peer's process.
     pub(super) fn close_other_lives(&self, connection: &Connection, life: u64) {
-        let Some(peer) = self.peers.get(&connection.peer) else { return };
-        let older = peer.connections.iter().filter(|other| other.number < connection.number);
-        older.filter(|other| other.is_of_other_life(life)).for_each(|other| other.close());
+        let Some(peer) = self.peers.get(&connection.peer) else {
+            return;
+        };
+        let older = peer
+            .connections
+            .iter()
+            .filter(|other| other.number < connection.number);
+        older
+            .filter(|other| other.is_of_other_life(life))
+            .for_each(|other| other.close());
     }
 
     /// Forgets a connection that has ended.
     pub(super) fn remove(&mut self, connection: &Connection) {
         self.numbers.remove(&connection.number);
         if let Some(peer) = self.peers.get_mut(&connection.peer) {
-            peer.connections.retain(|other| other.number != connection.number);
+            peer.connections
+                .retain(|other| other.number != connection.number);
             peer.last_received = peer.last_received.max(connection.last_received());
         }
     }
 
     /// Closes all connections to a peer.
     pub(super) fn close(&self, to: PeerAddress) {
-        let connections = self.peers.get(&to).map(|peer| peer.connections.as_slice()).unwrap_or_default();
+        let connections = self
+            .peers
+            .get(&to)
+            .map(|peer| peer.connections.as_slice())
+            .unwrap_or_default();
         connections.iter().for_each(|connection| connection.close());
     }
 
     /// Whether frames to a peer go out at once.
     pub(super) fn is_connected(&self, to: PeerAddress) -> bool {
-        self.peers.get(&to).is_some_and(|peer| peer.newest().is_some())
+        self.peers
+            .get(&to)
+            .is_some_and(|peer| peer.newest().is_some())
     }
 
     /// When bytes came in last from a peer.
     pub(super) fn last_received(&self, from: PeerAddress) -> Option<Instant> {
         let peer = self.peers.get(&from)?;
-        let open = peer.connections.iter().filter_map(|connection| connection.last_received());
+        let open = peer
+            .connections
+            .iter()
+            .filter_map(|connection| connection.last_received());
         open.chain(peer.last_received).max()
     }
 
@@ -137,14 +169,19 @@
 impl Peer {
     /// The connection on which frames are sent.
     fn newest(&self) -> Option<&Arc<Connection>> {
-        self.connections.iter().rev().find(|connection| !connection.is_closed())
+        self.connections
+            .iter()
+            .rev()
+            .find(|connection| !connection.is_closed())
     }
 
     /// Hands a frame to the newest connection; none where there is no connection.
     fn push(&self, frame: &Frame, settings: &PeerSettings) -> Option<SendOutcome> {
         let connection = self.newest()?;
         match connection.push(frame, settings.outgoing_bytes_most) {
-            Ok(()) => Some(SendOutcome::Sent { connection: connection.number }),
+            Ok(()) => Some(SendOutcome::Sent {
+                connection: connection.number,
+            }),
             Err(PushError::Overflow | PushError::Frame(_)) => Some(SendOutcome::Dropped),
             Err(PushError::Closed) => None,
         }
--- a/crates/cluster-net/src/peers/tasks.rs
+++ b/crates/cluster-net/src/peers/tasks.rs
@@ -29,7 +29,11 @@
 ) {
     let mut closing = pin!(connection.closing());
     if !connection.is_closed() {
-        let delivery = Delivery { shared: &shared, connection: &connection, identity: None };
+        let delivery = Delivery {
+            shared: &shared,
+            connection: &connection,
+            identity: None,
+        };
         tokio::select! {
             () = &mut closing => {}
             () = delivery.run(&mut stream, &mut frames, hello) => {}
@@ -55,7 +59,12 @@
 
 impl Delivery<'_> {
     /// Reads and delivers until the stream ends, fails or breaks the protocol.
-    async fn run(mut self, stream: &mut OwnedReadHalf, frames: &mut FrameReader, hello: Option<Hello>) {
+    async fn run(
+        mut self,
+        stream: &mut OwnedReadHalf,
+        frames: &mut FrameReader,
+        hello: Option<Hello>,
+    ) {
         if let Some(hello) = hello {
             if !self.deliver(Frame::Hello(hello)).await {
                 return;
@@ -109,8 +118,13 @@
         match (self.identity, frame) {
             (None, Frame::Hello(hello)) if hello.address == self.connection.peer => {
                 self.connection.set_life(hello.life);
-                self.shared.table().close_other_lives(self.connection, hello.life);
-                self.identity = Some(Identity { role: hello.role, life: hello.life });
+                self.shared
+                    .table()
+                    .close_other_lives(self.connection, hello.life);
+                self.identity = Some(Identity {
+                    role: hello.role,
+                    life: hello.life,
+                });
                 self.identity
             }
             (None, _) | (Some(_), Frame::Hello(_)) => None,
--- a/crates/cluster-net/src/peers/waiting.rs
+++ b/crates/cluster-net/src/peers/waiting.rs
@@ -23,14 +23,17 @@
         self.drop_expired(now, settings);
         self.bytes += bytes.len();
         self.frames.push_back(Waiting { since: now, bytes });
-        while self.frames.len() > settings.waiting_frames_most || self.bytes > settings.waiting_bytes_most {
+        while self.frames.len() > settings.waiting_frames_most
+            || self.bytes > settings.waiting_bytes_most
+        {
             self.drop_oldest();
         }
     }
 
     /// Drops the frames that have waited too long.
     pub(super) fn drop_expired(&mut self, now: Instant, settings: &PeerSettings) {
-        let expired = |waiting: &Waiting| now.duration_since(waiting.since) > settings.waiting_age_most;
+        let expired =
+            |waiting: &Waiting| now.duration_since(waiting.since) > settings.waiting_age_most;
         while self.frames.front().is_some_and(expired) {
             self.drop_oldest();
         }
@@ -39,7 +42,9 @@
     /// Takes all frames out, oldest first.
     pub(super) fn take(&mut self) -> impl Iterator<Item = Vec<u8>> {
         self.bytes = 0;
-        std::mem::take(&mut self.frames).into_iter().map(|waiting| waiting.bytes)
+        std::mem::take(&mut self.frames)
+            .into_iter()
+            .map(|waiting| waiting.bytes)
     }
 
     /// Whether no frame waits.
--- a/crates/cluster-net/src/snapshot.rs
+++ b/crates/cluster-net/src/snapshot.rs
@@ -51,7 +51,10 @@
 impl<T, C: SnapshotCell<T>> Snapshot<T, C> {
     /// Begins with this value.
     pub fn new(value: T) -> Self {
-        Snapshot { cell: C::new(Arc::new(value)), value: PhantomData }
+        Snapshot {
+            cell: C::new(Arc::new(value)),
+            value: PhantomData,
+        }
     }
 
     /// The current value.
@@ -70,7 +73,9 @@
     pub fn update(&self, mut next: impl FnMut(&T) -> Option<T>) -> bool {
         loop {
             let current = self.cell.load();
-            let Some(value) = next(&current) else { return false };
+            let Some(value) = next(&current) else {
+                return false;
+            };
             if self.cell.compare_and_swap(&current, Arc::new(value)) {
                 return true;
             }
--- a/crates/cluster-net/tests/golden/answers.rs
+++ b/crates/cluster-net/tests/golden/answers.rs
@@ -34,7 +34,12 @@
         let answer = answer.clone();
         async move { answer }
     };
-    serve(bind_once(ANY).unwrap(), Arc::new(Snapshot::new(limits)), handler).unwrap()
+    serve(
+        bind_once(ANY).unwrap(),
+        Arc::new(Snapshot::new(limits)),
+        handler,
+    )
+    .unwrap()
 }
 
 /// What the server sends to a client that sends this.
@@ -54,7 +59,8 @@
         stream
     };
     let request = Request::get("/").body(Bytes::new()).unwrap();
-    let (answer, _stream) = within(async { tokio::join!(call(address, request, TIMEOUT), server) }).await;
+    let (answer, _stream) =
+        within(async { tokio::join!(call(address, request, TIMEOUT), server) }).await;
     answer.unwrap()
 }
 
@@ -73,19 +79,31 @@
         ("everything", all),
     ];
     let errors = ErrorKind::ALL.map(|kind| (format!("error: {kind}"), HttpAnswer::error(kind)));
-    answers.map(|(name, answer)| (name.to_owned(), answer)).into_iter().chain(errors).collect()
+    answers
+        .map(|(name, answer)| (name.to_owned(), answer))
+        .into_iter()
+        .chain(errors)
+        .collect()
 }
 
 #[tokio::test]
 async fn answers_of_handlers() {
     let mut messages = Vec::new();
     for (name, answer) in answers() {
-        messages.push((name, answer_to(&server(HttpLimits::default(), answer), GET).await));
+        messages.push((
+            name,
+            answer_to(&server(HttpLimits::default(), answer), GET).await,
+        ));
     }
     let kept = assert_http("answers.http", &messages);
     for (name, answer) in answers() {
         let response = received(&kept[&name]).await;
-        let header = |name| response.headers().get(name).map(|value| value.to_str().unwrap().to_owned());
+        let header = |name| {
+            response
+                .headers()
+                .get(name)
+                .map(|value| value.to_str().unwrap().to_owned())
+        };
         let seen = HttpAnswer {
             status: response.status().as_u16(),
             retry_after_s: header(header::RETRY_AFTER).map(|seconds| seconds.parse().unwrap()),
@@ -98,19 +116,34 @@
 
 #[tokio::test]
 async fn answers_that_the_server_gives_itself() {
-    let large_head = format!("GET / HTTP/1.1\r\nHost: h\r\nX-Filler: {}\r\n\r\n", "x".repeat(2000));
+    let large_head = format!(
+        "GET / HTTP/1.1\r\nHost: h\r\nX-Filler: {}\r\n\r\n",
+        "x".repeat(2000)
+    );
     let cases = [
         ("no request", "nonsense\r\n\r\n"),
         ("large head", &large_head),
         ("slow head", "GET / HTTP/1.1\r\nHo"),
-        ("large body", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\n\r\n"),
-        ("slow body", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nabc"),
+        (
+            "large body",
+            "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\n\r\n",
+        ),
+        (
+            "slow body",
+            "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nabc",
+        ),
         (
             "the body is waited for",
             "POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n",
         ),
-        ("the last one on its connection", "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"),
-        ("the client speaks HTTP/1.0", "GET / HTTP/1.0\r\nHost: h\r\n\r\n"),
+        (
+            "the last one on its connection",
+            "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n",
+        ),
+        (
+            "the client speaks HTTP/1.0",
+            "GET / HTTP/1.0\r\nHost: h\r\n\r\n",
+        ),
         (
             "the client speaks HTTP/1.0 and stays",
             "GET / HTTP/1.0\r\nHost: h\r\nConnection: keep-alive\r\n\r\n",
--- a/crates/cluster-net/tests/golden/examples.rs
+++ b/crates/cluster-net/tests/golden/examples.rs
@@ -18,7 +18,9 @@
     let line = |(name, bytes): &(String, Vec<u8>)| format!("{name}: {}\n", to_hex(bytes));
     let kept = assert_file(file, &examples.iter().map(line).collect::<String>());
     let lines = kept.lines().map(|line| line.split_once(": ").unwrap());
-    let kept: BTreeMap<_, _> = lines.map(|(name, hex)| (name.to_owned(), from_hex(hex))).collect();
+    let kept: BTreeMap<_, _> = lines
+        .map(|(name, hex)| (name.to_owned(), from_hex(hex)))
+        .collect();
     assert_eq!(kept.len(), examples.len(), "two examples have one name");
     kept
 }
@@ -26,27 +28,44 @@
 /// Checks that the file holds these HTTP messages and nothing else, and gives what it holds by name.
 pub fn assert_http(file: &str, examples: &[(String, String)]) -> BTreeMap<String, String> {
     let section = |(name, message): &(String, String)| {
-        assert!(!message.replace("\r\n", "").contains(['\r', '\n', '\\']), "{name} cannot be written");
-        format!("[{name}]\n{}\n", message.replace("\r\n", &format!("{LINE_END}\n")))
+        assert!(
+            !message.replace("\r\n", "").contains(['\r', '\n', '\\']),
+            "{name} cannot be written"
+        );
+        format!(
+            "[{name}]\n{}\n",
+            message.replace("\r\n", &format!("{LINE_END}\n"))
+        )
     };
     let kept = assert_file(file, &examples.iter().map(section).collect::<String>());
-    let sections =
-        kept.strip_prefix('[').unwrap().split("\n[").map(|section| section.split_once("]\n").unwrap());
+    let sections = kept
+        .strip_prefix('[')
+        .unwrap()
+        .split("\n[")
+        .map(|section| section.split_once("]\n").unwrap());
     let message = |text: &str| text.replace('\n', "").replace(LINE_END, "\r\n");
-    let kept: BTreeMap<_, _> = sections.map(|(name, text)| (name.to_owned(), message(text))).collect();
+    let kept: BTreeMap<_, _> = sections
+        .map(|(name, text)| (name.to_owned(), message(text)))
+        .collect();
     assert_eq!(kept.len(), examples.len(), "two examples have one name");
     kept
 }
 
 /// Checks that the file holds this text and nothing else, and gives the text of the file.
 fn assert_file(file: &str, text: &str) -> String {
-    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(file);
     if env::var(UPDATE_GOLDEN).is_ok_and(|value| value == "1") {
         fs::write(&path, text).unwrap();
     }
-    let kept = fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
+    let kept =
+        fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
     for (kept, built) in kept.lines().zip(text.lines()) {
-        assert_eq!(kept, built, "{file} holds another line than the test builds");
+        assert_eq!(
+            kept, built,
+            "{file} holds another line than the test builds"
+        );
     }
     assert_eq!(
         kept.lines().count(),
--- a/crates/cluster-net/tests/golden/frames.rs
+++ b/crates/cluster-net/tests/golden/frames.rs
@@ -28,29 +28,77 @@
         Role::Core => ("core", 3, "zone-c", Some(DiskId(0x1112_1314_1516_1718))),
     };
     let life = 0x0102_0304_0506_0700 + name.len() as u64;
-    Hello { address: address(last, 7000 + u16::from(last)), role, zone: zone.to_owned(), life, disk }
+    Hello {
+        address: address(last, 7000 + u16::from(last)),
+        role,
+        zone: zone.to_owned(),
+        life,
+        disk,
+    }
 }
 
 fn greetings() -> Vec<(String, Hello)> {
-    let roles = [("frontend", Role::Frontend), ("agent", Role::Agent), ("core", Role::Core)];
-    roles.map(|(name, role)| (format!("hello, {name}"), hello(role))).to_vec()
+    let roles = [
+        ("frontend", Role::Frontend),
+        ("agent", Role::Agent),
+        ("core", Role::Core),
+    ];
+    roles
+        .map(|(name, role)| (format!("hello, {name}"), hello(role)))
+        .to_vec()
 }
 
 fn frames() -> Vec<(String, Frame)> {
-    let id = CallId { life: 0x2122_2324_2526_2728, number: 0x3132_3334_3536_3738 };
-    let voter = Voter { disk: DiskId(0x41), address: address(4, 7004), zone: "zone-d".into() };
-    let view = View { number: 0x51, voters: vec![voter.clone()], chain: vec![DiskId(0x41), DiskId(0x42)] };
-    let replica = ReplicaReport { caught_up: false, complete: true, needs_view: false };
+    let id = CallId {
+        life: 0x2122_2324_2526_2728,
+        number: 0x3132_3334_3536_3738,
+    };
+    let voter = Voter {
+        disk: DiskId(0x41),
+        address: address(4, 7004),
+        zone: "zone-d".into(),
+    };
+    let view = View {
+        number: 0x51,
+        voters: vec![voter.clone()],
+        chain: vec![DiskId(0x41), DiskId(0x42)],
+    };
+    let replica = ReplicaReport {
+        caught_up: false,
+        complete: true,
+        needs_view: false,
+    };
     let frames = [
-        ("request", Frame::Request { id, remaining_ms: 0x6162, request: Request::ReadConfiguration }),
-        ("reply", Frame::Reply { id, reply: Reply::Pending(0x7172) }),
+        (
+            "request",
+            Frame::Request {
+                id,
+                remaining_ms: 0x6162,
+                request: Request::ReadConfiguration,
+            },
+        ),
+        (
+            "reply",
+            Frame::Reply {
+                id,
+                reply: Reply::Pending(0x7172),
+            },
+        ),
         (
             "heartbeat",
-            Frame::Heartbeat { voter, view: view.clone(), disk_healthy: true, leaving: false, replica },
+            Frame::Heartbeat {
+                voter,
+                view: view.clone(),
+                disk_healthy: true,
+                leaving: false,
+                replica,
+            },
         ),
         ("view news", Frame::ViewNews(view)),
     ];
-    frames.map(|(name, frame)| (name.to_owned(), frame)).to_vec()
+    frames
+        .map(|(name, frame)| (name.to_owned(), frame))
+        .to_vec()
 }
 
 fn start(hello: Hello) -> (Peers, mpsc::Receiver<PeerEvent>, SocketAddrV4) {
@@ -105,7 +153,11 @@
         examples.push((name, greeting(hello).await));
     }
     let (names, values): (Vec<_>, Vec<_>) = frames().into_iter().unzip();
-    examples.extend(names.into_iter().zip(sent(hello(Role::Core), &values).await.split_off(1)));
+    examples.extend(
+        names
+            .into_iter()
+            .zip(sent(hello(Role::Core), &values).await.split_off(1)),
+    );
     let kept = assert_hex("frames.hex", &examples);
     for (name, hello) in greetings() {
         assert_taken(&kept, &name, &hello).await;
@@ -122,25 +174,44 @@
     }
     let (events, answer) = received(&bytes, expected.len()).await;
     for (event, expected) in events.into_iter().zip(expected) {
-        let PeerEvent::Frame { from, role, life, frame, .. } = event else { panic!("{event:?}") };
+        let PeerEvent::Frame {
+            from,
+            role,
+            life,
+            frame,
+            ..
+        } = event
+        else {
+            panic!("{event:?}")
+        };
         assert_eq!((from, role, life), (hello.address, hello.role, hello.life));
         assert_eq!(frame, expected);
     }
-    assert_eq!(answer, kept["hello, core"], "the greeting of the process that accepted");
+    assert_eq!(
+        answer, kept["hello, core"],
+        "the greeting of the process that accepted"
+    );
 }
 
 #[tokio::test]
 async fn a_frame_whose_length_takes_three_bytes() {
-    let id = CallId { life: 0x8182, number: 0x9192 };
+    let id = CallId {
+        life: 0x8182,
+        number: 0x9192,
+    };
     let reply = Reply::ConfigurationDocument("x".repeat(LARGE_TEXT_BYTES));
     let frame = Frame::Reply { id, reply };
-    let bytes = sent(hello(Role::Frontend), std::slice::from_ref(&frame)).await.remove(1);
+    let bytes = sent(hello(Role::Frontend), std::slice::from_ref(&frame))
+        .await
+        .remove(1);
     let (head, text) = bytes.split_at(bytes.len() - LARGE_TEXT_BYTES);
     assert!(text.iter().all(|byte| *byte == b'x'));
     let name = "reply up to its text".to_owned();
     let kept = assert_hex("large_frame.hex", &[(name.clone(), head.to_vec())]);
     let greeting = greeting(hello(Role::Agent)).await;
     let (mut events, _) = received(&[&greeting, &kept[&name][..], text].concat(), 2).await;
-    let Some(PeerEvent::Frame { frame: taken, .. }) = events.pop() else { panic!("no frame") };
+    let Some(PeerEvent::Frame { frame: taken, .. }) = events.pop() else {
+        panic!("no frame")
+    };
     assert!(taken == frame);
 }
--- a/crates/cluster-net/tests/golden/requests.rs
+++ b/crates/cluster-net/tests/golden/requests.rs
@@ -5,7 +5,9 @@
 use bytes::Bytes;
 use http::{header, Method, Request};
 use lupinrack_cluster_net::http_client::call;
-use lupinrack_cluster_net::http_server::{serve, HttpAnswer, HttpCall, HttpLimits, DEADLINE_REMAINING};
+use lupinrack_cluster_net::http_server::{
+    serve, HttpAnswer, HttpCall, HttpLimits, DEADLINE_REMAINING,
+};
 use lupinrack_cluster_net::listen::bind_once;
 use lupinrack_cluster_net::snapshot::Snapshot;
 use std::sync::Arc;
@@ -43,8 +45,9 @@
 }
 
 fn examples() -> Vec<Example> {
-    let change =
-        Request::patch("/v1/change").header(header::IF_MATCH, "17").header(DEADLINE_REMAINING, "2345");
+    let change = Request::patch("/v1/change")
+        .header(header::IF_MATCH, "17")
+        .header(DEADLINE_REMAINING, "2345");
     let typed = Request::put("/v1/whole").header(header::CONTENT_TYPE, "application/json");
     let hosted = Request::post("/jobs/0123456789abcdef").header(header::HOST, "Jobs.Example:8080");
     vec![
@@ -105,13 +108,17 @@
     let server = async {
         let mut stream = accepted(&listener).await;
         let message = read_message(&mut stream).await;
-        stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n").await.unwrap();
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n")
+            .await
+            .unwrap();
         let mut rest = Vec::new();
         within(stream.read_to_end(&mut rest)).await.unwrap();
         assert!(rest.is_empty(), "{rest:?}");
         message
     };
-    let (answer, message) = within(async { tokio::join!(call(address, request, TIMEOUT), server) }).await;
+    let (answer, message) =
+        within(async { tokio::join!(call(address, request, TIMEOUT), server) }).await;
     assert_eq!(answer.unwrap().status(), 200);
     message.replace(&address.to_string(), &format!("{}:{PORT}", address.ip()))
 }
@@ -125,7 +132,9 @@
     };
     let limits = Arc::new(Snapshot::new(HttpLimits::default()));
     let server = serve(bind_once(ANY).unwrap(), limits, handler).unwrap();
-    let mut stream = TcpStream::connect(version_4(server.local_address())).await.unwrap();
+    let mut stream = TcpStream::connect(version_4(server.local_address()))
+        .await
+        .unwrap();
     stream.write_all(message.as_bytes()).await.unwrap();
     within(received.recv()).await.unwrap()
 }
@@ -138,6 +147,11 @@
     }
     let kept = assert_http("requests.http", &messages);
     for example in examples() {
-        assert_eq!(received(&kept[example.name]).await, example.call, "{}", example.name);
+        assert_eq!(
+            received(&kept[example.name]).await,
+            example.call,
+            "{}",
+            example.name
+        );
     }
 }
--- a/crates/cluster-net/tests/golden/sockets.rs
+++ b/crates/cluster-net/tests/golden/sockets.rs
@@ -14,7 +14,9 @@
 
 /// A future that has to resolve.
 pub async fn within<T>(future: impl Future<Output = T>) -> T {
-    tokio::time::timeout(STUCK, future).await.expect("the test is stuck")
+    tokio::time::timeout(STUCK, future)
+        .await
+        .expect("the test is stuck")
 }
 
 /// A socket that listens, and where.
@@ -61,8 +63,11 @@
 
 /// What the head of an HTTP message says of its body.
 fn body_length(head: &str) -> usize {
-    let mut lengths = head
-        .lines()
-        .filter_map(|line| line.to_ascii_lowercase().strip_prefix("content-length: ")?.parse().ok());
+    let mut lengths = head.lines().filter_map(|line| {
+        line.to_ascii_lowercase()
+            .strip_prefix("content-length: ")?
+            .parse()
+            .ok()
+    });
     lengths.next_back().unwrap_or(0)
 }
--- a/crates/cluster-net/tests/http/client.rs
+++ b/crates/cluster-net/tests/http/client.rs
@@ -29,14 +29,27 @@
 async fn a_call_is_answered() {
     let server = server(HttpLimits::default(), |call| async move {
         assert_eq!((call.method, call.if_match), (Method::PUT, Some(4)));
-        assert_eq!((call.host.as_str(), call.deadline_remaining_ms), ("127.0.0.1", Some(9)));
-        HttpAnswer { body: call.body, ..HttpAnswer::redirect(call.path) }
+        assert_eq!(
+            (call.host.as_str(), call.deadline_remaining_ms),
+            ("127.0.0.1", Some(9))
+        );
+        HttpAnswer {
+            body: call.body,
+            ..HttpAnswer::redirect(call.path)
+        }
     });
     let address = version_4(server.local_address());
-    let request = Request::put("/there").header(header::IF_MATCH, "4").header(DEADLINE_REMAINING, "9");
-    let response = call(address, request.body(Bytes::from("text")).unwrap(), TIMEOUT).await.unwrap();
+    let request = Request::put("/there")
+        .header(header::IF_MATCH, "4")
+        .header(DEADLINE_REMAINING, "9");
+    let response = call(address, request.body(Bytes::from("text")).unwrap(), TIMEOUT)
+        .await
+        .unwrap();
     assert_eq!(
-        (response.status().as_u16(), response.headers()[header::LOCATION].as_bytes()),
+        (
+            response.status().as_u16(),
+            response.headers()[header::LOCATION].as_bytes()
+        ),
         (307, &b"/there"[..])
     );
     assert_eq!(response.body(), "text");
@@ -44,9 +57,16 @@
 
 #[tokio::test]
 async fn the_host_of_the_request_is_kept() {
-    let server = server(HttpLimits::default(), |call| async move { HttpAnswer::json(call.host) });
-    let request = Request::get("/").header(header::HOST, "some.example").body(Bytes::new()).unwrap();
-    let response = call(version_4(server.local_address()), request, TIMEOUT).await.unwrap();
+    let server = server(HttpLimits::default(), |call| async move {
+        HttpAnswer::json(call.host)
+    });
+    let request = Request::get("/")
+        .header(header::HOST, "some.example")
+        .body(Bytes::new())
+        .unwrap();
+    let response = call(version_4(server.local_address()), request, TIMEOUT)
+        .await
+        .unwrap();
     assert_eq!(response.body(), "some.example");
 }
 
@@ -72,10 +92,14 @@
     let address = version_4(listener.local_addr().unwrap());
     let answer = async {
         let (mut stream, _) = listener.accept().await.unwrap();
-        stream.read_buf(&mut Vec::with_capacity(4096)).await.unwrap();
+        stream
+            .read_buf(&mut Vec::with_capacity(4096))
+            .await
+            .unwrap();
         stream.write_all(bytes).await.unwrap();
     };
-    let (result, ()) = within(async { tokio::join!(call(address, get("/"), TIMEOUT), answer) }).await;
+    let (result, ()) =
+        within(async { tokio::join!(call(address, get("/"), TIMEOUT), answer) }).await;
     result
 }
 
--- a/crates/cluster-net/tests/http/drain.rs
+++ b/crates/cluster-net/tests/http/drain.rs
@@ -12,7 +12,10 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, Notify};
 
-const AT_ONCE: DrainTimes = DrainTimes { accept_for: Duration::ZERO, answer_within: Duration::from_secs(30) };
+const AT_ONCE: DrainTimes = DrainTimes {
+    accept_for: Duration::ZERO,
+    answer_within: Duration::from_secs(30),
+};
 
 #[tokio::test]
 async fn a_request_in_flight_is_answered_and_idle_connections_are_closed() {
@@ -52,7 +55,8 @@
     let mut head = Client::connect(&server).await;
     head.send("GET /head HTTP/1.1\r\nHo").await;
     let mut body = Client::connect(&server).await;
-    body.send("POST /body HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nab").await;
+    body.send("POST /body HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nab")
+        .await;
     let mut idle = Client::connect(&server).await;
     assert_eq!(idle.ask(Method::GET, "/", "").await.status, 200);
 
@@ -63,7 +67,10 @@
     body.send("cd").await;
     let (head, body) = (head.answer().await, body.answer().await);
     assert_eq!((head.body.as_str(), head.is_last()), ("GET /head ", true));
-    assert_eq!((body.body.as_str(), body.is_last()), ("POST /body abcd", true));
+    assert_eq!(
+        (body.body.as_str(), body.is_last()),
+        ("POST /body abcd", true)
+    );
     assert_eq!(within(drain).await.unwrap(), DrainOutcome { cut: 0 });
 }
 
@@ -73,7 +80,10 @@
     let handle = server.clone();
     let mut old = Client::connect(&server).await;
     assert!(!old.ask(Method::GET, "/", "").await.is_last());
-    let times = DrainTimes { accept_for: Duration::from_secs(3600), ..AT_ONCE };
+    let times = DrainTimes {
+        accept_for: Duration::from_secs(3600),
+        ..AT_ONCE
+    };
     let drain = tokio::spawn(async move { handle.drain(times).await });
     tokio::task::yield_now().await;
 
@@ -112,12 +122,20 @@
 #[tokio::test(start_paused = true)]
 async fn an_address_is_taken_once_it_is_free() {
     let listener = bind_once(ANY).unwrap();
-    let SocketAddr::V4(address) = listener.local_addr().unwrap() else { panic!("not IPv4") };
-    assert_eq!(bind(address).await.unwrap_err().kind(), ErrorKind::AddrInUse);
+    let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
+        panic!("not IPv4")
+    };
+    assert_eq!(
+        bind(address).await.unwrap_err().kind(),
+        ErrorKind::AddrInUse
+    );
 
     let waiting = tokio::spawn(bind(address));
     tokio::task::yield_now().await;
     assert!(!waiting.is_finished());
     drop(listener);
-    assert_eq!(waiting.await.unwrap().unwrap().local_addr().unwrap(), SocketAddr::V4(address));
+    assert_eq!(
+        waiting.await.unwrap().unwrap().local_addr().unwrap(),
+        SocketAddr::V4(address)
+    );
 }
--- a/crates/cluster-net/tests/http/limits.rs
+++ b/crates/cluster-net/tests/http/limits.rs
@@ -11,7 +11,10 @@
 
 #[tokio::test]
 async fn a_body_over_the_limit_is_refused_and_the_client_sees_it() {
-    let limits = HttpLimits { max_body_bytes: 1000, ..HttpLimits::default() };
+    let limits = HttpLimits {
+        max_body_bytes: 1000,
+        ..HttpLimits::default()
+    };
     let server = echo(limits);
     let fits = "x".repeat(1000);
     let mut client = Client::connect(&server).await;
@@ -26,7 +29,9 @@
 
     let mut client = Client::connect(&server).await;
     let chunk = format!("{:x}\r\n{}\r\n", 600, "x".repeat(600));
-    client.send("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n").await;
+    client
+        .send("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .await;
     client.send(&chunk).await;
     client.send(&chunk).await;
     let refused = client.answer().await;
@@ -35,14 +40,21 @@
 
 #[tokio::test]
 async fn a_client_that_asks_first_is_told_before_it_sends() {
-    let limits = HttpLimits { max_body_bytes: 1000, ..HttpLimits::default() };
+    let limits = HttpLimits {
+        max_body_bytes: 1000,
+        ..HttpLimits::default()
+    };
     let server = echo(limits);
     let mut client = Client::connect(&server).await;
-    client.send("POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2000\r\n\r\n").await;
+    client
+        .send("POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2000\r\n\r\n")
+        .await;
     assert_eq!(client.answer().await.status, 413);
 
     let mut client = Client::connect(&server).await;
-    client.send("POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n").await;
+    client
+        .send("POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
+        .await;
     assert_eq!(client.answer().await.status, 100);
     client.send("ab").await;
     assert_eq!(client.answer().await.body, "POST / ab");
@@ -51,9 +63,15 @@
 #[tokio::test]
 async fn a_head_over_the_limit_is_refused() {
     for filler in [2000, 100_000] {
-        let server = echo(HttpLimits { max_header_bytes: 1000, ..HttpLimits::default() });
+        let server = echo(HttpLimits {
+            max_header_bytes: 1000,
+            ..HttpLimits::default()
+        });
         let mut client = Client::connect(&server).await;
-        let text = format!("GET / HTTP/1.1\r\nHost: h\r\nX-Filler: {}\r\n\r\n", "x".repeat(filler));
+        let text = format!(
+            "GET / HTTP/1.1\r\nHost: h\r\nX-Filler: {}\r\n\r\n",
+            "x".repeat(filler)
+        );
         client.send(&text).await;
         assert_eq!(client.answer().await.status, 431);
         assert!(client.is_closed().await);
@@ -62,20 +80,32 @@
 
 #[tokio::test]
 async fn heads_up_to_the_limit_are_taken() {
-    let server = echo(HttpLimits { max_header_bytes: 40_000, ..HttpLimits::default() });
+    let server = echo(HttpLimits {
+        max_header_bytes: 40_000,
+        ..HttpLimits::default()
+    });
     let mut client = Client::connect(&server).await;
-    let text = format!("GET / HTTP/1.1\r\nHost: h\r\nX-Filler: {}\r\n\r\n", "x".repeat(39_000));
+    let text = format!(
+        "GET / HTTP/1.1\r\nHost: h\r\nX-Filler: {}\r\n\r\n",
+        "x".repeat(39_000)
+    );
     client.send(&text).await;
     assert_eq!(client.answer().await.status, 200);
 }
 
 #[tokio::test]
 async fn idle_connections_make_room_for_new_ones() {
-    let server = echo(HttpLimits { most_connections: 2, ..HttpLimits::default() });
+    let server = echo(HttpLimits {
+        most_connections: 2,
+        ..HttpLimits::default()
+    });
     let mut clients = Vec::new();
     for n in 0..6 {
         let mut client = Client::connect(&server).await;
-        assert_eq!(client.ask(Method::GET, &format!("/{n}"), "").await.status, 200);
+        assert_eq!(
+            client.ask(Method::GET, &format!("/{n}"), "").await.status,
+            200
+        );
         assert!(server.open_connections() <= 2);
         clients.push(client);
     }
@@ -85,7 +115,10 @@
 async fn busy_connections_are_not_closed_for_new_ones() {
     let go = Arc::new(Notify::new());
     let (wait, (begun, mut begins)) = (go.clone(), mpsc::channel(2));
-    let limits = HttpLimits { most_connections: 1, ..HttpLimits::default() };
+    let limits = HttpLimits {
+        most_connections: 1,
+        ..HttpLimits::default()
+    };
     let server = server(limits, move |_| {
         let (wait, begun) = (wait.clone(), begun.clone());
         async move {
@@ -115,13 +148,26 @@
     let server = serve(bind_once(ANY).unwrap(), limits.clone(), handler).unwrap();
     let mut client = Client::connect(&server).await;
     assert_eq!(client.ask(Method::POST, "/", "four").await.status, 200);
-    limits.replace(Arc::new(HttpLimits { max_body_bytes: 3, ..HttpLimits::default() }));
+    limits.replace(Arc::new(HttpLimits {
+        max_body_bytes: 3,
+        ..HttpLimits::default()
+    }));
     assert_eq!(client.ask(Method::POST, "/", "four").await.status, 413);
 }
 
 #[test]
 fn limits_of_a_configuration_have_defaults() {
-    let limits = HttpLimits::of(&Limits { max_body_bytes: 7, ..Limits::default() }, 9);
-    let expected = HttpLimits { max_body_bytes: 7, most_connections: 9, ..HttpLimits::default() };
+    let limits = HttpLimits::of(
+        &Limits {
+            max_body_bytes: 7,
+            ..Limits::default()
+        },
+        9,
+    );
+    let expected = HttpLimits {
+        max_body_bytes: 7,
+        most_connections: 9,
+        ..HttpLimits::default()
+    };
     assert_eq!(limits, expected);
 }
--- a/crates/cluster-net/tests/http/properties.rs
+++ b/crates/cluster-net/tests/http/properties.rs
@@ -11,7 +11,10 @@
 const CASES: u64 = 60;
 
 fn play<T>(case: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     runtime.block_on(case)
 }
 
@@ -30,7 +33,10 @@
             let mut rest = all.as_str();
             let mut cuts = cuts.iter().cycle();
             while !rest.is_empty() {
-                let size = cuts.next().map_or(rest.len(), |cut| usize::from(*cut) + 1).min(rest.len());
+                let size = cuts
+                    .next()
+                    .map_or(rest.len(), |cut| usize::from(*cut) + 1)
+                    .min(rest.len());
                 client.send(&rest[..size]).await;
                 tokio::task::yield_now().await;
                 rest = &rest[size..];
@@ -42,7 +48,9 @@
         });
         true
     }
-    QuickCheck::new().tests(CASES).quickcheck(holds as fn(Vec<u16>, Vec<u8>) -> bool);
+    QuickCheck::new()
+        .tests(CASES)
+        .quickcheck(holds as fn(Vec<u16>, Vec<u8>) -> bool);
 }
 
 #[test]
@@ -59,5 +67,7 @@
             answer.is_empty() || answer.starts_with(b"HTTP/1.1 4")
         })
     }
-    QuickCheck::new().tests(CASES).quickcheck(holds as fn(Vec<u8>) -> bool);
+    QuickCheck::new()
+        .tests(CASES)
+        .quickcheck(holds as fn(Vec<u8>) -> bool);
 }
--- a/crates/cluster-net/tests/http/server.rs
+++ b/crates/cluster-net/tests/http/server.rs
@@ -45,14 +45,20 @@
 #[tokio::test]
 async fn a_call_without_headers_has_none() {
     let call = call_of("GET / HTTP/1.1\r\n\r\n").await;
-    assert_eq!((call.host.as_str(), call.if_match, call.if_match_malformed), ("", None, false));
+    assert_eq!(
+        (call.host.as_str(), call.if_match, call.if_match_malformed),
+        ("", None, false)
+    );
     assert_eq!((call.deadline_remaining_ms, call.body.len()), (None, 0));
 }
 
 #[tokio::test]
 async fn the_host_of_an_absolute_target_counts() {
     let call = call_of("GET http://One.example:1/x HTTP/1.1\r\nHost: two.example\r\n\r\n").await;
-    assert_eq!((call.host.as_str(), call.path.as_str()), ("one.example", "/x"));
+    assert_eq!(
+        (call.host.as_str(), call.path.as_str()),
+        ("one.example", "/x")
+    );
 }
 
 #[tokio::test]
@@ -74,7 +80,11 @@
     ];
     for (header, number, malformed) in cases {
         let call = call_of(&format!("GET / HTTP/1.1\r\nHost: h\r\n{header}\r\n")).await;
-        assert_eq!((call.if_match, call.if_match_malformed), (number, malformed), "{header}");
+        assert_eq!(
+            (call.if_match, call.if_match_malformed),
+            (number, malformed),
+            "{header}"
+        );
     }
 }
 
@@ -99,14 +109,29 @@
     });
     let mut client = Client::connect(&server).await;
     let empty = client.ask(Method::GET, "/empty", "").await;
-    assert_eq!((empty.status, empty.header("content-type"), empty.is_last()), (204, None, false));
+    assert_eq!(
+        (empty.status, empty.header("content-type"), empty.is_last()),
+        (204, None, false)
+    );
     let json = client.ask(Method::GET, "/json", "").await;
-    assert_eq!((json.status, json.header("content-type")), (200, Some("application/json")));
+    assert_eq!(
+        (json.status, json.header("content-type")),
+        (200, Some("application/json"))
+    );
     let there = client.ask(Method::GET, "/there", "").await;
-    assert_eq!((there.status, there.header("location")), (307, Some("http://10.0.0.4:8080/there")));
+    assert_eq!(
+        (there.status, there.header("location")),
+        (307, Some("http://10.0.0.4:8080/there"))
+    );
     let error = client.ask(Method::GET, "/error", "").await;
-    assert_eq!((error.status, error.header("retry-after")), (503, Some("1")));
-    assert_eq!(error.body, format!("{{\"error\":\"{}\"}}", ErrorKind::NotTaken));
+    assert_eq!(
+        (error.status, error.header("retry-after")),
+        (503, Some("1"))
+    );
+    assert_eq!(
+        error.body,
+        format!("{{\"error\":\"{}\"}}", ErrorKind::NotTaken)
+    );
 }
 
 #[test]
@@ -134,7 +159,9 @@
 async fn pipelined_requests_are_answered_in_order() {
     let server = echo(HttpLimits::default());
     let mut client = Client::connect(&server).await;
-    let text: String = (0..40).map(|n| request(Method::POST, &format!("/{n}"), "body")).collect();
+    let text: String = (0..40)
+        .map(|n| request(Method::POST, &format!("/{n}"), "body"))
+        .collect();
     client.send(&text).await;
     for n in 0..40 {
         assert_eq!(client.answer().await.body, format!("POST /{n} body"));
@@ -200,11 +227,20 @@
 
 #[tokio::test]
 async fn a_body_that_breaks_off_reaches_no_handler() {
-    let server = server(HttpLimits::default(), |_| async { panic!("half a request was handled") });
+    let server = server(HttpLimits::default(), |_| async {
+        panic!("half a request was handled")
+    });
     let mut client = Client::connect(&server).await;
-    client.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nabc").await;
+    client
+        .send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nabc")
+        .await;
     client.stream.shutdown().await.unwrap();
     let mut rest = String::new();
-    within(client.stream.read_to_string(&mut rest)).await.unwrap();
-    assert!(rest.is_empty() || rest.starts_with("HTTP/1.1 400"), "{rest}");
+    within(client.stream.read_to_string(&mut rest))
+        .await
+        .unwrap();
+    assert!(
+        rest.is_empty() || rest.starts_with("HTTP/1.1 400"),
+        "{rest}"
+    );
 }
--- a/crates/cluster-net/tests/http/support.rs
+++ b/crates/cluster-net/tests/http/support.rs
@@ -20,7 +20,9 @@
 
 /// A future that has to resolve.
 pub async fn within<T>(future: impl Future<Output = T>) -> T {
-    tokio::time::timeout(STUCK, future).await.expect("the test is stuck")
+    tokio::time::timeout(STUCK, future)
+        .await
+        .expect("the test is stuck")
 }
 
 pub fn server<F, A>(limits: HttpLimits, handler: F) -> ServerHandle
@@ -28,13 +30,23 @@
     F: Fn(HttpCall) -> A + Send + Sync + 'static,
     A: Future<Output = HttpAnswer> + Send + 'static,
 {
-    serve(bind_once(ANY).unwrap(), Arc::new(Snapshot::new(limits)), handler).unwrap()
+    serve(
+        bind_once(ANY).unwrap(),
+        Arc::new(Snapshot::new(limits)),
+        handler,
+    )
+    .unwrap()
 }
 
 /// A server that answers each call with its method, path and body.
 pub fn echo(limits: HttpLimits) -> ServerHandle {
     server(limits, |call| async move {
-        let body = format!("{} {} {}", call.method, call.path, String::from_utf8_lossy(&call.body));
+        let body = format!(
+            "{} {} {}",
+            call.method,
+            call.path,
+            String::from_utf8_lossy(&call.body)
+        );
         HttpAnswer::json(body)
     })
 }
@@ -64,7 +76,9 @@
 
 impl Client {
     pub async fn connect(server: &ServerHandle) -> Client {
-        Client { stream: TcpStream::connect(server.local_address()).await.unwrap() }
+        Client {
+            stream: TcpStream::connect(server.local_address()).await.unwrap(),
+        }
     }
 
     pub async fn send(&mut self, text: &str) {
@@ -84,12 +98,25 @@
         }
         let head = String::from_utf8(head).unwrap();
         let mut lines = head.trim_end().split("\r\n");
-        let status = lines.next().unwrap().split(' ').nth(1).unwrap().parse().unwrap();
+        let status = lines
+            .next()
+            .unwrap()
+            .split(' ')
+            .nth(1)
+            .unwrap()
+            .parse()
+            .unwrap();
         let headers: HashMap<_, _> = lines.map(header).collect();
-        let length = headers.get("content-length").map_or(0, |length| length.parse().unwrap());
+        let length = headers
+            .get("content-length")
+            .map_or(0, |length| length.parse().unwrap());
         let mut body = vec![0; length];
         within(self.stream.read_exact(&mut body)).await.unwrap();
-        Seen { status, headers, body: String::from_utf8(body).unwrap() }
+        Seen {
+            status,
+            headers,
+            body: String::from_utf8(body).unwrap(),
+        }
     }
 
     /// Whether the server closes the connection, without another byte.
@@ -105,5 +132,8 @@
 
 /// A request on the wire.
 pub fn request(method: Method, path: &str, body: &str) -> String {
-    format!("{method} {path} HTTP/1.1\r\nHost: h\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "{method} {path} HTTP/1.1\r\nHost: h\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
--- a/crates/cluster-net/tests/http/timeouts.rs
+++ b/crates/cluster-net/tests/http/timeouts.rs
@@ -16,7 +16,10 @@
     client.send("GET / HTTP/1.1\r\nHo").await;
     assert_eq!(client.answer().await.status, 408);
     let took = began.elapsed();
-    assert!(took >= Duration::from_millis(3000) && took < Duration::from_millis(3100), "{took:?}");
+    assert!(
+        took >= Duration::from_millis(3000) && took < Duration::from_millis(3100),
+        "{took:?}"
+    );
     assert!(client.is_closed().await);
 }
 
@@ -25,18 +28,25 @@
     let server = echo(HttpLimits::default());
     let mut client = Client::connect(&server).await;
     let began = Instant::now();
-    client.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nabc").await;
+    client
+        .send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nabc")
+        .await;
     let refused = client.answer().await;
     assert_eq!((refused.status, refused.is_last()), (408, true));
     let took = began.elapsed();
-    assert!(took >= Duration::from_millis(3000) && took < Duration::from_millis(3100), "{took:?}");
+    assert!(
+        took >= Duration::from_millis(3000) && took < Duration::from_millis(3100),
+        "{took:?}"
+    );
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_body_in_drops_is_refused_in_time() {
     let server = echo(HttpLimits::default());
     let mut client = Client::connect(&server).await;
-    client.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\n").await;
+    client
+        .send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\n")
+        .await;
     let began = Instant::now();
     let (mut input, mut output) = client.stream.split();
     let drops = async {
@@ -63,7 +73,10 @@
     let began = Instant::now();
     assert!(client.is_closed().await);
     let took = began.elapsed();
-    assert!(took >= Duration::from_millis(15_000) && took < Duration::from_millis(15_100), "{took:?}");
+    assert!(
+        took >= Duration::from_millis(15_000) && took < Duration::from_millis(15_100),
+        "{took:?}"
+    );
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/cluster-net/tests/peers/answers.rs
+++ b/crates/cluster-net/tests/peers/answers.rs
@@ -1,7 +1,9 @@
 //! What becomes of answers and calls that are cut, doubled, or nobody's: each is delivered whole and once for each time it
 //! was sent, or its connection is closed.
 
-use crate::support::{call_id, encoded, plain_peer, process, process_at, request, within, Process, ANY};
+use crate::support::{
+    call_id, encoded, plain_peer, process, process_at, request, within, Process, ANY,
+};
 use lupinrack_cluster_api::request::Reply;
 use lupinrack_cluster_api::wire::Frame;
 use lupinrack_cluster_net::peers::{PeerEvent, PeerSettings};
@@ -14,7 +16,10 @@
 const CASES: u64 = 60;
 
 fn reply(number: u64) -> Frame {
-    Frame::Reply { id: call_id(number), reply: Reply::Pending(number) }
+    Frame::Reply {
+        id: call_id(number),
+        reply: Reply::Pending(number),
+    }
 }
 
 /// How one frame is sent.
@@ -80,14 +85,18 @@
 #[test]
 fn answers_arrive_as_often_as_they_were_sent_until_one_is_spoilt() {
     fn holds(sends: Vec<Sent>) -> bool {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .unwrap();
         runtime.block_on(async {
             let mut first = process(1);
             let mut stream = plain_peer(&first, PORT, 2).await;
             first.greeted().await;
             let numbered = (1..).zip(&sends);
-            let bytes: Vec<u8> =
-                numbered.flat_map(|(number, sent)| bytes_of(&reply(number), *sent)).collect();
+            let bytes: Vec<u8> = numbered
+                .flat_map(|(number, sent)| bytes_of(&reply(number), *sent))
+                .collect();
             let send = async {
                 // Fails where the reader has closed the connection over what came before.
                 let _ = stream.write_all(&bytes).await;
@@ -100,7 +109,9 @@
             clean || (spoilt && came.starts_with(&certain))
         })
     }
-    QuickCheck::new().tests(CASES).quickcheck(holds as fn(Vec<Sent>) -> bool);
+    QuickCheck::new()
+        .tests(CASES)
+        .quickcheck(holds as fn(Vec<Sent>) -> bool);
 }
 
 #[tokio::test]
@@ -115,7 +126,11 @@
     let newer = first.greeted().await;
     assert!(!first.peers.send_on(asked_on, reply(1)));
     assert!(first.peers.send_on(newer, reply(2)));
-    assert_eq!(crate::support::read_frame(&mut stream).await, reply(2), "and nothing came before it");
+    assert_eq!(
+        crate::support::read_frame(&mut stream).await,
+        reply(2),
+        "and nothing came before it"
+    );
 }
 
 #[tokio::test]
--- a/crates/cluster-net/tests/peers/bounds.rs
+++ b/crates/cluster-net/tests/peers/bounds.rs
@@ -16,7 +16,10 @@
     first.peers.send(second.address, request(1));
     second.greeted().await;
     second.frame().await;
-    assert!(matches!(first.peers.send(second.address, &frame), SendOutcome::Sent { .. }));
+    assert!(matches!(
+        first.peers.send(second.address, &frame),
+        SendOutcome::Sent { .. }
+    ));
     assert_eq!(second.frame().await.0, frame);
     first.peers.send(second.address, request(2));
     assert_eq!(second.frame().await.0, request(2));
@@ -26,11 +29,17 @@
 async fn a_frame_that_is_too_large_is_dropped_alone() {
     let (first, mut second) = (process(1), process(2));
     let frame = large(7, FRAME_BYTES_MOST);
-    assert_eq!(first.peers.send(second.address, &frame), SendOutcome::Dropped);
+    assert_eq!(
+        first.peers.send(second.address, &frame),
+        SendOutcome::Dropped
+    );
     first.peers.send(second.address, request(1));
     second.greeted().await;
     second.frame().await;
-    assert_eq!(first.peers.send(second.address, &frame), SendOutcome::Dropped);
+    assert_eq!(
+        first.peers.send(second.address, &frame),
+        SendOutcome::Dropped
+    );
     first.peers.send(second.address, request(2));
     assert_eq!(second.frame().await.0, request(2));
 }
@@ -39,7 +48,9 @@
 async fn frames_that_waited_too_long_are_dropped() {
     let first = process(1);
     let listener = TcpListener::bind(ANY).await.unwrap();
-    let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else { panic!("not IPv4") };
+    let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else {
+        panic!("not IPv4")
+    };
     let to = PeerAddress(address);
     drop(listener);
     first.peers.send(to, request(1));
@@ -54,7 +65,10 @@
 
 #[tokio::test]
 async fn the_oldest_waiting_frames_give_way() {
-    let settings = PeerSettings { waiting_frames_most: 3, ..PeerSettings::default() };
+    let settings = PeerSettings {
+        waiting_frames_most: 3,
+        ..PeerSettings::default()
+    };
     let first = process_with(1, settings);
     let mut second = process(2);
     for id in 0..10 {
@@ -68,7 +82,10 @@
 
 #[tokio::test]
 async fn waiting_frames_are_bounded_in_bytes() {
-    let settings = PeerSettings { waiting_bytes_most: 2500, ..PeerSettings::default() };
+    let settings = PeerSettings {
+        waiting_bytes_most: 2500,
+        ..PeerSettings::default()
+    };
     let first = process_with(1, settings);
     let mut second = process(2);
     for id in 0..5 {
@@ -81,7 +98,10 @@
 
 #[tokio::test]
 async fn a_peer_that_does_not_read_loses_its_connection() {
-    let settings = PeerSettings { outgoing_bytes_most: 64 * 1024, ..PeerSettings::default() };
+    let settings = PeerSettings {
+        outgoing_bytes_most: 64 * 1024,
+        ..PeerSettings::default()
+    };
     let mut first = process_with(1, settings);
     let port = 9;
     let mut stream = plain_peer(&first, port, 2).await;
@@ -112,7 +132,10 @@
 
 #[tokio::test]
 async fn a_receiver_that_is_slow_holds_readers_up_and_loses_nothing() {
-    let settings = PeerSettings { events_most: 1, ..PeerSettings::default() };
+    let settings = PeerSettings {
+        events_most: 1,
+        ..PeerSettings::default()
+    };
     let (mut first, mut second) = (process(1), process_with(2, settings));
     first.peers.send(second.address, request(0));
     first.greeted().await;
--- a/crates/cluster-net/tests/peers/connections.rs
+++ b/crates/cluster-net/tests/peers/connections.rs
@@ -11,17 +11,35 @@
 #[tokio::test]
 async fn frames_go_both_ways_on_one_connection() {
     let (mut first, mut second) = (process(1), process(2));
-    assert_eq!(first.peers.send(second.address, request(1)), SendOutcome::Waiting);
-    let PeerEvent::Frame { from, life, frame: Frame::Hello(greeting), .. } = second.event().await else {
+    assert_eq!(
+        first.peers.send(second.address, request(1)),
+        SendOutcome::Waiting
+    );
+    let PeerEvent::Frame {
+        from,
+        life,
+        frame: Frame::Hello(greeting),
+        ..
+    } = second.event().await
+    else {
         panic!("no greeting")
     };
-    assert_eq!((from, life, greeting.address), (first.address, 1, first.address));
+    assert_eq!(
+        (from, life, greeting.address),
+        (first.address, 1, first.address)
+    );
     assert_eq!(second.frame().await.0, request(1));
     let connection = first.greeted().await;
 
-    assert!(matches!(second.peers.send(first.address, request(2)), SendOutcome::Sent { .. }));
+    assert!(matches!(
+        second.peers.send(first.address, request(2)),
+        SendOutcome::Sent { .. }
+    ));
     assert_eq!(first.frame().await, (request(2), connection));
-    assert_eq!(first.peers.send(second.address, request(3)), SendOutcome::Sent { connection });
+    assert_eq!(
+        first.peers.send(second.address, request(3)),
+        SendOutcome::Sent { connection }
+    );
     assert_eq!(second.frame().await.0, request(3));
     assert!(first.peers.is_connected(second.address) && second.peers.is_connected(first.address));
 }
@@ -32,7 +50,10 @@
     first.peers.send(second.address, request(0));
     first.greeted().await;
     for id in 1..5000 {
-        assert!(matches!(first.peers.send(second.address, request(id)), SendOutcome::Sent { .. }));
+        assert!(matches!(
+            first.peers.send(second.address, request(id)),
+            SendOutcome::Sent { .. }
+        ));
     }
     second.greeted().await;
     for id in 0..5000 {
@@ -65,9 +86,14 @@
 async fn frames_wait_until_the_peer_listens() {
     let mut first = process(1);
     let place = TcpListener::bind(ANY).await.unwrap();
-    let std::net::SocketAddr::V4(address) = place.local_addr().unwrap() else { panic!("not IPv4") };
+    let std::net::SocketAddr::V4(address) = place.local_addr().unwrap() else {
+        panic!("not IPv4")
+    };
     drop(place);
-    assert_eq!(first.peers.send(PeerAddress(address), request(1)), SendOutcome::Waiting);
+    assert_eq!(
+        first.peers.send(PeerAddress(address), request(1)),
+        SendOutcome::Waiting
+    );
     let mut second = process_at(address, 2, PeerSettings::default());
     assert_eq!(first.greeted().await, 1);
     second.greeted().await;
@@ -83,7 +109,12 @@
     let new_number = first.greeted().await;
     let to = PeerAddress(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 9));
 
-    assert_eq!(first.peers.send(to, request(1)), SendOutcome::Sent { connection: new_number });
+    assert_eq!(
+        first.peers.send(to, request(1)),
+        SendOutcome::Sent {
+            connection: new_number
+        }
+    );
     assert!(first.peers.send_on(old_number, request(2)));
     assert_eq!(read_frame(&mut new).await, request(1));
     assert_eq!(read_frame(&mut old).await, request(2));
@@ -93,7 +124,12 @@
     // Where the newer one ends, the older one serves again.
     drop(new);
     assert_eq!(first.closed().await.0, new_number);
-    assert_eq!(first.peers.send(to, request(4)), SendOutcome::Sent { connection: old_number });
+    assert_eq!(
+        first.peers.send(to, request(4)),
+        SendOutcome::Sent {
+            connection: old_number
+        }
+    );
 }
 
 #[tokio::test]
@@ -106,7 +142,9 @@
     let mut closed = None;
     while new_number.is_none() || closed.is_none() {
         match first.event().await {
-            PeerEvent::Frame { connection, life, .. } => new_number = Some((connection, life)),
+            PeerEvent::Frame {
+                connection, life, ..
+            } => new_number = Some((connection, life)),
             PeerEvent::Closed { connection, .. } => closed = Some(connection),
         }
     }
@@ -154,6 +192,9 @@
         frames.push(first.frame().await.0);
     }
     assert!(frames.contains(&request(1)));
-    assert!(matches!(first.peers.send(first.address, request(2)), SendOutcome::Sent { .. }));
+    assert!(matches!(
+        first.peers.send(first.address, request(2)),
+        SendOutcome::Sent { .. }
+    ));
     assert_eq!(first.frame().await.0, request(2));
 }
--- a/crates/cluster-net/tests/peers/properties.rs
+++ b/crates/cluster-net/tests/peers/properties.rs
@@ -15,7 +15,10 @@
 const CASES: u64 = 60;
 
 fn play<T>(case: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     runtime.block_on(case)
 }
 
@@ -28,7 +31,10 @@
 
 impl Arbitrary for Pieces {
     fn arbitrary(g: &mut Gen) -> Self {
-        Pieces { sizes: Vec::arbitrary(g), cuts: Vec::arbitrary(g) }
+        Pieces {
+            sizes: Vec::arbitrary(g),
+            cuts: Vec::arbitrary(g),
+        }
     }
 
     fn shrink(&self) -> Box<dyn Iterator<Item = Self>> {
@@ -39,14 +45,19 @@
 
 impl Pieces {
     fn frames(&self) -> Vec<Frame> {
-        (0..).zip(&self.sizes).map(|(id, size)| large(id, usize::from(*size))).collect()
+        (0..)
+            .zip(&self.sizes)
+            .map(|(id, size)| large(id, usize::from(*size)))
+            .collect()
     }
 }
 
 /// Writes bytes in pieces of these sizes, over and over; the reader gets a turn after each.
 async fn write_in_pieces(stream: &mut TcpStream, mut bytes: &[u8], cuts: &[u16]) {
     let whole = [u16::MAX];
-    let mut sizes = if cuts.is_empty() { &whole[..] } else { cuts }.iter().cycle();
+    let mut sizes = if cuts.is_empty() { &whole[..] } else { cuts }
+        .iter()
+        .cycle();
     while let Some(size) = sizes.next().filter(|_| !bytes.is_empty()) {
         let (piece, rest) = bytes.split_at(bytes.len().min(usize::from(*size).max(1)));
         // The reader may have closed the connection over what came before.
@@ -77,7 +88,9 @@
         });
         true
     }
-    QuickCheck::new().tests(CASES).quickcheck(holds as fn(Pieces) -> bool);
+    QuickCheck::new()
+        .tests(CASES)
+        .quickcheck(holds as fn(Pieces) -> bool);
 }
 
 /// The frames until the end of the only connection.
@@ -107,5 +120,7 @@
             frames.starts_with(&[request(1), request(2)])
         })
     }
-    QuickCheck::new().tests(CASES).quickcheck(holds as fn(Vec<u8>, Vec<u16>) -> bool);
+    QuickCheck::new()
+        .tests(CASES)
+        .quickcheck(holds as fn(Vec<u8>, Vec<u16>) -> bool);
 }
--- a/crates/cluster-net/tests/peers/protocol.rs
+++ b/crates/cluster-net/tests/peers/protocol.rs
@@ -65,7 +65,9 @@
 
     let stream = plain_peer(&first, 9, 2).await;
     let connection = first.greeted().await;
-    socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
+    socket2::SockRef::from(&stream)
+        .set_linger(Some(Duration::ZERO))
+        .unwrap();
     drop(stream);
     assert_eq!(first.closed().await, (connection, true));
 
@@ -73,19 +75,28 @@
     let connection = first.greeted().await;
     drop(stream);
     assert_eq!(first.closed().await, (connection, false));
-    assert_eq!(first.peers.protocol_violations(), 0, "an end is no violation");
+    assert_eq!(
+        first.peers.protocol_violations(),
+        0,
+        "an end is no violation"
+    );
 }
 
 #[tokio::test]
 async fn another_process_at_the_address_is_not_taken_for_the_peer() {
     let mut first = process(1);
     let listener = TcpListener::bind(ANY).await.unwrap();
-    let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else { panic!("not IPv4") };
+    let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else {
+        panic!("not IPv4")
+    };
     first.peers.send(PeerAddress(address), request(1));
     let (mut stream, _) = within(listener.accept()).await.unwrap();
     let mut other = hello(2);
     other.address.0.set_port(9);
-    stream.write_all(&encoded(&Frame::Hello(other))).await.unwrap();
+    stream
+        .write_all(&encoded(&Frame::Hello(other)))
+        .await
+        .unwrap();
     assert!(matches!(first.event().await, PeerEvent::Closed { .. }));
     assert_eq!(first.peers.protocol_violations(), 1);
 }
--- a/crates/cluster-net/tests/peers/support.rs
+++ b/crates/cluster-net/tests/peers/support.rs
@@ -24,7 +24,13 @@
 }
 
 pub fn hello(life: u64) -> Hello {
-    Hello { address: PeerAddress(ANY), role: Role::Core, zone: "z".into(), life, disk: None }
+    Hello {
+        address: PeerAddress(ANY),
+        role: Role::Core,
+        zone: "z".into(),
+        life,
+        disk: None,
+    }
 }
 
 pub fn process(life: u64) -> Process {
@@ -38,19 +44,27 @@
 pub fn process_at(address: SocketAddrV4, life: u64, settings: PeerSettings) -> Process {
     let (peers, events) = Peers::start(address, hello(life), settings).unwrap();
     let address = PeerAddress(peers.local_address());
-    Process { peers, events, address }
+    Process {
+        peers,
+        events,
+        address,
+    }
 }
 
 impl Process {
     /// The next event.
     pub async fn event(&mut self) -> PeerEvent {
-        within(self.events.recv()).await.expect("the process listens")
+        within(self.events.recv())
+            .await
+            .expect("the process listens")
     }
 
     /// The next frame, with its connection; nothing else may come.
     pub async fn frame(&mut self) -> (Frame, u64) {
         match self.event().await {
-            PeerEvent::Frame { frame, connection, .. } => (frame, connection),
+            PeerEvent::Frame {
+                frame, connection, ..
+            } => (frame, connection),
             closed => panic!("{closed:?}"),
         }
     }
@@ -66,7 +80,10 @@
     /// Waits for the end of a connection, whatever comes before.
     pub async fn closed(&mut self) -> (u64, bool) {
         loop {
-            if let PeerEvent::Closed { connection, reset, .. } = self.event().await {
+            if let PeerEvent::Closed {
+                connection, reset, ..
+            } = self.event().await
+            {
                 return (connection, reset);
             }
         }
@@ -75,7 +92,9 @@
 
 /// A future that has to resolve.
 pub async fn within<T>(future: impl std::future::Future<Output = T>) -> T {
-    tokio::time::timeout(STUCK, future).await.expect("the test is stuck")
+    tokio::time::timeout(STUCK, future)
+        .await
+        .expect("the test is stuck")
 }
 
 /// The identity of a call.
@@ -85,12 +104,19 @@
 
 /// A small frame that can be told from others.
 pub fn request(id: u64) -> Frame {
-    Frame::Request { id: call_id(id), remaining_ms: 1000, request: Request::ReadConfiguration }
+    Frame::Request {
+        id: call_id(id),
+        remaining_ms: 1000,
+        request: Request::ReadConfiguration,
+    }
 }
 
 /// A frame with a text of so many bytes.
 pub fn large(id: u64, bytes: usize) -> Frame {
-    Frame::Reply { id: call_id(id), reply: Reply::ConfigurationDocument("x".repeat(bytes)) }
+    Frame::Reply {
+        id: call_id(id),
+        reply: Reply::ConfigurationDocument("x".repeat(bytes)),
+    }
 }
 
 /// A frame on the wire.
@@ -114,7 +140,10 @@
     let mut stream = TcpStream::connect(to.address.0).await.unwrap();
     let mut greeting = hello(life);
     greeting.address.0.set_port(port);
-    stream.write_all(&encoded(&Frame::Hello(greeting))).await.unwrap();
+    stream
+        .write_all(&encoded(&Frame::Hello(greeting)))
+        .await
+        .unwrap();
     assert!(matches!(read_frame(&mut stream).await, Frame::Hello(_)));
     stream
 }
