--- a/crates/control-state/tests/taken_changes.rs
+++ b/crates/control-state/tests/taken_changes.rs
@@ -22,7 +22,10 @@
     let mut state = ControlState::default();
     assert_eq!(state.apply(&put(0, two_queues(2))), OperationResult::Done);
     for version in 1..count {
-        assert_eq!(state.apply(&step(version * 2, version * 2 + 2)), OperationResult::Done);
+        assert_eq!(
+            state.apply(&step(version * 2, version * 2 + 2)),
+            OperationResult::Done
+        );
     }
     state
 }
@@ -53,21 +56,31 @@
     let spaced = two_queues(3).replacen("{\"version\":3,", "{ \"version\": 3, ", 1);
     assert_eq!(state.apply(&put(0, spaced)), CONFLICT);
     let without = two_queues(3).replacen("\"version\":3,", "", 1);
-    let moved = format!("{},\"version\":3}}", without.strip_suffix('}').expect("an object ends so"));
+    let moved = format!(
+        "{},\"version\":3}}",
+        without.strip_suffix('}').expect("an object ends so")
+    );
     assert!(check_configuration(&moved).is_ok());
     assert_eq!(state.apply(&put(0, moved)), CONFLICT);
 }
 
 #[test]
 fn of_eight_orders_at_once_one_is_taken_however_often_each_is_sent() {
-    let orders: Vec<Operation> = (0..8).map(|number| step(2, 3 + number % 3)).chain([step(2, 9)]).collect();
+    let orders: Vec<Operation> = (0..8)
+        .map(|number| step(2, 3 + number % 3))
+        .chain([step(2, 9)])
+        .collect();
     let mut distinct = orders.clone();
     distinct.dedup();
     for first in 0..orders.len() {
         let mut state = after_changes(1);
         assert_eq!(state.apply(&orders[first]), OperationResult::Done);
         for order in orders.iter().chain(&orders) {
-            let expected = if *order == orders[first] { OperationResult::Done } else { CONFLICT };
+            let expected = if *order == orders[first] {
+                OperationResult::Done
+            } else {
+                CONFLICT
+            };
             assert_eq!(state.apply(order), expected);
         }
     }
@@ -92,13 +105,29 @@
     let forgotten: Vec<u64> = (1..=4).map(|change| 2 * change).collect();
     for version in forgotten {
         let before = state.clone();
-        assert_eq!(state.apply(&step(version, version + 2)), IN_DOUBT, "on version {version}");
-        assert_eq!(state.apply(&step(version, version + 1)), IN_DOUBT, "it may be another, but who knows");
+        assert_eq!(
+            state.apply(&step(version, version + 2)),
+            IN_DOUBT,
+            "on version {version}"
+        );
+        assert_eq!(
+            state.apply(&step(version, version + 1)),
+            IN_DOUBT,
+            "it may be another, but who knows"
+        );
         assert_eq!(state, before);
     }
     for version in [12, 2 * remembered, 2 * (remembered + 4)] {
-        assert_eq!(state.apply(&step(version, version + 2)), OperationResult::Done, "on version {version}");
-        assert_eq!(state.apply(&step(version, version + 1)), CONFLICT, "on version {version}");
+        assert_eq!(
+            state.apply(&step(version, version + 2)),
+            OperationResult::Done,
+            "on version {version}"
+        );
+        assert_eq!(
+            state.apply(&step(version, version + 1)),
+            CONFLICT,
+            "on version {version}"
+        );
     }
 }
 
@@ -106,7 +135,11 @@
 fn the_first_order_is_remembered_for_ever() {
     let mut state = after_changes(CHANGES_REMEMBERED as u64 + 50);
     assert_eq!(state.apply(&put(0, two_queues(2))), OperationResult::Done);
-    assert_eq!(state.apply(&put(0, two_queues(3))), CONFLICT, "who builds on nothing is told for certain");
+    assert_eq!(
+        state.apply(&put(0, two_queues(3))),
+        CONFLICT,
+        "who builds on nothing is told for certain"
+    );
 }
 
 #[test]
--- a/crates/control-store/src/batch.rs
+++ b/crates/control-store/src/batch.rs
@@ -74,17 +74,33 @@
     fn with_snapshot(self, index: u64) -> Result<LogBounds, Misfit> {
         let holds_entries = self.last > self.snapshot;
         if index < self.snapshot && holds_entries {
-            return Err(Misfit::OldSnapshot { given: index, kept: self.snapshot });
+            return Err(Misfit::OldSnapshot {
+                given: index,
+                kept: self.snapshot,
+            });
         }
-        let last = if holds_entries { self.last.max(index) } else { index };
-        Ok(LogBounds { snapshot: index, last })
+        let last = if holds_entries {
+            self.last.max(index)
+        } else {
+            index
+        };
+        Ok(LogBounds {
+            snapshot: index,
+            last,
+        })
     }
 
     fn with_entry(self, index: u64) -> Result<LogBounds, Misfit> {
         let expected = self.last + 1;
         if index != expected {
-            return Err(Misfit::Gap { expected, found: index });
+            return Err(Misfit::Gap {
+                expected,
+                found: index,
+            });
         }
-        Ok(LogBounds { last: index, ..self })
+        Ok(LogBounds {
+            last: index,
+            ..self
+        })
     }
 }
--- a/crates/control-store/src/error.rs
+++ b/crates/control-store/src/error.rs
@@ -53,10 +53,16 @@
 
 /// Whether an error is about what a file holds, not about the disk.
 fn is_of_contents(kind: io::ErrorKind) -> bool {
-    matches!(kind, io::ErrorKind::InvalidData | io::ErrorKind::UnexpectedEof)
+    matches!(
+        kind,
+        io::ErrorKind::InvalidData | io::ErrorKind::UnexpectedEof
+    )
 }
 
 /// This file is damaged.
 pub(crate) fn damaged(file: &str, reason: impl ToString) -> StoreError {
-    StoreError::Damaged { file: file.to_owned(), reason: reason.to_string() }
+    StoreError::Damaged {
+        file: file.to_owned(),
+        reason: reason.to_string(),
+    }
 }
--- a/crates/control-store/src/medium.rs
+++ b/crates/control-store/src/medium.rs
@@ -43,7 +43,12 @@
 
     fn open(&self, name: &str) -> io::Result<Box<dyn StorageBackend>> {
         let path = self.0.join(name);
-        let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)?;
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .open(path)?;
         Ok(Box::new(DiskFile(file)))
     }
 
--- a/crates/control-store/src/rows.rs
+++ b/crates/control-store/src/rows.rs
@@ -117,7 +117,10 @@
         for (number, piece) in bytes.chunks(PIECE_BYTES).enumerate() {
             self.put((PIECE, number as u64), piece)?;
         }
-        let head = SnapshotHead { index, bytes: bytes.len() as u64 };
+        let head = SnapshotHead {
+            index,
+            bytes: bytes.len() as u64,
+        };
         self.put(SNAPSHOT, &encode(&head)?)
     }
 
@@ -140,7 +143,13 @@
     }
 
     fn first(&self, keys: RangeInclusive<Key>) -> Result<Option<Key>, StoreError> {
-        let row = self.0.range(keys).map_err(failed)?.next().transpose().map_err(failed)?;
+        let row = self
+            .0
+            .range(keys)
+            .map_err(failed)?
+            .next()
+            .transpose()
+            .map_err(failed)?;
         Ok(row.map(|(key, _)| key.value()))
     }
 }
@@ -171,7 +180,13 @@
 /// The bounds of a log that was read.
 pub(crate) fn bounds(recovered: &Recovered) -> LogBounds {
     let snapshot = recovered.snapshot_index;
-    LogBounds { snapshot, last: recovered.entries.last().map_or(snapshot, |entry| entry.index) }
+    LogBounds {
+        snapshot,
+        last: recovered
+            .entries
+            .last()
+            .map_or(snapshot, |entry| entry.index),
+    }
 }
 
 /// The table as of the newest commit.
--- a/crates/control-store/src/simulated.rs
+++ b/crates/control-store/src/simulated.rs
@@ -137,7 +137,10 @@
     fn create(&mut self, name: &str) -> FileNumber {
         self.next_file += 1;
         self.names.insert(name.to_owned(), self.next_file);
-        let file = FileState { created_as: name.to_owned(), ..FileState::default() };
+        let file = FileState {
+            created_as: name.to_owned(),
+            ..FileState::default()
+        };
         self.files.insert(self.next_file, file);
         self.next_file
     }
@@ -173,7 +176,12 @@
 
     /// Each name is as it was when the folder was synced, or as it is.
     fn lose_names(&mut self, random: &mut Random) {
-        let changed: BTreeSet<String> = self.names.keys().chain(self.synced_names.keys()).cloned().collect();
+        let changed: BTreeSet<String> = self
+            .names
+            .keys()
+            .chain(self.synced_names.keys())
+            .cloned()
+            .collect();
         for name in changed {
             if random.below(2) == 0 {
                 match self.synced_names.get(&name) {
@@ -187,8 +195,12 @@
 
     /// Checks that there is room for a file of this length.
     fn make_room(&self, number: FileNumber, length: usize) -> io::Result<()> {
-        let others: usize =
-            self.files.iter().filter(|(other, _)| **other != number).map(|(_, file)| file.bytes.len()).sum();
+        let others: usize = self
+            .files
+            .iter()
+            .filter(|(other, _)| **other != number)
+            .map(|(_, file)| file.bytes.len())
+            .sum();
         match self.capacity {
             Some(capacity) if others + length > capacity => Err(io::ErrorKind::StorageFull.into()),
             _ => Ok(()),
@@ -200,7 +212,9 @@
         if handle.life != self.life {
             return Err(io::Error::other("opened before a loss of power"));
         }
-        self.files.get_mut(&handle.number).ok_or_else(|| io::ErrorKind::NotFound.into())
+        self.files
+            .get_mut(&handle.number)
+            .ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 }
 
@@ -233,7 +247,11 @@
                 disk.create(name)
             }
         };
-        Ok(Box::new(Handle { disk: self.clone(), life: disk.life, number }))
+        Ok(Box::new(Handle {
+            disk: self.clone(),
+            life: disk.life,
+            number,
+        }))
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
@@ -247,7 +265,10 @@
     fn remove(&self, name: &str) -> io::Result<()> {
         let mut disk = self.lock();
         disk.change()?;
-        disk.names.remove(name).map(drop).ok_or_else(|| io::ErrorKind::NotFound.into())
+        disk.names
+            .remove(name)
+            .map(drop)
+            .ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
     fn sync(&self) -> io::Result<()> {
@@ -290,7 +311,9 @@
         disk.counters.read_bytes += len as u64;
         let from = offset as usize;
         let bytes = disk.file(self)?.bytes.get(from..from + len);
-        bytes.map(<[u8]>::to_vec).ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
+        bytes
+            .map(<[u8]>::to_vec)
+            .ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
@@ -322,6 +345,9 @@
         disk.counters.writes += 1;
         disk.counters.written_bytes += data.len() as u64;
         drop(disk);
-        self.make(Change::Write { offset: offset as usize, bytes: data.to_vec() })
+        self.make(Change::Write {
+            offset: offset as usize,
+            bytes: data.to_vec(),
+        })
     }
 }
--- a/crates/control-store/src/simulated/file_state.rs
+++ b/crates/control-store/src/simulated/file_state.rs
@@ -57,7 +57,10 @@
             (1, change) => apply(&mut self.bytes, &change),
             (_, Change::Write { offset, bytes }) => {
                 for (from, to) in torn_parts(bytes.len(), random) {
-                    let part = Change::Write { offset: offset + from, bytes: bytes[from..to].to_vec() };
+                    let part = Change::Write {
+                        offset: offset + from,
+                        bytes: bytes[from..to].to_vec(),
+                    };
                     apply(&mut self.bytes, &part);
                 }
             }
@@ -90,7 +93,10 @@
         return vec![(0, random.below(length as u64 + 1) as usize)];
     }
     let sectors = (0..length).step_by(SECTOR_BYTES);
-    sectors.filter(|_| random.below(2) == 0).map(|from| (from, length.min(from + SECTOR_BYTES))).collect()
+    sectors
+        .filter(|_| random.below(2) == 0)
+        .map(|from| (from, length.min(from + SECTOR_BYTES)))
+        .collect()
 }
 
 /// A generator of pseudo-random numbers (splitmix64).
--- a/crates/control-store/src/store.rs
+++ b/crates/control-store/src/store.rs
@@ -33,7 +33,10 @@
 
 impl Default for StoreSettings {
     fn default() -> Self {
-        StoreSettings { cache_bytes: 2 * 1024 * 1024, compact_above_bytes: 32 * 1024 * 1024 }
+        StoreSettings {
+            cache_bytes: 2 * 1024 * 1024,
+            compact_above_bytes: 32 * 1024 * 1024,
+        }
     }
 }
 
@@ -79,7 +82,10 @@
 
 impl ControlStore {
     /// Opens the store in a folder, or makes one where there is none.
-    pub fn open(folder: &Path, settings: StoreSettings) -> Result<(ControlStore, Recovered), StoreError> {
+    pub fn open(
+        folder: &Path,
+        settings: StoreSettings,
+    ) -> Result<(ControlStore, Recovered), StoreError> {
         ControlStore::open_on(Arc::new(Folder::new(folder)), settings)
     }
 
@@ -111,11 +117,18 @@
     /// # Errors
     ///
     /// Where the disk does not take it.
-    pub fn identify(&mut self, recovered: &mut Recovered, drawn: DiskId) -> Result<DiskId, StoreError> {
+    pub fn identify(
+        &mut self,
+        recovered: &mut Recovered,
+        drawn: DiskId,
+    ) -> Result<DiskId, StoreError> {
         if let Some(disk) = recovered.disk {
             return Ok(disk);
         }
-        self.commit(&Batch { disk: Some(drawn), ..Batch::default() })?;
+        self.commit(&Batch {
+            disk: Some(drawn),
+            ..Batch::default()
+        })?;
         recovered.disk = Some(drawn);
         Ok(drawn)
     }
@@ -136,7 +149,9 @@
     /// the store stays closed until [`ControlStore::reopen`].
     pub fn commit_all(&mut self, batches: &[&Batch]) -> Result<(), StoreError> {
         let database = self.database.as_ref().ok_or(StoreError::Closed)?;
-        let bounds = batches.iter().try_fold(self.bounds, |bounds, batch| bounds.after(batch))?;
+        let bounds = batches
+            .iter()
+            .try_fold(self.bounds, |bounds, batch| bounds.after(batch))?;
         let sequence = self.sequence + 1;
         match guarded(|| write(database, batches, sequence)) {
             Ok(()) => {
@@ -169,7 +184,10 @@
     fn settle(&mut self, found: u64) -> Result<bool, StoreError> {
         let unsettled = self.unsettled.filter(|_| found == self.sequence + 1);
         if unsettled.is_none() && found != self.sequence {
-            return Err(damaged(DATA_FILE, format!("commit {found} in place of {}", self.sequence)));
+            return Err(damaged(
+                DATA_FILE,
+                format!("commit {found} in place of {}", self.sequence),
+            ));
         }
         if let Some(Unsettled { bounds }) = unsettled {
             self.bounds = bounds;
@@ -193,15 +211,21 @@
 fn guarded<T>(call: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
     catch_unwind(AssertUnwindSafe(call)).unwrap_or_else(|panic| {
         let reason = panic.downcast_ref::<String>().map(String::as_str);
-        let reason = reason.or(panic.downcast_ref::<&str>().copied()).unwrap_or("it contradicts itself");
+        let reason = reason
+            .or(panic.downcast_ref::<&str>().copied())
+            .unwrap_or("it contradicts itself");
         Err(damaged(DATA_FILE, reason))
     })
 }
 
 fn write(database: &Database, batches: &[&Batch], sequence: u64) -> Result<(), StoreError> {
-    let transaction = database.begin_write().map_err(|error| of_redb(DATA_FILE, error))?;
+    let transaction = database
+        .begin_write()
+        .map_err(|error| of_redb(DATA_FILE, error))?;
     rows::write(&transaction, batches, sequence)?;
-    transaction.commit().map_err(|error| of_redb(DATA_FILE, error))
+    transaction
+        .commit()
+        .map_err(|error| of_redb(DATA_FILE, error))
 }
 
 fn open_or_make(
@@ -225,7 +249,9 @@
     medium.sync()?;
     let mut database = open_or_lengthen(medium, settings, length, failure)?;
     if length > settings.compact_above_bytes {
-        database.compact().map_err(|error| of_redb(DATA_FILE, error))?;
+        database
+            .compact()
+            .map_err(|error| of_redb(DATA_FILE, error))?;
     }
     Ok(database)
 }
@@ -252,7 +278,11 @@
 }
 
 /// Makes a database with one commit, and only then gives it its name.
-fn make(medium: &dyn Medium, settings: StoreSettings, failure: &SyncFailure) -> Result<Database, StoreError> {
+fn make(
+    medium: &dyn Medium,
+    settings: StoreSettings,
+    failure: &SyncFailure,
+) -> Result<Database, StoreError> {
     if medium.length(NEW_FILE)?.is_some() {
         medium.remove(NEW_FILE)?;
     }
@@ -279,7 +309,9 @@
 /// Writes the file's own bytes to it again. After a sync that failed, a system may take pages as clean that never
 /// reached the disk; written again, the next sync covers them.
 fn rewrite(medium: &dyn Medium, failure: &SyncFailure) -> Result<(), StoreError> {
-    let Some(length) = medium.length(DATA_FILE)? else { return Ok(()) };
+    let Some(length) = medium.length(DATA_FILE)? else {
+        return Ok(());
+    };
     let file = medium.open(DATA_FILE)?;
     let mut offset = 0;
     while offset < length {
--- a/crates/control-store/src/writer.rs
+++ b/crates/control-store/src/writer.rs
@@ -19,7 +19,10 @@
 
 impl Default for RetryPauses {
     fn default() -> Self {
-        RetryPauses { first: Duration::from_millis(20), longest: Duration::from_secs(1) }
+        RetryPauses {
+            first: Duration::from_millis(20),
+            longest: Duration::from_secs(1),
+        }
     }
 }
 
@@ -61,8 +64,17 @@
         done: impl Fn(WriteOutcome) + Send + 'static,
     ) -> io::Result<WriterHandle> {
         let (sender, incoming) = channel();
-        let job = Job { store, incoming, waiting: Vec::new(), group: Vec::new(), pauses, done };
-        let thread = Builder::new().name("control-store".to_owned()).spawn(move || job.run())?;
+        let job = Job {
+            store,
+            incoming,
+            waiting: Vec::new(),
+            group: Vec::new(),
+            pauses,
+            done,
+        };
+        let thread = Builder::new()
+            .name("control-store".to_owned())
+            .spawn(move || job.run())?;
         Ok(WriterHandle { sender, thread })
     }
 }
@@ -78,7 +90,12 @@
     /// Queues a batch; never blocks. Its number comes back in a [`WriteOutcome`] once it is synced. False where the
     /// thread has ended, which only a panic in `done` brings about.
     pub fn write(&self, ticket: u64, batch: Batch) -> bool {
-        self.sender.send(Ticket { number: ticket, batch }).is_ok()
+        self.sender
+            .send(Ticket {
+                number: ticket,
+                batch,
+            })
+            .is_ok()
     }
 
     /// Ends the thread once it has written what waits, or has failed to, and waits for that.
@@ -129,17 +146,18 @@
         let mut bounds = self.store.bounds();
         let mut refused = Vec::new();
         let mut first_misfit = None;
-        self.group.retain(|ticket| match bounds.after(&ticket.batch) {
-            Ok(after) => {
-                bounds = after;
-                true
-            }
-            Err(misfit) => {
-                refused.push(ticket.number);
-                first_misfit.get_or_insert(misfit);
-                false
-            }
-        });
+        self.group
+            .retain(|ticket| match bounds.after(&ticket.batch) {
+                Ok(after) => {
+                    bounds = after;
+                    true
+                }
+                Err(misfit) => {
+                    refused.push(ticket.number);
+                    first_misfit.get_or_insert(misfit);
+                    false
+                }
+            });
         if let Some(misfit) = first_misfit {
             self.tell(Vec::new(), refused, Err(misfit.into()));
         }
@@ -182,7 +200,10 @@
     fn pause(&mut self, pause: Duration) -> bool {
         let end = Instant::now() + pause;
         loop {
-            match self.incoming.recv_timeout(end.saturating_duration_since(Instant::now())) {
+            match self
+                .incoming
+                .recv_timeout(end.saturating_duration_since(Instant::now()))
+            {
                 Ok(ticket) => self.waiting.push(ticket),
                 Err(RecvTimeoutError::Timeout) => return true,
                 Err(RecvTimeoutError::Disconnected) => return false,
@@ -190,7 +211,16 @@
         }
     }
 
-    fn tell(&self, tickets_done: Vec<u64>, tickets_refused: Vec<u64>, result: Result<(), StoreError>) {
-        (self.done)(WriteOutcome { tickets_done, tickets_refused, result });
+    fn tell(
+        &self,
+        tickets_done: Vec<u64>,
+        tickets_refused: Vec<u64>,
+        result: Result<(), StoreError>,
+    ) {
+        (self.done)(WriteOutcome {
+            tickets_done,
+            tickets_refused,
+            result,
+        });
     }
 }
--- a/crates/control-store/tests/common/mod.rs
+++ b/crates/control-store/tests/common/mod.rs
@@ -29,7 +29,10 @@
 
 /// Settings with a cache so small that pages are written before their commit, too.
 pub fn settings() -> StoreSettings {
-    StoreSettings { cache_bytes: 256 * 1024, ..StoreSettings::default() }
+    StoreSettings {
+        cache_bytes: 256 * 1024,
+        ..StoreSettings::default()
+    }
 }
 
 pub fn open(disk: &SimulatedDisk) -> Result<(ControlStore, Recovered), StoreError> {
@@ -42,17 +45,33 @@
 }
 
 pub fn entry_of(index: u64, bytes: usize) -> LogEntry {
-    let step = Step { count: 6, estimate_ms: 700, ..Step::default() };
-    let spec = JobSpec { spec: "x".repeat(bytes), steps: vec![step], ..JobSpec::default() };
+    let step = Step {
+        count: 6,
+        estimate_ms: 700,
+        ..Step::default()
+    };
+    let spec = JobSpec {
+        spec: "x".repeat(bytes),
+        steps: vec![step],
+        ..JobSpec::default()
+    };
     let queue = QueueName("queue".to_owned());
     LogEntry {
         index,
-        operation: Operation::AcceptJob { job: JobId(index), queue, spec, at: WallMillis(index) },
+        operation: Operation::AcceptJob {
+            job: JobId(index),
+            queue,
+            spec,
+            at: WallMillis(index),
+        },
     }
 }
 
 pub fn append(indices: std::ops::RangeInclusive<u64>) -> Batch {
-    Batch { append: indices.map(entry).collect(), ..Batch::default() }
+    Batch {
+        append: indices.map(entry).collect(),
+        ..Batch::default()
+    }
 }
 
 /// Applies a batch to what would be recovered.
@@ -60,7 +79,10 @@
     state.disk = batch.disk.or(state.disk);
     state.vote = batch.vote.clone().unwrap_or_else(|| state.vote.clone());
     state.view = batch.view.clone().unwrap_or_else(|| state.view.clone());
-    state.standing = batch.standing.clone().unwrap_or_else(|| state.standing.clone());
+    state.standing = batch
+        .standing
+        .clone()
+        .unwrap_or_else(|| state.standing.clone());
     if let Some(last) = batch.truncate_after {
         state.entries.retain(|entry| entry.index <= last);
     }
@@ -74,7 +96,10 @@
 }
 
 pub fn last(state: &Recovered) -> u64 {
-    state.entries.last().map_or(state.snapshot_index, |entry| entry.index)
+    state
+        .entries
+        .last()
+        .map_or(state.snapshot_index, |entry| entry.index)
 }
 
 /// A batch that fits this state.
@@ -88,7 +113,10 @@
         3 => batch.truncate_after = Some(state.snapshot_index + choices.below(20)),
         4 => {
             let kept = state.entries.len() as u64;
-            batch.snapshot = Some((state.snapshot_index + choices.below(kept + 1), snapshot(choices)));
+            batch.snapshot = Some((
+                state.snapshot_index + choices.below(kept + 1),
+                snapshot(choices),
+            ));
         }
         5 => {
             let index = last(state) + choices.below(10);
@@ -102,13 +130,19 @@
     let next = last(&after) + 1;
     for index in next..next + choices.below(5) {
         let bytes = if choices.below(30) == 0 { 20_000 } else { 300 };
-        batch.append.push(entry_of(index, choices.below(bytes) as usize));
+        batch
+            .append
+            .push(entry_of(index, choices.below(bytes) as usize));
     }
     batch
 }
 
 fn snapshot(choices: &mut Choices) -> Vec<u8> {
-    let bytes = if choices.below(4) == 0 { 300_000 } else { 9_000 };
+    let bytes = if choices.below(4) == 0 {
+        300_000
+    } else {
+        9_000
+    };
     let byte = choices.below(256) as u8;
     vec![byte; choices.below(bytes) as usize]
 }
--- a/crates/control-store/tests/crashes.rs
+++ b/crates/control-store/tests/crashes.rs
@@ -49,17 +49,26 @@
 fn play(seed: u64) {
     let mut choices = Choices(seed);
     let disk = SimulatedDisk::new();
-    let mut expected = Expected { committed: Recovered::default(), under_way: None };
+    let mut expected = Expected {
+        committed: Recovered::default(),
+        under_way: None,
+    };
     for loss in 0..LOSSES {
         let most = [10, 60, CHANGES_MOST][choices.below(3) as usize];
         disk.lose_power_after(1 + choices.below(most));
         // Opening fails where the power is lost meanwhile; that is no commit.
         if let Ok((store, found)) = open(&disk) {
             assert!(expected.allows(&found), "seed {seed}, before loss {loss}");
-            expected = Expected { committed: found, under_way: None };
+            expected = Expected {
+                committed: found,
+                under_way: None,
+            };
             commit_until_loss(store, &mut expected, &mut choices);
         }
-        assert!(disk.is_without_power(), "seed {seed}, loss {loss}: an error without a loss of power");
+        assert!(
+            disk.is_without_power(),
+            "seed {seed}, loss {loss}: an error without a loss of power"
+        );
         match choices.below(3) {
             0 => disk.restart_process(),
             _ => disk.cycle_power(choices.below(u64::MAX)),
@@ -72,8 +81,13 @@
 
 #[test]
 fn a_loss_of_power_keeps_what_was_committed() {
-    let threads = (0..THREADS)
-        .map(|first| thread::spawn(move || (0..DISKS).filter(|seed| seed % THREADS == first).for_each(play)));
+    let threads = (0..THREADS).map(|first| {
+        thread::spawn(move || {
+            (0..DISKS)
+                .filter(|seed| seed % THREADS == first)
+                .for_each(play)
+        })
+    });
     let threads: VecDeque<_> = threads.collect();
     for thread in threads {
         thread.join().expect("a seed failed");
--- a/crates/control-store/tests/golden.rs
+++ b/crates/control-store/tests/golden.rs
@@ -34,7 +34,10 @@
 
 /// The file of this name.
 fn golden(name: &str) -> GoldenFile {
-    GoldenFile::open(format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR")))
+    GoldenFile::open(format!(
+        "{}/tests/golden/{name}",
+        env!("CARGO_MANIFEST_DIR")
+    ))
 }
 
 /// An empty folder of this name.
@@ -46,7 +49,10 @@
 }
 
 fn address(number: u8) -> PeerAddress {
-    PeerAddress(SocketAddrV4::new(Ipv4Addr::new(10, 2, 3, number), 7000 + u16::from(number)))
+    PeerAddress(SocketAddrV4::new(
+        Ipv4Addr::new(10, 2, 3, number),
+        7000 + u16::from(number),
+    ))
 }
 
 fn view(number: u64) -> View {
@@ -55,13 +61,23 @@
         address: address(number),
         zone: format!("zone-{number}"),
     };
-    View { number, voters: vec![voter(1), voter(2), voter(3)], chain: vec![DiskId(3), DiskId(1)] }
+    View {
+        number,
+        voters: vec![voter(1), voter(2), voter(3)],
+        chain: vec![DiskId(3), DiskId(1)],
+    }
 }
 
 fn vote() -> VoteState {
     VoteState {
-        promised: Ballot { round: 10, life: 11 },
-        accepted_ballot: Ballot { round: 12, life: 13 },
+        promised: Ballot {
+            round: 10,
+            life: 11,
+        },
+        accepted_ballot: Ballot {
+            round: 12,
+            life: 13,
+        },
         accepted: view(14),
         agreed: view(15),
         founders: vec![address(1), address(2), address(3)],
@@ -73,23 +89,70 @@
     let (job, queue, at) = (JobId(20), QueueName("render".to_owned()), WallMillis(21));
     let (service, token) = (ServiceName("worker".to_owned()), FencingToken(22));
     let server = ServerId("server-5".to_owned());
-    let task = TaskId { job, occurrence: 23, step: 24, index: 25 };
-    let spec = JobSpec { spec: "work".to_owned(), ..JobSpec::default() };
-    let start = StartRecord { task, attempt: 26, server: server.clone(), saved: "half".to_owned() };
-    let end = EndRecord { task, attempt: 27, end: RunEnd::Lapsed, saved: "most".to_owned() };
+    let task = TaskId {
+        job,
+        occurrence: 23,
+        step: 24,
+        index: 25,
+    };
+    let spec = JobSpec {
+        spec: "work".to_owned(),
+        ..JobSpec::default()
+    };
+    let start = StartRecord {
+        task,
+        attempt: 26,
+        server: server.clone(),
+        saved: "half".to_owned(),
+    };
+    let end = EndRecord {
+        task,
+        attempt: 27,
+        end: RunEnd::Lapsed,
+        saved: "most".to_owned(),
+    };
     let body = ConfigurationBody::Patch("{}".to_owned());
     let operations = [
         Operation::ChangeConfiguration(ConfigurationChange { if_match: 28, body }),
-        Operation::AcceptJob { job, queue: queue.clone(), spec, at },
+        Operation::AcceptJob {
+            job,
+            queue: queue.clone(),
+            spec,
+            at,
+        },
         Operation::CancelJob { job, queue, at },
-        Operation::TakeShard { service: service.clone(), token, owner: DiskId(29), life: 30 },
-        Operation::RecordStarts { service: service.clone(), token, starts: vec![start] },
-        Operation::RecordEnds { service: service.clone(), token, ends: vec![end], at },
-        Operation::RecordServer { service, token, server, agent: address(31) },
-        Operation::ForgetJobs { ended_before: WallMillis(32) },
+        Operation::TakeShard {
+            service: service.clone(),
+            token,
+            owner: DiskId(29),
+            life: 30,
+        },
+        Operation::RecordStarts {
+            service: service.clone(),
+            token,
+            starts: vec![start],
+        },
+        Operation::RecordEnds {
+            service: service.clone(),
+            token,
+            ends: vec![end],
+            at,
+        },
+        Operation::RecordServer {
+            service,
+            token,
+            server,
+            agent: address(31),
+        },
+        Operation::ForgetJobs {
+            ended_before: WallMillis(32),
+        },
         Operation::Nothing,
     ];
-    (first..).zip(operations).map(|(index, operation)| LogEntry { index, operation }).collect()
+    (first..)
+        .zip(operations)
+        .map(|(index, operation)| LogEntry { index, operation })
+        .collect()
 }
 
 /// Bytes of which no two neighbours are equal.
@@ -128,9 +191,12 @@
 
 /// The rows that a new store in `folder` has after these batches.
 fn rows_after(folder: &Path, batches: &[Batch]) -> Vec<Row> {
-    let (mut store, found) = ControlStore::open(folder, StoreSettings::default()).expect("a new store");
+    let (mut store, found) =
+        ControlStore::open(folder, StoreSettings::default()).expect("a new store");
     assert_eq!(found, Recovered::default());
-    batches.iter().for_each(|batch| store.commit(batch).expect("a working disk"));
+    batches
+        .iter()
+        .for_each(|batch| store.commit(batch).expect("a working disk"));
     drop(store);
     read_rows(&folder.join(DATA_FILE))
 }
@@ -175,7 +241,10 @@
     file.text("data file while it is made", NEW_FILE);
     let folder = folder("names");
     rows_after(&folder, &[whole_batch()]);
-    file.text("tables", &golden_rows::table_names(&folder.join(DATA_FILE)).join(" "));
+    file.text(
+        "tables",
+        &golden_rows::table_names(&folder.join(DATA_FILE)).join(" "),
+    );
     file.finish();
 }
 
@@ -191,7 +260,10 @@
 fn rows_of_everything() {
     let mut file = golden("rows.hex");
     let batch = whole_batch();
-    let rows = kept_rows(&mut file, &rows_after(&folder("all"), std::slice::from_ref(&batch)));
+    let rows = kept_rows(
+        &mut file,
+        &rows_after(&folder("all"), std::slice::from_ref(&batch)),
+    );
     file.finish();
     assert_eq!(found_in(&folder("all-read"), &rows), recovered(&batch));
 }
@@ -201,10 +273,24 @@
 fn rows_after_changes() {
     let mut file = golden("rows_after_changes.hex");
     let standing = borsh::to_vec(&Standing::Complete).expect("a standing has bytes");
-    let append = vec![LogEntry { index: 506, operation: Operation::Nothing }];
-    let later = Batch { truncate_after: Some(505), standing: Some(standing), append, ..Batch::default() };
-    let covering = Batch { snapshot: Some((504, snapshot_bytes(3))), ..Batch::default() };
-    let rows = rows_after(&folder("changed"), &[whole_batch(), later.clone(), covering.clone()]);
+    let append = vec![LogEntry {
+        index: 506,
+        operation: Operation::Nothing,
+    }];
+    let later = Batch {
+        truncate_after: Some(505),
+        standing: Some(standing),
+        append,
+        ..Batch::default()
+    };
+    let covering = Batch {
+        snapshot: Some((504, snapshot_bytes(3))),
+        ..Batch::default()
+    };
+    let rows = rows_after(
+        &folder("changed"),
+        &[whole_batch(), later.clone(), covering.clone()],
+    );
     let rows = kept_rows(&mut file, &rows);
     file.finish();
     let mut expected = recovered(&whole_batch());
@@ -220,15 +306,29 @@
 fn rows_of_a_long_snapshot() {
     let mut file = golden("rows_of_a_long_snapshot.txt");
     let bytes = snapshot_bytes(LONG_SNAPSHOT_BYTES);
-    let batch = Batch { snapshot: Some((600, bytes.clone())), truncate_after: Some(600), ..Batch::default() };
+    let batch = Batch {
+        snapshot: Some((600, bytes.clone())),
+        truncate_after: Some(600),
+        ..Batch::default()
+    };
     let rows = rows_after(&folder("long"), &[batch]);
     for (key, row) in &rows {
-        let shown = if row.len() > BEGINNING_BYTES { &row[..BEGINNING_BYTES] } else { row };
-        file.text(&row_name(*key), &format!("{} bytes, {}", row.len(), to_hex(shown)));
+        let shown = if row.len() > BEGINNING_BYTES {
+            &row[..BEGINNING_BYTES]
+        } else {
+            row
+        };
+        file.text(
+            &row_name(*key),
+            &format!("{} bytes, {}", row.len(), to_hex(shown)),
+        );
     }
     file.finish();
-    let pieces: Vec<u8> =
-        rows.iter().filter(|((kind, _), _)| *kind == 5).flat_map(|(_, row)| row.clone()).collect();
+    let pieces: Vec<u8> = rows
+        .iter()
+        .filter(|((kind, _), _)| *kind == 5)
+        .flat_map(|(_, row)| row.clone())
+        .collect();
     assert_eq!(pieces, bytes);
     assert_eq!(found_in(&folder("long-read"), &rows).snapshot, bytes);
 }
@@ -252,7 +352,10 @@
     if is_update() {
         let folder = folder("old-made");
         rows_after(&folder, &[whole_batch()]);
-        write_sparse(&kept, &fs::read(folder.join(DATA_FILE)).expect("the file is there"));
+        write_sparse(
+            &kept,
+            &fs::read(folder.join(DATA_FILE)).expect("the file is there"),
+        );
     }
     let folder = folder("old");
     fs::write(folder.join(DATA_FILE), read_sparse(&kept)).expect("the file can be written");
--- a/crates/control-store/tests/golden_rows/mod.rs
+++ b/crates/control-store/tests/golden_rows/mod.rs
@@ -17,13 +17,20 @@
     let database = Database::open(file).expect("a sound file");
     let transaction = database.begin_read().expect("a sound file");
     let table = transaction.open_table(TABLE).expect("the table is there");
-    let rows = table.iter().expect("a sound table").map(|row| row.expect("a sound row"));
-    rows.map(|(key, bytes)| (key.value(), bytes.value().to_vec())).collect()
+    let rows = table
+        .iter()
+        .expect("a sound table")
+        .map(|row| row.expect("a sound row"));
+    rows.map(|(key, bytes)| (key.value(), bytes.value().to_vec()))
+        .collect()
 }
 
 /// Makes a file of these rows.
 pub fn write_rows(file: &Path, rows: &[Row]) {
-    let database = Builder::new().create_with_file_format_v3(true).create(file).expect("a new file");
+    let database = Builder::new()
+        .create_with_file_format_v3(true)
+        .create(file)
+        .expect("a new file");
     let transaction = database.begin_write().expect("a working disk");
     {
         let mut table = transaction.open_table(TABLE).expect("a new table");
@@ -38,7 +45,10 @@
 pub fn table_names(file: &Path) -> Vec<String> {
     let database = Database::open(file).expect("a sound file");
     let transaction = database.begin_read().expect("a sound file");
-    let tables = transaction.list_tables().expect("a sound file").map(|table| table.name().to_owned());
+    let tables = transaction
+        .list_tables()
+        .expect("a sound file")
+        .map(|table| table.name().to_owned());
     let maps = transaction.list_multimap_tables().expect("a sound file");
     assert_eq!(maps.count(), 0, "the store has no table of lists");
     tables.collect()
--- a/crates/control-store/tests/golden_sparse/mod.rs
+++ b/crates/control-store/tests/golden_sparse/mod.rs
@@ -16,7 +16,12 @@
     let mut first = 0;
     for run in blocks.chunk_by(|one, next| one == next) {
         if run[0].iter().any(|byte| *byte != 0) {
-            text.push_str(&format!("{} x{}: {}\n", first * BLOCK_BYTES, run.len(), to_hex(run[0])));
+            text.push_str(&format!(
+                "{} x{}: {}\n",
+                first * BLOCK_BYTES,
+                run.len(),
+                to_hex(run[0])
+            ));
         }
         first += run.len();
     }
@@ -26,7 +31,9 @@
 /// The bytes that [`write_sparse`] kept.
 pub fn read_sparse(file: &Path) -> Vec<u8> {
     let text = fs::read_to_string(file).expect("the file is there");
-    let mut lines = text.lines().map(|line| line.split_once(": ").expect("a line has two parts"));
+    let mut lines = text
+        .lines()
+        .map(|line| line.split_once(": ").expect("a line has two parts"));
     let (first, length) = lines.next().expect("the file has a line");
     assert_eq!(first, LENGTH);
     let mut bytes = vec![0; length.parse().expect("a length")];
--- a/crates/control-store/tests/growth.rs
+++ b/crates/control-store/tests/growth.rs
@@ -12,7 +12,10 @@
 const LARGE: usize = 1_600_000;
 
 fn snapshot(index: u64, bytes: usize) -> Batch {
-    Batch { snapshot: Some((index, vec![index as u8; bytes])), ..Batch::default() }
+    Batch {
+        snapshot: Some((index, vec![index as u8; bytes])),
+        ..Batch::default()
+    }
 }
 
 /// Makes the first commits, loses power after so many changes of the last one, and gives what is found; none where the
@@ -30,20 +33,26 @@
     }
     drop(store);
     disk.cycle_power(fate);
-    let (_, found) = open(&disk).unwrap_or_else(|error| panic!("change {changes}, fate {fate}: {error}"));
+    let (_, found) =
+        open(&disk).unwrap_or_else(|error| panic!("change {changes}, fate {fate}: {error}"));
     Some(found)
 }
 
 /// Plays every moment of the last commit; gives how many changes it took.
 fn every_moment(commits: &[Batch], last: &Batch) -> u64 {
     let mut before = Recovered::default();
-    commits.iter().for_each(|batch| common::apply(&mut before, batch));
+    commits
+        .iter()
+        .for_each(|batch| common::apply(&mut before, batch));
     let mut after = before.clone();
     common::apply(&mut after, last);
     for changes in 1.. {
         for fate in 0..FATES {
             match found_after(commits, last, changes, changes * FATES + fate) {
-                Some(found) => assert!(found == before || found == after, "change {changes}, fate {fate}"),
+                Some(found) => assert!(
+                    found == before || found == after,
+                    "change {changes}, fate {fate}"
+                ),
                 None => return changes,
             }
         }
@@ -59,7 +68,12 @@
 
 #[test]
 fn a_commit_that_shortens_the_file() {
-    let commits = [append(1..=9), snapshot(2, LARGE), snapshot(3, 10), append(10..=10)];
+    let commits = [
+        append(1..=9),
+        snapshot(2, LARGE),
+        snapshot(3, 10),
+        append(10..=10),
+    ];
     every_moment(&commits, &append(11..=11));
     every_moment(&commits[..2], &snapshot(3, 10));
 }
@@ -80,7 +94,13 @@
 /// The header is the only part of the file that is written in place.
 #[test]
 fn a_header_torn_at_any_byte() {
-    let commits = [append(1..=3), snapshot(2, LARGE), snapshot(3, 10), append(4..=4), append(5..=5)];
+    let commits = [
+        append(1..=3),
+        snapshot(2, LARGE),
+        snapshot(3, 10),
+        append(4..=4),
+        append(5..=5),
+    ];
     let mut states = vec![Recovered::default()];
     for batch in &commits {
         let mut state = states.last().expect("one at least").clone();
@@ -96,8 +116,12 @@
             torn[cut..HEADER_BYTES].copy_from_slice(&old[cut..HEADER_BYTES]);
             let disk = SimulatedDisk::new();
             disk.put(DATA_FILE, torn);
-            let (_, found) = open(&disk).unwrap_or_else(|error| panic!("commit {last}, cut {cut}: {error}"));
-            assert!(found == states[last] || found == states[last + 1], "commit {last}, cut {cut}");
+            let (_, found) =
+                open(&disk).unwrap_or_else(|error| panic!("commit {last}, cut {cut}: {error}"));
+            assert!(
+                found == states[last] || found == states[last + 1],
+                "commit {last}, cut {cut}"
+            );
         }
     }
 }
--- a/crates/control-store/tests/opening.rs
+++ b/crates/control-store/tests/opening.rs
@@ -6,7 +6,8 @@
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_control_store::simulated::SimulatedDisk;
 use lupinrack_control_store::{
-    Batch, ControlStore, LogBounds, Medium, Misfit, Recovered, StoreError, StoreSettings, DATA_FILE, NEW_FILE,
+    Batch, ControlStore, LogBounds, Medium, Misfit, Recovered, StoreError, StoreSettings,
+    DATA_FILE, NEW_FILE,
 };
 use std::io::ErrorKind;
 use std::sync::Arc;
@@ -26,7 +27,9 @@
 
 fn committed(disk: &SimulatedDisk, batches: &[Batch]) {
     let (mut store, _) = open(disk).expect("opens");
-    batches.iter().for_each(|batch| store.commit(batch).expect("commits"));
+    batches
+        .iter()
+        .for_each(|batch| store.commit(batch).expect("commits"));
 }
 
 fn found(disk: &SimulatedDisk) -> Recovered {
@@ -60,7 +63,10 @@
 #[test]
 fn a_smaller_snapshot_leaves_nothing_of_a_larger_one() {
     let disk = SimulatedDisk::new();
-    let smaller = Batch { snapshot: Some((7, vec![6; 70_000])), ..Batch::default() };
+    let smaller = Batch {
+        snapshot: Some((7, vec![6; 70_000])),
+        ..Batch::default()
+    };
     committed(&disk, &[full_batch(), smaller]);
     let found = found(&disk);
     assert_eq!((found.snapshot_index, found.snapshot), (7, vec![6; 70_000]));
@@ -86,7 +92,11 @@
 fn entries_after_an_index_are_replaced() {
     let disk = SimulatedDisk::new();
     let other = entry_of(3, 5_000);
-    let batch = Batch { truncate_after: Some(2), append: vec![other.clone()], ..Batch::default() };
+    let batch = Batch {
+        truncate_after: Some(2),
+        append: vec![other.clone()],
+        ..Batch::default()
+    };
     committed(&disk, &[append(1..=9), batch]);
     assert_eq!(found(&disk).entries, [entry(1), entry(2), other]);
 }
@@ -95,7 +105,13 @@
 fn a_large_entry_is_kept() {
     let disk = SimulatedDisk::new();
     let large = entry_of(1, 4_000_000);
-    committed(&disk, &[Batch { append: vec![large.clone()], ..Batch::default() }]);
+    committed(
+        &disk,
+        &[Batch {
+            append: vec![large.clone()],
+            ..Batch::default()
+        }],
+    );
     assert_eq!(found(&disk).entries, [large]);
 }
 
@@ -105,12 +121,48 @@
     let (mut store, _) = open(&disk).expect("opens");
     store.commit(&full_batch()).expect("commits");
     let gap = store.commit_all(&[&append(10..=11), &append(13..=13)]);
-    assert!(matches!(gap, Err(StoreError::Misfit(Misfit::Gap { expected: 12, found: 13 }))), "{gap:?}");
+    assert!(
+        matches!(
+            gap,
+            Err(StoreError::Misfit(Misfit::Gap {
+                expected: 12,
+                found: 13
+            }))
+        ),
+        "{gap:?}"
+    );
     let twice = store.commit(&append(9..=9));
-    assert!(matches!(twice, Err(StoreError::Misfit(Misfit::Gap { expected: 10, found: 9 }))), "{twice:?}");
-    let old = store.commit(&Batch { snapshot: Some((3, vec![])), ..Batch::default() });
-    assert!(matches!(old, Err(StoreError::Misfit(Misfit::OldSnapshot { given: 3, kept: 4 }))), "{old:?}");
-    assert_eq!(store.bounds(), LogBounds { snapshot: 4, last: 9 });
+    assert!(
+        matches!(
+            twice,
+            Err(StoreError::Misfit(Misfit::Gap {
+                expected: 10,
+                found: 9
+            }))
+        ),
+        "{twice:?}"
+    );
+    let old = store.commit(&Batch {
+        snapshot: Some((3, vec![])),
+        ..Batch::default()
+    });
+    assert!(
+        matches!(
+            old,
+            Err(StoreError::Misfit(Misfit::OldSnapshot {
+                given: 3,
+                kept: 4
+            }))
+        ),
+        "{old:?}"
+    );
+    assert_eq!(
+        store.bounds(),
+        LogBounds {
+            snapshot: 4,
+            last: 9
+        }
+    );
     store.commit(&append(10..=10)).expect("still open");
     drop(store);
     assert_eq!(found(&disk).entries.len(), 6);
@@ -141,7 +193,12 @@
 
 #[test]
 fn a_file_that_was_never_finished_is_made_anew() {
-    for rest in [vec![], vec![0; 100], vec![0; 2_000_000], b"redb".repeat(1000)] {
+    for rest in [
+        vec![],
+        vec![0; 100],
+        vec![0; 2_000_000],
+        b"redb".repeat(1000),
+    ] {
         let disk = SimulatedDisk::new();
         disk.put(NEW_FILE, rest);
         assert_eq!(found(&disk), Recovered::default());
@@ -207,7 +264,11 @@
 }
 
 fn full_batch_after(last: u64) -> Batch {
-    Batch { vote: Some(vec![3; 100]), append: vec![entry(last + 1)], ..Batch::default() }
+    Batch {
+        vote: Some(vec![3; 100]),
+        append: vec![entry(last + 1)],
+        ..Batch::default()
+    }
 }
 
 #[test]
@@ -228,8 +289,14 @@
     let (mut store, _) = open(&disk).expect("opens");
     store.commit(&full_batch()).expect("commits");
     disk.fail_after(0, Some(1), ErrorKind::StorageFull);
-    assert!(matches!(store.commit(&append(10..=10)), Err(StoreError::Full)));
-    assert!(matches!(store.commit(&append(10..=10)), Err(StoreError::Closed)));
+    assert!(matches!(
+        store.commit(&append(10..=10)),
+        Err(StoreError::Full)
+    ));
+    assert!(matches!(
+        store.commit(&append(10..=10)),
+        Err(StoreError::Closed)
+    ));
     assert!(!store.reopen().expect("the disk works again"));
     store.commit(&append(10..=10)).expect("commits");
     drop(store);
@@ -252,7 +319,11 @@
             disk.cycle_power(fate);
             drop(store);
             let entries = found(&disk).entries.len();
-            assert_eq!(entries, if holds { 9 } else { 5 }, "change {after}, fate {fate}");
+            assert_eq!(
+                entries,
+                if holds { 9 } else { 5 },
+                "change {after}, fate {fate}"
+            );
             if result.is_ok() {
                 break;
             }
@@ -263,12 +334,21 @@
 #[test]
 fn a_long_file_is_compacted_when_it_is_opened() {
     let disk = SimulatedDisk::new();
-    let large = Batch { snapshot: Some((1, vec![1; 6_000_000])), ..Batch::default() };
+    let large = Batch {
+        snapshot: Some((1, vec![1; 6_000_000])),
+        ..Batch::default()
+    };
     committed(&disk, &[append(1..=2), large]);
-    let small = Batch { snapshot: Some((2, vec![2; 100])), ..Batch::default() };
+    let small = Batch {
+        snapshot: Some((2, vec![2; 100])),
+        ..Batch::default()
+    };
     committed(&disk, &[small]);
     let before = disk.length(DATA_FILE).expect("readable").expect("the file");
-    let compacting = StoreSettings { compact_above_bytes: 2_000_000, ..settings() };
+    let compacting = StoreSettings {
+        compact_above_bytes: 2_000_000,
+        ..settings()
+    };
     let (store, found) = ControlStore::open_on(Arc::new(disk.clone()), compacting).expect("opens");
     drop(store);
     assert_eq!((found.snapshot_index, found.snapshot.len()), (2, 100));
@@ -299,7 +379,12 @@
     store.commit(&append(1..=2_000)).expect("commits");
     let before = disk.counters().written_bytes;
     let length = disk.length(DATA_FILE).expect("readable").expect("the file");
-    store.commit(&Batch { snapshot: Some((1_999, vec![1; 1_000])), ..Batch::default() }).expect("commits");
+    store
+        .commit(&Batch {
+            snapshot: Some((1_999, vec![1; 1_000])),
+            ..Batch::default()
+        })
+        .expect("commits");
     let written = disk.counters().written_bytes - before;
     assert!(written < 500_000, "{written} bytes written");
     assert!(disk.length(DATA_FILE).expect("readable").expect("the file") <= length);
@@ -314,7 +399,10 @@
     store.commit(&append(11..=11)).expect("commits");
     let after = disk.counters();
     assert_eq!(after.syncs - before.syncs, 1);
-    assert!(after.written_bytes - before.written_bytes < 40_000, "{after:?}");
+    assert!(
+        after.written_bytes - before.written_bytes < 40_000,
+        "{after:?}"
+    );
 }
 
 /// The rename of a new file may be done and not synced when opening fails or the process dies. Whoever opens the file
@@ -341,10 +429,20 @@
     for seed in 0..20 {
         let disk = SimulatedDisk::new();
         let (mut store, mut found) = open(&disk).expect("opens");
-        assert_eq!(store.identify(&mut found, DiskId(7)).expect("a working disk"), DiskId(7));
+        assert_eq!(
+            store
+                .identify(&mut found, DiskId(7))
+                .expect("a working disk"),
+            DiskId(7)
+        );
         disk.cycle_power(seed);
         let (mut store, mut found) = open(&disk).expect("opens");
-        assert_eq!(store.identify(&mut found, DiskId(8)).expect("a working disk"), DiskId(7));
+        assert_eq!(
+            store
+                .identify(&mut found, DiskId(8))
+                .expect("a working disk"),
+            DiskId(7)
+        );
     }
 }
 
@@ -374,6 +472,9 @@
         std::mem::forget(store);
         disk.cycle_power(seed);
         let (_, later) = open(&disk).expect("opens");
-        assert_eq!(later.entries, found.entries, "seed {seed}: what was found is gone");
+        assert_eq!(
+            later.entries, found.entries,
+            "seed {seed}: what was found is gone"
+        );
     }
 }
--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -17,7 +17,9 @@
 impl Clock {
     /// A clock that starts now.
     pub fn start() -> Self {
-        Clock { origin: Instant::now() }
+        Clock {
+            origin: Instant::now(),
+        }
     }
 
     /// The reading now.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -28,8 +28,17 @@
 #[derive(Debug)]
 enum Input {
     Open(Request, mpsc::Sender<Order>),
-    Ended { request: RequestId, attempt: u16, outcome: Outcome, load: Option<Load> },
-    TurnedAway { request: RequestId, attempt: u16, hint: Option<Version> },
+    Ended {
+        request: RequestId,
+        attempt: u16,
+        outcome: Outcome,
+        load: Option<Load>,
+    },
+    TurnedAway {
+        request: RequestId,
+        attempt: u16,
+        hint: Option<Version>,
+    },
     Extents(extents::Input),
     Began(RequestId, u16),
     More(RequestId, f64),
@@ -37,7 +46,12 @@
     ClientGone(RequestId),
     Dropped(RequestId),
     List(ListKind, Vec<Listing>),
-    Probed { node: NodeId, outcome: Outcome, waited: Micros, load: Option<Load> },
+    Probed {
+        node: NodeId,
+        outcome: Outcome,
+        waited: Micros,
+        load: Option<Load>,
+    },
     Settings(Settings),
     Part(f64, oneshot::Sender<()>),
     Rights(Box<Rights>, oneshot::Sender<()>),
@@ -146,8 +160,15 @@
         request.id = RequestId(self.numbers.fetch_add(1, Ordering::Relaxed));
         let (to, orders) = mpsc::channel(self.orders.load(Ordering::Relaxed));
         let _ = self.inbox.send(Input::Open(request, to)).await;
-        let teller = Teller { id: request.id, inbox: self.inbox.clone() };
-        Ticket { teller, orders, settled: false }
+        let teller = Teller {
+            id: request.id,
+            inbox: self.inbox.clone(),
+        };
+        Ticket {
+            teller,
+            orders,
+            settled: false,
+        }
     }
 
     /// Hands on news of the node list.
@@ -177,7 +198,12 @@
     /// Hands on what this front may use of what its fleet shares; done once the module goes by it.
     pub async fn rights(&self, rights: Rights) {
         let (tell, done) = oneshot::channel();
-        if self.inbox.send(Input::Rights(Box::new(rights), tell)).await.is_ok() {
+        if self
+            .inbox
+            .send(Input::Rights(Box::new(rights), tell))
+            .await
+            .is_ok()
+        {
             let _ = done.await;
         }
     }
@@ -215,7 +241,15 @@
 
     /// Reports the end of a probe.
     pub async fn probed(&self, node: NodeId, outcome: Outcome, waited: Micros, load: Option<Load>) {
-        let _ = self.inbox.send(Input::Probed { node, outcome, waited, load }).await;
+        let _ = self
+            .inbox
+            .send(Input::Probed {
+                node,
+                outcome,
+                waited,
+                load,
+            })
+            .await;
     }
 }
 
@@ -251,12 +285,27 @@
 
     /// Reports how an attempt ended.
     pub async fn ended(&self, attempt: u16, outcome: Outcome, load: Option<Load>) {
-        let _ = self.inbox.send(Input::Ended { request: self.id, attempt, outcome, load }).await;
+        let _ = self
+            .inbox
+            .send(Input::Ended {
+                request: self.id,
+                attempt,
+                outcome,
+                load,
+            })
+            .await;
     }
 
     /// Reports that a node turned an attempt away unrun because the data lies elsewhere, as of `hint`.
     pub async fn turned_away(&self, attempt: u16, hint: Option<Version>) {
-        let _ = self.inbox.send(Input::TurnedAway { request: self.id, attempt, hint }).await;
+        let _ = self
+            .inbox
+            .send(Input::TurnedAway {
+                request: self.id,
+                attempt,
+                hint,
+            })
+            .await;
     }
 
     /// Reports that the client left; nothing is owed any more.
@@ -339,7 +388,11 @@
 
 impl Core {
     /// A core, the handle for its fronts, and the queue of nodes to probe.
-    pub fn new(settings: Settings, seed: u64, clock: Clock) -> (Core, Handle, mpsc::Receiver<Target>) {
+    pub fn new(
+        settings: Settings,
+        seed: u64,
+        clock: Clock,
+    ) -> (Core, Handle, mpsc::Receiver<Target>) {
         let (inbox, input) = mpsc::channel(INBOX);
         let (probes, to_probe) = mpsc::channel(PROBES);
         let orders = Arc::new(AtomicUsize::new(orders(&settings)));
@@ -359,7 +412,16 @@
             actions: Vec::new(),
             places: None,
         };
-        (core, Handle { inbox, numbers: Arc::new(AtomicU32::new(1)), orders, clock }, to_probe)
+        (
+            core,
+            Handle {
+                inbox,
+                numbers: Arc::new(AtomicU32::new(1)),
+                orders,
+                clock,
+            },
+            to_probe,
+        )
     }
 
     /// Has each finished request told here; where the queue is full, it is dropped.
@@ -373,7 +435,13 @@
         let mut batch = Vec::new();
         loop {
             let places = self.places.as_ref().and_then(|p| p.wake);
-            let due = self.timers.peek().map(|t| t.0 .0).into_iter().chain(places).min();
+            let due = self
+                .timers
+                .peek()
+                .map(|t| t.0 .0)
+                .into_iter()
+                .chain(places)
+                .min();
             let due = due.map(|at| self.clock.instant(at));
             let sleep = async {
                 match due {
@@ -405,23 +473,41 @@
             Input::Open(request, orders) => {
                 let (units, asked, bytes, tries, out) = (request.units, 0.0, 0, 0, Vec::new());
                 let (said, request) = (request.shard, self.placed(now, request));
-                let open =
-                    Open { orders, request, opened: now, end: None, units, asked, bytes, tries, out, said };
+                let open = Open {
+                    orders,
+                    request,
+                    opened: now,
+                    end: None,
+                    units,
+                    asked,
+                    bytes,
+                    tries,
+                    out,
+                    said,
+                };
                 self.open.insert(request.id, open);
                 if let Some(fleet) = &mut self.fleet {
                     let counts = self.limited.get(request.plan as usize) == Some(&true);
                     if counts
-                        && (fleet.served.len() < SERVED_MOST || fleet.served.contains_key(&request.volume))
+                        && (fleet.served.len() < SERVED_MOST
+                            || fleet.served.contains_key(&request.volume))
                     {
                         fleet.served.insert(request.volume, request.hosts);
                     }
                 }
                 self.tell(now, Event::Request(request));
             }
-            Input::Ended { request, attempt, outcome, load } => {
-                self.ended(now, request, attempt, outcome, load)
-            }
-            Input::TurnedAway { request, attempt, hint } => self.turned_away(now, request, attempt, hint),
+            Input::Ended {
+                request,
+                attempt,
+                outcome,
+                load,
+            } => self.ended(now, request, attempt, outcome, load),
+            Input::TurnedAway {
+                request,
+                attempt,
+                hint,
+            } => self.turned_away(now, request, attempt, hint),
             Input::Extents(input) => self.on_extents(now, input),
             Input::Began(request, attempt) => self.tell(now, Event::Began { request, attempt }),
             Input::More(request, units) => {
@@ -467,12 +553,23 @@
             }
             Input::Silent(tell) => {
                 let name = |id: NodeId| Some(self.nodes.target(id)?.name);
-                let silent = self.brain.targets().filter(|t| t.2).filter_map(|t| name(t.0)).collect();
+                let silent = self
+                    .brain
+                    .targets()
+                    .filter(|t| t.2)
+                    .filter_map(|t| name(t.0))
+                    .collect();
                 let heard = self.heard.get_or_insert_default();
-                let _ = tell.send((silent, std::mem::take(heard).into_iter().filter_map(name).collect()));
+                let _ = tell.send((
+                    silent,
+                    std::mem::take(heard).into_iter().filter_map(name).collect(),
+                ));
             }
             Input::Trials(names, until) => {
-                let granted = names.iter().filter_map(|name| Some((self.nodes.id(name)?, until))).collect();
+                let granted = names
+                    .iter()
+                    .filter_map(|name| Some((self.nodes.id(name)?, until)))
+                    .collect();
                 self.tell(now, Event::Trials(granted));
             }
             Input::Back(name) => {
@@ -480,8 +577,21 @@
                     self.tell(now, Event::Back(node));
                 }
             }
-            Input::Probed { node, outcome, waited, load } => {
-                self.tell(now, Event::Probed { node, outcome, waited, load });
+            Input::Probed {
+                node,
+                outcome,
+                waited,
+                load,
+            } => {
+                self.tell(
+                    now,
+                    Event::Probed {
+                        node,
+                        outcome,
+                        waited,
+                        load,
+                    },
+                );
             }
         }
     }
@@ -495,12 +605,25 @@
         }
     }
 
-    fn ended(&mut self, now: Micros, id: RequestId, attempt: u16, outcome: Outcome, load: Option<Load>) {
-        let Some(o) = self.open.get_mut(&id) else { return };
+    fn ended(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        attempt: u16,
+        outcome: Outcome,
+        load: Option<Load>,
+    ) {
+        let Some(o) = self.open.get_mut(&id) else {
+            return;
+        };
         // Exactly one outcome for each Send: a second report finds nothing out.
-        let Some(at) = o.out.iter().position(|a| a.0 == attempt) else { return };
+        let Some(at) = o.out.iter().position(|a| a.0 == attempt) else {
+            return;
+        };
         let (_, node, sent, _) = o.out.swap_remove(at);
-        self.heard.iter_mut().for_each(|h| h.extend(outcome.heard().then_some(node)));
+        self.heard
+            .iter_mut()
+            .for_each(|h| h.extend(outcome.heard().then_some(node)));
         if outcome == Outcome::Ok {
             o.end = o.end.or(Some((FlowEnd::Served, now)));
         }
@@ -521,13 +644,29 @@
 
     /// Lets go of a request that is over with nothing out; its owner then sees the end of its orders.
     fn settle(&mut self, id: RequestId) {
-        let Some((end, ended)) = self.open.get(&id).filter(|o| o.out.is_empty()).and_then(|o| o.end) else {
+        let Some((end, ended)) = self
+            .open
+            .get(&id)
+            .filter(|o| o.out.is_empty())
+            .and_then(|o| o.end)
+        else {
+            return;
+        };
+        let Some(o) = self.open.remove(&id) else {
             return;
         };
-        let Some(o) = self.open.remove(&id) else { return };
         if let Some(flows) = &self.flows {
-            let (request, opened, units, bytes, attempts) = (o.request, o.opened, o.units, o.bytes, o.tries);
-            let _ = flows.try_send(Flow { request, opened, ended, units, bytes, attempts, end });
+            let (request, opened, units, bytes, attempts) =
+                (o.request, o.opened, o.units, o.bytes, o.tries);
+            let _ = flows.try_send(Flow {
+                request,
+                opened,
+                ended,
+                units,
+                bytes,
+                attempts,
+                end,
+            });
         }
     }
 
@@ -546,9 +685,12 @@
 
     fn act(&mut self, now: Micros, action: Action) -> Vec<Event> {
         match action {
-            Action::Send { request, node, timeout, begin_by } => {
-                return self.send(now, request, node, timeout, begin_by)
-            }
+            Action::Send {
+                request,
+                node,
+                timeout,
+                begin_by,
+            } => return self.send(now, request, node, timeout, begin_by),
             Action::Cancel { request, attempt } => {
                 if let Some(o) = self.open.get(&request) {
                     let _ = o.orders.try_send(Order::Cancel(attempt));
@@ -560,7 +702,10 @@
                     let _ = o.orders.try_send(Order::Grant);
                 }
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 let after = retry_after.map(|t| Duration::from_micros(t.max(0) as u64));
                 self.finish(now, request, FlowEnd::Refused, Order::Refuse(after));
             }
@@ -587,19 +732,40 @@
         timeout: Option<Micros>,
         begin_by: Micros,
     ) -> Vec<Event> {
-        let Some(request) = self.open.get(&id).map(|o| o.request) else { return Vec::new() };
+        let Some(request) = self.open.get(&id).map(|o| o.request) else {
+            return Vec::new();
+        };
         let moved = self.moved(now, &request);
-        let Some(o) = self.open.get_mut(&id) else { return Vec::new() };
+        let Some(o) = self.open.get_mut(&id) else {
+            return Vec::new();
+        };
         let number = o.tries;
         o.tries += 1;
         // A right that ends while the attempt is on its way ends the attempt; what draws on the reserve has no end.
-        let right = self.fleet.as_ref().map(|f| f.until).filter(|u| now < *u).unwrap_or(Micros::MAX);
+        let right = self
+            .fleet
+            .as_ref()
+            .map(|f| f.until)
+            .filter(|u| now < *u)
+            .unwrap_or(Micros::MAX);
         let begin_by = right.min(begin_by);
         let until = timeout.map_or(o.request.give_up, |t| o.request.give_up.min(now + t));
-        let sent = self.nodes.target(node).filter(|_| o.end.is_none() && moved.is_none()).is_some_and(|to| {
-            let permit = SendPermit::for_order();
-            o.orders.try_send(Order::Send(Attempt { number, to, until, begin_by, permit })).is_ok()
-        });
+        let sent = self
+            .nodes
+            .target(node)
+            .filter(|_| o.end.is_none() && moved.is_none())
+            .is_some_and(|to| {
+                let permit = SendPermit::for_order();
+                o.orders
+                    .try_send(Order::Send(Attempt {
+                        number,
+                        to,
+                        until,
+                        begin_by,
+                        permit,
+                    }))
+                    .is_ok()
+            });
         if sent {
             o.out.push((number, node, now, o.request.shard));
             return Vec::new();
@@ -609,16 +775,28 @@
             request: id,
             attempt: number,
             node,
-            outcome: if moved.is_some() { Outcome::Moved } else { Outcome::Moot },
+            outcome: if moved.is_some() {
+                Outcome::Moved
+            } else {
+                Outcome::Moot
+            },
             waited: 0,
             finished: o.end.is_some(),
             volume_use: None,
             served_elsewhere: 0.0,
             load: None,
         });
-        let Some(shard) = moved else { return vec![never] };
+        let Some(shard) = moved else {
+            return vec![never];
+        };
         (o.request.shard, o.request.astray) = (Some(shard), false);
-        vec![never, Event::Moved { request: id, shard: Some(shard) }]
+        vec![
+            never,
+            Event::Moved {
+                request: id,
+                shard: Some(shard),
+            },
+        ]
     }
 
     fn finish(&mut self, now: Micros, id: RequestId, end: FlowEnd, order: Order) {
--- a/crates/core/src/nodes.rs
+++ b/crates/core/src/nodes.rs
@@ -95,7 +95,9 @@
         let mut entries = Vec::with_capacity(list.len());
         for l in list {
             let node = self.place(&l);
-            let Some(known) = self.known.get_mut(&node) else { continue };
+            let Some(known) = self.known.get_mut(&node) else {
+                continue;
+            };
             listed.insert(node);
             known.target.address = l.address;
             match l.state {
@@ -104,16 +106,28 @@
             }
             known.gone = (l.state == NodeState::Gone).then(|| known.gone.unwrap_or(now));
             let (state, zone, shard, started, size) = (l.state, l.zone, l.shard, l.started, l.size);
-            entries.push(NodeEntry { node, state, zone, shard, started, size });
+            entries.push(NodeEntry {
+                node,
+                state,
+                zone,
+                shard,
+                started,
+                size,
+            });
         }
         if kind != ListKind::Delta {
-            for (_, known) in self.known.iter_mut().filter(|(node, _)| !listed.contains(node)) {
+            for (_, known) in self
+                .known
+                .iter_mut()
+                .filter(|(node, _)| !listed.contains(node))
+            {
                 known.stop(|at| until.min(at));
                 known.gone = known.gone.or(Some(now));
             }
         }
         // Nodes come and go all day under ever new names.
-        self.known.retain(|_, known| known.gone.is_none_or(|at| now - at < FORGET));
+        self.known
+            .retain(|_, known| known.gone.is_none_or(|at| now - at < FORGET));
         self.ids.retain(|_, node| self.known.contains_key(node));
         entries
     }
@@ -126,8 +140,20 @@
         self.named += 1;
         let (stop, stop_at) = watch::channel(Micros::MAX);
         self.ids.insert(name.clone(), node);
-        let target = Target { node, name, address: l.address, stop_at };
-        self.known.insert(node, Known { target, stop, gone: None });
+        let target = Target {
+            node,
+            name,
+            address: l.address,
+            stop_at,
+        };
+        self.known.insert(
+            node,
+            Known {
+                target,
+                stop,
+                gone: None,
+            },
+        );
         node
     }
 
@@ -155,7 +181,15 @@
 
     fn listing(name: String, state: NodeState) -> Listing {
         let address = SocketAddr::from(([127, 0, 0, 1], 9));
-        Listing { name, address, state, zone: Zone(0), shard: Shard(0), started: None, size: 1.0 }
+        Listing {
+            name,
+            address,
+            state,
+            zone: Zone(0),
+            shard: Shard(0),
+            started: None,
+            size: 1.0,
+        }
     }
 
     #[test]
@@ -168,9 +202,16 @@
             if day > 0 && day % 3 > 0 {
                 list.push(listing(format!("s-{}", day - 1), NodeState::Gone));
             }
-            let kind = if day % 3 == 0 { ListKind::Full } else { ListKind::Delta };
+            let kind = if day % 3 == 0 {
+                ListKind::Full
+            } else {
+                ListKind::Delta
+            };
             let entries = nodes.apply(now, 1_000_000, kind, list);
-            assert!(last.replace(entries[0].node) < Some(entries[0].node), "a number is never used again");
+            assert!(
+                last.replace(entries[0].node) < Some(entries[0].node),
+                "a number is never used again"
+            );
             assert!(nodes.known.len() <= 64 && nodes.ids.len() == nodes.known.len());
         }
         assert!(nodes.target(last.unwrap()).is_some() && nodes.target(NodeId(0)).is_none());
--- a/crates/core/src/places.rs
+++ b/crates/core/src/places.rs
@@ -24,45 +24,82 @@
     pub fn with_extents(
         mut self,
         cache: Cache,
-    ) -> (Core, mpsc::Receiver<extents::Action>, watch::Receiver<Counters>) {
+    ) -> (
+        Core,
+        mpsc::Receiver<extents::Action>,
+        watch::Receiver<Counters>,
+    ) {
         let (driver, actions) = mpsc::channel(DRIVER_QUEUE);
         let (counters, seen) = watch::channel(Counters::default());
-        self.places =
-            Some(Places { cache, driver, counters, wake: Some(self.clock.now()), actions: Vec::new() });
+        self.places = Some(Places {
+            cache,
+            driver,
+            counters,
+            wake: Some(self.clock.now()),
+            actions: Vec::new(),
+        });
         (self, actions, seen)
     }
 
     /// A request as it is told to the module: on the shard that the map has, or waiting to be told.
     pub(super) fn placed(&mut self, now: Micros, request: Request) -> Request {
-        let (Some(places), Some(key)) = (&mut self.places, request.key) else { return request };
-        match places.cache.locate(now, request.volume, key, &mut places.actions) {
-            Place::At(shard) => Request { shard: Some(shard), ..request },
+        let (Some(places), Some(key)) = (&mut self.places, request.key) else {
+            return request;
+        };
+        match places
+            .cache
+            .locate(now, request.volume, key, &mut places.actions)
+        {
+            Place::At(shard) => Request {
+                shard: Some(shard),
+                ..request
+            },
             Place::Uncovered => request,
-            Place::Unknown => Request { astray: true, ..request },
+            Place::Unknown => Request {
+                astray: true,
+                ..request
+            },
         }
     }
 
     /// Where a request that is about to be sent lies by now, if elsewhere.
     pub(super) fn moved(&mut self, now: Micros, request: &Request) -> Option<Shard> {
         let (places, key) = (self.places.as_mut()?, request.key?);
-        match places.cache.locate(now, request.volume, key, &mut places.actions) {
+        match places
+            .cache
+            .locate(now, request.volume, key, &mut places.actions)
+        {
             Place::At(shard) if request.shard != Some(shard) => Some(shard),
             _ => None,
         }
     }
 
     /// A node turned an attempt away unrun: its data lies elsewhere, the node says.
-    pub(super) fn turned_away(&mut self, now: Micros, id: RequestId, attempt: u16, hint: Option<Version>) {
+    pub(super) fn turned_away(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        attempt: u16,
+        hint: Option<Version>,
+    ) {
         let Some(o) = self.open.get(&id) else { return };
         let asked = o.out.iter().find(|a| a.0 == attempt).and_then(|a| a.3);
         let turn = match (&mut self.places, o.request.key, asked) {
-            (Some(places), Some(key), Some(asked)) => {
-                places.cache.wrong_turn(now, (o.request.volume, key), asked, hint, &mut places.actions)
-            }
+            (Some(places), Some(key), Some(asked)) => places.cache.wrong_turn(
+                now,
+                (o.request.volume, key),
+                asked,
+                hint,
+                &mut places.actions,
+            ),
             // A node that speaks of extents where nobody knows them is one that had no room.
             _ => Turn::Stands,
         };
-        let outcome = if turn == Turn::Stands { Outcome::Full } else { Outcome::Moved };
+        let outcome = if turn == Turn::Stands {
+            Outcome::Full
+        } else {
+            Outcome::Moved
+        };
         if outcome == Outcome::Moved {
             self.open.entry(id).and_modify(|o| o.request.astray = true);
         }
@@ -82,10 +119,14 @@
 
     /// The end of a turn: what the cache has due, and all that comes of it.
     pub(super) fn settle_places(&mut self, now: Micros) {
-        let Some(places) = &mut self.places else { return };
+        let Some(places) = &mut self.places else {
+            return;
+        };
         if places.wake.is_some_and(|at| at <= now) {
             places.wake = None;
-            places.cache.handle(now, extents::Input::Timer, &mut places.actions);
+            places
+                .cache
+                .handle(now, extents::Input::Timer, &mut places.actions);
         }
         if !places.actions.is_empty() {
             places.cache.on_time(now, &mut places.actions);
@@ -101,13 +142,19 @@
         }
         if let Some(places) = &self.places {
             let counters = places.cache.counters();
-            places.counters.send_if_modified(|seen| std::mem::replace(seen, counters) != counters);
+            places
+                .counters
+                .send_if_modified(|seen| std::mem::replace(seen, counters) != counters);
         }
     }
 
     fn carry_one(&mut self, now: Micros, action: extents::Action) {
         match action {
-            extents::Action::Changed { volume, first, last } => self.look_again(now, |r| {
+            extents::Action::Changed {
+                volume,
+                first,
+                last,
+            } => self.look_again(now, |r| {
                 r.volume == volume && r.key.is_some_and(|k| (first..=last).contains(&k.0))
             }),
             extents::Action::ChangedAll => self.look_again(now, |_| true),
@@ -119,18 +166,33 @@
             extents::Action::Complain { who, why } => match who {
                 Party::Authority => tracing::warn!("extent authority: {why}"),
                 Party::Peer(peer) => tracing::warn!("extents: peer {peer}: {why}"),
-                Party::Node(shard) => tracing::warn!("extents: the node of shard {}: {why}", shard.0),
+                Party::Node(shard) => {
+                    tracing::warn!("extents: the node of shard {}: {why}", shard.0)
+                }
             },
             call => {
-                let Some(places) = &mut self.places else { return };
+                let Some(places) = &mut self.places else {
+                    return;
+                };
                 // The driver is behind by a whole queue: to the cache that is a call that failed.
                 let busy = || "the calls that are out take too long".to_string();
-                match places.driver.try_send(call).map_err(mpsc::error::TrySendError::into_inner) {
+                match places
+                    .driver
+                    .try_send(call)
+                    .map_err(mpsc::error::TrySendError::into_inner)
+                {
                     Err(extents::Action::Poll { .. }) => {
-                        places.cache.handle(now, extents::Input::Polled(Err(busy())), &mut places.actions);
+                        places.cache.handle(
+                            now,
+                            extents::Input::Polled(Err(busy())),
+                            &mut places.actions,
+                        );
                     }
                     Err(extents::Action::Fetch { volume, .. }) => {
-                        let input = extents::Input::Fetched { volume, answer: Err(busy()) };
+                        let input = extents::Input::Fetched {
+                            volume,
+                            answer: Err(busy()),
+                        };
                         places.cache.handle(now, input, &mut places.actions);
                     }
                     _ => {}
@@ -141,12 +203,20 @@
 
     /// Looks again where the open requests of a range lie.
     fn look_again(&mut self, now: Micros, within: impl Fn(&Request) -> bool) {
-        let open = self.open.iter().filter(|(_, o)| o.end.is_none() && within(&o.request));
+        let open = self
+            .open
+            .iter()
+            .filter(|(_, o)| o.end.is_none() && within(&o.request));
         let ids: Vec<RequestId> = open.map(|(id, _)| *id).collect();
         for id in ids {
-            let (Some(places), Some(o)) = (&mut self.places, self.open.get(&id)) else { continue };
+            let (Some(places), Some(o)) = (&mut self.places, self.open.get(&id)) else {
+                continue;
+            };
             let Some(key) = o.request.key else { continue };
-            match places.cache.locate(now, o.request.volume, key, &mut places.actions) {
+            match places
+                .cache
+                .locate(now, o.request.volume, key, &mut places.actions)
+            {
                 Place::At(shard) if o.request.astray || o.request.shard != Some(shard) => {
                     self.lies(now, id, Some(shard));
                 }
@@ -158,7 +228,10 @@
     }
 
     fn lies(&mut self, now: Micros, request: RequestId, shard: Option<Shard>) {
-        if let Some(o) = self.open.get_mut(&request).filter(|o| !matches!(o.end, Some((FlowEnd::Served, _))))
+        if let Some(o) = self
+            .open
+            .get_mut(&request)
+            .filter(|o| !matches!(o.end, Some((FlowEnd::Served, _))))
         {
             (o.request.shard, o.request.astray) = (shard, false);
             self.tell(now, Event::Moved { request, shard });
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -56,8 +56,10 @@
     /// As a table.
     pub fn table(&self) -> String {
         let f = self;
-        let mut text =
-            format!("seed {}: {} requests through one front to {NODES} nodes\n\n", f.seed, f.tally.requests);
+        let mut text = format!(
+            "seed {}: {} requests through one front to {NODES} nodes\n\n",
+            f.seed, f.tally.requests
+        );
         for (name, count) in [
             ("served", f.tally.served),
             ("refused", f.tally.refused),
@@ -81,20 +83,31 @@
     let mut stage = Stage::new(program).await?;
     // One node for each shard, and the successor of the first, which is not listed yet.
     for i in 0..=NODES {
-        stage.node(Manner { shard: i % NODES, seed: dice.u64(..), ..Manner::default() }).await?;
+        stage
+            .node(Manner {
+                shard: i % NODES,
+                seed: dice.u64(..),
+                ..Manner::default()
+            })
+            .await?;
     }
     for i in 0..NODES as usize {
         stage.list(i, "SERVING");
     }
     let config = configuration("demo", stage.discovery.address, dice.u64(..), 1);
     let front = stage.front(0, config, String::new()).await?;
-    let Some(at) = front.listens.clients else { return Err(RigError::Script("nothing listens".into())) };
+    let Some(at) = front.listens.clients else {
+        return Err(RigError::Script("nothing listens".into()));
+    };
 
     let began = Instant::now();
     let span = Duration::from_secs(demo.seconds);
     let (clients, mut asked) = (Clients::default(), JoinSet::new());
     let (mut figures, mut latency) = (
-        Figures { seed, ..Figures::default() },
+        Figures {
+            seed,
+            ..Figures::default()
+        },
         Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(std::io::Error::other)?,
     );
     let mut drained = false;
@@ -138,11 +151,19 @@
         id: format!("{number:016x}"),
         class,
         writes,
-        plan: if greedy || volume % 2 == 0 { "basic" } else { "priority" },
+        plan: if greedy || volume % 2 == 0 {
+            "basic"
+        } else {
+            "priority"
+        },
         volume,
         key: 1 + dice.u64(0..1 << 40),
         units,
-        shard: if writes { -1 } else { i64::from(dice.u32(0..NODES)) },
+        shard: if writes {
+            -1
+        } else {
+            i64::from(dice.u32(0..NODES))
+        },
         hosts: 1,
         deadline: Duration::from_secs(if class == "read" { 2 } else { 4 }),
     }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -60,7 +60,8 @@
         self.next_sequence += 1;
         let record = self.streams.entry(stream.clone()).or_default();
         record.placed(server, sequence, cost, tags, now);
-        self.queue(server).insert(Waiting::new(task, stream.clone(), sequence, cost, tags));
+        self.queue(server)
+            .insert(Waiting::new(task, stream.clone(), sequence, cost, tags));
         tags
     }
 
@@ -69,7 +70,10 @@
     /// Its units are not counted any longer. If it was its stream's last task on this server, the next one starts from
     /// its start tag.
     pub fn withdraw(&mut self, server: &Server, task: &Task) -> bool {
-        let removed = self.queues.get_mut(server).and_then(|queue| queue.remove(task));
+        let removed = self
+            .queues
+            .get_mut(server)
+            .and_then(|queue| queue.remove(task));
         if let Some(waiting) = &removed {
             self.give_back(server, waiting);
         }
@@ -88,7 +92,9 @@
         fits: impl FnMut(&Task) -> bool,
     ) -> Vec<Task> {
         let room = self.settings.depth.saturating_sub(running);
-        let Some(queue) = self.queues.get_mut(server) else { return Vec::new() };
+        let Some(queue) = self.queues.get_mut(server) else {
+            return Vec::new();
+        };
         let released = queue.release(room, self.settings.passes_most, fits);
         for waiting in &released {
             if let Some(record) = self.streams.get_mut(&waiting.stream) {
@@ -100,12 +106,17 @@
 
     /// The tasks that wait for a server, in the order of their start tags.
     pub fn queued(&self, server: &Server) -> impl Iterator<Item = &Task> {
-        self.queues.get(server).into_iter().flat_map(|queue| queue.iter().map(|waiting| &waiting.task))
+        self.queues
+            .get(server)
+            .into_iter()
+            .flat_map(|queue| queue.iter().map(|waiting| &waiting.task))
     }
 
     /// Forgets a server; gives the tasks that waited for it, in the order of their start tags.
     pub fn remove_server(&mut self, server: &Server) -> Vec<Task> {
-        let Some(queue) = self.queues.remove(server) else { return Vec::new() };
+        let Some(queue) = self.queues.remove(server) else {
+            return Vec::new();
+        };
         for waiting in queue.iter() {
             self.give_back(server, waiting);
         }
@@ -122,12 +133,17 @@
 
     /// A server's `v`: the highest start tag that was released there, zero at first.
     pub fn virtual_time(&self, server: &Server) -> Tag {
-        self.queues.get(server).map_or(Tag::default(), ServerQueue::virtual_time)
+        self.queues
+            .get(server)
+            .map_or(Tag::default(), ServerQueue::virtual_time)
     }
 
     /// The tags of a task that waits for a server.
     pub fn tags(&self, server: &Server, task: &Task) -> Option<Tags> {
-        self.queues.get(server)?.get(task).map(|waiting| waiting.tags)
+        self.queues
+            .get(server)?
+            .get(task)
+            .map(|waiting| waiting.tags)
     }
 
     /// How many streams are remembered.
@@ -135,13 +151,31 @@
         self.streams.len()
     }
 
-    fn next_tags(&mut self, server: &Server, stream: &Stream, weight: f64, cost: Units, now: Millis) -> Tags {
+    fn next_tags(
+        &mut self,
+        server: &Server,
+        stream: &Stream,
+        weight: f64,
+        cost: Units,
+        now: Millis,
+    ) -> Tags {
         self.drop_if_idle(stream, now);
         let record = self.streams.entry(stream.clone()).or_default();
         let elsewhere = record.elsewhere(server).as_f64();
-        let delay = hybrid_delay(elsewhere, cost.as_f64(), weight, self.settings.minimum_weight_ratio);
+        let delay = hybrid_delay(
+            elsewhere,
+            cost.as_f64(),
+            weight,
+            self.settings.minimum_weight_ratio,
+        );
         let previous_finish = record.previous_finish(server);
-        tags(self.virtual_time(server), previous_finish, delay, cost.as_f64(), weight)
+        tags(
+            self.virtual_time(server),
+            previous_finish,
+            delay,
+            cost.as_f64(),
+            weight,
+        )
     }
 
     fn queue(&mut self, server: &Server) -> &mut ServerQueue<Stream, Task> {
@@ -156,7 +190,10 @@
 
     fn drop_if_idle(&mut self, stream: &Stream, now: Millis) {
         let idle_ms = self.settings.stream_idle_ms;
-        let gone = self.streams.get_mut(stream).is_some_and(|record| record.drop_idle(now, idle_ms));
+        let gone = self
+            .streams
+            .get_mut(stream)
+            .is_some_and(|record| record.drop_idle(now, idle_ms));
         if gone {
             self.streams.remove(stream);
         }
@@ -170,6 +207,7 @@
             return;
         }
         self.swept_at = now;
-        self.streams.retain(|_, record| !record.drop_idle(now, idle_ms));
+        self.streams
+            .retain(|_, record| !record.drop_idle(now, idle_ms));
     }
 }
--- a/crates/dispatch/src/queue.rs
+++ b/crates/dispatch/src/queue.rs
@@ -24,11 +24,21 @@
 
 impl<Stream, Task> Waiting<Stream, Task> {
     pub(crate) fn new(task: Task, stream: Stream, sequence: u64, cost: Units, tags: Tags) -> Self {
-        Waiting { task, stream, sequence, cost, tags, passed: 0 }
+        Waiting {
+            task,
+            stream,
+            sequence,
+            cost,
+            tags,
+            passed: 0,
+        }
     }
 
     fn position(&self) -> Position {
-        Position { start: self.tags.start, sequence: self.sequence }
+        Position {
+            start: self.tags.start,
+            sequence: self.sequence,
+        }
     }
 }
 
@@ -42,7 +52,11 @@
 
 impl<Stream, Task> Default for ServerQueue<Stream, Task> {
     fn default() -> Self {
-        ServerQueue { virtual_time: Tag::default(), waiting: BTreeMap::new(), positions: BTreeMap::new() }
+        ServerQueue {
+            virtual_time: Tag::default(),
+            waiting: BTreeMap::new(),
+            positions: BTreeMap::new(),
+        }
     }
 }
 
@@ -58,7 +72,9 @@
     }
 
     pub(crate) fn get(&self, task: &Task) -> Option<&Waiting<Stream, Task>> {
-        self.positions.get(task).and_then(|position| self.waiting.get(position))
+        self.positions
+            .get(task)
+            .and_then(|position| self.waiting.get(position))
     }
 
     pub(crate) fn insert(&mut self, waiting: Waiting<Stream, Task>) {
@@ -85,7 +101,10 @@
         fits: impl FnMut(&Task) -> bool,
     ) -> Vec<Waiting<Stream, Task>> {
         let chosen = self.choose(room, passes_most, fits);
-        chosen.into_iter().filter_map(|position| self.take(position)).collect()
+        chosen
+            .into_iter()
+            .filter_map(|position| self.take(position))
+            .collect()
     }
 
     /// Chooses up to `room` tasks that fit, and notes how often the others were passed.
@@ -107,7 +126,10 @@
                 chosen.push(*position);
                 continue;
             }
-            passed.push(Passed { position: *position, released_before: chosen.len() });
+            passed.push(Passed {
+                position: *position,
+                released_before: chosen.len(),
+            });
             let passes_left = passes_most.saturating_sub(waiting.passed) as usize;
             chosen_most = chosen_most.min(chosen.len().saturating_add(passes_left));
         }
@@ -116,7 +138,11 @@
     }
 
     fn note_passes(&mut self, passed: &[Passed], released: usize) {
-        for Passed { position, released_before } in passed {
+        for Passed {
+            position,
+            released_before,
+        } in passed
+        {
             let times = u32::try_from(released - released_before).unwrap_or(u32::MAX);
             if let Some(waiting) = self.waiting.get_mut(position) {
                 waiting.passed = waiting.passed.saturating_add(times);
--- a/crates/dispatch/src/settings.rs
+++ b/crates/dispatch/src/settings.rs
@@ -18,6 +18,11 @@
 
 impl Default for DispatchSettings {
     fn default() -> Self {
-        DispatchSettings { depth: 8, minimum_weight_ratio: 0.5, stream_idle_ms: 10_000, passes_most: 64 }
+        DispatchSettings {
+            depth: 8,
+            minimum_weight_ratio: 0.5,
+            stream_idle_ms: 10_000,
+            passes_most: 64,
+        }
     }
 }
--- a/crates/dispatch/src/stream.rs
+++ b/crates/dispatch/src/stream.rs
@@ -31,31 +31,48 @@
 
 impl<Server> Default for Stream<Server> {
     fn default() -> Self {
-        Stream { total: Units::default(), last_active: Millis::default(), servers: BTreeMap::new() }
+        Stream {
+            total: Units::default(),
+            last_active: Millis::default(),
+            servers: BTreeMap::new(),
+        }
     }
 }
 
 impl<Server: Clone + Ord> Stream<Server> {
     /// Drops what has been idle for `idle_ms`; tells whether nothing is left.
     pub(crate) fn drop_idle(&mut self, now: Millis, idle_ms: u64) -> bool {
-        self.servers.retain(|_, entry| entry.waiting > 0 || now.since(entry.last_active) < idle_ms);
+        self.servers
+            .retain(|_, entry| entry.waiting > 0 || now.since(entry.last_active) < idle_ms);
         self.servers.is_empty() && now.since(self.last_active) >= idle_ms
     }
 
     /// `F_prev` at this server; zero where the stream has none.
     pub(crate) fn previous_finish(&self, server: &Server) -> Tag {
-        self.servers.get(server).map_or(Tag::default(), |entry| entry.finish)
+        self.servers
+            .get(server)
+            .map_or(Tag::default(), |entry| entry.finish)
     }
 
     /// Units placed on other servers since the stream's last task on this one, or since the record of the stream
     /// began.
     pub(crate) fn elsewhere(&self, server: &Server) -> Units {
-        let then = self.servers.get(server).map_or(Units::default(), |entry| entry.total_then);
+        let then = self
+            .servers
+            .get(server)
+            .map_or(Units::default(), |entry| entry.total_then);
         self.total.minus(then)
     }
 
     /// Notes a task placed on this server.
-    pub(crate) fn placed(&mut self, server: &Server, sequence: u64, cost: Units, tags: Tags, now: Millis) {
+    pub(crate) fn placed(
+        &mut self,
+        server: &Server,
+        sequence: u64,
+        cost: Units,
+        tags: Tags,
+        now: Millis,
+    ) {
         self.last_active = now;
         self.total = self.total.plus(cost);
         let total = self.total;
@@ -96,14 +113,19 @@
     /// Takes units out of the total, and out of all remembered totals that hold them.
     fn uncount(&mut self, sequence: u64, cost: Units) {
         self.total = self.total.minus(cost);
-        for entry in self.servers.values_mut().filter(|entry| entry.last_sequence >= sequence) {
+        for entry in self
+            .servers
+            .values_mut()
+            .filter(|entry| entry.last_sequence >= sequence)
+        {
             entry.total_then = entry.total_then.minus(cost);
         }
     }
 
     fn entry(&mut self, server: &Server) -> &mut StreamOnServer {
         if !self.servers.contains_key(server) {
-            self.servers.insert(server.clone(), StreamOnServer::default());
+            self.servers
+                .insert(server.clone(), StreamOnServer::default());
         }
         self.servers.get_mut(server).expect("inserted above")
     }
--- a/crates/dispatch/src/tag.rs
+++ b/crates/dispatch/src/tag.rs
@@ -46,7 +46,9 @@
 impl Tag {
     /// This tag and what `units` cost a stream of this weight.
     fn plus(self, units: f64, weight: f64) -> Tag {
-        Tag(self.0.saturating_add((units / weight * SCALE).round() as u64))
+        Tag(self
+            .0
+            .saturating_add((units / weight * SCALE).round() as u64))
     }
 }
 
@@ -60,7 +62,16 @@
 }
 
 /// The tags of a task: `S = max(v, F_prev + delay / φ)`, `F = S + cost / φ`.
-pub(crate) fn tags(virtual_time: Tag, previous_finish: Tag, delay: f64, cost: f64, weight: f64) -> Tags {
+pub(crate) fn tags(
+    virtual_time: Tag,
+    previous_finish: Tag,
+    delay: f64,
+    cost: f64,
+    weight: f64,
+) -> Tags {
     let start = virtual_time.max(previous_finish.plus(delay, weight));
-    Tags { start, finish: start.plus(cost, weight) }
+    Tags {
+        start,
+        finish: start.plus(cost, weight),
+    }
 }
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -14,7 +14,11 @@
 
 /// A dispatcher with this depth and bound on passing.
 pub fn dispatcher_with(depth: usize, passes_most: u32) -> TestDispatcher {
-    Dispatcher::new(DispatchSettings { depth, passes_most, ..DispatchSettings::default() })
+    Dispatcher::new(DispatchSettings {
+        depth,
+        passes_most,
+        ..DispatchSettings::default()
+    })
 }
 
 /// A tag at this many units per weight.
--- a/crates/dispatch/tests/delay.rs
+++ b/crates/dispatch/tests/delay.rs
@@ -23,7 +23,11 @@
 
 /// The rule as the decision module wrote it out before it shared the function.
 fn written_out(elsewhere: f64, units: f64, phi: f64) -> f64 {
-    let most = if phi < 1.0 { (1.0 / RATIO - 1.0) / (1.0 - phi) * units } else { 0.0 };
+    let most = if phi < 1.0 {
+        (1.0 / RATIO - 1.0) / (1.0 - phi) * units
+    } else {
+        0.0
+    };
     elsewhere.max(0.0).min(most)
 }
 
--- a/crates/dispatch/tests/golden.rs
+++ b/crates/dispatch/tests/golden.rs
@@ -15,8 +15,14 @@
 const UPDATE_VARIABLE: &str = "UPDATE_GOLDEN";
 const SERVERS: u64 = 4;
 /// Streams and their weights; the last ones are out of bounds.
-const STREAMS: [(char, f64); 6] =
-    [('a', 0.5), ('b', 0.25), ('c', 0.125), ('d', 1.0), ('e', 0.0), ('f', 1e-9)];
+const STREAMS: [(char, f64); 6] = [
+    ('a', 0.5),
+    ('b', 0.25),
+    ('c', 0.125),
+    ('d', 1.0),
+    ('e', 0.0),
+    ('f', 1e-9),
+];
 const CALLS: usize = 400;
 
 /// Calls of one run, drawn from its seed.
@@ -64,11 +70,19 @@
         let cost = self.choices.below(2_000) as f64 / 1_000.0;
         // Now and then a task that is there already.
         let again = self.choices.below(10) == 0 && self.next_task > 0;
-        let task = if again { self.next_task - 1 } else { self.next_task };
+        let task = if again {
+            self.next_task - 1
+        } else {
+            self.next_task
+        };
         self.next_task += u32::from(!again);
-        let tags = self.dispatcher.place(&server, &stream, weight, cost, task, self.now);
+        let tags = self
+            .dispatcher
+            .place(&server, &stream, weight, cost, task, self.now);
         let tags = tags_text(tags);
-        self.note(&format!("place {task} of {stream} on {server} cost {cost}: {tags}"));
+        self.note(&format!(
+            "place {task} of {stream} on {server} cost {cost}: {tags}"
+        ));
     }
 
     fn withdraw(&mut self, server: u8) {
@@ -84,7 +98,9 @@
     fn release(&mut self, server: u8) {
         let running = self.choices.below(4) as usize;
         let misfit = self.choices.below(4) as u32;
-        let released = self.dispatcher.release(&server, running, self.now, |task| task % 4 != misfit);
+        let released = self
+            .dispatcher
+            .release(&server, running, self.now, |task| task % 4 != misfit);
         let virtual_time = self.dispatcher.virtual_time(&server).0;
         self.note(&format!(
             "release on {server} beside {running} without {misfit} of 4: {released:?} virtual time {virtual_time}"
@@ -140,16 +156,33 @@
     let settings = DispatchSettings::default();
     format!(
         "depth: {}\nleast weight ratio: {}\nstream idle: {} ms\npasses: {}\n",
-        settings.depth, settings.minimum_weight_ratio, settings.stream_idle_ms, settings.passes_most
+        settings.depth,
+        settings.minimum_weight_ratio,
+        settings.stream_idle_ms,
+        settings.passes_most
     )
 }
 
 /// Every file and its text.
 fn built() -> Vec<(&'static str, String)> {
-    let usual = DispatchSettings { stream_idle_ms: 2_000, ..DispatchSettings::default() };
-    let shallow = DispatchSettings { depth: 3, passes_most: 2, ..usual };
-    let even = DispatchSettings { minimum_weight_ratio: 0.1, ..usual };
-    let strict = DispatchSettings { minimum_weight_ratio: 1.0, passes_most: 0, ..usual };
+    let usual = DispatchSettings {
+        stream_idle_ms: 2_000,
+        ..DispatchSettings::default()
+    };
+    let shallow = DispatchSettings {
+        depth: 3,
+        passes_most: 2,
+        ..usual
+    };
+    let even = DispatchSettings {
+        minimum_weight_ratio: 0.1,
+        ..usual
+    };
+    let strict = DispatchSettings {
+        minimum_weight_ratio: 1.0,
+        passes_most: 0,
+        ..usual
+    };
     vec![
         ("defaults.txt", defaults()),
         ("delays.txt", delays()),
@@ -162,8 +195,13 @@
 
 fn names_in(folder: &Path) -> BTreeSet<String> {
     let entries = fs::read_dir(folder).expect("the folder can be listed");
-    let paths: Vec<PathBuf> = entries.map(|entry| entry.expect("the folder can be read").path()).collect();
-    let name = |path: &PathBuf| path.file_name().map(|name| name.to_string_lossy().into_owned());
+    let paths: Vec<PathBuf> = entries
+        .map(|entry| entry.expect("the folder can be read").path())
+        .collect();
+    let name = |path: &PathBuf| {
+        path.file_name()
+            .map(|name| name.to_string_lossy().into_owned())
+    };
     paths.iter().filter_map(name).collect()
 }
 
@@ -183,6 +221,9 @@
         for (number, (kept, built)) in kept.lines().zip(text.lines()).enumerate() {
             assert_eq!(kept, built, "line {} of {name}", number + 1);
         }
-        assert!(kept == *text, "{name} is longer or shorter than what was built");
+        assert!(
+            kept == *text,
+            "{name} is longer or shorter than what was built"
+        );
     }
 }
--- a/crates/dispatch/tests/release.rs
+++ b/crates/dispatch/tests/release.rs
@@ -23,8 +23,14 @@
         dispatcher.place(&1, &'b', 0.8, 1.0, task, NOW);
     }
     // a starts at 0, 5, 10; b at 0, 1.25, 2.5; among equals, the one placed first.
-    assert_eq!(dispatcher.queued(&1).copied().collect::<Vec<_>>(), [0, 10, 11, 12, 1, 2]);
-    assert_eq!(dispatcher.release(&1, 0, NOW, |_| true), [0, 10, 11, 12, 1, 2]);
+    assert_eq!(
+        dispatcher.queued(&1).copied().collect::<Vec<_>>(),
+        [0, 10, 11, 12, 1, 2]
+    );
+    assert_eq!(
+        dispatcher.release(&1, 0, NOW, |_| true),
+        [0, 10, 11, 12, 1, 2]
+    );
     assert_eq!(dispatcher.queued(&1).count(), 0);
 }
 
@@ -32,8 +38,12 @@
 fn no_more_than_the_depth_runs() {
     let mut dispatcher = filled(3, 64, 10);
     assert_eq!(dispatcher.release(&1, 1, NOW, |_| true), [0, 1]);
-    assert!(dispatcher.release(&1, 3, NOW, |_| panic!("there is no room")).is_empty());
-    assert!(dispatcher.release(&1, 9, NOW, |_| panic!("there is no room")).is_empty());
+    assert!(dispatcher
+        .release(&1, 3, NOW, |_| panic!("there is no room"))
+        .is_empty());
+    assert!(dispatcher
+        .release(&1, 9, NOW, |_| panic!("there is no room"))
+        .is_empty());
     assert_eq!(dispatcher.release(&1, 2, NOW, |_| true), [2]);
 }
 
@@ -53,8 +63,14 @@
 #[test]
 fn tasks_that_fit_pass_those_that_do_not() {
     let mut dispatcher = filled(8, 64, 6);
-    assert_eq!(dispatcher.release(&1, 5, NOW, |task| task % 2 == 1), [1, 3, 5]);
-    assert_eq!(dispatcher.queued(&1).copied().collect::<Vec<_>>(), [0, 2, 4]);
+    assert_eq!(
+        dispatcher.release(&1, 5, NOW, |task| task % 2 == 1),
+        [1, 3, 5]
+    );
+    assert_eq!(
+        dispatcher.queued(&1).copied().collect::<Vec<_>>(),
+        [0, 2, 4]
+    );
 }
 
 #[test]
@@ -78,7 +94,10 @@
 fn a_task_is_passed_a_bounded_number_of_times_over_many_releases() {
     let mut dispatcher = filled(1, 3, 6);
     for expected in [1, 2, 3] {
-        assert_eq!(dispatcher.release(&1, 0, NOW, |task| *task != 0), [expected]);
+        assert_eq!(
+            dispatcher.release(&1, 0, NOW, |task| *task != 0),
+            [expected]
+        );
     }
     assert!(dispatcher.release(&1, 0, NOW, |task| *task != 0).is_empty());
     assert!(dispatcher.withdraw(&1, &0));
--- a/crates/dispatch/tests/shares.rs
+++ b/crates/dispatch/tests/shares.rs
@@ -60,17 +60,30 @@
 impl Load {
     fn new(setup: &Setup) -> Self {
         let minimum_weight_ratio = setup.minimum_weight_ratio;
-        let settings = DispatchSettings { depth: 1, minimum_weight_ratio, ..DispatchSettings::default() };
-        Load { dispatcher: Dispatcher::new(settings), choices: Choices(7), costs: BTreeMap::new(), placed: 0 }
+        let settings = DispatchSettings {
+            depth: 1,
+            minimum_weight_ratio,
+            ..DispatchSettings::default()
+        };
+        Load {
+            dispatcher: Dispatcher::new(settings),
+            choices: Choices(7),
+            costs: BTreeMap::new(),
+            placed: 0,
+        }
     }
 
     fn place(&mut self, setup: &Setup, stream: usize, server: u8) {
         self.placed += 1;
-        let task = Task { stream, number: self.placed };
+        let task = Task {
+            stream,
+            number: self.placed,
+        };
         let cost = 0.5 + self.choices.below(100) as f64 / 100.0;
         let (label, weight) = (setup.label)(stream);
         self.costs.insert(task, cost);
-        self.dispatcher.place(&server, &label, weight, cost, task, NOW);
+        self.dispatcher
+            .place(&server, &label, weight, cost, task, NOW);
     }
 
     fn fill(&mut self, setup: &Setup) {
@@ -95,7 +108,8 @@
     for _ in 0..ROUNDS {
         for server in 0..setup.servers {
             for task in load.dispatcher.release(&server, 0, NOW, |_| true) {
-                served[usize::from(server)][task.stream] += load.costs.remove(&task).expect("placed before");
+                served[usize::from(server)][task.stream] +=
+                    load.costs.remove(&task).expect("placed before");
                 load.place(setup, task.stream, server);
             }
         }
@@ -114,21 +128,32 @@
 }
 
 fn follow(shares: [f64; STREAMS], expected: [f64; STREAMS]) -> bool {
-    shares.iter().zip(expected).all(|(share, expected)| (share - expected).abs() <= TOLERANCE * expected)
+    shares
+        .iter()
+        .zip(expected)
+        .all(|(share, expected)| (share - expected).abs() <= TOLERANCE * expected)
 }
 
 #[test]
 fn shares_of_one_server_follow_the_weights() {
-    let setup =
-        Setup { servers: 1, minimum_weight_ratio: DEFAULT_RATIO, label: by_weight, uses: every_server };
+    let setup = Setup {
+        servers: 1,
+        minimum_weight_ratio: DEFAULT_RATIO,
+        label: by_weight,
+        uses: every_server,
+    };
     let shares = total(&served(&setup));
     assert!(follow(shares, WEIGHTS), "{shares:?}");
 }
 
 #[test]
 fn shares_of_two_servers_follow_the_weights() {
-    let setup =
-        Setup { servers: 2, minimum_weight_ratio: DEFAULT_RATIO, label: by_weight, uses: every_server };
+    let setup = Setup {
+        servers: 2,
+        minimum_weight_ratio: DEFAULT_RATIO,
+        label: by_weight,
+        uses: every_server,
+    };
     let shares = total(&served(&setup));
     assert!(follow(shares, WEIGHTS), "{shares:?}");
 }
@@ -138,7 +163,12 @@
 fn shares_of_many_servers_follow_the_weights_where_the_delay_is_not_clipped() {
     for servers in [3, 4, 6, 8] {
         let minimum_weight_ratio = 1.0 / f64::from(servers);
-        let setup = Setup { servers, minimum_weight_ratio, label: by_weight, uses: every_server };
+        let setup = Setup {
+            servers,
+            minimum_weight_ratio,
+            label: by_weight,
+            uses: every_server,
+        };
         let shares = total(&served(&setup));
         assert!(follow(shares, WEIGHTS), "{servers} servers: {shares:?}");
     }
@@ -152,12 +182,22 @@
         weight / (1.0 + hybrid_delay(f64::from(servers - 1), 1.0, weight, DEFAULT_RATIO))
     };
     for servers in [3, 4, 6, 8] {
-        let setup =
-            Setup { servers, minimum_weight_ratio: DEFAULT_RATIO, label: by_weight, uses: every_server };
+        let setup = Setup {
+            servers,
+            minimum_weight_ratio: DEFAULT_RATIO,
+            label: by_weight,
+            uses: every_server,
+        };
         let shares = total(&served(&setup));
         let expected = normalised(WEIGHTS.map(|weight| rate(weight, servers)));
-        assert!(follow(shares, expected), "{servers} servers: {shares:?}, expected {expected:?}");
-        assert!(shares[0] > shares[1] && shares[1] > shares[2], "{servers} servers: {shares:?}");
+        assert!(
+            follow(shares, expected),
+            "{servers} servers: {shares:?}, expected {expected:?}"
+        );
+        assert!(
+            shares[0] > shares[1] && shares[1] > shares[2],
+            "{servers} servers: {shares:?}"
+        );
     }
 }
 
@@ -172,7 +212,10 @@
         };
         let shares = total(&served(&setup));
         assert!(!follow(shares, WEIGHTS), "{servers} servers: {shares:?}");
-        assert!(shares[0] < shares[1] && shares[1] < shares[2], "{servers} servers: {shares:?}");
+        assert!(
+            shares[0] < shares[1] && shares[1] < shares[2],
+            "{servers} servers: {shares:?}"
+        );
     }
 }
 
@@ -189,7 +232,10 @@
     let charged = normalised(served(&setup(DEFAULT_RATIO))[0]);
     assert!(charged[0] > WEIGHTS[0] * 1.3, "{charged:?}");
     for stream in [1, 2] {
-        assert!(charged[stream] >= DEFAULT_RATIO * WEIGHTS[stream], "{charged:?}");
+        assert!(
+            charged[stream] >= DEFAULT_RATIO * WEIGHTS[stream],
+            "{charged:?}"
+        );
     }
     // With φmin = φ there is no delay, and the server is shared for itself.
     let alone = normalised(served(&setup(1.0))[0]);
--- a/crates/dispatch/tests/tags.rs
+++ b/crates/dispatch/tests/tags.rs
@@ -13,8 +13,20 @@
     let mut dispatcher = dispatcher();
     let first = dispatcher.place(&1, &'a', 0.5, 1.0, 1, NOW);
     let second = dispatcher.place(&1, &'a', 0.5, 3.0, 2, NOW);
-    assert_eq!(first, Tags { start: tag(0.0), finish: tag(2.0) });
-    assert_eq!(second, Tags { start: tag(2.0), finish: tag(8.0) });
+    assert_eq!(
+        first,
+        Tags {
+            start: tag(0.0),
+            finish: tag(2.0)
+        }
+    );
+    assert_eq!(
+        second,
+        Tags {
+            start: tag(2.0),
+            finish: tag(8.0)
+        }
+    );
 }
 
 #[test]
@@ -25,7 +37,13 @@
     }
     assert_eq!(dispatcher.release(&1, 4, NOW, |_| true), [0, 1, 2, 3]);
     assert_eq!(dispatcher.virtual_time(&1), tag(6.0));
-    assert_eq!(dispatcher.place(&1, &'b', 0.25, 1.0, 9, NOW), Tags { start: tag(6.0), finish: tag(10.0) });
+    assert_eq!(
+        dispatcher.place(&1, &'b', 0.25, 1.0, 9, NOW),
+        Tags {
+            start: tag(6.0),
+            finish: tag(10.0)
+        }
+    );
 }
 
 #[test]
@@ -34,7 +52,10 @@
     dispatcher.place(&1, &'a', 0.5, 10.0, 1, NOW);
     dispatcher.release(&1, 0, NOW, |_| true);
     assert_eq!(dispatcher.virtual_time(&1), tag(0.0));
-    assert_eq!(dispatcher.place(&1, &'a', 0.5, 1.0, 2, NOW).start, tag(20.0));
+    assert_eq!(
+        dispatcher.place(&1, &'a', 0.5, 1.0, 2, NOW).start,
+        tag(20.0)
+    );
 }
 
 #[test]
@@ -45,9 +66,18 @@
     dispatcher.place(&3, &'a', 0.5, 0.5, 3, NOW);
     // F_prev 8, delay 1.5 of at most (2 − 1) / (1 − 0.5) × 4 = 8.
     let tags = dispatcher.place(&1, &'a', 0.5, 4.0, 4, NOW);
-    assert_eq!(tags, Tags { start: tag(11.0), finish: tag(19.0) });
+    assert_eq!(
+        tags,
+        Tags {
+            start: tag(11.0),
+            finish: tag(19.0)
+        }
+    );
     // Counted once: nothing was placed elsewhere since.
-    assert_eq!(dispatcher.place(&1, &'a', 0.5, 1.0, 5, NOW).start, tag(19.0));
+    assert_eq!(
+        dispatcher.place(&1, &'a', 0.5, 1.0, 5, NOW).start,
+        tag(19.0)
+    );
 }
 
 #[test]
@@ -97,7 +127,10 @@
     assert!(!dispatcher.withdraw(&1, &2));
     assert!(!dispatcher.contains(&1, &2));
     assert_eq!(dispatcher.tags(&1, &2), None);
-    assert_eq!(dispatcher.place(&1, &'a', 0.5, 1.0, 3, NOW).start, before.start);
+    assert_eq!(
+        dispatcher.place(&1, &'a', 0.5, 1.0, 3, NOW).start,
+        before.start
+    );
 }
 
 #[test]
@@ -107,7 +140,10 @@
     let last = dispatcher.place(&1, &'a', 0.5, 1.0, 2, NOW);
     assert!(dispatcher.withdraw(&1, &1));
     assert_eq!(dispatcher.tags(&1, &2), Some(last));
-    assert_eq!(dispatcher.place(&1, &'a', 0.5, 1.0, 3, NOW).start, last.finish);
+    assert_eq!(
+        dispatcher.place(&1, &'a', 0.5, 1.0, 3, NOW).start,
+        last.finish
+    );
 }
 
 #[test]
@@ -126,8 +162,14 @@
     let still = dispatcher.place(&1, &'b', 0.5, 50.0, 2, NOW);
     dispatcher.release(&1, 0, NOW, |task| *task == 1);
     let later = Millis(IDLE_MS);
-    assert_eq!(dispatcher.place(&1, &'a', 0.5, 1.0, 3, later).start, tag(0.0));
-    assert_eq!(dispatcher.place(&1, &'b', 0.5, 1.0, 4, later).start, still.finish);
+    assert_eq!(
+        dispatcher.place(&1, &'a', 0.5, 1.0, 3, later).start,
+        tag(0.0)
+    );
+    assert_eq!(
+        dispatcher.place(&1, &'b', 0.5, 1.0, 4, later).start,
+        still.finish
+    );
 }
 
 #[test]
@@ -147,7 +189,14 @@
     let mut dispatcher = dispatcher();
     for (task, weight) in [0.0, -1.0, f64::NAN, 7.0].into_iter().enumerate() {
         let tags = dispatcher.place(&(task as u8), &'a', weight, 1.0, task as u32, NOW);
-        assert_eq!(tags, Tags { start: tag(0.0), finish: tag(1.0) }, "weight {weight}");
+        assert_eq!(
+            tags,
+            Tags {
+                start: tag(0.0),
+                finish: tag(1.0)
+            },
+            "weight {weight}"
+        );
     }
     for (task, cost) in [-1.0, f64::NAN].into_iter().enumerate() {
         let tags = dispatcher.place(&9, &'b', 0.5, cost, task as u32, NOW);
--- a/crates/door/src/call.rs
+++ b/crates/door/src/call.rs
@@ -74,9 +74,19 @@
 
     #[test]
     fn a_line_may_come_in_pieces_with_either_end() {
-        assert_eq!(whole(&[b"sta", b"tus", b"\r", b"\n"]), Some(Ok(Call::Status)));
-        assert_eq!(whole(&[b"stats\nmore that nobody reads"]), Some(Ok(Call::Stats)));
-        assert_eq!(whole(&[b"stats", b""]), Some(Ok(Call::Stats)), "its end is the end of what comes");
+        assert_eq!(
+            whole(&[b"sta", b"tus", b"\r", b"\n"]),
+            Some(Ok(Call::Status))
+        );
+        assert_eq!(
+            whole(&[b"stats\nmore that nobody reads"]),
+            Some(Ok(Call::Stats))
+        );
+        assert_eq!(
+            whole(&[b"stats", b""]),
+            Some(Ok(Call::Stats)),
+            "its end is the end of what comes"
+        );
         assert_eq!(whole(&[b"stat"]), None);
     }
 
--- a/crates/door/src/lib.rs
+++ b/crates/door/src/lib.rs
@@ -69,7 +69,10 @@
         callers.retain(|c| !c.task.is_finished());
         if callers.len() >= CALLERS_MOST {
             // One that has been heard is answered in a moment and keeps its place while another can go.
-            let at = callers.iter().position(|c| !c.heard.load(Relaxed)).unwrap_or(0);
+            let at = callers
+                .iter()
+                .position(|c| !c.heard.load(Relaxed))
+                .unwrap_or(0);
             if let Some(caller) = callers.remove(at) {
                 caller.task.abort();
             }
@@ -86,7 +89,9 @@
     A: Future<Output = Answer>,
 {
     let _ = stream.set_nodelay(true);
-    let call = timeout(WHOLE, hear(&mut stream)).await.unwrap_or(Err(NoCall::Late));
+    let call = timeout(WHOLE, hear(&mut stream))
+        .await
+        .unwrap_or(Err(NoCall::Late));
     heard.store(true, Relaxed);
     let answer = match call {
         Ok(call) => answer(call).await,
--- a/crates/door/tests/door.rs
+++ b/crates/door/tests/door.rs
@@ -32,7 +32,10 @@
     let at = door("lb_concurrent 14\n").await;
     assert_eq!(ask(at, b"status\r\n").await, "400 ending\n");
     assert_eq!(ask(at, b"stats\n").await, "200 OK\nlb_concurrent 14\nEOF\n");
-    assert_eq!(ask(at, b"what\n").await, "400 no such call; there are: status, stats, fleet\n");
+    assert_eq!(
+        ask(at, b"what\n").await,
+        "400 no such call; there are: status, stats, fleet\n"
+    );
     let empty = door("").await;
     assert_eq!(ask(empty, b"stats\n").await, "400 there are no figures\n");
 }
--- a/crates/extents-drill/src/lib.rs
+++ b/crates/extents-drill/src/lib.rs
@@ -151,7 +151,13 @@
     /// Plays it with this program, and for comparison the other strategies.
     pub async fn run(&self, program: &Path) -> Result<Report, RigError> {
         let seed = self.seed.unwrap_or_else(|| fastrand::u64(..));
-        let figures = play(self, seed, self.strategy.unwrap_or(Which::Versioned), program).await?;
+        let figures = play(
+            self,
+            seed,
+            self.strategy.unwrap_or(Which::Versioned),
+            program,
+        )
+        .await?;
         let mut baselines = BTreeMap::new();
         if self.strategy.is_none() {
             for which in [Which::None, Which::Ttl] {
@@ -169,7 +175,9 @@
 
     /// How often a promise was broken.
     pub fn broken(&self) -> u64 {
-        self.all().map(|f| f.tally.lost + f.duplicates + f.drain_late).sum()
+        self.all()
+            .map(|f| f.tally.lost + f.duplicates + f.drain_late)
+            .sum()
     }
 
     /// As a table.
@@ -233,7 +241,13 @@
         dice: &mut fastrand::Rng,
     ) -> Result<Room, RigError> {
         let (stage, resets) = (Stage::new(program).await?, drill.resets);
-        let mut room = Room { authority, stage, drained: HashMap::new(), holders: Vec::new(), resets };
+        let mut room = Room {
+            authority,
+            stage,
+            drained: HashMap::new(),
+            holders: Vec::new(),
+            resets,
+        };
         for shard in 0..drill.nodes {
             let at = room.add(shard, dice).await?;
             room.holders.push(at);
@@ -245,7 +259,13 @@
         let truth = self.authority.truth.clone();
         let whereabouts: Whereabouts = Arc::new(move |volume, key| lock(&truth).lies(volume, key));
         let (seed, resets) = (dice.u64(..), self.resets);
-        let manner = Manner { shard, seed, resets, whereabouts: Some(whereabouts), ..Manner::default() };
+        let manner = Manner {
+            shard,
+            seed,
+            resets,
+            whereabouts: Some(whereabouts),
+            ..Manner::default()
+        };
         let at = self.stage.node(manner).await?;
         self.stage.list(at, "SERVING");
         Ok(at)
@@ -260,12 +280,16 @@
             self.holders[shard as usize] = self.add(shard, dice).await?;
         }
         self.drained.insert(old, self.stage.list(old, "DRAINING"));
-        let mine: Vec<Lot> =
-            lock(&self.authority.truth).lots().filter(|l| l.shard == shard).copied().collect();
+        let mine: Vec<Lot> = lock(&self.authority.truth)
+            .lots()
+            .filter(|l| l.shard == shard)
+            .copied()
+            .collect();
         for _ in 0..DRAIN_MOVES.min(mine.len() as u64) {
             let lot = mine[dice.usize(0..mine.len())];
             let to = dice.u32(0..self.holders.len() as u32);
-            self.authority.change(|t| t.put(lot.volume, lot.first, lot.last, to));
+            self.authority
+                .change(|t| t.put(lot.volume, lot.first, lot.last, to));
         }
         Ok(old)
     }
@@ -287,9 +311,16 @@
 
 /// Bytes and datagrams over all fronts so far: of calls to the authority, and between fronts.
 fn traffic(fronts: &[Front], relay: &Relay) -> (u64, u64, u64) {
-    let asked = fronts.iter().map(|f| f.entrance.traffic.bytes.load(Ordering::Relaxed)).sum();
+    let asked = fronts
+        .iter()
+        .map(|f| f.entrance.traffic.bytes.load(Ordering::Relaxed))
+        .sum();
     let sent: Vec<(u64, u64)> = (0..fronts.len()).map(|i| relay.sent(i)).collect();
-    (asked, sent.iter().map(|s| s.0).sum(), sent.iter().map(|s| s.1).sum())
+    (
+        asked,
+        sent.iter().map(|s| s.0).sum(),
+        sent.iter().map(|s| s.1).sum(),
+    )
 }
 
 async fn play(drill: &Drill, seed: u64, which: Which, program: &Path) -> Result<Figures, RigError> {
@@ -297,7 +328,12 @@
     let mut truth = Truth::new(dice.u64(1..1 << 40));
     for volume in 0..drill.volumes {
         for lot in 0..LOTS {
-            truth.put(volume, lot * SPAN, lot * SPAN + (SPAN - 1), dice.u32(0..drill.nodes));
+            truth.put(
+                volume,
+                lot * SPAN,
+                lot * SPAN + (SPAN - 1),
+                dice.u32(0..drill.nodes),
+            );
         }
     }
     let authority = Arc::new(Authority::start(truth).await?);
@@ -316,7 +352,11 @@
     };
     for front in &fronts {
         for volume in 0..drill.volumes {
-            let (clients, ask, at) = (clients.clone(), next(&mut dice, Some(volume)), front.clients);
+            let (clients, ask, at) = (
+                clients.clone(),
+                next(&mut dice, Some(volume)),
+                front.clients,
+            );
             first.spawn(async move { clients.ask(at, &ask).await });
             while first.len() > 32 {
                 first.join_next().await;
@@ -330,7 +370,12 @@
     let told = |f: &[Front]| f.iter().map(Front::calls).collect::<Vec<u64>>();
     let (before, first_load) = (told(&fronts), traffic(&fronts, &relay));
     let first_load_bytes = first_load.0;
-    let mut figures = Figures { strategy: which.name(), seed, first_load_bytes, ..Figures::default() };
+    let mut figures = Figures {
+        strategy: which.name(),
+        seed,
+        first_load_bytes,
+        ..Figures::default()
+    };
 
     let (began, span) = (Instant::now(), Duration::from_secs(drill.seconds));
     let total = drill.rate * drill.seconds * u64::from(drill.fronts);
@@ -353,7 +398,10 @@
                     let late = figures.drains.is_multiple_of(2);
                     let old = room.drain(late, &mut dice).await?;
                     if late {
-                        gone.push((at + SUCCESSOR_LATE, Later::Successor(room.stage.nodes[old].1)));
+                        gone.push((
+                            at + SUCCESSOR_LATE,
+                            Later::Successor(room.stage.nodes[old].1),
+                        ));
                     }
                     gone.push((at + DRAIN_LASTS, Later::Gone(old)));
                 }
@@ -368,7 +416,9 @@
         }
         while let Some(i) = gone.iter().position(|(at, _)| *at <= due) {
             match gone.swap_remove(i).1 {
-                Later::Successor(shard) => room.holders[shard as usize] = room.add(shard, &mut dice).await?,
+                Later::Successor(shard) => {
+                    room.holders[shard as usize] = room.add(shard, &mut dice).await?
+                }
                 Later::Gone(node) => {
                     room.stage.list(node, "DELETED");
                 }
@@ -408,9 +458,13 @@
     dice: &mut fastrand::Rng,
 ) -> Result<Vec<Front>, RigError> {
     // Ports that are free now; the fronts bind them in a moment.
-    let held: Vec<std::net::UdpSocket> =
-        (0..drill.fronts).map(|_| std::net::UdpSocket::bind("127.0.0.1:0")).collect::<Result<_, _>>()?;
-    let own: Vec<SocketAddr> = held.iter().map(|s| s.local_addr()).collect::<Result<_, _>>()?;
+    let held: Vec<std::net::UdpSocket> = (0..drill.fronts)
+        .map(|_| std::net::UdpSocket::bind("127.0.0.1:0"))
+        .collect::<Result<_, _>>()?;
+    let own: Vec<SocketAddr> = held
+        .iter()
+        .map(|s| s.local_addr())
+        .collect::<Result<_, _>>()?;
     drop(held);
     let mut fronts = Vec::new();
     for (i, own) in own.iter().enumerate() {
@@ -418,7 +472,9 @@
         let discovery = room.stage.discovery.address;
         let config = configuration(&format!("n{i}"), discovery, dice.u64(..), drill.fronts);
         let others = (0..drill.fronts as usize).filter(|j| *j != i);
-        let peers: Vec<SocketAddr> = others.map(|j| relay.address(i, j)).collect::<Result<_, _>>()?;
+        let peers: Vec<SocketAddr> = others
+            .map(|j| relay.address(i, j))
+            .collect::<Result<_, _>>()?;
         let operator = format!(
             "[extents]\nenabled = true\nauthority = \"{}\"\nstrategy = \"{}\"\npeer_listen = \"{own}\"\npeers = {}\n",
             entrance.address,
@@ -430,7 +486,11 @@
         let Some(clients) = process.listens.clients else {
             return Err(RigError::Script("a front listens for no clients".into()));
         };
-        fronts.push(Front { process, clients, entrance });
+        fronts.push(Front {
+            process,
+            clients,
+            entrance,
+        });
     }
     Ok(fronts)
 }
@@ -480,23 +540,40 @@
     fn new(drill: &Drill, span: Duration, dice: &mut fastrand::Rng) -> Script {
         let mut scenes = Vec::new();
         let moves = (drill.moves_per_s * span.as_secs_f64()).round() as u64;
-        scenes.extend(
-            (0..moves).map(|n| (span.mul_f64((n as f64 + dice.f64()) / moves as f64), Scene::Change)),
-        );
+        scenes.extend((0..moves).map(|n| {
+            (
+                span.mul_f64((n as f64 + dice.f64()) / moves as f64),
+                Scene::Change,
+            )
+        }));
         let drains = (span.as_secs_f64() / DRAIN_EVERY.as_secs_f64()) as u32;
-        scenes.extend(
-            (0..drains).map(|n| (DRAIN_EVERY * n + DRAIN_EVERY.mul_f64(dice.f64() * 0.3), Scene::Drain)),
-        );
+        scenes.extend((0..drains).map(|n| {
+            (
+                DRAIN_EVERY * n + DRAIN_EVERY.mul_f64(dice.f64() * 0.3),
+                Scene::Drain,
+            )
+        }));
         if drill.burst > 0 {
             let (from, lasts) = (span / 2, Duration::from_secs(5).min(span / 4));
             scenes.push((from, Scene::BurstBegins));
-            scenes.extend((0..drill.burst).map(|_| (from + lasts.mul_f64(dice.f64()), Scene::Change)));
+            scenes.extend(
+                (0..drill.burst).map(|_| (from + lasts.mul_f64(dice.f64()), Scene::Change)),
+            );
             scenes.push((from + lasts, Scene::BurstEnds));
         }
         // Where two fall on one moment the burst's marks stay outside of its moves.
-        scenes.sort_by_key(|(at, scene)| (*at, *scene == Scene::BurstEnds, *scene != Scene::BurstBegins));
+        scenes.sort_by_key(|(at, scene)| {
+            (
+                *at,
+                *scene == Scene::BurstEnds,
+                *scene != Scene::BurstBegins,
+            )
+        });
         scenes.reverse();
-        Script { scenes, undo: Vec::new() }
+        Script {
+            scenes,
+            undo: Vec::new(),
+        }
     }
 
     fn next(&mut self, due: Duration) -> Option<(Duration, Scene)> {
@@ -506,9 +583,15 @@
 
 /// A move, a move undone, two moves of one extent at once, a split, or a merge.
 fn change(authority: &Authority, drill: &Drill, undo: &mut Vec<Lot>, dice: &mut fastrand::Rng) {
-    let (volume, key, to) = (dice.u64(0..drill.volumes), dice.u64(..), dice.u32(0..drill.nodes));
+    let (volume, key, to) = (
+        dice.u64(0..drill.volumes),
+        dice.u64(..),
+        dice.u32(0..drill.nodes),
+    );
     authority.change(|truth| {
-        let Some(lot) = truth.lot(volume, key) else { return };
+        let Some(lot) = truth.lot(volume, key) else {
+            return;
+        };
         match dice.u32(0..10) {
             0..=4 => {
                 undo.push(lot);
@@ -522,9 +605,18 @@
                 Some(was) => truth.put(was.volume, was.first, was.last, was.shard),
                 None => truth.put(volume, lot.first, lot.last, to),
             },
-            8 => truth.put(volume, lot.first, lot.first + (lot.last - lot.first) / 2, to),
+            8 => truth.put(
+                volume,
+                lot.first,
+                lot.first + (lot.last - lot.first) / 2,
+                to,
+            ),
             _ => {
-                let next = lot.last.checked_add(1).and_then(|n| truth.lot(volume, n)).unwrap_or(lot);
+                let next = lot
+                    .last
+                    .checked_add(1)
+                    .and_then(|n| truth.lot(volume, n))
+                    .unwrap_or(lot);
                 truth.put(volume, lot.first, next.last, lot.shard);
             }
         }
@@ -543,7 +635,10 @@
     fn compare(&mut self, room: &Room) {
         let mut turned: HashMap<String, u64> = HashMap::new();
         for (at, (node, _)) in room.stage.nodes.iter().enumerate() {
-            let told = room.drained.get(&at).and_then(|version| room.stage.discovery.told(*version));
+            let told = room
+                .drained
+                .get(&at)
+                .and_then(|version| room.stage.discovery.told(*version));
             for seen in lock(&node.seen).iter() {
                 if seen.fate == Fate::Elsewhere {
                     *turned.entry(seen.id.clone()).or_default() += 1;
--- a/crates/extents-net/src/file_tests.rs
+++ b/crates/extents-net/src/file_tests.rs
@@ -11,7 +11,11 @@
     save(&file, b"one").unwrap();
     save(&file, b"another").unwrap();
     assert_eq!(load(&file).unwrap().as_deref(), Some(&b"another"[..]));
-    assert_eq!(std::fs::read_dir(&folder).unwrap().count(), 1, "nothing is left beside it");
+    assert_eq!(
+        std::fs::read_dir(&folder).unwrap().count(),
+        1,
+        "nothing is left beside it"
+    );
     // A folder that is not there: the old file stays.
     assert!(save(&folder.join("none/extents.map"), b"x").is_err());
     std::fs::remove_dir_all(&folder).unwrap();
--- a/crates/extents-net/src/lib.rs
+++ b/crates/extents-net/src/lib.rs
@@ -87,7 +87,11 @@
     }
 
     /// Runs until the core is gone.
-    pub async fn run(self, mut actions: mpsc::Receiver<Action>, counters: watch::Receiver<Counters>) {
+    pub async fn run(
+        self,
+        mut actions: mpsc::Receiver<Action>,
+        counters: watch::Receiver<Counters>,
+    ) {
         let mut tasks = JoinSet::new();
         if let Some(socket) = self.socket.clone() {
             tasks.spawn(listen(socket, self.peers.clone(), self.core.clone()));
@@ -107,7 +111,11 @@
                     let path = format!("/extents/volume/{:x}{key}", volume.0);
                     let (call, core) = (self.call(path, PATIENCE), self.core.clone());
                     tasks.spawn(async move {
-                        core.extents(Input::Fetched { volume, answer: call.await }).await;
+                        core.extents(Input::Fetched {
+                            volume,
+                            answer: call.await,
+                        })
+                        .await;
                     });
                 }
                 Action::Tell(bytes) => {
@@ -128,7 +136,10 @@
                     }
                 }
                 // The core's own.
-                Action::Changed { .. } | Action::ChangedAll | Action::Wake(_) | Action::Complain { .. } => {}
+                Action::Changed { .. }
+                | Action::ChangedAll
+                | Action::Wake(_)
+                | Action::Complain { .. } => {}
             }
             while tasks.try_join_next().is_some() {}
         }
@@ -141,16 +152,22 @@
     ) -> impl std::future::Future<Output = Result<T, String>> {
         let (client, authority) = (self.client.clone(), self.authority);
         let exchange = async move {
-            let request = http::Request::get(format!("http://{authority}{path}")).body(Empty::new())?;
+            let request =
+                http::Request::get(format!("http://{authority}{path}")).body(Empty::new())?;
             let answer = client.request(request).await?;
             if answer.status() != http::StatusCode::OK {
                 return Err(CallError::Status(answer.status()));
             }
-            let body = Limited::new(answer.into_body(), LONGEST).collect().await.map_err(CallError::Body)?;
+            let body = Limited::new(answer.into_body(), LONGEST)
+                .collect()
+                .await
+                .map_err(CallError::Body)?;
             Ok(serde_json::from_slice(&body.to_bytes())?)
         };
         async move {
-            let ended = tokio::time::timeout(patience, exchange).await.unwrap_or(Err(CallError::Late));
+            let ended = tokio::time::timeout(patience, exchange)
+                .await
+                .unwrap_or(Err(CallError::Late));
             ended.map_err(|e| e.to_string())
         }
     }
@@ -164,7 +181,8 @@
         match socket.recv_from(&mut buffer).await {
             Ok((length, from)) => {
                 if let Some(peer) = peers.iter().position(|p| *p == from) {
-                    core.extents(Input::Peer(peer as u16, buffer[..length].to_vec())).await;
+                    core.extents(Input::Peer(peer as u16, buffer[..length].to_vec()))
+                        .await;
                 }
             }
             // A peer that is away answers with an error of the system's; it says nothing of this socket.
--- a/crates/extents/benches/ranges.rs
+++ b/crates/extents/benches/ranges.rs
@@ -71,7 +71,12 @@
     // Shards alternate, so that neighbours never join.
     for lot in 0..extents {
         epoch += 1;
-        table.set(lot * span, lot * span + (span - 1), (lot % 60) as u32, epoch);
+        table.set(
+            lot * span,
+            lot * span + (span - 1),
+            (lot % 60) as u32,
+            epoch,
+        );
     }
     let bytes = (held() - before) as f64 / extents as f64;
     let (mut lookups, mut updates) = (Vec::new(), Vec::new());
@@ -95,13 +100,29 @@
 }
 
 fn main() {
-    let given: Vec<u64> = std::env::args().skip(1).filter_map(|a| a.parse().ok()).collect();
-    let sizes = if given.is_empty() { vec![1_000, 100_000, 1_000_000] } else { given };
-    println!("{:>9}  {:<9}{:>12}{:>12}{:>14}", "extents", "table", "look-up ns", "update ns", "bytes/extent");
+    let given: Vec<u64> = std::env::args()
+        .skip(1)
+        .filter_map(|a| a.parse().ok())
+        .collect();
+    let sizes = if given.is_empty() {
+        vec![1_000, 100_000, 1_000_000]
+    } else {
+        given
+    };
+    println!(
+        "{:>9}  {:<9}{:>12}{:>12}{:>14}",
+        "extents", "table", "look-up ns", "update ns", "bytes/extent"
+    );
     for extents in sizes {
         let rows = [
-            (<Ranges<CHUNK> as Table>::NAME, measure::<Ranges<CHUNK>>(extents)),
-            (<Ranges<{ usize::MAX }> as Table>::NAME, measure::<Ranges<{ usize::MAX }>>(extents)),
+            (
+                <Ranges<CHUNK> as Table>::NAME,
+                measure::<Ranges<CHUNK>>(extents),
+            ),
+            (
+                <Ranges<{ usize::MAX }> as Table>::NAME,
+                measure::<Ranges<{ usize::MAX }>>(extents),
+            ),
             (Plain::NAME, measure::<Plain>(extents)),
         ];
         for (name, [lookup, update, bytes]) in rows {
--- a/crates/extents/src/budget.rs
+++ b/crates/extents/src/budget.rs
@@ -14,7 +14,12 @@
 impl Budget {
     /// Full at `now`: `rate` a second, `burst` at once.
     pub fn new(now: Micros, rate: f64, burst: f64) -> Budget {
-        Budget { rate: rate.max(1e-6), burst: burst.max(1.0), have: burst.max(1.0), at: now }
+        Budget {
+            rate: rate.max(1e-6),
+            burst: burst.max(1.0),
+            have: burst.max(1.0),
+            at: now,
+        }
     }
 
     /// Takes one, where there is one.
--- a/crates/extents/src/cache.rs
+++ b/crates/extents/src/cache.rs
@@ -228,7 +228,10 @@
             confirmed: Vec::new(),
             outbox: Outbox::new(now, peers, cfg.messages_per_s),
             provisional: Provisional::default(),
-            save_at: cfg.snapshot.as_ref().map(|_| now + Section::micros(cfg.snapshot_every_ms)),
+            save_at: cfg
+                .snapshot
+                .as_ref()
+                .map(|_| now + Section::micros(cfg.snapshot_every_ms)),
             dirty: false,
             complaints: HashMap::new(),
             wake: None,
@@ -261,25 +264,39 @@
     }
 
     /// Where a piece of data lies, as far as that is known. What is not held is fetched.
-    pub fn locate(&mut self, now: Micros, volume: VolumeId, key: Key, out: &mut Vec<Action>) -> Place {
+    pub fn locate(
+        &mut self,
+        now: Micros,
+        volume: VolumeId,
+        key: Key,
+        out: &mut Vec<Action>,
+    ) -> Place {
         let ttl = Section::micros(self.cfg.ttl_ms);
         let Some(v) = self.map.ask(now, volume) else {
             let since = self.at.map_or(0, |v| v.epoch);
             self.map.expect(now, volume, since);
-            self.counters.left += self.map.shrink(|id| id == volume || self.flights.contains_key(&id)) as u64;
+            self.counters.left += self
+                .map
+                .shrink(|id| id == volume || self.flights.contains_key(&id))
+                as u64;
             self.want(now, volume, None, false, out);
             return Place::Unknown;
         };
         let piece = v.ranges.get(key.0);
         let (whole, doubt) = (v.whole, v.doubt);
         let old = self.cfg.strategy == Strategy::Ttl
-            && self.provisional.fetched(volume).is_none_or(|at| now - at >= ttl);
+            && self
+                .provisional
+                .fetched(volume)
+                .is_none_or(|at| now - at >= ttl);
         if !whole || doubt || old {
             self.want(now, volume, None, false, out);
         }
         match piece.shard {
             // What was told of this very range since holds, whatever is missing around it.
-            Some(shard) if whole || piece.epoch > v_since(&self.map, volume) => Place::At(Shard(shard)),
+            Some(shard) if whole || piece.epoch > v_since(&self.map, volume) => {
+                Place::At(Shard(shard))
+            }
             None if whole => Place::Uncovered,
             _ => Place::Unknown,
         }
@@ -303,7 +320,10 @@
         let known = self.known(volume);
         // Where the authority has just said otherwise, a newer hint is followed only as far as the volume's own budget
         // goes: data may have moved since, but a request must not wait on a node that lies.
-        let spent = self.budgets.get_mut(&volume).is_some_and(|b| b.next(now) > now);
+        let spent = self
+            .budgets
+            .get_mut(&volume)
+            .is_some_and(|b| b.next(now) > now);
         let unfounded = |h: Version| {
             let lately = self.confirmed.iter().any(|c| {
                 let here = c.volume == volume && (c.first..=c.last).contains(&key.0);
@@ -314,7 +334,12 @@
         if hint.is_none_or(unfounded) {
             self.counters.unfounded_hints += 1;
             let said = hint.map_or("no version".into(), |h| h.to_string());
-            self.complain(now, Party::Node(asked), format!("turned away what is here, with {said}"), out);
+            self.complain(
+                now,
+                Party::Node(asked),
+                format!("turned away what is here, with {said}"),
+                out,
+            );
             return Turn::Stands;
         }
         self.want(now, volume, Some(key), true, out);
@@ -346,7 +371,10 @@
             if self.polls.take(now) {
                 (self.poll_out, self.poll_at) = (true, now);
                 self.counters.polls += 1;
-                out.push(Action::Poll { from: self.at, hold: Section::micros(self.cfg.hold_ms) });
+                out.push(Action::Poll {
+                    from: self.at,
+                    hold: Section::micros(self.cfg.hold_ms),
+                });
             } else {
                 self.poll_at = self.polls.next(now);
             }
@@ -373,13 +401,27 @@
     }
 
     fn arm(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let poll = (self.cfg.strategy == Strategy::Versioned && !self.poll_out).then_some(self.poll_at);
+        let poll =
+            (self.cfg.strategy == Strategy::Versioned && !self.poll_out).then_some(self.poll_at);
         let wanted = match self.flights.len() < FLIGHTS_MOST {
-            true => self.wanted.values().map(|w| w.0).min().map(|at| at.max(self.fetch_again)),
+            true => self
+                .wanted
+                .values()
+                .map(|w| w.0)
+                .min()
+                .map(|at| at.max(self.fetch_again)),
             false => None,
         };
-        let due = [poll, wanted, self.outbox.due(now), self.provisional.due(), self.save_at];
-        let Some(at) = due.into_iter().flatten().min() else { return };
+        let due = [
+            poll,
+            wanted,
+            self.outbox.due(now),
+            self.provisional.due(),
+            self.save_at,
+        ];
+        let Some(at) = due.into_iter().flatten().min() else {
+            return;
+        };
         let at = at.max(now + 1_000);
         if self.wake.is_none_or(|w| at < w || w <= now) {
             self.wake = Some(at);
@@ -400,13 +442,19 @@
     fn on_news(&mut self, now: Micros, news: News, out: &mut Vec<Action>) {
         self.poll_out = false;
         let told = news.version;
-        let back = self.at.is_some_and(|at| told.incarnation < at.incarnation || (told < at && !news.reset));
+        let back = self
+            .at
+            .is_some_and(|at| told.incarnation < at.incarnation || (told < at && !news.reset));
         let ends = news.changes.iter().map(|c| c.epoch).max().unwrap_or(0);
         let another = self.at.is_some_and(|at| told.incarnation != at.incarnation);
         let wrong = if back {
-            Some(format!("an answer of {told}, which is older than what is known"))
+            Some(format!(
+                "an answer of {told}, which is older than what is known"
+            ))
         } else if another && !news.reset {
-            Some(format!("an answer of another incarnation, {told}, that does not start anew"))
+            Some(format!(
+                "an answer of another incarnation, {told}, that does not start anew"
+            ))
         } else if ends > told.epoch || news.changes.iter().any(|c| c.first > c.last) {
             Some(format!("an answer of {told} with changes that cannot be"))
         } else {
@@ -426,7 +474,11 @@
         self.counters.changes += news.changes.len() as u64;
         for c in &news.changes {
             if self.map.change(c) {
-                out.push(Action::Changed { volume: c.volume, first: c.first, last: c.last });
+                out.push(Action::Changed {
+                    volume: c.volume,
+                    first: c.first,
+                    last: c.last,
+                });
             }
         }
         self.reached(told);
@@ -451,7 +503,13 @@
             for (volume, mut extents) in volumes {
                 extents.sort_unstable_by_key(|c| c.first);
                 self.map.expect(now, volume, told.epoch);
-                self.map.cover(&Cover { version: told, volume, first: 0, last: u64::MAX, extents });
+                self.map.cover(&Cover {
+                    version: told,
+                    volume,
+                    first: 0,
+                    last: u64::MAX,
+                    extents,
+                });
                 self.counters.left += self.map.shrink(|id| id == volume) as u64;
             }
         }
@@ -469,7 +527,14 @@
     // ---- single volumes --------------------------------------------------------------------------------
 
     /// Has a volume, or the range of one key, fetched: at once where the budgets allow, else as soon as they do.
-    fn want(&mut self, now: Micros, volume: VolumeId, key: Option<Key>, turn: bool, out: &mut Vec<Action>) {
+    fn want(
+        &mut self,
+        now: Micros,
+        volume: VolumeId,
+        key: Option<Key>,
+        turn: bool,
+        out: &mut Vec<Action>,
+    ) {
         if let Some(flight) = self.flights.get_mut(&volume) {
             // Single flight. A range that the call out does not bring comes after it.
             flight.more |= flight.key.is_some() && flight.key != key;
@@ -491,7 +556,12 @@
         if now < self.fetch_again {
             return;
         }
-        let due: Vec<VolumeId> = self.wanted.iter().filter(|(_, w)| w.0 <= now).map(|(v, _)| *v).collect();
+        let due: Vec<VolumeId> = self
+            .wanted
+            .iter()
+            .filter(|(_, w)| w.0 <= now)
+            .map(|(v, _)| *v)
+            .collect();
         for volume in due {
             if self.flights.len() >= FLIGHTS_MOST {
                 return;
@@ -509,10 +579,19 @@
                 self.wanted.entry(volume).and_modify(|w| w.0 = next);
                 continue;
             }
-            let Some((_, key, turn)) = self.wanted.remove(&volume) else { continue };
+            let Some((_, key, turn)) = self.wanted.remove(&volume) else {
+                continue;
+            };
             // Only a volume known in full has ranges to refresh.
             let key = key.filter(|_| held);
-            self.flights.insert(volume, Flight { key, turn, more: false });
+            self.flights.insert(
+                volume,
+                Flight {
+                    key,
+                    turn,
+                    more: false,
+                },
+            );
             self.counters.fetches += 1;
             out.push(Action::Fetch { volume, key });
         }
@@ -527,7 +606,10 @@
             }
         }
         let rate = self.cfg.volume_refreshes_per_s;
-        let own = self.budgets.entry(volume).or_insert_with(|| Budget::new(now, rate, 2.0));
+        let own = self
+            .budgets
+            .entry(volume)
+            .or_insert_with(|| Budget::new(now, rate, 2.0));
         let next = own.next(now).max(self.refreshes.next(now));
         if next <= now {
             own.take(now);
@@ -543,29 +625,37 @@
         answer: Result<Cover, String>,
         out: &mut Vec<Action>,
     ) {
-        let Some(flight) = self.flights.remove(&volume) else { return };
+        let Some(flight) = self.flights.remove(&volume) else {
+            return;
+        };
         let fit = |c: &Cover| {
             let told = c.first <= c.last && c.extents.windows(2).all(|w| w[0].last < w[1].first);
-            let within = c
-                .extents
-                .iter()
-                .all(|e| e.volume == volume && e.first <= e.last && e.first >= c.first && e.last <= c.last);
-            let asked =
-                flight.key.map_or(c.first == 0 && c.last == u64::MAX, |k| (c.first..=c.last).contains(&k.0));
+            let within = c.extents.iter().all(|e| {
+                e.volume == volume && e.first <= e.last && e.first >= c.first && e.last <= c.last
+            });
+            let asked = flight.key.map_or(c.first == 0 && c.last == u64::MAX, |k| {
+                (c.first..=c.last).contains(&k.0)
+            });
             c.volume == volume && told && within && asked
         };
         let cover = match answer {
             Ok(cover) if fit(&cover) => cover,
             failed => {
-                let why = failed.err().unwrap_or_else(|| "an answer that was not asked for".into());
+                let why = failed
+                    .err()
+                    .unwrap_or_else(|| "an answer that was not asked for".into());
                 self.counters.failed_calls += 1;
                 self.fetch_again = now + AGAIN_FIRST;
                 self.complain(now, Party::Authority, why, out);
                 return self.later(now, volume, &flight);
             }
         };
-        let older = self.at.is_some_and(|at| cover.version.incarnation < at.incarnation);
-        let newer = self.at.is_some_and(|at| cover.version.incarnation > at.incarnation);
+        let older = self
+            .at
+            .is_some_and(|at| cover.version.incarnation < at.incarnation);
+        let newer = self
+            .at
+            .is_some_and(|at| cover.version.incarnation > at.incarnation);
         if newer && self.cfg.strategy != Strategy::Versioned {
             // Without a stream nothing else tells of another life.
             self.map.clear();
@@ -601,10 +691,22 @@
         self.confirmed.retain(|c| c.until > now);
         if self.confirmed.len() < CONFIRMED_MOST {
             let (first, last, version) = (cover.first, cover.last, cover.version);
-            self.confirmed.push(Confirmed { until: now + CONFIRMED, volume, first, last, version });
+            self.confirmed.push(Confirmed {
+                until: now + CONFIRMED,
+                volume,
+                first,
+                last,
+                version,
+            });
         }
-        out.push(Action::Changed { volume, first: cover.first, last: cover.last });
-        self.counters.left += self.map.shrink(|id| id == volume || self.flights.contains_key(&id)) as u64;
+        out.push(Action::Changed {
+            volume,
+            first: cover.first,
+            last: cover.last,
+        });
+        self.counters.left +=
+            self.map
+                .shrink(|id| id == volume || self.flights.contains_key(&id)) as u64;
         if flight.more {
             self.want(now, volume, None, flight.turn, out);
         }
@@ -614,7 +716,8 @@
     fn later(&mut self, now: Micros, volume: VolumeId, flight: &Flight) {
         if self.map.get(volume).is_some() && self.wanted.len() < WANTED_MOST {
             let key = flight.key.filter(|_| !flight.more);
-            self.wanted.insert(volume, (now + AGAIN_FIRST, key, flight.turn));
+            self.wanted
+                .insert(volume, (now + AGAIN_FIRST, key, flight.turn));
         }
     }
 
@@ -630,18 +733,27 @@
             }
         };
         // Of another life of the authority: the stream will tell of it.
-        let Some(at) = self.at.filter(|at| at.incarnation == incarnation) else { return };
+        let Some(at) = self.at.filter(|at| at.incarnation == incarnation) else {
+            return;
+        };
         for c in changes.iter().filter(|c| c.epoch > at.epoch) {
             if self.map.change(c) {
                 self.counters.peer_news += 1;
                 self.provisional.add(now + UNCONFIRMED, c);
-                out.push(Action::Changed { volume: c.volume, first: c.first, last: c.last });
+                out.push(Action::Changed {
+                    volume: c.volume,
+                    first: c.first,
+                    last: c.last,
+                });
             }
         }
     }
 
     fn complain(&mut self, now: Micros, who: Party, why: String, out: &mut Vec<Action>) {
-        let quiet = self.complaints.get(&who).is_some_and(|at| now - at < COMPLAIN);
+        let quiet = self
+            .complaints
+            .get(&who)
+            .is_some_and(|at| now - at < COMPLAIN);
         if !quiet {
             if self.complaints.len() >= WANTED_MOST {
                 self.complaints.clear();
@@ -653,7 +765,11 @@
 
     /// Volumes whose fetch is out or waits, for tests and figures.
     pub fn pending(&self) -> BTreeSet<VolumeId> {
-        self.flights.keys().chain(self.wanted.keys()).copied().collect()
+        self.flights
+            .keys()
+            .chain(self.wanted.keys())
+            .copied()
+            .collect()
     }
 }
 
--- a/crates/extents/src/config.rs
+++ b/crates/extents/src/config.rs
@@ -11,7 +11,10 @@
 /// How the map is kept fresh.
 #[derive(Clone, Copy, Debug, Default, Deserialize, JsonSchema, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-#[allow(missing_docs, reason = "a text on each word would make the schema's list of words a tree")]
+#[allow(
+    missing_docs,
+    reason = "a text on each word would make the schema's list of words a tree"
+)]
 pub enum Strategy {
     /// The authority's stream of versions, and what a wrong turn shows. The other two are for comparison: nothing but
     /// wrong turns, and fetching each volume anew once it is `ttl_ms` old.
@@ -145,12 +148,19 @@
                 faults.push((format!("peers[{i}]"), "this peer stands above".into()));
             }
             if Some(*peer) == self.peer_listen {
-                faults.push((format!("peers[{i}]"), "this is the front's own address".into()));
+                faults.push((
+                    format!("peers[{i}]"),
+                    "this is the front's own address".into(),
+                ));
             }
         }
-        if self.strategy == Strategy::Versioned && self.polls_per_s * f64::from(self.hold_ms) < 500.0 {
-            faults
-                .push(("polls_per_s".into(), "fewer polls than the stream needs when nothing moves".into()));
+        if self.strategy == Strategy::Versioned
+            && self.polls_per_s * f64::from(self.hold_ms) < 500.0
+        {
+            faults.push((
+                "polls_per_s".into(),
+                "fewer polls than the stream needs when nothing moves".into(),
+            ));
         }
         faults
     }
--- a/crates/extents/src/datagram.rs
+++ b/crates/extents/src/datagram.rs
@@ -87,6 +87,9 @@
             Ok(c)
         }
     };
-    let changes = rest[8..].chunks_exact(EACH).map(one).collect::<Result<_, _>>()?;
+    let changes = rest[8..]
+        .chunks_exact(EACH)
+        .map(one)
+        .collect::<Result<_, _>>()?;
     Ok((number(&rest[..8]), changes))
 }
--- a/crates/extents/src/map.rs
+++ b/crates/extents/src/map.rs
@@ -39,7 +39,11 @@
 impl Map {
     /// An empty map with its bounds.
     pub fn new(most_extents: usize, most_volumes: usize) -> Map {
-        Map { most_extents, most_volumes: most_volumes.max(1), ..Map::default() }
+        Map {
+            most_extents,
+            most_volumes: most_volumes.max(1),
+            ..Map::default()
+        }
     }
 
     /// Volumes held.
@@ -73,20 +77,30 @@
     pub fn expect(&mut self, now: Micros, volume: VolumeId, since: u64) {
         self.volumes.entry(volume).or_insert_with(|| {
             self.extents += 1;
-            Volume { ranges: Ranges::new(since), whole: false, doubt: false, since, used: now }
+            Volume {
+                ranges: Ranges::new(since),
+                whole: false,
+                doubt: false,
+                since,
+                used: now,
+            }
         });
     }
 
     /// Takes a change in, where its volume is held. Tells whether anything moved.
     pub fn change(&mut self, c: &Change) -> bool {
-        let Some(v) = self.volumes.get_mut(&c.volume) else { return false };
+        let Some(v) = self.volumes.get_mut(&c.volume) else {
+            return false;
+        };
         if !v.ranges.fits(c.epoch) {
             // Four thousand million changes after the base: known no more, and fetched on need.
             v.doubt = true;
             return false;
         }
         let before = v.ranges.len();
-        let moved = v.ranges.set(c.first, c.last, c.shard, c.epoch, c.epoch.saturating_sub(1));
+        let moved = v
+            .ranges
+            .set(c.first, c.last, c.shard, c.epoch, c.epoch.saturating_sub(1));
         self.extents = self.extents + v.ranges.len() - before;
         moved
     }
@@ -111,7 +125,9 @@
             if let Some(gap) = next.filter(|n| *n < e.first) {
                 moved |= v.ranges.set(gap, e.first - 1, None, epoch, epoch);
             }
-            moved |= v.ranges.set(e.first, e.last, e.shard, e.epoch.min(epoch), epoch);
+            moved |= v
+                .ranges
+                .set(e.first, e.last, e.shard, e.epoch.min(epoch), epoch);
             next = e.last.checked_add(1);
         }
         if let Some(gap) = next.filter(|n| *n <= cover.last) {
@@ -133,7 +149,11 @@
 
     /// The same for all, but for those that were fetched as of that epoch or later.
     pub fn doubt_all(&mut self, since: u64) {
-        for v in self.volumes.values_mut().filter(|v| !v.whole || v.ranges.base() < since) {
+        for v in self
+            .volumes
+            .values_mut()
+            .filter(|v| !v.whole || v.ranges.base() < since)
+        {
             (v.doubt, v.since) = (true, v.since.max(since));
         }
     }
@@ -150,11 +170,17 @@
         if self.extents <= self.most_extents && self.volumes.len() <= self.most_volumes {
             return 0;
         }
-        let mut old: Vec<(Micros, VolumeId)> =
-            self.volumes.iter().filter(|(id, _)| !keep(**id)).map(|(id, v)| (v.used, *id)).collect();
+        let mut old: Vec<(Micros, VolumeId)> = self
+            .volumes
+            .iter()
+            .filter(|(id, _)| !keep(**id))
+            .map(|(id, v)| (v.used, *id))
+            .collect();
         old.sort_unstable();
-        let (extents, volumes) =
-            (self.most_extents / 8 * LEAVE_EIGHTHS, self.most_volumes.div_ceil(8) * LEAVE_EIGHTHS);
+        let (extents, volumes) = (
+            self.most_extents / 8 * LEAVE_EIGHTHS,
+            self.most_volumes.div_ceil(8) * LEAVE_EIGHTHS,
+        );
         let mut left = 0;
         for (_, id) in old {
             if self.extents <= extents && self.volumes.len() <= volumes.min(self.most_volumes) {
@@ -175,6 +201,9 @@
 
     /// Memory held by the tables, in bytes.
     pub fn bytes(&self) -> usize {
-        self.volumes.values().map(|v| v.ranges.bytes() + size_of::<(VolumeId, Volume)>()).sum()
+        self.volumes
+            .values()
+            .map(|v| v.ranges.bytes() + size_of::<(VolumeId, Volume)>())
+            .sum()
     }
 }
--- a/crates/extents/src/peers.rs
+++ b/crates/extents/src/peers.rs
@@ -27,7 +27,12 @@
 
 impl Outbox {
     pub(crate) fn new(now: Micros, on: bool, rate: f64) -> Outbox {
-        Outbox { on, budget: Budget::new(now, rate, rate.max(1.0)), waiting: BTreeMap::new(), since: None }
+        Outbox {
+            on,
+            budget: Budget::new(now, rate, rate.max(1.0)),
+            waiting: BTreeMap::new(),
+            since: None,
+        }
     }
 
     /// Takes a move in; of two on one range the later counts.
@@ -36,12 +41,19 @@
             return;
         }
         self.since = self.since.or(Some(now));
-        let waits = self.waiting.entry((change.volume, change.first)).or_insert(change);
+        let waits = self
+            .waiting
+            .entry((change.volume, change.first))
+            .or_insert(change);
         if waits.epoch < change.epoch {
             *waits = change;
         }
         if self.waiting.len() > WAITING_MOST {
-            let oldest = self.waiting.iter().min_by_key(|(_, c)| c.epoch).map(|(at, _)| *at);
+            let oldest = self
+                .waiting
+                .iter()
+                .min_by_key(|(_, c)| c.epoch)
+                .map(|(at, _)| *at);
             oldest.map(|at| self.waiting.remove(&at));
         }
     }
@@ -64,7 +76,10 @@
             return None;
         }
         let mut changes = Vec::with_capacity(MOST);
-        while let Some((_, c)) = (changes.len() < MOST).then(|| self.waiting.pop_first()).flatten() {
+        while let Some((_, c)) = (changes.len() < MOST)
+            .then(|| self.waiting.pop_first())
+            .flatten()
+        {
             changes.push(c);
         }
         Some(datagram::encode(incarnation, &changes))
@@ -106,11 +121,20 @@
 
     /// Volumes with something that was never confirmed, where the stream is well: they are to be fetched anew.
     pub(crate) fn expired(&mut self, now: Micros, well: bool) -> Vec<(VolumeId, u64)> {
-        let late: Vec<_> = self.heard.iter().filter(|h| h.0 <= now).map(|h| (h.1, 0)).collect();
+        let late: Vec<_> = self
+            .heard
+            .iter()
+            .filter(|h| h.0 <= now)
+            .map(|h| (h.1, 0))
+            .collect();
         match well {
             true => self.heard.retain(|h| h.0 > now),
             // While the authority is silent peers may well be right: they are asked about again later.
-            false => self.heard.iter_mut().filter(|h| h.0 <= now).for_each(|h| h.0 = now + 1_000_000),
+            false => self
+                .heard
+                .iter_mut()
+                .filter(|h| h.0 <= now)
+                .for_each(|h| h.0 = now + 1_000_000),
         }
         if well {
             late
--- a/crates/extents/src/plain.rs
+++ b/crates/extents/src/plain.rs
@@ -26,10 +26,22 @@
 
     /// The piece that covers a key.
     pub fn get(&self, key: u64) -> Piece {
-        let (first, (shard, epoch)) =
-            self.0.range(..=key).next_back().map_or((0, (None, 0)), |(f, v)| (*f, *v));
-        let last = self.0.range(first..).nth(1).map_or(u64::MAX, |(f, _)| f - 1);
-        Piece { first, last, shard, epoch }
+        let (first, (shard, epoch)) = self
+            .0
+            .range(..=key)
+            .next_back()
+            .map_or((0, (None, 0)), |(f, v)| (*f, *v));
+        let last = self
+            .0
+            .range(first..)
+            .nth(1)
+            .map_or(u64::MAX, |(f, _)| f - 1);
+        Piece {
+            first,
+            last,
+            shard,
+            epoch,
+        }
     }
 
     /// All pieces, in order.
@@ -38,7 +50,14 @@
     }
 
     /// As [`crate::ranges::Ranges::set`].
-    pub fn set(&mut self, first: u64, last: u64, shard: Option<u32>, epoch: u64, limit: u64) -> bool {
+    pub fn set(
+        &mut self,
+        first: u64,
+        last: u64,
+        shard: Option<u32>,
+        epoch: u64,
+        limit: u64,
+    ) -> bool {
         if first > last {
             return false;
         }
@@ -51,8 +70,12 @@
             moved |= value.0 != shard;
             *value = (shard, epoch);
         }
-        let around: Vec<u64> =
-            self.0.range(first..).map(|(f, _)| *f).take_while(|f| *f <= last.saturating_add(1)).collect();
+        let around: Vec<u64> = self
+            .0
+            .range(first..)
+            .map(|(f, _)| *f)
+            .take_while(|f| *f <= last.saturating_add(1))
+            .collect();
         for at in around {
             let before = self.0.range(..at).next_back().map(|(_, v)| *v);
             if before.is_some() && before == self.0.get(&at).copied() {
--- a/crates/extents/src/ranges.rs
+++ b/crates/extents/src/ranges.rs
@@ -42,8 +42,17 @@
 impl<const CHUNK: usize> Ranges<CHUNK> {
     /// A table in which no extent covers anything; all that happened up to `base` counts as known.
     pub fn new(base: u64) -> Self {
-        let chunk = Chunk { firsts: vec![0], shards: vec![NONE], beyond: vec![0] };
-        Ranges { base, heads: vec![0], chunks: vec![chunk], len: 1 }
+        let chunk = Chunk {
+            firsts: vec![0],
+            shards: vec![NONE],
+            beyond: vec![0],
+        };
+        Ranges {
+            base,
+            heads: vec![0],
+            chunks: vec![chunk],
+            len: 1,
+        }
     }
 
     /// How many pieces there are.
@@ -69,7 +78,10 @@
     /// Memory held, in bytes.
     pub fn bytes(&self) -> usize {
         let chunk = |c: &Chunk| {
-            c.firsts.capacity() * 8 + c.shards.capacity() * 4 + c.beyond.capacity() * 4 + size_of::<Chunk>()
+            c.firsts.capacity() * 8
+                + c.shards.capacity() * 4
+                + c.beyond.capacity() * 4
+                + size_of::<Chunk>()
         };
         self.heads.capacity() * 8 + self.chunks.iter().map(chunk).sum::<usize>() + size_of::<Self>()
     }
@@ -88,7 +100,14 @@
 
     /// Puts a range on a shard as of `epoch`, wherever what is known is of `limit` or earlier. Tells whether anything
     /// changed its shard.
-    pub fn set(&mut self, first: u64, last: u64, shard: Option<u32>, epoch: u64, limit: u64) -> bool {
+    pub fn set(
+        &mut self,
+        first: u64,
+        last: u64,
+        shard: Option<u32>,
+        epoch: u64,
+        limit: u64,
+    ) -> bool {
         if first > last {
             return false;
         }
@@ -128,7 +147,11 @@
             if at == (c1, i1) {
                 break;
             }
-            at = if at.1 + 1 < self.chunks[at.0].firsts.len() { (at.0, at.1 + 1) } else { (at.0 + 1, 0) };
+            at = if at.1 + 1 < self.chunks[at.0].firsts.len() {
+                (at.0, at.1 + 1)
+            } else {
+                (at.0 + 1, 0)
+            };
         }
         if touched {
             // What comes behind joins it, too.
@@ -172,10 +195,18 @@
     /// Puts a run in the place of the pieces from `start` up to `end`.
     fn splice(&mut self, start: (usize, usize), end: (usize, usize), run: &[(u64, (u32, u32))]) {
         let ((c0, i0), (c1, i1)) = (start, end);
-        let tail = if c0 == c1 { Chunk::default() } else { self.chunks[c1].split_off(i1) };
+        let tail = if c0 == c1 {
+            Chunk::default()
+        } else {
+            self.chunks[c1].split_off(i1)
+        };
         let chunk = &mut self.chunks[c0];
         let upto = if c0 == c1 { i1 } else { chunk.firsts.len() };
-        let gone = upto - i0 + self.chunks[c0 + 1..=c1.max(c0)].iter().map(|c| c.firsts.len()).sum::<usize>();
+        let gone = upto - i0
+            + self.chunks[c0 + 1..=c1.max(c0)]
+                .iter()
+                .map(|c| c.firsts.len())
+                .sum::<usize>();
         let chunk = &mut self.chunks[c0];
         chunk.firsts.splice(i0..upto, run.iter().map(|r| r.0));
         chunk.shards.splice(i0..upto, run.iter().map(|r| r.1 .0));
@@ -183,7 +214,8 @@
         self.len = self.len + run.len() - gone;
         if c0 != c1 {
             let tail = Some(tail).filter(|t| !t.firsts.is_empty());
-            self.heads.splice(c0 + 1..=c1, tail.iter().map(|t| t.firsts[0]));
+            self.heads
+                .splice(c0 + 1..=c1, tail.iter().map(|t| t.firsts[0]));
             self.chunks.splice(c0 + 1..=c1, tail);
         }
         if self.chunks[c0].firsts.is_empty() {
--- a/crates/extents/src/snapshot.rs
+++ b/crates/extents/src/snapshot.rs
@@ -36,9 +36,20 @@
 /// A volume as an answer on it would have it.
 pub fn cover(version: Version, volume: VolumeId, v: &Volume) -> Cover {
     let pieces = v.ranges.iter().filter(|p| p.shard.is_some());
-    let change =
-        |p: crate::Piece| Change { volume, first: p.first, last: p.last, shard: p.shard, epoch: p.epoch };
-    Cover { version, volume, first: 0, last: u64::MAX, extents: pieces.map(change).collect() }
+    let change = |p: crate::Piece| Change {
+        volume,
+        first: p.first,
+        last: p.last,
+        shard: p.shard,
+        epoch: p.epoch,
+    };
+    Cover {
+        version,
+        volume,
+        first: 0,
+        last: u64::MAX,
+        extents: pieces.map(change).collect(),
+    }
 }
 
 /// Reads such a file into an empty map; tells the version to go on from.
--- a/crates/extents/src/words.rs
+++ b/crates/extents/src/words.rs
@@ -10,7 +10,9 @@
 
 /// A state of the authority's map. Versions of a later incarnation come after all of an earlier one: an authority
 /// that lost its state starts again with a higher incarnation and may count epochs from any number.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Version {
     /// Which life of the authority.
     pub incarnation: u64,
@@ -39,7 +41,10 @@
                 .ok_or(NoVersion)
         };
         let (incarnation, epoch) = text.trim().split_once('.').ok_or(NoVersion)?;
-        Ok(Version { incarnation: number(incarnation)?, epoch: number(epoch)? })
+        Ok(Version {
+            incarnation: number(incarnation)?,
+            epoch: number(epoch)?,
+        })
     }
 }
 
@@ -135,8 +140,11 @@
             return u64::deserialize(from).map(T::from_number);
         }
         let text = <std::borrow::Cow<'a, str>>::deserialize(from)?;
-        let plain = !text.is_empty() && text.len() <= 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
+        let plain =
+            !text.is_empty() && text.len() <= 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
         let number = plain.then(|| u64::from_str_radix(&text, 16).ok()).flatten();
-        number.map(T::from_number).ok_or_else(|| D::Error::custom("not up to 16 hexadecimal digits"))
+        number
+            .map(T::from_number)
+            .ok_or_else(|| D::Error::custom("not up to 16 hexadecimal digits"))
     }
 }
--- a/crates/extents/tests/cache.rs
+++ b/crates/extents/tests/cache.rs
@@ -9,7 +9,10 @@
 const MS: Micros = 1_000;
 
 fn section() -> Section {
-    Section { enabled: true, ..Section::default() }
+    Section {
+        enabled: true,
+        ..Section::default()
+    }
 }
 
 /// The authority, naively: every change ever made.
@@ -20,13 +23,24 @@
 
 impl Truth {
     fn new() -> Truth {
-        Truth { version: Version { incarnation: 5, epoch: 0 }, changes: Vec::new() }
+        Truth {
+            version: Version {
+                incarnation: 5,
+                epoch: 0,
+            },
+            changes: Vec::new(),
+        }
     }
 
     fn put(&mut self, volume: u64, first: u64, last: u64, shard: u32) -> Change {
         self.version.epoch += 1;
-        let change =
-            Change { volume: VolumeId(volume), first, last, shard: Some(shard), epoch: self.version.epoch };
+        let change = Change {
+            volume: VolumeId(volume),
+            first,
+            last,
+            shard: Some(shard),
+            epoch: self.version.epoch,
+        };
         self.changes.push(change);
         change
     }
@@ -36,12 +50,25 @@
     }
 
     fn change_at(&self, volume: u64, key: u64) -> Option<&Change> {
-        self.changes.iter().rev().find(|c| c.volume.0 == volume && (c.first..=c.last).contains(&key))
+        self.changes
+            .iter()
+            .rev()
+            .find(|c| c.volume.0 == volume && (c.first..=c.last).contains(&key))
     }
 
     fn news(&self, from: u64) -> News {
-        let changes = self.changes.iter().filter(|c| c.epoch > from).copied().collect();
-        News { version: self.version, reset: false, whole: false, changes }
+        let changes = self
+            .changes
+            .iter()
+            .filter(|c| c.epoch > from)
+            .copied()
+            .collect();
+        News {
+            version: self.version,
+            reset: false,
+            whole: false,
+            changes,
+        }
     }
 
     /// The extents of a volume, cut at every bound of every change.
@@ -57,10 +84,20 @@
         let ends = cuts.iter().skip(1).map(|c| c - 1).chain([within.1]);
         let spans = cuts.iter().zip(ends);
         let extent = |(first, last): (&u64, u64)| {
-            self.change_at(volume, *first).map(|c| Change { first: *first, last, ..*c })
+            self.change_at(volume, *first).map(|c| Change {
+                first: *first,
+                last,
+                ..*c
+            })
         };
         let extents = spans.filter_map(extent).collect();
-        Cover { version: self.version, volume: VolumeId(volume), first: within.0, last: within.1, extents }
+        Cover {
+            version: self.version,
+            volume: VolumeId(volume),
+            first: within.0,
+            last: within.1,
+            extents,
+        }
     }
 
     fn whole(&self, volume: u64) -> Cover {
@@ -77,7 +114,11 @@
 
 impl Front {
     fn new(section: Section) -> Front {
-        let mut front = Front { cache: Cache::new(section, 0), now: 0, out: Vec::new() };
+        let mut front = Front {
+            cache: Cache::new(section, 0),
+            now: 0,
+            out: Vec::new(),
+        };
         front.handle(Input::Timer);
         front
     }
@@ -85,9 +126,14 @@
     /// One that has the whole truth.
     fn informed(section: Section, truth: &Truth) -> Front {
         let mut front = Front::new(section);
-        let reset = News { reset: true, whole: true, ..truth.news(0) };
+        let reset = News {
+            reset: true,
+            whole: true,
+            ..truth.news(0)
+        };
         front.handle(Input::Polled(Ok(reset)));
-        let volumes: std::collections::BTreeSet<u64> = truth.changes.iter().map(|c| c.volume.0).collect();
+        let volumes: std::collections::BTreeSet<u64> =
+            truth.changes.iter().map(|c| c.volume.0).collect();
         for volume in volumes {
             front.locate(volume, 0);
             front.fetched(volume, truth.whole(volume));
@@ -101,15 +147,25 @@
     }
 
     fn locate(&mut self, volume: u64, key: u64) -> Place {
-        self.cache.locate(self.now, VolumeId(volume), Key(key), &mut self.out)
+        self.cache
+            .locate(self.now, VolumeId(volume), Key(key), &mut self.out)
     }
 
     fn fetched(&mut self, volume: u64, cover: Cover) {
-        self.handle(Input::Fetched { volume: VolumeId(volume), answer: Ok(cover) });
+        self.handle(Input::Fetched {
+            volume: VolumeId(volume),
+            answer: Ok(cover),
+        });
     }
 
     fn turn(&mut self, volume: u64, key: u64, asked: u32, hint: Option<Version>) -> Turn {
-        self.cache.wrong_turn(self.now, (VolumeId(volume), Key(key)), Shard(asked), hint, &mut self.out)
+        self.cache.wrong_turn(
+            self.now,
+            (VolumeId(volume), Key(key)),
+            Shard(asked),
+            hint,
+            &mut self.out,
+        )
     }
 
     /// Takes what it asked for so far.
@@ -127,11 +183,17 @@
 }
 
 fn fetches(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Fetch { .. })).count()
+    actions
+        .iter()
+        .filter(|a| matches!(a, Action::Fetch { .. }))
+        .count()
 }
 
 fn polls(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Poll { .. })).count()
+    actions
+        .iter()
+        .filter(|a| matches!(a, Action::Poll { .. }))
+        .count()
 }
 
 fn at(shard: u32) -> Place {
@@ -143,15 +205,25 @@
     let mut truth = Truth::new();
     truth.put(1, 0, 99, 3);
     let mut f = Front::new(section());
-    f.handle(Input::Polled(Ok(News { reset: true, ..truth.news(truth.version.epoch) })));
+    f.handle(Input::Polled(Ok(News {
+        reset: true,
+        ..truth.news(truth.version.epoch)
+    })));
     f.take();
     for key in 0..50 {
         assert_eq!(f.locate(1, key), Place::Unknown);
     }
     assert_eq!(fetches(&f.take()), 1);
     f.fetched(1, truth.whole(1));
-    assert!(f.out.contains(&Action::Changed { volume: VolumeId(1), first: 0, last: u64::MAX }));
-    assert_eq!((f.locate(1, 99), f.locate(1, 100)), (at(3), Place::Uncovered));
+    assert!(f.out.contains(&Action::Changed {
+        volume: VolumeId(1),
+        first: 0,
+        last: u64::MAX
+    }));
+    assert_eq!(
+        (f.locate(1, 99), f.locate(1, 100)),
+        (at(3), Place::Uncovered)
+    );
 }
 
 #[test]
@@ -166,9 +238,16 @@
     }
     let asked = f.take();
     assert_eq!(fetches(&asked), 1);
-    assert!(asked.contains(&Action::Fetch { volume: VolumeId(1), key: Some(Key(100)) }));
+    assert!(asked.contains(&Action::Fetch {
+        volume: VolumeId(1),
+        key: Some(Key(100))
+    }));
     f.fetched(1, truth.cover(1, (100, 199)));
-    assert!(f.out.contains(&Action::Changed { volume: VolumeId(1), first: 100, last: 199 }));
+    assert!(f.out.contains(&Action::Changed {
+        volume: VolumeId(1),
+        first: 100,
+        last: 199
+    }));
     assert_eq!((f.locate(1, 150), f.locate(1, 99)), (at(4), at(3)));
     // One that was out meanwhile and comes back: the map knows better by now.
     assert_eq!(f.turn(1, 160, 3, Some(truth.version)), Turn::At(Shard(4)));
@@ -179,29 +258,88 @@
     let mut truth = Truth::new();
     truth.put(1, 0, u64::MAX, 3);
     let mut f = Front::informed(section(), &truth);
-    let old = Version { epoch: 0, ..truth.version };
-    let before = Version { incarnation: 4, epoch: 1 << 40 };
+    let old = Version {
+        epoch: 0,
+        ..truth.version
+    };
+    let before = Version {
+        incarnation: 4,
+        epoch: 1 << 40,
+    };
     for hint in [None, Some(old), Some(truth.version), Some(before)] {
         assert_eq!(f.turn(1, 7, 3, hint), Turn::Stands, "{hint:?}");
     }
     let said = f.take();
     assert_eq!(fetches(&said), 0);
-    let complaints = said.iter().filter(|a| matches!(a, Action::Complain { .. })).count();
+    let complaints = said
+        .iter()
+        .filter(|a| matches!(a, Action::Complain { .. }))
+        .count();
     assert_eq!(complaints, 1, "once for each party and second");
     // Just after the authority has confirmed the place newer hints are followed until the volume's budget is used up,
     // and from then on no request waits in vain. What is not newer than the confirmation is not followed at all.
     for epoch in [900, 901] {
-        assert_eq!(f.turn(1, 7, 3, Some(Version { epoch, ..truth.version })), Turn::Waiting);
-        f.fetched(1, Cover { version: Version { epoch, ..truth.version }, ..truth.cover(1, (0, u64::MAX)) });
-        assert_eq!(f.turn(1, 7, 3, Some(Version { epoch, ..truth.version })), Turn::Stands);
+        assert_eq!(
+            f.turn(
+                1,
+                7,
+                3,
+                Some(Version {
+                    epoch,
+                    ..truth.version
+                })
+            ),
+            Turn::Waiting
+        );
+        f.fetched(
+            1,
+            Cover {
+                version: Version {
+                    epoch,
+                    ..truth.version
+                },
+                ..truth.cover(1, (0, u64::MAX))
+            },
+        );
+        assert_eq!(
+            f.turn(
+                1,
+                7,
+                3,
+                Some(Version {
+                    epoch,
+                    ..truth.version
+                })
+            ),
+            Turn::Stands
+        );
     }
-    assert_eq!(f.turn(1, 7, 3, Some(Version { epoch: 902, ..truth.version })), Turn::Stands);
+    assert_eq!(
+        f.turn(
+            1,
+            7,
+            3,
+            Some(Version {
+                epoch: 902,
+                ..truth.version
+            })
+        ),
+        Turn::Stands
+    );
     f.take();
     // Ever newer versions, a thousand times a second for ten seconds; the authority says otherwise each time.
     let mut calls = 0;
     for n in 0..10_000 {
         f.now += MS;
-        f.turn(1, n % 100, 3, Some(Version { epoch: 1_000 + n, ..truth.version }));
+        f.turn(
+            1,
+            n % 100,
+            3,
+            Some(Version {
+                epoch: 1_000 + n,
+                ..truth.version
+            }),
+        );
         f.handle(Input::Timer);
         for action in f.take() {
             if let Action::Fetch { key, .. } = action {
@@ -211,7 +349,10 @@
             }
         }
     }
-    assert!((2..=13).contains(&calls), "{calls} calls in 10 s for one volume");
+    assert!(
+        (2..=13).contains(&calls),
+        "{calls} calls in 10 s for one volume"
+    );
     assert_eq!(f.locate(1, 7), at(3));
 }
 
@@ -230,7 +371,13 @@
     // The same batch in reverse order, by another front: epochs decide, not the order.
     let mut g = Front::informed(
         section(),
-        &Truth { version: Version { epoch: 1, ..truth.version }, changes: truth.changes[..1].to_vec() },
+        &Truth {
+            version: Version {
+                epoch: 1,
+                ..truth.version
+            },
+            changes: truth.changes[..1].to_vec(),
+        },
     );
     let mut news = truth.news(from);
     news.changes.reverse();
@@ -251,8 +398,17 @@
     f.fetched(1, old);
     assert_eq!((f.locate(1, 25), f.locate(1, 50)), (at(4), at(3)));
     // A poll's answer from before is left out as a whole.
-    f.handle(Input::Polled(Ok(News { version: Version { epoch: 1, ..truth.version }, ..truth.news(99) })));
-    assert_eq!((f.cache.version(), f.cache.counters().stale_answers), (Some(truth.version), 1));
+    f.handle(Input::Polled(Ok(News {
+        version: Version {
+            epoch: 1,
+            ..truth.version
+        },
+        ..truth.news(99)
+    })));
+    assert_eq!(
+        (f.cache.version(), f.cache.counters().stale_answers),
+        (Some(truth.version), 1)
+    );
 }
 
 #[test]
@@ -260,7 +416,10 @@
     let mut truth = Truth::new();
     truth.put(1, 0, 99, 3);
     let mut f = Front::new(section());
-    f.handle(Input::Polled(Ok(News { reset: true, ..truth.news(9) })));
+    f.handle(Input::Polled(Ok(News {
+        reset: true,
+        ..truth.news(9)
+    })));
     assert_eq!(f.locate(1, 5), Place::Unknown);
     // The answer was made before the move, and arrives after the stream told of it.
     let answer = truth.whole(1);
@@ -271,10 +430,16 @@
     assert_eq!((f.locate(1, 5), f.locate(1, 50)), (at(4), at(3)));
     // One from before the volume was asked for at all may lack changes: it is asked again.
     let mut g = Front::new(section());
-    g.handle(Input::Polled(Ok(News { reset: true, ..truth.news(9) })));
+    g.handle(Input::Polled(Ok(News {
+        reset: true,
+        ..truth.news(9)
+    })));
     g.locate(1, 5);
     g.fetched(1, answer);
-    assert_eq!((g.locate(1, 5), g.cache.counters().stale_answers), (Place::Unknown, 1));
+    assert_eq!(
+        (g.locate(1, 5), g.cache.counters().stale_answers),
+        (Place::Unknown, 1)
+    );
     g.take();
     g.pass(2 * S);
     assert_eq!(fetches(&g.out), 1);
@@ -315,15 +480,27 @@
         }
         assert_eq!(f.locate(1, 5), at(3), "it goes on with what it had");
     }
-    assert!((25..=60).contains(&polled), "{polled} polls of a silent authority in a minute");
+    assert!(
+        (25..=60).contains(&polled),
+        "{polled} polls of a silent authority in a minute"
+    );
     // Its history does not reach back that far; the map is too large to be told whole.
     truth.put(1, 0, 99, 7);
     truth.version.epoch = 50_000;
-    f.handle(Input::Polled(Ok(News { version: truth.version, reset: true, whole: false, changes: vec![] })));
+    f.handle(Input::Polled(Ok(News {
+        version: truth.version,
+        reset: true,
+        whole: false,
+        changes: vec![],
+    })));
     assert!(f.out.contains(&Action::ChangedAll));
     f.take();
     f.locate(1, 5);
-    assert_eq!(fetches(&f.take()), 1, "in doubt, and fetched with the first request");
+    assert_eq!(
+        fetches(&f.take()),
+        1,
+        "in doubt, and fetched with the first request"
+    );
     f.fetched(1, truth.whole(1));
     assert_eq!(f.locate(1, 5), at(7));
     f.locate(2, 5);
@@ -347,11 +524,25 @@
     // Changes of another life without a fresh start are no answer; the fresh start is.
     f.handle(Input::Polled(Ok(next.news(0))));
     assert_eq!(f.cache.version().unwrap().incarnation, 5);
-    f.handle(Input::Polled(Ok(News { reset: true, whole: true, ..next.news(0) })));
-    assert_eq!((f.locate(1, 5), f.cache.version()), (at(40), Some(next.version)));
+    f.handle(Input::Polled(Ok(News {
+        reset: true,
+        whole: true,
+        ..next.news(0)
+    })));
+    assert_eq!(
+        (f.locate(1, 5), f.cache.version()),
+        (at(40), Some(next.version))
+    );
     // And the old life, come back from the dead, is not believed.
-    f.handle(Input::Polled(Ok(News { reset: true, whole: true, ..truth.news(0) })));
-    assert_eq!((f.locate(1, 5), f.cache.version()), (at(40), Some(next.version)));
+    f.handle(Input::Polled(Ok(News {
+        reset: true,
+        whole: true,
+        ..truth.news(0)
+    })));
+    assert_eq!(
+        (f.locate(1, 5), f.cache.version()),
+        (at(40), Some(next.version))
+    );
 }
 
 #[test]
@@ -360,26 +551,55 @@
     truth.put(1, 0, 99, 3);
     truth.put(2, 0, 99, 4);
     let file = Some("unused".into());
-    let mut f = Front::informed(Section { snapshot: file, snapshot_every_ms: 1_000, ..section() }, &truth);
+    let mut f = Front::informed(
+        Section {
+            snapshot: file,
+            snapshot_every_ms: 1_000,
+            ..section()
+        },
+        &truth,
+    );
     f.pass(2 * S);
-    let saved =
-        f.take().into_iter().find_map(|a| if let Action::Save(bytes) = a { Some(bytes) } else { None });
+    let saved = f.take().into_iter().find_map(|a| {
+        if let Action::Save(bytes) = a {
+            Some(bytes)
+        } else {
+            None
+        }
+    });
     let saved = saved.expect("it is written");
     let from = truth.version;
     truth.put(1, 0, 99, 5);
-    let mut g = Front { cache: Cache::new(section(), 0), now: 0, out: Vec::new() };
+    let mut g = Front {
+        cache: Cache::new(section(), 0),
+        now: 0,
+        out: Vec::new(),
+    };
     g.cache.restore(0, &saved).unwrap();
     g.handle(Input::Timer);
-    assert!(g.take().contains(&Action::Poll { from: Some(from), hold: 2 * S }));
-    assert_eq!((g.locate(1, 5), g.locate(2, 5)), (at(3), at(4)), "known before any answer");
+    assert!(g.take().contains(&Action::Poll {
+        from: Some(from),
+        hold: 2 * S
+    }));
+    assert_eq!(
+        (g.locate(1, 5), g.locate(2, 5)),
+        (at(3), at(4)),
+        "known before any answer"
+    );
     g.handle(Input::Polled(Ok(truth.news(from.epoch))));
     assert_eq!((g.locate(1, 5), g.locate(2, 5)), (at(5), at(4)));
     // Every altered byte and every shorter file shows.
     for i in 0..saved.len() {
         let mut bad = saved.clone();
         bad[i] ^= 0x10;
-        assert!(Cache::new(section(), 0).restore(0, &bad).is_err(), "byte {i}");
-        assert!(Cache::new(section(), 0).restore(0, &saved[..i]).is_err(), "{i} bytes");
+        assert!(
+            Cache::new(section(), 0).restore(0, &bad).is_err(),
+            "byte {i}"
+        );
+        assert!(
+            Cache::new(section(), 0).restore(0, &saved[..i]).is_err(),
+            "{i} bytes"
+        );
     }
 }
 
@@ -423,7 +643,10 @@
     let from = f.cache.version().unwrap().epoch;
     f.handle(Input::Polled(Ok(truth.news(from))));
     for c in &truth.changes {
-        assert_eq!(f.locate(c.volume.0, c.first), at(truth.shard(c.volume.0, c.first).unwrap()));
+        assert_eq!(
+            f.locate(c.volume.0, c.first),
+            at(truth.shard(c.volume.0, c.first).unwrap())
+        );
     }
 }
 
@@ -435,9 +658,17 @@
             truth.put(volume, lot * 10, lot * 10 + 9, lot as u32 % 4);
         }
     }
-    let bounds = Section { most_extents: 200, most_volumes: 30, load_burst: 200, ..section() };
+    let bounds = Section {
+        most_extents: 200,
+        most_volumes: 30,
+        load_burst: 200,
+        ..section()
+    };
     let mut f = Front::new(bounds);
-    f.handle(Input::Polled(Ok(News { reset: true, ..truth.news(9_999) })));
+    f.handle(Input::Polled(Ok(News {
+        reset: true,
+        ..truth.news(9_999)
+    })));
     for volume in 0..40 {
         f.now += 10 * MS;
         f.locate(volume, 5);
@@ -463,22 +694,42 @@
         peers: vec!["127.0.0.1:2".parse().unwrap()],
         ..section()
     };
-    let (mut f, mut g) = (Front::informed(peers.clone(), &truth), Front::informed(peers, &truth));
+    let (mut f, mut g) = (
+        Front::informed(peers.clone(), &truth),
+        Front::informed(peers, &truth),
+    );
     let from = truth.version.epoch;
     // The stream is down: one front takes a wrong turn and tells the other.
     let moved = truth.put(1, 0, 99, 4);
     f.turn(1, 5, 3, Some(truth.version));
     f.fetched(1, truth.whole(1));
     f.pass(60 * MS);
-    let told: Vec<_> =
-        f.take().into_iter().filter_map(|a| if let Action::Tell(b) = a { Some(b) } else { None }).collect();
+    let told: Vec<_> = f
+        .take()
+        .into_iter()
+        .filter_map(|a| {
+            if let Action::Tell(b) = a {
+                Some(b)
+            } else {
+                None
+            }
+        })
+        .collect();
     assert!(told.len() == 1 && told[0].len() <= datagram::LONGEST);
     for bytes in [&told[0], &told[0]] {
         g.handle(Input::Peer(0, bytes.clone()));
     }
-    assert_eq!((g.locate(1, 5), g.cache.counters().peer_news), (at(4), 1), "repeated, it is no news");
+    assert_eq!(
+        (g.locate(1, 5), g.cache.counters().peer_news),
+        (at(4), 1),
+        "repeated, it is no news"
+    );
     // A lie: never confirmed, and fetched anew once the stream has gone on without it.
-    let lie = Change { shard: Some(9), epoch: 1_000, ..moved };
+    let lie = Change {
+        shard: Some(9),
+        epoch: 1_000,
+        ..moved
+    };
     g.handle(Input::Peer(0, datagram::encode(5, &[lie])));
     assert_eq!(g.locate(1, 5), at(9));
     g.handle(Input::Polled(Ok(truth.news(from))));
@@ -508,7 +759,13 @@
     let mut truth = Truth::new();
     truth.put(1, 0, 99, 3);
     let mut f = Front::informed(section(), &truth);
-    let change = Change { volume: VolumeId(1), first: 0, last: 99, shard: Some(8), epoch: 50 };
+    let change = Change {
+        volume: VolumeId(1),
+        first: 0,
+        last: 99,
+        shard: Some(8),
+        epoch: 50,
+    };
     let good = datagram::encode(5, &[change; 6]);
     assert_eq!((good.len(), datagram::MOST), (232, 6));
     let mut bad: Vec<Vec<u8>> = (0..good.len()).map(|i| good[..i].to_vec()).collect();
@@ -518,18 +775,41 @@
         bad.push(flipped);
     }
     bad.push([good.clone(), vec![0; 100]].concat());
-    bad.push(datagram::encode(5, &[Change { first: 100, ..change }]));
+    bad.push(datagram::encode(
+        5,
+        &[Change {
+            first: 100,
+            ..change
+        }],
+    ));
     let count = bad.len() as u64;
     for bytes in bad {
         f.handle(Input::Peer(3, bytes));
     }
-    assert_eq!((f.cache.counters().unreadable, f.locate(1, 5)), (count, at(3)));
-    let complaints =
-        f.take().iter().filter(|a| matches!(a, Action::Complain { who: Party::Peer(3), .. })).count();
+    assert_eq!(
+        (f.cache.counters().unreadable, f.locate(1, 5)),
+        (count, at(3))
+    );
+    let complaints = f
+        .take()
+        .iter()
+        .filter(|a| {
+            matches!(
+                a,
+                Action::Complain {
+                    who: Party::Peer(3),
+                    ..
+                }
+            )
+        })
+        .count();
     assert_eq!(complaints, 1);
     // Another life of the authority's, or an epoch that the stream has passed: no news.
     f.handle(Input::Peer(3, datagram::encode(6, &[change])));
-    f.handle(Input::Peer(3, datagram::encode(5, &[Change { epoch: 1, ..change }])));
+    f.handle(Input::Peer(
+        3,
+        datagram::encode(5, &[Change { epoch: 1, ..change }]),
+    ));
     assert_eq!(f.locate(1, 5), at(3));
 }
 
@@ -538,39 +818,94 @@
     let mut truth = Truth::new();
     truth.put(1, 0, 99, 3);
     let mut f = Front::informed(section(), &truth);
-    let ahead = Change { volume: VolumeId(1), first: 0, last: 99, shard: Some(8), epoch: 900 };
+    let ahead = Change {
+        volume: VolumeId(1),
+        first: 0,
+        last: 99,
+        shard: Some(8),
+        epoch: 900,
+    };
     let news = |changes| News {
-        version: Version { epoch: 5, ..truth.version },
+        version: Version {
+            epoch: 5,
+            ..truth.version
+        },
         reset: false,
         whole: false,
         changes,
     };
     f.handle(Input::Polled(Ok(news(vec![ahead]))));
-    f.handle(Input::Polled(Ok(news(vec![Change { first: 9, last: 8, epoch: 4, ..ahead }]))));
-    assert_eq!((f.cache.version(), f.cache.counters().stale_answers), (Some(truth.version), 2));
+    f.handle(Input::Polled(Ok(news(vec![Change {
+        first: 9,
+        last: 8,
+        epoch: 4,
+        ..ahead
+    }]))));
+    assert_eq!(
+        (f.cache.version(), f.cache.counters().stale_answers),
+        (Some(truth.version), 2)
+    );
     for wrong in [
         truth.whole(2),
         truth.cover(1, (50, 99)),
-        Cover { extents: vec![Change { volume: VolumeId(2), epoch: 1, ..ahead }], ..truth.whole(1) },
-        Cover { extents: vec![Change { epoch: 1, ..ahead }, Change { epoch: 1, ..ahead }], ..truth.whole(1) },
+        Cover {
+            extents: vec![Change {
+                volume: VolumeId(2),
+                epoch: 1,
+                ..ahead
+            }],
+            ..truth.whole(1)
+        },
+        Cover {
+            extents: vec![Change { epoch: 1, ..ahead }, Change { epoch: 1, ..ahead }],
+            ..truth.whole(1)
+        },
     ] {
         f.now += 3 * S;
-        f.turn(1, 5, 3, Some(Version { epoch: 2_000, ..truth.version }));
+        f.turn(
+            1,
+            5,
+            3,
+            Some(Version {
+                epoch: 2_000,
+                ..truth.version
+            }),
+        );
         f.fetched(1, wrong);
         assert_eq!(f.locate(1, 5), at(3));
     }
     assert_eq!(f.cache.counters().failed_calls, 4);
-    for text in ["", "3", "3.", ".4", "3.x", "+3.4", "3.4.5", "99999999999999999999.1"] {
+    for text in [
+        "",
+        "3",
+        "3.",
+        ".4",
+        "3.x",
+        "+3.4",
+        "3.4.5",
+        "99999999999999999999.1",
+    ] {
         assert!(text.parse::<Version>().is_err(), "{text}");
     }
-    assert_eq!("3.4".parse(), Ok(Version { incarnation: 3, epoch: 4 }));
-    for json in
-        [r#"{"version":{"incarnation":1,"epoch":2},"more":1}"#, r#"{"version":{"incarnation":1}}"#, "[]"]
-    {
+    assert_eq!(
+        "3.4".parse(),
+        Ok(Version {
+            incarnation: 3,
+            epoch: 4
+        })
+    );
+    for json in [
+        r#"{"version":{"incarnation":1,"epoch":2},"more":1}"#,
+        r#"{"version":{"incarnation":1}}"#,
+        "[]",
+    ] {
         assert!(serde_json::from_str::<News>(json).is_err());
     }
     let json = serde_json::to_string(&truth.whole(1)).unwrap();
-    assert_eq!(serde_json::from_str::<Cover>(&json).unwrap(), truth.whole(1));
+    assert_eq!(
+        serde_json::from_str::<Cover>(&json).unwrap(),
+        truth.whole(1)
+    );
     assert!(serde_json::from_str::<Cover>(&json.replace("\"63\"", "\"xyz\"")).is_err());
 }
 
@@ -579,14 +914,22 @@
     let mut truth = Truth::new();
     truth.put(1, 0, 99, 3);
     for (strategy, expected) in [(Strategy::None, 0), (Strategy::Ttl, 1)] {
-        let mut f = Front::new(Section { strategy, ttl_ms: 5_000, ..section() });
+        let mut f = Front::new(Section {
+            strategy,
+            ttl_ms: 5_000,
+            ..section()
+        });
         f.locate(1, 5);
         f.fetched(1, truth.whole(1));
         f.take();
         f.pass(6 * S);
         assert_eq!(f.locate(1, 5), at(3));
         let asked = f.take();
-        assert_eq!((polls(&asked), fetches(&asked)), (0, expected), "{strategy:?}");
+        assert_eq!(
+            (polls(&asked), fetches(&asked)),
+            (0, expected),
+            "{strategy:?}"
+        );
         truth.put(1, 0, 99, 3);
         f.now += 10 * S;
         assert_eq!(f.turn(1, 5, 3, Some(truth.version)), Turn::Waiting);
@@ -621,7 +964,10 @@
                 3 => {
                     let (volume, key) = (dice.u64(0..3), dice.u64(0..64));
                     if let Place::At(shard) = f.locate(volume, key) {
-                        assert!(ever.contains_key(&(volume, shard.0)), "seed {seed}: a place that never was");
+                        assert!(
+                            ever.contains_key(&(volume, shard.0)),
+                            "seed {seed}: a place that never was"
+                        );
                         if truth.shard(volume, key) != Some(shard.0) {
                             f.turn(volume, key, shard.0, Some(truth.version));
                         }
@@ -640,16 +986,25 @@
                         let known = from.map_or(0, |v| v.epoch);
                         waiting.push(Input::Polled(match dice.u32(0..5) {
                             0 => Err("lost".into()),
-                            1 => Ok(News { reset: true, whole: false, ..truth.news(truth.version.epoch) }),
-                            _ if from.is_none() => {
-                                Ok(News { reset: true, whole: true, ..truth.news(truth.version.epoch) })
-                            }
+                            1 => Ok(News {
+                                reset: true,
+                                whole: false,
+                                ..truth.news(truth.version.epoch)
+                            }),
+                            _ if from.is_none() => Ok(News {
+                                reset: true,
+                                whole: true,
+                                ..truth.news(truth.version.epoch)
+                            }),
                             _ => Ok(truth.news(known)),
                         }));
                     }
                     Action::Fetch { volume, .. } => {
-                        let answer =
-                            if dice.u32(0..4) == 0 { Err("lost".into()) } else { Ok(truth.whole(volume.0)) };
+                        let answer = if dice.u32(0..4) == 0 {
+                            Err("lost".into())
+                        } else {
+                            Ok(truth.whole(volume.0))
+                        };
                         waiting.push(Input::Fetched { volume, answer });
                     }
                     _ => {}
@@ -672,10 +1027,17 @@
                 match action {
                     Action::Poll { from, .. } => inputs.push(Input::Polled(Ok(match from {
                         Some(v) => truth.news(v.epoch),
-                        None => News { reset: true, whole: false, ..truth.news(truth.version.epoch) },
+                        None => News {
+                            reset: true,
+                            whole: false,
+                            ..truth.news(truth.version.epoch)
+                        },
                     }))),
                     Action::Fetch { volume, .. } => {
-                        inputs.push(Input::Fetched { volume, answer: Ok(truth.whole(volume.0)) });
+                        inputs.push(Input::Fetched {
+                            volume,
+                            answer: Ok(truth.whole(volume.0)),
+                        });
                     }
                     _ => {}
                 }
@@ -685,7 +1047,11 @@
         for volume in 0..3 {
             for key in 0..64 {
                 let expected = truth.shard(volume, key).map_or(Place::Uncovered, at);
-                assert_eq!(f.locate(volume, key), expected, "seed {seed}: volume {volume}, key {key}");
+                assert_eq!(
+                    f.locate(volume, key),
+                    expected,
+                    "seed {seed}: volume {volume}, key {key}"
+                );
             }
         }
     }
