--- a/crates/extents/tests/ranges.rs
+++ b/crates/extents/tests/ranges.rs
@@ -23,15 +23,29 @@
         let (a, b) = (usize::arbitrary(g) % KEYS, usize::arbitrary(g) % KEYS);
         let epoch = 1 + u64::arbitrary(g) % 20;
         // Changes replace what is older; answers on a volume also what is as old as they are.
-        let limit = if bool::arbitrary(g) { epoch - 1 } else { epoch + u64::arbitrary(g) % 3 };
+        let limit = if bool::arbitrary(g) {
+            epoch - 1
+        } else {
+            epoch + u64::arbitrary(g) % 3
+        };
         let shard = Some(u32::arbitrary(g) % 4).filter(|s| *s > 0);
-        Set { first: a.min(b), last: a.max(b), shard, epoch, limit }
+        Set {
+            first: a.min(b),
+            last: a.max(b),
+            shard,
+            epoch,
+            limit,
+        }
     }
 }
 
 /// The keys from the model's first up to the one before the next of its last.
 fn span(s: &Set) -> (u64, u64) {
-    let last = if s.last + 1 == KEYS { u64::MAX } else { (s.last as u64 + 1) * STEP - 1 };
+    let last = if s.last + 1 == KEYS {
+        u64::MAX
+    } else {
+        (s.last as u64 + 1) * STEP - 1
+    };
     (s.first as u64 * STEP, last)
 }
 
@@ -54,15 +68,31 @@
         for (i, key) in model.iter().enumerate() {
             for at in [i as u64 * STEP, (i as u64 * STEP).saturating_add(STEP / 2)] {
                 let piece = table.get(at);
-                let expected = if at / STEP == i as u64 { key } else { &model[(at / STEP) as usize] };
-                assert_eq!((piece.shard, piece.epoch), *expected, "at {at:x} after {s:?}");
+                let expected = if at / STEP == i as u64 {
+                    key
+                } else {
+                    &model[(at / STEP) as usize]
+                };
+                assert_eq!(
+                    (piece.shard, piece.epoch),
+                    *expected,
+                    "at {at:x} after {s:?}"
+                );
                 assert!(piece.first <= at && at <= piece.last);
             }
         }
         let pieces: Vec<_> = table.iter().collect();
-        assert_eq!(pieces, plain.iter().collect::<Vec<_>>(), "the plain table has the same pieces");
+        assert_eq!(
+            pieces,
+            plain.iter().collect::<Vec<_>>(),
+            "the plain table has the same pieces"
+        );
         assert_eq!(pieces.len(), table.len());
-        assert_eq!((pieces[0].first, pieces[pieces.len() - 1].last), (0, u64::MAX), "all keys are covered");
+        assert_eq!(
+            (pieces[0].first, pieces[pieces.len() - 1].last),
+            (0, u64::MAX),
+            "all keys are covered"
+        );
         for pair in pieces.windows(2) {
             assert_eq!(pair[0].last + 1, pair[1].first, "no gap and no overlap");
             assert!(
@@ -105,10 +135,23 @@
 #[test]
 fn ends_of_the_key_space_and_empty_ranges() {
     let mut table = Ranges::<4>::new(7);
-    assert!(!table.set(5, 4, Some(1), 9, 8), "a range that ends before it begins changes nothing");
+    assert!(
+        !table.set(5, 4, Some(1), 9, 8),
+        "a range that ends before it begins changes nothing"
+    );
     assert!(table.set(u64::MAX, u64::MAX, Some(1), 9, 8) && table.set(0, 0, Some(2), 10, 9));
-    assert_eq!((table.get(u64::MAX).shard, table.get(0).shard, table.get(1).shard), (Some(1), Some(2), None));
-    assert!(!table.set(0, u64::MAX, Some(3), 5, 4), "older than all that is known");
+    assert_eq!(
+        (
+            table.get(u64::MAX).shard,
+            table.get(0).shard,
+            table.get(1).shard
+        ),
+        (Some(1), Some(2), None)
+    );
+    assert!(
+        !table.set(0, u64::MAX, Some(3), 5, 4),
+        "older than all that is known"
+    );
     assert!(table.set(0, u64::MAX, None, 11, 11) && table.len() == 1 && table.is_empty());
     assert!(table.fits(7 + u64::from(u32::MAX) - 1) && !table.fits(7 + u64::from(u32::MAX)));
 }
--- a/crates/failure-detection/tests/arithmetic.rs
+++ b/crates/failure-detection/tests/arithmetic.rs
@@ -1,7 +1,8 @@
 //! Properties of the shared arithmetic.
 
 use lupinrack_failure_detection::{
-    confirmations_needed, retransmissions, size_factor, suspicion_length, LocalHealth, HEALTH_SCORE_WORST,
+    confirmations_needed, retransmissions, size_factor, suspicion_length, LocalHealth,
+    HEALTH_SCORE_WORST,
 };
 use quickcheck::quickcheck;
 
@@ -13,7 +14,10 @@
     for _ in 0..2 * HEALTH_SCORE_WORST {
         health.worsen();
     }
-    assert_eq!((health.score(), health.multiplier()), (HEALTH_SCORE_WORST, HEALTH_SCORE_WORST + 1));
+    assert_eq!(
+        (health.score(), health.multiplier()),
+        (HEALTH_SCORE_WORST, HEALTH_SCORE_WORST + 1)
+    );
     health.improve();
     assert_eq!(health.score(), HEALTH_SCORE_WORST - 1);
 }
--- a/crates/figures/src/lib.rs
+++ b/crates/figures/src/lib.rs
@@ -62,12 +62,17 @@
 
     fn row(&self, class: &str) -> usize {
         let mut rows = self.rows();
-        rows.iter().position(|r| r.class == class).unwrap_or_else(|| {
-            if rows.len() < ROWS_MOST {
-                rows.push(Row { class: class.into(), ends: [0; 3] });
-            }
-            rows.len() - 1
-        })
+        rows.iter()
+            .position(|r| r.class == class)
+            .unwrap_or_else(|| {
+                if rows.len() < ROWS_MOST {
+                    rows.push(Row {
+                        class: class.into(),
+                        ends: [0; 3],
+                    });
+                }
+                rows.len() - 1
+            })
     }
 
     /// Has a row for each of these classes from now on. Rows of others stay, with their counts.
@@ -79,7 +84,12 @@
 
     /// A request of this class whose head is there.
     pub fn life(&self, class: &str) -> Life {
-        Life { figures: self.clone(), row: self.row(class), taken: false, end: End::Error }
+        Life {
+            figures: self.clone(),
+            row: self.row(class),
+            taken: false,
+            end: End::Error,
+        }
     }
 
     /// An attempt's last byte was handed to the system.
@@ -97,7 +107,12 @@
         let mut text = String::new();
         for (at, name) in ["success", "overload", "error"].iter().enumerate() {
             for row in self.rows().iter() {
-                let _ = writeln!(text, "lb_{name}{{type=\"{}\"}} {}", escaped(&row.class), row.ends[at]);
+                let _ = writeln!(
+                    text,
+                    "lb_{name}{{type=\"{}\"}} {}",
+                    escaped(&row.class),
+                    row.ends[at]
+                );
             }
         }
         let count = |c: &AtomicU64| c.load(Relaxed);
@@ -141,7 +156,10 @@
 
 /// A label's value: backslash, quote and line end may not stand there as they are.
 fn escaped(value: &str) -> String {
-    value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
+    value
+        .replace('\\', "\\\\")
+        .replace('"', "\\\"")
+        .replace('\n', "\\n")
 }
 
 #[cfg(test)]
@@ -151,7 +169,10 @@
     use std::collections::BTreeMap;
 
     fn read(text: &str) -> BTreeMap<String, u64> {
-        let line = |l: &str| l.rsplit_once(' ').map(|(k, v)| (k.to_string(), v.parse().expect("a number")));
+        let line = |l: &str| {
+            l.rsplit_once(' ')
+                .map(|(k, v)| (k.to_string(), v.parse().expect("a number")))
+        };
         text.lines().filter_map(line).collect()
     }
 
@@ -211,7 +232,20 @@
         figures.reloaded(false);
         figures.dispatched();
         let seen = read(&figures.text(Targets::default()));
-        assert_eq!((seen["lb_success{type=\"read\"}"], seen["lb_success{type=\"scan\"}"]), (1, 0));
-        assert_eq!((seen["lb_reload_success"], seen["lb_reload_failure"], seen["lb_dispatches"]), (1, 2, 1));
+        assert_eq!(
+            (
+                seen["lb_success{type=\"read\"}"],
+                seen["lb_success{type=\"scan\"}"]
+            ),
+            (1, 0)
+        );
+        assert_eq!(
+            (
+                seen["lb_reload_success"],
+                seen["lb_reload_failure"],
+                seen["lb_dispatches"]
+            ),
+            (1, 2, 1)
+        );
     }
 }
--- a/crates/fleet-net/src/lib.rs
+++ b/crates/fleet-net/src/lib.rs
@@ -73,14 +73,40 @@
 
 impl Driver {
     /// A driver as the section wants it.
-    pub fn new(section: Section, core: Handle, shared: bool) -> Result<(Driver, Fleet), StartError> {
-        let me = section.me().ok_or_else(|| StartError::Name(section.name.clone()))?;
+    pub fn new(
+        section: Section,
+        core: Handle,
+        shared: bool,
+    ) -> Result<(Driver, Fleet), StartError> {
+        let me = section
+            .me()
+            .ok_or_else(|| StartError::Name(section.name.clone()))?;
         let own = section.member.get(usize::from(me)).map(|m| m.address);
-        let listen = section.listen.or(own).ok_or_else(|| StartError::Name(section.name.clone()))?;
-        let peers = section.member.iter().enumerate().map(|(i, m)| (m.address, i as u16)).collect();
+        let listen = section
+            .listen
+            .or(own)
+            .ok_or_else(|| StartError::Name(section.name.clone()))?;
+        let peers = section
+            .member
+            .iter()
+            .enumerate()
+            .map(|(i, m)| (m.address, i as u16))
+            .collect();
         let (ask, asked) = mpsc::channel(ASKING_MOST);
         let machines = Machines::default();
-        Ok((Driver { section, me, core, listen, peers, asked, shared, machines }, Fleet(ask)))
+        Ok((
+            Driver {
+                section,
+                me,
+                core,
+                listen,
+                peers,
+                asked,
+                shared,
+                machines,
+            },
+            Fleet(ask),
+        ))
     }
 
     /// The way of a machine to the same machine at other fronts, one for each tag; to be asked for before the driver runs.
@@ -91,8 +117,18 @@
     /// Takes the front's place in its fleet. Until then it may use nothing that is shared, or the reserve where another process
     /// of this front is at work.
     pub async fn begin(&self) -> Result<Option<UdpSocket>, StartError> {
-        let reserve = if self.shared { self.section.reserve } else { 0.0 };
-        self.core.rights(Rights { reserve, cold: reserve, ..Rights::default() }).await;
+        let reserve = if self.shared {
+            self.section.reserve
+        } else {
+            0.0
+        };
+        self.core
+            .rights(Rights {
+                reserve,
+                cold: reserve,
+                ..Rights::default()
+            })
+            .await;
         match UdpSocket::bind(self.listen).await {
             Ok(socket) => Ok(Some(socket)),
             Err(e) if self.shared && e.kind() == std::io::ErrorKind::AddrInUse => Ok(None),
@@ -113,10 +149,15 @@
         };
         let mut life = fresh();
         loop {
-            let Some(above) = self.live(&socket, life, &mut phase).await else { return };
+            let Some(above) = self.live(&socket, life, &mut phase).await else {
+                return;
+            };
             // The wall clock stepped back: lives are numbered on from what others know.
             life = life.max(above).saturating_add(1);
-            tracing::warn!(life, "fleet: others know a later life of this name; begins anew above it");
+            tracing::warn!(
+                life,
+                "fleet: others know a later life of this name; begins anew above it"
+            );
         }
     }
 
@@ -152,16 +193,27 @@
             let mut strangers = Vec::new();
             for _ in 0..TURN_MOST {
                 // A peer that is away answers with an error of the system's; it says nothing of this socket.
-                let Ok((length, from)) = socket.try_recv_from(&mut buffer) else { break };
-                let source = self.peers.get(&from).map_or(Source::Stranger, |i| Source::Peer(*i));
+                let Ok((length, from)) = socket.try_recv_from(&mut buffer) else {
+                    break;
+                };
+                let source = self
+                    .peers
+                    .get(&from)
+                    .map_or(Source::Stranger, |i| Source::Peer(*i));
                 let at = out.len();
                 front.datagram(clock.now(), source, &buffer[..length], &mut out);
-                let answers = out.iter().skip(at).filter(|o| matches!(o, Out::Answer(_))).count();
+                let answers = out
+                    .iter()
+                    .skip(at)
+                    .filter(|o| matches!(o, Out::Answer(_)))
+                    .count();
                 strangers.extend(std::iter::repeat_n(from, answers));
             }
             self.machines.listen(&mut front);
             for _ in 0..WORDS_MOST {
-                let Some(words) = self.machines.word() else { break };
+                let Some(words) = self.machines.word() else {
+                    break;
+                };
                 self.machines.say(clock.now(), words, &mut front, &mut out);
             }
             let now = clock.now();
@@ -209,7 +261,12 @@
     }
 
     fn tell(&self, event: &Event) {
-        let name = |i: u16| self.section.member.get(usize::from(i)).map_or("?", |m| m.name.as_str());
+        let name = |i: u16| {
+            self.section
+                .member
+                .get(usize::from(i))
+                .map_or("?", |m| m.name.as_str())
+        };
         match event {
             Event::Member(c) => tracing::info!(
                 front = name(c.of),
@@ -225,16 +282,30 @@
                 tracing::info!(view = %v.number, prev = %v.prev, members = members.join(" "), unix_us = unix_us(), "fleet: view");
             }
             Event::Stance(from, to) => {
-                tracing::info!(from = from.word(), to = to.word(), unix_us = unix_us(), "fleet: stance");
+                tracing::info!(
+                    from = from.word(),
+                    to = to.word(),
+                    unix_us = unix_us(),
+                    "fleet: stance"
+                );
             }
             Event::Leads(true) => tracing::info!("fleet: stands for leader"),
             Event::Leads(false) => tracing::info!("fleet: leads no longer"),
-            Event::Paused(gap) => tracing::warn!(ms = gap / 1000, "fleet: this process did not run"),
+            Event::Paused(gap) => {
+                tracing::warn!(ms = gap / 1000, "fleet: this process did not run")
+            }
             Event::Twin(of, life) => {
-                tracing::error!(front = name(*of), life, "fleet: another life uses this name from elsewhere");
+                tracing::error!(
+                    front = name(*of),
+                    life,
+                    "fleet: another life uses this name from elsewhere"
+                );
             }
             Event::Roster(of) => {
-                tracing::error!(front = name(*of), "fleet: its members, lease, drift or reserve differ")
+                tracing::error!(
+                    front = name(*of),
+                    "fleet: its members, lease, drift or reserve differ"
+                )
             }
             Event::Outlived(_) => {}
         }
@@ -245,8 +316,16 @@
 fn note(rights: &Rights, now: i64) {
     if tracing::enabled!(tracing::Level::DEBUG) {
         let unix = unix_us();
-        let factors: Vec<String> = rights.factors.iter().map(|(v, f)| format!("{:x}:{f}", v.0)).collect();
-        let until = if rights.until > now { unix.saturating_add_signed(rights.until - now) } else { 0 };
+        let factors: Vec<String> = rights
+            .factors
+            .iter()
+            .map(|(v, f)| format!("{:x}:{f}", v.0))
+            .collect();
+        let until = if rights.until > now {
+            unix.saturating_add_signed(rights.until - now)
+        } else {
+            0
+        };
         tracing::debug!(
             unix_us = unix,
             until_unix_us = until,
@@ -260,7 +339,10 @@
 }
 
 fn unix_us() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_micros() as u64
 }
 
 /// A number for a new life: the wall clock's milliseconds, and some chance against two within one.
--- a/crates/fleet-net/src/machines.rs
+++ b/crates/fleet-net/src/machines.rs
@@ -107,11 +107,28 @@
 impl Machines {
     pub(crate) fn attach(&mut self, tag: Tag) -> Machine {
         let (inbox, heard) = mpsc::channel(INBOX);
-        let words = self.words.get_or_insert_with(|| mpsc::channel(WORDS)).0.clone();
-        let standing = self.standing.get_or_insert_with(|| watch::channel(None).0).subscribe();
+        let words = self
+            .words
+            .get_or_insert_with(|| mpsc::channel(WORDS))
+            .0
+            .clone();
+        let standing = self
+            .standing
+            .get_or_insert_with(|| watch::channel(None).0)
+            .subscribe();
         self.all.retain(|a| a.tag != tag);
-        self.all.push(Attached { tag, inbox, late: VecDeque::new(), numbers: Vec::new() });
-        Machine { heard, standing, tag, words }
+        self.all.push(Attached {
+            tag,
+            inbox,
+            late: VecDeque::new(),
+            numbers: Vec::new(),
+        });
+        Machine {
+            heard,
+            standing,
+            tag,
+            words,
+        }
     }
 
     /// What a machine says next; never, where none is attached.
@@ -130,11 +147,19 @@
         self.words.as_mut()?.1.try_recv().ok()
     }
 
-    pub(crate) fn say(&mut self, now: Micros, (tag, words): (Tag, Words), hub: &mut Hub, out: &mut Vec<Out>) {
+    pub(crate) fn say(
+        &mut self,
+        now: Micros,
+        (tag, words): (Tag, Words),
+        hub: &mut Hub,
+        out: &mut Vec<Out>,
+    ) {
         match words {
             Words::Once(to, bytes) => drop(hub.say(now, to, tag, &bytes, out)),
             Words::Stream(to, own, bytes) => {
-                let Some(a) = self.all.iter_mut().find(|a| a.tag == tag) else { return };
+                let Some(a) = self.all.iter_mut().find(|a| a.tag == tag) else {
+                    return;
+                };
                 let mut went = Vec::new();
                 match hub.stream(now, to, tag, bytes, &mut went) {
                     Ok(number) => a.numbers.push((to, number, own)),
@@ -158,7 +183,9 @@
     pub(crate) fn renew(&mut self) {
         for a in &mut self.all {
             let ended = std::mem::take(&mut a.numbers);
-            ended.into_iter().for_each(|(to, _, own)| a.put(Heard::Ended(to, own, false)));
+            ended
+                .into_iter()
+                .for_each(|(to, _, own)| a.put(Heard::Ended(to, own, false)));
         }
     }
 
@@ -167,10 +194,13 @@
             Out::Said(said) => {
                 let tag = said.tag;
                 let to = self.all.iter_mut().find(|a| a.tag == tag);
-                to.into_iter().for_each(|a| a.put(Heard::Said(said.clone())));
+                to.into_iter()
+                    .for_each(|a| a.put(Heard::Said(said.clone())));
             }
             Out::Ended(to, tag, number, whole) => {
-                let Some(a) = self.all.iter_mut().find(|a| a.tag == tag) else { return };
+                let Some(a) = self.all.iter_mut().find(|a| a.tag == tag) else {
+                    return;
+                };
                 if let Some(at) = a.numbers.iter().position(|n| (n.0, n.1) == (to, number)) {
                     let own = a.numbers.swap_remove(at).2;
                     a.put(Heard::Ended(to, own, whole));
@@ -185,7 +215,9 @@
     pub(crate) fn stands(&self, standing: impl FnOnce() -> Standing) {
         if let Some(tell) = &self.standing {
             let now = Some(standing());
-            tell.send_if_modified(|told| *told != now && std::mem::replace(told, now.clone()) != now);
+            tell.send_if_modified(|told| {
+                *told != now && std::mem::replace(told, now.clone()) != now
+            });
         }
     }
 }
@@ -197,8 +229,18 @@
 
     fn hub(life: u64) -> Hub {
         let address = |i: u16| std::net::SocketAddr::from(([127, 0, 0, 1], 1 + i));
-        let member = (0..3).map(|i| Peer { name: format!("n{i}"), address: address(i) }).collect();
-        let section = Section { enabled: true, name: "n0".into(), member, ..Section::default() };
+        let member = (0..3)
+            .map(|i| Peer {
+                name: format!("n{i}"),
+                address: address(i),
+            })
+            .collect();
+        let section = Section {
+            enabled: true,
+            name: "n0".into(),
+            member,
+            ..Section::default()
+        };
         Hub::new(&section, 0, life, 1, 1_000_000_000)
     }
 
@@ -223,7 +265,12 @@
     fn a_machine_that_is_behind_loses_datagrams_and_no_end_of_a_stream() {
         let mut machines = Machines::default();
         let mut machine = machines.attach(Tag::OVERLOAD);
-        let said = Said { from: 1, tag: Tag::OVERLOAD, bytes: vec![1], streamed: false };
+        let said = Said {
+            from: 1,
+            tag: Tag::OVERLOAD,
+            bytes: vec![1],
+            streamed: false,
+        };
         (0..2 * INBOX).for_each(|_| machines.hear(Out::Said(said.clone())));
         machines.all[0].numbers = (0..INBOX as u32).map(|n| (1, n, u64::from(n))).collect();
         (0..INBOX as u32).for_each(|n| machines.hear(Out::Ended(1, Tag::OVERLOAD, n, true)));
@@ -233,6 +280,9 @@
             ends += u32::from(matches!(heard, Heard::Ended(..)));
             machines.all[0].late();
         }
-        assert!(datagrams as usize <= INBOX / 2 + 1 && ends as usize == INBOX, "{datagrams}, {ends}");
+        assert!(
+            datagrams as usize <= INBOX / 2 + 1 && ends as usize == INBOX,
+            "{datagrams}, {ends}"
+        );
     }
 }
--- a/crates/fleet-net/src/report.rs
+++ b/crates/fleet-net/src/report.rs
@@ -63,7 +63,12 @@
 impl Report {
     /// What is told, in words.
     pub fn new(section: &Section, now: Micros, told: &Told<'_>, rights: &Rights) -> Report {
-        let name = |i: u16| section.member.get(usize::from(i)).map_or(String::new(), |m| m.name.clone());
+        let name = |i: u16| {
+            section
+                .member
+                .get(usize::from(i))
+                .map_or(String::new(), |m| m.name.clone())
+        };
         let members = told.members.iter().enumerate().map(|(i, m)| Line {
             name: name(i as u16),
             state: m.state.word().into(),
@@ -81,7 +86,11 @@
             lease_left_ms: told.left.map(|l| l / 1000),
             until_us: rights.until,
             reserve: rights.reserve,
-            part: if now < rights.until { rights.cold } else { rights.reserve },
+            part: if now < rights.until {
+                rights.cold
+            } else {
+                rights.reserve
+            },
             taken_over: rights.factors.values().filter(|f| **f > 1.0).count(),
             volumes: told.volumes,
             view: told.view.number.to_string(),
@@ -102,8 +111,14 @@
         let _ = writeln!(text, "lb_fleet_stance{{stance=\"{}\"}} 1", self.stance);
         let _ = writeln!(text, "lb_fleet_part {:.4}", self.part);
         for (name, value) in [
-            ("lease_left_ms", self.lease_left_ms.unwrap_or(0).max(0) as u64),
-            ("in_view", self.members.iter().filter(|m| m.in_view).count() as u64),
+            (
+                "lease_left_ms",
+                self.lease_left_ms.unwrap_or(0).max(0) as u64,
+            ),
+            (
+                "in_view",
+                self.members.iter().filter(|m| m.in_view).count() as u64,
+            ),
             ("leads", u64::from(self.leads)),
             ("health", u64::from(self.health)),
             ("taken_over", self.taken_over as u64),
--- a/crates/fleet-rig/src/checks.rs
+++ b/crates/fleet-rig/src/checks.rs
@@ -26,7 +26,10 @@
 }
 
 /// The lines of one kind that processes said.
-pub fn said<'a>(history: &'a [(Moment, Entry)], what: &'a str) -> impl Iterator<Item = (Moment, &'a Note)> {
+pub fn said<'a>(
+    history: &'a [(Moment, Entry)],
+    what: &'a str,
+) -> impl Iterator<Item = (Moment, &'a Note)> {
     history.iter().filter_map(move |(at, e)| match e {
         Entry::Said(n) if n.what == what => Some((*at, n)),
         _ => None,
@@ -42,7 +45,11 @@
     let mut over: BTreeMap<u64, f64> = BTreeMap::new();
     let mut drawn = HashSet::new();
     let counts = |s: &&Seen| s.ran && s.volume < 10_000 && s.volume > 0;
-    for s in seen.iter().filter(counts).filter(|s| drawn.insert(s.id.as_str())) {
+    for s in seen
+        .iter()
+        .filter(counts)
+        .filter(|s| drawn.insert(s.id.as_str()))
+    {
         let (level, at) = levels.entry(s.volume).or_insert((most, s.at));
         *level = (*level + rate * (s.at - *at) as f64 / 1e6).min(most) - f64::from(s.units);
         *at = s.at;
@@ -51,7 +58,10 @@
             *worst = worst.max(-*level);
         }
     }
-    broken.extend(over.iter().map(|(v, by)| format!("limit of volume {v} broken by {by:.1} units")));
+    broken.extend(
+        over.iter()
+            .map(|(v, by)| format!("limit of volume {v} broken by {by:.1} units")),
+    );
     over.len() as u64
 }
 
@@ -79,7 +89,9 @@
             if sum > FALLS * can && s.at - last_over > 1_000_000 {
                 last_over = s.at;
                 over += 1;
-                broken.push(format!("cold node {node} got {sum} units within 1 s at {age:.1} s of age"));
+                broken.push(format!(
+                    "cold node {node} got {sum} units within 1 s at {age:.1} s of age"
+                ));
             }
         }
     }
@@ -103,7 +115,9 @@
 
 /// Requests without an answer at fronts that were well meanwhile.
 pub fn lost(done: &[(Asked, Came)], well: &Wellness, broken: &mut Vec<String>) -> u64 {
-    let lost = |(a, c): &&(Asked, Came)| *c == Came::Lost && well.untouched(a.front, a.at, a.at + 5_000_000);
+    let lost = |(a, c): &&(Asked, Came)| {
+        *c == Came::Lost && well.untouched(a.front, a.at, a.at + 5_000_000)
+    };
     let lost: Vec<&(Asked, Came)> = done.iter().filter(lost).collect();
     if let Some((first, _)) = lost.first() {
         broken.push(format!(
@@ -140,10 +154,15 @@
                     runs[usize::from(*front)].push((*at, false));
                 }
                 // Connections that rest are closed with the older process; what its clients then lose is no promise here.
-                Act::Upgrade { front } => runs[usize::from(*front)].extend([(*at, false), (*at + 1, true)]),
-                Act::Start { front } | Act::Cont { front } => runs[usize::from(*front)].push((*at, true)),
+                Act::Upgrade { front } => {
+                    runs[usize::from(*front)].extend([(*at, false), (*at + 1, true)])
+                }
+                Act::Start { front } | Act::Cont { front } => {
+                    runs[usize::from(*front)].push((*at, true))
+                }
                 Act::Path { from, to, fault } => {
-                    cuts[usize::from(*from) * size + usize::from(*to)] = fault.cut || fault.loss > 0.5;
+                    cuts[usize::from(*from) * size + usize::from(*to)] =
+                        fault.cut || fault.loss > 0.5;
                 }
                 Act::Split { groups } => {
                     let of = |i: usize| groups.iter().position(|g| g.contains(&(i as u16)));
@@ -158,7 +177,8 @@
                 Act::Net { fault } => lossy = fault.loss > 0.5,
                 _ => continue,
             }
-            let both = |a: usize, b: usize| a == b || !(cuts[a * size + b] || cuts[b * size + a] || lossy);
+            let both =
+                |a: usize, b: usize| a == b || !(cuts[a * size + b] || cuts[b * size + a] || lossy);
             let sees = |f: usize| (0..size).filter(|o| both(f, *o)).count() * 2 > size;
             reach.push((*at, (0..size).map(sees).collect()));
         }
@@ -168,7 +188,11 @@
     /// Whether a front ran all through a span.
     pub fn untouched(&self, front: u16, from: Moment, to: Moment) -> bool {
         let runs = &self.runs[usize::from(front)];
-        let before = runs.iter().rev().find(|(at, _)| *at <= from).is_some_and(|(_, r)| *r);
+        let before = runs
+            .iter()
+            .rev()
+            .find(|(at, _)| *at <= from)
+            .is_some_and(|(_, r)| *r);
         before && !runs.iter().any(|(at, _)| (from..to).contains(at))
     }
 
@@ -176,14 +200,29 @@
     pub fn well(&self, front: u16, at: Moment) -> bool {
         let from = at.saturating_sub(WELL);
         let f = usize::from(front);
-        let before = self.reach.iter().rev().find(|(t, _)| *t <= from).is_some_and(|(_, r)| r[f]);
-        let within = self.reach.iter().filter(|(t, _)| (from..at).contains(t)).all(|(_, r)| r[f]);
+        let before = self
+            .reach
+            .iter()
+            .rev()
+            .find(|(t, _)| *t <= from)
+            .is_some_and(|(_, r)| r[f]);
+        let within = self
+            .reach
+            .iter()
+            .filter(|(t, _)| (from..at).contains(t))
+            .all(|(_, r)| r[f]);
         self.untouched(front, from, at) && before && within
     }
 
     /// Whether so many fronts ran at a moment that a majority was there.
     pub fn majority(&self, at: Moment) -> bool {
-        let runs = |f: usize| self.runs[f].iter().rev().find(|(t, _)| *t <= at).is_some_and(|(_, r)| *r);
+        let runs = |f: usize| {
+            self.runs[f]
+                .iter()
+                .rev()
+                .find(|(t, _)| *t <= at)
+                .is_some_and(|(_, r)| *r)
+        };
         (0..usize::from(self.n)).filter(|f| runs(*f)).count() * 2 > usize::from(self.n)
     }
 }
--- a/crates/fleet-rig/src/history.rs
+++ b/crates/fleet-rig/src/history.rs
@@ -13,7 +13,10 @@
 
 /// The moment now.
 pub fn now() -> Moment {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_micros() as u64
 }
 
 /// What a process said of its fleet.
@@ -70,7 +73,11 @@
 
     /// All entries in the order of their moments.
     pub fn all(&self) -> Vec<(Moment, Entry)> {
-        let mut all = self.0.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let mut all = self
+            .0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone();
         all.sort_by_key(|(at, _)| *at);
         all
     }
@@ -78,7 +85,9 @@
     /// The last entries, a line each.
     pub fn last(&self, most: usize) -> String {
         let all = self.all();
-        let Some((end, _)) = all.last() else { return String::new() };
+        let Some((end, _)) = all.last() else {
+            return String::new();
+        };
         let line = |(at, entry): &(Moment, Entry)| {
             let what = match entry {
                 Entry::Said(n) => {
--- a/crates/fleet-rig/src/process.rs
+++ b/crates/fleet-rig/src/process.rs
@@ -45,7 +45,9 @@
 
     fn say(&mut self, line: String) {
         if let Some(input) = &mut self.child.stdin {
-            let _ = input.write_all(line.as_bytes()).and_then(|()| input.flush());
+            let _ = input
+                .write_all(line.as_bytes())
+                .and_then(|()| input.flush());
         }
     }
 }
@@ -113,17 +115,25 @@
     ) -> Result<Process, RigError> {
         let tmp = start.folder.join("tmp");
         std::fs::create_dir_all(&tmp)?;
-        let (config, operator) = (start.folder.join("config.json"), start.folder.join("operator.toml"));
+        let (config, operator) = (
+            start.folder.join("config.json"),
+            start.folder.join("operator.toml"),
+        );
         std::fs::write(&config, start.config.to_string())?;
         std::fs::write(&operator, &start.operator)?;
         // Whoever asks for a log of their own gets it, beside the lines that the rig lives by.
         let wanted = std::env::var("LUPINRACK_LOG").ok();
-        let own = wanted.as_deref().map(|w| format!("{w},")).unwrap_or_default();
+        let own = wanted
+            .as_deref()
+            .map(|w| format!("{w},"))
+            .unwrap_or_default();
         let filter = format!("{own}info,lupinrack_fleet_net=debug");
         let mut command = match start.socket {
             Some(socket) => {
                 let mut shell = Command::new("/bin/sh");
-                shell.args(["-c", "exec \"$0\" \"$@\" 7<&0 </dev/null"]).arg(start.program);
+                shell
+                    .args(["-c", "exec \"$0\" \"$@\" 7<&0 </dev/null"])
+                    .arg(start.program);
                 shell.env("LB_INHERITED_FD", "7").stdin(Stdio::from(socket));
                 shell
             }
@@ -147,11 +157,20 @@
             .kill_on_drop(true)
             .spawn()?;
         let id = child.id().unwrap_or(0);
-        guard.lock().unwrap_or_else(PoisonError::into_inner).say(format!("+{id}\n"));
+        guard
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .say(format!("+{id}\n"));
         let log = Arc::new(Mutex::new(VecDeque::new()));
         let (tell, mut told) = watch::channel(Listens::default());
         if let Some(lines) = child.stderr.take() {
-            let follows = Follows { log: log.clone(), tell, history, front: start.front, twin: start.twin };
+            let follows = Follows {
+                log: log.clone(),
+                tell,
+                history,
+                front: start.front,
+                twin: start.twin,
+            };
             tokio::spawn(follows.lines(lines, wanted.is_some()));
         }
         let came = timeout(COMES_UP, async {
@@ -165,12 +184,24 @@
                 }
             }
         });
-        let came = came.await.unwrap_or_else(|_| Err("it did not listen in time".into()));
+        let came = came
+            .await
+            .unwrap_or_else(|_| Err("it did not listen in time".into()));
         let listens = *told.borrow();
-        let process = Process { id, listens, child, guard, log };
+        let process = Process {
+            id,
+            listens,
+            child,
+            guard,
+            log,
+        };
         match came {
             Ok(()) => Ok(process),
-            Err(why) => Err(RigError::Start { front: start.front, why, log: process.said() }),
+            Err(why) => Err(RigError::Start {
+                front: start.front,
+                why,
+                log: process.said(),
+            }),
         }
     }
 
@@ -178,7 +209,8 @@
     pub fn cpu_ms(&self) -> Option<f64> {
         let text = std::fs::read_to_string(format!("/proc/{}/stat", self.id)).ok()?;
         let mut fields = text.rsplit_once(')')?.1.split_whitespace().skip(11);
-        let (user, system): (f64, f64) = (fields.next()?.parse().ok()?, fields.next()?.parse().ok()?);
+        let (user, system): (f64, f64) =
+            (fields.next()?.parse().ok()?, fields.next()?.parse().ok()?);
         Some((user + system) * 10.0)
     }
 
@@ -209,7 +241,10 @@
 impl Drop for Process {
     fn drop(&mut self) {
         let _ = self.child.start_kill();
-        self.guard.lock().unwrap_or_else(PoisonError::into_inner).say(format!("-{}\n", self.id));
+        self.guard
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .say(format!("-{}\n", self.id));
     }
 }
 
@@ -224,7 +259,13 @@
 
 impl Follows {
     async fn lines(self, lines: tokio::process::ChildStderr, echo: bool) {
-        let Follows { log, tell, history, front, twin } = self;
+        let Follows {
+            log,
+            tell,
+            history,
+            front,
+            twin,
+        } = self;
         let mut lines = BufReader::new(lines).lines();
         while let Ok(Some(line)) = lines.next_line().await {
             if echo {
@@ -233,8 +274,11 @@
             let value: Value = serde_json::from_str(&line).unwrap_or(Value::Null);
             let fields = &value["fields"];
             let message = fields["message"].as_str().unwrap_or("");
-            let address =
-                |text: &str| text.rsplit(' ').next().and_then(|a| a.trim_end_matches(',').parse().ok());
+            let address = |text: &str| {
+                text.rsplit(' ')
+                    .next()
+                    .and_then(|a| a.trim_end_matches(',').parse().ok())
+            };
             if let Some((_, at)) = message.split_once(" listens on ") {
                 let at = at.split(',').next().and_then(|a| a.parse().ok());
                 tell.send_modify(|l| l.clients = at);
@@ -245,7 +289,12 @@
                 tell.send_modify(|l| l.fleet = at);
             }
             if let Some(what) = message.strip_prefix("fleet: ") {
-                history.note(Note { front, twin, what: what.to_string(), fields: fields.clone() });
+                history.note(Note {
+                    front,
+                    twin,
+                    what: what.to_string(),
+                    fields: fields.clone(),
+                });
             }
             let mut log = log.lock().unwrap_or_else(PoisonError::into_inner);
             if log.len() >= LOG_KEPT {
--- a/crates/fleet-rig/src/relay.rs
+++ b/crates/fleet-rig/src/relay.rs
@@ -78,7 +78,11 @@
         let mut ways = Vec::with_capacity(n * n);
         for at in 0..n * n {
             let own = at / n == at % n;
-            ways.push(if own { None } else { Some(Arc::new(UdpSocket::bind("127.0.0.1:0").await?)) });
+            ways.push(if own {
+                None
+            } else {
+                Some(Arc::new(UdpSocket::bind("127.0.0.1:0").await?))
+            });
         }
         let path = |at: usize| Path {
             fault: Mutex::default(),
@@ -125,10 +129,15 @@
         let n = self.pairs.n;
         let mut ways = Vec::new();
         for to in 0..n {
-            ways.push(if to == front { None } else { Some(Arc::new(UdpSocket::bind("127.0.0.1:0").await?)) });
+            ways.push(if to == front {
+                None
+            } else {
+                Some(Arc::new(UdpSocket::bind("127.0.0.1:0").await?))
+            });
         }
         for (to, way) in ways.iter().enumerate() {
-            let (Some(way), Some(back)) = (way.clone(), self.pairs.ways[front * n + to].clone()) else {
+            let (Some(way), Some(back)) = (way.clone(), self.pairs.ways[front * n + to].clone())
+            else {
                 continue;
             };
             self.tasks.spawn(async move {
@@ -138,7 +147,10 @@
                 }
             });
         }
-        *lock(&self.pairs.strays[front]) = Some(Stray { at, ways: Arc::new(ways) });
+        *lock(&self.pairs.strays[front]) = Some(Stray {
+            at,
+            ways: Arc::new(ways),
+        });
         Ok(())
     }
 
@@ -190,7 +202,9 @@
 
 async fn carry(pairs: Arc<Pairs>, from: usize, to: usize) {
     let at = from * pairs.n + to;
-    let Some(way) = pairs.ways[at].clone() else { return };
+    let Some(way) = pairs.ways[at].clone() else {
+        return;
+    };
     let mut buffer = [0; 2048];
     loop {
         let Ok((length, sender)) = way.recv_from(&mut buffer).await else {
@@ -201,7 +215,9 @@
         if *lock(&pairs.targets[from]) != Some(sender) {
             let stray = lock(&pairs.strays[from]).clone().filter(|s| s.at == sender);
             let way = stray.and_then(|s| s.ways[to].clone());
-            let (Some(way), Some(target)) = (way, *lock(&pairs.targets[to])) else { continue };
+            let (Some(way), Some(target)) = (way, *lock(&pairs.targets[to])) else {
+                continue;
+            };
             let _ = way.send_to(&buffer[..length], target).await;
             continue;
         }
@@ -261,7 +277,10 @@
     pub async fn new(target: Option<SocketAddr>) -> std::io::Result<Way> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (target, cut) = (Arc::new(Mutex::new(target)), Arc::new(AtomicBool::new(false)));
+        let (target, cut) = (
+            Arc::new(Mutex::new(target)),
+            Arc::new(AtomicBool::new(false)),
+        );
         let (to, off) = (target.clone(), cut.clone());
         let task = tokio::spawn(async move {
             let mut connections = JoinSet::new();
@@ -271,7 +290,12 @@
                 while connections.try_join_next().is_some() {}
             }
         });
-        Ok(Way { address, target, cut, task })
+        Ok(Way {
+            address,
+            target,
+            cut,
+            task,
+        })
     }
 
     /// Leads elsewhere from now on; none: nobody is there, and connections are refused at once.
@@ -297,7 +321,11 @@
     }
 }
 
-async fn pass(mut inner: TcpStream, to: Arc<Mutex<Option<SocketAddr>>>, off: Arc<AtomicBool>) -> Option<()> {
+async fn pass(
+    mut inner: TcpStream,
+    to: Arc<Mutex<Option<SocketAddr>>>,
+    off: Arc<AtomicBool>,
+) -> Option<()> {
     joined(&off).await;
     let target = (*lock(&to))?;
     let mut outer = TcpStream::connect(target).await.ok()?;
--- a/crates/fleet-rig/src/rig.rs
+++ b/crates/fleet-rig/src/rig.rs
@@ -99,7 +99,10 @@
         Err(e) => Err(e),
     };
     let _ = std::fs::remove_dir_all(&folder);
-    Ok(Played { witness: witness?, history })
+    Ok(Played {
+        witness: witness?,
+        history,
+    })
 }
 
 impl Rig {
@@ -115,12 +118,19 @@
             let shard = at % shards;
             // A node that forgets is met by many repeats, so that the planted fault shows each time.
             let resets = if script.spoilt { RESETS / 5 } else { RESETS };
-            let manner = Manner { resets, forgets: script.spoilt, ..manner(shard, dice.u64(..)) };
+            let manner = Manner {
+                resets,
+                forgets: script.spoilt,
+                ..manner(shard, dice.u64(..))
+            };
             let group = groups[shard as usize].clone();
             nodes.push((Node::start(manner, group).await?, None));
         }
         let mut fronts = Vec::new();
-        let upgraded = script.acts.iter().any(|(_, act)| matches!(act, Act::Upgrade { .. }));
+        let upgraded = script
+            .acts
+            .iter()
+            .any(|(_, act)| matches!(act, Act::Upgrade { .. }));
         for _ in 0..n {
             let discovery = Discovery::start(Vec::new()).await?;
             let mut ways = Vec::new();
@@ -147,7 +157,17 @@
         }
         let guard = Arc::new(Mutex::new(Guard::new()?));
         let cuts = vec![false; n * n];
-        Ok(Rig { plan, guard, history, relay, fronts, nodes, dice, deeds: Vec::new(), cuts })
+        Ok(Rig {
+            plan,
+            guard,
+            history,
+            relay,
+            fronts,
+            nodes,
+            dice,
+            deeds: Vec::new(),
+            cuts,
+        })
     }
 
     fn start_of(&mut self, front: u16, twin: bool) -> Result<Start<'_>, RigError> {
@@ -156,7 +176,11 @@
         let name = format!("n{front}");
         let f = &self.fronts[at];
         let seed = self.dice.u64(..);
-        let told = if script.spoilt { 1 } else { u32::from(script.fronts) };
+        let told = if script.spoilt {
+            1
+        } else {
+            u32::from(script.fronts)
+        };
         let mut config: Value = configuration(&name, f.news.address, seed, told);
         config["management"] = json!("127.0.0.1:0");
         let socket = match &f.socket {
@@ -173,16 +197,29 @@
         config["settings"]["safety"]["warmUp"] = json!(CAPACITY.2 * 1000.0);
         let mut operator = String::new();
         if script.fleet {
-            operator += &format!("[fleet]\nenabled = true\nname = \"{name}\"\nlisten = \"127.0.0.1:0\"\n");
+            operator +=
+                &format!("[fleet]\nenabled = true\nname = \"{name}\"\nlisten = \"127.0.0.1:0\"\n");
             operator += &format!("keys = {}\n{}\n", json!(f.keys), self.plan.fleet);
             for j in (0..script.fronts).filter(|j| !f.lacks.contains(j)) {
                 let address = self.relay.address(at, usize::from(j))?;
-                operator += &format!("[[fleet.member]]\nname = \"n{j}\"\naddress = \"{address}\"\n");
+                operator +=
+                    &format!("[[fleet.member]]\nname = \"n{j}\"\naddress = \"{address}\"\n");
             }
         }
         operator += &script.sections;
-        let folder = self.plan.folder.join(if twin { format!("{name}-twin") } else { name });
-        Ok(Start { program: &self.plan.program, folder, config, operator, front, twin, socket })
+        let folder = self
+            .plan
+            .folder
+            .join(if twin { format!("{name}-twin") } else { name });
+        Ok(Start {
+            program: &self.plan.program,
+            folder,
+            config,
+            operator,
+            front,
+            twin,
+            socket,
+        })
     }
 
     async fn start(&mut self, front: u16) -> Result<(), RigError> {
@@ -215,7 +252,9 @@
     /// A newer process of a front, at the addresses of its fleet that the older one leaves to it.
     async fn upgrade(&mut self, front: u16) -> Result<(), RigError> {
         let at = usize::from(front);
-        let Some(old) = self.fronts[at].process.take() else { return Ok(()) };
+        let Some(old) = self.fronts[at].process.take() else {
+            return Ok(());
+        };
         let (was, now) = (self.fronts[at].newer, !self.fronts[at].newer);
         let (guard, history) = (self.guard.clone(), self.history.clone());
         let mut start = self.start_of(front, false)?;
@@ -241,7 +280,8 @@
     }
 
     async fn act(&mut self, act: &Act) -> Result<(), RigError> {
-        self.history.did(serde_json::to_string(act).unwrap_or_default());
+        self.history
+            .did(serde_json::to_string(act).unwrap_or_default());
         self.deeds.push((now(), act.clone()));
         let n = usize::from(self.plan.script.fronts);
         match act {
@@ -272,7 +312,12 @@
                 self.relay.set(at.0, at.1, *fault);
             }
             Act::Net { fault } => {
-                self.relay.each(|_, _, f| *f = Fault { cut: f.cut, ..*fault });
+                self.relay.each(|_, _, f| {
+                    *f = Fault {
+                        cut: f.cut,
+                        ..*fault
+                    }
+                });
             }
             Act::Split { groups } => {
                 let of = |i: usize| groups.iter().position(|g| g.contains(&(i as u16)));
@@ -294,7 +339,10 @@
                 self.recut();
             }
             Act::Nodes { front, cut } => {
-                self.fronts[usize::from(*front)].nodes.iter().for_each(|w| w.cut(*cut));
+                self.fronts[usize::from(*front)]
+                    .nodes
+                    .iter()
+                    .for_each(|w| w.cut(*cut));
             }
             Act::Discovery { front, cut } => self.fronts[usize::from(*front)].news.cut(*cut),
             Act::Keep { on } => self.relay.keep(*on),
@@ -320,7 +368,8 @@
 
     fn recut(&self) {
         let n = self.fronts.len();
-        self.relay.each(|from, to, f| f.cut = self.cuts[from * n + to]);
+        self.relay
+            .each(|from, to, f| f.cut = self.cuts[from * n + to]);
     }
 
     fn signal(&self, front: u16, signal: Signal) {
@@ -412,7 +461,10 @@
             }
         };
         let _ = tokio::time::timeout(AFTER, rest).await;
-        let all = before.iter().enumerate().map(|(i, b)| (self.relay.sent(i), b));
+        let all = before
+            .iter()
+            .enumerate()
+            .map(|(i, b)| (self.relay.sent(i), b));
         let sent = all.map(|(sent, b)| (sent.0 - b.0, sent.1 - b.1)).collect();
         let seen = self.seen();
         let cpu_ms = self.cpu_ms();
@@ -422,7 +474,16 @@
         }
         self.end().await;
         let (history, deeds) = (self.history.all(), std::mem::take(&mut self.deeds));
-        Ok(Witness { span: from..to, history, deeds, seen, done, sent, processes: started, cpu_ms })
+        Ok(Witness {
+            span: from..to,
+            history,
+            deeds,
+            seen,
+            done,
+            sent,
+            processes: started,
+            cpu_ms,
+        })
     }
 
     /// Waits until all fronts agreed on a view of all, for a while.
@@ -431,9 +492,13 @@
         while Instant::now() < until {
             let mut majority = 0;
             for f in &self.fronts {
-                let Some(door) = f.process.as_ref().and_then(|p| p.listens.door) else { continue };
+                let Some(door) = f.process.as_ref().and_then(|p| p.listens.door) else {
+                    continue;
+                };
                 let told = ask_door(door, "fleet").await.unwrap_or(Value::Null);
-                let all = told["members"].as_array().is_some_and(|m| m.iter().all(|m| m["in_view"] == true));
+                let all = told["members"]
+                    .as_array()
+                    .is_some_and(|m| m.iter().all(|m| m["in_view"] == true));
                 majority += u16::from(all && told["stance"] == "majority");
             }
             if majority == fronts {
@@ -449,7 +514,9 @@
         let mut all = Vec::new();
         for (i, (node, cold)) in self.nodes.iter().enumerate() {
             for s in lock(&node.seen).iter() {
-                let at = epoch.1.saturating_sub(epoch.0.saturating_duration_since(s.at).as_micros() as u64);
+                let at = epoch
+                    .1
+                    .saturating_sub(epoch.0.saturating_duration_since(s.at).as_micros() as u64);
                 let (volume, units) = worded(&s.id).unwrap_or((0, 0));
                 all.push(Seen {
                     at,
@@ -471,7 +538,11 @@
     /// Processor time of all that live now.
     fn cpu_ms(&self) -> f64 {
         let of = |p: &Process| p.cpu_ms().unwrap_or(0.0);
-        self.fronts.iter().filter_map(|f| f.process.as_ref()).map(of).sum()
+        self.fronts
+            .iter()
+            .filter_map(|f| f.process.as_ref())
+            .map(of)
+            .sum()
     }
 
     async fn end(&mut self) {
@@ -493,11 +564,24 @@
 }
 
 fn manner(shard: u32, seed: u64) -> Manner {
-    Manner { shard, slots: 32, queue: 512, work: Duration::from_millis(2), seed, ..Manner::default() }
+    Manner {
+        shard,
+        slots: 32,
+        queue: 512,
+        work: Duration::from_millis(2),
+        seed,
+        ..Manner::default()
+    }
 }
 
 fn entry(node: usize, address: SocketAddr, shard: u32, started: u64) -> Entry {
-    Entry { name: format!("s-{node}"), address, shard, lifecycle: "SERVING", started }
+    Entry {
+        name: format!("s-{node}"),
+        address,
+        shard,
+        lifecycle: "SERVING",
+        started,
+    }
 }
 
 /// Asks a front at its door for one JSON object.
@@ -505,12 +589,17 @@
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let asked = async {
         let mut stream = tokio::net::TcpStream::connect(door).await.ok()?;
-        stream.write_all(format!("{call}\n").as_bytes()).await.ok()?;
+        stream
+            .write_all(format!("{call}\n").as_bytes())
+            .await
+            .ok()?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await.ok()?;
         serde_json::from_str(answer.lines().nth(1)?).ok()
     };
-    tokio::time::timeout(Duration::from_millis(1500), asked).await.ok()?
+    tokio::time::timeout(Duration::from_millis(1500), asked)
+        .await
+        .ok()?
 }
 
 /// The requests: each front of a volume's set is asked for more than its even part, at moments by chance.
@@ -528,17 +617,28 @@
 
 impl Load {
     fn new(script: &Script, seed: u64) -> Load {
-        let pairs =
-            (0..script.volumes).flat_map(|v| script.set(v).into_iter().map(move |f| (v, f))).collect();
+        let pairs = (0..script.volumes)
+            .flat_map(|v| script.set(v).into_iter().map(move |f| (v, f)))
+            .collect();
         let hosts = match script.spoilt {
             true => 1,
             false => u32::from(script.hosts.clamp(1, script.fronts)),
         };
-        let each = LIMIT.0 / f64::from(script.hosts.clamp(1, script.fronts)) / f64::from(UNITS) * DEMAND;
+        let each =
+            LIMIT.0 / f64::from(script.hosts.clamp(1, script.fronts)) / f64::from(UNITS) * DEMAND;
         let dice = fastrand::Rng::with_seed(seed);
         let pairs: Vec<(u16, u16)> = pairs;
         let per_s = each * pairs.len() as f64 * 1.15;
-        Load { dice, per_s, pairs, at: 0.0, number: 0, hosts, shards: shards(script), surge: 0.0 }
+        Load {
+            dice,
+            per_s,
+            pairs,
+            at: 0.0,
+            number: 0,
+            hosts,
+            shards: shards(script),
+            surge: 0.0,
+        }
     }
 
     /// So many shards there are; one more than before is that of a cold node.
@@ -549,7 +649,11 @@
     }
 
     fn next(&mut self, span: Duration) -> Option<(Duration, u16, Ask)> {
-        let more = if self.at < self.surge { COLD_DEMAND.0 / f64::from(UNITS) } else { 0.0 };
+        let more = if self.at < self.surge {
+            COLD_DEMAND.0 / f64::from(UNITS)
+        } else {
+            0.0
+        };
         let cold = self.dice.f64() * (self.per_s + more) < more;
         self.at += -(1.0 - self.dice.f64()).ln() / (self.per_s + more);
         let at = Duration::from_secs_f64(self.at);
@@ -562,7 +666,11 @@
         let limited = !cold && self.dice.u32(0..115) >= 15;
         let writes = !limited && !cold && self.dice.u32(0..4) > 0;
         let units = if limited || cold { UNITS } else { 1 };
-        let volume = if limited { u64::from(volume) + 1 } else { 10_000 + u64::from(volume) };
+        let volume = if limited {
+            u64::from(volume) + 1
+        } else {
+            10_000 + u64::from(volume)
+        };
         let ask = Ask {
             id: format!("{volume:08x}{units:02x}{:016x}", self.number),
             class: if writes { "new-write" } else { "read" },
@@ -584,5 +692,8 @@
 }
 
 fn worded(id: &str) -> Option<(u64, u32)> {
-    Some((u64::from_str_radix(id.get(..8)?, 16).ok()?, u32::from_str_radix(id.get(8..10)?, 16).ok()?))
+    Some((
+        u64::from_str_radix(id.get(..8)?, 16).ok()?,
+        u32::from_str_radix(id.get(8..10)?, 16).ok()?,
+    ))
 }
--- a/crates/fleet-rig/src/script.rs
+++ b/crates/fleet-rig/src/script.rs
@@ -204,7 +204,9 @@
         let hosts = self.hosts.clamp(1, self.fronts);
         // Spread round the fleet, so that sets overlap.
         let first = usize::from(volume) * 2 % usize::from(self.fronts);
-        (0..hosts).map(|k| ((first + usize::from(k)) % usize::from(self.fronts)) as u16).collect()
+        (0..hosts)
+            .map(|k| ((first + usize::from(k)) % usize::from(self.fronts)) as u16)
+            .collect()
     }
 
     /// Its faults as a file has them.
--- a/crates/fleet-rig/src/stage.rs
+++ b/crates/fleet-rig/src/stage.rs
@@ -35,7 +35,11 @@
     /// A stage without nodes, for this program.
     pub async fn new(program: PathBuf) -> Result<Stage, RigError> {
         static NUMBER: AtomicU64 = AtomicU64::new(0);
-        let name = format!("lupinrack-stage-{}-{}", std::process::id(), NUMBER.fetch_add(1, Relaxed));
+        let name = format!(
+            "lupinrack-stage-{}-{}",
+            std::process::id(),
+            NUMBER.fetch_add(1, Relaxed)
+        );
         Ok(Stage {
             discovery: Discovery::start(Vec::new()).await?,
             nodes: Vec::new(),
@@ -49,7 +53,10 @@
 
     /// Starts a node, which is not listed yet; nodes of one shard share a memory of writes.
     pub async fn node(&mut self, manner: Manner) -> Result<usize, RigError> {
-        let (shard, group) = (manner.shard, self.groups.entry(manner.shard).or_default().clone());
+        let (shard, group) = (
+            manner.shard,
+            self.groups.entry(manner.shard).or_default().clone(),
+        );
         self.nodes.push((Node::start(manner, group).await?, shard));
         Ok(self.nodes.len() - 1)
     }
@@ -58,11 +65,22 @@
     pub fn list(&self, at: usize, lifecycle: &'static str) -> u64 {
         let (node, shard) = &self.nodes[at];
         let (name, address) = (format!("s-{at}"), node.address);
-        self.discovery.set(Entry { name, address, shard: *shard, lifecycle, started: 0 })
+        self.discovery.set(Entry {
+            name,
+            address,
+            shard: *shard,
+            lifecycle,
+            started: 0,
+        })
     }
 
     /// Starts a process of the program and waits until it listens.
-    pub async fn front(&self, number: u16, mut config: Value, operator: String) -> Result<Process, RigError> {
+    pub async fn front(
+        &self,
+        number: u16,
+        mut config: Value,
+        operator: String,
+    ) -> Result<Process, RigError> {
         config["management"] = json!("127.0.0.1:0");
         let folder = self.folder.join(format!("n{number}"));
         let start = Start {
@@ -82,7 +100,10 @@
         process.signal(Signal::SIGTERM);
         match process.ended(ENDS).await {
             Some(status) if status.success() => Ok(()),
-            status => Err(RigError::End { status: format!("{status:?}"), log: process.said() }),
+            status => Err(RigError::End {
+                status: format!("{status:?}"),
+                log: process.said(),
+            }),
         }
     }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -82,7 +82,12 @@
     pub fn new(section: &Section, me: u16, life: u64, seed: u64, now: Micros) -> Hub {
         let front = Front::new(section, me, life, seed, now);
         let streams = Streams::new(front.room(), seed.rotate_left(17));
-        Hub { front, streams, outs: Vec::new(), pieces: Vec::new() }
+        Hub {
+            front,
+            streams,
+            outs: Vec::new(),
+            pieces: Vec::new(),
+        }
     }
 
     /// How often [`Hub::tick`] is to be called.
@@ -121,8 +126,11 @@
         let (told, mut share) = (self.front.told(now), self.front.share(now));
         // One that holds nothing stays as it is until it does.
         share.until = if share.until > now { share.until } else { 0 };
-        let there =
-            told.members.iter().enumerate().filter(|(i, m)| *i == usize::from(told.me) || m.state.there());
+        let there = told
+            .members
+            .iter()
+            .enumerate()
+            .filter(|(i, m)| *i == usize::from(told.me) || m.state.there());
         Standing {
             me: told.me,
             fronts: told.members.len() as u16,
@@ -137,7 +145,14 @@
     }
 
     /// Says something to a front's machine, once; false where it may not go now: to nobody that is met, too long, or over budget.
-    pub fn say(&mut self, now: Micros, to: u16, tag: Tag, bytes: &[u8], out: &mut Vec<Out>) -> bool {
+    pub fn say(
+        &mut self,
+        now: Micros,
+        to: u16,
+        tag: Tag,
+        bytes: &[u8],
+        out: &mut Vec<Out>,
+    ) -> bool {
         let may = tag != Tag::MEMBERSHIP && self.front.may_carry(now, to, tag, bytes.len());
         if may {
             self.front.carry_to(to, tag, bytes, &mut self.outs);
@@ -181,10 +196,16 @@
     /// Has pieces of streams go that are due.
     fn flow(&mut self, now: Micros, out: &mut Vec<Out>) {
         let front = &mut self.front;
-        self.streams.tick(now, |to, bytes| front.may_carry(now, to, Tag::STREAM, bytes), &mut self.pieces);
+        self.streams.tick(
+            now,
+            |to, bytes| front.may_carry(now, to, Tag::STREAM, bytes),
+            &mut self.pieces,
+        );
         for piece in std::mem::take(&mut self.pieces) {
             match piece {
-                stream::Out::Piece(to, body) => self.front.carry_to(to, Tag::STREAM, &body, &mut self.outs),
+                stream::Out::Piece(to, body) => {
+                    self.front.carry_to(to, Tag::STREAM, &body, &mut self.outs)
+                }
                 other => self.ended(other, out),
             }
         }
@@ -194,7 +215,12 @@
     fn ended(&mut self, what: stream::Out, out: &mut Vec<Out>) {
         match what {
             stream::Out::Came(from, tag, bytes) => {
-                out.push(Out::Said(Said { from, tag, bytes, streamed: true }));
+                out.push(Out::Said(Said {
+                    from,
+                    tag,
+                    bytes,
+                    streamed: true,
+                }));
             }
             stream::Out::Done(to, tag, number) => out.push(Out::Ended(to, tag, number, true)),
             stream::Out::Lost(to, tag, number) => out.push(Out::Ended(to, tag, number, false)),
@@ -227,7 +253,12 @@
                     went = true;
                 }
                 Output::Carried(from, tag, bytes) => {
-                    out.push(Out::Said(Said { from, tag, bytes, streamed: false }));
+                    out.push(Out::Said(Said {
+                        from,
+                        tag,
+                        bytes,
+                        streamed: false,
+                    }));
                 }
                 Output::Reborn(of) => {
                     let mut pieces = Vec::new();
--- a/crates/fleet/tests/hub.rs
+++ b/crates/fleet/tests/hub.rs
@@ -15,8 +15,19 @@
 
 fn section(n: u16) -> Section {
     let address = |i: u16| std::net::SocketAddr::from(([127, 0, 0, 1], 1 + i));
-    let member = (0..n).map(|i| Peer { name: format!("n{i}"), address: address(i) }).collect();
-    Section { enabled: true, name: "n0".into(), member, keys: vec!["07".repeat(32)], ..Section::default() }
+    let member = (0..n)
+        .map(|i| Peer {
+            name: format!("n{i}"),
+            address: address(i),
+        })
+        .collect();
+    Section {
+        enabled: true,
+        name: "n0".into(),
+        member,
+        keys: vec!["07".repeat(32)],
+        ..Section::default()
+    }
 }
 
 /// Fronts on one clock; a datagram takes 1 ms, and one in `loses` is lost.
@@ -33,7 +44,15 @@
 
 impl Fleet {
     fn new(n: u16, loses: u32) -> Fleet {
-        let hub = |i: u16| Some(Hub::new(&section(n), i, 100 + u64::from(i), u64::from(i), START));
+        let hub = |i: u16| {
+            Some(Hub::new(
+                &section(n),
+                i,
+                100 + u64::from(i),
+                u64::from(i),
+                START,
+            ))
+        };
         Fleet {
             hubs: (0..n).map(hub).collect(),
             now: START,
@@ -53,7 +72,8 @@
                     assert!(bytes.len() <= 256);
                     if self.loses == 0 || self.dice.u32(0..self.loses) > 0 {
                         self.number += 1;
-                        self.way.insert((self.now + MS, self.number), (of, to, bytes));
+                        self.way
+                            .insert((self.now + MS, self.number), (of, to, bytes));
                     }
                 }
                 Out::Said(said) => self.said[usize::from(of)].push(said),
@@ -65,7 +85,11 @@
 
     fn with<T>(&mut self, of: u16, act: impl FnOnce(&mut Hub, Micros, &mut Vec<Out>) -> T) -> T {
         let mut out = Vec::new();
-        let done = act(self.hubs[usize::from(of)].as_mut().expect("it lives"), self.now, &mut out);
+        let done = act(
+            self.hubs[usize::from(of)].as_mut().expect("it lives"),
+            self.now,
+            &mut out,
+        );
         self.carry(of, out);
         done
     }
@@ -77,7 +101,9 @@
             while let Some(next) = self.way.first_entry().filter(|e| e.key().0 <= self.now) {
                 let (from, to, bytes) = next.remove();
                 if self.hubs[usize::from(to)].is_some() {
-                    self.with(to, |h, now, out| h.datagram(now, Source::Peer(from), &bytes, out));
+                    self.with(to, |h, now, out| {
+                        h.datagram(now, Source::Peer(from), &bytes, out)
+                    });
                 }
             }
             if self.now.rem_euclid(25 * MS) == 0 {
@@ -92,7 +118,11 @@
     }
 
     fn stances(&self) -> Vec<Stance> {
-        self.hubs.iter().flatten().map(|h| h.standing(self.now).stance).collect()
+        self.hubs
+            .iter()
+            .flatten()
+            .map(|h| h.standing(self.now).stance)
+            .collect()
     }
 }
 
@@ -100,36 +130,65 @@
 fn long_messages_come_whole_over_a_network_that_loses_one_in_five() {
     let mut fleet = Fleet::new(3, 5);
     fleet.pass(4_000 * MS, |_| {});
-    let message = |k: u8| vec![k; if k.is_multiple_of(2) { MESSAGE_MOST } else { 700 }];
+    let message = |k: u8| {
+        vec![
+            k;
+            if k.is_multiple_of(2) {
+                MESSAGE_MOST
+            } else {
+                700
+            }
+        ]
+    };
     for k in 0..4 {
-        let taken = fleet.with(0, |h, now, out| h.stream(now, 1, Tag::REGISTRY, message(k), out));
+        let taken = fleet.with(0, |h, now, out| {
+            h.stream(now, 1, Tag::REGISTRY, message(k), out)
+        });
         assert_eq!(taken, Ok(u32::from(k) + 1));
     }
     fleet.pass(30_000 * MS, |_| {});
     let came: Vec<&Said> = fleet.said[1].iter().filter(|s| s.streamed).collect();
     assert_eq!(came.len(), 4);
-    assert!(came.iter().enumerate().all(|(k, s)| s.bytes == message(k as u8) && s.from == 0));
-    assert_eq!(fleet.ended, (1..5).map(|k| (1, k, true)).collect::<Vec<_>>());
+    assert!(came
+        .iter()
+        .enumerate()
+        .all(|(k, s)| s.bytes == message(k as u8) && s.from == 0));
+    assert_eq!(
+        fleet.ended,
+        (1..5).map(|k| (1, k, true)).collect::<Vec<_>>()
+    );
 }
 
 #[test]
 fn a_machine_that_floods_moves_no_front_of_the_fleet_and_no_lease() {
     let mut fleet = Fleet::new(5, 0);
     fleet.pass(12_000 * MS, |_| {});
-    assert!(fleet.stances().iter().all(|s| *s == Stance::Majority), "{:?}", fleet.stances());
+    assert!(
+        fleet.stances().iter().all(|s| *s == Stance::Majority),
+        "{:?}",
+        fleet.stances()
+    );
     let views = fleet.hubs[0].as_ref().unwrap().standing(fleet.now).view;
     let mut went = 0;
     fleet.pass(10_000 * MS, |fleet| {
         for of in 0..5 {
             for to in (0..5).filter(|to| *to != of) {
-                let said = fleet.with(of, |h, now, out| h.say(now, to, Tag::MISSING, &[1; 200], out));
+                let said = fleet.with(of, |h, now, out| {
+                    h.say(now, to, Tag::MISSING, &[1; 200], out)
+                });
                 went += u32::from(said);
             }
         }
         assert!(fleet.stances().iter().all(|s| *s == Stance::Majority));
     });
-    assert!(went > 1_000 && went < 5 * 10 * 250, "bounded, and not starved: {went}");
-    assert_eq!(fleet.hubs[0].as_ref().unwrap().standing(fleet.now).view, views);
+    assert!(
+        went > 1_000 && went < 5 * 10 * 250,
+        "bounded, and not starved: {went}"
+    );
+    assert_eq!(
+        fleet.hubs[0].as_ref().unwrap().standing(fleet.now).view,
+        views
+    );
 }
 
 #[test]
@@ -137,15 +196,22 @@
     let mut fleet = Fleet::new(3, 0);
     fleet.pass(4_000 * MS, |_| {});
     fleet.hubs[2] = None;
-    let first = fleet.with(0, |h, now, out| h.stream(now, 2, Tag::OVERLOAD, vec![1; 5_000], out));
+    let first = fleet.with(0, |h, now, out| {
+        h.stream(now, 2, Tag::OVERLOAD, vec![1; 5_000], out)
+    });
     fleet.pass(1_000 * MS, |_| {});
     fleet.hubs[2] = Some(Hub::new(&section(3), 2, 999, 5, fleet.now));
     fleet.pass(3_000 * MS, |_| {});
-    let second = fleet.with(0, |h, now, out| h.stream(now, 2, Tag::OVERLOAD, vec![2; 5_000], out));
+    let second = fleet.with(0, |h, now, out| {
+        h.stream(now, 2, Tag::OVERLOAD, vec![2; 5_000], out)
+    });
     fleet.pass(3_000 * MS, |_| {});
     let ends: Vec<bool> = fleet.ended.iter().map(|e| e.2).collect();
     assert_eq!((first, second, ends), (Ok(1), Ok(2), vec![false, true]));
-    assert_eq!(fleet.said[2].last().map(|s| s.bytes.clone()), Some(vec![2; 5_000]));
+    assert_eq!(
+        fleet.said[2].last().map(|s| s.bytes.clone()),
+        Some(vec![2; 5_000])
+    );
     // To one whose life is not known nothing is said at all.
     let mut alone = Hub::new(&section(3), 0, 5, 5, START);
     assert!(!alone.say(START, 1, Tag::OVERLOAD, b"x", &mut Vec::new()));
--- a/crates/flows/src/config.rs
+++ b/crates/flows/src/config.rs
@@ -75,6 +75,10 @@
     pub fn new(section: Section) -> Option<Self> {
         let template_every = Duration::from_millis(section.template_every_ms.max(100));
         let domain = section.observation_domain;
-        section.enabled.then_some(IpfixConfig { collector: section.collector, domain, template_every })
+        section.enabled.then_some(IpfixConfig {
+            collector: section.collector,
+            domain,
+            template_every,
+        })
     }
 }
--- a/crates/flows/src/lib.rs
+++ b/crates/flows/src/lib.rs
@@ -72,7 +72,9 @@
         let mut to = BytesMut::with_capacity(16 + sets.len());
         to.put_u16(10);
         to.put_u16((16 + sets.len()) as u16);
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         to.put_u32(now.as_secs() as u32);
         // The number of data records sent before this message.
         to.put_u32(self.sequence);
@@ -98,7 +100,10 @@
 
 fn template() -> BytesMut {
     let mut to = BytesMut::new();
-    let length = 8 + FIELDS.iter().map(|f| if f.2 { 8 } else { 4 }).sum::<usize>();
+    let length = 8 + FIELDS
+        .iter()
+        .map(|f| if f.2 { 8 } else { 4 })
+        .sum::<usize>();
     to.put_u16(2);
     to.put_u16(length as u16);
     to.put_u16(TEMPLATE);
@@ -119,10 +124,18 @@
     unix_offset: Micros,
     mut flows: mpsc::Receiver<Flow>,
 ) -> std::io::Result<()> {
-    let any = if config.collector.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
+    let any = if config.collector.is_ipv4() {
+        "0.0.0.0:0"
+    } else {
+        "[::]:0"
+    };
     let socket = UdpSocket::bind(any).await?;
     socket.connect(config.collector).await?;
-    let mut messages = Messages { domain: config.domain, sequence: 0, unix_offset };
+    let mut messages = Messages {
+        domain: config.domain,
+        sequence: 0,
+        unix_offset,
+    };
     let length = FIELDS.iter().map(|f| usize::from(f.1)).sum::<usize>();
     let most = (MESSAGE_MOST - 16 - template().len() - 4) / length;
     let (mut batch, mut told): (Vec<Flow>, Option<Instant>) = (Vec::new(), None);
@@ -135,7 +148,9 @@
         }
         sets.put_u16(TEMPLATE);
         sets.put_u16((4 + batch.len() * length) as u16);
-        batch.iter().for_each(|flow| messages.record(flow, &mut sets));
+        batch
+            .iter()
+            .for_each(|flow| messages.record(flow, &mut sets));
         let message = messages.message(&sets, batch.len() as u32);
         batch.clear();
         // An error here (nobody listens) tells of an earlier message; what is lost is lost.
--- a/crates/flows/tests/golden.rs
+++ b/crates/flows/tests/golden.rs
@@ -57,15 +57,26 @@
         bytes: 0,
         ..flow(0, FlowEnd::Served)
     };
-    let large = Flow { units: 1e12, bytes: u64::MAX, attempts: u16::MAX, ..flow(255, FlowEnd::Failed) };
+    let large = Flow {
+        units: 1e12,
+        bytes: u64::MAX,
+        attempts: u16::MAX,
+        ..flow(255, FlowEnd::Failed)
+    };
     vec![("early", early), ("large", large)]
 }
 
 /// Runs an exporter and returns its messages, one for each batch.
 async fn messages(template_every: Duration, batches: Vec<Vec<Flow>>) -> Vec<Vec<u8>> {
-    let collector = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a socket");
+    let collector = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))
+        .await
+        .expect("a socket");
     let address = collector.local_addr().expect("an address");
-    let config = IpfixConfig { collector: address, domain: 0x0a0b_0c0d, template_every };
+    let config = IpfixConfig {
+        collector: address,
+        domain: 0x0a0b_0c0d,
+        template_every,
+    };
     let (sender, receiver) = mpsc::channel(lupinrack_flows::WAITING_MOST);
     let mut batches = batches.into_iter();
     // The first batch waits before the exporter begins, so that it comes whole.
@@ -102,14 +113,22 @@
 fn take(bytes: &mut &[u8], length: usize) -> u64 {
     let (number, rest) = bytes.split_at(length);
     *bytes = rest;
-    number.iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
+    number
+        .iter()
+        .fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
 
 /// The sets of a message by their numbers; checks the header of RFC 7011, section 3.1.
 fn sets(message: &[u8], sequence: u64) -> Vec<(u64, &[u8])> {
     let mut rest = message;
-    assert_eq!((take(&mut rest, 2), take(&mut rest, 2)), (10, message.len() as u64));
-    assert_eq!((take(&mut rest, 4), take(&mut rest, 4), take(&mut rest, 4)), (0, sequence, 0x0a0b_0c0d));
+    assert_eq!(
+        (take(&mut rest, 2), take(&mut rest, 2)),
+        (10, message.len() as u64)
+    );
+    assert_eq!(
+        (take(&mut rest, 4), take(&mut rest, 4), take(&mut rest, 4)),
+        (0, sequence, 0x0a0b_0c0d)
+    );
     let mut sets = Vec::new();
     while !rest.is_empty() {
         let number = take(&mut rest, 2);
@@ -122,7 +141,10 @@
 }
 
 fn check_template(mut set: &[u8]) {
-    assert_eq!((take(&mut set, 2), take(&mut set, 2)), (u64::from(TEMPLATE), FIELDS.len() as u64));
+    assert_eq!(
+        (take(&mut set, 2), take(&mut set, 2)),
+        (u64::from(TEMPLATE), FIELDS.len() as u64)
+    );
     for (element, length, own) in FIELDS {
         let own_bit = if own { 0x8000 } else { 0 };
         assert_eq!(take(&mut set, 2), u64::from(element) | own_bit);
@@ -138,7 +160,12 @@
 fn record_fields(mut set: &[u8]) -> Vec<Vec<u64>> {
     let mut records = Vec::new();
     while !set.is_empty() {
-        records.push(FIELDS.iter().map(|field| take(&mut set, usize::from(field.1))).collect());
+        records.push(
+            FIELDS
+                .iter()
+                .map(|field| take(&mut set, usize::from(field.1)))
+                .collect(),
+        );
     }
     records
 }
@@ -162,8 +189,11 @@
 async fn messages_have_the_form_that_collectors_get() {
     let seldom = Duration::from_secs(3_600);
     let mut file = GoldenFile::new("messages.txt");
-    let batches =
-        vec![only_flows(flows()), vec![flow(5, FlowEnd::Served)], vec![flow(6, FlowEnd::ClientGone)]];
+    let batches = vec![
+        only_flows(flows()),
+        vec![flow(5, FlowEnd::Served)],
+        vec![flow(6, FlowEnd::ClientGone)],
+    ];
     let sent = messages(seldom, batches).await;
     file.add_bytes("template and a record of each end", &sent[0]);
     file.add_bytes("without template, sequence 4", &sent[1]);
@@ -172,13 +202,21 @@
         let sent = messages(seldom, vec![vec![flow]]).await;
         file.add_bytes(format!("{name} alone"), &sent[0]);
     }
-    let every_time =
-        messages(Duration::ZERO, vec![vec![flow(1, FlowEnd::Served)], vec![flow(2, FlowEnd::Served)]]).await;
+    let every_time = messages(
+        Duration::ZERO,
+        vec![
+            vec![flow(1, FlowEnd::Served)],
+            vec![flow(2, FlowEnd::Served)],
+        ],
+    )
+    .await;
     file.add_bytes("template again, sequence 1", &every_time[1]);
     let kept = file.check();
 
     let first = unhex(&kept["template and a record of each end"]);
-    let [(2, template), (256, data)] = sets(&first, 0)[..] else { panic!("a template and records") };
+    let [(2, template), (256, data)] = sets(&first, 0)[..] else {
+        panic!("a template and records")
+    };
     check_template(template);
     let expected = [
         expected_fields(1, 3, 0),
@@ -188,17 +226,23 @@
     ];
     assert_eq!(record_fields(data), expected);
     let last = unhex(&kept["without template, sequence 5"]);
-    let [(256, data)] = sets(&last, 5)[..] else { panic!("records alone") };
+    let [(256, data)] = sets(&last, 5)[..] else {
+        panic!("records alone")
+    };
     assert_eq!(record_fields(data), [expected_fields(6, 4, 3)]);
     let again = unhex(&kept["template again, sequence 1"]);
-    let [(2, template), (256, data)] = sets(&again, 1)[..] else { panic!("a template and records") };
+    let [(2, template), (256, data)] = sets(&again, 1)[..] else {
+        panic!("a template and records")
+    };
     check_template(template);
     assert_eq!(record_fields(data), [expected_fields(2, 3, 0)]);
 }
 
 #[tokio::test]
 async fn a_batch_that_is_too_long_is_split() {
-    let many: Vec<Flow> = (0..60).map(|number| flow(number, FlowEnd::Served)).collect();
+    let many: Vec<Flow> = (0..60)
+        .map(|number| flow(number, FlowEnd::Served))
+        .collect();
     let sent = messages(Duration::from_secs(3_600), vec![many, Vec::new()]).await;
     let records = |message: &[u8], sequence| -> Vec<u64> {
         let all = sets(message, sequence);
@@ -222,17 +266,30 @@
 #[test]
 fn the_section_is_read_as_before() {
     let parse = |text: &str| IpfixConfig::parse(text).expect("a section");
-    assert!(parse("collector = '127.0.0.1:4739'").is_none(), "off unless it is said");
+    assert!(
+        parse("collector = '127.0.0.1:4739'").is_none(),
+        "off unless it is said"
+    );
     let least = parse("enabled = true\ncollector = '127.0.0.1:4739'").expect("enabled");
-    assert_eq!((least.collector, least.domain), (SocketAddr::from(([127, 0, 0, 1], 4739)), 1));
+    assert_eq!(
+        (least.collector, least.domain),
+        (SocketAddr::from(([127, 0, 0, 1], 4739)), 1)
+    );
     assert_eq!(least.template_every, Duration::from_secs(10));
-    let full = "enabled = true\ncollector = '[::1]:1'\nobservation_domain = 7\ntemplate_every_ms = 2500";
+    let full =
+        "enabled = true\ncollector = '[::1]:1'\nobservation_domain = 7\ntemplate_every_ms = 2500";
     let full = parse(full).expect("enabled");
-    assert_eq!((full.collector.to_string().as_str(), full.domain), ("[::1]:1", 7));
+    assert_eq!(
+        (full.collector.to_string().as_str(), full.domain),
+        ("[::1]:1", 7)
+    );
     assert_eq!(full.template_every, Duration::from_millis(2_500));
-    let often = parse("enabled = true\ncollector = '[::1]:1'\ntemplate_every_ms = 1").expect("enabled");
+    let often =
+        parse("enabled = true\ncollector = '[::1]:1'\ntemplate_every_ms = 1").expect("enabled");
     assert_eq!(often.template_every, Duration::from_millis(100));
-    assert!(IpfixConfig::load(Path::new("/nowhere/ipfix.toml")).expect("no file").is_none());
+    assert!(IpfixConfig::load(Path::new("/nowhere/ipfix.toml"))
+        .expect("no file")
+        .is_none());
 }
 
 #[test]
@@ -243,15 +300,23 @@
         ("not toml", "enabled"),
         ("unknown key", "collector = '127.0.0.1:4739'\nmood = 1"),
         ("not an address", "collector = 'here'"),
-        ("negative domain", "collector = '127.0.0.1:4739'\nobservation_domain = -1"),
+        (
+            "negative domain",
+            "collector = '127.0.0.1:4739'\nobservation_domain = -1",
+        ),
     ];
     for (name, text) in texts {
         let error = IpfixConfig::parse(text).expect_err(name);
         file.add(name, error.to_string().escape_debug().to_string());
     }
     let folder = std::env::temp_dir();
-    let error = IpfixConfig::load(&folder).expect_err("a folder is no file").to_string();
-    file.add("not a file", error.replace(&folder.display().to_string(), "FOLDER"));
+    let error = IpfixConfig::load(&folder)
+        .expect_err("a folder is no file")
+        .to_string();
+    file.add(
+        "not a file",
+        error.replace(&folder.display().to_string(), "FOLDER"),
+    );
     file.check();
 }
 
--- a/crates/golden-files/src/golden_file.rs
+++ b/crates/golden-files/src/golden_file.rs
@@ -22,9 +22,13 @@
 
 impl Example {
     fn parse(line: &str) -> Example {
-        let (name, encoding) =
-            line.split_once(SEPARATOR).unwrap_or_else(|| panic!("a line without a name: {line}"));
-        Example { name: name.to_owned(), encoding: encoding.to_owned() }
+        let (name, encoding) = line
+            .split_once(SEPARATOR)
+            .unwrap_or_else(|| panic!("a line without a name: {line}"));
+        Example {
+            name: name.to_owned(),
+            encoding: encoding.to_owned(),
+        }
     }
 
     fn render(&self) -> String {
@@ -50,9 +54,17 @@
     /// Where a line of the file has no name.
     pub fn open(path: impl AsRef<Path>) -> GoldenFile {
         let path = path.as_ref().to_owned();
-        let text = if is_update() { String::new() } else { read(&path) };
+        let text = if is_update() {
+            String::new()
+        } else {
+            read(&path)
+        };
         let kept = text.lines().map(Example::parse).collect();
-        GoldenFile { path, kept, built: Vec::new() }
+        GoldenFile {
+            path,
+            kept,
+            built: Vec::new(),
+        }
     }
 
     /// Adds an example whose encoding is a text of one line.
@@ -62,8 +74,14 @@
     /// Where the text has several lines, or the name holds the separator.
     pub fn text(&mut self, name: &str, text: &str) {
         assert!(!text.contains('\n'), "{name}: the text has several lines");
-        assert!(!name.contains(SEPARATOR), "{name}: the name holds a separator");
-        self.built.push(Example { name: name.to_owned(), encoding: text.to_owned() });
+        assert!(
+            !name.contains(SEPARATOR),
+            "{name}: the name holds a separator"
+        );
+        self.built.push(Example {
+            name: name.to_owned(),
+            encoding: text.to_owned(),
+        });
     }
 
     /// Adds an example whose encoding is binary.
@@ -84,12 +102,18 @@
         self.bytes(name, &bytes);
         let bytes = self.kept_bytes(name).unwrap_or(bytes);
         let decoded = T::try_from_slice(&bytes).unwrap_or_else(|error| panic!("{name}: {error}"));
-        assert_eq!(decoded, *value, "{name}: the kept form is that of another value");
+        assert_eq!(
+            decoded, *value,
+            "{name}: the kept form is that of another value"
+        );
     }
 
     /// The text of an example as the file keeps it; none where it does not, or while files are updated.
     pub fn kept_text(&self, name: &str) -> Option<&str> {
-        self.kept.iter().find(|example| example.name == name).map(|example| example.encoding.as_str())
+        self.kept
+            .iter()
+            .find(|example| example.name == name)
+            .map(|example| example.encoding.as_str())
     }
 
     /// The bytes of an example as the file keeps them; none where it does not, or while files are updated.
@@ -104,8 +128,17 @@
     /// Where an example differs, where the file has one that was not built or lacks one that was, or where two have the
     /// same name.
     pub fn finish(self) {
-        let names: BTreeSet<&str> = self.built.iter().map(|example| example.name.as_str()).collect();
-        assert_eq!(names.len(), self.built.len(), "{}: a name is used twice", self.path.display());
+        let names: BTreeSet<&str> = self
+            .built
+            .iter()
+            .map(|example| example.name.as_str())
+            .collect();
+        assert_eq!(
+            names.len(),
+            self.built.len(),
+            "{}: a name is used twice",
+            self.path.display()
+        );
         let text: String = self.built.iter().map(Example::render).collect();
         compare_text(&self.path, &text);
     }
@@ -124,16 +157,30 @@
     }
     let kept = read(path);
     let differences = differing_lines(&kept, text);
-    assert!(differences.is_empty(), "{} differs:\n{}", path.display(), differences.join("\n"));
-    assert_eq!(kept, text, "{} differs in its order or its last line", path.display());
+    assert!(
+        differences.is_empty(),
+        "{} differs:\n{}",
+        path.display(),
+        differences.join("\n")
+    );
+    assert_eq!(
+        kept,
+        text,
+        "{} differs in its order or its last line",
+        path.display()
+    );
 }
 
 /// The lines that only one of the texts has, `-` before those kept and `+` before those built.
 fn differing_lines(kept: &str, built: &str) -> Vec<String> {
     let kept_lines: BTreeSet<&str> = kept.lines().collect();
     let built_lines: BTreeSet<&str> = built.lines().collect();
-    let gone = kept_lines.difference(&built_lines).map(|line| format!("- {line}"));
-    let new = built_lines.difference(&kept_lines).map(|line| format!("+ {line}"));
+    let gone = kept_lines
+        .difference(&built_lines)
+        .map(|line| format!("- {line}"));
+    let new = built_lines
+        .difference(&kept_lines)
+        .map(|line| format!("+ {line}"));
     gone.chain(new).collect()
 }
 
--- a/crates/http/src/accept.rs
+++ b/crates/http/src/accept.rs
@@ -67,7 +67,10 @@
 /// Takes connections, at most `most` at once, until the front is closing; then finishes what was taken.
 pub async fn run(listener: TcpListener, front: Front, most: usize) {
     let (mut phase, ending, last) = (front.phase.clone(), front.phase.clone(), front.last);
-    let app = Router::new().route("/health/ready", get(ready)).fallback(take).with_state(front);
+    let app = Router::new()
+        .route("/health/ready", get(ready))
+        .fallback(take)
+        .with_state(front);
     let connections = GracefulShutdown::new();
     let places = Places::new(most);
     // A connection that was taken is served, also where the end comes while it waits for its place.
@@ -75,7 +78,10 @@
         let _ = stream.set_nodelay(true);
         let (gate, visit) = Gate::new(stream, ending.clone());
         let place = places.take(number, &visit).await;
-        let service = Visited { app: TowerToHyperService::new(app.clone()), visit };
+        let service = Visited {
+            app: TowerToHyperService::new(app.clone()),
+            visit,
+        };
         let connection = http1::Builder::new()
             .header_read_timeout(None)
             .max_buf_size(gate::HEAD_MOST)
@@ -143,8 +149,14 @@
             // Answered before its request had come whole, or to an end that cannot be told: nothing that follows
             // on this connection may be taken for a request.
             let passing = response.extensions_mut().remove::<OnItsWay>().is_some();
-            if !(if passing { visit.passes_on() } else { visit.answered() }) {
-                response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+            if !(if passing {
+                visit.passes_on()
+            } else {
+                visit.answered()
+            }) {
+                response
+                    .headers_mut()
+                    .insert(header::CONNECTION, HeaderValue::from_static("close"));
             }
             Ok(response)
         })
@@ -178,7 +190,12 @@
         },
         Err(why) => {
             let told = front.told.borrow();
-            malformed(&why, told.module.retry_after.then_some(told.module.max_retry_after))
+            malformed(
+                &why,
+                told.module
+                    .retry_after
+                    .then_some(told.module.max_retry_after),
+            )
         }
     };
     if let Some(life) = life {
@@ -189,7 +206,9 @@
         });
     }
     if *front.phase.borrow() >= front.last {
-        response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+        response
+            .headers_mut()
+            .insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     response
 }
@@ -207,7 +226,10 @@
     }
     let told = front.told.borrow().clone();
     let (mut wanted, patience) = intake::head(&told, &parts)?;
-    let class = told.classes.get(usize::from(wanted.class)).map_or("", String::as_str);
+    let class = told
+        .classes
+        .get(usize::from(wanted.class))
+        .map_or("", String::as_str);
     let life = life.insert(front.figures.life(class));
     let parcel = tokio::select! {
         // What is there counts, however late it was looked at.
@@ -220,10 +242,15 @@
     wanted.give_up = front.core.clock.now() + patience.as_micros() as i64;
     let one = front.ids.take(&parcel.id).ok_or(IntakeError::Open)?;
     let (client, answer) = oneshot::channel();
-    let (core, upstream, phase) = (front.core.clone(), front.upstream.clone(), front.phase.clone());
+    let (core, upstream, phase) = (
+        front.core.clone(),
+        front.upstream.clone(),
+        front.phase.clone(),
+    );
     let (id, volume) = (parcel.id.to_str().unwrap_or(""), wanted.volume.0);
     let span = tracing::debug_span!("request", id, class, volume = %format_args!("{volume:016x}"), attempt = tracing::field::Empty);
-    let life = request::serve(core, upstream, phase, wanted, parcel, (client, visit)).instrument(span);
+    let life =
+        request::serve(core, upstream, phase, wanted, parcel, (client, visit)).instrument(span);
     tokio::spawn(async move {
         life.await;
         drop(one);
@@ -233,7 +260,9 @@
 
 /// Ends once the client has not sent its request as fast as it must. That moves on while its bytes come.
 async fn overdue(visit: Option<Visit>) {
-    let Some(visit) = visit else { return std::future::pending().await };
+    let Some(visit) = visit else {
+        return std::future::pending().await;
+    };
     loop {
         let due = visit.due();
         if due <= Instant::now() {
--- a/crates/http/src/budget.rs
+++ b/crates/http/src/budget.rs
@@ -43,7 +43,9 @@
 impl Budget {
     /// The part of this much memory.
     pub fn of(memory_mb: usize) -> Budget {
-        Budget { total: (memory_mb << 20) / PART.1 * PART.0 }
+        Budget {
+            total: (memory_mb << 20) / PART.1 * PART.0,
+        }
     }
 
     /// What bodies may hold together, and answers as much again.
@@ -96,7 +98,11 @@
     /// All of a budget, free.
     pub fn new(budget: Budget) -> Room {
         let half = || Arc::new(Semaphore::new(budget.half() >> 10));
-        Room { budget, free: half(), passing: half() }
+        Room {
+            budget,
+            free: half(),
+            passing: half(),
+        }
     }
 
     /// What is decided by.
@@ -121,12 +127,16 @@
     }
 
     async fn draw(free: &Arc<Semaphore>, hold: &mut Hold, bytes: usize) -> bool {
-        let more = u32::try_from(bytes.saturating_sub(hold.bytes).div_ceil(1 << 10)).unwrap_or(u32::MAX);
+        let more =
+            u32::try_from(bytes.saturating_sub(hold.bytes).div_ceil(1 << 10)).unwrap_or(u32::MAX);
         if more == 0 {
             return true;
         }
         let permit = match hold.bytes {
-            0 => timeout(PATIENCE, free.clone().acquire_many_owned(more)).await.ok().and_then(Result::ok),
+            0 => timeout(PATIENCE, free.clone().acquire_many_owned(more))
+                .await
+                .ok()
+                .and_then(Result::ok),
             _ => free.clone().try_acquire_many_owned(more).ok(),
         };
         let Some(permit) = permit else { return false };
@@ -157,8 +167,14 @@
         assert_eq!(budget.body(Some(SMALL as u64 + 1)), Entry::Hold(SMALL + 1));
         assert_eq!(budget.body(Some(32 << 20)), Entry::TooLong);
         assert_eq!(budget.body(Some(u64::MAX)), Entry::TooLong);
-        assert_eq!((budget.grown(SMALL, 0), budget.grown(SMALL + 1, 0)), (Some(0), Some(STEP)));
-        assert_eq!((budget.grown(STEP, STEP), budget.grown(STEP + 1, STEP)), (Some(STEP), Some(2 * STEP)));
+        assert_eq!(
+            (budget.grown(SMALL, 0), budget.grown(SMALL + 1, 0)),
+            (Some(0), Some(STEP))
+        );
+        assert_eq!(
+            (budget.grown(STEP, STEP), budget.grown(STEP + 1, STEP)),
+            (Some(STEP), Some(2 * STEP))
+        );
         assert_eq!(budget.grown(budget.longest() + 1, 0), None);
     }
 
@@ -188,12 +204,17 @@
     }
 
     #[tokio::test(start_paused = true)]
-    async fn a_hundred_at_once_hold_no_more_than_half_and_those_that_grow_do_not_wait_for_each_other() {
+    async fn a_hundred_at_once_hold_no_more_than_half_and_those_that_grow_do_not_wait_for_each_other(
+    ) {
         let room = Room::new(Budget::of(16));
         let (all, began) = (room.free(), tokio::time::Instant::now());
         let (whole, most) = hundred(&room).await;
         assert!(most <= all / 2 && most > all / 3, "{most} of {all}");
-        assert!(whole >= 20 && began.elapsed() < PATIENCE, "{whole} in {:?}", began.elapsed());
+        assert!(
+            whole >= 20 && began.elapsed() < PATIENCE,
+            "{whole} in {:?}",
+            began.elapsed()
+        );
         assert_eq!(room.free(), all, "all of it is given back");
     }
 
@@ -209,7 +230,10 @@
         let room = Room::new(Budget::of(48));
         let mut hold = Hold::default();
         assert!(room.raise(&mut hold, room.budget().longest()).await);
-        assert!(!room.raise(&mut Hold::default(), 1).await, "nobody waits for good");
+        assert!(
+            !room.raise(&mut Hold::default(), 1).await,
+            "nobody waits for good"
+        );
         assert!(room.pass(&mut Hold::default(), WINDOW).await);
     }
 }
--- a/crates/http/src/gate.rs
+++ b/crates/http/src/gate.rs
@@ -162,7 +162,8 @@
         match self.stage {
             Stage::Head if self.held.is_empty() => self.since + IDLE,
             Stage::Body(_) | Stage::Last => {
-                let at_pace = self.since + WHOLE + Duration::from_micros(self.body.0 * 1_000_000 / PACE);
+                let at_pace =
+                    self.since + WHOLE + Duration::from_micros(self.body.0 * 1_000_000 / PACE);
                 at_pace.min((self.body.1 + REST).max(self.since + WHOLE))
             }
             _ => self.since + WHOLE,
@@ -193,7 +194,9 @@
         }
         let rest = self.held.len() - self.passing;
         match &mut self.stage {
-            Stage::Head if rest >= HEAD_MOST => (self.stage, self.passing) = (Stage::Last, self.held.len()),
+            Stage::Head if rest >= HEAD_MOST => {
+                (self.stage, self.passing) = (Stage::Last, self.held.len())
+            }
             Stage::Body(left) => {
                 let more = usize::try_from(*left).unwrap_or(usize::MAX).min(rest);
                 self.passing += more;
@@ -211,13 +214,24 @@
 /// How the head frames its body, where nothing speaks against it.
 fn framed(fields: &[httparse::Header]) -> Framed {
     let all = |name: &str| -> Vec<&[u8]> {
-        fields.iter().filter(|f| f.name.eq_ignore_ascii_case(name)).map(|f| f.value.trim_ascii()).collect()
+        fields
+            .iter()
+            .filter(|f| f.name.eq_ignore_ascii_case(name))
+            .map(|f| f.value.trim_ascii())
+            .collect()
     };
-    match (all("content-length").as_slice(), all("transfer-encoding").as_slice()) {
+    match (
+        all("content-length").as_slice(),
+        all("transfer-encoding").as_slice(),
+    ) {
         ([], []) => Framed::Length(0),
         ([length], []) => {
-            let plain = std::str::from_utf8(length).ok().filter(|l| l.bytes().all(|b| b.is_ascii_digit()));
-            plain.and_then(|l| l.parse().ok()).map_or(Framed::Doubtful, Framed::Length)
+            let plain = std::str::from_utf8(length)
+                .ok()
+                .filter(|l| l.bytes().all(|b| b.is_ascii_digit()));
+            plain
+                .and_then(|l| l.parse().ok())
+                .map_or(Framed::Doubtful, Framed::Length)
         }
         ([], [coding]) if coding.eq_ignore_ascii_case(b"chunked") => Framed::Chunked,
         _ => Framed::Doubtful,
@@ -239,7 +253,9 @@
     /// Whether the client has closed, by a look at the socket itself: what the system knows by now, though the connection's own
     /// task has not had its turn. A client that closed its side has gone.
     pub fn gone(&self) -> bool {
-        let Some(stream) = self.stream.upgrade() else { return true };
+        let Some(stream) = self.stream.upgrade() else {
+            return true;
+        };
         let mut byte = [MaybeUninit::uninit()];
         match socket2::SockRef::from(&*stream).peek(&mut byte) {
             Ok(bytes) => bytes == 0,
@@ -311,7 +327,10 @@
         let framing = Framing::new(Instant::now());
         let patience = Box::pin(sleep_until(framing.due()));
         let stream = Arc::new(stream);
-        let visit = Visit { framing: Arc::new(Mutex::new(framing)), stream: Arc::downgrade(&stream) };
+        let visit = Visit {
+            framing: Arc::new(Mutex::new(framing)),
+            stream: Arc::downgrade(&stream),
+        };
         let gate = Gate {
             stream,
             visit: visit.clone(),
@@ -344,7 +363,11 @@
 }
 
 impl AsyncRead for Gate {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, out: &mut ReadBuf<'_>) -> Poll<Result<()>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        out: &mut ReadBuf<'_>,
+    ) -> Poll<Result<()>> {
         let this = &mut *self;
         let visit = this.visit.clone();
         for _ in 0..PIECES {
@@ -393,7 +416,11 @@
 }
 
 impl AsyncWrite for Gate {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<Result<usize>> {
         let written = loop {
             match self.stream.poll_write_ready(cx) {
                 Poll::Ready(Ok(())) => {}
@@ -418,7 +445,10 @@
         // A client that takes nothing of its answer must not hold its place for good.
         let due = *self.stuck.get_or_insert_with(Instant::now) + LEAVE;
         if self.patience_over(cx, due) {
-            return Poll::Ready(Err(Error::new(ErrorKind::TimedOut, "the client takes no answer")));
+            return Poll::Ready(Err(Error::new(
+                ErrorKind::TimedOut,
+                "the client takes no answer",
+            )));
         }
         Poll::Pending
     }
@@ -445,7 +475,9 @@
             match this.poll_piece(cx, &mut [0; PIECE]) {
                 Poll::Ready(Ok(n)) if n > 0 => this.heard_out += n,
                 Poll::Ready(_) => return Poll::Ready(Ok(())),
-                Poll::Pending if this.patience.as_mut().poll(cx).is_ready() => return Poll::Ready(Ok(())),
+                Poll::Pending if this.patience.as_mut().poll(cx).is_ready() => {
+                    return Poll::Ready(Ok(()))
+                }
                 Poll::Pending => return Poll::Pending,
             }
             if this.heard_out > LINGER_MOST {
--- a/crates/http/src/intake.rs
+++ b/crates/http/src/intake.rs
@@ -84,14 +84,22 @@
 impl OpenIds {
     /// Marks an id as in use; none where it is already.
     pub fn take(&self, id: &HeaderValue) -> Option<OpenId> {
-        let new = self.0.lock().unwrap_or_else(PoisonError::into_inner).insert(id.clone());
+        let new = self
+            .0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .insert(id.clone());
         new.then(|| OpenId(self.clone(), id.clone()))
     }
 }
 
 impl Drop for OpenId {
     fn drop(&mut self) {
-        self.0 .0.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.1);
+        self.0
+             .0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .remove(&self.1);
     }
 }
 
@@ -120,7 +128,11 @@
     let last = path.rsplit('/').next().unwrap_or("");
     let key = hex16(last).ok_or(IntakeError::Key)?;
     let plan = text(&parts.headers, &PLAN)?.ok_or(IntakeError::Missing("x-plan"))?;
-    let plan = told.plans.iter().position(|p| p == plan).ok_or(IntakeError::Plan)?;
+    let plan = told
+        .plans
+        .iter()
+        .position(|p| p == plan)
+        .ok_or(IntakeError::Plan)?;
     let deadline = text(&parts.headers, &DEADLINE)?.ok_or(IntakeError::Missing("x-deadline"))?;
     let patience = span(deadline).ok_or(IntakeError::Unreadable("x-deadline"))?;
     let io = text(&parts.headers, &IO)?.ok_or(IntakeError::Missing("x-io"))?;
@@ -160,31 +172,49 @@
 }
 
 /// Collects the body, as the budget allows, and puts together what passes on.
-pub async fn parcel(parts: http::request::Parts, mut body: Body, room: &Room) -> Result<Parcel, IntakeError> {
+pub async fn parcel(
+    parts: http::request::Parts,
+    mut body: Body,
+    room: &Room,
+) -> Result<Parcel, IntakeError> {
     let (budget, mut hold) = (room.budget(), Hold::default());
     let length = body.size_hint().exact();
     match budget.body(length) {
         Entry::Small => {}
         Entry::TooLong => return Err(IntakeError::TooLong),
         // Unread until there is room: the client waits, and so do its bytes.
-        Entry::Hold(bytes) if !room.raise(&mut hold, bytes).await => return Err(IntakeError::NoRoom),
+        Entry::Hold(bytes) if !room.raise(&mut hold, bytes).await => {
+            return Err(IntakeError::NoRoom)
+        }
         Entry::Hold(_) => {}
     }
     let known = length.and_then(|l| usize::try_from(l).ok()).unwrap_or(0);
     let mut whole = BytesMut::with_capacity(known);
     while let Some(frame) = body.frame().await {
-        let Ok(piece) = frame.map_err(|_| IntakeError::Body)?.into_data() else { continue };
+        let Ok(piece) = frame.map_err(|_| IntakeError::Body)?.into_data() else {
+            continue;
+        };
         let bytes = whole.len() + piece.len();
-        let held = budget.grown(bytes, hold.bytes()).ok_or(IntakeError::TooLong)?;
+        let held = budget
+            .grown(bytes, hold.bytes())
+            .ok_or(IntakeError::TooLong)?;
         if !room.raise(&mut hold, held).await {
             return Err(IntakeError::NoRoom);
         }
         whole.extend_from_slice(&piece);
     }
-    let id = parts.headers.get(&REQUEST_ID).cloned().ok_or(IntakeError::Missing("x-request-id"))?;
+    let id = parts
+        .headers
+        .get(&REQUEST_ID)
+        .cloned()
+        .ok_or(IntakeError::Missing("x-request-id"))?;
     Ok(Parcel {
         method: parts.method,
-        target: parts.uri.path_and_query().cloned().ok_or(IntakeError::Class)?,
+        target: parts
+            .uri
+            .path_and_query()
+            .cloned()
+            .ok_or(IntakeError::Class)?,
         id,
         key: parts.headers.get(&IDEMPOTENCY_KEY).cloned(),
         body: whole.freeze(),
@@ -203,11 +233,16 @@
         _ => "x-request-id",
     };
     let mut values = headers.get_all(name).iter();
-    let Some(first) = values.next() else { return Ok(None) };
+    let Some(first) = values.next() else {
+        return Ok(None);
+    };
     if values.next().is_some() {
         return Err(IntakeError::Unreadable(named()));
     }
-    first.to_str().map(Some).map_err(|_| IntakeError::Unreadable(named()))
+    first
+        .to_str()
+        .map(Some)
+        .map_err(|_| IntakeError::Unreadable(named()))
 }
 
 struct Extras {
@@ -225,14 +260,24 @@
         match name.trim() {
             "volume" => volume = Some(VolumeId(hex16(v)?)),
             "units" => units = v.parse::<f64>().ok().filter(|u| u.is_finite() && *u > 0.0),
-            "shard" => shard = v.parse::<i64>().ok().filter(|s| *s >= -1 && *s <= i64::from(u32::MAX)),
+            "shard" => {
+                shard = v
+                    .parse::<i64>()
+                    .ok()
+                    .filter(|s| *s >= -1 && *s <= i64::from(u32::MAX))
+            }
             "hosts" => hosts = v.parse::<f64>().ok().filter(|h| h.is_finite() && *h >= 1.0),
             _ => {}
         }
     }
     let units = units.filter(|u| most <= 0.0 || *u <= most)?;
     let shard = u32::try_from(shard?).ok().map(Shard);
-    Some(Extras { volume: volume?, units, shard, hosts: hosts? })
+    Some(Extras {
+        volume: volume?,
+        units,
+        shard,
+        hosts: hosts?,
+    })
 }
 
 /// Exactly 16 hexadecimal digits.
@@ -250,6 +295,12 @@
         _ => return None,
     };
     let digits = &text[..text.len() - 1];
-    let number: u64 = Some(digits).filter(|d| d.bytes().all(|b| b.is_ascii_digit()))?.parse().ok()?;
-    number.checked_mul(unit).filter(|us| *us <= 86_400_000_000).map(Duration::from_micros)
+    let number: u64 = Some(digits)
+        .filter(|d| d.bytes().all(|b| b.is_ascii_digit()))?
+        .parse()
+        .ok()?;
+    number
+        .checked_mul(unit)
+        .filter(|us| *us <= 86_400_000_000)
+        .map(Duration::from_micros)
 }
--- a/crates/http/src/line.rs
+++ b/crates/http/src/line.rs
@@ -157,7 +157,11 @@
 struct Io(Arc<Wire>);
 
 impl AsyncRead for Io {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, out: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        out: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         loop {
             ready!(self.0.stream.poll_read_ready(cx))?;
             let mut passed = self.0.passed();
@@ -181,7 +185,11 @@
 }
 
 impl AsyncWrite for Io {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.0.write(cx, |stream| stream.try_write(bytes))
     }
 
@@ -269,10 +277,17 @@
     /// Sends what is given and waits for the head of its answer.
     pub async fn begin(&mut self, sending: Sending) -> Result<http::Response<Incoming>, Spoilt> {
         let (request, count) = match sending {
-            Sending::Attempt { request, permit: SendPermit { .. }, figures } => (request, Some(figures)),
+            Sending::Attempt {
+                request,
+                permit: SendPermit { .. },
+                figures,
+            } => (request, Some(figures)),
             Sending::Probe(request) => (request, None),
         };
-        *self.wire.passed() = Passed { count, ..Passed::nothing() };
+        *self.wire.passed() = Passed {
+            count,
+            ..Passed::nothing()
+        };
         let answer = self.sender.send_request(request);
         Ok(self.drive(false, STALL, answer).await??)
     }
@@ -344,9 +359,17 @@
 impl Lines {
     /// At most this many connections; how long one may take to come up, and how long one is kept.
     pub fn new(most: usize, connect: Duration, idle: Duration) -> Self {
-        let resting = Resting { lines: HashMap::new(), swept: Instant::now() };
+        let resting = Resting {
+            lines: HashMap::new(),
+            swept: Instant::now(),
+        };
         let room = Arc::new(Semaphore::new(most.max(1)));
-        Lines { resting: Arc::new(Mutex::new(resting)), room, connect, idle }
+        Lines {
+            resting: Arc::new(Mutex::new(resting)),
+            room,
+            connect,
+            idle,
+        }
     }
 
     fn resting(&self) -> MutexGuard<'_, Resting> {
@@ -359,13 +382,27 @@
             return Ok(line);
         }
         let _permit = self.permit()?;
-        let stream =
-            timeout(self.connect, TcpStream::connect(address)).await.map_err(|_| LineError::Late)??;
+        let stream = timeout(self.connect, TcpStream::connect(address))
+            .await
+            .map_err(|_| LineError::Late)??;
         stream.set_nodelay(true)?;
-        let wire = Arc::new(Wire { stream, passed: Mutex::new(Passed::nothing()) });
-        let (sender, connection) =
-            http1::Builder::new().max_buf_size(HEAD_MOST).handshake(TokioIo::new(Io(wire.clone()))).await?;
-        Ok(Line { address, sender, connection, over: false, wire, since: Instant::now(), _permit })
+        let wire = Arc::new(Wire {
+            stream,
+            passed: Mutex::new(Passed::nothing()),
+        });
+        let (sender, connection) = http1::Builder::new()
+            .max_buf_size(HEAD_MOST)
+            .handshake(TokioIo::new(Io(wire.clone())))
+            .await?;
+        Ok(Line {
+            address,
+            sender,
+            connection,
+            over: false,
+            wire,
+            since: Instant::now(),
+            _permit,
+        })
     }
 
     /// The connection used last of those that have rested for long enough and are still sound.
@@ -386,18 +423,31 @@
         if self.room.available_permits() == 0 {
             let mut resting = self.resting();
             let eldest = |lines: &Vec<Line>| lines.iter().map(|l| l.since).min();
-            let oldest = resting.lines.iter().filter_map(|(a, lines)| Some((eldest(lines)?, *a))).min();
+            let oldest = resting
+                .lines
+                .iter()
+                .filter_map(|(a, lines)| Some((eldest(lines)?, *a)))
+                .min();
             if let Some((since, address)) = oldest {
-                resting.lines.entry(address).or_default().retain(|l| l.since != since);
+                resting
+                    .lines
+                    .entry(address)
+                    .or_default()
+                    .retain(|l| l.since != since);
             }
         }
-        self.room.clone().try_acquire_owned().map_err(|_| LineError::NoRoom)
+        self.room
+            .clone()
+            .try_acquire_owned()
+            .map_err(|_| LineError::NoRoom)
     }
 
     /// Keeps a connection whose answer was whole for the next attempt, unless more has come than that answer.
     pub async fn keep(&self, mut line: Line) {
-        let done =
-            std::future::poll_fn(|cx| Poll::Ready(Pin::new(&mut line.connection).poll(cx).is_ready())).await;
+        let done = std::future::poll_fn(|cx| {
+            Poll::Ready(Pin::new(&mut line.connection).poll(cx).is_ready())
+        })
+        .await;
         if done || !line.sender.is_ready() || !line.wire.quiet() {
             return;
         }
@@ -416,7 +466,9 @@
     fn sweep(&mut self, now: Instant, idle: Duration) {
         if now >= self.swept + SWEEP {
             self.swept = now;
-            self.lines.values_mut().for_each(|lines| lines.retain(|l| now < l.since + idle));
+            self.lines
+                .values_mut()
+                .for_each(|lines| lines.retain(|l| now < l.since + idle));
             self.lines.retain(|_, lines| !lines.is_empty());
         }
     }
--- a/crates/http/src/passing.rs
+++ b/crates/http/src/passing.rs
@@ -28,7 +28,14 @@
         taken: Vec<Bytes>,
         pieces: mpsc::Receiver<Result<Bytes, Cut>>,
     ) -> Passing {
-        Passing { taken: taken.into(), pieces, left: length, ended: false, life: None, visit: None }
+        Passing {
+            taken: taken.into(),
+            pieces,
+            left: length,
+            ended: false,
+            life: None,
+            visit: None,
+        }
     }
 
     /// Whose answer it is.
@@ -42,7 +49,10 @@
     type Data = Bytes;
     type Error = Cut;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
         let piece = match self.taken.pop_front() {
             Some(piece) => piece,
             None => match ready!(self.pieces.poll_recv(cx)) {
@@ -63,7 +73,8 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.left.map_or_else(SizeHint::default, SizeHint::with_exact)
+        self.left
+            .map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
 
--- a/crates/http/src/places.rs
+++ b/crates/http/src/places.rs
@@ -31,7 +31,11 @@
     /// So many places.
     pub fn new(most: usize) -> Self {
         let most = u32::try_from(most).unwrap_or(u32::MAX);
-        Places { room: Arc::new(Semaphore::new(most as usize)), most, taken: Arc::default() }
+        Places {
+            room: Arc::new(Semaphore::new(most as usize)),
+            most,
+            taken: Arc::default(),
+        }
     }
 
     /// Takes a place for a connection. Where none is free, the one that has been without a whole request for the
@@ -47,7 +51,11 @@
             }
         };
         self.taken().insert(number, visit.clone());
-        Place { places: self.clone(), number, _permit }
+        Place {
+            places: self.clone(),
+            number,
+            _permit,
+        }
     }
 
     /// Ends once no connection is left.
--- a/crates/http/src/probe.rs
+++ b/crates/http/src/probe.rs
@@ -15,12 +15,20 @@
 pub async fn run(core: Handle, upstream: Upstream, mut targets: mpsc::Receiver<Target>) {
     let room = Arc::new(Semaphore::new(OUT_MOST));
     while let Some(target) = targets.recv().await {
-        let Ok(permit) = room.clone().acquire_owned().await else { return };
+        let Ok(permit) = room.clone().acquire_owned().await else {
+            return;
+        };
         let (core, upstream) = (core.clone(), upstream.clone());
         tokio::spawn(async move {
             let began = core.clock.now();
             let ended = upstream.probe(target.address, PATIENCE).await;
-            core.probed(target.node, ended.outcome, core.clock.now() - began, ended.load).await;
+            core.probed(
+                target.node,
+                ended.outcome,
+                core.clock.now() - began,
+                ended.load,
+            )
+            .await;
             drop(permit);
         });
     }
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -67,7 +67,10 @@
     let teller = ticket.teller();
     let (_waiting, waiting) = watch::channel(());
     let waiting = Waiting::new(waiting, visit);
-    let mut client = Some(Client { answer: client, _waiting });
+    let mut client = Some(Client {
+        answer: client,
+        _waiting,
+    });
     let mut attempts = FuturesUnordered::new();
     let (begins, mut begun) = mpsc::channel(1);
     let mut cancels: Vec<(u16, oneshot::Sender<()>)> = Vec::new();
@@ -146,8 +149,15 @@
 async fn begin(client: &mut Option<Client>, teller: &Teller, begun: Begun) {
     if let Some(client) = client.take() {
         teller.began(begun.number).await;
-        let Begun { length, taken, pieces, .. } = begun;
-        let _ = client.answer.send(Answer::Passing(Passing::new(length, taken, pieces)));
+        let Begun {
+            length,
+            taken,
+            pieces,
+            ..
+        } = begun;
+        let _ = client
+            .answer
+            .send(Answer::Passing(Passing::new(length, taken, pieces)));
     }
 }
 
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -88,7 +88,13 @@
 
 impl From<Outcome> for Ended {
     fn from(outcome: Outcome) -> Self {
-        Ended { outcome, body: Bytes::new(), passed: None, load: None, hint: None }
+        Ended {
+            outcome,
+            body: Bytes::new(),
+            passed: None,
+            load: None,
+            hint: None,
+        }
     }
 }
 
@@ -96,8 +102,18 @@
     /// Connections as the settings want them, at most this many.
     pub fn new(told: &Told, clock: Clock, most: usize, room: Room, figures: Figures) -> Self {
         let span = |us: Micros| Duration::from_micros(us.max(1) as u64);
-        let lines = Lines::new(most, span(told.connect_timeout), span(told.conn_idle * IDLE_TENTHS / 10));
-        Upstream { lines, clock, columns: told.columns.clone().into(), figures, room }
+        let lines = Lines::new(
+            most,
+            span(told.connect_timeout),
+            span(told.conn_idle * IDLE_TENTHS / 10),
+        );
+        Upstream {
+            lines,
+            clock,
+            columns: told.columns.clone().into(),
+            figures,
+            room,
+        }
     }
 
     /// Makes one attempt. Dropped, it closes the attempt's connection. An answer that is passed on as it comes is told to
@@ -132,8 +148,12 @@
         if let Some(key) = parcel.key {
             request = request.header(&IDEMPOTENCY_KEY, key);
         }
-        let request = request.header(&DEADLINE, format!("{left}u")).body(Full::new(parcel.body));
-        let Ok(request) = request else { return Outcome::Moot.into() };
+        let request = request
+            .header(&DEADLINE, format!("{left}u"))
+            .body(Full::new(parcel.body));
+        let Ok(request) = request else {
+            return Outcome::Moot.into();
+        };
         // The last look before the first byte: there is no wait between it and the write.
         if !waiting.now() {
             self.lines.keep(line).await;
@@ -144,10 +164,19 @@
             // may use by now what this attempt drew on.
             return Outcome::Lapsed.into();
         }
-        let sending = Sending::Attempt { request, permit: attempt.permit, figures: self.figures.clone() };
+        let sending = Sending::Attempt {
+            request,
+            permit: attempt.permit,
+            figures: self.figures.clone(),
+        };
         let ended = match self.exchange(&mut line, sending, late).await {
             Ok(Taken::Late) => {
-                return if line.written() { Outcome::Timeout } else { Outcome::ConnectFailed }.into()
+                return if line.written() {
+                    Outcome::Timeout
+                } else {
+                    Outcome::ConnectFailed
+                }
+                .into()
             }
             Ok(Taken::Whole(ended)) => Ok(ended),
             Ok(part) => match self.pass(&mut line, part, attempt.number, &begins).await {
@@ -184,7 +213,11 @@
             return Err(Spoilt::Endless);
         }
         // One that is said to be long begins as soon as it is seen to come: the client waits for its first bytes.
-        let enough = if length.is_some_and(|l| l > SMALL as u64) { BEGINS } else { SMALL + 1 };
+        let enough = if length.is_some_and(|l| l > SMALL as u64) {
+            BEGINS
+        } else {
+            SMALL + 1
+        };
         let soon = tokio::time::sleep_until(late.deadline() - LAST);
         tokio::pin!(soon);
         let may_be_long = head.status == StatusCode::OK && length.is_none_or(|l| l > SMALL as u64);
@@ -198,36 +231,68 @@
                 () = &mut soon, if may_be_long => break,
                 () = &mut late => return Ok(Taken::Late),
             };
-            let Some(piece) = piece else { return Ok(Taken::Whole(self.ended(&head, taken))) };
+            let Some(piece) = piece else {
+                return Ok(Taken::Whole(self.ended(&head, taken)));
+            };
             held += piece.len();
             taken.push(piece);
         }
         match head.status {
-            StatusCode::OK => Ok(Taken::Part { length, taken, load: self.load(&head.headers), body }),
+            StatusCode::OK => Ok(Taken::Part {
+                length,
+                taken,
+                load: self.load(&head.headers),
+                body,
+            }),
             _ => Err(Spoilt::Endless),
         }
     }
 
     fn ended(&self, head: &http::response::Parts, taken: Vec<Bytes>) -> Ended {
-        let not_run = head.headers.get("x-not-run").is_some_and(|v| v.as_bytes() == b"1");
+        let not_run = head
+            .headers
+            .get("x-not-run")
+            .is_some_and(|v| v.as_bytes() == b"1");
         let moved = head.headers.get("x-extent-epoch");
         let hint = moved.and_then(|v| v.to_str().ok()?.parse().ok());
         let outcome = match head.status {
             StatusCode::OK => Outcome::Ok,
             StatusCode::SERVICE_UNAVAILABLE if not_run && moved.is_some() => Outcome::Moved,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => Outcome::Full,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => {
+                Outcome::Full
+            }
             _ => Outcome::Error,
         };
         let body = match <[Bytes; 1]>::try_from(taken) {
             Ok([one]) => one,
             Err(pieces) => pieces.concat().into(),
         };
-        Ended { outcome, body, passed: None, load: self.load(&head.headers), hint }
+        Ended {
+            outcome,
+            body,
+            passed: None,
+            load: self.load(&head.headers),
+            hint,
+        }
     }
 
     /// Passes on an answer that has begun, at the client's pace. It is never made again, so its deadline is over.
-    async fn pass(&self, line: &mut Line, part: Taken, number: u16, begins: &mpsc::Sender<Begun>) -> Ended {
-        let Taken::Part { length, taken, load, mut body } = part else { return Outcome::Moot.into() };
+    async fn pass(
+        &self,
+        line: &mut Line,
+        part: Taken,
+        number: u16,
+        begins: &mpsc::Sender<Begun>,
+    ) -> Ended {
+        let Taken::Part {
+            length,
+            taken,
+            load,
+            mut body,
+        } = part
+        else {
+            return Outcome::Moot.into();
+        };
         let mut hold = Hold::default();
         if !self.room.pass(&mut hold, WINDOW).await {
             tracing::debug!("no memory for a long answer");
@@ -236,7 +301,16 @@
         }
         let mut passed = taken.iter().map(|p| p.len() as u64).sum::<u64>();
         let (to, pieces) = mpsc::channel(1);
-        if begins.send(Begun { number, length, taken, pieces }).await.is_err() {
+        if begins
+            .send(Begun {
+                number,
+                length,
+                taken,
+                pieces,
+            })
+            .await
+            .is_err()
+        {
             return Outcome::Cancelled.into();
         }
         let outcome = loop {
@@ -263,7 +337,11 @@
                 (None, Ok(())) => {}
             }
         };
-        Ended { load, passed: Some(passed), ..outcome.into() }
+        Ended {
+            load,
+            passed: Some(passed),
+            ..outcome.into()
+        }
     }
 
     /// What the end of an exchange proves; its connection is kept where the answer was whole.
@@ -276,20 +354,36 @@
             Err(why) => {
                 tracing::debug!("attempt: {why}");
                 // Only where its last byte was never written did it provably not run.
-                if line.written() { Outcome::Reset } else { Outcome::ConnectFailed }.into()
+                if line.written() {
+                    Outcome::Reset
+                } else {
+                    Outcome::ConnectFailed
+                }
+                .into()
             }
         }
     }
 
     fn load(&self, headers: &HeaderMap) -> Option<Load> {
-        headers.get("x-load").and_then(|v| v.to_str().ok()).and_then(|v| report(v, &self.columns))
+        headers
+            .get("x-load")
+            .and_then(|v| v.to_str().ok())
+            .and_then(|v| report(v, &self.columns))
     }
 
     /// Looks at a node once: whether it answers, how long that took, and its load report.
     pub async fn probe(&self, address: SocketAddr, patience: Duration) -> Ended {
-        let path = if self.columns.is_empty() { "/health/live" } else { "/stats" };
-        let request = HttpRequest::get(path).header(header::HOST, address.to_string()).body(Full::default());
-        let Ok(request) = request else { return Outcome::Moot.into() };
+        let path = if self.columns.is_empty() {
+            "/health/live"
+        } else {
+            "/stats"
+        };
+        let request = HttpRequest::get(path)
+            .header(header::HOST, address.to_string())
+            .body(Full::default());
+        let Ok(request) = request else {
+            return Outcome::Moot.into();
+        };
         let late = tokio::time::sleep(patience);
         tokio::pin!(late);
         let line = tokio::select! {
@@ -300,7 +394,10 @@
             Ok(line) => line,
             Err(why) => return unconnected(&why).into(),
         };
-        let whole = match self.exchange(&mut line, Sending::Probe(request), late).await {
+        let whole = match self
+            .exchange(&mut line, Sending::Probe(request), late)
+            .await
+        {
             Ok(Taken::Late) => return Outcome::Timeout.into(),
             Ok(Taken::Whole(ended)) => Ok(ended),
             Ok(Taken::Part { .. }) => Err(Spoilt::Endless),
@@ -328,8 +425,12 @@
     let fields = text.strip_prefix("TEXT").unwrap_or(text);
     let mut load = Load::default();
     for field in fields.split(',') {
-        let Some((name, value)) = field.split_once('=') else { continue };
-        let Some(x) = value.trim().parse::<f64>().ok().filter(|x| x.is_finite()) else { continue };
+        let Some((name, value)) = field.split_once('=') else {
+            continue;
+        };
+        let Some(x) = value.trim().parse::<f64>().ok().filter(|x| x.is_finite()) else {
+            continue;
+        };
         match name.trim() {
             "outstanding" | "inflight" => load.outstanding = Some(x),
             "backlog" | "queue" => load.backlog = Some(x),
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -99,7 +99,11 @@
         let mut all: Vec<f64> = values.collect();
         all.sort_by(f64::total_cmp);
         let at = |i: usize| all.get(i).copied().unwrap_or(0.0);
-        Spread { median: at(all.len() / 2), least: at(0), most: at(all.len().saturating_sub(1)) }
+        Spread {
+            median: at(all.len() / 2),
+            least: at(0),
+            most: at(all.len().saturating_sub(1)),
+        }
     }
 }
 
@@ -119,7 +123,9 @@
 impl Point {
     /// Whether every promise held in every run.
     pub fn kept(&self) -> bool {
-        self.runs.iter().all(|r| r.view_conflicts == 0 && r.parts_sum_max <= 1.0 + 1e-6)
+        self.runs
+            .iter()
+            .all(|r| r.view_conflicts == 0 && r.parts_sum_max <= 1.0 + 1e-6)
     }
 }
 
@@ -147,9 +153,12 @@
     pub fn parse(text: &str, set: &[String]) -> Result<Experiment, ExperimentError> {
         let mut table: toml::Table = toml::from_str(text)?;
         for pair in set {
-            let wrong = || ExperimentError::Content(format!("--set {pair}: KEY=VALUE, where VALUE is TOML"));
+            let wrong = || {
+                ExperimentError::Content(format!("--set {pair}: KEY=VALUE, where VALUE is TOML"))
+            };
             let (key, value) = pair.split_once('=').ok_or_else(wrong)?;
-            let value: toml::Table = toml::from_str(&format!("v = {value}")).map_err(|_| wrong())?;
+            let value: toml::Table =
+                toml::from_str(&format!("v = {value}")).map_err(|_| wrong())?;
             let mut at = &mut table;
             let mut parts = key.split('.').peekable();
             while let Some(part) = parts.next() {
@@ -157,7 +166,9 @@
                     at.insert(part.into(), value.get("v").cloned().ok_or_else(wrong)?);
                     break;
                 }
-                let inner = at.entry(part).or_insert_with(|| toml::Value::Table(toml::Table::new()));
+                let inner = at
+                    .entry(part)
+                    .or_insert_with(|| toml::Value::Table(toml::Table::new()));
                 at = inner.as_table_mut().ok_or_else(wrong)?;
             }
         }
@@ -182,8 +193,15 @@
         if !(0.0..=1.0).contains(&self.kill) || !(0.0..=1.0).contains(&self.stop) {
             return Err("kill and stop are shares".into());
         }
-        if self.case.as_ref().is_some_and(|c| c != "chance" && named(c).is_none()) {
-            return Err(format!("no such case: {}", self.case.as_deref().unwrap_or("")));
+        if self
+            .case
+            .as_ref()
+            .is_some_and(|c| c != "chance" && named(c).is_none())
+        {
+            return Err(format!(
+                "no such case: {}",
+                self.case.as_deref().unwrap_or("")
+            ));
         }
         self.section().map(|_| ())
     }
@@ -192,7 +210,9 @@
         let mut table = self.fleet.clone();
         // Runs of large worlds need no keys; a plain sum is cheaper.
         table.remove("keys");
-        toml::Value::Table(table).try_into().map_err(|e| format!("fleet: {e}"))
+        toml::Value::Table(table)
+            .try_into()
+            .map_err(|e| format!("fleet: {e}"))
     }
 
     /// The script of one run.
@@ -206,7 +226,10 @@
         let mut script = Script::new(&self.name, seed, fronts, self.seconds);
         script.keys = Vec::new();
         script.volumes = 8;
-        let fault = Fault { loss, ..Fault::default() };
+        let fault = Fault {
+            loss,
+            ..Fault::default()
+        };
         script = script.at(0, Act::Net { fault });
         let mut all: Vec<u16> = (0..fronts).collect();
         all.shuffle(&mut StdRng::seed_from_u64(seed ^ 0x5eed));
@@ -217,11 +240,16 @@
             let when = at + self.kill_within_ms * i as u64 / kills.max(1) as u64;
             script = script.at(when, Act::Kill { front: *front });
             if self.back_after > 0.0 {
-                script = script.at(when + (self.back_after * 1000.0) as u64, Act::Start { front: *front });
+                script = script.at(
+                    when + (self.back_after * 1000.0) as u64,
+                    Act::Start { front: *front },
+                );
             }
         }
         for front in all.iter().skip(kills).take(stops) {
-            script = script.at(at, Act::Stop { front: *front }).at(at + 5_000, Act::Cont { front: *front });
+            script = script
+                .at(at, Act::Stop { front: *front })
+                .at(at + 5_000, Act::Cont { front: *front });
         }
         script
     }
@@ -233,7 +261,11 @@
         tell: impl Fn(usize, usize) + Sync,
     ) -> Result<Vec<Point>, ExperimentError> {
         let section = self.section().map_err(ExperimentError::Content)?;
-        let net = Net { median_us: self.way_ms * 1000.0, drift_ppm: self.drift_ppm, ..Net::default() };
+        let net = Net {
+            median_us: self.way_ms * 1000.0,
+            drift_ppm: self.drift_ppm,
+            ..Net::default()
+        };
         let mut jobs = Vec::new();
         for fronts in &self.fronts {
             for loss in &self.loss {
@@ -246,8 +278,11 @@
             for _ in 0..threads.max(1) {
                 scope.spawn(|| loop {
                     let at = next.fetch_add(1, Relaxed);
-                    let Some((fronts, loss, seed)) = jobs.get(at).copied() else { return };
-                    let outcome = World::new(self.script(fronts, loss, seed), section.clone(), net).run();
+                    let Some((fronts, loss, seed)) = jobs.get(at).copied() else {
+                        return;
+                    };
+                    let outcome =
+                        World::new(self.script(fronts, loss, seed), section.clone(), net).run();
                     if let Ok(mut all) = results.lock() {
                         all[at] = Some(outcome);
                     }
@@ -259,11 +294,21 @@
         let mut points = Vec::new();
         for fronts in &self.fronts {
             for loss in &self.loss {
-                let mine = jobs.iter().zip(&results).filter(|((f, l, _), _)| f == fronts && l == loss);
+                let mine = jobs
+                    .iter()
+                    .zip(&results)
+                    .filter(|((f, l, _), _)| f == fronts && l == loss);
                 let runs: Vec<Outcome> = mine.filter_map(|(_, r)| r.clone()).collect();
-                let spread =
-                    FIGURES.iter().map(|(name, of)| (*name, Spread::of(runs.iter().map(of)))).collect();
-                points.push(Point { fronts: *fronts, loss: *loss, runs, spread });
+                let spread = FIGURES
+                    .iter()
+                    .map(|(name, of)| (*name, Spread::of(runs.iter().map(of))))
+                    .collect();
+                points.push(Point {
+                    fronts: *fronts,
+                    loss: *loss,
+                    runs,
+                    spread,
+                });
             }
         }
         Ok(points)
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -24,7 +24,10 @@
     if over_time {
         for p in points {
             let Some(run) = p.runs.first() else { continue };
-            lines.push((format!("{} fronts, loss {}", p.fronts, p.loss), run.line.clone()));
+            lines.push((
+                format!("{} fronts, loss {}", p.fronts, p.loss),
+                run.line.clone(),
+            ));
         }
     } else if names.contains(&figure) {
         let mut losses: Vec<f64> = points.iter().map(|p| p.loss).collect();
@@ -32,9 +35,15 @@
         losses.sort_by(f64::total_cmp);
         losses.dedup();
         for loss in losses {
-            let of = |p: &Point| p.spread.iter().find(|(n, _)| *n == figure).map(|(_, s)| s.median);
+            let of = |p: &Point| {
+                p.spread
+                    .iter()
+                    .find(|(n, _)| *n == figure)
+                    .map(|(_, s)| s.median)
+            };
             let line = points.iter().filter(|p| p.loss == loss);
-            let line = line.filter_map(|p| Some((f64::from(p.fronts), of(p).filter(|v| v.is_finite())?)));
+            let line =
+                line.filter_map(|p| Some((f64::from(p.fronts), of(p).filter(|v| v.is_finite())?)));
             lines.push((format!("loss {loss}"), line.collect()));
         }
     } else {
@@ -63,14 +72,18 @@
             .map_err(|e| failed(&e))?;
         for (i, (name, line)) in lines.into_iter().enumerate() {
             let color = Palette99::pick(i).to_rgba();
-            let drawn =
-                chart.draw_series(LineSeries::new(line, color.stroke_width(2))).map_err(|e| failed(&e))?;
-            drawn
-                .label(name)
-                .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color.stroke_width(2)));
+            let drawn = chart
+                .draw_series(LineSeries::new(line, color.stroke_width(2)))
+                .map_err(|e| failed(&e))?;
+            drawn.label(name).legend(move |(x, y)| {
+                PathElement::new([(x, y), (x + 16, y)], color.stroke_width(2))
+            });
         }
-        let labels =
-            chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw();
+        let labels = chart
+            .configure_series_labels()
+            .background_style(WHITE.mix(0.8))
+            .border_style(BLACK)
+            .draw();
         labels.map_err(|e| failed(&e))?;
         area.present().map_err(|e| failed(&e))?;
     }
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -40,7 +40,11 @@
 
 impl Default for Net {
     fn default() -> Self {
-        Net { median_us: 300.0, sigma: 0.4, drift_ppm: 900.0 }
+        Net {
+            median_us: 300.0,
+            sigma: 0.4,
+            drift_ppm: 900.0,
+        }
     }
 }
 
@@ -98,13 +102,24 @@
 
 impl Death {
     fn new(of: usize, at: Micros) -> Death {
-        Death { of, at, noticed: None, agreed: Vec::new(), agrees: Bits::default(), over: false }
+        Death {
+            of,
+            at,
+            noticed: None,
+            agreed: Vec::new(),
+            agrees: Bits::default(),
+            over: false,
+        }
     }
 }
 
 enum What {
     Tick(usize, u64),
-    Arrive { to: usize, from: Option<usize>, bytes: Vec<u8> },
+    Arrive {
+        to: usize,
+        from: Option<usize>,
+        bytes: Vec<u8>,
+    },
     Act(usize),
     Sample,
 }
@@ -144,7 +159,11 @@
         match volume {
             _ if at >= self.until => self.reserve,
             None => self.cold,
-            Some(v) => self.factors.iter().find(|(of, _)| *of == v).map_or(self.rest, |(_, f)| *f),
+            Some(v) => self
+                .factors
+                .iter()
+                .find(|(of, _)| *of == v)
+                .map_or(self.rest, |(_, f)| *f),
         }
     }
 }
@@ -208,7 +227,11 @@
                 wronged: 0,
             })
             .collect();
-        let out = Outcome { seed: script.seed, fronts: n, ..Outcome::default() };
+        let out = Outcome {
+            seed: script.seed,
+            fronts: n,
+            ..Outcome::default()
+        };
         World {
             script,
             section,
@@ -284,13 +307,22 @@
         let s = &self.slots[slot];
         (section.keys, section.name) = (s.keys.clone(), format!("n{name}"));
         // One who lacks a member counts on with the others under other numbers: its list differs.
-        section.member.retain(|m| !s.lacks.iter().any(|l| m.name == format!("n{l}")));
+        section
+            .member
+            .retain(|m| !s.lacks.iter().any(|l| m.name == format!("n{l}")));
         let Some(me) = section.me() else { return };
         let now = self.local(slot, self.now);
-        let (life, seed) = ((self.now as u64) << 8 | self.dice.random_range(1..256), self.dice.random());
+        let (life, seed) = (
+            (self.now as u64) << 8 | self.dice.random_range(1..256),
+            self.dice.random(),
+        );
         let s = &mut self.slots[slot];
-        (s.life, s.front, s.stopped, s.since) =
-            (life, Some(Front::new(&section, me, life, seed, now)), false, self.now);
+        (s.life, s.front, s.stopped, s.since) = (
+            life,
+            Some(Front::new(&section, me, life, seed, now)),
+            false,
+            self.now,
+        );
         s.turn += 1;
         let turn = s.turn;
         self.hold(slot);
@@ -341,7 +373,9 @@
         let mut out = Vec::new();
         if !serves.is_empty() {
             s.served_at = now;
-            serves.iter().for_each(|v| front.serves(now, VolumeId(*v), hosts));
+            serves
+                .iter()
+                .for_each(|v| front.serves(now, VolumeId(*v), hosts));
         }
         front.tick(now, &mut out);
         let step = front.step();
@@ -375,7 +409,14 @@
                 Output::Send(to, bytes) => self.send(slot, usize::from(to), bytes),
                 Output::Answer(bytes) => {
                     if let Some(back) = back {
-                        self.put(self.now + 300, What::Arrive { to: back, from: Some(slot), bytes });
+                        self.put(
+                            self.now + 300,
+                            What::Arrive {
+                                to: back,
+                                from: Some(slot),
+                                bytes,
+                            },
+                        );
                     }
                 }
                 Output::Event(event) => self.event(slot, &event),
@@ -394,7 +435,14 @@
         if from >= self.n {
             // A second process under a name: known by no address, heard all the same.
             let after = delay(&mut self.dice);
-            return self.put(self.now + after, What::Arrive { to, from: Some(from), bytes });
+            return self.put(
+                self.now + after,
+                What::Arrive {
+                    to,
+                    from: Some(from),
+                    bytes,
+                },
+            );
         }
         let fault = self.faults[from * self.n + to];
         if self.dice.random_bool(fault.damage.clamp(0.0, 1.0)) && !bytes.is_empty() {
@@ -411,7 +459,14 @@
         for _ in 0..copies {
             let spread = self.dice.random_range(0..=fault.spread_ms * 1000) as Micros;
             let after = delay(&mut self.dice) + fault.delay_ms as Micros * 1000 + spread;
-            self.put(self.now + after, What::Arrive { to, from: Some(from), bytes: bytes.clone() });
+            self.put(
+                self.now + after,
+                What::Arrive {
+                    to,
+                    from: Some(from),
+                    bytes: bytes.clone(),
+                },
+            );
         }
     }
 
@@ -436,7 +491,8 @@
                 let of = usize::from(c.of);
                 let now = self.now;
                 let well = |s: &Slot| s.front.is_some() && !s.stopped && now - s.since > WELL;
-                let reached = self.reached(of) && self.reached(slot) && now - self.calm_since > WELL;
+                let reached =
+                    self.reached(of) && self.reached(slot) && now - self.calm_since > WELL;
                 if well(&self.slots[of])
                     && well(&self.slots[slot])
                     && reached
@@ -445,7 +501,10 @@
                     self.slots[of].wronged = now;
                     self.out.false_deaths += 1;
                 }
-                let death = self.deaths.iter_mut().find(|d| d.of == of && !d.over && d.noticed.is_none());
+                let death = self
+                    .deaths
+                    .iter_mut()
+                    .find(|d| d.of == of && !d.over && d.noticed.is_none());
                 if let Some(death) = death {
                     death.noticed = Some(now);
                 }
@@ -457,19 +516,32 @@
     /// Whether a front reaches a majority, both ways.
     fn reached(&self, of: usize) -> bool {
         let n = self.n;
-        let open =
-            |a: usize, b: usize| a == b || !(self.faults[a * n + b].cut || self.faults[a * n + b].loss > 0.5);
+        let open = |a: usize, b: usize| {
+            a == b || !(self.faults[a * n + b].cut || self.faults[a * n + b].loss > 0.5)
+        };
         (0..n).filter(|o| open(of, *o) && open(*o, of)).count() * 2 > n
     }
 
     /// Notes what a front may use from now on, and what all use together.
     fn hold(&mut self, slot: usize) {
         let now = self.local(slot, self.now);
-        let Some(front) = &self.slots[slot].front else { return };
+        let Some(front) = &self.slots[slot].front else {
+            return;
+        };
         let r = front.rights(now);
-        let until = if r.until > now { self.global(slot, r.until) } else { 0 };
+        let until = if r.until > now {
+            self.global(slot, r.until)
+        } else {
+            0
+        };
         let factors = r.factors.iter().map(|(v, f)| (v.0, *f)).collect();
-        let held = Holds { until, reserve: r.reserve, cold: r.cold, factors, rest: r.rest };
+        let held = Holds {
+            until,
+            reserve: r.reserve,
+            cold: r.cold,
+            factors,
+            rest: r.rest,
+        };
         let old = &self.slots[slot].held;
         let rises = held.until > old.until
             || held.cold > old.cold
@@ -484,7 +556,11 @@
 
     /// Through which fronts a volume works by now.
     fn set(&self, volume: u16) -> Vec<u16> {
-        let joined = self.joined.iter().filter(|(v, _)| *v == volume).map(|(_, f)| *f);
+        let joined = self
+            .joined
+            .iter()
+            .filter(|(v, _)| *v == volume)
+            .map(|(_, f)| *f);
         self.script.set(volume).into_iter().chain(joined).collect()
     }
 
@@ -499,7 +575,8 @@
             let of = |slot: usize| self.slots[slot].held.of(now, Some(u64::from(volume) + 1));
             let both = |f: &u16| of(usize::from(*f)) + of(usize::from(*f) + self.n);
             most = most.max(
-                set.iter().map(both).sum::<f64>() / f64::from(self.script.hosts.clamp(1, self.script.fronts)),
+                set.iter().map(both).sum::<f64>()
+                    / f64::from(self.script.hosts.clamp(1, self.script.fronts)),
             );
         }
         self.out.parts_sum_max = self.out.parts_sum_max.max(most);
@@ -512,7 +589,9 @@
         self.idle = (self.idle.0 + (1.0 - self.sum).max(0.0), self.idle.1 + 1);
         let now = self.now;
         let lives = |s: &&Slot| s.front.is_some() && !s.stopped;
-        let living: Bits = (0..self.n as u16).filter(|i| lives(&&self.slots[usize::from(*i)])).collect();
+        let living: Bits = (0..self.n as u16)
+            .filter(|i| lives(&&self.slots[usize::from(*i)]))
+            .collect();
         let settled = |s: &Slot| s.view.1 == living && s.held.until > now && s.held.cold >= 1.0;
         let whole = self.slots[..self.n].iter().filter(lives).all(settled);
         if whole && self.settled.is_none() {
@@ -525,7 +604,10 @@
         self.calm_since = self.now;
         self.settled = None;
         if let Act::Start { front } | Act::Cont { front } = act {
-            self.deaths.iter_mut().filter(|d| d.of == usize::from(*front)).for_each(|d| d.over = true);
+            self.deaths
+                .iter_mut()
+                .filter(|d| d.of == usize::from(*front))
+                .for_each(|d| d.over = true);
         }
         match act {
             Act::Kill { front } => {
@@ -550,16 +632,30 @@
                     s.since = self.now;
                     let (turn, waiting) = (s.turn, std::mem::take(&mut s.waiting));
                     for (from, bytes) in waiting {
-                        self.put(self.now, What::Arrive { to: slot, from, bytes });
+                        self.put(
+                            self.now,
+                            What::Arrive {
+                                to: slot,
+                                from,
+                                bytes,
+                            },
+                        );
                     }
                     self.put(self.now, What::Tick(slot, turn));
                 }
             }
             Act::Twin { front } => self.start(n + usize::from(*front), usize::from(*front)),
             Act::NoTwin { front } => self.kill(n + usize::from(*front)),
-            Act::Path { from, to, fault } => self.faults[usize::from(*from) * n + usize::from(*to)] = *fault,
+            Act::Path { from, to, fault } => {
+                self.faults[usize::from(*from) * n + usize::from(*to)] = *fault
+            }
             Act::Net { fault } => {
-                self.faults.iter_mut().for_each(|f| *f = Fault { cut: f.cut, ..*fault });
+                self.faults.iter_mut().for_each(|f| {
+                    *f = Fault {
+                        cut: f.cut,
+                        ..*fault
+                    }
+                });
             }
             Act::Split { groups } => {
                 let mut of = vec![None; n];
@@ -578,7 +674,14 @@
             Act::Keep { on } => self.keeps = *on,
             Act::Again => {
                 for (from, to, bytes) in std::mem::take(&mut self.kept) {
-                    self.put(self.now, What::Arrive { to, from: Some(from), bytes });
+                    self.put(
+                        self.now,
+                        What::Arrive {
+                            to,
+                            from: Some(from),
+                            bytes,
+                        },
+                    );
                 }
             }
             Act::Keys { front, keys } => {
@@ -608,13 +711,18 @@
                 self.out.unnoticed += u64::from(!d.over);
                 continue;
             };
-            detect.iter_mut().for_each(|h| h.saturating_record((first - d.at) as u64));
+            detect
+                .iter_mut()
+                .for_each(|h| h.saturating_record((first - d.at) as u64));
             for a in &d.agreed {
-                agree.iter_mut().for_each(|h| h.saturating_record((a - first) as u64));
+                agree
+                    .iter_mut()
+                    .for_each(|h| h.saturating_record((a - first) as u64));
             }
         }
         let ms = |h: &Option<Histogram<u64>>, q: f64| {
-            h.as_ref().map_or(0.0, |h| h.value_at_quantile(q) as f64 / 1000.0)
+            h.as_ref()
+                .map_or(0.0, |h| h.value_at_quantile(q) as f64 / 1000.0)
         };
         self.out.detect_ms_p50 = ms(&detect, 0.5);
         self.out.detect_ms_p99 = ms(&detect, 0.99);
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -14,7 +14,11 @@
 fn kept(script: &Script) -> Outcome {
     let o = run(script);
     let text = || serde_json::to_string(script).unwrap();
-    assert!(o.view_conflicts == 0 && o.parts_sum_max <= 1.0 + 1e-6, "{o:#?}\n{}", text());
+    assert!(
+        o.view_conflicts == 0 && o.parts_sum_max <= 1.0 + 1e-6,
+        "{o:#?}\n{}",
+        text()
+    );
     o
 }
 
@@ -46,10 +50,16 @@
 /// The lab can fail: clocks that differ by far more than is stated break what rests on it.
 #[test]
 fn clocks_that_drift_more_than_is_stated_break_the_promise() {
-    let net = Net { drift_ppm: 600_000.0, ..Net::default() };
+    let net = Net {
+        drift_ppm: 600_000.0,
+        ..Net::default()
+    };
     let past = |seed| {
         let script = chance(seed, 4, 30);
-        World::new(script, Section::default(), net).run().parts_sum_max > 1.0 + 1e-6
+        World::new(script, Section::default(), net)
+            .run()
+            .parts_sum_max
+            > 1.0 + 1e-6
     };
     assert!((0..60).any(past));
 }
@@ -61,18 +71,28 @@
         let mut script = chance(1000 + seed, 5, 20);
         script.seconds = 45.0;
         let o = kept(&script);
-        assert!(o.settled_ms.is_some(), "seed {seed}: {o:#?}\n{}", serde_json::to_string(&script).unwrap());
+        assert!(
+            o.settled_ms.is_some(),
+            "seed {seed}: {o:#?}\n{}",
+            serde_json::to_string(&script).unwrap()
+        );
     }
 }
 
 #[test]
 fn an_experiment_sweeps_its_lists_and_is_drawn() {
-    let text = "name = \"x\"\nfronts = [3, 5]\nloss = [0.0, 0.2]\nkill = 0.34\nseconds = 8.0\nseeds = 2\n";
+    let text =
+        "name = \"x\"\nfronts = [3, 5]\nloss = [0.0, 0.2]\nkill = 0.34\nseconds = 8.0\nseeds = 2\n";
     let set = ["seeds=3".to_string(), "fleet.lease_ms=2000".to_string()];
-    let points = Experiment::parse(text, &set).unwrap().run(2, |_, _| {}).unwrap();
+    let points = Experiment::parse(text, &set)
+        .unwrap()
+        .run(2, |_, _| {})
+        .unwrap();
     assert_eq!(points.len(), 4);
     assert!(points.iter().all(|p| p.runs.len() == 3 && p.kept()));
-    assert!(plot::svg(&points, "detect_ms_p99", "x").unwrap().contains("<svg"));
+    assert!(plot::svg(&points, "detect_ms_p99", "x")
+        .unwrap()
+        .contains("<svg"));
     assert!(plot::svg(&points, "parts", "x").is_ok() && plot::svg(&points, "what", "x").is_err());
     assert!(Experiment::parse("fronts = [1]", &[]).is_err());
     assert!(Experiment::parse("fleet = { lease = 1 }", &[]).is_err());
@@ -85,18 +105,29 @@
 fn a_front_that_was_not_heard_deposes_no_leader() {
     for seed in 1..=20 {
         let mut script = Script::new("unheard", seed, 5, 14.0).at(1_500, Act::Mute { front: 4 });
-        script = script.at(5_700, Act::Kill { front: 3 }).at(6_000 + 40 * seed, Act::Heal);
+        script = script
+            .at(5_700, Act::Kill { front: 3 })
+            .at(6_000 + 40 * seed, Act::Heal);
         let o = kept(&script);
-        assert!(o.agree_ms_p99 > 0.0 && o.agree_ms_p99 < 1_000.0, "seed {seed}: {o:#?}");
+        assert!(
+            o.agree_ms_p99 > 0.0 && o.agree_ms_p99 < 1_000.0,
+            "seed {seed}: {o:#?}"
+        );
     }
 }
 
 /// With three datagrams in ten lost, in a fleet that no datagram's room suffices for, living fronts stay alive.
 #[test]
 fn a_large_fleet_bears_loss() {
-    let fault = Fault { loss: 0.3, ..Fault::default() };
+    let fault = Fault {
+        loss: 0.3,
+        ..Fault::default()
+    };
     let mut script = Script::new("large", 1, 80, 8.0).at(0, Act::Net { fault });
     script.keys = Vec::new();
     let o = kept(&script);
-    assert!(o.false_deaths == 0 && o.views <= 2 && o.settled_ms.is_some(), "{o:#?}");
+    assert!(
+        o.false_deaths == 0 && o.views <= 2 && o.settled_ms.is_some(),
+        "{o:#?}"
+    );
 }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -39,17 +39,28 @@
 impl Plan {
     /// As the deadlines of the settings allow: the platform kills no sooner than the longest of them and a little.
     pub fn new(settings: &Settings) -> Plan {
-        let longest = settings.classes.iter().map(|c| c.deadline.max(0) as u64).max().unwrap_or(0);
+        let longest = settings
+            .classes
+            .iter()
+            .map(|c| c.deadline.max(0) as u64)
+            .max()
+            .unwrap_or(0);
         let sure = Duration::from_micros(longest).min(DEADLINE_MOST) + BEYOND;
         let over = sure.saturating_sub(ANSWER);
-        Plan { closing: sure.saturating_sub(FINISH).max(BEYOND).min(over), over }
+        Plan {
+            closing: sure.saturating_sub(FINISH).max(BEYOND).min(over),
+            over,
+        }
     }
 }
 
 /// Follows the signals; `plan` is asked when one comes, for settings may have changed since the start.
 pub fn watch(plan: impl Fn() -> Plan + Send + 'static) -> std::io::Result<watch::Receiver<Phase>> {
     use tokio::signal::unix::{signal, SignalKind};
-    let (mut term, mut int) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
+    let (mut term, mut int) = (
+        signal(SignalKind::terminate())?,
+        signal(SignalKind::interrupt())?,
+    );
     let (tell, phase) = watch::channel(Phase::Ready);
     tokio::spawn(async move {
         tokio::select! {
--- a/crates/lupinrack/src/cli.rs
+++ b/crates/lupinrack/src/cli.rs
@@ -89,7 +89,10 @@
 /// The commands of the cluster scheduler are read from a small tree of their own: a process of the scheduler starts
 /// often and on little processor time.
 pub fn run_from_arguments() -> ExitCode {
-    if let Some(code) = std::env::args_os().nth(1).and_then(|name| cluster::run_by_name(&name)) {
+    if let Some(code) = std::env::args_os()
+        .nth(1)
+        .and_then(|name| cluster::run_by_name(&name))
+    {
         return code;
     }
     let matches = cluster::add_to(Cli::command()).get_matches();
@@ -129,7 +132,8 @@
     let named = |given: Option<PathBuf>, variable: &str| {
         given.or_else(|| std::env::var_os(variable).map(PathBuf::from))
     };
-    let operator = named(args.operator, "LUPINRACK_CONFIG").unwrap_or_else(|| "deploy/lupinrack.toml".into());
+    let operator =
+        named(args.operator, "LUPINRACK_CONFIG").unwrap_or_else(|| "deploy/lupinrack.toml".into());
     let operator = Operator::load(&operator).map_err(Ended::wrong)?;
     log(&operator.log, format)?;
     let config = named(args.config, "LB_CONFIG")
@@ -140,20 +144,36 @@
 
 /// A log for commands whose output is what they print.
 fn quiet(format: Option<Format>) -> Result<(), Ended> {
-    log(&Log { filter: Some("error".into()), ..Log::default() }, format)
+    log(
+        &Log {
+            filter: Some("error".into()),
+            ..Log::default()
+        },
+        format,
+    )
 }
 
 /// Starts the log on standard error.
 fn log(log: &Log, format: Option<Format>) -> Result<(), Ended> {
     let filter = match std::env::var(LOG_VARIABLE) {
-        Ok(text) => EnvFilter::try_new(&text).map_err(|e| Ended::wrong(format!("{LOG_VARIABLE}: {e}")))?,
-        Err(_) => EnvFilter::try_new(log.filter.as_deref().unwrap_or("info")).map_err(Ended::wrong)?,
+        Ok(text) => {
+            EnvFilter::try_new(&text).map_err(|e| Ended::wrong(format!("{LOG_VARIABLE}: {e}")))?
+        }
+        Err(_) => {
+            EnvFilter::try_new(log.filter.as_deref().unwrap_or("info")).map_err(Ended::wrong)?
+        }
     };
-    let lines =
-        tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_ansi(false);
+    let lines = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr)
+        .with_ansi(false);
     match format.unwrap_or(log.format) {
         Format::Text => lines.init(),
-        Format::Json => lines.json().with_current_span(true).with_span_list(true).init(),
+        Format::Json => lines
+            .json()
+            .with_current_span(true)
+            .with_span_list(true)
+            .init(),
     }
     Ok(())
 }
--- a/crates/lupinrack/src/cluster/call.rs
+++ b/crates/lupinrack/src/cluster/call.rs
@@ -61,7 +61,9 @@
 
 /// Makes a call and reads its whole answer, following redirects.
 pub(super) fn exchange(call: Call) -> Result<Answer, CallError> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     runtime.map_err(CallError::Connection)?.block_on(async {
         let answer = tokio::time::timeout(TIMEOUT, follow(call)).await;
         answer.unwrap_or(Err(CallError::TimedOut(TIMEOUT)))
@@ -80,26 +82,48 @@
 }
 
 async fn send(call: &Call) -> Result<Response<hyper::body::Incoming>, CallError> {
-    let stream = TcpStream::connect(call.address).await.map_err(CallError::Connection)?;
-    let (mut sender, connection) =
-        http1::handshake(TokioIo::new(stream)).await.map_err(CallError::Exchange)?;
+    let stream = TcpStream::connect(call.address)
+        .await
+        .map_err(CallError::Connection)?;
+    let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
+        .await
+        .map_err(CallError::Exchange)?;
     tokio::spawn(connection);
-    let host = call.host.clone().unwrap_or_else(|| call.address.to_string());
-    let request = Request::builder().method(&call.method).uri(&call.path).header(HOST, host);
-    let request = request.body(Empty::<Bytes>::new()).map_err(CallError::Request)?;
-    sender.send_request(request).await.map_err(CallError::Exchange)
+    let host = call
+        .host
+        .clone()
+        .unwrap_or_else(|| call.address.to_string());
+    let request = Request::builder()
+        .method(&call.method)
+        .uri(&call.path)
+        .header(HOST, host);
+    let request = request
+        .body(Empty::<Bytes>::new())
+        .map_err(CallError::Request)?;
+    sender
+        .send_request(request)
+        .await
+        .map_err(CallError::Exchange)
 }
 
 async fn read(response: Response<hyper::body::Incoming>) -> Result<Answer, CallError> {
     let status = response.status();
-    let body =
-        Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect().await.map_err(CallError::Body)?;
-    Ok(Answer { status, body: body.to_bytes() })
+    let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
+        .collect()
+        .await
+        .map_err(CallError::Body)?;
+    Ok(Answer {
+        status,
+        body: body.to_bytes(),
+    })
 }
 
 /// Turns the call to where the response points.
 fn redirect<B>(call: &mut Call, response: &Response<B>) -> Result<(), CallError> {
-    let location = response.headers().get(LOCATION).map_or(&b""[..], |value| value.as_bytes());
+    let location = response
+        .headers()
+        .get(LOCATION)
+        .map_or(&b""[..], |value| value.as_bytes());
     let text = String::from_utf8_lossy(location).into_owned();
     let (address, path) = target(&text).ok_or(CallError::Redirect(text))?;
     call.address = address;
--- a/crates/lupinrack/src/cluster/job.rs
+++ b/crates/lupinrack/src/cluster/job.rs
@@ -23,7 +23,9 @@
     Command::new(NAME)
         .about("Ask for a job, or cancel it")
         .subcommand_required(true)
-        .subcommand(with_arguments(Command::new(SHOW).about("Print a job's state")))
+        .subcommand(with_arguments(
+            Command::new(SHOW).about("Print a job's state"),
+        ))
         .subcommand(with_arguments(Command::new(CANCEL).about("Cancel a job")))
 }
 
@@ -63,10 +65,17 @@
 fn answered(matches: &ArgMatches, method: Method) -> Result<Answer, Ended> {
     let (host, path) = (text(matches, HOST)?, text(matches, PATH)?);
     if target_of(&path).job.is_none() {
-        return Err(Ended::wrong(format!("{path}: does not end in the sixteen digits of a job")));
+        return Err(Ended::wrong(format!(
+            "{path}: does not end in the sixteen digits of a job"
+        )));
     }
     let address = address(matches)?;
-    let call = Call { address, method, path: path.clone(), host: Some(host) };
+    let call = Call {
+        address,
+        method,
+        path: path.clone(),
+        host: Some(host),
+    };
     let answer = exchange(call).map_err(|error| Ended::failed(format!("{address}: {error}")))?;
     match answer.status {
         StatusCode::GONE => Err(Ended::failed(format!("{path}: there is no such job"))),
@@ -76,5 +85,8 @@
 }
 
 fn text(matches: &ArgMatches, name: &str) -> Result<String, Ended> {
-    matches.get_one::<String>(name).cloned().ok_or_else(|| Ended::wrong(format!("no {name}")))
+    matches
+        .get_one::<String>(name)
+        .cloned()
+        .ok_or_else(|| Ended::wrong(format!("no {name}")))
 }
--- a/crates/lupinrack/src/cluster/local.rs
+++ b/crates/lupinrack/src/cluster/local.rs
@@ -29,21 +29,35 @@
 /// The command.
 pub(super) fn command() -> Command {
     let seconds = |name: &'static str, default: &'static str| {
-        let argument = Arg::new(name).long(name).value_name("SECONDS").default_value(default);
+        let argument = Arg::new(name)
+            .long(name)
+            .value_name("SECONDS")
+            .default_value(default);
         argument.value_parser(value_parser!(u64).range(1..=3_600))
     };
     let parts = Part::ALL.map(Part::word).into_iter().chain([NONE]);
-    let kill = Arg::new(KILL).long(KILL).value_name("PART").action(ArgAction::Append);
+    let kill = Arg::new(KILL)
+        .long(KILL)
+        .value_name("PART")
+        .action(ArgAction::Append);
     Command::new(NAME)
         .about("Play a whole cluster on loopback: processes, workers, jobs, and kills on the way")
         .arg(seconds(SECONDS, SECONDS_DEFAULT).help("How long jobs are handed in"))
-        .arg(seconds(END_WITHIN, END_WITHIN_DEFAULT).help("How long after that the last job may end"))
+        .arg(
+            seconds(END_WITHIN, END_WITHIN_DEFAULT)
+                .help("How long after that the last job may end"),
+        )
         .arg(
             kill.value_parser(PossibleValuesParser::new(parts))
                 .default_value(Part::Head.word())
                 .help("What is killed and started again; may be given more than once"),
         )
-        .arg(Arg::new(JSON).long(JSON).action(ArgAction::SetTrue).help("Print the report as JSON"))
+        .arg(
+            Arg::new(JSON)
+                .long(JSON)
+                .action(ArgAction::SetTrue)
+                .help("Print the report as JSON"),
+        )
 }
 
 /// Plays the cluster. Exit code 0 where every job ended as it should.
@@ -74,14 +88,21 @@
 
 fn parts(matches: &ArgMatches) -> Vec<Part> {
     let words = matches.get_many::<String>(KILL).into_iter().flatten();
-    words.filter_map(|word| Part::ALL.into_iter().find(|part| part.word() == word)).collect()
+    words
+        .filter_map(|word| Part::ALL.into_iter().find(|part| part.word() == word))
+        .collect()
 }
 
 /// A folder of this process's own.
 fn new_folder() -> Result<PathBuf, Ended> {
-    let name = format!("lupinrack-local-{}-{:08x}", std::process::id(), fastrand::u32(..));
+    let name = format!(
+        "lupinrack-local-{}-{:08x}",
+        std::process::id(),
+        fastrand::u32(..)
+    );
     let folder = std::env::temp_dir().join(name);
-    std::fs::create_dir(&folder).map_err(|error| Ended::failed(format!("{}: {error}", folder.display())))?;
+    std::fs::create_dir(&folder)
+        .map_err(|error| Ended::failed(format!("{}: {error}", folder.display())))?;
     Ok(folder)
 }
 
@@ -92,8 +113,10 @@
 
 /// Plays until the end, or until this process is told to end: then the children are killed.
 fn play_until_told(settings: &LocalSettings) -> Result<LocalReport, Ended> {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(Ended::failed)?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(Ended::failed)?;
     runtime.block_on(async {
         let mut terminate = signal(SignalKind::terminate()).map_err(Ended::failed)?;
         let mut interrupt = signal(SignalKind::interrupt()).map_err(Ended::failed)?;
--- a/crates/lupinrack/src/cluster/mod.rs
+++ b/crates/lupinrack/src/cluster/mod.rs
@@ -17,7 +17,12 @@
 
 /// The commands.
 fn commands() -> [Command; 4] {
-    [node::command(), job::command(), status::command(), local::command()]
+    [
+        node::command(),
+        job::command(),
+        status::command(),
+        local::command(),
+    ]
 }
 
 /// Adds the commands to the program's.
@@ -27,9 +32,12 @@
 
 /// Runs the process's command, where its first argument is the name of one of these; none for another name.
 pub fn run_by_name(name: &OsStr) -> Option<ExitCode> {
-    let known =
-        [node::NAME, job::NAME, status::NAME, local::NAME].iter().any(|known| name == OsStr::new(known));
-    known.then(|| run(&add_to(Command::new("lupinrack")).get_matches())).flatten()
+    let known = [node::NAME, job::NAME, status::NAME, local::NAME]
+        .iter()
+        .any(|known| name == OsStr::new(known));
+    known
+        .then(|| run(&add_to(Command::new("lupinrack")).get_matches()))
+        .flatten()
 }
 
 /// Runs the command that was matched; none where it is not one of these.
@@ -54,5 +62,8 @@
 
 /// The address of the process that is asked.
 fn address(matches: &ArgMatches) -> Result<SocketAddr, Ended> {
-    matches.get_one(AT).copied().ok_or_else(|| Ended::wrong("no address: --at names it"))
+    matches
+        .get_one(AT)
+        .copied()
+        .ok_or_else(|| Ended::wrong("no address: --at names it"))
 }
--- a/crates/lupinrack/src/cluster/node.rs
+++ b/crates/lupinrack/src/cluster/node.rs
@@ -18,19 +18,28 @@
 
 /// The command.
 pub(super) fn command() -> Command {
-    let file = |name: &'static str| Arg::new(name).long(name).value_parser(value_parser!(PathBuf));
+    let file = |name: &'static str| {
+        Arg::new(name)
+            .long(name)
+            .value_parser(value_parser!(PathBuf))
+    };
     let settings = file(SETTINGS).value_name("FILE");
-    let check =
-        file(CHECK).num_args(1..=2).value_names(["SETTINGS", "CONFIGURATION"]).conflicts_with(SETTINGS);
-    let log = Arg::new(LOG).long(LOG).value_name("LEVELS").value_parser(value_parser!(String));
+    let check = file(CHECK)
+        .num_args(1..=2)
+        .value_names(["SETTINGS", "CONFIGURATION"])
+        .conflicts_with(SETTINGS);
+    let log = Arg::new(LOG)
+        .long(LOG)
+        .value_name("LEVELS")
+        .value_parser(value_parser!(String));
     Command::new(NAME)
         .about("Run a process of the cluster scheduler until SIGTERM")
-        .arg(settings.help(format!("The settings file; {PATH_VARIABLE} names it otherwise")))
-        .arg(
-            log.help(format!(
-                "Levels of the log, as info,chain=debug; {LEVEL_VARIABLE} holds them otherwise"
-            )),
-        )
+        .arg(settings.help(format!(
+            "The settings file; {PATH_VARIABLE} names it otherwise"
+        )))
+        .arg(log.help(format!(
+            "Levels of the log, as info,chain=debug; {LEVEL_VARIABLE} holds them otherwise"
+        )))
         .arg(check.help("Only check a settings file, and an operator's configuration (JSON)"))
 }
 
@@ -39,7 +48,10 @@
     if let Some(files) = matches.get_many::<PathBuf>(CHECK) {
         return check(&files.collect::<Vec<_>>()).map(|()| ExitCode::SUCCESS);
     }
-    let path = matches.get_one(SETTINGS).cloned().unwrap_or_else(settings_path);
+    let path = matches
+        .get_one(SETTINGS)
+        .cloned()
+        .unwrap_or_else(settings_path);
     let settings = read_settings(&path).map_err(Ended::Wrong)?;
     begin_log(matches.get_one::<String>(LOG))?;
     Ok(lupinrack_cluster_node::run(settings))
@@ -49,14 +61,18 @@
     let Some(text) = levels else {
         return lupinrack_cluster_log::init_from_environment().map_err(Ended::wrong);
     };
-    let levels = text.parse().map_err(|fault: MalformedLevels| Ended::Wrong(fault.to_string()))?;
+    let levels = text
+        .parse()
+        .map_err(|fault: MalformedLevels| Ended::Wrong(fault.to_string()))?;
     lupinrack_cluster_log::init(levels).map_err(Ended::wrong)
 }
 
 /// Checks a settings file and, where there is a second file, a configuration; the faults of both are told.
 fn check(files: &[&PathBuf]) -> Result<(), Ended> {
     let settings = files.first().map(|file| read_settings(file).map(|_| *file));
-    let configuration = files.get(1).map(|file| check_configuration(file).map(|()| *file));
+    let configuration = files
+        .get(1)
+        .map(|file| check_configuration(file).map(|()| *file));
     let mut faults = Vec::new();
     for result in [settings, configuration].into_iter().flatten() {
         match result {
@@ -78,5 +94,7 @@
     let at_fault = |why: String| format!("{}: {why}", path.display());
     let text = std::fs::read_to_string(path).map_err(|error| at_fault(error.to_string()))?;
     let checked = lupinrack_control_state::check_configuration(&text);
-    checked.map(|_| ()).map_err(|fault| at_fault(fault.to_string()))
+    checked
+        .map(|_| ())
+        .map_err(|fault| at_fault(fault.to_string()))
 }
--- a/crates/lupinrack/src/cluster/status.rs
+++ b/crates/lupinrack/src/cluster/status.rs
@@ -25,8 +25,8 @@
         .after_help(
             "Core processes and agents answer at their control address, fronts at their readiness address.",
         );
-    let configuration =
-        Command::new(CONFIGURATION).about("Print the newest configuration, as a core process answers it");
+    let configuration = Command::new(CONFIGURATION)
+        .about("Print the newest configuration, as a core process answers it");
     Command::new(NAME)
         .about("Ask a process for the state of the system")
         .subcommand_required(true)
@@ -46,12 +46,27 @@
 /// Prints the answer at a path.
 fn print(matches: &ArgMatches, path: &str) -> Result<(), Ended> {
     let address = address(matches)?;
-    let call = Call { address, method: Method::GET, path: path.to_string(), host: None };
+    let call = Call {
+        address,
+        method: Method::GET,
+        path: path.to_string(),
+        host: None,
+    };
     let answer = exchange(call).map_err(|error| Ended::failed(format!("{address}: {error}")))?;
     if !answer.status.is_success() {
-        return Err(Ended::failed(format!("{address}: answered {}", answer.status)));
+        return Err(Ended::failed(format!(
+            "{address}: answered {}",
+            answer.status
+        )));
     }
-    let end: &[u8] = if answer.body.ends_with(b"\n") { b"" } else { b"\n" };
+    let end: &[u8] = if answer.body.ends_with(b"\n") {
+        b""
+    } else {
+        b"\n"
+    };
     let mut output = std::io::stdout().lock();
-    output.write_all(&answer.body).and_then(|()| output.write_all(end)).map_err(Ended::failed)
+    output
+        .write_all(&answer.body)
+        .and_then(|()| output.write_all(end))
+        .map_err(Ended::failed)
 }
--- a/crates/lupinrack/src/commands/ask.rs
+++ b/crates/lupinrack/src/commands/ask.rs
@@ -34,8 +34,8 @@
 
 /// Asks and prints the answer.
 pub fn run(ask: &Ask) -> Result<(), Ended> {
-    let answer =
-        exchange(ask.address, ask.call).map_err(|e| Ended::failed(format!("{}: {e}", ask.address)))?;
+    let answer = exchange(ask.address, ask.call)
+        .map_err(|e| Ended::failed(format!("{}: {e}", ask.address)))?;
     print!("{answer}");
     match answer.starts_with("200") {
         true => Ok(()),
--- a/crates/lupinrack/src/commands/buffer.rs
+++ b/crates/lupinrack/src/commands/buffer.rs
@@ -64,10 +64,14 @@
 pub fn run(what: &Buffer) -> Result<(), Ended> {
     match what {
         Buffer::Ls(place) => list(place, |_| true).map(drop),
-        Buffer::InDoubt(place) => match list(place, |s| matches!(s, Standing::PastWindow { .. }))? {
-            0 => Ok(()),
-            n => Err(Ended::failed(format!("{n} writes may have run; their nodes must be asked first"))),
-        },
+        Buffer::InDoubt(place) => {
+            match list(place, |s| matches!(s, Standing::PastWindow { .. }))? {
+                0 => Ok(()),
+                n => Err(Ended::failed(format!(
+                    "{n} writes may have run; their nodes must be asked first"
+                ))),
+            }
+        }
         Buffer::Verify(place) => verify(place),
         Buffer::Export { place, to } => export(place, to),
     }
@@ -76,15 +80,24 @@
 /// Reads a log without changing it. One that a front has open is refused.
 fn read(place: &Place) -> Result<(Recovered, Book), Ended> {
     if !place.dir.is_dir() {
-        return Err(Ended::wrong(format!("{}: no such folder", place.dir.display())));
+        return Err(Ended::wrong(format!(
+            "{}: no such folder",
+            place.dir.display()
+        )));
     }
     let mut folder = Folder::open(&place.dir).map_err(|e| match e {
-        FolderError::InUse(_) => Ended::wrong(format!("{e}; its figures are in that program's log")),
+        FolderError::InUse(_) => {
+            Ended::wrong(format!("{e}; its figures are in that program's log"))
+        }
         e => Ended::wrong(e),
     })?;
-    let found = inspect(&mut folder).map_err(|e| Ended::failed(format!("{}: {e}", place.dir.display())))?;
+    let found =
+        inspect(&mut folder).map_err(|e| Ended::failed(format!("{}: {e}", place.dir.display())))?;
     let mut book = Book::default();
-    found.records.iter().for_each(|(sequence, record)| book.apply(*sequence, record));
+    found
+        .records
+        .iter()
+        .for_each(|(sequence, record)| book.apply(*sequence, record));
     Ok((found, book))
 }
 
@@ -96,7 +109,9 @@
     let (state, nodes, left) = match standing {
         Standing::NeverSent => ("never sent", Vec::new(), None),
         Standing::Answered => ("answered", Vec::new(), None),
-        Standing::InWindow { shard, left } => ("in window", vec![format!("shard {shard}")], Some(*left)),
+        Standing::InWindow { shard, left } => {
+            ("in window", vec![format!("shard {shard}")], Some(*left))
+        }
         Standing::PastWindow { nodes } => ("past window", nodes.clone(), None),
     };
     Row {
@@ -166,17 +181,23 @@
     let pending = book.pending().count();
     if place.json {
         let (records, torn) = (found.records.len(), found.torn);
-        let line =
-            serde_json::json!({"records": records, "kinds": kinds, "pending": pending, "torn_bytes": torn});
+        let line = serde_json::json!({"records": records, "kinds": kinds, "pending": pending, "torn_bytes": torn});
         println!("{line}");
         return Ok(());
     }
-    let mut text = format!("{} records, {pending} writes not settled", found.records.len());
+    let mut text = format!(
+        "{} records, {pending} writes not settled",
+        found.records.len()
+    );
     for (kind, count) in kinds {
         let _ = write!(text, "\n{kind:<10}{count:>8}");
     }
     if found.torn > 0 {
-        let _ = write!(text, "\na torn end of {} bytes; the next start cuts it off", found.torn);
+        let _ = write!(
+            text,
+            "\na torn end of {} bytes; the next start cuts it off",
+            found.torn
+        );
     }
     println!("{text}");
     Ok(())
@@ -187,7 +208,10 @@
     std::fs::create_dir(to).map_err(|e| Ended::wrong(format!("{}: {e}", to.display())))?;
     let mut count = 0;
     for p in book.pending() {
-        let file = to.join(format!("{:016x}-{:08}.body", p.taken.volume, p.taken.write.0));
+        let file = to.join(format!(
+            "{:016x}-{:08}.body",
+            p.taken.volume, p.taken.write.0
+        ));
         std::fs::write(&file, &p.taken.body)
             .map_err(|e| Ended::failed(format!("{}: {e}", file.display())))?;
         count += 1;
--- a/crates/lupinrack/src/commands/check.rs
+++ b/crates/lupinrack/src/commands/check.rs
@@ -30,7 +30,10 @@
     }
     let sections: Vec<&overload::Section> = fleets.iter().map(|(.., o)| o).collect();
     for (at, path, why) in overload::Section::across(&sections) {
-        wrong.push(format!("{}: overload.{path}: {why}", fleets[at].0.display()));
+        wrong.push(format!(
+            "{}: overload.{path}: {why}",
+            fleets[at].0.display()
+        ));
     }
     match wrong.is_empty() {
         true => Ok(()),
@@ -44,9 +47,9 @@
         return Err(format!("{}: no such file", file.display()));
     }
     match file.extension().is_some_and(|e| e == "json") {
-        true => {
-            Config::load(file).map(|_| Operator::default()).map_err(|e| format!("{}: {e}", file.display()))
-        }
+        true => Config::load(file)
+            .map(|_| Operator::default())
+            .map_err(|e| format!("{}: {e}", file.display())),
         false => Operator::load(file).map_err(|e| e.to_string()),
     }
 }
--- a/crates/lupinrack/src/commands/extents/sim.rs
+++ b/crates/lupinrack/src/commands/extents/sim.rs
@@ -5,7 +5,9 @@
 use clap::Args;
 use lupinrack_extents::config::Section;
 use lupinrack_extents::ranges::Ranges;
-use lupinrack_extents::{datagram, Action, Cache, Change, Cover, Input, News, Place, Turn, Version};
+use lupinrack_extents::{
+    datagram, Action, Cache, Change, Cover, Input, News, Place, Turn, Version,
+};
 use lupinrack_policy::{Key, Micros, Shard, VolumeId};
 use serde::Serialize;
 use std::cmp::Reverse;
@@ -130,8 +132,15 @@
 
 /// Plays all runs and prints what came of them.
 pub fn run(sim: &Sim) -> Result<(), Ended> {
-    if sim.fronts.contains(&0) || sim.volumes == 0 || sim.extents == 0 || sim.shards < 2 || sim.rate <= 0.0 {
-        return Err(Ended::wrong("fronts, volumes, extents and rate must be above zero, shards above one"));
+    if sim.fronts.contains(&0)
+        || sim.volumes == 0
+        || sim.extents == 0
+        || sim.shards < 2
+        || sim.rate <= 0.0
+    {
+        return Err(Ended::wrong(
+            "fronts, volumes, extents and rate must be above zero, shards above one",
+        ));
     }
     if !sim.json {
         println!(
@@ -183,14 +192,25 @@
                 let mut ranges = Ranges::new(0);
                 for lot in 0..sim.extents {
                     epoch += 1;
-                    let last = if lot + 1 == sim.extents { u64::MAX } else { (lot + 1) * span - 1 };
-                    ranges.set(lot * span, last, Some(dice.u32(0..sim.shards)), epoch, epoch);
+                    let last = if lot + 1 == sim.extents {
+                        u64::MAX
+                    } else {
+                        (lot + 1) * span - 1
+                    };
+                    ranges.set(
+                        lot * span,
+                        last,
+                        Some(dice.u32(0..sim.shards)),
+                        epoch,
+                        epoch,
+                    );
                 }
                 ranges
             })
             .collect();
-        let peers: Vec<_> =
-            (0..count).map(|i| std::net::SocketAddr::from(([127, 0, 0, 1], i as u16 + 1))).collect();
+        let peers: Vec<_> = (0..count)
+            .map(|i| std::net::SocketAddr::from(([127, 0, 0, 1], i as u16 + 1)))
+            .collect();
         let fronts = (0..count)
             .map(|i| {
                 let section = Section {
@@ -199,7 +219,11 @@
                     peers: peers.iter().copied().filter(|p| *p != peers[i]).collect(),
                     ..Section::default()
                 };
-                Front { cache: Cache::new(section, 0), volumes: Vec::new(), waits: Vec::new() }
+                Front {
+                    cache: Cache::new(section, 0),
+                    volumes: Vec::new(),
+                    waits: Vec::new(),
+                }
             })
             .collect();
         let mut world = World {
@@ -209,12 +233,19 @@
             queue: BinaryHeap::new(),
             what: BTreeMap::new(),
             number: 0,
-            version: Version { incarnation: 1, epoch },
+            version: Version {
+                incarnation: 1,
+                epoch,
+            },
             truth,
             history: VecDeque::new(),
             held: BTreeMap::new(),
             fronts,
-            figures: Figures { fronts: count, extents: epoch, ..Figures::default() },
+            figures: Figures {
+                fronts: count,
+                extents: epoch,
+                ..Figures::default()
+            },
             calls: 0,
             bytes: 0,
             peer_bytes: 0,
@@ -238,7 +269,9 @@
         for front in 0..self.fronts.len() {
             for volume in self.fronts[front].volumes.clone() {
                 let mut out = Vec::new();
-                self.fronts[front].cache.locate(self.now, VolumeId(volume), Key(0), &mut out);
+                self.fronts[front]
+                    .cache
+                    .locate(self.now, VolumeId(volume), Key(0), &mut out);
                 self.carry(front, out);
             }
         }
@@ -269,7 +302,8 @@
     }
 
     fn until(&mut self, end: Micros) {
-        while let Some(Reverse((at, number))) = self.queue.peek().copied().filter(|q| q.0 .0 <= end) {
+        while let Some(Reverse((at, number))) = self.queue.peek().copied().filter(|q| q.0 .0 <= end)
+        {
             self.queue.pop();
             self.now = at;
             match self.what.remove(&number) {
@@ -336,9 +370,15 @@
     }
 
     fn request(&mut self, front: usize) {
-        let Some(volume) = self.dice.choice(&self.fronts[front].volumes).copied() else { return };
+        let Some(volume) = self.dice.choice(&self.fronts[front].volumes).copied() else {
+            return;
+        };
         self.figures.requests += 1;
-        let waits = Waits { volume: VolumeId(volume), key: Key(self.dice.u64(..)), turned: 0 };
+        let waits = Waits {
+            volume: VolumeId(volume),
+            key: Key(self.dice.u64(..)),
+            turned: 0,
+        };
         self.resolve(front, waits);
     }
 
@@ -347,7 +387,10 @@
         let mut out = Vec::new();
         let f = &mut self.fronts[front];
         let mut place = f.cache.locate(self.now, w.volume, w.key, &mut out);
-        let truth = self.truth[w.volume.0 as usize].get(w.key.0).shard.map(Shard);
+        let truth = self.truth[w.volume.0 as usize]
+            .get(w.key.0)
+            .shard
+            .map(Shard);
         while let Place::At(shard) = place {
             if Some(shard) == truth {
                 break;
@@ -355,7 +398,13 @@
             w.turned += 1;
             self.figures.misdirected += u64::from(w.turned == 1);
             self.figures.second_misdirected += u64::from(w.turned == 2);
-            match f.cache.wrong_turn(self.now, (w.volume, w.key), shard, Some(self.version), &mut out) {
+            match f.cache.wrong_turn(
+                self.now,
+                (w.volume, w.key),
+                shard,
+                Some(self.version),
+                &mut out,
+            ) {
                 Turn::At(shard) if w.turned < 3 => place = Place::At(shard),
                 Turn::Waiting => place = Place::Unknown,
                 _ => break,
@@ -378,7 +427,13 @@
         self.version.epoch += 1;
         let (epoch, shard) = (self.version.epoch, Some(self.dice.u32(0..self.sim.shards)));
         self.truth[volume as usize].set(piece.first, piece.last, shard, epoch, epoch);
-        let change = Change { volume: VolumeId(volume), first: piece.first, last: piece.last, shard, epoch };
+        let change = Change {
+            volume: VolumeId(volume),
+            first: piece.first,
+            last: piece.last,
+            shard,
+            epoch,
+        };
         self.history.push_back(change);
         if self.silent() {
             return;
@@ -392,14 +447,20 @@
         if self.silent() {
             // Given up by the driver.
             let input = match action {
-                Action::Fetch { volume, .. } => Input::Fetched { volume, answer: Err("silent".into()) },
+                Action::Fetch { volume, .. } => Input::Fetched {
+                    volume,
+                    answer: Err("silent".into()),
+                },
                 _ => Input::Polled(Err("silent".into())),
             };
             self.later(S, Happens::Answer(front, input));
             return;
         }
         match action {
-            Action::Poll { from: Some(from), hold } if from == self.version => {
+            Action::Poll {
+                from: Some(from),
+                hold,
+            } if from == self.version => {
                 let poll = self.later(hold, Happens::HoldOver(self.number + 1));
                 self.held.insert(poll, (front, from));
             }
@@ -408,8 +469,9 @@
                 let ranges = &self.truth[volume.0 as usize];
                 let piece = key.map(|k| ranges.get(k.0));
                 let within = piece.map_or((0, u64::MAX), |p| (p.first, p.last));
-                let pieces =
-                    ranges.iter().filter(|p| p.shard.is_some() && p.first >= within.0 && p.last <= within.1);
+                let pieces = ranges
+                    .iter()
+                    .filter(|p| p.shard.is_some() && p.first >= within.0 && p.last <= within.1);
                 let extent = |p: lupinrack_extents::Piece| Change {
                     volume,
                     first: p.first,
@@ -418,9 +480,22 @@
                     epoch: p.epoch,
                 };
                 let extents = pieces.map(extent).collect();
-                let cover = Cover { version: self.version, volume, first: within.0, last: within.1, extents };
+                let cover = Cover {
+                    version: self.version,
+                    volume,
+                    first: within.0,
+                    last: within.1,
+                    extents,
+                };
                 let size = serde_json::to_vec(&cover).map_or(0, |b| b.len());
-                self.answer(front, size, Input::Fetched { volume, answer: Ok(cover) });
+                self.answer(
+                    front,
+                    size,
+                    Input::Fetched {
+                        volume,
+                        answer: Ok(cover),
+                    },
+                );
             }
             _ => {}
         }
@@ -431,10 +506,20 @@
             Some(from) => {
                 let known = self.history.partition_point(|c| c.epoch <= from.epoch);
                 let changes = self.history.range(known..).copied().collect();
-                News { version: self.version, reset: false, whole: false, changes }
+                News {
+                    version: self.version,
+                    reset: false,
+                    whole: false,
+                    changes,
+                }
             }
             // Too large to be told whole: volumes are fetched on need.
-            None => News { version: self.version, reset: true, whole: false, changes: Vec::new() },
+            None => News {
+                version: self.version,
+                reset: true,
+                whole: false,
+                changes: Vec::new(),
+            },
         };
         let size = serde_json::to_vec(&news).map_or(0, |b| b.len());
         self.answer(front, size, Input::Polled(Ok(news)));
--- a/crates/lupinrack/src/commands/fleet/drill.rs
+++ b/crates/lupinrack/src/commands/fleet/drill.rs
@@ -42,7 +42,9 @@
 /// Plays and checks.
 pub fn run(drill: &Drill) -> Result<(), Ended> {
     if drill.faults.iter().any(|f| f == "list") {
-        CASES.iter().for_each(|c| println!("{:<10}{}", c.name, c.shows));
+        CASES
+            .iter()
+            .for_each(|c| println!("{:<10}{}", c.name, c.shows));
         return Ok(());
     }
     if drill.faults.is_empty() {
@@ -63,7 +65,8 @@
     for name in &drill.faults {
         match name.as_str() {
             "all" => cases.extend(CASES),
-            name => cases.push(named(name).ok_or_else(|| Ended::wrong(format!("no such case: {name}")))?),
+            name => cases
+                .push(named(name).ok_or_else(|| Ended::wrong(format!("no such case: {name}")))?),
         }
     }
     let mut broken = Vec::new();
@@ -81,16 +84,31 @@
 fn one(drill: &Drill, mut script: Script) -> Result<(), Ended> {
     script.fleet = !drill.told_once;
     if let Some(file) = &drill.script {
-        std::fs::write(file, serde_json::to_string_pretty(&script).map_err(Ended::failed)?)
-            .map_err(Ended::failed)?;
+        std::fs::write(
+            file,
+            serde_json::to_string_pretty(&script).map_err(Ended::failed)?,
+        )
+        .map_err(Ended::failed)?;
     }
-    let folder = std::env::temp_dir().join(format!("lupinrack-drill-{}-{}", std::process::id(), script.seed));
+    let folder = std::env::temp_dir().join(format!(
+        "lupinrack-drill-{}-{}",
+        std::process::id(),
+        script.seed
+    ));
     let program = std::env::current_exe().map_err(Ended::failed)?;
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(Ended::failed)?;
-    let plan = Plan { script: script.clone(), program, folder, fleet: String::new() };
-    let played =
-        runtime.block_on(play(plan)).map_err(|e| Ended::failed(format!("seed {}: {e}", script.seed)))?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(Ended::failed)?;
+    let plan = Plan {
+        script: script.clone(),
+        program,
+        folder,
+        fleet: String::new(),
+    };
+    let played = runtime
+        .block_on(play(plan))
+        .map_err(|e| Ended::failed(format!("seed {}: {e}", script.seed)))?;
     let figures = &played.figures;
     if let Some(file) = &drill.history {
         std::fs::write(file, played.history.last(usize::MAX)).map_err(Ended::failed)?;
@@ -103,7 +121,11 @@
         Ok(()) => Ok(()),
         Err(broken) => {
             let script = serde_json::to_string(&script).unwrap_or_default();
-            eprintln!("seed {}\nscript {script}\n{}", figures.seed, played.history.last(60));
+            eprintln!(
+                "seed {}\nscript {script}\n{}",
+                figures.seed,
+                played.history.last(60)
+            );
             Err(Ended::failed(broken.join("\n")))
         }
     }
@@ -118,7 +140,11 @@
         f.kills,
         f.pauses,
         f.partitions,
-        if told_once { "told once" } else { "by the fleet" }
+        if told_once {
+            "told once"
+        } else {
+            "by the fleet"
+        }
     );
     for (name, count) in [
         ("requests", f.requests),
--- a/crates/lupinrack/src/commands/fleet/ls.rs
+++ b/crates/lupinrack/src/commands/fleet/ls.rs
@@ -32,8 +32,8 @@
 
 /// Asks once.
 pub fn run(ls: &Ls) -> Result<(), Ended> {
-    let answer =
-        exchange(ls.address, Call::Fleet).map_err(|e| Ended::failed(format!("{}: {e}", ls.address)))?;
+    let answer = exchange(ls.address, Call::Fleet)
+        .map_err(|e| Ended::failed(format!("{}: {e}", ls.address)))?;
     let mut lines = answer.lines();
     let head = lines.next().unwrap_or("no answer");
     if !head.starts_with("200") {
@@ -71,8 +71,9 @@
 }
 
 fn table(r: &Report) -> String {
-    let lease =
-        r.lease_left_ms.map_or("no lease".to_string(), |ms| format!("lease {:.1} s", ms as f64 / 1000.0));
+    let lease = r.lease_left_ms.map_or("no lease".to_string(), |ms| {
+        format!("lease {:.1} s", ms as f64 / 1000.0)
+    });
     let leads = if r.leads { ", leads" } else { "" };
     let mut text = format!(
         "{}: {}, view {}{leads}, {lease}, uses {:.3} of its even part, more of {} of {} volumes\n\n",
--- a/crates/lupinrack/src/commands/lab.rs
+++ b/crates/lupinrack/src/commands/lab.rs
@@ -78,20 +78,29 @@
     let mut set = run.set.clone();
     set.extend(run.seeds.map(|n| format!("seeds={n}")));
     let experiment = Experiment::parse(&text, &set).map_err(Ended::wrong)?;
-    let threads =
-        run.threads.or_else(|| std::thread::available_parallelism().ok().map(usize::from)).unwrap_or(1);
-    let points =
-        experiment.run(threads, |done, all| eprint!("\r{done} of {all} runs")).map_err(Ended::wrong)?;
+    let threads = run
+        .threads
+        .or_else(|| std::thread::available_parallelism().ok().map(usize::from))
+        .unwrap_or(1);
+    let points = experiment
+        .run(threads, |done, all| eprint!("\r{done} of {all} runs"))
+        .map_err(Ended::wrong)?;
     eprintln!();
     Ok((experiment, points))
 }
 
 fn table(experiment: &Experiment, points: &[Point]) -> String {
-    let mut text = format!("{}: {} seeds; median (least to most)\n", experiment.name, experiment.seeds);
+    let mut text = format!(
+        "{}: {} seeds; median (least to most)\n",
+        experiment.name, experiment.seeds
+    );
     for p in points {
         text += &format!("\n{} fronts, loss {}\n", p.fronts, p.loss);
         for (name, s) in &p.spread {
-            text += &format!("  {name:<24}{:>12.3}  ({:.3} to {:.3})\n", s.median, s.least, s.most);
+            text += &format!(
+                "  {name:<24}{:>12.3}  ({:.3} to {:.3})\n",
+                s.median, s.least, s.most
+            );
         }
     }
     text
--- a/crates/lupinrack/src/commands/overload.rs
+++ b/crates/lupinrack/src/commands/overload.rs
@@ -38,22 +38,34 @@
 /// Runs one of them.
 pub fn run(Overload::Drill(drill): &Overload) -> Result<(), Ended> {
     if drill.script == "list" {
-        CASES.iter().for_each(|c| println!("{:<12}{}", c.name, c.shows));
+        CASES
+            .iter()
+            .for_each(|c| println!("{:<12}{}", c.name, c.shows));
         return Ok(());
     }
-    let case =
-        named(&drill.script).ok_or_else(|| Ended::wrong(format!("no such script: {}", drill.script)))?;
+    let case = named(&drill.script)
+        .ok_or_else(|| Ended::wrong(format!("no such script: {}", drill.script)))?;
     let seed = drill.seed.unwrap_or_else(|| fastrand::u64(..1 << 32));
     let mut script = (case.script)(drill.fronts, seed, drill.seconds);
     if drill.alone {
         script.sections.clear();
     }
-    let folder = std::env::temp_dir().join(format!("lupinrack-overload-{}-{seed}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("lupinrack-overload-{}-{seed}", std::process::id()));
     let program = std::env::current_exe().map_err(Ended::failed)?;
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(Ended::failed)?;
-    let plan = Plan { script, program, folder, fleet: String::new() };
-    let played = runtime.block_on(play(plan)).map_err(|e| Ended::failed(format!("seed {seed}: {e}")))?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(Ended::failed)?;
+    let plan = Plan {
+        script,
+        program,
+        folder,
+        fleet: String::new(),
+    };
+    let played = runtime
+        .block_on(play(plan))
+        .map_err(|e| Ended::failed(format!("seed {seed}: {e}")))?;
     let f = &played.figures;
     if drill.json {
         println!("{}", serde_json::to_string(f).map_err(Ended::failed)?);
@@ -71,9 +83,17 @@
             "{:<20}{:>10.2}\n{:<20}{:>10}",
             "trials_per_s", f.trials_per_s, "trials_over", f.trials_over
         );
-        let recovery = f.recovery_ms.map_or("never".to_string(), |ms| format!("{ms:.0}"));
-        println!("{:<20}{recovery:>10}\n{:<20}{:>10}", "recovery_ms", "limit_broken", f.limit_broken);
-        println!("{:<20}{:>10}\n{:<20}{:>10}", "lost", f.lost, "duplicates", f.duplicates);
+        let recovery = f
+            .recovery_ms
+            .map_or("never".to_string(), |ms| format!("{ms:.0}"));
+        println!(
+            "{:<20}{recovery:>10}\n{:<20}{:>10}",
+            "recovery_ms", "limit_broken", f.limit_broken
+        );
+        println!(
+            "{:<20}{:>10}\n{:<20}{:>10}",
+            "lost", f.lost, "duplicates", f.duplicates
+        );
     }
     f.verdict().map_err(|broken| {
         eprintln!("seed {seed}\n{}", played.history.last(60));
--- a/crates/lupinrack/src/lib.rs
+++ b/crates/lupinrack/src/lib.rs
@@ -16,7 +16,9 @@
 
 /// The platform's front and what the platform tells it.
 pub mod net {
-    pub use lupinrack_http::{accept, budget, gate, intake, line, places, probe, request, upstream};
+    pub use lupinrack_http::{
+        accept, budget, gate, intake, line, places, probe, request, upstream,
+    };
     pub use lupinrack_lifecycle as shutdown;
     pub use lupinrack_platform::{clock, config, discovery, reload};
 }
