--- a/crates/lupinrack/src/serve.rs
+++ b/crates/lupinrack/src/serve.rs
@@ -83,7 +83,15 @@
         let ipfix = operator.ipfix.and_then(IpfixConfig::new);
         let fleet = operator.fleet.filter(|section| section.enabled);
         let overload = operator.overload.filter(|section| section.enabled);
-        Ok(Plan { rsync, ipfix, extents, fleet, overload, config, inherited: None })
+        Ok(Plan {
+            rsync,
+            ipfix,
+            extents,
+            fleet,
+            overload,
+            config,
+            inherited: None,
+        })
     }
 }
 
@@ -103,15 +111,26 @@
 
 /// Runs a front until it is told to end by a signal and all that it took is answered.
 pub fn until_told(path: PathBuf, plan: Plan) -> std::io::Result<()> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     runtime.block_on(async {
         let current = reload::Current::new(&plan.config);
         let told = current.told();
         let phase = lifecycle::watch(move || lifecycle::Plan::new(&told.borrow().for_module()))?;
         let hangups = reload::hangups()?;
         let front = start_with(plan, phase, current.told(), current.discovery()).await?;
-        tokio::spawn(reload::follow(hangups, path, current, front.core.clone(), front.figures.clone()));
-        front.ended.await.unwrap_or_else(|e| Err(std::io::Error::other(e)))
+        tokio::spawn(reload::follow(
+            hangups,
+            path,
+            current,
+            front.core.clone(),
+            front.figures.clone(),
+        ));
+        front
+            .ended
+            .await
+            .unwrap_or_else(|e| Err(std::io::Error::other(e)))
     })
 }
 
@@ -132,7 +151,15 @@
     settings: watch::Receiver<Arc<Told>>,
     discovery: watch::Receiver<SocketAddr>,
 ) -> std::io::Result<Front> {
-    let Plan { config, rsync, ipfix, extents, fleet, overload, inherited } = plan;
+    let Plan {
+        config,
+        rsync,
+        ipfix,
+        extents,
+        fleet,
+        overload,
+        inherited,
+    } = plan;
     let clock = Clock::start();
     let epoch = Epoch::fix(&clock);
     let told = Arc::new(config.told);
@@ -156,16 +183,38 @@
         let (with, actions, seen) = core.with_extents(cache);
         (core, counters) = (with, seen.clone());
         tracing::info!("extents from {}", section.authority);
-        driver = Some(tokio::spawn(Driver::new(&section, handle.clone()).await?.run(actions, seen)));
+        driver = Some(tokio::spawn(
+            Driver::new(&section, handle.clone())
+                .await?
+                .run(actions, seen),
+        ));
     }
     // A client of the rsync front holds two descriptors, its own and one to a server; the door its callers and the next.
-    let callers = config.management.map_or(0, |_| lupinrack_door::CALLERS_MOST + 1);
+    let callers = config
+        .management
+        .map_or(0, |_| lupinrack_door::CALLERS_MOST + 1);
     let others = rsync.as_ref().map_or(0, |r| 2 * r.max_clients) + callers;
     let room = Room::new(Budget::of(config.limits.memory_mb));
-    let upstream = Upstream::new(&told, clock, config.limits.nodes(others), room.clone(), figures.clone());
+    let upstream = Upstream::new(
+        &told,
+        clock,
+        config.limits.nodes(others),
+        room.clone(),
+        figures.clone(),
+    );
     let core = tokio::spawn(core.run());
-    let (zones, how, seed) = (told.zones.clone(), (told.module.discovery, told.module.hosts), config.seed);
-    let watch = Watch { address: discovery, zones, epoch, how, seed };
+    let (zones, how, seed) = (
+        told.zones.clone(),
+        (told.module.discovery, told.module.hosts),
+        config.seed,
+    );
+    let watch = Watch {
+        address: discovery,
+        zones,
+        epoch,
+        how,
+        seed,
+    };
     let watch = tokio::spawn(watch.run(handle.clone(), config.known));
     let prober = tokio::spawn(probe::run(handle.clone(), upstream.clone(), targets));
 
@@ -175,7 +224,9 @@
     let shared = inherited.is_some();
     // Another process may be this front too: what they use together is decided before this one takes anybody.
     let takeover = match shared {
-        true => Takeover::begin(handle.clone()).await.map(|t| tokio::spawn(t.run(phase.clone()))),
+        true => Takeover::begin(handle.clone())
+            .await
+            .map(|t| tokio::spawn(t.run(phase.clone()))),
         false => None,
     };
     let mut as_one = None;
@@ -185,10 +236,17 @@
                 FleetDriver::new(section, handle.clone(), shared).map_err(std::io::Error::other)?;
             if let Some(section) = overload {
                 let machine = driver.attach(Tag::OVERLOAD);
-                as_one = Some(tokio::spawn(lupinrack_overload_net::run(section, handle.clone(), machine)));
+                as_one = Some(tokio::spawn(lupinrack_overload_net::run(
+                    section,
+                    handle.clone(),
+                    machine,
+                )));
             }
             let socket = driver.begin().await.map_err(std::io::Error::other)?;
-            (Some(tokio::spawn(driver.run(socket, phase.clone()))), Some(fleet))
+            (
+                Some(tokio::spawn(driver.run(socket, phase.clone()))),
+                Some(fleet),
+            )
         }
         None => (None, None),
     };
@@ -198,12 +256,29 @@
     };
     let listen = listener.local_addr()?;
     let door = match config.management {
-        Some(address) => Some(door(address, handle.clone(), figures.clone(), phase.clone(), fleet).await?),
+        Some(address) => Some(
+            door(
+                address,
+                handle.clone(),
+                figures.clone(),
+                phase.clone(),
+                fleet,
+            )
+            .await?,
+        ),
         None => None,
     };
-    tracing::info!("{} listens on {listen}{}", config.name, if shared { ", inherited" } else { "" });
+    tracing::info!(
+        "{} listens on {listen}{}",
+        config.name,
+        if shared { ", inherited" } else { "" }
+    );
     // Another process takes from an inherited socket: this one stops at once, not when it must.
-    let last = if shared { Phase::Ending } else { Phase::Closing };
+    let last = if shared {
+        Phase::Ending
+    } else {
+        Phase::Closing
+    };
     let front = accept::Front {
         core: handle.clone(),
         upstream,
@@ -236,7 +311,13 @@
         as_one.inspect(JoinHandle::abort);
         ended
     });
-    Ok(Front { listen, core: handle, figures, extents: counters, ended })
+    Ok(Front {
+        listen,
+        core: handle,
+        figures,
+        extents: counters,
+        ended,
+    })
 }
 
 /// Opens the operators' door. An address that cannot be had stops the start.
@@ -247,11 +328,17 @@
     phase: watch::Receiver<Phase>,
     fleet: Option<Fleet>,
 ) -> std::io::Result<JoinHandle<()>> {
-    let why = |e: std::io::Error| std::io::Error::new(e.kind(), format!("management on {address}: {e}"));
+    let why =
+        |e: std::io::Error| std::io::Error::new(e.kind(), format!("management on {address}: {e}"));
     let listener = TcpListener::bind(address).await.map_err(why)?;
     tracing::info!("management on {}", listener.local_addr()?);
     Ok(tokio::spawn(lupinrack_door::run(listener, move |call| {
-        let (core, figures, fleet, phase) = (core.clone(), figures.clone(), fleet.clone(), *phase.borrow());
+        let (core, figures, fleet, phase) = (
+            core.clone(),
+            figures.clone(),
+            fleet.clone(),
+            *phase.borrow(),
+        );
         async move {
             match (call, phase) {
                 (Call::Status, Phase::Ready) => Answer::Yes("ready"),
@@ -266,7 +353,10 @@
                     }
                     None => Answer::No("the core has ended".into()),
                 },
-                (Call::Fleet, _) => match fleet_report(&fleet).await.map(|r| serde_json::to_string(&r)) {
+                (Call::Fleet, _) => match fleet_report(&fleet)
+                    .await
+                    .map(|r| serde_json::to_string(&r))
+                {
                     Some(Ok(line)) => Answer::Lines(line + "\n"),
                     Some(Err(why)) => Answer::No(why.to_string()),
                     None if fleet.is_none() => Answer::No("[fleet] is off".into()),
@@ -280,7 +370,9 @@
 /// What the fleet's driver tells, where there is one; it may wait for its address, and the door may not wait for it.
 async fn fleet_report(fleet: &Option<Fleet>) -> Option<lupinrack_fleet_net::Report> {
     let report = fleet.as_ref()?.report();
-    tokio::time::timeout(Duration::from_millis(300), report).await.ok()?
+    tokio::time::timeout(Duration::from_millis(300), report)
+        .await
+        .ok()?
 }
 
 /// The map as its file has it; one that cannot be used costs a fetch of what is needed, nothing more.
@@ -293,7 +385,11 @@
             Err(e) => Err(e.to_string()),
         };
         match restored {
-            Ok(()) => tracing::info!("extents: {} volumes from {}", cache.map().volumes(), file.display()),
+            Ok(()) => tracing::info!(
+                "extents: {} volumes from {}",
+                cache.map().volumes(),
+                file.display()
+            ),
             Err(why) => tracing::warn!("extents: {} is left aside: {why}", file.display()),
         }
     }
@@ -306,9 +402,19 @@
     connect: Duration,
     phase: &watch::Receiver<Phase>,
 ) -> std::io::Result<Option<impl Future<Output = ()>>> {
-    let Some(config) = config else { return Ok(None) };
+    let Some(config) = config else {
+        return Ok(None);
+    };
     let listener = TcpListener::bind(config.listen).await?;
     tracing::info!("rsync on {}", listener.local_addr()?);
     let (core, config, phase) = (core.clone(), Arc::new(config), phase.clone());
-    Ok(Some(daemon::run(listener, daemon::Front { core, config, connect, phase })))
+    Ok(Some(daemon::run(
+        listener,
+        daemon::Front {
+            core,
+            config,
+            connect,
+            phase,
+        },
+    )))
 }
--- a/crates/lupinrack/src/takeover.rs
+++ b/crates/lupinrack/src/takeover.rs
@@ -26,7 +26,9 @@
     /// Takes a place in `$TMPDIR` and waits a moment for a part. None where there is no such folder: the process then goes by the
     /// whole, as one that is alone.
     pub async fn begin(core: Handle) -> Option<Takeover> {
-        let folder = std::env::var_os("TMPDIR").map(PathBuf::from).filter(|f| !f.as_os_str().is_empty());
+        let folder = std::env::var_os("TMPDIR")
+            .map(PathBuf::from)
+            .filter(|f| !f.as_os_str().is_empty());
         let post = match folder.as_deref().map(Post::take) {
             Some(Ok(post)) => post,
             Some(Err(why)) => {
@@ -39,7 +41,11 @@
             }
         };
         core.part(0.0).await;
-        let mut takeover = Takeover { post, core, share: Share::default() };
+        let mut takeover = Takeover {
+            post,
+            core,
+            share: Share::default(),
+        };
         let began = Instant::now();
         while takeover.share.used() <= 0.0 && began.elapsed() < FIRST {
             takeover.step(false).await;
--- a/crates/lupinrack/tests/allocations.rs
+++ b/crates/lupinrack/tests/allocations.rs
@@ -20,35 +20,68 @@
 
 /// Ports that are free now.
 fn free(n: usize) -> Vec<SocketAddr> {
-    let held: Vec<UdpSocket> = (0..n).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
+    let held: Vec<UdpSocket> = (0..n)
+        .map(|_| UdpSocket::bind("127.0.0.1:0").unwrap())
+        .collect();
     held.iter().map(|s| s.local_addr().unwrap()).collect()
 }
 
 fn section(name: usize, addresses: &[SocketAddr]) -> Section {
     let member = addresses.iter().enumerate();
-    let member = member.map(|(i, address)| Peer { name: format!("n{i}"), address: *address }).collect();
-    Section { enabled: true, name: format!("n{name}"), member, lease_ms: 600, ..Section::default() }
+    let member = member
+        .map(|(i, address)| Peer {
+            name: format!("n{i}"),
+            address: *address,
+        })
+        .collect();
+    Section {
+        enabled: true,
+        name: format!("n{name}"),
+        member,
+        lease_ms: 600,
+        ..Section::default()
+    }
 }
 
 /// Allocations a request, of all that this process holds: client, node, discovery and three fronts, of which one is asked.
 fn a_request(fleet: bool) -> f64 {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     let (phase, seen) = watch::channel(Phase::Ready);
     let (clients, fronts, held) = runtime.block_on(async {
-        let node =
-            Node::start(Manner { work: Duration::from_micros(200), ..Manner::default() }, Default::default());
+        let node = Node::start(
+            Manner {
+                work: Duration::from_micros(200),
+                ..Manner::default()
+            },
+            Default::default(),
+        );
         let node = node.await.unwrap();
-        let entry =
-            Entry { name: "s-0".into(), address: node.address, shard: 0, lifecycle: "SERVING", started: 0 };
+        let entry = Entry {
+            name: "s-0".into(),
+            address: node.address,
+            shard: 0,
+            lifecycle: "SERVING",
+            started: 0,
+        };
         let discovery = Discovery::start(vec![entry]).await.unwrap();
         let (at, address) = watch::channel(discovery.address);
         let (addresses, mut fronts) = (free(3), Vec::new());
         for i in 0..3 {
             let fleet = fleet.then(|| section(i, &addresses));
             let config = configuration(&format!("n{i}"), discovery.address, 7, 3).to_string();
-            let operator = Operator { fleet, ..Operator::default() };
+            let operator = Operator {
+                fleet,
+                ..Operator::default()
+            };
             let plan = Plan::new(Config::parse(&config).unwrap(), operator).unwrap();
-            fronts.push(serve::start(plan, seen.clone(), address.clone()).await.unwrap());
+            fronts.push(
+                serve::start(plan, seen.clone(), address.clone())
+                    .await
+                    .unwrap(),
+            );
         }
         (Clients::default(), fronts, (node, discovery, at))
     });
@@ -83,7 +116,9 @@
 
 #[test]
 fn a_fleet_adds_few_allocations_to_a_request() {
-    let pairs: Vec<(f64, f64)> = (0..2).map(|_| (a_request(false), a_request(true))).collect();
+    let pairs: Vec<(f64, f64)> = (0..2)
+        .map(|_| (a_request(false), a_request(true)))
+        .collect();
     println!("allocations a request, off and on: {pairs:.1?}");
     for (off, on) in pairs {
         // What is told round the fleet meanwhile is counted too, so that a slow machine counts more of it.
--- a/crates/lupinrack/tests/bodies.rs
+++ b/crates/lupinrack/tests/bodies.rs
@@ -46,25 +46,34 @@
                 loop {
                     let mut head = Vec::new();
                     while !head.ends_with(b"\r\n\r\n") {
-                        let Ok(b) = stream.read_u8().await else { return };
+                        let Ok(b) = stream.read_u8().await else {
+                            return;
+                        };
                         head.push(b);
                     }
                     let head = String::from_utf8(head).unwrap().to_lowercase();
-                    let field = |name: &str| Some(head.split(name).nth(1)?.split("\r\n").next()?.to_string());
+                    let field = |name: &str| {
+                        Some(head.split(name).nth(1)?.split("\r\n").next()?.to_string())
+                    };
                     let seed: usize = field("x-request-id: b").unwrap().parse().unwrap();
-                    let mut body = vec![0; field("content-length: ").map_or(0, |l| l.parse().unwrap())];
+                    let mut body =
+                        vec![0; field("content-length: ").map_or(0, |l| l.parse().unwrap())];
                     stream.read_exact(&mut body).await.unwrap();
                     if !body.is_empty() {
                         let right = body.iter().enumerate().all(|(at, b)| *b == byte(seed, at));
                         let said = format!("{} {right}", body.len());
-                        let answer =
-                            format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{said}", said.len());
+                        let answer = format!(
+                            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{said}",
+                            said.len()
+                        );
                         stream.write_all(answer.as_bytes()).await.unwrap();
                         continue;
                     }
                     let framing = match wording {
                         Wording::Length | Wording::Half => format!("Content-Length: {length}\r\n"),
-                        Wording::Chunked | Wording::Rests => "Transfer-Encoding: chunked\r\n".into(),
+                        Wording::Chunked | Wording::Rests => {
+                            "Transfer-Encoding: chunked\r\n".into()
+                        }
                         Wording::Close => "Connection: close\r\n".into(),
                     };
                     let head = format!("HTTP/1.1 200 OK\r\n{framing}\r\n");
@@ -158,7 +167,11 @@
         for seed in 0..3 {
             stream.write_all(get(seed).as_bytes()).await.unwrap();
             let (status, body) = answer(&mut stream).await.expect("a whole answer");
-            assert!(status == 200 && body == bytes(seed, 3_000_000), "{status} {}", body.len());
+            assert!(
+                status == 200 && body == bytes(seed, 3_000_000),
+                "{status} {}",
+                body.len()
+            );
         }
     }
 }
@@ -172,7 +185,11 @@
                 let mut stream = TcpStream::connect(fronts.http).await.unwrap();
                 stream.write_all(get(seed).as_bytes()).await.unwrap();
                 let (status, body) = answer(&mut stream).await.expect("a whole answer");
-                assert!(status == 200 && body == bytes(seed, length), "{length}: {status}, {}", body.len());
+                assert!(
+                    status == 200 && body == bytes(seed, length),
+                    "{length}: {status}, {}",
+                    body.len()
+                );
             }
         }
     }
@@ -202,8 +219,13 @@
     // What the system's buffers cannot hold stands in the front meanwhile, its request long answered.
     sleep(Duration::from_millis(3_500)).await;
     for seed in 0..MANY {
-        let (status, body) = answer(&mut stream).await.unwrap_or_else(|| panic!("cut off at {seed}"));
-        assert!(status == 200 && body == bytes(seed, 60_000), "{seed}: {status}");
+        let (status, body) = answer(&mut stream)
+            .await
+            .unwrap_or_else(|| panic!("cut off at {seed}"));
+        assert!(
+            status == 200 && body == bytes(seed, 60_000),
+            "{seed}: {status}"
+        );
     }
 }
 
@@ -213,8 +235,13 @@
         let fronts = front(wording, 300_000).await;
         let mut stream = TcpStream::connect(fronts.http).await.unwrap();
         stream.write_all(get(1).as_bytes()).await.unwrap();
-        let came = timeout(Duration::from_secs(15), answer(&mut stream)).await.expect("not held for good");
-        assert!(came.is_none_or(|(status, _)| status != 200), "never a false whole");
+        let came = timeout(Duration::from_secs(15), answer(&mut stream))
+            .await
+            .expect("not held for good");
+        assert!(
+            came.is_none_or(|(status, _)| status != 200),
+            "never a false whole"
+        );
     }
 }
 
@@ -231,16 +258,31 @@
     sleep(Duration::from_millis(300)).await;
     let free = fronts.room.free();
     let all = room().free();
-    assert!(free > 0 && free < all, "held while they crawl: {free} of {all}");
+    assert!(
+        free > 0 && free < all,
+        "held while they crawl: {free} of {all}"
+    );
     let mut stream = TcpStream::connect(fronts.http).await.unwrap();
     let head = put(99, "Content-Length: 5");
-    stream.write_all(&[head.as_bytes(), &bytes(99, 5)].concat()).await.unwrap();
-    let (status, body) = timeout(Duration::from_secs(5), answer(&mut stream)).await.unwrap().unwrap();
-    assert_eq!((status, body.as_slice()), (200, b"5 true".as_slice()), "a short one is served meanwhile");
+    stream
+        .write_all(&[head.as_bytes(), &bytes(99, 5)].concat())
+        .await
+        .unwrap();
+    let (status, body) = timeout(Duration::from_secs(5), answer(&mut stream))
+        .await
+        .unwrap()
+        .unwrap();
+    assert_eq!(
+        (status, body.as_slice()),
+        (200, b"5 true".as_slice()),
+        "a short one is served meanwhile"
+    );
     let mut whole = 0;
     for (seed, mut stream) in slow {
         let came = answer(&mut stream).await;
-        whole += usize::from(came.is_some_and(|(status, body)| status == 200 && body == bytes(seed, LENGTH)));
+        whole += usize::from(
+            came.is_some_and(|(status, body)| status == 200 && body == bytes(seed, LENGTH)),
+        );
     }
     assert_eq!(whole, 12);
     sleep(Duration::from_millis(50)).await;
@@ -252,7 +294,10 @@
     let fronts = front(Wording::Length, 5).await;
     let body = bytes(7, 400_000);
     let mut stream = TcpStream::connect(fronts.http).await.unwrap();
-    stream.write_all(put(7, "Content-Length: 400000\r\nExpect: 100-continue").as_bytes()).await.unwrap();
+    stream
+        .write_all(put(7, "Content-Length: 400000\r\nExpect: 100-continue").as_bytes())
+        .await
+        .unwrap();
     let mut go = [0; 25];
     stream.read_exact(&mut go).await.unwrap();
     assert_eq!(&go, b"HTTP/1.1 100 Continue\r\n\r\n");
@@ -261,43 +306,81 @@
         stream.write_all(piece).await.unwrap();
         sleep(Duration::from_millis(400)).await;
     }
-    assert_eq!(answer(&mut stream).await, Some((200, b"400000 true".to_vec())));
+    assert_eq!(
+        answer(&mut stream).await,
+        Some((200, b"400000 true".to_vec()))
+    );
 
     let mut stream = TcpStream::connect(fronts.http).await.unwrap();
-    stream.write_all(put(7, "Transfer-Encoding: CHUNKED").as_bytes()).await.unwrap();
+    stream
+        .write_all(put(7, "Transfer-Encoding: CHUNKED").as_bytes())
+        .await
+        .unwrap();
     for piece in body.chunks(33_333) {
         let size = format!("{:X};a=\"b\"\r\n", piece.len());
-        stream.write_all(&[size.as_bytes(), piece, b"\r\n"].concat()).await.unwrap();
+        stream
+            .write_all(&[size.as_bytes(), piece, b"\r\n"].concat())
+            .await
+            .unwrap();
     }
     stream.write_all(b"0\r\nX-Sum: 1\r\n\r\n").await.unwrap();
-    assert_eq!(answer(&mut stream).await, Some((200, b"400000 true".to_vec())));
+    assert_eq!(
+        answer(&mut stream).await,
+        Some((200, b"400000 true".to_vec()))
+    );
 }
 
 #[tokio::test]
 async fn a_body_without_room_is_refused_with_a_time_to_come_back_and_small_ones_are_served() {
     let fronts = front(Wording::Length, 5).await;
     let mut all = Default::default();
-    assert!(fronts.room.raise(&mut all, fronts.room.budget().longest()).await);
+    assert!(
+        fronts
+            .room
+            .raise(&mut all, fronts.room.budget().longest())
+            .await
+    );
     let mut stream = TcpStream::connect(fronts.http).await.unwrap();
-    stream.write_all(put(1, "Content-Length: 100000").as_bytes()).await.unwrap();
+    stream
+        .write_all(put(1, "Content-Length: 100000").as_bytes())
+        .await
+        .unwrap();
     let mut said = vec![0; 400];
-    let n = timeout(Duration::from_secs(5), stream.read(&mut said)).await.expect("soon").unwrap();
+    let n = timeout(Duration::from_secs(5), stream.read(&mut said))
+        .await
+        .expect("soon")
+        .unwrap();
     let said = String::from_utf8_lossy(&said[..n]).to_lowercase();
-    assert!(said.starts_with("http/1.1 503") && said.contains("retry-after: 0.500"), "{said}");
+    assert!(
+        said.starts_with("http/1.1 503") && said.contains("retry-after: 0.500"),
+        "{said}"
+    );
     let mut stream = TcpStream::connect(fronts.http).await.unwrap();
-    stream.write_all(&[put(2, "Content-Length: 5").as_bytes(), &bytes(2, 5)].concat()).await.unwrap();
+    stream
+        .write_all(&[put(2, "Content-Length: 5").as_bytes(), &bytes(2, 5)].concat())
+        .await
+        .unwrap();
     assert_eq!(answer(&mut stream).await, Some((200, b"5 true".to_vec())));
 }
 
 #[tokio::test]
 async fn a_body_that_trickles_or_never_fits_hears_so_soon() {
     let fronts = front(Wording::Length, 5).await;
-    for framing in ["Content-Length: 60000000", "Content-Length: 400000", "Transfer-Encoding: chunked"] {
+    for framing in [
+        "Content-Length: 60000000",
+        "Content-Length: 400000",
+        "Transfer-Encoding: chunked",
+    ] {
         let mut stream = TcpStream::connect(fronts.http).await.unwrap();
         stream.write_all(put(3, framing).as_bytes()).await.unwrap();
         stream.write_all(b"4\r\nabcd\r\n").await.unwrap();
-        let came = timeout(Duration::from_secs(5), answer(&mut stream)).await.expect("in time");
-        assert!(came.is_some_and(|(status, _)| [408, 413].contains(&status)), "{framing}");
+        let came = timeout(Duration::from_secs(5), answer(&mut stream))
+            .await
+            .expect("in time");
+        assert!(
+            came.is_some_and(|(status, _)| [408, 413].contains(&status)),
+            "{framing}"
+        );
     }
     assert_eq!(fronts.room.free(), room().free());
 }
--- a/crates/lupinrack/tests/cli.rs
+++ b/crates/lupinrack/tests/cli.rs
@@ -4,7 +4,12 @@
 
 fn lupinrack(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_lupinrack"));
-    command.args(args).env_remove("LB_CONFIG").env_remove("LUPINRACK_CONFIG").output().unwrap()
+    command
+        .args(args)
+        .env_remove("LB_CONFIG")
+        .env_remove("LUPINRACK_CONFIG")
+        .output()
+        .unwrap()
 }
 
 fn said(output: &Output) -> String {
@@ -27,7 +32,12 @@
         (&["demo", "--seconds", "0"], 2),
     ] {
         let output = lupinrack(args);
-        assert_eq!(output.status.code(), Some(code), "{args:?}: {}", said(&output));
+        assert_eq!(
+            output.status.code(),
+            Some(code),
+            "{args:?}: {}",
+            said(&output)
+        );
     }
     let schema: serde_json::Value = serde_json::from_slice(&lupinrack(&["schema"]).stdout).unwrap();
     assert!(schema.pointer("/properties/rsync").is_some());
@@ -36,13 +46,25 @@
 #[test]
 fn a_file_with_faults_stops_the_start_and_names_them_all() {
     let file = std::env::temp_dir().join(format!("lupinrack-faults-{}.toml", std::process::id()));
-    std::fs::write(&file, "[ipfix]\ncollector = 'x'\n[rsync]\nlisten = 'y'\nmore = 1\n").unwrap();
+    std::fs::write(
+        &file,
+        "[ipfix]\ncollector = 'x'\n[rsync]\nlisten = 'y'\nmore = 1\n",
+    )
+    .unwrap();
     let name = file.display().to_string();
     for args in [&["check", &name][..], &["serve", "--operator", &name]] {
         let output = lupinrack(args);
         assert_eq!(output.status.code(), Some(2));
-        for fault in [":2: ipfix.collector: ", ":4: rsync.listen: ", ":5: rsync.more: unknown key"] {
-            assert!(said(&output).contains(&format!("{name}{fault}")), "{fault} in {}", said(&output));
+        for fault in [
+            ":2: ipfix.collector: ",
+            ":4: rsync.listen: ",
+            ":5: rsync.more: unknown key",
+        ] {
+            assert!(
+                said(&output).contains(&format!("{name}{fault}")),
+                "{fault} in {}",
+                said(&output)
+            );
         }
     }
     std::fs::remove_file(&file).unwrap();
@@ -55,7 +77,11 @@
     let figures: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     let count = |name: &str| figures[name].as_u64().unwrap();
     assert_eq!((count("lost"), count("duplicates")), (0, 0), "{figures}");
-    assert_eq!(count("served") + count("refused") + count("failed"), count("requests"), "{figures}");
+    assert_eq!(
+        count("served") + count("refused") + count("failed"),
+        count("requests"),
+        "{figures}"
+    );
     // The greedy volume is over its limit, whatever the machine's speed.
     assert!(count("served") > 0 && count("refused") > 0, "{figures}");
     assert!(figures["p50_ms"].as_f64().unwrap() <= figures["p99_ms"].as_f64().unwrap());
@@ -65,20 +91,35 @@
 fn a_log_in_json_carries_the_span_of_each_request() {
     let mut command = Command::new(env!("CARGO_BIN_EXE_lupinrack"));
     let output = command
-        .args(["--log-format", "json", "demo", "--seconds", "1", "--seed", "3"])
+        .args([
+            "--log-format",
+            "json",
+            "demo",
+            "--seconds",
+            "1",
+            "--seed",
+            "3",
+        ])
         .env("LUPINRACK_LOG", "warn,lupinrack_http=debug")
         .output()
         .unwrap();
     assert_eq!(output.status.code(), Some(0), "{}", said(&output));
-    let lines: Vec<serde_json::Value> =
-        said(&output).lines().map(|l| serde_json::from_str(l).expect("each line is JSON")).collect();
+    let lines: Vec<serde_json::Value> = said(&output)
+        .lines()
+        .map(|l| serde_json::from_str(l).expect("each line is JSON"))
+        .collect();
     let spans: Vec<_> = lines.iter().filter_map(|l| l.get("span")).collect();
     assert!(!spans.is_empty());
     for span in spans {
-        let named = ["id", "class", "volume"].iter().all(|n| span.get(*n).is_some_and(|v| v.is_string()));
+        let named = ["id", "class", "volume"]
+            .iter()
+            .all(|n| span.get(*n).is_some_and(|v| v.is_string()));
         assert!(named, "{span}");
     }
-    assert!(lines.iter().any(|l| l.pointer("/span/attempt").is_some()), "attempts are numbered");
+    assert!(
+        lines.iter().any(|l| l.pointer("/span/attempt").is_some()),
+        "attempts are numbered"
+    );
 }
 
 #[test]
@@ -88,7 +129,10 @@
     use lupinrack_write_back::moment;
     use lupinrack_write_back::record::{Record, Taken, WriteId};
     let dir = std::env::temp_dir().join(format!("lupinrack-buffer-{}", std::process::id()));
-    let (name, out) = (dir.display().to_string(), dir.join("out").display().to_string());
+    let (name, out) = (
+        dir.display().to_string(),
+        dir.join("out").display().to_string(),
+    );
     let (mut log, _) = Log::open(Folder::open(&dir).unwrap(), 1 << 20).unwrap();
     for n in 1..=3 {
         let (plan, key, body) = ("basic".into(), format!("k-{n}").into_bytes(), vec![7; 5]);
@@ -107,11 +151,22 @@
     let mut at = moment::now().unwrap();
     at.since_boot -= 60_000_000;
     let (write, node) = (WriteId(2), "s-1".to_string());
-    log.append(&Record::Attempt { write, attempt: 0, node, shard: 0, at }).unwrap();
+    log.append(&Record::Attempt {
+        write,
+        attempt: 0,
+        node,
+        shard: 0,
+        at,
+    })
+    .unwrap();
     log.append(&Record::Settled(WriteId(3))).unwrap();
     log.sync().unwrap();
     let code = |args: &[&str]| lupinrack(args).status.code();
-    assert_eq!(code(&["buffer", "ls", &name]), Some(2), "a front has it open");
+    assert_eq!(
+        code(&["buffer", "ls", &name]),
+        Some(2),
+        "a front has it open"
+    );
     drop(log);
     // A process that another test starts holds the lock too until it runs its own program.
     let ls = (0..100).find_map(|_| {
@@ -120,11 +175,16 @@
         (output.status.code() == Some(0)).then(|| String::from_utf8(output.stdout).unwrap())
     });
     let ls = ls.expect("the lock is free once the log is closed");
-    let states: Vec<_> =
-        ls.lines().map(|l| serde_json::from_str::<serde_json::Value>(l).unwrap()["state"].clone()).collect();
+    let states: Vec<_> = ls
+        .lines()
+        .map(|l| serde_json::from_str::<serde_json::Value>(l).unwrap()["state"].clone())
+        .collect();
     assert_eq!(states, ["never sent", "past window"]);
     assert_eq!(
-        (code(&["buffer", "verify", &name]), code(&["buffer", "in-doubt", &name])),
+        (
+            code(&["buffer", "verify", &name]),
+            code(&["buffer", "in-doubt", &name])
+        ),
         (Some(0), Some(1))
     );
     assert_eq!(code(&["buffer", "export", &name, "--to", &out]), Some(0));
--- a/crates/lupinrack/tests/cluster_commands.rs
+++ b/crates/lupinrack/tests/cluster_commands.rs
@@ -26,7 +26,10 @@
 
 fn lupinrack(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_lupinrack"));
-    let command = command.args(args).env_remove("LUPINRACK_CONFIG").env_remove("LUPINRACK_LOG");
+    let command = command
+        .args(args)
+        .env_remove("LUPINRACK_CONFIG")
+        .env_remove("LUPINRACK_LOG");
     command.output().expect("the program runs")
 }
 
@@ -55,27 +58,45 @@
 fn process(answers: Vec<String>) -> (SocketAddr, JoinHandle<Vec<Asked>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let serve = move || answers.iter().map(|answer| serve_one(&listener, answer)).collect();
+    let serve = move || {
+        answers
+            .iter()
+            .map(|answer| serve_one(&listener, answer))
+            .collect()
+    };
     (address, std::thread::spawn(serve))
 }
 
 fn serve_one(listener: &TcpListener, answer: &str) -> Asked {
     let (mut stream, _) = listener.accept().expect("a connection");
     let asked = read_head(&stream);
-    stream.write_all(answer.as_bytes()).expect("an answer written");
+    stream
+        .write_all(answer.as_bytes())
+        .expect("an answer written");
     asked
 }
 
 fn read_head(stream: &TcpStream) -> Asked {
-    let lines = BufReader::new(stream).lines().map(|line| line.expect("a line"));
+    let lines = BufReader::new(stream)
+        .lines()
+        .map(|line| line.expect("a line"));
     let head: Vec<String> = lines.take_while(|line| !line.is_empty()).collect();
-    let host =
-        head.iter().find_map(|line| line.to_ascii_lowercase().strip_prefix("host: ").map(str::to_string));
-    Asked { line: head[0].clone(), host: host.unwrap_or_default() }
+    let host = head.iter().find_map(|line| {
+        line.to_ascii_lowercase()
+            .strip_prefix("host: ")
+            .map(str::to_string)
+    });
+    Asked {
+        line: head[0].clone(),
+        host: host.unwrap_or_default(),
+    }
 }
 
 fn answer(status: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {status}\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 fn redirect_to(address: SocketAddr, path: &str) -> String {
@@ -85,7 +106,15 @@
 /// Runs a command of `job` against a stand-in process that gives these answers.
 fn job(command: &str, answers: Vec<String>) -> (Output, Vec<Asked>) {
     let (address, asked) = process(answers);
-    let output = lupinrack(&["job", command, "--at", &address.to_string(), "--host", "shop.example", JOB]);
+    let output = lupinrack(&[
+        "job",
+        command,
+        "--at",
+        &address.to_string(),
+        "--host",
+        "shop.example",
+        JOB,
+    ]);
     (output, asked.join().expect("the stand-in ends"))
 }
 
@@ -95,20 +124,45 @@
     let configuration = file("good.json", CONFIGURATION);
     let output = lupinrack(&["node", "--check", &settings, &configuration]);
     assert_eq!(output.status.code(), Some(0), "{}", said(&output));
-    assert_eq!(printed(&output), format!("{settings}: good\n{configuration}: good\n"));
-    assert_eq!(lupinrack(&["node", "--check", &settings]).status.code(), Some(0));
+    assert_eq!(
+        printed(&output),
+        format!("{settings}: good\n{configuration}: good\n")
+    );
+    assert_eq!(
+        lupinrack(&["node", "--check", &settings]).status.code(),
+        Some(0)
+    );
 }
 
 #[test]
 fn every_fault_of_both_files_is_told_with_its_file() {
-    let settings = file("bad.conf", &SETTINGS.replace("zone=north", "zone=").replace("1200", "often"));
-    let configuration = file("bad.json", &CONFIGURATION.replace(r#""version":1"#, r#""version":0"#));
+    let settings = file(
+        "bad.conf",
+        &SETTINGS
+            .replace("zone=north", "zone=")
+            .replace("1200", "often"),
+    );
+    let configuration = file(
+        "bad.json",
+        &CONFIGURATION.replace(r#""version":1"#, r#""version":0"#),
+    );
     let output = lupinrack(&["node", "--check", &settings, &configuration]);
     assert_eq!(output.status.code(), Some(2));
     let said = said(&output);
-    assert!(said.contains(&format!("{settings}: zone: lacking or empty\n")), "{said}");
-    assert!(said.contains(&format!("{settings}: heartbeat-ms: \"often\" is not a number\n")), "{said}");
-    assert!(said.contains(&format!("{configuration}: version: ")), "{said}");
+    assert!(
+        said.contains(&format!("{settings}: zone: lacking or empty\n")),
+        "{said}"
+    );
+    assert!(
+        said.contains(&format!(
+            "{settings}: heartbeat-ms: \"often\" is not a number\n"
+        )),
+        "{said}"
+    );
+    assert!(
+        said.contains(&format!("{configuration}: version: ")),
+        "{said}"
+    );
 }
 
 #[test]
@@ -116,9 +170,17 @@
     let settings = file("lacking.conf", &SETTINGS.replace("node=front-1\n", ""));
     let output = lupinrack(&["node", "--settings", &settings]);
     assert_eq!(output.status.code(), Some(2));
-    assert!(said(&output).contains(&format!("{settings}: node: lacking or empty")), "{}", said(&output));
+    assert!(
+        said(&output).contains(&format!("{settings}: node: lacking or empty")),
+        "{}",
+        said(&output)
+    );
     let mut command = Command::new(env!("CARGO_BIN_EXE_lupinrack"));
-    let output = command.arg("node").env("LUPINRACK_CONFIG", &settings).output().expect("the program runs");
+    let output = command
+        .arg("node")
+        .env("LUPINRACK_CONFIG", &settings)
+        .output()
+        .expect("the program runs");
     assert_eq!(output.status.code(), Some(2));
 }
 
@@ -126,7 +188,9 @@
 fn a_process_does_not_start_on_levels_that_cannot_be_read() {
     let settings = file("levels.conf", SETTINGS);
     let mut command = Command::new(env!("CARGO_BIN_EXE_lupinrack"));
-    let command = command.args(["node", "--settings", &settings]).env("LUPINRACK_LOG", "loud");
+    let command = command
+        .args(["node", "--settings", &settings])
+        .env("LUPINRACK_LOG", "loud");
     let output = command.output().expect("the program runs");
     assert_eq!(output.status.code(), Some(2));
     assert!(said(&output).contains("\"loud\""), "{}", said(&output));
@@ -137,12 +201,18 @@
     let help = printed(&lupinrack(&["--help"]));
     for name in ["serve", "node", "job", "cluster", "local"] {
         assert!(
-            help.lines().any(|line| line.trim_start().starts_with(&format!("{name} "))),
+            help.lines()
+                .any(|line| line.trim_start().starts_with(&format!("{name} "))),
             "{name} in {help}"
         );
     }
     assert_eq!(lupinrack(&["node", "--help"]).status.code(), Some(0));
-    assert_eq!(lupinrack(&["--log-format", "text", "cluster", "--help"]).status.code(), Some(0));
+    assert_eq!(
+        lupinrack(&["--log-format", "text", "cluster", "--help"])
+            .status
+            .code(),
+        Some(0)
+    );
 }
 
 #[test]
@@ -151,8 +221,24 @@
         &["node", "--frob"][..],
         &["job"],
         &["job", "show", JOB],
-        &["job", "show", "--at", "nowhere", "--host", "shop.example", JOB],
-        &["job", "show", "--at", "127.0.0.1:1", "--host", "shop.example", "/orders/"],
+        &[
+            "job",
+            "show",
+            "--at",
+            "nowhere",
+            "--host",
+            "shop.example",
+            JOB,
+        ],
+        &[
+            "job",
+            "show",
+            "--at",
+            "127.0.0.1:1",
+            "--host",
+            "shop.example",
+            "/orders/",
+        ],
         &["cluster"],
         &["cluster", "status"],
         &["node", "--check", "/nowhere.conf"],
@@ -170,7 +256,10 @@
         "{}",
         said(&output)
     );
-    let expected = Asked { line: format!("GET {JOB} HTTP/1.1"), host: "shop.example".to_string() };
+    let expected = Asked {
+        line: format!("GET {JOB} HTTP/1.1"),
+        host: "shop.example".to_string(),
+    };
     assert_eq!(asked, [expected]);
 }
 
@@ -191,7 +280,11 @@
     for command in ["show", "cancel"] {
         let (output, _) = job(command, vec![answer("410 Gone", "")]);
         assert_eq!(output.status.code(), Some(1));
-        assert!(said(&output).contains("there is no such job"), "{}", said(&output));
+        assert!(
+            said(&output).contains("there is no such job"),
+            "{}",
+            said(&output)
+        );
     }
 }
 
@@ -208,8 +301,16 @@
 fn the_state_of_the_system_is_printed_as_it_comes() {
     let (address, asked) = process(vec![answer("200 OK", "view 3")]);
     let output = lupinrack(&["cluster", "status", "--at", &address.to_string()]);
-    assert_eq!((output.status.code(), printed(&output).as_str()), (Some(0), "view 3\n"), "{}", said(&output));
-    let expected = Asked { line: "GET /lupinrack/status HTTP/1.1".to_string(), host: address.to_string() };
+    assert_eq!(
+        (output.status.code(), printed(&output).as_str()),
+        (Some(0), "view 3\n"),
+        "{}",
+        said(&output)
+    );
+    let expected = Asked {
+        line: "GET /lupinrack/status HTTP/1.1".to_string(),
+        host: address.to_string(),
+    };
     assert_eq!(asked.join().expect("the stand-in ends"), [expected]);
 }
 
@@ -217,7 +318,12 @@
 fn a_state_that_ends_its_last_line_is_printed_without_an_empty_one() {
     let (address, _) = process(vec![answer("200 OK", "node core-1\nview 3\n")]);
     let output = lupinrack(&["cluster", "status", "--at", &address.to_string()]);
-    assert_eq!(printed(&output), "node core-1\nview 3\n", "{}", said(&output));
+    assert_eq!(
+        printed(&output),
+        "node core-1\nview 3\n",
+        "{}",
+        said(&output)
+    );
 }
 
 #[test]
@@ -226,7 +332,12 @@
     let (middle, _) = process(vec![redirect_to(last, "/lupinrack/config")]);
     let (first, _) = process(vec![redirect_to(middle, "/elsewhere")]);
     let output = lupinrack(&["cluster", "configuration", "--at", &first.to_string()]);
-    assert_eq!((output.status.code(), printed(&output).as_str()), (Some(0), "{}\n"), "{}", said(&output));
+    assert_eq!(
+        (output.status.code(), printed(&output).as_str()),
+        (Some(0), "{}\n"),
+        "{}",
+        said(&output)
+    );
 }
 
 #[test]
@@ -235,18 +346,30 @@
     let address = listener.local_addr().expect("an address");
     let serving = std::thread::spawn(move || {
         let again = redirect_to(address, "/lupinrack/status");
-        (0..3).map(|_| serve_one(&listener, &again)).collect::<Vec<Asked>>()
+        (0..3)
+            .map(|_| serve_one(&listener, &again))
+            .collect::<Vec<Asked>>()
     });
     let output = lupinrack(&["cluster", "status", "--at", &address.to_string()]);
     assert_eq!(output.status.code(), Some(1));
-    assert!(said(&output).contains("redirected too often"), "{}", said(&output));
+    assert!(
+        said(&output).contains("redirected too often"),
+        "{}",
+        said(&output)
+    );
     assert_eq!(serving.join().expect("the stand-in ends").len(), 3);
 }
 
 #[test]
 fn a_process_that_is_not_there_fails() {
-    let free = TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a port");
+    let free = TcpListener::bind("127.0.0.1:0")
+        .and_then(|listener| listener.local_addr())
+        .expect("a port");
     let output = lupinrack(&["cluster", "status", "--at", &free.to_string()]);
     assert_eq!(output.status.code(), Some(1));
-    assert!(said(&output).contains(&free.to_string()), "{}", said(&output));
+    assert!(
+        said(&output).contains(&free.to_string()),
+        "{}",
+        said(&output)
+    );
 }
--- a/crates/lupinrack/tests/common/front.rs
+++ b/crates/lupinrack/tests/common/front.rs
@@ -46,7 +46,15 @@
 
 /// Node `n0` on shard 0, as discovery lists it.
 pub fn listing(address: SocketAddr, state: NodeState) -> Listing {
-    Listing { name: "n0".into(), address, state, zone: Zone(0), shard: Shard(0), started: None, size: 1.0 }
+    Listing {
+        name: "n0".into(),
+        address,
+        state,
+        zone: Zone(0),
+        shard: Shard(0),
+        started: None,
+        size: 1.0,
+    }
 }
 
 /// The same at an address where nothing is ever sent.
@@ -98,8 +106,10 @@
     }
     let config = RsyncConfig::parse(&text, &told).unwrap().unwrap();
     let (phase, seen) = watch::channel(Phase::Ready);
-    let (a, b) =
-        (TcpListener::bind("127.0.0.1:0").await.unwrap(), TcpListener::bind("127.0.0.1:0").await.unwrap());
+    let (a, b) = (
+        TcpListener::bind("127.0.0.1:0").await.unwrap(),
+        TcpListener::bind("127.0.0.1:0").await.unwrap(),
+    );
     let (http, rsync) = (a.local_addr().unwrap(), b.local_addr().unwrap());
     tokio::spawn(core.run());
     let room = room();
@@ -115,11 +125,23 @@
         last: Phase::Closing,
     };
     let connect = Duration::from_millis(500);
-    let second = daemon::Front { core: handle.clone(), config: Arc::new(config), connect, phase: seen };
+    let second = daemon::Front {
+        core: handle.clone(),
+        config: Arc::new(config),
+        connect,
+        phase: seen,
+    };
     let ended = tokio::spawn(async move {
         tokio::join!(accept::run(a, front, PLACES), daemon::run(b, second));
     });
-    let fronts = Fronts { core: handle, room, http, rsync, phase, ended };
+    let fronts = Fronts {
+        core: handle,
+        room,
+        http,
+        rsync,
+        phase,
+        ended,
+    };
     fronts.node(ListKind::Cached, node, NodeState::Ready).await;
     fronts
 }
--- a/crates/lupinrack/tests/core.rs
+++ b/crates/lupinrack/tests/core.rs
@@ -24,8 +24,14 @@
     fn arbitrary(g: &mut Gen) -> Step {
         let n = u8::arbitrary(g);
         match u8::arbitrary(g) % 10 {
-            0..=2 => Step::Open { write: n % 2 == 0, patience_ms: u8::arbitrary(g) },
-            3..=6 => Step::End { request: n, outcome: u8::arbitrary(g) },
+            0..=2 => Step::Open {
+                write: n % 2 == 0,
+                patience_ms: u8::arbitrary(g),
+            },
+            3..=6 => Step::End {
+                request: n,
+                outcome: u8::arbitrary(g),
+            },
             7 => {
                 if n % 2 == 0 {
                     Step::Leave(n / 2)
@@ -55,7 +61,10 @@
             match tokio::time::timeout(Duration::from_millis(1), self.ticket.order()).await {
                 Err(_) => return true,
                 Ok(None) => {
-                    assert!(self.over && self.out.is_empty(), "let go while something is owed or out");
+                    assert!(
+                        self.over && self.out.is_empty(),
+                        "let go while something is owed or out"
+                    );
                     return false;
                 }
                 Ok(Some(Order::Send(a))) => {
@@ -89,14 +98,18 @@
     let clock = Clock::start();
     let (core, handle, _targets) = Core::new(told().module, 3, clock);
     tokio::spawn(core.run());
-    handle.list(ListKind::Cached, vec![unreached(NodeState::Ready)]).await;
+    handle
+        .list(ListKind::Cached, vec![unreached(NodeState::Ready)])
+        .await;
     let mut owners: Vec<Owner> = Vec::new();
     for step in steps {
         let count = owners.len().max(1);
         match step {
             Step::Open { write, patience_ms } => {
-                let (give_up, class) =
-                    (clock.now() + 1_000 * (50 + i64::from(patience_ms) * 8), u16::from(write));
+                let (give_up, class) = (
+                    clock.now() + 1_000 * (50 + i64::from(patience_ms) * 8),
+                    u16::from(write),
+                );
                 let request = Request {
                     class,
                     plan: 2,
@@ -107,7 +120,13 @@
                     ..Request::default()
                 };
                 let ticket = handle.open(request).await;
-                owners.push(Owner { ticket, out: BTreeSet::new(), sent: 0, over: false, finals: 0 });
+                owners.push(Owner {
+                    ticket,
+                    out: BTreeSet::new(),
+                    sent: 0,
+                    over: false,
+                    finals: 0,
+                });
             }
             Step::End { request, outcome } => {
                 if let Some(o) = owners.get_mut(usize::from(request) % count) {
@@ -131,7 +150,11 @@
             Step::Drop(n) if !owners.is_empty() => drop(owners.swap_remove(usize::from(n) % count)),
             Step::Drop(_) => {}
             Step::Drain(drain) => {
-                let state = if drain { NodeState::Draining } else { NodeState::Ready };
+                let state = if drain {
+                    NodeState::Draining
+                } else {
+                    NodeState::Ready
+                };
                 handle.list(ListKind::Delta, vec![unreached(state)]).await;
             }
             Step::Pass(ms) => tokio::time::sleep(Duration::from_millis(u64::from(ms))).await,
@@ -150,7 +173,10 @@
         o.look().await;
         assert!(o.over, "no final answer in time");
         while let Some(number) = o.out.pop_first() {
-            o.ticket.teller().ended(number, Outcome::Timeout, None).await;
+            o.ticket
+                .teller()
+                .ended(number, Outcome::Timeout, None)
+                .await;
         }
         assert!(!o.look().await, "kept though it is over");
     }
@@ -158,7 +184,12 @@
 
 fn paused(future: impl std::future::Future<Output = ()>) {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
-    runtime.enable_time().start_paused(true).build().unwrap().block_on(future);
+    runtime
+        .enable_time()
+        .start_paused(true)
+        .build()
+        .unwrap()
+        .block_on(future);
 }
 
 quickcheck! {
@@ -174,19 +205,39 @@
         let clock = Clock::start();
         let (core, handle, _targets) = Core::new(told().module, 3, clock);
         tokio::spawn(core.run());
-        handle.list(ListKind::Cached, vec![unreached(NodeState::Ready)]).await;
+        handle
+            .list(ListKind::Cached, vec![unreached(NodeState::Ready)])
+            .await;
         let give_up = clock.now() + 60_000_000;
-        let request = Request { plan: 2, units: 1.0, hosts: 1.0, give_up, ..Request::default() };
+        let request = Request {
+            plan: 2,
+            units: 1.0,
+            hosts: 1.0,
+            give_up,
+            ..Request::default()
+        };
         let mut ticket = handle.open(request).await;
-        let Some(Order::Send(attempt)) = ticket.order().await else { panic!("not sent") };
+        let Some(Order::Send(attempt)) = ticket.order().await else {
+            panic!("not sent")
+        };
         let began = tokio::time::Instant::now();
         let stopped = attempt.to.stopped(clock);
         tokio::pin!(stopped);
-        assert!(tokio::time::timeout(Duration::from_secs(30), &mut stopped).await.is_err(), "it serves");
-        handle.list(ListKind::Delta, vec![unreached(NodeState::Draining)]).await;
+        assert!(
+            tokio::time::timeout(Duration::from_secs(30), &mut stopped)
+                .await
+                .is_err(),
+            "it serves"
+        );
+        handle
+            .list(ListKind::Delta, vec![unreached(NodeState::Draining)])
+            .await;
         stopped.await;
         let waited = began.elapsed() - Duration::from_secs(30);
-        assert!(waited >= Duration::from_millis(500) && waited < Duration::from_secs(1), "{waited:?}");
+        assert!(
+            waited >= Duration::from_millis(500) && waited < Duration::from_secs(1),
+            "{waited:?}"
+        );
         ticket.teller().ended(0, Outcome::ConnectFailed, None).await;
     });
 }
--- a/crates/lupinrack/tests/crossings.rs
+++ b/crates/lupinrack/tests/crossings.rs
@@ -24,7 +24,10 @@
 /// All that a client reads until its connection ends; a reset fails the test.
 async fn rest(mut stream: TcpStream) -> String {
     let mut said = Vec::new();
-    timeout(Duration::from_secs(10), stream.read_to_end(&mut said)).await.expect("an end").expect("no reset");
+    timeout(Duration::from_secs(10), stream.read_to_end(&mut said))
+        .await
+        .expect("an end")
+        .expect("no reset");
     String::from_utf8_lossy(&said).into_owned()
 }
 
@@ -41,7 +44,10 @@
 /// A keyed write, the last of its connection.
 fn write(id: u32) -> String {
     let keyed = "Idempotency-Key: 7f3a9c21e0b4d655\r\nContent-Length: 4\r\nX-Plan";
-    last(id).replacen("GET /read", "PUT /new-write", 1).replacen("X-Plan", keyed, 1) + "body"
+    last(id)
+        .replacen("GET /read", "PUT /new-write", 1)
+        .replacen("X-Plan", keyed, 1)
+        + "body"
 }
 
 /// An answer that breaks off, however it does, is no answer: the next attempt's is the client's, whole and alone.
@@ -55,7 +61,10 @@
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", false),
         // No length: a reset is no end.
         (b"HTTP/1.1 200 OK\r\n\r\nhalf", true),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", false),
+        (
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
+            false,
+        ),
     ];
     for (id, (part, by_reset)) in (1..).zip(broken) {
         let client = client(&fronts, &last(id)).await;
@@ -69,10 +78,17 @@
         }
         let mut node = taken.recv().await.unwrap();
         let second = head(&mut node).await;
-        assert_eq!(first.split("x-deadline").next(), second.split("x-deadline").next(), "the same request");
+        assert_eq!(
+            first.split("x-deadline").next(),
+            second.split("x-deadline").next(),
+            "the same request"
+        );
         node.write_all(OK).await.unwrap();
         let said = rest(client).await;
-        assert!(said.starts_with("HTTP/1.1 200") && said.ends_with("\r\n\r\nwhole"), "{said}");
+        assert!(
+            said.starts_with("HTTP/1.1 200") && said.ends_with("\r\n\r\nwhole"),
+            "{said}"
+        );
         drop(node);
     }
 }
@@ -84,10 +100,15 @@
     let client = client(&fronts, &last(1)).await;
     let mut node = taken.recv().await.unwrap();
     head(&mut node).await;
-    node.write_all(b"HTTP/1.1 200 OK\r\n\r\nwhole").await.unwrap();
+    node.write_all(b"HTTP/1.1 200 OK\r\n\r\nwhole")
+        .await
+        .unwrap();
     drop(node);
     let said = rest(client).await;
-    assert!(said.starts_with("HTTP/1.1 200") && said.ends_with("whole"), "{said}");
+    assert!(
+        said.starts_with("HTTP/1.1 200") && said.ends_with("whole"),
+        "{said}"
+    );
 }
 
 /// A kept connection ends under the request that was just written to it: that may have run. What is safe or keyed goes again.
@@ -107,7 +128,11 @@
         reset(node);
         let mut fresh = taken.recv().await.unwrap();
         let again = head(&mut fresh).await;
-        assert_eq!(kept.split("x-deadline").next(), again.split("x-deadline").next(), "the same id and key");
+        assert_eq!(
+            kept.split("x-deadline").next(),
+            again.split("x-deadline").next(),
+            "the same id and key"
+        );
         fresh.write_all(OK).await.unwrap();
         assert!(rest(second).await.ends_with("whole"));
     }
@@ -127,13 +152,22 @@
         .unwrap();
     node.write_all(OK).await.unwrap();
     let said = rest(client).await;
-    assert!(said.starts_with("HTTP/1.1 200") && said.ends_with("whole"), "{said}");
-    assert_eq!(said.matches("HTTP/1.1").count(), 1, "what it sent ahead is no request");
+    assert!(
+        said.starts_with("HTTP/1.1 200") && said.ends_with("whole"),
+        "{said}"
+    );
+    assert_eq!(
+        said.matches("HTTP/1.1").count(),
+        1,
+        "what it sent ahead is no request"
+    );
 }
 
 async fn gate() -> (TcpStream, Gate, lupinrack::net::gate::Visit) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let client = TcpStream::connect(listener.local_addr().unwrap())
+        .await
+        .unwrap();
     let (_tell, phase) = watch::channel(Phase::Ready);
     let (gate, visit) = Gate::new(listener.accept().await.unwrap().0, phase);
     (client, gate, visit)
@@ -143,13 +177,21 @@
 #[tokio::test]
 async fn one_that_sends_much_at_once_and_goes_is_seen_to_go() {
     let (mut client, mut gate, visit) = gate().await;
-    client.write_all(get(1, "priority", 1, 4_000).as_bytes()).await.unwrap();
+    client
+        .write_all(get(1, "priority", 1, 4_000).as_bytes())
+        .await
+        .unwrap();
     let mut bytes = vec![0; 64 << 10];
-    assert!(gate.read(&mut bytes).await.unwrap() > 0, "its request passes");
+    assert!(
+        gate.read(&mut bytes).await.unwrap() > 0,
+        "its request passes"
+    );
     let sends = tokio::spawn(async move {
         client.write_all(&[b'x'; 1 << 20]).await.unwrap();
     });
-    let end = timeout(Duration::from_secs(10), gate.read(&mut bytes)).await.expect("its end shows");
+    let end = timeout(Duration::from_secs(10), gate.read(&mut bytes))
+        .await
+        .expect("its end shows");
     assert_eq!(end.unwrap_or(0), 0);
     sends.await.unwrap();
     assert!(visit.gone());
@@ -171,13 +213,20 @@
     let (mut client, mut gate, visit) = gate().await;
     let mut bytes = [0; 64];
     let began = Instant::now();
-    assert_eq!(gate.read(&mut bytes).await.unwrap(), 0, "to the library its client has closed");
+    assert_eq!(
+        gate.read(&mut bytes).await.unwrap(),
+        0,
+        "to the library its client has closed"
+    );
     assert!(began.elapsed() >= Duration::from_secs(2));
     client.write_all(b"GET / HTTP/1.1\r\n\r\n").await.unwrap();
     gate.shutdown().await.unwrap();
     drop(gate);
     assert!(visit.gone(), "nobody sends anything for it");
-    assert!(!matches!(client.read(&mut bytes).await, Ok(1..)), "and it hears no answer");
+    assert!(
+        !matches!(client.read(&mut bytes).await, Ok(1..)),
+        "and it hears no answer"
+    );
 }
 
 /// Half a head as the front closes: its rest makes it a request that is served once, or it was never one.
@@ -199,11 +248,22 @@
         let mut heard = 1;
         for mut stream in [used, fresh] {
             let mut said = Vec::new();
-            let _ = timeout(Duration::from_secs(10), stream.read_to_end(&mut said)).await.expect("it ends");
-            heard += String::from_utf8_lossy(&said).matches("HTTP/1.1 200").count();
+            let _ = timeout(Duration::from_secs(10), stream.read_to_end(&mut said))
+                .await
+                .expect("it ends");
+            heard += String::from_utf8_lossy(&said)
+                .matches("HTTP/1.1 200")
+                .count();
         }
-        timeout(Duration::from_secs(10), fronts.ended).await.expect("the front ends").unwrap();
-        assert_eq!(heads.lock().unwrap().len(), heard, "what is sent on is answered, and once");
+        timeout(Duration::from_secs(10), fronts.ended)
+            .await
+            .expect("the front ends")
+            .unwrap();
+        assert_eq!(
+            heads.lock().unwrap().len(),
+            heard,
+            "what is sent on is answered, and once"
+        );
     }
 }
 
@@ -214,12 +274,24 @@
     let mut stream = client(&fronts, &get(1, "priority", 1, 4_000)[..30]).await;
     tokio::task::yield_now().await;
     fronts.phase.send(Phase::Over).unwrap();
-    stream.write_all(&get(1, "priority", 1, 4_000).as_bytes()[30..]).await.unwrap();
+    stream
+        .write_all(&get(1, "priority", 1, 4_000).as_bytes()[30..])
+        .await
+        .unwrap();
     let said = rest(stream).await;
-    assert!(said.starts_with("HTTP/1.1 502") && said.to_lowercase().contains("connection: close"), "{said}");
-    timeout(Duration::from_secs(10), fronts.ended).await.expect("the front ends").unwrap();
+    assert!(
+        said.starts_with("HTTP/1.1 502") && said.to_lowercase().contains("connection: close"),
+        "{said}"
+    );
+    timeout(Duration::from_secs(10), fronts.ended)
+        .await
+        .expect("the front ends")
+        .unwrap();
     while let Ok(mut node) = taken.try_recv() {
-        assert!(!matches!(timeout(Duration::from_millis(100), node.read(&mut [0; 64])).await, Ok(Ok(1..))));
+        assert!(!matches!(
+            timeout(Duration::from_millis(100), node.read(&mut [0; 64])).await,
+            Ok(Ok(1..))
+        ));
     }
 }
 
@@ -241,13 +313,21 @@
         how: (lupinrack::Discovery::Push, 3),
         seed: 1,
     };
-    tokio::spawn(watch.run(fronts.core.clone(), Some(serde_json::from_str(&known).unwrap())));
+    tokio::spawn(watch.run(
+        fronts.core.clone(),
+        Some(serde_json::from_str(&known).unwrap()),
+    ));
     let gone = r#"{"generation":43,"reset":true,"instances":[{"instanceId":"s-1","lifecycle":"DELETED"}]}"#;
-    let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{gone}", gone.len());
+    let whole = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{gone}",
+        gone.len()
+    );
     // Cut one byte before its end, by a reset.
     let mut call = calls.recv().await.unwrap();
     assert!(head(&mut call).await.contains("from=41&"));
-    call.write_all(&whole.as_bytes()[..whole.len() - 1]).await.unwrap();
+    call.write_all(&whole.as_bytes()[..whole.len() - 1])
+        .await
+        .unwrap();
     reset(call);
     // Silent until it is given up; then all of it.
     let mut silent = calls.recv().await.unwrap();
@@ -257,8 +337,16 @@
     let _ = silent.write_all(whole.as_bytes()).await;
     // The next one's answer is taken, and the watch goes on at once.
     let none = r#"{"generation":44,"reset":false,"instances":[]}"#;
-    let none = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{none}", none.len());
+    let none = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{none}",
+        none.len()
+    );
     next.write_all(none.as_bytes()).await.unwrap();
     assert!(head(&mut next).await.contains("from=44&"));
-    assert!(rest(client(&fronts, &last(1)).await).await.ends_with("whole"), "the node serves on");
+    assert!(
+        rest(client(&fronts, &last(1)).await)
+            .await
+            .ends_with("whole"),
+        "the node serves on"
+    );
 }
--- a/crates/lupinrack/tests/ending.rs
+++ b/crates/lupinrack/tests/ending.rs
@@ -42,9 +42,13 @@
             let head = String::from_utf8_lossy(&text).to_lowercase();
             if let Some((head, body)) = head.split_once("\r\n\r\n") {
                 let length = head.split("content-length: ").nth(1);
-                let length = length.and_then(|l| l.split("\r\n").next()?.parse().ok()).unwrap_or(0);
+                let length = length
+                    .and_then(|l| l.split("\r\n").next()?.parse().ok())
+                    .unwrap_or(0);
                 if body.len() >= length {
-                    return End::Answered { kept: !head.contains("connection: close") };
+                    return End::Answered {
+                        kept: !head.contains("connection: close"),
+                    };
                 }
             }
             match stream.read(&mut piece).await {
@@ -54,7 +58,9 @@
             }
         }
     };
-    timeout(Duration::from_secs(10), whole).await.unwrap_or(End::Lost)
+    timeout(Duration::from_secs(10), whole)
+        .await
+        .unwrap_or(End::Lost)
 }
 
 #[tokio::test]
@@ -62,25 +68,43 @@
     let (address, _) = node("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello").await;
     let fronts = start(address, address, "priority", 2_000).await;
     // The queue fills while the front's one thread is kept from it, and then its end has come.
-    let mut streams: Vec<std::net::TcpStream> =
-        (0..20).map(|_| std::net::TcpStream::connect(fronts.http).unwrap()).collect();
+    let mut streams: Vec<std::net::TcpStream> = (0..20)
+        .map(|_| std::net::TcpStream::connect(fronts.http).unwrap())
+        .collect();
     for (i, stream) in streams.iter_mut().enumerate() {
         use std::io::Write;
-        stream.write_all(get(100 + i as u32, "priority", 1, 2_000).as_bytes()).unwrap();
+        stream
+            .write_all(get(100 + i as u32, "priority", 1, 2_000).as_bytes())
+            .unwrap();
     }
     fronts.phase.send(Phase::Closing).unwrap();
     for stream in streams {
         stream.set_nonblocking(true).unwrap();
         let mut stream = TcpStream::from_std(stream).unwrap();
-        assert_eq!(exchange(&mut stream, "").await, End::Answered { kept: false });
+        assert_eq!(
+            exchange(&mut stream, "").await,
+            End::Answered { kept: false }
+        );
     }
-    timeout(Duration::from_secs(10), fronts.ended).await.expect("it ends").unwrap();
+    timeout(Duration::from_secs(10), fronts.ended)
+        .await
+        .expect("it ends")
+        .unwrap();
 }
 
 #[tokio::test]
 async fn after_sigterm_what_is_sent_on_open_connections_is_answered_to_the_last() {
-    let mut stage = Stage::new(env!("CARGO_BIN_EXE_lupinrack").into()).await.unwrap();
-    stage.node(Manner { slots: 64, queue: 512, ..Manner::default() }).await.unwrap();
+    let mut stage = Stage::new(env!("CARGO_BIN_EXE_lupinrack").into())
+        .await
+        .unwrap();
+    stage
+        .node(Manner {
+            slots: 64,
+            queue: 512,
+            ..Manner::default()
+        })
+        .await
+        .unwrap();
     stage.list(0, "SERVING");
     let config = configuration("ending", stage.discovery.address, 7, 1);
     let mut front = stage.front(0, config, String::new()).await.unwrap();
@@ -107,8 +131,11 @@
                         }
                     },
                 };
-                let end =
-                    exchange(&mut stream, &get(number.fetch_add(1, Relaxed), "priority", 1, 2_000)).await;
+                let end = exchange(
+                    &mut stream,
+                    &get(number.fetch_add(1, Relaxed), "priority", 1, 2_000),
+                )
+                .await;
                 ends.push((after, end));
                 open = Some(stream).filter(|_| kept && end == End::Answered { kept: true });
                 sleep(Duration::from_millis(7)).await;
@@ -119,18 +146,26 @@
     sleep(Duration::from_millis(500)).await;
     tell.send_replace(Some(Instant::now()));
     front.signal(Signal::SIGTERM);
-    let status = front.ended(Duration::from_secs(30)).await.expect("it ends by itself");
+    let status = front
+        .ended(Duration::from_secs(30))
+        .await
+        .expect("it ends by itself");
     over.send_replace(true);
     assert!(status.success(), "{status}");
     let ends: Vec<(Option<Duration>, End)> = clients.join_all().await.concat();
     let count = |of: fn(&End) -> bool| ends.iter().filter(|(_, e)| of(e)).count();
-    let late =
-        |by: u64| move |after: &Option<Duration>| after.is_some_and(|a| a >= Duration::from_millis(by));
+    let late = |by: u64| {
+        move |after: &Option<Duration>| after.is_some_and(|a| a >= Duration::from_millis(by))
+    };
     assert_eq!(count(|e| *e == End::Lost), 0, "no answer breaks off");
     // The settings' longest deadline is 4 s: clients are served for 2.7 s, on whatever connection they come.
-    let early = ends.iter().filter(|(after, e)| !late(2_000)(after) && !matches!(e, End::Answered { .. }));
+    let early = ends
+        .iter()
+        .filter(|(after, e)| !late(2_000)(after) && !matches!(e, End::Answered { .. }));
     assert_eq!(early.count(), 0, "{ends:?}");
-    assert!(ends.iter().any(|(after, e)| late(1_500)(after) && *e == End::Answered { kept: true }));
+    assert!(ends
+        .iter()
+        .any(|(after, e)| late(1_500)(after) && *e == End::Answered { kept: true }));
     // A request may cross the close of its connection: once for each, and no more.
     assert!(count(|e| *e == End::Closed) <= 12, "{ends:?}");
 }
--- a/crates/lupinrack/tests/extents.rs
+++ b/crates/lupinrack/tests/extents.rs
@@ -27,11 +27,20 @@
 const PATIENCE: Duration = Duration::from_secs(60);
 
 fn version(epoch: u64) -> Version {
-    Version { incarnation: 1, epoch }
+    Version {
+        incarnation: 1,
+        epoch,
+    }
 }
 
 fn change(shard: u32, epoch: u64) -> Change {
-    Change { volume: VOLUME, first: 0, last: u64::MAX, shard: Some(shard), epoch }
+    Change {
+        volume: VOLUME,
+        first: 0,
+        last: u64::MAX,
+        shard: Some(shard),
+        epoch,
+    }
 }
 
 fn cover(shard: u32, epoch: u64) -> Cover {
@@ -45,7 +54,12 @@
 }
 
 fn news(epoch: u64, changes: Vec<Change>) -> Input {
-    Input::Polled(Ok(News { version: version(epoch), reset: epoch == 1, whole: false, changes }))
+    Input::Polled(Ok(News {
+        version: version(epoch),
+        reset: epoch == 1,
+        whole: false,
+        changes,
+    }))
 }
 
 /// A core with nodes `n0` to `n2` on shards 0 to 2, and the actions of its map.
@@ -54,13 +68,22 @@
     let (core, handle, _targets) = Core::new(told().module, 3, clock);
     let (core, actions, _counters) = core.with_extents(Cache::new(Section::default(), clock.now()));
     tokio::spawn(core.run());
-    handle.list(ListKind::Cached, (0..3).map(|n| node(n, NodeState::Ready)).collect()).await;
+    handle
+        .list(
+            ListKind::Cached,
+            (0..3).map(|n| node(n, NodeState::Ready)).collect(),
+        )
+        .await;
     handle.extents(news(1, Vec::new())).await;
     (handle, actions)
 }
 
 fn node(shard: u32, state: NodeState) -> Listing {
-    Listing { name: format!("n{shard}"), shard: Shard(shard), ..unreached(state) }
+    Listing {
+        name: format!("n{shard}"),
+        shard: Shard(shard),
+        ..unreached(state)
+    }
 }
 
 /// Opens a read or a new write whose client believes in shard 0.
@@ -82,16 +105,25 @@
 /// Waits for the next fetch that the map asks for.
 async fn fetch(actions: &mut mpsc::Receiver<Action>) {
     let fetched = async { while !matches!(actions.recv().await, Some(Action::Fetch { .. })) {} };
-    tokio::time::timeout(PATIENCE, fetched).await.expect("it is fetched");
+    tokio::time::timeout(PATIENCE, fetched)
+        .await
+        .expect("it is fetched");
 }
 
 async fn answer(core: &Handle, cover: Cover) {
-    core.extents(Input::Fetched { volume: VOLUME, answer: Ok(cover) }).await;
+    core.extents(Input::Fetched {
+        volume: VOLUME,
+        answer: Ok(cover),
+    })
+    .await;
 }
 
 /// The next order must be a Send; tells where to, and the attempt's number.
 async fn sent(ticket: &mut Ticket) -> (String, u16) {
-    match tokio::time::timeout(PATIENCE, ticket.order()).await.expect("it is sent") {
+    match tokio::time::timeout(PATIENCE, ticket.order())
+        .await
+        .expect("it is sent")
+    {
         Some(Order::Send(attempt)) => (attempt.to.name.to_string(), attempt.number),
         other => panic!("{other:?}"),
     }
@@ -103,7 +135,11 @@
     let (mut first, mut second) = (open(&core, false).await, open(&core, false).await);
     fetch(&mut actions).await;
     answer(&core, cover(1, 1)).await;
-    assert_eq!(sent(&mut first).await.0, "n1", "not where the client believed");
+    assert_eq!(
+        sent(&mut first).await.0,
+        "n1",
+        "not where the client believed"
+    );
     assert_eq!(sent(&mut second).await.0, "n1");
 }
 
@@ -117,7 +153,11 @@
     ticket.teller().turned_away(number, Some(version(2))).await;
     fetch(&mut actions).await;
     answer(&core, cover(2, 2)).await;
-    assert_eq!(sent(&mut ticket).await, ("n2".to_string(), 1), "never ran, so even a write goes on");
+    assert_eq!(
+        sent(&mut ticket).await,
+        ("n2".to_string(), 1),
+        "never ran, so even a write goes on"
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -131,9 +171,14 @@
         match ticket.order().await {
             Some(Order::Send(attempt)) => {
                 tries += 1;
-                ticket.teller().turned_away(attempt.number, Some(version(1))).await;
+                ticket
+                    .teller()
+                    .turned_away(attempt.number, Some(version(1)))
+                    .await;
+            }
+            Some(Order::Refuse(after)) => {
+                break assert!(after.is_some(), "it says when to come back")
             }
-            Some(Order::Refuse(after)) => break assert!(after.is_some(), "it says when to come back"),
             other => panic!("{other:?}"),
         }
     }
@@ -149,7 +194,10 @@
     let (_, number) = sent(&mut ticket).await;
     core.extents(news(2, vec![change(2, 2)])).await;
     ticket.teller().ended(number, Outcome::Reset, None).await;
-    assert!(matches!(ticket.order().await, Some(Order::Fail)), "it fails plainly, and at once");
+    assert!(
+        matches!(ticket.order().await, Some(Order::Fail)),
+        "it fails plainly, and at once"
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -164,13 +212,20 @@
     for _ in 0..30 {
         waiting.push(open(&core, false).await);
     }
-    core.list(ListKind::Delta, vec![node(1, NodeState::Draining)]).await;
+    core.list(ListKind::Delta, vec![node(1, NodeState::Draining)])
+        .await;
     let before = sends(&mut waiting).await;
-    assert!(before.len() < 30 && before.iter().all(|to| to == "n1"), "within its grace: {before:?}");
+    assert!(
+        before.len() < 30 && before.iter().all(|to| to == "n1"),
+        "within its grace: {before:?}"
+    );
     core.extents(news(2, vec![change(2, 2)])).await;
     tokio::time::sleep(Duration::from_millis(400)).await;
     let after = sends(&mut waiting).await;
-    assert!(!after.is_empty() && after.iter().all(|to| to == "n2"), "none to the old place: {after:?}");
+    assert!(
+        !after.is_empty() && after.iter().all(|to| to == "n2"),
+        "none to the old place: {after:?}"
+    );
 }
 
 /// Where what was sent by now went.
@@ -190,7 +245,14 @@
     let (core, mut actions) = core().await;
     let mut ticket = open(&core, false).await;
     fetch(&mut actions).await;
-    answer(&core, Cover { extents: Vec::new(), ..cover(1, 1) }).await;
+    answer(
+        &core,
+        Cover {
+            extents: Vec::new(),
+            ..cover(1, 1)
+        },
+    )
+    .await;
     assert_eq!(sent(&mut ticket).await.0, "n0");
 }
 
@@ -212,8 +274,13 @@
         let mut nodes = Vec::new();
         for shard in 0..2 {
             let truth = authority.truth.clone();
-            let whereabouts: Whereabouts = Arc::new(move |volume, key| lock(&truth).lies(volume, key));
-            let manner = Manner { shard, whereabouts: Some(whereabouts), ..Manner::default() };
+            let whereabouts: Whereabouts =
+                Arc::new(move |volume, key| lock(&truth).lies(volume, key));
+            let manner = Manner {
+                shard,
+                whereabouts: Some(whereabouts),
+                ..Manner::default()
+            };
             nodes.push(Node::start(manner, Group::default()).await.unwrap());
         }
         let entry = |(i, n): (usize, &Node)| Entry {
@@ -223,16 +290,32 @@
             lifecycle: "SERVING",
             started: 0,
         };
-        let discovery = Discovery::start(nodes.iter().enumerate().map(entry).collect()).await.unwrap();
+        let discovery = Discovery::start(nodes.iter().enumerate().map(entry).collect())
+            .await
+            .unwrap();
         let config = configuration("n1", discovery.address, 5, 1);
-        let section =
-            Section { enabled: true, authority: authority.address, hold_ms: 200, ..Section::default() };
-        let operator = Operator { extents: Some(section), ..Operator::default() };
+        let section = Section {
+            enabled: true,
+            authority: authority.address,
+            hold_ms: 200,
+            ..Section::default()
+        };
+        let operator = Operator {
+            extents: Some(section),
+            ..Operator::default()
+        };
         let plan = Plan::new(Config::parse(&config.to_string()).unwrap(), operator).unwrap();
         let (phase, seen) = watch::channel(Phase::Ready);
         let (at, address) = watch::channel(discovery.address);
         let front = serve::start(plan, seen, address).await.unwrap();
-        Room { authority, nodes, front, phase, clients: Clients::default(), _kept: (discovery, at) }
+        Room {
+            authority,
+            nodes,
+            front,
+            phase,
+            clients: Clients::default(),
+            _kept: (discovery, at),
+        }
     }
 
     async fn ask(&self, id: u32) -> Came {
@@ -252,7 +335,10 @@
     }
 
     fn fates(&self, shard: usize) -> Vec<Fate> {
-        lock(&self.nodes[shard].seen).iter().map(|s| s.fate).collect()
+        lock(&self.nodes[shard].seen)
+            .iter()
+            .map(|s| s.fate)
+            .collect()
     }
 }
 
@@ -261,7 +347,11 @@
     let room = Room::new().await;
     assert_eq!(room.ask(1).await, Came::Served);
     room.authority.silence(true);
-    assert_eq!(room.ask(2).await, Came::Served, "it goes on with what it had");
+    assert_eq!(
+        room.ask(2).await,
+        Came::Served,
+        "it goes on with what it had"
+    );
     // Moved unheard: the node turns it away, nobody says where to, and the client hears that in time.
     room.authority.change(|t| t.put(7, 0, u64::MAX, 1));
     assert_eq!(room.ask(3).await, Came::Refused);
@@ -287,33 +377,81 @@
     });
     until(|| room.front.extents.borrow().resets > 1).await;
     assert_eq!(room.ask(2).await, Came::Served);
-    assert_eq!((room.fates(0), room.fates(1)), (vec![Fate::Ran], vec![Fate::Ran]));
+    assert_eq!(
+        (room.fates(0), room.fates(1)),
+        (vec![Fate::Ran], vec![Fate::Ran])
+    );
 }
 
 #[test]
 fn the_drill_keeps_its_promises() {
     let drill = |args: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_lupinrack"));
-        let output = command.args(["extents", "drill", "--json"]).args(args).output().unwrap();
+        let output = command
+            .args(["extents", "drill", "--json"])
+            .args(args)
+            .output()
+            .unwrap();
         let figures: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap_or_default();
         (output.status.code(), figures)
     };
-    let small = ["--fronts", "3", "--nodes", "4", "--volumes", "20", "--rate", "40", "--seconds", "5"];
+    let small = [
+        "--fronts",
+        "3",
+        "--nodes",
+        "4",
+        "--volumes",
+        "20",
+        "--rate",
+        "40",
+        "--seconds",
+        "5",
+    ];
     let (code, figures) = drill(
-        &[&small[..], &["--moves-per-s", "20", "--seed", "11", "--strategy", "versioned", "--resets", "20"]]
-            .concat(),
+        &[
+            &small[..],
+            &[
+                "--moves-per-s",
+                "20",
+                "--seed",
+                "11",
+                "--strategy",
+                "versioned",
+                "--resets",
+                "20",
+            ],
+        ]
+        .concat(),
     );
     assert_eq!(code, Some(0), "{figures}");
     let count = |name: &str| figures[name].as_u64().unwrap();
-    assert_eq!(count("served") + count("refused") + count("failed"), count("requests"), "{figures}");
-    assert!(count("requests") == 600 && count("served") > 400 && count("drains") > 0, "{figures}");
-    assert!(count("moves") > 90 && count("refresh_calls") > 0, "{figures}");
+    assert_eq!(
+        count("served") + count("refused") + count("failed"),
+        count("requests"),
+        "{figures}"
+    );
+    assert!(
+        count("requests") == 600 && count("served") > 400 && count("drains") > 0,
+        "{figures}"
+    );
+    assert!(
+        count("moves") > 90 && count("refresh_calls") > 0,
+        "{figures}"
+    );
     // A burst: bounded calls, whatever the speed of this machine.
-    let (code, figures) =
-        drill(&[&small[..], &["--burst", "2000", "--seed", "12", "--strategy", "versioned"]].concat());
+    let (code, figures) = drill(
+        &[
+            &small[..],
+            &["--burst", "2000", "--seed", "12", "--strategy", "versioned"],
+        ]
+        .concat(),
+    );
     assert_eq!(code, Some(0), "{figures}");
     assert!(figures["moves"].as_u64() >= Some(2_000), "{figures}");
-    assert!(figures["burst_calls_per_front"].as_u64().unwrap() < 64, "{figures}");
+    assert!(
+        figures["burst_calls_per_front"].as_u64().unwrap() < 64,
+        "{figures}"
+    );
     // What it was given cannot be used.
     assert_eq!(drill(&["--nodes", "1"]).0, Some(2));
     assert_eq!(drill(&["--moves-per-s", "-1"]).0, Some(2));
@@ -323,9 +461,23 @@
 fn the_model_gives_the_same_for_the_same_seed() {
     let sim = || {
         let mut command = Command::new(env!("CARGO_BIN_EXE_lupinrack"));
-        let args =
-            ["extents", "sim", "--json", "--fronts", "8", "--volumes", "50", "--seconds", "20", "--silence"];
-        let output = command.args(args).args(["--moves-per-s", "20"]).output().unwrap();
+        let args = [
+            "extents",
+            "sim",
+            "--json",
+            "--fronts",
+            "8",
+            "--volumes",
+            "50",
+            "--seconds",
+            "20",
+            "--silence",
+        ];
+        let output = command
+            .args(args)
+            .args(["--moves-per-s", "20"])
+            .output()
+            .unwrap();
         assert_eq!(output.status.code(), Some(0));
         let mut figures: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
         figures["took_s"] = 0.into();
@@ -334,6 +486,12 @@
     let figures = sim();
     assert_eq!(figures, sim());
     assert!(figures["requests"].as_u64() > Some(10_000), "{figures}");
-    assert!(figures["misdirected"].as_u64() > Some(0), "silence is felt: {figures}");
-    assert!(figures["peer_bytes_per_request"].as_f64() > Some(0.0), "and peers tell of it: {figures}");
+    assert!(
+        figures["misdirected"].as_u64() > Some(0),
+        "silence is felt: {figures}"
+    );
+    assert!(
+        figures["peer_bytes_per_request"].as_f64() > Some(0.0),
+        "and peers tell of it: {figures}"
+    );
 }
--- a/crates/lupinrack/tests/fleet.rs
+++ b/crates/lupinrack/tests/fleet.rs
@@ -12,11 +12,26 @@
 
 async fn figures(script: Script) -> (Figures, String) {
     static PLACES: OnceLock<Semaphore> = OnceLock::new();
-    let _place = PLACES.get_or_init(|| Semaphore::new(4)).acquire().await.unwrap();
-    let folder = std::env::temp_dir().join(format!("lupinrack-fleet-{}-{}", std::process::id(), script.name));
+    let _place = PLACES
+        .get_or_init(|| Semaphore::new(4))
+        .acquire()
+        .await
+        .unwrap();
+    let folder = std::env::temp_dir().join(format!(
+        "lupinrack-fleet-{}-{}",
+        std::process::id(),
+        script.name
+    ));
     let program = env!("CARGO_BIN_EXE_lupinrack").into();
     let text = serde_json::to_string(&script).unwrap();
-    let played = play(Plan { script, program, folder, fleet: SHORT.into() }).await.unwrap();
+    let played = play(Plan {
+        script,
+        program,
+        folder,
+        fleet: SHORT.into(),
+    })
+    .await
+    .unwrap();
     let last = format!("{text}\n{}", played.history.last(80));
     (played.figures, last)
 }
@@ -68,7 +83,10 @@
 #[tokio::test]
 async fn what_a_dead_front_had_goes_to_the_living() {
     let f = case("dead").await;
-    assert!(f.views >= 2 && f.parts_sum_max > 0.9, "the whole is used again: {f:#?}");
+    assert!(
+        f.views >= 2 && f.parts_sum_max > 0.9,
+        "the whole is used again: {f:#?}"
+    );
 }
 
 #[tokio::test]
@@ -100,11 +118,19 @@
     use stand_ins::settings::configuration;
     let program: std::path::PathBuf = env!("CARGO_BIN_EXE_lupinrack").into();
     let stage = Stage::new(program.clone()).await.unwrap();
-    let held: Vec<_> = (0..3).map(|_| std::net::UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
+    let held: Vec<_> = (0..3)
+        .map(|_| std::net::UdpSocket::bind("127.0.0.1:0").unwrap())
+        .collect();
     let at: Vec<_> = held.iter().map(|s| s.local_addr().unwrap()).collect();
     drop(held);
-    let members: String =
-        (0..3).map(|i| format!("[[fleet.member]]\nname = \"n{i}\"\naddress = \"{}\"\n", at[i])).collect();
+    let members: String = (0..3)
+        .map(|i| {
+            format!(
+                "[[fleet.member]]\nname = \"n{i}\"\naddress = \"{}\"\n",
+                at[i]
+            )
+        })
+        .collect();
     let mut fronts = Vec::new();
     for i in 0..3_u16 {
         let config = configuration(&format!("n{i}"), stage.discovery.address, 7, 3);
@@ -114,7 +140,9 @@
     let door = fronts[0].listens.door.unwrap().to_string();
     let ls = |json: bool| {
         let mut command = std::process::Command::new(&program);
-        command.args(["fleet", "ls", &door]).args(json.then_some("--json"));
+        command
+            .args(["fleet", "ls", &door])
+            .args(json.then_some("--json"));
         command.output().unwrap()
     };
     let until = std::time::Instant::now() + std::time::Duration::from_secs(60);
@@ -128,9 +156,19 @@
         assert!(std::time::Instant::now() < until, "{told}");
         tokio::time::sleep(std::time::Duration::from_millis(200)).await;
     };
-    assert!(told["members"].as_array().unwrap().iter().all(|m| m["state"] == "alive"), "{told}");
+    assert!(
+        told["members"]
+            .as_array()
+            .unwrap()
+            .iter()
+            .all(|m| m["state"] == "alive"),
+        "{told}"
+    );
     let table = String::from_utf8(ls(false).stdout).unwrap();
-    assert!(table.contains("majority") && table.matches("alive").count() >= 3, "{table}");
+    assert!(
+        table.contains("majority") && table.matches("alive").count() >= 3,
+        "{table}"
+    );
     for front in fronts {
         stage.end(front).await.unwrap();
     }
--- a/crates/lupinrack/tests/gate.rs
+++ b/crates/lupinrack/tests/gate.rs
@@ -90,7 +90,10 @@
     let mut stream = TcpStream::connect(fronts.http).await.unwrap();
     stream.write_all(bytes).await.expect("heard out");
     let mut said = Vec::new();
-    timeout(Duration::from_secs(15), stream.read_to_end(&mut said)).await.expect("an end").expect("no reset");
+    timeout(Duration::from_secs(15), stream.read_to_end(&mut said))
+        .await
+        .expect("an end")
+        .expect("no reset");
     String::from_utf8_lossy(&said).into_owned()
 }
 
@@ -114,28 +117,47 @@
         "Content-Length: 0x5\r\n".into(),
     ] {
         let head = get(1, "priority", 1, 60_000).replacen("X-Plan", &format!("{lengths}X-Plan"), 1);
-        let said = raw(&fronts, format!("{head}0\r\n\r\n{hidden}{hidden}").as_bytes()).await;
+        let said = raw(
+            &fronts,
+            format!("{head}0\r\n\r\n{hidden}{hidden}").as_bytes(),
+        )
+        .await;
         assert!(
             said.starts_with("HTTP/1.1 400") && said.matches("HTTP/1.1").count() == 1,
             "{lengths}: {said}"
         );
     }
-    for noise in ["\0\x01\x02 noise\r\n\r\n", "GET\r\n\r\n", "GET / HTTP/1.1\r\nno colon\r\n\r\n"] {
-        assert!(raw(&fronts, noise.as_bytes()).await.starts_with("HTTP/1.1 400"), "{noise}");
+    for noise in [
+        "\0\x01\x02 noise\r\n\r\n",
+        "GET\r\n\r\n",
+        "GET / HTTP/1.1\r\nno colon\r\n\r\n",
+    ] {
+        assert!(
+            raw(&fronts, noise.as_bytes())
+                .await
+                .starts_with("HTTP/1.1 400"),
+            "{noise}"
+        );
     }
     let endless = format!("GET / HTTP/1.1\r\nX: {}", "x".repeat(1 << 20));
-    assert!(raw(&fronts, endless.as_bytes()).await.starts_with("HTTP/1.1 431"));
+    assert!(raw(&fronts, endless.as_bytes())
+        .await
+        .starts_with("HTTP/1.1 431"));
     assert!(heads.lock().unwrap().is_empty());
 }
 
 #[tokio::test]
 async fn a_client_that_is_still_sending_hears_its_error() {
     let (fronts, heads) = front(OK).await;
-    let long = get(1, "priority", 1, 60_000).replacen("X-Plan", "Content-Length: 16777216\r\nX-Plan", 1);
+    let long =
+        get(1, "priority", 1, 60_000).replacen("X-Plan", "Content-Length: 16777216\r\nX-Plan", 1);
     let mut bytes = long.into_bytes();
     bytes.resize(bytes.len() + (16 << 20), b'x');
     let said = raw(&fronts, &bytes).await;
-    assert!(said.starts_with("HTTP/1.1 413") && said.contains("connection: close"), "{said}");
+    assert!(
+        said.starts_with("HTTP/1.1 413") && said.contains("connection: close"),
+        "{said}"
+    );
     assert!(heads.lock().unwrap().is_empty());
 }
 
@@ -144,7 +166,9 @@
     let (fronts, heads) = front(OK).await;
     let head = get(1, "priority", 1, 60_000);
     let body = head.replacen("X-Plan", "Content-Length: 10\r\nX-Plan", 1) + "half";
-    assert!(raw(&fronts, body.as_bytes()).await.starts_with("HTTP/1.1 408"));
+    assert!(raw(&fronts, body.as_bytes())
+        .await
+        .starts_with("HTTP/1.1 408"));
     assert_eq!(raw(&fronts, &head.as_bytes()[..40]).await, "");
     assert!(heads.lock().unwrap().is_empty());
 }
@@ -152,9 +176,17 @@
 #[tokio::test]
 async fn what_follows_a_chunked_request_is_no_request() {
     let (fronts, heads) = front(OK).await;
-    let head = get(1, "priority", 1, 60_000).replacen("X-Plan", "Transfer-Encoding: chunked\r\nX-Plan", 1);
-    let said = raw(&fronts, format!("{head}0\r\n\r\n{}", get(2, "priority", 1, 60_000)).as_bytes()).await;
-    assert!(said.starts_with("HTTP/1.1 200") && said.matches("HTTP/1.1").count() == 1, "{said}");
+    let head =
+        get(1, "priority", 1, 60_000).replacen("X-Plan", "Transfer-Encoding: chunked\r\nX-Plan", 1);
+    let said = raw(
+        &fronts,
+        format!("{head}0\r\n\r\n{}", get(2, "priority", 1, 60_000)).as_bytes(),
+    )
+    .await;
+    assert!(
+        said.starts_with("HTTP/1.1 200") && said.matches("HTTP/1.1").count() == 1,
+        "{said}"
+    );
     assert_eq!(heads.lock().unwrap().len(), 1);
 }
 
@@ -173,12 +205,20 @@
     let http = fronts.http;
     let first = tokio::spawn(async move { ask(http, &get(1, "priority", 1, 4_000)).await });
     until(|| heads.lock().unwrap().len() == 1).await;
-    assert!(ask(http, &get(1, "priority", 1, 4_000)).await.starts_with("HTTP/1.1 409"));
-    assert!(first.await.unwrap().starts_with("HTTP/1.1 503"), "the first one's answer is its own");
+    assert!(ask(http, &get(1, "priority", 1, 4_000))
+        .await
+        .starts_with("HTTP/1.1 409"));
+    assert!(
+        first.await.unwrap().starts_with("HTTP/1.1 503"),
+        "the first one's answer is its own"
+    );
     assert_eq!(heads.lock().unwrap().len(), 1);
     // Once all of it is over, the id says nothing any more.
     for _ in 0..1_000 {
-        if ask(http, &get(1, "priority", 1, 50)).await.starts_with("HTTP/1.1 503") {
+        if ask(http, &get(1, "priority", 1, 50))
+            .await
+            .starts_with("HTTP/1.1 503")
+        {
             return;
         }
     }
@@ -203,7 +243,9 @@
 #[tokio::test(start_paused = true)]
 async fn the_last_of_an_answer_waits_for_its_client_and_idling_begins_behind_it() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let mut client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let mut client = TcpStream::connect(listener.local_addr().unwrap())
+        .await
+        .unwrap();
     let (stream, _) = listener.accept().await.unwrap();
     let (_tell, phase) = watch::channel(Phase::Ready);
     let (mut gate, visit) = Gate::new(stream, phase);
@@ -217,16 +259,27 @@
         sent += n.unwrap();
     }
     let idle = timeout(Duration::from_secs(5), gate.read(&mut bytes)).await;
-    assert!(idle.is_err(), "to the library an end now would be a client that has gone");
+    assert!(
+        idle.is_err(),
+        "to the library an end now would be a client that has gone"
+    );
     // It reads on, the rest leaves, and from there on the connection is idle.
     let mut read = 0;
     while read < sent {
         read += client.read(&mut bytes).await.unwrap();
     }
     gate.write_all(b"the last").await.unwrap();
-    assert!(timeout(Duration::from_millis(1_900), gate.read(&mut bytes)).await.is_err(), "not at once");
+    assert!(
+        timeout(Duration::from_millis(1_900), gate.read(&mut bytes))
+            .await
+            .is_err(),
+        "not at once"
+    );
     assert_eq!(
-        timeout(Duration::from_secs(1), gate.read(&mut bytes)).await.expect("then closed").unwrap(),
+        timeout(Duration::from_secs(1), gate.read(&mut bytes))
+            .await
+            .expect("then closed")
+            .unwrap(),
         0
     );
 }
--- a/crates/lupinrack/tests/ipfix.rs
+++ b/crates/lupinrack/tests/ipfix.rs
@@ -26,7 +26,10 @@
     assert_eq!(number(&message[12..16]), 7, "observation domain");
     let (mut at, mut records) = (16, Vec::new());
     while at < message.len() {
-        let (set, length) = (number(&message[at..at + 2]) as u16, number(&message[at + 2..at + 4]) as usize);
+        let (set, length) = (
+            number(&message[at..at + 2]) as u16,
+            number(&message[at + 2..at + 4]) as usize,
+        );
         let mut body = &message[at + 4..at + length];
         at += length;
         if set == 2 {
@@ -36,7 +39,11 @@
             for _ in 0..count {
                 let (element, length) = (number(&body[..2]) as u16, number(&body[2..4]) as usize);
                 let own = element & 0x8000 != 0;
-                fields.push((if own { number(&body[4..8]) as u32 } else { 0 }, element & 0x7fff, length));
+                fields.push((
+                    if own { number(&body[4..8]) as u32 } else { 0 },
+                    element & 0x7fff,
+                    length,
+                ));
                 body = &body[if own { 8 } else { 4 }..];
             }
             assert!(body.is_empty(), "the template set holds one template");
@@ -69,8 +76,14 @@
     let (to, flows) = mpsc::channel(ipfix::WAITING_MOST);
     tokio::spawn(core.tell_flows(to).run());
     // A clock that reads a known Unix time: the records' times are whole milliseconds from there.
-    tokio::spawn(ipfix::run(config, 1_700_000_000_000_000 - clock.now(), flows));
-    handle.list(ListKind::Cached, vec![unreached(NodeState::Ready)]).await;
+    tokio::spawn(ipfix::run(
+        config,
+        1_700_000_000_000_000 - clock.now(),
+        flows,
+    ));
+    handle
+        .list(ListKind::Cached, vec![unreached(NodeState::Ready)])
+        .await;
     let request = |units| Request {
         class: 2,
         plan: 2,
@@ -85,12 +98,16 @@
     for round in 0..3_u64 {
         // A transfer: it moves two units more than it began with, and 300 bytes in all.
         let mut ticket = handle.open(request(2.0)).await;
-        let Some(Order::Send(_)) = ticket.order().await else { panic!("not sent") };
+        let Some(Order::Send(_)) = ticket.order().await else {
+            panic!("not sent")
+        };
         let teller = ticket.teller();
         teller.began(0).await;
         teller.moved(100).await;
         teller.more(2.0).await;
-        let Some(Order::Grant) = ticket.order().await else { panic!("not granted") };
+        let Some(Order::Grant) = ticket.order().await else {
+            panic!("not granted")
+        };
         teller.moved(200).await;
         teller.ended(0, Outcome::Ok, None).await;
         assert!(ticket.order().await.is_none());
@@ -114,9 +131,16 @@
             (300, 0xa1, 4_000, 2),
             "bytes, volume, units, class"
         );
-        assert_eq!((r[&own(4)], r[&own(5)], r[&(0, 136)]), (1, 0, 3), "attempts, served, end of flow");
+        assert_eq!(
+            (r[&own(4)], r[&own(5)], r[&(0, 136)]),
+            (1, 0, 3),
+            "attempts, served, end of flow"
+        );
         assert_eq!(r[&(0, 148)], i as u64 + 1, "the request's number");
-        assert!(r[&(0, 152)] >= 1_700_000_000_000 && r[&(0, 153)] >= r[&(0, 152)], "{r:?}");
+        assert!(
+            r[&(0, 152)] >= 1_700_000_000_000 && r[&(0, 153)] >= r[&(0, 152)],
+            "{r:?}"
+        );
     }
 }
 
--- a/crates/lupinrack/tests/overload.rs
+++ b/crates/lupinrack/tests/overload.rs
@@ -7,11 +7,23 @@
 
 async fn played(name: &str) -> Figures {
     let script = (named(name).expect("a script").script)(5, 7, SECONDS);
-    let folder = std::env::temp_dir().join(format!("lupinrack-overload-{}-{name}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("lupinrack-overload-{}-{name}", std::process::id()));
     let program = env!("CARGO_BIN_EXE_lupinrack").into();
-    let played = play(Plan { script, program, folder, fleet: SHORT.into() }).await.unwrap();
+    let played = play(Plan {
+        script,
+        program,
+        folder,
+        fleet: SHORT.into(),
+    })
+    .await
+    .unwrap();
     if let Err(broken) = played.figures.verdict() {
-        panic!("{}\n{broken:#?}\n{:#?}", played.history.last(80), played.figures);
+        panic!(
+            "{}\n{broken:#?}\n{:#?}",
+            played.history.last(80),
+            played.figures
+        );
     }
     played.figures
 }
@@ -19,7 +31,10 @@
 /// The node is tried while it hangs, within the fleet's budget, and serves again after it.
 async fn case(name: &str) {
     let f = played(name).await;
-    assert!(f.attempts_at_hung > 0 && f.trials_per_s > 0.0 && f.recovery_ms.is_some(), "{f:#?}");
+    assert!(
+        f.attempts_at_hung > 0 && f.trials_per_s > 0.0 && f.recovery_ms.is_some(),
+        "{f:#?}"
+    );
 }
 
 #[tokio::test]
--- a/crates/lupinrack/tests/program.rs
+++ b/crates/lupinrack/tests/program.rs
@@ -27,9 +27,15 @@
         "classes": [{"name": "read", "aim": 300.0, "deadline": 2000.0, "repeat": "free"}],
         "domain": {"changesData": [true]}, "report": {"columns": ["recent_ms", "backlog"]},
         "safety": {"stopSendingWithin": 1000.0}});
-    let (a, b) = (settings::parse(lines).unwrap(), settings::parse_json(&nested).unwrap());
+    let (a, b) = (
+        settings::parse(lines).unwrap(),
+        settings::parse_json(&nested).unwrap(),
+    );
     assert_eq!(format!("{a:?}"), format!("{b:?}"));
-    assert_eq!((b.module.hosts, b.module.classes[0].writes, b.columns.len()), (3, true, 2));
+    assert_eq!(
+        (b.module.hosts, b.module.classes[0].writes, b.columns.len()),
+        (3, true, 2)
+    );
 }
 
 #[test]
@@ -38,28 +44,61 @@
     assert!(Config::parse(&good).is_ok());
     for (bad, why) in [
         (good.replace("\"seed\":\"8c\"", "\"seed\":\"xyz\""), "seed"),
-        (good.replace("\"stopSendingWithin\"", "\"other\""), "safety.stopSendingWithin is missing"),
-        (good.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""), "listen: invalid socket address"),
-        (good.replace("\"sockets\":1024", "\"sockets\":-4"), "limits.sockets: invalid value"),
-        (good.replace("\"sockets\":1024", "\"sockets\":0"), "limits.sockets: not a positive number"),
-        (good.replace("\"generation\":41", "\"generation\":\"x\""), "known.generation: invalid type"),
-        (good.replace("\"aim\": 300.0", "\"aim\": -300"), "classes.0.aim: not a positive number"),
-        (good.replace("\"deadline\": 2000.0", "\"deadline\": 1e300"), "classes.0.deadline: over ten days"),
+        (
+            good.replace("\"stopSendingWithin\"", "\"other\""),
+            "safety.stopSendingWithin is missing",
+        ),
+        (
+            good.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""),
+            "listen: invalid socket address",
+        ),
+        (
+            good.replace("\"sockets\":1024", "\"sockets\":-4"),
+            "limits.sockets: invalid value",
+        ),
+        (
+            good.replace("\"sockets\":1024", "\"sockets\":0"),
+            "limits.sockets: not a positive number",
+        ),
+        (
+            good.replace("\"generation\":41", "\"generation\":\"x\""),
+            "known.generation: invalid type",
+        ),
+        (
+            good.replace("\"aim\": 300.0", "\"aim\": -300"),
+            "classes.0.aim: not a positive number",
+        ),
+        (
+            good.replace("\"deadline\": 2000.0", "\"deadline\": 1e300"),
+            "classes.0.deadline: over ten days",
+        ),
         (
             good.replace("\"connectTimeout\": 250.0", "\"connectTimeout\": -1"),
             "policyLimits.connectTimeout: not a positive",
         ),
         (
-            good.replace("\"stopSendingWithin\": 1000.0", "\"stopSendingWithin\": 1e18"),
+            good.replace(
+                "\"stopSendingWithin\": 1000.0",
+                "\"stopSendingWithin\": 1e18",
+            ),
             "safety.stopSendingWithin: over ten days",
         ),
-        (good.replace("\"limitBurst\": 32.0", "\"limitBurst\": -32"), "grades.0.limitBurst: not a positive"),
         (
-            good.replace("\"safety\": {", "\"safety\": {\"tipAfter\": 1000, \"coldFrom\": 7, "),
+            good.replace("\"limitBurst\": 32.0", "\"limitBurst\": -32"),
+            "grades.0.limitBurst: not a positive",
+        ),
+        (
+            good.replace(
+                "\"safety\": {",
+                "\"safety\": {\"tipAfter\": 1000, \"coldFrom\": 7, ",
+            ),
             "safety.coldFrom: 7 is over 1",
         ),
     ] {
-        let said = Config::parse(&bad).err().expect("it is not usable").to_string();
+        let said = Config::parse(&bad)
+            .err()
+            .expect("it is not usable")
+            .to_string();
         assert!(said.contains(why), "{said}");
     }
 }
@@ -68,11 +107,32 @@
 fn the_places_for_clients_follow_the_descriptors() {
     // A third of the descriptors for open requests alone, and as much again for what idles; never all of them.
     for sockets in [256, 384, 512, 1024] {
-        let most = Limits { sockets, ..Limits::default() }.clients(0);
-        assert!(most > sockets / 2 && most < sockets * 3 / 4, "{most} of {sockets}");
-        assert_eq!(Limits { sockets, ..Limits::default() }.clients(60), most - 40);
+        let most = Limits {
+            sockets,
+            ..Limits::default()
+        }
+        .clients(0);
+        assert!(
+            most > sockets / 2 && most < sockets * 3 / 4,
+            "{most} of {sockets}"
+        );
+        assert_eq!(
+            Limits {
+                sockets,
+                ..Limits::default()
+            }
+            .clients(60),
+            most - 40
+        );
     }
-    assert_eq!(Limits { sockets: 10, ..Limits::default() }.clients(0), 1);
+    assert_eq!(
+        Limits {
+            sockets: 10,
+            ..Limits::default()
+        }
+        .clients(0),
+        1
+    );
 }
 
 fn configuration(discovery: SocketAddr) -> String {
@@ -97,11 +157,20 @@
 /// The versions that calls went on from; each may be held for 2 s at most.
 fn versions(calls: &Calls) -> Vec<u64> {
     let version = |call: &String| {
-        let (from, hold) = call.strip_prefix("/registry/instances?from=")?.split_once("&hold_ms=")?;
+        let (from, hold) = call
+            .strip_prefix("/registry/instances?from=")?
+            .split_once("&hold_ms=")?;
         let hold: u32 = hold.parse().ok()?;
-        from.parse().ok().filter(|_| (1_000..=2_000).contains(&hold))
+        from.parse()
+            .ok()
+            .filter(|_| (1_000..=2_000).contains(&hold))
     };
-    calls.lock().unwrap().iter().map(|c| version(c).expect(c)).collect()
+    calls
+        .lock()
+        .unwrap()
+        .iter()
+        .map(|c| version(c).expect(c))
+        .collect()
 }
 
 async fn status(fronts: &Fronts) -> String {
@@ -129,7 +198,8 @@
     until(|| calls.lock().unwrap().len() == 1).await;
     assert_eq!(status(&fronts).await, "503");
     // A new node, told as a change.
-    tell.send(list(43, false, &entry("s-1", address, "SERVING"))).unwrap();
+    tell.send(list(43, false, &entry("s-1", address, "SERVING")))
+        .unwrap();
     until(|| calls.lock().unwrap().len() == 2).await;
     assert_eq!(status(&fronts).await, "200");
     // A call that breaks and one that brings nothing new change nothing; the watch goes on.
@@ -144,20 +214,30 @@
     let began = tokio::time::Instant::now();
     tell.send("silence".into()).unwrap();
     until(|| calls.lock().unwrap().len() == 6).await;
-    assert!(began.elapsed() < Duration::from_secs(12), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_secs(12),
+        "{:?}",
+        began.elapsed()
+    );
     // A whole list without it: it is gone. A lifecycle never heard of takes nothing new either.
-    tell.send(list(50, true, &entry("s-2", address, "RESTING"))).unwrap();
+    tell.send(list(50, true, &entry("s-2", address, "RESTING")))
+        .unwrap();
     until(|| calls.lock().unwrap().len() == 7).await;
     let before = heads.lock().unwrap().len();
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     assert_eq!(status(&fronts).await, "503");
-    assert_eq!(heads.lock().unwrap().len(), before, "nothing new once its grace is over");
+    assert_eq!(
+        heads.lock().unwrap().len(),
+        before,
+        "nothing new once its grace is over"
+    );
     assert_eq!(versions(&calls), [41, 43, 43, 43, 43, 43, 50]);
     // Discovery moves while a call is out: the watch goes on there, from the same version, nothing forgotten.
     let (at, calls, tell) = discovery().await;
     move_to.send_replace(at);
     until(|| calls.lock().unwrap().len() == 1).await;
-    tell.send(list(51, false, &entry("s-1", address, "SERVING"))).unwrap();
+    tell.send(list(51, false, &entry("s-1", address, "SERVING")))
+        .unwrap();
     until(|| calls.lock().unwrap().len() == 2).await;
     assert_eq!(status(&fronts).await, "200");
     assert_eq!(versions(&calls), [50, 51]);
@@ -167,7 +247,8 @@
 async fn the_program_starts_serves_and_ends_in_order() {
     let (address, _) = node(OK).await;
     let (at, _, tell) = discovery().await;
-    tell.send(list(42, true, &entry("s-1", address, "SERVING"))).unwrap();
+    tell.send(list(42, true, &entry("s-1", address, "SERVING")))
+        .unwrap();
     let config = std::env::temp_dir().join(format!("lupinrack-{}.json", std::process::id()));
     std::fs::write(&config, configuration(at)).unwrap();
     let mut program = tokio::process::Command::new(env!("CARGO_BIN_EXE_lupinrack"))
@@ -178,7 +259,11 @@
         .unwrap();
     let mut log = BufReader::new(program.stderr.take().unwrap()).lines();
     let listen: SocketAddr = loop {
-        let line = log.next_line().await.unwrap().expect("it says where it listens");
+        let line = log
+            .next_line()
+            .await
+            .unwrap()
+            .expect("it says where it listens");
         if let Some((_, at)) = line.split_once("n1 listens on ") {
             break at.parse().unwrap();
         }
@@ -195,12 +280,22 @@
     assert!(answer.ends_with("hello"), "{answer}");
     let id = program.id().unwrap().to_string();
     let signal = |name: &str| {
-        assert!(std::process::Command::new("kill").args([name, &id]).status().unwrap().success());
+        assert!(std::process::Command::new("kill")
+            .args([name, &id])
+            .status()
+            .unwrap()
+            .success());
     };
     // A file that cannot be read changes nothing; one that names another discovery moves the watch there.
     std::fs::write(&config, "{").unwrap();
     signal("-HUP");
-    while !log.next_line().await.unwrap().expect("it goes on").contains("stays as it was") {}
+    while !log
+        .next_line()
+        .await
+        .unwrap()
+        .expect("it goes on")
+        .contains("stays as it was")
+    {}
     let (at, calls, tell) = discovery().await;
     std::fs::write(&config, configuration(at)).unwrap();
     signal("-HUP");
@@ -208,12 +303,18 @@
     assert_eq!(versions(&calls)[0], 42);
     tell.send(list(43, false, "")).unwrap();
     let answer = ask(listen, &get(2, "priority", 1, 2_000)).await;
-    assert!(answer.ends_with("hello"), "the nodes known before serve on: {answer}");
+    assert!(
+        answer.ends_with("hello"),
+        "the nodes known before serve on: {answer}"
+    );
     // A file read again as the end comes, and while it lasts, changes nothing of the end.
     signal("-HUP");
     signal("-TERM");
     signal("-HUP");
-    let ended = tokio::time::timeout(Duration::from_secs(30), program.wait()).await.unwrap().unwrap();
+    let ended = tokio::time::timeout(Duration::from_secs(30), program.wait())
+        .await
+        .unwrap()
+        .unwrap();
     assert!(ended.success(), "{ended}");
     std::fs::remove_file(&config).unwrap();
 }
--- a/crates/lupinrack/tests/reload.rs
+++ b/crates/lupinrack/tests/reload.rs
@@ -19,8 +19,14 @@
 
 /// A process started with `file()`, and a path for new files.
 fn started(name: &str) -> (Current, std::path::PathBuf) {
-    let path = std::env::temp_dir().join(format!("lupinrack-reload-{name}-{}.json", std::process::id()));
-    (Current::new(&Config::parse(&file().to_string()).unwrap()), path)
+    let path = std::env::temp_dir().join(format!(
+        "lupinrack-reload-{name}-{}.json",
+        std::process::id()
+    ));
+    (
+        Current::new(&Config::parse(&file().to_string()).unwrap()),
+        path,
+    )
 }
 
 #[test]
@@ -41,25 +47,52 @@
         ("{".into(), "EOF"),
         (whole[..whole.len() / 2].into(), "EOF"),
         ("[]".into(), "invalid length"),
-        (changed(&|f| drop(f.as_object_mut().map(|o| o.remove("settings")))), "missing field `settings`"),
-        (changed(&|f| drop(f.as_object_mut().map(|o| o.remove("limits")))), "limits is missing"),
+        (
+            changed(&|f| drop(f.as_object_mut().map(|o| o.remove("settings")))),
+            "missing field `settings`",
+        ),
+        (
+            changed(&|f| drop(f.as_object_mut().map(|o| o.remove("limits")))),
+            "limits is missing",
+        ),
         (
             changed(&|f| drop(f["settings"].as_object_mut().map(|o| o.remove("grades")))),
             "settings.grades is missing",
         ),
-        (class(1, "deadline", json!(-5)), "classes.1.deadline: not a positive number"),
-        (class(0, "deadline", json!(0)), "classes.0.deadline: not a positive number"),
-        (class(0, "deadline", json!("2000")), "classes.0.deadline is missing or of another kind"),
-        (class(2, "deadline", Value::Null), "classes.2.deadline is missing"),
+        (
+            class(1, "deadline", json!(-5)),
+            "classes.1.deadline: not a positive number",
+        ),
+        (
+            class(0, "deadline", json!(0)),
+            "classes.0.deadline: not a positive number",
+        ),
+        (
+            class(0, "deadline", json!("2000")),
+            "classes.0.deadline is missing or of another kind",
+        ),
+        (
+            class(2, "deadline", Value::Null),
+            "classes.2.deadline is missing",
+        ),
         (class(2, "repeat", json!("often")), "classes.2.repeat"),
         (class(2, "name", json!("read")), "'read' stands there twice"),
         (
             changed(&|f| f["settings"]["policyLimits"]["mostTries"] = json!(0)),
             "mostTries: not a positive number",
         ),
-        (changed(&|f| f["settings"]["policyLimits"]["mostTries"] = json!(-1)), "mostTries"),
-        (changed(&|f| f["settings"]["policyLimits"]["mostTries"] = json!(1.5)), "mostTries"),
-        (changed(&|f| f["settings"]["grades"][0]["name"] = json!("gold")), "'basic' cannot be dropped"),
+        (
+            changed(&|f| f["settings"]["policyLimits"]["mostTries"] = json!(-1)),
+            "mostTries",
+        ),
+        (
+            changed(&|f| f["settings"]["policyLimits"]["mostTries"] = json!(1.5)),
+            "mostTries",
+        ),
+        (
+            changed(&|f| f["settings"]["grades"][0]["name"] = json!("gold")),
+            "'basic' cannot be dropped",
+        ),
     ] {
         std::fs::write(&path, &text).unwrap();
         let said = current.check(&path).expect_err(why).to_string();
@@ -93,11 +126,17 @@
     );
     assert_eq!(second.class("read"), Some(3));
     assert_eq!(
-        (second.module.classes[0].effect, second.module.classes[3].effect),
+        (
+            second.module.classes[0].effect,
+            second.module.classes[3].effect
+        ),
         (Effect::Safe, Effect::Unsafe)
     );
-    let dropped =
-        second.followed_by(told(|s| drop(s["classes"].as_array_mut().map(|c| c.remove(0))))).unwrap();
+    let dropped = second
+        .followed_by(told(|s| {
+            drop(s["classes"].as_array_mut().map(|c| c.remove(0)))
+        }))
+        .unwrap();
     assert_eq!((dropped.class("read"), dropped.named().count()), (None, 2));
     assert!(dropped.for_module().classes[0].aim == 0 && dropped.module.classes[0].aim > 0);
     // A list of writes that was not brought up to date tells nothing of which class is which.
@@ -108,7 +147,10 @@
     }));
     let stale = stale.unwrap();
     let writes = |name: &str| stale.writes[stale.class(name).unwrap()];
-    assert_eq!([writes("read"), writes("new-write"), writes("new-write-2")], [Some(false), Some(true), None]);
+    assert_eq!(
+        [writes("read"), writes("new-write"), writes("new-write-2")],
+        [Some(false), Some(true), None]
+    );
     // Back to the first file, and on like that all day: no new indices.
     let mut now = dropped;
     for round in 0..1_000 {
@@ -136,7 +178,12 @@
     let (core, handle, _probes) = Core::new(told.module.clone(), 7, clock);
     tokio::spawn(core.run());
     let at = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
-    handle.list(ListKind::Cached, vec![common::front::listing(at, NodeState::Ready)]).await;
+    handle
+        .list(
+            ListKind::Cached,
+            vec![common::front::listing(at, NodeState::Ready)],
+        )
+        .await;
     let request = Request {
         plan: 2,
         volume: VolumeId(1),
@@ -158,12 +205,20 @@
     current.take(change, &handle, &figures).await;
     std::fs::remove_file(&path).unwrap();
     assert_eq!(current.told().borrow().module.most_tries, 1);
-    assert!(figures.text(Targets::default()).contains("lb_success{type=\"new-write\"} 0\n"));
+    assert!(figures
+        .text(Targets::default())
+        .contains("lb_success{type=\"new-write\"} 0\n"));
 
     let mut after = handle.open(request).await;
     assert!(sent(after.order().await));
     after.teller().ended(0, Outcome::Error, None).await;
-    assert!(matches!(after.order().await, Some(Order::Refuse(_))), "one attempt is all it has");
+    assert!(
+        matches!(after.order().await, Some(Order::Refuse(_))),
+        "one attempt is all it has"
+    );
     old.teller().ended(0, Outcome::Error, None).await;
-    assert!(sent(old.order().await), "three were its own when it was taken");
+    assert!(
+        sent(old.order().await),
+        "three were its own when it was taken"
+    );
 }
--- a/crates/lupinrack/tests/scarce.rs
+++ b/crates/lupinrack/tests/scarce.rs
@@ -44,10 +44,17 @@
 impl Program {
     /// The program as it runs, with no more descriptors than it is told of.
     async fn start(name: &str, text: String, sockets: usize) -> Program {
-        let config = std::env::temp_dir().join(format!("lupinrack-{name}-{}.json", std::process::id()));
+        let config =
+            std::env::temp_dir().join(format!("lupinrack-{name}-{}.json", std::process::id()));
         std::fs::write(&config, text).unwrap();
         let mut child = Command::new("/bin/sh")
-            .args(["-c", &format!("ulimit -n {sockets}; exec {}", env!("CARGO_BIN_EXE_lupinrack"))])
+            .args([
+                "-c",
+                &format!(
+                    "ulimit -n {sockets}; exec {}",
+                    env!("CARGO_BIN_EXE_lupinrack")
+                ),
+            ])
             .env("LB_CONFIG", &config)
             .env("LB_MANAGEMENT", "127.0.0.1:0")
             .stderr(Stdio::piped())
@@ -56,30 +63,48 @@
             .unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap()).lines();
         let mut said = async |word: &str| loop {
-            let line = log.next_line().await.unwrap().expect("it says where it listens");
+            let line = log
+                .next_line()
+                .await
+                .unwrap()
+                .expect("it says where it listens");
             if let Some((_, at)) = line.split_once(word) {
                 return at.parse().unwrap();
             }
         };
         let (door, listen) = (said("management on ").await, said("n1 listens on ").await);
-        Program { child, log, config, listen, door }
+        Program {
+            child,
+            log,
+            config,
+            listen,
+            door,
+        }
     }
 
     fn signal(&self, name: &str) {
         let id = self.child.id().unwrap().to_string();
-        assert!(std::process::Command::new("kill").args([name, &id]).status().unwrap().success());
+        assert!(std::process::Command::new("kill")
+            .args([name, &id])
+            .status()
+            .unwrap()
+            .success());
     }
 
     /// Processor time used, in ticks of 10 ms.
     fn ticks(&self) -> u64 {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id().unwrap())).unwrap();
+        let stat =
+            std::fs::read_to_string(format!("/proc/{}/stat", self.child.id().unwrap())).unwrap();
         let fields: Vec<&str> = stat.rsplit(") ").next().unwrap().split(' ').collect();
         fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
     }
 
     async fn ends(mut self) {
         self.signal("-TERM");
-        let ended = timeout(Duration::from_secs(30), self.child.wait()).await.unwrap().unwrap();
+        let ended = timeout(Duration::from_secs(30), self.child.wait())
+            .await
+            .unwrap()
+            .unwrap();
         assert!(ended.success(), "{ended}");
         std::fs::remove_file(&self.config).unwrap();
     }
@@ -103,14 +128,29 @@
     // Waiting for room is no work.
     let before = program.ticks();
     tokio::time::sleep(Duration::from_secs(1)).await;
-    assert!(program.ticks() - before < 50, "it spins: {} ticks", program.ticks() - before);
+    assert!(
+        program.ticks() - before < 50,
+        "it spins: {} ticks",
+        program.ticks() - before
+    );
     // Discovery elsewhere, told by a new file: the list comes, and a node is reached through the crowd.
     let (at, calls, tell) = discovery().await;
     std::fs::write(&program.config, configuration(at, SOCKETS, None)).unwrap();
     program.signal("-HUP");
-    while !program.log.next_line().await.unwrap().expect("it goes on").contains("read again") {}
+    while !program
+        .log
+        .next_line()
+        .await
+        .unwrap()
+        .expect("it goes on")
+        .contains("read again")
+    {}
     until(|| !calls.lock().unwrap().is_empty()).await;
-    tell.send(format!(r#"{{"generation":43,"reset":false,"instances":[{}]}}"#, entry(node))).unwrap();
+    tell.send(format!(
+        r#"{{"generation":43,"reset":false,"instances":[{}]}}"#,
+        entry(node)
+    ))
+    .unwrap();
     until(|| calls.lock().unwrap().len() > 1).await;
     for id in 0..8 {
         let mut more = Vec::new();
@@ -120,8 +160,11 @@
         for _ in 0..SOCKETS / 4 {
             more.push(TcpStream::connect(program.listen).await.unwrap());
         }
-        let said =
-            timeout(Duration::from_secs(20), ask(program.listen, &get(id, "priority", 1, 4_000))).await;
+        let said = timeout(
+            Duration::from_secs(20),
+            ask(program.listen, &get(id, "priority", 1, 4_000)),
+        )
+        .await;
         assert!(said.expect("an answer").starts_with("HTTP/1.1 200"));
         crowd.extend(more);
     }
@@ -133,7 +176,11 @@
 async fn a_process_is_ready_while_discovery_is_silent_slow_or_refuses() {
     let (node, _) = node(OK).await;
     let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let refuses = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
+    let refuses = TcpListener::bind("127.0.0.1:0")
+        .await
+        .unwrap()
+        .local_addr()
+        .unwrap();
     // Slow: it takes the call and says its answer a byte at a time, for longer than the test.
     let slow = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let slow_at = slow.local_addr().unwrap();
@@ -141,7 +188,10 @@
         while let Ok((mut stream, _)) = slow.accept().await {
             tokio::spawn(async move {
                 use tokio::io::AsyncWriteExt;
-                let text = format!("HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n{}", " ".repeat(9999));
+                let text = format!(
+                    "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n{}",
+                    " ".repeat(9999)
+                );
                 for byte in text.bytes() {
                     if stream.write_u8(byte).await.is_err() {
                         return;
@@ -151,14 +201,25 @@
             });
         }
     });
-    for (name, at) in [("silent", silent.local_addr().unwrap()), ("refuses", refuses), ("slow", slow_at)] {
+    for (name, at) in [
+        ("silent", silent.local_addr().unwrap()),
+        ("refuses", refuses),
+        ("slow", slow_at),
+    ] {
         let whole = async {
             let program = Program::start(name, configuration(at, 1024, Some(node)), 1024).await;
-            assert!(ask(program.listen, READY).await.starts_with("HTTP/1.1 200"), "{name}");
+            assert!(
+                ask(program.listen, READY).await.starts_with("HTTP/1.1 200"),
+                "{name}"
+            );
             let said = ask(program.listen, &get(1, "priority", 1, 4_000)).await;
             assert!(said.starts_with("HTTP/1.1 200"), "{name}: {said}");
             program
         };
-        timeout(Duration::from_secs(10), whole).await.expect(name).ends().await;
+        timeout(Duration::from_secs(10), whole)
+            .await
+            .expect(name)
+            .ends()
+            .await;
     }
 }
--- a/crates/lupinrack/tests/single_send.rs
+++ b/crates/lupinrack/tests/single_send.rs
@@ -26,7 +26,8 @@
     let single = r#""repeat": "single_shot", "worth": 2.0"#;
     let guarded = r#""repeat": "guarded", "window": 4000.0, "worth": 2.0"#;
     assert!(SETTINGS.contains(guarded));
-    settings::parse_json(&serde_json::from_str(&SETTINGS.replace(guarded, single)).unwrap()).unwrap()
+    settings::parse_json(&serde_json::from_str(&SETTINGS.replace(guarded, single)).unwrap())
+        .unwrap()
 }
 
 async fn front(node: SocketAddr) -> Fronts {
@@ -36,7 +37,9 @@
 fn write(id: u32, deadline_ms: u64) -> String {
     let length = format!("Content-Length: {}\r\nX-Plan", BODY.len());
     let head = get(id, "priority", 1, deadline_ms).replacen("\r\n", "\r\nConnection: close\r\n", 1);
-    let head = head.replacen("GET /read", "PUT /new-write", 1).replacen("X-Plan", &length, 1);
+    let head = head
+        .replacen("GET /read", "PUT /new-write", 1)
+        .replacen("X-Plan", &length, 1);
     head + std::str::from_utf8(BODY).unwrap()
 }
 
@@ -49,7 +52,10 @@
 
 async fn answer(mut client: TcpStream) -> String {
     let mut said = Vec::new();
-    timeout(STUCK, client.read_to_end(&mut said)).await.expect("an end").unwrap();
+    timeout(STUCK, client.read_to_end(&mut said))
+        .await
+        .expect("an end")
+        .unwrap();
     String::from_utf8_lossy(&said).into_owned()
 }
 
@@ -63,18 +69,28 @@
 async fn request_at(node: &mut TcpStream) -> String {
     let id = id_of(&timeout(STUCK, head(node)).await.expect("a request"));
     let mut body = vec![0; BODY.len()];
-    timeout(STUCK, node.read_exact(&mut body)).await.expect("a body").unwrap();
+    timeout(STUCK, node.read_exact(&mut body))
+        .await
+        .expect("a body")
+        .unwrap();
     assert_eq!(body, BODY);
     id
 }
 
 async fn connection(taken: &mut mpsc::UnboundedReceiver<TcpStream>) -> TcpStream {
-    timeout(STUCK, taken.recv()).await.expect("a connection").unwrap()
+    timeout(STUCK, taken.recv())
+        .await
+        .expect("a connection")
+        .unwrap()
 }
 
 /// Further requests from this id on, until one reaches the node, which serves it: had an earlier one been sent again, that
 /// would come first. A front that has just lost an answer may refuse some before.
-async fn marker_comes_next(fronts: &Fronts, taken: &mut mpsc::UnboundedReceiver<TcpStream>, from: u32) {
+async fn marker_comes_next(
+    fronts: &Fronts,
+    taken: &mut mpsc::UnboundedReceiver<TcpStream>,
+    from: u32,
+) {
     for id in from..from + MARKERS_MOST {
         let marker = answer(client(fronts, &write(id, 4_000)).await);
         tokio::pin!(marker);
@@ -86,10 +102,17 @@
                 continue;
             }
         };
-        assert_eq!(request_at(&mut node).await, format!("{id:016x}"), "nothing was sent in between");
+        assert_eq!(
+            request_at(&mut node).await,
+            format!("{id:016x}"),
+            "nothing was sent in between"
+        );
         node.write_all(OK).await.unwrap();
         let said = marker.await;
-        assert!(said.starts_with("HTTP/1.1 200") && said.ends_with("\r\n\r\nwhole"), "{said}");
+        assert!(
+            said.starts_with("HTTP/1.1 200") && said.ends_with("\r\n\r\nwhole"),
+            "{said}"
+        );
         return;
     }
     panic!("the node is not asked any more");
@@ -141,7 +164,10 @@
     assert_eq!(id_of(&head(&mut node).await), first);
     node.write_all(OK).await.unwrap();
     let said = answer(client).await;
-    assert!(said.starts_with("HTTP/1.1 200") && said.ends_with("whole"), "{said}");
+    assert!(
+        said.starts_with("HTTP/1.1 200") && said.ends_with("whole"),
+        "{said}"
+    );
 }
 
 /// The late answer ends its own attempt, so that its connection may be used again; the next request there has an answer of
@@ -174,9 +200,14 @@
             }
         };
         assert_eq!(seen, format!("{id:016x}"), "nothing was sent in between");
-        node.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nmarker").await.unwrap();
+        node.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nmarker")
+            .await
+            .unwrap();
         let said = marker.await;
-        assert!(said.starts_with("HTTP/1.1 200") && said.ends_with("\r\n\r\nmarker"), "{said}");
+        assert!(
+            said.starts_with("HTTP/1.1 200") && said.ends_with("\r\n\r\nmarker"),
+            "{said}"
+        );
         return;
     }
     panic!("the node is not asked any more");
@@ -197,7 +228,10 @@
 /// A node that serves the first request of each connection, and resets the connection under the second one.
 async fn node_that_resets_what_is_kept() -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (address, seen) = (listener.local_addr().unwrap(), Arc::new(Mutex::new(Vec::new())));
+    let (address, seen) = (
+        listener.local_addr().unwrap(),
+        Arc::new(Mutex::new(Vec::new())),
+    );
     let ids = seen.clone();
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
@@ -235,6 +269,9 @@
     // One more, behind which nothing of the failed one can come.
     answer(client(&fronts, &write(failed + 1, 4_000)).await).await;
     let seen = seen.lock().unwrap().clone();
-    let sent = seen.iter().filter(|id| **id == format!("{failed:016x}")).count();
+    let sent = seen
+        .iter()
+        .filter(|id| **id == format!("{failed:016x}"))
+        .count();
     assert_eq!(sent, 1, "{failed} of {} requests", seen.len());
 }
--- a/crates/lupinrack/tests/sites.rs
+++ b/crates/lupinrack/tests/sites.rs
@@ -6,7 +6,9 @@
 use std::path::Path;
 
 fn site(name: &str) -> Value {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/sites").join(name);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../../deploy/sites")
+        .join(name);
     let text = std::fs::read_to_string(path).unwrap();
     serde_json::to_value(toml::from_str::<toml::Table>(&text).unwrap()).unwrap()
 }
@@ -36,7 +38,12 @@
                 "limit": p["limit"], "limitBurst": p["limit"], "limitSlack": 1.0})
         })
         .collect();
-    let writes: Vec<&Value> = site["class"].as_array().unwrap().iter().map(|c| &c["write"]).collect();
+    let writes: Vec<&Value> = site["class"]
+        .as_array()
+        .unwrap()
+        .iter()
+        .map(|c| &c["write"])
+        .collect();
     settings::parse_json(
         &json!({"areas": site["net"]["zones"], "peersTotal": 3, "registryMode": site["discovery"]["mode"],
         "resolution": site["day"]["tick_ms"], "classes": classes, "grades": plans,
@@ -52,20 +59,32 @@
 #[test]
 fn the_variants_parse_and_are_what_they_are_there_for() {
     let short = told(&site("harbour-ledger.toml")).module;
-    assert!(short.classes.iter().all(|c| c.deadline <= 1_200_000 && c.aim < c.deadline));
-    let window =
-        |e: &Effect| matches!(e, Effect::Keyed { group: Group::Cell, window } if *window < 1_000_000);
-    assert_eq!(short.classes.iter().filter(|c| window(&c.effect)).count(), 1);
+    assert!(short
+        .classes
+        .iter()
+        .all(|c| c.deadline <= 1_200_000 && c.aim < c.deadline));
+    let window = |e: &Effect| matches!(e, Effect::Keyed { group: Group::Cell, window } if *window < 1_000_000);
+    assert_eq!(
+        short.classes.iter().filter(|c| window(&c.effect)).count(),
+        1
+    );
     let other = told(&site("quarry-archive.toml")).module;
     let effects: Vec<Effect> = other.classes.iter().map(|c| c.effect).collect();
-    let keyed = Effect::Keyed { group: Group::All, window: 3_000_000 };
+    let keyed = Effect::Keyed {
+        group: Group::All,
+        window: 3_000_000,
+    };
     assert_eq!(effects, [Effect::Unsafe, keyed, Effect::Safe]);
     assert!(other.plans.iter().all(|p| p.limit.is_none()) && other.plans[0].reserve == 0.0);
     assert!(!other.parallel_tries && !other.probes && !other.retry_after);
     for name in ["harbour-ledger.toml", "quarry-archive.toml"] {
         let site = site(name);
-        let shares: f64 =
-            site["tenant"].as_array().unwrap().iter().map(|t| t["share"].as_f64().unwrap()).sum();
+        let shares: f64 = site["tenant"]
+            .as_array()
+            .unwrap()
+            .iter()
+            .map(|t| t["share"].as_f64().unwrap())
+            .sum();
         assert!((shares - 1.0).abs() < 1e-9, "{name}: {shares}");
         assert!(site["name"].as_str().is_some_and(|n| name.starts_with(n)));
     }
--- a/crates/lupinrack/tests/spoilt.rs
+++ b/crates/lupinrack/tests/spoilt.rs
@@ -48,7 +48,11 @@
 }
 
 fn whole(id: &str) -> Vec<u8> {
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}", id.len()).into_bytes()
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}",
+        id.len()
+    )
+    .into_bytes()
 }
 
 /// Asks so many times on one connection, without a pause, and gives the answers' status and body.
@@ -56,14 +60,24 @@
     let mut stream = TcpStream::connect(front).await.unwrap();
     let mut all = Vec::new();
     for id in 1..=many {
-        stream.write_all(get(id, "priority", 1, deadline_ms).as_bytes()).await.unwrap();
+        stream
+            .write_all(get(id, "priority", 1, deadline_ms).as_bytes())
+            .await
+            .unwrap();
         let mut said = Vec::new();
         while !said.ends_with(b"\r\n\r\n") {
             said.push(stream.read_u8().await.unwrap());
         }
         let head = String::from_utf8_lossy(&said).to_lowercase();
-        let length =
-            head.split("content-length: ").nth(1).unwrap().split("\r\n").next().unwrap().parse().unwrap();
+        let length = head
+            .split("content-length: ")
+            .nth(1)
+            .unwrap()
+            .split("\r\n")
+            .next()
+            .unwrap()
+            .parse()
+            .unwrap();
         let mut body = vec![0; length];
         stream.read_exact(&mut body).await.unwrap();
         let status = head.split(' ').nth(1).unwrap().to_string();
@@ -107,20 +121,39 @@
     let fronts = start(address, address, "priority", 1_000).await;
     let began = Instant::now();
     for (id, status, body) in ask_all(fronts.http, 2, 60_000).await {
-        assert_eq!((status.as_str(), body), ("200", format!("{id:016x}")), "{what}");
+        assert_eq!(
+            (status.as_str(), body),
+            ("200", format!("{id:016x}")),
+            "{what}"
+        );
     }
-    assert!(began.elapsed() < Duration::from_secs(15), "{what}: {:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_secs(15),
+        "{what}: {:?}",
+        began.elapsed()
+    );
 }
 
 #[tokio::test]
 async fn a_spoilt_answer_is_a_failed_attempt_and_soon() {
     for (what, spoilt) in [
-        ("noise", (|_| vec![b"\x00\xff noise \r\n\r\n".to_vec()]) as fn(&str) -> Vec<Vec<u8>>),
-        ("half a head", |_| vec![b"HTTP/1.1 200 OK\r\nX-Load: TEXT".to_vec()]),
+        (
+            "noise",
+            (|_| vec![b"\x00\xff noise \r\n\r\n".to_vec()]) as fn(&str) -> Vec<Vec<u8>>,
+        ),
+        ("half a head", |_| {
+            vec![b"HTTP/1.1 200 OK\r\nX-Load: TEXT".to_vec()]
+        }),
         ("an endless head", |_| {
-            [vec![b"HTTP/1.1 200 OK\r\nX: ".to_vec()], vec![vec![b'x'; 4096]; 64]].concat()
+            [
+                vec![b"HTTP/1.1 200 OK\r\nX: ".to_vec()],
+                vec![vec![b'x'; 4096]; 64],
+            ]
+            .concat()
+        }),
+        ("endless news", |_| {
+            vec![b"HTTP/1.1 103 Early\r\n\r\n".repeat(1_000); 64]
         }),
-        ("endless news", |_| vec![b"HTTP/1.1 103 Early\r\n\r\n".repeat(1_000); 64]),
         ("too much promised", |id| {
             vec![format!("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{id}").into_bytes()]
         }),
@@ -131,7 +164,9 @@
             ]
             .concat()
         }),
-        ("no end", |id| vec![format!("HTTP/1.1 200 OK\r\n\r\n{id}").into_bytes()]),
+        ("no end", |id| {
+            vec![format!("HTTP/1.1 200 OK\r\n\r\n{id}").into_bytes()]
+        }),
         ("endless chunks", |_| {
             [
                 vec![b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec()],
@@ -140,12 +175,18 @@
             .concat()
         }),
         ("two lengths", |id| {
-            vec![format!("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 16\r\n\r\n{id}")
-                .into_bytes()]
+            vec![
+                format!("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 16\r\n\r\n{id}")
+                    .into_bytes(),
+            ]
         }),
         ("a length and chunks", |id| {
             let lengths = "Content-Length: 4\r\nTransfer-Encoding: chunked";
-            vec![format!("HTTP/1.1 200 OK\r\n{lengths}\r\n\r\n4\r\n{}\r\n0\r\n\r\n", &id[..4]).into_bytes()]
+            vec![format!(
+                "HTTP/1.1 200 OK\r\n{lengths}\r\n\r\n4\r\n{}\r\n0\r\n\r\n",
+                &id[..4]
+            )
+            .into_bytes()]
         }),
         ("a negative length", |id| {
             vec![format!("HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n{id}").into_bytes()]
@@ -159,8 +200,10 @@
 async fn a_good_answer_with_more_to_it_is_served() {
     let word = |id: &str| {
         let news = b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early\r\nX: y\r\n\r\n".to_vec();
-        let load =
-            format!("X-Load: \u{e9}\u{fe} inflight=many,,=\r\nContent-Length: {}\r\n\r\n{id}", id.len());
+        let load = format!(
+            "X-Load: \u{e9}\u{fe} inflight=many,,=\r\nContent-Length: {}\r\n\r\n{id}",
+            id.len()
+        );
         vec![news, b"HTTP/1.1 200 OK\r\n".to_vec(), load.into_bytes()]
     };
     let address = node(word).await;
--- a/crates/lupinrack/tests/upgrade.rs
+++ b/crates/lupinrack/tests/upgrade.rs
@@ -62,9 +62,19 @@
     let mut log = BufReader::new(program.stderr.take().unwrap()).lines();
     let mut at = None;
     loop {
-        let line = log.next_line().await.unwrap().expect("it says where it listens");
-        at = line.split_once("management on ").map(|(_, a)| a.parse().unwrap()).or(at);
-        assert!(alone || !line.contains("uses 1.00 of"), "two have the whole: {line}");
+        let line = log
+            .next_line()
+            .await
+            .unwrap()
+            .expect("it says where it listens");
+        at = line
+            .split_once("management on ")
+            .map(|(_, a)| a.parse().unwrap())
+            .or(at);
+        assert!(
+            alone || !line.contains("uses 1.00 of"),
+            "two have the whole: {line}"
+        );
         if line.contains("inherited") {
             return (at.expect("the door opens first"), log);
         }
@@ -73,7 +83,10 @@
 
 async fn call(door: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(door).await.unwrap();
-    stream.write_all(format!("{line}\n").as_bytes()).await.unwrap();
+    stream
+        .write_all(format!("{line}\n").as_bytes())
+        .await
+        .unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).await.unwrap();
     answer
@@ -86,14 +99,22 @@
         asked += 1;
         let mut open: TcpStream = match stream.take() {
             Some(open) => open,
-            None => TcpStream::connect(at).await.expect("no connection is refused"),
+            None => TcpStream::connect(at)
+                .await
+                .expect("no connection is refused"),
         };
         let head = format!(
             "GET /read/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: a\r\nX-Request-Id: c{number}-{asked}\r\nX-Plan: priority\r\n\
              X-Deadline: 2000m\r\nX-IO: volume=00000000000000b{number},units=1,shard=0,hosts=1\r\n\r\n"
         );
-        open.write_all(head.as_bytes()).await.expect("no connection closes under a request");
-        let answer = Reader::default().next(&mut open).await.expect("an answer").expect("a whole one");
+        open.write_all(head.as_bytes())
+            .await
+            .expect("no connection closes under a request");
+        let answer = Reader::default()
+            .next(&mut open)
+            .await
+            .expect("an answer")
+            .expect("a whole one");
         assert!([200, 503].contains(&answer.status()), "{}", answer.status());
         served.fetch_add(u32::from(answer.status() == 200), Relaxed);
         if answer.field("connection") != Some("close") {
@@ -105,7 +126,11 @@
 
 fn signal(program: &Child, name: &str) {
     let id = program.id().unwrap().to_string();
-    assert!(std::process::Command::new("kill").args([name, &id]).status().unwrap().success());
+    assert!(std::process::Command::new("kill")
+        .args([name, &id])
+        .status()
+        .unwrap()
+        .success());
 }
 
 #[tokio::test]
@@ -119,15 +144,36 @@
     let (old_door, _log) = door(&mut old, true).await;
     assert_eq!(call(old_door, "status").await, "200 ready\n");
     let asked = |at: SocketAddr, what: &'static str| {
-        Command::new(PROGRAM).args(["ask", &at.to_string(), what]).kill_on_drop(true).output()
+        Command::new(PROGRAM)
+            .args(["ask", &at.to_string(), what])
+            .kill_on_drop(true)
+            .output()
     };
     let answer = asked(old_door, "stats").await.unwrap();
-    assert!(answer.status.success() && answer.stdout.ends_with(b"\nEOF\n"), "{answer:?}");
-    assert_eq!(asked("127.0.0.1:9".parse().unwrap(), "status").await.unwrap().status.code(), Some(1));
-    assert_eq!(asked(old_door, "reboot").await.unwrap().status.code(), Some(2));
+    assert!(
+        answer.status.success() && answer.stdout.ends_with(b"\nEOF\n"),
+        "{answer:?}"
+    );
+    assert_eq!(
+        asked("127.0.0.1:9".parse().unwrap(), "status")
+            .await
+            .unwrap()
+            .status
+            .code(),
+        Some(1)
+    );
+    assert_eq!(
+        asked(old_door, "reboot").await.unwrap().status.code(),
+        Some(2)
+    );
 
-    let (stop, served) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU32::new(0)));
-    let clients: Vec<_> = (0..8).map(|n| tokio::spawn(client(at, n, stop.clone(), served.clone()))).collect();
+    let (stop, served) = (
+        Arc::new(AtomicBool::new(false)),
+        Arc::new(AtomicU32::new(0)),
+    );
+    let clients: Vec<_> = (0..8)
+        .map(|n| tokio::spawn(client(at, n, stop.clone(), served.clone())))
+        .collect();
     let enough = |more: u32| {
         let (served, from) = (served.clone(), served.load(Relaxed));
         async move {
@@ -142,24 +188,49 @@
     assert_eq!(call(new_door, "status").await, "200 ready\n");
     enough(50).await;
     signal(&old, "-TERM");
-    let ended = tokio::time::timeout(Duration::from_secs(20), old.wait()).await.expect("it ends").unwrap();
+    let ended = tokio::time::timeout(Duration::from_secs(20), old.wait())
+        .await
+        .expect("it ends")
+        .unwrap();
     assert!(ended.success(), "{ended}");
     // The one that stays has all of the front's limits, once the other is gone and not before.
-    let part =
-        async { while !new_log.next_line().await.unwrap().expect("it goes on").contains("uses 1.00 of") {} };
-    tokio::time::timeout(Duration::from_secs(20), part).await.expect("it hears of the end");
+    let part = async {
+        while !new_log
+            .next_line()
+            .await
+            .unwrap()
+            .expect("it goes on")
+            .contains("uses 1.00 of")
+        {}
+    };
+    tokio::time::timeout(Duration::from_secs(20), part)
+        .await
+        .expect("it hears of the end");
     enough(50).await;
     stop.store(true, Relaxed);
     for client in clients {
         client.await.unwrap();
     }
     let figures = call(new_door, "stats").await;
-    let success = figures.lines().find(|l| l.starts_with("lb_success{type=\"read\"}")).expect("a row");
-    assert!(success.rsplit(' ').next().unwrap().parse::<u32>().unwrap() >= 50, "{figures}");
+    let success = figures
+        .lines()
+        .find(|l| l.starts_with("lb_success{type=\"read\"}"))
+        .expect("a row");
+    assert!(
+        success.rsplit(' ').next().unwrap().parse::<u32>().unwrap() >= 50,
+        "{figures}"
+    );
     assert!(figures.starts_with("200") && figures.ends_with("\nEOF\n"));
-    assert!(figures.contains("\nlb_concurrent 0\n") && figures.contains("\nlb_targets 1\n"), "{figures}");
+    assert!(
+        figures.contains("\nlb_concurrent 0\n") && figures.contains("\nlb_targets 1\n"),
+        "{figures}"
+    );
     signal(&new, "-TERM");
-    assert!(tokio::time::timeout(Duration::from_secs(20), new.wait()).await.unwrap().unwrap().success());
+    assert!(tokio::time::timeout(Duration::from_secs(20), new.wait())
+        .await
+        .unwrap()
+        .unwrap()
+        .success());
 }
 
 #[tokio::test]
@@ -176,7 +247,13 @@
         std::fs::write(folder.0.join("config.json"), configuration(listen, at)).unwrap();
         let mut program = program(&folder, &socket, variable);
         let mut log = String::new();
-        program.stderr.take().unwrap().read_to_string(&mut log).await.unwrap();
+        program
+            .stderr
+            .take()
+            .unwrap()
+            .read_to_string(&mut log)
+            .await
+            .unwrap();
         assert!(log.contains(why), "{variable}: {log}");
         assert_eq!(program.wait().await.unwrap().code(), Some(2));
     }
--- a/crates/lupinrack/tests/upstream.rs
+++ b/crates/lupinrack/tests/upstream.rs
@@ -35,10 +35,19 @@
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Step {
-        let whole =
-            [(200, false), (200, false), (500, false), (503, true), (503, false), (504, true), (404, false)];
+        let whole = [
+            (200, false),
+            (200, false),
+            (500, false),
+            (503, true),
+            (503, false),
+            (504, true),
+            (404, false),
+        ];
         match u8::arbitrary(g) % 10 {
-            0..=5 => g.choose(&whole).map_or(Step::Breaks, |(status, unrun)| Step::Whole(*status, *unrun)),
+            0..=5 => g
+                .choose(&whole)
+                .map_or(Step::Breaks, |(status, unrun)| Step::Whole(*status, *unrun)),
             6 => Step::Partial,
             7 => Step::Breaks,
             _ => Step::Silent,
@@ -64,7 +73,9 @@
     let steps = std::sync::Arc::new(std::sync::Mutex::new(steps.into_iter()));
     tokio::spawn(async move {
         for connection in 0.. {
-            let Ok((mut stream, _)) = listener.accept().await else { return };
+            let Ok((mut stream, _)) = listener.accept().await else {
+                return;
+            };
             let (tell, steps) = (tell.clone(), steps.clone());
             tokio::spawn(async move {
                 let mut head = Vec::new();
@@ -81,7 +92,9 @@
                             let mark = if unrun { "X-Not-Run: 1\r\n" } else { "" };
                             format!("HTTP/1.1 {status} Said\r\n{mark}Content-Length: 4\r\n\r\nbody")
                         }
-                        Some(Step::Partial) => "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody".into(),
+                        Some(Step::Partial) => {
+                            "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody".into()
+                        }
                         Some(Step::Breaks) | None => return,
                         // The front closes the connection of what it gave up: the loop ends with it.
                         Some(Step::Silent) => continue,
@@ -100,9 +113,17 @@
 /// An attempt as the core orders it, at this address.
 async fn attempt(core: &Handle, address: SocketAddr) -> Attempt {
     let give_up = core.clock.now() + 60_000_000;
-    let request = Request { plan: 2, units: 1.0, hosts: 1.0, give_up, ..Request::default() };
+    let request = Request {
+        plan: 2,
+        units: 1.0,
+        hosts: 1.0,
+        give_up,
+        ..Request::default()
+    };
     let mut ticket = core.open(request).await;
-    let Some(Order::Send(mut attempt)) = ticket.order().await else { panic!("not sent") };
+    let Some(Order::Send(mut attempt)) = ticket.order().await else {
+        panic!("not sent")
+    };
     attempt.to.address = address;
     ticket.teller().ended(0, Outcome::Ok, None).await;
     attempt
@@ -123,7 +144,14 @@
 fn parcel() -> Parcel {
     let target = "/read/7f3a9c21e0b4d655".parse().unwrap();
     let id = http::HeaderValue::from_static("1");
-    Parcel { method: http::Method::GET, target, id, key: None, body: Bytes::new(), hold: Default::default() }
+    Parcel {
+        method: http::Method::GET,
+        target,
+        id,
+        key: None,
+        body: Bytes::new(),
+        hold: Default::default(),
+    }
 }
 
 async fn play(steps: Vec<Step>) {
@@ -131,11 +159,20 @@
     let clock = Clock::start();
     let (core, handle, _targets) = Core::new(told().module, 3, clock);
     tokio::spawn(core.run());
-    handle.list(ListKind::Cached, vec![unreached(NodeState::Ready)]).await;
-    let upstream = Upstream::new(&told(), clock, 64, common::front::room(), Default::default());
+    handle
+        .list(ListKind::Cached, vec![unreached(NodeState::Ready)])
+        .await;
+    let upstream = Upstream::new(
+        &told(),
+        clock,
+        64,
+        common::front::room(),
+        Default::default(),
+    );
     let mut closed = BTreeSet::new();
     for step in steps {
-        let exchange = upstream.attempt(parcel(), attempt(&handle, address).await, begins(), waits());
+        let exchange =
+            upstream.attempt(parcel(), attempt(&handle, address).await, begins(), waits());
         tokio::pin!(exchange);
         let (outcome, reuse) = expected(step);
         let (seen, connection) = match step {
@@ -146,7 +183,11 @@
             },
             _ => {
                 let ended = exchange.await;
-                assert_eq!(ended.body.is_empty(), !matches!(step, Step::Whole(..)), "whole or nothing");
+                assert_eq!(
+                    ended.body.is_empty(),
+                    !matches!(step, Step::Whole(..)),
+                    "whole or nothing"
+                );
                 (ended.outcome, came.recv().await)
             }
         };
@@ -159,18 +200,26 @@
         if !reuse {
             closed.insert(connection);
         }
-        assert!(came.try_recv().is_err(), "one attempt is one request at the node");
+        assert!(
+            came.try_recv().is_err(),
+            "one attempt is one request at the node"
+        );
     }
 }
 
 #[test]
 fn an_attempt_proves_what_the_protocol_says_and_leaves_no_doubtful_connection() {
     fn holds(steps: Vec<Step>) -> bool {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .unwrap();
         runtime.block_on(play(steps));
         true
     }
-    QuickCheck::new().tests(60).quickcheck(holds as fn(Vec<Step>) -> bool);
+    QuickCheck::new()
+        .tests(60)
+        .quickcheck(holds as fn(Vec<Step>) -> bool);
 }
 
 #[tokio::test]
@@ -179,19 +228,27 @@
     let clock = Clock::start();
     let (core, handle, _targets) = Core::new(told().module, 3, clock);
     tokio::spawn(core.run());
-    handle.list(ListKind::Cached, vec![unreached(NodeState::Ready)]).await;
+    handle
+        .list(ListKind::Cached, vec![unreached(NodeState::Ready)])
+        .await;
     let upstream = Upstream::new(&told(), clock, 2, common::front::room(), Default::default());
     let mut out = Vec::new();
     for _ in 0..2 {
         let (upstream, attempt) = (upstream.clone(), attempt(&handle, address).await);
-        out.push(tokio::spawn(async move { upstream.attempt(parcel(), attempt, begins(), waits()).await }));
+        out.push(tokio::spawn(async move {
+            upstream.attempt(parcel(), attempt, begins(), waits()).await
+        }));
         came.recv().await.expect("the node has it");
     }
-    let third = upstream.attempt(parcel(), attempt(&handle, address).await, begins(), waits()).await;
+    let third = upstream
+        .attempt(parcel(), attempt(&handle, address).await, begins(), waits())
+        .await;
     assert_eq!(third.outcome, Outcome::Moot, "it tells nothing of the node");
     // Given up, an attempt leaves its descriptor to others.
     out.remove(0).abort();
-    let fourth = upstream.attempt(parcel(), attempt(&handle, address).await, begins(), waits()).await;
+    let fourth = upstream
+        .attempt(parcel(), attempt(&handle, address).await, begins(), waits())
+        .await;
     assert_eq!(fourth.outcome, Outcome::Reset);
 }
 
@@ -202,19 +259,53 @@
     let clock = Clock::start();
     let (core, handle, _targets) = Core::new(told().module, 3, clock);
     tokio::spawn(core.run());
-    handle.list(ListKind::Cached, vec![unreached(NodeState::Ready)]).await;
-    let upstream = Upstream::new(&told(), clock, 64, common::front::room(), Default::default());
+    handle
+        .list(ListKind::Cached, vec![unreached(NodeState::Ready)])
+        .await;
+    let upstream = Upstream::new(
+        &told(),
+        clock,
+        64,
+        common::front::room(),
+        Default::default(),
+    );
     let until = clock.now() + 60_000_000;
-    handle.rights(Rights { until, reserve: 0.1, cold: 1.0, rest: 1.0, ..Rights::default() }).await;
+    handle
+        .rights(Rights {
+            until,
+            reserve: 0.1,
+            cold: 1.0,
+            rest: 1.0,
+            ..Rights::default()
+        })
+        .await;
     let mut late = attempt(&handle, address).await;
     assert_eq!(late.begin_by, until);
     late.begin_by = clock.now();
-    assert_eq!(upstream.attempt(parcel(), late, begins(), waits()).await.outcome, Outcome::Lapsed);
+    assert_eq!(
+        upstream
+            .attempt(parcel(), late, begins(), waits())
+            .await
+            .outcome,
+        Outcome::Lapsed
+    );
     assert!(came.try_recv().is_err(), "nothing of it reached the node");
     let right = attempt(&handle, address).await;
-    assert_eq!(upstream.attempt(parcel(), right, begins(), waits()).await.outcome, Outcome::Ok);
+    assert_eq!(
+        upstream
+            .attempt(parcel(), right, begins(), waits())
+            .await
+            .outcome,
+        Outcome::Ok
+    );
     // What draws on the reserve has no end.
-    handle.rights(Rights { reserve: 0.1, cold: 0.1, ..Rights::default() }).await;
+    handle
+        .rights(Rights {
+            reserve: 0.1,
+            cold: 0.1,
+            ..Rights::default()
+        })
+        .await;
     assert_eq!(attempt(&handle, address).await.begin_by, Micros::MAX);
 }
 
@@ -225,19 +316,28 @@
     let clock = Clock::start();
     let (core, handle, _targets) = Core::new(told.module.clone(), 3, clock);
     tokio::spawn(core.run());
-    handle.list(ListKind::Cached, vec![unreached(NodeState::Ready)]).await;
-    (handle, Upstream::new(&told, clock, 64, common::front::room(), Default::default()))
+    handle
+        .list(ListKind::Cached, vec![unreached(NodeState::Ready)])
+        .await;
+    (
+        handle,
+        Upstream::new(&told, clock, 64, common::front::room(), Default::default()),
+    )
 }
 
 /// A node whose connections come up once it takes those that wait: its queue is full.
 fn late_node() -> (std::net::TcpListener, Vec<std::net::TcpStream>) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    socket
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     socket.listen(0).unwrap();
     let listener: std::net::TcpListener = socket.into();
     let at = listener.local_addr().unwrap();
     let mut fill = Vec::new();
-    while let Ok(stream) = std::net::TcpStream::connect_timeout(&at, std::time::Duration::from_millis(200)) {
+    while let Ok(stream) =
+        std::net::TcpStream::connect_timeout(&at, std::time::Duration::from_millis(200))
+    {
         fill.push(stream);
     }
     (listener, fill)
@@ -251,7 +351,10 @@
     let (client, over) = watch::channel(());
     let exchange = upstream.attempt(parcel(), order, begins(), Waiting::new(over, None));
     tokio::pin!(exchange);
-    assert!((&mut exchange).now_or_never().is_none(), "its connection is coming up");
+    assert!(
+        (&mut exchange).now_or_never().is_none(),
+        "its connection is coming up"
+    );
     drop(client);
     let ended = tokio::time::timeout(std::time::Duration::from_secs(10), exchange).await;
     assert_eq!(
@@ -265,7 +368,9 @@
     while let Ok((mut stream, _)) = node.accept() {
         use std::io::Read;
         stream.set_nonblocking(false).unwrap();
-        stream.set_read_timeout(Some(std::time::Duration::from_millis(100))).unwrap();
+        stream
+            .set_read_timeout(Some(std::time::Duration::from_millis(100)))
+            .unwrap();
         assert!(!matches!(stream.read(&mut [0; 64]), Ok(1..)));
     }
 }
@@ -275,16 +380,30 @@
     let (address, mut came) = scripted(vec![Step::Whole(200, false); 2]).await;
     let (core, upstream) = way(250_000).await;
     let door = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let client = TcpStream::connect(door.local_addr().unwrap()).await.unwrap();
+    let client = TcpStream::connect(door.local_addr().unwrap())
+        .await
+        .unwrap();
     // Its connection's own task never runs here: only a look at the socket can tell.
-    let (_gate, visit) = Gate::new(door.accept().await.unwrap().0, watch::channel(Phase::Ready).1);
+    let (_gate, visit) = Gate::new(
+        door.accept().await.unwrap().0,
+        watch::channel(Phase::Ready).1,
+    );
     let (_open, over) = watch::channel(());
     let waiting = Waiting::new(over, Some(visit.clone()));
-    let first = upstream.attempt(parcel(), attempt(&core, address).await, begins(), waiting.clone()).await;
+    let first = upstream
+        .attempt(
+            parcel(),
+            attempt(&core, address).await,
+            begins(),
+            waiting.clone(),
+        )
+        .await;
     assert_eq!((first.outcome, came.recv().await), (Outcome::Ok, Some(0)));
     drop(client);
     common::rsync::until(|| visit.gone()).await;
-    let second = upstream.attempt(parcel(), attempt(&core, address).await, begins(), waiting).await;
+    let second = upstream
+        .attempt(parcel(), attempt(&core, address).await, begins(), waiting)
+        .await;
     assert_eq!(second.outcome, Outcome::Moot);
     assert!(came.try_recv().is_err(), "nothing of it reached the node");
 }
@@ -294,11 +413,16 @@
 async fn a_repeat_is_not_begun_once_the_nodes_may_have_forgotten_the_first() {
     let mut told = told();
     let window = 400_000;
-    told.module.classes[1].effect = Effect::Keyed { group: Group::Cell, window };
+    told.module.classes[1].effect = Effect::Keyed {
+        group: Group::Cell,
+        window,
+    };
     let clock = Clock::start();
     let (core, handle, _targets) = Core::new(told.module.clone(), 3, clock);
     tokio::spawn(core.run());
-    handle.list(ListKind::Cached, vec![unreached(NodeState::Ready)]).await;
+    handle
+        .list(ListKind::Cached, vec![unreached(NodeState::Ready)])
+        .await;
     let (class, give_up) = (1, clock.now() + 60_000_000);
     let request = Request {
         class,
@@ -311,12 +435,23 @@
     };
     let before = clock.now();
     let mut ticket = handle.open(request).await;
-    let Some(Order::Send(first)) = ticket.order().await else { panic!("not sent") };
-    assert_eq!(first.begin_by, Micros::MAX, "the first one has all its time");
+    let Some(Order::Send(first)) = ticket.order().await else {
+        panic!("not sent")
+    };
+    assert_eq!(
+        first.begin_by,
+        Micros::MAX,
+        "the first one has all its time"
+    );
     ticket.teller().ended(0, Outcome::Reset, None).await;
-    let Some(Order::Send(second)) = ticket.order().await else { panic!("not repeated") };
+    let Some(Order::Send(second)) = ticket.order().await else {
+        panic!("not repeated")
+    };
     let sent = before..=clock.now();
-    assert!(sent.contains(&(second.begin_by - window * 9 / 10)), "from the first that may have run");
+    assert!(
+        sent.contains(&(second.begin_by - window * 9 / 10)),
+        "from the first that may have run"
+    );
     // The order that was not carried out in time is the last, and the client hears that it failed.
     ticket.teller().ended(1, Outcome::Lapsed, None).await;
     tokio::time::sleep_until(clock.instant(second.begin_by)).await;
@@ -325,7 +460,10 @@
             // Still in time: the module's choice.
             Some(Order::Send(again)) => {
                 assert!(again.begin_by == second.begin_by);
-                ticket.teller().ended(again.number, Outcome::Lapsed, None).await;
+                ticket
+                    .teller()
+                    .ended(again.number, Outcome::Lapsed, None)
+                    .await;
             }
             Some(Order::Fail) => break,
             other => panic!("{other:?}"),
@@ -345,14 +483,31 @@
     let late = attempt(&core, address).await;
     let exchange = upstream.attempt(parcel(), order, begins(), waits());
     tokio::pin!(exchange);
-    assert!((&mut exchange).now_or_never().is_none(), "its connection is coming up");
-    core.list(ListKind::Delta, vec![unreached(NodeState::Draining)]).await;
+    assert!(
+        (&mut exchange).now_or_never().is_none(),
+        "its connection is coming up"
+    );
+    core.list(ListKind::Delta, vec![unreached(NodeState::Draining)])
+        .await;
     common::rsync::until(|| *stops.borrow() != Micros::MAX).await;
     let ended = tokio::time::timeout(std::time::Duration::from_secs(10), exchange).await;
-    assert_eq!(ended.expect("when the grace is used").outcome, Outcome::ConnectFailed, "it never ran");
-    assert!(core.clock.now() < *stops.borrow() + 1_000_000, "and not when the connection is up");
+    assert_eq!(
+        ended.expect("when the grace is used").outcome,
+        Outcome::ConnectFailed,
+        "it never ran"
+    );
+    assert!(
+        core.clock.now() < *stops.borrow() + 1_000_000,
+        "and not when the connection is up"
+    );
     drop(fill);
     // The other one is too late as well.
-    assert_eq!(upstream.attempt(parcel(), late, begins(), waits()).await.outcome, Outcome::ConnectFailed);
+    assert_eq!(
+        upstream
+            .attempt(parcel(), late, begins(), waits())
+            .await
+            .outcome,
+        Outcome::ConnectFailed
+    );
     assert!(came.try_recv().is_err(), "nothing reached the node");
 }
--- a/crates/membership-drill/src/cases.rs
+++ b/crates/membership-drill/src/cases.rs
@@ -14,7 +14,10 @@
 }
 
 fn cut() -> Fault {
-    Fault { cut: true, ..Fault::default() }
+    Fault {
+        cut: true,
+        ..Fault::default()
+    }
 }
 
 /// All cases.
@@ -71,34 +74,74 @@
 fn one_way(seed: u64) -> Script {
     let (from, to) = ((seed % 4) as u16, ((seed + 1) % 4) as u16);
     Script::new("one-way", seed, 4, 10.0)
-        .at(1_500, Act::Path { from, to, fault: cut() })
-        .at(7_500, Act::Path { from, to, fault: Fault::default() })
+        .at(
+            1_500,
+            Act::Path {
+                from,
+                to,
+                fault: cut(),
+            },
+        )
+        .at(
+            7_500,
+            Act::Path {
+                from,
+                to,
+                fault: Fault::default(),
+            },
+        )
 }
 
 fn halves(seed: u64) -> Script {
     Script::new("halves", seed, 4, 16.0)
-        .at(1_500, Act::Split { groups: vec![vec![0, 1], vec![2, 3]] })
+        .at(
+            1_500,
+            Act::Split {
+                groups: vec![vec![0, 1], vec![2, 3]],
+            },
+        )
         .at(9_500, Act::Heal)
 }
 
 fn mute(seed: u64) -> Script {
     let front = (seed % 5) as u16;
-    Script::new("mute", seed, 5, 14.0).at(1_500, Act::Mute { front }).at(9_000, Act::Heal)
+    Script::new("mute", seed, 5, 14.0)
+        .at(1_500, Act::Mute { front })
+        .at(9_000, Act::Heal)
 }
 
 fn lossy(seed: u64) -> Script {
-    let fault = Fault { loss: 0.3, twice: 0.1, damage: 0.02, delay_ms: 1, spread_ms: 30, cut: false };
+    let fault = Fault {
+        loss: 0.3,
+        twice: 0.1,
+        damage: 0.02,
+        delay_ms: 1,
+        spread_ms: 30,
+        cut: false,
+    };
     Script::new("lossy", seed, 5, 14.0)
         .at(0, Act::Net { fault })
-        .at(3_000, Act::Kill { front: (seed % 5) as u16 })
+        .at(
+            3_000,
+            Act::Kill {
+                front: (seed % 5) as u16,
+            },
+        )
 }
 
 fn storm(seed: u64) -> Script {
     let mut script = Script::new("storm", seed, 10, 14.0);
     (script.hosts, script.volumes) = (5, 4);
-    for (i, front) in (0..10).cycle().skip((seed % 10) as usize).take(7).enumerate() {
+    for (i, front) in (0..10)
+        .cycle()
+        .skip((seed % 10) as usize)
+        .take(7)
+        .enumerate()
+    {
         let i = i as u64;
-        script = script.at(2_000 + i, Act::Kill { front }).at(3_000 + 130 * i, Act::Start { front });
+        script = script
+            .at(2_000 + i, Act::Kill { front })
+            .at(3_000 + 130 * i, Act::Start { front });
     }
     script
 }
@@ -114,13 +157,20 @@
 
 fn twin(seed: u64) -> Script {
     let front = (seed % 3) as u16;
-    Script::new("twin", seed, 3, 14.0).at(2_000, Act::Twin { front }).at(8_000, Act::NoTwin { front })
+    Script::new("twin", seed, 3, 14.0)
+        .at(2_000, Act::Twin { front })
+        .at(8_000, Act::NoTwin { front })
 }
 
 fn sets(seed: u64) -> Script {
     let mut script = Script::new("sets", seed, 9, 14.0);
     (script.hosts, script.volumes) = (3, 6);
-    script.at(4_000, Act::Kill { front: 2 }).at(4_000, Act::Kill { front: (3 + seed % 4) as u16 })
+    script.at(4_000, Act::Kill { front: 2 }).at(
+        4_000,
+        Act::Kill {
+            front: (3 + seed % 4) as u16,
+        },
+    )
 }
 
 fn upgrade(seed: u64) -> Script {
@@ -129,7 +179,12 @@
     Script::new("upgrade", seed, 5, 20.0)
         .at(1_500, Act::Upgrade { front })
         .at(8_000, Act::Kill { front: 4 })
-        .at(14_500, Act::Upgrade { front: (front + 1) % 4 })
+        .at(
+            14_500,
+            Act::Upgrade {
+                front: (front + 1) % 4,
+            },
+        )
 }
 
 fn newcomer(seed: u64) -> Script {
@@ -138,24 +193,57 @@
     // Front 2 is in the sets of volumes 0, 1 and 3. By 8 s what it had is shared out among the others.
     script = script.at(2_000, Act::Kill { front: 2 });
     script
-        .at(8_000, Act::Joins { volume: 0, front: 3 })
-        .at(8_500, Act::Joins { volume: 1, front: 0 })
-        .at(9_000 + seed % 700, Act::Joins { volume: 3, front: 4 })
+        .at(
+            8_000,
+            Act::Joins {
+                volume: 0,
+                front: 3,
+            },
+        )
+        .at(
+            8_500,
+            Act::Joins {
+                volume: 1,
+                front: 0,
+            },
+        )
+        .at(
+            9_000 + seed % 700,
+            Act::Joins {
+                volume: 3,
+                front: 4,
+            },
+        )
 }
 
 fn keys(seed: u64) -> Script {
     let mut script = Script::new("keys", seed, 3, 30.0);
     let both = vec![key(1), key(2)];
-    script = script.at(1_000, Act::Keys { front: None, keys: both });
+    script = script.at(
+        1_000,
+        Act::Keys {
+            front: None,
+            keys: both,
+        },
+    );
     // One after another takes both keys; front 2 is cut off meanwhile.
-    script = script.at(1_500, Act::Split { groups: vec![vec![0, 1], vec![2]] });
+    script = script.at(
+        1_500,
+        Act::Split {
+            groups: vec![vec![0, 1], vec![2]],
+        },
+    );
     for (i, front) in [0u16, 1].into_iter().enumerate() {
         let at = 2_000 + 6_500 * i as u64;
-        script = script.at(at, Act::Kill { front }).at(at + 200, Act::Start { front });
+        script = script
+            .at(at, Act::Kill { front })
+            .at(at + 200, Act::Start { front });
     }
     script = script.at(15_000, Act::Heal);
     // The next step may come only once all have taken it.
-    script = script.at(21_000, Act::Kill { front: 2 }).at(21_200, Act::Start { front: 2 });
+    script = script
+        .at(21_000, Act::Kill { front: 2 })
+        .at(21_200, Act::Start { front: 2 });
     script
 }
 
@@ -163,8 +251,12 @@
     // The one with the least index leads; the moment walks through the agreement on the death before it.
     let after = (seed * 37) % 2_600;
     let mut script = Script::new("leader", seed, 5, 18.0);
-    script = script.at(2_000, Act::Kill { front: 4 }).at(2_000 + after, Act::Kill { front: 0 });
-    script.at(7_000, Act::Start { front: 0 }).at(7_500, Act::Start { front: 4 })
+    script = script
+        .at(2_000, Act::Kill { front: 4 })
+        .at(2_000 + after, Act::Kill { front: 0 });
+    script
+        .at(7_000, Act::Start { front: 0 })
+        .at(7_500, Act::Start { front: 4 })
 }
 
 fn again(seed: u64) -> Script {
@@ -179,8 +271,16 @@
 
 fn roster(seed: u64) -> Script {
     let mut script = Script::new("roster", seed, 4, 16.0);
-    script = script.at(1_000, Act::Forgets { front: 3, member: 1 });
-    script.at(1_500, Act::Kill { front: 3 }).at(2_000, Act::Start { front: 3 })
+    script = script.at(
+        1_000,
+        Act::Forgets {
+            front: 3,
+            member: 1,
+        },
+    );
+    script
+        .at(1_500, Act::Kill { front: 3 })
+        .at(2_000, Act::Start { front: 3 })
 }
 
 fn flaps(seed: u64) -> Script {
@@ -188,7 +288,9 @@
     let mut script = Script::new("flaps", seed, 4, 16.0);
     for i in 0..6 {
         let groups = vec![(0..4).filter(|f| *f != front).collect(), vec![front]];
-        script = script.at(1_500 + 2_000 * i, Act::Split { groups }).at(2_500 + 2_000 * i, Act::Heal);
+        script = script
+            .at(1_500 + 2_000 * i, Act::Split { groups })
+            .at(2_500 + 2_000 * i, Act::Heal);
     }
     script
 }
@@ -230,7 +332,12 @@
                     spread_ms: dice.u64(1..40),
                     ..Default::default()
                 };
-                (Act::Net { fault }, Act::Net { fault: Default::default() })
+                (
+                    Act::Net { fault },
+                    Act::Net {
+                        fault: Default::default(),
+                    },
+                )
             }
         };
         script = script.at(at, begin).at((at + lasts).min(end - 500), over);
--- a/crates/membership-drill/src/check.rs
+++ b/crates/membership-drill/src/check.rs
@@ -1,7 +1,9 @@
 //! The checkers: what was promised against what was seen, written apart from the program's code. They know the processes'
 //! lines, the nodes' notes and the rig's own deeds, and nothing of the machines.
 
-use lupinrack_fleet_rig::checks::{cold, duplicates, limits, lost, quantile, said, Verdict, Wellness};
+use lupinrack_fleet_rig::checks::{
+    cold, duplicates, limits, lost, quantile, said, Verdict, Wellness,
+};
 use lupinrack_fleet_rig::history::{Entry, Moment};
 use lupinrack_fleet_rig::witness::{Seen, Witness, LIMIT};
 use lupinrack_fleet_rig::{Act, Script};
@@ -82,7 +84,16 @@
 
     /// Puts all that was seen against what was promised.
     pub fn of(script: &Script, witness: Witness) -> Figures {
-        let Witness { span, history, deeds, seen, done, sent, processes, cpu_ms } = witness;
+        let Witness {
+            span,
+            history,
+            deeds,
+            seen,
+            done,
+            sent,
+            processes,
+            cpu_ms,
+        } = witness;
         let (history, deeds, seen, done) = (&history[..], &deeds[..], &seen[..], &done[..]);
         let count = |of: fn(&Act) -> bool| deeds.iter().filter(|(_, a)| of(a)).count() as u64;
         let seconds = (span.end - span.start).max(1) as f64 / 1e6;
@@ -134,10 +145,21 @@
     let mut lists: BTreeMap<String, HashSet<String>> = BTreeMap::new();
     for (_, n) in said(history, "view") {
         let text = |name: &str| n.fields[name].as_str().unwrap_or("").to_string();
-        lists.entry(text("view")).or_default().insert(text("members"));
+        lists
+            .entry(text("view"))
+            .or_default()
+            .insert(text("members"));
     }
-    let conflicts: Vec<&String> = lists.iter().filter(|(_, l)| l.len() > 1).map(|(n, _)| n).collect();
-    broken.extend(conflicts.iter().map(|n| format!("view {n}: two lists, {:?}", lists[*n])));
+    let conflicts: Vec<&String> = lists
+        .iter()
+        .filter(|(_, l)| l.len() > 1)
+        .map(|(n, _)| n)
+        .collect();
+    broken.extend(
+        conflicts
+            .iter()
+            .map(|n| format!("view {n}: two lists, {:?}", lists[*n])),
+    );
     (lists.len() as u64, conflicts.len() as u64)
 }
 
@@ -153,10 +175,14 @@
 
 impl Holds {
     fn read(fields: &Value) -> Holds {
-        let factors = fields["factors"].as_str().unwrap_or("").split(' ').filter_map(|pair| {
-            let (volume, factor) = pair.split_once(':')?;
-            Some((u64::from_str_radix(volume, 16).ok()?, factor.parse().ok()?))
-        });
+        let factors = fields["factors"]
+            .as_str()
+            .unwrap_or("")
+            .split(' ')
+            .filter_map(|pair| {
+                let (volume, factor) = pair.split_once(':')?;
+                Some((u64::from_str_radix(volume, 16).ok()?, factor.parse().ok()?))
+            });
         Holds {
             until: fields["until_unix_us"].as_u64().unwrap_or(0),
             reserve: fields["reserve"].as_f64().unwrap_or(0.0),
@@ -194,17 +220,26 @@
             _ => continue,
         }
         let of = |front: u16, volume: Option<u64>| -> f64 {
-            [false, true].iter().filter_map(|t| held.get(&(front, *t))).map(|h| h.of(*at, volume)).sum()
+            [false, true]
+                .iter()
+                .filter_map(|t| held.get(&(front, *t)))
+                .map(|h| h.of(*at, volume))
+                .sum()
         };
         let cold: f64 = (0..script.fronts).map(|f| of(f, None) / n).sum();
         let mut worst = (cold, "cold budgets".to_string());
         for volume in 0..script.volumes {
             let mut set = script.set(volume);
             let hosts = set.len() as f64;
-            set.extend(deeds.iter().filter(|(t, _)| t <= at).filter_map(|(_, act)| match act {
-                Act::Joins { volume: v, front } if *v == volume => Some(*front),
-                _ => None,
-            }));
+            set.extend(
+                deeds
+                    .iter()
+                    .filter(|(t, _)| t <= at)
+                    .filter_map(|(_, act)| match act {
+                        Act::Joins { volume: v, front } if *v == volume => Some(*front),
+                        _ => None,
+                    }),
+            );
             let id = u64::from(volume) + 1;
             let sum: f64 = set.iter().map(|f| of(*f, Some(id)) / hosts).sum();
             if sum > worst.0 {
@@ -243,7 +278,9 @@
 ) -> (Vec<f64>, Vec<f64>) {
     let (mut detect, mut agree) = (Vec::new(), Vec::new());
     for (at, act) in deeds {
-        let (Act::Kill { front } | Act::Stop { front }) = act else { continue };
+        let (Act::Kill { front } | Act::Stop { front }) = act else {
+            continue;
+        };
         // Until it is back.
         let back = deeds.iter().find(|(t, a)| {
             t > at && matches!(a, Act::Start { front: f } | Act::Cont { front: f } if f == front)
--- a/crates/membership-drill/src/lib.rs
+++ b/crates/membership-drill/src/lib.rs
@@ -21,5 +21,8 @@
 pub async fn play(plan: Plan) -> Result<Played, RigError> {
     let script = plan.script.clone();
     let played = rig::play(plan).await?;
-    Ok(Played { figures: Figures::of(&script, played.witness), history: played.history })
+    Ok(Played {
+        figures: Figures::of(&script, played.witness),
+        history: played.history,
+    })
 }
--- a/crates/membership-drill/tests/check.rs
+++ b/crates/membership-drill/tests/check.rs
@@ -12,7 +12,12 @@
 const S: u64 = 1_000_000;
 
 fn said(front: u16, what: &str, fields: Value) -> Entry {
-    Entry::Said(Note { front, twin: false, what: what.into(), fields })
+    Entry::Said(Note {
+        front,
+        twin: false,
+        what: what.into(),
+        fields,
+    })
 }
 
 fn rights(until: u64, cold: f64, factors: &str) -> Value {
@@ -23,13 +28,26 @@
     // Each its own request.
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let id = NEXT.fetch_add(1, Ordering::Relaxed).to_string();
-    Seen { at, node, cold: None, id, volume, units, ran: true, dropped: false, key: None }
+    Seen {
+        at,
+        node,
+        cold: None,
+        id,
+        volume,
+        units,
+        ran: true,
+        dropped: false,
+        key: None,
+    }
 }
 
 #[test]
 fn two_lists_under_one_number() {
     let view = |members: &str| json!({"view": "1.0-aaaa.2", "members": members});
-    let mut history = vec![(1, said(0, "view", view("n0 n1"))), (2, said(1, "view", view("n0 n1")))];
+    let mut history = vec![
+        (1, said(0, "view", view("n0 n1"))),
+        (2, said(1, "view", view("n0 n1"))),
+    ];
     let mut broken = Vec::new();
     assert_eq!((views(&history, &mut broken), broken.len()), ((1, 0), 0));
     history.push((3, said(2, "view", view("n0 n2"))));
@@ -41,7 +59,9 @@
     let mut script = Script::new("x", 1, 3, 1.0);
     (script.hosts, script.volumes) = (3, 2);
     let mut broken = Vec::new();
-    let whole: Vec<_> = (0..3).map(|f| (S, said(f, "rights", rights(5 * S, 1.0, "")))).collect();
+    let whole: Vec<_> = (0..3)
+        .map(|f| (S, said(f, "rights", rights(5 * S, 1.0, ""))))
+        .collect();
     assert!((parts(&script, &whole, &[], &mut broken) - 1.0).abs() < 1e-9 && broken.is_empty());
     // One takes over while the one that had it still may: until its lease ends, and while it lives.
     let mut early = whole.clone();
@@ -49,19 +69,32 @@
     assert!(parts(&script, &early, &[], &mut broken) > 1.1 && !broken.is_empty());
     let mut volume = whole.clone();
     volume.push((4 * S, said(0, "rights", rights(9 * S, 1.0, "2:1.425"))));
-    assert!(parts(&script, &volume, &[], &mut Vec::new()) > 1.1, "of one volume only");
+    assert!(
+        parts(&script, &volume, &[], &mut Vec::new()) > 1.1,
+        "of one volume only"
+    );
     let mut late = whole;
     late.push((6 * S, said(0, "rights", rights(9 * S, 1.425, ""))));
-    assert!(parts(&script, &late, &[], &mut Vec::new()) <= 1.0 + 1e-9, "the others' leases have ended");
+    assert!(
+        parts(&script, &late, &[], &mut Vec::new()) <= 1.0 + 1e-9,
+        "the others' leases have ended"
+    );
 }
 
 #[test]
 fn a_newcomer_that_uses_its_even_part_beside_those_who_share_out_a_dead_ones() {
     let mut script = Script::new("x", 1, 4, 1.0);
     (script.hosts, script.volumes) = (3, 1);
-    let deeds = [(2 * S, Act::Joins { volume: 0, front: 3 })];
-    let mut history: Vec<_> =
-        (1..3).map(|f| (3 * S, said(f, "rights", rights(9 * S, 1.0, "1:1.425")))).collect();
+    let deeds = [(
+        2 * S,
+        Act::Joins {
+            volume: 0,
+            front: 3,
+        },
+    )];
+    let mut history: Vec<_> = (1..3)
+        .map(|f| (3 * S, said(f, "rights", rights(9 * S, 1.0, "1:1.425"))))
+        .collect();
     let mut careful = rights(9 * S, 1.0, "");
     careful["rest"] = json!(0.15);
     history.push((3 * S, said(3, "rights", careful)));
@@ -79,42 +112,90 @@
     assert_eq!((limits(&seen, &mut broken), broken.len()), (0, 0));
     seen.push(ran(11 * S, 1, 1, 4));
     seen.push(ran(11 * S, 2, 1, 4));
-    assert_eq!((limits(&seen, &mut broken), broken.len()), (1, 1), "at whichever nodes");
+    assert_eq!(
+        (limits(&seen, &mut broken), broken.len()),
+        (1, 1),
+        "at whichever nodes"
+    );
     // A request draws once, whatever became of its first attempt; another one draws for itself.
-    let mut one: Vec<Seen> = (0..3).map(|i| Seen { id: "one".into(), ..ran(S, i, 1, 16) }).collect();
+    let mut one: Vec<Seen> = (0..3)
+        .map(|i| Seen {
+            id: "one".into(),
+            ..ran(S, i, 1, 16)
+        })
+        .collect();
     assert_eq!(limits(&one, &mut Vec::new()), 0);
-    one.iter_mut().zip(["one", "two", "three"]).for_each(|(s, id)| s.id = id.into());
+    one.iter_mut()
+        .zip(["one", "two", "three"])
+        .for_each(|(s, id)| s.id = id.into());
     assert_eq!(limits(&one, &mut Vec::new()), 1);
 }
 
 #[test]
 fn a_cold_node_that_is_pushed_over() {
-    let on = |at: u64| Seen { cold: Some(S), ..ran(at, 5, 0, 4) };
+    let on = |at: u64| Seen {
+        cold: Some(S),
+        ..ran(at, 5, 0, 4)
+    };
     let mut broken = Vec::new();
     let seen: Vec<Seen> = (0..25).map(|i| on(S + i * 28_000)).collect();
     let (over, most) = cold(&seen, &mut broken);
     assert!(over == 0 && most > 0.5 && most <= 1.0, "{over} {most}");
     let seen: Vec<Seen> = (0..60).map(|i| on(S + i * 15_000)).collect();
     let (over, most) = cold(&seen, &mut broken);
-    assert!(over > 0 && most > 1.0 && !broken.is_empty(), "{over} {most}");
+    assert!(
+        over > 0 && most > 1.0 && !broken.is_empty(),
+        "{over} {most}"
+    );
 }
 
 #[test]
 fn a_write_that_runs_twice_and_a_request_without_an_answer() {
-    let write = |node: usize| Seen { key: Some("k".into()), ..ran(S, node, 10_000, 1) };
+    let write = |node: usize| Seen {
+        key: Some("k".into()),
+        ..ran(S, node, 10_000, 1)
+    };
     let mut broken = Vec::new();
-    let dropped = Seen { dropped: true, ..write(1) };
-    assert_eq!(duplicates(&[write(1), dropped], &mut broken), 0, "the node dropped the repeat");
+    let dropped = Seen {
+        dropped: true,
+        ..write(1)
+    };
+    assert_eq!(
+        duplicates(&[write(1), dropped], &mut broken),
+        0,
+        "the node dropped the repeat"
+    );
     assert_eq!(duplicates(&[write(1), write(2)], &mut broken), 1);
-    let late = Seen { at: 9 * S, ..write(1) };
-    assert_eq!(duplicates(&[write(1), late], &mut broken), 1, "past the window, at the same node");
+    let late = Seen {
+        at: 9 * S,
+        ..write(1)
+    };
+    assert_eq!(
+        duplicates(&[write(1), late], &mut broken),
+        1,
+        "past the window, at the same node"
+    );
     let script = Script::new("x", 1, 3, 20.0);
     let deeds = [(10 * S, Act::Kill { front: 1 })];
     let well = Wellness::new(&script, &deeds);
-    let ask = |front: u16, at: u64| Asked { at, front, volume: 1, units: 4, limited: true, writes: false };
+    let ask = |front: u16, at: u64| Asked {
+        at,
+        front,
+        volume: 1,
+        units: 4,
+        limited: true,
+        writes: false,
+    };
     let done = |front, at| (ask(front, at), Came::Lost);
-    assert_eq!(lost(&[done(1, 9 * S)], &well, &mut broken), 0, "it was killed under it");
-    assert_eq!(lost(&[done(0, 9 * S), done(1, 2 * S)], &well, &mut broken), 2);
+    assert_eq!(
+        lost(&[done(1, 9 * S)], &well, &mut broken),
+        0,
+        "it was killed under it"
+    );
+    assert_eq!(
+        lost(&[done(0, 9 * S), done(1, 2 * S)], &well, &mut broken),
+        2
+    );
 }
 
 #[test]
@@ -123,9 +204,27 @@
     let deeds = [(10 * S, Act::Mute { front: 1 }), (20 * S, Act::Heal)];
     let well = Wellness::new(&script, &deeds);
     let dead = |at: u64, by: u16, of: u16| {
-        (at, said(by, "member", json!({"to": "dead", "front": format!("n{of}")})))
+        (
+            at,
+            said(
+                by,
+                "member",
+                json!({"to": "dead", "front": format!("n{of}")}),
+            ),
+        )
     };
-    assert_eq!(deaths(&[dead(12 * S, 0, 1)], &well).len(), 0, "it was not heard");
+    assert_eq!(
+        deaths(&[dead(12 * S, 0, 1)], &well).len(),
+        0,
+        "it was not heard"
+    );
     assert_eq!(deaths(&[dead(8 * S, 0, 1)], &well).len(), 1);
-    assert_eq!(deaths(&[dead(8 * S, 0, 1), dead(9 * S, 2, 1), dead(16 * S, 0, 2)], &well).len(), 2);
+    assert_eq!(
+        deaths(
+            &[dead(8 * S, 0, 1), dead(9 * S, 2, 1), dead(16 * S, 0, 2)],
+            &well
+        )
+        .len(),
+        2
+    );
 }
--- a/crates/membership/src/agree.rs
+++ b/crates/membership/src/agree.rs
@@ -34,7 +34,14 @@
 impl std::fmt::Display for Number {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let b = self.ballot;
-        write!(f, "{}.{}-{:04x}.{}", b.round, b.leader, b.life & 0xffff, self.n)
+        write!(
+            f,
+            "{}.{}-{:04x}.{}",
+            b.round,
+            b.leader,
+            b.life & 0xffff,
+            self.n
+        )
     }
 }
 
@@ -187,7 +194,8 @@
             number: self.view.number,
             promises: (self.promised > self.view.number.ballot).then_some(self.promises),
             view: (theirs < self.view.number).then_some(self.view),
-            round: (self.promised == self.view.number.ballot && self.view.number.n > 0).then_some(self.round),
+            round: (self.promised == self.view.number.ballot && self.view.number.n > 0)
+                .then_some(self.round),
         }
     }
 
@@ -248,11 +256,18 @@
         if !self.votes(now) || self.lead.is_some() {
             return;
         }
-        let ballot =
-            Ballot { round: self.promised.round.saturating_add(1), leader: self.me, life: self.life };
+        let ballot = Ballot {
+            round: self.promised.round.saturating_add(1),
+            leader: self.me,
+            life: self.life,
+        };
         self.promised = ballot;
         self.promises = Promises::default();
-        self.lead = Some(Lead { ballot, began: now, ..Lead::default() });
+        self.lead = Some(Lead {
+            ballot,
+            began: now,
+            ..Lead::default()
+        });
         steps.push(Step::Spread);
         self.settle(now, steps);
     }
@@ -269,19 +284,44 @@
         if self.view.number.ballot < lead.ballot {
             let first = wanted.filter(|_| self.promises.by.len() >= self.majority);
             return first.into_iter().for_each(|members| {
-                let number = Number { ballot: self.promised, n: 1 };
-                self.issue(now, View { number, prev: self.promises.best, members }, steps);
+                let number = Number {
+                    ballot: self.promised,
+                    n: 1,
+                };
+                self.issue(
+                    now,
+                    View {
+                        number,
+                        prev: self.promises.best,
+                        members,
+                    },
+                    steps,
+                );
             });
         }
         let prev = self.view.number;
         if let Some(members) = wanted.filter(|w| lead.through && *w != self.view.members) {
-            let number = Number { n: prev.n + 1, ..prev };
-            return self.issue(now, View { number, prev, members }, steps);
+            let number = Number {
+                n: prev.n + 1,
+                ..prev
+            };
+            return self.issue(
+                now,
+                View {
+                    number,
+                    prev,
+                    members,
+                },
+                steps,
+            );
         }
         let (through, ran) = (lead.through, now - lead.round_began);
         if (through && ran >= self.times.renew) || (!through && ran > self.times.drop) {
             (lead.round_began, lead.through) = (now, false);
-            self.round = Round { k: self.round.k.saturating_add(1), by: Bits::default() };
+            self.round = Round {
+                k: self.round.k.saturating_add(1),
+                by: Bits::default(),
+            };
             steps.push(Step::Spread);
             self.settle(now, steps);
         }
--- a/crates/membership/src/bits.rs
+++ b/crates/membership/src/bits.rs
@@ -32,7 +32,9 @@
 
     /// Whether an index is in.
     pub fn has(&self, i: u16) -> bool {
-        self.0.get(usize::from(i) / 64).is_some_and(|w| w >> (i % 64) & 1 == 1)
+        self.0
+            .get(usize::from(i) / 64)
+            .is_some_and(|w| w >> (i % 64) & 1 == 1)
     }
 
     /// How many are in.
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -99,13 +99,19 @@
 impl Section {
     /// This front's index.
     pub fn me(&self) -> Option<u16> {
-        self.member.iter().position(|m| m.name == self.name).map(|i| i as u16)
+        self.member
+            .iter()
+            .position(|m| m.name == self.name)
+            .map(|i| i as u16)
     }
 
     /// The keys in force.
     pub fn keys(&self) -> Keys {
         let mut keys = self.keys.iter().filter_map(|k| key(k));
-        Keys { sign: keys.next(), also: keys.next() }
+        Keys {
+            sign: keys.next(),
+            also: keys.next(),
+        }
     }
 
     /// A hash of the names in their order and of the terms that safety rests on: fronts whose files differ in them don't count on each
@@ -151,24 +157,39 @@
                 fault(&format!("member[{i}].name"), "a front needs a name".into());
             }
             if !names.insert(&m.name) {
-                let why = format!("'{}' stands twice: neither would be known from the other", m.name);
+                let why = format!(
+                    "'{}' stands twice: neither would be known from the other",
+                    m.name
+                );
                 fault(&format!("member[{i}].name"), why);
             }
             if !addresses.insert(m.address) {
-                let why = format!("{} stands twice: what comes from there has no one sender", m.address);
+                let why = format!(
+                    "{} stands twice: what comes from there has no one sender",
+                    m.address
+                );
                 fault(&format!("member[{i}].address"), why);
             }
         }
         for (i, k) in self.keys.iter().enumerate() {
             if key(k).is_none() {
-                fault(&format!("keys[{i}]"), "a key is 64 hexadecimal digits".into());
+                fault(
+                    &format!("keys[{i}]"),
+                    "a key is 64 hexadecimal digits".into(),
+                );
             }
         }
         if self.keys.len() == 2 && self.keys[0] == self.keys[1] {
-            fault("keys[1]", "the same key as the first: a change of keys would change nothing".into());
+            fault(
+                "keys[1]",
+                "the same key as the first: a change of keys would change nothing".into(),
+            );
         }
         if self.patience_ms >= self.period_ms {
-            fault("patience_ms", "must be less than period_ms: no helper would be asked".into());
+            fault(
+                "patience_ms",
+                "must be less than period_ms: no helper would be asked".into(),
+            );
         }
         if u64::from(self.lease_ms) < 2 * u64::from(self.period_ms) {
             let why = "shorter than two periods: it would end between two renewals, and every front would fall to its \
@@ -204,7 +225,9 @@
     /// What is wrong between the files of one fleet, each with the place of its file and the path below the section.
     pub fn across(files: &[&Section]) -> Vec<(usize, String, String)> {
         let mut faults = Vec::new();
-        let Some((first, rest)) = files.split_first() else { return faults };
+        let Some((first, rest)) = files.split_first() else {
+            return faults;
+        };
         let names = |s: &Section| s.member.iter().map(|m| m.name.clone()).collect::<Vec<_>>();
         for (i, other) in rest.iter().enumerate().map(|(i, s)| (i + 1, s)) {
             let mut fault = |path: &str, why: String| faults.push((i, path.to_string(), why));
@@ -214,8 +237,16 @@
                 fault("member", why.into());
             }
             for (path, own, theirs) in [
-                ("lease_ms", f64::from(other.lease_ms), f64::from(first.lease_ms)),
-                ("drift_ppm", f64::from(other.drift_ppm), f64::from(first.drift_ppm)),
+                (
+                    "lease_ms",
+                    f64::from(other.lease_ms),
+                    f64::from(first.lease_ms),
+                ),
+                (
+                    "drift_ppm",
+                    f64::from(other.drift_ppm),
+                    f64::from(first.drift_ppm),
+                ),
                 ("reserve", other.reserve, first.reserve),
             ] {
                 if own != theirs {
@@ -229,11 +260,16 @@
             let valid = |k: &Keys| [k.sign, k.also];
             let understood = match (own.sign, theirs.sign) {
                 (None, None) => true,
-                (Some(a), Some(b)) => valid(&theirs).contains(&Some(a)) && valid(&own).contains(&Some(b)),
+                (Some(a), Some(b)) => {
+                    valid(&theirs).contains(&Some(a)) && valid(&own).contains(&Some(b))
+                }
                 _ => false,
             };
             if !understood {
-                fault("keys", "what one signs the other does not take: they never hear each other".into());
+                fault(
+                    "keys",
+                    "what one signs the other does not take: they never hear each other".into(),
+                );
             }
         }
         for (i, s) in files.iter().enumerate() {
