--- a/crates/membership/src/front.rs
+++ b/crates/membership/src/front.rs
@@ -214,7 +214,13 @@
         let lapse = lease + lease * 4 * drift / 1_000_000 + 1;
         // What an earlier life said is used or dropped twice over by then, and the leases that rest on it have ended.
         let drop = lease / 2;
-        let times = Times { lease, lapse, drop, quiet: lapse + 2 * drop, renew: lease / 4 };
+        let times = Times {
+            lease,
+            lapse,
+            drop,
+            quiet: lapse + 2 * drop,
+            renew: lease / 4,
+        };
         let period = Section::span(section.period_ms);
         let pace = Pace {
             period,
@@ -298,13 +304,25 @@
     pub fn share(&self, now: Micros) -> Share {
         let (_, may) = self.stand(now);
         let right = self.lease.right(now);
-        let reserve = if may == May::Nothing { 0.0 } else { self.reserve };
+        let reserve = if may == May::Nothing {
+            0.0
+        } else {
+            self.reserve
+        };
         match may {
             May::View => {
                 let held = factor(self.n as f64, right.absent.len() as f64, self.reserve);
-                Share { until: right.until, held, reserve }
+                Share {
+                    until: right.until,
+                    held,
+                    reserve,
+                }
             }
-            _ => Share { until: now, held: reserve, reserve },
+            _ => Share {
+                until: now,
+                held: reserve,
+                reserve,
+            },
         }
     }
 
@@ -314,7 +332,11 @@
         let whole = share.until > now;
         // Where some are missing, a volume that not all others know of is left at the reserve.
         let shared = whole && right.partial && self.n <= SHARING_MOST;
-        let factors = if shared { self.factors(&right) } else { BTreeMap::new() };
+        let factors = if shared {
+            self.factors(&right)
+        } else {
+            BTreeMap::new()
+        };
         Rights {
             until: share.until,
             reserve: share.reserve,
@@ -412,7 +434,10 @@
     /// drawn. A member that is met is one whose life is known, not one that is there.
     pub fn may_carry(&mut self, now: Micros, to: u16, tag: Tag, bytes: usize) -> bool {
         let known = to != self.me && self.met(to) && bytes <= frame::room(&self.keys);
-        let may = known && self.budget.draw(now, tag, frame::LONGEST - frame::room(&self.keys) + bytes);
+        let may = known
+            && self
+                .budget
+                .draw(now, tag, frame::LONGEST - frame::room(&self.keys) + bytes);
         self.counts.held_back += u64::from(known && !may);
         may
     }
@@ -422,7 +447,18 @@
         self.seq = self.seq.wrapping_add(1);
         let (roster, from, seq, life, to_life) =
             (self.roster, self.me, self.seq, self.life, self.life_of(to));
-        let bytes = frame::seal(&Head { tag, roster, from, seq, life, to_life }, said, &self.keys);
+        let bytes = frame::seal(
+            &Head {
+                tag,
+                roster,
+                from,
+                seq,
+                life,
+                to_life,
+            },
+            said,
+            &self.keys,
+        );
         self.counts.sent += 1;
         self.counts.carried += 1;
         self.counts.bytes += bytes.len() as u64;
@@ -447,7 +483,10 @@
 
     /// What is told to one whose view is known at this moment.
     fn words(&mut self, to: u16) -> wire::Told {
-        let theirs = self.peers.get(usize::from(to)).map_or(Number::default(), |p| p.number);
+        let theirs = self
+            .peers
+            .get(usize::from(to))
+            .map_or(Number::default(), |p| p.number);
         self.worded_of(to, theirs)
     }
 
@@ -467,7 +506,11 @@
 
     fn worded_of(&mut self, to: u16, theirs: Number) -> wire::Told {
         let (word, leads) = (self.agree.word(theirs), self.agree.leads());
-        wire::Told { word, leads, news: self.swim.news(to, NEWS_MOST) }
+        wire::Told {
+            word,
+            leads,
+            news: self.swim.news(to, NEWS_MOST),
+        }
     }
 
     /// Looks at a front; a front that was never met is greeted first.
@@ -494,7 +537,10 @@
     }
 
     fn hello(&mut self, now: Micros, to: u16, out: &mut Vec<Output>) {
-        let due = self.peers.get_mut(usize::from(to)).filter(|p| p.hello.is_none_or(|at| now - at >= HELLO));
+        let due = self
+            .peers
+            .get_mut(usize::from(to))
+            .filter(|p| p.hello.is_none_or(|at| now - at >= HELLO));
         if let Some(peer) = due {
             peer.hello = Some(now);
             self.send(now, to, Body::Hello(0), out);
@@ -525,12 +571,15 @@
     /// Takes a datagram.
     pub fn datagram(&mut self, now: Micros, source: Source, bytes: &[u8], out: &mut Vec<Output>) {
         let read = frame::open(bytes, self.n, &self.keys).and_then(|(head, said)| {
-            let own =
-                (head.tag == Tag::MEMBERSHIP).then(|| Datagram::said(head, said, self.n)).transpose()?;
+            let own = (head.tag == Tag::MEMBERSHIP)
+                .then(|| Datagram::said(head, said, self.n))
+                .transpose()?;
             let known = own.is_some() || Tag::ALL.contains(&head.tag);
             known.then_some((head, said, own)).ok_or(Void::Content)
         });
-        let Ok((head, said, own)) = read else { return self.counts.void += 1 };
+        let Ok((head, said, own)) = read else {
+            return self.counts.void += 1;
+        };
         let at = match source {
             Source::Peer(at) if at == head.from && at != self.me => at,
             _ => return self.stranger(now, &head, out),
@@ -538,7 +587,9 @@
         if !self.admits(now, at, &head, out) {
             return;
         }
-        let Some(d) = own else { return out.push(Output::Carried(at, head.tag, said.to_vec())) };
+        let Some(d) = own else {
+            return out.push(Output::Carried(at, head.tag, said.to_vec()));
+        };
         // That its name is another's is no word for this life.
         self.acknowledged |= d.body != Body::Contested;
         let mut changes = Vec::new();
@@ -550,7 +601,9 @@
 
     /// Whether a member's datagram is taken: of its terms, from a life to this life, and for the first time.
     fn admits(&mut self, now: Micros, at: u16, d: &Head, out: &mut Vec<Output>) -> bool {
-        let Some(peer) = self.peers.get_mut(usize::from(at)) else { return false };
+        let Some(peer) = self.peers.get_mut(usize::from(at)) else {
+            return false;
+        };
         if d.roster != self.roster {
             if !std::mem::replace(&mut peer.roster_told, true) {
                 out.push(Output::Event(Event::Roster(at)));
@@ -593,7 +646,9 @@
         let mut outs = Vec::new();
         match body {
             // Once: whoever greets by this life has met it.
-            Body::Hello(known) if known > self.life => out.push(Output::Event(Event::Outlived(known))),
+            Body::Hello(known) if known > self.life => {
+                out.push(Output::Event(Event::Outlived(known)))
+            }
             Body::Hello(_) => {
                 self.swim.greeted(from, &mut outs);
                 self.push(now, from, out);
@@ -644,7 +699,11 @@
         if let Some(peer) = self.peers.get_mut(usize::from(from)) {
             peer.number = told.word.number;
             // Ballots are led once: whoever leads no longer has given its last one up for good.
-            let own = Ballot { leader: from, life: peer.life, ..told.word.promised };
+            let own = Ballot {
+                leader: from,
+                life: peer.life,
+                ..told.word.promised
+            };
             if !told.leads && told.word.promised == own {
                 self.given_up = self.given_up.max(own);
             }
@@ -731,8 +790,14 @@
 
     fn contest(&mut self, now: Micros, of: u16, life: u64, out: &mut Vec<Output>) {
         let me = self.me;
-        let Some(peer) = self.peers.get_mut(usize::from(of)) else { return };
-        let until = if of == me { &mut self.contested_until } else { &mut peer.contested_until };
+        let Some(peer) = self.peers.get_mut(usize::from(of)) else {
+            return;
+        };
+        let until = if of == me {
+            &mut self.contested_until
+        } else {
+            &mut peer.contested_until
+        };
         if *until <= now {
             out.push(Output::Event(Event::Twin(of, life)));
         }
@@ -741,7 +806,10 @@
 
     /// Tells a front that its name is contested.
     fn warn(&mut self, now: Micros, of: u16, out: &mut Vec<Output>) {
-        let contested = self.peers.get(usize::from(of)).is_some_and(|p| now < p.contested_until);
+        let contested = self
+            .peers
+            .get(usize::from(of))
+            .is_some_and(|p| now < p.contested_until);
         if contested && of != self.me && self.met(of) {
             self.send(now, of, Body::Contested, out);
         }
@@ -802,10 +870,14 @@
         let leader = self.swim.members().get(usize::from(ballot.leader));
         // One that was not heard of yet is not gone, nor is one whose life is newer than what is known of it.
         let gone = |m: &Member| {
-            m.life > ballot.life || matches!(m.state, State::Dead | State::Left) && m.life == ballot.life
+            m.life > ballot.life
+                || matches!(m.state, State::Dead | State::Left) && m.life == ballot.life
         };
         let there = leader.is_some_and(|m| !gone(m));
-        let (held, fresh) = (self.lease.left(now).is_some(), now - self.promised_at < 2 * self.times.drop);
+        let (held, fresh) = (
+            self.lease.left(now).is_some(),
+            now - self.promised_at < 2 * self.times.drop,
+        );
         let led = ballot.round > 0 && there && ballot != self.given_up && (held || fresh);
         // One that is heard by nobody would only take the ballot from those who are.
         let heard = now - self.answered_at < HEARD * self.period;
@@ -840,7 +912,10 @@
         self.ask_at = now + self.times.lease / 8 + self.dice.i64(0..spread + 1);
         let leader = self.agree.promised().leader;
         let near = self.n <= FAN || self.dice.usize(0..self.n) < FAN;
-        let to = match near && leader != self.me && self.agree.promised().round > 0 && self.dice.u32(0..4) > 0
+        let to = match near
+            && leader != self.me
+            && self.agree.promised().round > 0
+            && self.dice.u32(0..4) > 0
         {
             true => Some(leader),
             false => self.some(1).first().copied(),
@@ -863,7 +938,10 @@
         let n = self.n as u16;
         for to in (1..n).map(|i| (self.tell_to + i) % n) {
             let peer = &self.peers[usize::from(to)];
-            if to == self.me || !self.present.0.has(to) || peer.told.is_some_and(|at| now - at < TELL) {
+            if to == self.me
+                || !self.present.0.has(to)
+                || peer.told.is_some_and(|at| now - at < TELL)
+            {
                 continue;
             }
             let (round, volumes) = self.serving.tell(to, VOLUMES_MOST);
--- a/crates/membership/src/lease.rs
+++ b/crates/membership/src/lease.rs
@@ -42,7 +42,15 @@
     /// A life without a lease.
     pub fn new(me: u16, configured: usize, times: Times) -> Lease {
         let all = Bits::first(configured);
-        Lease { me, all, times, number: Number::default(), until: 0, held_since: None, range: None }
+        Lease {
+            me,
+            all,
+            times,
+            number: Number::default(),
+            until: 0,
+            held_since: None,
+            range: None,
+        }
     }
 
     /// The view that it is on.
@@ -83,17 +91,32 @@
 
     /// Whether the lease is held and all before it have ended.
     pub fn settled(&self, now: Micros) -> bool {
-        self.until > now && self.held_since.is_some_and(|since| now - since >= self.times.lapse)
+        self.until > now
+            && self
+                .held_since
+                .is_some_and(|since| now - since >= self.times.lapse)
     }
 
     /// What may be used from now on.
     pub fn right(&self, now: Micros) -> Right {
         let Some(range) = self.range.as_ref().filter(|_| self.until > now) else {
-            return Right { until: now, ..Right::default() };
+            return Right {
+                until: now,
+                ..Right::default()
+            };
         };
         let whole = range.iter().all(|(_, members)| members.has(self.me));
-        let present = range.iter().fold(Bits::default(), |all, (_, members)| all.or(members));
-        let partial = range.iter().any(|(_, members)| !self.all.without(members).is_empty());
-        Right { until: self.until, whole, absent: self.all.without(&present), partial }
+        let present = range
+            .iter()
+            .fold(Bits::default(), |all, (_, members)| all.or(members));
+        let partial = range
+            .iter()
+            .any(|(_, members)| !self.all.without(members).is_empty());
+        Right {
+            until: self.until,
+            whole,
+            absent: self.all.without(&present),
+            partial,
+        }
     }
 }
--- a/crates/membership/src/part.rs
+++ b/crates/membership/src/part.rs
@@ -76,7 +76,12 @@
 impl Purse {
     /// Empty, filling by this share from now on.
     pub fn new(now: Micros, whole: Whole, share: Share) -> Purse {
-        Purse { whole, level: 0.0, at: now, share }
+        Purse {
+            whole,
+            level: 0.0,
+            at: now,
+            share,
+        }
     }
 
     /// Another whole under the same name: nothing more is there at once than either allows.
@@ -92,7 +97,9 @@
     }
 
     fn cap(&mut self, now: Micros) {
-        self.level = self.level.min(self.even(self.whole.burst) * self.share.at(now));
+        self.level = self
+            .level
+            .min(self.even(self.whole.burst) * self.share.at(now));
     }
 
     /// Fills by the share that held until now, and goes by another from now on.
@@ -139,9 +146,14 @@
     fn over(seed: u64, late: bool) -> f64 {
         let mut dice = fastrand::Rng::with_seed(seed);
         let n = dice.u16(2..9);
-        let whole =
-            Whole { per_s: f64::from(dice.u32(1..200)), burst: f64::from(dice.u32(1..100)), fronts: n };
-        let mut purses: Vec<Purse> = (0..n).map(|_| Purse::new(0, whole, Share::default())).collect();
+        let whole = Whole {
+            per_s: f64::from(dice.u32(1..200)),
+            burst: f64::from(dice.u32(1..100)),
+            fronts: n,
+        };
+        let mut purses: Vec<Purse> = (0..n)
+            .map(|_| Purse::new(0, whole, Share::default()))
+            .collect();
         let mut shares = vec![Share::default(); usize::from(n)];
         let (mut now, mut drawn): (Micros, Vec<(Micros, f64)>) = (0, Vec::new());
         while now < 8_000_000 {
@@ -149,13 +161,19 @@
             // Whoever holds no lease any more may have had it taken by another.
             let at = usize::from(dice.u16(0..n));
             if dice.u32(0..8) == 0 {
-                let others: f64 =
-                    (0..usize::from(n)).filter(|o| *o != at).map(|o| shares[o].held.max(0.1)).sum();
+                let others: f64 = (0..usize::from(n))
+                    .filter(|o| *o != at)
+                    .map(|o| shares[o].held.max(0.1))
+                    .sum();
                 let room = (f64::from(n) - others).max(0.1);
                 let held = 0.1 + (room - 0.1) * dice.f64();
                 // A share that is out cannot be called back: it ends by itself, and only then falls.
                 if now >= shares[at].until || held > shares[at].held {
-                    shares[at] = Share { until: now + dice.i64(1..900_000), held, reserve: 0.1 };
+                    shares[at] = Share {
+                        until: now + dice.i64(1..900_000),
+                        held,
+                        reserve: 0.1,
+                    };
                 }
             }
             for s in shares.iter_mut().filter(|s| now >= s.until) {
@@ -167,7 +185,11 @@
                 (p.share, p.share.until) = (shares[at], p.share.until.max(shares[at].until));
             }
             let there = purses[at].level(now, &shares[at]);
-            let units = if dice.bool() { there } else { there * dice.f64() };
+            let units = if dice.bool() {
+                there
+            } else {
+                there * dice.f64()
+            };
             if units > 0.0 && purses[at].draw(now, &shares[at], units) {
                 drawn.push((now, units));
             }
@@ -197,8 +219,20 @@
 
     #[test]
     fn a_purse_that_slept_past_its_lease_wakes_with_the_reserve() {
-        let share = Share { until: 1_000_000, held: 2.0, reserve: 0.1 };
-        let mut purse = Purse::new(0, Whole { per_s: 30.0, burst: 30.0, fronts: 3 }, share);
+        let share = Share {
+            until: 1_000_000,
+            held: 2.0,
+            reserve: 0.1,
+        };
+        let mut purse = Purse::new(
+            0,
+            Whole {
+                per_s: 30.0,
+                burst: 30.0,
+                fronts: 3,
+            },
+            share,
+        );
         assert!((purse.level(900_000, &share) - 18.0).abs() < 1e-9);
         assert!((purse.level(9_000_000, &share) - 1.0).abs() < 1e-9);
     }
--- a/crates/membership/src/serving.rs
+++ b/crates/membership/src/serving.rs
@@ -48,7 +48,12 @@
 impl Serving {
     /// Knows of nothing, and of this many volumes at the most.
     pub fn new(most: usize) -> Serving {
-        Serving { most, volumes: BTreeMap::new(), round: (0, None), version: 0 }
+        Serving {
+            most,
+            volumes: BTreeMap::new(),
+            round: (0, None),
+            version: 0,
+        }
     }
 
     /// This front served a volume that works through this many fronts.
@@ -88,8 +93,19 @@
         if self.volumes.contains_key(&volume) || self.volumes.len() < self.most {
             return true;
         }
-        let last = |v: &Volume| v.others.iter().map(|(_, at)| *at).chain(v.own).max().unwrap_or(0);
-        let eldest = self.volumes.iter().min_by_key(|(_, v)| last(v)).map(|(k, v)| (*k, last(v)));
+        let last = |v: &Volume| {
+            v.others
+                .iter()
+                .map(|(_, at)| *at)
+                .chain(v.own)
+                .max()
+                .unwrap_or(0)
+        };
+        let eldest = self
+            .volumes
+            .iter()
+            .min_by_key(|(_, v)| last(v))
+            .map(|(k, v)| (*k, last(v)));
         match eldest {
             // One that is fresh stays: there is no room at all.
             Some((key, at)) if now - at > SAID => self.volumes.remove(&key).is_some(),
@@ -100,7 +116,11 @@
     /// Which of these this front serves too, the first in the lowest bit.
     pub fn too(&self, volumes: &[u64]) -> u32 {
         let own = |v: &u64| self.volumes.get(v).is_some_and(|v| v.own.is_some());
-        volumes.iter().take(32).enumerate().fold(0, |all, (i, v)| all | u32::from(own(v)) << i)
+        volumes
+            .iter()
+            .take(32)
+            .enumerate()
+            .fold(0, |all, (i, v)| all | u32::from(own(v)) << i)
     }
 
     /// Another front answers to what was told in a round: it noted it, and serves some of it too.
@@ -109,14 +129,21 @@
             return;
         }
         for volume in volumes {
-            if let Some(v) = self.volumes.get_mut(volume).filter(|v| v.own.is_some() && !v.heard.0.has(from))
+            if let Some(v) = self
+                .volumes
+                .get_mut(volume)
+                .filter(|v| v.own.is_some() && !v.heard.0.has(from))
             {
                 v.heard.0.insert(from);
                 self.version += 1;
             }
         }
-        let both: Vec<u64> =
-            volumes.iter().enumerate().filter(|(i, _)| too >> i & 1 == 1).map(|(_, v)| *v).collect();
+        let both: Vec<u64> = volumes
+            .iter()
+            .enumerate()
+            .filter(|(i, _)| too >> i & 1 == 1)
+            .map(|(_, v)| *v)
+            .collect();
         self.heard(now, from, &both);
     }
 
@@ -134,13 +161,16 @@
         let (round, began) = self.round;
         if began.is_none_or(|at| now - at >= ROUND) {
             self.round = (round.wrapping_add(1), Some(now));
-            self.volumes.values_mut().for_each(|v| v.heard = (Bits::default(), v.heard.0));
+            self.volumes
+                .values_mut()
+                .for_each(|v| v.heard = (Bits::default(), v.heard.0));
             self.version += 1;
         }
         let mut changed = false;
         self.volumes.retain(|_, v| {
             let before = (v.others.len(), v.own, v.crowded);
-            v.others.retain(|(i, at)| now - at <= SAID || !present.has(*i));
+            v.others
+                .retain(|(i, at)| now - at <= SAID || !present.has(*i));
             v.own = v.own.filter(|at| now - at <= SAID);
             v.crowded = v.crowded.filter(|at| now - at <= SAID);
             changed |= before != (v.others.len(), v.own, v.crowded);
@@ -156,8 +186,12 @@
 
     /// Volumes that a front has not answered to in this round, at most this many; and the round.
     pub fn tell(&self, to: u16, most: usize) -> (u8, Vec<u64>) {
-        let untold = |(k, v): (&u64, &Volume)| (v.own.is_some() && !v.heard.0.has(to)).then_some(*k);
-        (self.round.0, self.volumes.iter().filter_map(untold).take(most).collect())
+        let untold =
+            |(k, v): (&u64, &Volume)| (v.own.is_some() && !v.heard.0.has(to)).then_some(*k);
+        (
+            self.round.0,
+            self.volumes.iter().filter_map(untold).take(most).collect(),
+        )
     }
 
     /// How many volumes this front serves.
@@ -168,7 +202,10 @@
     /// For each volume of this front that all `present` others know it to serve: how many times its even part it may use.
     pub fn factors(&self, absent: &Bits, present: &Bits, reserve: f64) -> Vec<(u64, f64)> {
         let known = |v: &Volume| present.without(&v.heard.0.or(&v.heard.1)).is_empty();
-        let own = self.volumes.iter().filter(|(_, v)| v.own.is_some() && known(v));
+        let own = self
+            .volumes
+            .iter()
+            .filter(|(_, v)| v.own.is_some() && known(v));
         own.map(|(volume, v)| {
             // More than it works through: its set is not what this front takes it for.
             if v.crowded.is_some() || v.others.len() as f64 + 1.0 > v.hosts {
--- a/crates/membership/src/stance.rs
+++ b/crates/membership/src/stance.rs
@@ -59,17 +59,42 @@
 
 /// The table: how it stands, and what it may use.
 pub fn decide(seen: &Seen) -> (Stance, May) {
-    let may = if seen.held && seen.right.whole { May::View } else { May::Reserve };
+    let may = if seen.held && seen.right.whole {
+        May::View
+    } else {
+        May::Reserve
+    };
     match seen {
         // Two processes under one name: the one that was acknowledged keeps the reserve, the other has nothing.
-        Seen { contested: true, acknowledged, .. } => {
-            (Stance::Contested, if *acknowledged { May::Reserve } else { May::Nothing })
-        }
-        Seen { acknowledged: false, waited: false, .. } => (Stance::Starting, May::Nothing),
+        Seen {
+            contested: true,
+            acknowledged,
+            ..
+        } => (
+            Stance::Contested,
+            if *acknowledged {
+                May::Reserve
+            } else {
+                May::Nothing
+            },
+        ),
+        Seen {
+            acknowledged: false,
+            waited: false,
+            ..
+        } => (Stance::Starting, May::Nothing),
         // It finishes what it has by what it holds; its lease is not renewed.
         Seen { leaving: true, .. } => (Stance::Leaving, may),
-        Seen { held: false, paused: true, .. } => (Stance::Paused, May::Reserve),
-        Seen { held: false, others: 0, .. } => (Stance::Alone, May::Reserve),
+        Seen {
+            held: false,
+            paused: true,
+            ..
+        } => (Stance::Paused, May::Reserve),
+        Seen {
+            held: false,
+            others: 0,
+            ..
+        } => (Stance::Alone, May::Reserve),
         Seen { held: false, .. } => (Stance::Minority, May::Reserve),
         Seen { settled: true, .. } => (Stance::Majority, may),
         _ => (Stance::Healing, may),
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -183,7 +183,14 @@
     pub fn new(me: u16, life: u64, configured: usize, pace: Pace, seed: u64, now: Micros) -> Swim {
         let mut members = vec![Member::default(); configured];
         if let Some(own) = members.get_mut(usize::from(me)) {
-            *own = Member { state: State::Alive, life, since: now, by: me, tell: 1, ..Member::default() };
+            *own = Member {
+                state: State::Alive,
+                life,
+                since: now,
+                by: me,
+                tell: 1,
+                ..Member::default()
+            };
         }
         let mut dice = fastrand::Rng::with_seed(seed);
         // Fronts that start together don't probe in step.
@@ -234,7 +241,9 @@
         let mut left = others.len();
         let mut some = Vec::with_capacity(most.min(left));
         while left > 0 && some.len() < most {
-            let Some(one) = others.nth(self.dice.usize(0..left)) else { break };
+            let Some(one) = others.nth(self.dice.usize(0..left)) else {
+                break;
+            };
             others.remove(one);
             some.push(one);
             left -= 1;
@@ -261,18 +270,27 @@
 
     fn set(&mut self, now: Micros, news: News, changes: &mut Vec<Change>) {
         let tell = self.tellings(&news);
-        let Some(m) = self.members.get_mut(usize::from(news.of)) else { return };
+        let Some(m) = self.members.get_mut(usize::from(news.of)) else {
+            return;
+        };
         let from = m.state;
         let reborn = m.life != 0 && news.life != m.life;
         if from != news.state || reborn {
             m.since = now;
         }
-        m.suspects = if news.state == State::Suspect { vec![news.by] } else { Vec::new() };
+        m.suspects = if news.state == State::Suspect {
+            vec![news.by]
+        } else {
+            Vec::new()
+        };
         (m.again, m.looks) = (now, 0);
         (m.state, m.life, m.inc, m.by, m.tell) = (news.state, news.life, news.inc, news.by, tell);
         self.telling.insert(news.of);
         for (set, is) in [
-            (&mut self.here, matches!(news.state, State::Alive | State::Suspect)),
+            (
+                &mut self.here,
+                matches!(news.state, State::Alive | State::Suspect),
+            ),
             (&mut self.suspected, news.state == State::Suspect),
         ] {
             if is {
@@ -282,19 +300,36 @@
             }
         }
         if from != news.state || reborn {
-            changes.push(Change { of: news.of, from, to: news.state, by: news.by, reborn });
+            changes.push(Change {
+                of: news.of,
+                from,
+                to: news.state,
+                by: news.by,
+                reborn,
+            });
         }
     }
 
     /// Takes a piece of news. News of this front that is wrong is refuted.
     pub fn hear(&mut self, now: Micros, news: News, changes: &mut Vec<Change>) {
-        let Some(m) = self.members.get(usize::from(news.of)) else { return };
+        let Some(m) = self.members.get(usize::from(news.of)) else {
+            return;
+        };
         if news.of == self.me {
             let wrong = news.life == m.life && news.state != State::Alive && news.inc >= m.inc;
             if wrong && m.state == State::Alive {
                 self.health.worsen();
                 let inc = news.inc.saturating_add(1);
-                self.set(now, News { inc, state: State::Alive, by: self.me, ..news }, changes);
+                self.set(
+                    now,
+                    News {
+                        inc,
+                        state: State::Alive,
+                        by: self.me,
+                        ..news
+                    },
+                    changes,
+                );
             }
             return;
         }
@@ -308,7 +343,8 @@
                 _ => news.inc > m.inc,
             },
             (_, State::Dead | State::Left) => {
-                news.inc >= m.inc && !matches!(m.state, State::Dead | State::Left) || news.inc > m.inc
+                news.inc >= m.inc && !matches!(m.state, State::Dead | State::Left)
+                    || news.inc > m.inc
             }
             (_, State::Unknown) => false,
         };
@@ -329,18 +365,38 @@
 
     /// Somebody was heard first-hand, in this life.
     pub fn heard(&mut self, now: Micros, of: u16, life: u64, inc: u16, changes: &mut Vec<Change>) {
-        let Some(m) = self.members.get(usize::from(of)).filter(|_| of != self.me) else { return };
+        let Some(m) = self.members.get(usize::from(of)).filter(|_| of != self.me) else {
+            return;
+        };
         if life > m.life || (life == m.life && (inc > m.inc || m.state == State::Unknown)) {
-            self.set(now, News { of, state: State::Alive, life, inc, by: self.me }, changes);
+            self.set(
+                now,
+                News {
+                    of,
+                    state: State::Alive,
+                    life,
+                    inc,
+                    by: self.me,
+                },
+                changes,
+            );
         }
     }
 
     /// The news to go with a datagram to `to`: what it has to know of itself first, then what was told the least.
     pub fn news(&mut self, to: u16, most: usize) -> Vec<News> {
-        let worded = |i: u16, m: &Member| News { of: i, state: m.state, life: m.life, inc: m.inc, by: m.by };
+        let worded = |i: u16, m: &Member| News {
+            of: i,
+            state: m.state,
+            life: m.life,
+            inc: m.inc,
+            by: m.by,
+        };
         let mut told = Vec::new();
-        let held =
-            self.members.get(usize::from(to)).filter(|m| !matches!(m.state, State::Alive | State::Unknown));
+        let held = self
+            .members
+            .get(usize::from(to))
+            .filter(|m| !matches!(m.state, State::Alive | State::Unknown));
         told.extend(held.map(|m| worded(to, m)));
         // What may have to be refuted, and refutations, before who is there; of each the least told first.
         let plain = |m: &Member| m.state == State::Alive && m.inc == 0;
@@ -380,8 +436,16 @@
 
     /// This front says that it leaves.
     pub fn leave(&mut self, now: Micros) {
-        let Some(m) = self.members.get(usize::from(self.me)) else { return };
-        let news = News { of: self.me, state: State::Left, life: m.life, inc: m.inc, by: self.me };
+        let Some(m) = self.members.get(usize::from(self.me)) else {
+            return;
+        };
+        let news = News {
+            of: self.me,
+            state: State::Left,
+            life: m.life,
+            inc: m.inc,
+            by: self.me,
+        };
         self.set(now, news, &mut Vec::new());
     }
 
@@ -392,7 +456,11 @@
 
     /// A probe, or one made for another, was answered.
     pub fn answered(&mut self, from: u16, nonce: u32, out: &mut Vec<Out>) {
-        if self.probe.as_ref().is_some_and(|p| p.of == from && p.nonce == nonce) {
+        if self
+            .probe
+            .as_ref()
+            .is_some_and(|p| p.of == from && p.nonce == nonce)
+        {
             self.probe = None;
             self.health.improve();
         }
@@ -405,11 +473,23 @@
 
     /// One that was not met before greeted: that answers as well as any probe of it, which could only greet.
     pub fn greeted(&mut self, from: u16, out: &mut Vec<Out>) {
-        if let Some(nonce) = self.probe.as_ref().filter(|p| p.of == from).map(|p| p.nonce) {
+        if let Some(nonce) = self
+            .probe
+            .as_ref()
+            .filter(|p| p.of == from)
+            .map(|p| p.nonce)
+        {
             self.answered(from, nonce, out);
         }
-        let waiting: Vec<u32> = self.favours.iter().filter(|f| f.target == from).map(|f| f.nonce).collect();
-        waiting.into_iter().for_each(|nonce| self.answered(from, nonce, out));
+        let waiting: Vec<u32> = self
+            .favours
+            .iter()
+            .filter(|f| f.target == from)
+            .map(|f| f.nonce)
+            .collect();
+        waiting
+            .into_iter()
+            .for_each(|nonce| self.answered(from, nonce, out));
     }
 
     /// Another asks to probe `target` for it.
@@ -422,13 +502,22 @@
         }
         let nonce = self.nonce();
         let (again, ends) = (now + self.pace.patience / 2, now + self.pace.patience);
-        self.favours.push_back(Favour { target, whose, their, nonce, again, ends });
+        self.favours.push_back(Favour {
+            target,
+            whose,
+            their,
+            nonce,
+            again,
+            ends,
+        });
         out.push(Out::Ping(target, nonce));
     }
 
     /// A helper tells what came of its probe.
     pub fn told(&mut self, nonce: u32, reached: bool) {
-        let Some(p) = self.probe.as_mut().filter(|p| p.nonce == nonce) else { return };
+        let Some(p) = self.probe.as_mut().filter(|p| p.nonce == nonce) else {
+            return;
+        };
         if reached {
             self.probe = None;
             self.health.improve();
@@ -442,7 +531,10 @@
         self.probe = None;
         self.favours.clear();
         self.health.worsen();
-        self.members.iter_mut().filter(|m| m.state == State::Suspect).for_each(|m| m.since += gap);
+        self.members
+            .iter_mut()
+            .filter(|m| m.state == State::Suspect)
+            .for_each(|m| m.since += gap);
         self.next = now + self.pace.period;
     }
 
@@ -461,10 +553,18 @@
             self.favours.pop_front();
             out.push(Out::Told(f.whose, f.their, false));
         }
-        let late = self.probe.as_ref().is_some_and(|p| p.asked.is_empty() && p.patience_ends <= now);
+        let late = self
+            .probe
+            .as_ref()
+            .is_some_and(|p| p.asked.is_empty() && p.patience_ends <= now);
         if late {
             if let Some(mut p) = self.probe.take() {
-                p.asked = self.some(HELPERS + 1).into_iter().filter(|i| *i != p.of).take(HELPERS).collect();
+                p.asked = self
+                    .some(HELPERS + 1)
+                    .into_iter()
+                    .filter(|i| *i != p.of)
+                    .take(HELPERS)
+                    .collect();
                 out.extend(p.asked.iter().map(|h| Out::Ask(*h, p.of, p.nonce)));
                 self.probe = Some(p);
             }
@@ -494,14 +594,24 @@
                 continue;
             }
             if over && m.looks >= LOOKS {
-                let news = News { of, state: State::Dead, life: m.life, inc: m.inc, by: self.me };
+                let news = News {
+                    of,
+                    state: State::Dead,
+                    life: m.life,
+                    inc: m.inc,
+                    by: self.me,
+                };
                 self.set(now, news, changes);
                 continue;
             }
             // It hears of the suspicion first-hand, and its answer refutes it. Nobody is held for dead by hearsay alone.
             let nonce = self.nonce();
             let m = &mut self.members[usize::from(of)];
-            let pause = if over { self.pace.patience / 2 } else { self.pace.patience };
+            let pause = if over {
+                self.pace.patience / 2
+            } else {
+                self.pace.patience
+            };
             (m.again, m.looks) = (now + pause, m.looks + 1);
             out.push(Out::Ping(of, nonce));
         }
@@ -513,8 +623,20 @@
     }
 
     fn suspect(&mut self, now: Micros, p: &Probe, changes: &mut Vec<Change>) {
-        let Some(m) = self.members.get(usize::from(p.of)).filter(|m| m.life == p.life) else { return };
-        let news = News { of: p.of, state: State::Suspect, life: m.life, inc: m.inc, by: self.me };
+        let Some(m) = self
+            .members
+            .get(usize::from(p.of))
+            .filter(|m| m.life == p.life)
+        else {
+            return;
+        };
+        let news = News {
+            of: p.of,
+            state: State::Suspect,
+            life: m.life,
+            inc: m.inc,
+            by: self.me,
+        };
         match m.state {
             State::Alive => self.set(now, news, changes),
             State::Suspect => self.hear(now, news, changes),
@@ -525,7 +647,9 @@
     fn begin(&mut self, now: Micros, out: &mut Vec<Out>) {
         if self.periods.is_multiple_of(REACH_EVERY) {
             let present = self.present();
-            let away: Vec<u16> = (0..self.members.len() as u16).filter(|i| !present.has(*i)).collect();
+            let away: Vec<u16> = (0..self.members.len() as u16)
+                .filter(|i| !present.has(*i))
+                .collect();
             if let Some(of) = self.dice.choice(&away).copied() {
                 let nonce = self.nonce();
                 out.push(Out::Ping(of, nonce));
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -106,8 +106,16 @@
         let view = word.view.filter(|_| fits(NUMBER + bits));
         let promises = word.promises.filter(|_| fits(NUMBER + bits));
         let round = word.round.filter(|_| fits(4 + bits));
-        let flags = [view.is_some(), promises.is_some(), round.is_some(), told.leads];
-        let flags = flags.iter().rev().fold(0_u8, |all, flag| all << 1 | u8::from(*flag));
+        let flags = [
+            view.is_some(),
+            promises.is_some(),
+            round.is_some(),
+            told.leads,
+        ];
+        let flags = flags
+            .iter()
+            .rev()
+            .fold(0_u8, |all, flag| all << 1 | u8::from(*flag));
         self.put([flags]);
         self.ballot(&word.promised);
         self.number(&word.number);
@@ -151,11 +159,18 @@
     }
 
     fn ballot(&mut self) -> Option<Ballot> {
-        Some(Ballot { round: self.u32()?, leader: self.u16()?, life: self.u64()? })
+        Some(Ballot {
+            round: self.u32()?,
+            leader: self.u16()?,
+            life: self.u64()?,
+        })
     }
 
     fn number(&mut self) -> Option<Number> {
-        Some(Number { ballot: self.ballot()?, n: self.u32()? })
+        Some(Number {
+            ballot: self.ballot()?,
+            n: self.u32()?,
+        })
     }
 
     fn bits(&mut self, n: usize) -> Option<Bits> {
@@ -164,17 +179,28 @@
 
     fn told(&mut self, n: usize) -> Option<Told> {
         let flags = self.u8().filter(|f| *f < 16)?;
-        let mut word = Word { promised: self.ballot()?, number: self.number()?, ..Word::default() };
+        let mut word = Word {
+            promised: self.ballot()?,
+            number: self.number()?,
+            ..Word::default()
+        };
         if flags & 1 != 0 {
             let (prev, members) = (self.number()?, self.bits(n)?);
-            word.view = Some(View { number: word.number, prev, members });
+            word.view = Some(View {
+                number: word.number,
+                prev,
+                members,
+            });
         }
         if flags & 2 != 0 {
             let (best, by) = (self.number()?, self.bits(n)?);
             word.promises = Some(Promises { by, best });
         }
         if flags & 4 != 0 {
-            word.round = Some(Round { k: self.u32()?, by: self.bits(n)? });
+            word.round = Some(Round {
+                k: self.u32()?,
+                by: self.bits(n)?,
+            });
         }
         // No view is above what its sender promised.
         if word.number.ballot > word.promised || word.view.is_some_and(|v| v.prev >= v.number) {
@@ -193,17 +219,35 @@
             };
             let (life, inc) = (self.u64()?, self.u16()?);
             let by = self.u16().filter(|by| usize::from(*by) < n)?;
-            news.push(News { of, state, life, inc, by });
+            news.push(News {
+                of,
+                state,
+                life,
+                inc,
+                by,
+            });
         }
-        Some(Told { word, leads: flags & 8 != 0, news })
+        Some(Told {
+            word,
+            leads: flags & 8 != 0,
+            news,
+        })
     }
 }
 
 impl Datagram {
     /// Its head, as the carrier has it.
     pub fn head(&self) -> Head {
-        let (roster, from, seq, life, to_life) = (self.roster, self.from, self.seq, self.life, self.to_life);
-        Head { tag: Tag::MEMBERSHIP, roster, from, seq, life, to_life }
+        let (roster, from, seq, life, to_life) =
+            (self.roster, self.from, self.seq, self.life, self.to_life);
+        Head {
+            tag: Tag::MEMBERSHIP,
+            roster,
+            from,
+            seq,
+            life,
+            to_life,
+        }
     }
 
     /// As bytes, for a roster of `n` fronts.
@@ -270,7 +314,14 @@
 
     /// From what the carrier made of it.
     pub fn said(head: Head, said: &[u8], n: usize) -> Result<Datagram, Void> {
-        let Head { roster, from, seq, life, to_life, .. } = head;
+        let Head {
+            roster,
+            from,
+            seq,
+            life,
+            to_life,
+            ..
+        } = head;
         let mut r = Reader(said);
         let mut read = || -> Option<Datagram> {
             let (kind, zero, inc) = (r.u8()?, r.u8()?, r.u16()?);
@@ -287,7 +338,15 @@
                 _ => return None,
             };
             let whole = r.0.is_empty() && zero == 0;
-            whole.then_some(Datagram { roster, from, seq, life, to_life, inc, body })
+            whole.then_some(Datagram {
+                roster,
+                from,
+                seq,
+                life,
+                to_life,
+                inc,
+                body,
+            })
         };
         read().ok_or(Void::Content)
     }
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -8,7 +8,13 @@
 use std::collections::BTreeMap;
 
 const N: usize = 3;
-const TIMES: Times = Times { lease: 2, lapse: 3, drop: 1, quiet: 5, renew: 1 };
+const TIMES: Times = Times {
+    lease: 2,
+    lapse: 3,
+    drop: 1,
+    quiet: 5,
+    renew: 1,
+};
 
 /// A fault that is planted, to see that the checker finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,7 +57,14 @@
 
 impl std::hash::Hash for WordKey {
     fn hash<H: std::hash::Hasher>(&self, h: &mut H) {
-        (self.0.promised, self.0.number, self.0.promises, self.0.view, self.0.round).hash(h);
+        (
+            self.0.promised,
+            self.0.number,
+            self.0.promises,
+            self.0.view,
+            self.0.round,
+        )
+            .hash(h);
     }
 }
 
@@ -89,7 +102,12 @@
 
     fn born(&self, me: usize, life: u64, now: i64) -> Proc {
         let agree = Agree::new(me as u16, life, self.configured(), TIMES, now);
-        Proc { agree, lease: Lease::new(me as u16, N, TIMES), told: Right::default(), ran: now }
+        Proc {
+            agree,
+            lease: Lease::new(me as u16, N, TIMES),
+            told: Right::default(),
+            ran: now,
+        }
     }
 
     fn steps(&self, s: &mut State, me: usize, steps: Vec<Step>) {
@@ -104,7 +122,8 @@
                 }
                 Step::Renewed(began) => {
                     let view = *p.agree.view();
-                    p.lease.hold(now, view.number, began + TIMES.lease, view.members);
+                    p.lease
+                        .hold(now, view.number, began + TIMES.lease, view.members);
                 }
                 Step::Spread | Step::GaveUp => {}
             }
@@ -124,7 +143,11 @@
 
     /// What a front uses at this moment if it sends now: it may have been told so long ago.
     fn uses(&self, s: &State, p: &Proc) -> f64 {
-        let right = if self.plant == Plant::Unchecked { p.told } else { p.lease.right(s.now) };
+        let right = if self.plant == Plant::Unchecked {
+            p.told
+        } else {
+            p.lease.right(s.now)
+        };
         // As the module does: what was told holds until its end.
         let held = match self.plant {
             Plant::Unchecked => right.whole,
@@ -141,16 +164,25 @@
 fn ask(fleet: &Fleet, s: &mut State, me: usize, other: usize) {
     let now = s.now;
     let words = |s: &State, a: usize, b: usize| {
-        let theirs = s.procs[b].as_ref().map_or(Number::default(), |p| p.agree.view().number);
+        let theirs = s.procs[b]
+            .as_ref()
+            .map_or(Number::default(), |p| p.agree.view().number);
         s.procs[a].as_ref().map(|p| p.agree.word(theirs))
     };
-    let Some(word) = words(s, me, other) else { return };
+    let Some(word) = words(s, me, other) else {
+        return;
+    };
     if s.procs[other].is_none() {
         return;
     }
     fleet.hear(s, other, &word);
-    let Some(word) = words(s, other, me) else { return };
-    let left = s.procs[other].as_ref().and_then(|p| p.lease.left(now)).unwrap_or(0);
+    let Some(word) = words(s, other, me) else {
+        return;
+    };
+    let left = s.procs[other]
+        .as_ref()
+        .and_then(|p| p.lease.left(now))
+        .unwrap_or(0);
     fleet.hear(s, me, &word);
     if let Some(p) = &mut s.procs[me] {
         let members = p.agree.view().members;
@@ -183,7 +215,9 @@
     fn init_states(&self) -> Vec<State> {
         let mut s = State {
             now: 0,
-            procs: (0..N).map(|i| Some(self.born(i, i as u64 + 1, -100))).collect(),
+            procs: (0..N)
+                .map(|i| Some(self.born(i, i as u64 + 1, -100)))
+                .collect(),
             lives: N as u64 + 1,
             kept: None,
             wanted: Bits::first(N),
@@ -201,7 +235,10 @@
             s.now += 1;
         }
         s.now -= 1;
-        assert!(s.procs.iter().flatten().all(|p| p.lease.settled(s.now)), "{s:?}");
+        assert!(
+            s.procs.iter().flatten().all(|p| p.lease.settled(s.now)),
+            "{s:?}"
+        );
         // Steps on the way to a view without the third, which is not run: each is a beginning of its own.
         let mut all = vec![s.clone()];
         s.wanted = [0u16, 1].into_iter().collect();
@@ -315,7 +352,11 @@
 fn explore(plant: Plant, until: i64, depth: usize) -> (usize, Vec<&'static str>) {
     let checker = Fleet { plant, until }
         .checker()
-        .threads(std::thread::available_parallelism().map_or(2, usize::from).min(4))
+        .threads(
+            std::thread::available_parallelism()
+                .map_or(2, usize::from)
+                .min(4),
+        )
         .target_max_depth(depth)
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_bfs()
@@ -331,16 +372,25 @@
 fn no_state_within_the_depth_breaks_a_promise() {
     let (states, found) = explore(Plant::None, 30, 6);
     assert!(states > 10_000, "{states} states");
-    assert_eq!(found, ["what one had goes to the others"], "{states} states");
+    assert_eq!(
+        found,
+        ["what one had goes to the others"],
+        "{states} states"
+    );
 }
 
 #[test]
 fn planted_faults_are_found() {
-    for (plant, promise, depth) in
-        [(Plant::Unchecked, SUM, 6), (Plant::FromView, SUM, 6), (Plant::SameLife, LIST, 7)]
-    {
+    for (plant, promise, depth) in [
+        (Plant::Unchecked, SUM, 6),
+        (Plant::FromView, SUM, 6),
+        (Plant::SameLife, LIST, 7),
+    ] {
         let (states, found) = explore(plant, 30, depth);
-        assert!(found.contains(&promise), "{plant:?}: nothing found in {states} states");
+        assert!(
+            found.contains(&promise),
+            "{plant:?}: nothing found in {states} states"
+        );
     }
 }
 
@@ -348,7 +398,10 @@
 #[test]
 #[ignore = "takes as long as its depth says"]
 fn deeper() {
-    let depth = std::env::var("LUPINRACK_DEPTH").ok().and_then(|d| d.parse().ok()).unwrap_or(8);
+    let depth = std::env::var("LUPINRACK_DEPTH")
+        .ok()
+        .and_then(|d| d.parse().ok())
+        .unwrap_or(8);
     let (states, found) = explore(Plant::None, 30, depth);
     println!("depth {depth}: {states} states, found {found:?}");
     assert!(!found.contains(&SUM) && !found.contains(&LIST), "{found:?}");
--- a/crates/membership/tests/serving.rs
+++ b/crates/membership/tests/serving.rs
@@ -26,7 +26,16 @@
     fn new(seed: u64, rash: bool) -> World {
         let fronts = (0..N).map(|_| Serving::new(64)).collect();
         let (dead, set, late) = (Vec::new(), vec![0, 1, 2], Vec::new());
-        World { dice: fastrand::Rng::with_seed(seed), now: 1, fronts, dead, set, late, hosts: 3.0, rash }
+        World {
+            dice: fastrand::Rng::with_seed(seed),
+            now: 1,
+            fronts,
+            dead,
+            set,
+            late,
+            hosts: 3.0,
+            rash,
+        }
     }
 
     fn lives(&self, front: u16) -> bool {
@@ -63,7 +72,9 @@
                 match self.dice.u8(0..5) {
                     0 => {}
                     _ if !self.lives(from) => {}
-                    _ => self.fronts[usize::from(from)].answered(self.now, to, round, &volumes, too),
+                    _ => {
+                        self.fronts[usize::from(from)].answered(self.now, to, round, &volumes, too)
+                    }
                 }
             }
             // One of the set dies, and later another takes its place.
@@ -95,7 +106,10 @@
             }
             let factors = self.fronts[usize::from(front)].factors(&absent, &present, RESERVE);
             let rest = if self.rash { 1.0 } else { RESERVE };
-            factors.iter().find(|(v, _)| *v == VOLUME).map_or(rest, |(_, f)| *f)
+            factors
+                .iter()
+                .find(|(v, _)| *v == VOLUME)
+                .map_or(rest, |(_, f)| *f)
         };
         let using = self.set.iter().filter(|f| self.lives(**f));
         using.map(|f| of(*f)).sum::<f64>() / self.hosts
@@ -122,10 +136,16 @@
         assert!(*most <= 1.0 + 1e-9, "seed {seed}: {most}");
     }
     let whole = all.iter().filter(|m| **m > 0.99).count();
-    assert!(whole > 300, "the whole is reached often enough to mean something: {whole}");
+    assert!(
+        whole > 300,
+        "the whole is reached often enough to mean something: {whole}"
+    );
 }
 
 #[test]
 fn without_waiting_for_answers_it_does() {
-    assert!((0..200).any(|seed| worst(seed, true) > 1.05), "the planted fault shows");
+    assert!(
+        (0..200).any(|seed| worst(seed, true) > 1.05),
+        "the planted fault shows"
+    );
 }
--- a/crates/membership/tests/swim.rs
+++ b/crates/membership/tests/swim.rs
@@ -4,7 +4,11 @@
 use lupinrack_membership::swim::{News, Out, Pace, State, Swim};
 
 const N: usize = 5;
-const PACE: Pace = Pace { period: 200_000, patience: 100_000, suspicion: 800_000 };
+const PACE: Pace = Pace {
+    period: 200_000,
+    patience: 100_000,
+    suspicion: 800_000,
+};
 
 /// Left and dead weigh the same: gone.
 fn gravity(state: State) -> u8 {
@@ -35,7 +39,11 @@
                 by: dice.u16(0..N as u16),
             })
             .collect();
-        let naive = news.iter().map(|n| (n.life, n.inc, gravity(n.state))).max().unwrap();
+        let naive = news
+            .iter()
+            .map(|n| (n.life, n.inc, gravity(n.state)))
+            .max()
+            .unwrap();
         for _ in 0..3 {
             dice.shuffle(&mut news);
             let mut swim = Swim::new(0, 9, N, PACE, seed, 0);
@@ -57,7 +65,12 @@
     for now in (0..150_000_000).step_by(25_000) {
         let (mut out, mut changes) = (Vec::new(), Vec::new());
         swim.tick(now, &mut out, &mut changes);
-        dead.extend(changes.iter().filter(|c| c.to == State::Dead).map(|c| usize::from(c.of)));
+        dead.extend(
+            changes
+                .iter()
+                .filter(|c| c.to == State::Dead)
+                .map(|c| usize::from(c.of)),
+        );
         for o in out {
             let Out::Ping(to, nonce) = o else { continue };
             let to = usize::from(to);
@@ -66,7 +79,9 @@
             }
             // It hears whether it is suspected, and refutes that in its answer.
             let told = swim.news(to as u16, 8);
-            if told.iter().any(|n| usize::from(n.of) == to && n.state == State::Suspect && n.inc >= incs[to])
+            if told
+                .iter()
+                .any(|n| usize::from(n.of) == to && n.state == State::Suspect && n.inc >= incs[to])
             {
                 incs[to] += 1;
             }
@@ -89,7 +104,10 @@
         let silent: Vec<usize> = (1..N).filter(|of| !answers[*of]).collect();
         let mut found = dead.clone();
         found.sort_unstable();
-        assert_eq!(found, silent, "seed {seed}: each silent one once, and nobody else");
+        assert_eq!(
+            found, silent,
+            "seed {seed}: each silent one once, and nobody else"
+        );
         assert!(present.iter().all(|of| answers[*of]), "seed {seed}");
     }
 }
--- a/crates/membership/tests/wire.rs
+++ b/crates/membership/tests/wire.rs
@@ -7,12 +7,22 @@
 use std::collections::HashSet;
 
 fn keys(sign: u8, also: Option<u8>) -> Keys {
-    Keys { sign: Some([sign; 32]), also: also.map(|k| [k; 32]) }
+    Keys {
+        sign: Some([sign; 32]),
+        also: also.map(|k| [k; 32]),
+    }
 }
 
 fn number(dice: &mut fastrand::Rng, n: u16) -> Number {
-    let ballot = Ballot { round: dice.u32(1..9), leader: dice.u16(0..n), life: dice.u64(1..) };
-    Number { ballot, n: dice.u32(1..) }
+    let ballot = Ballot {
+        round: dice.u32(1..9),
+        leader: dice.u16(0..n),
+        life: dice.u64(1..),
+    };
+    Number {
+        ballot,
+        n: dice.u32(1..),
+    }
 }
 
 fn bits(dice: &mut fastrand::Rng, n: u16) -> Bits {
@@ -21,11 +31,25 @@
 
 fn told(dice: &mut fastrand::Rng, n: u16) -> Told {
     let at = number(dice, n);
-    let mut word = Word { promised: at.ballot, number: at, ..Word::default() };
+    let mut word = Word {
+        promised: at.ballot,
+        number: at,
+        ..Word::default()
+    };
     let prev = Number { n: at.n - 1, ..at };
-    word.view = dice.bool().then(|| View { number: at, prev, members: bits(dice, n) });
-    word.promises = dice.bool().then(|| Promises { by: bits(dice, n), best: number(dice, n) });
-    word.round = dice.bool().then(|| Round { k: dice.u32(..), by: bits(dice, n) });
+    word.view = dice.bool().then(|| View {
+        number: at,
+        prev,
+        members: bits(dice, n),
+    });
+    word.promises = dice.bool().then(|| Promises {
+        by: bits(dice, n),
+        best: number(dice, n),
+    });
+    word.round = dice.bool().then(|| Round {
+        k: dice.u32(..),
+        by: bits(dice, n),
+    });
     let states = [State::Alive, State::Suspect, State::Dead, State::Left];
     let leads = dice.bool();
     let news = (0..dice.usize(0..6)).map(|_| News {
@@ -35,11 +59,17 @@
         inc: dice.u16(..),
         by: dice.u16(0..n),
     });
-    Told { word, leads, news: news.collect() }
+    Told {
+        word,
+        leads,
+        news: news.collect(),
+    }
 }
 
 fn volumes(dice: &mut fastrand::Rng) -> Vec<u64> {
-    (0..dice.usize(0..=VOLUMES_MOST)).map(|_| dice.u64(..)).collect()
+    (0..dice.usize(0..=VOLUMES_MOST))
+        .map(|_| dice.u64(..))
+        .collect()
 }
 
 fn datagram(dice: &mut fastrand::Rng, n: u16) -> Datagram {
@@ -89,12 +119,23 @@
     for n in [2u16, 3, 5, 9, 64, 300, 1000, 1024] {
         for _ in 0..2_000 {
             let d = datagram(&mut dice, n);
-            let keys = if dice.bool() { keys(1, None) } else { Keys::default() };
+            let keys = if dice.bool() {
+                keys(1, None)
+            } else {
+                Keys::default()
+            };
             let bytes = d.write(usize::from(n), &keys);
             assert!(bytes.len() <= LONGEST, "{n}: {}", bytes.len());
-            let read = Datagram::read(&bytes, usize::from(n), &keys).unwrap_or_else(|e| panic!("{e}: {d:?}"));
+            let read = Datagram::read(&bytes, usize::from(n), &keys)
+                .unwrap_or_else(|e| panic!("{e}: {d:?}"));
             assert!(part(&d.body, &read.body), "{d:?}\n{read:?}");
-            assert_eq!(Datagram { body: d.body.clone(), ..read }, d);
+            assert_eq!(
+                Datagram {
+                    body: d.body.clone(),
+                    ..read
+                },
+                d
+            );
         }
     }
 }
@@ -123,7 +164,10 @@
         let mut bytes: Vec<u8> = (0..dice.usize(0..252)).map(|_| dice.u8(..)).collect();
         if bytes.len() > 4 && dice.bool() {
             bytes[..4].copy_from_slice(&[0x6c, 3, 0, 0]);
-            bytes.get_mut(30..32).into_iter().for_each(|b| b.copy_from_slice(&[dice.u8(0..10), 0]));
+            bytes
+                .get_mut(30..32)
+                .into_iter()
+                .for_each(|b| b.copy_from_slice(&[dice.u8(0..10), 0]));
         }
         bytes.extend(crc32fast::hash(&bytes).to_le_bytes());
         if let Ok(read) = Datagram::read(&bytes, n, &Keys::default()) {
@@ -137,7 +181,12 @@
     let mut dice = fastrand::Rng::with_seed(3);
     let d = datagram(&mut dice, 5);
     let takes = |signed: &Keys, by: &Keys| Datagram::read(&d.write(5, signed), 5, by).map(|_| ());
-    let (old, both, new, only) = (keys(1, None), keys(1, Some(2)), keys(2, Some(1)), keys(2, None));
+    let (old, both, new, only) = (
+        keys(1, None),
+        keys(1, Some(2)),
+        keys(2, Some(1)),
+        keys(2, None),
+    );
     for (a, b) in [(&old, &both), (&both, &new), (&new, &only)] {
         assert_eq!((takes(a, b), takes(b, a)), (Ok(()), Ok(())));
     }
--- a/crates/overload-drill/src/lib.rs
+++ b/crates/overload-drill/src/lib.rs
@@ -38,7 +38,8 @@
 pub const CASES: &[Case] = &[
     Case {
         name: "hung",
-        shows: "a node hangs (of 20 s, for 12); how often it is tried, and how soon it is used again",
+        shows:
+            "a node hangs (of 20 s, for 12); how often it is tried, and how soon it is used again",
         script: hung,
     },
     Case {
@@ -46,7 +47,11 @@
         shows: "the same, and a third of the fronts is killed while it hangs",
         script: hung_deaths,
     },
-    Case { name: "hung-cut", shows: "the same, and one front hears nobody meanwhile", script: hung_cut },
+    Case {
+        name: "hung-cut",
+        shows: "the same, and one front hears nobody meanwhile",
+        script: hung_cut,
+    },
 ];
 
 /// The script of this name.
@@ -77,7 +82,14 @@
     let mut script = hung(fronts, seed, seconds);
     script.name = "hung-cut".into();
     let heals = (script.seconds * 1000.0) as u64 - AFTER_MS - 1_000;
-    script.at(4_000, Act::Split { groups: vec![vec![0], (1..fronts).collect()] }).at(heals, Act::Heal)
+    script
+        .at(
+            4_000,
+            Act::Split {
+                groups: vec![vec![0], (1..fronts).collect()],
+            },
+        )
+        .at(heals, Act::Heal)
 }
 
 /// What came of a script.
@@ -128,21 +140,38 @@
         let mut broken = Vec::new();
         let at = |on: bool| {
             let hang = |(_, act): &&(u64, Act)| *act == Act::Hang { node: 0, on };
-            witness.deeds.iter().find(hang).map_or(witness.span.end, |(at, _)| *at)
+            witness
+                .deeds
+                .iter()
+                .find(hang)
+                .map_or(witness.span.end, |(at, _)| *at)
         };
         let (from, to) = (at(true), at(false));
         let node = |s: &&Seen| s.node == 0;
-        let hung: Vec<u64> =
-            witness.seen.iter().filter(node).map(|s| s.at).filter(|t| (from..to).contains(t)).collect();
+        let hung: Vec<u64> = witness
+            .seen
+            .iter()
+            .filter(node)
+            .map(|s| s.at)
+            .filter(|t| (from..to).contains(t))
+            .collect();
         let known = from + FOUND_OUT_MS * 1000;
         let trials: Vec<u64> = hung.iter().copied().filter(|t| *t >= known).collect();
         let seconds = to.saturating_sub(known).max(1) as f64 / 1e6;
-        let trials_over = if alone { 0 } else { over(&trials, f64::from(script.fronts)) };
+        let trials_over = if alone {
+            0
+        } else {
+            over(&trials, f64::from(script.fronts))
+        };
         if trials_over > 0 {
             broken.push(format!("{trials_over} trials above the fleet's budget"));
         }
         let well = Wellness::new(script, &witness.deeds);
-        let served = witness.done.iter().filter(|(_, c)| *c == Came::Served).count();
+        let served = witness
+            .done
+            .iter()
+            .filter(|(_, c)| *c == Came::Served)
+            .count();
         Figures {
             script: script.name.clone(),
             seed: script.seed,
@@ -179,14 +208,24 @@
 }
 
 fn recovery(witness: &Witness, from: u64, to: u64) -> Option<f64> {
-    let ran: Vec<u64> = witness.seen.iter().filter(|s| s.node == 0 && s.ran).map(|s| s.at).collect();
-    let before = ran.iter().filter(|t| (witness.span.start..from).contains(t)).count() as f64;
+    let ran: Vec<u64> = witness
+        .seen
+        .iter()
+        .filter(|s| s.node == 0 && s.ran)
+        .map(|s| s.at)
+        .collect();
+    let before = ran
+        .iter()
+        .filter(|t| (witness.span.start..from).contains(t))
+        .count() as f64;
     let per_s = before / (from.saturating_sub(witness.span.start).max(1) as f64 / 1e6);
     // A second in which at least half of that many came.
     let after: Vec<u64> = ran.into_iter().filter(|t| *t >= to).collect();
     let need = (per_s / 2.0).ceil().max(1.0) as usize;
-    let back =
-        after.iter().enumerate().find(|(i, t)| after.get(i + need - 1).is_some_and(|l| l - *t <= 1_000_000));
+    let back = after
+        .iter()
+        .enumerate()
+        .find(|(i, t)| after.get(i + need - 1).is_some_and(|l| l - *t <= 1_000_000));
     back.map(|(_, t)| (t - to) as f64 / 1000.0)
 }
 
@@ -202,7 +241,10 @@
 pub async fn play(plan: Plan) -> Result<Played, RigError> {
     let script = plan.script.clone();
     let played = rig::play(plan).await?;
-    Ok(Played { figures: Figures::of(&script, &played.witness), history: played.history })
+    Ok(Played {
+        figures: Figures::of(&script, &played.witness),
+        history: played.history,
+    })
 }
 
 #[cfg(test)]
--- a/crates/overload-net/src/lib.rs
+++ b/crates/overload-net/src/lib.rs
@@ -18,7 +18,10 @@
 
 fn hash(name: &str) -> NodeHash {
     let bytes = blake3::hash(name.as_bytes());
-    bytes.as_bytes().first_chunk().map_or(0, |b| NodeHash::from_le_bytes(*b))
+    bytes
+        .as_bytes()
+        .first_chunk()
+        .map_or(0, |b| NodeHash::from_le_bytes(*b))
 }
 
 /// Runs for as long as the core and the fleet's driver do.
--- a/crates/overload/src/config.rs
+++ b/crates/overload/src/config.rs
@@ -31,7 +31,9 @@
 impl Section {
     /// What is wrong between the files of one fleet, each with the place of its file and the path below the section.
     pub fn across(files: &[&Section]) -> Vec<(usize, String, String)> {
-        let Some((first, rest)) = files.split_first() else { return Vec::new() };
+        let Some((first, rest)) = files.split_first() else {
+            return Vec::new();
+        };
         let mut faults = Vec::new();
         for (i, other) in rest.iter().enumerate().map(|(i, s)| (i + 1, s)) {
             if other.enabled != first.enabled {
@@ -51,6 +53,9 @@
 
 impl Default for Section {
     fn default() -> Self {
-        Section { enabled: false, trials_per_s: 4.0 }
+        Section {
+            enabled: false,
+            trials_per_s: 4.0,
+        }
     }
 }
--- a/crates/overload/src/trials.rs
+++ b/crates/overload/src/trials.rs
@@ -112,7 +112,11 @@
     /// The whole of one node's trials. A trial is one unit, and a front that has its reserve alone is to gather one in time.
     fn whole(&self, standing: &Standing) -> Whole {
         let least = standing.share.reserve.max(0.01);
-        Whole { per_s: self.per_s, burst: f64::from(standing.fronts) / least, fronts: standing.fronts }
+        Whole {
+            per_s: self.per_s,
+            burst: f64::from(standing.fronts) / least,
+            fronts: standing.fronts,
+        }
     }
 
     /// Takes the nodes that do not answer here now, and those that said something since the last step, and carries on: grants what is
@@ -125,7 +129,12 @@
         standing: &Standing,
         out: &mut Vec<Act>,
     ) {
-        let over: Vec<NodeHash> = self.silent.keys().filter(|n| !silent.contains(n)).copied().collect();
+        let over: Vec<NodeHash> = self
+            .silent
+            .keys()
+            .filter(|n| !silent.contains(n))
+            .copied()
+            .collect();
         for node in over {
             self.silent.remove(&node);
             // What was heard from another is not news, nor that a node has left the list or starts anew.
@@ -133,7 +142,13 @@
             if news && self.telling.len() < TELLING_MOST {
                 self.counts.told += 1;
                 let to = others(standing);
-                self.telling.push_back(Telling { node, seen: now, to, rounds: ROUNDS, at: now });
+                self.telling.push_back(Telling {
+                    node,
+                    seen: now,
+                    to,
+                    rounds: ROUNDS,
+                    at: now,
+                });
             }
         }
         let whole = self.whole(standing);
@@ -149,7 +164,11 @@
             if s.purse.draw(now, &standing.share, 1.0) {
                 self.counts.granted += 1;
                 // What a lease gave is used while it lasts, or not at all.
-                let until = if now < standing.share.until { standing.share.until } else { Micros::MAX };
+                let until = if now < standing.share.until {
+                    standing.share.until
+                } else {
+                    Micros::MAX
+                };
                 out.push(Act::Grant(*node, until.min(now + GRANT)));
             }
         }
@@ -159,17 +178,33 @@
     }
 
     fn tell(&mut self, now: Micros, standing: &Standing, out: &mut Vec<Act>) {
-        self.telling.retain(|t| now - t.seen < OLD && (t.rounds > 1 || !t.to.is_empty()));
-        for t in self.telling.iter_mut().filter(|t| t.to.is_empty() && now - t.at >= ROUND) {
+        self.telling
+            .retain(|t| now - t.seen < OLD && (t.rounds > 1 || !t.to.is_empty()));
+        for t in self
+            .telling
+            .iter_mut()
+            .filter(|t| t.to.is_empty() && now - t.at >= ROUND)
+        {
             (t.to, t.rounds, t.at) = (others(standing), t.rounds - 1, now);
         }
         for _ in 0..FAN {
-            let Some(to) = self.telling.iter().find_map(|t| t.to.iter().next()) else { return };
+            let Some(to) = self.telling.iter().find_map(|t| t.to.iter().next()) else {
+                return;
+            };
             let mut w = Writer(vec![1, 0]);
-            for t in self.telling.iter_mut().filter(|t| t.to.has(to)).take(TOLD_MOST) {
+            for t in self
+                .telling
+                .iter_mut()
+                .filter(|t| t.to.has(to))
+                .take(TOLD_MOST)
+            {
                 t.to.remove(to);
                 w.put(t.node.to_le_bytes());
-                w.put(u32::try_from((now - t.seen) / 1000).unwrap_or(u32::MAX).to_le_bytes());
+                w.put(
+                    u32::try_from((now - t.seen) / 1000)
+                        .unwrap_or(u32::MAX)
+                        .to_le_bytes(),
+                );
                 w.0[1] += 1;
             }
             out.push(Act::Say(to, w.0));
@@ -179,20 +214,41 @@
     /// Takes what another front's machine says.
     pub fn hear(&mut self, now: Micros, from: u16, bytes: &[u8], out: &mut Vec<Act>) {
         let mut r = Reader(bytes);
-        let (Some(1), Some(count)) = (r.u8(), r.u8()) else { return };
+        let (Some(1), Some(count)) = (r.u8(), r.u8()) else {
+            return;
+        };
         for _ in 0..usize::from(count).min(TOLD_MOST) {
-            let (Some(node), Some(age)) = (r.u64(), r.u32()) else { return };
+            let (Some(node), Some(age)) = (r.u64(), r.u32()) else {
+                return;
+            };
             self.answers(now, from, node, now - Micros::from(age) * 1000, out);
         }
     }
 
-    fn answers(&mut self, now: Micros, from: u16, node: NodeHash, seen: Micros, out: &mut Vec<Act>) {
-        let silent = self.silent.get(&node).is_some_and(|s| s.since <= seen && now - seen < OLD);
-        let doubted = self.doubts.get(&(from, node)).is_some_and(|(until, _)| now < *until);
-        if !silent || doubted || self.heard.contains_key(&node) || self.doubts.len() >= DOUBTS_MOST {
+    fn answers(
+        &mut self,
+        now: Micros,
+        from: u16,
+        node: NodeHash,
+        seen: Micros,
+        out: &mut Vec<Act>,
+    ) {
+        let silent = self
+            .silent
+            .get(&node)
+            .is_some_and(|s| s.since <= seen && now - seen < OLD);
+        let doubted = self
+            .doubts
+            .get(&(from, node))
+            .is_some_and(|(until, _)| now < *until);
+        if !silent || doubted || self.heard.contains_key(&node) || self.doubts.len() >= DOUBTS_MOST
+        {
             return self.counts.passed_over += 1;
         }
-        let wait = self.doubts.get(&(from, node)).map_or(DOUBT_FIRST, |(_, wait)| (wait * 2).min(DOUBT_LAST));
+        let wait = self
+            .doubts
+            .get(&(from, node))
+            .map_or(DOUBT_FIRST, |(_, wait)| (wait * 2).min(DOUBT_LAST));
         self.doubts.insert((from, node), (now + wait, wait));
         self.heard.insert(node, now);
         self.counts.believed += 1;
--- a/crates/overload/tests/trials.rs
+++ b/crates/overload/tests/trials.rs
@@ -20,7 +20,11 @@
         view: Number::default(),
         members: Bits::first(usize::from(fronts)),
         there: Bits::first(usize::from(fronts)),
-        share: Share { until: if held > 0.15 { now + 2_000_000 } else { 0 }, held, reserve: 0.15 },
+        share: Share {
+            until: if held > 0.15 { now + 2_000_000 } else { 0 },
+            held,
+            reserve: 0.15,
+        },
         leads: me == 0,
     }
 }
@@ -28,7 +32,9 @@
 /// A fleet whose fronts all hold a node for silent, those cut off with their reserve; grants within `seconds`, by front, and
 /// `gone` of them dead with what they had at the others.
 fn granted(fronts: u16, cut: u16, gone: u16, seconds: i64) -> Vec<u64> {
-    let mut all: Vec<Trials> = (0..fronts).map(|_| Trials::new(&Section::default())).collect();
+    let mut all: Vec<Trials> = (0..fronts)
+        .map(|_| Trials::new(&Section::default()))
+        .collect();
     let mut counts = vec![0; usize::from(fronts)];
     let held = 1.0 + f64::from(gone) * 0.85 / f64::from(fronts - gone);
     for step in 0..seconds * 1_000_000 / STEP {
@@ -36,8 +42,17 @@
         for me in gone..fronts {
             let held = if me < gone + cut { 0.15 } else { held };
             let mut out = Vec::new();
-            all[usize::from(me)].step(now, &[NODE], &[], &standing(me, fronts, held, now), &mut out);
-            counts[usize::from(me)] += out.iter().filter(|a| matches!(a, Act::Grant(NODE, _))).count() as u64;
+            all[usize::from(me)].step(
+                now,
+                &[NODE],
+                &[],
+                &standing(me, fronts, held, now),
+                &mut out,
+            );
+            counts[usize::from(me)] += out
+                .iter()
+                .filter(|a| matches!(a, Act::Grant(NODE, _)))
+                .count() as u64;
         }
     }
     counts
@@ -59,10 +74,16 @@
 fn the_living_take_over_what_dead_fronts_had_and_who_is_cut_off_has_its_reserve() {
     let budget = Section::default().trials_per_s * 60.0;
     let dead = granted(5, 0, 2, 60).iter().sum::<u64>() as f64;
-    assert!(dead <= budget && dead > budget * 0.9, "{dead} of {budget}: only the reserves of two stay idle");
+    assert!(
+        dead <= budget && dead > budget * 0.9,
+        "{dead} of {budget}: only the reserves of two stay idle"
+    );
     let cut = granted(5, 2, 0, 60);
     let own = budget / 5.0 * 0.15;
-    assert!(cut[..2].iter().all(|c| (1..=own as u64 + 1).contains(c)), "{cut:?}: their own small pace");
+    assert!(
+        cut[..2].iter().all(|c| (1..=own as u64 + 1).contains(c)),
+        "{cut:?}: their own small pace"
+    );
 }
 
 /// One front of `n` sees an answer; how many others use the node again, over a network that loses `loss`.
@@ -101,7 +122,10 @@
 fn what_one_sees_answer_all_use_again_and_nobody_tells_it_on() {
     assert_eq!(learn(16, 0.0, 1), (15, 45));
     let (back, datagrams) = learn(64, 0.1, 2);
-    assert!(back >= 62 && datagrams <= 63 * 3, "{back} of 63, {datagrams} datagrams");
+    assert!(
+        back >= 62 && datagrams <= 63 * 3,
+        "{back} of 63, {datagrams} datagrams"
+    );
 }
 
 #[test]
@@ -121,14 +145,23 @@
         trials.hear(now, 3, &lie, &mut out);
         believed += out.len();
     }
-    assert!((1..=6).contains(&believed), "{believed} of 1,200 lies within a minute");
+    assert!(
+        (1..=6).contains(&believed),
+        "{believed} of 1,200 lies within a minute"
+    );
 }
 
 #[test]
 fn old_answers_and_nonsense_change_nothing() {
     let mut trials = Trials::new(&Section::default());
     let mut out = Vec::new();
-    trials.step(10_000_000, &[NODE], &[], &standing(0, 5, 1.0, 10_000_000), &mut out);
+    trials.step(
+        10_000_000,
+        &[NODE],
+        &[],
+        &standing(0, 5, 1.0, 10_000_000),
+        &mut out,
+    );
     let mut late = vec![1, 1];
     late.extend(NODE.to_le_bytes());
     late.extend(2_000u32.to_le_bytes());
@@ -148,8 +181,20 @@
     for (answered, told) in [(&[][..], false), (&[NODE][..], true)] {
         let mut trials = Trials::new(&Section::default());
         let mut out = Vec::new();
-        trials.step(10_000_000, &[NODE], &[], &standing(0, 5, 1.0, 10_000_000), &mut out);
-        trials.step(11_000_000, &[], answered, &standing(0, 5, 1.0, 11_000_000), &mut out);
+        trials.step(
+            10_000_000,
+            &[NODE],
+            &[],
+            &standing(0, 5, 1.0, 10_000_000),
+            &mut out,
+        );
+        trials.step(
+            11_000_000,
+            &[],
+            answered,
+            &standing(0, 5, 1.0, 11_000_000),
+            &mut out,
+        );
         assert_eq!(out.iter().any(|a| matches!(a, Act::Say(..))), told);
     }
 }
--- a/crates/platform/src/clock.rs
+++ b/crates/platform/src/clock.rs
@@ -14,8 +14,13 @@
 impl Epoch {
     /// Reads both clocks.
     pub fn fix(clock: &Clock) -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros();
-        Epoch { offset: clock.now() - Micros::try_from(unix).unwrap_or(0) }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_micros();
+        Epoch {
+            offset: clock.now() - Micros::try_from(unix).unwrap_or(0),
+        }
     }
 
     /// What leads from a reading to Unix time.
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -68,13 +68,18 @@
 
     /// How many descriptors connections to nodes may hold: what clients, the rsync front, the door and the program leave.
     pub fn nodes(&self, others: usize) -> usize {
-        self.sockets.saturating_sub(OWN + others + self.clients(others)).max(1)
+        self.sockets
+            .saturating_sub(OWN + others + self.clients(others))
+            .max(1)
     }
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { sockets: 1024, memory_mb: 192 }
+        Limits {
+            sockets: 1024,
+            memory_mb: 192,
+        }
     }
 }
 
@@ -103,8 +108,8 @@
 impl Config {
     /// Reads the file.
     pub fn load(path: &Path) -> Result<Config, ConfigError> {
-        let text =
-            std::fs::read_to_string(path).map_err(|e| ConfigError::Read(path.display().to_string(), e))?;
+        let text = std::fs::read_to_string(path)
+            .map_err(|e| ConfigError::Read(path.display().to_string(), e))?;
         Config::parse(&text)
     }
 
@@ -113,7 +118,9 @@
     pub fn with_environment(mut self) -> Result<Config, ConfigError> {
         if let Some(said) = std::env::var_os("LB_MANAGEMENT").filter(|v| !v.is_empty()) {
             let said = said.to_string_lossy();
-            let address = said.parse().map_err(|_| ConfigError::Address("LB_MANAGEMENT", said.into()))?;
+            let address = said
+                .parse()
+                .map_err(|_| ConfigError::Address("LB_MANAGEMENT", said.into()))?;
             self.management = Some(address);
         }
         Ok(self)
@@ -123,16 +130,18 @@
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let file: serde_json::Value = serde_json::from_str(text)?;
         let raw: Raw = serde_path_to_error::deserialize(&file)?;
-        for (path, limit) in
-            [("limits.sockets", raw.limits.sockets), ("limits.memory_mb", raw.limits.memory_mb)]
-        {
+        for (path, limit) in [
+            ("limits.sockets", raw.limits.sockets),
+            ("limits.memory_mb", raw.limits.memory_mb),
+        ] {
             if limit == 0 {
                 return Err(ConfigError::Limit(path));
             }
         }
         let told = settings::parse_json(&raw.settings).map_err(ConfigError::Settings)?;
-        let seed = u64::from_str_radix(&raw.seed, 16)
-            .map_err(|_| ConfigError::Settings(format!("seed '{}' is not hexadecimal", raw.seed)))?;
+        let seed = u64::from_str_radix(&raw.seed, 16).map_err(|_| {
+            ConfigError::Settings(format!("seed '{}' is not hexadecimal", raw.seed))
+        })?;
         Ok(Config {
             name: raw.name,
             listen: raw.listen,
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -96,7 +96,9 @@
         state: match (i.lifecycle, i.host_port) {
             (Lifecycle::Serving, Some(_)) => NodeState::Ready,
             // Known to be there, but not that it takes anything new.
-            (Lifecycle::Serving | Lifecycle::Draining | Lifecycle::Unknown, _) => NodeState::Draining,
+            (Lifecycle::Serving | Lifecycle::Draining | Lifecycle::Unknown, _) => {
+                NodeState::Draining
+            }
             (Lifecycle::Deleted, _) => NodeState::Gone,
         },
         zone: zone(&i.zone),
@@ -131,10 +133,15 @@
             .pool_timer(TokioTimer::new())
             .retry_canceled_requests(false)
             .build(connector);
-        let mut watching =
-            Watching::new(self.how.0, self.how.1, known.as_ref().map(|l| l.generation), self.seed);
+        let mut watching = Watching::new(
+            self.how.0,
+            self.how.1,
+            known.as_ref().map(|l| l.generation),
+            self.seed,
+        );
         if let Some(list) = known {
-            core.list(ListKind::Cached, listings(&list, &self.zones, &self.epoch)).await;
+            core.list(ListKind::Cached, listings(&list, &self.zones, &self.epoch))
+                .await;
         }
         loop {
             let call = watching.next_call();
@@ -152,12 +159,22 @@
             let before = watching.fails();
             match answer {
                 Ok(list) => {
-                    let (generation, whole, empty) = (list.generation, list.reset, list.instances.is_empty());
-                    match watching.answered(call, Head { generation, whole, empty }) {
+                    let (generation, whole, empty) =
+                        (list.generation, list.reset, list.instances.is_empty());
+                    match watching.answered(
+                        call,
+                        Head {
+                            generation,
+                            whole,
+                            empty,
+                        },
+                    ) {
                         Verdict::Whole => self.tell(&core, ListKind::Full, &list).await,
                         Verdict::Changes => self.tell(&core, ListKind::Delta, &list).await,
                         Verdict::Same => {}
-                        Verdict::Doubted => tracing::debug!("discovery: version {generation} is left aside"),
+                        Verdict::Doubted => {
+                            tracing::debug!("discovery: version {generation} is left aside")
+                        }
                     }
                 }
                 Err(why) => {
@@ -175,7 +192,8 @@
     }
 
     async fn tell(&self, core: &Handle, kind: ListKind, list: &List) {
-        core.list(kind, listings(list, &self.zones, &self.epoch)).await;
+        core.list(kind, listings(list, &self.zones, &self.epoch))
+            .await;
     }
 
     async fn call(
@@ -185,7 +203,9 @@
         call: Call,
     ) -> Result<List, CallError> {
         let hold = call.hold;
-        let query = call.from.map_or(String::new(), |g| format!("?from={g}&hold_ms={}", hold.as_millis()));
+        let query = call.from.map_or(String::new(), |g| {
+            format!("?from={g}&hold_ms={}", hold.as_millis())
+        });
         let uri = format!("http://{address}/registry/instances{query}");
         let request = http::Request::get(uri).body(Empty::new())?;
         let exchange = async {
@@ -193,9 +213,14 @@
             if answer.status() != http::StatusCode::OK {
                 return Err(CallError::Status(answer.status()));
             }
-            let body = Limited::new(answer.into_body(), LONGEST).collect().await.map_err(CallError::Body)?;
+            let body = Limited::new(answer.into_body(), LONGEST)
+                .collect()
+                .await
+                .map_err(CallError::Body)?;
             Ok(serde_json::from_slice(&body.to_bytes())?)
         };
-        tokio::time::timeout(call.patience, exchange).await.unwrap_or(Err(CallError::Late))
+        tokio::time::timeout(call.patience, exchange)
+            .await
+            .unwrap_or(Err(CallError::Late))
     }
 }
--- a/crates/platform/src/inherited.rs
+++ b/crates/platform/src/inherited.rs
@@ -27,10 +27,15 @@
 /// The inherited socket; none where the variable is not set. It closes with this process, and no other inherits it.
 /// To be called before there are threads: `listenfd` hears of the descriptor by variables of its own.
 pub fn listener(expected: SocketAddr) -> Result<Option<TcpListener>, InheritError> {
-    let Some(said) = std::env::var_os(VARIABLE) else { return Ok(None) };
+    let Some(said) = std::env::var_os(VARIABLE) else {
+        return Ok(None);
+    };
     let said = said.to_string_lossy().into_owned();
-    let number: i32 =
-        said.parse().ok().filter(|n| *n > 2).ok_or_else(|| InheritError::Number(said.clone()))?;
+    let number: i32 = said
+        .parse()
+        .ok()
+        .filter(|n| *n > 2)
+        .ok_or_else(|| InheritError::Number(said.clone()))?;
     std::env::remove_var("LISTEN_PID");
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_FDS_FIRST_FD", number.to_string());
--- a/crates/platform/src/reload.rs
+++ b/crates/platform/src/reload.rs
@@ -74,8 +74,16 @@
         if let Some(key) = shape::missing(&self.file, &config.file) {
             return Err(ReloadError::Missing(key));
         }
-        let told = self.told.borrow().followed_by(config.told).map_err(ReloadError::Settings)?;
-        Ok(Change { file: config.file, told, discovery: config.discovery })
+        let told = self
+            .told
+            .borrow()
+            .followed_by(config.told)
+            .map_err(ReloadError::Settings)?;
+        Ok(Change {
+            file: config.file,
+            told,
+            discovery: config.discovery,
+        })
     }
 
     /// Goes by the new file from here on. The core hears of it before any request taken under it.
@@ -84,7 +92,8 @@
         core.settings(change.told.for_module()).await;
         self.told.send_replace(Arc::new(change.told));
         self.file = change.file;
-        self.discovery.send_if_modified(|at| std::mem::replace(at, change.discovery) != change.discovery);
+        self.discovery
+            .send_if_modified(|at| std::mem::replace(at, change.discovery) != change.discovery);
     }
 }
 
--- a/crates/platform/src/shape.rs
+++ b/crates/platform/src/shape.rs
@@ -12,7 +12,13 @@
 }
 
 fn under(path: String, used: &Value, new: &Value) -> Option<String> {
-    let at = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+    let at = |name: &str| {
+        if path.is_empty() {
+            name.to_string()
+        } else {
+            format!("{path}.{name}")
+        }
+    };
     match (used, new) {
         (Value::Object(used), Value::Object(new)) => {
             used.iter().find_map(|(name, value)| match new.get(name) {
@@ -61,18 +67,31 @@
             missing(&used, &new)
         };
         assert_eq!(with(&|_| {}), None);
-        assert_eq!(with(&|v| v["known"] = json!({})), None, "any nodes, or none");
+        assert_eq!(
+            with(&|v| v["known"] = json!({})),
+            None,
+            "any nodes, or none"
+        );
         assert_eq!(with(&|v| v["more"] = json!(1)), None);
         assert_eq!(with(&|v| v["peers"] = json!(["z"])), None);
         let class = |c: Value| with(&move |v| v["settings"]["classes"][1] = c.clone());
         assert_eq!(class(json!({"name": "c", "deadline": 9.5})), None);
-        assert_eq!(class(json!({"name": "c"})).as_deref(), Some("settings.classes.1.deadline"));
+        assert_eq!(
+            class(json!({"name": "c"})).as_deref(),
+            Some("settings.classes.1.deadline")
+        );
         assert_eq!(
             class(json!({"name": "c", "deadline": "9"})).as_deref(),
             Some("settings.classes.1.deadline")
         );
-        assert_eq!(with(&|v| v["settings"]["tries"] = Value::Null).as_deref(), Some("settings.tries"));
-        assert_eq!(with(&|v| v["settings"]["classes"] = json!([])).as_deref(), Some("settings.classes"));
+        assert_eq!(
+            with(&|v| v["settings"]["tries"] = Value::Null).as_deref(),
+            Some("settings.tries")
+        );
+        assert_eq!(
+            with(&|v| v["settings"]["classes"] = json!([])).as_deref(),
+            Some("settings.classes")
+        );
         for key in ["discovery", "known", "peers", "settings"] {
             let gone = with(&|v| drop(v.as_object_mut().map(|o| o.remove(key))));
             assert_eq!(gone.as_deref(), Some(key));
--- a/crates/platform/src/watching.rs
+++ b/crates/platform/src/watching.rs
@@ -130,7 +130,9 @@
     /// agent on the front's own machine answers: calls cost nothing, and what the agent has counts as told.
     pub fn new(how: Discovery, fronts: u32, from: Option<u64>, seed: u64) -> Self {
         let fronts = if how == Discovery::Push { 1 } else { fronts };
-        let hold = HOLD.mul_f64((f64::from(fronts) / f64::from(SMALL_FLEET)).max(1.0)).min(HOLD_MOST);
+        let hold = HOLD
+            .mul_f64((f64::from(fronts) / f64::from(SMALL_FLEET)).max(1.0))
+            .min(HOLD_MOST);
         Watching {
             from,
             agent: how == Discovery::Push,
@@ -155,7 +157,9 @@
             Last::Silent | Last::Failed if self.agent => RETRY.mul_f64(dice),
             Last::Silent => REOPEN.mul_f64(dice),
             Last::Failed => {
-                let most = (RETRY + RETRY_EACH * self.beyond).mul_f64(self.stretch).min(WAIT_MOST);
+                let most = (RETRY + RETRY_EACH * self.beyond)
+                    .mul_f64(self.stretch)
+                    .min(WAIT_MOST);
                 // What came right after the last answer counts before long: the next call begins in time for it, and leaves time for
                 // one more. Once it is too late for that, discovery could not be reached, and the wait is the usual one.
                 let most = match (TOLD - ANSWER).saturating_sub(self.unheard) {
@@ -175,7 +179,12 @@
             Some(_) => (hold.mul_f64(spread), LATE),
             None => (Duration::ZERO, LATE_WHOLE),
         };
-        Call { after, from, hold, patience: hold + late }
+        Call {
+            after,
+            from,
+            hold,
+            patience: hold + late,
+        }
     }
 
     /// The call brought nothing, after so long. One that fell silent is made again at once; what says that it failed waits.
@@ -209,7 +218,11 @@
         }
         (self.fails, self.doubts, self.from) = (0, 0, Some(answer.generation));
         self.unheard = Duration::ZERO;
-        self.last = if whole || !answer.empty { Last::News } else { Last::Quiet };
+        self.last = if whole || !answer.empty {
+            Last::News
+        } else {
+            Last::Quiet
+        };
         self.stretch = (self.stretch * STRETCH_KEPT).max(1.0);
         match (whole, answer.empty) {
             (true, _) => Verdict::Whole,
--- a/crates/policy/src/brain.rs
+++ b/crates/policy/src/brain.rs
@@ -165,20 +165,49 @@
 impl Brain {
     /// A host at its start. The same settings, seed and events give the same actions.
     pub fn new(cfg: Settings, seed: u64) -> Self {
-        let rights = Rights { until: Micros::MAX, cold: 1.0, rest: 1.0, ..Rights::default() };
-        let mut brain = Brain { seed, part: 1.0, rights, ..Brain::default() };
+        let rights = Rights {
+            until: Micros::MAX,
+            cold: 1.0,
+            rest: 1.0,
+            ..Rights::default()
+        };
+        let mut brain = Brain {
+            seed,
+            part: 1.0,
+            rights,
+            ..Brain::default()
+        };
         brain.apply_settings(cfg);
         brain
     }
 
     /// Takes settings: at the start, and new ones later. What is open, tagged, spent and learnt stays.
     fn apply_settings(&mut self, cfg: Settings) {
-        self.weight_sum = cfg.plans.iter().map(|p| weight(p.weight)).sum::<f64>().max(1e-9);
+        self.weight_sum = cfg
+            .plans
+            .iter()
+            .map(|p| weight(p.weight))
+            .sum::<f64>()
+            .max(1e-9);
         self.longest_try.resize(cfg.classes.len(), 0);
-        self.least = cfg.classes.iter().map(|c| c.aim).filter(|a| *a > 0).min().unwrap_or(500_000) as f64;
-        (self.target, self.crowd) = (self.least * DEPTH_TARGET, (f64::from(cfg.hosts) / CROWD).max(1.0));
+        self.least = cfg
+            .classes
+            .iter()
+            .map(|c| c.aim)
+            .filter(|a| *a > 0)
+            .min()
+            .unwrap_or(500_000) as f64;
+        (self.target, self.crowd) = (
+            self.least * DEPTH_TARGET,
+            (f64::from(cfg.hosts) / CROWD).max(1.0),
+        );
         let price = cfg.plans.iter().map(|p| p.price).fold(0.0, f64::max);
-        self.best = weight(cfg.classes.iter().map(|c| c.worth * price).fold(0.0, f64::max));
+        self.best = weight(
+            cfg.classes
+                .iter()
+                .map(|c| c.worth * price)
+                .fold(0.0, f64::max),
+        );
         self.cfg = cfg;
     }
 
@@ -216,7 +245,9 @@
             Event::Rights(rights) => {
                 // What was due until now is due by the old ones; nothing, where they ended meanwhile.
                 let held = if now < self.rights.until { 1.0 } else { 0.0 };
-                self.volumes.values_mut().for_each(|v| v.tokens.fill(now, v.rate * held, v.most));
+                self.volumes
+                    .values_mut()
+                    .for_each(|v| v.tokens.fill(now, v.rate * held, v.most));
                 self.begun = self.begun.filter(|_| held > 0.0).or(Some(now));
                 self.rights = *rights;
             }
@@ -229,7 +260,9 @@
             Event::Moved { request, shard } => self.on_moved(now, request, shard, out),
             Event::Began { request, attempt } => self.on_began(now, request, attempt, out),
             Event::More { request, units } => {
-                self.open.entry(request).and_modify(|o| o.more = Some(units.max(0.0)));
+                self.open
+                    .entry(request)
+                    .and_modify(|o| o.more = Some(units.max(0.0)));
                 self.awaiting_grant.insert(request);
             }
             Event::Answer(a) => self.on_answer(now, a, out),
@@ -250,7 +283,10 @@
         if now - self.swept_at > IDLE_AGE {
             self.sweep(now);
         }
-        self.awaiting_grant.clone().into_iter().for_each(|id| self.grant(now, id, out));
+        self.awaiting_grant
+            .clone()
+            .into_iter()
+            .for_each(|id| self.grant(now, id, out));
         for id in self.nodes.keys().copied().collect::<Vec<_>>() {
             self.adapt_depth(now, id);
             self.release(now, id, out);
@@ -267,25 +303,35 @@
         } else if self.nodes.values().any(|n| !n.out.is_empty()) {
             sooner(now + DEPTH_EVERY);
         }
-        let Some(at) = next.map(|t| t.max(now + self.cfg.tick.max(1))) else { return };
+        let Some(at) = next.map(|t| t.max(now + self.cfg.tick.max(1))) else {
+            return;
+        };
         if self.wake_at.is_none_or(|w| at < w || w <= now) {
             self.token = self.token.wrapping_add(1);
             self.wake_at = Some(at);
-            out.push(Action::Wake { at, token: self.token });
+            out.push(Action::Wake {
+                at,
+                token: self.token,
+            });
         }
     }
 
     fn sweep(&mut self, now: Micros) {
         (self.swept_at, self.served_since, self.served) =
             (now, now - (now - self.served_since) / 2, self.served / 2.0);
-        self.nodes.values_mut().for_each(|n| n.flows.retain(|_, f| now - f.last < IDLE_AGE));
+        self.nodes
+            .values_mut()
+            .for_each(|n| n.flows.retain(|_, f| now - f.last < IDLE_AGE));
         // A volume with a limit stays until its bucket is full: forgotten sooner, it would be filled.
         let full = |v: &Volume| (v.most / v.rate.max(1e-9) * 1e6) as Micros;
-        self.volumes.retain(|_, v| now - v.last < full(v).max(IDLE_AGE));
+        self.volumes
+            .retain(|_, v| now - v.last < full(v).max(IDLE_AGE));
         let keys: Vec<Key> = self.key_queues.keys().copied().collect();
         keys.into_iter().for_each(|key| _ = self.drop_ended(key));
-        self.key_queues.retain(|_, queue| !queue.ids.is_empty() || queue.rest_until > now);
-        self.nodes.retain(|_, n| !n.gone || !n.out.is_empty() || !n.queue.is_empty());
+        self.key_queues
+            .retain(|_, queue| !queue.ids.is_empty() || queue.rest_until > now);
+        self.nodes
+            .retain(|_, n| !n.gone || !n.out.is_empty() || !n.queue.is_empty());
     }
 }
 
@@ -296,8 +342,12 @@
 /// Does this node drop the repeat of what the anchor's node may have run?
 fn same_group(effect: Effect, a: Anchor, n: &Node) -> bool {
     match effect {
-        Effect::Keyed { group: Group::Zone, .. } => a.zone == n.zone,
-        Effect::Keyed { group: Group::Cell, .. } => a.shard == n.shard,
+        Effect::Keyed {
+            group: Group::Zone, ..
+        } => a.zone == n.zone,
+        Effect::Keyed {
+            group: Group::Cell, ..
+        } => a.shard == n.shard,
         Effect::Unsafe => false,
         _ => true,
     }
--- a/crates/policy/src/brain/attempts.rs
+++ b/crates/policy/src/brain/attempts.rs
@@ -16,7 +16,9 @@
         if self.open.contains_key(&id) {
             return;
         }
-        let queue = self.ordered_key(&req).map(|key| self.key_queues.entry(key).or_default());
+        let queue = self
+            .ordered_key(&req)
+            .map(|key| self.key_queues.entry(key).or_default());
         queue.into_iter().for_each(|q| q.ids.push_back(id));
         self.seq += 1;
         let aim_at = self.aim_at(now, &req);
@@ -24,18 +26,32 @@
         let half = now + ((req.give_up - now) as f64 * UNSENT_PART) as Micros;
         let end = half.max(aim_at).min(self.last_end(&req));
         let (seq, most) = (self.seq, self.cfg.most_tries);
-        self.open.insert(id, Open { req, seq, most, aim_at, end, value, ..Open::default() });
+        self.open.insert(
+            id,
+            Open {
+                req,
+                seq,
+                most,
+                aim_at,
+                end,
+                value,
+                ..Open::default()
+            },
+        );
         self.ends.insert((end, id));
         if let Some((have, rate)) = self.tokens(now, &req) {
             let v = self.volumes.entry(volume).or_default();
-            let wait = ((v.waiting + units - have) / rate.max(1e-9) * 1e6).clamp(0.0, 1e12) as Micros;
+            let wait =
+                ((v.waiting + units - have) / rate.max(1e-9) * 1e6).clamp(0.0, 1e12) as Micros;
             v.waiting += units;
             if now + wait > aim_at {
                 return self.finish(id, Some(wait), out);
             }
         }
         self.place(now, id);
-        let Some(home) = self.open.get(&id).and_then(|o| o.home) else { return };
+        let Some(home) = self.open.get(&id).and_then(|o| o.home) else {
+            return;
+        };
         self.release(now, home, out);
         self.shed(now, home, out);
     }
@@ -46,29 +62,55 @@
 
     /// When the aim ends. A client's repeat has less time left: its aim ran from the first try.
     fn aim_at(&mut self, now: Micros, req: &Request) -> Micros {
-        let Some(class) = self.cfg.classes.get(req.class as usize) else { return req.give_up };
+        let Some(class) = self.cfg.classes.get(req.class as usize) else {
+            return req.give_up;
+        };
         let left = req.give_up - now;
         let longest = &mut self.longest_try[req.class as usize];
         *longest = left.max(*longest);
         // Much less time than that is an impatient client, not a repeat: its aim is to be answered at all.
-        let gone = if left * 2 < *longest { 0 } else { *longest - left };
+        let gone = if left * 2 < *longest {
+            0
+        } else {
+            *longest - left
+        };
         (now + class.aim - gone).min(req.give_up)
     }
 
     pub(super) fn on_answer(&mut self, now: Micros, a: Answer, out: &mut Actions) {
-        let Some((node, key)) = self.attempts.remove(&(a.request, a.attempt)) else { return };
-        self.nodes.entry(node).and_modify(|n| n.out.retain(|k, _| *k != (a.request, a.attempt)));
-        let doubt = |_: &Key| matches!(a.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
+        let Some((node, key)) = self.attempts.remove(&(a.request, a.attempt)) else {
+            return;
+        };
+        self.nodes
+            .entry(node)
+            .and_modify(|n| n.out.retain(|k, _| *k != (a.request, a.attempt)));
+        let doubt = |_: &Key| {
+            matches!(
+                a.outcome,
+                Outcome::Timeout | Outcome::Reset | Outcome::Cancelled
+            )
+        };
         let queue = key.filter(doubt).and_then(|k| self.key_queues.get_mut(&k));
-        queue.into_iter().for_each(|q| q.rest_until = q.rest_until.max(now + self.cfg.settle));
+        queue
+            .into_iter()
+            .for_each(|q| q.rest_until = q.rest_until.max(now + self.cfg.settle));
         // A transfer lasts as long as its bytes and its client's pace: only a break tells of the node.
         let begun = self.open.get(&a.request).is_some_and(|o| o.began);
         if !begun || !matches!(a.outcome, Outcome::Ok | Outcome::Timeout) {
             self.record_outcome(now, a.node, a.outcome, a.waited, out);
         }
-        let cold = self.nodes.get(&node).is_some_and(|n| self.cold_age(now, n).is_some());
-        let Some(o) = self.open.get_mut(&a.request) else { return };
-        self.served += if cold || a.outcome != Outcome::Ok { 0.0 } else { o.req.units };
+        let cold = self
+            .nodes
+            .get(&node)
+            .is_some_and(|n| self.cold_age(now, n).is_some());
+        let Some(o) = self.open.get_mut(&a.request) else {
+            return;
+        };
+        self.served += if cold || a.outcome != Outcome::Ok {
+            0.0
+        } else {
+            o.req.units
+        };
         o.live = o.live.saturating_sub(1);
         match a.outcome {
             Outcome::Moved => o.req.astray = true,
@@ -85,12 +127,26 @@
     }
 
     /// A transfer has begun: the time to its first bytes is the node's latency, and it holds no slot of D.
-    pub(super) fn on_began(&mut self, now: Micros, request: RequestId, attempt: u16, out: &mut Actions) {
-        let Some(o) = self.open.get_mut(&request) else { return };
+    pub(super) fn on_began(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        attempt: u16,
+        out: &mut Actions,
+    ) {
+        let Some(o) = self.open.get_mut(&request) else {
+            return;
+        };
         o.began = true;
-        let Some((node, _)) = self.attempts.get(&(request, attempt)).copied() else { return };
-        let sent = self.nodes.get_mut(&node).and_then(|n| n.out.remove(&(request, attempt)));
-        sent.into_iter().for_each(|s| self.record_outcome(now, node, Outcome::Ok, now - s, out));
+        let Some((node, _)) = self.attempts.get(&(request, attempt)).copied() else {
+            return;
+        };
+        let sent = self
+            .nodes
+            .get_mut(&node)
+            .and_then(|n| n.out.remove(&(request, attempt)));
+        sent.into_iter()
+            .for_each(|s| self.record_outcome(now, node, Outcome::Ok, now - s, out));
     }
 
     /// After an attempt that did not serve the request: back to its place in the queue, or the end.
@@ -116,11 +172,18 @@
 
     /// The only place that gives a final answer: refused where the rules let it, else failed.
     pub(super) fn finish(&mut self, id: RequestId, wait: Option<Micros>, out: &mut Actions) {
-        let Some(o) = self.open.get(&id).filter(|o| !o.began || o.live == 0) else { return };
+        let Some(o) = self.open.get(&id).filter(|o| !o.began || o.live == 0) else {
+            return;
+        };
         if self.may_refuse(o) {
-            let hint = wait.unwrap_or(HINT_LEAST).clamp(HINT_LEAST, self.cfg.max_retry_after.max(HINT_LEAST));
+            let hint = wait
+                .unwrap_or(HINT_LEAST)
+                .clamp(HINT_LEAST, self.cfg.max_retry_after.max(HINT_LEAST));
             let retry_after = self.cfg.retry_after.then_some(hint);
-            out.push(Action::Refuse { request: id, retry_after });
+            out.push(Action::Refuse {
+                request: id,
+                retry_after,
+            });
         } else {
             out.push(Action::Fail { request: id });
         }
@@ -131,9 +194,13 @@
     pub(super) fn close(&mut self, id: RequestId) {
         self.dequeue(id, true);
         self.awaiting_grant.remove(&id);
-        let Some(o) = self.open.remove(&id) else { return };
+        let Some(o) = self.open.remove(&id) else {
+            return;
+        };
         self.ends.remove(&(o.end, id));
         let undrawn = if o.drawn { 0.0 } else { o.req.units };
-        self.volumes.entry(o.req.volume).and_modify(|v| v.waiting = (v.waiting - undrawn).max(0.0));
+        self.volumes
+            .entry(o.req.volume)
+            .and_modify(|v| v.waiting = (v.waiting - undrawn).max(0.0));
     }
 }
--- a/crates/policy/src/brain/health.rs
+++ b/crates/policy/src/brain/health.rs
@@ -26,14 +26,23 @@
 impl Brain {
     /// Sets D anew: latency above the target shrinks it, below lets it grow where it was the bound (PARDA).
     pub(super) fn adapt_depth(&mut self, now: Micros, id: NodeId) {
-        let Some(n) = self.nodes.get_mut(&id) else { return };
+        let Some(n) = self.nodes.get_mut(&id) else {
+            return;
+        };
         let eldest = n.not_overtaken().min().map_or(0.0, |s| (now - s) as f64);
         let seen = n.latency.max(eldest * 0.5);
-        if now - n.depth_at < DEPTH_EVERY || seen <= 0.0 || (n.depth < 1.0 && n.heard_at < n.depth_at) {
+        if now - n.depth_at < DEPTH_EVERY
+            || seen <= 0.0
+            || (n.depth < 1.0 && n.heard_at < n.depth_at)
+        {
             return;
         }
         n.depth_at = now;
-        let gain = if n.depth < 1.0 { DEPTH_GAIN * 2.0 } else { DEPTH_GAIN };
+        let gain = if n.depth < 1.0 {
+            DEPTH_GAIN * 2.0
+        } else {
+            DEPTH_GAIN
+        };
         let goal = n.depth * (self.target / seen).min(2.0) + DEPTH_PUSH * n.depth.min(1.0);
         if goal < n.depth || n.pressed {
             n.depth = (n.depth + gain * (goal - n.depth)).clamp(1.0 / self.crowd, DEPTH_MAX);
@@ -55,9 +64,15 @@
             self.fleet += FLEET_GAIN * (waited as f64 - self.fleet);
         }
         let (floor, least, wait) = (1.0 / self.crowd, self.least, 0.5 + self.random());
-        let Some(n) = self.nodes.get_mut(&node) else { return };
+        let Some(n) = self.nodes.get_mut(&node) else {
+            return;
+        };
         let half = KNOWN_HALF as f64 * (KNOWN_FEW / self.crowd).max(1.0);
-        let known = if n.latency > 0.0 { 0.5_f64.powf((now - n.heard_at) as f64 / half) } else { 0.0 };
+        let known = if n.latency > 0.0 {
+            0.5_f64.powf((now - n.heard_at) as f64 / half)
+        } else {
+            0.0
+        };
         let overtaken = now - waited + OVERTAKEN < n.answered;
         if outcome.heard() {
             n.heard_at = now;
@@ -84,7 +99,10 @@
                 n.fails += u32::from(!overtaken && waited as f64 > FULL_AS * least);
                 let short = (waited as f64) < least;
                 if !overtaken && (n.fails > 1 || short) {
-                    n.record_latency(n.latency.max(waited as f64 * if short { 2.0 } else { 1.0 }), known);
+                    n.record_latency(
+                        n.latency.max(waited as f64 * if short { 2.0 } else { 1.0 }),
+                        known,
+                    );
                 }
             }
             _ => {}
@@ -92,10 +110,18 @@
         if n.fails < BREAK_AT || n.open {
             return;
         }
-        (n.open, n.backoff, n.trial_at) = (true, TRIAL_FIRST, now + (TRIAL_FIRST as f64 * wait) as Micros);
+        (n.open, n.backoff, n.trial_at) = (
+            true,
+            TRIAL_FIRST,
+            now + (TRIAL_FIRST as f64 * wait) as Micros,
+        );
         out.push(Action::Log(format!("node {} does not answer", node.0)));
         let mut waiting: Vec<RequestId> = n.queue.values().copied().collect();
-        waiting.retain(|r| self.open.get(r).is_some_and(|o| o.req.shard.is_none() && o.anchor.is_none()));
+        waiting.retain(|r| {
+            self.open
+                .get(r)
+                .is_some_and(|o| o.req.shard.is_none() && o.anchor.is_none())
+        });
         waiting.into_iter().for_each(|r| self.place(now, r));
     }
 }
@@ -103,12 +129,19 @@
 impl Node {
     /// Attempts out that were not overtaken. One that was is lost or long in work, and holds no slot of D.
     pub(super) fn not_overtaken(&self) -> impl Iterator<Item = Micros> + '_ {
-        self.out.values().copied().filter(|sent| sent + OVERTAKEN >= self.answered)
+        self.out
+            .values()
+            .copied()
+            .filter(|sent| sent + OVERTAKEN >= self.answered)
     }
 
     /// A new reading of the latency, clipped: a pause or a flush tells little of the next ones.
     fn record_latency(&mut self, waited: f64, known: f64) {
-        let most = if known > 0.0 { self.latency * CLIP / known } else { f64::MAX };
+        let most = if known > 0.0 {
+            self.latency * CLIP / known
+        } else {
+            f64::MAX
+        };
         self.latency += (1.0 - (1.0 - SMOOTH) * known) * (waited.min(most) - self.latency);
     }
 
@@ -124,7 +157,9 @@
         match self.not_overtaken().next() {
             None => self.latency * 0.5_f64.powf(halves),
             _ if self.stalled(now) => self.latency,
-            _ => self.longest_wait(now).map_or(self.latency, |w| self.latency.max(w)),
+            _ => self
+                .longest_wait(now)
+                .map_or(self.latency, |w| self.latency.max(w)),
         }
     }
 
@@ -138,6 +173,10 @@
     fn longest_wait(&self, now: Micros) -> Option<f64> {
         let mut waits: Vec<Micros> = self.not_overtaken().map(|sent| now - sent).collect();
         waits.sort_unstable();
-        waits.iter().rev().nth(usize::from(self.fails == 0)).map(|w| *w as f64)
+        waits
+            .iter()
+            .rev()
+            .nth(usize::from(self.fails == 0))
+            .map(|w| *w as f64)
     }
 }
--- a/crates/policy/src/brain/limits.rs
+++ b/crates/policy/src/brain/limits.rs
@@ -18,43 +18,66 @@
 impl Brain {
     /// Every guard that can hold a request back for now, on one path.
     pub(super) fn may_send(&mut self, now: Micros, id: RequestId, to: NodeId) -> bool {
-        let (Some(o), Some(n)) = (self.open.get(&id), self.nodes.get(&to)) else { return false };
+        let (Some(o), Some(n)) = (self.open.get(&id), self.nodes.get(&to)) else {
+            return false;
+        };
         let (req, tries, drawn) = (o.req, o.tries, o.drawn);
-        let open = u32::from(tries) < o.most.max(1) && !n.gone && now < self.drain_end(n).min(req.give_up);
+        let open =
+            u32::from(tries) < o.most.max(1) && !n.gone && now < self.drain_end(n).min(req.give_up);
         let cold = |t: f64| t >= req.units || (t > 0.0 && n.out.is_empty());
         if !open || !self.effect_allows(now, o, n) || !self.cold_tokens(now, n).is_none_or(cold) {
             return false;
         }
-        let limited = !drawn && self.tokens(now, &req).is_some_and(|(have, _)| have < req.units);
+        let limited = !drawn
+            && self
+                .tokens(now, &req)
+                .is_some_and(|(have, _)| have < req.units);
         !limited && (tries == 0 || self.budget_allows(now)) && self.order_allows(now, id)
     }
 
     pub(super) fn effect(&self, o: &Open) -> Effect {
-        self.cfg.classes.get(o.req.class as usize).map_or(Effect::Unsafe, |c| c.effect)
+        self.cfg
+            .classes
+            .get(o.req.class as usize)
+            .map_or(Effect::Unsafe, |c| c.effect)
     }
 
     /// Rule 2, sending: may an attempt of this request go to this node now?
     pub(super) fn effect_allows(&self, now: Micros, o: &Open, n: &Node) -> bool {
         let alone = o.live == 0 || self.cfg.parallel_tries;
-        alone && o.anchor.is_none_or(|a| same_group(self.effect(o), a, n)) && now < self.covered_until(o)
+        alone
+            && o.anchor.is_none_or(|a| same_group(self.effect(o), a, n))
+            && now < self.covered_until(o)
     }
 
     /// Until when nodes drop a repeat for certain: from the first send that may have run, less the way there.
     pub(super) fn covered_until(&self, o: &Open) -> Micros {
         match (o.anchor, self.effect(o)) {
-            (Some(a), Effect::Keyed { window, .. }) => a.sent + (window as f64 * WINDOW_USED) as Micros,
+            (Some(a), Effect::Keyed { window, .. }) => {
+                a.sent + (window as f64 * WINDOW_USED) as Micros
+            }
             _ => Micros::MAX,
         }
     }
 
     /// Rule 2, answering: may the client be told that trying again is harmless?
     pub(super) fn may_refuse(&self, o: &Open) -> bool {
-        o.anchor.is_none() || matches!(self.effect(o), Effect::Safe | Effect::Keyed { group: Group::All, .. })
+        o.anchor.is_none()
+            || matches!(
+                self.effect(o),
+                Effect::Safe
+                    | Effect::Keyed {
+                        group: Group::All,
+                        ..
+                    }
+            )
     }
 
     /// Rule 3: the moment from which a draining node gets nothing new.
     pub(super) fn drain_end(&self, n: &Node) -> Micros {
-        n.stopping_since.map_or(Micros::MAX, |t| t + (self.cfg.drain_grace as f64 * GRACE_USED) as Micros)
+        n.stopping_since.map_or(Micros::MAX, |t| {
+            t + (self.cfg.drain_grace as f64 * GRACE_USED) as Micros
+        })
     }
 
     /// Rule 4: how long ago the node started, while it may still be cold.
@@ -71,42 +94,69 @@
         let (age, c) = (self.cold_age(now, n)?, self.cfg.cold?);
         let warmth = (age - c.window).max(0) as f64 / c.warm_up.max(1) as f64;
         let grown = (c.from + (1.0 - c.from) * warmth) / c.from.max(0.01);
-        let usual = self.served / self.ready_nodes / (now - self.served_since).max(USUAL_LEAST) as f64
-            * c.window as f64;
+        let usual =
+            self.served / self.ready_nodes / (now - self.served_since).max(USUAL_LEAST) as f64
+                * c.window as f64;
         let seen = c.multiple * c.from * usual * self.crowd.sqrt().min(UNEVEN_MOST);
         let share = self.share(now, self.rights.cold);
         let told = c.bears / f64::from(self.cfg.hosts.max(1)) * share;
         let part = told.max(seen * share.min(1.0)) * grown * COLD_LEAN * PART_USED;
         let mut cold = n.cold;
-        cold.fill(now, part / c.window.max(1) as f64 * 1e6, (part / COLD_LEAN).max(self.cfg.mean_units));
+        cold.fill(
+            now,
+            part / c.window.max(1) as f64 * 1e6,
+            (part / COLD_LEAN).max(self.cfg.mean_units),
+        );
         Some(cold.level)
     }
 
     /// Rule 5: is it this request's turn among those with its key?
     fn order_allows(&mut self, now: Micros, id: RequestId) -> bool {
-        let Some(o) = self.open.get(&id) else { return false };
-        let (Some(key), tries) = (self.ordered_key(&o.req), o.tries) else { return true };
-        let Some(queue) = self.drop_ended(key) else { return true };
+        let Some(o) = self.open.get(&id) else {
+            return false;
+        };
+        let (Some(key), tries) = (self.ordered_key(&o.req), o.tries) else {
+            return true;
+        };
+        let Some(queue) = self.drop_ended(key) else {
+            return true;
+        };
         queue.ids.front().is_none_or(|front| *front == id) && (tries > 0 || queue.rest_until <= now)
     }
 
     /// Drops from the front of a key's queue what has its final answer and nothing out.
     pub(super) fn drop_ended(&mut self, key: Key) -> Option<&mut KeyQueue> {
         let queue = self.key_queues.get_mut(&key)?;
-        let out = |id: RequestId| self.attempts.range((id, 0)..=(id, u16::MAX)).next().is_some();
-        while queue.ids.front().is_some_and(|id| !self.open.contains_key(id) && !out(*id)) {
+        let out = |id: RequestId| {
+            self.attempts
+                .range((id, 0)..=(id, u16::MAX))
+                .next()
+                .is_some()
+        };
+        while queue
+            .ids
+            .front()
+            .is_some_and(|id| !self.open.contains_key(id) && !out(*id))
+        {
             queue.ids.pop_front();
         }
         Some(queue)
     }
 
     pub(super) fn ordered_key(&self, req: &Request) -> Option<Key> {
-        req.key.filter(|_| self.cfg.classes.get(req.class as usize).is_some_and(|c| c.in_order))
+        req.key.filter(|_| {
+            self.cfg
+                .classes
+                .get(req.class as usize)
+                .is_some_and(|c| c.in_order)
+        })
     }
 
     /// Rule 6: room for one more attempt past a request's first?
     fn budget_allows(&mut self, now: Micros) -> bool {
-        let Some(b) = self.cfg.budget else { return true };
+        let Some(b) = self.cfg.budget else {
+            return true;
+        };
         self.extra.retain(|t| now - t <= b.window + self.cfg.tick);
         self.taken.retain(|t| now - t < b.window - self.cfg.tick);
         (self.extra.len() + 1) as f64 <= b.spare + b.ratio * self.taken.len() as f64
@@ -118,24 +168,46 @@
         let share = self.share(now, self.rights.of(req.volume)) * PART_USED;
         let v = self.volumes.entry(req.volume).or_default();
         if v.hosts <= 0.0 {
-            v.tokens = Bucket { level: 0.0, at: self.begun.unwrap_or(now) };
+            v.tokens = Bucket {
+                level: 0.0,
+                at: self.begun.unwrap_or(now),
+            };
         }
-        let told = if req.hosts >= 1.0 { req.hosts } else { f64::from(self.cfg.hosts.max(1)) };
+        let told = if req.hosts >= 1.0 {
+            req.hosts
+        } else {
+            f64::from(self.cfg.hosts.max(1))
+        };
         v.hosts = v.hosts.max(told);
-        (v.rate, v.most) = (limit.rate / v.hosts * share, (limit.burst + limit.slack) / v.hosts * share);
+        (v.rate, v.most) = (
+            limit.rate / v.hosts * share,
+            (limit.burst + limit.slack) / v.hosts * share,
+        );
         v.tokens.fill(now, v.rate, v.most);
         Some((v.tokens.level, v.rate))
     }
 
     /// How much of this host's even part may be used now, by this process.
     fn share(&self, now: Micros, held: f64) -> f64 {
-        self.part * if now < self.rights.until { held } else { self.rights.reserve }
+        self.part
+            * if now < self.rights.until {
+                held
+            } else {
+                self.rights.reserve
+            }
     }
 
     /// What a unit of this request earns: in full within this host's part of the reserve, less beyond it.
     pub(super) fn value(&mut self, now: Micros, req: &Request) -> f64 {
-        let Some(plan) = self.cfg.plans.get(req.plan as usize) else { return self.best };
-        let worth = self.cfg.classes.get(req.class as usize).map_or(1.0, |c| c.worth) * plan.price;
+        let Some(plan) = self.cfg.plans.get(req.plan as usize) else {
+            return self.best;
+        };
+        let worth = self
+            .cfg
+            .classes
+            .get(req.class as usize)
+            .map_or(1.0, |c| c.worth)
+            * plan.price;
         let rate = plan.reserve / req.hosts.max(1.0);
         let v = self.volumes.entry(req.volume).or_default();
         v.reserve.fill(now, rate, rate + self.cfg.max_units);
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -306,7 +306,10 @@
 impl Outcome {
     /// Whether the node itself said something.
     pub fn heard(self) -> bool {
-        matches!(self, Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Moved)
+        matches!(
+            self,
+            Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Moved
+        )
     }
 }
 
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -39,11 +39,31 @@
 }
 
 enum Due {
-    Arrives { host: usize, shard: u32, again: bool },
-    Answered { host: usize, life: u32, id: u32, attempt: u16, node: u32, sent: Micros, outcome: Outcome },
-    Wake { host: usize, life: u32 },
-    Listed { host: usize, life: u32 },
-    Restarts { host: usize },
+    Arrives {
+        host: usize,
+        shard: u32,
+        again: bool,
+    },
+    Answered {
+        host: usize,
+        life: u32,
+        id: u32,
+        attempt: u16,
+        node: u32,
+        sent: Micros,
+        outcome: Outcome,
+    },
+    Wake {
+        host: usize,
+        life: u32,
+    },
+    Listed {
+        host: usize,
+        life: u32,
+    },
+    Restarts {
+        host: usize,
+    },
 }
 
 struct Fleet {
@@ -71,7 +91,13 @@
     fn list(&self, now: Micros) -> Vec<NodeEntry> {
         let there = |s: &u32| *s > 0 || !(BORN - 2 * SECOND..BORN).contains(&now);
         let started = |s: u32| (s == 0 && now >= BORN).then_some(BORN);
-        (0..SHARDS).filter(there).map(|s| NodeEntry { started: started(s), ..entry(s, s) }).collect()
+        (0..SHARDS)
+            .filter(there)
+            .map(|s| NodeEntry {
+                started: started(s),
+                ..entry(s, s)
+            })
+            .collect()
     }
 
     /// Carries out what a host has said since.
@@ -100,16 +126,38 @@
                         3 => Outcome::Full,
                         _ => Outcome::Ok,
                     };
-                    let until = if outcome == Outcome::Ok { *free + 2_000 } else { now + 3_000 };
+                    let until = if outcome == Outcome::Ok {
+                        *free + 2_000
+                    } else {
+                        now + 3_000
+                    };
                     let (id, node, sent) = (request.0, node.0, now);
-                    self.at(until, Due::Answered { host, life, id, attempt, node, sent, outcome });
+                    self.at(
+                        until,
+                        Due::Answered {
+                            host,
+                            life,
+                            id,
+                            attempt,
+                            node,
+                            sent,
+                            outcome,
+                        },
+                    );
                 }
                 // Some clients come again by themselves, once.
                 Action::Refuse { request, .. } | Action::Fail { request } if self.dice.bool() => {
                     let shard = request.0 % SHARDS;
                     if shard == 0 {
                         let wait = self.dice.i64(20_000..200_000);
-                        self.at(now + wait, Due::Arrives { host, shard, again: true });
+                        self.at(
+                            now + wait,
+                            Due::Arrives {
+                                host,
+                                shard,
+                                again: true,
+                            },
+                        );
                     }
                 }
                 _ => {}
@@ -122,16 +170,23 @@
 
 /// The size of a request, from its number: 1 to 8, 2.2 in the mean.
 fn units(id: u32) -> f64 {
-    [1.0, 1.0, 1.0, 2.0, 2.0, 2.0, 2.0, 3.0, 3.0, 8.0, 1.0, 2.0, 1.0, 2.0, 1.0, 3.0]
-        [(id / SHARDS % 16) as usize]
+    [
+        1.0, 1.0, 1.0, 2.0, 2.0, 2.0, 2.0, 3.0, 3.0, 8.0, 1.0, 2.0, 1.0, 2.0, 1.0, 3.0,
+    ][(id / SHARDS % 16) as usize]
 }
 
 fn settings_of(world: World) -> Settings {
     let mut s = settings();
     s.hosts = world.hosts as u32;
     (s.cold, s.mean_units, s.parallel_tries, s.most_tries) = (Some(world.rule), MEAN, true, 3);
-    s.classes =
-        vec![class(Effect::Safe), Class { aim: 1_200_000, deadline: 4_000_000, ..class(Effect::Safe) }];
+    s.classes = vec![
+        class(Effect::Safe),
+        Class {
+            aim: 1_200_000,
+            deadline: 4_000_000,
+            ..class(Effect::Safe)
+        },
+    ];
     s
 }
 
@@ -141,8 +196,15 @@
     let mut dice = fastrand::Rng::with_seed(seed * 7_919 + world.hosts as u64);
     let settings = settings_of(world);
     let host = |life: u64, entries: Vec<NodeEntry>, now: Micros| {
-        let mut h = Host { brain: Brain::new(settings.clone(), life), now, said: Vec::new() };
-        h.event(Event::Nodes { kind: ListKind::Cached, entries });
+        let mut h = Host {
+            brain: Brain::new(settings.clone(), life),
+            now,
+            said: Vec::new(),
+        };
+        h.event(Event::Nodes {
+            kind: ListKind::Cached,
+            entries,
+        });
         h
     };
     let mut fleet = Fleet {
@@ -159,7 +221,9 @@
         served: 0.0,
         dice: dice.fork(),
     };
-    fleet.hosts = (0..world.hosts).map(|h| host(seed + 1_000 * h as u64, fleet.list(0), 0)).collect();
+    fleet.hosts = (0..world.hosts)
+        .map(|h| host(seed + 1_000 * h as u64, fleet.list(0), 0))
+        .collect();
     // Uneven: a few hosts have most of a shard's traffic, and the lead changes.
     let uneven = |dice: &mut fastrand::Rng| -> Vec<f64> {
         (0..world.hosts)
@@ -187,7 +251,14 @@
                     }
                 })
                 .unwrap_or(0);
-            fleet.at(t as Micros, Due::Arrives { host, shard, again: false });
+            fleet.at(
+                t as Micros,
+                Due::Arrives {
+                    host,
+                    shard,
+                    again: false,
+                },
+            );
         }
     }
     for host in 0..world.hosts {
@@ -200,12 +271,17 @@
             let first = BORN + dice.i64(-SECOND..2 * SECOND);
             fleet.at(first, Due::Restarts { host });
             if dice.bool() {
-                fleet.at(first + dice.i64(500_000..3 * SECOND), Due::Restarts { host });
+                fleet.at(
+                    first + dice.i64(500_000..3 * SECOND),
+                    Due::Restarts { host },
+                );
             }
         }
     }
     while let Some(Reverse((now, event))) = fleet.due.pop().filter(|d| d.0 .0 < END) {
-        let Some(event) = fleet.events[event as usize].take() else { continue };
+        let Some(event) = fleet.events[event as usize].take() else {
+            continue;
+        };
         let host = match event {
             Due::Arrives { host, shard, again } => {
                 let id = fleet.next * SHARDS + shard;
@@ -217,12 +293,22 @@
                 let h = &mut fleet.hosts[host];
                 h.now = now;
                 h.request_with(id, |r| {
-                    (r.class, r.units, r.volume) = (u16::from(long), units(id), VolumeId(u64::from(id % 40)));
-                    (r.shard, r.give_up) = (Some(Shard(shard)), now + if long { 4 } else { 2 } * SECOND);
+                    (r.class, r.units, r.volume) =
+                        (u16::from(long), units(id), VolumeId(u64::from(id % 40)));
+                    (r.shard, r.give_up) =
+                        (Some(Shard(shard)), now + if long { 4 } else { 2 } * SECOND);
                 });
                 host
             }
-            Due::Answered { host, life, id, attempt, node, sent, outcome } => {
+            Due::Answered {
+                host,
+                life,
+                id,
+                attempt,
+                node,
+                sent,
+                outcome,
+            } => {
                 if life != fleet.lives[host] {
                     continue;
                 }
@@ -252,14 +338,20 @@
             Due::Listed { host, life } if life == fleet.lives[host] => {
                 let entries = fleet.list(now);
                 fleet.hosts[host].now = now;
-                fleet.hosts[host].event(Event::Nodes { kind: ListKind::Full, entries });
+                fleet.hosts[host].event(Event::Nodes {
+                    kind: ListKind::Full,
+                    entries,
+                });
                 host
             }
             Due::Wake { .. } | Due::Listed { .. } => continue,
             Due::Restarts { host: at } => {
                 fleet.lives[at] += 1;
-                fleet.hosts[at] =
-                    host(seed + 1_000 * at as u64 + 77 * u64::from(fleet.lives[at]), fleet.list(now), now);
+                fleet.hosts[at] = host(
+                    seed + 1_000 * at as u64 + 77 * u64::from(fleet.lives[at]),
+                    fleet.list(now),
+                    now,
+                );
                 let life = fleet.lives[at];
                 fleet.at(BORN.max(now) + 100_000, Due::Listed { host: at, life });
                 at
@@ -284,10 +376,28 @@
 /// Nodes of one deployment start at a quarter and bear four times that for a second; of another at a sixth, three times, 3 s. Once
 /// the node is back, more comes for it than it does when it is warm.
 fn worlds() -> impl Iterator<Item = World> {
-    let quarter = ColdRule { bears: 22.0, from: 0.25, multiple: 4.0, warm_up: 13 * SECOND, window: SECOND };
-    let sixth = ColdRule { bears: 30.0, from: 0.17, multiple: 3.0, warm_up: 16 * SECOND, window: 3 * SECOND };
+    let quarter = ColdRule {
+        bears: 22.0,
+        from: 0.25,
+        multiple: 4.0,
+        warm_up: 13 * SECOND,
+        window: SECOND,
+    };
+    let sixth = ColdRule {
+        bears: 30.0,
+        from: 0.17,
+        multiple: 3.0,
+        warm_up: 16 * SECOND,
+        window: 3 * SECOND,
+    };
     [3, 20, 30, 300].into_iter().flat_map(move |hosts| {
-        [quarter, sixth].map(|rule| World { hosts, rule, power: 36.0, load: 22.0, surge: 1.8 })
+        [quarter, sixth].map(|rule| World {
+            hosts,
+            rule,
+            power: 36.0,
+            load: 22.0,
+            surge: 1.8,
+        })
     })
 }
 
@@ -296,7 +406,10 @@
     for world in worlds() {
         for seed in 0..6 {
             let (most, served) = play(world, seed);
-            let of = format!("{} hosts from {}, seed {seed}", world.hosts, world.rule.from);
+            let of = format!(
+                "{} hosts from {}, seed {seed}",
+                world.hosts, world.rule.from
+            );
             eprintln!("{of}: {most:.2} of the bound, {served:.2} served");
             assert!(most < 1.0, "{of}: {most} of the bound");
         }
@@ -306,10 +419,21 @@
 #[test]
 fn a_fleet_that_holds_no_budget_pushes_the_node_over() {
     for hosts in [30, 300] {
-        let rule =
-            ColdRule { bears: 1e9, from: 0.17, multiple: 3.0, warm_up: 16 * SECOND, window: 3 * SECOND };
+        let rule = ColdRule {
+            bears: 1e9,
+            from: 0.17,
+            multiple: 3.0,
+            warm_up: 16 * SECOND,
+            window: 3 * SECOND,
+        };
         // It is told that the node bears anything, and the node does what such a one does.
-        let world = World { hosts, rule, power: 36.0, load: 22.0, surge: 4.0 };
+        let world = World {
+            hosts,
+            rule,
+            power: 36.0,
+            load: 22.0,
+            surge: 4.0,
+        };
         let most = (0..3).map(|seed| play(world, seed).0).fold(0.0, f64::max);
         assert!(most > 1.0, "{hosts} hosts: {most}: the model cannot fail");
     }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -46,7 +46,13 @@
 }
 
 pub fn plan(weight: f64) -> Plan {
-    Plan { weight, reserve: 2.0, nominal: 4.0, price: 1.0, limit: None }
+    Plan {
+        weight,
+        reserve: 2.0,
+        nominal: 4.0,
+        price: 1.0,
+        limit: None,
+    }
 }
 
 pub fn entry(node: u32, shard: u32) -> NodeEntry {
@@ -70,8 +76,15 @@
 impl Host {
     /// A host that knows these nodes.
     pub fn new(settings: Settings, nodes: Vec<NodeEntry>) -> Self {
-        let mut h = Host { brain: Brain::new(settings, 1), now: 1_000_000, said: Vec::new() };
-        h.event(Event::Nodes { kind: ListKind::Cached, entries: nodes });
+        let mut h = Host {
+            brain: Brain::new(settings, 1),
+            now: 1_000_000,
+            said: Vec::new(),
+        };
+        h.event(Event::Nodes {
+            kind: ListKind::Cached,
+            entries: nodes,
+        });
         h
     }
     pub fn event(&mut self, e: Event) {
@@ -153,10 +166,14 @@
         self.sends().iter().filter(|s| s.0 == id).count()
     }
     pub fn refused(&self, id: u32) -> bool {
-        self.said.iter().any(|a| matches!(a, Action::Refuse { request, .. } if request.0 == id))
+        self.said
+            .iter()
+            .any(|a| matches!(a, Action::Refuse { request, .. } if request.0 == id))
     }
     pub fn failed(&self, id: u32) -> bool {
-        self.said.contains(&Action::Fail { request: RequestId(id) })
+        self.said.contains(&Action::Fail {
+            request: RequestId(id),
+        })
     }
     pub fn finals(&self, id: u32) -> usize {
         let is = |a: &&Action| match a {
--- a/crates/policy/tests/random.rs
+++ b/crates/policy/tests/random.rs
@@ -20,23 +20,46 @@
     let effects = [
         Effect::Safe,
         Effect::Unsafe,
-        Effect::Keyed { group: Group::All, window: 700_000 },
-        Effect::Keyed { group: Group::Cell, window: 700_000 },
-        Effect::Keyed { group: Group::Zone, window: 700_000 },
+        Effect::Keyed {
+            group: Group::All,
+            window: 700_000,
+        },
+        Effect::Keyed {
+            group: Group::Cell,
+            window: 700_000,
+        },
+        Effect::Keyed {
+            group: Group::Zone,
+            window: 700_000,
+        },
     ];
     s.classes = effects.into_iter().map(class).collect();
     s.classes[0].in_order = true;
     s.classes[1].streamed = true;
     s.plans = vec![plan(0.0), plan(1.0), plan(4.0)];
     s.plans[0].reserve = 0.0;
-    s.plans[1].limit = Some(Limit { rate: 30.0, burst: 40.0, slack: 4.0 });
-    s.budget = dice.bool().then_some(RetryBudget { spare: 3.0, ratio: 0.2, window: 1_000_000 });
+    s.plans[1].limit = Some(Limit {
+        rate: 30.0,
+        burst: 40.0,
+        slack: 4.0,
+    });
+    s.budget = dice.bool().then_some(RetryBudget {
+        spare: 3.0,
+        ratio: 0.2,
+        window: 1_000_000,
+    });
     s.settle = 50_000;
     s.parallel_tries = dice.bool();
     if dice.bool() {
         s.discovery = Discovery::Ask { within: 10_000_000 };
     }
-    s.cold = Some(ColdRule { bears: 20.0, from: 0.2, multiple: 4.0, warm_up: 5_000_000, window: 1_000_000 });
+    s.cold = Some(ColdRule {
+        bears: 20.0,
+        from: 0.2,
+        multiple: 4.0,
+        warm_up: 5_000_000,
+        window: 1_000_000,
+    });
     s
 }
 
@@ -59,11 +82,26 @@
                 let (id, class, key) = (next, dice.u16(0..5), Some(Key(dice.u64(1..5))));
                 let plan = dice.u32(0..3);
                 let volume = u64::from(plan) * 10 + dice.u64(0..3);
-                let shard = if dice.bool() { None } else { Some(Shard(dice.u32(0..5))) };
+                let shard = if dice.bool() {
+                    None
+                } else {
+                    Some(Shard(dice.u32(0..5)))
+                };
                 let give_up = h.now + dice.i64(1..2_000_000);
                 volumes.insert(id, (volume, plan));
                 let (sends, live) = (vec![], vec![]);
-                seen.insert(id, Seen { class, give_up, key, sends, live, maybe_ran: false, over: false });
+                seen.insert(
+                    id,
+                    Seen {
+                        class,
+                        give_up,
+                        key,
+                        sends,
+                        live,
+                        maybe_ran: false,
+                        over: false,
+                    },
+                );
                 taken.push(h.now);
                 h.request_with(id, |r| {
                     (r.class, r.key, r.plan, r.shard) = (class, key, plan, shard);
@@ -72,8 +110,10 @@
                 next += 1;
             }
             5..=7 => {
-                let out: Vec<(u32, u16)> =
-                    seen.iter().flat_map(|(id, s)| s.live.iter().map(|a| (*id, *a))).collect();
+                let out: Vec<(u32, u16)> = seen
+                    .iter()
+                    .flat_map(|(id, s)| s.live.iter().map(|a| (*id, *a)))
+                    .collect();
                 if let Some(&(id, attempt)) = dice.choice(&out) {
                     let r = seen.get_mut(&id).unwrap();
                     r.live.retain(|a| *a != attempt);
@@ -99,16 +139,29 @@
                 let (n, state) = (dice.u32(0..5), dice.u32(0..4));
                 let started = Some(h.now - dice.i64(0..1_000_000));
                 let e = match state {
-                    0 => NodeEntry { state: NodeState::Draining, ..entry(n, n) },
-                    1 => NodeEntry { state: NodeState::Gone, ..entry(n, n) },
-                    2 => NodeEntry { started, ..entry(n, n) },
+                    0 => NodeEntry {
+                        state: NodeState::Draining,
+                        ..entry(n, n)
+                    },
+                    1 => NodeEntry {
+                        state: NodeState::Gone,
+                        ..entry(n, n)
+                    },
+                    2 => NodeEntry {
+                        started,
+                        ..entry(n, n)
+                    },
                     _ => entry(n, n),
                 };
                 match e.state {
                     NodeState::Ready => drop(stopped.remove(&n)),
                     _ => drop(stopped.entry(n).or_insert(h.now)),
                 }
-                let kind = if dice.u32(0..5) == 0 { ListKind::Failed } else { ListKind::Delta };
+                let kind = if dice.u32(0..5) == 0 {
+                    ListKind::Failed
+                } else {
+                    ListKind::Delta
+                };
                 if kind == ListKind::Failed {
                     h.list(kind, vec![]);
                     stopped.clear(); // unknown to the check from here; the guard itself keeps what it was told
@@ -122,7 +175,9 @@
                 match dice.u32(0..4) {
                     0 => h.event(Event::Timer(dice.u32(0..50))),
                     1 => h.event(Event::PeerNote),
-                    2 if seen.get(&id).is_none_or(|s| s.over) => h.event(Event::ClientGone(RequestId(id))),
+                    2 if seen.get(&id).is_none_or(|s| s.over) => {
+                        h.event(Event::ClientGone(RequestId(id)))
+                    }
                     _ => h.answer(id, 999, 2, Outcome::Ok),
                 }
             }
@@ -135,13 +190,19 @@
                     if c.in_order {
                         let key = seen[&request.0].key;
                         let ahead = |(id, o): (&u32, &Seen)| {
-                            *id < request.0 && o.class == 0 && o.key == key && (!o.over || !o.live.is_empty())
+                            *id < request.0
+                                && o.class == 0
+                                && o.key == key
+                                && (!o.over || !o.live.is_empty())
                         };
                         assert!(!seen.iter().any(ahead), "order, seed {seed}");
                     }
                     let r = seen.get_mut(&request.0).unwrap();
                     assert!(!r.over, "sent after its end, seed {seed}");
-                    assert!(s.parallel_tries || r.live.is_empty(), "two at once, seed {seed}");
+                    assert!(
+                        s.parallel_tries || r.live.is_empty(),
+                        "two at once, seed {seed}"
+                    );
                     assert!(r.sends.len() < 4);
                     if let Some(t) = stopped.get(&node.0) {
                         assert!(h.now - t <= s.drain_grace, "drain, seed {seed}");
@@ -151,8 +212,12 @@
                             Effect::Safe => {}
                             Effect::Unsafe => panic!("unsafe twice, seed {seed}"),
                             Effect::Keyed { group, window } => {
-                                assert!(h.now - r.sends[0].0 <= window || r.sends.len() > 1, "seed {seed}");
-                                let same = group != Group::Cell || r.sends.last().unwrap().1 == node.0;
+                                assert!(
+                                    h.now - r.sends[0].0 <= window || r.sends.len() > 1,
+                                    "seed {seed}"
+                                );
+                                let same =
+                                    group != Group::Cell || r.sends.last().unwrap().1 == node.0;
                                 assert!(same || r.sends.len() > 1, "seed {seed}");
                             }
                         }
@@ -166,7 +231,8 @@
                     } else {
                         extra.push(h.now);
                         if let Some(b) = s.budget {
-                            let within = |v: &[Micros]| v.iter().filter(|t| h.now - **t <= b.window).count();
+                            let within =
+                                |v: &[Micros]| v.iter().filter(|t| h.now - **t <= b.window).count();
                             let most = b.spare + b.ratio * within(&taken) as f64;
                             assert!(within(&extra) as f64 <= most, "budget, seed {seed}");
                         }
@@ -178,8 +244,18 @@
                     let r = seen.get_mut(&request.0).unwrap();
                     assert!(!r.over, "answered twice, seed {seed}");
                     let effect = s.classes[usize::from(r.class)].effect;
-                    let harmless = matches!(effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
-                    assert!(harmless || (!r.maybe_ran && r.live.is_empty()), "refused in doubt, seed {seed}");
+                    let harmless = matches!(
+                        effect,
+                        Effect::Safe
+                            | Effect::Keyed {
+                                group: Group::All,
+                                ..
+                            }
+                    );
+                    assert!(
+                        harmless || (!r.maybe_ran && r.live.is_empty()),
+                        "refused in doubt, seed {seed}"
+                    );
                     r.over = true;
                 }
                 Action::Fail { request } => {
@@ -192,7 +268,10 @@
         }
         read = h.said.len();
         for (id, r) in &seen {
-            assert!(r.over || h.now <= r.give_up, "request {id} lost, seed {seed}");
+            assert!(
+                r.over || h.now <= r.give_up,
+                "request {id} lost, seed {seed}"
+            );
         }
     }
 }
@@ -205,9 +284,14 @@
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut h = Host::new(all_settings(&mut fastrand::Rng::with_seed(3)), vec![entry(0, 0), entry(1, 1)]);
+        let mut h = Host::new(
+            all_settings(&mut fastrand::Rng::with_seed(3)),
+            vec![entry(0, 0), entry(1, 1)],
+        );
         for id in 0..100 {
-            h.request_with(id, |r| (r.shard, r.volume) = (None, VolumeId(u64::from(id % 7))));
+            h.request_with(id, |r| {
+                (r.shard, r.volume) = (None, VolumeId(u64::from(id % 7)))
+            });
             h.pass(3_000);
         }
         h.said
--- a/crates/policy/tests/rights.rs
+++ b/crates/policy/tests/rights.rs
@@ -11,13 +11,23 @@
 
 fn limited() -> Settings {
     let mut s = settings();
-    s.plans[0].limit = Some(Limit { rate: RATE, burst: 20.0, slack: 2.0 });
+    s.plans[0].limit = Some(Limit {
+        rate: RATE,
+        burst: 20.0,
+        slack: 2.0,
+    });
     s
 }
 
 fn rights(h: &Host, last: Micros, factor: f64) -> Event {
     let factors = BTreeMap::from([(VolumeId(1), factor)]);
-    Event::Rights(Box::new(Rights { until: h.now + last, reserve: 0.1, cold: factor, factors, rest: 1.0 }))
+    Event::Rights(Box::new(Rights {
+        until: h.now + last,
+        reserve: 0.1,
+        cold: factor,
+        factors,
+        rest: 1.0,
+    }))
 }
 
 /// Asks for units of two through one of two fronts; the units that were sent.
@@ -25,7 +35,8 @@
     let before = h.sends().len();
     h.request_with(id, |r| r.hosts = 2.0);
     let sent = h.sends()[before..].to_vec();
-    sent.iter().for_each(|(r, n)| h.answer(*r, 0, *n, Outcome::Ok));
+    sent.iter()
+        .for_each(|(r, n)| h.answer(*r, 0, *n, Outcome::Ok));
     2.0 * sent.len() as f64
 }
 
@@ -50,12 +61,18 @@
     h.event(hold);
     h.pass(10_000_000);
     let first: f64 = (1..40).map(|id| ask(&mut h, id)).sum();
-    assert!(first > MOST / 2.0 - 3.0, "{first}: its own is full after a while");
+    assert!(
+        first > MOST / 2.0 - 3.0,
+        "{first}: its own is full after a while"
+    );
     h.pass(10_000_000);
     let more = rights(&h, 60_000_000, 2.0);
     h.event(more);
     let second: f64 = (100..140).map(|id| ask(&mut h, id)).sum();
-    assert!(second <= MOST / 2.0, "{second}: its own again, and nothing of the other's");
+    assert!(
+        second <= MOST / 2.0,
+        "{second}: its own again, and nothing of the other's"
+    );
     h.pass(10_000_000);
     let third: f64 = (200..240).map(|id| ask(&mut h, id)).sum();
     assert!(third > MOST - 4.0, "{third}: both, once both have filled");
@@ -87,7 +104,10 @@
         for id in 1..600 {
             match dice.u32(0..12) {
                 0 => {
-                    let (last, to) = (dice.i64(0..1_500_000), [0.5, 1.0, 1.0, 2.0][dice.usize(0..4)]);
+                    let (last, to) = (
+                        dice.i64(0..1_500_000),
+                        [0.5, 1.0, 1.0, 2.0][dice.usize(0..4)],
+                    );
                     let event = rights(&h, last, to);
                     (until, factor) = (h.now + last, to);
                     h.event(event);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -6,7 +6,10 @@
 
 fn keyed(group: Group) -> Settings {
     let mut s = settings();
-    s.classes = vec![class(Effect::Keyed { group, window: 500_000 })];
+    s.classes = vec![class(Effect::Keyed {
+        group,
+        window: 500_000,
+    })];
     s
 }
 
@@ -63,7 +66,13 @@
 #[test]
 fn unsafe_requests_run_once() {
     let mut s = settings();
-    s.classes = vec![Class { aim: 4_000_000, ..class(Effect::Unsafe) }, class(Effect::Safe)];
+    s.classes = vec![
+        Class {
+            aim: 4_000_000,
+            ..class(Effect::Unsafe)
+        },
+        class(Effect::Safe),
+    ];
     let mut h = Host::new(s, vec![entry(7, 0)]);
     h.request(1);
     h.answer(1, 0, 7, Outcome::Reset);
@@ -106,7 +115,13 @@
     h.request_with(1, |r| r.shard = None);
     let first = h.sends()[0].1;
     h.answer(1, 0, first, Outcome::Reset);
-    h.list(ListKind::Delta, vec![NodeEntry { state: NodeState::Gone, ..entry(first, 0) }]);
+    h.list(
+        ListKind::Delta,
+        vec![NodeEntry {
+            state: NodeState::Gone,
+            ..entry(first, 0)
+        }],
+    );
     h.pass(2_000_000);
     assert!(h.sends().iter().all(|s| s.1 == first));
     assert!(h.failed(1));
@@ -126,7 +141,13 @@
 fn a_draining_node_gets_nothing_new_after_the_grace() {
     for state in [NodeState::Draining, NodeState::Gone] {
         let mut h = Host::new(settings(), vec![entry(7, 0)]);
-        h.list(ListKind::Delta, vec![NodeEntry { state, ..entry(7, 0) }]);
+        h.list(
+            ListKind::Delta,
+            vec![NodeEntry {
+                state,
+                ..entry(7, 0)
+            }],
+        );
         h.pass(1_000_000);
         h.request(1);
         h.pass(500_000);
@@ -137,7 +158,13 @@
 #[test]
 fn the_grace_serves_what_no_other_node_can() {
     let mut h = Host::new(settings(), vec![entry(7, 0), entry(8, 1)]);
-    h.list(ListKind::Delta, vec![NodeEntry { state: NodeState::Draining, ..entry(7, 0) }]);
+    h.list(
+        ListKind::Delta,
+        vec![NodeEntry {
+            state: NodeState::Draining,
+            ..entry(7, 0)
+        }],
+    );
     h.request(1);
     assert_eq!(h.sends(), [(1, 7)]);
     h.request_with(2, |r| r.shard = None);
@@ -160,11 +187,23 @@
 fn a_cold_node_gets_this_hosts_part_and_more_as_it_warms() {
     let mut s = settings();
     s.hosts = 2;
-    s.cold = Some(ColdRule { bears: 12.0, from: 0.2, multiple: 4.0, warm_up: 10_000_000, window: 1_000_000 });
+    s.cold = Some(ColdRule {
+        bears: 12.0,
+        from: 0.2,
+        multiple: 4.0,
+        warm_up: 10_000_000,
+        window: 1_000_000,
+    });
     let mut h = Host::new(s, vec![]);
     let born = h.now;
     let started = Some(born);
-    h.list(ListKind::Full, vec![NodeEntry { started, ..entry(7, 0) }]);
+    h.list(
+        ListKind::Full,
+        vec![NodeEntry {
+            started,
+            ..entry(7, 0)
+        }],
+    );
     let mut sent = Vec::new();
     for id in 1..600 {
         h.request_with(id, |r| r.volume = VolumeId(u64::from(id)));
@@ -178,7 +217,10 @@
         let part = 6.0 * (0.2 + 0.8 * age / 1e7) / 0.2;
         let within = sent.iter().filter(|t| h.now - **t < 900_000).count() as f64 * 2.0;
         // The stated figure is far on the safe side: up to three times that, at the first.
-        assert!(age >= 1e7 || within <= part * 3.0, "{within} units of {part} at {age}");
+        assert!(
+            age >= 1e7 || within <= part * 3.0,
+            "{within} units of {part} at {age}"
+        );
     }
     assert!(sent.len() > 80, "{}", sent.len());
 }
@@ -187,11 +229,23 @@
 fn a_cold_node_that_does_not_answer_gets_this_hosts_part_only() {
     let mut s = settings();
     s.hosts = 2;
-    s.cold = Some(ColdRule { bears: 12.0, from: 0.2, multiple: 4.0, warm_up: 10_000_000, window: 1_000_000 });
+    s.cold = Some(ColdRule {
+        bears: 12.0,
+        from: 0.2,
+        multiple: 4.0,
+        warm_up: 10_000_000,
+        window: 1_000_000,
+    });
     for outcome in [None, Some(Outcome::Error), Some(Outcome::Full)] {
         let mut h = Host::new(s.clone(), vec![]);
         let started = Some(h.now);
-        h.list(ListKind::Full, vec![NodeEntry { started, ..entry(7, 0) }]);
+        h.list(
+            ListKind::Full,
+            vec![NodeEntry {
+                started,
+                ..entry(7, 0)
+            }],
+        );
         for id in 1..60 {
             let before = h.sends().len();
             h.request_with(id, |r| r.volume = VolumeId(u64::from(id)));
@@ -201,7 +255,11 @@
             }
             h.pass(8_000);
         }
-        assert!(h.sends().len() <= 4, "{outcome:?}: {} of 2 units, with a part of 6", h.sends().len());
+        assert!(
+            h.sends().len() <= 4,
+            "{outcome:?}: {} of 2 units, with a part of 6",
+            h.sends().len()
+        );
     }
 }
 
@@ -209,15 +267,26 @@
 fn many_hosts_together_keep_a_fresh_node_standing_and_do_not_starve_it() {
     let mut s = settings();
     s.hosts = 200;
-    s.cold =
-        Some(ColdRule { bears: 20.0, from: 0.16, multiple: 4.0, warm_up: 14_000_000, window: 1_000_000 });
+    s.cold = Some(ColdRule {
+        bears: 20.0,
+        from: 0.16,
+        multiple: 4.0,
+        warm_up: 14_000_000,
+        window: 1_000_000,
+    });
     let born = 5_000_000;
     let mut hosts: Vec<Host> = (0..200)
         .map(|seed| {
             let mut h = Host::new(s.clone(), vec![]);
             h.brain = Brain::new(s.clone(), seed * 1_000_003);
             h.now = born;
-            h.list(ListKind::Full, vec![NodeEntry { started: Some(born), ..entry(7, 0) }]);
+            h.list(
+                ListKind::Full,
+                vec![NodeEntry {
+                    started: Some(born),
+                    ..entry(7, 0)
+                }],
+            );
             h
         })
         .collect();
@@ -235,7 +304,11 @@
         }
         let age = (now - born - 1_000_000).max(0) as f64;
         let bears = 20.0 * (0.16 + 0.84 * age / 1.4e7) / 0.16;
-        let within: f64 = sent.iter().filter(|l| now - l.0 <= 1_000_000).map(|l| l.1).sum();
+        let within: f64 = sent
+            .iter()
+            .filter(|l| now - l.0 <= 1_000_000)
+            .map(|l| l.1)
+            .sum();
         assert!(within <= bears * 1.5, "{within} units of {bears} at {age}");
     }
     assert!(sent.len() > 100, "{} sent in twelve seconds", sent.len());
@@ -252,7 +325,13 @@
     let mut s = settings();
     s.hosts = HOSTS as u32;
     s.tick = 1_000;
-    s.cold = Some(ColdRule { bears: 7.0, from: 0.25, multiple, warm_up: WARM as Micros, window: 1_000_000 });
+    s.cold = Some(ColdRule {
+        bears: 7.0,
+        from: 0.25,
+        multiple,
+        warm_up: WARM as Micros,
+        window: 1_000_000,
+    });
     let begun = 5_000_000;
     let mut hosts: Vec<Host> = (0..HOSTS as u64)
         .map(|seed| {
@@ -265,13 +344,20 @@
         .collect();
     let (born, end) = (begun + 8_000_000, begun + 18_000_000);
     let power = |now: Micros| POWER * (0.25 + 0.75 * ((now - born) as f64 / WARM).clamp(0.0, 1.0));
-    let (mut dice, mut free, mut sent, mut due) = (fastrand::Rng::with_seed(11), 0, Vec::new(), Vec::new());
+    let (mut dice, mut free, mut sent, mut due) =
+        (fastrand::Rng::with_seed(11), 0, Vec::new(), Vec::new());
     let (mut asked, mut served, mut most, mut id) = (0.0, 0.0, 0.0_f64, 0u32);
     for now in (begun..end).step_by(8_000) {
         for (h, host) in hosts.iter_mut().enumerate() {
             host.now = now;
             if now == born {
-                host.list(ListKind::Delta, vec![NodeEntry { started: Some(born), ..entry(0, 0) }]);
+                host.list(
+                    ListKind::Delta,
+                    vec![NodeEntry {
+                        started: Some(born),
+                        ..entry(0, 0)
+                    }],
+                );
             }
             // 2 units a request, half of what the nodes can do, spread over all hosts.
             let before = host.said.len();
@@ -279,13 +365,21 @@
                 id += 1;
                 let shard = (h as u32 + dice.u32(..12) * 5) % NODES;
                 asked += if now > born && shard == 0 { 2.0 } else { 0.0 };
-                host.request_with(id, |r| (r.volume, r.shard) = (VolumeId(h as u64), Some(Shard(shard))));
+                host.request_with(id, |r| {
+                    (r.volume, r.shard) = (VolumeId(h as u64), Some(Shard(shard)))
+                });
             } else if now % 40_000 == 0 {
                 host.event(Event::Timer(0));
             }
             for action in host.said.split_off(before) {
-                let Action::Send { request, node, .. } = action else { continue };
-                let work = if node.0 == 0 && now >= born { (2e6 / power(now)) as Micros } else { 40_000 };
+                let Action::Send { request, node, .. } = action else {
+                    continue;
+                };
+                let work = if node.0 == 0 && now >= born {
+                    (2e6 / power(now)) as Micros
+                } else {
+                    40_000
+                };
                 let ends = if node.0 == 0 && now >= born {
                     free = now.max(free) + work;
                     free
@@ -303,7 +397,11 @@
         let (over, still): (Vec<_>, Vec<_>) = due.into_iter().partition(|d| d.0 <= now);
         due = still;
         for (ends, h, request, node, at) in over {
-            served += if node.0 == 0 && at >= born && ends - at < 300_000 { 2.0 } else { 0.0 };
+            served += if node.0 == 0 && at >= born && ends - at < 300_000 {
+                2.0
+            } else {
+                0.0
+            };
             hosts[h].answer_waited(request.0, node.0, ends - at, Outcome::Ok);
         }
     }
@@ -338,11 +436,19 @@
     }
     h.request_with(4, |r| r.key = Some(Key(6)));
     h.request_with(5, |r| r.key = None);
-    assert_eq!(h.sends(), [(1, 7), (4, 7), (5, 7)], "others are not blocked");
+    assert_eq!(
+        h.sends(),
+        [(1, 7), (4, 7), (5, 7)],
+        "others are not blocked"
+    );
     h.answer(1, 0, 7, Outcome::Ok);
     assert_eq!(h.sends().last(), Some(&(2, 7)));
     h.answer(2, 0, 7, Outcome::Error);
-    assert_eq!((h.sent(2), h.sent(3)), (2, 0), "the one that has the turn may go again");
+    assert_eq!(
+        (h.sent(2), h.sent(3)),
+        (2, 0),
+        "the one that has the turn may go again"
+    );
 }
 
 #[test]
@@ -355,7 +461,11 @@
     h.pass(give_up - h.now - 4_000);
     h.request_with(3, |r| r.key = Some(Key(5)));
     h.pass(100_000);
-    assert_eq!((h.finals(1), h.sent(3)), (1, 0), "the first one's attempt is still out");
+    assert_eq!(
+        (h.finals(1), h.sent(3)),
+        (1, 0),
+        "the first one's attempt is still out"
+    );
     h.answer(1, 0, 7, Outcome::Timeout);
     h.pass(190_000);
     assert_eq!(h.sent(3), 0, "and the key rests");
@@ -368,7 +478,11 @@
 #[test]
 fn further_attempts_stay_within_the_budget() {
     let mut s = settings();
-    s.budget = Some(RetryBudget { spare: 1.0, ratio: 0.1, window: 5_000_000 });
+    s.budget = Some(RetryBudget {
+        spare: 1.0,
+        ratio: 0.1,
+        window: 5_000_000,
+    });
     let mut h = Host::new(s, vec![entry(7, 0)]);
     for id in 1..=20 {
         h.request_with(id, |r| r.volume = VolumeId(u64::from(id)));
@@ -383,7 +497,11 @@
 
 fn limited() -> Settings {
     let mut s = settings();
-    s.plans[0].limit = Some(Limit { rate: 10.0, burst: 20.0, slack: 2.0 });
+    s.plans[0].limit = Some(Limit {
+        rate: 10.0,
+        burst: 20.0,
+        slack: 2.0,
+    });
     s
 }
 
@@ -431,7 +549,10 @@
         Action::Refuse { retry_after, .. } => *retry_after,
         _ => None,
     });
-    assert!(hint.is_some_and(|t| (790_000..900_000).contains(&t)), "{hint:?}");
+    assert!(
+        hint.is_some_and(|t| (790_000..900_000).contains(&t)),
+        "{hint:?}"
+    );
 }
 
 #[test]
@@ -446,17 +567,27 @@
 /// A transfer in hand on a volume whose limit is eight units a second.
 fn transfer() -> Host {
     let mut s = settings();
-    s.plans[0].limit = Some(Limit { rate: 8.0, burst: 16.0, slack: 2.0 });
+    s.plans[0].limit = Some(Limit {
+        rate: 8.0,
+        burst: 16.0,
+        slack: 2.0,
+    });
     let mut h = Host::new(s, vec![entry(7, 0)]);
     h.pass(2_000_000);
     h.request_with(1, |r| r.give_up += 60_000_000);
     assert_eq!(h.sent(1), 1);
-    h.event(Event::Began { request: RequestId(1), attempt: 0 });
+    h.event(Event::Began {
+        request: RequestId(1),
+        attempt: 0,
+    });
     h
 }
 
 fn granted(h: &Host) -> usize {
-    h.said.iter().filter(|a| matches!(a, Action::Grant { .. })).count()
+    h.said
+        .iter()
+        .filter(|a| matches!(a, Action::Grant { .. }))
+        .count()
 }
 
 #[test]
@@ -464,7 +595,10 @@
     let mut h = transfer();
     for _ in 0..40 {
         let before = granted(&h);
-        h.event(Event::More { request: RequestId(1), units: 8.0 });
+        h.event(Event::More {
+            request: RequestId(1),
+            units: 8.0,
+        });
         while granted(&h) == before && h.now < 30_000_000 {
             h.pass(20_000);
         }
@@ -478,10 +612,16 @@
 #[test]
 fn a_drain_stops_no_transfer_in_hand_and_starts_no_other() {
     let mut h = transfer();
-    let drains = NodeEntry { state: NodeState::Draining, ..entry(7, 0) };
+    let drains = NodeEntry {
+        state: NodeState::Draining,
+        ..entry(7, 0)
+    };
     h.list(ListKind::Delta, vec![drains]);
     h.pass(1_000_000);
-    h.event(Event::More { request: RequestId(1), units: 8.0 });
+    h.event(Event::More {
+        request: RequestId(1),
+        units: 8.0,
+    });
     h.request(2);
     h.pass(1_500_000);
     assert_eq!((granted(&h), h.sent(2)), (1, 0));
@@ -493,7 +633,11 @@
     h.pass(5_000_000);
     h.answer_after(1, 7, 5_000_000);
     h.request(2);
-    assert_eq!(h.sent(2), 1, "five seconds of bytes do not make the node slow");
+    assert_eq!(
+        h.sent(2),
+        1,
+        "five seconds of bytes do not make the node slow"
+    );
 }
 
 // ---- data that moves ---------------------------------------------------------------------------------------
@@ -508,14 +652,20 @@
     let sent = h.sends().len();
     assert!(sent < 12);
     for id in 0..12 {
-        h.event(Event::Moved { request: RequestId(id), shard: Some(Shard(1)) });
+        h.event(Event::Moved {
+            request: RequestId(id),
+            shard: Some(Shard(1)),
+        });
     }
     h.pass(100_000);
     let sends = h.sends();
     for id in 0..12 {
         let places: Vec<_> = sends.iter().filter(|s| s.0 == id).map(|s| s.1).collect();
         assert!(places.len() <= 1, "request {id} went to {places:?}");
-        assert!((id as usize) < sent || places.iter().all(|p| *p == 1), "request {id} went to {places:?}");
+        assert!(
+            (id as usize) < sent || places.iter().all(|p| *p == 1),
+            "request {id} went to {places:?}"
+        );
     }
     assert!(sends.len() > sent, "what moved is sent");
 }
@@ -529,7 +679,10 @@
     // News of the list must not send it to the old place again.
     h.list(ListKind::Delta, vec![entry(0, 0)]);
     assert_eq!(h.sends(), [(1, 0)]);
-    h.event(Event::Moved { request: RequestId(1), shard: Some(Shard(1)) });
+    h.event(Event::Moved {
+        request: RequestId(1),
+        shard: Some(Shard(1)),
+    });
     assert_eq!(h.sends(), [(1, 0), (1, 1)]);
     // A node that only lost an extent is as well as before.
     h.request(2);
@@ -542,38 +695,65 @@
     h.request_with(1, |r| (r.astray, r.shard) = (true, None));
     assert!(h.sends().is_empty());
     h.pass(1_100_000);
-    assert!(h.refused(1) && h.sends().is_empty(), "well before its two seconds are over");
+    assert!(
+        h.refused(1) && h.sends().is_empty(),
+        "well before its two seconds are over"
+    );
 }
 
 #[test]
 fn a_keyed_write_that_may_have_run_never_follows_its_data_out_of_its_group() {
     let write = |group| {
         let mut s = settings();
-        s.classes = vec![class(Effect::Keyed { group, window: 4_000_000 })];
+        s.classes = vec![class(Effect::Keyed {
+            group,
+            window: 4_000_000,
+        })];
         let mut h = Host::new(s, vec![entry(0, 0), entry(1, 1)]);
         h.request_with(1, |r| r.give_up += 2_000_000);
         h
     };
     // Moved while it is out, then its connection breaks: it may have run on shard 0.
     let mut h = write(Group::Cell);
-    h.event(Event::Moved { request: RequestId(1), shard: Some(Shard(1)) });
+    h.event(Event::Moved {
+        request: RequestId(1),
+        shard: Some(Shard(1)),
+    });
     h.answer(1, 0, 0, Outcome::Reset);
-    assert!(h.failed(1) && h.sends() == [(1, 0)], "it fails plainly and at once");
+    assert!(
+        h.failed(1) && h.sends() == [(1, 0)],
+        "it fails plainly and at once"
+    );
     // Moved while it waits for its next attempt.
     let mut h = write(Group::Cell);
-    h.list(ListKind::Delta, vec![NodeEntry { state: NodeState::Draining, ..entry(0, 0) }]);
+    h.list(
+        ListKind::Delta,
+        vec![NodeEntry {
+            state: NodeState::Draining,
+            ..entry(0, 0)
+        }],
+    );
     h.pass(1_000_000);
     h.answer(1, 0, 0, Outcome::Reset);
     assert!(!h.failed(1), "a successor on its shard may still come");
-    h.event(Event::Moved { request: RequestId(1), shard: Some(Shard(1)) });
+    h.event(Event::Moved {
+        request: RequestId(1),
+        shard: Some(Shard(1)),
+    });
     assert!(h.failed(1) && h.sends() == [(1, 0)]);
     // Where every node drops the repeat it goes on; and so does what provably never ran.
     let mut h = write(Group::All);
-    h.event(Event::Moved { request: RequestId(1), shard: Some(Shard(1)) });
+    h.event(Event::Moved {
+        request: RequestId(1),
+        shard: Some(Shard(1)),
+    });
     h.answer(1, 0, 0, Outcome::Reset);
     assert_eq!(h.sends(), [(1, 0), (1, 1)]);
     let mut h = write(Group::Cell);
-    h.event(Event::Moved { request: RequestId(1), shard: Some(Shard(1)) });
+    h.event(Event::Moved {
+        request: RequestId(1),
+        shard: Some(Shard(1)),
+    });
     h.answer(1, 0, 0, Outcome::ConnectFailed);
     assert_eq!(h.sends(), [(1, 0), (1, 1)]);
 }
--- a/crates/policy/tests/symptoms.rs
+++ b/crates/policy/tests/symptoms.rs
@@ -14,7 +14,11 @@
 fn a_node_that_breaks_connections_gets_trials_only() {
     let mut h = Host::new(settings(), vec![entry(7, 0)]);
     each_own_volume(&mut h, 1..9);
-    for (id, outcome) in [(1, Outcome::Reset), (2, Outcome::ConnectFailed), (3, Outcome::ConnectFailed)] {
+    for (id, outcome) in [
+        (1, Outcome::Reset),
+        (2, Outcome::ConnectFailed),
+        (3, Outcome::ConnectFailed),
+    ] {
         h.answer(id, 0, 7, outcome);
     }
     let before = h.sends().len();
@@ -22,7 +26,10 @@
     assert_eq!(h.sends().len(), before, "the breaker is open");
     h.pass(1_400_000);
     let trials = h.sends().len() - before;
-    assert!((1..=5).contains(&trials), "{trials} trials at growing distances");
+    assert!(
+        (1..=5).contains(&trials),
+        "{trials} trials at growing distances"
+    );
 }
 
 #[test]
@@ -34,7 +41,11 @@
     for id in 1..4 {
         h.answer(id, 0, 7, Outcome::ConnectFailed);
     }
-    assert_eq!((h.sent(1), h.sent(2), h.sent(3)), (2, 2, 1), "the third failure opened it");
+    assert_eq!(
+        (h.sent(1), h.sent(2), h.sent(3)),
+        (2, 2, 1),
+        "the third failure opened it"
+    );
     h.answer(4, 0, 7, Outcome::Ok);
     h.pass(20_000);
     assert_eq!(h.sent(3), 1, "careful at first: one at a time");
@@ -50,11 +61,16 @@
     h.pass(1_100_000);
     let before = h.sends().len();
     for id in 20..26 {
-        h.request_with(id, |r| (r.shard, r.volume) = (None, VolumeId(u64::from(id))));
+        h.request_with(id, |r| {
+            (r.shard, r.volume) = (None, VolumeId(u64::from(id)))
+        });
     }
     h.pass(20_000);
     let new = &h.sends()[before..];
-    assert!(!new.is_empty() && new.iter().filter(|s| s.0 >= 20).all(|s| s.1 == 8), "{new:?}");
+    assert!(
+        !new.is_empty() && new.iter().filter(|s| s.0 >= 20).all(|s| s.1 == 8),
+        "{new:?}"
+    );
 }
 
 #[test]
@@ -79,7 +95,10 @@
         }
     }
     each_own_volume(&mut h, 100..104);
-    assert!((100..103).all(|id| h.sent(id) == 1), "the node works: three more go out beside the three lost");
+    assert!(
+        (100..103).all(|id| h.sent(id) == 1),
+        "the node works: three more go out beside the three lost"
+    );
 }
 
 #[test]
@@ -91,10 +110,18 @@
     each_own_volume(&mut h, 2..4);
     h.pass(450_000);
     each_own_volume(&mut h, 10..12);
-    assert_eq!((h.sent(10), h.sent(11)), (1, 0), "one goes to find out, and no more");
+    assert_eq!(
+        (h.sent(10), h.sent(11)),
+        (1, 0),
+        "one goes to find out, and no more"
+    );
     h.pass(40_000);
     h.answer(10, 0, 7, Outcome::Ok);
-    assert_eq!(h.sent(11), 1, "the node works, and the two that are lost hold nothing up");
+    assert_eq!(
+        h.sent(11),
+        1,
+        "the node works, and the two that are lost hold nothing up"
+    );
 }
 
 #[test]
@@ -109,7 +136,11 @@
         h.answer_waited(id, 7, 2_050_000, Outcome::Timeout);
     }
     h.request_with(20, |r| r.volume = VolumeId(20));
-    assert_eq!(h.sent(20), 1, "it answers: what was lost before says nothing of it");
+    assert_eq!(
+        h.sent(20),
+        1,
+        "it answers: what was lost before says nothing of it"
+    );
 }
 
 #[test]
@@ -174,14 +205,26 @@
     }
     let shed = (100..id).filter(|r| h.refused(*r)).count();
     assert!(shed > 30, "{shed} of the flood refused early");
-    assert!([19, 39, 59].iter().all(|r| !h.refused(*r)), "the reserve is not");
+    assert!(
+        [19, 39, 59].iter().all(|r| !h.refused(*r)),
+        "the reserve is not"
+    );
 }
 
 #[test]
 fn a_successor_on_the_shard_takes_over() {
     let mut h = Host::new(settings(), vec![entry(7, 0)]);
     each_own_volume(&mut h, 1..7);
-    h.list(ListKind::Delta, vec![NodeEntry { state: NodeState::Gone, ..entry(7, 0) }, entry(9, 0)]);
+    h.list(
+        ListKind::Delta,
+        vec![
+            NodeEntry {
+                state: NodeState::Gone,
+                ..entry(7, 0)
+            },
+            entry(9, 0),
+        ],
+    );
     h.pass(8_000);
     let moved: Vec<u32> = h.sends().iter().filter(|s| s.1 == 9).map(|s| s.0).collect();
     assert_eq!(moved, [5, 6]);
@@ -212,7 +255,10 @@
     s.discovery = Discovery::Ask { within: 10_000_000 };
     let mut h = Host::new(s, vec![entry(7, 0)]);
     h.pass(7_000_000);
-    assert_eq!(h.said.iter().filter(|a| **a == Action::Subscribe).count(), 2);
+    assert_eq!(
+        h.said.iter().filter(|a| **a == Action::Subscribe).count(),
+        2
+    );
 }
 
 #[test]
@@ -221,7 +267,10 @@
     s.classes[0].streamed = true;
     let mut h = Host::new(s, vec![entry(7, 0)]);
     h.request(1);
-    h.event(Event::Began { request: RequestId(1), attempt: 0 });
+    h.event(Event::Began {
+        request: RequestId(1),
+        attempt: 0,
+    });
     h.pass(5_000_000);
     assert_eq!(h.finals(1), 0);
 }
@@ -237,7 +286,12 @@
     h.event(Event::ClientGone(RequestId(99)));
     h.event(Event::Timer(12345));
     h.event(Event::PeerNote);
-    h.event(Event::Probed { node: NodeId(55), outcome: Outcome::Timeout, waited: 1, load: None });
+    h.event(Event::Probed {
+        node: NodeId(55),
+        outcome: Outcome::Timeout,
+        waited: 1,
+        load: None,
+    });
     h.request_with(1, |r| r.shard = Some(Shard(66))); // no node holds it
     h.request_with(2, |r| (r.plan, r.class, r.units) = (9, 9, 0.0)); // beyond the settings
     h.request_with(3, |r| r.give_up = 0); // over before it came
@@ -262,10 +316,22 @@
 fn a_cold_node_starves_under_no_number_of_hosts() {
     let mut s = settings();
     s.hosts = 12;
-    s.cold = Some(ColdRule { bears: 23.0, from: 0.2, multiple: 4.0, warm_up: 15_000_000, window: 3_000_000 });
+    s.cold = Some(ColdRule {
+        bears: 23.0,
+        from: 0.2,
+        multiple: 4.0,
+        warm_up: 15_000_000,
+        window: 3_000_000,
+    });
     let mut h = Host::new(s, vec![]);
     let started = Some(h.now);
-    h.list(ListKind::Full, vec![NodeEntry { started, ..entry(7, 0) }]);
+    h.list(
+        ListKind::Full,
+        vec![NodeEntry {
+            started,
+            ..entry(7, 0)
+        }],
+    );
     let begun = h.now;
     for id in 1..40 {
         h.request(id); // 2 units; an even part is 1.9
@@ -350,7 +416,11 @@
 #[test]
 fn what_earns_little_leaves_a_slower_node_to_the_rest() {
     let mut s = settings();
-    s.classes.push(Class { aim: 1_500_000, worth: 0.5, ..class(Effect::Safe) });
+    s.classes.push(Class {
+        aim: 1_500_000,
+        worth: 0.5,
+        ..class(Effect::Safe)
+    });
     // Both could be in time at 200 ms; the second would fill the node up to its own aim.
     let mut h = with_latency(s.clone(), 200_000);
     h.request_with(1, |r| (r.class, r.volume) = (1, VolumeId(1)));
@@ -374,7 +444,9 @@
 #[test]
 fn a_client_with_little_time_is_served_in_it() {
     let mut h = with_latency(settings(), 50_000);
-    h.request_with(1, |r| (r.give_up, r.volume) = (r.give_up - 1_850_000, VolumeId(1)));
+    h.request_with(1, |r| {
+        (r.give_up, r.volume) = (r.give_up - 1_850_000, VolumeId(1))
+    });
     assert_eq!(h.sent(1), 1);
 }
 
@@ -388,8 +460,16 @@
     h.pass(60_000);
     each_own_volume(&mut h, 3..5);
     h.pass(350_000); // their aim is over, their clients stay for 1.6 s more
-    assert_eq!(h.sent(3), 1, "one goes to find out whether the others are lost");
+    assert_eq!(
+        h.sent(3),
+        1,
+        "one goes to find out whether the others are lost"
+    );
     assert_eq!((h.sent(4), h.refused(4)), (0, true));
-    let long = |a: &Action| matches!(a, Action::Refuse { retry_after: Some(t), .. } if *t > 300_000);
-    assert!(h.said.iter().any(long), "the hint tells how slow the node is");
+    let long =
+        |a: &Action| matches!(a, Action::Refuse { retry_after: Some(t), .. } if *t > 300_000);
+    assert!(
+        h.said.iter().any(long),
+        "the hint tells how slow the node is"
+    );
 }
--- a/crates/policy/tests/tags.rs
+++ b/crates/policy/tests/tags.rs
@@ -31,7 +31,9 @@
     let mut next = 0;
     loop {
         let sent: Vec<u32> = h.sends().iter().filter(|s| s.1 == 7).map(|s| s.0).collect();
-        let Some(&id) = sent.get(next) else { return sent[4..].to_vec() };
+        let Some(&id) = sent.get(next) else {
+            return sent[4..].to_vec();
+        };
         h.answer(id, 0, 7, Outcome::Ok);
         next += 1;
     }
@@ -121,14 +123,24 @@
 #[test]
 fn a_day_of_new_volumes_and_nodes_leaves_nothing_behind() {
     let mut s = settings();
-    s.plans = vec![Plan { limit: Some(Limit { rate: 16.0, burst: 32.0, slack: 8.0 }), ..plan(1.0) }];
+    s.plans = vec![Plan {
+        limit: Some(Limit {
+            rate: 16.0,
+            burst: 32.0,
+            slack: 8.0,
+        }),
+        ..plan(1.0)
+    }];
     let mut h = Host::new(s, Vec::new());
     let mut most = 0;
     for day in 0..600 {
         // Each node is replaced after a second by one under a new number.
         let mut list = vec![entry(day, 0)];
         if day > 0 {
-            list.push(NodeEntry { state: NodeState::Gone, ..entry(day - 1, 0) });
+            list.push(NodeEntry {
+                state: NodeState::Gone,
+                ..entry(day - 1, 0)
+            });
         }
         h.list(ListKind::Delta, list);
         for i in 0..10 {
@@ -140,5 +152,8 @@
         h.said.clear();
         most = most.max(h.brain.remembers());
     }
-    assert!(most < 1_000, "{most} things remembered of 6000 volumes and 600 nodes");
+    assert!(
+        most < 1_000,
+        "{most} things remembered of 6000 volumes and 600 nodes"
+    );
 }
--- a/crates/rsync/src/config.rs
+++ b/crates/rsync/src/config.rs
@@ -25,7 +25,11 @@
 }
 
 fn list(faults: &[(String, String)]) -> String {
-    faults.iter().map(|(path, why)| format!("{path}: {why}")).collect::<Vec<_>>().join("; ")
+    faults
+        .iter()
+        .map(|(path, why)| format!("{path}: {why}"))
+        .collect::<Vec<_>>()
+        .join("; ")
 }
 
 /// The section as it is written.
@@ -160,16 +164,26 @@
         for (i, raw) in section.module.into_iter().enumerate() {
             match module(raw, told) {
                 Ok(module) => modules.push(module),
-                Err(whys) => {
-                    faults.extend(whys.into_iter().map(|(k, why)| (format!("module[{i}].{k}"), why)))
-                }
+                Err(whys) => faults.extend(
+                    whys.into_iter()
+                        .map(|(k, why)| (format!("module[{i}].{k}"), why)),
+                ),
             }
         }
         if !faults.is_empty() {
             return Err(ConfigError::Faults(faults));
         }
-        let servers = section.server.into_iter().map(|s| (s.node, s.address)).collect();
-        Ok(Some(RsyncConfig { listen: section.listen, max_clients: section.max_clients, modules, servers }))
+        let servers = section
+            .server
+            .into_iter()
+            .map(|s| (s.node, s.address))
+            .collect();
+        Ok(Some(RsyncConfig {
+            listen: section.listen,
+            max_clients: section.max_clients,
+            modules,
+            servers,
+        }))
     }
 }
 
@@ -204,7 +218,10 @@
         }
         for (i, s) in self.server.iter().enumerate() {
             if self.server[..i].iter().any(|other| other.node == s.node) {
-                faults.push((format!("server[{i}].node"), "a server of this node stands above".into()));
+                faults.push((
+                    format!("server[{i}].node"),
+                    "a server of this node stands above".into(),
+                ));
             }
         }
         faults
@@ -225,7 +242,9 @@
     if class.is_some_and(|c| told.module.classes[c].effect != Effect::Safe) {
         faults.push(("class", "the class must be safe to repeat".into()));
     }
-    let (Some(class), Some(plan), true) = (class, plan, faults.is_empty()) else { return Err(faults) };
+    let (Some(class), Some(plan), true) = (class, plan, faults.is_empty()) else {
+        return Err(faults);
+    };
     let request = Request {
         class: class as u16,
         plan: plan as u32,
@@ -240,7 +259,11 @@
         comment: raw.comment,
         request,
         bytes_per_unit: raw.bytes_per_unit,
-        most_units: if told.module.max_units >= 1.0 { told.module.max_units } else { 8.0 },
+        most_units: if told.module.max_units >= 1.0 {
+            told.module.max_units
+        } else {
+            8.0
+        },
         deadline: Duration::from_millis(raw.deadline_ms),
     })
 }
--- a/crates/rsync/src/daemon.rs
+++ b/crates/rsync/src/daemon.rs
@@ -104,8 +104,12 @@
 
 async fn serve(from: &mut Reader<OwnedReadHalf>, to: &Client, front: &Front) -> Result<(), Turned> {
     let late = |_| told("too slow");
-    let hello = tokio::time::timeout(HANDSHAKE, handshake(from, to, front)).await.map_err(late)??;
-    let Some((module, asked, seed)) = hello else { return Ok(()) };
+    let hello = tokio::time::timeout(HANDSHAKE, handshake(from, to, front))
+        .await
+        .map_err(late)??;
+    let Some((module, asked, seed)) = hello else {
+        return Ok(());
+    };
 
     // The file list is the first unit of work.
     let want = |path: String, recursive| Want {
@@ -117,13 +121,31 @@
     let servers = &front.config.servers;
     let request = || {
         let give_up = front.core.clock.now() + module.deadline.as_micros() as i64;
-        lupinrack_policy::Request { give_up, ..module.request }
+        lupinrack_policy::Request {
+            give_up,
+            ..module.request
+        }
     };
-    let meter = |bytes| Meter { bytes_per_unit: module.bytes_per_unit, most_units: module.most_units, bytes };
-    let listed = unit::run(&front.core, request(), meter(0), from.ended(AHEAD_MOST), |attempt, line| {
-        let address = servers.get(&*attempt.to.name).copied();
-        pull::list(want(asked.path.clone(), asked.recursive), address, attempt, line)
-    });
+    let meter = |bytes| Meter {
+        bytes_per_unit: module.bytes_per_unit,
+        most_units: module.most_units,
+        bytes,
+    };
+    let listed = unit::run(
+        &front.core,
+        request(),
+        meter(0),
+        from.ended(AHEAD_MOST),
+        |attempt, line| {
+            let address = servers.get(&*attempt.to.name).copied();
+            pull::list(
+                want(asked.path.clone(), asked.recursive),
+                address,
+                attempt,
+                line,
+            )
+        },
+    );
     let list = match listed.await {
         End::Done(list) => list,
         other => return Err(told(ending("the file list", &other))),
@@ -150,22 +172,40 @@
             to.lock().await.data(&(-1i32).to_le_bytes()).await?;
             continue;
         }
-        let entry = usize::try_from(index).ok().and_then(|i| list.get(i)).filter(|e| e.is_file());
+        let entry = usize::try_from(index)
+            .ok()
+            .and_then(|i| list.get(i))
+            .filter(|e| e.is_file());
         let entry = entry.ok_or(WireError::Garbage("no such file in the list"))?;
-        let sums = tokio::time::timeout(IDLE, from.sums()).await.map_err(late)??;
+        let sums = tokio::time::timeout(IDLE, from.sums())
+            .await
+            .map_err(late)??;
         let name = String::from_utf8_lossy(&entry.name).into_owned();
         let path = path_of(&asked, entry)?;
         let head = [index, sums[0], sums[1], sums[2], sums[3]];
         let gone = from.ended(AHEAD_MOST);
-        let pulled = unit::run(&front.core, request(), meter(entry.size), gone, |attempt, line| {
-            let address = servers.get(&*attempt.to.name).copied();
-            let passing = Passing { client: to.clone(), head, size: entry.size, sum: Some(Sum::new(seed)) };
-            pull::file(want(path.clone(), false), address, attempt, line, passing)
-        });
+        let pulled = unit::run(
+            &front.core,
+            request(),
+            meter(entry.size),
+            gone,
+            |attempt, line| {
+                let address = servers.get(&*attempt.to.name).copied();
+                let passing = Passing {
+                    client: to.clone(),
+                    head,
+                    size: entry.size,
+                    sum: Some(Sum::new(seed)),
+                };
+                pull::file(want(path.clone(), false), address, attempt, line, passing)
+            },
+        );
         match pulled.await {
             End::Done(()) => bytes += entry.size,
             // Not begun: this file is left out, and the client hears why and goes on.
-            end @ (End::Refused(_) | End::Failed) => to.lock().await.error(&ending(&name, &end)).await?,
+            end @ (End::Refused(_) | End::Failed) => {
+                to.lock().await.error(&ending(&name, &end)).await?
+            }
             // Bytes have passed on: the connection ends where the file is not whole.
             end => return Err(told(ending(&name, &end))),
         }
@@ -207,22 +247,27 @@
     let mut to = to.lock().await;
     to.data(format!("@RSYNCD: {VERSION}\n").as_bytes()).await?;
     let hello = from.line().await?;
-    let version =
-        hello.strip_prefix("@RSYNCD: ").and_then(|v| v.split('.').next()?.trim().parse::<u32>().ok());
+    let version = hello
+        .strip_prefix("@RSYNCD: ")
+        .and_then(|v| v.split('.').next()?.trim().parse::<u32>().ok());
     let version = version.ok_or_else(|| told("this is an rsync daemon; a greeting is expected"))?;
     if version < VERSION {
-        return Err(told(format!("protocol version {version} is not served; {VERSION} is the oldest")));
+        return Err(told(format!(
+            "protocol version {version} is not served; {VERSION} is the oldest"
+        )));
     }
     let name = from.line().await?;
     if name.is_empty() || name == "#list" {
         for m in &front.config.modules {
-            to.data(format!("{:<15}\t{}\n", m.name, m.comment.replace('\n', " ")).as_bytes()).await?;
+            to.data(format!("{:<15}\t{}\n", m.name, m.comment.replace('\n', " ")).as_bytes())
+                .await?;
         }
         to.data(b"@RSYNCD: EXIT\n").await?;
         return Ok(None);
     }
     let module = front.config.modules.iter().find(|m| m.name == name);
-    let module = module.ok_or_else(|| told(format!("Unknown module '{}'", name.escape_default())))?;
+    let module =
+        module.ok_or_else(|| told(format!("Unknown module '{}'", name.escape_default())))?;
     to.data(b"@RSYNCD: OK\n").await?;
     let mut arguments = Vec::new();
     loop {
@@ -257,7 +302,9 @@
             "--sender" => sender = true,
             "--numeric-ids" => numeric = true,
             "." => break,
-            long if long.starts_with("--") => return Err(told(format!("option {long} is not served"))),
+            long if long.starts_with("--") => {
+                return Err(told(format!("option {long} is not served")))
+            }
             short if short.starts_with('-') => {
                 for letter in short[1..].chars() {
                     match letter {
@@ -272,7 +319,12 @@
                     }
                 }
             }
-            other => return Err(told(format!("argument '{}' is not expected", other.escape_default()))),
+            other => {
+                return Err(told(format!(
+                    "argument '{}' is not expected",
+                    other.escape_default()
+                )))
+            }
         }
     }
     if !server || !sender {
@@ -281,7 +333,9 @@
     let (Some(path), None) = (rest.next(), rest.next()) else {
         return Err(told("exactly one path is served"));
     };
-    let path = path.strip_prefix(module).filter(|p| p.is_empty() || p.starts_with('/'));
+    let path = path
+        .strip_prefix(module)
+        .filter(|p| p.is_empty() || p.starts_with('/'));
     let path = path.ok_or_else(|| told("the path is not in the module"))?;
     let path = match path.trim_start_matches('/') {
         "." => "",
@@ -291,14 +345,22 @@
     if path.len() > PATH_MOST || !(plain.is_empty() || wire::inside(plain.as_bytes())) {
         return Err(told("the path leads out of the module"));
     }
-    let id_lists = if numeric { 0 } else { usize::from(owners) + usize::from(groups) };
-    Ok(Asked { path: path.to_string(), recursive, id_lists })
+    let id_lists = if numeric {
+        0
+    } else {
+        usize::from(owners) + usize::from(groups)
+    };
+    Ok(Asked {
+        path: path.to_string(),
+        recursive,
+        id_lists,
+    })
 }
 
 /// Where an entry lies in the module: below the path asked for, or beside it where that has no slash at its end.
 fn path_of(asked: &Asked, entry: &Entry) -> Result<String, Turned> {
-    let name =
-        std::str::from_utf8(&entry.name).map_err(|_| told("a name that is not UTF-8 is not served"))?;
+    let name = std::str::from_utf8(&entry.name)
+        .map_err(|_| told("a name that is not UTF-8 is not served"))?;
     let base = asked.path.rfind('/').map_or("", |at| &asked.path[..=at]);
     Ok(format!("{base}{name}"))
 }
--- a/crates/rsync/src/pull.rs
+++ b/crates/rsync/src/pull.rs
@@ -99,7 +99,9 @@
         let mut s = open(&want, address, &attempt, line.clock).await?;
         let list = s.from.list().await?;
         if !matches!(&list[..], [e] if e.is_file() && e.size == passing.size) {
-            return Err(PullError::Server("the file is no longer what was listed".into()));
+            return Err(PullError::Server(
+                "the file is no longer what was listed".into(),
+            ));
         }
         // Entry 0, with no blocks of an older copy: the whole file is wanted.
         let mut ask = [0; 5].map(i32::to_le_bytes).concat();
@@ -123,10 +125,15 @@
                         return Err(WireError::Oversize("file").into());
                     }
                     line.pay(moved).await;
-                    passing.part(&mut line, &part).await.map_err(PullError::Client)?;
+                    passing
+                        .part(&mut line, &part)
+                        .await
+                        .map_err(PullError::Client)?;
                 }
                 Ok(_) => return Err(WireError::Oversize("token").into()),
-                Err(_) => return Err(WireError::Garbage("a block of a copy that is not there").into()),
+                Err(_) => {
+                    return Err(WireError::Garbage("a block of a copy that is not there").into())
+                }
             }
         }
         if s.from.bytes(16).await?[..] != theirs.end() || moved != passing.size {
@@ -155,7 +162,11 @@
 }
 
 async fn connect(address: SocketAddr) -> std::io::Result<TcpStream> {
-    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    let socket = if address.is_ipv4() {
+        TcpSocket::new_v4()?
+    } else {
+        TcpSocket::new_v6()?
+    };
     socket.set_recv_buffer_size(READ_AHEAD)?;
     socket.connect(address).await
 }
@@ -171,17 +182,23 @@
     let address = address.ok_or(PullError::Unsent)?;
     let greet = async {
         let connected = tokio::time::timeout(want.connect, connect(address)).await;
-        let stream = connected.map_err(|_| PullError::Unsent)?.map_err(PullError::Unreached)?;
+        let stream = connected
+            .map_err(|_| PullError::Unsent)?
+            .map_err(PullError::Unreached)?;
         let _ = stream.set_nodelay(true);
         let (from, to) = stream.into_split();
         let (mut from, mut to) = (Reader::new(from), Writer::new(to));
         let unrun = |_| PullError::Unsent;
         let hello = from.line().await.map_err(unrun)?;
-        let version = hello.strip_prefix("@RSYNCD: ").and_then(|v| v.split('.').next()?.trim().parse().ok());
+        let version = hello
+            .strip_prefix("@RSYNCD: ")
+            .and_then(|v| v.split('.').next()?.trim().parse().ok());
         if version.is_none_or(|v: u32| v < VERSION) {
             return Err(PullError::Server(format!("greeting '{hello}'")));
         }
-        to.data(format!("@RSYNCD: {VERSION}\n{}\n", want.module).as_bytes()).await.map_err(unrun)?;
+        to.data(format!("@RSYNCD: {VERSION}\n{}\n", want.module).as_bytes())
+            .await
+            .map_err(unrun)?;
         loop {
             let line = from.line().await.map_err(unrun)?;
             match line.strip_prefix("@ERROR") {
@@ -204,7 +221,10 @@
         return Err(PullError::Lapsed);
     }
     let recurse = if want.recursive { "-rt" } else { "-t" };
-    let arguments = format!("--server\n--sender\n{recurse}\n.\n{}/{}\n\n", want.module, want.path);
+    let arguments = format!(
+        "--server\n--sender\n{recurse}\n.\n{}/{}\n\n",
+        want.module, want.path
+    );
     to.data(arguments.as_bytes()).await?;
     let seed = from.int().await?;
     from.demultiplex();
@@ -217,7 +237,8 @@
 async fn goodbye(s: &mut Session) {
     let farewell = async {
         // The ends of both phases, their echoes, the figures, and the last word.
-        s.to.data(&[-1i32, -1].map(i32::to_le_bytes).concat()).await?;
+        s.to.data(&[-1i32, -1].map(i32::to_le_bytes).concat())
+            .await?;
         let _ = (s.from.int().await?, s.from.int().await?);
         s.from.stats().await?;
         s.to.data(&(-1i32).to_le_bytes()).await
@@ -242,7 +263,9 @@
     async fn part(&mut self, line: &mut Line, part: &[u8]) -> Result<(), WireError> {
         let mut client = self.client.lock().await;
         if line.begin().await {
-            client.data(&self.head.map(i32::to_le_bytes).concat()).await?;
+            client
+                .data(&self.head.map(i32::to_le_bytes).concat())
+                .await?;
         }
         if let Some(sum) = &mut self.sum {
             sum.add(part);
@@ -256,7 +279,9 @@
     async fn end(&mut self, line: &mut Line) -> Result<(), WireError> {
         let mut client = self.client.lock().await;
         if line.begin().await {
-            client.data(&self.head.map(i32::to_le_bytes).concat()).await?;
+            client
+                .data(&self.head.map(i32::to_le_bytes).concat())
+                .await?;
         }
         client.data(&0i32.to_le_bytes()).await?;
         let sum = self.sum.take().ok_or(WireError::Closed)?;
--- a/crates/rsync/src/unit.rs
+++ b/crates/rsync/src/unit.rs
@@ -96,7 +96,9 @@
     pull: impl Fn(Attempt, Line) -> F,
 ) -> End<T> {
     let span = spanned(&request);
-    follow(core, request, meter, gone, pull, span.clone()).instrument(span).await
+    follow(core, request, meter, gone, pull, span.clone())
+        .instrument(span)
+        .await
 }
 
 fn spanned(request: &Request) -> tracing::Span {
@@ -113,7 +115,12 @@
     pull: impl Fn(Attempt, Line) -> F,
     span: tracing::Span,
 ) -> End<T> {
-    let mut ticket = core.open(Request { units: meter.first(), ..request }).await;
+    let mut ticket = core
+        .open(Request {
+            units: meter.first(),
+            ..request
+        })
+        .await;
     let teller = ticket.teller();
     let began = Arc::new(AtomicBool::new(false));
     let mut running = None;
