--- a/crates/view-agreement/tests/simulation/machine.rs
+++ b/crates/view-agreement/tests/simulation/machine.rs
@@ -7,8 +7,12 @@
 use lupinrack_view_agreement::{Agreement, PolicySettings, ViewPolicy, VoteState};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-pub const POLICY: PolicySettings =
-    PolicySettings { heartbeat_ms: 150, suspect_after_ms: 700, tolerated_losses: 1, catch_up_ms: 4000 };
+pub const POLICY: PolicySettings = PolicySettings {
+    heartbeat_ms: 150,
+    suspect_after_ms: 700,
+    tolerated_losses: 1,
+    catch_up_ms: 4000,
+};
 
 /// A vote that was handed to the disk and is not synced yet, with the messages that wait for it.
 pub struct Write {
@@ -35,26 +39,47 @@
 }
 
 pub fn address(index: usize) -> PeerAddress {
-    PeerAddress(SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, index as u8), 7000))
+    PeerAddress(SocketAddrV4::new(
+        Ipv4Addr::new(10, 0, 0, index as u8),
+        7000,
+    ))
 }
 
 impl Machine {
     pub fn new(index: usize, disk: DiskId) -> Machine {
         let zone = format!("zone-{}", index % 3);
-        let voter = Voter { disk, address: address(index), zone };
-        Machine { voter, stored: VoteState::default(), disk_healthy: true, process: None }
+        let voter = Voter {
+            disk,
+            address: address(index),
+            zone,
+        };
+        Machine {
+            voter,
+            stored: VoteState::default(),
+            disk_healthy: true,
+            process: None,
+        }
     }
 
     pub fn start(&mut self, life: u64, founders: Vec<PeerAddress>, now: Millis) {
         let agreement = Agreement::new(self.voter.clone(), life, self.stored.clone(), founders);
         let policy = ViewPolicy::new(POLICY, agreement.founders().to_vec());
         let writes = Vec::new();
-        self.process = Some(Process { life, agreement, policy, writes, started: now, leaving_since: None });
+        self.process = Some(Process {
+            life,
+            agreement,
+            policy,
+            writes,
+            started: now,
+            leaving_since: None,
+        });
     }
 
     /// Ends the process. The first `survivors` of the writes that were not synced reach the disk all the same.
     pub fn kill(&mut self, survivors: usize) {
-        let Some(process) = self.process.take() else { return };
+        let Some(process) = self.process.take() else {
+            return;
+        };
         if let Some(write) = process.writes.into_iter().take(survivors).next_back() {
             self.stored = write.vote;
         }
--- a/crates/view-agreement/tests/simulation/random_proposals.rs
+++ b/crates/view-agreement/tests/simulation/random_proposals.rs
@@ -22,18 +22,28 @@
 
 /// A view of random voters, of those that run.
 fn random_view(world: &mut World, number: u64, founders: usize) -> View {
-    let reach = if number == 1 { founders } else { world.machines.len() };
+    let reach = if number == 1 {
+        founders
+    } else {
+        world.machines.len()
+    };
     let mut voters: Vec<Voter> = (0..reach)
         .filter(|index| world.is_running(*index))
         .map(|index| world.machines[index].voter.clone())
         .collect();
     world.rng.shuffle(&mut voters);
-    let count = world.rng.usize(VOTERS_LEAST..=voters.len().max(VOTERS_LEAST));
+    let count = world
+        .rng
+        .usize(VOTERS_LEAST..=voters.len().max(VOTERS_LEAST));
     voters.truncate(count);
     let mut chain: Vec<_> = voters.iter().map(|voter| voter.disk).collect();
     world.rng.shuffle(&mut chain);
     chain.truncate(count / 2 + 1);
-    View { number, voters, chain }
+    View {
+        number,
+        voters,
+        chain,
+    }
 }
 
 fn propose_at_random(world: &mut World, setup: Setup) {
@@ -80,7 +90,9 @@
     world.run_for(3000);
     let before = world.checker.newest().number;
     for _ in 0..40 {
-        let running: Vec<usize> = (0..world.machines.len()).filter(|m| world.is_running(*m)).collect();
+        let running: Vec<usize> = (0..world.machines.len())
+            .filter(|m| world.is_running(*m))
+            .collect();
         for machine in running {
             let number = world.current(machine).number + 1;
             let view = random_view(world, number, founders);
@@ -97,16 +109,32 @@
         let mut world = run_rough(seed, setup);
         agreed += world.checker.newest().number;
         let progress = run_calm(&mut world, setup.founders);
-        assert_eq!(world.checker.violations, Vec::<Violation>::new(), "seed {seed}");
-        assert!(progress > 0 || !must_progress, "seed {seed}: nothing was agreed once all was calm");
+        assert_eq!(
+            world.checker.violations,
+            Vec::<Violation>::new(),
+            "seed {seed}"
+        );
+        assert!(
+            progress > 0 || !must_progress,
+            "seed {seed}: nothing was agreed once all was calm"
+        );
     }
     let runs = seeds.end - seeds.start;
     println!("{agreed} views in {runs} rough runs");
-    assert!(agreed >= runs, "{agreed} views in {runs} rough runs: the runs test too little");
+    assert!(
+        agreed >= runs,
+        "{agreed} views in {runs} rough runs: the runs test too little"
+    );
 }
 
 fn setup(founders: usize, machines: usize, wipes_most: usize) -> Setup {
-    Setup { founders, machines, wipes_most, network: ROUGH, planted: PlantedFault::None }
+    Setup {
+        founders,
+        machines,
+        wipes_most,
+        network: ROUGH,
+        planted: PlantedFault::None,
+    }
 }
 
 #[test]
@@ -136,9 +164,16 @@
 
 /// Asserts that the checker finds a planted fault, and nothing in the same runs without it.
 fn assert_found(setup: Setup) {
-    let sound = Setup { planted: PlantedFault::None, ..setup };
+    let sound = Setup {
+        planted: PlantedFault::None,
+        ..setup
+    };
     for seed in PLANTED_SEEDS {
-        assert_eq!(run_rough(seed, sound).checker.violations, Vec::<Violation>::new(), "seed {seed}");
+        assert_eq!(
+            run_rough(seed, sound).checker.violations,
+            Vec::<Violation>::new(),
+            "seed {seed}"
+        );
         if run_rough(seed, setup).checker.found_two_views() {
             println!("{:?}: two views with seed {seed}", setup.planted);
             return;
@@ -149,15 +184,24 @@
 
 #[test]
 fn an_empty_disk_under_the_old_identity_is_found() {
-    assert_found(Setup { planted: PlantedFault::WipedDiskKeepsIdentity, ..setup(3, 5, 100) });
+    assert_found(Setup {
+        planted: PlantedFault::WipedDiskKeepsIdentity,
+        ..setup(3, 5, 100)
+    });
 }
 
 #[test]
 fn an_answer_before_the_sync_is_found() {
-    assert_found(Setup { planted: PlantedFault::AnswersBeforeSync, ..setup(3, 5, 0) });
+    assert_found(Setup {
+        planted: PlantedFault::AnswersBeforeSync,
+        ..setup(3, 5, 0)
+    });
 }
 
 #[test]
 fn a_quorum_of_the_new_voters_alone_is_found() {
-    assert_found(Setup { planted: PlantedFault::CountsNewVotersOnly, ..setup(3, 7, 0) });
+    assert_found(Setup {
+        planted: PlantedFault::CountsNewVotersOnly,
+        ..setup(3, 7, 0)
+    });
 }
--- a/crates/view-agreement/tests/simulation/replacement.rs
+++ b/crates/view-agreement/tests/simulation/replacement.rs
@@ -17,7 +17,11 @@
     world.policy_proposes = true;
     (running..running + others).for_each(|machine| world.kill(machine));
     world.run_for(6000);
-    assert_eq!(assert_settled(&world, seed).voters.len(), running, "seed {seed}");
+    assert_eq!(
+        assert_settled(&world, seed).voters.len(),
+        running,
+        "seed {seed}"
+    );
     world
 }
 
@@ -26,7 +30,10 @@
     let view = assert_settled(world, seed);
     assert_eq!(view.voters.len(), count, "seed {seed}: {view:?}");
     let runs = |disk| world.is_running(machine_of(world, disk));
-    assert!(view.voters.iter().all(|voter| runs(voter.disk)), "seed {seed}: a voter is gone");
+    assert!(
+        view.voters.iter().all(|voter| runs(voter.disk)),
+        "seed {seed}: a voter is gone"
+    );
 }
 
 #[test]
@@ -86,7 +93,10 @@
         world.run_for(APART_MS);
         world.terminate(old);
         world.run_for(2000);
-        assert!(!world.is_running(old), "seed {seed}: {count} voters: it still runs");
+        assert!(
+            !world.is_running(old),
+            "seed {seed}: {count} voters: it still runs"
+        );
         assert_whole(&world, seed, count);
         let next = world.checker.newest().chain[0];
         let lost = machine_of(&world, next);
@@ -122,10 +132,17 @@
         for machine in 0..count {
             world.terminate(machine);
             world.run_for(2000);
-            assert!(!world.is_running(machine), "seed {seed}: {count} voters: it still runs");
+            assert!(
+                !world.is_running(machine),
+                "seed {seed}: {count} voters: it still runs"
+            );
             world.start(machine);
             world.run_for(2000);
-            assert_eq!(assert_settled(&world, seed).voters, before, "seed {seed}: {count} voters");
+            assert_eq!(
+                assert_settled(&world, seed).voters,
+                before,
+                "seed {seed}: {count} voters"
+            );
         }
     }
 }
@@ -155,7 +172,11 @@
         world.run_for(SUCCESSOR_AFTER_MS);
         world.start(3);
         world.run_for(APART_MS);
-        assert_eq!(world.checker.violations, Vec::<Violation>::new(), "seed {seed}");
+        assert_eq!(
+            world.checker.violations,
+            Vec::<Violation>::new(),
+            "seed {seed}"
+        );
         assert_whole(&world, seed, 3);
     }
 }
--- a/crates/view-agreement/tests/simulation/with_policy.rs
+++ b/crates/view-agreement/tests/simulation/with_policy.rs
@@ -13,19 +13,37 @@
 }
 
 fn wanted_chain(voters: usize) -> usize {
-    (voters / 2 + 1).max(POLICY.tolerated_losses + 1).min(voters)
+    (voters / 2 + 1)
+        .max(POLICY.tolerated_losses + 1)
+        .min(voters)
 }
 
 /// Asserts that everybody who runs knows one view, and that its chain is whole.
 pub fn assert_settled(world: &World, seed: u64) -> View {
-    assert_eq!(world.checker.violations, Vec::<Violation>::new(), "seed {seed}");
+    assert_eq!(
+        world.checker.violations,
+        Vec::<Violation>::new(),
+        "seed {seed}"
+    );
     let view = world.checker.newest();
-    let runs =
-        |disk| (0..world.machines.len()).any(|m| world.machines[m].voter.disk == disk && world.is_running(m));
-    assert!(view.chain.iter().all(|disk| runs(*disk)), "seed {seed}: a member of the chain is gone");
-    assert!(view.chain.len() >= wanted_chain(view.voters.len()), "seed {seed}: the chain is short: {view:?}");
+    let runs = |disk| {
+        (0..world.machines.len())
+            .any(|m| world.machines[m].voter.disk == disk && world.is_running(m))
+    };
+    assert!(
+        view.chain.iter().all(|disk| runs(*disk)),
+        "seed {seed}: a member of the chain is gone"
+    );
+    assert!(
+        view.chain.len() >= wanted_chain(view.voters.len()),
+        "seed {seed}: the chain is short: {view:?}"
+    );
     for machine in (0..world.machines.len()).filter(|machine| world.is_running(*machine)) {
-        assert_eq!(world.current(machine), view, "seed {seed}: machine {machine} lags");
+        assert_eq!(
+            world.current(machine),
+            view,
+            "seed {seed}: machine {machine} lags"
+        );
     }
     view
 }
@@ -42,7 +60,11 @@
         for seed in 0..10 {
             let world = founded(seed, founders, machines);
             let view = assert_settled(&world, seed);
-            assert_eq!(view.voters.len(), machines.min(13), "seed {seed}, {founders} of {machines}");
+            assert_eq!(
+                view.voters.len(),
+                machines.min(13),
+                "seed {seed}, {founders} of {machines}"
+            );
         }
     }
 }
@@ -74,7 +96,10 @@
             world.run_for(6000);
             let view = assert_settled(&world, seed);
             assert_eq!(view.voters.len(), 3, "seed {seed}");
-            assert!(view.voter(world.machines[lost].voter.disk).is_some(), "seed {seed}");
+            assert!(
+                view.voter(world.machines[lost].voter.disk).is_some(),
+                "seed {seed}"
+            );
         }
     }
 }
@@ -103,7 +128,11 @@
         world.run_for(5000);
         let number = assert_settled(&world, seed).number;
         world.run_for(5000);
-        assert_eq!(world.checker.newest().number, number, "seed {seed}: views keep changing in a calm");
+        assert_eq!(
+            world.checker.newest().number,
+            number,
+            "seed {seed}: views keep changing in a calm"
+        );
     }
 }
 
--- a/crates/view-agreement/tests/simulation/world.rs
+++ b/crates/view-agreement/tests/simulation/world.rs
@@ -48,11 +48,26 @@
 }
 
 enum Event {
-    Deliver { from: PeerAddress, to: usize, message: Message },
-    Synced { machine: usize, life: u64 },
-    Tick { machine: usize, life: u64 },
-    Heartbeat { machine: usize, life: u64 },
-    Start { machine: usize },
+    Deliver {
+        from: PeerAddress,
+        to: usize,
+        message: Message,
+    },
+    Synced {
+        machine: usize,
+        life: u64,
+    },
+    Tick {
+        machine: usize,
+        life: u64,
+    },
+    Heartbeat {
+        machine: usize,
+        life: u64,
+    },
+    Start {
+        machine: usize,
+    },
 }
 
 /// How bad the network is.
@@ -63,8 +78,16 @@
     pub delay_ms_most: u64,
 }
 
-pub const CALM: Network = Network { loss: 0.0, repeats: 0.0, delay_ms_most: 3 };
-pub const ROUGH: Network = Network { loss: 0.15, repeats: 0.1, delay_ms_most: 80 };
+pub const CALM: Network = Network {
+    loss: 0.0,
+    repeats: 0.0,
+    delay_ms_most: 3,
+};
+pub const ROUGH: Network = Network {
+    loss: 0.15,
+    repeats: 0.1,
+    delay_ms_most: 80,
+};
 
 pub struct World {
     pub rng: Rng,
@@ -114,7 +137,11 @@
         }
         let addresses: Vec<PeerAddress> = (0..founders).map(address).collect();
         for index in 0..machines {
-            let list = if index < founders { addresses.clone() } else { Vec::new() };
+            let list = if index < founders {
+                addresses.clone()
+            } else {
+                Vec::new()
+            };
             world.start_with(index, list);
         }
         world
@@ -122,7 +149,11 @@
 
     pub fn run_for(&mut self, milliseconds: u64) {
         let until = self.now.plus(milliseconds);
-        while self.events.first_key_value().is_some_and(|((at, _), _)| *at <= until) {
+        while self
+            .events
+            .first_key_value()
+            .is_some_and(|((at, _), _)| *at <= until)
+        {
             if let Some(((at, _), event)) = self.events.pop_first() {
                 self.now = at;
                 self.handle(event);
@@ -175,12 +206,16 @@
     /// The view that a running process takes for the current one.
     pub fn current(&self, machine: usize) -> View {
         let process = self.machines[machine].process.as_ref();
-        process.map(|process| process.agreement.current().clone()).unwrap_or_default()
+        process
+            .map(|process| process.agreement.current().clone())
+            .unwrap_or_default()
     }
 
     pub fn propose(&mut self, machine: usize, view: View) {
         let now = self.now;
-        let Some(process) = &mut self.machines[machine].process else { return };
+        let Some(process) = &mut self.machines[machine].process else {
+            return;
+        };
         self.checker.on_proposed(view.clone());
         let effects = process.agreement.propose(view, now);
         self.perform(machine, effects);
@@ -201,11 +236,15 @@
 
     fn schedule(&mut self, after_ms: u64, event: Event) {
         self.sequence += 1;
-        self.events.insert((self.now.plus(after_ms), self.sequence), event);
+        self.events
+            .insert((self.now.plus(after_ms), self.sequence), event);
     }
 
     fn lives(&self, machine: usize, life: u64) -> bool {
-        self.machines[machine].process.as_ref().is_some_and(|process| process.life == life)
+        self.machines[machine]
+            .process
+            .as_ref()
+            .is_some_and(|process| process.life == life)
     }
 
     fn handle(&mut self, event: Event) {
@@ -213,7 +252,9 @@
             Event::Deliver { from, to, message } => self.deliver(from, to, message),
             Event::Synced { machine, life } if self.lives(machine, life) => self.synced(machine),
             Event::Tick { machine, life } if self.lives(machine, life) => self.tick(machine, life),
-            Event::Heartbeat { machine, life } if self.lives(machine, life) => self.beat(machine, life),
+            Event::Heartbeat { machine, life } if self.lives(machine, life) => {
+                self.beat(machine, life)
+            }
             Event::Start { machine } => self.start(machine),
             Event::Synced { .. } | Event::Tick { .. } | Event::Heartbeat { .. } => {}
         }
@@ -225,12 +266,30 @@
                 self.plant_old_votes(to, &message);
                 self.receive(from, to, message);
             }
-            Message::Heartbeat { voter, life, view, disk_healthy, leaving, replica } => {
+            Message::Heartbeat {
+                voter,
+                life,
+                view,
+                disk_healthy,
+                leaving,
+                replica,
+            } => {
                 let now = self.now;
-                let Some(process) = &mut self.machines[to].process else { return };
+                let Some(process) = &mut self.machines[to].process else {
+                    return;
+                };
                 let view_number = view.number;
-                let report = PeerReport { life, view_number, disk_healthy, leaving, replica };
-                process.policy.heard(voter, report, now).expect("every machine has its own disk");
+                let report = PeerReport {
+                    life,
+                    view_number,
+                    disk_healthy,
+                    leaving,
+                    replica,
+                };
+                process
+                    .policy
+                    .heard(voter, report, now)
+                    .expect("every machine has its own disk");
                 let effects = process.agreement.learn(view);
                 self.perform(to, effects);
             }
@@ -239,27 +298,46 @@
 
     fn receive(&mut self, from: PeerAddress, to: usize, message: AgreementMessage) {
         let now = self.now;
-        let Some(process) = &mut self.machines[to].process else { return };
+        let Some(process) = &mut self.machines[to].process else {
+            return;
+        };
         let effects = process.agreement.receive(from, message, now);
         self.perform(to, effects);
     }
 
     /// Makes the votes of old voters up, so that only those of the new ones still matter.
     fn plant_old_votes(&mut self, to: usize, message: &AgreementMessage) {
-        let AgreementMessage::Accepted { ballot, .. } = message else { return };
-        let Some(view) = self.asked.get(ballot).cloned() else { return };
+        let AgreementMessage::Accepted { ballot, .. } = message else {
+            return;
+        };
+        let Some(view) = self.asked.get(ballot).cloned() else {
+            return;
+        };
         if self.planted != PlantedFault::CountsNewVotersOnly {
             return;
         }
         let current = self.current(to);
-        for old in current.voters.iter().filter(|old| view.voter(old.disk).is_none()) {
-            self.receive(old.address, to, AgreementMessage::Accepted { ballot: *ballot, disk: old.disk });
+        for old in current
+            .voters
+            .iter()
+            .filter(|old| view.voter(old.disk).is_none())
+        {
+            self.receive(
+                old.address,
+                to,
+                AgreementMessage::Accepted {
+                    ballot: *ballot,
+                    disk: old.disk,
+                },
+            );
         }
     }
 
     /// The disk holds the newest of the writes; all messages that waited go out.
     fn synced(&mut self, machine: usize) {
-        let Some(process) = &mut self.machines[machine].process else { return };
+        let Some(process) = &mut self.machines[machine].process else {
+            return;
+        };
         let writes = std::mem::take(&mut process.writes);
         if let Some(newest) = writes.last() {
             self.machines[machine].stored = newest.vote.clone();
@@ -273,7 +351,9 @@
         self.schedule(TICK_MS, Event::Tick { machine, life });
         let now = self.now;
         let voter = self.machines[machine].voter.clone();
-        let Some(process) = &mut self.machines[machine].process else { return };
+        let Some(process) = &mut self.machines[machine].process else {
+            return;
+        };
         let effects = process.agreement.tick(now);
         let current = process.agreement.current().clone();
         let desired = process.policy.desired(&current, &voter, now);
@@ -294,16 +374,40 @@
 
     fn beat(&mut self, machine: usize, life: u64) {
         self.schedule(HEARTBEAT_MS, Event::Heartbeat { machine, life });
-        let Machine { voter, disk_healthy, process, .. } = &self.machines[machine];
+        let Machine {
+            voter,
+            disk_healthy,
+            process,
+            ..
+        } = &self.machines[machine];
         let Some(process) = process else { return };
         let view = process.agreement.current().clone();
         let in_chain = view.position(voter.disk).is_some();
         let caught_up = in_chain || self.now.since(process.started) >= CATCH_UP_MS;
-        let replica = ReplicaReport { caught_up, complete: in_chain, needs_view: false };
-        let (voter, disk_healthy, leaving) = (voter.clone(), *disk_healthy, process.leaving_since.is_some());
+        let replica = ReplicaReport {
+            caught_up,
+            complete: in_chain,
+            needs_view: false,
+        };
+        let (voter, disk_healthy, leaving) = (
+            voter.clone(),
+            *disk_healthy,
+            process.leaving_since.is_some(),
+        );
         for to in (0..self.machines.len()).map(address) {
             let (voter, view) = (voter.clone(), view.clone());
-            self.send(machine, to, Message::Heartbeat { voter, life, view, disk_healthy, leaving, replica });
+            self.send(
+                machine,
+                to,
+                Message::Heartbeat {
+                    voter,
+                    life,
+                    view,
+                    disk_healthy,
+                    leaving,
+                    replica,
+                },
+            );
         }
     }
 
@@ -323,11 +427,19 @@
                 self.send(machine, to, Message::Agreement(message));
             }
         }
-        let Some(process) = &mut self.machines[machine].process else { return };
+        let Some(process) = &mut self.machines[machine].process else {
+            return;
+        };
         process.writes.push(write);
         let life = process.life;
         let slow = self.rng.f64() < SLOW_SYNCS;
-        let sync_ms = self.rng.u64(1..=if slow { SLOW_SYNC_MS_MOST } else { SYNC_MS_MOST });
+        let sync_ms = self.rng.u64(
+            1..=if slow {
+                SLOW_SYNC_MS_MOST
+            } else {
+                SYNC_MS_MOST
+            },
+        );
         self.schedule(sync_ms, Event::Synced { machine, life });
     }
 
@@ -339,7 +451,9 @@
             self.checker.check_chain(view);
         }
         if self.check_disks && !self.is_on_disks(view) {
-            self.checker.violations.push(Violation::NotOnDisks { number: view.number });
+            self.checker.violations.push(Violation::NotOnDisks {
+                number: view.number,
+            });
         }
         if self.rng.f64() < self.targeted_faults {
             self.fail_around(machine);
@@ -355,7 +469,9 @@
             is_voter && *index != machine && self.is_running(*index)
         });
         let others: Vec<usize> = others.collect();
-        let Some(victim) = self.rng.choice(others) else { return };
+        let Some(victim) = self.rng.choice(others) else {
+            return;
+        };
         let down_ms = self.rng.u64(1..100);
         if self.wipes_left > 0 && self.rng.bool() {
             self.wipe(victim, down_ms);
@@ -371,10 +487,19 @@
         electorates.extend(before);
         electorates.into_iter().all(|electorate| {
             let holds = |voter: &Voter| {
-                let machine = self.machines.iter().find(|machine| machine.voter.disk == voter.disk);
+                let machine = self
+                    .machines
+                    .iter()
+                    .find(|machine| machine.voter.disk == voter.disk);
                 machine.is_some_and(|machine| machine.stored.accepted == *view)
             };
-            electorate.voters.iter().filter(|voter| holds(voter)).count() * 2 > electorate.voters.len()
+            electorate
+                .voters
+                .iter()
+                .filter(|voter| holds(voter))
+                .count()
+                * 2
+                > electorate.voters.len()
         })
     }
 
@@ -382,10 +507,19 @@
         if let Message::Agreement(AgreementMessage::Accept { ballot, view }) = &message {
             self.asked.insert(*ballot, view.clone());
         }
-        let Some(to) = (0..self.machines.len()).find(|index| address(*index) == to) else { return };
+        let Some(to) = (0..self.machines.len()).find(|index| address(*index) == to) else {
+            return;
+        };
         let from_address = address(from);
         if to == from {
-            self.schedule(0, Event::Deliver { from: from_address, to, message });
+            self.schedule(
+                0,
+                Event::Deliver {
+                    from: from_address,
+                    to,
+                    message,
+                },
+            );
             return;
         }
         let lost = !self.links.connect(from, to) || self.rng.f64() < self.network.loss;
--- a/crates/worker-agent/src/agent.rs
+++ b/crates/worker-agent/src/agent.rs
@@ -98,7 +98,10 @@
     /// Takes a heartbeat that arrived at `now`. One that may be given orders is left open: its answer may wait a moment
     /// for them.
     pub fn receive_heartbeat(&mut self, beat: ServerHeartbeat, now: Millis) -> HeartbeatReceipt {
-        let silent = self.life.as_ref().is_some_and(|life| now > life.expected_by);
+        let silent = self
+            .life
+            .as_ref()
+            .is_some_and(|life| now > life.expected_by);
         let newest = self.life.as_ref().map(|life| &life.heartbeat);
         match self.other_lives.judge(&beat.heartbeat, newest, silent) {
             Standing::Newest => HeartbeatReceipt::Open(self.take_heartbeat(beat, now)),
@@ -125,9 +128,16 @@
             return false;
         };
         let running = &life.heartbeat.running;
-        let holds = self.hold.for_answer(now, self.settings.hold_max_ms).is_some();
+        let holds = self
+            .hold
+            .for_answer(now, self.settings.hold_max_ms)
+            .is_some();
         let may_start = holds && !life.draining && life.all_ends_listed;
-        !self.orders.missing_starts(running, may_start).starts.is_empty()
+        !self
+            .orders
+            .missing_starts(running, may_start)
+            .starts
+            .is_empty()
             || self.orders.stops(running).next().is_some()
     }
 
@@ -158,7 +168,11 @@
 
     /// Takes note that a connection has ended; what was ordered stays.
     pub fn owner_lost(&mut self, connection: u64) {
-        if self.session.as_ref().is_some_and(|session| session.connection() == connection) {
+        if self
+            .session
+            .as_ref()
+            .is_some_and(|session| session.connection() == connection)
+        {
             self.session = None;
             self.forget_orders_seen();
         }
@@ -171,9 +185,15 @@
         message: OwnerMessage,
         _now: Millis,
     ) -> Result<(), RefusedMessage> {
-        let session = self.session.as_mut().filter(|session| session.connection() == connection);
+        let session = self
+            .session
+            .as_mut()
+            .filter(|session| session.connection() == connection);
         let session = session.ok_or(RefusedMessage::OtherConnection)?;
-        let life = self.life.as_mut().filter(|life| life.facts.id == message.server);
+        let life = self
+            .life
+            .as_mut()
+            .filter(|life| life.facts.id == message.server);
         let life = life.ok_or(RefusedMessage::OtherLife)?;
         if message.token < self.token {
             return Err(RefusedMessage::LowerToken);
@@ -212,9 +232,17 @@
     pub fn next_poll(&self) -> Option<Millis> {
         let session = self.session.as_ref()?;
         let life = self.life.as_ref()?;
-        let report = self.reporter.next_due(&life.heartbeat, life.orders_answered);
-        let attach = session.attach_due().map(|due| due.max(self.attach_earliest()));
-        let due = if session.is_attached() { attach.map_or(report, |due| due.min(report)) } else { attach? };
+        let report = self
+            .reporter
+            .next_due(&life.heartbeat, life.orders_answered);
+        let attach = session
+            .attach_due()
+            .map(|due| due.max(self.attach_earliest()));
+        let due = if session.is_attached() {
+            attach.map_or(report, |due| due.min(report))
+        } else {
+            attach?
+        };
         (due <= life.expected_by).then_some(due)
     }
 
@@ -229,7 +257,12 @@
         if let Some(life) = &mut self.life {
             life.expected_by = now.plus(SILENCE_SLACK_MS);
         }
-        OpenHeartbeat { unknown_runs, arrived_at: now, ends, idle }
+        OpenHeartbeat {
+            unknown_runs,
+            arrived_at: now,
+            ends,
+            idle,
+        }
     }
 
     /// Drops everything that belongs to the present life.
@@ -246,11 +279,21 @@
 
     /// Keeps what a heartbeat tells, and returns the runs that are none of ours.
     fn update_life(&mut self, beat: ServerHeartbeat) -> Vec<UnknownRun> {
-        let ServerHeartbeat { facts, mut heartbeat, unknown_runs, ends_listed, .. } = beat;
+        let ServerHeartbeat {
+            facts,
+            mut heartbeat,
+            unknown_runs,
+            ends_listed,
+            ..
+        } = beat;
         if self.server().is_some_and(|known| *known != facts) {
             self.restart_session();
         }
-        let answered = self.session.as_ref().map(Session::answered).unwrap_or_default();
+        let answered = self
+            .session
+            .as_ref()
+            .map(Session::answered)
+            .unwrap_or_default();
         let all_ends_listed = ends_listed < FINISHED_LIST_MOST;
         heartbeat.orders_seen = if all_ends_listed { answered.newest } else { 0 };
         let before = self.life.take();
@@ -259,7 +302,11 @@
         let mut life = Life {
             facts,
             heartbeat,
-            orders_answered: if all_ends_listed { answered.newest_with_orders } else { 0 },
+            orders_answered: if all_ends_listed {
+                answered.newest_with_orders
+            } else {
+                0
+            },
             all_ends_listed,
             draining: before.as_ref().is_some_and(|life| life.draining),
             left_first,
@@ -281,8 +328,13 @@
         let missing = self.orders.missing_starts(running, may_start);
         let unknown = unknown_runs.iter().map(stop_unknown);
         let stops: Vec<StopOrder> = self.orders.stops(running).chain(unknown).collect();
-        let busy = !missing.starts.is_empty() || !stops.is_empty() || self.has_unobserved_ends(life);
-        if let Some(session) = self.session.as_mut().filter(|_| life.draining || !missing.withheld) {
+        let busy =
+            !missing.starts.is_empty() || !stops.is_empty() || self.has_unobserved_ends(life);
+        if let Some(session) = self
+            .session
+            .as_mut()
+            .filter(|_| life.draining || !missing.withheld)
+        {
             session.all_answered();
         }
         HeartbeatAnswer {
@@ -296,15 +348,25 @@
     }
 
     fn has_unobserved_ends(&self, life: &Life) -> bool {
-        life.heartbeat.finished.iter().any(|end| end.number > life.observed)
+        life.heartbeat
+            .finished
+            .iter()
+            .any(|end| end.number > life.observed)
     }
 
     /// How soon the next heartbeat is wanted. Without an owner nothing comes of it, however busy the server is.
     fn beat_after_ms(&self, busy: bool) -> u64 {
-        let wanted =
-            self.session.as_ref().and_then(Session::beat_after_ms).unwrap_or(self.settings.idle_beat_ms);
+        let wanted = self
+            .session
+            .as_ref()
+            .and_then(Session::beat_after_ms)
+            .unwrap_or(self.settings.idle_beat_ms);
         let busy = busy && self.session.is_some();
-        let beat_after_ms = if busy { wanted.min(self.settings.busy_beat_ms) } else { wanted };
+        let beat_after_ms = if busy {
+            wanted.min(self.settings.busy_beat_ms)
+        } else {
+            wanted
+        };
         beat_after_ms.min(self.settings.heartbeat_ms).max(1)
     }
 
@@ -321,7 +383,8 @@
     fn poll_attach(&mut self, now: Millis) -> Option<AgentMessage> {
         let session = self.session.as_ref()?;
         let life = self.life.as_ref()?;
-        let due = session.needs_attach(now) && self.attach_earliest() <= now && now <= life.expected_by;
+        let due =
+            session.needs_attach(now) && self.attach_earliest() <= now && now <= life.expected_by;
         if !due {
             return None;
         }
@@ -330,7 +393,8 @@
         let life = self.life.as_ref()?;
         session.attached(now);
         self.reporter = Reporter::default();
-        self.reporter.sent_heartbeat(&life.heartbeat, life.orders_answered, now);
+        self.reporter
+            .sent_heartbeat(&life.heartbeat, life.orders_answered, now);
         Some(AgentMessage::Attach {
             facts: life.facts.clone(),
             token: self.token,
@@ -345,16 +409,24 @@
     }
 
     fn poll_leaves(&mut self) -> impl Iterator<Item = AgentMessage> {
-        std::mem::take(&mut self.unreported_leaves).into_iter().map(|server| AgentMessage::Leave { server })
+        std::mem::take(&mut self.unreported_leaves)
+            .into_iter()
+            .map(|server| AgentMessage::Leave { server })
     }
 
     fn poll_report(&mut self, now: Millis) -> Option<AgentMessage> {
         let attached = self.session.as_ref().is_some_and(Session::is_attached);
-        let life = self.life.as_ref().filter(|life| attached && now <= life.expected_by)?;
-        let kind = self.reporter.due(&life.heartbeat, life.orders_answered, now)?;
+        let life = self
+            .life
+            .as_ref()
+            .filter(|life| attached && now <= life.expected_by)?;
+        let kind = self
+            .reporter
+            .due(&life.heartbeat, life.orders_answered, now)?;
         let heartbeat = match kind {
             ReportKind::Heartbeat => {
-                self.reporter.sent_heartbeat(&life.heartbeat, life.orders_answered, now);
+                self.reporter
+                    .sent_heartbeat(&life.heartbeat, life.orders_answered, now);
                 Some(life.heartbeat.clone())
             }
             ReportKind::NoChange => {
@@ -362,7 +434,10 @@
                 None
             }
         };
-        Some(AgentMessage::Report { heartbeat, sent_at: now })
+        Some(AgentMessage::Report {
+            heartbeat,
+            sent_at: now,
+        })
     }
 
     fn restart_session(&mut self) {
@@ -381,5 +456,8 @@
 }
 
 fn stop_unknown(run: &UnknownRun) -> StopOrder {
-    StopOrder { task: run.task.clone(), attempt: run.attempt }
+    StopOrder {
+        task: run.task.clone(),
+        attempt: run.attempt,
+    }
 }
--- a/crates/worker-agent/src/attempt_marks.rs
+++ b/crates/worker-agent/src/attempt_marks.rs
@@ -14,7 +14,11 @@
 impl AttemptMarks {
     /// No marks, and room for those of `most` tasks.
     pub fn new(most: usize) -> AttemptMarks {
-        AttemptMarks { highest: BTreeMap::new(), first_marked: VecDeque::new(), most }
+        AttemptMarks {
+            highest: BTreeMap::new(),
+            first_marked: VecDeque::new(),
+            most,
+        }
     }
 
     /// Marks this attempt of the task and all lower ones.
--- a/crates/worker-agent/src/heartbeat_json/fields.rs
+++ b/crates/worker-agent/src/heartbeat_json/fields.rs
@@ -64,7 +64,10 @@
     }
 
     fn visit_str<E: Error>(self, text: &str) -> Result<TaskName, E> {
-        let task = text.parse::<TaskId>().ok().filter(|task| task.to_string() == text);
+        let task = text
+            .parse::<TaskId>()
+            .ok()
+            .filter(|task| task.to_string() == text);
         Ok(task.map_or_else(|| TaskName::Unknown(text.to_owned()), TaskName::Known))
     }
 }
@@ -130,7 +133,12 @@
         let saved = optional::<Option<String>, _>(&mut row)?.unwrap_or_default();
         let percent = optional::<Count, _>(&mut row)?.as_u32();
         skip_rest(&mut row)?;
-        Ok(RunningRow { task, attempt, saved, percent })
+        Ok(RunningRow {
+            task,
+            attempt,
+            saved,
+            percent,
+        })
     }
 }
 
@@ -171,7 +179,13 @@
         let end = required::<EndWord, _>(&mut row, "how")?.into();
         let saved = optional::<Option<String>, _>(&mut row)?.unwrap_or_default();
         skip_rest(&mut row)?;
-        Ok(FinishedRow { number, task, attempt, end, saved })
+        Ok(FinishedRow {
+            number,
+            task,
+            attempt,
+            end,
+            saved,
+        })
     }
 }
 
@@ -185,10 +199,13 @@
     row: &mut A,
     field: &'static str,
 ) -> Result<T, A::Error> {
-    row.next_element()?.ok_or_else(|| A::Error::missing_field(field))
+    row.next_element()?
+        .ok_or_else(|| A::Error::missing_field(field))
 }
 
-fn optional<'de, T: Deserialize<'de> + Default, A: SeqAccess<'de>>(row: &mut A) -> Result<T, A::Error> {
+fn optional<'de, T: Deserialize<'de> + Default, A: SeqAccess<'de>>(
+    row: &mut A,
+) -> Result<T, A::Error> {
     Ok(row.next_element()?.unwrap_or_default())
 }
 
--- a/crates/worker-agent/src/heartbeat_json/parse.rs
+++ b/crates/worker-agent/src/heartbeat_json/parse.rs
@@ -138,15 +138,30 @@
 }
 
 fn resources(capacity: &Capacity) -> Resources {
-    Resources { cpu: capacity.cpu.0, memory_mb: capacity.mem_mb.0, gpu: capacity.gpu.0 }
+    Resources {
+        cpu: capacity.cpu.0,
+        memory_mb: capacity.mem_mb.0,
+        gpu: capacity.gpu.0,
+    }
 }
 
 fn known_runs(rows: Vec<RunningRow>) -> (Vec<RunningTask>, Vec<UnknownRun>) {
     let mut known = Vec::with_capacity(rows.len());
     let mut unknown = Vec::new();
-    for RunningRow { task, attempt, saved, percent } in rows {
+    for RunningRow {
+        task,
+        attempt,
+        saved,
+        percent,
+    } in rows
+    {
         match task {
-            TaskName::Known(task) => known.push(RunningTask { task, attempt, saved, percent }),
+            TaskName::Known(task) => known.push(RunningTask {
+                task,
+                attempt,
+                saved,
+                percent,
+            }),
             TaskName::Unknown(task) => unknown.push(UnknownRun { task, attempt }),
         }
     }
@@ -161,9 +176,21 @@
 }
 
 fn known_end(row: FinishedRow) -> Option<FinishedTask> {
-    let FinishedRow { number, task, attempt, end, saved } = row;
+    let FinishedRow {
+        number,
+        task,
+        attempt,
+        end,
+        saved,
+    } = row;
     match task {
-        TaskName::Known(task) => Some(FinishedTask { number, task, attempt, end, saved }),
+        TaskName::Known(task) => Some(FinishedTask {
+            number,
+            task,
+            attempt,
+            end,
+            saved,
+        }),
         TaskName::Unknown(_) => None,
     }
 }
--- a/crates/worker-agent/src/lives.rs
+++ b/crates/worker-agent/src/lives.rs
@@ -50,9 +50,16 @@
 impl Lives {
     /// Judges a heartbeat. `newest` is the last one of the present life, if there is one; `silent` says whether that life
     /// has missed its time to beat.
-    pub fn judge(&mut self, beat: &Heartbeat, newest: Option<&Heartbeat>, silent: bool) -> Standing {
+    pub fn judge(
+        &mut self,
+        beat: &Heartbeat,
+        newest: Option<&Heartbeat>,
+        silent: bool,
+    ) -> Standing {
         let standing = match newest {
-            Some(newest) if newest.server == beat.server => sequence_standing(beat, newest.sequence),
+            Some(newest) if newest.server == beat.server => {
+                sequence_standing(beat, newest.sequence)
+            }
             Some(_) => self.standing_of_other(beat, silent),
             None => self.standing_without_present(beat),
         };
@@ -98,7 +105,10 @@
         if self.is_over(beat) {
             return Standing::Late;
         }
-        let again = self.unconfirmed.as_ref().is_some_and(|first| first.precedes(beat));
+        let again = self
+            .unconfirmed
+            .as_ref()
+            .is_some_and(|first| first.precedes(beat));
         if silent && again {
             Standing::Newest
         } else {
@@ -134,7 +144,10 @@
 }
 
 fn seen(beat: &Heartbeat) -> Seen {
-    Seen { server: beat.server.clone(), sequence: beat.sequence }
+    Seen {
+        server: beat.server.clone(),
+        sequence: beat.sequence,
+    }
 }
 
 fn push_bounded<T>(list: &mut VecDeque<T>, item: T) {
--- a/crates/worker-agent/src/orders.rs
+++ b/crates/worker-agent/src/orders.rs
@@ -33,7 +33,11 @@
 impl Default for Orders {
     fn default() -> Self {
         let marks = || AttemptMarks::new(MARKED_TASKS_MOST);
-        Orders { desired: BTreeMap::new(), stopped: marks(), ended: marks() }
+        Orders {
+            desired: BTreeMap::new(),
+            stopped: marks(),
+            ended: marks(),
+        }
     }
 }
 
@@ -86,11 +90,17 @@
     /// The runs on the server that the owner wants stopped, or that a newer start of their task replaces.
     pub fn stops<'a>(&'a self, running: &'a [RunningTask]) -> impl Iterator<Item = StopOrder> + 'a {
         let unwanted = running.iter().filter(|run| self.is_unwanted(run));
-        unwanted.map(|run| StopOrder { task: run.task.to_string(), attempt: run.attempt })
+        unwanted.map(|run| StopOrder {
+            task: run.task.to_string(),
+            attempt: run.attempt,
+        })
     }
 
     fn is_unwanted(&self, run: &RunningTask) -> bool {
-        let replaced = self.desired.get(&run.task).is_some_and(|newer| run.attempt < newer.attempt);
+        let replaced = self
+            .desired
+            .get(&run.task)
+            .is_some_and(|newer| run.attempt < newer.attempt);
         replaced || self.stopped.covers(&run.task, run.attempt)
     }
 
@@ -102,19 +112,29 @@
     fn assign(&mut self, assignment: Assignment) {
         let (task, attempt) = (assignment.task, assignment.attempt);
         let over = self.ended.covers(&task, attempt) || self.stopped.covers(&task, attempt);
-        let outdated = self.desired.get(&task).is_some_and(|newer| attempt < newer.attempt);
+        let outdated = self
+            .desired
+            .get(&task)
+            .is_some_and(|newer| attempt < newer.attempt);
         if !over && !outdated {
             self.desired.insert(task, assignment);
         }
     }
 
     fn drop_desired(&mut self, task: &TaskId, attempt: Attempt) {
-        if self.desired.get(task).is_some_and(|desired| desired.attempt <= attempt) {
+        if self
+            .desired
+            .get(task)
+            .is_some_and(|desired| desired.attempt <= attempt)
+        {
             self.desired.remove(task);
         }
     }
 }
 
 fn newest_present(present: &BTreeSet<(TaskId, Attempt)>, task: &TaskId) -> Option<Attempt> {
-    present.range((*task, Attempt::MIN)..=(*task, Attempt::MAX)).next_back().map(|(_, attempt)| *attempt)
+    present
+        .range((*task, Attempt::MIN)..=(*task, Attempt::MAX))
+        .next_back()
+        .map(|(_, attempt)| *attempt)
 }
--- a/crates/worker-agent/src/reporter.rs
+++ b/crates/worker-agent/src/reporter.rs
@@ -51,12 +51,21 @@
     /// Notes that this heartbeat was sent. `orders_answered` is the number of the owner's newest message with orders
     /// that `orders_seen` covers.
     pub fn sent_heartbeat(&mut self, heartbeat: &Heartbeat, orders_answered: u64, now: Millis) {
-        self.reported = Some(Reported { heartbeat: heartbeat.clone(), orders_answered, at: now });
+        self.reported = Some(Reported {
+            heartbeat: heartbeat.clone(),
+            orders_answered,
+            at: now,
+        });
         self.sent(now);
     }
 
     /// What to send now, if anything.
-    pub fn due(&self, heartbeat: &Heartbeat, orders_answered: u64, now: Millis) -> Option<ReportKind> {
+    pub fn due(
+        &self,
+        heartbeat: &Heartbeat,
+        orders_answered: u64,
+        now: Millis,
+    ) -> Option<ReportKind> {
         let due = |at: Millis| at <= now;
         if due(self.heartbeat_due(heartbeat, orders_answered)) {
             return Some(ReportKind::Heartbeat);
@@ -66,11 +75,13 @@
 
     /// When something has to be sent if nothing else happens.
     pub fn next_due(&self, heartbeat: &Heartbeat, orders_answered: u64) -> Millis {
-        self.heartbeat_due(heartbeat, orders_answered).min(self.no_change_due())
+        self.heartbeat_due(heartbeat, orders_answered)
+            .min(self.no_change_due())
     }
 
     fn no_change_due(&self) -> Millis {
-        self.last_sent.map_or(Millis::default(), |at| at.plus(REPORT_MS))
+        self.last_sent
+            .map_or(Millis::default(), |at| at.plus(REPORT_MS))
     }
 
     fn heartbeat_due(&self, heartbeat: &Heartbeat, orders_answered: u64) -> Millis {
@@ -81,15 +92,22 @@
             return Millis::default();
         }
         let progressed = reported.heartbeat.running != heartbeat.running;
-        reported.at.plus(if progressed { PROGRESS_MS } else { FULL_REPORT_MS })
+        reported.at.plus(if progressed {
+            PROGRESS_MS
+        } else {
+            FULL_REPORT_MS
+        })
     }
 }
 
 /// Whether the two differ in more than progress, leaving aside what changes with every heartbeat.
 fn differs(old: &Heartbeat, new: &Heartbeat) -> bool {
-    let same_runs =
-        old.running.len() == new.running.len() && old.running.iter().zip(&new.running).all(same_run);
-    !same_runs || old.server != new.server || old.draining != new.draining || old.finished != new.finished
+    let same_runs = old.running.len() == new.running.len()
+        && old.running.iter().zip(&new.running).all(same_run);
+    !same_runs
+        || old.server != new.server
+        || old.draining != new.draining
+        || old.finished != new.finished
 }
 
 fn same_run((old, new): (&RunningTask, &RunningTask)) -> bool {
--- a/crates/worker-agent/src/session.rs
+++ b/crates/worker-agent/src/session.rs
@@ -123,7 +123,10 @@
         if let Phase::Active { token, .. } = self.phase {
             self.follows(message, token)?;
         }
-        self.phase = Phase::Active { token: message.token, attached_at };
+        self.phase = Phase::Active {
+            token: message.token,
+            attached_at,
+        };
         self.taken.newest = message.number;
         if !message.assign.is_empty() || !message.stop.is_empty() {
             self.taken.newest_with_orders = message.number;
--- a/crates/worker-agent/tests/agent.rs
+++ b/crates/worker-agent/tests/agent.rs
@@ -12,15 +12,18 @@
 use lupinrack_worker_agent::session::ATTACH_RETRY_MS;
 use lupinrack_worker_agent::{Agent, HeartbeatAnswer, RefusedMessage, StopOrder};
 use support::{
-    assignment, attached, beat, finished, first_message, message, ordered, running, settings, started, task,
-    CONNECTION,
+    assignment, attached, beat, finished, first_message, message, ordered, running, settings,
+    started, task, CONNECTION,
 };
 
 #[test]
 fn answers_at_once_without_an_owner() {
     let mut agent = Agent::new(settings(), Millis(0));
     let answer = agent.heartbeat(beat("a", 1), Millis(10));
-    let expected = HeartbeatAnswer { beat_after_ms: settings().idle_beat_ms, ..HeartbeatAnswer::default() };
+    let expected = HeartbeatAnswer {
+        beat_after_ms: settings().idle_beat_ms,
+        ..HeartbeatAnswer::default()
+    };
     assert_eq!(answer, expected);
     assert!(agent.poll(Millis(11)).is_empty());
     assert_eq!(agent.next_poll(), None);
@@ -32,7 +35,10 @@
     for sequence in 2..5 {
         let answer = agent.heartbeat(beat("a", sequence), Millis(100 * sequence));
         assert_eq!(started(&answer), [(1, 1)]);
-        assert_eq!((answer.token, answer.beat_after_ms), (FencingToken(5), settings().busy_beat_ms));
+        assert_eq!(
+            (answer.token, answer.beat_after_ms),
+            (FencingToken(5), settings().busy_beat_ms)
+        );
     }
     let mut listed = beat("a", 5);
     listed.heartbeat.running = vec![running(1, 1)];
@@ -47,8 +53,15 @@
     let mut ended = beat("a", 2);
     ended.heartbeat.finished = vec![finished(1, 1, 1, RunEnd::Done)];
     assert!(agent.heartbeat(ended, Millis(100)).starts.is_empty());
-    let observing = OwnerMessage { observed: 1, assign: vec![assignment(1, 1)], ..message(2, "a", 5) };
-    assert_eq!(agent.owner_message(CONNECTION, observing, Millis(110)), Ok(()));
+    let observing = OwnerMessage {
+        observed: 1,
+        assign: vec![assignment(1, 1)],
+        ..message(2, "a", 5)
+    };
+    assert_eq!(
+        agent.owner_message(CONNECTION, observing, Millis(110)),
+        Ok(())
+    );
     let answer = agent.heartbeat(beat("a", 3), Millis(120));
     assert_eq!((started(&answer), answer.observed), (vec![], 1));
 }
@@ -66,15 +79,24 @@
 #[test]
 fn a_hold_is_cut_to_the_longest_that_servers_take() {
     let mut agent = attached();
-    let long = OwnerMessage { hold_ms: 60_000, ..first_message() };
+    let long = OwnerMessage {
+        hold_ms: 60_000,
+        ..first_message()
+    };
     assert_eq!(agent.owner_message(CONNECTION, long, Millis(20)), Ok(()));
-    assert_eq!(agent.heartbeat(beat("a", 2), Millis(30)).hold_ms, settings().hold_max_ms);
+    assert_eq!(
+        agent.heartbeat(beat("a", 2), Millis(30)).hold_ms,
+        settings().hold_max_ms
+    );
 }
 
 #[test]
 fn a_hold_from_a_moment_to_come_counts_from_the_last_message() {
     let mut agent = attached();
-    let ahead = OwnerMessage { hold_from: Millis(9_000), ..first_message() };
+    let ahead = OwnerMessage {
+        hold_from: Millis(9_000),
+        ..first_message()
+    };
     assert_eq!(agent.owner_message(CONNECTION, ahead, Millis(20)), Ok(()));
     assert_eq!(agent.heartbeat(beat("a", 2), Millis(1011)).hold_ms, 2_000);
 }
@@ -82,40 +104,76 @@
 #[test]
 fn a_stop_is_repeated_while_the_run_is_listed_and_forbids_its_start() {
     let mut agent = ordered();
-    let stop =
-        OwnerMessage { stop: vec![(task(1), 1)], assign: vec![assignment(2, 1)], ..message(2, "a", 5) };
+    let stop = OwnerMessage {
+        stop: vec![(task(1), 1)],
+        assign: vec![assignment(2, 1)],
+        ..message(2, "a", 5)
+    };
     assert_eq!(agent.owner_message(CONNECTION, stop, Millis(30)), Ok(()));
     for sequence in 2..4 {
         let mut listed = beat("a", sequence);
         listed.heartbeat.running = vec![running(1, 1), running(2, 1)];
         let answer = agent.heartbeat(listed, Millis(50 * sequence));
-        assert_eq!(answer.stops, [StopOrder { task: task(1).to_string(), attempt: 1 }]);
+        assert_eq!(
+            answer.stops,
+            [StopOrder {
+                task: task(1).to_string(),
+                attempt: 1
+            }]
+        );
     }
-    let again = OwnerMessage { assign: vec![assignment(1, 1)], ..message(3, "a", 5) };
+    let again = OwnerMessage {
+        assign: vec![assignment(1, 1)],
+        ..message(3, "a", 5)
+    };
     assert_eq!(agent.owner_message(CONNECTION, again, Millis(210)), Ok(()));
-    assert_eq!(started(&agent.heartbeat(beat("a", 4), Millis(220))), [(2, 1)]);
+    assert_eq!(
+        started(&agent.heartbeat(beat("a", 4), Millis(220))),
+        [(2, 1)]
+    );
 }
 
 #[test]
 fn an_older_run_is_stopped_before_the_newer_starts() {
     let mut agent = attached();
-    let newer = OwnerMessage { assign: vec![assignment(1, 2)], ..first_message() };
+    let newer = OwnerMessage {
+        assign: vec![assignment(1, 2)],
+        ..first_message()
+    };
     assert_eq!(agent.owner_message(CONNECTION, newer, Millis(20)), Ok(()));
     let mut listed = beat("a", 2);
     listed.heartbeat.running = vec![running(1, 1)];
     let answer = agent.heartbeat(listed, Millis(30));
-    assert_eq!(answer.stops, [StopOrder { task: task(1).to_string(), attempt: 1 }]);
+    assert_eq!(
+        answer.stops,
+        [StopOrder {
+            task: task(1).to_string(),
+            attempt: 1
+        }]
+    );
     assert!(answer.starts.is_empty());
-    assert_eq!(started(&agent.heartbeat(beat("a", 3), Millis(40))), [(1, 2)]);
+    assert_eq!(
+        started(&agent.heartbeat(beat("a", 3), Millis(40))),
+        [(1, 2)]
+    );
 }
 
 #[test]
 fn runs_with_names_of_others_are_stopped() {
     let mut agent = attached();
     let mut listed = beat("a", 2);
-    listed.unknown_runs = vec![UnknownRun { task: "other".into(), attempt: 4 }];
+    listed.unknown_runs = vec![UnknownRun {
+        task: "other".into(),
+        attempt: 4,
+    }];
     let answer = agent.heartbeat(listed, Millis(30));
-    assert_eq!(answer.stops, [StopOrder { task: "other".into(), attempt: 4 }]);
+    assert_eq!(
+        answer.stops,
+        [StopOrder {
+            task: "other".into(),
+            attempt: 4
+        }]
+    );
 }
 
 #[test]
@@ -137,7 +195,10 @@
         start.spec = "x".repeat(STARTS_BYTES_MOST / 2);
     }
     assert_eq!(agent.owner_message(CONNECTION, first, Millis(20)), Ok(()));
-    assert_eq!(started(&agent.heartbeat(beat("a", 2), Millis(30))), [(0, 1), (1, 1)]);
+    assert_eq!(
+        started(&agent.heartbeat(beat("a", 2), Millis(30))),
+        [(0, 1), (1, 1)]
+    );
     let mut listed = beat("a", 3);
     listed.heartbeat.running = vec![running(0, 1), running(1, 1)];
     assert_eq!(started(&agent.heartbeat(listed, Millis(40))), [(2, 1)]);
@@ -150,9 +211,19 @@
     assert!(
         matches!(agent.poll(Millis(40)).as_slice(), [AgentMessage::Attach { token, .. }] if token.0 == 5)
     );
-    let lower = OwnerMessage { whole: true, hold_from: Millis(40), ..message(1, "a", 4) };
-    assert_eq!(agent.owner_message(2, lower, Millis(50)), Err(RefusedMessage::LowerToken));
-    assert_eq!(started(&agent.heartbeat(beat("a", 2), Millis(60))), [(1, 1)]);
+    let lower = OwnerMessage {
+        whole: true,
+        hold_from: Millis(40),
+        ..message(1, "a", 4)
+    };
+    assert_eq!(
+        agent.owner_message(2, lower, Millis(50)),
+        Err(RefusedMessage::LowerToken)
+    );
+    assert_eq!(
+        started(&agent.heartbeat(beat("a", 2), Millis(60))),
+        [(1, 1)]
+    );
 }
 
 #[test]
@@ -169,7 +240,10 @@
     };
     assert_eq!(agent.owner_message(2, whole, Millis(50)), Ok(()));
     let answer = agent.heartbeat(beat("a", 2), Millis(60));
-    assert_eq!((started(&answer), answer.token), (vec![(9, 1)], FencingToken(6)));
+    assert_eq!(
+        (started(&answer), answer.token),
+        (vec![(9, 1)], FencingToken(6))
+    );
     assert_eq!(answer.hold_ms, 980);
 }
 
@@ -178,9 +252,15 @@
     let mut agent = ordered();
     agent.owner_lost(CONNECTION);
     let answer = agent.heartbeat(beat("a", 2), Millis(60));
-    assert_eq!((started(&answer), answer.hold_ms), (vec![(1, 1)], 3011 - 60));
+    assert_eq!(
+        (started(&answer), answer.hold_ms),
+        (vec![(1, 1)], 3011 - 60)
+    );
     assert!(agent.poll(Millis(1_000)).is_empty());
-    let late = OwnerMessage { stop: vec![(task(1), 1)], ..message(2, "a", 5) };
+    let late = OwnerMessage {
+        stop: vec![(task(1), 1)],
+        ..message(2, "a", 5)
+    };
     let refused = agent.owner_message(CONNECTION, late, Millis(70));
     assert_eq!(refused, Err(RefusedMessage::OtherConnection));
 }
@@ -188,11 +268,23 @@
 #[test]
 fn a_missing_message_makes_the_session_begin_anew() {
     let mut agent = ordered();
-    let third = OwnerMessage { assign: vec![assignment(3, 1)], ..message(3, "a", 5) };
-    assert_eq!(agent.owner_message(CONNECTION, third, Millis(30)), Err(RefusedMessage::Gap));
-    assert!(matches!(agent.poll(Millis(31)).as_slice(), [AgentMessage::Attach { .. }]));
+    let third = OwnerMessage {
+        assign: vec![assignment(3, 1)],
+        ..message(3, "a", 5)
+    };
+    assert_eq!(
+        agent.owner_message(CONNECTION, third, Millis(30)),
+        Err(RefusedMessage::Gap)
+    );
+    assert!(matches!(
+        agent.poll(Millis(31)).as_slice(),
+        [AgentMessage::Attach { .. }]
+    ));
     let second = message(2, "a", 5);
-    assert_eq!(agent.owner_message(CONNECTION, second, Millis(32)), Err(RefusedMessage::EarlierSession));
+    assert_eq!(
+        agent.owner_message(CONNECTION, second, Millis(32)),
+        Err(RefusedMessage::EarlierSession)
+    );
 }
 
 #[test]
@@ -209,10 +301,16 @@
     let mut agent = attached();
     agent.heartbeat(beat("a", 2), Millis(ATTACH_RETRY_MS));
     let again = Millis(11 + ATTACH_RETRY_MS);
-    assert!(matches!(agent.poll(again).as_slice(), [AgentMessage::Attach { .. }]));
+    assert!(matches!(
+        agent.poll(again).as_slice(),
+        [AgentMessage::Attach { .. }]
+    ));
     let refused = agent.owner_message(CONNECTION, first_message(), again);
     assert_eq!(refused, Err(RefusedMessage::EarlierSession));
-    let fresh = OwnerMessage { hold_from: again, ..first_message() };
+    let fresh = OwnerMessage {
+        hold_from: again,
+        ..first_message()
+    };
     assert_eq!(agent.owner_message(CONNECTION, fresh, again), Ok(()));
 }
 
@@ -221,17 +319,36 @@
     let mut agent = ordered();
     let mut ended = beat("a", 2);
     ended.heartbeat.finished = vec![finished(1, 1, 1, RunEnd::Failed)];
-    assert_eq!(agent.heartbeat(ended, Millis(100)).beat_after_ms, settings().busy_beat_ms);
-    let observing = OwnerMessage { observed: 1, beat_after_ms: 300, ..message(2, "a", 5) };
-    assert_eq!(agent.owner_message(CONNECTION, observing, Millis(110)), Ok(()));
-    assert_eq!(agent.heartbeat(beat("a", 3), Millis(120)).beat_after_ms, 300);
+    assert_eq!(
+        agent.heartbeat(ended, Millis(100)).beat_after_ms,
+        settings().busy_beat_ms
+    );
+    let observing = OwnerMessage {
+        observed: 1,
+        beat_after_ms: 300,
+        ..message(2, "a", 5)
+    };
+    assert_eq!(
+        agent.owner_message(CONNECTION, observing, Millis(110)),
+        Ok(())
+    );
+    assert_eq!(
+        agent.heartbeat(beat("a", 3), Millis(120)).beat_after_ms,
+        300
+    );
 }
 
 #[test]
 fn a_session_begins_with_a_whole_message() {
     let mut agent = attached();
-    let changes = OwnerMessage { whole: false, ..first_message() };
-    assert_eq!(agent.owner_message(CONNECTION, changes, Millis(20)), Err(RefusedMessage::EarlierSession));
+    let changes = OwnerMessage {
+        whole: false,
+        ..first_message()
+    };
+    assert_eq!(
+        agent.owner_message(CONNECTION, changes, Millis(20)),
+        Err(RefusedMessage::EarlierSession)
+    );
     assert!(agent.heartbeat(beat("a", 2), Millis(30)).starts.is_empty());
 }
 
@@ -241,11 +358,23 @@
     agent.owner_connected(2);
     agent.heartbeat(beat("a", 2), Millis(100));
     agent.poll(Millis(101));
-    let whole = OwnerMessage { hold_from: Millis(101), ..first_message() };
+    let whole = OwnerMessage {
+        hold_from: Millis(101),
+        ..first_message()
+    };
     assert_eq!(agent.owner_message(2, whole, Millis(110)), Ok(()));
     // It was sent on the first connection, and the driver cannot tell.
-    let late = OwnerMessage { stop: vec![(task(1), 1)], ..message(2, "a", 5) };
-    assert_eq!(agent.owner_message(2, late, Millis(120)), Err(RefusedMessage::EarlierSession));
-    let next = OwnerMessage { hold_from: Millis(101), ..message(2, "a", 5) };
+    let late = OwnerMessage {
+        stop: vec![(task(1), 1)],
+        ..message(2, "a", 5)
+    };
+    assert_eq!(
+        agent.owner_message(2, late, Millis(120)),
+        Err(RefusedMessage::EarlierSession)
+    );
+    let next = OwnerMessage {
+        hold_from: Millis(101),
+        ..message(2, "a", 5)
+    };
     assert_eq!(agent.owner_message(2, next, Millis(130)), Ok(()));
 }
--- a/crates/worker-agent/tests/golden.rs
+++ b/crates/worker-agent/tests/golden.rs
@@ -22,11 +22,21 @@
 const OTHER_TASK: &str = "00000000000000ab.3.1.4";
 
 fn task() -> TaskId {
-    TaskId { job: JobId(0xab), occurrence: 3, step: 1, index: 2 }
+    TaskId {
+        job: JobId(0xab),
+        occurrence: 3,
+        step: 1,
+        index: 2,
+    }
 }
 
 fn other_task() -> TaskId {
-    TaskId { job: JobId(0xab), occurrence: 3, step: 1, index: 4 }
+    TaskId {
+        job: JobId(0xab),
+        occurrence: 3,
+        step: 1,
+        index: 4,
+    }
 }
 
 /// What is read of a body that holds no more than is required.
@@ -37,7 +47,11 @@
             service: ServiceName("search".into()),
             version: String::new(),
             zone: String::new(),
-            capacity: Resources { cpu: 0, memory_mb: 0, gpu: 0 },
+            capacity: Resources {
+                cpu: 0,
+                memory_mb: 0,
+                gpu: 0,
+            },
             labels: Vec::new(),
         },
         heartbeat: Heartbeat {
@@ -65,7 +79,11 @@
             service: ServiceName("search".into()),
             version: "v3".into(),
             zone: "north".into(),
-            capacity: Resources { cpu: 16_000, memory_mb: 32_768, gpu: 5 },
+            capacity: Resources {
+                cpu: 16_000,
+                memory_mb: 32_768,
+                gpu: 5,
+            },
             labels: vec!["big".into(), "rack-2".into()],
         },
         heartbeat: Heartbeat {
@@ -73,7 +91,12 @@
             sequence: 7,
             draining: true,
             remaining_ms: Some(3_400),
-            running: vec![RunningTask { task: task(), attempt: 6, saved: "0f0f".into(), percent: 41 }],
+            running: vec![RunningTask {
+                task: task(),
+                attempt: 6,
+                saved: "0f0f".into(),
+                percent: 41,
+            }],
             finished: vec![FinishedTask {
                 number: 58,
                 task: other_task(),
@@ -97,8 +120,9 @@
 }
 
 fn full_body() -> String {
-    let runs =
-        format!(r#""running":[["{TASK}",6,"0f0f",41]],"finished":[[58,"{OTHER_TASK}",9,"done","0e0e"]]"#);
+    let runs = format!(
+        r#""running":[["{TASK}",6,"0f0f",41]],"finished":[[58,"{OTHER_TASK}",9,"done","0e0e"]]"#
+    );
     format!(
         concat!(
             r#"{{"service":"search","state":"draining","sequence":7,"address":"127.0.0.1:80","zone":"north","#,
@@ -134,7 +158,12 @@
     let rows: Vec<String> = ends
         .iter()
         .zip(1..)
-        .map(|((word, _), number)| format!(r#"[{number},"{TASK}",{},"{word}","s{number}"]"#, number + 20))
+        .map(|((word, _), number)| {
+            format!(
+                r#"[{number},"{TASK}",{},"{word}","s{number}"]"#,
+                number + 20
+            )
+        })
         .collect();
     let body = least_body(&format!(r#","finished":[{}]"#, rows.join(",")));
     let finished = ends.iter().zip(1..).map(|((_, end), number)| FinishedTask {
@@ -156,10 +185,22 @@
         r#"[["{OTHER_TASK}",4,"0d",88,"more"],["{TASK}",2],["{TASK}",3,null,12.7],["{OTHER_TASK}",3,"0c"]]"#
     );
     let finished = format!(r#"[[9,"{TASK}",2,"failed",null,5],[8,"{OTHER_TASK}",1,"stopped"]]"#);
-    let body = least_body(&format!(r#","running":{running},"finished":{finished},"mood":{{"good":[1]}}"#));
-    let run =
-        |task, attempt, saved: &str, percent| RunningTask { task, attempt, saved: saved.into(), percent };
-    let end = |number, task, attempt, end| FinishedTask { number, task, attempt, end, saved: String::new() };
+    let body = least_body(&format!(
+        r#","running":{running},"finished":{finished},"mood":{{"good":[1]}}"#
+    ));
+    let run = |task, attempt, saved: &str, percent| RunningTask {
+        task,
+        attempt,
+        saved: saved.into(),
+        percent,
+    };
+    let end = |number, task, attempt, end| FinishedTask {
+        number,
+        task,
+        attempt,
+        end,
+        saved: String::new(),
+    };
     let mut read = least_heartbeat();
     read.heartbeat.running = vec![
         run(task(), 2, "", 0),
@@ -167,8 +208,10 @@
         run(other_task(), 3, "0c", 0),
         run(other_task(), 4, "0d", 88),
     ];
-    read.heartbeat.finished =
-        vec![end(8, other_task(), 1, RunEnd::Stopped), end(9, task(), 2, RunEnd::Failed)];
+    read.heartbeat.finished = vec![
+        end(8, other_task(), 1, RunEnd::Stopped),
+        end(9, task(), 2, RunEnd::Failed),
+    ];
     read.ends_listed = 2;
     (body, read)
 }
@@ -180,9 +223,22 @@
         r#","running":[["other",3,"",1],["{TASK}",1,"",2],["{upper}",4]],"finished":[[1,"other",2,"done",""]]"#
     ));
     let mut read = least_heartbeat();
-    read.heartbeat.running = vec![RunningTask { task: task(), attempt: 1, saved: String::new(), percent: 2 }];
-    read.unknown_runs =
-        vec![UnknownRun { task: "other".into(), attempt: 3 }, UnknownRun { task: upper, attempt: 4 }];
+    read.heartbeat.running = vec![RunningTask {
+        task: task(),
+        attempt: 1,
+        saved: String::new(),
+        percent: 2,
+    }];
+    read.unknown_runs = vec![
+        UnknownRun {
+            task: "other".into(),
+            attempt: 3,
+        },
+        UnknownRun {
+            task: upper,
+            attempt: 4,
+        },
+    ];
     read.ends_listed = 1;
     (body, read)
 }
@@ -201,8 +257,12 @@
     read.cold_remaining_ms = 2;
     read.heartbeat.remaining_ms = Some(0);
     read.clock_ms = u64::MAX;
-    read.heartbeat.running =
-        vec![RunningTask { task: task(), attempt: u32::MAX, saved: String::new(), percent: u32::MAX }];
+    read.heartbeat.running = vec![RunningTask {
+        task: task(),
+        attempt: u32::MAX,
+        saved: String::new(),
+        percent: u32::MAX,
+    }];
     read.facts.capacity.cpu = 1_000;
     (body, read)
 }
@@ -215,11 +275,15 @@
     vec![
         named("least", (least_body(""), least_heartbeat())),
         named("every field", (full_body(), full_heartbeat())),
-        named("every field in a list", (full_body_as_list(), full_heartbeat())),
+        named(
+            "every field in a list",
+            (full_body_as_list(), full_heartbeat()),
+        ),
         named(
             "draining, without the time that remains",
             (
-                r#"{"service":"search","state":"draining","sequence":7,"remaining-ms":null}"#.into(),
+                r#"{"service":"search","state":"draining","sequence":7,"remaining-ms":null}"#
+                    .into(),
                 without_remaining,
             ),
         ),
@@ -232,8 +296,11 @@
 
 /// What was read, apart from the facts and the heartbeat proper, which have a binary form.
 fn rest_of(read: &ServerHeartbeat) -> String {
-    let unknown: Vec<String> =
-        read.unknown_runs.iter().map(|run| format!("{}/{}", run.task, run.attempt)).collect();
+    let unknown: Vec<String> = read
+        .unknown_runs
+        .iter()
+        .map(|run| format!("{}/{}", run.task, run.attempt))
+        .collect();
     format!(
         "unknown-runs=[{}] ends-listed={} address={} slots={} cold-remaining-ms={} clock-ms={}",
         unknown.join(" "),
@@ -251,25 +318,49 @@
     let mut read_forms = GoldenFile::new("heartbeats-read.txt");
     for (name, body, read) in heartbeats() {
         bodies.add(name, body);
-        read_forms.add_bytes(format!("{name} | facts"), &borsh::to_vec(&read.facts).expect("borsh"));
-        read_forms.add_bytes(format!("{name} | heartbeat"), &borsh::to_vec(&read.heartbeat).expect("borsh"));
+        read_forms.add_bytes(
+            format!("{name} | facts"),
+            &borsh::to_vec(&read.facts).expect("borsh"),
+        );
+        read_forms.add_bytes(
+            format!("{name} | heartbeat"),
+            &borsh::to_vec(&read.heartbeat).expect("borsh"),
+        );
         read_forms.add(format!("{name} | rest"), rest_of(&read));
     }
     let bodies = bodies.check();
     let read_forms = read_forms.check();
     for (name, _, expected) in heartbeats() {
-        let read = parse(SERVER, bodies[name].as_bytes()).unwrap_or_else(|fault| panic!("{name}: {fault}"));
+        let read = parse(SERVER, bodies[name].as_bytes())
+            .unwrap_or_else(|fault| panic!("{name}: {fault}"));
         assert_eq!(read, expected, "{name}");
         let facts = unhex(&read_forms[&format!("{name} | facts")]);
-        assert_eq!(ServerFacts::try_from_slice(&facts).expect("facts"), read.facts, "{name}");
+        assert_eq!(
+            ServerFacts::try_from_slice(&facts).expect("facts"),
+            read.facts,
+            "{name}"
+        );
         let heartbeat = unhex(&read_forms[&format!("{name} | heartbeat")]);
-        assert_eq!(Heartbeat::try_from_slice(&heartbeat).expect("a heartbeat"), read.heartbeat, "{name}");
-        assert_eq!(read_forms[&format!("{name} | rest")], rest_of(&read), "{name}");
+        assert_eq!(
+            Heartbeat::try_from_slice(&heartbeat).expect("a heartbeat"),
+            read.heartbeat,
+            "{name}"
+        );
+        assert_eq!(
+            read_forms[&format!("{name} | rest")],
+            rest_of(&read),
+            "{name}"
+        );
     }
 }
 
 fn assignment(task: TaskId, attempt: u32, spec: &str, saved: &str) -> Assignment {
-    Assignment { task, attempt, spec: spec.into(), saved: saved.into() }
+    Assignment {
+        task,
+        attempt,
+        spec: spec.into(),
+        saved: saved.into(),
+    }
 }
 
 fn full_answer() -> HeartbeatAnswer {
@@ -279,8 +370,14 @@
             assignment(other_task(), 9, "work", ""),
         ],
         stops: vec![
-            StopOrder { task: TASK.into(), attempt: 5 },
-            StopOrder { task: "o\\ther".into(), attempt: 2 },
+            StopOrder {
+                task: TASK.into(),
+                attempt: 5,
+            },
+            StopOrder {
+                task: "o\\ther".into(),
+                attempt: 2,
+            },
         ],
         observed: 58,
         token: FencingToken(7),
@@ -295,12 +392,48 @@
     vec![
         ("empty", none()),
         ("all", full_answer()),
-        ("starts", HeartbeatAnswer { starts: full_answer().starts, ..none() }),
-        ("stops", HeartbeatAnswer { stops: full_answer().stops, ..none() }),
-        ("observed", HeartbeatAnswer { observed: 58, ..none() }),
-        ("token", HeartbeatAnswer { token: FencingToken(u64::MAX), ..none() }),
-        ("hold", HeartbeatAnswer { hold_ms: 4_000, ..none() }),
-        ("beat after", HeartbeatAnswer { beat_after_ms: 200, ..none() }),
+        (
+            "starts",
+            HeartbeatAnswer {
+                starts: full_answer().starts,
+                ..none()
+            },
+        ),
+        (
+            "stops",
+            HeartbeatAnswer {
+                stops: full_answer().stops,
+                ..none()
+            },
+        ),
+        (
+            "observed",
+            HeartbeatAnswer {
+                observed: 58,
+                ..none()
+            },
+        ),
+        (
+            "token",
+            HeartbeatAnswer {
+                token: FencingToken(u64::MAX),
+                ..none()
+            },
+        ),
+        (
+            "hold",
+            HeartbeatAnswer {
+                hold_ms: 4_000,
+                ..none()
+            },
+        ),
+        (
+            "beat after",
+            HeartbeatAnswer {
+                beat_after_ms: 200,
+                ..none()
+            },
+        ),
     ]
 }
 
@@ -315,11 +448,31 @@
         let json: serde_json::Value = serde_json::from_str(&kept[name]).expect("JSON");
         let starts = json["start"].as_array().map_or(0, Vec::len);
         let stops = json["stop"].as_array().map_or(0, Vec::len);
-        assert_eq!((starts, stops), (answer.starts.len(), answer.stops.len()), "{name}");
-        assert_eq!(json["fence-token"].as_u64().unwrap_or(0), answer.token.0, "{name}");
-        assert_eq!(json["hold-ms"].as_u64().unwrap_or(0), answer.hold_ms, "{name}");
-        assert_eq!(json["observed"].as_u64().unwrap_or(0), answer.observed, "{name}");
-        assert_eq!(json["retry-after-ms"].as_u64().unwrap_or(0), answer.beat_after_ms, "{name}");
+        assert_eq!(
+            (starts, stops),
+            (answer.starts.len(), answer.stops.len()),
+            "{name}"
+        );
+        assert_eq!(
+            json["fence-token"].as_u64().unwrap_or(0),
+            answer.token.0,
+            "{name}"
+        );
+        assert_eq!(
+            json["hold-ms"].as_u64().unwrap_or(0),
+            answer.hold_ms,
+            "{name}"
+        );
+        assert_eq!(
+            json["observed"].as_u64().unwrap_or(0),
+            answer.observed,
+            "{name}"
+        );
+        assert_eq!(
+            json["retry-after-ms"].as_u64().unwrap_or(0),
+            answer.beat_after_ms,
+            "{name}"
+        );
     }
 }
 
@@ -330,12 +483,27 @@
     BTreeMap::from([
         ("nothing", String::new()),
         ("cut off", r#"{"service":"#.into()),
-        ("service missing", r#"{"state":"ready","sequence":7}"#.into()),
-        ("state missing", r#"{"service":"search","sequence":7}"#.into()),
-        ("sequence missing", r#"{"service":"search","state":"ready"}"#.into()),
+        (
+            "service missing",
+            r#"{"state":"ready","sequence":7}"#.into(),
+        ),
+        (
+            "state missing",
+            r#"{"service":"search","sequence":7}"#.into(),
+        ),
+        (
+            "sequence missing",
+            r#"{"service":"search","state":"ready"}"#.into(),
+        ),
         ("service twice", least_body(r#","service":"search""#)),
-        ("unknown state", r#"{"service":"search","state":"asleep","sequence":7}"#.into()),
-        ("sequence as text", r#"{"service":"search","state":"ready","sequence":"seven"}"#.into()),
+        (
+            "unknown state",
+            r#"{"service":"search","state":"asleep","sequence":7}"#.into(),
+        ),
+        (
+            "sequence as text",
+            r#"{"service":"search","state":"ready","sequence":"seven"}"#.into(),
+        ),
         ("labels as text", least_body(r#","labels":"big""#)),
         ("address as number", least_body(r#","address":80"#)),
         ("running as object", least_body(r#","running":{}"#)),
@@ -344,13 +512,19 @@
         ("run without start", row(&format!(r#"["{TASK}"]"#))),
         ("run with task as number", row("[5,1]")),
         ("run with start as text", row(&format!(r#"["{TASK}","x"]"#))),
-        ("run with saved as number", row(&format!(r#"["{TASK}",1,2]"#))),
+        (
+            "run with saved as number",
+            row(&format!(r#"["{TASK}",1,2]"#)),
+        ),
         ("end as number", end("4")),
         ("end without number", end("[]")),
         ("end without task", end("[1]")),
         ("end without start", end(&format!(r#"[1,"{TASK}"]"#))),
         ("end without word", end(&format!(r#"[1,"{TASK}",1]"#))),
-        ("end with unknown word", end(&format!(r#"[1,"{TASK}",1,"vanished",""]"#))),
+        (
+            "end with unknown word",
+            end(&format!(r#"[1,"{TASK}",1,"vanished",""]"#)),
+        ),
     ])
 }
 
@@ -386,7 +560,10 @@
     const STEPS: usize = 200;
     let mut file = GoldenFile::new("agent-trace.txt");
     for seed in 1..=3 {
-        for (step, line) in golden_trace::play(seed, STEPS, Bulk::Without).into_iter().enumerate() {
+        for (step, line) in golden_trace::play(seed, STEPS, Bulk::Without)
+            .into_iter()
+            .enumerate()
+        {
             file.add(format!("seed {seed} step {step}"), line);
         }
     }
@@ -399,7 +576,10 @@
     let mut file = GoldenFile::new("agent-trace-digests.txt");
     for seed in 100..140 {
         let lines = golden_trace::play(seed, STEPS, Bulk::With);
-        file.add(format!("seed {seed}"), hex(&golden_trace::digest(&lines).to_be_bytes()));
+        file.add(
+            format!("seed {seed}"),
+            hex(&golden_trace::digest(&lines).to_be_bytes()),
+        );
     }
     file.check();
 }
--- a/crates/worker-agent/tests/golden_trace/mod.rs
+++ b/crates/worker-agent/tests/golden_trace/mod.rs
@@ -37,7 +37,9 @@
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
     let bytes = lines.iter().flat_map(|line| line.bytes().chain([b'\n']));
-    bytes.fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
+    bytes.fold(OFFSET_BASIS, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(PRIME)
+    })
 }
 
 struct Run {
@@ -52,8 +54,12 @@
 
 impl Run {
     fn new(seed: u64, bulk: Bulk) -> Run {
-        let settings =
-            AgentSettings { hold_max_ms: 6_000, heartbeat_ms: 1_500, idle_beat_ms: 400, busy_beat_ms: 80 };
+        let settings = AgentSettings {
+            hold_max_ms: 6_000,
+            heartbeat_ms: 1_500,
+            idle_beat_ms: 400,
+            busy_beat_ms: 80,
+        };
         Run {
             random: Random::new(seed),
             now: 0,
@@ -88,9 +94,14 @@
         let due_before = optional(self.agent.next_poll());
         let messages = self.agent.poll(now);
         let due_after = optional(self.agent.next_poll());
-        messages.iter().for_each(|message| self.owner.receive(message));
+        messages
+            .iter()
+            .for_each(|message| self.owner.receive(message));
         let sent: Vec<String> = messages.iter().map(borsh_hex).collect();
-        let server = self.agent.server().map_or("none", |facts| facts.id.0.as_str());
+        let server = self
+            .agent
+            .server()
+            .map_or("none", |facts| facts.id.0.as_str());
         let token = self.agent.token().0;
         format!(
             "| server {server} token {token} orders {has_orders} due {due_before} then {due_after} | sends [{}]",
@@ -113,7 +124,10 @@
                 format!("beat {id} {body} -> answer {}", self.answered(&answer))
             }
             HeartbeatReceipt::Open(open) => {
-                let shown = format!("arrived {} ends {} idle {}", open.arrived_at.0, open.ends, open.idle);
+                let shown = format!(
+                    "arrived {} ends {} idle {}",
+                    open.arrived_at.0, open.ends, open.idle
+                );
                 self.open = Some(open);
                 format!("beat {id} {body} -> open {shown}")
             }
@@ -150,7 +164,9 @@
     fn tell(&mut self) -> String {
         let (connection, message) = self.owner.message(self.now, &mut self.random);
         let written = borsh_hex(&message);
-        let taken = self.agent.owner_message(connection, message, Millis(self.now));
+        let taken = self
+            .agent
+            .owner_message(connection, message, Millis(self.now));
         let outcome = taken.map_or_else(refusal_word, |()| "taken");
         format!("message on {connection} {written} -> {outcome}")
     }
@@ -165,7 +181,11 @@
     }
 
     fn lose(&mut self) -> String {
-        let connection = if self.random.once_in(5) { 1 } else { self.owner.connection() };
+        let connection = if self.random.once_in(5) {
+            1
+        } else {
+            self.owner.connection()
+        };
         self.agent.owner_lost(connection);
         self.owner.lost(connection);
         format!("lost {connection}")
@@ -173,7 +193,11 @@
 
     fn leave(&mut self) -> String {
         let life = self.server.life();
-        let life = if self.random.once_in(4) { life + self.random.below(2) } else { life };
+        let life = if self.random.once_in(4) {
+            life + self.random.below(2)
+        } else {
+            life
+        };
         let id = server::id_of(life);
         self.agent.leave(ServerId(id.clone()), Millis(self.now));
         format!("leaves {id}")
--- a/crates/worker-agent/tests/golden_trace/owner.rs
+++ b/crates/worker-agent/tests/golden_trace/owner.rs
@@ -62,7 +62,12 @@
 
     pub fn receive(&mut self, message: &AgentMessage) {
         match message {
-            AgentMessage::Attach { facts, heartbeat, sent_at, .. } => {
+            AgentMessage::Attach {
+                facts,
+                heartbeat,
+                sent_at,
+                ..
+            } => {
                 self.server = facts.id.clone();
                 self.number = 0;
                 self.heard_at = *sent_at;
@@ -71,7 +76,10 @@
             AgentMessage::Report { heartbeat, sent_at } => {
                 self.heard_at = *sent_at;
                 if let Some(heartbeat) = heartbeat {
-                    self.observed = heartbeat.finished.last().map_or(self.observed, |end| end.number);
+                    self.observed = heartbeat
+                        .finished
+                        .last()
+                        .map_or(self.observed, |end| end.number);
                 }
             }
             AgentMessage::Leave { .. } => {}
@@ -87,8 +95,12 @@
             server: self.server.clone(),
             number: self.number,
             whole,
-            assign: (0..random.below(4)).map(|_| self.assignment(random)).collect(),
-            stop: (0..random.below(5).saturating_sub(3)).map(|_| run(random)).collect(),
+            assign: (0..random.below(4))
+                .map(|_| self.assignment(random))
+                .collect(),
+            stop: (0..random.below(5).saturating_sub(3))
+                .map(|_| run(random))
+                .collect(),
             observed: if random.once_in(2) { self.observed } else { 0 },
             hold_from: self.heard_at,
             hold_ms: 500 + random.below(8_000),
@@ -97,16 +109,33 @@
         if random.once_in(8) {
             self.distort(&mut message, now, random);
         }
-        let connection = if random.once_in(30) { self.connections + 1 } else { self.connections };
+        let connection = if random.once_in(30) {
+            self.connections + 1
+        } else {
+            self.connections
+        };
         (connection, message)
     }
 
     fn assignment(&self, random: &mut Random) -> Assignment {
         let (task, attempt) = run(random);
         let large = random.once_in(400) && self.bulk == Bulk::With;
-        let spec = if large { "x".repeat(LARGE_SPEC_BYTES) } else { format!("work {}", task.index) };
-        let saved = if random.once_in(4) { String::from("0f") } else { String::new() };
-        Assignment { task, attempt, spec, saved }
+        let spec = if large {
+            "x".repeat(LARGE_SPEC_BYTES)
+        } else {
+            format!("work {}", task.index)
+        };
+        let saved = if random.once_in(4) {
+            String::from("0f")
+        } else {
+            String::new()
+        };
+        Assignment {
+            task,
+            attempt,
+            spec,
+            saved,
+        }
     }
 
     fn distort(&mut self, message: &mut OwnerMessage, now: u64, random: &mut Random) {
@@ -126,5 +155,13 @@
 fn run(random: &mut Random) -> (TaskId, Attempt) {
     let index = random.below(TASKS) as u32;
     let attempt = 1 + random.below(ATTEMPTS) as u32;
-    (TaskId { job: JobId(7), occurrence: 0, step: 0, index }, attempt)
+    (
+        TaskId {
+            job: JobId(7),
+            occurrence: 0,
+            step: 0,
+            index,
+        },
+        attempt,
+    )
 }
--- a/crates/worker-agent/tests/golden_trace/server.rs
+++ b/crates/worker-agent/tests/golden_trace/server.rs
@@ -7,7 +7,9 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-const END_WORDS: [&str; 7] = ["done", "failed", "stopped", "lapsed", "broken", "alone", "refused"];
+const END_WORDS: [&str; 7] = [
+    "done", "failed", "stopped", "lapsed", "broken", "alone", "refused",
+];
 
 /// One end in so many comes in a list that is full, with ends of other systems.
 const FULL_LISTS: u64 = 40;
@@ -60,22 +62,42 @@
         if !again {
             self.sequence += 1;
         }
-        let sequence = if random.once_in(30) { self.sequence.saturating_sub(2) } else { self.sequence };
-        let life = if random.once_in(40) { self.life.saturating_sub(1) } else { self.life };
+        let sequence = if random.once_in(30) {
+            self.sequence.saturating_sub(2)
+        } else {
+            self.sequence
+        };
+        let life = if random.once_in(40) {
+            self.life.saturating_sub(1)
+        } else {
+            self.life
+        };
         (id_of(life), self.body(sequence, now, random))
     }
 
     /// Takes an answer.
     pub fn answered(&mut self, answer: &HeartbeatAnswer, random: &mut Random) {
-        self.finished.retain(|end| end[0].as_u64().is_some_and(|number| number > answer.observed));
+        self.finished.retain(|end| {
+            end[0]
+                .as_u64()
+                .is_some_and(|number| number > answer.observed)
+        });
         for stop in &answer.stops {
-            if self.running.get(&stop.task).is_some_and(|run| run.attempt == stop.attempt) {
+            if self
+                .running
+                .get(&stop.task)
+                .is_some_and(|run| run.attempt == stop.attempt)
+            {
                 self.end(&stop.task, "stopped");
             }
         }
         for start in &answer.starts {
             if !random.once_in(5) {
-                let run = Run { attempt: start.attempt, saved: start.saved.clone(), percent: 0 };
+                let run = Run {
+                    attempt: start.attempt,
+                    saved: start.saved.clone(),
+                    percent: 0,
+                };
                 self.running.insert(start.task.to_string(), run);
             }
         }
@@ -100,14 +122,27 @@
             }
         }
         if random.once_in(50) {
-            self.running.insert("other".into(), Run { attempt: 3, saved: String::new(), percent: 1 });
+            self.running.insert(
+                "other".into(),
+                Run {
+                    attempt: 3,
+                    saved: String::new(),
+                    percent: 1,
+                },
+            );
         }
     }
 
     fn end(&mut self, task: &str, word: &str) {
         if let Some(run) = self.running.remove(task) {
             self.last_number += 1;
-            self.finished.push(json!([self.last_number, task, run.attempt, word, run.saved]));
+            self.finished.push(json!([
+                self.last_number,
+                task,
+                run.attempt,
+                word,
+                run.saved
+            ]));
         }
     }
 
--- a/crates/worker-agent/tests/heartbeat_json.rs
+++ b/crates/worker-agent/tests/heartbeat_json.rs
@@ -12,7 +12,12 @@
 const TASK: &str = "00000000000000ab.0.1.2";
 
 fn task() -> TaskId {
-    TaskId { job: JobId(0xab), occurrence: 0, step: 1, index: 2 }
+    TaskId {
+        job: JobId(0xab),
+        occurrence: 0,
+        step: 1,
+        index: 2,
+    }
 }
 
 /// A body that holds what is required, and these fields.
@@ -28,7 +33,10 @@
 }
 
 fn is_fault(fields: Value) -> bool {
-    matches!(parse("server-1", &body(fields)), Err(HeartbeatFault::Body(_)))
+    matches!(
+        parse("server-1", &body(fields)),
+        Err(HeartbeatFault::Body(_))
+    )
 }
 
 #[test]
@@ -41,18 +49,40 @@
         "finished": [[58, TASK, 1, "done", "0e0e"]],
     }));
     assert_eq!(beat.facts.service, ServiceName("search".into()));
-    assert_eq!((beat.facts.zone.as_str(), beat.facts.version.as_str()), ("north", "v3"));
-    assert_eq!(beat.facts.capacity, Resources { cpu: 16000, memory_mb: 32768, gpu: 1 });
+    assert_eq!(
+        (beat.facts.zone.as_str(), beat.facts.version.as_str()),
+        ("north", "v3")
+    );
+    assert_eq!(
+        beat.facts.capacity,
+        Resources {
+            cpu: 16000,
+            memory_mb: 32768,
+            gpu: 1
+        }
+    );
     assert_eq!(beat.facts.labels, ["big", "rack-2"]);
     assert_eq!(beat.facts.id, beat.heartbeat.server);
-    assert_eq!((beat.heartbeat.sequence, beat.heartbeat.draining), (7, true));
+    assert_eq!(
+        (beat.heartbeat.sequence, beat.heartbeat.draining),
+        (7, true)
+    );
     assert_eq!(beat.heartbeat.remaining_ms, Some(3400));
     let run = &beat.heartbeat.running[0];
-    assert_eq!((run.task, run.attempt, run.saved.as_str(), run.percent), (task(), 2, "0f0f", 41));
+    assert_eq!(
+        (run.task, run.attempt, run.saved.as_str(), run.percent),
+        (task(), 2, "0f0f", 41)
+    );
     let end = &beat.heartbeat.finished[0];
-    assert_eq!((end.number, end.task, end.attempt, end.end), (58, task(), 1, RunEnd::Done));
+    assert_eq!(
+        (end.number, end.task, end.attempt, end.end),
+        (58, task(), 1, RunEnd::Done)
+    );
     assert_eq!(end.saved, "0e0e");
-    assert_eq!((beat.address.as_str(), beat.slots, beat.cold_remaining_ms), ("127.0.0.1:80", 8, 12));
+    assert_eq!(
+        (beat.address.as_str(), beat.slots, beat.cold_remaining_ms),
+        ("127.0.0.1:80", 8, 12)
+    );
     assert_eq!((beat.clock_ms, beat.ends_listed), (99, 1));
 }
 
@@ -70,9 +100,19 @@
         "running": [[TASK, 1], [TASK, 2, ""], [TASK, 3, null, 12.7, "more"]],
         "finished": [[1, TASK, 1, "stopped"], [2, TASK, 2, "lapsed", "0f", 5]],
     }));
-    let percents: Vec<u32> = beat.heartbeat.running.iter().map(|run| run.percent).collect();
+    let percents: Vec<u32> = beat
+        .heartbeat
+        .running
+        .iter()
+        .map(|run| run.percent)
+        .collect();
     assert_eq!(percents, [0, 0, 12]);
-    let saved: Vec<&str> = beat.heartbeat.finished.iter().map(|end| end.saved.as_str()).collect();
+    let saved: Vec<&str> = beat
+        .heartbeat
+        .finished
+        .iter()
+        .map(|end| end.saved.as_str())
+        .collect();
     assert_eq!(saved, ["", "0f"]);
 }
 
@@ -88,9 +128,17 @@
         ("refused", RunEnd::Refused),
     ];
     for (word, end) in words {
-        assert_eq!(read(json!({"finished": [[1, TASK, 1, word, ""]]})).heartbeat.finished[0].end, end);
+        assert_eq!(
+            read(json!({"finished": [[1, TASK, 1, word, ""]]}))
+                .heartbeat
+                .finished[0]
+                .end,
+            end
+        );
     }
-    assert!(is_fault(json!({"finished": [[1, TASK, 1, "vanished", ""]]})));
+    assert!(is_fault(
+        json!({"finished": [[1, TASK, 1, "vanished", ""]]})
+    ));
 }
 
 #[test]
@@ -101,7 +149,11 @@
         "finished": [[1, "other", 2, "done", ""], [2, TASK, 1, "done", ""]],
     }));
     assert_eq!(beat.heartbeat.running.len(), 1);
-    let unknown: Vec<&str> = beat.unknown_runs.iter().map(|run| run.task.as_str()).collect();
+    let unknown: Vec<&str> = beat
+        .unknown_runs
+        .iter()
+        .map(|run| run.task.as_str())
+        .collect();
     assert_eq!(unknown, ["other", upper.as_str()]);
     assert_eq!((beat.heartbeat.finished.len(), beat.ends_listed), (1, 2));
 }
@@ -113,9 +165,18 @@
     assert!(is_fault(json!({"running": [[TASK]]})));
     assert!(is_fault(json!({"running": [[TASK, "x"]]})));
     assert!(is_fault(json!({"running": {}})));
-    assert!(matches!(parse("server-1", b"{\"service\":"), Err(HeartbeatFault::Body(_))));
-    assert!(matches!(parse("server-1", b"{}"), Err(HeartbeatFault::Body(_))));
-    assert!(matches!(parse("", &body(json!({}))), Err(HeartbeatFault::Identity)));
+    assert!(matches!(
+        parse("server-1", b"{\"service\":"),
+        Err(HeartbeatFault::Body(_))
+    ));
+    assert!(matches!(
+        parse("server-1", b"{}"),
+        Err(HeartbeatFault::Body(_))
+    ));
+    assert!(matches!(
+        parse("", &body(json!({}))),
+        Err(HeartbeatFault::Identity)
+    ));
 }
 
 #[test]
@@ -125,10 +186,18 @@
 
 #[test]
 fn an_answer_holds_what_is_set() {
-    let start = Assignment { task: task(), attempt: 1, spec: "say \"hello\"\n".into(), saved: String::new() };
+    let start = Assignment {
+        task: task(),
+        attempt: 1,
+        spec: "say \"hello\"\n".into(),
+        saved: String::new(),
+    };
     let answer = HeartbeatAnswer {
         starts: vec![start],
-        stops: vec![StopOrder { task: "other".into(), attempt: 2 }],
+        stops: vec![StopOrder {
+            task: "other".into(),
+            attempt: 2,
+        }],
         observed: 58,
         token: FencingToken(7),
         hold_ms: 4000,
--- a/crates/worker-agent/tests/lives.rs
+++ b/crates/worker-agent/tests/lives.rs
@@ -8,8 +8,8 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_worker_agent::{Agent, HeartbeatAnswer, RefusedMessage, ServerHeartbeat};
 use support::{
-    assignment, beat, finished, message, ordered, reported, running, settings, started, task, CONNECTION,
-    SILENT,
+    assignment, beat, finished, message, ordered, reported, running, settings, started, task,
+    CONNECTION, SILENT,
 };
 
 /// Server "a" says that it drains, and then leaves.
@@ -26,13 +26,22 @@
     let mut agent = ordered();
     agent.heartbeat(beat("a", 5), Millis(100));
     for sequence in [5, 4, 1] {
-        assert_eq!(agent.heartbeat(beat("a", sequence), Millis(110)), HeartbeatAnswer::default());
+        assert_eq!(
+            agent.heartbeat(beat("a", sequence), Millis(110)),
+            HeartbeatAnswer::default()
+        );
     }
     agent.heartbeat(beat("b", 1), SILENT);
     agent.heartbeat(beat("b", 2), SILENT);
-    assert_eq!(agent.heartbeat(beat("a", 5), SILENT), HeartbeatAnswer::default());
+    assert_eq!(
+        agent.heartbeat(beat("a", 5), SILENT),
+        HeartbeatAnswer::default()
+    );
     assert!(agent.heartbeat(beat("a", 6), SILENT).starts.is_empty());
-    assert_eq!(agent.server().map(|facts| &facts.id), Some(&ServerId("b".into())));
+    assert_eq!(
+        agent.server().map(|facts| &facts.id),
+        Some(&ServerId("b".into()))
+    );
 }
 
 #[test]
@@ -42,21 +51,38 @@
         let answer = agent.heartbeat(beat("b", sequence), SILENT);
         assert_eq!((started(&answer), answer.hold_ms), (vec![], 0));
     }
-    let late = OwnerMessage { assign: vec![assignment(2, 1)], ..message(2, "a", 5) };
-    assert_eq!(agent.owner_message(CONNECTION, late, SILENT), Err(RefusedMessage::OtherLife));
+    let late = OwnerMessage {
+        assign: vec![assignment(2, 1)],
+        ..message(2, "a", 5)
+    };
+    assert_eq!(
+        agent.owner_message(CONNECTION, late, SILENT),
+        Err(RefusedMessage::OtherLife)
+    );
     let messages = agent.poll(SILENT);
-    assert!(matches!(messages.as_slice(), [AgentMessage::Attach { facts, .. }] if facts.id.0 == "b"));
+    assert!(
+        matches!(messages.as_slice(), [AgentMessage::Attach { facts, .. }] if facts.id.0 == "b")
+    );
 }
 
 #[test]
 fn a_dead_life_that_shows_up_late_does_not_replace_the_living() {
     let mut agent = ordered();
     let unconfirmed = agent.heartbeat(beat("dead", 1), Millis(100));
-    let expected = HeartbeatAnswer { beat_after_ms: settings().busy_beat_ms, ..HeartbeatAnswer::default() };
+    let expected = HeartbeatAnswer {
+        beat_after_ms: settings().busy_beat_ms,
+        ..HeartbeatAnswer::default()
+    };
     assert_eq!(unconfirmed, expected);
-    assert_eq!(started(&agent.heartbeat(beat("a", 2), Millis(110))), [(1, 1)]);
+    assert_eq!(
+        started(&agent.heartbeat(beat("a", 2), Millis(110))),
+        [(1, 1)]
+    );
     assert_eq!(agent.heartbeat(beat("dead", 2), Millis(120)), expected);
-    assert_eq!(agent.server().map(|facts| &facts.id), Some(&ServerId("a".into())));
+    assert_eq!(
+        agent.server().map(|facts| &facts.id),
+        Some(&ServerId("a".into()))
+    );
 }
 
 #[test]
@@ -66,17 +92,26 @@
     for sequence in 1..4 {
         let answer = agent.heartbeat(beat("b", sequence), Millis(100 + sequence));
         assert_eq!(answer.beat_after_ms, settings().busy_beat_ms);
-        assert_eq!(agent.server().map(|facts| &facts.id), Some(&ServerId("a".into())));
+        assert_eq!(
+            agent.server().map(|facts| &facts.id),
+            Some(&ServerId("a".into()))
+        );
     }
     agent.heartbeat(beat("b", 4), SILENT);
-    assert_eq!(agent.server().map(|facts| &facts.id), Some(&ServerId("b".into())));
+    assert_eq!(
+        agent.server().map(|facts| &facts.id),
+        Some(&ServerId("b".into()))
+    );
 }
 
 #[test]
 fn the_first_heartbeat_of_a_new_life_is_not_enough_however_silent_the_other_is() {
     let mut agent = ordered();
     agent.heartbeat(beat("b", 1), SILENT.plus(60_000));
-    assert_eq!(agent.server().map(|facts| &facts.id), Some(&ServerId("a".into())));
+    assert_eq!(
+        agent.server().map(|facts| &facts.id),
+        Some(&ServerId("a".into()))
+    );
 }
 
 #[test]
@@ -84,7 +119,10 @@
     let mut agent = ordered();
     drain_and_leave(&mut agent);
     agent.heartbeat(beat("b", 1), Millis(110));
-    assert_eq!(agent.server().map(|facts| &facts.id), Some(&ServerId("b".into())));
+    assert_eq!(
+        agent.server().map(|facts| &facts.id),
+        Some(&ServerId("b".into()))
+    );
 }
 
 #[test]
@@ -92,22 +130,33 @@
     let mut agent = ordered();
     agent.heartbeat(beat("b", 1), SILENT);
     agent.heartbeat(beat("b", 2), SILENT);
-    assert_eq!(agent.server().map(|facts| &facts.id), Some(&ServerId("b".into())));
+    assert_eq!(
+        agent.server().map(|facts| &facts.id),
+        Some(&ServerId("b".into()))
+    );
     let later = SILENT.plus(2_000);
     agent.heartbeat(beat("a", 2), later);
     agent.heartbeat(beat("a", 3), later);
-    assert_eq!(agent.server().map(|facts| &facts.id), Some(&ServerId("a".into())));
+    assert_eq!(
+        agent.server().map(|facts| &facts.id),
+        Some(&ServerId("a".into()))
+    );
 }
 
 #[test]
 fn a_leave_is_told_to_this_and_to_each_later_owner() {
     let mut agent = ordered();
     drain_and_leave(&mut agent);
-    let leave = AgentMessage::Leave { server: ServerId("a".into()) };
+    let leave = AgentMessage::Leave {
+        server: ServerId("a".into()),
+    };
     assert_eq!(agent.poll(Millis(101)), std::slice::from_ref(&leave));
     agent.leave(ServerId("a".into()), Millis(110));
     assert!(agent.poll(Millis(111)).is_empty());
-    assert_eq!(agent.heartbeat(beat("a", 3), Millis(120)), HeartbeatAnswer::default());
+    assert_eq!(
+        agent.heartbeat(beat("a", 3), Millis(120)),
+        HeartbeatAnswer::default()
+    );
     agent.owner_connected(2);
     assert_eq!(agent.poll(Millis(130)), [leave]);
 }
@@ -115,13 +164,19 @@
 #[test]
 fn stops_of_one_life_do_not_reach_the_next() {
     let mut agent = ordered();
-    let stop = OwnerMessage { stop: vec![(task(1), 1)], ..message(2, "a", 5) };
+    let stop = OwnerMessage {
+        stop: vec![(task(1), 1)],
+        ..message(2, "a", 5)
+    };
     assert_eq!(agent.owner_message(CONNECTION, stop, Millis(30)), Ok(()));
     agent.heartbeat(beat("b", 1), SILENT);
     let mut listed = beat("b", 2);
     listed.heartbeat.running = vec![running(1, 1)];
     assert!(agent.heartbeat(listed, SILENT).stops.is_empty());
-    assert_eq!(agent.server().map(|facts| &facts.id), Some(&ServerId("b".into())));
+    assert_eq!(
+        agent.server().map(|facts| &facts.id),
+        Some(&ServerId("b".into()))
+    );
 }
 
 /// A heartbeat of "a" on which task 1 runs.
@@ -139,16 +194,23 @@
     agent.leave(ServerId("a".into()), Millis(110));
     let told = agent.poll(Millis(111));
     assert!(
-        told.iter().all(|message| !matches!(message, AgentMessage::Leave { .. })),
+        told.iter()
+            .all(|message| !matches!(message, AgentMessage::Leave { .. })),
         "it serves on: {told:?}"
     );
     let report = reported(&told).expect("the owner is told at once");
     assert!(report.draining);
     assert_eq!(report.running, [running(1, 1)]);
-    let second = OwnerMessage { assign: vec![assignment(2, 1)], ..message(2, "a", 5) };
+    let second = OwnerMessage {
+        assign: vec![assignment(2, 1)],
+        ..message(2, "a", 5)
+    };
     assert_eq!(agent.owner_message(CONNECTION, second, Millis(112)), Ok(()));
     let answer = agent.heartbeat(beat_with_run(3), Millis(120));
-    assert!(answer.starts.is_empty(), "nothing starts on a server that leaves");
+    assert!(
+        answer.starts.is_empty(),
+        "nothing starts on a server that leaves"
+    );
     assert!(answer.hold_ms > 0, "what runs is held on");
 }
 
@@ -174,7 +236,10 @@
     let mut agent = ordered();
     drain_and_leave(&mut agent);
     agent.poll(Millis(101));
-    assert_eq!(agent.heartbeat(beat_with_run(3), Millis(3_000)), HeartbeatAnswer::default());
+    assert_eq!(
+        agent.heartbeat(beat_with_run(3), Millis(3_000)),
+        HeartbeatAnswer::default()
+    );
     assert_eq!(agent.server(), None);
     assert!(agent.poll(Millis(3_001)).is_empty());
 }
@@ -188,8 +253,14 @@
     agent.heartbeat(newest, Millis(100));
     agent.poll(Millis(101));
     // Sent before the run had ended and the draining began.
-    assert_eq!(agent.heartbeat(beat_with_run(8), Millis(110)), HeartbeatAnswer::default());
-    assert!(reported(&agent.poll(Millis(111))).is_none(), "a late one is not passed on");
+    assert_eq!(
+        agent.heartbeat(beat_with_run(8), Millis(110)),
+        HeartbeatAnswer::default()
+    );
+    assert!(
+        reported(&agent.poll(Millis(111))).is_none(),
+        "a late one is not passed on"
+    );
     let answer = agent.heartbeat(beat("a", 10), Millis(120));
     assert!(answer.starts.is_empty(), "it drains, and the run has ended");
 }
@@ -199,10 +270,15 @@
     let mut agent = Agent::new(settings(), Millis(0));
     agent.owner_connected(CONNECTION);
     agent.leave(ServerId("a".into()), Millis(5));
-    assert!(agent.poll(Millis(6)).is_empty(), "nobody knows that it is over");
+    assert!(
+        agent.poll(Millis(6)).is_empty(),
+        "nobody knows that it is over"
+    );
     agent.heartbeat(beat_with_run(2), Millis(10));
     let told = agent.poll(Millis(11));
-    let [AgentMessage::Attach { heartbeat, .. }] = told.as_slice() else { panic!("an attach: {told:?}") };
+    let [AgentMessage::Attach { heartbeat, .. }] = told.as_slice() else {
+        panic!("an attach: {told:?}")
+    };
     assert!(heartbeat.draining);
     assert_eq!(heartbeat.running, [running(1, 1)]);
 }
--- a/crates/worker-agent/tests/model.rs
+++ b/crates/worker-agent/tests/model.rs
@@ -59,8 +59,14 @@
         ("lapses at the owner", sum.lapses),
         ("refused messages", sum.refused_messages),
         ("answers that waited in vain", sum.waits),
-        ("answers that waited until orders came", sum.waits_for_orders),
-        ("messages of the owner while an answer waited", sum.messages_meanwhile),
+        (
+            "answers that waited until orders came",
+            sum.waits_for_orders,
+        ),
+        (
+            "messages of the owner while an answer waited",
+            sum.messages_meanwhile,
+        ),
     ];
     for (name, count) in counts {
         println!("{name}: {count}");
--- a/crates/worker-agent/tests/model/answers.rs
+++ b/crates/worker-agent/tests/model/answers.rs
@@ -33,11 +33,22 @@
     }
 
     pub fn answer_open(&mut self) {
-        let Some(OpenCall { open, call, messages, .. }) = self.open.take() else { return };
+        let Some(OpenCall {
+            open,
+            call,
+            messages,
+            ..
+        }) = self.open.take()
+        else {
+            return;
+        };
         let had_orders = self.agent.has_orders(self.agent_now());
         let answer = self.agent.answer_heartbeat(&open, self.agent_now());
         let ordered = !answer.starts.is_empty() || !answer.stops.is_empty();
-        assert!(!had_orders || ordered, "the orders that there were are not in the answer");
+        assert!(
+            !had_orders || ordered,
+            "the orders that there were are not in the answer"
+        );
         if self.now > call.arrived_at {
             self.counts.waits += u64::from(!ordered);
             self.counts.waits_for_orders += u64::from(ordered);
@@ -47,7 +58,11 @@
     }
 
     pub fn send_answer(&mut self, call: BeatCall, answer: &HeartbeatAnswer) {
-        let BeatCall { server, sequence, arrived_at } = call;
+        let BeatCall {
+            server,
+            sequence,
+            arrived_at,
+        } = call;
         if answer.token != FencingToken::default() {
             assert!(answer.token >= self.answered_token, "the token fell");
             self.answered_token = answer.token;
@@ -65,7 +80,14 @@
         let lost = self.now < TROUBLE_MS && self.random.once_in(10);
         let delay = self.delay(self.now >= TROUBLE_MS);
         if !lost {
-            self.send(Packet::Answer { server, sequence, body: render(answer) }, delay);
+            self.send(
+                Packet::Answer {
+                    server,
+                    sequence,
+                    body: render(answer),
+                },
+                delay,
+            );
         }
     }
 }
--- a/crates/worker-agent/tests/model/owner.rs
+++ b/crates/worker-agent/tests/model/owner.rs
@@ -59,14 +59,23 @@
     }
 
     pub fn disconnected(&mut self, connection: u64) {
-        if self.session.as_ref().is_some_and(|session| session.connection == connection) {
+        if self
+            .session
+            .as_ref()
+            .is_some_and(|session| session.connection == connection)
+        {
             self.session = None;
         }
     }
 
     pub fn receive(&mut self, connection: u64, message: AgentMessage, record: &mut Record) {
         match message {
-            AgentMessage::Attach { facts, heartbeat, sent_at, .. } => {
+            AgentMessage::Attach {
+                facts,
+                heartbeat,
+                sent_at,
+                ..
+            } => {
                 self.end_lives(record, |life| *life != facts.id);
                 self.session = Some(Session {
                     connection,
@@ -81,12 +90,18 @@
                 self.learn(record);
             }
             AgentMessage::Report { heartbeat, sent_at } => {
-                let session = self.session.as_mut().filter(|session| session.connection == connection);
+                let session = self
+                    .session
+                    .as_mut()
+                    .filter(|session| session.connection == connection);
                 let Some(session) = session else { return };
                 session.heard_at = sent_at;
                 session.owes_message = true;
                 if let Some(heartbeat) = heartbeat {
-                    assert_eq!(heartbeat.server, session.server, "a report of a life that did not attach");
+                    assert_eq!(
+                        heartbeat.server, session.server,
+                        "a report of a life that did not attach"
+                    );
                     session.heartbeat = heartbeat;
                     self.learn(record);
                 }
@@ -118,7 +133,12 @@
         for (task, attempt) in record.assigned(&server) {
             let stopped = session.stops.contains_key(&(task, attempt));
             if !stopped && session.assigned.insert((task, attempt)) {
-                assign.push(Assignment { task, attempt, spec: "work".into(), saved: String::new() });
+                assign.push(Assignment {
+                    task,
+                    attempt,
+                    spec: "work".into(),
+                    saved: String::new(),
+                });
             }
         }
         let wanted = session.owes_message || !assign.is_empty() || !stop.is_empty();
@@ -133,7 +153,11 @@
         // The bound counts from this moment, which is after the report that the hold counts from.
         let bound = self.hold_bounds.entry(server.clone()).or_insert(0);
         *bound = (*bound).max(now + HOLD_MS + HOLD_SLACK_MS);
-        let observed = session.heartbeat.finished.last().map_or(0, |end| end.number);
+        let observed = session
+            .heartbeat
+            .finished
+            .last()
+            .map_or(0, |end| end.number);
         let message = OwnerMessage {
             token: FencingToken(self.token),
             server,
@@ -141,7 +165,11 @@
             whole: session.number == 1,
             assign,
             stop,
-            observed: if self.token == record.token { observed } else { 0 },
+            observed: if self.token == record.token {
+                observed
+            } else {
+                0
+            },
             hold_from: session.heard_at,
             hold_ms: HOLD_MS,
             beat_after_ms: 50 + random.below(300),
@@ -151,13 +179,18 @@
 
     /// Takes the newest heartbeat into the record.
     fn learn(&mut self, record: &mut Record) {
-        let Some(session) = &mut self.session else { return };
+        let Some(session) = &mut self.session else {
+            return;
+        };
         let heartbeat = &session.heartbeat;
         for end in &heartbeat.finished {
             record.end(self.token, end.task, end.attempt, end.end);
         }
-        let listed: BTreeSet<(TaskId, Attempt)> =
-            heartbeat.running.iter().map(|run| (run.task, run.attempt)).collect();
+        let listed: BTreeSet<(TaskId, Attempt)> = heartbeat
+            .running
+            .iter()
+            .map(|run| (run.task, run.attempt))
+            .collect();
         for (task, attempt) in record.assigned(&session.server) {
             let told = session.stops.get(&(task, attempt));
             let seen = told.is_some_and(|number| heartbeat.orders_seen >= *number);
@@ -172,7 +205,8 @@
     fn lapse(&mut self, record: &mut Record, now: u64) {
         let unknown_until = self.took_over_at + AUTHORITY_MS + HOLD_MS + HOLD_SLACK_MS;
         let bounds = self.hold_bounds.clone();
-        let over = |life: &ServerId| now > bounds.get(life).copied().unwrap_or(0).max(unknown_until);
+        let over =
+            |life: &ServerId| now > bounds.get(life).copied().unwrap_or(0).max(unknown_until);
         let lapsed = record.assigned_if(over);
         let connected = self.session.as_ref().map(|session| session.server.clone());
         for (task, attempt) in lapsed {
@@ -188,7 +222,11 @@
         for (task, attempt) in record.assigned_if(&fits) {
             record.end(self.token, task, attempt, RunEnd::Lapsed);
         }
-        if self.session.as_ref().is_some_and(|session| fits(&session.server)) {
+        if self
+            .session
+            .as_ref()
+            .is_some_and(|session| fits(&session.server))
+        {
             self.session = None;
         }
     }
@@ -231,7 +269,12 @@
 ) {
     let assigned = record.assigned(&session.server);
     let told = |run: &(TaskId, Attempt)| session.stops.contains_key(run);
-    for run in session.heartbeat.running.iter().map(|run| (run.task, run.attempt)) {
+    for run in session
+        .heartbeat
+        .running
+        .iter()
+        .map(|run| (run.task, run.attempt))
+    {
         if !assigned.contains(&run) && !told(&run) {
             stop.push(run);
         }
--- a/crates/worker-agent/tests/model/record.rs
+++ b/crates/worker-agent/tests/model/record.rs
@@ -28,8 +28,14 @@
 
 impl Record {
     pub fn new(tasks: impl Iterator<Item = TaskId>) -> Record {
-        let entry = TaskEntry { place: Place::Waiting, attempt: 0 };
-        Record { tasks: tasks.map(|task| (task, entry.clone())).collect(), token: 0 }
+        let entry = TaskEntry {
+            place: Place::Waiting,
+            attempt: 0,
+        };
+        Record {
+            tasks: tasks.map(|task| (task, entry.clone())).collect(),
+            token: 0,
+        }
     }
 
     /// Assigns a waiting task; its attempt, where that holds.
@@ -50,7 +56,11 @@
         }
         if let Some(entry) = self.tasks.get_mut(&task) {
             if matches!(entry.place, Place::Assigned(_)) && entry.attempt == attempt {
-                entry.place = if end == RunEnd::Done { Place::Done } else { Place::Waiting };
+                entry.place = if end == RunEnd::Done {
+                    Place::Done
+                } else {
+                    Place::Waiting
+                };
             }
         }
         true
@@ -63,7 +73,8 @@
 
     /// The tasks that are assigned to lives for which `fits` holds.
     pub fn assigned_if(&self, fits: impl Fn(&ServerId) -> bool) -> Vec<(TaskId, Attempt)> {
-        let assigned = |entry: &TaskEntry| matches!(&entry.place, Place::Assigned(life) if fits(life));
+        let assigned =
+            |entry: &TaskEntry| matches!(&entry.place, Place::Assigned(life) if fits(life));
         let tasks = self.tasks.iter().filter(|(_, entry)| assigned(entry));
         tasks.map(|(task, entry)| (*task, entry.attempt)).collect()
     }
--- a/crates/worker-agent/tests/model/server.rs
+++ b/crates/worker-agent/tests/model/server.rs
@@ -89,7 +89,10 @@
     /// Lets time pass; a heartbeat's sequence and body, if one is sent.
     pub fn tick(&mut self, now: u64) -> Option<(u64, String)> {
         self.end_runs(now);
-        if self.outstanding.is_some_and(|beat| now > beat.sent_at + ANSWER_MS) {
+        if self
+            .outstanding
+            .is_some_and(|beat| now > beat.sent_at + ANSWER_MS)
+        {
             self.outstanding = None;
             self.counts.dropped_answers += 1;
             self.next_beat = now;
@@ -98,8 +101,11 @@
             return None;
         }
         self.sequence += 1;
-        self.outstanding =
-            Some(Outstanding { sequence: self.sequence, sent_at: now, draining: self.draining });
+        self.outstanding = Some(Outstanding {
+            sequence: self.sequence,
+            sent_at: now,
+            draining: self.draining,
+        });
         Some((self.sequence, self.body(now)))
     }
 
@@ -143,17 +149,38 @@
     }
 
     fn start(&mut self, task: TaskId, attempt: Attempt, now: u64, random: &mut Random) {
-        assert!(!self.running.contains_key(&task), "{task} started while it runs");
+        assert!(
+            !self.running.contains_key(&task),
+            "{task} started while it runs"
+        );
         let barred = self.barred.get(&task).copied().unwrap_or(0);
-        assert!(attempt > barred, "{task} started as {attempt} after {barred} had ended or was stopped");
-        let longest = if attempt % RUNS_TO_DONE == 1 { 5_000 } else { 1_000 };
+        assert!(
+            attempt > barred,
+            "{task} started as {attempt} after {barred} had ended or was stopped"
+        );
+        let longest = if attempt % RUNS_TO_DONE == 1 {
+            5_000
+        } else {
+            1_000
+        };
         let ends_at = now + 20 + random.below(longest);
-        self.running.insert(task, Run { attempt, ends_at, stops_at: None });
+        self.running.insert(
+            task,
+            Run {
+                attempt,
+                ends_at,
+                stops_at: None,
+            },
+        );
         self.counts.starts += 1;
     }
 
     fn stop(&mut self, task: TaskId, attempt: Attempt, now: u64, random: &mut Random) {
-        match self.running.get_mut(&task).filter(|run| run.attempt == attempt) {
+        match self
+            .running
+            .get_mut(&task)
+            .filter(|run| run.attempt == attempt)
+        {
             Some(run) if run.stops_at.is_none() => {
                 run.stops_at = Some(now + random.below(300));
                 self.counts.stops += 1;
@@ -167,24 +194,40 @@
         let hold_until = self.hold_until;
         let over = |run: &Run| match run {
             _ if hold_until <= now => Some("lapsed"),
-            Run { stops_at: Some(at), .. } if *at <= now => Some("stopped"),
-            Run { ends_at, attempt, .. } if *ends_at <= now => {
-                Some(if attempt.is_multiple_of(RUNS_TO_DONE) { "done" } else { "failed" })
-            }
+            Run {
+                stops_at: Some(at), ..
+            } if *at <= now => Some("stopped"),
+            Run {
+                ends_at, attempt, ..
+            } if *ends_at <= now => Some(if attempt.is_multiple_of(RUNS_TO_DONE) {
+                "done"
+            } else {
+                "failed"
+            }),
             _ => None,
         };
-        let ends: Vec<_> =
-            self.running.iter().filter_map(|(task, run)| over(run).map(|how| (*task, how))).collect();
+        let ends: Vec<_> = self
+            .running
+            .iter()
+            .filter_map(|(task, run)| over(run).map(|how| (*task, how)))
+            .collect();
         for (task, how) in ends {
             self.end(task, how, now);
         }
     }
 
     fn end(&mut self, task: TaskId, how: &'static str, now: u64) {
-        let Some(run) = self.running.remove(&task) else { return };
+        let Some(run) = self.running.remove(&task) else {
+            return;
+        };
         self.counts.lapses += u64::from(how == "lapsed");
         self.last_number += 1;
-        self.finished.push(End { number: self.last_number, task, attempt: run.attempt, how });
+        self.finished.push(End {
+            number: self.last_number,
+            task,
+            attempt: run.attempt,
+            how,
+        });
         self.bar(task, run.attempt);
         self.next_beat = self.next_beat.min(now + 50);
     }
@@ -195,8 +238,11 @@
     }
 
     fn body(&self, now: u64) -> String {
-        let running: Vec<Value> =
-            self.running.iter().map(|(task, run)| json!([task.to_string(), run.attempt, "", 0])).collect();
+        let running: Vec<Value> = self
+            .running
+            .iter()
+            .map(|(task, run)| json!([task.to_string(), run.attempt, "", 0]))
+            .collect();
         let finished: Vec<Value> = self
             .finished
             .iter()
@@ -215,9 +261,15 @@
 }
 
 fn task_of(row: &Value) -> TaskId {
-    row[0].as_str().and_then(|name| name.parse().ok()).expect("a task's name")
+    row[0]
+        .as_str()
+        .and_then(|name| name.parse().ok())
+        .expect("a task's name")
 }
 
 fn attempt_of(row: &Value) -> Attempt {
-    row[1].as_u64().and_then(|run| run.try_into().ok()).expect("the number of a start")
+    row[1]
+        .as_u64()
+        .and_then(|run| run.try_into().ok())
+        .expect("the number of a start")
 }
--- a/crates/worker-agent/tests/model/world.rs
+++ b/crates/worker-agent/tests/model/world.rs
@@ -21,11 +21,26 @@
 
 /// Something on its way.
 pub enum Packet {
-    Beat { server: ServerId, sequence: u64, body: String },
-    Answer { server: ServerId, sequence: u64, body: String },
+    Beat {
+        server: ServerId,
+        sequence: u64,
+        body: String,
+    },
+    Answer {
+        server: ServerId,
+        sequence: u64,
+        body: String,
+    },
     Leave(ServerId),
-    ToOwner { token: u64, connection: u64, message: AgentMessage },
-    ToAgent { connection: u64, message: OwnerMessage },
+    ToOwner {
+        token: u64,
+        connection: u64,
+        message: AgentMessage,
+    },
+    ToAgent {
+        connection: u64,
+        message: OwnerMessage,
+    },
 }
 
 struct Sent {
@@ -88,7 +103,12 @@
 
 impl World {
     pub fn new(seed: u64) -> World {
-        let task = |index| TaskId { job: JobId(1), occurrence: 0, step: 0, index };
+        let task = |index| TaskId {
+            job: JobId(1),
+            occurrence: 0,
+            step: 0,
+            index,
+        };
         let mut record = Record::new((0..TASKS).map(task));
         let owner = Owner::take_over(1, &mut record, 0);
         World {
@@ -118,7 +138,11 @@
     /// Plays trouble, then calm in which all tasks have to end; what happened.
     pub fn play(mut self) -> Counts {
         while self.now < TROUBLE_MS || !self.record.all_done() {
-            assert!(self.now < TROUBLE_MS + CALM_MS, "tasks are left: {:?}", self.record.tasks);
+            assert!(
+                self.now < TROUBLE_MS + CALM_MS,
+                "tasks are left: {:?}",
+                self.record.tasks
+            );
             let calm = self.now >= TROUBLE_MS;
             self.step(calm);
         }
@@ -142,7 +166,11 @@
         self.tick_server(calm);
         self.deliver();
         self.answer_if_due();
-        if self.agent.next_poll().is_some_and(|due| due <= self.agent_now()) {
+        if self
+            .agent
+            .next_poll()
+            .is_some_and(|due| due <= self.agent_now())
+        {
             self.poll_agent();
         }
         self.act_owners(calm);
@@ -158,7 +186,11 @@
             self.end_server(false);
         }
         if self.random.once_in(500) {
-            if let Some(server) = self.server.as_mut().filter(|server| server.leaves_at.is_none()) {
+            if let Some(server) = self
+                .server
+                .as_mut()
+                .filter(|server| server.leaves_at.is_none())
+            {
                 server.draining = true;
             }
         }
@@ -185,7 +217,9 @@
     }
 
     fn end_server(&mut self, in_order: bool) {
-        let Some(server) = self.server.take() else { return };
+        let Some(server) = self.server.take() else {
+            return;
+        };
         if in_order {
             self.send(Packet::Leave(server.id), 0);
         }
@@ -197,7 +231,9 @@
     fn leave_first(&mut self) {
         let serves_ms = self.random.below(4_000);
         let staying = |server: &&mut Server| !server.draining && server.leaves_at.is_none();
-        let Some(server) = self.server.as_mut().filter(staying) else { return };
+        let Some(server) = self.server.as_mut().filter(staying) else {
+            return;
+        };
         server.leaves_at = Some(self.now + serves_ms);
         let id = server.id.clone();
         if self.random.once_in(2) {
@@ -213,7 +249,10 @@
     fn restart_agent(&mut self) {
         self.disconnect();
         let to_agent = |sent: &Sent| {
-            matches!(sent.packet, Packet::Beat { .. } | Packet::Answer { .. } | Packet::Leave(_))
+            matches!(
+                sent.packet,
+                Packet::Beat { .. } | Packet::Answer { .. } | Packet::Leave(_)
+            )
         };
         self.packets.retain(|sent| !to_agent(sent));
         self.agent = new_agent();
@@ -227,9 +266,14 @@
 
     fn disconnect(&mut self) {
         let Some(link) = self.link.take() else { return };
-        self.packets.retain(|sent| !matches!(sent.packet, Packet::ToOwner { .. } | Packet::ToAgent { .. }));
+        self.packets
+            .retain(|sent| !matches!(sent.packet, Packet::ToOwner { .. } | Packet::ToAgent { .. }));
         self.agent.owner_lost(link.connection);
-        if let Some(owner) = self.owners.iter_mut().find(|owner| owner.token == link.token) {
+        if let Some(owner) = self
+            .owners
+            .iter_mut()
+            .find(|owner| owner.token == link.token)
+        {
             owner.disconnected(link.connection);
         }
     }
@@ -239,7 +283,8 @@
         if let Some(owner) = self.owners.last_mut() {
             owner.replaced_at = Some(self.now);
         }
-        self.owners.push(Owner::take_over(token, &mut self.record, self.now));
+        self.owners
+            .push(Owner::take_over(token, &mut self.record, self.now));
         self.counts.takeovers += 1;
     }
 
@@ -253,9 +298,16 @@
             return;
         }
         let old = !calm && self.random.once_in(4);
-        let token = if old { newest.saturating_sub(1).max(1) } else { newest };
+        let token = if old {
+            newest.saturating_sub(1).max(1)
+        } else {
+            newest
+        };
         self.connections += 1;
-        self.link = Some(Link { connection: self.connections, token });
+        self.link = Some(Link {
+            connection: self.connections,
+            token,
+        });
         (self.to_owner_free, self.to_agent_free) = (0, 0);
         self.agent.owner_connected(self.connections);
         self.poll_agent();
@@ -265,18 +317,30 @@
         if self.server.is_none() && self.now >= self.server_back {
             self.lives += 1;
             let counts = std::mem::take(&mut self.counts.server);
-            self.server = Some(Server::new(format!("life-{}", self.lives), self.now, counts));
+            self.server = Some(Server::new(
+                format!("life-{}", self.lives),
+                self.now,
+                counts,
+            ));
         }
-        let Some(server) = &mut self.server else { return };
+        let Some(server) = &mut self.server else {
+            return;
+        };
         if calm && server.draining {
             return self.end_server(true);
         }
         if server.leaves_at.is_some_and(|at| self.now >= at) {
             return self.end_server(false);
         }
-        let Some((sequence, body)) = server.tick(self.now) else { return };
+        let Some((sequence, body)) = server.tick(self.now) else {
+            return;
+        };
         let id = server.id.clone();
-        let beat = |body| Packet::Beat { server: id.clone(), sequence, body };
+        let beat = |body| Packet::Beat {
+            server: id.clone(),
+            sequence,
+            body,
+        };
         if !calm && self.random.once_in(20) {
             let delay = self.random.below(3_000);
             self.send(beat(body.clone()), delay);
@@ -294,11 +358,18 @@
     }
 
     pub fn send(&mut self, packet: Packet, delay: u64) {
-        self.packets.push(Sent { arrives: self.now + delay, packet });
+        self.packets.push(Sent {
+            arrives: self.now + delay,
+            packet,
+        });
     }
 
     fn deliver(&mut self) {
-        while let Some(place) = self.packets.iter().position(|sent| sent.arrives <= self.now) {
+        while let Some(place) = self
+            .packets
+            .iter()
+            .position(|sent| sent.arrives <= self.now)
+        {
             let sent = self.packets.remove(place);
             self.arrive(sent.packet);
         }
@@ -306,8 +377,16 @@
 
     fn arrive(&mut self, packet: Packet) {
         match packet {
-            Packet::Beat { server, sequence, body } => self.beat_agent(server, sequence, &body),
-            Packet::Answer { server, sequence, body } => {
+            Packet::Beat {
+                server,
+                sequence,
+                body,
+            } => self.beat_agent(server, sequence, &body),
+            Packet::Answer {
+                server,
+                sequence,
+                body,
+            } => {
                 if let Some(server) = self.server.as_mut().filter(|living| living.id == server) {
                     server.answered(sequence, &body, self.now, &mut self.random);
                 }
@@ -317,12 +396,19 @@
                 self.agent.leave(server, self.agent_now());
                 self.poll_agent();
             }
-            Packet::ToOwner { token, connection, message } => {
+            Packet::ToOwner {
+                token,
+                connection,
+                message,
+            } => {
                 if let Some(owner) = self.owners.iter_mut().find(|owner| owner.token == token) {
                     owner.receive(connection, message, &mut self.record);
                 }
             }
-            Packet::ToAgent { connection, message } => self.tell_agent(connection, message),
+            Packet::ToAgent {
+                connection,
+                message,
+            } => self.tell_agent(connection, message),
         }
     }
 
@@ -330,12 +416,25 @@
         let now = self.agent_now();
         let beat = parse(&server.0, body.as_bytes()).expect("a heartbeat of the model");
         self.answer_open();
-        let call = BeatCall { server, sequence, arrived_at: self.now };
+        let call = BeatCall {
+            server,
+            sequence,
+            arrived_at: self.now,
+        };
         match self.agent.receive_heartbeat(beat, now) {
             HeartbeatReceipt::Answer(answer) => self.send_answer(call, &answer),
             HeartbeatReceipt::Open(open) => {
-                let wait_ms = if self.random.once_in(3) { 0 } else { self.random.below(OPEN_MS) };
-                self.open = Some(OpenCall { open, call, until: self.now + wait_ms, messages: 0 });
+                let wait_ms = if self.random.once_in(3) {
+                    0
+                } else {
+                    self.random.below(OPEN_MS)
+                };
+                self.open = Some(OpenCall {
+                    open,
+                    call,
+                    until: self.now + wait_ms,
+                    messages: 0,
+                });
                 self.answer_if_due();
             }
         }
@@ -346,8 +445,13 @@
         let until = self.agent_born + message.hold_from.0 + message.hold_ms;
         let server = message.server.clone();
         let lower = message.token < self.agent.token();
-        let taken = self.agent.owner_message(connection, message, self.agent_now());
-        assert!(!(lower && taken.is_ok()), "an order under a lower token was taken");
+        let taken = self
+            .agent
+            .owner_message(connection, message, self.agent_now());
+        assert!(
+            !(lower && taken.is_ok()),
+            "an order under a lower token was taken"
+        );
         match taken {
             Ok(()) => {
                 let granted = self.granted_until.entry(server).or_insert(0);
@@ -371,14 +475,22 @@
         for message in messages {
             self.to_owner_free = self.to_owner_free.max(self.now + self.random.below(30));
             let delay = self.to_owner_free - self.now;
-            self.send(Packet::ToOwner { token, connection, message }, delay);
+            self.send(
+                Packet::ToOwner {
+                    token,
+                    connection,
+                    message,
+                },
+                delay,
+            );
         }
     }
 
     fn act_owners(&mut self, calm: bool) {
         for place in 0..self.owners.len() {
             let owner = &mut self.owners[place];
-            let Some((connection, message)) = owner.act(&mut self.record, calm, self.now, &mut self.random)
+            let Some((connection, message)) =
+                owner.act(&mut self.record, calm, self.now, &mut self.random)
             else {
                 continue;
             };
@@ -386,7 +498,13 @@
             if self.link.is_some_and(|link| link.connection == connection) {
                 self.to_agent_free = self.to_agent_free.max(self.now + self.random.below(60));
                 let delay = self.to_agent_free - self.now;
-                self.send(Packet::ToAgent { connection, message }, delay);
+                self.send(
+                    Packet::ToAgent {
+                        connection,
+                        message,
+                    },
+                    delay,
+                );
             }
         }
     }
@@ -396,13 +514,21 @@
         let Some(server) = &self.server else { return };
         for (task, entry) in &self.record.tasks {
             let here = matches!(&entry.place, Place::Assigned(life) if *life == server.id);
-            assert!(here || !server.runs(task), "{task} runs here, but is recorded as {:?}", entry.place);
+            assert!(
+                here || !server.runs(task),
+                "{task} runs here, but is recorded as {:?}",
+                entry.place
+            );
         }
     }
 }
 
 fn new_agent() -> Agent {
-    let settings =
-        AgentSettings { hold_max_ms: 6_000, heartbeat_ms: 1_500, idle_beat_ms: 400, busy_beat_ms: 80 };
+    let settings = AgentSettings {
+        hold_max_ms: 6_000,
+        heartbeat_ms: 1_500,
+        idle_beat_ms: 400,
+        busy_beat_ms: 80,
+    };
     Agent::new(settings, Millis(0))
 }
--- a/crates/worker-agent/tests/reports.rs
+++ b/crates/worker-agent/tests/reports.rs
@@ -19,7 +19,10 @@
         .collect();
     cut.ends_listed = FINISHED_LIST_MOST;
     assert!(agent.heartbeat(cut, Millis(40)).starts.is_empty());
-    assert_eq!(reported(&agent.poll(Millis(41))).map(|heartbeat| heartbeat.orders_seen), Some(0));
+    assert_eq!(
+        reported(&agent.poll(Millis(41))).map(|heartbeat| heartbeat.orders_seen),
+        Some(0)
+    );
 }
 
 #[test]
@@ -28,7 +31,10 @@
     agent.heartbeat(beat("a", 2), Millis(100));
     assert_eq!(reported(&agent.poll(Millis(101))), None);
     agent.heartbeat(beat("a", 3), Millis(200));
-    assert_eq!(reported(&agent.poll(Millis(201))).map(|heartbeat| heartbeat.orders_seen), Some(1));
+    assert_eq!(
+        reported(&agent.poll(Millis(201))).map(|heartbeat| heartbeat.orders_seen),
+        Some(1)
+    );
 }
 
 #[test]
@@ -37,7 +43,10 @@
     agent.heartbeat(beat("a", 2), Millis(3_500));
     agent.heartbeat(beat("a", 3), Millis(3_600));
     let messages = agent.poll(Millis(3_601));
-    assert_eq!(reported(&messages).map(|heartbeat| heartbeat.orders_seen), Some(0));
+    assert_eq!(
+        reported(&messages).map(|heartbeat| heartbeat.orders_seen),
+        Some(0)
+    );
 }
 
 #[test]
@@ -49,13 +58,22 @@
     assert!(reported(&agent.poll(Millis(100))).is_some());
     listed.heartbeat.sequence = 3;
     agent.heartbeat(listed.clone(), Millis(200));
-    assert!(reported(&agent.poll(Millis(200))).is_some(), "the start was answered");
+    assert!(
+        reported(&agent.poll(Millis(200))).is_some(),
+        "the start was answered"
+    );
     listed.heartbeat.sequence = 4;
     agent.heartbeat(listed, Millis(300));
     assert!(agent.poll(Millis(300)).is_empty());
     assert_eq!(agent.next_poll(), Some(Millis(200 + REPORT_MS)));
     let messages = agent.poll(Millis(200 + REPORT_MS));
-    assert!(matches!(messages.as_slice(), [AgentMessage::Report { heartbeat: None, .. }]));
+    assert!(matches!(
+        messages.as_slice(),
+        [AgentMessage::Report {
+            heartbeat: None,
+            ..
+        }]
+    ));
 }
 
 #[test]
@@ -97,7 +115,10 @@
     let mut changed = beat("a", 2);
     changed.facts.capacity.cpu += 1;
     assert_eq!(started(&agent.heartbeat(changed, Millis(100))), [(1, 1)]);
-    assert!(matches!(agent.poll(Millis(101)).as_slice(), [AgentMessage::Attach { .. }]));
+    assert!(matches!(
+        agent.poll(Millis(101)).as_slice(),
+        [AgentMessage::Attach { .. }]
+    ));
 }
 
 #[test]
@@ -105,10 +126,15 @@
     let mut agent = ordered();
     agent.heartbeat(beat("a", 2), Millis(100));
     agent.heartbeat(beat("a", 3), Millis(200));
-    assert_eq!(reported(&agent.poll(Millis(201))).map(|heartbeat| heartbeat.orders_seen), Some(1));
+    assert_eq!(
+        reported(&agent.poll(Millis(201))).map(|heartbeat| heartbeat.orders_seen),
+        Some(1)
+    );
     agent.owner_connected(2);
     let messages = agent.poll(Millis(210));
-    assert!(matches!(&messages[..], [AgentMessage::Attach { heartbeat, .. }] if heartbeat.orders_seen == 0));
+    assert!(
+        matches!(&messages[..], [AgentMessage::Attach { heartbeat, .. }] if heartbeat.orders_seen == 0)
+    );
 }
 
 #[test]
@@ -118,5 +144,8 @@
     agent.owner_connected(2);
     assert!(agent.poll(SILENT).is_empty());
     agent.heartbeat(beat("a", 3), SILENT);
-    assert!(matches!(agent.poll(SILENT).as_slice(), [AgentMessage::Attach { .. }]));
+    assert!(matches!(
+        agent.poll(SILENT).as_slice(),
+        [AgentMessage::Attach { .. }]
+    ));
 }
--- a/crates/worker-agent/tests/session_model.rs
+++ b/crates/worker-agent/tests/session_model.rs
@@ -115,7 +115,11 @@
         service: ServiceName("search".to_owned()),
         version: "v1".to_owned(),
         zone: "north".to_owned(),
-        capacity: Resources { cpu: 4_000, memory_mb: 8_192, gpu: 0 },
+        capacity: Resources {
+            cpu: 4_000,
+            memory_mb: 8_192,
+            gpu: 0,
+        },
         labels: Vec::new(),
     };
     ServerHeartbeat {
@@ -133,8 +137,12 @@
 impl State {
     /// A server that has beaten once, beside an agent that is about to attach.
     fn new() -> State {
-        let settings =
-            AgentSettings { hold_max_ms: 6_000, heartbeat_ms: 1_500, idle_beat_ms: 400, busy_beat_ms: 80 };
+        let settings = AgentSettings {
+            hold_max_ms: 6_000,
+            heartbeat_ms: 1_500,
+            idle_beat_ms: 400,
+            busy_beat_ms: 80,
+        };
         let mut agent = Agent::new(settings, Millis(0));
         agent.heartbeat(beat(), Millis(1));
         let mut state = State {
@@ -165,10 +173,14 @@
         if messages.is_empty() {
             return;
         }
-        let newest = self.links.iter().rposition(|link| !link.reset).unwrap_or_else(|| {
-            self.links.push(Link::default());
-            self.links.len() - 1
-        });
+        let newest = self
+            .links
+            .iter()
+            .rposition(|link| !link.reset)
+            .unwrap_or_else(|| {
+                self.links.push(Link::default());
+                self.links.len() - 1
+            });
         self.links[newest].to_owner.extend(messages);
     }
 
@@ -195,14 +207,24 @@
 
     fn order(&mut self) -> Option<()> {
         self.orders += 1;
-        let task = TaskId { job: JobId(7), occurrence: 0, step: 0, index: self.orders };
+        let task = TaskId {
+            job: JobId(7),
+            occurrence: 0,
+            step: 0,
+            index: self.orders,
+        };
         let session = self.owner.as_mut()?;
         let message = OwnerMessage {
             token: FencingToken(5),
             server: server(),
             number: session.next_message,
             whole: session.whole,
-            assign: vec![Assignment { task, attempt: 1, spec: String::new(), saved: String::new() }],
+            assign: vec![Assignment {
+                task,
+                attempt: 1,
+                spec: String::new(),
+                saved: String::new(),
+            }],
             stop: Vec::new(),
             observed: 0,
             hold_from: session.report_sent_at,
@@ -223,7 +245,11 @@
         if fault == PlantedFault::MatchesByNumber {
             message.hold_from = Millis(u64::MAX);
         }
-        if self.agent.owner_message(self.agent_session, message, Millis(self.now)).is_ok() {
+        if self
+            .agent
+            .owner_message(self.agent_session, message, Millis(self.now))
+            .is_ok()
+        {
             self.taken.push(session);
         }
         Some(())
@@ -305,20 +331,29 @@
                 "no message of an earlier session is taken after a later one",
                 |_, state: &State| state.taken.is_sorted(),
             ),
-            Property::sometimes("two messages of the second session are taken", |_, state: &State| {
-                state.taken.iter().filter(|session| **session == 2).count() == 2
-            }),
-            Property::sometimes("a message that says everything again is taken", |_, state: &State| {
-                state.renewals > 0
-                    && state.taken.len() == 3
-                    && state.taken.iter().all(|session| *session == 1)
-            }),
+            Property::sometimes(
+                "two messages of the second session are taken",
+                |_, state: &State| state.taken.iter().filter(|session| **session == 2).count() == 2,
+            ),
+            Property::sometimes(
+                "a message that says everything again is taken",
+                |_, state: &State| {
+                    state.renewals > 0
+                        && state.taken.len() == 3
+                        && state.taken.iter().all(|session| *session == 1)
+                },
+            ),
         ]
     }
 }
 
 fn check(fault: PlantedFault) -> impl Checker<System> {
-    System { fault }.checker().threads(2).target_max_depth(DEPTH).spawn_bfs().join()
+    System { fault }
+        .checker()
+        .threads(2)
+        .target_max_depth(DEPTH)
+        .spawn_bfs()
+        .join()
 }
 
 #[test]
@@ -331,6 +366,7 @@
 #[test]
 fn a_message_that_is_matched_by_number_alone_is_taken_in_another_session() {
     let checked = check(PlantedFault::MatchesByNumber);
-    let path = checked.assert_any_discovery("no message of an earlier session is taken after a later one");
+    let path =
+        checked.assert_any_discovery("no message of an earlier session is taken after a later one");
     assert!(path.into_actions().contains(&Action::Silence));
 }
--- a/crates/worker-agent/tests/support/mod.rs
+++ b/crates/worker-agent/tests/support/mod.rs
@@ -4,7 +4,9 @@
 #![allow(dead_code)]
 
 use lupinrack_cluster_api::agent::{AgentMessage, Assignment, Heartbeat, OwnerMessage};
-use lupinrack_cluster_api::identity::{Attempt, FencingToken, JobId, ServerId, ServiceName, TaskId};
+use lupinrack_cluster_api::identity::{
+    Attempt, FencingToken, JobId, ServerId, ServiceName, TaskId,
+};
 use lupinrack_cluster_api::job::Resources;
 use lupinrack_cluster_api::server::{FinishedTask, RunEnd, RunningTask, ServerFacts};
 use lupinrack_cluster_api::time::Millis;
@@ -15,23 +17,49 @@
 pub const CONNECTION: u64 = 1;
 
 pub fn settings() -> AgentSettings {
-    AgentSettings { hold_max_ms: 6_000, heartbeat_ms: 1_500, idle_beat_ms: 400, busy_beat_ms: 80 }
+    AgentSettings {
+        hold_max_ms: 6_000,
+        heartbeat_ms: 1_500,
+        idle_beat_ms: 400,
+        busy_beat_ms: 80,
+    }
 }
 
 pub fn task(index: u32) -> TaskId {
-    TaskId { job: JobId(7), occurrence: 0, step: 0, index }
+    TaskId {
+        job: JobId(7),
+        occurrence: 0,
+        step: 0,
+        index,
+    }
 }
 
 pub fn assignment(index: u32, attempt: Attempt) -> Assignment {
-    Assignment { task: task(index), attempt, spec: format!("work {index}"), saved: String::new() }
+    Assignment {
+        task: task(index),
+        attempt,
+        spec: format!("work {index}"),
+        saved: String::new(),
+    }
 }
 
 pub fn running(index: u32, attempt: Attempt) -> RunningTask {
-    RunningTask { task: task(index), attempt, saved: String::new(), percent: 0 }
+    RunningTask {
+        task: task(index),
+        attempt,
+        saved: String::new(),
+        percent: 0,
+    }
 }
 
 pub fn finished(number: u64, index: u32, attempt: Attempt, end: RunEnd) -> FinishedTask {
-    FinishedTask { number, task: task(index), attempt, end, saved: String::new() }
+    FinishedTask {
+        number,
+        task: task(index),
+        attempt,
+        end,
+        saved: String::new(),
+    }
 }
 
 /// A message that changes nothing and grants a hold from 11 to 3011.
@@ -67,7 +95,11 @@
         service: ServiceName("search".into()),
         version: "v1".into(),
         zone: "north".into(),
-        capacity: Resources { cpu: 4_000, memory_mb: 8_192, gpu: 0 },
+        capacity: Resources {
+            cpu: 4_000,
+            memory_mb: 8_192,
+            gpu: 0,
+        },
         labels: Vec::new(),
     };
     ServerHeartbeat {
@@ -97,18 +129,29 @@
 
 /// A first message that assigns task 1 and holds from 11 to 3011.
 pub fn first_message() -> OwnerMessage {
-    OwnerMessage { whole: true, assign: vec![assignment(1, 1)], ..message(1, "a", 5) }
+    OwnerMessage {
+        whole: true,
+        assign: vec![assignment(1, 1)],
+        ..message(1, "a", 5)
+    }
 }
 
 /// An agent that has been told to run task 1.
 pub fn ordered() -> Agent {
     let mut agent = attached();
-    assert_eq!(agent.owner_message(CONNECTION, first_message(), Millis(20)), Ok(()));
+    assert_eq!(
+        agent.owner_message(CONNECTION, first_message(), Millis(20)),
+        Ok(())
+    );
     agent
 }
 
 pub fn started(answer: &HeartbeatAnswer) -> Vec<(u32, u32)> {
-    answer.starts.iter().map(|start| (start.task.index, start.attempt)).collect()
+    answer
+        .starts
+        .iter()
+        .map(|start| (start.task.index, start.attempt))
+        .collect()
 }
 
 pub fn reported(messages: &[AgentMessage]) -> Option<&Heartbeat> {
--- a/crates/write-back/src/buffer.rs
+++ b/crates/write-back/src/buffer.rs
@@ -186,7 +186,11 @@
             // Barriers of before are kept by order: each pending write waits for those taken before it.
             let generation = buffer.generations.entry(volume).or_default();
             *generation += 1;
-            let held = Held { generation: *generation, doing: Doing::Waits(0), bytes };
+            let held = Held {
+                generation: *generation,
+                doing: Doing::Waits(0),
+                bytes,
+            };
             buffer.held.insert(write, held);
             buffer.bytes += bytes;
         }
@@ -208,11 +212,19 @@
         match input {
             Input::Put(waiter, wish, taken) => self.on_put(now, waiter, wish, taken, out),
             Input::Flush(waiter, volume) => {
-                let mine = self.book.pending().filter(|p| p.taken.volume == volume).map(|p| p.taken.write);
+                let mine = self
+                    .book
+                    .pending()
+                    .filter(|p| p.taken.volume == volume)
+                    .map(|p| p.taken.write);
                 let waits: BTreeSet<WriteId> = mine.collect();
                 match waits.is_empty() {
                     true => out.push(Action::Say(waiter, Said::Flushed)),
-                    false => self.flushes.push(Flush { waiter, waits, own: false }),
+                    false => self.flushes.push(Flush {
+                        waiter,
+                        waits,
+                        own: false,
+                    }),
                 }
             }
             Input::Barrier(volume) => {
@@ -222,18 +234,39 @@
             }
             Input::Synced => self.on_synced(now, out),
             Input::LogFailed => self.on_log_failed(out),
-            Input::Intends { write, attempt, node, shard } => {
+            Input::Intends {
+                write,
+                attempt,
+                node,
+                shard,
+            } => {
                 if self.closed || !self.held.contains_key(&write) {
                     return out.push(Action::Stop(write, attempt));
                 }
-                let sequence = self.append(Record::Attempt { write, attempt, node, shard, at: now }, out);
+                let sequence = self.append(
+                    Record::Attempt {
+                        write,
+                        attempt,
+                        node,
+                        shard,
+                        at: now,
+                    },
+                    out,
+                );
                 self.goes.push((sequence, write, attempt));
                 // A request waits on it: no gathering.
                 self.sync_at = Some(now.since_boot);
             }
             Input::Ended(write, attempt, end) => {
                 if self.held.contains_key(&write) {
-                    self.append(Record::Ended { write, attempt, end }, out);
+                    self.append(
+                        Record::Ended {
+                            write,
+                            attempt,
+                            end,
+                        },
+                        out,
+                    );
                     if end == End::Held {
                         self.settle(write, out);
                     }
@@ -248,10 +281,19 @@
                     let open: Vec<u16> =
                         tried.map_or(Vec::new(), |p| p.tried.iter().map(|t| t.attempt).collect());
                     for attempt in open {
-                        self.append(Record::Ended { write, attempt, end: End::NeverRan }, out);
+                        self.append(
+                            Record::Ended {
+                                write,
+                                attempt,
+                                end: End::NeverRan,
+                            },
+                            out,
+                        );
                     }
                     self.book.absent(write);
-                    self.held.entry(write).and_modify(|h| h.doing = Doing::Waits(0));
+                    self.held
+                        .entry(write)
+                        .and_modify(|h| h.doing = Doing::Waits(0));
                 }
                 None => {
                     if let Some(h) = self.held.get_mut(&write) {
@@ -265,19 +307,37 @@
         self.on_time(now, out);
     }
 
-    fn on_put(&mut self, now: Moment, waiter: Waiter, wish: Wish, taken: Taken, out: &mut Vec<Action>) {
+    fn on_put(
+        &mut self,
+        now: Moment,
+        waiter: Waiter,
+        wish: Wish,
+        taken: Taken,
+        out: &mut Vec<Action>,
+    ) {
         let bytes = taken.body.len() as u64;
         if self.closed || self.bytes + bytes > self.limits.bytes {
             return out.push(Action::Say(waiter, Said::Through));
         }
         let write = self.book.next();
         let generation = *self.generations.entry(taken.volume).or_default();
-        self.held.insert(write, Held { generation, doing: Doing::Waits(0), bytes });
+        self.held.insert(
+            write,
+            Held {
+                generation,
+                doing: Doing::Waits(0),
+                bytes,
+            },
+        );
         self.bytes += bytes;
         let sequence = self.append(Record::Taken(Taken { write, ..taken }), out);
         match wish {
             Wish::Buffered => self.acks.push((sequence, waiter, write)),
-            Wish::Flushed => self.flushes.push(Flush { waiter, waits: BTreeSet::from([write]), own: true }),
+            Wish::Flushed => self.flushes.push(Flush {
+                waiter,
+                waits: BTreeSet::from([write]),
+                own: true,
+            }),
         }
         self.sync_at = self.sync_at.or(Some(now.since_boot + self.limits.gather));
     }
@@ -293,16 +353,28 @@
     }
 
     fn settle(&mut self, write: WriteId, out: &mut Vec<Action>) {
-        let volume = self.book.pending().find(|p| p.taken.write == write).map(|p| p.taken.volume);
-        let Some(held) = self.held.remove(&write) else { return };
+        let volume = self
+            .book
+            .pending()
+            .find(|p| p.taken.write == write)
+            .map(|p| p.taken.volume);
+        let Some(held) = self.held.remove(&write) else {
+            return;
+        };
         self.bytes -= held.bytes;
         self.append(Record::Settled(write), out);
         // A node has it: that is more than the log has.
-        let acked: Vec<Waiter> = self.acks.iter().filter(|a| a.2 == write).map(|a| a.1).collect();
+        let acked: Vec<Waiter> = self
+            .acks
+            .iter()
+            .filter(|a| a.2 == write)
+            .map(|a| a.1)
+            .collect();
         self.acks.retain(|a| a.2 != write);
         out.extend(acked.into_iter().map(|w| Action::Say(w, Said::Flushed)));
         self.flushed(write, Said::Flushed, out);
-        if let Some(volume) = volume.filter(|v| !self.book.pending().any(|p| p.taken.volume == *v)) {
+        if let Some(volume) = volume.filter(|v| !self.book.pending().any(|p| p.taken.volume == *v))
+        {
             self.generations.remove(&volume);
         }
         if !self.closed {
@@ -311,7 +383,9 @@
     }
 
     fn on_synced(&mut self, now: Moment, out: &mut Vec<Action>) {
-        let Some(upto) = self.sync_out.take() else { return };
+        let Some(upto) = self.sync_out.take() else {
+            return;
+        };
         self.lasting = self.lasting.max(upto);
         let lasting = self.lasting;
         for (sequence, waiter, write) in std::mem::take(&mut self.acks) {
@@ -328,16 +402,36 @@
             } else {
                 // The sync took so long that a repeat would not be dropped any more.
                 out.push(Action::Stop(write, attempt));
-                self.append(Record::Ended { write, attempt, end: End::NeverRan }, out);
-                self.held.entry(write).and_modify(|h| h.doing = Doing::Waits(0));
+                self.append(
+                    Record::Ended {
+                        write,
+                        attempt,
+                        end: End::NeverRan,
+                    },
+                    out,
+                );
+                self.held
+                    .entry(write)
+                    .and_modify(|h| h.doing = Doing::Waits(0));
             }
         }
     }
 
     /// Whether an attempt may leave now, seen by those before it.
     fn may_go(&self, now: Moment, write: WriteId, attempt: u16) -> bool {
-        let Some(mut p) = self.book.pending().find(|p| p.taken.write == write).cloned() else { return false };
-        let shard = p.tried.iter().find(|t| t.attempt == attempt).map(|t| t.shard);
+        let Some(mut p) = self
+            .book
+            .pending()
+            .find(|p| p.taken.write == write)
+            .cloned()
+        else {
+            return false;
+        };
+        let shard = p
+            .tried
+            .iter()
+            .find(|t| t.attempt == attempt)
+            .map(|t| t.shard);
         p.tried.retain(|t| t.attempt != attempt);
         match p.standing(now, self.limits.window) {
             Standing::NeverSent => true,
@@ -349,14 +443,22 @@
     /// What was not synced counts as not written: its writes go through, and nobody is told that they are buffered.
     fn on_log_failed(&mut self, out: &mut Vec<Action>) {
         (self.closed, self.sync_out, self.sync_at) = (true, None, None);
-        let lost: Vec<WriteId> =
-            self.book.pending().filter(|p| p.sequence >= self.lasting).map(|p| p.taken.write).collect();
+        let lost: Vec<WriteId> = self
+            .book
+            .pending()
+            .filter(|p| p.sequence >= self.lasting)
+            .map(|p| p.taken.write)
+            .collect();
         for write in lost {
             self.bytes -= self.held.remove(&write).map_or(0, |h| h.bytes);
             self.book.apply(self.next, &Record::Settled(write));
             self.flushed(write, Said::Through, out);
         }
-        out.extend(std::mem::take(&mut self.acks).into_iter().map(|a| Action::Say(a.1, Said::Through)));
+        out.extend(
+            std::mem::take(&mut self.acks)
+                .into_iter()
+                .map(|a| Action::Say(a.1, Said::Through)),
+        );
         for (_, write, attempt) in std::mem::take(&mut self.goes) {
             out.push(Action::Stop(write, attempt));
         }
@@ -366,7 +468,10 @@
     fn flushed(&mut self, write: WriteId, own: Said, out: &mut Vec<Action>) {
         for f in &mut self.flushes {
             if f.waits.remove(&write) && f.waits.is_empty() {
-                out.push(Action::Say(f.waiter, if f.own { own } else { Said::Flushed }));
+                out.push(Action::Say(
+                    f.waiter,
+                    if f.own { own } else { Said::Flushed },
+                ));
             }
         }
         self.flushes.retain(|f| !f.waits.is_empty());
@@ -374,12 +479,17 @@
 
     fn again(&mut self, now: Moment, write: WriteId) {
         let at = now.since_boot + self.limits.again;
-        self.held.entry(write).and_modify(|h| h.doing = Doing::Waits(at));
+        self.held
+            .entry(write)
+            .and_modify(|h| h.doing = Doing::Waits(at));
     }
 
     fn on_time(&mut self, now: Moment, out: &mut Vec<Action>) {
         // One sync for all that waits, and one at a time.
-        if self.sync_out.is_none() && !self.closed && self.sync_at.is_some_and(|at| at <= now.since_boot) {
+        if self.sync_out.is_none()
+            && !self.closed
+            && self.sync_at.is_some_and(|at| at <= now.since_boot)
+        {
             (self.sync_out, self.sync_at) = (Some(self.next), None);
             out.push(Action::Sync);
         }
@@ -405,14 +515,20 @@
         }
         let mut first: BTreeMap<u64, u64> = BTreeMap::new();
         for p in self.book.pending() {
-            if let Some(h) = self.held.get(&p.taken.write).filter(|h| h.doing != Doing::Doubt) {
+            if let Some(h) = self
+                .held
+                .get(&p.taken.write)
+                .filter(|h| h.doing != Doing::Doubt)
+            {
                 let least = first.entry(p.taken.volume).or_insert(h.generation);
                 *least = h.generation.min(*least);
             }
         }
         for p in self.book.pending() {
             let (write, volume) = (p.taken.write, p.taken.volume);
-            let Some(h) = self.held.get_mut(&write) else { continue };
+            let Some(h) = self.held.get_mut(&write) else {
+                continue;
+            };
             let due = matches!(h.doing, Doing::Waits(at) if at <= now.since_boot);
             // Not before its own record lasts: else an attempt could be known of a write that is not.
             if !due || p.sequence >= self.lasting || first.get(&volume) != Some(&h.generation) {
--- a/crates/write-back/src/file.rs
+++ b/crates/write-back/src/file.rs
@@ -31,10 +31,18 @@
     pub fn open(path: &Path) -> Result<Folder, FolderError> {
         let named = |e| FolderError::Io(path.display().to_string(), e);
         fs::create_dir_all(path).map_err(named)?;
-        let lock = OpenOptions::new().write(true).create(true).truncate(false).open(path.join("lock"));
+        let lock = OpenOptions::new()
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .open(path.join("lock"));
         let lock = lock.map_err(named)?;
         match lock.try_lock() {
-            Ok(()) => Ok(Folder { path: path.to_path_buf(), open: HashMap::new(), _lock: lock }),
+            Ok(()) => Ok(Folder {
+                path: path.to_path_buf(),
+                open: HashMap::new(),
+                _lock: lock,
+            }),
             Err(TryLockError::WouldBlock) => Err(FolderError::InUse(path.display().to_string())),
             Err(TryLockError::Error(e)) => Err(named(e)),
         }
@@ -49,7 +57,9 @@
             let file = OpenOptions::new().append(true).open(self.name(segment))?;
             self.open.insert(segment, file);
         }
-        self.open.get_mut(&segment).ok_or_else(|| ErrorKind::NotFound.into())
+        self.open
+            .get_mut(&segment)
+            .ok_or_else(|| ErrorKind::NotFound.into())
     }
 
     fn sync_names(&self) -> io::Result<()> {
@@ -70,25 +80,36 @@
         for entry in fs::read_dir(&self.path).map_err(failed)? {
             let name = entry.map_err(failed)?.file_name();
             let number = name.to_str().and_then(|n| n.strip_suffix(".log"));
-            found.extend(number.and_then(|n| u64::from_str_radix(n, 16).ok()).map(SegmentId));
+            found.extend(
+                number
+                    .and_then(|n| u64::from_str_radix(n, 16).ok())
+                    .map(SegmentId),
+            );
         }
         found.sort_unstable();
         Ok(found)
     }
 
     fn create(&mut self, segment: SegmentId) -> Result<(), DiskError> {
-        let file =
-            OpenOptions::new().append(true).create_new(true).open(self.name(segment)).map_err(failed)?;
+        let file = OpenOptions::new()
+            .append(true)
+            .create_new(true)
+            .open(self.name(segment))
+            .map_err(failed)?;
         self.open.insert(segment, file);
         self.sync_names().map_err(failed)
     }
 
     fn append(&mut self, segment: SegmentId, bytes: &[u8]) -> Result<(), DiskError> {
-        self.file(segment).and_then(|f| f.write_all(bytes)).map_err(failed)
+        self.file(segment)
+            .and_then(|f| f.write_all(bytes))
+            .map_err(failed)
     }
 
     fn sync(&mut self, segment: SegmentId) -> Result<(), DiskError> {
-        self.file(segment).and_then(|f| f.sync_data()).map_err(failed)
+        self.file(segment)
+            .and_then(|f| f.sync_data())
+            .map_err(failed)
     }
 
     fn read(&mut self, segment: SegmentId) -> Result<Vec<u8>, DiskError> {
@@ -96,12 +117,19 @@
     }
 
     fn truncate(&mut self, segment: SegmentId, length: u64) -> Result<(), DiskError> {
-        let file = OpenOptions::new().write(true).open(self.name(segment)).map_err(failed)?;
-        file.set_len(length).and_then(|()| file.sync_all()).map_err(failed)
+        let file = OpenOptions::new()
+            .write(true)
+            .open(self.name(segment))
+            .map_err(failed)?;
+        file.set_len(length)
+            .and_then(|()| file.sync_all())
+            .map_err(failed)
     }
 
     fn remove(&mut self, segment: SegmentId) -> Result<(), DiskError> {
         self.open.remove(&segment);
-        fs::remove_file(self.name(segment)).and_then(|()| self.sync_names()).map_err(failed)
+        fs::remove_file(self.name(segment))
+            .and_then(|()| self.sync_names())
+            .map_err(failed)
     }
 }
--- a/crates/write-back/src/log.rs
+++ b/crates/write-back/src/log.rs
@@ -82,7 +82,11 @@
     for (i, id) in ids.iter().enumerate() {
         let last = i + 1 == ids.len();
         if id.0 != next {
-            return Err(OpenError::Damaged { segment: id.0, offset: 0, why: Unreadable::Sequence });
+            return Err(OpenError::Damaged {
+                segment: id.0,
+                offset: 0,
+                why: Unreadable::Sequence,
+            });
         }
         let bytes = disk.read(*id)?;
         let mut at = 0;
@@ -92,14 +96,23 @@
                     found.records.push((next, record));
                     (at, next) = (at + length, next + 1);
                 }
-                Err(why) if !last => return Err(OpenError::Damaged { segment: id.0, offset: at, why }),
+                Err(why) if !last => {
+                    return Err(OpenError::Damaged {
+                        segment: id.0,
+                        offset: at,
+                        why,
+                    })
+                }
                 Err(_) => {
                     found.torn = (bytes.len() - at) as u64;
                     break;
                 }
             }
         }
-        segments.push_back(Segment { id: *id, bytes: at as u64 });
+        segments.push_back(Segment {
+            id: *id,
+            bytes: at as u64,
+        });
     }
     Ok((found, segments, next))
 }
@@ -111,7 +124,14 @@
         if let Some(last) = segments.back().filter(|_| found.torn > 0) {
             disk.truncate(last.id, last.bytes)?;
         }
-        let log = Log { disk, segments, next, lasting: next, segment_bytes, closed: false };
+        let log = Log {
+            disk,
+            segments,
+            next,
+            lasting: next,
+            segment_bytes,
+            closed: false,
+        };
         Ok((log, found))
     }
 
@@ -128,7 +148,11 @@
 
     fn write(&mut self, record: &Record) -> Result<u64, WriteError> {
         let frame = encode(self.next, record)?;
-        if self.segments.back().is_none_or(|s| s.bytes >= self.segment_bytes) {
+        if self
+            .segments
+            .back()
+            .is_none_or(|s| s.bytes >= self.segment_bytes)
+        {
             self.sync_last()?;
             let id = SegmentId(self.next);
             self.disk.create(id)?;
@@ -164,7 +188,11 @@
     /// Removes the segments in which no record at or after `needed` stands; the last one stays. Tells how many went.
     pub fn reclaim(&mut self, needed: u64) -> Result<usize, DiskError> {
         let mut gone = 0;
-        while self.segments.get(1).is_some_and(|second| second.id.0 <= needed) {
+        while self
+            .segments
+            .get(1)
+            .is_some_and(|second| second.id.0 <= needed)
+        {
             if let Some(first) = self.segments.front() {
                 self.disk.remove(first.id)?;
             }
--- a/crates/write-back/src/moment.rs
+++ b/crates/write-back/src/moment.rs
@@ -11,8 +11,15 @@
     let boot = std::fs::read_to_string("/proc/sys/kernel/random/boot_id")?;
     let since_boot =
         uptime_micros(&uptime).ok_or_else(|| io::Error::other("an uptime that cannot be read"))?;
-    let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros();
-    Ok(Moment { since_boot, boot: boot_number(&boot), wall: i64::try_from(wall).unwrap_or(i64::MAX) })
+    let wall = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_micros();
+    Ok(Moment {
+        since_boot,
+        boot: boot_number(&boot),
+        wall: i64::try_from(wall).unwrap_or(i64::MAX),
+    })
 }
 
 /// The first word of the system's uptime, in microseconds.
@@ -23,6 +30,10 @@
 
 /// A boot's random id as a number: its first 64 bits.
 fn boot_number(id: &str) -> u64 {
-    let digits: String = id.chars().filter(char::is_ascii_hexdigit).take(16).collect();
+    let digits: String = id
+        .chars()
+        .filter(char::is_ascii_hexdigit)
+        .take(16)
+        .collect();
     u64::from_str_radix(&digits, 16).unwrap_or(0)
 }
--- a/crates/write-back/src/record.rs
+++ b/crates/write-back/src/record.rs
@@ -13,7 +13,9 @@
 pub const HEAD: usize = 16;
 
 /// A write, as the log numbers it; never reused within a log.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct WriteId(pub u64);
 
 /// What a write is, from its taking to its settling.
@@ -144,7 +146,10 @@
 /// Reads the frame at the head of `bytes`, which must be the next in sequence; tells its length, too.
 pub fn decode(bytes: &[u8], sequence: u64) -> Result<(Record, usize), Unreadable> {
     let word = |at: usize| -> Result<[u8; 4], Unreadable> {
-        bytes.get(at..at + 4).and_then(|b| b.try_into().ok()).ok_or(Unreadable::Short)
+        bytes
+            .get(at..at + 4)
+            .and_then(|b| b.try_into().ok())
+            .ok_or(Unreadable::Short)
     };
     let length = u32::from_le_bytes(word(0)?) as usize;
     let sum = u32::from_le_bytes(word(4)?);
--- a/crates/write-back/src/sim.rs
+++ b/crates/write-back/src/sim.rs
@@ -28,12 +28,18 @@
 impl SimDisk {
     /// One whose sync fails after this many that go well.
     pub fn failing_after(syncs: u32) -> SimDisk {
-        SimDisk { fail_sync_in: Some(syncs), ..SimDisk::default() }
+        SimDisk {
+            fail_sync_in: Some(syncs),
+            ..SimDisk::default()
+        }
     }
 
     /// One with room for this many bytes.
     pub fn with_room(bytes: usize) -> SimDisk {
-        SimDisk { room: Some(bytes), ..SimDisk::default() }
+        SimDisk {
+            room: Some(bytes),
+            ..SimDisk::default()
+        }
     }
 
     /// What a crash leaves. Each sector that was not synced is there, or is zeros, or holds noise; a file ends anywhere
@@ -47,7 +53,9 @@
                 let next = ((at / SECTOR + 1) * SECTOR).min(end);
                 match dice.u32(0..4) {
                     0 => file.bytes[at..next].fill(0),
-                    1 => file.bytes[at..next].iter_mut().for_each(|b| *b = dice.u8(..)),
+                    1 => file.bytes[at..next]
+                        .iter_mut()
+                        .for_each(|b| *b = dice.u8(..)),
                     _ => {}
                 }
                 at = next;
@@ -59,7 +67,11 @@
 
     /// Alters one byte of a segment, as a failing medium does.
     pub fn damage(&mut self, segment: SegmentId, at: usize) {
-        if let Some(byte) = self.files.get_mut(&segment).and_then(|f| f.bytes.get_mut(at)) {
+        if let Some(byte) = self
+            .files
+            .get_mut(&segment)
+            .and_then(|f| f.bytes.get_mut(at))
+        {
             *byte ^= 0x55;
         }
     }
@@ -70,7 +82,9 @@
     }
 
     fn file(&mut self, segment: SegmentId) -> Result<&mut SimFile, DiskError> {
-        self.files.get_mut(&segment).ok_or_else(|| DiskError::Failed("no such segment".into()))
+        self.files
+            .get_mut(&segment)
+            .ok_or_else(|| DiskError::Failed("no such segment".into()))
     }
 }
 
--- a/crates/write-back/src/state.rs
+++ b/crates/write-back/src/state.rs
@@ -73,16 +73,36 @@
         match record {
             Record::Taken(taken) => {
                 self.last = self.last.max(taken.write);
-                let pending = Pending { taken: taken.clone(), sequence, tried: Vec::new() };
+                let pending = Pending {
+                    taken: taken.clone(),
+                    sequence,
+                    tried: Vec::new(),
+                };
                 self.writes.insert(taken.write, pending);
             }
-            Record::Attempt { write, attempt, node, shard, at } => {
+            Record::Attempt {
+                write,
+                attempt,
+                node,
+                shard,
+                at,
+            } => {
                 if let Some(w) = self.writes.get_mut(write) {
                     let (node, shard) = (node.clone(), *shard);
-                    w.tried.push(Tried { attempt: *attempt, node, shard, at: *at, end: None });
+                    w.tried.push(Tried {
+                        attempt: *attempt,
+                        node,
+                        shard,
+                        at: *at,
+                        end: None,
+                    });
                 }
             }
-            Record::Ended { write, attempt, end } => {
+            Record::Ended {
+                write,
+                attempt,
+                end,
+            } => {
                 let tried = self.writes.get_mut(write).map(|w| &mut w.tried);
                 let tried = tried.and_then(|t| t.iter_mut().find(|t| t.attempt == *attempt));
                 // The first word on an attempt stands, but that a node has it is always believed.
@@ -124,13 +144,22 @@
         if self.tried.iter().any(|t| t.end == Some(End::Held)) {
             return Standing::Answered;
         }
-        let may: Vec<&Tried> = self.tried.iter().filter(|t| t.end != Some(End::NeverRan)).collect();
-        let Some(first) = may.first() else { return Standing::NeverSent };
+        let may: Vec<&Tried> = self
+            .tried
+            .iter()
+            .filter(|t| t.end != Some(End::NeverRan))
+            .collect();
+        let Some(first) = may.first() else {
+            return Standing::NeverSent;
+        };
         let ago = now.since_boot - first.at.since_boot;
         let left = window * WINDOW_TENTHS / 10 - ago;
         let one_shard = may.iter().all(|t| t.shard == first.shard);
         if now.boot == first.at.boot && ago >= 0 && left > 0 && one_shard {
-            return Standing::InWindow { shard: first.shard, left };
+            return Standing::InWindow {
+                shard: first.shard,
+                left,
+            };
         }
         let mut nodes: Vec<String> = may.iter().map(|t| t.node.clone()).collect();
         nodes.sort_unstable();
--- a/crates/write-back/tests/buffer.rs
+++ b/crates/write-back/tests/buffer.rs
@@ -9,7 +9,12 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const WINDOW: i64 = 4_000_000;
-const LIMITS: Limits = Limits { bytes: 4_000, gather: 2_000, window: WINDOW, again: 50_000 };
+const LIMITS: Limits = Limits {
+    bytes: 4_000,
+    gather: 2_000,
+    window: WINDOW,
+    again: 50_000,
+};
 
 /// Nodes on two shards: what ran where, and when each key first did on its shard.
 #[derive(Default)]
@@ -83,7 +88,14 @@
     }
 
     fn handle(&mut self, input: Input) {
-        let (mut out, moment) = (Vec::new(), Moment { since_boot: self.now, boot: self.boot, wall: 0 });
+        let (mut out, moment) = (
+            Vec::new(),
+            Moment {
+                since_boot: self.now,
+                boot: self.boot,
+                wall: 0,
+            },
+        );
         self.buffer.handle(moment, input, &mut out);
         let mut inputs = Vec::new();
         for action in out {
@@ -99,11 +111,18 @@
                     let number = self.attempts.entry(write).or_default();
                     let (attempt, shard) = (*number, only.map_or(self.dice.u32(0..2), |o| o.0));
                     *number += 1;
-                    inputs.push(Input::Intends { write, attempt, node: format!("n{shard}"), shard });
+                    inputs.push(Input::Intends {
+                        write,
+                        attempt,
+                        node: format!("n{shard}"),
+                        shard,
+                    });
                     self.sent.push_back((write, attempt, shard));
                 }
                 Action::Go(write, attempt) => inputs.extend(self.go(write, attempt)),
-                Action::Stop(write, attempt) => self.sent.retain(|s| (s.0, s.1) != (write, attempt)),
+                Action::Stop(write, attempt) => {
+                    self.sent.retain(|s| (s.0, s.1) != (write, attempt))
+                }
                 Action::Ask(write, _) => {
                     let key = self.key(write);
                     let known = self.calm || self.dice.u32(0..20) > 0;
@@ -126,7 +145,10 @@
 
     fn key(&self, write: WriteId) -> Vec<u8> {
         let pending = self.buffer.pending().find(|p| p.taken.write == write);
-        pending.map(|p| p.taken.key.clone()).or_else(|| self.keys.get(&write).cloned()).unwrap_or_default()
+        pending
+            .map(|p| p.taken.key.clone())
+            .or_else(|| self.keys.get(&write).cloned())
+            .unwrap_or_default()
     }
 
     fn told(&mut self, waiter: Waiter, said: Said) {
@@ -135,7 +157,9 @@
                 assert!(self.nodes.hold(key), "flushed, and no node has it");
             }
         }
-        let Some(key) = self.puts.get(&waiter).cloned() else { return };
+        let Some(key) = self.puts.get(&waiter).cloned() else {
+            return;
+        };
         match said {
             Said::Buffered => drop(self.buffered.insert(key)),
             Said::Flushed => {
@@ -148,7 +172,11 @@
 
     /// An attempt's bytes leave; how it ends is told now, later, or never.
     fn go(&mut self, write: WriteId, attempt: u16) -> Vec<Input> {
-        let Some(at) = self.sent.iter().position(|s| (s.0, s.1) == (write, attempt)) else {
+        let Some(at) = self
+            .sent
+            .iter()
+            .position(|s| (s.0, s.1) == (write, attempt))
+        else {
             return Vec::new();
         };
         let (_, _, shard) = self.sent.remove(at).unwrap();
@@ -159,9 +187,15 @@
             self.nodes.run(self.now, shard, &key);
         }
         match fate {
-            0 => vec![Input::Ended(write, attempt, End::NeverRan), Input::LetGo(write)],
+            0 => vec![
+                Input::Ended(write, attempt, End::NeverRan),
+                Input::LetGo(write),
+            ],
             // Reset, before or after it ran: nobody knows.
-            1 | 2 => vec![Input::Ended(write, attempt, End::MayHaveRun), Input::LetGo(write)],
+            1 | 2 => vec![
+                Input::Ended(write, attempt, End::MayHaveRun),
+                Input::LetGo(write),
+            ],
             // Its end is still on its way.
             3 => Vec::new(),
             _ => vec![Input::Ended(write, attempt, End::Held)],
@@ -173,7 +207,10 @@
         match self.dice.u32(0..20) {
             0..=7 => {
                 self.number += 1;
-                let (waiter, key) = (Waiter(self.number), format!("k-{}", self.number).into_bytes());
+                let (waiter, key) = (
+                    Waiter(self.number),
+                    format!("k-{}", self.number).into_bytes(),
+                );
                 self.puts.insert(waiter, key.clone());
                 let taken = Taken {
                     write: WriteId(0),
@@ -185,7 +222,11 @@
                     body: vec![1; self.dice.usize(0..300)],
                     give_up: 0,
                 };
-                let wish = if self.dice.bool() { Wish::Buffered } else { Wish::Flushed };
+                let wish = if self.dice.bool() {
+                    Wish::Buffered
+                } else {
+                    Wish::Flushed
+                };
                 self.handle(Input::Put(waiter, wish, taken));
             }
             8 => {
@@ -221,7 +262,10 @@
         let (log, found) = Log::open(disk, 1_500).unwrap();
         let mut book = Book::default();
         found.records.iter().for_each(|(s, r)| book.apply(*s, r));
-        self.attempts = book.pending().map(|p| (p.taken.write, p.tried.len() as u16 + 100)).collect();
+        self.attempts = book
+            .pending()
+            .map(|p| (p.taken.write, p.tried.len() as u16 + 100))
+            .collect();
         self.buffer = Buffer::new(LIMITS, book, log.next());
         (self.log, self.syncing) = (Some(log), false);
         self.sent.clear();
@@ -257,17 +301,28 @@
         w.finish();
         for key in w.buffered.iter().chain(&w.flushed) {
             let name = String::from_utf8_lossy(key).into_owned();
-            assert!(w.nodes.hold(key), "seed {seed}: {name} was acknowledged and lost");
+            assert!(
+                w.nodes.hold(key),
+                "seed {seed}: {name} was acknowledged and lost"
+            );
         }
         for (key, runs) in &w.nodes.runs {
-            assert_eq!(*runs, 1, "seed {seed}: {} ran more than once", String::from_utf8_lossy(key));
+            assert_eq!(
+                *runs,
+                1,
+                "seed {seed}: {} ran more than once",
+                String::from_utf8_lossy(key)
+            );
         }
         assert_eq!(w.buffer.bytes(), 0, "seed {seed}: something is left");
         acks += w.buffered.len() + w.flushed.len();
         doubts += w.doubt.len();
         crashes += 1;
     }
-    assert!(acks > 10_000 && crashes == 400 && doubts > 0, "{acks} acknowledgements, {doubts} in doubt");
+    assert!(
+        acks > 10_000 && crashes == 400 && doubts > 0,
+        "{acks} acknowledgements, {doubts} in doubt"
+    );
 }
 
 fn put(b: &mut Buffer, n: u64, wish: Wish, size: usize, at: i64) -> Vec<Action> {
@@ -286,24 +341,50 @@
 
 fn handle(b: &mut Buffer, input: Input, at: i64) -> Vec<Action> {
     let mut out = Vec::new();
-    b.handle(Moment { since_boot: at, boot: 1, wall: 0 }, input, &mut out);
+    b.handle(
+        Moment {
+            since_boot: at,
+            boot: 1,
+            wall: 0,
+        },
+        input,
+        &mut out,
+    );
     out
 }
 
 #[test]
 fn many_writes_share_one_sync_and_none_is_acknowledged_before_it() {
     let mut b = Buffer::new(LIMITS, Book::default(), 1);
-    let early: Vec<Action> = (1..=10).flat_map(|n| put(&mut b, n, Wish::Buffered, 10, 0)).collect();
-    assert!(!early.iter().any(|a| matches!(a, Action::Say(..) | Action::Sync | Action::Open(..))));
+    let early: Vec<Action> = (1..=10)
+        .flat_map(|n| put(&mut b, n, Wish::Buffered, 10, 0))
+        .collect();
+    assert!(!early
+        .iter()
+        .any(|a| matches!(a, Action::Say(..) | Action::Sync | Action::Open(..))));
     let out = handle(&mut b, Input::Timer, LIMITS.gather);
     assert_eq!(out, [Action::Sync]);
     let out = handle(&mut b, Input::Synced, 3_000);
-    let said = out.iter().filter(|a| matches!(a, Action::Say(_, Said::Buffered))).count();
-    let opened = out.iter().filter(|a| matches!(a, Action::Open(_, None))).count();
+    let said = out
+        .iter()
+        .filter(|a| matches!(a, Action::Say(_, Said::Buffered)))
+        .count();
+    let opened = out
+        .iter()
+        .filter(|a| matches!(a, Action::Open(_, None)))
+        .count();
     assert_eq!((said, opened), (10, 10));
     // An attempt's bytes leave only once its intent is synced.
-    let out =
-        handle(&mut b, Input::Intends { write: WriteId(1), attempt: 0, node: "a".into(), shard: 0 }, 3_000);
+    let out = handle(
+        &mut b,
+        Input::Intends {
+            write: WriteId(1),
+            attempt: 0,
+            node: "a".into(),
+            shard: 0,
+        },
+        3_000,
+    );
     assert!(out.contains(&Action::Sync) && !out.contains(&Action::Go(WriteId(1), 0)));
     assert!(handle(&mut b, Input::Synced, 3_500).contains(&Action::Go(WriteId(1), 0)));
 }
@@ -311,7 +392,9 @@
 #[test]
 fn beyond_the_bound_and_after_the_log_failed_writes_go_through() {
     let mut b = Buffer::new(LIMITS, Book::default(), 1);
-    assert!(!put(&mut b, 1, Wish::Buffered, 3_900, 0).contains(&Action::Say(Waiter(1), Said::Through)));
+    assert!(
+        !put(&mut b, 1, Wish::Buffered, 3_900, 0).contains(&Action::Say(Waiter(1), Said::Through))
+    );
     assert!(put(&mut b, 2, Wish::Buffered, 200, 0).contains(&Action::Say(Waiter(2), Said::Through)));
     handle(&mut b, Input::Timer, LIMITS.gather);
     let out = handle(&mut b, Input::LogFailed, 3_000);
@@ -319,7 +402,9 @@
         out.contains(&Action::Say(Waiter(1), Said::Through)),
         "what was not synced counts as not written"
     );
-    assert!(put(&mut b, 3, Wish::Flushed, 1, 4_000).contains(&Action::Say(Waiter(3), Said::Through)));
+    assert!(
+        put(&mut b, 3, Wish::Flushed, 1, 4_000).contains(&Action::Say(Waiter(3), Said::Through))
+    );
     assert_eq!(b.bytes(), 0);
 }
 
@@ -331,18 +416,38 @@
     put(&mut b, 2, Wish::Buffered, 1, 0);
     handle(&mut b, Input::Timer, LIMITS.gather);
     let out = handle(&mut b, Input::Synced, 3_000);
-    assert!(out.contains(&Action::Open(WriteId(1), None)) && !out.contains(&Action::Open(WriteId(2), None)));
     assert!(
-        !handle(&mut b, Input::Flush(Waiter(9), 1), 3_000).contains(&Action::Say(Waiter(9), Said::Flushed))
+        out.contains(&Action::Open(WriteId(1), None))
+            && !out.contains(&Action::Open(WriteId(2), None))
+    );
+    assert!(!handle(&mut b, Input::Flush(Waiter(9), 1), 3_000)
+        .contains(&Action::Say(Waiter(9), Said::Flushed)));
+    handle(
+        &mut b,
+        Input::Intends {
+            write: WriteId(1),
+            attempt: 0,
+            node: "a".into(),
+            shard: 0,
+        },
+        3_000,
     );
-    handle(&mut b, Input::Intends { write: WriteId(1), attempt: 0, node: "a".into(), shard: 0 }, 3_000);
     handle(&mut b, Input::Synced, 3_100);
     let out = handle(&mut b, Input::Ended(WriteId(1), 0, End::Held), 3_200);
     assert!(
         out.contains(&Action::Open(WriteId(2), None))
             && !out.contains(&Action::Say(Waiter(9), Said::Flushed))
     );
-    handle(&mut b, Input::Intends { write: WriteId(2), attempt: 0, node: "a".into(), shard: 0 }, 3_300);
+    handle(
+        &mut b,
+        Input::Intends {
+            write: WriteId(2),
+            attempt: 0,
+            node: "a".into(),
+            shard: 0,
+        },
+        3_300,
+    );
     handle(&mut b, Input::Synced, 3_400);
     let out = handle(&mut b, Input::Ended(WriteId(2), 0, End::Held), 3_500);
     assert!(out.contains(&Action::Say(Waiter(9), Said::Flushed)));
--- a/crates/write-back/tests/golden.rs
+++ b/crates/write-back/tests/golden.rs
@@ -7,7 +7,9 @@
 use lupinrack_write_back::disk::{Disk, DiskError, SegmentId};
 use lupinrack_write_back::file::{Folder, FolderError};
 use lupinrack_write_back::log::{inspect, Log, OpenError, Recovered, WriteError};
-use lupinrack_write_back::record::{decode, encode, End, Moment, Record, Taken, Unreadable, WriteId};
+use lupinrack_write_back::record::{
+    decode, encode, End, Moment, Record, Taken, Unreadable, WriteId,
+};
 use lupinrack_write_back::state::{Book, Standing};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -45,28 +47,66 @@
 }
 
 fn attempt(write: u64, attempt: u16, node: &str, shard: u32) -> Record {
-    let at = Moment { since_boot: 12_345_678, boot: 0xfeed_0000_0000_0001, wall: 1_700_000_001_000_002 };
-    Record::Attempt { write: WriteId(write), attempt, node: node.into(), shard, at }
+    let at = Moment {
+        since_boot: 12_345_678,
+        boot: 0xfeed_0000_0000_0001,
+        wall: 1_700_000_001_000_002,
+    };
+    Record::Attempt {
+        write: WriteId(write),
+        attempt,
+        node: node.into(),
+        shard,
+        at,
+    }
 }
 
 fn ended(write: u64, attempt: u16, end: End) -> Record {
-    Record::Ended { write: WriteId(write), attempt, end }
+    Record::Ended {
+        write: WriteId(write),
+        attempt,
+        end,
+    }
 }
 
 /// Records of every kind by names, with their sequences.
 fn records() -> Vec<(&'static str, u64, Record)> {
-    let early = Moment { since_boot: -5, boot: 0, wall: -6 };
-    let early = Record::Attempt { write: WriteId(0), attempt: 0, node: String::new(), shard: 0, at: early };
+    let early = Moment {
+        since_boot: -5,
+        boot: 0,
+        wall: -6,
+    };
+    let early = Record::Attempt {
+        write: WriteId(0),
+        attempt: 0,
+        node: String::new(),
+        shard: 0,
+        at: early,
+    };
     vec![
         ("taken", 1, Record::Taken(taken(9))),
         ("taken, empty", 2, Record::Taken(empty_taken())),
-        ("attempt", 0x0102_0304_0506_0708, attempt(300, 4, "node-3", 70_000)),
+        (
+            "attempt",
+            0x0102_0304_0506_0708,
+            attempt(300, 4, "node-3", 70_000),
+        ),
         ("attempt, least", 3, early),
         ("ended, held", 4, ended(300, 5, End::Held)),
         ("ended, never ran", 5, ended(301, 6, End::NeverRan)),
-        ("ended, may have run", 6, ended(302, u16::MAX, End::MayHaveRun)),
+        (
+            "ended, may have run",
+            6,
+            ended(302, u16::MAX, End::MayHaveRun),
+        ),
         ("settled", u64::MAX, Record::Settled(WriteId(u64::MAX))),
-        ("barrier", 7, Record::Barrier { volume: 0x8877_6655_4433_2211 }),
+        (
+            "barrier",
+            7,
+            Record::Barrier {
+                volume: 0x8877_6655_4433_2211,
+            },
+        ),
         ("flush", 8, Record::Flush { volume: 17 }),
     ]
 }
@@ -80,7 +120,11 @@
     let kept = file.check();
     for (name, sequence, record) in records() {
         let frame = unhex(&kept[name]);
-        assert_eq!(decode(&frame, sequence), Ok((record, frame.len())), "{name}");
+        assert_eq!(
+            decode(&frame, sequence),
+            Ok((record, frame.len())),
+            "{name}"
+        );
     }
 }
 
@@ -91,13 +135,17 @@
         Record::Taken(taken(2)),
         attempt(1, 0, "node-a", 3),
         ended(1, 0, End::Held),
-        Record::Barrier { volume: 0x1122_3344_5566_7788 },
+        Record::Barrier {
+            volume: 0x1122_3344_5566_7788,
+        },
         Record::Taken(taken(3)),
         attempt(2, 0, "node-b", 3),
         Record::Settled(WriteId(1)),
         attempt(3, 0, "node-c", 4),
         ended(3, 0, End::NeverRan),
-        Record::Flush { volume: 0x1122_3344_5566_7788 },
+        Record::Flush {
+            volume: 0x1122_3344_5566_7788,
+        },
         Record::Taken(taken(4)),
         attempt(4, 0, "node-d", 5),
         ended(4, 0, End::MayHaveRun),
@@ -113,7 +161,8 @@
 
 impl TestFolder {
     fn new(name: &str) -> TestFolder {
-        let path = std::env::temp_dir().join(format!("lupinrack-golden-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("lupinrack-golden-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
         TestFolder(path)
     }
@@ -122,8 +171,15 @@
     fn files(&self) -> BTreeMap<String, Vec<u8>> {
         let entries = std::fs::read_dir(&self.0).expect("a folder");
         let paths = entries.map(|entry| entry.expect("an entry").path());
-        let name = |path: &Path| path.file_name().expect("a name").to_string_lossy().into_owned();
-        paths.map(|path| (name(&path), std::fs::read(&path).expect("a file"))).collect()
+        let name = |path: &Path| {
+            path.file_name()
+                .expect("a name")
+                .to_string_lossy()
+                .into_owned()
+        };
+        paths
+            .map(|path| (name(&path), std::fs::read(&path).expect("a file")))
+            .collect()
     }
 }
 
@@ -134,7 +190,8 @@
 }
 
 fn write_log(folder: &TestFolder) {
-    let (mut log, _) = Log::open(Folder::open(&folder.0).expect("a folder"), SEGMENT_BYTES).expect("a log");
+    let (mut log, _) =
+        Log::open(Folder::open(&folder.0).expect("a folder"), SEGMENT_BYTES).expect("a log");
     for record in log_records() {
         log.append(&record).expect("written");
     }
@@ -160,7 +217,13 @@
     }
     let mut folder = Folder::open(&copied.0).expect("a folder");
     let found = inspect(&mut folder).expect("a log");
-    assert_eq!(found, Recovered { records: numbered(log_records()), torn: 0 });
+    assert_eq!(
+        found,
+        Recovered {
+            records: numbered(log_records()),
+            torn: 0
+        }
+    );
     let (log, found) = Log::open(folder, SEGMENT_BYTES).expect("a log");
     assert_eq!((log.next(), found.records.len()), (19, 18));
     assert_eq!(standings(&found), expected_standings());
@@ -170,9 +233,14 @@
 fn a_torn_end_is_cut_off() {
     let torn = TestFolder::new("torn");
     write_log(&torn);
-    let last = torn.files().into_iter().rfind(|(name, _)| name.ends_with(".log")).expect("a segment");
+    let last = torn
+        .files()
+        .into_iter()
+        .rfind(|(name, _)| name.ends_with(".log"))
+        .expect("a segment");
     std::fs::write(torn.0.join(&last.0), &last.1[..last.1.len() - 3]).expect("a file");
-    let (log, found) = Log::open(Folder::open(&torn.0).expect("a folder"), SEGMENT_BYTES).expect("a log");
+    let (log, found) =
+        Log::open(Folder::open(&torn.0).expect("a folder"), SEGMENT_BYTES).expect("a log");
     assert_eq!((log.next(), found.records.len()), (18, 17));
     let mut file = GoldenFile::new("torn-log.txt");
     file.add("torn bytes", found.torn.to_string());
@@ -184,16 +252,36 @@
 
 fn standings(found: &Recovered) -> BTreeMap<u64, Standing> {
     let mut book = Book::default();
-    found.records.iter().for_each(|(sequence, record)| book.apply(*sequence, record));
-    let now = Moment { since_boot: 13_345_678, boot: 0xfeed_0000_0000_0001, wall: 0 };
-    book.pending().map(|pending| (pending.taken.write.0, pending.standing(now, WINDOW))).collect()
+    found
+        .records
+        .iter()
+        .for_each(|(sequence, record)| book.apply(*sequence, record));
+    let now = Moment {
+        since_boot: 13_345_678,
+        boot: 0xfeed_0000_0000_0001,
+        wall: 0,
+    };
+    book.pending()
+        .map(|pending| (pending.taken.write.0, pending.standing(now, WINDOW)))
+        .collect()
 }
 
 fn expected_standings() -> BTreeMap<u64, Standing> {
     BTreeMap::from([
-        (2, Standing::InWindow { shard: 3, left: 2_600_000 }),
+        (
+            2,
+            Standing::InWindow {
+                shard: 3,
+                left: 2_600_000,
+            },
+        ),
         (3, Standing::NeverSent),
-        (4, Standing::PastWindow { nodes: vec!["node-d".into(), "node-e".into()] }),
+        (
+            4,
+            Standing::PastWindow {
+                nodes: vec!["node-d".into(), "node-e".into()],
+            },
+        ),
         (5, Standing::Answered),
     ])
 }
@@ -215,27 +303,51 @@
     file.add("disk, full", DiskError::Full.to_string());
     file.add("disk, failed", failed().to_string());
     file.add("open, disk", OpenError::from(failed()).to_string());
-    let damaged = OpenError::Damaged { segment: 0x1f, offset: 77, why: Unreadable::Checksum };
+    let damaged = OpenError::Damaged {
+        segment: 0x1f,
+        offset: 77,
+        why: Unreadable::Checksum,
+    };
     file.add("open, damaged", damaged.to_string());
     file.add("write, disk", WriteError::from(failed()).to_string());
     file.add("write, closed", WriteError::Closed.to_string());
-    file.add("folder, in use", FolderError::InUse("/log".into()).to_string());
+    file.add(
+        "folder, in use",
+        FolderError::InUse("/log".into()).to_string(),
+    );
     let refused = std::io::Error::other("refused");
-    file.add("folder, other", FolderError::Io("/log".into(), refused).to_string());
+    file.add(
+        "folder, other",
+        FolderError::Io("/log".into(), refused).to_string(),
+    );
     file.check();
 }
 
 #[test]
 fn a_folder_lists_its_segments_in_order() {
     let folder = TestFolder::new("order");
-    for name in ["00000000000000ff.log", "0000000000000100.log", "1.log", "notes.txt", "zz.log"] {
+    for name in [
+        "00000000000000ff.log",
+        "0000000000000100.log",
+        "1.log",
+        "notes.txt",
+        "zz.log",
+    ] {
         std::fs::write(folder.0.join(name), b"").expect("a file");
     }
     let mut disk = Folder::open(&folder.0).expect("a folder");
-    assert_eq!(disk.list().expect("a list"), [SegmentId(1), SegmentId(0xff), SegmentId(0x100)]);
+    assert_eq!(
+        disk.list().expect("a list"),
+        [SegmentId(1), SegmentId(0xff), SegmentId(0x100)]
+    );
 }
 
 #[test]
 fn every_golden_file_is_compared() {
-    check_folder(&["closed-log.txt", "errors.txt", "records.txt", "torn-log.txt"]);
+    check_folder(&[
+        "closed-log.txt",
+        "errors.txt",
+        "records.txt",
+        "torn-log.txt",
+    ]);
 }
