--- a/crates/write-back/tests/golden_file/mod.rs
+++ b/crates/write-back/tests/golden_file/mod.rs
@@ -22,14 +22,23 @@
 impl GoldenFile {
     /// The file `tests/golden/<name>`, with no examples yet.
     pub fn new(name: &'static str) -> GoldenFile {
-        GoldenFile { name, examples: Vec::new() }
+        GoldenFile {
+            name,
+            examples: Vec::new(),
+        }
     }
 
     /// Adds an example. It must fit a line.
     pub fn add(&mut self, name: impl Into<String>, example: impl Into<String>) {
         let (name, example) = (name.into(), example.into());
-        assert!(!name.contains(": ") && !example.contains('\n'), "{name} does not fit a line");
-        assert!(self.examples.iter().all(|(other, _)| *other != name), "{name} is built twice");
+        assert!(
+            !name.contains(": ") && !example.contains('\n'),
+            "{name} does not fit a line"
+        );
+        assert!(
+            self.examples.iter().all(|(other, _)| *other != name),
+            "{name} is built twice"
+        );
         self.examples.push((name, example));
     }
 
@@ -40,13 +49,20 @@
 
     /// Compares the file with what was added, byte for byte, and returns the file's examples by their names.
     pub fn check(self) -> BTreeMap<String, String> {
-        let built: String = self.examples.iter().fold(String::new(), |mut text, (name, example)| {
-            let _ = writeln!(text, "{name}: {example}");
-            text
-        });
+        let built: String =
+            self.examples
+                .iter()
+                .fold(String::new(), |mut text, (name, example)| {
+                    let _ = writeln!(text, "{name}: {example}");
+                    text
+                });
         let kept = check_text(self.name, &built);
-        let examples = kept.lines().map(|line| line.split_once(": ").expect("`name: example`"));
-        examples.map(|(name, example)| (name.to_owned(), example.to_owned())).collect()
+        let examples = kept
+            .lines()
+            .map(|line| line.split_once(": ").expect("`name: example`"));
+        examples
+            .map(|(name, example)| (name.to_owned(), example.to_owned()))
+            .collect()
     }
 }
 
@@ -56,9 +72,13 @@
     if std::env::var(UPDATE_VARIABLE).is_ok_and(|value| value == "1") {
         std::fs::write(&path, built).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
     }
-    let kept = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
+    let kept = std::fs::read_to_string(&path)
+        .unwrap_or_else(|error| panic!("{}: {error}", path.display()));
     if kept != built {
-        panic!("{name} differs from what is built:\n{}", differences(&kept, built));
+        panic!(
+            "{name} differs from what is built:\n{}",
+            differences(&kept, built)
+        );
     }
     kept
 }
@@ -66,8 +86,15 @@
 /// Checks that the folder holds these files and no others, so that none is left that no test reads.
 pub fn check_folder(names: &[&str]) {
     let entries = std::fs::read_dir(folder()).expect("the folder of the golden files");
-    let mut found: Vec<String> =
-        entries.map(|entry| entry.expect("an entry").file_name().into_string().expect("a name")).collect();
+    let mut found: Vec<String> = entries
+        .map(|entry| {
+            entry
+                .expect("an entry")
+                .file_name()
+                .into_string()
+                .expect("a name")
+        })
+        .collect();
     found.sort();
     let mut expected = names.to_vec();
     expected.sort_unstable();
@@ -94,8 +121,17 @@
 fn differences(kept: &str, built: &str) -> String {
     const LINES_MOST: usize = 6;
     let (kept, built): (Vec<&str>, Vec<&str>) = (kept.lines().collect(), built.lines().collect());
-    let removed = kept.iter().filter(|line| !built.contains(line)).map(|line| format!("- {line}"));
-    let added = built.iter().filter(|line| !kept.contains(line)).map(|line| format!("+ {line}"));
-    let lines: Vec<String> = removed.take(LINES_MOST).chain(added.take(LINES_MOST)).collect();
+    let removed = kept
+        .iter()
+        .filter(|line| !built.contains(line))
+        .map(|line| format!("- {line}"));
+    let added = built
+        .iter()
+        .filter(|line| !kept.contains(line))
+        .map(|line| format!("+ {line}"));
+    let lines: Vec<String> = removed
+        .take(LINES_MOST)
+        .chain(added.take(LINES_MOST))
+        .collect();
     lines.join("\n")
 }
--- a/crates/write-back/tests/log.rs
+++ b/crates/write-back/tests/log.rs
@@ -3,7 +3,9 @@
 use lupinrack_write_back::disk::{Disk, DiskError, SegmentId};
 use lupinrack_write_back::file::{Folder, FolderError};
 use lupinrack_write_back::log::{Log, OpenError, WriteError};
-use lupinrack_write_back::record::{decode, encode, End, Moment, Record, Taken, Unreadable, WriteId};
+use lupinrack_write_back::record::{
+    decode, encode, End, Moment, Record, Taken, Unreadable, WriteId,
+};
 use lupinrack_write_back::sim::SimDisk;
 use lupinrack_write_back::state::{Book, Standing};
 
@@ -29,9 +31,14 @@
         let mut dice = fastrand::Rng::with_seed(seed);
         let (mut disk, mut wrote, mut lasting, mut number) = (SimDisk::default(), Vec::new(), 0, 0);
         for _ in 0..20 {
-            let (mut log, found) = Log::open(disk, 3_000).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+            let (mut log, found) =
+                Log::open(disk, 3_000).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
             let found: Vec<Record> = found.records.into_iter().map(|r| r.1).collect();
-            assert!(found.len() >= lasting, "seed {seed}: {} of {lasting} synced records", found.len());
+            assert!(
+                found.len() >= lasting,
+                "seed {seed}: {} of {lasting} synced records",
+                found.len()
+            );
             assert_eq!(found[..], wrote[..found.len()], "seed {seed}");
             wrote.truncate(found.len());
             for _ in 0..dice.usize(0..12) {
@@ -71,8 +78,15 @@
             let mut bad = disk.clone();
             bad.damage(*segment, at);
             match Log::open(bad, 300) {
-                Err(OpenError::Damaged { segment: told, offset, .. }) => {
-                    assert!(told == segment.0 && offset <= at, "{told:x} {offset} for {segment:?} {at}");
+                Err(OpenError::Damaged {
+                    segment: told,
+                    offset,
+                    ..
+                }) => {
+                    assert!(
+                        told == segment.0 && offset <= at,
+                        "{told:x} {offset} for {segment:?} {at}"
+                    );
                 }
                 other => panic!("{segment:?} {at}: {other:?}"),
             }
@@ -80,7 +94,10 @@
     }
     let mut gap = disk.clone();
     gap.remove(segments[1]).unwrap();
-    assert!(matches!(Log::open(gap, 300), Err(OpenError::Damaged { .. })), "a segment is missing");
+    assert!(
+        matches!(Log::open(gap, 300), Err(OpenError::Damaged { .. })),
+        "a segment is missing"
+    );
     // In the last it is a torn end.
     let last = segments[segments.len() - 1];
     let mut torn = disk.clone();
@@ -96,7 +113,10 @@
     assert_eq!(log.sync().unwrap(), 2);
     log.append(&taken(2, 10)).unwrap();
     assert!(matches!(log.sync(), Err(WriteError::Disk(_))));
-    assert!(matches!(log.sync(), Err(WriteError::Closed)), "never tried again as if nothing had happened");
+    assert!(
+        matches!(log.sync(), Err(WriteError::Closed)),
+        "never tried again as if nothing had happened"
+    );
     assert!(matches!(log.append(&taken(3, 10)), Err(WriteError::Closed)) && log.closed());
     let mut disk = log.into_disk();
     disk.crash(&mut fastrand::Rng::with_seed(1));
@@ -106,7 +126,10 @@
     let (mut log, _) = Log::open(SimDisk::with_room(150), 1 << 20).unwrap();
     log.append(&taken(1, 10)).unwrap();
     log.sync().unwrap();
-    assert!(matches!(log.append(&taken(2, 500)), Err(WriteError::Disk(DiskError::Full))));
+    assert!(matches!(
+        log.append(&taken(2, 500)),
+        Err(WriteError::Disk(DiskError::Full))
+    ));
     assert!(log.closed());
     let (_, found) = Log::open(log.into_disk(), 1 << 20).unwrap();
     assert_eq!(found.records.len(), 1, "half a record is a torn end");
@@ -131,7 +154,10 @@
     let (mut log, found) = Log::open(log.into_disk(), 300).unwrap();
     let mut again = Book::default();
     found.records.iter().for_each(|(s, r)| again.apply(*s, r));
-    assert_eq!(again.pending().map(|p| p.taken.write).collect::<Vec<_>>(), [WriteId(5)]);
+    assert_eq!(
+        again.pending().map(|p| p.taken.write).collect::<Vec<_>>(),
+        [WriteId(5)]
+    );
     let record = Record::Settled(WriteId(5));
     again.apply(log.append(&record).unwrap(), &record);
     log.reclaim(again.needed().unwrap_or(log.next())).unwrap();
@@ -139,7 +165,11 @@
 }
 
 fn moment(since_boot: i64, boot: u64, wall: i64) -> Moment {
-    Moment { since_boot, boot, wall }
+    Moment {
+        since_boot,
+        boot,
+        wall,
+    }
 }
 
 #[test]
@@ -152,34 +182,93 @@
         shard,
         at: moment(at, 7, 1_000_000_000 + at),
     };
-    let ended = |n, end| Record::Ended { write: WriteId(1), attempt: n, end };
+    let ended = |n, end| Record::Ended {
+        write: WriteId(1),
+        attempt: n,
+        end,
+    };
     let standing = |records: &[Record], now: Moment| {
         let mut book = Book::default();
         book.apply(1, &taken(1, 1));
         records.iter().zip(2..).for_each(|(r, s)| book.apply(s, r));
-        let p = book.pending().next().expect("pending").standing(now, WINDOW);
+        let p = book
+            .pending()
+            .next()
+            .expect("pending")
+            .standing(now, WINDOW);
         p
     };
     let now = |ago: i64| moment(10_000_000 + ago, 7, 1_010_000_000 + ago);
     let first = attempt(0, "a", 3, 10_000_000);
-    let past = |nodes: &[&str]| Standing::PastWindow { nodes: nodes.iter().map(|n| n.to_string()).collect() };
+    let past = |nodes: &[&str]| Standing::PastWindow {
+        nodes: nodes.iter().map(|n| n.to_string()).collect(),
+    };
     assert_eq!(standing(&[], now(0)), Standing::NeverSent);
-    assert_eq!(standing(&[first.clone(), ended(0, End::NeverRan)], now(60_000_000)), Standing::NeverSent);
-    assert_eq!(standing(&[first.clone(), ended(0, End::Held)], now(60_000_000)), Standing::Answered);
+    assert_eq!(
+        standing(&[first.clone(), ended(0, End::NeverRan)], now(60_000_000)),
+        Standing::NeverSent
+    );
+    assert_eq!(
+        standing(&[first.clone(), ended(0, End::Held)], now(60_000_000)),
+        Standing::Answered
+    );
     let unknown = [first.clone()];
-    assert_eq!(standing(&unknown, now(1_000_000)), Standing::InWindow { shard: 3, left: 2_600_000 });
-    assert_eq!(standing(&unknown, now(3_600_000)), past(&["a"]), "nine tenths of the window");
+    assert_eq!(
+        standing(&unknown, now(1_000_000)),
+        Standing::InWindow {
+            shard: 3,
+            left: 2_600_000
+        }
+    );
+    assert_eq!(
+        standing(&unknown, now(3_600_000)),
+        past(&["a"]),
+        "nine tenths of the window"
+    );
     // Within one boot the wall clock does not count, however it was set.
     for wall in [0, 900_000_000, i64::MAX / 2] {
-        let at = Moment { wall, ..now(1_000_000) };
-        assert_eq!(standing(&unknown, at), Standing::InWindow { shard: 3, left: 2_600_000 });
+        let at = Moment {
+            wall,
+            ..now(1_000_000)
+        };
+        assert_eq!(
+            standing(&unknown, at),
+            Standing::InWindow {
+                shard: 3,
+                left: 2_600_000
+            }
+        );
         // Over a boot it is all there is: more careful, whatever it says.
-        assert_eq!(standing(&unknown, Moment { boot: 8, since_boot: 10_500_000, wall }), past(&["a"]));
+        assert_eq!(
+            standing(
+                &unknown,
+                Moment {
+                    boot: 8,
+                    since_boot: 10_500_000,
+                    wall
+                }
+            ),
+            past(&["a"])
+        );
     }
-    assert_eq!(standing(&unknown, moment(9_000_000, 7, 0)), past(&["a"]), "a clock that cannot be");
+    assert_eq!(
+        standing(&unknown, moment(9_000_000, 7, 0)),
+        past(&["a"]),
+        "a clock that cannot be"
+    );
     // The window runs from the first that may have run; two shards share no memory of repeats.
-    let twice = [first.clone(), ended(0, End::MayHaveRun), attempt(1, "b", 3, 12_000_000)];
-    assert_eq!(standing(&twice, now(3_000_000)), Standing::InWindow { shard: 3, left: 600_000 });
+    let twice = [
+        first.clone(),
+        ended(0, End::MayHaveRun),
+        attempt(1, "b", 3, 12_000_000),
+    ];
+    assert_eq!(
+        standing(&twice, now(3_000_000)),
+        Standing::InWindow {
+            shard: 3,
+            left: 600_000
+        }
+    );
     assert_eq!(standing(&twice, now(4_000_000)), past(&["a", "b"]));
     let split = [first, attempt(1, "b", 4, 10_000_000)];
     assert_eq!(standing(&split, now(1)), past(&["a", "b"]));
@@ -189,7 +278,11 @@
 fn no_bytes_are_read_as_another_record() {
     let frame = encode(9, &taken(3, 50)).unwrap();
     assert_eq!(decode(&frame, 9).unwrap(), (taken(3, 50), frame.len()));
-    assert_eq!(decode(&frame, 10), Err(Unreadable::Sequence), "left over from another life");
+    assert_eq!(
+        decode(&frame, 10),
+        Err(Unreadable::Sequence),
+        "left over from another life"
+    );
     for at in 0..frame.len() {
         let mut bad = frame.clone();
         bad[at] ^= 1;
@@ -223,6 +316,9 @@
     disk.append(last, b"torn").unwrap();
     drop(disk);
     let (_, found) = Log::open(Folder::open(&path).unwrap(), 500).unwrap();
-    assert_eq!((found.torn, found.records.last().map(|r| &r.1)), (4, Some(&taken(11, 100))));
+    assert_eq!(
+        (found.torn, found.records.last().map(|r| &r.1)),
+        (4, Some(&taken(11, 100)))
+    );
     std::fs::remove_dir_all(&path).unwrap();
 }
