--- /dev/null
+++ b/crates/fleet-net/tests/golden.rs
@@ -0,0 +1,76 @@
+//! Golden files of what the door tells of the fleet: one JSON object, and a line a figure.
+
+use golden_examples::{check_text, path};
+use lupinrack_fleet_net::{Line, Report};
+use lupinrack_membership::Counts;
+
+fn line(name: &str, state: &str, n: u16) -> Line {
+    Line {
+        name: name.into(),
+        state: state.into(),
+        since_ms: 1_000 + i64::from(n),
+        by: format!("by-{n}"),
+        life: 0x0102_0304_0506_0700 + u64::from(n),
+        incarnation: 40 + n,
+        in_view: n.is_multiple_of(2),
+    }
+}
+
+fn report() -> Report {
+    Report {
+        name: "n1".into(),
+        life: 0x1112_1314_1516_1718,
+        at_us: 21_222_324,
+        stance: "majority".into(),
+        lease_left_ms: Some(2_345),
+        until_us: 23_567_324,
+        reserve: 0.15,
+        part: 1.425,
+        taken_over: 3,
+        volumes: 17,
+        view: "12.3-000f.45".into(),
+        leads: true,
+        health: 2,
+        members: vec![
+            line("n0", "unknown", 0),
+            line("n1", "alive", 1),
+            line("n2", "suspect", 2),
+            line("n3", "dead", 3),
+            line("n4", "left", 4),
+            line("n5", "alive", 5),
+            line("n6", "alive", 6),
+        ],
+        counts: Counts {
+            sent: 101,
+            bytes: 102,
+            taken: 103,
+            void: 104,
+            stale: 105,
+            held_back: 106,
+            carried: 107,
+            views: 108,
+        },
+    }
+}
+
+/// A front that has no lease and knows of nobody.
+fn alone() -> Report {
+    Report { lease_left_ms: None, leads: false, members: Vec::new(), stance: "alone".into(), ..report() }
+}
+
+fn same(file: &str, report: &Report) {
+    let kept = check_text(file, &(serde_json::to_string_pretty(report).unwrap() + "\n"));
+    assert_eq!(serde_json::from_str::<Report>(&kept).unwrap(), *report, "{file}");
+}
+
+#[test]
+fn the_report_keeps_its_form() {
+    same(path!("report.json"), &report());
+    same(path!("report-alone.json"), &alone());
+}
+
+#[test]
+fn figures_keep_their_names() {
+    check_text(path!("figures.txt"), &report().figures());
+    check_text(path!("figures-alone.txt"), &alone().figures());
+}
