--- /dev/null
+++ b/crates/demo/tests/golden.rs
@@ -0,0 +1,17 @@
+//! A golden file of `lupinrack demo --json`.
+
+use golden_examples::{check_text, path};
+use lupinrack_demo::Figures;
+use stand_ins::load::Tally;
+
+#[test]
+fn the_report_keeps_its_form() {
+    let figures = Figures {
+        seed: 1,
+        tally: Tally { requests: 2, served: 3, refused: 4, failed: 5, lost: 6 },
+        duplicates: 7,
+        p50_ms: 8.5,
+        p99_ms: 9.25,
+    };
+    check_text(path!("report.json"), &(serde_json::to_string(&figures).unwrap() + "\n"));
+}
