--- /dev/null
+++ b/crates/membership-drill/tests/golden.rs
@@ -0,0 +1,52 @@
+//! Golden files of `lupinrack fleet drill --json`, and of the names of its cases.
+
+use golden_examples::{check_text, path, Examples};
+use lupinrack_membership_drill::cases::CASES;
+use lupinrack_membership_drill::Figures;
+
+#[test]
+fn the_report_keeps_its_form() {
+    let figures = Figures {
+        script: "chance".into(),
+        seed: 1,
+        processes: 2,
+        kills: 3,
+        pauses: 4,
+        partitions: 5,
+        requests: 6,
+        served: 7,
+        views: 8,
+        view_conflicts: 9,
+        limit_broken: 10,
+        parts_sum_max: 1.125,
+        cold_over: 12,
+        cold_most: 0.13,
+        repeats: 14,
+        lost: 15,
+        duplicates: 16,
+        false_deaths: 17,
+        detect_ms_p50: 18.5,
+        detect_ms_p99: 19.5,
+        agree_ms_p99: 20.5,
+        idle_limit_share: 0.21,
+        bytes_per_front_s: 22.5,
+        datagrams_per_front_s: 23.5,
+        cpu_us_per_request: 24.5,
+        broken: vec!["one".into(), "another".into()],
+    };
+    check_text(path!("report.json"), &(serde_json::to_string(&figures).unwrap() + "\n"));
+    let nothing_broken = Figures { broken: Vec::new(), ..figures };
+    check_text(path!("report-kept.json"), &(serde_json::to_string(&nothing_broken).unwrap() + "\n"));
+}
+
+/// `--faults` names them, and so do kept scripts.
+#[test]
+fn cases_keep_their_names() {
+    let mut names = Examples::default();
+    for (at, case) in CASES.iter().enumerate() {
+        names.add(format!("{at:02}"), case.name);
+        let script = (case.script)(1);
+        assert!(!script.name.is_empty() && script.check().is_ok(), "{}", case.name);
+    }
+    names.check(path!("cases.txt"));
+}
