--- a/crates/door/tests/door.rs
+++ b/crates/admin/tests/door.rs
@@ -1,7 +1,7 @@
 //! The door over sockets on loopback.
 
-use lupinrack_door::call::Call;
-use lupinrack_door::{run, Answer, CALLERS_MOST};
+use lupinrack_admin::call::Call;
+use lupinrack_admin::{run, Answer, CALLERS_MOST};
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/door/tests/golden.rs
+++ b/crates/admin/tests/golden.rs
@@ -1,8 +1,8 @@
 //! A golden file of the door's talk: each line that may be asked, and each form of answer.
 
 use golden_examples::{path, Examples};
-use lupinrack_door::call::{Call, Line, LINE_MOST};
-use lupinrack_door::{run, Answer};
+use lupinrack_admin::call::{Call, Line, LINE_MOST};
+use lupinrack_admin::{run, Answer};
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/cluster-local/src/calls.rs
+++ b/crates/cluster-local/src/calls.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use http::{header, Method, Request};
-use lupinrack_cluster_net::http_client;
+use lupinrack_cluster_transport::http_client;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
--- a/crates/cluster-local/src/cluster.rs
+++ b/crates/cluster-local/src/cluster.rs
@@ -5,10 +5,10 @@
 use crate::operator::SERVICE;
 use crate::ports::Ports;
 use crate::process::Process;
-use stand_ins::worker::beats::{self, BeatSettings};
-use stand_ins::worker::floor::Floor;
-use stand_ins::worker::machine::{Worker, WorkerSettings};
-use stand_ins::worker::messages::Capacity;
+use mock_servers::worker::beats::{self, BeatSettings};
+use mock_servers::worker::floor::Floor;
+use mock_servers::worker::machine::{Worker, WorkerSettings};
+use mock_servers::worker::messages::Capacity;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::task::JoinSet;
--- a/crates/cluster-local/src/jobs.rs
+++ b/crates/cluster-local/src/jobs.rs
@@ -6,7 +6,7 @@
 use lupinrack_cluster_api::identity::JobId;
 use lupinrack_cluster_api::job::{JobSpec, JobState, Resources, Step};
 use lupinrack_cluster_json::{job_body, parse_job_state};
-use stand_ins::worker::work::Work;
+use mock_servers::worker::work::Work;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
--- a/crates/cluster-local/src/order.rs
+++ b/crates/cluster-local/src/order.rs
@@ -2,8 +2,8 @@
 
 use crate::jobs::{Kind, PlayedJob};
 use lupinrack_cluster_api::identity::{JobId, TaskId};
-use stand_ins::worker::floor::Event;
-use stand_ins::worker::messages::End;
+use mock_servers::worker::floor::Event;
+use mock_servers::worker::messages::End;
 use std::collections::BTreeSet;
 
 /// Starts in the later step of a dependent job before all tasks of its first step were done.
--- a/crates/cluster-local/src/report.rs
+++ b/crates/cluster-local/src/report.rs
@@ -1,9 +1,9 @@
 //! What happened, for people and for programs.
 
 use crate::jobs::PlayedJob;
+use mock_servers::worker::floor::Floor;
+use mock_servers::worker::messages::End;
 use serde::Serialize;
-use stand_ins::worker::floor::Floor;
-use stand_ins::worker::messages::End;
 use std::collections::BTreeMap;
 use std::fmt;
 use tokio::time::Instant;
--- a/crates/cluster-local/tests/layout.rs
+++ b/crates/cluster-local/tests/layout.rs
@@ -2,7 +2,7 @@
 
 use lupinrack_cluster_local::layout::{Class, Member, AGENTS, CORES, FRONTS};
 use lupinrack_cluster_local::ports::Ports;
-use lupinrack_cluster_settings::{NodeSettings, Serves};
+use lupinrack_node_settings::{NodeSettings, Serves};
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
--- a/crates/cluster-local/tests/report.rs
+++ b/crates/cluster-local/tests/report.rs
@@ -5,8 +5,8 @@
 use lupinrack_cluster_local::jobs::{Kind, PlayedJob};
 use lupinrack_cluster_local::order::out_of_order;
 use lupinrack_cluster_local::report::LocalReport;
-use stand_ins::worker::floor::{Event, Floor, RunName};
-use stand_ins::worker::messages::End;
+use mock_servers::worker::floor::{Event, Floor, RunName};
+use mock_servers::worker::messages::End;
 
 const JOB: JobId = JobId(1);
 
--- a/crates/cluster-log/tests/golden.rs
+++ b/crates/cluster-log/tests/golden.rs
@@ -147,8 +147,8 @@
     ];
     let modules = [
         "lupinrack_chain::member",
-        "lupinrack_cluster_net",
-        "lupinrack_cluster_net::peers::dial",
+        "lupinrack_cluster_transport",
+        "lupinrack_cluster_transport::peers::dial",
     ];
     let entries = texts.map(|text| {
         let levels: Levels = text.parse().expect("good levels");
--- a/crates/cluster-log/tests/log.rs
+++ b/crates/cluster-log/tests/log.rs
@@ -41,8 +41,8 @@
     assert!(levels.allow("lupinrack_chain::member", Level::Debug));
     assert!(!levels.allow("lupinrack_chain::member", Level::Trace));
     assert!(!levels.allow("lupinrack_chains", Level::Info));
-    assert!(levels.allow("lupinrack_cluster_net", Level::Warn));
-    assert!(!levels.allow("lupinrack_cluster_net::peers::link", Level::Critical));
+    assert!(levels.allow("lupinrack_cluster_transport", Level::Warn));
+    assert!(!levels.allow("lupinrack_cluster_transport::peers::link", Level::Critical));
     assert_eq!(levels.widest(), LevelFilter::MoreSevereEqual(Level::Debug));
 }
 
@@ -55,7 +55,7 @@
         let levels = levels(text);
         assert!(levels.allow("lupinrack_chain::head", Level::Trace));
         assert!(!levels.allow("lupinrack_chain::member", Level::Info));
-        assert!(!levels.allow("lupinrack_core", Level::Warn));
+        assert!(!levels.allow("lupinrack_request_engine", Level::Warn));
     }
 }
 
--- a/crates/cluster-membership/src/lib.rs
+++ b/crates/cluster-membership/src/lib.rs
@@ -5,7 +5,7 @@
 //! [`live_table`] what others read of it, among it which process is the home of a zone. Nothing that is decided safely
 //! may depend on it: every answer here may be wrong for a while, at one process or at all.
 //!
-//! The crate `lupinrack-membership` has a SWIM detector too, for the fronts of one configured list. Both take their
+//! The crate `lupinrack-fleet-membership` has a SWIM detector too, for the fronts of one configured list. Both take their
 //! arithmetic (local health, length of suspicions, retransmissions) from `lupinrack-failure-detection`. The rest is not
 //! shared, for these reasons:
 //!
--- a/crates/cluster-node/src/client_call.rs
+++ b/crates/cluster-node/src/client_call.rs
@@ -6,7 +6,7 @@
 use lupinrack_cluster_api::request::{Request, Target};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_json::{parse_job, target_of, JobLimits};
-use lupinrack_cluster_net::http_server::HttpCall;
+use lupinrack_cluster_transport::http_server::HttpCall;
 
 /// Reads a client's call. That there is no queue is said here only by a configuration that was confirmed within
 /// `trusted_ms`; whatever else depends on the state of the cluster is for the head.
--- a/crates/cluster-node/src/configuration_order.rs
+++ b/crates/cluster-node/src/configuration_order.rs
@@ -2,7 +2,7 @@
 
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange};
-use lupinrack_cluster_net::http_server::HttpCall;
+use lupinrack_cluster_transport::http_server::HttpCall;
 use lupinrack_control_state::check_body;
 
 /// Reads the order in a `PUT` or `PATCH`. An order that is wrong whatever configuration is current is refused here, also by
--- a/crates/cluster-node/src/control_api.rs
+++ b/crates/cluster-node/src/control_api.rs
@@ -5,10 +5,12 @@
 use crate::NodeError;
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::request::{ProcessQuery, Reply, Request};
-use lupinrack_cluster_net::http_server::{self, HttpAnswer, HttpCall, HttpLimits, ServerHandle};
-use lupinrack_cluster_net::listen;
-use lupinrack_cluster_net::snapshot::Snapshot;
-use lupinrack_cluster_settings::NodeSettings;
+use lupinrack_cluster_transport::http_server::{
+    self, HttpAnswer, HttpCall, HttpLimits, ServerHandle,
+};
+use lupinrack_cluster_transport::listen;
+use lupinrack_cluster_transport::snapshot::Snapshot;
+use lupinrack_node_settings::NodeSettings;
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
--- a/crates/cluster-node/src/core/machine/settings.rs
+++ b/crates/cluster-node/src/core/machine/settings.rs
@@ -4,7 +4,7 @@
 use lupinrack_chain::limits::ByteLimits;
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::view::Voter;
-use lupinrack_cluster_settings::NodeSettings;
+use lupinrack_node_settings::NodeSettings;
 use lupinrack_scheduler::SchedulerSettings;
 
 /// Ended jobs are remembered for so much longer than their state may be asked for, since clocks of different machines
--- a/crates/cluster-node/src/core/process.rs
+++ b/crates/cluster-node/src/core/process.rs
@@ -10,9 +10,9 @@
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::wire::{Hello, Role, FRAME_BYTES_MOST};
 use lupinrack_cluster_membership::{LiveMember, SwimSettings};
-use lupinrack_cluster_net::peers::{PeerEvent, PeerSettings, Peers};
-use lupinrack_cluster_settings::{MachineLimits, NodeSettings};
+use lupinrack_cluster_transport::peers::{PeerEvent, PeerSettings, Peers};
 use lupinrack_control_store::{ControlStore, StoreSettings, WriteOutcome, Writer, WriterHandle};
+use lupinrack_node_settings::{MachineLimits, NodeSettings};
 use std::time::Duration;
 use tokio::sync::mpsc;
 
--- a/crates/cluster-node/src/front.rs
+++ b/crates/cluster-node/src/front.rs
@@ -20,11 +20,13 @@
 use lupinrack_cluster_api::wire::{Frame, Hello, Role};
 use lupinrack_cluster_json::{job_state_body, pending_body};
 use lupinrack_cluster_membership::{LiveMember, SwimSettings};
-use lupinrack_cluster_net::http_server::{self, DrainTimes, HttpAnswer, HttpCall, HttpLimits};
-use lupinrack_cluster_net::listen;
-use lupinrack_cluster_net::peers::{PeerEvent, PeerSettings, Peers};
-use lupinrack_cluster_net::snapshot::Snapshot;
-use lupinrack_cluster_settings::NodeSettings;
+use lupinrack_cluster_transport::http_server::{
+    self, DrainTimes, HttpAnswer, HttpCall, HttpLimits,
+};
+use lupinrack_cluster_transport::listen;
+use lupinrack_cluster_transport::peers::{PeerEvent, PeerSettings, Peers};
+use lupinrack_cluster_transport::snapshot::Snapshot;
+use lupinrack_node_settings::NodeSettings;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc;
--- a/crates/cluster-node/src/lib.rs
+++ b/crates/cluster-node/src/lib.rs
@@ -28,7 +28,7 @@
 mod violations;
 
 use clock::Clock;
-use lupinrack_cluster_settings::{NodeSettings, Serves};
+use lupinrack_node_settings::{NodeSettings, Serves};
 use std::process::ExitCode;
 
 /// Why a process ends.
--- a/crates/cluster-node/src/scheduling.rs
+++ b/crates/cluster-node/src/scheduling.rs
@@ -1,6 +1,6 @@
 //! The scheduler's settings, from those of the process.
 
-use lupinrack_cluster_settings::NodeSettings;
+use lupinrack_node_settings::NodeSettings;
 use lupinrack_scheduler::SchedulerSettings;
 
 /// As the bounds of the deployment say.
--- a/crates/cluster-node/src/side.rs
+++ b/crates/cluster-node/src/side.rs
@@ -13,11 +13,13 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::wire::{Hello, Role};
 use lupinrack_cluster_membership::{LiveMember, SwimSettings};
-use lupinrack_cluster_net::http_server::{self, HttpAnswer, HttpCall, HttpLimits, ServerHandle};
-use lupinrack_cluster_net::listen;
-use lupinrack_cluster_net::peers::{PeerEvent, PeerSettings, Peers};
-use lupinrack_cluster_net::snapshot::Snapshot;
-use lupinrack_cluster_settings::NodeSettings;
+use lupinrack_cluster_transport::http_server::{
+    self, HttpAnswer, HttpCall, HttpLimits, ServerHandle,
+};
+use lupinrack_cluster_transport::listen;
+use lupinrack_cluster_transport::peers::{PeerEvent, PeerSettings, Peers};
+use lupinrack_cluster_transport::snapshot::Snapshot;
+use lupinrack_node_settings::NodeSettings;
 use lupinrack_worker_agent::heartbeat_json::{parse, render};
 use lupinrack_worker_agent::{AgentSettings, ServerHeartbeat};
 use std::sync::Arc;
--- a/crates/cluster-node/src/violations.rs
+++ b/crates/cluster-node/src/violations.rs
@@ -1,6 +1,6 @@
 //! Tells the log of internal connections that were closed because what came on them broke the protocol.
 
-use lupinrack_cluster_net::peers::Peers;
+use lupinrack_cluster_transport::peers::Peers;
 
 /// How many such connections the log was told of.
 #[derive(Debug, Default)]
--- a/crates/cluster-node/tests/core_settings.rs
+++ b/crates/cluster-node/tests/core_settings.rs
@@ -2,7 +2,7 @@
 
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_node::core::{ByteLimits, CoreSettings};
-use lupinrack_cluster_settings::NodeSettings;
+use lupinrack_node_settings::NodeSettings;
 
 /// Settings of a core process on a machine with so much memory and disk.
 fn node(memory_mb: u64, disk_mb: u64) -> NodeSettings {
--- a/crates/cluster-node/tests/support/process.rs
+++ b/crates/cluster-node/tests/support/process.rs
@@ -1,6 +1,6 @@
 //! Whole processes on loopback, in threads of the test.
 
-use lupinrack_cluster_settings::NodeSettings;
+use lupinrack_node_settings::NodeSettings;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
 use std::thread;
 use std::time::{Duration, Instant};
--- a/crates/cluster-node/tests/support/scripted_core.rs
+++ b/crates/cluster-node/tests/support/scripted_core.rs
@@ -10,7 +10,7 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::{View, Voter};
 use lupinrack_cluster_api::wire::{Frame, Hello, Interest, Role};
-use lupinrack_cluster_net::peers::{PeerEvent, PeerSettings, Peers};
+use lupinrack_cluster_transport::peers::{PeerEvent, PeerSettings, Peers};
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
 use std::thread;
--- a/crates/cluster-net/tests/golden/requests.rs
+++ b/crates/cluster-transport/tests/golden/requests.rs
@@ -4,12 +4,12 @@
 use super::sockets::{accepted, listener, read_message, version_4, within, ANY};
 use bytes::Bytes;
 use http::{header, Method, Request};
-use lupinrack_cluster_net::http_client::call;
-use lupinrack_cluster_net::http_server::{
+use lupinrack_cluster_transport::http_client::call;
+use lupinrack_cluster_transport::http_server::{
     serve, HttpAnswer, HttpCall, HttpLimits, DEADLINE_REMAINING,
 };
-use lupinrack_cluster_net::listen::bind_once;
-use lupinrack_cluster_net::snapshot::Snapshot;
+use lupinrack_cluster_transport::listen::bind_once;
+use lupinrack_cluster_transport::snapshot::Snapshot;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/cluster-net/tests/http/client.rs
+++ b/crates/cluster-transport/tests/http/client.rs
@@ -3,9 +3,9 @@
 use crate::support::{server, within, ANY};
 use bytes::Bytes;
 use http::{header, Method, Request};
-use lupinrack_cluster_net::http_client::{call, CallError};
-use lupinrack_cluster_net::http_server::{HttpAnswer, HttpLimits, DEADLINE_REMAINING};
-use lupinrack_cluster_net::listen::bind_once;
+use lupinrack_cluster_transport::http_client::{call, CallError};
+use lupinrack_cluster_transport::http_server::{HttpAnswer, HttpLimits, DEADLINE_REMAINING};
+use lupinrack_cluster_transport::listen::bind_once;
 use std::future::pending;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
--- a/crates/cluster-net/tests/http/drain.rs
+++ b/crates/cluster-transport/tests/http/drain.rs
@@ -2,8 +2,8 @@
 
 use crate::support::{echo, request, server, within, Client, ANY};
 use http::Method;
-use lupinrack_cluster_net::http_server::{DrainOutcome, DrainTimes, HttpAnswer, HttpLimits};
-use lupinrack_cluster_net::listen::{bind, bind_once};
+use lupinrack_cluster_transport::http_server::{DrainOutcome, DrainTimes, HttpAnswer, HttpLimits};
+use lupinrack_cluster_transport::listen::{bind, bind_once};
 use std::future::pending;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
--- a/crates/cluster-net/tests/http/limits.rs
+++ b/crates/cluster-transport/tests/http/limits.rs
@@ -3,9 +3,9 @@
 use crate::support::{echo, request, server, within, Client, ANY};
 use http::Method;
 use lupinrack_cluster_api::configuration::Limits;
-use lupinrack_cluster_net::http_server::{serve, HttpAnswer, HttpLimits};
-use lupinrack_cluster_net::listen::bind_once;
-use lupinrack_cluster_net::snapshot::Snapshot;
+use lupinrack_cluster_transport::http_server::{serve, HttpAnswer, HttpLimits};
+use lupinrack_cluster_transport::listen::bind_once;
+use lupinrack_cluster_transport::snapshot::Snapshot;
 use std::sync::Arc;
 use tokio::sync::{mpsc, Notify};
 
--- a/crates/cluster-net/tests/http/properties.rs
+++ b/crates/cluster-transport/tests/http/properties.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{echo, request, Client};
 use http::Method;
-use lupinrack_cluster_net::http_server::HttpLimits;
+use lupinrack_cluster_transport::http_server::HttpLimits;
 use quickcheck::QuickCheck;
 use std::future::Future;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/cluster-net/tests/http/server.rs
+++ b/crates/cluster-transport/tests/http/server.rs
@@ -3,7 +3,7 @@
 use crate::support::{echo, request, server, within, Client};
 use http::Method;
 use lupinrack_cluster_api::error::ErrorKind;
-use lupinrack_cluster_net::http_server::{HttpAnswer, HttpCall, HttpLimits};
+use lupinrack_cluster_transport::http_server::{HttpAnswer, HttpCall, HttpLimits};
 use std::sync::{Arc, Mutex};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::{mpsc, Notify};
--- a/crates/cluster-net/tests/http/support.rs
+++ b/crates/cluster-transport/tests/http/support.rs
@@ -1,9 +1,11 @@
 //! What the tests of the HTTP server share.
 
 use http::Method;
-use lupinrack_cluster_net::http_server::{serve, HttpAnswer, HttpCall, HttpLimits, ServerHandle};
-use lupinrack_cluster_net::listen::bind_once;
-use lupinrack_cluster_net::snapshot::Snapshot;
+use lupinrack_cluster_transport::http_server::{
+    serve, HttpAnswer, HttpCall, HttpLimits, ServerHandle,
+};
+use lupinrack_cluster_transport::listen::bind_once;
+use lupinrack_cluster_transport::snapshot::Snapshot;
 use std::collections::HashMap;
 use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddrV4};
--- a/crates/cluster-net/tests/http/timeouts.rs
+++ b/crates/cluster-transport/tests/http/timeouts.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{echo, server, Client};
 use http::Method;
-use lupinrack_cluster_net::http_server::{HttpAnswer, HttpLimits};
+use lupinrack_cluster_transport::http_server::{HttpAnswer, HttpLimits};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::Instant;
--- a/crates/cluster-net/tests/peers/answers.rs
+++ b/crates/cluster-transport/tests/peers/answers.rs
@@ -6,7 +6,7 @@
 };
 use lupinrack_cluster_api::request::Reply;
 use lupinrack_cluster_api::wire::Frame;
-use lupinrack_cluster_net::peers::{PeerEvent, PeerSettings};
+use lupinrack_cluster_transport::peers::{PeerEvent, PeerSettings};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
--- a/crates/cluster-net/tests/peers/connections.rs
+++ b/crates/cluster-transport/tests/peers/connections.rs
@@ -3,7 +3,7 @@
 use crate::support::{encoded, plain_peer, process, process_at, read_frame, request, within, ANY};
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::wire::Frame;
-use lupinrack_cluster_net::peers::{PeerEvent, PeerSettings, SendOutcome};
+use lupinrack_cluster_transport::peers::{PeerEvent, PeerSettings, SendOutcome};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
--- a/crates/cluster-net/tests/peers/properties.rs
+++ b/crates/cluster-transport/tests/peers/properties.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{encoded, large, plain_peer, process, request, Process};
 use lupinrack_cluster_api::wire::Frame;
-use lupinrack_cluster_net::peers::PeerEvent;
+use lupinrack_cluster_transport::peers::PeerEvent;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::future::Future;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/cluster-net/tests/peers/support.rs
+++ b/crates/cluster-transport/tests/peers/support.rs
@@ -3,7 +3,7 @@
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::request::{CallId, Reply, Request};
 use lupinrack_cluster_api::wire::{Frame, Hello, Role};
-use lupinrack_cluster_net::peers::{PeerEvent, PeerSettings, Peers};
+use lupinrack_cluster_transport::peers::{PeerEvent, PeerSettings, Peers};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -4,12 +4,12 @@
 
 use clap::Args;
 use hdrhistogram::Histogram;
-use lupinrack_fleet_rig::stage::Stage;
-use lupinrack_fleet_rig::RigError;
+use lupinrack_fault_injection::stage::Stage;
+use lupinrack_fault_injection::RigError;
+use mock_servers::load::{mix, Ask, Clients, Tally};
+use mock_servers::node::Manner;
+use mock_servers::settings::configuration;
 use serde::Serialize;
-use stand_ins::load::{mix, Ask, Clients, Tally};
-use stand_ins::node::Manner;
-use stand_ins::settings::configuration;
 use std::path::PathBuf;
 use std::time::Duration;
 use tokio::task::JoinSet;
--- a/crates/demo/tests/golden.rs
+++ b/crates/demo/tests/golden.rs
@@ -2,7 +2,7 @@
 
 use golden_examples::{check_text, path};
 use lupinrack_demo::Figures;
-use stand_ins::load::Tally;
+use mock_servers::load::Tally;
 
 #[test]
 fn the_report_keeps_its_form() {
--- a/crates/extents-drill/src/lib.rs
+++ b/crates/extent-map-drill/src/lib.rs
@@ -3,16 +3,16 @@
 #![warn(missing_docs)]
 
 use clap::{Args, ValueEnum};
-use lupinrack_fleet_rig::process::Process;
-use lupinrack_fleet_rig::relay::Relay;
-use lupinrack_fleet_rig::stage::Stage;
-use lupinrack_fleet_rig::RigError;
+use lupinrack_fault_injection::process::Process;
+use lupinrack_fault_injection::relay::Relay;
+use lupinrack_fault_injection::stage::Stage;
+use lupinrack_fault_injection::RigError;
+use mock_servers::authority::{Authority, Entrance, Lot, Traffic, Truth};
+use mock_servers::load::{mix, Ask, Came, Clients, Tally};
+use mock_servers::node::{lock, Fate, Manner, Whereabouts};
+use mock_servers::settings::configuration;
 use serde::Serialize;
 use serde_json::json;
-use stand_ins::authority::{Authority, Entrance, Lot, Traffic, Truth};
-use stand_ins::load::{mix, Ask, Came, Clients, Tally};
-use stand_ins::node::{lock, Fate, Manner, Whereabouts};
-use stand_ins::settings::configuration;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/extents-drill/tests/golden.rs
+++ b/crates/extent-map-drill/tests/golden.rs
@@ -1,8 +1,8 @@
 //! A golden file of one run's figures in `lupinrack extents drill --json`.
 
 use golden_examples::{check_text, path};
-use lupinrack_extents_drill::Figures;
-use stand_ins::load::Tally;
+use lupinrack_extent_map_drill::Figures;
+use mock_servers::load::Tally;
 
 #[test]
 fn the_figures_of_a_run_keep_their_form() {
--- a/crates/extents-net/src/lib.rs
+++ b/crates/extent-map-driver/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! `GET /extents?from=I.E&hold_ms=H` is a poll (without `from`: the first), `GET /extents/volume/V` a fetch of a
 //! volume, with `?key=K` of the extent of one key; numbers in hexadecimal. Answers are JSON, as
-//! `lupinrack_extents::words` has them.
+//! `lupinrack_extent_map::words` has them.
 #![warn(missing_docs)]
 
 mod file;
@@ -13,9 +13,9 @@
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper_util::client::legacy::{connect::HttpConnector, Client};
 use hyper_util::rt::{TokioExecutor, TokioTimer};
-use lupinrack_core::Handle;
-use lupinrack_extents::config::Section;
-use lupinrack_extents::{datagram, Action, Counters, Input};
+use lupinrack_extent_map::config::Section;
+use lupinrack_extent_map::{datagram, Action, Counters, Input};
+use lupinrack_request_engine::Handle;
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -197,7 +197,7 @@
         match counters.has_changed() {
             Ok(true) => {
                 let c = *counters.borrow_and_update();
-                tracing::info!(target: "lupinrack_extents", counters = %serde_json::to_string(&c).unwrap_or_default());
+                tracing::info!(target: "lupinrack_extent_map", counters = %serde_json::to_string(&c).unwrap_or_default());
             }
             Ok(false) => {}
             Err(_) => return,
--- a/crates/extents-net/tests/golden.rs
+++ b/crates/extent-map-driver/tests/golden.rs
@@ -1,11 +1,11 @@
 //! A golden file of the calls to the extent authority: the request lines.
 
 use golden_examples::{path, Examples};
-use lupinrack_core::{Clock, Core};
-use lupinrack_extents::config::Section;
-use lupinrack_extents::{Action, Counters, Version};
-use lupinrack_extents_net::Driver;
+use lupinrack_extent_map::config::Section;
+use lupinrack_extent_map::{Action, Counters, Version};
+use lupinrack_extent_map_driver::Driver;
 use lupinrack_policy::{Key, Settings, VolumeId};
+use lupinrack_request_engine::{Clock, Core};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
--- a/crates/extents/benches/ranges.rs
+++ b/crates/extent-map/benches/ranges.rs
@@ -1,10 +1,10 @@
 //! The table of extents against plainer ones, in one run: chunks, one flat table, and a `BTreeMap`, one volume each.
 //!
-//! `cargo bench -p lupinrack-extents`; arguments are numbers of extents. Times are medians of five rounds.
+//! `cargo bench -p lupinrack-extent-map`; arguments are numbers of extents. Times are medians of five rounds.
 
-use lupinrack_extents::map::CHUNK;
-use lupinrack_extents::plain::Plain;
-use lupinrack_extents::ranges::{Piece, Ranges};
+use lupinrack_extent_map::map::CHUNK;
+use lupinrack_extent_map::plain::Plain;
+use lupinrack_extent_map::ranges::{Piece, Ranges};
 use stats_alloc::{StatsAlloc, INSTRUMENTED_SYSTEM};
 use std::alloc::System;
 use std::hint::black_box;
--- a/crates/extents/src/lib.rs
+++ b/crates/extent-map/src/lib.rs
@@ -1,7 +1,7 @@
 //! Where data lies: a cached, versioned map of extents, as a state machine without I/O, clock or threads.
 //!
 //! An extent is a range of keys of one volume on one shard, since an epoch. [`Cache`] holds what a front knows of them;
-//! a driver (`lupinrack-extents-net`, or a simulation) carries out its [`Action`]s and brings the [`Input`]s.
+//! a driver (`lupinrack-extent-map-driver`, or a simulation) carries out its [`Action`]s and brings the [`Input`]s.
 //! `docs/design/extents.md` has the reasons.
 #![warn(missing_docs)]
 
--- a/crates/extents/tests/cache.rs
+++ b/crates/extent-map/tests/cache.rs
@@ -1,7 +1,7 @@
 //! The cache against a naive authority under random changes, losses, reorders and lies; and each hard case by itself.
 
-use lupinrack_extents::config::{Section, Strategy};
-use lupinrack_extents::*;
+use lupinrack_extent_map::config::{Section, Strategy};
+use lupinrack_extent_map::*;
 use lupinrack_policy::{Key, Micros, Shard, VolumeId};
 use std::collections::BTreeMap;
 
--- a/crates/extents/tests/golden.rs
+++ b/crates/extent-map/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Golden files of the map of extents: datagrams between fronts, the authority's JSON, the map's file, and the counters.
 
 use golden_examples::{check_text, path, Examples};
-use lupinrack_extents::map::Map;
-use lupinrack_extents::{datagram, snapshot, Change, Counters, Cover, News, Piece, Version};
+use lupinrack_extent_map::map::Map;
+use lupinrack_extent_map::{datagram, snapshot, Change, Counters, Cover, News, Piece, Version};
 use lupinrack_policy::VolumeId;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
--- a/crates/extents/tests/ranges.rs
+++ b/crates/extent-map/tests/ranges.rs
@@ -1,7 +1,7 @@
 //! The table of ranges against a naive model: one word for each key of a small key space.
 
-use lupinrack_extents::plain::Plain;
-use lupinrack_extents::ranges::Ranges;
+use lupinrack_extent_map::plain::Plain;
+use lupinrack_extent_map::ranges::Ranges;
 use quickcheck::{quickcheck, Arbitrary, Gen};
 
 /// Keys of the model; the table's are these, spread over all 64 bits.
--- a/crates/fleet-rig/src/checks.rs
+++ b/crates/fault-injection/src/checks.rs
@@ -4,7 +4,7 @@
 use crate::history::{Entry, Moment, Note};
 use crate::script::{Act, Script};
 use crate::witness::{Asked, Seen, CAPACITY, FALLS, LIMIT};
-use stand_ins::load::Came;
+use mock_servers::load::Came;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// What a checker holds of sums beside rounding.
--- a/crates/fleet-rig/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -127,7 +127,7 @@
             .as_deref()
             .map(|w| format!("{w},"))
             .unwrap_or_default();
-        let filter = format!("{own}info,lupinrack_fleet_net=debug");
+        let filter = format!("{own}info,lupinrack_fleet_driver=debug");
         let mut command = match start.socket {
             Some(socket) => {
                 let mut shell = Command::new("/bin/sh");
--- a/crates/fleet-rig/src/stage.rs
+++ b/crates/fault-injection/src/stage.rs
@@ -4,10 +4,10 @@
 use crate::history::History;
 use crate::process::{Guard, Process, Start};
 use crate::RigError;
+use mock_servers::discovery::{Discovery, Entry};
+use mock_servers::node::{lock, Fate, Group, Manner, Node};
 use nix::sys::signal::Signal;
 use serde_json::{json, Value};
-use stand_ins::discovery::{Discovery, Entry};
-use stand_ins::node::{lock, Fate, Group, Manner, Node};
 use std::collections::HashMap;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
--- a/crates/fleet-rig/src/witness.rs
+++ b/crates/fault-injection/src/witness.rs
@@ -2,7 +2,7 @@
 
 use crate::history::{Entry, Moment};
 use crate::script::Act;
-use stand_ins::load::Came;
+use mock_servers::load::Came;
 use std::ops::Range;
 
 /// The limit of the stand-in settings' plan `basic`: units a second, burst and slack.
--- a/crates/fleet-rig/tests/golden.rs
+++ b/crates/fault-injection/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Golden files of scripts: a drill prints one where a promise is broken, and plays it again from a file.
 
 use golden_examples::{check_text, path};
-use lupinrack_fleet_rig::relay::Fault;
-use lupinrack_fleet_rig::{Act, Script};
+use lupinrack_fault_injection::relay::Fault;
+use lupinrack_fault_injection::{Act, Script};
 
 fn fault() -> Fault {
     Fault {
--- a/crates/fleet-net/src/lib.rs
+++ b/crates/fleet-driver/src/lib.rs
@@ -8,13 +8,13 @@
 pub use machines::{Heard, Machine, Words};
 pub use report::{Line, Report};
 
-use lupinrack_carrier::{Tag, LONGEST};
-use lupinrack_core::Handle;
 use lupinrack_fleet::{Hub, Out};
-use lupinrack_lifecycle::Phase;
-use lupinrack_membership::config::Section;
-use lupinrack_membership::{Event, Source};
+use lupinrack_fleet_membership::config::Section;
+use lupinrack_fleet_membership::{Event, Source};
+use lupinrack_graceful_shutdown::Phase;
+use lupinrack_peer_transport::{Tag, LONGEST};
 use lupinrack_policy::Rights;
+use lupinrack_request_engine::Handle;
 use machines::Machines;
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/fleet-net/src/machines.rs
+++ b/crates/fleet-driver/src/machines.rs
@@ -1,8 +1,8 @@
 //! The ways of the machines that are attached: bounded inboxes, and one bounded queue of what they say.
 
-use lupinrack_carrier::stream::Refused;
-use lupinrack_carrier::Tag;
 use lupinrack_fleet::{Hub, Out, Said, Standing};
+use lupinrack_peer_transport::stream::Refused;
+use lupinrack_peer_transport::Tag;
 use lupinrack_policy::Micros;
 use std::collections::VecDeque;
 use tokio::sync::{mpsc, watch};
@@ -225,7 +225,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use lupinrack_membership::config::{Peer, Section};
+    use lupinrack_fleet_membership::config::{Peer, Section};
 
     fn hub(life: u64) -> Hub {
         let address = |i: u16| std::net::SocketAddr::from(([127, 0, 0, 1], 1 + i));
--- a/crates/fleet-net/src/report.rs
+++ b/crates/fleet-driver/src/report.rs
@@ -1,7 +1,7 @@
 //! What a front knows of its fleet, as the door tells it.
 
-use lupinrack_membership::config::Section;
-use lupinrack_membership::{Counts, Told};
+use lupinrack_fleet_membership::config::Section;
+use lupinrack_fleet_membership::{Counts, Told};
 use lupinrack_policy::{Micros, Rights};
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
--- a/crates/membership-drill/src/cases.rs
+++ b/crates/fleet-membership-drill/src/cases.rs
@@ -1,7 +1,7 @@
 //! The hard cases, each a script by name.
 
-use lupinrack_fleet_rig::relay::Fault;
-use lupinrack_fleet_rig::script::{key, Act, Script};
+use lupinrack_fault_injection::relay::Fault;
+use lupinrack_fault_injection::script::{key, Act, Script};
 
 /// A case: its name, what it shows, and its script for a seed.
 pub struct Case {
--- a/crates/membership-drill/src/check.rs
+++ b/crates/fleet-membership-drill/src/check.rs
@@ -1,15 +1,15 @@
 //! The checkers: what was promised against what was seen, written apart from the program's code. They know the processes'
 //! lines, the nodes' notes and the rig's own deeds, and nothing of the machines.
 
-use lupinrack_fleet_rig::checks::{
+use lupinrack_fault_injection::checks::{
     cold, duplicates, limits, lost, quantile, said, Verdict, Wellness,
 };
-use lupinrack_fleet_rig::history::{Entry, Moment};
-use lupinrack_fleet_rig::witness::{Seen, Witness, LIMIT};
-use lupinrack_fleet_rig::{Act, Script};
+use lupinrack_fault_injection::history::{Entry, Moment};
+use lupinrack_fault_injection::witness::{Seen, Witness, LIMIT};
+use lupinrack_fault_injection::{Act, Script};
+use mock_servers::load::Came;
 use serde::Serialize;
 use serde_json::Value;
-use stand_ins::load::Came;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::ops::Range;
 
--- a/crates/membership-drill/src/lib.rs
+++ b/crates/fleet-membership-drill/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod check;
 
 pub use check::Figures;
-use lupinrack_fleet_rig::{rig, History, Plan, RigError};
+use lupinrack_fault_injection::{rig, History, Plan, RigError};
 use std::sync::Arc;
 
 /// What came of a script.
--- a/crates/membership-drill/tests/check.rs
+++ b/crates/fleet-membership-drill/tests/check.rs
@@ -1,12 +1,12 @@
 //! Each checker finds the fault that is planted for it, and nothing where there is none.
 
-use lupinrack_fleet_rig::checks::{cold, duplicates, limits, lost, Wellness};
-use lupinrack_fleet_rig::history::{Entry, Note};
-use lupinrack_fleet_rig::witness::{Asked, Seen};
-use lupinrack_fleet_rig::{Act, Script};
-use lupinrack_membership_drill::check::{deaths, parts, views};
+use lupinrack_fault_injection::checks::{cold, duplicates, limits, lost, Wellness};
+use lupinrack_fault_injection::history::{Entry, Note};
+use lupinrack_fault_injection::witness::{Asked, Seen};
+use lupinrack_fault_injection::{Act, Script};
+use lupinrack_fleet_membership_drill::check::{deaths, parts, views};
+use mock_servers::load::Came;
 use serde_json::{json, Value};
-use stand_ins::load::Came;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 const S: u64 = 1_000_000;
--- a/crates/membership-drill/tests/golden.rs
+++ b/crates/fleet-membership-drill/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Golden files of `lupinrack fleet drill --json`, and of the names of its cases.
 
 use golden_examples::{check_text, path, Examples};
-use lupinrack_membership_drill::cases::CASES;
-use lupinrack_membership_drill::Figures;
+use lupinrack_fleet_membership_drill::cases::CASES;
+use lupinrack_fleet_membership_drill::Figures;
 
 #[test]
 fn the_report_keeps_its_form() {
--- a/crates/membership/fuzz/fuzz_targets/datagram.rs
+++ b/crates/fleet-membership/fuzz/fuzz_targets/datagram.rs
@@ -2,9 +2,9 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use lupinrack_membership::config::{Peer, Section};
-use lupinrack_membership::wire::{Datagram, Keys, LONGEST};
-use lupinrack_membership::{Front, Source};
+use lupinrack_fleet_membership::config::{Peer, Section};
+use lupinrack_fleet_membership::wire::{Datagram, Keys, LONGEST};
+use lupinrack_fleet_membership::{Front, Source};
 
 fuzz_target!(|data: &[u8]| {
     // The sum is made right, so that the fuzzer gets past it.
--- a/crates/membership/src/part.rs
+++ b/crates/fleet-membership/src/part.rs
@@ -9,7 +9,7 @@
 //! 3. What was due before a share changed was due by the old one; nothing that was not due is ever made up for.
 //!
 //! ```
-//! use lupinrack_membership::part::{factor, Purse, Share, Whole};
+//! use lupinrack_fleet_membership::part::{factor, Purse, Share, Whole};
 //!
 //! // One of five fronts; two of the others are gone for certain, and nobody ever takes a reserve of 0.15.
 //! let share = Share { until: 2_000_000, held: factor(5.0, 2.0, 0.15), reserve: 0.15 };
--- a/crates/membership/src/wire.rs
+++ b/crates/fleet-membership/src/wire.rs
@@ -5,8 +5,8 @@
 use crate::agree::{Ballot, Number, Promises, Round, View, Word};
 use crate::bits::Bits;
 use crate::swim::{News, State};
-use lupinrack_carrier::frame::{open, room, seal, Head, Reader, Tag, Writer};
-pub use lupinrack_carrier::frame::{Key, Keys, Void, Window, LONGEST};
+use lupinrack_peer_transport::frame::{open, room, seal, Head, Reader, Tag, Writer};
+pub use lupinrack_peer_transport::frame::{Key, Keys, Void, Window, LONGEST};
 use lupinrack_policy::Micros;
 
 /// The most volumes of one datagram.
--- a/crates/membership/tests/golden.rs
+++ b/crates/fleet-membership/tests/golden.rs
@@ -1,13 +1,13 @@
 //! Golden files of the membership: every kind of datagram, the hash of the roster that goes with each, and the words for operators.
 
 use golden_examples::{path, Examples};
-use lupinrack_membership::agree::{Ballot, Number, Promises, Round, View, Word};
-use lupinrack_membership::bits::Bits;
-use lupinrack_membership::config::{Peer, Section};
-use lupinrack_membership::stance::Stance;
-use lupinrack_membership::swim::{News, State};
-use lupinrack_membership::wire::{Body, Datagram, Keys, Told, Void};
-use lupinrack_membership::Counts;
+use lupinrack_fleet_membership::agree::{Ballot, Number, Promises, Round, View, Word};
+use lupinrack_fleet_membership::bits::Bits;
+use lupinrack_fleet_membership::config::{Peer, Section};
+use lupinrack_fleet_membership::stance::Stance;
+use lupinrack_fleet_membership::swim::{News, State};
+use lupinrack_fleet_membership::wire::{Body, Datagram, Keys, Told, Void};
+use lupinrack_fleet_membership::Counts;
 
 /// A small roster, and one whose sets of fronts are longer than the lists that a datagram has room for.
 const SMALL: usize = 11;
--- a/crates/membership/tests/model.rs
+++ b/crates/fleet-membership/tests/model.rs
@@ -1,9 +1,9 @@
 //! Views and parts together in a model checker: three fronts, the real machines, words lost, kept and delivered late or twice,
 //! a front that is not run for a while (that is: not scheduled), a death and a return at any step.
 
-use lupinrack_membership::agree::{Agree, Number, Step, Times, Word};
-use lupinrack_membership::bits::Bits;
-use lupinrack_membership::lease::{Lease, Right};
+use lupinrack_fleet_membership::agree::{Agree, Number, Step, Times, Word};
+use lupinrack_fleet_membership::bits::Bits;
+use lupinrack_fleet_membership::lease::{Lease, Right};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeMap;
 
--- a/crates/membership/tests/serving.rs
+++ b/crates/fleet-membership/tests/serving.rs
@@ -1,8 +1,8 @@
 //! Who serves what, against a naive model that knows who really does: whatever is lost, late or forgotten, what the living
 //! use of a volume never adds up past the whole.
 
-use lupinrack_membership::bits::Bits;
-use lupinrack_membership::serving::Serving;
+use lupinrack_fleet_membership::bits::Bits;
+use lupinrack_fleet_membership::serving::Serving;
 
 const N: u16 = 6;
 const RESERVE: f64 = 0.15;
--- a/crates/membership/tests/swim.rs
+++ b/crates/fleet-membership/tests/swim.rs
@@ -1,7 +1,7 @@
 //! News of one front, against a naive model: whatever the order in which it comes, the same is held in the end, the highest of it by
 //! life, incarnation and gravity; and nobody is held for dead who answers.
 
-use lupinrack_membership::swim::{News, Out, Pace, State, Swim};
+use lupinrack_fleet_membership::swim::{News, Out, Pace, State, Swim};
 
 const N: usize = 5;
 const PACE: Pace = Pace {
--- a/crates/membership/tests/wire.rs
+++ b/crates/fleet-membership/tests/wire.rs
@@ -1,9 +1,11 @@
 //! The datagram's reader: what was written is read back, what was altered is not taken, and nothing makes it panic.
 
-use lupinrack_membership::agree::{Ballot, Number, Promises, Round, View, Word};
-use lupinrack_membership::bits::Bits;
-use lupinrack_membership::swim::{News, State};
-use lupinrack_membership::wire::{Body, Datagram, Keys, Told, Void, Window, LONGEST, VOLUMES_MOST};
+use lupinrack_fleet_membership::agree::{Ballot, Number, Promises, Round, View, Word};
+use lupinrack_fleet_membership::bits::Bits;
+use lupinrack_fleet_membership::swim::{News, State};
+use lupinrack_fleet_membership::wire::{
+    Body, Datagram, Keys, Told, Void, Window, LONGEST, VOLUMES_MOST,
+};
 use std::collections::HashSet;
 
 fn keys(sign: u8, also: Option<u8>) -> Keys {
--- a/crates/lab/src/experiment.rs
+++ b/crates/fleet-simulation/src/experiment.rs
@@ -1,10 +1,10 @@
 //! Experiments: a file says what is played at which sizes; seeds run side by side.
 
 use crate::world::{Net, Outcome, World};
-use lupinrack_fleet_rig::relay::Fault;
-use lupinrack_fleet_rig::{Act, Script};
-use lupinrack_membership::config::Section;
-use lupinrack_membership_drill::cases::{chance, named};
+use lupinrack_fault_injection::relay::Fault;
+use lupinrack_fault_injection::{Act, Script};
+use lupinrack_fleet_membership::config::Section;
+use lupinrack_fleet_membership_drill::cases::{chance, named};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
--- a/crates/lab/src/world.rs
+++ b/crates/fleet-simulation/src/world.rs
@@ -1,13 +1,13 @@
 //! One run: fronts, a network with faults, a script, and what came of it.
 
 use hdrhistogram::Histogram;
-use lupinrack_fleet_rig::relay::Fault;
-use lupinrack_fleet_rig::{Act, Script};
-use lupinrack_membership::agree::Number;
-use lupinrack_membership::bits::Bits;
-use lupinrack_membership::config::{Peer, Section};
-use lupinrack_membership::swim::State;
-use lupinrack_membership::{Event, Front, Output, Source};
+use lupinrack_fault_injection::relay::Fault;
+use lupinrack_fault_injection::{Act, Script};
+use lupinrack_fleet_membership::agree::Number;
+use lupinrack_fleet_membership::bits::Bits;
+use lupinrack_fleet_membership::config::{Peer, Section};
+use lupinrack_fleet_membership::swim::State;
+use lupinrack_fleet_membership::{Event, Front, Output, Source};
 use lupinrack_policy::{Micros, VolumeId};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
--- a/crates/lab/tests/golden.rs
+++ b/crates/fleet-simulation/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Golden files of the lab: an experiment's file, and `lupinrack lab run --json`.
 
 use golden_examples::{check_text, path, Examples};
-use lupinrack_lab::experiment::FIGURES;
-use lupinrack_lab::{Experiment, Outcome, Point, Spread};
+use lupinrack_fleet_simulation::experiment::FIGURES;
+use lupinrack_fleet_simulation::{Experiment, Outcome, Point, Spread};
 use std::fmt::Debug;
 
 const EXPERIMENT: &str = include_str!("golden/experiment.toml");
--- a/crates/lab/tests/lab.rs
+++ b/crates/fleet-simulation/tests/lab.rs
@@ -1,11 +1,11 @@
 //! The lab: the same seed gives the same run, and no run breaks a promise.
 
-use lupinrack_fleet_rig::relay::Fault;
-use lupinrack_fleet_rig::{Act, Script};
-use lupinrack_lab::world::Net;
-use lupinrack_lab::{plot, Experiment, Outcome, World};
-use lupinrack_membership::config::Section;
-use lupinrack_membership_drill::cases::{chance, CASES};
+use lupinrack_fault_injection::relay::Fault;
+use lupinrack_fault_injection::{Act, Script};
+use lupinrack_fleet_membership::config::Section;
+use lupinrack_fleet_membership_drill::cases::{chance, CASES};
+use lupinrack_fleet_simulation::world::Net;
+use lupinrack_fleet_simulation::{plot, Experiment, Outcome, World};
 
 fn run(script: &Script) -> Outcome {
     World::new(script.clone(), Section::default(), Net::default()).run()
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -5,14 +5,14 @@
 //! told as lost). The driver, the lab and the tests run the same.
 #![warn(missing_docs)]
 
-use lupinrack_carrier::frame::Tag;
-use lupinrack_carrier::stream::{self, Refused, Streams};
-use lupinrack_membership::agree::Number;
-use lupinrack_membership::bits::Bits;
-use lupinrack_membership::config::Section;
-use lupinrack_membership::part::Share;
-use lupinrack_membership::stance::Stance;
-use lupinrack_membership::{Event, Front, Output, Source, Told};
+use lupinrack_fleet_membership::agree::Number;
+use lupinrack_fleet_membership::bits::Bits;
+use lupinrack_fleet_membership::config::Section;
+use lupinrack_fleet_membership::part::Share;
+use lupinrack_fleet_membership::stance::Stance;
+use lupinrack_fleet_membership::{Event, Front, Output, Source, Told};
+use lupinrack_peer_transport::frame::Tag;
+use lupinrack_peer_transport::stream::{self, Refused, Streams};
 use lupinrack_policy::{Micros, Rights, VolumeId};
 
 /// How this front stands in its fleet, as every machine sees it. It may be old by the time that it is read: what may be used is
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -1,10 +1,10 @@
 //! Golden files of what one front's machines say to the same machines of another: the whole datagrams, head, key and stream included.
 
 use golden_examples::{path, Examples, Kept};
-use lupinrack_carrier::Tag;
 use lupinrack_fleet::{Hub, Out, Said};
-use lupinrack_membership::config::{Peer, Section};
-use lupinrack_membership::Source;
+use lupinrack_fleet_membership::config::{Peer, Section};
+use lupinrack_fleet_membership::Source;
+use lupinrack_peer_transport::Tag;
 use lupinrack_policy::Micros;
 use std::net::SocketAddr;
 
--- a/crates/fleet/tests/hub.rs
+++ b/crates/fleet/tests/hub.rs
@@ -1,12 +1,12 @@
 //! Two and five fronts with a machine beside the membership: what it says goes where it is to go, and floods take nothing from the
 //! membership.
 
-use lupinrack_carrier::stream::MESSAGE_MOST;
-use lupinrack_carrier::Tag;
 use lupinrack_fleet::{Hub, Out, Said};
-use lupinrack_membership::config::{Peer, Section};
-use lupinrack_membership::stance::Stance;
-use lupinrack_membership::Source;
+use lupinrack_fleet_membership::config::{Peer, Section};
+use lupinrack_fleet_membership::stance::Stance;
+use lupinrack_fleet_membership::Source;
+use lupinrack_peer_transport::stream::MESSAGE_MOST;
+use lupinrack_peer_transport::Tag;
 use lupinrack_policy::Micros;
 use std::collections::BTreeMap;
 
--- a/crates/flows/src/lib.rs
+++ b/crates/flow-export/src/lib.rs
@@ -5,8 +5,8 @@
 
 use bytes::{BufMut, BytesMut};
 use config::IpfixConfig;
-use lupinrack_core::{Flow, FlowEnd};
 use lupinrack_policy::Micros;
+use lupinrack_request_engine::{Flow, FlowEnd};
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
--- a/crates/flows/tests/golden.rs
+++ b/crates/flow-export/tests/golden.rs
@@ -4,10 +4,10 @@
 mod golden_file;
 
 use golden_file::{check_folder, check_text, unhex, GoldenFile};
-use lupinrack_core::{Flow, FlowEnd};
-use lupinrack_flows::config::{IpfixConfig, Section};
-use lupinrack_flows::{run, ENTERPRISE_NUMBER, FIELDS, TEMPLATE};
+use lupinrack_flow_export::config::{IpfixConfig, Section};
+use lupinrack_flow_export::{run, ENTERPRISE_NUMBER, FIELDS, TEMPLATE};
 use lupinrack_policy::{Request, RequestId, VolumeId};
+use lupinrack_request_engine::{Flow, FlowEnd};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
 use std::time::Duration;
@@ -77,7 +77,7 @@
         domain: 0x0a0b_0c0d,
         template_every,
     };
-    let (sender, receiver) = mpsc::channel(lupinrack_flows::WAITING_MOST);
+    let (sender, receiver) = mpsc::channel(lupinrack_flow_export::WAITING_MOST);
     let mut batches = batches.into_iter();
     // The first batch waits before the exporter begins, so that it comes whole.
     for flow in batches.next().into_iter().flatten() {
--- a/crates/settings/tests/golden.rs
+++ b/crates/front-settings/tests/golden.rs
@@ -2,8 +2,8 @@
 //! are read in microseconds.
 
 use golden_examples::{path, Examples};
+use lupinrack_front_settings::{parse, parse_json, Told};
 use lupinrack_policy::{Class, ColdRule, Discovery, Effect, Group, Plan, RetryBudget};
-use lupinrack_settings::{parse, parse_json, Told};
 use std::fmt::Debug;
 
 const WHOLE_JSON: &str = include_str!("golden/settings.json");
--- a/crates/takeover/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -4,7 +4,7 @@
 mod golden_file;
 
 use golden_file::{check_folder, GoldenFile};
-use lupinrack_takeover::{Post, Seen};
+use lupinrack_hot_restart::{Post, Seen};
 use std::collections::BTreeMap;
 use std::fs::File;
 use std::path::{Path, PathBuf};
--- a/crates/http/src/gate.rs
+++ b/crates/http/src/gate.rs
@@ -6,7 +6,7 @@
 //! passes over in silence: it drops a `Content-Length` beside a `Transfer-Encoding`, and takes equal lengths twice.
 
 use bytes::BytesMut;
-use lupinrack_lifecycle::Phase;
+use lupinrack_graceful_shutdown::Phase;
 use std::future::Future;
 use std::io::{Error, ErrorKind, Result};
 use std::mem::MaybeUninit;
--- a/crates/http/src/passing.rs
+++ b/crates/http/src/passing.rs
@@ -4,7 +4,7 @@
 use crate::upstream::Cut;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
-use lupinrack_figures::{End, Life};
+use lupinrack_metrics::{End, Life};
 use std::collections::VecDeque;
 use std::pin::Pin;
 use std::task::{ready, Context, Poll};
--- a/crates/http/src/probe.rs
+++ b/crates/http/src/probe.rs
@@ -1,7 +1,7 @@
 //! The prober: looks at a node when the module asks for it.
 
 use crate::upstream::Upstream;
-use lupinrack_core::{Handle, Target};
+use lupinrack_request_engine::{Handle, Target};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, Semaphore};
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -7,9 +7,9 @@
 use axum::body::Body;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use http::{header, HeaderValue, Response, StatusCode};
-use lupinrack_core::{Handle, Order, Teller};
-use lupinrack_lifecycle::{reached, Phase};
+use lupinrack_graceful_shutdown::{reached, Phase};
 use lupinrack_policy::*;
+use lupinrack_request_engine::{Handle, Order, Teller};
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 
--- a/crates/lupinrack/src/cli.rs
+++ b/crates/lupinrack/src/cli.rs
@@ -7,7 +7,7 @@
 use crate::ended::Ended;
 use crate::serve;
 use clap::{Args, CommandFactory, FromArgMatches, Parser, Subcommand, ValueEnum};
-use lupinrack_config::{Format, Log, Operator};
+use lupinrack_operator_config::{Format, Log, Operator};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use tracing_subscriber::EnvFilter;
--- a/crates/lupinrack/src/cluster/node.rs
+++ b/crates/lupinrack/src/cluster/node.rs
@@ -3,7 +3,7 @@
 use crate::ended::Ended;
 use clap::{value_parser, Arg, ArgMatches, Command};
 use lupinrack_cluster_log::{MalformedLevels, LEVEL_VARIABLE};
-use lupinrack_cluster_settings::{settings_path, NodeSettings, PATH_VARIABLE};
+use lupinrack_node_settings::{settings_path, NodeSettings, PATH_VARIABLE};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
--- a/crates/lupinrack/src/commands/check.rs
+++ b/crates/lupinrack/src/commands/check.rs
@@ -1,8 +1,8 @@
 //! `lupinrack check` and `lupinrack schema`.
 
 use crate::ended::Ended;
-use lupinrack_config::Operator;
-use lupinrack_membership::config::Section;
+use lupinrack_fleet_membership::config::Section;
+use lupinrack_operator_config::Operator;
 use lupinrack_overload as overload;
 use lupinrack_platform::config::Config;
 use std::path::{Path, PathBuf};
@@ -56,7 +56,8 @@
 
 /// Prints the schema of the operators' file.
 pub fn schema() -> Result<(), Ended> {
-    let text = serde_json::to_string_pretty(&lupinrack_config::schema()).map_err(Ended::failed)?;
+    let text = serde_json::to_string_pretty(&lupinrack_operator_config::schema())
+        .map_err(Ended::failed)?;
     println!("{text}");
     Ok(())
 }
--- a/crates/lupinrack/src/commands/extents/drill.rs
+++ b/crates/lupinrack/src/commands/extents/drill.rs
@@ -1,7 +1,7 @@
 //! `lupinrack extents drill`: several processes of this program, and extents that move all the time.
 
 use crate::ended::Ended;
-pub use lupinrack_extents_drill::Drill;
+pub use lupinrack_extent_map_drill::Drill;
 
 /// Plays the drill and prints what came of it.
 pub fn run(drill: &Drill) -> Result<(), Ended> {
--- a/crates/lupinrack/src/commands/extents/sim.rs
+++ b/crates/lupinrack/src/commands/extents/sim.rs
@@ -3,9 +3,9 @@
 
 use crate::ended::Ended;
 use clap::Args;
-use lupinrack_extents::config::Section;
-use lupinrack_extents::ranges::Ranges;
-use lupinrack_extents::{
+use lupinrack_extent_map::config::Section;
+use lupinrack_extent_map::ranges::Ranges;
+use lupinrack_extent_map::{
     datagram, Action, Cache, Change, Cover, Input, News, Place, Turn, Version,
 };
 use lupinrack_policy::{Key, Micros, Shard, VolumeId};
@@ -472,7 +472,7 @@
                 let pieces = ranges
                     .iter()
                     .filter(|p| p.shard.is_some() && p.first >= within.0 && p.last <= within.1);
-                let extent = |p: lupinrack_extents::Piece| Change {
+                let extent = |p: lupinrack_extent_map::Piece| Change {
                     volume,
                     first: p.first,
                     last: p.last,
--- a/crates/lupinrack/src/commands/fleet/drill.rs
+++ b/crates/lupinrack/src/commands/fleet/drill.rs
@@ -2,9 +2,9 @@
 
 use crate::ended::Ended;
 use clap::Args;
-use lupinrack_fleet_rig::{Plan, Script};
-use lupinrack_membership_drill::cases::{chance, named, CASES};
-use lupinrack_membership_drill::{play, Figures};
+use lupinrack_fault_injection::{Plan, Script};
+use lupinrack_fleet_membership_drill::cases::{chance, named, CASES};
+use lupinrack_fleet_membership_drill::{play, Figures};
 use std::path::PathBuf;
 
 /// What the drill plays.
--- a/crates/lupinrack/src/commands/fleet/ls.rs
+++ b/crates/lupinrack/src/commands/fleet/ls.rs
@@ -3,7 +3,7 @@
 use crate::commands::ask::{exchange, Call};
 use crate::ended::Ended;
 use clap::Args;
-use lupinrack_fleet_net::Report;
+use lupinrack_fleet_driver::Report;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/lupinrack/src/commands/lab.rs
+++ b/crates/lupinrack/src/commands/lab.rs
@@ -2,7 +2,7 @@
 
 use crate::ended::Ended;
 use clap::{Args, Subcommand};
-use lupinrack_lab::{plot, Experiment, Point};
+use lupinrack_fleet_simulation::{plot, Experiment, Point};
 use std::path::PathBuf;
 
 /// The lab.
--- a/crates/lupinrack/src/commands/overload.rs
+++ b/crates/lupinrack/src/commands/overload.rs
@@ -2,7 +2,7 @@
 
 use crate::ended::Ended;
 use clap::{Args, Subcommand};
-use lupinrack_fleet_rig::Plan;
+use lupinrack_fault_injection::Plan;
 use lupinrack_overload_drill::{named, play, CASES, SECONDS, SECONDS_LEAST};
 
 /// Overload handled by the fleet as one.
--- a/crates/lupinrack/src/lib.rs
+++ b/crates/lupinrack/src/lib.rs
@@ -8,17 +8,17 @@
 pub mod serve;
 mod takeover;
 
-pub use lupinrack_core as core;
-pub use lupinrack_flows as ipfix;
+pub use lupinrack_flow_export as ipfix;
+pub use lupinrack_front_settings as settings;
 pub use lupinrack_policy::*;
+pub use lupinrack_request_engine as core;
 pub use lupinrack_rsync as rsync;
-pub use lupinrack_settings as settings;
 
 /// The platform's front and what the platform tells it.
 pub mod net {
+    pub use lupinrack_graceful_shutdown as shutdown;
     pub use lupinrack_http::{
         accept, budget, gate, intake, line, places, probe, request, upstream,
     };
-    pub use lupinrack_lifecycle as shutdown;
     pub use lupinrack_platform::{clock, config, discovery, reload};
 }
--- a/crates/lupinrack/src/serve.rs
+++ b/crates/lupinrack/src/serve.rs
@@ -1,25 +1,25 @@
 //! Puts a front together from its parts and runs it: one core, the fronts that are on, the watch of the node list.
 
 use crate::takeover::Takeover;
-use lupinrack_carrier::Tag;
-use lupinrack_config::Operator;
-use lupinrack_core::{Clock, Core, Handle};
-use lupinrack_door::{call::Call, Answer};
-use lupinrack_extents::{self as extents, Cache, Counters};
-use lupinrack_extents_net::Driver;
-use lupinrack_figures::{Figures, Targets};
-use lupinrack_fleet_net::{Driver as FleetDriver, Fleet};
-use lupinrack_flows::config::IpfixConfig;
+use lupinrack_admin::{call::Call, Answer};
+use lupinrack_extent_map::{self as extents, Cache, Counters};
+use lupinrack_extent_map_driver::Driver;
+use lupinrack_fleet_driver::{Driver as FleetDriver, Fleet};
+use lupinrack_fleet_membership::config::Section as FleetSection;
+use lupinrack_flow_export::config::IpfixConfig;
+use lupinrack_front_settings::Told;
+use lupinrack_graceful_shutdown as lifecycle;
+use lupinrack_graceful_shutdown::Phase;
 use lupinrack_http::budget::{Budget, Room};
 use lupinrack_http::upstream::Upstream;
 use lupinrack_http::{accept, probe};
-use lupinrack_lifecycle as lifecycle;
-use lupinrack_lifecycle::Phase;
-use lupinrack_membership::config::Section as FleetSection;
+use lupinrack_metrics::{Figures, Targets};
+use lupinrack_operator_config::Operator;
 use lupinrack_overload::Section as OverloadSection;
+use lupinrack_peer_transport::Tag;
 use lupinrack_platform::{clock::Epoch, config::Config, discovery::Watch, inherited, reload};
+use lupinrack_request_engine::{Clock, Core, Handle};
 use lupinrack_rsync::{config::RsyncConfig, daemon};
-use lupinrack_settings::Told;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -51,7 +51,7 @@
     Rsync(#[from] lupinrack_rsync::config::ConfigError),
     /// The flow export's section.
     #[error("{0}")]
-    Ipfix(#[from] lupinrack_flows::config::ConfigError),
+    Ipfix(#[from] lupinrack_flow_export::config::ConfigError),
     /// The inherited socket.
     #[error("{0}")]
     Inherited(#[from] inherited::InheritError),
@@ -167,11 +167,11 @@
     figures.classes(told.classes.iter().map(String::as_str));
     let (mut core, handle, targets) = Core::new(told.module.clone(), config.seed, clock);
     if let Some(config) = ipfix {
-        let (to, flows) = mpsc::channel(lupinrack_flows::WAITING_MOST);
+        let (to, flows) = mpsc::channel(lupinrack_flow_export::WAITING_MOST);
         core = core.tell_flows(to);
         tracing::info!("flows go to {}", config.collector);
         tokio::spawn(async move {
-            if let Err(why) = lupinrack_flows::run(config, epoch.unix_offset(), flows).await {
+            if let Err(why) = lupinrack_flow_export::run(config, epoch.unix_offset(), flows).await {
                 tracing::error!("ipfix: {why}");
             }
         });
@@ -192,7 +192,7 @@
     // A client of the rsync front holds two descriptors, its own and one to a server; the door its callers and the next.
     let callers = config
         .management
-        .map_or(0, |_| lupinrack_door::CALLERS_MOST + 1);
+        .map_or(0, |_| lupinrack_admin::CALLERS_MOST + 1);
     let others = rsync.as_ref().map_or(0, |r| 2 * r.max_clients) + callers;
     let room = Room::new(Budget::of(config.limits.memory_mb));
     let upstream = Upstream::new(
@@ -236,7 +236,7 @@
                 FleetDriver::new(section, handle.clone(), shared).map_err(std::io::Error::other)?;
             if let Some(section) = overload {
                 let machine = driver.attach(Tag::OVERLOAD);
-                as_one = Some(tokio::spawn(lupinrack_overload_net::run(
+                as_one = Some(tokio::spawn(lupinrack_overload_driver::run(
                     section,
                     handle.clone(),
                     machine,
@@ -332,7 +332,7 @@
         |e: std::io::Error| std::io::Error::new(e.kind(), format!("management on {address}: {e}"));
     let listener = TcpListener::bind(address).await.map_err(why)?;
     tracing::info!("management on {}", listener.local_addr()?);
-    Ok(tokio::spawn(lupinrack_door::run(listener, move |call| {
+    Ok(tokio::spawn(lupinrack_admin::run(listener, move |call| {
         let (core, figures, fleet, phase) = (
             core.clone(),
             figures.clone(),
@@ -368,7 +368,7 @@
 }
 
 /// What the fleet's driver tells, where there is one; it may wait for its address, and the door may not wait for it.
-async fn fleet_report(fleet: &Option<Fleet>) -> Option<lupinrack_fleet_net::Report> {
+async fn fleet_report(fleet: &Option<Fleet>) -> Option<lupinrack_fleet_driver::Report> {
     let report = fleet.as_ref()?.report();
     tokio::time::timeout(Duration::from_millis(300), report)
         .await
@@ -379,7 +379,7 @@
 fn cache(section: &extents::config::Section, now: lupinrack_policy::Micros) -> Cache {
     let mut cache = Cache::new(section.clone(), now);
     if let Some(file) = &section.snapshot {
-        let restored = match lupinrack_extents_net::load(file) {
+        let restored = match lupinrack_extent_map_driver::load(file) {
             Ok(Some(bytes)) => cache.restore(now, &bytes).map_err(|e| e.to_string()),
             Ok(None) => Ok(()),
             Err(e) => Err(e.to_string()),
--- a/crates/lupinrack/src/takeover.rs
+++ b/crates/lupinrack/src/takeover.rs
@@ -1,9 +1,9 @@
 //! Drives the parts of an upgrade: looks at the other processes of this front, has the module use what is decided, and
 //! publishes it.
 
-use lupinrack_core::Handle;
-use lupinrack_lifecycle::Phase;
-use lupinrack_takeover::{Post, Share, Step};
+use lupinrack_graceful_shutdown::Phase;
+use lupinrack_hot_restart::{Post, Share, Step};
+use lupinrack_request_engine::Handle;
 use std::path::PathBuf;
 use std::time::Duration;
 use tokio::sync::watch;
--- a/crates/lupinrack/tests/common/mod.rs
+++ b/crates/lupinrack/tests/common/mod.rs
@@ -2,4 +2,4 @@
 #![allow(dead_code, unused_imports)]
 
 pub mod front;
-pub use stand_ins::rsync;
+pub use mock_servers::rsync;
--- a/crates/lupinrack/tests/crossings.rs
+++ b/crates/lupinrack/tests/crossings.rs
@@ -7,7 +7,7 @@
 use lupinrack::net::discovery::Watch;
 use lupinrack::net::gate::Gate;
 use lupinrack::net::shutdown::Phase;
-use stand_ins::scripted::{head, node_in_hand, reset};
+use mock_servers::scripted::{head, node_in_hand, reset};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/lupinrack/tests/ending.rs
+++ b/crates/lupinrack/tests/ending.rs
@@ -4,10 +4,10 @@
 
 use common::front::{get, node, start};
 use lupinrack::net::shutdown::Phase;
-use lupinrack_fleet_rig::stage::Stage;
+use lupinrack_fault_injection::stage::Stage;
+use mock_servers::node::Manner;
+use mock_servers::settings::configuration;
 use nix::sys::signal::Signal;
-use stand_ins::node::Manner;
-use stand_ins::settings::configuration;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering::Relaxed};
 use std::sync::Arc;
--- a/crates/lupinrack/tests/fleet.rs
+++ b/crates/lupinrack/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! Several processes of the program with faults between them. Promises are asserted, never speed; every case of the rig is
 //! played once, four at a time at the most, with shorter leases than in service.
 
-use lupinrack_fleet_rig::{Act, Plan, Script};
-use lupinrack_membership_drill::cases::{named, CASES};
-use lupinrack_membership_drill::{play, Figures};
+use lupinrack_fault_injection::{Act, Plan, Script};
+use lupinrack_fleet_membership_drill::cases::{named, CASES};
+use lupinrack_fleet_membership_drill::{play, Figures};
 use std::sync::OnceLock;
 use tokio::sync::Semaphore;
 
@@ -114,8 +114,8 @@
 /// What operators see of a fleet: three processes, their door and the command.
 #[tokio::test]
 async fn operators_see_each_member_at_the_door_and_by_the_command() {
-    use lupinrack_fleet_rig::stage::Stage;
-    use stand_ins::settings::configuration;
+    use lupinrack_fault_injection::stage::Stage;
+    use mock_servers::settings::configuration;
     let program: std::path::PathBuf = env!("CARGO_BIN_EXE_lupinrack").into();
     let stage = Stage::new(program.clone()).await.unwrap();
     let held: Vec<_> = (0..3)
--- a/crates/lupinrack/tests/golden.rs
+++ b/crates/lupinrack/tests/golden.rs
@@ -5,7 +5,7 @@
 
 use clap::ValueEnum as _;
 use lupinrack::commands::ask::Call;
-use lupinrack_fleet_net::Report;
+use lupinrack_fleet_driver::Report;
 use lupinrack_write_back::file::Folder;
 use lupinrack_write_back::log::Log;
 use lupinrack_write_back::moment;
@@ -168,7 +168,7 @@
     let kept: Value = serde_json::from_str(&kept).expect("JSON");
     assert_eq!(
         kept,
-        serde_json::to_value(lupinrack_config::schema()).expect("JSON")
+        serde_json::to_value(lupinrack_operator_config::schema()).expect("JSON")
     );
 }
 
@@ -744,11 +744,11 @@
         ),
         (
             "extents drill",
-            serde_json::to_value(lupinrack_extents_drill::Figures::default()),
+            serde_json::to_value(lupinrack_extent_map_drill::Figures::default()),
         ),
         (
             "fleet drill",
-            serde_json::to_value(lupinrack_membership_drill::Figures::default()),
+            serde_json::to_value(lupinrack_fleet_membership_drill::Figures::default()),
         ),
         (
             "overload drill",
--- a/crates/lupinrack/tests/overload.rs
+++ b/crates/lupinrack/tests/overload.rs
@@ -1,6 +1,6 @@
 //! Overload handled as one, with real processes: a node hangs under one and the same load. Promises are asserted, never speed.
 
-use lupinrack_fleet_rig::Plan;
+use lupinrack_fault_injection::Plan;
 use lupinrack_overload_drill::{named, play, Figures, CASES, SECONDS};
 
 const SHORT: &str = "lease_ms = 1500\nsuspicion_ms = 500\nperiod_ms = 120\npatience_ms = 60\n";
--- a/crates/lupinrack/tests/program.rs
+++ b/crates/lupinrack/tests/program.rs
@@ -8,7 +8,7 @@
 use lupinrack::net::config::{Config, Limits};
 use lupinrack::net::discovery::Watch;
 use lupinrack::settings;
-use stand_ins::scripted::{discovery, Calls};
+use mock_servers::scripted::{discovery, Calls};
 use std::net::SocketAddr;
 use std::process::Stdio;
 use std::time::Duration;
--- a/crates/lupinrack/tests/reload.rs
+++ b/crates/lupinrack/tests/reload.rs
@@ -8,7 +8,7 @@
 use lupinrack::net::reload::Current;
 use lupinrack::settings::Told;
 use lupinrack::*;
-use lupinrack_figures::{Figures, Targets};
+use lupinrack_metrics::{Figures, Targets};
 use serde_json::{json, Value};
 
 fn file() -> Value {
--- a/crates/lupinrack/tests/scarce.rs
+++ b/crates/lupinrack/tests/scarce.rs
@@ -4,7 +4,7 @@
 
 use common::front::{ask, get, node, SETTINGS};
 use common::rsync::until;
-use stand_ins::scripted::discovery;
+use mock_servers::scripted::discovery;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::Stdio;
@@ -154,7 +154,7 @@
     until(|| calls.lock().unwrap().len() > 1).await;
     for id in 0..8 {
         let mut more = Vec::new();
-        for _ in 0..lupinrack_door::CALLERS_MOST {
+        for _ in 0..lupinrack_admin::CALLERS_MOST {
             more.push(TcpStream::connect(program.door).await.unwrap());
         }
         for _ in 0..SOCKETS / 4 {
--- a/crates/lupinrack/tests/single_send.rs
+++ b/crates/lupinrack/tests/single_send.rs
@@ -5,7 +5,7 @@
 
 use common::front::{get, start_told, Fronts, SETTINGS};
 use lupinrack::settings::{self, Told};
-use stand_ins::scripted::{head, node_in_hand, reset};
+use mock_servers::scripted::{head, node_in_hand, reset};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
--- a/crates/lupinrack/tests/upgrade.rs
+++ b/crates/lupinrack/tests/upgrade.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::front::SETTINGS;
-use stand_ins::http1::Reader;
+use mock_servers::http1::Reader;
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::OwnedFd;
 use std::process::Stdio;
--- a/crates/figures/tests/golden.rs
+++ b/crates/metrics/tests/golden.rs
@@ -1,7 +1,7 @@
 //! A golden file of the figures: names, labels, order and form.
 
 use golden_examples::{check_text, path};
-use lupinrack_figures::{End, Figures, Targets};
+use lupinrack_metrics::{End, Figures, Targets};
 
 fn ended(figures: &Figures, class: &str, end: End, times: usize) {
     for _ in 0..times {
--- a/crates/stand-ins/tests/worker.rs
+++ b/crates/mock-servers/tests/worker.rs
@@ -1,9 +1,9 @@
 //! The stand-in worker without its connection.
 
-use stand_ins::worker::floor::Floor;
-use stand_ins::worker::machine::{Worker, WorkerSettings};
-use stand_ins::worker::messages::{BeatAnswer, Capacity, End, FinishedRow, StartRow, StopRow};
-use stand_ins::worker::work::Work;
+use mock_servers::worker::floor::Floor;
+use mock_servers::worker::machine::{Worker, WorkerSettings};
+use mock_servers::worker::messages::{BeatAnswer, Capacity, End, FinishedRow, StartRow, StopRow};
+use mock_servers::worker::work::Work;
 
 const TASK: &str = "0000000000000001.0.0.0";
 const OTHER: &str = "0000000000000001.0.0.1";
--- a/crates/cluster-settings/tests/golden.rs
+++ b/crates/node-settings/tests/golden.rs
@@ -1,7 +1,7 @@
 //! What is read from the settings files that are kept in `tests/golden`, and the text of every fault. `UPDATE_GOLDEN=1`
 //! writes the files of what is read; the settings files themselves are written by hand.
 
-use lupinrack_cluster_settings::{
+use lupinrack_node_settings::{
     Bounds, Commands, FaultTolerance, MachineLimits, NodeSettings, Serves, SettingsError,
     SettingsFault, DEFAULT_PATH, PATH_VARIABLE,
 };
--- a/crates/cluster-settings/tests/settings.rs
+++ b/crates/node-settings/tests/settings.rs
@@ -1,6 +1,6 @@
 //! What is read from settings files, and which faults are named.
 
-use lupinrack_cluster_settings::{
+use lupinrack_node_settings::{
     Bounds, Commands, FaultTolerance, Faults, MachineLimits, NodeSettings, Serves, SettingsError,
     SettingsFault,
 };
--- a/crates/config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -30,16 +30,16 @@
     pub rsync: Option<lupinrack_rsync::config::Section>,
     /// Flow export.
     #[serde(default)]
-    #[schemars(with = "lupinrack_flows::config::Section")]
-    pub ipfix: Option<lupinrack_flows::config::Section>,
+    #[schemars(with = "lupinrack_flow_export::config::Section")]
+    pub ipfix: Option<lupinrack_flow_export::config::Section>,
     /// The map of extents.
     #[serde(default)]
-    #[schemars(with = "lupinrack_extents::config::Section")]
-    pub extents: Option<lupinrack_extents::config::Section>,
+    #[schemars(with = "lupinrack_extent_map::config::Section")]
+    pub extents: Option<lupinrack_extent_map::config::Section>,
     /// The fleet that this front is one of.
     #[serde(default)]
-    #[schemars(with = "lupinrack_membership::config::Section")]
-    pub fleet: Option<lupinrack_membership::config::Section>,
+    #[schemars(with = "lupinrack_fleet_membership::config::Section")]
+    pub fleet: Option<lupinrack_fleet_membership::config::Section>,
     /// Overload handled by the fleet as one.
     #[serde(default)]
     #[schemars(with = "lupinrack_overload::config::Section")]
@@ -53,7 +53,7 @@
     /// Lines of text, or one JSON object a line. `--log-format` goes before it.
     #[serde(default)]
     pub format: Format,
-    /// Levels by target, as `info,lupinrack_core=debug`; `info` where it is not given. `LUPINRACK_LOG` goes before it.
+    /// Levels by target, as `info,lupinrack_request_engine=debug`; `info` where it is not given. `LUPINRACK_LOG` goes before it.
     pub filter: Option<String>,
 }
 
@@ -143,12 +143,12 @@
         faults.extend(section(
             &value,
             "extents",
-            lupinrack_extents::config::Section::faults,
+            lupinrack_extent_map::config::Section::faults,
         ));
         faults.extend(section(
             &value,
             "fleet",
-            lupinrack_membership::config::Section::faults,
+            lupinrack_fleet_membership::config::Section::faults,
         ));
         let fleet = value
             .pointer("/fleet/enabled")
--- a/crates/config/tests/faults.rs
+++ b/crates/operator-config/tests/faults.rs
@@ -1,6 +1,6 @@
 //! Every fault of a file is named at once, with its path and line.
 
-use lupinrack_config::{schema, Fault, Operator};
+use lupinrack_operator_config::{schema, Fault, Operator};
 
 fn faults(text: &str) -> Vec<(usize, String)> {
     let faults: Vec<Fault> = Operator::parse(text).expect_err("it is faulty");
@@ -171,7 +171,7 @@
 
 #[test]
 fn files_of_one_fleet_that_contradict_each_other_are_named() {
-    use lupinrack_membership::config::Section;
+    use lupinrack_fleet_membership::config::Section;
     let three = [("a", 1), ("b", 2), ("c", 3)];
     let section = |name: &str, more: &str| {
         Operator::parse(&fleet(name, more, &three))
--- a/crates/config/tests/golden.rs
+++ b/crates/operator-config/tests/golden.rs
@@ -2,8 +2,8 @@
 //! whose sections have only the keys that they need.
 
 use golden_examples::{check_text, path, Examples};
-use lupinrack_config::{schema, Format, Operator};
-use lupinrack_extents::config::Strategy;
+use lupinrack_extent_map::config::Strategy;
+use lupinrack_operator_config::{schema, Format, Operator};
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
 use std::fmt::Debug;
--- a/crates/overload-drill/src/lib.rs
+++ b/crates/overload-drill/src/lib.rs
@@ -3,11 +3,11 @@
 //! The checkers know what the nodes saw and what the rig did, and nothing of the machines.
 #![warn(missing_docs)]
 
-use lupinrack_fleet_rig::checks::{duplicates, limits, lost, Verdict, Wellness};
-use lupinrack_fleet_rig::witness::{Seen, Witness};
-use lupinrack_fleet_rig::{rig, Act, History, Plan, RigError, Script};
+use lupinrack_fault_injection::checks::{duplicates, limits, lost, Verdict, Wellness};
+use lupinrack_fault_injection::witness::{Seen, Witness};
+use lupinrack_fault_injection::{rig, Act, History, Plan, RigError, Script};
+use mock_servers::load::Came;
 use serde::Serialize;
-use stand_ins::load::Came;
 use std::sync::Arc;
 
 /// How often all fronts together may try a silent node, a second, as the scripts' files say.
--- a/crates/overload-net/src/lib.rs
+++ b/crates/overload-driver/src/lib.rs
@@ -2,10 +2,10 @@
 //! decides. No decision is made here.
 #![warn(missing_docs)]
 
-use lupinrack_core::Handle;
-use lupinrack_fleet_net::{Heard, Machine, Words};
+use lupinrack_fleet_driver::{Heard, Machine, Words};
 use lupinrack_overload::trials::NodeHash;
 use lupinrack_overload::{Act, Section, Trials};
+use lupinrack_request_engine::Handle;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/overload/src/trials.rs
+++ b/crates/overload/src/trials.rs
@@ -10,10 +10,10 @@
 //! number of attempts.
 
 use crate::config::Section;
-use lupinrack_carrier::frame::{Reader, Writer};
 use lupinrack_fleet::Standing;
-use lupinrack_membership::bits::Bits;
-use lupinrack_membership::part::{Purse, Whole};
+use lupinrack_fleet_membership::bits::Bits;
+use lupinrack_fleet_membership::part::{Purse, Whole};
+use lupinrack_peer_transport::frame::{Reader, Writer};
 use lupinrack_policy::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/overload/tests/golden.rs
+++ b/crates/overload/tests/golden.rs
@@ -2,10 +2,10 @@
 
 use golden_examples::{path, Examples};
 use lupinrack_fleet::Standing;
-use lupinrack_membership::agree::Number;
-use lupinrack_membership::bits::Bits;
-use lupinrack_membership::part::Share;
-use lupinrack_membership::stance::Stance;
+use lupinrack_fleet_membership::agree::Number;
+use lupinrack_fleet_membership::bits::Bits;
+use lupinrack_fleet_membership::part::Share;
+use lupinrack_fleet_membership::stance::Stance;
 use lupinrack_overload::{Act, Section, Trials};
 use lupinrack_policy::Micros;
 
--- a/crates/carrier/src/frame.rs
+++ b/crates/peer-transport/src/frame.rs
@@ -3,7 +3,7 @@
 //! operators set a key. Whatever a machine says comes between the two.
 //!
 //! ```
-//! use lupinrack_carrier::frame::{open, room, seal, Head, Keys, Tag};
+//! use lupinrack_peer_transport::frame::{open, room, seal, Head, Keys, Tag};
 //!
 //! let keys = Keys { sign: Some([7; 32]), also: None };
 //! let head = Head { tag: Tag::OVERLOAD, roster: 1, from: 0, seq: 1, life: 9, to_life: 4 };
--- a/crates/carrier/tests/golden.rs
+++ b/crates/peer-transport/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Golden files of what fronts send each other: heads with their sums, and pieces of streams.
 
 use golden_examples::{path, Examples};
-use lupinrack_carrier::frame::{open, room, seal, Head, Keys, Tag, HEAD, LONGEST};
-use lupinrack_carrier::stream::{Out, Streams};
+use lupinrack_peer_transport::frame::{open, room, seal, Head, Keys, Tag, HEAD, LONGEST};
+use lupinrack_peer_transport::stream::{Out, Streams};
 
 /// Fronts of the roster that the examples are read for: more than the sender's index.
 const FRONTS: usize = 0x0700;
--- a/crates/carrier/tests/stream.rs
+++ b/crates/peer-transport/tests/stream.rs
@@ -1,8 +1,8 @@
 //! Streams over a network that loses, doubles, delays and reorders, between lives that end: what was sent comes once, whole and in
 //! order, or is told as lost; and what came is never more than what was sent.
 
-use lupinrack_carrier::stream::{Out, Refused, Streams, MESSAGE_MOST};
-use lupinrack_carrier::Tag;
+use lupinrack_peer_transport::stream::{Out, Refused, Streams, MESSAGE_MOST};
+use lupinrack_peer_transport::Tag;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/crates/platform/src/clock.rs
+++ b/crates/platform/src/clock.rs
@@ -1,7 +1,7 @@
 //! Maps Unix time to the monotonic clock, once, at start-up.
 
-use lupinrack_core::Clock;
 use lupinrack_policy::Micros;
+use lupinrack_request_engine::Clock;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// The offset from Unix time to the monotonic clock, fixed at the start: a step of the system's clock later on
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,7 +1,7 @@
 //! What the platform tells a front: the file that `LB_CONFIG` names.
 
 use crate::discovery::List;
-use lupinrack_settings::{self as settings, Told};
+use lupinrack_front_settings::{self as settings, Told};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
--- a/crates/platform/src/reload.rs
+++ b/crates/platform/src/reload.rs
@@ -6,9 +6,9 @@
 
 use crate::config::{Config, ConfigError};
 use crate::shape;
-use lupinrack_core::Handle;
-use lupinrack_figures::Figures;
-use lupinrack_settings::Told;
+use lupinrack_front_settings::Told;
+use lupinrack_metrics::Figures;
+use lupinrack_request_engine::Handle;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/platform/tests/golden.rs
+++ b/crates/platform/tests/golden.rs
@@ -1,11 +1,11 @@
 //! Golden files of what the platform tells a front: its configuration, the node list, and the calls for that list.
 
 use golden_examples::{path, Examples};
-use lupinrack_core::{Clock, Core, Handle, Order};
 use lupinrack_platform::clock::Epoch;
 use lupinrack_platform::config::Config;
 use lupinrack_platform::discovery::Watch;
 use lupinrack_policy::{Discovery, Request, Shard, VolumeId};
+use lupinrack_request_engine::{Clock, Core, Handle, Order};
 use serde_json::{json, Value};
 use std::fmt::Debug;
 use std::time::Duration;
@@ -26,7 +26,7 @@
     read.add(key, format!("{value:?}"));
 }
 
-/// What was read, by the keys of the file; of the settings their names alone, since `lupinrack-settings` reads them.
+/// What was read, by the keys of the file; of the settings their names alone, since `lupinrack-front-settings` reads them.
 fn read(config: &Config) -> Examples {
     let mut read = Examples::default();
     add(&mut read, "name", &config.name);
--- a/crates/policy/src/brain.rs
+++ b/crates/policy/src/balancer.rs
@@ -125,9 +125,9 @@
     rest_until: Micros,
 }
 
-/// One host's decisions: see [`Brain::handle`].
+/// One host's decisions: see [`Balancer::handle`].
 #[derive(Default)]
-pub struct Brain {
+pub struct Balancer {
     cfg: Settings,
     seed: u64,
     weight_sum: f64,
@@ -162,7 +162,7 @@
     ready_nodes: f64,
 }
 
-impl Brain {
+impl Balancer {
     /// A host at its start. The same settings, seed and events give the same actions.
     pub fn new(cfg: Settings, seed: u64) -> Self {
         let rights = Rights {
@@ -171,14 +171,14 @@
             rest: 1.0,
             ..Rights::default()
         };
-        let mut brain = Brain {
+        let mut balancer = Balancer {
             seed,
             part: 1.0,
             rights,
-            ..Brain::default()
+            ..Balancer::default()
         };
-        brain.apply_settings(cfg);
-        brain
+        balancer.apply_settings(cfg);
+        balancer
     }
 
     /// Takes settings: at the start, and new ones later. What is open, tagged, spent and learnt stays.
--- a/crates/policy/src/brain/attempts.rs
+++ b/crates/policy/src/balancer/attempts.rs
@@ -9,7 +9,7 @@
 /// The shortest time that a refused client is told to stay away.
 const HINT_LEAST: Micros = 100_000;
 
-impl Brain {
+impl Balancer {
     pub(super) fn on_request(&mut self, now: Micros, req: Request, out: &mut Actions) {
         let (id, units, volume) = (req.id, req.units, req.volume);
         self.taken.extend(self.cfg.budget.map(|_| now));
--- a/crates/policy/src/brain/dispatch.rs
+++ b/crates/policy/src/balancer/dispatch.rs
@@ -11,7 +11,7 @@
 /// A queue is shed once it holds more than this many times what the node serves within the shortest aim.
 const SHED_AT: f64 = 0.7;
 
-impl Brain {
+impl Balancer {
     /// Weight of a plan over the sum of all plans' weights.
     fn phi(&self, plan: u32) -> f64 {
         (self
--- a/crates/policy/src/brain/health.rs
+++ b/crates/policy/src/balancer/health.rs
@@ -23,7 +23,7 @@
 /// Failures in a row that open the breaker: broken or refused connections, and time-outs.
 const BREAK_AT: u32 = 3;
 
-impl Brain {
+impl Balancer {
     /// Sets D anew: latency above the target shrinks it, below lets it grow where it was the bound (PARDA).
     pub(super) fn adapt_depth(&mut self, now: Micros, id: NodeId) {
         let Some(n) = self.nodes.get_mut(&id) else {
--- a/crates/policy/src/brain/limits.rs
+++ b/crates/policy/src/balancer/limits.rs
@@ -15,7 +15,7 @@
 /// How long a host looks before it trusts what it sees of the usual traffic.
 const USUAL_LEAST: Micros = 2_000_000;
 
-impl Brain {
+impl Balancer {
     /// Every guard that can hold a request back for now, on one path.
     pub(super) fn may_send(&mut self, now: Micros, id: RequestId, to: NodeId) -> bool {
         let (Some(o), Some(n)) = (self.open.get(&id), self.nodes.get(&to)) else {
--- a/crates/policy/src/brain/placement.rs
+++ b/crates/policy/src/balancer/placement.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Brain {
+impl Balancer {
     pub(super) fn on_nodes(&mut self, now: Micros, kind: ListKind, entries: Vec<NodeEntry>) {
         let chance = self.random();
         self.asking.heard(now, kind, self.cfg.discovery, chance);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,6 +1,6 @@
 //! lupinrack makes the decisions of a host-side scheduler for a shared disk pool.
 //!
-//! Each host (gateway) owns one [`Brain`]. It tells the brain what it sees ([`Event`]) and carries out what the
+//! Each host (gateway) owns one [`Balancer`]. It tells the brain what it sees ([`Event`]) and carries out what the
 //! brain answers ([`Action`]). The brain does no I/O, reads no clock and keeps no threads: time and the seed of
 //! its random numbers come in from outside, and the same input gives the same output.
 //!
@@ -16,7 +16,7 @@
 //!     hosts: 3, classes: vec![class], plans: vec![plan], drain_grace: 1_000_000, tick: 2_000, most_tries: 3,
 //!     retry_after: true, max_retry_after: 2_000_000, ..Settings::default()
 //! };
-//! let mut brain = Brain::new(settings, 42);
+//! let mut brain = Balancer::new(settings, 42);
 //! let mut actions = Vec::new();
 //!
 //! // The node list, as the host last saw it.
@@ -37,8 +37,8 @@
 #![warn(missing_docs)]
 
 mod asking;
-mod brain;
+mod balancer;
 mod interface;
 
-pub use brain::Brain;
+pub use balancer::Balancer;
 pub use interface::*;
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -197,7 +197,7 @@
     let settings = settings_of(world);
     let host = |life: u64, entries: Vec<NodeEntry>, now: Micros| {
         let mut h = Host {
-            brain: Brain::new(settings.clone(), life),
+            balancer: Balancer::new(settings.clone(), life),
             now,
             said: Vec::new(),
         };
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -68,7 +68,7 @@
 
 /// A brain and what it has said so far.
 pub struct Host {
-    pub brain: Brain,
+    pub balancer: Balancer,
     pub now: Micros,
     pub said: Vec<Action>,
 }
@@ -77,7 +77,7 @@
     /// A host that knows these nodes.
     pub fn new(settings: Settings, nodes: Vec<NodeEntry>) -> Self {
         let mut h = Host {
-            brain: Brain::new(settings, 1),
+            balancer: Balancer::new(settings, 1),
             now: 1_000_000,
             said: Vec::new(),
         };
@@ -88,7 +88,7 @@
         h
     }
     pub fn event(&mut self, e: Event) {
-        self.brain.handle(self.now, e, &mut self.said);
+        self.balancer.handle(self.now, e, &mut self.said);
     }
     /// Lets time pass, with a wake-up every two ticks.
     pub fn pass(&mut self, span: Micros) {
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -278,7 +278,7 @@
     let mut hosts: Vec<Host> = (0..200)
         .map(|seed| {
             let mut h = Host::new(s.clone(), vec![]);
-            h.brain = Brain::new(s.clone(), seed * 1_000_003);
+            h.balancer = Balancer::new(s.clone(), seed * 1_000_003);
             h.now = born;
             h.list(
                 ListKind::Full,
@@ -336,7 +336,7 @@
     let mut hosts: Vec<Host> = (0..HOSTS as u64)
         .map(|seed| {
             let mut h = Host::new(s.clone(), vec![]);
-            h.brain = Brain::new(s.clone(), seed * 1_000_003);
+            h.balancer = Balancer::new(s.clone(), seed * 1_000_003);
             h.now = begun;
             h.list(ListKind::Full, (0..NODES).map(|n| entry(n, n)).collect());
             h
--- a/crates/policy/tests/tags.rs
+++ b/crates/policy/tests/tags.rs
@@ -150,7 +150,7 @@
         }
         h.pass(1_000_000);
         h.said.clear();
-        most = most.max(h.brain.remembers());
+        most = most.max(h.balancer.remembers());
     }
     assert!(
         most < 1_000,
--- a/crates/core/src/lib.rs
+++ b/crates/request-engine/src/lib.rs
@@ -1,4 +1,4 @@
-//! The core: one [`Brain`], the open requests, the node table and the timers. It knows no wire. Fronts hand it
+//! The core: one [`Balancer`], the open requests, the node table and the timers. It knows no wire. Fronts hand it
 //! requests and reports through a [`Handle`] and carry out the [`Order`]s it gives them.
 
 mod clock;
@@ -10,7 +10,7 @@
 pub use nodes::{Listing, Target};
 pub use permit::SendPermit;
 
-use lupinrack_extents::{self as extents, Version};
+use lupinrack_extent_map::{self as extents, Version};
 use lupinrack_policy::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -349,9 +349,9 @@
     2 * settings.most_tries.clamp(1, 1024) as usize + 3
 }
 
-/// The loop round the [`Brain`].
+/// The loop round the [`Balancer`].
 pub struct Core {
-    brain: Brain,
+    balancer: Balancer,
     grace: Micros,
     clock: Clock,
     inbox: mpsc::Receiver<Input>,
@@ -401,7 +401,7 @@
             limited: limited(&settings),
             fleet: None,
             heard: None,
-            brain: Brain::new(settings, seed),
+            balancer: Balancer::new(settings, seed),
             clock,
             inbox: input,
             probes,
@@ -548,13 +548,13 @@
                 let _ = tell.send(served.into_iter().flatten().collect());
             }
             Input::Targets(tell) => {
-                let avoided = self.brain.targets().filter(|t| t.1).count();
-                let _ = tell.send((self.brain.targets().count(), avoided));
+                let avoided = self.balancer.targets().filter(|t| t.1).count();
+                let _ = tell.send((self.balancer.targets().count(), avoided));
             }
             Input::Silent(tell) => {
                 let name = |id: NodeId| Some(self.nodes.target(id)?.name);
                 let silent = self
-                    .brain
+                    .balancer
                     .targets()
                     .filter(|t| t.2)
                     .filter_map(|t| name(t.0))
@@ -675,7 +675,7 @@
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
-            self.brain.handle(now, event, &mut actions);
+            self.balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
                 events.extend(self.act(now, action));
             }
--- a/crates/core/src/permit.rs
+++ b/crates/request-engine/src/permit.rs
@@ -7,9 +7,9 @@
 /// the module gives only where it may. One sending is well:
 ///
 /// ```
-/// fn send(_: lupinrack_core::SendPermit) {}
+/// fn send(_: lupinrack_request_engine::SendPermit) {}
 ///
-/// fn send_once(attempt: lupinrack_core::Attempt) {
+/// fn send_once(attempt: lupinrack_request_engine::Attempt) {
 ///     send(attempt.permit);
 /// }
 /// ```
@@ -17,9 +17,9 @@
 /// A second one is refused by the compiler:
 ///
 /// ```compile_fail,E0382
-/// fn send(_: lupinrack_core::SendPermit) {}
+/// fn send(_: lupinrack_request_engine::SendPermit) {}
 ///
-/// fn resend(attempt: lupinrack_core::Attempt) {
+/// fn resend(attempt: lupinrack_request_engine::Attempt) {
 ///     send(attempt.permit);
 ///     send(attempt.permit);
 /// }
@@ -28,7 +28,7 @@
 /// Nor can one be made elsewhere:
 ///
 /// ```compile_fail,E0423
-/// let permit = lupinrack_core::SendPermit(());
+/// let permit = lupinrack_request_engine::SendPermit(());
 /// ```
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
--- a/crates/core/src/places.rs
+++ b/crates/request-engine/src/places.rs
@@ -1,9 +1,9 @@
 //! Where data lies, in the core's turns: requests are resolved by the [`Cache`] when they are taken, looked at again
 //! when what is known of their range changes, and once more when they are sent. The cache decides what is known, the
-//! [`Brain`] what becomes of a request; here each hears of the other.
+//! [`Balancer`] what becomes of a request; here each hears of the other.
 
 use super::{Core, FlowEnd};
-use lupinrack_extents::{self as extents, Cache, Counters, Party, Place, Turn, Version};
+use lupinrack_extent_map::{self as extents, Cache, Counters, Party, Place, Turn, Version};
 use lupinrack_policy::*;
 use tokio::sync::{mpsc, watch};
 
--- a/crates/rsync/src/config.rs
+++ b/crates/rsync/src/config.rs
@@ -1,8 +1,8 @@
 //! The section `[rsync]` of the operators' file: modules and the volumes they count for, servers and the nodes they
 //! stand for.
 
+use lupinrack_front_settings::Told;
 use lupinrack_policy::*;
-use lupinrack_settings::Told;
 use schemars::JsonSchema;
 use serde::Deserialize;
 use std::collections::HashMap;
--- a/crates/rsync/src/pull.rs
+++ b/crates/rsync/src/pull.rs
@@ -2,8 +2,8 @@
 
 use super::unit::Line;
 use super::wire::{Entry, Reader, Sum, WireError, Writer, TOKEN_MOST, VERSION};
-use lupinrack_core::{Attempt, Clock};
 use lupinrack_policy::*;
+use lupinrack_request_engine::{Attempt, Clock};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/rsync/src/unit.rs
+++ b/crates/rsync/src/unit.rs
@@ -1,7 +1,7 @@
 //! The life of one unit of work (a file list, or one file) in the core, from its opening to its end.
 
-use lupinrack_core::{Attempt, Clock, Handle, Order, Teller};
 use lupinrack_policy::*;
+use lupinrack_request_engine::{Attempt, Clock, Handle, Order, Teller};
 use std::future::Future;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
--- a/crates/rsync/tests/golden_sessions.rs
+++ b/crates/rsync/tests/golden_sessions.rs
@@ -1,9 +1,9 @@
 //! Golden files of whole sessions: what the front says to a client and to a server, from the greeting to the last word.
 
 use golden_examples::{path, Examples};
-use lupinrack_core::{Clock, Core, Listing};
-use lupinrack_lifecycle::Phase;
+use lupinrack_graceful_shutdown::Phase;
 use lupinrack_policy::{ListKind, NodeState, Shard, Zone};
+use lupinrack_request_engine::{Clock, Core, Listing};
 use lupinrack_rsync::config::RsyncConfig;
 use lupinrack_rsync::daemon::{self, Front};
 use lupinrack_rsync::wire::{list, stats, Entry, Sum};
@@ -86,7 +86,7 @@
 
 /// The front, with one module whose data is at one server.
 async fn front(server: SocketAddr) -> SocketAddr {
-    let told = lupinrack_settings::parse(SETTINGS).unwrap();
+    let told = lupinrack_front_settings::parse(SETTINGS).unwrap();
     let clock = Clock::start();
     let (core, handle, probes) = Core::new(told.module.clone(), 7, clock);
     let section = format!(
--- a/crates/benchlink/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,10 +1,10 @@
-//! Adapter between the bench's wire and the library: one [`lupinrack_policy::Brain`] for each instance. It frames,
+//! Adapter between the bench's wire and the library: one [`lupinrack_policy::Balancer`] for each instance. It frames,
 //! names and converts; it decides nothing.
 
 mod wire;
 
-use lupinrack_policy::Brain;
-use lupinrack_settings as settings;
+use lupinrack_front_settings as settings;
+use lupinrack_policy::Balancer;
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use wire::{Incoming, Reply};
@@ -18,14 +18,14 @@
         io::BufReader::with_capacity(1 << 16, stdin),
         io::BufWriter::new(stdout),
     ) {
-        eprintln!("lupinrack-benchlink: {what}");
+        eprintln!("lupinrack-simulator-adapter: {what}");
         std::process::exit(1);
     }
 }
 
 /// Answers batch after batch until the input ends between two frames.
 fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), String> {
-    let mut brains: BTreeMap<u16, (Brain, Vec<String>)> = BTreeMap::new();
+    let mut brains: BTreeMap<u16, (Balancer, Vec<String>)> = BTreeMap::new();
     let mut actions = Vec::new();
     while let Some(frame) = read_frame(&mut input)? {
         let (now, records) = wire::batch(&frame)?;
@@ -36,16 +36,16 @@
             match incoming {
                 Incoming::Start { seed, info } => match settings::parse(&info) {
                     Ok(told) => {
-                        brains.insert(instance, (Brain::new(told.module, seed), told.columns));
+                        brains.insert(instance, (Balancer::new(told.module, seed), told.columns));
                     }
                     Err(what) => reply.crash(instance, &what),
                 },
                 Incoming::Stop => drop(brains.remove(&instance)),
                 Incoming::Event(event) => {
-                    let Some((brain, _)) = brains.get_mut(&instance) else {
+                    let Some((balancer, _)) = brains.get_mut(&instance) else {
                         continue;
                     };
-                    brain.handle(now, event, &mut actions);
+                    balancer.handle(now, event, &mut actions);
                     for action in actions.drain(..) {
                         reply.action(instance, &action);
                     }
--- a/crates/benchlink/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! Frames and records of the wire, to and from the library's words.
 
+use lupinrack_front_settings::micros;
 use lupinrack_policy::*;
-use lupinrack_settings::micros;
 
 /// What a record asks of the adapter.
 pub enum Incoming {
--- a/crates/benchlink/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -8,7 +8,7 @@
     policyLimits.mostTries=3\nsomething.new=unheard_of\n";
 
 fn run(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_lupinrack-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_lupinrack-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/benchlink/tests/golden.rs
+++ b/crates/simulator-adapter/tests/golden.rs
@@ -452,7 +452,7 @@
 
 /// The program's answer to this input.
 fn run(input: &[u8]) -> Vec<u8> {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_lupinrack-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_lupinrack-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
