--- a/crates/control-state/src/state.rs
+++ b/crates/control-state/src/state.rs
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The most places of servers that are remembered; beyond it the oldest go, and with them only a short cut.
-pub const PLACES_MOST: usize = 20_000;
+pub const BINDINGS_MOST: usize = 20_000;
 
 /// The most tasks that one time of a job may have; a record of them is made at the first start.
 pub const TASKS_PER_OCCURRENCE_MOST: u64 = 100_000;
@@ -45,14 +45,14 @@
     /// Who schedules what.
     pub shards: BTreeMap<ServiceName, Shard>,
     /// Beside which agents the known lives of servers run.
-    pub servers: BTreeMap<ServerId, ServerPlace>,
+    pub servers: BTreeMap<ServerId, AgentBinding>,
     /// The number of the last place that was recorded.
-    pub places_recorded: u64,
+    pub bindings_recorded: u64,
 }
 
 /// Where a life of a server was met.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct ServerPlace {
+pub struct AgentBinding {
     /// The agent on its machine.
     pub agent: PeerAddress,
     /// Rises with every place that is recorded: of two lives beside one agent the later one has the higher number.
@@ -124,11 +124,11 @@
     }
 
     /// Lives that were recorded beside this agent before this one, and are over therefore.
-    pub fn earlier_lives(&self, server: &ServerId) -> Vec<&ServerId> {
+    pub fn earlier_incarnations(&self, server: &ServerId) -> Vec<&ServerId> {
         let Some(own) = self.servers.get(server) else {
             return Vec::new();
         };
-        let earlier = |place: &ServerPlace| place.agent == own.agent && place.order < own.order;
+        let earlier = |place: &AgentBinding| place.agent == own.agent && place.order < own.order;
         self.servers
             .iter()
             .filter(|(_, place)| earlier(place))
@@ -147,11 +147,11 @@
             return OperationResult::Refused(ErrorKind::Fenced);
         }
         if !self.servers.contains_key(server) {
-            self.drop_unused_places();
-            self.places_recorded += 1;
-            let place = ServerPlace {
+            self.drop_unused_bindings();
+            self.bindings_recorded += 1;
+            let place = AgentBinding {
                 agent,
-                order: self.places_recorded,
+                order: self.bindings_recorded,
             };
             self.servers.insert(server.clone(), place);
         }
@@ -159,7 +159,7 @@
     }
 
     /// Drops the places of lives that are neither the newest beside their agent nor have a run that is recorded.
-    fn drop_unused_places(&mut self) {
+    fn drop_unused_bindings(&mut self) {
         let mut newest: BTreeMap<PeerAddress, u64> = BTreeMap::new();
         for place in self.servers.values() {
             let order = newest.entry(place.agent).or_default();
@@ -169,7 +169,7 @@
         self.servers.retain(|id, place| {
             newest.get(&place.agent) == Some(&place.order) || used.contains(id)
         });
-        while self.servers.len() >= PLACES_MOST {
+        while self.servers.len() >= BINDINGS_MOST {
             let oldest = self
                 .servers
                 .iter()
--- a/crates/control-state/src/taken_changes.rs
+++ b/crates/control-state/src/taken_changes.rs
@@ -26,7 +26,7 @@
     /// Of this change. Kind and version have a fixed length, so no two changes are digested from the same bytes.
     pub fn of(change: &ConfigurationChange) -> ChangeDigest {
         let (kind, text) = match &change.body {
-            ConfigurationBody::Whole(text) => (0u8, text),
+            ConfigurationBody::Replacement(text) => (0u8, text),
             ConfigurationBody::Patch(text) => (1u8, text),
         };
         let mut hasher = blake3::Hasher::new();
--- a/crates/control-state/tests/common/mod.rs
+++ b/crates/control-state/tests/common/mod.rs
@@ -54,7 +54,7 @@
 }
 
 pub fn put(if_match: u64, text: impl Into<String>) -> Operation {
-    let body = ConfigurationBody::Whole(text.into());
+    let body = ConfigurationBody::Replacement(text.into());
     Operation::ChangeConfiguration(ConfigurationChange { if_match, body })
 }
 
@@ -78,7 +78,7 @@
         service: ServiceName(service.into()),
         token,
         owner: DiskId(token.0),
-        life: token.0,
+        incarnation: token.0,
     }
 }
 
@@ -144,7 +144,7 @@
         task,
         attempt,
         server: ServerId("s".into()),
-        saved: String::new(),
+        checkpoint: String::new(),
     }
 }
 
@@ -156,12 +156,12 @@
     }
 }
 
-pub fn end(task: TaskId, attempt: Attempt, end: RunEnd, saved: &str) -> EndRecord {
+pub fn end(task: TaskId, attempt: Attempt, end: RunEnd, checkpoint: &str) -> EndRecord {
     EndRecord {
         task,
         attempt,
         end,
-        saved: saved.into(),
+        checkpoint: checkpoint.into(),
     }
 }
 
--- a/crates/control-state/tests/configuration.rs
+++ b/crates/control-state/tests/configuration.rs
@@ -486,8 +486,8 @@
             OperationResult::Refused(ErrorKind::InvalidConfiguration)
         );
     }
-    assert!(check_body(&ConfigurationBody::Whole(two_queues(0))).is_err());
-    assert!(check_body(&ConfigurationBody::Whole(
+    assert!(check_body(&ConfigurationBody::Replacement(two_queues(0))).is_err());
+    assert!(check_body(&ConfigurationBody::Replacement(
         two_queues(1).replacen("3000", "0", 1)
     ))
     .is_err());
@@ -506,5 +506,8 @@
     for text in depends {
         assert_eq!(check_body(&ConfigurationBody::Patch(text)), Ok(()));
     }
-    assert_eq!(check_body(&ConfigurationBody::Whole(two_queues(1))), Ok(()));
+    assert_eq!(
+        check_body(&ConfigurationBody::Replacement(two_queues(1))),
+        Ok(())
+    );
 }
--- a/crates/control-state/tests/gangs.rs
+++ b/crates/control-state/tests/gangs.rs
@@ -64,7 +64,7 @@
     assert_eq!(try_starts(&mut state, members(&[0, 1, 2], 0)), [false; 3]);
     start_all(&mut state, 4);
     for index in 0..3 {
-        record_end(&mut state, member(index), 4, RunEnd::Lapsed);
+        record_end(&mut state, member(index), 4, RunEnd::LeaseExpired);
     }
     assert_eq!(try_starts(&mut state, members(&[0, 1, 2], 4)), [false; 3]);
     start_all(&mut state, 5);
@@ -117,7 +117,7 @@
 fn a_good_end_counts_after_other_members_ended() {
     let mut state = gang_of_three();
     start_all(&mut state, 1);
-    record_end(&mut state, member(0), 1, RunEnd::Lapsed);
+    record_end(&mut state, member(0), 1, RunEnd::LeaseExpired);
     record_end(&mut state, member(1), 1, RunEnd::Done);
     assert_eq!(job_state(&state), JobState::Succeeded);
 }
@@ -156,8 +156,8 @@
         vec![end(member(1), 1, RunEnd::Stopped, "saved")],
         20,
     ));
-    let saved = [0, 1, 2].map(|index| record(&state, member(index)).saved.clone());
-    assert_eq!(saved, ["", "saved", ""]);
+    let checkpoint = [0, 1, 2].map(|index| record(&state, member(index)).checkpoint.clone());
+    assert_eq!(checkpoint, ["", "saved", ""]);
 }
 
 #[test]
--- a/crates/control-state/tests/golden.rs
+++ b/crates/control-state/tests/golden.rs
@@ -42,7 +42,7 @@
 #[test]
 fn digests_of_changes() {
     let mut file = GoldenFile::open(path("change_digests.hex"));
-    let whole = ConfigurationBody::Whole("{}".to_owned());
+    let whole = ConfigurationBody::Replacement("{}".to_owned());
     let patch = ConfigurationBody::Patch("{}".to_owned());
     for (name, if_match, body) in [
         ("whole on 0", 0, whole.clone()),
@@ -98,7 +98,7 @@
         ..ControlState::default()
     };
     let refusal = |if_match| {
-        let body = ConfigurationBody::Whole(PUT.to_owned());
+        let body = ConfigurationBody::Replacement(PUT.to_owned());
         let change = ConfigurationChange { if_match, body };
         state.clone().apply(&Operation::ChangeConfiguration(change))
     };
@@ -121,7 +121,7 @@
     compare_text(path("patch.json"), PATCH);
     let mut state = ControlState::default();
     assert_eq!(
-        state.apply(&change(0, ConfigurationBody::Whole(PUT.to_owned()))),
+        state.apply(&change(0, ConfigurationBody::Replacement(PUT.to_owned()))),
         OperationResult::Done
     );
     compare_text(
@@ -162,7 +162,7 @@
 fn faults_of_bodies_on_a_configuration() {
     let mut file = GoldenFile::open(path("faults_on_a_configuration.txt"));
     let mut state = ControlState::default();
-    state.apply(&change(0, ConfigurationBody::Whole(PUT.to_owned())));
+    state.apply(&change(0, ConfigurationBody::Replacement(PUT.to_owned())));
     for (name, patch) in faulty_patches_of_put() {
         let body = ConfigurationBody::Patch(patch.to_owned());
         assert_eq!(check_body(&body), Ok(()), "{name}");
--- a/crates/control-state/tests/golden_values/bodies.rs
+++ b/crates/control-state/tests/golden_values/bodies.rs
@@ -40,7 +40,7 @@
 /// [`PUT`] with a text in place of another that it holds.
 fn put_with(from: &str, to: &str) -> ConfigurationBody {
     assert!(PUT.contains(from), "{from}");
-    ConfigurationBody::Whole(PUT.replacen(from, to, 1))
+    ConfigurationBody::Replacement(PUT.replacen(from, to, 1))
 }
 
 /// [`PATCH`] with a text in place of another that it holds.
@@ -52,14 +52,14 @@
 /// A body for each fault that is found without the configuration that is current, under a name.
 pub fn faulty_bodies() -> Vec<(&'static str, ConfigurationBody)> {
     vec![
-        ("no object", ConfigurationBody::Whole("[]".to_owned())),
+        ("no object", ConfigurationBody::Replacement("[]".to_owned())),
         (
             "cut short",
-            ConfigurationBody::Whole("{\"version\":1".to_owned()),
+            ConfigurationBody::Replacement("{\"version\":1".to_owned()),
         ),
         (
             "text after the end",
-            ConfigurationBody::Whole(format!("{PUT}x")),
+            ConfigurationBody::Replacement(format!("{PUT}x")),
         ),
         ("no version", put_with("\"version\": 7,", "")),
         ("version 0", put_with("\"version\": 7", "\"version\": 0")),
--- a/crates/control-state/tests/golden_values/state.rs
+++ b/crates/control-state/tests/golden_values/state.rs
@@ -8,7 +8,7 @@
 use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange, Operation};
 use lupinrack_cluster_api::time::WallMillis;
 use lupinrack_control_state::{
-    ConfigurationDocument, ControlState, DocumentItem, JobRecord, Occurrence, ServerPlace, Shard,
+    AgentBinding, ConfigurationDocument, ControlState, DocumentItem, JobRecord, Occurrence, Shard,
     TakenChanges, TaskRecord, TaskStatus,
 };
 use std::collections::{BTreeMap, BTreeSet};
@@ -42,7 +42,7 @@
         attempt: 3,
         failed: 1,
         failed_attempt: 2,
-        saved: "half".to_owned(),
+        checkpoint: "half".to_owned(),
     }
 }
 
@@ -108,9 +108,9 @@
     }
 }
 
-pub fn place(order: u64) -> ServerPlace {
+pub fn place(order: u64) -> AgentBinding {
     let agent = PeerAddress(SocketAddrV4::new(Ipv4Addr::new(10, 2, 3, 4), 7004));
-    ServerPlace { agent, order }
+    AgentBinding { agent, order }
 }
 
 pub fn document() -> ConfigurationDocument {
@@ -156,7 +156,7 @@
 
 /// The record of one change, as a state has it that took the change.
 fn changes_taken() -> TakenChanges {
-    let body = ConfigurationBody::Whole(super::PUT.to_owned());
+    let body = ConfigurationBody::Replacement(super::PUT.to_owned());
     let mut state = ControlState::default();
     state.apply(&Operation::ChangeConfiguration(ConfigurationChange {
         if_match: 0,
@@ -192,6 +192,6 @@
             (server("server-5"), place(39)),
             (server("server-6"), place(40)),
         ]),
-        places_recorded: 41,
+        bindings_recorded: 41,
     }
 }
--- a/crates/control-state/tests/histories.rs
+++ b/crates/control-state/tests/histories.rs
@@ -22,7 +22,7 @@
     RunEnd::Done,
     RunEnd::Failed,
     RunEnd::Stopped,
-    RunEnd::Lapsed,
+    RunEnd::LeaseExpired,
     RunEnd::Broken,
     RunEnd::Alone,
     RunEnd::Refused,
@@ -463,7 +463,7 @@
             } else {
                 "single"
             }));
-            reached.extend(model.jobs.values().map(|job| job.state.word()));
+            reached.extend(model.jobs.values().map(|job| job.state.as_str()));
             reached.extend(
                 (result == OperationResult::Refused(ErrorKind::Fenced)).then_some("fenced"),
             );
--- a/crates/control-state/tests/places.rs
+++ b/crates/control-state/tests/places.rs
@@ -11,7 +11,7 @@
 
 const TOKEN: FencingToken = FencingToken(5);
 
-fn life(name: &str) -> ServerId {
+fn incarnation(name: &str) -> ServerId {
     ServerId(name.to_owned())
 }
 
@@ -23,7 +23,7 @@
     Operation::RecordServer {
         service: ServiceName("one".to_owned()),
         token,
-        server: life(server),
+        server: incarnation(server),
         agent: agent(machine),
     }
 }
@@ -37,7 +37,7 @@
 
 fn earlier(state: &ControlState, server: &str) -> Vec<String> {
     state
-        .earlier_lives(&life(server))
+        .earlier_incarnations(&incarnation(server))
         .into_iter()
         .map(|id| id.0.clone())
         .collect()
--- a/crates/control-state/tests/runs.rs
+++ b/crates/control-state/tests/runs.rs
@@ -14,7 +14,7 @@
 /// Ends that are neither good nor a failure.
 const INTERRUPTIONS: [RunEnd; 5] = [
     RunEnd::Stopped,
-    RunEnd::Lapsed,
+    RunEnd::LeaseExpired,
     RunEnd::Broken,
     RunEnd::Alone,
     RunEnd::Refused,
@@ -207,19 +207,19 @@
 fn the_newest_checkpoint_is_kept() {
     let mut state = state_with(vec![step(1)]);
     let mut attempt = 0;
-    let mut run_to = |state: &mut lupinrack_control_state::ControlState, how, saved: &str| {
+    let mut run_to = |state: &mut lupinrack_control_state::ControlState, how, checkpoint: &str| {
         attempt += 1;
         assert!(try_start(state, task(0, 0, 0), attempt));
         state.apply(&ends(
             "one",
             TOKEN,
-            vec![end(task(0, 0, 0), attempt, how, saved)],
+            vec![end(task(0, 0, 0), attempt, how, checkpoint)],
             20,
         ));
-        record(state, task(0, 0, 0)).saved.clone()
+        record(state, task(0, 0, 0)).checkpoint.clone()
     };
     assert_eq!(run_to(&mut state, RunEnd::Failed, "first"), "first");
-    assert_eq!(run_to(&mut state, RunEnd::Lapsed, ""), "first");
+    assert_eq!(run_to(&mut state, RunEnd::LeaseExpired, ""), "first");
     assert_eq!(run_to(&mut state, RunEnd::Stopped, "second"), "second");
 }
 
--- a/crates/control-store/examples/measure_large.rs
+++ b/crates/control-store/examples/measure_large.rs
@@ -14,7 +14,7 @@
 const SNAPSHOT_AFTER: usize = 6_000_000;
 
 fn change(index: u64) -> Batch {
-    let body = ConfigurationBody::Whole("x".repeat(CHANGE_BYTES));
+    let body = ConfigurationBody::Replacement("x".repeat(CHANGE_BYTES));
     let operation = Operation::ChangeConfiguration(ConfigurationChange {
         if_match: index - 1,
         body,
--- a/crates/control-store/src/batch.rs
+++ b/crates/control-store/src/batch.rs
@@ -13,7 +13,7 @@
     /// Sets the newest agreed view.
     pub view: Option<Vec<u8>>,
     /// Sets what the log is worth in that view.
-    pub standing: Option<Vec<u8>>,
+    pub replica_status: Option<Vec<u8>>,
     /// Removes the entries after this index.
     pub truncate_after: Option<u64>,
     /// Replaces the snapshot, and removes the entries up to its index. Where a snapshot was received that replaces all
--- a/crates/control-store/src/rows.rs
+++ b/crates/control-store/src/rows.rs
@@ -22,16 +22,16 @@
 const VOTE: Key = (2, 0);
 const VIEW: Key = (3, 0);
 /// What the log is worth in that view.
-const STANDING: Key = (8, 0);
+const REPLICA_STATUS: Key = (8, 0);
 const SNAPSHOT: Key = (4, 0);
 /// The kind of the snapshot's pieces, by number from 0.
-const PIECE: u8 = 5;
+const CHUNK: u8 = 5;
 /// The kind of the log's entries, by index.
 const ENTRY: u8 = 6;
 const TAIL: Key = (7, 0);
 
 /// Bytes of a snapshot in one row: with the row's head they fill a page of 64 KiB.
-const PIECE_BYTES: usize = 65_536 - 512;
+const CHUNK_BYTES: usize = 65_536 - 512;
 
 /// What the snapshot's first row says.
 #[derive(Clone, Copy, Debug, Default, BorshSerialize, BorshDeserialize)]
@@ -95,8 +95,8 @@
         if let Some(view) = &batch.view {
             self.put(VIEW, view)?;
         }
-        if let Some(standing) = &batch.standing {
-            self.put(STANDING, standing)?;
+        if let Some(replica_status) = &batch.replica_status {
+            self.put(REPLICA_STATUS, replica_status)?;
         }
         if let Some(index) = batch.truncate_after {
             self.remove((ENTRY, index.saturating_add(1))..=(ENTRY, u64::MAX))?;
@@ -112,10 +112,10 @@
 
     fn replace_snapshot(&mut self, index: u64, bytes: &[u8]) -> Result<(), StoreError> {
         self.remove((ENTRY, 0)..=(ENTRY, index))?;
-        let pieces = bytes.len().div_ceil(PIECE_BYTES) as u64;
-        self.remove((PIECE, pieces)..=(PIECE, u64::MAX))?;
-        for (number, piece) in bytes.chunks(PIECE_BYTES).enumerate() {
-            self.put((PIECE, number as u64), piece)?;
+        let chunks = bytes.len().div_ceil(CHUNK_BYTES) as u64;
+        self.remove((CHUNK, chunks)..=(CHUNK, u64::MAX))?;
+        for (number, chunk) in bytes.chunks(CHUNK_BYTES).enumerate() {
+            self.put((CHUNK, number as u64), chunk)?;
         }
         let head = SnapshotHead {
             index,
@@ -163,7 +163,7 @@
         disk: rows.get::<DiskId>(DISK)?,
         vote: rows.bytes(VOTE)?,
         view: rows.bytes(VIEW)?,
-        standing: rows.bytes(STANDING)?,
+        replica_status: rows.bytes(REPLICA_STATUS)?,
         snapshot_index: head.index,
         snapshot: rows.snapshot(head)?,
         entries: rows.entries(head.index)?,
@@ -210,9 +210,9 @@
 
     fn snapshot(&self, head: SnapshotHead) -> Result<Vec<u8>, StoreError> {
         let mut bytes = Vec::new();
-        for row in self.0.range(all_of(PIECE)).map_err(failed)? {
-            let (_, piece) = row.map_err(failed)?;
-            bytes.extend_from_slice(piece.value());
+        for row in self.0.range(all_of(CHUNK)).map_err(failed)? {
+            let (_, chunk) = row.map_err(failed)?;
+            bytes.extend_from_slice(chunk.value());
         }
         if bytes.len() as u64 != head.bytes {
             return Err(damaged(DATA_FILE, "the snapshot is not whole"));
--- a/crates/control-store/src/simulated.rs
+++ b/crates/control-store/src/simulated.rs
@@ -41,7 +41,7 @@
     synced_names: BTreeMap<String, FileNumber>,
     next_file: FileNumber,
     /// Rises with each loss of power; files opened before are dead.
-    life: u64,
+    incarnation: u64,
     /// After so many further changes the power is lost.
     changes_left: Option<u64>,
     failing: Option<Failing>,
@@ -90,7 +90,7 @@
     /// written is read as before, synced or not.
     pub fn restart_process(&self) {
         let mut disk = self.lock();
-        disk.life += 1;
+        disk.incarnation += 1;
         disk.changes_left = None;
         disk.failing = None;
     }
@@ -163,7 +163,7 @@
     }
 
     fn cycle_power(&mut self, random: &mut Random) {
-        self.life += 1;
+        self.incarnation += 1;
         self.changes_left = None;
         self.failing = None;
         self.lose_names(random);
@@ -209,7 +209,7 @@
 
     /// The file of a handle opened in this life.
     fn file(&mut self, handle: &Handle) -> io::Result<&mut FileState> {
-        if handle.life != self.life {
+        if handle.incarnation != self.incarnation {
             return Err(io::Error::other("opened before a loss of power"));
         }
         self.files
@@ -249,7 +249,7 @@
         };
         Ok(Box::new(Handle {
             disk: self.clone(),
-            life: disk.life,
+            incarnation: disk.incarnation,
             number,
         }))
     }
@@ -283,7 +283,7 @@
 #[derive(Debug)]
 struct Handle {
     disk: SimulatedDisk,
-    life: u64,
+    incarnation: u64,
     number: FileNumber,
 }
 
--- a/crates/control-store/src/store.rs
+++ b/crates/control-store/src/store.rs
@@ -50,7 +50,7 @@
     /// The newest agreed view; empty for none.
     pub view: Vec<u8>,
     /// What the log is worth in that view; empty for none.
-    pub standing: Vec<u8>,
+    pub replica_status: Vec<u8>,
     /// The index that the snapshot covers; 0 for none.
     pub snapshot_index: u64,
     /// The snapshot; empty for none.
--- a/crates/control-store/tests/common/mod.rs
+++ b/crates/control-store/tests/common/mod.rs
@@ -79,10 +79,10 @@
     state.disk = batch.disk.or(state.disk);
     state.vote = batch.vote.clone().unwrap_or_else(|| state.vote.clone());
     state.view = batch.view.clone().unwrap_or_else(|| state.view.clone());
-    state.standing = batch
-        .standing
+    state.replica_status = batch
+        .replica_status
         .clone()
-        .unwrap_or_else(|| state.standing.clone());
+        .unwrap_or_else(|| state.replica_status.clone());
     if let Some(last) = batch.truncate_after {
         state.entries.retain(|entry| entry.index <= last);
     }
@@ -109,7 +109,7 @@
         0 => batch.disk = Some(DiskId(choices.below(u64::MAX))),
         1 => batch.vote = Some(choices.bytes(200)),
         2 => batch.view = Some(choices.bytes(900)),
-        6 => batch.standing = Some(choices.bytes(300)),
+        6 => batch.replica_status = Some(choices.bytes(300)),
         3 => batch.truncate_after = Some(state.snapshot_index + choices.below(20)),
         4 => {
             let kept = state.entries.len() as u64;
--- a/crates/control-store/tests/golden.rs
+++ b/crates/control-store/tests/golden.rs
@@ -7,7 +7,7 @@
 
 use golden_rows::{read_rows, write_rows, Key, Row};
 use golden_sparse::{read_sparse, write_sparse};
-use lupinrack_chain::Standing;
+use lupinrack_chain::ReplicaStatus;
 use lupinrack_cluster_api::identity::{
     DiskId, FencingToken, JobId, PeerAddress, QueueName, ServerId, ServiceName, TaskId,
 };
@@ -72,11 +72,11 @@
     VoteState {
         promised: Ballot {
             round: 10,
-            life: 11,
+            incarnation: 11,
         },
         accepted_ballot: Ballot {
             round: 12,
-            life: 13,
+            incarnation: 13,
         },
         accepted: view(14),
         agreed: view(15),
@@ -103,13 +103,13 @@
         task,
         attempt: 26,
         server: server.clone(),
-        saved: "half".to_owned(),
+        checkpoint: "half".to_owned(),
     };
     let end = EndRecord {
         task,
         attempt: 27,
-        end: RunEnd::Lapsed,
-        saved: "most".to_owned(),
+        end: RunEnd::LeaseExpired,
+        checkpoint: "most".to_owned(),
     };
     let body = ConfigurationBody::Patch("{}".to_owned());
     let operations = [
@@ -125,7 +125,7 @@
             service: service.clone(),
             token,
             owner: DiskId(29),
-            life: 30,
+            incarnation: 30,
         },
         Operation::RecordStarts {
             service: service.clone(),
@@ -166,7 +166,7 @@
         disk: Some(DiskId(0x0102_0304_0506_0708)),
         vote: Some(borsh::to_vec(&vote()).expect("a vote has bytes")),
         view: Some(borsh::to_vec(&view(15)).expect("a view has bytes")),
-        standing: Some(borsh::to_vec(&Standing::Joining).expect("a standing has bytes")),
+        replica_status: Some(borsh::to_vec(&ReplicaStatus::Joining).expect("a standing has bytes")),
         truncate_after: Some(500),
         snapshot: Some((500, snapshot_bytes(40))),
         append: entries(501),
@@ -181,7 +181,7 @@
         disk: batch.disk,
         vote: batch.vote.clone().unwrap_or_default(),
         view: batch.view.clone().unwrap_or_default(),
-        standing: batch.standing.clone().unwrap_or_default(),
+        replica_status: batch.replica_status.clone().unwrap_or_default(),
         snapshot_index,
         snapshot,
         entries: batch.append.clone(),
@@ -272,14 +272,14 @@
 #[test]
 fn rows_after_changes() {
     let mut file = golden("rows_after_changes.hex");
-    let standing = borsh::to_vec(&Standing::Complete).expect("a standing has bytes");
+    let replica_status = borsh::to_vec(&ReplicaStatus::Complete).expect("a standing has bytes");
     let append = vec![LogEntry {
         index: 506,
         operation: Operation::Nothing,
     }];
     let later = Batch {
         truncate_after: Some(505),
-        standing: Some(standing),
+        replica_status: Some(replica_status),
         append,
         ..Batch::default()
     };
@@ -294,7 +294,7 @@
     let rows = kept_rows(&mut file, &rows);
     file.finish();
     let mut expected = recovered(&whole_batch());
-    expected.standing = later.standing.unwrap_or_default();
+    expected.replica_status = later.replica_status.unwrap_or_default();
     expected.entries.retain(|entry| entry.index == 505);
     expected.entries.extend(later.append);
     (expected.snapshot_index, expected.snapshot) = covering.snapshot.unwrap_or_default();
@@ -324,12 +324,12 @@
         );
     }
     file.finish();
-    let pieces: Vec<u8> = rows
+    let chunks: Vec<u8> = rows
         .iter()
         .filter(|((kind, _), _)| *kind == 5)
         .flat_map(|(_, row)| row.clone())
         .collect();
-    assert_eq!(pieces, bytes);
+    assert_eq!(chunks, bytes);
     assert_eq!(found_in(&folder("long-read"), &rows).snapshot, bytes);
 }
 
@@ -340,8 +340,8 @@
     file.borsh("vote", &vote());
     file.borsh("vote of a disk that has not voted", &VoteState::default());
     file.borsh("view", &view(15));
-    file.borsh("standing complete", &Standing::Complete);
-    file.borsh("standing joining", &Standing::Joining);
+    file.borsh("standing complete", &ReplicaStatus::Complete);
+    file.borsh("standing joining", &ReplicaStatus::Joining);
     file.finish();
 }
 
--- a/crates/lupinrack/src/cluster/job.rs
+++ b/crates/lupinrack/src/cluster/job.rs
@@ -51,7 +51,7 @@
 fn show(matches: &ArgMatches) -> Result<(), Ended> {
     let answer = answered(matches, Method::GET)?;
     let state = parse_job_state(&answer.body).map_err(Ended::failed)?;
-    println!("{}", state.word());
+    println!("{}", state.as_str());
     Ok(())
 }
 
--- a/crates/lupinrack/src/cluster/local.rs
+++ b/crates/lupinrack/src/cluster/local.rs
@@ -35,7 +35,7 @@
             .default_value(default);
         argument.value_parser(value_parser!(u64).range(1..=3_600))
     };
-    let parts = Part::ALL.map(Part::word).into_iter().chain([NONE]);
+    let parts = Part::ALL.map(Part::as_str).into_iter().chain([NONE]);
     let kill = Arg::new(KILL)
         .long(KILL)
         .value_name("PART")
@@ -49,7 +49,7 @@
         )
         .arg(
             kill.value_parser(PossibleValuesParser::new(parts))
-                .default_value(Part::Head.word())
+                .default_value(Part::Head.as_str())
                 .help("What is killed and started again; may be given more than once"),
         )
         .arg(
@@ -89,7 +89,7 @@
 fn parts(matches: &ArgMatches) -> Vec<Part> {
     let words = matches.get_many::<String>(KILL).into_iter().flatten();
     words
-        .filter_map(|word| Part::ALL.into_iter().find(|part| part.word() == word))
+        .filter_map(|word| Part::ALL.into_iter().find(|part| part.as_str() == word))
         .collect()
 }
 
--- a/crates/mock-servers/src/worker/machine.rs
+++ b/crates/mock-servers/src/worker/machine.rs
@@ -26,7 +26,7 @@
     /// What it has.
     pub capacity: Capacity,
     /// The longest hold.
-    pub hold_most_ms: u64,
+    pub lease_most_ms: u64,
     /// How long a stop takes.
     pub stop_takes_ms: u64,
     /// How long a member of a gang waits for the others.
@@ -120,7 +120,7 @@
         if answer.hold_ms == 0 {
             return true;
         }
-        let hold = answer.hold_ms.min(self.settings.hold_most_ms);
+        let hold = answer.hold_ms.min(self.settings.lease_most_ms);
         self.hold_until = self.hold_until.max(sent_at + hold);
         for start in answer.start {
             self.start(start, now);
--- a/crates/mock-servers/tests/worker.rs
+++ b/crates/mock-servers/tests/worker.rs
@@ -26,7 +26,7 @@
             mem_mb: 1_000,
             gpu: 0,
         },
-        hold_most_ms: 5_000,
+        lease_most_ms: 5_000,
         stop_takes_ms: 30,
         gang_waits_ms: 300,
     };
--- a/crates/node-settings/src/bounds.rs
+++ b/crates/node-settings/src/bounds.rs
@@ -31,7 +31,7 @@
     /// How soon the system has to work again after a loss of everything.
     pub recovery_ms: u64,
     /// How long a server holds its tasks at most without a renewal.
-    pub hold_max_ms: u64,
+    pub lease_max_ms: u64,
     /// How long a server takes at most to stop a task.
     pub stop_ms: u64,
     /// How long a member of a gang waits for the others.
@@ -70,7 +70,7 @@
             rollback_slack_ms: 200,
             max_skew_ms: 5_000,
             recovery_ms: 10_000,
-            hold_max_ms: 4_000,
+            lease_max_ms: 4_000,
             stop_ms: 1_000,
             gang_ms: 2_000,
             cancel_ms: 2_000,
@@ -103,7 +103,7 @@
             rollback_slack_ms: duration("rollback-slack", default.rollback_slack_ms),
             max_skew_ms: duration("max-skew", default.max_skew_ms),
             recovery_ms: duration("recovery", default.recovery_ms),
-            hold_max_ms: duration("hold-max", default.hold_max_ms),
+            lease_max_ms: duration("hold-max", default.lease_max_ms),
             stop_ms: duration("stop", default.stop_ms),
             gang_ms: duration("gang", default.gang_ms),
             cancel_ms: duration("cancel", default.cancel_ms),
--- a/crates/node-settings/tests/settings.rs
+++ b/crates/node-settings/tests/settings.rs
@@ -175,7 +175,7 @@
     let expected = Bounds {
         catch_up_ms: 4000,
         ack_ms: 4500,
-        hold_max_ms: 6000,
+        lease_max_ms: 6000,
         stop_ms: 900,
         finish_ms: 14_000,
         save_ms: 2500,
@@ -252,7 +252,7 @@
         bounds.rollback_slack_ms,
         bounds.max_skew_ms,
         bounds.recovery_ms,
-        bounds.hold_max_ms,
+        bounds.lease_max_ms,
         bounds.stop_ms,
         bounds.gang_ms,
         bounds.cancel_ms,
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -117,7 +117,7 @@
     }
 
     fn start_gang(&mut self, demand: &Demand<'_>, tasks: &[TaskId], shares: &[Share], factor: f64) {
-        let (attempt, saved) = gang_start(demand, tasks);
+        let (attempt, checkpoint) = gang_start(demand, tasks);
         let places = shares
             .iter()
             .flat_map(|share| (0..share.count).map(|_| share.row));
@@ -132,7 +132,7 @@
                 task,
                 attempt,
                 server,
-                saved: saved.clone(),
+                checkpoint: checkpoint.clone(),
             };
             self.note_start(place, &start, traits);
             starts.push(start);
@@ -153,8 +153,8 @@
         .max()
         .unwrap_or(0)
         + 1;
-    let saved = records
-        .map(|record| &record.saved)
-        .find(|saved| !saved.is_empty());
-    (attempt, saved.cloned().unwrap_or_default())
+    let checkpoint = records
+        .map(|record| &record.checkpoint)
+        .find(|checkpoint| !checkpoint.is_empty());
+    (attempt, checkpoint.cloned().unwrap_or_default())
 }
--- a/crates/scheduler/src/heartbeats.rs
+++ b/crates/scheduler/src/heartbeats.rs
@@ -1,6 +1,6 @@
 //! Reading of heartbeats: progress, ends, runs that no record asks for, and proofs that a stopped run never runs.
 
-use crate::lapses::LapseRule;
+use crate::lapses::InferredEndReason;
 use crate::runs::{Run, RunPhase, StopReason};
 use crate::scheduler::Scheduler;
 use crate::servers::{ForeignRun, Server, UnreadHeartbeat};
@@ -87,7 +87,7 @@
                 task,
                 attempt,
                 end: finished.end,
-                saved: finished.saved.clone(),
+                checkpoint: finished.checkpoint.clone(),
             };
             self.end_run(record);
         } else {
@@ -103,8 +103,8 @@
             .get(record.task)
             .filter(|run| run.attempt == record.attempt)
         {
-            if record.saved.is_empty() {
-                record.saved.clone_from(&run.saved);
+            if record.checkpoint.is_empty() {
+                record.checkpoint.clone_from(&run.checkpoint);
             }
             // The others of a gang cannot go on alone.
             if record.end != RunEnd::Done && run.traits.gang {
@@ -205,7 +205,7 @@
             .collect();
         stopped
             .into_iter()
-            .for_each(|task| self.end_unlisted(task, LapseRule::StopSeen));
+            .for_each(|task| self.end_unlisted(task, InferredEndReason::StopSeen));
     }
 
     /// Notes that the record has taken note of an end, or never will.
@@ -254,8 +254,8 @@
         run.percent = running.percent;
         run.progressed_at = at;
     }
-    if !running.saved.is_empty() && run.saved != running.saved {
-        run.saved.clone_from(&running.saved);
+    if !running.checkpoint.is_empty() && run.checkpoint != running.checkpoint {
+        run.checkpoint.clone_from(&running.checkpoint);
         run.saved_at = at;
     }
 }
--- a/crates/scheduler/src/lapses.rs
+++ b/crates/scheduler/src/lapses.rs
@@ -11,13 +11,13 @@
 
 /// Why a run is over although its server did not list its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
-pub enum LapseRule {
+pub enum InferredEndReason {
     /// its server left in order
     ServerLeft,
     /// a later life runs beside the same agent
-    LaterLife,
+    LaterIncarnation,
     /// every hold that its server was granted is over
-    HoldOver,
+    LeaseExpired,
     /// its server is not known, and every hold that an earlier owner granted is over
     TakeoverBound,
     /// its server was gone before it was told of it
@@ -30,7 +30,7 @@
 
 /// A run that is over without its server's word.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LapsedRun {
+pub struct InferredEnd {
     /// The task.
     pub task: TaskId,
     /// The number of the start.
@@ -38,7 +38,7 @@
     /// The server that it was assigned to.
     pub server: ServerId,
     /// Why it is over.
-    pub rule: LapseRule,
+    pub rule: InferredEndReason,
 }
 
 impl Scheduler {
@@ -76,7 +76,7 @@
     }
 
     /// A life of a server is over, and all that ran in it.
-    pub(crate) fn server_gone(&mut self, server: &ServerId, rule: LapseRule) {
+    pub(crate) fn server_gone(&mut self, server: &ServerId, rule: InferredEndReason) {
         self.lapse_runs(server, rule);
         self.withdraw_server(server);
         self.servers.remove(server);
@@ -90,15 +90,15 @@
     pub(crate) fn expire_servers(&mut self, now: Millis) {
         let silence_ms = self.settings.silence_ms;
         let over = self.servers.iter().filter(|(_, server)| {
-            now > server.hold_bound && now.since(server.last_contact) > silence_ms
+            now > server.lease_bound && now.since(server.last_contact) > silence_ms
         });
         let over: Vec<(ServerId, bool)> = over
             .map(|(id, server)| (id.clone(), server.session.is_none()))
             .collect();
         for (server, detached) in over {
             if detached {
-                self.server_gone(&server, LapseRule::HoldOver);
-            } else if self.lapse_runs(&server, LapseRule::HoldOver) {
+                self.server_gone(&server, InferredEndReason::LeaseExpired);
+            } else if self.lapse_runs(&server, InferredEndReason::LeaseExpired) {
                 self.withdraw_server(&server);
                 self.servers.renew_session(&server);
             }
@@ -106,7 +106,7 @@
     }
 
     /// Ends all runs of a server; tells whether there were any.
-    fn lapse_runs(&mut self, server: &ServerId, rule: LapseRule) -> bool {
+    fn lapse_runs(&mut self, server: &ServerId, rule: InferredEndReason) -> bool {
         let held = |run: &Run| run.phase == RunPhase::Recorded && !run.ended;
         let tasks: Vec<TaskId> = self
             .runs
@@ -119,16 +119,16 @@
     }
 
     /// Has the end of a run recorded that its server did not list.
-    pub(crate) fn end_unlisted(&mut self, task: TaskId, rule: LapseRule) {
+    pub(crate) fn end_unlisted(&mut self, task: TaskId, rule: InferredEndReason) {
         let Some(run) = self.runs.get(task) else {
             return;
         };
         let (attempt, server) = (run.attempt, run.server.clone());
         let end = match rule {
-            LapseRule::StoppedUntold | LapseRule::StopSeen => RunEnd::Stopped,
-            _ => RunEnd::Lapsed,
+            InferredEndReason::StoppedUntold | InferredEndReason::StopSeen => RunEnd::Stopped,
+            _ => RunEnd::LeaseExpired,
         };
-        self.lapsed.push(LapsedRun {
+        self.lapsed.push(InferredEnd {
             task,
             attempt,
             server,
@@ -138,7 +138,7 @@
             task,
             attempt,
             end,
-            saved: String::new(),
+            checkpoint: String::new(),
         });
     }
 
@@ -148,23 +148,23 @@
             .runs
             .iter()
             .filter(|run| run.phase == RunPhase::Recorded && !run.ended);
-        let over: Vec<(TaskId, LapseRule)> = recorded
+        let over: Vec<(TaskId, InferredEndReason)> = recorded
             .filter_map(|run| Some((run.task, self.settled_by(run, now)?)))
             .collect();
         over.into_iter()
             .for_each(|(task, rule)| self.end_unlisted(task, rule));
     }
 
-    fn settled_by(&self, run: &Run, now: Millis) -> Option<LapseRule> {
+    fn settled_by(&self, run: &Run, now: Millis) -> Option<InferredEndReason> {
         if run.stop.is_some() && !run.may_be_known() {
-            return Some(LapseRule::StoppedUntold);
+            return Some(InferredEndReason::StoppedUntold);
         }
         if self.servers.get(&run.server).is_some() {
             return None;
         }
         match run.inherited {
-            false => Some(LapseRule::NeverTold),
-            true => (now > self.takeover_bound).then_some(LapseRule::TakeoverBound),
+            false => Some(InferredEndReason::NeverTold),
+            true => (now > self.takeover_bound).then_some(InferredEndReason::TakeoverBound),
         }
     }
 }
@@ -188,7 +188,7 @@
                     task: id,
                     attempt: task.attempt,
                     server: server.clone(),
-                    saved: task.saved.clone(),
+                    checkpoint: task.checkpoint.clone(),
                 });
             }
         }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -42,7 +42,7 @@
 mod submissions;
 mod summary;
 
-pub use lapses::{LapseRule, LapsedRun};
+pub use lapses::{InferredEnd, InferredEndReason};
 pub use scheduler::{AgentOrder, Round, Scheduler};
 pub use settings::SchedulerSettings;
 pub use summary::{ServerSummary, ServiceSummary, WaitingSummary};
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -44,12 +44,12 @@
     ) -> Option<AgentOrder> {
         let session = self.servers.get(server)?.session.clone()?;
         let changes = self.changes(state, server, &session);
-        let beat_after_ms = self.beat_after_ms(server, now);
+        let heartbeat_after_ms = self.heartbeat_after_ms(server, now);
         let observed = self.servers.get(server)?.ends.observed();
         let says_something = !changes.assign.is_empty()
             || !changes.stop.is_empty()
             || observed > session.observed_sent
-            || beat_after_ms < session.beat_sent;
+            || heartbeat_after_ms < session.heartbeat_sent;
         if !says_something && !self.is_renewal_due(&session) {
             return None;
         }
@@ -57,13 +57,13 @@
             token: self.token,
             server: server.clone(),
             number: session.next_number,
-            whole: session.granted.is_none(),
+            complete: session.granted.is_none(),
             assign: changes.assign,
             stop: changes.stop,
             observed,
-            hold_from: session.report.sent_at,
-            hold_ms: self.settings.hold_ms,
-            beat_after_ms,
+            lease_from: session.report.sent_at,
+            lease_ms: self.settings.lease_ms,
+            heartbeat_after_ms,
         };
         self.note_sent(server, &session, &message);
         let agent = self.servers.get(server)?.agent;
@@ -120,10 +120,10 @@
                 run.stop_sent = Some(sent);
             }
         }
-        let hold_bound = session
+        let lease_bound = session
             .report
             .received_at
-            .plus(self.settings.hold_bound_ms());
+            .plus(self.settings.lease_bound_ms());
         let Some(entry) = self.servers.get_mut(server) else {
             return;
         };
@@ -132,24 +132,24 @@
                 run.stop_sent = Some(sent);
             }
         }
-        entry.hold_bound = entry.hold_bound.max(hold_bound);
+        entry.lease_bound = entry.lease_bound.max(lease_bound);
         if let Some(session) = &mut entry.session {
             session.next_number += 1;
             session.granted = Some(session.report);
             session.observed_sent = message.observed;
-            session.beat_sent = message.beat_after_ms;
+            session.heartbeat_sent = message.heartbeat_after_ms;
         }
     }
 
     fn is_renewal_due(&self, session: &Session) -> bool {
-        let renew_ms = self.settings.hold_ms / RENEWAL_PART;
+        let renew_ms = self.settings.lease_ms / RENEWAL_PART;
         session
             .granted
             .is_none_or(|granted| session.report.received_at.since(granted.received_at) >= renew_ms)
     }
 
     /// How often a server should beat: often while something starts or ends there, or is about to.
-    fn beat_after_ms(&self, server: &ServerId, now: Millis) -> u64 {
+    fn heartbeat_after_ms(&self, server: &ServerId, now: Millis) -> u64 {
         let settings = &self.settings;
         let changes_soon = |run: &Run| {
             run.running_since.is_none()
@@ -162,15 +162,15 @@
             .get(server)
             .is_some_and(|entry| entry.ends.is_pending());
         if ends_pending || self.runs.of_server(server).any(changes_soon) {
-            settings.busy_beat_ms
+            settings.busy_heartbeat_ms
         } else if self
             .jobs
             .newest_at()
             .is_some_and(|at| now.since(at) <= settings.active_ms)
         {
-            settings.active_beat_ms
+            settings.active_heartbeat_ms
         } else {
-            settings.idle_beat_ms
+            settings.idle_heartbeat_ms
         }
     }
 }
@@ -201,6 +201,6 @@
         task: run.task,
         attempt: run.attempt,
         spec: job.spec.spec.clone(),
-        saved: run.start_saved.clone(),
+        checkpoint: run.start_saved.clone(),
     })
 }
--- a/crates/scheduler/src/places.rs
+++ b/crates/scheduler/src/places.rs
@@ -6,7 +6,7 @@
 //! Heartbeats may be late, so a life that attaches is not always the later one: the record tells which of two was met
 //! first, and only a life that nobody has met before is later than all that were.
 
-use crate::lapses::LapseRule;
+use crate::lapses::InferredEndReason;
 use crate::scheduler::Scheduler;
 use lupinrack_cluster_api::identity::{PeerAddress, ServerId};
 use lupinrack_control_state::ControlState;
@@ -24,28 +24,32 @@
         for (server, agent) in unplaced {
             if state.servers.contains_key(&server) {
                 self.submissions.forget_server(&server);
-                let earlier = state.earlier_lives(&server).into_iter().cloned().collect();
-                self.end_lives(earlier);
+                let earlier = state
+                    .earlier_incarnations(&server)
+                    .into_iter()
+                    .cloned()
+                    .collect();
+                self.end_incarnations(earlier);
                 self.placed.insert(server);
             } else {
-                self.end_lives(self.others_beside(agent, &server));
+                self.end_incarnations(self.others_beside(agent, &server));
                 self.submissions.add_server(server, agent);
             }
         }
     }
 
     /// The other lives that this owner met beside an agent.
-    fn others_beside(&self, agent: PeerAddress, life: &ServerId) -> Vec<ServerId> {
+    fn others_beside(&self, agent: PeerAddress, incarnation: &ServerId) -> Vec<ServerId> {
         let others = self
             .servers
             .iter()
-            .filter(|(id, server)| server.agent == agent && *id != life);
+            .filter(|(id, server)| server.agent == agent && *id != incarnation);
         others.map(|(id, _)| id.clone()).collect()
     }
 
-    fn end_lives(&mut self, lives: Vec<ServerId>) {
-        lives
-            .iter()
-            .for_each(|life| self.server_gone(life, LapseRule::LaterLife));
+    fn end_incarnations(&mut self, incarnations: Vec<ServerId>) {
+        incarnations.iter().for_each(|incarnation| {
+            self.server_gone(incarnation, InferredEndReason::LaterIncarnation)
+        });
     }
 }
--- a/crates/scheduler/src/queueing.rs
+++ b/crates/scheduler/src/queueing.rs
@@ -231,7 +231,7 @@
             task,
             attempt: record.map_or(0, |record| record.attempt) + 1,
             server: self.rows[place].server.clone(),
-            saved: record.map_or_else(String::new, |record| record.saved.clone()),
+            checkpoint: record.map_or_else(String::new, |record| record.checkpoint.clone()),
         };
         self.note_start(place, &start, traits);
         self.starts.push(vec![start]);
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -112,7 +112,7 @@
     /// The checkpoint that it continues from; empty for none.
     pub start_saved: String,
     /// The newest checkpoint that is known.
-    pub saved: String,
+    pub checkpoint: String,
     /// How far its record is.
     pub phase: RunPhase,
     /// Whether it was recorded without this scheduler's reservation, so that somebody else may have told its server.
@@ -145,8 +145,8 @@
             attempt: start.attempt,
             server: start.server.clone(),
             traits,
-            start_saved: start.saved.clone(),
-            saved: start.saved.clone(),
+            start_saved: start.checkpoint.clone(),
+            checkpoint: start.checkpoint.clone(),
             phase: RunPhase::Proposed,
             inherited: false,
             told_in: None,
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -4,7 +4,7 @@
 use crate::evidence::Evidence;
 use crate::headroom::UrgentUse;
 use crate::jobs::{JobBoard, JobView};
-use crate::lapses::{LapseRule, LapsedRun};
+use crate::lapses::{InferredEnd, InferredEndReason};
 use crate::queueing::QueuedTask;
 use crate::runs::{Run, RunLedger, RunPhase, RunTraits, StopReason};
 use crate::servers::{Attachment, ReportTimes, ServerTable};
@@ -39,7 +39,7 @@
     /// Messages that are to be sent to agents.
     pub messages: Vec<AgentOrder>,
     /// Runs whose ends are among the operations although their servers did not list them.
-    pub lapsed: Vec<LapsedRun>,
+    pub lapsed: Vec<InferredEnd>,
 }
 
 /// What the owner of a service's shard decides. A state machine without I/O: messages, applied operations and moments
@@ -64,7 +64,7 @@
     pub(crate) dispatcher: Dispatcher<ServerId, QueueName, TaskId>,
     pub(crate) queued: BTreeMap<TaskId, QueuedTask>,
     /// Runs that were found to be over without their servers' word since the last round.
-    pub(crate) lapsed: Vec<LapsedRun>,
+    pub(crate) lapsed: Vec<InferredEnd>,
 }
 
 impl Scheduler {
@@ -137,13 +137,13 @@
                 };
                 self.report(agent, connection, heartbeat, report);
             }
-            AgentMessage::Leave { server } => {
+            AgentMessage::Deregister { server } => {
                 if self
                     .servers
                     .in_session(agent, connection)
                     .is_some_and(|known| known.facts.id == server)
                 {
-                    self.server_gone(&server, LapseRule::ServerLeft);
+                    self.server_gone(&server, InferredEndReason::ServerLeft);
                 }
             }
         }
--- a/crates/scheduler/src/servers.rs
+++ b/crates/scheduler/src/servers.rs
@@ -39,7 +39,7 @@
     /// The bound on observed ends in the newest message.
     pub observed_sent: u64,
     /// The cadence in the newest message.
-    pub beat_sent: u64,
+    pub heartbeat_sent: u64,
 }
 
 impl Session {
@@ -51,7 +51,7 @@
             report,
             granted: None,
             observed_sent: 0,
-            beat_sent: 0,
+            heartbeat_sent: 0,
         }
     }
 }
@@ -89,7 +89,7 @@
     /// When its agent was last heard of.
     pub last_contact: Millis,
     /// The latest moment up to which it may hold anything.
-    pub hold_bound: Millis,
+    pub lease_bound: Millis,
 }
 
 /// A heartbeat that was received and not read yet.
@@ -174,8 +174,8 @@
 }
 
 impl ServerTable {
-    /// Begins a session. `hold_bound` is until when a server that was not known may hold what earlier owners granted.
-    pub fn attach(&mut self, attachment: Attachment, hold_bound: Millis) {
+    /// Begins a session. `lease_bound` is until when a server that was not known may hold what earlier owners granted.
+    pub fn attach(&mut self, attachment: Attachment, lease_bound: Millis) {
         let Attachment {
             agent,
             connection,
@@ -198,7 +198,7 @@
             foreign: BTreeMap::new(),
             ends: EndList::default(),
             last_contact: report.received_at,
-            hold_bound,
+            lease_bound,
         });
         if heartbeat.sequence >= server.sequence {
             server.facts = facts;
@@ -224,8 +224,11 @@
     }
 
     /// An agent speaks for one life at a time.
-    fn end_session_beside(&mut self, agent: PeerAddress, life: &ServerId) {
-        let before = self.by_agent.get(&agent).filter(|before| *before != life);
+    fn end_session_beside(&mut self, agent: PeerAddress, incarnation: &ServerId) {
+        let before = self
+            .by_agent
+            .get(&agent)
+            .filter(|before| *before != incarnation);
         if let Some(server) = before.and_then(|before| self.servers.get_mut(before)) {
             server.session = None;
         }
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -16,13 +16,13 @@
     /// How long after its notice a draining server may still be given starts; the scheduler gives none at once.
     pub drain_ms: u64,
     /// The hold that is granted with each message to an agent, also by every other owner.
-    pub hold_ms: u64,
+    pub lease_ms: u64,
     /// How long an old owner may still act after a new one took the shard.
     pub old_owner_authority_ms: u64,
     /// By which part two steady clocks may differ over the same time.
     pub clock_drift: f64,
     /// Added to bounds on holds, for what is on its way.
-    pub hold_margin_ms: u64,
+    pub lease_margin_ms: u64,
     /// Work between two checkpoints.
     pub save_ms: u64,
     /// What it takes to continue from a checkpoint.
@@ -32,13 +32,13 @@
     /// A server that was not heard of for this long is given nothing new.
     pub silence_ms: u64,
     /// Between heartbeats of a server where something starts, ends or is about to end.
-    pub busy_beat_ms: u64,
+    pub busy_heartbeat_ms: u64,
     /// Between heartbeats while jobs come in.
-    pub active_beat_ms: u64,
+    pub active_heartbeat_ms: u64,
     /// Jobs come in if the newest one came within this time.
     pub active_ms: u64,
     /// Between heartbeats of a server otherwise.
-    pub idle_beat_ms: u64,
+    pub idle_heartbeat_ms: u64,
     /// Runs that end within this time make a server busy.
     pub soon_ms: u64,
     /// How long more urgent work waits before it preempts.
@@ -63,18 +63,18 @@
             gang_ms: 3_000,
             early_ms: 250,
             drain_ms: 2_000,
-            hold_ms: 3_000,
+            lease_ms: 3_000,
             old_owner_authority_ms: 1_000,
             clock_drift: 0.03,
-            hold_margin_ms: 100,
+            lease_margin_ms: 100,
             save_ms: 2_000,
             restore_ms: 500,
             resubmit_ms: 700,
             silence_ms: 600,
-            busy_beat_ms: 20,
-            active_beat_ms: 40,
+            busy_heartbeat_ms: 20,
+            active_heartbeat_ms: 40,
             active_ms: 2_000,
-            idle_beat_ms: 60,
+            idle_heartbeat_ms: 60,
             soon_ms: 3_000,
             preempt_after_ms: 100,
             stall_ms: 2_000,
@@ -91,13 +91,13 @@
 
 impl SchedulerSettings {
     /// The longest that a hold granted now may last anywhere, by the owner's clock.
-    pub fn hold_bound_ms(&self) -> u64 {
-        let stretched = self.hold_ms as f64 * (1.0 + self.clock_drift);
-        stretched.ceil() as u64 + self.hold_margin_ms
+    pub fn lease_bound_ms(&self) -> u64 {
+        let stretched = self.lease_ms as f64 * (1.0 + self.clock_drift);
+        stretched.ceil() as u64 + self.lease_margin_ms
     }
 
     /// How long after a takeover something that an old owner granted may still be held.
     pub fn takeover_bound_ms(&self) -> u64 {
-        self.old_owner_authority_ms + self.hold_bound_ms()
+        self.old_owner_authority_ms + self.lease_bound_ms()
     }
 }
--- a/crates/scheduler/tests/decisions/bench.rs
+++ b/crates/scheduler/tests/decisions/bench.rs
@@ -92,7 +92,7 @@
     );
     Operation::ChangeConfiguration(ConfigurationChange {
         if_match: 0,
-        body: ConfigurationBody::Whole(body),
+        body: ConfigurationBody::Replacement(body),
     })
 }
 
@@ -123,7 +123,7 @@
             service: service(),
             token,
             owner,
-            life: token.0,
+            incarnation: token.0,
         });
         assert_eq!(taken, OperationResult::Done);
     }
@@ -137,8 +137,8 @@
     }
 
     /// A server of 16 cores attaches, with these labels.
-    pub fn attach(&mut self, machine: u16, life: u64, labels: &[&str]) {
-        let id = ServerId(format!("s{machine}-{life}"));
+    pub fn attach(&mut self, machine: u16, incarnation: u64, labels: &[&str]) {
+        let id = ServerId(format!("s{machine}-{incarnation}"));
         let facts = ServerFacts {
             id: id.clone(),
             service: service(),
@@ -151,7 +151,7 @@
             },
             labels: labels.iter().map(|label| (*label).to_owned()).collect(),
         };
-        let connection = u64::from(machine) * 1_000 + self.now + life;
+        let connection = u64::from(machine) * 1_000 + self.now + incarnation;
         let place = Place {
             id,
             connection,
@@ -203,7 +203,7 @@
     /// A server leaves, having drained.
     pub fn leave(&mut self, machine: u16) {
         let place = &self.places[&machine];
-        let message = AgentMessage::Leave {
+        let message = AgentMessage::Deregister {
             server: place.id.clone(),
         };
         self.scheduler.receive(
@@ -232,7 +232,7 @@
                 place.running.push(RunningTask {
                     task,
                     attempt,
-                    saved: assignment.saved,
+                    checkpoint: assignment.checkpoint,
                     percent: 0,
                 });
             }
@@ -369,7 +369,7 @@
             task,
             attempt,
             end,
-            saved: run.saved,
+            checkpoint: run.checkpoint,
         });
     }
 }
--- a/crates/scheduler/tests/decisions/lapses.rs
+++ b/crates/scheduler/tests/decisions/lapses.rs
@@ -27,7 +27,7 @@
         let ends = Bench::ends(&round.operations);
         if ends
             .iter()
-            .any(|end| end.task == task(7, 0, 0) && end.end == RunEnd::Lapsed)
+            .any(|end| end.task == task(7, 0, 0) && end.end == RunEnd::LeaseExpired)
         {
             return Some(bench.now - begin);
         }
@@ -39,10 +39,10 @@
 fn a_silent_server_keeps_its_runs_until_its_hold_is_over() {
     let mut bench = one_running();
     let lapsed = silent_until_lapsed(&mut bench, 10_000);
-    let bound_ms = bench.settings.hold_bound_ms();
+    let bound_ms = bench.settings.lease_bound_ms();
     let lapsed = lapsed.expect("its hold ends");
     assert!(
-        lapsed + bench.settings.hold_ms / 4 >= bound_ms,
+        lapsed + bench.settings.lease_ms / 4 >= bound_ms,
         "{lapsed} of {bound_ms} ms"
     );
     assert!(lapsed <= bound_ms + 50, "{lapsed} of {bound_ms} ms");
@@ -55,7 +55,7 @@
     let round = bench.round();
     assert!(Bench::ends(&round.operations)
         .iter()
-        .any(|end| end.end == RunEnd::Lapsed));
+        .any(|end| end.end == RunEnd::LeaseExpired));
 }
 
 #[test]
@@ -84,7 +84,7 @@
     bench.attach_again(MACHINE, 99);
     bench.round();
     let (_, message) = bench.messages.pop().expect("the agent is told at once");
-    assert!(message.whole);
+    assert!(message.complete);
     assert_eq!(message.assign.len(), 1);
     assert_eq!(
         (message.assign[0].task, message.assign[0].attempt),
@@ -102,7 +102,7 @@
     silent_until_lapsed(&mut bench, 10_000).expect("its hold ends");
     bench.beat(MACHINE);
     bench.round();
-    let holds_anew = |message: &&(u16, OwnerMessage)| message.1.hold_from == Millis(bench.now);
+    let holds_anew = |message: &&(u16, OwnerMessage)| message.1.lease_from == Millis(bench.now);
     let newest = bench
         .messages
         .iter()
@@ -111,7 +111,7 @@
     let whole = bench
         .messages
         .iter()
-        .position(|(_, message)| message.whole)
+        .position(|(_, message)| message.complete)
         .expect("all is told anew");
     assert!(
         whole <= newest,
--- a/crates/scheduler/tests/decisions/late.rs
+++ b/crates/scheduler/tests/decisions/late.rs
@@ -143,7 +143,7 @@
     bench.attach_again(MACHINE, 99);
     bench.round();
     let (_, message) = bench.messages.pop().expect("the session begins");
-    assert!(message.whole && message.assign.is_empty(), "{message:?}");
+    assert!(message.complete && message.assign.is_empty(), "{message:?}");
 }
 
 #[test]
--- a/crates/scheduler/tests/decisions/orders.rs
+++ b/crates/scheduler/tests/decisions/orders.rs
@@ -107,7 +107,7 @@
     let running = RunningTask {
         task: stray,
         attempt: 3,
-        saved: String::new(),
+        checkpoint: String::new(),
         percent: 10,
     };
     bench
--- a/crates/scheduler/tests/decisions/placement.rs
+++ b/crates/scheduler/tests/decisions/placement.rs
@@ -176,7 +176,7 @@
     );
     bench.run_for(300);
     let place = bench.places.get_mut(&1).expect("it is there");
-    place.running[0].saved = "half".to_owned();
+    place.running[0].checkpoint = "half".to_owned();
     let member = place.running[0].task;
     place.end(member, 1, RunEnd::Failed);
     bench.run_for(400);
@@ -192,7 +192,7 @@
     );
     assert!(
         runs.iter()
-            .all(|run| run.attempt == 2 && run.saved == "half"),
+            .all(|run| run.attempt == 2 && run.checkpoint == "half"),
         "{runs:?}"
     );
 }
--- a/crates/scheduler/tests/decisions/replays.rs
+++ b/crates/scheduler/tests/decisions/replays.rs
@@ -18,7 +18,7 @@
         task: task(7, 0, 0),
         attempt: 1,
         server: ServerId(format!("s{MACHINE}-1")),
-        saved: String::new(),
+        checkpoint: String::new(),
     };
     let token = FencingToken(1);
     bench.apply(Operation::RecordStarts {
--- a/crates/scheduler/tests/decisions/room.rs
+++ b/crates/scheduler/tests/decisions/room.rs
@@ -74,12 +74,12 @@
     place
         .running
         .iter_mut()
-        .for_each(|run| run.saved = "kept".to_owned());
+        .for_each(|run| run.checkpoint = "kept".to_owned());
     place.remaining_ms = Some(20_000);
     bench.run_for(500);
     let to = 3 - from;
     assert_eq!(bench.machines_of(7), vec![to]);
-    assert_eq!(bench.places[&to].running[0].saved, "kept");
+    assert_eq!(bench.places[&to].running[0].checkpoint, "kept");
     assert_eq!(bench.machines_of(8), vec![from], "it ends in time");
 }
 
--- a/crates/scheduler/tests/decisions/unlisted.rs
+++ b/crates/scheduler/tests/decisions/unlisted.rs
@@ -2,7 +2,7 @@
 
 use crate::bench::{step, task, Bench};
 use lupinrack_cluster_api::server::RunEnd;
-use lupinrack_scheduler::{LapseRule, Round};
+use lupinrack_scheduler::{InferredEndReason, Round};
 
 const MACHINE: u16 = 1;
 const JOB: u64 = 7;
@@ -44,7 +44,7 @@
 }
 
 /// The end and the rule of the only run that lapsed in this round.
-fn lapsed(round: &Round) -> (RunEnd, LapseRule) {
+fn lapsed(round: &Round) -> (RunEnd, InferredEndReason) {
     let ends = Bench::ends(&round.operations);
     let [end] = ends.as_slice() else {
         panic!("one end: {ends:?}")
@@ -75,7 +75,7 @@
     bench.leave(MACHINE);
     assert_eq!(
         lapsed(&bench.round()),
-        (RunEnd::Lapsed, LapseRule::ServerLeft)
+        (RunEnd::LeaseExpired, InferredEndReason::ServerLeft)
     );
 }
 
@@ -85,7 +85,7 @@
     bench.attach(MACHINE, 2, &["a", "r1"]);
     assert_eq!(
         lapsed(&bench.round()),
-        (RunEnd::Lapsed, LapseRule::LaterLife)
+        (RunEnd::LeaseExpired, InferredEndReason::LaterIncarnation)
     );
 }
 
@@ -93,7 +93,10 @@
 fn a_hold_that_is_over_ends_a_run() {
     let mut bench = running();
     let round = rounds_until_lapsed(&mut bench, 10_000);
-    assert_eq!(lapsed(&round), (RunEnd::Lapsed, LapseRule::HoldOver));
+    assert_eq!(
+        lapsed(&round),
+        (RunEnd::LeaseExpired, InferredEndReason::LeaseExpired)
+    );
 }
 
 #[test]
@@ -102,7 +105,10 @@
     bench.take_over(2);
     let began = bench.now;
     let round = rounds_until_lapsed(&mut bench, 20_000);
-    assert_eq!(lapsed(&round), (RunEnd::Lapsed, LapseRule::TakeoverBound));
+    assert_eq!(
+        lapsed(&round),
+        (RunEnd::LeaseExpired, InferredEndReason::TakeoverBound)
+    );
     assert!(bench.now - began > bench.settings.takeover_bound_ms());
 }
 
@@ -114,7 +120,7 @@
     apply_held(&mut bench);
     assert_eq!(
         lapsed(&bench.round()),
-        (RunEnd::Lapsed, LapseRule::NeverTold)
+        (RunEnd::LeaseExpired, InferredEndReason::NeverTold)
     );
 }
 
@@ -128,7 +134,10 @@
         .messages
         .iter()
         .all(|order| order.message.assign.is_empty()));
-    assert_eq!(lapsed(&round), (RunEnd::Stopped, LapseRule::StoppedUntold));
+    assert_eq!(
+        lapsed(&round),
+        (RunEnd::Stopped, InferredEndReason::StoppedUntold)
+    );
 }
 
 #[test]
@@ -163,6 +172,6 @@
     bench.beat(MACHINE);
     assert_eq!(
         lapsed(&bench.round()),
-        (RunEnd::Stopped, LapseRule::StopSeen)
+        (RunEnd::Stopped, InferredEndReason::StopSeen)
     );
 }
--- a/crates/scheduler/tests/golden/log_lines.rs
+++ b/crates/scheduler/tests/golden/log_lines.rs
@@ -3,17 +3,17 @@
 use crate::files::{check, Golden};
 use crate::text::rule_word;
 use lupinrack_cluster_api::job::Resources;
-use lupinrack_scheduler::{LapseRule, ServerSummary, ServiceSummary, WaitingSummary};
+use lupinrack_scheduler::{InferredEndReason, ServerSummary, ServiceSummary, WaitingSummary};
 use std::collections::BTreeMap;
 
-const RULES: [LapseRule; 7] = [
-    LapseRule::ServerLeft,
-    LapseRule::LaterLife,
-    LapseRule::HoldOver,
-    LapseRule::TakeoverBound,
-    LapseRule::NeverTold,
-    LapseRule::StoppedUntold,
-    LapseRule::StopSeen,
+const RULES: [InferredEndReason; 7] = [
+    InferredEndReason::ServerLeft,
+    InferredEndReason::LaterIncarnation,
+    InferredEndReason::LeaseExpired,
+    InferredEndReason::TakeoverBound,
+    InferredEndReason::NeverTold,
+    InferredEndReason::StoppedUntold,
+    InferredEndReason::StopSeen,
 ];
 
 fn server(name: &str, placeable: bool, suspect: bool) -> ServerSummary {
--- a/crates/scheduler/tests/golden/scenario.rs
+++ b/crates/scheduler/tests/golden/scenario.rs
@@ -156,7 +156,7 @@
     for Assignment {
         task,
         attempt,
-        saved,
+        checkpoint,
         ..
     } in message.assign
     {
@@ -172,7 +172,7 @@
             place.running.push(RunningTask {
                 task,
                 attempt,
-                saved,
+                checkpoint,
                 percent: 0,
             });
         }
@@ -196,7 +196,7 @@
     }
     run.percent = (100 * worked_ms / total_ms.max(1)).min(100) as u32;
     if step.checkpoints && run.percent >= 10 {
-        run.saved = format!("{}0 %", run.percent / 10);
+        run.checkpoint = format!("{}0 %", run.percent / 10);
     }
     (worked_ms >= total_ms).then_some(RunEnd::Done)
 }
--- a/crates/scheduler/tests/golden/scenarios/faults.rs
+++ b/crates/scheduler/tests/golden/scenarios/faults.rs
@@ -116,7 +116,7 @@
         RunEnd::Done,
         RunEnd::Failed,
         RunEnd::Stopped,
-        RunEnd::Lapsed,
+        RunEnd::LeaseExpired,
         RunEnd::Broken,
         RunEnd::Alone,
         RunEnd::Refused,
--- a/crates/scheduler/tests/golden/scenarios/records.rs
+++ b/crates/scheduler/tests/golden/scenarios/records.rs
@@ -60,7 +60,7 @@
         task: task(7, 0, index),
         attempt: 1,
         server: server.clone(),
-        saved: "some".to_owned(),
+        checkpoint: "some".to_owned(),
     };
     let token = FencingToken(1);
     scenario.bench.apply(Operation::RecordStarts {
@@ -71,7 +71,7 @@
     let running = RunningTask {
         task: task(7, 0, 1),
         attempt: 1,
-        saved: "more".to_owned(),
+        checkpoint: "more".to_owned(),
         percent: 5,
     };
     scenario.place(1).running.push(running);
@@ -106,7 +106,7 @@
     let stray = |job, attempt| RunningTask {
         task: task(job, 0, 0),
         attempt,
-        saved: String::new(),
+        checkpoint: String::new(),
         percent: 1,
     };
     scenario.place(2).running.push(stray(99, 3));
--- a/crates/scheduler/tests/golden/text.rs
+++ b/crates/scheduler/tests/golden/text.rs
@@ -4,7 +4,9 @@
 use lupinrack_cluster_api::job::Resources;
 use lupinrack_cluster_api::operation::{EndRecord, Operation, StartRecord};
 use lupinrack_cluster_api::server::RunEnd;
-use lupinrack_scheduler::{AgentOrder, LapseRule, LapsedRun, Round, ServerSummary, ServiceSummary};
+use lupinrack_scheduler::{
+    AgentOrder, InferredEnd, InferredEndReason, Round, ServerSummary, ServiceSummary,
+};
 use std::fmt::Write;
 
 /// The lines of a round; none where nothing was decided.
@@ -28,8 +30,8 @@
     format!("at {at}\n{text}")
 }
 
-fn lapsed_text(lapsed: &LapsedRun) -> String {
-    let LapsedRun {
+fn lapsed_text(lapsed: &InferredEnd) -> String {
+    let InferredEnd {
         task,
         attempt,
         server,
@@ -43,15 +45,15 @@
 }
 
 /// A word for a rule, whatever its log line says.
-pub fn rule_word(rule: LapseRule) -> &'static str {
+pub fn rule_word(rule: InferredEndReason) -> &'static str {
     match rule {
-        LapseRule::ServerLeft => "server-left",
-        LapseRule::LaterLife => "later-life",
-        LapseRule::HoldOver => "hold-over",
-        LapseRule::TakeoverBound => "takeover-bound",
-        LapseRule::NeverTold => "never-told",
-        LapseRule::StoppedUntold => "stopped-untold",
-        LapseRule::StopSeen => "stop-seen",
+        InferredEndReason::ServerLeft => "server-left",
+        InferredEndReason::LaterIncarnation => "later-life",
+        InferredEndReason::LeaseExpired => "hold-over",
+        InferredEndReason::TakeoverBound => "takeover-bound",
+        InferredEndReason::NeverTold => "never-told",
+        InferredEndReason::StoppedUntold => "stopped-untold",
+        InferredEndReason::StopSeen => "stop-seen",
     }
 }
 
@@ -97,10 +99,10 @@
         task,
         attempt,
         server,
-        saved,
+        checkpoint,
     } = start;
     format!(
-        "    {task} attempt {attempt} on {} from {saved:?}\n",
+        "    {task} attempt {attempt} on {} from {checkpoint:?}\n",
         server.0
     )
 }
@@ -110,10 +112,10 @@
         task,
         attempt,
         end,
-        saved,
+        checkpoint,
     } = end;
     format!(
-        "    {task} attempt {attempt} {} saved {saved:?}\n",
+        "    {task} attempt {attempt} {} saved {checkpoint:?}\n",
         end_word(*end)
     )
 }
@@ -123,7 +125,7 @@
         RunEnd::Done => "done",
         RunEnd::Failed => "failed",
         RunEnd::Stopped => "stopped",
-        RunEnd::Lapsed => "lapsed",
+        RunEnd::LeaseExpired => "lapsed",
         RunEnd::Broken => "broken",
         RunEnd::Alone => "alone",
         RunEnd::Refused => "refused",
@@ -146,7 +148,7 @@
         writeln!(
             text,
             "    run {task} attempt {attempt} {:?} from {:?}",
-            assignment.spec, assignment.saved
+            assignment.spec, assignment.checkpoint
         )
         .expect("strings take all");
     }
@@ -157,16 +159,16 @@
 }
 
 fn order_head(message: &OwnerMessage) -> String {
-    let extent = if message.whole { "whole" } else { "more" };
+    let extent = if message.complete { "whole" } else { "more" };
     format!(
         "token {} server {} number {} {extent} observed {} hold {} from {} beat {}",
         message.token.0,
         message.server.0,
         message.number,
         message.observed,
-        message.hold_ms,
-        message.hold_from.0,
-        message.beat_after_ms
+        message.lease_ms,
+        message.lease_from.0,
+        message.heartbeat_after_ms
     )
 }
 
--- a/crates/scheduler/tests/simulation/model_agent.rs
+++ b/crates/scheduler/tests/simulation/model_agent.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Less hold than this is not passed on.
-const HOLD_LEAST_MS: u64 = 100;
+const LEASE_LEAST_MS: u64 = 100;
 
 /// A connection to an owner.
 #[derive(Clone, Debug)]
@@ -23,13 +23,13 @@
     pub address: PeerAddress,
     pub token: FencingToken,
     pub session: Option<AgentSession>,
-    life: Option<ServerId>,
+    incarnation: Option<ServerId>,
     desired: BTreeMap<TaskId, Assignment>,
     stops: BTreeSet<(TaskId, Attempt)>,
     ended: BTreeSet<(TaskId, Attempt)>,
     observed: u64,
-    hold_until: u64,
-    beat_after_ms: u64,
+    lease_until: u64,
+    heartbeat_after_ms: u64,
     applied_number: u64,
     answered_number: u64,
 }
@@ -40,13 +40,13 @@
             address,
             token: FencingToken(0),
             session: None,
-            life: None,
+            incarnation: None,
             desired: BTreeMap::new(),
             stops: BTreeSet::new(),
             ended: BTreeSet::new(),
             observed: 0,
-            hold_until: 0,
-            beat_after_ms: 200,
+            lease_until: 0,
+            heartbeat_after_ms: 200,
             applied_number: 0,
             answered_number: 0,
         }
@@ -63,12 +63,12 @@
     }
 
     fn begin_life(&mut self, server: &ServerId) {
-        self.life = Some(server.clone());
+        self.incarnation = Some(server.clone());
         self.desired.clear();
         self.stops.clear();
         self.ended.clear();
         self.observed = 0;
-        self.hold_until = 0;
+        self.lease_until = 0;
         if let Some(session) = &mut self.session {
             session.attached = false;
         }
@@ -83,7 +83,7 @@
         mut heartbeat: Heartbeat,
         now: u64,
     ) -> (BeatAnswer, Option<AgentMessage>) {
-        if self.life.as_ref() != Some(&facts.id) {
+        if self.incarnation.as_ref() != Some(&facts.id) {
             self.begin_life(&facts.id);
         }
         for end in &heartbeat.finished {
@@ -104,15 +104,15 @@
     }
 
     fn answer(&self, heartbeat: &Heartbeat, now: u64) -> BeatAnswer {
-        let held = self.hold_until.saturating_sub(now);
-        let hold_ms = if held >= HOLD_LEAST_MS { held } else { 0 };
+        let held = self.lease_until.saturating_sub(now);
+        let lease_ms = if held >= LEASE_LEAST_MS { held } else { 0 };
         let runs = |task: TaskId, attempt: Attempt| {
             heartbeat
                 .running
                 .iter()
                 .any(|run| run.task == task && run.attempt == attempt)
         };
-        let may_start = hold_ms > 0 && !heartbeat.draining;
+        let may_start = lease_ms > 0 && !heartbeat.draining;
         let starts = self.desired.values().filter(|wanted| {
             may_start
                 && !runs(wanted.task, wanted.attempt)
@@ -131,13 +131,13 @@
             .collect();
         stops.extend(older.map(|run| (run.task, run.attempt)));
         BeatAnswer {
-            beat_sent_at: heartbeat.sequence,
+            heartbeat_sent_at: heartbeat.sequence,
             token: self.token,
-            hold_ms,
+            lease_ms,
             observed: self.observed,
             starts: starts.map(start_order).collect(),
             stops,
-            retry_after_ms: self.beat_after_ms,
+            retry_after_ms: self.heartbeat_after_ms,
         }
     }
 
@@ -170,11 +170,14 @@
             .session
             .as_ref()
             .is_some_and(|session| session.connection == connection);
-        if !current || self.life.as_ref() != Some(&message.server) || message.token < self.token {
+        if !current
+            || self.incarnation.as_ref() != Some(&message.server)
+            || message.token < self.token
+        {
             return;
         }
         self.token = message.token;
-        if message.whole {
+        if message.complete {
             self.desired.clear();
             self.stops.clear();
         }
@@ -194,8 +197,10 @@
             }
         }
         self.observed = self.observed.max(message.observed);
-        self.hold_until = self.hold_until.max(message.hold_from.0 + message.hold_ms);
-        self.beat_after_ms = message.beat_after_ms;
+        self.lease_until = self
+            .lease_until
+            .max(message.lease_from.0 + message.lease_ms);
+        self.heartbeat_after_ms = message.heartbeat_after_ms;
         self.applied_number = message.number;
     }
 }
@@ -205,6 +210,6 @@
         task: wanted.task,
         attempt: wanted.attempt,
         spec: wanted.spec.clone(),
-        saved: wanted.saved.clone(),
+        checkpoint: wanted.checkpoint.clone(),
     }
 }
--- a/crates/scheduler/tests/simulation/model_server.rs
+++ b/crates/scheduler/tests/simulation/model_server.rs
@@ -80,15 +80,15 @@
     pub task: TaskId,
     pub attempt: Attempt,
     pub spec: String,
-    pub saved: String,
+    pub checkpoint: String,
 }
 
 /// The answer to a heartbeat.
 #[derive(Clone, Debug)]
 pub struct BeatAnswer {
-    pub beat_sent_at: u64,
+    pub heartbeat_sent_at: u64,
     pub token: FencingToken,
-    pub hold_ms: u64,
+    pub lease_ms: u64,
     pub observed: u64,
     pub starts: Vec<StartOrder>,
     pub stops: Vec<(TaskId, Attempt)>,
@@ -101,7 +101,7 @@
     pub facts: ServerFacts,
     pub conduct: Conduct,
     pub token: FencingToken,
-    pub hold_until: u64,
+    pub lease_until: u64,
     pub runs: BTreeMap<TaskId, ServerRun>,
     pub ends: Vec<ServerEnd>,
     pub last_number: u64,
@@ -109,7 +109,7 @@
     pub ended: BTreeMap<TaskId, Attempt>,
     pub draining_since: Option<u64>,
     pub leaves_at: Option<u64>,
-    pub next_beat_at: u64,
+    pub next_heartbeat_at: u64,
     pub awaiting_since: Option<u64>,
 }
 
@@ -119,14 +119,14 @@
             facts,
             conduct: Conduct::Sound,
             token: FencingToken(0),
-            hold_until: 0,
+            lease_until: 0,
             runs: BTreeMap::new(),
             ends: Vec::new(),
             last_number: 0,
             ended: BTreeMap::new(),
             draining_since: None,
             leaves_at: None,
-            next_beat_at: now,
+            next_heartbeat_at: now,
             awaiting_since: None,
         }
     }
@@ -145,20 +145,20 @@
             })
     }
 
-    pub fn wants_to_beat(&self, now: u64) -> bool {
+    pub fn wants_heartbeat(&self, now: u64) -> bool {
         let answer_is_out = self
             .awaiting_since
             .is_some_and(|since| now < since + ANSWER_MOST_MS);
-        now >= self.next_beat_at && !answer_is_out
+        now >= self.next_heartbeat_at && !answer_is_out
     }
 
     pub fn beat(&mut self, now: u64) -> Heartbeat {
         self.awaiting_since = Some(now);
-        self.next_beat_at = now + 400;
+        self.next_heartbeat_at = now + 400;
         let running = self.runs.iter().map(|(task, run)| RunningTask {
             task: *task,
             attempt: run.attempt,
-            saved: run.saved_text(*task),
+            checkpoint: run.saved_text(*task),
             percent: run.percent(),
         });
         Heartbeat {
@@ -179,18 +179,18 @@
 
     /// Takes hold and observed ends of an answer; tells whether its orders are to be followed.
     pub fn take_answer(&mut self, answer: &BeatAnswer, now: u64) -> bool {
-        if self.awaiting_since != Some(answer.beat_sent_at) {
+        if self.awaiting_since != Some(answer.heartbeat_sent_at) {
             return false;
         }
         self.awaiting_since = None;
-        if now > answer.beat_sent_at + ANSWER_MOST_MS || answer.token < self.token {
+        if now > answer.heartbeat_sent_at + ANSWER_MOST_MS || answer.token < self.token {
             return false;
         }
         self.token = answer.token;
-        self.next_beat_at = now + answer.retry_after_ms;
-        let held = (answer.hold_ms as f64 * SLOW_CLOCK) as u64;
-        if answer.hold_ms > 0 {
-            self.hold_until = self.hold_until.max(answer.beat_sent_at + held);
+        self.next_heartbeat_at = now + answer.retry_after_ms;
+        let held = (answer.lease_ms as f64 * SLOW_CLOCK) as u64;
+        if answer.lease_ms > 0 {
+            self.lease_until = self.lease_until.max(answer.heartbeat_sent_at + held);
         }
         true
     }
@@ -214,12 +214,12 @@
     /// Ends a run and lists it.
     pub fn end(&mut self, task: TaskId, end: RunEnd, now: u64) -> Option<ServerRun> {
         let run = self.runs.remove(&task)?;
-        let saved = if end == RunEnd::Done {
+        let checkpoint = if end == RunEnd::Done {
             String::new()
         } else {
             run.saved_text(task)
         };
-        self.list_end(task, run.attempt, end, saved, now);
+        self.list_end(task, run.attempt, end, checkpoint, now);
         Some(run)
     }
 
@@ -228,7 +228,7 @@
         task: TaskId,
         attempt: Attempt,
         end: RunEnd,
-        saved: String,
+        checkpoint: String,
         now: u64,
     ) {
         self.last_number += 1;
@@ -238,7 +238,7 @@
             task,
             attempt,
             end,
-            saved,
+            checkpoint,
         };
         self.ends.push(ServerEnd {
             finished,
@@ -247,6 +247,6 @@
         });
         let ended = self.ended.entry(task).or_insert(0);
         *ended = (*ended).max(attempt);
-        self.next_beat_at = self.next_beat_at.min(now + 50);
+        self.next_heartbeat_at = self.next_heartbeat_at.min(now + 50);
     }
 }
--- a/crates/scheduler/tests/simulation/work.rs
+++ b/crates/scheduler/tests/simulation/work.rs
@@ -16,9 +16,9 @@
 const FAILS_AFTER_MS: u64 = 100;
 
 impl World {
-    pub fn answer(&mut self, machine: usize, life: u64, answer: &BeatAnswer) {
+    pub fn answer(&mut self, machine: usize, incarnation: u64, answer: &BeatAnswer) {
         let now = self.now;
-        if self.machines[machine].life != life {
+        if self.machines[machine].incarnation != incarnation {
             return;
         }
         let Some(server) = self.machines[machine].server.as_mut() else {
@@ -60,14 +60,14 @@
         let Some(server) = place.server.as_ref() else {
             return;
         };
-        if now >= server.hold_until || !server.is_newer(start.task, start.attempt) {
+        if now >= server.lease_until || !server.is_newer(start.task, start.attempt) {
             return;
         }
         let StartOrder {
             task,
             attempt,
             spec,
-            saved,
+            checkpoint,
         } = start;
         let siblings = server.runs.keys().filter(|other| {
             other.job == task.job && other.occurrence == task.occurrence && other.step == task.step
@@ -75,11 +75,11 @@
         let seen = SeenStart {
             now,
             machine,
-            life: place.life,
+            incarnation: place.incarnation,
             task: *task,
             attempt: *attempt,
             spec,
-            saved,
+            checkpoint,
             used: server.used(),
             capacity: server.facts.capacity,
             labels: &server.facts.labels,
@@ -104,7 +104,7 @@
         let factor = truth.work_factor * if near { 1.0 } else { FAR_FACTOR };
         let total_ms = step.estimate_ms as f64 * factor;
         let part: f64 = start
-            .saved
+            .checkpoint
             .rsplit('/')
             .next()
             .and_then(|part| part.parse().ok())
@@ -114,7 +114,7 @@
             .tasks
             .get(&start.task)
             .map_or(0, |history| history.failures);
-        let restore = if start.saved.is_empty() {
+        let restore = if start.checkpoint.is_empty() {
             0
         } else {
             RESTORE_MS
@@ -153,12 +153,12 @@
         let Some(server) = self.machines[machine].server.as_mut() else {
             return;
         };
-        if now < server.hold_until {
+        if now < server.lease_until {
             return;
         }
         let tasks: Vec<TaskId> = server.runs.keys().copied().collect();
         for task in tasks {
-            self.end_run(machine, task, RunEnd::Lapsed);
+            self.end_run(machine, task, RunEnd::LeaseExpired);
         }
         if let Some(server) = self.machines[machine].server.as_mut() {
             server
@@ -209,7 +209,7 @@
     /// Ends a run, and notes what that means for its gang.
     pub fn end_run(&mut self, machine: usize, task: TaskId, end: RunEnd) {
         let now = self.now;
-        let life = self.machines[machine].life;
+        let incarnation = self.machines[machine].incarnation;
         let Some(run) = self.machines[machine]
             .server
             .as_mut()
@@ -217,7 +217,7 @@
         else {
             return;
         };
-        self.checks.run_over(task, machine, life);
+        self.checks.run_over(task, machine, incarnation);
         if end == RunEnd::Failed {
             self.checks.failed(task);
         }
@@ -333,14 +333,14 @@
     /// The server dies with all that it runs, and comes back later in a new life.
     pub fn crash(&mut self, machine: usize, back_after_ms: u64) {
         let now = self.now;
-        let life = self.machines[machine].life;
+        let incarnation = self.machines[machine].incarnation;
         let Some(server) = self.machines[machine].server.take() else {
             return;
         };
         for (task, run) in server.runs {
-            self.checks.run_over(task, machine, life);
+            self.checks.run_over(task, machine, incarnation);
             if run.gang {
-                self.gang_member_over(task, run.attempt, RunEnd::Lapsed);
+                self.gang_member_over(task, run.attempt, RunEnd::LeaseExpired);
             }
         }
         self.machines[machine].back_at = Some(now + back_after_ms);
--- a/crates/scheduler/tests/simulation/world.rs
+++ b/crates/scheduler/tests/simulation/world.rs
@@ -53,7 +53,7 @@
 pub struct Machine {
     pub agent: ModelAgent,
     pub server: Option<ModelServer>,
-    pub life: u64,
+    pub incarnation: u64,
     pub back_at: Option<u64>,
     pub cut_until: Option<u64>,
 }
@@ -72,7 +72,7 @@
     },
     Answer {
         machine: usize,
-        life: u64,
+        incarnation: u64,
         answer: BeatAnswer,
     },
     ToOwner {
@@ -124,9 +124,9 @@
     ToAgent,
 }
 
-fn facts(machine: usize, life: u64) -> ServerFacts {
+fn facts(machine: usize, incarnation: u64) -> ServerFacts {
     ServerFacts {
-        id: ServerId(format!("s{machine}-{life}")),
+        id: ServerId(format!("s{machine}-{incarnation}")),
         service: ServiceName(SERVICE.to_owned()),
         version: "v1".to_owned(),
         zone: format!("z{}", machine % 3),
@@ -162,7 +162,7 @@
     );
     Operation::ChangeConfiguration(ConfigurationChange {
         if_match: 0,
-        body: ConfigurationBody::Whole(body),
+        body: ConfigurationBody::Replacement(body),
     })
 }
 
@@ -194,7 +194,7 @@
             world.machines.push(Machine {
                 agent,
                 server,
-                life: 1,
+                incarnation: 1,
                 back_at: None,
                 cut_until: None,
             });
@@ -247,7 +247,7 @@
             service: service.clone(),
             token,
             owner,
-            life: token.0,
+            incarnation: token.0,
         });
         assert_eq!(result, OperationResult::Done, "the shard is taken");
         let (now, dies) = (self.now, self.rng.bool());
@@ -301,9 +301,12 @@
 
     pub fn restart_server(&mut self, machine: usize) {
         let place = &mut self.machines[machine];
-        place.life += 1;
+        place.incarnation += 1;
         place.back_at = None;
-        place.server = Some(ModelServer::new(facts(machine, place.life), self.now));
+        place.server = Some(ModelServer::new(
+            facts(machine, place.incarnation),
+            self.now,
+        ));
     }
 
     pub fn submit_jobs(&mut self, count: u64, within_ms: u64) {
@@ -384,9 +387,9 @@
             Event::Beat { machine, heartbeat } => self.beat_at_agent(machine, heartbeat),
             Event::Answer {
                 machine,
-                life,
+                incarnation,
                 answer,
-            } => self.answer(machine, life, &answer),
+            } => self.answer(machine, incarnation, &answer),
             Event::ToOwner {
                 owner,
                 agent,
@@ -430,7 +433,7 @@
             let Some(server) = self.machines[machine].server.as_mut() else {
                 continue;
             };
-            if server.wants_to_beat(now) {
+            if server.wants_heartbeat(now) {
                 let heartbeat = server.beat(now);
                 let delay = self.rng.u64(1..5);
                 if !self.is_lost() {
@@ -452,7 +455,7 @@
         };
         let facts = server.facts.clone();
         let (answer, report) = place.agent.beat(&facts, heartbeat, now);
-        let (life, agent) = (place.life, place.agent.address);
+        let (incarnation, agent) = (place.incarnation, place.agent.address);
         let session = place.agent.session.clone();
         let slow = self.troubles.lossy && self.rng.u32(0..30) == 0;
         let delay = if slow {
@@ -465,7 +468,7 @@
                 delay,
                 Event::Answer {
                     machine,
-                    life,
+                    incarnation,
                     answer,
                 },
             );
--- a/crates/view-agreement/src/agreement.rs
+++ b/crates/view-agreement/src/agreement.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Agreement {
     me: Voter,
-    life: u64,
+    incarnation: u64,
     vote: VoteState,
     /// Whether `vote` differs from what the disk was asked to keep.
     unsaved: bool,
@@ -35,7 +35,12 @@
     /// `life` is drawn at random when the process begins and never used again. `founders` are the internal addresses
     /// of all founders, its own among them, where this process founds the system; otherwise they are empty. They are
     /// only taken on an empty disk; later the disk itself knows whether it founds.
-    pub fn new(me: Voter, life: u64, vote: VoteState, founders: Vec<PeerAddress>) -> Agreement {
+    pub fn new(
+        me: Voter,
+        incarnation: u64,
+        vote: VoteState,
+        founders: Vec<PeerAddress>,
+    ) -> Agreement {
         let founds = vote == VoteState::default() && founders.contains(&me.address);
         let mut vote = vote;
         if founds {
@@ -45,12 +50,12 @@
         let round = vote.promised.round;
         Agreement {
             me,
-            life,
+            incarnation,
             vote,
             unsaved: founds,
             round,
             proposal: None,
-            backoff: Backoff::new(life),
+            backoff: Backoff::new(incarnation),
         }
     }
 
@@ -365,7 +370,7 @@
         self.round = self.round.saturating_add(1);
         let ballot = Ballot {
             round: self.round,
-            life: self.life,
+            incarnation: self.incarnation,
         };
         proposal.attempts += 1;
         proposal.phase = Phase::Preparing {
--- a/crates/view-agreement/src/backoff.rs
+++ b/crates/view-agreement/src/backoff.rs
@@ -12,8 +12,8 @@
 }
 
 impl Backoff {
-    pub(crate) fn new(life: u64) -> Backoff {
-        Backoff { state: life }
+    pub(crate) fn new(incarnation: u64) -> Backoff {
+        Backoff { state: incarnation }
     }
 
     /// The delay before another attempt, in milliseconds, where `attempts` were made.
--- a/crates/view-agreement/src/policy/peers.rs
+++ b/crates/view-agreement/src/policy/peers.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerReport {
     /// Drawn at random when the sender's process began.
-    pub life: u64,
+    pub incarnation: u64,
     /// The number of the newest view that the sender knows.
     pub view_number: u64,
     /// Whether its disk answers in time.
@@ -110,7 +110,9 @@
             .get(&voter.address)
             .filter(|peer| peer.voter.disk == voter.disk);
         let present_since = match before {
-            Some(peer) if !self.is_silent(peer, now) && peer.report.life == report.life => {
+            Some(peer)
+                if !self.is_silent(peer, now) && peer.report.incarnation == report.incarnation =>
+            {
                 peer.present_since
             }
             _ => now,
@@ -161,7 +163,7 @@
             .get(&me.address)
             .filter(|peer| peer.voter.disk == me.disk);
         let unknown = PeerReport {
-            life: 0,
+            incarnation: 0,
             view_number: 0,
             disk_healthy: true,
             leaving: false,
--- a/crates/view-agreement/tests/agreement.rs
+++ b/crates/view-agreement/tests/agreement.rs
@@ -15,7 +15,10 @@
 const LONG_MS: u64 = 2000;
 
 fn ballot(round: u64) -> Ballot {
-    Ballot { round, life: 99 }
+    Ballot {
+        round,
+        incarnation: 99,
+    }
 }
 
 fn knowing(index: u8, agreed: View) -> Agreement {
--- a/crates/view-agreement/tests/golden.rs
+++ b/crates/view-agreement/tests/golden.rs
@@ -25,11 +25,11 @@
 fn the_vote_on_the_disk() {
     let promised = Ballot {
         round: 0x0102_0304,
-        life: 0x1112_1314_1516_1718,
+        incarnation: 0x1112_1314_1516_1718,
     };
     let accepted_ballot = Ballot {
         round: 0x0201,
-        life: 0x2122_2324_2526_2728,
+        incarnation: 0x2122_2324_2526_2728,
     };
     let founding = VoteState {
         promised,
@@ -112,7 +112,7 @@
     let (proposer, acceptor) = (address(9), address(2));
     let promised = Ballot {
         round: 0x0706,
-        life: 0x3132_3334_3536_3738,
+        incarnation: 0x3132_3334_3536_3738,
     };
     let agreed = view(5, &[2, 9, 4], &[4, 2]);
     let vote = VoteState {
@@ -120,10 +120,10 @@
         agreed,
         ..VoteState::default()
     };
-    let mut agreement = Agreement::new(voter(2), life(2), vote, Vec::new());
+    let mut agreement = Agreement::new(voter(2), incarnation(2), vote, Vec::new());
     let lower = Ballot {
         round: 0x0605,
-        life: 0x4142_4344_4546_4748,
+        incarnation: 0x4142_4344_4546_4748,
     };
     let effects = agreement.receive(proposer, AgreementMessage::Prepare { ballot: lower }, NOW);
     messages(acceptor, effects)
@@ -131,11 +131,16 @@
 
 fn founder(index: u8) -> Agreement {
     let founders = FOUNDERS.map(address).to_vec();
-    Agreement::new(voter(index), life(index), VoteState::default(), founders)
+    Agreement::new(
+        voter(index),
+        incarnation(index),
+        VoteState::default(),
+        founders,
+    )
 }
 
 /// What the process of the machine of this index drew.
-fn life(index: u8) -> u64 {
+fn incarnation(index: u8) -> u64 {
     0x5152_5354_5556_5700 + disk(index).0
 }
 
--- a/crates/view-agreement/tests/model/system.rs
+++ b/crates/view-agreement/tests/model/system.rs
@@ -74,7 +74,7 @@
     /// What is on disk for certain.
     stored: VoteState,
     agreement: Agreement,
-    lives: u64,
+    incarnations: u64,
     ballots: u8,
 }
 
@@ -126,10 +126,10 @@
     borsh::from_slice(bytes).expect("an encoded view can be decoded")
 }
 
-fn boot(index: u8, stored: VoteState, lives: u64) -> Agreement {
+fn boot(index: u8, stored: VoteState, incarnations: u64) -> Agreement {
     Agreement::new(
         voter(index),
-        lives * 10 + u64::from(index),
+        incarnations * 10 + u64::from(index),
         stored,
         Vec::new(),
     )
@@ -158,7 +158,7 @@
         let machine = |index| Machine {
             stored: stored.clone(),
             agreement: boot(index, stored.clone(), 0),
-            lives: 0,
+            incarnations: 0,
             ballots: 0,
         };
         State {
@@ -352,7 +352,7 @@
         left.hash(&mut hasher);
         for index in left {
             let machine = &state.machines[usize::from(*index)];
-            (&machine.stored, machine.lives).hash(&mut hasher);
+            (&machine.stored, machine.incarnations).hash(&mut hasher);
         }
         let key = hasher.finish();
         let known = self
@@ -381,8 +381,8 @@
             ..state.clone()
         };
         for (index, machine) in state.machines.iter_mut().enumerate() {
-            machine.lives += 1;
-            machine.agreement = boot(index as u8, machine.stored.clone(), machine.lives);
+            machine.incarnations += 1;
+            machine.agreement = boot(index as u8, machine.stored.clone(), machine.incarnations);
         }
         for (round, index) in
             (0..BALLOTS_TO_GO_ON).flat_map(|round| left.iter().map(move |i| (round, *i)))
@@ -442,8 +442,8 @@
             Action::Crash(index) => {
                 state.crashes += 1;
                 let machine = &mut state.machines[usize::from(index)];
-                machine.lives += 1;
-                machine.agreement = boot(index, machine.stored.clone(), machine.lives);
+                machine.incarnations += 1;
+                machine.agreement = boot(index, machine.stored.clone(), machine.incarnations);
             }
         }
         (state != *last).then_some(state)
--- a/crates/view-agreement/tests/policy/identity.rs
+++ b/crates/view-agreement/tests/policy/identity.rs
@@ -11,7 +11,7 @@
 fn report() -> PeerReport {
     let replica = ReplicaReport::default();
     PeerReport {
-        life: 500,
+        incarnation: 500,
         view_number: 4,
         disk_healthy: true,
         leaving: false,
--- a/crates/view-agreement/tests/policy/watch.rs
+++ b/crates/view-agreement/tests/policy/watch.rs
@@ -158,9 +158,9 @@
                     leaving,
                     replica,
                 } = heartbeat.clone();
-                let life = u64::from(*index) + 1;
+                let incarnation = u64::from(*index) + 1;
                 let report = PeerReport {
-                    life,
+                    incarnation,
                     view_number,
                     disk_healthy: healthy,
                     leaving,
--- a/crates/view-agreement/tests/properties.rs
+++ b/crates/view-agreement/tests/properties.rs
@@ -29,7 +29,7 @@
 fn arbitrary_ballot(g: &mut Gen) -> Ballot {
     Ballot {
         round: small(g, 6),
-        life: small(g, 3),
+        incarnation: small(g, 3),
     }
 }
 
--- a/crates/view-agreement/tests/simulation/machine.rs
+++ b/crates/view-agreement/tests/simulation/machine.rs
@@ -22,7 +22,7 @@
 
 /// A running process.
 pub struct Process {
-    pub life: u64,
+    pub incarnation: u64,
     pub agreement: Agreement,
     pub policy: ViewPolicy,
     pub writes: Vec<Write>,
@@ -61,12 +61,17 @@
         }
     }
 
-    pub fn start(&mut self, life: u64, founders: Vec<PeerAddress>, now: Millis) {
-        let agreement = Agreement::new(self.voter.clone(), life, self.stored.clone(), founders);
+    pub fn start(&mut self, incarnation: u64, founders: Vec<PeerAddress>, now: Millis) {
+        let agreement = Agreement::new(
+            self.voter.clone(),
+            incarnation,
+            self.stored.clone(),
+            founders,
+        );
         let policy = ViewPolicy::new(POLICY, agreement.founders().to_vec());
         let writes = Vec::new();
         self.process = Some(Process {
-            life,
+            incarnation,
             agreement,
             policy,
             writes,
--- a/crates/view-agreement/tests/simulation/world.rs
+++ b/crates/view-agreement/tests/simulation/world.rs
@@ -39,7 +39,7 @@
     Agreement(AgreementMessage),
     Heartbeat {
         voter: Voter,
-        life: u64,
+        incarnation: u64,
         view: View,
         disk_healthy: bool,
         leaving: bool,
@@ -55,15 +55,15 @@
     },
     Synced {
         machine: usize,
-        life: u64,
+        incarnation: u64,
     },
     Tick {
         machine: usize,
-        life: u64,
+        incarnation: u64,
     },
     Heartbeat {
         machine: usize,
-        life: u64,
+        incarnation: u64,
     },
     Start {
         machine: usize,
@@ -222,11 +222,23 @@
     }
 
     fn start_with(&mut self, machine: usize, founders: Vec<PeerAddress>) {
-        let life = self.draw_identity() << 8;
-        self.machines[machine].start(life, founders, self.now);
+        let incarnation = self.draw_identity() << 8;
+        self.machines[machine].start(incarnation, founders, self.now);
         let first_tick = self.rng.u64(0..300);
-        self.schedule(first_tick, Event::Tick { machine, life });
-        self.schedule(first_tick, Event::Heartbeat { machine, life });
+        self.schedule(
+            first_tick,
+            Event::Tick {
+                machine,
+                incarnation,
+            },
+        );
+        self.schedule(
+            first_tick,
+            Event::Heartbeat {
+                machine,
+                incarnation,
+            },
+        );
     }
 
     fn draw_identity(&mut self) -> u64 {
@@ -240,21 +252,28 @@
             .insert((self.now.plus(after_ms), self.sequence), event);
     }
 
-    fn lives(&self, machine: usize, life: u64) -> bool {
+    fn incarnations(&self, machine: usize, incarnation: u64) -> bool {
         self.machines[machine]
             .process
             .as_ref()
-            .is_some_and(|process| process.life == life)
+            .is_some_and(|process| process.incarnation == incarnation)
     }
 
     fn handle(&mut self, event: Event) {
         match event {
             Event::Deliver { from, to, message } => self.deliver(from, to, message),
-            Event::Synced { machine, life } if self.lives(machine, life) => self.synced(machine),
-            Event::Tick { machine, life } if self.lives(machine, life) => self.tick(machine, life),
-            Event::Heartbeat { machine, life } if self.lives(machine, life) => {
-                self.beat(machine, life)
-            }
+            Event::Synced {
+                machine,
+                incarnation,
+            } if self.incarnations(machine, incarnation) => self.synced(machine),
+            Event::Tick {
+                machine,
+                incarnation,
+            } if self.incarnations(machine, incarnation) => self.tick(machine, incarnation),
+            Event::Heartbeat {
+                machine,
+                incarnation,
+            } if self.incarnations(machine, incarnation) => self.beat(machine, incarnation),
             Event::Start { machine } => self.start(machine),
             Event::Synced { .. } | Event::Tick { .. } | Event::Heartbeat { .. } => {}
         }
@@ -268,7 +287,7 @@
             }
             Message::Heartbeat {
                 voter,
-                life,
+                incarnation,
                 view,
                 disk_healthy,
                 leaving,
@@ -280,7 +299,7 @@
                 };
                 let view_number = view.number;
                 let report = PeerReport {
-                    life,
+                    incarnation,
                     view_number,
                     disk_healthy,
                     leaving,
@@ -347,8 +366,14 @@
         }
     }
 
-    fn tick(&mut self, machine: usize, life: u64) {
-        self.schedule(TICK_MS, Event::Tick { machine, life });
+    fn tick(&mut self, machine: usize, incarnation: u64) {
+        self.schedule(
+            TICK_MS,
+            Event::Tick {
+                machine,
+                incarnation,
+            },
+        );
         let now = self.now;
         let voter = self.machines[machine].voter.clone();
         let Some(process) = &mut self.machines[machine].process else {
@@ -372,8 +397,14 @@
         }
     }
 
-    fn beat(&mut self, machine: usize, life: u64) {
-        self.schedule(HEARTBEAT_MS, Event::Heartbeat { machine, life });
+    fn beat(&mut self, machine: usize, incarnation: u64) {
+        self.schedule(
+            HEARTBEAT_MS,
+            Event::Heartbeat {
+                machine,
+                incarnation,
+            },
+        );
         let Machine {
             voter,
             disk_healthy,
@@ -401,7 +432,7 @@
                 to,
                 Message::Heartbeat {
                     voter,
-                    life,
+                    incarnation,
                     view,
                     disk_healthy,
                     leaving,
@@ -431,7 +462,7 @@
             return;
         };
         process.writes.push(write);
-        let life = process.life;
+        let incarnation = process.incarnation;
         let slow = self.rng.f64() < SLOW_SYNCS;
         let sync_ms = self.rng.u64(
             1..=if slow {
@@ -440,7 +471,13 @@
                 SYNC_MS_MOST
             },
         );
-        self.schedule(sync_ms, Event::Synced { machine, life });
+        self.schedule(
+            sync_ms,
+            Event::Synced {
+                machine,
+                incarnation,
+            },
+        );
     }
 
     fn agreed(&mut self, machine: usize, view: &View) {
--- a/crates/worker-agent/src/agent.rs
+++ b/crates/worker-agent/src/agent.rs
@@ -3,8 +3,8 @@
 use crate::answer::{HeartbeatAnswer, StopOrder};
 use crate::heartbeat_json::{ServerHeartbeat, UnknownRun};
 use crate::hold::Hold;
-use crate::life::Life;
-use crate::lives::{Lives, Standing};
+use crate::incarnation::Life;
+use crate::incarnations::{Lives, Standing};
 use crate::orders::Orders;
 use crate::reporter::{ReportKind, Reporter};
 use crate::session::{RefusedMessage, Session};
@@ -46,8 +46,8 @@
 #[derive(Clone, Debug)]
 pub struct Agent {
     settings: AgentSettings,
-    life: Option<Life>,
-    other_lives: Lives,
+    incarnation: Option<Life>,
+    other_incarnations: Lives,
     /// Lives that have left in order, of which the owner of this session was not told yet.
     unreported_leaves: Vec<ServerId>,
     token: FencingToken,
@@ -64,8 +64,8 @@
     pub fn new(settings: AgentSettings, _now: Millis) -> Agent {
         Agent {
             settings,
-            life: None,
-            other_lives: Lives::default(),
+            incarnation: None,
+            other_incarnations: Lives::default(),
             unreported_leaves: Vec::new(),
             token: FencingToken::default(),
             hold: Hold::default(),
@@ -78,7 +78,9 @@
 
     /// What the server that beats here says of itself.
     pub fn server(&self) -> Option<&ServerFacts> {
-        self.life.as_ref().map(|life| &life.facts)
+        self.incarnation
+            .as_ref()
+            .map(|incarnation| &incarnation.facts)
     }
 
     /// The highest token that was seen.
@@ -99,14 +101,20 @@
     /// for them.
     pub fn receive_heartbeat(&mut self, beat: ServerHeartbeat, now: Millis) -> HeartbeatReceipt {
         let silent = self
-            .life
+            .incarnation
+            .as_ref()
+            .is_some_and(|incarnation| now > incarnation.expected_by);
+        let newest = self
+            .incarnation
             .as_ref()
-            .is_some_and(|life| now > life.expected_by);
-        let newest = self.life.as_ref().map(|life| &life.heartbeat);
-        match self.other_lives.judge(&beat.heartbeat, newest, silent) {
+            .map(|incarnation| &incarnation.heartbeat);
+        match self
+            .other_incarnations
+            .judge(&beat.heartbeat, newest, silent)
+        {
             Standing::Newest => HeartbeatReceipt::Open(self.take_heartbeat(beat, now)),
             Standing::Unconfirmed => HeartbeatReceipt::Answer(HeartbeatAnswer {
-                beat_after_ms: self.settings.busy_beat_ms,
+                heartbeat_after_ms: self.settings.busy_heartbeat_ms,
                 ..HeartbeatAnswer::default()
             }),
             Standing::Late => HeartbeatReceipt::Answer(HeartbeatAnswer::default()),
@@ -116,23 +124,23 @@
     /// Answers the newest heartbeat, with all orders that there are at `now`.
     pub fn answer_heartbeat(&mut self, open: &OpenHeartbeat, now: Millis) -> HeartbeatAnswer {
         let answer = self.answer(&open.unknown_runs, open.arrived_at);
-        if let Some(life) = &mut self.life {
-            life.expected_by = now.plus(answer.beat_after_ms + SILENCE_SLACK_MS);
+        if let Some(incarnation) = &mut self.incarnation {
+            incarnation.expected_by = now.plus(answer.heartbeat_after_ms + SILENCE_SLACK_MS);
         }
         answer
     }
 
     /// Whether the newest heartbeat could be answered with a start or a stop now.
     pub fn has_orders(&self, now: Millis) -> bool {
-        let Some(life) = &self.life else {
+        let Some(incarnation) = &self.incarnation else {
             return false;
         };
-        let running = &life.heartbeat.running;
+        let running = &incarnation.heartbeat.running;
         let holds = self
             .hold
-            .for_answer(now, self.settings.hold_max_ms)
+            .for_answer(now, self.settings.lease_max_ms)
             .is_some();
-        let may_start = holds && !life.draining && life.all_ends_listed;
+        let may_start = holds && !incarnation.draining && incarnation.all_ends_listed;
         !self
             .orders
             .missing_starts(running, may_start)
@@ -145,24 +153,29 @@
     /// on, with all that runs on it: it counts as draining from now on, and is over when its hold is. So does one that
     /// this agent does not know to drain, since the agent may have been restarted.
     pub fn leave(&mut self, server: ServerId, _now: Millis) {
-        let present = self.life.as_mut().filter(|life| life.facts.id == server);
+        let present = self
+            .incarnation
+            .as_mut()
+            .filter(|incarnation| incarnation.facts.id == server);
         match present {
-            Some(life) if life.draining && !life.left_first => self.end_drained_life(server),
-            Some(life) => life.leaves_first(),
-            None => self.other_lives.announce_leave(server),
+            Some(incarnation) if incarnation.draining && !incarnation.left_first => {
+                self.end_drained_incarnation(server)
+            }
+            Some(incarnation) => incarnation.leaves_first(),
+            None => self.other_incarnations.announce_leave(server),
         }
     }
 
-    fn end_drained_life(&mut self, server: ServerId) {
-        self.end_life();
-        self.other_lives.leave(&server);
+    fn end_drained_incarnation(&mut self, server: ServerId) {
+        self.end_incarnation();
+        self.other_incarnations.leave(&server);
         self.unreported_leaves.push(server);
     }
 
     /// Takes note that there is a connection to the owner. It replaces an earlier one; what was ordered stays.
     pub fn owner_connected(&mut self, connection: u64) {
         self.session = Some(Session::new(connection));
-        self.unreported_leaves = self.other_lives.left().cloned().collect();
+        self.unreported_leaves = self.other_incarnations.left().cloned().collect();
         self.forget_orders_seen();
     }
 
@@ -190,11 +203,11 @@
             .as_mut()
             .filter(|session| session.connection() == connection);
         let session = session.ok_or(RefusedMessage::OtherConnection)?;
-        let life = self
-            .life
+        let incarnation = self
+            .incarnation
             .as_mut()
-            .filter(|life| life.facts.id == message.server);
-        let life = life.ok_or(RefusedMessage::OtherLife)?;
+            .filter(|incarnation| incarnation.facts.id == message.server);
+        let incarnation = incarnation.ok_or(RefusedMessage::OtherIncarnation)?;
         if message.token < self.token {
             return Err(RefusedMessage::LowerToken);
         }
@@ -205,9 +218,9 @@
             }
             return Err(refused);
         }
-        life.observed = life.observed.max(message.observed);
+        incarnation.observed = incarnation.observed.max(message.observed);
         self.token = message.token;
-        self.take_hold(&message);
+        self.take_lease(&message);
         self.orders.apply(message);
         Ok(())
     }
@@ -231,10 +244,10 @@
     /// When [`Agent::poll`] should be called if nothing else happens.
     pub fn next_poll(&self) -> Option<Millis> {
         let session = self.session.as_ref()?;
-        let life = self.life.as_ref()?;
+        let incarnation = self.incarnation.as_ref()?;
         let report = self
             .reporter
-            .next_due(&life.heartbeat, life.orders_answered);
+            .next_due(&incarnation.heartbeat, incarnation.orders_answered);
         let attach = session
             .attach_due()
             .map(|due| due.max(self.attach_earliest()));
@@ -243,19 +256,19 @@
         } else {
             attach?
         };
-        (due <= life.expected_by).then_some(due)
+        (due <= incarnation.expected_by).then_some(due)
     }
 
     fn take_heartbeat(&mut self, beat: ServerHeartbeat, now: Millis) -> OpenHeartbeat {
         if self.server().is_none_or(|known| known.id != beat.facts.id) {
-            self.end_life();
+            self.end_incarnation();
         }
         self.orders.note_ends(&beat.heartbeat.finished);
         let ends = !beat.heartbeat.finished.is_empty();
         let idle = beat.heartbeat.running.is_empty() && !ends;
-        let unknown_runs = self.update_life(beat);
-        if let Some(life) = &mut self.life {
-            life.expected_by = now.plus(SILENCE_SLACK_MS);
+        let unknown_runs = self.update_incarnation(beat);
+        if let Some(incarnation) = &mut self.incarnation {
+            incarnation.expected_by = now.plus(SILENCE_SLACK_MS);
         }
         OpenHeartbeat {
             unknown_runs,
@@ -266,9 +279,9 @@
     }
 
     /// Drops everything that belongs to the present life.
-    fn end_life(&mut self) {
-        if let Some(life) = self.life.take() {
-            self.other_lives.end(&life.heartbeat);
+    fn end_incarnation(&mut self) {
+        if let Some(incarnation) = self.incarnation.take() {
+            self.other_incarnations.end(&incarnation.heartbeat);
         }
         self.orders = Orders::default();
         self.hold.clear();
@@ -278,7 +291,7 @@
     }
 
     /// Keeps what a heartbeat tells, and returns the runs that are none of ours.
-    fn update_life(&mut self, beat: ServerHeartbeat) -> Vec<UnknownRun> {
+    fn update_incarnation(&mut self, beat: ServerHeartbeat) -> Vec<UnknownRun> {
         let ServerHeartbeat {
             facts,
             mut heartbeat,
@@ -296,10 +309,12 @@
             .unwrap_or_default();
         let all_ends_listed = ends_listed < FINISHED_LIST_MOST;
         heartbeat.orders_seen = if all_ends_listed { answered.newest } else { 0 };
-        let before = self.life.take();
-        let left_first = before.as_ref().is_some_and(|life| life.left_first)
-            || self.other_lives.has_announced_leave(&facts.id);
-        let mut life = Life {
+        let before = self.incarnation.take();
+        let left_first = before
+            .as_ref()
+            .is_some_and(|incarnation| incarnation.left_first)
+            || self.other_incarnations.has_announced_leave(&facts.id);
+        let mut incarnation = Life {
             facts,
             heartbeat,
             orders_answered: if all_ends_listed {
@@ -308,102 +323,107 @@
                 0
             },
             all_ends_listed,
-            draining: before.as_ref().is_some_and(|life| life.draining),
+            draining: before
+                .as_ref()
+                .is_some_and(|incarnation| incarnation.draining),
             left_first,
-            observed: before.map_or(0, |life| life.observed),
+            observed: before.map_or(0, |incarnation| incarnation.observed),
             expected_by: Millis::default(),
         };
-        life.note_draining();
-        self.life = Some(life);
+        incarnation.note_draining();
+        self.incarnation = Some(incarnation);
         unknown_runs
     }
 
     fn answer(&mut self, unknown_runs: &[UnknownRun], now: Millis) -> HeartbeatAnswer {
-        let Some(life) = &self.life else {
+        let Some(incarnation) = &self.incarnation else {
             return HeartbeatAnswer::default();
         };
-        let running = &life.heartbeat.running;
-        let hold_ms = self.hold.for_answer(now, self.settings.hold_max_ms);
-        let may_start = hold_ms.is_some() && !life.draining && life.all_ends_listed;
+        let running = &incarnation.heartbeat.running;
+        let lease_ms = self.hold.for_answer(now, self.settings.lease_max_ms);
+        let may_start = lease_ms.is_some() && !incarnation.draining && incarnation.all_ends_listed;
         let missing = self.orders.missing_starts(running, may_start);
         let unknown = unknown_runs.iter().map(stop_unknown);
         let stops: Vec<StopOrder> = self.orders.stops(running).chain(unknown).collect();
-        let busy =
-            !missing.starts.is_empty() || !stops.is_empty() || self.has_unobserved_ends(life);
+        let busy = !missing.starts.is_empty()
+            || !stops.is_empty()
+            || self.has_unobserved_ends(incarnation);
         if let Some(session) = self
             .session
             .as_mut()
-            .filter(|_| life.draining || !missing.withheld)
+            .filter(|_| incarnation.draining || !missing.withheld)
         {
             session.all_answered();
         }
         HeartbeatAnswer {
             starts: missing.starts,
             stops,
-            observed: life.observed,
+            observed: incarnation.observed,
             token: self.token,
-            hold_ms: hold_ms.unwrap_or(0),
-            beat_after_ms: self.beat_after_ms(busy),
+            lease_ms: lease_ms.unwrap_or(0),
+            heartbeat_after_ms: self.heartbeat_after_ms(busy),
         }
     }
 
-    fn has_unobserved_ends(&self, life: &Life) -> bool {
-        life.heartbeat
+    fn has_unobserved_ends(&self, incarnation: &Life) -> bool {
+        incarnation
+            .heartbeat
             .finished
             .iter()
-            .any(|end| end.number > life.observed)
+            .any(|end| end.number > incarnation.observed)
     }
 
     /// How soon the next heartbeat is wanted. Without an owner nothing comes of it, however busy the server is.
-    fn beat_after_ms(&self, busy: bool) -> u64 {
+    fn heartbeat_after_ms(&self, busy: bool) -> u64 {
         let wanted = self
             .session
             .as_ref()
-            .and_then(Session::beat_after_ms)
-            .unwrap_or(self.settings.idle_beat_ms);
+            .and_then(Session::heartbeat_after_ms)
+            .unwrap_or(self.settings.idle_heartbeat_ms);
         let busy = busy && self.session.is_some();
-        let beat_after_ms = if busy {
-            wanted.min(self.settings.busy_beat_ms)
+        let heartbeat_after_ms = if busy {
+            wanted.min(self.settings.busy_heartbeat_ms)
         } else {
             wanted
         };
-        beat_after_ms.min(self.settings.heartbeat_ms).max(1)
+        heartbeat_after_ms.min(self.settings.heartbeat_ms).max(1)
     }
 
     /// Takes the hold that a message grants. It counts from a moment at which the agent did send something.
-    fn take_hold(&mut self, message: &OwnerMessage) {
-        let from = message.hold_from.min(self.last_sent.unwrap_or_default());
-        if message.whole {
-            self.hold.replace(from, message.hold_ms);
+    fn take_lease(&mut self, message: &OwnerMessage) {
+        let from = message.lease_from.min(self.last_sent.unwrap_or_default());
+        if message.complete {
+            self.hold.replace(from, message.lease_ms);
         } else {
-            self.hold.extend(from, message.hold_ms);
+            self.hold.extend(from, message.lease_ms);
         }
     }
 
     fn poll_attach(&mut self, now: Millis) -> Option<AgentMessage> {
         let session = self.session.as_ref()?;
-        let life = self.life.as_ref()?;
-        let due =
-            session.needs_attach(now) && self.attach_earliest() <= now && now <= life.expected_by;
+        let incarnation = self.incarnation.as_ref()?;
+        let due = session.needs_attach(now)
+            && self.attach_earliest() <= now
+            && now <= incarnation.expected_by;
         if !due {
             return None;
         }
         self.forget_orders_seen();
         let session = self.session.as_mut()?;
-        let life = self.life.as_ref()?;
+        let incarnation = self.incarnation.as_ref()?;
         session.attached(now);
         self.reporter = Reporter::default();
         self.reporter
-            .sent_heartbeat(&life.heartbeat, life.orders_answered, now);
+            .sent_heartbeat(&incarnation.heartbeat, incarnation.orders_answered, now);
         Some(AgentMessage::Attach {
-            facts: life.facts.clone(),
+            facts: incarnation.facts.clone(),
             token: self.token,
-            heartbeat: life.heartbeat.clone(),
+            heartbeat: incarnation.heartbeat.clone(),
             sent_at: now,
         })
     }
 
-    /// An attach is later than every earlier message: so the owner's `hold_from` tells which attach it answers.
+    /// An attach is later than every earlier message: so the owner's `lease_from` tells which attach it answers.
     fn attach_earliest(&self) -> Millis {
         self.last_sent.map_or(Millis::default(), |at| at.plus(1))
     }
@@ -411,23 +431,26 @@
     fn poll_leaves(&mut self) -> impl Iterator<Item = AgentMessage> {
         std::mem::take(&mut self.unreported_leaves)
             .into_iter()
-            .map(|server| AgentMessage::Leave { server })
+            .map(|server| AgentMessage::Deregister { server })
     }
 
     fn poll_report(&mut self, now: Millis) -> Option<AgentMessage> {
         let attached = self.session.as_ref().is_some_and(Session::is_attached);
-        let life = self
-            .life
+        let incarnation = self
+            .incarnation
             .as_ref()
-            .filter(|life| attached && now <= life.expected_by)?;
+            .filter(|incarnation| attached && now <= incarnation.expected_by)?;
         let kind = self
             .reporter
-            .due(&life.heartbeat, life.orders_answered, now)?;
+            .due(&incarnation.heartbeat, incarnation.orders_answered, now)?;
         let heartbeat = match kind {
             ReportKind::Heartbeat => {
-                self.reporter
-                    .sent_heartbeat(&life.heartbeat, life.orders_answered, now);
-                Some(life.heartbeat.clone())
+                self.reporter.sent_heartbeat(
+                    &incarnation.heartbeat,
+                    incarnation.orders_answered,
+                    now,
+                );
+                Some(incarnation.heartbeat.clone())
             }
             ReportKind::NoChange => {
                 self.reporter.sent(now);
@@ -448,9 +471,9 @@
 
     /// The numbers of an earlier session's messages mean nothing in the next one.
     fn forget_orders_seen(&mut self) {
-        if let Some(life) = &mut self.life {
-            life.heartbeat.orders_seen = 0;
-            life.orders_answered = 0;
+        if let Some(incarnation) = &mut self.incarnation {
+            incarnation.heartbeat.orders_seen = 0;
+            incarnation.orders_answered = 0;
         }
     }
 }
--- a/crates/worker-agent/src/answer.rs
+++ b/crates/worker-agent/src/answer.rs
@@ -24,7 +24,7 @@
     /// The token of the owner that the orders are from.
     pub token: FencingToken,
     /// How long, in milliseconds from the sending of the heartbeat, the server may hold what runs.
-    pub hold_ms: u64,
+    pub lease_ms: u64,
     /// How long, in milliseconds, the server should wait before it beats again.
-    pub beat_after_ms: u64,
+    pub heartbeat_after_ms: u64,
 }
--- a/crates/worker-agent/src/heartbeat_json/fields.rs
+++ b/crates/worker-agent/src/heartbeat_json/fields.rs
@@ -97,7 +97,7 @@
             EndWord::Done => RunEnd::Done,
             EndWord::Failed => RunEnd::Failed,
             EndWord::Stopped => RunEnd::Stopped,
-            EndWord::Lapsed => RunEnd::Lapsed,
+            EndWord::Lapsed => RunEnd::LeaseExpired,
             EndWord::Broken => RunEnd::Broken,
             EndWord::Alone => RunEnd::Alone,
             EndWord::Refused => RunEnd::Refused,
@@ -113,7 +113,7 @@
     /// Its start.
     pub attempt: Attempt,
     /// Its last checkpoint; empty for none.
-    pub saved: String,
+    pub checkpoint: String,
     /// How far it is, in percent.
     pub percent: u32,
 }
@@ -130,13 +130,13 @@
     fn visit_seq<A: SeqAccess<'de>>(self, mut row: A) -> Result<RunningRow, A::Error> {
         let task = required(&mut row, "task")?;
         let attempt = required::<Count, _>(&mut row, "run")?.as_u32();
-        let saved = optional::<Option<String>, _>(&mut row)?.unwrap_or_default();
+        let checkpoint = optional::<Option<String>, _>(&mut row)?.unwrap_or_default();
         let percent = optional::<Count, _>(&mut row)?.as_u32();
         skip_rest(&mut row)?;
         Ok(RunningRow {
             task,
             attempt,
-            saved,
+            checkpoint,
             percent,
         })
     }
@@ -160,7 +160,7 @@
     /// How it ended.
     pub end: RunEnd,
     /// Its last checkpoint; empty for none.
-    pub saved: String,
+    pub checkpoint: String,
 }
 
 struct FinishedRowVisitor;
@@ -177,14 +177,14 @@
         let task = required(&mut row, "task")?;
         let attempt = required::<Count, _>(&mut row, "run")?.as_u32();
         let end = required::<EndWord, _>(&mut row, "how")?.into();
-        let saved = optional::<Option<String>, _>(&mut row)?.unwrap_or_default();
+        let checkpoint = optional::<Option<String>, _>(&mut row)?.unwrap_or_default();
         skip_rest(&mut row)?;
         Ok(FinishedRow {
             number,
             task,
             attempt,
             end,
-            saved,
+            checkpoint,
         })
     }
 }
--- a/crates/worker-agent/src/heartbeat_json/parse.rs
+++ b/crates/worker-agent/src/heartbeat_json/parse.rs
@@ -151,7 +151,7 @@
     for RunningRow {
         task,
         attempt,
-        saved,
+        checkpoint,
         percent,
     } in rows
     {
@@ -159,7 +159,7 @@
             TaskName::Known(task) => known.push(RunningTask {
                 task,
                 attempt,
-                saved,
+                checkpoint,
                 percent,
             }),
             TaskName::Unknown(task) => unknown.push(UnknownRun { task, attempt }),
@@ -181,7 +181,7 @@
         task,
         attempt,
         end,
-        saved,
+        checkpoint,
     } = row;
     match task {
         TaskName::Known(task) => Some(FinishedTask {
@@ -189,7 +189,7 @@
             task,
             attempt,
             end,
-            saved,
+            checkpoint,
         }),
         TaskName::Unknown(_) => None,
     }
--- a/crates/worker-agent/src/heartbeat_json/render.rs
+++ b/crates/worker-agent/src/heartbeat_json/render.rs
@@ -26,7 +26,7 @@
 #[serde(rename_all = "kebab-case")]
 struct Body<'a> {
     #[serde(skip_serializing_if = "is_zero")]
-    hold_ms: u64,
+    lease_ms: u64,
     #[serde(skip_serializing_if = "is_zero")]
     observed: u64,
     #[serde(skip_serializing_if = "is_zero")]
@@ -42,12 +42,12 @@
 /// The answer's JSON; what is 0 or empty is left out.
 pub fn render(answer: &HeartbeatAnswer) -> String {
     let body = Body {
-        hold_ms: answer.hold_ms,
+        lease_ms: answer.lease_ms,
         observed: answer.observed,
         fence_token: answer.token.0,
         start: answer.starts.iter().map(start_row).collect(),
         stop: answer.stops.iter().map(stop_row).collect(),
-        retry_after_ms: answer.beat_after_ms,
+        retry_after_ms: answer.heartbeat_after_ms,
     };
     // Numbers, texts and lists of them: there is nothing that JSON cannot hold.
     serde_json::to_string(&body).unwrap_or_else(|_| String::from("{}"))
@@ -58,7 +58,12 @@
 }
 
 fn start_row(start: &Assignment) -> StartRow<'_> {
-    StartRow(Name(&start.task), start.attempt, &start.spec, &start.saved)
+    StartRow(
+        Name(&start.task),
+        start.attempt,
+        &start.spec,
+        &start.checkpoint,
+    )
 }
 
 fn stop_row(stop: &StopOrder) -> StopRow<'_> {
--- a/crates/worker-agent/src/lives.rs
+++ b/crates/worker-agent/src/incarnations.rs
@@ -10,7 +10,7 @@
 use std::collections::VecDeque;
 
 /// How many earlier lives of the server are remembered.
-const PAST_LIVES_MOST: usize = 16;
+const PAST_INCARNATIONS_MOST: usize = 16;
 
 /// What to make of a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -152,7 +152,7 @@
 
 fn push_bounded<T>(list: &mut VecDeque<T>, item: T) {
     list.push_back(item);
-    if list.len() > PAST_LIVES_MOST {
+    if list.len() > PAST_INCARNATIONS_MOST {
         list.pop_front();
     }
 }
--- a/crates/worker-agent/src/orders.rs
+++ b/crates/worker-agent/src/orders.rs
@@ -44,7 +44,7 @@
 impl Orders {
     /// Takes the owner's orders. A message that is whole replaces all earlier ones; only the memory of ends stays.
     pub fn apply(&mut self, message: OwnerMessage) {
-        if message.whole {
+        if message.complete {
             self.desired.clear();
             self.stopped.clear();
         }
@@ -76,7 +76,7 @@
             if newest.is_some_and(|attempt| attempt >= assignment.attempt) {
                 continue;
             }
-            bytes += assignment.spec.len() + assignment.saved.len();
+            bytes += assignment.spec.len() + assignment.checkpoint.len();
             let fits = missing.starts.is_empty() || bytes <= STARTS_BYTES_MOST;
             if allowed && newest.is_none() && fits {
                 missing.starts.push(assignment.clone());
--- a/crates/worker-agent/src/reporter.rs
+++ b/crates/worker-agent/src/reporter.rs
@@ -111,5 +111,5 @@
 }
 
 fn same_run((old, new): (&RunningTask, &RunningTask)) -> bool {
-    old.task == new.task && old.attempt == new.attempt && old.saved == new.saved
+    old.task == new.task && old.attempt == new.attempt && old.checkpoint == new.checkpoint
 }
--- a/crates/worker-agent/src/session.rs
+++ b/crates/worker-agent/src/session.rs
@@ -13,7 +13,7 @@
     /// it came on a connection other than the current session's
     OtherConnection,
     /// it is for another life of the server
-    OtherLife,
+    OtherIncarnation,
     /// its token is below one that was seen before
     LowerToken,
     /// it answers an earlier attach, or none
@@ -58,7 +58,7 @@
     phase: Phase,
     taken: MessageNumbers,
     answered: MessageNumbers,
-    beat_after_ms: Option<u64>,
+    heartbeat_after_ms: Option<u64>,
 }
 
 impl Session {
@@ -69,7 +69,7 @@
             phase: Phase::Detached,
             taken: MessageNumbers::default(),
             answered: MessageNumbers::default(),
-            beat_after_ms: None,
+            heartbeat_after_ms: None,
         }
     }
 
@@ -109,15 +109,15 @@
     }
 
     /// Checks a message's place in the session, and notes it where it is the next. Each has to answer the newest attach
-    /// or something later, which its `hold_from` shows, and to follow the one before.
+    /// or something later, which its `lease_from` shows, and to follow the one before.
     pub fn take(&mut self, message: &OwnerMessage) -> Result<(), RefusedMessage> {
         let attached_at = match self.phase {
             Phase::Detached => Err(RefusedMessage::EarlierSession),
-            Phase::Attached(at) if message.whole => Ok(at),
+            Phase::Attached(at) if message.complete => Ok(at),
             Phase::Attached(_) => Err(RefusedMessage::EarlierSession),
             Phase::Active { attached_at, .. } => Ok(attached_at),
         }?;
-        if message.hold_from < attached_at {
+        if message.lease_from < attached_at {
             return Err(RefusedMessage::EarlierSession);
         }
         if let Phase::Active { token, .. } = self.phase {
@@ -131,7 +131,7 @@
         if !message.assign.is_empty() || !message.stop.is_empty() {
             self.taken.newest_with_orders = message.number;
         }
-        self.beat_after_ms = Some(message.beat_after_ms);
+        self.heartbeat_after_ms = Some(message.heartbeat_after_ms);
         Ok(())
     }
 
@@ -146,8 +146,9 @@
     }
 
     /// After how many milliseconds the owner wants the next heartbeat; none where it has not said.
-    pub fn beat_after_ms(&self) -> Option<u64> {
-        self.beat_after_ms.filter(|milliseconds| *milliseconds > 0)
+    pub fn heartbeat_after_ms(&self) -> Option<u64> {
+        self.heartbeat_after_ms
+            .filter(|milliseconds| *milliseconds > 0)
     }
 
     fn follows(&self, message: &OwnerMessage, token: FencingToken) -> Result<(), RefusedMessage> {
@@ -155,7 +156,7 @@
             return Err(RefusedMessage::Repeated);
         }
         let next = message.number == self.taken.newest + 1 && message.token == token;
-        if next || message.whole {
+        if next || message.complete {
             Ok(())
         } else {
             Err(RefusedMessage::Gap)
--- a/crates/worker-agent/tests/agent.rs
+++ b/crates/worker-agent/tests/agent.rs
@@ -7,7 +7,7 @@
 use lupinrack_cluster_api::server::RunEnd;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_worker_agent::heartbeat_json::UnknownRun;
-use lupinrack_worker_agent::hold::HOLD_LEAST_MS;
+use lupinrack_worker_agent::hold::LEASE_LEAST_MS;
 use lupinrack_worker_agent::orders::STARTS_BYTES_MOST;
 use lupinrack_worker_agent::session::ATTACH_RETRY_MS;
 use lupinrack_worker_agent::{Agent, HeartbeatAnswer, RefusedMessage, StopOrder};
@@ -21,7 +21,7 @@
     let mut agent = Agent::new(settings(), Millis(0));
     let answer = agent.heartbeat(beat("a", 1), Millis(10));
     let expected = HeartbeatAnswer {
-        beat_after_ms: settings().idle_beat_ms,
+        heartbeat_after_ms: settings().idle_heartbeat_ms,
         ..HeartbeatAnswer::default()
     };
     assert_eq!(answer, expected);
@@ -36,15 +36,15 @@
         let answer = agent.heartbeat(beat("a", sequence), Millis(100 * sequence));
         assert_eq!(started(&answer), [(1, 1)]);
         assert_eq!(
-            (answer.token, answer.beat_after_ms),
-            (FencingToken(5), settings().busy_beat_ms)
+            (answer.token, answer.heartbeat_after_ms),
+            (FencingToken(5), settings().busy_heartbeat_ms)
         );
     }
     let mut listed = beat("a", 5);
     listed.heartbeat.running = vec![running(1, 1)];
     let answer = agent.heartbeat(listed, Millis(500));
     assert!(answer.starts.is_empty() && answer.stops.is_empty());
-    assert_eq!(answer.hold_ms, 3011 - 500);
+    assert_eq!(answer.lease_ms, 3011 - 500);
 }
 
 #[test]
@@ -70,23 +70,23 @@
 fn no_hold_and_no_start_beyond_the_grant() {
     let mut agent = ordered();
     let end = 3011;
-    let answer = agent.heartbeat(beat("a", 2), Millis(end - HOLD_LEAST_MS));
-    assert_eq!((answer.hold_ms, answer.starts.len()), (HOLD_LEAST_MS, 1));
-    let answer = agent.heartbeat(beat("a", 3), Millis(end - HOLD_LEAST_MS + 1));
-    assert_eq!((answer.hold_ms, answer.starts.len()), (0, 0));
+    let answer = agent.heartbeat(beat("a", 2), Millis(end - LEASE_LEAST_MS));
+    assert_eq!((answer.lease_ms, answer.starts.len()), (LEASE_LEAST_MS, 1));
+    let answer = agent.heartbeat(beat("a", 3), Millis(end - LEASE_LEAST_MS + 1));
+    assert_eq!((answer.lease_ms, answer.starts.len()), (0, 0));
 }
 
 #[test]
 fn a_hold_is_cut_to_the_longest_that_servers_take() {
     let mut agent = attached();
     let long = OwnerMessage {
-        hold_ms: 60_000,
+        lease_ms: 60_000,
         ..first_message()
     };
     assert_eq!(agent.owner_message(CONNECTION, long, Millis(20)), Ok(()));
     assert_eq!(
-        agent.heartbeat(beat("a", 2), Millis(30)).hold_ms,
-        settings().hold_max_ms
+        agent.heartbeat(beat("a", 2), Millis(30)).lease_ms,
+        settings().lease_max_ms
     );
 }
 
@@ -94,11 +94,11 @@
 fn a_hold_from_a_moment_to_come_counts_from_the_last_message() {
     let mut agent = attached();
     let ahead = OwnerMessage {
-        hold_from: Millis(9_000),
+        lease_from: Millis(9_000),
         ..first_message()
     };
     assert_eq!(agent.owner_message(CONNECTION, ahead, Millis(20)), Ok(()));
-    assert_eq!(agent.heartbeat(beat("a", 2), Millis(1011)).hold_ms, 2_000);
+    assert_eq!(agent.heartbeat(beat("a", 2), Millis(1011)).lease_ms, 2_000);
 }
 
 #[test]
@@ -183,7 +183,7 @@
     draining.heartbeat.draining = true;
     assert!(agent.heartbeat(draining, Millis(30)).starts.is_empty());
     let answer = agent.heartbeat(beat("a", 3), Millis(40));
-    assert!(answer.starts.is_empty() && answer.hold_ms > 0);
+    assert!(answer.starts.is_empty() && answer.lease_ms > 0);
 }
 
 #[test]
@@ -212,8 +212,8 @@
         matches!(agent.poll(Millis(40)).as_slice(), [AgentMessage::Attach { token, .. }] if token.0 == 5)
     );
     let lower = OwnerMessage {
-        whole: true,
-        hold_from: Millis(40),
+        complete: true,
+        lease_from: Millis(40),
         ..message(1, "a", 4)
     };
     assert_eq!(
@@ -232,9 +232,9 @@
     agent.owner_connected(2);
     agent.poll(Millis(40));
     let whole = OwnerMessage {
-        whole: true,
-        hold_from: Millis(40),
-        hold_ms: 1_000,
+        complete: true,
+        lease_from: Millis(40),
+        lease_ms: 1_000,
         assign: vec![assignment(9, 1)],
         ..message(1, "a", 6)
     };
@@ -244,7 +244,7 @@
         (started(&answer), answer.token),
         (vec![(9, 1)], FencingToken(6))
     );
-    assert_eq!(answer.hold_ms, 980);
+    assert_eq!(answer.lease_ms, 980);
 }
 
 #[test]
@@ -253,7 +253,7 @@
     agent.owner_lost(CONNECTION);
     let answer = agent.heartbeat(beat("a", 2), Millis(60));
     assert_eq!(
-        (started(&answer), answer.hold_ms),
+        (started(&answer), answer.lease_ms),
         (vec![(1, 1)], 3011 - 60)
     );
     assert!(agent.poll(Millis(1_000)).is_empty());
@@ -308,7 +308,7 @@
     let refused = agent.owner_message(CONNECTION, first_message(), again);
     assert_eq!(refused, Err(RefusedMessage::EarlierSession));
     let fresh = OwnerMessage {
-        hold_from: again,
+        lease_from: again,
         ..first_message()
     };
     assert_eq!(agent.owner_message(CONNECTION, fresh, again), Ok(()));
@@ -320,12 +320,12 @@
     let mut ended = beat("a", 2);
     ended.heartbeat.finished = vec![finished(1, 1, 1, RunEnd::Failed)];
     assert_eq!(
-        agent.heartbeat(ended, Millis(100)).beat_after_ms,
-        settings().busy_beat_ms
+        agent.heartbeat(ended, Millis(100)).heartbeat_after_ms,
+        settings().busy_heartbeat_ms
     );
     let observing = OwnerMessage {
         observed: 1,
-        beat_after_ms: 300,
+        heartbeat_after_ms: 300,
         ..message(2, "a", 5)
     };
     assert_eq!(
@@ -333,7 +333,9 @@
         Ok(())
     );
     assert_eq!(
-        agent.heartbeat(beat("a", 3), Millis(120)).beat_after_ms,
+        agent
+            .heartbeat(beat("a", 3), Millis(120))
+            .heartbeat_after_ms,
         300
     );
 }
@@ -342,7 +344,7 @@
 fn a_session_begins_with_a_whole_message() {
     let mut agent = attached();
     let changes = OwnerMessage {
-        whole: false,
+        complete: false,
         ..first_message()
     };
     assert_eq!(
@@ -359,7 +361,7 @@
     agent.heartbeat(beat("a", 2), Millis(100));
     agent.poll(Millis(101));
     let whole = OwnerMessage {
-        hold_from: Millis(101),
+        lease_from: Millis(101),
         ..first_message()
     };
     assert_eq!(agent.owner_message(2, whole, Millis(110)), Ok(()));
@@ -373,7 +375,7 @@
         Err(RefusedMessage::EarlierSession)
     );
     let next = OwnerMessage {
-        hold_from: Millis(101),
+        lease_from: Millis(101),
         ..message(2, "a", 5)
     };
     assert_eq!(agent.owner_message(2, next, Millis(130)), Ok(()));
--- a/crates/worker-agent/tests/golden.rs
+++ b/crates/worker-agent/tests/golden.rs
@@ -94,7 +94,7 @@
             running: vec![RunningTask {
                 task: task(),
                 attempt: 6,
-                saved: "0f0f".into(),
+                checkpoint: "0f0f".into(),
                 percent: 41,
             }],
             finished: vec![FinishedTask {
@@ -102,7 +102,7 @@
                 task: other_task(),
                 attempt: 9,
                 end: RunEnd::Done,
-                saved: "0e0e".into(),
+                checkpoint: "0e0e".into(),
             }],
             orders_seen: 0,
         },
@@ -150,7 +150,7 @@
         ("done", RunEnd::Done),
         ("failed", RunEnd::Failed),
         ("stopped", RunEnd::Stopped),
-        ("lapsed", RunEnd::Lapsed),
+        ("lapsed", RunEnd::LeaseExpired),
         ("broken", RunEnd::Broken),
         ("alone", RunEnd::Alone),
         ("refused", RunEnd::Refused),
@@ -171,7 +171,7 @@
         task: task(),
         attempt: number as u32 + 20,
         end: *end,
-        saved: format!("s{number}"),
+        checkpoint: format!("s{number}"),
     });
     let mut read = least_heartbeat();
     read.heartbeat.finished = finished.collect();
@@ -188,10 +188,10 @@
     let body = least_body(&format!(
         r#","running":{running},"finished":{finished},"mood":{{"good":[1]}}"#
     ));
-    let run = |task, attempt, saved: &str, percent| RunningTask {
+    let run = |task, attempt, checkpoint: &str, percent| RunningTask {
         task,
         attempt,
-        saved: saved.into(),
+        checkpoint: checkpoint.into(),
         percent,
     };
     let end = |number, task, attempt, end| FinishedTask {
@@ -199,7 +199,7 @@
         task,
         attempt,
         end,
-        saved: String::new(),
+        checkpoint: String::new(),
     };
     let mut read = least_heartbeat();
     read.heartbeat.running = vec![
@@ -226,7 +226,7 @@
     read.heartbeat.running = vec![RunningTask {
         task: task(),
         attempt: 1,
-        saved: String::new(),
+        checkpoint: String::new(),
         percent: 2,
     }];
     read.unknown_runs = vec![
@@ -260,7 +260,7 @@
     read.heartbeat.running = vec![RunningTask {
         task: task(),
         attempt: u32::MAX,
-        saved: String::new(),
+        checkpoint: String::new(),
         percent: u32::MAX,
     }];
     read.facts.capacity.cpu = 1_000;
@@ -354,12 +354,12 @@
     }
 }
 
-fn assignment(task: TaskId, attempt: u32, spec: &str, saved: &str) -> Assignment {
+fn assignment(task: TaskId, attempt: u32, spec: &str, checkpoint: &str) -> Assignment {
     Assignment {
         task,
         attempt,
         spec: spec.into(),
-        saved: saved.into(),
+        checkpoint: checkpoint.into(),
     }
 }
 
@@ -381,8 +381,8 @@
         ],
         observed: 58,
         token: FencingToken(7),
-        hold_ms: 4_000,
-        beat_after_ms: 200,
+        lease_ms: 4_000,
+        heartbeat_after_ms: 200,
     }
 }
 
@@ -423,14 +423,14 @@
         (
             "hold",
             HeartbeatAnswer {
-                hold_ms: 4_000,
+                lease_ms: 4_000,
                 ..none()
             },
         ),
         (
             "beat after",
             HeartbeatAnswer {
-                beat_after_ms: 200,
+                heartbeat_after_ms: 200,
                 ..none()
             },
         ),
@@ -460,7 +460,7 @@
         );
         assert_eq!(
             json["hold-ms"].as_u64().unwrap_or(0),
-            answer.hold_ms,
+            answer.lease_ms,
             "{name}"
         );
         assert_eq!(
@@ -470,7 +470,7 @@
         );
         assert_eq!(
             json["retry-after-ms"].as_u64().unwrap_or(0),
-            answer.beat_after_ms,
+            answer.heartbeat_after_ms,
             "{name}"
         );
     }
@@ -542,7 +542,7 @@
     }
     let refused = [
         ("other connection", RefusedMessage::OtherConnection),
-        ("other life", RefusedMessage::OtherLife),
+        ("other life", RefusedMessage::OtherIncarnation),
         ("lower token", RefusedMessage::LowerToken),
         ("earlier session", RefusedMessage::EarlierSession),
         ("repeated", RefusedMessage::Repeated),
--- a/crates/worker-agent/tests/golden_trace/mod.rs
+++ b/crates/worker-agent/tests/golden_trace/mod.rs
@@ -55,10 +55,10 @@
 impl Run {
     fn new(seed: u64, bulk: Bulk) -> Run {
         let settings = AgentSettings {
-            hold_max_ms: 6_000,
+            lease_max_ms: 6_000,
             heartbeat_ms: 1_500,
-            idle_beat_ms: 400,
-            busy_beat_ms: 80,
+            idle_heartbeat_ms: 400,
+            busy_heartbeat_ms: 80,
         };
         Run {
             random: Random::new(seed),
@@ -136,12 +136,12 @@
 
     /// The life after this one, at times this one again or the one before.
     fn next_life(&mut self) -> u64 {
-        let life = self.server.life();
+        let incarnation = self.server.incarnation();
         let earlier = self.random.once_in(3);
         if earlier {
-            life.saturating_sub(self.random.below(2))
+            incarnation.saturating_sub(self.random.below(2))
         } else {
-            life + 1
+            incarnation + 1
         }
     }
 
@@ -192,13 +192,13 @@
     }
 
     fn leave(&mut self) -> String {
-        let life = self.server.life();
-        let life = if self.random.once_in(4) {
-            life + self.random.below(2)
+        let incarnation = self.server.incarnation();
+        let incarnation = if self.random.once_in(4) {
+            incarnation + self.random.below(2)
         } else {
-            life
+            incarnation
         };
-        let id = server::id_of(life);
+        let id = server::id_of(incarnation);
         self.agent.leave(ServerId(id.clone()), Millis(self.now));
         format!("leaves {id}")
     }
@@ -208,7 +208,7 @@
 fn refusal_word(refused: RefusedMessage) -> &'static str {
     match refused {
         RefusedMessage::OtherConnection => "refused: other connection",
-        RefusedMessage::OtherLife => "refused: other server",
+        RefusedMessage::OtherIncarnation => "refused: other server",
         RefusedMessage::LowerToken => "refused: lower token",
         RefusedMessage::EarlierSession => "refused: earlier session",
         RefusedMessage::Repeated => "refused: repeated",
--- a/crates/worker-agent/tests/golden_trace/owner.rs
+++ b/crates/worker-agent/tests/golden_trace/owner.rs
@@ -82,19 +82,19 @@
                         .map_or(self.observed, |end| end.number);
                 }
             }
-            AgentMessage::Leave { .. } => {}
+            AgentMessage::Deregister { .. } => {}
         }
     }
 
     /// The connection and the next message; one in eight is not what an owner would say.
     pub fn message(&mut self, now: u64, random: &mut Random) -> (u64, OwnerMessage) {
         self.number += 1;
-        let whole = self.number == 1;
+        let complete = self.number == 1;
         let mut message = OwnerMessage {
             token: FencingToken(self.token),
             server: self.server.clone(),
             number: self.number,
-            whole,
+            complete,
             assign: (0..random.below(4))
                 .map(|_| self.assignment(random))
                 .collect(),
@@ -102,9 +102,9 @@
                 .map(|_| run(random))
                 .collect(),
             observed: if random.once_in(2) { self.observed } else { 0 },
-            hold_from: self.heard_at,
-            hold_ms: 500 + random.below(8_000),
-            beat_after_ms: random.below(3) * 150,
+            lease_from: self.heard_at,
+            lease_ms: 500 + random.below(8_000),
+            heartbeat_after_ms: random.below(3) * 150,
         };
         if random.once_in(8) {
             self.distort(&mut message, now, random);
@@ -125,7 +125,7 @@
         } else {
             format!("work {}", task.index)
         };
-        let saved = if random.once_in(4) {
+        let checkpoint = if random.once_in(4) {
             String::from("0f")
         } else {
             String::new()
@@ -134,7 +134,7 @@
             task,
             attempt,
             spec,
-            saved,
+            checkpoint,
         }
     }
 
@@ -145,9 +145,9 @@
             2 => message.server = ServerId("life-9".into()),
             3 => message.number = message.number.saturating_sub(1),
             4 => message.number += 1,
-            5 => message.whole = !message.whole,
-            6 => message.hold_from = Millis(now.saturating_sub(random.below(3_000))),
-            _ => message.hold_from = Millis(now + random.below(3_000)),
+            5 => message.complete = !message.complete,
+            6 => message.lease_from = Millis(now.saturating_sub(random.below(3_000))),
+            _ => message.lease_from = Millis(now + random.below(3_000)),
         }
     }
 }
--- a/crates/worker-agent/tests/golden_trace/server.rs
+++ b/crates/worker-agent/tests/golden_trace/server.rs
@@ -16,7 +16,7 @@
 
 /// One life of the server.
 pub struct Server {
-    life: u64,
+    incarnation: u64,
     sequence: u64,
     version: u64,
     draining: bool,
@@ -28,19 +28,19 @@
 
 struct Run {
     attempt: Attempt,
-    saved: String,
+    checkpoint: String,
     percent: u64,
 }
 
 /// The identity of a life.
-pub fn id_of(life: u64) -> String {
-    format!("life-{life}")
+pub fn id_of(incarnation: u64) -> String {
+    format!("life-{incarnation}")
 }
 
 impl Server {
-    pub fn new(life: u64, bulk: Bulk) -> Server {
+    pub fn new(incarnation: u64, bulk: Bulk) -> Server {
         Server {
-            life,
+            incarnation,
             sequence: 0,
             version: 1,
             draining: false,
@@ -51,8 +51,8 @@
         }
     }
 
-    pub fn life(&self) -> u64 {
-        self.life
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation
     }
 
     /// The identity and the body of the next heartbeat, which may be an earlier one again.
@@ -67,12 +67,12 @@
         } else {
             self.sequence
         };
-        let life = if random.once_in(40) {
-            self.life.saturating_sub(1)
+        let incarnation = if random.once_in(40) {
+            self.incarnation.saturating_sub(1)
         } else {
-            self.life
+            self.incarnation
         };
-        (id_of(life), self.body(sequence, now, random))
+        (id_of(incarnation), self.body(sequence, now, random))
     }
 
     /// Takes an answer.
@@ -95,7 +95,7 @@
             if !random.once_in(5) {
                 let run = Run {
                     attempt: start.attempt,
-                    saved: start.saved.clone(),
+                    checkpoint: start.checkpoint.clone(),
                     percent: 0,
                 };
                 self.running.insert(start.task.to_string(), run);
@@ -111,7 +111,7 @@
         for run in self.running.values_mut() {
             run.percent = (run.percent + random.below(9)).min(100);
             if random.once_in(10) {
-                run.saved = format!("{:02x}", random.below(256));
+                run.checkpoint = format!("{:02x}", random.below(256));
             }
         }
         let tasks: Vec<String> = self.running.keys().cloned().collect();
@@ -126,7 +126,7 @@
                 "other".into(),
                 Run {
                     attempt: 3,
-                    saved: String::new(),
+                    checkpoint: String::new(),
                     percent: 1,
                 },
             );
@@ -141,7 +141,7 @@
                 task,
                 run.attempt,
                 word,
-                run.saved
+                run.checkpoint
             ]));
         }
     }
@@ -150,7 +150,7 @@
         let running: Vec<Value> = self
             .running
             .iter()
-            .map(|(task, run)| json!([task, run.attempt, run.saved, run.percent]))
+            .map(|(task, run)| json!([task, run.attempt, run.checkpoint, run.percent]))
             .collect();
         let mut finished = self.finished.clone();
         let full = random.once_in(FULL_LISTS) && self.bulk == Bulk::With;
--- a/crates/worker-agent/tests/heartbeat_json.rs
+++ b/crates/worker-agent/tests/heartbeat_json.rs
@@ -70,7 +70,7 @@
     assert_eq!(beat.heartbeat.remaining_ms, Some(3400));
     let run = &beat.heartbeat.running[0];
     assert_eq!(
-        (run.task, run.attempt, run.saved.as_str(), run.percent),
+        (run.task, run.attempt, run.checkpoint.as_str(), run.percent),
         (task(), 2, "0f0f", 41)
     );
     let end = &beat.heartbeat.finished[0];
@@ -78,7 +78,7 @@
         (end.number, end.task, end.attempt, end.end),
         (58, task(), 1, RunEnd::Done)
     );
-    assert_eq!(end.saved, "0e0e");
+    assert_eq!(end.checkpoint, "0e0e");
     assert_eq!(
         (beat.address.as_str(), beat.slots, beat.cold_remaining_ms),
         ("127.0.0.1:80", 8, 12)
@@ -107,13 +107,13 @@
         .map(|run| run.percent)
         .collect();
     assert_eq!(percents, [0, 0, 12]);
-    let saved: Vec<&str> = beat
+    let checkpoint: Vec<&str> = beat
         .heartbeat
         .finished
         .iter()
-        .map(|end| end.saved.as_str())
+        .map(|end| end.checkpoint.as_str())
         .collect();
-    assert_eq!(saved, ["", "0f"]);
+    assert_eq!(checkpoint, ["", "0f"]);
 }
 
 #[test]
@@ -122,7 +122,7 @@
         ("done", RunEnd::Done),
         ("failed", RunEnd::Failed),
         ("stopped", RunEnd::Stopped),
-        ("lapsed", RunEnd::Lapsed),
+        ("lapsed", RunEnd::LeaseExpired),
         ("broken", RunEnd::Broken),
         ("alone", RunEnd::Alone),
         ("refused", RunEnd::Refused),
@@ -190,7 +190,7 @@
         task: task(),
         attempt: 1,
         spec: "say \"hello\"\n".into(),
-        saved: String::new(),
+        checkpoint: String::new(),
     };
     let answer = HeartbeatAnswer {
         starts: vec![start],
@@ -200,8 +200,8 @@
         }],
         observed: 58,
         token: FencingToken(7),
-        hold_ms: 4000,
-        beat_after_ms: 200,
+        lease_ms: 4000,
+        heartbeat_after_ms: 200,
     };
     let written: Value = serde_json::from_str(&render(&answer)).expect("JSON");
     let expected = json!({
@@ -217,10 +217,10 @@
         true
     }
 
-    fn any_text_survives_a_start(spec: String, saved: String) -> bool {
-        let start = Assignment { task: task(), attempt: 3, spec: spec.clone(), saved: saved.clone() };
+    fn any_text_survives_a_start(spec: String, checkpoint: String) -> bool {
+        let start = Assignment { task: task(), attempt: 3, spec: spec.clone(), checkpoint: checkpoint.clone() };
         let answer = HeartbeatAnswer { starts: vec![start], ..HeartbeatAnswer::default() };
         let written: Value = serde_json::from_str(&render(&answer)).expect("JSON");
-        written["start"][0] == json!([TASK, 3, spec, saved])
+        written["start"][0] == json!([TASK, 3, spec, checkpoint])
     }
 }
--- a/crates/worker-agent/tests/lives.rs
+++ b/crates/worker-agent/tests/lives.rs
@@ -49,7 +49,7 @@
     let mut agent = ordered();
     for sequence in 1..3 {
         let answer = agent.heartbeat(beat("b", sequence), SILENT);
-        assert_eq!((started(&answer), answer.hold_ms), (vec![], 0));
+        assert_eq!((started(&answer), answer.lease_ms), (vec![], 0));
     }
     let late = OwnerMessage {
         assign: vec![assignment(2, 1)],
@@ -57,7 +57,7 @@
     };
     assert_eq!(
         agent.owner_message(CONNECTION, late, SILENT),
-        Err(RefusedMessage::OtherLife)
+        Err(RefusedMessage::OtherIncarnation)
     );
     let messages = agent.poll(SILENT);
     assert!(
@@ -70,7 +70,7 @@
     let mut agent = ordered();
     let unconfirmed = agent.heartbeat(beat("dead", 1), Millis(100));
     let expected = HeartbeatAnswer {
-        beat_after_ms: settings().busy_beat_ms,
+        heartbeat_after_ms: settings().busy_heartbeat_ms,
         ..HeartbeatAnswer::default()
     };
     assert_eq!(unconfirmed, expected);
@@ -91,7 +91,7 @@
     agent.heartbeat(beat("a", 2), Millis(100));
     for sequence in 1..4 {
         let answer = agent.heartbeat(beat("b", sequence), Millis(100 + sequence));
-        assert_eq!(answer.beat_after_ms, settings().busy_beat_ms);
+        assert_eq!(answer.heartbeat_after_ms, settings().busy_heartbeat_ms);
         assert_eq!(
             agent.server().map(|facts| &facts.id),
             Some(&ServerId("a".into()))
@@ -147,7 +147,7 @@
 fn a_leave_is_told_to_this_and_to_each_later_owner() {
     let mut agent = ordered();
     drain_and_leave(&mut agent);
-    let leave = AgentMessage::Leave {
+    let leave = AgentMessage::Deregister {
         server: ServerId("a".into()),
     };
     assert_eq!(agent.poll(Millis(101)), std::slice::from_ref(&leave));
@@ -195,7 +195,7 @@
     let told = agent.poll(Millis(111));
     assert!(
         told.iter()
-            .all(|message| !matches!(message, AgentMessage::Leave { .. })),
+            .all(|message| !matches!(message, AgentMessage::Deregister { .. })),
         "it serves on: {told:?}"
     );
     let report = reported(&told).expect("the owner is told at once");
@@ -211,7 +211,7 @@
         answer.starts.is_empty(),
         "nothing starts on a server that leaves"
     );
-    assert!(answer.hold_ms > 0, "what runs is held on");
+    assert!(answer.lease_ms > 0, "what runs is held on");
 }
 
 #[test]
--- a/crates/worker-agent/tests/model/answers.rs
+++ b/crates/worker-agent/tests/model/answers.rs
@@ -74,7 +74,7 @@
         let granted_until = self.granted_until.get(&server).copied().unwrap_or(0);
         // The server counts from the sending, which lies before the arrival.
         assert!(
-            answer.hold_ms == 0 || arrived_at + answer.hold_ms <= granted_until,
+            answer.lease_ms == 0 || arrived_at + answer.lease_ms <= granted_until,
             "a hold beyond the grant"
         );
         let lost = self.now < TROUBLE_MS && self.random.once_in(10);
--- a/crates/worker-agent/tests/model/owner.rs
+++ b/crates/worker-agent/tests/model/owner.rs
@@ -76,7 +76,7 @@
                 sent_at,
                 ..
             } => {
-                self.end_lives(record, |life| *life != facts.id);
+                self.end_incarnations(record, |incarnation| *incarnation != facts.id);
                 self.session = Some(Session {
                     connection,
                     server: facts.id,
@@ -106,7 +106,9 @@
                     self.learn(record);
                 }
             }
-            AgentMessage::Leave { server } => self.end_lives(record, |life| *life == server),
+            AgentMessage::Deregister { server } => {
+                self.end_incarnations(record, |incarnation| *incarnation == server)
+            }
         }
     }
 
@@ -137,7 +139,7 @@
                     task,
                     attempt,
                     spec: "work".into(),
-                    saved: String::new(),
+                    checkpoint: String::new(),
                 });
             }
         }
@@ -162,7 +164,7 @@
             token: FencingToken(self.token),
             server,
             number: session.number,
-            whole: session.number == 1,
+            complete: session.number == 1,
             assign,
             stop,
             observed: if self.token == record.token {
@@ -170,9 +172,9 @@
             } else {
                 0
             },
-            hold_from: session.heard_at,
-            hold_ms: HOLD_MS,
-            beat_after_ms: 50 + random.below(300),
+            lease_from: session.heard_at,
+            lease_ms: HOLD_MS,
+            heartbeat_after_ms: 50 + random.below(300),
         };
         Some((session.connection, message))
     }
@@ -205,22 +207,27 @@
     fn lapse(&mut self, record: &mut Record, now: u64) {
         let unknown_until = self.took_over_at + AUTHORITY_MS + HOLD_MS + HOLD_SLACK_MS;
         let bounds = self.hold_bounds.clone();
-        let over =
-            |life: &ServerId| now > bounds.get(life).copied().unwrap_or(0).max(unknown_until);
+        let over = |incarnation: &ServerId| {
+            now > bounds
+                .get(incarnation)
+                .copied()
+                .unwrap_or(0)
+                .max(unknown_until)
+        };
         let lapsed = record.assigned_if(over);
         let connected = self.session.as_ref().map(|session| session.server.clone());
         for (task, attempt) in lapsed {
-            let life = record.tasks.get(&task).map(|entry| entry.place.clone());
-            if connected.clone().map(Place::Assigned) != life {
-                let ended = record.end(self.token, task, attempt, RunEnd::Lapsed);
+            let incarnation = record.tasks.get(&task).map(|entry| entry.place.clone());
+            if connected.clone().map(Place::Assigned) != incarnation {
+                let ended = record.end(self.token, task, attempt, RunEnd::LeaseExpired);
                 self.counts.lapses += u64::from(ended);
             }
         }
     }
 
-    fn end_lives(&mut self, record: &mut Record, fits: impl Fn(&ServerId) -> bool) {
+    fn end_incarnations(&mut self, record: &mut Record, fits: impl Fn(&ServerId) -> bool) {
         for (task, attempt) in record.assigned_if(&fits) {
-            record.end(self.token, task, attempt, RunEnd::Lapsed);
+            record.end(self.token, task, attempt, RunEnd::LeaseExpired);
         }
         if self
             .session
--- a/crates/worker-agent/tests/model/record.rs
+++ b/crates/worker-agent/tests/model/record.rs
@@ -68,13 +68,12 @@
 
     /// The tasks that are assigned to this life of the server.
     pub fn assigned(&self, server: &ServerId) -> Vec<(TaskId, Attempt)> {
-        self.assigned_if(|life| life == server)
+        self.assigned_if(|incarnation| incarnation == server)
     }
 
     /// The tasks that are assigned to lives for which `fits` holds.
     pub fn assigned_if(&self, fits: impl Fn(&ServerId) -> bool) -> Vec<(TaskId, Attempt)> {
-        let assigned =
-            |entry: &TaskEntry| matches!(&entry.place, Place::Assigned(life) if fits(life));
+        let assigned = |entry: &TaskEntry| matches!(&entry.place, Place::Assigned(incarnation) if fits(incarnation));
         let tasks = self.tasks.iter().filter(|(_, entry)| assigned(entry));
         tasks.map(|(task, entry)| (*task, entry.attempt)).collect()
     }
--- a/crates/worker-agent/tests/model/server.rs
+++ b/crates/worker-agent/tests/model/server.rs
@@ -60,7 +60,7 @@
     barred: BTreeMap<TaskId, Attempt>,
     next_beat: u64,
     outstanding: Option<Outstanding>,
-    hold_until: u64,
+    lease_until: u64,
 }
 
 impl Server {
@@ -78,7 +78,7 @@
             barred: BTreeMap::new(),
             next_beat: now,
             outstanding: None,
-            hold_until: 0,
+            lease_until: 0,
         }
     }
 
@@ -130,11 +130,11 @@
     }
 
     fn apply(&mut self, answer: &Value, beat: Outstanding, now: u64, random: &mut Random) {
-        let hold_ms = answer["hold-ms"].as_u64();
-        if let Some(hold_ms) = hold_ms {
+        let lease_ms = answer["hold-ms"].as_u64();
+        if let Some(lease_ms) = lease_ms {
             let slow = 100 + random.below(CLOCK_SLOW_PERCENT + 1);
-            let until = beat.sent_at + hold_ms.min(HOLD_MAX_MS) * slow / 100;
-            self.hold_until = self.hold_until.max(until);
+            let until = beat.sent_at + lease_ms.min(HOLD_MAX_MS) * slow / 100;
+            self.lease_until = self.lease_until.max(until);
         }
         let observed = answer["observed"].as_u64().unwrap_or(0);
         self.finished.retain(|end| end.number > observed);
@@ -142,7 +142,7 @@
             self.stop(task_of(row), attempt_of(row), now, random);
         }
         for row in rows(&answer["start"]) {
-            assert!(hold_ms.is_some(), "a start without a hold");
+            assert!(lease_ms.is_some(), "a start without a hold");
             assert!(!beat.draining, "a start for a server that said it drains");
             self.start(task_of(row), attempt_of(row), now, random);
         }
@@ -191,9 +191,9 @@
     }
 
     fn end_runs(&mut self, now: u64) {
-        let hold_until = self.hold_until;
+        let lease_until = self.lease_until;
         let over = |run: &Run| match run {
-            _ if hold_until <= now => Some("lapsed"),
+            _ if lease_until <= now => Some("lapsed"),
             Run {
                 stops_at: Some(at), ..
             } if *at <= now => Some("stopped"),
--- a/crates/worker-agent/tests/model/world.rs
+++ b/crates/worker-agent/tests/model/world.rs
@@ -80,7 +80,7 @@
     record: Record,
     server: Option<Server>,
     server_back: u64,
-    lives: u64,
+    incarnations: u64,
     pub agent: Agent,
     agent_born: u64,
     pub open: Option<OpenCall>,
@@ -117,7 +117,7 @@
             record,
             server: None,
             server_back: 0,
-            lives: 0,
+            incarnations: 0,
             agent: new_agent(),
             agent_born: 0,
             open: None,
@@ -315,10 +315,10 @@
 
     fn tick_server(&mut self, calm: bool) {
         if self.server.is_none() && self.now >= self.server_back {
-            self.lives += 1;
+            self.incarnations += 1;
             let counts = std::mem::take(&mut self.counts.server);
             self.server = Some(Server::new(
-                format!("life-{}", self.lives),
+                format!("life-{}", self.incarnations),
                 self.now,
                 counts,
             ));
@@ -442,7 +442,7 @@
     }
 
     fn tell_agent(&mut self, connection: u64, message: OwnerMessage) {
-        let until = self.agent_born + message.hold_from.0 + message.hold_ms;
+        let until = self.agent_born + message.lease_from.0 + message.lease_ms;
         let server = message.server.clone();
         let lower = message.token < self.agent.token();
         let taken = self
@@ -494,7 +494,7 @@
             else {
                 continue;
             };
-            assert_eq!(message.hold_ms, HOLD_MS);
+            assert_eq!(message.lease_ms, HOLD_MS);
             if self.link.is_some_and(|link| link.connection == connection) {
                 self.to_agent_free = self.to_agent_free.max(self.now + self.random.below(60));
                 let delay = self.to_agent_free - self.now;
@@ -513,7 +513,8 @@
     fn check_no_second_run(&self) {
         let Some(server) = &self.server else { return };
         for (task, entry) in &self.record.tasks {
-            let here = matches!(&entry.place, Place::Assigned(life) if *life == server.id);
+            let here =
+                matches!(&entry.place, Place::Assigned(incarnation) if *incarnation == server.id);
             assert!(
                 here || !server.runs(task),
                 "{task} runs here, but is recorded as {:?}",
@@ -525,10 +526,10 @@
 
 fn new_agent() -> Agent {
     let settings = AgentSettings {
-        hold_max_ms: 6_000,
+        lease_max_ms: 6_000,
         heartbeat_ms: 1_500,
-        idle_beat_ms: 400,
-        busy_beat_ms: 80,
+        idle_heartbeat_ms: 400,
+        busy_heartbeat_ms: 80,
     };
     Agent::new(settings, Millis(0))
 }
--- a/crates/worker-agent/tests/open_heartbeats.rs
+++ b/crates/worker-agent/tests/open_heartbeats.rs
@@ -5,7 +5,7 @@
 use lupinrack_cluster_api::agent::{AgentMessage, OwnerMessage};
 use lupinrack_cluster_api::server::RunEnd;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_worker_agent::hold::HOLD_LEAST_MS;
+use lupinrack_worker_agent::hold::LEASE_LEAST_MS;
 use lupinrack_worker_agent::{Agent, HeartbeatReceipt, OpenHeartbeat, ServerHeartbeat, StopOrder};
 use support::{
     assignment, attached, beat, finished, message, ordered, reported, running, started, task,
@@ -80,13 +80,13 @@
         let HeartbeatReceipt::Answer(answer) = receipt else {
             panic!("{sequence} was left open")
         };
-        assert!(answer.starts.is_empty() && answer.hold_ms == 0);
+        assert!(answer.starts.is_empty() && answer.lease_ms == 0);
     }
     let receipt = agent.receive_heartbeat(beat("b", 1), Millis(120));
     let HeartbeatReceipt::Answer(answer) = receipt else {
         panic!("the other life was left open")
     };
-    assert!(answer.starts.is_empty() && answer.hold_ms == 0);
+    assert!(answer.starts.is_empty() && answer.lease_ms == 0);
 }
 
 #[test]
@@ -169,9 +169,9 @@
 #[test]
 fn without_a_hold_there_is_no_start_to_wait_for() {
     let mut agent = ordered();
-    leave_open(&mut agent, beat("a", 2), HOLD_END - HOLD_LEAST_MS);
-    assert!(agent.has_orders(Millis(HOLD_END - HOLD_LEAST_MS)));
-    assert!(!agent.has_orders(Millis(HOLD_END - HOLD_LEAST_MS + 1)));
+    leave_open(&mut agent, beat("a", 2), HOLD_END - LEASE_LEAST_MS);
+    assert!(agent.has_orders(Millis(HOLD_END - LEASE_LEAST_MS)));
+    assert!(!agent.has_orders(Millis(HOLD_END - LEASE_LEAST_MS + 1)));
 }
 
 #[test]
@@ -186,7 +186,7 @@
     let mut agent = ordered();
     let open = leave_open(&mut agent, beat("a", 2), 100);
     assert_eq!(
-        agent.answer_heartbeat(&open, Millis(400)).hold_ms,
+        agent.answer_heartbeat(&open, Millis(400)).lease_ms,
         HOLD_END - 100
     );
 }
@@ -196,12 +196,12 @@
     let mut agent = ordered();
     let open = leave_open(&mut agent, beat("a", 2), 100);
     let extension = OwnerMessage {
-        hold_ms: 4_000,
+        lease_ms: 4_000,
         ..message(2, "a", 5)
     };
     tell(&mut agent, extension, 150);
     assert_eq!(
-        agent.answer_heartbeat(&open, Millis(160)).hold_ms,
+        agent.answer_heartbeat(&open, Millis(160)).lease_ms,
         11 + 4_000 - 100
     );
 }
--- a/crates/worker-agent/tests/reports.rs
+++ b/crates/worker-agent/tests/reports.rs
@@ -92,7 +92,7 @@
     assert_eq!(reported(&agent.poll(Millis(400))), None);
     assert!(reported(&agent.poll(Millis(150 + PROGRESS_MS))).is_some());
     listed.heartbeat.sequence = 5;
-    listed.heartbeat.running[0].saved = "0f".into();
+    listed.heartbeat.running[0].checkpoint = "0f".into();
     agent.heartbeat(listed, Millis(700));
     assert!(reported(&agent.poll(Millis(700))).is_some());
 }
@@ -101,7 +101,7 @@
 fn a_silent_server_is_not_reported() {
     let mut agent = ordered();
     let answer = agent.heartbeat(beat("a", 2), Millis(100));
-    let silent = 100 + answer.beat_after_ms + SILENCE_SLACK_MS;
+    let silent = 100 + answer.heartbeat_after_ms + SILENCE_SLACK_MS;
     assert!(!agent.poll(Millis(silent)).is_empty());
     assert!(agent.poll(Millis(silent + REPORT_MS)).is_empty());
     assert_eq!(agent.next_poll(), None);
--- a/crates/worker-agent/tests/session_model.rs
+++ b/crates/worker-agent/tests/session_model.rs
@@ -44,7 +44,7 @@
     number: u32,
     link: usize,
     next_message: u64,
-    whole: bool,
+    complete: bool,
     report_sent_at: Millis,
 }
 
@@ -138,10 +138,10 @@
     /// A server that has beaten once, beside an agent that is about to attach.
     fn new() -> State {
         let settings = AgentSettings {
-            hold_max_ms: 6_000,
+            lease_max_ms: 6_000,
             heartbeat_ms: 1_500,
-            idle_beat_ms: 400,
-            busy_beat_ms: 80,
+            idle_heartbeat_ms: 400,
+            busy_heartbeat_ms: 80,
         };
         let mut agent = Agent::new(settings, Millis(0));
         agent.heartbeat(beat(), Millis(1));
@@ -192,7 +192,7 @@
                     number: self.sessions,
                     link,
                     next_message: 1,
-                    whole: true,
+                    complete: true,
                     report_sent_at: *sent_at,
                 });
             }
@@ -201,7 +201,7 @@
                     session.report_sent_at = *sent_at;
                 }
             }
-            AgentMessage::Leave { .. } => {}
+            AgentMessage::Deregister { .. } => {}
         }
     }
 
@@ -218,21 +218,21 @@
             token: FencingToken(5),
             server: server(),
             number: session.next_message,
-            whole: session.whole,
+            complete: session.complete,
             assign: vec![Assignment {
                 task,
                 attempt: 1,
                 spec: String::new(),
-                saved: String::new(),
+                checkpoint: String::new(),
             }],
             stop: Vec::new(),
             observed: 0,
-            hold_from: session.report_sent_at,
-            hold_ms: 3_000,
-            beat_after_ms: 200,
+            lease_from: session.report_sent_at,
+            lease_ms: 3_000,
+            heartbeat_after_ms: 200,
         };
         session.next_message += 1;
-        session.whole = false;
+        session.complete = false;
         let link = &mut self.links[session.link];
         if !link.reset {
             link.to_agent.push_back((session.number, message));
@@ -243,7 +243,7 @@
     fn agent_takes(&mut self, link: usize, fault: PlantedFault) -> Option<()> {
         let (session, mut message) = self.links[link].to_agent.pop_front()?;
         if fault == PlantedFault::MatchesByNumber {
-            message.hold_from = Millis(u64::MAX);
+            message.lease_from = Millis(u64::MAX);
         }
         if self
             .agent
@@ -304,7 +304,7 @@
             Action::Order => state.order()?,
             Action::Renew => {
                 state.renewals += 1;
-                state.owner.as_mut()?.whole = true;
+                state.owner.as_mut()?.complete = true;
             }
             Action::Reset(link) => {
                 state.resets += 1;
--- a/crates/worker-agent/tests/support/mod.rs
+++ b/crates/worker-agent/tests/support/mod.rs
@@ -18,10 +18,10 @@
 
 pub fn settings() -> AgentSettings {
     AgentSettings {
-        hold_max_ms: 6_000,
+        lease_max_ms: 6_000,
         heartbeat_ms: 1_500,
-        idle_beat_ms: 400,
-        busy_beat_ms: 80,
+        idle_heartbeat_ms: 400,
+        busy_heartbeat_ms: 80,
     }
 }
 
@@ -39,7 +39,7 @@
         task: task(index),
         attempt,
         spec: format!("work {index}"),
-        saved: String::new(),
+        checkpoint: String::new(),
     }
 }
 
@@ -47,7 +47,7 @@
     RunningTask {
         task: task(index),
         attempt,
-        saved: String::new(),
+        checkpoint: String::new(),
         percent: 0,
     }
 }
@@ -58,7 +58,7 @@
         task: task(index),
         attempt,
         end,
-        saved: String::new(),
+        checkpoint: String::new(),
     }
 }
 
@@ -68,13 +68,13 @@
         token: FencingToken(token),
         server: ServerId(server.into()),
         number,
-        whole: false,
+        complete: false,
         assign: Vec::new(),
         stop: Vec::new(),
         observed: 0,
-        hold_from: Millis(11),
-        hold_ms: 3_000,
-        beat_after_ms: 200,
+        lease_from: Millis(11),
+        lease_ms: 3_000,
+        heartbeat_after_ms: 200,
     }
 }
 
@@ -130,7 +130,7 @@
 /// A first message that assigns task 1 and holds from 11 to 3011.
 pub fn first_message() -> OwnerMessage {
     OwnerMessage {
-        whole: true,
+        complete: true,
         assign: vec![assignment(1, 1)],
         ..message(1, "a", 5)
     }
