--- a/crates/write-back/tests/golden.rs
+++ b/crates/write-back/tests/golden.rs
@@ -2,8 +2,9 @@
 //! `tests/golden/`.
 
 mod golden_file;
+mod golden_trace;
 
-use golden_file::{check_folder, unhex, GoldenFile};
+use golden_file::{check_folder, hex, unhex, GoldenFile};
 use lupinrack_write_back::disk::{Disk, DiskError, SegmentId};
 use lupinrack_write_back::file::{Folder, FolderError};
 use lupinrack_write_back::log::{inspect, Log, OpenError, Recovered, WriteError};
@@ -235,7 +236,37 @@
     assert_eq!(disk.list().expect("a list"), [SegmentId(1), SegmentId(0xff), SegmentId(0x100)]);
 }
 
+#[test]
+fn the_buffer_decides_as_before() {
+    const STEPS: usize = 200;
+    let mut file = GoldenFile::new("buffer-trace.txt");
+    for seed in 1..=2 {
+        for (step, line) in golden_trace::play(seed, STEPS).into_iter().enumerate() {
+            file.add(format!("seed {seed} step {step}"), line);
+        }
+    }
+    file.check();
+}
+
+#[test]
+fn the_buffer_decides_as_before_over_long_runs() {
+    const STEPS: usize = 2_000;
+    let mut file = GoldenFile::new("buffer-trace-digests.txt");
+    for seed in 100..140 {
+        let lines = golden_trace::play(seed, STEPS);
+        file.add(format!("seed {seed}"), hex(&golden_trace::digest(&lines).to_be_bytes()));
+    }
+    file.check();
+}
+
 #[test]
 fn every_golden_file_is_compared() {
-    check_folder(&["closed-log.txt", "errors.txt", "records.txt", "torn-log.txt"]);
+    check_folder(&[
+        "buffer-trace-digests.txt",
+        "buffer-trace.txt",
+        "closed-log.txt",
+        "errors.txt",
+        "records.txt",
+        "torn-log.txt",
+    ]);
 }
