--- a/crates/worker-agent/src/heartbeat_json/render.rs
+++ b/crates/worker-agent/src/heartbeat_json/render.rs
@@ -25,7 +25,7 @@
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
 struct Body<'a> {
-    #[serde(skip_serializing_if = "is_zero")]
+    #[serde(rename = "hold-ms", skip_serializing_if = "is_zero")]
     lease_ms: u64,
     #[serde(skip_serializing_if = "is_zero")]
     observed: u64,
