--- a/crates/cluster-node/src/control_api.rs
+++ b/crates/cluster-node/src/control_api.rs
@@ -9,7 +9,7 @@
     self, HttpAnswer, HttpCall, HttpLimits, ServerHandle,
 };
 use lupinrack_cluster_transport::listen;
-use lupinrack_cluster_transport::snapshot::Snapshot;
+use lupinrack_cluster_transport::shared_value::Snapshot;
 use lupinrack_node_settings::NodeSettings;
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
--- a/crates/cluster-node/src/front.rs
+++ b/crates/cluster-node/src/front.rs
@@ -25,7 +25,7 @@
 };
 use lupinrack_cluster_transport::listen;
 use lupinrack_cluster_transport::peers::{PeerEvent, PeerSettings, Peers};
-use lupinrack_cluster_transport::snapshot::Snapshot;
+use lupinrack_cluster_transport::shared_value::Snapshot;
 use lupinrack_node_settings::NodeSettings;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/cluster-node/src/membership.rs
+++ b/crates/cluster-node/src/membership.rs
@@ -8,7 +8,7 @@
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_membership::datagram::DATAGRAM_BYTES_MOST;
 use lupinrack_cluster_membership::{Datagram, LiveMember, LiveTable, Outgoing, Swim, SwimSettings};
-use lupinrack_cluster_transport::snapshot::Snapshot;
+use lupinrack_cluster_transport::shared_value::Snapshot;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/cluster-transport/src/http_server/accept.rs
+++ b/crates/cluster-transport/src/http_server/accept.rs
@@ -1,9 +1,9 @@
 //! Accepting connections.
 
-use super::answer::HttpAnswer;
-use super::call::HttpCall;
 use super::connection;
-use super::server::{OpenConnection, Server};
+use super::request::HttpCall;
+use super::response::HttpAnswer;
+use super::state::{OpenConnection, Server};
 use std::future::Future;
 use std::io;
 use std::sync::Arc;
--- a/crates/cluster-transport/src/http_server/connection.rs
+++ b/crates/cluster-transport/src/http_server/connection.rs
@@ -1,11 +1,11 @@
 //! One connection of a client.
 
 use super::activity::{Activity, ObservedStream};
-use super::answer::HttpAnswer;
-use super::call::HttpCall;
 use super::limits::HttpLimits;
-use super::server::OpenConnection;
+use super::request::HttpCall;
+use super::response::HttpAnswer;
 use super::service::JsonService;
+use super::state::OpenConnection;
 use super::watchdog::{Verdict, Watchdog};
 use hyper::server::conn::http1;
 use hyper_util::rt::TokioIo;
--- a/crates/cluster-transport/src/http_server/mod.rs
+++ b/crates/cluster-transport/src/http_server/mod.rs
@@ -6,20 +6,20 @@
 
 mod accept;
 mod activity;
-mod answer;
-mod call;
 mod connection;
 mod limits;
-mod server;
+mod request;
+mod response;
 mod service;
+mod state;
 mod watchdog;
 
-pub use answer::HttpAnswer;
-pub use call::{HttpCall, DEADLINE_REMAINING};
 pub use limits::HttpLimits;
+pub use request::{HttpCall, DEADLINE_REMAINING};
+pub use response::HttpAnswer;
 
-use crate::snapshot::Snapshot;
-use server::{Server, Stage};
+use crate::shared_value::Snapshot;
+use state::{Server, Stage};
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/cluster-transport/src/http_server/service.rs
+++ b/crates/cluster-transport/src/http_server/service.rs
@@ -1,10 +1,10 @@
 //! From a request to its answer.
 
 use super::activity::Activity;
-use super::answer::HttpAnswer;
-use super::call::HttpCall;
 use super::limits::HttpLimits;
-use super::server::Server;
+use super::request::HttpCall;
+use super::response::HttpAnswer;
+use super::state::Server;
 use bytes::{Bytes, BytesMut};
 use http::{Request, Response};
 use http_body_util::{BodyExt, Full};
--- a/crates/cluster-transport/src/http_server/server.rs
+++ b/crates/cluster-transport/src/http_server/state.rs
@@ -1,7 +1,7 @@
 //! What all connections of a server share.
 
 use super::limits::HttpLimits;
-use crate::snapshot::Snapshot;
+use crate::shared_value::Snapshot;
 use std::sync::atomic::{AtomicU64, AtomicU8, AtomicUsize, Ordering};
 use std::sync::Arc;
 use tokio::sync::Notify;
--- a/crates/cluster-transport/src/http_server/watchdog.rs
+++ b/crates/cluster-transport/src/http_server/watchdog.rs
@@ -2,7 +2,7 @@
 
 use super::activity::{Activity, Phase};
 use super::limits::HttpLimits;
-use super::server::{Server, Stage};
+use super::state::{Server, Stage};
 use std::future::Future;
 use std::pin::Pin;
 use std::sync::Arc;
--- a/crates/cluster-transport/tests/golden/answers.rs
+++ b/crates/cluster-transport/tests/golden/answers.rs
@@ -8,7 +8,7 @@
 use lupinrack_cluster_transport::http_client::call;
 use lupinrack_cluster_transport::http_server::{serve, HttpAnswer, HttpLimits, ServerHandle};
 use lupinrack_cluster_transport::listen::bind_once;
-use lupinrack_cluster_transport::snapshot::Snapshot;
+use lupinrack_cluster_transport::shared_value::Snapshot;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
--- a/crates/cluster-transport/tests/golden/requests.rs
+++ b/crates/cluster-transport/tests/golden/requests.rs
@@ -9,7 +9,7 @@
     serve, HttpAnswer, HttpCall, HttpLimits, DEADLINE_REMAINING,
 };
 use lupinrack_cluster_transport::listen::bind_once;
-use lupinrack_cluster_transport::snapshot::Snapshot;
+use lupinrack_cluster_transport::shared_value::Snapshot;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/cluster-transport/tests/http/limits.rs
+++ b/crates/cluster-transport/tests/http/limits.rs
@@ -5,7 +5,7 @@
 use lupinrack_cluster_api::configuration::Limits;
 use lupinrack_cluster_transport::http_server::{serve, HttpAnswer, HttpLimits};
 use lupinrack_cluster_transport::listen::bind_once;
-use lupinrack_cluster_transport::snapshot::Snapshot;
+use lupinrack_cluster_transport::shared_value::Snapshot;
 use std::sync::Arc;
 use tokio::sync::{mpsc, Notify};
 
--- a/crates/cluster-transport/tests/http/support.rs
+++ b/crates/cluster-transport/tests/http/support.rs
@@ -5,7 +5,7 @@
     serve, HttpAnswer, HttpCall, HttpLimits, ServerHandle,
 };
 use lupinrack_cluster_transport::listen::bind_once;
-use lupinrack_cluster_transport::snapshot::Snapshot;
+use lupinrack_cluster_transport::shared_value::Snapshot;
 use std::collections::HashMap;
 use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddrV4};
--- a/crates/cluster-transport/tests/snapshot.rs
+++ b/crates/cluster-transport/tests/shared_value.rs
@@ -1,6 +1,6 @@
 //! Snapshots: what readers and writers of several threads see, in every interleaving.
 
-use lupinrack_cluster_transport::snapshot::{Snapshot, SnapshotCell};
+use lupinrack_cluster_transport::shared_value::{Snapshot, SnapshotCell};
 use shuttle::scheduler::DfsScheduler;
 use shuttle::{thread, Config, Runner};
 use std::sync::{Arc, Mutex, MutexGuard};
