--- a/crates/cluster-api/src/agent.rs
+++ b/crates/cluster-api/src/agent.rs
@@ -1,58 +1,60 @@
-//! What a server's agent (the process on its machine) and the owner of its shard tell each other.
+//! Messages between a server's agent, which is the process on the server's machine, and the owner
+//! of its shard.
 //!
-//! The owner says what should run on the server; the agent turns that into starts and stops in answers to the server's
-//! heartbeats, and may be asked for it again at any time. A session begins with [`AgentMessage::Attach`] and ends with
-//! its connection; the first answer holds everything, later ones hold changes.
+//! The owner orders what should run on the server. The agent turns that into starts and stops in
+//! its answers to the server's heartbeats, and may be asked for it again at any time. A session
+//! begins with [`AgentMessage::Attach`] and ends with its connection. The first [`OwnerMessage`] of
+//! a session is complete, later ones hold changes.
 
 use crate::identity::{Attempt, FencingToken, ServerId, TaskId};
 use crate::server::{FinishedTask, RunningTask, ServerFacts};
 use crate::time::Millis;
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// A heartbeat of the server, as its agent passes it on.
+/// A heartbeat of a server, as its agent forwards it.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Heartbeat {
-    /// The server's life.
+    /// The incarnation of the server.
     pub server: ServerId,
-    /// The server's sequence number of the heartbeat.
+    /// The heartbeat's sequence number, given by the server.
     pub sequence: u64,
-    /// Whether the server drains.
+    /// Whether the server is draining.
     pub draining: bool,
-    /// While it drains, the milliseconds that are left at least.
+    /// While the server drains, how long it will still run at least, in milliseconds.
     pub remaining_ms: Option<u64>,
-    /// All that runs.
+    /// Everything that runs on the server.
     pub running: Vec<RunningTask>,
-    /// Ends that were not observed yet.
+    /// Ends that the owner has not acknowledged yet.
     pub finished: Vec<FinishedTask>,
-    /// The newest [`OwnerMessage`] number all of whose starts and stops had been in an answer which the server received
-    /// or dropped before it sent this heartbeat.
+    /// The highest [`OwnerMessage::number`] whose starts and stops had all been in answers that the
+    /// server received or dropped before it sent this heartbeat.
     pub orders_seen: u64,
 }
 
-/// From a server's agent to the owner of its shard.
+/// A message from a server's agent to the owner of its shard.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum AgentMessage {
     /// Begins a session.
     Attach {
         /// The server.
         facts: ServerFacts,
-        /// The highest token that the agent has seen; it takes orders under no lower one.
+        /// The highest token that the agent has seen; it accepts no orders under a lower one.
         token: FencingToken,
         /// The newest heartbeat.
         heartbeat: Heartbeat,
-        /// When the agent sent this, by its own steady clock.
+        /// When the agent sent this, by its own monotonic clock.
         sent_at: Millis,
     },
-    /// A heartbeat, or word that nothing has changed.
+    /// A heartbeat, or a notice that nothing has changed.
     Report {
-        /// The heartbeat; none where it tells nothing new.
+        /// The heartbeat; none if it holds nothing new.
         heartbeat: Option<Heartbeat>,
-        /// When the agent sent this, by its own steady clock.
+        /// When the agent sent this, by its own monotonic clock.
         sent_at: Millis,
     },
-    /// The server has left in order; nothing runs on it.
+    /// The server has shut down gracefully; nothing runs on it.
     Deregister {
-        /// The server's life.
+        /// The incarnation of the server.
         server: ServerId,
     },
 }
@@ -64,33 +66,37 @@
     pub task: TaskId,
     /// The number of its start.
     pub attempt: Attempt,
-    /// The text of its job.
+    /// The text of its job, as the client submitted it.
     pub spec: String,
     /// The checkpoint that it continues from; empty for none.
     pub checkpoint: String,
 }
 
-/// From the owner of a shard to a server's agent.
+/// A message from the owner of a shard to a server's agent.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct OwnerMessage {
     /// The owner's token.
     pub token: FencingToken,
-    /// The server's life that this is for; the agent drops it where another one lives now.
+    /// The incarnation of the server that this is for; the agent drops it if another one is there
+    /// now.
     pub server: ServerId,
     /// Its number in this session, from 1.
     pub number: u64,
-    /// Whether `assign` is all that should run (the first message of a session), or comes on top.
+    /// Whether `assign` is everything that should run, as in the first message of a session, or is
+    /// added to what should run already.
     pub complete: bool,
     /// What should run from now on.
     pub assign: Vec<Assignment>,
-    /// Runs that should not: stopped where they run, never started where they do not.
+    /// Runs that should not: they are stopped if they run, and are never started otherwise.
     pub stop: Vec<(TaskId, Attempt)>,
-    /// Ends up to this number are kept and may be forgotten.
+    /// Ends up to this [`FinishedTask::number`] are recorded and may be forgotten.
     pub observed: u64,
-    /// The agent's `sent_at` of the newest message that the owner has from it: from then on the hold counts.
+    /// The `sent_at` of the newest message that the owner has received from the agent. The lease
+    /// begins at that moment.
     pub lease_from: Millis,
-    /// How long, in milliseconds, the server may hold what runs from `lease_from` on.
+    /// How long the lease lasts from `lease_from` on, in milliseconds. The server may run tasks
+    /// until then.
     pub lease_ms: u64,
-    /// How long, in milliseconds, the server should wait before it beats again.
+    /// How long the server should wait before its next heartbeat, in milliseconds.
     pub heartbeat_after_ms: u64,
 }
--- a/crates/cluster-api/src/configuration.rs
+++ b/crates/cluster-api/src/configuration.rs
@@ -1,28 +1,28 @@
-//! The operator's configuration, as parsed.
+//! The operator's configuration, as the system reads it.
 
 use crate::identity::{QueueName, ServiceName};
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// A route, which is a queue of jobs.
+/// A route. Its jobs form a queue.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Route {
     /// Its name.
     pub name: QueueName,
-    /// The `Host` header that it serves.
+    /// The `Host` header of the requests that it serves.
     pub host: String,
-    /// The beginning of the paths that it serves.
+    /// The prefix of the paths that it serves.
     pub path_prefix: String,
-    /// Milliseconds that a request may take.
+    /// How long a request may take, in milliseconds.
     pub timeout_ms: u64,
-    /// Milliseconds that clients hope for.
+    /// The latency target, in milliseconds.
     pub target_latency_ms: u64,
-    /// 0 goes first and may preempt others.
+    /// The priority; 0 is the most urgent and may preempt others.
     pub priority: u32,
     /// The service whose servers run its tasks.
     pub service: ServiceName,
-    /// Failed runs of a task after which its job has failed.
+    /// After how many failed runs of one task its job has failed.
     pub max_retries: u32,
-    /// Times the longest chain of work that a job may take, in thousandths.
+    /// In how many times its longest chain of work a job should be done, in thousandths.
     pub extension_milli: u64,
 }
 
@@ -31,24 +31,24 @@
 pub struct Service {
     /// Its name.
     pub name: ServiceName,
-    /// Whether its servers reject what does not fit.
+    /// Whether its servers reject a task for which they lack capacity.
     pub guards: bool,
 }
 
-/// Bounds on what clients send.
+/// Limits on what clients send.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// The most bytes of a request's head.
     pub max_header_bytes: u64,
-    /// Bytes of a request's body.
+    /// The most bytes of a request's body.
     pub max_body_bytes: u64,
-    /// Milliseconds for a request's head to arrive.
+    /// How long a request's head may take to arrive, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Milliseconds after which an idle connection is closed.
+    /// After how long an idle connection is closed, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
-/// A whole configuration under its version.
+/// A complete configuration under its version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Configuration {
     /// Its version; 0 before the first.
@@ -57,17 +57,18 @@
     pub routes: Vec<Route>,
     /// Its services, sorted by name.
     pub services: Vec<Service>,
-    /// Its bounds.
+    /// Its limits.
     pub limits: Limits,
 }
 
 impl Configuration {
-    /// The route of a request: its host, and the longest prefix with which the path begins.
+    /// The route of a request: among those for its host, the one with the longest prefix of its
+    /// path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let fits = |route: &&Route| route.host == host && path.starts_with(&route.path_prefix);
+        let serves = |route: &&Route| route.host == host && path.starts_with(&route.path_prefix);
         self.routes
             .iter()
-            .filter(fits)
+            .filter(serves)
             .max_by_key(|route| route.path_prefix.len())
     }
 
--- a/crates/cluster-api/src/error.rs
+++ b/crates/cluster-api/src/error.rs
@@ -1,8 +1,8 @@
-//! The closed list of error kinds, and the table from kind to answer.
+//! The closed list of error kinds, and the HTTP status of each.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// Why a call is not answered with success.
+/// Why a call fails.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize, displaydoc::Display,
 )]
@@ -35,15 +35,34 @@
     TooSlow,
 }
 
-/// How an error kind is answered.
+/// How an error kind is answered over HTTP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct HttpError {
     /// The status code.
     pub status: u16,
-    /// Seconds for `Retry-After`; none for no such header.
+    /// Seconds for the `Retry-After` header; none if the header is left out.
     pub retry_after_s: Option<u32>,
 }
 
+/// What `Retry-After` asks of a client whose call was not carried out, in seconds.
+const RETRY_AFTER_S: u32 = 1;
+
+impl HttpError {
+    const fn of(status: u16) -> Self {
+        Self {
+            status,
+            retry_after_s: None,
+        }
+    }
+
+    const fn with_retry(status: u16) -> Self {
+        Self {
+            status,
+            retry_after_s: Some(RETRY_AFTER_S),
+        }
+    }
+}
+
 impl ErrorKind {
     /// Every kind.
     pub const ALL: [ErrorKind; 13] = [
@@ -62,26 +81,20 @@
         ErrorKind::TooSlow,
     ];
 
-    /// The answer to an outside caller.
-    pub fn answer(self) -> Answer {
-        let (status, retry_after_s) = match self {
-            ErrorKind::Malformed => (400, None),
-            ErrorKind::InvalidConfiguration => (400, None),
-            ErrorKind::VersionConflict => (412, None),
-            ErrorKind::UnknownQueue => (404, None),
-            ErrorKind::UnknownJob => (410, None),
-            ErrorKind::NotServed => (404, None),
-            ErrorKind::TooLarge => (413, None),
-            ErrorKind::NotTaken => (503, Some(1)),
-            ErrorKind::Overloaded => (429, Some(1)),
-            ErrorKind::InDoubt => (504, None),
-            ErrorKind::Fenced => (503, Some(1)),
-            ErrorKind::ShuttingDown => (503, Some(1)),
-            ErrorKind::TooSlow => (408, None),
-        };
-        Answer {
-            status,
-            retry_after_s,
+    /// How a client is answered (RFC 9110, section 15).
+    pub fn http_error(self) -> HttpError {
+        match self {
+            ErrorKind::Malformed | ErrorKind::InvalidConfiguration => HttpError::of(400),
+            ErrorKind::UnknownQueue | ErrorKind::NotServed => HttpError::of(404),
+            ErrorKind::TooSlow => HttpError::of(408),
+            ErrorKind::UnknownJob => HttpError::of(410),
+            ErrorKind::VersionConflict => HttpError::of(412),
+            ErrorKind::TooLarge => HttpError::of(413),
+            ErrorKind::Overloaded => HttpError::with_retry(429),
+            ErrorKind::NotTaken | ErrorKind::Fenced | ErrorKind::ShuttingDown => {
+                HttpError::with_retry(503)
+            }
+            ErrorKind::InDoubt => HttpError::of(504),
         }
     }
 }
--- a/crates/cluster-api/src/identity.rs
+++ b/crates/cluster-api/src/identity.rs
@@ -5,33 +5,38 @@
 use std::net::SocketAddrV4;
 use std::str::FromStr;
 
-/// A disk of a core machine, drawn at random when the disk is first found empty. A replica and a voter is a disk, not
-/// an address: a machine that comes back with an empty disk has another identity.
+/// Digits of a job's identity.
+const JOB_ID_DIGITS: usize = 16;
+
+/// A disk of a core machine, drawn at random when the disk is first found empty. Replicas and
+/// voters are identified by their disk rather than their address: a machine that comes back with an
+/// empty disk is another replica.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
 pub struct DiskId(pub u64);
 
-/// The internal address of a process (machine address and first port of the internal range).
+/// The address at which a process listens for other processes of the system: the machine's address
+/// and the first port of the internal range.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
 pub struct PeerAddress(pub SocketAddrV4);
 
-/// A job: sixteen hexadecimal digits that its client chose.
+/// A job, chosen by its client: sixteen hexadecimal digits as text.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
 pub struct JobId(pub u64);
 
-/// A task of a job: `JOB.OCCURRENCE.STEP.INDEX` on the wire.
+/// A task of a job: `JOB.OCCURRENCE.STEP.INDEX` as text.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
 pub struct TaskId {
     /// Its job.
     pub job: JobId,
-    /// Which of the job's times, from 0.
+    /// Which occurrence of the job, from 0.
     pub occurrence: u32,
     /// Which step, from 0.
     pub step: u32,
@@ -39,22 +44,23 @@
     pub index: u32,
 }
 
-/// The number of a start of a task, from 1; members of a gang share it.
+/// The number of a start of a task, from 1. The members of a gang share it.
 pub type Attempt = u32;
 
-/// A server's identity, new with each of its lives.
+/// An incarnation of a server: the identity that the server chooses anew whenever it starts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct ServerId(pub String);
 
-/// A queue: the name of a route of the configuration.
+/// A queue of jobs: the name of a route in the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct QueueName(pub String);
 
-/// A service of the configuration; scheduling is sharded by it.
+/// A service in the configuration. Scheduling is sharded by service.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct ServiceName(pub String);
 
-/// Rises with each move of a shard; an order under a lower token is refused.
+/// A fencing token. It rises with each change of a shard's owner; orders under a lower token are
+/// refused.
 #[derive(
     Clone,
     Copy,
@@ -70,9 +76,15 @@
 )]
 pub struct FencingToken(pub u64);
 
+/// the text is not an identity of this kind
+#[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
+pub struct MalformedIdentity;
+
+impl std::error::Error for MalformedIdentity {}
+
 impl fmt::Display for JobId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:016x}", self.0)
+        write!(f, "{:0digits$x}", self.0, digits = JOB_ID_DIGITS)
     }
 }
 
@@ -80,8 +92,9 @@
     type Err = MalformedIdentity;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let digits = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-        if !digits {
+        let is_well_formed =
+            text.len() == JOB_ID_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        if !is_well_formed {
             return Err(MalformedIdentity);
         }
         u64::from_str_radix(text, 16)
@@ -121,9 +134,3 @@
         })
     }
 }
-
-/// the text is not an identity of this kind
-#[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
-pub struct MalformedIdentity;
-
-impl std::error::Error for MalformedIdentity {}
--- a/crates/cluster-api/src/lib.rs
+++ b/crates/cluster-api/src/lib.rs
@@ -1,9 +1,13 @@
-//! Types that all parts of the cluster scheduler share.
+//! The types that all parts of the cluster scheduler share.
 //!
-//! Everything here is plain data: identities, the operations of the replicated control state, the messages of the
-//! internal protocol (encoded with `borsh`), and the closed list of error kinds. No module here does any work.
-// 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
-#![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
+//! The crate owns the vocabulary: identities, the operations of the replicated control state, the
+//! messages of the internal protocol, and the closed list of error kinds. Everything here is plain
+//! data without I/O or state of its own. The `borsh` forms are what processes of different builds
+//! exchange and what disks hold, so the order of fields and variants must not change; the files
+//! under `tests/golden` show them.
+//!
+//! Start reading at [`identity`], then [`operation`] for what is replicated, [`request`] for what
+//! clients ask, and [`wire`] for everything that one process sends another.
 
 pub mod agent;
 pub mod configuration;
--- a/crates/cluster-api/src/operation.rs
+++ b/crates/cluster-api/src/operation.rs
@@ -1,9 +1,9 @@
 //! Operations of the replicated control state, and their results.
 //!
-//! The head of the chain numbers operations; every member applies them in that order once they are committed. Whether an
-//! operation holds is decided when it is applied, so that every replica comes to the same result.
+//! The head of the chain numbers operations; every replica applies them in that order once they are
+//! committed. Whether an operation takes effect is decided when it is applied, so that every
+//! replica comes to the same result.
 
-use crate::configuration::Configuration;
 use crate::error::ErrorKind;
 use crate::identity::{
     Attempt, DiskId, FencingToken, JobId, PeerAddress, QueueName, ServerId, ServiceName, TaskId,
@@ -22,16 +22,16 @@
     Patch(String),
 }
 
-/// A change of the configuration as the operator sent it.
+/// A change of the configuration, as the operator sent it.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ConfigurationChange {
-    /// The version it builds on.
+    /// The version that must be current for the change to be accepted.
     pub if_match: u64,
-    /// What it changes, as JSON text.
+    /// The change, as JSON text.
     pub body: ConfigurationBody,
 }
 
-/// A task told to start on a server.
+/// The start of a task on a server.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct StartRecord {
     /// The task.
@@ -40,24 +40,24 @@
     pub attempt: Attempt,
     /// The server.
     pub server: ServerId,
-    /// The checkpoint that it continues from; empty for none.
+    /// The checkpoint that the run continues from; empty for none.
     pub checkpoint: String,
 }
 
-/// A run that has ended.
+/// The end of a run.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct EndRecord {
     /// The task.
     pub task: TaskId,
-    /// The number of its start.
+    /// The number of the run's start.
     pub attempt: Attempt,
-    /// How it ended.
+    /// How the run ended.
     pub end: RunEnd,
     /// Its newest checkpoint; empty for none.
     pub checkpoint: String,
 }
 
-/// One operation.
+/// An operation.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Operation {
     /// Changes the configuration.
@@ -66,11 +66,11 @@
     AcceptJob {
         /// The job.
         job: JobId,
-        /// Its queue, by the configuration at the head when it came.
+        /// Its queue, according to the configuration at the head when the call arrived.
         queue: QueueName,
-        /// What it asks for.
+        /// The job as its client submitted it.
         spec: JobSpec,
-        /// When it came, by the clock of the head.
+        /// When the call arrived, by the clock of the head.
         at: WallMillis,
     },
     /// Cancels a job.
@@ -79,87 +79,81 @@
         job: JobId,
         /// Its queue.
         queue: QueueName,
-        /// When the call came, by the clock of the head.
+        /// When the call arrived, by the clock of the head.
         at: WallMillis,
     },
-    /// Moves the scheduling of a service to an owner.
+    /// Moves the shard of a service to an owner.
     TakeShard {
         /// The service.
         service: ServiceName,
-        /// The new token; one that is not above the current token is refused.
+        /// The new token; refused if it is not above the current one.
         token: FencingToken,
         /// The disk whose process owns the shard from now on.
         owner: DiskId,
-        /// The life of that process. A later life of it reads this operation in its log again, and has to know that the
-        /// token is not its own.
+        /// The incarnation of that process. A later incarnation reads this operation in its log
+        /// again, and must recognize that the token is not its own.
         incarnation: u64,
     },
-    /// Records starts before any server is told of them.
+    /// Records starts, before any server is ordered to run them.
     RecordStarts {
-        /// The shard.
+        /// The service of the shard.
         service: ServiceName,
         /// The owner's token.
         token: FencingToken,
-        /// The starts. Each is taken or refused for itself, members of one gang together.
+        /// The starts. Each is accepted or refused by itself, the members of a gang together.
         starts: Vec<StartRecord>,
     },
-    /// Records ends before any server is told that they were observed.
+    /// Records ends, before any server is told that it may forget them.
     RecordEnds {
-        /// The shard.
+        /// The service of the shard.
         service: ServiceName,
         /// The owner's token.
         token: FencingToken,
         /// The ends.
         ends: Vec<EndRecord>,
-        /// When they were recorded, by the clock of the owner.
+        /// When the owner ordered this, by its clock.
         at: WallMillis,
     },
-    /// Records beside which agent a life of a server runs, when an owner first meets it. An agent stands beside one server
-    /// at a time: every life that was recorded there earlier is over, also for an owner that never met it.
+    /// Records which agent an incarnation of a server is bound to, when an owner first receives
+    /// from it. An agent stands beside one server at a time, so every incarnation that was bound to
+    /// it earlier is over, even for an owner that never received from that one.
     RecordServer {
-        /// The shard.
+        /// The service of the shard.
         service: ServiceName,
         /// The owner's token.
         token: FencingToken,
-        /// The life.
+        /// The incarnation.
         server: ServerId,
         /// Its agent.
         agent: PeerAddress,
     },
-    /// Drops jobs that ended before this moment.
+    /// Forgets jobs that ended before a moment.
     ForgetJobs {
         /// The moment.
         ended_before: WallMillis,
     },
-    /// Changes nothing; commits everything before it.
-    Nothing,
+    /// Changes nothing. Once it is committed, everything before it is too.
+    Noop,
 }
 
-/// What an operation came to.
+/// The result of an operation.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum OperationResult {
-    /// It holds.
+    /// It took effect, or had done so earlier.
     Done,
-    /// A job's state after the operation.
+    /// The job's state after the operation.
     Job(JobState),
-    /// Which of the starts hold, in their order.
+    /// Which of the starts were accepted, in their order.
     Starts(Vec<bool>),
-    /// It does not hold.
+    /// It had no effect.
     Refused(ErrorKind),
 }
 
-/// An operation under its number, as replicas keep it.
+/// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct LogEntry {
-    /// Its number, from 1, without gaps.
+    /// Its index, from 1 without gaps.
     pub index: u64,
-    /// What is to be applied.
+    /// The operation.
     pub operation: Operation,
 }
-
-/// The configuration as a snapshot that processes share.
-#[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct ConfigurationSnapshot {
-    /// The configuration.
-    pub configuration: Configuration,
-}
--- a/crates/cluster-api/src/request.rs
+++ b/crates/cluster-api/src/request.rs
@@ -1,7 +1,9 @@
-//! Calls between processes of the system: what a front or any control process asks of the head of the chain.
+//! Calls between processes of the system: what a front or a core process asks of the head of the
+//! chain.
 //!
-//! A call is known by its [`CallId`], and its type says whether it may be sent again: a [`Request`] is [`Idempotent`], a
-//! [`ProcessQuery`] is not, and what sends calls again takes the former only.
+//! A call is identified by its [`CallId`], and its type says whether it may be sent again: a
+//! [`Request`] is [`Idempotent`], a [`ProcessQuery`] is not. Code that retries calls accepts only
+//! the former.
 
 use crate::error::ErrorKind;
 use crate::identity::JobId;
@@ -10,7 +12,8 @@
 use crate::view::View;
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// Host and path of a client's request, by which the head finds the queue in the newest configuration.
+/// Host and path of a client's request, by which the head finds the queue in the current
+/// configuration.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Target {
     /// The `Host` header without a port.
@@ -19,61 +22,62 @@
     pub path: String,
 }
 
-/// The identity of a call: no other call of any process, in any of its lives, has the same one.
+/// The identity of a call, unique among all calls of all incarnations of all processes.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
 pub struct CallId {
-    /// The life of the process that calls, drawn at random when it began. Numbers begin anew with each life, and a process
-    /// that was restarted listens at the same address: without this it would take an answer to its former life's call
-    /// for one of its own.
+    /// The incarnation of the calling process, drawn at random when it began. Numbers begin anew
+    /// with each incarnation, and a process that was restarted listens at the same address: without
+    /// this it would take the answer to a call of its former incarnation for one to its own.
     pub incarnation: u64,
-    /// The number of the call in that life.
+    /// The number of the call in that incarnation.
     pub number: u64,
 }
 
-/// Why a call may be sent again, also after it was carried out.
+/// Why a call may be sent again, even after it was carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotenceReason {
     /// It changes nothing.
     Read,
     /// It names a job by the identity that its client chose; the same job again is the same job.
     JobIdentity,
-    /// The digests of changes that were taken are kept; the same change again is answered as it was.
+    /// The digests of accepted changes are kept; the same change again gets the same answer.
     ChangeDigest,
-    /// What it asks for is final; once it is so, the call changes nothing.
+    /// What it asks for is final; once that is so, the call changes nothing.
     Final,
 }
 
 mod sealed {
-    /// Only this module says what may be sent again.
+    /// Keeps [`super::Idempotent`] from being implemented outside this module.
     pub trait Sealed {}
 }
 
-/// A call that may be sent again when no answer came, to the same process or another one: however often it is carried
-/// out, the state is as after the first time, and each answer is true.
+/// A call that may be sent again if no answer came, to the same process or another one: however
+/// often it is carried out, the state is as after the first time, and each answer is true.
 pub trait Idempotent: sealed::Sealed {
     /// Why that is so.
     fn idempotence_reason(&self) -> IdempotenceReason;
 }
 
-/// A call to the head of the chain. Each kind is repeatable; a kind that is not does not belong here.
+/// A call to the head of the chain. Every kind is idempotent; a kind that is not does not belong
+/// here.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Request {
     /// Changes the configuration.
     ChangeConfiguration(ConfigurationChange),
-    /// Reads the newest configuration.
+    /// Reads the current configuration.
     ReadConfiguration,
-    /// Hands in a job; the path ends in the job's identity.
+    /// Submits a job; the path ends in the job's identity.
     SubmitJob {
         /// Which queue.
         target: Target,
         /// The job.
         job: JobId,
-        /// What it asks for.
+        /// The job's description.
         spec: JobSpec,
     },
-    /// Asks for a job's state.
+    /// Reads a job's state.
     ReadJob {
         /// Which queue.
         target: Target,
@@ -87,15 +91,16 @@
         /// The job.
         job: JobId,
     },
-    /// Asks how many jobs of a queue have not ended.
+    /// Reads how many jobs of a queue have not ended.
     ReadQueue {
         /// Which queue.
         target: Target,
     },
-    /// Asks whether the view of this number still rules: answered `Done` after a barrier through its chain. An owner of a
-    /// shard may act for a bounded time counted from when it sent this first.
+    /// Asks whether a view is still in force. The answer is [`Reply::Done`], after a barrier has
+    /// passed through its chain. An owner of a shard may act for a bounded time, counted from when
+    /// it first sent this.
     ConfirmView {
-        /// The number.
+        /// The view's number.
         number: u64,
     },
 }
@@ -116,27 +121,28 @@
     }
 }
 
-/// A question that only the process which is asked can answer. It is never sent on or again: another process would
-/// answer for itself.
+/// A question that only the process which is asked can answer. It is never forwarded or retried,
+/// since another process would answer for itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessQuery {
-    /// What it knows of the system, for operators.
+    /// The process's own status, for operators.
     Status,
 }
 
 /// The answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Reply {
-    /// It is done and kept.
+    /// The call took effect and is committed.
     Done,
-    /// The newest configuration as the operator wrote it, as JSON text.
+    /// The current configuration as the operator sent it, as JSON text.
     ConfigurationDocument(String),
     /// A job's state.
     Job(JobState),
     /// How many jobs of the queue have not ended.
     Pending(u64),
-    /// It did not come to that.
+    /// The call failed.
     Error(ErrorKind),
-    /// This process is not the head; nothing was taken. The newest view that it knows.
+    /// The process that was asked is not the head, and has accepted nothing. With the newest view
+    /// that it knows.
     NotHead(View),
 }
--- a/crates/cluster-api/src/server.rs
+++ b/crates/cluster-api/src/server.rs
@@ -1,13 +1,13 @@
-//! What servers say of themselves and of what runs on them.
+//! What servers report of themselves and of what runs on them.
 
 use crate::identity::{Attempt, ServerId, ServiceName, TaskId};
 use crate::job::Resources;
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// What a server says of itself and seldom changes.
+/// What a server reports of itself. It seldom changes within an incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ServerFacts {
-    /// Its identity in this life.
+    /// The incarnation of the server.
     pub id: ServerId,
     /// Its service.
     pub service: ServiceName,
@@ -15,7 +15,7 @@
     pub version: String,
     /// Its zone.
     pub zone: String,
-    /// What it has in all.
+    /// Its total capacity.
     pub capacity: Resources,
     /// Its labels: its kind and its rack.
     pub labels: Vec<String>,
@@ -26,11 +26,11 @@
 pub struct RunningTask {
     /// The task.
     pub task: TaskId,
-    /// Its start.
+    /// The number of its start.
     pub attempt: Attempt,
-    /// Its last checkpoint; empty for none.
+    /// Its newest checkpoint; empty for none.
     pub checkpoint: String,
-    /// How far it is, in percent.
+    /// Its progress, in percent.
     pub percent: u32,
 }
 
@@ -41,29 +41,29 @@
     Done,
     /// It failed, by its own fault or the server's.
     Failed,
-    /// It was stopped on an order.
+    /// It was stopped by an order.
     Stopped,
     /// The lease under which the server ran it has expired.
     LeaseExpired,
     /// Another member of its gang ended.
     Broken,
-    /// It waited too long for the others of its gang.
+    /// It waited too long for the other members of its gang.
     Alone,
     /// It was not started.
     Refused,
 }
 
-/// The end of a run, as a server lists it.
+/// The end of a run, as a server reports it.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct FinishedTask {
-    /// Its number, from 1 in each life of the server.
+    /// Its number, from 1 in each incarnation of the server.
     pub number: u64,
     /// The task.
     pub task: TaskId,
-    /// Its start.
+    /// The number of the run's start.
     pub attempt: Attempt,
     /// How it ended.
     pub end: RunEnd,
-    /// Its last checkpoint; empty for none.
+    /// Its newest checkpoint; empty for none.
     pub checkpoint: String,
 }
--- a/crates/cluster-api/src/time.rs
+++ b/crates/cluster-api/src/time.rs
@@ -1,8 +1,9 @@
-//! Moments and durations, handed to every state machine by its driver.
+//! Moments. The driver of a state machine hands them in; state machines read no clock.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// A moment on this process's steady clock, in milliseconds since the process began.
+/// A moment by the monotonic clock of one process, in milliseconds since that process began.
+/// Moments of different processes cannot be compared.
 #[derive(
     Clone,
     Copy,
@@ -18,7 +19,8 @@
 )]
 pub struct Millis(pub u64);
 
-/// A moment of the day, in milliseconds since 1970. It may jump and differ between machines.
+/// A moment by a wall clock, in milliseconds since 1970. Such a clock may jump, and differ between
+/// machines.
 #[derive(
     Clone,
     Copy,
@@ -35,12 +37,13 @@
 pub struct WallMillis(pub u64);
 
 impl Millis {
-    /// This moment and so many milliseconds.
+    /// The moment so many milliseconds after this one.
+    #[must_use]
     pub fn plus(self, milliseconds: u64) -> Millis {
         Millis(self.0.saturating_add(milliseconds))
     }
 
-    /// Milliseconds from `earlier` to this moment, 0 if it lies after.
+    /// The milliseconds from `earlier` to this moment; 0 if `earlier` is later.
     pub fn since(self, earlier: Millis) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
--- a/crates/cluster-api/src/view.rs
+++ b/crates/cluster-api/src/view.rs
@@ -1,4 +1,4 @@
-//! The agreed view: who votes, and which disks form the replication chain.
+//! Views: who votes, and which disks form the replication chain.
 
 use crate::identity::{DiskId, PeerAddress};
 use borsh::{BorshDeserialize, BorshSerialize};
@@ -8,36 +8,37 @@
 pub struct Voter {
     /// The disk.
     pub disk: DiskId,
-    /// Where its process listens for others of the system.
+    /// Where its process listens for other processes of the system.
     pub address: PeerAddress,
     /// The zone of its machine.
     pub zone: String,
 }
 
-/// One agreed configuration of the core. Each view is agreed by a majority of the voters of the view before it and of
-/// its own.
+/// An agreed membership of the core. Each view is agreed by a majority of the voters of the view
+/// before it and by a majority of its own.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub struct View {
     /// Its number; 0 is the state before the first view.
     pub number: u64,
     /// Who votes.
     pub voters: Vec<Voter>,
-    /// The replication chain, head first. Every member but those that joined last holds all that was acknowledged.
+    /// The replication chain, head first. Every member but those that joined last has everything
+    /// that was committed before this view.
     pub chain: Vec<DiskId>,
 }
 
 impl View {
-    /// Where writes go.
+    /// The first member of the chain, which orders operations.
     pub fn head(&self) -> Option<DiskId> {
         self.chain.first().copied()
     }
 
-    /// Which member of the chain answers last.
+    /// The last member of the chain. What it has synced is committed.
     pub fn tail(&self) -> Option<DiskId> {
         self.chain.last().copied()
     }
 
-    /// The place of a disk in the chain, 0 for the head.
+    /// The position of a disk in the chain, 0 for the head.
     pub fn position(&self, disk: DiskId) -> Option<usize> {
         self.chain.iter().position(|member| *member == disk)
     }
--- a/crates/cluster-api/tests/golden.rs
+++ b/crates/cluster-api/tests/golden.rs
@@ -14,8 +14,7 @@
 };
 use lupinrack_cluster_api::job::{JobSpec, Resources, Step};
 use lupinrack_cluster_api::operation::{
-    ConfigurationBody, ConfigurationChange, ConfigurationSnapshot, LogEntry, Operation,
-    OperationResult,
+    ConfigurationBody, ConfigurationChange, LogEntry, Operation, OperationResult,
 };
 use lupinrack_cluster_api::rendezvous::{address_weight, mix, weight};
 use lupinrack_cluster_api::request::CallId;
@@ -148,7 +147,7 @@
 fn answers_of_error_kinds() {
     let mut file = golden("error_kinds.txt");
     for (name, kind) in ERROR_KINDS {
-        let answer = kind.answer();
+        let answer = kind.http_error();
         let retry = answer
             .retry_after_s
             .map_or("none".to_owned(), |seconds| format!("{seconds} s"));
@@ -176,12 +175,6 @@
     file.borsh("limits of nothing", &Limits::default());
     file.borsh("configuration", &configuration());
     file.borsh("no configuration", &Configuration::default());
-    file.borsh(
-        "snapshot",
-        &ConfigurationSnapshot {
-            configuration: configuration(),
-        },
-    );
     file.finish();
 }
 
@@ -262,7 +255,7 @@
         "entry",
         &LogEntry {
             index: 82,
-            operation: Operation::Nothing,
+            operation: Operation::Noop,
         },
     );
     file.finish();
--- a/crates/cluster-api/tests/golden_values/control.rs
+++ b/crates/cluster-api/tests/golden_values/control.rs
@@ -198,7 +198,7 @@
                 ended_before: WallMillis(51),
             },
         ),
-        ("nothing", Operation::Nothing),
+        ("nothing", Operation::Noop),
     ]
 }
 
--- a/crates/cluster-node/tests/configuration_order.rs
+++ b/crates/cluster-node/tests/configuration_order.rs
@@ -21,7 +21,7 @@
 }
 
 fn status(call: &HttpCall) -> u16 {
-    read_order(call).map_or_else(|kind| kind.answer().status, |_| 200)
+    read_order(call).map_or_else(|kind| kind.http_error().status, |_| 200)
 }
 
 #[test]
--- a/crates/cluster-transport/src/http_server/answer.rs
+++ b/crates/cluster-transport/src/http_server/answer.rs
@@ -39,12 +39,12 @@
 
     /// The answer to an error of this kind, with its description.
     pub fn error(kind: ErrorKind) -> Self {
-        let answer = kind.answer();
+        let error = kind.http_error();
         let body = Bytes::from(format!("{{\"error\":\"{kind}\"}}"));
         HttpAnswer {
-            retry_after_s: answer.retry_after_s,
+            retry_after_s: error.retry_after_s,
             body,
-            ..HttpAnswer::empty(answer.status)
+            ..HttpAnswer::empty(error.status)
         }
     }
 
--- a/crates/cluster-transport/tests/http/server.rs
+++ b/crates/cluster-transport/tests/http/server.rs
@@ -140,7 +140,7 @@
         let answer = HttpAnswer::error(kind);
         assert_eq!(
             (answer.status, answer.retry_after_s),
-            (kind.answer().status, kind.answer().retry_after_s)
+            (kind.http_error().status, kind.http_error().retry_after_s)
         );
         assert!(!kind.to_string().contains(['"', '\\']));
     }
--- a/crates/control-state/src/state.rs
+++ b/crates/control-state/src/state.rs
@@ -95,7 +95,7 @@
                 agent,
             } => self.record_server(service, *token, server, *agent),
             Operation::ForgetJobs { ended_before } => self.forget_jobs(*ended_before),
-            Operation::Nothing => OperationResult::Done,
+            Operation::Noop => OperationResult::Done,
         }
     }
 
--- a/crates/control-state/tests/histories.rs
+++ b/crates/control-state/tests/histories.rs
@@ -266,7 +266,7 @@
         Command::Forget { age } => Operation::ForgetJobs {
             ended_before: WallMillis(now.saturating_sub(*age)),
         },
-        Command::Nothing => Operation::Nothing,
+        Command::Nothing => Operation::Noop,
     }
 }
 
--- a/crates/control-state/tests/jobs.rs
+++ b/crates/control-state/tests/jobs.rs
@@ -207,7 +207,7 @@
 fn nothing_changes_nothing() {
     let mut state = state_with(vec![step(1)]);
     let before = state.clone();
-    assert_eq!(state.apply(&Operation::Nothing), OperationResult::Done);
+    assert_eq!(state.apply(&Operation::Noop), OperationResult::Done);
     assert_eq!(state, before);
 }
 
--- a/crates/control-state/tests/model/mod.rs
+++ b/crates/control-state/tests/model/mod.rs
@@ -117,7 +117,7 @@
                 self.tasks.retain(|id, _| self.jobs.contains_key(&id.job));
                 OperationResult::Done
             }
-            Operation::ChangeConfiguration(_) | Operation::Nothing => OperationResult::Done,
+            Operation::ChangeConfiguration(_) | Operation::Noop => OperationResult::Done,
         }
     }
 
--- a/crates/control-store/tests/golden.rs
+++ b/crates/control-store/tests/golden.rs
@@ -147,7 +147,7 @@
         Operation::ForgetJobs {
             ended_before: WallMillis(32),
         },
-        Operation::Nothing,
+        Operation::Noop,
     ];
     (first..)
         .zip(operations)
@@ -275,7 +275,7 @@
     let replica_status = borsh::to_vec(&ReplicaStatus::Complete).expect("a standing has bytes");
     let append = vec![LogEntry {
         index: 506,
-        operation: Operation::Nothing,
+        operation: Operation::Noop,
     }];
     let later = Batch {
         truncate_after: Some(505),
