--- a/crates/configuration-history/src/history.rs
+++ b/crates/configuration-history/src/history.rs
@@ -1,7 +1,7 @@
 //! What callers saw, as it is recorded.
 
 use crate::call::{Answer, Call, ChangeId};
-use crate::check::{find_order, Violation};
+use crate::linearization::{find_order, Violation};
 
 /// The number of a call within its history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/configuration-history/src/lib.rs
+++ b/crates/configuration-history/src/lib.rs
@@ -23,11 +23,11 @@
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
 
 mod call;
-mod check;
+mod linearization;
 mod history;
 mod register;
 
 pub use call::{Answer, Call, Change, ChangeId};
-pub use check::Violation;
+pub use linearization::Violation;
 pub use history::{CallNumber, CallRecord, History};
 pub use register::Register;
