--- a/crates/cluster-node/tests/cut_core.rs
+++ b/crates/cluster-node/tests/cut_core.rs
@@ -3,7 +3,7 @@
 
 mod network;
 
-use lupinrack_configuration_history::Answer;
+use lupinrack_configuration_history::Response;
 use network::operator::{Operators, SILENCE_MS};
 use network::Network;
 
@@ -82,12 +82,12 @@
 
     fn assert_sound(&self, name: &str) {
         if let Err(violation) = self.operators.history.check() {
-            let stuck: Vec<_> = violation
-                .stuck
+            let blocked: Vec<_> = violation
+                .blocked
                 .iter()
                 .map(|number| self.operators.history.calls()[number.0])
                 .collect();
-            panic!("{name}: {violation}\n{stuck:#?}");
+            panic!("{name}: {violation}\n{blocked:#?}");
         }
         let longest = self.operators.ended.iter().map(|call| call.waited_ms).max();
         assert!(
@@ -105,7 +105,10 @@
             .filter(|call| call.process == process);
         let in_time = of_process.filter(|call| (from..to).contains(&call.began));
         in_time
-            .filter(|call| call.answer.is_some_and(|answer| answer != Answer::Unclear))
+            .filter(|call| {
+                call.answer
+                    .is_some_and(|answer| answer != Response::Indeterminate)
+            })
             .count()
     }
 }
--- a/crates/cluster-node/tests/network/operator.rs
+++ b/crates/cluster-node/tests/network/operator.rs
@@ -5,7 +5,9 @@
 use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange};
 use lupinrack_cluster_api::request::{Reply, Request};
 use lupinrack_cluster_node::control_api::call_ms;
-use lupinrack_configuration_history::{Answer, Call, CallNumber, Change, ChangeId, History};
+use lupinrack_configuration_history::{
+    Call, CallNumber, ChangeId, ConditionalChange, History, Response,
+};
 use lupinrack_control_state::check_configuration;
 use tokio::sync::oneshot;
 
@@ -16,7 +18,7 @@
 
 /// An order, and what its sender knows of it.
 struct Order {
-    change: Change,
+    change: ConditionalChange,
     body: ConfigurationBody,
     next_at: u64,
     is_under_way: bool,
@@ -42,7 +44,7 @@
     /// For how long its caller waited.
     pub waited_ms: u64,
     /// The answer; none where its caller gave up.
-    pub answer: Option<Answer>,
+    pub answer: Option<Response>,
 }
 
 /// All operators together.
@@ -94,18 +96,18 @@
 impl Operators {
     /// Begins so many orders at once on the newest known version, all under the same number.
     pub fn begin_race(&mut self, count: usize, now: u64) {
-        let (builds_on, sets) = (self.known, self.known + 1);
+        let (base_version, new_version) = (self.known, self.known + 1);
         for _ in 0..count {
             let id = self.orders.len() as u64;
-            let body = if builds_on == 0 || id.is_multiple_of(9) {
-                whole(sets, id)
+            let body = if base_version == 0 || id.is_multiple_of(9) {
+                whole(new_version, id)
             } else {
-                patch(sets, id)
+                patch(new_version, id)
             };
-            let change = Change {
+            let change = ConditionalChange {
                 id: ChangeId(id),
-                builds_on,
-                sets,
+                base_version,
+                new_version,
                 is_valid: true,
             };
             self.active.push(self.orders.len());
@@ -151,7 +153,7 @@
         let order = &mut self.orders[place];
         order.is_under_way = true;
         let change = ConfigurationChange {
-            if_match: order.change.builds_on,
+            if_match: order.change.base_version,
             body: order.body.clone(),
         };
         let call = Call::Change(order.change);
@@ -184,7 +186,7 @@
         network: &mut Network,
     ) {
         let began = network.now;
-        let number = self.history.began(call, began);
+        let number = self.history.invoke(call, began);
         let reply = network.call(process, request, call_ms(0));
         self.open.push(OpenCall {
             number,
@@ -199,7 +201,7 @@
         for mut call in std::mem::take(&mut self.open) {
             let answer = match call.reply.try_recv() {
                 Ok(reply) => Some(self.answer_of(reply)),
-                Err(oneshot::error::TryRecvError::Closed) => Some(Answer::Unclear),
+                Err(oneshot::error::TryRecvError::Closed) => Some(Response::Indeterminate),
                 Err(oneshot::error::TryRecvError::Empty) if now - call.began < SILENCE_MS => {
                     self.open.push(call);
                     continue;
@@ -212,16 +214,16 @@
                 waited_ms: now - call.began,
                 answer,
             });
-            let answer = answer.unwrap_or(Answer::Unclear);
-            self.history.answered(call.number, answer, now);
+            let answer = answer.unwrap_or(Response::Indeterminate);
+            self.history.respond(call.number, answer, now);
             self.learn(call.order, answer, now);
         }
     }
 
-    fn learn(&mut self, order: Option<usize>, answer: Answer, now: u64) {
+    fn learn(&mut self, order: Option<usize>, answer: Response, now: u64) {
         let seen = match (answer, order) {
-            (Answer::Observed { version, .. }, _) => version,
-            (Answer::Acknowledged, Some(place)) => self.orders[place].change.sets,
+            (Response::Observed { version, .. }, _) => version,
+            (Response::Acknowledged, Some(place)) => self.orders[place].change.new_version,
             _ => 0,
         };
         if seen > self.known {
@@ -231,24 +233,24 @@
         if let Some(place) = order {
             let order = &mut self.orders[place];
             order.is_under_way = false;
-            order.is_over = answer != Answer::Unclear;
+            order.is_over = answer != Response::Indeterminate;
             order.next_at = now + 100;
         }
     }
 
-    fn answer_of(&self, reply: Reply) -> Answer {
+    fn answer_of(&self, reply: Reply) -> Response {
         match reply {
-            Reply::Done => Answer::Acknowledged,
-            Reply::Error(ErrorKind::VersionConflict) => Answer::Conflict,
-            Reply::Error(ErrorKind::InvalidConfiguration) => Answer::Invalid,
+            Reply::Done => Response::Acknowledged,
+            Reply::Error(ErrorKind::VersionConflict) => Response::Conflict,
+            Reply::Error(ErrorKind::InvalidConfiguration) => Response::Invalid,
             Reply::ConfigurationDocument(text) => self.observed(&text),
-            _ => Answer::Unclear,
+            _ => Response::Indeterminate,
         }
     }
 
-    fn observed(&self, text: &str) -> Answer {
+    fn observed(&self, text: &str) -> Response {
         let Ok(configuration) = check_configuration(text) else {
-            return Answer::Observed {
+            return Response::Observed {
                 version: 0,
                 change: None,
             };
@@ -256,13 +258,13 @@
         let version = configuration.version;
         let has = |order: &&Order| {
             let name = mark(order.change.id.0);
-            order.change.sets == version
+            order.change.new_version == version
                 && configuration
                     .routes
                     .iter()
                     .any(|route| route.name.0 == name)
         };
         let change = self.orders.iter().find(has).map(|order| order.change.id);
-        Answer::Observed { version, change }
+        Response::Observed { version, change }
     }
 }
--- a/crates/cluster-node/tests/random_troubles.rs
+++ b/crates/cluster-node/tests/random_troubles.rs
@@ -126,12 +126,12 @@
     let known = play.operators.known;
     play.pass(12_000, false);
     if let Err(violation) = play.operators.history.check() {
-        let stuck: Vec<_> = violation
-            .stuck
+        let blocked: Vec<_> = violation
+            .blocked
             .iter()
             .map(|number| play.operators.history.calls()[number.0])
             .collect();
-        panic!("{count} processes, seed {seed}: {violation}\n{stuck:#?}");
+        panic!("{count} processes, seed {seed}: {violation}\n{blocked:#?}");
     }
     assert!(
         play.operators.known > known,
--- a/crates/cluster-simulation/src/operator/changes.rs
+++ b/crates/cluster-simulation/src/operator/changes.rs
@@ -8,7 +8,7 @@
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange};
 use lupinrack_cluster_api::request::Request;
-use lupinrack_configuration_history::{Answer, Call, CallNumber, Change, ChangeId};
+use lupinrack_configuration_history::{Call, CallNumber, ChangeId, ConditionalChange, Response};
 
 /// How many changes a crowd of operators begins at once.
 const CROWD: usize = 8;
@@ -83,11 +83,11 @@
         rightful && self.version == version && routes.contains(&mark_of(number))
     }
 
-    fn for_history(&self, number: usize) -> Change {
-        Change {
+    fn for_history(&self, number: usize) -> ConditionalChange {
+        ConditionalChange {
             id: ChangeId(number as u64),
-            builds_on: self.if_match,
-            sets: self.version,
+            base_version: self.if_match,
+            new_version: self.version,
             is_valid: self.soundness != Soundness::Invalid,
         }
     }
@@ -207,7 +207,7 @@
             } else {
                 outcome
             };
-            self.history.answered(open.number, answer_of(&outcome), now);
+            self.history.respond(open.number, answer_of(&outcome), now);
             if open.began_calm && world.is_calm() {
                 check_calm_answer(number, &outcome, world);
             }
@@ -235,7 +235,7 @@
         let (control_call, open) = call(request, world.now, SILENCE_MS);
         let in_history = self
             .history
-            .began(Call::Change(change.for_history(number)), world.now);
+            .invoke(Call::Change(change.for_history(number)), world.now);
         change.open = Some(Try {
             call: open,
             number: in_history,
@@ -327,7 +327,7 @@
 
 /// While all machines are in touch, every one of them answers an order clearly.
 fn check_calm_answer(number: usize, outcome: &Outcome, world: &mut World) {
-    if answer_of(outcome) == Answer::Unclear {
+    if answer_of(outcome) == Response::Indeterminate {
         let text = format!(
             "ACKS: change {number} is answered {outcome:?} while all machines are in touch"
         );
@@ -335,11 +335,13 @@
     }
 }
 
-fn answer_of(outcome: &Outcome) -> Answer {
+fn answer_of(outcome: &Outcome) -> Response {
     match outcome {
-        Outcome::Success(_) => Answer::Acknowledged,
-        Outcome::Refused(ErrorKind::VersionConflict) => Answer::Conflict,
-        Outcome::Refused(ErrorKind::InvalidConfiguration | ErrorKind::Malformed) => Answer::Invalid,
-        Outcome::Refused(_) | Outcome::Doubt => Answer::Unclear,
+        Outcome::Success(_) => Response::Acknowledged,
+        Outcome::Refused(ErrorKind::VersionConflict) => Response::Conflict,
+        Outcome::Refused(ErrorKind::InvalidConfiguration | ErrorKind::Malformed) => {
+            Response::Invalid
+        }
+        Outcome::Refused(_) | Outcome::Doubt => Response::Indeterminate,
     }
 }
--- a/crates/cluster-simulation/src/operator/mod.rs
+++ b/crates/cluster-simulation/src/operator/mod.rs
@@ -67,15 +67,15 @@
     pub fn check_history(&self, world: &mut World) {
         if let Err(violation) = self.history.check() {
             let calls = self.history.calls();
-            let stuck: Vec<String> = violation
-                .stuck
+            let blocked: Vec<String> = violation
+                .blocked
                 .iter()
                 .take(3)
                 .map(|number| format!("{:?}", calls[number.0]))
                 .collect();
             let text = format!(
                 "HISTORY: no order of the operator's calls fits: {}",
-                stuck.join("; ")
+                blocked.join("; ")
             );
             world.checks.broke(world.now, text);
         }
--- a/crates/cluster-simulation/src/operator/reads.rs
+++ b/crates/cluster-simulation/src/operator/reads.rs
@@ -4,7 +4,7 @@
 use crate::calls::{call, OpenCall, Outcome};
 use crate::world::World;
 use lupinrack_cluster_api::request::{Reply, Request};
-use lupinrack_configuration_history::{Answer, Call, CallNumber, ChangeId};
+use lupinrack_configuration_history::{Call, CallNumber, ChangeId, Response};
 use lupinrack_control_state::check_configuration;
 
 /// A read under way, and the newest version that was acknowledged when it began.
@@ -29,7 +29,9 @@
                 Some(Outcome::Success(Reply::ConfigurationDocument(text))) => {
                     self.configuration_read(&text, &read, world);
                 }
-                Some(_) => self.history.answered(read.number, Answer::Unclear, now),
+                Some(_) => self
+                    .history
+                    .respond(read.number, Response::Indeterminate, now),
                 None => self.read = Some(read),
             }
             return;
@@ -42,7 +44,7 @@
         };
         self.next_read_at = now + 400 + world.rng.u64(0..600);
         let (control_call, open) = call(Request::ReadConfiguration, now, SILENCE_MS);
-        let number = self.history.began(Call::Read, now);
+        let number = self.history.invoke(Call::Read, now);
         self.read = Some(OpenRead {
             call: open,
             number,
@@ -54,9 +56,9 @@
     fn configuration_read(&mut self, text: &str, read: &OpenRead, world: &mut World) {
         let now = world.now;
         let Some(document) = read_document(text) else {
-            self.history.answered(
+            self.history.respond(
                 read.number,
-                Answer::Observed {
+                Response::Observed {
                     version: 0,
                     change: None,
                 },
@@ -73,7 +75,7 @@
         let version = document.version;
         let change = self.change_in_force(&document);
         self.history
-            .answered(read.number, Answer::Observed { version, change }, now);
+            .respond(read.number, Response::Observed { version, change }, now);
         self.check_read(version, read.acknowledged, world);
         if change.is_none() {
             let text = format!("CONFIG: version {version} in force was refused or never sent");
--- a/crates/configuration-history/src/history.rs
+++ b/crates/configuration-history/src/history.rs
@@ -1,63 +1,50 @@
-//! What callers saw, as it is recorded.
+//! The recorded history of all calls.
 
-use crate::call::{Answer, Call, ChangeId};
-use crate::linearization::{find_order, Violation};
+use crate::call::{Call, ChangeId};
+use crate::call_record::{CallNumber, CallRecord};
+use crate::linearization::{find_linearization, NotLinearizable};
+use crate::response::Response;
 
-/// The number of a call within its history.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct CallNumber(pub usize);
-
-/// One call and its answer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CallRecord {
-    /// What was asked.
-    pub call: Call,
-    /// When it was sent first.
-    pub began: u64,
-    /// When its answer was there, or its caller gave up; of no meaning for an unclear one.
-    pub ended: u64,
-    /// The answer; unclear while there is none.
-    pub answer: Answer,
-}
-
-/// A history of calls.
+/// Calls and their responses, as the clients saw them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct History {
     calls: Vec<CallRecord>,
 }
 
 impl History {
-    /// A call is sent. It is unclear until it is answered.
-    pub fn began(&mut self, call: Call, at: u64) -> CallNumber {
-        self.calls.push(CallRecord {
+    /// Records that a client sent a call. Its response is indeterminate until [`History::respond`].
+    pub fn invoke(&mut self, call: Call, at: u64) -> CallNumber {
+        let record = CallRecord {
             call,
-            began: at,
-            ended: at,
-            answer: Answer::Unclear,
-        });
+            invoked_at: at,
+            responded_at: at,
+            response: Response::Indeterminate,
+        };
+        self.calls.push(record);
         CallNumber(self.calls.len() - 1)
     }
 
-    /// A call is answered, or given up with [`Answer::Unclear`].
-    pub fn answered(&mut self, number: CallNumber, answer: Answer, at: u64) {
+    /// Records the response to a call, or with [`Response::Indeterminate`] that its client gave up.
+    /// Does nothing for a number that is not of this history.
+    pub fn respond(&mut self, number: CallNumber, response: Response, at: u64) {
         if let Some(record) = self.calls.get_mut(number.0) {
-            record.ended = at;
-            record.answer = answer;
+            record.responded_at = at;
+            record.response = response;
         }
     }
 
-    /// All calls, in the order in which they began to be recorded.
+    /// All calls, in the order in which [`History::invoke`] recorded them.
     pub fn calls(&self) -> &[CallRecord] {
         &self.calls
     }
 
-    /// Looks for an order of the calls in which a single register gives these answers, and returns the changes that it
-    /// takes, in that order.
+    /// Searches for a linearization of the history, and returns the changes that it applies, in
+    /// their order.
     ///
     /// # Errors
     ///
-    /// Where there is none.
-    pub fn check(&self) -> Result<Vec<ChangeId>, Violation> {
-        find_order(&self.calls)
+    /// If there is none.
+    pub fn check(&self) -> Result<Vec<ChangeId>, NotLinearizable> {
+        find_linearization(&self.calls)
     }
 }
--- a/crates/configuration-history/src/lib.rs
+++ b/crates/configuration-history/src/lib.rs
@@ -1,33 +1,42 @@
-//! Histories of configuration orders, and the check that they are linearizable.
+//! Linearizability checking for histories of configuration calls.
 //!
-//! Callers of the configuration see calls and answers. A history of them is right if every call took effect at one moment
-//! between its beginning and its answer, such that the answers are those of a single register: [`Register`] says what
-//! that one would answer. [`History::check`] looks for such moments.
+//! A test or simulation records in a [`History`] when each [`Call`] was invoked and when which
+//! [`Response`] came back. [`History::check`] then decides whether the history is linearizable
+//! (Herlihy and Wing, "Linearizability: a correctness condition for concurrent objects", TOPLAS
+//! 1990): whether every call can have taken effect at one moment between its invocation and its
+//! response, such that the responses are those of a single [`Register`], the sequential
+//! specification of the configuration.
 //!
 //! ```
-//! use lupinrack_configuration_history::{Answer, Call, Change, ChangeId, History};
+//! use lupinrack_configuration_history::{Call, ChangeId, ConditionalChange, History, Response};
 //!
 //! let mut history = History::default();
-//! let order = Change { id: ChangeId(1), builds_on: 0, sets: 5, is_valid: true };
-//! let first = history.began(Call::Change(order), 10);
-//! history.answered(first, Answer::Unclear, 1_010);
-//! let again = history.began(Call::Change(order), 1_100);
-//! history.answered(again, Answer::Acknowledged, 1_150);
-//! let read = history.began(Call::Read, 1_200);
-//! history.answered(read, Answer::Observed { version: 5, change: Some(ChangeId(1)) }, 1_210);
+//! let change = ConditionalChange { id: ChangeId(1), base_version: 0, new_version: 5, is_valid: true };
+//! let first = history.invoke(Call::Change(change), 10);
+//! history.respond(first, Response::Indeterminate, 1_010);
+//! let retry = history.invoke(Call::Change(change), 1_100);
+//! history.respond(retry, Response::Acknowledged, 1_150);
+//! let read = history.invoke(Call::Read, 1_200);
+//! history.respond(read, Response::Observed { version: 5, change: Some(ChangeId(1)) }, 1_210);
 //! assert_eq!(history.check(), Ok(vec![ChangeId(1)]));
 //! ```
 //!
-//! Times are of one clock that sees all callers, in any unit; calls whose times touch count as concurrent.
-// 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
-#![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
+//! Times may have any unit, but all come from one clock that sees every caller; calls whose
+//! intervals touch count as concurrent. The crate is for tests and simulations: nothing in a
+//! deployed process depends on it.
+//!
+//! Start reading at [`Register`], then `linearization.rs`, the search itself.
 
 mod call;
-mod linearization;
+mod call_record;
 mod history;
+mod linearization;
 mod register;
+mod response;
 
-pub use call::{Answer, Call, Change, ChangeId};
-pub use linearization::Violation;
-pub use history::{CallNumber, CallRecord, History};
+pub use call::{Call, ChangeId, ConditionalChange};
+pub use call_record::{CallNumber, CallRecord};
+pub use history::History;
+pub use linearization::NotLinearizable;
 pub use register::Register;
+pub use response::Response;
--- a/crates/configuration-history/src/linearization.rs
+++ b/crates/configuration-history/src/linearization.rs
@@ -1,171 +1,182 @@
-//! The search for an order of the calls (after Wing and Gong, "Testing and verifying concurrent objects", 1993).
+//! The search for a linearization (Wing and Gong, "Testing and verifying concurrent objects",
+//! 1993), with a memory of the states that were searched (Lowe, "Testing for linearizability",
+//! 2017).
 //!
-//! A call may come next in the order if no other call that is still to be placed had its answer before this one began.
-//! A call without effect that may be answered so now is placed at once: it takes nothing from any other order. So only
-//! changes that are taken make the search branch, and since every change names the version that it builds on, the search
-//! branches only where several changes build on one version.
+//! A call may come next in the order if no other pending call had its response before this one was
+//! invoked. A call that may get its response in the current state without changing that state is
+//! linearized at once, since this rules out no other order. So only changes that are applied make
+//! the search branch; and since every change names its base version, the search branches only where
+//! several changes have the same base.
 
-use crate::call::{Answer, Call, Change, ChangeId};
-use crate::history::{CallNumber, CallRecord};
+use crate::call::{Call, ChangeId, ConditionalChange};
+use crate::call_record::{CallNumber, CallRecord};
 use crate::register::Register;
+use crate::response::Response;
 use std::collections::BTreeSet;
 
-/// no single register gives these answers; after {taken:?} the calls {stuck:?} cannot be placed
+/// not linearizable: after the changes {applied:?} the calls {blocked:?} fit in no order
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
-pub struct Violation {
-    /// The changes of the order that places the most calls.
-    pub taken: Vec<ChangeId>,
-    /// The calls that could come next in it, but for their answers.
-    pub stuck: Vec<CallNumber>,
+pub struct NotLinearizable {
+    /// The changes that the longest partial linearization applies, in their order.
+    pub applied: Vec<ChangeId>,
+    /// The calls that could come next in it by their times, but not by their responses.
+    pub blocked: Vec<CallNumber>,
 }
 
-impl std::error::Error for Violation {}
+impl std::error::Error for NotLinearizable {}
 
-/// A beginning of an order.
-#[derive(Clone, Debug)]
-struct Beginning {
-    register: Register,
-    taken: Vec<ChangeId>,
-    /// The clearly answered calls that are still to be placed.
-    open: BTreeSet<usize>,
-}
-
-/// What decides how a beginning may go on.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Standing {
-    newest: Option<ChangeId>,
-    open: BTreeSet<usize>,
-    /// The changes among the open calls that were taken.
-    taken: BTreeSet<ChangeId>,
-}
-
-pub(crate) fn find_order(calls: &[CallRecord]) -> Result<Vec<ChangeId>, Violation> {
-    let is_clear = |number: &usize| calls[*number].answer != Answer::Unclear;
-    let open: BTreeSet<usize> = (0..calls.len()).filter(is_clear).collect();
-    let mut beginnings = vec![Beginning {
-        register: Register::default(),
-        taken: Vec::new(),
-        open,
-    }];
-    let mut seen = BTreeSet::new();
-    let mut furthest: Option<Beginning> = None;
-    while let Some(mut beginning) = beginnings.pop() {
-        beginning.place_answers(calls);
-        if beginning.open.is_empty() {
-            return Ok(beginning.taken);
+/// Searches depth first for an order of all calls with a definite response.
+pub(crate) fn find_linearization(calls: &[CallRecord]) -> Result<Vec<ChangeId>, NotLinearizable> {
+    let mut unexplored = vec![PartialLinearization::empty(calls)];
+    let mut searched = BTreeSet::new();
+    let mut longest: Option<PartialLinearization<'_>> = None;
+    while let Some(mut partial) = unexplored.pop() {
+        partial.linearize_calls_without_effect();
+        if partial.pending.is_empty() {
+            return Ok(partial.applied);
         }
-        if !seen.insert(beginning.standing(calls)) {
+        if !searched.insert(partial.search_state()) {
             continue;
         }
-        beginnings.extend(beginning.continuations(calls));
-        if furthest
+        unexplored.extend(partial.successors());
+        if longest
             .as_ref()
-            .is_none_or(|far| beginning.open.len() < far.open.len())
+            .is_none_or(|other| partial.pending.len() < other.pending.len())
         {
-            furthest = Some(beginning);
+            longest = Some(partial);
         }
     }
-    Err(furthest.map_or(
-        Violation {
-            taken: Vec::new(),
-            stuck: Vec::new(),
+    Err(longest.map_or(
+        NotLinearizable {
+            applied: Vec::new(),
+            blocked: Vec::new(),
         },
-        |far| far.violation(calls),
+        |longest| longest.fault(),
     ))
 }
 
-impl Beginning {
-    /// Places all calls without effect that may come next and be answered so.
-    fn place_answers(&mut self, calls: &[CallRecord]) {
+/// The first calls of an order, and what is left.
+#[derive(Clone, Debug)]
+struct PartialLinearization<'history> {
+    calls: &'history [CallRecord],
+    /// The state after the calls that were linearized.
+    register: Register,
+    /// The changes among them that had an effect, in their order.
+    applied: Vec<ChangeId>,
+    /// Indices of calls with a definite response that are not linearized yet.
+    pending: BTreeSet<usize>,
+}
+
+/// All that decides how a partial linearization can continue.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct SearchState {
+    current_change: Option<ChangeId>,
+    pending: BTreeSet<usize>,
+    /// The changes among the pending calls that were applied, by another call for the same change.
+    applied: BTreeSet<ChangeId>,
+}
+
+impl<'history> PartialLinearization<'history> {
+    fn empty(calls: &'history [CallRecord]) -> Self {
+        let is_definite = |index: &usize| calls[*index].response != Response::Indeterminate;
+        let pending = (0..calls.len()).filter(is_definite).collect();
+        Self {
+            calls,
+            register: Register::default(),
+            applied: Vec::new(),
+            pending,
+        }
+    }
+
+    /// Linearizes calls that may come next and leave the state as it is, until there is none.
+    fn linearize_calls_without_effect(&mut self) {
         loop {
-            let placed: Vec<usize> = self
-                .next_open(calls)
-                .filter(|number| self.fits(&calls[*number]))
+            let without_effect: Vec<usize> = self
+                .candidates()
+                .filter(|index| self.permits(*index))
                 .collect();
-            if placed.is_empty() {
+            if without_effect.is_empty() {
                 return;
             }
-            placed.iter().for_each(|number| {
-                self.open.remove(number);
-            });
+            for index in without_effect {
+                self.pending.remove(&index);
+            }
         }
     }
 
-    fn fits(&self, record: &CallRecord) -> bool {
-        self.register.may_answer(&record.call, &record.answer)
+    fn permits(&self, index: usize) -> bool {
+        let record = &self.calls[index];
+        self.register.permits(&record.call, &record.response)
     }
 
-    /// The open calls that may come next.
-    fn next_open<'a>(&'a self, calls: &'a [CallRecord]) -> impl Iterator<Item = usize> + 'a {
-        let latest = self.latest_beginning(calls);
-        self.open
+    /// The pending calls that may come next by their times.
+    fn candidates(&self) -> impl Iterator<Item = usize> + '_ {
+        let deadline = self.earliest_pending_response();
+        self.pending
             .iter()
             .copied()
-            .filter(move |number| calls[*number].began <= latest)
+            .filter(move |index| self.calls[*index].invoked_at <= deadline)
     }
 
-    /// What began later than this has to wait for a call that is still to be placed.
-    fn latest_beginning(&self, calls: &[CallRecord]) -> u64 {
-        self.open
+    /// A call that was invoked after this must follow some call that is still pending.
+    fn earliest_pending_response(&self) -> u64 {
+        self.pending
             .iter()
-            .map(|number| calls[*number].ended)
+            .map(|index| self.calls[*index].responded_at)
             .min()
             .unwrap_or(u64::MAX)
     }
 
-    /// This beginning with one more change, for each that may be taken next.
-    fn continuations(&self, calls: &[CallRecord]) -> Vec<Beginning> {
-        let latest = self.latest_beginning(calls);
-        let mut next: Vec<Change> = Vec::new();
-        for record in calls.iter().filter(|record| record.began <= latest) {
-            let Some(change) = effect_of(record).filter(|change| self.register.would_take(change))
-            else {
+    /// This partial linearization with one more change, for each change that may be applied next.
+    fn successors(&self) -> Vec<Self> {
+        let deadline = self.earliest_pending_response();
+        let mut changes: Vec<&ConditionalChange> = Vec::new();
+        for record in self
+            .calls
+            .iter()
+            .filter(|record| record.invoked_at <= deadline)
+        {
+            let Some(change) = record.possible_change() else {
                 continue;
             };
-            if next.iter().all(|other| other.id != change.id) {
-                next.push(change);
+            let is_listed = changes.iter().any(|listed| listed.id == change.id);
+            if self.register.accepts(change) && !is_listed {
+                changes.push(change);
             }
         }
-        next.iter().map(|change| self.with(change)).collect()
+        changes
+            .into_iter()
+            .map(|change| self.with(change))
+            .collect()
     }
 
-    fn with(&self, change: &Change) -> Beginning {
+    fn with(&self, change: &ConditionalChange) -> Self {
         let mut longer = self.clone();
-        longer.register.take(change);
-        longer.taken.push(change.id);
+        longer.register.apply(change);
+        longer.applied.push(change.id);
         longer
     }
 
-    fn standing(&self, calls: &[CallRecord]) -> Standing {
-        let change_of = |number: &usize| match calls[*number].call {
+    fn search_state(&self) -> SearchState {
+        let change_of = |index: &usize| match &self.calls[*index].call {
             Call::Change(change) => Some(change.id),
             Call::Read => None,
         };
-        let taken = self
-            .open
-            .iter()
-            .filter_map(change_of)
-            .filter(|id| self.register.has_taken(*id));
-        Standing {
-            newest: self.register.newest(),
-            open: self.open.clone(),
-            taken: taken.collect(),
+        let changes = self.pending.iter().filter_map(change_of);
+        SearchState {
+            current_change: self.register.current_change(),
+            pending: self.pending.clone(),
+            applied: changes
+                .filter(|id| self.register.has_applied(*id))
+                .collect(),
         }
     }
 
-    fn violation(&self, calls: &[CallRecord]) -> Violation {
-        let stuck = self.next_open(calls).map(CallNumber).collect();
-        Violation {
-            taken: self.taken.clone(),
-            stuck,
+    /// The fault to report where this is the longest partial linearization.
+    fn fault(&self) -> NotLinearizable {
+        NotLinearizable {
+            applied: self.applied.clone(),
+            blocked: self.candidates().map(CallNumber).collect(),
         }
     }
 }
-
-/// The change that a call may have brought about, by its answer.
-fn effect_of(record: &CallRecord) -> Option<Change> {
-    match (record.call, record.answer) {
-        (Call::Change(change), Answer::Acknowledged | Answer::Unclear) => Some(change),
-        _ => None,
-    }
-}
--- a/crates/configuration-history/src/register.rs
+++ b/crates/configuration-history/src/register.rs
@@ -1,61 +1,63 @@
-//! The configuration as one register, which answers one call after the other.
+//! The sequential specification: the configuration as one register that handles one call at a time.
 
-use crate::call::{Answer, Call, Change, ChangeId};
+use crate::call::{Call, ChangeId, ConditionalChange};
+use crate::response::Response;
 use std::collections::BTreeSet;
 
-/// What a single register has taken.
+/// The state of a single register to which some changes were applied.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Register {
     version: u64,
-    newest: Option<ChangeId>,
-    taken: BTreeSet<ChangeId>,
+    current_change: Option<ChangeId>,
+    applied: BTreeSet<ChangeId>,
 }
 
 impl Register {
-    /// The version in force; 0 before the first change.
+    /// The current version; 0 before the first change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The order that set the version in force.
-    pub fn newest(&self) -> Option<ChangeId> {
-        self.newest
+    /// The change that set the current version.
+    pub fn current_change(&self) -> Option<ChangeId> {
+        self.current_change
     }
 
-    /// Whether an order was taken.
-    pub fn has_taken(&self, id: ChangeId) -> bool {
-        self.taken.contains(&id)
+    /// Whether a change was applied, now or earlier.
+    pub fn has_applied(&self, id: ChangeId) -> bool {
+        self.applied.contains(&id)
     }
 
-    /// Whether an order that was not taken yet would be taken now.
-    pub fn would_take(&self, change: &Change) -> bool {
-        let builds_on_newest = change.builds_on == self.version && change.sets > self.version;
-        change.is_valid && builds_on_newest && !self.has_taken(change.id)
+    /// Whether a change would be applied in this state. One that was applied already would not: a
+    /// retry is acknowledged without effect.
+    pub fn accepts(&self, change: &ConditionalChange) -> bool {
+        let fits_version = change.base_version == self.version && change.new_version > self.version;
+        change.is_valid && fits_version && !self.has_applied(change.id)
     }
 
-    /// Takes an order for which [`Register::would_take`] holds.
-    pub fn take(&mut self, change: &Change) {
-        self.version = change.sets;
-        self.newest = Some(change.id);
-        self.taken.insert(change.id);
+    /// Applies a change which the register [accepts](Register::accepts).
+    pub fn apply(&mut self, change: &ConditionalChange) {
+        self.version = change.new_version;
+        self.current_change = Some(change.id);
+        self.applied.insert(change.id);
     }
 
-    /// Whether a call may be answered so in this state, without any effect.
-    pub fn may_answer(&self, call: &Call, answer: &Answer) -> bool {
-        match (call, answer) {
-            (_, Answer::Unclear) => true,
-            (Call::Read, Answer::Observed { version, change }) => {
-                *version == self.version && change.is_none_or(|id| self.newest == Some(id))
+    /// Whether a call may get this response in this state without changing the state.
+    pub fn permits(&self, call: &Call, response: &Response) -> bool {
+        match (call, response) {
+            (_, Response::Indeterminate) => true,
+            (Call::Read, Response::Observed { version, change }) => {
+                *version == self.version && change.is_none_or(|id| self.current_change == Some(id))
             }
-            (Call::Change(change), Answer::Acknowledged) => self.has_taken(change.id),
-            (Call::Change(change), Answer::Conflict) => {
-                !self.has_taken(change.id) && change.builds_on != self.version
+            (Call::Change(change), Response::Acknowledged) => self.has_applied(change.id),
+            (Call::Change(change), Response::Conflict) => {
+                !self.has_applied(change.id) && change.base_version != self.version
             }
-            (Call::Change(change), Answer::Invalid) => {
-                let is_sound = change.is_valid && change.sets > self.version;
-                !self.has_taken(change.id) && !is_sound
+            (Call::Change(change), Response::Invalid) => {
+                let is_applicable = change.is_valid && change.new_version > self.version;
+                !self.has_applied(change.id) && !is_applicable
             }
-            (Call::Read, _) | (Call::Change(_), Answer::Observed { .. }) => false,
+            (Call::Read, _) | (Call::Change(_), Response::Observed { .. }) => false,
         }
     }
 }
