--- a/crates/cluster-transport/src/http_server/response.rs
+++ b/crates/cluster-transport/src/http_server/response.rs
@@ -39,12 +39,12 @@
 
     /// The answer to an error of this kind, with its description.
     pub fn error(kind: ErrorKind) -> Self {
-        let answer = kind.answer();
+        let error = kind.http_error();
         let body = Bytes::from(format!("{{\"error\":\"{kind}\"}}"));
         HttpResponse {
-            retry_after_s: answer.retry_after_s,
+            retry_after_s: error.retry_after_s,
             body,
-            ..HttpResponse::empty(answer.status)
+            ..HttpResponse::empty(error.status)
         }
     }
 
