--- a/crates/scheduler/tests/golden/scenarios/giving_way.rs
+++ b/crates/scheduler/tests/golden/scenarios/giving_way.rs
@@ -5,13 +5,14 @@
 use crate::scenario::Scenario;
 use lupinrack_cluster_api::job::Step;
 
-pub const SCENARIOS: [(&str, Build); 6] = [
+pub const SCENARIOS: [(&str, Build); 7] = [
     ("preemption", preemption),
     ("preemption-least-loss", least_loss),
     ("preemption-not", not_preempted),
     ("drain-with-room", drain_with_room),
     ("drain-last-call", drain_last_call),
     ("drain-unstarted", drain_unstarted),
+    ("drain-giving-up", drain_giving_up),
 ];
 
 const TWO: [&[&str]; 2] = [&["a", "r1"], &["a", "r1"]];
@@ -101,3 +102,16 @@
     scenario.run_for(4_000);
     scenario.finish()
 }
+
+/// Work that saves nothing is given up only where it would take much more time than is left.
+fn drain_giving_up() -> String {
+    let mut scenario = Scenario::new(&TWO);
+    for job in 1..=6 {
+        scenario.bench.accept_steps(job, 1, vec![step(1, 1_000, 5_000 + 1_500 * job)]);
+    }
+    scenario.run_for(500);
+    let leaving = scenario.place(1);
+    (leaving.draining, leaving.remaining_ms) = (true, Some(7_000));
+    scenario.run_for(2_000);
+    scenario.finish()
+}
--- a/crates/scheduler/tests/golden/scenarios/singles.rs
+++ b/crates/scheduler/tests/golden/scenarios/singles.rs
@@ -5,10 +5,11 @@
 use crate::scenario::Scenario;
 use lupinrack_cluster_api::job::{JobSpec, Resources, Step};
 
-pub const SCENARIOS: [(&str, Build); 8] = [
+pub const SCENARIOS: [(&str, Build); 9] = [
     ("singles-labels", labels),
     ("singles-crowd", crowd),
     ("singles-large", large),
+    ("singles-quarter", quarter),
     ("singles-near-data", near_data),
     ("singles-lasting", lasting),
     ("singles-evenness", evenness),
@@ -57,6 +58,21 @@
     scenario.finish()
 }
 
+/// Tasks that need a little more than a quarter of a server, and a little less.
+fn quarter() -> String {
+    let mut scenario = Scenario::new(&[&["a", "r1"]]);
+    scenario.bench.accept_steps(1, 2, vec![step(16, 1_000, 800)]);
+    scenario.run_for(300);
+    for job in 2..6 {
+        scenario.bench.accept_steps(job, 1, vec![step(1, 4_400, 300)]);
+        scenario.bench.accept_steps(10 + job, 1, vec![step(1, 3_800, 300)]);
+        scenario.bench.accept_steps(20 + job, 2, vec![step(8, 1_000, 2_500)]);
+        scenario.run_for(700);
+    }
+    scenario.run_for(4_000);
+    scenario.finish()
+}
+
 /// Work waits near its data for a while, and goes far where the wait would be longer.
 fn near_data() -> String {
     let mut scenario = Scenario::new(&[&["a", "r1"], &["a", "r2"]]);
