--- a/crates/door/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -3,6 +3,8 @@
 //! Callers without a whole line are bounded in number and time. When all places are taken, the one that has waited for the
 //! longest makes way, so that a whole call never stands behind a silent one.
 #![warn(missing_docs)]
+// 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
+#![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub)]
 
 pub mod call;
 
@@ -69,7 +71,10 @@
         callers.retain(|c| !c.task.is_finished());
         if callers.len() >= CALLERS_MOST {
             // One that has been heard is answered in a moment and keeps its place while another can go.
-            let at = callers.iter().position(|c| !c.heard.load(Relaxed)).unwrap_or(0);
+            let at = callers
+                .iter()
+                .position(|c| !c.heard.load(Relaxed))
+                .unwrap_or(0);
             if let Some(caller) = callers.remove(at) {
                 caller.task.abort();
             }
@@ -86,7 +91,9 @@
     A: Future<Output = Answer>,
 {
     let _ = stream.set_nodelay(true);
-    let call = timeout(WHOLE, hear(&mut stream)).await.unwrap_or(Err(NoCall::Late));
+    let call = timeout(WHOLE, hear(&mut stream))
+        .await
+        .unwrap_or(Err(NoCall::Late));
     heard.store(true, Relaxed);
     let answer = match call {
         Ok(call) => answer(call).await,
--- a/crates/chain/src/limits.rs
+++ b/crates/chain/src/limits.rs
@@ -18,7 +18,7 @@
 pub const WINDOW_ENTRIES: u64 = 4096;
 
 /// Bytes of a snapshot in one message.
-pub const SNAPSHOT_PIECE_BYTES: usize = 256 * 1024;
+pub const SNAPSHOT_CHUNK_BYTES: usize = 256 * 1024;
 
 /// Milliseconds after which a snapshot that was received whole, and is not on the receiver's disk yet, is sent again.
 pub const SNAPSHOT_RETRY_MS: u64 = 2000;
@@ -89,7 +89,9 @@
             0 => BUDGET_DEFAULT,
             known => known.saturating_mul(MEGABYTE) / parts,
         };
-        let budget = part(memory_mb, MEMORY_PARTS).min(part(disk_mb, DISK_PARTS)).max(BUDGET_LEAST);
+        let budget = part(memory_mb, MEMORY_PARTS)
+            .min(part(disk_mb, DISK_PARTS))
+            .max(BUDGET_LEAST);
         ByteLimits {
             uncommitted: budget / 8,
             snapshot_after: budget * 3 / 16,
--- a/crates/cluster-node/src/core/machine/settings.rs
+++ b/crates/cluster-node/src/core/machine/settings.rs
@@ -4,7 +4,7 @@
 use lupinrack_chain::limits::ByteLimits;
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::view::Voter;
-use lupinrack_cluster_settings::NodeSettings;
+use lupinrack_node_settings::NodeSettings;
 use lupinrack_scheduler::SchedulerSettings;
 
 /// Ended jobs are remembered for so much longer than their state may be asked for, since clocks of different machines
@@ -23,7 +23,7 @@
     /// Its disk, its address and its zone.
     pub me: Voter,
     /// Drawn at random when the process began.
-    pub life: u64,
+    pub incarnation: u64,
     /// Where core processes are looked for.
     pub seeds: Vec<PeerAddress>,
     /// The processes that may found the first view; empty where this process does not found.
@@ -44,11 +44,11 @@
 
 impl CoreSettings {
     /// The defaults of a process that knows nobody, founds nothing and tolerates no loss.
-    pub fn with_defaults(me: Voter, life: u64) -> CoreSettings {
+    pub fn with_defaults(me: Voter, incarnation: u64) -> CoreSettings {
         CoreSettings {
             name: "core".to_owned(),
             me,
-            life,
+            incarnation,
             seeds: Vec::new(),
             founders: Vec::new(),
             tolerated_losses: 0,
@@ -61,14 +61,22 @@
     }
 
     /// From the settings of the node, for this disk and life.
-    pub fn of_node(node: &NodeSettings, disk: DiskId, life: u64) -> CoreSettings {
+    pub fn of_node(node: &NodeSettings, disk: DiskId, incarnation: u64) -> CoreSettings {
         let address = PeerAddress(node.internal_address);
         let seeds = node.seed_internal();
         CoreSettings {
             name: node.node.clone(),
-            me: Voter { disk, address, zone: node.zone.clone() },
-            life,
-            founders: if node.is_founder() { seeds.clone() } else { Vec::new() },
+            me: Voter {
+                disk,
+                address,
+                zone: node.zone.clone(),
+            },
+            incarnation,
+            founders: if node.is_founder() {
+                seeds.clone()
+            } else {
+                Vec::new()
+            },
             seeds,
             tolerated_losses: node.tolerance.machines as usize,
             catch_up_ms: node.bounds.catch_up_ms,
--- a/crates/cluster-net/src/peers/tasks.rs
+++ b/crates/cluster-transport/src/peers/tasks.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy)]
 struct Identity {
     role: Role,
-    life: u64,
+    incarnation: u64,
 }
 
 /// Takes frames out of a connection until it ends, and passes them on as events.
@@ -29,7 +29,11 @@
 ) {
     let mut closing = pin!(connection.closing());
     if !connection.is_closed() {
-        let delivery = Delivery { shared: &shared, connection: &connection, identity: None };
+        let delivery = Delivery {
+            shared: &shared,
+            connection: &connection,
+            identity: None,
+        };
         tokio::select! {
             () = &mut closing => {}
             () = delivery.run(&mut stream, &mut frames, hello) => {}
@@ -55,7 +59,12 @@
 
 impl Delivery<'_> {
     /// Reads and delivers until the stream ends, fails or breaks the protocol.
-    async fn run(mut self, stream: &mut OwnedReadHalf, frames: &mut FrameReader, hello: Option<Hello>) {
+    async fn run(
+        mut self,
+        stream: &mut OwnedReadHalf,
+        frames: &mut FrameReader,
+        hello: Option<Hello>,
+    ) {
         if let Some(hello) = hello {
             if !self.deliver(Frame::Hello(hello)).await {
                 return;
@@ -97,7 +106,7 @@
         let event = PeerEvent::Frame {
             from: self.connection.peer,
             role: identity.role,
-            life: identity.life,
+            incarnation: identity.incarnation,
             connection: self.connection.number,
             frame,
         };
@@ -108,9 +117,14 @@
     fn identify(&mut self, frame: &Frame) -> Option<Identity> {
         match (self.identity, frame) {
             (None, Frame::Hello(hello)) if hello.address == self.connection.peer => {
-                self.connection.set_life(hello.life);
-                self.shared.table().close_other_lives(self.connection, hello.life);
-                self.identity = Some(Identity { role: hello.role, life: hello.life });
+                self.connection.set_incarnation(hello.incarnation);
+                self.shared
+                    .table()
+                    .close_other_incarnations(self.connection, hello.incarnation);
+                self.identity = Some(Identity {
+                    role: hello.role,
+                    incarnation: hello.incarnation,
+                });
                 self.identity
             }
             (None, _) | (Some(_), Frame::Hello(_)) => None,
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -2,6 +2,8 @@
 //!
 //! It is a deterministic state machine: [`ControlState::apply`] takes committed operations in their order, and equal
 //! sequences lead to equal states and results on every replica. It reads no clock and makes no I/O.
+// 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
+#![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
 
 pub mod configuration_body;
 mod configuration_change;
@@ -21,5 +23,5 @@
 pub use configuration_fault::{ConfigurationFault, FaultReason};
 pub use record::{JobRecord, Occurrence, TaskRecord, TaskStatus};
 pub use snapshot::SnapshotFault;
-pub use state::{ControlState, ServerPlace, Shard, PLACES_MOST, TASKS_PER_OCCURRENCE_MOST};
+pub use state::{AgentBinding, ControlState, Shard, BINDINGS_MOST, TASKS_PER_OCCURRENCE_MOST};
 pub use taken_changes::{ChangeDigest, TakenChanges, CHANGES_REMEMBERED, DIGEST_BYTES};
--- a/crates/extents-net/src/lib.rs
+++ b/crates/extent-map-driver/src/lib.rs
@@ -2,8 +2,10 @@
 //!
 //! `GET /extents?from=I.E&hold_ms=H` is a poll (without `from`: the first), `GET /extents/volume/V` a fetch of a
 //! volume, with `?key=K` of the extent of one key; numbers in hexadecimal. Answers are JSON, as
-//! `lupinrack_extents::words` has them.
+//! `lupinrack_extent_map::words` has them.
 #![warn(missing_docs)]
+// 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
+#![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub)]
 
 mod file;
 
@@ -13,9 +15,9 @@
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper_util::client::legacy::{connect::HttpConnector, Client};
 use hyper_util::rt::{TokioExecutor, TokioTimer};
-use lupinrack_core::Handle;
-use lupinrack_extents::config::Section;
-use lupinrack_extents::{datagram, Action, Counters, Input};
+use lupinrack_extent_map::config::Section;
+use lupinrack_extent_map::{datagram, Action, Counters, Input};
+use lupinrack_request_engine::Handle;
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -87,7 +89,11 @@
     }
 
     /// Runs until the core is gone.
-    pub async fn run(self, mut actions: mpsc::Receiver<Action>, counters: watch::Receiver<Counters>) {
+    pub async fn run(
+        self,
+        mut actions: mpsc::Receiver<Action>,
+        counters: watch::Receiver<Counters>,
+    ) {
         let mut tasks = JoinSet::new();
         if let Some(socket) = self.socket.clone() {
             tasks.spawn(listen(socket, self.peers.clone(), self.core.clone()));
@@ -107,7 +113,11 @@
                     let path = format!("/extents/volume/{:x}{key}", volume.0);
                     let (call, core) = (self.call(path, PATIENCE), self.core.clone());
                     tasks.spawn(async move {
-                        core.extents(Input::Fetched { volume, answer: call.await }).await;
+                        core.extents(Input::Fetched {
+                            volume,
+                            answer: call.await,
+                        })
+                        .await;
                     });
                 }
                 Action::Tell(bytes) => {
@@ -128,7 +138,10 @@
                     }
                 }
                 // The core's own.
-                Action::Changed { .. } | Action::ChangedAll | Action::Wake(_) | Action::Complain { .. } => {}
+                Action::Changed { .. }
+                | Action::ChangedAll
+                | Action::Wake(_)
+                | Action::Complain { .. } => {}
             }
             while tasks.try_join_next().is_some() {}
         }
@@ -141,16 +154,22 @@
     ) -> impl std::future::Future<Output = Result<T, String>> {
         let (client, authority) = (self.client.clone(), self.authority);
         let exchange = async move {
-            let request = http::Request::get(format!("http://{authority}{path}")).body(Empty::new())?;
+            let request =
+                http::Request::get(format!("http://{authority}{path}")).body(Empty::new())?;
             let answer = client.request(request).await?;
             if answer.status() != http::StatusCode::OK {
                 return Err(CallError::Status(answer.status()));
             }
-            let body = Limited::new(answer.into_body(), LONGEST).collect().await.map_err(CallError::Body)?;
+            let body = Limited::new(answer.into_body(), LONGEST)
+                .collect()
+                .await
+                .map_err(CallError::Body)?;
             Ok(serde_json::from_slice(&body.to_bytes())?)
         };
         async move {
-            let ended = tokio::time::timeout(patience, exchange).await.unwrap_or(Err(CallError::Late));
+            let ended = tokio::time::timeout(patience, exchange)
+                .await
+                .unwrap_or(Err(CallError::Late));
             ended.map_err(|e| e.to_string())
         }
     }
@@ -164,7 +183,8 @@
         match socket.recv_from(&mut buffer).await {
             Ok((length, from)) => {
                 if let Some(peer) = peers.iter().position(|p| *p == from) {
-                    core.extents(Input::Peer(peer as u16, buffer[..length].to_vec())).await;
+                    core.extents(Input::Peer(peer as u16, buffer[..length].to_vec()))
+                        .await;
                 }
             }
             // A peer that is away answers with an error of the system's; it says nothing of this socket.
@@ -179,7 +199,7 @@
         match counters.has_changed() {
             Ok(true) => {
                 let c = *counters.borrow_and_update();
-                tracing::info!(target: "lupinrack_extents", counters = %serde_json::to_string(&c).unwrap_or_default());
+                tracing::info!(target: "lupinrack_extent_map", counters = %serde_json::to_string(&c).unwrap_or_default());
             }
             Ok(false) => {}
             Err(_) => return,
--- a/crates/lupinrack/src/commands/check.rs
+++ b/crates/lupinrack/src/commands/check.rs
@@ -1,8 +1,8 @@
 //! `lupinrack check` and `lupinrack schema`.
 
 use crate::ended::Ended;
-use lupinrack_config::Operator;
-use lupinrack_membership::config::Section;
+use lupinrack_fleet_membership::config::Section;
+use lupinrack_operator_config::Operator;
 use lupinrack_overload as overload;
 use lupinrack_platform::config::Config;
 use std::path::{Path, PathBuf};
@@ -30,7 +30,10 @@
     }
     let sections: Vec<&overload::Section> = fleets.iter().map(|(.., o)| o).collect();
     for (at, path, why) in overload::Section::across(&sections) {
-        wrong.push(format!("{}: overload.{path}: {why}", fleets[at].0.display()));
+        wrong.push(format!(
+            "{}: overload.{path}: {why}",
+            fleets[at].0.display()
+        ));
     }
     match wrong.is_empty() {
         true => Ok(()),
@@ -44,16 +47,17 @@
         return Err(format!("{}: no such file", file.display()));
     }
     match file.extension().is_some_and(|e| e == "json") {
-        true => {
-            Config::load(file).map(|_| Operator::default()).map_err(|e| format!("{}: {e}", file.display()))
-        }
+        true => Config::load(file)
+            .map(|_| Operator::default())
+            .map_err(|e| format!("{}: {e}", file.display())),
         false => Operator::load(file).map_err(|e| e.to_string()),
     }
 }
 
 /// Prints the schema of the operators' file.
 pub fn schema() -> Result<(), Ended> {
-    let text = serde_json::to_string_pretty(&lupinrack_config::schema()).map_err(Ended::failed)?;
+    let text = serde_json::to_string_pretty(&lupinrack_operator_config::schema())
+        .map_err(Ended::failed)?;
     println!("{text}");
     Ok(())
 }
--- a/crates/benchlink/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,10 +1,12 @@
-//! Adapter between the bench's wire and the library: one [`lupinrack_policy::Brain`] for each instance. It frames,
+//! Adapter between the bench's wire and the library: one [`lupinrack_policy::Balancer`] for each instance. It frames,
 //! names and converts; it decides nothing.
+// 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
+#![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
 
 mod wire;
 
-use lupinrack_policy::Brain;
-use lupinrack_settings as settings;
+use lupinrack_front_settings as settings;
+use lupinrack_policy::Balancer;
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use wire::{Incoming, Reply};
@@ -14,15 +16,18 @@
 
 fn main() {
     let (stdin, stdout) = (io::stdin().lock(), io::stdout().lock());
-    if let Err(what) = serve(io::BufReader::with_capacity(1 << 16, stdin), io::BufWriter::new(stdout)) {
-        eprintln!("lupinrack-benchlink: {what}");
+    if let Err(what) = serve(
+        io::BufReader::with_capacity(1 << 16, stdin),
+        io::BufWriter::new(stdout),
+    ) {
+        eprintln!("lupinrack-simulator-adapter: {what}");
         std::process::exit(1);
     }
 }
 
 /// Answers batch after batch until the input ends between two frames.
 fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), String> {
-    let mut brains: BTreeMap<u16, (Brain, Vec<String>)> = BTreeMap::new();
+    let mut brains: BTreeMap<u16, (Balancer, Vec<String>)> = BTreeMap::new();
     let mut actions = Vec::new();
     while let Some(frame) = read_frame(&mut input)? {
         let (now, records) = wire::batch(&frame)?;
@@ -33,21 +38,26 @@
             match incoming {
                 Incoming::Start { seed, info } => match settings::parse(&info) {
                     Ok(told) => {
-                        brains.insert(instance, (Brain::new(told.module, seed), told.columns));
+                        brains.insert(instance, (Balancer::new(told.module, seed), told.columns));
                     }
                     Err(what) => reply.crash(instance, &what),
                 },
                 Incoming::Stop => drop(brains.remove(&instance)),
                 Incoming::Event(event) => {
-                    let Some((brain, _)) = brains.get_mut(&instance) else { continue };
-                    brain.handle(now, event, &mut actions);
+                    let Some((balancer, _)) = brains.get_mut(&instance) else {
+                        continue;
+                    };
+                    balancer.handle(now, event, &mut actions);
                     for action in actions.drain(..) {
                         reply.action(instance, &action);
                     }
                 }
             }
         }
-        output.write_all(&reply.finish()).and_then(|()| output.flush()).map_err(|e| e.to_string())?;
+        output
+            .write_all(&reply.finish())
+            .and_then(|()| output.flush())
+            .map_err(|e| e.to_string())?;
     }
     Ok(())
 }
@@ -72,9 +82,15 @@
     }
     let length = length + 12;
     let mut frame = Vec::new();
-    input.take(length as u64).read_to_end(&mut frame).map_err(|e| e.to_string())?;
+    input
+        .take(length as u64)
+        .read_to_end(&mut frame)
+        .map_err(|e| e.to_string())?;
     if frame.len() < length {
-        return Err(format!("input ends inside a batch: {} of {length} bytes", frame.len()));
+        return Err(format!(
+            "input ends inside a batch: {} of {length} bytes",
+            frame.len()
+        ));
     }
     Ok(Some(frame))
 }
