--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,10 +1,10 @@
 //! Queues of all servers of one owner, and the streams that share them.
 
 use crate::delay::hybrid_delay;
-use crate::queue::{ServerQueue, Waiting};
+use crate::server_queue::{ServerQueue, Waiting};
 use crate::settings::DispatchSettings;
-use crate::stream::Stream as StreamRecord;
-use crate::tag::{tags, valid_weight, Tag, Tags, Units};
+use crate::stream_state::Stream as StreamRecord;
+use crate::tags::{tags, valid_weight, Tag, Tags, Units};
 use lupinrack_cluster_api::time::Millis;
 use std::collections::BTreeMap;
 use std::fmt::Debug;
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -34,12 +34,12 @@
 
 mod delay;
 mod dispatcher;
-mod queue;
+mod server_queue;
 mod settings;
-mod stream;
-mod tag;
+mod stream_state;
+mod tags;
 
 pub use delay::hybrid_delay;
 pub use dispatcher::{Dispatcher, Key};
 pub use settings::DispatchSettings;
-pub use tag::{Tag, Tags};
+pub use tags::{Tag, Tags};
--- a/crates/dispatch/src/queue.rs
+++ b/crates/dispatch/src/server_queue.rs
@@ -1,6 +1,6 @@
 //! The queue of one server.
 
-use crate::tag::{Tag, Tags, Units};
+use crate::tags::{Tag, Tags, Units};
 use std::collections::BTreeMap;
 
 /// The order of tasks in a queue: by start tag, and among equals as they were placed.
--- a/crates/dispatch/src/stream.rs
+++ b/crates/dispatch/src/stream_state.rs
@@ -1,6 +1,6 @@
 //! What is kept of a stream: its units in all, and its last task on each server.
 
-use crate::tag::{Tag, Tags, Units};
+use crate::tags::{Tag, Tags, Units};
 use lupinrack_cluster_api::time::Millis;
 use std::collections::BTreeMap;
 
