--- /dev/null
+++ b/crates/dispatch/src/cost.rs
@@ -0,0 +1,34 @@
+//! What a task costs, in fixed point.
+
+/// Costs and tags are kept in millionths, as integers, so that sums are exact and ties are real.
+pub(crate) const MILLIONTHS: f64 = 1_000_000.0;
+/// The largest cost that is used, in units of capacity. With the smallest weight it is still far
+/// from the largest tag.
+const MAX_COST: f64 = 1e6;
+
+/// A cost in millionths of a unit of capacity.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct Cost(u64);
+
+impl Cost {
+    /// A cost in units of capacity, clamped to what is allowed. NaN counts as 0: the cast to an
+    /// integer turns it into that.
+    pub(crate) fn from_units(units: f64) -> Self {
+        Cost((units.clamp(0.0, MAX_COST) * MILLIONTHS).round() as u64)
+    }
+
+    /// The cost in units of capacity.
+    pub(crate) fn units(self) -> f64 {
+        self.0 as f64 / MILLIONTHS
+    }
+
+    /// The sum of two costs.
+    pub(crate) fn plus(self, other: Cost) -> Cost {
+        Cost(self.0.saturating_add(other.0))
+    }
+
+    /// The difference of two costs, not below 0.
+    pub(crate) fn minus(self, other: Cost) -> Cost {
+        Cost(self.0.saturating_sub(other.0))
+    }
+}
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,27 +1,42 @@
-//! Queues of all servers of one owner, and the streams that share them.
+//! The queues of all servers of one owner, and the streams that share them.
 
+use crate::cost::Cost;
 use crate::delay::hybrid_delay;
-use crate::server_queue::{ServerQueue, Waiting};
+use crate::server_queue::{QueuedTask, ServerQueue};
 use crate::settings::DispatchSettings;
-use crate::stream_state::Stream as StreamRecord;
-use crate::tags::{tags, valid_weight, Tag, Tags, Units};
+use crate::stream_state::StreamState;
+use crate::tags::{valid_weight, Load, Tag, Tags};
 use lupinrack_cluster_api::time::Millis;
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 use std::hash::Hash;
 
-/// What may name a server, a stream or a task.
+/// What may identify a server, a stream or a task.
 pub trait Key: Clone + Eq + Ord + Hash + Debug {}
 
 impl<T: Clone + Eq + Ord + Hash + Debug> Key for T {}
 
+/// A task that is to be enqueued.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Arrival<Stream, Task> {
+    /// The task.
+    pub task: Task,
+    /// The stream that is charged for it.
+    pub stream: Stream,
+    /// The weight of the stream (`φ`), above 0 and at most 1.
+    pub weight: f64,
+    /// What the task costs, in units of capacity.
+    pub cost: f64,
+}
+
 /// HYBRID-DSFQ over the tasks that wait for each server; see the [crate] documentation.
 #[derive(Clone, Debug)]
 pub struct Dispatcher<Server, Stream, Task> {
     settings: DispatchSettings,
     queues: BTreeMap<Server, ServerQueue<Stream, Task>>,
-    streams: BTreeMap<Stream, StreamRecord<Server>>,
+    streams: BTreeMap<Stream, StreamState<Server>>,
     next_sequence: u64,
+    /// When idle streams were last removed.
     swept_at: Millis,
 }
 
@@ -37,53 +52,55 @@
         }
     }
 
-    /// Queues a task for a server and gives its tags. A task that waits there already keeps its tags.
-    ///
-    /// `weight` is the stream's `φ`, above 0 and at most 1; `cost` is in units of capacity. A server that is not known
-    /// is added.
-    pub fn place(
+    /// Adds a task to the queue of a server and returns its tags. A task that is already queued
+    /// there keeps its tags. A server that is not known yet is added.
+    pub fn enqueue(
         &mut self,
         server: &Server,
-        stream: &Stream,
-        weight: f64,
-        cost: f64,
-        task: Task,
+        arrival: Arrival<Stream, Task>,
         now: Millis,
     ) -> Tags {
         self.sweep(now);
-        if let Some(tags) = self.tags(server, &task) {
+        if let Some(tags) = self.tags(server, &arrival.task) {
             return tags;
         }
-        let (weight, cost) = (valid_weight(weight), Units::of_cost(cost));
-        let tags = self.next_tags(server, stream, weight, cost, now);
+        let Arrival { task, stream, .. } = arrival;
+        let weight = valid_weight(arrival.weight);
+        let cost = Cost::from_units(arrival.cost);
+        let tags = self.next_tags(server, &stream, weight, cost, now);
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        let record = self.streams.entry(stream.clone()).or_default();
-        record.placed(server, sequence, cost, tags, now);
-        self.queue(server)
-            .insert(Waiting::new(task, stream.clone(), sequence, cost, tags));
+        self.streams
+            .entry(stream.clone())
+            .or_default()
+            .enqueued(server, sequence, cost, tags, now);
+        self.queues
+            .entry(server.clone())
+            .or_default()
+            .insert(QueuedTask::new(task, stream, sequence, cost, tags));
         tags
     }
 
-    /// Takes a task out of a server's queue without running it; tells whether it waited there.
+    /// Takes a task out of a server's queue without running it. Returns whether it was queued there.
     ///
-    /// Its units are not counted any longer. If it was its stream's last task on this server, the next one starts from
-    /// its start tag.
+    /// Its cost no longer counts. If it was its stream's last task on this server, the next one
+    /// starts from its start tag.
     pub fn withdraw(&mut self, server: &Server, task: &Task) -> bool {
         let removed = self
             .queues
             .get_mut(server)
             .and_then(|queue| queue.remove(task));
-        if let Some(waiting) = &removed {
-            self.give_back(server, waiting);
+        if let Some(queued) = &removed {
+            self.refund(server, queued);
         }
         removed.is_some()
     }
 
     /// Takes out the tasks that the server should start now, in the order of their start tags.
     ///
-    /// `running` is how many tasks the server has already, those included that are being started or stopped. `fits` is
-    /// asked in the order of tags; a task for which it says yes is released, so that it may reserve capacity.
+    /// `running` is how many tasks the server already has, including those that are being started
+    /// or stopped. `fits` is called in the order of start tags. A task for which it returns `true`
+    /// is released, so it may reserve capacity for that task.
     pub fn release(
         &mut self,
         server: &Server,
@@ -91,44 +108,39 @@
         now: Millis,
         fits: impl FnMut(&Task) -> bool,
     ) -> Vec<Task> {
-        let room = self.settings.depth.saturating_sub(running);
+        let max_tasks = self.settings.depth.saturating_sub(running);
         let Some(queue) = self.queues.get_mut(server) else {
             return Vec::new();
         };
-        let released = queue.release(room, self.settings.passes_most, fits);
-        for waiting in &released {
-            if let Some(record) = self.streams.get_mut(&waiting.stream) {
-                record.released(server, now);
+        let released = queue.release(max_tasks, self.settings.max_bypasses, fits);
+        for queued in &released {
+            if let Some(stream) = self.streams.get_mut(&queued.stream) {
+                stream.released(server, now);
             }
         }
-        released.into_iter().map(|waiting| waiting.task).collect()
+        released.into_iter().map(|queued| queued.task).collect()
     }
 
-    /// The tasks that wait for a server, in the order of their start tags.
+    /// The tasks in the queue of a server, in the order of their start tags.
     pub fn queued(&self, server: &Server) -> impl Iterator<Item = &Task> {
         self.queues
             .get(server)
             .into_iter()
-            .flat_map(|queue| queue.iter().map(|waiting| &waiting.task))
+            .flat_map(|queue| queue.iter().map(|queued| &queued.task))
     }
 
-    /// Forgets a server; gives the tasks that waited for it, in the order of their start tags.
+    /// Forgets a server. Returns the tasks of its queue, in the order of their start tags.
     pub fn remove_server(&mut self, server: &Server) -> Vec<Task> {
         let Some(queue) = self.queues.remove(server) else {
             return Vec::new();
         };
-        for waiting in queue.iter() {
-            self.give_back(server, waiting);
+        for queued in queue.iter() {
+            self.refund(server, queued);
         }
-        for record in self.streams.values_mut() {
-            record.forget(server);
+        for stream in self.streams.values_mut() {
+            stream.forget_server(server);
         }
-        queue.iter().map(|waiting| waiting.task.clone()).collect()
-    }
-
-    /// Whether a task waits for a server.
-    pub fn contains(&self, server: &Server, task: &Task) -> bool {
-        self.tags(server, task).is_some()
+        queue.iter().map(|queued| queued.task.clone()).collect()
     }
 
     /// A server's `v`: the highest start tag that was released there, zero at first.
@@ -138,16 +150,13 @@
             .map_or(Tag::default(), ServerQueue::virtual_time)
     }
 
-    /// The tags of a task that waits for a server.
+    /// The tags of a task in the queue of a server; none where it is not queued there.
     pub fn tags(&self, server: &Server, task: &Task) -> Option<Tags> {
-        self.queues
-            .get(server)?
-            .get(task)
-            .map(|waiting| waiting.tags)
+        self.queues.get(server)?.get(task).map(|queued| queued.tags)
     }
 
-    /// How many streams are remembered.
-    pub fn streams(&self) -> usize {
+    /// The number of streams whose state is kept.
+    pub fn stream_count(&self) -> usize {
         self.streams.len()
     }
 
@@ -156,58 +165,51 @@
         server: &Server,
         stream: &Stream,
         weight: f64,
-        cost: Units,
+        cost: Cost,
         now: Millis,
     ) -> Tags {
-        self.drop_if_idle(stream, now);
-        let record = self.streams.entry(stream.clone()).or_default();
-        let elsewhere = record.elsewhere(server).as_f64();
-        let delay = hybrid_delay(
-            elsewhere,
-            cost.as_f64(),
-            weight,
-            self.settings.minimum_weight_ratio,
-        );
-        let previous_finish = record.previous_finish(server);
-        tags(
-            self.virtual_time(server),
-            previous_finish,
-            delay,
-            cost.as_f64(),
+        self.forget_if_idle(stream, now);
+        let state = self.streams.entry(stream.clone()).or_default();
+        let remote_cost = state.remote_cost(server).units();
+        let previous_finish = state.previous_finish(server);
+        let cost = cost.units();
+        let ratio = self.settings.minimum_weight_ratio;
+        let load = Load {
+            delay: hybrid_delay(remote_cost, cost, weight, ratio),
+            cost,
             weight,
-        )
-    }
-
-    fn queue(&mut self, server: &Server) -> &mut ServerQueue<Stream, Task> {
-        self.queues.entry(server.clone()).or_default()
+        };
+        Tags::new(self.virtual_time(server), previous_finish, load)
     }
 
-    fn give_back(&mut self, server: &Server, waiting: &Waiting<Stream, Task>) {
-        if let Some(record) = self.streams.get_mut(&waiting.stream) {
-            record.withdrawn(server, waiting.sequence, waiting.cost, waiting.tags);
+    fn refund(&mut self, server: &Server, queued: &QueuedTask<Stream, Task>) {
+        if let Some(stream) = self.streams.get_mut(&queued.stream) {
+            stream.withdrawn(server, queued.sequence, queued.cost, queued.tags);
         }
     }
 
-    fn drop_if_idle(&mut self, stream: &Stream, now: Millis) {
+    fn forget_if_idle(&mut self, stream: &Stream, now: Millis) {
         let idle_ms = self.settings.stream_idle_ms;
-        let gone = self
-            .streams
-            .get_mut(stream)
-            .is_some_and(|record| record.drop_idle(now, idle_ms));
-        if gone {
+        let Some(state) = self.streams.get_mut(stream) else {
+            return;
+        };
+        state.forget_idle_servers(now, idle_ms);
+        if state.is_idle(now, idle_ms) {
             self.streams.remove(stream);
         }
     }
 
-    /// Frees the records of idle streams, once in the time after which they are idle. What a placement sees does not
-    /// depend on it, since that looks at its own stream's record each time.
+    /// Frees the state of idle streams, once in the time after which they are idle. Tags do not
+    /// depend on it, since [`Self::enqueue`] looks at its own stream each time.
     fn sweep(&mut self, now: Millis) {
         let idle_ms = self.settings.stream_idle_ms;
         if now.since(self.swept_at) < idle_ms {
             return;
         }
         self.swept_at = now;
-        self.streams
-            .retain(|_, record| !record.drop_idle(now, idle_ms));
+        self.streams.retain(|_, state| {
+            state.forget_idle_servers(now, idle_ms);
+            !state.is_idle(now, idle_ms)
+        });
     }
 }
--- a/crates/dispatch/src/server_queue.rs
+++ b/crates/dispatch/src/server_queue.rs
@@ -1,36 +1,43 @@
 //! The queue of one server.
 
-use crate::tags::{Tag, Tags, Units};
+use crate::cost::Cost;
+use crate::tags::{Tag, Tags};
 use std::collections::BTreeMap;
 
-/// The order of tasks in a queue: by start tag, and among equals as they were placed.
+/// The order of tasks in a queue: by start tag, and among equal tags as they were enqueued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Position {
     start: Tag,
     sequence: u64,
 }
 
-/// A task that waits.
+/// A task in the queue of a server.
 #[derive(Clone, Debug)]
-pub(crate) struct Waiting<Stream, Task> {
+pub(crate) struct QueuedTask<Stream, Task> {
+    /// The task.
     pub(crate) task: Task,
+    /// The stream that is charged for it.
     pub(crate) stream: Stream,
+    /// The number under which it was enqueued, unique in a dispatcher.
     pub(crate) sequence: u64,
-    pub(crate) cost: Units,
+    /// What it costs.
+    pub(crate) cost: Cost,
+    /// Its tags.
     pub(crate) tags: Tags,
     /// How many later tasks were released while this one did not fit.
-    passed: u32,
+    bypasses: u32,
 }
 
-impl<Stream, Task> Waiting<Stream, Task> {
-    pub(crate) fn new(task: Task, stream: Stream, sequence: u64, cost: Units, tags: Tags) -> Self {
-        Waiting {
+impl<Stream, Task> QueuedTask<Stream, Task> {
+    /// A task that nothing has bypassed yet.
+    pub(crate) fn new(task: Task, stream: Stream, sequence: u64, cost: Cost, tags: Tags) -> Self {
+        QueuedTask {
             task,
             stream,
             sequence,
             cost,
             tags,
-            passed: 0,
+            bypasses: 0,
         }
     }
 
@@ -42,11 +49,12 @@
     }
 }
 
-/// The tasks that wait for one server, and its virtual time.
+/// The tasks that wait for one server, and the server's virtual time.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerQueue<Stream, Task> {
     virtual_time: Tag,
-    waiting: BTreeMap<Position, Waiting<Stream, Task>>,
+    tasks: BTreeMap<Position, QueuedTask<Stream, Task>>,
+    /// Where each task is found in `tasks`.
     positions: BTreeMap<Task, Position>,
 }
 
@@ -54,107 +62,113 @@
     fn default() -> Self {
         ServerQueue {
             virtual_time: Tag::default(),
-            waiting: BTreeMap::new(),
+            tasks: BTreeMap::new(),
             positions: BTreeMap::new(),
         }
     }
 }
 
-/// A task that did not fit, and how many had been released before it was reached.
-struct Passed {
+/// Which tasks a release takes out, and which ones it looked at in vain.
+struct Selection {
+    selected: Vec<Position>,
+    rejected: Vec<Rejection>,
+}
+
+/// A task that did not fit, and how many had been selected when it was reached.
+struct Rejection {
     position: Position,
-    released_before: usize,
+    selected_before: usize,
 }
 
 impl<Stream, Task: Clone + Ord> ServerQueue<Stream, Task> {
+    /// The highest start tag that was released here.
     pub(crate) fn virtual_time(&self) -> Tag {
         self.virtual_time
     }
 
-    pub(crate) fn get(&self, task: &Task) -> Option<&Waiting<Stream, Task>> {
+    /// A task that waits here.
+    pub(crate) fn get(&self, task: &Task) -> Option<&QueuedTask<Stream, Task>> {
         self.positions
             .get(task)
-            .and_then(|position| self.waiting.get(position))
+            .and_then(|position| self.tasks.get(position))
     }
 
-    pub(crate) fn insert(&mut self, waiting: Waiting<Stream, Task>) {
-        let position = waiting.position();
-        self.positions.insert(waiting.task.clone(), position);
-        self.waiting.insert(position, waiting);
+    /// Adds a task.
+    pub(crate) fn insert(&mut self, queued: QueuedTask<Stream, Task>) {
+        let position = queued.position();
+        self.positions.insert(queued.task.clone(), position);
+        self.tasks.insert(position, queued);
     }
 
-    pub(crate) fn remove(&mut self, task: &Task) -> Option<Waiting<Stream, Task>> {
+    /// Takes a task out. The virtual time stays.
+    pub(crate) fn remove(&mut self, task: &Task) -> Option<QueuedTask<Stream, Task>> {
         let position = self.positions.remove(task)?;
-        self.waiting.remove(&position)
+        self.tasks.remove(&position)
     }
 
-    /// The waiting tasks in the order of their tags.
-    pub(crate) fn iter(&self) -> impl Iterator<Item = &Waiting<Stream, Task>> {
-        self.waiting.values()
+    /// The tasks in the order of their start tags.
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &QueuedTask<Stream, Task>> {
+        self.tasks.values()
     }
 
-    /// Takes out up to `room` tasks that fit, in the order of their tags.
+    /// Takes out up to `max_tasks` tasks that fit, in the order of their start tags. Nothing is
+    /// taken from behind a task that does not fit and was bypassed `max_bypasses` times.
     pub(crate) fn release(
         &mut self,
-        room: usize,
-        passes_most: u32,
+        max_tasks: usize,
+        max_bypasses: u32,
         fits: impl FnMut(&Task) -> bool,
-    ) -> Vec<Waiting<Stream, Task>> {
-        let chosen = self.choose(room, passes_most, fits);
-        chosen
+    ) -> Vec<QueuedTask<Stream, Task>> {
+        let Selection { selected, rejected } = self.select(max_tasks, max_bypasses, fits);
+        self.record_bypasses(&rejected, selected.len());
+        selected
             .into_iter()
-            .filter_map(|position| self.take(position))
+            .filter_map(|position| self.start(position))
             .collect()
     }
 
-    /// Chooses up to `room` tasks that fit, and notes how often the others were passed.
-    fn choose(
-        &mut self,
-        room: usize,
-        passes_most: u32,
+    fn select(
+        &self,
+        max_tasks: usize,
+        max_bypasses: u32,
         mut fits: impl FnMut(&Task) -> bool,
-    ) -> Vec<Position> {
-        let mut chosen = Vec::new();
-        let mut passed = Vec::new();
-        // How many may be chosen in all before a task that does not fit has been passed too often.
-        let mut chosen_most = room;
-        for (position, waiting) in &self.waiting {
-            if chosen.len() >= chosen_most {
+    ) -> Selection {
+        let mut selected = Vec::new();
+        let mut rejected = Vec::new();
+        // Falls as soon as a rejected task may be bypassed by fewer tasks than there are slots.
+        let mut max_selected = max_tasks;
+        for (position, queued) in &self.tasks {
+            if selected.len() >= max_selected {
                 break;
             }
-            if fits(&waiting.task) {
-                chosen.push(*position);
+            if fits(&queued.task) {
+                selected.push(*position);
                 continue;
             }
-            passed.push(Passed {
+            rejected.push(Rejection {
                 position: *position,
-                released_before: chosen.len(),
+                selected_before: selected.len(),
             });
-            let passes_left = passes_most.saturating_sub(waiting.passed) as usize;
-            chosen_most = chosen_most.min(chosen.len().saturating_add(passes_left));
+            let bypasses_left = max_bypasses.saturating_sub(queued.bypasses) as usize;
+            max_selected = max_selected.min(selected.len().saturating_add(bypasses_left));
         }
-        self.note_passes(&passed, chosen.len());
-        chosen
+        Selection { selected, rejected }
     }
 
-    fn note_passes(&mut self, passed: &[Passed], released: usize) {
-        for Passed {
-            position,
-            released_before,
-        } in passed
-        {
-            let times = u32::try_from(released - released_before).unwrap_or(u32::MAX);
-            if let Some(waiting) = self.waiting.get_mut(position) {
-                waiting.passed = waiting.passed.saturating_add(times);
+    fn record_bypasses(&mut self, rejected: &[Rejection], selected: usize) {
+        for rejection in rejected {
+            let bypasses = u32::try_from(selected - rejection.selected_before).unwrap_or(u32::MAX);
+            if let Some(queued) = self.tasks.get_mut(&rejection.position) {
+                queued.bypasses = queued.bypasses.saturating_add(bypasses);
             }
         }
     }
 
-    /// Takes out a task that is to run; the virtual time moves to its start tag, and never back.
-    fn take(&mut self, position: Position) -> Option<Waiting<Stream, Task>> {
-        let waiting = self.waiting.remove(&position)?;
-        self.positions.remove(&waiting.task);
-        self.virtual_time = self.virtual_time.max(waiting.tags.start);
-        Some(waiting)
+    /// Takes out a task that is to run. The virtual time moves to its start tag, and never back.
+    fn start(&mut self, position: Position) -> Option<QueuedTask<Stream, Task>> {
+        let queued = self.tasks.remove(&position)?;
+        self.positions.remove(&queued.task);
+        self.virtual_time = self.virtual_time.max(queued.tags.start);
+        Some(queued)
     }
 }
--- a/crates/dispatch/src/settings.rs
+++ b/crates/dispatch/src/settings.rs
@@ -1,19 +1,22 @@
 //! What an operator may choose.
 
-/// Settings of a [`crate::Dispatcher`].
+/// Settings of a [`Dispatcher`](crate::Dispatcher).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DispatchSettings {
-    /// The most tasks that run on one server at a time.
+    /// The largest number of tasks that run on one server at a time (`D` in the paper).
     pub depth: usize,
-    /// The least share of one server that a backlogged stream keeps, as a part of its weight (`φmin / φ`), above 0 and
-    /// at most 1. Where a stream uses `n` servers evenly, a ratio of `1 / n` or less clips nothing and shares over all
-    /// servers follow the weights; a larger one binds and pulls the shares together.
+    /// The smallest share of one server that a backlogged stream keeps, as a part of its weight
+    /// (`φmin / φ`), above 0 and at most 1.
+    ///
+    /// Where a stream uses `n` servers evenly, a ratio of `1 / n` or less clips nothing, and shares
+    /// over all servers follow the weights. A larger ratio clips the delay and pulls the shares
+    /// together.
     pub minimum_weight_ratio: f64,
-    /// After how many milliseconds without a waiting task the record of a stream is dropped.
+    /// After how many milliseconds without a queued task the state of a stream is dropped.
     pub stream_idle_ms: u64,
-    /// How many later tasks may be released before a task that does not fit. After that, nothing behind it is released
-    /// until it fits or is withdrawn.
-    pub passes_most: u32,
+    /// How many later tasks may be released before a task that does not fit. After that, nothing
+    /// behind it is released until it fits or is withdrawn.
+    pub max_bypasses: u32,
 }
 
 impl Default for DispatchSettings {
@@ -22,7 +25,7 @@
             depth: 8,
             minimum_weight_ratio: 0.5,
             stream_idle_ms: 10_000,
-            passes_most: 64,
+            max_bypasses: 64,
         }
     }
 }
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_dispatch::{DispatchSettings, Dispatcher, Tag};
+use lupinrack_dispatch::{Arrival, DispatchSettings, Dispatcher, Tag};
 
 pub type TestDispatcher = Dispatcher<u8, char, u32>;
 
@@ -13,14 +13,29 @@
 }
 
 /// A dispatcher with this depth and bound on passing.
-pub fn dispatcher_with(depth: usize, passes_most: u32) -> TestDispatcher {
+pub fn dispatcher_with(depth: usize, max_bypasses: u32) -> TestDispatcher {
     Dispatcher::new(DispatchSettings {
         depth,
-        passes_most,
+        max_bypasses,
         ..DispatchSettings::default()
     })
 }
 
+/// A task of a stream with this weight.
+pub fn arrival<Stream, Task>(
+    stream: Stream,
+    weight: f64,
+    cost: f64,
+    task: Task,
+) -> Arrival<Stream, Task> {
+    Arrival {
+        task,
+        stream,
+        weight,
+        cost,
+    }
+}
+
 /// A tag at this many units per weight.
 pub fn tag(units: f64) -> Tag {
     Tag((units * 1e6).round() as u64)
--- a/crates/dispatch/tests/golden.rs
+++ b/crates/dispatch/tests/golden.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{Choices, TestDispatcher};
+use common::{arrival, Choices, TestDispatcher};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_dispatch::{hybrid_delay, DispatchSettings, Dispatcher, Tags};
 use std::collections::BTreeSet;
@@ -78,7 +78,7 @@
         self.next_task += u32::from(!again);
         let tags = self
             .dispatcher
-            .place(&server, &stream, weight, cost, task, self.now);
+            .enqueue(&server, arrival(stream, weight, cost, task), self.now);
         let tags = tags_text(tags);
         self.note(&format!(
             "place {task} of {stream} on {server} cost {cost}: {tags}"
@@ -126,7 +126,7 @@
                 self.note(&format!("left on {server}: {task} {}", tags_text(tags)));
             }
         }
-        self.note(&format!("streams {}", self.dispatcher.streams()));
+        self.note(&format!("streams {}", self.dispatcher.stream_count()));
     }
 }
 
@@ -136,14 +136,14 @@
 
 fn delays() -> String {
     let mut text = String::new();
-    for elsewhere in [-1.0, 0.0, 0.3, 2.5, f64::INFINITY] {
+    for remote_cost in [-1.0, 0.0, 0.3, 2.5, f64::INFINITY] {
         for cost in [0.0, 0.7, 3.0] {
             for weight in [1e-4, 0.2, 0.5, 0.9, 1.0] {
                 for ratio in [0.0, 0.25, 0.5, 1.0] {
-                    let delay = hybrid_delay(elsewhere, cost, weight, ratio);
+                    let delay = hybrid_delay(remote_cost, cost, weight, ratio);
                     let bits = delay.to_bits();
                     text.push_str(&format!(
-                        "elsewhere {elsewhere} cost {cost} weight {weight} ratio {ratio}: {delay} bits {bits:016x}\n"
+                        "elsewhere {remote_cost} cost {cost} weight {weight} ratio {ratio}: {delay} bits {bits:016x}\n"
                     ));
                 }
             }
@@ -159,7 +159,7 @@
         settings.depth,
         settings.minimum_weight_ratio,
         settings.stream_idle_ms,
-        settings.passes_most
+        settings.max_bypasses
     )
 }
 
@@ -171,7 +171,7 @@
     };
     let shallow = DispatchSettings {
         depth: 3,
-        passes_most: 2,
+        max_bypasses: 2,
         ..usual
     };
     let even = DispatchSettings {
@@ -180,7 +180,7 @@
     };
     let strict = DispatchSettings {
         minimum_weight_ratio: 1.0,
-        passes_most: 0,
+        max_bypasses: 0,
         ..usual
     };
     vec![
--- a/crates/dispatch/tests/model.rs
+++ b/crates/dispatch/tests/model.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Choices, TestDispatcher};
+use common::{arrival, Choices, TestDispatcher};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_dispatch::{hybrid_delay, DispatchSettings, Dispatcher, Tag};
 use quickcheck::{quickcheck, Arbitrary, Gen};
@@ -14,7 +14,7 @@
     depth: 4,
     minimum_weight_ratio: 0.5,
     stream_idle_ms: 1_000,
-    passes_most: 3,
+    max_bypasses: 3,
 };
 const SCALE: f64 = 1e6;
 
@@ -84,7 +84,7 @@
     quarters: u32,
     start: u64,
     stage: Stage,
-    passed: u32,
+    bypasses: u32,
 }
 
 #[derive(Clone)]
@@ -154,7 +154,7 @@
         }
     }
 
-    fn elsewhere(&self, stream: usize, server: u8, began: usize) -> f64 {
+    fn remote_cost(&self, stream: usize, server: u8, began: usize) -> f64 {
         let from = self
             .last
             .get(&(stream, server))
@@ -182,7 +182,7 @@
         let weight = STREAMS[stream].1;
         let cost = units(quarters);
         let delay = hybrid_delay(
-            self.elsewhere(stream, server, began),
+            self.remote_cost(stream, server, began),
             cost,
             weight,
             SETTINGS.minimum_weight_ratio,
@@ -208,7 +208,7 @@
             quarters,
             start,
             stage: Stage::Waiting,
-            passed: 0,
+            bypasses: 0,
         });
     }
 
@@ -236,7 +236,7 @@
         while running + released.len() < SETTINGS.depth {
             if refused
                 .iter()
-                .any(|task| self.placements[*task].passed >= SETTINGS.passes_most)
+                .any(|task| self.placements[*task].bypasses >= SETTINGS.max_bypasses)
             {
                 break;
             }
@@ -252,7 +252,7 @@
             free -= self.placements[task].quarters;
             refused
                 .iter()
-                .for_each(|passed| self.placements[*passed].passed += 1);
+                .for_each(|task| self.placements[*task].bypasses += 1);
             self.start(task);
             released.push(task as u32);
         }
@@ -307,7 +307,11 @@
             let (name, weight) = STREAMS[stream];
             let task = model.placements.len();
             model.place(server, stream, quarters);
-            let tags = dispatcher.place(&server, &name, weight, units(quarters), task as u32, now);
+            let tags = dispatcher.enqueue(
+                &server,
+                arrival(name, weight, units(quarters), task as u32),
+                now,
+            );
             tags.start == Tag(model.placements[task].start)
                 && tags.finish == Tag(model.last[&(stream, server)].finish)
         }
--- a/crates/dispatch/tests/release.rs
+++ b/crates/dispatch/tests/release.rs
@@ -2,13 +2,13 @@
 
 mod common;
 
-use common::{dispatcher, dispatcher_with, tag, TestDispatcher, NOW};
+use common::{arrival, dispatcher, dispatcher_with, tag, TestDispatcher, NOW};
 
 /// One queue, tasks numbered in the order of their tags.
-fn filled(depth: usize, passes_most: u32, tasks: u32) -> TestDispatcher {
-    let mut dispatcher = dispatcher_with(depth, passes_most);
+fn filled(depth: usize, max_bypasses: u32, tasks: u32) -> TestDispatcher {
+    let mut dispatcher = dispatcher_with(depth, max_bypasses);
     for task in 0..tasks {
-        dispatcher.place(&1, &'a', 0.5, 1.0, task, NOW);
+        dispatcher.enqueue(&1, arrival('a', 0.5, 1.0, task), NOW);
     }
     dispatcher
 }
@@ -17,10 +17,10 @@
 fn tasks_leave_in_the_order_of_their_start_tags() {
     let mut dispatcher = dispatcher();
     for task in 0..3 {
-        dispatcher.place(&1, &'a', 0.2, 1.0, task, NOW);
+        dispatcher.enqueue(&1, arrival('a', 0.2, 1.0, task), NOW);
     }
     for task in 10..13 {
-        dispatcher.place(&1, &'b', 0.8, 1.0, task, NOW);
+        dispatcher.enqueue(&1, arrival('b', 0.8, 1.0, task), NOW);
     }
     // a starts at 0, 5, 10; b at 0, 1.25, 2.5; among equals, the one placed first.
     assert_eq!(
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn tasks_that_fit_pass_those_that_do_not() {
+fn tasks_that_fit_bypass_those_that_do_not() {
     let mut dispatcher = filled(8, 64, 6);
     assert_eq!(
         dispatcher.release(&1, 5, NOW, |task| task % 2 == 1),
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_task_is_passed_a_bounded_number_of_times_within_one_release() {
+fn a_task_is_bypassed_a_bounded_number_of_times_within_one_release() {
     let mut dispatcher = filled(8, 2, 6);
     assert_eq!(dispatcher.release(&1, 0, NOW, |task| *task != 0), [1, 2]);
     assert!(dispatcher.release(&1, 0, NOW, |task| *task != 0).is_empty());
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_task_is_passed_a_bounded_number_of_times_over_many_releases() {
+fn a_task_is_bypassed_a_bounded_number_of_times_over_many_releases() {
     let mut dispatcher = filled(1, 3, 6);
     for expected in [1, 2, 3] {
         assert_eq!(
@@ -105,9 +105,9 @@
 }
 
 #[test]
-fn without_passes_the_head_blocks_its_queue_and_no_other() {
+fn without_bypasses_the_head_blocks_its_queue_and_no_other() {
     let mut dispatcher = filled(8, 0, 3);
-    dispatcher.place(&2, &'a', 0.5, 1.0, 10, NOW);
+    dispatcher.enqueue(&2, arrival('a', 0.5, 1.0, 10), NOW);
     assert!(dispatcher.release(&1, 0, NOW, |task| *task != 0).is_empty());
     assert_eq!(dispatcher.release(&2, 0, NOW, |task| *task != 0), [10]);
 }
@@ -116,7 +116,7 @@
 fn the_strictest_bound_counts() {
     let mut dispatcher = filled(8, 2, 6);
     assert_eq!(dispatcher.release(&1, 7, NOW, |task| *task == 2), [2]);
-    // 0 and 1 were passed once each; 1 may go, then 0 may be passed no more.
+    // 0 and 1 were bypassed once each; 1 may go, then 0 may be bypassed no more.
     assert_eq!(dispatcher.release(&1, 0, NOW, |task| *task != 0), [1]);
     assert!(dispatcher.release(&1, 0, NOW, |task| *task != 0).is_empty());
 }
@@ -124,16 +124,19 @@
 #[test]
 fn a_server_that_leaves_gives_its_queue_back() {
     let mut dispatcher = filled(8, 64, 3);
-    dispatcher.place(&1, &'b', 0.9, 1.0, 7, NOW);
+    dispatcher.enqueue(&1, arrival('b', 0.9, 1.0, 7), NOW);
     dispatcher.release(&1, 7, NOW, |_| true);
     assert_eq!(dispatcher.remove_server(&1), [7, 1, 2]);
     assert!(dispatcher.remove_server(&1).is_empty());
     assert_eq!(dispatcher.virtual_time(&1), tag(0.0));
-    assert!(!dispatcher.contains(&1, &1));
+    assert!(dispatcher.tags(&1, &1).is_none());
     // Its waiting units are counted no longer (one unit was released); F_prev and v start from zero.
-    let elsewhere = dispatcher.place(&2, &'a', 0.5, 1.0, 1, NOW);
-    assert_eq!(elsewhere.start, tag(2.0));
-    assert_eq!(dispatcher.place(&1, &'b', 0.5, 1.0, 7, NOW).start, tag(0.0));
+    let on_other_server = dispatcher.enqueue(&2, arrival('a', 0.5, 1.0, 1), NOW);
+    assert_eq!(on_other_server.start, tag(2.0));
+    assert_eq!(
+        dispatcher.enqueue(&1, arrival('b', 0.5, 1.0, 7), NOW).start,
+        tag(0.0)
+    );
 }
 
 #[test]
--- a/crates/dispatch/tests/shares.rs
+++ b/crates/dispatch/tests/shares.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Choices, NOW};
+use common::{arrival, Choices, NOW};
 use lupinrack_dispatch::{hybrid_delay, DispatchSettings, Dispatcher};
 use std::collections::BTreeMap;
 
@@ -83,7 +83,7 @@
         let (label, weight) = (setup.label)(stream);
         self.costs.insert(task, cost);
         self.dispatcher
-            .place(&server, &label, weight, cost, task, NOW);
+            .enqueue(&server, arrival(label, weight, cost, task), NOW);
     }
 
     fn fill(&mut self, setup: &Setup) {
@@ -222,7 +222,7 @@
 /// Stream 0 can use one of two servers alone. What the others get on the other server is charged to them, so that
 /// stream 0 gets more than its weight of its only server; but each of the others keeps `φmin` of it.
 #[test]
-fn units_elsewhere_are_charged_and_the_least_share_is_kept() {
+fn costs_on_other_servers_are_charged_and_the_smallest_share_is_kept() {
     let setup = |minimum_weight_ratio| Setup {
         servers: 2,
         minimum_weight_ratio,
--- a/crates/dispatch/tests/tags.rs
+++ b/crates/dispatch/tests/tags.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{dispatcher, tag, NOW};
+use common::{arrival, dispatcher, tag, NOW};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_dispatch::{hybrid_delay, DispatchSettings, Dispatcher, Tags};
 
@@ -11,8 +11,8 @@
 #[test]
 fn tags_of_a_backlogged_stream_follow_each_other() {
     let mut dispatcher = dispatcher();
-    let first = dispatcher.place(&1, &'a', 0.5, 1.0, 1, NOW);
-    let second = dispatcher.place(&1, &'a', 0.5, 3.0, 2, NOW);
+    let first = dispatcher.enqueue(&1, arrival('a', 0.5, 1.0, 1), NOW);
+    let second = dispatcher.enqueue(&1, arrival('a', 0.5, 3.0, 2), NOW);
     assert_eq!(
         first,
         Tags {
@@ -33,12 +33,12 @@
 fn a_stream_that_comes_late_starts_at_the_virtual_time() {
     let mut dispatcher = dispatcher();
     for task in 0..4 {
-        dispatcher.place(&1, &'a', 0.5, 1.0, task, NOW);
+        dispatcher.enqueue(&1, arrival('a', 0.5, 1.0, task), NOW);
     }
     assert_eq!(dispatcher.release(&1, 4, NOW, |_| true), [0, 1, 2, 3]);
     assert_eq!(dispatcher.virtual_time(&1), tag(6.0));
     assert_eq!(
-        dispatcher.place(&1, &'b', 0.25, 1.0, 9, NOW),
+        dispatcher.enqueue(&1, arrival('b', 0.25, 1.0, 9), NOW),
         Tags {
             start: tag(6.0),
             finish: tag(10.0)
@@ -49,23 +49,23 @@
 #[test]
 fn a_stream_ahead_of_the_virtual_time_keeps_its_finish_tag() {
     let mut dispatcher = dispatcher();
-    dispatcher.place(&1, &'a', 0.5, 10.0, 1, NOW);
+    dispatcher.enqueue(&1, arrival('a', 0.5, 10.0, 1), NOW);
     dispatcher.release(&1, 0, NOW, |_| true);
     assert_eq!(dispatcher.virtual_time(&1), tag(0.0));
     assert_eq!(
-        dispatcher.place(&1, &'a', 0.5, 1.0, 2, NOW).start,
+        dispatcher.enqueue(&1, arrival('a', 0.5, 1.0, 2), NOW).start,
         tag(20.0)
     );
 }
 
 #[test]
-fn units_on_other_servers_delay_the_stream() {
+fn costs_on_other_servers_delay_the_stream() {
     let mut dispatcher = dispatcher();
-    dispatcher.place(&1, &'a', 0.5, 4.0, 1, NOW);
-    dispatcher.place(&2, &'a', 0.5, 1.0, 2, NOW);
-    dispatcher.place(&3, &'a', 0.5, 0.5, 3, NOW);
+    dispatcher.enqueue(&1, arrival('a', 0.5, 4.0, 1), NOW);
+    dispatcher.enqueue(&2, arrival('a', 0.5, 1.0, 2), NOW);
+    dispatcher.enqueue(&3, arrival('a', 0.5, 0.5, 3), NOW);
     // F_prev 8, delay 1.5 of at most (2 − 1) / (1 − 0.5) × 4 = 8.
-    let tags = dispatcher.place(&1, &'a', 0.5, 4.0, 4, NOW);
+    let tags = dispatcher.enqueue(&1, arrival('a', 0.5, 4.0, 4), NOW);
     assert_eq!(
         tags,
         Tags {
@@ -73,9 +73,9 @@
             finish: tag(19.0)
         }
     );
-    // Counted once: nothing was placed elsewhere since.
+    // Counted once: nothing was enqueued on another server since.
     assert_eq!(
-        dispatcher.place(&1, &'a', 0.5, 1.0, 5, NOW).start,
+        dispatcher.enqueue(&1, arrival('a', 0.5, 1.0, 5), NOW).start,
         tag(19.0)
     );
 }
@@ -83,10 +83,13 @@
 #[test]
 fn the_delay_is_clipped() {
     let mut dispatcher = dispatcher();
-    dispatcher.place(&1, &'a', 0.5, 1.0, 1, NOW);
-    dispatcher.place(&2, &'a', 0.5, 100.0, 2, NOW);
+    dispatcher.enqueue(&1, arrival('a', 0.5, 1.0, 1), NOW);
+    dispatcher.enqueue(&2, arrival('a', 0.5, 100.0, 2), NOW);
     // F_prev 2, clip (2 − 1) / (1 − 0.5) × 1 = 2 units, over φ 4.
-    assert_eq!(dispatcher.place(&1, &'a', 0.5, 1.0, 3, NOW).start, tag(6.0));
+    assert_eq!(
+        dispatcher.enqueue(&1, arrival('a', 0.5, 1.0, 3), NOW).start,
+        tag(6.0)
+    );
 }
 
 #[test]
@@ -103,32 +106,34 @@
 fn a_stream_of_weight_one_has_no_delay() {
     assert_eq!(hybrid_delay(100.0, 1.0, 1.0, 0.5), 0.0);
     let mut dispatcher = dispatcher();
-    dispatcher.place(&1, &'a', 1.0, 1.0, 1, NOW);
-    dispatcher.place(&2, &'a', 1.0, 100.0, 2, NOW);
-    assert_eq!(dispatcher.place(&1, &'a', 1.0, 1.0, 3, NOW).start, tag(1.0));
+    dispatcher.enqueue(&1, arrival('a', 1.0, 1.0, 1), NOW);
+    dispatcher.enqueue(&2, arrival('a', 1.0, 100.0, 2), NOW);
+    assert_eq!(
+        dispatcher.enqueue(&1, arrival('a', 1.0, 1.0, 3), NOW).start,
+        tag(1.0)
+    );
 }
 
 #[test]
-fn a_task_that_waits_already_keeps_its_tags() {
+fn a_task_that_is_queued_already_keeps_its_tags() {
     let mut dispatcher = dispatcher();
-    let tags = dispatcher.place(&1, &'a', 0.5, 1.0, 1, NOW);
-    dispatcher.place(&1, &'a', 0.5, 1.0, 2, NOW);
-    assert_eq!(dispatcher.place(&1, &'b', 0.1, 7.0, 1, NOW), tags);
+    let tags = dispatcher.enqueue(&1, arrival('a', 0.5, 1.0, 1), NOW);
+    dispatcher.enqueue(&1, arrival('a', 0.5, 1.0, 2), NOW);
+    assert_eq!(dispatcher.enqueue(&1, arrival('b', 0.1, 7.0, 1), NOW), tags);
     assert_eq!(dispatcher.queued(&1).count(), 2);
-    assert_eq!(dispatcher.streams(), 1);
+    assert_eq!(dispatcher.stream_count(), 1);
 }
 
 #[test]
-fn withdrawing_the_last_task_gives_its_tag_back() {
+fn withdrawing_the_last_task_returns_its_start_tag() {
     let mut dispatcher = dispatcher();
-    dispatcher.place(&1, &'a', 0.5, 1.0, 1, NOW);
-    let before = dispatcher.place(&1, &'a', 0.5, 5.0, 2, NOW);
+    dispatcher.enqueue(&1, arrival('a', 0.5, 1.0, 1), NOW);
+    let before = dispatcher.enqueue(&1, arrival('a', 0.5, 5.0, 2), NOW);
     assert!(dispatcher.withdraw(&1, &2));
     assert!(!dispatcher.withdraw(&1, &2));
-    assert!(!dispatcher.contains(&1, &2));
     assert_eq!(dispatcher.tags(&1, &2), None);
     assert_eq!(
-        dispatcher.place(&1, &'a', 0.5, 1.0, 3, NOW).start,
+        dispatcher.enqueue(&1, arrival('a', 0.5, 1.0, 3), NOW).start,
         before.start
     );
 }
@@ -136,59 +141,66 @@
 #[test]
 fn withdrawing_an_earlier_task_leaves_the_tags_behind_it() {
     let mut dispatcher = dispatcher();
-    dispatcher.place(&1, &'a', 0.5, 5.0, 1, NOW);
-    let last = dispatcher.place(&1, &'a', 0.5, 1.0, 2, NOW);
+    dispatcher.enqueue(&1, arrival('a', 0.5, 5.0, 1), NOW);
+    let last = dispatcher.enqueue(&1, arrival('a', 0.5, 1.0, 2), NOW);
     assert!(dispatcher.withdraw(&1, &1));
     assert_eq!(dispatcher.tags(&1, &2), Some(last));
     assert_eq!(
-        dispatcher.place(&1, &'a', 0.5, 1.0, 3, NOW).start,
+        dispatcher.enqueue(&1, arrival('a', 0.5, 1.0, 3), NOW).start,
         last.finish
     );
 }
 
 #[test]
-fn withdrawn_units_delay_nobody() {
+fn withdrawn_costs_delay_no_stream() {
     let mut dispatcher = dispatcher();
-    dispatcher.place(&1, &'a', 0.5, 4.0, 1, NOW);
-    dispatcher.place(&2, &'a', 0.5, 1.0, 2, NOW);
+    dispatcher.enqueue(&1, arrival('a', 0.5, 4.0, 1), NOW);
+    dispatcher.enqueue(&2, arrival('a', 0.5, 1.0, 2), NOW);
     dispatcher.withdraw(&2, &2);
-    assert_eq!(dispatcher.place(&1, &'a', 0.5, 4.0, 3, NOW).start, tag(8.0));
+    assert_eq!(
+        dispatcher.enqueue(&1, arrival('a', 0.5, 4.0, 3), NOW).start,
+        tag(8.0)
+    );
 }
 
 #[test]
-fn an_idle_stream_is_forgotten_and_a_waiting_one_is_not() {
+fn an_idle_stream_is_forgotten_and_a_queued_one_is_not() {
     let mut dispatcher = dispatcher();
-    dispatcher.place(&1, &'a', 0.5, 50.0, 1, NOW);
-    let still = dispatcher.place(&1, &'b', 0.5, 50.0, 2, NOW);
+    dispatcher.enqueue(&1, arrival('a', 0.5, 50.0, 1), NOW);
+    let still = dispatcher.enqueue(&1, arrival('b', 0.5, 50.0, 2), NOW);
     dispatcher.release(&1, 0, NOW, |task| *task == 1);
     let later = Millis(IDLE_MS);
     assert_eq!(
-        dispatcher.place(&1, &'a', 0.5, 1.0, 3, later).start,
+        dispatcher
+            .enqueue(&1, arrival('a', 0.5, 1.0, 3), later)
+            .start,
         tag(0.0)
     );
     assert_eq!(
-        dispatcher.place(&1, &'b', 0.5, 1.0, 4, later).start,
+        dispatcher
+            .enqueue(&1, arrival('b', 0.5, 1.0, 4), later)
+            .start,
         still.finish
     );
 }
 
 #[test]
-fn records_of_idle_streams_are_freed() {
+fn the_state_of_idle_streams_is_freed() {
     let mut dispatcher = Dispatcher::<u8, u32, u32>::new(DispatchSettings::default());
     for stream in 0..1000 {
-        dispatcher.place(&1, &stream, 0.5, 1.0, stream, NOW);
+        dispatcher.enqueue(&1, arrival(stream, 0.5, 1.0, stream), NOW);
         dispatcher.release(&1, 0, NOW, |_| true);
     }
-    assert_eq!(dispatcher.streams(), 1000);
-    dispatcher.place(&1, &0, 0.5, 1.0, 5000, Millis(IDLE_MS));
-    assert_eq!(dispatcher.streams(), 1);
+    assert_eq!(dispatcher.stream_count(), 1000);
+    dispatcher.enqueue(&1, arrival(0, 0.5, 1.0, 5000), Millis(IDLE_MS));
+    assert_eq!(dispatcher.stream_count(), 1);
 }
 
 #[test]
 fn odd_weights_and_costs_are_bounded() {
     let mut dispatcher = dispatcher();
     for (task, weight) in [0.0, -1.0, f64::NAN, 7.0].into_iter().enumerate() {
-        let tags = dispatcher.place(&(task as u8), &'a', weight, 1.0, task as u32, NOW);
+        let tags = dispatcher.enqueue(&(task as u8), arrival('a', weight, 1.0, task as u32), NOW);
         assert_eq!(
             tags,
             Tags {
@@ -199,11 +211,11 @@
         );
     }
     for (task, cost) in [-1.0, f64::NAN].into_iter().enumerate() {
-        let tags = dispatcher.place(&9, &'b', 0.5, cost, task as u32, NOW);
+        let tags = dispatcher.enqueue(&9, arrival('b', 0.5, cost, task as u32), NOW);
         assert_eq!(tags, Tags::default(), "cost {cost}");
     }
-    let huge = dispatcher.place(&9, &'c', 1e-9, f64::INFINITY, 100, NOW);
+    let huge = dispatcher.enqueue(&9, arrival('c', 1e-9, f64::INFINITY, 100), NOW);
     assert!(huge.finish > huge.start);
-    let next = dispatcher.place(&9, &'c', 1e-9, f64::INFINITY, 101, NOW);
+    let next = dispatcher.enqueue(&9, arrival('c', 1e-9, f64::INFINITY, 101), NOW);
     assert!(next.finish > next.start, "tags still have room: {next:?}");
 }
--- a/crates/scheduler/src/queueing.rs
+++ b/crates/scheduler/src/queueing.rs
@@ -11,6 +11,7 @@
 use lupinrack_cluster_api::operation::StartRecord;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_control_state::{JobRecord, TaskRecord};
+use lupinrack_dispatch::Arrival;
 use std::collections::BTreeMap;
 
 /// A task that waits for no room is placed anew after this time, in milliseconds.
@@ -163,8 +164,13 @@
         let row = &mut self.rows[place];
         let cost = dominant_share(&traits.needs, &row.facts.capacity).clamp(COST_LEAST, 1.0);
         let weight = self.weights.weight(traits.priority);
-        self.dispatcher
-            .place(&row.server, &traits.queue, weight, cost, task, self.now);
+        let arrival = Arrival {
+            task,
+            stream: traits.queue.clone(),
+            weight,
+            cost,
+        };
+        self.dispatcher.enqueue(&row.server, arrival, self.now);
         row.queued.push(QueuedRoom {
             priority: traits.priority,
             needs: traits.needs,
@@ -253,8 +259,13 @@
         let row = &self.rows[place];
         let cost = dominant_share(&traits.needs, &row.facts.capacity).clamp(COST_LEAST, 1.0);
         let weight = self.weights.weight(traits.priority);
-        self.dispatcher
-            .place(&row.server, &traits.queue, weight, cost, task, self.now);
+        let arrival = Arrival {
+            task,
+            stream: traits.queue.clone(),
+            weight,
+            cost,
+        };
+        self.dispatcher.enqueue(&row.server, arrival, self.now);
         self.dispatcher
             .release(&row.server, row.running, self.now, |waiting| {
                 *waiting == task
--- a/crates/scheduler/tests/golden/scenarios/giving_way.rs
+++ b/crates/scheduler/tests/golden/scenarios/giving_way.rs
@@ -152,7 +152,9 @@
 fn drain_giving_up() -> String {
     let mut scenario = Scenario::new(&TWO);
     for job in 1..=6 {
-        scenario.bench.accept_steps(job, 1, vec![step(1, 1_000, 5_000 + 1_500 * job)]);
+        scenario
+            .bench
+            .accept_steps(job, 1, vec![step(1, 1_000, 5_000 + 1_500 * job)]);
     }
     scenario.run_for(500);
     let leaving = scenario.place(1);
--- a/crates/scheduler/tests/golden/scenarios/singles.rs
+++ b/crates/scheduler/tests/golden/scenarios/singles.rs
@@ -85,12 +85,20 @@
 /// Tasks that need a little more than a quarter of a server, and a little less.
 fn quarter() -> String {
     let mut scenario = Scenario::new(&[&["a", "r1"]]);
-    scenario.bench.accept_steps(1, 2, vec![step(16, 1_000, 800)]);
+    scenario
+        .bench
+        .accept_steps(1, 2, vec![step(16, 1_000, 800)]);
     scenario.run_for(300);
     for job in 2..6 {
-        scenario.bench.accept_steps(job, 1, vec![step(1, 4_400, 300)]);
-        scenario.bench.accept_steps(10 + job, 1, vec![step(1, 3_800, 300)]);
-        scenario.bench.accept_steps(20 + job, 2, vec![step(8, 1_000, 2_500)]);
+        scenario
+            .bench
+            .accept_steps(job, 1, vec![step(1, 4_400, 300)]);
+        scenario
+            .bench
+            .accept_steps(10 + job, 1, vec![step(1, 3_800, 300)]);
+        scenario
+            .bench
+            .accept_steps(20 + job, 2, vec![step(8, 1_000, 2_500)]);
         scenario.run_for(700);
     }
     scenario.run_for(4_000);
@@ -202,7 +210,7 @@
     settings.queue_share = 0.1;
     settings.reservations_most = 0;
     settings.dispatch.depth = 5;
-    settings.dispatch.passes_most = 1;
+    settings.dispatch.max_bypasses = 1;
     settings.dispatch.minimum_weight_ratio = 0.9;
     scenario.bench.take_over(2);
     attach_all(&mut scenario.bench);
--- a/crates/scheduler/tests/golden/settings.rs
+++ b/crates/scheduler/tests/golden/settings.rs
@@ -42,7 +42,10 @@
             "dispatch stream idle",
             milliseconds(settings.dispatch.stream_idle_ms),
         ),
-        ("dispatch passes", settings.dispatch.passes_most.to_string()),
+        (
+            "dispatch passes",
+            settings.dispatch.max_bypasses.to_string(),
+        ),
         ("bound on holds", milliseconds(settings.lease_bound_ms())),
         (
             "bound after a takeover",
