--- a/Makefile
+++ b/Makefile
@@ -9,9 +9,9 @@
 
 lint:
 	cargo fmt --check
-	cargo clippy --locked --lib --bins -- -D warnings
+	cargo clippy --locked --lib --bins -- -D warnings -D missing_docs -D unreachable_pub
 	cargo clippy --locked --tests --examples --benches -- -D warnings \
-	  -A clippy::pedantic -A clippy::unwrap_used -A unreachable_pub -A missing_docs
+	  -A clippy::pedantic -A clippy::unwrap_used
 	RUSTDOCFLAGS="-D warnings" cargo doc --locked --no-deps
 
 run: build
