--- a/crates/worker-agent/src/agent.rs
+++ b/crates/worker-agent/src/agent.rs
@@ -1,13 +1,13 @@
 //! The state machine of the agent.
 
-use crate::answer::{HeartbeatAnswer, StopOrder};
+use crate::desired_state::Orders;
 use crate::heartbeat_json::{ServerHeartbeat, UnknownRun};
-use crate::hold::Hold;
+use crate::heartbeat_response::{HeartbeatAnswer, StopOrder};
 use crate::incarnation::Life;
-use crate::incarnations::{Lives, Standing};
-use crate::orders::Orders;
-use crate::reporter::{ReportKind, Reporter};
-use crate::session::{RefusedMessage, Session};
+use crate::incarnation_history::{Lives, Standing};
+use crate::lease::Hold;
+use crate::owner_session::{RefusedMessage, Session};
+use crate::report_schedule::{ReportKind, Reporter};
 use crate::settings::AgentSettings;
 use lupinrack_cluster_api::agent::{AgentMessage, OwnerMessage};
 use lupinrack_cluster_api::identity::{FencingToken, ServerId};
--- a/crates/worker-agent/src/orders.rs
+++ b/crates/worker-agent/src/desired_state.rs
@@ -1,7 +1,7 @@
 //! What the owner wants to run on the server, compared with what runs there.
 
-use crate::answer::StopOrder;
-use crate::attempt_marks::AttemptMarks;
+use crate::attempt_watermarks::AttemptMarks;
+use crate::heartbeat_response::StopOrder;
 use lupinrack_cluster_api::agent::{Assignment, OwnerMessage};
 use lupinrack_cluster_api::identity::{Attempt, TaskId};
 use lupinrack_cluster_api::server::{FinishedTask, RunningTask};
--- a/crates/worker-agent/src/heartbeat_json/render.rs
+++ b/crates/worker-agent/src/heartbeat_json/render.rs
@@ -1,6 +1,6 @@
 //! Writes the body of the answer to a heartbeat.
 
-use crate::answer::{HeartbeatAnswer, StopOrder};
+use crate::heartbeat_response::{HeartbeatAnswer, StopOrder};
 use lupinrack_cluster_api::agent::Assignment;
 use lupinrack_cluster_api::identity::{Attempt, TaskId};
 use serde::{Serialize, Serializer};
--- a/crates/worker-agent/src/lib.rs
+++ b/crates/worker-agent/src/lib.rs
@@ -10,19 +10,19 @@
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
 
 pub mod agent;
-pub mod answer;
-pub mod attempt_marks;
+pub mod attempt_watermarks;
+pub mod desired_state;
 pub mod heartbeat_json;
-pub mod hold;
+pub mod heartbeat_response;
 mod incarnation;
-pub mod incarnations;
-pub mod orders;
-pub mod reporter;
-pub mod session;
+pub mod incarnation_history;
+pub mod lease;
+pub mod owner_session;
+pub mod report_schedule;
 pub mod settings;
 
 pub use agent::{Agent, HeartbeatReceipt, OpenHeartbeat};
-pub use answer::{HeartbeatAnswer, StopOrder};
 pub use heartbeat_json::{HeartbeatFault, ServerHeartbeat};
-pub use session::RefusedMessage;
+pub use heartbeat_response::{HeartbeatAnswer, StopOrder};
+pub use owner_session::RefusedMessage;
 pub use settings::AgentSettings;
--- a/crates/worker-agent/tests/agent.rs
+++ b/crates/worker-agent/tests/agent.rs
@@ -6,10 +6,10 @@
 use lupinrack_cluster_api::identity::FencingToken;
 use lupinrack_cluster_api::server::RunEnd;
 use lupinrack_cluster_api::time::Millis;
+use lupinrack_worker_agent::desired_state::STARTS_BYTES_MOST;
 use lupinrack_worker_agent::heartbeat_json::UnknownRun;
-use lupinrack_worker_agent::hold::LEASE_LEAST_MS;
-use lupinrack_worker_agent::orders::STARTS_BYTES_MOST;
-use lupinrack_worker_agent::session::ATTACH_RETRY_MS;
+use lupinrack_worker_agent::lease::LEASE_LEAST_MS;
+use lupinrack_worker_agent::owner_session::ATTACH_RETRY_MS;
 use lupinrack_worker_agent::{Agent, HeartbeatAnswer, RefusedMessage, StopOrder};
 use support::{
     assignment, attached, beat, finished, first_message, message, ordered, running, settings,
--- a/crates/worker-agent/tests/open_heartbeats.rs
+++ b/crates/worker-agent/tests/pending_heartbeats.rs
@@ -5,7 +5,7 @@
 use lupinrack_cluster_api::agent::{AgentMessage, OwnerMessage};
 use lupinrack_cluster_api::server::RunEnd;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_worker_agent::hold::LEASE_LEAST_MS;
+use lupinrack_worker_agent::lease::LEASE_LEAST_MS;
 use lupinrack_worker_agent::{Agent, HeartbeatReceipt, OpenHeartbeat, ServerHeartbeat, StopOrder};
 use support::{
     assignment, attached, beat, finished, message, ordered, reported, running, started, task,
--- a/crates/worker-agent/tests/reports.rs
+++ b/crates/worker-agent/tests/reports.rs
@@ -6,7 +6,7 @@
 use lupinrack_cluster_api::server::RunEnd;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_worker_agent::agent::{FINISHED_LIST_MOST, SILENCE_SLACK_MS};
-use lupinrack_worker_agent::reporter::{PROGRESS_MS, REPORT_MS};
+use lupinrack_worker_agent::report_schedule::{PROGRESS_MS, REPORT_MS};
 use support::{beat, finished, ordered, reported, running, started, SILENT};
 
 #[test]
