--- a/crates/cluster-node/src/side_machine.rs
+++ b/crates/cluster-node/src/side_machine.rs
@@ -15,7 +15,7 @@
 use lupinrack_cluster_api::wire::{Frame, Interest};
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
 use lupinrack_worker_agent::{
-    Agent, AgentSettings, HeartbeatAnswer, HeartbeatReceipt, OpenHeartbeat, ServerHeartbeat,
+    Agent, AgentSettings, HeartbeatOutcome, HeartbeatResponse, PendingHeartbeat, ServerHeartbeat,
 };
 
 /// Between two subscriptions to views, in milliseconds.
@@ -41,14 +41,14 @@
         /// The heartbeat.
         call: C,
         /// Its answer.
-        answer: Box<HeartbeatAnswer>,
+        answer: Box<HeartbeatResponse>,
     },
 }
 
 /// A heartbeat whose answer waits for orders.
 #[derive(Debug)]
 struct OpenCall<C> {
-    open: OpenHeartbeat,
+    open: PendingHeartbeat,
     call: C,
     until: Millis,
 }
@@ -80,7 +80,7 @@
         SideMachine {
             view: View::default(),
             subscription: Subscription::new(seeds, SUBSCRIBE_MS, now),
-            agent: Agent::new(settings, now),
+            agent: Agent::new(settings),
             service,
             owner: None,
             owner_heard: now,
@@ -136,7 +136,7 @@
     fn on_owner_message(&mut self, message: OwnerMessage, now: Millis) {
         self.owner_heard = now;
         self.subscription.heard_news(now);
-        if let Err(refused) = self.agent.owner_message(self.session, message, now) {
+        if let Err(refused) = self.agent.receive_owner_message(self.session, message) {
             spdlog::debug!("an order was refused: {refused}");
         }
         self.answer_if_due(now);
@@ -200,7 +200,7 @@
 
     /// The server has left in order.
     pub fn on_leave(&mut self, server: ServerId, now: Millis) -> Vec<SideEffect<C>> {
-        self.agent.leave(server, now);
+        self.agent.deregister(server);
         self.send_to_owner(now);
         self.take_effects()
     }
@@ -238,10 +238,10 @@
     /// Takes a heartbeat. Its answer waits a moment where orders are likely to come.
     fn take_heartbeat(&mut self, beat: ServerHeartbeat, call: C, now: Millis) {
         let open = match self.agent.receive_heartbeat(beat, now) {
-            HeartbeatReceipt::Open(open) => open,
-            HeartbeatReceipt::Answer(answer) => return self.answer(call, answer),
+            HeartbeatOutcome::Pending(open) => open,
+            HeartbeatOutcome::Answered(answer) => return self.answer(call, answer),
         };
-        let wait_ms = match (open.ends, open.idle) {
+        let wait_ms = match (open.lists_ends, open.idle) {
             (true, _) => WAIT_AFTER_ENDS_MS,
             (_, true) => WAIT_IDLE_MS,
             _ => 0,
@@ -265,12 +265,12 @@
 
     fn answer_open(&mut self, now: Millis) {
         if let Some(OpenCall { open, call, .. }) = self.open.take() {
-            let answer = self.agent.answer_heartbeat(&open, now);
+            let answer = self.agent.respond_to_heartbeat(&open, now);
             self.answer(call, answer);
         }
     }
 
-    fn answer(&mut self, call: C, answer: HeartbeatAnswer) {
+    fn answer(&mut self, call: C, answer: HeartbeatResponse) {
         self.effects.push(SideEffect::Answer {
             call,
             answer: Box::new(answer),
--- a/crates/cluster-simulation/src/machine.rs
+++ b/crates/cluster-simulation/src/machine.rs
@@ -12,7 +12,7 @@
 use lupinrack_cluster_node::head_client::Outgoing;
 use lupinrack_cluster_node::relay::RelayedFrame;
 use lupinrack_cluster_node::side_machine::SideEffect;
-use lupinrack_worker_agent::{HeartbeatAnswer, ServerHeartbeat};
+use lupinrack_worker_agent::{HeartbeatResponse, ServerHeartbeat};
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -106,7 +106,7 @@
         /// The heartbeat.
         call: HeartbeatCall,
         /// Its answer.
-        answer: Box<HeartbeatAnswer>,
+        answer: Box<HeartbeatResponse>,
     },
 }
 
--- a/crates/cluster-simulation/src/planting.rs
+++ b/crates/cluster-simulation/src/planting.rs
@@ -10,7 +10,7 @@
 use lupinrack_cluster_api::wire::{ChainMessage, Frame};
 use lupinrack_control_state::{ControlState, TakenChanges};
 use lupinrack_control_store::Batch;
-use lupinrack_worker_agent::HeartbeatAnswer;
+use lupinrack_worker_agent::HeartbeatResponse;
 
 /// How much longer than granted holds last, in milliseconds.
 const LEASE_EXCESS_MS: u64 = 1_000;
@@ -63,9 +63,9 @@
 
     pub(crate) fn planted_answer(
         &self,
-        mut answer: HeartbeatAnswer,
+        mut answer: HeartbeatResponse,
         listed: u64,
-    ) -> HeartbeatAnswer {
+    ) -> HeartbeatResponse {
         match self.planted {
             Some(PlantedFault::LeaseTooLong) if answer.lease_ms > 0 => {
                 answer.lease_ms += LEASE_EXCESS_MS
--- a/crates/cluster-simulation/src/processes.rs
+++ b/crates/cluster-simulation/src/processes.rs
@@ -18,7 +18,7 @@
 use lupinrack_cluster_node::core::{CoreEffect, CoreMachine, CoreSettings};
 use lupinrack_control_store::{Batch, Recovered};
 use lupinrack_scheduler::SchedulerSettings;
-use lupinrack_worker_agent::{AgentSettings, HeartbeatAnswer};
+use lupinrack_worker_agent::{AgentSettings, HeartbeatResponse};
 
 /// How often processes look at their clocks, in milliseconds.
 const CORE_TICK_MS: u64 = 25;
@@ -438,7 +438,7 @@
     }
 }
 
-fn heartbeat_answer(answer: HeartbeatAnswer, heartbeat_sent_at: u64) -> BeatAnswer {
+fn heartbeat_answer(answer: HeartbeatResponse, heartbeat_sent_at: u64) -> BeatAnswer {
     let starts = answer.starts.into_iter().map(|start| StartOrder {
         task: start.task,
         attempt: start.attempt,
--- a/crates/worker-agent/src/agent.rs
+++ b/crates/worker-agent/src/agent.rs
@@ -2,11 +2,11 @@
 
 use crate::desired_state::Orders;
 use crate::heartbeat_json::{ServerHeartbeat, UnknownRun};
-use crate::heartbeat_response::{HeartbeatAnswer, StopOrder};
+use crate::heartbeat_response::{HeartbeatResponse, StopOrder};
 use crate::incarnation::Life;
 use crate::incarnation_history::{Lives, Standing};
 use crate::lease::Hold;
-use crate::owner_session::{RefusedMessage, Session};
+use crate::owner_session::{OwnerMessageError, Session};
 use crate::report_schedule::{ReportKind, Reporter};
 use crate::settings::AgentSettings;
 use lupinrack_cluster_api::agent::{AgentMessage, OwnerMessage};
@@ -22,24 +22,24 @@
 
 /// A heartbeat that was taken and not answered yet.
 #[derive(Clone, Debug)]
-pub struct OpenHeartbeat {
+pub struct PendingHeartbeat {
     /// Runs that are none of ours.
     unknown_runs: Vec<UnknownRun>,
     /// When it arrived; holds count from then.
     pub arrived_at: Millis,
     /// Whether it lists ends, whose room is likely to be given to other tasks soon.
-    pub ends: bool,
+    pub lists_ends: bool,
     /// Whether it lists neither runs nor ends.
     pub idle: bool,
 }
 
 /// What becomes of a heartbeat that was taken.
 #[derive(Clone, Debug)]
-pub enum HeartbeatReceipt {
+pub enum HeartbeatOutcome {
     /// It is answered at once, without orders.
-    Answer(HeartbeatAnswer),
-    /// It is answered by [`Agent::answer_heartbeat`].
-    Open(OpenHeartbeat),
+    Answered(HeartbeatResponse),
+    /// It is answered by [`Agent::respond_to_heartbeat`].
+    Pending(PendingHeartbeat),
 }
 
 /// The agent on a server's machine.
@@ -61,7 +61,7 @@
 
 impl Agent {
     /// An agent that knows of no server and no owner.
-    pub fn new(settings: AgentSettings, _now: Millis) -> Agent {
+    pub fn new(settings: AgentSettings) -> Agent {
         Agent {
             settings,
             incarnation: None,
@@ -88,18 +88,9 @@
         self.token
     }
 
-    /// Takes a heartbeat that arrived at `now` and answers it. A heartbeat that is late, repeated or of an earlier life
-    /// is acknowledged without any order; so are the first ones of a new life that follows one that did not leave.
-    pub fn heartbeat(&mut self, beat: ServerHeartbeat, now: Millis) -> HeartbeatAnswer {
-        match self.receive_heartbeat(beat, now) {
-            HeartbeatReceipt::Answer(answer) => answer,
-            HeartbeatReceipt::Open(open) => self.answer_heartbeat(&open, now),
-        }
-    }
-
     /// Takes a heartbeat that arrived at `now`. One that may be given orders is left open: its answer may wait a moment
     /// for them.
-    pub fn receive_heartbeat(&mut self, beat: ServerHeartbeat, now: Millis) -> HeartbeatReceipt {
+    pub fn receive_heartbeat(&mut self, beat: ServerHeartbeat, now: Millis) -> HeartbeatOutcome {
         let silent = self
             .incarnation
             .as_ref()
@@ -112,17 +103,21 @@
             .other_incarnations
             .judge(&beat.heartbeat, newest, silent)
         {
-            Standing::Newest => HeartbeatReceipt::Open(self.take_heartbeat(beat, now)),
-            Standing::Unconfirmed => HeartbeatReceipt::Answer(HeartbeatAnswer {
+            Standing::Newest => HeartbeatOutcome::Pending(self.take_heartbeat(beat, now)),
+            Standing::Unconfirmed => HeartbeatOutcome::Answered(HeartbeatResponse {
                 heartbeat_after_ms: self.settings.busy_heartbeat_ms,
-                ..HeartbeatAnswer::default()
+                ..HeartbeatResponse::default()
             }),
-            Standing::Late => HeartbeatReceipt::Answer(HeartbeatAnswer::default()),
+            Standing::Late => HeartbeatOutcome::Answered(HeartbeatResponse::default()),
         }
     }
 
     /// Answers the newest heartbeat, with all orders that there are at `now`.
-    pub fn answer_heartbeat(&mut self, open: &OpenHeartbeat, now: Millis) -> HeartbeatAnswer {
+    pub fn respond_to_heartbeat(
+        &mut self,
+        open: &PendingHeartbeat,
+        now: Millis,
+    ) -> HeartbeatResponse {
         let answer = self.answer(&open.unknown_runs, open.arrived_at);
         if let Some(incarnation) = &mut self.incarnation {
             incarnation.expected_by = now.plus(answer.heartbeat_after_ms + SILENCE_SLACK_MS);
@@ -152,7 +147,7 @@
     /// Takes note that a server has said that it leaves. One that drained before ends now. One that says it first serves
     /// on, with all that runs on it: it counts as draining from now on, and is over when its hold is. So does one that
     /// this agent does not know to drain, since the agent may have been restarted.
-    pub fn leave(&mut self, server: ServerId, _now: Millis) {
+    pub fn deregister(&mut self, server: ServerId) {
         let present = self
             .incarnation
             .as_mut()
@@ -180,7 +175,7 @@
     }
 
     /// Takes note that a connection has ended; what was ordered stays.
-    pub fn owner_lost(&mut self, connection: u64) {
+    pub fn owner_disconnected(&mut self, connection: u64) {
         if self
             .session
             .as_ref()
@@ -192,27 +187,26 @@
     }
 
     /// Takes a message of an owner.
-    pub fn owner_message(
+    pub fn receive_owner_message(
         &mut self,
         connection: u64,
         message: OwnerMessage,
-        _now: Millis,
-    ) -> Result<(), RefusedMessage> {
+    ) -> Result<(), OwnerMessageError> {
         let session = self
             .session
             .as_mut()
             .filter(|session| session.connection() == connection);
-        let session = session.ok_or(RefusedMessage::OtherConnection)?;
+        let session = session.ok_or(OwnerMessageError::OtherConnection)?;
         let incarnation = self
             .incarnation
             .as_mut()
             .filter(|incarnation| incarnation.facts.id == message.server);
-        let incarnation = incarnation.ok_or(RefusedMessage::OtherIncarnation)?;
+        let incarnation = incarnation.ok_or(OwnerMessageError::OtherIncarnation)?;
         if message.token < self.token {
-            return Err(RefusedMessage::LowerToken);
+            return Err(OwnerMessageError::LowerToken);
         }
         if let Err(refused) = session.take(&message) {
-            if refused == RefusedMessage::Gap {
+            if refused == OwnerMessageError::Gap {
                 session.restart();
                 self.forget_orders_seen();
             }
@@ -259,7 +253,7 @@
         (due <= incarnation.expected_by).then_some(due)
     }
 
-    fn take_heartbeat(&mut self, beat: ServerHeartbeat, now: Millis) -> OpenHeartbeat {
+    fn take_heartbeat(&mut self, beat: ServerHeartbeat, now: Millis) -> PendingHeartbeat {
         if self.server().is_none_or(|known| known.id != beat.facts.id) {
             self.end_incarnation();
         }
@@ -270,10 +264,10 @@
         if let Some(incarnation) = &mut self.incarnation {
             incarnation.expected_by = now.plus(SILENCE_SLACK_MS);
         }
-        OpenHeartbeat {
+        PendingHeartbeat {
             unknown_runs,
             arrived_at: now,
-            ends,
+            lists_ends: ends,
             idle,
         }
     }
@@ -335,9 +329,9 @@
         unknown_runs
     }
 
-    fn answer(&mut self, unknown_runs: &[UnknownRun], now: Millis) -> HeartbeatAnswer {
+    fn answer(&mut self, unknown_runs: &[UnknownRun], now: Millis) -> HeartbeatResponse {
         let Some(incarnation) = &self.incarnation else {
-            return HeartbeatAnswer::default();
+            return HeartbeatResponse::default();
         };
         let running = &incarnation.heartbeat.running;
         let lease_ms = self.hold.for_answer(now, self.settings.lease_max_ms);
@@ -355,7 +349,7 @@
         {
             session.all_answered();
         }
-        HeartbeatAnswer {
+        HeartbeatResponse {
             starts: missing.starts,
             stops,
             observed: incarnation.observed,
--- a/crates/worker-agent/src/heartbeat_json.rs
+++ b/crates/worker-agent/src/heartbeat_json.rs
@@ -4,5 +4,5 @@
 mod parse;
 mod render;
 
-pub use parse::{parse, HeartbeatFault, ServerHeartbeat, UnknownRun};
+pub use parse::{parse, ParseHeartbeatError, ServerHeartbeat, UnknownRun};
 pub use render::render;
--- a/crates/worker-agent/src/heartbeat_json/parse.rs
+++ b/crates/worker-agent/src/heartbeat_json/parse.rs
@@ -42,14 +42,14 @@
 
 /// Why a heartbeat cannot be read.
 #[derive(Debug, displaydoc::Display)]
-pub enum HeartbeatFault {
+pub enum ParseHeartbeatError {
     /// the server's identity is empty or too long
     Identity,
     /// the body of the heartbeat cannot be read: {0}
     Body(serde_json::Error),
 }
 
-impl std::error::Error for HeartbeatFault {}
+impl std::error::Error for ParseHeartbeatError {}
 
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -97,11 +97,11 @@
 }
 
 /// Reads the heartbeat of the server `id`. Keys that are not known are skipped.
-pub fn parse(id: &str, body: &[u8]) -> Result<ServerHeartbeat, HeartbeatFault> {
+pub fn parse(id: &str, body: &[u8]) -> Result<ServerHeartbeat, ParseHeartbeatError> {
     if id.is_empty() || id.len() > SERVER_ID_BYTES_MOST {
-        return Err(HeartbeatFault::Identity);
+        return Err(ParseHeartbeatError::Identity);
     }
-    let body: Body = serde_json::from_slice(body).map_err(HeartbeatFault::Body)?;
+    let body: Body = serde_json::from_slice(body).map_err(ParseHeartbeatError::Body)?;
     Ok(server_heartbeat(ServerId(id.to_owned()), body))
 }
 
--- a/crates/worker-agent/src/heartbeat_json/render.rs
+++ b/crates/worker-agent/src/heartbeat_json/render.rs
@@ -1,6 +1,6 @@
 //! Writes the body of the answer to a heartbeat.
 
-use crate::heartbeat_response::{HeartbeatAnswer, StopOrder};
+use crate::heartbeat_response::{HeartbeatResponse, StopOrder};
 use lupinrack_cluster_api::agent::Assignment;
 use lupinrack_cluster_api::identity::{Attempt, TaskId};
 use serde::{Serialize, Serializer};
@@ -40,7 +40,7 @@
 }
 
 /// The answer's JSON; what is 0 or empty is left out.
-pub fn render(answer: &HeartbeatAnswer) -> String {
+pub fn render(answer: &HeartbeatResponse) -> String {
     let body = Body {
         lease_ms: answer.lease_ms,
         observed: answer.observed,
--- a/crates/worker-agent/src/heartbeat_response.rs
+++ b/crates/worker-agent/src/heartbeat_response.rs
@@ -14,7 +14,7 @@
 
 /// What a server is told in answer to a heartbeat. Zero and empty fields are left out of its JSON form.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct HeartbeatAnswer {
+pub struct HeartbeatResponse {
     /// Runs to start.
     pub starts: Vec<Assignment>,
     /// Runs to stop.
--- a/crates/worker-agent/src/lib.rs
+++ b/crates/worker-agent/src/lib.rs
@@ -21,8 +21,8 @@
 pub mod report_schedule;
 pub mod settings;
 
-pub use agent::{Agent, HeartbeatReceipt, OpenHeartbeat};
-pub use heartbeat_json::{HeartbeatFault, ServerHeartbeat};
-pub use heartbeat_response::{HeartbeatAnswer, StopOrder};
-pub use owner_session::RefusedMessage;
+pub use agent::{Agent, HeartbeatOutcome, PendingHeartbeat};
+pub use heartbeat_json::{ParseHeartbeatError, ServerHeartbeat};
+pub use heartbeat_response::{HeartbeatResponse, StopOrder};
+pub use owner_session::OwnerMessageError;
 pub use settings::AgentSettings;
--- a/crates/worker-agent/src/owner_session.rs
+++ b/crates/worker-agent/src/owner_session.rs
@@ -9,7 +9,7 @@
 
 /// Why a message of an owner was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, displaydoc::Display)]
-pub enum RefusedMessage {
+pub enum OwnerMessageError {
     /// it came on a connection other than the current session's
     OtherConnection,
     /// it is for another life of the server
@@ -24,7 +24,7 @@
     Gap,
 }
 
-impl std::error::Error for RefusedMessage {}
+impl std::error::Error for OwnerMessageError {}
 
 /// How far a session has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -110,15 +110,15 @@
 
     /// Checks a message's place in the session, and notes it where it is the next. Each has to answer the newest attach
     /// or something later, which its `lease_from` shows, and to follow the one before.
-    pub fn take(&mut self, message: &OwnerMessage) -> Result<(), RefusedMessage> {
+    pub fn take(&mut self, message: &OwnerMessage) -> Result<(), OwnerMessageError> {
         let attached_at = match self.phase {
-            Phase::Detached => Err(RefusedMessage::EarlierSession),
+            Phase::Detached => Err(OwnerMessageError::EarlierSession),
             Phase::Attached(at) if message.complete => Ok(at),
-            Phase::Attached(_) => Err(RefusedMessage::EarlierSession),
+            Phase::Attached(_) => Err(OwnerMessageError::EarlierSession),
             Phase::Active { attached_at, .. } => Ok(attached_at),
         }?;
         if message.lease_from < attached_at {
-            return Err(RefusedMessage::EarlierSession);
+            return Err(OwnerMessageError::EarlierSession);
         }
         if let Phase::Active { token, .. } = self.phase {
             self.follows(message, token)?;
@@ -151,15 +151,19 @@
             .filter(|milliseconds| *milliseconds > 0)
     }
 
-    fn follows(&self, message: &OwnerMessage, token: FencingToken) -> Result<(), RefusedMessage> {
+    fn follows(
+        &self,
+        message: &OwnerMessage,
+        token: FencingToken,
+    ) -> Result<(), OwnerMessageError> {
         if message.number <= self.taken.newest {
-            return Err(RefusedMessage::Repeated);
+            return Err(OwnerMessageError::Repeated);
         }
         let next = message.number == self.taken.newest + 1 && message.token == token;
         if next || message.complete {
             Ok(())
         } else {
-            Err(RefusedMessage::Gap)
+            Err(OwnerMessageError::Gap)
         }
     }
 }
--- a/crates/worker-agent/tests/agent.rs
+++ b/crates/worker-agent/tests/agent.rs
@@ -10,19 +10,19 @@
 use lupinrack_worker_agent::heartbeat_json::UnknownRun;
 use lupinrack_worker_agent::lease::LEASE_LEAST_MS;
 use lupinrack_worker_agent::owner_session::ATTACH_RETRY_MS;
-use lupinrack_worker_agent::{Agent, HeartbeatAnswer, RefusedMessage, StopOrder};
+use lupinrack_worker_agent::{Agent, HeartbeatResponse, OwnerMessageError, StopOrder};
 use support::{
     assignment, attached, beat, finished, first_message, message, ordered, running, settings,
-    started, task, CONNECTION,
+    started, task, AnswerAtOnce, CONNECTION,
 };
 
 #[test]
 fn answers_at_once_without_an_owner() {
-    let mut agent = Agent::new(settings(), Millis(0));
+    let mut agent = Agent::new(settings());
     let answer = agent.heartbeat(beat("a", 1), Millis(10));
-    let expected = HeartbeatAnswer {
+    let expected = HeartbeatResponse {
         heartbeat_after_ms: settings().idle_heartbeat_ms,
-        ..HeartbeatAnswer::default()
+        ..HeartbeatResponse::default()
     };
     assert_eq!(answer, expected);
     assert!(agent.poll(Millis(11)).is_empty());
@@ -58,10 +58,7 @@
         assign: vec![assignment(1, 1)],
         ..message(2, "a", 5)
     };
-    assert_eq!(
-        agent.owner_message(CONNECTION, observing, Millis(110)),
-        Ok(())
-    );
+    assert_eq!(agent.receive_owner_message(CONNECTION, observing), Ok(()));
     let answer = agent.heartbeat(beat("a", 3), Millis(120));
     assert_eq!((started(&answer), answer.observed), (vec![], 1));
 }
@@ -83,7 +80,7 @@
         lease_ms: 60_000,
         ..first_message()
     };
-    assert_eq!(agent.owner_message(CONNECTION, long, Millis(20)), Ok(()));
+    assert_eq!(agent.receive_owner_message(CONNECTION, long), Ok(()));
     assert_eq!(
         agent.heartbeat(beat("a", 2), Millis(30)).lease_ms,
         settings().lease_max_ms
@@ -97,7 +94,7 @@
         lease_from: Millis(9_000),
         ..first_message()
     };
-    assert_eq!(agent.owner_message(CONNECTION, ahead, Millis(20)), Ok(()));
+    assert_eq!(agent.receive_owner_message(CONNECTION, ahead), Ok(()));
     assert_eq!(agent.heartbeat(beat("a", 2), Millis(1011)).lease_ms, 2_000);
 }
 
@@ -109,7 +106,7 @@
         assign: vec![assignment(2, 1)],
         ..message(2, "a", 5)
     };
-    assert_eq!(agent.owner_message(CONNECTION, stop, Millis(30)), Ok(()));
+    assert_eq!(agent.receive_owner_message(CONNECTION, stop), Ok(()));
     for sequence in 2..4 {
         let mut listed = beat("a", sequence);
         listed.heartbeat.running = vec![running(1, 1), running(2, 1)];
@@ -126,7 +123,7 @@
         assign: vec![assignment(1, 1)],
         ..message(3, "a", 5)
     };
-    assert_eq!(agent.owner_message(CONNECTION, again, Millis(210)), Ok(()));
+    assert_eq!(agent.receive_owner_message(CONNECTION, again), Ok(()));
     assert_eq!(
         started(&agent.heartbeat(beat("a", 4), Millis(220))),
         [(2, 1)]
@@ -140,7 +137,7 @@
         assign: vec![assignment(1, 2)],
         ..first_message()
     };
-    assert_eq!(agent.owner_message(CONNECTION, newer, Millis(20)), Ok(()));
+    assert_eq!(agent.receive_owner_message(CONNECTION, newer), Ok(()));
     let mut listed = beat("a", 2);
     listed.heartbeat.running = vec![running(1, 1)];
     let answer = agent.heartbeat(listed, Millis(30));
@@ -194,7 +191,7 @@
     for start in &mut first.assign {
         start.spec = "x".repeat(STARTS_BYTES_MOST / 2);
     }
-    assert_eq!(agent.owner_message(CONNECTION, first, Millis(20)), Ok(()));
+    assert_eq!(agent.receive_owner_message(CONNECTION, first), Ok(()));
     assert_eq!(
         started(&agent.heartbeat(beat("a", 2), Millis(30))),
         [(0, 1), (1, 1)]
@@ -217,8 +214,8 @@
         ..message(1, "a", 4)
     };
     assert_eq!(
-        agent.owner_message(2, lower, Millis(50)),
-        Err(RefusedMessage::LowerToken)
+        agent.receive_owner_message(2, lower),
+        Err(OwnerMessageError::LowerToken)
     );
     assert_eq!(
         started(&agent.heartbeat(beat("a", 2), Millis(60))),
@@ -238,7 +235,7 @@
         assign: vec![assignment(9, 1)],
         ..message(1, "a", 6)
     };
-    assert_eq!(agent.owner_message(2, whole, Millis(50)), Ok(()));
+    assert_eq!(agent.receive_owner_message(2, whole), Ok(()));
     let answer = agent.heartbeat(beat("a", 2), Millis(60));
     assert_eq!(
         (started(&answer), answer.token),
@@ -250,7 +247,7 @@
 #[test]
 fn orders_stay_when_the_owner_is_lost() {
     let mut agent = ordered();
-    agent.owner_lost(CONNECTION);
+    agent.owner_disconnected(CONNECTION);
     let answer = agent.heartbeat(beat("a", 2), Millis(60));
     assert_eq!(
         (started(&answer), answer.lease_ms),
@@ -261,8 +258,8 @@
         stop: vec![(task(1), 1)],
         ..message(2, "a", 5)
     };
-    let refused = agent.owner_message(CONNECTION, late, Millis(70));
-    assert_eq!(refused, Err(RefusedMessage::OtherConnection));
+    let refused = agent.receive_owner_message(CONNECTION, late);
+    assert_eq!(refused, Err(OwnerMessageError::OtherConnection));
 }
 
 #[test]
@@ -273,8 +270,8 @@
         ..message(3, "a", 5)
     };
     assert_eq!(
-        agent.owner_message(CONNECTION, third, Millis(30)),
-        Err(RefusedMessage::Gap)
+        agent.receive_owner_message(CONNECTION, third),
+        Err(OwnerMessageError::Gap)
     );
     assert!(matches!(
         agent.poll(Millis(31)).as_slice(),
@@ -282,8 +279,8 @@
     ));
     let second = message(2, "a", 5);
     assert_eq!(
-        agent.owner_message(CONNECTION, second, Millis(32)),
-        Err(RefusedMessage::EarlierSession)
+        agent.receive_owner_message(CONNECTION, second),
+        Err(OwnerMessageError::EarlierSession)
     );
 }
 
@@ -291,8 +288,8 @@
 fn a_repeated_message_is_dropped() {
     let mut agent = ordered();
     assert_eq!(
-        agent.owner_message(CONNECTION, message(1, "a", 5), Millis(30)),
-        Err(RefusedMessage::Repeated)
+        agent.receive_owner_message(CONNECTION, message(1, "a", 5)),
+        Err(OwnerMessageError::Repeated)
     );
 }
 
@@ -305,13 +302,13 @@
         agent.poll(again).as_slice(),
         [AgentMessage::Attach { .. }]
     ));
-    let refused = agent.owner_message(CONNECTION, first_message(), again);
-    assert_eq!(refused, Err(RefusedMessage::EarlierSession));
+    let refused = agent.receive_owner_message(CONNECTION, first_message());
+    assert_eq!(refused, Err(OwnerMessageError::EarlierSession));
     let fresh = OwnerMessage {
         lease_from: again,
         ..first_message()
     };
-    assert_eq!(agent.owner_message(CONNECTION, fresh, again), Ok(()));
+    assert_eq!(agent.receive_owner_message(CONNECTION, fresh), Ok(()));
 }
 
 #[test]
@@ -328,10 +325,7 @@
         heartbeat_after_ms: 300,
         ..message(2, "a", 5)
     };
-    assert_eq!(
-        agent.owner_message(CONNECTION, observing, Millis(110)),
-        Ok(())
-    );
+    assert_eq!(agent.receive_owner_message(CONNECTION, observing), Ok(()));
     assert_eq!(
         agent
             .heartbeat(beat("a", 3), Millis(120))
@@ -348,8 +342,8 @@
         ..first_message()
     };
     assert_eq!(
-        agent.owner_message(CONNECTION, changes, Millis(20)),
-        Err(RefusedMessage::EarlierSession)
+        agent.receive_owner_message(CONNECTION, changes),
+        Err(OwnerMessageError::EarlierSession)
     );
     assert!(agent.heartbeat(beat("a", 2), Millis(30)).starts.is_empty());
 }
@@ -364,19 +358,19 @@
         lease_from: Millis(101),
         ..first_message()
     };
-    assert_eq!(agent.owner_message(2, whole, Millis(110)), Ok(()));
+    assert_eq!(agent.receive_owner_message(2, whole), Ok(()));
     // It was sent on the first connection, and the driver cannot tell.
     let late = OwnerMessage {
         stop: vec![(task(1), 1)],
         ..message(2, "a", 5)
     };
     assert_eq!(
-        agent.owner_message(2, late, Millis(120)),
-        Err(RefusedMessage::EarlierSession)
+        agent.receive_owner_message(2, late),
+        Err(OwnerMessageError::EarlierSession)
     );
     let next = OwnerMessage {
         lease_from: Millis(101),
         ..message(2, "a", 5)
     };
-    assert_eq!(agent.owner_message(2, next, Millis(130)), Ok(()));
+    assert_eq!(agent.receive_owner_message(2, next), Ok(()));
 }
--- a/crates/worker-agent/tests/golden.rs
+++ b/crates/worker-agent/tests/golden.rs
@@ -1,6 +1,8 @@
 //! Heartbeats as they are read, answers as they are written, the texts of errors, and the agent's decisions, pinned by
 //! the files under `tests/golden/`.
 
+#[path = "support/answer_at_once.rs"]
+mod answer_at_once;
 mod golden_file;
 mod golden_trace;
 #[path = "model/random.rs"]
@@ -14,7 +16,7 @@
 use lupinrack_cluster_api::job::Resources;
 use lupinrack_cluster_api::server::{FinishedTask, RunEnd, RunningTask, ServerFacts};
 use lupinrack_worker_agent::heartbeat_json::{parse, render, UnknownRun};
-use lupinrack_worker_agent::{HeartbeatAnswer, RefusedMessage, ServerHeartbeat, StopOrder};
+use lupinrack_worker_agent::{HeartbeatResponse, OwnerMessageError, ServerHeartbeat, StopOrder};
 use std::collections::BTreeMap;
 
 const SERVER: &str = "server-1";
@@ -363,8 +365,8 @@
     }
 }
 
-fn full_answer() -> HeartbeatAnswer {
-    HeartbeatAnswer {
+fn full_answer() -> HeartbeatResponse {
+    HeartbeatResponse {
         starts: vec![
             assignment(task(), 6, "say \"hello\"\n\u{1}\u{e9}", "0f0f"),
             assignment(other_task(), 9, "work", ""),
@@ -387,49 +389,49 @@
 }
 
 /// Answers by names: each field alone, all, and none.
-fn answers() -> Vec<(&'static str, HeartbeatAnswer)> {
-    let none = HeartbeatAnswer::default;
+fn answers() -> Vec<(&'static str, HeartbeatResponse)> {
+    let none = HeartbeatResponse::default;
     vec![
         ("empty", none()),
         ("all", full_answer()),
         (
             "starts",
-            HeartbeatAnswer {
+            HeartbeatResponse {
                 starts: full_answer().starts,
                 ..none()
             },
         ),
         (
             "stops",
-            HeartbeatAnswer {
+            HeartbeatResponse {
                 stops: full_answer().stops,
                 ..none()
             },
         ),
         (
             "observed",
-            HeartbeatAnswer {
+            HeartbeatResponse {
                 observed: 58,
                 ..none()
             },
         ),
         (
             "token",
-            HeartbeatAnswer {
+            HeartbeatResponse {
                 token: FencingToken(u64::MAX),
                 ..none()
             },
         ),
         (
             "hold",
-            HeartbeatAnswer {
+            HeartbeatResponse {
                 lease_ms: 4_000,
                 ..none()
             },
         ),
         (
             "beat after",
-            HeartbeatAnswer {
+            HeartbeatResponse {
                 heartbeat_after_ms: 200,
                 ..none()
             },
@@ -541,12 +543,12 @@
         add_fault(name, SERVER, &body);
     }
     let refused = [
-        ("other connection", RefusedMessage::OtherConnection),
-        ("other life", RefusedMessage::OtherIncarnation),
-        ("lower token", RefusedMessage::LowerToken),
-        ("earlier session", RefusedMessage::EarlierSession),
-        ("repeated", RefusedMessage::Repeated),
-        ("gap", RefusedMessage::Gap),
+        ("other connection", OwnerMessageError::OtherConnection),
+        ("other life", OwnerMessageError::OtherIncarnation),
+        ("lower token", OwnerMessageError::LowerToken),
+        ("earlier session", OwnerMessageError::EarlierSession),
+        ("repeated", OwnerMessageError::Repeated),
+        ("gap", OwnerMessageError::Gap),
     ];
     for (name, refused) in refused {
         file.add(format!("refused message, {name}"), refused.to_string());
--- a/crates/worker-agent/tests/golden_trace/mod.rs
+++ b/crates/worker-agent/tests/golden_trace/mod.rs
@@ -7,6 +7,7 @@
 mod owner;
 mod server;
 
+use crate::answer_at_once::AnswerAtOnce;
 use crate::golden_file::hex;
 use crate::random::Random;
 use lupinrack_cluster_api::agent::{AgentMessage, OwnerMessage};
@@ -14,7 +15,7 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_worker_agent::heartbeat_json::{parse, render};
 use lupinrack_worker_agent::{
-    Agent, AgentSettings, HeartbeatAnswer, HeartbeatReceipt, OpenHeartbeat, RefusedMessage,
+    Agent, AgentSettings, HeartbeatOutcome, HeartbeatResponse, OwnerMessageError, PendingHeartbeat,
 };
 use owner::Owner;
 use server::Server;
@@ -48,7 +49,7 @@
     agent: Agent,
     server: Server,
     owner: Owner,
-    open: Option<OpenHeartbeat>,
+    open: Option<PendingHeartbeat>,
     bulk: Bulk,
 }
 
@@ -63,7 +64,7 @@
         Run {
             random: Random::new(seed),
             now: 0,
-            agent: Agent::new(settings, Millis(0)),
+            agent: Agent::new(settings),
             server: Server::new(1, bulk),
             owner: Owner::new(bulk),
             bulk,
@@ -120,13 +121,13 @@
             return format!("beats {id} {body} -> {}", self.answered(&answer));
         }
         match self.agent.receive_heartbeat(beat, Millis(self.now)) {
-            HeartbeatReceipt::Answer(answer) => {
+            HeartbeatOutcome::Answered(answer) => {
                 format!("beat {id} {body} -> answer {}", self.answered(&answer))
             }
-            HeartbeatReceipt::Open(open) => {
+            HeartbeatOutcome::Pending(open) => {
                 let shown = format!(
                     "arrived {} ends {} idle {}",
-                    open.arrived_at.0, open.ends, open.idle
+                    open.arrived_at.0, open.lists_ends, open.idle
                 );
                 self.open = Some(open);
                 format!("beat {id} {body} -> open {shown}")
@@ -149,11 +150,11 @@
         let Some(open) = self.open.take() else {
             return String::from("no open heartbeat");
         };
-        let answer = self.agent.answer_heartbeat(&open, Millis(self.now));
+        let answer = self.agent.respond_to_heartbeat(&open, Millis(self.now));
         format!("answers -> {}", self.answered(&answer))
     }
 
-    fn answered(&mut self, answer: &HeartbeatAnswer) -> String {
+    fn answered(&mut self, answer: &HeartbeatResponse) -> String {
         let lost = self.random.once_in(8);
         if !lost {
             self.server.answered(answer, &mut self.random);
@@ -164,9 +165,7 @@
     fn tell(&mut self) -> String {
         let (connection, message) = self.owner.message(self.now, &mut self.random);
         let written = borsh_hex(&message);
-        let taken = self
-            .agent
-            .owner_message(connection, message, Millis(self.now));
+        let taken = self.agent.receive_owner_message(connection, message);
         let outcome = taken.map_or_else(refusal_word, |()| "taken");
         format!("message on {connection} {written} -> {outcome}")
     }
@@ -186,7 +185,7 @@
         } else {
             self.owner.connection()
         };
-        self.agent.owner_lost(connection);
+        self.agent.owner_disconnected(connection);
         self.owner.lost(connection);
         format!("lost {connection}")
     }
@@ -199,20 +198,20 @@
             incarnation
         };
         let id = server::id_of(incarnation);
-        self.agent.leave(ServerId(id.clone()), Millis(self.now));
+        self.agent.deregister(ServerId(id.clone()));
         format!("leaves {id}")
     }
 }
 
 /// A word for each refusal that no change of names or texts alters.
-fn refusal_word(refused: RefusedMessage) -> &'static str {
+fn refusal_word(refused: OwnerMessageError) -> &'static str {
     match refused {
-        RefusedMessage::OtherConnection => "refused: other connection",
-        RefusedMessage::OtherIncarnation => "refused: other server",
-        RefusedMessage::LowerToken => "refused: lower token",
-        RefusedMessage::EarlierSession => "refused: earlier session",
-        RefusedMessage::Repeated => "refused: repeated",
-        RefusedMessage::Gap => "refused: gap",
+        OwnerMessageError::OtherConnection => "refused: other connection",
+        OwnerMessageError::OtherIncarnation => "refused: other server",
+        OwnerMessageError::LowerToken => "refused: lower token",
+        OwnerMessageError::EarlierSession => "refused: earlier session",
+        OwnerMessageError::Repeated => "refused: repeated",
+        OwnerMessageError::Gap => "refused: gap",
     }
 }
 
--- a/crates/worker-agent/tests/golden_trace/server.rs
+++ b/crates/worker-agent/tests/golden_trace/server.rs
@@ -3,7 +3,7 @@
 use super::Bulk;
 use crate::random::Random;
 use lupinrack_cluster_api::identity::Attempt;
-use lupinrack_worker_agent::HeartbeatAnswer;
+use lupinrack_worker_agent::HeartbeatResponse;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
@@ -76,7 +76,7 @@
     }
 
     /// Takes an answer.
-    pub fn answered(&mut self, answer: &HeartbeatAnswer, random: &mut Random) {
+    pub fn answered(&mut self, answer: &HeartbeatResponse, random: &mut Random) {
         self.finished.retain(|end| {
             end[0]
                 .as_u64()
--- a/crates/worker-agent/tests/heartbeat_json.rs
+++ b/crates/worker-agent/tests/heartbeat_json.rs
@@ -4,8 +4,8 @@
 use lupinrack_cluster_api::identity::{FencingToken, JobId, ServiceName, TaskId};
 use lupinrack_cluster_api::job::Resources;
 use lupinrack_cluster_api::server::RunEnd;
-use lupinrack_worker_agent::heartbeat_json::{parse, render, HeartbeatFault};
-use lupinrack_worker_agent::{HeartbeatAnswer, ServerHeartbeat, StopOrder};
+use lupinrack_worker_agent::heartbeat_json::{parse, render, ParseHeartbeatError};
+use lupinrack_worker_agent::{HeartbeatResponse, ServerHeartbeat, StopOrder};
 use quickcheck::quickcheck;
 use serde_json::{json, Value};
 
@@ -35,7 +35,7 @@
 fn is_fault(fields: Value) -> bool {
     matches!(
         parse("server-1", &body(fields)),
-        Err(HeartbeatFault::Body(_))
+        Err(ParseHeartbeatError::Body(_))
     )
 }
 
@@ -167,21 +167,21 @@
     assert!(is_fault(json!({"running": {}})));
     assert!(matches!(
         parse("server-1", b"{\"service\":"),
-        Err(HeartbeatFault::Body(_))
+        Err(ParseHeartbeatError::Body(_))
     ));
     assert!(matches!(
         parse("server-1", b"{}"),
-        Err(HeartbeatFault::Body(_))
+        Err(ParseHeartbeatError::Body(_))
     ));
     assert!(matches!(
         parse("", &body(json!({}))),
-        Err(HeartbeatFault::Identity)
+        Err(ParseHeartbeatError::Identity)
     ));
 }
 
 #[test]
 fn an_empty_answer_is_an_empty_object() {
-    assert_eq!(render(&HeartbeatAnswer::default()), "{}");
+    assert_eq!(render(&HeartbeatResponse::default()), "{}");
 }
 
 #[test]
@@ -192,7 +192,7 @@
         spec: "say \"hello\"\n".into(),
         checkpoint: String::new(),
     };
-    let answer = HeartbeatAnswer {
+    let answer = HeartbeatResponse {
         starts: vec![start],
         stops: vec![StopOrder {
             task: "other".into(),
@@ -219,7 +219,7 @@
 
     fn any_text_survives_a_start(spec: String, checkpoint: String) -> bool {
         let start = Assignment { task: task(), attempt: 3, spec: spec.clone(), checkpoint: checkpoint.clone() };
-        let answer = HeartbeatAnswer { starts: vec![start], ..HeartbeatAnswer::default() };
+        let answer = HeartbeatResponse { starts: vec![start], ..HeartbeatResponse::default() };
         let written: Value = serde_json::from_str(&render(&answer)).expect("JSON");
         written["start"][0] == json!([TASK, 3, spec, checkpoint])
     }
--- a/crates/worker-agent/tests/incarnations.rs
+++ b/crates/worker-agent/tests/incarnations.rs
@@ -6,10 +6,10 @@
 use lupinrack_cluster_api::identity::ServerId;
 use lupinrack_cluster_api::server::RunEnd;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_worker_agent::{Agent, HeartbeatAnswer, RefusedMessage, ServerHeartbeat};
+use lupinrack_worker_agent::{Agent, HeartbeatResponse, OwnerMessageError, ServerHeartbeat};
 use support::{
     assignment, beat, finished, message, ordered, reported, running, settings, started, task,
-    CONNECTION, SILENT,
+    AnswerAtOnce, CONNECTION, SILENT,
 };
 
 /// Server "a" says that it drains, and then leaves.
@@ -18,7 +18,7 @@
     draining.heartbeat.draining = true;
     agent.heartbeat(draining, Millis(90));
     agent.poll(Millis(91));
-    agent.leave(ServerId("a".into()), Millis(100));
+    agent.deregister(ServerId("a".into()));
 }
 
 #[test]
@@ -28,14 +28,14 @@
     for sequence in [5, 4, 1] {
         assert_eq!(
             agent.heartbeat(beat("a", sequence), Millis(110)),
-            HeartbeatAnswer::default()
+            HeartbeatResponse::default()
         );
     }
     agent.heartbeat(beat("b", 1), SILENT);
     agent.heartbeat(beat("b", 2), SILENT);
     assert_eq!(
         agent.heartbeat(beat("a", 5), SILENT),
-        HeartbeatAnswer::default()
+        HeartbeatResponse::default()
     );
     assert!(agent.heartbeat(beat("a", 6), SILENT).starts.is_empty());
     assert_eq!(
@@ -56,8 +56,8 @@
         ..message(2, "a", 5)
     };
     assert_eq!(
-        agent.owner_message(CONNECTION, late, SILENT),
-        Err(RefusedMessage::OtherIncarnation)
+        agent.receive_owner_message(CONNECTION, late),
+        Err(OwnerMessageError::OtherIncarnation)
     );
     let messages = agent.poll(SILENT);
     assert!(
@@ -69,9 +69,9 @@
 fn a_dead_life_that_shows_up_late_does_not_replace_the_living() {
     let mut agent = ordered();
     let unconfirmed = agent.heartbeat(beat("dead", 1), Millis(100));
-    let expected = HeartbeatAnswer {
+    let expected = HeartbeatResponse {
         heartbeat_after_ms: settings().busy_heartbeat_ms,
-        ..HeartbeatAnswer::default()
+        ..HeartbeatResponse::default()
     };
     assert_eq!(unconfirmed, expected);
     assert_eq!(
@@ -151,11 +151,11 @@
         server: ServerId("a".into()),
     };
     assert_eq!(agent.poll(Millis(101)), std::slice::from_ref(&leave));
-    agent.leave(ServerId("a".into()), Millis(110));
+    agent.deregister(ServerId("a".into()));
     assert!(agent.poll(Millis(111)).is_empty());
     assert_eq!(
         agent.heartbeat(beat("a", 3), Millis(120)),
-        HeartbeatAnswer::default()
+        HeartbeatResponse::default()
     );
     agent.owner_connected(2);
     assert_eq!(agent.poll(Millis(130)), [leave]);
@@ -168,7 +168,7 @@
         stop: vec![(task(1), 1)],
         ..message(2, "a", 5)
     };
-    assert_eq!(agent.owner_message(CONNECTION, stop, Millis(30)), Ok(()));
+    assert_eq!(agent.receive_owner_message(CONNECTION, stop), Ok(()));
     agent.heartbeat(beat("b", 1), SILENT);
     let mut listed = beat("b", 2);
     listed.heartbeat.running = vec![running(1, 1)];
@@ -191,7 +191,7 @@
     let mut agent = ordered();
     agent.heartbeat(beat_with_run(2), Millis(100));
     agent.poll(Millis(101));
-    agent.leave(ServerId("a".into()), Millis(110));
+    agent.deregister(ServerId("a".into()));
     let told = agent.poll(Millis(111));
     assert!(
         told.iter()
@@ -205,7 +205,7 @@
         assign: vec![assignment(2, 1)],
         ..message(2, "a", 5)
     };
-    assert_eq!(agent.owner_message(CONNECTION, second, Millis(112)), Ok(()));
+    assert_eq!(agent.receive_owner_message(CONNECTION, second), Ok(()));
     let answer = agent.heartbeat(beat_with_run(3), Millis(120));
     assert!(
         answer.starts.is_empty(),
@@ -217,11 +217,11 @@
 #[test]
 fn a_server_that_leaves_first_is_heard_until_it_is_silent() {
     let mut agent = ordered();
-    agent.leave(ServerId("a".into()), Millis(90));
+    agent.deregister(ServerId("a".into()));
     agent.heartbeat(beat_with_run(2), Millis(100));
     agent.poll(Millis(101));
     // The call is sent again where its answer was lost.
-    agent.leave(ServerId("a".into()), Millis(110));
+    agent.deregister(ServerId("a".into()));
     let mut ended = beat("a", 3);
     ended.heartbeat.finished = vec![finished(1, 1, 1, RunEnd::Done)];
     agent.heartbeat(ended, Millis(120));
@@ -238,7 +238,7 @@
     agent.poll(Millis(101));
     assert_eq!(
         agent.heartbeat(beat_with_run(3), Millis(3_000)),
-        HeartbeatAnswer::default()
+        HeartbeatResponse::default()
     );
     assert_eq!(agent.server(), None);
     assert!(agent.poll(Millis(3_001)).is_empty());
@@ -255,7 +255,7 @@
     // Sent before the run had ended and the draining began.
     assert_eq!(
         agent.heartbeat(beat_with_run(8), Millis(110)),
-        HeartbeatAnswer::default()
+        HeartbeatResponse::default()
     );
     assert!(
         reported(&agent.poll(Millis(111))).is_none(),
@@ -267,9 +267,9 @@
 
 #[test]
 fn a_restarted_agent_takes_a_leave_for_one_of_a_server_that_serves_on() {
-    let mut agent = Agent::new(settings(), Millis(0));
+    let mut agent = Agent::new(settings());
     agent.owner_connected(CONNECTION);
-    agent.leave(ServerId("a".into()), Millis(5));
+    agent.deregister(ServerId("a".into()));
     assert!(
         agent.poll(Millis(6)).is_empty(),
         "nobody knows that it is over"
--- a/crates/worker-agent/tests/model/answers.rs
+++ b/crates/worker-agent/tests/model/answers.rs
@@ -3,7 +3,7 @@
 use crate::world::{Packet, World, TROUBLE_MS};
 use lupinrack_cluster_api::identity::{FencingToken, ServerId};
 use lupinrack_worker_agent::heartbeat_json::render;
-use lupinrack_worker_agent::{HeartbeatAnswer, OpenHeartbeat};
+use lupinrack_worker_agent::{HeartbeatResponse, PendingHeartbeat};
 
 /// A heartbeat, as it is known again in its answer.
 pub struct BeatCall {
@@ -15,7 +15,7 @@
 
 /// A heartbeat whose answer waits for orders.
 pub struct OpenCall {
-    pub open: OpenHeartbeat,
+    pub open: PendingHeartbeat,
     pub call: BeatCall,
     pub until: u64,
     /// The owner's messages that were taken since it arrived.
@@ -43,7 +43,7 @@
             return;
         };
         let had_orders = self.agent.has_orders(self.agent_now());
-        let answer = self.agent.answer_heartbeat(&open, self.agent_now());
+        let answer = self.agent.respond_to_heartbeat(&open, self.agent_now());
         let ordered = !answer.starts.is_empty() || !answer.stops.is_empty();
         assert!(
             !had_orders || ordered,
@@ -57,7 +57,7 @@
         self.send_answer(call, &answer);
     }
 
-    pub fn send_answer(&mut self, call: BeatCall, answer: &HeartbeatAnswer) {
+    pub fn send_answer(&mut self, call: BeatCall, answer: &HeartbeatResponse) {
         let BeatCall {
             server,
             sequence,
--- a/crates/worker-agent/tests/model/world.rs
+++ b/crates/worker-agent/tests/model/world.rs
@@ -9,7 +9,7 @@
 use lupinrack_cluster_api::identity::{FencingToken, JobId, ServerId, TaskId};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_worker_agent::heartbeat_json::parse;
-use lupinrack_worker_agent::{Agent, AgentSettings, HeartbeatReceipt};
+use lupinrack_worker_agent::{Agent, AgentSettings, HeartbeatOutcome};
 use std::collections::{BTreeMap, BTreeSet};
 
 const STEP_MS: u64 = 10;
@@ -268,7 +268,7 @@
         let Some(link) = self.link.take() else { return };
         self.packets
             .retain(|sent| !matches!(sent.packet, Packet::ToOwner { .. } | Packet::ToAgent { .. }));
-        self.agent.owner_lost(link.connection);
+        self.agent.owner_disconnected(link.connection);
         if let Some(owner) = self
             .owners
             .iter_mut()
@@ -393,7 +393,7 @@
             }
             Packet::Leave(server) => {
                 self.told_to_leave.insert(server.clone());
-                self.agent.leave(server, self.agent_now());
+                self.agent.deregister(server);
                 self.poll_agent();
             }
             Packet::ToOwner {
@@ -422,8 +422,8 @@
             arrived_at: self.now,
         };
         match self.agent.receive_heartbeat(beat, now) {
-            HeartbeatReceipt::Answer(answer) => self.send_answer(call, &answer),
-            HeartbeatReceipt::Open(open) => {
+            HeartbeatOutcome::Answered(answer) => self.send_answer(call, &answer),
+            HeartbeatOutcome::Pending(open) => {
                 let wait_ms = if self.random.once_in(3) {
                     0
                 } else {
@@ -445,9 +445,7 @@
         let until = self.agent_born + message.lease_from.0 + message.lease_ms;
         let server = message.server.clone();
         let lower = message.token < self.agent.token();
-        let taken = self
-            .agent
-            .owner_message(connection, message, self.agent_now());
+        let taken = self.agent.receive_owner_message(connection, message);
         assert!(
             !(lower && taken.is_ok()),
             "an order under a lower token was taken"
@@ -531,5 +529,5 @@
         idle_heartbeat_ms: 400,
         busy_heartbeat_ms: 80,
     };
-    Agent::new(settings, Millis(0))
+    Agent::new(settings)
 }
--- a/crates/worker-agent/tests/pending_heartbeats.rs
+++ b/crates/worker-agent/tests/pending_heartbeats.rs
@@ -6,19 +6,21 @@
 use lupinrack_cluster_api::server::RunEnd;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_worker_agent::lease::LEASE_LEAST_MS;
-use lupinrack_worker_agent::{Agent, HeartbeatReceipt, OpenHeartbeat, ServerHeartbeat, StopOrder};
+use lupinrack_worker_agent::{
+    Agent, HeartbeatOutcome, PendingHeartbeat, ServerHeartbeat, StopOrder,
+};
 use support::{
     assignment, attached, beat, finished, message, ordered, reported, running, started, task,
-    CONNECTION, SILENT,
+    AnswerAtOnce, CONNECTION, SILENT,
 };
 
 /// The end of the hold that the support's messages grant.
 const HOLD_END: u64 = 3_011;
 
-fn leave_open(agent: &mut Agent, beat: ServerHeartbeat, now: u64) -> OpenHeartbeat {
+fn leave_open(agent: &mut Agent, beat: ServerHeartbeat, now: u64) -> PendingHeartbeat {
     match agent.receive_heartbeat(beat, Millis(now)) {
-        HeartbeatReceipt::Open(open) => open,
-        HeartbeatReceipt::Answer(answer) => panic!("answered at once: {answer:?}"),
+        HeartbeatOutcome::Pending(open) => open,
+        HeartbeatOutcome::Answered(answer) => panic!("answered at once: {answer:?}"),
     }
 }
 
@@ -36,10 +38,7 @@
 }
 
 fn tell(agent: &mut Agent, message: OwnerMessage, now: u64) {
-    assert_eq!(
-        agent.owner_message(CONNECTION, message, Millis(now)),
-        Ok(())
-    );
+    assert_eq!(agent.receive_owner_message(CONNECTION, message), Ok(()));
 }
 
 fn second_message() -> OwnerMessage {
@@ -54,19 +53,19 @@
     let mut agent = attached();
     let open = leave_open(&mut agent, beat("a", 2), 100);
     assert_eq!(
-        (open.arrived_at, open.ends, open.idle),
+        (open.arrived_at, open.lists_ends, open.idle),
         (Millis(100), false, true)
     );
     let open = leave_open(&mut agent, beat_with_run(3), 200);
     assert_eq!(
-        (open.arrived_at, open.ends, open.idle),
+        (open.arrived_at, open.lists_ends, open.idle),
         (Millis(200), false, false)
     );
     let mut ended = beat("a", 4);
     ended.heartbeat.finished = vec![finished(1, 1, 1, RunEnd::Done)];
     let open = leave_open(&mut agent, ended, 300);
     assert_eq!(
-        (open.arrived_at, open.ends, open.idle),
+        (open.arrived_at, open.lists_ends, open.idle),
         (Millis(300), true, false)
     );
 }
@@ -77,13 +76,13 @@
     leave_open(&mut agent, beat("a", 3), 100);
     for sequence in [2, 3] {
         let receipt = agent.receive_heartbeat(beat("a", sequence), Millis(110));
-        let HeartbeatReceipt::Answer(answer) = receipt else {
+        let HeartbeatOutcome::Answered(answer) = receipt else {
             panic!("{sequence} was left open")
         };
         assert!(answer.starts.is_empty() && answer.lease_ms == 0);
     }
     let receipt = agent.receive_heartbeat(beat("b", 1), Millis(120));
-    let HeartbeatReceipt::Answer(answer) = receipt else {
+    let HeartbeatOutcome::Answered(answer) = receipt else {
         panic!("the other life was left open")
     };
     assert!(answer.starts.is_empty() && answer.lease_ms == 0);
@@ -97,7 +96,7 @@
     tell(&mut agent, second_message(), 120);
     assert!(agent.has_orders(Millis(120)));
     assert_eq!(
-        started(&agent.answer_heartbeat(&open, Millis(120))),
+        started(&agent.respond_to_heartbeat(&open, Millis(120))),
         [(2, 1)]
     );
 }
@@ -127,7 +126,7 @@
         120,
     );
     assert!(agent.has_orders(Millis(120)));
-    let answer = agent.answer_heartbeat(&open, Millis(120));
+    let answer = agent.respond_to_heartbeat(&open, Millis(120));
     assert_eq!(
         answer.stops,
         [StopOrder {
@@ -162,7 +161,7 @@
         120,
     );
     assert!(agent.has_orders(Millis(120)));
-    let answer = agent.answer_heartbeat(&open, Millis(120));
+    let answer = agent.respond_to_heartbeat(&open, Millis(120));
     assert_eq!((started(&answer), answer.stops.len()), (vec![], 1));
 }
 
@@ -177,7 +176,7 @@
 #[test]
 fn without_a_server_there_are_no_orders() {
     let mut agent = ordered();
-    agent.leave(beat("a", 1).facts.id, Millis(100));
+    agent.deregister(beat("a", 1).facts.id);
     assert!(!agent.has_orders(Millis(110)));
 }
 
@@ -186,7 +185,7 @@
     let mut agent = ordered();
     let open = leave_open(&mut agent, beat("a", 2), 100);
     assert_eq!(
-        agent.answer_heartbeat(&open, Millis(400)).lease_ms,
+        agent.respond_to_heartbeat(&open, Millis(400)).lease_ms,
         HOLD_END - 100
     );
 }
@@ -201,7 +200,7 @@
     };
     tell(&mut agent, extension, 150);
     assert_eq!(
-        agent.answer_heartbeat(&open, Millis(160)).lease_ms,
+        agent.respond_to_heartbeat(&open, Millis(160)).lease_ms,
         11 + 4_000 - 100
     );
 }
@@ -217,7 +216,7 @@
         reported(&before).is_none_or(|heartbeat| heartbeat.orders_seen < 2),
         "{before:?}"
     );
-    agent.answer_heartbeat(&open, Millis(130));
+    agent.respond_to_heartbeat(&open, Millis(130));
     leave_open(&mut agent, beat_with_run(4), 200);
     let messages = agent.poll(Millis(200));
     assert_eq!(
@@ -230,7 +229,7 @@
 fn orders_that_come_after_the_answer_are_not_seen_with_the_next_heartbeat() {
     let mut agent = without_orders();
     let open = leave_open(&mut agent, beat_with_run(3), 100);
-    agent.answer_heartbeat(&open, Millis(120));
+    agent.respond_to_heartbeat(&open, Millis(120));
     tell(&mut agent, second_message(), 130);
     let mut progressed = beat_with_run(4);
     progressed.heartbeat.running[0].percent = 50;
@@ -241,7 +240,7 @@
         Some(1)
     );
     assert_eq!(
-        started(&agent.answer_heartbeat(&open, Millis(210))),
+        started(&agent.respond_to_heartbeat(&open, Millis(210))),
         [(2, 1)]
     );
 }
@@ -277,7 +276,7 @@
 fn the_next_heartbeat_is_expected_from_the_answer_on() {
     let mut agent = attached();
     let open = leave_open(&mut agent, beat("a", 2), 100);
-    agent.answer_heartbeat(&open, Millis(400));
+    agent.respond_to_heartbeat(&open, Millis(400));
     agent.owner_connected(2);
     let messages = agent.poll(SILENT);
     assert!(
--- a/crates/worker-agent/tests/reports.rs
+++ b/crates/worker-agent/tests/reports.rs
@@ -7,7 +7,7 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_worker_agent::agent::{FINISHED_LIST_MOST, SILENCE_SLACK_MS};
 use lupinrack_worker_agent::report_schedule::{PROGRESS_MS, REPORT_MS};
-use support::{beat, finished, ordered, reported, running, started, SILENT};
+use support::{beat, finished, ordered, reported, running, started, AnswerAtOnce, SILENT};
 
 #[test]
 fn a_list_of_ends_that_may_be_cut_allows_no_start() {
--- a/crates/worker-agent/tests/session_model.rs
+++ b/crates/worker-agent/tests/session_model.rs
@@ -1,6 +1,10 @@
 //! An agent's sessions with the owner of its shard in a model checker: connections that are reset while messages are on
 //! their way, sessions that begin anew, messages that come late. Every order of a bounded number of steps is played.
 
+#[path = "support/answer_at_once.rs"]
+mod answer_at_once;
+
+use answer_at_once::AnswerAtOnce;
 use lupinrack_cluster_api::agent::{AgentMessage, Assignment, Heartbeat, OwnerMessage};
 use lupinrack_cluster_api::identity::{FencingToken, JobId, ServerId, ServiceName, TaskId};
 use lupinrack_cluster_api::job::Resources;
@@ -143,7 +147,7 @@
             idle_heartbeat_ms: 400,
             busy_heartbeat_ms: 80,
         };
-        let mut agent = Agent::new(settings, Millis(0));
+        let mut agent = Agent::new(settings);
         agent.heartbeat(beat(), Millis(1));
         let mut state = State {
             now: 1,
@@ -247,7 +251,7 @@
         }
         if self
             .agent
-            .owner_message(self.agent_session, message, Millis(self.now))
+            .receive_owner_message(self.agent_session, message)
             .is_ok()
         {
             self.taken.push(session);
--- a/crates/worker-agent/tests/support/mod.rs
+++ b/crates/worker-agent/tests/support/mod.rs
@@ -3,6 +3,9 @@
 // Each test file uses some of them.
 #![allow(dead_code)]
 
+pub mod answer_at_once;
+
+pub use answer_at_once::AnswerAtOnce;
 use lupinrack_cluster_api::agent::{AgentMessage, Assignment, Heartbeat, OwnerMessage};
 use lupinrack_cluster_api::identity::{
     Attempt, FencingToken, JobId, ServerId, ServiceName, TaskId,
@@ -11,7 +14,7 @@
 use lupinrack_cluster_api::server::{FinishedTask, RunEnd, RunningTask, ServerFacts};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_worker_agent::agent::SILENCE_SLACK_MS;
-use lupinrack_worker_agent::{Agent, AgentSettings, HeartbeatAnswer, ServerHeartbeat};
+use lupinrack_worker_agent::{Agent, AgentSettings, HeartbeatResponse, ServerHeartbeat};
 
 /// The connection of the first session.
 pub const CONNECTION: u64 = 1;
@@ -116,7 +119,7 @@
 
 /// An agent whose server "a" has beaten once at 10 and whose session is attached since 11.
 pub fn attached() -> Agent {
-    let mut agent = Agent::new(settings(), Millis(0));
+    let mut agent = Agent::new(settings());
     agent.owner_connected(CONNECTION);
     agent.heartbeat(beat("a", 1), Millis(10));
     let messages = agent.poll(Millis(11));
@@ -140,13 +143,13 @@
 pub fn ordered() -> Agent {
     let mut agent = attached();
     assert_eq!(
-        agent.owner_message(CONNECTION, first_message(), Millis(20)),
+        agent.receive_owner_message(CONNECTION, first_message()),
         Ok(())
     );
     agent
 }
 
-pub fn started(answer: &HeartbeatAnswer) -> Vec<(u32, u32)> {
+pub fn started(answer: &HeartbeatResponse) -> Vec<(u32, u32)> {
     answer
         .starts
         .iter()
