--- a/crates/chain/src/chain.rs
+++ b/crates/chain/src/chain.rs
@@ -20,7 +20,7 @@
 
 /// What a disk held when its process began.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Stored {
+pub struct StoredState {
     /// The last index that the snapshot covers; 0 without a snapshot.
     pub snapshot_index: u64,
     /// The entries after the snapshot, all synced.
@@ -52,7 +52,7 @@
     /// The last barrier that has passed the chain.
     pub(crate) barrier_passed: u64,
     /// Whether everything up to `base` was committed in this view.
-    pub(crate) ready: bool,
+    pub(crate) is_ready: bool,
     /// Whether the process was restarted within the view and does not know what it sent before.
     pub(crate) forgotten: bool,
 }
@@ -125,7 +125,7 @@
 
 impl Chain {
     /// The replica of a disk, which commits nothing while the chain has fewer than `minimum_length` members.
-    pub fn new(me: DiskId, minimum_length: usize, stored: Stored) -> Chain {
+    pub fn new(me: DiskId, minimum_length: usize, stored: StoredState) -> Chain {
         let log = Log::new(stored.snapshot_index, stored.entries);
         let mut chain = Chain {
             me,
@@ -180,7 +180,7 @@
         operation: Operation,
         now: Millis,
     ) -> Result<(u64, Vec<Effect>), SubmitError> {
-        if !self.ready() {
+        if !self.is_ready() {
             return Err(SubmitError::NotReady);
         }
         if self.is_full() {
@@ -209,7 +209,7 @@
     /// Starts a barrier; [`Effect::Barrier`] with its number follows once every member has seen it. None where this is
     /// not the head or it is not ready.
     pub fn start_barrier(&mut self, now: Millis) -> Option<(u64, Vec<Effect>)> {
-        if !self.ready() {
+        if !self.is_ready() {
             return None;
         }
         self.barrier += 1;
@@ -229,8 +229,8 @@
     }
 
     /// Whether this is the head and everything that it had when the view began was committed in the view.
-    pub fn ready(&self) -> bool {
-        self.is_head() && self.leadership.ready
+    pub fn is_ready(&self) -> bool {
+        self.is_head() && self.leadership.is_ready
     }
 
     /// Everything up to this index is committed and in the log or the snapshot of this disk.
@@ -250,7 +250,7 @@
 
     /// Whether this is a spare that has synced everything that was committed a moment ago, by the word of the tail of this
     /// view. What the tail has told since may be under way: under a steady load something always is.
-    pub fn caught_up(&self, now: Millis) -> bool {
+    pub fn is_caught_up(&self, now: Millis) -> bool {
         let keeps_up = self.keeping_up.reached_within(CAUGHT_UP_MS, now);
         keeps_up && !self.is_member() && self.is_disk_settled()
     }
@@ -265,7 +265,7 @@
 
     /// Whether the chain stands still until a newer view, which may have the same members: its head was restarted
     /// within the view.
-    pub fn needs_view(&self) -> bool {
+    pub fn needs_new_view(&self) -> bool {
         self.is_head() && self.leadership.forgotten
     }
 
@@ -281,7 +281,7 @@
 
     /// Drops entries from memory that a snapshot covers, save those kept for disks that join. The driver has made a
     /// snapshot up to `index`.
-    pub fn compacted(&mut self, index: u64) {
+    pub fn compact_log(&mut self, index: u64) {
         let followers = self.successor.iter().chain(self.joiners.values());
         let needed = followers.map(Follower::needs_after).min();
         self.log
--- a/crates/chain/src/follower.rs
+++ b/crates/chain/src/follower.rs
@@ -221,7 +221,7 @@
     }
 
     /// What was on its way may be lost; it is sent again at the next occasion.
-    pub(crate) fn disconnected(&mut self, now: Millis) {
+    pub(crate) fn peer_disconnected(&mut self, now: Millis) {
         self.flow = Flow::new(now);
         self.rewound = None;
         if let Transfer::Sending(snapshot) = &mut self.transfer {
@@ -247,10 +247,10 @@
             Transfer::NotNeeded => true,
             Transfer::Wanted | Transfer::Sending(_) => false,
             Transfer::Received { index, at } => {
-                let installed = self
+                let snapshot_installed = self
                     .acknowledged
                     .is_some_and(|acknowledged| acknowledged >= *index);
-                installed || now.since(*at) >= SNAPSHOT_RETRY_MS
+                snapshot_installed || now.since(*at) >= SNAPSHOT_RETRY_MS
             }
         };
         if due {
--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -7,7 +7,7 @@
 //! # Why it is safe
 //!
 //! - *One sequence per view.* Only the head of a view numbers entries. A head that was restarted within its view has
-//!   forgotten what it sent, so it stays silent until a newer view begins ([`Chain::needs_view`]).
+//!   forgotten what it sent, so it stays silent until a newer view begins ([`Chain::needs_new_view`]).
 //! - *Verified prefix.* At the beginning of a view a member trusts its log only as far as it is known to be committed; the
 //!   rest is compared with what its predecessor sends, and replaced where it differs. Only the verified part is
 //!   acknowledged and sent on.
@@ -36,6 +36,6 @@
 mod snapshot;
 mod timer;
 
-pub use chain::{Chain, Stored, SubmitError};
+pub use chain::{Chain, StoredState, SubmitError};
 pub use effect::{Effect, ReplicaStatus};
 pub use snapshot::checksum as snapshot_checksum;
--- a/crates/chain/src/membership.rs
+++ b/crates/chain/src/membership.rs
@@ -21,7 +21,7 @@
 impl Chain {
     /// Adopts a newer agreed view; an older one changes nothing. The driver has the view on its disk before it calls
     /// this, so that a restarted process knows every view in which it may have acted.
-    pub fn new_view(&mut self, view: View, now: Millis) -> Vec<Effect> {
+    pub fn adopt_view(&mut self, view: View, now: Millis) -> Vec<Effect> {
         if view.number > self.view.number {
             self.view = view;
             self.enter_view(Entry::Fresh, now);
--- a/crates/chain/src/progress.rs
+++ b/crates/chain/src/progress.rs
@@ -7,7 +7,7 @@
 
 impl Chain {
     /// Everything up to `index` that was ordered to be appended is synced.
-    pub fn written(&mut self, index: u64, now: Millis) -> Vec<Effect> {
+    pub fn entries_written(&mut self, index: u64, now: Millis) -> Vec<Effect> {
         // While a rewrite is under way this report is about entries that the rewrite may have dropped.
         if self.disk.rewrites == 0 {
             self.disk.synced = self.disk.synced.max(index.min(self.log.last()));
@@ -17,12 +17,12 @@
     }
 
     /// A truncation after `index` is synced.
-    pub fn truncated(&mut self, index: u64, now: Millis) -> Vec<Effect> {
+    pub fn log_truncated(&mut self, index: u64, now: Millis) -> Vec<Effect> {
         self.rewritten(index, now)
     }
 
     /// A snapshot up to `index` is installed and synced.
-    pub fn installed(&mut self, index: u64, now: Millis) -> Vec<Effect> {
+    pub fn snapshot_installed(&mut self, index: u64, now: Millis) -> Vec<Effect> {
         self.installing = None;
         self.rewritten(index, now)
     }
@@ -82,7 +82,7 @@
             return;
         }
         self.advance_commit(self.replicated());
-        self.leadership.ready = self.committed >= self.leadership.base;
+        self.leadership.is_ready = self.committed >= self.leadership.base;
         self.report_barriers(passed);
     }
 
--- a/crates/chain/src/timer.rs
+++ b/crates/chain/src/timer.rs
@@ -30,15 +30,15 @@
 
     /// A connection to the process of a disk has ended, and what was on its way to it may be lost. The next tick sends it
     /// again.
-    pub fn disconnected(&mut self, disk: DiskId, now: Millis) {
+    pub fn peer_disconnected(&mut self, disk: DiskId, now: Millis) {
         if let Some(joiner) = self.joiners.get_mut(&disk) {
-            joiner.disconnected(now);
+            joiner.peer_disconnected(now);
         } else if let Some(successor) = self
             .successor
             .as_mut()
             .filter(|successor| successor.disk == disk)
         {
-            successor.disconnected(now);
+            successor.peer_disconnected(now);
         }
     }
 
--- a/crates/chain/tests/byte_bounds.rs
+++ b/crates/chain/tests/byte_bounds.rs
@@ -4,7 +4,7 @@
 
 use common::{acknowledge, large_operation, messages, view, START};
 use lupinrack_chain::limits::{ByteLimits, ENTRY_BYTES_MOST};
-use lupinrack_chain::{Chain, Effect, Stored, SubmitError};
+use lupinrack_chain::{Chain, Effect, StoredState, SubmitError};
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::wire::{ChainMessage, Frame, FRAME_BYTES_MOST};
 
@@ -32,13 +32,13 @@
 
 /// The only member of a chain, which has committed this many large changes.
 fn head_with_changes(changes: u64) -> Chain {
-    let mut head = Chain::new(DiskId(1), 1, Stored::default());
-    head.new_view(view(1, &[1]), START);
+    let mut head = Chain::new(DiskId(1), 1, StoredState::default());
+    head.adopt_view(view(1, &[1]), START);
     for number in 1..=changes {
         let (index, _) = head
             .submit(large_operation(number, CHANGE_BYTES), START)
             .expect("the head takes it");
-        head.written(index, START);
+        head.entries_written(index, START);
     }
     head
 }
@@ -58,8 +58,8 @@
 
 #[test]
 fn a_successor_is_not_sent_more_than_a_connection_holds() {
-    let mut head = Chain::new(DiskId(1), 2, Stored::default());
-    head.new_view(view(1, &[1, 2]), START);
+    let mut head = Chain::new(DiskId(1), 2, StoredState::default());
+    head.adopt_view(view(1, &[1, 2]), START);
     head.receive(DiskId(2), acknowledge(1, 0, 0), START);
     head.receive(DiskId(2), acknowledge(1, 0, 1), START);
     let mut sent = 0;
@@ -87,9 +87,9 @@
             .submit(large_operation(number, CHANGE_BYTES), START)
             .expect("takes it");
         assert!(matches!(effects.first(), Some(Effect::Append(_))));
-        head.written(index, START);
+        head.entries_written(index, START);
         if number % 20 == 0 {
-            head.compacted(index);
+            head.compact_log(index);
         }
         most = most.max(
             (1..=index)
@@ -161,7 +161,7 @@
     let (index, _) = head
         .submit(change_of(ENTRY_BYTES_MOST), START)
         .expect("the largest one");
-    head.written(index, START);
+    head.entries_written(index, START);
     let mut have = 0;
     let mut now = START;
     while have < index {
@@ -207,8 +207,8 @@
 
 #[test]
 fn a_request_for_little_is_always_answered() {
-    let mut head = Chain::new(DiskId(1), 2, Stored::default());
-    head.new_view(view(1, &[1, 2]), START);
+    let mut head = Chain::new(DiskId(1), 2, StoredState::default());
+    head.adopt_view(view(1, &[1, 2]), START);
     for time in 0..20 {
         let resend = ChainMessage::Resend { view: 1, have: 0 };
         let effects = head.receive(DiskId(2), resend, START.plus(time * 100));
--- a/crates/chain/tests/catch_up/mod.rs
+++ b/crates/chain/tests/catch_up/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code, reason = "each test file uses some of it")]
 
 use super::common::{large_operation, view};
-use lupinrack_chain::{Chain, Effect, ReplicaStatus, Stored};
+use lupinrack_chain::{Chain, Effect, ReplicaStatus, StoredState};
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::operation::LogEntry;
 use lupinrack_cluster_api::time::Millis;
@@ -74,7 +74,7 @@
 /// A disk: what is synced, and the writes under way.
 #[derive(Debug, Default)]
 pub struct Disk {
-    stored: Stored,
+    stored: StoredState,
     writes: VecDeque<Effect>,
     /// When the sync under way ends, and how many writes it covers.
     sync: Option<(u64, usize)>,
@@ -147,14 +147,14 @@
 impl World {
     pub fn new(circumstances: Circumstances) -> World {
         let first = view(1, &[HEAD.0]);
-        let mut head = Chain::new(HEAD, 1, Stored::default());
-        head.new_view(first.clone(), Millis(0));
+        let mut head = Chain::new(HEAD, 1, StoredState::default());
+        head.adopt_view(first.clone(), Millis(0));
         let mut world = World {
             circumstances,
             now: 0,
             view: first,
             head,
-            joiner: Chain::new(JOINER, 1, Stored::default()),
+            joiner: Chain::new(JOINER, 1, StoredState::default()),
             disk: Disk::default(),
             to_joiner: Link::default(),
             to_head: Link::default(),
@@ -177,7 +177,9 @@
     pub fn change_alone(&mut self, changes: u64) {
         for _ in 0..changes {
             self.change();
-            let effects = self.head.written(self.head.last_index(), self.moment());
+            let effects = self
+                .head
+                .entries_written(self.head.last_index(), self.moment());
             self.at_head(effects);
         }
     }
@@ -196,22 +198,24 @@
 
     pub fn compact(&mut self) {
         let committed = self.head.committed();
-        self.head.compacted(committed);
+        self.head.compact_log(committed);
     }
 
     /// A new view of the same chain.
     pub fn change_view(&mut self) {
         self.view.number += 1;
-        let effects = self.head.new_view(self.view.clone(), self.moment());
+        let effects = self.head.adopt_view(self.view.clone(), self.moment());
         self.at_head(effects);
-        let written = self.head.written(self.head.last_index(), self.moment());
-        self.at_head(written);
+        let entries_written = self
+            .head
+            .entries_written(self.head.last_index(), self.moment());
+        self.at_head(entries_written);
         self.adopt_at_joiner();
     }
 
     fn adopt_at_joiner(&mut self) {
         self.disk.stored.view = self.view.clone();
-        let effects = self.joiner.new_view(self.view.clone(), self.moment());
+        let effects = self.joiner.adopt_view(self.view.clone(), self.moment());
         self.at_joiner(effects);
     }
 
@@ -244,7 +248,7 @@
     /// The connection ends, and the head is told.
     pub fn disconnect(&mut self) {
         self.reset();
-        self.head.disconnected(JOINER, self.moment());
+        self.head.peer_disconnected(JOINER, self.moment());
     }
 
     fn at_head(&mut self, effects: Vec<Effect>) {
@@ -260,10 +264,10 @@
                 }
                 Effect::Append(entries) => {
                     let last = entries.last().map_or(0, |entry| entry.index);
-                    work.extend(self.head.written(last, self.moment()));
+                    work.extend(self.head.entries_written(last, self.moment()));
                 }
                 Effect::TruncateAfter(index) => {
-                    work.extend(self.head.truncated(index, self.moment()))
+                    work.extend(self.head.log_truncated(index, self.moment()))
                 }
                 Effect::StoreReplicaStatus(_) => {
                     work.extend(self.head.replica_status_stored(self.moment()))
@@ -376,9 +380,9 @@
         match write {
             Effect::Append(entries) => self
                 .joiner
-                .written(entries.last().map_or(0, |entry| entry.index), now),
-            Effect::TruncateAfter(index) => self.joiner.truncated(index, now),
-            Effect::Install { index, .. } => self.joiner.installed(index, now),
+                .entries_written(entries.last().map_or(0, |entry| entry.index), now),
+            Effect::TruncateAfter(index) => self.joiner.log_truncated(index, now),
+            Effect::Install { index, .. } => self.joiner.snapshot_installed(index, now),
             Effect::StoreReplicaStatus(_) => self.joiner.replica_status_stored(now),
             _ => Vec::new(),
         }
@@ -395,7 +399,7 @@
 
     /// A joiner that says it has caught up lacks nothing that was committed before its word, and the time on the link.
     fn check_claim(&self) {
-        if !self.joiner.caught_up(self.moment()) {
+        if !self.joiner.is_caught_up(self.moment()) {
             return;
         }
         let on_link = CONNECTION_BYTES_MOST * 1_000 / self.circumstances.link_bytes_per_s;
@@ -418,7 +422,7 @@
         let begun = self.now;
         while self.now - begun < most_ms {
             self.step();
-            if self.joiner.caught_up(self.moment()) {
+            if self.joiner.is_caught_up(self.moment()) {
                 return Some(self.now - begun);
             }
         }
--- a/crates/chain/tests/catching_up.rs
+++ b/crates/chain/tests/catching_up.rs
@@ -89,16 +89,16 @@
     };
     let (mut world, took) = catch_up(circumstances, 10_000);
     assert!(took.is_some_and(|took| took <= 1_000), "{took:?}");
-    let mut caught_up = 0;
+    let mut is_caught_up = 0;
     for _ in 0..200 {
         world.step();
-        caught_up += u32::from(
+        is_caught_up += u32::from(
             world
                 .joiner
-                .caught_up(lupinrack_cluster_api::time::Millis(world.now)),
+                .is_caught_up(lupinrack_cluster_api::time::Millis(world.now)),
         );
     }
-    assert_eq!(caught_up, 200, "of 200 steps");
+    assert_eq!(is_caught_up, 200, "of 200 steps");
 }
 
 #[test]
--- a/crates/chain/tests/common/mod.rs
+++ b/crates/chain/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code, reason = "each test file uses some of the helpers")]
 
-use lupinrack_chain::{Chain, Effect, ReplicaStatus, Stored};
+use lupinrack_chain::{Chain, Effect, ReplicaStatus, StoredState};
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::operation::{
     ConfigurationBody, ConfigurationChange, LogEntry, Operation,
@@ -36,8 +36,8 @@
     }
 }
 
-pub fn stored(entries: Vec<LogEntry>, view: View, replica_status: ReplicaStatus) -> Stored {
-    Stored {
+pub fn stored(entries: Vec<LogEntry>, view: View, replica_status: ReplicaStatus) -> StoredState {
+    StoredState {
         snapshot_index: 0,
         entries,
         view,
@@ -101,7 +101,7 @@
 impl Cluster {
     /// Fresh disks with the numbers from 1.
     pub fn new(disks: u64, minimum_length: usize) -> Cluster {
-        let chain = |disk| Chain::new(DiskId(disk), minimum_length, Stored::default());
+        let chain = |disk| Chain::new(DiskId(disk), minimum_length, StoredState::default());
         Cluster {
             chains: (1..=disks).map(chain).collect(),
             now: START,
@@ -117,7 +117,7 @@
 
     pub fn adopt(&mut self, view: View) {
         for disk in 0..self.chains.len() {
-            let effects = self.chains[disk].new_view(view.clone(), self.now);
+            let effects = self.chains[disk].adopt_view(view.clone(), self.now);
             self.run(disk, effects);
         }
     }
@@ -170,12 +170,15 @@
                 (disk, Vec::new())
             }
             _ if is_stalled => (disk, Vec::new()),
-            Effect::Append(entries) => (disk, chain.written(entries[entries.len() - 1].index, now)),
-            Effect::TruncateAfter(index) => (disk, chain.truncated(index, now)),
+            Effect::Append(entries) => (
+                disk,
+                chain.entries_written(entries[entries.len() - 1].index, now),
+            ),
+            Effect::TruncateAfter(index) => (disk, chain.log_truncated(index, now)),
             Effect::StoreReplicaStatus(_) => (disk, chain.replica_status_stored(now)),
             Effect::Install { index, .. } => {
                 self.seen.push((id, effect));
-                (disk, chain.installed(index, now))
+                (disk, chain.snapshot_installed(index, now))
             }
             Effect::NeedSnapshot => {
                 let committed = chain.committed();
--- a/crates/chain/tests/golden.rs
+++ b/crates/chain/tests/golden.rs
@@ -10,7 +10,7 @@
 use common::{entry, view, START};
 use golden::examples::{assert_file, assert_kept, to_hex};
 use lupinrack_chain::limits::SNAPSHOT_CHUNK_BYTES;
-use lupinrack_chain::{snapshot_checksum, Chain, Effect, ReplicaStatus, Stored};
+use lupinrack_chain::{snapshot_checksum, Chain, Effect, ReplicaStatus, StoredState};
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange, Operation};
 use lupinrack_cluster_api::time::Millis;
@@ -116,7 +116,7 @@
 /// The messages that bring this state to a spare.
 fn chunks(state: Vec<u8>) -> Vec<ChainMessage> {
     let mut tail = member(TAIL, 1);
-    tail.new_view(view(VIEW, &[TAIL.0]), START);
+    tail.adopt_view(view(VIEW, &[TAIL.0]), START);
     let join = ChainMessage::Join {
         view: VIEW,
         disk: SPARE,
@@ -140,9 +140,9 @@
     Chain::new(
         disk,
         minimum_length,
-        Stored {
+        StoredState {
             snapshot_index: SNAPSHOT_INDEX,
-            ..Stored::default()
+            ..StoredState::default()
         },
     )
 }
@@ -157,7 +157,7 @@
 
 impl Replicas {
     fn new() -> Replicas {
-        let spare = Chain::new(SPARE, 1, Stored::default());
+        let spare = Chain::new(SPARE, 1, StoredState::default());
         let chains = [
             (HEAD, member(HEAD, 1)),
             (TAIL, member(TAIL, 1)),
@@ -175,7 +175,7 @@
         let chain: Vec<u64> = chain.iter().map(|disk| disk.0).collect();
         for disk in disks {
             let now = self.now;
-            let effects = self.chain(*disk).new_view(view(number, &chain), now);
+            let effects = self.chain(*disk).adopt_view(view(number, &chain), now);
             self.run(*disk, effects);
         }
     }
@@ -219,9 +219,9 @@
         let chain = self.chains.get_mut(&disk).unwrap();
         let effects = match effect {
             Effect::Send(to, message) => return (to, self.deliver(disk, to, message)),
-            Effect::Append(entries) => chain.written(entries.last().unwrap().index, now),
-            Effect::TruncateAfter(index) => chain.truncated(index, now),
-            Effect::Install { index, .. } => chain.installed(index, now),
+            Effect::Append(entries) => chain.entries_written(entries.last().unwrap().index, now),
+            Effect::TruncateAfter(index) => chain.log_truncated(index, now),
+            Effect::Install { index, .. } => chain.snapshot_installed(index, now),
             Effect::StoreReplicaStatus(_) => chain.replica_status_stored(now),
             Effect::NeedSnapshot => chain.provide_snapshot(chain.committed(), state(5), now),
             Effect::Commit(_) | Effect::Barrier(_) => Vec::new(),
--- a/crates/chain/tests/joining.rs
+++ b/crates/chain/tests/joining.rs
@@ -6,7 +6,7 @@
 use lupinrack_chain::limits::{
     CAUGHT_UP_MS, FEEDER_SILENT_MS, JOINER_SILENT_MS, RETAINED_ENTRIES, SNAPSHOT_CHUNK_BYTES,
 };
-use lupinrack_chain::{Chain, Effect, ReplicaStatus, Stored};
+use lupinrack_chain::{Chain, Effect, ReplicaStatus, StoredState};
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::wire::{ChainMessage, SnapshotIdentity};
@@ -28,7 +28,7 @@
     );
     let mut spare = Chain::new(DiskId(2), 1, kept);
     spare.receive(DiskId(1), append(1, 1, vec![], 1, 0), START);
-    let effects = spare.new_view(view(2, &[1]), START);
+    let effects = spare.adopt_view(view(2, &[1]), START);
     assert_eq!(
         orders(&effects),
         [
@@ -37,7 +37,7 @@
         ]
     );
     assert_eq!(spare.tick(START), []);
-    assert_eq!(spare.truncated(1, START), []);
+    assert_eq!(spare.log_truncated(1, START), []);
     assert_eq!(spare.tick(START), []);
     spare.replica_status_stored(START);
     assert_eq!(spare.tick(START), [Effect::Send(DiskId(1), join(2, 2, 1))]);
@@ -53,10 +53,10 @@
     cluster.pass(500);
     let now = cluster.now;
     assert_eq!(cluster.chain(3).committed(), 5);
-    assert!(cluster.chain(3).caught_up(now));
+    assert!(cluster.chain(3).is_caught_up(now));
     assert!(!cluster.chain(3).is_member() && !cluster.chain(3).is_complete());
-    assert!(!cluster.chain(3).caught_up(now.plus(CAUGHT_UP_MS + 200)));
-    assert!(!cluster.chain(2).caught_up(now), "a member");
+    assert!(!cluster.chain(3).is_caught_up(now.plus(CAUGHT_UP_MS + 200)));
+    assert!(!cluster.chain(2).is_caught_up(now), "a member");
 }
 
 #[test]
@@ -68,7 +68,7 @@
     cluster.submit(1, 1);
     cluster.pass(500);
     let now = cluster.now;
-    assert!(!cluster.chain(3).caught_up(now));
+    assert!(!cluster.chain(3).is_caught_up(now));
     assert_eq!(cluster.chain(3).committed(), 0);
 }
 
@@ -92,7 +92,7 @@
 fn a_spare_whose_feeder_is_silent_turns_to_the_member_before_it_and_round() {
     let kept = stored(vec![], view(1, &[1, 2, 3]), ReplicaStatus::Joining);
     let mut spare = Chain::new(DiskId(4), 2, kept);
-    spare.new_view(view(2, &[1, 2, 3]), START);
+    spare.adopt_view(view(2, &[1, 2, 3]), START);
     let mut now = START;
     let mut asked = joined_within(&mut spare, &mut now, 1_500);
     asked.dedup();
@@ -103,7 +103,7 @@
 fn a_spare_keeps_to_a_feeder_that_answers() {
     let kept = stored(vec![], view(1, &[1, 2]), ReplicaStatus::Joining);
     let mut spare = Chain::new(DiskId(3), 2, kept);
-    spare.new_view(view(2, &[1, 2]), START);
+    spare.adopt_view(view(2, &[1, 2]), START);
     let mut now = START;
     let mut asked = Vec::new();
     for _ in 0..20 {
@@ -116,14 +116,14 @@
 
 #[test]
 fn a_tail_streams_committed_entries_only() {
-    let mut tail = Chain::new(DiskId(2), 2, Stored::default());
-    tail.new_view(view(1, &[1, 2]), START);
+    let mut tail = Chain::new(DiskId(2), 2, StoredState::default());
+    tail.adopt_view(view(1, &[1, 2]), START);
     tail.receive(
         DiskId(1),
         append(1, 0, vec![entry(1, 1), entry(2, 2)], 0, 0),
         START,
     );
-    tail.written(2, START);
+    tail.entries_written(2, START);
     tail.receive(DiskId(1), append(1, 2, vec![], 1, 0), START);
     let effects = tail.receive(DiskId(3), join(1, 3, 0), START);
     let sent = messages(&effects);
@@ -135,11 +135,11 @@
 
 #[test]
 fn a_tail_forgets_a_silent_spare() {
-    let mut tail = Chain::new(DiskId(2), 2, Stored::default());
-    tail.new_view(view(1, &[1, 2]), START);
+    let mut tail = Chain::new(DiskId(2), 2, StoredState::default());
+    tail.adopt_view(view(1, &[1, 2]), START);
     tail.receive(DiskId(1), append(1, 0, vec![entry(1, 1)], 0, 0), START);
     tail.receive(DiskId(3), join(1, 3, 0), START);
-    tail.written(1, START);
+    tail.entries_written(1, START);
     tail.receive(DiskId(1), append(1, 1, vec![], 1, 0), START);
     let to_spare = |effects: &[Effect]| messages(effects).iter().any(|(to, _)| *to == DiskId(3));
     assert!(!to_spare(&tail.tick(START.plus(JOINER_SILENT_MS + 1))));
@@ -164,7 +164,7 @@
     cluster.adopt(view(2, &[1, 2]));
     cluster.pass(500);
     assert!(!cluster.chain(2).is_complete());
-    assert!(!cluster.chain(1).ready());
+    assert!(!cluster.chain(1).is_ready());
 }
 
 #[test]
@@ -176,7 +176,7 @@
     }
     cluster.pass(500);
     cluster.adopt(view(2, &[1, 2]));
-    assert!(cluster.chain(1).ready());
+    assert!(cluster.chain(1).is_ready());
     assert!(cluster.chain(2).is_complete());
     assert_eq!(cluster.submit(1, 6), Some(6));
     cluster.pass(100);
@@ -191,7 +191,7 @@
     for number in 1..=RETAINED_ENTRIES + 10 {
         cluster.submit(1, number);
     }
-    cluster.chain(1).compacted(RETAINED_ENTRIES + 10);
+    cluster.chain(1).compact_log(RETAINED_ENTRIES + 10);
     assert_eq!(cluster.chain(1).entry(10), None);
     assert!(cluster.chain(1).entry(11).is_some());
     cluster.stalled.clear();
@@ -205,7 +205,7 @@
     assert_eq!(installs.count(), 1);
     assert_eq!(cluster.chain(2).committed(), RETAINED_ENTRIES + 10);
     let now = cluster.now;
-    assert!(cluster.chain(2).caught_up(now));
+    assert!(cluster.chain(2).is_caught_up(now));
 }
 
 #[test]
@@ -213,12 +213,12 @@
     let mut tail = Chain::new(
         DiskId(1),
         1,
-        Stored {
+        StoredState {
             snapshot_index: 5,
-            ..Stored::default()
+            ..StoredState::default()
         },
     );
-    tail.new_view(view(1, &[1]), START);
+    tail.adopt_view(view(1, &[1]), START);
     let effects = tail.receive(DiskId(2), join(1, 2, 0), START);
     assert!(orders(&effects).contains(&Effect::NeedSnapshot));
     let bytes: Vec<u8> = (0..2 * SNAPSHOT_CHUNK_BYTES + 1)
@@ -227,8 +227,8 @@
     let chunks = messages(&tail.provide_snapshot(5, bytes.clone(), START));
     assert_eq!(chunks.len(), 3);
     let spare = || {
-        let mut spare = Chain::new(DiskId(2), 1, Stored::default());
-        spare.new_view(view(1, &[1]), START);
+        let mut spare = Chain::new(DiskId(2), 1, StoredState::default());
+        spare.adopt_view(view(1, &[1]), START);
         spare
     };
     let feed = |spare: &mut Chain, numbers: &[usize]| -> Vec<Effect> {
@@ -245,8 +245,8 @@
 
 #[test]
 fn a_complete_member_takes_no_snapshot() {
-    let mut tail = Chain::new(DiskId(2), 1, Stored::default());
-    tail.new_view(view(1, &[1, 2]), START);
+    let mut tail = Chain::new(DiskId(2), 1, StoredState::default());
+    tail.adopt_view(view(1, &[1, 2]), START);
     let snapshot = SnapshotIdentity {
         index: 5,
         chunks: 1,
@@ -274,7 +274,7 @@
 fn the_recovery_barrier_is_acknowledged_once_the_standing_is_durable() {
     let kept = stored(vec![], view(1, &[1]), ReplicaStatus::Joining);
     let mut tail = Chain::new(DiskId(2), 1, kept);
-    tail.new_view(view(2, &[1, 2]), START);
+    tail.adopt_view(view(2, &[1, 2]), START);
     tail.receive(DiskId(1), append(2, 0, vec![], 0, 0), START);
     let effects = tail.receive(DiskId(1), append(2, 0, vec![], 0, 1), START);
     assert_eq!(
@@ -301,6 +301,6 @@
     let all = (DiskId(2), append(1, 0, entries(), 3, 0));
     assert!(messages(&tail.receive(DiskId(2), join(1, 2, 0), now)).contains(&all));
     assert_eq!(messages(&tail.tick(now.plus(25))), []);
-    tail.disconnected(DiskId(2), now.plus(30));
+    tail.peer_disconnected(DiskId(2), now.plus(30));
     assert_eq!(messages(&tail.tick(now.plus(50))), [all]);
 }
--- a/crates/chain/tests/properties.rs
+++ b/crates/chain/tests/properties.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{append, entry, operation, view, START};
-use lupinrack_chain::{Chain, Effect, Stored};
+use lupinrack_chain::{Chain, Effect, StoredState};
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::operation::LogEntry;
 use quickcheck::quickcheck;
@@ -30,13 +30,13 @@
             },
         )
     });
-    let stored = Stored {
+    let stored = StoredState {
         entries: entries.collect(),
         view: view(1, &[1, 2]),
-        ..Stored::default()
+        ..StoredState::default()
     };
     let mut chain = Chain::new(DiskId(2), 2, stored);
-    chain.new_view(view(2, &[1, 2]), START);
+    chain.adopt_view(view(2, &[1, 2]), START);
     chain
 }
 
@@ -67,8 +67,8 @@
 
     /// The head numbers operations without gaps, and its log is what it ordered to be written.
     fn the_head_numbers_without_gaps(count: u8) -> bool {
-        let mut head = Chain::new(DiskId(1), 1, Stored::default());
-        head.new_view(view(1, &[1]), START);
+        let mut head = Chain::new(DiskId(1), 1, StoredState::default());
+        head.adopt_view(view(1, &[1]), START);
         (1..=u64::from(count)).all(|number| {
             let submitted = head.submit(operation(number), START);
             submitted.is_ok_and(|(index, effects)| {
@@ -81,8 +81,8 @@
 /// The disk's answer to an effect.
 fn complete(chain: &mut Chain, effect: &Effect) -> Vec<Effect> {
     match effect {
-        Effect::Append(entries) => chain.written(entries[entries.len() - 1].index, START),
-        Effect::TruncateAfter(index) => chain.truncated(*index, START),
+        Effect::Append(entries) => chain.entries_written(entries[entries.len() - 1].index, START),
+        Effect::TruncateAfter(index) => chain.log_truncated(*index, START),
         _ => Vec::new(),
     }
 }
--- a/crates/chain/tests/replication.rs
+++ b/crates/chain/tests/replication.rs
@@ -6,7 +6,7 @@
     acknowledge, append, entry, messages, operation, orders, stored, view, Cluster, START,
 };
 use lupinrack_chain::limits::{BATCH_BYTES, PROBE_MS, UNCOMMITTED_ENTRIES_MOST};
-use lupinrack_chain::{Chain, Effect, ReplicaStatus, Stored, SubmitError};
+use lupinrack_chain::{Chain, Effect, ReplicaStatus, StoredState, SubmitError};
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::operation::{
     ConfigurationBody, ConfigurationChange, LogEntry, Operation,
@@ -16,11 +16,11 @@
 
 /// Disk 1 as the head of a chain of two, ready.
 fn ready_head() -> Chain {
-    let mut head = Chain::new(DiskId(1), 2, Stored::default());
-    head.new_view(view(1, &[1, 2]), START);
+    let mut head = Chain::new(DiskId(1), 2, StoredState::default());
+    head.adopt_view(view(1, &[1, 2]), START);
     head.receive(DiskId(2), acknowledge(1, 0, 0), START);
     head.receive(DiskId(2), acknowledge(1, 0, 1), START);
-    assert!(head.ready());
+    assert!(head.is_ready());
     head
 }
 
@@ -31,7 +31,7 @@
         2,
         stored(entries, view(1, &[1, 2]), ReplicaStatus::Complete),
     );
-    tail.new_view(view(2, &[1, 2]), START);
+    tail.adopt_view(view(2, &[1, 2]), START);
     tail
 }
 
@@ -48,15 +48,15 @@
     let effects = head.receive(DiskId(2), acknowledge(1, 1, 1), START);
     assert_eq!(orders(&effects), []);
     assert_eq!(head.committed(), 0);
-    let effects = head.written(1, START);
+    let effects = head.entries_written(1, START);
     assert_eq!(effects, [Effect::Commit(1)]);
     assert_eq!(head.committed(), 1);
 }
 
 #[test]
 fn a_member_acknowledges_only_what_is_synced_here_and_behind() {
-    let mut middle = Chain::new(DiskId(2), 3, Stored::default());
-    middle.new_view(view(1, &[1, 2, 3]), START);
+    let mut middle = Chain::new(DiskId(2), 3, StoredState::default());
+    middle.adopt_view(view(1, &[1, 2, 3]), START);
     let effects = middle.receive(DiskId(1), append(1, 0, vec![entry(1, 7)], 0, 0), START);
     assert!(effects.contains(&Effect::Append(vec![entry(1, 7)])));
     let forwarded = (DiskId(3), append(1, 0, vec![entry(1, 7)], 0, 0));
@@ -65,7 +65,7 @@
         messages(&middle.receive(DiskId(3), acknowledge(1, 1, 0), START)),
         []
     );
-    let effects = middle.written(1, START);
+    let effects = middle.entries_written(1, START);
     assert_eq!(messages(&effects), [(DiskId(1), acknowledge(1, 1, 0))]);
 }
 
@@ -73,7 +73,7 @@
 fn everybody_applies_what_is_committed() {
     let mut cluster = Cluster::new(3, 2);
     cluster.adopt(view(1, &[1, 2, 3]));
-    assert!(cluster.chain(1).ready());
+    assert!(cluster.chain(1).is_ready());
     assert_eq!(cluster.submit(1, 7), Some(1));
     assert_eq!(cluster.submit(1, 8), Some(2));
     cluster.pass(200);
@@ -103,7 +103,7 @@
     let mut cluster = Cluster::new(2, 3);
     cluster.adopt(view(1, &[1, 2]));
     cluster.pass(1000);
-    assert!(!cluster.chain(1).ready());
+    assert!(!cluster.chain(1).is_ready());
     assert_eq!(cluster.submit(1, 7), None);
 }
 
@@ -123,7 +123,7 @@
         assert!(head.submit(operation(number), START).is_ok());
     }
     assert_eq!(head.submit(operation(0), START), Err(SubmitError::Full));
-    head.written(1, START);
+    head.entries_written(1, START);
     head.receive(DiskId(2), acknowledge(1, 1, 1), START);
     assert!(head.submit(operation(0), START).is_ok());
 }
@@ -228,13 +228,13 @@
     );
     assert_eq!(tail.last_index(), 2);
     assert_eq!(
-        messages(&tail.written(3, START)),
+        messages(&tail.entries_written(3, START)),
         [],
         "a report of the replaced entries"
     );
-    assert_eq!(messages(&tail.truncated(1, START)), []);
+    assert_eq!(messages(&tail.log_truncated(1, START)), []);
     assert_eq!(
-        messages(&tail.written(2, START)),
+        messages(&tail.entries_written(2, START)),
         [(DiskId(1), acknowledge(2, 2, 0))]
     );
 }
@@ -259,16 +259,16 @@
 fn a_restarted_head_is_silent_until_a_newer_view() {
     let kept = stored(vec![entry(1, 1)], view(1, &[1, 2]), ReplicaStatus::Complete);
     let mut head = Chain::new(DiskId(1), 2, kept);
-    assert!(head.needs_view());
+    assert!(head.needs_new_view());
     assert_eq!(head.tick(Millis(5000)), []);
     assert_eq!(
         head.receive(DiskId(2), ChainMessage::Resend { view: 1, have: 0 }, START),
         []
     );
     head.receive(DiskId(2), acknowledge(1, 5, 1), START);
-    assert!(!head.ready());
-    let effects = head.new_view(view(2, &[1, 2]), START);
-    assert!(!head.needs_view());
+    assert!(!head.is_ready());
+    let effects = head.adopt_view(view(2, &[1, 2]), START);
+    assert!(!head.needs_new_view());
     assert_eq!(
         messages(&effects),
         [(DiskId(2), append(2, 1, vec![], 0, 0))]
@@ -290,7 +290,7 @@
     ];
     cluster.adopt(view(2, &[1, 2]));
     cluster.pass(1000);
-    assert!(cluster.chain(1).ready());
+    assert!(cluster.chain(1).is_ready());
     assert_eq!(cluster.chain(1).committed(), 2);
     assert_eq!(cluster.chain(2).committed(), 2);
 }
@@ -315,10 +315,10 @@
         ReplicaStatus::Joining,
     );
     let mut head = Chain::new(DiskId(1), 2, kept);
-    let effects = head.new_view(view(2, &[1, 2]), START);
+    let effects = head.adopt_view(view(2, &[1, 2]), START);
     assert_eq!(messages(&effects), []);
     head.receive(DiskId(2), acknowledge(2, 5, 1), START);
-    assert!(!head.ready() && !head.is_complete());
+    assert!(!head.is_ready() && !head.is_complete());
 }
 
 #[test]
@@ -329,17 +329,17 @@
         ReplicaStatus::Complete,
     );
     let mut head = Chain::new(DiskId(1), 2, kept);
-    head.new_view(view(2, &[1, 2]), START);
+    head.adopt_view(view(2, &[1, 2]), START);
     assert_eq!(head.receive(DiskId(2), acknowledge(2, 1, 0), START), []);
     let effects = head.receive(DiskId(2), acknowledge(2, 2, 0), START);
     assert_eq!(
         effects,
         [Effect::Send(DiskId(2), append(2, 2, vec![], 0, 1))]
     );
-    assert!(!head.ready());
+    assert!(!head.is_ready());
     let effects = head.receive(DiskId(2), acknowledge(2, 2, 1), START);
     assert_eq!(orders(&effects), [Effect::Commit(2)]);
-    assert!(head.ready());
+    assert!(head.is_ready());
 }
 
 #[test]
@@ -375,14 +375,14 @@
     let mut head = Chain::new(
         DiskId(1),
         2,
-        Stored {
+        StoredState {
             snapshot_index: 2,
             view: view(1, &[1, 2]),
-            ..Stored::default()
+            ..StoredState::default()
         },
     );
     let mut follower = tail_with((1..=5).map(|index| entry(index, index)).collect());
-    head.new_view(view(2, &[1, 2]), START);
+    head.adopt_view(view(2, &[1, 2]), START);
     // The head tells what is committed, and finds the follower to have just that.
     let probe = append(2, 2, vec![], 2, 0);
     let effects = follower.receive(DiskId(1), probe, START);
--- a/crates/chain/tests/snapshot_pieces.rs
+++ b/crates/chain/tests/snapshot_pieces.rs
@@ -4,7 +4,7 @@
 
 use common::{messages, orders, view, START};
 use lupinrack_chain::limits::{ByteLimits, JOINER_STALLED_MS, SNAPSHOT_CHUNK_BYTES};
-use lupinrack_chain::{Chain, Effect, Stored};
+use lupinrack_chain::{Chain, Effect, StoredState};
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::wire::{ChainMessage, SnapshotIdentity};
@@ -19,12 +19,12 @@
     let mut tail = Chain::new(
         TAIL,
         1,
-        Stored {
+        StoredState {
             snapshot_index: index,
-            ..Stored::default()
+            ..StoredState::default()
         },
     );
-    tail.new_view(view(view_number, &[1]), START);
+    tail.adopt_view(view(view_number, &[1]), START);
     let join = ChainMessage::Join {
         view: view_number,
         disk: SPARE,
@@ -49,13 +49,13 @@
 }
 
 fn spare(view_number: u64) -> Chain {
-    let mut spare = Chain::new(SPARE, 1, Stored::default());
-    spare.new_view(view(view_number, &[1]), START);
+    let mut spare = Chain::new(SPARE, 1, StoredState::default());
+    spare.adopt_view(view(view_number, &[1]), START);
     spare
 }
 
 /// What the spare installs from these pieces.
-fn installed(spare: &mut Chain, chunks: &[ChainMessage]) -> Vec<Effect> {
+fn snapshot_installed(spare: &mut Chain, chunks: &[ChainMessage]) -> Vec<Effect> {
     let effects: Vec<Effect> = chunks
         .iter()
         .flat_map(|chunk| spare.receive(TAIL, chunk.clone(), START))
@@ -78,32 +78,32 @@
     // The same index and number of pieces, other bytes.
     let (one, other) = (pieces_of(1, 5, 1), pieces_of(1, 5, 2));
     let mixed = [&one[..2], &other[2..]].concat();
-    assert_eq!(installed(&mut spare(1), &mixed), []);
+    assert_eq!(snapshot_installed(&mut spare(1), &mixed), []);
     // Other indices.
     let newer = pieces_of(1, 6, 1);
     let mixed = [&one[..2], &newer[2..]].concat();
-    assert_eq!(installed(&mut spare(1), &mixed), []);
+    assert_eq!(snapshot_installed(&mut spare(1), &mixed), []);
 }
 
 #[test]
 fn pieces_of_another_view_are_not_taken() {
     let old = pieces_of(1, 5, 1);
     let mut spare = spare(1);
-    assert_eq!(installed(&mut spare, &old[..3]), []);
-    spare.new_view(view(2, &[1]), START);
+    assert_eq!(snapshot_installed(&mut spare, &old[..3]), []);
+    spare.adopt_view(view(2, &[1]), START);
     assert_eq!(
-        installed(&mut spare, &old[3..]),
+        snapshot_installed(&mut spare, &old[3..]),
         [],
         "the rest of one that began in the old view"
     );
     let new = pieces_of(2, 5, 1);
     assert_eq!(
-        installed(&mut spare, &new[1..]),
+        snapshot_installed(&mut spare, &new[1..]),
         [],
         "what came in the old view is forgotten"
     );
     assert_eq!(
-        installed(&mut spare, &new),
+        snapshot_installed(&mut spare, &new),
         [Effect::Install {
             index: 5,
             bytes: bytes(1)
@@ -118,7 +118,7 @@
     for chunk in &chunks {
         assert_eq!(spare.receive(DiskId(3), chunk.clone(), START), []);
     }
-    assert_eq!(installed(&mut spare, &chunks).len(), 1);
+    assert_eq!(snapshot_installed(&mut spare, &chunks).len(), 1);
 }
 
 #[test]
@@ -129,7 +129,7 @@
     ];
     let order: Vec<ChainMessage> = order.into_iter().cloned().collect();
     assert_eq!(
-        installed(&mut spare(1), &order),
+        snapshot_installed(&mut spare(1), &order),
         [Effect::Install {
             index: 6,
             bytes: bytes(2)
@@ -141,8 +141,8 @@
 fn an_older_snapshot_is_taken_once_a_newer_one_comes_no_further() {
     let (old, new) = (pieces_of(1, 5, 1), pieces_of(1, 6, 2));
     let mut spare = spare(1);
-    installed(&mut spare, &new[..2]);
-    assert_eq!(installed(&mut spare, &old), []);
+    snapshot_installed(&mut spare, &new[..2]);
+    assert_eq!(snapshot_installed(&mut spare, &old), []);
     let later = START.plus(JOINER_STALLED_MS);
     let effects: Vec<Effect> = old
         .iter()
@@ -176,7 +176,7 @@
     for message in spoilt {
         assert_eq!(spare.receive(TAIL, message, START), []);
     }
-    assert_eq!(installed(&mut spare, &chunks).len(), 1);
+    assert_eq!(snapshot_installed(&mut spare, &chunks).len(), 1);
 }
 
 #[test]
@@ -186,8 +186,8 @@
         bytes[9] ^= 1;
     }
     let mut spare = spare(1);
-    assert_eq!(installed(&mut spare, &chunks), []);
-    assert_eq!(installed(&mut spare, &pieces_of(1, 5, 1)).len(), 1);
+    assert_eq!(snapshot_installed(&mut spare, &chunks), []);
+    assert_eq!(snapshot_installed(&mut spare, &pieces_of(1, 5, 1)).len(), 1);
 }
 
 /// A tail that sends a snapshot of many pieces, with a narrow window, and the first of them.
@@ -199,13 +199,13 @@
     let mut tail = Chain::new(
         TAIL,
         1,
-        Stored {
+        StoredState {
             snapshot_index: 5,
-            ..Stored::default()
+            ..StoredState::default()
         },
     )
     .with_byte_limits(limits);
-    tail.new_view(view(1, &[1]), START);
+    tail.adopt_view(view(1, &[1]), START);
     tail.receive(
         SPARE,
         ChainMessage::Join {
@@ -324,9 +324,9 @@
     let snapshot = identity(&first[0]);
     assert_eq!(answer(&mut tail, snapshot, 1, START), [2]);
     assert_eq!(sent(&tail.tick(START.plus(25))), []);
-    tail.disconnected(SPARE, START.plus(30));
+    tail.peer_disconnected(SPARE, START.plus(30));
     assert_eq!(numbers(&sent(&tail.tick(START.plus(50)))), [1, 2]);
-    tail.disconnected(DiskId(9), START.plus(60));
+    tail.peer_disconnected(DiskId(9), START.plus(60));
     assert_eq!(
         sent(&tail.tick(START.plus(75))),
         [],
--- a/crates/chain/tests/support/disk.rs
+++ b/crates/chain/tests/support/disk.rs
@@ -1,7 +1,7 @@
 //! A disk that keeps what was synced, and of the rest any first part, at a loss of power.
 
 use super::PlantedFault;
-use lupinrack_chain::{ReplicaStatus, Stored};
+use lupinrack_chain::{ReplicaStatus, StoredState};
 use lupinrack_cluster_api::operation::LogEntry;
 use lupinrack_cluster_api::view::View;
 use std::collections::VecDeque;
@@ -35,8 +35,8 @@
 }
 
 impl Disk {
-    pub fn stored(&self) -> Stored {
-        Stored {
+    pub fn stored(&self) -> StoredState {
+        StoredState {
             snapshot_index: self.snapshot.index,
             entries: self.log.clone(),
             view: self.view.clone(),
--- a/crates/chain/tests/support/node.rs
+++ b/crates/chain/tests/support/node.rs
@@ -82,7 +82,7 @@
             _ => self.disk.view = view.clone(),
         }
         self.barriers.clear();
-        let effects = chain.new_view(view, now);
+        let effects = chain.adopt_view(view, now);
         self.carry_out(effects, now, checker)
     }
 
@@ -143,10 +143,10 @@
         let effects = match write {
             Write::Append(entries) => {
                 let last = entries.last().map_or(0, |entry| entry.index);
-                chain.written(last, now)
+                chain.entries_written(last, now)
             }
-            Write::Truncate(index) => chain.truncated(index, now),
-            Write::Install(snapshot) => chain.installed(snapshot.index, now),
+            Write::Truncate(index) => chain.log_truncated(index, now),
+            Write::Install(snapshot) => chain.snapshot_installed(snapshot.index, now),
             Write::ReplicaStatus(_) => chain.replica_status_stored(now),
             Write::View(_) => Vec::new(),
         };
@@ -164,7 +164,7 @@
                 index: self.applied.index + too_new,
                 ..self.applied
             });
-            chain.compacted(self.applied.index);
+            chain.compact_log(self.applied.index);
         }
     }
 
@@ -194,7 +194,7 @@
                 let last = entries.last().map_or(0, |entry| entry.index);
                 self.disk.order(Write::Append(entries));
                 if self.fault == PlantedFault::AcknowledgeBeforeSync {
-                    return chain.written(last, now);
+                    return chain.entries_written(last, now);
                 }
             }
             Effect::TruncateAfter(index) => {
--- a/crates/chain/tests/support/policy.rs
+++ b/crates/chain/tests/support/policy.rs
@@ -10,7 +10,7 @@
 pub struct Claims {
     view: u64,
     complete: BTreeSet<DiskId>,
-    caught_up: BTreeSet<DiskId>,
+    is_caught_up: BTreeSet<DiskId>,
 }
 
 impl Claims {
@@ -30,9 +30,9 @@
     }
 
     /// A spare has caught up in the newest view.
-    pub fn caught_up(&mut self, view: u64, disk: DiskId) {
+    pub fn is_caught_up(&mut self, view: u64, disk: DiskId) {
         self.turn_to(view);
-        self.caught_up.insert(disk);
+        self.is_caught_up.insert(disk);
     }
 
     /// The next view: some members of the current one, then some spares. None where no head is to be had.
@@ -53,7 +53,7 @@
             return None;
         }
         let spares = self
-            .caught_up
+            .is_caught_up
             .iter()
             .copied()
             .filter(|disk| fresh && usable(*disk));
--- a/crates/chain/tests/support/trouble.rs
+++ b/crates/chain/tests/support/trouble.rs
@@ -169,8 +169,8 @@
         let current = self.newest().clone();
         let head = current.head().and_then(|disk| self.position(disk));
         let chain = head.and_then(|node| self.nodes[node].chain.as_ref());
-        let ready = chain.is_some_and(|chain| chain.ready());
-        if ready {
+        let is_ready = chain.is_some_and(|chain| chain.is_ready());
+        if is_ready {
             return;
         }
         let alive: Vec<DiskId> = self.nodes.iter().map(|node| node.id).collect();
--- a/crates/chain/tests/support/world.rs
+++ b/crates/chain/tests/support/world.rs
@@ -262,8 +262,8 @@
         if chain.is_complete() {
             self.claims.complete(newest, self.nodes[node].id);
         }
-        if chain.caught_up(Millis(self.now)) {
-            self.claims.caught_up(newest, self.nodes[node].id);
+        if chain.is_caught_up(Millis(self.now)) {
+            self.claims.is_caught_up(newest, self.nodes[node].id);
         }
     }
 
@@ -392,7 +392,7 @@
         let view = self.newest().number;
         let head = self.newest().head().and_then(|disk| self.position(disk));
         let chain = head.and_then(|node| self.nodes[node].chain.as_ref());
-        let Some(chain) = chain.filter(|chain| chain.ready()) else {
+        let Some(chain) = chain.filter(|chain| chain.is_ready()) else {
             self.checker.report(Violation::Stuck { view });
             return;
         };
--- a/crates/cluster-api/src/wire.rs
+++ b/crates/cluster-api/src/wire.rs
@@ -41,7 +41,8 @@
     pub disk: Option<DiskId>,
 }
 
-/// A ballot of the agreement on views: unique, since its proposer is.
+/// The number of a proposal in the agreement on views, ordered by term first. Two proposals never share a number, since
+/// the incarnations of their proposers differ.
 #[derive(
     Clone,
     Copy,
@@ -55,54 +56,55 @@
     BorshSerialize,
     BorshDeserialize,
 )]
-pub struct Ballot {
-    /// Above that of every ballot that the proposer had heard of.
-    pub round: u64,
+pub struct ProposalNumber {
+    /// Higher than the term of every proposal that the proposer had seen.
+    pub term: u64,
     /// Drawn at random when the proposer's process began.
     pub incarnation: u64,
 }
 
-/// Messages of the agreement on views (a register changed by two-phase ballots).
+/// Messages of the agreement on views. One view is decided by one instance of single-decree Paxos (Lamport, *Paxos Made
+/// Simple*, 2001).
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum AgreementMessage {
-    /// Asks for a promise to take nothing under a lower ballot.
+    /// Phase 1a: asks an acceptor to accept nothing under a lower proposal number.
     Prepare {
-        /// The ballot.
-        ballot: Ballot,
+        /// The number of the proposal.
+        proposal_number: ProposalNumber,
     },
-    /// The promise, and the view accepted last.
-    Promise {
-        /// The ballot promised.
-        ballot: Ballot,
-        /// The disk that promises.
+    /// Phase 1b: the acceptor accepts nothing under a lower proposal number from now on.
+    Prepared {
+        /// The number of the proposal.
+        proposal_number: ProposalNumber,
+        /// The disk of the acceptor.
         disk: DiskId,
-        /// Under which ballot the view was accepted.
-        accepted_ballot: Ballot,
-        /// The view accepted last; number 0 where there is none.
+        /// The proposal number under which `accepted` was accepted.
+        accepted_proposal: ProposalNumber,
+        /// The view that the disk accepted last; number 0 for none.
         accepted: View,
     },
-    /// Asks to accept a view.
+    /// Phase 2a: asks an acceptor to accept a view.
     Accept {
-        /// The ballot.
-        ballot: Ballot,
-        /// The view.
+        /// The number of the proposal.
+        proposal_number: ProposalNumber,
+        /// The proposed view.
         view: View,
     },
-    /// The view was accepted and is on disk.
+    /// Phase 2b: the view was accepted and is on disk.
     Accepted {
-        /// The ballot.
-        ballot: Ballot,
-        /// The disk that accepted.
+        /// The number of the proposal.
+        proposal_number: ProposalNumber,
+        /// The disk of the acceptor.
         disk: DiskId,
     },
-    /// A higher ballot was promised.
+    /// The acceptor has prepared a higher proposal number.
     Rejected {
-        /// The ballot refused.
-        ballot: Ballot,
-        /// The ballot promised.
-        promised: Ballot,
+        /// The number of the rejected proposal.
+        proposal_number: ProposalNumber,
+        /// The proposal number that the acceptor has prepared.
+        prepared: ProposalNumber,
     },
-    /// A view that is agreed.
+    /// A view is agreed.
     Agreed {
         /// The view.
         view: View,
@@ -240,8 +242,8 @@
         view: View,
         /// Whether its disk answers in time.
         disk_healthy: bool,
-        /// Whether it was told to end: its place in the chain, and its vote where another can have it, are to be taken.
-        leaving: bool,
+        /// Whether it shuts down: other disks are to take its place in the chain and, where one can, its vote.
+        draining: bool,
         /// What its replica is good for in that view.
         replica: ReplicaReport,
     },
--- a/crates/cluster-api/tests/golden.rs
+++ b/crates/cluster-api/tests/golden.rs
@@ -22,7 +22,9 @@
 use lupinrack_cluster_api::server::RunEnd;
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::{Ballot, Interest, ReplicaReport, Role, FRAME_BYTES_MOST};
+use lupinrack_cluster_api::wire::{
+    Interest, ProposalNumber, ReplicaReport, Role, FRAME_BYTES_MOST,
+};
 use lupinrack_golden_files::{to_hex, GoldenFile};
 
 /// The file of this name.
@@ -56,8 +58,8 @@
     );
     file.borsh(
         "ballot",
-        &Ballot {
-            round: 0x7172,
+        &ProposalNumber {
+            term: 0x7172,
             incarnation: 0x8182,
         },
     );
--- a/crates/cluster-api/tests/golden_values/messages.rs
+++ b/crates/cluster-api/tests/golden_values/messages.rs
@@ -11,7 +11,7 @@
 use lupinrack_cluster_api::server::{FinishedTask, RunEnd, RunningTask, ServerFacts};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::wire::{
-    AgreementMessage, Ballot, ChainMessage, Frame, Hello, Interest, ReplicaReport, Role,
+    AgreementMessage, ChainMessage, Frame, Hello, Interest, ProposalNumber, ReplicaReport, Role,
     SnapshotIdentity,
 };
 
@@ -84,57 +84,63 @@
     }
 }
 
-pub fn ballot(round: u64) -> Ballot {
-    Ballot {
-        round,
-        incarnation: round + 100,
+pub fn proposal_number(term: u64) -> ProposalNumber {
+    ProposalNumber {
+        term,
+        incarnation: term + 100,
     }
 }
 
 /// Every message of the agreement on views, under a name.
 pub fn all_agreement_messages() -> Vec<(&'static str, AgreementMessage)> {
-    let (ballot, disk) = (ballot(81), DiskId(82));
-    let higher = Ballot {
-        round: 83,
+    let (proposal_number, disk) = (proposal_number(81), DiskId(82));
+    let higher = ProposalNumber {
+        term: 83,
         incarnation: 84,
     };
-    let lower = Ballot {
-        round: 85,
+    let lower = ProposalNumber {
+        term: 85,
         incarnation: 86,
     };
     vec![
-        ("prepare", AgreementMessage::Prepare { ballot }),
+        ("prepare", AgreementMessage::Prepare { proposal_number }),
         (
             "promise",
-            AgreementMessage::Promise {
-                ballot,
+            AgreementMessage::Prepared {
+                proposal_number,
                 disk,
-                accepted_ballot: lower,
+                accepted_proposal: lower,
                 accepted: view(87),
             },
         ),
         (
             "promise of a voter that accepted nothing",
-            AgreementMessage::Promise {
-                ballot,
+            AgreementMessage::Prepared {
+                proposal_number,
                 disk,
-                accepted_ballot: Ballot::default(),
+                accepted_proposal: ProposalNumber::default(),
                 accepted: Default::default(),
             },
         ),
         (
             "accept",
             AgreementMessage::Accept {
-                ballot,
+                proposal_number,
                 view: view(88),
             },
         ),
-        ("accepted", AgreementMessage::Accepted { ballot, disk }),
+        (
+            "accepted",
+            AgreementMessage::Accepted {
+                proposal_number,
+                disk,
+            },
+        ),
         (
             "rejected",
             AgreementMessage::Rejected {
-                ballot,
-                promised: higher,
+                proposal_number,
+                prepared: higher,
             },
         ),
         ("agreed", AgreementMessage::Agreed { view: view(89) }),
@@ -289,11 +295,11 @@
 
 /// Heartbeats between core processes, each with one of its flags set.
 fn heartbeats() -> Vec<(String, Frame)> {
-    let heartbeat = |disk_healthy, leaving, replica| Frame::Heartbeat {
+    let heartbeat = |disk_healthy, draining, replica| Frame::Heartbeat {
         voter: voter(117),
         view: view(118),
         disk_healthy,
-        leaving,
+        draining,
         replica,
     };
     let caught_up = ReplicaReport {
--- a/crates/cluster-node/examples/measure_snapshot.rs
+++ b/crates/cluster-node/examples/measure_snapshot.rs
@@ -1,7 +1,7 @@
 //! Prints what a snapshot of a large state costs: `cargo run --release -p lupinrack-cluster-node --example
 //! measure_snapshot -- TASKS`.
 
-use lupinrack_chain::{Chain, Effect, Stored};
+use lupinrack_chain::{Chain, Effect, StoredState};
 use lupinrack_cluster_api::identity::{
     DiskId, FencingToken, JobId, QueueName, ServerId, ServiceName, TaskId,
 };
@@ -100,9 +100,9 @@
     let mut tail = Chain::new(
         TAIL,
         1,
-        Stored {
+        StoredState {
             snapshot_index: 1,
-            ..Stored::default()
+            ..StoredState::default()
         },
     );
     let view = View {
@@ -110,7 +110,7 @@
         voters: Vec::new(),
         chain: vec![TAIL],
     };
-    tail.new_view(view, Millis(1));
+    tail.adopt_view(view, Millis(1));
     tail.receive(
         SPARE,
         ChainMessage::Join {
--- a/crates/cluster-node/src/core/machine/calls.rs
+++ b/crates/cluster-node/src/core/machine/calls.rs
@@ -9,7 +9,7 @@
             self.answer(call.caller, Reply::NotHead(view), now);
             return;
         }
-        if !self.chain.ready() {
+        if !self.chain.is_ready() {
             self.waiting.defer(call);
             return;
         }
@@ -20,7 +20,7 @@
     /// Has jobs dropped that ended long ago; the record stays bounded by what is open and what ended lately.
     pub(super) fn forget_jobs(&mut self, now: Millis) {
         let due = now.since(self.last_forgetting) >= FORGET_EVERY_MS;
-        if !due || !self.chain.is_head() || !self.chain.ready() {
+        if !due || !self.chain.is_head() || !self.chain.is_ready() {
             return;
         }
         self.last_forgetting = now;
--- a/crates/cluster-node/src/core/machine/ending.rs
+++ b/crates/cluster-node/src/core/machine/ending.rs
@@ -27,7 +27,8 @@
 
     /// Whether others hold everything and vote in its place, as far as there are others.
     fn has_handed_over(&self, now: Millis) -> bool {
-        self.policy.may_end(self.agreement.current(), &self.me, now)
+        self.policy
+            .may_shut_down(self.agreement.current(), &self.me, now)
     }
 
     pub(super) fn status(&self) -> String {
--- a/crates/cluster-node/src/core/machine/events.rs
+++ b/crates/cluster-node/src/core/machine/events.rs
@@ -32,10 +32,10 @@
     pub(super) fn on_closed(&mut self, from: PeerAddress, connection: u64, now: Millis) {
         self.subscribers.closed(connection);
         if let Some(disk) = self.connections.remove(&connection) {
-            self.chain.disconnected(disk, now);
+            self.chain.peer_disconnected(disk, now);
         }
         self.shards.disconnected(from, connection, now);
-        self.policy.closed(from);
+        self.policy.connection_reset(from);
         let outgoing = self.client.closed(from, now);
         self.send_all(outgoing);
     }
@@ -53,14 +53,14 @@
                 voter,
                 view,
                 disk_healthy,
-                leaving,
+                draining,
                 replica,
             } => {
                 let report = PeerReport {
                     incarnation,
                     view_number: view.number,
                     disk_healthy,
-                    leaving,
+                    draining,
                     replica,
                 };
                 if let Err(duplicate) = self.take_heartbeat(voter, report, now) {
@@ -157,12 +157,12 @@
                     }
                 }
                 AfterWrite::EntriesWritten(index) => {
-                    let effects = self.chain.written(index, now);
+                    let effects = self.chain.entries_written(index, now);
                     self.carry_out_chain(effects, now);
                 }
                 AfterWrite::ViewStored(view) => self.adopt_view(view, now),
                 AfterWrite::Truncated(index) => {
-                    let effects = self.chain.truncated(index, now);
+                    let effects = self.chain.log_truncated(index, now);
                     self.carry_out_chain(effects, now);
                 }
                 AfterWrite::ReplicaStatusStored => {
@@ -170,7 +170,7 @@
                     self.carry_out_chain(effects, now);
                 }
                 AfterWrite::StateInstalled(index) => {
-                    let effects = self.chain.installed(index, now);
+                    let effects = self.chain.snapshot_installed(index, now);
                     self.carry_out_chain(effects, now);
                 }
             }
@@ -205,7 +205,7 @@
         while let Some(call) = self.own_calls.pop_front() {
             self.take_call(call, now);
         }
-        if self.chain.is_head() && self.chain.ready() {
+        if self.chain.is_head() && self.chain.is_ready() {
             for call in self.waiting.take_deferred() {
                 self.take_call(call, now);
             }
--- a/crates/cluster-node/src/core/machine/identity.rs
+++ b/crates/cluster-node/src/core/machine/identity.rs
@@ -16,7 +16,7 @@
         now: Millis,
     ) -> Result<(), DuplicateDisk> {
         self.check_view(voter.disk, voter.address)?;
-        self.policy.heard(voter, report, now)
+        self.policy.receive_heartbeat(voter, report, now)
     }
 
     /// Notes whose connection this is; messages of the chain are taken on it from then on.
--- a/crates/cluster-node/src/core/machine/mod.rs
+++ b/crates/cluster-node/src/core/machine/mod.rs
@@ -29,7 +29,7 @@
 use crate::NodeError;
 use borsh::BorshDeserialize;
 use effects::Outbox;
-use lupinrack_chain::{Chain, Effect as ChainEffect, ReplicaStatus, Stored, SubmitError};
+use lupinrack_chain::{Chain, Effect as ChainEffect, ReplicaStatus, StoredState, SubmitError};
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::operation::{Operation, OperationResult};
@@ -163,7 +163,7 @@
             catch_up_ms,
         };
         let policy = ViewPolicy::new(policy_settings, agreement.founders().to_vec());
-        let stored = Stored {
+        let stored = StoredState {
             snapshot_index: recovered.snapshot_index,
             entries: recovered.entries,
             view: view.clone(),
--- a/crates/cluster-node/src/core/machine/replication.rs
+++ b/crates/cluster-node/src/core/machine/replication.rs
@@ -78,7 +78,7 @@
             ..Batch::default()
         };
         self.write(batch, AfterWrite::Nothing, now);
-        self.chain.compacted(index);
+        self.chain.compact_log(index);
     }
 
     pub(super) fn apply_up_to(&mut self, index: u64, now: Millis) {
--- a/crates/cluster-node/src/core/machine/views.rs
+++ b/crates/cluster-node/src/core/machine/views.rs
@@ -56,7 +56,7 @@
             view.voters.len(),
             chain.join(" ")
         );
-        let effects = self.chain.new_view(view.clone(), now);
+        let effects = self.chain.adopt_view(view.clone(), now);
         self.carry_out_chain(effects, now);
         let outgoing = self.client.learn(&view, now);
         self.send_all(outgoing);
@@ -79,24 +79,24 @@
     pub(super) fn send_heartbeats(&mut self, now: Millis) {
         self.last_heartbeat = now;
         let view = self.agreement.current().clone();
-        let leaving = self.leaving_since.is_some();
+        let draining = self.leaving_since.is_some();
         let disk_healthy = self.disk.is_healthy(now);
         let replica = self.replica_report(now);
         let report = PeerReport {
             incarnation: self.incarnation,
             view_number: view.number,
             disk_healthy,
-            leaving,
+            draining,
             replica,
         };
         // A copy of this disk that was heard first is refused from the next look at the clock on.
-        let _ = self.policy.heard(self.me.clone(), report, now);
+        let _ = self.policy.receive_heartbeat(self.me.clone(), report, now);
         let voter = self.me.clone();
         let frame = Frame::Heartbeat {
             voter,
             view: view.clone(),
             disk_healthy,
-            leaving,
+            draining,
             replica,
         };
         self.forget_cores(now);
@@ -111,9 +111,9 @@
             return ReplicaReport::default();
         }
         ReplicaReport {
-            caught_up: self.chain.caught_up(now),
+            caught_up: self.chain.is_caught_up(now),
             complete: self.chain.is_complete(),
-            needs_view: self.chain.needs_view(),
+            needs_view: self.chain.needs_new_view(),
         }
     }
 
@@ -143,7 +143,7 @@
             return;
         }
         let current = self.agreement.current().clone();
-        if let Some(next) = self.policy.desired(&current, &self.me, now) {
+        if let Some(next) = self.policy.view_to_propose(&current, &self.me, now) {
             let effects = self.agreement.propose(next, now);
             self.carry_out_agreement(effects, now);
         }
--- a/crates/cluster-node/tests/answers_over_views.rs
+++ b/crates/cluster-node/tests/answers_over_views.rs
@@ -97,7 +97,7 @@
                     voter: voter(from),
                     view,
                     disk_healthy: true,
-                    leaving: false,
+                    draining: false,
                     replica,
                 },
             );
--- a/crates/cluster-node/tests/core_faults.rs
+++ b/crates/cluster-node/tests/core_faults.rs
@@ -1,6 +1,6 @@
 //! When a core process has to end, since what it has in memory and what is on its disk no longer agree.
 
-use lupinrack_chain::{Chain, Effect, Stored};
+use lupinrack_chain::{Chain, Effect, StoredState};
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::{View, Voter};
@@ -59,14 +59,14 @@
     };
     frame(&mut spare, Frame::Hello(hello));
     let replica = ReplicaReport::default();
-    let (view, disk_healthy, leaving) = (view(), true, false);
+    let (view, disk_healthy, draining) = (view(), true, false);
     frame(
         &mut spare,
         Frame::Heartbeat {
             voter: tail,
             view,
             disk_healthy,
-            leaving,
+            draining,
             replica,
         },
     );
@@ -106,12 +106,12 @@
 
 /// The pieces of a snapshot with these bytes, as a tail would send them.
 fn chunks(bytes: Vec<u8>) -> Vec<ChainMessage> {
-    let stored = Stored {
+    let stored = StoredState {
         snapshot_index: 5,
-        ..Stored::default()
+        ..StoredState::default()
     };
     let mut tail = Chain::new(voter(TAIL).disk, 1, stored);
-    tail.new_view(view(), NOW.now);
+    tail.adopt_view(view(), NOW.now);
     let join = ChainMessage::Join {
         view: 1,
         disk: voter(SPARE).disk,
--- a/crates/cluster-node/tests/core_machine.rs
+++ b/crates/cluster-node/tests/core_machine.rs
@@ -127,7 +127,7 @@
             voter,
             view,
             disk_healthy: true,
-            leaving: false,
+            draining: false,
             replica,
         };
         self.frame(from, frame);
@@ -365,7 +365,7 @@
                 voter,
                 view,
                 disk_healthy: true,
-                leaving: false,
+                draining: false,
                 replica,
             },
         );
@@ -385,7 +385,7 @@
         matches!(
             frame,
             Frame::Heartbeat {
-                leaving: true,
+                draining: true,
                 disk_healthy: true,
                 ..
             }
@@ -446,7 +446,7 @@
             voter: copy(claimed),
             view: view(7, [1, 3]),
             disk_healthy: true,
-            leaving: false,
+            draining: false,
             replica: ReplicaReport::default(),
         };
         driven.frame(9, heartbeat);
--- a/crates/cluster-node/tests/disk_of_the_version_before.rs
+++ b/crates/cluster-node/tests/disk_of_the_version_before.rs
@@ -100,8 +100,8 @@
 
 fn write_vote(text: &mut String, vote: &VoteState) {
     let VoteState {
-        promised,
-        accepted_ballot,
+        prepared,
+        accepted_proposal,
         accepted,
         agreed,
         founders,
@@ -109,12 +109,12 @@
     let _ = writeln!(
         text,
         "promised round {}, life {:016x}",
-        promised.round, promised.incarnation
+        prepared.term, prepared.incarnation
     );
     let _ = writeln!(
         text,
         "accepted under round {}, life {:016x}",
-        accepted_ballot.round, accepted_ballot.incarnation
+        accepted_proposal.term, accepted_proposal.incarnation
     );
     write_view(text, "accepted view", accepted);
     write_view(text, "agreed view", agreed);
--- a/crates/cluster-transport/tests/golden/frames.rs
+++ b/crates/cluster-transport/tests/golden/frames.rs
@@ -90,7 +90,7 @@
                 voter,
                 view: view.clone(),
                 disk_healthy: true,
-                leaving: false,
+                draining: false,
                 replica,
             },
         ),
--- a/crates/view-agreement/src/acceptor.rs
+++ b/crates/view-agreement/src/acceptor.rs
@@ -2,7 +2,7 @@
 
 use crate::vote::VoteState;
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::{AgreementMessage, Ballot};
+use lupinrack_cluster_api::wire::{AgreementMessage, ProposalNumber};
 
 /// The answer to a proposer.
 #[derive(Debug, PartialEq, Eq)]
@@ -17,19 +17,19 @@
 
 impl VoteState {
     /// Responds to [`AgreementMessage::Prepare`].
-    pub(crate) fn prepare(&mut self, me: &Voter, ballot: Ballot) -> Response {
+    pub(crate) fn prepare(&mut self, me: &Voter, proposal_number: ProposalNumber) -> Response {
         if !self.is_acceptor(me) {
             return Response::NoVote;
         }
-        if ballot < self.promised {
-            return self.rejected(ballot);
+        if proposal_number < self.prepared {
+            return self.rejected(proposal_number);
         }
-        self.promised = ballot;
-        let (accepted_ballot, accepted) = self.newest_view();
-        Response::Vote(AgreementMessage::Promise {
-            ballot,
+        self.prepared = proposal_number;
+        let (accepted_proposal, accepted) = self.newest_view();
+        Response::Vote(AgreementMessage::Prepared {
+            proposal_number,
             disk: me.disk,
-            accepted_ballot,
+            accepted_proposal,
             accepted,
         })
     }
@@ -38,26 +38,31 @@
     /// an accepted one, since no other can be chosen under its number. Reporting it keeps a proposer that is behind
     /// from counting this disk as one that accepted nothing, which matters before view 1, where acceptors are counted
     /// by address and a disk may have taken the place of a founder's.
-    fn newest_view(&self) -> (Ballot, View) {
+    fn newest_view(&self) -> (ProposalNumber, View) {
         if self.accepted.number < self.agreed.number {
-            return (self.promised, self.agreed.clone());
+            return (self.prepared, self.agreed.clone());
         }
-        (self.accepted_ballot, self.accepted.clone())
+        (self.accepted_proposal, self.accepted.clone())
     }
 
     /// Responds to [`AgreementMessage::Accept`].
-    pub(crate) fn accept(&mut self, me: &Voter, ballot: Ballot, view: &View) -> Response {
+    pub(crate) fn accept(
+        &mut self,
+        me: &Voter,
+        proposal_number: ProposalNumber,
+        view: &View,
+    ) -> Response {
         if !self.may_accept(me, view) {
             return Response::NoVote;
         }
-        if ballot < self.promised {
-            return self.rejected(ballot);
+        if proposal_number < self.prepared {
+            return self.rejected(proposal_number);
         }
-        self.promised = ballot;
-        self.accepted_ballot = ballot;
+        self.prepared = proposal_number;
+        self.accepted_proposal = proposal_number;
         self.accepted = view.clone();
         Response::Vote(AgreementMessage::Accepted {
-            ballot,
+            proposal_number,
             disk: me.disk,
         })
     }
@@ -78,10 +83,10 @@
         follows && (self.is_acceptor(me) || enters)
     }
 
-    fn rejected(&self, ballot: Ballot) -> Response {
+    fn rejected(&self, proposal_number: ProposalNumber) -> Response {
         Response::Rejected(AgreementMessage::Rejected {
-            ballot,
-            promised: self.promised,
+            proposal_number,
+            prepared: self.prepared,
         })
     }
 }
--- a/crates/view-agreement/src/agreement.rs
+++ b/crates/view-agreement/src/agreement.rs
@@ -9,7 +9,7 @@
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::{AgreementMessage, Ballot};
+use lupinrack_cluster_api::wire::{AgreementMessage, ProposalNumber};
 use std::collections::BTreeSet;
 
 /// Ballots that a proposal runs before it is dropped, unless it is proposed again.
@@ -24,7 +24,7 @@
     /// Whether `vote` differs from what the disk was asked to keep.
     unsaved: bool,
     /// The highest round heard of.
-    round: u64,
+    term: u64,
     proposal: Option<Proposal>,
     backoff: Backoff,
 }
@@ -47,13 +47,13 @@
             let distinct: BTreeSet<PeerAddress> = founders.into_iter().collect();
             vote.founders = distinct.into_iter().collect();
         }
-        let round = vote.promised.round;
+        let term = vote.prepared.term;
         Agreement {
             me,
             incarnation,
             vote,
             unsaved: founds,
-            round,
+            term,
             proposal: None,
             backoff: Backoff::new(incarnation),
         }
@@ -82,18 +82,31 @@
         now: Millis,
     ) -> Vec<Effect> {
         match message {
-            AgreementMessage::Prepare { ballot } => self.on_prepare(from, ballot),
-            AgreementMessage::Accept { ballot, view } => self.on_accept(from, ballot, &view),
-            AgreementMessage::Promise {
-                ballot,
+            AgreementMessage::Prepare { proposal_number } => self.on_prepare(from, proposal_number),
+            AgreementMessage::Accept {
+                proposal_number,
+                view,
+            } => self.on_accept(from, proposal_number, &view),
+            AgreementMessage::Prepared {
+                proposal_number,
                 disk,
-                accepted_ballot,
+                accepted_proposal,
                 accepted,
-            } => self.on_promise(from, ballot, disk, (accepted_ballot, accepted), now),
-            AgreementMessage::Accepted { ballot, disk } => self.on_accepted(from, ballot, disk),
-            AgreementMessage::Rejected { ballot, promised } => {
-                self.on_rejected(ballot, promised, now)
-            }
+            } => self.on_promise(
+                from,
+                proposal_number,
+                disk,
+                (accepted_proposal, accepted),
+                now,
+            ),
+            AgreementMessage::Accepted {
+                proposal_number,
+                disk,
+            } => self.on_accepted(from, proposal_number, disk),
+            AgreementMessage::Rejected {
+                proposal_number,
+                prepared,
+            } => self.on_rejected(proposal_number, prepared, now),
             AgreementMessage::Agreed { view } => self.learn(view),
         }
     }
@@ -152,15 +165,20 @@
         }
     }
 
-    fn on_prepare(&mut self, from: PeerAddress, ballot: Ballot) -> Vec<Effect> {
-        self.round = self.round.max(ballot.round);
-        let response = self.vote.prepare(&self.me, ballot);
+    fn on_prepare(&mut self, from: PeerAddress, proposal_number: ProposalNumber) -> Vec<Effect> {
+        self.term = self.term.max(proposal_number.term);
+        let response = self.vote.prepare(&self.me, proposal_number);
         self.answer(from, response)
     }
 
-    fn on_accept(&mut self, from: PeerAddress, ballot: Ballot, view: &View) -> Vec<Effect> {
-        self.round = self.round.max(ballot.round);
-        let response = self.vote.accept(&self.me, ballot, view);
+    fn on_accept(
+        &mut self,
+        from: PeerAddress,
+        proposal_number: ProposalNumber,
+        view: &View,
+    ) -> Vec<Effect> {
+        self.term = self.term.max(proposal_number.term);
+        let response = self.vote.accept(&self.me, proposal_number, view);
         self.answer(from, response)
     }
 
@@ -191,9 +209,9 @@
     fn on_promise(
         &mut self,
         from: PeerAddress,
-        promised: Ballot,
+        prepared: ProposalNumber,
         disk: DiskId,
-        (accepted_ballot, accepted): (Ballot, View),
+        (accepted_proposal, accepted): (ProposalNumber, View),
         now: Millis,
     ) -> Vec<Effect> {
         let instance = self.current().number + 1;
@@ -201,19 +219,22 @@
             return Vec::new();
         }
         let Some(Proposal {
-            phase: Phase::Preparing {
-                ballot, promises, ..
-            },
+            phase:
+                Phase::Preparing {
+                    proposal_number,
+                    promises,
+                    ..
+                },
             ..
         }) = &mut self.proposal
         else {
             return Vec::new();
         };
-        if *ballot != promised {
+        if *proposal_number != prepared {
             return Vec::new();
         }
         if accepted.number == instance {
-            promises.add_with_view(disk, from, accepted_ballot, accepted);
+            promises.add_with_view(disk, from, accepted_proposal, accepted);
         } else {
             promises.add(disk, from);
         }
@@ -241,9 +262,12 @@
     fn begin_accepting(&mut self, now: Millis) -> Vec<Effect> {
         let Some(Proposal {
             wanted,
-            phase: Phase::Preparing {
-                ballot, promises, ..
-            },
+            phase:
+                Phase::Preparing {
+                    proposal_number,
+                    promises,
+                    ..
+                },
             ..
         }) = &self.proposal
         else {
@@ -253,9 +277,9 @@
             return Vec::new();
         }
         let view = promises.bound_view().unwrap_or(wanted).clone();
-        let (ballot, timers) = (*ballot, Timers::start(now));
+        let (proposal_number, timers) = (*proposal_number, Timers::start(now));
         self.set_phase(Phase::Accepting {
-            ballot,
+            proposal_number,
             timers,
             view,
             accepted_by: Responders::default(),
@@ -263,12 +287,17 @@
         self.send_phase()
     }
 
-    fn on_accepted(&mut self, from: PeerAddress, accepted: Ballot, disk: DiskId) -> Vec<Effect> {
+    fn on_accepted(
+        &mut self,
+        from: PeerAddress,
+        accepted: ProposalNumber,
+        disk: DiskId,
+    ) -> Vec<Effect> {
         let asked = self.is_asked(from, disk);
         let Some(Proposal {
             phase:
                 Phase::Accepting {
-                    ballot,
+                    proposal_number,
                     accepted_by,
                     view,
                     ..
@@ -279,7 +308,7 @@
             return Vec::new();
         };
         let enters = view.address(disk) == Some(from);
-        if *ballot != accepted || !(asked || enters) {
+        if *proposal_number != accepted || !(asked || enters) {
             return Vec::new();
         }
         accepted_by.add(disk, from);
@@ -315,12 +344,17 @@
     }
 
     /// Another proposer is ahead: wait, and then try above its ballot.
-    fn on_rejected(&mut self, rejected: Ballot, promised: Ballot, now: Millis) -> Vec<Effect> {
-        self.round = self.round.max(promised.round);
+    fn on_rejected(
+        &mut self,
+        rejected: ProposalNumber,
+        prepared: ProposalNumber,
+        now: Millis,
+    ) -> Vec<Effect> {
+        self.term = self.term.max(prepared.term);
         let running = self
             .proposal
             .as_ref()
-            .and_then(|proposal| proposal.phase.ballot());
+            .and_then(|proposal| proposal.phase.proposal_number());
         if running == Some(rejected) {
             self.back_off(now);
         }
@@ -367,14 +401,14 @@
         let Some(proposal) = &mut self.proposal else {
             return Vec::new();
         };
-        self.round = self.round.saturating_add(1);
-        let ballot = Ballot {
-            round: self.round,
+        self.term = self.term.saturating_add(1);
+        let proposal_number = ProposalNumber {
+            term: self.term,
             incarnation: self.incarnation,
         };
         proposal.attempts += 1;
         proposal.phase = Phase::Preparing {
-            ballot,
+            proposal_number,
             timers: Timers::start(now),
             promises: Promises::default(),
         };
@@ -395,13 +429,21 @@
         };
         let (message, recipients) = match phase {
             Phase::Waiting { .. } => return Vec::new(),
-            Phase::Preparing { ballot, .. } => (
-                AgreementMessage::Prepare { ballot: *ballot },
+            Phase::Preparing {
+                proposal_number, ..
+            } => (
+                AgreementMessage::Prepare {
+                    proposal_number: *proposal_number,
+                },
                 self.acceptor_addresses(),
             ),
-            Phase::Accepting { ballot, view, .. } => (
+            Phase::Accepting {
+                proposal_number,
+                view,
+                ..
+            } => (
                 AgreementMessage::Accept {
-                    ballot: *ballot,
+                    proposal_number: *proposal_number,
                     view: view.clone(),
                 },
                 self.recipients(view),
--- a/crates/view-agreement/src/policy/chain.rs
+++ b/crates/view-agreement/src/policy/chain.rs
@@ -27,7 +27,7 @@
         let spares = self.spares();
         let kept = self.without(remaining, spares.len(), |voter| self.is_unhealthy(voter));
         let kept = self.without(kept, spares.len(), |voter| {
-            self.snapshot.peers.is_leaving(voter)
+            self.snapshot.peers.is_draining(voter)
         });
         let chain = self.headed_by_complete(kept)?;
         let length =
--- a/crates/view-agreement/src/policy/mod.rs
+++ b/crates/view-agreement/src/policy/mod.rs
@@ -98,13 +98,13 @@
     /// # Errors
     ///
     /// Where the heartbeat claims a disk that is alive at another address; nothing of it is taken.
-    pub fn heard(
+    pub fn receive_heartbeat(
         &mut self,
         voter: Voter,
         report: PeerReport,
         now: Millis,
     ) -> Result<(), DuplicateDisk> {
-        self.peers.heard(voter, report, now)
+        self.peers.receive_heartbeat(voter, report, now)
     }
 
     /// Whether a process at this address may have this disk.
@@ -122,8 +122,8 @@
     }
 
     /// Takes the hint that a connection from this address was reset: silence now counts sooner.
-    pub fn closed(&mut self, address: PeerAddress) {
-        self.peers.closed(address);
+    pub fn connection_reset(&mut self, address: PeerAddress) {
+        self.peers.connection_reset(address);
     }
 
     /// The disk whose process listens at an address, by the last heartbeat from there.
@@ -139,7 +139,7 @@
     /// Whether this process, which is leaving, is needed by nobody: it is out of the chain, so many members of the chain
     /// have everything that the tolerated losses leave one, and no other voter is about to take its vote. A voter without
     /// others has nobody to wait for.
-    pub fn may_end(&self, current: &View, me: &Voter, now: Millis) -> bool {
+    pub fn may_shut_down(&self, current: &View, me: &Voter, now: Millis) -> bool {
         let snapshot = ClusterSnapshot {
             settings: self.settings,
             peers: &self.peers,
@@ -153,7 +153,7 @@
 
     /// The view that this process should propose now; to be asked every few tens of milliseconds, as longer breaks are
     /// taken for this process standing still. Nothing is wanted of a process that is no voter or has an unhealthy disk.
-    pub fn desired(&mut self, current: &View, me: &Voter, now: Millis) -> Option<View> {
+    pub fn view_to_propose(&mut self, current: &View, me: &Voter, now: Millis) -> Option<View> {
         self.peers.advance(me, now);
         let snapshot = ClusterSnapshot {
             settings: self.settings,
@@ -305,7 +305,7 @@
 fn proposers(snapshot: &ClusterSnapshot) -> Vec<DiskId> {
     let current = snapshot.current;
     let able = |voter: &&Voter| {
-        let stays = snapshot.is_alive(voter) && !snapshot.peers.is_leaving(voter);
+        let stays = snapshot.is_alive(voter) && !snapshot.peers.is_draining(voter);
         stays && snapshot.peers.has_healthy_disk(voter)
     };
     let mut disks: Vec<DiskId> = current
--- a/crates/view-agreement/src/policy/peers.rs
+++ b/crates/view-agreement/src/policy/peers.rs
@@ -24,7 +24,7 @@
     /// Whether its disk answers in time.
     pub disk_healthy: bool,
     /// Whether it was told to end.
-    pub leaving: bool,
+    pub draining: bool,
     /// What its replica is good for in that view.
     pub replica: ReplicaReport,
 }
@@ -48,7 +48,7 @@
     last_heard: Millis,
     unhealthy_since: Option<Millis>,
     /// Whether a connection was reset after `last_heard`.
-    closed: bool,
+    connection_reset: bool,
 }
 
 /// All processes that were ever heard, by address.
@@ -71,7 +71,7 @@
     }
 
     /// Takes a heartbeat.
-    pub(super) fn heard(
+    pub(super) fn receive_heartbeat(
         &mut self,
         voter: Voter,
         report: PeerReport,
@@ -126,15 +126,15 @@
             present_since,
             last_heard: now,
             unhealthy_since,
-            closed: false,
+            connection_reset: false,
         };
         self.by_address.insert(address, peer);
     }
 
     /// Marks that a connection from this address was reset.
-    pub(super) fn closed(&mut self, address: PeerAddress) {
+    pub(super) fn connection_reset(&mut self, address: PeerAddress) {
         if let Some(peer) = self.by_address.get_mut(&address) {
-            peer.closed = true;
+            peer.connection_reset = true;
         }
     }
 
@@ -166,7 +166,7 @@
             incarnation: 0,
             view_number: 0,
             disk_healthy: true,
-            leaving: false,
+            draining: false,
             replica: ReplicaReport::default(),
         };
         let report = known.map_or(unknown, |peer| peer.report);
@@ -209,8 +209,8 @@
     }
 
     /// Whether this disk's process, by its last word, was told to end.
-    pub(super) fn is_leaving(&self, voter: &Voter) -> bool {
-        self.peer(voter).is_some_and(|peer| peer.report.leaving)
+    pub(super) fn is_draining(&self, voter: &Voter) -> bool {
+        self.peer(voter).is_some_and(|peer| peer.report.draining)
     }
 
     /// How long, in milliseconds, the disk has been said to be unhealthy.
@@ -223,7 +223,7 @@
     pub(super) fn could_join(&self, voter: &Voter, view_number: u64, now: Millis) -> bool {
         let ready = |peer: &Peer| {
             let caught_up = peer.report.replica.caught_up && peer.report.view_number == view_number;
-            caught_up && !peer.report.leaving
+            caught_up && !peer.report.draining
         };
         self.is_alive(voter, now)
             && self.has_healthy_disk(voter)
@@ -288,7 +288,7 @@
             founders.contains(&peer.voter.address)
                 && !self.is_silent(peer, now)
                 && peer.unhealthy_since.is_none()
-                && !peer.report.leaving
+                && !peer.report.draining
         };
         let mut voters: Vec<Voter> = self
             .by_address
@@ -309,12 +309,12 @@
     fn is_settled(&self, peer: &Peer, view_number: u64, now: Millis) -> bool {
         let long_here =
             !self.is_silent(peer, now) && now.since(peer.present_since) >= SETTLED_AFTER_MS;
-        let stays = peer.unhealthy_since.is_none() && !peer.report.leaving;
+        let stays = peer.unhealthy_since.is_none() && !peer.report.draining;
         long_here && stays && peer.report.view_number == view_number
     }
 
     fn is_silent(&self, peer: &Peer, now: Millis) -> bool {
-        let limit = match peer.closed {
+        let limit = match peer.connection_reset {
             true => self.settings.suspect_after_ms / CLOSED_DIVISOR,
             false => self.settings.suspect_after_ms,
         };
--- a/crates/view-agreement/src/policy/voters.rs
+++ b/crates/view-agreement/src/policy/voters.rs
@@ -37,11 +37,11 @@
     /// With a newcomer in the place of a voter that is gone, or else of one that is leaving.
     fn swapped(&self) -> Option<Vec<Voter>> {
         let gone = self.outside_chain().filter(|voter| self.is_gone(voter));
-        let leaving = self
+        let draining = self
             .outside_chain()
             .filter(|voter| self.may_hand_over(voter));
         let (old, new) = gone
-            .chain(leaving)
+            .chain(draining)
             .find_map(|old| Some((old, self.successor_of(old)?)))?;
         let replace = |voter: &Voter| {
             if voter == old {
@@ -145,7 +145,7 @@
             return true;
         }
         let silent_for_long = peers.silent_ms(voter, now) >= settings.gone_after_ms();
-        peers.is_lost(voter, now) && (silent_for_long || peers.is_leaving(voter))
+        peers.is_lost(voter, now) && (silent_for_long || peers.is_draining(voter))
     }
 
     /// Whether a voter that lives and is leaving may be replaced now. Newcomers are kept for voters that are silent.
@@ -156,7 +156,7 @@
             .iter()
             .filter(|voter| !self.was_just_heard(voter))
             .count();
-        self.snapshot.peers.is_leaving(voter) && self.newcomers().count() > silent
+        self.snapshot.peers.is_draining(voter) && self.newcomers().count() > silent
     }
 
     fn is_removable(&self, voter: &Voter) -> bool {
@@ -168,7 +168,7 @@
         } = *self.snapshot;
         let gone =
             peers.is_lost(voter, now) && peers.silent_ms(voter, now) > settings.removed_after_ms();
-        gone || peers.is_leaving(voter)
+        gone || peers.is_draining(voter)
     }
 }
 
--- a/crates/view-agreement/src/proposal.rs
+++ b/crates/view-agreement/src/proposal.rs
@@ -4,7 +4,7 @@
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::Ballot;
+use lupinrack_cluster_api::wire::ProposalNumber;
 
 /// How long a ballot may take, in milliseconds, before another is tried.
 const BALLOT_TIMEOUT_MS: u64 = 400;
@@ -33,7 +33,7 @@
     /// Promises from a majority of the acceptors.
     Preparing {
         /// The ballot.
-        ballot: Ballot,
+        proposal_number: ProposalNumber,
         /// Its timers.
         timers: Timers,
         /// The promises so far.
@@ -42,7 +42,7 @@
     /// Acceptances from majorities of the acceptors and of the view's own voters.
     Accepting {
         /// The ballot.
-        ballot: Ballot,
+        proposal_number: ProposalNumber,
         /// Its timers.
         timers: Timers,
         /// The view, which is not always the one that was wanted.
@@ -64,7 +64,7 @@
 pub(crate) struct Promises {
     /// Who has promised.
     pub(crate) given_by: Responders,
-    highest: Option<(Ballot, View)>,
+    highest: Option<(ProposalNumber, View)>,
 }
 
 impl Timers {
@@ -101,16 +101,16 @@
         &mut self,
         disk: DiskId,
         from: PeerAddress,
-        ballot: Ballot,
+        proposal_number: ProposalNumber,
         view: View,
     ) {
         self.given_by.add(disk, from);
         if self
             .highest
             .as_ref()
-            .is_none_or(|(highest, _)| ballot > *highest)
+            .is_none_or(|(highest, _)| proposal_number > *highest)
         {
-            self.highest = Some((ballot, view));
+            self.highest = Some((proposal_number, view));
         }
     }
 
@@ -122,10 +122,15 @@
 
 impl Phase {
     /// The ballot that is running.
-    pub(crate) fn ballot(&self) -> Option<Ballot> {
+    pub(crate) fn proposal_number(&self) -> Option<ProposalNumber> {
         match self {
             Phase::Waiting { .. } => None,
-            Phase::Preparing { ballot, .. } | Phase::Accepting { ballot, .. } => Some(*ballot),
+            Phase::Preparing {
+                proposal_number, ..
+            }
+            | Phase::Accepting {
+                proposal_number, ..
+            } => Some(*proposal_number),
         }
     }
 
--- a/crates/view-agreement/src/vote.rs
+++ b/crates/view-agreement/src/vote.rs
@@ -3,7 +3,7 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::Ballot;
+use lupinrack_cluster_api::wire::ProposalNumber;
 
 /// The durable state of a voter. It is written and synced whole, before anything that depends on it is sent.
 ///
@@ -11,9 +11,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub struct VoteState {
     /// Nothing is accepted or promised under a lower ballot.
-    pub promised: Ballot,
+    pub prepared: ProposalNumber,
     /// The ballot under which `accepted` was accepted.
-    pub accepted_ballot: Ballot,
+    pub accepted_proposal: ProposalNumber,
     /// The view accepted last; number 0 where there is none.
     pub accepted: View,
     /// The newest view known to be agreed; number 0 where there is none.
--- a/crates/view-agreement/tests/agreement.rs
+++ b/crates/view-agreement/tests/agreement.rs
@@ -6,7 +6,7 @@
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::{AgreementMessage, Ballot};
+use lupinrack_cluster_api::wire::{AgreementMessage, ProposalNumber};
 use lupinrack_view_agreement::{Agreement, Effect, VoteState};
 
 const START: Millis = Millis(1000);
@@ -14,9 +14,9 @@
 /// Longer than every delay between two ballots.
 const LONG_MS: u64 = 2000;
 
-fn ballot(round: u64) -> Ballot {
-    Ballot {
-        round,
+fn proposal_number(term: u64) -> ProposalNumber {
+    ProposalNumber {
+        term,
         incarnation: 99,
     }
 }
@@ -63,19 +63,19 @@
     effects.iter().filter_map(one).collect()
 }
 
-fn prepare(to: &mut Agreement, round: u64) -> Vec<Effect> {
+fn prepare(to: &mut Agreement, term: u64) -> Vec<Effect> {
     to.receive(
         address(9),
         AgreementMessage::Prepare {
-            ballot: ballot(round),
+            proposal_number: proposal_number(term),
         },
         START,
     )
 }
 
-fn accept(to: &mut Agreement, round: u64, view: &View) -> Vec<Effect> {
+fn accept(to: &mut Agreement, term: u64, view: &View) -> Vec<Effect> {
     let message = AgreementMessage::Accept {
-        ballot: ballot(round),
+        proposal_number: proposal_number(term),
         view: view.clone(),
     };
     to.receive(address(9), message, START)
@@ -84,24 +84,24 @@
 fn promise(
     to: &mut Agreement,
     from: u8,
-    ballot: Ballot,
-    accepted: Option<(Ballot, View)>,
+    proposal_number: ProposalNumber,
+    accepted: Option<(ProposalNumber, View)>,
 ) -> Vec<Effect> {
-    let (accepted_ballot, accepted) = accepted.unwrap_or_default();
-    let message = AgreementMessage::Promise {
-        ballot,
+    let (accepted_proposal, accepted) = accepted.unwrap_or_default();
+    let message = AgreementMessage::Prepared {
+        proposal_number,
         disk: disk(from),
-        accepted_ballot,
+        accepted_proposal,
         accepted,
     };
     to.receive(address(from), message, START)
 }
 
-fn accepted(to: &mut Agreement, from: u8, ballot: Ballot) -> Vec<Effect> {
+fn accepted(to: &mut Agreement, from: u8, proposal_number: ProposalNumber) -> Vec<Effect> {
     to.receive(
         address(from),
         AgreementMessage::Accepted {
-            ballot,
+            proposal_number,
             disk: disk(from),
         },
         START,
@@ -109,11 +109,11 @@
 }
 
 /// The ballot of the prepares among the effects.
-fn prepared_ballot(effects: &[Effect]) -> Option<Ballot> {
+fn prepared_ballot(effects: &[Effect]) -> Option<ProposalNumber> {
     sent(effects)
         .into_iter()
         .find_map(|(_, message)| match message {
-            AgreementMessage::Prepare { ballot } => Some(ballot),
+            AgreementMessage::Prepare { proposal_number } => Some(proposal_number),
             _ => None,
         })
 }
@@ -130,7 +130,7 @@
 }
 
 /// Proposes and gives the ballot.
-fn propose(by: &mut Agreement, view: View) -> Ballot {
+fn propose(by: &mut Agreement, view: View) -> ProposalNumber {
     prepared_ballot(&by.propose(view, START)).expect("a ballot begins")
 }
 
@@ -140,11 +140,11 @@
     let effects = prepare(&mut acceptor, 5);
     assert!(matches!(
         held_back(&effects)[..],
-        [AgreementMessage::Promise { .. }]
+        [AgreementMessage::Prepared { .. }]
     ));
     assert!(effects
         .iter()
-        .any(|e| matches!(e, Effect::Persist { vote, .. } if vote.promised == ballot(5))));
+        .any(|e| matches!(e, Effect::Persist { vote, .. } if vote.prepared == proposal_number(5))));
 }
 
 #[test]
@@ -152,8 +152,8 @@
     let mut acceptor = knowing(0, view(1, &[0, 1, 2], &[0, 1]));
     prepare(&mut acceptor, 5);
     let rejected = AgreementMessage::Rejected {
-        ballot: ballot(4),
-        promised: ballot(5),
+        proposal_number: proposal_number(4),
+        prepared: proposal_number(5),
     };
     let next = view(2, &[0, 1, 2], &[1]);
     assert!(sent(&prepare(&mut acceptor, 4)).contains(&(address(9), rejected.clone())));
@@ -200,7 +200,7 @@
 #[test]
 fn founders_are_only_taken_on_an_empty_disk() {
     let vote = VoteState {
-        promised: ballot(3),
+        prepared: proposal_number(3),
         ..VoteState::default()
     };
     let mut acceptor = Agreement::new(voter(0), 1, vote, [0, 1, 2].map(address).to_vec());
@@ -223,15 +223,18 @@
 fn view_one_needs_a_majority_of_the_founders_and_of_its_voters() {
     let mut proposer = founder(0);
     let first = view(1, &[0, 1, 2], &[0, 1]);
-    let ballot = propose(&mut proposer, first.clone());
-    promise(&mut proposer, 0, ballot, None);
-    promise(&mut proposer, 7, ballot, None);
-    let (asked, _) =
-        asked_to_accept(&promise(&mut proposer, 2, ballot, None)).expect("two founders promised");
+    let proposal_number = propose(&mut proposer, first.clone());
+    promise(&mut proposer, 0, proposal_number, None);
+    promise(&mut proposer, 7, proposal_number, None);
+    let (asked, _) = asked_to_accept(&promise(&mut proposer, 2, proposal_number, None))
+        .expect("two founders promised");
     assert_eq!(asked, first);
-    assert_eq!(agreed(&accepted(&mut proposer, 0, ballot)), vec![]);
-    assert_eq!(agreed(&accepted(&mut proposer, 0, ballot)), vec![]);
-    assert_eq!(agreed(&accepted(&mut proposer, 1, ballot)), vec![1]);
+    assert_eq!(agreed(&accepted(&mut proposer, 0, proposal_number)), vec![]);
+    assert_eq!(agreed(&accepted(&mut proposer, 0, proposal_number)), vec![]);
+    assert_eq!(
+        agreed(&accepted(&mut proposer, 1, proposal_number)),
+        vec![1]
+    );
     assert_eq!(proposer.current(), &first);
 }
 
@@ -255,9 +258,13 @@
     let mut acceptor = Agreement::new(replaced, 8, vote, Vec::new());
 
     let mut stale = founder(2);
-    let ballot = propose(&mut stale, view(1, &[0, 1, 2], &[2]));
-    promise(&mut stale, 2, ballot, None);
-    let answer = acceptor.receive(address(2), AgreementMessage::Prepare { ballot }, START);
+    let proposal_number = propose(&mut stale, view(1, &[0, 1, 2], &[2]));
+    promise(&mut stale, 2, proposal_number, None);
+    let answer = acceptor.receive(
+        address(2),
+        AgreementMessage::Prepare { proposal_number },
+        START,
+    );
     let [answer] = &held_back(&answer)[..] else {
         panic!("{answer:?}")
     };
@@ -276,10 +283,15 @@
         &mut proposer,
         1,
         running,
-        Some((ballot(1), view(2, &[0, 1, 2], &[0]))),
+        Some((proposal_number(1), view(2, &[0, 1, 2], &[0]))),
     );
     promise(&mut proposer, 0, running, None);
-    let effects = promise(&mut proposer, 2, running, Some((ballot(2), newer.clone())));
+    let effects = promise(
+        &mut proposer,
+        2,
+        running,
+        Some((proposal_number(2), newer.clone())),
+    );
     let (asked, audience) = asked_to_accept(&effects).expect("three of five promised");
     assert_eq!(asked, newer);
     assert_eq!(audience, [0, 1, 2, 3, 4, 5].map(address));
@@ -302,13 +314,13 @@
         &mut proposer,
         0,
         running,
-        Some((ballot(9), view(4, &[0, 1, 2], &[0, 1]))),
+        Some((proposal_number(9), view(4, &[0, 1, 2], &[0, 1]))),
     );
     let effects = promise(
         &mut proposer,
         1,
         running,
-        Some((ballot(9), view(3, &[0, 1, 2], &[2]))),
+        Some((proposal_number(9), view(3, &[0, 1, 2], &[2]))),
     );
     assert_eq!(
         asked_to_accept(&effects).expect("two of three promised").0,
@@ -320,7 +332,7 @@
 fn promises_of_strangers_of_the_same_disk_and_from_beyond_do_not_count() {
     let mut proposer = knowing(0, view(1, &[0, 1, 2], &[0, 1]));
     let running = propose(&mut proposer, view(2, &[0, 1, 2], &[1]));
-    let beyond = Some((ballot(9), view(3, &[0, 1, 2], &[2])));
+    let beyond = Some((proposal_number(9), view(3, &[0, 1, 2], &[2])));
     for (from, accepted) in [(0, None), (0, None), (5, None), (1, beyond)] {
         assert_eq!(
             asked_to_accept(&promise(&mut proposer, from, running, accepted)),
@@ -328,7 +340,7 @@
         );
     }
     assert_eq!(
-        asked_to_accept(&promise(&mut proposer, 1, ballot(1), None)),
+        asked_to_accept(&promise(&mut proposer, 1, proposal_number(1), None)),
         None
     );
     assert!(asked_to_accept(&promise(&mut proposer, 1, running, None)).is_some());
@@ -339,11 +351,11 @@
     let mut proposer = knowing(0, view(1, &[0, 1, 2], &[0, 1]));
     let running = propose(&mut proposer, view(2, &[0, 1, 3], &[0]));
     promise(&mut proposer, 0, running, None);
-    let (accepted_ballot, nothing) = Default::default();
-    let copy = AgreementMessage::Promise {
-        ballot: running,
+    let (accepted_proposal, nothing) = Default::default();
+    let copy = AgreementMessage::Prepared {
+        proposal_number: running,
         disk: disk(1),
-        accepted_ballot,
+        accepted_proposal,
         accepted: nothing,
     };
     assert_eq!(
@@ -354,7 +366,7 @@
     accepted(&mut proposer, 0, running);
     for (claimed, from) in [(1, 7), (2, 7), (3, 7), (1, 0)] {
         let copy = AgreementMessage::Accepted {
-            ballot: running,
+            proposal_number: running,
             disk: disk(claimed),
         };
         assert_eq!(
@@ -413,7 +425,9 @@
     let mut voter = knowing(1, newest.clone());
     let answers = voter.receive(
         address(0),
-        AgreementMessage::Prepare { ballot: running },
+        AgreementMessage::Prepare {
+            proposal_number: running,
+        },
         START,
     );
     let (_, news) = sent(&answers).remove(0);
@@ -480,12 +494,12 @@
     let mut proposer = knowing(0, view(1, &[0, 1, 2], &[0, 1]));
     let running = propose(&mut proposer, view(2, &[0, 1, 2], &[1]));
     let rejection = AgreementMessage::Rejected {
-        ballot: running,
-        promised: ballot(40),
+        proposal_number: running,
+        prepared: proposal_number(40),
     };
     assert_eq!(proposer.receive(address(1), rejection, START), Vec::new());
     let next = prepared_ballot(&proposer.tick(START.plus(LONG_MS))).expect("another ballot");
-    assert!(next > ballot(40));
+    assert!(next > proposal_number(40));
 }
 
 /// Counts the ballots that begin within a minute of silence.
--- a/crates/view-agreement/tests/golden.rs
+++ b/crates/view-agreement/tests/golden.rs
@@ -10,7 +10,7 @@
 use golden::examples::assert_kept;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::{AgreementMessage, Ballot};
+use lupinrack_cluster_api::wire::{AgreementMessage, ProposalNumber};
 use lupinrack_view_agreement::{Agreement, Effect, VoteState};
 use std::collections::{BTreeSet, VecDeque};
 
@@ -23,21 +23,21 @@
 
 #[test]
 fn the_vote_on_the_disk() {
-    let promised = Ballot {
-        round: 0x0102_0304,
+    let prepared = ProposalNumber {
+        term: 0x0102_0304,
         incarnation: 0x1112_1314_1516_1718,
     };
-    let accepted_ballot = Ballot {
-        round: 0x0201,
+    let accepted_proposal = ProposalNumber {
+        term: 0x0201,
         incarnation: 0x2122_2324_2526_2728,
     };
     let founding = VoteState {
-        promised,
+        prepared,
         founders: vec![address(1), address(2), address(3)],
         ..VoteState::default()
     };
     let first_accepted = VoteState {
-        accepted_ballot,
+        accepted_proposal,
         accepted: view(1, &[1, 2, 3], &[3, 1]),
         ..founding.clone()
     };
@@ -110,22 +110,28 @@
 /// What a proposer gets that asks under a lower ballot than was promised.
 fn overtaken_ballot() -> Vec<Envelope> {
     let (proposer, acceptor) = (address(9), address(2));
-    let promised = Ballot {
-        round: 0x0706,
+    let prepared = ProposalNumber {
+        term: 0x0706,
         incarnation: 0x3132_3334_3536_3738,
     };
     let agreed = view(5, &[2, 9, 4], &[4, 2]);
     let vote = VoteState {
-        promised,
+        prepared,
         agreed,
         ..VoteState::default()
     };
     let mut agreement = Agreement::new(voter(2), incarnation(2), vote, Vec::new());
-    let lower = Ballot {
-        round: 0x0605,
+    let lower = ProposalNumber {
+        term: 0x0605,
         incarnation: 0x4142_4344_4546_4748,
     };
-    let effects = agreement.receive(proposer, AgreementMessage::Prepare { ballot: lower }, NOW);
+    let effects = agreement.receive(
+        proposer,
+        AgreementMessage::Prepare {
+            proposal_number: lower,
+        },
+        NOW,
+    );
     messages(acceptor, effects)
 }
 
@@ -161,7 +167,7 @@
 fn kind(message: &AgreementMessage) -> &'static str {
     match message {
         AgreementMessage::Prepare { .. } => "prepare",
-        AgreementMessage::Promise { .. } => "prepared",
+        AgreementMessage::Prepared { .. } => "prepared",
         AgreementMessage::Accept { .. } => "accept",
         AgreementMessage::Accepted { .. } => "accepted",
         AgreementMessage::Rejected { .. } => "rejected",
--- a/crates/view-agreement/tests/model/agreement.rs
+++ b/crates/view-agreement/tests/model/agreement.rs
@@ -22,7 +22,7 @@
         ballots,
         crashes,
         losses: 0,
-        leaving: None,
+        draining: None,
         answers: Answers::Delayed,
         fault: PlantedFault::None,
         known_outcomes: Default::default(),
--- a/crates/view-agreement/tests/model/replacement.rs
+++ b/crates/view-agreement/tests/model/replacement.rs
@@ -31,7 +31,7 @@
         ballots,
         crashes: 0,
         losses: 2,
-        leaving: Some(2),
+        draining: Some(2),
         answers: Answers::Immediate,
         fault: PlantedFault::None,
         known_outcomes: Default::default(),
@@ -43,7 +43,7 @@
         founded: view(1, &[0, 1, 2, 3], &[0, 1, 2]),
         machines: 5,
         wanted: wanted_of_four,
-        leaving: Some(3),
+        draining: Some(3),
         ..three(ballots)
     }
 }
--- a/crates/view-agreement/tests/model/system.rs
+++ b/crates/view-agreement/tests/model/system.rs
@@ -62,7 +62,7 @@
     /// messages that are never delivered; whether the others go on is looked at in every state, for all such losses.
     pub losses: u32,
     /// A machine that was told to end, and may do so at any moment beside those losses.
-    pub leaving: Option<u8>,
+    pub draining: Option<u8>,
     pub answers: Answers,
     pub fault: PlantedFault,
     /// Whether disks in a certain state, without some machines, go on: what was found out before.
@@ -253,12 +253,15 @@
 
     /// Makes votes of the voters before a view up wherever one of its own voters has accepted it.
     fn make_up_old_votes(&self, state: &mut State, to: u8, message: &AgreementMessage) {
-        let AgreementMessage::Accepted { ballot, .. } = message else {
+        let AgreementMessage::Accepted {
+            proposal_number, ..
+        } = message
+        else {
             return;
         };
         for old in &self.founded.voters {
             let made_up = AgreementMessage::Accepted {
-                ballot: *ballot,
+                proposal_number: *proposal_number,
                 disk: old.disk,
             };
             let new = (self.wanted)(to);
@@ -322,7 +325,7 @@
         let sets = (0..1_u32 << self.machines)
             .map(|set| (0..self.machines).filter(move |i| set >> i & 1 == 1));
         sets.map(Iterator::collect).filter(|left: &BTreeSet<u8>| {
-            let ended = self.leaving.is_some_and(|index| !left.contains(&index));
+            let ended = self.draining.is_some_and(|index| !left.contains(&index));
             let missing = u32::from(self.machines) - left.len() as u32;
             missing <= self.losses + u32::from(ended)
         })
@@ -384,11 +387,11 @@
             machine.incarnations += 1;
             machine.agreement = boot(index as u8, machine.stored.clone(), machine.incarnations);
         }
-        for (round, index) in
-            (0..BALLOTS_TO_GO_ON).flat_map(|round| left.iter().map(move |i| (round, *i)))
+        for (term, index) in
+            (0..BALLOTS_TO_GO_ON).flat_map(|term| left.iter().map(move |i| (term, *i)))
         {
             let machine = &mut state.machines[usize::from(index)];
-            let now = Millis((round + 1) * 3 * BALLOT_MS);
+            let now = Millis((term + 1) * 3 * BALLOT_MS);
             let mut effects = machine.agreement.propose((self.wanted)(index), now);
             effects.extend(machine.agreement.tick(now.plus(BALLOT_MS)));
             calm.perform(&mut state, index, effects, None);
@@ -458,7 +461,7 @@
                 setup.fault == PlantedFault::AnswersBeforeSync || setup.is_agreed_on_disks(state)
             }),
             Property::always(STANDS_STILL, |setup: &Setup, state: &State| {
-                let loses = setup.losses > 0 || setup.leaving.is_some();
+                let loses = setup.losses > 0 || setup.draining.is_some();
                 !loses || setup.goes_on(state)
             }),
             Property::sometimes("a view is agreed", |_, state: &State| {
--- a/crates/view-agreement/tests/policy/identity.rs
+++ b/crates/view-agreement/tests/policy/identity.rs
@@ -14,7 +14,7 @@
         incarnation: 500,
         view_number: 4,
         disk_healthy: true,
-        leaving: false,
+        draining: false,
         replica,
     }
 }
@@ -31,9 +31,11 @@
             Watch::new(0, view(4, &all, &all[..usize::from(count) / 2 + 1]), &[]).with(&all);
         watch.pass(1000);
         for claimed in 0..count {
-            let refused = watch
-                .policy
-                .heard(claim(disk(claimed), count + 1), report(), watch.now);
+            let refused = watch.policy.receive_heartbeat(
+                claim(disk(claimed), count + 1),
+                report(),
+                watch.now,
+            );
             assert_eq!(
                 refused,
                 Err(DuplicateDisk {
@@ -74,11 +76,16 @@
 fn a_disk_comes_back_at_its_own_address() {
     let mut watch = Watch::new(0, view(4, &[0, 1, 2], &[0, 1]), &[]).with(&[0, 1, 2]);
     watch.pass(1000);
-    assert_eq!(watch.policy.heard(voter(2), report(), watch.now), Ok(()));
     assert_eq!(
         watch
             .policy
-            .heard(claim(DiskId(900), 2), report(), watch.now),
+            .receive_heartbeat(voter(2), report(), watch.now),
+        Ok(())
+    );
+    assert_eq!(
+        watch
+            .policy
+            .receive_heartbeat(claim(DiskId(900), 2), report(), watch.now),
         Ok(())
     );
 }
--- a/crates/view-agreement/tests/policy/leaving.rs
+++ b/crates/view-agreement/tests/policy/leaving.rs
@@ -27,7 +27,7 @@
 fn a_leaving_member_is_out_of_the_chain_at_once_where_enough_remain() {
     for count in [5, 7, 9] {
         let mut watch = calm(0, count);
-        watch.heartbeat(1).leaving = true;
+        watch.heartbeat(1).draining = true;
         let (wanted, _) = watch.until_wanted(AT_ONCE_MS).expect("it leaves the chain");
         let expected: Vec<DiskId> = (0..count / 2 + 1)
             .filter(|member| *member != 1)
@@ -43,7 +43,7 @@
     for count in [3, 5, 7, 9] {
         let mut watch = calm(0, count);
         watch.heartbeat(count - 1).replica.caught_up = true;
-        watch.heartbeat(1).leaving = true;
+        watch.heartbeat(1).draining = true;
         let (wanted, _) = watch.until_wanted(AT_ONCE_MS).expect("it leaves the chain");
         assert_eq!(wanted.chain.len(), usize::from(count) / 2 + 1);
         assert_eq!(wanted.chain.last(), Some(&disk(count - 1)));
@@ -54,10 +54,10 @@
 #[test]
 fn a_leaving_head_leaves_the_proposal_to_the_next_member() {
     let mut head = calm(0, 5);
-    head.heartbeat(0).leaving = true;
+    head.heartbeat(0).draining = true;
     assert_eq!(head.pass(LONG_MS), None);
     let mut next = calm(1, 5);
-    next.heartbeat(0).leaving = true;
+    next.heartbeat(0).draining = true;
     let (wanted, _) = next
         .until_wanted(AT_ONCE_MS)
         .expect("the next member takes over");
@@ -67,14 +67,14 @@
 #[test]
 fn a_leaving_member_stays_while_too_few_would_remain() {
     let mut three = calm(0, 3);
-    three.heartbeat(1).leaving = true;
+    three.heartbeat(1).draining = true;
     assert_eq!(three.pass(LONG_MS), None);
     for (tolerated, stays) in [(1, false), (2, true)] {
         let mut five =
             Watch::new(0, view(4, &[0, 1, 2, 3, 4], &[0, 1, 2]), &[]).tolerating(tolerated);
         five = five.with(&[0, 1, 2, 3, 4]);
         five.pass(2000);
-        five.heartbeat(2).leaving = true;
+        five.heartbeat(2).draining = true;
         assert_eq!(
             five.pass(LONG_MS).is_none(),
             stays,
@@ -88,7 +88,7 @@
     let mut watch = calm(1, 5);
     watch.heartbeat(1).replica.complete = false;
     watch.heartbeat(2).replica.complete = false;
-    watch.heartbeat(0).leaving = true;
+    watch.heartbeat(0).draining = true;
     assert_eq!(watch.pass(LONG_MS), None);
     watch.heartbeat(2).replica.complete = true;
     let (wanted, _) = watch
@@ -101,7 +101,7 @@
 fn a_leaving_voter_keeps_its_vote_where_no_newcomer_is_there() {
     for count in [3, 5, 7, 9] {
         let mut watch = calm(0, count);
-        watch.heartbeat(count - 1).leaving = true;
+        watch.heartbeat(count - 1).draining = true;
         assert_eq!(watch.pass(1000), None, "{count} voters");
         watch.lose(&[count - 1]);
         assert_eq!(watch.pass(LONG_MS), None, "{count} voters");
@@ -119,7 +119,7 @@
         watch.settle(4000);
         watch.add(count - 1);
         watch.catch_all_up();
-        watch.heartbeat(count - 2).leaving = true;
+        watch.heartbeat(count - 2).draining = true;
         let passed = watch.settle(4000);
         assert_eq!(watch.current.voter(disk(count - 2)), None, "{count} voters");
         assert_eq!(watch.current.voters.len(), usize::from(count));
@@ -130,7 +130,7 @@
 #[test]
 fn a_leaving_voter_that_has_ended_is_replaced_by_the_next_newcomer_at_once() {
     let mut watch = calm(0, 5);
-    watch.heartbeat(4).leaving = true;
+    watch.heartbeat(4).draining = true;
     watch.pass(500);
     watch.lose(&[4]);
     watch.pass(100);
@@ -147,7 +147,7 @@
 fn of_an_even_number_a_leaving_voter_is_removed_before_it_ends() {
     for count in [4, 6, 8, 10] {
         let mut watch = calm(0, count);
-        watch.heartbeat(1).leaving = true;
+        watch.heartbeat(1).draining = true;
         watch.heartbeat(count - 1).replica.caught_up = true;
         watch.settle(2000);
         let expected: Vec<_> = (0..count).filter(|index| *index != 1).map(voter).collect();
@@ -160,7 +160,7 @@
     for count in [5, 7, 9] {
         let mut watch = calm(0, count);
         watch.lose(&[count - 1]);
-        watch.heartbeat(count - 2).leaving = true;
+        watch.heartbeat(count - 2).draining = true;
         watch.add(count);
         let passed = watch.settle(4000);
         assert_eq!(watch.current.voter(disk(count - 1)), None, "{count} voters");
@@ -182,19 +182,19 @@
 fn a_leaving_process_neither_enters_nor_joins() {
     let mut watch = calm(0, 3);
     watch.add(3);
-    watch.heartbeat(3).leaving = true;
+    watch.heartbeat(3).draining = true;
     assert_eq!(watch.pass(LONG_MS), None);
     let mut spare = Watch::new(0, view(4, &[0, 1, 2], &[0]), &[]).with(&[0, 1, 2]);
     spare.heartbeat(1).replica.caught_up = true;
-    spare.heartbeat(1).leaving = true;
+    spare.heartbeat(1).draining = true;
     assert_eq!(spare.pass(LONG_MS), None);
 }
 
 /// Whether machine `index`, which is leaving, may end.
-fn may_end(watch: &Watch, index: u8) -> bool {
+fn may_shut_down(watch: &Watch, index: u8) -> bool {
     watch
         .policy
-        .may_end(&watch.current, &voter(index), watch.now)
+        .may_shut_down(&watch.current, &voter(index), watch.now)
 }
 
 #[test]
@@ -202,9 +202,12 @@
     for count in [3, 5, 7, 9] {
         let mut watch = calm(1, count);
         watch.catch_all_up();
-        watch.heartbeat(1).leaving = true;
+        watch.heartbeat(1).draining = true;
         watch.pass(500);
-        assert!(!may_end(&watch, 1), "{count} voters: it is in the chain");
+        assert!(
+            !may_shut_down(&watch, 1),
+            "{count} voters: it is in the chain"
+        );
         let members: Vec<u8> = (0..count / 2 + 2).filter(|member| *member != 1).collect();
         watch.adopt(view(5, &(0..count).collect::<Vec<u8>>(), &members));
         let incomplete = &members[1..];
@@ -213,41 +216,41 @@
             .for_each(|member| watch.heartbeat(*member).replica.complete = false);
         watch.pass(500);
         assert!(
-            !may_end(&watch, 1),
+            !may_shut_down(&watch, 1),
             "{count} voters: one other has everything"
         );
         incomplete
             .iter()
             .for_each(|member| watch.heartbeat(*member).replica.complete = true);
         watch.pass(50);
-        assert!(may_end(&watch, 1), "{count} voters");
+        assert!(may_shut_down(&watch, 1), "{count} voters");
     }
 }
 
 #[test]
 fn a_spare_does_not_end_while_a_member_is_lost() {
     let mut watch = calm(2, 3);
-    watch.heartbeat(2).leaving = true;
+    watch.heartbeat(2).draining = true;
     watch.pass(50);
-    assert!(may_end(&watch, 2));
+    assert!(may_shut_down(&watch, 2));
     watch.lose(&[1]);
     watch.pass(1000);
-    assert!(!may_end(&watch, 2), "one disk has everything");
+    assert!(!may_shut_down(&watch, 2), "one disk has everything");
 }
 
 #[test]
 fn a_voter_waits_for_its_successor() {
     let mut watch = calm(4, 5);
     watch.add(5);
-    watch.heartbeat(4).leaving = true;
+    watch.heartbeat(4).draining = true;
     watch.pass(600);
     assert!(
-        !may_end(&watch, 4),
+        !may_shut_down(&watch, 4),
         "the newcomer is about to take its vote"
     );
     watch.adopt(view(5, &[0, 1, 2, 3, 5], &[0, 1, 2]));
     watch.pass(50);
-    assert!(may_end(&watch, 4));
+    assert!(may_shut_down(&watch, 4));
 }
 
 #[test]
@@ -255,5 +258,5 @@
     let watch = Watch::new(0, view(4, &[0], &[0]), &[])
         .tolerating(0)
         .with(&[0]);
-    assert!(may_end(&watch, 0));
+    assert!(may_shut_down(&watch, 0));
 }
--- a/crates/view-agreement/tests/policy/rules.rs
+++ b/crates/view-agreement/tests/policy/rules.rs
@@ -96,7 +96,7 @@
     let mut watch = Watch::new(0, of_three(), &[]).with(&[0, 1, 2]);
     watch.pass(1000);
     watch.heartbeats.remove(&1);
-    watch.policy.closed(address(1));
+    watch.policy.connection_reset(address(1));
     assert_eq!(watch.pass(300), None);
     assert_eq!(watch.pass(STEP_MS), Some(view(5, &[0, 1, 2], &[0])));
 }
--- a/crates/view-agreement/tests/policy/tolerance.rs
+++ b/crates/view-agreement/tests/policy/tolerance.rs
@@ -126,23 +126,23 @@
     let me = members(voters_of(old))[0];
     let mut proposer = Agreement::new(voter(me), 1, agreed, Vec::new());
     let effects = proposer.propose(new.clone(), Millis(0));
-    let ballot = effects.iter().find_map(|effect| match effect {
-        Effect::Send(_, AgreementMessage::Prepare { ballot }) => Some(*ballot),
+    let proposal_number = effects.iter().find_map(|effect| match effect {
+        Effect::Send(_, AgreementMessage::Prepare { proposal_number }) => Some(*proposal_number),
         _ => None,
     });
-    let ballot = ballot.expect("a ballot begins");
+    let proposal_number = proposal_number.expect("a ballot begins");
     for index in members(voters_of(old)) {
-        let promise = AgreementMessage::Promise {
-            ballot,
+        let promise = AgreementMessage::Prepared {
+            proposal_number,
             disk: disk(index),
-            accepted_ballot: Default::default(),
+            accepted_proposal: Default::default(),
             accepted: View::default(),
         };
         proposer.receive(address(index), promise, Millis(0));
     }
     for index in members(votes) {
         let accepted = AgreementMessage::Accepted {
-            ballot,
+            proposal_number,
             disk: disk(index),
         };
         proposer.receive(address(index), accepted, Millis(0));
@@ -264,7 +264,7 @@
     let mut more = Watch::new(0, view.clone(), &[]).with(&all(count + 1));
     let more = more.until_wanted(LONG_MS).map(|(view, _)| view);
     let mut fewer = Watch::new(0, view.clone(), &[]).with(&all(count));
-    fewer.heartbeat(gone).leaving = true;
+    fewer.heartbeat(gone).draining = true;
     let fewer = fewer.until_wanted(LONG_MS / 4).map(|(view, _)| view);
     [swap, more, fewer].into_iter().flatten().collect()
 }
--- a/crates/view-agreement/tests/policy/watch.rs
+++ b/crates/view-agreement/tests/policy/watch.rs
@@ -21,7 +21,7 @@
     pub voter: Voter,
     pub view_number: u64,
     pub healthy: bool,
-    pub leaving: bool,
+    pub draining: bool,
     pub replica: ReplicaReport,
 }
 
@@ -84,7 +84,7 @@
             voter: voter(index),
             view_number: self.current.number,
             healthy: true,
-            leaving: false,
+            draining: false,
             replica,
         };
         self.heartbeats.insert(index, heartbeat);
@@ -142,7 +142,7 @@
 
     pub fn look(&mut self) -> Option<View> {
         self.policy
-            .desired(&self.current, &voter(self.me), self.now)
+            .view_to_propose(&self.current, &voter(self.me), self.now)
     }
 
     /// Lets time pass, with heartbeats of all who are there; gives what is wanted at its end.
@@ -155,7 +155,7 @@
                     voter,
                     view_number,
                     healthy,
-                    leaving,
+                    draining,
                     replica,
                 } = heartbeat.clone();
                 let incarnation = u64::from(*index) + 1;
@@ -163,11 +163,11 @@
                     incarnation,
                     view_number,
                     disk_healthy: healthy,
-                    leaving,
+                    draining,
                     replica,
                 };
                 // A refusal is what the tests of identities look at by themselves.
-                let _ = self.policy.heard(voter, report, self.now);
+                let _ = self.policy.receive_heartbeat(voter, report, self.now);
             }
             wanted = self.look();
         }
--- a/crates/view-agreement/tests/properties.rs
+++ b/crates/view-agreement/tests/properties.rs
@@ -5,7 +5,7 @@
 use common::{address, disk, view, voter};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::{AgreementMessage, Ballot};
+use lupinrack_cluster_api::wire::{AgreementMessage, ProposalNumber};
 use lupinrack_view_agreement::{Agreement, Effect, VoteState};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
@@ -26,33 +26,40 @@
     view(small(g, 5), &members, &members[..1 + small(g, 2) as usize])
 }
 
-fn arbitrary_ballot(g: &mut Gen) -> Ballot {
-    Ballot {
-        round: small(g, 6),
+fn arbitrary_ballot(g: &mut Gen) -> ProposalNumber {
+    ProposalNumber {
+        term: small(g, 6),
         incarnation: small(g, 3),
     }
 }
 
 impl Arbitrary for Received {
     fn arbitrary(g: &mut Gen) -> Received {
-        let (from, ballot, view) = (small(g, 5) as u8, arbitrary_ballot(g), arbitrary_view(g));
+        let (from, proposal_number, view) =
+            (small(g, 5) as u8, arbitrary_ballot(g), arbitrary_view(g));
         let disk = disk(small(g, 5) as u8);
         let message = match small(g, 6) {
-            0 => AgreementMessage::Prepare { ballot },
+            0 => AgreementMessage::Prepare { proposal_number },
             1 => {
-                let accepted_ballot = arbitrary_ballot(g);
-                AgreementMessage::Promise {
-                    ballot,
+                let accepted_proposal = arbitrary_ballot(g);
+                AgreementMessage::Prepared {
+                    proposal_number,
                     disk,
-                    accepted_ballot,
+                    accepted_proposal,
                     accepted: view,
                 }
             }
-            2 => AgreementMessage::Accept { ballot, view },
-            3 => AgreementMessage::Accepted { ballot, disk },
+            2 => AgreementMessage::Accept {
+                proposal_number,
+                view,
+            },
+            3 => AgreementMessage::Accepted {
+                proposal_number,
+                disk,
+            },
             4 => AgreementMessage::Rejected {
-                ballot,
-                promised: arbitrary_ballot(g),
+                proposal_number,
+                prepared: arbitrary_ballot(g),
             },
             _ => AgreementMessage::Agreed { view },
         };
@@ -65,10 +72,10 @@
 }
 
 fn is_consistent(before: &VoteState, after: &VoteState) -> bool {
-    let rises = before.promised <= after.promised && before.agreed.number <= after.agreed.number;
-    let bounded =
-        after.accepted_ballot <= after.promised && after.accepted.number <= after.agreed.number + 1;
-    rises && bounded && before.accepted_ballot <= after.accepted_ballot
+    let rises = before.prepared <= after.prepared && before.agreed.number <= after.agreed.number;
+    let bounded = after.accepted_proposal <= after.prepared
+        && after.accepted.number <= after.agreed.number + 1;
+    rises && bounded && before.accepted_proposal <= after.accepted_proposal
 }
 
 /// Whether votes are only among the messages that wait for a sync, together with the state that they tell of.
@@ -76,7 +83,7 @@
     let is_vote = |message: &AgreementMessage| {
         matches!(
             message,
-            AgreementMessage::Promise { .. } | AgreementMessage::Accepted { .. }
+            AgreementMessage::Prepared { .. } | AgreementMessage::Accepted { .. }
         )
     };
     effects.iter().all(|effect| match effect {
--- a/crates/view-agreement/tests/simulation/replacement.rs
+++ b/crates/view-agreement/tests/simulation/replacement.rs
@@ -111,14 +111,14 @@
     for (seed, count) in (0..10).flat_map(|seed| SIZES.map(|count| (seed, count))) {
         let mut world = calm(seed, count, 1);
         let chain = world.checker.newest().chain;
-        let (leaving, lost) = (machine_of(&world, chain[0]), machine_of(&world, chain[1]));
-        world.terminate(leaving);
+        let (draining, lost) = (machine_of(&world, chain[0]), machine_of(&world, chain[1]));
+        world.terminate(draining);
         world.run_for(50);
         world.kill(lost);
         world.run_for(SUCCESSOR_AFTER_MS);
         world.start(count);
         world.run_for(APART_MS);
-        world.start(leaving);
+        world.start(draining);
         world.run_for(APART_MS);
         assert_whole(&world, seed, count);
     }
--- a/crates/view-agreement/tests/simulation/world.rs
+++ b/crates/view-agreement/tests/simulation/world.rs
@@ -7,7 +7,7 @@
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::{AgreementMessage, Ballot, ReplicaReport};
+use lupinrack_cluster_api::wire::{AgreementMessage, ProposalNumber, ReplicaReport};
 use lupinrack_view_agreement::{Effect, PeerReport};
 use std::collections::BTreeMap;
 
@@ -42,7 +42,7 @@
         incarnation: u64,
         view: View,
         disk_healthy: bool,
-        leaving: bool,
+        draining: bool,
         replica: ReplicaReport,
     },
 }
@@ -105,7 +105,7 @@
     /// How many disks may still be lost.
     pub wipes_left: usize,
     planted: PlantedFault,
-    asked: BTreeMap<Ballot, View>,
+    asked: BTreeMap<ProposalNumber, View>,
     events: BTreeMap<(Millis, u64), Event>,
     sequence: u64,
     next_identity: u64,
@@ -290,7 +290,7 @@
                 incarnation,
                 view,
                 disk_healthy,
-                leaving,
+                draining,
                 replica,
             } => {
                 let now = self.now;
@@ -302,12 +302,12 @@
                     incarnation,
                     view_number,
                     disk_healthy,
-                    leaving,
+                    draining,
                     replica,
                 };
                 process
                     .policy
-                    .heard(voter, report, now)
+                    .receive_heartbeat(voter, report, now)
                     .expect("every machine has its own disk");
                 let effects = process.agreement.learn(view);
                 self.perform(to, effects);
@@ -326,10 +326,13 @@
 
     /// Makes the votes of old voters up, so that only those of the new ones still matter.
     fn plant_old_votes(&mut self, to: usize, message: &AgreementMessage) {
-        let AgreementMessage::Accepted { ballot, .. } = message else {
+        let AgreementMessage::Accepted {
+            proposal_number, ..
+        } = message
+        else {
             return;
         };
-        let Some(view) = self.asked.get(ballot).cloned() else {
+        let Some(view) = self.asked.get(proposal_number).cloned() else {
             return;
         };
         if self.planted != PlantedFault::CountsNewVotersOnly {
@@ -345,7 +348,7 @@
                 old.address,
                 to,
                 AgreementMessage::Accepted {
-                    ballot: *ballot,
+                    proposal_number: *proposal_number,
                     disk: old.disk,
                 },
             );
@@ -381,18 +384,18 @@
         };
         let effects = process.agreement.tick(now);
         let current = process.agreement.current().clone();
-        let desired = process.policy.desired(&current, &voter, now);
+        let view_to_propose = process.policy.view_to_propose(&current, &voter, now);
         let leaving_since = process.leaving_since;
         let ends = leaving_since.is_some_and(|since| {
-            let handed_over = process.policy.may_end(&current, &voter, now);
+            let handed_over = process.policy.may_shut_down(&current, &voter, now);
             now.since(since) >= LEAVE_MS_MOST || handed_over
         });
         self.perform(machine, effects);
         if ends {
             return self.kill(machine);
         }
-        let desired = desired.filter(|_| leaving_since.is_none());
-        if let Some(view) = desired.filter(|_| self.policy_proposes) {
+        let view_to_propose = view_to_propose.filter(|_| leaving_since.is_none());
+        if let Some(view) = view_to_propose.filter(|_| self.policy_proposes) {
             self.propose(machine, view);
         }
     }
@@ -420,7 +423,7 @@
             complete: in_chain,
             needs_view: false,
         };
-        let (voter, disk_healthy, leaving) = (
+        let (voter, disk_healthy, draining) = (
             voter.clone(),
             *disk_healthy,
             process.leaving_since.is_some(),
@@ -435,7 +438,7 @@
                     incarnation,
                     view,
                     disk_healthy,
-                    leaving,
+                    draining,
                     replica,
                 },
             );
@@ -541,8 +544,12 @@
     }
 
     fn send(&mut self, from: usize, to: PeerAddress, message: Message) {
-        if let Message::Agreement(AgreementMessage::Accept { ballot, view }) = &message {
-            self.asked.insert(*ballot, view.clone());
+        if let Message::Agreement(AgreementMessage::Accept {
+            proposal_number,
+            view,
+        }) = &message
+        {
+            self.asked.insert(*proposal_number, view.clone());
         }
         let Some(to) = (0..self.machines.len()).find(|index| address(*index) == to) else {
             return;
