--- a/crates/cluster-membership/src/datagram.rs
+++ b/crates/cluster-membership/src/datagram.rs
@@ -1,6 +1,6 @@
 //! Datagrams of the protocol and their form on the wire.
 
-use crate::member::{MemberUpdate, ZONE_BYTES_MOST};
+use crate::member_update::{MemberUpdate, ZONE_BYTES_MOST};
 use borsh::{BorshDeserialize, BorshSerialize};
 use lupinrack_cluster_api::identity::PeerAddress;
 
--- a/crates/cluster-membership/src/gossip.rs
+++ b/crates/cluster-membership/src/dissemination.rs
@@ -1,8 +1,8 @@
 //! News that still has to be told: each piece rides on a bounded number of datagrams, the least told first.
 
 use crate::datagram::encoded_len;
-use crate::member::MemberUpdate;
-use crate::roster::Roster;
+use crate::member_update::MemberUpdate;
+use crate::membership_list::Roster;
 use lupinrack_cluster_api::identity::PeerAddress;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
--- a/crates/cluster-membership/src/lib.rs
+++ b/crates/cluster-membership/src/lib.rs
@@ -20,17 +20,17 @@
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub)]
 
 pub mod datagram;
-mod gossip;
+mod dissemination;
 pub mod live_table;
-pub mod member;
-mod probing;
-mod roster;
+pub mod member_update;
+mod membership_list;
+mod ping_order;
 pub mod settings;
 mod suspicion;
 pub mod swim;
 
 pub use datagram::{Datagram, Message};
 pub use live_table::{LiveMember, LiveTable};
-pub use member::{MemberState, MemberUpdate};
+pub use member_update::{MemberState, MemberUpdate};
 pub use settings::SwimSettings;
 pub use swim::{Outgoing, Swim};
--- a/crates/cluster-membership/src/roster.rs
+++ b/crates/cluster-membership/src/membership_list.rs
@@ -1,6 +1,6 @@
 //! What this process holds of the other members.
 
-use crate::member::{MemberState, MemberUpdate};
+use crate::member_update::{MemberState, MemberUpdate};
 use crate::settings::SwimSettings;
 use crate::suspicion::Suspicion;
 use lupinrack_cluster_api::identity::PeerAddress;
--- a/crates/cluster-membership/src/probing.rs
+++ b/crates/cluster-membership/src/ping_order.rs
@@ -1,6 +1,6 @@
 //! Whom to probe next, the probe that is under way, and probes made for others.
 
-use crate::roster::Roster;
+use crate::membership_list::Roster;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 
--- a/crates/cluster-membership/src/swim.rs
+++ b/crates/cluster-membership/src/swim.rs
@@ -9,15 +9,15 @@
 //! one request to each helper, one probe of a seed or dead member every few periods, one request for a page of the roster
 //! every few periods while rosters differ; and answers to what others send, which is the same in the mean.
 
-mod pages;
-mod probes;
+mod failure_detection;
+mod synchronization;
 
 use crate::datagram::{encoded_len, room_for_updates, Datagram, Message};
-use crate::gossip::Gossip;
+use crate::dissemination::Gossip;
 use crate::live_table::{LiveMember, LiveTable};
-use crate::member::{MemberState, MemberUpdate};
-use crate::probing::{Probe, ProbeOrder, Relay};
-use crate::roster::{presence_digest, Applied, Roster};
+use crate::member_update::{MemberState, MemberUpdate};
+use crate::membership_list::{presence_digest, Applied, Roster};
+use crate::ping_order::{Probe, ProbeOrder, Relay};
 use crate::settings::SwimSettings;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
--- a/crates/cluster-membership/tests/datagrams.rs
+++ b/crates/cluster-membership/tests/datagrams.rs
@@ -4,7 +4,7 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::wire::Role;
 use lupinrack_cluster_membership::datagram::{DatagramError, DATAGRAM_BYTES_MOST};
-use lupinrack_cluster_membership::member::ZONE_BYTES_MOST;
+use lupinrack_cluster_membership::member_update::ZONE_BYTES_MOST;
 use lupinrack_cluster_membership::{
     Datagram, LiveMember, MemberState, MemberUpdate, Message, Swim, SwimSettings,
 };
--- a/crates/cluster-membership/tests/golden.rs
+++ b/crates/cluster-membership/tests/golden.rs
@@ -5,7 +5,7 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::wire::Role;
 use lupinrack_cluster_membership::datagram::{DatagramError, DATAGRAM_BYTES_MOST};
-use lupinrack_cluster_membership::member::ZONE_BYTES_MOST;
+use lupinrack_cluster_membership::member_update::ZONE_BYTES_MOST;
 use lupinrack_cluster_membership::{
     Datagram, LiveMember, LiveTable, MemberState, MemberUpdate, Message, Outgoing, Swim,
     SwimSettings,
