--- a/crates/cluster-membership/src/datagram.rs
+++ b/crates/cluster-membership/src/datagram.rs
@@ -1,65 +1,28 @@
 //! Datagrams of the protocol and their form on the wire.
+//!
+//! A datagram is one byte with the number of the format, then the [`Datagram`] in `borsh`.
 
-use crate::member_update::{MemberUpdate, ZONE_BYTES_MOST};
+use crate::member_update::{MemberUpdate, MAX_ZONE_BYTES};
+use crate::message::Message;
 use borsh::{BorshDeserialize, BorshSerialize};
-use lupinrack_cluster_api::identity::PeerAddress;
 
-/// The largest datagram, in bytes.
-pub const DATAGRAM_BYTES_MOST: usize = 1_200;
-/// Before everything else in a datagram; another form of datagram takes another number.
-const FORM: u8 = 1;
+/// The largest datagram, in bytes: it fits into one Ethernet frame with its headers.
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
+/// The first byte of a datagram; another format takes another number.
+const FORMAT: u8 = 1;
 /// Bytes of the number of updates.
 const COUNT_BYTES: usize = 4;
 
-/// What a datagram is for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
-pub enum Message {
-    /// Asks for an acknowledgement.
-    Probe {
-        /// The sender's number of the probe.
-        nonce: u32,
-    },
-    /// Asks a helper to probe a member.
-    ProbeRequest {
-        /// The asker's number of the probe, which comes back.
-        nonce: u32,
-        /// The member.
-        target: PeerAddress,
-    },
-    /// The answer to a probe, or to a request whose target has answered.
-    Acknowledge {
-        /// The number of the probe.
-        nonce: u32,
-    },
-    /// The answer to a request whose target has not answered the helper in time.
-    NotReached {
-        /// The asker's number of the probe.
-        nonce: u32,
-    },
-    /// Asks for a part of the roster.
-    PageRequest {
-        /// The members at higher addresses than this; none for the first.
-        after: Option<PeerAddress>,
-    },
-    /// A part of the roster, in `updates`.
-    Page {
-        /// The highest address of the part; none where the roster ends with it.
-        last: Option<PeerAddress>,
-    },
-    /// Brings updates only.
-    News,
-}
-
 /// A datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub struct Datagram {
-    /// The sender, as it holds itself.
+    /// The sender's update about itself.
     pub sender: MemberUpdate,
-    /// A digest of the members that the sender holds for there, to find out that rosters differ.
-    pub roster_digest: u64,
-    /// What it is for.
+    /// A digest of the members that the sender considers present, to detect that membership lists differ.
+    pub list_digest: u64,
+    /// What it is sent for.
     pub message: Message,
-    /// Word of members.
+    /// Updates about members, piggybacked on the message.
     pub updates: Vec<MemberUpdate>,
 }
 
@@ -69,7 +32,7 @@
     /// the datagram is larger than allowed
     TooLarge,
     /// the datagram has another form
-    UnknownForm,
+    UnknownFormat,
     /// the datagram cannot be read
     Malformed,
 }
@@ -77,63 +40,74 @@
 impl std::error::Error for DatagramError {}
 
 impl Datagram {
-    /// The bytes. Updates at the end that would make it too large are left out.
+    /// Encodes the datagram. Updates at the end that would make it larger than [`MAX_DATAGRAM_BYTES`] are left out.
     pub fn encode(&self) -> Vec<u8> {
-        let mut bytes = vec![FORM];
+        let mut bytes = vec![FORMAT];
         append(&mut bytes, &self.sender);
-        append(&mut bytes, &self.roster_digest);
+        append(&mut bytes, &self.list_digest);
         append(&mut bytes, &self.message);
         let count_at = bytes.len();
         append(&mut bytes, &0u32);
-        let mut count = 0u32;
-        for update in &self.updates {
-            let before = bytes.len();
-            append(&mut bytes, update);
-            if bytes.len() > DATAGRAM_BYTES_MOST {
-                bytes.truncate(before);
-                break;
-            }
-            count += 1;
-        }
+        let count = append_updates(&mut bytes, &self.updates);
         bytes[count_at..count_at + COUNT_BYTES].copy_from_slice(&count.to_le_bytes());
         bytes
     }
 
-    /// Reads bytes that somebody sent.
+    /// Decodes bytes that any sender may have made.
     ///
     /// # Errors
     ///
-    /// Where they are no datagram of this form, whole and within the bounds.
+    /// [`DatagramError::TooLarge`] above [`MAX_DATAGRAM_BYTES`], [`DatagramError::UnknownFormat`] where the first byte is
+    /// that of another format, and [`DatagramError::Malformed`] where the rest is not exactly one datagram or the name
+    /// of a zone is longer than [`MAX_ZONE_BYTES`].
     pub fn decode(bytes: &[u8]) -> Result<Datagram, DatagramError> {
-        if bytes.len() > DATAGRAM_BYTES_MOST {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DatagramError::TooLarge);
         }
-        let (form, body) = bytes.split_first().ok_or(DatagramError::Malformed)?;
-        if *form != FORM {
-            return Err(DatagramError::UnknownForm);
+        let (format, body) = bytes.split_first().ok_or(DatagramError::Malformed)?;
+        if *format != FORMAT {
+            return Err(DatagramError::UnknownFormat);
         }
         let datagram = Datagram::try_from_slice(body).map_err(|_| DatagramError::Malformed)?;
-        let is_bounded = |member: &MemberUpdate| member.zone.len() <= ZONE_BYTES_MOST;
-        match is_bounded(&datagram.sender) && datagram.updates.iter().all(is_bounded) {
-            true => Ok(datagram),
-            false => Err(DatagramError::Malformed),
+        let is_bounded = |member: &MemberUpdate| member.zone.len() <= MAX_ZONE_BYTES;
+        if is_bounded(&datagram.sender) && datagram.updates.iter().all(is_bounded) {
+            Ok(datagram)
+        } else {
+            Err(DatagramError::Malformed)
         }
     }
 }
 
-/// How many bytes of updates fit beside this sender in any datagram.
-pub(crate) fn room_for_updates(sender: &MemberUpdate) -> usize {
-    const OTHER_BYTES_MOST: usize = 32;
-    DATAGRAM_BYTES_MOST.saturating_sub(encoded_len(sender) + OTHER_BYTES_MOST)
+/// How many bytes of updates fit into any datagram of this sender.
+pub(crate) fn capacity_for_updates(sender: &MemberUpdate) -> usize {
+    /// Bounds the format, the digest, the message and the number of updates.
+    const MAX_OTHER_BYTES: usize = 32;
+    MAX_DATAGRAM_BYTES.saturating_sub(max_encoded_len(sender) + MAX_OTHER_BYTES)
 }
 
-/// How many bytes an update takes.
-pub(crate) fn encoded_len(update: &MemberUpdate) -> usize {
-    const FIXED_BYTES_MOST: usize = 6 + 1 + 4 + 8 + 4 + 7;
-    FIXED_BYTES_MOST + update.zone.len()
+/// Bounds the bytes that an update takes.
+pub(crate) fn max_encoded_len(update: &MemberUpdate) -> usize {
+    /// Address, role, length of the zone, both incarnations, and the largest state.
+    const MAX_FIXED_BYTES: usize = 6 + 1 + 4 + 8 + 4 + 7;
+    MAX_FIXED_BYTES + update.zone.len()
+}
+
+/// Appends as many updates as fit; their number.
+fn append_updates(bytes: &mut Vec<u8>, updates: &[MemberUpdate]) -> u32 {
+    let mut count = 0;
+    for update in updates {
+        let end = bytes.len();
+        append(bytes, update);
+        if bytes.len() > MAX_DATAGRAM_BYTES {
+            bytes.truncate(end);
+            break;
+        }
+        count += 1;
+    }
+    count
 }
 
 fn append(bytes: &mut Vec<u8>, value: &impl BorshSerialize) {
-    // A vector takes everything.
+    // Writing to a vector cannot fail.
     let _ = value.serialize(bytes);
 }
--- a/crates/cluster-membership/src/dissemination.rs
+++ b/crates/cluster-membership/src/dissemination.rs
@@ -1,50 +1,57 @@
-//! News that still has to be told: each piece rides on a bounded number of datagrams, the least told first.
+//! The dissemination of updates: each rides on a bounded number of datagrams, the least often sent first.
+//!
+//! Section 4.1 of the SWIM paper (*infection-style dissemination*). The queue holds addresses and counts; what is sent of
+//! a member is what the membership list has at that moment.
 
-use crate::datagram::encoded_len;
+use crate::datagram::max_encoded_len;
 use crate::member_update::MemberUpdate;
-use crate::membership_list::Roster;
+use crate::membership_list::MembershipList;
 use lupinrack_cluster_api::identity::PeerAddress;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// How many more times word of each member is to be told.
+/// How many more times the update about each member is to be sent.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Gossip {
+pub(crate) struct DisseminationQueue {
     remaining: BTreeMap<PeerAddress, u32>,
 }
 
-impl Gossip {
-    /// There is news of a member.
-    pub(crate) fn put(&mut self, address: PeerAddress, transmissions: u32) {
+impl DisseminationQueue {
+    /// Queues the update about a member, to be sent this many times.
+    pub(crate) fn enqueue(&mut self, address: PeerAddress, transmissions: u32) {
         self.remaining.insert(address, transmissions);
     }
 
-    /// The news for one datagram, in so many bytes at most.
-    pub(crate) fn take(&mut self, roster: &Roster, bytes_most: usize) -> Vec<MemberUpdate> {
-        let mut queue: Vec<(u32, PeerAddress)> = self
-            .remaining
-            .iter()
-            .map(|(address, remaining)| (*remaining, *address))
-            .collect();
-        queue.sort_unstable_by_key(|(remaining, address)| (Reverse(*remaining), *address));
+    /// Takes the updates for one datagram, of at most `max_bytes` together.
+    pub(crate) fn take(&mut self, members: &MembershipList, max_bytes: usize) -> Vec<MemberUpdate> {
         let mut taken = Vec::new();
-        let mut bytes_left = bytes_most;
-        for (_, address) in queue {
-            let Some(update) = roster.get(address) else {
+        let mut free_bytes = max_bytes;
+        for address in self.least_sent_first() {
+            let Some(update) = members.get(address) else {
                 self.remaining.remove(&address);
                 continue;
             };
-            let Some(left) = bytes_left.checked_sub(encoded_len(update)) else {
+            let Some(free) = free_bytes.checked_sub(max_encoded_len(update)) else {
                 break;
             };
-            bytes_left = left;
+            free_bytes = free;
             taken.push(update.clone());
-            self.told(address);
+            self.count_transmission(address);
         }
         taken
     }
 
-    fn told(&mut self, address: PeerAddress) {
+    fn least_sent_first(&self) -> Vec<PeerAddress> {
+        let mut queue: Vec<(Reverse<u32>, PeerAddress)> = self
+            .remaining
+            .iter()
+            .map(|(address, remaining)| (Reverse(*remaining), *address))
+            .collect();
+        queue.sort_unstable();
+        queue.into_iter().map(|(_, address)| address).collect()
+    }
+
+    fn count_transmission(&mut self, address: PeerAddress) {
         let Some(remaining) = self.remaining.get_mut(&address) else {
             return;
         };
--- a/crates/cluster-membership/src/live_table.rs
+++ b/crates/cluster-membership/src/live_table.rs
@@ -1,41 +1,41 @@
-//! The members that are held for there, as an immutable table, and whom to ask what in a zone.
+//! The present members as an immutable table, and which of them serves the others of its zone.
 
 use lupinrack_cluster_api::identity::{PeerAddress, ServiceName};
 use lupinrack_cluster_api::rendezvous::address_weight;
 use lupinrack_cluster_api::wire::Role;
 
-/// A zone has a home front only with at least so many fronts; a single one asks the head itself.
-const FRONTS_LEAST: usize = 2;
-/// Stands between the zone and the service in the key of a home; neither holds it.
+/// A zone has a home front only with at least so many fronts; a single one subscribes to the head itself.
+const MIN_FRONTS_FOR_HOME: usize = 2;
+/// Separates the zone from the service in the key of a home; neither contains it.
 const KEY_SEPARATOR: u8 = 0;
 
-/// A member that is held for there.
+/// A present member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LiveMember {
     /// Its internal address.
     pub address: PeerAddress,
-    /// Its kind.
+    /// The kind of machine that it runs on.
     pub role: Role,
     /// Its zone.
     pub zone: String,
-    /// The life of its process.
+    /// The random number that its process drew when it started.
     pub process_incarnation: u64,
 }
 
-/// All members that are held for there at one moment, this process included.
+/// All members that this process considers present at one moment, itself included.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LiveTable {
     members: Vec<LiveMember>,
 }
 
 impl LiveTable {
-    /// Of these members.
+    /// Builds the table of these members, in any order.
     pub fn new(mut members: Vec<LiveMember>) -> LiveTable {
         members.sort_by_key(|member| member.address);
         LiveTable { members }
     }
 
-    /// All, by address.
+    /// All members, by address.
     pub fn members(&self) -> &[LiveMember] {
         &self.members
     }
@@ -48,7 +48,7 @@
         found.ok().and_then(|index| self.members.get(index))
     }
 
-    /// Those of one kind in a zone.
+    /// The members of one kind in a zone, by address.
     pub fn in_zone<'a>(
         &'a self,
         zone: &'a str,
@@ -62,7 +62,7 @@
     /// The front of a zone that subscribes to the head for the others of it, for a service or for everything. None in a
     /// zone of fewer than two fronts.
     pub fn home_front(&self, zone: &str, service: Option<&ServiceName>) -> Option<PeerAddress> {
-        if self.in_zone(zone, Role::Frontend).count() < FRONTS_LEAST {
+        if self.in_zone(zone, Role::Frontend).count() < MIN_FRONTS_FOR_HOME {
             return None;
         }
         let key = home_key(zone, service);
--- a/crates/cluster-membership/src/membership_list.rs
+++ b/crates/cluster-membership/src/membership_list.rs
@@ -1,49 +1,51 @@
-//! What this process holds of the other members.
-
-use crate::member_update::{MemberState, MemberUpdate};
-use crate::settings::SwimSettings;
-use crate::suspicion::Suspicion;
+//! The membership list: what this process knows of the other members.
+//!
+//! The list alone decides whether an update overrides what is known, and owns the suspicions. The state machine reads it
+//! and passes on what changed.
+
+use crate::member_state::MemberState;
+use crate::member_update::MemberUpdate;
+use crate::suspicion::{Suspicion, SuspicionRule};
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::rendezvous::{address_weight, mix};
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_failure_detection::LocalHealth;
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// The most members that are remembered, so that nonsense cannot fill the memory.
-const MEMBERS_MOST: usize = 16_384;
+/// The largest number of members that are remembered, so that forged updates cannot fill the memory.
+const MAX_MEMBERS: usize = 16_384;
 
-/// What is held of one member.
+/// One member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Member {
-    pub(crate) update: MemberUpdate,
-    /// Since when it is in its state.
+struct Member {
+    update: MemberUpdate,
+    /// When it entered its state.
     since: Millis,
-    /// While it is suspected.
+    /// Present while its state is [`MemberState::Suspect`].
     suspicion: Option<Suspicion>,
 }
 
-/// What came of word of a member.
+/// What an update changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Applied {
-    /// It was known, or older than what is known.
-    Nothing,
-    /// It is worth telling others, and changes nothing in who is there.
-    News,
-    /// A member came, went, or was replaced by another life.
+pub(crate) enum ListChange {
+    /// Nothing: the update was known, or older than what is known.
+    Unchanged,
+    /// The update is to be disseminated, and changes nothing in who is present.
+    Details,
+    /// A member appeared, disappeared, or was replaced by another process at its address.
     Presence,
 }
 
-/// All other members, also those that have ended and are not forgotten yet.
+/// All other members, also dead ones and those that left until they are forgotten.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Roster {
+pub(crate) struct MembershipList {
     members: BTreeMap<PeerAddress, Member>,
-    present: usize,
+    present_count: usize,
     digest: u64,
 }
 
-impl Roster {
+impl MembershipList {
     pub(crate) fn get(&self, address: PeerAddress) -> Option<&MemberUpdate> {
         self.members.get(&address).map(|member| &member.update)
     }
@@ -53,16 +55,18 @@
             .is_some_and(|update| update.state.is_present())
     }
 
-    /// How many are there.
+    /// How many members are present.
     pub(crate) fn present_count(&self) -> usize {
-        self.present
+        self.present_count
     }
 
-    /// A digest of who is there, the same at all who hold the same, in whatever order they learned it.
+    /// A digest of the members that are present, equal at all processes that have the same ones, in whatever order they
+    /// learned of them.
     pub(crate) fn digest(&self) -> u64 {
         self.digest
     }
 
+    /// All members, by address.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &MemberUpdate> {
         self.members.values().map(|member| &member.update)
     }
@@ -71,12 +75,21 @@
         self.iter().filter(|update| update.state.is_present())
     }
 
+    pub(crate) fn alive(&self) -> impl Iterator<Item = &MemberUpdate> {
+        self.iter()
+            .filter(|update| update.state == MemberState::Alive)
+    }
+
     pub(crate) fn suspects(&self) -> impl Iterator<Item = &MemberUpdate> {
         self.iter()
             .filter(|update| matches!(update.state, MemberState::Suspect { .. }))
     }
 
-    /// Members at higher addresses than this, in their order.
+    pub(crate) fn absent(&self) -> impl Iterator<Item = &MemberUpdate> {
+        self.iter().filter(|update| !update.state.is_present())
+    }
+
+    /// Members at higher addresses than this, by address; all where there is none.
     pub(crate) fn after(
         &self,
         address: Option<PeerAddress>,
@@ -87,79 +100,68 @@
             .map(|(_, member)| &member.update)
     }
 
-    /// Takes word of another member over if it is newer. An end of a member that is not known is no news: it was
-    /// forgotten, and would go round for ever.
+    /// Applies an update about another member if it overrides what is known.
+    ///
+    /// The end of an unknown member changes nothing: it was forgotten, and its update would be disseminated for ever.
     pub(crate) fn apply(
         &mut self,
         update: &MemberUpdate,
-        confirmations: usize,
+        max_confirmations: usize,
         now: Millis,
-    ) -> Applied {
+    ) -> ListChange {
         let Some(member) = self.members.get_mut(&update.address) else {
-            if !update.state.is_present() || self.members.len() >= MEMBERS_MOST {
-                return Applied::Nothing;
-            }
-            self.put(update, now);
-            return Applied::Presence;
+            return self.apply_to_unknown(update, now);
         };
-        match update.compare_age(&member.update) {
-            Ordering::Less => Applied::Nothing,
-            Ordering::Equal => {
-                let (Some(suspicion), MemberState::Suspect { by }) =
-                    (&mut member.suspicion, update.state)
-                else {
-                    return Applied::Nothing;
-                };
-                match suspicion.confirm(by, confirmations) {
-                    true => Applied::News,
-                    false => Applied::Nothing,
-                }
-            }
+        match update.compare_version(&member.update) {
+            Ordering::Less => ListChange::Unchanged,
+            Ordering::Equal => member.confirm(update, max_confirmations),
             Ordering::Greater => {
                 let before = presence_digest(&member.update);
                 self.put(update, now);
-                match before == presence_digest(update) {
-                    true => Applied::News,
-                    false => Applied::Presence,
+                if before == presence_digest(update) {
+                    ListChange::Details
+                } else {
+                    ListChange::Presence
                 }
             }
         }
     }
 
-    /// Members whose suspicion is over, as word of their death.
-    pub(crate) fn expired(
-        &self,
-        settings: &SwimSettings,
-        health: LocalHealth,
-        now: Millis,
-    ) -> Vec<MemberUpdate> {
-        let is_over =
-            |suspicion: &Suspicion| suspicion.is_over(settings, self.present, health, now);
-        let over = self
-            .members
+    /// Members whose suspicion has timed out, as updates of their death.
+    pub(crate) fn expired_suspects(&self, rule: SuspicionRule, now: Millis) -> Vec<MemberUpdate> {
+        let has_expired = |suspicion: &Suspicion| suspicion.has_expired(rule, now);
+        self.members
             .values()
-            .filter(|member| member.suspicion.as_ref().is_some_and(is_over));
-        over.map(|member| MemberUpdate {
-            state: MemberState::Dead,
-            ..member.update.clone()
-        })
-        .collect()
+            .filter(|member| member.suspicion.as_ref().is_some_and(has_expired))
+            .map(|member| MemberUpdate {
+                state: MemberState::Dead,
+                ..member.update.clone()
+            })
+            .collect()
     }
 
-    /// Forgets members that ended long ago.
-    pub(crate) fn forget(&mut self, forget_ms: u64, now: Millis) {
+    /// Removes members that have been absent for long enough.
+    pub(crate) fn forget_absent(&mut self, forget_after_ms: u64, now: Millis) {
         self.members.retain(|_, member| {
-            member.update.state.is_present() || now.since(member.since) < forget_ms
+            member.update.state.is_present() || now.since(member.since) < forget_after_ms
         });
     }
 
-    /// This process was frozen for so long.
+    /// This process was suspended for so many milliseconds, in which no refutation could reach it.
     pub(crate) fn extend_suspicions(&mut self, milliseconds: u64) {
-        let suspicions = self
-            .members
-            .values_mut()
-            .filter_map(|member| member.suspicion.as_mut());
-        suspicions.for_each(|suspicion| suspicion.extend(milliseconds));
+        for member in self.members.values_mut() {
+            if let Some(suspicion) = &mut member.suspicion {
+                suspicion.extend(milliseconds);
+            }
+        }
+    }
+
+    fn apply_to_unknown(&mut self, update: &MemberUpdate, now: Millis) -> ListChange {
+        if !update.state.is_present() || self.members.len() >= MAX_MEMBERS {
+            return ListChange::Unchanged;
+        }
+        self.put(update, now);
+        ListChange::Presence
     }
 
     fn put(&mut self, update: &MemberUpdate, now: Millis) {
@@ -173,18 +175,34 @@
             suspicion,
         };
         self.digest ^= presence_digest(update);
-        self.present += usize::from(update.state.is_present());
+        self.present_count += usize::from(update.state.is_present());
         if let Some(replaced) = self.members.insert(update.address, member) {
             self.digest ^= presence_digest(&replaced.update);
-            self.present -= usize::from(replaced.update.state.is_present());
+            self.present_count -= usize::from(replaced.update.state.is_present());
+        }
+    }
+}
+
+impl Member {
+    /// Applies an update of the same version: it may confirm a suspicion.
+    fn confirm(&mut self, update: &MemberUpdate, max_confirmations: usize) -> ListChange {
+        let (Some(suspicion), MemberState::Suspect { by }) = (&mut self.suspicion, update.state)
+        else {
+            return ListChange::Unchanged;
+        };
+        if suspicion.confirm(by, max_confirmations) {
+            ListChange::Details
+        } else {
+            ListChange::Unchanged
         }
     }
 }
 
-/// What a member adds to the digest of those who are there: nothing where it is not.
+/// What a member adds to the digest of those that are present: nothing where it is not.
 pub(crate) fn presence_digest(update: &MemberUpdate) -> u64 {
-    match update.state.is_present() {
-        true => address_weight(&[], update.address) ^ mix(update.process_incarnation),
-        false => 0,
+    if update.state.is_present() {
+        address_weight(&[], update.address) ^ mix(update.process_incarnation)
+    } else {
+        0
     }
 }
--- /dev/null
+++ b/crates/cluster-membership/src/pending_ping.rs
@@ -0,0 +1,76 @@
+//! The ping of the current protocol period, until it is acknowledged or the period ends.
+
+use lupinrack_cluster_api::identity::PeerAddress;
+use lupinrack_cluster_api::time::Millis;
+
+/// A ping that has not been acknowledged.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct PendingPing {
+    pub(crate) target: PeerAddress,
+    /// The process at the target's address when the ping began.
+    pub(crate) process_incarnation: u64,
+    pub(crate) sequence_number: u32,
+    /// When the datagram is sent again, since it may have been lost.
+    pub(crate) resend_at: Millis,
+    /// When ping requests are sent; none once they were.
+    pub(crate) indirect_at: Option<Millis>,
+    /// The end of the protocol period: without an acknowledgement the ping has failed.
+    pub(crate) deadline: Millis,
+    /// The members that were asked by ping requests.
+    pub(crate) relays: AskedRelays,
+}
+
+/// The members that were asked to ping a target as well.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub(crate) struct AskedRelays {
+    count: usize,
+    /// Those that have not answered.
+    unanswered: Vec<PeerAddress>,
+}
+
+/// What is to be sent for a pending ping.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct DuePings {
+    /// The ping itself, once more.
+    pub(crate) direct: bool,
+    /// Ping requests to other members.
+    pub(crate) indirect: bool,
+}
+
+impl PendingPing {
+    /// When the next step is due.
+    pub(crate) fn next_step_at(&self) -> Millis {
+        let indirect_at = self.indirect_at.unwrap_or(self.deadline);
+        self.resend_at.min(indirect_at).min(self.deadline)
+    }
+
+    /// Takes the steps that are due; the ping is sent again every `resend_ms` milliseconds.
+    pub(crate) fn take_due(&mut self, resend_ms: u64, now: Millis) -> DuePings {
+        let direct = now >= self.resend_at && now < self.deadline;
+        if direct {
+            self.resend_at = now.plus(resend_ms);
+        }
+        let indirect = self.indirect_at.take_if(|at| now >= *at).is_some();
+        DuePings { direct, indirect }
+    }
+}
+
+impl AskedRelays {
+    pub(crate) fn new(relays: Vec<PeerAddress>) -> AskedRelays {
+        AskedRelays {
+            count: relays.len(),
+            unanswered: relays,
+        }
+    }
+
+    /// Notes that a member could not reach the target either.
+    pub(crate) fn nack_from(&mut self, relay: PeerAddress) {
+        self.unanswered.retain(|asked| *asked != relay);
+    }
+
+    /// Whether members were asked, and all of them answered that they could not reach the target either. Otherwise the
+    /// connection of this process may be at fault.
+    pub(crate) fn all_sent_nacks(&self) -> bool {
+        self.count > 0 && self.unanswered.is_empty()
+    }
+}
--- a/crates/cluster-membership/src/ping_order.rs
+++ b/crates/cluster-membership/src/ping_order.rs
@@ -1,104 +1,73 @@
-//! Whom to probe next, the probe that is under way, and probes made for others.
+//! The order in which members are pinged.
 
-use crate::membership_list::Roster;
+use crate::membership_list::MembershipList;
 use lupinrack_cluster_api::identity::PeerAddress;
-use lupinrack_cluster_api::time::Millis;
 
-/// The order in which members are probed: all of a group in random order, then again.
+/// Which members a ping prefers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum PingScope {
+    /// Members of the own zone.
+    OwnZone,
+    /// Members of all other zones.
+    OtherZones,
+}
+
+impl PingScope {
+    fn opposite(self) -> PingScope {
+        match self {
+            PingScope::OwnZone => PingScope::OtherZones,
+            PingScope::OtherZones => PingScope::OwnZone,
+        }
+    }
+}
+
+/// The order in which members are pinged: all members of a scope in random order, then again in another order
+/// (section 4.3 of the SWIM paper, *round-robin probe target selection*).
 ///
-/// Members of the own zone and of other zones are two groups. Most probes stay in the zone, which keeps traffic between
-/// zones low; every member is probed by those of other zones at a lower, but fixed rate, so that the end of a whole zone
-/// or of the only member of a zone is noticed too.
+/// Most pings stay in the zone, which keeps traffic between zones low. Every member is pinged by those of other zones at
+/// a lower, but fixed rate, so that the end of a zone, or of the only member of a zone, is noticed too.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ProbeOrder {
-    near: Vec<PeerAddress>,
-    distant: Vec<PeerAddress>,
+pub(crate) struct PingOrder {
+    own_zone: Vec<PeerAddress>,
+    other_zones: Vec<PeerAddress>,
 }
 
-impl ProbeOrder {
-    /// The next member to probe, of the preferred group if it has any.
+impl PingOrder {
+    /// The next member to ping: of the preferred scope, or of the other one where that is empty.
     pub(crate) fn next(
         &mut self,
-        roster: &Roster,
+        members: &MembershipList,
         zone: &str,
-        prefer_distant: bool,
+        preferred: PingScope,
         random: &mut fastrand::Rng,
     ) -> Option<PeerAddress> {
-        let preferred = self.next_of(roster, zone, prefer_distant, random);
-        preferred.or_else(|| self.next_of(roster, zone, !prefer_distant, random))
+        self.next_of(members, zone, preferred, random)
+            .or_else(|| self.next_of(members, zone, preferred.opposite(), random))
     }
 
     fn next_of(
         &mut self,
-        roster: &Roster,
+        members: &MembershipList,
         zone: &str,
-        distant: bool,
+        scope: PingScope,
         random: &mut fastrand::Rng,
     ) -> Option<PeerAddress> {
-        let group = if distant {
-            &mut self.distant
-        } else {
-            &mut self.near
+        let round = match scope {
+            PingScope::OwnZone => &mut self.own_zone,
+            PingScope::OtherZones => &mut self.other_zones,
         };
-        while let Some(address) = group.pop() {
-            if roster.is_present(address) {
+        while let Some(address) = round.pop() {
+            if members.is_present(address) {
                 return Some(address);
             }
         }
-        let in_group = roster
-            .present()
-            .filter(|update| (update.zone != zone) == distant);
-        group.extend(in_group.map(|update| update.address));
-        random.shuffle(group);
-        group.pop()
-    }
-}
-
-/// The probe of this period.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Probe {
-    pub(crate) target: PeerAddress,
-    /// The life that is probed.
-    pub(crate) process_incarnation: u64,
-    pub(crate) nonce: u32,
-    /// When it is sent again, since a datagram may be lost.
-    pub(crate) again_at: Millis,
-    /// When helpers are asked; none where they were.
-    pub(crate) helpers_at: Option<Millis>,
-    /// When it has failed.
-    pub(crate) ends: Millis,
-    /// Helpers that were asked and did not say yet that they could not reach the target.
-    pub(crate) silent_helpers: Vec<PeerAddress>,
-    /// How many were asked.
-    pub(crate) helpers_asked: usize,
-}
-
-impl Probe {
-    /// When something is due.
-    pub(crate) fn due(&self) -> Millis {
-        let helpers_at = self.helpers_at.unwrap_or(self.ends);
-        self.again_at.min(helpers_at).min(self.ends)
-    }
-}
-
-/// A probe made for another member.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Relay {
-    pub(crate) target: PeerAddress,
-    /// The number of the probe to the target.
-    pub(crate) nonce: u32,
-    pub(crate) asker: PeerAddress,
-    /// The asker's number.
-    pub(crate) asker_nonce: u32,
-    /// When it is sent once more; none where it was.
-    pub(crate) again_at: Option<Millis>,
-    /// When the asker is told that the target did not answer.
-    pub(crate) ends: Millis,
-}
-
-impl Relay {
-    /// When something is due.
-    pub(crate) fn due(&self) -> Millis {
-        self.again_at.map_or(self.ends, |at| at.min(self.ends))
+        let in_scope = |member_zone: &str| match scope {
+            PingScope::OwnZone => member_zone == zone,
+            PingScope::OtherZones => member_zone != zone,
+        };
+        let next_round = members.present().filter(|update| in_scope(&update.zone));
+        round.extend(next_round.map(|update| update.address));
+        random.shuffle(round);
+        round.pop()
     }
 }
--- a/crates/cluster-membership/src/settings.rs
+++ b/crates/cluster-membership/src/settings.rs
@@ -1,57 +1,59 @@
-//! Times and bounds of the protocol.
+//! Timeouts and intervals of the protocol.
 
-/// Times and bounds of the protocol. All processes of a cluster should have the same.
+/// Timeouts and intervals of the protocol. All processes of a cluster should have the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SwimSettings {
-    /// Between two probes of a process, in milliseconds.
-    pub period_ms: u64,
-    /// How long a direct answer may take before helpers are asked, in milliseconds; below a period.
-    pub direct_ms: u64,
-    /// Between two datagrams of one probe while it is not answered, in milliseconds.
-    pub repeat_ms: u64,
-    /// How long a helper waits for the answer, in milliseconds.
-    pub relay_ms: u64,
-    /// How many helpers are asked to probe.
-    pub helpers: usize,
-    /// The least that a suspicion lasts among ten members, in milliseconds; longer in step with the logarithm of their
+    /// The protocol period, in which a process pings one member, in milliseconds.
+    pub protocol_period_ms: u64,
+    /// How long a direct acknowledgement may take before ping requests are sent, in milliseconds; below a period.
+    pub ack_timeout_ms: u64,
+    /// Between two datagrams of one ping that has not been acknowledged, in milliseconds.
+    pub ping_resend_ms: u64,
+    /// How long a member that was asked by a ping request waits for the target's acknowledgement, in milliseconds.
+    pub relay_timeout_ms: u64,
+    /// How many members are asked by ping requests (the SWIM paper's *k*).
+    pub ping_request_fanout: usize,
+    /// The shortest timeout of a suspicion among ten members, in milliseconds; it grows with the logarithm of their
     /// number.
-    pub suspicion_ms: u64,
-    /// How many times longer a suspicion lasts that nobody else shares.
-    pub suspicion_ratio: u32,
-    /// How many other members that share a suspicion bring it to its least length.
-    pub confirmations: usize,
+    pub suspicion_timeout_ms: u64,
+    /// How many times longer the timeout of a suspicion is that no other member confirms.
+    pub suspicion_timeout_ratio: u32,
+    /// How many confirmations of other members bring a suspicion to its shortest timeout.
+    pub suspicion_confirmations: usize,
     /// After which time a member that is dead or has left is forgotten, in milliseconds.
-    pub forget_ms: u64,
-    /// Every so many periods the probe goes to a member of another zone, if there is one in the own zone.
-    pub distant_every: u64,
-    /// Every so many periods a seed or dead member is looked for, so that halves of a cut cluster find each other.
-    pub reach_every: u64,
-    /// At least so many periods lie between two requests for a page of the roster while rosters differ.
-    pub page_every: u64,
-    /// Between two requests to seeds while no other member is known, in milliseconds.
-    pub join_ms: u64,
-    /// A process that was not run for longer than this was frozen, in milliseconds: what ran out meanwhile says nothing
-    /// of others.
-    pub frozen_ms: u64,
+    pub forget_after_ms: u64,
+    /// In each period of this number, counted from the start, the ping goes to a member of another zone, if there is
+    /// one.
+    pub other_zone_every_periods: u64,
+    /// In each period of this number a seed or dead member is pinged in addition, so that the halves of a partitioned
+    /// cluster find each other.
+    pub reconnect_every_periods: u64,
+    /// At least so many periods lie between two requests for a page of the membership list while lists differ.
+    pub page_every_periods: u64,
+    /// Between two requests for a page while the process joins, in milliseconds.
+    pub join_retry_ms: u64,
+    /// A process whose timer was not run for longer than this was suspended, in milliseconds: what timed out meanwhile
+    /// is no evidence against others.
+    pub suspended_after_ms: u64,
 }
 
 impl Default for SwimSettings {
     fn default() -> SwimSettings {
         SwimSettings {
-            period_ms: 1_000,
-            direct_ms: 300,
-            repeat_ms: 200,
-            relay_ms: 400,
-            helpers: 3,
-            suspicion_ms: 3_000,
-            suspicion_ratio: 3,
-            confirmations: 3,
-            forget_ms: 60_000,
-            distant_every: 4,
-            reach_every: 4,
-            page_every: 2,
-            join_ms: 300,
-            frozen_ms: 1_500,
+            protocol_period_ms: 1_000,
+            ack_timeout_ms: 300,
+            ping_resend_ms: 200,
+            relay_timeout_ms: 400,
+            ping_request_fanout: 3,
+            suspicion_timeout_ms: 3_000,
+            suspicion_timeout_ratio: 3,
+            suspicion_confirmations: 3,
+            forget_after_ms: 60_000,
+            other_zone_every_periods: 4,
+            reconnect_every_periods: 4,
+            page_every_periods: 2,
+            join_retry_ms: 300,
+            suspended_after_ms: 1_500,
         }
     }
 }
--- a/crates/cluster-membership/src/swim/failure_detection.rs
+++ b/crates/cluster-membership/src/swim/failure_detection.rs
@@ -1,31 +1,106 @@
-//! Probes: the own one of each period, those made for others, and what their outcome is taken for.
+//! Failure detection: the ping of each protocol period, pings on behalf of others, and what follows from their outcome.
 
-use super::*;
+use super::Swim;
+use crate::member_state::MemberState;
+use crate::member_update::MemberUpdate;
+use crate::message::Message;
+use crate::pending_ping::{AskedRelays, PendingPing};
+use crate::ping_order::{PingOrder, PingScope};
+use crate::relayed_pings::{RelayedPing, RelayedPings};
+use crate::suspicion::SuspicionRule;
+use lupinrack_cluster_api::identity::PeerAddress;
+use lupinrack_cluster_api::time::Millis;
+
+/// However bad the local health is, ping requests are sent before this part of the period is over, in percent.
+const MAX_ACK_TIMEOUT_PERCENT: u64 = 60;
+/// In each period of this number the ping goes to a suspect, if there is one, so that it learns of the suspicion and
+/// refutes it.
+const SUSPECT_EVERY_PERIODS: u64 = 2;
+
+/// All pings of a member: their order, the one of the current period, and those on behalf of others.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Pings {
+    order: PingOrder,
+    pending: Option<PendingPing>,
+    relayed: RelayedPings,
+    last_sequence_number: u32,
+}
+
+impl Pings {
+    /// When the next step of any ping is due.
+    pub(super) fn next_step_at(&self) -> Option<Millis> {
+        let pending = self.pending.as_ref().map(PendingPing::next_step_at);
+        pending.into_iter().chain(self.relayed.next_step_at()).min()
+    }
+
+    /// Notes that a member could not reach the target of the pending ping.
+    pub(super) fn nack_received(&mut self, from: PeerAddress, sequence_number: u32) {
+        if let Some(ping) = self.pending_with(sequence_number) {
+            ping.relays.nack_from(from);
+        }
+    }
+
+    fn pending_with(&mut self, sequence_number: u32) -> Option<&mut PendingPing> {
+        self.pending
+            .as_mut()
+            .filter(|ping| ping.sequence_number == sequence_number)
+    }
+
+    fn next_sequence_number(&mut self) -> u32 {
+        self.last_sequence_number = self.last_sequence_number.wrapping_add(1);
+        self.last_sequence_number
+    }
+}
 
 impl Swim {
     pub(super) fn begin_period(&mut self, now: Millis) {
-        self.fail_probe(now);
-        self.periods += 1;
-        self.next_period = now.plus(self.settings.period_ms);
-        for death in self.roster.expired(&self.settings, self.health, now) {
-            self.learn(&death, now);
-        }
-        self.roster.forget(self.settings.forget_ms, now);
+        self.end_ping(now);
+        self.clock.begin(self.settings.protocol_period_ms, now);
+        self.end_suspicions(now);
+        self.members
+            .forget_absent(self.settings.forget_after_ms, now);
         if self
-            .periods
-            .is_multiple_of(self.settings.reach_every.max(1))
+            .clock
+            .is_multiple_of(self.settings.reconnect_every_periods)
         {
-            self.reach_out();
+            self.ping_absent();
         }
         if let Some(target) = self.choose_target() {
-            self.begin_probe(target, now);
+            self.begin_ping(target, now);
+        }
+    }
+
+    /// This process was suspended for so many milliseconds: what timed out meanwhile is no evidence against others.
+    pub(super) fn resume(&mut self, suspended_ms: u64, now: Millis) {
+        self.pings.pending = None;
+        self.pings.relayed.clear();
+        self.members.extend_suspicions(suspended_ms);
+        self.health.worsen();
+        self.clock.end_now(now);
+    }
+
+    /// The next member in the order of pings.
+    pub(super) fn next_ping_target(&mut self, preferred: PingScope) -> Option<PeerAddress> {
+        self.pings
+            .order
+            .next(&self.members, self.own.zone(), preferred, &mut self.random)
+    }
+
+    fn end_suspicions(&mut self, now: Millis) {
+        let rule = SuspicionRule {
+            settings: &self.settings,
+            members: self.members.present_count(),
+            health: self.health,
+        };
+        for death in self.members.expired_suspects(rule, now) {
+            self.apply(&death, now);
         }
     }
 
     fn choose_target(&mut self) -> Option<PeerAddress> {
-        if self.periods.is_multiple_of(SUSPECT_EVERY) {
+        if self.clock.is_multiple_of(SUSPECT_EVERY_PERIODS) {
             let suspects: Vec<PeerAddress> = self
-                .roster
+                .members
                 .suspects()
                 .map(|update| update.address)
                 .collect();
@@ -33,224 +108,169 @@
                 return Some(suspect);
             }
         }
-        let distant = self
-            .periods
-            .is_multiple_of(self.settings.distant_every.max(1));
-        self.order
-            .next(&self.roster, &self.own.zone, distant, &mut self.random)
+        let to_other_zone = self
+            .clock
+            .is_multiple_of(self.settings.other_zone_every_periods);
+        self.next_ping_target(if to_other_zone {
+            PingScope::OtherZones
+        } else {
+            PingScope::OwnZone
+        })
     }
 
-    fn begin_probe(&mut self, target: PeerAddress, now: Millis) {
-        let Some(process_incarnation) = self
-            .roster
-            .get(target)
-            .map(|update| update.process_incarnation)
-        else {
+    fn begin_ping(&mut self, target: PeerAddress, now: Millis) {
+        let Some(known) = self.members.get(target) else {
             return;
         };
-        let nonce = self.draw_nonce();
-        let direct_ms = self.settings.direct_ms;
-        let patience_most = self.settings.period_ms * DIRECT_PERCENT_MOST / 100;
-        let patience = (direct_ms * u64::from(self.health.multiplier()))
-            .min(patience_most)
-            .max(direct_ms);
-        self.probe = Some(Probe {
+        let process_incarnation = known.process_incarnation;
+        let sequence_number = self.pings.next_sequence_number();
+        self.pings.pending = Some(PendingPing {
             target,
             process_incarnation,
-            nonce,
-            again_at: now.plus(self.settings.repeat_ms),
-            helpers_at: Some(now.plus(patience)),
-            ends: self.next_period,
-            silent_helpers: Vec::new(),
-            helpers_asked: 0,
+            sequence_number,
+            resend_at: now.plus(self.settings.ping_resend_ms),
+            indirect_at: Some(now.plus(self.ack_timeout_ms())),
+            deadline: self.clock.next_at(),
+            relays: AskedRelays::default(),
         });
-        self.send_probe(target, nonce);
+        self.send_ping(target, sequence_number);
+    }
+
+    /// How long a direct acknowledgement may take: longer in bad local health, within the period.
+    fn ack_timeout_ms(&self) -> u64 {
+        let base_ms = self.settings.ack_timeout_ms;
+        let scaled_ms = base_ms * u64::from(self.health.multiplier());
+        let max_ms = self.settings.protocol_period_ms * MAX_ACK_TIMEOUT_PERCENT / 100;
+        scaled_ms.min(max_ms).max(base_ms)
     }
 
-    /// A member that is suspected hears of it with the probe.
-    fn send_probe(&mut self, target: PeerAddress, nonce: u32) {
-        let suspected = self
-            .roster
+    /// Sends a ping; a member that is suspected learns of it with the ping.
+    fn send_ping(&mut self, target: PeerAddress, sequence_number: u32) {
+        let accusation = self
+            .members
             .get(target)
-            .filter(|held| held.state != MemberState::Alive);
-        let first = suspected.cloned().into_iter().collect();
-        self.send_with(target, Message::Probe { nonce }, first);
+            .filter(|known| known.state != MemberState::Alive);
+        let updates = accusation.cloned().into_iter().collect();
+        self.send_with(target, Message::Ping { sequence_number }, updates);
     }
 
-    pub(super) fn continue_probe(&mut self, now: Millis) {
-        let Some(probe) = &mut self.probe else {
+    pub(super) fn continue_ping(&mut self, now: Millis) {
+        let Some(ping) = &mut self.pings.pending else {
             return;
         };
-        let (target, nonce) = (probe.target, probe.nonce);
-        let repeat = now >= probe.again_at && now < probe.ends;
-        if repeat {
-            probe.again_at = now.plus(self.settings.repeat_ms);
+        let (target, sequence_number) = (ping.target, ping.sequence_number);
+        let due = ping.take_due(self.settings.ping_resend_ms, now);
+        if due.direct {
+            self.send_ping(target, sequence_number);
         }
-        let ask = probe.helpers_at.take_if(|at| now >= *at).is_some();
-        if repeat {
-            self.send_probe(target, nonce);
-        }
-        if ask {
-            self.ask_helpers(target, nonce);
+        if due.indirect {
+            self.send_ping_requests(target, sequence_number);
         }
     }
 
-    fn ask_helpers(&mut self, target: PeerAddress, nonce: u32) {
-        let alive = self
-            .roster
-            .iter()
-            .filter(|update| update.state == MemberState::Alive);
-        let addresses = alive.map(|update| update.address);
-        let mut helpers: Vec<PeerAddress> =
-            addresses.filter(|address| *address != target).collect();
-        self.random.shuffle(&mut helpers);
-        helpers.truncate(self.settings.helpers);
-        for helper in &helpers {
-            self.send(*helper, Message::ProbeRequest { nonce, target });
+    fn send_ping_requests(&mut self, target: PeerAddress, sequence_number: u32) {
+        let mut relays: Vec<PeerAddress> = self
+            .members
+            .alive()
+            .map(|update| update.address)
+            .filter(|address| *address != target)
+            .collect();
+        self.random.shuffle(&mut relays);
+        relays.truncate(self.settings.ping_request_fanout);
+        for relay in &relays {
+            let request = Message::PingRequest {
+                sequence_number,
+                target,
+            };
+            self.send(*relay, request);
         }
-        if let Some(probe) = &mut self.probe {
-            probe.helpers_asked = helpers.len();
-            probe.silent_helpers = helpers;
+        if let Some(ping) = &mut self.pings.pending {
+            ping.relays = AskedRelays::new(relays);
         }
     }
 
-    /// The period is over: whoever did not answer is suspected. Helpers that said nothing tell of the own health, but not
-    /// where the target was suspected already: then silence was to be expected.
-    fn fail_probe(&mut self, now: Millis) {
-        let Some(probe) = self.probe.take() else {
+    /// The period is over: a member that did not acknowledge its ping is suspected. Members that did not even answer a
+    /// ping request are evidence of the own health, unless the target was suspected already: then no acknowledgement was
+    /// to be expected.
+    fn end_ping(&mut self, now: Millis) {
+        let Some(ping) = self.pings.pending.take() else {
             return;
         };
-        let held = self.roster.get(probe.target);
-        let Some(held) = held.filter(|held| {
-            held.process_incarnation == probe.process_incarnation && held.state.is_present()
-        }) else {
+        let known = self.members.get(ping.target).filter(|known| {
+            known.process_incarnation == ping.process_incarnation && known.state.is_present()
+        });
+        let Some(known) = known else {
             return;
         };
-        let all_answered = probe.helpers_asked > 0 && probe.silent_helpers.is_empty();
-        if held.state == MemberState::Alive && !all_answered {
-            self.health.worsen();
-        }
-        let state = MemberState::Suspect {
-            by: self.own.address,
-        };
         let suspicion = MemberUpdate {
-            state,
-            ..held.clone()
+            state: MemberState::Suspect {
+                by: self.own.address(),
+            },
+            ..known.clone()
         };
-        self.learn(&suspicion, now);
+        if known.state == MemberState::Alive && !ping.relays.all_sent_nacks() {
+            self.health.worsen();
+        }
+        self.apply(&suspicion, now);
     }
 
-    pub(super) fn acknowledged(&mut self, from: PeerAddress, nonce: u32) {
-        let answers = |probe: &Probe| probe.nonce == nonce;
-        if self.probe.as_ref().is_some_and(answers) {
-            self.probe = None;
+    pub(super) fn ack_received(&mut self, from: PeerAddress, sequence_number: u32) {
+        if self.pings.pending_with(sequence_number).is_some() {
+            self.pings.pending = None;
             self.health.improve();
         }
-        let relayed = self
-            .relays
-            .iter()
-            .position(|relay| relay.nonce == nonce && relay.target == from);
-        if let Some(index) = relayed {
-            let relay = self.relays.remove(index);
-            self.send(
-                relay.asker,
-                Message::Acknowledge {
-                    nonce: relay.asker_nonce,
-                },
-            );
-        }
-    }
-
-    pub(super) fn not_reached(&mut self, helper: PeerAddress, nonce: u32) {
-        if let Some(probe) = self.probe.as_mut().filter(|probe| probe.nonce == nonce) {
-            probe.silent_helpers.retain(|silent| *silent != helper);
+        if let Some(ping) = self.pings.relayed.take_acknowledged(from, sequence_number) {
+            let sequence_number = ping.requester_sequence_number;
+            self.send(ping.requester, Message::Ack { sequence_number });
         }
     }
 
-    pub(super) fn relay(
+    /// Pings a member on behalf of another one.
+    pub(super) fn relay_ping(
         &mut self,
-        asker: PeerAddress,
-        asker_nonce: u32,
+        requester: PeerAddress,
+        requester_sequence_number: u32,
         target: PeerAddress,
         now: Millis,
     ) {
-        if target == self.own.address {
-            self.send(asker, Message::Acknowledge { nonce: asker_nonce });
+        if target == self.own.address() {
+            let sequence_number = requester_sequence_number;
+            self.send(requester, Message::Ack { sequence_number });
             return;
         }
-        if self.relays.len() >= RELAYS_MOST {
-            self.relays.remove(0);
-        }
-        let nonce = self.draw_nonce();
-        let again_at = Some(now.plus(self.settings.repeat_ms));
-        let ends = now.plus(self.settings.relay_ms);
-        self.relays.push(Relay {
+        let sequence_number = self.pings.next_sequence_number();
+        self.pings.relayed.push(RelayedPing {
             target,
-            nonce,
-            asker,
-            asker_nonce,
-            again_at,
-            ends,
+            sequence_number,
+            requester,
+            requester_sequence_number,
+            resend_at: Some(now.plus(self.settings.ping_resend_ms)),
+            deadline: now.plus(self.settings.relay_timeout_ms),
         });
-        self.send_probe(target, nonce);
+        self.send_ping(target, sequence_number);
     }
 
-    pub(super) fn continue_relays(&mut self, now: Millis) {
-        let due = |relay: &mut Relay| {
-            relay
-                .again_at
-                .take_if(|at| now >= *at)
-                .map(|_| (relay.target, relay.nonce))
-        };
-        let again: Vec<(PeerAddress, u32)> = self.relays.iter_mut().filter_map(due).collect();
-        for (target, nonce) in again {
-            self.send_probe(target, nonce);
+    pub(super) fn continue_relayed_pings(&mut self, now: Millis) {
+        for (target, sequence_number) in self.pings.relayed.take_due_resends(now) {
+            self.send_ping(target, sequence_number);
         }
-        self.end_relays(now);
-    }
-
-    fn end_relays(&mut self, now: Millis) {
-        let (over, open) = mem::take(&mut self.relays)
-            .into_iter()
-            .partition(|relay| relay.ends <= now);
-        self.relays = open;
-        let over: Vec<Relay> = over;
-        for relay in over {
-            self.send(
-                relay.asker,
-                Message::NotReached {
-                    nonce: relay.asker_nonce,
-                },
-            );
+        for ping in self.pings.relayed.take_expired(now) {
+            let sequence_number = ping.requester_sequence_number;
+            self.send(ping.requester, Message::Nack { sequence_number });
         }
     }
 
-    /// Looks for a seed or member that is not held for there, which may be on the other side of a cut.
-    fn reach_out(&mut self) {
-        let gone = self
-            .roster
-            .iter()
-            .filter(|update| !update.state.is_present())
-            .map(|update| update.address);
-        let mut away: Vec<PeerAddress> = self.seeds.iter().copied().chain(gone).collect();
-        away.retain(|address| !self.roster.is_present(*address));
-        if let Some(target) = self.random.choice(away) {
-            let nonce = self.draw_nonce();
-            self.send_probe(target, nonce);
+    /// Pings a seed or member that is not present: it may be on the other side of a partition.
+    fn ping_absent(&mut self) {
+        let seeds = self.seeds.iter().copied();
+        let absent = self.members.absent().map(|update| update.address);
+        let candidates: Vec<PeerAddress> = seeds
+            .chain(absent)
+            .filter(|address| !self.members.is_present(*address))
+            .collect();
+        if let Some(target) = self.random.choice(candidates) {
+            let sequence_number = self.pings.next_sequence_number();
+            self.send_ping(target, sequence_number);
         }
     }
-
-    /// This process was frozen: what ran out meanwhile says nothing of others.
-    pub(super) fn resume(&mut self, frozen_ms: u64, now: Millis) {
-        self.probe = None;
-        self.relays.clear();
-        self.roster.extend_suspicions(frozen_ms);
-        self.health.worsen();
-        self.next_period = now;
-    }
-
-    pub(super) fn draw_nonce(&mut self) -> u32 {
-        self.last_nonce = self.last_nonce.wrapping_add(1);
-        self.last_nonce
-    }
 }
--- a/crates/cluster-membership/src/swim/synchronization.rs
+++ b/crates/cluster-membership/src/swim/synchronization.rs
@@ -1,68 +1,49 @@
-//! Pages of the roster: asked for while this member joins, and while rosters differ.
+//! Pages of the membership list: requested while this member joins and while lists differ, and sent to others.
 
-use super::*;
+use super::Swim;
+use crate::datagram::max_encoded_len;
+use crate::member_update::MemberUpdate;
+use crate::message::Message;
+use crate::ping_order::PingScope;
+use lupinrack_cluster_api::identity::PeerAddress;
+use lupinrack_cluster_api::time::Millis;
 
 impl Swim {
-    pub(super) fn wants_page(&self) -> bool {
-        self.paging.joining || self.differs.is_some()
-    }
-
     pub(super) fn request_page(&mut self, now: Millis) {
-        let hurries = self.paging.joining || self.paging.fruitful;
-        let pause = match hurries {
-            true => self.settings.join_ms,
-            false => self.settings.page_every * self.settings.period_ms,
-        };
-        self.paging.fruitful = false;
-        self.paging.due = now.plus(pause.max(1));
-        let Some(source) = self.page_source() else {
-            return;
-        };
-        let after = self.paging.cursor;
-        self.send(source, Message::PageRequest { after });
+        self.sync.schedule_next(&self.settings, now);
+        if let Some(source) = self.page_source() {
+            let after = self.sync.cursor();
+            self.send(source, Message::PageRequest { after });
+        }
     }
 
-    /// While this member joins, a seed or anybody it has heard of; later, whoever has another roster.
+    /// While this member joins, a seed or any member that it has learned of; later, the member whose list differs.
     fn page_source(&mut self) -> Option<PeerAddress> {
-        if !self.paging.joining {
-            return self.differs;
+        if !self.sync.is_joining() {
+            return self.sync.differing_peer();
         }
-        let ask_seed = self.roster.present_count() == 0 || self.random.bool();
-        let seed = match ask_seed {
-            true => self.random.choice(self.seeds.iter().copied()),
-            false => None,
+        let ask_seed = self.members.present_count() == 0 || self.random.bool();
+        let seed = if ask_seed {
+            self.random.choice(self.seeds.iter().copied())
+        } else {
+            None
         };
-        seed.or_else(|| {
-            self.order
-                .next(&self.roster, &self.own.zone, false, &mut self.random)
-        })
+        seed.or_else(|| self.next_ping_target(PingScope::OwnZone))
     }
 
-    pub(super) fn send_page(&mut self, sender: &MemberUpdate, after: Option<PeerAddress>) {
-        let mut updates = self.contradiction(sender);
-        let mut room =
-            room_for_updates(&self.own).saturating_sub(updates.iter().map(encoded_len).sum());
+    /// Sends the members after an address, as many as fit; first of all what the requester should know of itself.
+    pub(super) fn send_page(&mut self, requester: &MemberUpdate, after: Option<PeerAddress>) {
+        let mut updates = self.correction_for(requester);
+        let mut free_bytes = self.free_bytes_beside(&updates);
         let mut last = None;
-        for update in self.roster.after(after) {
-            let Some(left) = room.checked_sub(encoded_len(update)) else {
+        for update in self.members.after(after) {
+            let Some(free) = free_bytes.checked_sub(max_encoded_len(update)) else {
                 last = updates.last().map(|update| update.address);
                 break;
             };
-            room = left;
+            free_bytes = free;
             updates.push(update.clone());
         }
-        self.push(sender.address, Message::Page { last }, updates);
-    }
-
-    pub(super) fn take_page(&mut self, last: Option<PeerAddress>, fruitful: bool, now: Millis) {
-        self.paging.cursor = last;
-        self.paging.fruitful = fruitful;
-        if fruitful {
-            self.paging.due = self.paging.due.min(now.plus(self.settings.join_ms));
-        }
-        if last.is_none() {
-            self.paging.joining = false;
-            self.differs = None;
-        }
+        self.push(requester.address, Message::Page { last }, updates);
     }
 }
--- a/crates/cluster-membership/tests/age.rs
+++ b/crates/cluster-membership/tests/age.rs
@@ -22,8 +22,8 @@
 }
 
 fn assert_newer(newer: &MemberUpdate, older: &MemberUpdate) {
-    assert_eq!(newer.compare_age(older), Ordering::Greater);
-    assert_eq!(older.compare_age(newer), Ordering::Less);
+    assert_eq!(newer.compare_version(older), Ordering::Greater);
+    assert_eq!(older.compare_version(newer), Ordering::Less);
 }
 
 #[test]
@@ -71,5 +71,5 @@
             },
         )
     };
-    assert_eq!(by(2).compare_age(&by(5)), Ordering::Equal);
+    assert_eq!(by(2).compare_version(&by(5)), Ordering::Equal);
 }
--- a/crates/cluster-membership/tests/datagrams.rs
+++ b/crates/cluster-membership/tests/datagrams.rs
@@ -3,8 +3,8 @@
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::wire::Role;
-use lupinrack_cluster_membership::datagram::{DatagramError, DATAGRAM_BYTES_MOST};
-use lupinrack_cluster_membership::member_update::ZONE_BYTES_MOST;
+use lupinrack_cluster_membership::datagram::{DatagramError, MAX_DATAGRAM_BYTES};
+use lupinrack_cluster_membership::member_update::MAX_ZONE_BYTES;
 use lupinrack_cluster_membership::{
     Datagram, LiveMember, MemberState, MemberUpdate, Message, Swim, SwimSettings,
 };
@@ -35,7 +35,7 @@
         AnyUpdate(MemberUpdate {
             address: any_address(random),
             role: random.choose(&roles).copied().unwrap_or(Role::Core),
-            zone: "z".repeat(usize::arbitrary(random) % (ZONE_BYTES_MOST + 1)),
+            zone: "z".repeat(usize::arbitrary(random) % (MAX_ZONE_BYTES + 1)),
             process_incarnation: u64::arbitrary(random) % 3,
             incarnation: u32::arbitrary(random) % 4,
             state: random
@@ -48,29 +48,32 @@
 
 impl Arbitrary for AnyDatagram {
     fn arbitrary(random: &mut Gen) -> Self {
-        let nonce = u32::arbitrary(random);
+        let sequence_number = u32::arbitrary(random);
         let messages = [
-            Message::Probe { nonce },
-            Message::ProbeRequest {
-                nonce,
+            Message::Ping { sequence_number },
+            Message::PingRequest {
+                sequence_number,
                 target: any_address(random),
             },
-            Message::Acknowledge { nonce },
-            Message::NotReached { nonce },
+            Message::Ack { sequence_number },
+            Message::Nack { sequence_number },
             Message::PageRequest {
                 after: bool::arbitrary(random).then(|| any_address(random)),
             },
             Message::Page {
                 last: bool::arbitrary(random).then(|| any_address(random)),
             },
-            Message::News,
+            Message::UpdatesOnly,
         ];
         let AnyUpdate(sender) = AnyUpdate::arbitrary(random);
         let updates = Vec::<AnyUpdate>::arbitrary(random);
         AnyDatagram(Datagram {
             sender,
-            roster_digest: u64::arbitrary(random),
-            message: random.choose(&messages).copied().unwrap_or(Message::News),
+            list_digest: u64::arbitrary(random),
+            message: random
+                .choose(&messages)
+                .copied()
+                .unwrap_or(Message::UpdatesOnly),
             updates: updates
                 .into_iter()
                 .map(|AnyUpdate(update)| update)
@@ -98,9 +101,9 @@
         let AnyDatagram(datagram) = any;
         let bytes = datagram.encode();
         let Ok(decoded) = Datagram::decode(&bytes) else { return false };
-        let head = (decoded.sender, decoded.roster_digest, decoded.message);
-        let same = head == (datagram.sender, datagram.roster_digest, datagram.message);
-        same && bytes.len() <= DATAGRAM_BYTES_MOST && datagram.updates.starts_with(&decoded.updates)
+        let head = (decoded.sender, decoded.list_digest, decoded.message);
+        let same = head == (datagram.sender, datagram.list_digest, datagram.message);
+        same && bytes.len() <= MAX_DATAGRAM_BYTES && datagram.updates.starts_with(&decoded.updates)
     }
 
     fn a_damaged_datagram_is_refused_or_read(any: AnyDatagram, at: usize, byte: u8, cut: bool) -> bool {
@@ -137,10 +140,10 @@
 
 #[test]
 fn too_many_bytes_are_refused_unread() {
-    let bytes = vec![1; DATAGRAM_BYTES_MOST + 1];
+    let bytes = vec![1; MAX_DATAGRAM_BYTES + 1];
     assert_eq!(Datagram::decode(&bytes), Err(DatagramError::TooLarge));
     assert_eq!(Datagram::decode(&[]), Err(DatagramError::Malformed));
-    assert_eq!(Datagram::decode(&[9, 9]), Err(DatagramError::UnknownForm));
+    assert_eq!(Datagram::decode(&[9, 9]), Err(DatagramError::UnknownFormat));
 }
 
 #[test]
@@ -149,13 +152,13 @@
         sender: MemberUpdate {
             address: PeerAddress(SocketAddrV4::new([10, 0, 0, 2].into(), 7_000)),
             role: Role::Core,
-            zone: "z".repeat(ZONE_BYTES_MOST + 1),
+            zone: "z".repeat(MAX_ZONE_BYTES + 1),
             process_incarnation: 1,
             incarnation: 0,
             state: MemberState::Alive,
         },
-        roster_digest: 0,
-        message: Message::News,
+        list_digest: 0,
+        message: Message::UpdatesOnly,
         updates: Vec::new(),
     };
     assert_eq!(
--- a/crates/cluster-membership/tests/failures.rs
+++ b/crates/cluster-membership/tests/failures.rs
@@ -106,7 +106,7 @@
     for index in 6..12 {
         network.move_to_island(index, 1);
     }
-    network.run(60_000 + network.settings.forget_ms);
+    network.run(60_000 + network.settings.forget_after_ms);
     assert!(
         network
             .swim(11)
@@ -141,15 +141,15 @@
 
 #[test]
 fn a_freeze_is_refuted_after_waking() {
-    for frozen_ms in [2_000, 6_000, 30_000] {
+    for suspended_after_ms in [2_000, 6_000, 30_000] {
         let mut network = Network::start(20, 0, 47);
         network.run(20_000);
         let all = network.running();
         network.freeze(9);
-        network.run(frozen_ms);
+        network.run(suspended_after_ms);
         network.thaw(9);
         let back = network.run_until(15_000, |network| network.agree_on(&all));
-        assert!(back.is_some(), "frozen for {frozen_ms} ms");
+        assert!(back.is_some(), "frozen for {suspended_after_ms} ms");
         network.run(15_000);
         assert!(network.agree_on(&all), "nothing of it is left");
     }
--- a/crates/cluster-membership/tests/golden.rs
+++ b/crates/cluster-membership/tests/golden.rs
@@ -4,8 +4,8 @@
 use lupinrack_cluster_api::identity::{PeerAddress, ServiceName};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::wire::Role;
-use lupinrack_cluster_membership::datagram::{DatagramError, DATAGRAM_BYTES_MOST};
-use lupinrack_cluster_membership::member_update::ZONE_BYTES_MOST;
+use lupinrack_cluster_membership::datagram::{DatagramError, MAX_DATAGRAM_BYTES};
+use lupinrack_cluster_membership::member_update::MAX_ZONE_BYTES;
 use lupinrack_cluster_membership::{
     Datagram, LiveMember, LiveTable, MemberState, MemberUpdate, Message, Outgoing, Swim,
     SwimSettings,
@@ -120,15 +120,15 @@
 
 fn name_of_message(message: Message) -> &'static str {
     match message {
-        Message::Probe { .. } => "probe",
-        Message::ProbeRequest { .. } => "probe_request",
-        Message::Acknowledge { .. } => "acknowledge",
-        Message::NotReached { .. } => "not_reached",
+        Message::Ping { .. } => "probe",
+        Message::PingRequest { .. } => "probe_request",
+        Message::Ack { .. } => "acknowledge",
+        Message::Nack { .. } => "not_reached",
         Message::PageRequest { after: None } => "page_request_for_the_first",
         Message::PageRequest { after: Some(_) } => "page_request_for_another",
         Message::Page { last: None } => "last_page",
         Message::Page { last: Some(_) } => "page",
-        Message::News => "news",
+        Message::UpdatesOnly => "news",
     }
 }
 
@@ -152,13 +152,19 @@
 /// Every message: the digest, numbers and addresses differ from each other.
 fn messages() -> [Message; 9] {
     [
-        Message::Probe { nonce: 0x2122_2324 },
-        Message::ProbeRequest {
-            nonce: 0x3132_3334,
+        Message::Ping {
+            sequence_number: 0x2122_2324,
+        },
+        Message::PingRequest {
+            sequence_number: 0x3132_3334,
             target: address(31, 7_031),
         },
-        Message::Acknowledge { nonce: 0x4142_4344 },
-        Message::NotReached { nonce: 0x5152_5354 },
+        Message::Ack {
+            sequence_number: 0x4142_4344,
+        },
+        Message::Nack {
+            sequence_number: 0x5152_5354,
+        },
         Message::PageRequest { after: None },
         Message::PageRequest {
             after: Some(address(61, 7_061)),
@@ -167,7 +173,7 @@
         Message::Page {
             last: Some(address(71, 7_071)),
         },
-        Message::News,
+        Message::UpdatesOnly,
     ]
 }
 
@@ -175,7 +181,7 @@
 fn datagrams_keep_their_form() {
     let datagram = |sender: MemberUpdate, message, updates| Datagram {
         sender,
-        roster_digest: 0x8182_8384_8586_8788,
+        list_digest: 0x8182_8384_8586_8788,
         message,
         updates,
     };
@@ -199,12 +205,12 @@
             name_of_state(sender.state),
             name_of_role(sender.role)
         );
-        datagrams.push((name, datagram(sender, Message::News, Vec::new())));
+        datagrams.push((name, datagram(sender, Message::UpdatesOnly, Vec::new())));
     }
-    let longest_zone = alive(1, Role::Core, &"z".repeat(ZONE_BYTES_MOST));
+    let longest_zone = alive(1, Role::Core, &"z".repeat(MAX_ZONE_BYTES));
     datagrams.push((
         "from_the_longest_zone".to_string(),
-        datagram(longest_zone, Message::News, Vec::new()),
+        datagram(longest_zone, Message::UpdatesOnly, Vec::new()),
     ));
     check_datagrams("datagrams.txt", &datagrams);
 
@@ -256,7 +262,7 @@
 ) -> Vec<Outgoing> {
     let datagram = Datagram {
         sender: sender.clone(),
-        roster_digest: 0,
+        list_digest: 0,
         message,
         updates: updates.to_vec(),
     };
@@ -285,20 +291,22 @@
         answers(
             &mut swim,
             &other,
-            Message::Probe { nonce: 41 },
+            Message::Ping {
+                sequence_number: 41,
+            },
             &members_in_every_state(),
         ),
     );
-    let own = Message::ProbeRequest {
-        nonce: 42,
+    let own = Message::PingRequest {
+        sequence_number: 42,
         target: address(1, 7_000),
     };
     record(
         "request to probe itself",
         answers(&mut swim, &other, own, &[]),
     );
-    let third = Message::ProbeRequest {
-        nonce: 43,
+    let third = Message::PingRequest {
+        sequence_number: 43,
         target: address(12, 7_000),
     };
     record(
@@ -308,11 +316,23 @@
     let suspect = alive(12, Role::Agent, "east");
     record(
         "answer to a relayed probe",
-        answers(&mut swim, &suspect, Message::Acknowledge { nonce: 1 }, &[]),
+        answers(
+            &mut swim,
+            &suspect,
+            Message::Ack { sequence_number: 1 },
+            &[],
+        ),
     );
     record(
         "contradicted probe",
-        answers(&mut swim, &suspect, Message::Probe { nonce: 44 }, &[]),
+        answers(
+            &mut swim,
+            &suspect,
+            Message::Ping {
+                sequence_number: 44,
+            },
+            &[],
+        ),
     );
     let accused = MemberUpdate {
         state: MemberState::Dead,
@@ -320,12 +340,22 @@
     };
     record(
         "word of its own death",
-        answers(&mut swim, &other, Message::Probe { nonce: 45 }, &[accused]),
+        answers(
+            &mut swim,
+            &other,
+            Message::Ping {
+                sequence_number: 45,
+            },
+            &[accused],
+        ),
     );
     let many: Vec<MemberUpdate> = (100..160)
         .map(|last| alive(last, Role::Agent, "north"))
         .collect();
-    record("news", answers(&mut swim, &other, Message::News, &many));
+    record(
+        "news",
+        answers(&mut swim, &other, Message::UpdatesOnly, &many),
+    );
     record(
         "first page",
         answers(&mut swim, &other, Message::PageRequest { after: None }, &[]),
@@ -354,7 +384,7 @@
 fn a_member_that_leaves_says_so_in_the_same_bytes() {
     let other = alive(11, Role::Frontend, "north");
     let mut swim = swim();
-    answers(&mut swim, &other, Message::News, &[]);
+    answers(&mut swim, &other, Message::UpdatesOnly, &[]);
     let farewells = swim.leave();
     let [Outgoing { to, datagram }] = farewells.as_slice() else {
         panic!("one farewell, not {farewells:?}");
@@ -366,7 +396,7 @@
     };
     assert_eq!(
         (*to, &datagram.sender, datagram.message),
-        (other.address, &own, Message::News)
+        (other.address, &own, Message::UpdatesOnly)
     );
 }
 
@@ -374,10 +404,10 @@
 fn errors_keep_their_texts() {
     let name = |error| match error {
         DatagramError::TooLarge => "too_large",
-        DatagramError::UnknownForm => "unknown_form",
+        DatagramError::UnknownFormat => "unknown_form",
         DatagramError::Malformed => "malformed",
     };
-    let too_large = vec![1; DATAGRAM_BYTES_MOST + 1];
+    let too_large = vec![1; MAX_DATAGRAM_BYTES + 1];
     let refused = [too_large.as_slice(), &[2, 0], &[1, 0]];
     let errors = refused.map(|bytes| Datagram::decode(bytes).expect_err("no datagram"));
     check(
@@ -437,38 +467,44 @@
 #[test]
 fn defaults_of_the_protocol_stay() {
     let SwimSettings {
-        period_ms,
-        direct_ms,
-        repeat_ms,
-        relay_ms,
-        helpers,
-        suspicion_ms,
-        suspicion_ratio,
-        confirmations,
-        forget_ms,
-        distant_every,
-        reach_every,
-        page_every,
-        join_ms,
-        frozen_ms,
+        protocol_period_ms,
+        ack_timeout_ms,
+        ping_resend_ms,
+        relay_timeout_ms,
+        ping_request_fanout,
+        suspicion_timeout_ms,
+        suspicion_timeout_ratio,
+        suspicion_confirmations,
+        forget_after_ms,
+        other_zone_every_periods,
+        reconnect_every_periods,
+        page_every_periods,
+        join_retry_ms,
+        suspended_after_ms,
     } = SwimSettings::default();
     let entries = [
-        ("period, ms", period_ms),
-        ("direct answer, ms", direct_ms),
-        ("repetition, ms", repeat_ms),
-        ("answer to a helper, ms", relay_ms),
-        ("helpers", helpers as u64),
-        ("suspicion, ms", suspicion_ms),
-        ("ratio of suspicions", u64::from(suspicion_ratio)),
-        ("confirmations", confirmations as u64),
-        ("forgetting, ms", forget_ms),
-        ("periods between probes of another zone", distant_every),
-        ("periods between probes of absent members", reach_every),
-        ("periods between pages", page_every),
-        ("pause while joining, ms", join_ms),
-        ("frozen after, ms", frozen_ms),
-        ("largest datagram, bytes", DATAGRAM_BYTES_MOST as u64),
-        ("longest zone, bytes", ZONE_BYTES_MOST as u64),
+        ("period, ms", protocol_period_ms),
+        ("direct answer, ms", ack_timeout_ms),
+        ("repetition, ms", ping_resend_ms),
+        ("answer to a helper, ms", relay_timeout_ms),
+        ("helpers", ping_request_fanout as u64),
+        ("suspicion, ms", suspicion_timeout_ms),
+        ("ratio of suspicions", u64::from(suspicion_timeout_ratio)),
+        ("confirmations", suspicion_confirmations as u64),
+        ("forgetting, ms", forget_after_ms),
+        (
+            "periods between probes of another zone",
+            other_zone_every_periods,
+        ),
+        (
+            "periods between probes of absent members",
+            reconnect_every_periods,
+        ),
+        ("periods between pages", page_every_periods),
+        ("pause while joining, ms", join_retry_ms),
+        ("frozen after, ms", suspended_after_ms),
+        ("largest datagram, bytes", MAX_DATAGRAM_BYTES as u64),
+        ("longest zone, bytes", MAX_ZONE_BYTES as u64),
     ];
     check(
         "protocol_defaults.txt",
--- a/crates/cluster-membership/tests/joining.rs
+++ b/crates/cluster-membership/tests/joining.rs
@@ -135,7 +135,7 @@
     let mut network = Network::start(20, 10, 17);
     network.run(20_000);
     network.kill(15);
-    network.run(30_000 + network.settings.forget_ms);
+    network.run(30_000 + network.settings.forget_after_ms);
     for index in network.running() {
         assert!(network
             .swim(index)
--- a/crates/cluster-membership/tests/rules.rs
+++ b/crates/cluster-membership/tests/rules.rs
@@ -42,7 +42,7 @@
 ) -> Vec<Outgoing> {
     let datagram = Datagram {
         sender: alive(from),
-        roster_digest: 0,
+        list_digest: 0,
         message,
         updates,
     };
@@ -52,10 +52,23 @@
 #[test]
 fn a_probe_is_acknowledged_with_its_number() {
     let mut swim = swim();
-    let sent = say(&mut swim, 2, Message::Probe { nonce: 77 }, Vec::new(), 10);
+    let sent = say(
+        &mut swim,
+        2,
+        Message::Ping {
+            sequence_number: 77,
+        },
+        Vec::new(),
+        10,
+    );
     assert_eq!(sent.len(), 1);
     assert_eq!(sent[0].to, address(2));
-    assert_eq!(sent[0].datagram.message, Message::Acknowledge { nonce: 77 });
+    assert_eq!(
+        sent[0].datagram.message,
+        Message::Ack {
+            sequence_number: 77
+        }
+    );
     assert!(
         swim.live_table().get(address(2)).is_some(),
         "who probes is there"
@@ -67,8 +80,8 @@
     let mut swim = swim();
     let datagram = Datagram {
         sender: alive(2),
-        roster_digest: 0,
-        message: Message::Probe { nonce: 1 },
+        list_digest: 0,
+        message: Message::Ping { sequence_number: 1 },
         updates: Vec::new(),
     };
     assert!(swim.receive(address(3), datagram, Millis(10)).is_empty());
@@ -87,14 +100,14 @@
     let sent = say(
         &mut swim,
         2,
-        Message::Probe { nonce: 1 },
+        Message::Ping { sequence_number: 1 },
         vec![suspicion.clone()],
         10,
     );
     assert_eq!(swim.incarnation(), 5);
     assert_eq!(sent[0].datagram.sender.incarnation, 5);
     assert_eq!(swim.health_score(), 1);
-    say(&mut swim, 2, Message::News, vec![suspicion], 20);
+    say(&mut swim, 2, Message::UpdatesOnly, vec![suspicion], 20);
     assert_eq!(
         swim.incarnation(),
         5,
@@ -111,7 +124,7 @@
         state: MemberState::Dead,
         ..alive(1)
     };
-    say(&mut swim, 2, Message::News, vec![old_life], 10);
+    say(&mut swim, 2, Message::UpdatesOnly, vec![old_life], 10);
     assert_eq!(swim.incarnation(), 4);
     assert_eq!(
         swim.health_score(),
@@ -123,26 +136,32 @@
 #[test]
 fn who_is_held_for_dead_is_told_so() {
     let mut swim = swim();
-    say(&mut swim, 2, Message::News, vec![alive(3)], 10);
+    say(&mut swim, 2, Message::UpdatesOnly, vec![alive(3)], 10);
     let death = MemberUpdate {
         state: MemberState::Dead,
         ..alive(3)
     };
-    say(&mut swim, 2, Message::News, vec![death.clone()], 20);
+    say(&mut swim, 2, Message::UpdatesOnly, vec![death.clone()], 20);
     assert!(swim.live_table().get(address(3)).is_none());
-    let sent = say(&mut swim, 3, Message::Probe { nonce: 9 }, Vec::new(), 30);
+    let sent = say(
+        &mut swim,
+        3,
+        Message::Ping { sequence_number: 9 },
+        Vec::new(),
+        30,
+    );
     assert_eq!(sent[0].datagram.updates.first(), Some(&death));
 }
 
 #[test]
 fn a_suspect_is_still_held_for_there_until_the_suspicion_ends() {
     let mut swim = swim();
-    say(&mut swim, 2, Message::News, vec![alive(3)], 10);
+    say(&mut swim, 2, Message::UpdatesOnly, vec![alive(3)], 10);
     let suspicion = MemberUpdate {
         state: MemberState::Suspect { by: address(2) },
         ..alive(3)
     };
-    say(&mut swim, 2, Message::News, vec![suspicion], 20);
+    say(&mut swim, 2, Message::UpdatesOnly, vec![suspicion], 20);
     assert!(swim.live_table().get(address(3)).is_some());
     for now in (100..30_000).step_by(100) {
         swim.tick(Millis(now));
@@ -157,7 +176,7 @@
         say(
             &mut swim,
             2,
-            Message::News,
+            Message::UpdatesOnly,
             vec![MemberUpdate { state, ..alive(7) }],
             10,
         );
@@ -168,51 +187,72 @@
 #[test]
 fn a_helper_passes_the_answer_on_or_says_that_there_was_none() {
     let mut swim = swim();
-    say(&mut swim, 3, Message::News, Vec::new(), 10);
-    let request = Message::ProbeRequest {
-        nonce: 50,
+    say(&mut swim, 3, Message::UpdatesOnly, Vec::new(), 10);
+    let request = Message::PingRequest {
+        sequence_number: 50,
         target: address(3),
     };
     let sent = say(&mut swim, 2, request, Vec::new(), 20);
-    let Message::Probe { nonce } = sent[0].datagram.message else {
+    let Message::Ping { sequence_number } = sent[0].datagram.message else {
         panic!("a probe of the target")
     };
     assert_eq!(sent[0].to, address(3));
-    let passed = say(&mut swim, 3, Message::Acknowledge { nonce }, Vec::new(), 30);
+    let passed = say(
+        &mut swim,
+        3,
+        Message::Ack { sequence_number },
+        Vec::new(),
+        30,
+    );
     assert_eq!(
         (passed[0].to, passed[0].datagram.message),
-        (address(2), Message::Acknowledge { nonce: 50 })
+        (
+            address(2),
+            Message::Ack {
+                sequence_number: 50
+            }
+        )
     );
 
     say(
         &mut swim,
         2,
-        Message::ProbeRequest {
-            nonce: 51,
+        Message::PingRequest {
+            sequence_number: 51,
             target: address(3),
         },
         Vec::new(),
         40,
     );
     let settings = SwimSettings::default();
-    let sent = swim.tick(Millis(40 + settings.relay_ms));
-    let told = sent
-        .iter()
-        .find(|outgoing| outgoing.datagram.message == Message::NotReached { nonce: 51 });
+    let sent = swim.tick(Millis(40 + settings.relay_timeout_ms));
+    let told = sent.iter().find(|outgoing| {
+        outgoing.datagram.message
+            == Message::Nack {
+                sequence_number: 51,
+            }
+    });
     assert_eq!(told.map(|outgoing| outgoing.to), Some(address(2)));
 }
 
 #[test]
 fn a_member_that_has_left_is_silent() {
     let mut swim = swim();
-    say(&mut swim, 2, Message::News, vec![alive(3)], 10);
+    say(&mut swim, 2, Message::UpdatesOnly, vec![alive(3)], 10);
     let farewells = swim.leave();
     assert_eq!(farewells.len(), 2);
     assert!(farewells
         .iter()
         .all(|outgoing| outgoing.datagram.sender.state == MemberState::Left));
     assert!(swim.tick(Millis(5_000)).is_empty());
-    assert!(say(&mut swim, 2, Message::Probe { nonce: 1 }, Vec::new(), 6_000).is_empty());
+    assert!(say(
+        &mut swim,
+        2,
+        Message::Ping { sequence_number: 1 },
+        Vec::new(),
+        6_000
+    )
+    .is_empty());
     assert!(swim.leave().is_empty());
 }
 
@@ -220,14 +260,14 @@
 fn the_version_rises_with_the_table_only() {
     let mut swim = swim();
     let before = swim.version();
-    say(&mut swim, 2, Message::News, Vec::new(), 10);
+    say(&mut swim, 2, Message::UpdatesOnly, Vec::new(), 10);
     let joined = swim.version();
     assert!(joined > before);
     let state = MemberState::Suspect { by: address(3) };
     say(
         &mut swim,
         2,
-        Message::News,
+        Message::UpdatesOnly,
         vec![MemberUpdate { state, ..alive(2) }],
         20,
     );
@@ -237,12 +277,12 @@
 #[test]
 fn the_time_of_a_freeze_does_not_count_against_a_suspect() {
     let mut swim = swim();
-    say(&mut swim, 2, Message::News, vec![alive(3)], 10);
+    say(&mut swim, 2, Message::UpdatesOnly, vec![alive(3)], 10);
     let suspicion = MemberUpdate {
         state: MemberState::Suspect { by: address(2) },
         ..alive(3)
     };
-    say(&mut swim, 2, Message::News, vec![suspicion], 20);
+    say(&mut swim, 2, Message::UpdatesOnly, vec![suspicion], 20);
     swim.tick(Millis(500));
     for now in (60_000..61_500).step_by(100) {
         swim.tick(Millis(now));
@@ -256,11 +296,11 @@
 #[test]
 fn a_probe_from_before_a_freeze_makes_nobody_suspect() {
     let mut swim = swim();
-    say(&mut swim, 2, Message::News, Vec::new(), 10);
+    say(&mut swim, 2, Message::UpdatesOnly, Vec::new(), 10);
     let probed = (100..2_000).step_by(50).map(Millis).find(|now| {
         let sent = swim.tick(*now);
         sent.iter()
-            .any(|outgoing| matches!(outgoing.datagram.message, Message::Probe { .. }))
+            .any(|outgoing| matches!(outgoing.datagram.message, Message::Ping { .. }))
     });
     let probed = probed.expect("a probe in each period");
     swim.tick(probed.plus(30_000));
--- a/crates/cluster-node/src/membership.rs
+++ b/crates/cluster-node/src/membership.rs
@@ -6,7 +6,7 @@
 
 use crate::clock::{draw, Clock};
 use lupinrack_cluster_api::identity::PeerAddress;
-use lupinrack_cluster_membership::datagram::DATAGRAM_BYTES_MOST;
+use lupinrack_cluster_membership::datagram::MAX_DATAGRAM_BYTES;
 use lupinrack_cluster_membership::{Datagram, LiveMember, LiveTable, Outgoing, Swim, SwimSettings};
 use lupinrack_cluster_transport::shared_value::SharedValue;
 use std::io;
@@ -88,7 +88,7 @@
 impl Driver {
     async fn run(mut self) {
         // One byte more than allowed, so that a datagram that is too long shows.
-        let mut buffer = [0; DATAGRAM_BYTES_MOST + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         let leaving = self.membership.leaving.clone();
         loop {
             self.publish();
--- a/crates/failure-detection/src/lib.rs
+++ b/crates/failure-detection/src/lib.rs
@@ -44,7 +44,7 @@
 }
 
 /// How often a piece of news is sent on: `factor` times the size factor, and `least` at least.
-pub fn retransmissions(size_factor: f64, factor: f64, least: f64) -> u32 {
+pub fn transmission_limit(size_factor: f64, factor: f64, least: f64) -> u32 {
     (size_factor * factor).max(least).ceil() as u32
 }
 
@@ -56,7 +56,7 @@
 
 /// How long a suspicion lasts: `ratio` times `least` while nobody else shares it, and less with every independent
 /// `confirmation`, on a logarithmic scale, down to `least` with as many as are `needed`.
-pub fn suspicion_length(least: f64, ratio: f64, confirmations: usize, needed: usize) -> f64 {
+pub fn suspicion_timeout(least: f64, ratio: f64, confirmations: usize, needed: usize) -> f64 {
     let most = least * ratio;
     let part = (confirmations.min(needed) as f64 + 1.0).ln() / (needed as f64 + 1.0).ln();
     (most - (most - least) * part).max(least)
--- a/crates/fleet-membership/src/swim.rs
+++ b/crates/fleet-membership/src/swim.rs
@@ -263,8 +263,8 @@
     fn tellings(&self, news: &News) -> u32 {
         let plain = news.state == State::Alive && news.inc == 0;
         match plain {
-            true => arithmetic::retransmissions(self.size(), TELLINGS_THERE, 0.0),
-            false => arithmetic::retransmissions(self.size(), TELLINGS, TELLINGS_LEAST),
+            true => arithmetic::transmission_limit(self.size(), TELLINGS_THERE, 0.0),
+            false => arithmetic::transmission_limit(self.size(), TELLINGS, TELLINGS_LEAST),
         }
     }
 
@@ -544,7 +544,7 @@
         let agreed = m.suspects.len().saturating_sub(1);
         // A refutation has to come round first, which takes longer in a large fleet.
         let least = self.scale(self.pace.suspicion) as f64 * self.size();
-        arithmetic::suspicion_length(least, PATIENCE, agreed, confirms) as Micros
+        arithmetic::suspicion_timeout(least, PATIENCE, agreed, confirms) as Micros
     }
 
     /// Carries on at a moment.
