--- a/crates/cluster-membership/tests/common/mod.rs
+++ b/crates/cluster-membership/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated network of members: delays, loss, cuts, freezes and restarts, all from one seed.
+//! A simulated network of members: delays, loss, partitions, suspensions and restarts, all from one seed.
 #![allow(dead_code, reason = "every test file uses another part")]
 
 use lupinrack_cluster_api::identity::PeerAddress;
@@ -12,8 +12,8 @@
 pub const ZONES: [&str; 3] = ["east", "north", "west"];
 const SEEDS: usize = 3;
 const PORT: u16 = 7_000;
-const DELAY_LEAST_MS: u64 = 1;
-const DELAY_MOST_MS: u64 = 12;
+const MIN_DELAY_MS: u64 = 1;
+const MAX_DELAY_MS: u64 = 12;
 /// Bytes that UDP and IP add to a datagram.
 const HEADER_BYTES: u64 = 28;
 
@@ -36,11 +36,11 @@
 
 struct Node {
     swim: Option<Swim>,
-    frozen: bool,
-    waiting: Vec<(usize, Vec<u8>)>,
-    island: usize,
-    /// Members whose datagrams do not reach this one.
-    deaf_to: Vec<usize>,
+    suspended: bool,
+    socket_buffer: Vec<(usize, Vec<u8>)>,
+    partition: usize,
+    /// Members whose datagrams do not arrive here.
+    unreachable_from: Vec<usize>,
     sent: Sent,
 }
 
@@ -51,7 +51,7 @@
     nodes: Vec<Node>,
     in_flight: BinaryHeap<Reverse<(u64, u64, usize, usize)>>,
     contents: BTreeMap<u64, Vec<u8>>,
-    sequence: u64,
+    last_sequence_number: u64,
     random: fastrand::Rng,
 }
 
@@ -73,7 +73,7 @@
             nodes: Vec::new(),
             in_flight: BinaryHeap::new(),
             contents: BTreeMap::new(),
-            sequence: 0,
+            last_sequence_number: 0,
             random: fastrand::Rng::with_seed(seed),
         }
     }
@@ -83,17 +83,17 @@
         let index = self.nodes.len();
         self.nodes.push(Node {
             swim: None,
-            frozen: false,
-            waiting: Vec::new(),
-            island: 0,
-            deaf_to: Vec::new(),
+            suspended: false,
+            socket_buffer: Vec::new(),
+            partition: 0,
+            unreachable_from: Vec::new(),
             sent: Sent::default(),
         });
         self.restart(index);
         index
     }
 
-    /// Begins another life of a member.
+    /// Starts another process in a member's place.
     pub fn restart(&mut self, index: usize) {
         let role = match index % 4 {
             0 => Role::Core,
@@ -110,8 +110,8 @@
         let seeds = (0..SEEDS).map(address).collect();
         let swim = Swim::new(own, seeds, self.settings, self.random.u64(..), self.now);
         self.nodes[index].swim = Some(swim);
-        self.nodes[index].frozen = false;
-        self.nodes[index].waiting.clear();
+        self.nodes[index].suspended = false;
+        self.nodes[index].socket_buffer.clear();
     }
 
     pub fn kill(&mut self, index: usize) {
@@ -124,27 +124,27 @@
         self.kill(index);
     }
 
-    pub fn freeze(&mut self, index: usize) {
-        self.nodes[index].frozen = true;
+    pub fn suspend(&mut self, index: usize) {
+        self.nodes[index].suspended = true;
     }
 
-    /// What came meanwhile is received at once, as from the buffer of a socket.
-    pub fn thaw(&mut self, index: usize) {
-        self.nodes[index].frozen = false;
-        for (from, bytes) in std::mem::take(&mut self.nodes[index].waiting) {
+    /// Datagrams that arrived meanwhile are received at once, as from the buffer of a socket.
+    pub fn resume(&mut self, index: usize) {
+        self.nodes[index].suspended = false;
+        for (from, bytes) in std::mem::take(&mut self.nodes[index].socket_buffer) {
             self.receive(from, index, &bytes);
         }
     }
 
-    /// Puts a member on an island: datagrams pass only within one.
-    pub fn move_to_island(&mut self, index: usize, island: usize) {
-        self.nodes[index].island = island;
+    /// Puts a member into a partition: datagrams pass only within one.
+    pub fn move_to_partition(&mut self, index: usize, partition: usize) {
+        self.nodes[index].partition = partition;
     }
 
     /// Breaks the link between two members, both ways.
     pub fn break_link(&mut self, one: usize, other: usize) {
-        self.nodes[one].deaf_to.push(other);
-        self.nodes[other].deaf_to.push(one);
+        self.nodes[one].unreachable_from.push(other);
+        self.nodes[other].unreachable_from.push(one);
     }
 
     pub fn swim(&self, index: usize) -> &Swim {
@@ -161,7 +161,7 @@
             .collect()
     }
 
-    /// Whether every one of these has all of these, and nobody else, in its table.
+    /// Whether the live table of each of these members holds exactly these members.
     pub fn agree_on(&self, members: &[usize]) -> bool {
         let mut wanted: Vec<PeerAddress> = members.iter().map(|index| address(*index)).collect();
         wanted.sort();
@@ -177,8 +177,8 @@
             .collect()
     }
 
-    /// How many of these hold this one for there.
-    pub fn holders(&self, observers: &[usize], of: usize) -> usize {
+    /// How many of these members consider that one present.
+    pub fn observer_count(&self, observers: &[usize], of: usize) -> usize {
         let holds = |index: &&usize| self.swim(**index).live_table().get(address(of)).is_some();
         observers.iter().filter(holds).count()
     }
@@ -193,7 +193,7 @@
             .for_each(|node| node.sent = Sent::default());
     }
 
-    /// Runs on for so long.
+    /// Lets so many milliseconds pass.
     pub fn run(&mut self, milliseconds: u64) {
         let end = self.now.plus(milliseconds);
         while self.now < end {
@@ -201,10 +201,10 @@
         }
     }
 
-    /// Runs until this holds, looked at every 100 ms; the milliseconds that it took, none where it took longer.
-    pub fn run_until(&mut self, most_ms: u64, holds: impl Fn(&Network) -> bool) -> Option<u64> {
+    /// Runs until a condition holds, checked every 100 ms; the milliseconds that it took, none where it took longer.
+    pub fn run_until(&mut self, bound_ms: u64, holds: impl Fn(&Network) -> bool) -> Option<u64> {
         let began = self.now;
-        while self.now.since(began) <= most_ms {
+        while self.now.since(began) <= bound_ms {
             if holds(self) {
                 return Some(self.now.since(began));
             }
@@ -233,7 +233,7 @@
     fn tick(&mut self, index: usize) {
         let now = self.now;
         let node = &mut self.nodes[index];
-        let Some(swim) = node.swim.as_mut().filter(|_| !node.frozen) else {
+        let Some(swim) = node.swim.as_mut().filter(|_| !node.suspended) else {
             return;
         };
         if swim.next_wakeup() <= now {
@@ -243,12 +243,12 @@
     }
 
     fn arrive(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        let reaches = self.nodes[from].island == self.nodes[to].island;
-        if !reaches || self.nodes[to].deaf_to.contains(&from) {
+        let reaches = self.nodes[from].partition == self.nodes[to].partition;
+        if !reaches || self.nodes[to].unreachable_from.contains(&from) {
             return;
         }
-        match self.nodes[to].frozen {
-            true => self.nodes[to].waiting.push((from, bytes)),
+        match self.nodes[to].suspended {
+            true => self.nodes[to].socket_buffer.push((from, bytes)),
             false => self.receive(from, to, &bytes),
         }
     }
@@ -269,7 +269,7 @@
             assert_eq!(
                 Datagram::decode(&bytes).as_ref(),
                 Ok(&datagram),
-                "nothing was cut off"
+                "no update was left out"
             );
             let to = index_of(to);
             let between = to.is_none_or(|to| zone_of(from) != zone_of(to));
@@ -285,10 +285,11 @@
             let Some(to) = to.filter(|to| !lost && *to < self.nodes.len()) else {
                 continue;
             };
-            self.sequence += 1;
-            let at = self.now.0 + self.random.u64(DELAY_LEAST_MS..=DELAY_MOST_MS);
-            self.in_flight.push(Reverse((at, self.sequence, from, to)));
-            self.contents.insert(self.sequence, bytes);
+            self.last_sequence_number += 1;
+            let at = self.now.0 + self.random.u64(MIN_DELAY_MS..=MAX_DELAY_MS);
+            self.in_flight
+                .push(Reverse((at, self.last_sequence_number, from, to)));
+            self.contents.insert(self.last_sequence_number, bytes);
         }
     }
 }
--- a/crates/cluster-membership/tests/datagrams.rs
+++ b/crates/cluster-membership/tests/datagrams.rs
@@ -93,11 +93,11 @@
 }
 
 quickcheck! {
-    fn garbage_is_no_datagram_and_no_end(bytes: Vec<u8>) -> bool {
+    fn garbage_is_refused(bytes: Vec<u8>) -> bool {
         Datagram::decode(&bytes).is_err()
     }
 
-    fn a_datagram_comes_back_as_far_as_it_fits(any: AnyDatagram) -> bool {
+    fn a_datagram_decodes_to_what_fits_of_it(any: AnyDatagram) -> bool {
         let AnyDatagram(datagram) = any;
         let bytes = datagram.encode();
         let Ok(decoded) = Datagram::decode(&bytes) else { return false };
@@ -106,10 +106,10 @@
         same && bytes.len() <= MAX_DATAGRAM_BYTES && datagram.updates.starts_with(&decoded.updates)
     }
 
-    fn a_damaged_datagram_is_refused_or_read(any: AnyDatagram, at: usize, byte: u8, cut: bool) -> bool {
+    fn a_damaged_datagram_is_refused_or_decoded(any: AnyDatagram, at: usize, byte: u8, isolated: bool) -> bool {
         let mut bytes = any.0.encode();
         let at = at % bytes.len();
-        if cut {
+        if isolated {
             bytes.truncate(at);
             return Datagram::decode(&bytes).is_err();
         }
@@ -120,7 +120,7 @@
         }
     }
 
-    fn nonsense_does_not_end_a_member(datagrams: Vec<AnyDatagram>) -> bool {
+    fn forged_datagrams_do_not_make_a_member_fail(datagrams: Vec<AnyDatagram>) -> bool {
         let mut swim = swim();
         let mut now = Millis(1);
         for AnyDatagram(datagram) in datagrams {
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn too_many_bytes_are_refused_unread() {
+fn datagrams_of_other_sizes_and_formats_are_refused() {
     let bytes = vec![1; MAX_DATAGRAM_BYTES + 1];
     assert_eq!(Datagram::decode(&bytes), Err(DatagramError::TooLarge));
     assert_eq!(Datagram::decode(&[]), Err(DatagramError::Malformed));
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_zone_of_too_long_a_name_is_refused() {
+fn a_zone_with_too_long_a_name_is_refused() {
     let mut datagram = Datagram {
         sender: MemberUpdate {
             address: PeerAddress(SocketAddrV4::new([10, 0, 0, 2].into(), 7_000)),
--- a/crates/cluster-membership/tests/failure_detection.rs
+++ b/crates/cluster-membership/tests/failure_detection.rs
@@ -1,40 +1,42 @@
-//! Deaths, cuts and freezes: what is noticed when, and what is taken back.
+//! Deaths, partitions and suspensions: what is detected when, and what is refuted.
 
 mod common;
 
 use common::{address, zone_of, Network, ZONES};
 use lupinrack_cluster_membership::MemberState;
 
-/// A death has been noticed by all after so long, in milliseconds.
-const DETECT_MS: u64 = 40_000;
+/// How long all members together may take to detect a death, in milliseconds.
+const DETECTION_BOUND_MS: u64 = 40_000;
 
 #[test]
-fn a_death_is_noticed_by_all_at_any_size_and_loss() {
+fn a_death_is_detected_by_all_at_any_size_and_loss() {
     for (count, loss_percent) in [(5, 0), (5, 30), (40, 10), (40, 30), (300, 0), (300, 10)] {
         let mut network = Network::start(count, loss_percent, 23);
         network.run(60_000);
         let victim = count - 1;
         network.kill(victim);
         let rest = network.running();
-        let took = network.run_until(DETECT_MS, |network| network.holders(&rest, victim) == 0);
+        let took = network.run_until(DETECTION_BOUND_MS, |network| {
+            network.observer_count(&rest, victim) == 0
+        });
         assert!(took.is_some(), "{count} members, loss of {loss_percent} %");
     }
 }
 
 #[test]
-fn without_loss_a_death_is_noticed_within_seconds() {
+fn without_loss_a_death_is_detected_within_seconds() {
     for seed in 0..10 {
         let mut network = Network::start(20, 0, seed);
         network.run(20_000);
         network.kill(13);
         let rest = network.running();
-        let took = network.run_until(20_000, |network| network.holders(&rest, 13) == 0);
+        let took = network.run_until(20_000, |network| network.observer_count(&rest, 13) == 0);
         assert!(took.is_some(), "seed {seed}");
     }
 }
 
 #[test]
-fn nobody_is_held_for_dead_without_loss() {
+fn without_loss_nobody_is_considered_dead() {
     let mut network = Network::start(40, 0, 29);
     network.run(20_000);
     let all = network.running();
@@ -45,7 +47,7 @@
 }
 
 #[test]
-fn at_a_loss_of_a_tenth_nobody_is_held_for_dead() {
+fn at_a_loss_of_10_percent_nobody_is_considered_dead() {
     for seed in 0..3 {
         let mut network = Network::start(40, 10, seed);
         network.run(40_000);
@@ -58,7 +60,7 @@
 }
 
 #[test]
-fn at_a_loss_of_three_tenths_wrong_deaths_are_rare() {
+fn at_a_loss_of_30_percent_false_deaths_are_rare() {
     let (count, seconds) = (40, 120);
     let mut network = Network::start(count, 30, 31);
     network.run(60_000);
@@ -71,40 +73,40 @@
             .map(|index| count - network.table_of(*index).len())
             .sum::<usize>();
     }
-    let looks = seconds * count * count;
+    let observations = seconds * count * count;
     assert!(
-        missing * 1_000 < looks,
-        "{missing} of {looks} looks did not find a living member"
+        missing * 1_000 < observations,
+        "{missing} of {observations} observations missed a member that runs"
     );
 }
 
 #[test]
-fn a_cut_is_noticed_on_both_sides_and_heals() {
+fn a_partition_is_detected_on_both_sides_and_heals() {
     let mut network = Network::start(24, 5, 37);
     network.run(30_000);
     let all = network.running();
     let (left, right): (Vec<usize>, Vec<usize>) = all.iter().partition(|index| **index % 2 == 0);
     for index in &right {
-        network.move_to_island(*index, 1);
+        network.move_to_partition(*index, 1);
     }
-    let parted = network.run_until(90_000, |network| {
+    let partitioned = network.run_until(90_000, |network| {
         network.agree_on(&left) && network.agree_on(&right)
     });
-    assert!(parted.is_some());
+    assert!(partitioned.is_some());
     for index in &right {
-        network.move_to_island(*index, 0);
+        network.move_to_partition(*index, 0);
     }
     let healed = network.run_until(60_000, |network| network.agree_on(&all));
     assert!(healed.is_some());
 }
 
 #[test]
-fn halves_that_forgot_each_other_find_each_other_by_the_seeds() {
+fn halves_that_forgot_each_other_reconnect_by_the_seeds() {
     let mut network = Network::start(12, 0, 41);
     network.run(20_000);
     let all = network.running();
     for index in 6..12 {
-        network.move_to_island(index, 1);
+        network.move_to_partition(index, 1);
     }
     network.run(60_000 + network.settings.forget_after_ms);
     assert!(
@@ -115,7 +117,7 @@
         "forgotten"
     );
     for index in 6..12 {
-        network.move_to_island(index, 0);
+        network.move_to_partition(index, 0);
     }
     assert!(network
         .run_until(60_000, |network| network.agree_on(&all))
@@ -123,46 +125,46 @@
 }
 
 #[test]
-fn the_cut_of_a_whole_zone_is_noticed() {
+fn the_partition_of_a_zone_is_detected() {
     let mut network = Network::start(18, 0, 43);
     network.run(20_000);
-    let (cut, rest): (Vec<usize>, Vec<usize>) = network
+    let (isolated, rest): (Vec<usize>, Vec<usize>) = network
         .running()
         .iter()
         .partition(|index| zone_of(**index) == ZONES[1]);
-    for index in &cut {
-        network.move_to_island(*index, 1);
+    for index in &isolated {
+        network.move_to_partition(*index, 1);
     }
-    let noticed = network.run_until(90_000, |network| {
-        network.agree_on(&rest) && network.agree_on(&cut)
+    let detected = network.run_until(90_000, |network| {
+        network.agree_on(&rest) && network.agree_on(&isolated)
     });
-    assert!(noticed.is_some());
+    assert!(detected.is_some());
 }
 
 #[test]
-fn a_freeze_is_refuted_after_waking() {
-    for suspended_after_ms in [2_000, 6_000, 30_000] {
+fn suspicions_during_a_suspension_are_refuted_after_it() {
+    for suspended_ms in [2_000, 6_000, 30_000] {
         let mut network = Network::start(20, 0, 47);
         network.run(20_000);
         let all = network.running();
-        network.freeze(9);
-        network.run(suspended_after_ms);
-        network.thaw(9);
+        network.suspend(9);
+        network.run(suspended_ms);
+        network.resume(9);
         let back = network.run_until(15_000, |network| network.agree_on(&all));
-        assert!(back.is_some(), "frozen for {suspended_after_ms} ms");
+        assert!(back.is_some(), "suspended for {suspended_ms} ms");
         network.run(15_000);
-        assert!(network.agree_on(&all), "nothing of it is left");
+        assert!(network.agree_on(&all), "no later suspicion follows");
     }
 }
 
 #[test]
-fn who_was_frozen_does_not_take_others_for_dead() {
+fn a_process_that_was_suspended_considers_nobody_dead() {
     let mut network = Network::start(20, 0, 53);
     network.run(20_000);
     let all = network.running();
-    network.freeze(9);
+    network.suspend(9);
     network.run(20_000);
-    network.thaw(9);
+    network.resume(9);
     for _ in 0..300 {
         network.run(100);
         assert_eq!(network.table_of(9).len(), all.len());
@@ -170,7 +172,7 @@
 }
 
 #[test]
-fn the_death_of_half_is_noticed() {
+fn the_death_of_half_is_detected() {
     let mut network = Network::start(40, 0, 59);
     network.run(30_000);
     for index in (1..40).step_by(2) {
@@ -194,7 +196,10 @@
                 .swim(index)
                 .members()
                 .all(|update| update.state == MemberState::Alive);
-            assert!(alive, "helpers reach whom a member does not reach itself");
+            assert!(
+                alive,
+                "ping requests reach a member that pings do not reach"
+            );
         }
     }
 }
--- a/crates/cluster-membership/tests/golden.rs
+++ b/crates/cluster-membership/tests/golden.rs
@@ -118,6 +118,7 @@
     ]
 }
 
+/// The name of an entry in the golden files, which were first written with these.
 fn name_of_message(message: Message) -> &'static str {
     match message {
         Message::Ping { .. } => "probe",
@@ -279,7 +280,7 @@
         .collect()
 }
 
-/// Digests of rosters, updates that ride on answers and pages: what other processes compare or rely on.
+/// Digests of membership lists, updates on answers, and pages: what other processes compare or rely on.
 #[test]
 fn a_member_answers_in_the_same_bytes() {
     let other = alive(11, Role::Frontend, "north");
@@ -385,9 +386,9 @@
     let other = alive(11, Role::Frontend, "north");
     let mut swim = swim();
     answers(&mut swim, &other, Message::UpdatesOnly, &[]);
-    let farewells = swim.leave();
-    let [Outgoing { to, datagram }] = farewells.as_slice() else {
-        panic!("one farewell, not {farewells:?}");
+    let notifications = swim.leave();
+    let [Outgoing { to, datagram }] = notifications.as_slice() else {
+        panic!("one farewell, not {notifications:?}");
     };
     let own = MemberUpdate {
         incarnation: 0,
--- a/crates/cluster-membership/tests/joining.rs
+++ b/crates/cluster-membership/tests/joining.rs
@@ -66,11 +66,11 @@
 }
 
 #[test]
-fn a_new_life_takes_the_place_of_the_old_one() {
+fn a_new_process_replaces_its_predecessor() {
     for seed in 0..10 {
         let mut network = Network::start(12, 0, seed);
         network.run(15_000);
-        let life_before = network
+        let process_before = network
             .swim(0)
             .live_table()
             .get(address(7))
@@ -83,31 +83,31 @@
             .live_table()
             .get(address(7))
             .map(|member| member.process_incarnation);
-        assert_ne!(process_incarnation, life_before);
+        assert_ne!(process_incarnation, process_before);
         let all = network.running();
-        let knows_new_life = |network: &Network| {
+        let knows_new_process = |network: &Network| {
             let known = all.iter().map(|index| network.swim(*index).live_table());
-            let lives: Vec<_> = known
+            let processes: Vec<_> = known
                 .map(|table| {
                     table
                         .get(address(7))
                         .map(|member| member.process_incarnation)
                 })
                 .collect();
-            lives.iter().all(|known| *known == process_incarnation)
+            processes.iter().all(|known| *known == process_incarnation)
         };
-        let took = network.run_until(15_000, knows_new_life);
+        let took = network.run_until(15_000, knows_new_process);
         assert!(took.is_some(), "seed {seed}");
         network.run(30_000);
         assert!(
             network.agree_on(&all),
-            "the end of the old life is not taken for the new one's"
+            "the death of the predecessor is not attributed to the new process"
         );
     }
 }
 
 #[test]
-fn a_new_life_comes_back_after_its_death_was_told() {
+fn a_new_process_is_accepted_after_the_death_of_its_predecessor() {
     let mut network = Network::start(12, 10, 9);
     network.run(15_000);
     network.kill(4);
@@ -120,18 +120,18 @@
 }
 
 #[test]
-fn a_member_that_leaves_is_gone_sooner_than_one_that_dies() {
+fn a_member_that_leaves_is_absent_sooner_than_one_that_dies() {
     let mut network = Network::start(30, 0, 13);
     network.run(30_000);
     network.leave(11);
     let rest = network.running();
-    let took = network.run_until(6_000, |network| network.holders(&rest, 11) == 0);
+    let took = network.run_until(6_000, |network| network.observer_count(&rest, 11) == 0);
     assert!(took.is_some());
     assert!(network.agree_on(&rest));
 }
 
 #[test]
-fn the_dead_are_forgotten_everywhere() {
+fn dead_members_are_forgotten_everywhere() {
     let mut network = Network::start(20, 10, 17);
     network.run(20_000);
     network.kill(15);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn lost_seeds_do_not_part_the_others() {
+fn lost_seeds_do_not_partition_the_others() {
     let mut network = Network::start(15, 0, 19);
     network.run(15_000);
     for seed in 0..3 {
@@ -159,6 +159,6 @@
     let came_back = network.run_until(30_000, |network| network.agree_on(&all));
     assert!(
         came_back.is_some(),
-        "others look for seeds that are not there"
+        "members ping seeds that are not present"
     );
 }
--- a/crates/cluster-membership/tests/live_table.rs
+++ b/crates/cluster-membership/tests/live_table.rs
@@ -1,4 +1,4 @@
-//! Homes and view sources, as everybody with the same table chooses them.
+//! Homes and view sources: every process with the same table chooses the same ones.
 
 use lupinrack_cluster_api::identity::{PeerAddress, ServiceName};
 use lupinrack_cluster_api::wire::Role;
@@ -79,7 +79,7 @@
         one == other && one.home_front("east", None) == other.home_front("east", None)
     }
 
-    fn a_home_moves_only_when_it_goes_or_to_who_comes(numbers: BTreeSet<u16>, change: u16) -> bool {
+    fn a_home_moves_only_when_it_disappears_or_to_a_new_front(numbers: BTreeSet<u16>, change: u16) -> bool {
         let mut without = numbers.clone();
         without.remove(&change);
         if without.len() < 2 {
--- a/crates/cluster-membership/tests/state_machine.rs
+++ b/crates/cluster-membership/tests/state_machine.rs
@@ -1,4 +1,4 @@
-//! Single rules of the state machine.
+//! Rules of the state machine, one by one.
 
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
@@ -33,7 +33,7 @@
     Swim::new(own, vec![address(2)], SwimSettings::default(), 5, Millis(0))
 }
 
-fn say(
+fn deliver(
     swim: &mut Swim,
     from: u8,
     message: Message,
@@ -50,9 +50,9 @@
 }
 
 #[test]
-fn a_probe_is_acknowledged_with_its_number() {
+fn a_ping_is_acknowledged_with_its_sequence_number() {
     let mut swim = swim();
-    let sent = say(
+    let sent = deliver(
         &mut swim,
         2,
         Message::Ping {
@@ -71,12 +71,12 @@
     );
     assert!(
         swim.live_table().get(address(2)).is_some(),
-        "who probes is there"
+        "a member that pings is present"
     );
 }
 
 #[test]
-fn a_sender_at_another_address_is_not_believed() {
+fn a_datagram_that_claims_another_sender_is_ignored() {
     let mut swim = swim();
     let datagram = Datagram {
         sender: alive(2),
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_suspicion_of_oneself_is_refuted_by_a_higher_incarnation() {
+fn a_suspicion_of_the_own_process_is_refuted_by_a_higher_incarnation() {
     let mut swim = swim();
     let state = MemberState::Suspect { by: address(3) };
     let suspicion = MemberUpdate {
@@ -97,7 +97,7 @@
         incarnation: 4,
         ..alive(1)
     };
-    let sent = say(
+    let sent = deliver(
         &mut swim,
         2,
         Message::Ping { sequence_number: 1 },
@@ -107,43 +107,43 @@
     assert_eq!(swim.incarnation(), 5);
     assert_eq!(sent[0].datagram.sender.incarnation, 5);
     assert_eq!(swim.health_score(), 1);
-    say(&mut swim, 2, Message::UpdatesOnly, vec![suspicion], 20);
+    deliver(&mut swim, 2, Message::UpdatesOnly, vec![suspicion], 20);
     assert_eq!(
         swim.incarnation(),
         5,
-        "an old suspicion needs no further refutation"
+        "an older suspicion needs no further refutation"
     );
 }
 
 #[test]
-fn a_new_life_rises_above_the_old_ones_incarnation() {
+fn a_new_process_takes_a_higher_incarnation_than_its_predecessor() {
     let mut swim = swim();
-    let old_life = MemberUpdate {
+    let predecessor = MemberUpdate {
         process_incarnation: 900,
         incarnation: 3,
         state: MemberState::Dead,
         ..alive(1)
     };
-    say(&mut swim, 2, Message::UpdatesOnly, vec![old_life], 10);
+    deliver(&mut swim, 2, Message::UpdatesOnly, vec![predecessor], 10);
     assert_eq!(swim.incarnation(), 4);
     assert_eq!(
         swim.health_score(),
         0,
-        "the end of an old life tells nothing of the own health"
+        "the end of an earlier process is no evidence of bad health"
     );
 }
 
 #[test]
-fn who_is_held_for_dead_is_told_so() {
+fn a_member_that_is_considered_dead_is_notified() {
     let mut swim = swim();
-    say(&mut swim, 2, Message::UpdatesOnly, vec![alive(3)], 10);
+    deliver(&mut swim, 2, Message::UpdatesOnly, vec![alive(3)], 10);
     let death = MemberUpdate {
         state: MemberState::Dead,
         ..alive(3)
     };
-    say(&mut swim, 2, Message::UpdatesOnly, vec![death.clone()], 20);
+    deliver(&mut swim, 2, Message::UpdatesOnly, vec![death.clone()], 20);
     assert!(swim.live_table().get(address(3)).is_none());
-    let sent = say(
+    let sent = deliver(
         &mut swim,
         3,
         Message::Ping { sequence_number: 9 },
@@ -154,14 +154,14 @@
 }
 
 #[test]
-fn a_suspect_is_still_held_for_there_until_the_suspicion_ends() {
+fn a_suspect_is_present_until_its_suspicion_times_out() {
     let mut swim = swim();
-    say(&mut swim, 2, Message::UpdatesOnly, vec![alive(3)], 10);
+    deliver(&mut swim, 2, Message::UpdatesOnly, vec![alive(3)], 10);
     let suspicion = MemberUpdate {
         state: MemberState::Suspect { by: address(2) },
         ..alive(3)
     };
-    say(&mut swim, 2, Message::UpdatesOnly, vec![suspicion], 20);
+    deliver(&mut swim, 2, Message::UpdatesOnly, vec![suspicion], 20);
     assert!(swim.live_table().get(address(3)).is_some());
     for now in (100..30_000).step_by(100) {
         swim.tick(Millis(now));
@@ -170,10 +170,10 @@
 }
 
 #[test]
-fn the_end_of_an_unknown_member_is_no_news() {
+fn the_end_of_an_unknown_member_is_not_disseminated() {
     let mut swim = swim();
     for state in [MemberState::Dead, MemberState::Left] {
-        say(
+        deliver(
             &mut swim,
             2,
             Message::UpdatesOnly,
@@ -185,19 +185,19 @@
 }
 
 #[test]
-fn a_helper_passes_the_answer_on_or_says_that_there_was_none() {
+fn a_ping_request_is_answered_with_an_ack_or_a_nack() {
     let mut swim = swim();
-    say(&mut swim, 3, Message::UpdatesOnly, Vec::new(), 10);
+    deliver(&mut swim, 3, Message::UpdatesOnly, Vec::new(), 10);
     let request = Message::PingRequest {
         sequence_number: 50,
         target: address(3),
     };
-    let sent = say(&mut swim, 2, request, Vec::new(), 20);
+    let sent = deliver(&mut swim, 2, request, Vec::new(), 20);
     let Message::Ping { sequence_number } = sent[0].datagram.message else {
-        panic!("a probe of the target")
+        panic!("a ping to the target")
     };
     assert_eq!(sent[0].to, address(3));
-    let passed = say(
+    let relayed = deliver(
         &mut swim,
         3,
         Message::Ack { sequence_number },
@@ -205,7 +205,7 @@
         30,
     );
     assert_eq!(
-        (passed[0].to, passed[0].datagram.message),
+        (relayed[0].to, relayed[0].datagram.message),
         (
             address(2),
             Message::Ack {
@@ -214,7 +214,7 @@
         )
     );
 
-    say(
+    deliver(
         &mut swim,
         2,
         Message::PingRequest {
@@ -226,26 +226,26 @@
     );
     let settings = SwimSettings::default();
     let sent = swim.tick(Millis(40 + settings.relay_timeout_ms));
-    let told = sent.iter().find(|outgoing| {
+    let nack = sent.iter().find(|outgoing| {
         outgoing.datagram.message
             == Message::Nack {
                 sequence_number: 51,
             }
     });
-    assert_eq!(told.map(|outgoing| outgoing.to), Some(address(2)));
+    assert_eq!(nack.map(|outgoing| outgoing.to), Some(address(2)));
 }
 
 #[test]
-fn a_member_that_has_left_is_silent() {
+fn a_member_that_has_left_sends_nothing() {
     let mut swim = swim();
-    say(&mut swim, 2, Message::UpdatesOnly, vec![alive(3)], 10);
-    let farewells = swim.leave();
-    assert_eq!(farewells.len(), 2);
-    assert!(farewells
+    deliver(&mut swim, 2, Message::UpdatesOnly, vec![alive(3)], 10);
+    let notifications = swim.leave();
+    assert_eq!(notifications.len(), 2);
+    assert!(notifications
         .iter()
         .all(|outgoing| outgoing.datagram.sender.state == MemberState::Left));
     assert!(swim.tick(Millis(5_000)).is_empty());
-    assert!(say(
+    assert!(deliver(
         &mut swim,
         2,
         Message::Ping { sequence_number: 1 },
@@ -257,53 +257,53 @@
 }
 
 #[test]
-fn the_version_rises_with_the_table_only() {
+fn the_version_rises_only_with_changes_of_the_live_table() {
     let mut swim = swim();
     let before = swim.version();
-    say(&mut swim, 2, Message::UpdatesOnly, Vec::new(), 10);
+    deliver(&mut swim, 2, Message::UpdatesOnly, Vec::new(), 10);
     let joined = swim.version();
     assert!(joined > before);
     let state = MemberState::Suspect { by: address(3) };
-    say(
+    deliver(
         &mut swim,
         2,
         Message::UpdatesOnly,
         vec![MemberUpdate { state, ..alive(2) }],
         20,
     );
-    assert_eq!(swim.version(), joined, "a suspect stays in the table");
+    assert_eq!(swim.version(), joined, "a suspect stays in the live table");
 }
 
 #[test]
-fn the_time_of_a_freeze_does_not_count_against_a_suspect() {
+fn the_time_of_a_suspension_does_not_count_against_a_suspect() {
     let mut swim = swim();
-    say(&mut swim, 2, Message::UpdatesOnly, vec![alive(3)], 10);
+    deliver(&mut swim, 2, Message::UpdatesOnly, vec![alive(3)], 10);
     let suspicion = MemberUpdate {
         state: MemberState::Suspect { by: address(2) },
         ..alive(3)
     };
-    say(&mut swim, 2, Message::UpdatesOnly, vec![suspicion], 20);
+    deliver(&mut swim, 2, Message::UpdatesOnly, vec![suspicion], 20);
     swim.tick(Millis(500));
     for now in (60_000..61_500).step_by(100) {
         swim.tick(Millis(now));
         assert!(
             swim.live_table().get(address(3)).is_some(),
-            "its refutation may wait in the socket"
+            "its refutation may wait in the socket's buffer"
         );
     }
 }
 
 #[test]
-fn a_probe_from_before_a_freeze_makes_nobody_suspect() {
+fn a_ping_from_before_a_suspension_makes_nobody_a_suspect() {
     let mut swim = swim();
-    say(&mut swim, 2, Message::UpdatesOnly, Vec::new(), 10);
-    let probed = (100..2_000).step_by(50).map(Millis).find(|now| {
+    deliver(&mut swim, 2, Message::UpdatesOnly, Vec::new(), 10);
+    let pinged = (100..2_000).step_by(50).map(Millis).find(|now| {
         let sent = swim.tick(*now);
         sent.iter()
             .any(|outgoing| matches!(outgoing.datagram.message, Message::Ping { .. }))
     });
-    let probed = probed.expect("a probe in each period");
-    swim.tick(probed.plus(30_000));
+    let pinged = pinged.expect("a ping in each period");
+    swim.tick(pinged.plus(30_000));
     let states: Vec<MemberState> = swim.members().map(|update| update.state).collect();
     assert_eq!(states, [MemberState::Alive]);
 }
--- a/crates/cluster-membership/tests/traffic.rs
+++ b/crates/cluster-membership/tests/traffic.rs
@@ -1,4 +1,4 @@
-//! What membership costs a member: bounded per period, and flat in the number of members.
+//! Traffic of membership: bounded per period, and independent of the number of members.
 
 mod common;
 
@@ -6,8 +6,8 @@
 
 const SECONDS: u64 = 40;
 
-/// What members send in a second when they know one another: the mean and the most of one.
-fn cost(count: usize, loss_percent: u64) -> (Sent, Sent) {
+/// What members send in a second once they know one another: the mean, and the maximum of one member.
+fn traffic_per_second(count: usize, loss_percent: u64) -> (Sent, Sent) {
     let mut network = Network::start(count, loss_percent, 61);
     network.run(10_000 + 250 * count as u64);
     let all = network.running();
@@ -27,9 +27,9 @@
 }
 
 #[test]
-fn without_loss_the_cost_of_a_member_does_not_depend_on_their_number() {
+fn without_loss_traffic_per_member_does_not_depend_on_their_number() {
     for count in [5, 20, 80, 300] {
-        let (mean, most) = cost(count, 0);
+        let (mean, most) = traffic_per_second(count, 0);
         assert!(
             (140..=160).contains(&mean.bytes),
             "{count} members: {mean:?}"
@@ -40,9 +40,9 @@
 }
 
 #[test]
-fn most_probes_stay_within_the_zone() {
+fn most_pings_stay_within_the_zone() {
     for count in [20, 80, 300] {
-        let (mean, _) = cost(count, 0);
+        let (mean, _) = traffic_per_second(count, 0);
         assert!(
             mean.bytes_between_zones * 10 <= mean.bytes * 3,
             "{count} members: {mean:?}"
@@ -51,16 +51,16 @@
 }
 
 #[test]
-fn at_a_loss_of_a_tenth_the_cost_stays_flat() {
+fn at_a_loss_of_10_percent_traffic_stays_flat() {
     for count in [5, 20, 80] {
-        let (mean, most) = cost(count, 10);
+        let (mean, most) = traffic_per_second(count, 10);
         assert!(mean.bytes <= 300, "{count} members: {mean:?}");
         assert!(most.bytes <= 400, "{count} members: {most:?}");
     }
 }
 
 #[test]
-fn a_change_costs_no_member_more_than_its_datagrams_hold() {
+fn many_deaths_do_not_raise_traffic_beyond_the_bound() {
     let mut network = Network::start(100, 0, 67);
     network.run(40_000);
     network.clear_sent();
--- a/crates/cluster-membership/tests/update_order.rs
+++ b/crates/cluster-membership/tests/update_order.rs
@@ -1,4 +1,4 @@
-//! Which of two pieces of word of a member is the newer one.
+//! Which of two updates about a member overrides the other.
 
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::wire::Role;
@@ -21,13 +21,13 @@
     }
 }
 
-fn assert_newer(newer: &MemberUpdate, older: &MemberUpdate) {
-    assert_eq!(newer.compare_version(older), Ordering::Greater);
-    assert_eq!(older.compare_version(newer), Ordering::Less);
+fn assert_overrides(overriding: &MemberUpdate, overridden: &MemberUpdate) {
+    assert_eq!(overriding.compare_version(overridden), Ordering::Greater);
+    assert_eq!(overridden.compare_version(overriding), Ordering::Less);
 }
 
 #[test]
-fn within_an_incarnation_the_worse_state_holds() {
+fn within_an_incarnation_the_worse_state_overrides() {
     let suspect = MemberState::Suspect { by: address(2) };
     let states = [
         MemberState::Alive,
@@ -36,32 +36,32 @@
         MemberState::Left,
     ];
     for pair in states.windows(2) {
-        assert_newer(&update(3, 7, pair[1]), &update(3, 7, pair[0]));
+        assert_overrides(&update(3, 7, pair[1]), &update(3, 7, pair[0]));
     }
 }
 
 #[test]
-fn a_higher_incarnation_holds_whatever_the_state_and_the_life() {
-    assert_newer(
+fn a_higher_incarnation_overrides_any_state_and_process() {
+    assert_overrides(
         &update(4, 1, MemberState::Alive),
         &update(3, 9, MemberState::Left),
     );
 }
 
 #[test]
-fn the_end_of_one_life_says_nothing_of_another_one() {
-    assert_newer(
+fn the_end_of_one_process_says_nothing_about_another() {
+    assert_overrides(
         &update(3, 9, MemberState::Alive),
         &update(3, 1, MemberState::Dead),
     );
-    assert_newer(
+    assert_overrides(
         &update(3, 9, MemberState::Dead),
         &update(3, 1, MemberState::Left),
     );
 }
 
 #[test]
-fn who_suspects_makes_word_no_newer() {
+fn the_suspecting_member_does_not_matter_for_the_order() {
     let by = |number| {
         update(
             3,
