--- a/crates/cluster-node/tests/configuration_order.rs
+++ b/crates/cluster-node/tests/configuration_order.rs
@@ -21,7 +21,7 @@
 }
 
 fn status(call: &HttpRequest) -> u16 {
-    read_order(call).map_or_else(|kind| kind.answer().status, |_| 200)
+    read_order(call).map_or_else(|kind| kind.http_error().status, |_| 200)
 }
 
 #[test]
