--- a/crates/cluster-membership/src/pending_ping.rs
+++ b/crates/cluster-membership/src/pending_ping.rs
@@ -17,12 +17,12 @@
     /// The end of the protocol period: without an acknowledgement the ping has failed.
     pub(crate) deadline: Millis,
     /// The members that were asked by ping requests.
-    pub(crate) relays: AskedRelays,
+    pub(crate) relays: Relays,
 }
 
 /// The members that were asked to ping a target as well.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct AskedRelays {
+pub(crate) struct Relays {
     count: usize,
     /// Those that have not answered.
     unanswered: Vec<PeerAddress>,
@@ -55,9 +55,9 @@
     }
 }
 
-impl AskedRelays {
-    pub(crate) fn new(relays: Vec<PeerAddress>) -> AskedRelays {
-        AskedRelays {
+impl Relays {
+    pub(crate) fn new(relays: Vec<PeerAddress>) -> Relays {
+        Relays {
             count: relays.len(),
             unanswered: relays,
         }
--- a/crates/cluster-membership/src/swim/failure_detection.rs
+++ b/crates/cluster-membership/src/swim/failure_detection.rs
@@ -4,7 +4,7 @@
 use crate::member_state::MemberState;
 use crate::member_update::MemberUpdate;
 use crate::message::Message;
-use crate::pending_ping::{AskedRelays, PendingPing};
+use crate::pending_ping::{PendingPing, Relays};
 use crate::ping_order::{PingOrder, PingScope};
 use crate::relayed_pings::{RelayedPing, RelayedPings};
 use crate::suspicion::SuspicionRule;
@@ -131,7 +131,7 @@
             resend_at: now.plus(self.settings.ping_resend_ms),
             indirect_at: Some(now.plus(self.ack_timeout_ms())),
             deadline: self.clock.next_at(),
-            relays: AskedRelays::default(),
+            relays: Relays::default(),
         });
         self.send_ping(target, sequence_number);
     }
@@ -185,7 +185,7 @@
             self.send(*relay, request);
         }
         if let Some(ping) = &mut self.pings.pending {
-            ping.relays = AskedRelays::new(relays);
+            ping.relays = Relays::new(relays);
         }
     }
 
--- /dev/null
+++ b/crates/failure-detection/src/local_health.rs
@@ -0,0 +1,35 @@
+//! Lifeguard's local health.
+
+/// The worst local health score.
+pub const MAX_HEALTH_SCORE: u32 = 8;
+
+/// How far a process trusts its own observations: Lifeguard's *local health multiplier*.
+///
+/// A score of 0 is good health, and every further point makes its timeouts longer by their base length.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct LocalHealth {
+    score: u32,
+}
+
+impl LocalHealth {
+    /// The score, from 0 (good) to [`MAX_HEALTH_SCORE`].
+    pub fn score(self) -> u32 {
+        self.score
+    }
+
+    /// The factor by which timeouts are longer than their base length, from 1.
+    pub fn multiplier(self) -> u32 {
+        1 + self.score
+    }
+
+    /// Notes that a ping was acknowledged.
+    pub fn improve(&mut self) {
+        self.score = self.score.saturating_sub(1);
+    }
+
+    /// Notes an event that a slow or partitioned process of its own would explain, such as a ping that failed or a
+    /// suspicion that it had to refute.
+    pub fn worsen(&mut self) {
+        self.score = (self.score + 1).min(MAX_HEALTH_SCORE);
+    }
+}
--- a/crates/failure-detection/tests/arithmetic.rs
+++ b/crates/failure-detection/tests/arithmetic.rs
@@ -2,7 +2,7 @@
 
 use lupinrack_failure_detection::{
     confirmations_needed, size_factor, suspicion_timeout, transmission_limit, LocalHealth,
-    HEALTH_SCORE_WORST,
+    MAX_HEALTH_SCORE,
 };
 use quickcheck::quickcheck;
 
@@ -11,19 +11,19 @@
     let mut health = LocalHealth::default();
     health.improve();
     assert_eq!((health.score(), health.multiplier()), (0, 1));
-    for _ in 0..2 * HEALTH_SCORE_WORST {
+    for _ in 0..2 * MAX_HEALTH_SCORE {
         health.worsen();
     }
     assert_eq!(
         (health.score(), health.multiplier()),
-        (HEALTH_SCORE_WORST, HEALTH_SCORE_WORST + 1)
+        (MAX_HEALTH_SCORE, MAX_HEALTH_SCORE + 1)
     );
     health.improve();
-    assert_eq!(health.score(), HEALTH_SCORE_WORST - 1);
+    assert_eq!(health.score(), MAX_HEALTH_SCORE - 1);
 }
 
 #[test]
-fn news_is_sent_more_often_among_more_members() {
+fn updates_are_sent_more_often_among_more_members() {
     assert_eq!(transmission_limit(size_factor(5), 3.0, 0.0), 3);
     assert_eq!(transmission_limit(size_factor(99), 3.0, 0.0), 6);
     assert_eq!(transmission_limit(size_factor(999), 3.0, 0.0), 9);
