--- a/crates/admin/tests/golden.rs
+++ b/crates/admin/tests/golden.rs
@@ -1,8 +1,8 @@
 //! A golden file of the door's talk: each line that may be asked, and each form of answer.
 
-use golden_examples::{path, Examples};
 use lupinrack_admin::call::{Call, Line, LINE_MOST};
 use lupinrack_admin::{run, Answer};
+use lupinrack_golden_files::{path, GoldenFile};
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -32,7 +32,7 @@
 #[tokio::test]
 async fn calls_and_answers_keep_their_form() {
     let (full, empty) = (door(false).await, door(true).await);
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("answers.txt"));
     // A caller that ends its side within the line waits for no more: the line is as long as it came.
     let long = [b'a'; LINE_MOST];
     for (name, address, line) in [
@@ -48,7 +48,7 @@
     ] {
         examples.add(name, format!("{:?}", ask(address, line).await));
     }
-    examples.check(path!("answers.txt"));
+    examples.check();
 }
 
 #[test]
--- a/crates/chain/tests/golden.rs
+++ b/crates/chain/tests/golden.rs
@@ -3,19 +3,18 @@
 
 mod common;
 
-mod golden {
-    pub mod examples;
-}
-
+use borsh::{BorshDeserialize, BorshSerialize};
 use common::{entry, view, START};
-use golden::examples::{assert_file, assert_kept, to_hex};
 use lupinrack_chain::limits::SNAPSHOT_CHUNK_BYTES;
 use lupinrack_chain::{snapshot_checksum, Chain, Effect, ReplicaStatus, StoredState};
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange, Operation};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::wire::ChainMessage;
+use lupinrack_golden_files::{check_text, path, to_hex, GoldenFile};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::fmt::Debug;
+use std::path::Path;
 
 const HEAD: DiskId = DiskId(0x21);
 const TAIL: DiskId = DiskId(0x32);
@@ -25,6 +24,18 @@
 /// The index that the snapshot of the members covers.
 const SNAPSHOT_INDEX: u64 = 0x0708;
 
+/// Checks that the file holds the encoded form of these values and nothing else, and that what it holds decodes to them.
+fn assert_kept<T>(file: &str, examples: &[(String, T)])
+where
+    T: BorshSerialize + BorshDeserialize + PartialEq + Debug,
+{
+    let mut golden = GoldenFile::open(Path::new(path!()).join(file));
+    for (name, value) in examples {
+        golden.add_borsh(name, value);
+    }
+    golden.check();
+}
+
 #[test]
 fn the_standing_on_the_disk() {
     let name = |replica_status| match replica_status {
@@ -47,7 +58,7 @@
             snapshot_checksum(&state(length))
         )
     };
-    assert_file("checksum.hex", &lengths.map(line).concat());
+    check_text(path!("checksum.hex"), &lengths.map(line).concat());
 }
 
 /// The message up to the piece's bytes, whose own part is kept as their number and their checksum.
@@ -79,7 +90,7 @@
             );
         }
     }
-    assert_file("chunks.hex", &text);
+    check_text(path!("chunks.hex"), &text);
 }
 
 #[test]
--- a/crates/cluster-json/tests/golden.rs
+++ b/crates/cluster-json/tests/golden.rs
@@ -8,9 +8,9 @@
     job_body, job_state_body, parse_job, parse_job_state, parse_pending, pending_body, Figure,
     JobFault, JobLimits, JobTarget, UnknownAnswer,
 };
+use lupinrack_golden_files::{check_folder, GoldenFile};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
-use std::{env, fs};
 
 /// The files that the tests here build.
 const FILES: [&str; 6] = [
@@ -31,22 +31,14 @@
 /// Compares entries with a golden file, which holds one `name: text` line for each, and returns the file's entries.
 fn check(file: &str, built: &[(String, String)]) -> Vec<(String, String)> {
     assert!(FILES.contains(&file), "{file} is not listed");
-    let path = folder().join(file);
-    let lines: String = built
-        .iter()
-        .map(|(name, text)| format!("{name}: {text}\n"))
-        .collect();
-    if env::var("UPDATE_GOLDEN").as_deref() == Ok("1") {
-        fs::create_dir_all(folder()).expect("the folder is made");
-        fs::write(&path, &lines).expect("the file is written");
+    let mut golden = GoldenFile::open(folder().join(file));
+    for (name, text) in built {
+        golden.add(name, text);
     }
-    let kept = fs::read_to_string(&path).expect("the golden file is there");
-    assert_eq!(kept, lines, "{file}");
-    let entries = kept
-        .lines()
-        .map(|line| line.split_once(": ").expect("a name and a text"));
-    entries
-        .map(|(name, text)| (name.to_string(), text.to_string()))
+    let kept = golden.check();
+    built
+        .iter()
+        .map(|(name, _)| (name.clone(), kept.text(name).to_owned()))
         .collect()
 }
 
@@ -337,11 +329,5 @@
 
 #[test]
 fn every_golden_file_is_checked() {
-    for entry in fs::read_dir(folder()).expect("the folder") {
-        let name = entry.expect("an entry").file_name();
-        assert!(
-            FILES.iter().any(|file| name == *file),
-            "no test builds {name:?}"
-        );
-    }
+    check_folder(folder(), FILES);
 }
--- a/crates/cluster-local/tests/golden.rs
+++ b/crates/cluster-local/tests/golden.rs
@@ -10,11 +10,11 @@
 use lupinrack_cluster_local::ports::Ports;
 use lupinrack_cluster_local::report::LocalReport;
 use lupinrack_cluster_local::{play, Killed, LocalError, LocalSettings, Part, WrongJob};
+use lupinrack_golden_files::{check_folder, check_text, is_update};
 use lupinrack_node_settings::NodeSettings;
 use mock_servers::worker::floor::{Event, Floor, RunName};
 use mock_servers::worker::messages::End;
 use serde_json::Value;
-use std::collections::BTreeSet;
 use std::fs;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddrV4, TcpListener};
@@ -59,12 +59,7 @@
 
 /// Compares a text with its file, or writes the file.
 fn assert_golden(name: &str, text: &str) {
-    let path = golden_folder().join(name);
-    if std::env::var_os("UPDATE_GOLDEN").is_some() {
-        fs::write(&path, text).expect("a golden file written");
-    }
-    let kept = fs::read_to_string(&path).unwrap_or_else(|error| panic!("{name}: {error}"));
-    assert_eq!(text, kept, "{name} differs");
+    check_text(golden_folder().join(name), text);
 }
 
 fn lines(named: impl IntoIterator<Item = (String, String)>) -> String {
@@ -76,24 +71,13 @@
 
 #[test]
 fn every_golden_file_is_built_by_a_test() {
-    let files = fs::read_dir(golden_folder()).expect("the golden files");
-    let kept: BTreeSet<String> = files
-        .map(|file| {
-            file.expect("a file")
-                .file_name()
-                .to_string_lossy()
-                .into_owned()
-        })
-        .collect();
-    let settings = starts().map(|(member, first)| settings_file(member, first));
-    let built: BTreeSet<String> = FILES
-        .map(str::to_owned)
-        .into_iter()
-        .chain(settings)
-        .collect();
-    if std::env::var_os("UPDATE_GOLDEN").is_none() {
-        assert_eq!(kept, built);
+    // While files are updated other tests may not have written theirs yet.
+    if is_update() {
+        return;
     }
+    let settings = starts().map(|(member, first)| settings_file(member, first));
+    let built = FILES.map(str::to_owned).into_iter().chain(settings);
+    check_folder(golden_folder(), built);
 }
 
 #[test]
--- a/crates/cluster-log/tests/golden.rs
+++ b/crates/cluster-log/tests/golden.rs
@@ -4,12 +4,12 @@
 use lupinrack_cluster_log::{
     error_chain, logger, Levels, LogError, MalformedLevels, LEVEL_VARIABLE,
 };
+use lupinrack_golden_files::{check_folder, GoldenFile};
 use spdlog::sink::WriteSink;
 use spdlog::{Level, LevelFilter};
 use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
-use std::{env, fs};
 
 /// The files that the tests here build.
 const FILES: [&str; 3] = ["errors.txt", "levels.txt", "lines.txt"];
@@ -26,17 +26,11 @@
 /// Compares entries with a golden file, which holds one `name: text` line for each.
 fn check(file: &str, built: &[(String, String)]) {
     assert!(FILES.contains(&file), "{file} is not listed");
-    let path = folder().join(file);
-    let lines: String = built
-        .iter()
-        .map(|(name, text)| format!("{name}: {text}\n"))
-        .collect();
-    if env::var("UPDATE_GOLDEN").as_deref() == Ok("1") {
-        fs::create_dir_all(folder()).expect("the folder is made");
-        fs::write(&path, &lines).expect("the file is written");
+    let mut golden = GoldenFile::open(folder().join(file));
+    for (name, text) in built {
+        golden.add(name, text);
     }
-    let kept = fs::read_to_string(&path).expect("the golden file is there");
-    assert_eq!(kept, lines, "{file}");
+    golden.check();
 }
 
 /// What a logger that leaves nothing out writes.
@@ -183,11 +177,5 @@
 
 #[test]
 fn every_golden_file_is_checked() {
-    for entry in fs::read_dir(folder()).expect("the folder") {
-        let name = entry.expect("an entry").file_name();
-        assert!(
-            FILES.iter().any(|file| name == *file),
-            "no test builds {name:?}"
-        );
-    }
+    check_folder(folder(), FILES);
 }
--- a/crates/cluster-membership/tests/golden.rs
+++ b/crates/cluster-membership/tests/golden.rs
@@ -10,10 +10,10 @@
     Datagram, LiveMember, LiveTable, MemberState, MemberUpdate, Message, Outgoing, Swim,
     SwimSettings,
 };
+use lupinrack_golden_files::{check_folder, from_hex, to_hex, GoldenFile};
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
-use std::{env, fs};
 
 /// The files that the tests here build.
 const FILES: [&str; 5] = [
@@ -35,46 +35,25 @@
 /// Compares entries with a golden file, which holds one `name: text` line for each, and returns the file's entries.
 fn check(file: &str, built: &[(String, String)]) -> Vec<(String, String)> {
     assert!(FILES.contains(&file), "{file} is not listed");
-    let path = folder().join(file);
-    let lines: String = built
-        .iter()
-        .map(|(name, text)| format!("{name}: {text}\n"))
-        .collect();
-    if env::var("UPDATE_GOLDEN").as_deref() == Ok("1") {
-        fs::create_dir_all(folder()).expect("the folder is made");
-        fs::write(&path, &lines).expect("the file is written");
+    let mut golden = GoldenFile::open(folder().join(file));
+    for (name, text) in built {
+        golden.add(name, text);
     }
-    let kept = fs::read_to_string(&path).expect("the golden file is there");
-    let entries = kept
-        .lines()
-        .map(|line| line.split_once(": ").expect("a name and a text"));
-    let entries: Vec<(String, String)> = entries
-        .map(|(name, text)| (name.into(), text.into()))
-        .collect();
-    assert_eq!(entries, built, "{file}");
-    assert_eq!(kept, lines, "{file}");
-    entries
-}
-
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn bytes_of_hex(text: &str) -> Vec<u8> {
-    assert!(text.is_ascii() && text.len().is_multiple_of(2), "{text}");
-    let pairs = (0..text.len()).step_by(2).map(|at| &text[at..at + 2]);
-    pairs
-        .map(|pair| u8::from_str_radix(pair, 16).expect("hexadecimal digits"))
+    let kept = golden.check();
+    built
+        .iter()
+        .map(|(name, _)| (name.clone(), kept.text(name).to_owned()))
         .collect()
 }
 
 /// Checks that datagrams are encoded as the file says, and that the file decodes to them.
 fn check_datagrams(file: &str, datagrams: &[(String, Datagram)]) {
-    let encoded = |(name, datagram): &(String, Datagram)| (name.clone(), hex(&datagram.encode()));
+    let encoded =
+        |(name, datagram): &(String, Datagram)| (name.clone(), to_hex(&datagram.encode()));
     let kept = check(file, &datagrams.iter().map(encoded).collect::<Vec<_>>());
     for ((name, text), (_, datagram)) in kept.iter().zip(datagrams) {
         assert_eq!(
-            Datagram::decode(&bytes_of_hex(text)).as_ref(),
+            Datagram::decode(&from_hex(text)).as_ref(),
             Ok(datagram),
             "{name}"
         );
@@ -515,11 +494,5 @@
 
 #[test]
 fn every_golden_file_is_checked() {
-    for entry in fs::read_dir(folder()).expect("the folder") {
-        let name = entry.expect("an entry").file_name();
-        assert!(
-            FILES.iter().any(|file| name == *file),
-            "no test builds {name:?}"
-        );
-    }
+    check_folder(folder(), FILES);
 }
--- a/crates/cluster-node/tests/disk_of_the_version_before.rs
+++ b/crates/cluster-node/tests/disk_of_the_version_before.rs
@@ -14,10 +14,10 @@
 use lupinrack_cluster_api::view::{View, Voter};
 use lupinrack_control_state::{ControlState, JobRecord, TaskRecord, TaskStatus};
 use lupinrack_control_store::{ControlStore, Recovered, StoreSettings, DATA_FILE};
+use lupinrack_golden_files::{check_text, path};
 use lupinrack_view_agreement::VoteState;
 use network::Network;
 use std::fmt::Write;
-use support::golden_file::check;
 use support::packed_disk::UnpackedDisk;
 
 /// The disks, and the numbers of their processes in a network that goes on from them.
@@ -234,7 +234,7 @@
         write_disk(&mut text, name, &recovered);
         write_state(&mut text, name, &state_of(&recovered));
     }
-    check("disk_of_the_version_before.txt", &text);
+    check_text(path!("disk_of_the_version_before.txt"), &text);
 }
 
 #[test]
@@ -305,7 +305,7 @@
     for (number, name) in DISKS.into_iter().enumerate() {
         let _ = writeln!(text, "### {name}\n{}", network.status(number));
     }
-    check("processes_of_the_version_before.txt", &text);
+    check_text(path!("processes_of_the_version_before.txt"), &text);
 }
 
 #[test]
--- a/crates/cluster-node/tests/golden.rs
+++ b/crates/cluster-node/tests/golden.rs
@@ -23,6 +23,7 @@
 use lupinrack_cluster_node::NodeError;
 use lupinrack_control_state::ControlState;
 use lupinrack_control_store::{Misfit, StoreError};
+use lupinrack_golden_files::{check_text, path};
 use lupinrack_scheduler::{ServerSummary, ServiceSummary, WaitingSummary};
 use std::fmt::{Display, Write};
 use std::io;
@@ -30,7 +31,6 @@
 use std::sync::Arc;
 use std::thread;
 use support::exchange::{exchange, Call, Record};
-use support::golden_file::check;
 use support::process::{spawn, wait_until, Addresses, PROCESS};
 use support::scripted_core::{self, Knowledge, Orders, Script};
 use tokio::sync::mpsc;
@@ -143,7 +143,7 @@
     core_status_texts(&mut texts);
     front_status_texts(&mut texts);
     agent_status_texts(&mut texts);
-    check("status.txt", &texts.0);
+    check_text(path!("status.txt"), &texts.0);
 }
 
 fn core_status_texts(texts: &mut Texts) {
@@ -281,7 +281,7 @@
     for (name, error) in node_errors {
         texts.add_line(name, error);
     }
-    check("errors.txt", &texts.0);
+    check_text(path!("errors.txt"), &texts.0);
 }
 
 // The control API of a core process.
@@ -453,7 +453,7 @@
         "the process takes no questions any more",
         &Call::new(&format!("GET {STATUS_PATH}")),
     );
-    check("control_api.txt", play.record.text());
+    check_text(path!("control_api.txt"), play.record.text());
 }
 
 // A front.
@@ -569,7 +569,7 @@
     calls_of_clients(&mut play);
     play.script.clear();
     play.call("the head does not answer", &hurried);
-    check("front.txt", play.record.text());
+    check_text(path!("front.txt"), play.record.text());
 }
 
 fn calls_of_clients(play: &mut Play<'_>) {
@@ -713,7 +713,7 @@
         "a server that leaves",
         &Call::new("DELETE /lupinrack/instances/worker-1"),
     );
-    check("agent.txt", play.record.text());
+    check_text(path!("agent.txt"), play.record.text());
 }
 
 fn calls_that_are_refused(play: &mut Play<'_>) {
--- a/crates/cluster-simulation/tests/golden.rs
+++ b/crates/cluster-simulation/tests/golden.rs
@@ -8,8 +8,7 @@
     DayKind, DayReport, DaySettings, Entry, OperatorOrder, Plan, PlantedFault, Scene, Strike,
     Trouble,
 };
-use std::collections::BTreeSet;
-use std::fs;
+use lupinrack_golden_files::{check_folder, check_text, is_update};
 use std::path::{Path, PathBuf};
 
 const FILES: [&str; 5] = [
@@ -28,28 +27,16 @@
 
 /// Compares a text with its file, or writes the file.
 fn assert_golden(name: &str, text: &str) {
-    let path = golden_folder().join(name);
-    if std::env::var_os("UPDATE_GOLDEN").is_some() {
-        fs::write(&path, text).expect("a golden file written");
-    }
-    let kept = fs::read_to_string(&path).unwrap_or_else(|error| panic!("{name}: {error}"));
-    assert_eq!(text, kept, "{name} differs");
+    check_text(golden_folder().join(name), text);
 }
 
 #[test]
 fn every_golden_file_is_built_by_a_test() {
-    let files = fs::read_dir(golden_folder()).expect("the golden files");
-    let kept: BTreeSet<String> = files
-        .map(|file| {
-            file.expect("a file")
-                .file_name()
-                .to_string_lossy()
-                .into_owned()
-        })
-        .collect();
-    if std::env::var_os("UPDATE_GOLDEN").is_none() {
-        assert_eq!(kept, FILES.map(str::to_owned).into_iter().collect());
+    // While files are updated other tests may not have written theirs yet.
+    if is_update() {
+        return;
     }
+    check_folder(golden_folder(), FILES);
 }
 
 fn short(kind: DayKind) -> DaySettings {
--- a/crates/cluster-transport/tests/golden/frames.rs
+++ b/crates/cluster-transport/tests/golden/frames.rs
@@ -8,7 +8,7 @@
 use lupinrack_cluster_api::wire::{Frame, Hello, ReplicaReport, Role};
 use lupinrack_cluster_transport::listen::bind_once;
 use lupinrack_cluster_transport::peers::{PeerEvent, PeerSettings, Peers};
-use std::collections::BTreeMap;
+use lupinrack_golden_files::KeptExamples;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -165,11 +165,11 @@
 }
 
 /// Checks that the kept greeting and frames are taken for these values.
-async fn assert_taken(kept: &BTreeMap<String, Vec<u8>>, greeting: &str, hello: &Hello) {
-    let mut bytes = kept[greeting].clone();
+async fn assert_taken(kept: &KeptExamples, greeting: &str, hello: &Hello) {
+    let mut bytes = kept.bytes(greeting);
     let mut expected = vec![Frame::Hello(hello.clone())];
     for (name, frame) in frames() {
-        bytes.extend(&kept[&name]);
+        bytes.extend(kept.bytes(&name));
         expected.push(frame);
     }
     let (events, answer) = received(&bytes, expected.len()).await;
@@ -191,7 +191,8 @@
         assert_eq!(frame, expected);
     }
     assert_eq!(
-        answer, kept["hello, core"],
+        answer,
+        kept.bytes("hello, core"),
         "the greeting of the process that accepted"
     );
 }
@@ -212,7 +213,7 @@
     let name = "reply up to its text".to_owned();
     let kept = assert_hex("large_frame.hex", &[(name.clone(), head.to_vec())]);
     let greeting = greeting(hello(Role::Agent)).await;
-    let (mut events, _) = received(&[&greeting, &kept[&name][..], text].concat(), 2).await;
+    let (mut events, _) = received(&[&greeting, &kept.bytes(&name)[..], text].concat(), 2).await;
     let Some(PeerEvent::Frame { frame: taken, .. }) = events.pop() else {
         panic!("no frame")
     };
--- a/crates/control-state/tests/golden.rs
+++ b/crates/control-state/tests/golden.rs
@@ -13,7 +13,7 @@
     check_body, ChangeDigest, ConfigurationDocument, ControlState, Occurrence, TakenChanges,
     TaskRecord,
 };
-use lupinrack_golden_files::{compare_text, GoldenFile};
+use lupinrack_golden_files::{check_text, GoldenFile};
 
 /// The path of a golden file.
 fn path(name: &str) -> String {
@@ -24,19 +24,19 @@
 fn records() {
     let mut file = GoldenFile::open(path("records.hex"));
     for (name, status) in task_statuses() {
-        file.borsh(&format!("status {name}"), &status);
-        file.borsh(&format!("task {name}"), &task_record(status));
+        file.add_borsh(&format!("status {name}"), &status);
+        file.add_borsh(&format!("task {name}"), &task_record(status));
     }
-    file.borsh("task that was never started", &TaskRecord::new());
-    file.borsh("occurrence", &occurrence());
-    file.borsh("occurrence that is done", &Occurrence::default());
-    file.borsh("open job", &job_record(JobState::Running, None));
-    file.borsh("ended job", &job_record(JobState::Failed, Some(20)));
-    file.borsh("shard", &shard(21));
-    file.borsh("place", &place(22));
-    file.borsh("document", &document());
-    file.borsh("document of nothing", &ConfigurationDocument::default());
-    file.finish();
+    file.add_borsh("task that was never started", &TaskRecord::new());
+    file.add_borsh("occurrence", &occurrence());
+    file.add_borsh("occurrence that is done", &Occurrence::default());
+    file.add_borsh("open job", &job_record(JobState::Running, None));
+    file.add_borsh("ended job", &job_record(JobState::Failed, Some(20)));
+    file.add_borsh("shard", &shard(21));
+    file.add_borsh("place", &place(22));
+    file.add_borsh("document", &document());
+    file.add_borsh("document of nothing", &ConfigurationDocument::default());
+    file.check();
 }
 
 #[test]
@@ -49,12 +49,12 @@
         ("whole on 1", 1, whole),
         ("patch on 1", 1, patch),
     ] {
-        file.borsh(
+        file.add_borsh(
             name,
             &ChangeDigest::of(&ConfigurationChange { if_match, body }),
         );
     }
-    file.finish();
+    file.check();
 }
 
 #[test]
@@ -65,11 +65,11 @@
         ("every kind of record", whole_state()),
     ] {
         let bytes = state.to_bytes().expect("a state has bytes");
-        file.bytes(name, &bytes);
+        file.add_bytes(name, &bytes);
         let kept = file.kept_bytes(name).unwrap_or(bytes);
         assert_eq!(ControlState::from_bytes(&kept), Ok(state), "{name}");
     }
-    file.finish();
+    file.check();
 }
 
 /// The digest at base 9 is that of no change; bases up to 7 are forgotten.
@@ -83,7 +83,7 @@
         &7u64.to_le_bytes(),
     ]
     .concat();
-    file.bytes("one remembered, some forgotten", &bytes);
+    file.add_bytes("one remembered, some forgotten", &bytes);
     let kept = file
         .kept_bytes("one remembered, some forgotten")
         .unwrap_or(bytes);
@@ -111,36 +111,36 @@
         refusal(9),
         OperationResult::Refused(ErrorKind::VersionConflict)
     );
-    file.finish();
+    file.check();
 }
 
 /// The bodies of `PUT` and `PATCH`, what they are given back as, and what is read from them.
 #[test]
 fn bodies_of_changes() {
-    compare_text(path("put.json"), PUT);
-    compare_text(path("patch.json"), PATCH);
+    check_text(path("put.json"), PUT);
+    check_text(path("patch.json"), PATCH);
     let mut state = ControlState::default();
     assert_eq!(
         state.apply(&change(0, ConfigurationBody::Replacement(PUT.to_owned()))),
         OperationResult::Done
     );
-    compare_text(
+    check_text(
         path("put_given_back.json"),
         &format!("{}\n", state.document_json()),
     );
     let put = state.clone();
     let patch = ConfigurationBody::Patch(PATCH.to_owned());
     assert_eq!(state.apply(&change(7, patch)), OperationResult::Done);
-    compare_text(
+    check_text(
         path("patch_given_back.json"),
         &format!("{}\n", state.document_json()),
     );
     let mut file = GoldenFile::open(path("configurations.hex"));
-    file.borsh("document of the put", &put.document);
-    file.borsh("configuration of the put", &put.configuration);
-    file.borsh("document of the patch", &state.document);
-    file.borsh("configuration of the patch", &state.configuration);
-    file.finish();
+    file.add_borsh("document of the put", &put.document);
+    file.add_borsh("configuration of the put", &put.configuration);
+    file.add_borsh("document of the patch", &state.document);
+    file.add_borsh("configuration of the patch", &state.configuration);
+    file.check();
 }
 
 fn change(if_match: u64, body: ConfigurationBody) -> Operation {
@@ -152,9 +152,9 @@
     let mut file = GoldenFile::open(path("faults.txt"));
     for (name, body) in faulty_bodies() {
         let fault = check_body(&body).expect_err(name);
-        file.text(name, &fault.to_string());
+        file.add(name, &fault.to_string());
     }
-    file.finish();
+    file.check();
 }
 
 /// Faults that a body has only beside the configuration that is current.
@@ -167,7 +167,7 @@
         let body = ConfigurationBody::Patch(patch.to_owned());
         assert_eq!(check_body(&body), Ok(()), "{name}");
         let changed = apply_body(&state.document, &body).expect(name);
-        file.text(name, &changed.check().expect_err(name).to_string());
+        file.add(name, &changed.check().expect_err(name).to_string());
     }
-    file.finish();
+    file.check();
 }
--- a/crates/control-store/tests/golden.rs
+++ b/crates/control-store/tests/golden.rs
@@ -228,7 +228,7 @@
 fn kept_rows(file: &mut GoldenFile, rows: &[Row]) -> Vec<Row> {
     let kept = |(key, bytes): &Row| {
         let name = row_name(*key);
-        file.bytes(&name, bytes);
+        file.add_bytes(&name, bytes);
         (*key, file.kept_bytes(&name).unwrap_or(bytes.clone()))
     };
     rows.iter().map(kept).collect()
@@ -237,22 +237,22 @@
 #[test]
 fn names() {
     let mut file = golden("names.txt");
-    file.text("data file", DATA_FILE);
-    file.text("data file while it is made", NEW_FILE);
+    file.add("data file", DATA_FILE);
+    file.add("data file while it is made", NEW_FILE);
     let folder = folder("names");
     rows_after(&folder, &[whole_batch()]);
-    file.text(
+    file.add(
         "tables",
         &golden_rows::table_names(&folder.join(DATA_FILE)).join(" "),
     );
-    file.finish();
+    file.check();
 }
 
 #[test]
 fn rows_of_a_new_store() {
     let mut file = golden("rows_of_a_new_store.hex");
     let rows = kept_rows(&mut file, &rows_after(&folder("new"), &[]));
-    file.finish();
+    file.check();
     assert_eq!(found_in(&folder("new-read"), &rows), Recovered::default());
 }
 
@@ -264,7 +264,7 @@
         &mut file,
         &rows_after(&folder("all"), std::slice::from_ref(&batch)),
     );
-    file.finish();
+    file.check();
     assert_eq!(found_in(&folder("all-read"), &rows), recovered(&batch));
 }
 
@@ -292,7 +292,7 @@
         &[whole_batch(), later.clone(), covering.clone()],
     );
     let rows = kept_rows(&mut file, &rows);
-    file.finish();
+    file.check();
     let mut expected = recovered(&whole_batch());
     expected.replica_status = later.replica_status.unwrap_or_default();
     expected.entries.retain(|entry| entry.index == 505);
@@ -318,12 +318,12 @@
         } else {
             row
         };
-        file.text(
+        file.add(
             &row_name(*key),
             &format!("{} bytes, {}", row.len(), to_hex(shown)),
         );
     }
-    file.finish();
+    file.check();
     let chunks: Vec<u8> = rows
         .iter()
         .filter(|((kind, _), _)| *kind == 5)
@@ -337,12 +337,12 @@
 #[test]
 fn values_of_rows() {
     let mut file = golden("values.hex");
-    file.borsh("vote", &vote());
-    file.borsh("vote of a disk that has not voted", &VoteState::default());
-    file.borsh("view", &view(15));
-    file.borsh("standing complete", &ReplicaStatus::Complete);
-    file.borsh("standing joining", &ReplicaStatus::Joining);
-    file.finish();
+    file.add_borsh("vote", &vote());
+    file.add_borsh("vote of a disk that has not voted", &VoteState::default());
+    file.add_borsh("view", &view(15));
+    file.add_borsh("standing complete", &ReplicaStatus::Complete);
+    file.add_borsh("standing joining", &ReplicaStatus::Joining);
+    file.check();
 }
 
 /// A whole data file that an earlier build left is read. Its pages are `redb`'s own and are not compared.
--- a/crates/demo/tests/golden.rs
+++ b/crates/demo/tests/golden.rs
@@ -1,7 +1,7 @@
 //! A golden file of `lupinrack demo --json`.
 
-use golden_examples::{check_text, path};
 use lupinrack_demo::Figures;
+use lupinrack_golden_files::{check_text, path};
 use mock_servers::load::Tally;
 
 #[test]
--- a/crates/dispatch/tests/golden.rs
+++ b/crates/dispatch/tests/golden.rs
@@ -1,18 +1,15 @@
 //! Seeded runs of the dispatcher, compared with traces that are kept in `golden/`: tags, and the order of releases.
 //!
-//! Traces are text and name nothing of the code. With [`UPDATE_VARIABLE`] set they are written anew.
+//! Traces are text and name nothing of the code. With `UPDATE_GOLDEN=1` they are written anew.
 
 mod common;
 
 use common::{arrival, Choices, TestDispatcher};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_dispatch::{hybrid_delay, DispatchSettings, Dispatcher, Tags};
-use std::collections::BTreeSet;
-use std::fs;
-use std::path::{Path, PathBuf};
+use lupinrack_golden_files::{check_folder, check_text, path};
+use std::path::Path;
 
-/// Where this variable of the environment is set, files are written instead of compared.
-const UPDATE_VARIABLE: &str = "UPDATE_GOLDEN";
 const SERVERS: u64 = 4;
 /// Streams and their weights; the last ones are out of bounds.
 const STREAMS: [(char, f64); 6] = [
@@ -193,37 +190,11 @@
     ]
 }
 
-fn names_in(folder: &Path) -> BTreeSet<String> {
-    let entries = fs::read_dir(folder).expect("the folder can be listed");
-    let paths: Vec<PathBuf> = entries
-        .map(|entry| entry.expect("the folder can be read").path())
-        .collect();
-    let name = |path: &PathBuf| {
-        path.file_name()
-            .map(|name| name.to_string_lossy().into_owned())
-    };
-    paths.iter().filter_map(name).collect()
-}
-
 #[test]
 fn runs_are_decided_as_kept() {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
     let built = built();
-    if std::env::var_os(UPDATE_VARIABLE).is_some() {
-        for (name, text) in &built {
-            fs::write(folder.join(name), text).expect("the file can be written");
-        }
-    }
-    let names: BTreeSet<String> = built.iter().map(|(name, _)| (*name).to_owned()).collect();
-    assert_eq!(names, names_in(&folder), "names built and names kept");
     for (name, text) in &built {
-        let kept = fs::read_to_string(folder.join(name)).expect("the file can be read");
-        for (number, (kept, built)) in kept.lines().zip(text.lines()).enumerate() {
-            assert_eq!(kept, built, "line {} of {name}", number + 1);
-        }
-        assert!(
-            kept == *text,
-            "{name} is longer or shorter than what was built"
-        );
+        check_text(Path::new(path!()).join(name), text);
     }
+    check_folder(path!(), built.iter().map(|(name, _)| name));
 }
--- a/crates/extent-map-drill/tests/golden.rs
+++ b/crates/extent-map-drill/tests/golden.rs
@@ -1,7 +1,7 @@
 //! A golden file of one run's figures in `lupinrack extents drill --json`.
 
-use golden_examples::{check_text, path};
 use lupinrack_extent_map_drill::Figures;
+use lupinrack_golden_files::{check_text, path};
 use mock_servers::load::Tally;
 
 #[test]
--- a/crates/extent-map-driver/tests/golden.rs
+++ b/crates/extent-map-driver/tests/golden.rs
@@ -1,9 +1,9 @@
 //! A golden file of the calls to the extent authority: the request lines.
 
-use golden_examples::{path, Examples};
 use lupinrack_extent_map::config::Section;
 use lupinrack_extent_map::{Action, Counters, Version};
 use lupinrack_extent_map_driver::Driver;
+use lupinrack_golden_files::{path, GoldenFile};
 use lupinrack_policy::{Key, Settings, VolumeId};
 use lupinrack_request_engine::{Clock, Core};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -42,7 +42,7 @@
         epoch: 1415,
     };
     let volume = VolumeId(0x0a1b_2c3d_4e5f_6071);
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("calls.txt"));
     for (name, action) in [
         (
             "poll_first",
@@ -71,6 +71,6 @@
         let head = call(&authority).await;
         examples.add(name, head.lines().next().unwrap());
     }
-    examples.check(path!("calls.txt"));
+    examples.check();
     running.abort();
 }
--- a/crates/extent-map/tests/golden.rs
+++ b/crates/extent-map/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Golden files of the map of extents: datagrams between fronts, the authority's JSON, the map's file, and the counters.
 
-use golden_examples::{check_text, path, Examples};
 use lupinrack_extent_map::map::Map;
 use lupinrack_extent_map::{datagram, snapshot, Change, Counters, Cover, News, Piece, Version};
+use lupinrack_golden_files::{check_text, path, GoldenFile};
 use lupinrack_policy::VolumeId;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -33,11 +33,11 @@
         ("no_shard", vec![change(2, None)]),
         ("as_many_as_go_at_once", all),
     ];
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("datagrams.txt"));
     for (name, changes) in &cases {
         examples.add_bytes(*name, &datagram::encode(VERSION.incarnation, changes));
     }
-    let kept = examples.check(path!("datagrams.txt"));
+    let kept = examples.check();
     for (name, changes) in cases {
         assert_eq!(
             datagram::decode(&kept.bytes(name)),
@@ -116,9 +116,9 @@
 
 #[test]
 fn versions_keep_their_text() {
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("versions.txt"));
     examples.add("version", VERSION);
-    let kept = examples.check(path!("versions.txt"));
+    let kept = examples.check();
     assert_eq!(kept.text("version").parse(), Ok(VERSION));
 }
 
@@ -160,13 +160,13 @@
     held(&mut map, 4, &[(1, 2, 3)]);
     map.doubt(VolumeId(4), VERSION.epoch);
     map.expect(0, VolumeId(5), 0);
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("snapshots.txt"));
     examples.add_bytes("map", &snapshot::encode(VERSION, &map));
     examples.add_bytes(
         "empty",
         &snapshot::encode(Version::default(), &Map::new(10, 10)),
     );
-    let kept = examples.check(path!("snapshots.txt"));
+    let kept = examples.check();
 
     let mut read = Map::new(1_000, 100);
     assert_eq!(
--- a/crates/fault-injection/tests/golden.rs
+++ b/crates/fault-injection/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Golden files of scripts: a drill prints one where a promise is broken, and plays it again from a file.
 
-use golden_examples::{check_text, path};
 use lupinrack_fault_injection::relay::Fault;
 use lupinrack_fault_injection::{Act, Script};
+use lupinrack_golden_files::{check_text, path};
 
 fn fault() -> Fault {
     Fault {
--- a/crates/fleet-driver/tests/golden.rs
+++ b/crates/fleet-driver/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Golden files of what the door tells of the fleet: one JSON object, and a line a figure.
 
-use golden_examples::{check_text, path};
 use lupinrack_fleet_driver::{Line, Report};
 use lupinrack_fleet_membership::Counts;
+use lupinrack_golden_files::{check_text, path};
 
 fn line(name: &str, state: &str, n: u16) -> Line {
     Line {
--- a/crates/fleet-membership-drill/tests/golden.rs
+++ b/crates/fleet-membership-drill/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Golden files of `lupinrack fleet drill --json`, and of the names of its cases.
 
-use golden_examples::{check_text, path, Examples};
 use lupinrack_fleet_membership_drill::cases::CASES;
 use lupinrack_fleet_membership_drill::Figures;
+use lupinrack_golden_files::{check_text, path, GoldenFile};
 
 #[test]
 fn the_report_keeps_its_form() {
@@ -51,7 +51,7 @@
 /// `--faults` names them, and so do kept scripts.
 #[test]
 fn cases_keep_their_names() {
-    let mut names = Examples::default();
+    let mut names = GoldenFile::open(path!("cases.txt"));
     for (at, case) in CASES.iter().enumerate() {
         names.add(format!("{at:02}"), case.name);
         let script = (case.script)(1);
@@ -61,5 +61,5 @@
             case.name
         );
     }
-    names.check(path!("cases.txt"));
+    names.check();
 }
--- a/crates/fleet-membership/tests/golden.rs
+++ b/crates/fleet-membership/tests/golden.rs
@@ -1,6 +1,5 @@
 //! Golden files of the membership: every kind of datagram, the hash of the roster that goes with each, and the words for operators.
 
-use golden_examples::{path, Examples};
 use lupinrack_fleet_membership::agree::{Ballot, Number, Promises, Round, View, Word};
 use lupinrack_fleet_membership::bits::Bits;
 use lupinrack_fleet_membership::config::{Peer, Section};
@@ -8,6 +7,7 @@
 use lupinrack_fleet_membership::swim::{News, State};
 use lupinrack_fleet_membership::wire::{Body, Datagram, Keys, Told, Void};
 use lupinrack_fleet_membership::Counts;
+use lupinrack_golden_files::{path, GoldenFile};
 
 /// A small roster, and one whose sets of fronts are longer than the lists that a datagram has room for.
 const SMALL: usize = 11;
@@ -167,11 +167,11 @@
 #[test]
 fn every_kind_of_datagram_keeps_its_form() {
     let keys = Keys::default();
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("datagrams.txt"));
     for (name, body) in bodies() {
         examples.add_bytes(name, &datagram(body).write(SMALL, &keys));
     }
-    let kept = examples.check(path!("datagrams.txt"));
+    let kept = examples.check();
     for (name, body) in bodies() {
         assert_eq!(
             Datagram::read(&kept.bytes(name), SMALL, &keys),
@@ -188,9 +188,9 @@
         also: None,
     };
     let written = datagram(Body::Ping(0xb1b2_b3b4, told(word(), false, all_news())));
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("datagrams-keyed.txt"));
     examples.add_bytes("ping", &written.write(SMALL, &keys));
-    let kept = examples.check(path!("datagrams-keyed.txt"));
+    let kept = examples.check();
     assert_eq!(
         Datagram::read(&kept.bytes("ping"), SMALL, &keys),
         Ok(written)
@@ -254,10 +254,10 @@
         false,
         long_news[..12].to_vec(),
     )));
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("datagrams-large.txt"));
     examples.add_bytes("sets_that_do_not_fit", &crowded.write(LARGE, &keys));
     examples.add_bytes("news_that_does_not_fit", &newsy.write(LARGE, &keys));
-    let kept = examples.check(path!("datagrams-large.txt"));
+    let kept = examples.check();
     for (name, fits) in [
         ("sets_that_do_not_fit", crowded_fits),
         ("news_that_does_not_fit", newsy_fits),
@@ -287,7 +287,7 @@
 #[test]
 fn the_hash_of_a_roster_follows_from_names_and_terms() {
     let plain = section(&["n0", "n1", "n2"]);
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("roster-hashes.txt"));
     let mut add =
         |name: &str, section: &Section| examples.add_bytes(name, &section.roster().to_be_bytes());
     add("three_fronts", &plain);
@@ -317,7 +317,7 @@
     moved.member[1].address = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     (moved.period_ms, moved.most_volumes) = (300, 7);
     add("another_address_and_pace", &moved);
-    let kept = examples.check(path!("roster-hashes.txt"));
+    let kept = examples.check();
     assert_eq!(
         kept.text("three_fronts"),
         kept.text("another_address_and_pace")
@@ -327,7 +327,7 @@
 /// In figures, in JSON at the door, and in lines of the log.
 #[test]
 fn words_for_operators_stay() {
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("words.txt"));
     for (name, stance) in [
         ("stance_starting", Stance::Starting),
         ("stance_alone", Stance::Alone),
@@ -361,7 +361,7 @@
             n: 45,
         },
     );
-    examples.check(path!("words.txt"));
+    examples.check();
 }
 
 #[test]
@@ -377,7 +377,7 @@
         views: 8,
     };
     let text = serde_json::to_string_pretty(&counts).unwrap() + "\n";
-    let kept = golden_examples::check_text(path!("counts.json"), &text);
+    let kept = lupinrack_golden_files::check_text(path!("counts.json"), &text);
     assert_eq!(serde_json::from_str::<Counts>(&kept).unwrap(), counts);
     // An older front does not tell of what other machines said.
     let older = kept.replace("  \"carried\": 7,\n", "");
--- a/crates/fleet-simulation/tests/golden.rs
+++ b/crates/fleet-simulation/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Golden files of the lab: an experiment's file, and `lupinrack lab run --json`.
 
-use golden_examples::{check_text, path, Examples};
 use lupinrack_fleet_simulation::experiment::FIGURES;
 use lupinrack_fleet_simulation::{Experiment, Outcome, Point, Spread};
+use lupinrack_golden_files::{check_text, path, GoldenFile};
 use std::fmt::Debug;
 
 const EXPERIMENT: &str = include_str!("golden/experiment.toml");
@@ -52,7 +52,7 @@
 /// The names under which figures are put together over seeds, and which figure of a run each is.
 #[test]
 fn figures_over_seeds_keep_their_names() {
-    let mut figures = Examples::default();
+    let mut figures = GoldenFile::open(path!("figures.txt"));
     for (name, figure) in FIGURES {
         figures.add(*name, format!("{:?}", figure(&outcome(Some(11.5)))));
     }
@@ -60,11 +60,11 @@
         "settled_ms where it never settled",
         FIGURES.iter().find(|f| f.0 == "settled_ms").unwrap().1(&outcome(None)),
     );
-    figures.check(path!("figures.txt"));
+    figures.check();
 }
 
-fn read(experiment: &Experiment) -> Examples {
-    let mut read = Examples::default();
+fn read(file: &str, experiment: &Experiment) -> GoldenFile {
+    let mut read = GoldenFile::open(file);
     let mut add = |key: &str, value: &dyn Debug| read.add(key, format!("{value:?}"));
     add("name", &experiment.name);
     add("case", &experiment.case);
@@ -85,6 +85,14 @@
 
 #[test]
 fn experiments_are_read_as_before() {
-    read(&Experiment::parse(EXPERIMENT, &[]).unwrap()).check(path!("experiment-read.txt"));
-    read(&Experiment::parse("", &[]).unwrap()).check(path!("experiment-defaults-read.txt"));
+    read(
+        path!("experiment-read.txt"),
+        &Experiment::parse(EXPERIMENT, &[]).unwrap(),
+    )
+    .check();
+    read(
+        path!("experiment-defaults-read.txt"),
+        &Experiment::parse("", &[]).unwrap(),
+    )
+    .check();
 }
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -1,9 +1,9 @@
 //! Golden files of what one front's machines say to the same machines of another: the whole datagrams, head, key and stream included.
 
-use golden_examples::{path, Examples, Kept};
 use lupinrack_fleet::{Hub, Out, Said};
 use lupinrack_fleet_membership::config::{Peer, Section};
 use lupinrack_fleet_membership::Source;
+use lupinrack_golden_files::{path, GoldenFile, KeptExamples};
 use lupinrack_peer_transport::Tag;
 use lupinrack_policy::Micros;
 use std::net::SocketAddr;
@@ -94,11 +94,11 @@
 
 #[test]
 fn two_fronts_greet_each_other_in_the_same_bytes() {
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("greetings.txt"));
     for (at, (from, bytes)) in Pair::met().greetings.iter().enumerate() {
         examples.add_bytes(format!("{at:02}_from_n{from}"), bytes);
     }
-    let kept = examples.check(path!("greetings.txt"));
+    let kept = examples.check();
     let mut hub = Hub::new(&section(), 0, LIVES[0], 9, START);
     let mut out = Vec::new();
     hub.datagram(START, Source::Peer(1), &kept.bytes("00_from_n1"), &mut out);
@@ -119,7 +119,7 @@
 fn what_machines_say_keeps_its_form() {
     let mut pair = Pair::met();
     let now = pair.now;
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("machines.txt"));
     for (name, tag, bytes) in MACHINES {
         let mut out = Vec::new();
         assert!(pair.hubs[0].say(now, 1, tag, bytes, &mut out));
@@ -134,11 +134,11 @@
     for (at, piece) in pieces.iter().enumerate() {
         examples.add_bytes(format!("stream_piece_{at}"), piece);
     }
-    heard(pair, &examples.check(path!("machines.txt")), pieces.len());
+    heard(pair, &examples.check(), pieces.len());
 }
 
 /// The other front hears from the file what was said.
-fn heard(mut pair: Pair, kept: &Kept, pieces: usize) {
+fn heard(mut pair: Pair, kept: &KeptExamples, pieces: usize) {
     for (name, tag, bytes) in MACHINES {
         let expected = Said {
             from: 0,
--- a/crates/flow-export/tests/golden.rs
+++ b/crates/flow-export/tests/golden.rs
@@ -1,11 +1,9 @@
 //! Messages as collectors get them, the settings' schema and the texts of errors, pinned by the files under
 //! `tests/golden/`.
 
-mod golden_file;
-
-use golden_file::{check_folder, check_text, unhex, GoldenFile};
 use lupinrack_flow_export::config::{IpfixConfig, Section};
 use lupinrack_flow_export::{run, ENTERPRISE_NUMBER, FIELDS, TEMPLATE};
+use lupinrack_golden_files::{check_folder, check_text, path, GoldenFile};
 use lupinrack_policy::{Request, RequestId, VolumeId};
 use lupinrack_request_engine::{Flow, FlowEnd};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -188,7 +186,7 @@
 #[tokio::test]
 async fn messages_have_the_form_that_collectors_get() {
     let seldom = Duration::from_secs(3_600);
-    let mut file = GoldenFile::new("messages.txt");
+    let mut file = GoldenFile::open(path!("messages.txt"));
     let batches = vec![
         only_flows(flows()),
         vec![flow(5, FlowEnd::Served)],
@@ -213,7 +211,7 @@
     file.add_bytes("template again, sequence 1", &every_time[1]);
     let kept = file.check();
 
-    let first = unhex(&kept["template and a record of each end"]);
+    let first = kept.bytes("template and a record of each end");
     let [(2, template), (256, data)] = sets(&first, 0)[..] else {
         panic!("a template and records")
     };
@@ -225,12 +223,12 @@
         expected_fields(4, 4, 3),
     ];
     assert_eq!(record_fields(data), expected);
-    let last = unhex(&kept["without template, sequence 5"]);
+    let last = kept.bytes("without template, sequence 5");
     let [(256, data)] = sets(&last, 5)[..] else {
         panic!("records alone")
     };
     assert_eq!(record_fields(data), [expected_fields(6, 4, 3)]);
-    let again = unhex(&kept["template again, sequence 1"]);
+    let again = kept.bytes("template again, sequence 1");
     let [(2, template), (256, data)] = sets(&again, 1)[..] else {
         panic!("a template and records")
     };
@@ -260,7 +258,10 @@
 #[test]
 fn the_schema_of_the_section_is_as_before() {
     let schema = schemars::schema_for!(Section);
-    check_text("section.schema.json", &format!("{:#}\n", schema.as_value()));
+    check_text(
+        path!("section.schema.json"),
+        &format!("{:#}\n", schema.as_value()),
+    );
 }
 
 #[test]
@@ -294,7 +295,7 @@
 
 #[test]
 fn errors_are_told_as_before() {
-    let mut file = GoldenFile::new("errors.txt");
+    let mut file = GoldenFile::open(path!("errors.txt"));
     let texts = [
         ("no collector", ""),
         ("not toml", "enabled"),
@@ -322,5 +323,8 @@
 
 #[test]
 fn every_golden_file_is_compared() {
-    check_folder(&["errors.txt", "messages.txt", "section.schema.json"]);
+    check_folder(
+        path!(),
+        ["errors.txt", "messages.txt", "section.schema.json"],
+    );
 }
--- a/crates/front-settings/tests/golden.rs
+++ b/crates/front-settings/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Golden files of the settings: what is read from each key, in both of their forms, and what holds where a key is missing. Times
 //! are read in microseconds.
 
-use golden_examples::{path, Examples};
 use lupinrack_front_settings::{parse, parse_json, Told};
+use lupinrack_golden_files::{path, GoldenFile};
 use lupinrack_policy::{
     Class, DeduplicationScope, DiscoveryMode, Idempotence, Plan, RetryBudget, SlowStart,
 };
@@ -13,8 +13,8 @@
 const SHORT_JSON: &str = include_str!("golden/settings-short.json");
 
 /// What was read, by the keys of the settings.
-fn read(told: &Told) -> Examples {
-    let mut read = Examples::default();
+fn read(file: &str, told: &Told) -> GoldenFile {
+    let mut read = GoldenFile::open(file);
     names(&mut read, told);
     for (i, class) in told.module.classes.iter().enumerate() {
         read_class(&mut read, i, class);
@@ -28,11 +28,11 @@
     read
 }
 
-fn add(read: &mut Examples, key: impl Into<String>, value: impl Debug) {
+fn add(read: &mut GoldenFile, key: impl Into<String>, value: impl Debug) {
     read.add(key, format!("{value:?}"));
 }
 
-fn names(read: &mut Examples, told: &Told) {
+fn names(read: &mut GoldenFile, told: &Told) {
     add(read, "areas", &told.zones);
     add(read, "report.columns", &told.columns);
     add(read, "classes.name", &told.classes);
@@ -41,7 +41,7 @@
     add(read, "domain.changesData", &told.writes);
 }
 
-fn read_class(read: &mut Examples, i: usize, class: &Class) {
+fn read_class(read: &mut GoldenFile, i: usize, class: &Class) {
     let key = |name: &str| format!("classes.{i}.{name}");
     add(read, key("aim"), class.latency_target);
     add(read, key("aimStretch"), class.latency_target_stretch);
@@ -67,7 +67,7 @@
     add(read, key("writes"), class.writes);
 }
 
-fn read_plan(read: &mut Examples, i: usize, plan: &Plan) {
+fn read_plan(read: &mut GoldenFile, i: usize, plan: &Plan) {
     let key = |name: &str| format!("grades.{i}.{name}");
     add(read, key("shares"), plan.weight);
     add(read, key("guaranteed"), plan.reserved_rate);
@@ -83,7 +83,7 @@
     }
 }
 
-fn read_cold_rule(read: &mut Examples, rule: Option<&SlowStart>) {
+fn read_cold_rule(read: &mut GoldenFile, rule: Option<&SlowStart>) {
     let Some(rule) = rule else {
         return add(read, "safety.tipAfter", "none");
     };
@@ -94,7 +94,7 @@
     add(read, "safety.warmUp", rule.duration);
 }
 
-fn read_budget(read: &mut Examples, budget: Option<&RetryBudget>) {
+fn read_budget(read: &mut GoldenFile, budget: Option<&RetryBudget>) {
     let Some(budget) = budget else {
         return add(read, "safety.lookBack", "none");
     };
@@ -103,7 +103,7 @@
     add(read, "safety.lookBack", budget.window);
 }
 
-fn read_others(read: &mut Examples, told: &Told) {
+fn read_others(read: &mut GoldenFile, told: &Told) {
     let module = &told.module;
     match module.discovery {
         DiscoveryMode::Push => add(read, "registryMode", "push"),
@@ -139,13 +139,13 @@
 
 #[test]
 fn every_setting_is_read_as_before_from_either_form() {
-    read(&from_json(WHOLE_JSON)).check(path!("settings-read.txt"));
-    read(&parse(WHOLE_LINES).unwrap()).check(path!("settings-read.txt"));
+    read(path!("settings-read.txt"), &from_json(WHOLE_JSON)).check();
+    read(path!("settings-read.txt"), &parse(WHOLE_LINES).unwrap()).check();
 }
 
 #[test]
 fn settings_that_are_missing_are_read_as_before() {
-    read(&from_json(SHORT_JSON)).check(path!("settings-short-read.txt"));
+    read(path!("settings-short-read.txt"), &from_json(SHORT_JSON)).check();
 }
 
 /// A part of the retry budget that is not stated is none.
@@ -168,7 +168,7 @@
 /// Operators read these, and search for the key that they name.
 #[test]
 fn faults_keep_their_words() {
-    let mut faults = Examples::default();
+    let mut faults = GoldenFile::open(path!("faults.txt"));
     for (name, pointer, value) in [
         ("missing", "/resolution", serde_json::Value::Null),
         ("not_a_number", "/classes/0/aim", "soon".into()),
@@ -197,5 +197,5 @@
         *settings.pointer_mut(pointer).unwrap() = value;
         faults.add(name, parse_json(&settings).unwrap_err());
     }
-    faults.check(path!("faults.txt"));
+    faults.check();
 }
--- a/crates/golden-files/src/golden_file.rs
+++ b/crates/golden-files/src/golden_file.rs
@@ -1,200 +1,128 @@
-//! One file of examples.
+//! The examples that a test builds for one file.
 
-use crate::hex::{from_hex, to_hex};
+use crate::hex::to_hex;
+use crate::kept_examples::KeptExamples;
+use crate::text_file::{check_text, is_update, read_text};
 use borsh::{BorshDeserialize, BorshSerialize};
-use std::collections::BTreeSet;
-use std::fmt::Debug;
-use std::fs;
+use std::fmt::{Debug, Display};
 use std::path::{Path, PathBuf};
 
-/// The environment variable that makes the tests write the files, when it is `1`.
-pub const UPDATE_VARIABLE: &str = "UPDATE_GOLDEN";
-
 /// Stands between the name of an example and its encoding.
-const SEPARATOR: &str = ": ";
+pub(crate) const SEPARATOR: &str = ": ";
 
-/// A line of a file.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// A line of the file.
+#[derive(Debug)]
 struct Example {
     name: String,
     encoding: String,
 }
 
-impl Example {
-    fn parse(line: &str) -> Example {
-        let (name, encoding) = line
-            .split_once(SEPARATOR)
-            .unwrap_or_else(|| panic!("a line without a name: {line}"));
-        Example {
-            name: name.to_owned(),
-            encoding: encoding.to_owned(),
-        }
-    }
-
-    fn render(&self) -> String {
-        format!("{}{SEPARATOR}{}\n", self.name, self.encoding)
-    }
-}
-
-/// A file of examples, compared with those that a test builds.
+/// A file of named examples, compared with those that a test builds.
 ///
-/// Examples are added in the order of the file; [`GoldenFile::finish`] compares the whole.
+/// Examples are added in the order of the file; [`GoldenFile::check`] compares all of them.
 #[derive(Debug)]
 pub struct GoldenFile {
     path: PathBuf,
-    kept: Vec<Example>,
+    kept: KeptExamples,
     built: Vec<Example>,
 }
 
 impl GoldenFile {
-    /// The file at this path. It may be missing only while files are updated.
+    /// Opens the file at this path. It may be missing only while files are updated.
     ///
     /// # Panics
     ///
-    /// Where a line of the file has no name.
+    /// If the file cannot be read, or one of its lines is no example.
     pub fn open(path: impl AsRef<Path>) -> GoldenFile {
         let path = path.as_ref().to_owned();
         let text = if is_update() {
             String::new()
         } else {
-            read(&path)
+            read_text(&path)
         };
-        let kept = text.lines().map(Example::parse).collect();
         GoldenFile {
             path,
-            kept,
+            kept: KeptExamples::parse(&text),
             built: Vec::new(),
         }
     }
 
-    /// Adds an example whose encoding is a text of one line.
+    /// Adds an example whose encoding is text of one line.
     ///
     /// # Panics
     ///
-    /// Where the text has several lines, or the name holds the separator.
-    pub fn text(&mut self, name: &str, text: &str) {
-        assert!(!text.contains('\n'), "{name}: the text has several lines");
+    /// If the text has several lines, or the name holds the separator, a line end, or is used twice.
+    pub fn add(&mut self, name: impl Into<String>, encoding: impl Display) {
+        let (name, encoding) = (name.into(), encoding.to_string());
         assert!(
-            !name.contains(SEPARATOR),
+            !encoding.contains('\n'),
+            "{name}: the encoding has several lines"
+        );
+        assert!(
+            !name.contains(SEPARATOR) && !name.contains('\n'),
             "{name}: the name holds a separator"
         );
-        self.built.push(Example {
-            name: name.to_owned(),
-            encoding: text.to_owned(),
-        });
+        assert!(
+            self.built.iter().all(|example| example.name != name),
+            "{name}: the name is used twice"
+        );
+        self.built.push(Example { name, encoding });
     }
 
-    /// Adds an example whose encoding is binary.
-    pub fn bytes(&mut self, name: &str, bytes: &[u8]) {
-        self.text(name, &to_hex(bytes));
+    /// Adds an example whose encoding is binary, as lowercase hexadecimal digits.
+    ///
+    /// # Panics
+    ///
+    /// As [`GoldenFile::add`].
+    pub fn add_bytes(&mut self, name: impl Into<String>, bytes: &[u8]) {
+        self.add(name, to_hex(bytes));
     }
 
-    /// Adds a value in its `borsh` form, and decodes the kept form into the value again.
+    /// Adds a value in its `borsh` encoding, and decodes the kept encoding into the value again.
     ///
     /// # Panics
     ///
-    /// Where the kept form is not that of the value.
-    pub fn borsh<T>(&mut self, name: &str, value: &T)
+    /// If the kept encoding is not that of the value, and as [`GoldenFile::add`].
+    pub fn add_borsh<T>(&mut self, name: impl Into<String>, value: &T)
     where
         T: BorshSerialize + BorshDeserialize + Debug + PartialEq,
     {
-        let bytes = borsh::to_vec(value).unwrap_or_else(|error| panic!("{name}: {error}"));
-        self.bytes(name, &bytes);
-        let bytes = self.kept_bytes(name).unwrap_or(bytes);
-        let decoded = T::try_from_slice(&bytes).unwrap_or_else(|error| panic!("{name}: {error}"));
+        let name = name.into();
+        let built = borsh::to_vec(value).unwrap_or_else(|error| panic!("{name}: {error}"));
+        let kept = self.kept_bytes(&name).unwrap_or_else(|| built.clone());
+        let decoded = T::try_from_slice(&kept).unwrap_or_else(|error| panic!("{name}: {error}"));
         assert_eq!(
             decoded, *value,
-            "{name}: the kept form is that of another value"
+            "{name}: the kept encoding is that of another value"
         );
+        self.add_bytes(name, &built);
     }
 
-    /// The text of an example as the file keeps it; none where it does not, or while files are updated.
+    /// The text of an example as the file keeps it; `None` if it does not, or while files are updated.
     pub fn kept_text(&self, name: &str) -> Option<&str> {
-        self.kept
-            .iter()
-            .find(|example| example.name == name)
-            .map(|example| example.encoding.as_str())
+        self.kept.get(name)
     }
 
-    /// The bytes of an example as the file keeps them; none where it does not, or while files are updated.
+    /// The bytes of an example as the file keeps them; `None` if it does not, or while files are updated.
+    ///
+    /// # Panics
+    ///
+    /// If the example is no hexadecimal text.
     pub fn kept_bytes(&self, name: &str) -> Option<Vec<u8>> {
-        self.kept_text(name).map(from_hex)
+        self.kept.get(name).map(crate::hex::from_hex)
     }
 
-    /// Compares what was built with the file, or writes the file.
+    /// Compares what was built with the file, or writes the file, and returns what the file holds.
     ///
     /// # Panics
     ///
-    /// Where an example differs, where the file has one that was not built or lacks one that was, or where two have the
-    /// same name.
-    pub fn finish(self) {
-        let names: BTreeSet<&str> = self
+    /// If an example differs, or the file has one that was not built, lacks one that was, or has them in another order.
+    pub fn check(self) -> KeptExamples {
+        let text: String = self
             .built
             .iter()
-            .map(|example| example.name.as_str())
+            .map(|example| format!("{}{SEPARATOR}{}\n", example.name, example.encoding))
             .collect();
-        assert_eq!(
-            names.len(),
-            self.built.len(),
-            "{}: a name is used twice",
-            self.path.display()
-        );
-        let text: String = self.built.iter().map(Example::render).collect();
-        compare_text(&self.path, &text);
-    }
-}
-
-/// Compares a text with the file at this path, or writes the file.
-///
-/// # Panics
-///
-/// Where they differ.
-pub fn compare_text(path: impl AsRef<Path>, text: &str) {
-    let path = path.as_ref();
-    if is_update() {
-        write(path, text);
-        return;
+        KeptExamples::parse(&check_text(&self.path, &text))
     }
-    let kept = read(path);
-    let differences = differing_lines(&kept, text);
-    assert!(
-        differences.is_empty(),
-        "{} differs:\n{}",
-        path.display(),
-        differences.join("\n")
-    );
-    assert_eq!(
-        kept,
-        text,
-        "{} differs in its order or its last line",
-        path.display()
-    );
-}
-
-/// The lines that only one of the texts has, `-` before those kept and `+` before those built.
-fn differing_lines(kept: &str, built: &str) -> Vec<String> {
-    let kept_lines: BTreeSet<&str> = kept.lines().collect();
-    let built_lines: BTreeSet<&str> = built.lines().collect();
-    let gone = kept_lines
-        .difference(&built_lines)
-        .map(|line| format!("- {line}"));
-    let new = built_lines
-        .difference(&kept_lines)
-        .map(|line| format!("+ {line}"));
-    gone.chain(new).collect()
-}
-
-/// Whether the tests write the files in place of comparing them.
-pub fn is_update() -> bool {
-    std::env::var(UPDATE_VARIABLE).is_ok_and(|value| value == "1")
-}
-
-fn read(path: &Path) -> String {
-    fs::read_to_string(path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
-}
-
-fn write(path: &Path, text: &str) {
-    let folder = path.parent().unwrap_or(Path::new("."));
-    let written = fs::create_dir_all(folder).and_then(|()| fs::write(path, text));
-    written.unwrap_or_else(|error| panic!("{}: {error}", path.display()));
 }
--- a/crates/golden-files/src/hex.rs
+++ b/crates/golden-files/src/hex.rs
@@ -15,18 +15,15 @@
 ///
 /// # Panics
 ///
-/// Where the text has other characters than hexadecimal digits, or an odd number of them.
+/// If the text has other characters than hexadecimal digits, or an odd number of them.
 pub fn from_hex(text: &str) -> Vec<u8> {
     assert!(
-        text.len().is_multiple_of(2),
-        "an odd number of digits: {text}"
+        text.len().is_multiple_of(2) && text.bytes().all(|byte| byte.is_ascii_hexdigit()),
+        "not pairs of hexadecimal digits: {text}"
     );
-    let byte = |start| {
-        text.get(start..start + 2)
-            .and_then(|digits| u8::from_str_radix(digits, 16).ok())
-    };
-    let digits = (0..text.len()).step_by(2).map(byte);
-    digits
-        .map(|byte| byte.unwrap_or_else(|| panic!("not hexadecimal digits: {text}")))
+    let byte = |start| u8::from_str_radix(&text[start..start + 2], 16);
+    (0..text.len())
+        .step_by(2)
+        .map(|start| byte(start).expect("two hexadecimal digits are a byte"))
         .collect()
 }
--- a/crates/golden-files/src/lib.rs
+++ b/crates/golden-files/src/lib.rs
@@ -1,17 +1,41 @@
-//! Golden files: encoded examples of what goes over a socket or to a disk, kept beside the tests of a crate.
+//! Golden files: encoded examples of what a crate writes to a socket or a disk, or prints, kept beside its tests.
 //!
-//! A test builds each value in code, compares its encoding with the kept one byte for byte, and decodes the kept one
-//! into the value again. So a change of the wire or of the stored data cannot pass unseen. A file has one line for each
-//! example, `name: encoding`, binary forms in lowercase hexadecimal digits.
+//! A test builds each value in code, compares its encoding with the kept one byte for byte, and decodes the kept one into the value
+//! again, so that no change of an encoding passes unnoticed, not even one that changes writer and reader alike. [`GoldenFile`] compares
+//! named examples, one to a line; [`check_text`] compares a whole file; [`check_folder`] finds files that no test builds.
 //!
 //! With the environment variable [`UPDATE_VARIABLE`] set to `1` the tests write the files in place of comparing them.
 //!
 //! This crate is a development dependency of others; nothing in it is part of a build that is deployed.
-// 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
-#![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
+//!
+//! ```no_run
+//! use lupinrack_golden_files::{path, GoldenFile};
+//!
+//! let mut file = GoldenFile::open(path!("messages.txt"));
+//! file.add_bytes("ping", &[0x01, 0x02]);
+//! let kept = file.check();
+//! assert_eq!(kept.bytes("ping"), [0x01, 0x02]);
+//! ```
 
+mod folder;
 mod golden_file;
 mod hex;
+mod kept_examples;
+mod text_file;
 
-pub use golden_file::{compare_text, is_update, GoldenFile, UPDATE_VARIABLE};
+pub use folder::check_folder;
+pub use golden_file::GoldenFile;
 pub use hex::{from_hex, to_hex};
+pub use kept_examples::KeptExamples;
+pub use text_file::{check_text, is_update, UPDATE_VARIABLE};
+
+/// The path of a golden file of the crate that calls, or of the folder of these files: `path!("frames.txt")`, `path!()`.
+#[macro_export]
+macro_rules! path {
+    () => {
+        concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden")
+    };
+    ($file:literal) => {
+        concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/", $file)
+    };
+}
--- a/crates/hot-restart/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -1,9 +1,7 @@
 //! The files by which the processes of one front know of each other, pinned by the file under `tests/golden/`.
 //! Processes of two versions read each other's files during an upgrade.
 
-mod golden_file;
-
-use golden_file::{check_folder, GoldenFile};
+use lupinrack_golden_files::{check_folder, path, GoldenFile};
 use lupinrack_hot_restart::{Post, Seen};
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -64,7 +62,7 @@
 #[test]
 fn files_have_the_form_that_other_processes_read() {
     let folder = TestFolder::new("form");
-    let mut file = GoldenFile::new("files.txt");
+    let mut file = GoldenFile::open(path!("files.txt"));
     let old = Post::take(&folder.0).expect("a place");
     for (name, part, _) in PARTS {
         old.publish(part).expect("published");
@@ -99,7 +97,9 @@
     );
     let kept = file.check();
     for (name, _, read) in PARTS {
-        let text = kept[&format!("{name} | lupinrack-part-1")].replace("\\n", "\n");
+        let text = kept
+            .text(&format!("{name} | lupinrack-part-1"))
+            .replace("\\n", "\n");
         assert_eq!(read_by_the_next(text.as_bytes()), [read], "{name}");
     }
 }
@@ -137,7 +137,7 @@
         std::fs::write(folder.0.join(format!("lupinrack-part-{number}")), "").expect("a file");
     }
     let error = Post::take(&folder.0).expect_err("no room").to_string();
-    let mut file = GoldenFile::new("errors.txt");
+    let mut file = GoldenFile::open(path!("errors.txt"));
     file.add(
         "no room",
         error.replace(&folder.0.display().to_string(), "FOLDER"),
@@ -147,5 +147,5 @@
 
 #[test]
 fn every_golden_file_is_compared() {
-    check_folder(&["errors.txt", "files.txt"]);
+    check_folder(path!(), ["errors.txt", "files.txt"]);
 }
--- a/crates/metrics/tests/golden.rs
+++ b/crates/metrics/tests/golden.rs
@@ -1,6 +1,6 @@
 //! A golden file of the figures: names, labels, order and form.
 
-use golden_examples::{check_text, path};
+use lupinrack_golden_files::{check_text, path};
 use lupinrack_metrics::{End, Figures, Targets};
 
 fn ended(figures: &Figures, class: &str, end: End, times: usize) {
--- a/crates/node-settings/tests/golden.rs
+++ b/crates/node-settings/tests/golden.rs
@@ -1,14 +1,15 @@
 //! What is read from the settings files that are kept in `tests/golden`, and the text of every fault. `UPDATE_GOLDEN=1`
 //! writes the files of what is read; the settings files themselves are written by hand.
 
+use lupinrack_golden_files::{check_folder, GoldenFile};
 use lupinrack_node_settings::{
     Bounds, CommandDelivery, FaultTolerance, MachineLimits, NodeSettings, ServedInterface,
     SettingsError, SettingsFault, DEFAULT_PATH, PATH_VARIABLE,
 };
 use std::collections::BTreeSet;
+use std::fs;
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
-use std::{env, fs};
 
 /// The files that the tests here read or build.
 const FILES: [&str; 6] = [
@@ -29,16 +30,11 @@
 /// Compares entries with a golden file, which holds one `name: text` line for each.
 fn check(file: &str, built: &[(String, String)]) {
     assert!(FILES.contains(&file), "{file} is not listed");
-    let path = folder().join(file);
-    let lines: String = built
-        .iter()
-        .map(|(name, text)| format!("{name}: {text}\n"))
-        .collect();
-    if env::var("UPDATE_GOLDEN").as_deref() == Ok("1") {
-        fs::write(&path, &lines).expect("the file is written");
+    let mut golden = GoldenFile::open(folder().join(file));
+    for (name, text) in built {
+        golden.add(name, text);
     }
-    let kept = fs::read_to_string(&path).expect("the golden file is there");
-    assert_eq!(kept, lines, "{file}");
+    golden.check();
 }
 
 fn entry(name: &str, value: impl ToString) -> (String, String) {
@@ -384,11 +380,5 @@
 
 #[test]
 fn every_golden_file_is_checked() {
-    for entry in fs::read_dir(folder()).expect("the folder") {
-        let name = entry.expect("an entry").file_name();
-        assert!(
-            FILES.iter().any(|file| name == *file),
-            "no test builds {name:?}"
-        );
-    }
+    check_folder(folder(), FILES);
 }
--- a/crates/operator-config/tests/golden.rs
+++ b/crates/operator-config/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Golden files of the operators' file: the form that its schema allows, and what is read from a file that has every key, and from one
 //! whose sections have only the keys that they need.
 
-use golden_examples::{check_text, path, Examples};
 use lupinrack_extent_map::config::Strategy;
+use lupinrack_golden_files::{check_text, path, GoldenFile};
 use lupinrack_operator_config::{schema, Format, Operator};
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
@@ -126,8 +126,8 @@
 }
 
 /// What was read, by the keys of the file.
-fn read(operator: &Operator) -> Examples {
-    let mut read = Examples::default();
+fn read(file: &str, operator: &Operator) -> GoldenFile {
+    let mut read = GoldenFile::open(file);
     log(&mut read, operator);
     rsync(&mut read, operator);
     ipfix(&mut read, operator);
@@ -137,11 +137,11 @@
     read
 }
 
-fn add(read: &mut Examples, key: impl Into<String>, value: impl Debug) {
+fn add(read: &mut GoldenFile, key: impl Into<String>, value: impl Debug) {
     read.add(key, format!("{value:?}"));
 }
 
-fn log(read: &mut Examples, operator: &Operator) {
+fn log(read: &mut GoldenFile, operator: &Operator) {
     let format = match operator.log.format {
         Format::Text => "text",
         Format::Json => "json",
@@ -150,7 +150,7 @@
     add(read, "log.filter", &operator.log.filter);
 }
 
-fn rsync(read: &mut Examples, operator: &Operator) {
+fn rsync(read: &mut GoldenFile, operator: &Operator) {
     let Some(section) = &operator.rsync else {
         return add(read, "rsync", None::<()>);
     };
@@ -176,7 +176,7 @@
     }
 }
 
-fn ipfix(read: &mut Examples, operator: &Operator) {
+fn ipfix(read: &mut GoldenFile, operator: &Operator) {
     let Some(section) = &operator.ipfix else {
         return add(read, "ipfix", None::<()>);
     };
@@ -186,7 +186,7 @@
     add(read, "ipfix.template_every_ms", section.template_every_ms);
 }
 
-fn extents(read: &mut Examples, operator: &Operator) {
+fn extents(read: &mut GoldenFile, operator: &Operator) {
     let Some(section) = &operator.extents else {
         return add(read, "extents", None::<()>);
     };
@@ -220,7 +220,7 @@
     add(read, "extents.messages_per_s", section.messages_per_s);
 }
 
-fn fleet(read: &mut Examples, operator: &Operator) {
+fn fleet(read: &mut GoldenFile, operator: &Operator) {
     let Some(section) = &operator.fleet else {
         return add(read, "fleet", None::<()>);
     };
@@ -242,7 +242,7 @@
     add(read, "fleet.most_volumes", section.most_volumes);
 }
 
-fn overload(read: &mut Examples, operator: &Operator) {
+fn overload(read: &mut GoldenFile, operator: &Operator) {
     let Some(section) = &operator.overload else {
         return add(read, "overload", None::<()>);
     };
@@ -252,14 +252,22 @@
 
 #[test]
 fn every_key_is_read_as_before() {
-    read(&Operator::parse(WHOLE).unwrap()).check(path!("operators-file-read.txt"));
+    read(
+        path!("operators-file-read.txt"),
+        &Operator::parse(WHOLE).unwrap(),
+    )
+    .check();
 }
 
 #[test]
 fn keys_that_are_missing_are_read_as_before() {
     let sections = "[log]\n[rsync]\nlisten = '127.0.0.1:1'\n[ipfix]\ncollector = '127.0.0.1:2'\n[extents]\n[fleet]\n[overload]\n";
-    read(&Operator::parse(sections).unwrap()).check(path!("defaults-read.txt"));
-    read(&Operator::parse("").unwrap()).check(path!("empty-file-read.txt"));
+    read(
+        path!("defaults-read.txt"),
+        &Operator::parse(sections).unwrap(),
+    )
+    .check();
+    read(path!("empty-file-read.txt"), &Operator::parse("").unwrap()).check();
 }
 
 #[test]
--- a/crates/overload-drill/tests/golden.rs
+++ b/crates/overload-drill/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Golden files of `lupinrack overload drill --json`.
 
-use golden_examples::{check_text, path};
+use lupinrack_golden_files::{check_text, path};
 use lupinrack_overload_drill::Figures;
 
 fn figures() -> Figures {
--- a/crates/overload/tests/golden.rs
+++ b/crates/overload/tests/golden.rs
@@ -1,11 +1,11 @@
 //! Golden files of what fronts tell each other of nodes that answer again.
 
-use golden_examples::{path, Examples};
 use lupinrack_fleet::Standing;
 use lupinrack_fleet_membership::agree::Number;
 use lupinrack_fleet_membership::bits::Bits;
 use lupinrack_fleet_membership::part::Share;
 use lupinrack_fleet_membership::stance::Stance;
+use lupinrack_golden_files::{path, GoldenFile};
 use lupinrack_overload::{Act, Section, Trials};
 use lupinrack_policy::Micros;
 
@@ -73,12 +73,12 @@
     let (at_once, later) = told(&one);
     let (of_many, _) = told(&many);
     assert_eq!((at_once.len(), later.len(), of_many.len()), (1, 1, 2));
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("answers.txt"));
     examples.add_bytes("one_node", &at_once[0]);
     examples.add_bytes("one_node_later", &later[0]);
     examples.add_bytes("as_many_as_go_at_once", &of_many[0]);
     examples.add_bytes("the_rest", &of_many[1]);
-    let kept = examples.check(path!("answers.txt"));
+    let kept = examples.check();
 
     let heard = |name: &str, nodes: &[u64]| believed(&kept.bytes(name), nodes, START - 1, START);
     assert_eq!(heard("one_node", &one), one);
--- a/crates/peer-transport/tests/golden.rs
+++ b/crates/peer-transport/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Golden files of what fronts send each other: heads with their sums, and pieces of streams.
 
-use golden_examples::{path, Examples};
+use lupinrack_golden_files::{path, GoldenFile};
 use lupinrack_peer_transport::frame::{open, room, seal, Head, Keys, Tag, HEAD, LONGEST};
 use lupinrack_peer_transport::stream::{Out, Streams};
 
@@ -78,11 +78,11 @@
 
 #[test]
 fn datagrams_keep_their_head_and_sum() {
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("frames.txt"));
     for frame in frames() {
         examples.add_bytes(frame.name, &seal(&frame.head, &frame.said, &frame.keys));
     }
-    let kept = examples.check(path!("frames.txt"));
+    let kept = examples.check();
     for frame in frames() {
         let bytes = kept.bytes(frame.name);
         assert_eq!(
@@ -141,14 +141,14 @@
         .for_each(|at| receiver.hear(0, SENDER, &sent[*at], &mut answers));
     let answers = pieces(&answers);
 
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("streams.txt"));
     for (at, piece) in sent.iter().enumerate() {
         examples.add_bytes(format!("piece_{at}"), piece);
     }
     for (at, answer) in order.iter().zip(&answers) {
         examples.add_bytes(format!("answer_to_piece_{at}"), answer);
     }
-    let kept = examples.check(path!("streams.txt"));
+    let kept = examples.check();
 
     let (mut receiver, mut came) = (Streams::new(ROOM, 3), Vec::new());
     for at in order {
--- a/crates/platform/tests/golden.rs
+++ b/crates/platform/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Golden files of what the platform tells a front: its configuration, the node list, and the calls for that list.
 
-use golden_examples::{path, Examples};
+use lupinrack_golden_files::{path, GoldenFile};
 use lupinrack_platform::clock::Epoch;
 use lupinrack_platform::config::Config;
 use lupinrack_platform::discovery::Watch;
@@ -22,13 +22,13 @@
 /// How long after hearing of a drain a node may still get something new: next to nothing, so that one that drains shows.
 const DRAIN_GRACE_MS: u64 = 1;
 
-fn add(read: &mut Examples, key: &str, value: impl Debug) {
+fn add(read: &mut GoldenFile, key: &str, value: impl Debug) {
     read.add(key, format!("{value:?}"));
 }
 
 /// What was read, by the keys of the file; of the settings their names alone, since `lupinrack-front-settings` reads them.
-fn read(config: &Config) -> Examples {
-    let mut read = Examples::default();
+fn read(file: &str, config: &Config) -> GoldenFile {
+    let mut read = GoldenFile::open(file);
     add(&mut read, "name", &config.name);
     add(&mut read, "listen", config.listen);
     add(&mut read, "discovery", config.discovery);
@@ -45,13 +45,21 @@
 
 #[test]
 fn the_configuration_is_read_as_before() {
-    read(&Config::parse(CONFIGURATION).unwrap()).check(path!("configuration-read.txt"));
-    read(&Config::parse(SHORT).unwrap()).check(path!("configuration-short-read.txt"));
+    read(
+        path!("configuration-read.txt"),
+        &Config::parse(CONFIGURATION).unwrap(),
+    )
+    .check();
+    read(
+        path!("configuration-short-read.txt"),
+        &Config::parse(SHORT).unwrap(),
+    )
+    .check();
 }
 
 #[test]
 fn faults_of_the_configuration_keep_their_words() {
-    let mut faults = Examples::default();
+    let mut faults = GoldenFile::open(path!("configuration-faults.txt"));
     for (name, pointer, value) in [
         ("listen_without_port", "/listen", json!("127.0.0.1")),
         ("no_sockets", "/limits/sockets", json!(0)),
@@ -72,7 +80,7 @@
             Config::parse(&file.to_string()).err().expect("a fault"),
         );
     }
-    faults.check(path!("configuration-faults.txt"));
+    faults.check();
 }
 
 /// DiscoveryMode as a test has it: it takes one call after another.
@@ -152,7 +160,7 @@
 }
 
 /// What the core made of the list that it heard last. The registry was called again, so that the list is with the core.
-async fn placed(examples: &mut Examples, list: &str, core: &Handle) {
+async fn placed(examples: &mut GoldenFile, list: &str, core: &Handle) {
     sleep(Duration::from_millis(20 * DRAIN_GRACE_MS)).await;
     let (listed, _) = core.targets().await.unwrap();
     examples.add(format!("{list}, nodes listed"), listed);
@@ -167,7 +175,7 @@
 #[tokio::test]
 async fn the_node_list_is_called_for_and_read_as_before() {
     let (registry, core) = watched().await;
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("node-list-read.txt"));
     let (line, stream) = registry.call().await;
     examples.add("first call", line);
     answer(stream, NODE_LIST).await;
@@ -178,5 +186,5 @@
     let (line, _stream) = registry.call().await;
     placed(&mut examples, "changes", &core).await;
     examples.add("third call", line);
-    examples.check(path!("node-list-read.txt"));
+    examples.check();
 }
--- a/crates/rsync/tests/golden.rs
+++ b/crates/rsync/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Golden files of the rsync daemon protocol's bytes, as this front writes them.
 
-use golden_examples::{path, Examples};
+use lupinrack_golden_files::{path, GoldenFile};
 use lupinrack_rsync::wire::{list, stats, Entry, Reader, Sum, Writer};
 
 fn entry(name: impl AsRef<[u8]>, size: u64, mtime: i32, mode: u32) -> Entry {
@@ -56,11 +56,11 @@
 
 #[tokio::test]
 async fn file_lists_keep_their_form() {
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("file-lists.txt"));
     for (name, entries) in lists() {
         examples.add_bytes(name, &list(&entries));
     }
-    let kept = examples.check(path!("file-lists.txt"));
+    let kept = examples.check();
     for (name, entries) in lists() {
         let bytes = [&kept.bytes(name)[..], &NO_ERRORS].concat();
         assert_eq!(
@@ -88,7 +88,7 @@
 #[tokio::test]
 async fn frames_keep_their_form() {
     let long: Vec<u8> = (0..(32 << 10) + 5).map(|i| i as u8).collect();
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("frames.txt"));
     examples.add_bytes("plain_data", &written(false, b"some data", None).await);
     examples.add_bytes("plain_error", &written(false, b"", Some("why")).await);
     examples.add_bytes("data", &written(true, b"some data", None).await);
@@ -98,7 +98,7 @@
     let two = written(true, &long, None).await;
     examples.add_bytes("two_frames_first_head", &two[..4]);
     examples.add_bytes("two_frames_second", &two[4 + (32 << 10)..]);
-    let kept = examples.check(path!("frames.txt"));
+    let kept = examples.check();
 
     let bytes = [kept.bytes("error"), kept.bytes("data")].concat();
     let mut reader = Reader::new(&bytes[..]);
@@ -110,9 +110,9 @@
 #[tokio::test]
 async fn figures_that_end_a_transfer_keep_their_form() {
     let figures = [0x0102_0304, 0x7fff_ffff, 0x0506_0708_090a];
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("figures.txt"));
     examples.add_bytes("figures", &stats(figures[0], figures[1], figures[2]));
-    let kept = examples.check(path!("figures.txt"));
+    let kept = examples.check();
     assert_eq!(
         Reader::new(&kept.bytes("figures")[..])
             .stats()
@@ -129,9 +129,9 @@
         parts.iter().for_each(|part| sum.add(part));
         sum.end()
     };
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("sums.txt"));
     examples.add_bytes("empty", &sum(0, &[]));
     examples.add_bytes("seeded", &sum(0x0102_0304, &[b"some ", b"data"]));
     examples.add_bytes("negative_seed", &sum(-5, &[b"some data"]));
-    examples.check(path!("sums.txt"));
+    examples.check();
 }
--- a/crates/rsync/tests/golden_sessions.rs
+++ b/crates/rsync/tests/golden_sessions.rs
@@ -1,6 +1,6 @@
 //! Golden files of whole sessions: what the front says to a client and to a server, from the greeting to the last word.
 
-use golden_examples::{path, Examples};
+use lupinrack_golden_files::{path, GoldenFile};
 use lupinrack_graceful_shutdown::Phase;
 use lupinrack_policy::{NodeListKind, NodeState, Shard, Zone};
 use lupinrack_request_engine::{Clock, Core, Listing};
@@ -143,7 +143,7 @@
 
 /// A client that pulls the module's one file. It says its last word only once the closing figures have come, since they count what
 /// was read until then.
-async fn pull(front: SocketAddr, examples: &mut Examples) {
+async fn pull(front: SocketAddr, examples: &mut GoldenFile) {
     let mut stream = TcpStream::connect(front).await.unwrap();
     stream
         .write_all(
@@ -191,7 +191,7 @@
     let (tell, mut heard) = mpsc::unbounded_channel();
     let server = server(tell).await;
     let front = front(server).await;
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("pull.txt"));
     pull(front, &mut examples).await;
     let (of_list, of_file) = (heard.recv().await.unwrap(), heard.recv().await.unwrap());
     for (name, said) in [
@@ -205,14 +205,14 @@
         );
         examples.add_bytes(format!("{name}, the rest"), &said[text..]);
     }
-    examples.check(path!("pull.txt"));
+    examples.check();
 }
 
 #[tokio::test]
 async fn what_is_not_a_pull_is_answered_in_the_same_words() {
     let (tell, _heard) = mpsc::unbounded_channel();
     let front = front(server(tell).await).await;
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("refusals.txt"));
     for (name, said) in [
         ("list", "@RSYNCD: 27\n#list\n"),
         ("list_by_an_empty_line", "@RSYNCD: 27\n\n"),
@@ -250,5 +250,5 @@
         let _seed = stream.read_i32_le().await.unwrap();
         examples.add_bytes(format!("arguments, {name}"), &frame(&mut stream).await);
     }
-    examples.check(path!("refusals.txt"));
+    examples.check();
 }
--- a/crates/scheduler/tests/golden/main.rs
+++ b/crates/scheduler/tests/golden/main.rs
@@ -2,7 +2,7 @@
 //! a decision is seen here, whether or not it breaks a rule.
 //!
 //! Traces name nothing of the code: they are written by [`text`] word for word, or are digests of the encodings that go
-//! over the wire. With [`files::UPDATE_VARIABLE`] set they are written anew.
+//! over the wire. With `UPDATE_GOLDEN=1` they are written anew.
 //!
 //! Some decisions rest on floating point, `powf` among it, whose last bit is left to the platform. Traces are good for
 //! the platform that the software is built for: Linux on x86-64.
--- a/crates/simulator-adapter/tests/golden.rs
+++ b/crates/simulator-adapter/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Golden files of the simulator's wire: every record that the simulator writes, and every record of a reply.
 
-use golden_examples::{path, Examples};
+use lupinrack_golden_files::{path, GoldenFile};
 use lupinrack_policy::*;
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -354,11 +354,11 @@
     .into_iter()
     .flatten()
     .collect();
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("records.txt"));
     for r in &records {
         examples.add_bytes(r.name.clone(), &[&[r.code], &r.fields.0[..]].concat());
     }
-    let kept = examples.check(path!("records.txt"));
+    let kept = examples.check();
     let columns = columns();
     for r in &records {
         let bytes = kept.bytes(&r.name);
@@ -381,7 +381,7 @@
         timeout,
         begin_by: 0x1111,
     };
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("replies.txt"));
     for (name, action) in [
         ("send", send(Some(1_500_250))),
         ("send_without_time_out", send(None)),
@@ -432,7 +432,7 @@
     several.action(INSTANCE + 1, &Action::FetchList);
     examples.add_bytes("several_records", &several.finish());
     examples.add_bytes("empty", &Reply::default().finish());
-    examples.check(path!("replies.txt"));
+    examples.check();
 }
 
 /// One batch of records with its length, as the simulator writes it.
@@ -514,12 +514,12 @@
             (10_000_250, vec![90, 60, 20]),
         ),
     ];
-    let mut examples = Examples::default();
+    let mut examples = GoldenFile::open(path!("batches.txt"));
     for (name, input, _) in &batches {
         examples.add_bytes(format!("{name}, batch"), input);
         examples.add_bytes(format!("{name}, reply"), &run(input));
     }
-    let kept = examples.check(path!("batches.txt"));
+    let kept = examples.check();
     for (name, _, expected) in batches {
         let input = kept.bytes(&format!("{name}, batch"));
         // Behind the length.
--- a/crates/view-agreement/tests/golden.rs
+++ b/crates/view-agreement/tests/golden.rs
@@ -2,17 +2,16 @@
 
 mod common;
 
-mod golden {
-    pub mod examples;
-}
-
+use borsh::{BorshDeserialize, BorshSerialize};
 use common::{address, disk, view, voter};
-use golden::examples::assert_kept;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::wire::{AgreementMessage, ProposalNumber};
+use lupinrack_golden_files::{path, GoldenFile};
 use lupinrack_view_agreement::{Agreement, Effect, VoteState};
 use std::collections::{BTreeSet, VecDeque};
+use std::fmt::Debug;
+use std::path::Path;
 
 const NOW: Millis = Millis(1000);
 /// The machines that found the system.
@@ -21,6 +20,18 @@
 /// A message on its way: from, to, and what.
 type Envelope = (PeerAddress, PeerAddress, AgreementMessage);
 
+/// Checks that the file holds the encoded form of these values and nothing else, and that what it holds decodes to them.
+fn assert_kept<T>(file: &str, examples: &[(String, T)])
+where
+    T: BorshSerialize + BorshDeserialize + PartialEq + Debug,
+{
+    let mut golden = GoldenFile::open(Path::new(path!()).join(file));
+    for (name, value) in examples {
+        golden.add_borsh(name, value);
+    }
+    golden.check();
+}
+
 #[test]
 fn the_vote_on_the_disk() {
     let prepared = ProposalNumber {
--- a/crates/worker-agent/tests/golden.rs
+++ b/crates/worker-agent/tests/golden.rs
@@ -3,18 +3,17 @@
 
 #[path = "support/answer_at_once.rs"]
 mod answer_at_once;
-mod golden_file;
 mod golden_trace;
 #[path = "model/random.rs"]
 mod random;
 
 use borsh::BorshDeserialize;
-use golden_file::{check_folder, hex, unhex, GoldenFile};
 use golden_trace::Bulk;
 use lupinrack_cluster_api::agent::{Assignment, Heartbeat};
 use lupinrack_cluster_api::identity::{FencingToken, JobId, ServerId, ServiceName, TaskId};
 use lupinrack_cluster_api::job::Resources;
 use lupinrack_cluster_api::server::{FinishedTask, RunEnd, RunningTask, ServerFacts};
+use lupinrack_golden_files::{check_folder, path, to_hex, GoldenFile};
 use lupinrack_worker_agent::heartbeat_json::{parse, render, UnknownRun};
 use lupinrack_worker_agent::{HeartbeatResponse, OwnerMessageError, ServerHeartbeat, StopOrder};
 use std::collections::BTreeMap;
@@ -316,8 +315,8 @@
 
 #[test]
 fn heartbeats_are_read_as_before() {
-    let mut bodies = GoldenFile::new("heartbeats.txt");
-    let mut read_forms = GoldenFile::new("heartbeats-read.txt");
+    let mut bodies = GoldenFile::open(path!("heartbeats.txt"));
+    let mut read_forms = GoldenFile::open(path!("heartbeats-read.txt"));
     for (name, body, read) in heartbeats() {
         bodies.add(name, body);
         read_forms.add_bytes(
@@ -333,23 +332,23 @@
     let bodies = bodies.check();
     let read_forms = read_forms.check();
     for (name, _, expected) in heartbeats() {
-        let read = parse(SERVER, bodies[name].as_bytes())
+        let read = parse(SERVER, bodies.text(name).as_bytes())
             .unwrap_or_else(|fault| panic!("{name}: {fault}"));
         assert_eq!(read, expected, "{name}");
-        let facts = unhex(&read_forms[&format!("{name} | facts")]);
+        let facts = read_forms.bytes(&format!("{name} | facts"));
         assert_eq!(
             ServerFacts::try_from_slice(&facts).expect("facts"),
             read.facts,
             "{name}"
         );
-        let heartbeat = unhex(&read_forms[&format!("{name} | heartbeat")]);
+        let heartbeat = read_forms.bytes(&format!("{name} | heartbeat"));
         assert_eq!(
             Heartbeat::try_from_slice(&heartbeat).expect("a heartbeat"),
             read.heartbeat,
             "{name}"
         );
         assert_eq!(
-            read_forms[&format!("{name} | rest")],
+            read_forms.text(&format!("{name} | rest")),
             rest_of(&read),
             "{name}"
         );
@@ -441,13 +440,13 @@
 
 #[test]
 fn answers_are_written_as_before() {
-    let mut file = GoldenFile::new("answers.txt");
+    let mut file = GoldenFile::open(path!("answers.txt"));
     for (name, answer) in answers() {
         file.add(name, render(&answer));
     }
     let kept = file.check();
     for (name, answer) in answers() {
-        let json: serde_json::Value = serde_json::from_str(&kept[name]).expect("JSON");
+        let json: serde_json::Value = serde_json::from_str(kept.text(name)).expect("JSON");
         let starts = json["start"].as_array().map_or(0, Vec::len);
         let stops = json["stop"].as_array().map_or(0, Vec::len);
         assert_eq!(
@@ -532,7 +531,7 @@
 
 #[test]
 fn errors_are_told_as_before() {
-    let mut file = GoldenFile::new("errors.txt");
+    let mut file = GoldenFile::open(path!("errors.txt"));
     let mut add_fault = |name: &str, id: &str, body: &str| match parse(id, body.as_bytes()) {
         Ok(_) => panic!("{name} was read"),
         Err(fault) => file.add(format!("heartbeat, {name}"), fault.to_string()),
@@ -560,7 +559,7 @@
 #[test]
 fn the_agent_decides_as_before() {
     const STEPS: usize = 200;
-    let mut file = GoldenFile::new("agent-trace.txt");
+    let mut file = GoldenFile::open(path!("agent-trace.txt"));
     for seed in 1..=3 {
         for (step, line) in golden_trace::play(seed, STEPS, Bulk::Without)
             .into_iter()
@@ -575,12 +574,12 @@
 #[test]
 fn the_agent_decides_as_before_over_long_runs() {
     const STEPS: usize = 3_000;
-    let mut file = GoldenFile::new("agent-trace-digests.txt");
+    let mut file = GoldenFile::open(path!("agent-trace-digests.txt"));
     for seed in 100..140 {
         let lines = golden_trace::play(seed, STEPS, Bulk::With);
         file.add(
             format!("seed {seed}"),
-            hex(&golden_trace::digest(&lines).to_be_bytes()),
+            to_hex(&golden_trace::digest(&lines).to_be_bytes()),
         );
     }
     file.check();
@@ -588,12 +587,15 @@
 
 #[test]
 fn every_golden_file_is_compared() {
-    check_folder(&[
-        "agent-trace-digests.txt",
-        "agent-trace.txt",
-        "answers.txt",
-        "errors.txt",
-        "heartbeats-read.txt",
-        "heartbeats.txt",
-    ]);
+    check_folder(
+        path!(),
+        [
+            "agent-trace-digests.txt",
+            "agent-trace.txt",
+            "answers.txt",
+            "errors.txt",
+            "heartbeats-read.txt",
+            "heartbeats.txt",
+        ],
+    );
 }
--- a/crates/worker-agent/tests/golden_trace/mod.rs
+++ b/crates/worker-agent/tests/golden_trace/mod.rs
@@ -8,11 +8,11 @@
 mod server;
 
 use crate::answer_at_once::AnswerAtOnce;
-use crate::golden_file::hex;
 use crate::random::Random;
 use lupinrack_cluster_api::agent::{AgentMessage, OwnerMessage};
 use lupinrack_cluster_api::identity::ServerId;
 use lupinrack_cluster_api::time::Millis;
+use lupinrack_golden_files::to_hex;
 use lupinrack_worker_agent::heartbeat_json::{parse, render};
 use lupinrack_worker_agent::{
     Agent, AgentSettings, HeartbeatOutcome, HeartbeatResponse, OwnerMessageError, PendingHeartbeat,
@@ -233,7 +233,7 @@
 }
 
 fn borsh_hex(message: &impl WireForm) -> String {
-    hex(&message.wire_form())
+    to_hex(&message.wire_form())
 }
 
 fn optional(moment: Option<Millis>) -> String {
--- a/crates/write-back/tests/golden.rs
+++ b/crates/write-back/tests/golden.rs
@@ -1,10 +1,9 @@
 //! The records of the log as they stand on the disk, a closed log, and the texts of errors, pinned by the files under
 //! `tests/golden/`.
 
-mod golden_file;
 mod golden_trace;
 
-use golden_file::{check_folder, hex, unhex, GoldenFile};
+use lupinrack_golden_files::{check_folder, from_hex, path, to_hex, GoldenFile};
 use lupinrack_write_back::disk::{Disk, DiskError, SegmentId};
 use lupinrack_write_back::file::{Folder, FolderError};
 use lupinrack_write_back::log::{inspect, Log, OpenError, Recovered, WriteError};
@@ -114,13 +113,13 @@
 
 #[test]
 fn records_have_the_form_that_logs_hold() {
-    let mut file = GoldenFile::new("records.txt");
+    let mut file = GoldenFile::open(path!("records.txt"));
     for (name, sequence, record) in records() {
         file.add_bytes(name, &encode(sequence, &record).expect("a frame"));
     }
     let kept = file.check();
     for (name, sequence, record) in records() {
-        let frame = unhex(&kept[name]);
+        let frame = kept.bytes(name);
         assert_eq!(
             decode(&frame, sequence),
             Ok((record, frame.len())),
@@ -207,14 +206,14 @@
 fn a_closed_log_has_these_files_and_is_read_from_them() {
     let written = TestFolder::new("written");
     write_log(&written);
-    let mut file = GoldenFile::new("closed-log.txt");
+    let mut file = GoldenFile::open(path!("closed-log.txt"));
     for (name, bytes) in written.files() {
         file.add_bytes(name, &bytes);
     }
     let kept = file.check();
     let copied = TestFolder::new("copied");
-    for (name, digits) in &kept {
-        std::fs::write(copied.0.join(name), unhex(digits)).expect("a file");
+    for (name, digits) in kept.iter() {
+        std::fs::write(copied.0.join(name), from_hex(digits)).expect("a file");
     }
     let mut folder = Folder::open(&copied.0).expect("a folder");
     let found = inspect(&mut folder).expect("a log");
@@ -243,7 +242,7 @@
     let (log, found) =
         Log::open(Folder::open(&torn.0).expect("a folder"), SEGMENT_BYTES).expect("a log");
     assert_eq!((log.next(), found.records.len()), (18, 17));
-    let mut file = GoldenFile::new("torn-log.txt");
+    let mut file = GoldenFile::open(path!("torn-log.txt"));
     file.add("torn bytes", found.torn.to_string());
     for (name, bytes) in torn.files() {
         file.add_bytes(name, &bytes);
@@ -289,7 +288,7 @@
 
 #[test]
 fn errors_are_told_as_before() {
-    let mut file = GoldenFile::new("errors.txt");
+    let mut file = GoldenFile::open(path!("errors.txt"));
     let unreadable = [
         ("short", Unreadable::Short),
         ("length", Unreadable::Length),
@@ -346,7 +345,7 @@
 #[test]
 fn the_buffer_decides_as_before() {
     const STEPS: usize = 200;
-    let mut file = GoldenFile::new("buffer-trace.txt");
+    let mut file = GoldenFile::open(path!("buffer-trace.txt"));
     for seed in 1..=2 {
         for (step, line) in golden_trace::play(seed, STEPS).into_iter().enumerate() {
             file.add(format!("seed {seed} step {step}"), line);
@@ -358,12 +357,12 @@
 #[test]
 fn the_buffer_decides_as_before_over_long_runs() {
     const STEPS: usize = 2_000;
-    let mut file = GoldenFile::new("buffer-trace-digests.txt");
+    let mut file = GoldenFile::open(path!("buffer-trace-digests.txt"));
     for seed in 100..140 {
         let lines = golden_trace::play(seed, STEPS);
         file.add(
             format!("seed {seed}"),
-            hex(&golden_trace::digest(&lines).to_be_bytes()),
+            to_hex(&golden_trace::digest(&lines).to_be_bytes()),
         );
     }
     file.check();
@@ -371,12 +370,15 @@
 
 #[test]
 fn every_golden_file_is_compared() {
-    check_folder(&[
-        "buffer-trace-digests.txt",
-        "buffer-trace.txt",
-        "closed-log.txt",
-        "errors.txt",
-        "records.txt",
-        "torn-log.txt",
-    ]);
+    check_folder(
+        path!(),
+        [
+            "buffer-trace-digests.txt",
+            "buffer-trace.txt",
+            "closed-log.txt",
+            "errors.txt",
+            "records.txt",
+            "torn-log.txt",
+        ],
+    );
 }
--- a/crates/write-back/tests/golden_trace/mod.rs
+++ b/crates/write-back/tests/golden_trace/mod.rs
@@ -1,7 +1,7 @@
 //! A seeded run of a buffer and a line for each input: what came in and which actions it asked for. Records stand in the
 //! form that they have on the disk; the lines hold no names of Rust types.
 
-use crate::golden_file::hex;
+use lupinrack_golden_files::to_hex;
 use lupinrack_write_back::buffer::{Action, Buffer, Input, Limits, Said, Waiter, Wish};
 use lupinrack_write_back::record::{encode, End, Moment, Record, Taken, WriteId};
 use lupinrack_write_back::state::Book;
@@ -261,7 +261,7 @@
             Action::Append(record) => {
                 let frame = encode(self.next_sequence(), record).expect("a frame");
                 self.log.push(record.clone());
-                format!("append {}", hex(&frame))
+                format!("append {}", to_hex(&frame))
             }
             Action::Sync => {
                 self.syncing = true;
