--- a/crates/lupinrack/src/cli.rs
+++ b/crates/lupinrack/src/cli.rs
@@ -5,6 +5,7 @@
 use crate::cluster;
 use crate::commands::{ask, buffer, check, demo, extents, fleet, lab, overload};
 use crate::ended::Ended;
+use crate::log_targets::with_present_names;
 use crate::serve;
 use clap::{Args, CommandFactory, FromArgMatches, Parser, Subcommand, ValueEnum};
 use lupinrack_operator_config::{Format, Log, Operator};
@@ -156,11 +157,11 @@
 /// Starts the log on standard error.
 fn log(log: &Log, format: Option<Format>) -> Result<(), Ended> {
     let filter = match std::env::var(LOG_VARIABLE) {
-        Ok(text) => {
-            EnvFilter::try_new(&text).map_err(|e| Ended::wrong(format!("{LOG_VARIABLE}: {e}")))?
-        }
+        Ok(text) => EnvFilter::try_new(with_present_names(&text))
+            .map_err(|e| Ended::wrong(format!("{LOG_VARIABLE}: {e}")))?,
         Err(_) => {
-            EnvFilter::try_new(log.filter.as_deref().unwrap_or("info")).map_err(Ended::wrong)?
+            let text = log.filter.as_deref().unwrap_or("info");
+            EnvFilter::try_new(with_present_names(text)).map_err(Ended::wrong)?
         }
     };
     let lines = tracing_subscriber::fmt()
--- a/crates/lupinrack/src/lib.rs
+++ b/crates/lupinrack/src/lib.rs
@@ -7,6 +7,7 @@
 mod cluster;
 pub mod commands;
 pub mod ended;
+pub mod log_targets;
 pub mod serve;
 mod takeover;
 
