--- a/crates/lupinrack/src/cli.rs
+++ b/crates/lupinrack/src/cli.rs
@@ -3,7 +3,7 @@
 //! Exit codes: 0 good, 1 failed while running (or a promise was broken), 2 wrong input.
 
 use crate::cluster;
-use crate::commands::{ask, buffer, check, demo, extents, fleet, lab, overload};
+use crate::commands::{admin, buffer, check, demo, extents, fleet, overload, simulate};
 use crate::ended::Ended;
 use crate::log_targets::with_present_names;
 use crate::serve;
@@ -54,8 +54,9 @@
     Schema,
     /// Play a short mixed load against a front with stand-ins on loopback and show what came of it.
     Demo(demo::Demo),
-    /// Ask a front at its door and print the answer: 0 for 200, 1 for 400 or none.
-    Ask(ask::Ask),
+    /// Call a front's admin interface and print the answer; the exit code is 0 for 200, 1 for 400 or no answer.
+    #[command(alias = "ask")]
+    Admin(admin::Admin),
     /// Look at the log of a write-back buffer that is closed.
     #[command(subcommand)]
     Buffer(buffer::Buffer),
@@ -65,9 +66,9 @@
     /// The fronts among each other: what one knows of all, and the drill.
     #[command(subcommand)]
     Fleet(fleet::Fleet),
-    /// The fleet's machines in simulated time, at sizes that sockets don't reach.
-    #[command(subcommand)]
-    Lab(lab::Lab),
+    /// Simulate a fleet in virtual time, at sizes that sockets don't reach.
+    #[command(subcommand, alias = "lab")]
+    Simulate(simulate::Simulate),
     /// Overload handled by the fleet as one: the drill.
     #[command(subcommand)]
     Overload(overload::Overload),
@@ -115,11 +116,11 @@
         Some(Command::Check { files }) => check::run(&files),
         Some(Command::Schema) => check::schema(),
         Some(Command::Demo(demo)) => quiet(format).and_then(|()| demo::run(&demo)),
-        Some(Command::Ask(what)) => ask::run(&what),
+        Some(Command::Admin(call)) => admin::run(&call),
         Some(Command::Buffer(what)) => buffer::run(&what),
         Some(Command::Fleet(what)) => quiet(format).and_then(|()| fleet::run(&what)),
         Some(Command::Overload(what)) => quiet(format).and_then(|()| overload::run(&what)),
-        Some(Command::Lab(what)) => quiet(format).and_then(|()| lab::run(&what)),
+        Some(Command::Simulate(what)) => quiet(format).and_then(|()| simulate::run(&what)),
         Some(Command::Extents(what)) => quiet(format).and_then(|()| extents::run(&what)),
     };
     match ended {
--- a/crates/lupinrack/src/commands/fleet/ls.rs
+++ b/crates/lupinrack/src/commands/fleet/ls.rs
@@ -1,6 +1,6 @@
 //! `lupinrack fleet ls|watch`: a front's knowledge of its fleet, asked at its door.
 
-use crate::commands::ask::{exchange, Call};
+use crate::commands::admin::{exchange, Call};
 use crate::ended::Ended;
 use clap::Args;
 use lupinrack_fleet_driver::Report;
--- a/crates/lupinrack/src/commands/mod.rs
+++ b/crates/lupinrack/src/commands/mod.rs
@@ -1,10 +1,11 @@
 //! The commands beside `serve`.
 
-pub mod ask;
+pub mod admin;
 pub mod buffer;
 pub mod check;
 pub mod demo;
 pub mod extents;
 pub mod fleet;
-pub mod lab;
+
 pub mod overload;
+pub mod simulate;
--- a/crates/lupinrack/src/commands/lab.rs
+++ b/crates/lupinrack/src/commands/simulate.rs
@@ -1,20 +1,20 @@
-//! `lupinrack lab`: the fleet's machines in simulated time.
+//! `lupinrack simulate`: a fleet's state machines in virtual time. `lab`, its earlier name, stays as a hidden alias.
 
 use crate::ended::Ended;
 use clap::{Args, Subcommand};
 use lupinrack_fleet_simulation::{plot, Experiment, Point};
 use std::path::PathBuf;
 
-/// The lab.
+/// What to do with an experiment.
 #[derive(Debug, Subcommand)]
-pub enum Lab {
-    /// Play an experiment and print its figures: median, least and most over the seeds.
+pub enum Simulate {
+    /// Run an experiment and print its metrics: median, least and most over the seeds.
     Run(Run),
-    /// Play it and draw one figure as SVG.
+    /// Run it and draw one metric as SVG.
     Plot(Plot),
 }
 
-/// What is played.
+/// The experiment and how it is run.
 #[derive(Debug, Args)]
 pub struct Run {
     /// The experiment (TOML).
@@ -33,23 +33,27 @@
     json: bool,
 }
 
-/// What is drawn.
+/// The metric that is drawn, and the file.
 #[derive(Debug, Args)]
 pub struct Plot {
     #[command(flatten)]
     run: Run,
-    /// The figure, or `parts`: what is in use over time in the first seed.
+    /// The metric, or `parts`: what is in use over time in the first seed.
     #[arg(long, default_value = "detect_ms_p99")]
     figure: String,
-    /// Where to.
+    /// The SVG file.
     #[arg(long, value_name = "FILE")]
     out: PathBuf,
 }
 
-/// Runs one of them.
-pub fn run(lab: &Lab) -> Result<(), Ended> {
-    match lab {
-        Lab::Run(run) => {
+/// Runs the command.
+///
+/// # Errors
+///
+/// If the experiment cannot be read or run, or a promise was broken in it.
+pub fn run(simulate: &Simulate) -> Result<(), Ended> {
+    match simulate {
+        Simulate::Run(run) => {
             let (experiment, points) = play(run)?;
             if run.json {
                 println!("{}", serde_json::to_string(&points).map_err(Ended::failed)?);
@@ -63,7 +67,7 @@
                 )),
             }
         }
-        Lab::Plot(p) => {
+        Simulate::Plot(p) => {
             let (experiment, points) = play(&p.run)?;
             let title = format!("{}: {}", experiment.name, p.figure);
             let svg = plot::svg(&points, &p.figure, &title).map_err(Ended::wrong)?;
--- a/crates/lupinrack/tests/cli.rs
+++ b/crates/lupinrack/tests/cli.rs
@@ -192,3 +192,20 @@
     assert_eq!(code(&["buffer", "verify", "/nowhere"]), Some(2));
     std::fs::remove_dir_all(&dir).unwrap();
 }
+
+#[test]
+fn renamed_commands_answer_to_their_earlier_names_and_hide_them() {
+    for (earlier, present) in [("ask", "admin"), ("lab", "simulate")] {
+        let by_earlier = lupinrack(&[earlier, "--help"]);
+        let by_present = lupinrack(&[present, "--help"]);
+        assert_eq!(by_earlier.status.code(), Some(0), "{earlier}");
+        assert_eq!(by_earlier.stdout, by_present.stdout, "{earlier}");
+    }
+    let help = String::from_utf8_lossy(&lupinrack(&["--help"]).stdout).into_owned();
+    let commands: Vec<&str> = help
+        .lines()
+        .filter_map(|line| line.split_whitespace().next())
+        .collect();
+    assert!(commands.contains(&"admin") && commands.contains(&"simulate"));
+    assert!(!commands.contains(&"ask") && !commands.contains(&"lab"));
+}
--- a/crates/lupinrack/tests/golden.rs
+++ b/crates/lupinrack/tests/golden.rs
@@ -4,7 +4,7 @@
 //! `UPDATE_GOLDEN=1` writes the files anew.
 
 use clap::ValueEnum as _;
-use lupinrack::commands::ask::Call;
+use lupinrack::commands::admin::Call;
 use lupinrack_fleet_driver::Report;
 use lupinrack_write_back::file::Folder;
 use lupinrack_write_back::log::Log;
