--- a/crates/node-settings/src/lib.rs
+++ b/crates/node-settings/src/lib.rs
@@ -7,14 +7,14 @@
 
 mod bounds;
 mod error;
-mod file;
-mod limits;
+mod key_values;
+mod machine_limits;
+mod node_settings;
 mod reader;
-mod settings;
 
 pub use bounds::Bounds;
 pub use error::{Faults, SettingsError, SettingsFault};
-pub use limits::{FaultTolerance, MachineLimits};
-pub use settings::{
+pub use machine_limits::{FaultTolerance, MachineLimits};
+pub use node_settings::{
     settings_path, CommandDelivery, NodeSettings, ServedInterface, DEFAULT_PATH, PATH_VARIABLE,
 };
--- a/crates/node-settings/src/settings.rs
+++ b/crates/node-settings/src/node_settings.rs
@@ -2,8 +2,8 @@
 
 use crate::bounds::Bounds;
 use crate::error::{Faults, SettingsError, SettingsFault};
-use crate::file::SettingsLines;
-use crate::limits::{FaultTolerance, MachineLimits};
+use crate::key_values::SettingsLines;
+use crate::machine_limits::{FaultTolerance, MachineLimits};
 use crate::reader::Reader;
 use lupinrack_cluster_api::identity::PeerAddress;
 use std::collections::BTreeMap;
--- a/crates/node-settings/src/reader.rs
+++ b/crates/node-settings/src/reader.rs
@@ -1,7 +1,7 @@
 //! Typed reading of values; faults are collected instead of ending the reading.
 
 use crate::error::SettingsFault;
-use crate::file::SettingsLines;
+use crate::key_values::SettingsLines;
 use std::net::SocketAddrV4;
 use std::str::FromStr;
 
