--- a/crates/cluster-node/src/core/machine/settings.rs
+++ b/crates/cluster-node/src/core/machine/settings.rs
@@ -78,7 +78,7 @@
                 Vec::new()
             },
             seeds,
-            tolerated_losses: node.tolerance.machines as usize,
+            tolerated_losses: node.fault_tolerance.machines as usize,
             catch_up_ms: node.bounds.catch_up_ms,
             grace_ms: node.bounds.grace_ms,
             remember_ms: node.bounds.status_ms.saturating_add(REMEMBER_MARGIN_MS),
--- a/crates/node-settings/src/bounds.rs
+++ b/crates/node-settings/src/bounds.rs
@@ -1,56 +1,58 @@
-//! The bounds on what the system may take its time for.
+//! Bounds on times, which the operators and the system promise each other.
 
 use crate::reader::Reader;
 
-/// Times that the system promises to keep or may rely on, in milliseconds. A bound that the file does not give takes
-/// the value of [`Bounds::default`].
+/// Bounds on times that the system has to keep or may rely on. Those that the file does not give have their value of
+/// [`Bounds::default`].
+///
+/// Fields are named after the keys below `bounds.`; `lease_max_ms` is `bounds.hold-max`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// How far the operator's list of processes lags behind.
+    /// How far the operators' list of processes lags behind, in milliseconds.
     pub seed_lag_ms: u64,
-    /// How soon the address of a server that is gone may belong to another.
+    /// How soon the address of a server that has ended may belong to another server, in milliseconds.
     pub reuse_after_ms: u64,
-    /// After which contact a process counts as in touch with the system.
+    /// How recent a process's last contact has to be for it to count as connected, in milliseconds.
     pub contact_ms: u64,
-    /// How long an acknowledgement may take in calm times.
+    /// How long an acknowledgement may take while there are no faults, in milliseconds.
     pub ack_ms: u64,
-    /// How long a machine still counts as lost after its return.
+    /// How long a machine still counts as lost after its return, in milliseconds.
     pub catch_up_ms: u64,
-    /// How long after a server's notice that it drains it may still be given work.
+    /// How long a server may still be given work after it announced that it is draining, in milliseconds.
     pub drain_ms: u64,
-    /// How long a process has between the signal to end and being killed.
+    /// How long a process has between the signal to end and being killed, in milliseconds.
     pub grace_ms: u64,
-    /// Slack granted around losses.
+    /// The tolerance in time around losses, in milliseconds.
     pub loss_slack_ms: u64,
-    /// How soon an acknowledged configuration is in force everywhere.
+    /// How soon an acknowledged configuration has to be in force everywhere, in milliseconds.
     pub config_apply_ms: u64,
-    /// Slack granted before a return to an older configuration counts.
+    /// The tolerance in time before a return to an older configuration counts, in milliseconds.
     pub rollback_slack_ms: u64,
-    /// How far clocks of different machines may lie apart.
+    /// How far the clocks of different machines may differ, in milliseconds.
     pub max_skew_ms: u64,
-    /// How soon the system has to work again after a loss of everything.
+    /// How soon the system has to work again after a loss of all processes, in milliseconds.
     pub recovery_ms: u64,
-    /// How long a server holds its tasks at most without a renewal.
+    /// The longest lease under which a server runs its tasks without a renewal, in milliseconds.
     pub lease_max_ms: u64,
-    /// How long a server takes at most to stop a task.
+    /// How long a server takes at most to stop a task, in milliseconds.
     pub stop_ms: u64,
-    /// How long a member of a gang waits for the others.
+    /// How long a member of a gang waits for the others, in milliseconds.
     pub gang_ms: u64,
-    /// How soon after a cancellation nothing of a job starts any more.
+    /// After which time nothing of a cancelled job may start any more, in milliseconds.
     pub cancel_ms: u64,
-    /// How soon an accepted job is visible everywhere.
+    /// How soon an accepted job has to be visible everywhere, in milliseconds.
     pub visible_ms: u64,
-    /// How much ahead of its time a task may start.
+    /// How long before its due time a task may start, in milliseconds.
     pub early_ms: u64,
-    /// How soon after the end of the traffic everything has to be done.
+    /// How soon all jobs have to be finished after the last submission, in milliseconds.
     pub finish_ms: u64,
-    /// How long a job's state can be asked for.
+    /// How long a job's state can be queried, in milliseconds.
     pub status_ms: u64,
-    /// How much work lies between two checkpoints of a task.
+    /// The work between two checkpoints of a task, in milliseconds.
     pub save_ms: u64,
-    /// How long it takes to continue from a checkpoint.
+    /// How long a task takes to continue from a checkpoint, in milliseconds.
     pub restore_ms: u64,
-    /// How many times as long a task takes away from its data, or a gang on several racks.
+    /// How many times as long a task takes on another rack than that of its data, or a gang on several racks.
     pub far_factor: f64,
 }
 
@@ -88,31 +90,31 @@
 impl Bounds {
     pub(crate) fn read(reader: &mut Reader) -> Bounds {
         let default = Bounds::default();
-        let mut duration =
-            |name: &str, default_ms| reader.duration_ms(&format!("bounds.{name}"), default_ms);
+        let mut duration_ms =
+            |name: &str, default_ms| reader.duration_ms_or(&format!("bounds.{name}"), default_ms);
         Bounds {
-            seed_lag_ms: duration("seed-lag", default.seed_lag_ms),
-            reuse_after_ms: duration("reuse-after", default.reuse_after_ms),
-            contact_ms: duration("contact", default.contact_ms),
-            ack_ms: duration("ack", default.ack_ms),
-            catch_up_ms: duration("catch-up", default.catch_up_ms),
-            drain_ms: duration("drain", default.drain_ms),
-            grace_ms: duration("grace", default.grace_ms),
-            loss_slack_ms: duration("loss-slack", default.loss_slack_ms),
-            config_apply_ms: duration("config-apply", default.config_apply_ms),
-            rollback_slack_ms: duration("rollback-slack", default.rollback_slack_ms),
-            max_skew_ms: duration("max-skew", default.max_skew_ms),
-            recovery_ms: duration("recovery", default.recovery_ms),
-            lease_max_ms: duration("hold-max", default.lease_max_ms),
-            stop_ms: duration("stop", default.stop_ms),
-            gang_ms: duration("gang", default.gang_ms),
-            cancel_ms: duration("cancel", default.cancel_ms),
-            visible_ms: duration("visible", default.visible_ms),
-            early_ms: duration("early", default.early_ms),
-            finish_ms: duration("finish", default.finish_ms),
-            status_ms: duration("status", default.status_ms),
-            save_ms: duration("save", default.save_ms),
-            restore_ms: duration("restore", default.restore_ms),
+            seed_lag_ms: duration_ms("seed-lag", default.seed_lag_ms),
+            reuse_after_ms: duration_ms("reuse-after", default.reuse_after_ms),
+            contact_ms: duration_ms("contact", default.contact_ms),
+            ack_ms: duration_ms("ack", default.ack_ms),
+            catch_up_ms: duration_ms("catch-up", default.catch_up_ms),
+            drain_ms: duration_ms("drain", default.drain_ms),
+            grace_ms: duration_ms("grace", default.grace_ms),
+            loss_slack_ms: duration_ms("loss-slack", default.loss_slack_ms),
+            config_apply_ms: duration_ms("config-apply", default.config_apply_ms),
+            rollback_slack_ms: duration_ms("rollback-slack", default.rollback_slack_ms),
+            max_skew_ms: duration_ms("max-skew", default.max_skew_ms),
+            recovery_ms: duration_ms("recovery", default.recovery_ms),
+            lease_max_ms: duration_ms("hold-max", default.lease_max_ms),
+            stop_ms: duration_ms("stop", default.stop_ms),
+            gang_ms: duration_ms("gang", default.gang_ms),
+            cancel_ms: duration_ms("cancel", default.cancel_ms),
+            visible_ms: duration_ms("visible", default.visible_ms),
+            early_ms: duration_ms("early", default.early_ms),
+            finish_ms: duration_ms("finish", default.finish_ms),
+            status_ms: duration_ms("status", default.status_ms),
+            save_ms: duration_ms("save", default.save_ms),
+            restore_ms: duration_ms("restore", default.restore_ms),
             far_factor: reader.number_or("bounds.far-x", default.far_factor),
         }
     }
--- a/crates/node-settings/src/key_values.rs
+++ b/crates/node-settings/src/key_values.rs
@@ -1,4 +1,4 @@
-//! The lines of a settings file, read by the `configparser` library.
+//! The lines of a settings file, parsed by the `configparser` library.
 
 use crate::error::SettingsError;
 use configparser::ini::{Ini, IniDefault};
@@ -6,50 +6,53 @@
 
 /// The name under which the library files lines that follow no `[section]` header.
 const TOP_SECTION: &str = "top";
-/// Keys below this one are names, whose underscores are kept.
-const ZONES: &str = "zones.";
+/// What follows this prefix of a key is the name of a zone, whose underscores are kept.
+const ZONES_PREFIX: &str = "zones.";
 
 /// Values by key, both trimmed. An underscore in a key counts as a dash, except in names of zones.
 #[derive(Debug, Default)]
-pub(crate) struct SettingsLines {
+pub(crate) struct KeyValues {
     values: BTreeMap<String, String>,
 }
 
-impl SettingsLines {
-    /// Reads a file's text; of a key that occurs twice the last line counts.
-    pub(crate) fn parse(text: &str) -> Result<SettingsLines, SettingsError> {
+impl KeyValues {
+    /// Parses a file's text; of a key that occurs twice the last line counts.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError::Syntax`] where a line has another form.
+    pub(crate) fn parse(text: &str) -> Result<KeyValues, SettingsError> {
         let mut sections = line_parser()
             .read(text.to_string())
             .map_err(SettingsError::Syntax)?;
-        let top = sections.remove(TOP_SECTION).unwrap_or_default();
-        let values = top
+        let values = sections
+            .remove(TOP_SECTION)
+            .unwrap_or_default()
             .into_iter()
-            .map(|(key, value)| (canonical(key), value.unwrap_or_default()))
+            .map(|(key, value)| (canonical_key(key), value.unwrap_or_default()))
             .collect();
-        Ok(SettingsLines { values })
+        Ok(KeyValues { values })
     }
 
-    /// A key's value; none where the key is lacking or empty.
-    pub(crate) fn value(&self, key: &str) -> Option<&str> {
+    /// The value of a key; none where the key is missing or empty.
+    pub(crate) fn get(&self, key: &str) -> Option<&str> {
         self.values
             .get(key)
             .map(String::as_str)
             .filter(|value| !value.is_empty())
     }
 
-    /// The zones and their regions.
+    /// The region of each zone.
     pub(crate) fn zones(&self) -> BTreeMap<String, String> {
-        let named = self
-            .values
+        self.values
             .iter()
-            .filter_map(|(key, region)| Some((key.strip_prefix(ZONES)?, region)));
-        named
+            .filter_map(|(key, region)| Some((key.strip_prefix(ZONES_PREFIX)?, region)))
             .map(|(zone, region)| (zone.to_string(), region.clone()))
             .collect()
     }
 }
 
-/// A parser of plain `key=value` lines: no inline comments, no continued lines, case kept.
+/// A parser of plain `key=value` lines: no inline comments, no continued lines, and keys keep their case.
 fn line_parser() -> Ini {
     let mut defaults = IniDefault::default();
     defaults.default_section = TOP_SECTION.to_string();
@@ -63,9 +66,10 @@
 }
 
 /// The spelling under which a key is filed.
-fn canonical(key: String) -> String {
-    match key.starts_with(ZONES) {
-        true => key,
-        false => key.replace('_', "-"),
+fn canonical_key(key: String) -> String {
+    if key.starts_with(ZONES_PREFIX) {
+        key
+    } else {
+        key.replace('_', "-")
     }
 }
--- a/crates/node-settings/src/lib.rs
+++ b/crates/node-settings/src/lib.rs
@@ -1,20 +1,32 @@
 //! The settings file of a process of the cluster scheduler.
 //!
-//! A settings file consists of lines of the form `a.b=value`, with lists joined by commas. [`NodeSettings::load`] reads
-//! one and checks it whole: every fault is named with its key, not only the first. Keys that are not known are ignored.
-// 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
-#![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
+//! A settings file consists of lines `a.b=value`; lists are joined by commas. [`NodeSettings::load`] reads and checks a
+//! complete file: the error names every key that is at fault, not only the first. Unknown keys are ignored, so that newer
+//! files can be read.
+//!
+//! Start reading at [`NodeSettings`]. Below it a reader collects typed values and their errors from the lines of the
+//! file.
 
 mod bounds;
+mod command_delivery;
 mod error;
+mod fault_tolerance;
+mod invalid_setting;
 mod key_values;
 mod machine_limits;
 mod node_settings;
+mod path;
+mod port_range;
 mod reader;
+mod served_interface;
 
 pub use bounds::Bounds;
-pub use error::{Faults, SettingsError, SettingsFault};
-pub use machine_limits::{FaultTolerance, MachineLimits};
-pub use node_settings::{
-    settings_path, CommandDelivery, NodeSettings, ServedInterface, DEFAULT_PATH, PATH_VARIABLE,
-};
+pub use command_delivery::CommandDelivery;
+pub use error::{InvalidSettings, SettingsError};
+pub use fault_tolerance::FaultTolerance;
+pub use invalid_setting::InvalidSetting;
+pub use machine_limits::MachineLimits;
+pub use node_settings::NodeSettings;
+pub use path::{settings_path, DEFAULT_PATH, PATH_VARIABLE};
+pub use port_range::PortRange;
+pub use served_interface::ServedInterface;
--- a/crates/node-settings/src/reader.rs
+++ b/crates/node-settings/src/reader.rs
@@ -1,83 +1,113 @@
-//! Typed reading of values; faults are collected instead of ending the reading.
+//! Typed reading of values, which collects errors instead of ending at the first.
 
-use crate::error::SettingsFault;
-use crate::key_values::SettingsLines;
+use crate::invalid_setting::InvalidSetting;
+use crate::key_values::KeyValues;
+use crate::port_range::PortRange;
 use std::net::SocketAddrV4;
 use std::str::FromStr;
 
-/// Numbers from here on are no longer exact in a 64-bit float.
-const EXACT_LIMIT: f64 = 9_007_199_254_740_992.0;
-/// Milliseconds of a second.
-const SECOND_MS: f64 = 1000.0;
+/// From this number on, which is 2^53, not every integer has a 64-bit float.
+const EXACT_INTEGER_LIMIT: f64 = 9_007_199_254_740_992.0;
+const MS_PER_SECOND: f64 = 1000.0;
 
-/// Reads values by key and keeps the faults that it meets; a value at fault is read as its type's default.
+/// Reads values by key and collects what is invalid; an invalid value is read as the default of its type.
 pub(crate) struct Reader<'a> {
-    lines: &'a SettingsLines,
-    faults: Vec<SettingsFault>,
+    values: &'a KeyValues,
+    invalid: Vec<InvalidSetting>,
 }
 
 impl<'a> Reader<'a> {
-    pub(crate) fn new(lines: &'a SettingsLines) -> Reader<'a> {
+    pub(crate) fn new(values: &'a KeyValues) -> Reader<'a> {
         Reader {
-            lines,
-            faults: Vec::new(),
+            values,
+            invalid: Vec::new(),
         }
     }
 
-    /// All faults met.
-    pub(crate) fn into_faults(self) -> Vec<SettingsFault> {
-        self.faults
+    /// All invalid settings, in the order in which they were reported.
+    pub(crate) fn into_invalid(self) -> Vec<InvalidSetting> {
+        self.invalid
     }
 
-    /// Adds a fault found elsewhere.
-    pub(crate) fn report(&mut self, fault: SettingsFault) {
-        self.faults.push(fault);
+    pub(crate) fn report(&mut self, invalid: InvalidSetting) {
+        self.invalid.push(invalid);
     }
 
-    /// Whether a fault of this key was reported already.
-    pub(crate) fn has_fault(&self, key: &str) -> bool {
-        self.faults.iter().any(|fault| fault.key() == key)
+    /// Whether this key was reported already.
+    pub(crate) fn is_reported(&self, key: &str) -> bool {
+        self.invalid.iter().any(|invalid| invalid.key() == key)
     }
 
-    /// Reports that a key contradicts another.
-    pub(crate) fn contradiction(&mut self, key: &str, reason: &str) {
-        self.report(SettingsFault::Contradictory {
-            key: key.to_string(),
-            reason: reason.to_string(),
-        });
+    /// Reports that a key does not fit to others, unless the key was reported already.
+    pub(crate) fn report_inconsistent(&mut self, key: &str, reason: &str) {
+        if !self.is_reported(key) {
+            self.report(InvalidSetting::Inconsistent {
+                key: key.to_string(),
+                reason: reason.to_string(),
+            });
+        }
     }
 
-    /// A text that may be lacking.
+    /// Reports that a key is required, unless the key was reported already.
+    pub(crate) fn report_missing(&mut self, key: &str) {
+        if !self.is_reported(key) {
+            self.report(InvalidSetting::Missing {
+                key: key.to_string(),
+            });
+        }
+    }
+
+    /// A text that may be missing.
     pub(crate) fn optional_text(&self, key: &str) -> Option<String> {
-        self.lines.value(key).map(str::to_string)
+        self.values.get(key).map(str::to_string)
     }
 
-    /// A text that has to be there.
+    /// A text that is required.
     pub(crate) fn text(&mut self, key: &str) -> String {
         self.required(key).unwrap_or_default().to_string()
     }
 
-    /// The parts of a list; none where it is lacking or empty.
+    /// The parts of a list; none where it is missing or empty.
     pub(crate) fn list(&self, key: &str) -> Vec<String> {
-        let parts = self
-            .lines
-            .value(key)
+        self.values
+            .get(key)
             .unwrap_or_default()
             .split(',')
-            .map(str::trim);
-        parts
+            .map(str::trim)
             .filter(|part| !part.is_empty())
             .map(str::to_string)
             .collect()
     }
 
-    /// True or false; `default` where the key is lacking.
-    pub(crate) fn boolean(&mut self, key: &str, default: bool) -> bool {
-        let Some(value) = self.lines.value(key) else {
+    /// The values that the keywords of a list stand for.
+    pub(crate) fn keywords<T>(&mut self, key: &str, parse: fn(&str) -> Option<T>) -> Vec<T> {
+        let keywords = self.list(key);
+        keywords
+            .iter()
+            .filter_map(|keyword| self.known_keyword(key, keyword, parse))
+            .collect()
+    }
+
+    /// The value that a keyword stands for, or `default` where the key is missing.
+    pub(crate) fn keyword_or<T>(
+        &mut self,
+        key: &str,
+        parse: fn(&str) -> Option<T>,
+        default: T,
+    ) -> T {
+        self.values
+            .get(key)
+            .and_then(|keyword| self.known_keyword(key, keyword, parse))
+            .unwrap_or(default)
+    }
+
+    /// True or false; `default` where the key is missing.
+    pub(crate) fn boolean_or(&mut self, key: &str, default: bool) -> bool {
+        let Some(value) = self.values.get(key) else {
             return default;
         };
         value.parse().unwrap_or_else(|_| {
-            self.report(SettingsFault::NotABoolean {
+            self.report(InvalidSetting::NotABoolean {
                 key: key.to_string(),
                 value: value.to_string(),
             });
@@ -85,16 +115,16 @@
         })
     }
 
-    /// A value of a kind of address that has to be there.
+    /// An address of this type that is required.
     pub(crate) fn address<T: FromStr>(&mut self, key: &str) -> Option<T> {
         let value = self.required(key)?;
-        self.parsed_address(key, value)
+        self.parse_address(key, value)
     }
 
-    /// A socket address that may be lacking.
+    /// A socket address that may be missing.
     pub(crate) fn optional_address(&mut self, key: &str) -> Option<SocketAddrV4> {
-        let value = self.lines.value(key)?;
-        self.parsed_address(key, value)
+        let value = self.values.get(key)?;
+        self.parse_address(key, value)
     }
 
     /// A list of socket addresses.
@@ -102,98 +132,115 @@
         let parts = self.list(key);
         parts
             .iter()
-            .filter_map(|part| self.parsed_address(key, part))
+            .filter_map(|part| self.parse_address(key, part))
             .collect()
     }
 
-    /// A whole number that has to be there.
-    pub(crate) fn whole(&mut self, key: &str) -> u64 {
+    /// An integer that is required.
+    pub(crate) fn integer(&mut self, key: &str) -> u64 {
         match self.required(key) {
-            Some(_) => self.whole_or(key, 0),
+            Some(_) => self.integer_or(key, 0),
             None => 0,
         }
     }
 
-    /// A whole number, or `default` where the key is lacking; a fraction is rounded down.
-    pub(crate) fn whole_or(&mut self, key: &str, default: u64) -> u64 {
+    /// An integer, or `default` where the key is missing; a fraction is rounded down.
+    pub(crate) fn integer_or(&mut self, key: &str, default: u64) -> u64 {
         self.optional_number(key)
             .map_or(default, |number| number.floor() as u64)
     }
 
-    /// A number that is not negative, or `default` where the key is lacking.
+    /// A number that is not negative, or `default` where the key is missing.
     pub(crate) fn number_or(&mut self, key: &str, default: f64) -> f64 {
         self.optional_number(key).unwrap_or(default)
     }
 
-    /// A duration in milliseconds, from the key `STEM-ms` or, in seconds, `STEM-s`; `default_ms` where both are lacking.
-    pub(crate) fn duration_ms(&mut self, stem: &str, default_ms: u64) -> u64 {
-        let milliseconds = self.optional_number(&format!("{stem}-ms"));
-        let number =
-            milliseconds.or_else(|| Some(self.optional_number(&format!("{stem}-s"))? * SECOND_MS));
-        number.map_or(default_ms, |number| number.round() as u64)
+    /// A duration in milliseconds, from the key `STEM-ms` or, in seconds, `STEM-s`; `default_ms` where both are
+    /// missing.
+    pub(crate) fn duration_ms_or(&mut self, stem: &str, default_ms: u64) -> u64 {
+        let milliseconds = self
+            .optional_number(&format!("{stem}-ms"))
+            .or_else(|| Some(self.optional_number(&format!("{stem}-s"))? * MS_PER_SECOND));
+        milliseconds.map_or(default_ms, |number| number.round() as u64)
     }
 
-    /// The two ends of a range of ports.
-    pub(crate) fn port_range(&mut self, key: &str) -> (u16, u16) {
+    /// A range of ports that is required.
+    pub(crate) fn port_range(&mut self, key: &str) -> PortRange {
         let Some(value) = self.required(key) else {
-            return (0, 0);
+            return PortRange::default();
         };
+        let (key_name, value) = (key.to_string(), value.to_string());
         let ports: Option<Vec<u16>> = self
             .list(key)
             .iter()
             .map(|part| part.parse().ok())
             .collect();
-        match ports.as_deref() {
-            Some([first, last]) if *first > 0 && first <= last => (*first, *last),
-            Some([_, _]) => self.out_of_range(key, value),
-            _ => self.not_a_port_range(key, value),
-        }
-    }
-
-    fn out_of_range(&mut self, key: &str, value: &str) -> (u16, u16) {
-        self.report(SettingsFault::OutOfRange {
-            key: key.to_string(),
-            value: value.to_string(),
-        });
-        (0, 0)
-    }
-
-    fn not_a_port_range(&mut self, key: &str, value: &str) -> (u16, u16) {
-        self.report(SettingsFault::NotANumber {
-            key: key.to_string(),
-            value: value.to_string(),
-        });
-        (0, 0)
+        let invalid = match ports.as_deref() {
+            Some([first, last]) if *first > 0 && first <= last => {
+                return PortRange {
+                    first: *first,
+                    last: *last,
+                };
+            }
+            Some([_, _]) => InvalidSetting::OutOfRange {
+                key: key_name,
+                value,
+            },
+            _ => InvalidSetting::NotANumber {
+                key: key_name,
+                value,
+            },
+        };
+        self.report(invalid);
+        PortRange::default()
     }
 
     fn required(&mut self, key: &str) -> Option<&'a str> {
-        let value = self.lines.value(key);
+        let value = self.values.get(key);
         if value.is_none() {
-            self.report(SettingsFault::Lacking {
+            self.report(InvalidSetting::Missing {
                 key: key.to_string(),
             });
         }
         value
     }
 
-    fn parsed_address<T: FromStr>(&mut self, key: &str, value: &str) -> Option<T> {
-        let parsed = value.parse().ok();
-        if parsed.is_none() {
-            self.report(SettingsFault::NotAnAddress {
+    fn known_keyword<T>(
+        &mut self,
+        key: &str,
+        keyword: &str,
+        parse: fn(&str) -> Option<T>,
+    ) -> Option<T> {
+        let known = parse(keyword);
+        if known.is_none() {
+            self.report(InvalidSetting::UnknownValue {
+                key: key.to_string(),
+                value: keyword.to_string(),
+            });
+        }
+        known
+    }
+
+    fn parse_address<T: FromStr>(&mut self, key: &str, value: &str) -> Option<T> {
+        let address = value.parse().ok();
+        if address.is_none() {
+            self.report(InvalidSetting::NotAnAddress {
                 key: key.to_string(),
                 value: value.to_string(),
             });
         }
-        parsed
+        address
     }
 
     fn optional_number(&mut self, key: &str) -> Option<f64> {
-        let text = self.lines.value(key)?;
+        let text = self.values.get(key)?;
         let (key, value) = (key.to_string(), text.to_string());
         match text.parse::<f64>() {
-            Ok(number) if (0.0..EXACT_LIMIT).contains(&number) => return Some(number),
-            Ok(number) if !number.is_nan() => self.report(SettingsFault::OutOfRange { key, value }),
-            _ => self.report(SettingsFault::NotANumber { key, value }),
+            Ok(number) if (0.0..EXACT_INTEGER_LIMIT).contains(&number) => return Some(number),
+            Ok(number) if !number.is_nan() => {
+                self.report(InvalidSetting::OutOfRange { key, value });
+            }
+            _ => self.report(InvalidSetting::NotANumber { key, value }),
         }
         None
     }
--- a/crates/node-settings/tests/golden.rs
+++ b/crates/node-settings/tests/golden.rs
@@ -1,9 +1,9 @@
-//! What is read from the settings files that are kept in `tests/golden`, and the text of every fault. `UPDATE_GOLDEN=1`
+//! What is read from the settings files that are kept in `tests/golden`, and the text of every error. `UPDATE_GOLDEN=1`
 //! writes the files of what is read; the settings files themselves are written by hand.
 
 use lupinrack_node_settings::{
-    Bounds, CommandDelivery, FaultTolerance, MachineLimits, NodeSettings, ServedInterface,
-    SettingsError, SettingsFault, DEFAULT_PATH, PATH_VARIABLE,
+    Bounds, CommandDelivery, FaultTolerance, InvalidSetting, MachineLimits, NodeSettings,
+    ServedInterface, SettingsError, DEFAULT_PATH, PATH_VARIABLE,
 };
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -80,7 +80,7 @@
     let NodeSettings {
         node,
         role,
-        class,
+        machine_class,
         serves,
         ip,
         zone,
@@ -89,8 +89,7 @@
         front,
         readiness,
         control,
-        internal_port_first,
-        internal_port_last,
+        internal_ports,
         internal_address,
         seeds,
         bootstrap,
@@ -98,7 +97,7 @@
         limits,
         data_dir,
         heartbeat_ms,
-        tolerance,
+        fault_tolerance,
         bounds,
         commands,
         app,
@@ -113,7 +112,7 @@
     let mut entries = vec![
         entry("node", node),
         entry("role", role),
-        entry("class", class),
+        entry("class", machine_class),
         listed("serves", &serves),
         entry("ip", ip),
         entry("zone", zone),
@@ -122,8 +121,8 @@
         optional("front", front),
         optional("readiness", readiness),
         optional("control", control),
-        entry("first internal port", internal_port_first),
-        entry("last internal port", internal_port_last),
+        entry("first internal port", internal_ports.first),
+        entry("last internal port", internal_ports.last),
         entry("internal address", internal_address),
         listed("seeds", &seeds),
         listed("internal addresses of seeds", &seed_internal),
@@ -141,7 +140,7 @@
         listed("contracts", &contracts),
     ];
     entries.extend(entries_of_limits(limits));
-    entries.extend(entries_of_tolerance(tolerance));
+    entries.extend(entries_of_tolerance(fault_tolerance));
     entries.extend(entries_of_bounds(bounds));
     entries
 }
@@ -165,12 +164,12 @@
     ]
 }
 
-fn entries_of_tolerance(tolerance: FaultTolerance) -> Vec<(String, String)> {
+fn entries_of_tolerance(fault_tolerance: FaultTolerance) -> Vec<(String, String)> {
     let FaultTolerance {
         machines,
         zones,
         regions,
-    } = tolerance;
+    } = fault_tolerance;
     vec![
         entry("machines that may be lost", machines),
         entry("zones that may be lost", zones),
@@ -269,15 +268,16 @@
     }
 }
 
-fn name_of_fault(fault: &SettingsFault) -> &'static str {
-    match fault {
-        SettingsFault::Lacking { .. } => "lacking",
-        SettingsFault::NotANumber { .. } => "not_a_number",
-        SettingsFault::OutOfRange { .. } => "out_of_range",
-        SettingsFault::NotABoolean { .. } => "not_a_boolean",
-        SettingsFault::NotAnAddress { .. } => "not_an_address",
-        SettingsFault::UnknownWord { .. } => "unknown_word",
-        SettingsFault::Contradictory { .. } => "contradictory",
+/// The name of a kind in the golden files, which were first written with these.
+fn kind_of_invalid(invalid: &InvalidSetting) -> &'static str {
+    match invalid {
+        InvalidSetting::Missing { .. } => "lacking",
+        InvalidSetting::NotANumber { .. } => "not_a_number",
+        InvalidSetting::OutOfRange { .. } => "out_of_range",
+        InvalidSetting::NotABoolean { .. } => "not_a_boolean",
+        InvalidSetting::NotAnAddress { .. } => "not_an_address",
+        InvalidSetting::UnknownValue { .. } => "unknown_word",
+        InvalidSetting::Inconsistent { .. } => "contradictory",
     }
 }
 
@@ -286,10 +286,12 @@
     NodeSettings::parse(&format!("{}{lines}\n", kept("every_key.conf"))).expect_err("a fault")
 }
 
-/// The kind of each fault, the error's text, and the text with the file's name; its lines are joined by ` / `.
+/// The kind of each invalid setting, the error's text, and the text with the file's name; its lines are joined by ` / `.
 fn entry_of_error(what: &str, error: &SettingsError) -> (String, String) {
     let kinds: Vec<&str> = match error {
-        SettingsError::Invalid(faults) => faults.0.iter().map(name_of_fault).collect(),
+        SettingsError::Invalid(invalid_settings) => {
+            invalid_settings.0.iter().map(kind_of_invalid).collect()
+        }
         _ => vec![name_of_error(error)],
     };
     let told = error
@@ -358,18 +360,18 @@
     check("errors.txt", &entries);
 
     let invalid = errors.iter().filter_map(|(_, error)| match error {
-        SettingsError::Invalid(faults) => Some(&faults.0),
+        SettingsError::Invalid(invalid_settings) => Some(&invalid_settings.0),
         _ => None,
     });
-    let faults: BTreeSet<&str> = invalid.flatten().map(name_of_fault).collect();
+    let invalid_settings: BTreeSet<&str> = invalid.flatten().map(kind_of_invalid).collect();
     let kinds: BTreeSet<&str> = errors
         .iter()
         .map(|(_, error)| name_of_error(error))
         .collect();
     assert_eq!(
-        (faults.len(), kinds.len()),
+        (invalid_settings.len(), kinds.len()),
         (7, 3),
-        "every kind of error and fault occurs"
+        "every kind of error and of invalid setting occurs"
     );
 }
 
--- a/crates/node-settings/tests/settings.rs
+++ b/crates/node-settings/tests/settings.rs
@@ -1,8 +1,8 @@
-//! What is read from settings files, and which faults are named.
+//! What is read from settings files, and which invalid settings are reported.
 
 use lupinrack_node_settings::{
-    Bounds, CommandDelivery, FaultTolerance, Faults, MachineLimits, NodeSettings, ServedInterface,
-    SettingsError, SettingsFault,
+    Bounds, CommandDelivery, FaultTolerance, InvalidSetting, InvalidSettings, MachineLimits,
+    NodeSettings, PortRange, ServedInterface, SettingsError,
 };
 use quickcheck::quickcheck;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -97,26 +97,26 @@
     file.lines().map(replaced).collect::<Vec<_>>().join("\n")
 }
 
-fn faults(text: &str) -> Vec<SettingsFault> {
+fn invalid_settings(text: &str) -> Vec<InvalidSetting> {
     match NodeSettings::parse(text) {
-        Err(SettingsError::Invalid(Faults(faults))) => faults,
-        other => panic!("faults expected, not {other:?}"),
+        Err(SettingsError::Invalid(InvalidSettings(invalid_settings))) => invalid_settings,
+        other => panic!("invalid settings expected, not {other:?}"),
     }
 }
 
-fn keys_at_fault(text: &str) -> Vec<String> {
-    faults(text)
+fn invalid_keys(text: &str) -> Vec<String> {
+    invalid_settings(text)
         .iter()
-        .map(|fault| fault.key().to_string())
+        .map(|invalid| invalid.key().to_string())
         .collect()
 }
 
 #[test]
-fn a_core_process_is_read_whole() {
+fn all_settings_of_a_core_process_are_read() {
     let settings = NodeSettings::parse(CORE).expect("good settings");
     assert_eq!(settings.node, "core-north-1");
     assert_eq!(settings.role, "keeper");
-    assert_eq!(settings.class, "core");
+    assert_eq!(settings.machine_class, "core");
     assert_eq!(settings.serves, [ServedInterface::ControlPlane]);
     assert_eq!(settings.ip, Ipv4Addr::new(127, 0, 4, 1));
     assert_eq!(
@@ -134,15 +134,18 @@
         (None, None, None)
     );
     assert_eq!(
-        (settings.internal_port_first, settings.internal_port_last),
-        (7000, 7015)
+        settings.internal_ports,
+        PortRange {
+            first: 7000,
+            last: 7015
+        }
     );
     assert_eq!(settings.internal_address, address("127.0.4.1:7000"));
     assert_eq!(settings.seeds[2], address("127.0.6.1:9100"));
     assert_eq!(settings.data_dir, Some(PathBuf::from("/data/keeper")));
     assert_eq!(settings.heartbeat_ms, 1200);
     assert_eq!(
-        settings.tolerance,
+        settings.fault_tolerance,
         FaultTolerance {
             machines: 1,
             zones: 0,
@@ -270,7 +273,7 @@
 }
 
 #[test]
-fn a_side_process_knows_its_server() {
+fn an_agent_knows_its_server() {
     let settings = NodeSettings::parse(SIDE).expect("good settings");
     assert!(settings.serves(ServedInterface::Agent) && !settings.serves(ServedInterface::Frontend));
     assert_eq!(settings.commands, CommandDelivery::Rpc);
@@ -312,7 +315,7 @@
 }
 
 #[test]
-fn a_process_may_serve_several_callers() {
+fn a_process_may_serve_several_interfaces() {
     let text = with_line(CORE, "serves", "serves=control_plane, side");
     let settings = NodeSettings::parse(&text).expect("good settings");
     assert_eq!(
@@ -327,7 +330,7 @@
 }
 
 #[test]
-fn each_key_that_has_to_be_there_is_missed() {
+fn each_required_key_is_reported_when_it_is_missing() {
     for key in [
         "node",
         "role",
@@ -339,27 +342,26 @@
         "seeds",
         "heartbeat-ms",
     ] {
-        let lacking = vec![SettingsFault::Lacking {
+        let missing = vec![InvalidSetting::Missing {
             key: key.to_string(),
         }];
         assert_eq!(
-            faults(&with_line(SIDE, key, "")),
-            lacking,
+            invalid_settings(&with_line(SIDE, key, "")),
+            missing,
             "{key} taken out"
         );
         assert_eq!(
-            faults(&with_line(SIDE, key, &format!("{key}="))),
-            lacking,
+            invalid_settings(&with_line(SIDE, key, &format!("{key}="))),
+            missing,
             "{key} empty"
         );
     }
 }
 
 #[test]
-fn all_faults_are_named_at_once() {
-    let keys = keys_at_fault(
-        "ip=here\nport-range=1\nheartbeat-ms=often\nbootstrap=maybe\nserves=nobody\n",
-    );
+fn all_invalid_keys_are_reported_at_once() {
+    let keys =
+        invalid_keys("ip=here\nport-range=1\nheartbeat-ms=often\nbootstrap=maybe\nserves=nobody\n");
     let expected = [
         "ip",
         "port-range",
@@ -377,122 +379,123 @@
 }
 
 #[test]
-fn malformed_values_are_named_with_their_kind() {
-    let fault = |key: &str, value: &str| faults(&with_line(CORE, key, &format!("{key}={value}")));
+fn malformed_values_are_reported_with_their_kind() {
+    let invalid =
+        |key: &str, value: &str| invalid_settings(&with_line(CORE, key, &format!("{key}={value}")));
     let not_a_number = |key: &str, value: &str| {
-        vec![SettingsFault::NotANumber {
+        vec![InvalidSetting::NotANumber {
             key: key.to_string(),
             value: value.to_string(),
         }]
     };
     let out_of_range = |key: &str, value: &str| {
-        vec![SettingsFault::OutOfRange {
+        vec![InvalidSetting::OutOfRange {
             key: key.to_string(),
             value: value.to_string(),
         }]
     };
     let not_an_address = |key: &str, value: &str| {
-        vec![SettingsFault::NotAnAddress {
+        vec![InvalidSetting::NotAnAddress {
             key: key.to_string(),
             value: value.to_string(),
         }]
     };
-    let unknown_word = |key: &str, value: &str| {
-        vec![SettingsFault::UnknownWord {
+    let unknown_value = |key: &str, value: &str| {
+        vec![InvalidSetting::UnknownValue {
             key: key.to_string(),
             value: value.to_string(),
         }]
     };
     assert_eq!(
-        fault("heartbeat-ms", "1s"),
+        invalid("heartbeat-ms", "1s"),
         not_a_number("heartbeat-ms", "1s")
     );
     assert_eq!(
-        fault("limits.cpu-share", "NaN"),
+        invalid("limits.cpu-share", "NaN"),
         not_a_number("limits.cpu-share", "NaN")
     );
     assert_eq!(
-        fault("limits.memory-mb", "-1"),
+        invalid("limits.memory-mb", "-1"),
         out_of_range("limits.memory-mb", "-1")
     );
     assert_eq!(
-        fault("bounds.ack-ms", "inf"),
+        invalid("bounds.ack-ms", "inf"),
         out_of_range("bounds.ack-ms", "inf")
     );
     assert_eq!(
-        fault("port-range", "7000"),
+        invalid("port-range", "7000"),
         not_a_number("port-range", "7000")
     );
     assert_eq!(
-        fault("port-range", "7000,x"),
+        invalid("port-range", "7000,x"),
         not_a_number("port-range", "7000,x")
     );
     assert_eq!(
-        fault("port-range", "7001,7000"),
+        invalid("port-range", "7001,7000"),
         out_of_range("port-range", "7001,7000")
     );
     assert_eq!(
-        fault("port-range", "0,7000"),
+        invalid("port-range", "0,7000"),
         out_of_range("port-range", "0,7000")
     );
-    assert_eq!(fault("ip", "::1"), not_an_address("ip", "::1"));
+    assert_eq!(invalid("ip", "::1"), not_an_address("ip", "::1"));
     assert_eq!(
-        fault("bind-addresses.control", "127.0.4.1"),
+        invalid("bind-addresses.control", "127.0.4.1"),
         not_an_address("bind-addresses.control", "127.0.4.1")
     );
     assert_eq!(
-        fault("seeds", "127.0.4.1:9100,north:1"),
+        invalid("seeds", "127.0.4.1:9100,north:1"),
         not_an_address("seeds", "north:1")
     );
     assert_eq!(
-        fault("serves", "control_plane,all"),
-        unknown_word("serves", "all")
+        invalid("serves", "control_plane,all"),
+        unknown_value("serves", "all")
+    );
+    assert_eq!(
+        invalid("commands", "mail"),
+        unknown_value("commands", "mail")
     );
-    assert_eq!(fault("commands", "mail"), unknown_word("commands", "mail"));
-    let not_a_boolean = SettingsFault::NotABoolean {
+    let not_a_boolean = InvalidSetting::NotABoolean {
         key: "bootstrap".into(),
         value: "yes".into(),
     };
-    assert_eq!(fault("bootstrap", "yes"), [not_a_boolean]);
+    assert_eq!(invalid("bootstrap", "yes"), [not_a_boolean]);
 }
 
 #[test]
-fn what_is_served_needs_its_addresses_and_its_disk() {
+fn served_interfaces_need_their_addresses_and_disk() {
     assert_eq!(
-        keys_at_fault(&with_line(CORE, "bind-addresses.control", "")),
+        invalid_keys(&with_line(CORE, "bind-addresses.control", "")),
         ["bind-addresses.control"]
     );
     assert_eq!(
-        keys_at_fault(&with_line(SIDE, "bind-addresses.control", "")),
+        invalid_keys(&with_line(SIDE, "bind-addresses.control", "")),
         ["bind-addresses.control"]
     );
+    assert_eq!(invalid_keys(&with_line(CORE, "data-dir", "")), ["data-dir"]);
     assert_eq!(
-        keys_at_fault(&with_line(CORE, "data-dir", "")),
-        ["data-dir"]
-    );
-    assert_eq!(
-        keys_at_fault(&with_line(FRONT, "bind-addresses.front", "")),
+        invalid_keys(&with_line(FRONT, "bind-addresses.front", "")),
         ["bind-addresses.front"]
     );
     assert_eq!(
-        keys_at_fault(&with_line(FRONT, "bind-addresses.readiness", "")),
+        invalid_keys(&with_line(FRONT, "bind-addresses.readiness", "")),
         ["bind-addresses.readiness"]
     );
-    assert_eq!(keys_at_fault(&with_line(SIDE, "app", "")), ["app"]);
+    assert_eq!(invalid_keys(&with_line(SIDE, "app", "")), ["app"]);
     assert_eq!(
-        keys_at_fault(&with_line(SIDE, "heartbeat-ms", "heartbeat-ms=0")),
+        invalid_keys(&with_line(SIDE, "heartbeat-ms", "heartbeat-ms=0")),
         ["heartbeat-ms"]
     );
 }
 
 #[test]
-fn faults_read_well() {
+fn an_error_names_each_key_and_what_is_wrong() {
     let text = with_line(
         &with_line(SIDE, "zone", ""),
         "heartbeat-ms",
         "heartbeat-ms=often",
     );
-    let error = NodeSettings::parse(&text).expect_err("two faults");
+    let error = NodeSettings::parse(&text).expect_err("two invalid settings");
     assert_eq!(
         error.to_string(),
         "zone: lacking or empty; heartbeat-ms: \"often\" is not a number"
@@ -500,7 +503,7 @@
 }
 
 #[test]
-fn text_without_the_form_of_lines_is_refused() {
+fn text_that_does_not_consist_of_lines_is_rejected() {
     assert!(matches!(
         NodeSettings::parse("=value\n"),
         Err(SettingsError::Syntax(_))
@@ -512,7 +515,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_read_is_named() {
+fn an_unreadable_file_is_named() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests")
         .join("no-such-file.conf");
@@ -552,22 +555,22 @@
 }
 
 #[test]
-fn an_error_is_told_with_its_file_a_fault_a_line() {
+fn a_message_for_a_file_has_a_line_for_each_invalid_setting() {
     let path = Path::new("local.conf");
     let faulty = with_line(
         &with_line(SIDE, "zone", ""),
         "heartbeat-ms",
         "heartbeat-ms=often",
     );
-    let told = |text: &str| {
+    let message = |text: &str| {
         NodeSettings::parse(text)
-            .expect_err("faults")
+            .expect_err("invalid settings")
             .message_for_file(path)
     };
     let expected =
         "local.conf: zone: lacking or empty\nlocal.conf: heartbeat-ms: \"often\" is not a number";
-    assert_eq!(told(&faulty), expected);
-    assert!(told("=value").starts_with("local.conf: the file does not consist of lines"));
+    assert_eq!(message(&faulty), expected);
+    assert!(message("=value").starts_with("local.conf: the file does not consist of lines"));
     let unreadable = NodeSettings::load(&Path::new(env!("CARGO_MANIFEST_DIR")).join("none"))
         .expect_err("no file");
     assert_eq!(unreadable.message_for_file(path), unreadable.to_string());
