--- a/crates/cluster-json/src/form.rs
+++ b/crates/cluster-json/src/job_body.rs
@@ -1,6 +1,6 @@
 //! Jobs as JSON states them, before any check.
 
-use crate::object::Object;
+use crate::json_object::Object;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
--- a/crates/cluster-json/src/job.rs
+++ b/crates/cluster-json/src/job_reader.rs
@@ -1,9 +1,9 @@
 //! Reading and checking of jobs, and their writing.
 
-use crate::fault::{Figure, JobFault};
-use crate::form::{JobForm, StepForm};
-use crate::limits::JobLimits;
-use crate::object::Object;
+use crate::job_body::{JobForm, StepForm};
+use crate::job_error::{Figure, JobFault};
+use crate::job_limits::JobLimits;
+use crate::json_object::Object;
 use lupinrack_cluster_api::job::{JobSpec, Resources, Step};
 use std::borrow::Cow;
 
--- a/crates/cluster-json/src/lib.rs
+++ b/crates/cluster-json/src/lib.rs
@@ -5,16 +5,16 @@
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
 
-mod answer;
-mod fault;
-mod form;
-mod job;
-mod limits;
-mod object;
-mod path;
+mod job_body;
+mod job_error;
+mod job_limits;
+mod job_reader;
+mod job_target;
+mod json_object;
+mod response;
 
-pub use answer::{job_state_body, parse_job_state, parse_pending, pending_body, UnknownAnswer};
-pub use fault::{Figure, JobFault};
-pub use job::{job_body, parse_job};
-pub use limits::JobLimits;
-pub use path::JobTarget;
+pub use job_error::{Figure, JobFault};
+pub use job_limits::JobLimits;
+pub use job_reader::{job_body, parse_job};
+pub use job_target::JobTarget;
+pub use response::{job_state_body, parse_job_state, parse_pending, pending_body, UnknownAnswer};
--- a/crates/cluster-json/src/answer.rs
+++ b/crates/cluster-json/src/response.rs
@@ -1,6 +1,6 @@
 //! Bodies of answers about jobs and queues.
 
-use crate::object::Object;
+use crate::json_object::Object;
 use displaydoc::Display;
 use lupinrack_cluster_api::job::JobState;
 use serde::{Deserialize, Serialize};
