--- a/crates/cluster-log/src/start.rs
+++ b/crates/cluster-log/src/init.rs
@@ -1,8 +1,8 @@
 //! Setting the process's log up.
 
 use crate::levels::{Levels, MalformedLevels};
-use crate::line::LineFormatter;
-use crate::sink::ModuleSink;
+use crate::line_formatter::LineFormatter;
+use crate::module_sink::ModuleSink;
 use displaydoc::Display;
 use spdlog::sink::{Sink, StdStreamSink};
 use spdlog::terminal_style::StyleMode;
--- a/crates/cluster-log/src/lib.rs
+++ b/crates/cluster-log/src/lib.rs
@@ -7,13 +7,13 @@
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
 
 mod error_chain;
+mod init;
 mod levels;
-mod line;
-mod sink;
-mod start;
+mod line_formatter;
+mod module_sink;
 
 pub use error_chain::error_chain;
+pub use init::{init, init_from_environment, logger, LogError, LEVEL_VARIABLE};
 pub use levels::{Levels, MalformedLevels};
-pub use line::LineFormatter;
-pub use sink::ModuleSink;
-pub use start::{init, init_from_environment, logger, LogError, LEVEL_VARIABLE};
+pub use line_formatter::LineFormatter;
+pub use module_sink::ModuleSink;
--- a/crates/cluster-log/src/sink.rs
+++ b/crates/cluster-log/src/module_sink.rs
@@ -1,7 +1,7 @@
 //! A sink that logs by module.
 
 use crate::levels::Levels;
-use crate::line::module_of;
+use crate::line_formatter::module_of;
 use spdlog::formatter::Formatter;
 use spdlog::sink::Sink;
 use spdlog::{ErrorHandler, LevelFilter, Record};
