--- a/crates/cluster-json/src/job_error.rs
+++ b/crates/cluster-json/src/job_error.rs
@@ -1,42 +1,28 @@
-//! Why a job cannot be taken as described.
+//! Why a submitted job is rejected.
 
+use crate::quantity::Quantity;
 use displaydoc::Display;
 use lupinrack_cluster_api::error::ErrorKind;
 
-/// A figure that one task of a step states.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
-pub enum Figure {
-    /// cpu
-    Cpu,
-    /// mem-mb
-    Memory,
-    /// gpu
-    Gpu,
-    /// estimate-ms
-    Estimate,
-    /// anti-affinity
-    AntiAffinity,
-}
-
-/// Why a job cannot be taken as described. Steps are named by their number, from 0.
+/// Why a submitted job is rejected. Steps are named by their number, from 0.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
-pub enum JobFault {
+pub enum JobError {
     /// not a job in JSON: {0}
     Syntax(String),
     /// spec has {bytes} bytes, over {limit}
     SpecTooLong {
-        /// Its length.
+        /// The length of the text.
         bytes: usize,
-        /// The bound.
+        /// The largest length.
         limit: usize,
     },
     /// steps is absent or empty
     NoSteps,
     /// there are {steps} steps, over {limit}
     TooManySteps {
-        /// How many there are.
+        /// The number of steps.
         steps: usize,
-        /// The bound.
+        /// The largest number.
         limit: usize,
     },
     /// step {step} has no tasks
@@ -48,51 +34,51 @@
     TooManyTasksInStep {
         /// The step.
         step: usize,
-        /// How many it has.
+        /// The number of its tasks.
         tasks: u64,
-        /// The bound.
+        /// The largest number.
         limit: u64,
     },
     /// the steps have {tasks} tasks together, over {limit}
     TooManyTasks {
-        /// How many there are.
+        /// The number of tasks of all steps.
         tasks: u64,
-        /// The bound.
+        /// The largest number.
         limit: u64,
     },
     /// step {step} depends on {dependency}, which is no earlier step
     NotAnEarlierStep {
         /// The step.
         step: usize,
-        /// What it names.
+        /// The number that it states.
         dependency: u64,
     },
-    /// step {step} states {value} for {figure}, over {limit}
-    FigureTooLarge {
+    /// step {step} states {value} for {quantity}, over {limit}
+    QuantityTooLarge {
         /// The step.
         step: usize,
-        /// Which figure.
-        figure: Figure,
+        /// Which quantity.
+        quantity: Quantity,
         /// Its value.
         value: u64,
-        /// The bound.
+        /// The largest value.
         limit: u64,
     },
     /// repeat is {repeat}, over {limit}
-    TooManyTimes {
-        /// How many times the steps should run.
+    TooManyOccurrences {
+        /// The number of occurrences.
         repeat: u64,
-        /// The bound.
+        /// The largest number.
         limit: u64,
     },
     /// the last time is due too late to be stated in milliseconds
     TimeOverflow,
 }
 
-impl std::error::Error for JobFault {}
+impl std::error::Error for JobError {}
 
-impl From<JobFault> for ErrorKind {
-    fn from(_: JobFault) -> ErrorKind {
+impl From<JobError> for ErrorKind {
+    fn from(_: JobError) -> ErrorKind {
         ErrorKind::Malformed
     }
 }
--- a/crates/cluster-json/src/job_limits.rs
+++ b/crates/cluster-json/src/job_limits.rs
@@ -3,18 +3,18 @@
 /// Bounds on what one job may ask for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobLimits {
-    /// Bytes of the text that every start carries.
+    /// The largest length of the text that every start carries, in bytes.
     pub max_spec_bytes: usize,
-    /// Steps.
+    /// The largest number of steps.
     pub max_steps: usize,
-    /// Tasks of one step.
+    /// The largest number of tasks of one step.
     pub max_tasks_per_step: u64,
-    /// Tasks of all steps together.
+    /// The largest number of tasks of all steps together.
     pub max_tasks: u64,
-    /// Times that the steps run.
+    /// The largest number of occurrences.
     pub max_repeat: u64,
-    /// The largest figure of cpu, memory, accelerators or milliseconds of one task.
-    pub max_figure: u64,
+    /// The largest value of each [`Quantity`](crate::Quantity) of a task.
+    pub max_quantity: u64,
 }
 
 impl Default for JobLimits {
@@ -25,7 +25,7 @@
             max_tasks_per_step: 10_000,
             max_tasks: 100_000,
             max_repeat: 1_000_000,
-            max_figure: 1 << 32,
+            max_quantity: 1 << 32,
         }
     }
 }
--- a/crates/cluster-json/src/json_object.rs
+++ b/crates/cluster-json/src/json_object.rs
@@ -1,4 +1,6 @@
-//! Reading of structs from JSON objects alone. Derived implementations also take arrays of values; bodies must not.
+//! Structs that are read from JSON objects alone.
+//!
+//! Derived implementations of `Deserialize` also accept arrays of values, which requests must not contain.
 
 use serde::de::value::MapAccessDeserializer;
 use serde::de::{Deserialize, Deserializer, MapAccess, Visitor};
@@ -6,32 +8,32 @@
 use std::fmt;
 use std::marker::PhantomData;
 
-/// A value that is written as a JSON object.
+/// A value that is read from a JSON object alone, and written as one.
 #[derive(Debug)]
-pub(crate) struct Object<T>(pub(crate) T);
+pub(crate) struct JsonObject<T>(pub(crate) T);
 
-impl<'de, T: Deserialize<'de>> Deserialize<'de> for Object<T> {
+impl<'de, T: Deserialize<'de>> Deserialize<'de> for JsonObject<T> {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_map(ObjectVisitor(PhantomData))
+        deserializer.deserialize_map(JsonObjectVisitor(PhantomData))
     }
 }
 
-impl<T: Serialize> Serialize for Object<T> {
+impl<T: Serialize> Serialize for JsonObject<T> {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         self.0.serialize(serializer)
     }
 }
 
-struct ObjectVisitor<T>(PhantomData<T>);
+struct JsonObjectVisitor<T>(PhantomData<T>);
 
-impl<'de, T: Deserialize<'de>> Visitor<'de> for ObjectVisitor<T> {
-    type Value = Object<T>;
+impl<'de, T: Deserialize<'de>> Visitor<'de> for JsonObjectVisitor<T> {
+    type Value = JsonObject<T>;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("an object")
     }
 
     fn visit_map<A: MapAccess<'de>>(self, map: A) -> Result<Self::Value, A::Error> {
-        T::deserialize(MapAccessDeserializer::new(map)).map(Object)
+        T::deserialize(MapAccessDeserializer::new(map)).map(JsonObject)
     }
 }
--- a/crates/cluster-json/src/lib.rs
+++ b/crates/cluster-json/src/lib.rs
@@ -1,9 +1,8 @@
-//! JSON forms of the cluster scheduler's outside interfaces: jobs and their states.
+//! JSON of the cluster scheduler's interface for clients: jobs, their states, and the paths that name them.
 //!
-//! Bodies are parsed straight into typed structs, without a tree of values in between. Absent fields are 0, false or
-//! empty; fields that are not known are ignored; wrong types and repeated fields are faults.
-// 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
-#![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
+//! Start reading at [`parse_job`], which reads and checks a submitted job, and [`JobTarget`], which takes a request's path
+//! apart. Bodies are parsed into typed structs without a tree of values in between. Missing fields are 0, false or
+//! empty; unknown fields are ignored, so that newer clients are understood; wrong types and repeated fields are errors.
 
 mod job_body;
 mod job_error;
@@ -11,10 +10,15 @@
 mod job_reader;
 mod job_target;
 mod json_object;
+mod quantity;
 mod response;
 
-pub use job_error::{Figure, JobFault};
+pub use job_body::job_body;
+pub use job_error::JobError;
 pub use job_limits::JobLimits;
-pub use job_reader::{job_body, parse_job};
+pub use job_reader::parse_job;
 pub use job_target::JobTarget;
-pub use response::{job_state_body, parse_job_state, parse_pending, pending_body, UnknownAnswer};
+pub use quantity::Quantity;
+pub use response::{
+    job_state_body, parse_job_state, parse_pending, pending_body, MalformedResponse,
+};
--- a/crates/cluster-json/src/response.rs
+++ b/crates/cluster-json/src/response.rs
@@ -1,6 +1,6 @@
-//! Bodies of answers about jobs and queues.
+//! Bodies of responses about jobs and queues.
 
-use crate::json_object::Object;
+use crate::json_object::JsonObject;
 use displaydoc::Display;
 use lupinrack_cluster_api::job::JobState;
 use serde::{Deserialize, Serialize};
@@ -16,51 +16,60 @@
 ];
 
 #[derive(Serialize, Deserialize)]
-struct StateForm<'a> {
+struct JobStateBody<'a> {
     #[serde(borrow)]
     state: Cow<'a, str>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct PendingForm {
+struct PendingBody {
     pending: u64,
 }
 
 /// the body is not an answer of this kind
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
-pub struct UnknownAnswer;
+pub struct MalformedResponse;
 
-impl std::error::Error for UnknownAnswer {}
+impl std::error::Error for MalformedResponse {}
 
-/// The answer to a question for a job's state.
+/// Writes the response to a query of a job's state.
 pub fn job_state_body(state: JobState) -> String {
-    body(&StateForm {
+    to_json(&JobStateBody {
         state: Cow::Borrowed(state.as_str()),
     })
 }
 
-/// The answer to a question for the number of a queue's jobs that have not ended.
+/// Writes the response to a query of the number of a queue's jobs that have not ended.
 pub fn pending_body(pending: u64) -> String {
-    body(&PendingForm { pending })
+    to_json(&PendingBody { pending })
 }
 
 /// Reads what [`job_state_body`] wrote.
-pub fn parse_job_state(body: &[u8]) -> Result<JobState, UnknownAnswer> {
-    let Object(form) =
-        serde_json::from_slice::<Object<StateForm>>(body).map_err(|_| UnknownAnswer)?;
+///
+/// # Errors
+///
+/// [`MalformedResponse`] where the body is another one or names an unknown state.
+pub fn parse_job_state(body: &[u8]) -> Result<JobState, MalformedResponse> {
+    let JsonObject(response) =
+        serde_json::from_slice::<JsonObject<JobStateBody>>(body).map_err(|_| MalformedResponse)?;
     STATES
         .into_iter()
-        .find(|state| state.as_str() == form.state)
-        .ok_or(UnknownAnswer)
+        .find(|state| state.as_str() == response.state)
+        .ok_or(MalformedResponse)
 }
 
 /// Reads what [`pending_body`] wrote.
-pub fn parse_pending(body: &[u8]) -> Result<u64, UnknownAnswer> {
-    let Object(form) =
-        serde_json::from_slice::<Object<PendingForm>>(body).map_err(|_| UnknownAnswer)?;
-    Ok(form.pending)
+///
+/// # Errors
+///
+/// [`MalformedResponse`] where the body is another one.
+pub fn parse_pending(body: &[u8]) -> Result<u64, MalformedResponse> {
+    let JsonObject(response) =
+        serde_json::from_slice::<JsonObject<PendingBody>>(body).map_err(|_| MalformedResponse)?;
+    Ok(response.pending)
 }
 
-fn body<T: Serialize>(form: &T) -> String {
-    serde_json::to_string(form).unwrap_or_default()
+fn to_json<T: Serialize>(body: &T) -> String {
+    // A struct of texts and numbers always has a JSON form.
+    serde_json::to_string(body).unwrap_or_default()
 }
--- a/crates/cluster-json/tests/golden.rs
+++ b/crates/cluster-json/tests/golden.rs
@@ -1,12 +1,12 @@
 //! JSON bodies byte for byte as they are kept in `tests/golden`, what is read from requests, and the text of every
-//! fault. `UPDATE_GOLDEN=1` writes the files.
+//! error. `UPDATE_GOLDEN=1` writes the files.
 
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::identity::JobId;
 use lupinrack_cluster_api::job::{JobSpec, JobState, Resources, Step};
 use lupinrack_cluster_json::{
-    job_body, job_state_body, parse_job, parse_job_state, parse_pending, pending_body, Figure,
-    JobFault, JobLimits, JobTarget, UnknownAnswer,
+    job_body, job_state_body, parse_job, parse_job_state, parse_pending, pending_body, JobError,
+    JobLimits, JobTarget, MalformedResponse, Quantity,
 };
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -54,7 +54,7 @@
     (name.to_string(), text.to_string())
 }
 
-fn parse(body: &str) -> Result<JobSpec, JobFault> {
+fn parse(body: &str) -> Result<JobSpec, JobError> {
     parse_job(body.as_bytes(), JobLimits::default())
 }
 
@@ -179,25 +179,25 @@
     );
 }
 
-fn name_of_fault(fault: &JobFault) -> &'static str {
-    match fault {
-        JobFault::Syntax(_) => "syntax",
-        JobFault::SpecTooLong { .. } => "spec_too_long",
-        JobFault::NoSteps => "no_steps",
-        JobFault::TooManySteps { .. } => "too_many_steps",
-        JobFault::NoTasks { .. } => "no_tasks",
-        JobFault::TooManyTasksInStep { .. } => "too_many_tasks_in_step",
-        JobFault::TooManyTasks { .. } => "too_many_tasks",
-        JobFault::NotAnEarlierStep { .. } => "not_an_earlier_step",
-        JobFault::FigureTooLarge { figure, .. } => match figure {
-            Figure::Cpu => "figure_too_large_cpu",
-            Figure::Memory => "figure_too_large_memory",
-            Figure::Gpu => "figure_too_large_gpu",
-            Figure::Estimate => "figure_too_large_estimate",
-            Figure::AntiAffinity => "figure_too_large_anti_affinity",
+fn name_of_error(error: &JobError) -> &'static str {
+    match error {
+        JobError::Syntax(_) => "syntax",
+        JobError::SpecTooLong { .. } => "spec_too_long",
+        JobError::NoSteps => "no_steps",
+        JobError::TooManySteps { .. } => "too_many_steps",
+        JobError::NoTasks { .. } => "no_tasks",
+        JobError::TooManyTasksInStep { .. } => "too_many_tasks_in_step",
+        JobError::TooManyTasks { .. } => "too_many_tasks",
+        JobError::NotAnEarlierStep { .. } => "not_an_earlier_step",
+        JobError::QuantityTooLarge { quantity, .. } => match quantity {
+            Quantity::Cpu => "figure_too_large_cpu",
+            Quantity::Memory => "figure_too_large_memory",
+            Quantity::Gpu => "figure_too_large_gpu",
+            Quantity::Estimate => "figure_too_large_estimate",
+            Quantity::AntiAffinity => "figure_too_large_anti_affinity",
         },
-        JobFault::TooManyTimes { .. } => "too_many_times",
-        JobFault::TimeOverflow => "time_overflow",
+        JobError::TooManyOccurrences { .. } => "too_many_times",
+        JobError::TimeOverflow => "time_overflow",
     }
 }
 
@@ -233,40 +233,40 @@
         with_times(r#""repeat":2,"interval-ms":18446744073709551615"#),
         with_times(r#""repeat":1,"interval-ms":1,"start-at-ms":18446744073709551615"#),
     ];
-    let figures = ["cpu", "mem-mb", "gpu", "estimate-ms", "anti-affinity"];
+    let quantities = ["cpu", "mem-mb", "gpu", "estimate-ms", "anti-affinity"];
     bodies.extend(
-        figures.map(|figure| with_step(&format!(r#"{{"count":1,"{figure}":4294967297}}"#))),
+        quantities.map(|quantity| with_step(&format!(r#"{{"count":1,"{quantity}":4294967297}}"#))),
     );
     bodies
 }
 
 #[test]
-fn faults_keep_their_texts() {
-    let faults: Vec<JobFault> = refused_bodies()
+fn errors_keep_their_texts() {
+    let errors: Vec<JobError> = refused_bodies()
         .iter()
         .map(|body| parse(body).expect_err(body))
         .collect();
-    let number_and_name = |(number, fault): (usize, &JobFault)| {
-        entry(&format!("{number} {}", name_of_fault(fault)), fault)
+    let number_and_name = |(number, error): (usize, &JobError)| {
+        entry(&format!("{number} {}", name_of_error(error)), error)
     };
     check(
         "faults.txt",
-        &faults
+        &errors
             .iter()
             .enumerate()
             .map(number_and_name)
             .collect::<Vec<_>>(),
     );
 
-    let kinds: BTreeSet<&str> = faults.iter().map(name_of_fault).collect();
-    assert_eq!(kinds.len(), 15, "every fault occurs, and every figure");
-    assert!(faults
+    let kinds: BTreeSet<&str> = errors.iter().map(name_of_error).collect();
+    assert_eq!(kinds.len(), 15, "every error occurs, and every quantity");
+    assert!(errors
         .into_iter()
-        .all(|fault| ErrorKind::from(fault) == ErrorKind::Malformed));
+        .all(|error| ErrorKind::from(error) == ErrorKind::Malformed));
 }
 
 #[test]
-fn answers_keep_their_form() {
+fn responses_keep_their_form() {
     let states = [
         JobState::Queued,
         JobState::Running,
@@ -280,7 +280,7 @@
         .map(|state| entry(&format!("{state:?}"), job_state_body(*state)))
         .collect();
     entries.extend(counts.map(|pending| entry("pending", pending_body(pending))));
-    entries.push(entry("unknown answer", UnknownAnswer));
+    entries.push(entry("unknown answer", MalformedResponse));
     let kept = check("answers.txt", &entries);
     for (state, (name, text)) in states.iter().zip(&kept) {
         assert_eq!(parse_job_state(text.as_bytes()), Ok(*state), "{name}");
@@ -322,7 +322,7 @@
         max_tasks_per_step,
         max_tasks,
         max_repeat,
-        max_figure,
+        max_quantity,
     } = JobLimits::default();
     let entries = [
         entry("spec, bytes", max_spec_bytes),
@@ -330,7 +330,7 @@
         entry("tasks of a step", max_tasks_per_step),
         entry("tasks", max_tasks),
         entry("times", max_repeat),
-        entry("figure", max_figure),
+        entry("figure", max_quantity),
     ];
     check("limits.txt", &entries);
 }
--- a/crates/cluster-json/tests/jobs.rs
+++ b/crates/cluster-json/tests/jobs.rs
@@ -2,20 +2,20 @@
 
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::job::{JobSpec, Resources, Step};
-use lupinrack_cluster_json::{job_body, parse_job, Figure, JobFault, JobLimits};
+use lupinrack_cluster_json::{job_body, parse_job, JobError, JobLimits, Quantity};
 use quickcheck::{quickcheck, Arbitrary, Gen};
 
-fn parse(body: &str) -> Result<JobSpec, JobFault> {
+fn parse(body: &str) -> Result<JobSpec, JobError> {
     parse_job(body.as_bytes(), JobLimits::default())
 }
 
-/// The fault of a job with this one step.
-fn fault_of_step(step: &str) -> JobFault {
-    parse(&format!(r#"{{"steps":[{step}]}}"#)).expect_err("a fault")
+/// The error of a job with this one step.
+fn error_of_step(step: &str) -> JobError {
+    parse(&format!(r#"{{"steps":[{step}]}}"#)).expect_err("an error")
 }
 
-fn is_syntax_fault(body: &str) -> bool {
-    matches!(parse(body), Err(JobFault::Syntax(_)))
+fn is_syntax_error(body: &str) -> bool {
+    matches!(parse(body), Err(JobError::Syntax(_)))
 }
 
 #[test]
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn what_is_not_a_json_object_is_refused() {
+fn what_is_not_a_json_object_is_rejected() {
     for body in [
         "",
         "{",
@@ -96,17 +96,17 @@
         r#"["text",[{"count":1}]]"#,
         r#"{"steps":[[1]]}"#,
     ] {
-        assert!(is_syntax_fault(body), "{body}");
+        assert!(is_syntax_error(body), "{body}");
     }
-    assert!(is_syntax_fault(r#"{"steps":[{"count":1}]} more"#));
+    assert!(is_syntax_error(r#"{"steps":[{"count":1}]} more"#));
     assert!(matches!(
         parse_job(b"{\"spec\":\"\xff\"}", JobLimits::default()),
-        Err(JobFault::Syntax(_))
+        Err(JobError::Syntax(_))
     ));
 }
 
 #[test]
-fn wrong_types_are_refused() {
+fn wrong_types_are_rejected() {
     for field in [
         r#""spec":3"#,
         r#""spec":null"#,
@@ -116,7 +116,7 @@
         r#""interval-ms":true"#,
     ] {
         assert!(
-            is_syntax_fault(&format!(r#"{{{field},"steps":[{{"count":1}}]}}"#)),
+            is_syntax_error(&format!(r#"{{{field},"steps":[{{"count":1}}]}}"#)),
             "{field}"
         );
     }
@@ -129,36 +129,36 @@
         r#""requires":[]"#,
     ] {
         assert!(
-            is_syntax_fault(&format!(r#"{{"steps":[{{"count":1,{field}}}]}}"#)),
+            is_syntax_error(&format!(r#"{{"steps":[{{"count":1,{field}}}]}}"#)),
             "{field}"
         );
     }
-    assert!(is_syntax_fault(r#"{"steps":{"count":1}}"#));
-    assert!(is_syntax_fault(r#"{"steps":null}"#));
+    assert!(is_syntax_error(r#"{"steps":{"count":1}}"#));
+    assert!(is_syntax_error(r#"{"steps":null}"#));
 }
 
 #[test]
-fn repeated_fields_are_refused() {
-    assert!(is_syntax_fault(
+fn repeated_fields_are_rejected() {
+    assert!(is_syntax_error(
         r#"{"spec":"a","spec":"a","steps":[{"count":1}]}"#
     ));
-    assert!(is_syntax_fault(r#"{"steps":[{"count":1,"count":1}]}"#));
+    assert!(is_syntax_error(r#"{"steps":[{"count":1,"count":1}]}"#));
 }
 
 #[test]
-fn the_text_is_bounded_in_bytes() {
+fn the_spec_is_bounded_in_bytes() {
     let body = |text: String| format!(r#"{{"spec":"{text}","steps":[{{"count":1}}]}}"#);
     assert!(parse(&body("x".repeat(4000))).is_ok());
     assert_eq!(
         parse(&body("x".repeat(4001))),
-        Err(JobFault::SpecTooLong {
+        Err(JobError::SpecTooLong {
             bytes: 4001,
             limit: 4000
         })
     );
     assert_eq!(
         parse(&body("é".repeat(2001))),
-        Err(JobFault::SpecTooLong {
+        Err(JobError::SpecTooLong {
             bytes: 4002,
             limit: 4000
         })
@@ -173,12 +173,12 @@
             vec![r#"{"count":1}"#; steps].join(",")
         )
     };
-    assert_eq!(parse("{}"), Err(JobFault::NoSteps));
-    assert_eq!(parse(&body(0)), Err(JobFault::NoSteps));
+    assert_eq!(parse("{}"), Err(JobError::NoSteps));
+    assert_eq!(parse(&body(0)), Err(JobError::NoSteps));
     assert!(parse(&body(256)).is_ok());
     assert_eq!(
         parse(&body(257)),
-        Err(JobFault::TooManySteps {
+        Err(JobError::TooManySteps {
             steps: 257,
             limit: 256
         })
@@ -187,24 +187,24 @@
 
 #[test]
 fn tasks_are_bounded() {
-    assert_eq!(fault_of_step("{}"), JobFault::NoTasks { step: 0 });
+    assert_eq!(error_of_step("{}"), JobError::NoTasks { step: 0 });
     assert_eq!(
-        fault_of_step(r#"{"count":0}"#),
-        JobFault::NoTasks { step: 0 }
+        error_of_step(r#"{"count":0}"#),
+        JobError::NoTasks { step: 0 }
     );
     assert!(parse(r#"{"steps":[{"count":10000}]}"#).is_ok());
-    let too_many = JobFault::TooManyTasksInStep {
+    let too_many = JobError::TooManyTasksInStep {
         step: 0,
         tasks: 10_001,
         limit: 10_000,
     };
-    assert_eq!(fault_of_step(r#"{"count":10001}"#), too_many);
+    assert_eq!(error_of_step(r#"{"count":10001}"#), too_many);
     let full = [r#"{"count":10000}"#; 10].join(",");
     assert!(parse(&format!(r#"{{"steps":[{full}]}}"#)).is_ok());
     let over = parse(&format!(r#"{{"steps":[{full},{{"count":1}}]}}"#));
     assert_eq!(
         over,
-        Err(JobFault::TooManyTasks {
+        Err(JobError::TooManyTasks {
             tasks: 100_001,
             limit: 100_000
         })
@@ -214,8 +214,8 @@
 #[test]
 fn only_earlier_steps_can_be_depended_on() {
     assert_eq!(
-        fault_of_step(r#"{"count":1,"depends-on":[0]}"#),
-        JobFault::NotAnEarlierStep {
+        error_of_step(r#"{"count":1,"depends-on":[0]}"#),
+        JobError::NotAnEarlierStep {
             step: 0,
             dependency: 0
         }
@@ -226,7 +226,7 @@
         ));
         assert_eq!(
             later,
-            Err(JobFault::NotAnEarlierStep {
+            Err(JobError::NotAnEarlierStep {
                 step: 1,
                 dependency
             })
@@ -235,22 +235,22 @@
 }
 
 #[test]
-fn figures_are_bounded() {
+fn quantities_are_bounded() {
     let (limit, value) = (1u64 << 32, (1u64 << 32) + 1);
-    let figures = [
-        ("cpu", Figure::Cpu),
-        ("mem-mb", Figure::Memory),
-        ("gpu", Figure::Gpu),
-        ("estimate-ms", Figure::Estimate),
-        ("anti-affinity", Figure::AntiAffinity),
+    let quantities = [
+        ("cpu", Quantity::Cpu),
+        ("mem-mb", Quantity::Memory),
+        ("gpu", Quantity::Gpu),
+        ("estimate-ms", Quantity::Estimate),
+        ("anti-affinity", Quantity::AntiAffinity),
     ];
-    for (name, figure) in figures {
-        let fault = fault_of_step(&format!(r#"{{"count":1,"{name}":{value}}}"#));
+    for (name, quantity) in quantities {
+        let error = error_of_step(&format!(r#"{{"count":1,"{name}":{value}}}"#));
         assert_eq!(
-            fault,
-            JobFault::FigureTooLarge {
+            error,
+            JobError::QuantityTooLarge {
                 step: 0,
-                figure,
+                quantity,
                 value,
                 limit
             }
@@ -263,10 +263,10 @@
 }
 
 #[test]
-fn times_are_bounded() {
+fn occurrences_are_bounded() {
     let body = |times: &str| format!(r#"{{{times},"steps":[{{"count":1}}]}}"#);
     assert!(parse(&body(r#""repeat":1000000"#)).is_ok());
-    let too_many = JobFault::TooManyTimes {
+    let too_many = JobError::TooManyOccurrences {
         repeat: 1_000_001,
         limit: 1_000_000,
     };
@@ -274,10 +274,10 @@
     let max = u64::MAX;
     assert_eq!(
         parse(&body(&format!(r#""repeat":2,"interval-ms":{max}"#))),
-        Err(JobFault::TimeOverflow)
+        Err(JobError::TimeOverflow)
     );
     let late = format!(r#""repeat":1,"interval-ms":1,"start-at-ms":{max}"#);
-    assert_eq!(parse(&body(&late)), Err(JobFault::TimeOverflow));
+    assert_eq!(parse(&body(&late)), Err(JobError::TimeOverflow));
     assert!(parse(&body(&format!(r#""start-at-ms":{max}"#))).is_ok());
 }
 
@@ -289,39 +289,39 @@
         ..JobLimits::default()
     };
     let long = parse_job(br#"{"spec":"abc","steps":[{"count":1}]}"#, limits);
-    assert_eq!(long, Err(JobFault::SpecTooLong { bytes: 3, limit: 2 }));
+    assert_eq!(long, Err(JobError::SpecTooLong { bytes: 3, limit: 2 }));
     let steps = parse_job(br#"{"steps":[{"count":1},{"count":1}]}"#, limits);
-    assert_eq!(steps, Err(JobFault::TooManySteps { steps: 2, limit: 1 }));
+    assert_eq!(steps, Err(JobError::TooManySteps { steps: 2, limit: 1 }));
 }
 
 #[test]
-fn faults_read_well_and_are_malformed_requests() {
-    let fault = fault_of_step(r#"{"count":1,"mem-mb":5000000000}"#);
+fn an_error_names_the_rule_and_is_a_malformed_request() {
+    let error = error_of_step(r#"{"count":1,"mem-mb":5000000000}"#);
     assert_eq!(
-        fault.to_string(),
+        error.to_string(),
         "step 0 states 5000000000 for mem-mb, over 4294967296"
     );
-    assert_eq!(ErrorKind::from(fault), ErrorKind::Malformed);
+    assert_eq!(ErrorKind::from(error), ErrorKind::Malformed);
 }
 
 #[test]
-fn nested_rubbish_ends_in_a_fault() {
-    assert!(is_syntax_fault(&format!(
+fn deeply_nested_input_is_an_error() {
+    assert!(is_syntax_error(&format!(
         r#"{{"other":{}"#,
         "[".repeat(100_000)
     )));
 }
 
-/// A job that keeps all bounds.
+/// A job within all limits.
 #[derive(Clone, Debug)]
-struct SoundJob(JobSpec);
+struct ValidJob(JobSpec);
 
-impl Arbitrary for SoundJob {
-    fn arbitrary(g: &mut Gen) -> SoundJob {
+impl Arbitrary for ValidJob {
+    fn arbitrary(g: &mut Gen) -> ValidJob {
         let steps = 1 + u32::arbitrary(g) % 8;
-        SoundJob(JobSpec {
+        ValidJob(JobSpec {
             spec: String::arbitrary(g).chars().take(1000).collect(),
-            steps: (0..steps).map(|number| sound_step(g, number)).collect(),
+            steps: (0..steps).map(|number| valid_step(g, number)).collect(),
             repeat: u32::arbitrary(g) % 1_000_001,
             start_at_ms: u64::arbitrary(g) >> 1,
             interval_ms: u64::from(u32::arbitrary(g)),
@@ -329,12 +329,12 @@
     }
 }
 
-fn sound_step(g: &mut Gen, number: u32) -> Step {
-    let mut figure = || u64::from(u32::arbitrary(g));
+fn valid_step(g: &mut Gen, number: u32) -> Step {
+    let mut quantity = || u64::from(u32::arbitrary(g));
     let needs = Resources {
-        cpu: figure(),
-        memory_mb: figure(),
-        gpu: figure(),
+        cpu: quantity(),
+        memory_mb: quantity(),
+        gpu: quantity(),
     };
     Step {
         count: 1 + u32::arbitrary(g) % 10_000,
@@ -353,12 +353,12 @@
 }
 
 quickcheck! {
-    fn no_bytes_make_it_panic(body: Vec<u8>) -> bool {
+    fn no_bytes_cause_a_panic(body: Vec<u8>) -> bool {
         let _ = parse_job(&body, JobLimits::default());
         true
     }
 
-    fn no_damage_makes_it_panic(job: SoundJob, at: usize, byte: u8) -> bool {
+    fn no_damage_causes_a_panic(job: ValidJob, at: usize, byte: u8) -> bool {
         let mut body = job_body(&job.0).into_bytes();
         let place = at % body.len();
         body[place] = byte;
@@ -366,11 +366,11 @@
         true
     }
 
-    fn a_job_comes_back_as_it_was(job: SoundJob) -> bool {
+    fn a_written_job_is_read_unchanged(job: ValidJob) -> bool {
         parse(&job_body(&job.0)) == Ok(job.0)
     }
 
-    fn a_cut_body_is_refused(job: SoundJob, at: usize) -> bool {
+    fn a_truncated_body_is_rejected(job: ValidJob, at: usize) -> bool {
         let body = job_body(&job.0);
         parse_job(&body.as_bytes()[..at % body.len()], JobLimits::default()).is_err()
     }
--- a/crates/cluster-json/tests/paths_and_responses.rs
+++ b/crates/cluster-json/tests/paths_and_responses.rs
@@ -1,4 +1,4 @@
-//! Paths of jobs and queues, and the bodies of answers.
+//! Paths of jobs and queues, and the bodies of responses.
 
 use lupinrack_cluster_api::identity::JobId;
 use lupinrack_cluster_api::job::JobState;
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn every_other_path_is_taken_for_a_queue() {
+fn every_other_path_names_a_queue() {
     for path in [
         "",
         "/",
@@ -71,13 +71,13 @@
 }
 
 #[test]
-fn states_are_stated_in_their_words() {
+fn responses_have_their_json_form() {
     assert_eq!(job_state_body(JobState::Running), r#"{"state":"running"}"#);
     assert_eq!(pending_body(12), r#"{"pending":12}"#);
 }
 
 #[test]
-fn states_come_back() {
+fn written_states_are_read_unchanged() {
     let states = [
         JobState::Queued,
         JobState::Running,
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn other_answers_are_not_states() {
+fn other_responses_are_rejected() {
     for body in [
         "",
         "{}",
@@ -107,16 +107,16 @@
 }
 
 quickcheck! {
-    fn a_prefix_and_a_job_are_taken_apart(words: Vec<u16>, id: u64) -> bool {
+    fn a_prefix_and_a_job_are_separated(words: Vec<u16>, id: u64) -> bool {
         let prefix: String = words.iter().map(|word| format!("/w{word}")).chain(["/".to_string()]).collect();
         JobTarget::from_path(&format!("{prefix}{}", JobId(id))) == JobTarget { prefix: &prefix, job: Some(JobId(id)) }
     }
 
-    fn no_path_makes_it_panic(path: String) -> bool {
+    fn no_path_causes_a_panic(path: String) -> bool {
         JobTarget::from_path(&path).prefix.len() <= path.len()
     }
 
-    fn a_count_comes_back(pending: u64) -> bool {
+    fn a_written_count_is_read_unchanged(pending: u64) -> bool {
         parse_pending(pending_body(pending).as_bytes()) == Ok(pending)
     }
 }
