--- a/crates/view-agreement/src/policy/mod.rs
+++ b/crates/view-agreement/src/policy/mod.rs
@@ -1,17 +1,17 @@
 //! Which view a process should propose next, by what it hears from the other core processes.
 
-mod chain;
-mod peers;
-mod voters;
+mod chain_plan;
+mod failure_detector;
+mod voter_plan;
 
-use chain::ChainPlan;
+use chain_plan::ChainPlan;
+use failure_detector::Peers;
+pub use failure_detector::{DuplicateDisk, PeerReport};
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::{View, Voter};
-use peers::Peers;
-pub use peers::{DuplicateDisk, PeerReport};
 use std::collections::BTreeSet;
-use voters::VoterPlan;
+use voter_plan::VoterPlan;
 
 use crate::quorum::is_majority;
 
@@ -248,7 +248,7 @@
         return None;
     }
     let length = wanted_chain_length(voters.len(), snapshot.settings.tolerated_losses);
-    let chain = chain::spread_over_zones(Vec::new(), &voters, &voters, length);
+    let chain = chain_plan::spread_over_zones(Vec::new(), &voters, &voters, length);
     Some(View {
         number: 1,
         voters,
--- a/crates/view-agreement/tests/policy/main.rs
+++ b/crates/view-agreement/tests/policy/main.rs
@@ -3,8 +3,8 @@
 #[path = "../common/mod.rs"]
 mod common;
 
+mod draining;
 mod identity;
-mod leaving;
 mod replacement;
 mod rules;
 mod tolerance;
