--- a/crates/view-agreement/src/acceptor.rs
+++ b/crates/view-agreement/src/acceptor.rs
@@ -1,24 +1,24 @@
-//! The acceptor's side: which ballots and views a disk may answer, and how.
+//! The acceptor: which proposals a disk may respond to, and how.
 
 use crate::vote::VoteState;
 use lupinrack_cluster_api::view::{View, Voter};
 use lupinrack_cluster_api::wire::{AgreementMessage, ProposalNumber};
 
-/// The answer to a proposer.
+/// The response to a proposer.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Response {
-    /// The vote was changed or confirmed; the message may leave once the vote is on disk.
+    /// The vote was changed or confirmed; the message may be sent once the vote is on disk.
     Vote(AgreementMessage),
-    /// A higher ballot was promised.
+    /// A higher proposal number was prepared; the message may be sent at once.
     Rejected(AgreementMessage),
-    /// This disk has no vote here, or the proposer is behind; it may be told of the newest agreed view.
+    /// No response: this disk has no vote on the proposal, or the proposer's view is out of date.
     NoVote,
 }
 
 impl VoteState {
-    /// Responds to [`AgreementMessage::Prepare`].
+    /// Responds to [`AgreementMessage::Prepare`], phase 1 of Paxos.
     pub(crate) fn prepare(&mut self, me: &Voter, proposal_number: ProposalNumber) -> Response {
-        if !self.is_acceptor(me) {
+        if !self.electorate().includes(me) {
             return Response::NoVote;
         }
         if proposal_number < self.prepared {
@@ -34,10 +34,13 @@
         })
     }
 
-    /// What a promise reports: the accepted view, or the agreed one where that is newer. An agreed view may stand for
-    /// an accepted one, since no other can be chosen under its number. Reporting it keeps a proposer that is behind
-    /// from counting this disk as one that accepted nothing, which matters before view 1, where acceptors are counted
-    /// by address and a disk may have taken the place of a founder's.
+    /// What the response to a prepare request reports: the accepted view, or the agreed one if that
+    /// is newer.
+    ///
+    /// An agreed view may stand for an accepted one, since no other can be chosen under its number.
+    /// Reporting it keeps an outdated proposer from counting this disk as one that accepted
+    /// nothing. That matters before view 1, where acceptors are counted by address and a new disk
+    /// may have been put in the place of a founder's.
     fn newest_view(&self) -> (ProposalNumber, View) {
         if self.accepted.number < self.agreed.number {
             return (self.prepared, self.agreed.clone());
@@ -45,7 +48,7 @@
         (self.accepted_proposal, self.accepted.clone())
     }
 
-    /// Responds to [`AgreementMessage::Accept`].
+    /// Responds to [`AgreementMessage::Accept`], phase 2 of Paxos.
     pub(crate) fn accept(
         &mut self,
         me: &Voter,
@@ -67,26 +70,20 @@
         })
     }
 
-    /// Whether this disk is one of the acceptors of the view after the agreed one.
-    pub(crate) fn is_acceptor(&self, me: &Voter) -> bool {
-        if self.agreed.number == 0 {
-            return self.founders.contains(&me.address);
-        }
-        self.agreed.voter(me.disk).is_some()
-    }
-
-    /// Whether this disk may accept this view: it follows the agreed one, and the disk is an acceptor or enters with
-    /// it. One that enters counts for the majority of the new voters alone.
+    /// Whether this disk may accept this view: it follows the agreed one, and the disk is an
+    /// acceptor or becomes a voter by it. One that becomes a voter counts only towards the majority
+    /// of the new view's voters.
     fn may_accept(&self, me: &Voter, view: &View) -> bool {
-        let follows = view.number == self.agreed.number + 1;
-        let enters = self.agreed.number > 0 && view.voter(me.disk).is_some();
-        follows && (self.is_acceptor(me) || enters)
+        let follows = view.number == self.next_view_number();
+        let becomes_voter = self.agreed.number > 0 && view.voter(me.disk).is_some();
+        follows && (self.electorate().includes(me) || becomes_voter)
     }
 
     fn rejected(&self, proposal_number: ProposalNumber) -> Response {
+        let prepared = self.prepared;
         Response::Rejected(AgreementMessage::Rejected {
             proposal_number,
-            prepared: self.prepared,
+            prepared,
         })
     }
 }
--- a/crates/view-agreement/src/backoff.rs
+++ b/crates/view-agreement/src/backoff.rs
@@ -1,13 +1,16 @@
-//! Random delays between the attempts of a proposer, so that two of them do not keep overtaking each other.
+//! Random delays between the attempts of a proposer, so that two proposers do not keep overtaking
+//! each other.
 
-/// The bound of the first delay, in milliseconds; it doubles with each attempt.
+/// The upper bound of the first delay, in milliseconds; it doubles with each attempt.
 const FIRST_DELAY_MS: u64 = 40;
-/// How often the bound doubles at most.
+/// How often the upper bound doubles at most.
 const DOUBLINGS_MOST: u32 = 4;
 
-/// Draws delays. Its seed is the life of the process, which differs between processes.
+/// A source of random delays. Its seed is the incarnation of the process, which differs between
+/// processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Backoff {
+    /// The state of the generator.
     state: u64,
 }
 
@@ -16,14 +19,14 @@
         Backoff { state: incarnation }
     }
 
-    /// The delay before another attempt, in milliseconds, where `attempts` were made.
+    /// The delay before the next attempt, in milliseconds, after so many attempts.
     pub(crate) fn delay_ms(&mut self, attempts: u32) -> u64 {
         let bound = FIRST_DELAY_MS << attempts.saturating_sub(1).min(DOUBLINGS_MOST);
-        self.draw() % bound + 1
+        self.next_random() % bound + 1
     }
 
-    /// The next number of the SplitMix64 generator.
-    fn draw(&mut self) -> u64 {
+    /// The next number of the `SplitMix64` generator (Steele, Lea and Flood, OOPSLA 2014).
+    fn next_random(&mut self) -> u64 {
         self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.state;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/view-agreement/src/lib.rs
+++ b/crates/view-agreement/src/lib.rs
@@ -1,23 +1,39 @@
-//! Agreement on the view of the core: a register changed by two-phase ballots, and the policy that proposes views.
+//! Agreement on the view of the core, and the policy that proposes views.
 //!
-//! View `n + 1` is decided as one instance of single-decree Paxos whose acceptors are the voters of view `n`. Every
-//! acceptor knows view `n` (and has it on its disk) before it accepts view `n + 1`, so instances never mix and a
-//! proposer always knows whose majority it needs. On top of that, a view counts as agreed only once a majority of its
-//! own voters has accepted it too, so that the next instance starts with acceptors that hold it.
+//! A [`View`](lupinrack_cluster_api::view::View) lists the voters and the replication chain of the
+//! core. This crate owns how the next view is decided and which view is worth proposing; it does not
+//! replicate the control state itself.
 //!
-//! Everything here is a pure state machine: moments and the life of the process come in as arguments, and what is to
-//! be written or sent goes out as [`Effect`]s.
-// 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
-#![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
+//! # The protocol
+//!
+//! View `n + 1` is decided by one instance of single-decree Paxos (Lamport, *Paxos Made Simple*,
+//! 2001) whose acceptors are the voters of view `n`; view 1 is decided by the founders. Every
+//! acceptor has view `n` on its disk before it accepts view `n + 1`, so instances never mix, and a
+//! proposer always knows whose majority it needs. In addition a view counts as agreed only once a
+//! majority of its *own* voters has accepted it too, so that the next instance starts with acceptors
+//! that have it on disk (compare Lamport, Malkhi and Zhou, *Reconfiguring a State Machine*, 2010).
+//!
+//! # How it is driven
+//!
+//! [`Agreement`] and [`ViewPolicy`] are state machines without I/O or clock: moments and the
+//! incarnation of the process come in as arguments, and what is to be written or sent comes out as
+//! [`Effect`]s. The driver carries an agreement's effects out in their order.
+//!
+//! # Where to start reading
+//!
+//! [`Agreement`] ties the three roles of Paxos together: `acceptor`, `proposer`, and the learner in
+//! `agreement` itself. [`ViewPolicy`] ties the failure detector to the plans of the next view.
 
 mod acceptor;
-pub mod agreement;
+mod agreement;
 mod backoff;
-pub mod effect;
+mod effect;
+mod electorate;
 pub mod policy;
 mod proposal;
+mod proposer;
 mod quorum;
-pub mod vote;
+mod vote;
 
 pub use agreement::Agreement;
 pub use effect::Effect;
--- a/crates/view-agreement/src/policy/chain_plan.rs
+++ b/crates/view-agreement/src/policy/chain_plan.rs
@@ -1,13 +1,14 @@
 //! The chain of the next view.
 
-use super::{wanted_chain_length, ClusterSnapshot};
+use super::cluster_snapshot::ClusterSnapshot;
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::view::Voter;
 
-/// How long, in milliseconds, a disk may be unhealthy before it leaves the chain.
+/// How long, in milliseconds, a disk may be unhealthy before it is removed from the chain.
 const UNHEALTHY_AFTER_MS: u64 = 400;
 
-/// Works out the chain: members that are lost or leaving go, disks that have caught up are appended.
+/// Derives the chain: members that are lost or draining are removed, disks that have caught up are
+/// appended.
 pub(super) struct ChainPlan<'a> {
     snapshot: &'a ClusterSnapshot<'a>,
 }
@@ -17,33 +18,31 @@
         ChainPlan { snapshot }
     }
 
-    /// The chain of the next view; none while no member is known to be alive, since then nobody who is there is
-    /// certain to hold what was acknowledged.
+    /// The chain of the next view; none while no member is known to be alive, since then no process
+    /// that is alive is certain to hold what was acknowledged.
     pub(super) fn next(&self) -> Option<Vec<DiskId>> {
         let remaining = self.remaining();
         if !remaining.iter().any(|voter| self.snapshot.is_alive(voter)) {
             return None;
         }
         let spares = self.spares();
-        let kept = self.without(remaining, spares.len(), |voter| self.is_unhealthy(voter));
-        let kept = self.without(kept, spares.len(), |voter| {
-            self.snapshot.peers.is_draining(voter)
-        });
-        let chain = self.headed_by_complete(kept)?;
+        let members = self.without(remaining, spares.len(), |voter| self.is_unhealthy(voter));
+        let is_draining = |voter: &Voter| self.snapshot.detector.is_draining(voter);
+        let members = self.without(members, spares.len(), is_draining);
+        let chain = self.headed_by_complete(&members)?;
         let length =
             wanted_chain_length(self.voters().len(), self.snapshot.settings.tolerated_losses);
         Some(spread_over_zones(chain, &spares, self.voters(), length))
     }
 
-    /// The members with the first at the head that has everything that was committed before the current view; none
-    /// where there is no such member, or where one before it has not told yet in this view whether it is one.
-    fn headed_by_complete(&self, members: Vec<&Voter>) -> Option<Vec<DiskId>> {
-        let ClusterSnapshot { peers, current, .. } = self.snapshot;
-        let told = |voter: &&Voter| peers.is_complete(voter, current.number);
+    /// The members, with the first complete one moved to the head. None if there is no complete
+    /// one, or if one before it has not reported in this view whether it is complete.
+    fn headed_by_complete(&self, members: &[&Voter]) -> Option<Vec<DiskId>> {
+        let is_complete = |voter: &&Voter| self.snapshot.is_complete(voter);
         let head = members
             .iter()
-            .position(|voter| told(voter) != Some(false))?;
-        told(&members[head])?;
+            .position(|voter| is_complete(voter) != Some(false))?;
+        is_complete(&members[head])?;
         let mut chain: Vec<DiskId> = members.iter().map(|voter| voter.disk).collect();
         let disk = chain.remove(head);
         chain.insert(0, disk);
@@ -56,70 +55,70 @@
 
     /// The members that are not lost, in their order.
     fn remaining(&self) -> Vec<&'a Voter> {
-        let ClusterSnapshot {
-            peers,
-            current,
-            now,
-            ..
-        } = self.snapshot;
-        let members = current.chain.iter().filter_map(|disk| current.voter(*disk));
-        members
-            .filter(|voter| !peers.is_lost(voter, *now))
+        let ClusterSnapshot { detector, now, .. } = *self.snapshot;
+        self.snapshot
+            .chain_members()
+            .filter(|voter| !detector.is_lost(voter, now))
             .collect()
     }
 
     /// Voters outside the chain that could join it.
     fn spares(&self) -> Vec<Voter> {
         let ClusterSnapshot {
-            peers,
+            detector,
             current,
             now,
             ..
-        } = self.snapshot;
-        let outside = self
-            .voters()
-            .iter()
-            .filter(|voter| current.position(voter.disk).is_none());
-        outside
-            .filter(|voter| peers.could_join(voter, current.number, *now))
+        } = *self.snapshot;
+        let could_join = |voter: &&Voter| detector.could_join(voter, current.number, now);
+        self.snapshot
+            .voters_outside_chain()
+            .filter(could_join)
             .cloned()
             .collect()
     }
 
-    /// Drops members that had better go, if what is left, with the spares, still outlasts the tolerated losses and one
-    /// of them is alive and has everything.
+    /// Removes the members that are better removed, provided that the rest together with the spares
+    /// still outlasts the tolerated losses, and that one of the rest could be the head.
     fn without(
         &self,
         members: Vec<&'a Voter>,
         spares: usize,
-        had_better_go: impl Fn(&Voter) -> bool,
+        is_better_removed: impl Fn(&Voter) -> bool,
     ) -> Vec<&'a Voter> {
-        let kept: Vec<&Voter> = members
+        let rest: Vec<&Voter> = members
             .iter()
             .copied()
-            .filter(|voter| !had_better_go(voter))
+            .filter(|voter| !is_better_removed(voter))
             .collect();
-        let enough = kept.len() + spares > self.snapshot.settings.tolerated_losses;
-        if enough && kept.iter().any(|voter| self.could_lead(voter)) {
-            kept
+        let is_enough = rest.len() + spares > self.snapshot.settings.tolerated_losses;
+        if is_enough && rest.iter().any(|voter| self.could_be_head(voter)) {
+            rest
         } else {
             members
         }
     }
 
     fn is_unhealthy(&self, voter: &Voter) -> bool {
-        let ClusterSnapshot { peers, now, .. } = *self.snapshot;
-        peers.unhealthy_ms(voter, now) > UNHEALTHY_AFTER_MS
+        let ClusterSnapshot { detector, now, .. } = *self.snapshot;
+        detector.unhealthy_ms(voter, now) > UNHEALTHY_AFTER_MS
     }
 
-    /// Whether a member is alive and not known to lack anything that was committed before the current view.
-    fn could_lead(&self, voter: &Voter) -> bool {
-        let ClusterSnapshot { peers, current, .. } = self.snapshot;
-        self.snapshot.is_alive(voter) && peers.is_complete(voter, current.number) != Some(false)
+    /// Whether a member is alive and not known to lack anything that was committed before the
+    /// current view.
+    fn could_be_head(&self, voter: &Voter) -> bool {
+        self.snapshot.is_alive(voter) && self.snapshot.is_complete(voter) != Some(false)
     }
 }
 
-/// Appends candidates to a chain up to a length, each time one whose zone has the fewest members so far.
+/// The length of the chain for so many voters: it intersects every majority of them, and outlasts
+/// the tolerated losses.
+pub(super) fn wanted_chain_length(voters: usize, tolerated_losses: usize) -> usize {
+    (voters / 2 + 1).max(tolerated_losses + 1).min(voters)
+}
+
+/// Appends candidates to a chain up to a length, each time one whose zone has the fewest members so
+/// far.
 pub(super) fn spread_over_zones(
     mut chain: Vec<DiskId>,
     candidates: &[Voter],
@@ -139,8 +138,6 @@
 }
 
 fn members_in_zone(chain: &[DiskId], voters: &[Voter], zone: &str) -> usize {
-    voters
-        .iter()
-        .filter(|voter| voter.zone == zone && chain.contains(&voter.disk))
-        .count()
+    let is_member_there = |voter: &&Voter| voter.zone == zone && chain.contains(&voter.disk);
+    voters.iter().filter(is_member_there).count()
 }
--- a/crates/view-agreement/src/policy/failure_detector.rs
+++ b/crates/view-agreement/src/policy/failure_detector.rs
@@ -1,5 +1,7 @@
-//! What was heard from each core process, and when.
+//! The failure detector: which core processes are alive, by their heartbeats.
 
+use super::peer::Peer;
+use super::peer_report::{DuplicateDisk, PeerReport};
 use super::PolicySettings;
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
@@ -7,70 +9,39 @@
 use lupinrack_cluster_api::wire::ReplicaReport;
 use std::collections::BTreeMap;
 
-/// How long, in milliseconds, a process has to be there before it is made a voter.
-const SETTLED_AFTER_MS: u64 = 500;
-/// What a closed connection divides the time of suspicion by.
-const CLOSED_DIVISOR: u64 = 2;
-/// How many heartbeats may pass between two looks before this process takes itself for the one that stood still.
+/// How long, in milliseconds, a process has to be present before it is made a voter.
+const STABLE_AFTER_MS: u64 = 500;
+/// How many heartbeat intervals may pass between two calls before this process concludes that it
+/// was the one that stalled.
 const STALL_HEARTBEATS: u64 = 2;
 
-/// The contents of a heartbeat, beside who sent it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PeerReport {
-    /// Drawn at random when the sender's process began.
-    pub incarnation: u64,
-    /// The number of the newest view that the sender knows.
-    pub view_number: u64,
-    /// Whether its disk answers in time.
-    pub disk_healthy: bool,
-    /// Whether it was told to end.
-    pub draining: bool,
-    /// What its replica is good for in that view.
-    pub replica: ReplicaReport,
-}
-
-/// A heartbeat claims a disk that is alive at another address: one of the two runs on a copy of the other's data.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DuplicateDisk {
-    /// The disk.
-    pub disk: DiskId,
-    /// Where it was heard before.
-    pub known_at: PeerAddress,
-}
-
-/// The process at an address.
+/// Everything known of the core processes that ever sent a heartbeat, by address.
 #[derive(Clone, Debug)]
-struct Peer {
-    voter: Voter,
-    report: PeerReport,
-    /// Since when this life of the process has been heard without a loss between.
-    present_since: Millis,
-    last_heard: Millis,
-    unhealthy_since: Option<Millis>,
-    /// Whether a connection was reset after `last_heard`.
-    connection_reset: bool,
-}
-
-/// All processes that were ever heard, by address.
-#[derive(Clone, Debug)]
-pub(super) struct Peers {
+pub(super) struct FailureDetector {
     settings: PolicySettings,
-    by_address: BTreeMap<PeerAddress, Peer>,
+    peers: BTreeMap<PeerAddress, Peer>,
+    /// When the first call came.
     started: Option<Millis>,
-    last_look: Millis,
+    /// When time was last advanced.
+    last_advance: Millis,
 }
 
-impl Peers {
-    pub(super) fn new(settings: PolicySettings) -> Peers {
-        Peers {
+impl FailureDetector {
+    /// A failure detector that has received nothing.
+    pub(super) fn new(settings: PolicySettings) -> FailureDetector {
+        FailureDetector {
             settings,
-            by_address: BTreeMap::new(),
+            peers: BTreeMap::new(),
             started: None,
-            last_look: Millis(0),
+            last_advance: Millis(0),
         }
     }
 
-    /// Takes a heartbeat.
+    /// Receives a heartbeat.
+    ///
+    /// # Errors
+    ///
+    /// If it claims a disk that is alive at another address.
     pub(super) fn receive_heartbeat(
         &mut self,
         voter: Voter,
@@ -78,23 +49,24 @@
         now: Millis,
     ) -> Result<(), DuplicateDisk> {
         self.check_disk(voter.disk, voter.address, now)?;
-        self.take(voter, report, now);
+        self.record(voter, report, now);
         Ok(())
     }
 
-    /// Whether a process at this address may have this disk: no other that is alive has it.
+    /// Checks that no process at another address is alive with this disk.
+    ///
+    /// # Errors
+    ///
+    /// If there is one.
     pub(super) fn check_disk(
         &self,
         disk: DiskId,
         address: PeerAddress,
         now: Millis,
     ) -> Result<(), DuplicateDisk> {
-        let has_it = |peer: &&Peer| is_disk(peer, disk) && peer.voter.address != address;
-        match self
-            .by_address
-            .values()
-            .find(|peer| has_it(peer) && !self.is_silent(peer, now))
-        {
+        let is_other = |peer: &&Peer| peer.has_disk(disk) && peer.voter.address != address;
+        let mut others = self.peers.values().filter(is_other);
+        match others.find(|peer| !self.has_timed_out(peer, now)) {
             Some(other) => Err(DuplicateDisk {
                 disk,
                 known_at: other.voter.address,
@@ -103,20 +75,15 @@
         }
     }
 
-    fn take(&mut self, voter: Voter, report: PeerReport, now: Millis) {
+    fn record(&mut self, voter: Voter, report: PeerReport, now: Millis) {
         self.started.get_or_insert(now);
-        let before = self
-            .by_address
-            .get(&voter.address)
-            .filter(|peer| peer.voter.disk == voter.disk);
-        let present_since = match before {
-            Some(peer)
-                if !self.is_silent(peer, now) && peer.report.incarnation == report.incarnation =>
-            {
-                peer.present_since
-            }
-            _ => now,
+        let before = self.peer(&voter);
+        let is_same = |peer: &&Peer| {
+            !self.has_timed_out(peer, now) && peer.report.incarnation == report.incarnation
         };
+        let present_since = before
+            .filter(is_same)
+            .map_or(now, |peer| peer.present_since);
         let unhealthy_before = before.and_then(|peer| peer.unhealthy_since);
         let unhealthy_since = (!report.disk_healthy).then_some(unhealthy_before.unwrap_or(now));
         let address = voter.address;
@@ -124,44 +91,40 @@
             voter,
             report,
             present_since,
-            last_heard: now,
+            last_heartbeat: now,
             unhealthy_since,
             connection_reset: false,
         };
-        self.by_address.insert(address, peer);
+        self.peers.insert(address, peer);
     }
 
-    /// Marks that a connection from this address was reset.
+    /// Notes that a connection from this address was reset.
     pub(super) fn connection_reset(&mut self, address: PeerAddress) {
-        if let Some(peer) = self.by_address.get_mut(&address) {
+        if let Some(peer) = self.peers.get_mut(&address) {
             peer.connection_reset = true;
         }
     }
 
-    /// Lets time pass. Time in which this process stood still does not count as silence of the others.
+    /// Advances time. Time during which this process stalled does not count against the others.
     pub(super) fn advance(&mut self, me: &Voter, now: Millis) {
         let started = *self.started.get_or_insert(now);
-        let gap = now.since(self.last_look.max(started));
-        if gap > STALL_HEARTBEATS * self.settings.heartbeat_ms {
-            self.exclude_stall(gap, now);
+        let gap_ms = now.since(self.last_advance.max(started));
+        if gap_ms > STALL_HEARTBEATS * self.settings.heartbeat_ms {
+            self.exclude_stall(gap_ms, now);
         }
-        self.last_look = now;
+        self.last_advance = now;
         self.record_self(me, now);
     }
 
-    fn exclude_stall(&mut self, gap: u64, now: Millis) {
-        for peer in self.by_address.values_mut() {
-            peer.last_heard = peer.last_heard.plus(gap).min(now);
+    fn exclude_stall(&mut self, gap_ms: u64, now: Millis) {
+        for peer in self.peers.values_mut() {
+            peer.last_heartbeat = peer.last_heartbeat.plus(gap_ms).min(now);
         }
     }
 
-    /// This process is alive whenever it looks. What it last told of itself stays as it was: its replica may be good for
-    /// less in a newer view.
+    /// Notes that this process is alive. Its last report stays as it was: in a newer view its
+    /// replica may be in another state.
     fn record_self(&mut self, me: &Voter, now: Millis) {
-        let known = self
-            .by_address
-            .get(&me.address)
-            .filter(|peer| peer.voter.disk == me.disk);
         let unknown = PeerReport {
             incarnation: 0,
             view_number: 0,
@@ -169,51 +132,48 @@
             draining: false,
             replica: ReplicaReport::default(),
         };
-        let report = known.map_or(unknown, |peer| peer.report);
-        self.take(me.clone(), report, now);
+        let report = self.peer(me).map_or(unknown, |peer| peer.report);
+        self.record(me.clone(), report, now);
     }
 
-    /// How long, in milliseconds, this process has been watching.
+    /// For how long, in milliseconds, heartbeats have been watched.
     pub(super) fn watched_ms(&self, now: Millis) -> u64 {
         self.started.map_or(0, |started| now.since(started))
     }
 
-    /// Whether this disk's process was heard lately.
+    /// Whether heartbeats of this disk's process come in time.
     pub(super) fn is_alive(&self, voter: &Voter, now: Millis) -> bool {
         self.peer(voter)
-            .is_some_and(|peer| !self.is_silent(peer, now))
+            .is_some_and(|peer| !self.has_timed_out(peer, now))
     }
 
-    /// Whether this disk's process has to be taken for lost. One that was never heard is not, until this process has
-    /// watched for long enough; one whose address has another disk is at once.
+    /// Whether this disk's process counts as lost. One that never sent a heartbeat counts as lost
+    /// once this process has watched for long enough, or at once if its address has another disk.
     pub(super) fn is_lost(&self, voter: &Voter, now: Millis) -> bool {
+        let timeout_ms = self.settings.suspect_after_ms;
         match self.peer(voter) {
-            Some(peer) => self.is_silent(peer, now),
-            None => {
-                self.is_replaced(voter, now)
-                    || self.watched_ms(now) >= self.settings.suspect_after_ms
-            }
+            Some(peer) => self.has_timed_out(peer, now),
+            None => self.is_replaced(voter, now) || self.watched_ms(now) >= timeout_ms,
         }
     }
 
-    /// How long, in milliseconds, nothing was heard of this disk.
-    pub(super) fn silent_ms(&self, voter: &Voter, now: Millis) -> u64 {
-        self.peer(voter)
-            .map_or(self.watched_ms(now), |peer| now.since(peer.last_heard))
+    /// For how long, in milliseconds, no heartbeat of this disk has come.
+    pub(super) fn since_heartbeat_ms(&self, voter: &Voter, now: Millis) -> u64 {
+        let peer = self.peer(voter);
+        peer.map_or(self.watched_ms(now), |peer| now.since(peer.last_heartbeat))
     }
 
-    /// Whether the disk, by the last word of it, is healthy.
+    /// Whether this disk is healthy by the last heartbeat of its process.
     pub(super) fn has_healthy_disk(&self, voter: &Voter) -> bool {
-        self.peer(voter)
-            .is_some_and(|peer| peer.unhealthy_since.is_none())
+        self.peer(voter).is_some_and(Peer::has_healthy_disk)
     }
 
-    /// Whether this disk's process, by its last word, was told to end.
+    /// Whether this disk's process shuts down, by its last heartbeat.
     pub(super) fn is_draining(&self, voter: &Voter) -> bool {
         self.peer(voter).is_some_and(|peer| peer.report.draining)
     }
 
-    /// How long, in milliseconds, the disk has been said to be unhealthy.
+    /// For how long, in milliseconds, this disk has been reported as unhealthy.
     pub(super) fn unhealthy_ms(&self, voter: &Voter, now: Millis) -> u64 {
         let since = self.peer(voter).and_then(|peer| peer.unhealthy_since);
         since.map_or(0, |since| now.since(since))
@@ -221,113 +181,95 @@
 
     /// Whether this disk could join the chain of this view at once.
     pub(super) fn could_join(&self, voter: &Voter, view_number: u64, now: Millis) -> bool {
-        let ready = |peer: &Peer| {
-            let caught_up = peer.report.replica.caught_up && peer.report.view_number == view_number;
-            caught_up && !peer.report.draining
+        let is_ready = |peer: &Peer| {
+            let replica = peer.replica_in(view_number);
+            replica.is_some_and(|replica| replica.caught_up) && !peer.report.draining
         };
         self.is_alive(voter, now)
             && self.has_healthy_disk(voter)
-            && self.peer(voter).is_some_and(ready)
+            && self.peer(voter).is_some_and(is_ready)
     }
 
-    /// Whether this disk is known to have everything that was committed before this view; none where its process has
-    /// not spoken in this view.
+    /// Whether this disk holds everything that was committed before this view; none if its process
+    /// has not reported in this view yet.
     pub(super) fn is_complete(&self, voter: &Voter, view_number: u64) -> Option<bool> {
-        self.replica_in(voter, view_number)
-            .map(|replica| replica.complete)
+        let replica = self.peer(voter)?.replica_in(view_number)?;
+        Some(replica.complete)
     }
 
-    /// Whether this disk's process, the head, cannot go on in this view.
+    /// Whether this disk's process, the head, cannot continue in this view.
     pub(super) fn needs_view(&self, voter: &Voter, view_number: u64) -> bool {
-        self.replica_in(voter, view_number)
-            .is_some_and(|replica| replica.needs_view)
-    }
-
-    fn replica_in(&self, voter: &Voter, view_number: u64) -> Option<ReplicaReport> {
-        let peer = self
+        let replica = self
             .peer(voter)
-            .filter(|peer| peer.report.view_number == view_number)?;
-        Some(peer.report.replica)
+            .and_then(|peer| peer.replica_in(view_number));
+        replica.is_some_and(|replica| replica.needs_view)
     }
 
-    /// The disk whose process listens at an address.
+    /// The disk of the process at an address.
     pub(super) fn disk_at(&self, address: PeerAddress) -> Option<DiskId> {
-        self.by_address.get(&address).map(|peer| peer.voter.disk)
+        self.peers.get(&address).map(|peer| peer.voter.disk)
     }
 
-    /// Where a disk's process listens.
+    /// The address of a disk's process.
     pub(super) fn address_of(&self, disk: DiskId) -> Option<PeerAddress> {
-        let peer = self.by_address.values().find(|peer| is_disk(peer, disk))?;
+        let peer = self.peers.values().find(|peer| peer.has_disk(disk))?;
         Some(peer.voter.address)
     }
 
-    /// The disk that has taken this voter's address and could become a voter in its place.
+    /// The other disk at this voter's address, if it could become a voter.
     pub(super) fn replacement(
         &self,
         voter: &Voter,
         view_number: u64,
         now: Millis,
     ) -> Option<&Voter> {
-        let peer = self.by_address.get(&voter.address)?;
-        let usable = peer.voter.disk != voter.disk && self.is_settled(peer, view_number, now);
+        let peer = self.peers.get(&voter.address)?;
+        let usable = !peer.has_disk(voter.disk) && self.is_stable(peer, view_number, now);
         usable.then_some(&peer.voter)
     }
 
-    /// All disks that could become voters of the view after this one.
-    pub(super) fn settled(&self, view_number: u64, now: Millis) -> impl Iterator<Item = &Voter> {
-        let usable = move |peer: &&Peer| self.is_settled(peer, view_number, now);
-        self.by_address
-            .values()
-            .filter(usable)
-            .map(|peer| &peer.voter)
+    /// All disks that could become voters of the view after this one, or stay such.
+    pub(super) fn candidates(&self, view_number: u64, now: Millis) -> impl Iterator<Item = &Voter> {
+        let usable = move |peer: &&Peer| self.is_stable(peer, view_number, now);
+        self.peers.values().filter(usable).map(|peer| &peer.voter)
     }
 
-    /// The founders that are here with a healthy disk, by disk.
+    /// The founders that are alive with a healthy disk, in the order of their disks.
     pub(super) fn founders_present(&self, founders: &[PeerAddress], now: Millis) -> Vec<Voter> {
-        let here = |peer: &&Peer| {
+        let is_present = |peer: &&Peer| {
             founders.contains(&peer.voter.address)
-                && !self.is_silent(peer, now)
-                && peer.unhealthy_since.is_none()
+                && !self.has_timed_out(peer, now)
+                && peer.has_healthy_disk()
                 && !peer.report.draining
         };
-        let mut voters: Vec<Voter> = self
-            .by_address
-            .values()
-            .filter(here)
-            .map(|peer| peer.voter.clone())
-            .collect();
+        let present = self.peers.values().filter(is_present);
+        let mut voters: Vec<Voter> = present.map(|peer| peer.voter.clone()).collect();
         voters.sort_by_key(|voter| voter.disk);
         voters
     }
 
-    /// Whether another disk's process lives at this voter's address.
+    /// Whether another disk's process is alive at this voter's address.
     pub(super) fn is_replaced(&self, voter: &Voter, now: Millis) -> bool {
-        let other = self.by_address.get(&voter.address);
-        other.is_some_and(|peer| peer.voter.disk != voter.disk && !self.is_silent(peer, now))
+        let at_address = self.peers.get(&voter.address);
+        at_address.is_some_and(|peer| !peer.has_disk(voter.disk) && !self.has_timed_out(peer, now))
     }
 
-    fn is_settled(&self, peer: &Peer, view_number: u64, now: Millis) -> bool {
-        let long_here =
-            !self.is_silent(peer, now) && now.since(peer.present_since) >= SETTLED_AFTER_MS;
-        let stays = peer.unhealthy_since.is_none() && !peer.report.draining;
-        long_here && stays && peer.report.view_number == view_number
+    /// Whether a process has been present for long enough, knows this view, and will stay.
+    fn is_stable(&self, peer: &Peer, view_number: u64, now: Millis) -> bool {
+        let is_present =
+            !self.has_timed_out(peer, now) && now.since(peer.present_since) >= STABLE_AFTER_MS;
+        let stays = peer.has_healthy_disk() && !peer.report.draining;
+        is_present && stays && peer.report.view_number == view_number
     }
 
-    fn is_silent(&self, peer: &Peer, now: Millis) -> bool {
-        let limit = match peer.connection_reset {
-            true => self.settings.suspect_after_ms / CLOSED_DIVISOR,
-            false => self.settings.suspect_after_ms,
-        };
-        now.since(peer.last_heard) >= limit
+    fn has_timed_out(&self, peer: &Peer, now: Millis) -> bool {
+        peer.has_timed_out(self.settings.suspect_after_ms, now)
     }
 
+    /// What is known of this disk's process at this address.
     fn peer(&self, voter: &Voter) -> Option<&Peer> {
-        self.by_address
+        self.peers
             .get(&voter.address)
-            .filter(|peer| is_disk(peer, voter.disk))
+            .filter(|peer| peer.has_disk(voter.disk))
     }
 }
-
-fn is_disk(peer: &Peer, disk: DiskId) -> bool {
-    peer.voter.disk == disk
-}
--- /dev/null
+++ b/crates/view-agreement/src/policy/founding.rs
@@ -0,0 +1,47 @@
+//! View 1: which founders it lists, and which of them proposes it.
+
+use super::chain_plan::{spread_over_zones, wanted_chain_length};
+use super::cluster_snapshot::ClusterSnapshot;
+use super::proposer_order::TURN_MS;
+use crate::quorum::is_majority;
+use lupinrack_cluster_api::identity::PeerAddress;
+use lupinrack_cluster_api::view::{View, Voter};
+
+/// How long, in milliseconds, a founder waits for all others before it founds the system with a
+/// majority of them.
+const FOUNDING_WAIT_MS: u64 = 600;
+
+/// View 1, of the founders that are present; none while too few are, or if this process is none.
+pub(super) fn founding_view(
+    snapshot: &ClusterSnapshot,
+    founders: &[PeerAddress],
+    me: &Voter,
+) -> Option<View> {
+    if !founders.contains(&me.address) {
+        return None;
+    }
+    let voters = snapshot.detector.founders_present(founders, snapshot.now);
+    let all_present = voters.len() == founders.len();
+    let has_waited = snapshot.detector.watched_ms(snapshot.now) >= FOUNDING_WAIT_MS;
+    let is_ready = is_majority(voters.len(), founders.len()) && (all_present || has_waited);
+    if !is_ready {
+        return None;
+    }
+    let length = wanted_chain_length(voters.len(), snapshot.settings.tolerated_losses);
+    let chain = spread_over_zones(Vec::new(), &voters, &voters, length);
+    Some(View {
+        number: 1,
+        voters,
+        chain,
+    })
+}
+
+/// How long, in milliseconds, a founder leaves the proposal to others: one turn for each disk below
+/// its own; none if the view does not list it.
+pub(super) fn founder_delay_ms(first_view: &View, me: &Voter) -> Option<u64> {
+    let rank = first_view
+        .voters
+        .iter()
+        .position(|voter| voter.disk == me.disk)?;
+    Some(rank as u64 * TURN_MS)
+}
--- /dev/null
+++ b/crates/view-agreement/src/policy/peer_report.rs
@@ -0,0 +1,29 @@
+//! What a heartbeat says.
+
+use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
+use lupinrack_cluster_api::wire::ReplicaReport;
+
+/// The contents of a heartbeat, beside who sent it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PeerReport {
+    /// The incarnation of the sender's process.
+    pub incarnation: u64,
+    /// The number of the newest view that the sender knows.
+    pub view_number: u64,
+    /// Whether the sender's disk answers in time.
+    pub disk_healthy: bool,
+    /// Whether the sender shuts down.
+    pub draining: bool,
+    /// The state of the sender's replica in that view.
+    pub replica: ReplicaReport,
+}
+
+/// A heartbeat claims a disk whose process is alive at another address: one of the two processes
+/// runs on a copy of the other's data.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DuplicateDisk {
+    /// The disk.
+    pub disk: DiskId,
+    /// The address from which its heartbeats came before.
+    pub known_at: PeerAddress,
+}
--- a/crates/view-agreement/src/policy/voter_plan.rs
+++ b/crates/view-agreement/src/policy/voter_plan.rs
@@ -1,19 +1,20 @@
-//! The voters of the next view. One view takes one newcomer in, one voter out, or both: who enters is alive, so a
-//! majority that was alive before is alive after.
+//! The voters of the next view. One view adds one voter, removes one, or replaces one by another: the
+//! disk that is added is alive, so a majority that was alive before is alive after.
 //!
-//! A vote needs the agreed view and nothing else, so a newcomer may vote before it has caught up. What holds the control
-//! state is the chain; its rules stand in [`super::chain`], and nobody loses the vote while still in the chain.
+//! A vote needs the agreed view and nothing else, so a disk may vote before it has caught up. The
+//! control state is held by the chain, whose rules are in [`super::chain_plan`]; no disk loses its
+//! vote while it is in the chain.
 
-use super::ClusterSnapshot;
+use super::cluster_snapshot::ClusterSnapshot;
 use lupinrack_cluster_api::view::{View, Voter};
 
 /// How many voters there are at most.
 const VOTERS_MOST: usize = 13;
-/// How many voters are never gone below.
+/// How many voters there are at least.
 const VOTERS_LEAST: usize = 3;
 
-/// Works out the voters: newcomers take the places of voters that are gone, further ones are added, and an even number
-/// is made odd by removing one that is gone.
+/// Derives the voters: new disks replace voters that are gone, further ones are added, and an even
+/// number is made odd by removing a voter that is gone.
 pub(super) struct VoterPlan<'a> {
     snapshot: &'a ClusterSnapshot<'a>,
 }
@@ -23,9 +24,9 @@
         VoterPlan { snapshot }
     }
 
-    /// The voters of the next view; none where they should stay as they are.
+    /// The voters of the next view; none if they should not change.
     pub(super) fn next(&self) -> Option<Vec<Voter>> {
-        self.swapped()
+        self.with_replacement()
             .or_else(|| self.extended())
             .or_else(|| self.reduced())
     }
@@ -34,15 +35,13 @@
         self.snapshot.current
     }
 
-    /// With a newcomer in the place of a voter that is gone, or else of one that is leaving.
-    fn swapped(&self) -> Option<Vec<Voter>> {
-        let gone = self.outside_chain().filter(|voter| self.is_gone(voter));
-        let draining = self
-            .outside_chain()
-            .filter(|voter| self.may_hand_over(voter));
-        let (old, new) = gone
-            .chain(draining)
-            .find_map(|old| Some((old, self.successor_of(old)?)))?;
+    /// The voters with a new disk in place of one that is gone, or else of one that is draining.
+    fn with_replacement(&self) -> Option<Vec<Voter>> {
+        let outside_chain = || self.snapshot.voters_outside_chain();
+        let gone = outside_chain().filter(|voter| self.is_gone(voter));
+        let draining = outside_chain().filter(|voter| self.may_hand_over(voter));
+        let mut replaceable = gone.chain(draining);
+        let (old, new) = replaceable.find_map(|old| Some((old, self.successor_of(old)?)))?;
         let replace = |voter: &Voter| {
             if voter == old {
                 new.clone()
@@ -53,122 +52,115 @@
         Some(self.current().voters.iter().map(replace).collect())
     }
 
-    /// With one more process. An odd number waits while a voter is silent: an even one has a larger majority, and the
-    /// newcomer is better used in the place of that voter, should it be gone.
+    /// The voters with one more disk. An odd number is not extended while a voter is late: an even
+    /// number has a larger majority, and the new disk is of more use as the replacement of that
+    /// voter, should it be gone.
     fn extended(&self) -> Option<Vec<Voter>> {
         let voters = &self.current().voters;
-        let whole = voters.iter().all(|voter| self.was_just_heard(voter));
-        if voters.len() >= VOTERS_MOST || (is_odd(voters.len()) && !whole) {
+        let all_in_time = voters.iter().all(|voter| self.is_in_time(voter));
+        if voters.len() >= VOTERS_MOST || (is_odd(voters.len()) && !all_in_time) {
             return None;
         }
-        let new = self.newcomers().next()?;
+        let new = self.new_disks().next()?;
         Some(voters.iter().chain([new]).cloned().collect())
     }
 
-    /// Without one that is leaving or has been gone for long. Only an even number is reduced: there the majority becomes
-    /// smaller, while an odd number's would stay as large as it is and the chance of a return would be given away for
-    /// nothing.
+    /// The voters without one that is draining or has been gone for long. Only an even number is
+    /// reduced, since that makes the majority smaller. With an odd number the majority would stay
+    /// as large as it is, and the chance that the voter returns would be lost for nothing.
     fn reduced(&self) -> Option<Vec<Voter>> {
         let least = VOTERS_LEAST.max(2 * self.snapshot.settings.tolerated_losses + 1);
         let voters = &self.current().voters;
         if is_odd(voters.len()) || voters.len() <= least {
             return None;
         }
-        let gone = self
-            .outside_chain()
-            .find(|voter| self.is_removable(voter))?;
+        let mut outside_chain = self.snapshot.voters_outside_chain();
+        let removed = outside_chain.find(|voter| self.is_removable(voter))?;
         Some(
             voters
                 .iter()
-                .filter(|voter| *voter != gone)
+                .filter(|voter| *voter != removed)
                 .cloned()
                 .collect(),
         )
     }
 
-    /// The voters that could go. A member of the chain stays: it leaves the chain first.
-    fn outside_chain(&self) -> impl Iterator<Item = &'a Voter> {
-        let current = self.current();
-        current
-            .voters
-            .iter()
-            .filter(|voter| current.position(voter.disk).is_none())
-    }
-
-    /// Processes that could become voters and take nobody's address.
-    fn newcomers(&self) -> impl Iterator<Item = &'a Voter> {
+    /// Disks that could become voters and have no voter's address.
+    fn new_disks(&self) -> impl Iterator<Item = &'a Voter> {
         let ClusterSnapshot {
-            peers,
+            detector,
             current,
             now,
             ..
         } = *self.snapshot;
-        peers
-            .settled(current.number, now)
-            .filter(|candidate| is_new(current, candidate))
+        let candidates = detector.candidates(current.number, now);
+        candidates.filter(|candidate| is_new(current, candidate))
     }
 
-    /// Who takes a voter's place: the new disk at its address, else a newcomer, of its zone where there is one.
+    /// The disk that replaces a voter: the new disk at its address, or else a new disk, of its zone
+    /// if there is one.
     fn successor_of(&self, old: &Voter) -> Option<&'a Voter> {
         let ClusterSnapshot {
-            peers,
+            detector,
             current,
             now,
             ..
         } = *self.snapshot;
-        let same_address = peers.replacement(old, current.number, now);
+        let same_address = detector.replacement(old, current.number, now);
         let same_address = same_address.filter(|new| current.voter(new.disk).is_none());
-        same_address.or_else(|| self.newcomers().min_by_key(|new| new.zone != old.zone))
+        same_address.or_else(|| self.new_disks().min_by_key(|new| new.zone != old.zone))
     }
 
-    fn was_just_heard(&self, voter: &Voter) -> bool {
+    /// Whether a voter is alive and not even close to its timeout.
+    fn is_in_time(&self, voter: &Voter) -> bool {
         let ClusterSnapshot {
             settings,
-            peers,
+            detector,
             now,
             ..
         } = *self.snapshot;
-        self.snapshot.is_alive(voter)
-            && peers.silent_ms(voter, now) <= settings.suspect_after_ms / 2
+        let is_late = detector.since_heartbeat_ms(voter, now) > settings.suspect_after_ms / 2;
+        self.snapshot.is_alive(voter) && !is_late
     }
 
-    /// Whether a voter's place is free: its address has another disk, or it has been silent for too long, or it said
-    /// that it is leaving and fell silent.
+    /// Whether a voter may be replaced: its address has another disk, or it has sent nothing for too
+    /// long, or it was draining and counts as lost.
     fn is_gone(&self, voter: &Voter) -> bool {
         let ClusterSnapshot {
             settings,
-            peers,
+            detector,
             now,
             ..
         } = *self.snapshot;
-        if peers.is_replaced(voter, now) {
+        if detector.is_replaced(voter, now) {
             return true;
         }
-        let silent_for_long = peers.silent_ms(voter, now) >= settings.gone_after_ms();
-        peers.is_lost(voter, now) && (silent_for_long || peers.is_draining(voter))
+        let has_timed_out = detector.since_heartbeat_ms(voter, now) >= settings.replace_after_ms();
+        detector.is_lost(voter, now) && (has_timed_out || detector.is_draining(voter))
     }
 
-    /// Whether a voter that lives and is leaving may be replaced now. Newcomers are kept for voters that are silent.
+    /// Whether a voter that is alive and draining may be replaced now. New disks are reserved for
+    /// voters that are late.
     fn may_hand_over(&self, voter: &Voter) -> bool {
-        let silent = self
+        let late = self
             .current()
             .voters
             .iter()
-            .filter(|voter| !self.was_just_heard(voter))
+            .filter(|voter| !self.is_in_time(voter))
             .count();
-        self.snapshot.peers.is_draining(voter) && self.newcomers().count() > silent
+        self.snapshot.detector.is_draining(voter) && self.new_disks().count() > late
     }
 
+    /// Whether a voter may be removed without a replacement.
     fn is_removable(&self, voter: &Voter) -> bool {
         let ClusterSnapshot {
             settings,
-            peers,
+            detector,
             now,
             ..
         } = *self.snapshot;
-        let gone =
-            peers.is_lost(voter, now) && peers.silent_ms(voter, now) > settings.removed_after_ms();
-        gone || peers.is_draining(voter)
+        let has_timed_out = detector.since_heartbeat_ms(voter, now) > settings.remove_after_ms();
+        (detector.is_lost(voter, now) && has_timed_out) || detector.is_draining(voter)
     }
 }
 
@@ -178,6 +170,7 @@
 
 /// Whether neither the candidate's disk nor its address belongs to a voter.
 fn is_new(current: &View, candidate: &Voter) -> bool {
-    let same = |voter: &Voter| voter.disk == candidate.disk || voter.address == candidate.address;
-    !current.voters.iter().any(same)
+    let is_same =
+        |voter: &Voter| voter.disk == candidate.disk || voter.address == candidate.address;
+    !current.voters.iter().any(is_same)
 }
--- a/crates/view-agreement/src/proposal.rs
+++ b/crates/view-agreement/src/proposal.rs
@@ -1,4 +1,4 @@
-//! The proposer's side: one proposal, and the ballot that it runs.
+//! One proposal: the view that is wanted, and how far its current attempt has come.
 
 use crate::quorum::Responders;
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
@@ -6,81 +6,98 @@
 use lupinrack_cluster_api::view::View;
 use lupinrack_cluster_api::wire::ProposalNumber;
 
-/// How long a ballot may take, in milliseconds, before another is tried.
-const BALLOT_TIMEOUT_MS: u64 = 400;
-/// After how many milliseconds an unanswered message is sent again.
+/// How long an attempt may take, in milliseconds, before another one is made.
+const ATTEMPT_TIMEOUT_MS: u64 = 400;
+/// After how many milliseconds a request without a response is sent again.
 const RESEND_AFTER_MS: u64 = 100;
 
-/// A view that this process wants, and how far it has come.
+/// A view that this process wants to be agreed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Proposal {
-    /// The view to set where the register turns out to hold nothing newer.
+    /// The view to propose unless an earlier proposal may have been chosen already.
     pub(crate) wanted: View,
-    /// Ballots begun since the view was last asked for.
+    /// Attempts since the view was last asked for.
     pub(crate) attempts: u32,
-    /// What is waited for.
+    /// The phase of the current attempt.
     pub(crate) phase: Phase,
 }
 
-/// What a proposal waits for.
+/// The phase of an attempt, which is what the proposer waits for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Phase {
-    /// The moment of the next ballot.
-    Waiting {
-        /// That moment.
+    /// The next attempt, which begins after a delay.
+    BackingOff {
+        /// When it begins.
         until: Millis,
     },
-    /// Promises from a majority of the acceptors.
+    /// Phase 1 of Paxos: prepare responses from a majority of the acceptors.
     Preparing {
-        /// The ballot.
+        /// The number of the attempt.
         proposal_number: ProposalNumber,
-        /// Its timers.
+        /// When requests are repeated and the attempt ends.
         timers: Timers,
-        /// The promises so far.
-        promises: Promises,
+        /// The responses so far.
+        responses: PrepareResponses,
     },
-    /// Acceptances from majorities of the acceptors and of the view's own voters.
+    /// Phase 2 of Paxos: acceptance by a majority of the acceptors and by a majority of the
+    /// proposed view's own voters.
     Accepting {
-        /// The ballot.
+        /// The number of the attempt.
         proposal_number: ProposalNumber,
-        /// Its timers.
+        /// When requests are repeated and the attempt ends.
         timers: Timers,
-        /// The view, which is not always the one that was wanted.
+        /// The proposed view, which is not always the one that was wanted.
         view: View,
-        /// Who has accepted.
+        /// The disks that have accepted it.
         accepted_by: Responders,
     },
 }
 
-/// When a ballot's messages are repeated, and when it is given up.
+impl Phase {
+    /// The number of the attempt that is in progress.
+    pub(crate) fn proposal_number(&self) -> Option<ProposalNumber> {
+        match self {
+            Phase::BackingOff { .. } => None,
+            Phase::Preparing {
+                proposal_number, ..
+            }
+            | Phase::Accepting {
+                proposal_number, ..
+            } => Some(*proposal_number),
+        }
+    }
+
+    /// Whether the requests of this phase were responded to from this address.
+    pub(crate) fn has_response_from(&self, address: PeerAddress) -> bool {
+        match self {
+            Phase::BackingOff { .. } => false,
+            Phase::Preparing { responses, .. } => responses.responders.has_address(address),
+            Phase::Accepting { accepted_by, .. } => accepted_by.has_address(address),
+        }
+    }
+}
+
+/// When the requests of an attempt are repeated, and when the attempt times out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Timers {
     resend_at: Millis,
     timeout_at: Millis,
 }
 
-/// Promises, and the view accepted under the highest ballot among them.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Promises {
-    /// Who has promised.
-    pub(crate) given_by: Responders,
-    highest: Option<(ProposalNumber, View)>,
-}
-
 impl Timers {
     pub(crate) fn start(now: Millis) -> Timers {
         Timers {
             resend_at: now.plus(RESEND_AFTER_MS),
-            timeout_at: now.plus(BALLOT_TIMEOUT_MS),
+            timeout_at: now.plus(ATTEMPT_TIMEOUT_MS),
         }
     }
 
-    /// Whether the ballot has taken too long.
+    /// Whether the attempt has taken too long.
     pub(crate) fn has_timed_out(&self, now: Millis) -> bool {
         now >= self.timeout_at
     }
 
-    /// Whether to send again now; the next time is set.
+    /// Whether requests are to be sent again now; if so, the next time is set.
     pub(crate) fn resend_is_due(&mut self, now: Millis) -> bool {
         let due = now >= self.resend_at;
         if due {
@@ -90,13 +107,22 @@
     }
 }
 
-impl Promises {
-    /// Adds the promise of a disk that has accepted nothing in this instance.
+/// The responses to a prepare request, and the view that was accepted under the highest proposal
+/// number among them.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(crate) struct PrepareResponses {
+    /// The disks that have responded.
+    pub(crate) responders: Responders,
+    highest_accepted: Option<(ProposalNumber, View)>,
+}
+
+impl PrepareResponses {
+    /// Adds the response of a disk that has accepted nothing in this instance.
     pub(crate) fn add(&mut self, disk: DiskId, from: PeerAddress) {
-        self.given_by.add(disk, from);
+        self.responders.add(disk, from);
     }
 
-    /// Adds the promise of a disk that has accepted a view in this instance.
+    /// Adds the response of a disk that has accepted a view in this instance.
     pub(crate) fn add_with_view(
         &mut self,
         disk: DiskId,
@@ -104,42 +130,15 @@
         proposal_number: ProposalNumber,
         view: View,
     ) {
-        self.given_by.add(disk, from);
-        if self
-            .highest
-            .as_ref()
-            .is_none_or(|(highest, _)| proposal_number > *highest)
-        {
-            self.highest = Some((proposal_number, view));
+        self.responders.add(disk, from);
+        let is_higher = |(highest, _): &(ProposalNumber, View)| proposal_number > *highest;
+        if self.highest_accepted.as_ref().is_none_or(is_higher) {
+            self.highest_accepted = Some((proposal_number, view));
         }
     }
 
-    /// The view that has to be proposed, as it may have been chosen already.
-    pub(crate) fn bound_view(&self) -> Option<&View> {
-        self.highest.as_ref().map(|(_, view)| view)
-    }
-}
-
-impl Phase {
-    /// The ballot that is running.
-    pub(crate) fn proposal_number(&self) -> Option<ProposalNumber> {
-        match self {
-            Phase::Waiting { .. } => None,
-            Phase::Preparing {
-                proposal_number, ..
-            }
-            | Phase::Accepting {
-                proposal_number, ..
-            } => Some(*proposal_number),
-        }
-    }
-
-    /// Whether the address has answered the messages of this phase.
-    pub(crate) fn has_answer_of(&self, address: PeerAddress) -> bool {
-        match self {
-            Phase::Waiting { .. } => false,
-            Phase::Preparing { promises, .. } => promises.given_by.has_address(address),
-            Phase::Accepting { accepted_by, .. } => accepted_by.has_address(address),
-        }
+    /// The view that has to be proposed because it may have been chosen already.
+    pub(crate) fn view_to_keep(&self) -> Option<&View> {
+        self.highest_accepted.as_ref().map(|(_, view)| view)
     }
 }
--- /dev/null
+++ b/crates/view-agreement/src/proposer.rs
@@ -0,0 +1,280 @@
+//! The proposer: drives one proposal at a time through the two phases of Paxos.
+
+use crate::backoff::Backoff;
+use crate::electorate::Electorate;
+use crate::proposal::{Phase, PrepareResponses, Proposal, Timers};
+use crate::quorum::Responders;
+use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
+use lupinrack_cluster_api::time::Millis;
+use lupinrack_cluster_api::view::View;
+use lupinrack_cluster_api::wire::{AgreementMessage, ProposalNumber};
+
+/// Attempts after which a proposal is dropped unless its view is asked for again.
+const ATTEMPTS_MOST: u32 = 5;
+
+/// Messages to acceptors, each with its receiver.
+pub(crate) type Requests = Vec<(PeerAddress, AgreementMessage)>;
+
+/// A response to [`AgreementMessage::Prepare`].
+pub(crate) struct Prepared {
+    pub(crate) from: PeerAddress,
+    pub(crate) disk: DiskId,
+    pub(crate) proposal_number: ProposalNumber,
+    /// The proposal number and the view that the disk accepted last.
+    pub(crate) accepted: (ProposalNumber, View),
+}
+
+/// The proposer of one process.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct Proposer {
+    /// The incarnation of the process, which makes its proposal numbers unique.
+    incarnation: u64,
+    /// The highest term that was seen in any message.
+    highest_term: u64,
+    proposal: Option<Proposal>,
+    backoff: Backoff,
+}
+
+impl Proposer {
+    pub(crate) fn new(incarnation: u64, highest_term: u64) -> Proposer {
+        let backoff = Backoff::new(incarnation);
+        Proposer {
+            incarnation,
+            highest_term,
+            proposal: None,
+            backoff,
+        }
+    }
+
+    /// Notes the proposal number of another proposer: the next attempt goes above its term.
+    pub(crate) fn observe(&mut self, proposal_number: ProposalNumber) {
+        self.highest_term = self.highest_term.max(proposal_number.term);
+    }
+
+    /// Asks for a view. If a proposal is in progress already, it is kept alive, and its view is
+    /// replaced unless that was sent for acceptance already.
+    pub(crate) fn propose(
+        &mut self,
+        wanted: View,
+        electorate: Electorate,
+        now: Millis,
+    ) -> Requests {
+        if let Some(proposal) = &mut self.proposal {
+            proposal.wanted = wanted;
+            proposal.attempts = proposal.attempts.min(ATTEMPTS_MOST - 1);
+            return Vec::new();
+        }
+        let phase = Phase::BackingOff { until: now };
+        self.proposal = Some(Proposal {
+            wanted,
+            attempts: 0,
+            phase,
+        });
+        self.begin_attempt(electorate, now)
+    }
+
+    /// Drops the proposal: its instance is decided.
+    pub(crate) fn abandon(&mut self) {
+        self.proposal = None;
+    }
+
+    /// Begins the next attempt, or repeats the requests of the current one, when their time has
+    /// come.
+    pub(crate) fn tick(&mut self, electorate: Electorate, now: Millis) -> Requests {
+        let Some(proposal) = &mut self.proposal else {
+            return Vec::new();
+        };
+        match &mut proposal.phase {
+            Phase::BackingOff { until } if now < *until => Vec::new(),
+            Phase::BackingOff { .. } => self.begin_attempt(electorate, now),
+            Phase::Preparing { timers, .. } | Phase::Accepting { timers, .. } => {
+                if timers.has_timed_out(now) {
+                    self.back_off(now);
+                    return Vec::new();
+                }
+                if timers.resend_is_due(now) {
+                    return self.requests(electorate);
+                }
+                Vec::new()
+            }
+        }
+    }
+
+    /// Counts a response of an acceptor to a prepare request for the view of this number, and goes
+    /// on to phase 2 once a majority has responded.
+    pub(crate) fn on_prepared(
+        &mut self,
+        response: Prepared,
+        view_number: u64,
+        electorate: Electorate,
+        now: Millis,
+    ) -> Requests {
+        let Some(Proposal {
+            phase:
+                Phase::Preparing {
+                    proposal_number,
+                    responses,
+                    ..
+                },
+            ..
+        }) = &mut self.proposal
+        else {
+            return Vec::new();
+        };
+        if *proposal_number != response.proposal_number {
+            return Vec::new();
+        }
+        let Prepared {
+            from,
+            disk,
+            accepted: (accepted_proposal, accepted),
+            ..
+        } = response;
+        if accepted.number == view_number {
+            responses.add_with_view(disk, from, accepted_proposal, accepted);
+        } else {
+            responses.add(disk, from);
+        }
+        self.begin_accepting(electorate, now)
+    }
+
+    /// Counts a response to an accept request. Returns the view once it is chosen: majorities of
+    /// the acceptors and of its own voters have accepted it.
+    pub(crate) fn on_accepted(
+        &mut self,
+        from: PeerAddress,
+        disk: DiskId,
+        accepted: ProposalNumber,
+        electorate: Electorate,
+    ) -> Option<View> {
+        let Phase::Accepting {
+            proposal_number,
+            accepted_by,
+            view,
+            ..
+        } = &mut self.proposal.as_mut()?.phase
+        else {
+            return None;
+        };
+        let becomes_voter = view.address(disk) == Some(from);
+        if *proposal_number != accepted || !(electorate.counts(disk, from) || becomes_voter) {
+            return None;
+        }
+        accepted_by.add(disk, from);
+        let chosen = electorate.is_quorum(accepted_by) && accepted_by.include_majority_of(view);
+        chosen.then(|| view.clone())
+    }
+
+    /// Backs off: an acceptor has prepared a higher proposal number than the current attempt's.
+    pub(crate) fn on_rejected(
+        &mut self,
+        rejected: ProposalNumber,
+        prepared: ProposalNumber,
+        now: Millis,
+    ) {
+        self.observe(prepared);
+        let current = self
+            .proposal
+            .as_ref()
+            .and_then(|proposal| proposal.phase.proposal_number());
+        if current == Some(rejected) {
+            self.back_off(now);
+        }
+    }
+
+    /// Waits for a random delay, or drops the proposal after many attempts.
+    fn back_off(&mut self, now: Millis) {
+        let Some(proposal) = &mut self.proposal else {
+            return;
+        };
+        if proposal.attempts >= ATTEMPTS_MOST {
+            self.proposal = None;
+            return;
+        }
+        let until = now.plus(self.backoff.delay_ms(proposal.attempts));
+        proposal.phase = Phase::BackingOff { until };
+    }
+
+    /// Begins an attempt under a number above all that were seen.
+    fn begin_attempt(&mut self, electorate: Electorate, now: Millis) -> Requests {
+        let Some(proposal) = &mut self.proposal else {
+            return Vec::new();
+        };
+        self.highest_term = self.highest_term.saturating_add(1);
+        proposal.attempts += 1;
+        proposal.phase = Phase::Preparing {
+            proposal_number: ProposalNumber {
+                term: self.highest_term,
+                incarnation: self.incarnation,
+            },
+            timers: Timers::start(now),
+            responses: PrepareResponses::default(),
+        };
+        self.requests(electorate)
+    }
+
+    /// Goes on to phase 2 if a majority of the acceptors has responded to the prepare request.
+    fn begin_accepting(&mut self, electorate: Electorate, now: Millis) -> Requests {
+        let Some(proposal) = &mut self.proposal else {
+            return Vec::new();
+        };
+        let Phase::Preparing {
+            proposal_number,
+            responses,
+            ..
+        } = &proposal.phase
+        else {
+            return Vec::new();
+        };
+        if !electorate.is_quorum(&responses.responders) {
+            return Vec::new();
+        }
+        proposal.phase = Phase::Accepting {
+            proposal_number: *proposal_number,
+            timers: Timers::start(now),
+            view: responses.view_to_keep().unwrap_or(&proposal.wanted).clone(),
+            accepted_by: Responders::default(),
+        };
+        self.requests(electorate)
+    }
+
+    /// The request of the current phase, to all that have not responded to it.
+    fn requests(&self, electorate: Electorate) -> Requests {
+        let Some(Proposal { phase, .. }) = &self.proposal else {
+            return Vec::new();
+        };
+        let (message, receivers) = match phase {
+            Phase::BackingOff { .. } => return Vec::new(),
+            Phase::Preparing {
+                proposal_number, ..
+            } => {
+                let proposal_number = *proposal_number;
+                (
+                    AgreementMessage::Prepare { proposal_number },
+                    electorate.addresses(),
+                )
+            }
+            Phase::Accepting {
+                proposal_number,
+                view,
+                ..
+            } => {
+                let (proposal_number, receivers) =
+                    (*proposal_number, electorate.addresses_with(view));
+                (
+                    AgreementMessage::Accept {
+                        proposal_number,
+                        view: view.clone(),
+                    },
+                    receivers,
+                )
+            }
+        };
+        let unanswered = receivers
+            .into_iter()
+            .filter(|address| !phase.has_response_from(*address));
+        unanswered
+            .map(|address| (address, message.clone()))
+            .collect()
+    }
+}
--- a/crates/view-agreement/src/vote.rs
+++ b/crates/view-agreement/src/vote.rs
@@ -1,24 +1,42 @@
-//! What a voter's disk keeps of the agreement.
+//! What the disk of a voter keeps of the agreement.
 
+use crate::electorate::Electorate;
 use borsh::{BorshDeserialize, BorshSerialize};
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::view::View;
 use lupinrack_cluster_api::wire::ProposalNumber;
 
-/// The durable state of a voter. It is written and synced whole, before anything that depends on it is sent.
+/// The durable state of an acceptor. It is written and synced as a whole before any message that
+/// depends on it is sent.
 ///
-/// The accepted view's number is never more than one above the agreed view's.
+/// The number of `accepted` is at most one above the number of `agreed`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub struct VoteState {
-    /// Nothing is accepted or promised under a lower ballot.
+    /// The highest proposal number that was prepared: nothing is accepted under a lower one.
     pub prepared: ProposalNumber,
-    /// The ballot under which `accepted` was accepted.
+    /// The proposal number under which `accepted` was accepted.
     pub accepted_proposal: ProposalNumber,
-    /// The view accepted last; number 0 where there is none.
+    /// The view that was accepted last; number 0 for none.
     pub accepted: View,
-    /// The newest view known to be agreed; number 0 where there is none.
+    /// The newest view that is known to be agreed; number 0 for none.
     pub agreed: View,
-    /// The acceptors of view 1, where this disk is one of them. They are kept because only the first start of a
-    /// process is told that it founds; a restart in the middle of founding has to go on with it.
+    /// The founders, which are the acceptors of view 1, if this disk is one of them. They are
+    /// stored because only the first start of a process is configured to found the system; a
+    /// restart during the founding has to continue it.
     pub founders: Vec<PeerAddress>,
 }
+
+impl VoteState {
+    /// The acceptors of the view after the agreed one.
+    pub(crate) fn electorate(&self) -> Electorate<'_> {
+        match self.agreed.number {
+            0 => Electorate::Founders(&self.founders),
+            _ => Electorate::Voters(&self.agreed),
+        }
+    }
+
+    /// The number of the view that is being decided.
+    pub(crate) fn next_view_number(&self) -> u64 {
+        self.agreed.number + 1
+    }
+}
