--- a/crates/control-state/src/configuration_body.rs
+++ b/crates/control-state/src/configuration/body.rs
@@ -1,12 +1,12 @@
 //! Reading of the bodies with which the operator changes the configuration.
 //!
 //! A body is read strictly as to its form, since one that is cut short must not be taken, and kept in the operator's
-//! words; see [`crate::configuration_document`] for the checks of what it says.
+//! words; see [`crate::configuration::document`] for the checks of what it says.
 
-use crate::configuration_document::{check_names_differ, ConfigurationDocument, DocumentItem};
-use crate::configuration_fault::{ConfigurationFault, FaultReason};
-use crate::configuration_items::read_name;
-use crate::json_text::{item_path, join, read_value, split_array, JsonObject};
+use crate::configuration::document::{check_names_differ, ConfigurationDocument, DocumentItem};
+use crate::configuration::error::{ConfigurationFault, FaultReason};
+use crate::configuration::items::read_name;
+use crate::configuration::json_text::{item_path, join, read_value, split_array, JsonObject};
 use lupinrack_cluster_api::configuration::Configuration;
 use lupinrack_cluster_api::operation::ConfigurationBody;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/control-state/src/configuration_document.rs
+++ b/crates/control-state/src/configuration/document.rs
@@ -1,8 +1,8 @@
 //! A configuration as the operator sent it: the texts of its items, in their order.
 
-use crate::configuration_fault::{ConfigurationFault, FaultReason};
-use crate::configuration_items::{read_limits, read_route, read_service};
-use crate::json_text::{item_path, join};
+use crate::configuration::error::{ConfigurationFault, FaultReason};
+use crate::configuration::items::{read_limits, read_route, read_service};
+use crate::configuration::json_text::{item_path, join};
 use borsh::{BorshDeserialize, BorshSerialize};
 use lupinrack_cluster_api::configuration::{Configuration, Route, Service};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/control-state/src/configuration_items.rs
+++ b/crates/control-state/src/configuration/items.rs
@@ -1,7 +1,7 @@
 //! The items of a configuration as the operator writes them, read with `nanoserde`.
 
-use crate::configuration_fault::{ConfigurationFault, FaultReason};
-use crate::json_text::{join, read_fields};
+use crate::configuration::error::{ConfigurationFault, FaultReason};
+use crate::configuration::json_text::{join, read_fields};
 use lupinrack_cluster_api::configuration::{Limits, Route, Service};
 use lupinrack_cluster_api::identity::{QueueName, ServiceName};
 use nanoserde::DeJson;
--- a/crates/control-state/src/json_text.rs
+++ b/crates/control-state/src/configuration/json_text.rs
@@ -5,7 +5,7 @@
 //! it skips it panics at a missing value and never returns from an unclosed list. So `serde_json` splits a body into
 //! raw values, which also settles that all of it is well-formed, and `nanoserde` reads the fields that have a meaning.
 
-use crate::configuration_fault::{ConfigurationFault, FaultReason};
+use crate::configuration::error::{ConfigurationFault, FaultReason};
 use nanoserde::{DeJson, DeJsonErr, DeJsonErrReason};
 use serde::de::{MapAccess, Visitor};
 use serde::{Deserialize, Deserializer};
--- a/crates/control-state/src/configuration_change.rs
+++ b/crates/control-state/src/configuration/state.rs
@@ -1,10 +1,10 @@
 //! Changes of the configuration.
 
-use crate::configuration_body::{apply_body, check_version};
-use crate::configuration_document::ConfigurationDocument;
-use crate::configuration_fault::ConfigurationFault;
+use crate::configuration::accepted_changes::{ChangeDigest, Recollection};
+use crate::configuration::body::{apply_body, check_version};
+use crate::configuration::document::ConfigurationDocument;
+use crate::configuration::error::ConfigurationFault;
 use crate::state::ControlState;
-use crate::taken_changes::{ChangeDigest, Recollection};
 use lupinrack_cluster_api::configuration::Configuration;
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange, OperationResult};
--- a/crates/control-state/src/ends.rs
+++ b/crates/control-state/src/jobs/ends.rs
@@ -1,6 +1,6 @@
 //! Recording of ends, before any server is told that they were observed.
 
-use crate::record::{JobRecord, TaskRecord, TaskStatus};
+use crate::jobs::record::{JobRecord, TaskRecord, TaskStatus};
 use crate::state::ControlState;
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::identity::{Attempt, FencingToken, ServiceName};
--- /dev/null
+++ b/crates/control-state/src/jobs/mod.rs
@@ -0,0 +1,5 @@
+//! Jobs, their times and their tasks.
+
+mod ends;
+pub mod record;
+mod starts;
--- a/crates/control-state/src/starts.rs
+++ b/crates/control-state/src/jobs/starts.rs
@@ -1,6 +1,6 @@
 //! Recording of starts, before any server is told of them.
 
-use crate::record::{JobRecord, Occurrence, TaskRecord, TaskStatus};
+use crate::jobs::record::{JobRecord, Occurrence, TaskRecord, TaskStatus};
 use crate::state::ControlState;
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::identity::{FencingToken, JobId, ServiceName, TaskId};
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -5,23 +5,17 @@
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
 
-pub mod configuration_body;
-mod configuration_change;
-pub mod configuration_document;
-pub mod configuration_fault;
-mod configuration_items;
-mod ends;
-mod json_text;
-pub mod record;
+pub mod configuration;
+pub mod jobs;
 pub mod snapshot;
-mod starts;
 pub mod state;
-mod taken_changes;
 
-pub use configuration_body::{check_body, check_configuration};
-pub use configuration_document::{ConfigurationDocument, DocumentItem};
-pub use configuration_fault::{ConfigurationFault, FaultReason};
-pub use record::{JobRecord, Occurrence, TaskRecord, TaskStatus};
+pub use configuration::accepted_changes::{
+    ChangeDigest, TakenChanges, CHANGES_REMEMBERED, DIGEST_BYTES,
+};
+pub use configuration::body::{check_body, check_configuration};
+pub use configuration::document::{ConfigurationDocument, DocumentItem};
+pub use configuration::error::{ConfigurationFault, FaultReason};
+pub use jobs::record::{JobRecord, Occurrence, TaskRecord, TaskStatus};
 pub use snapshot::SnapshotFault;
 pub use state::{AgentBinding, ControlState, Shard, BINDINGS_MOST, TASKS_PER_OCCURRENCE_MOST};
-pub use taken_changes::{ChangeDigest, TakenChanges, CHANGES_REMEMBERED, DIGEST_BYTES};
--- a/crates/control-state/src/state.rs
+++ b/crates/control-state/src/state.rs
@@ -1,8 +1,8 @@
 //! The state machine.
 
-use crate::configuration_document::ConfigurationDocument;
-use crate::record::{JobRecord, TaskRecord, TaskStatus};
-use crate::taken_changes::TakenChanges;
+use crate::configuration::accepted_changes::TakenChanges;
+use crate::configuration::document::ConfigurationDocument;
+use crate::jobs::record::{JobRecord, TaskRecord, TaskStatus};
 use borsh::{BorshDeserialize, BorshSerialize};
 use lupinrack_cluster_api::configuration::{Configuration, Route};
 use lupinrack_cluster_api::error::ErrorKind;
--- a/crates/control-state/tests/configuration.rs
+++ b/crates/control-state/tests/configuration.rs
@@ -5,7 +5,7 @@
 use common::{patch, put, route, service_json, two_queues, whole, LIMITS};
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::operation::{ConfigurationBody, Operation, OperationResult};
-use lupinrack_control_state::configuration_body::{apply_body, apply_patch, read_whole};
+use lupinrack_control_state::configuration::body::{apply_body, apply_patch, read_whole};
 use lupinrack_control_state::{check_body, check_configuration, ControlState, FaultReason};
 use quickcheck::quickcheck;
 use serde_json::Value;
--- a/crates/control-state/tests/golden.rs
+++ b/crates/control-state/tests/golden.rs
@@ -8,7 +8,7 @@
 use lupinrack_cluster_api::operation::{
     ConfigurationBody, ConfigurationChange, Operation, OperationResult,
 };
-use lupinrack_control_state::configuration_body::apply_body;
+use lupinrack_control_state::configuration::body::apply_body;
 use lupinrack_control_state::{
     check_body, ChangeDigest, ConfigurationDocument, ControlState, Occurrence, TakenChanges,
     TaskRecord,
