--- a/crates/cluster-node/src/core/calls.rs
+++ b/crates/cluster-node/src/core/calls.rs
@@ -54,7 +54,7 @@
                 .filter(|record| Some(&record.queue) == queue_of(state, target));
             Step::Answer(match known {
                 Some(record) => Reply::Job(record.state),
-                None if state.configuration.version == 0 => Reply::Error(ErrorKind::NotTaken),
+                None if state.configuration().version == 0 => Reply::Error(ErrorKind::NotTaken),
                 None if queue_of(state, target).is_none() => Reply::Error(ErrorKind::UnknownQueue),
                 None => Reply::Error(ErrorKind::UnknownJob),
             })
@@ -106,13 +106,13 @@
 }
 
 fn queue_of<'a>(state: &'a ControlState, target: &Target) -> Option<&'a QueueName> {
-    let route = state.configuration.route(&target.host, &target.path)?;
+    let route = state.configuration().route(&target.host, &target.path)?;
     Some(&route.name)
 }
 
 /// Why a job is not taken for whose target no queue is configured.
 fn refusal_of_job(state: &ControlState, job: JobId) -> ErrorKind {
-    if state.configuration.version == 0 {
+    if state.configuration().version == 0 {
         ErrorKind::NotTaken
     } else {
         state.refusal_without_queue(job)
@@ -121,7 +121,7 @@
 
 /// A queue that is not configured; before the first configuration nothing is known.
 fn unknown_queue(state: &ControlState) -> ErrorKind {
-    if state.configuration.version == 0 {
+    if state.configuration().version == 0 {
         ErrorKind::NotTaken
     } else {
         ErrorKind::UnknownQueue
--- a/crates/cluster-node/src/core/machine/calls.rs
+++ b/crates/cluster-node/src/core/machine/calls.rs
@@ -26,7 +26,7 @@
         self.last_forgetting = now;
         let ended_before = WallMillis(self.moment.wall.0.saturating_sub(self.remember_ms));
         let is_old = |job: &JobRecord| job.ended_at.is_some_and(|ended_at| ended_at < ended_before);
-        if self.replica.state.jobs.values().any(is_old) {
+        if self.replica.state.jobs().values().any(is_old) {
             self.submit(Operation::ForgetJobs { ended_before }, now);
         }
     }
--- a/crates/cluster-node/src/core/machine/replication.rs
+++ b/crates/cluster-node/src/core/machine/replication.rs
@@ -82,7 +82,7 @@
     }
 
     pub(super) fn apply_up_to(&mut self, index: u64, now: Millis) {
-        let version_before = self.replica.state.configuration.version;
+        let version_before = self.replica.state.configuration().version;
         while self.replica.applied < index {
             let Some(entry) = self.chain.entry(self.replica.applied + 1).cloned() else {
                 break;
@@ -93,8 +93,11 @@
             self.answer_applied(entry.index, &result, now);
         }
         self.round_due = true;
-        if self.replica.state.configuration.version != version_before {
-            spdlog::info!("configuration {}", self.replica.state.configuration.version);
+        if self.replica.state.configuration().version != version_before {
+            spdlog::info!(
+                "configuration {}",
+                self.replica.state.configuration().version
+            );
             self.tell_configuration();
             self.follow_view(now);
         }
--- a/crates/cluster-node/src/core/machine/subscriptions.rs
+++ b/crates/cluster-node/src/core/machine/subscriptions.rs
@@ -32,7 +32,7 @@
 
     /// Answers a subscriber after the barrier that its question waited for.
     pub(super) fn answer_subscriber(&mut self, request: NewsRequest) {
-        let newest = &self.replica.state.configuration;
+        let newest = self.replica.state.configuration();
         if newest.version == 0 {
             return;
         }
@@ -57,7 +57,7 @@
         if !self.chain.is_head() {
             return;
         }
-        let newest = &self.replica.state.configuration;
+        let newest = self.replica.state.configuration();
         for (connection, subscriber) in self.subscribers.iter_mut() {
             if !subscriber.wants(newest.version) {
                 continue;
--- a/crates/cluster-node/src/core/replica.rs
+++ b/crates/cluster-node/src/core/replica.rs
@@ -1,7 +1,7 @@
 //! This disk's replica of the control state: what is applied, and how it is kept small.
 
 use lupinrack_cluster_api::operation::{LogEntry, OperationResult};
-use lupinrack_control_state::{ControlState, SnapshotFault};
+use lupinrack_control_state::{ControlState, SnapshotError};
 
 /// Entries after which the state is written as a new snapshot.
 const SNAPSHOT_AFTER_ENTRIES: u64 = 4_000;
@@ -18,7 +18,7 @@
 
 impl Replica {
     /// From the snapshot on the disk; empty bytes stand for the empty state.
-    pub fn load(index: u64, bytes: &[u8]) -> Result<Replica, SnapshotFault> {
+    pub fn load(index: u64, bytes: &[u8]) -> Result<Replica, SnapshotError> {
         let state = if bytes.is_empty() {
             ControlState::default()
         } else {
--- a/crates/cluster-node/src/core/shards.rs
+++ b/crates/cluster-node/src/core/shards.rs
@@ -103,7 +103,7 @@
         self.taking
             .retain(|service, _| owner_of(view, service) == Some(me));
         let mut operations = Vec::new();
-        for service in &state.configuration.services {
+        for service in &state.configuration().services {
             let mine = owner_of(view, &service.name) == Some(me);
             if !mine || self.schedulers.contains_key(&service.name) {
                 continue;
@@ -115,7 +115,7 @@
             self.taking
                 .insert(service.name.clone(), Asked::after(before, now));
             let current = state
-                .shards
+                .shards()
                 .get(&service.name)
                 .map_or(0, |shard| shard.token.0);
             let token = FencingToken(view.number.max(current + 1));
--- a/crates/cluster-node/src/lib.rs
+++ b/crates/cluster-node/src/lib.rs
@@ -45,7 +45,7 @@
     /// input or output failed: {0}
     Io(std::io::Error),
     /// the state on the disk cannot be read: {0}
-    State(lupinrack_control_state::SnapshotFault),
+    State(lupinrack_control_state::SnapshotError),
     /// the disk: {0}
     Store(lupinrack_control_store::StoreError),
     /// the process cannot go on with what it has in memory: {0}
@@ -60,8 +60,8 @@
     }
 }
 
-impl From<lupinrack_control_state::SnapshotFault> for NodeError {
-    fn from(fault: lupinrack_control_state::SnapshotFault) -> Self {
+impl From<lupinrack_control_state::SnapshotError> for NodeError {
+    fn from(fault: lupinrack_control_state::SnapshotError) -> Self {
         NodeError::State(fault)
     }
 }
--- a/crates/cluster-node/src/status.rs
+++ b/crates/cluster-node/src/status.rs
@@ -42,8 +42,8 @@
         }
         writeln!(f, "applied {}", self.applied)?;
         writeln!(f, "committed {}", self.committed)?;
-        writeln!(f, "configuration {}", self.state.configuration.version)?;
-        writeln!(f, "jobs {}", self.state.jobs.len())?;
+        writeln!(f, "configuration {}", self.state.configuration().version)?;
+        writeln!(f, "jobs {}", self.state.jobs().len())?;
         writeln!(f, "unmatched answers {}", self.unmatched_answers)?;
         self.write_queues(f)?;
         self.write_owners(f)?;
@@ -55,7 +55,7 @@
 
 impl CoreStatus<'_> {
     fn write_queues(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for route in &self.state.configuration.routes {
+        for route in &self.state.configuration().routes {
             let QueueName(name) = &route.name;
             writeln!(
                 f,
@@ -67,7 +67,7 @@
     }
 
     fn write_owners(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (ServiceName(name), shard) in &self.state.shards {
+        for (ServiceName(name), shard) in self.state.shards().iter() {
             writeln!(
                 f,
                 "owner of {name}: {}, token {}",
--- a/crates/cluster-node/tests/disk_of_the_version_before.rs
+++ b/crates/cluster-node/tests/disk_of_the_version_before.rs
@@ -142,29 +142,33 @@
     let _ = writeln!(
         text,
         "### the state on {name}\nconfiguration {}",
-        state.configuration.version
+        state.configuration().version
     );
     let _ = writeln!(text, "{}", state.document_json());
-    let _ = writeln!(text, "changes taken {}", state.changes_taken.len());
-    for (job, record) in &state.jobs {
-        write_job(text, *job, record);
+    let _ = writeln!(
+        text,
+        "changes taken {}",
+        state.configuration_state().accepted_changes().len()
+    );
+    for (job, record) in state.jobs().iter() {
+        write_job(text, job, record);
     }
-    for (ServiceName(service), jobs) in &state.open_jobs {
+    for (ServiceName(service), jobs) in state.jobs().open_by_service() {
         let jobs: Vec<String> = jobs.iter().map(JobId::to_string).collect();
         let _ = writeln!(text, "open jobs of {service}: {}", jobs.join(" "));
     }
-    for (ServiceName(service), shard) in &state.shards {
+    for (ServiceName(service), shard) in state.shards().iter() {
         let (owner, token) = (shard.owner.0, shard.token.0);
         let _ = writeln!(text, "shard {service}: owner {owner:016x}, token {token}");
     }
-    for (server, place) in &state.servers {
+    for (server, place) in state.bindings().iter() {
         let _ = writeln!(
             text,
             "server {} beside {}, order {}",
             server.0, place.agent.0, place.order
         );
     }
-    let _ = writeln!(text, "places recorded {}", state.bindings_recorded);
+    let _ = writeln!(text, "places recorded {}", state.bindings().recorded());
     let bytes = state.to_bytes().expect("the state can be encoded");
     let _ = writeln!(text, "{} bytes encoded\n", bytes.len());
 }
@@ -320,10 +324,10 @@
         );
     }
     let mut states: Vec<JobState> = Vec::new();
-    for (job, record) in &state.jobs {
+    for (job, record) in state.jobs().iter() {
         let read = Request::ReadJob {
             target: target(record, &job.to_string()),
-            job: *job,
+            job,
         };
         assert_eq!(
             call(&mut network, 0, read),
--- a/crates/cluster-simulation/src/planting.rs
+++ b/crates/cluster-simulation/src/planting.rs
@@ -3,12 +3,15 @@
 use crate::machine::{address_of, ProcessEvent};
 use crate::planted::{LateAnswer, PlantedFault};
 use crate::world::World;
+use lupinrack_cluster_api::configuration::Configuration;
 use lupinrack_cluster_api::identity::{DiskId, FencingToken};
 use lupinrack_cluster_api::operation::Operation;
 use lupinrack_cluster_api::request::CallId;
 use lupinrack_cluster_api::view::{View, Voter};
 use lupinrack_cluster_api::wire::{ChainMessage, Frame};
-use lupinrack_control_state::{ControlState, TakenChanges};
+use lupinrack_control_state::{
+    AcceptedChanges, AgentBindings, ConfigurationDocument, JobTable, ShardTable,
+};
 use lupinrack_control_store::Batch;
 use lupinrack_worker_agent::HeartbeatAnswer;
 
@@ -46,7 +49,7 @@
             return batch;
         };
         let bytes = match self.planted {
-            Some(PlantedFault::TakenChangesNotInSnapshot) => without_taken_changes(bytes),
+            Some(PlantedFault::TakenChangesNotInSnapshot) => without_accepted_changes(bytes),
             Some(PlantedFault::SnapshotTakenForNewer) => self
                 .planting
                 .first_snapshots
@@ -216,10 +219,30 @@
     }
 }
 
-fn without_taken_changes(bytes: Vec<u8>) -> Vec<u8> {
-    let Ok(mut state) = ControlState::from_bytes(&bytes) else {
+/// The parts of a state, in the order in which its bytes hold them.
+type StateParts = (
+    Configuration,
+    ConfigurationDocument,
+    AcceptedChanges,
+    JobTable,
+    ShardTable,
+    AgentBindings,
+);
+
+/// The bytes of a state without its record of accepted changes.
+fn without_accepted_changes(bytes: Vec<u8>) -> Vec<u8> {
+    let Ok(parts) = borsh::from_slice::<StateParts>(&bytes) else {
         return bytes;
     };
-    state.changes_taken = TakenChanges::default();
-    state.to_bytes().unwrap_or(bytes)
+    let (configuration, document, _, jobs, shards, bindings) = parts;
+    let accepted_changes = AcceptedChanges::default();
+    let parts: StateParts = (
+        configuration,
+        document,
+        accepted_changes,
+        jobs,
+        shards,
+        bindings,
+    );
+    borsh::to_vec(&parts).unwrap_or(bytes)
 }
--- a/crates/control-state/src/configuration/accepted_changes.rs
+++ b/crates/control-state/src/configuration/accepted_changes.rs
@@ -1,88 +1,95 @@
-//! The record of configuration changes that were taken.
+//! The record of changes that were accepted, by which retries are recognized.
 //!
-//! At most one change is taken on each version, so the record is kept by the version that a change builds on. Whoever
-//! sends an order again is acknowledged as long as it is remembered; of what is forgotten nobody is told anything
-//! certain, since a refusal of an order that was taken would be false.
+//! At most one change is accepted on each version, so changes are recorded under their base
+//! version. A retry of a change is acknowledged as long as the change is remembered. A change on a
+//! base whose record is forgotten is answered with neither success nor refusal, since a refusal
+//! would be false if the change was accepted.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange};
 use std::collections::BTreeMap;
 
-/// How many changes of the configuration are remembered as taken.
-pub const CHANGES_REMEMBERED: usize = 2048;
+/// The most changes that are remembered.
+pub const ACCEPTED_CHANGES_MOST: usize = 2048;
 
-/// Bytes of a digest: all that BLAKE3 gives by default.
+/// Bytes of a digest, the default output length of BLAKE3.
 pub const DIGEST_BYTES: usize = blake3::OUT_LEN;
 
-/// The version before the first configuration. The change that builds on it is never forgotten, so whoever builds on
-/// nothing always gets a clear answer.
+/// The version before the first configuration. The change on it is never forgotten, so a change on
+/// nothing always gets a definite answer.
 const NO_VERSION: u64 = 0;
 
-/// The digest of a change: of its kind, the version that it builds on, and the bytes of its body.
+/// What stands before the body in the digest of a `PUT`.
+const REPLACEMENT_TAG: u8 = 0;
+
+/// What stands before the body in the digest of a `PATCH`.
+const PATCH_TAG: u8 = 1;
+
+/// Identifies a change: a digest of its kind, its base version and the bytes of its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ChangeDigest([u8; DIGEST_BYTES]);
 
 impl ChangeDigest {
-    /// Of this change. Kind and version have a fixed length, so no two changes are digested from the same bytes.
-    pub fn of(change: &ConfigurationChange) -> ChangeDigest {
-        let (kind, text) = match &change.body {
-            ConfigurationBody::Replacement(text) => (0u8, text),
-            ConfigurationBody::Patch(text) => (1u8, text),
+    /// The digest of this change. Kind and version have a fixed length, so different changes are
+    /// digested from different bytes.
+    pub fn of(change: &ConfigurationChange) -> Self {
+        let (tag, text) = match &change.body {
+            ConfigurationBody::Replacement(text) => (REPLACEMENT_TAG, text),
+            ConfigurationBody::Patch(text) => (PATCH_TAG, text),
         };
         let mut hasher = blake3::Hasher::new();
         hasher
-            .update(&[kind])
+            .update(&[tag])
             .update(&change.if_match.to_le_bytes())
             .update(text.as_bytes());
-        ChangeDigest(hasher.finalize().into())
+        Self(hasher.finalize().into())
     }
 }
 
-/// What the record says of a change.
+/// Whether a change was accepted in the past.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Recollection {
-    /// It was taken.
-    Taken,
-    /// It was not taken.
-    NotTaken,
-    /// It builds on a version so old that the record does not go back to it.
+pub(crate) enum PastChange {
+    /// It was.
+    Accepted,
+    /// It was not.
+    NotAccepted,
+    /// Its base version is so old that the record does not reach back to it.
     Forgotten,
 }
 
-/// The changes that were taken, the oldest of them forgotten.
+/// The changes that were accepted, except for the oldest.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct TakenChanges {
-    /// By the version that each builds on.
+pub struct AcceptedChanges {
+    /// By base version.
     by_base: BTreeMap<u64, ChangeDigest>,
-    /// The newest version of which it is forgotten which change built on it; 0 for none.
+    /// The highest base version whose change is forgotten; 0 for none.
     forgotten_up_to: u64,
 }
 
-impl TakenChanges {
-    /// How many are remembered.
+impl AcceptedChanges {
+    /// How many changes are remembered.
     pub fn len(&self) -> usize {
         self.by_base.len()
     }
 
-    /// Whether none was taken yet.
+    /// Whether no change was accepted yet.
     pub fn is_empty(&self) -> bool {
         self.by_base.is_empty()
     }
 
-    /// What is known of a change that builds on `base`.
-    pub(crate) fn recall(&self, base: u64, digest: &ChangeDigest) -> Recollection {
+    /// What is known of a change on the version `base`.
+    pub(crate) fn find(&self, base: u64, digest: &ChangeDigest) -> PastChange {
         match self.by_base.get(&base) {
-            Some(taken) if taken == digest => Recollection::Taken,
-            Some(_) => Recollection::NotTaken,
-            None if base != NO_VERSION && base <= self.forgotten_up_to => Recollection::Forgotten,
-            None => Recollection::NotTaken,
+            Some(accepted) if accepted == digest => PastChange::Accepted,
+            None if base != NO_VERSION && base <= self.forgotten_up_to => PastChange::Forgotten,
+            Some(_) | None => PastChange::NotAccepted,
         }
     }
 
-    /// Notes that a change on `base` was taken.
-    pub(crate) fn remember(&mut self, base: u64, digest: ChangeDigest) {
+    /// Records that a change on the version `base` was accepted.
+    pub(crate) fn record(&mut self, base: u64, digest: ChangeDigest) {
         self.by_base.insert(base, digest);
-        while self.by_base.len() > CHANGES_REMEMBERED {
+        while self.by_base.len() > ACCEPTED_CHANGES_MOST {
             self.forget_oldest();
         }
     }
--- a/crates/control-state/src/configuration/error.rs
+++ b/crates/control-state/src/configuration/error.rs
@@ -1,18 +1,18 @@
-//! Why a configuration is refused, and where in it the reason lies.
+//! Why a configuration is invalid.
 
-/// A fault of a configuration: {path}: {reason}
+/// {path}: {reason}
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
-#[displaydoc("{path}: {reason}")]
-pub struct ConfigurationFault {
-    /// Where, such as `routes[3].timeout-ms`; `configuration` for the whole.
+pub struct InvalidConfiguration {
+    /// Where in the configuration, such as `routes[3].timeout-ms`; `configuration` for the body
+    /// itself.
     pub path: String,
-    /// Why.
-    pub reason: FaultReason,
+    /// What is wrong there.
+    pub reason: InvalidReason,
 }
 
-/// Why a configuration is refused.
+/// What is wrong with a part of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
-pub enum FaultReason {
+pub enum InvalidReason {
     /// it cannot be read: {0}
     Unreadable(String),
     /// the field is missing
@@ -35,14 +35,14 @@
     VersionNotAbove(u64),
 }
 
-impl ConfigurationFault {
-    /// A fault at this place.
-    pub fn new(path: impl Into<String>, reason: FaultReason) -> ConfigurationFault {
-        ConfigurationFault {
+impl InvalidConfiguration {
+    /// An error at this path.
+    pub(crate) fn new(path: impl Into<String>, reason: InvalidReason) -> Self {
+        Self {
             path: path.into(),
             reason,
         }
     }
 }
 
-impl std::error::Error for ConfigurationFault {}
+impl std::error::Error for InvalidConfiguration {}
--- a/crates/control-state/src/configuration/items.rs
+++ b/crates/control-state/src/configuration/items.rs
@@ -1,13 +1,14 @@
-//! The items of a configuration as the operator writes them, read with `nanoserde`.
+//! Reading of the fields of items, with `nanoserde`.
 
-use crate::configuration::error::{ConfigurationFault, FaultReason};
-use crate::configuration::json_text::{join, read_fields};
+use crate::configuration::document_item::{check_names_differ, DocumentItem};
+use crate::configuration::error::{InvalidConfiguration, InvalidReason};
+use crate::configuration::json_text::{item_path, join, read_fields, read_value, split_array};
 use lupinrack_cluster_api::configuration::{Limits, Route, Service};
 use lupinrack_cluster_api::identity::{QueueName, ServiceName};
 use nanoserde::DeJson;
 
-/// Thousandths in a whole.
-const MILLI: f64 = 1000.0;
+/// Thousandths in one.
+const THOUSANDTHS: f64 = 1000.0;
 
 const NAMED_FIELDS: [&str; 1] = ["name"];
 const SERVICE_FIELDS: [&str; 2] = ["name", "guards"];
@@ -69,20 +70,41 @@
     idle_timeout_ms: u64,
 }
 
+/// Reads a list of items with different names, which keep their texts.
+pub(super) fn read_items(
+    text: &str,
+    path: &str,
+) -> Result<Vec<DocumentItem>, InvalidConfiguration> {
+    let mut items = Vec::new();
+    for (index, text) in split_array(text, path)?.into_iter().enumerate() {
+        let name = read_name(&text, &item_path(path, index))?;
+        items.push(DocumentItem { name, text });
+    }
+    check_names_differ(&items, path)?;
+    Ok(items)
+}
+
+/// Reads a list of names.
+pub(super) fn read_names(text: &str, path: &str) -> Result<Vec<String>, InvalidConfiguration> {
+    let names = split_array(text, path)?;
+    let read = |(index, text): (usize, &String)| read_value(text, &item_path(path, index));
+    names.iter().enumerate().map(read).collect()
+}
+
 /// Reads an item's name.
-pub(crate) fn read_name(text: &str, path: &str) -> Result<String, ConfigurationFault> {
+fn read_name(text: &str, path: &str) -> Result<String, InvalidConfiguration> {
     let item: NamedJson = read_fields(text, path, &NAMED_FIELDS)?;
     Ok(item.name)
 }
 
 /// Reads a route.
-pub(crate) fn read_route(text: &str, path: &str) -> Result<Route, ConfigurationFault> {
+pub(super) fn read_route(text: &str, path: &str) -> Result<Route, InvalidConfiguration> {
     let item: RouteJson = read_fields(text, path, &ROUTE_FIELDS)?;
     let extension_milli = read_milli(item.extension, &join(path, "extension"))?;
     if item.timeout_ms == 0 {
-        return Err(ConfigurationFault::new(
+        return Err(InvalidConfiguration::new(
             join(path, "timeout-ms"),
-            FaultReason::Zero,
+            InvalidReason::Zero,
         ));
     }
     Ok(Route {
@@ -99,7 +121,7 @@
 }
 
 /// Reads a service.
-pub(crate) fn read_service(text: &str, path: &str) -> Result<Service, ConfigurationFault> {
+pub(super) fn read_service(text: &str, path: &str) -> Result<Service, InvalidConfiguration> {
     let item: ServiceJson = read_fields(text, path, &SERVICE_FIELDS)?;
     Ok(Service {
         name: ServiceName(item.name),
@@ -107,8 +129,8 @@
     })
 }
 
-/// Reads the bounds.
-pub(crate) fn read_limits(text: &str, path: &str) -> Result<Limits, ConfigurationFault> {
+/// Reads the limits.
+pub(super) fn read_limits(text: &str, path: &str) -> Result<Limits, InvalidConfiguration> {
     let item: LimitsJson = read_fields(text, path, &LIMITS_FIELDS)?;
     Ok(Limits {
         max_header_bytes: item.max_header_bytes,
@@ -118,10 +140,10 @@
     })
 }
 
-/// A number in thousandths, rounded; one too large for them is the largest.
-fn read_milli(value: f64, path: &str) -> Result<u64, ConfigurationFault> {
+/// A number in thousandths, rounded; the largest possible if it is too large.
+fn read_milli(value: f64, path: &str) -> Result<u64, InvalidConfiguration> {
     if !value.is_finite() || value < 0.0 {
-        return Err(ConfigurationFault::new(path, FaultReason::NotANumber));
+        return Err(InvalidConfiguration::new(path, InvalidReason::NotANumber));
     }
-    Ok((value * MILLI).round() as u64)
+    Ok((value * THOUSANDTHS).round() as u64)
 }
--- a/crates/control-state/src/configuration/json_text.rs
+++ b/crates/control-state/src/configuration/json_text.rs
@@ -1,11 +1,12 @@
 //! JSON texts, split into the texts of their parts.
 //!
-//! A configuration is given back as it was sent, so the text of every item is kept, with fields and forms of numbers
-//! that nothing here reads. `nanoserde` has no type for such a text, takes more than JSON (comments), and on fields that
-//! it skips it panics at a missing value and never returns from an unclosed list. So `serde_json` splits a body into
-//! raw values, which also settles that all of it is well-formed, and `nanoserde` reads the fields that have a meaning.
+//! A configuration is given back as it was sent, so the text of every item is kept, with fields and
+//! forms of numbers that nothing here reads. `nanoserde` has no type for such a text, accepts more
+//! than JSON (comments), and on fields that it skips it panics at a missing value and never returns
+//! from an unclosed list. So `serde_json` splits a body into raw values, which also checks that all
+//! of it is well-formed, and `nanoserde` reads the fields that have a meaning.
 
-use crate::configuration::error::{ConfigurationFault, FaultReason};
+use crate::configuration::error::{InvalidConfiguration, InvalidReason};
 use nanoserde::{DeJson, DeJsonErr, DeJsonErrReason};
 use serde::de::{MapAccess, Visitor};
 use serde::{Deserialize, Deserializer};
@@ -13,7 +14,10 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The fields of an object as they come, also such as come twice.
+/// The path of the body itself.
+pub(super) const ROOT: &str = "";
+
+/// The fields of an object in their order, including fields that come twice.
 struct FieldList(Vec<(String, Box<RawValue>)>);
 
 impl<'de> Deserialize<'de> for FieldList {
@@ -40,22 +44,25 @@
     }
 }
 
-/// An object, split into its fields, of which no two have the same name.
-pub(crate) struct JsonObject {
+/// An object that is split into its fields, no two of which have the same name.
+pub(super) struct JsonObject {
     path: String,
     fields: BTreeMap<String, Box<RawValue>>,
 }
 
 impl JsonObject {
     /// Splits the text of an object that stands at `path`.
-    pub(crate) fn split(text: &str, path: &str) -> Result<JsonObject, ConfigurationFault> {
+    pub(super) fn split(text: &str, path: &str) -> Result<JsonObject, InvalidConfiguration> {
         let FieldList(list) =
-            serde_json::from_str(text).map_err(|error| unreadable(path, error))?;
+            serde_json::from_str(text).map_err(|error| unreadable(path, &error))?;
         let mut fields = BTreeMap::new();
         for (name, value) in list {
             let place = join(path, &name);
             if fields.insert(name, value).is_some() {
-                return Err(ConfigurationFault::new(place, FaultReason::DuplicateField));
+                return Err(InvalidConfiguration::new(
+                    place,
+                    InvalidReason::DuplicateField,
+                ));
             }
         }
         Ok(JsonObject {
@@ -65,41 +72,46 @@
     }
 
     /// Takes a field's text out.
-    pub(crate) fn take(&mut self, name: &str) -> Option<String> {
+    pub(super) fn take(&mut self, name: &str) -> Option<String> {
         self.fields.remove(name).map(|value| value.get().to_owned())
     }
 
-    /// Takes out the text of a field that has to be there.
-    pub(crate) fn take_required(&mut self, name: &str) -> Result<String, ConfigurationFault> {
+    /// Takes out the text of a field that must exist.
+    pub(super) fn take_required(&mut self, name: &str) -> Result<String, InvalidConfiguration> {
         self.take(name).ok_or_else(|| {
-            ConfigurationFault::new(self.field_path(name), FaultReason::MissingField)
+            InvalidConfiguration::new(self.field_path(name), InvalidReason::MissingField)
         })
     }
 
+    /// Takes the version out of a body.
+    pub(super) fn take_version(&mut self) -> Result<u64, InvalidConfiguration> {
+        read_value(&self.take_required("version")?, "version")
+    }
+
     /// The fields that were not taken out, by name.
-    pub(crate) fn remaining(self) -> impl Iterator<Item = (String, String)> {
+    pub(super) fn remaining(self) -> impl Iterator<Item = (String, String)> {
         self.fields
             .into_iter()
             .map(|(name, value)| (name, value.get().to_owned()))
     }
 
-    /// A fault where fields are left that were not taken out.
-    pub(crate) fn expect_empty(&self) -> Result<(), ConfigurationFault> {
+    /// Rejects fields that were not taken out.
+    pub(super) fn expect_empty(&self) -> Result<(), InvalidConfiguration> {
         match self.fields.keys().next() {
-            Some(name) => Err(ConfigurationFault::new(
+            Some(name) => Err(InvalidConfiguration::new(
                 self.field_path(name),
-                FaultReason::UnknownField,
+                InvalidReason::UnknownField,
             )),
             None => Ok(()),
         }
     }
 
     /// The path of one of its fields.
-    pub(crate) fn field_path(&self, name: &str) -> String {
+    pub(super) fn field_path(&self, name: &str) -> String {
         join(&self.path, name)
     }
 
-    /// The text of an object that has only those of the fields which are in `names`.
+    /// The text of an object with only those fields that are in `names`.
     fn select(&self, names: &[&str]) -> String {
         let field = |name: &&str| {
             self.fields
@@ -112,34 +124,34 @@
 }
 
 /// Splits the text of an array that stands at `path` into the texts of its items.
-pub(crate) fn split_array(text: &str, path: &str) -> Result<Vec<String>, ConfigurationFault> {
+pub(super) fn split_array(text: &str, path: &str) -> Result<Vec<String>, InvalidConfiguration> {
     let items: Vec<Box<RawValue>> =
-        serde_json::from_str(text).map_err(|error| unreadable(path, error))?;
+        serde_json::from_str(text).map_err(|error| unreadable(path, &error))?;
     Ok(items.iter().map(|item| item.get().to_owned()).collect())
 }
 
-/// Reads the fields `names` of the object at `path`. Its other fields are not looked at.
-pub(crate) fn read_fields<T: DeJson>(
+/// Reads the fields `names` of the object at `path`, and ignores the others.
+pub(super) fn read_fields<T: DeJson>(
     text: &str,
     path: &str,
     names: &[&str],
-) -> Result<T, ConfigurationFault> {
+) -> Result<T, InvalidConfiguration> {
     let object = JsonObject::split(text, path)?;
-    T::deserialize_json(&object.select(names)).map_err(|error| fault(path, error))
+    T::deserialize_json(&object.select(names)).map_err(|error| from_nanoserde(path, error))
 }
 
-/// Reads a value that is no object.
-pub(crate) fn read_value<T: DeJson>(text: &str, path: &str) -> Result<T, ConfigurationFault> {
-    T::deserialize_json(text).map_err(|error| fault(path, error))
+/// Reads a value that is not an object.
+pub(super) fn read_value<T: DeJson>(text: &str, path: &str) -> Result<T, InvalidConfiguration> {
+    T::deserialize_json(text).map_err(|error| from_nanoserde(path, error))
 }
 
 /// The path of an item of an array.
-pub(crate) fn item_path(path: &str, index: usize) -> String {
+pub(super) fn item_path(path: &str, index: usize) -> String {
     format!("{path}[{index}]")
 }
 
-/// The path of a field; fields of the whole stand for themselves.
-pub(crate) fn join(path: &str, name: &str) -> String {
+/// The path of a field. A field of the body itself has its name for a path.
+pub(super) fn join(path: &str, name: &str) -> String {
     if path.is_empty() {
         name.to_owned()
     } else {
@@ -147,25 +159,25 @@
     }
 }
 
-fn unreadable(path: &str, error: serde_json::Error) -> ConfigurationFault {
+fn unreadable(path: &str, error: &serde_json::Error) -> InvalidConfiguration {
     let path = if path.is_empty() {
         "configuration"
     } else {
         path
     };
-    ConfigurationFault::new(path, FaultReason::Unreadable(error.to_string()))
+    InvalidConfiguration::new(path, InvalidReason::Unreadable(error.to_string()))
 }
 
-/// The fault for an error of the reader, which names missing fields in Rust's form.
-fn fault(path: &str, error: DeJsonErr) -> ConfigurationFault {
+/// Translates an error of `nanoserde`, which names missing fields as Rust does.
+fn from_nanoserde(path: &str, error: DeJsonErr) -> InvalidConfiguration {
     match error.msg {
-        DeJsonErrReason::MissingKey(field) => ConfigurationFault::new(
+        DeJsonErrReason::MissingKey(field) => InvalidConfiguration::new(
             join(path, &field.replace('_', "-")),
-            FaultReason::MissingField,
+            InvalidReason::MissingField,
         ),
         reason => {
             let text = format!("{reason:?}").trim_end().to_owned();
-            ConfigurationFault::new(path, FaultReason::Unreadable(text))
+            InvalidConfiguration::new(path, InvalidReason::Unreadable(text))
         }
     }
 }
--- a/crates/control-state/src/configuration/mod.rs
+++ b/crates/control-state/src/configuration/mod.rs
@@ -1,9 +1,22 @@
-//! The configuration: what is sent, what is read from it, and how it changes.
+//! The configuration, as the operator sends it and as the system reads it.
+//!
+//! A body is read strictly as to its JSON, since one that was cut short must not be accepted. The
+//! operator's text of each item is kept and given back, with fields and forms of numbers that
+//! nothing here reads.
 
-pub(crate) mod accepted_changes;
-pub mod body;
-pub(crate) mod document;
-pub(crate) mod error;
+mod accepted_changes;
+mod body;
+mod document;
+mod document_item;
+mod error;
 mod items;
 mod json_text;
+mod patch;
 mod state;
+
+pub use accepted_changes::{AcceptedChanges, ChangeDigest, ACCEPTED_CHANGES_MOST, DIGEST_BYTES};
+pub use body::{apply_body, check_body, check_configuration};
+pub use document::ConfigurationDocument;
+pub use document_item::DocumentItem;
+pub use error::{InvalidConfiguration, InvalidReason};
+pub use state::ConfigurationState;
--- a/crates/control-state/src/configuration/state.rs
+++ b/crates/control-state/src/configuration/state.rs
@@ -1,42 +1,69 @@
-//! Changes of the configuration.
+//! The current configuration, and its changes.
 
-use crate::configuration::accepted_changes::{ChangeDigest, Recollection};
+use crate::configuration::accepted_changes::{AcceptedChanges, ChangeDigest, PastChange};
 use crate::configuration::body::{apply_body, check_version};
 use crate::configuration::document::ConfigurationDocument;
-use crate::configuration::error::ConfigurationFault;
-use crate::state::ControlState;
+use crate::configuration::error::InvalidConfiguration;
+use borsh::{BorshDeserialize, BorshSerialize};
 use lupinrack_cluster_api::configuration::Configuration;
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange, OperationResult};
 
-impl ControlState {
-    /// Takes a change that builds on the current version, or acknowledges one again that was taken.
-    pub(crate) fn change_configuration(&mut self, change: &ConfigurationChange) -> OperationResult {
+/// The current configuration, in both forms, and the changes that led to it.
+///
+/// Invariant: `current` is what [`ConfigurationDocument::check`] makes of `document`; both are
+/// empty before the first change.
+#[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
+pub struct ConfigurationState {
+    current: Configuration,
+    document: ConfigurationDocument,
+    accepted_changes: AcceptedChanges,
+}
+
+impl ConfigurationState {
+    /// The configuration as the system reads it.
+    pub fn current(&self) -> &Configuration {
+        &self.current
+    }
+
+    /// The configuration as the operator sent it.
+    pub fn document(&self) -> &ConfigurationDocument {
+        &self.document
+    }
+
+    /// The changes that were accepted.
+    pub fn accepted_changes(&self) -> &AcceptedChanges {
+        &self.accepted_changes
+    }
+
+    /// Accepts a change whose base is the current version, and acknowledges a retry of one that was
+    /// accepted.
+    pub(crate) fn change(&mut self, change: &ConfigurationChange) -> OperationResult {
         let digest = ChangeDigest::of(change);
-        match self.changes_taken.recall(change.if_match, &digest) {
-            Recollection::Taken => return OperationResult::Done,
-            Recollection::Forgotten => return OperationResult::Refused(ErrorKind::InDoubt),
-            Recollection::NotTaken => {}
+        match self.accepted_changes.find(change.if_match, &digest) {
+            PastChange::Accepted => return OperationResult::Done,
+            PastChange::Forgotten => return OperationResult::Refused(ErrorKind::InDoubt),
+            PastChange::NotAccepted => {}
         }
-        if change.if_match != self.configuration.version {
+        if change.if_match != self.current.version {
             return OperationResult::Refused(ErrorKind::VersionConflict);
         }
-        let Ok((document, configuration)) = self.changed(&change.body) else {
+        let Ok((document, configuration)) = self.changed_by(&change.body) else {
             return OperationResult::Refused(ErrorKind::InvalidConfiguration);
         };
-        self.changes_taken.remember(change.if_match, digest);
+        self.accepted_changes.record(change.if_match, digest);
         self.document = document;
-        self.configuration = configuration;
+        self.current = configuration;
         OperationResult::Done
     }
 
-    /// What a body makes of the current configuration, checked whole.
-    fn changed(
+    /// What a body makes of the current configuration, completely checked.
+    fn changed_by(
         &self,
         body: &ConfigurationBody,
-    ) -> Result<(ConfigurationDocument, Configuration), ConfigurationFault> {
+    ) -> Result<(ConfigurationDocument, Configuration), InvalidConfiguration> {
         let document = apply_body(&self.document, body)?;
-        check_version(&document, self.configuration.version)?;
+        check_version(&document, self.current.version)?;
         let configuration = document.check()?;
         Ok((document, configuration))
     }
--- a/crates/control-state/src/jobs/starts.rs
+++ b/crates/control-state/src/jobs/starts.rs
@@ -1,14 +1,15 @@
-//! Recording of starts, before any server is told of them.
+//! Recording of starts, before any server is ordered to run them.
 
-use crate::jobs::record::{JobRecord, Occurrence, TaskRecord, TaskStatus};
-use crate::state::ControlState;
-use lupinrack_cluster_api::error::ErrorKind;
-use lupinrack_cluster_api::identity::{FencingToken, JobId, ServiceName, TaskId};
+use crate::jobs::occurrence::Occurrence;
+use crate::jobs::record::JobRecord;
+use crate::jobs::table::JobTable;
+use crate::jobs::task::{TaskRecord, TaskStatus};
+use lupinrack_cluster_api::identity::{JobId, ServiceName, TaskId};
 use lupinrack_cluster_api::job::{JobState, Step};
-use lupinrack_cluster_api::operation::{OperationResult, StartRecord};
+use lupinrack_cluster_api::operation::StartRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A gang: the tasks of a step in one time of a job.
+/// A gang: the tasks of one step in one occurrence of a job.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Gang {
     job: JobId,
@@ -17,8 +18,8 @@
 }
 
 impl Gang {
-    fn of(task: &TaskId) -> Gang {
-        Gang {
+    fn of(task: &TaskId) -> Self {
+        Self {
             job: task.job,
             occurrence: task.occurrence,
             step: task.step,
@@ -26,85 +27,86 @@
     }
 }
 
-impl ControlState {
-    /// Records the starts that hold. Each is decided for itself, those of one gang together.
+impl JobTable {
+    /// Records the starts that are admissible; the result says for each whether it is. A start is
+    /// judged by itself, the starts of one gang together.
     pub(crate) fn record_starts(
         &mut self,
         service: &ServiceName,
-        token: FencingToken,
         starts: &[StartRecord],
-    ) -> OperationResult {
-        if self.is_fenced(service, token) {
-            return OperationResult::Refused(ErrorKind::Fenced);
-        }
-        let mut hold = vec![false; starts.len()];
+    ) -> Vec<bool> {
+        let mut accepted = vec![false; starts.len()];
         let mut gangs: BTreeMap<Gang, Vec<usize>> = BTreeMap::new();
-        for (place, start) in starts.iter().enumerate() {
-            if self.is_gang(&start.task) {
-                gangs.entry(Gang::of(&start.task)).or_default().push(place);
+        for (index, start) in starts.iter().enumerate() {
+            if self.is_of_gang(&start.task) {
+                gangs.entry(Gang::of(&start.task)).or_default().push(index);
             } else {
-                hold[place] = self.record_together(service, &[start]);
+                accepted[index] = self.record_together(service, &[start]);
             }
         }
-        for places in gangs.values() {
-            let members: Vec<&StartRecord> = places.iter().map(|place| &starts[*place]).collect();
-            let holds = self.record_together(service, &members);
-            places.iter().for_each(|place| hold[*place] = holds);
+        for indices in gangs.values() {
+            let members: Vec<&StartRecord> = indices.iter().map(|index| &starts[*index]).collect();
+            let is_accepted = self.record_together(service, &members);
+            for index in indices {
+                accepted[*index] = is_accepted;
+            }
         }
-        OperationResult::Starts(hold)
+        accepted
     }
 
-    fn is_gang(&self, task: &TaskId) -> bool {
-        let step = self.jobs.get(&task.job).and_then(|job| job.step(task.step));
+    fn is_of_gang(&self, task: &TaskId) -> bool {
+        let step = self.get(task.job).and_then(|job| job.step(task.step));
         step.is_some_and(|step| step.gang)
     }
 
-    /// Records starts of tasks of one step and time, all or none.
+    /// Records starts of one step in one occurrence, all or none.
     fn record_together(&mut self, service: &ServiceName, starts: &[&StartRecord]) -> bool {
         let Some(first) = starts.first() else {
             return false;
         };
-        let Some(job) = self.jobs.get_mut(&first.task.job) else {
+        let Some(job) = self.get_mut(first.task.job) else {
             return false;
         };
-        if job.service != *service || !job.starts_hold(starts) {
+        if job.service != *service || !job.admits_starts(starts) {
             return false;
         }
-        starts.iter().for_each(|start| job.assign(start));
+        for start in starts {
+            job.assign(start);
+        }
         true
     }
 }
 
 impl JobRecord {
-    /// Whether these starts of one step and time may be recorded together.
-    fn starts_hold(&self, starts: &[&StartRecord]) -> bool {
+    /// Whether these starts of one step in one occurrence may be recorded together.
+    fn admits_starts(&self, starts: &[&StartRecord]) -> bool {
         let Some(first) = starts.first() else {
             return false;
         };
         let Some(step) = self.step(first.task.step) else {
             return false;
         };
-        let members_fit = !step.gang || is_whole_gang(step, starts);
+        let members_fit = !step.gang || is_complete_gang(step, starts);
         members_fit
             && self.is_open()
-            && self.is_due_to_start(first.task.occurrence, step)
-            && starts.iter().all(|start| self.start_holds(step, start))
+            && self.is_ready(first.task.occurrence, step)
+            && starts.iter().all(|start| self.admits_start(step, start))
     }
 
-    /// Whether the time exists and all that the step depends on is done in it.
-    fn is_due_to_start(&self, occurrence: u32, step: &Step) -> bool {
-        let done = |earlier: &u32| self.step_is_done(occurrence, *earlier);
-        occurrence < self.times()
+    /// Whether the occurrence exists and everything that the step depends on is done in it.
+    fn is_ready(&self, occurrence: u32, step: &Step) -> bool {
+        let is_done = |earlier: &u32| self.step_is_done(occurrence, *earlier);
+        occurrence < self.occurrence_count()
             && !self.occurrence_is_done(occurrence)
-            && step.depends_on.iter().all(done)
+            && step.depends_on.iter().all(is_done)
     }
 
-    /// Whether a task waits for this start.
-    fn start_holds(&self, step: &Step, start: &StartRecord) -> bool {
+    /// Whether the task waits for this start.
+    fn admits_start(&self, step: &Step, start: &StartRecord) -> bool {
         if start.task.index >= step.count {
             return false;
         }
-        let never_started = TaskRecord::new();
+        let never_started = TaskRecord::default();
         let recorded = self.task(start.task.occurrence, start.task.step, start.task.index);
         let task = recorded.unwrap_or(&never_started);
         task.status == TaskStatus::Waiting
@@ -112,7 +114,7 @@
             && (step.long_running || task.failed < self.failure_limit())
     }
 
-    /// Assigns a task whose start holds.
+    /// Assigns a task to the server of a start that is admissible.
     fn assign(&mut self, start: &StartRecord) {
         let steps = &self.spec.steps;
         let occurrence = self
@@ -133,7 +135,8 @@
     }
 }
 
-/// Attempts of a task rise by one; those of a gang rise, since members may have had different numbers of starts.
+/// Whether the number of a start may follow those before. It rises by one; in a gang it may rise by
+/// more, since the members share the number and may have been started differently often before.
 fn attempt_follows(step: &Step, task: &TaskRecord, start: &StartRecord) -> bool {
     if step.gang {
         start.attempt > task.attempt
@@ -142,8 +145,8 @@
     }
 }
 
-/// Whether the starts are those of all members, each once, under the same attempt.
-fn is_whole_gang(step: &Step, starts: &[&StartRecord]) -> bool {
+/// Whether the starts are those of all members, each once, under the same number.
+fn is_complete_gang(step: &Step, starts: &[&StartRecord]) -> bool {
     let members: BTreeSet<u32> = starts.iter().map(|start| start.task.index).collect();
     let same_attempt = starts
         .windows(2)
--- /dev/null
+++ b/crates/control-state/src/jobs/task.rs
@@ -0,0 +1,71 @@
+//! Tasks.
+
+use borsh::{BorshDeserialize, BorshSerialize};
+use lupinrack_cluster_api::identity::{Attempt, ServerId};
+
+/// Whether a task runs.
+#[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
+pub enum TaskStatus {
+    /// It is not assigned to any server.
+    #[default]
+    Waiting,
+    /// Its newest start was recorded for this server, and no end of that run yet.
+    Assigned {
+        /// The server.
+        server: ServerId,
+    },
+    /// It has succeeded, and is never started again.
+    Done,
+}
+
+/// What is recorded of a task.
+#[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
+pub struct TaskRecord {
+    /// Whether it runs.
+    pub status: TaskStatus,
+    /// The number of its newest start; 0 before the first.
+    pub attempt: Attempt,
+    /// How many of its runs have failed. A failed run of a gang counts once for each member.
+    pub failed: u32,
+    /// The newest start whose failure was counted; 0 for none.
+    pub failed_attempt: Attempt,
+    /// Its newest checkpoint; empty for none.
+    pub checkpoint: String,
+}
+
+impl TaskRecord {
+    /// Whether it has succeeded.
+    pub fn is_done(&self) -> bool {
+        self.status == TaskStatus::Done
+    }
+
+    /// Whether this start of it was recorded, and no end of that run.
+    pub fn is_assigned(&self, attempt: Attempt) -> bool {
+        matches!(self.status, TaskStatus::Assigned { .. }) && self.attempt == attempt
+    }
+
+    /// The server that it is assigned to.
+    pub fn server(&self) -> Option<&ServerId> {
+        match &self.status {
+            TaskStatus::Assigned { server } => Some(server),
+            TaskStatus::Waiting | TaskStatus::Done => None,
+        }
+    }
+
+    /// Takes the task from its server, and keeps the checkpoint of the run that has ended, if there
+    /// is one.
+    pub(crate) fn release(&mut self, checkpoint: &str) {
+        self.status = TaskStatus::Waiting;
+        if !checkpoint.is_empty() {
+            checkpoint.clone_into(&mut self.checkpoint);
+        }
+    }
+
+    /// Counts the failure of a run, once.
+    pub(crate) fn count_failure(&mut self, attempt: Attempt) {
+        if self.attempt == attempt && self.failed_attempt != attempt {
+            self.failed = self.failed.saturating_add(1);
+            self.failed_attempt = attempt;
+        }
+    }
+}
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -1,21 +1,35 @@
-//! The control state that every replica keeps: the configuration, the job record and the owners of shards.
+//! The replicated control state: the configuration, the jobs, and which process schedules which
+//! service.
 //!
-//! It is a deterministic state machine: [`ControlState::apply`] takes committed operations in their order, and equal
-//! sequences lead to equal states and results on every replica. It reads no clock and makes no I/O.
-// 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
-#![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
+//! Every replica of the chain owns one [`ControlState`], a deterministic state machine:
+//! [`ControlState::apply`] takes committed operations in the order of the log, and equal sequences
+//! lead to equal states and results on every replica. It reads no clock, makes no I/O, and draws no
+//! random numbers. `cluster-node` drives it, `control-store` keeps its snapshots, and `scheduler`
+//! reads it.
+//!
+//! The state has four parts, each in a module that alone changes it: the configuration and the
+//! changes of it that were accepted ([`ConfigurationState`]), the jobs with their tasks
+//! ([`JobTable`]), the owners of shards ([`ShardTable`]), and the agents beside which servers run
+//! ([`AgentBindings`]).
+//!
+//! Start reading at `state.rs`, then `jobs/starts.rs` and `jobs/ends.rs`.
 
-pub mod configuration;
-pub mod jobs;
-pub mod snapshot;
-pub mod state;
+mod agent_bindings;
+mod configuration;
+mod jobs;
+mod shards;
+mod snapshot;
+mod state;
 
-pub use configuration::accepted_changes::{
-    ChangeDigest, TakenChanges, CHANGES_REMEMBERED, DIGEST_BYTES,
+pub use agent_bindings::{AgentBinding, AgentBindings, BINDINGS_MOST};
+pub use configuration::{
+    apply_body, check_body, check_configuration, AcceptedChanges, ChangeDigest,
+    ConfigurationDocument, ConfigurationState, DocumentItem, InvalidConfiguration, InvalidReason,
+    ACCEPTED_CHANGES_MOST, DIGEST_BYTES,
+};
+pub use jobs::{
+    JobRecord, JobTable, Occurrence, TaskRecord, TaskStatus, TASKS_PER_OCCURRENCE_MOST,
 };
-pub use configuration::body::{check_body, check_configuration};
-pub use configuration::document::{ConfigurationDocument, DocumentItem};
-pub use configuration::error::{ConfigurationFault, FaultReason};
-pub use jobs::record::{JobRecord, Occurrence, TaskRecord, TaskStatus};
-pub use snapshot::SnapshotFault;
-pub use state::{AgentBinding, ControlState, Shard, BINDINGS_MOST, TASKS_PER_OCCURRENCE_MOST};
+pub use shards::{Shard, ShardTable};
+pub use snapshot::SnapshotError;
+pub use state::ControlState;
--- a/crates/control-state/tests/taken_changes.rs
+++ b/crates/control-state/tests/accepted_changes.rs
@@ -1,13 +1,15 @@
 //! The record of changes that were taken: who sends an order again is never refused, and nobody else is confirmed.
 
 mod common;
+mod state_parts;
 
 use common::{patch, put, two_queues};
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::operation::{Operation, OperationResult};
 use lupinrack_control_state::{
-    check_configuration, ControlState, TakenChanges, CHANGES_REMEMBERED, DIGEST_BYTES,
+    check_configuration, AcceptedChanges, ControlState, ACCEPTED_CHANGES_MOST, DIGEST_BYTES,
 };
+use state_parts::StateParts;
 
 const CONFLICT: OperationResult = OperationResult::Refused(ErrorKind::VersionConflict);
 const IN_DOUBT: OperationResult = OperationResult::Refused(ErrorKind::InDoubt);
@@ -99,9 +101,9 @@
 
 #[test]
 fn a_resend_after_more_changes_than_are_remembered_is_left_in_doubt() {
-    let remembered = CHANGES_REMEMBERED as u64;
+    let remembered = ACCEPTED_CHANGES_MOST as u64;
     let mut state = after_changes(remembered + 5);
-    assert_eq!(state.configuration.version, 2 * (remembered + 5));
+    assert_eq!(state.configuration().version, 2 * (remembered + 5));
     let forgotten: Vec<u64> = (1..=4).map(|change| 2 * change).collect();
     for version in forgotten {
         let before = state.clone();
@@ -133,7 +135,7 @@
 
 #[test]
 fn the_first_order_is_remembered_for_ever() {
-    let mut state = after_changes(CHANGES_REMEMBERED as u64 + 50);
+    let mut state = after_changes(ACCEPTED_CHANGES_MOST as u64 + 50);
     assert_eq!(state.apply(&put(0, two_queues(2))), OperationResult::Done);
     assert_eq!(
         state.apply(&put(0, two_queues(3))),
@@ -144,10 +146,16 @@
 
 #[test]
 fn the_record_is_bounded() {
-    let mut state = after_changes(CHANGES_REMEMBERED as u64 + 50);
-    assert_eq!(state.changes_taken.len(), CHANGES_REMEMBERED);
+    let mut state = after_changes(ACCEPTED_CHANGES_MOST as u64 + 50);
+    assert_eq!(
+        state.configuration_state().accepted_changes().len(),
+        ACCEPTED_CHANGES_MOST
+    );
     state.apply(&step(2, 4));
-    assert_eq!(state.changes_taken.len(), CHANGES_REMEMBERED);
+    assert_eq!(
+        state.configuration_state().accepted_changes().len(),
+        ACCEPTED_CHANGES_MOST
+    );
 }
 
 /// The state as another member has it that came by a snapshot.
@@ -158,7 +166,7 @@
 
 #[test]
 fn the_record_lasts_over_a_snapshot() {
-    let remembered = CHANGES_REMEMBERED as u64;
+    let remembered = ACCEPTED_CHANGES_MOST as u64;
     for count in [1, 7, remembered + 5] {
         let mut state = over_a_snapshot(&after_changes(count));
         assert_eq!(state.apply(&put(0, two_queues(2))), OperationResult::Done);
@@ -175,8 +183,9 @@
 /// What the test above is for: a record that is lost on the way makes resends be refused.
 #[test]
 fn a_record_that_a_snapshot_does_not_keep_would_be_found_out() {
-    let mut state = over_a_snapshot(&after_changes(7));
-    state.changes_taken = TakenChanges::default();
+    let mut parts = StateParts::of(&over_a_snapshot(&after_changes(7)));
+    parts.accepted_changes = AcceptedChanges::default();
+    let mut state = parts.state();
     assert_eq!(state.apply(&step(12, 14)), CONFLICT);
 }
 
@@ -186,7 +195,7 @@
     for order in [step(2, 4), step(2, 4), step(4, 5), step(2, 4)] {
         assert_eq!(state.apply(&order), OperationResult::Done);
     }
-    assert_eq!(state.configuration.version, 5);
+    assert_eq!(state.configuration().version, 5);
     let refused = [step(4, 6), step(4, 6), step(2, 9), step(2, 9)];
     assert!(refused.iter().all(|order| state.apply(order) == CONFLICT));
 }
--- a/crates/control-state/tests/places.rs
+++ b/crates/control-state/tests/agent_bindings.rs
@@ -37,6 +37,7 @@
 
 fn earlier(state: &ControlState, server: &str) -> Vec<String> {
     state
+        .bindings()
         .earlier_incarnations(&incarnation(server))
         .into_iter()
         .map(|id| id.0.clone())
@@ -79,9 +80,9 @@
         record(&mut state, &format!("life-{number}"), 1);
     }
     assert!(
-        state.servers.len() <= 2,
+        state.bindings().len() <= 2,
         "{} places are kept",
-        state.servers.len()
+        state.bindings().len()
     );
 }
 
@@ -91,5 +92,5 @@
     state.apply(&take("one", TOKEN));
     let refused = state.apply(&place("first", 1, FencingToken(TOKEN.0 - 1)));
     assert_eq!(refused, OperationResult::Refused(ErrorKind::Fenced));
-    assert!(state.servers.is_empty());
+    assert!(state.bindings().is_empty());
 }
--- a/crates/control-state/tests/changes.rs
+++ b/crates/control-state/tests/changes.rs
@@ -5,7 +5,7 @@
 use common::{patch, put, route, two_queues};
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::operation::OperationResult;
-use lupinrack_control_state::{ControlState, CHANGES_REMEMBERED};
+use lupinrack_control_state::{ControlState, ACCEPTED_CHANGES_MOST};
 
 const CONFLICT: OperationResult = OperationResult::Refused(ErrorKind::VersionConflict);
 const INVALID: OperationResult = OperationResult::Refused(ErrorKind::InvalidConfiguration);
@@ -20,8 +20,8 @@
     assert_eq!(state.apply(&put(0, two_queues(3))), OperationResult::Done);
     assert_eq!(
         (
-            state.configuration.version,
-            state.configuration.routes.len()
+            state.configuration().version,
+            state.configuration().routes.len()
         ),
         (3, 2)
     );
@@ -32,8 +32,8 @@
     );
     assert_eq!(
         (
-            state.configuration.version,
-            state.configuration.routes.len()
+            state.configuration().version,
+            state.configuration().routes.len()
         ),
         (8, 1)
     );
@@ -81,8 +81,8 @@
     for change in [&first, &first, &second, &first, &second] {
         assert_eq!(state.apply(change), OperationResult::Done);
     }
-    assert_eq!(state.configuration.version, 5);
-    assert_eq!(state.configuration.routes.len(), 1);
+    assert_eq!(state.configuration().version, 5);
+    assert_eq!(state.configuration().routes.len(), 1);
 }
 
 #[test]
@@ -121,14 +121,20 @@
     let mut state = ControlState::default();
     state.apply(&put(0, two_queues(1)));
     let change = |version: u64| patch(version, format!(r#"{{"version":{}}}"#, version + 1));
-    let last = CHANGES_REMEMBERED as u64;
+    let last = ACCEPTED_CHANGES_MOST as u64;
     for version in 1..last {
         assert_eq!(state.apply(&change(version)), OperationResult::Done);
     }
-    assert_eq!(state.changes_taken.len(), CHANGES_REMEMBERED);
+    assert_eq!(
+        state.configuration_state().accepted_changes().len(),
+        ACCEPTED_CHANGES_MOST
+    );
     assert_eq!(state.apply(&put(0, two_queues(1))), OperationResult::Done);
     assert_eq!(state.apply(&change(last)), OperationResult::Done);
-    assert_eq!(state.changes_taken.len(), CHANGES_REMEMBERED);
+    assert_eq!(
+        state.configuration_state().accepted_changes().len(),
+        ACCEPTED_CHANGES_MOST
+    );
     assert_eq!(state.apply(&put(0, two_queues(1))), OperationResult::Done);
     assert_eq!(
         state.apply(&change(1)),
--- a/crates/control-state/tests/common/mod.rs
+++ b/crates/control-state/tests/common/mod.rs
@@ -211,3 +211,9 @@
     job.task(task.occurrence, task.step, task.index)
         .expect("the task has a record")
 }
+
+/// The token of a shard that somebody owns.
+pub fn token_of(state: &ControlState, service: &str) -> FencingToken {
+    let shard = state.shards().get(&ServiceName(service.into()));
+    shard.expect("the shard is owned").token
+}
--- a/crates/control-state/tests/configuration.rs
+++ b/crates/control-state/tests/configuration.rs
@@ -5,24 +5,38 @@
 use common::{patch, put, route, service_json, two_queues, whole, LIMITS};
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::operation::{ConfigurationBody, Operation, OperationResult};
-use lupinrack_control_state::configuration::body::{apply_body, apply_patch, read_whole};
-use lupinrack_control_state::{check_body, check_configuration, ControlState, FaultReason};
+use lupinrack_control_state::{
+    apply_body, check_body, check_configuration, ConfigurationDocument, ControlState,
+    InvalidConfiguration, InvalidReason,
+};
 use quickcheck::quickcheck;
 use serde_json::Value;
 
+/// What a `PATCH` makes of a document.
+fn apply_patch(
+    current: &ConfigurationDocument,
+    text: &str,
+) -> Result<ConfigurationDocument, InvalidConfiguration> {
+    apply_body(current, &ConfigurationBody::Patch(text.to_owned()))
+}
+
+/// The document of a `PUT`.
+fn read_replacement(text: &str) -> Result<ConfigurationDocument, InvalidConfiguration> {
+    let body = ConfigurationBody::Replacement(text.to_owned());
+    apply_body(&ConfigurationDocument::default(), &body)
+}
+
 fn value(text: &str) -> Value {
     serde_json::from_str(text).expect("it is JSON")
 }
 
-/// The path of the fault of a text that has one.
-fn fault_path(text: &str) -> String {
-    check_configuration(text).expect_err("it has a fault").path
+/// Where an invalid text is wrong.
+fn error_path(text: &str) -> String {
+    check_configuration(text).expect_err("it is invalid").path
 }
 
-fn fault_reason(text: &str) -> FaultReason {
-    check_configuration(text)
-        .expect_err("it has a fault")
-        .reason
+fn error_reason(text: &str) -> InvalidReason {
+    check_configuration(text).expect_err("it is invalid").reason
 }
 
 #[test]
@@ -103,7 +117,7 @@
         format!("{}x", two_queues(1)),
         format!("/* c */{}", two_queues(1)),
     ] {
-        assert!(matches!(fault_reason(&text), FaultReason::Unreadable(_)));
+        assert!(matches!(error_reason(&text), InvalidReason::Unreadable(_)));
     }
     assert!(check_configuration(&format!(" {}\n", two_queues(1))).is_ok());
 }
@@ -121,28 +135,28 @@
         ("\"max-retries\":2", "\"max-retries\":null"),
         ("\"path-prefix\":\"/a/\"", "\"path-prefix\":[\"/a/\"]"),
     ] {
-        assert_eq!(fault_path(&text.replacen(from, to, 1)), "routes[0]", "{to}");
+        assert_eq!(error_path(&text.replacen(from, to, 1)), "routes[0]", "{to}");
     }
     assert_eq!(
-        fault_path(&text.replacen("\"guards\":true", "\"guards\":1", 1)),
+        error_path(&text.replacen("\"guards\":true", "\"guards\":1", 1)),
         "services[0]"
     );
-    assert_eq!(fault_path(&text.replace("16384", "true")), "limits");
+    assert_eq!(error_path(&text.replace("16384", "true")), "limits");
     assert_eq!(
-        fault_path(&text.replace("\"version\":1,", "\"version\":\"1\",")),
+        error_path(&text.replace("\"version\":1,", "\"version\":\"1\",")),
         "version"
     );
     assert_eq!(
-        fault_path(&text.replace("\"version\":1,", "\"version\":1.0,")),
+        error_path(&text.replace("\"version\":1,", "\"version\":1.0,")),
         "version"
     );
-    assert_eq!(fault_path("[]"), "configuration");
+    assert_eq!(error_path("[]"), "configuration");
     assert_eq!(
-        fault_path(r#"{"version":1,"routes":{},"services":[],"limits":{}}"#),
+        error_path(r#"{"version":1,"routes":{},"services":[],"limits":{}}"#),
         "routes"
     );
     assert_eq!(
-        fault_path(r#"{"version":1,"routes":[7],"services":[],"limits":{}}"#),
+        error_path(r#"{"version":1,"routes":[7],"services":[],"limits":{}}"#),
         "routes[0]"
     );
 }
@@ -166,12 +180,12 @@
     ];
     for (field, path) in route_fields {
         let text = text.replacen(field, "", 1);
-        assert_eq!(fault_path(&text), path);
-        assert_eq!(fault_reason(&text), FaultReason::MissingField);
+        assert_eq!(error_path(&text), path);
+        assert_eq!(error_reason(&text), InvalidReason::MissingField);
     }
     for field in ["routes", "services", "limits"] {
         assert_eq!(
-            fault_path(&text.replace(&format!("\"{field}\":"), "\"else\":")),
+            error_path(&text.replace(&format!("\"{field}\":"), "\"else\":")),
             field
         );
     }
@@ -183,47 +197,47 @@
     let both = |first: String, second: String| whole(1, &[first, second], &services);
 
     let unknown = both(route("a", "/a/", "one"), route("b", "/b/", "none"));
-    assert_eq!(fault_path(&unknown), "routes[1].service");
+    assert_eq!(error_path(&unknown), "routes[1].service");
     assert_eq!(
-        fault_reason(&unknown),
-        FaultReason::UnknownService("none".into())
+        error_reason(&unknown),
+        InvalidReason::UnknownService("none".into())
     );
 
     let same_prefix = both(route("a", "/a/", "one"), route("b", "/a/", "one"));
-    assert_eq!(fault_path(&same_prefix), "routes[1].path-prefix");
+    assert_eq!(error_path(&same_prefix), "routes[1].path-prefix");
     assert_eq!(
-        fault_reason(&same_prefix),
-        FaultReason::SameHostAndPrefix("a".into())
+        error_reason(&same_prefix),
+        InvalidReason::SameHostAndPrefix("a".into())
     );
     let other_host = same_prefix.replacen("h.example", "i.example", 1);
     assert!(check_configuration(&other_host).is_ok());
 
     let same_name = both(route("a", "/a/", "one"), route("a", "/b/", "one"));
-    assert_eq!(fault_path(&same_name), "routes[1].name");
-    assert_eq!(fault_reason(&same_name), FaultReason::DuplicateName);
+    assert_eq!(error_path(&same_name), "routes[1].name");
+    assert_eq!(error_reason(&same_name), InvalidReason::DuplicateName);
     let same_service = whole(1, &[], &[service_json("one"), service_json("one")]);
-    assert_eq!(fault_path(&same_service), "services[1].name");
+    assert_eq!(error_path(&same_service), "services[1].name");
 
     let zero = both(
         route("a", "/a/", "one"),
         route("b", "/b/", "one").replace("3000", "0"),
     );
-    assert_eq!(fault_path(&zero), "routes[1].timeout-ms");
-    assert_eq!(fault_reason(&zero), FaultReason::Zero);
+    assert_eq!(error_path(&zero), "routes[1].timeout-ms");
+    assert_eq!(error_reason(&zero), InvalidReason::Zero);
 
-    assert_eq!(fault_path(&two_queues(0)), "version");
+    assert_eq!(error_path(&two_queues(0)), "version");
     assert_eq!(
-        fault_reason(&two_queues(0)),
-        FaultReason::VersionNotAbove(0)
+        error_reason(&two_queues(0)),
+        InvalidReason::VersionNotAbove(0)
     );
 }
 
 #[test]
-fn a_fault_reads_as_its_place_and_reason() {
+fn an_error_reads_as_its_place_and_reason() {
     let text = two_queues(1).replacen("\"timeout-ms\":3000", "\"timeout-ms\":0", 1);
-    let fault = check_configuration(&text).expect_err("it has a fault");
+    let error = check_configuration(&text).expect_err("it is invalid");
     assert_eq!(
-        fault.to_string(),
+        error.to_string(),
         "routes[0].timeout-ms: it must be above 0"
     );
 }
@@ -235,13 +249,16 @@
         route("a", "/a/", "one").replace("2.25", "2.250, \"big\": 123456789012345678901234567890"),
         service_json("one"),
     );
-    let document = read_whole(&text).expect("it can be read");
+    let document = read_replacement(&text).expect("it can be read");
     document.check().expect("it is valid");
     let rendered = document.render();
     assert!(rendered.contains("2.250, \"big\": 123456789012345678901234567890"));
     assert!(rendered.contains("[1e+3,{\"x\":\"\\u00e9\"}]"));
     assert_eq!(value(&rendered), value(&text));
-    assert_eq!(read_whole(&rendered).expect("it can be read"), document);
+    assert_eq!(
+        read_replacement(&rendered).expect("it can be read"),
+        document
+    );
 }
 
 #[test]
@@ -252,12 +269,15 @@
         route("m", "/m/", "one"),
     ];
     let text = whole(2, &routes, &[service_json("one")]);
-    assert_eq!(read_whole(&text).expect("it can be read").render(), text);
+    assert_eq!(
+        read_replacement(&text).expect("it can be read").render(),
+        text
+    );
 }
 
 #[test]
 fn a_patch_adds_replaces_and_removes_by_name() {
-    let current = read_whole(&two_queues(1)).expect("it can be read");
+    let current = read_replacement(&two_queues(1)).expect("it can be read");
     let changed = route("a", "/new/", "three");
     let patch = format!(
         r#"{{"version":4,"upsert":{{"routes":[{changed},{}],"services":[{}]}},"remove":{{"routes":["b","absent"],"services":["two"]}}}}"#,
@@ -277,11 +297,11 @@
 
 #[test]
 fn a_patch_whose_result_is_invalid_is_found_out() {
-    let current = read_whole(&two_queues(1)).expect("it can be read");
+    let current = read_replacement(&two_queues(1)).expect("it can be read");
     let result = |patch: &str| apply_patch(&current, patch).and_then(|document| document.check());
-    let fault =
+    let error =
         result(r#"{"version":2,"remove":{"services":["two"]}}"#).expect_err("a route uses it");
-    assert_eq!(fault.path, "routes[1].service");
+    assert_eq!(error.path, "routes[1].service");
     let taken = format!(
         r#"{{"version":2,"upsert":{{"routes":[{}]}}}}"#,
         route("c", "/b/", "one")
@@ -295,7 +315,7 @@
 
 #[test]
 fn a_patch_that_says_something_unknown_is_refused() {
-    let current = read_whole(&two_queues(1)).expect("it can be read");
+    let current = read_replacement(&two_queues(1)).expect("it can be read");
     for (patch, path) in [
         (r#"{"upsert":{}}"#, "version"),
         (r#"{"version":2,"limits":{}}"#, "limits"),
@@ -318,7 +338,7 @@
     ] {
         assert_eq!(
             apply_patch(&current, patch)
-                .expect_err("it has a fault")
+                .expect_err("it is invalid")
                 .path,
             path,
             "{patch}"
@@ -349,7 +369,7 @@
         let place = place % bytes.len();
         if insert { bytes.insert(place, byte) } else { bytes[place] = byte }
         let Ok(text) = String::from_utf8(bytes) else { return true };
-        match read_whole(&text).and_then(|document| document.check().map(|_| document)) {
+        match read_replacement(&text).and_then(|document| document.check().map(|_| document)) {
             Ok(document) => value(&document.render()) == value(&text),
             Err(_) => true,
         }
@@ -400,15 +420,15 @@
         ),
     ] {
         assert_ne!(twice, text);
-        assert_eq!(fault_path(&twice), path);
-        assert_eq!(fault_reason(&twice), FaultReason::DuplicateField);
+        assert_eq!(error_path(&twice), path);
+        assert_eq!(error_reason(&twice), InvalidReason::DuplicateField);
     }
-    let current = read_whole(&text).expect("it is good");
-    let fault = apply_patch(&current, r#"{"version":2,"remove":{},"remove":{}}"#)
+    let current = read_replacement(&text).expect("it is good");
+    let error = apply_patch(&current, r#"{"version":2,"remove":{},"remove":{}}"#)
         .expect_err("it comes twice");
     assert_eq!(
-        (fault.path.as_str(), fault.reason),
-        ("remove", FaultReason::DuplicateField)
+        (error.path.as_str(), error.reason),
+        ("remove", InvalidReason::DuplicateField)
     );
 }
 
@@ -436,9 +456,9 @@
         "[1]",
     ];
     for version in beyond {
-        assert_eq!(fault_path(&with(version)), "version", "{version}");
+        assert_eq!(error_path(&with(version)), "version", "{version}");
     }
-    assert_eq!(fault_path(&with("0")), "version");
+    assert_eq!(error_path(&with("0")), "version");
 }
 
 #[test]
@@ -450,7 +470,7 @@
         format!("[{text}]"),
         format!("{text},"),
     ] {
-        assert_eq!(fault_path(&doubled), "configuration");
+        assert_eq!(error_path(&doubled), "configuration");
     }
 }
 
--- a/crates/control-state/tests/golden.rs
+++ b/crates/control-state/tests/golden.rs
@@ -1,6 +1,7 @@
 //! The stored form of the state, and the reading of configurations, compared with the examples in `tests/golden`.
 
 mod golden_values;
+mod state_parts;
 
 use golden_values::*;
 use lupinrack_cluster_api::error::ErrorKind;
@@ -8,12 +9,12 @@
 use lupinrack_cluster_api::operation::{
     ConfigurationBody, ConfigurationChange, Operation, OperationResult,
 };
-use lupinrack_control_state::configuration::body::apply_body;
 use lupinrack_control_state::{
-    check_body, ChangeDigest, ConfigurationDocument, ControlState, Occurrence, TakenChanges,
-    TaskRecord,
+    apply_body, check_body, AcceptedChanges, ChangeDigest, ConfigurationDocument, ControlState,
+    Occurrence, TaskRecord,
 };
 use lupinrack_golden_files::{compare_text, GoldenFile};
+use state_parts::StateParts;
 
 /// The path of a golden file.
 fn path(name: &str) -> String {
@@ -27,13 +28,13 @@
         file.borsh(&format!("status {name}"), &status);
         file.borsh(&format!("task {name}"), &task_record(status));
     }
-    file.borsh("task that was never started", &TaskRecord::new());
+    file.borsh("task that was never started", &TaskRecord::default());
     file.borsh("occurrence", &occurrence());
     file.borsh("occurrence that is done", &Occurrence::default());
     file.borsh("open job", &job_record(JobState::Running, None));
     file.borsh("ended job", &job_record(JobState::Failed, Some(20)));
     file.borsh("shard", &shard(21));
-    file.borsh("place", &place(22));
+    file.borsh("place", &binding(22));
     file.borsh("document", &document());
     file.borsh("document of nothing", &ConfigurationDocument::default());
     file.finish();
@@ -60,22 +61,48 @@
 #[test]
 fn snapshots() {
     let mut file = GoldenFile::open(path("snapshots.hex"));
-    for (name, state) in [
-        ("empty", ControlState::default()),
-        ("every kind of record", whole_state()),
+    for (name, parts) in [
+        ("empty", StateParts::default()),
+        ("every kind of record", all_parts()),
     ] {
+        file.borsh(name, &parts);
+        let state = parts.state();
         let bytes = state.to_bytes().expect("a state has bytes");
-        file.bytes(name, &bytes);
-        let kept = file.kept_bytes(name).unwrap_or(bytes);
+        let kept = file.kept_bytes(name).unwrap_or(bytes.clone());
+        assert_eq!(bytes, kept, "{name}");
         assert_eq!(ControlState::from_bytes(&kept), Ok(state), "{name}");
     }
     file.finish();
+    assert_eq!(StateParts::default().state(), ControlState::default());
+}
+
+/// A state that was read has each part where the accessors look for it.
+#[test]
+fn parts_of_a_snapshot() {
+    let parts = all_parts();
+    let state = parts.state();
+    assert_eq!(*state.configuration(), parts.configuration);
+    assert_eq!(*state.configuration_state().document(), parts.document);
+    assert_eq!(
+        *state.configuration_state().accepted_changes(),
+        parts.accepted_changes
+    );
+    for (job, record) in &parts.jobs {
+        assert_eq!(state.job(*job), Some(record));
+    }
+    assert_eq!(*state.jobs().open_by_service(), parts.open_jobs);
+    for (service, shard) in &parts.shards {
+        assert_eq!(state.shards().get(service), Some(shard));
+    }
+    for (server, binding) in &parts.bindings {
+        assert_eq!(state.bindings().get(server), Some(binding));
+    }
 }
 
 /// The digest at base 9 is that of no change; bases up to 7 are forgotten.
 #[test]
-fn the_record_of_taken_changes_keeps_its_meaning() {
-    let mut file = GoldenFile::open(path("taken_changes.hex"));
+fn the_record_of_accepted_changes_keeps_its_meaning() {
+    let mut file = GoldenFile::open(path("accepted_changes.hex"));
     let bytes = [
         &1u32.to_le_bytes()[..],
         &9u64.to_le_bytes(),
@@ -87,16 +114,17 @@
     let kept = file
         .kept_bytes("one remembered, some forgotten")
         .unwrap_or(bytes);
-    let changes_taken: TakenChanges = borsh::from_slice(&kept).expect("a record of changes");
+    let accepted_changes: AcceptedChanges = borsh::from_slice(&kept).expect("a record of changes");
     assert_eq!(
-        borsh::to_vec(&changes_taken).expect("a record has bytes"),
+        borsh::to_vec(&accepted_changes).expect("a record has bytes"),
         kept
     );
-    assert_eq!(changes_taken.len(), 1);
-    let state = ControlState {
-        changes_taken,
-        ..ControlState::default()
+    assert_eq!(accepted_changes.len(), 1);
+    let parts = StateParts {
+        accepted_changes,
+        ..StateParts::default()
     };
+    let state = parts.state();
     let refusal = |if_match| {
         let body = ConfigurationBody::Replacement(PUT.to_owned());
         let change = ConfigurationChange { if_match, body };
@@ -136,10 +164,13 @@
         &format!("{}\n", state.document_json()),
     );
     let mut file = GoldenFile::open(path("configurations.hex"));
-    file.borsh("document of the put", &put.document);
-    file.borsh("configuration of the put", &put.configuration);
-    file.borsh("document of the patch", &state.document);
-    file.borsh("configuration of the patch", &state.configuration);
+    file.borsh("document of the put", put.configuration_state().document());
+    file.borsh("configuration of the put", put.configuration());
+    file.borsh(
+        "document of the patch",
+        state.configuration_state().document(),
+    );
+    file.borsh("configuration of the patch", state.configuration());
     file.finish();
 }
 
@@ -166,7 +197,7 @@
     for (name, patch) in faulty_patches_of_put() {
         let body = ConfigurationBody::Patch(patch.to_owned());
         assert_eq!(check_body(&body), Ok(()), "{name}");
-        let changed = apply_body(&state.document, &body).expect(name);
+        let changed = apply_body(state.configuration_state().document(), &body).expect(name);
         file.text(name, &changed.check().expect_err(name).to_string());
     }
     file.finish();
--- a/crates/control-state/tests/golden_values/state.rs
+++ b/crates/control-state/tests/golden_values/state.rs
@@ -1,5 +1,6 @@
 //! Records of every kind.
 
+use crate::state_parts::StateParts;
 use lupinrack_cluster_api::configuration::{Configuration, Limits, Route, Service};
 use lupinrack_cluster_api::identity::{
     DiskId, FencingToken, JobId, PeerAddress, QueueName, ServerId, ServiceName,
@@ -8,8 +9,8 @@
 use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange, Operation};
 use lupinrack_cluster_api::time::WallMillis;
 use lupinrack_control_state::{
-    AgentBinding, ConfigurationDocument, ControlState, DocumentItem, JobRecord, Occurrence, Shard,
-    TakenChanges, TaskRecord, TaskStatus,
+    AcceptedChanges, AgentBinding, ConfigurationDocument, ControlState, DocumentItem, JobRecord,
+    Occurrence, Shard, TaskRecord, TaskStatus,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -52,7 +53,7 @@
         .map(|(_, status)| task_record(status))
         .collect();
     Occurrence {
-        steps: vec![tasks, vec![TaskRecord::new()]],
+        steps: vec![tasks, vec![TaskRecord::default()]],
         open_tasks: 3,
     }
 }
@@ -108,7 +109,7 @@
     }
 }
 
-pub fn place(order: u64) -> AgentBinding {
+pub fn binding(order: u64) -> AgentBinding {
     let agent = PeerAddress(SocketAddrV4::new(Ipv4Addr::new(10, 2, 3, 4), 7004));
     AgentBinding { agent, order }
 }
@@ -154,19 +155,19 @@
     }
 }
 
-/// The record of one change, as a state has it that took the change.
-fn changes_taken() -> TakenChanges {
+/// The record of one change, as a state has it that accepted the change.
+fn accepted_changes() -> AcceptedChanges {
     let body = ConfigurationBody::Replacement(super::PUT.to_owned());
     let mut state = ControlState::default();
     state.apply(&Operation::ChangeConfiguration(ConfigurationChange {
         if_match: 0,
         body,
     }));
-    state.changes_taken
+    state.configuration_state().accepted_changes().clone()
 }
 
-/// A state that holds every kind of record; jobs in each of their states.
-pub fn whole_state() -> ControlState {
+/// The parts of a state that holds every kind of record; jobs in each of their states.
+pub fn all_parts() -> StateParts {
     let jobs = [
         (1, job_record(JobState::Queued, None)),
         (2, job_record(JobState::Running, None)),
@@ -175,10 +176,10 @@
         (5, job_record(JobState::Cancelled, Some(36))),
     ];
     let open = BTreeSet::from([JobId(1), JobId(2)]);
-    ControlState {
+    StateParts {
         configuration: configuration(),
         document: document(),
-        changes_taken: changes_taken(),
+        accepted_changes: accepted_changes(),
         jobs: jobs
             .into_iter()
             .map(|(number, record)| (JobId(number), record))
@@ -188,9 +189,9 @@
             (service("guard"), shard(37)),
             (service("worker"), shard(38)),
         ]),
-        servers: BTreeMap::from([
-            (server("server-5"), place(39)),
-            (server("server-6"), place(40)),
+        bindings: BTreeMap::from([
+            (server("server-5"), binding(39)),
+            (server("server-6"), binding(40)),
         ]),
         bindings_recorded: 41,
     }
--- a/crates/control-state/tests/histories.rs
+++ b/crates/control-state/tests/histories.rs
@@ -287,9 +287,9 @@
 
 fn assert_same(state: &ControlState, model: &Model) {
     let states: Vec<_> = state
-        .jobs
+        .jobs()
         .iter()
-        .map(|(id, job)| (*id, job.state))
+        .map(|(id, job)| (id, job.state))
         .collect();
     let expected: Vec<_> = model
         .jobs
@@ -329,14 +329,23 @@
 
 /// What must hold of a state by itself.
 fn assert_sound(state: &ControlState) {
-    for (service, open) in &state.open_jobs {
-        let listed = |job: &JobId| state.jobs[job].is_open() && state.jobs[job].service == *service;
-        assert!(!open.is_empty() && open.iter().all(listed));
+    for (service, open) in state.jobs().open_by_service() {
+        let is_open = |id: &JobId| {
+            let job = state.job(*id).expect("a listed job is known");
+            job.is_open() && job.service == *service
+        };
+        assert!(!open.is_empty() && open.iter().all(is_open));
     }
-    let listed: BTreeSet<JobId> = state.open_jobs.values().flatten().copied().collect();
-    let open = state.jobs.iter().filter(|(_, job)| job.is_open());
-    assert_eq!(listed, open.map(|(id, _)| *id).collect());
-    for job in state.jobs.values() {
+    let listed: BTreeSet<JobId> = state
+        .jobs()
+        .open_by_service()
+        .values()
+        .flatten()
+        .copied()
+        .collect();
+    let open = state.jobs().iter().filter(|(_, job)| job.is_open());
+    assert_eq!(listed, open.map(|(id, _)| id).collect());
+    for (_, job) in state.jobs().iter() {
         assert_eq!(job.ended_at.is_none(), job.is_open());
         let done = job
             .occurrences
@@ -358,8 +367,8 @@
 
 /// What must hold from one state to the next.
 fn assert_forwards(before: &ControlState, after: &ControlState) {
-    for (id, earlier) in &before.jobs {
-        let Some(later) = after.jobs.get(id) else {
+    for (id, earlier) in before.jobs().iter() {
+        let Some(later) = after.job(id) else {
             assert!(!earlier.is_open(), "an open job was forgotten");
             continue;
         };
--- a/crates/control-state/tests/jobs.rs
+++ b/crates/control-state/tests/jobs.rs
@@ -47,7 +47,7 @@
         state.apply(&accept(JobId(2), "a", spec(vec![step(1)]))),
         unknown
     );
-    assert_eq!(state.jobs.len(), 1);
+    assert_eq!(state.jobs().len(), 1);
     assert_eq!(
         ControlState::default().apply(&accept(JOB, "a", JobSpec::default())),
         unknown
@@ -165,7 +165,10 @@
     state.apply(&cancel(JobId(2), 50));
     state.apply(&cancel(JobId(4), 50));
     assert_eq!((pending(&state, "a"), pending(&state, "b")), (2, 0));
-    assert!(!state.open_jobs.contains_key(&ServiceName("two".into())));
+    assert!(!state
+        .jobs()
+        .open_by_service()
+        .contains_key(&ServiceName("two".into())));
 }
 
 #[test]
@@ -178,11 +181,14 @@
     state.apply(&cancel(JobId(2), 60));
     assert_eq!(state.apply(&forget(60)), OperationResult::Done);
     assert_eq!(
-        state.jobs.keys().copied().collect::<Vec<_>>(),
+        state.jobs().iter().map(|(id, _)| id).collect::<Vec<_>>(),
         [JobId(2), JobId(3)]
     );
     state.apply(&forget(u64::MAX));
-    assert_eq!(state.jobs.keys().copied().collect::<Vec<_>>(), [JobId(3)]);
+    assert_eq!(
+        state.jobs().iter().map(|(id, _)| id).collect::<Vec<_>>(),
+        [JobId(3)]
+    );
 }
 
 #[test]
@@ -196,11 +202,8 @@
         state.apply(&take("one", FencingToken(6))),
         OperationResult::Done
     );
-    assert_eq!(
-        state.shards[&ServiceName("one".into())].token,
-        FencingToken(6)
-    );
-    assert_eq!(state.shards[&ServiceName("two".into())].token, TOKEN);
+    assert_eq!(token_of(&state, "one"), FencingToken(6));
+    assert_eq!(token_of(&state, "two"), TOKEN);
 }
 
 #[test]
--- a/crates/control-state/tests/runs.rs
+++ b/crates/control-state/tests/runs.rs
@@ -114,7 +114,7 @@
     assert_eq!(job.occurrences_done, 1);
     assert!(job.occurrences[&0].steps.is_empty());
     assert!(job.occurrence_is_done(0) && job.step_is_done(0, 0));
-    assert!(state.open_jobs.is_empty());
+    assert!(state.jobs().open_by_service().is_empty());
     assert!(!try_start(&mut state, task(0, 0, 0), 2));
 }
 
@@ -190,7 +190,7 @@
     run(&mut state, task(0, 0, 0), 2, RunEnd::Failed);
     assert_eq!(job_state(&state), JobState::Failed);
     assert!(!try_start(&mut state, task(0, 0, 1), 2));
-    assert!(state.open_jobs.is_empty());
+    assert!(state.jobs().open_by_service().is_empty());
 }
 
 #[test]
--- a/crates/scheduler/src/heartbeats.rs
+++ b/crates/scheduler/src/heartbeats.rs
@@ -262,7 +262,7 @@
 
 /// What a task needs, where its job is known.
 fn needs_of(state: &ControlState, task: TaskId) -> Option<Resources> {
-    let steps = &state.jobs.get(&task.job)?.spec.steps;
+    let steps = &state.job(task.job)?.spec.steps;
     steps.get(task.step as usize).map(|step| step.needs)
 }
 
@@ -273,7 +273,7 @@
     task: TaskId,
     attempt: Attempt,
 ) -> bool {
-    let job = state.jobs.get(&task.job);
+    let job = state.job(task.job);
     let record = job.and_then(|job| job.task(task.occurrence, task.step, task.index));
     record.is_some_and(|record| {
         record.attempt == attempt
--- a/crates/scheduler/src/jobs.rs
+++ b/crates/scheduler/src/jobs.rs
@@ -107,7 +107,10 @@
         let before = std::mem::take(&mut self.ready);
         self.next_due_ms = None;
         self.skip_done(job);
-        let last = self.first_open.saturating_add(TIMES_MOST).min(job.times());
+        let last = self
+            .first_open
+            .saturating_add(TIMES_MOST)
+            .min(job.occurrence_count());
         for occurrence in self.first_open..last {
             let due_ms = job.due_ms(occurrence);
             if wall.0 < due_ms {
@@ -255,7 +258,7 @@
         for (job, plan) in &mut self.plans {
             if let Some(record) = plan
                 .is_stale(view.wall)
-                .then(|| view.state.jobs.get(job))
+                .then(|| view.state.job(*job))
                 .flatten()
             {
                 plan.refresh(record, view.now, view.wall);
@@ -268,7 +271,7 @@
     fn refresh_job(&mut self, job: JobId, view: &JobView<'_>) -> bool {
         let open =
             |record: &&JobRecord| record.service == *view.service && !record.state.is_final();
-        let Some(record) = view.state.jobs.get(&job).filter(open) else {
+        let Some(record) = view.state.job(job).filter(open) else {
             return false;
         };
         let plan = self
--- a/crates/scheduler/src/lapses.rs
+++ b/crates/scheduler/src/lapses.rs
@@ -51,13 +51,13 @@
         self.adopted = true;
         let service = self.service.clone();
         for (job, record) in state
-            .jobs
+            .jobs()
             .iter()
             .filter(|(_, record)| record.service == service)
         {
-            let starts = assigned_starts(*job, record);
+            let starts = assigned_starts(job, record);
             if !starts.is_empty() || !record.state.is_final() {
-                self.jobs.touch(*job);
+                self.jobs.touch(job);
             }
             starts
                 .iter()
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -191,8 +191,7 @@
 /// The order to start a run; none where the record does not ask for it any longer.
 fn assignment(state: &ControlState, run: &Run) -> Option<Assignment> {
     let job = state
-        .jobs
-        .get(&run.task.job)
+        .job(run.task.job)
         .filter(|job| !job.state.is_final())?;
     if !is_assigned(state, &run.server, run.task, run.attempt) {
         return None;
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -151,7 +151,7 @@
     ) -> Vec<Demand<'a>> {
         let mut demands = Vec::new();
         for (id, plan) in jobs.plans() {
-            let Some(job) = state.jobs.get(id) else {
+            let Some(job) = state.job(*id) else {
                 continue;
             };
             for ready in plan.ready() {
--- a/crates/scheduler/src/places.rs
+++ b/crates/scheduler/src/places.rs
@@ -22,9 +22,10 @@
             .map(|(id, server)| (id.clone(), server.agent))
             .collect();
         for (server, agent) in unplaced {
-            if state.servers.contains_key(&server) {
+            if state.bindings().get(&server).is_some() {
                 self.submissions.forget_server(&server);
                 let earlier = state
+                    .bindings()
                     .earlier_incarnations(&server)
                     .into_iter()
                     .cloned()
--- a/crates/scheduler/src/queueing.rs
+++ b/crates/scheduler/src/queueing.rs
@@ -224,8 +224,7 @@
     fn propose(&mut self, place: usize, task: TaskId, traits: RunTraits) {
         let record = self
             .state
-            .jobs
-            .get(&task.job)
+            .job(task.job)
             .and_then(|job| task_record(job, task));
         let start = StartRecord {
             task,
--- a/crates/scheduler/tests/decisions/bench.rs
+++ b/crates/scheduler/tests/decisions/bench.rs
@@ -270,7 +270,7 @@
 
     pub fn cancel(&mut self, job: u64) {
         let job = JobId(job);
-        let queue = self.state.jobs[&job].queue.clone();
+        let queue = self.state.job(job).expect("the job is known").queue.clone();
         self.apply(Operation::CancelJob {
             job,
             queue,
--- a/crates/scheduler/tests/decisions/late.rs
+++ b/crates/scheduler/tests/decisions/late.rs
@@ -70,7 +70,10 @@
     bench.run_for(2_000);
     assert_eq!(bench.machines_of(JOB), [MACHINE]);
     assert_eq!(
-        bench.state.jobs[&task(JOB, 0, 0).job]
+        bench
+            .state
+            .job(task(JOB, 0, 0).job)
+            .expect("the job is known")
             .task(0, 0, 0)
             .map(|task| task.attempt),
         Some(1)
@@ -169,7 +172,10 @@
         "its run goes on elsewhere, once it is stopped"
     );
     assert_eq!(
-        bench.state.jobs[&task(JOB, 0, 0).job]
+        bench
+            .state
+            .job(task(JOB, 0, 0).job)
+            .expect("the job is known")
             .task(0, 0, 0)
             .map(|task| task.attempt),
         Some(2)
--- a/crates/scheduler/tests/decisions/room.rs
+++ b/crates/scheduler/tests/decisions/room.rs
@@ -153,7 +153,7 @@
     let place = bench.places.get_mut(&1).expect("it is there");
     place.end(task(7, 0, 0), 1, RunEnd::Stopped);
     bench.run_for(300);
-    let record = &bench.state.jobs[&JobId(7)];
+    let record = &bench.state.job(JobId(7)).expect("the job is known");
     let attempts: Vec<u32> = (0..2)
         .filter_map(|index| record.task(0, 0, index))
         .map(|task| task.attempt)
--- a/crates/scheduler/tests/golden/days.rs
+++ b/crates/scheduler/tests/golden/days.rs
@@ -111,7 +111,7 @@
     let count = |state: JobState| {
         world
             .state
-            .jobs
+            .jobs()
             .values()
             .filter(|job| job.state == state)
             .count()
--- a/crates/scheduler/tests/golden/scenario.rs
+++ b/crates/scheduler/tests/golden/scenario.rs
@@ -202,10 +202,5 @@
 }
 
 fn step_of(state: &ControlState, task: TaskId) -> Option<&Step> {
-    state
-        .jobs
-        .get(&task.job)?
-        .spec
-        .steps
-        .get(task.step as usize)
+    state.job(task.job)?.spec.steps.get(task.step as usize)
 }
--- a/crates/scheduler/tests/simulation/main.rs
+++ b/crates/scheduler/tests/simulation/main.rs
@@ -185,7 +185,7 @@
     fn count(&mut self, world: &World) {
         let succeeded = world
             .state
-            .jobs
+            .jobs()
             .values()
             .filter(|job| job.state == JobState::Succeeded);
         for job in succeeded.filter(|job| job.priority == 0) {
--- a/crates/scheduler/tests/simulation/world.rs
+++ b/crates/scheduler/tests/simulation/world.rs
@@ -339,7 +339,7 @@
     }
 
     fn cancel(&mut self, job: JobId) {
-        let Some(record) = self.state.jobs.get(&job) else {
+        let Some(record) = self.state.job(job) else {
             return;
         };
         let queue = record.queue.clone();
@@ -347,8 +347,7 @@
         self.apply(&Operation::CancelJob { job, queue, at });
         let cancelled = self
             .state
-            .jobs
-            .get(&job)
+            .job(job)
             .is_some_and(|record| record.state == JobState::Cancelled);
         if let Some(truth) = self.checks.jobs.get_mut(&job).filter(|_| cancelled) {
             truth.cancelled_at.get_or_insert(self.now);
@@ -533,10 +532,10 @@
     pub fn open_jobs(&self) -> Vec<(JobId, JobState)> {
         let open = self
             .state
-            .jobs
+            .jobs()
             .iter()
             .filter(|(_, job)| !job.state.is_final());
-        open.map(|(id, job)| (*id, job.state)).collect()
+        open.map(|(id, job)| (id, job.state)).collect()
     }
 
     /// Checks what clients are shown in the end.
@@ -549,7 +548,7 @@
             .collect();
         let servers_fail = self.troubles.failing_server;
         for (id, truth) in truths {
-            let state = self.state.jobs.get(&id).map(|job| job.state);
+            let state = self.state.job(id).map(|job| job.state);
             match state {
                 Some(JobState::Succeeded) if !self.checks.all_done(id) => {
                     self.checks.broke(self.now, format!("MIXED: {id}"));
