--- a/crates/worker-agent/src/heartbeat_json/render.rs
+++ b/crates/worker-agent/src/heartbeat_json/render.rs
@@ -1,6 +1,6 @@
 //! Writes the body of the answer to a heartbeat.
 
-use crate::answer::{HeartbeatAnswer, StopOrder};
+use crate::heartbeat_response::{HeartbeatResponse, StopOrder};
 use lupinrack_cluster_api::agent::Assignment;
 use lupinrack_cluster_api::identity::{Attempt, TaskId};
 use serde::{Serialize, Serializer};
@@ -25,7 +25,7 @@
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
 struct Body<'a> {
-    #[serde(skip_serializing_if = "is_zero")]
+    #[serde(rename = "hold-ms", skip_serializing_if = "is_zero")]
     lease_ms: u64,
     #[serde(skip_serializing_if = "is_zero")]
     observed: u64,
@@ -40,7 +40,7 @@
 }
 
 /// The answer's JSON; what is 0 or empty is left out.
-pub fn render(answer: &HeartbeatAnswer) -> String {
+pub fn render(answer: &HeartbeatResponse) -> String {
     let body = Body {
         lease_ms: answer.lease_ms,
         observed: answer.observed,
