--- a/crates/cluster-simulation/src/local.rs
+++ b/crates/cluster-simulation/src/local.rs
@@ -41,7 +41,7 @@
                 unknown_runs: Vec::new(),
                 address: String::new(),
                 slots: 8,
-                cold_remaining_ms: 0,
+                warm_up_remaining_ms: 0,
                 clock_ms: now,
             };
             self.send_local(place, LocalMessage::Heartbeat(Box::new(beat), now));
--- a/crates/worker-agent/src/desired_state.rs
+++ b/crates/worker-agent/src/desired_state.rs
@@ -1,6 +1,6 @@
 //! What the owner wants to run on the server, compared with what runs there.
 
-use crate::attempt_watermarks::AttemptMarks;
+use crate::attempt_watermarks::AttemptWatermarks;
 use crate::heartbeat_response::StopOrder;
 use lupinrack_cluster_api::agent::{Assignment, OwnerMessage};
 use lupinrack_cluster_api::identity::{Attempt, TaskId};
@@ -8,44 +8,55 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How many tasks' ends, and as many tasks' stops, are remembered.
-pub const MARKED_TASKS_MOST: usize = 50_000;
+pub const MAX_WATERMARKED_TASKS: usize = 50_000;
 
-/// The most bytes of texts in the starts of one answer. A byte can take six in JSON, and a server takes 4 MiB.
-pub const STARTS_BYTES_MOST: usize = 512 * 1024;
+/// The most bytes of specs and checkpoints in the starts of one response. A byte can take six in JSON, and a server accepts
+/// 4 MiB.
+pub const MAX_START_BYTES: usize = 512 * 1024;
+
+/// Whether the server may be ordered to start runs now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum StartPermission {
+    /// It may: it has a lease, does not drain, and lists every end.
+    Granted,
+    /// Its starts have to wait.
+    Withheld,
+}
 
 /// The starts that are missing on the server.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct MissingStarts {
+pub(crate) struct MissingStarts {
     /// Those to order now.
-    pub starts: Vec<Assignment>,
+    pub(crate) starts: Vec<Assignment>,
     /// Whether there are others, which have to wait.
-    pub withheld: bool,
+    pub(crate) some_wait: bool,
 }
 
-/// The desired state of one life of the server.
+/// What should run in one incarnation of the server, and what must not any more.
 #[derive(Clone, Debug)]
-pub struct Orders {
-    desired: BTreeMap<TaskId, Assignment>,
-    stopped: AttemptMarks,
-    ended: AttemptMarks,
+pub(crate) struct DesiredState {
+    assignments: BTreeMap<TaskId, Assignment>,
+    /// Attempts that the owner has stopped.
+    stopped: AttemptWatermarks,
+    /// Attempts that have ended on the server.
+    ended: AttemptWatermarks,
 }
 
-impl Default for Orders {
+impl Default for DesiredState {
     fn default() -> Self {
-        let marks = || AttemptMarks::new(MARKED_TASKS_MOST);
-        Orders {
-            desired: BTreeMap::new(),
-            stopped: marks(),
-            ended: marks(),
+        DesiredState {
+            assignments: BTreeMap::new(),
+            stopped: AttemptWatermarks::new(MAX_WATERMARKED_TASKS),
+            ended: AttemptWatermarks::new(MAX_WATERMARKED_TASKS),
         }
     }
 }
 
-impl Orders {
-    /// Takes the owner's orders. A message that is whole replaces all earlier ones; only the memory of ends stays.
-    pub fn apply(&mut self, message: OwnerMessage) {
+impl DesiredState {
+    /// Applies the owner's orders. A complete message replaces all earlier ones; only the memory of ends stays.
+    pub(crate) fn apply(&mut self, message: OwnerMessage) {
         if message.complete {
-            self.desired.clear();
+            self.assignments.clear();
             self.stopped.clear();
         }
         for (task, attempt) in message.stop {
@@ -56,49 +67,59 @@
         }
     }
 
-    /// Takes note of ends: what has ended is no longer desired, nor taken as an order again.
-    pub fn note_ends(&mut self, finished: &[FinishedTask]) {
+    /// Records ends: what has ended is no longer desired, nor accepted as an order again.
+    pub(crate) fn record_ends(&mut self, finished: &[FinishedTask]) {
         for end in finished {
             self.ended.raise(end.task, end.attempt);
-            self.drop_desired(&end.task, end.attempt);
+            self.remove_assignment(&end.task, end.attempt);
         }
     }
 
-    /// The desired runs that the server does not have; `allowed` says whether it may be told to start any. A run waits
-    /// while an earlier one of its task is still there.
-    pub fn missing_starts(&self, running: &[RunningTask], allowed: bool) -> MissingStarts {
+    /// The desired runs that the server does not have. A run waits while an earlier one of its task is still there, and
+    /// while it does not fit the response.
+    pub(crate) fn missing_starts(
+        &self,
+        running: &[RunningTask],
+        permission: StartPermission,
+    ) -> MissingStarts {
         let present: BTreeSet<(TaskId, Attempt)> =
             running.iter().map(|run| (run.task, run.attempt)).collect();
         let mut missing = MissingStarts::default();
         let mut bytes = 0;
-        for assignment in self.desired.values() {
-            let newest = newest_present(&present, &assignment.task);
+        for assignment in self.assignments.values() {
+            let newest = newest_attempt(&present, &assignment.task);
             if newest.is_some_and(|attempt| attempt >= assignment.attempt) {
                 continue;
             }
             bytes += assignment.spec.len() + assignment.checkpoint.len();
-            let fits = missing.starts.is_empty() || bytes <= STARTS_BYTES_MOST;
-            if allowed && newest.is_none() && fits {
+            // A single start that is over the bound on its own would otherwise wait forever.
+            let fits = missing.starts.is_empty() || bytes <= MAX_START_BYTES;
+            if permission == StartPermission::Granted && newest.is_none() && fits {
                 missing.starts.push(assignment.clone());
             } else {
-                missing.withheld = true;
+                missing.some_wait = true;
             }
         }
         missing
     }
 
     /// The runs on the server that the owner wants stopped, or that a newer start of their task replaces.
-    pub fn stops<'a>(&'a self, running: &'a [RunningTask]) -> impl Iterator<Item = StopOrder> + 'a {
-        let unwanted = running.iter().filter(|run| self.is_unwanted(run));
-        unwanted.map(|run| StopOrder {
-            task: run.task.to_string(),
-            attempt: run.attempt,
-        })
+    pub(crate) fn stops<'a>(
+        &'a self,
+        running: &'a [RunningTask],
+    ) -> impl Iterator<Item = StopOrder> + 'a {
+        running
+            .iter()
+            .filter(|run| self.is_unwanted(run))
+            .map(|run| StopOrder {
+                task: run.task.to_string(),
+                attempt: run.attempt,
+            })
     }
 
     fn is_unwanted(&self, run: &RunningTask) -> bool {
         let replaced = self
-            .desired
+            .assignments
             .get(&run.task)
             .is_some_and(|newer| run.attempt < newer.attempt);
         replaced || self.stopped.covers(&run.task, run.attempt)
@@ -106,35 +127,37 @@
 
     fn stop(&mut self, task: TaskId, attempt: Attempt) {
         self.stopped.raise(task, attempt);
-        self.drop_desired(&task, attempt);
+        self.remove_assignment(&task, attempt);
     }
 
     fn assign(&mut self, assignment: Assignment) {
         let (task, attempt) = (assignment.task, assignment.attempt);
         let over = self.ended.covers(&task, attempt) || self.stopped.covers(&task, attempt);
         let outdated = self
-            .desired
+            .assignments
             .get(&task)
             .is_some_and(|newer| attempt < newer.attempt);
         if !over && !outdated {
-            self.desired.insert(task, assignment);
+            self.assignments.insert(task, assignment);
         }
     }
 
-    fn drop_desired(&mut self, task: &TaskId, attempt: Attempt) {
-        if self
-            .desired
+    /// Removes the task's assignment unless it is of a later attempt.
+    fn remove_assignment(&mut self, task: &TaskId, attempt: Attempt) {
+        let covered = self
+            .assignments
             .get(task)
-            .is_some_and(|desired| desired.attempt <= attempt)
-        {
-            self.desired.remove(task);
+            .is_some_and(|assignment| assignment.attempt <= attempt);
+        if covered {
+            self.assignments.remove(task);
         }
     }
 }
 
-fn newest_present(present: &BTreeSet<(TaskId, Attempt)>, task: &TaskId) -> Option<Attempt> {
+fn newest_attempt(present: &BTreeSet<(TaskId, Attempt)>, task: &TaskId) -> Option<Attempt> {
+    let attempts_of_task = (*task, Attempt::MIN)..=(*task, Attempt::MAX);
     present
-        .range((*task, Attempt::MIN)..=(*task, Attempt::MAX))
+        .range(attempts_of_task)
         .next_back()
         .map(|(_, attempt)| *attempt)
 }
--- a/crates/worker-agent/src/heartbeat_json/render.rs
+++ b/crates/worker-agent/src/heartbeat_json/render.rs
@@ -1,14 +1,14 @@
-//! Writes the body of the answer to a heartbeat.
+//! Writes the body of the response to a heartbeat.
 
 use crate::heartbeat_response::{HeartbeatResponse, StopOrder};
 use lupinrack_cluster_api::agent::Assignment;
 use lupinrack_cluster_api::identity::{Attempt, TaskId};
 use serde::{Serialize, Serializer};
 
-/// A name written as text.
-struct Name<'a>(&'a TaskId);
+/// A task's identity written as text.
+struct TaskText<'a>(&'a TaskId);
 
-impl Serialize for Name<'_> {
+impl Serialize for TaskText<'_> {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.collect_str(self.0)
     }
@@ -16,7 +16,7 @@
 
 /// `[task, run, spec, saved]`.
 #[derive(Serialize)]
-struct StartRow<'a>(Name<'a>, Attempt, &'a str, &'a str);
+struct StartRow<'a>(TaskText<'a>, Attempt, &'a str, &'a str);
 
 /// `[task, run]`.
 #[derive(Serialize)]
@@ -24,7 +24,7 @@
 
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
-struct Body<'a> {
+struct ResponseForm<'a> {
     #[serde(rename = "hold-ms", skip_serializing_if = "is_zero")]
     lease_ms: u64,
     #[serde(skip_serializing_if = "is_zero")]
@@ -39,27 +39,31 @@
     retry_after_ms: u64,
 }
 
-/// The answer's JSON; what is 0 or empty is left out.
-pub fn render(answer: &HeartbeatResponse) -> String {
-    let body = Body {
-        lease_ms: answer.lease_ms,
-        observed: answer.observed,
-        fence_token: answer.token.0,
-        start: answer.starts.iter().map(start_row).collect(),
-        stop: answer.stops.iter().map(stop_row).collect(),
-        retry_after_ms: answer.heartbeat_after_ms,
+/// The response's JSON; what is 0 or empty is left out.
+pub fn render(response: &HeartbeatResponse) -> String {
+    let form = ResponseForm {
+        lease_ms: response.lease_ms,
+        observed: response.observed,
+        fence_token: response.token.0,
+        start: response.starts.iter().map(start_row).collect(),
+        stop: response.stops.iter().map(stop_row).collect(),
+        retry_after_ms: response.heartbeat_after_ms,
     };
     // Numbers, texts and lists of them: there is nothing that JSON cannot hold.
-    serde_json::to_string(&body).unwrap_or_else(|_| String::from("{}"))
+    serde_json::to_string(&form).unwrap_or_else(|_| String::from("{}"))
 }
 
+#[expect(
+    clippy::trivially_copy_pass_by_ref,
+    reason = "serde calls it with a reference"
+)]
 fn is_zero(number: &u64) -> bool {
     *number == 0
 }
 
 fn start_row(start: &Assignment) -> StartRow<'_> {
     StartRow(
-        Name(&start.task),
+        TaskText(&start.task),
         start.attempt,
         &start.spec,
         &start.checkpoint,
--- a/crates/worker-agent/src/incarnation.rs
+++ b/crates/worker-agent/src/incarnation.rs
@@ -1,39 +1,191 @@
-//! The life of the server that beats now.
+//! The server's present incarnation.
 
-use lupinrack_cluster_api::agent::Heartbeat;
+use crate::desired_state::{DesiredState, MissingStarts, StartPermission};
+use crate::heartbeat_response::StopOrder;
+use crate::lease::Lease;
+use crate::owner_session::MessageNumbers;
+use crate::server_heartbeat::ServerHeartbeat;
+use lupinrack_cluster_api::agent::{Heartbeat, OwnerMessage};
+use lupinrack_cluster_api::identity::ServerId;
 use lupinrack_cluster_api::server::ServerFacts;
 use lupinrack_cluster_api::time::Millis;
 
-/// What the agent knows of the living server.
+/// How many ends a server lists at once. A list of that length may lack others, so nothing follows from a run's absence.
+pub const MAX_LISTED_ENDS: usize = 500;
+
+/// A server whose heartbeat is later than was asked for by more than this many milliseconds is overdue.
+pub const HEARTBEAT_GRACE_MS: u64 = 600;
+
+/// How far the server is on its way out. It only moves on, also where a heartbeat does not repeat it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum DrainState {
+    /// It takes new runs.
+    Serving,
+    /// It has said that it drains; once it deregisters it is over.
+    Draining,
+    /// It has deregistered without having said that it drains: it counts as draining, and serves on until its lease expires.
+    DeregisteredFirst,
+}
+
+/// What the agent knows of the server's present incarnation; all of it ends with the incarnation.
 #[derive(Clone, Debug)]
-pub(crate) struct Life {
-    pub(crate) facts: ServerFacts,
-    /// Its newest heartbeat.
-    pub(crate) heartbeat: Heartbeat,
-    /// The owner's newest message with orders that the heartbeat's `orders_seen` covers.
-    pub(crate) orders_answered: u64,
+pub(crate) struct Incarnation {
+    facts: ServerFacts,
+    /// The newest heartbeat, with `orders_seen` and `draining` as the owner is to see them.
+    heartbeat: Heartbeat,
+    /// The number of the owner's newest message with orders that the heartbeat's `orders_seen` covers.
+    orders_delivered: u64,
     /// Whether the heartbeat lists every end that was not observed.
-    pub(crate) all_ends_listed: bool,
-    /// Whether it has said that it drains, or that it leaves; that does not end.
-    pub(crate) draining: bool,
-    /// Whether it has said that it leaves without having said before that it drains: it serves on for a while.
-    pub(crate) left_first: bool,
-    /// Ends up to this number may be forgotten.
-    pub(crate) observed: u64,
-    /// After this moment it counts as silent.
-    pub(crate) expected_by: Millis,
+    all_ends_listed: bool,
+    drain_state: DrainState,
+    /// The owner has recorded the ends up to this number.
+    observed: u64,
+    /// After this moment the next heartbeat is overdue.
+    expected_by: Millis,
+    lease: Lease,
+    desired: DesiredState,
 }
 
-impl Life {
-    /// Notes that it says that it leaves, and has not drained.
-    pub(crate) fn leaves_first(&mut self) {
-        self.left_first = true;
-        self.note_draining();
+impl Incarnation {
+    /// The incarnation whose first heartbeat this is.
+    pub(crate) fn new(
+        first: ServerHeartbeat,
+        delivered: MessageNumbers,
+        now: Millis,
+    ) -> Incarnation {
+        let mut incarnation = Incarnation {
+            facts: first.facts.clone(),
+            heartbeat: first.heartbeat.clone(),
+            orders_delivered: 0,
+            all_ends_listed: false,
+            drain_state: DrainState::Serving,
+            observed: 0,
+            expected_by: Millis::default(),
+            lease: Lease::default(),
+            desired: DesiredState::default(),
+        };
+        incarnation.update(first, delivered, now);
+        incarnation
+    }
+
+    /// Takes the newest heartbeat. `delivered` are the owner's messages whose orders the server had been sent before.
+    pub(crate) fn update(
+        &mut self,
+        received: ServerHeartbeat,
+        delivered: MessageNumbers,
+        now: Millis,
+    ) {
+        self.desired.record_ends(&received.heartbeat.finished);
+        self.facts = received.facts;
+        self.heartbeat = received.heartbeat;
+        self.all_ends_listed = received.ends_listed < MAX_LISTED_ENDS;
+        let seen = if self.all_ends_listed {
+            delivered
+        } else {
+            MessageNumbers::default()
+        };
+        self.heartbeat.orders_seen = seen.newest;
+        self.orders_delivered = seen.newest_with_orders;
+        if self.heartbeat.draining && self.drain_state == DrainState::Serving {
+            self.drain_state = DrainState::Draining;
+        }
+        self.heartbeat.draining = self.is_draining();
+        self.expected_by = now.plus(HEARTBEAT_GRACE_MS);
+    }
+
+    pub(crate) fn id(&self) -> &ServerId {
+        &self.facts.id
+    }
+
+    pub(crate) fn facts(&self) -> &ServerFacts {
+        &self.facts
+    }
+
+    /// The newest heartbeat, as the owner is to see it.
+    pub(crate) fn heartbeat(&self) -> &Heartbeat {
+        &self.heartbeat
+    }
+
+    /// The number of the owner's newest message with orders that the heartbeat's `orders_seen` covers.
+    pub(crate) fn orders_delivered(&self) -> u64 {
+        self.orders_delivered
+    }
+
+    /// The owner has recorded the ends up to this number.
+    pub(crate) fn observed(&self) -> u64 {
+        self.observed
+    }
+
+    /// Whether it has said that it drains, or has deregistered.
+    pub(crate) fn is_draining(&self) -> bool {
+        self.drain_state != DrainState::Serving
+    }
+
+    /// Whether it ends once it deregisters.
+    pub(crate) fn ends_on_deregistration(&self) -> bool {
+        self.drain_state == DrainState::Draining
+    }
+
+    /// Records that it has deregistered without having drained.
+    pub(crate) fn deregister_first(&mut self) {
+        self.drain_state = DrainState::DeregisteredFirst;
+        self.heartbeat.draining = true;
+    }
+
+    /// Whether the next heartbeat should have arrived by now.
+    pub(crate) fn is_overdue(&self, now: Millis) -> bool {
+        now > self.expected_by
+    }
+
+    /// Expects the next heartbeat after so many milliseconds from now.
+    pub(crate) fn expect_heartbeat(&mut self, now: Millis, heartbeat_after_ms: u64) {
+        self.expected_by = now.plus(heartbeat_after_ms + HEARTBEAT_GRACE_MS);
+    }
+
+    /// Applies an accepted message of the owner. Its lease counts from a moment at which the agent did send something.
+    pub(crate) fn apply(&mut self, message: OwnerMessage, last_sent: Millis) {
+        self.observed = self.observed.max(message.observed);
+        let granted_from = message.lease_from.min(last_sent);
+        if message.complete {
+            self.lease.replace(granted_from, message.lease_ms);
+        } else {
+            self.lease.extend(granted_from, message.lease_ms);
+        }
+        self.desired.apply(message);
+    }
+
+    /// The lease that a response may carry to a heartbeat that arrived at `arrived_at`, at most `max_ms`.
+    pub(crate) fn lease_ms(&self, arrived_at: Millis, max_ms: u64) -> Option<u64> {
+        self.lease.remaining_ms(arrived_at, max_ms)
+    }
+
+    /// The starts that the newest heartbeat lacks, where the response carries this lease.
+    pub(crate) fn missing_starts(&self, lease_ms: Option<u64>) -> MissingStarts {
+        let permission = if lease_ms.is_some() && !self.is_draining() && self.all_ends_listed {
+            StartPermission::Granted
+        } else {
+            StartPermission::Withheld
+        };
+        self.desired
+            .missing_starts(&self.heartbeat.running, permission)
+    }
+
+    /// The runs of the newest heartbeat that are to be stopped.
+    pub(crate) fn stops(&self) -> impl Iterator<Item = StopOrder> + '_ {
+        self.desired.stops(&self.heartbeat.running)
+    }
+
+    /// Whether the newest heartbeat lists ends that the owner has not recorded.
+    pub(crate) fn has_unobserved_ends(&self) -> bool {
+        self.heartbeat
+            .finished
+            .iter()
+            .any(|end| end.number > self.observed)
     }
 
-    /// Draining does not end, also where a heartbeat does not repeat it; the owner is told with each heartbeat.
-    pub(crate) fn note_draining(&mut self) {
-        self.draining |= self.heartbeat.draining || self.left_first;
-        self.heartbeat.draining = self.draining;
+    /// Forgets which orders the server has seen: the message numbers of one session mean nothing in the next.
+    pub(crate) fn forget_orders_seen(&mut self) {
+        self.heartbeat.orders_seen = 0;
+        self.orders_delivered = 0;
     }
 }
--- a/crates/worker-agent/src/incarnation_history.rs
+++ b/crates/worker-agent/src/incarnation_history.rs
@@ -1,158 +1,176 @@
 //! Which heartbeats are the living server's.
 //!
-//! One server stands beside the agent, but its lives follow each other, and a heartbeat may arrive after its sender's
-//! end. To take a dead life for a new one would make the owner give up the runs of the living. So where there is a life
-//! that has not left, another identity is believed only when that one is silent and this one beats again; it is asked to
-//! do so soon.
+//! One server stands beside the agent, but its incarnations follow one another, and a heartbeat may arrive after its sender
+//! has ended. To mistake a dead incarnation for a new one would make the owner give up the runs of the living one. So where
+//! the present incarnation has not deregistered, another identity is believed only once the present one is overdue and the
+//! other has sent a second heartbeat; it is asked to do so soon.
 
 use lupinrack_cluster_api::agent::Heartbeat;
 use lupinrack_cluster_api::identity::ServerId;
 use std::collections::VecDeque;
 
-/// How many earlier lives of the server are remembered.
-const PAST_INCARNATIONS_MOST: usize = 16;
+/// How many earlier incarnations of the server are remembered, of each kind.
+const MAX_REMEMBERED_INCARNATIONS: usize = 16;
 
-/// What to make of a heartbeat.
+/// What a heartbeat counts for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub(crate) enum HeartbeatStatus {
     /// It is the newest of the living server.
-    Newest,
-    /// It is of another life, which has yet to show that it lives.
+    Current,
+    /// It is of another incarnation, which has yet to show that it lives.
     Unconfirmed,
-    /// It is late, repeated, or of a life that is over.
-    Late,
+    /// It is late, repeated, or of an incarnation that is over.
+    Stale,
 }
 
-/// A life and the sequence number of its newest heartbeat.
+/// The present incarnation, as far as it decides about other heartbeats.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct PresentIncarnation<'a> {
+    /// Its newest heartbeat.
+    pub(crate) newest: &'a Heartbeat,
+    /// Whether its next heartbeat should have arrived by now.
+    pub(crate) overdue: bool,
+}
+
+/// An incarnation and the sequence number of a heartbeat of it.
 #[derive(Clone, Debug)]
-struct Seen {
+struct SequencePoint {
     server: ServerId,
     sequence: u64,
 }
 
-impl Seen {
-    fn precedes(&self, beat: &Heartbeat) -> bool {
-        self.server == beat.server && self.sequence < beat.sequence
+impl SequencePoint {
+    fn of(heartbeat: &Heartbeat) -> SequencePoint {
+        SequencePoint {
+            server: heartbeat.server.clone(),
+            sequence: heartbeat.sequence,
+        }
+    }
+
+    fn precedes(&self, heartbeat: &Heartbeat) -> bool {
+        self.server == heartbeat.server && self.sequence < heartbeat.sequence
     }
 }
 
-/// The lives of the server other than the present one.
+/// The incarnations of the server other than the present one.
 #[derive(Clone, Debug, Default)]
-pub struct Lives {
-    past: VecDeque<Seen>,
-    /// Lives that drained and then left: they are over.
-    left: VecDeque<ServerId>,
-    /// Lives that said that they leave while this agent knew nothing of them: they may serve on.
-    announced: VecDeque<ServerId>,
-    unconfirmed: Option<Seen>,
+pub(crate) struct IncarnationHistory {
+    /// The newest heartbeats of incarnations that seem to be over.
+    past: VecDeque<SequencePoint>,
+    /// Incarnations that drained and then deregistered: they are over for certain.
+    departed: VecDeque<ServerId>,
+    /// Incarnations that deregistered while this agent knew nothing of them: they may still serve.
+    early_deregistered: VecDeque<ServerId>,
+    /// The newest heartbeat of an incarnation that has yet to show that it lives.
+    unconfirmed: Option<SequencePoint>,
 }
 
-impl Lives {
-    /// Judges a heartbeat. `newest` is the last one of the present life, if there is one; `silent` says whether that life
-    /// has missed its time to beat.
-    pub fn judge(
+impl IncarnationHistory {
+    /// Decides what a heartbeat counts for.
+    pub(crate) fn classify(
         &mut self,
-        beat: &Heartbeat,
-        newest: Option<&Heartbeat>,
-        silent: bool,
-    ) -> Standing {
-        let standing = match newest {
-            Some(newest) if newest.server == beat.server => {
-                sequence_standing(beat, newest.sequence)
+        heartbeat: &Heartbeat,
+        present: Option<PresentIncarnation<'_>>,
+    ) -> HeartbeatStatus {
+        let status = match present {
+            Some(present) if present.newest.server == heartbeat.server => {
+                status_by_sequence(heartbeat, present.newest.sequence)
             }
-            Some(_) => self.standing_of_other(beat, silent),
-            None => self.standing_without_present(beat),
+            Some(present) => self.status_beside_present(heartbeat, present.overdue),
+            None => self.status_without_present(heartbeat),
         };
-        match standing {
-            Standing::Newest => self.unconfirmed = None,
-            Standing::Unconfirmed => self.unconfirmed = Some(seen(beat)),
-            Standing::Late => {}
+        match status {
+            HeartbeatStatus::Current => self.unconfirmed = None,
+            HeartbeatStatus::Unconfirmed => self.unconfirmed = Some(SequencePoint::of(heartbeat)),
+            HeartbeatStatus::Stale => {}
         }
-        standing
+        status
     }
 
-    /// Notes that a life seems to be over, by its newest heartbeat.
-    pub fn end(&mut self, newest: &Heartbeat) {
+    /// Records that an incarnation seems to be over, by its newest heartbeat.
+    pub(crate) fn record_past(&mut self, newest: &Heartbeat) {
         self.past.retain(|past| past.server != newest.server);
-        push_bounded(&mut self.past, seen(newest));
+        push_bounded(&mut self.past, SequencePoint::of(newest));
     }
 
-    /// Notes that a life has left, having drained; nothing that it sent counts any more.
-    pub fn leave(&mut self, server: &ServerId) {
-        if !self.left.contains(server) {
-            push_bounded(&mut self.left, server.clone());
+    /// Records that an incarnation drained and deregistered; nothing that it sent counts any more.
+    pub(crate) fn record_departed(&mut self, server: &ServerId) {
+        if !self.departed.contains(server) {
+            push_bounded(&mut self.departed, server.clone());
         }
     }
 
-    /// Notes that a life other than the present one has said that it leaves.
-    pub fn announce_leave(&mut self, server: ServerId) {
-        if !self.left.contains(&server) && !self.announced.contains(&server) {
-            push_bounded(&mut self.announced, server);
+    /// Records that an incarnation other than the present one has deregistered.
+    pub(crate) fn record_early_deregistration(&mut self, server: ServerId) {
+        if !self.departed.contains(&server) && !self.early_deregistered.contains(&server) {
+            push_bounded(&mut self.early_deregistered, server);
         }
     }
 
-    /// Whether a life has said that it leaves when it was not the present one.
-    pub fn has_announced_leave(&self, server: &ServerId) -> bool {
-        self.announced.contains(server)
+    /// Whether an incarnation has deregistered while it was not the present one.
+    pub(crate) fn deregistered_early(&self, server: &ServerId) -> bool {
+        self.early_deregistered.contains(server)
     }
 
-    /// The lives that left in order, the latest last.
-    pub fn left(&self) -> impl Iterator<Item = &ServerId> {
-        self.left.iter()
+    /// The incarnations that drained and deregistered, the latest last.
+    pub(crate) fn departed(&self) -> impl Iterator<Item = &ServerId> {
+        self.departed.iter()
     }
 
-    fn standing_of_other(&self, beat: &Heartbeat, silent: bool) -> Standing {
-        if self.is_over(beat) {
-            return Standing::Late;
+    /// The status of a heartbeat whose incarnation is not the present one.
+    fn status_beside_present(
+        &self,
+        heartbeat: &Heartbeat,
+        present_overdue: bool,
+    ) -> HeartbeatStatus {
+        if self.is_over(heartbeat) {
+            return HeartbeatStatus::Stale;
         }
-        let again = self
+        let second_heartbeat = self
             .unconfirmed
             .as_ref()
-            .is_some_and(|first| first.precedes(beat));
-        if silent && again {
-            Standing::Newest
+            .is_some_and(|first| first.precedes(heartbeat));
+        if present_overdue && second_heartbeat {
+            HeartbeatStatus::Current
         } else {
-            Standing::Unconfirmed
+            HeartbeatStatus::Unconfirmed
         }
     }
 
-    fn standing_without_present(&self, beat: &Heartbeat) -> Standing {
-        let known = self.past.iter().any(|past| past.server == beat.server);
+    fn status_without_present(&self, heartbeat: &Heartbeat) -> HeartbeatStatus {
+        let known = self.past.iter().any(|past| past.server == heartbeat.server);
         if known {
-            return self.standing_of_other(beat, true);
+            return self.status_beside_present(heartbeat, true);
         }
-        if self.is_over(beat) {
-            Standing::Late
+        if self.is_over(heartbeat) {
+            HeartbeatStatus::Stale
         } else {
-            Standing::Newest
+            HeartbeatStatus::Current
         }
     }
 
-    /// Whether the heartbeat is of a life that left, or older than one that was taken of a past life.
-    fn is_over(&self, beat: &Heartbeat) -> bool {
-        let past = self.past.iter().find(|past| past.server == beat.server);
-        self.left.contains(&beat.server) || past.is_some_and(|past| !past.precedes(beat))
+    /// Whether the heartbeat is of an incarnation that departed, or no newer than one that was taken of a past incarnation.
+    fn is_over(&self, heartbeat: &Heartbeat) -> bool {
+        let past = self
+            .past
+            .iter()
+            .find(|past| past.server == heartbeat.server);
+        self.departed.contains(&heartbeat.server)
+            || past.is_some_and(|past| !past.precedes(heartbeat))
     }
 }
 
-fn sequence_standing(beat: &Heartbeat, newest: u64) -> Standing {
-    if beat.sequence > newest {
-        Standing::Newest
+fn status_by_sequence(heartbeat: &Heartbeat, newest_sequence: u64) -> HeartbeatStatus {
+    if heartbeat.sequence > newest_sequence {
+        HeartbeatStatus::Current
     } else {
-        Standing::Late
-    }
-}
-
-fn seen(beat: &Heartbeat) -> Seen {
-    Seen {
-        server: beat.server.clone(),
-        sequence: beat.sequence,
+        HeartbeatStatus::Stale
     }
 }
 
 fn push_bounded<T>(list: &mut VecDeque<T>, item: T) {
     list.push_back(item);
-    if list.len() > PAST_INCARNATIONS_MOST {
+    if list.len() > MAX_REMEMBERED_INCARNATIONS {
         list.pop_front();
     }
 }
--- a/crates/worker-agent/src/lease.rs
+++ b/crates/worker-agent/src/lease.rs
@@ -1,37 +1,35 @@
-//! How long the owner lets the server hold what runs.
+//! The lease under which the server runs what it was given.
 
 use lupinrack_cluster_api::time::Millis;
 
-/// A hold with less than this left is not passed on: the answer could take as long to arrive.
-pub const LEASE_LEAST_MS: u64 = 100;
+/// A lease with less than this many milliseconds left is not passed on: the response could take as long to arrive.
+pub const MIN_LEASE_MS: u64 = 100;
 
-/// The end of what the owner granted, on the agent's clock.
+/// The end of what the owner granted, on the agent's clock. The default is a lease that has expired.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Hold {
-    until: Millis,
+pub(crate) struct Lease {
+    expires_at: Millis,
 }
 
-impl Hold {
-    /// Takes the first grant of a session. It replaces what earlier sessions granted, since another owner does not count
-    /// on that beyond a bound of its own.
-    pub fn replace(&mut self, from: Millis, lease_ms: u64) {
-        self.until = from.plus(lease_ms);
+impl Lease {
+    /// Takes the first grant of a session. It replaces what earlier sessions granted, since another owner does not rely on
+    /// that beyond a bound of its own.
+    pub(crate) fn replace(&mut self, granted_from: Millis, duration_ms: u64) {
+        self.expires_at = granted_from.plus(duration_ms);
     }
 
-    /// Takes a later grant of the same session.
-    pub fn extend(&mut self, from: Millis, lease_ms: u64) {
-        self.until = self.until.max(from.plus(lease_ms));
+    /// Takes a later grant of the same session, which never shortens the lease.
+    pub(crate) fn extend(&mut self, granted_from: Millis, duration_ms: u64) {
+        self.expires_at = self.expires_at.max(granted_from.plus(duration_ms));
     }
 
-    /// Takes the grant back.
-    pub fn clear(&mut self) {
-        self.until = Millis::default();
-    }
-
-    /// What to answer a heartbeat that arrived at `arrival`, at most `most_ms`; none where too little is left. The
-    /// server counts from the sending, which lies before the arrival, and so ends its hold no later than was granted.
-    pub fn for_answer(&self, arrival: Millis, most_ms: u64) -> Option<u64> {
-        let left = self.until.since(arrival);
-        (left >= LEASE_LEAST_MS).then_some(left.min(most_ms))
+    /// The lease in milliseconds that the response to a heartbeat may carry which arrived at `arrived_at`, at most `max_ms`;
+    /// none where less than [`MIN_LEASE_MS`] is left.
+    ///
+    /// The server counts from the moment at which it sent the heartbeat. That lies before the arrival, so its lease ends no
+    /// later than the owner's grant.
+    pub(crate) fn remaining_ms(self, arrived_at: Millis, max_ms: u64) -> Option<u64> {
+        let remaining = self.expires_at.since(arrived_at);
+        (remaining >= MIN_LEASE_MS).then_some(remaining.min(max_ms))
     }
 }
--- a/crates/worker-agent/src/lib.rs
+++ b/crates/worker-agent/src/lib.rs
@@ -1,28 +1,47 @@
 //! The agent beside each server: heartbeats in, starts and stops out.
 //!
-//! [`Agent`] is a pure state machine: it reads no clock and makes no I/O. Its driver hands it the server's heartbeats and
-//! the messages of the owner of the server's shard, and carries its answers and messages. What the owner wants is kept
-//! as desired state and compared with every heartbeat, so orders survive any number of lost answers. The agent keeps
-//! nothing on a disk: after its own restart, the owner's first message of the next session holds everything again.
+//! [`Agent`] is a state machine that reads no clock and does no I/O. Its driver (the agent's process in
+//! `lupinrack-cluster-node`, or a simulation) hands it the server's heartbeats and the messages of the owner of the server's
+//! shard, each with the moment of its arrival, and carries what the agent returns: responses to heartbeats
+//! ([`Agent::respond_to_heartbeat`]) and messages to the owner ([`Agent::poll`]).
 //!
-//! [`heartbeat_json`] reads the bodies of heartbeats and writes the bodies of their answers.
-// 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
-#![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
+//! What the owner wants is kept as desired state and compared with every heartbeat, so a start or stop survives any number
+//! of lost responses. The agent keeps nothing on disk: after its own restart, the owner's first message of the next session
+//! holds the complete desired state again.
+//!
+//! Where to start reading: [`Agent`], then the parts that it is made of, each the only writer of its state:
+//!
+//! - `incarnation`: the server's present incarnation, with its newest heartbeat, lease and desired state;
+//! - `incarnation_history`: which heartbeats are the living server's, where incarnations follow one another;
+//! - `owner_link`: the session with the owner, and which messages are due on it.
+//!
+//! [`heartbeat_json`] reads the bodies of heartbeats and writes the bodies of their responses.
 
-pub mod agent;
-pub mod attempt_watermarks;
-pub mod desired_state;
+mod agent;
+mod attempt_watermarks;
+mod desired_state;
 pub mod heartbeat_json;
-pub mod heartbeat_response;
+mod heartbeat_response;
 mod incarnation;
-pub mod incarnation_history;
-pub mod lease;
-pub mod owner_session;
-pub mod report_schedule;
-pub mod settings;
+mod incarnation_history;
+mod lease;
+mod owner_link;
+mod owner_message_error;
+mod owner_session;
+mod pending_heartbeat;
+mod report_schedule;
+mod server_heartbeat;
+mod settings;
 
-pub use agent::{Agent, HeartbeatOutcome, PendingHeartbeat};
-pub use heartbeat_json::{ParseHeartbeatError, ServerHeartbeat};
+pub use agent::Agent;
+pub use desired_state::{MAX_START_BYTES, MAX_WATERMARKED_TASKS};
+pub use heartbeat_json::ParseHeartbeatError;
 pub use heartbeat_response::{HeartbeatResponse, StopOrder};
-pub use owner_session::OwnerMessageError;
+pub use incarnation::{HEARTBEAT_GRACE_MS, MAX_LISTED_ENDS};
+pub use lease::MIN_LEASE_MS;
+pub use owner_message_error::OwnerMessageError;
+pub use owner_session::ATTACH_RETRY_MS;
+pub use pending_heartbeat::{HeartbeatOutcome, PendingHeartbeat};
+pub use report_schedule::{FULL_REPORT_INTERVAL_MS, PROGRESS_INTERVAL_MS, REPORT_INTERVAL_MS};
+pub use server_heartbeat::{ServerHeartbeat, UnknownRun};
 pub use settings::AgentSettings;
--- a/crates/worker-agent/src/owner_session.rs
+++ b/crates/worker-agent/src/owner_session.rs
@@ -1,5 +1,11 @@
 //! The agent's session with the owner of its shard.
+//!
+//! A session begins with an attach and the owner's first message in answer to it, which is complete; the messages after it
+//! are numbered and hold changes. An attach is later than everything that the agent sent before, and each message repeats
+//! the moment of the report that it answers (`lease_from`): so a message that answers an earlier attach is recognised on
+//! whatever connection it comes.
 
+use crate::owner_message_error::OwnerMessageError;
 use lupinrack_cluster_api::agent::OwnerMessage;
 use lupinrack_cluster_api::identity::FencingToken;
 use lupinrack_cluster_api::time::Millis;
@@ -7,25 +13,6 @@
 /// How long, in milliseconds, an owner may take to answer an attach before it is sent again.
 pub const ATTACH_RETRY_MS: u64 = 2_000;
 
-/// Why a message of an owner was not taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, displaydoc::Display)]
-pub enum OwnerMessageError {
-    /// it came on a connection other than the current session's
-    OtherConnection,
-    /// it is for another life of the server
-    OtherIncarnation,
-    /// its token is below one that was seen before
-    LowerToken,
-    /// it answers an earlier attach, or none
-    EarlierSession,
-    /// it was taken before
-    Repeated,
-    /// a message before it is missing; the session begins anew
-    Gap,
-}
-
-impl std::error::Error for OwnerMessageError {}
-
 /// How far a session has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
@@ -42,54 +29,57 @@
     },
 }
 
-/// Numbers of the owner's messages.
+/// Numbers of the owner's messages up to a point of the session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct MessageNumbers {
+pub(crate) struct MessageNumbers {
     /// The newest message.
-    pub newest: u64,
+    pub(crate) newest: u64,
     /// The newest one that held a start or a stop.
-    pub newest_with_orders: u64,
+    pub(crate) newest_with_orders: u64,
 }
 
 /// A session on one connection.
 #[derive(Clone, Debug)]
-pub struct Session {
+pub(crate) struct OwnerSession {
     connection: u64,
     phase: Phase,
-    taken: MessageNumbers,
-    answered: MessageNumbers,
+    /// The messages that were accepted.
+    accepted: MessageNumbers,
+    /// The messages all of whose orders were in a response to the server.
+    delivered: MessageNumbers,
+    /// The heartbeat interval that the owner's newest message asks for.
     heartbeat_after_ms: Option<u64>,
 }
 
-impl Session {
+impl OwnerSession {
     /// A session that is yet to begin on this connection.
-    pub fn new(connection: u64) -> Session {
-        Session {
+    pub(crate) fn new(connection: u64) -> OwnerSession {
+        OwnerSession {
             connection,
             phase: Phase::Detached,
-            taken: MessageNumbers::default(),
-            answered: MessageNumbers::default(),
+            accepted: MessageNumbers::default(),
+            delivered: MessageNumbers::default(),
             heartbeat_after_ms: None,
         }
     }
 
     /// The session's connection.
-    pub fn connection(&self) -> u64 {
+    pub(crate) fn connection(&self) -> u64 {
         self.connection
     }
 
     /// Begins anew on the same connection: the agent has to attach again.
-    pub fn restart(&mut self) {
-        *self = Session::new(self.connection);
+    pub(crate) fn restart(&mut self) {
+        *self = OwnerSession::new(self.connection);
     }
 
     /// Whether an attach is to be sent: none was, or the owner left it unanswered for too long.
-    pub fn needs_attach(&self, now: Millis) -> bool {
+    pub(crate) fn needs_attach(&self, now: Millis) -> bool {
         self.attach_due().is_some_and(|due| due <= now)
     }
 
     /// When an attach is to be sent if nothing else happens; none once the owner has answered.
-    pub fn attach_due(&self) -> Option<Millis> {
+    pub(crate) fn attach_due(&self) -> Option<Millis> {
         match self.phase {
             Phase::Detached => Some(Millis::default()),
             Phase::Attached(at) => Some(at.plus(ATTACH_RETRY_MS)),
@@ -97,69 +87,72 @@
         }
     }
 
-    /// Notes that the attach was sent.
-    pub fn attached(&mut self, now: Millis) {
+    /// Records that the attach was sent.
+    pub(crate) fn record_attach(&mut self, now: Millis) {
         self.restart();
         self.phase = Phase::Attached(now);
     }
 
     /// Whether the attach was sent.
-    pub fn is_attached(&self) -> bool {
+    pub(crate) fn is_attached(&self) -> bool {
         self.phase != Phase::Detached
     }
 
-    /// Checks a message's place in the session, and notes it where it is the next. Each has to answer the newest attach
-    /// or something later, which its `lease_from` shows, and to follow the one before.
-    pub fn take(&mut self, message: &OwnerMessage) -> Result<(), OwnerMessageError> {
+    /// Accepts a message if it answers the newest attach or something later, and follows the one before.
+    ///
+    /// # Errors
+    ///
+    /// [`OwnerMessageError::EarlierSession`], [`OwnerMessageError::Repeated`] or [`OwnerMessageError::Gap`]; the session
+    /// stays as it was.
+    pub(crate) fn accept(&mut self, message: &OwnerMessage) -> Result<(), OwnerMessageError> {
         let attached_at = match self.phase {
-            Phase::Detached => Err(OwnerMessageError::EarlierSession),
-            Phase::Attached(at) if message.complete => Ok(at),
-            Phase::Attached(_) => Err(OwnerMessageError::EarlierSession),
-            Phase::Active { attached_at, .. } => Ok(attached_at),
-        }?;
+            Phase::Attached(at) if message.complete => at,
+            Phase::Active { attached_at, .. } => attached_at,
+            Phase::Detached | Phase::Attached(_) => return Err(OwnerMessageError::EarlierSession),
+        };
         if message.lease_from < attached_at {
             return Err(OwnerMessageError::EarlierSession);
         }
         if let Phase::Active { token, .. } = self.phase {
-            self.follows(message, token)?;
+            self.check_number(message, token)?;
         }
         self.phase = Phase::Active {
             token: message.token,
             attached_at,
         };
-        self.taken.newest = message.number;
+        self.accepted.newest = message.number;
         if !message.assign.is_empty() || !message.stop.is_empty() {
-            self.taken.newest_with_orders = message.number;
+            self.accepted.newest_with_orders = message.number;
         }
         self.heartbeat_after_ms = Some(message.heartbeat_after_ms);
         Ok(())
     }
 
-    /// Notes that the server was told all orders taken so far.
-    pub fn all_answered(&mut self) {
-        self.answered = self.taken;
+    /// Records that the orders of all accepted messages were in a response to the server.
+    pub(crate) fn record_delivery(&mut self) {
+        self.delivered = self.accepted;
     }
 
-    /// The messages whose orders had all been in an answer.
-    pub fn answered(&self) -> MessageNumbers {
-        self.answered
+    /// The messages all of whose orders were in a response to the server.
+    pub(crate) fn delivered(&self) -> MessageNumbers {
+        self.delivered
     }
 
     /// After how many milliseconds the owner wants the next heartbeat; none where it has not said.
-    pub fn heartbeat_after_ms(&self) -> Option<u64> {
+    pub(crate) fn heartbeat_after_ms(&self) -> Option<u64> {
         self.heartbeat_after_ms
             .filter(|milliseconds| *milliseconds > 0)
     }
 
-    fn follows(
+    fn check_number(
         &self,
         message: &OwnerMessage,
-        token: FencingToken,
+        session_token: FencingToken,
     ) -> Result<(), OwnerMessageError> {
-        if message.number <= self.taken.newest {
+        if message.number <= self.accepted.newest {
             return Err(OwnerMessageError::Repeated);
         }
-        let next = message.number == self.taken.newest + 1 && message.token == token;
+        let next = message.number == self.accepted.newest + 1 && message.token == session_token;
         if next || message.complete {
             Ok(())
         } else {
--- a/crates/worker-agent/src/report_schedule.rs
+++ b/crates/worker-agent/src/report_schedule.rs
@@ -1,115 +1,115 @@
-//! Which heartbeats are worth passing on to the owner.
+//! Which heartbeats are worth forwarding to the owner, and when.
 
 use lupinrack_cluster_api::agent::Heartbeat;
 use lupinrack_cluster_api::server::RunningTask;
 use lupinrack_cluster_api::time::Millis;
 
-/// The longest time, in milliseconds, without a report while the server lives: reports renew its hold.
-pub const REPORT_MS: u64 = 400;
+/// The longest time, in milliseconds, without a report while the server lives: reports renew its lease.
+pub const REPORT_INTERVAL_MS: u64 = 400;
 
-/// The shortest time, in milliseconds, between heartbeats that are passed on for their progress alone.
-pub const PROGRESS_MS: u64 = 500;
+/// The shortest time, in milliseconds, between heartbeats that are forwarded for the progress of runs alone.
+pub const PROGRESS_INTERVAL_MS: u64 = 500;
 
-/// The longest time, in milliseconds, without a heartbeat passed on, even if it tells nothing new.
-pub const FULL_REPORT_MS: u64 = 2_000;
+/// The longest time, in milliseconds, without a heartbeat in a report, even if nothing has changed.
+pub const FULL_REPORT_INTERVAL_MS: u64 = 2_000;
 
-/// What to send to the owner.
+/// What a report holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReportKind {
+pub(crate) enum ReportKind {
     /// The newest heartbeat.
     Heartbeat,
-    /// Word that nothing has changed.
+    /// Only that nothing has changed.
     NoChange,
 }
 
-/// A heartbeat as it was passed on.
+/// A heartbeat as it was forwarded.
 #[derive(Clone, Debug)]
-struct Reported {
+struct ForwardedHeartbeat {
     heartbeat: Heartbeat,
-    orders_answered: u64,
+    orders_delivered: u64,
     at: Millis,
 }
 
-/// Remembers what the owner was told, and when.
+/// Remembers what was reported to the owner in this session, and when.
 #[derive(Clone, Debug, Default)]
-pub struct Reporter {
-    reported: Option<Reported>,
-    last_sent: Option<Millis>,
+pub(crate) struct ReportSchedule {
+    forwarded: Option<ForwardedHeartbeat>,
+    last_report: Option<Millis>,
 }
 
-impl Reporter {
-    /// When the last message was sent.
-    pub fn last_sent(&self) -> Option<Millis> {
-        self.last_sent
+impl ReportSchedule {
+    /// Records that a report without a heartbeat was sent.
+    pub(crate) fn record_no_change(&mut self, now: Millis) {
+        self.last_report = Some(now);
     }
 
-    /// Notes that a message was sent.
-    pub fn sent(&mut self, now: Millis) {
-        self.last_sent = Some(now);
-    }
-
-    /// Notes that this heartbeat was sent. `orders_answered` is the number of the owner's newest message with orders
-    /// that `orders_seen` covers.
-    pub fn sent_heartbeat(&mut self, heartbeat: &Heartbeat, orders_answered: u64, now: Millis) {
-        self.reported = Some(Reported {
+    /// Records that this heartbeat was forwarded. `orders_delivered` is the number of the owner's newest message with orders
+    /// that its `orders_seen` covers.
+    pub(crate) fn record_heartbeat(
+        &mut self,
+        heartbeat: &Heartbeat,
+        orders_delivered: u64,
+        now: Millis,
+    ) {
+        self.forwarded = Some(ForwardedHeartbeat {
             heartbeat: heartbeat.clone(),
-            orders_answered,
+            orders_delivered,
             at: now,
         });
-        self.sent(now);
+        self.last_report = Some(now);
     }
 
-    /// What to send now, if anything.
-    pub fn due(
+    /// What to report now, if anything.
+    pub(crate) fn due(
         &self,
         heartbeat: &Heartbeat,
-        orders_answered: u64,
+        orders_delivered: u64,
         now: Millis,
     ) -> Option<ReportKind> {
-        let due = |at: Millis| at <= now;
-        if due(self.heartbeat_due(heartbeat, orders_answered)) {
+        if self.heartbeat_due(heartbeat, orders_delivered) <= now {
             return Some(ReportKind::Heartbeat);
         }
-        due(self.no_change_due()).then_some(ReportKind::NoChange)
+        (self.no_change_due() <= now).then_some(ReportKind::NoChange)
     }
 
-    /// When something has to be sent if nothing else happens.
-    pub fn next_due(&self, heartbeat: &Heartbeat, orders_answered: u64) -> Millis {
-        self.heartbeat_due(heartbeat, orders_answered)
+    /// When something has to be reported if nothing else happens.
+    pub(crate) fn next_due(&self, heartbeat: &Heartbeat, orders_delivered: u64) -> Millis {
+        self.heartbeat_due(heartbeat, orders_delivered)
             .min(self.no_change_due())
     }
 
     fn no_change_due(&self) -> Millis {
-        self.last_sent
-            .map_or(Millis::default(), |at| at.plus(REPORT_MS))
+        self.last_report
+            .map_or(Millis::default(), |at| at.plus(REPORT_INTERVAL_MS))
     }
 
-    fn heartbeat_due(&self, heartbeat: &Heartbeat, orders_answered: u64) -> Millis {
-        let Some(reported) = &self.reported else {
+    fn heartbeat_due(&self, heartbeat: &Heartbeat, orders_delivered: u64) -> Millis {
+        let Some(forwarded) = &self.forwarded else {
             return Millis::default();
         };
-        if orders_answered > reported.orders_answered || differs(&reported.heartbeat, heartbeat) {
+        let newly_delivered = orders_delivered > forwarded.orders_delivered;
+        if newly_delivered || has_changed(&forwarded.heartbeat, heartbeat) {
             return Millis::default();
         }
-        let progressed = reported.heartbeat.running != heartbeat.running;
-        reported.at.plus(if progressed {
-            PROGRESS_MS
+        let progressed = forwarded.heartbeat.running != heartbeat.running;
+        forwarded.at.plus(if progressed {
+            PROGRESS_INTERVAL_MS
         } else {
-            FULL_REPORT_MS
+            FULL_REPORT_INTERVAL_MS
         })
     }
 }
 
 /// Whether the two differ in more than progress, leaving aside what changes with every heartbeat.
-fn differs(old: &Heartbeat, new: &Heartbeat) -> bool {
+fn has_changed(old: &Heartbeat, new: &Heartbeat) -> bool {
     let same_runs = old.running.len() == new.running.len()
-        && old.running.iter().zip(&new.running).all(same_run);
+        && old.running.iter().zip(&new.running).all(is_same_run);
     !same_runs
         || old.server != new.server
         || old.draining != new.draining
         || old.finished != new.finished
 }
 
-fn same_run((old, new): (&RunningTask, &RunningTask)) -> bool {
+fn is_same_run((old, new): (&RunningTask, &RunningTask)) -> bool {
     old.task == new.task && old.attempt == new.attempt && old.checkpoint == new.checkpoint
 }
--- a/crates/worker-agent/src/settings.rs
+++ b/crates/worker-agent/src/settings.rs
@@ -1,14 +1,14 @@
 //! Settings of an agent.
 
-/// Bounds and intervals, all in milliseconds.
+/// Bounds and intervals of an agent, all in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AgentSettings {
-    /// The longest hold that a server takes.
+    /// The longest lease that a server accepts; a longer grant is cut to it.
     pub lease_max_ms: u64,
-    /// How often a server beats of its own accord.
+    /// How often a server sends a heartbeat of its own accord. No response asks for a longer interval.
     pub heartbeat_ms: u64,
-    /// After how long a server should beat again while nothing happens and no owner has said otherwise.
+    /// The interval that is asked for while nothing happens and no owner has asked for another.
     pub idle_heartbeat_ms: u64,
-    /// After how long it should beat again while runs start, stop or end.
+    /// The interval that is asked for while runs start, stop or end.
     pub busy_heartbeat_ms: u64,
 }
--- a/crates/worker-agent/tests/agent.rs
+++ b/crates/worker-agent/tests/agent.rs
@@ -6,10 +6,10 @@
 use lupinrack_cluster_api::identity::FencingToken;
 use lupinrack_cluster_api::server::RunEnd;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_worker_agent::desired_state::STARTS_BYTES_MOST;
-use lupinrack_worker_agent::heartbeat_json::UnknownRun;
-use lupinrack_worker_agent::lease::LEASE_LEAST_MS;
-use lupinrack_worker_agent::owner_session::ATTACH_RETRY_MS;
+use lupinrack_worker_agent::UnknownRun;
+use lupinrack_worker_agent::ATTACH_RETRY_MS;
+use lupinrack_worker_agent::MAX_START_BYTES;
+use lupinrack_worker_agent::MIN_LEASE_MS;
 use lupinrack_worker_agent::{Agent, HeartbeatResponse, OwnerMessageError, StopOrder};
 use support::{
     assignment, attached, beat, finished, first_message, message, ordered, running, settings,
@@ -67,9 +67,9 @@
 fn no_hold_and_no_start_beyond_the_grant() {
     let mut agent = ordered();
     let end = 3011;
-    let answer = agent.heartbeat(beat("a", 2), Millis(end - LEASE_LEAST_MS));
-    assert_eq!((answer.lease_ms, answer.starts.len()), (LEASE_LEAST_MS, 1));
-    let answer = agent.heartbeat(beat("a", 3), Millis(end - LEASE_LEAST_MS + 1));
+    let answer = agent.heartbeat(beat("a", 2), Millis(end - MIN_LEASE_MS));
+    assert_eq!((answer.lease_ms, answer.starts.len()), (MIN_LEASE_MS, 1));
+    let answer = agent.heartbeat(beat("a", 3), Millis(end - MIN_LEASE_MS + 1));
     assert_eq!((answer.lease_ms, answer.starts.len()), (0, 0));
 }
 
@@ -189,7 +189,7 @@
     let mut first = first_message();
     first.assign = (0..3).map(|index| assignment(index, 1)).collect();
     for start in &mut first.assign {
-        start.spec = "x".repeat(STARTS_BYTES_MOST / 2);
+        start.spec = "x".repeat(MAX_START_BYTES / 2);
     }
     assert_eq!(agent.receive_owner_message(CONNECTION, first), Ok(()));
     assert_eq!(
--- a/crates/worker-agent/tests/golden.rs
+++ b/crates/worker-agent/tests/golden.rs
@@ -15,8 +15,10 @@
 use lupinrack_cluster_api::identity::{FencingToken, JobId, ServerId, ServiceName, TaskId};
 use lupinrack_cluster_api::job::Resources;
 use lupinrack_cluster_api::server::{FinishedTask, RunEnd, RunningTask, ServerFacts};
-use lupinrack_worker_agent::heartbeat_json::{parse, render, UnknownRun};
-use lupinrack_worker_agent::{HeartbeatResponse, OwnerMessageError, ServerHeartbeat, StopOrder};
+use lupinrack_worker_agent::heartbeat_json::{parse, render};
+use lupinrack_worker_agent::{
+    HeartbeatResponse, OwnerMessageError, ServerHeartbeat, StopOrder, UnknownRun,
+};
 use std::collections::BTreeMap;
 
 const SERVER: &str = "server-1";
@@ -69,7 +71,7 @@
         ends_listed: 0,
         address: String::new(),
         slots: 0,
-        cold_remaining_ms: 0,
+        warm_up_remaining_ms: 0,
         clock_ms: 0,
     }
 }
@@ -112,7 +114,7 @@
         ends_listed: 1,
         address: "127.0.0.1:80".into(),
         slots: 8,
-        cold_remaining_ms: 12,
+        warm_up_remaining_ms: 12,
         clock_ms: 99,
     }
 }
@@ -256,7 +258,7 @@
         TASK
     ));
     let mut read = least_heartbeat();
-    read.cold_remaining_ms = 2;
+    read.warm_up_remaining_ms = 2;
     read.heartbeat.remaining_ms = Some(0);
     read.clock_ms = u64::MAX;
     read.heartbeat.running = vec![RunningTask {
@@ -309,7 +311,7 @@
         read.ends_listed,
         read.address,
         read.slots,
-        read.cold_remaining_ms,
+        read.warm_up_remaining_ms,
         read.clock_ms
     )
 }
@@ -544,14 +546,14 @@
     }
     let refused = [
         ("other connection", OwnerMessageError::OtherConnection),
-        ("other life", OwnerMessageError::OtherIncarnation),
+        ("other incarnation", OwnerMessageError::OtherIncarnation),
         ("lower token", OwnerMessageError::LowerToken),
         ("earlier session", OwnerMessageError::EarlierSession),
         ("repeated", OwnerMessageError::Repeated),
         ("gap", OwnerMessageError::Gap),
     ];
     for (name, refused) in refused {
-        file.add(format!("refused message, {name}"), refused.to_string());
+        file.add(format!("rejected message, {name}"), refused.to_string());
     }
     file.check();
     assert!(parse(&"x".repeat(256), least_body("").as_bytes()).is_ok());
--- a/crates/worker-agent/tests/heartbeat_json.rs
+++ b/crates/worker-agent/tests/heartbeat_json.rs
@@ -80,7 +80,7 @@
     );
     assert_eq!(end.checkpoint, "0e0e");
     assert_eq!(
-        (beat.address.as_str(), beat.slots, beat.cold_remaining_ms),
+        (beat.address.as_str(), beat.slots, beat.warm_up_remaining_ms),
         ("127.0.0.1:80", 8, 12)
     );
     assert_eq!((beat.clock_ms, beat.ends_listed), (99, 1));
@@ -175,7 +175,7 @@
     ));
     assert!(matches!(
         parse("", &body(json!({}))),
-        Err(ParseHeartbeatError::Identity)
+        Err(ParseHeartbeatError::ServerId)
     ));
 }
 
--- a/crates/worker-agent/tests/pending_heartbeats.rs
+++ b/crates/worker-agent/tests/pending_heartbeats.rs
@@ -5,7 +5,7 @@
 use lupinrack_cluster_api::agent::{AgentMessage, OwnerMessage};
 use lupinrack_cluster_api::server::RunEnd;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_worker_agent::lease::LEASE_LEAST_MS;
+use lupinrack_worker_agent::MIN_LEASE_MS;
 use lupinrack_worker_agent::{
     Agent, HeartbeatOutcome, PendingHeartbeat, ServerHeartbeat, StopOrder,
 };
@@ -37,7 +37,7 @@
     agent
 }
 
-fn tell(agent: &mut Agent, message: OwnerMessage, now: u64) {
+fn deliver(agent: &mut Agent, message: OwnerMessage) {
     assert_eq!(agent.receive_owner_message(CONNECTION, message), Ok(()));
 }
 
@@ -93,7 +93,7 @@
     let mut agent = without_orders();
     let open = leave_open(&mut agent, beat_with_run(3), 100);
     assert!(!agent.has_orders(Millis(110)));
-    tell(&mut agent, second_message(), 120);
+    deliver(&mut agent, second_message());
     assert!(agent.has_orders(Millis(120)));
     assert_eq!(
         started(&agent.respond_to_heartbeat(&open, Millis(120))),
@@ -105,25 +105,23 @@
 fn a_stop_that_comes_meanwhile_is_an_order() {
     let mut agent = without_orders();
     let open = leave_open(&mut agent, beat_with_run(3), 100);
-    tell(
+    deliver(
         &mut agent,
         OwnerMessage {
             stop: vec![(task(2), 1)],
             ..message(2, "a", 5)
         },
-        110,
     );
     assert!(
         !agent.has_orders(Millis(110)),
         "what does not run needs no stop"
     );
-    tell(
+    deliver(
         &mut agent,
         OwnerMessage {
             stop: vec![(task(1), 1)],
             ..message(3, "a", 5)
         },
-        120,
     );
     assert!(agent.has_orders(Millis(120)));
     let answer = agent.respond_to_heartbeat(&open, Millis(120));
@@ -140,7 +138,7 @@
 fn a_message_without_orders_is_no_order() {
     let mut agent = without_orders();
     leave_open(&mut agent, beat_with_run(3), 100);
-    tell(&mut agent, message(2, "a", 5), 110);
+    deliver(&mut agent, message(2, "a", 5));
     assert!(!agent.has_orders(Millis(110)));
 }
 
@@ -150,15 +148,14 @@
     let mut draining = beat_with_run(3);
     draining.heartbeat.draining = true;
     let open = leave_open(&mut agent, draining, 100);
-    tell(&mut agent, second_message(), 110);
+    deliver(&mut agent, second_message());
     assert!(!agent.has_orders(Millis(110)));
-    tell(
+    deliver(
         &mut agent,
         OwnerMessage {
             stop: vec![(task(1), 1)],
             ..message(3, "a", 5)
         },
-        120,
     );
     assert!(agent.has_orders(Millis(120)));
     let answer = agent.respond_to_heartbeat(&open, Millis(120));
@@ -168,9 +165,9 @@
 #[test]
 fn without_a_hold_there_is_no_start_to_wait_for() {
     let mut agent = ordered();
-    leave_open(&mut agent, beat("a", 2), HOLD_END - LEASE_LEAST_MS);
-    assert!(agent.has_orders(Millis(HOLD_END - LEASE_LEAST_MS)));
-    assert!(!agent.has_orders(Millis(HOLD_END - LEASE_LEAST_MS + 1)));
+    leave_open(&mut agent, beat("a", 2), HOLD_END - MIN_LEASE_MS);
+    assert!(agent.has_orders(Millis(HOLD_END - MIN_LEASE_MS)));
+    assert!(!agent.has_orders(Millis(HOLD_END - MIN_LEASE_MS + 1)));
 }
 
 #[test]
@@ -198,7 +195,7 @@
         lease_ms: 4_000,
         ..message(2, "a", 5)
     };
-    tell(&mut agent, extension, 150);
+    deliver(&mut agent, extension);
     assert_eq!(
         agent.respond_to_heartbeat(&open, Millis(160)).lease_ms,
         11 + 4_000 - 100
@@ -209,7 +206,7 @@
 fn orders_of_an_open_answer_are_seen_with_the_next_heartbeat() {
     let mut agent = without_orders();
     let open = leave_open(&mut agent, beat_with_run(3), 100);
-    tell(&mut agent, second_message(), 120);
+    deliver(&mut agent, second_message());
     // What was not answered is not seen.
     let before = agent.poll(Millis(125));
     assert!(
@@ -230,7 +227,7 @@
     let mut agent = without_orders();
     let open = leave_open(&mut agent, beat_with_run(3), 100);
     agent.respond_to_heartbeat(&open, Millis(120));
-    tell(&mut agent, second_message(), 130);
+    deliver(&mut agent, second_message());
     let mut progressed = beat_with_run(4);
     progressed.heartbeat.running[0].percent = 50;
     let open = leave_open(&mut agent, progressed, 200);
@@ -248,7 +245,7 @@
 #[test]
 fn orders_of_an_answer_that_was_never_given_are_not_seen() {
     let mut agent = without_orders();
-    tell(&mut agent, second_message(), 90);
+    deliver(&mut agent, second_message());
     leave_open(&mut agent, beat_with_run(3), 100);
     let mut progressed = beat_with_run(4);
     progressed.heartbeat.running[0].percent = 50;
--- a/crates/worker-agent/tests/reports.rs
+++ b/crates/worker-agent/tests/reports.rs
@@ -5,8 +5,8 @@
 use lupinrack_cluster_api::agent::AgentMessage;
 use lupinrack_cluster_api::server::RunEnd;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_worker_agent::agent::{FINISHED_LIST_MOST, SILENCE_SLACK_MS};
-use lupinrack_worker_agent::report_schedule::{PROGRESS_MS, REPORT_MS};
+use lupinrack_worker_agent::{HEARTBEAT_GRACE_MS, MAX_LISTED_ENDS};
+use lupinrack_worker_agent::{PROGRESS_INTERVAL_MS, REPORT_INTERVAL_MS};
 use support::{beat, finished, ordered, reported, running, started, AnswerAtOnce, SILENT};
 
 #[test]
@@ -14,10 +14,10 @@
     let mut agent = ordered();
     agent.heartbeat(beat("a", 2), Millis(30));
     let mut cut = beat("a", 3);
-    cut.heartbeat.finished = (0..FINISHED_LIST_MOST as u32)
+    cut.heartbeat.finished = (0..MAX_LISTED_ENDS as u32)
         .map(|n| finished(u64::from(n) + 1, 100 + n, 1, RunEnd::Done))
         .collect();
-    cut.ends_listed = FINISHED_LIST_MOST;
+    cut.ends_listed = MAX_LISTED_ENDS;
     assert!(agent.heartbeat(cut, Millis(40)).starts.is_empty());
     assert_eq!(
         reported(&agent.poll(Millis(41))).map(|heartbeat| heartbeat.orders_seen),
@@ -65,8 +65,8 @@
     listed.heartbeat.sequence = 4;
     agent.heartbeat(listed, Millis(300));
     assert!(agent.poll(Millis(300)).is_empty());
-    assert_eq!(agent.next_poll(), Some(Millis(200 + REPORT_MS)));
-    let messages = agent.poll(Millis(200 + REPORT_MS));
+    assert_eq!(agent.next_poll(), Some(Millis(200 + REPORT_INTERVAL_MS)));
+    let messages = agent.poll(Millis(200 + REPORT_INTERVAL_MS));
     assert!(matches!(
         messages.as_slice(),
         [AgentMessage::Report {
@@ -90,7 +90,7 @@
     listed.heartbeat.running[0].percent = 50;
     agent.heartbeat(listed.clone(), Millis(400));
     assert_eq!(reported(&agent.poll(Millis(400))), None);
-    assert!(reported(&agent.poll(Millis(150 + PROGRESS_MS))).is_some());
+    assert!(reported(&agent.poll(Millis(150 + PROGRESS_INTERVAL_MS))).is_some());
     listed.heartbeat.sequence = 5;
     listed.heartbeat.running[0].checkpoint = "0f".into();
     agent.heartbeat(listed, Millis(700));
@@ -101,9 +101,9 @@
 fn a_silent_server_is_not_reported() {
     let mut agent = ordered();
     let answer = agent.heartbeat(beat("a", 2), Millis(100));
-    let silent = 100 + answer.heartbeat_after_ms + SILENCE_SLACK_MS;
+    let silent = 100 + answer.heartbeat_after_ms + HEARTBEAT_GRACE_MS;
     assert!(!agent.poll(Millis(silent)).is_empty());
-    assert!(agent.poll(Millis(silent + REPORT_MS)).is_empty());
+    assert!(agent.poll(Millis(silent + REPORT_INTERVAL_MS)).is_empty());
     assert_eq!(agent.next_poll(), None);
     agent.heartbeat(beat("a", 3), Millis(5_000));
     assert!(!agent.poll(Millis(5_000)).is_empty());
--- a/crates/worker-agent/tests/session_model.rs
+++ b/crates/worker-agent/tests/session_model.rs
@@ -133,7 +133,7 @@
         ends_listed: 0,
         address: String::new(),
         slots: 8,
-        cold_remaining_ms: 0,
+        warm_up_remaining_ms: 0,
         clock_ms: 0,
     }
 }
--- a/crates/worker-agent/tests/support/mod.rs
+++ b/crates/worker-agent/tests/support/mod.rs
@@ -13,7 +13,7 @@
 use lupinrack_cluster_api::job::Resources;
 use lupinrack_cluster_api::server::{FinishedTask, RunEnd, RunningTask, ServerFacts};
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_worker_agent::agent::SILENCE_SLACK_MS;
+use lupinrack_worker_agent::HEARTBEAT_GRACE_MS;
 use lupinrack_worker_agent::{Agent, AgentSettings, HeartbeatResponse, ServerHeartbeat};
 
 /// The connection of the first session.
@@ -112,7 +112,7 @@
         ends_listed: 0,
         address: String::new(),
         slots: 8,
-        cold_remaining_ms: 0,
+        warm_up_remaining_ms: 0,
         clock_ms: 0,
     }
 }
@@ -128,7 +128,7 @@
 }
 
 /// A moment at which an agent that `ordered` gives, or whose server has beaten at 100, takes that server for silent.
-pub const SILENT: Millis = Millis(100 + 400 + SILENCE_SLACK_MS + 1);
+pub const SILENT: Millis = Millis(100 + 400 + HEARTBEAT_GRACE_MS + 1);
 
 /// A first message that assigns task 1 and holds from 11 to 3011.
 pub fn first_message() -> OwnerMessage {
