--- a/crates/cluster-node/src/core/machine/events.rs
+++ b/crates/cluster-node/src/core/machine/events.rs
@@ -34,7 +34,7 @@
         if let Some(disk) = self.connections.remove(&connection) {
             self.chain.disconnected(disk, now);
         }
-        self.shards.disconnected(from, connection, now);
+        self.shards.disconnected(from, connection);
         self.policy.closed(from);
         let outgoing = self.client.closed(from, now);
         self.send_all(outgoing);
--- a/crates/cluster-node/src/core/machine/ownership.rs
+++ b/crates/cluster-node/src/core/machine/ownership.rs
@@ -3,8 +3,8 @@
 use super::*;
 use lupinrack_scheduler::InferredEnd;
 
-/// Lines on runs that lapsed in one round, at most.
-const LAPSED_LINES_MOST: usize = 20;
+/// Lines on ends that were inferred in one round, at most.
+const INFERRED_END_LINES_MOST: usize = 20;
 
 impl CoreMachine {
     pub(super) fn follow_view(&mut self, now: Millis) {
@@ -38,7 +38,7 @@
             .shards
             .round(&self.replica.state, now, wall, self.authority_until);
         for round in rounds {
-            log_lapsed(&round.lapsed);
+            log_inferred_ends(&round.inferred_ends);
             for operation in round.operations {
                 self.submit_anywhere(operation, now);
             }
@@ -96,24 +96,24 @@
     }
 }
 
-/// Lines on runs that are over without their servers' word, for whoever looks for the reason of a second start.
-fn log_lapsed(lapsed: &[InferredEnd]) {
-    for run in lapsed.iter().take(LAPSED_LINES_MOST) {
+/// Lines on ends of runs that no server reported, for whoever looks for the reason of a second start.
+fn log_inferred_ends(ends: &[InferredEnd]) {
+    for run in ends.iter().take(INFERRED_END_LINES_MOST) {
         let InferredEnd {
             task,
             attempt,
             server,
-            rule,
+            reason,
         } = run;
         spdlog::info!(
-            "run {attempt} of task {task} on {} is over: {rule}",
+            "run {attempt} of task {task} on {} is over: {reason}",
             server.0
         );
     }
-    if lapsed.len() > LAPSED_LINES_MOST {
+    if ends.len() > INFERRED_END_LINES_MOST {
         spdlog::info!(
             "{} more runs are over likewise",
-            lapsed.len() - LAPSED_LINES_MOST
+            ends.len() - INFERRED_END_LINES_MOST
         );
     }
 }
--- a/crates/cluster-node/src/core/shards.rs
+++ b/crates/cluster-node/src/core/shards.rs
@@ -219,7 +219,7 @@
     }
 
     /// An agent's connection ended.
-    pub fn disconnected(&mut self, agent: PeerAddress, connection: u64, now: Millis) {
+    pub fn disconnected(&mut self, agent: PeerAddress, connection: u64) {
         let Some(service) = self.agents.remove(&connection) else {
             return;
         };
@@ -227,7 +227,7 @@
             early.retain(|attach| attach.connection != connection);
         }
         if let Some(scheduler) = self.schedulers.get_mut(&service) {
-            scheduler.disconnected(agent, connection, now);
+            scheduler.disconnected(agent, connection);
         }
     }
 
--- a/crates/cluster-node/src/scheduling.rs
+++ b/crates/cluster-node/src/scheduling.rs
@@ -7,13 +7,10 @@
 pub fn scheduler_settings(settings: &NodeSettings) -> SchedulerSettings {
     let bounds = &settings.bounds;
     SchedulerSettings {
-        far_factor: bounds.far_factor,
-        stop_ms: bounds.stop_ms,
-        gang_ms: bounds.gang_ms,
-        early_ms: bounds.early_ms,
+        remote_factor: bounds.far_factor,
+        max_stop_ms: bounds.stop_ms,
         drain_ms: bounds.drain_ms,
         lease_ms: bounds.lease_max_ms,
-        save_ms: bounds.save_ms,
         restore_ms: bounds.restore_ms,
         ..SchedulerSettings::default()
     }
--- a/crates/cluster-node/tests/golden.rs
+++ b/crates/cluster-node/tests/golden.rs
@@ -104,9 +104,9 @@
         runs: runs.into(),
         stopping: 0,
         queued: 0,
-        placeable: !draining,
+        schedulable: !draining,
         draining,
-        suspect: false,
+        suspected: false,
     }
 }
 
--- a/crates/cluster-node/tests/status.rs
+++ b/crates/cluster-node/tests/status.rs
@@ -52,9 +52,9 @@
         runs: [(0, 2), (1, 3)].into(),
         stopping: 0,
         queued: 0,
-        placeable: !draining,
+        schedulable: !draining,
         draining,
-        suspect: false,
+        suspected: false,
     }
 }
 
--- a/crates/scheduler/src/draining.rs
+++ b/crates/scheduler/src/draining.rs
@@ -98,7 +98,7 @@
         if rest <= left_ms {
             return Move::Stay;
         }
-        let last_call = left_ms <= self.settings.stop_ms + STOP_DELAY_MS;
+        let last_call = left_ms <= self.settings.max_stop_ms + STOP_DELAY_MS;
         let hopeless = rest.saturating_mul(100) > left_ms.saturating_mul(GIVE_UP_PERCENT);
         match (run.traits.checkpoints, hopeless) {
             (true, _) if last_call => Move::Now,
--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimates.rs
@@ -25,7 +25,7 @@
         return 0;
     }
     if run.stop.is_some() {
-        return settings.stop_ms;
+        return settings.max_stop_ms;
     }
     let total = total_ms(run, durations);
     let Some(since) = run.running_since else {
--- a/crates/scheduler/src/evidence.rs
+++ b/crates/scheduler/src/evidence.rs
@@ -108,11 +108,12 @@
     }
 
     /// Whether a suspected server may be tried again.
-    pub fn is_trial_due(&self, server: &ServerId, now: Millis, trial_ms: u64) -> bool {
+    pub fn is_trial_due(&self, server: &ServerId, now: Millis, probation_interval_ms: u64) -> bool {
         let Some(evidence) = self.servers.get(server) else {
             return true;
         };
-        let pause_ms = trial_ms << evidence.trials.saturating_sub(1).min(TRIAL_DOUBLINGS_MOST);
+        let pause_ms =
+            probation_interval_ms << evidence.trials.saturating_sub(1).min(TRIAL_DOUBLINGS_MOST);
         evidence
             .last_trial
             .is_none_or(|at| now.since(at) >= pause_ms)
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -38,7 +38,7 @@
     /// anywhere.
     fn gang_sets(&self, demand: &Demand<'_>, tasks: &[TaskId]) -> Vec<Candidates> {
         let allowed = self.reliable(demand, tasks);
-        let far = self.settings.far_factor;
+        let far = self.settings.remote_factor;
         let mut sets = Vec::new();
         if demand.step.same_rack {
             let mut racks: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
--- a/crates/scheduler/src/heartbeats.rs
+++ b/crates/scheduler/src/heartbeats.rs
@@ -205,7 +205,7 @@
             .collect();
         stopped
             .into_iter()
-            .for_each(|task| self.end_unlisted(task, InferredEndReason::StopSeen));
+            .for_each(|task| self.end_unlisted(task, InferredEndReason::StopAcknowledged));
     }
 
     /// Notes that the record has taken note of an end, or never will.
--- a/crates/scheduler/src/lapses.rs
+++ b/crates/scheduler/src/lapses.rs
@@ -12,20 +12,20 @@
 /// Why a run is over although its server did not list its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum InferredEndReason {
-    /// its server left in order
-    ServerLeft,
-    /// a later life runs beside the same agent
+    /// its server deregistered
+    ServerDeregistered,
+    /// a later incarnation runs beside the same agent
     LaterIncarnation,
-    /// every hold that its server was granted is over
+    /// every lease that its server was granted has expired
     LeaseExpired,
-    /// its server is not known, and every hold that an earlier owner granted is over
-    TakeoverBound,
-    /// its server was gone before it was told of it
-    NeverTold,
-    /// it was stopped before its server was told of it
-    StoppedUntold,
-    /// its server has seen the stop and lists it nowhere
-    StopSeen,
+    /// its server is not known, and every lease that an earlier owner granted has expired
+    TakeoverBoundPassed,
+    /// its server was gone before it was notified of it
+    ServerGoneBeforeNotification,
+    /// it was stopped before its server was notified of it
+    StoppedBeforeNotification,
+    /// its server has acknowledged the stop and does not list it
+    StopAcknowledged,
 }
 
 /// A run that is over without its server's word.
@@ -38,7 +38,7 @@
     /// The server that it was assigned to.
     pub server: ServerId,
     /// Why it is over.
-    pub rule: InferredEndReason,
+    pub reason: InferredEndReason,
 }
 
 impl Scheduler {
@@ -76,8 +76,8 @@
     }
 
     /// A life of a server is over, and all that ran in it.
-    pub(crate) fn server_gone(&mut self, server: &ServerId, rule: InferredEndReason) {
-        self.lapse_runs(server, rule);
+    pub(crate) fn server_gone(&mut self, server: &ServerId, reason: InferredEndReason) {
+        self.lapse_runs(server, reason);
         self.withdraw_server(server);
         self.servers.remove(server);
         self.placed.remove(server);
@@ -88,9 +88,9 @@
     /// Ends the runs of servers whose hold is over. Servers without a session are forgotten then; the agents of others
     /// are told all their orders anew before they get another hold, since they may still have starts that have lapsed.
     pub(crate) fn expire_servers(&mut self, now: Millis) {
-        let silence_ms = self.settings.silence_ms;
+        let heartbeat_timeout_ms = self.settings.heartbeat_timeout_ms;
         let over = self.servers.iter().filter(|(_, server)| {
-            now > server.lease_bound && now.since(server.last_contact) > silence_ms
+            now > server.lease_bound && now.since(server.last_contact) > heartbeat_timeout_ms
         });
         let over: Vec<(ServerId, bool)> = over
             .map(|(id, server)| (id.clone(), server.session.is_none()))
@@ -106,7 +106,7 @@
     }
 
     /// Ends all runs of a server; tells whether there were any.
-    fn lapse_runs(&mut self, server: &ServerId, rule: InferredEndReason) -> bool {
+    fn lapse_runs(&mut self, server: &ServerId, reason: InferredEndReason) -> bool {
         let held = |run: &Run| run.phase == RunPhase::Recorded && !run.ended;
         let tasks: Vec<TaskId> = self
             .runs
@@ -114,25 +114,29 @@
             .filter(|run| held(run))
             .map(|run| run.task)
             .collect();
-        tasks.iter().for_each(|task| self.end_unlisted(*task, rule));
+        tasks
+            .iter()
+            .for_each(|task| self.end_unlisted(*task, reason));
         !tasks.is_empty()
     }
 
     /// Has the end of a run recorded that its server did not list.
-    pub(crate) fn end_unlisted(&mut self, task: TaskId, rule: InferredEndReason) {
+    pub(crate) fn end_unlisted(&mut self, task: TaskId, reason: InferredEndReason) {
         let Some(run) = self.runs.get(task) else {
             return;
         };
         let (attempt, server) = (run.attempt, run.server.clone());
-        let end = match rule {
-            InferredEndReason::StoppedUntold | InferredEndReason::StopSeen => RunEnd::Stopped,
+        let end = match reason {
+            InferredEndReason::StoppedBeforeNotification | InferredEndReason::StopAcknowledged => {
+                RunEnd::Stopped
+            }
             _ => RunEnd::LeaseExpired,
         };
-        self.lapsed.push(InferredEnd {
+        self.inferred_ends.push(InferredEnd {
             task,
             attempt,
             server,
-            rule,
+            reason,
         });
         self.end_run(EndRecord {
             task,
@@ -152,19 +156,19 @@
             .filter_map(|run| Some((run.task, self.settled_by(run, now)?)))
             .collect();
         over.into_iter()
-            .for_each(|(task, rule)| self.end_unlisted(task, rule));
+            .for_each(|(task, reason)| self.end_unlisted(task, reason));
     }
 
     fn settled_by(&self, run: &Run, now: Millis) -> Option<InferredEndReason> {
         if run.stop.is_some() && !run.may_be_known() {
-            return Some(InferredEndReason::StoppedUntold);
+            return Some(InferredEndReason::StoppedBeforeNotification);
         }
         if self.servers.get(&run.server).is_some() {
             return None;
         }
         match run.inherited {
-            false => Some(InferredEndReason::NeverTold),
-            true => (now > self.takeover_bound).then_some(InferredEndReason::TakeoverBound),
+            false => Some(InferredEndReason::ServerGoneBeforeNotification),
+            true => (now > self.takeover_bound).then_some(InferredEndReason::TakeoverBoundPassed),
         }
     }
 }
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -155,7 +155,7 @@
             run.running_since.is_none()
                 || run.stop.is_some()
                 || run.ended
-                || rest_ms(run, &self.durations, settings, now) <= settings.soon_ms
+                || rest_ms(run, &self.durations, settings, now) <= settings.ending_soon_ms
         };
         let ends_pending = self
             .servers
@@ -166,7 +166,7 @@
         } else if self
             .jobs
             .newest_at()
-            .is_some_and(|at| now.since(at) <= settings.active_ms)
+            .is_some_and(|at| now.since(at) <= settings.recent_job_ms)
         {
             settings.active_heartbeat_ms
         } else {
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -283,7 +283,7 @@
         let sound: Vec<usize> = able
             .iter()
             .copied()
-            .filter(|place| !self.rows[*place].suspect)
+            .filter(|place| !self.rows[*place].suspected)
             .collect();
         if sound.is_empty() {
             able
@@ -315,7 +315,7 @@
 
     /// Keeps room until work can start that waits for it.
     pub(crate) fn reserve(&mut self, demand: &Demand<'_>, until: Millis, shares: &[Share]) {
-        if self.reservations >= self.settings.reservations_most || until <= self.now {
+        if self.reservations >= self.settings.max_reservations || until <= self.now {
             return;
         }
         self.reservations += 1;
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/preemption.rs
@@ -74,7 +74,7 @@
     /// Adds what is being stopped, and what ends by itself as soon as a stop would take.
     fn add_room_soon_free(&self, spare: &mut Spare, now: Millis) {
         for run in self.runs.iter().filter(|run| !run.ended) {
-            if rest_ms(run, &self.durations, &self.settings, now) <= self.settings.stop_ms {
+            if rest_ms(run, &self.durations, &self.settings, now) <= self.settings.max_stop_ms {
                 spare.add(&run.server, &run.traits.needs);
             }
         }
@@ -82,7 +82,7 @@
 
     fn cheapest_victims(&self, demand: &Demand<'_>, spare: &Spare, now: Millis) -> Option<Victims> {
         let able = spare.rows.iter().enumerate().filter(|(_, spare)| {
-            !spare.row.suspect
+            !spare.row.suspected
                 && spare.row.has_label(&demand.step.requires)
                 && fits(&demand.step.needs, &spare.row.facts.capacity)
         });
@@ -145,6 +145,6 @@
             && run.traits.checkpoints
             && !run.traits.gang
             && !run.traits.long_running
-            && rest_ms(run, &self.durations, &self.settings, now) > self.settings.stop_ms
+            && rest_ms(run, &self.durations, &self.settings, now) > self.settings.max_stop_ms
     }
 }
--- a/crates/scheduler/src/queueing.rs
+++ b/crates/scheduler/src/queueing.rs
@@ -113,7 +113,7 @@
         let misplaced = |(task, queued): (&TaskId, &QueuedTask)| {
             let own = rows.iter().find(|row| row.server == queued.server);
             let stays = own.is_some_and(|own| {
-                let held_up = now.since(queued.since) > QUEUED_MOST_MS || own.suspect;
+                let held_up = now.since(queued.since) > QUEUED_MOST_MS || own.suspected;
                 !held_up && !has_room_elsewhere(queued, own, rows)
             });
             (!stays).then_some(*task)
@@ -147,7 +147,7 @@
     rows.iter().any(|row| {
         let as_near = row.has_label(&queued.affinity) || !own.has_label(&queued.affinity);
         let room = row.free_for(queued.traits.priority);
-        row.server != own.server && !row.suspect && as_near && fits(&queued.traits.needs, &room)
+        row.server != own.server && !row.suspected && as_near && fits(&queued.traits.needs, &room)
     })
 }
 
@@ -247,7 +247,7 @@
     pub(crate) fn note_start(&mut self, place: usize, start: &StartRecord, traits: RunTraits) {
         let row = &mut self.rows[place];
         row.running += 1;
-        if row.suspect {
+        if row.suspected {
             self.evidence.trial(&row.server, self.now);
         }
         self.runs.insert(Run::proposed(start, traits, self.now));
--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/rows.rs
@@ -63,7 +63,7 @@
     /// The runs on it.
     pub running: usize,
     /// Whether it is suspected of failing what it is given.
-    pub suspect: bool,
+    pub suspected: bool,
     /// How many times as long work takes on it as elsewhere; 1 where that is not remarkable.
     pub slowness: f64,
     /// Room that will be free, soonest first.
@@ -251,15 +251,15 @@
 impl Scheduler {
     /// The rows of all servers that may be given work now.
     pub(crate) fn rows(&self, now: Millis) -> Vec<Row> {
-        let silence_ms = self.settings.silence_ms;
-        let placeable = self
+        let heartbeat_timeout_ms = self.settings.heartbeat_timeout_ms;
+        let schedulable = self
             .servers
             .iter()
-            .filter(|(_, server)| server.is_placeable(now, silence_ms));
-        let placeable: Vec<(&ServerId, &Server)> = placeable.collect();
-        let ids: Vec<ServerId> = placeable.iter().map(|(id, _)| (*id).clone()).collect();
+            .filter(|(_, server)| server.is_schedulable(now, heartbeat_timeout_ms));
+        let schedulable: Vec<(&ServerId, &Server)> = schedulable.collect();
+        let ids: Vec<ServerId> = schedulable.iter().map(|(id, _)| (*id).clone()).collect();
         let suspects = self.evidence.suspects(&ids, now);
-        placeable
+        schedulable
             .into_iter()
             .map(|(id, server)| self.row(id, server, &suspects, now))
             .collect()
@@ -297,7 +297,7 @@
             free: difference(&server.facts.capacity, &taken),
             queued: queued.collect(),
             running: freed.len() + server.foreign.len(),
-            suspect: suspects.contains(id),
+            suspected: suspects.contains(id),
             slowness: self.evidence.slowness(id, now),
             freed,
             reservation: None,
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -39,7 +39,7 @@
     /// Messages that are to be sent to agents.
     pub messages: Vec<AgentOrder>,
     /// Runs whose ends are among the operations although their servers did not list them.
-    pub lapsed: Vec<InferredEnd>,
+    pub inferred_ends: Vec<InferredEnd>,
 }
 
 /// What the owner of a service's shard decides. A state machine without I/O: messages, applied operations and moments
@@ -64,7 +64,7 @@
     pub(crate) dispatcher: Dispatcher<ServerId, QueueName, TaskId>,
     pub(crate) queued: BTreeMap<TaskId, QueuedTask>,
     /// Runs that were found to be over without their servers' word since the last round.
-    pub(crate) lapsed: Vec<InferredEnd>,
+    pub(crate) inferred_ends: Vec<InferredEnd>,
 }
 
 impl Scheduler {
@@ -88,7 +88,7 @@
             submissions: Submissions::new(service.clone(), token, settings.resubmit_ms),
             dispatcher: Dispatcher::new(settings.dispatch),
             queued: BTreeMap::new(),
-            lapsed: Vec::new(),
+            inferred_ends: Vec::new(),
             service,
             token,
             settings,
@@ -143,15 +143,14 @@
                     .in_session(agent, connection)
                     .is_some_and(|known| known.facts.id == server)
                 {
-                    self.server_gone(&server, InferredEndReason::ServerLeft);
+                    self.server_gone(&server, InferredEndReason::ServerDeregistered);
                 }
             }
         }
     }
 
     /// Notes that a connection to an agent has ended.
-    pub fn disconnected(&mut self, agent: PeerAddress, connection: u64, now: Millis) {
-        let _ = now;
+    pub fn disconnected(&mut self, agent: PeerAddress, connection: u64) {
         self.servers.detach(agent, connection);
     }
 
@@ -271,7 +270,7 @@
         Round {
             operations,
             messages,
-            lapsed: std::mem::take(&mut self.lapsed),
+            inferred_ends: std::mem::take(&mut self.inferred_ends),
         }
     }
 
--- a/crates/scheduler/src/servers.rs
+++ b/crates/scheduler/src/servers.rs
@@ -137,12 +137,14 @@
     }
 
     /// Whether it may be given something new.
-    pub fn is_placeable(&self, now: Millis, silence_ms: u64) -> bool {
+    pub fn is_schedulable(&self, now: Millis, heartbeat_timeout_ms: u64) -> bool {
         let ordered = self
             .session
             .as_ref()
             .is_some_and(|session| session.granted.is_some());
-        ordered && self.draining_since.is_none() && now.since(self.last_contact) <= silence_ms
+        ordered
+            && self.draining_since.is_none()
+            && now.since(self.last_contact) <= heartbeat_timeout_ms
     }
 }
 
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -6,13 +6,9 @@
 #[derive(Clone, Debug)]
 pub struct SchedulerSettings {
     /// How many times as long work takes away from its data, or a gang spread over racks.
-    pub far_factor: f64,
+    pub remote_factor: f64,
     /// The longest that a stop takes.
-    pub stop_ms: u64,
-    /// How long the members of a gang wait for one another.
-    pub gang_ms: u64,
-    /// How far ahead of its time a task may start at most; the scheduler itself never starts one ahead.
-    pub early_ms: u64,
+    pub max_stop_ms: u64,
     /// How long after its notice a draining server may still be given starts; the scheduler gives none at once.
     pub drain_ms: u64,
     /// The hold that is granted with each message to an agent, also by every other owner.
@@ -23,34 +19,32 @@
     pub clock_drift: f64,
     /// Added to bounds on holds, for what is on its way.
     pub lease_margin_ms: u64,
-    /// Work between two checkpoints.
-    pub save_ms: u64,
     /// What it takes to continue from a checkpoint.
     pub restore_ms: u64,
     /// After this time without its being applied an operation is submitted again.
     pub resubmit_ms: u64,
     /// A server that was not heard of for this long is given nothing new.
-    pub silence_ms: u64,
+    pub heartbeat_timeout_ms: u64,
     /// Between heartbeats of a server where something starts, ends or is about to end.
     pub busy_heartbeat_ms: u64,
     /// Between heartbeats while jobs come in.
     pub active_heartbeat_ms: u64,
     /// Jobs come in if the newest one came within this time.
-    pub active_ms: u64,
+    pub recent_job_ms: u64,
     /// Between heartbeats of a server otherwise.
     pub idle_heartbeat_ms: u64,
     /// Runs that end within this time make a server busy.
-    pub soon_ms: u64,
+    pub ending_soon_ms: u64,
     /// How long more urgent work waits before it preempts.
     pub preempt_after_ms: u64,
     /// How long a run may stand still before it counts as stalled, on top of [`Self::restore_ms`].
     pub stall_ms: u64,
     /// Between the first trials of a server that is avoided; later ones are rarer.
-    pub trial_ms: u64,
+    pub probation_interval_ms: u64,
     /// How much may wait for a server, as a part of its capacity.
-    pub queue_share: f64,
+    pub max_queued_share: f64,
     /// Gangs and large tasks for which capacity is kept free at the same time, at most.
-    pub reservations_most: usize,
+    pub max_reservations: usize,
     /// The dispatcher's settings. Its depth bounds the tasks that run on a server.
     pub dispatch: DispatchSettings,
 }
@@ -58,29 +52,26 @@
 impl Default for SchedulerSettings {
     fn default() -> Self {
         SchedulerSettings {
-            far_factor: 1.5,
-            stop_ms: 1_000,
-            gang_ms: 3_000,
-            early_ms: 250,
+            remote_factor: 1.5,
+            max_stop_ms: 1_000,
             drain_ms: 2_000,
             lease_ms: 3_000,
             old_owner_authority_ms: 1_000,
             clock_drift: 0.03,
             lease_margin_ms: 100,
-            save_ms: 2_000,
             restore_ms: 500,
             resubmit_ms: 700,
-            silence_ms: 600,
+            heartbeat_timeout_ms: 600,
             busy_heartbeat_ms: 20,
             active_heartbeat_ms: 40,
-            active_ms: 2_000,
+            recent_job_ms: 2_000,
             idle_heartbeat_ms: 60,
-            soon_ms: 3_000,
+            ending_soon_ms: 3_000,
             preempt_after_ms: 100,
             stall_ms: 2_000,
-            trial_ms: 2_000,
-            queue_share: 0.5,
-            reservations_most: 2,
+            probation_interval_ms: 2_000,
+            max_queued_share: 0.5,
+            max_reservations: 2,
             dispatch: DispatchSettings {
                 depth: 512,
                 ..DispatchSettings::default()
--- a/crates/scheduler/src/singles.rs
+++ b/crates/scheduler/src/singles.rs
@@ -95,7 +95,7 @@
         if row.has_label(&demand.step.affinity) {
             1.0
         } else {
-            self.settings.far_factor
+            self.settings.remote_factor
         }
     }
 
@@ -157,8 +157,8 @@
         };
         let waits = |place: &usize| -> Option<(Millis, usize)> {
             let row = &self.rows[*place];
-            let short =
-                row.queue_share(&needs) <= self.settings.queue_share && row.reservation.is_none();
+            let short = row.queue_share(&needs) <= self.settings.max_queued_share
+                && row.reservation.is_none();
             if !short {
                 return None;
             }
@@ -181,15 +181,17 @@
         }
         let trial = |place: &usize| {
             let row = &self.rows[*place];
-            row.suspect
+            row.suspected
                 && row.running == 0
                 && row.queued.is_empty()
                 && row.has_label(&demand.step.requires)
                 && self.most_on(demand, *place) > 0
                 && fits(&demand.step.needs, &row.free)
-                && self
-                    .evidence
-                    .is_trial_due(&row.server, self.now, self.settings.trial_ms)
+                && self.evidence.is_trial_due(
+                    &row.server,
+                    self.now,
+                    self.settings.probation_interval_ms,
+                )
         };
         (0..self.rows.len()).find(trial)
     }
--- a/crates/scheduler/src/spare.rs
+++ b/crates/scheduler/src/spare.rs
@@ -47,7 +47,7 @@
     /// Claims room on a server with this label; tells whether there was any. Suspected servers have none.
     pub fn claim(&mut self, needs: &Resources, requires: &str) -> bool {
         let found = self.rows.iter_mut().find(|spare| {
-            !spare.row.suspect && spare.row.has_label(requires) && fits(needs, &spare.left)
+            !spare.row.suspected && spare.row.has_label(requires) && fits(needs, &spare.left)
         });
         match found {
             Some(spare) => {
--- a/crates/scheduler/src/stalls.rs
+++ b/crates/scheduler/src/stalls.rs
@@ -67,10 +67,10 @@
     }
 
     fn is_heard(&self, run: &Run, now: Millis) -> bool {
-        let silence_ms = self.settings.silence_ms;
+        let heartbeat_timeout_ms = self.settings.heartbeat_timeout_ms;
         self.servers
             .get(&run.server)
-            .is_some_and(|server| now.since(server.last_contact) <= silence_ms)
+            .is_some_and(|server| now.since(server.last_contact) <= heartbeat_timeout_ms)
     }
 
     /// For how long a run has made no progress. A member of a gang only works while all others are there.
--- a/crates/scheduler/src/summary.rs
+++ b/crates/scheduler/src/summary.rs
@@ -23,11 +23,11 @@
     /// Tasks in its queue.
     pub queued: usize,
     /// Whether it may be given work.
-    pub placeable: bool,
+    pub schedulable: bool,
     /// Whether it drains.
     pub draining: bool,
     /// Whether evidence speaks against it.
-    pub suspect: bool,
+    pub suspected: bool,
 }
 
 /// Tasks of one priority whose turn has come and which wait.
@@ -78,9 +78,9 @@
                 runs,
                 stopping,
                 queued: self.dispatcher.queued(id).count(),
-                placeable: server.is_placeable(now, self.settings.silence_ms),
+                schedulable: server.is_schedulable(now, self.settings.heartbeat_timeout_ms),
                 draining: server.draining_since.is_some(),
-                suspect: suspects.contains(id),
+                suspected: suspects.contains(id),
             }
         };
         self.servers.iter().map(summary).collect()
@@ -113,12 +113,12 @@
                 f,
                 "{}{}{}: cpu {}/{} memory {}/{} gpu {}/{} runs {:?} stopping {} queued {}; ",
                 server.server,
-                if server.placeable {
+                if server.schedulable {
                     ""
                 } else {
-                    " (not placeable)"
+                    " (not schedulable)"
                 },
-                if server.suspect { " (suspect)" } else { "" },
+                if server.suspected { " (suspected)" } else { "" },
                 server.free.cpu,
                 server.capacity.cpu,
                 server.free.memory_mb,
--- a/crates/scheduler/tests/decisions/bench.rs
+++ b/crates/scheduler/tests/decisions/bench.rs
@@ -216,8 +216,7 @@
 
     pub fn disconnect(&mut self, machine: u16) {
         let connection = self.places[&machine].connection;
-        self.scheduler
-            .disconnected(address(machine), connection, Millis(self.now));
+        self.scheduler.disconnected(address(machine), connection);
     }
 
     /// The servers do what they were told, and beat.
--- a/crates/scheduler/tests/decisions/lapses.rs
+++ b/crates/scheduler/tests/decisions/lapses.rs
@@ -19,7 +19,7 @@
 }
 
 /// Moves on without any word from the servers; gives when the end was recorded.
-fn silent_until_lapsed(bench: &mut Bench, at_most_ms: u64) -> Option<u64> {
+fn silent_until_lease_expired(bench: &mut Bench, at_most_ms: u64) -> Option<u64> {
     let begin = bench.now;
     while bench.now < begin + at_most_ms {
         bench.now += 25;
@@ -38,14 +38,17 @@
 #[test]
 fn a_silent_server_keeps_its_runs_until_its_hold_is_over() {
     let mut bench = one_running();
-    let lapsed = silent_until_lapsed(&mut bench, 10_000);
+    let expired_after_ms = silent_until_lease_expired(&mut bench, 10_000);
     let bound_ms = bench.settings.lease_bound_ms();
-    let lapsed = lapsed.expect("its hold ends");
+    let expired_after_ms = expired_after_ms.expect("its hold ends");
     assert!(
-        lapsed + bench.settings.lease_ms / 4 >= bound_ms,
-        "{lapsed} of {bound_ms} ms"
+        expired_after_ms + bench.settings.lease_ms / 4 >= bound_ms,
+        "{expired_after_ms} of {bound_ms} ms"
+    );
+    assert!(
+        expired_after_ms <= bound_ms + 50,
+        "{expired_after_ms} of {bound_ms} ms"
     );
-    assert!(lapsed <= bound_ms + 50, "{lapsed} of {bound_ms} ms");
 }
 
 #[test]
@@ -71,10 +74,16 @@
 fn a_new_owner_waits_for_what_the_old_one_may_have_granted() {
     let mut bench = one_running();
     bench.take_over(2);
-    let lapsed = silent_until_lapsed(&mut bench, 20_000).expect("every hold ends");
+    let expired_after_ms = silent_until_lease_expired(&mut bench, 20_000).expect("every hold ends");
     let bound_ms = bench.settings.takeover_bound_ms();
-    assert!(lapsed > bound_ms, "{lapsed} of {bound_ms} ms");
-    assert!(lapsed <= bound_ms + 50, "{lapsed} of {bound_ms} ms");
+    assert!(
+        expired_after_ms > bound_ms,
+        "{expired_after_ms} of {bound_ms} ms"
+    );
+    assert!(
+        expired_after_ms <= bound_ms + 50,
+        "{expired_after_ms} of {bound_ms} ms"
+    );
 }
 
 #[test]
@@ -99,7 +108,7 @@
 fn orders_that_lapsed_are_replaced_before_the_next_hold() {
     let mut bench = one_running();
     bench.messages.clear();
-    silent_until_lapsed(&mut bench, 10_000).expect("its hold ends");
+    silent_until_lease_expired(&mut bench, 10_000).expect("its hold ends");
     bench.beat(MACHINE);
     bench.round();
     let holds_anew = |message: &&(u16, OwnerMessage)| message.1.lease_from == Millis(bench.now);
@@ -131,10 +140,11 @@
     bench.take_over(2);
     // The server lost power with everything else: it comes back as another life, beside a fresh agent.
     bench.attach(MACHINE, 2, &["a", "r1"]);
-    let lapsed = silent_until_lapsed(&mut bench, 20_000).expect("the old life is over");
+    let expired_after_ms =
+        silent_until_lease_expired(&mut bench, 20_000).expect("the old life is over");
     assert!(
-        lapsed <= 200,
-        "{lapsed} ms, although the bound is {} ms",
+        expired_after_ms <= 200,
+        "{expired_after_ms} ms, although the bound is {} ms",
         bench.settings.takeover_bound_ms()
     );
 }
@@ -144,7 +154,10 @@
     let mut bench = one_running();
     bench.take_over(2);
     bench.attach(2, 1, &["a", "r1"]);
-    let lapsed = silent_until_lapsed(&mut bench, 20_000).expect("every hold ends");
+    let expired_after_ms = silent_until_lease_expired(&mut bench, 20_000).expect("every hold ends");
     let bound_ms = bench.settings.takeover_bound_ms();
-    assert!(lapsed > bound_ms, "{lapsed} of {bound_ms} ms");
+    assert!(
+        expired_after_ms > bound_ms,
+        "{expired_after_ms} of {bound_ms} ms"
+    );
 }
--- a/crates/scheduler/tests/decisions/unlisted.rs
+++ b/crates/scheduler/tests/decisions/unlisted.rs
@@ -44,29 +44,29 @@
 }
 
 /// The end and the rule of the only run that lapsed in this round.
-fn lapsed(round: &Round) -> (RunEnd, InferredEndReason) {
+fn only_inferred_end(round: &Round) -> (RunEnd, InferredEndReason) {
     let ends = Bench::ends(&round.operations);
     let [end] = ends.as_slice() else {
         panic!("one end: {ends:?}")
     };
-    let [lapsed] = round.lapsed.as_slice() else {
-        panic!("one lapse: {:?}", round.lapsed)
+    let [inferred] = round.inferred_ends.as_slice() else {
+        panic!("one inferred end: {:?}", round.inferred_ends)
     };
-    assert_eq!((end.task, end.attempt), (lapsed.task, lapsed.attempt));
+    assert_eq!((end.task, end.attempt), (inferred.task, inferred.attempt));
     assert_eq!(end.task, task(JOB, 0, 0));
-    (end.end, lapsed.rule)
+    (end.end, inferred.reason)
 }
 
-fn rounds_until_lapsed(bench: &mut Bench, at_most_ms: u64) -> Round {
+fn rounds_until_inferred_end(bench: &mut Bench, at_most_ms: u64) -> Round {
     let until = bench.now + at_most_ms;
     while bench.now < until {
         bench.now += 50;
         let round = bench.round();
-        if !round.lapsed.is_empty() {
+        if !round.inferred_ends.is_empty() {
             return round;
         }
     }
-    panic!("nothing lapsed");
+    panic!("no end was inferred");
 }
 
 #[test]
@@ -74,8 +74,8 @@
     let mut bench = running();
     bench.leave(MACHINE);
     assert_eq!(
-        lapsed(&bench.round()),
-        (RunEnd::LeaseExpired, InferredEndReason::ServerLeft)
+        only_inferred_end(&bench.round()),
+        (RunEnd::LeaseExpired, InferredEndReason::ServerDeregistered)
     );
 }
 
@@ -84,7 +84,7 @@
     let mut bench = running();
     bench.attach(MACHINE, 2, &["a", "r1"]);
     assert_eq!(
-        lapsed(&bench.round()),
+        only_inferred_end(&bench.round()),
         (RunEnd::LeaseExpired, InferredEndReason::LaterIncarnation)
     );
 }
@@ -92,9 +92,9 @@
 #[test]
 fn a_hold_that_is_over_ends_a_run() {
     let mut bench = running();
-    let round = rounds_until_lapsed(&mut bench, 10_000);
+    let round = rounds_until_inferred_end(&mut bench, 10_000);
     assert_eq!(
-        lapsed(&round),
+        only_inferred_end(&round),
         (RunEnd::LeaseExpired, InferredEndReason::LeaseExpired)
     );
 }
@@ -104,10 +104,10 @@
     let mut bench = running();
     bench.take_over(2);
     let began = bench.now;
-    let round = rounds_until_lapsed(&mut bench, 20_000);
+    let round = rounds_until_inferred_end(&mut bench, 20_000);
     assert_eq!(
-        lapsed(&round),
-        (RunEnd::LeaseExpired, InferredEndReason::TakeoverBound)
+        only_inferred_end(&round),
+        (RunEnd::LeaseExpired, InferredEndReason::TakeoverBoundPassed)
     );
     assert!(bench.now - began > bench.settings.takeover_bound_ms());
 }
@@ -119,8 +119,11 @@
     bench.round();
     apply_held(&mut bench);
     assert_eq!(
-        lapsed(&bench.round()),
-        (RunEnd::LeaseExpired, InferredEndReason::NeverTold)
+        only_inferred_end(&bench.round()),
+        (
+            RunEnd::LeaseExpired,
+            InferredEndReason::ServerGoneBeforeNotification
+        )
     );
 }
 
@@ -135,8 +138,11 @@
         .iter()
         .all(|order| order.message.assign.is_empty()));
     assert_eq!(
-        lapsed(&round),
-        (RunEnd::Stopped, InferredEndReason::StoppedUntold)
+        only_inferred_end(&round),
+        (
+            RunEnd::Stopped,
+            InferredEndReason::StoppedBeforeNotification
+        )
     );
 }
 
@@ -161,7 +167,7 @@
     assert_eq!(stop.stop, [(task(JOB, 0, 0), 1)]);
     bench.beat(MACHINE);
     assert!(
-        bench.round().lapsed.is_empty(),
+        bench.round().inferred_ends.is_empty(),
         "the server has not seen the stop"
     );
     bench
@@ -171,7 +177,7 @@
         .orders_seen = stop.number;
     bench.beat(MACHINE);
     assert_eq!(
-        lapsed(&bench.round()),
-        (RunEnd::Stopped, InferredEndReason::StopSeen)
+        only_inferred_end(&bench.round()),
+        (RunEnd::Stopped, InferredEndReason::StopAcknowledged)
     );
 }
--- a/crates/scheduler/tests/golden/days.rs
+++ b/crates/scheduler/tests/golden/days.rs
@@ -23,7 +23,7 @@
     rounds: usize,
     operations: usize,
     messages: usize,
-    lapsed: usize,
+    inferred_ends: usize,
     /// The encodings of all rounds, in their order.
     bytes: Vec<u8>,
 }
@@ -33,17 +33,17 @@
         self.rounds += 1;
         self.operations += round.operations.len();
         self.messages += round.messages.len();
-        self.lapsed += round.lapsed.len();
+        self.inferred_ends += round.inferred_ends.len();
         let messages: Vec<_> = round
             .messages
             .iter()
             .map(|order| (order.agent, order.connection, &order.message))
             .collect();
-        let lapsed = round.lapsed.iter();
-        let lapsed: Vec<_> = lapsed
-            .map(|run| (run.task, run.attempt, &run.server, rule_word(run.rule)))
+        let inferred_ends = round.inferred_ends.iter();
+        let inferred_ends: Vec<_> = inferred_ends
+            .map(|run| (run.task, run.attempt, &run.server, rule_word(run.reason)))
             .collect();
-        let round = (at, owner as u64, &round.operations, messages, lapsed);
+        let round = (at, owner as u64, &round.operations, messages, inferred_ends);
         self.bytes
             .extend(borsh::to_vec(&round).expect("all of it has an encoding"));
     }
@@ -54,12 +54,12 @@
             rounds,
             operations,
             messages,
-            lapsed,
+            inferred_ends,
             ..
         } = self;
         let digest = blake3::hash(&self.bytes).to_hex();
         let digest = &digest[..DIGITS];
-        format!("second {number}: rounds {rounds} operations {operations} messages {messages} lapsed {lapsed} digest {digest}\n")
+        format!("second {number}: rounds {rounds} operations {operations} messages {messages} lapsed {inferred_ends} digest {digest}\n")
     }
 }
 
--- a/crates/scheduler/tests/golden/log_lines.rs
+++ b/crates/scheduler/tests/golden/log_lines.rs
@@ -7,16 +7,16 @@
 use std::collections::BTreeMap;
 
 const RULES: [InferredEndReason; 7] = [
-    InferredEndReason::ServerLeft,
+    InferredEndReason::ServerDeregistered,
     InferredEndReason::LaterIncarnation,
     InferredEndReason::LeaseExpired,
-    InferredEndReason::TakeoverBound,
-    InferredEndReason::NeverTold,
-    InferredEndReason::StoppedUntold,
-    InferredEndReason::StopSeen,
+    InferredEndReason::TakeoverBoundPassed,
+    InferredEndReason::ServerGoneBeforeNotification,
+    InferredEndReason::StoppedBeforeNotification,
+    InferredEndReason::StopAcknowledged,
 ];
 
-fn server(name: &str, placeable: bool, suspect: bool) -> ServerSummary {
+fn server(name: &str, schedulable: bool, suspected: bool) -> ServerSummary {
     ServerSummary {
         server: name.to_owned(),
         capacity: Resources {
@@ -32,16 +32,16 @@
         runs: BTreeMap::from([(0, 4), (2, 5)]),
         stopping: 6,
         queued: 7,
-        placeable,
-        draining: !placeable,
-        suspect,
+        schedulable,
+        draining: !schedulable,
+        suspected,
     }
 }
 
 #[test]
 fn log_lines_are_those_kept() {
     let rules = RULES
-        .map(|rule| format!("{}: {rule}\n", rule_word(rule)))
+        .map(|reason| format!("{}: {reason}\n", rule_word(reason)))
         .concat();
     let servers = vec![server("s1", true, false), server("s2", false, true)];
     let waiting = |tasks, longest_ms| WaitingSummary { tasks, longest_ms };
--- a/crates/scheduler/tests/golden/scenarios/singles.rs
+++ b/crates/scheduler/tests/golden/scenarios/singles.rs
@@ -206,9 +206,9 @@
 fn other_settings() -> String {
     let mut scenario = Scenario::new(&[&["a", "r1"], &["a", "r2"]]);
     let settings = &mut scenario.bench.settings;
-    settings.far_factor = 4.0;
-    settings.queue_share = 0.1;
-    settings.reservations_most = 0;
+    settings.remote_factor = 4.0;
+    settings.max_queued_share = 0.1;
+    settings.max_reservations = 0;
     settings.dispatch.depth = 5;
     settings.dispatch.max_bypasses = 1;
     settings.dispatch.minimum_weight_ratio = 0.9;
--- a/crates/scheduler/tests/golden/text.rs
+++ b/crates/scheduler/tests/golden/text.rs
@@ -13,9 +13,9 @@
 pub fn round_text(at: u64, round: &Round) -> String {
     let mut text = String::new();
     round
-        .lapsed
+        .inferred_ends
         .iter()
-        .for_each(|lapsed| text.push_str(&lapsed_text(lapsed)));
+        .for_each(|inferred_ends| text.push_str(&lapsed_text(inferred_ends)));
     round
         .operations
         .iter()
@@ -30,30 +30,30 @@
     format!("at {at}\n{text}")
 }
 
-fn lapsed_text(lapsed: &InferredEnd) -> String {
+fn lapsed_text(inferred_ends: &InferredEnd) -> String {
     let InferredEnd {
         task,
         attempt,
         server,
-        rule,
-    } = lapsed;
+        reason,
+    } = inferred_ends;
     format!(
         "  lapsed {task} attempt {attempt} on {}: {}\n",
         server.0,
-        rule_word(*rule)
+        rule_word(*reason)
     )
 }
 
 /// A word for a rule, whatever its log line says.
-pub fn rule_word(rule: InferredEndReason) -> &'static str {
-    match rule {
-        InferredEndReason::ServerLeft => "server-left",
+pub fn rule_word(reason: InferredEndReason) -> &'static str {
+    match reason {
+        InferredEndReason::ServerDeregistered => "server-left",
         InferredEndReason::LaterIncarnation => "later-life",
         InferredEndReason::LeaseExpired => "hold-over",
-        InferredEndReason::TakeoverBound => "takeover-bound",
-        InferredEndReason::NeverTold => "never-told",
-        InferredEndReason::StoppedUntold => "stopped-untold",
-        InferredEndReason::StopSeen => "stop-seen",
+        InferredEndReason::TakeoverBoundPassed => "takeover-bound",
+        InferredEndReason::ServerGoneBeforeNotification => "never-told",
+        InferredEndReason::StoppedBeforeNotification => "stopped-untold",
+        InferredEndReason::StopAcknowledged => "stop-seen",
     }
 }
 
@@ -204,9 +204,9 @@
         runs.join(" "),
         summary.stopping,
         summary.queued,
-        summary.placeable,
+        summary.schedulable,
         summary.draining,
-        summary.suspect
+        summary.suspected
     )
 }
 
--- a/crates/scheduler/tests/simulation/world.rs
+++ b/crates/scheduler/tests/simulation/world.rs
@@ -416,10 +416,7 @@
                 agent,
                 connection,
             } => {
-                let now = Millis(self.now);
-                self.owners[owner]
-                    .scheduler
-                    .disconnected(agent, connection, now);
+                self.owners[owner].scheduler.disconnected(agent, connection);
             }
             Event::Apply(operation) => self.apply(&operation),
             Event::Submit(job) => self.submit(job),
