--- a/crates/cluster-local/src/process.rs
+++ b/crates/cluster-local/src/child_process.rs
@@ -1,7 +1,7 @@
 //! One child process.
 
 use crate::error::LocalError;
-use crate::layout::Member;
+use crate::member::Member;
 use crate::ports::Ports;
 use std::fs::{self, File, OpenOptions};
 use std::io;
--- a/crates/cluster-local/src/order.rs
+++ b/crates/cluster-local/src/dependency_order.rs
@@ -1,6 +1,6 @@
 //! Whether tasks started ahead of the step that they depend on.
 
-use crate::jobs::{Kind, PlayedJob};
+use crate::job_kind::{Kind, PlayedJob};
 use lupinrack_cluster_api::identity::{JobId, TaskId};
 use mock_servers::worker::floor::Event;
 use mock_servers::worker::messages::End;
--- a/crates/cluster-local/src/jobs.rs
+++ b/crates/cluster-local/src/job_kind.rs
@@ -1,6 +1,6 @@
 //! The kinds of jobs that are handed in, and how one of them is followed to its end.
 
-use crate::calls::{exchange, Answer, Call};
+use crate::http_call::{exchange, Answer, Call};
 use crate::operator::{HOST, PREFIX};
 use http::Method;
 use lupinrack_cluster_api::identity::JobId;
--- a/crates/cluster-local/src/lib.rs
+++ b/crates/cluster-local/src/lib.rs
@@ -6,20 +6,20 @@
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
 
-mod calls;
-mod cluster;
+mod child_process;
+pub mod dependency_order;
 mod error;
-mod faults;
-pub mod jobs;
-pub mod layout;
+mod http_call;
+pub mod job_kind;
+mod local_cluster;
+pub mod member;
 mod operator;
-pub mod order;
 pub mod ports;
-mod process;
+mod process_kills;
 pub mod report;
-mod scenario;
+mod run;
 
 pub use error::LocalError;
-pub use faults::Part;
+pub use process_kills::Part;
 pub use report::{Killed, LocalReport, WrongJob};
-pub use scenario::{play, LocalSettings};
+pub use run::{play, LocalSettings};
--- a/crates/cluster-local/src/cluster.rs
+++ b/crates/cluster-local/src/local_cluster.rs
@@ -1,10 +1,10 @@
 //! All child processes of a cluster, and its workers.
 
+use crate::child_process::Process;
 use crate::error::LocalError;
-use crate::layout::{Class, Member, GANG_MS, HEARTBEAT_MS, LEASE_MOST_MS, STOP_MS, ZONE};
+use crate::member::{Class, Member, GANG_MS, HEARTBEAT_MS, LEASE_MOST_MS, STOP_MS, ZONE};
 use crate::operator::SERVICE;
 use crate::ports::Ports;
-use crate::process::Process;
 use mock_servers::worker::beats::{self, BeatSettings};
 use mock_servers::worker::floor::Floor;
 use mock_servers::worker::machine::{Worker, WorkerSettings};
--- a/crates/cluster-local/src/operator.rs
+++ b/crates/cluster-local/src/operator.rs
@@ -1,8 +1,8 @@
 //! What the operator of a local cluster does.
 
-use crate::calls::{exchange, Answer, Call};
 use crate::error::LocalError;
-use crate::layout::{Class, Member};
+use crate::http_call::{exchange, Answer, Call};
+use crate::member::{Class, Member};
 use crate::ports::Ports;
 use http::Method;
 use std::net::SocketAddrV4;
--- a/crates/cluster-local/src/ports.rs
+++ b/crates/cluster-local/src/ports.rs
@@ -1,7 +1,7 @@
 //! Free ports, the same at every address of the cluster.
 
 use crate::error::LocalError;
-use crate::layout::Member;
+use crate::member::Member;
 use std::net::{SocketAddrV4, TcpListener};
 
 /// Where ports are drawn from: below the range from which kernels commonly give out ports for connections.
--- a/crates/cluster-local/src/faults.rs
+++ b/crates/cluster-local/src/process_kills.rs
@@ -1,8 +1,8 @@
 //! Processes that are killed on the way and started again.
 
-use crate::cluster::Cluster;
 use crate::error::LocalError;
-use crate::layout::{Class, Member};
+use crate::local_cluster::Cluster;
+use crate::member::{Class, Member};
 use crate::operator::find_head;
 use crate::report::{Journal, Killed};
 use std::time::Duration;
--- a/crates/cluster-local/src/report.rs
+++ b/crates/cluster-local/src/report.rs
@@ -1,6 +1,6 @@
 //! What happened, for people and for programs.
 
-use crate::jobs::PlayedJob;
+use crate::job_kind::PlayedJob;
 use mock_servers::worker::floor::Floor;
 use mock_servers::worker::messages::End;
 use serde::Serialize;
@@ -83,7 +83,7 @@
             .collect();
         let (run_twice, out_of_order, left_running) = (
             floor.run_twice(),
-            crate::order::out_of_order(played, &floor.events()),
+            crate::dependency_order::out_of_order(played, &floor.events()),
             floor.alive(),
         );
         LocalReport {
--- a/crates/cluster-local/src/scenario.rs
+++ b/crates/cluster-local/src/run.rs
@@ -1,11 +1,11 @@
 //! The course of a play: start, configuration, jobs and faults, the end.
 
-use crate::cluster::Cluster;
 use crate::error::LocalError;
-use crate::faults::{kill_in_turn, Part};
-use crate::jobs::{Client, Kind, PlayedJob};
-use crate::layout::{Class, Member};
+use crate::job_kind::{Client, Kind, PlayedJob};
+use crate::local_cluster::Cluster;
+use crate::member::{Class, Member};
 use crate::operator::{all_fronts_ready, all_tell_their_status, configure};
+use crate::process_kills::{kill_in_turn, Part};
 use crate::report::{Journal, LocalReport};
 use lupinrack_cluster_api::identity::JobId;
 use std::net::SocketAddrV4;
--- a/crates/cluster-local/tests/golden.rs
+++ b/crates/cluster-local/tests/golden.rs
@@ -5,8 +5,8 @@
 use lupinrack_cluster_api::identity::JobId;
 use lupinrack_cluster_api::job::JobState;
 use lupinrack_cluster_json::job_body;
-use lupinrack_cluster_local::jobs::{Kind, PlayedJob};
-use lupinrack_cluster_local::layout::{Class, Member};
+use lupinrack_cluster_local::job_kind::{Kind, PlayedJob};
+use lupinrack_cluster_local::member::{Class, Member};
 use lupinrack_cluster_local::ports::Ports;
 use lupinrack_cluster_local::report::LocalReport;
 use lupinrack_cluster_local::{play, Killed, LocalError, LocalSettings, Part, WrongJob};
--- a/crates/cluster-local/tests/report.rs
+++ b/crates/cluster-local/tests/report.rs
@@ -2,8 +2,8 @@
 
 use lupinrack_cluster_api::identity::JobId;
 use lupinrack_cluster_api::job::JobState;
-use lupinrack_cluster_local::jobs::{Kind, PlayedJob};
-use lupinrack_cluster_local::order::out_of_order;
+use lupinrack_cluster_local::dependency_order::out_of_order;
+use lupinrack_cluster_local::job_kind::{Kind, PlayedJob};
 use lupinrack_cluster_local::report::LocalReport;
 use mock_servers::worker::floor::{Event, Floor, RunName};
 use mock_servers::worker::messages::End;
--- a/crates/cluster-local/tests/layout.rs
+++ b/crates/cluster-local/tests/settings_files.rs
@@ -1,6 +1,6 @@
 //! The generated settings files.
 
-use lupinrack_cluster_local::layout::{Class, Member, AGENTS, CORES, FRONTS};
+use lupinrack_cluster_local::member::{Class, Member, AGENTS, CORES, FRONTS};
 use lupinrack_cluster_local::ports::Ports;
 use lupinrack_node_settings::{NodeSettings, Serves};
 use std::collections::BTreeSet;
