--- a/crates/cluster-local/tests/settings_files.rs
+++ b/crates/cluster-local/tests/settings_files.rs
@@ -1,7 +1,7 @@
 //! The generated settings files.
 
 use lupinrack_cluster_local::{settings_text, Member, Ports, Role, StartKind};
-use lupinrack_node_settings::{NodeSettings, Serves};
+use lupinrack_node_settings::{NodeSettings, ServedInterface};
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
@@ -36,9 +36,9 @@
     for member in Member::all() {
         let settings = settings(member, StartKind::Bootstrap);
         let serves = match member.role {
-            Role::Core => Serves::ControlPlane,
-            Role::Front => Serves::Frontend,
-            Role::Agent => Serves::Side,
+            Role::Core => ServedInterface::ControlPlane,
+            Role::Front => ServedInterface::Frontend,
+            Role::Agent => ServedInterface::Agent,
         };
         assert_eq!(
             (settings.node.clone(), settings.serves.clone()),
