--- a/crates/control-store/tests/golden.rs
+++ b/crates/control-store/tests/golden.rs
@@ -18,7 +18,7 @@
 use lupinrack_cluster_api::server::RunEnd;
 use lupinrack_cluster_api::time::WallMillis;
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::Ballot;
+use lupinrack_cluster_api::wire::ProposalNumber;
 use lupinrack_control_store::{Batch, ControlStore, Recovered, StoreSettings, DATA_FILE, NEW_FILE};
 use lupinrack_golden_files::{is_update, to_hex, GoldenFile};
 use lupinrack_view_agreement::VoteState;
@@ -70,12 +70,12 @@
 
 fn vote() -> VoteState {
     VoteState {
-        promised: Ballot {
-            round: 10,
+        prepared: ProposalNumber {
+            term: 10,
             incarnation: 11,
         },
-        accepted_ballot: Ballot {
-            round: 12,
+        accepted_proposal: ProposalNumber {
+            term: 12,
             incarnation: 13,
         },
         accepted: view(14),
