--- a/crates/cluster-node/tests/support/golden_file.rs
+++ b/crates/cluster-node/tests/support/golden_file.rs
@@ -29,9 +29,9 @@
         .enumerate()
         .find(|(_, (kept, written))| kept != written);
     match difference {
-        Some((index, (kept, written))) => {
+        Some((index, (kept, line))) => {
             panic!(
-                "{name}, line {}:\nkept    {kept}\nwritten {written}",
+                "{name}, line {}:\nkept    {kept}\nwritten {line}\n\nall that was written:\n{written}",
                 index + 1
             )
         }
--- a/crates/cluster-node/tests/support/scripted_core.rs
+++ b/crates/cluster-node/tests/support/scripted_core.rs
@@ -14,10 +14,14 @@
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
 use std::thread;
+use std::time::Duration;
 
 /// The disk of the scripted core process.
 const DISK: DiskId = DiskId(0x0101_0101_0101_0101);
 
+/// Between two messages of the owner that change nothing.
+const RENEWAL: Duration = Duration::from_millis(100);
+
 /// What is answered to the next calls, and which calls came.
 #[derive(Debug, Default)]
 pub struct Script {
@@ -116,20 +120,33 @@
         voters: vec![voter],
         chain: vec![DISK],
     };
-    while let Some(event) = events.recv().await {
-        let PeerEvent::Frame {
-            connection, frame, ..
-        } = event
-        else {
-            continue;
-        };
-        for answer in answers(frame, &knowledge, &view, &script) {
-            peers.send_on(connection, answer);
+    let mut owner = knowledge.orders.clone().map(Owner::new);
+    let mut renewal = tokio::time::interval(RENEWAL);
+    loop {
+        tokio::select! {
+            Some(event) = events.recv() => {
+                let PeerEvent::Frame { connection, frame, .. } = event else { continue };
+                for answer in answers(connection, frame, &knowledge, &view, &script, owner.as_mut()) {
+                    peers.send_on(connection, answer);
+                }
+            }
+            _ = renewal.tick() => {
+                if let Some((connection, message)) = owner.as_mut().and_then(Owner::renew) {
+                    peers.send_on(connection, Frame::Owner(message));
+                }
+            }
         }
     }
 }
 
-fn answers(frame: Frame, knowledge: &Knowledge, view: &View, script: &Script) -> Vec<Frame> {
+fn answers(
+    connection: u64,
+    frame: Frame,
+    knowledge: &Knowledge,
+    view: &View,
+    script: &Script,
+    owner: Option<&mut Owner>,
+) -> Vec<Frame> {
     match frame {
         Frame::Subscribe {
             interest,
@@ -146,13 +163,10 @@
             .map(|reply| Frame::Reply { id, reply })
             .into_iter()
             .collect(),
-        Frame::Agent(AgentMessage::Attach { facts, sent_at, .. }) => {
-            let orders = knowledge.orders.clone();
-            orders
-                .map(|orders| Frame::Owner(first_message(orders, facts.id, sent_at)))
-                .into_iter()
-                .collect()
-        }
+        Frame::Agent(AgentMessage::Attach { facts, sent_at, .. }) => owner
+            .map(|owner| Frame::Owner(owner.attach(connection, facts.id, sent_at)))
+            .into_iter()
+            .collect(),
         _ => Vec::new(),
     }
 }
@@ -168,25 +182,67 @@
     }
 }
 
-fn first_message(orders: Orders, server: ServerId, attached_at: Millis) -> OwnerMessage {
-    let Orders {
-        token,
-        assign,
-        stop,
-        observed,
-        lease_ms,
-        heartbeat_after_ms,
-    } = orders;
-    OwnerMessage {
-        token,
-        server,
-        number: 1,
-        complete: true,
-        assign,
-        stop,
-        observed,
-        lease_from: attached_at,
-        lease_ms,
-        heartbeat_after_ms,
+/// The owner's side of the newest session with an agent.
+struct Owner {
+    orders: Orders,
+    session: Option<OwnerSession>,
+}
+
+struct OwnerSession {
+    connection: u64,
+    server: ServerId,
+    attached_at: Millis,
+    last_number: u64,
+}
+
+impl Owner {
+    fn new(orders: Orders) -> Owner {
+        Owner {
+            orders,
+            session: None,
+        }
+    }
+
+    /// Begins a session; the first message of the owner.
+    fn attach(&mut self, connection: u64, server: ServerId, attached_at: Millis) -> OwnerMessage {
+        let session = OwnerSession {
+            connection,
+            server,
+            attached_at,
+            last_number: 1,
+        };
+        let Orders { assign, stop, .. } = self.orders.clone();
+        let message = OwnerMessage {
+            complete: true,
+            assign,
+            stop,
+            ..session.message(&self.orders)
+        };
+        self.session = Some(session);
+        message
+    }
+
+    /// A further message, which changes nothing, and its connection: an agent takes an owner that says nothing for gone.
+    fn renew(&mut self) -> Option<(u64, OwnerMessage)> {
+        let session = self.session.as_mut()?;
+        session.last_number += 1;
+        Some((session.connection, session.message(&self.orders)))
+    }
+}
+
+impl OwnerSession {
+    fn message(&self, orders: &Orders) -> OwnerMessage {
+        OwnerMessage {
+            token: orders.token,
+            server: self.server.clone(),
+            number: self.last_number,
+            complete: false,
+            assign: Vec::new(),
+            stop: Vec::new(),
+            observed: orders.observed,
+            lease_from: self.attached_at,
+            lease_ms: orders.lease_ms,
+            heartbeat_after_ms: orders.heartbeat_after_ms,
+        }
     }
 }
