--- a/crates/cluster-node/src/lib.rs
+++ b/crates/cluster-node/src/lib.rs
@@ -20,7 +20,7 @@
 pub mod subscription;
 
 use clock::Clock;
-use lupinrack_node_settings::{NodeSettings, Serves};
+use lupinrack_node_settings::{NodeSettings, ServedInterface};
 use std::process::ExitCode;
 
 /// Why a process ends.
@@ -87,9 +87,9 @@
 }
 
 async fn serve(settings: NodeSettings, clock: Clock) -> Result<(), NodeError> {
-    if settings.serves(Serves::ControlPlane) {
+    if settings.serves(ServedInterface::ControlPlane) {
         core::run(settings, clock).await
-    } else if settings.serves(Serves::Side) {
+    } else if settings.serves(ServedInterface::Agent) {
         agent::process::run(settings, clock).await
     } else {
         front::process::run(settings, clock).await
--- a/crates/cluster-transport/src/http_server/connection.rs
+++ b/crates/cluster-transport/src/http_server/connection.rs
@@ -1,11 +1,11 @@
 //! One connection of a client.
 
 use super::activity::{Activity, ObservedStream};
-use super::answer::HttpAnswer;
-use super::call::HttpCall;
 use super::limits::HttpLimits;
-use super::server::OpenConnection;
+use super::request::HttpRequest;
+use super::response::HttpResponse;
 use super::service::JsonService;
+use super::state::OpenConnection;
 use super::watchdog::{Verdict, Watchdog};
 use hyper::server::conn::http1;
 use hyper_util::rt::TokioIo;
@@ -47,8 +47,8 @@
 /// Serves one connection until it ends.
 pub(super) async fn serve<F, A>(stream: TcpStream, open: OpenConnection, handler: Arc<F>)
 where
-    F: Fn(HttpCall) -> A + Send + Sync + 'static,
-    A: Future<Output = HttpAnswer> + Send + 'static,
+    F: Fn(HttpRequest) -> A + Send + Sync + 'static,
+    A: Future<Output = HttpResponse> + Send + 'static,
 {
     let server = open.server().clone();
     if stream.set_nodelay(true).is_err() {
