--- a/crates/worker-agent/tests/agent.rs
+++ b/crates/worker-agent/tests/agent.rs
@@ -1,4 +1,4 @@
-//! Orders, holds and sessions of the agent, one situation each.
+//! Orders, leases and sessions of the agent, one situation each.
 
 mod support;
 
@@ -12,14 +12,14 @@
 use lupinrack_worker_agent::MIN_LEASE_MS;
 use lupinrack_worker_agent::{Agent, HeartbeatResponse, OwnerMessageError, StopOrder};
 use support::{
-    assignment, attached, beat, finished, first_message, message, ordered, running, settings,
-    started, task, AnswerAtOnce, CONNECTION,
+    assignment, attached, finished, first_message, heartbeat_of, message, ordered, running,
+    settings, started, task, AnswerAtOnce, CONNECTION,
 };
 
 #[test]
 fn answers_at_once_without_an_owner() {
     let mut agent = Agent::new(settings());
-    let answer = agent.heartbeat(beat("a", 1), Millis(10));
+    let answer = agent.heartbeat(heartbeat_of("a", 1), Millis(10));
     let expected = HeartbeatResponse {
         heartbeat_after_ms: settings().idle_heartbeat_ms,
         ..HeartbeatResponse::default()
@@ -33,14 +33,14 @@
 fn repeats_a_start_until_it_is_listed() {
     let mut agent = ordered();
     for sequence in 2..5 {
-        let answer = agent.heartbeat(beat("a", sequence), Millis(100 * sequence));
+        let answer = agent.heartbeat(heartbeat_of("a", sequence), Millis(100 * sequence));
         assert_eq!(started(&answer), [(1, 1)]);
         assert_eq!(
             (answer.token, answer.heartbeat_after_ms),
             (FencingToken(5), settings().busy_heartbeat_ms)
         );
     }
-    let mut listed = beat("a", 5);
+    let mut listed = heartbeat_of("a", 5);
     listed.heartbeat.running = vec![running(1, 1)];
     let answer = agent.heartbeat(listed, Millis(500));
     assert!(answer.starts.is_empty() && answer.stops.is_empty());
@@ -50,7 +50,7 @@
 #[test]
 fn an_ended_run_is_not_started_again_after_it_was_observed() {
     let mut agent = ordered();
-    let mut ended = beat("a", 2);
+    let mut ended = heartbeat_of("a", 2);
     ended.heartbeat.finished = vec![finished(1, 1, 1, RunEnd::Done)];
     assert!(agent.heartbeat(ended, Millis(100)).starts.is_empty());
     let observing = OwnerMessage {
@@ -59,22 +59,22 @@
         ..message(2, "a", 5)
     };
     assert_eq!(agent.receive_owner_message(CONNECTION, observing), Ok(()));
-    let answer = agent.heartbeat(beat("a", 3), Millis(120));
+    let answer = agent.heartbeat(heartbeat_of("a", 3), Millis(120));
     assert_eq!((started(&answer), answer.observed), (vec![], 1));
 }
 
 #[test]
-fn no_hold_and_no_start_beyond_the_grant() {
+fn no_lease_and_no_start_beyond_the_grant() {
     let mut agent = ordered();
     let end = 3011;
-    let answer = agent.heartbeat(beat("a", 2), Millis(end - MIN_LEASE_MS));
+    let answer = agent.heartbeat(heartbeat_of("a", 2), Millis(end - MIN_LEASE_MS));
     assert_eq!((answer.lease_ms, answer.starts.len()), (MIN_LEASE_MS, 1));
-    let answer = agent.heartbeat(beat("a", 3), Millis(end - MIN_LEASE_MS + 1));
+    let answer = agent.heartbeat(heartbeat_of("a", 3), Millis(end - MIN_LEASE_MS + 1));
     assert_eq!((answer.lease_ms, answer.starts.len()), (0, 0));
 }
 
 #[test]
-fn a_hold_is_cut_to_the_longest_that_servers_take() {
+fn a_lease_is_cut_to_the_longest_that_servers_accept() {
     let mut agent = attached();
     let long = OwnerMessage {
         lease_ms: 60_000,
@@ -82,20 +82,23 @@
     };
     assert_eq!(agent.receive_owner_message(CONNECTION, long), Ok(()));
     assert_eq!(
-        agent.heartbeat(beat("a", 2), Millis(30)).lease_ms,
+        agent.heartbeat(heartbeat_of("a", 2), Millis(30)).lease_ms,
         settings().lease_max_ms
     );
 }
 
 #[test]
-fn a_hold_from_a_moment_to_come_counts_from_the_last_message() {
+fn a_lease_from_a_moment_to_come_counts_from_the_last_message() {
     let mut agent = attached();
     let ahead = OwnerMessage {
         lease_from: Millis(9_000),
         ..first_message()
     };
     assert_eq!(agent.receive_owner_message(CONNECTION, ahead), Ok(()));
-    assert_eq!(agent.heartbeat(beat("a", 2), Millis(1011)).lease_ms, 2_000);
+    assert_eq!(
+        agent.heartbeat(heartbeat_of("a", 2), Millis(1011)).lease_ms,
+        2_000
+    );
 }
 
 #[test]
@@ -108,7 +111,7 @@
     };
     assert_eq!(agent.receive_owner_message(CONNECTION, stop), Ok(()));
     for sequence in 2..4 {
-        let mut listed = beat("a", sequence);
+        let mut listed = heartbeat_of("a", sequence);
         listed.heartbeat.running = vec![running(1, 1), running(2, 1)];
         let answer = agent.heartbeat(listed, Millis(50 * sequence));
         assert_eq!(
@@ -125,7 +128,7 @@
     };
     assert_eq!(agent.receive_owner_message(CONNECTION, again), Ok(()));
     assert_eq!(
-        started(&agent.heartbeat(beat("a", 4), Millis(220))),
+        started(&agent.heartbeat(heartbeat_of("a", 4), Millis(220))),
         [(2, 1)]
     );
 }
@@ -138,7 +141,7 @@
         ..first_message()
     };
     assert_eq!(agent.receive_owner_message(CONNECTION, newer), Ok(()));
-    let mut listed = beat("a", 2);
+    let mut listed = heartbeat_of("a", 2);
     listed.heartbeat.running = vec![running(1, 1)];
     let answer = agent.heartbeat(listed, Millis(30));
     assert_eq!(
@@ -150,7 +153,7 @@
     );
     assert!(answer.starts.is_empty());
     assert_eq!(
-        started(&agent.heartbeat(beat("a", 3), Millis(40))),
+        started(&agent.heartbeat(heartbeat_of("a", 3), Millis(40))),
         [(1, 2)]
     );
 }
@@ -158,7 +161,7 @@
 #[test]
 fn runs_with_names_of_others_are_stopped() {
     let mut agent = attached();
-    let mut listed = beat("a", 2);
+    let mut listed = heartbeat_of("a", 2);
     listed.unknown_runs = vec![UnknownRun {
         task: "other".into(),
         attempt: 4,
@@ -176,15 +179,15 @@
 #[test]
 fn a_draining_server_starts_nothing() {
     let mut agent = ordered();
-    let mut draining = beat("a", 2);
+    let mut draining = heartbeat_of("a", 2);
     draining.heartbeat.draining = true;
     assert!(agent.heartbeat(draining, Millis(30)).starts.is_empty());
-    let answer = agent.heartbeat(beat("a", 3), Millis(40));
+    let answer = agent.heartbeat(heartbeat_of("a", 3), Millis(40));
     assert!(answer.starts.is_empty() && answer.lease_ms > 0);
 }
 
 #[test]
-fn starts_that_are_too_large_for_one_answer_come_in_several() {
+fn starts_that_are_too_large_for_one_response_come_in_several() {
     let mut agent = attached();
     let mut first = first_message();
     first.assign = (0..3).map(|index| assignment(index, 1)).collect();
@@ -193,10 +196,10 @@
     }
     assert_eq!(agent.receive_owner_message(CONNECTION, first), Ok(()));
     assert_eq!(
-        started(&agent.heartbeat(beat("a", 2), Millis(30))),
+        started(&agent.heartbeat(heartbeat_of("a", 2), Millis(30))),
         [(0, 1), (1, 1)]
     );
-    let mut listed = beat("a", 3);
+    let mut listed = heartbeat_of("a", 3);
     listed.heartbeat.running = vec![running(0, 1), running(1, 1)];
     assert_eq!(started(&agent.heartbeat(listed, Millis(40))), [(2, 1)]);
 }
@@ -218,7 +221,7 @@
         Err(OwnerMessageError::LowerToken)
     );
     assert_eq!(
-        started(&agent.heartbeat(beat("a", 2), Millis(60))),
+        started(&agent.heartbeat(heartbeat_of("a", 2), Millis(60))),
         [(1, 1)]
     );
 }
@@ -236,7 +239,7 @@
         ..message(1, "a", 6)
     };
     assert_eq!(agent.receive_owner_message(2, whole), Ok(()));
-    let answer = agent.heartbeat(beat("a", 2), Millis(60));
+    let answer = agent.heartbeat(heartbeat_of("a", 2), Millis(60));
     assert_eq!(
         (started(&answer), answer.token),
         (vec![(9, 1)], FencingToken(6))
@@ -248,7 +251,7 @@
 fn orders_stay_when_the_owner_is_lost() {
     let mut agent = ordered();
     agent.owner_disconnected(CONNECTION);
-    let answer = agent.heartbeat(beat("a", 2), Millis(60));
+    let answer = agent.heartbeat(heartbeat_of("a", 2), Millis(60));
     assert_eq!(
         (started(&answer), answer.lease_ms),
         (vec![(1, 1)], 3011 - 60)
@@ -296,7 +299,7 @@
 #[test]
 fn an_answer_to_an_earlier_attach_is_dropped() {
     let mut agent = attached();
-    agent.heartbeat(beat("a", 2), Millis(ATTACH_RETRY_MS));
+    agent.heartbeat(heartbeat_of("a", 2), Millis(ATTACH_RETRY_MS));
     let again = Millis(11 + ATTACH_RETRY_MS);
     assert!(matches!(
         agent.poll(again).as_slice(),
@@ -312,9 +315,9 @@
 }
 
 #[test]
-fn pending_ends_make_the_server_beat_soon() {
+fn unobserved_ends_ask_for_the_next_heartbeat_soon() {
     let mut agent = ordered();
-    let mut ended = beat("a", 2);
+    let mut ended = heartbeat_of("a", 2);
     ended.heartbeat.finished = vec![finished(1, 1, 1, RunEnd::Failed)];
     assert_eq!(
         agent.heartbeat(ended, Millis(100)).heartbeat_after_ms,
@@ -328,14 +331,14 @@
     assert_eq!(agent.receive_owner_message(CONNECTION, observing), Ok(()));
     assert_eq!(
         agent
-            .heartbeat(beat("a", 3), Millis(120))
+            .heartbeat(heartbeat_of("a", 3), Millis(120))
             .heartbeat_after_ms,
         300
     );
 }
 
 #[test]
-fn a_session_begins_with_a_whole_message() {
+fn a_session_begins_with_a_complete_message() {
     let mut agent = attached();
     let changes = OwnerMessage {
         complete: false,
@@ -345,21 +348,24 @@
         agent.receive_owner_message(CONNECTION, changes),
         Err(OwnerMessageError::EarlierSession)
     );
-    assert!(agent.heartbeat(beat("a", 2), Millis(30)).starts.is_empty());
+    assert!(agent
+        .heartbeat(heartbeat_of("a", 2), Millis(30))
+        .starts
+        .is_empty());
 }
 
 #[test]
 fn a_message_that_answers_an_earlier_session_is_refused_though_its_number_follows() {
     let mut agent = ordered();
     agent.owner_connected(2);
-    agent.heartbeat(beat("a", 2), Millis(100));
+    agent.heartbeat(heartbeat_of("a", 2), Millis(100));
     agent.poll(Millis(101));
     let whole = OwnerMessage {
         lease_from: Millis(101),
         ..first_message()
     };
     assert_eq!(agent.receive_owner_message(2, whole), Ok(()));
-    // It was sent on the first connection, and the driver cannot tell.
+    // It was sent on the first connection, which the driver cannot see.
     let late = OwnerMessage {
         stop: vec![(task(1), 1)],
         ..message(2, "a", 5)
--- a/crates/worker-agent/tests/golden.rs
+++ b/crates/worker-agent/tests/golden.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// What is read of a body that holds no more than is required.
+/// What is read of a body of the required fields alone.
 fn least_heartbeat() -> ServerHeartbeat {
     ServerHeartbeat {
         facts: ServerFacts {
--- a/crates/worker-agent/tests/heartbeat_json.rs
+++ b/crates/worker-agent/tests/heartbeat_json.rs
@@ -20,7 +20,7 @@
     }
 }
 
-/// A body that holds what is required, and these fields.
+/// A body of the required fields and these.
 fn body(fields: Value) -> Vec<u8> {
     let mut body = json!({"service": "search", "state": "ready", "sequence": 7});
     let fields = fields.as_object().expect("an object").clone();
@@ -32,7 +32,7 @@
     parse("server-1", &body(fields)).expect("a heartbeat")
 }
 
-fn is_fault(fields: Value) -> bool {
+fn is_error(fields: Value) -> bool {
     matches!(
         parse("server-1", &body(fields)),
         Err(ParseHeartbeatError::Body(_))
@@ -41,73 +41,80 @@
 
 #[test]
 fn reads_every_field() {
-    let beat = read(json!({
+    let heartbeat = read(json!({
         "address": "127.0.0.1:80", "zone": "north", "version": "v3", "slots": 8, "state": "draining",
         "cold-remaining-ms": 12, "remaining-ms": 3400, "clock-ms": 99, "labels": ["big", "rack-2"],
         "capacity": {"cpu": 16000, "mem-mb": 32768, "gpu": 1},
         "running": [[TASK, 2, "0f0f", 41]],
         "finished": [[58, TASK, 1, "done", "0e0e"]],
     }));
-    assert_eq!(beat.facts.service, ServiceName("search".into()));
+    assert_eq!(heartbeat.facts.service, ServiceName("search".into()));
     assert_eq!(
-        (beat.facts.zone.as_str(), beat.facts.version.as_str()),
+        (
+            heartbeat.facts.zone.as_str(),
+            heartbeat.facts.version.as_str()
+        ),
         ("north", "v3")
     );
     assert_eq!(
-        beat.facts.capacity,
+        heartbeat.facts.capacity,
         Resources {
             cpu: 16000,
             memory_mb: 32768,
             gpu: 1
         }
     );
-    assert_eq!(beat.facts.labels, ["big", "rack-2"]);
-    assert_eq!(beat.facts.id, beat.heartbeat.server);
+    assert_eq!(heartbeat.facts.labels, ["big", "rack-2"]);
+    assert_eq!(heartbeat.facts.id, heartbeat.heartbeat.server);
     assert_eq!(
-        (beat.heartbeat.sequence, beat.heartbeat.draining),
+        (heartbeat.heartbeat.sequence, heartbeat.heartbeat.draining),
         (7, true)
     );
-    assert_eq!(beat.heartbeat.remaining_ms, Some(3400));
-    let run = &beat.heartbeat.running[0];
+    assert_eq!(heartbeat.heartbeat.remaining_ms, Some(3400));
+    let run = &heartbeat.heartbeat.running[0];
     assert_eq!(
         (run.task, run.attempt, run.checkpoint.as_str(), run.percent),
         (task(), 2, "0f0f", 41)
     );
-    let end = &beat.heartbeat.finished[0];
+    let end = &heartbeat.heartbeat.finished[0];
     assert_eq!(
         (end.number, end.task, end.attempt, end.end),
         (58, task(), 1, RunEnd::Done)
     );
     assert_eq!(end.checkpoint, "0e0e");
     assert_eq!(
-        (beat.address.as_str(), beat.slots, beat.warm_up_remaining_ms),
+        (
+            heartbeat.address.as_str(),
+            heartbeat.slots,
+            heartbeat.warm_up_remaining_ms
+        ),
         ("127.0.0.1:80", 8, 12)
     );
-    assert_eq!((beat.clock_ms, beat.ends_listed), (99, 1));
+    assert_eq!((heartbeat.clock_ms, heartbeat.ends_listed), (99, 1));
 }
 
 #[test]
 fn absent_lists_are_empty_and_unknown_keys_are_skipped() {
-    let beat = read(json!({"mood": {"good": [1, 2]}}));
-    assert!(beat.heartbeat.running.is_empty() && beat.heartbeat.finished.is_empty());
-    assert_eq!(beat.heartbeat.remaining_ms, None);
-    assert!(!beat.heartbeat.draining);
+    let heartbeat = read(json!({"mood": {"good": [1, 2]}}));
+    assert!(heartbeat.heartbeat.running.is_empty() && heartbeat.heartbeat.finished.is_empty());
+    assert_eq!(heartbeat.heartbeat.remaining_ms, None);
+    assert!(!heartbeat.heartbeat.draining);
 }
 
 #[test]
 fn rows_may_lack_or_add_fields_at_their_end() {
-    let beat = read(json!({
+    let heartbeat = read(json!({
         "running": [[TASK, 1], [TASK, 2, ""], [TASK, 3, null, 12.7, "more"]],
         "finished": [[1, TASK, 1, "stopped"], [2, TASK, 2, "lapsed", "0f", 5]],
     }));
-    let percents: Vec<u32> = beat
+    let percents: Vec<u32> = heartbeat
         .heartbeat
         .running
         .iter()
         .map(|run| run.percent)
         .collect();
     assert_eq!(percents, [0, 0, 12]);
-    let checkpoint: Vec<&str> = beat
+    let checkpoint: Vec<&str> = heartbeat
         .heartbeat
         .finished
         .iter()
@@ -117,7 +124,7 @@
 }
 
 #[test]
-fn every_word_for_an_end_is_known_and_no_other() {
+fn every_name_of_an_end_is_known_and_no_other() {
     let words = [
         ("done", RunEnd::Done),
         ("failed", RunEnd::Failed),
@@ -127,44 +134,47 @@
         ("alone", RunEnd::Alone),
         ("refused", RunEnd::Refused),
     ];
-    for (word, end) in words {
+    for (name, end) in words {
         assert_eq!(
-            read(json!({"finished": [[1, TASK, 1, word, ""]]}))
+            read(json!({"finished": [[1, TASK, 1, name, ""]]}))
                 .heartbeat
                 .finished[0]
                 .end,
             end
         );
     }
-    assert!(is_fault(
+    assert!(is_error(
         json!({"finished": [[1, TASK, 1, "vanished", ""]]})
     ));
 }
 
 #[test]
-fn names_of_others_are_kept_apart() {
+fn names_of_other_systems_are_listed_separately() {
     let upper = TASK.to_uppercase();
-    let beat = read(json!({
+    let heartbeat = read(json!({
         "running": [["other", 3, "", 1], [TASK, 1, "", 2], [upper, 4, "", 0]],
         "finished": [[1, "other", 2, "done", ""], [2, TASK, 1, "done", ""]],
     }));
-    assert_eq!(beat.heartbeat.running.len(), 1);
-    let unknown: Vec<&str> = beat
+    assert_eq!(heartbeat.heartbeat.running.len(), 1);
+    let unknown: Vec<&str> = heartbeat
         .unknown_runs
         .iter()
         .map(|run| run.task.as_str())
         .collect();
     assert_eq!(unknown, ["other", upper.as_str()]);
-    assert_eq!((beat.heartbeat.finished.len(), beat.ends_listed), (1, 2));
+    assert_eq!(
+        (heartbeat.heartbeat.finished.len(), heartbeat.ends_listed),
+        (1, 2)
+    );
 }
 
 #[test]
-fn faults_are_told() {
-    assert!(is_fault(json!({"state": "asleep"})));
-    assert!(is_fault(json!({"sequence": "seven"})));
-    assert!(is_fault(json!({"running": [[TASK]]})));
-    assert!(is_fault(json!({"running": [[TASK, "x"]]})));
-    assert!(is_fault(json!({"running": {}})));
+fn bodies_of_another_form_are_rejected() {
+    assert!(is_error(json!({"state": "asleep"})));
+    assert!(is_error(json!({"sequence": "seven"})));
+    assert!(is_error(json!({"running": [[TASK]]})));
+    assert!(is_error(json!({"running": [[TASK, "x"]]})));
+    assert!(is_error(json!({"running": {}})));
     assert!(matches!(
         parse("server-1", b"{\"service\":"),
         Err(ParseHeartbeatError::Body(_))
@@ -180,12 +190,12 @@
 }
 
 #[test]
-fn an_empty_answer_is_an_empty_object() {
+fn an_empty_response_is_an_empty_object() {
     assert_eq!(render(&HeartbeatResponse::default()), "{}");
 }
 
 #[test]
-fn an_answer_holds_what_is_set() {
+fn a_response_contains_what_is_set() {
     let start = Assignment {
         task: task(),
         attempt: 1,
@@ -212,7 +222,7 @@
 }
 
 quickcheck! {
-    fn any_bytes_are_read_or_refused(bytes: Vec<u8>) -> bool {
+    fn any_bytes_are_read_or_rejected(bytes: Vec<u8>) -> bool {
         let _ = parse("server-1", &bytes);
         true
     }
--- a/crates/worker-agent/tests/incarnations.rs
+++ b/crates/worker-agent/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! The lives of a server: which heartbeats count, and what becomes of orders.
+//! Incarnations of a server: which heartbeats count, and what becomes of orders.
 
 mod support;
 
@@ -8,13 +8,13 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_worker_agent::{Agent, HeartbeatResponse, OwnerMessageError, ServerHeartbeat};
 use support::{
-    assignment, beat, finished, message, ordered, reported, running, settings, started, task,
-    AnswerAtOnce, CONNECTION, SILENT,
+    assignment, finished, heartbeat_of, message, ordered, reported, running, settings, started,
+    task, AnswerAtOnce, CONNECTION, OVERDUE,
 };
 
-/// Server "a" says that it drains, and then leaves.
-fn drain_and_leave(agent: &mut Agent) {
-    let mut draining = beat("a", 2);
+/// Server "a" starts draining, and then deregisters.
+fn drain_and_deregister(agent: &mut Agent) {
+    let mut draining = heartbeat_of("a", 2);
     draining.heartbeat.draining = true;
     agent.heartbeat(draining, Millis(90));
     agent.poll(Millis(91));
@@ -24,20 +24,23 @@
 #[test]
 fn late_repeated_and_old_heartbeats_get_no_orders() {
     let mut agent = ordered();
-    agent.heartbeat(beat("a", 5), Millis(100));
+    agent.heartbeat(heartbeat_of("a", 5), Millis(100));
     for sequence in [5, 4, 1] {
         assert_eq!(
-            agent.heartbeat(beat("a", sequence), Millis(110)),
+            agent.heartbeat(heartbeat_of("a", sequence), Millis(110)),
             HeartbeatResponse::default()
         );
     }
-    agent.heartbeat(beat("b", 1), SILENT);
-    agent.heartbeat(beat("b", 2), SILENT);
+    agent.heartbeat(heartbeat_of("b", 1), OVERDUE);
+    agent.heartbeat(heartbeat_of("b", 2), OVERDUE);
     assert_eq!(
-        agent.heartbeat(beat("a", 5), SILENT),
+        agent.heartbeat(heartbeat_of("a", 5), OVERDUE),
         HeartbeatResponse::default()
     );
-    assert!(agent.heartbeat(beat("a", 6), SILENT).starts.is_empty());
+    assert!(agent
+        .heartbeat(heartbeat_of("a", 6), OVERDUE)
+        .starts
+        .is_empty());
     assert_eq!(
         agent.server().map(|facts| &facts.id),
         Some(&ServerId("b".into()))
@@ -45,10 +48,10 @@
 }
 
 #[test]
-fn a_new_life_begins_with_a_new_attach_and_no_orders() {
+fn a_new_incarnation_begins_with_a_new_attach_and_no_orders() {
     let mut agent = ordered();
     for sequence in 1..3 {
-        let answer = agent.heartbeat(beat("b", sequence), SILENT);
+        let answer = agent.heartbeat(heartbeat_of("b", sequence), OVERDUE);
         assert_eq!((started(&answer), answer.lease_ms), (vec![], 0));
     }
     let late = OwnerMessage {
@@ -59,26 +62,29 @@
         agent.receive_owner_message(CONNECTION, late),
         Err(OwnerMessageError::OtherIncarnation)
     );
-    let messages = agent.poll(SILENT);
+    let messages = agent.poll(OVERDUE);
     assert!(
         matches!(messages.as_slice(), [AgentMessage::Attach { facts, .. }] if facts.id.0 == "b")
     );
 }
 
 #[test]
-fn a_dead_life_that_shows_up_late_does_not_replace_the_living() {
+fn a_dead_incarnation_that_shows_up_late_does_not_replace_the_living() {
     let mut agent = ordered();
-    let unconfirmed = agent.heartbeat(beat("dead", 1), Millis(100));
+    let unconfirmed = agent.heartbeat(heartbeat_of("dead", 1), Millis(100));
     let expected = HeartbeatResponse {
         heartbeat_after_ms: settings().busy_heartbeat_ms,
         ..HeartbeatResponse::default()
     };
     assert_eq!(unconfirmed, expected);
     assert_eq!(
-        started(&agent.heartbeat(beat("a", 2), Millis(110))),
+        started(&agent.heartbeat(heartbeat_of("a", 2), Millis(110))),
         [(1, 1)]
     );
-    assert_eq!(agent.heartbeat(beat("dead", 2), Millis(120)), expected);
+    assert_eq!(
+        agent.heartbeat(heartbeat_of("dead", 2), Millis(120)),
+        expected
+    );
     assert_eq!(
         agent.server().map(|facts| &facts.id),
         Some(&ServerId("a".into()))
@@ -86,18 +92,18 @@
 }
 
 #[test]
-fn a_new_life_is_taken_when_it_beats_again_and_the_other_is_silent() {
+fn a_new_incarnation_counts_after_a_second_heartbeat_while_the_other_is_overdue() {
     let mut agent = ordered();
-    agent.heartbeat(beat("a", 2), Millis(100));
+    agent.heartbeat(heartbeat_of("a", 2), Millis(100));
     for sequence in 1..4 {
-        let answer = agent.heartbeat(beat("b", sequence), Millis(100 + sequence));
+        let answer = agent.heartbeat(heartbeat_of("b", sequence), Millis(100 + sequence));
         assert_eq!(answer.heartbeat_after_ms, settings().busy_heartbeat_ms);
         assert_eq!(
             agent.server().map(|facts| &facts.id),
             Some(&ServerId("a".into()))
         );
     }
-    agent.heartbeat(beat("b", 4), SILENT);
+    agent.heartbeat(heartbeat_of("b", 4), OVERDUE);
     assert_eq!(
         agent.server().map(|facts| &facts.id),
         Some(&ServerId("b".into()))
@@ -105,9 +111,9 @@
 }
 
 #[test]
-fn the_first_heartbeat_of_a_new_life_is_not_enough_however_silent_the_other_is() {
+fn the_first_heartbeat_of_a_new_incarnation_is_not_enough_however_overdue_the_other_is() {
     let mut agent = ordered();
-    agent.heartbeat(beat("b", 1), SILENT.plus(60_000));
+    agent.heartbeat(heartbeat_of("b", 1), OVERDUE.plus(60_000));
     assert_eq!(
         agent.server().map(|facts| &facts.id),
         Some(&ServerId("a".into()))
@@ -115,10 +121,10 @@
 }
 
 #[test]
-fn a_new_life_is_taken_at_once_after_the_other_left() {
+fn a_new_incarnation_counts_at_once_after_the_other_deregistered() {
     let mut agent = ordered();
-    drain_and_leave(&mut agent);
-    agent.heartbeat(beat("b", 1), Millis(110));
+    drain_and_deregister(&mut agent);
+    agent.heartbeat(heartbeat_of("b", 1), Millis(110));
     assert_eq!(
         agent.server().map(|facts| &facts.id),
         Some(&ServerId("b".into()))
@@ -126,17 +132,17 @@
 }
 
 #[test]
-fn a_life_that_was_taken_for_over_comes_back_by_beating_on() {
+fn an_incarnation_that_seemed_over_comes_back_by_further_heartbeats() {
     let mut agent = ordered();
-    agent.heartbeat(beat("b", 1), SILENT);
-    agent.heartbeat(beat("b", 2), SILENT);
+    agent.heartbeat(heartbeat_of("b", 1), OVERDUE);
+    agent.heartbeat(heartbeat_of("b", 2), OVERDUE);
     assert_eq!(
         agent.server().map(|facts| &facts.id),
         Some(&ServerId("b".into()))
     );
-    let later = SILENT.plus(2_000);
-    agent.heartbeat(beat("a", 2), later);
-    agent.heartbeat(beat("a", 3), later);
+    let later = OVERDUE.plus(2_000);
+    agent.heartbeat(heartbeat_of("a", 2), later);
+    agent.heartbeat(heartbeat_of("a", 3), later);
     assert_eq!(
         agent.server().map(|facts| &facts.id),
         Some(&ServerId("a".into()))
@@ -144,9 +150,9 @@
 }
 
 #[test]
-fn a_leave_is_told_to_this_and_to_each_later_owner() {
+fn a_deregistration_is_reported_to_this_and_to_each_later_owner() {
     let mut agent = ordered();
-    drain_and_leave(&mut agent);
+    drain_and_deregister(&mut agent);
     let leave = AgentMessage::Deregister {
         server: ServerId("a".into()),
     };
@@ -154,7 +160,7 @@
     agent.deregister(ServerId("a".into()));
     assert!(agent.poll(Millis(111)).is_empty());
     assert_eq!(
-        agent.heartbeat(beat("a", 3), Millis(120)),
+        agent.heartbeat(heartbeat_of("a", 3), Millis(120)),
         HeartbeatResponse::default()
     );
     agent.owner_connected(2);
@@ -162,17 +168,17 @@
 }
 
 #[test]
-fn stops_of_one_life_do_not_reach_the_next() {
+fn stops_of_one_incarnation_do_not_reach_the_next() {
     let mut agent = ordered();
     let stop = OwnerMessage {
         stop: vec![(task(1), 1)],
         ..message(2, "a", 5)
     };
     assert_eq!(agent.receive_owner_message(CONNECTION, stop), Ok(()));
-    agent.heartbeat(beat("b", 1), SILENT);
-    let mut listed = beat("b", 2);
+    agent.heartbeat(heartbeat_of("b", 1), OVERDUE);
+    let mut listed = heartbeat_of("b", 2);
     listed.heartbeat.running = vec![running(1, 1)];
-    assert!(agent.heartbeat(listed, SILENT).stops.is_empty());
+    assert!(agent.heartbeat(listed, OVERDUE).stops.is_empty());
     assert_eq!(
         agent.server().map(|facts| &facts.id),
         Some(&ServerId("b".into()))
@@ -180,25 +186,26 @@
 }
 
 /// A heartbeat of "a" on which task 1 runs.
-fn beat_with_run(sequence: u64) -> ServerHeartbeat {
-    let mut listed = beat("a", sequence);
+fn heartbeat_with_run(sequence: u64) -> ServerHeartbeat {
+    let mut listed = heartbeat_of("a", sequence);
     listed.heartbeat.running = vec![running(1, 1)];
     listed
 }
 
 #[test]
-fn a_server_that_leaves_without_having_drained_keeps_its_runs_and_gets_no_more() {
+fn a_server_that_deregisters_without_having_drained_keeps_its_runs_and_gets_no_more() {
     let mut agent = ordered();
-    agent.heartbeat(beat_with_run(2), Millis(100));
+    agent.heartbeat(heartbeat_with_run(2), Millis(100));
     agent.poll(Millis(101));
     agent.deregister(ServerId("a".into()));
-    let told = agent.poll(Millis(111));
+    let notified = agent.poll(Millis(111));
     assert!(
-        told.iter()
+        notified
+            .iter()
             .all(|message| !matches!(message, AgentMessage::Deregister { .. })),
-        "it serves on: {told:?}"
+        "it serves on: {notified:?}"
     );
-    let report = reported(&told).expect("the owner is told at once");
+    let report = reported(&notified).expect("the owner is notified at once");
     assert!(report.draining);
     assert_eq!(report.running, [running(1, 1)]);
     let second = OwnerMessage {
@@ -206,38 +213,38 @@
         ..message(2, "a", 5)
     };
     assert_eq!(agent.receive_owner_message(CONNECTION, second), Ok(()));
-    let answer = agent.heartbeat(beat_with_run(3), Millis(120));
+    let answer = agent.heartbeat(heartbeat_with_run(3), Millis(120));
     assert!(
         answer.starts.is_empty(),
-        "nothing starts on a server that leaves"
+        "nothing starts on a server that has deregistered"
     );
-    assert!(answer.lease_ms > 0, "what runs is held on");
+    assert!(answer.lease_ms > 0, "what runs keeps its lease");
 }
 
 #[test]
-fn a_server_that_leaves_first_is_heard_until_it_is_silent() {
+fn a_server_that_deregisters_first_is_reported_until_it_is_overdue() {
     let mut agent = ordered();
     agent.deregister(ServerId("a".into()));
-    agent.heartbeat(beat_with_run(2), Millis(100));
+    agent.heartbeat(heartbeat_with_run(2), Millis(100));
     agent.poll(Millis(101));
     // The call is sent again where its answer was lost.
     agent.deregister(ServerId("a".into()));
-    let mut ended = beat("a", 3);
+    let mut ended = heartbeat_of("a", 3);
     ended.heartbeat.finished = vec![finished(1, 1, 1, RunEnd::Done)];
     agent.heartbeat(ended, Millis(120));
-    let told = agent.poll(Millis(121));
-    let report = reported(&told).expect("the end is told");
+    let notified = agent.poll(Millis(121));
+    let report = reported(&notified).expect("the end is reported");
     assert!(report.draining);
     assert_eq!(report.finished, [finished(1, 1, 1, RunEnd::Done)]);
 }
 
 #[test]
-fn a_heartbeat_that_comes_after_the_leave_of_a_drained_server_does_not_bring_it_back() {
+fn a_heartbeat_after_the_deregistration_of_a_drained_server_does_not_bring_it_back() {
     let mut agent = ordered();
-    drain_and_leave(&mut agent);
+    drain_and_deregister(&mut agent);
     agent.poll(Millis(101));
     assert_eq!(
-        agent.heartbeat(beat_with_run(3), Millis(3_000)),
+        agent.heartbeat(heartbeat_with_run(3), Millis(3_000)),
         HeartbeatResponse::default()
     );
     assert_eq!(agent.server(), None);
@@ -247,26 +254,29 @@
 #[test]
 fn a_late_heartbeat_takes_back_nothing() {
     let mut agent = ordered();
-    let mut newest = beat("a", 9);
+    let mut newest = heartbeat_of("a", 9);
     newest.heartbeat.draining = true;
     newest.heartbeat.finished = vec![finished(1, 1, 1, RunEnd::Done)];
     agent.heartbeat(newest, Millis(100));
     agent.poll(Millis(101));
     // Sent before the run had ended and the draining began.
     assert_eq!(
-        agent.heartbeat(beat_with_run(8), Millis(110)),
+        agent.heartbeat(heartbeat_with_run(8), Millis(110)),
         HeartbeatResponse::default()
     );
     assert!(
         reported(&agent.poll(Millis(111))).is_none(),
         "a late one is not passed on"
     );
-    let answer = agent.heartbeat(beat("a", 10), Millis(120));
-    assert!(answer.starts.is_empty(), "it drains, and the run has ended");
+    let answer = agent.heartbeat(heartbeat_of("a", 10), Millis(120));
+    assert!(
+        answer.starts.is_empty(),
+        "it is draining, and the run has ended"
+    );
 }
 
 #[test]
-fn a_restarted_agent_takes_a_leave_for_one_of_a_server_that_serves_on() {
+fn a_restarted_agent_takes_a_deregistration_for_one_of_a_server_that_serves_on() {
     let mut agent = Agent::new(settings());
     agent.owner_connected(CONNECTION);
     agent.deregister(ServerId("a".into()));
@@ -274,10 +284,10 @@
         agent.poll(Millis(6)).is_empty(),
         "nobody knows that it is over"
     );
-    agent.heartbeat(beat_with_run(2), Millis(10));
-    let told = agent.poll(Millis(11));
-    let [AgentMessage::Attach { heartbeat, .. }] = told.as_slice() else {
-        panic!("an attach: {told:?}")
+    agent.heartbeat(heartbeat_with_run(2), Millis(10));
+    let notified = agent.poll(Millis(11));
+    let [AgentMessage::Attach { heartbeat, .. }] = notified.as_slice() else {
+        panic!("an attach: {notified:?}")
     };
     assert!(heartbeat.draining);
     assert_eq!(heartbeat.running, [running(1, 1)]);
--- a/crates/worker-agent/tests/model.rs
+++ b/crates/worker-agent/tests/model.rs
@@ -18,8 +18,8 @@
 use world::{Counts, World};
 
 quickcheck! {
-    /// No run starts twice or after its end or stop, for another life, under a lower token or beyond its hold; no task
-    /// runs here after the owner may conclude that it does not; and all tasks end once the trouble is over.
+    /// No run starts twice or after its end or stop, for another incarnation, under a lower token or beyond its lease; no task
+    /// runs here after the owner may conclude that it does not; and all tasks end once the faults are over.
     fn every_rule_holds_and_all_tasks_end(seed: u64) -> bool {
         World::new(seed).play();
         true
@@ -27,20 +27,20 @@
 }
 
 #[test]
-fn the_model_plays_every_kind_of_trouble() {
+fn the_model_plays_every_kind_of_fault() {
     let mut sum = Counts::default();
     for seed in 0..20 {
         let counts = World::new(seed).play();
         sum.server.starts += counts.server.starts;
         sum.server.stops += counts.server.stops;
-        sum.server.lapses += counts.server.lapses;
+        sum.server.expired_leases += counts.server.expired_leases;
         sum.server.fenced += counts.server.fenced;
-        sum.server.dropped_answers += counts.server.dropped_answers;
+        sum.server.dropped_responses += counts.server.dropped_responses;
         sum.takeovers += counts.takeovers;
         sum.agent_restarts += counts.agent_restarts;
-        sum.left_first += counts.left_first;
+        sum.deregistered_first += counts.deregistered_first;
         sum.never_ran += counts.never_ran;
-        sum.lapses += counts.lapses;
+        sum.expired_leases += counts.expired_leases;
         sum.refused_messages += counts.refused_messages;
         sum.waits += counts.waits;
         sum.waits_for_orders += counts.waits_for_orders;
@@ -49,14 +49,17 @@
     let counts = [
         ("starts", sum.server.starts),
         ("stops", sum.server.stops),
-        ("lapses at the server", sum.server.lapses),
+        ("lapses at the server", sum.server.expired_leases),
         ("answers under an old token", sum.server.fenced),
-        ("dropped answers", sum.server.dropped_answers),
+        ("dropped answers", sum.server.dropped_responses),
         ("changes of the owner", sum.takeovers),
         ("restarts of the agent", sum.agent_restarts),
-        ("servers that left without having drained", sum.left_first),
+        (
+            "servers that deregistered without having drained",
+            sum.deregistered_first,
+        ),
         ("runs shown never to have started", sum.never_ran),
-        ("lapses at the owner", sum.lapses),
+        ("lapses at the owner", sum.expired_leases),
         ("refused messages", sum.refused_messages),
         ("answers that waited in vain", sum.waits),
         (
--- a/crates/worker-agent/tests/model/answers.rs
+++ b/crates/worker-agent/tests/model/answers.rs
@@ -1,12 +1,12 @@
-//! Answers to heartbeats, which may be left open for a time.
+//! Responses to heartbeats, which may wait for a time.
 
-use crate::world::{Packet, World, TROUBLE_MS};
+use crate::world::{Packet, World, FAULTS_MS};
 use lupinrack_cluster_api::identity::{FencingToken, ServerId};
 use lupinrack_worker_agent::heartbeat_json::render;
 use lupinrack_worker_agent::{HeartbeatResponse, PendingHeartbeat};
 
 /// A heartbeat, as it is known again in its answer.
-pub struct BeatCall {
+pub struct HeartbeatCall {
     pub server: ServerId,
     pub sequence: u64,
     /// By the model's clock.
@@ -14,26 +14,26 @@
 }
 
 /// A heartbeat whose answer waits for orders.
-pub struct OpenCall {
+pub struct PendingCall {
     pub open: PendingHeartbeat,
-    pub call: BeatCall,
+    pub call: HeartbeatCall,
     pub until: u64,
-    /// The owner's messages that were taken since it arrived.
+    /// The owner's messages that were accepted since it arrived.
     pub messages: u64,
 }
 
 impl World {
     /// Answers the open heartbeat if there are orders, or if it has waited for long enough.
-    pub fn answer_if_due(&mut self) {
+    pub fn respond_if_due(&mut self) {
         let Some(open) = &self.open else { return };
         let has_orders = self.agent.has_orders(self.agent_now());
         if has_orders || self.now >= open.until {
-            self.answer_open();
+            self.respond_to_pending();
         }
     }
 
-    pub fn answer_open(&mut self) {
-        let Some(OpenCall {
+    pub fn respond_to_pending(&mut self) {
+        let Some(PendingCall {
             open,
             call,
             messages,
@@ -54,34 +54,34 @@
             self.counts.waits_for_orders += u64::from(ordered);
             self.counts.messages_meanwhile += u64::from(messages > 0);
         }
-        self.send_answer(call, &answer);
+        self.send_response(call, &answer);
     }
 
-    pub fn send_answer(&mut self, call: BeatCall, answer: &HeartbeatResponse) {
-        let BeatCall {
+    pub fn send_response(&mut self, call: HeartbeatCall, answer: &HeartbeatResponse) {
+        let HeartbeatCall {
             server,
             sequence,
             arrived_at,
         } = call;
         if answer.token != FencingToken::default() {
-            assert!(answer.token >= self.answered_token, "the token fell");
-            self.answered_token = answer.token;
+            assert!(answer.token >= self.response_token, "the token fell");
+            self.response_token = answer.token;
         }
         assert!(
-            answer.starts.is_empty() || !self.told_to_leave.contains(&server),
-            "a start for a server that leaves"
+            answer.starts.is_empty() || !self.deregistered.contains(&server),
+            "a start for a server that has deregistered"
         );
         let granted_until = self.granted_until.get(&server).copied().unwrap_or(0);
         // The server counts from the sending, which lies before the arrival.
         assert!(
             answer.lease_ms == 0 || arrived_at + answer.lease_ms <= granted_until,
-            "a hold beyond the grant"
+            "a lease beyond the grant"
         );
-        let lost = self.now < TROUBLE_MS && self.random.once_in(10);
-        let delay = self.delay(self.now >= TROUBLE_MS);
+        let lost = self.now < FAULTS_MS && self.random.once_in(10);
+        let delay = self.delay(self.now >= FAULTS_MS);
         if !lost {
             self.send(
-                Packet::Answer {
+                Packet::Response {
                     server,
                     sequence,
                     body: render(answer),
--- a/crates/worker-agent/tests/model/owner.rs
+++ b/crates/worker-agent/tests/model/owner.rs
@@ -1,17 +1,17 @@
 //! An owner that gives random orders, and concludes from the agent's reports what an owner may conclude.
 
 use crate::random::Random;
-use crate::record::{Place, Record};
+use crate::record::{Record, TaskState};
 use lupinrack_cluster_api::agent::{AgentMessage, Assignment, Heartbeat, OwnerMessage};
 use lupinrack_cluster_api::identity::{Attempt, FencingToken, ServerId, TaskId};
 use lupinrack_cluster_api::server::RunEnd;
 use lupinrack_cluster_api::time::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The hold that owners grant.
-pub const HOLD_MS: u64 = 2_000;
-/// What an owner adds to a hold before it takes it for over: clocks that run slow, and steps of the model.
-const HOLD_SLACK_MS: u64 = HOLD_MS / 40 + 100;
+/// The lease that owners grant.
+pub const LEASE_MS: u64 = 2_000;
+/// What an owner adds to a lease before it counts as expired: clocks that run slow, and steps of the model.
+const LEASE_SLACK_MS: u64 = LEASE_MS / 40 + 100;
 /// For how long an owner may act after another took over.
 pub const AUTHORITY_MS: u64 = 1_000;
 
@@ -20,10 +20,10 @@
     connection: u64,
     server: ServerId,
     heartbeat: Heartbeat,
-    heard_at: Millis,
+    reported_at: Millis,
     number: u64,
     assigned: BTreeSet<(TaskId, Attempt)>,
-    /// Stops, and the number of the message that told them.
+    /// Stops, and the number of the message that ordered them.
     stops: BTreeMap<(TaskId, Attempt), u64>,
     owes_message: bool,
 }
@@ -31,15 +31,15 @@
 #[derive(Default)]
 pub struct OwnerCounts {
     pub never_ran: u64,
-    pub lapses: u64,
+    pub expired_leases: u64,
 }
 
 pub struct Owner {
     pub token: u64,
     pub counts: OwnerCounts,
     took_over_at: u64,
-    /// When the hold of each life that the owner knows is over for certain.
-    hold_bounds: BTreeMap<ServerId, u64>,
+    /// When the lease of each incarnation that the owner knows has expired for certain.
+    lease_bounds: BTreeMap<ServerId, u64>,
     session: Option<Session>,
     /// The owner is no longer the newest since this moment.
     pub replaced_at: Option<u64>,
@@ -52,7 +52,7 @@
             token,
             counts: OwnerCounts::default(),
             took_over_at: now,
-            hold_bounds: BTreeMap::new(),
+            lease_bounds: BTreeMap::new(),
             session: None,
             replaced_at: None,
         }
@@ -81,13 +81,13 @@
                     connection,
                     server: facts.id,
                     heartbeat,
-                    heard_at: sent_at,
+                    reported_at: sent_at,
                     number: 0,
                     assigned: BTreeSet::new(),
                     stops: BTreeMap::new(),
                     owes_message: true,
                 });
-                self.learn(record);
+                self.record_report(record);
             }
             AgentMessage::Report { heartbeat, sent_at } => {
                 let session = self
@@ -95,15 +95,15 @@
                     .as_mut()
                     .filter(|session| session.connection == connection);
                 let Some(session) = session else { return };
-                session.heard_at = sent_at;
+                session.reported_at = sent_at;
                 session.owes_message = true;
                 if let Some(heartbeat) = heartbeat {
                     assert_eq!(
                         heartbeat.server, session.server,
-                        "a report of a life that did not attach"
+                        "a report of an incarnation that did not attach"
                     );
                     session.heartbeat = heartbeat;
-                    self.learn(record);
+                    self.record_report(record);
                 }
             }
             AgentMessage::Deregister { server } => {
@@ -116,21 +116,21 @@
     pub fn act(
         &mut self,
         record: &mut Record,
-        calm: bool,
+        fault_free: bool,
         now: u64,
         random: &mut Random,
     ) -> Option<(u64, OwnerMessage)> {
         if self.replaced_at.is_some_and(|at| now >= at + AUTHORITY_MS) {
             return None;
         }
-        self.lapse(record, now);
+        self.expire_leases(record, now);
         let session = self.session.as_mut()?;
         let server = session.server.clone();
         let mut assign = Vec::new();
         let mut stop = Vec::new();
         if session.number > 0 {
-            choose_starts(self.token, session, record, calm, now, random);
-            choose_stops(session, record, calm, &mut stop, random);
+            choose_starts(self.token, session, record, fault_free, now, random);
+            choose_stops(session, record, fault_free, &mut stop, random);
         }
         for (task, attempt) in record.assigned(&server) {
             let stopped = session.stops.contains_key(&(task, attempt));
@@ -144,7 +144,7 @@
             }
         }
         let wanted = session.owes_message || !assign.is_empty() || !stop.is_empty();
-        if !wanted || (!calm && random.once_in(3)) && stop.is_empty() && assign.is_empty() {
+        if !wanted || (!fault_free && random.once_in(3)) && stop.is_empty() && assign.is_empty() {
             return None;
         }
         session.owes_message = false;
@@ -152,9 +152,9 @@
         for run in &stop {
             session.stops.insert(*run, session.number);
         }
-        // The bound counts from this moment, which is after the report that the hold counts from.
-        let bound = self.hold_bounds.entry(server.clone()).or_insert(0);
-        *bound = (*bound).max(now + HOLD_MS + HOLD_SLACK_MS);
+        // The bound counts from this moment, which is after the report that the lease counts from.
+        let bound = self.lease_bounds.entry(server.clone()).or_insert(0);
+        *bound = (*bound).max(now + LEASE_MS + LEASE_SLACK_MS);
         let observed = session
             .heartbeat
             .finished
@@ -172,15 +172,15 @@
             } else {
                 0
             },
-            lease_from: session.heard_at,
-            lease_ms: HOLD_MS,
+            lease_from: session.reported_at,
+            lease_ms: LEASE_MS,
             heartbeat_after_ms: 50 + random.below(300),
         };
         Some((session.connection, message))
     }
 
     /// Takes the newest heartbeat into the record.
-    fn learn(&mut self, record: &mut Record) {
+    fn record_report(&mut self, record: &mut Record) {
         let Some(session) = &mut self.session else {
             return;
         };
@@ -194,8 +194,8 @@
             .map(|run| (run.task, run.attempt))
             .collect();
         for (task, attempt) in record.assigned(&session.server) {
-            let told = session.stops.get(&(task, attempt));
-            let seen = told.is_some_and(|number| heartbeat.orders_seen >= *number);
+            let notified = session.stops.get(&(task, attempt));
+            let seen = notified.is_some_and(|number| heartbeat.orders_seen >= *number);
             if seen && !listed.contains(&(task, attempt)) {
                 record.end(self.token, task, attempt, RunEnd::Stopped);
                 self.counts.never_ran += 1;
@@ -203,10 +203,10 @@
         }
     }
 
-    /// Ends the runs of lives whose hold is over.
-    fn lapse(&mut self, record: &mut Record, now: u64) {
-        let unknown_until = self.took_over_at + AUTHORITY_MS + HOLD_MS + HOLD_SLACK_MS;
-        let bounds = self.hold_bounds.clone();
+    /// Ends the runs of incarnations whose lease has expired.
+    fn expire_leases(&mut self, record: &mut Record, now: u64) {
+        let unknown_until = self.took_over_at + AUTHORITY_MS + LEASE_MS + LEASE_SLACK_MS;
+        let bounds = self.lease_bounds.clone();
         let over = |incarnation: &ServerId| {
             now > bounds
                 .get(incarnation)
@@ -214,13 +214,13 @@
                 .unwrap_or(0)
                 .max(unknown_until)
         };
-        let lapsed = record.assigned_if(over);
+        let expired = record.assigned_if(over);
         let connected = self.session.as_ref().map(|session| session.server.clone());
-        for (task, attempt) in lapsed {
-            let incarnation = record.tasks.get(&task).map(|entry| entry.place.clone());
-            if connected.clone().map(Place::Assigned) != incarnation {
+        for (task, attempt) in expired {
+            let incarnation = record.tasks.get(&task).map(|entry| entry.state.clone());
+            if connected.clone().map(TaskState::Assigned) != incarnation {
                 let ended = record.end(self.token, task, attempt, RunEnd::LeaseExpired);
-                self.counts.lapses += u64::from(ended);
+                self.counts.expired_leases += u64::from(ended);
             }
         }
     }
@@ -243,24 +243,24 @@
     token: u64,
     session: &Session,
     record: &mut Record,
-    calm: bool,
+    fault_free: bool,
     now: u64,
     random: &mut Random,
 ) {
     let waiting: Vec<TaskId> = record
         .tasks
         .iter()
-        .filter(|(_, entry)| entry.place == Place::Waiting)
+        .filter(|(_, entry)| entry.state == TaskState::Waiting)
         .map(|(task, _)| *task)
         .collect();
     for task in waiting {
         if !random.once_in(10) {
             continue;
         }
-        if !calm && random.once_in(3) {
-            record.start(token, task, Place::Elsewhere(now + random.below(800)));
+        if !fault_free && random.once_in(3) {
+            record.start(token, task, TaskState::Elsewhere(now + random.below(800)));
         } else if !session.heartbeat.draining {
-            record.start(token, task, Place::Assigned(session.server.clone()));
+            record.start(token, task, TaskState::Assigned(session.server.clone()));
         }
     }
 }
@@ -270,25 +270,25 @@
 fn choose_stops(
     session: &Session,
     record: &Record,
-    calm: bool,
+    fault_free: bool,
     stop: &mut Vec<(TaskId, Attempt)>,
     random: &mut Random,
 ) {
     let assigned = record.assigned(&session.server);
-    let told = |run: &(TaskId, Attempt)| session.stops.contains_key(run);
+    let notified = |run: &(TaskId, Attempt)| session.stops.contains_key(run);
     for run in session
         .heartbeat
         .running
         .iter()
         .map(|run| (run.task, run.attempt))
     {
-        if !assigned.contains(&run) && !told(&run) {
+        if !assigned.contains(&run) && !notified(&run) {
             stop.push(run);
         }
     }
     for run in assigned {
-        let unwanted = (!calm && random.once_in(40)) || session.heartbeat.draining;
-        if unwanted && !told(&run) && session.assigned.contains(&run) {
+        let unwanted = (!fault_free && random.once_in(40)) || session.heartbeat.draining;
+        if unwanted && !notified(&run) && session.assigned.contains(&run) {
             stop.push(run);
         }
     }
--- a/crates/worker-agent/tests/model/record.rs
+++ b/crates/worker-agent/tests/model/record.rs
@@ -6,7 +6,7 @@
 
 /// Where a task stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum TaskState {
     Waiting,
     Assigned(ServerId),
     /// It runs on a server other than the modelled one until this moment.
@@ -16,7 +16,7 @@
 
 #[derive(Clone, Debug)]
 pub struct TaskEntry {
-    pub place: Place,
+    pub state: TaskState,
     pub attempt: Attempt,
 }
 
@@ -29,7 +29,7 @@
 impl Record {
     pub fn new(tasks: impl Iterator<Item = TaskId>) -> Record {
         let entry = TaskEntry {
-            place: Place::Waiting,
+            state: TaskState::Waiting,
             attempt: 0,
         };
         Record {
@@ -38,14 +38,14 @@
         }
     }
 
-    /// Assigns a waiting task; its attempt, where that holds.
-    pub fn start(&mut self, token: u64, task: TaskId, place: Place) -> Option<Attempt> {
+    /// Assigns a waiting task and returns its attempt, unless the token is outdated.
+    pub fn start(&mut self, token: u64, task: TaskId, state: TaskState) -> Option<Attempt> {
         let entry = self.tasks.get_mut(&task)?;
-        if token < self.token || entry.place != Place::Waiting {
+        if token < self.token || entry.state != TaskState::Waiting {
             return None;
         }
         entry.attempt += 1;
-        entry.place = place;
+        entry.state = state;
         Some(entry.attempt)
     }
 
@@ -55,38 +55,40 @@
             return false;
         }
         if let Some(entry) = self.tasks.get_mut(&task) {
-            if matches!(entry.place, Place::Assigned(_)) && entry.attempt == attempt {
-                entry.place = if end == RunEnd::Done {
-                    Place::Done
+            if matches!(entry.state, TaskState::Assigned(_)) && entry.attempt == attempt {
+                entry.state = if end == RunEnd::Done {
+                    TaskState::Done
                 } else {
-                    Place::Waiting
+                    TaskState::Waiting
                 };
             }
         }
         true
     }
 
-    /// The tasks that are assigned to this life of the server.
+    /// The tasks that are assigned to this incarnation of the server.
     pub fn assigned(&self, server: &ServerId) -> Vec<(TaskId, Attempt)> {
         self.assigned_if(|incarnation| incarnation == server)
     }
 
-    /// The tasks that are assigned to lives for which `fits` holds.
+    /// The tasks that are assigned to incarnations for which `fits` is true.
     pub fn assigned_if(&self, fits: impl Fn(&ServerId) -> bool) -> Vec<(TaskId, Attempt)> {
-        let assigned = |entry: &TaskEntry| matches!(&entry.place, Place::Assigned(incarnation) if fits(incarnation));
+        let assigned = |entry: &TaskEntry| matches!(&entry.state, TaskState::Assigned(incarnation) if fits(incarnation));
         let tasks = self.tasks.iter().filter(|(_, entry)| assigned(entry));
         tasks.map(|(task, entry)| (*task, entry.attempt)).collect()
     }
 
     pub fn end_elsewhere(&mut self, now: u64) {
         for entry in self.tasks.values_mut() {
-            if matches!(entry.place, Place::Elsewhere(until) if until <= now) {
-                entry.place = Place::Waiting;
+            if matches!(entry.state, TaskState::Elsewhere(until) if until <= now) {
+                entry.state = TaskState::Waiting;
             }
         }
     }
 
     pub fn all_done(&self) -> bool {
-        self.tasks.values().all(|entry| entry.place == Place::Done)
+        self.tasks
+            .values()
+            .all(|entry| entry.state == TaskState::Done)
     }
 }
--- a/crates/worker-agent/tests/model/server.rs
+++ b/crates/worker-agent/tests/model/server.rs
@@ -6,13 +6,13 @@
 use std::collections::BTreeMap;
 
 /// A server drops an answer that took longer, in milliseconds.
-const ANSWER_MS: u64 = 1_000;
-const HOLD_MAX_MS: u64 = 6_000;
+const RESPONSE_TIMEOUT_MS: u64 = 1_000;
+const LEASE_MAX_MS: u64 = 6_000;
 const HEARTBEAT_MS: u64 = 1_500;
 /// The steady clock of a server may run this much slow, in percent.
 const CLOCK_SLOW_PERCENT: u64 = 2;
 
-/// One start in so many ends well, so that tasks last through the trouble.
+/// One start in so many ends well, so that tasks last through the faults.
 const RUNS_TO_DONE: Attempt = 4;
 
 struct Run {
@@ -32,7 +32,7 @@
 struct Outstanding {
     sequence: u64,
     sent_at: u64,
-    /// Whether it said that the server drains.
+    /// Whether it said that the server is draining.
     draining: bool,
 }
 
@@ -41,16 +41,16 @@
 pub struct ServerCounts {
     pub starts: u64,
     pub stops: u64,
-    pub lapses: u64,
+    pub expired_leases: u64,
     pub fenced: u64,
-    pub dropped_answers: u64,
+    pub dropped_responses: u64,
 }
 
 pub struct Server {
     pub id: ServerId,
     pub draining: bool,
-    /// When it ends, if it has said that it leaves without having drained.
-    pub leaves_at: Option<u64>,
+    /// When it ends, if it has deregistered without having drained.
+    pub shuts_down_at: Option<u64>,
     pub counts: ServerCounts,
     token: u64,
     sequence: u64,
@@ -58,7 +58,7 @@
     finished: Vec<End>,
     last_number: u64,
     barred: BTreeMap<TaskId, Attempt>,
-    next_beat: u64,
+    next_heartbeat: u64,
     outstanding: Option<Outstanding>,
     lease_until: u64,
 }
@@ -68,7 +68,7 @@
         Server {
             id: ServerId(id),
             draining: false,
-            leaves_at: None,
+            shuts_down_at: None,
             counts,
             token: 0,
             sequence: 0,
@@ -76,7 +76,7 @@
             finished: Vec::new(),
             last_number: 0,
             barred: BTreeMap::new(),
-            next_beat: now,
+            next_heartbeat: now,
             outstanding: None,
             lease_until: 0,
         }
@@ -91,13 +91,13 @@
         self.end_runs(now);
         if self
             .outstanding
-            .is_some_and(|beat| now > beat.sent_at + ANSWER_MS)
+            .is_some_and(|heartbeat| now > heartbeat.sent_at + RESPONSE_TIMEOUT_MS)
         {
             self.outstanding = None;
-            self.counts.dropped_answers += 1;
-            self.next_beat = now;
+            self.counts.dropped_responses += 1;
+            self.next_heartbeat = now;
         }
-        if self.outstanding.is_some() || now < self.next_beat {
+        if self.outstanding.is_some() || now < self.next_heartbeat {
             return None;
         }
         self.sequence += 1;
@@ -110,30 +110,33 @@
     }
 
     pub fn answered(&mut self, sequence: u64, body: &str, now: u64, random: &mut Random) {
-        let Some(beat) = self.outstanding.filter(|beat| beat.sequence == sequence) else {
-            self.counts.dropped_answers += 1;
+        let Some(heartbeat) = self
+            .outstanding
+            .filter(|heartbeat| heartbeat.sequence == sequence)
+        else {
+            self.counts.dropped_responses += 1;
             return;
         };
-        if now > beat.sent_at + ANSWER_MS {
+        if now > heartbeat.sent_at + RESPONSE_TIMEOUT_MS {
             return;
         }
         self.outstanding = None;
         let answer: Value = serde_json::from_str(body).expect("an answer is JSON");
-        self.next_beat = now + answer["retry-after-ms"].as_u64().unwrap_or(HEARTBEAT_MS);
+        self.next_heartbeat = now + answer["retry-after-ms"].as_u64().unwrap_or(HEARTBEAT_MS);
         let token = answer["fence-token"].as_u64().unwrap_or(0);
         if token < self.token {
             self.counts.fenced += 1;
             return;
         }
         self.token = token;
-        self.apply(&answer, beat, now, random);
+        self.apply(&answer, heartbeat, now, random);
     }
 
-    fn apply(&mut self, answer: &Value, beat: Outstanding, now: u64, random: &mut Random) {
+    fn apply(&mut self, answer: &Value, heartbeat: Outstanding, now: u64, random: &mut Random) {
         let lease_ms = answer["hold-ms"].as_u64();
         if let Some(lease_ms) = lease_ms {
             let slow = 100 + random.below(CLOCK_SLOW_PERCENT + 1);
-            let until = beat.sent_at + lease_ms.min(HOLD_MAX_MS) * slow / 100;
+            let until = heartbeat.sent_at + lease_ms.min(LEASE_MAX_MS) * slow / 100;
             self.lease_until = self.lease_until.max(until);
         }
         let observed = answer["observed"].as_u64().unwrap_or(0);
@@ -142,8 +145,8 @@
             self.stop(task_of(row), attempt_of(row), now, random);
         }
         for row in rows(&answer["start"]) {
-            assert!(lease_ms.is_some(), "a start without a hold");
-            assert!(!beat.draining, "a start for a server that said it drains");
+            assert!(lease_ms.is_some(), "a start without a lease");
+            assert!(!heartbeat.draining, "a start for a server that is draining");
             self.start(task_of(row), attempt_of(row), now, random);
         }
     }
@@ -220,7 +223,7 @@
         let Some(run) = self.running.remove(&task) else {
             return;
         };
-        self.counts.lapses += u64::from(how == "lapsed");
+        self.counts.expired_leases += u64::from(how == "lapsed");
         self.last_number += 1;
         self.finished.push(End {
             number: self.last_number,
@@ -229,12 +232,12 @@
             how,
         });
         self.bar(task, run.attempt);
-        self.next_beat = self.next_beat.min(now + 50);
+        self.next_heartbeat = self.next_heartbeat.min(now + 50);
     }
 
     fn bar(&mut self, task: TaskId, attempt: Attempt) {
-        let mark = self.barred.entry(task).or_insert(0);
-        *mark = attempt.max(*mark);
+        let watermark = self.barred.entry(task).or_insert(0);
+        *watermark = attempt.max(*watermark);
     }
 
     fn body(&self, now: u64) -> String {
--- a/crates/worker-agent/tests/model/world.rs
+++ b/crates/worker-agent/tests/model/world.rs
@@ -1,9 +1,9 @@
 //! Server, agent, owners and the network between them.
 
-use crate::answers::{BeatCall, OpenCall};
-use crate::owner::{Owner, HOLD_MS};
+use crate::answers::{HeartbeatCall, PendingCall};
+use crate::owner::{Owner, LEASE_MS};
 use crate::random::Random;
-use crate::record::{Place, Record};
+use crate::record::{Record, TaskState};
 use crate::server::{Server, ServerCounts};
 use lupinrack_cluster_api::agent::{AgentMessage, OwnerMessage};
 use lupinrack_cluster_api::identity::{FencingToken, JobId, ServerId, TaskId};
@@ -13,25 +13,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const STEP_MS: u64 = 10;
-pub const TROUBLE_MS: u64 = 15_000;
-const CALM_MS: u64 = 40_000;
+pub const FAULTS_MS: u64 = 15_000;
+const FAULT_FREE_MS: u64 = 40_000;
 const TASKS: u32 = 24;
-/// An answer is left open for less than this, in milliseconds.
-const OPEN_MS: u64 = 400;
+/// A response waits for less than this, in milliseconds.
+const PENDING_MS: u64 = 400;
 
 /// Something on its way.
 pub enum Packet {
-    Beat {
+    Heartbeat {
         server: ServerId,
         sequence: u64,
         body: String,
     },
-    Answer {
+    Response {
         server: ServerId,
         sequence: u64,
         body: String,
     },
-    Leave(ServerId),
+    Deregister(ServerId),
     ToOwner {
         token: u64,
         connection: u64,
@@ -61,10 +61,10 @@
     pub server: ServerCounts,
     pub takeovers: u64,
     pub agent_restarts: u64,
-    /// Servers that left without having drained, and served on.
-    pub left_first: u64,
+    /// Servers that deregistered without having drained, and served on.
+    pub deregistered_first: u64,
     pub never_ran: u64,
-    pub lapses: u64,
+    pub expired_leases: u64,
     pub refused_messages: u64,
     /// Answers that waited in vain.
     pub waits: u64,
@@ -83,13 +83,13 @@
     incarnations: u64,
     pub agent: Agent,
     agent_born: u64,
-    pub open: Option<OpenCall>,
+    pub open: Option<PendingCall>,
     /// The highest token in an answer of this agent.
-    pub answered_token: FencingToken,
-    /// The end of what was granted to each life in messages that this agent took, by the model's clock.
+    pub response_token: FencingToken,
+    /// The end of what was granted to each incarnation in messages that this agent accepted, by the model's clock.
     pub granted_until: BTreeMap<ServerId, u64>,
-    /// Lives of which this agent was told that they leave.
-    pub told_to_leave: BTreeSet<ServerId>,
+    /// Incarnations whose deregistration this agent received.
+    pub deregistered: BTreeSet<ServerId>,
     owners: Vec<Owner>,
     link: Option<Link>,
     /// Until this moment the agent reaches no owner.
@@ -121,9 +121,9 @@
             agent: new_agent(),
             agent_born: 0,
             open: None,
-            answered_token: FencingToken::default(),
+            response_token: FencingToken::default(),
             granted_until: BTreeMap::new(),
-            told_to_leave: BTreeSet::new(),
+            deregistered: BTreeSet::new(),
             owners: vec![owner],
             link: None,
             cut_until: 0,
@@ -135,37 +135,37 @@
         }
     }
 
-    /// Plays trouble, then calm in which all tasks have to end; what happened.
+    /// Plays faults, then a time without them in which all tasks have to end; returns what happened.
     pub fn play(mut self) -> Counts {
-        while self.now < TROUBLE_MS || !self.record.all_done() {
+        while self.now < FAULTS_MS || !self.record.all_done() {
             assert!(
-                self.now < TROUBLE_MS + CALM_MS,
-                "tasks are left: {:?}",
+                self.now < FAULTS_MS + FAULT_FREE_MS,
+                "tasks have not ended: {:?}",
                 self.record.tasks
             );
-            let calm = self.now >= TROUBLE_MS;
-            self.step(calm);
+            let fault_free = self.now >= FAULTS_MS;
+            self.step(fault_free);
         }
         if let Some(server) = self.server.take() {
             self.counts.server = server.counts;
         }
         for owner in &self.owners {
             self.counts.never_ran += owner.counts.never_ran;
-            self.counts.lapses += owner.counts.lapses;
+            self.counts.expired_leases += owner.counts.expired_leases;
         }
         self.counts
     }
 
-    fn step(&mut self, calm: bool) {
+    fn step(&mut self, fault_free: bool) {
         self.now += STEP_MS;
-        if !calm {
-            self.trouble();
+        if !fault_free {
+            self.inject_faults();
         }
         self.record.end_elsewhere(self.now);
-        self.connect(calm);
-        self.tick_server(calm);
+        self.connect(fault_free);
+        self.tick_server(fault_free);
         self.deliver();
-        self.answer_if_due();
+        self.respond_if_due();
         if self
             .agent
             .next_poll()
@@ -173,7 +173,7 @@
         {
             self.poll_agent();
         }
-        self.act_owners(calm);
+        self.act_owners(fault_free);
         self.check_no_second_run();
     }
 
@@ -181,7 +181,7 @@
         Millis(self.now - self.agent_born)
     }
 
-    fn trouble(&mut self) {
+    fn inject_faults(&mut self) {
         if self.random.once_in(300) {
             self.end_server(false);
         }
@@ -189,7 +189,7 @@
             if let Some(server) = self
                 .server
                 .as_mut()
-                .filter(|server| server.leaves_at.is_none())
+                .filter(|server| server.shuts_down_at.is_none())
             {
                 server.draining = true;
             }
@@ -199,7 +199,7 @@
             self.end_server(true);
         }
         if self.random.once_in(500) {
-            self.leave_first();
+            self.deregister_first();
         }
         if self.random.once_in(300) {
             self.restart_agent();
@@ -221,28 +221,28 @@
             return;
         };
         if in_order {
-            self.send(Packet::Leave(server.id), 0);
+            self.send(Packet::Deregister(server.id), 0);
         }
         self.counts.server = server.counts;
         self.server_back = self.now + self.random.below(1_500);
     }
 
-    /// The server says that it leaves, at times twice, and serves on for a while.
-    fn leave_first(&mut self) {
+    /// The server deregisters, at times twice, and serves on for a while.
+    fn deregister_first(&mut self) {
         let serves_ms = self.random.below(4_000);
-        let staying = |server: &&mut Server| !server.draining && server.leaves_at.is_none();
+        let staying = |server: &&mut Server| !server.draining && server.shuts_down_at.is_none();
         let Some(server) = self.server.as_mut().filter(staying) else {
             return;
         };
-        server.leaves_at = Some(self.now + serves_ms);
+        server.shuts_down_at = Some(self.now + serves_ms);
         let id = server.id.clone();
         if self.random.once_in(2) {
             let delay = self.delay(false);
-            self.send(Packet::Leave(id.clone()), delay);
+            self.send(Packet::Deregister(id.clone()), delay);
         }
         let delay = self.delay(false);
-        self.send(Packet::Leave(id), delay);
-        self.counts.left_first += 1;
+        self.send(Packet::Deregister(id), delay);
+        self.counts.deregistered_first += 1;
     }
 
     /// The agent's process ends, with all connections, and another begins.
@@ -251,16 +251,16 @@
         let to_agent = |sent: &Sent| {
             matches!(
                 sent.packet,
-                Packet::Beat { .. } | Packet::Answer { .. } | Packet::Leave(_)
+                Packet::Heartbeat { .. } | Packet::Response { .. } | Packet::Deregister(_)
             )
         };
         self.packets.retain(|sent| !to_agent(sent));
         self.agent = new_agent();
         self.agent_born = self.now;
         self.open = None;
-        self.answered_token = FencingToken::default();
+        self.response_token = FencingToken::default();
         self.granted_until.clear();
-        self.told_to_leave.clear();
+        self.deregistered.clear();
         self.counts.agent_restarts += 1;
     }
 
@@ -288,16 +288,18 @@
         self.counts.takeovers += 1;
     }
 
-    /// The agent's driver finds an owner, in trouble at times an old one.
-    fn connect(&mut self, calm: bool) {
+    /// The agent's driver finds an owner, while faults are injected at times an old one.
+    fn connect(&mut self, fault_free: bool) {
         let newest = self.record.token;
-        if self.link.is_some_and(|link| link.token != newest) && (calm || self.random.once_in(50)) {
+        if self.link.is_some_and(|link| link.token != newest)
+            && (fault_free || self.random.once_in(50))
+        {
             self.disconnect();
         }
         if self.link.is_some() || self.now < self.cut_until || !self.random.once_in(10) {
             return;
         }
-        let old = !calm && self.random.once_in(4);
+        let old = !fault_free && self.random.once_in(4);
         let token = if old {
             newest.saturating_sub(1).max(1)
         } else {
@@ -313,7 +315,7 @@
         self.poll_agent();
     }
 
-    fn tick_server(&mut self, calm: bool) {
+    fn tick_server(&mut self, fault_free: bool) {
         if self.server.is_none() && self.now >= self.server_back {
             self.incarnations += 1;
             let counts = std::mem::take(&mut self.counts.server);
@@ -326,34 +328,34 @@
         let Some(server) = &mut self.server else {
             return;
         };
-        if calm && server.draining {
+        if fault_free && server.draining {
             return self.end_server(true);
         }
-        if server.leaves_at.is_some_and(|at| self.now >= at) {
+        if server.shuts_down_at.is_some_and(|at| self.now >= at) {
             return self.end_server(false);
         }
         let Some((sequence, body)) = server.tick(self.now) else {
             return;
         };
         let id = server.id.clone();
-        let beat = |body| Packet::Beat {
+        let heartbeat = |body| Packet::Heartbeat {
             server: id.clone(),
             sequence,
             body,
         };
-        if !calm && self.random.once_in(20) {
+        if !fault_free && self.random.once_in(20) {
             let delay = self.random.below(3_000);
-            self.send(beat(body.clone()), delay);
+            self.send(heartbeat(body.clone()), delay);
         }
-        let delay = self.delay(calm);
-        let lost = !calm && self.random.once_in(30);
+        let delay = self.delay(fault_free);
+        let lost = !fault_free && self.random.once_in(30);
         if !lost {
-            self.send(beat(body), delay);
+            self.send(heartbeat(body), delay);
         }
     }
 
-    pub fn delay(&mut self, calm: bool) -> u64 {
-        let long = !calm && self.random.once_in(30);
+    pub fn delay(&mut self, fault_free: bool) -> u64 {
+        let long = !fault_free && self.random.once_in(30);
         self.random.below(if long { 2_500 } else { 30 })
     }
 
@@ -365,24 +367,24 @@
     }
 
     fn deliver(&mut self) {
-        while let Some(place) = self
+        while let Some(state) = self
             .packets
             .iter()
             .position(|sent| sent.arrives <= self.now)
         {
-            let sent = self.packets.remove(place);
+            let sent = self.packets.remove(state);
             self.arrive(sent.packet);
         }
     }
 
     fn arrive(&mut self, packet: Packet) {
         match packet {
-            Packet::Beat {
+            Packet::Heartbeat {
                 server,
                 sequence,
                 body,
-            } => self.beat_agent(server, sequence, &body),
-            Packet::Answer {
+            } => self.heartbeat_to_agent(server, sequence, &body),
+            Packet::Response {
                 server,
                 sequence,
                 body,
@@ -391,8 +393,8 @@
                     server.answered(sequence, &body, self.now, &mut self.random);
                 }
             }
-            Packet::Leave(server) => {
-                self.told_to_leave.insert(server.clone());
+            Packet::Deregister(server) => {
+                self.deregistered.insert(server.clone());
                 self.agent.deregister(server);
                 self.poll_agent();
             }
@@ -408,47 +410,47 @@
             Packet::ToAgent {
                 connection,
                 message,
-            } => self.tell_agent(connection, message),
+            } => self.deliver_to_agent(connection, message),
         }
     }
 
-    fn beat_agent(&mut self, server: ServerId, sequence: u64, body: &str) {
+    fn heartbeat_to_agent(&mut self, server: ServerId, sequence: u64, body: &str) {
         let now = self.agent_now();
-        let beat = parse(&server.0, body.as_bytes()).expect("a heartbeat of the model");
-        self.answer_open();
-        let call = BeatCall {
+        let heartbeat = parse(&server.0, body.as_bytes()).expect("a heartbeat of the model");
+        self.respond_to_pending();
+        let call = HeartbeatCall {
             server,
             sequence,
             arrived_at: self.now,
         };
-        match self.agent.receive_heartbeat(beat, now) {
-            HeartbeatOutcome::Answered(answer) => self.send_answer(call, &answer),
+        match self.agent.receive_heartbeat(heartbeat, now) {
+            HeartbeatOutcome::Answered(answer) => self.send_response(call, &answer),
             HeartbeatOutcome::Pending(open) => {
                 let wait_ms = if self.random.once_in(3) {
                     0
                 } else {
-                    self.random.below(OPEN_MS)
+                    self.random.below(PENDING_MS)
                 };
-                self.open = Some(OpenCall {
+                self.open = Some(PendingCall {
                     open,
                     call,
                     until: self.now + wait_ms,
                     messages: 0,
                 });
-                self.answer_if_due();
+                self.respond_if_due();
             }
         }
         self.poll_agent();
     }
 
-    fn tell_agent(&mut self, connection: u64, message: OwnerMessage) {
+    fn deliver_to_agent(&mut self, connection: u64, message: OwnerMessage) {
         let until = self.agent_born + message.lease_from.0 + message.lease_ms;
         let server = message.server.clone();
         let lower = message.token < self.agent.token();
         let taken = self.agent.receive_owner_message(connection, message);
         assert!(
             !(lower && taken.is_ok()),
-            "an order under a lower token was taken"
+            "an order under a lower token was accepted"
         );
         match taken {
             Ok(()) => {
@@ -457,7 +459,7 @@
                 if let Some(open) = &mut self.open {
                     open.messages += 1;
                 }
-                self.answer_if_due();
+                self.respond_if_due();
             }
             Err(_) => self.counts.refused_messages += 1,
         }
@@ -484,15 +486,15 @@
         }
     }
 
-    fn act_owners(&mut self, calm: bool) {
-        for place in 0..self.owners.len() {
-            let owner = &mut self.owners[place];
+    fn act_owners(&mut self, fault_free: bool) {
+        for state in 0..self.owners.len() {
+            let owner = &mut self.owners[state];
             let Some((connection, message)) =
-                owner.act(&mut self.record, calm, self.now, &mut self.random)
+                owner.act(&mut self.record, fault_free, self.now, &mut self.random)
             else {
                 continue;
             };
-            assert_eq!(message.lease_ms, HOLD_MS);
+            assert_eq!(message.lease_ms, LEASE_MS);
             if self.link.is_some_and(|link| link.connection == connection) {
                 self.to_agent_free = self.to_agent_free.max(self.now + self.random.below(60));
                 let delay = self.to_agent_free - self.now;
@@ -507,16 +509,15 @@
         }
     }
 
-    /// What the record takes for ended, or knows elsewhere, must not run here.
+    /// What has ended according to the record, or runs elsewhere, must not run here.
     fn check_no_second_run(&self) {
         let Some(server) = &self.server else { return };
         for (task, entry) in &self.record.tasks {
-            let here =
-                matches!(&entry.place, Place::Assigned(incarnation) if *incarnation == server.id);
+            let here = matches!(&entry.state, TaskState::Assigned(incarnation) if *incarnation == server.id);
             assert!(
                 here || !server.runs(task),
                 "{task} runs here, but is recorded as {:?}",
-                entry.place
+                entry.state
             );
         }
     }
--- a/crates/worker-agent/tests/pending_heartbeats.rs
+++ b/crates/worker-agent/tests/pending_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats whose answers are left open until there are orders.
+//! Heartbeats whose responses wait until there are orders.
 
 mod support;
 
@@ -10,30 +10,30 @@
     Agent, HeartbeatOutcome, PendingHeartbeat, ServerHeartbeat, StopOrder,
 };
 use support::{
-    assignment, attached, beat, finished, message, ordered, reported, running, started, task,
-    AnswerAtOnce, CONNECTION, SILENT,
+    assignment, attached, finished, heartbeat_of, message, ordered, reported, running, started,
+    task, AnswerAtOnce, CONNECTION, OVERDUE,
 };
 
-/// The end of the hold that the support's messages grant.
-const HOLD_END: u64 = 3_011;
+/// The end of the lease that the support's messages grant.
+const LEASE_END: u64 = 3_011;
 
-fn leave_open(agent: &mut Agent, beat: ServerHeartbeat, now: u64) -> PendingHeartbeat {
-    match agent.receive_heartbeat(beat, Millis(now)) {
+fn receive_pending(agent: &mut Agent, heartbeat: ServerHeartbeat, now: u64) -> PendingHeartbeat {
+    match agent.receive_heartbeat(heartbeat, Millis(now)) {
         HeartbeatOutcome::Pending(open) => open,
         HeartbeatOutcome::Answered(answer) => panic!("answered at once: {answer:?}"),
     }
 }
 
-fn beat_with_run(sequence: u64) -> ServerHeartbeat {
-    let mut listed = beat("a", sequence);
+fn heartbeat_with_run(sequence: u64) -> ServerHeartbeat {
+    let mut listed = heartbeat_of("a", sequence);
     listed.heartbeat.running = vec![running(1, 1)];
     listed
 }
 
-/// An agent that holds and has no orders, and whose server runs task 1.
+/// An agent with a lease and without orders, and whose server runs task 1.
 fn without_orders() -> Agent {
     let mut agent = ordered();
-    agent.heartbeat(beat_with_run(2), Millis(30));
+    agent.heartbeat(heartbeat_with_run(2), Millis(30));
     agent
 }
 
@@ -49,21 +49,21 @@
 }
 
 #[test]
-fn the_newest_heartbeat_is_left_open() {
+fn the_newest_heartbeat_is_pending() {
     let mut agent = attached();
-    let open = leave_open(&mut agent, beat("a", 2), 100);
+    let open = receive_pending(&mut agent, heartbeat_of("a", 2), 100);
     assert_eq!(
         (open.arrived_at, open.lists_ends, open.idle),
         (Millis(100), false, true)
     );
-    let open = leave_open(&mut agent, beat_with_run(3), 200);
+    let open = receive_pending(&mut agent, heartbeat_with_run(3), 200);
     assert_eq!(
         (open.arrived_at, open.lists_ends, open.idle),
         (Millis(200), false, false)
     );
-    let mut ended = beat("a", 4);
+    let mut ended = heartbeat_of("a", 4);
     ended.heartbeat.finished = vec![finished(1, 1, 1, RunEnd::Done)];
-    let open = leave_open(&mut agent, ended, 300);
+    let open = receive_pending(&mut agent, ended, 300);
     assert_eq!(
         (open.arrived_at, open.lists_ends, open.idle),
         (Millis(300), true, false)
@@ -71,19 +71,19 @@
 }
 
 #[test]
-fn late_heartbeats_and_those_of_an_unconfirmed_life_are_answered_at_once() {
+fn late_heartbeats_and_those_of_an_unconfirmed_incarnation_are_answered_at_once() {
     let mut agent = ordered();
-    leave_open(&mut agent, beat("a", 3), 100);
+    receive_pending(&mut agent, heartbeat_of("a", 3), 100);
     for sequence in [2, 3] {
-        let receipt = agent.receive_heartbeat(beat("a", sequence), Millis(110));
+        let receipt = agent.receive_heartbeat(heartbeat_of("a", sequence), Millis(110));
         let HeartbeatOutcome::Answered(answer) = receipt else {
-            panic!("{sequence} was left open")
+            panic!("{sequence} is pending")
         };
         assert!(answer.starts.is_empty() && answer.lease_ms == 0);
     }
-    let receipt = agent.receive_heartbeat(beat("b", 1), Millis(120));
+    let receipt = agent.receive_heartbeat(heartbeat_of("b", 1), Millis(120));
     let HeartbeatOutcome::Answered(answer) = receipt else {
-        panic!("the other life was left open")
+        panic!("the other incarnation is pending")
     };
     assert!(answer.starts.is_empty() && answer.lease_ms == 0);
 }
@@ -91,7 +91,7 @@
 #[test]
 fn a_start_that_comes_meanwhile_is_an_order() {
     let mut agent = without_orders();
-    let open = leave_open(&mut agent, beat_with_run(3), 100);
+    let open = receive_pending(&mut agent, heartbeat_with_run(3), 100);
     assert!(!agent.has_orders(Millis(110)));
     deliver(&mut agent, second_message());
     assert!(agent.has_orders(Millis(120)));
@@ -104,7 +104,7 @@
 #[test]
 fn a_stop_that_comes_meanwhile_is_an_order() {
     let mut agent = without_orders();
-    let open = leave_open(&mut agent, beat_with_run(3), 100);
+    let open = receive_pending(&mut agent, heartbeat_with_run(3), 100);
     deliver(
         &mut agent,
         OwnerMessage {
@@ -137,7 +137,7 @@
 #[test]
 fn a_message_without_orders_is_no_order() {
     let mut agent = without_orders();
-    leave_open(&mut agent, beat_with_run(3), 100);
+    receive_pending(&mut agent, heartbeat_with_run(3), 100);
     deliver(&mut agent, message(2, "a", 5));
     assert!(!agent.has_orders(Millis(110)));
 }
@@ -145,9 +145,9 @@
 #[test]
 fn a_draining_server_has_no_start_to_wait_for_but_stops() {
     let mut agent = without_orders();
-    let mut draining = beat_with_run(3);
+    let mut draining = heartbeat_with_run(3);
     draining.heartbeat.draining = true;
-    let open = leave_open(&mut agent, draining, 100);
+    let open = receive_pending(&mut agent, draining, 100);
     deliver(&mut agent, second_message());
     assert!(!agent.has_orders(Millis(110)));
     deliver(
@@ -163,34 +163,34 @@
 }
 
 #[test]
-fn without_a_hold_there_is_no_start_to_wait_for() {
+fn without_a_lease_there_is_no_start_to_wait_for() {
     let mut agent = ordered();
-    leave_open(&mut agent, beat("a", 2), HOLD_END - MIN_LEASE_MS);
-    assert!(agent.has_orders(Millis(HOLD_END - MIN_LEASE_MS)));
-    assert!(!agent.has_orders(Millis(HOLD_END - MIN_LEASE_MS + 1)));
+    receive_pending(&mut agent, heartbeat_of("a", 2), LEASE_END - MIN_LEASE_MS);
+    assert!(agent.has_orders(Millis(LEASE_END - MIN_LEASE_MS)));
+    assert!(!agent.has_orders(Millis(LEASE_END - MIN_LEASE_MS + 1)));
 }
 
 #[test]
 fn without_a_server_there_are_no_orders() {
     let mut agent = ordered();
-    agent.deregister(beat("a", 1).facts.id);
+    agent.deregister(heartbeat_of("a", 1).facts.id);
     assert!(!agent.has_orders(Millis(110)));
 }
 
 #[test]
-fn the_hold_of_an_open_answer_counts_from_the_arrival() {
+fn the_lease_of_a_pending_heartbeat_counts_from_the_arrival() {
     let mut agent = ordered();
-    let open = leave_open(&mut agent, beat("a", 2), 100);
+    let open = receive_pending(&mut agent, heartbeat_of("a", 2), 100);
     assert_eq!(
         agent.respond_to_heartbeat(&open, Millis(400)).lease_ms,
-        HOLD_END - 100
+        LEASE_END - 100
     );
 }
 
 #[test]
 fn an_extension_that_comes_meanwhile_is_in_the_open_answer() {
     let mut agent = ordered();
-    let open = leave_open(&mut agent, beat("a", 2), 100);
+    let open = receive_pending(&mut agent, heartbeat_of("a", 2), 100);
     let extension = OwnerMessage {
         lease_ms: 4_000,
         ..message(2, "a", 5)
@@ -203,9 +203,9 @@
 }
 
 #[test]
-fn orders_of_an_open_answer_are_seen_with_the_next_heartbeat() {
+fn orders_of_a_pending_response_are_seen_with_the_next_heartbeat() {
     let mut agent = without_orders();
-    let open = leave_open(&mut agent, beat_with_run(3), 100);
+    let open = receive_pending(&mut agent, heartbeat_with_run(3), 100);
     deliver(&mut agent, second_message());
     // What was not answered is not seen.
     let before = agent.poll(Millis(125));
@@ -214,7 +214,7 @@
         "{before:?}"
     );
     agent.respond_to_heartbeat(&open, Millis(130));
-    leave_open(&mut agent, beat_with_run(4), 200);
+    receive_pending(&mut agent, heartbeat_with_run(4), 200);
     let messages = agent.poll(Millis(200));
     assert_eq!(
         reported(&messages).map(|heartbeat| heartbeat.orders_seen),
@@ -223,14 +223,14 @@
 }
 
 #[test]
-fn orders_that_come_after_the_answer_are_not_seen_with_the_next_heartbeat() {
+fn orders_that_come_after_the_response_are_not_seen_with_the_next_heartbeat() {
     let mut agent = without_orders();
-    let open = leave_open(&mut agent, beat_with_run(3), 100);
+    let open = receive_pending(&mut agent, heartbeat_with_run(3), 100);
     agent.respond_to_heartbeat(&open, Millis(120));
     deliver(&mut agent, second_message());
-    let mut progressed = beat_with_run(4);
+    let mut progressed = heartbeat_with_run(4);
     progressed.heartbeat.running[0].percent = 50;
-    let open = leave_open(&mut agent, progressed, 200);
+    let open = receive_pending(&mut agent, progressed, 200);
     let messages = agent.poll(Millis(200));
     assert_eq!(
         reported(&messages).map(|heartbeat| heartbeat.orders_seen),
@@ -243,13 +243,13 @@
 }
 
 #[test]
-fn orders_of_an_answer_that_was_never_given_are_not_seen() {
+fn orders_of_a_response_that_was_never_given_are_not_seen() {
     let mut agent = without_orders();
     deliver(&mut agent, second_message());
-    leave_open(&mut agent, beat_with_run(3), 100);
-    let mut progressed = beat_with_run(4);
+    receive_pending(&mut agent, heartbeat_with_run(3), 100);
+    let mut progressed = heartbeat_with_run(4);
     progressed.heartbeat.running[0].percent = 50;
-    leave_open(&mut agent, progressed, 200);
+    receive_pending(&mut agent, progressed, 200);
     let messages = agent.poll(Millis(200));
     assert_eq!(
         reported(&messages).map(|heartbeat| heartbeat.orders_seen),
@@ -258,9 +258,9 @@
 }
 
 #[test]
-fn a_server_whose_answer_is_open_is_not_silent() {
+fn a_server_whose_heartbeat_is_pending_is_not_overdue() {
     let mut agent = attached();
-    leave_open(&mut agent, beat("a", 2), 100);
+    receive_pending(&mut agent, heartbeat_of("a", 2), 100);
     agent.owner_connected(2);
     let messages = agent.poll(Millis(400));
     assert!(
@@ -270,12 +270,12 @@
 }
 
 #[test]
-fn the_next_heartbeat_is_expected_from_the_answer_on() {
+fn the_next_heartbeat_is_expected_from_the_response_on() {
     let mut agent = attached();
-    let open = leave_open(&mut agent, beat("a", 2), 100);
+    let open = receive_pending(&mut agent, heartbeat_of("a", 2), 100);
     agent.respond_to_heartbeat(&open, Millis(400));
     agent.owner_connected(2);
-    let messages = agent.poll(SILENT);
+    let messages = agent.poll(OVERDUE);
     assert!(
         matches!(messages.as_slice(), [AgentMessage::Attach { .. }]),
         "{messages:?}"
--- a/crates/worker-agent/tests/reports.rs
+++ b/crates/worker-agent/tests/reports.rs
@@ -1,4 +1,4 @@
-//! What the agent tells the owner, and when.
+//! What the agent reports to the owner, and when.
 
 mod support;
 
@@ -7,13 +7,13 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_worker_agent::{HEARTBEAT_GRACE_MS, MAX_LISTED_ENDS};
 use lupinrack_worker_agent::{PROGRESS_INTERVAL_MS, REPORT_INTERVAL_MS};
-use support::{beat, finished, ordered, reported, running, started, AnswerAtOnce, SILENT};
+use support::{finished, heartbeat_of, ordered, reported, running, started, AnswerAtOnce, OVERDUE};
 
 #[test]
 fn a_list_of_ends_that_may_be_cut_allows_no_start() {
     let mut agent = ordered();
-    agent.heartbeat(beat("a", 2), Millis(30));
-    let mut cut = beat("a", 3);
+    agent.heartbeat(heartbeat_of("a", 2), Millis(30));
+    let mut cut = heartbeat_of("a", 3);
     cut.heartbeat.finished = (0..MAX_LISTED_ENDS as u32)
         .map(|n| finished(u64::from(n) + 1, 100 + n, 1, RunEnd::Done))
         .collect();
@@ -26,11 +26,11 @@
 }
 
 #[test]
-fn orders_count_as_seen_one_heartbeat_after_their_answer() {
+fn orders_count_as_seen_one_heartbeat_after_their_response() {
     let mut agent = ordered();
-    agent.heartbeat(beat("a", 2), Millis(100));
+    agent.heartbeat(heartbeat_of("a", 2), Millis(100));
     assert_eq!(reported(&agent.poll(Millis(101))), None);
-    agent.heartbeat(beat("a", 3), Millis(200));
+    agent.heartbeat(heartbeat_of("a", 3), Millis(200));
     assert_eq!(
         reported(&agent.poll(Millis(201))).map(|heartbeat| heartbeat.orders_seen),
         Some(1)
@@ -40,8 +40,8 @@
 #[test]
 fn withheld_starts_do_not_count_as_seen() {
     let mut agent = ordered();
-    agent.heartbeat(beat("a", 2), Millis(3_500));
-    agent.heartbeat(beat("a", 3), Millis(3_600));
+    agent.heartbeat(heartbeat_of("a", 2), Millis(3_500));
+    agent.heartbeat(heartbeat_of("a", 3), Millis(3_600));
     let messages = agent.poll(Millis(3_601));
     assert_eq!(
         reported(&messages).map(|heartbeat| heartbeat.orders_seen),
@@ -50,9 +50,9 @@
 }
 
 #[test]
-fn unchanged_heartbeats_are_not_passed_on() {
+fn unchanged_heartbeats_are_not_forwarded() {
     let mut agent = ordered();
-    let mut listed = beat("a", 2);
+    let mut listed = heartbeat_of("a", 2);
     listed.heartbeat.running = vec![running(1, 1)];
     agent.heartbeat(listed.clone(), Millis(100));
     assert!(reported(&agent.poll(Millis(100))).is_some());
@@ -79,7 +79,7 @@
 #[test]
 fn progress_is_passed_on_seldom_and_checkpoints_at_once() {
     let mut agent = ordered();
-    let mut listed = beat("a", 2);
+    let mut listed = heartbeat_of("a", 2);
     listed.heartbeat.running = vec![running(1, 1)];
     agent.heartbeat(listed.clone(), Millis(100));
     agent.poll(Millis(100));
@@ -98,21 +98,23 @@
 }
 
 #[test]
-fn a_silent_server_is_not_reported() {
+fn an_overdue_server_is_not_reported() {
     let mut agent = ordered();
-    let answer = agent.heartbeat(beat("a", 2), Millis(100));
-    let silent = 100 + answer.heartbeat_after_ms + HEARTBEAT_GRACE_MS;
-    assert!(!agent.poll(Millis(silent)).is_empty());
-    assert!(agent.poll(Millis(silent + REPORT_INTERVAL_MS)).is_empty());
+    let answer = agent.heartbeat(heartbeat_of("a", 2), Millis(100));
+    let overdue_at = 100 + answer.heartbeat_after_ms + HEARTBEAT_GRACE_MS;
+    assert!(!agent.poll(Millis(overdue_at)).is_empty());
+    assert!(agent
+        .poll(Millis(overdue_at + REPORT_INTERVAL_MS))
+        .is_empty());
     assert_eq!(agent.next_poll(), None);
-    agent.heartbeat(beat("a", 3), Millis(5_000));
+    agent.heartbeat(heartbeat_of("a", 3), Millis(5_000));
     assert!(!agent.poll(Millis(5_000)).is_empty());
 }
 
 #[test]
-fn changed_facts_are_told_by_a_new_attach() {
+fn changed_facts_are_sent_by_a_new_attach() {
     let mut agent = ordered();
-    let mut changed = beat("a", 2);
+    let mut changed = heartbeat_of("a", 2);
     changed.facts.capacity.cpu += 1;
     assert_eq!(started(&agent.heartbeat(changed, Millis(100))), [(1, 1)]);
     assert!(matches!(
@@ -124,8 +126,8 @@
 #[test]
 fn numbers_of_one_session_do_not_reach_the_next() {
     let mut agent = ordered();
-    agent.heartbeat(beat("a", 2), Millis(100));
-    agent.heartbeat(beat("a", 3), Millis(200));
+    agent.heartbeat(heartbeat_of("a", 2), Millis(100));
+    agent.heartbeat(heartbeat_of("a", 3), Millis(200));
     assert_eq!(
         reported(&agent.poll(Millis(201))).map(|heartbeat| heartbeat.orders_seen),
         Some(1)
@@ -138,14 +140,14 @@
 }
 
 #[test]
-fn a_silent_server_is_not_attached() {
+fn an_overdue_server_is_not_attached() {
     let mut agent = ordered();
-    agent.heartbeat(beat("a", 2), Millis(100));
+    agent.heartbeat(heartbeat_of("a", 2), Millis(100));
     agent.owner_connected(2);
-    assert!(agent.poll(SILENT).is_empty());
-    agent.heartbeat(beat("a", 3), SILENT);
+    assert!(agent.poll(OVERDUE).is_empty());
+    agent.heartbeat(heartbeat_of("a", 3), OVERDUE);
     assert!(matches!(
-        agent.poll(SILENT).as_slice(),
+        agent.poll(OVERDUE).as_slice(),
         [AgentMessage::Attach { .. }]
     ));
 }
--- a/crates/worker-agent/tests/session_model.rs
+++ b/crates/worker-agent/tests/session_model.rs
@@ -19,14 +19,14 @@
 const ORDERS: u32 = 4;
 const RESETS: u8 = 1;
 /// How often the agent begins a session anew although no connection has ended.
-const SILENCES: u8 = 1;
+const OWNER_TIMEOUTS: u8 = 1;
 const RENEWALS: u8 = 1;
 /// Steps of the longest orders that are played.
 const DEPTH: usize = 14;
 
 /// What may be wrong, to see that the checker finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum PlantedFault {
+enum InjectedBug {
     None,
     /// A message is matched by its number alone, whatever attach it answers.
     MatchesByNumber,
@@ -62,13 +62,13 @@
     sessions: u32,
     orders: u32,
     resets: u8,
-    silences: u8,
+    owner_timeouts: u8,
     renewals: u8,
     /// The sessions of the messages that the agent took, in order.
     taken: Vec<u32>,
 }
 
-/// Two states are the same if all that they hold is written the same.
+/// Two states are the same if their debug texts are.
 impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
         format!("{self:?}") == format!("{other:?}")
@@ -88,23 +88,23 @@
     PassToOwner(usize),
     PassToAgent(usize),
     Order,
-    /// The owner's next message says everything again.
+    /// The owner's next message is complete.
     Renew,
     Reset(usize),
     SeeReset(usize),
-    /// The owner was silent for too long.
-    Silence,
+    /// The owner sent nothing for too long.
+    OwnerTimeout,
 }
 
 struct System {
-    fault: PlantedFault,
+    fault: InjectedBug,
 }
 
 fn server() -> ServerId {
     ServerId("a".to_owned())
 }
 
-fn beat() -> ServerHeartbeat {
+fn heartbeat() -> ServerHeartbeat {
     let heartbeat = Heartbeat {
         server: server(),
         sequence: 1,
@@ -139,7 +139,7 @@
 }
 
 impl State {
-    /// A server that has beaten once, beside an agent that is about to attach.
+    /// A server that has sent one heartbeat, beside an agent that is about to attach.
     fn new() -> State {
         let settings = AgentSettings {
             lease_max_ms: 6_000,
@@ -148,7 +148,7 @@
             busy_heartbeat_ms: 80,
         };
         let mut agent = Agent::new(settings);
-        agent.heartbeat(beat(), Millis(1));
+        agent.heartbeat(heartbeat(), Millis(1));
         let mut state = State {
             now: 1,
             agent,
@@ -158,7 +158,7 @@
             sessions: 0,
             orders: 0,
             resets: 0,
-            silences: 0,
+            owner_timeouts: 0,
             renewals: 0,
             taken: Vec::new(),
         };
@@ -244,9 +244,9 @@
         Some(())
     }
 
-    fn agent_takes(&mut self, link: usize, fault: PlantedFault) -> Option<()> {
+    fn agent_takes(&mut self, link: usize, fault: InjectedBug) -> Option<()> {
         let (session, mut message) = self.links[link].to_agent.pop_front()?;
-        if fault == PlantedFault::MatchesByNumber {
+        if fault == InjectedBug::MatchesByNumber {
             message.lease_from = Millis(u64::MAX);
         }
         if self
@@ -291,8 +291,8 @@
         if state.orders > 0 && state.renewals < RENEWALS {
             actions.push(Action::Renew);
         }
-        if state.silences < SILENCES {
-            actions.push(Action::Silence);
+        if state.owner_timeouts < OWNER_TIMEOUTS {
+            actions.push(Action::OwnerTimeout);
         }
     }
 
@@ -320,8 +320,8 @@
                 state.links[link].to_agent.clear();
                 state.begin_session();
             }
-            Action::Silence => {
-                state.silences += 1;
+            Action::OwnerTimeout => {
+                state.owner_timeouts += 1;
                 state.begin_session();
             }
         }
@@ -332,15 +332,15 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "no message of an earlier session is taken after a later one",
+                "no message of an earlier session is accepted after a later one",
                 |_, state: &State| state.taken.is_sorted(),
             ),
             Property::sometimes(
-                "two messages of the second session are taken",
+                "two messages of the second session are accepted",
                 |_, state: &State| state.taken.iter().filter(|session| **session == 2).count() == 2,
             ),
             Property::sometimes(
-                "a message that says everything again is taken",
+                "a complete message within a session is accepted",
                 |_, state: &State| {
                     state.renewals > 0
                         && state.taken.len() == 3
@@ -351,7 +351,7 @@
     }
 }
 
-fn check(fault: PlantedFault) -> impl Checker<System> {
+fn check(fault: InjectedBug) -> impl Checker<System> {
     System { fault }
         .checker()
         .threads(2)
@@ -362,15 +362,15 @@
 
 #[test]
 fn messages_of_an_earlier_session_are_never_taken_in_a_later_one() {
-    let checked = check(PlantedFault::None);
+    let checked = check(InjectedBug::None);
     checked.assert_properties();
     println!("{} states", checked.unique_state_count());
 }
 
 #[test]
 fn a_message_that_is_matched_by_number_alone_is_taken_in_another_session() {
-    let checked = check(PlantedFault::MatchesByNumber);
-    let path =
-        checked.assert_any_discovery("no message of an earlier session is taken after a later one");
-    assert!(path.into_actions().contains(&Action::Silence));
+    let checked = check(InjectedBug::MatchesByNumber);
+    let path = checked
+        .assert_any_discovery("no message of an earlier session is accepted after a later one");
+    assert!(path.into_actions().contains(&Action::OwnerTimeout));
 }
--- a/crates/worker-agent/tests/support/mod.rs
+++ b/crates/worker-agent/tests/support/mod.rs
@@ -65,7 +65,7 @@
     }
 }
 
-/// A message that changes nothing and grants a hold from 11 to 3011.
+/// A message that changes nothing and grants a lease from 11 to 3011.
 pub fn message(number: u64, server: &str, token: u64) -> OwnerMessage {
     OwnerMessage {
         token: FencingToken(token),
@@ -82,7 +82,7 @@
 }
 
 /// A heartbeat of a server on which nothing runs.
-pub fn beat(server: &str, sequence: u64) -> ServerHeartbeat {
+pub fn heartbeat_of(server: &str, sequence: u64) -> ServerHeartbeat {
     let id = ServerId(server.into());
     let heartbeat = Heartbeat {
         server: id.clone(),
@@ -121,16 +121,16 @@
 pub fn attached() -> Agent {
     let mut agent = Agent::new(settings());
     agent.owner_connected(CONNECTION);
-    agent.heartbeat(beat("a", 1), Millis(10));
+    agent.heartbeat(heartbeat_of("a", 1), Millis(10));
     let messages = agent.poll(Millis(11));
     assert!(matches!(messages.as_slice(), [AgentMessage::Attach { .. }]));
     agent
 }
 
-/// A moment at which an agent that `ordered` gives, or whose server has beaten at 100, takes that server for silent.
-pub const SILENT: Millis = Millis(100 + 400 + HEARTBEAT_GRACE_MS + 1);
+/// A moment at which an agent that `ordered` gives, or that received a heartbeat at 100, takes that server for overdue.
+pub const OVERDUE: Millis = Millis(100 + 400 + HEARTBEAT_GRACE_MS + 1);
 
-/// A first message that assigns task 1 and holds from 11 to 3011.
+/// A first message that assigns task 1 and grants a lease from 11 to 3011.
 pub fn first_message() -> OwnerMessage {
     OwnerMessage {
         complete: true,
@@ -139,7 +139,7 @@
     }
 }
 
-/// An agent that has been told to run task 1.
+/// An agent that was ordered to run task 1.
 pub fn ordered() -> Agent {
     let mut agent = attached();
     assert_eq!(
