--- a/crates/chain/src/chain.rs
+++ b/crates/chain/src/chain.rs
@@ -8,11 +8,11 @@
 use crate::log::{encoded_bytes, Log};
 use crate::membership::Entry;
 use crate::snapshot::{IncomingSnapshot, SharedSnapshot};
+use lupinrack_cluster_api::chain::{ChainMessage, SnapshotIdentity};
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::operation::{LogEntry, Operation};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::{ChainMessage, SnapshotIdentity};
 use std::collections::BTreeMap;
 
 /// The barrier by which a head has every member make its standing durable. Barriers for reads follow it.
--- a/crates/chain/src/effect.rs
+++ b/crates/chain/src/effect.rs
@@ -1,9 +1,9 @@
 //! What the driver is asked to do.
 
 use borsh::{BorshDeserialize, BorshSerialize};
+use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::operation::LogEntry;
-use lupinrack_cluster_api::wire::ChainMessage;
 
 /// What a disk's log is worth; kept on the disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
--- a/crates/chain/src/follower.rs
+++ b/crates/chain/src/follower.rs
@@ -4,9 +4,9 @@
 use crate::limits::{ByteLimits, RESEND_MS, SNAPSHOT_RETRY_MS, WINDOW_ENTRIES};
 use crate::log::Log;
 use crate::snapshot::{OutgoingSnapshot, SharedSnapshot};
+use lupinrack_cluster_api::chain::{ChainMessage, SnapshotIdentity};
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::{ChainMessage, SnapshotIdentity};
 
 /// What a sender tells with every `Append`, and its bounds.
 #[derive(Clone, Copy, Debug)]
--- a/crates/chain/src/limits.rs
+++ b/crates/chain/src/limits.rs
@@ -1,6 +1,6 @@
 //! Bounds and intervals of the replication.
 
-use lupinrack_cluster_api::wire::FRAME_BYTES_MOST;
+use lupinrack_cluster_api::frame::FRAME_BYTES_MOST;
 
 /// The most entries that a head has uncommitted.
 pub const UNCOMMITTED_ENTRIES_MOST: u64 = 4096;
--- a/crates/chain/src/progress.rs
+++ b/crates/chain/src/progress.rs
@@ -2,8 +2,8 @@
 
 use crate::chain::{Acknowledged, Chain, RECOVERY_BARRIER};
 use crate::effect::{Effect, ReplicaStatus};
+use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::ChainMessage;
 
 impl Chain {
     /// Everything up to `index` that was ordered to be appended is synced.
--- a/crates/chain/src/receive.rs
+++ b/crates/chain/src/receive.rs
@@ -5,10 +5,10 @@
 use crate::follower::Follower;
 use crate::limits::RESEND_MS;
 use crate::snapshot::{SnapshotChunk, Taken};
+use lupinrack_cluster_api::chain::{ChainMessage, SnapshotIdentity};
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::operation::LogEntry;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::{ChainMessage, SnapshotIdentity};
 
 /// The contents of an `Append` of this view.
 struct Append {
--- a/crates/chain/src/snapshot.rs
+++ b/crates/chain/src/snapshot.rs
@@ -4,8 +4,8 @@
 //! goes on from there after a loss, and neither a lost nor a repeated piece costs the whole transfer.
 
 use crate::limits::{JOINER_STALLED_MS, SNAPSHOT_CHUNK_BYTES};
+use lupinrack_cluster_api::chain::{ChainMessage, SnapshotIdentity};
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::{ChainMessage, SnapshotIdentity};
 use std::sync::Arc;
 
 /// A snapshot as the driver handed it over; all disks that need one share its bytes.
--- a/crates/chain/src/timer.rs
+++ b/crates/chain/src/timer.rs
@@ -6,9 +6,9 @@
 use crate::limits::{JOINER_SILENT_MS, JOIN_MS, PROBE_MS};
 use crate::log::Log;
 use crate::snapshot::SharedSnapshot;
+use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::ChainMessage;
 
 impl Chain {
     /// Repeats what was not answered, and keeps spares fed. Called about every 50 ms.
--- a/crates/chain/tests/byte_bounds.rs
+++ b/crates/chain/tests/byte_bounds.rs
@@ -5,8 +5,9 @@
 use common::{acknowledge, large_operation, messages, view, START};
 use lupinrack_chain::limits::{ByteLimits, ENTRY_BYTES_MOST};
 use lupinrack_chain::{Chain, Effect, StoredState, SubmitError};
+use lupinrack_cluster_api::chain::ChainMessage;
+use lupinrack_cluster_api::frame::{Frame, FRAME_BYTES_MOST};
 use lupinrack_cluster_api::identity::DiskId;
-use lupinrack_cluster_api::wire::{ChainMessage, Frame, FRAME_BYTES_MOST};
 
 /// Bytes of one change of the configuration.
 const CHANGE_BYTES: usize = 300_000;
--- a/crates/chain/tests/catch_up/mod.rs
+++ b/crates/chain/tests/catch_up/mod.rs
@@ -4,11 +4,11 @@
 
 use super::common::{large_operation, view};
 use lupinrack_chain::{Chain, Effect, ReplicaStatus, StoredState};
+use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::operation::LogEntry;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::ChainMessage;
 use std::collections::VecDeque;
 
 pub const HEAD: DiskId = DiskId(1);
--- a/crates/chain/tests/common/mod.rs
+++ b/crates/chain/tests/common/mod.rs
@@ -3,13 +3,13 @@
 #![allow(dead_code, reason = "each test file uses some of the helpers")]
 
 use lupinrack_chain::{Chain, Effect, ReplicaStatus, StoredState};
+use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::operation::{
     ConfigurationBody, ConfigurationChange, LogEntry, Operation,
 };
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::ChainMessage;
 use std::collections::VecDeque;
 
 pub const START: Millis = Millis(1000);
--- a/crates/chain/tests/golden.rs
+++ b/crates/chain/tests/golden.rs
@@ -11,10 +11,10 @@
 use golden::examples::{assert_file, assert_kept, to_hex};
 use lupinrack_chain::limits::SNAPSHOT_CHUNK_BYTES;
 use lupinrack_chain::{snapshot_checksum, Chain, Effect, ReplicaStatus, StoredState};
+use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange, Operation};
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::ChainMessage;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const HEAD: DiskId = DiskId(0x21);
--- a/crates/chain/tests/joining.rs
+++ b/crates/chain/tests/joining.rs
@@ -7,9 +7,9 @@
     CAUGHT_UP_MS, FEEDER_SILENT_MS, JOINER_SILENT_MS, RETAINED_ENTRIES, SNAPSHOT_CHUNK_BYTES,
 };
 use lupinrack_chain::{Chain, Effect, ReplicaStatus, StoredState};
+use lupinrack_cluster_api::chain::{ChainMessage, SnapshotIdentity};
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::{ChainMessage, SnapshotIdentity};
 
 fn join(view: u64, disk: u64, have: u64) -> ChainMessage {
     ChainMessage::Join {
--- a/crates/chain/tests/properties.rs
+++ b/crates/chain/tests/properties.rs
@@ -89,7 +89,7 @@
 
 /// An acknowledgement covers entries of the head only.
 fn is_sound(chain: &Chain, effect: &Effect) -> bool {
-    let Effect::Send(_, lupinrack_cluster_api::wire::ChainMessage::Acknowledge { synced, .. }) =
+    let Effect::Send(_, lupinrack_cluster_api::chain::ChainMessage::Acknowledge { synced, .. }) =
         effect
     else {
         return true;
--- a/crates/chain/tests/replication.rs
+++ b/crates/chain/tests/replication.rs
@@ -7,12 +7,12 @@
 };
 use lupinrack_chain::limits::{BATCH_BYTES, PROBE_MS, UNCOMMITTED_ENTRIES_MOST};
 use lupinrack_chain::{Chain, Effect, ReplicaStatus, StoredState, SubmitError};
+use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::operation::{
     ConfigurationBody, ConfigurationChange, LogEntry, Operation,
 };
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::ChainMessage;
 
 /// Disk 1 as the head of a chain of two, ready.
 fn ready_head() -> Chain {
--- a/crates/chain/tests/snapshot_pieces.rs
+++ b/crates/chain/tests/snapshot_pieces.rs
@@ -5,9 +5,9 @@
 use common::{messages, orders, view, START};
 use lupinrack_chain::limits::{ByteLimits, JOINER_STALLED_MS, SNAPSHOT_CHUNK_BYTES};
 use lupinrack_chain::{Chain, Effect, StoredState};
+use lupinrack_cluster_api::chain::{ChainMessage, SnapshotIdentity};
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::{ChainMessage, SnapshotIdentity};
 
 const TAIL: DiskId = DiskId(1);
 const SPARE: DiskId = DiskId(2);
--- a/crates/chain/tests/support/network.rs
+++ b/crates/chain/tests/support/network.rs
@@ -1,7 +1,7 @@
 //! Connections that keep order while they live, and may lose or repeat what they carry.
 
+use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::identity::DiskId;
-use lupinrack_cluster_api::wire::ChainMessage;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A message on its way.
--- a/crates/chain/tests/support/node.rs
+++ b/crates/chain/tests/support/node.rs
@@ -4,10 +4,10 @@
 use super::disk::{Disk, Snapshot, Write};
 use super::{apply, PlantedFault};
 use lupinrack_chain::{Chain, Effect};
+use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::ChainMessage;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Bytes of a snapshot, so that it takes more than one piece.
--- a/crates/chain/tests/support/world.rs
+++ b/crates/chain/tests/support/world.rs
@@ -5,10 +5,10 @@
 use super::node::{Node, Requests};
 use super::policy::Claims;
 use super::PlantedFault;
+use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::ChainMessage;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
--- a/crates/cluster-api/src/lib.rs
+++ b/crates/cluster-api/src/lib.rs
@@ -7,11 +7,14 @@
 //! under `tests/golden` show them.
 //!
 //! Start reading at [`identity`], then [`operation`] for what is replicated, [`request`] for what
-//! clients ask, and [`wire`] for everything that one process sends another.
+//! clients ask, and [`frame`] for everything that one process sends another.
 
 pub mod agent;
+pub mod agreement;
+pub mod chain;
 pub mod configuration;
 pub mod error;
+pub mod frame;
 pub mod identity;
 pub mod job;
 pub mod operation;
@@ -20,4 +23,3 @@
 pub mod server;
 pub mod time;
 pub mod view;
-pub mod wire;
--- a/crates/cluster-api/tests/golden.rs
+++ b/crates/cluster-api/tests/golden.rs
@@ -7,8 +7,11 @@
 
 use golden_values::*;
 use lupinrack_cluster_api::agent::{AgentMessage, OwnerMessage};
+use lupinrack_cluster_api::agreement::ProposalNumber;
+use lupinrack_cluster_api::chain::ReplicaReport;
 use lupinrack_cluster_api::configuration::{Configuration, Limits};
 use lupinrack_cluster_api::error::ErrorKind;
+use lupinrack_cluster_api::frame::{Interest, Role, FRAME_BYTES_MOST};
 use lupinrack_cluster_api::identity::{
     DiskId, FencingToken, JobId, QueueName, ServerId, ServiceName, TaskId,
 };
@@ -21,9 +24,6 @@
 use lupinrack_cluster_api::server::RunEnd;
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::{
-    Interest, ProposalNumber, ReplicaReport, Role, FRAME_BYTES_MOST,
-};
 use lupinrack_golden_files::{to_hex, GoldenFile};
 
 /// The file of this name.
--- a/crates/cluster-api/tests/golden_values/messages.rs
+++ b/crates/cluster-api/tests/golden_values/messages.rs
@@ -5,15 +5,14 @@
     task, view, voter,
 };
 use lupinrack_cluster_api::agent::{AgentMessage, Assignment, Heartbeat, OwnerMessage};
+use lupinrack_cluster_api::agreement::{AgreementMessage, ProposalNumber};
+use lupinrack_cluster_api::chain::{ChainMessage, ReplicaReport, SnapshotIdentity};
+use lupinrack_cluster_api::frame::{Frame, Hello, Interest, Role};
 use lupinrack_cluster_api::identity::{DiskId, FencingToken};
 use lupinrack_cluster_api::operation::LogEntry;
 use lupinrack_cluster_api::request::CallId;
 use lupinrack_cluster_api::server::{FinishedTask, RunEnd, RunningTask, ServerFacts};
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::{
-    AgreementMessage, ChainMessage, Frame, Hello, Interest, ProposalNumber, ReplicaReport, Role,
-    SnapshotIdentity,
-};
 
 pub fn server_facts() -> ServerFacts {
     ServerFacts {
--- a/crates/cluster-membership/src/live_table.rs
+++ b/crates/cluster-membership/src/live_table.rs
@@ -1,8 +1,8 @@
 //! The present members as an immutable table, and which of them serves the others of its zone.
 
+use lupinrack_cluster_api::frame::Role;
 use lupinrack_cluster_api::identity::{PeerAddress, ServiceName};
 use lupinrack_cluster_api::rendezvous::address_weight;
-use lupinrack_cluster_api::wire::Role;
 
 /// A zone has a home front only with at least so many fronts; a single one subscribes to the head itself.
 const MIN_FRONTS_FOR_HOME: usize = 2;
--- a/crates/cluster-membership/src/member_update.rs
+++ b/crates/cluster-membership/src/member_update.rs
@@ -2,8 +2,8 @@
 
 use crate::member_state::MemberState;
 use borsh::{BorshDeserialize, BorshSerialize};
+use lupinrack_cluster_api::frame::Role;
 use lupinrack_cluster_api::identity::PeerAddress;
-use lupinrack_cluster_api::wire::Role;
 use std::cmp::Ordering;
 
 /// The longest name of a zone that a datagram may carry, in bytes.
--- a/crates/cluster-membership/tests/common/mod.rs
+++ b/crates/cluster-membership/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! A simulated network of members: delays, loss, partitions, suspensions and restarts, all from one seed.
 #![allow(dead_code, reason = "every test file uses another part")]
 
+use lupinrack_cluster_api::frame::Role;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::Role;
 use lupinrack_cluster_membership::{Datagram, LiveMember, Outgoing, Swim, SwimSettings};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
--- a/crates/cluster-membership/tests/datagrams.rs
+++ b/crates/cluster-membership/tests/datagrams.rs
@@ -1,8 +1,8 @@
 //! The form of datagrams on the wire.
 
+use lupinrack_cluster_api::frame::Role;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::Role;
 use lupinrack_cluster_membership::datagram::{DatagramError, MAX_DATAGRAM_BYTES};
 use lupinrack_cluster_membership::member_update::MAX_ZONE_BYTES;
 use lupinrack_cluster_membership::{
--- a/crates/cluster-membership/tests/golden.rs
+++ b/crates/cluster-membership/tests/golden.rs
@@ -1,9 +1,9 @@
 //! Datagrams byte for byte as they are kept in `tests/golden`, so that processes of different builds understand each
 //! other. `UPDATE_GOLDEN=1` writes the files.
 
+use lupinrack_cluster_api::frame::Role;
 use lupinrack_cluster_api::identity::{PeerAddress, ServiceName};
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::Role;
 use lupinrack_cluster_membership::datagram::{DatagramError, MAX_DATAGRAM_BYTES};
 use lupinrack_cluster_membership::member_update::MAX_ZONE_BYTES;
 use lupinrack_cluster_membership::{
--- a/crates/cluster-membership/tests/live_table.rs
+++ b/crates/cluster-membership/tests/live_table.rs
@@ -1,7 +1,7 @@
 //! Homes and view sources: every process with the same table chooses the same ones.
 
+use lupinrack_cluster_api::frame::Role;
 use lupinrack_cluster_api::identity::{PeerAddress, ServiceName};
-use lupinrack_cluster_api::wire::Role;
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
 use quickcheck::quickcheck;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/cluster-membership/tests/state_machine.rs
+++ b/crates/cluster-membership/tests/state_machine.rs
@@ -1,8 +1,8 @@
 //! Rules of the state machine, one by one.
 
+use lupinrack_cluster_api::frame::Role;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::Role;
 use lupinrack_cluster_membership::{
     Datagram, LiveMember, MemberState, MemberUpdate, Message, Outgoing, Swim, SwimSettings,
 };
--- a/crates/cluster-membership/tests/update_order.rs
+++ b/crates/cluster-membership/tests/update_order.rs
@@ -1,7 +1,7 @@
 //! Which of two updates about a member overrides the other.
 
+use lupinrack_cluster_api::frame::Role;
 use lupinrack_cluster_api::identity::PeerAddress;
-use lupinrack_cluster_api::wire::Role;
 use lupinrack_cluster_membership::{MemberState, MemberUpdate};
 use std::cmp::Ordering;
 use std::net::SocketAddrV4;
--- a/crates/cluster-node/examples/measure_snapshot.rs
+++ b/crates/cluster-node/examples/measure_snapshot.rs
@@ -2,6 +2,7 @@
 //! measure_snapshot -- TASKS`.
 
 use lupinrack_chain::{Chain, Effect, StoredState};
+use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::identity::{
     DiskId, FencingToken, JobId, QueueName, ServerId, ServiceName, TaskId,
 };
@@ -11,7 +12,6 @@
 };
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::ChainMessage;
 use lupinrack_control_state::ControlState;
 use std::time::{Duration, Instant};
 
--- a/crates/cluster-node/src/core/disk.rs
+++ b/crates/cluster-node/src/core/disk.rs
@@ -1,9 +1,9 @@
 //! Writes to the disk, and what follows once they are synced.
 
+use lupinrack_cluster_api::agreement::AgreementMessage;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::AgreementMessage;
 use std::collections::BTreeMap;
 
 /// A write that is not synced after this long makes the disk unhealthy, in milliseconds.
--- a/crates/cluster-node/src/core/machine/effects.rs
+++ b/crates/cluster-node/src/core/machine/effects.rs
@@ -1,9 +1,9 @@
 //! What reaches a core process, and what it has its driver do.
 
 use crate::control_api::{ControlCall, QueryCall};
+use lupinrack_cluster_api::frame::Frame;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::{Millis, WallMillis};
-use lupinrack_cluster_api::wire::Frame;
 use lupinrack_control_store::Batch;
 
 /// Both clocks, read at once.
--- a/crates/cluster-node/src/core/machine/mod.rs
+++ b/crates/cluster-node/src/core/machine/mod.rs
@@ -30,13 +30,15 @@
 use borsh::BorshDeserialize;
 use effects::Outbox;
 use lupinrack_chain::{Chain, Effect as ChainEffect, ReplicaStatus, StoredState, SubmitError};
+use lupinrack_cluster_api::agreement::AgreementMessage;
+use lupinrack_cluster_api::chain::{ChainMessage, ReplicaReport};
 use lupinrack_cluster_api::error::ErrorKind;
+use lupinrack_cluster_api::frame::{Frame, Interest};
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::operation::{Operation, OperationResult};
 use lupinrack_cluster_api::request::{ProcessQuery, Reply, Request};
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::{AgreementMessage, ChainMessage, Frame, Interest, ReplicaReport};
 use lupinrack_control_state::JobRecord;
 use lupinrack_control_store::{Batch, Recovered};
 use lupinrack_view_agreement::{
--- a/crates/cluster-node/src/core/subscribers.rs
+++ b/crates/cluster-node/src/core/subscribers.rs
@@ -1,7 +1,7 @@
 //! Processes that asked to be told of views and configurations.
 
+use lupinrack_cluster_api::frame::Interest;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::Interest;
 use std::collections::BTreeMap;
 
 /// All subscribers, by their connection.
--- a/crates/cluster-node/src/front.rs
+++ b/crates/cluster-node/src/front.rs
@@ -13,11 +13,11 @@
 use crate::violations::ViolationLog;
 use crate::NodeError;
 use lupinrack_cluster_api::error::ErrorKind;
+use lupinrack_cluster_api::frame::{Frame, Hello, Role};
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::request::Reply;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::{Frame, Hello, Role};
 use lupinrack_cluster_json::{job_state_body, pending_body};
 use lupinrack_cluster_membership::{LiveMember, SwimSettings};
 use lupinrack_cluster_transport::http_server::{
--- a/crates/cluster-node/src/front_machine.rs
+++ b/crates/cluster-node/src/front_machine.rs
@@ -8,10 +8,10 @@
 use crate::head_client::{HeadClient, Outgoing};
 use crate::known_configuration::{ConfigurationUpdate, KnownConfiguration};
 use crate::relay::RelayedFrame;
+use lupinrack_cluster_api::frame::Frame;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::Frame;
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
 
 /// A front that was not confirmed for this long is not ready, in milliseconds.
--- a/crates/cluster-node/src/front_news.rs
+++ b/crates/cluster-node/src/front_news.rs
@@ -6,10 +6,10 @@
 use crate::known_configuration::{ConfigurationUpdate, KnownConfiguration};
 use crate::relay::{Relay, RelayedFrame, RelayedKnowledge};
 use crate::subscription::Subscription;
+use lupinrack_cluster_api::frame::Interest;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::Interest;
 use lupinrack_cluster_membership::LiveTable;
 
 /// The front subscribes again at least so often, in milliseconds.
--- a/crates/cluster-node/src/head_client.rs
+++ b/crates/cluster-node/src/head_client.rs
@@ -4,11 +4,11 @@
 
 use crate::open_calls::{CallEffect, OpenCalls};
 use lupinrack_cluster_api::error::ErrorKind;
+use lupinrack_cluster_api::frame::Frame;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::request::{CallId, Reply, Request};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::Frame;
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
 
--- a/crates/cluster-node/src/relay.rs
+++ b/crates/cluster-node/src/relay.rs
@@ -6,9 +6,9 @@
 use crate::core::Subscribers;
 use crate::known_configuration::KnownConfiguration;
 use lupinrack_cluster_api::configuration::Configuration;
+use lupinrack_cluster_api::frame::{Frame, Interest};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::{Frame, Interest};
 
 /// A configuration that was not confirmed for longer than this is not passed on, in milliseconds: subscribers that hear
 /// nothing turn to the head.
--- a/crates/cluster-node/src/side.rs
+++ b/crates/cluster-node/src/side.rs
@@ -9,9 +9,9 @@
 use crate::violations::ViolationLog;
 use crate::NodeError;
 use lupinrack_cluster_api::error::ErrorKind;
+use lupinrack_cluster_api::frame::{Hello, Role};
 use lupinrack_cluster_api::identity::{PeerAddress, ServerId, ServiceName};
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::{Hello, Role};
 use lupinrack_cluster_membership::{LiveMember, SwimSettings};
 use lupinrack_cluster_transport::http_server::{
     self, HttpLimits, HttpRequest, HttpResponse, ServerHandle,
--- a/crates/cluster-node/src/side_machine.rs
+++ b/crates/cluster-node/src/side_machine.rs
@@ -9,10 +9,10 @@
 use crate::subscription::Subscription;
 use crate::view_source::ViewSource;
 use lupinrack_cluster_api::agent::OwnerMessage;
+use lupinrack_cluster_api::frame::{Frame, Interest};
 use lupinrack_cluster_api::identity::{PeerAddress, ServerId, ServiceName};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::{Frame, Interest};
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
 use lupinrack_worker_agent::{
     Agent, AgentSettings, HeartbeatOutcome, HeartbeatResponse, PendingHeartbeat, ServerHeartbeat,
--- a/crates/cluster-node/src/subscription.rs
+++ b/crates/cluster-node/src/subscription.rs
@@ -2,10 +2,10 @@
 //! subscribed to the head.
 
 use crate::head_client::Outgoing;
+use lupinrack_cluster_api::frame::{Frame, Interest};
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::{Frame, Interest};
 
 /// Between two subscriptions while the view is known, in milliseconds.
 const KNOWN_MS: u64 = 400;
--- a/crates/cluster-node/tests/answers_over_views.rs
+++ b/crates/cluster-node/tests/answers_over_views.rs
@@ -3,13 +3,14 @@
 mod common;
 
 use common::{core, disk, view};
+use lupinrack_cluster_api::chain::ReplicaReport;
+use lupinrack_cluster_api::frame::{Frame, Hello, Role};
 use lupinrack_cluster_api::identity::{JobId, PeerAddress};
 use lupinrack_cluster_api::job::{JobSpec, Step};
 use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange};
 use lupinrack_cluster_api::request::{CallId, Reply, Request, Target};
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::{Frame, Hello, ReplicaReport, Role};
 use lupinrack_cluster_node::core::{CoreEffect, CoreEvent, CoreMachine, CoreSettings, Moment};
 use lupinrack_control_store::Recovered;
 use std::collections::VecDeque;
--- a/crates/cluster-node/tests/core_faults.rs
+++ b/crates/cluster-node/tests/core_faults.rs
@@ -1,10 +1,11 @@
 //! When a core process has to end, since what it has in memory and what is on its disk no longer agree.
 
 use lupinrack_chain::{Chain, Effect, StoredState};
+use lupinrack_cluster_api::chain::{ChainMessage, ReplicaReport};
+use lupinrack_cluster_api::frame::{Frame, Hello, Role};
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::{ChainMessage, Frame, Hello, ReplicaReport, Role};
 use lupinrack_cluster_node::core::{
     CoreEffect, CoreEvent, CoreFault, CoreMachine, CoreSettings, Moment,
 };
--- a/crates/cluster-node/tests/core_machine.rs
+++ b/crates/cluster-node/tests/core_machine.rs
@@ -1,13 +1,14 @@
 //! The core process as a state machine, driven by hand.
 
+use lupinrack_cluster_api::chain::{ChainMessage, ReplicaReport};
 use lupinrack_cluster_api::error::ErrorKind;
+use lupinrack_cluster_api::frame::{Frame, Hello, Role};
 use lupinrack_cluster_api::identity::{DiskId, JobId, PeerAddress};
 use lupinrack_cluster_api::job::{JobSpec, JobState, Step};
 use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange};
 use lupinrack_cluster_api::request::{CallId, ProcessQuery, Reply, Request, Target};
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::{ChainMessage, Frame, Hello, ReplicaReport, Role};
 use lupinrack_cluster_node::control_api::{ControlCall, QueryCall};
 use lupinrack_cluster_node::core::{CoreEffect, CoreEvent, CoreMachine, CoreSettings, Moment};
 use lupinrack_control_store::Recovered;
--- a/crates/cluster-node/tests/head_client.rs
+++ b/crates/cluster-node/tests/head_client.rs
@@ -4,11 +4,11 @@
 
 use common::{core, view};
 use lupinrack_cluster_api::error::ErrorKind;
+use lupinrack_cluster_api::frame::Frame;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::request::{CallId, Reply, Request};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::Frame;
 use lupinrack_cluster_node::head_client::{HeadClient, Outgoing};
 use quickcheck::quickcheck;
 use tokio::sync::oneshot::{channel, Receiver};
--- a/crates/cluster-node/tests/membership.rs
+++ b/crates/cluster-node/tests/membership.rs
@@ -1,7 +1,7 @@
 //! Membership over real sockets on loopback.
 
+use lupinrack_cluster_api::frame::Role;
 use lupinrack_cluster_api::identity::PeerAddress;
-use lupinrack_cluster_api::wire::Role;
 use lupinrack_cluster_membership::{LiveMember, SwimSettings};
 use lupinrack_cluster_node::clock::Clock;
 use lupinrack_cluster_node::membership::Membership;
--- a/crates/cluster-node/tests/network/mod.rs
+++ b/crates/cluster-node/tests/network/mod.rs
@@ -8,11 +8,11 @@
 
 pub mod operator;
 
+use lupinrack_cluster_api::frame::{Frame, Hello, Role};
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::request::{ProcessQuery, Reply, Request};
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::Voter;
-use lupinrack_cluster_api::wire::{Frame, Hello, Role};
 use lupinrack_cluster_node::control_api::{ControlCall, QueryCall};
 use lupinrack_cluster_node::core::{CoreEffect, CoreEvent, CoreMachine, CoreSettings, Moment};
 use lupinrack_control_store::Recovered;
--- a/crates/cluster-node/tests/news_of_the_head.rs
+++ b/crates/cluster-node/tests/news_of_the_head.rs
@@ -2,8 +2,8 @@
 
 mod network;
 
+use lupinrack_cluster_api::frame::{Frame, Interest};
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::{Frame, Interest};
 use lupinrack_cluster_node::known_configuration::{ConfigurationUpdate, KnownConfiguration};
 use network::operator::Operators;
 use network::Network;
--- a/crates/cluster-node/tests/restarted_core.rs
+++ b/crates/cluster-node/tests/restarted_core.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::{core, disk, view};
+use lupinrack_cluster_api::frame::Frame;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::request::Request;
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::Frame;
 use lupinrack_cluster_node::control_api::ControlCall;
 use lupinrack_cluster_node::core::{
     ByteLimits, CoreEffect, CoreEvent, CoreMachine, CoreSettings, Moment,
--- a/crates/cluster-node/tests/restarted_owner.rs
+++ b/crates/cluster-node/tests/restarted_owner.rs
@@ -2,6 +2,8 @@
 
 use lupinrack_chain::ReplicaStatus;
 use lupinrack_cluster_api::agent::{AgentMessage, Heartbeat, OwnerMessage};
+use lupinrack_cluster_api::chain::ChainMessage;
+use lupinrack_cluster_api::frame::{Frame, Hello, Role};
 use lupinrack_cluster_api::identity::{
     DiskId, FencingToken, JobId, PeerAddress, QueueName, ServerId, ServiceName, TaskId,
 };
@@ -13,7 +15,6 @@
 use lupinrack_cluster_api::server::{FinishedTask, RunEnd, ServerFacts};
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::{ChainMessage, Frame, Hello, Role};
 use lupinrack_cluster_node::core::{CoreEffect, CoreEvent, CoreMachine, CoreSettings, Moment};
 use lupinrack_cluster_node::owner::owner_of;
 use lupinrack_control_store::Recovered;
--- a/crates/cluster-node/tests/subscription.rs
+++ b/crates/cluster-node/tests/subscription.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{core, view};
+use lupinrack_cluster_api::frame::{Frame, Interest};
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::{Frame, Interest};
 use lupinrack_cluster_node::head_client::Outgoing;
 use lupinrack_cluster_node::subscription::Subscription;
 use quickcheck::quickcheck;
--- a/crates/cluster-node/tests/support/scripted_core.rs
+++ b/crates/cluster-node/tests/support/scripted_core.rs
@@ -3,13 +3,13 @@
 use super::process::{Addresses, CORE};
 use lupinrack_cluster_api::agent::{AgentMessage, Assignment, OwnerMessage};
 use lupinrack_cluster_api::configuration::Configuration;
+use lupinrack_cluster_api::frame::{Frame, Hello, Interest, Role};
 use lupinrack_cluster_api::identity::{
     Attempt, DiskId, FencingToken, PeerAddress, ServerId, TaskId,
 };
 use lupinrack_cluster_api::request::{Reply, Request};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::{Frame, Hello, Interest, Role};
 use lupinrack_cluster_transport::peers::{PeerEvent, PeerSettings, Peers};
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
--- a/crates/cluster-node/tests/view_source.rs
+++ b/crates/cluster-node/tests/view_source.rs
@@ -1,8 +1,8 @@
 //! Whom agents ask for views.
 
+use lupinrack_cluster_api::frame::Role;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::Role;
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
 use lupinrack_cluster_node::view_source::{ViewSource, ASK_HEAD_MS};
 use std::net::SocketAddrV4;
--- a/crates/cluster-node/tests/zone_news.rs
+++ b/crates/cluster-node/tests/zone_news.rs
@@ -2,10 +2,10 @@
 //! itself for fresher than it is.
 
 use lupinrack_cluster_api::configuration::Configuration;
+use lupinrack_cluster_api::frame::{Frame, Interest, Role};
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::{Frame, Interest, Role};
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
 use lupinrack_cluster_node::front_news::FrontNews;
 use lupinrack_cluster_node::home::HOME_SILENT_MS;
--- a/crates/cluster-simulation/src/faults/core.rs
+++ b/crates/cluster-simulation/src/faults/core.rs
@@ -5,7 +5,7 @@
 use crate::plan::{CoreChoice, CoreTrouble, CutDirection, CATCH_UP_MS, GRACE_MS};
 use crate::troubles::{Ending, Lure};
 use crate::world::World;
-use lupinrack_cluster_api::wire::Role;
+use lupinrack_cluster_api::frame::Role;
 
 /// How many times as long a slow disk takes.
 const DISK_SLOW_FACTOR: u64 = 30;
--- a/crates/cluster-simulation/src/front.rs
+++ b/crates/cluster-simulation/src/front.rs
@@ -2,11 +2,11 @@
 
 use crate::plan::GRACE_MS;
 use lupinrack_cluster_api::error::ErrorKind;
+use lupinrack_cluster_api::frame::Frame;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::request::{Reply, Request, Target};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::Frame;
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
 use lupinrack_cluster_node::control_api::ControlCall;
 use lupinrack_cluster_node::front_machine::{
--- a/crates/cluster-simulation/src/network.rs
+++ b/crates/cluster-simulation/src/network.rs
@@ -1,6 +1,6 @@
 //! Connections between machines: frames in order, delays, cuts, resets.
 
-use lupinrack_cluster_api::wire::Frame;
+use lupinrack_cluster_api::frame::Frame;
 use std::collections::{BTreeMap, VecDeque};
 
 /// A connection whose frames are not acknowledged for this long is closed by their sender, in milliseconds.
--- a/crates/cluster-simulation/src/planting.rs
+++ b/crates/cluster-simulation/src/planting.rs
@@ -3,12 +3,13 @@
 use crate::machine::{address_of, ProcessEvent};
 use crate::planted::{LateAnswer, PlantedFault};
 use crate::world::World;
+use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::configuration::Configuration;
+use lupinrack_cluster_api::frame::Frame;
 use lupinrack_cluster_api::identity::{DiskId, FencingToken};
 use lupinrack_cluster_api::operation::Operation;
 use lupinrack_cluster_api::request::CallId;
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::{ChainMessage, Frame};
 use lupinrack_control_state::{
     AcceptedChanges, AgentBindings, ConfigurationDocument, JobTable, ShardTable,
 };
--- a/crates/cluster-simulation/src/side.rs
+++ b/crates/cluster-simulation/src/side.rs
@@ -1,8 +1,8 @@
 //! The process beside a server, without its sockets: the machine of the real one.
 
+use lupinrack_cluster_api::frame::Frame;
 use lupinrack_cluster_api::identity::{PeerAddress, ServerId};
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::Frame;
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
 use lupinrack_cluster_node::side_machine::{SideEffect, SideMachine};
 use lupinrack_worker_agent::{AgentSettings, ServerHeartbeat};
--- a/crates/cluster-transport/src/peers/accept.rs
+++ b/crates/cluster-transport/src/peers/accept.rs
@@ -2,7 +2,7 @@
 
 use super::codec::FrameReader;
 use super::{tasks, Shared};
-use lupinrack_cluster_api::wire::{Frame, Hello, FRAME_BYTES_MOST};
+use lupinrack_cluster_api::frame::{Frame, Hello, FRAME_BYTES_MOST};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::tcp::OwnedReadHalf;
--- a/crates/cluster-transport/src/peers/codec.rs
+++ b/crates/cluster-transport/src/peers/codec.rs
@@ -1,7 +1,7 @@
 //! Frames as bytes: a length of four bytes, little-endian, and the `borsh` form.
 
 use bytes::{Buf, BytesMut};
-use lupinrack_cluster_api::wire::{Frame, FRAME_BYTES_MOST};
+use lupinrack_cluster_api::frame::{Frame, FRAME_BYTES_MOST};
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
--- a/crates/cluster-transport/src/peers/connection.rs
+++ b/crates/cluster-transport/src/peers/connection.rs
@@ -1,8 +1,8 @@
 //! One connection: what is to be written to it, and its end.
 
 use super::codec::{self, FrameError};
+use lupinrack_cluster_api::frame::Frame;
 use lupinrack_cluster_api::identity::PeerAddress;
-use lupinrack_cluster_api::wire::Frame;
 use std::sync::{Mutex, MutexGuard, OnceLock, PoisonError};
 use tokio::sync::futures::Notified;
 use tokio::sync::Notify;
--- a/crates/cluster-transport/src/peers/dial.rs
+++ b/crates/cluster-transport/src/peers/dial.rs
@@ -2,8 +2,8 @@
 
 use super::codec::FrameReader;
 use super::{tasks, Shared};
+use lupinrack_cluster_api::frame::FRAME_BYTES_MOST;
 use lupinrack_cluster_api::identity::PeerAddress;
-use lupinrack_cluster_api::wire::FRAME_BYTES_MOST;
 use std::io;
 use std::sync::{Arc, PoisonError};
 use std::time::Duration;
--- a/crates/cluster-transport/src/peers/mod.rs
+++ b/crates/cluster-transport/src/peers/mod.rs
@@ -16,8 +16,8 @@
 pub use settings::PeerSettings;
 
 use crate::listen;
+use lupinrack_cluster_api::frame::{Frame, Hello, Role};
 use lupinrack_cluster_api::identity::PeerAddress;
-use lupinrack_cluster_api::wire::{Frame, Hello, Role};
 use std::borrow::Borrow;
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
--- a/crates/cluster-transport/src/peers/tasks.rs
+++ b/crates/cluster-transport/src/peers/tasks.rs
@@ -3,7 +3,7 @@
 use super::codec::FrameReader;
 use super::connection::Connection;
 use super::{PeerEvent, Shared};
-use lupinrack_cluster_api::wire::{Frame, Hello, Role};
+use lupinrack_cluster_api::frame::{Frame, Hello, Role};
 use std::pin::pin;
 use std::sync::Arc;
 use tokio::io::AsyncWriteExt;
--- a/crates/cluster-transport/tests/golden/frames.rs
+++ b/crates/cluster-transport/tests/golden/frames.rs
@@ -2,10 +2,11 @@
 
 use super::examples::assert_hex;
 use super::sockets::{accepted, listener, read_frame, version_4, within, ANY};
+use lupinrack_cluster_api::chain::ReplicaReport;
+use lupinrack_cluster_api::frame::{Frame, Hello, Role};
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::request::{CallId, Reply, Request};
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::{Frame, Hello, ReplicaReport, Role};
 use lupinrack_cluster_transport::listen::bind_once;
 use lupinrack_cluster_transport::peers::{PeerEvent, PeerSettings, Peers};
 use std::collections::BTreeMap;
--- a/crates/cluster-transport/tests/peers/answers.rs
+++ b/crates/cluster-transport/tests/peers/answers.rs
@@ -4,8 +4,8 @@
 use crate::support::{
     call_id, encoded, plain_peer, process, process_at, request, within, Process, ANY,
 };
+use lupinrack_cluster_api::frame::Frame;
 use lupinrack_cluster_api::request::Reply;
-use lupinrack_cluster_api::wire::Frame;
 use lupinrack_cluster_transport::peers::{PeerEvent, PeerSettings};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/cluster-transport/tests/peers/bounds.rs
+++ b/crates/cluster-transport/tests/peers/bounds.rs
@@ -1,8 +1,8 @@
 //! Bounds on frames, queues and connections.
 
 use crate::support::{large, plain_peer, process, process_with, read_frame, request, within, ANY};
+use lupinrack_cluster_api::frame::{Frame, FRAME_BYTES_MOST};
 use lupinrack_cluster_api::identity::PeerAddress;
-use lupinrack_cluster_api::wire::{Frame, FRAME_BYTES_MOST};
 use lupinrack_cluster_transport::peers::{PeerSettings, SendOutcome};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
--- a/crates/cluster-transport/tests/peers/connections.rs
+++ b/crates/cluster-transport/tests/peers/connections.rs
@@ -1,8 +1,8 @@
 //! Opening, using, replacing and closing connections.
 
 use crate::support::{encoded, plain_peer, process, process_at, read_frame, request, within, ANY};
+use lupinrack_cluster_api::frame::Frame;
 use lupinrack_cluster_api::identity::PeerAddress;
-use lupinrack_cluster_api::wire::Frame;
 use lupinrack_cluster_transport::peers::{PeerEvent, PeerSettings, SendOutcome};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/cluster-transport/tests/peers/properties.rs
+++ b/crates/cluster-transport/tests/peers/properties.rs
@@ -1,7 +1,7 @@
 //! Properties of what a connection makes of any bytes.
 
 use crate::support::{encoded, large, plain_peer, process, request, Process};
-use lupinrack_cluster_api::wire::Frame;
+use lupinrack_cluster_api::frame::Frame;
 use lupinrack_cluster_transport::peers::PeerEvent;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::future::Future;
--- a/crates/cluster-transport/tests/peers/protocol.rs
+++ b/crates/cluster-transport/tests/peers/protocol.rs
@@ -1,8 +1,8 @@
 //! What breaks the protocol, and how connections end.
 
 use crate::support::{encoded, hello, plain_peer, process, request, within, ANY};
+use lupinrack_cluster_api::frame::{Frame, FRAME_BYTES_MOST};
 use lupinrack_cluster_api::identity::PeerAddress;
-use lupinrack_cluster_api::wire::{Frame, FRAME_BYTES_MOST};
 use lupinrack_cluster_transport::peers::PeerEvent;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/cluster-transport/tests/peers/support.rs
+++ b/crates/cluster-transport/tests/peers/support.rs
@@ -1,8 +1,8 @@
 //! What the tests of internal connections share.
 
+use lupinrack_cluster_api::frame::{Frame, Hello, Role};
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::request::{CallId, Reply, Request};
-use lupinrack_cluster_api::wire::{Frame, Hello, Role};
 use lupinrack_cluster_transport::peers::{PeerEvent, PeerSettings, Peers};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
--- a/crates/control-store/tests/golden.rs
+++ b/crates/control-store/tests/golden.rs
@@ -8,6 +8,7 @@
 use golden_rows::{read_rows, write_rows, Key, Row};
 use golden_sparse::{read_sparse, write_sparse};
 use lupinrack_chain::ReplicaStatus;
+use lupinrack_cluster_api::agreement::Ballot;
 use lupinrack_cluster_api::identity::{
     DiskId, FencingToken, JobId, PeerAddress, QueueName, ServerId, ServiceName, TaskId,
 };
@@ -18,7 +19,6 @@
 use lupinrack_cluster_api::server::RunEnd;
 use lupinrack_cluster_api::time::WallMillis;
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::Ballot;
 use lupinrack_control_store::{Batch, ControlStore, Recovered, StoreSettings, DATA_FILE, NEW_FILE};
 use lupinrack_golden_files::{is_update, to_hex, GoldenFile};
 use lupinrack_view_agreement::VoteState;
--- a/crates/view-agreement/src/acceptor.rs
+++ b/crates/view-agreement/src/acceptor.rs
@@ -1,8 +1,8 @@
 //! The acceptor's side: which ballots and views a disk may answer, and how.
 
 use crate::vote::VoteState;
+use lupinrack_cluster_api::agreement::{AgreementMessage, ProposalNumber};
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::{AgreementMessage, ProposalNumber};
 
 /// The answer to a proposer.
 #[derive(Debug, PartialEq, Eq)]
--- a/crates/view-agreement/src/agreement.rs
+++ b/crates/view-agreement/src/agreement.rs
@@ -6,10 +6,10 @@
 use crate::proposal::{Phase, Promises, Proposal, Timers};
 use crate::quorum::{is_well_formed, Responders};
 use crate::vote::VoteState;
+use lupinrack_cluster_api::agreement::{AgreementMessage, ProposalNumber};
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::{AgreementMessage, ProposalNumber};
 use std::collections::BTreeSet;
 
 /// Ballots that a proposal runs before it is dropped, unless it is proposed again.
--- a/crates/view-agreement/src/effect.rs
+++ b/crates/view-agreement/src/effect.rs
@@ -1,9 +1,9 @@
 //! What the driver of an [`Agreement`](crate::Agreement) has to do.
 
 use crate::vote::VoteState;
+use lupinrack_cluster_api::agreement::AgreementMessage;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::AgreementMessage;
 
 /// One thing to do. Messages to the process's own address are handed back to
 /// [`Agreement::receive`](crate::Agreement::receive).
--- a/crates/view-agreement/src/policy/peers.rs
+++ b/crates/view-agreement/src/policy/peers.rs
@@ -1,10 +1,10 @@
 //! What was heard from each core process, and when.
 
 use super::PolicySettings;
+use lupinrack_cluster_api::chain::ReplicaReport;
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::Voter;
-use lupinrack_cluster_api::wire::ReplicaReport;
 use std::collections::BTreeMap;
 
 /// How long, in milliseconds, a process has to be there before it is made a voter.
--- a/crates/view-agreement/src/proposal.rs
+++ b/crates/view-agreement/src/proposal.rs
@@ -1,10 +1,10 @@
 //! The proposer's side: one proposal, and the ballot that it runs.
 
 use crate::quorum::Responders;
+use lupinrack_cluster_api::agreement::ProposalNumber;
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::ProposalNumber;
 
 /// How long a ballot may take, in milliseconds, before another is tried.
 const BALLOT_TIMEOUT_MS: u64 = 400;
--- a/crates/view-agreement/src/vote.rs
+++ b/crates/view-agreement/src/vote.rs
@@ -1,9 +1,9 @@
 //! What a voter's disk keeps of the agreement.
 
 use borsh::{BorshDeserialize, BorshSerialize};
+use lupinrack_cluster_api::agreement::ProposalNumber;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::ProposalNumber;
 
 /// The durable state of a voter. It is written and synced whole, before anything that depends on it is sent.
 ///
--- a/crates/view-agreement/tests/agreement.rs
+++ b/crates/view-agreement/tests/agreement.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{address, disk, view, voter};
+use lupinrack_cluster_api::agreement::{AgreementMessage, ProposalNumber};
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::{AgreementMessage, ProposalNumber};
 use lupinrack_view_agreement::{Agreement, Effect, VoteState};
 
 const START: Millis = Millis(1000);
--- a/crates/view-agreement/tests/golden.rs
+++ b/crates/view-agreement/tests/golden.rs
@@ -8,9 +8,9 @@
 
 use common::{address, disk, view, voter};
 use golden::examples::assert_kept;
+use lupinrack_cluster_api::agreement::{AgreementMessage, ProposalNumber};
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::{AgreementMessage, ProposalNumber};
 use lupinrack_view_agreement::{Agreement, Effect, VoteState};
 use std::collections::{BTreeSet, VecDeque};
 
--- a/crates/view-agreement/tests/model/system.rs
+++ b/crates/view-agreement/tests/model/system.rs
@@ -1,10 +1,10 @@
 //! Processes and messages, as the model checker explores them.
 
 use crate::common::{address, voter};
+use lupinrack_cluster_api::agreement::AgreementMessage;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::AgreementMessage;
 use lupinrack_view_agreement::{Agreement, Effect, VoteState};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/crates/view-agreement/tests/policy/identity.rs
+++ b/crates/view-agreement/tests/policy/identity.rs
@@ -2,9 +2,9 @@
 
 use crate::common::{address, disk, view, voter};
 use crate::watch::Watch;
+use lupinrack_cluster_api::chain::ReplicaReport;
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::view::Voter;
-use lupinrack_cluster_api::wire::ReplicaReport;
 use lupinrack_view_agreement::policy::DuplicateDisk;
 use lupinrack_view_agreement::PeerReport;
 
--- a/crates/view-agreement/tests/policy/tolerance.rs
+++ b/crates/view-agreement/tests/policy/tolerance.rs
@@ -5,10 +5,10 @@
 
 use crate::common::{address, disk, voter, voters};
 use crate::watch::Watch;
+use lupinrack_cluster_api::agreement::AgreementMessage;
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::AgreementMessage;
 use lupinrack_view_agreement::{Agreement, Effect, VoteState};
 
 /// How many losses at once each number of voters bears.
--- a/crates/view-agreement/tests/policy/watch.rs
+++ b/crates/view-agreement/tests/policy/watch.rs
@@ -1,9 +1,9 @@
 //! A policy at one machine, driven by heartbeats that a test makes up.
 
 use crate::common::{address, disk, voter};
+use lupinrack_cluster_api::chain::ReplicaReport;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::ReplicaReport;
 use lupinrack_view_agreement::{PeerReport, PolicySettings, ViewPolicy};
 use std::collections::BTreeMap;
 
--- a/crates/view-agreement/tests/properties.rs
+++ b/crates/view-agreement/tests/properties.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{address, disk, view, voter};
+use lupinrack_cluster_api::agreement::{AgreementMessage, ProposalNumber};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::{AgreementMessage, ProposalNumber};
 use lupinrack_view_agreement::{Agreement, Effect, VoteState};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
--- a/crates/view-agreement/tests/simulation/machine.rs
+++ b/crates/view-agreement/tests/simulation/machine.rs
@@ -1,9 +1,9 @@
 //! A simulated machine: its disk, and the process that runs on it.
 
+use lupinrack_cluster_api::agreement::AgreementMessage;
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::Voter;
-use lupinrack_cluster_api::wire::AgreementMessage;
 use lupinrack_view_agreement::{Agreement, PolicySettings, ViewPolicy, VoteState};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
--- a/crates/view-agreement/tests/simulation/world.rs
+++ b/crates/view-agreement/tests/simulation/world.rs
@@ -4,10 +4,11 @@
 use crate::links::Links;
 use crate::machine::{address, Machine, Write};
 use fastrand::Rng;
+use lupinrack_cluster_api::agreement::{AgreementMessage, ProposalNumber};
+use lupinrack_cluster_api::chain::ReplicaReport;
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::{AgreementMessage, ProposalNumber, ReplicaReport};
 use lupinrack_view_agreement::{Effect, PeerReport};
 use std::collections::BTreeMap;
 
