--- a/crates/cluster-node/src/front/machine.rs
+++ b/crates/cluster-node/src/front/machine.rs
@@ -11,7 +11,6 @@
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::Frame;
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
 
 /// A front that was not confirmed for this long is not ready, in milliseconds.
--- a/crates/view-agreement/src/policy/peer_report.rs
+++ b/crates/view-agreement/src/policy/peer_report.rs
@@ -1,7 +1,7 @@
 //! What a heartbeat says.
 
+use lupinrack_cluster_api::chain::ReplicaReport;
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
-use lupinrack_cluster_api::wire::ReplicaReport;
 
 /// The contents of a heartbeat, beside who sent it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/view-agreement/src/proposal.rs
+++ b/crates/view-agreement/src/proposal.rs
@@ -1,10 +1,10 @@
 //! One proposal: the view that is wanted, and how far its current attempt has come.
 
 use crate::quorum::Responders;
+use lupinrack_cluster_api::agreement::ProposalNumber;
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::ProposalNumber;
 
 /// How long an attempt may take, in milliseconds, before another one is made.
 const ATTEMPT_TIMEOUT_MS: u64 = 400;
--- a/crates/view-agreement/src/proposer.rs
+++ b/crates/view-agreement/src/proposer.rs
@@ -4,10 +4,10 @@
 use crate::electorate::Electorate;
 use crate::proposal::{Phase, PrepareResponses, Proposal, Timers};
 use crate::quorum::Responders;
+use lupinrack_cluster_api::agreement::{AgreementMessage, ProposalNumber};
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::{AgreementMessage, ProposalNumber};
 
 /// Attempts after which a proposal is dropped unless its view is asked for again.
 const ATTEMPTS_MOST: u32 = 5;
--- a/crates/view-agreement/src/vote.rs
+++ b/crates/view-agreement/src/vote.rs
@@ -2,9 +2,9 @@
 
 use crate::electorate::Electorate;
 use borsh::{BorshDeserialize, BorshSerialize};
+use lupinrack_cluster_api::agreement::ProposalNumber;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::ProposalNumber;
 
 /// The durable state of an acceptor. It is written and synced as a whole before any message that
 /// depends on it is sent.
