--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimator.rs
@@ -1,7 +1,7 @@
 //! When runs are expected to end.
 
-use crate::durations::Durations;
-use crate::runs::Run;
+use crate::history::durations::Durations;
+use crate::runs::table::Run;
 use crate::settings::SchedulerSettings;
 use lupinrack_cluster_api::time::Millis;
 
--- a/crates/scheduler/src/draining.rs
+++ b/crates/scheduler/src/eviction/draining.rs
@@ -1,10 +1,10 @@
 //! Servers that are about to leave: what would not end there in time is moved.
 
-use crate::estimates::rest_ms;
-use crate::runs::{Run, StopReason};
+use crate::estimator::rest_ms;
+use crate::eviction::unclaimed::Spare;
+use crate::runs::table::{Run, StopReason};
 use crate::scheduler::Scheduler;
-use crate::servers::Server;
-use crate::spare::Spare;
+use crate::servers::table::Server;
 use lupinrack_cluster_api::identity::{ServerId, TaskId};
 use lupinrack_cluster_api::time::Millis;
 
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/eviction/preemption.rs
@@ -1,11 +1,11 @@
 //! Preemption: room is made for the most urgent work where less urgent work can continue later from a checkpoint.
 
-use crate::capacity::{difference, fits, sum};
-use crate::estimates::rest_ms;
-use crate::placement::Demand;
-use crate::runs::{Run, StopReason};
+use crate::estimator::rest_ms;
+use crate::eviction::unclaimed::Spare;
+use crate::placement::planner::Demand;
+use crate::resources::{difference, fits, sum};
+use crate::runs::table::{Run, StopReason};
 use crate::scheduler::Scheduler;
-use crate::spare::Spare;
 use lupinrack_cluster_api::identity::{ServerId, TaskId};
 use lupinrack_cluster_api::job::Resources;
 use lupinrack_cluster_api::time::Millis;
--- a/crates/scheduler/src/stalls.rs
+++ b/crates/scheduler/src/eviction/stalled.rs
@@ -1,7 +1,7 @@
 //! Runs that stand still, or that their server never began.
 
-use crate::estimates::total_ms;
-use crate::runs::{Run, StopReason};
+use crate::estimator::total_ms;
+use crate::runs::table::{Run, StopReason};
 use crate::scheduler::Scheduler;
 use lupinrack_cluster_api::identity::TaskId;
 use lupinrack_cluster_api::time::Millis;
--- a/crates/scheduler/src/spare.rs
+++ b/crates/scheduler/src/eviction/unclaimed.rs
@@ -1,7 +1,7 @@
 //! What is left of the servers after a placement, to see where work could move.
 
-use crate::capacity::{difference, fits, sum};
-use crate::rows::Row;
+use crate::placement::candidate::Row;
+use crate::resources::{difference, fits, sum};
 use lupinrack_cluster_api::identity::ServerId;
 use lupinrack_cluster_api::job::Resources;
 
--- a/crates/scheduler/src/heartbeats.rs
+++ b/crates/scheduler/src/heartbeats.rs
@@ -1,9 +1,9 @@
 //! Reading of heartbeats: progress, ends, runs that no record asks for, and proofs that a stopped run never runs.
 
-use crate::lapses::InferredEndReason;
-use crate::runs::{Run, RunPhase, StopReason};
+use crate::inferred_end::InferredEndReason;
+use crate::runs::table::{Run, RunPhase, StopReason};
 use crate::scheduler::Scheduler;
-use crate::servers::{ForeignRun, Server, UnreadHeartbeat};
+use crate::servers::table::{ForeignRun, Server, UnreadHeartbeat};
 use lupinrack_cluster_api::agent::Heartbeat;
 use lupinrack_cluster_api::identity::{Attempt, ServerId, TaskId};
 use lupinrack_cluster_api::job::Resources;
--- a/crates/scheduler/src/lapses.rs
+++ b/crates/scheduler/src/inferred_end.rs
@@ -1,7 +1,7 @@
 //! Runs that are over without their server's word: lives that ended, holds that ran out, starts that nobody was told of;
 //! and the runs that a new owner finds in the record.
 
-use crate::runs::{Run, RunPhase, RunTraits};
+use crate::runs::table::{Run, RunPhase, RunTraits};
 use crate::scheduler::Scheduler;
 use lupinrack_cluster_api::identity::{Attempt, JobId, ServerId, TaskId};
 use lupinrack_cluster_api::operation::{EndRecord, StartRecord};
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -17,34 +17,25 @@
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
 
-pub mod capacity;
-mod draining;
-mod durations;
-mod ends;
-mod estimates;
-mod evidence;
-mod gangs;
-mod headroom;
+mod estimator;
+mod eviction;
 mod heartbeats;
+mod history;
+mod inferred_end;
 mod jobs;
-mod lapses;
 mod orders;
 mod placement;
 mod places;
-mod preemption;
-mod queueing;
-mod rows;
+mod queues;
+mod resources;
 mod runs;
 mod scheduler;
 mod servers;
 mod settings;
-mod singles;
-mod spare;
-mod stalls;
 mod submissions;
 mod summary;
 
-pub use lapses::{InferredEnd, InferredEndReason};
+pub use inferred_end::{InferredEnd, InferredEndReason};
 pub use scheduler::{AgentOrder, Round, Scheduler};
 pub use settings::SchedulerSettings;
 pub use summary::{ServerSummary, ServiceSummary, WaitingSummary};
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -1,10 +1,10 @@
 //! Messages to agents: what should run, what should not, which ends are kept, and how long the server may hold.
 
-use crate::estimates::rest_ms;
+use crate::estimator::rest_ms;
 use crate::heartbeats::is_assigned;
-use crate::runs::{Run, RunPhase, SentIn};
+use crate::runs::table::{Run, RunPhase, SentIn};
 use crate::scheduler::{AgentOrder, Scheduler};
-use crate::servers::Session;
+use crate::servers::table::Session;
 use lupinrack_cluster_api::agent::{Assignment, OwnerMessage};
 use lupinrack_cluster_api::identity::{Attempt, ServerId, TaskId};
 use lupinrack_cluster_api::time::Millis;
--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/placement/candidate.rs
@@ -1,9 +1,9 @@
 //! The servers as a round of placement sees them.
 
-use crate::capacity::{copies, difference, dominant_share, fits, sum};
-use crate::estimates::rest_ms;
+use crate::estimator::rest_ms;
+use crate::resources::{copies, difference, dominant_share, fits, sum};
 use crate::scheduler::Scheduler;
-use crate::servers::{rack_of, Server};
+use crate::servers::table::{rack_of, Server};
 use lupinrack_cluster_api::identity::ServerId;
 use lupinrack_cluster_api::job::Resources;
 use lupinrack_cluster_api::server::ServerFacts;
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/placement/gang.rs
@@ -1,8 +1,8 @@
 //! Gangs: steps whose tasks start all at once or not at all.
 
-use crate::placement::{Candidates, Demand, Placer};
-use crate::queueing::task_record;
-use crate::rows::{whole_copies, Share};
+use crate::placement::candidate::{whole_copies, Share};
+use crate::placement::planner::{Candidates, Demand, Placer};
+use crate::queues::task_queues::task_record;
 use lupinrack_cluster_api::identity::{Attempt, TaskId};
 use lupinrack_cluster_api::operation::StartRecord;
 use std::collections::BTreeMap;
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/placement/headroom.rs
@@ -3,9 +3,9 @@
 //! Urgent tasks are short and come all the time; when few of them run for a moment, longer work must not take all that
 //! they left. What urgent work used at its recent peak stays free for it, up to a part of all capacity.
 
-use crate::capacity::times;
-use crate::rows::Row;
-use crate::runs::RunLedger;
+use crate::placement::candidate::Row;
+use crate::resources::times;
+use crate::runs::table::RunLedger;
 use lupinrack_cluster_api::job::Resources;
 use lupinrack_cluster_api::time::Millis;
 
--- a/crates/scheduler/src/singles.rs
+++ b/crates/scheduler/src/placement/single.rs
@@ -1,9 +1,9 @@
 //! Single tasks: on which server each is placed, or that it is to wait.
 
-use crate::capacity::{dominant_share, fits};
-use crate::placement::{Candidates, Demand, Placer};
-use crate::queueing::task_record;
-use crate::rows::{earliest, Row, Wanted};
+use crate::placement::candidate::{earliest, Row, Wanted};
+use crate::placement::planner::{Candidates, Demand, Placer};
+use crate::queues::task_queues::task_record;
+use crate::resources::{dominant_share, fits};
 use lupinrack_cluster_api::identity::TaskId;
 use lupinrack_cluster_api::time::Millis;
 
--- a/crates/scheduler/src/places.rs
+++ b/crates/scheduler/src/places.rs
@@ -6,7 +6,7 @@
 //! Heartbeats may be late, so a life that attaches is not always the later one: the record tells which of two was met
 //! first, and only a life that nobody has met before is later than all that were.
 
-use crate::lapses::InferredEndReason;
+use crate::inferred_end::InferredEndReason;
 use crate::scheduler::Scheduler;
 use lupinrack_cluster_api::identity::{PeerAddress, ServerId};
 use lupinrack_control_state::ControlState;
--- /dev/null
+++ b/crates/scheduler/src/queues.rs
@@ -0,0 +1,3 @@
+//! The queues of the servers.
+
+pub(crate) mod task_queues;
--- a/crates/scheduler/src/queueing.rs
+++ b/crates/scheduler/src/queues/task_queues.rs
@@ -1,11 +1,11 @@
 //! The queues of tasks that were placed on a server, and their release in the order of their tags.
 
-use crate::capacity::{difference, dominant_share, fits};
-use crate::estimates::NEVER_MS;
-use crate::headroom::Headroom;
-use crate::placement::Placer;
-use crate::rows::{QueuedRoom, Row};
-use crate::runs::{Run, RunTraits};
+use crate::estimator::NEVER_MS;
+use crate::placement::candidate::{QueuedRoom, Row};
+use crate::placement::headroom::Headroom;
+use crate::placement::planner::Placer;
+use crate::resources::{difference, dominant_share, fits};
+use crate::runs::table::{Run, RunTraits};
 use crate::scheduler::Scheduler;
 use lupinrack_cluster_api::identity::{JobId, ServerId, TaskId};
 use lupinrack_cluster_api::operation::StartRecord;
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,13 +1,13 @@
 //! The scheduler of one service: its state, and what happens in a round.
 
-use crate::durations::Durations;
-use crate::evidence::Evidence;
-use crate::headroom::UrgentUse;
-use crate::jobs::{JobBoard, JobView};
-use crate::lapses::{InferredEnd, InferredEndReason};
-use crate::queueing::QueuedTask;
-use crate::runs::{Run, RunLedger, RunPhase, RunTraits, StopReason};
-use crate::servers::{Attachment, ReportTimes, ServerTable};
+use crate::history::durations::Durations;
+use crate::history::faults::Evidence;
+use crate::inferred_end::{InferredEnd, InferredEndReason};
+use crate::jobs::plan::{JobBoard, JobView};
+use crate::placement::headroom::UrgentUse;
+use crate::queues::task_queues::QueuedTask;
+use crate::runs::table::{Run, RunLedger, RunPhase, RunTraits, StopReason};
+use crate::servers::table::{Attachment, ReportTimes, ServerTable};
 use crate::settings::SchedulerSettings;
 use crate::submissions::Submissions;
 use lupinrack_cluster_api::agent::{AgentMessage, Heartbeat, OwnerMessage};
--- a/crates/scheduler/src/summary.rs
+++ b/crates/scheduler/src/summary.rs
@@ -1,6 +1,6 @@
 //! What a scheduler tells operators of its servers and queues.
 
-use crate::capacity::{difference, sum};
+use crate::resources::{difference, sum};
 use crate::scheduler::Scheduler;
 use lupinrack_cluster_api::job::Resources;
 use lupinrack_cluster_api::time::Millis;
@@ -62,7 +62,7 @@
         let suspects = self.evidence.suspects(&ids, now);
         let summary = |(id, server): (
             &lupinrack_cluster_api::identity::ServerId,
-            &crate::servers::Server,
+            &crate::servers::table::Server,
         )| {
             let mut runs = BTreeMap::new();
             let mut stopping = 0;
