--- /dev/null
+++ b/crates/cluster-membership/src/membership_list.rs
@@ -0,0 +1,208 @@
+//! The membership list: what this process knows of the other members.
+//!
+//! The list alone decides whether an update overrides what is known, and owns the suspicions. The state machine reads it
+//! and passes on what changed.
+
+use crate::member_state::MemberState;
+use crate::member_update::MemberUpdate;
+use crate::suspicion::{Suspicion, SuspicionRule};
+use lupinrack_cluster_api::identity::PeerAddress;
+use lupinrack_cluster_api::rendezvous::{address_weight, mix};
+use lupinrack_cluster_api::time::Millis;
+use std::cmp::Ordering;
+use std::collections::BTreeMap;
+use std::ops::Bound;
+
+/// The largest number of members that are remembered, so that forged updates cannot fill the memory.
+const MAX_MEMBERS: usize = 16_384;
+
+/// One member.
+#[derive(Clone, Debug, PartialEq, Eq)]
+struct Member {
+    update: MemberUpdate,
+    /// When it entered its state.
+    since: Millis,
+    /// Present while its state is [`MemberState::Suspect`].
+    suspicion: Option<Suspicion>,
+}
+
+/// What an update changed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ListChange {
+    /// Nothing: the update was known, or older than what is known.
+    Unchanged,
+    /// The update is to be disseminated, and changes nothing in who is present.
+    Details,
+    /// A member appeared, disappeared, or was replaced by another process at its address.
+    Presence,
+}
+
+/// All other members, also dead ones and those that left until they are forgotten.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct MembershipList {
+    members: BTreeMap<PeerAddress, Member>,
+    present_count: usize,
+    digest: u64,
+}
+
+impl MembershipList {
+    pub(crate) fn get(&self, address: PeerAddress) -> Option<&MemberUpdate> {
+        self.members.get(&address).map(|member| &member.update)
+    }
+
+    pub(crate) fn is_present(&self, address: PeerAddress) -> bool {
+        self.get(address)
+            .is_some_and(|update| update.state.is_present())
+    }
+
+    /// How many members are present.
+    pub(crate) fn present_count(&self) -> usize {
+        self.present_count
+    }
+
+    /// A digest of the members that are present, equal at all processes that have the same ones, in whatever order they
+    /// learned of them.
+    pub(crate) fn digest(&self) -> u64 {
+        self.digest
+    }
+
+    /// All members, by address.
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &MemberUpdate> {
+        self.members.values().map(|member| &member.update)
+    }
+
+    pub(crate) fn present(&self) -> impl Iterator<Item = &MemberUpdate> {
+        self.iter().filter(|update| update.state.is_present())
+    }
+
+    pub(crate) fn alive(&self) -> impl Iterator<Item = &MemberUpdate> {
+        self.iter()
+            .filter(|update| update.state == MemberState::Alive)
+    }
+
+    pub(crate) fn suspects(&self) -> impl Iterator<Item = &MemberUpdate> {
+        self.iter()
+            .filter(|update| matches!(update.state, MemberState::Suspect { .. }))
+    }
+
+    pub(crate) fn absent(&self) -> impl Iterator<Item = &MemberUpdate> {
+        self.iter().filter(|update| !update.state.is_present())
+    }
+
+    /// Members at higher addresses than this, by address; all where there is none.
+    pub(crate) fn after(
+        &self,
+        address: Option<PeerAddress>,
+    ) -> impl Iterator<Item = &MemberUpdate> {
+        let start = address.map_or(Bound::Unbounded, Bound::Excluded);
+        self.members
+            .range((start, Bound::Unbounded))
+            .map(|(_, member)| &member.update)
+    }
+
+    /// Applies an update about another member if it overrides what is known.
+    ///
+    /// The end of an unknown member changes nothing: it was forgotten, and its update would be disseminated for ever.
+    pub(crate) fn apply(
+        &mut self,
+        update: &MemberUpdate,
+        max_confirmations: usize,
+        now: Millis,
+    ) -> ListChange {
+        let Some(member) = self.members.get_mut(&update.address) else {
+            return self.apply_to_unknown(update, now);
+        };
+        match update.compare_version(&member.update) {
+            Ordering::Less => ListChange::Unchanged,
+            Ordering::Equal => member.confirm(update, max_confirmations),
+            Ordering::Greater => {
+                let before = presence_digest(&member.update);
+                self.put(update, now);
+                if before == presence_digest(update) {
+                    ListChange::Details
+                } else {
+                    ListChange::Presence
+                }
+            }
+        }
+    }
+
+    /// Members whose suspicion has timed out, as updates of their death.
+    pub(crate) fn expired_suspects(&self, rule: SuspicionRule, now: Millis) -> Vec<MemberUpdate> {
+        let has_expired = |suspicion: &Suspicion| suspicion.has_expired(rule, now);
+        self.members
+            .values()
+            .filter(|member| member.suspicion.as_ref().is_some_and(has_expired))
+            .map(|member| MemberUpdate {
+                state: MemberState::Dead,
+                ..member.update.clone()
+            })
+            .collect()
+    }
+
+    /// Removes members that have been absent for long enough.
+    pub(crate) fn forget_absent(&mut self, forget_after_ms: u64, now: Millis) {
+        self.members.retain(|_, member| {
+            member.update.state.is_present() || now.since(member.since) < forget_after_ms
+        });
+    }
+
+    /// This process was suspended for so many milliseconds, in which no refutation could reach it.
+    pub(crate) fn extend_suspicions(&mut self, milliseconds: u64) {
+        for member in self.members.values_mut() {
+            if let Some(suspicion) = &mut member.suspicion {
+                suspicion.extend(milliseconds);
+            }
+        }
+    }
+
+    fn apply_to_unknown(&mut self, update: &MemberUpdate, now: Millis) -> ListChange {
+        if !update.state.is_present() || self.members.len() >= MAX_MEMBERS {
+            return ListChange::Unchanged;
+        }
+        self.put(update, now);
+        ListChange::Presence
+    }
+
+    fn put(&mut self, update: &MemberUpdate, now: Millis) {
+        let suspicion = match update.state {
+            MemberState::Suspect { by } => Some(Suspicion::new(by, now)),
+            _ => None,
+        };
+        let member = Member {
+            update: update.clone(),
+            since: now,
+            suspicion,
+        };
+        self.digest ^= presence_digest(update);
+        self.present_count += usize::from(update.state.is_present());
+        if let Some(replaced) = self.members.insert(update.address, member) {
+            self.digest ^= presence_digest(&replaced.update);
+            self.present_count -= usize::from(replaced.update.state.is_present());
+        }
+    }
+}
+
+impl Member {
+    /// Applies an update of the same version: it may confirm a suspicion.
+    fn confirm(&mut self, update: &MemberUpdate, max_confirmations: usize) -> ListChange {
+        let (Some(suspicion), MemberState::Suspect { by }) = (&mut self.suspicion, update.state)
+        else {
+            return ListChange::Unchanged;
+        };
+        if suspicion.confirm(by, max_confirmations) {
+            ListChange::Details
+        } else {
+            ListChange::Unchanged
+        }
+    }
+}
+
+/// What a member adds to the digest of those that are present: nothing where it is not.
+pub(crate) fn presence_digest(update: &MemberUpdate) -> u64 {
+    if update.state.is_present() {
+        address_weight(&[], update.address) ^ mix(update.process_incarnation)
+    } else {
+        0
+    }
+}
--- a/crates/cluster-node/src/core/machine/calls.rs
+++ b/crates/cluster-node/src/core/machine/calls.rs
@@ -9,7 +9,7 @@
             self.answer(call.caller, Reply::NotHead(view), now);
             return;
         }
-        if !self.chain.ready() {
+        if !self.chain.is_ready() {
             self.waiting.defer(call);
             return;
         }
@@ -20,13 +20,13 @@
     /// Has jobs dropped that ended long ago; the record stays bounded by what is open and what ended lately.
     pub(super) fn forget_jobs(&mut self, now: Millis) {
         let due = now.since(self.last_forgetting) >= FORGET_EVERY_MS;
-        if !due || !self.chain.is_head() || !self.chain.ready() {
+        if !due || !self.chain.is_head() || !self.chain.is_ready() {
             return;
         }
         self.last_forgetting = now;
         let ended_before = WallMillis(self.moment.wall.0.saturating_sub(self.remember_ms));
         let is_old = |job: &JobRecord| job.ended_at.is_some_and(|ended_at| ended_at < ended_before);
-        if self.replica.state.jobs.values().any(is_old) {
+        if self.replica.state.jobs().values().any(is_old) {
             self.submit(Operation::ForgetJobs { ended_before }, now);
         }
     }
