--- a/crates/lupinrack/tests/golden.rs
+++ b/crates/lupinrack/tests/golden.rs
@@ -4,7 +4,7 @@
 //! `UPDATE_GOLDEN=1` writes the files anew.
 
 use clap::ValueEnum as _;
-use lupinrack::commands::ask::Call;
+use lupinrack::commands::admin::Call;
 use lupinrack_fleet_driver::Report;
 use lupinrack_golden_files::{check_folder, check_text, is_update};
 use lupinrack_write_back::file::Folder;
--- a/crates/scheduler/src/draining.rs
+++ b/crates/scheduler/src/eviction/draining.rs
@@ -1,10 +1,10 @@
 //! Servers that are about to leave: what would not end there in time is moved.
 
-use crate::estimates::rest_ms;
-use crate::runs::{Run, StopReason};
+use crate::estimator::rest_ms;
+use crate::eviction::unclaimed::Spare;
+use crate::runs::table::{Run, StopReason};
 use crate::scheduler::Scheduler;
-use crate::servers::Server;
-use crate::spare::Spare;
+use crate::servers::table::Server;
 use lupinrack_cluster_api::identity::{ServerId, TaskId};
 use lupinrack_cluster_api::time::Millis;
 
@@ -98,7 +98,7 @@
         if rest <= left_ms {
             return Move::Stay;
         }
-        let last_call = left_ms <= self.settings.stop_ms + STOP_DELAY_MS;
+        let last_call = left_ms <= self.settings.max_stop_ms + STOP_DELAY_MS;
         let hopeless = rest.saturating_mul(100) > left_ms.saturating_mul(GIVE_UP_PERCENT);
         match (run.traits.checkpoints, hopeless) {
             (true, _) if last_call => Move::Now,
--- a/crates/scheduler/src/spare.rs
+++ b/crates/scheduler/src/eviction/unclaimed.rs
@@ -1,7 +1,7 @@
 //! What is left of the servers after a placement, to see where work could move.
 
-use crate::capacity::{difference, fits, sum};
-use crate::rows::Row;
+use crate::placement::candidate::Row;
+use crate::resources::{difference, fits, sum};
 use lupinrack_cluster_api::identity::ServerId;
 use lupinrack_cluster_api::job::Resources;
 
@@ -47,7 +47,7 @@
     /// Claims room on a server with this label; tells whether there was any. Suspected servers have none.
     pub fn claim(&mut self, needs: &Resources, requires: &str) -> bool {
         let found = self.rows.iter_mut().find(|spare| {
-            !spare.row.suspect && spare.row.has_label(requires) && fits(needs, &spare.left)
+            !spare.row.suspected && spare.row.has_label(requires) && fits(needs, &spare.left)
         });
         match found {
             Some(spare) => {
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -1,10 +1,10 @@
 //! Messages to agents: what should run, what should not, which ends are kept, and how long the server may hold.
 
-use crate::estimates::rest_ms;
+use crate::estimator::rest_ms;
 use crate::heartbeats::is_assigned;
-use crate::runs::{Run, RunPhase, SentIn};
+use crate::runs::table::{Run, RunPhase, SentIn};
 use crate::scheduler::{AgentOrder, Scheduler};
-use crate::servers::Session;
+use crate::servers::table::Session;
 use lupinrack_cluster_api::agent::{Assignment, OwnerMessage};
 use lupinrack_cluster_api::identity::{Attempt, ServerId, TaskId};
 use lupinrack_cluster_api::time::Millis;
@@ -155,7 +155,7 @@
             run.running_since.is_none()
                 || run.stop.is_some()
                 || run.ended
-                || rest_ms(run, &self.durations, settings, now) <= settings.soon_ms
+                || rest_ms(run, &self.durations, settings, now) <= settings.ending_soon_ms
         };
         let ends_pending = self
             .servers
@@ -166,7 +166,7 @@
         } else if self
             .jobs
             .newest_at()
-            .is_some_and(|at| now.since(at) <= settings.active_ms)
+            .is_some_and(|at| now.since(at) <= settings.recent_job_ms)
         {
             settings.active_heartbeat_ms
         } else {
@@ -191,8 +191,7 @@
 /// The order to start a run; none where the record does not ask for it any longer.
 fn assignment(state: &ControlState, run: &Run) -> Option<Assignment> {
     let job = state
-        .jobs
-        .get(&run.task.job)
+        .job(run.task.job)
         .filter(|job| !job.state.is_final())?;
     if !is_assigned(state, &run.server, run.task, run.attempt) {
         return None;
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/placement/gang.rs
@@ -1,8 +1,8 @@
 //! Gangs: steps whose tasks start all at once or not at all.
 
-use crate::placement::{Candidates, Demand, Placer};
-use crate::queueing::task_record;
-use crate::rows::{whole_copies, Share};
+use crate::placement::candidate::{whole_copies, Share};
+use crate::placement::planner::{Candidates, Demand, Placer};
+use crate::queues::task_queues::task_record;
 use lupinrack_cluster_api::identity::{Attempt, TaskId};
 use lupinrack_cluster_api::operation::StartRecord;
 use std::collections::BTreeMap;
@@ -38,7 +38,7 @@
     /// anywhere.
     fn gang_sets(&self, demand: &Demand<'_>, tasks: &[TaskId]) -> Vec<Candidates> {
         let allowed = self.reliable(demand, tasks);
-        let far = self.settings.far_factor;
+        let far = self.settings.remote_factor;
         let mut sets = Vec::new();
         if demand.step.same_rack {
             let mut racks: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
--- /dev/null
+++ b/crates/view-agreement/src/policy/failure_detector.rs
@@ -0,0 +1,275 @@
+//! The failure detector: which core processes are alive, by their heartbeats.
+
+use super::peer::Peer;
+use super::peer_report::{DuplicateDisk, PeerReport};
+use super::PolicySettings;
+use lupinrack_cluster_api::chain::ReplicaReport;
+use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
+use lupinrack_cluster_api::time::Millis;
+use lupinrack_cluster_api::view::Voter;
+use std::collections::BTreeMap;
+
+/// How long, in milliseconds, a process has to be present before it is made a voter.
+const STABLE_AFTER_MS: u64 = 500;
+/// How many heartbeat intervals may pass between two calls before this process concludes that it
+/// was the one that stalled.
+const STALL_HEARTBEATS: u64 = 2;
+
+/// Everything known of the core processes that ever sent a heartbeat, by address.
+#[derive(Clone, Debug)]
+pub(super) struct FailureDetector {
+    settings: PolicySettings,
+    peers: BTreeMap<PeerAddress, Peer>,
+    /// When the first call came.
+    started: Option<Millis>,
+    /// When time was last advanced.
+    last_advance: Millis,
+}
+
+impl FailureDetector {
+    /// A failure detector that has received nothing.
+    pub(super) fn new(settings: PolicySettings) -> FailureDetector {
+        FailureDetector {
+            settings,
+            peers: BTreeMap::new(),
+            started: None,
+            last_advance: Millis(0),
+        }
+    }
+
+    /// Receives a heartbeat.
+    ///
+    /// # Errors
+    ///
+    /// If it claims a disk that is alive at another address.
+    pub(super) fn receive_heartbeat(
+        &mut self,
+        voter: Voter,
+        report: PeerReport,
+        now: Millis,
+    ) -> Result<(), DuplicateDisk> {
+        self.check_disk(voter.disk, voter.address, now)?;
+        self.record(voter, report, now);
+        Ok(())
+    }
+
+    /// Checks that no process at another address is alive with this disk.
+    ///
+    /// # Errors
+    ///
+    /// If there is one.
+    pub(super) fn check_disk(
+        &self,
+        disk: DiskId,
+        address: PeerAddress,
+        now: Millis,
+    ) -> Result<(), DuplicateDisk> {
+        let is_other = |peer: &&Peer| peer.has_disk(disk) && peer.voter.address != address;
+        let mut others = self.peers.values().filter(is_other);
+        match others.find(|peer| !self.has_timed_out(peer, now)) {
+            Some(other) => Err(DuplicateDisk {
+                disk,
+                known_at: other.voter.address,
+            }),
+            None => Ok(()),
+        }
+    }
+
+    fn record(&mut self, voter: Voter, report: PeerReport, now: Millis) {
+        self.started.get_or_insert(now);
+        let before = self.peer(&voter);
+        let is_same = |peer: &&Peer| {
+            !self.has_timed_out(peer, now) && peer.report.incarnation == report.incarnation
+        };
+        let present_since = before
+            .filter(is_same)
+            .map_or(now, |peer| peer.present_since);
+        let unhealthy_before = before.and_then(|peer| peer.unhealthy_since);
+        let unhealthy_since = (!report.disk_healthy).then_some(unhealthy_before.unwrap_or(now));
+        let address = voter.address;
+        let peer = Peer {
+            voter,
+            report,
+            present_since,
+            last_heartbeat: now,
+            unhealthy_since,
+            connection_reset: false,
+        };
+        self.peers.insert(address, peer);
+    }
+
+    /// Notes that a connection from this address was reset.
+    pub(super) fn connection_reset(&mut self, address: PeerAddress) {
+        if let Some(peer) = self.peers.get_mut(&address) {
+            peer.connection_reset = true;
+        }
+    }
+
+    /// Advances time. Time during which this process stalled does not count against the others.
+    pub(super) fn advance(&mut self, me: &Voter, now: Millis) {
+        let started = *self.started.get_or_insert(now);
+        let gap_ms = now.since(self.last_advance.max(started));
+        if gap_ms > STALL_HEARTBEATS * self.settings.heartbeat_ms {
+            self.exclude_stall(gap_ms, now);
+        }
+        self.last_advance = now;
+        self.record_self(me, now);
+    }
+
+    fn exclude_stall(&mut self, gap_ms: u64, now: Millis) {
+        for peer in self.peers.values_mut() {
+            peer.last_heartbeat = peer.last_heartbeat.plus(gap_ms).min(now);
+        }
+    }
+
+    /// Notes that this process is alive. Its last report stays as it was: in a newer view its
+    /// replica may be in another state.
+    fn record_self(&mut self, me: &Voter, now: Millis) {
+        let unknown = PeerReport {
+            incarnation: 0,
+            view_number: 0,
+            disk_healthy: true,
+            draining: false,
+            replica: ReplicaReport::default(),
+        };
+        let report = self.peer(me).map_or(unknown, |peer| peer.report);
+        self.record(me.clone(), report, now);
+    }
+
+    /// For how long, in milliseconds, heartbeats have been watched.
+    pub(super) fn watched_ms(&self, now: Millis) -> u64 {
+        self.started.map_or(0, |started| now.since(started))
+    }
+
+    /// Whether heartbeats of this disk's process come in time.
+    pub(super) fn is_alive(&self, voter: &Voter, now: Millis) -> bool {
+        self.peer(voter)
+            .is_some_and(|peer| !self.has_timed_out(peer, now))
+    }
+
+    /// Whether this disk's process counts as lost. One that never sent a heartbeat counts as lost
+    /// once this process has watched for long enough, or at once if its address has another disk.
+    pub(super) fn is_lost(&self, voter: &Voter, now: Millis) -> bool {
+        let timeout_ms = self.settings.suspect_after_ms;
+        match self.peer(voter) {
+            Some(peer) => self.has_timed_out(peer, now),
+            None => self.is_replaced(voter, now) || self.watched_ms(now) >= timeout_ms,
+        }
+    }
+
+    /// For how long, in milliseconds, no heartbeat of this disk has come.
+    pub(super) fn since_heartbeat_ms(&self, voter: &Voter, now: Millis) -> u64 {
+        let peer = self.peer(voter);
+        peer.map_or(self.watched_ms(now), |peer| now.since(peer.last_heartbeat))
+    }
+
+    /// Whether this disk is healthy by the last heartbeat of its process.
+    pub(super) fn has_healthy_disk(&self, voter: &Voter) -> bool {
+        self.peer(voter).is_some_and(Peer::has_healthy_disk)
+    }
+
+    /// Whether this disk's process shuts down, by its last heartbeat.
+    pub(super) fn is_draining(&self, voter: &Voter) -> bool {
+        self.peer(voter).is_some_and(|peer| peer.report.draining)
+    }
+
+    /// For how long, in milliseconds, this disk has been reported as unhealthy.
+    pub(super) fn unhealthy_ms(&self, voter: &Voter, now: Millis) -> u64 {
+        let since = self.peer(voter).and_then(|peer| peer.unhealthy_since);
+        since.map_or(0, |since| now.since(since))
+    }
+
+    /// Whether this disk could join the chain of this view at once.
+    pub(super) fn could_join(&self, voter: &Voter, view_number: u64, now: Millis) -> bool {
+        let is_ready = |peer: &Peer| {
+            let replica = peer.replica_in(view_number);
+            replica.is_some_and(|replica| replica.caught_up) && !peer.report.draining
+        };
+        self.is_alive(voter, now)
+            && self.has_healthy_disk(voter)
+            && self.peer(voter).is_some_and(is_ready)
+    }
+
+    /// Whether this disk holds everything that was committed before this view; none if its process
+    /// has not reported in this view yet.
+    pub(super) fn is_complete(&self, voter: &Voter, view_number: u64) -> Option<bool> {
+        let replica = self.peer(voter)?.replica_in(view_number)?;
+        Some(replica.complete)
+    }
+
+    /// Whether this disk's process, the head, cannot continue in this view.
+    pub(super) fn needs_view(&self, voter: &Voter, view_number: u64) -> bool {
+        let replica = self
+            .peer(voter)
+            .and_then(|peer| peer.replica_in(view_number));
+        replica.is_some_and(|replica| replica.needs_view)
+    }
+
+    /// The disk of the process at an address.
+    pub(super) fn disk_at(&self, address: PeerAddress) -> Option<DiskId> {
+        self.peers.get(&address).map(|peer| peer.voter.disk)
+    }
+
+    /// The address of a disk's process.
+    pub(super) fn address_of(&self, disk: DiskId) -> Option<PeerAddress> {
+        let peer = self.peers.values().find(|peer| peer.has_disk(disk))?;
+        Some(peer.voter.address)
+    }
+
+    /// The other disk at this voter's address, if it could become a voter.
+    pub(super) fn replacement(
+        &self,
+        voter: &Voter,
+        view_number: u64,
+        now: Millis,
+    ) -> Option<&Voter> {
+        let peer = self.peers.get(&voter.address)?;
+        let usable = !peer.has_disk(voter.disk) && self.is_stable(peer, view_number, now);
+        usable.then_some(&peer.voter)
+    }
+
+    /// All disks that could become voters of the view after this one, or stay such.
+    pub(super) fn candidates(&self, view_number: u64, now: Millis) -> impl Iterator<Item = &Voter> {
+        let usable = move |peer: &&Peer| self.is_stable(peer, view_number, now);
+        self.peers.values().filter(usable).map(|peer| &peer.voter)
+    }
+
+    /// The founders that are alive with a healthy disk, in the order of their disks.
+    pub(super) fn founders_present(&self, founders: &[PeerAddress], now: Millis) -> Vec<Voter> {
+        let is_present = |peer: &&Peer| {
+            founders.contains(&peer.voter.address)
+                && !self.has_timed_out(peer, now)
+                && peer.has_healthy_disk()
+                && !peer.report.draining
+        };
+        let present = self.peers.values().filter(is_present);
+        let mut voters: Vec<Voter> = present.map(|peer| peer.voter.clone()).collect();
+        voters.sort_by_key(|voter| voter.disk);
+        voters
+    }
+
+    /// Whether another disk's process is alive at this voter's address.
+    pub(super) fn is_replaced(&self, voter: &Voter, now: Millis) -> bool {
+        let at_address = self.peers.get(&voter.address);
+        at_address.is_some_and(|peer| !peer.has_disk(voter.disk) && !self.has_timed_out(peer, now))
+    }
+
+    /// Whether a process has been present for long enough, knows this view, and will stay.
+    fn is_stable(&self, peer: &Peer, view_number: u64, now: Millis) -> bool {
+        let is_present =
+            !self.has_timed_out(peer, now) && now.since(peer.present_since) >= STABLE_AFTER_MS;
+        let stays = peer.has_healthy_disk() && !peer.report.draining;
+        is_present && stays && peer.report.view_number == view_number
+    }
+
+    fn has_timed_out(&self, peer: &Peer, now: Millis) -> bool {
+        peer.has_timed_out(self.settings.suspect_after_ms, now)
+    }
+
+    /// What is known of this disk's process at this address.
+    fn peer(&self, voter: &Voter) -> Option<&Peer> {
+        self.peers
+            .get(&voter.address)
+            .filter(|peer| peer.has_disk(voter.disk))
+    }
+}
--- a/crates/view-agreement/tests/golden.rs
+++ b/crates/view-agreement/tests/golden.rs
@@ -4,9 +4,9 @@
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use common::{address, disk, view, voter};
+use lupinrack_cluster_api::agreement::{AgreementMessage, ProposalNumber};
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::{AgreementMessage, ProposalNumber};
 use lupinrack_golden_files::{path, GoldenFile};
 use lupinrack_view_agreement::{Agreement, Effect, VoteState};
 use std::collections::{BTreeSet, VecDeque};
