--- a/crates/control-store/tests/golden.rs
+++ b/crates/control-store/tests/golden.rs
@@ -8,7 +8,7 @@
 use golden_rows::{read_rows, write_rows, Key, Row};
 use golden_sparse::{read_sparse, write_sparse};
 use lupinrack_chain::ReplicaStatus;
-use lupinrack_cluster_api::agreement::Ballot;
+use lupinrack_cluster_api::agreement::ProposalNumber;
 use lupinrack_cluster_api::identity::{
     DiskId, FencingToken, JobId, PeerAddress, QueueName, ServerId, ServiceName, TaskId,
 };
