--- a/crates/control-store/src/medium.rs
+++ b/crates/control-store/src/directory.rs
@@ -1,6 +1,6 @@
 //! Where files live: a folder on a disk, or a simulated disk.
 
-use crate::file::DiskFile;
+use crate::growth_synced_file::DiskFile;
 use redb::StorageBackend;
 use std::fmt::Debug;
 use std::fs::{self, File, OpenOptions};
--- a/crates/control-store/src/lib.rs
+++ b/crates/control-store/src/lib.rs
@@ -22,16 +22,16 @@
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
 
 mod batch;
+mod directory;
 mod error;
-mod file;
-mod medium;
-mod rows;
+mod growth_synced_file;
+mod row_writer;
 pub mod simulated;
 mod store;
 mod writer;
 
 pub use batch::{Batch, LogBounds, Misfit};
+pub use directory::{Folder, Medium};
 pub use error::StoreError;
-pub use medium::{Folder, Medium};
 pub use store::{ControlStore, Recovered, StoreSettings, DATA_FILE, NEW_FILE};
 pub use writer::{RetryPauses, WriteOutcome, Writer, WriterHandle};
--- a/crates/control-store/src/simulated.rs
+++ b/crates/control-store/src/simulated/mod.rs
@@ -6,7 +6,7 @@
 
 mod file_state;
 
-use crate::medium::Medium;
+use crate::directory::Medium;
 use file_state::{Change, FileState, Random};
 use redb::StorageBackend;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/control-store/src/store.rs
+++ b/crates/control-store/src/store.rs
@@ -1,10 +1,10 @@
 //! The store itself: opening, committing, opening again after an error.
 
 use crate::batch::{Batch, LogBounds};
+use crate::directory::{Folder, Medium};
 use crate::error::{damaged, of_redb, StoreError};
-use crate::file::{GrowthSynced, SyncFailure};
-use crate::medium::{Folder, Medium};
-use crate::rows;
+use crate::growth_synced_file::{GrowthSynced, SyncFailure};
+use crate::row_writer as rows;
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::operation::LogEntry;
 use redb::{Builder, Database, StorageBackend};
