--- a/crates/cluster-node/src/core/process.rs
+++ b/crates/cluster-node/src/core/process.rs
@@ -11,7 +11,7 @@
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_membership::{LiveMember, SwimSettings};
 use lupinrack_cluster_transport::peers::{PeerEvent, PeerSettings, Peers};
-use lupinrack_control_store::{ControlStore, StoreSettings, WriteOutcome, Writer, WriterHandle};
+use lupinrack_control_store::{ControlStore, StoreSettings, WriteOutcome, Writer};
 use lupinrack_node_settings::{MachineLimits, NodeSettings};
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -27,7 +27,7 @@
     clock: Clock,
     machine: CoreMachine,
     peers: Peers,
-    writer: WriterHandle,
+    writer: Writer,
     violations: ViolationLog,
 }
 
@@ -174,10 +174,10 @@
             spdlog::warn!("the disk refused a write: {error}");
             self.receive(CoreEvent::WriteFailed);
         }
-        if !outcome.tickets_refused.is_empty() {
+        if !outcome.rejected.is_empty() {
             self.receive(CoreEvent::WriteRefused);
         }
-        self.receive(CoreEvent::Synced(outcome.tickets_done));
+        self.receive(CoreEvent::Synced(outcome.synced));
     }
 
     /// Ends when a round of the schedulers that something has asked for may be run.
@@ -204,7 +204,8 @@
                 self.peers.send_on(connection, frame);
             }
             CoreEffect::Write { ticket, batch } => {
-                self.writer.write(ticket, batch);
+                // The thread ends only by a panic, which is reported where it happens.
+                let _ = self.writer.write(ticket, batch);
             }
         }
     }
--- a/crates/cluster-node/tests/byte_bounds.rs
+++ b/crates/cluster-node/tests/byte_bounds.rs
@@ -11,7 +11,7 @@
     ByteLimits, CoreEffect, CoreEvent, CoreMachine, CoreSettings, Moment,
 };
 use lupinrack_control_store::simulated::SimulatedDisk;
-use lupinrack_control_store::{ControlStore, Medium, StoreSettings, DATA_FILE};
+use lupinrack_control_store::{ControlStore, Directory, StoreSettings, DATA_FILE};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
 use tokio::sync::oneshot;
@@ -52,7 +52,7 @@
     fn new() -> Alone {
         let disk = SimulatedDisk::new();
         let (store, mut recovered) =
-            ControlStore::open_on(Arc::new(disk.clone()), StoreSettings::default()).expect("opens");
+            ControlStore::open_in(Arc::new(disk.clone()), StoreSettings::default()).expect("opens");
         recovered.disk = Some(DiskId(1));
         let address = PeerAddress(SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), 7_000));
         let settings = CoreSettings {
@@ -152,7 +152,7 @@
     } = alone;
     drop((store, machine));
     let (_, found) =
-        ControlStore::open_on(Arc::new(disk), StoreSettings::default()).expect("opens");
+        ControlStore::open_in(Arc::new(disk), StoreSettings::default()).expect("opens");
     let log_bytes: usize = found
         .entries
         .iter()
--- a/crates/cluster-node/tests/golden.rs
+++ b/crates/cluster-node/tests/golden.rs
@@ -22,7 +22,7 @@
 use lupinrack_cluster_node::status::{AgentStatus, CoreStatus, FrontStatus, STATUS_PATH};
 use lupinrack_cluster_node::NodeError;
 use lupinrack_control_state::ControlState;
-use lupinrack_control_store::{Misfit, StoreError};
+use lupinrack_control_store::{InvalidBatch, StoreError};
 use lupinrack_scheduler::{ServerSummary, ServiceSummary, WaitingSummary};
 use std::fmt::{Display, Write};
 use std::io;
@@ -243,14 +243,17 @@
     let unreadable = ControlState::from_bytes(&[1]).expect_err("one byte is no state");
     let io_error = || io::Error::other("the reason");
     let damaged = StoreError::Damaged {
-        file: "data.redb".to_owned(),
+        file: "data.redb",
         reason: "the reason".to_owned(),
     };
-    let gap = Misfit::Gap {
+    let gap = InvalidBatch::Gap {
         expected: 4,
         found: 6,
     };
-    let old_snapshot = Misfit::OldSnapshot { given: 2, kept: 3 };
+    let old_snapshot = InvalidBatch::OldSnapshot {
+        given: 2,
+        current: 3,
+    };
     let node_errors = [
         ("NoDisk", NodeError::NoDisk),
         ("NoAddress", NodeError::NoAddress),
@@ -262,11 +265,11 @@
         ("Store Damaged", NodeError::Store(damaged)),
         (
             "Store Misfit Gap",
-            NodeError::Store(StoreError::Misfit(gap)),
+            NodeError::Store(StoreError::InvalidBatch(gap)),
         ),
         (
             "Store Misfit OldSnapshot",
-            NodeError::Store(StoreError::Misfit(old_snapshot)),
+            NodeError::Store(StoreError::InvalidBatch(old_snapshot)),
         ),
         ("Store Closed", NodeError::Store(StoreError::Closed)),
         (
--- a/crates/control-state/tests/golden.rs
+++ b/crates/control-state/tests/golden.rs
@@ -67,6 +67,7 @@
     ] {
         file.borsh(name, &parts);
         let state = parts.state();
+        assert_eq!(StateParts::of(&state), parts, "{name}");
         let bytes = state.to_bytes().expect("a state has bytes");
         let kept = file.kept_bytes(name).unwrap_or(bytes.clone());
         assert_eq!(bytes, kept, "{name}");
--- a/crates/control-store/examples/measure.rs
+++ b/crates/control-store/examples/measure.rs
@@ -7,7 +7,7 @@
 use lupinrack_cluster_api::operation::{LogEntry, Operation};
 use lupinrack_cluster_api::time::WallMillis;
 use lupinrack_control_store::simulated::SimulatedDisk;
-use lupinrack_control_store::{Batch, ControlStore, Medium, StoreSettings, DATA_FILE};
+use lupinrack_control_store::{Batch, ControlStore, Directory, StoreSettings, DATA_FILE};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -53,7 +53,7 @@
 fn count_on_a_simulated_disk() {
     let disk = SimulatedDisk::new();
     let (mut store, _) =
-        ControlStore::open_on(Arc::new(disk.clone()), StoreSettings::default()).expect("opens");
+        ControlStore::open_in(Arc::new(disk.clone()), StoreSettings::default()).expect("opens");
     let created = disk.counters();
     println!(
         "creation: {} syncs, {} bytes",
@@ -87,19 +87,19 @@
         closed.syncs - after.syncs,
         closed.written_bytes - after.written_bytes
     );
-    drop(ControlStore::open_on(Arc::new(disk.clone()), StoreSettings::default()).expect("opens"));
+    drop(ControlStore::open_in(Arc::new(disk.clone()), StoreSettings::default()).expect("opens"));
     let reopened = disk.counters();
     println!(
         "opening after a close, and closing: {} syncs",
         reopened.syncs - closed.syncs
     );
     let (store, _) =
-        ControlStore::open_on(Arc::new(disk.clone()), StoreSettings::default()).expect("opens");
+        ControlStore::open_in(Arc::new(disk.clone()), StoreSettings::default()).expect("opens");
     disk.cycle_power(1);
     drop(store);
     let before = disk.counters().syncs;
     let (store, _) =
-        ControlStore::open_on(Arc::new(disk.clone()), StoreSettings::default()).expect("opens");
+        ControlStore::open_in(Arc::new(disk.clone()), StoreSettings::default()).expect("opens");
     println!(
         "opening after a crash: {} syncs",
         disk.counters().syncs - before
--- a/crates/control-store/src/directory.rs
+++ b/crates/control-store/src/directory.rs
@@ -1,41 +1,66 @@
-//! Where files live: a folder on a disk, or a simulated disk.
+//! The directory that a store's files are in: on a real disk, or on a [simulated](crate::simulated)
+//! one.
 
-use crate::growth_synced_file::DiskFile;
+use crate::disk_file::DiskFile;
 use redb::StorageBackend;
 use std::fmt::Debug;
 use std::fs::{self, File, OpenOptions};
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// A flat folder of files.
-pub trait Medium: Debug + Send + Sync + 'static {
-    /// The length of a file; none where there is no such file.
+/// A flat directory of files.
+pub trait Directory: Debug + Send + Sync + 'static {
+    /// The length of a file in bytes; none if there is no such file.
+    ///
+    /// # Errors
+    ///
+    /// If the directory cannot be read.
     fn length(&self, name: &str) -> io::Result<Option<u64>>;
-    /// Opens a file for reading and writing, and creates it where there is none.
+
+    /// Opens a file for reading and writing, and creates it if there is none.
+    ///
+    /// # Errors
+    ///
+    /// If the file can be neither opened nor created.
     fn open(&self, name: &str) -> io::Result<Box<dyn StorageBackend>>;
-    /// Renames a file, over one that has the name. Open files stay open.
+
+    /// Renames a file, replacing one of that name. Open handles stay valid.
+    ///
+    /// # Errors
+    ///
+    /// If there is no file `from`, or the directory cannot be written.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
+
     /// Removes a file.
+    ///
+    /// # Errors
+    ///
+    /// If there is no such file, or the directory cannot be written.
     fn remove(&self, name: &str) -> io::Result<()>;
-    /// Makes renames and removals last.
+
+    /// Makes renames and removals durable.
+    ///
+    /// # Errors
+    ///
+    /// If the disk fails; the renames and removals may or may not be durable then.
     fn sync(&self) -> io::Result<()>;
 }
 
-/// A folder on a real disk, which has to exist.
+/// A directory on a real disk. It must exist.
 #[derive(Clone, Debug)]
-pub struct Folder(PathBuf);
+pub struct DiskDirectory(PathBuf);
 
-impl Folder {
-    /// The folder at this path.
+impl DiskDirectory {
+    /// The directory at this path.
     pub fn new(path: &Path) -> Self {
-        Folder(path.to_owned())
+        Self(path.to_owned())
     }
 }
 
-impl Medium for Folder {
+impl Directory for DiskDirectory {
     fn length(&self, name: &str) -> io::Result<Option<u64>> {
         match fs::metadata(self.0.join(name)) {
-            Ok(facts) => Ok(Some(facts.len())),
+            Ok(metadata) => Ok(Some(metadata.len())),
             Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
             Err(error) => Err(error),
         }
--- a/crates/control-store/src/error.rs
+++ b/crates/control-store/src/error.rs
@@ -1,9 +1,10 @@
-//! Why the store cannot do what it was asked.
+//! Errors of the store.
 
-use crate::batch::Misfit;
+use crate::file_names::DATA_FILE;
+use crate::log_bounds::InvalidBatch;
 use std::io;
 
-/// An error of the store.
+/// Why the store cannot open or commit.
 #[derive(Debug, displaydoc::Display)]
 pub enum StoreError {
     /// the disk is full
@@ -13,12 +14,12 @@
     /// the file {file} is damaged: {reason}
     Damaged {
         /// The file's name.
-        file: String,
-        /// What is wrong with it.
+        file: &'static str,
+        /// What is wrong with its contents.
         reason: String,
     },
     /// the batch does not fit the log: {0}
-    Misfit(Misfit),
+    InvalidBatch(InvalidBatch),
     /// an earlier commit failed; the store has to be opened again
     Closed,
 }
@@ -28,41 +29,44 @@
 impl From<io::Error> for StoreError {
     fn from(error: io::Error) -> Self {
         match error.kind() {
-            io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => StoreError::Full,
-            _ => StoreError::Io(error),
+            io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => Self::Full,
+            _ => Self::Io(error),
         }
     }
 }
 
-impl From<Misfit> for StoreError {
-    fn from(misfit: Misfit) -> Self {
-        StoreError::Misfit(misfit)
+impl From<InvalidBatch> for StoreError {
+    fn from(error: InvalidBatch) -> Self {
+        Self::InvalidBatch(error)
     }
 }
 
-/// An error of `redb`, about this file.
-pub(crate) fn of_redb(file: &str, error: impl Into<redb::Error>) -> StoreError {
-    match error.into() {
-        // `redb` says "invalid data" of a file that is not one of its own; a file may end before a page that it names.
-        redb::Error::Io(error) if is_of_contents(error.kind()) => damaged(file, error),
-        redb::Error::Io(error) => error.into(),
-        redb::Error::PreviousIo => StoreError::Closed,
-        error => damaged(file, error),
+impl StoreError {
+    /// An error that `redb` returned about the data file.
+    pub(crate) fn from_redb(error: impl Into<redb::Error>) -> Self {
+        match error.into() {
+            // `redb` reports "invalid data" for a file that is not its own; a file may end before a
+            // page that it names.
+            redb::Error::Io(error) if is_about_contents(error.kind()) => Self::damaged(&error),
+            redb::Error::Io(error) => error.into(),
+            redb::Error::PreviousIo => Self::Closed,
+            error => Self::damaged(&error),
+        }
+    }
+
+    /// The contents of the data file are wrong.
+    pub(crate) fn damaged(reason: &(impl ToString + ?Sized)) -> Self {
+        Self::Damaged {
+            file: DATA_FILE,
+            reason: reason.to_string(),
+        }
     }
 }
 
-/// Whether an error is about what a file holds, not about the disk.
-fn is_of_contents(kind: io::ErrorKind) -> bool {
+/// Whether an error says that the contents of a file are wrong, not that the disk failed.
+fn is_about_contents(kind: io::ErrorKind) -> bool {
     matches!(
         kind,
         io::ErrorKind::InvalidData | io::ErrorKind::UnexpectedEof
     )
 }
-
-/// This file is damaged.
-pub(crate) fn damaged(file: &str, reason: impl ToString) -> StoreError {
-    StoreError::Damaged {
-        file: file.to_owned(),
-        reason: reason.to_string(),
-    }
-}
--- a/crates/control-store/src/growth_synced_file.rs
+++ b/crates/control-store/src/growth_synced_file.rs
@@ -1,83 +1,55 @@
-//! A file as `redb` uses it.
+//! A file whose growth is synced before it is used.
 
 use redb::StorageBackend;
-use std::fs::File;
 use std::io;
-use std::os::unix::fs::FileExt;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// A file on a real disk, with positioned reads and writes and `fdatasync`. It takes no lock: a disk has one process.
-#[derive(Debug)]
-pub(crate) struct DiskFile(pub(crate) File);
-
-impl StorageBackend for DiskFile {
-    fn len(&self) -> io::Result<u64> {
-        Ok(self.0.metadata()?.len())
-    }
-
-    fn read(&self, offset: u64, len: usize) -> io::Result<Vec<u8>> {
-        let mut bytes = vec![0; len];
-        self.0.read_exact_at(&mut bytes, offset)?;
-        Ok(bytes)
-    }
-
-    fn set_len(&self, len: u64) -> io::Result<()> {
-        self.0.set_len(len)
-    }
-
-    fn sync_data(&self, _eventual: bool) -> io::Result<()> {
-        self.0.sync_data()
-    }
-
-    fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.0.write_all_at(data, offset)
-    }
-}
-
-/// Whether a sync of a file has failed, as all who use the file share it.
+/// Whether a sync of the data file has failed; shared by a store and all its handles of the file.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct SyncFailure(Arc<AtomicBool>);
+pub(crate) struct SyncFailureFlag(Arc<AtomicBool>);
 
-impl SyncFailure {
-    /// Whether one has failed.
-    pub(crate) fn is_noted(&self) -> bool {
+impl SyncFailureFlag {
+    /// Whether a sync has failed since the flag was cleared.
+    pub(crate) fn is_set(&self) -> bool {
         self.0.load(Ordering::SeqCst)
     }
 
-    /// What it may have lost was written again.
-    pub(crate) fn mended(&self) {
+    /// Everything that the failed sync may have lost was written again and synced.
+    pub(crate) fn clear(&self) {
         self.0.store(false, Ordering::SeqCst);
     }
 
-    fn note(&self) {
+    fn set(&self) {
         self.0.store(true, Ordering::SeqCst);
     }
 }
 
-/// A file whose growth is synced at once, since `redb` expects a file to be as long as its header says: the header must
-/// not reach the disk before the length. It notes a sync that fails.
+/// A file that is synced as soon as it grows, and that records syncs that fail.
+///
+/// `redb` expects a file to be as long as its header says, so the header must not reach the disk
+/// before the length.
 #[derive(Debug)]
-pub(crate) struct GrowthSynced {
+pub(crate) struct GrowthSyncedFile {
     file: Box<dyn StorageBackend>,
-    failure: SyncFailure,
+    sync_failure: SyncFailureFlag,
 }
 
-impl GrowthSynced {
-    pub(crate) fn new(file: Box<dyn StorageBackend>, failure: SyncFailure) -> GrowthSynced {
-        GrowthSynced { file, failure }
+impl GrowthSyncedFile {
+    pub(crate) fn new(file: Box<dyn StorageBackend>, sync_failure: SyncFailureFlag) -> Self {
+        Self { file, sync_failure }
     }
 
     fn sync(&self) -> io::Result<()> {
         let result = self.file.sync_data(false);
         if result.is_err() {
-            self.failure.note();
+            self.sync_failure.set();
         }
         result
     }
 }
 
-impl StorageBackend for GrowthSynced {
+impl StorageBackend for GrowthSyncedFile {
     fn len(&self) -> io::Result<u64> {
         self.file.len()
     }
--- a/crates/control-store/src/lib.rs
+++ b/crates/control-store/src/lib.rs
@@ -1,37 +1,59 @@
-//! What a core process keeps on its disk: the identity of the disk, its vote, the newest view, a snapshot of the control
-//! state and the log after it.
+//! The durable state of a core process: the identity of its disk, its vote, the newest agreed view,
+//! a snapshot of the control state and the log after it.
 //!
-//! Everything is in one [`redb`] file. A [`Batch`] is applied whole or not at all and is synced when
-//! [`ControlStore::commit`] returns, with one sync of the file. A [`Writer`] is a thread that owns a store and writes all
-//! batches that wait by one sync.
+//! The crate owns one [`redb`] file in the process's data directory, and nobody else may write to
+//! it. A [`Batch`] of changes is applied completely or not at all, and is synced with one sync of
+//! the file when [`ControlStore::commit`] returns. A [`Writer`] is a thread that owns a store and
+//! commits all queued batches together (group commit). Votes, views and snapshots are opaque bytes
+//! here: `view-agreement`, `chain` and `control-state` define them.
 //!
-//! # Loss of power
+//! # Durability
 //!
-//! * Pages are never overwritten before the commit that replaces them is synced, and every page has a checksum; on opening
-//!   after a crash the newest commit whose pages are whole is taken.
-//! * A new file is written under [`NEW_FILE`] and renamed to [`DATA_FILE`] after its first commit. So a file under the
-//!   latter name has a synced commit; if it cannot be read, that is an error and never an empty disk. Only a file of no
-//!   bytes counts as none.
+//! * A page is never overwritten before the commit that replaces it is synced, and every page has a
+//!   checksum. Opening after a crash takes the newest commit whose pages are intact.
+//! * A new file is written under [`NEW_FILE`] and renamed to [`DATA_FILE`] after its first commit.
+//!   So a file under the latter name contains a synced commit; if it cannot be read, that is an
+//!   error and never an empty disk. Only a file of zero bytes counts as absent.
 //! * When the file grows, its new length is synced before any page refers to it.
+//! * After a sync that failed, the operating system may treat pages as clean that never reached the
+//!   disk (Rebello et al., "Can applications recover from fsync failures?", USENIX ATC 2020). So
+//!   the store closes, and rewrites the file when it is opened again.
 //!
 //! # Why `redb`
 //!
-//! The house style asks for `sled`, whose flush (0.34) does not sync its file. `redb` is its nearest kin: an embedded,
-//! ordered, transactional store in Rust.
-// 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
-#![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
+//! The house style asks for `sled`, whose flush (0.34) does not sync its file. `redb` is the
+//! closest alternative: an embedded, ordered, transactional store in Rust.
+//!
+//! # Where to start
+//!
+//! [`Batch`] and [`Recovered`] are what goes in and comes out, `store.rs` is the life cycle of a
+//! store, `schema.rs` the layout of the rows.
 
 mod batch;
+mod data_file;
 mod directory;
+mod disk_file;
 mod error;
+mod file_names;
 mod growth_synced_file;
+mod log_bounds;
+mod panic_guard;
+mod recovered;
+mod row_reader;
 mod row_writer;
+mod schema;
+mod settings;
 pub mod simulated;
 mod store;
 mod writer;
+mod writer_thread;
 
-pub use batch::{Batch, LogBounds, Misfit};
-pub use directory::{Folder, Medium};
+pub use batch::Batch;
+pub use directory::{Directory, DiskDirectory};
 pub use error::StoreError;
-pub use store::{ControlStore, Recovered, StoreSettings, DATA_FILE, NEW_FILE};
-pub use writer::{RetryPauses, WriteOutcome, Writer, WriterHandle};
+pub use file_names::{DATA_FILE, NEW_FILE};
+pub use log_bounds::{InvalidBatch, LogBounds};
+pub use recovered::Recovered;
+pub use settings::StoreSettings;
+pub use store::{ControlStore, FailedCommit};
+pub use writer::{RetryBackoff, WriteOutcome, Writer, WriterStopped};
--- a/crates/control-store/src/simulated/file_state.rs
+++ b/crates/control-store/src/simulated/file_state.rs
@@ -1,94 +1,124 @@
-//! A file of the simulated disk: what is synced, what is not, and what a loss of power leaves of that.
+//! A file of the simulated disk: what is synced, what is not, and what a loss of power leaves of
+//! it.
 
-/// Bytes that reach a disk together or not at all, where a torn write is torn between sectors.
+use super::random::Random;
+
+/// Bytes that reach a disk together or not at all where a write is torn between sectors.
 const SECTOR_BYTES: usize = 512;
 
+/// In one of so many losses of power everything that was not synced is missing.
+const ALL_MISSING_ODDS: u64 = 4;
+
+/// A change of a file.
 #[derive(Clone, Debug)]
-pub(super) enum Change {
+pub(super) enum FileChange {
     Write { offset: usize, bytes: Vec<u8> },
     SetLength(usize),
 }
 
-impl Change {
-    /// Where the file ends at least after the change.
+impl FileChange {
+    /// The least length of the file after the change.
     pub(super) fn end(&self) -> usize {
         match self {
-            Change::Write { offset, bytes } => offset + bytes.len(),
-            Change::SetLength(length) => *length,
+            FileChange::Write { offset, bytes } => offset + bytes.len(),
+            FileChange::SetLength(length) => *length,
+        }
+    }
+
+    fn apply(&self, file: &mut Vec<u8>) {
+        match self {
+            FileChange::SetLength(length) => file.resize(*length, 0),
+            FileChange::Write { offset, bytes } => {
+                let end = offset + bytes.len();
+                if file.len() < end {
+                    file.resize(end, 0);
+                }
+                file[*offset..end].copy_from_slice(bytes);
+            }
         }
     }
 }
 
+/// A file.
 #[derive(Debug, Default)]
 pub(super) struct FileState {
+    /// The name under which it was created.
     pub(super) created_as: String,
-    pub(super) synced: Vec<u8>,
-    pub(super) bytes: Vec<u8>,
-    pub(super) unsynced: Vec<Change>,
+    /// What is on the disk for certain.
+    synced: Vec<u8>,
+    /// What is read.
+    bytes: Vec<u8>,
+    /// The changes from `synced` to `bytes`.
+    unsynced: Vec<FileChange>,
 }
 
 impl FileState {
+    pub(super) fn created_as(name: &str) -> Self {
+        Self {
+            created_as: name.to_owned(),
+            ..Self::default()
+        }
+    }
+
+    pub(super) fn with_synced_contents(name: &str, bytes: Vec<u8>) -> Self {
+        Self {
+            synced: bytes.clone(),
+            bytes,
+            ..Self::created_as(name)
+        }
+    }
+
+    pub(super) fn bytes(&self) -> &[u8] {
+        &self.bytes
+    }
+
+    pub(super) fn change(&mut self, change: FileChange) {
+        change.apply(&mut self.bytes);
+        self.unsynced.push(change);
+    }
+
     pub(super) fn sync(&mut self) {
         for change in std::mem::take(&mut self.unsynced) {
-            apply(&mut self.synced, &change);
+            change.apply(&mut self.synced);
         }
     }
 
-    /// After a sync that failed, a system takes the pages as clean: they are read as before, and no later sync covers
-    /// them.
+    /// After a sync that failed, the operating system takes the pages as clean: they are read as
+    /// before, and no later sync covers them.
     pub(super) fn fail_to_sync(&mut self) {
         self.unsynced.clear();
     }
 
     pub(super) fn lose_power(&mut self, random: &mut Random) {
-        let changes = std::mem::take(&mut self.unsynced);
-        let all_missing = random.below(4) == 0;
+        let unsynced = std::mem::take(&mut self.unsynced);
+        let all_missing = random.below(ALL_MISSING_ODDS) == 0;
         self.bytes = self.synced.clone();
-        for change in changes.into_iter().filter(|_| !all_missing) {
-            self.keep_some(change, random);
+        for change in unsynced.into_iter().filter(|_| !all_missing) {
+            self.apply_present_torn_or_missing(change, random);
         }
         self.synced = self.bytes.clone();
     }
 
-    /// Keeps a change whole, torn, or not at all.
-    fn keep_some(&mut self, change: Change, random: &mut Random) {
+    fn apply_present_torn_or_missing(&mut self, change: FileChange, random: &mut Random) {
         match (random.below(3), change) {
             (0, _) => {}
-            (1, change) => apply(&mut self.bytes, &change),
-            (_, Change::Write { offset, bytes }) => {
-                for (from, to) in torn_parts(bytes.len(), random) {
-                    let part = Change::Write {
+            (1, change) | (_, change @ FileChange::SetLength(_)) => change.apply(&mut self.bytes),
+            (_, FileChange::Write { offset, bytes }) => {
+                for (from, to) in torn_ranges(bytes.len(), random) {
+                    let part = FileChange::Write {
                         offset: offset + from,
                         bytes: bytes[from..to].to_vec(),
                     };
-                    apply(&mut self.bytes, &part);
+                    part.apply(&mut self.bytes);
                 }
             }
-            (_, change) => apply(&mut self.bytes, &change),
         }
     }
-
-    pub(super) fn make(&mut self, change: Change) {
-        apply(&mut self.bytes, &change);
-        self.unsynced.push(change);
-    }
 }
 
-fn apply(file: &mut Vec<u8>, change: &Change) {
-    match change {
-        Change::SetLength(length) => file.resize(*length, 0),
-        Change::Write { offset, bytes } => {
-            let end = offset + bytes.len();
-            if file.len() < end {
-                file.resize(end, 0);
-            }
-            file[*offset..end].copy_from_slice(bytes);
-        }
-    }
-}
-
-/// The parts of a torn write that reached the disk: a beginning that ends at any byte, or some of its sectors.
-fn torn_parts(length: usize, random: &mut Random) -> Vec<(usize, usize)> {
+/// The ranges of a torn write that reached the disk: a prefix of any length, or some of its
+/// sectors.
+fn torn_ranges(length: usize, random: &mut Random) -> Vec<(usize, usize)> {
     if random.below(2) == 0 {
         return vec![(0, random.below(length as u64 + 1) as usize)];
     }
@@ -98,16 +128,3 @@
         .map(|from| (from, length.min(from + SECTOR_BYTES)))
         .collect()
 }
-
-/// A generator of pseudo-random numbers (splitmix64).
-pub(super) struct Random(pub(super) u64);
-
-impl Random {
-    pub(super) fn below(&mut self, bound: u64) -> u64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut bits = self.0;
-        bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        (bits ^ (bits >> 31)) % bound
-    }
-}
--- a/crates/control-store/tests/common/mod.rs
+++ b/crates/control-store/tests/common/mod.rs
@@ -36,7 +36,7 @@
 }
 
 pub fn open(disk: &SimulatedDisk) -> Result<(ControlStore, Recovered), StoreError> {
-    ControlStore::open_on(Arc::new(disk.clone()), settings())
+    ControlStore::open_in(Arc::new(disk.clone()), settings())
 }
 
 /// An entry about as large as that of a small job.
--- a/crates/control-store/tests/golden.rs
+++ b/crates/control-store/tests/golden.rs
@@ -8,7 +8,7 @@
 use golden_rows::{read_rows, write_rows, Key, Row};
 use golden_sparse::{read_sparse, write_sparse};
 use lupinrack_chain::ReplicaStatus;
-use lupinrack_cluster_api::agreement::Ballot;
+use lupinrack_cluster_api::agreement::ProposalNumber;
 use lupinrack_cluster_api::identity::{
     DiskId, FencingToken, JobId, PeerAddress, QueueName, ServerId, ServiceName, TaskId,
 };
@@ -70,12 +70,12 @@
 
 fn vote() -> VoteState {
     VoteState {
-        promised: Ballot {
-            round: 10,
+        prepared: ProposalNumber {
+            term: 10,
             incarnation: 11,
         },
-        accepted_ballot: Ballot {
-            round: 12,
+        accepted_proposal: ProposalNumber {
+            term: 12,
             incarnation: 13,
         },
         accepted: view(14),
--- a/crates/control-store/tests/opening.rs
+++ b/crates/control-store/tests/opening.rs
@@ -6,8 +6,8 @@
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_control_store::simulated::SimulatedDisk;
 use lupinrack_control_store::{
-    Batch, ControlStore, LogBounds, Medium, Misfit, Recovered, StoreError, StoreSettings,
-    DATA_FILE, NEW_FILE,
+    Batch, ControlStore, Directory, FailedCommit, InvalidBatch, LogBounds, Recovered, StoreError,
+    StoreSettings, DATA_FILE, NEW_FILE,
 };
 use std::io::ErrorKind;
 use std::sync::Arc;
@@ -124,7 +124,7 @@
     assert!(
         matches!(
             gap,
-            Err(StoreError::Misfit(Misfit::Gap {
+            Err(StoreError::InvalidBatch(InvalidBatch::Gap {
                 expected: 12,
                 found: 13
             }))
@@ -135,7 +135,7 @@
     assert!(
         matches!(
             twice,
-            Err(StoreError::Misfit(Misfit::Gap {
+            Err(StoreError::InvalidBatch(InvalidBatch::Gap {
                 expected: 10,
                 found: 9
             }))
@@ -149,9 +149,9 @@
     assert!(
         matches!(
             old,
-            Err(StoreError::Misfit(Misfit::OldSnapshot {
+            Err(StoreError::InvalidBatch(InvalidBatch::OldSnapshot {
                 given: 3,
-                kept: 4
+                current: 4
             }))
         ),
         "{old:?}"
@@ -297,7 +297,10 @@
         store.commit(&append(10..=10)),
         Err(StoreError::Closed)
     ));
-    assert!(!store.reopen().expect("the disk works again"));
+    assert_eq!(
+        store.reopen().expect("the disk works again"),
+        FailedCommit::NotApplied
+    );
     store.commit(&append(10..=10)).expect("commits");
     drop(store);
     assert_eq!(found(&disk).entries.len(), 6);
@@ -315,13 +318,14 @@
             disk.fail_after(after, Some(1), ErrorKind::Other);
             let result = store.commit(&append(6..=9));
             disk.heal();
-            let holds = result.is_ok() || store.reopen().expect("the disk works again");
+            let is_durable = result.is_ok()
+                || store.reopen().expect("the disk works again") == FailedCommit::Durable;
             disk.cycle_power(fate);
             drop(store);
             let entries = found(&disk).entries.len();
             assert_eq!(
                 entries,
-                if holds { 9 } else { 5 },
+                if is_durable { 9 } else { 5 },
                 "change {after}, fate {fate}"
             );
             if result.is_ok() {
@@ -349,7 +353,7 @@
         compact_above_bytes: 2_000_000,
         ..settings()
     };
-    let (store, found) = ControlStore::open_on(Arc::new(disk.clone()), compacting).expect("opens");
+    let (store, found) = ControlStore::open_in(Arc::new(disk.clone()), compacting).expect("opens");
     drop(store);
     assert_eq!((found.snapshot_index, found.snapshot.len()), (2, 100));
     let after = disk.length(DATA_FILE).expect("readable").expect("the file");
--- a/crates/control-store/tests/writer.rs
+++ b/crates/control-store/tests/writer.rs
@@ -1,39 +1,38 @@
-//! The thread that writes: grouping, order, and what it does when the disk fails.
+//! The writer: group commit, order, and retries when the disk fails.
 
 mod common;
 
 use common::{append, entry_of, open};
 use lupinrack_control_store::simulated::SimulatedDisk;
 use lupinrack_control_store::{
-    Batch, LogBounds, Misfit, RetryPauses, StoreError, WriteOutcome, Writer, WriterHandle,
-    DATA_FILE,
+    Batch, InvalidBatch, LogBounds, RetryBackoff, StoreError, WriteOutcome, Writer, DATA_FILE,
 };
 use std::io::ErrorKind;
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Mutex;
 use std::time::Duration;
 
-const NO_PAUSES: RetryPauses = RetryPauses {
-    first: Duration::ZERO,
-    longest: Duration::ZERO,
+const NO_BACKOFF: RetryBackoff = RetryBackoff {
+    initial: Duration::ZERO,
+    max: Duration::ZERO,
 };
 
-fn writer(disk: &SimulatedDisk) -> (WriterHandle, Receiver<WriteOutcome>) {
+fn spawn_writer(disk: &SimulatedDisk) -> (Writer, Receiver<WriteOutcome>) {
     let (sender, outcomes) = channel();
     let (store, _) = open(disk).expect("opens");
     let done = move |outcome| drop(sender.send(outcome));
     (
-        Writer::spawn_with(store, NO_PAUSES, done).expect("a thread"),
+        Writer::spawn_with_backoff(store, NO_BACKOFF, done).expect("a thread"),
         outcomes,
     )
 }
 
-/// Outcomes until this ticket is done.
-fn until_done(outcomes: &Receiver<WriteOutcome>, ticket: u64) -> Vec<WriteOutcome> {
+/// Outcomes until the batch of this number is synced.
+fn until_synced(outcomes: &Receiver<WriteOutcome>, number: u64) -> Vec<WriteOutcome> {
     let mut all = Vec::new();
     loop {
-        let outcome = outcomes.recv().expect("the writer lives");
-        let last = outcome.tickets_done.contains(&ticket);
+        let outcome = outcomes.recv().expect("the writer runs");
+        let last = outcome.synced.contains(&number);
         all.push(outcome);
         if last {
             return all;
@@ -41,10 +40,10 @@
     }
 }
 
-fn tickets(outcomes: &[WriteOutcome]) -> Vec<u64> {
+fn synced_by(outcomes: &[WriteOutcome]) -> Vec<u64> {
     outcomes
         .iter()
-        .flat_map(|outcome| outcome.tickets_done.clone())
+        .flat_map(|outcome| outcome.synced.clone())
         .collect()
 }
 
@@ -53,79 +52,79 @@
 }
 
 #[test]
-fn tickets_come_back_in_order_once_they_are_synced() {
+fn numbers_are_reported_in_order_once_their_batches_are_synced() {
     let disk = SimulatedDisk::new();
-    let (handle, outcomes) = writer(&disk);
-    for ticket in 1..=50 {
-        assert!(handle.write(ticket, append(ticket..=ticket)));
+    let (writer, outcomes) = spawn_writer(&disk);
+    for number in 1..=50 {
+        assert!(writer.write(number, append(number..=number)).is_ok());
     }
-    let all = until_done(&outcomes, 50);
-    assert_eq!(tickets(&all), (1..=50).collect::<Vec<_>>());
+    let all = until_synced(&outcomes, 50);
+    assert_eq!(synced_by(&all), (1..=50).collect::<Vec<_>>());
     disk.cycle_power(0);
     assert_eq!(entries(&disk), 50);
-    handle.close();
+    writer.close();
 }
 
-/// A writer whose first outcome waits for a signal, so that everything after it is one group.
-fn held_writer(disk: &SimulatedDisk) -> (WriterHandle, Receiver<WriteOutcome>, Sender<()>) {
+/// A writer that pauses in the report of its first outcome until a signal, so that everything after it is one group.
+fn paused_writer(disk: &SimulatedDisk) -> (Writer, Receiver<WriteOutcome>, Sender<()>) {
     let (sender, outcomes) = channel();
     let (go, gate) = channel::<()>();
     let gate = Mutex::new(gate);
     let (store, _) = open(disk).expect("opens");
     let done = move |outcome: WriteOutcome| {
-        let first = outcome.tickets_done.first() == Some(&1);
+        let first = outcome.synced.first() == Some(&1);
         drop(sender.send(outcome));
         if first {
             drop(gate.lock().map(|gate| gate.recv()));
         }
     };
     (
-        Writer::spawn_with(store, NO_PAUSES, done).expect("a thread"),
+        Writer::spawn_with_backoff(store, NO_BACKOFF, done).expect("a thread"),
         outcomes,
         go,
     )
 }
 
 #[test]
-fn all_that_waits_is_written_by_one_sync() {
+fn all_pending_batches_are_written_by_one_sync() {
     let disk = SimulatedDisk::new();
-    let (handle, outcomes, go) = held_writer(&disk);
-    handle.write(1, append(1..=1));
-    until_done(&outcomes, 1);
+    let (writer, outcomes, go) = paused_writer(&disk);
+    writer.write(1, append(1..=1)).expect("the writer runs");
+    until_synced(&outcomes, 1);
     let before = disk.counters().syncs;
-    assert!((2..=40).all(|ticket| handle.write(ticket, append(ticket..=ticket))));
-    go.send(()).expect("the writer waits");
-    let all = until_done(&outcomes, 40);
+    assert!((2..=40).all(|number| writer.write(number, append(number..=number)).is_ok()));
+    go.send(()).expect("the writer is paused");
+    let all = until_synced(&outcomes, 40);
     assert_eq!(all.len(), 1);
-    assert_eq!(tickets(&all), (2..=40).collect::<Vec<_>>());
+    assert_eq!(synced_by(&all), (2..=40).collect::<Vec<_>>());
     assert_eq!(disk.counters().syncs - before, 1);
-    handle.close();
+    writer.close();
 }
 
 #[test]
-fn a_batch_that_does_not_fit_is_refused_and_the_others_are_not() {
+fn a_batch_that_does_not_fit_is_rejected_and_the_others_are_not() {
     let disk = SimulatedDisk::new();
-    let (handle, outcomes, go) = held_writer(&disk);
-    handle.write(1, append(1..=1));
-    until_done(&outcomes, 1);
-    handle.write(2, append(2..=2));
-    handle.write(3, append(9..=9));
-    handle.write(4, append(3..=3));
-    go.send(()).expect("the writer waits");
-    let all = until_done(&outcomes, 4);
-    assert_eq!(all[0].tickets_refused, [3]);
-    let expected = Misfit::Gap {
+    let (writer, outcomes, go) = paused_writer(&disk);
+    writer.write(1, append(1..=1)).expect("the writer runs");
+    until_synced(&outcomes, 1);
+    writer.write(2, append(2..=2)).expect("the writer runs");
+    writer.write(3, append(9..=9)).expect("the writer runs");
+    writer.write(4, append(3..=3)).expect("the writer runs");
+    go.send(()).expect("the writer is paused");
+    let all = until_synced(&outcomes, 4);
+    assert_eq!(all[0].rejected, [3]);
+    let expected = InvalidBatch::Gap {
         expected: 3,
         found: 9,
     };
-    assert!(matches!(&all[0].result, Err(StoreError::Misfit(misfit)) if *misfit == expected));
-    assert_eq!(tickets(&all), [2, 4]);
-    handle.close();
+    assert!(matches!(&all[0].result, Err(StoreError::InvalidBatch(error)) if *error == expected));
+    assert_eq!(synced_by(&all), [2, 4]);
+    writer.close();
     assert_eq!(entries(&disk), 3);
 }
 
 #[test]
-fn a_failing_disk_is_told_and_tried_again() {
+fn a_failing_disk_is_reported_and_retried() {
     for kind in [
         ErrorKind::StorageFull,
         ErrorKind::PermissionDenied,
@@ -133,14 +132,14 @@
     ] {
         for after in 0..25 {
             let disk = SimulatedDisk::new();
-            let (handle, outcomes) = writer(&disk);
-            handle.write(1, append(1..=3));
-            until_done(&outcomes, 1);
+            let (writer, outcomes) = spawn_writer(&disk);
+            writer.write(1, append(1..=3)).expect("the writer runs");
+            until_synced(&outcomes, 1);
             disk.fail_after(after, Some(3), kind);
-            handle.write(2, append(4..=4));
-            handle.write(3, append(5..=5));
-            let all = until_done(&outcomes, 3);
-            assert_eq!(tickets(&all), [2, 3], "{kind}, after {after}");
+            writer.write(2, append(4..=4)).expect("the writer runs");
+            writer.write(3, append(5..=5)).expect("the writer runs");
+            let all = until_synced(&outcomes, 3);
+            assert_eq!(synced_by(&all), [2, 3], "{kind}, after {after}");
             let failures = all.iter().filter(|outcome| outcome.result.is_err()).count();
             assert!(
                 after > 0 || failures > 0,
@@ -153,7 +152,7 @@
                 assert!(all.iter().all(full), "{all:?}");
             }
             disk.heal();
-            handle.close();
+            writer.close();
             disk.cycle_power(after);
             assert_eq!(entries(&disk), 5, "{kind}, after {after}");
         }
@@ -163,25 +162,23 @@
 #[test]
 fn a_writer_whose_disk_fails_for_good_can_be_closed() {
     let disk = SimulatedDisk::new();
-    let (handle, outcomes) = writer(&disk);
+    let (writer, outcomes) = spawn_writer(&disk);
     disk.fail_after(0, None, ErrorKind::StorageFull);
-    handle.write(1, append(1..=1));
+    writer.write(1, append(1..=1)).expect("the writer runs");
     assert!(outcomes.recv().expect("an outcome").result.is_err());
-    handle.close();
+    writer.close();
     disk.heal();
-    assert!(outcomes
-        .iter()
-        .all(|outcome| outcome.tickets_done.is_empty()));
+    assert!(outcomes.iter().all(|outcome| outcome.synced.is_empty()));
     assert_eq!(entries(&disk), 0);
 }
 
 #[test]
-fn a_closed_writer_has_written_what_waited() {
+fn a_closed_writer_has_written_what_was_queued() {
     let disk = SimulatedDisk::new();
-    let (handle, outcomes) = writer(&disk);
-    assert!((1..=20).all(|ticket| handle.write(ticket, append(ticket..=ticket))));
-    handle.close();
-    assert_eq!(tickets(&outcomes.iter().collect::<Vec<_>>()).len(), 20);
+    let (writer, outcomes) = spawn_writer(&disk);
+    assert!((1..=20).all(|number| writer.write(number, append(number..=number)).is_ok()));
+    writer.close();
+    assert_eq!(synced_by(&outcomes.iter().collect::<Vec<_>>()).len(), 20);
     assert_eq!(entries(&disk), 20);
 }
 
@@ -241,70 +238,75 @@
 const LARGE_ENTRY: usize = 300_000;
 
 #[test]
-fn a_full_disk_keeps_what_was_committed_and_goes_on_once_there_is_room() {
+fn a_full_disk_keeps_what_was_committed_and_goes_on_once_there_is_space() {
     let disk = SimulatedDisk::new();
-    let (handle, outcomes) = writer(&disk);
-    handle.write(1, append(1..=1));
-    until_done(&outcomes, 1);
+    let (writer, outcomes) = spawn_writer(&disk);
+    writer.write(1, append(1..=1)).expect("the writer runs");
+    until_synced(&outcomes, 1);
     let length = disk.contents(DATA_FILE).expect("the file").len();
     disk.set_capacity(Some(length));
-    handle.write(
-        2,
-        Batch {
-            append: vec![entry_of(2, LARGE_ENTRY)],
-            ..Batch::default()
-        },
-    );
-    handle.write(
-        3,
-        Batch {
-            append: vec![entry_of(3, LARGE_ENTRY)],
-            ..Batch::default()
-        },
-    );
+    writer
+        .write(
+            2,
+            Batch {
+                append: vec![entry_of(2, LARGE_ENTRY)],
+                ..Batch::default()
+            },
+        )
+        .expect("the writer runs");
+    writer
+        .write(
+            3,
+            Batch {
+                append: vec![entry_of(3, LARGE_ENTRY)],
+                ..Batch::default()
+            },
+        )
+        .expect("the writer runs");
     for _ in 0..20 {
-        let outcome = outcomes.recv().expect("the writer lives");
+        let outcome = outcomes.recv().expect("the writer runs");
         assert!(
             matches!(outcome.result, Err(StoreError::Full)),
             "{outcome:?}"
         );
-        assert!(
-            outcome.tickets_done.is_empty(),
-            "nothing is synced: {outcome:?}"
-        );
+        assert!(outcome.synced.is_empty(), "nothing is synced: {outcome:?}");
     }
     disk.set_capacity(None);
-    let all = until_done(&outcomes, 3);
-    assert_eq!(tickets(&all), [2, 3]);
-    handle.close();
+    let all = until_synced(&outcomes, 3);
+    assert_eq!(synced_by(&all), [2, 3]);
+    writer.close();
     disk.cycle_power(3);
     assert_eq!(entries(&disk), 3);
 }
 
 #[test]
-fn a_full_disk_is_not_written_anew_at_each_try() {
+fn a_full_disk_is_not_rewritten_at_each_attempt() {
     let disk = SimulatedDisk::new();
-    let (handle, outcomes) = writer(&disk);
-    handle.write(
-        1,
-        Batch {
-            append: vec![entry_of(1, 4 * LARGE_ENTRY)],
-            ..Batch::default()
-        },
-    );
-    until_done(&outcomes, 1);
+    let (writer, outcomes) = spawn_writer(&disk);
+    writer
+        .write(
+            1,
+            Batch {
+                append: vec![entry_of(1, 4 * LARGE_ENTRY)],
+                ..Batch::default()
+            },
+        )
+        .expect("the writer runs");
+    until_synced(&outcomes, 1);
     let length = disk.contents(DATA_FILE).expect("the file").len();
     disk.set_capacity(Some(length));
     let before = disk.counters().written_bytes;
-    handle.write(
-        2,
-        Batch {
-            append: vec![entry_of(2, 4 * LARGE_ENTRY)],
-            ..Batch::default()
-        },
-    );
+    writer
+        .write(
+            2,
+            Batch {
+                append: vec![entry_of(2, 4 * LARGE_ENTRY)],
+                ..Batch::default()
+            },
+        )
+        .expect("the writer runs");
     for _ in 0..20 {
-        outcomes.recv().expect("the writer lives");
+        outcomes.recv().expect("the writer runs");
     }
     let written = disk.counters().written_bytes - before;
     assert!(
@@ -312,6 +314,6 @@
         "{written} bytes for a file of {length}"
     );
     disk.set_capacity(None);
-    until_done(&outcomes, 2);
-    handle.close();
+    until_synced(&outcomes, 2);
+    writer.close();
 }
