--- a/crates/control-state/src/jobs/ends.rs
+++ b/crates/control-state/src/jobs/ends.rs
@@ -57,7 +57,7 @@
         };
         match end.end {
             RunEnd::Done if !is_long_running => {
-                let succeeded = mark_done(members, end.attempt);
+                let succeeded = set_done(members, end.attempt);
                 self.close_tasks(end.task.occurrence, succeeded)
             }
             RunEnd::Failed => {
@@ -87,17 +87,17 @@
     }
 }
 
-/// Marks the members of a run as done, and returns how many were not.
-fn mark_done(members: &mut [TaskRecord], attempt: Attempt) -> u32 {
-    let mut marked = 0;
+/// Sets the members of a run to done, and returns how many were not before.
+fn set_done(members: &mut [TaskRecord], attempt: Attempt) -> u32 {
+    let mut newly_done = 0;
     for task in members
         .iter_mut()
         .filter(|task| task.attempt == attempt && !task.is_done())
     {
         task.status = TaskStatus::Done;
-        marked += 1;
+        newly_done += 1;
     }
-    marked
+    newly_done
 }
 
 /// Counts the failure of a run for each of its members, and returns the highest number of failures.
