--- a/crates/scheduler/tests/decisions/bench.rs
+++ b/crates/scheduler/tests/decisions/bench.rs
@@ -216,8 +216,7 @@
 
     pub fn disconnect(&mut self, machine: u16) {
         let connection = self.places[&machine].connection;
-        self.scheduler
-            .disconnected(address(machine), connection, Millis(self.now));
+        self.scheduler.disconnected(address(machine), connection);
     }
 
     /// The servers do what they were told, and beat.
@@ -270,7 +269,7 @@
 
     pub fn cancel(&mut self, job: u64) {
         let job = JobId(job);
-        let queue = self.state.jobs[&job].queue.clone();
+        let queue = self.state.job(job).expect("the job is known").queue.clone();
         self.apply(Operation::CancelJob {
             job,
             queue,
