--- a/crates/cluster-node/src/agent/machine.rs
+++ b/crates/cluster-node/src/agent/machine.rs
@@ -5,7 +5,7 @@
 //! whole control plane runs the same machine.
 
 use crate::agent::view_source::ViewSource;
-use crate::head_client::Outgoing;
+use crate::head_client::OutgoingFrame;
 use crate::shard_owner::owner_address;
 use crate::subscription::Subscription;
 use lupinrack_cluster_api::agent::OwnerMessage;
@@ -33,9 +33,9 @@
     clippy::large_enum_variant,
     reason = "nearly all effects are frames; a box would cost each an allocation"
 )]
-pub enum SideEffect<C> {
+pub enum AgentEffect<C> {
     /// Sends a frame to a process, on its newest connection or a new one.
-    Send(Outgoing),
+    Send(OutgoingFrame),
     /// Answers a heartbeat.
     Answer {
         /// The heartbeat.
@@ -55,7 +55,7 @@
 
 /// The process of an agent.
 #[derive(Debug)]
-pub struct SideMachine<C> {
+pub struct AgentMachine<C> {
     view: View,
     subscription: Subscription,
     agent: Agent,
@@ -65,10 +65,10 @@
     session: u64,
     view_source: ViewSource,
     open: Option<OpenCall<C>>,
-    effects: Vec<SideEffect<C>>,
+    effects: Vec<AgentEffect<C>>,
 }
 
-impl<C> SideMachine<C> {
+impl<C> AgentMachine<C> {
     /// One that begins now, as this member. The service of its server may be known beforehand.
     pub fn new(
         own: LiveMember,
@@ -76,8 +76,8 @@
         service: Option<ServiceName>,
         settings: AgentSettings,
         now: Millis,
-    ) -> SideMachine<C> {
-        SideMachine {
+    ) -> AgentMachine<C> {
+        AgentMachine {
             view: View::default(),
             subscription: Subscription::new(seeds, SUBSCRIBE_MS, now),
             agent: Agent::new(settings),
@@ -122,7 +122,12 @@
     }
 
     /// A frame came.
-    pub fn on_frame(&mut self, from: PeerAddress, frame: Frame, now: Millis) -> Vec<SideEffect<C>> {
+    pub fn on_frame(
+        &mut self,
+        from: PeerAddress,
+        frame: Frame,
+        now: Millis,
+    ) -> Vec<AgentEffect<C>> {
         match frame {
             Frame::Owner(message) if Some(from) == self.owner => {
                 self.on_owner_message(message, now);
@@ -170,7 +175,7 @@
     }
 
     /// A connection ended.
-    pub fn on_closed(&mut self, from: PeerAddress, now: Millis) -> Vec<SideEffect<C>> {
+    pub fn on_closed(&mut self, from: PeerAddress, now: Millis) -> Vec<AgentEffect<C>> {
         if Some(from) == self.owner {
             self.begin_session(now);
             self.subscription.hurry();
@@ -187,7 +192,7 @@
         beat: ServerHeartbeat,
         call: C,
         now: Millis,
-    ) -> Vec<SideEffect<C>> {
+    ) -> Vec<AgentEffect<C>> {
         if self.service.as_ref() != Some(&beat.facts.service) {
             self.service = Some(beat.facts.service.clone());
             self.find_owner(now);
@@ -199,20 +204,20 @@
     }
 
     /// The server has left in order.
-    pub fn on_leave(&mut self, server: ServerId, now: Millis) -> Vec<SideEffect<C>> {
+    pub fn on_deregister(&mut self, server: ServerId, now: Millis) -> Vec<AgentEffect<C>> {
         self.agent.deregister(server);
         self.send_to_owner(now);
         self.take_effects()
     }
 
     /// The open heartbeat may have waited for long enough.
-    pub fn on_answer_due(&mut self, now: Millis) -> Vec<SideEffect<C>> {
+    pub fn on_answer_due(&mut self, now: Millis) -> Vec<AgentEffect<C>> {
         self.answer_if_due(now);
         self.take_effects()
     }
 
     /// Time has passed. The table says who is held for alive, and may be wrong.
-    pub fn on_tick(&mut self, table: &LiveTable, now: Millis) -> Vec<SideEffect<C>> {
+    pub fn on_tick(&mut self, table: &LiveTable, now: Millis) -> Vec<AgentEffect<C>> {
         let silent = self.owner.is_some() && now.since(self.owner_heard) >= OWNER_SILENT_MS;
         if silent {
             self.view_source.doubt(now);
@@ -228,7 +233,7 @@
         if let Some(subscribe) = self.subscription.tick(&self.view, Interest::Views, now) {
             let head = self.view.head().and_then(|disk| self.view.address(disk));
             let to = self.view_source.choose(subscribe.to, head, table, now);
-            self.effects.push(SideEffect::Send(Outgoing {
+            self.effects.push(AgentEffect::Send(OutgoingFrame {
                 to,
                 frame: subscribe.frame,
             }));
@@ -271,7 +276,7 @@
     }
 
     fn answer(&mut self, call: C, answer: HeartbeatResponse) {
-        self.effects.push(SideEffect::Answer {
+        self.effects.push(AgentEffect::Answer {
             call,
             answer: Box::new(answer),
         });
@@ -281,7 +286,7 @@
         let Some(to) = self.owner else { return };
         let messages = self.agent.poll(now).into_iter();
         let send = |message| {
-            SideEffect::Send(Outgoing {
+            AgentEffect::Send(OutgoingFrame {
                 to,
                 frame: Frame::Agent(message),
             })
@@ -289,7 +294,7 @@
         self.effects.extend(messages.map(send));
     }
 
-    fn take_effects(&mut self) -> Vec<SideEffect<C>> {
+    fn take_effects(&mut self) -> Vec<AgentEffect<C>> {
         std::mem::take(&mut self.effects)
     }
 }
--- a/crates/cluster-node/src/agent/process.rs
+++ b/crates/cluster-node/src/agent/process.rs
@@ -1,8 +1,8 @@
 //! The agent's process, beside one server: the driver of its state machine.
 
-use crate::agent::machine::{SideEffect, SideMachine};
+use crate::agent::machine::{AgentEffect, AgentMachine};
 use crate::clock::{draw, Clock};
-use crate::head_client::Outgoing;
+use crate::head_client::OutgoingFrame;
 use crate::membership::Membership;
 use crate::protocol_violations::ViolationLog;
 use crate::signals::Signals;
@@ -37,14 +37,14 @@
 enum ServerCall {
     Heartbeat {
         parsed: Box<ServerHeartbeat>,
-        answerer: oneshot::Sender<String>,
+        reply_to: oneshot::Sender<String>,
     },
     Leave {
         server: ServerId,
-        answerer: oneshot::Sender<String>,
+        reply_to: oneshot::Sender<String>,
     },
     Status {
-        answerer: oneshot::Sender<String>,
+        reply_to: oneshot::Sender<String>,
     },
 }
 
@@ -55,7 +55,7 @@
     node: String,
     clock: Clock,
     peers: Peers,
-    machine: SideMachine<HeartbeatAnswerer>,
+    machine: AgentMachine<HeartbeatAnswerer>,
     membership: Membership,
     violations: ViolationLog,
 }
@@ -92,7 +92,7 @@
         node: settings.node.clone(),
         clock,
         peers,
-        machine: SideMachine::new(
+        machine: AgentMachine::new(
             own.clone(),
             settings.seed_internal(),
             service,
@@ -140,17 +140,17 @@
     fn on_server_call(&mut self, call: ServerCall) {
         let now = self.clock.now();
         match call {
-            ServerCall::Heartbeat { parsed, answerer } => {
-                let effects = self.machine.on_heartbeat(*parsed, answerer, now);
+            ServerCall::Heartbeat { parsed, reply_to } => {
+                let effects = self.machine.on_heartbeat(*parsed, reply_to, now);
                 self.carry_out(effects);
             }
-            ServerCall::Leave { server, answerer } => {
-                let effects = self.machine.on_leave(server, now);
-                let _ = answerer.send(String::new());
+            ServerCall::Leave { server, reply_to } => {
+                let effects = self.machine.on_deregister(server, now);
+                let _ = reply_to.send(String::new());
                 self.carry_out(effects);
             }
-            ServerCall::Status { answerer } => {
-                let _ = answerer.send(self.status(now));
+            ServerCall::Status { reply_to } => {
+                let _ = reply_to.send(self.status(now));
             }
         }
     }
@@ -192,13 +192,13 @@
         self.carry_out(effects);
     }
 
-    fn carry_out(&self, effects: Vec<SideEffect<HeartbeatAnswerer>>) {
+    fn carry_out(&self, effects: Vec<AgentEffect<HeartbeatAnswerer>>) {
         for effect in effects {
             match effect {
-                SideEffect::Send(Outgoing { to, frame }) => {
+                AgentEffect::Send(OutgoingFrame { to, frame }) => {
                     self.peers.send(to, frame);
                 }
-                SideEffect::Answer { call, answer } => {
+                AgentEffect::Answer { call, answer } => {
                     // A server that has given up needs no answer.
                     let _ = call.send(render(&answer));
                 }
@@ -229,8 +229,8 @@
 }
 
 async fn answer(call: HttpRequest, calls: mpsc::Sender<ServerCall>) -> HttpResponse {
-    let (answerer, reply) = oneshot::channel();
-    let server_call = match server_call_of(&call, answerer) {
+    let (reply_to, reply) = oneshot::channel();
+    let server_call = match server_call_of(&call, reply_to) {
         Ok(server_call) => server_call,
         Err(kind) => return HttpResponse::error(kind),
     };
@@ -246,10 +246,10 @@
 
 fn server_call_of(
     call: &HttpRequest,
-    answerer: oneshot::Sender<String>,
+    reply_to: oneshot::Sender<String>,
 ) -> Result<ServerCall, ErrorKind> {
     if call.method.as_str() == "GET" && call.path == STATUS_PATH {
-        return Ok(ServerCall::Status { answerer });
+        return Ok(ServerCall::Status { reply_to });
     }
     let id = call
         .path
@@ -259,7 +259,7 @@
         "PUT" => match parse(id, &call.body) {
             Ok(parsed) => Ok(ServerCall::Heartbeat {
                 parsed: Box::new(parsed),
-                answerer,
+                reply_to,
             }),
             Err(fault) => {
                 spdlog::warn!("a heartbeat cannot be read: {fault}");
@@ -268,7 +268,7 @@
         },
         "DELETE" => Ok(ServerCall::Leave {
             server: ServerId(id.to_owned()),
-            answerer,
+            reply_to,
         }),
         _ => Err(ErrorKind::NotServed),
     }
--- a/crates/cluster-node/src/control_api/mod.rs
+++ b/crates/cluster-node/src/control_api/mod.rs
@@ -32,22 +32,22 @@
 
 /// A call of this process to the head.
 #[derive(Debug)]
-pub struct ControlCall {
+pub struct HeadCall {
     /// What is asked.
     pub request: Request,
     /// Where the answer goes.
-    pub answerer: oneshot::Sender<Reply>,
+    pub reply_to: oneshot::Sender<Reply>,
     /// Milliseconds that the caller waits.
     pub remaining_ms: u64,
 }
 
 /// A question to this process itself.
 #[derive(Debug)]
-pub struct QueryCall {
+pub struct ProcessCall {
     /// What is asked.
     pub query: ProcessQuery,
     /// Where the answer goes, as text.
-    pub answerer: oneshot::Sender<String>,
+    pub reply_to: oneshot::Sender<String>,
 }
 
 /// What is asked over HTTP: of the head, wherever it is, or of this very process.
@@ -59,8 +59,8 @@
 /// Serves at the control address.
 pub fn serve(
     settings: &NodeSettings,
-    calls: mpsc::Sender<ControlCall>,
-    queries: mpsc::Sender<QueryCall>,
+    calls: mpsc::Sender<HeadCall>,
+    queries: mpsc::Sender<ProcessCall>,
 ) -> Result<ServerHandle, NodeError> {
     let address = settings.control.ok_or(NodeError::NoAddress)?;
     let listener = listen::bind_once(address)?;
@@ -81,8 +81,8 @@
 
 async fn answer(
     call: HttpRequest,
-    calls: mpsc::Sender<ControlCall>,
-    queries: mpsc::Sender<QueryCall>,
+    calls: mpsc::Sender<HeadCall>,
+    queries: mpsc::Sender<ProcessCall>,
 ) -> HttpResponse {
     match asked_by(&call) {
         Ok(Asked::Head(request)) => answer_of(ask(&calls, request, call_ms(call.body.len())).await),
@@ -101,11 +101,11 @@
 }
 
 /// Asks the head and waits for its answer.
-pub async fn ask(calls: &mpsc::Sender<ControlCall>, request: Request, remaining_ms: u64) -> Reply {
-    let (answerer, reply) = oneshot::channel();
-    let call = ControlCall {
+pub async fn ask(calls: &mpsc::Sender<HeadCall>, request: Request, remaining_ms: u64) -> Reply {
+    let (reply_to, reply) = oneshot::channel();
+    let call = HeadCall {
         request,
-        answerer,
+        reply_to,
         remaining_ms,
     };
     if calls.send(call).await.is_err() {
@@ -114,9 +114,9 @@
     reply.await.unwrap_or(Reply::Error(ErrorKind::InDoubt))
 }
 
-async fn ask_process(queries: &mpsc::Sender<QueryCall>, query: ProcessQuery) -> HttpResponse {
-    let (answerer, text) = oneshot::channel();
-    if queries.send(QueryCall { query, answerer }).await.is_err() {
+async fn ask_process(queries: &mpsc::Sender<ProcessCall>, query: ProcessQuery) -> HttpResponse {
+    let (reply_to, text) = oneshot::channel();
+    if queries.send(ProcessCall { query, reply_to }).await.is_err() {
         return HttpResponse::error(ErrorKind::ShuttingDown);
     }
     match text.await {
--- a/crates/cluster-node/src/core/machine/effects.rs
+++ b/crates/cluster-node/src/core/machine/effects.rs
@@ -1,6 +1,6 @@
 //! What reaches a core process, and what it has its driver do.
 
-use crate::control_api::{ControlCall, QueryCall};
+use crate::control_api::{HeadCall, ProcessCall};
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::wire::Frame;
@@ -47,9 +47,9 @@
     /// A write does not fit what is on the disk, and was dropped for good.
     WriteRefused,
     /// A call of the operator at this process, for the head.
-    Call(ControlCall),
+    Call(HeadCall),
     /// A question of the operator to this process itself.
-    Query(QueryCall),
+    Query(ProcessCall),
     /// Time has passed.
     Tick,
     /// The process is told to end.
--- a/crates/cluster-node/src/core/machine/events.rs
+++ b/crates/cluster-node/src/core/machine/events.rs
@@ -132,18 +132,18 @@
             .or_else(|| self.policy.address_of(disk))
     }
 
-    pub(super) fn on_query(&mut self, call: QueryCall) {
+    pub(super) fn on_query(&mut self, call: ProcessCall) {
         let text = match call.query {
             ProcessQuery::Status => self.status(),
         };
         // An operator that has gone needs no answer.
-        let _ = call.answerer.send(text);
+        let _ = call.reply_to.send(text);
     }
 
-    pub(super) fn on_control_call(&mut self, call: ControlCall) {
+    pub(super) fn on_control_call(&mut self, call: HeadCall) {
         let now = self.moment.now;
         let until = now.plus(call.remaining_ms);
-        let outgoing = self.client.call(call.request, call.answerer, until, now);
+        let outgoing = self.client.call(call.request, call.reply_to, until, now);
         self.send_all(outgoing);
     }
 
--- a/crates/cluster-node/src/core/machine/identity.rs
+++ b/crates/cluster-node/src/core/machine/identity.rs
@@ -5,8 +5,8 @@
 impl CoreMachine {
     /// How often a process claimed a disk that another has: one of the two runs on a copy of the other's data. Nothing
     /// of such a claim is taken.
-    pub fn refused_identities(&self) -> u64 {
-        self.refused_identities
+    pub fn rejected_identity_claims(&self) -> u64 {
+        self.rejected_identity_claims
     }
 
     pub(super) fn take_heartbeat(
@@ -47,8 +47,8 @@
     }
 
     pub(super) fn refuse(&mut self, claimed_at: PeerAddress, duplicate: DuplicateDisk) {
-        self.refused_identities += 1;
-        let count = self.refused_identities;
+        self.rejected_identity_claims += 1;
+        let count = self.rejected_identity_claims;
         if count.is_power_of_two() {
             let DuplicateDisk { disk, known_at } = duplicate;
             let (claimed_at, known_at) = (claimed_at.0, known_at.0);
--- a/crates/cluster-node/src/core/machine/mod.rs
+++ b/crates/cluster-node/src/core/machine/mod.rs
@@ -21,10 +21,10 @@
 use super::pending_requests::{Caller, NewsRequest, Waiting, WaitingCall};
 use super::pending_writes::{AfterWrite, Disk};
 use super::replica::Replica;
-use super::request_steps::{first_step, reply_to, second_step, Step};
+use super::request_steps::{first_step, reply_for, second_step, Step};
 use super::shards::{Shards, AUTHORITY_MS};
-use crate::control_api::{ControlCall, QueryCall};
-use crate::head_client::{HeadClient, Outgoing};
+use crate::control_api::{HeadCall, ProcessCall};
+use crate::head_client::{HeadClient, OutgoingFrame};
 use crate::subscribers::Subscribers;
 use crate::NodeError;
 use borsh::BorshDeserialize;
@@ -117,7 +117,7 @@
     other_cores: BTreeMap<PeerAddress, Millis>,
     catch_up_ms: u64,
     /// How often a process claimed a disk that another has.
-    refused_identities: u64,
+    rejected_identity_claims: u64,
     /// The disk of the process at the other end of each connection from a core process.
     connections: BTreeMap<u64, DiskId>,
 }
@@ -201,7 +201,7 @@
             own_calls: VecDeque::new(),
             other_cores: BTreeMap::new(),
             catch_up_ms,
-            refused_identities: 0,
+            rejected_identity_claims: 0,
             connections: BTreeMap::new(),
             me,
         };
@@ -234,7 +234,7 @@
     }
 
     /// Finishes what the last events left, and hands out all effects, in the order in which they are to be carried out.
-    pub fn settle(&mut self, moment: Moment) -> Vec<CoreEffect> {
+    pub fn take_effects(&mut self, moment: Moment) -> Vec<CoreEffect> {
         self.moment = moment;
         self.finish_events();
         let effects = self.outbox.take();
--- a/crates/cluster-node/src/core/machine/ownership.rs
+++ b/crates/cluster-node/src/core/machine/ownership.rs
@@ -68,7 +68,7 @@
         }
         self.last_confirmation = now;
         let number = self.agreement.current().number;
-        let (answerer, reply) = oneshot::channel();
+        let (reply_to, reply) = oneshot::channel();
         self.confirmation = Some(Confirmation {
             requested_at: now,
             view: number,
@@ -77,7 +77,7 @@
         let until = now.plus(AUTHORITY_MS);
         let outgoing = self
             .client
-            .call(Request::ConfirmView { number }, answerer, until, now);
+            .call(Request::ConfirmView { number }, reply_to, until, now);
         self.send_all(outgoing);
     }
 
--- a/crates/cluster-node/src/core/machine/replication.rs
+++ b/crates/cluster-node/src/core/machine/replication.rs
@@ -107,6 +107,6 @@
         let Some(call) = self.waiting.applied(index) else {
             return;
         };
-        self.answer(call.caller, reply_to(result), now);
+        self.answer(call.caller, reply_for(result), now);
     }
 }
--- a/crates/cluster-node/src/core/machine/requests.rs
+++ b/crates/cluster-node/src/core/machine/requests.rs
@@ -69,8 +69,8 @@
         }
     }
 
-    pub(super) fn send_all(&mut self, outgoing: Vec<Outgoing>) {
-        for Outgoing { to, frame } in outgoing {
+    pub(super) fn send_all(&mut self, outgoing: Vec<OutgoingFrame>) {
+        for OutgoingFrame { to, frame } in outgoing {
             if to != self.me.address {
                 self.outbox.send(to, frame);
                 continue;
--- a/crates/cluster-node/src/core/machine/shutdown.rs
+++ b/crates/cluster-node/src/core/machine/shutdown.rs
@@ -16,7 +16,7 @@
     }
 
     /// Whether the process, told to end, may end now.
-    pub fn has_left(&self, now: Millis) -> bool {
+    pub fn is_shutdown_complete(&self, now: Millis) -> bool {
         let Some(since) = self.leaving_since else {
             return false;
         };
--- a/crates/cluster-node/src/core/process.rs
+++ b/crates/cluster-node/src/core/process.rs
@@ -2,7 +2,7 @@
 
 use super::machine::{CoreEffect, CoreEvent, CoreMachine, CoreSettings};
 use crate::clock::{draw, Clock};
-use crate::control_api::{self, ControlCall, QueryCall};
+use crate::control_api::{self, HeadCall, ProcessCall};
 use crate::membership::Membership;
 use crate::protocol_violations::ViolationLog;
 use crate::signals::Signals;
@@ -62,13 +62,13 @@
         writer,
         violations: ViolationLog::default(),
     };
-    let (calls_in, mut calls) = mpsc::channel::<ControlCall>(256);
-    let (queries_in, mut queries) = mpsc::channel::<QueryCall>(16);
+    let (calls_in, mut calls) = mpsc::channel::<HeadCall>(256);
+    let (queries_in, mut queries) = mpsc::channel::<ProcessCall>(16);
     let http = control_api::serve(&settings, calls_in, queries_in)?;
     let mut signals = Signals::listen()?;
     let mut timer = tokio::time::interval(Duration::from_millis(TICK_MS));
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    driver.settle();
+    driver.take_effects();
     loop {
         tokio::select! {
             Some(event) = peer_events.recv() => {
@@ -87,11 +87,11 @@
                 driver.receive(CoreEvent::Terminate);
             }
         }
-        driver.settle();
+        driver.take_effects();
         if let Some(fault) = driver.machine.fault() {
             return Err(NodeError::Core(fault));
         }
-        if driver.machine.has_left(clock.now()) {
+        if driver.machine.is_shutdown_complete(clock.now()) {
             drop(http);
             return Ok(());
         }
@@ -188,8 +188,8 @@
         }
     }
 
-    fn settle(&mut self) {
-        let effects = self.machine.settle(self.clock.moment());
+    fn take_effects(&mut self) {
+        let effects = self.machine.take_effects(self.clock.moment());
         for effect in effects {
             self.carry_out(effect);
         }
--- a/crates/cluster-node/src/core/request_steps.rs
+++ b/crates/cluster-node/src/core/request_steps.rs
@@ -70,7 +70,7 @@
 }
 
 /// The answer to a call whose operation was applied.
-pub fn reply_to(result: &OperationResult) -> Reply {
+pub fn reply_for(result: &OperationResult) -> Reply {
     match result {
         OperationResult::Done | OperationResult::Starts(_) => Reply::Done,
         OperationResult::Job(state) => Reply::Job(*state),
--- a/crates/cluster-node/src/front/client_call.rs
+++ b/crates/cluster-node/src/front/client_call.rs
@@ -9,7 +9,7 @@
 use lupinrack_cluster_transport::http_server::HttpRequest;
 
 /// Reads a client's call. That there is no queue is said here only by a configuration that was confirmed within
-/// `trusted_ms`; whatever else depends on the state of the cluster is for the head.
+/// `negative_answer_validity_ms`; whatever else depends on the state of the cluster is for the head.
 ///
 /// # Errors
 ///
@@ -17,14 +17,14 @@
 pub fn read_call(
     call: &HttpRequest,
     known: &KnownConfiguration,
-    trusted_ms: u64,
+    negative_answer_validity_ms: u64,
     now: Millis,
 ) -> Result<Request, ErrorKind> {
     let target = Target {
         host: call.host.clone(),
         path: call.path.clone(),
     };
-    if known.lacks_queue(&target, trusted_ms, now) {
+    if known.lacks_queue(&target, negative_answer_validity_ms, now) {
         return Err(ErrorKind::UnknownQueue);
     }
     let job = JobTarget::from_path(&call.path).job;
--- a/crates/cluster-node/src/front/configuration_feed.rs
+++ b/crates/cluster-node/src/front/configuration_feed.rs
@@ -3,8 +3,8 @@
 
 use crate::front::home_front::Home;
 use crate::front::known_configuration::{ConfigurationUpdate, KnownConfiguration};
-use crate::front::update_relay::{Relay, RelayedFrame, RelayedKnowledge};
-use crate::head_client::Outgoing;
+use crate::front::update_relay::{Relay, RelayedKnowledge, SubscriberFrame};
+use crate::head_client::OutgoingFrame;
 use crate::subscription::Subscription;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
@@ -46,7 +46,7 @@
     }
 
     /// The subscription that is due, if any.
-    pub fn tick(&mut self, table: &LiveTable, view: &View, now: Millis) -> Option<Outgoing> {
+    pub fn tick(&mut self, table: &LiveTable, view: &View, now: Millis) -> Option<OutgoingFrame> {
         if self.home.tick(table, now) {
             self.subscription.hurry();
         }
@@ -55,7 +55,7 @@
         };
         let subscribe = self.subscription.tick(view, interest, now)?;
         let home = self.home.source().filter(|_| view.number > 0);
-        Some(Outgoing {
+        Some(OutgoingFrame {
             to: home.unwrap_or(subscribe.to),
             frame: subscribe.frame,
         })
@@ -68,7 +68,7 @@
         news: ConfigurationUpdate,
         view: &View,
         now: Millis,
-    ) -> Vec<RelayedFrame> {
+    ) -> Vec<SubscriberFrame> {
         let (held_at, is_vouched_for) = (news.held_at(), news.is_vouched_for());
         let learned = self.known.learn(news);
         if learned.fresher {
@@ -85,7 +85,7 @@
     }
 
     /// A newer view is known; what is to be passed on.
-    pub fn view_changed(&mut self, view: &View) -> Vec<RelayedFrame> {
+    pub fn view_changed(&mut self, view: &View) -> Vec<SubscriberFrame> {
         self.subscription.hurry();
         self.relay.tell_view(view)
     }
@@ -98,7 +98,7 @@
         requested_at: Millis,
         view: &View,
         now: Millis,
-    ) -> Vec<RelayedFrame> {
+    ) -> Vec<SubscriberFrame> {
         let knowledge = self.knowledge(view);
         self.relay
             .subscribed(connection, interest, requested_at, &knowledge, now)
--- a/crates/cluster-node/src/front/known_configuration.rs
+++ b/crates/cluster-node/src/front/known_configuration.rs
@@ -53,7 +53,7 @@
 
 /// For how long after its confirmation a configuration says what does not exist, in milliseconds: for half of the time
 /// that a change may take to be in force, since other times add to it.
-pub fn trusted_ms(config_apply_ms: u64) -> u64 {
+pub fn negative_answer_validity_ms(config_apply_ms: u64) -> u64 {
     (config_apply_ms / 2).min(TRUSTED_MOST_MS)
 }
 
--- a/crates/cluster-node/src/front/machine.rs
+++ b/crates/cluster-node/src/front/machine.rs
@@ -3,11 +3,11 @@
 //! Its driver carries the frames, serves HTTP and tells it who is held for alive. The simulation of the whole control
 //! plane runs the same machine.
 
-use crate::control_api::ControlCall;
+use crate::control_api::HeadCall;
 use crate::front::configuration_feed::FrontNews;
 use crate::front::known_configuration::{ConfigurationUpdate, KnownConfiguration};
-use crate::front::update_relay::RelayedFrame;
-use crate::head_client::{HeadClient, Outgoing};
+use crate::front::update_relay::SubscriberFrame;
+use crate::head_client::{HeadClient, OutgoingFrame};
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
@@ -25,9 +25,9 @@
 #[derive(Debug)]
 pub enum FrontEffect {
     /// Sends a frame to a process, on its newest connection or a new one.
-    Send(Outgoing),
+    Send(OutgoingFrame),
     /// Sends a frame on this very connection, if it is still there.
-    SendOn(RelayedFrame),
+    SendOn(SubscriberFrame),
 }
 
 /// A front.
@@ -132,9 +132,9 @@
     }
 
     /// A client's call that the head is to answer.
-    pub fn on_call(&mut self, call: ControlCall, now: Millis) -> Vec<FrontEffect> {
+    pub fn on_call(&mut self, call: HeadCall, now: Millis) -> Vec<FrontEffect> {
         let until = now.plus(call.remaining_ms);
-        sends(self.client.call(call.request, call.answerer, until, now))
+        sends(self.client.call(call.request, call.reply_to, until, now))
     }
 
     /// Time has passed. The table says who is held for alive, and may be wrong.
@@ -149,10 +149,10 @@
     }
 }
 
-fn sends(outgoing: Vec<Outgoing>) -> Vec<FrontEffect> {
+fn sends(outgoing: Vec<OutgoingFrame>) -> Vec<FrontEffect> {
     outgoing.into_iter().map(FrontEffect::Send).collect()
 }
 
-fn relays(frames: Vec<RelayedFrame>) -> Vec<FrontEffect> {
+fn relays(frames: Vec<SubscriberFrame>) -> Vec<FrontEffect> {
     frames.into_iter().map(FrontEffect::SendOn).collect()
 }
--- a/crates/cluster-node/src/front/process.rs
+++ b/crates/cluster-node/src/front/process.rs
@@ -1,12 +1,12 @@
 //! The front's process: the driver of its state machine, which takes clients' calls, checks them, and hands them on.
 
 use crate::clock::{draw, Clock};
-use crate::control_api::{ask, ControlCall};
+use crate::control_api::{ask, HeadCall};
 use crate::front::client_call::read_call;
-use crate::front::known_configuration::{trusted_ms, KnownConfiguration};
+use crate::front::known_configuration::{negative_answer_validity_ms, KnownConfiguration};
 use crate::front::machine::{FrontEffect, FrontMachine, END_PERCENT, READY_MS, SERVE_ON_PERCENT};
-use crate::front::update_relay::RelayedFrame;
-use crate::head_client::Outgoing;
+use crate::front::update_relay::SubscriberFrame;
+use crate::head_client::OutgoingFrame;
 use crate::membership::Membership;
 use crate::protocol_violations::ViolationLog;
 use crate::signals::Signals;
@@ -69,7 +69,7 @@
     };
     let (peers, mut events) = Peers::start(address.0, hello, PeerSettings::default())?;
     let table = Arc::new(SharedValue::new(FrontTable::default()));
-    let (calls_in, mut calls) = mpsc::channel::<ControlCall>(1024);
+    let (calls_in, mut calls) = mpsc::channel::<HeadCall>(1024);
     let front_server = serve_jobs(&settings, &table, calls_in, clock)?;
     let readiness_server = serve_readiness(&settings, &table, clock)?;
     let own = LiveMember {
@@ -157,7 +157,7 @@
         self.carry_out(effects);
     }
 
-    fn on_call(&mut self, call: ControlCall) {
+    fn on_call(&mut self, call: HeadCall) {
         let effects = self.machine.on_call(call, self.clock.now());
         self.carry_out(effects);
     }
@@ -206,10 +206,10 @@
     fn carry_out(&mut self, effects: Vec<FrontEffect>) {
         for effect in effects {
             match effect {
-                FrontEffect::Send(Outgoing { to, frame }) => {
+                FrontEffect::Send(OutgoingFrame { to, frame }) => {
                     self.peers.send(to, frame);
                 }
-                FrontEffect::SendOn(RelayedFrame { connection, frame }) => {
+                FrontEffect::SendOn(SubscriberFrame { connection, frame }) => {
                     self.peers.send_on(connection, frame);
                 }
             }
@@ -262,17 +262,17 @@
 fn serve_jobs(
     settings: &NodeSettings,
     table: &Arc<SharedValue<FrontTable>>,
-    calls: mpsc::Sender<ControlCall>,
+    calls: mpsc::Sender<HeadCall>,
     clock: Clock,
 ) -> Result<http_server::ServerHandle, NodeError> {
     let address = settings.front.ok_or(NodeError::NoAddress)?;
     let listener = listen::bind_once(address)?;
     let table = table.clone();
-    let trusted_ms = trusted_ms(settings.bounds.config_apply_ms);
+    let negative_answer_validity_ms = negative_answer_validity_ms(settings.bounds.config_apply_ms);
     let handler = move |call: HttpRequest| {
         let table = table.load();
         let calls = calls.clone();
-        async move { answer(call, table, calls, trusted_ms, clock).await }
+        async move { answer(call, table, calls, negative_answer_validity_ms, clock).await }
     };
     Ok(http_server::serve(
         listener,
@@ -284,11 +284,16 @@
 async fn answer(
     call: HttpRequest,
     table: Arc<FrontTable>,
-    calls: mpsc::Sender<ControlCall>,
-    trusted_ms: u64,
+    calls: mpsc::Sender<HeadCall>,
+    negative_answer_validity_ms: u64,
     clock: Clock,
 ) -> HttpResponse {
-    match read_call(&call, &table.known, trusted_ms, clock.now()) {
+    match read_call(
+        &call,
+        &table.known,
+        negative_answer_validity_ms,
+        clock.now(),
+    ) {
         Err(kind) => HttpResponse::error(kind),
         Ok(request) => {
             let remaining = call.deadline_remaining_ms.unwrap_or(WAIT_MS).min(WAIT_MS);
--- a/crates/cluster-node/src/front/update_relay.rs
+++ b/crates/cluster-node/src/front/update_relay.rs
@@ -25,7 +25,7 @@
 
 /// A frame for a subscriber.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RelayedFrame {
+pub struct SubscriberFrame {
     /// The subscriber's connection.
     pub connection: u64,
     /// What.
@@ -47,7 +47,7 @@
         requested_at: Millis,
         knowledge: &RelayedKnowledge,
         now: Millis,
-    ) -> Vec<RelayedFrame> {
+    ) -> Vec<SubscriberFrame> {
         self.subscribers.heard(connection, interest).requested_at = requested_at;
         let mut frames = self.tell_view(&knowledge.view);
         if let Interest::Configuration { have } = interest {
@@ -62,12 +62,12 @@
     }
 
     /// Tells the view to whom it was not told yet.
-    pub fn tell_view(&mut self, view: &View) -> Vec<RelayedFrame> {
+    pub fn tell_view(&mut self, view: &View) -> Vec<SubscriberFrame> {
         let mut frames = Vec::new();
         for (connection, subscriber) in self.subscribers.iter_mut() {
             if subscriber.told_view < view.number {
                 subscriber.told_view = view.number;
-                frames.push(RelayedFrame {
+                frames.push(SubscriberFrame {
                     connection: *connection,
                     frame: Frame::ViewUpdate(view.clone()),
                 });
@@ -81,7 +81,7 @@
         &mut self,
         knowledge: &RelayedKnowledge,
         now: Millis,
-    ) -> Vec<RelayedFrame> {
+    ) -> Vec<SubscriberFrame> {
         let mut frames = Vec::new();
         let version = knowledge.known.configuration.version;
         for (connection, subscriber) in self.subscribers.iter_mut() {
@@ -110,7 +110,7 @@
     requested_at: Millis,
     knowledge: &RelayedKnowledge,
     now: Millis,
-) -> Option<RelayedFrame> {
+) -> Option<SubscriberFrame> {
     let age_ms = now.since(knowledge.known.confirmed_at);
     let version = knowledge.known.configuration.version;
     if version == 0 || age_ms > AGE_MOST_MS {
@@ -118,7 +118,7 @@
     }
     let configuration =
         (have != version).then(|| Configuration::clone(&knowledge.known.configuration));
-    Some(RelayedFrame {
+    Some(SubscriberFrame {
         connection,
         frame: Frame::ConfigurationUpdate {
             requested_at,
--- a/crates/cluster-node/src/head_client/mod.rs
+++ b/crates/cluster-node/src/head_client/mod.rs
@@ -22,7 +22,7 @@
 
 /// A frame to send.
 #[derive(Debug)]
-pub struct Outgoing {
+pub struct OutgoingFrame {
     /// To whom.
     pub to: PeerAddress,
     /// What.
@@ -62,7 +62,7 @@
     }
 
     /// Takes over a view if it is newer; calls that wait are sent to its head.
-    pub fn learn(&mut self, view: &View, now: Millis) -> Vec<Outgoing> {
+    pub fn learn(&mut self, view: &View, now: Millis) -> Vec<OutgoingFrame> {
         let effects = self.calls.learn(view, now);
         self.carry_out(effects)
     }
@@ -71,17 +71,17 @@
     pub fn call(
         &mut self,
         request: Request,
-        answerer: Answerer,
+        reply_to: Answerer,
         until: Millis,
         now: Millis,
-    ) -> Vec<Outgoing> {
+    ) -> Vec<OutgoingFrame> {
         if self.calls.open_count() >= OPEN_CALLS_MOST {
             // A caller that has gone needs no answer.
-            let _ = answerer.send(Reply::Error(ErrorKind::Overloaded));
+            let _ = reply_to.send(Reply::Error(ErrorKind::Overloaded));
             return Vec::new();
         }
         let (number, effects) = self.calls.begin(request, until, now);
-        self.answerers.insert(number, answerer);
+        self.answerers.insert(number, reply_to);
         self.carry_out(effects)
     }
 
@@ -92,26 +92,26 @@
         id: CallId,
         reply: Reply,
         now: Millis,
-    ) -> Vec<Outgoing> {
+    ) -> Vec<OutgoingFrame> {
         let effects = self.calls.answered(from, id, reply, now);
         self.carry_out(effects)
     }
 
     /// A connection ended: what was sent there goes out again.
-    pub fn closed(&mut self, peer: PeerAddress, now: Millis) -> Vec<Outgoing> {
+    pub fn closed(&mut self, peer: PeerAddress, now: Millis) -> Vec<OutgoingFrame> {
         let effects = self.calls.closed(peer, now);
         self.carry_out(effects)
     }
 
     /// Gives up what is over and repeats what is overdue.
-    pub fn tick(&mut self, now: Millis) -> Vec<Outgoing> {
+    pub fn tick(&mut self, now: Millis) -> Vec<OutgoingFrame> {
         self.abandon_calls_of_the_gone();
         let effects = self.calls.tick(now);
         self.carry_out(effects)
     }
 
     fn abandon_calls_of_the_gone(&mut self) {
-        let gone = |(_, answerer): &(&u64, &Answerer)| answerer.is_closed();
+        let gone = |(_, reply_to): &(&u64, &Answerer)| reply_to.is_closed();
         let gone: Vec<u64> = self
             .answerers
             .iter()
@@ -124,21 +124,21 @@
         }
     }
 
-    fn carry_out(&mut self, effects: Vec<CallEffect<Request>>) -> Vec<Outgoing> {
+    fn carry_out(&mut self, effects: Vec<CallEffect<Request>>) -> Vec<OutgoingFrame> {
         effects
             .into_iter()
             .filter_map(|effect| self.outgoing(effect))
             .collect()
     }
 
-    fn outgoing(&mut self, effect: CallEffect<Request>) -> Option<Outgoing> {
+    fn outgoing(&mut self, effect: CallEffect<Request>) -> Option<OutgoingFrame> {
         match effect {
             CallEffect::Send {
                 to,
                 id,
                 remaining_ms,
                 call,
-            } => Some(Outgoing {
+            } => Some(OutgoingFrame {
                 to,
                 frame: Frame::Request {
                     id,
@@ -147,9 +147,9 @@
                 },
             }),
             CallEffect::Finish { number, reply } => {
-                if let Some(answerer) = self.answerers.remove(&number) {
+                if let Some(reply_to) = self.answerers.remove(&number) {
                     // A caller that has gone needs no answer.
-                    let _ = answerer.send(reply);
+                    let _ = reply_to.send(reply);
                 }
                 None
             }
--- a/crates/cluster-node/src/subscription.rs
+++ b/crates/cluster-node/src/subscription.rs
@@ -1,7 +1,7 @@
 //! How a process without a disk follows the core: it finds a core process from its seeds, learns the view, and stays
 //! subscribed to the head.
 
-use crate::head_client::Outgoing;
+use crate::head_client::OutgoingFrame;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
@@ -47,7 +47,7 @@
     }
 
     /// The subscription that is due, if any.
-    pub fn tick(&mut self, view: &View, interest: Interest, now: Millis) -> Option<Outgoing> {
+    pub fn tick(&mut self, view: &View, interest: Interest, now: Millis) -> Option<OutgoingFrame> {
         let searching = view.number == 0 || now.since(self.last_news) >= SILENT_MS + self.every_ms;
         let every = if searching { SEARCH_MS } else { self.every_ms };
         if self.last_sent.is_some_and(|at| now.since(at) < every) {
@@ -59,7 +59,7 @@
         } else {
             view.address(view.head()?)?
         };
-        Some(Outgoing {
+        Some(OutgoingFrame {
             to,
             frame: Frame::Subscribe {
                 interest,
--- a/crates/cluster-node/tests/answers_over_views.rs
+++ b/crates/cluster-node/tests/answers_over_views.rs
@@ -102,7 +102,7 @@
                 },
             );
         }
-        self.settle();
+        self.take_effects();
     }
 
     fn moment(&self) -> Moment {
@@ -112,12 +112,12 @@
         }
     }
 
-    fn settle(&mut self) {
+    fn take_effects(&mut self) {
         while let Some((to, event)) = self.due.pop_front() {
             let moment = self.moment();
             let machine = &mut self.machines[usize::from(to) - 1];
             machine.receive(event, moment);
-            for effect in machine.settle(moment) {
+            for effect in machine.take_effects(moment) {
                 self.carry_out(to, effect);
             }
         }
@@ -155,7 +155,7 @@
             self.now += TICK_MS;
             self.due
                 .extend((1..=MACHINES).map(|number| (number, CoreEvent::Tick)));
-            self.settle();
+            self.take_effects();
         }
     }
 
@@ -180,7 +180,7 @@
                 frame,
             },
         ));
-        self.settle();
+        self.take_effects();
     }
 
     /// All answers to a call, each of which has to come on its connection.
--- a/crates/cluster-node/tests/byte_bounds.rs
+++ b/crates/cluster-node/tests/byte_bounds.rs
@@ -6,7 +6,7 @@
 use lupinrack_cluster_api::request::{Reply, Request};
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::Voter;
-use lupinrack_cluster_node::control_api::ControlCall;
+use lupinrack_cluster_node::control_api::HeadCall;
 use lupinrack_cluster_node::core::{
     ByteLimits, CoreEffect, CoreEvent, CoreMachine, CoreSettings, Moment,
 };
@@ -88,7 +88,7 @@
             events
                 .drain(..)
                 .for_each(|event| self.machine.receive(event, moment(self.now)));
-            for effect in self.machine.settle(moment(self.now)) {
+            for effect in self.machine.take_effects(moment(self.now)) {
                 let CoreEffect::Write { ticket, batch } = effect else {
                     continue;
                 };
@@ -119,10 +119,10 @@
     fn call(&mut self, body: String, if_match: u64) -> oneshot::Receiver<Reply> {
         let body = ConfigurationBody::Replacement(body);
         let request = Request::ChangeConfiguration(ConfigurationChange { if_match, body });
-        let (answerer, reply) = oneshot::channel();
-        self.receive(CoreEvent::Call(ControlCall {
+        let (reply_to, reply) = oneshot::channel();
+        self.receive(CoreEvent::Call(HeadCall {
             request,
-            answerer,
+            reply_to,
             remaining_ms: 2_000,
         }));
         reply
--- a/crates/cluster-node/tests/calls.rs
+++ b/crates/cluster-node/tests/calls.rs
@@ -8,7 +8,7 @@
 };
 use lupinrack_cluster_api::request::{Reply, Request, Target};
 use lupinrack_cluster_api::time::WallMillis;
-use lupinrack_cluster_node::core::request_steps::{first_step, reply_to, second_step, Step};
+use lupinrack_cluster_node::core::request_steps::{first_step, reply_for, second_step, Step};
 use lupinrack_control_state::ControlState;
 
 const WALL: WallMillis = WallMillis(1_700_000_000_000);
@@ -298,12 +298,15 @@
 
 #[test]
 fn results_become_replies() {
-    assert_eq!(reply_to(&OperationResult::Done), Reply::Done);
-    assert_eq!(reply_to(&OperationResult::Starts(vec![true])), Reply::Done);
+    assert_eq!(reply_for(&OperationResult::Done), Reply::Done);
+    assert_eq!(reply_for(&OperationResult::Starts(vec![true])), Reply::Done);
     assert_eq!(
-        reply_to(&OperationResult::Job(JobState::Running)),
+        reply_for(&OperationResult::Job(JobState::Running)),
         Reply::Job(JobState::Running)
     );
     let refused = OperationResult::Refused(ErrorKind::VersionConflict);
-    assert_eq!(reply_to(&refused), Reply::Error(ErrorKind::VersionConflict));
+    assert_eq!(
+        reply_for(&refused),
+        Reply::Error(ErrorKind::VersionConflict)
+    );
 }
--- a/crates/cluster-node/tests/core_faults.rs
+++ b/crates/cluster-node/tests/core_faults.rs
@@ -81,7 +81,7 @@
         events
             .drain(..)
             .for_each(|event| machine.receive(event, NOW));
-        for effect in machine.settle(NOW) {
+        for effect in machine.take_effects(NOW) {
             match effect {
                 CoreEffect::Write { ticket, .. } => events.push(CoreEvent::Synced(vec![ticket])),
                 effect => seen.push(effect),
--- a/crates/cluster-node/tests/core_machine.rs
+++ b/crates/cluster-node/tests/core_machine.rs
@@ -8,7 +8,7 @@
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::{View, Voter};
 use lupinrack_cluster_api::wire::{ChainMessage, Frame, Hello, ReplicaReport, Role};
-use lupinrack_cluster_node::control_api::{ControlCall, QueryCall};
+use lupinrack_cluster_node::control_api::{HeadCall, ProcessCall};
 use lupinrack_cluster_node::core::{CoreEffect, CoreEvent, CoreMachine, CoreSettings, Moment};
 use lupinrack_control_store::Recovered;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -95,7 +95,7 @@
             events
                 .drain(..)
                 .for_each(|event| self.machine.receive(event, moment(self.now)));
-            for effect in self.machine.settle(moment(self.now)) {
+            for effect in self.machine.take_effects(moment(self.now)) {
                 match effect {
                     CoreEffect::Send { to, frame } => self.sent.push((to, frame)),
                     CoreEffect::SendOn { connection, frame } => {
@@ -147,10 +147,10 @@
 
     /// Calls the head and waits for the answer.
     fn call(&mut self, request: Request) -> Reply {
-        let (answerer, mut reply) = oneshot::channel();
-        self.receive(CoreEvent::Call(ControlCall {
+        let (reply_to, mut reply) = oneshot::channel();
+        self.receive(CoreEvent::Call(HeadCall {
             request,
-            answerer,
+            reply_to,
             remaining_ms: 2_000,
         }));
         self.pass(500);
@@ -175,10 +175,10 @@
 fn a_view_is_adopted_that_an_answer_told_of_first() {
     let mut driven = Driven::new(2);
     driven.heartbeat(1, view(1, [1, 2]));
-    let (answerer, _reply) = oneshot::channel();
-    let call = ControlCall {
+    let (reply_to, _reply) = oneshot::channel();
+    let call = HeadCall {
         request: Request::ReadConfiguration,
-        answerer,
+        reply_to,
         remaining_ms: 1_000,
     };
     driven.receive(CoreEvent::Call(call));
@@ -242,10 +242,10 @@
     let mut driven = Driven::new(2);
     driven.heartbeat(1, view(1, [1, 2]));
     driven.sent.clear();
-    let (answerer, mut text) = oneshot::channel();
-    driven.receive(CoreEvent::Query(QueryCall {
+    let (reply_to, mut text) = oneshot::channel();
+    driven.receive(CoreEvent::Query(ProcessCall {
         query: ProcessQuery::Status,
-        answerer,
+        reply_to,
     }));
     assert!(text
         .try_recv()
@@ -372,7 +372,7 @@
     }
 
     fn may_end(&self) -> bool {
-        self.machine.has_left(Millis(self.now))
+        self.machine.is_shutdown_complete(Millis(self.now))
     }
 }
 
@@ -450,7 +450,7 @@
             replica: ReplicaReport::default(),
         };
         driven.frame(9, heartbeat);
-        assert_eq!(driven.machine.refused_identities(), count);
+        assert_eq!(driven.machine.rejected_identity_claims(), count);
     }
     let hello = Hello {
         address: voter(9).address,
@@ -460,7 +460,7 @@
         disk: Some(voter(1).disk),
     };
     driven.frame(9, Frame::Hello(hello));
-    assert_eq!(driven.machine.refused_identities(), 4);
+    assert_eq!(driven.machine.rejected_identity_claims(), 4);
     driven.sent.clear();
     let append = ChainMessage::Append {
         view: 1,
--- a/crates/cluster-node/tests/golden.rs
+++ b/crates/cluster-node/tests/golden.rs
@@ -17,7 +17,7 @@
 };
 use lupinrack_cluster_api::request::Reply;
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_node::control_api::{self, ControlCall, QueryCall};
+use lupinrack_cluster_node::control_api::{self, HeadCall, ProcessCall};
 use lupinrack_cluster_node::core::CoreFault;
 use lupinrack_cluster_node::status::{AgentStatus, CoreStatus, FrontStatus, STATUS_PATH};
 use lupinrack_cluster_node::NodeError;
@@ -338,18 +338,18 @@
 
 /// Answers calls until the script tells a call to be dropped and no further ones to be taken.
 async fn answer_calls(
-    mut calls: mpsc::Receiver<ControlCall>,
-    mut queries: mpsc::Receiver<QueryCall>,
+    mut calls: mpsc::Receiver<HeadCall>,
+    mut queries: mpsc::Receiver<ProcessCall>,
     script: &Script,
 ) {
     loop {
         tokio::select! {
-            Some(ControlCall { request, answerer, .. }) = calls.recv() => match script.take(&request) {
-                Some(reply) => answerer.send(reply).expect("the caller waits"),
+            Some(HeadCall { request, reply_to, .. }) = calls.recv() => match script.take(&request) {
+                Some(reply) => reply_to.send(reply).expect("the caller waits"),
                 None => return,
             },
-            Some(QueryCall { answerer, .. }) = queries.recv() => {
-                answerer.send("node core-1\nclass core\n".to_owned()).expect("the caller waits");
+            Some(ProcessCall { reply_to, .. }) = queries.recv() => {
+                reply_to.send("node core-1\nclass core\n".to_owned()).expect("the caller waits");
             }
         }
     }
--- a/crates/cluster-node/tests/head_client.rs
+++ b/crates/cluster-node/tests/head_client.rs
@@ -9,7 +9,7 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
 use lupinrack_cluster_api::wire::Frame;
-use lupinrack_cluster_node::head_client::{HeadClient, Outgoing};
+use lupinrack_cluster_node::head_client::{HeadClient, OutgoingFrame};
 use quickcheck::quickcheck;
 use tokio::sync::oneshot::{channel, Receiver};
 
@@ -34,9 +34,9 @@
 }
 
 fn begin(client: &mut HeadClient, now: Millis) -> (Vec<Sent>, Receiver<Reply>) {
-    let (answerer, answer) = channel();
+    let (reply_to, answer) = channel();
     (
-        sent(client.call(Request::ReadConfiguration, answerer, UNTIL, now)),
+        sent(client.call(Request::ReadConfiguration, reply_to, UNTIL, now)),
         answer,
     )
 }
@@ -55,7 +55,7 @@
     number: u64,
     reply: Reply,
     now: Millis,
-) -> Vec<Outgoing> {
+) -> Vec<OutgoingFrame> {
     client.answered(
         core(from),
         CallId {
@@ -67,8 +67,8 @@
     )
 }
 
-fn sent(outgoing: Vec<Outgoing>) -> Vec<Sent> {
-    let one = |outgoing: Outgoing| match outgoing.frame {
+fn sent(outgoing: Vec<OutgoingFrame>) -> Vec<Sent> {
+    let one = |outgoing: OutgoingFrame| match outgoing.frame {
         Frame::Request {
             id: CallId {
                 incarnation: LIFE,
--- a/crates/cluster-node/tests/known_configuration.rs
+++ b/crates/cluster-node/tests/known_configuration.rs
@@ -4,7 +4,7 @@
 use lupinrack_cluster_api::request::Target;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_node::front::known_configuration::{
-    trusted_ms, ConfigurationUpdate, KnownConfiguration, Learned,
+    negative_answer_validity_ms, ConfigurationUpdate, KnownConfiguration, Learned,
 };
 use quickcheck::quickcheck;
 
@@ -110,7 +110,7 @@
 #[test]
 fn a_configuration_is_trusted_for_half_of_the_time_that_a_change_may_take() {
     assert_eq!(
-        [0, 600, 1_000, 2_000, 60_000].map(trusted_ms),
+        [0, 600, 1_000, 2_000, 60_000].map(negative_answer_validity_ms),
         [0, 300, 500, 900, 900]
     );
 }
--- a/crates/cluster-node/tests/network/mod.rs
+++ b/crates/cluster-node/tests/network/mod.rs
@@ -13,7 +13,7 @@
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::Voter;
 use lupinrack_cluster_api::wire::{Frame, Hello, Role};
-use lupinrack_cluster_node::control_api::{ControlCall, QueryCall};
+use lupinrack_cluster_node::control_api::{HeadCall, ProcessCall};
 use lupinrack_cluster_node::core::{CoreEffect, CoreEvent, CoreMachine, CoreSettings, Moment};
 use lupinrack_control_store::Recovered;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -267,10 +267,10 @@
         request: Request,
         wait_ms: u64,
     ) -> oneshot::Receiver<Reply> {
-        let (answerer, reply) = oneshot::channel();
-        let call = ControlCall {
+        let (reply_to, reply) = oneshot::channel();
+        let call = HeadCall {
             request,
-            answerer,
+            reply_to,
             remaining_ms: wait_ms,
         };
         self.receive(number, CoreEvent::Call(call));
@@ -279,12 +279,12 @@
 
     /// What a process tells operators of itself.
     pub fn status(&mut self, number: usize) -> String {
-        let (answerer, mut text) = oneshot::channel();
+        let (reply_to, mut text) = oneshot::channel();
         self.receive(
             number,
-            CoreEvent::Query(QueryCall {
+            CoreEvent::Query(ProcessCall {
                 query: ProcessQuery::Status,
-                answerer,
+                reply_to,
             }),
         );
         text.try_recv()
@@ -314,7 +314,7 @@
                 self.receive(number, CoreEvent::Tick);
             }
             let process = &self.processes[number];
-            if !process.has_ended && process.machine.has_left(Millis(self.now)) {
+            if !process.has_ended && process.machine.is_shutdown_complete(Millis(self.now)) {
                 self.end(number);
             }
         }
@@ -339,7 +339,7 @@
             return;
         }
         process.machine.receive(event, moment);
-        let effects = process.machine.settle(moment);
+        let effects = process.machine.take_effects(moment);
         effects
             .into_iter()
             .for_each(|effect| self.carry_out(number, effect));
--- a/crates/cluster-node/tests/relay.rs
+++ b/crates/cluster-node/tests/relay.rs
@@ -10,7 +10,7 @@
 use lupinrack_cluster_node::front::home_front::{HOME_AVOID_MS, HOME_SILENT_MS};
 use lupinrack_cluster_node::front::known_configuration::{ConfigurationUpdate, KnownConfiguration};
 use lupinrack_cluster_node::front::update_relay::{
-    Relay, RelayedFrame, RelayedKnowledge, AGE_MOST_MS,
+    Relay, RelayedKnowledge, SubscriberFrame, AGE_MOST_MS,
 };
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -118,7 +118,7 @@
     let told = relay.tell_view(&view(3));
     assert_eq!(
         told,
-        [RelayedFrame {
+        [SubscriberFrame {
             connection: 5,
             frame: Frame::ViewUpdate(view(3))
         }]
--- a/crates/cluster-node/tests/restarted_core.rs
+++ b/crates/cluster-node/tests/restarted_core.rs
@@ -8,7 +8,7 @@
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::{View, Voter};
 use lupinrack_cluster_api::wire::Frame;
-use lupinrack_cluster_node::control_api::ControlCall;
+use lupinrack_cluster_node::control_api::HeadCall;
 use lupinrack_cluster_node::core::{
     ByteLimits, CoreEffect, CoreEvent, CoreMachine, CoreSettings, Moment,
 };
@@ -70,7 +70,7 @@
         events
             .drain(..)
             .for_each(|event| machine.receive(event, moment(2)));
-        for effect in machine.settle(moment(2)) {
+        for effect in machine.take_effects(moment(2)) {
             match effect {
                 CoreEffect::Send {
                     to,
@@ -88,10 +88,10 @@
 fn passes_call_on_to(recovered: Recovered) -> Vec<PeerAddress> {
     let mut machine = restarted(recovered);
     let mut called = calls_sent(&mut machine, CoreEvent::Tick);
-    let (answerer, _reply) = oneshot::channel();
-    let call = ControlCall {
+    let (reply_to, _reply) = oneshot::channel();
+    let call = HeadCall {
         request: Request::ReadConfiguration,
-        answerer,
+        reply_to,
         remaining_ms: 1_000,
     };
     called.extend(calls_sent(&mut machine, CoreEvent::Call(call)));
--- a/crates/cluster-node/tests/restarted_owner.rs
+++ b/crates/cluster-node/tests/restarted_owner.rs
@@ -172,7 +172,7 @@
             events
                 .drain(..)
                 .for_each(|event| self.machine.receive(event, moment(self.now)));
-            for effect in self.machine.settle(moment(self.now)) {
+            for effect in self.machine.take_effects(moment(self.now)) {
                 events.extend(self.carry_out(effect));
             }
         }
--- a/crates/cluster-node/tests/subscription.rs
+++ b/crates/cluster-node/tests/subscription.rs
@@ -7,7 +7,7 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
 use lupinrack_cluster_api::wire::{Frame, Interest};
-use lupinrack_cluster_node::head_client::Outgoing;
+use lupinrack_cluster_node::head_client::OutgoingFrame;
 use lupinrack_cluster_node::subscription::Subscription;
 use quickcheck::quickcheck;
 use std::collections::BTreeSet;
@@ -21,7 +21,7 @@
     Subscription::new(seeds.iter().copied().map(core).collect(), EVERY_MS, BEGAN)
 }
 
-fn receiver(outgoing: Option<Outgoing>) -> Option<PeerAddress> {
+fn receiver(outgoing: Option<OutgoingFrame>) -> Option<PeerAddress> {
     outgoing.map(|outgoing| outgoing.to)
 }
 
--- a/crates/cluster-simulation/src/calls.rs
+++ b/crates/cluster-simulation/src/calls.rs
@@ -2,7 +2,7 @@
 
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::request::{Reply, Request};
-use lupinrack_cluster_node::control_api::ControlCall;
+use lupinrack_cluster_node::control_api::HeadCall;
 use tokio::sync::oneshot;
 use tokio::sync::oneshot::error::TryRecvError;
 
@@ -26,11 +26,11 @@
 }
 
 /// A call to be handed to a process, and what its caller keeps.
-pub fn call(request: Request, now: u64, wait_ms: u64) -> (ControlCall, OpenCall) {
-    let (answerer, reply) = oneshot::channel();
-    let call = ControlCall {
+pub fn call(request: Request, now: u64, wait_ms: u64) -> (HeadCall, OpenCall) {
+    let (reply_to, reply) = oneshot::channel();
+    let call = HeadCall {
         request,
-        answerer,
+        reply_to,
         remaining_ms: wait_ms,
     };
     (
--- a/crates/cluster-simulation/src/front.rs
+++ b/crates/cluster-simulation/src/front.rs
@@ -8,8 +8,8 @@
 use lupinrack_cluster_api::view::View;
 use lupinrack_cluster_api::wire::Frame;
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
-use lupinrack_cluster_node::control_api::ControlCall;
-use lupinrack_cluster_node::front::known_configuration::trusted_ms;
+use lupinrack_cluster_node::control_api::HeadCall;
+use lupinrack_cluster_node::front::known_configuration::negative_answer_validity_ms;
 use lupinrack_cluster_node::front::machine::{
     FrontEffect, FrontMachine, END_PERCENT, READY_MS, SERVE_ON_PERCENT,
 };
@@ -83,12 +83,16 @@
     }
 
     /// A client's call; answered at once where the queue is known not to exist.
-    pub fn on_call(&mut self, call: ControlCall, now: Millis) -> Vec<FrontEffect> {
-        let trusted_ms = trusted_ms(CONFIGURATION_APPLY_MS);
-        let lacks_queue = |target| self.machine.known().lacks_queue(target, trusted_ms, now);
+    pub fn on_call(&mut self, call: HeadCall, now: Millis) -> Vec<FrontEffect> {
+        let negative_answer_validity_ms = negative_answer_validity_ms(CONFIGURATION_APPLY_MS);
+        let lacks_queue = |target| {
+            self.machine
+                .known()
+                .lacks_queue(target, negative_answer_validity_ms, now)
+        };
         if target_of(&call.request).is_some_and(lacks_queue) {
             // A client that has gone needs no answer.
-            let _ = call.answerer.send(Reply::Error(ErrorKind::UnknownQueue));
+            let _ = call.reply_to.send(Reply::Error(ErrorKind::UnknownQueue));
             return Vec::new();
         }
         self.machine.on_call(call, now)
--- a/crates/cluster-simulation/src/machine.rs
+++ b/crates/cluster-simulation/src/machine.rs
@@ -3,15 +3,15 @@
 use crate::clock::MachineClock;
 use crate::disk::SimulatedDisk;
 use crate::front::Front;
-use crate::side::{AgentEffect, HeartbeatCall, Side};
+use crate::side::{HeartbeatAgentEffect, HeartbeatCall, Side};
 use lupinrack_cluster_api::identity::{PeerAddress, ServerId};
 use lupinrack_cluster_api::wire::{Frame, Role};
-use lupinrack_cluster_node::agent::machine::SideEffect;
-use lupinrack_cluster_node::control_api::ControlCall;
+use lupinrack_cluster_node::agent::machine::AgentEffect;
+use lupinrack_cluster_node::control_api::HeadCall;
 use lupinrack_cluster_node::core::{CoreEffect, CoreEvent, CoreMachine};
 use lupinrack_cluster_node::front::machine::FrontEffect;
-use lupinrack_cluster_node::front::update_relay::RelayedFrame;
-use lupinrack_cluster_node::head_client::Outgoing;
+use lupinrack_cluster_node::front::update_relay::SubscriberFrame;
+use lupinrack_cluster_node::head_client::OutgoingFrame;
 use lupinrack_worker_agent::{HeartbeatResponse, ServerHeartbeat};
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -74,7 +74,7 @@
     /// The disk refused a write.
     WriteFailed,
     /// A call of a client or of the operator.
-    Call(ControlCall),
+    Call(HeadCall),
     /// A heartbeat of the server.
     Heartbeat {
         /// The heartbeat.
@@ -167,7 +167,7 @@
     pub fn has_ended(&self, now: u64) -> bool {
         let now = self.clock.read(now).now;
         match &self.process {
-            Some(Process::Core(core)) => core.has_left(now),
+            Some(Process::Core(core)) => core.is_shutdown_complete(now),
             Some(Process::Front(front)) => front.has_ended(now),
             Some(Process::Side(side)) => side.has_ended(),
             None => false,
@@ -192,7 +192,7 @@
                     return Vec::new();
                 };
                 core.receive(event, moment);
-                core.settle(moment).into_iter().map(of_core).collect()
+                core.take_effects(moment).into_iter().map(of_core).collect()
             }
             (Some(Process::Front(front)), event) => {
                 let effects = match event {
@@ -266,17 +266,17 @@
     ProcessEffect::Core(Box::new(effect))
 }
 
-fn of_agent(effect: AgentEffect) -> ProcessEffect {
+fn of_agent(effect: HeartbeatAgentEffect) -> ProcessEffect {
     match effect {
-        SideEffect::Send(Outgoing { to, frame }) => of_core(CoreEffect::Send { to, frame }),
-        SideEffect::Answer { call, answer } => ProcessEffect::Answer { call, answer },
+        AgentEffect::Send(OutgoingFrame { to, frame }) => of_core(CoreEffect::Send { to, frame }),
+        AgentEffect::Answer { call, answer } => ProcessEffect::Answer { call, answer },
     }
 }
 
 fn of_front(effect: FrontEffect) -> ProcessEffect {
     of_core(match effect {
-        FrontEffect::Send(Outgoing { to, frame }) => CoreEffect::Send { to, frame },
-        FrontEffect::SendOn(RelayedFrame { connection, frame }) => {
+        FrontEffect::Send(OutgoingFrame { to, frame }) => CoreEffect::Send { to, frame },
+        FrontEffect::SendOn(SubscriberFrame { connection, frame }) => {
             CoreEffect::SendOn { connection, frame }
         }
     })
--- a/crates/cluster-simulation/src/processes.rs
+++ b/crates/cluster-simulation/src/processes.rs
@@ -14,7 +14,7 @@
 use lupinrack_cluster_api::view::Voter;
 use lupinrack_cluster_api::wire::{ChainMessage, Frame, Hello, Role};
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
-use lupinrack_cluster_node::control_api::ControlCall;
+use lupinrack_cluster_node::control_api::HeadCall;
 use lupinrack_cluster_node::core::{CoreEffect, CoreMachine, CoreSettings};
 use lupinrack_control_store::{Batch, Recovered};
 use lupinrack_scheduler::SchedulerSettings;
@@ -420,11 +420,11 @@
         self.rng.choice(cores)
     }
 
-    pub(crate) fn call_front(&mut self, front: usize, call: ControlCall) {
+    pub(crate) fn call_front(&mut self, front: usize, call: HeadCall) {
         self.dispatch(front, ProcessEvent::Call(call));
     }
 
-    pub(crate) fn call_core(&mut self, core: usize, call: ControlCall) {
+    pub(crate) fn call_core(&mut self, core: usize, call: HeadCall) {
         self.dispatch(core, ProcessEvent::Call(call));
     }
 }
--- a/crates/cluster-simulation/src/side.rs
+++ b/crates/cluster-simulation/src/side.rs
@@ -4,7 +4,7 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::wire::Frame;
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
-use lupinrack_cluster_node::agent::machine::{SideEffect, SideMachine};
+use lupinrack_cluster_node::agent::machine::{AgentEffect, AgentMachine};
 use lupinrack_worker_agent::{AgentSettings, ServerHeartbeat};
 
 /// A heartbeat of the server, as it is known again in the answer.
@@ -19,12 +19,12 @@
 }
 
 /// What an agent's process does.
-pub type AgentEffect = SideEffect<HeartbeatCall>;
+pub type HeartbeatAgentEffect = AgentEffect<HeartbeatCall>;
 
 /// The process of an agent.
 #[derive(Debug)]
 pub struct Side {
-    machine: SideMachine<HeartbeatCall>,
+    machine: AgentMachine<HeartbeatCall>,
     /// The processes that are held for alive, whether they are or not.
     table: LiveTable,
     has_ended: bool,
@@ -40,19 +40,24 @@
         now: Millis,
     ) -> Side {
         Side {
-            machine: SideMachine::new(own, seeds, None, settings, now),
+            machine: AgentMachine::new(own, seeds, None, settings, now),
             table,
             has_ended: false,
         }
     }
 
     /// A frame came.
-    pub fn on_frame(&mut self, from: PeerAddress, frame: Frame, now: Millis) -> Vec<AgentEffect> {
+    pub fn on_frame(
+        &mut self,
+        from: PeerAddress,
+        frame: Frame,
+        now: Millis,
+    ) -> Vec<HeartbeatAgentEffect> {
         self.machine.on_frame(from, frame, now)
     }
 
     /// A connection ended.
-    pub fn on_closed(&mut self, from: PeerAddress, now: Millis) -> Vec<AgentEffect> {
+    pub fn on_closed(&mut self, from: PeerAddress, now: Millis) -> Vec<HeartbeatAgentEffect> {
         self.machine.on_closed(from, now)
     }
 
@@ -62,7 +67,7 @@
         beat: ServerHeartbeat,
         sent_at: u64,
         now: Millis,
-    ) -> Vec<AgentEffect> {
+    ) -> Vec<HeartbeatAgentEffect> {
         let call = HeartbeatCall {
             server: beat.facts.id.clone(),
             sent_at,
@@ -78,7 +83,7 @@
     }
 
     /// The open heartbeat has waited for long enough.
-    pub fn on_answer_due(&mut self, now: Millis) -> Vec<AgentEffect> {
+    pub fn on_answer_due(&mut self, now: Millis) -> Vec<HeartbeatAgentEffect> {
         self.machine.on_answer_due(now)
     }
 
@@ -90,12 +95,12 @@
     }
 
     /// The server has left in order.
-    pub fn on_leave(&mut self, server: ServerId, now: Millis) -> Vec<AgentEffect> {
-        self.machine.on_leave(server, now)
+    pub fn on_leave(&mut self, server: ServerId, now: Millis) -> Vec<HeartbeatAgentEffect> {
+        self.machine.on_deregister(server, now)
     }
 
     /// It is told to end, and does so at once.
-    pub fn on_terminate(&mut self) -> Vec<AgentEffect> {
+    pub fn on_terminate(&mut self) -> Vec<HeartbeatAgentEffect> {
         self.has_ended = true;
         Vec::new()
     }
@@ -106,7 +111,7 @@
     }
 
     /// Time has passed.
-    pub fn on_tick(&mut self, now: Millis) -> Vec<AgentEffect> {
+    pub fn on_tick(&mut self, now: Millis) -> Vec<HeartbeatAgentEffect> {
         self.machine.on_tick(&self.table, now)
     }
 }
