--- a/crates/cluster-node/src/core/machine/effects.rs
+++ b/crates/cluster-node/src/core/machine/effects.rs
@@ -1,7 +1,7 @@
 //! What reaches a core process, and what it has its driver do.
 
-use lupinrack_cluster_api::frame::Frame;
 use crate::control_api::{HeadCall, ProcessCall};
+use lupinrack_cluster_api::frame::Frame;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_control_store::Batch;
--- a/crates/cluster-node/src/front/machine.rs
+++ b/crates/cluster-node/src/front/machine.rs
@@ -6,9 +6,9 @@
 use crate::control_api::HeadCall;
 use crate::front::configuration_feed::FrontNews;
 use crate::front::known_configuration::{ConfigurationUpdate, KnownConfiguration};
-use lupinrack_cluster_api::frame::Frame;
 use crate::front::update_relay::SubscriberFrame;
 use crate::head_client::{HeadClient, OutgoingFrame};
+use lupinrack_cluster_api::frame::Frame;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
--- a/crates/cluster-node/src/subscription.rs
+++ b/crates/cluster-node/src/subscription.rs
@@ -1,8 +1,8 @@
 //! How a process without a disk follows the core: it finds a core process from its seeds, learns the view, and stays
 //! subscribed to the head.
 
-use lupinrack_cluster_api::frame::{Frame, Interest};
 use crate::head_client::OutgoingFrame;
+use lupinrack_cluster_api::frame::{Frame, Interest};
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
--- a/crates/cluster-simulation/src/machine.rs
+++ b/crates/cluster-simulation/src/machine.rs
@@ -3,9 +3,8 @@
 use crate::clock::MachineClock;
 use crate::disk::SimulatedDisk;
 use crate::front::Front;
-use lupinrack_cluster_api::frame::{Frame, Role};
-use lupinrack_cluster_api::identity::{PeerAddress, ServerId};
 use crate::side::{HeartbeatAgentEffect, HeartbeatCall, Side};
+use lupinrack_cluster_api::frame::{Frame, Role};
 use lupinrack_cluster_api::identity::{PeerAddress, ServerId};
 use lupinrack_cluster_node::agent::machine::AgentEffect;
 use lupinrack_cluster_node::control_api::HeadCall;
