--- a/crates/cluster-node/src/front/machine.rs
+++ b/crates/cluster-node/src/front/machine.rs
@@ -8,10 +8,10 @@
 use crate::front::known_configuration::{ConfigurationUpdate, KnownConfiguration};
 use crate::front::update_relay::SubscriberFrame;
 use crate::head_client::{HeadClient, OutgoingFrame};
+use lupinrack_cluster_api::frame::Frame;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::Frame;
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
 
 /// A front that was not confirmed for this long is not ready, in milliseconds.
--- a/crates/cluster-node/src/head_client/mod.rs
+++ b/crates/cluster-node/src/head_client/mod.rs
@@ -5,11 +5,11 @@
 pub mod pending_calls;
 
 use lupinrack_cluster_api::error::ErrorKind;
+use lupinrack_cluster_api::frame::Frame;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::request::{CallId, Reply, Request};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::Frame;
 use pending_calls::{CallEffect, OpenCalls};
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
--- a/crates/view-agreement/src/acceptor.rs
+++ b/crates/view-agreement/src/acceptor.rs
@@ -1,8 +1,8 @@
 //! The acceptor: which proposals a disk may respond to, and how.
 
 use crate::vote::VoteState;
+use lupinrack_cluster_api::agreement::{AgreementMessage, ProposalNumber};
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::{AgreementMessage, ProposalNumber};
 
 /// The response to a proposer.
 #[derive(Debug, PartialEq, Eq)]
--- a/crates/view-agreement/src/agreement.rs
+++ b/crates/view-agreement/src/agreement.rs
@@ -4,10 +4,10 @@
 use crate::effect::Effect;
 use crate::proposer::{Prepared, Proposer, Requests};
 use crate::vote::VoteState;
+use lupinrack_cluster_api::agreement::{AgreementMessage, ProposalNumber};
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::{AgreementMessage, ProposalNumber};
 use std::collections::BTreeSet;
 
 /// One process's part in the agreement on views.
--- a/crates/view-agreement/src/effect.rs
+++ b/crates/view-agreement/src/effect.rs
@@ -1,9 +1,9 @@
 //! What an agreement asks of its driver.
 
 use crate::vote::VoteState;
+use lupinrack_cluster_api::agreement::AgreementMessage;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::AgreementMessage;
 
 /// One thing that the driver of an [`Agreement`](crate::Agreement) has to do. Messages to the
 /// process's own address are handed to [`Agreement::receive`](crate::Agreement::receive).
--- a/crates/view-agreement/src/policy/peer.rs
+++ b/crates/view-agreement/src/policy/peer.rs
@@ -1,10 +1,10 @@
 //! What is known of the process at one address.
 
 use super::peer_report::PeerReport;
+use lupinrack_cluster_api::chain::ReplicaReport;
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::Voter;
-use lupinrack_cluster_api::wire::ReplicaReport;
 
 /// What the timeout is divided by after a connection was reset.
 const RESET_DIVISOR: u64 = 2;
