--- a/crates/cluster-simulation/src/clients.rs
+++ b/crates/cluster-simulation/src/client.rs
@@ -1,9 +1,9 @@
 //! Clients: each hands in a job, asks for its state, and may cancel it.
 
-use crate::calls::{call, OpenCall, Outcome};
-use crate::configuration::HOST;
-use crate::plan::Acknowledgement;
-use crate::planted::PlantedFault;
+use crate::configuration_body::HOST;
+use crate::faults::schedule::Acknowledgement;
+use crate::injected_bugs::PlantedFault;
+use crate::pending_call::{call, OpenCall, Outcome};
 use crate::world::World;
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::identity::JobId;
--- a/crates/cluster-simulation/src/settings.rs
+++ b/crates/cluster-simulation/src/config.rs
@@ -1,6 +1,6 @@
 //! How large a day is, and what happens on it.
 
-use crate::planted::PlantedFault;
+use crate::injected_bugs::PlantedFault;
 use lupinrack_cluster_node::core::ByteLimits;
 use std::ops::Range;
 
--- a/crates/cluster-simulation/src/troubles.rs
+++ b/crates/cluster-simulation/src/faults/active.rs
@@ -1,6 +1,6 @@
 //! The troubles that are under way.
 
-use crate::plan::Strike;
+use crate::faults::schedule::Strike;
 
 /// After trouble, machines are in touch again after this long, in milliseconds.
 const CONTACT_MS: u64 = 4_000;
--- a/crates/cluster-simulation/src/faults/core.rs
+++ b/crates/cluster-simulation/src/faults/core_faults.rs
@@ -1,9 +1,9 @@
 //! Troubles of core machines.
 
-use super::SLOW_MS;
-use crate::disk::DiskTrouble;
-use crate::plan::{CoreChoice, CoreTrouble, CutDirection, CATCH_UP_MS, GRACE_MS};
-use crate::troubles::{Ending, Lure};
+use super::injection::SLOW_MS;
+use crate::faults::active::{Ending, Lure};
+use crate::faults::schedule::{CoreChoice, CoreTrouble, CutDirection, CATCH_UP_MS, GRACE_MS};
+use crate::machine::disk::DiskTrouble;
 use crate::world::World;
 use lupinrack_cluster_api::wire::Role;
 
--- a/crates/cluster-simulation/src/faults/strike.rs
+++ b/crates/cluster-simulation/src/faults/crash_on_ack.rs
@@ -1,8 +1,8 @@
 //! Blows right after an acknowledgement.
 
-use super::World;
-use crate::plan::{Acknowledgement, Blow};
-use crate::troubles::Ending;
+use crate::faults::active::Ending;
+use crate::faults::schedule::{Acknowledgement, Blow};
+use crate::world::World;
 
 /// How long a blow counts as trouble after it fell, in milliseconds.
 const LASTS_MS: u64 = 2_000;
--- a/crates/cluster-simulation/src/plan/usual.rs
+++ b/crates/cluster-simulation/src/faults/mixed.rs
@@ -1,11 +1,11 @@
 //! Days of the usual kind: short troubles, one after the other in each lane.
 
-use super::{
+use super::schedule::{
     Acknowledgement, Blow, CoreChoice, CoreTrouble, CutDirection, Entry, OperatorOrder, Strike,
     Trouble, GRACE_MS,
 };
+use crate::config::DaySettings;
 use crate::server::Conduct;
-use crate::settings::DaySettings;
 
 /// The rest after a loss on a usual day: the time to catch up and a margin, in milliseconds.
 const REST_AFTER_LOSS_MS: u64 = 5_000;
--- a/crates/cluster-simulation/src/plan/mod.rs
+++ b/crates/cluster-simulation/src/faults/schedule.rs
@@ -1,14 +1,11 @@
 //! The plan of a day: faults and planned work, drawn from its seed or put together by hand.
 
-mod trouble;
-mod usual;
-mod worst;
-
-pub use trouble::{
+pub use super::fault::{
     Acknowledgement, Blow, CoreChoice, CoreTrouble, CutDirection, OperatorOrder, Strike, Trouble,
 };
 
-use crate::settings::{DayKind, DaySettings};
+use super::{mixed, severe};
+use crate::config::{DayKind, DaySettings};
 use std::collections::BTreeMap;
 
 /// Grace between the signal to end and the kill, in milliseconds.
@@ -39,9 +36,9 @@
     pub fn draw(rng: &mut fastrand::Rng, settings: &DaySettings) -> Plan {
         match settings.kind {
             DayKind::Quiet => Plan::default(),
-            DayKind::Usual => Plan::of(usual::draw(rng, settings)),
-            DayKind::Worst => Plan::of(worst::draw(rng, settings, None)),
-            DayKind::WorstOf(scene) => Plan::of(worst::draw(rng, settings, Some(scene))),
+            DayKind::Usual => Plan::of(mixed::draw(rng, settings)),
+            DayKind::Worst => Plan::of(severe::draw(rng, settings, None)),
+            DayKind::WorstOf(scene) => Plan::of(severe::draw(rng, settings, Some(scene))),
         }
     }
 
--- a/crates/cluster-simulation/src/plan/worst.rs
+++ b/crates/cluster-simulation/src/faults/severe.rs
@@ -1,10 +1,10 @@
 //! The worst days of the control side: scenes, one after the other, each of which takes as much as is tolerated.
 
-use super::{
+use super::schedule::{
     Acknowledgement, Blow, CoreChoice, CoreTrouble, CutDirection, Entry, OperatorOrder, Strike,
     Trouble, CATCH_UP_MS, GRACE_MS,
 };
-use crate::settings::{DaySettings, Scene};
+use crate::config::{DaySettings, Scene};
 
 /// How long a machine is cut off while its callers go on, in milliseconds.
 const CUT_MS: u64 = 20_000;
--- a/crates/cluster-simulation/src/planting.rs
+++ b/crates/cluster-simulation/src/injected_bugs/hooks.rs
@@ -1,7 +1,7 @@
 //! Where planted faults change what processes send. Nothing of it is in the processes themselves.
 
+use crate::injected_bugs::{LateAnswer, PlantedFault};
 use crate::machine::{address_of, ProcessEvent};
-use crate::planted::{LateAnswer, PlantedFault};
 use crate::world::World;
 use lupinrack_cluster_api::identity::{DiskId, FencingToken};
 use lupinrack_cluster_api::operation::Operation;
--- a/crates/cluster-simulation/src/planted.rs
+++ b/crates/cluster-simulation/src/injected_bugs/mod.rs
@@ -1,5 +1,7 @@
 //! Faults that are planted to see whether the checks find them.
 
+mod hooks;
+
 use lupinrack_cluster_api::request::Reply;
 use std::collections::BTreeMap;
 
--- a/crates/cluster-simulation/src/lib.rs
+++ b/crates/cluster-simulation/src/lib.rs
@@ -7,36 +7,29 @@
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
 
-mod calls;
+mod agent_link;
 mod checks;
-mod clients;
-mod clock;
-mod configuration;
-mod day;
-mod disk;
+mod client;
+mod config;
+mod configuration_body;
 mod faults;
-mod front;
-mod local;
+mod injected_bugs;
 mod machine;
 mod network;
 mod operator;
-mod plan;
-mod planted;
-mod planting;
+mod pending_call;
 mod processes;
 mod server;
-mod settings;
-mod side;
-mod troubles;
+mod simulation;
 mod work;
 mod workload;
 mod world;
 
-pub use day::{play, play_plan, DayReport};
-pub use plan::{
+pub use config::{DayKind, DaySettings, Scene};
+pub use faults::schedule::{
     Acknowledgement, Blow, CoreChoice, CoreTrouble, CutDirection, Entry, OperatorOrder, Plan,
     Strike, Trouble,
 };
-pub use planted::PlantedFault;
+pub use injected_bugs::PlantedFault;
 pub use server::Conduct;
-pub use settings::{DayKind, DaySettings, Scene};
+pub use simulation::{play, play_plan, DayReport};
--- a/crates/cluster-simulation/src/front.rs
+++ b/crates/cluster-simulation/src/machine/front.rs
@@ -1,6 +1,6 @@
 //! A front, without its sockets: the machine of the real one, and what its driver decides by the clock.
 
-use crate::plan::GRACE_MS;
+use crate::faults::schedule::GRACE_MS;
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::request::{Reply, Request, Target};
--- a/crates/cluster-simulation/src/machine.rs
+++ b/crates/cluster-simulation/src/machine/mod.rs
@@ -1,9 +1,14 @@
 //! A machine: its clocks, its disk, and the process that runs on it.
 
-use crate::clock::MachineClock;
-use crate::disk::SimulatedDisk;
-use crate::front::Front;
-use crate::side::{AgentEffect, HeartbeatCall, Side};
+pub mod agent;
+pub mod clock;
+pub mod disk;
+pub mod front;
+
+use crate::machine::agent::{AgentEffect, HeartbeatCall, Side};
+use crate::machine::clock::MachineClock;
+use crate::machine::disk::SimulatedDisk;
+use crate::machine::front::Front;
 use lupinrack_cluster_api::identity::{PeerAddress, ServerId};
 use lupinrack_cluster_api::wire::{Frame, Role};
 use lupinrack_cluster_node::control_api::ControlCall;
--- a/crates/cluster-simulation/src/operator/changes.rs
+++ b/crates/cluster-simulation/src/operator/configuration_changes.rs
@@ -1,9 +1,9 @@
 //! Changes of the configuration.
 
 use super::{Operator, SILENCE_MS};
-use crate::calls::{call, OpenCall, Outcome};
-use crate::configuration::{cut_short, large, mark_of, patch, unknown_service, whole};
-use crate::plan::{Acknowledgement, OperatorOrder};
+use crate::configuration_body::{cut_short, large, mark_of, patch, unknown_service, whole};
+use crate::faults::schedule::{Acknowledgement, OperatorOrder};
+use crate::pending_call::{call, OpenCall, Outcome};
 use crate::world::World;
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange};
--- a/crates/cluster-simulation/src/operator/reads.rs
+++ b/crates/cluster-simulation/src/operator/configuration_reads.rs
@@ -1,7 +1,7 @@
 //! Reads of the configuration.
 
 use super::{Operator, SILENCE_MS};
-use crate::calls::{call, OpenCall, Outcome};
+use crate::pending_call::{call, OpenCall, Outcome};
 use crate::world::World;
 use lupinrack_cluster_api::request::{Reply, Request};
 use lupinrack_configuration_history::{Call, CallNumber, ChangeId, Response};
--- a/crates/cluster-simulation/src/operator/mod.rs
+++ b/crates/cluster-simulation/src/operator/mod.rs
@@ -1,16 +1,16 @@
 //! The operator: changes with races, repeats and faults, and reads. Its calls are checked one by one against the rules of
 //! the configuration, and in the end as a whole history.
 
-mod changes;
-mod counts;
-mod reads;
+mod configuration_changes;
+mod configuration_reads;
+mod queue_reads;
 
-use crate::plan::OperatorOrder;
+use crate::faults::schedule::OperatorOrder;
 use crate::world::World;
-use changes::OpenChange;
-use counts::OpenCount;
+use configuration_changes::OpenChange;
+use configuration_reads::OpenRead;
 use lupinrack_configuration_history::History;
-use reads::OpenRead;
+use queue_reads::OpenCount;
 
 /// How long the operator waits for an answer before it goes on to another process, in milliseconds.
 const SILENCE_MS: u64 = 1_000;
--- a/crates/cluster-simulation/src/operator/counts.rs
+++ b/crates/cluster-simulation/src/operator/queue_reads.rs
@@ -1,8 +1,8 @@
 //! Counts that are asked of fronts, which tell whether a route is in force there.
 
 use super::{Operator, SILENCE_MS};
-use crate::calls::{call, OpenCall, Outcome};
-use crate::configuration::{mark_of, HOST};
+use crate::configuration_body::{mark_of, HOST};
+use crate::pending_call::{call, OpenCall, Outcome};
 use crate::world::World;
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::request::{Request, Target};
--- a/crates/cluster-simulation/src/processes.rs
+++ b/crates/cluster-simulation/src/processes.rs
@@ -1,13 +1,13 @@
 //! Processes of the world: starting, ending, and carrying events and effects.
 
-use crate::disk::DiskNews;
-use crate::front::Front;
+use crate::faults::schedule::{CATCH_UP_MS, GRACE_MS};
+use crate::injected_bugs::PlantedFault;
+use crate::machine::agent::{HeartbeatCall, Side};
+use crate::machine::disk::DiskNews;
+use crate::machine::front::Front;
 use crate::machine::{address_of, machine_at, Machine, Process, ProcessEffect, ProcessEvent};
 use crate::network::Arrival;
-use crate::plan::{CATCH_UP_MS, GRACE_MS};
-use crate::planted::PlantedFault;
 use crate::server::{BeatAnswer, StartOrder, LEASE_MOST_MS};
-use crate::side::{HeartbeatCall, Side};
 use crate::world::{LocalMessage, World};
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
--- a/crates/cluster-simulation/src/day.rs
+++ b/crates/cluster-simulation/src/simulation.rs
@@ -1,10 +1,10 @@
 //! A whole day: traffic and faults, then time to finish, then the last questions.
 
-use crate::clients::Client;
-use crate::clock::WALL_BEGIN_MS;
+use crate::client::Client;
+use crate::config::{DayKind, DaySettings};
+use crate::faults::schedule::{Entry, OperatorOrder, Plan, Trouble};
+use crate::machine::clock::WALL_BEGIN_MS;
 use crate::operator::Operator;
-use crate::plan::{Entry, OperatorOrder, Plan, Trouble};
-use crate::settings::{DayKind, DaySettings};
 use crate::workload::draw;
 use crate::world::World;
 use lupinrack_cluster_api::identity::JobId;
--- a/crates/cluster-simulation/src/world.rs
+++ b/crates/cluster-simulation/src/world.rs
@@ -1,14 +1,14 @@
 //! The world of one day: machines, network and servers. It owns their state and knows nobody who acts on it.
 
 use crate::checks::{Checks, Strictness};
-use crate::clock::{MachineClock, WALL_BEGIN_MS};
-use crate::configuration::service_of_queue;
+use crate::config::DaySettings;
+use crate::configuration_body::service_of_queue;
+use crate::faults::active::Troubles;
+use crate::injected_bugs::{PlantedFault, Planting};
+use crate::machine::clock::{MachineClock, WALL_BEGIN_MS};
 use crate::machine::{address_of, machine_at, Machine, Process};
 use crate::network::{Network, Presence};
-use crate::planted::{PlantedFault, Planting};
 use crate::server::{BeatAnswer, ModelServer};
-use crate::settings::DaySettings;
-use crate::troubles::Troubles;
 use crate::workload::QUEUES;
 use lupinrack_cluster_api::identity::{PeerAddress, ServerId, ServiceName, TaskId};
 use lupinrack_cluster_api::job::Resources;
