--- a/crates/cluster-node/src/core/machine/settings.rs
+++ b/crates/cluster-node/src/core/machine/settings.rs
@@ -1,6 +1,6 @@
 //! What a core process is told when it begins.
 
-use crate::scheduling::scheduler_settings;
+use crate::core::scheduler_settings::scheduler_settings;
 use lupinrack_chain::limits::ByteLimits;
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::view::Voter;
@@ -78,7 +78,7 @@
                 Vec::new()
             },
             seeds,
-            tolerated_losses: node.tolerance.machines as usize,
+            tolerated_losses: node.fault_tolerance.machines as usize,
             catch_up_ms: node.bounds.catch_up_ms,
             grace_ms: node.bounds.grace_ms,
             remember_ms: node.bounds.status_ms.saturating_add(REMEMBER_MARGIN_MS),
--- a/crates/cluster-simulation/src/processes.rs
+++ b/crates/cluster-simulation/src/processes.rs
@@ -9,10 +9,11 @@
 use crate::network::Arrival;
 use crate::server::{BeatAnswer, StartOrder, LEASE_MOST_MS};
 use crate::world::{LocalMessage, World};
+use lupinrack_cluster_api::chain::ChainMessage;
+use lupinrack_cluster_api::frame::{Frame, Hello, Role};
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::Voter;
-use lupinrack_cluster_api::wire::{ChainMessage, Frame, Hello, Role};
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
 use lupinrack_cluster_node::control_api::ControlCall;
 use lupinrack_cluster_node::core::{CoreEffect, CoreMachine, CoreSettings};
--- a/crates/scheduler/src/places.rs
+++ b/crates/scheduler/src/places.rs
@@ -6,7 +6,7 @@
 //! Heartbeats may be late, so a life that attaches is not always the later one: the record tells which of two was met
 //! first, and only a life that nobody has met before is later than all that were.
 
-use crate::lapses::InferredEndReason;
+use crate::inferred_end::InferredEndReason;
 use crate::scheduler::Scheduler;
 use lupinrack_cluster_api::identity::{PeerAddress, ServerId};
 use lupinrack_control_state::ControlState;
@@ -22,9 +22,10 @@
             .map(|(id, server)| (id.clone(), server.agent))
             .collect();
         for (server, agent) in unplaced {
-            if state.servers.contains_key(&server) {
+            if state.bindings().get(&server).is_some() {
                 self.submissions.forget_server(&server);
                 let earlier = state
+                    .bindings()
                     .earlier_incarnations(&server)
                     .into_iter()
                     .cloned()
