--- a/crates/cluster-node/src/front/machine.rs
+++ b/crates/cluster-node/src/front/machine.rs
@@ -8,6 +8,7 @@
 use crate::front::known_configuration::{ConfigurationUpdate, KnownConfiguration};
 use crate::front::update_relay::RelayedFrame;
 use crate::head_client::{HeadClient, Outgoing};
+use lupinrack_cluster_api::frame::Frame;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
--- a/crates/cluster-simulation/src/agent_link.rs
+++ b/crates/cluster-simulation/src/agent_link.rs
@@ -1,40 +1,42 @@
 //! What passes between servers and their agents.
 
 use crate::machine::ProcessEvent;
-use crate::world::{LocalMessage, World};
+use crate::world::{AgentLinkMessage, World};
 use lupinrack_worker_agent::ServerHeartbeat;
 
 impl World {
-    pub(crate) fn deliver_local(&mut self) {
+    pub(crate) fn deliver_agent_link(&mut self) {
         while let Some(entry) = self.local.first_entry() {
             if entry.key().0 > self.now {
                 return;
             }
-            let (place, message) = entry.remove();
-            let side = self.side_of(place);
+            let (slot, message) = entry.remove();
+            let side = self.agent_of(slot);
             match message {
-                LocalMessage::Heartbeat(beat, sent_at) => {
-                    self.dispatch(side, ProcessEvent::Heartbeat { beat, sent_at });
+                AgentLinkMessage::Heartbeat(heartbeat, sent_at) => {
+                    self.dispatch(side, ProcessEvent::Heartbeat { heartbeat, sent_at });
                 }
-                LocalMessage::Answer(incarnation, answer) => {
-                    self.answer(place, incarnation, &answer)
+                AgentLinkMessage::Answer(incarnation, answer) => {
+                    self.answer(slot, incarnation, &answer)
+                }
+                AgentLinkMessage::Deregistered(server) => {
+                    self.dispatch(side, ProcessEvent::Deregistered(server))
                 }
-                LocalMessage::Left(server) => self.dispatch(side, ProcessEvent::Left(server)),
             }
         }
     }
 
     pub(crate) fn send_heartbeats(&mut self) {
         let now = self.now;
-        for place in 0..self.places.len() {
-            let Some(server) = &mut self.places[place].server else {
+        for slot in 0..self.server_slots.len() {
+            let Some(server) = &mut self.server_slots[slot].server else {
                 continue;
             };
-            if !server.wants_heartbeat(now) {
+            if !server.is_heartbeat_due(now) {
                 continue;
             }
-            let heartbeat = server.beat(now);
-            let beat = ServerHeartbeat {
+            let heartbeat = server.heartbeat(now);
+            let heartbeat = ServerHeartbeat {
                 ends_listed: heartbeat.finished.len(),
                 facts: server.facts.clone(),
                 heartbeat,
@@ -44,7 +46,7 @@
                 warm_up_remaining_ms: 0,
                 clock_ms: now,
             };
-            self.send_local(place, LocalMessage::Heartbeat(Box::new(beat), now));
+            self.send_to_agent_link(slot, AgentLinkMessage::Heartbeat(Box::new(heartbeat), now));
         }
     }
 }
--- a/crates/cluster-simulation/src/client.rs
+++ b/crates/cluster-simulation/src/client.rs
@@ -2,8 +2,8 @@
 
 use crate::configuration_body::HOST;
 use crate::faults::schedule::Acknowledgement;
-use crate::injected_bugs::PlantedFault;
-use crate::pending_call::{call, OpenCall, Outcome};
+use crate::injected_bugs::InjectedBug;
+use crate::pending_call::{call, Outcome, PendingCall};
 use crate::world::World;
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::identity::JobId;
@@ -13,7 +13,7 @@
 /// How long a client waits for an answer, in milliseconds.
 const WAIT_MS: u64 = 2_250;
 /// Tries after which a client gives up what is always refused.
-const TRIES_MOST: u32 = 12;
+const MAX_ATTEMPTS: u32 = 12;
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Intent {
     Submit,
@@ -28,10 +28,10 @@
     queue: &'static str,
     next_at: u64,
     cancel_at: Option<u64>,
-    open: Option<(Intent, OpenCall)>,
-    refusals: u32,
+    open: Option<(Intent, PendingCall)>,
+    rejections: u32,
     /// Whether a try may have been taken.
-    in_doubt: bool,
+    is_indeterminate: bool,
     /// When the job was accepted.
     pub accepted_at: Option<u64>,
     /// Whether the client has nothing more to do.
@@ -47,8 +47,8 @@
             next_at: begins_at,
             cancel_at,
             open: None,
-            refusals: 0,
-            in_doubt: false,
+            rejections: 0,
+            is_indeterminate: false,
             accepted_at: None,
             finished: false,
         }
@@ -79,25 +79,25 @@
         if self.finished || self.open.is_some() || now < self.next_at {
             return;
         }
-        let Some(front) = world.ready_front() else {
+        let Some(front) = world.choose_ready_front() else {
             return;
         };
         let (target, job) = (self.target(), self.job);
-        let Some(truth) = world.checks.jobs.get_mut(&job) else {
+        let Some(expected) = world.oracle.jobs.get_mut(&job) else {
             return;
         };
         let (intent, request) = if self.accepted_at.is_none() {
-            truth.sent = true;
+            expected.sent = true;
             (
                 Intent::Submit,
                 Request::SubmitJob {
                     target,
                     job,
-                    spec: truth.spec.clone(),
+                    spec: expected.spec.clone(),
                 },
             )
         } else if self.cancel_at.is_some_and(|at| now >= at) {
-            truth.cancel_sent = true;
+            expected.cancel_sent = true;
             (Intent::Cancel, Request::CancelJob { target, job })
         } else {
             (Intent::Ask, Request::ReadJob { target, job })
@@ -115,20 +115,22 @@
         let Some(mut outcome) = open.outcome(now) else {
             return;
         };
-        if world.planted == Some(PlantedFault::RefusedInDoubt) && outcome == Outcome::Doubt {
-            outcome = Outcome::Refused(ErrorKind::NotTaken);
+        if world.injected_bug == Some(InjectedBug::RejectedInDoubt)
+            && outcome == Outcome::Indeterminate
+        {
+            outcome = Outcome::Rejected(ErrorKind::NotTaken);
         }
         let intent = *intent;
         self.open = None;
         self.next_at = now + 100 + world.rng.u64(0..300);
         match intent {
-            Intent::Submit => self.submitted(outcome, world),
-            Intent::Ask => self.asked(outcome, world),
+            Intent::Submit => self.check_submission_response(outcome, world),
+            Intent::Ask => self.check_read_response(outcome, world),
             Intent::Cancel => self.cancelled(outcome, world),
         }
     }
 
-    fn submitted(&mut self, outcome: Outcome, world: &mut World) {
+    fn check_submission_response(&mut self, outcome: Outcome, world: &mut World) {
         let now = world.now;
         let gives_up = world.rng.u32(0..3) == 0;
         let job = self.job;
@@ -137,33 +139,33 @@
                 self.accepted_at = Some(now);
                 world.acknowledged(Acknowledgement::Job);
             }
-            Outcome::Doubt => self.in_doubt = true,
-            Outcome::Refused(
+            Outcome::Indeterminate => self.is_indeterminate = true,
+            Outcome::Rejected(
                 ErrorKind::NotTaken | ErrorKind::Overloaded | ErrorKind::ShuttingDown,
             ) => {
-                self.refusals += 1;
-                if !self.in_doubt && (gives_up || self.refusals > TRIES_MOST) {
+                self.rejections += 1;
+                if !self.is_indeterminate && (gives_up || self.rejections > MAX_ATTEMPTS) {
                     self.finished = true;
-                    if let Some(truth) = world.checks.jobs.get_mut(&job) {
-                        truth.refused = true;
+                    if let Some(expected) = world.oracle.jobs.get_mut(&job) {
+                        expected.rejected = true;
                     }
                 }
             }
-            other => world.checks.broke(
+            other => world.oracle.report_violation(
                 now,
                 format!("CONFIG: submission of {job} answered {other:?}"),
             ),
         }
     }
 
-    fn asked(&mut self, outcome: Outcome, world: &mut World) {
+    fn check_read_response(&mut self, outcome: Outcome, world: &mut World) {
         let now = world.now;
         self.next_at = now + world.rng.u64(400..1_500);
         match outcome {
-            Outcome::Success(Reply::Job(state)) => self.shown(state, world),
-            Outcome::Refused(ErrorKind::UnknownJob) => self.unknown(world),
-            Outcome::Refused(ErrorKind::UnknownQueue) => {
-                world.checks.broke(
+            Outcome::Success(Reply::Job(state)) => self.check_state(state, world),
+            Outcome::Rejected(ErrorKind::UnknownJob) => self.unknown(world),
+            Outcome::Rejected(ErrorKind::UnknownQueue) => {
+                world.oracle.report_violation(
                     now,
                     format!("CONFIG: the queue of {} is not known", self.job),
                 );
@@ -173,25 +175,28 @@
     }
 
     fn unknown(&mut self, world: &mut World) {
-        world.checks.broke(
+        world.oracle.report_violation(
             world.now,
             format!("LOST: accepted job {} is not known", self.job),
         );
         self.finished = true;
     }
 
-    fn shown(&mut self, state: JobState, world: &mut World) {
+    fn check_state(&mut self, state: JobState, world: &mut World) {
         let (now, job) = (world.now, self.job);
-        let checks = &mut world.checks;
-        let cancel_sent = checks.jobs.get(&job).is_some_and(|truth| truth.cancel_sent);
-        if state == JobState::Succeeded && !checks.all_done(job) {
-            checks.broke(now, format!("MIXED: {job} is shown as succeeded"));
+        let oracle = &mut world.oracle;
+        let cancel_sent = oracle
+            .jobs
+            .get(&job)
+            .is_some_and(|expected| expected.cancel_sent);
+        if state == JobState::Succeeded && !oracle.all_done(job) {
+            oracle.report_violation(now, format!("MIXED: {job} is shown as succeeded"));
         }
-        if state == JobState::Failed && !checks.has_cause_to_fail(job) {
-            checks.broke(now, format!("LOST: {job} is shown as failed without cause"));
+        if state == JobState::Failed && !oracle.has_cause_to_fail(job) {
+            oracle.report_violation(now, format!("LOST: {job} is shown as failed without cause"));
         }
         if state == JobState::Cancelled && !cancel_sent {
-            checks.broke(
+            oracle.report_violation(
                 now,
                 format!("LOST: {job} is shown as cancelled without cause"),
             );
@@ -204,12 +209,12 @@
     fn cancelled(&mut self, outcome: Outcome, world: &mut World) {
         match outcome {
             Outcome::Success(Reply::Job(state)) => {
-                if let Some(truth) = world.checks.jobs.get_mut(&self.job) {
-                    truth.cancelled_at = Some(world.now);
+                if let Some(expected) = world.oracle.jobs.get_mut(&self.job) {
+                    expected.cancelled_at = Some(world.now);
                 }
-                self.shown(state, world);
+                self.check_state(state, world);
             }
-            Outcome::Refused(ErrorKind::UnknownJob) => self.unknown(world),
+            Outcome::Rejected(ErrorKind::UnknownJob) => self.unknown(world),
             _ => {}
         }
     }
--- a/crates/cluster-simulation/src/config.rs
+++ b/crates/cluster-simulation/src/config.rs
@@ -1,74 +1,74 @@
 //! How large a day is, and what happens on it.
 
-use crate::injected_bugs::PlantedFault;
+use crate::injected_bugs::InjectedBug;
 use lupinrack_cluster_node::core::ByteLimits;
 use std::ops::Range;
 
 /// What happens on a day.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum DayKind {
+pub enum FaultProfile {
     /// Nothing but traffic.
     Quiet,
     /// Short troubles of all machines.
     #[default]
-    Usual,
+    Mixed,
     /// Machines replaced, cut off with their callers, lost again right after a repair.
-    Worst,
+    Severe,
     /// One scene of the worst days, again and again.
-    WorstOf(Scene),
+    Only(FaultScenario),
 }
 
-impl DayKind {
+impl FaultProfile {
     /// Whether it is one of the worst days.
     pub fn is_worst(self) -> bool {
-        matches!(self, DayKind::Worst | DayKind::WorstOf(_))
+        matches!(self, FaultProfile::Severe | FaultProfile::Only(_))
     }
 }
 
 /// A scene of the worst days of the control side. Each takes as much at once as is tolerated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scene {
+pub enum FaultScenario {
     /// The oldest core machines are replaced by empty ones at other addresses, as fast as is allowed.
-    ReplacedAgainAndAgain,
+    RepeatedReplacement,
     /// A new core machine comes first, then the old one is told to end for good.
-    ReplacedInOrder,
+    GracefulReplacement,
     /// A machine is replaced; as soon as its successor counts, the oldest disk is lost right after an acknowledgement.
-    ReplacedThenWiped,
+    ReplacementThenDiskLoss,
     /// A machine is replaced, and its successor loses its disk while it catches up.
-    WipedWhileCatchingUp,
+    DiskLossDuringCatchUp,
     /// A disk is lost right after an acknowledgement, and another right after the repair.
-    WipedThenAnother,
+    ConsecutiveDiskLosses,
     /// A core machine is cut off for 20 seconds with a front and agents, and its callers go on.
-    CutWithCallers,
+    PartitionWithCallers,
     /// All core machines are killed or lose power at one moment, also right after an acknowledgement.
-    AllAtOnce,
+    SimultaneousCrash,
     /// As many machines as is tolerated are lost at the same moment.
-    LossesAtOnce,
+    SimultaneousLosses,
     /// A machine, its links or its disk are slow, or its disk hangs, is full or refuses writes.
-    SlowOrSick,
+    DegradedMachine,
     /// Each core machine is told to end and comes back, one after the other.
-    EndedInTurn,
+    RollingRestart,
 }
 
-impl Scene {
+impl FaultScenario {
     /// All of them.
-    pub const ALL: [Scene; 10] = [
-        Scene::ReplacedAgainAndAgain,
-        Scene::ReplacedInOrder,
-        Scene::ReplacedThenWiped,
-        Scene::WipedWhileCatchingUp,
-        Scene::WipedThenAnother,
-        Scene::CutWithCallers,
-        Scene::AllAtOnce,
-        Scene::LossesAtOnce,
-        Scene::SlowOrSick,
-        Scene::EndedInTurn,
+    pub const ALL: [FaultScenario; 10] = [
+        FaultScenario::RepeatedReplacement,
+        FaultScenario::GracefulReplacement,
+        FaultScenario::ReplacementThenDiskLoss,
+        FaultScenario::DiskLossDuringCatchUp,
+        FaultScenario::ConsecutiveDiskLosses,
+        FaultScenario::PartitionWithCallers,
+        FaultScenario::SimultaneousCrash,
+        FaultScenario::SimultaneousLosses,
+        FaultScenario::DegradedMachine,
+        FaultScenario::RollingRestart,
     ];
 }
 
 /// How large a day is.
 #[derive(Clone, Copy, Debug)]
-pub struct DaySettings {
+pub struct SimulationConfig {
     /// Core machines, an odd number.
     pub cores: usize,
     /// How many of them may be lost at once.
@@ -84,14 +84,14 @@
     /// How long after that everything has to be done, in milliseconds.
     pub finish_ms: u64,
     /// Which faults there are.
-    pub kind: DayKind,
+    pub kind: FaultProfile,
     /// A fault of the system itself.
-    pub planted: Option<PlantedFault>,
+    pub injected_bug: Option<InjectedBug>,
 }
 
-impl Default for DaySettings {
-    fn default() -> DaySettings {
-        DaySettings {
+impl Default for SimulationConfig {
+    fn default() -> SimulationConfig {
+        SimulationConfig {
             cores: 3,
             tolerance: 1,
             fronts: 2,
@@ -99,8 +99,8 @@
             jobs: 40,
             traffic_ms: 40_000,
             finish_ms: 30_000,
-            kind: DayKind::Usual,
-            planted: None,
+            kind: FaultProfile::Mixed,
+            injected_bug: None,
         }
     }
 }
@@ -114,7 +114,7 @@
     window: 64 * 1024,
 };
 
-impl DaySettings {
+impl SimulationConfig {
     /// The bounds of the log of core processes.
     pub fn log_bytes(&self) -> ByteLimits {
         if self.kind.is_worst() {
@@ -130,7 +130,7 @@
     }
 
     /// The agents, by the numbers of their machines.
-    pub fn sides(&self) -> Range<usize> {
+    pub fn agents(&self) -> Range<usize> {
         let first = self.fronts().end;
         first..first + self.servers
     }
--- a/crates/cluster-simulation/src/configuration_body.rs
+++ b/crates/cluster-simulation/src/configuration_body.rs
@@ -30,30 +30,30 @@
 }
 
 /// The route by which the change of this number is known again.
-pub fn mark_of(change: usize) -> String {
+pub fn marker_route_name(change: usize) -> String {
     format!("mark-{change}")
 }
 
-fn mark_route(change: usize) -> String {
-    route(&mark_of(change), 3, SERVICES[0])
+fn marker_route(change: usize) -> String {
+    route(&marker_route_name(change), 3, SERVICES[0])
 }
 
 /// A whole configuration with the mark of this change alone.
-pub fn whole(version: u64, change: usize) -> ConfigurationBody {
-    whole_with(version, change, 0)
+pub fn replacement(version: u64, change: usize) -> ConfigurationBody {
+    replacement_with_routes(version, change, 0)
 }
 
 /// A whole configuration of some hundreds of kilobytes, with the mark of this change.
 pub fn large(version: u64, change: usize) -> ConfigurationBody {
-    whole_with(version, change, LARGE_ROUTES)
+    replacement_with_routes(version, change, LARGE_ROUTES)
 }
 
-fn whole_with(version: u64, change: usize, more_routes: usize) -> ConfigurationBody {
+fn replacement_with_routes(version: u64, change: usize, more_routes: usize) -> ConfigurationBody {
     let queues = QUEUES.iter().enumerate();
     let mut routes: Vec<String> = queues
-        .map(|(place, (name, priority))| route(name, *priority, service_of_queue(place)))
+        .map(|(slot, (name, priority))| route(name, *priority, service_of_queue(slot)))
         .collect();
-    routes.push(mark_route(change));
+    routes.push(marker_route(change));
     routes.extend((0..more_routes).map(|number| route(&format!("more-{number}"), 3, SERVICES[0])));
     let services: Vec<String> = SERVICES.iter().map(|name| service(name)).collect();
     ConfigurationBody::Replacement(format!(
@@ -67,19 +67,19 @@
 pub fn patch(version: u64, change: usize) -> ConfigurationBody {
     ConfigurationBody::Patch(format!(
         r#"{{"version":{version},"upsert":{{"routes":[{}]}}}}"#,
-        mark_route(change)
+        marker_route(change)
     ))
 }
 
 /// A patch whose route names a service that does not exist.
 pub fn unknown_service(version: u64, change: usize) -> ConfigurationBody {
-    let bad = route(&mark_of(change), 3, "nowhere");
+    let bad = route(&marker_route_name(change), 3, "nowhere");
     ConfigurationBody::Patch(format!(
         r#"{{"version":{version},"upsert":{{"routes":[{bad}]}}}}"#
     ))
 }
 
 /// A body that ends too soon.
-pub fn cut_short(version: u64) -> ConfigurationBody {
+pub fn truncated(version: u64) -> ConfigurationBody {
     ConfigurationBody::Patch(format!(r#"{{"version":{version},"upsert":{{"routes":["#))
 }
--- a/crates/cluster-simulation/src/faults/core_faults.rs
+++ b/crates/cluster-simulation/src/faults/core_faults.rs
@@ -1,9 +1,9 @@
-//! Troubles of core machines.
+//! ActiveFaults of core machines.
 
 use super::injection::SLOW_MS;
-use crate::faults::active::{Ending, Lure};
-use crate::faults::schedule::{CoreChoice, CoreTrouble, CutDirection, CATCH_UP_MS, GRACE_MS};
-use crate::machine::disk::DiskTrouble;
+use crate::faults::active::{IsolatedTargets, Recovery};
+use crate::faults::schedule::{CoreFault, CoreSelector, PartitionDirection, CATCH_UP_MS, GRACE_MS};
+use crate::machine::disk::DiskFault;
 use crate::world::World;
 use lupinrack_cluster_api::frame::Role;
 
@@ -11,79 +11,79 @@
 const DISK_SLOW_FACTOR: u64 = 30;
 
 impl World {
-    pub(super) fn begin_core_trouble(
+    pub(super) fn inject_core_fault(
         &mut self,
-        kind: CoreTrouble,
-        choice: CoreChoice,
-        for_ms: u64,
+        kind: CoreFault,
+        selector: CoreSelector,
+        duration_ms: u64,
     ) {
-        let machine = self.chosen_core(choice);
+        let machine = self.select_core(selector);
         let ending = match kind {
-            CoreTrouble::Kill => {
-                self.kill(machine, true, for_ms);
-                Ending::Nothing
+            CoreFault::Kill => {
+                self.kill(machine, true, duration_ms);
+                Recovery::Automatic
             }
-            CoreTrouble::Power => {
-                self.kill(machine, false, for_ms);
-                Ending::Nothing
+            CoreFault::PowerLoss => {
+                self.kill(machine, false, duration_ms);
+                Recovery::Automatic
             }
-            CoreTrouble::Wipe => {
-                self.kill(machine, false, for_ms);
+            CoreFault::DiskLoss => {
+                self.kill(machine, false, duration_ms);
                 self.wipe(machine);
-                Ending::Nothing
+                Recovery::Automatic
             }
-            CoreTrouble::Freeze => {
-                self.set_frozen(machine, true);
-                Ending::Unfreeze(machine)
+            CoreFault::Suspend => {
+                self.set_suspended(machine, true);
+                Recovery::Resume(machine)
             }
-            CoreTrouble::Stutter => {
-                self.set_stuttering(machine, true);
-                Ending::EndStutter(machine)
+            CoreFault::IntermittentRun => {
+                self.set_intermittent(machine, true);
+                Recovery::EndIntermittentRun(machine)
             }
-            CoreTrouble::Terminate => self.terminate(machine),
-            CoreTrouble::Replace => return self.replace(machine, for_ms),
-            CoreTrouble::ReplaceInOrder => return self.replace_in_order(machine, for_ms),
-            CoreTrouble::Cut(direction) => {
-                self.cut(cuts_between(machine, &self.cores(), direction))
+            CoreFault::Shutdown => self.shut_down(machine),
+            CoreFault::Replacement => return self.replace(machine, duration_ms),
+            CoreFault::GracefulReplacement => return self.replace_in_order(machine, duration_ms),
+            CoreFault::Partition(direction) => {
+                self.partition(partitions_between(machine, &self.cores(), direction))
             }
-            CoreTrouble::CutFromAll => {
+            CoreFault::Isolation => {
                 let all: Vec<usize> = (0..self.machines.len()).collect();
-                self.cut(cuts_between(machine, &all, CutDirection::Both))
+                self.partition(partitions_between(machine, &all, PartitionDirection::Both))
             }
-            CoreTrouble::CutWithCallers(direction) => {
-                self.cut_with_callers(&[machine], direction, for_ms)
+            CoreFault::PartitionWithCallers(direction) => {
+                self.partition_with_callers(&[machine], direction, duration_ms)
             }
-            CoreTrouble::CutMinorityWithCallers(direction) => {
-                self.cut_with_callers(&self.minority_of(machine), direction, for_ms)
+            CoreFault::MinorityPartitionWithCallers(direction) => {
+                self.partition_with_callers(&self.minority_of(machine), direction, duration_ms)
             }
-            CoreTrouble::LinksSlow => {
+            CoreFault::SlowLinks => {
                 self.network.set_slow(machine, SLOW_MS);
-                Ending::MendLinks(machine)
+                Recovery::RestoreLinks(machine)
             }
-            CoreTrouble::DiskSlow => {
-                self.trouble_disk(machine, DiskTrouble::Slow(DISK_SLOW_FACTOR))
+            CoreFault::SlowDisk => {
+                self.inject_disk_fault(machine, DiskFault::Slow(DISK_SLOW_FACTOR))
             }
-            CoreTrouble::DiskStall => self.trouble_disk(machine, DiskTrouble::Stalled),
-            CoreTrouble::DiskFull => self.trouble_disk(machine, DiskTrouble::Full),
-            CoreTrouble::DiskRefuse => self.trouble_disk(machine, DiskTrouble::Refusing),
+            CoreFault::StalledDisk => self.inject_disk_fault(machine, DiskFault::Stalled),
+            CoreFault::FullDisk => self.inject_disk_fault(machine, DiskFault::Full),
+            CoreFault::FailingDisk => self.inject_disk_fault(machine, DiskFault::Failing),
         };
-        let for_ms = if kind == CoreTrouble::Terminate {
-            for_ms.max(GRACE_MS)
+        let duration_ms = if kind == CoreFault::Shutdown {
+            duration_ms.max(GRACE_MS)
         } else {
-            for_ms
+            duration_ms
         };
-        self.ends_after(for_ms, ending);
+        self.recover_after(duration_ms, ending);
     }
 
-    pub(super) fn chosen_core(&self, choice: CoreChoice) -> usize {
+    pub(super) fn select_core(&self, selector: CoreSelector) -> usize {
         let cores = self.cores();
         let disk_since = |machine: &usize| (self.machines[*machine].disk_since, *machine);
-        let chosen = match choice {
-            CoreChoice::Place(place) => cores.get(place).copied(),
-            CoreChoice::Oldest => cores.iter().copied().min_by_key(disk_since),
-            CoreChoice::Newest => cores.iter().copied().max_by_key(disk_since),
-            CoreChoice::Head => self.head().filter(|head| cores.contains(head)),
-            CoreChoice::Spare => {
+        let chosen = match selector {
+            CoreSelector::Index(slot) => cores.get(slot).copied(),
+            CoreSelector::OldestDisk => cores.iter().copied().min_by_key(disk_since),
+            CoreSelector::NewestDisk => cores.iter().copied().max_by_key(disk_since),
+            CoreSelector::Head => self.head().filter(|head| cores.contains(head)),
+            CoreSelector::Spare => {
                 let chain = self.chain();
                 cores
                     .iter()
@@ -97,12 +97,12 @@
     /// A machine and those that follow it in the list, as many as leave a majority.
     fn minority_of(&self, machine: usize) -> Vec<usize> {
         let cores = self.cores();
-        let place = cores.iter().position(|core| *core == machine).unwrap_or(0);
+        let slot = cores.iter().position(|core| *core == machine).unwrap_or(0);
         let count = (cores.len() - 1) / 2;
         cores
             .iter()
             .cycle()
-            .skip(place)
+            .skip(slot)
             .take(count)
             .copied()
             .collect()
@@ -110,43 +110,43 @@
 
     /// Cuts core machines off together with the last front and every second agent, while callers insist on the first of
     /// them and the front.
-    fn cut_with_callers(
+    fn partition_with_callers(
         &mut self,
         cores: &[usize],
-        direction: CutDirection,
-        for_ms: u64,
-    ) -> Ending {
+        direction: PartitionDirection,
+        duration_ms: u64,
+    ) -> Recovery {
         let front = self.fronts().end - 1;
         let mut near = cores.to_vec();
         near.push(front);
         near.extend(
             (0..self.settings.servers)
                 .step_by(2)
-                .map(|place| self.side_of(place)),
+                .map(|slot| self.agent_of(slot)),
         );
         let others: Vec<usize> = (0..self.machines.len())
             .filter(|other| !near.contains(other))
             .collect();
-        let cuts = near
+        let partitions = near
             .iter()
-            .flat_map(|machine| cuts_between(*machine, &others, direction))
+            .flat_map(|machine| partitions_between(*machine, &others, direction))
             .collect();
-        self.troubles.lure = Some(Lure {
+        self.active_faults.isolated_targets = Some(IsolatedTargets {
             core: cores[0],
             front,
         });
-        self.ends_after(for_ms, Ending::EndLure);
-        self.remove_voters_alone(cores);
-        self.cut(cuts)
+        self.recover_after(duration_ms, Recovery::ReleaseCallers);
+        self.remove_voters_by_minority(cores);
+        self.partition(partitions)
     }
 
-    fn trouble_disk(&mut self, machine: usize, trouble: DiskTrouble) -> Ending {
-        self.machines[machine].disk.trouble = trouble;
-        Ending::MendDisk(machine)
+    fn inject_disk_fault(&mut self, machine: usize, fault: DiskFault) -> Recovery {
+        self.machines[machine].disk.fault = fault;
+        Recovery::RepairDisk(machine)
     }
 
-    pub(super) fn mend_disk(&mut self, machine: usize) {
-        self.machines[machine].disk.trouble = DiskTrouble::None;
+    pub(super) fn repair_disk(&mut self, machine: usize) {
+        self.machines[machine].disk.fault = DiskFault::None;
     }
 
     /// A machine is gone for good; an empty one takes its place after so many milliseconds.
@@ -155,14 +155,14 @@
         let powered = self.rng.bool();
         self.kill(old, powered, 0);
         self.add_core(old, empty_after_ms);
-        self.ends_after(empty_after_ms + CATCH_UP_MS, Ending::Nothing);
+        self.recover_after(empty_after_ms + CATCH_UP_MS, Recovery::Automatic);
     }
 
     /// An empty machine is started, and takes the place of another, which is told to end after so many milliseconds.
     fn replace_in_order(&mut self, old: usize, overlap_ms: u64) {
         self.add_core(old, 0);
-        self.ends_after(overlap_ms, Ending::TerminateForGood(old));
-        self.ends_after(overlap_ms + GRACE_MS, Ending::Nothing);
+        self.recover_after(overlap_ms, Recovery::ShutDownForGood(old));
+        self.recover_after(overlap_ms + GRACE_MS, Recovery::Automatic);
     }
 
     /// Puts a new core machine, with an empty disk and another address, in the place of an old one.
@@ -170,20 +170,24 @@
         let new = self.add_machine(Role::Core);
         self.machines[new].starts_at = Some(self.now + starts_after_ms);
         self.replace_in_list(old, new);
-        self.draw_seeds();
+        self.choose_seeds();
     }
 }
 
 /// The cuts of a machine from others, each of a sender and a receiver.
-fn cuts_between(machine: usize, others: &[usize], direction: CutDirection) -> Vec<(usize, usize)> {
-    let mut cuts = Vec::new();
+fn partitions_between(
+    machine: usize,
+    others: &[usize],
+    direction: PartitionDirection,
+) -> Vec<(usize, usize)> {
+    let mut partitions = Vec::new();
     for other in others.iter().copied().filter(|other| *other != machine) {
-        if direction != CutDirection::Outward {
-            cuts.push((other, machine));
+        if direction != PartitionDirection::Outbound {
+            partitions.push((other, machine));
         }
-        if direction != CutDirection::Inward {
-            cuts.push((machine, other));
+        if direction != PartitionDirection::Inbound {
+            partitions.push((machine, other));
         }
     }
-    cuts
+    partitions
 }
--- a/crates/cluster-simulation/src/faults/crash_on_ack.rs
+++ b/crates/cluster-simulation/src/faults/crash_on_ack.rs
@@ -1,7 +1,7 @@
 //! Blows right after an acknowledgement.
 
-use crate::faults::active::Ending;
-use crate::faults::schedule::{Acknowledgement, Blow};
+use crate::faults::active::Recovery;
+use crate::faults::schedule::{Acknowledgement, Crash};
 use crate::world::World;
 
 /// How long a blow counts as trouble after it fell, in milliseconds.
@@ -10,38 +10,42 @@
 impl World {
     /// Something was acknowledged: strikes where that was planned.
     pub(crate) fn acknowledged(&mut self, what: Acknowledgement) {
-        let Some(strike) = self.troubles.strike.filter(|strike| strike.after == what) else {
+        let Some(crash_on_ack) = self
+            .active_faults
+            .crash_on_ack
+            .filter(|crash_on_ack| crash_on_ack.after == what)
+        else {
             return;
         };
-        self.troubles.strike = None;
-        match strike.blow {
-            Blow::AllPower => self.power_off_cores(),
-            Blow::Wipe(choice) => {
-                let machine = self.chosen_core(choice);
+        self.active_faults.crash_on_ack = None;
+        match crash_on_ack.crash {
+            Crash::PowerLossOfAll => self.lose_power_of_all_cores(),
+            Crash::DiskLoss(selector) => {
+                let machine = self.select_core(selector);
                 if self.machines[machine].process.is_none() {
                     return;
                 }
-                self.power_off(machine);
+                self.lose_power(machine);
                 self.wipe(machine);
             }
-            Blow::WipeAndAllPower(choice) => {
-                let machine = self.chosen_core(choice);
-                self.power_off_cores();
+            Crash::DiskLossAndPowerLossOfAll(selector) => {
+                let machine = self.select_core(selector);
+                self.lose_power_of_all_cores();
                 self.wipe(machine);
             }
         }
-        self.ends_after(LASTS_MS, Ending::Nothing);
+        self.recover_after(LASTS_MS, Recovery::Automatic);
     }
 
-    pub(super) fn power_off_cores(&mut self) {
+    pub(super) fn lose_power_of_all_cores(&mut self) {
         for machine in self.cores() {
             if self.machines[machine].process.is_some() {
-                self.power_off(machine);
+                self.lose_power(machine);
             }
         }
     }
 
-    fn power_off(&mut self, machine: usize) {
+    fn lose_power(&mut self, machine: usize) {
         let down_ms = 300 + self.rng.u64(0..1_500);
         self.kill(machine, false, down_ms);
     }
--- a/crates/cluster-simulation/src/faults/fault.rs
+++ b/crates/cluster-simulation/src/faults/fault.rs
@@ -1,16 +1,16 @@
 //! What may be planned.
 
-use crate::server::Conduct;
+use crate::server::ServerBehavior;
 
 /// A core machine, chosen among those of the operator's list when the entry begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CoreChoice {
+pub enum CoreSelector {
     /// The one at this place of the list. A machine takes the place of the one that it replaces.
-    Place(usize),
+    Index(usize),
     /// The one whose disk has lasted longest.
-    Oldest,
+    OldestDisk,
     /// The one whose disk is newest.
-    Newest,
+    NewestDisk,
     /// The head of the chain, by the newest view that a front knows.
     Head,
     /// One outside the chain, by that view.
@@ -19,53 +19,53 @@
 
 /// Which ways a cut holds back, seen from the machine that is cut off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CutDirection {
+pub enum PartitionDirection {
     /// Both.
     Both,
     /// What the others send to it.
-    Inward,
+    Inbound,
     /// What it sends to the others.
-    Outward,
+    Outbound,
 }
 
 /// Trouble of core machines, of which no more may be lost at once than is tolerated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CoreTrouble {
+pub enum CoreFault {
     /// Its process is killed.
     Kill,
     /// It loses power.
-    Power,
+    PowerLoss,
     /// It loses power and its disk.
-    Wipe,
+    DiskLoss,
     /// It stands still.
-    Freeze,
+    Suspend,
     /// It runs for a part of the time only.
-    Stutter,
+    IntermittentRun,
     /// It is told to end, and is started again.
-    Terminate,
+    Shutdown,
     /// It is gone for good; an empty one at another address takes its place after the time of the entry.
-    Replace,
+    Replacement,
     /// An empty one at another address is started; after the time of the entry the old one is told to end, for good.
-    ReplaceInOrder,
+    GracefulReplacement,
     /// It is cut off from the other core machines.
-    Cut(CutDirection),
+    Partition(PartitionDirection),
     /// It is cut off from all machines.
-    CutFromAll,
+    Isolation,
     /// It is cut off from all machines but the last front and every second agent, while the operator and the clients go
     /// on calling there.
-    CutWithCallers(CutDirection),
+    PartitionWithCallers(PartitionDirection),
     /// It is cut off in the same way, together with as many others as leave a majority of the list.
-    CutMinorityWithCallers(CutDirection),
+    MinorityPartitionWithCallers(PartitionDirection),
     /// What it sends takes longer.
-    LinksSlow,
+    SlowLinks,
     /// Its disk takes longer.
-    DiskSlow,
+    SlowDisk,
     /// Its disk answers nothing.
-    DiskStall,
+    StalledDisk,
     /// Its disk is full.
-    DiskFull,
+    FullDisk,
     /// Its disk refuses writes now and then.
-    DiskRefuse,
+    FailingDisk,
 }
 
 /// An acknowledgement that a blow follows.
@@ -79,101 +79,101 @@
 
 /// A blow right after an acknowledgement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Blow {
+pub enum Crash {
     /// All core machines lose power.
-    AllPower,
+    PowerLossOfAll,
     /// One core machine loses power and its disk.
-    Wipe(CoreChoice),
+    DiskLoss(CoreSelector),
     /// One core machine loses power and its disk while all others lose power.
-    WipeAndAllPower(CoreChoice),
+    DiskLossAndPowerLossOfAll(CoreSelector),
 }
 
 /// A blow that waits for its acknowledgement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Strike {
+pub struct CrashOnAck {
     /// After which.
     pub after: Acknowledgement,
     /// What.
-    pub blow: Blow,
+    pub crash: Crash,
 }
 
 /// What the operator begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OperatorOrder {
+pub enum OperatorAction {
     /// A change of the configuration.
     Change,
     /// One whose body has some hundreds of kilobytes.
     LargeChange,
     /// Two of them on the same version.
-    Race,
+    ConcurrentPair,
     /// Eight of them on the same version.
-    Crowd,
+    ConcurrentBurst,
     /// An invalid or stale one.
-    BadChange,
+    InvalidChange,
     /// One that was acknowledged at any time before is sent again.
     Resend,
 }
 
 /// Anything that is planned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     /// Trouble of one core machine.
-    Core(CoreTrouble, CoreChoice),
+    Core(CoreFault, CoreSelector),
     /// A blow right after an acknowledgement; if none comes, none.
-    Strike(Strike),
+    CrashOnAck(CrashOnAck),
     /// All processes are killed at once.
-    AllKilled,
+    KillAll,
     /// All core machines lose power at once.
-    AllCoresPower,
+    PowerLossOfAllCores,
     /// A front is cut off from all core machines.
-    FrontCut(usize),
+    FrontPartition(usize),
     /// A front is killed.
     FrontKill(usize),
     /// A front stands still.
-    FrontFreeze(usize),
+    FrontSuspend(usize),
     /// A front is told to end, and is started again.
-    FrontTerminate(usize),
+    FrontShutdown(usize),
     /// A front is told to end and gone for good, unless it is the last.
-    FrontRemove(usize),
+    FrontRemoval(usize),
     /// An agent is killed.
-    SideKill(usize),
+    AgentKill(usize),
     /// An agent stands still.
-    SideFreeze(usize),
+    AgentSuspend(usize),
     /// An agent is told to end, and is started again.
-    SideTerminate(usize),
+    AgentShutdown(usize),
     /// An agent is cut off from all core machines, one way or both.
-    SideCut(usize, bool),
+    AgentPartition(usize, bool),
     /// What an agent sends takes longer.
-    SideSlow(usize),
+    AgentSlowLinks(usize),
     /// Connections of a machine are reset.
-    Reset(usize),
+    ConnectionReset(usize),
     /// The time of day of a machine jumps by so many milliseconds.
     ClockStep(usize, i64),
     /// Processes that begin from now on are given other seeds.
-    NewSeeds,
+    SeedChange,
     /// A server crashes.
     ServerCrash(usize),
     /// A server conducts itself otherwise.
-    ServerConduct(usize, Conduct),
+    ServerBehaviorChange(usize, ServerBehavior),
     /// A server drains and leaves.
-    ServerLeaves(usize),
+    ServerShutdown(usize),
     /// Work of the operator.
-    Operator(OperatorOrder),
+    Operator(OperatorAction),
     /// Acknowledgements to the operator are lost.
-    AcknowledgementsLost,
+    AcknowledgementLoss,
 }
 
-impl Trouble {
+impl Fault {
     /// Whether it leaves all machines in touch.
     pub(super) fn is_planned(self) -> bool {
-        matches!(self, Trouble::Operator(_) | Trouble::ServerLeaves(_))
+        matches!(self, Fault::Operator(_) | Fault::ServerShutdown(_))
     }
 
     pub(super) fn is_of_core(self) -> bool {
-        let of_all = Strike {
+        let of_all = CrashOnAck {
             after: Acknowledgement::Job,
-            blow: Blow::AllPower,
+            crash: Crash::PowerLossOfAll,
         };
-        matches!(self, Trouble::Core(..) | Trouble::AllKilled) || self == Trouble::Strike(of_all)
+        matches!(self, Fault::Core(..) | Fault::KillAll) || self == Fault::CrashOnAck(of_all)
     }
 }
--- a/crates/cluster-simulation/src/faults/injection.rs
+++ b/crates/cluster-simulation/src/faults/injection.rs
@@ -1,122 +1,126 @@
 //! Begins and ends what the plan of a day does to the world.
 
-use crate::faults::active::Ending;
-use crate::faults::schedule::{Entry, Trouble, GRACE_MS};
+use crate::faults::active::Recovery;
+use crate::faults::schedule::{Fault, ScheduledFault, GRACE_MS};
 use crate::machine::ProcessEvent;
-use crate::server::Conduct;
-use crate::world::{LocalMessage, World};
+use crate::server::ServerBehavior;
+use crate::world::{AgentLinkMessage, World};
 
 /// How much longer frames take on slow links at most, in milliseconds.
 pub(super) const SLOW_MS: u64 = 400;
 
 impl World {
     /// Ends what is over.
-    pub(crate) fn end_troubles(&mut self) {
-        for ending in self.troubles.take_over(self.now) {
-            self.end_trouble(ending);
+    pub(crate) fn recover_from_expired_faults(&mut self) {
+        for ending in self.active_faults.take_expired(self.now) {
+            self.recover(ending);
         }
     }
 
     /// Begins what the plan has due, but for the work of the operator.
-    pub(crate) fn begin_trouble(&mut self, entry: Entry) {
-        let Entry {
-            for_ms, trouble, ..
+    pub(crate) fn inject_fault(&mut self, entry: ScheduledFault) {
+        let ScheduledFault {
+            duration_ms, fault, ..
         } = entry;
-        match trouble {
-            Trouble::Operator(_) => {}
-            Trouble::Core(kind, choice) => self.begin_core_trouble(kind, choice, for_ms),
-            Trouble::Strike(strike) => {
-                self.troubles.strike = Some(strike);
-                self.ends_after(for_ms, Ending::DropStrike);
+        match fault {
+            Fault::Operator(_) => {}
+            Fault::Core(kind, selector) => self.inject_core_fault(kind, selector, duration_ms),
+            Fault::CrashOnAck(crash_on_ack) => {
+                self.active_faults.crash_on_ack = Some(crash_on_ack);
+                self.recover_after(duration_ms, Recovery::DisarmCrash);
             }
-            Trouble::AllKilled => self.kill_all(for_ms),
-            Trouble::AllCoresPower => {
-                self.power_off_cores();
-                self.ends_after(for_ms, Ending::Nothing);
+            Fault::KillAll => self.kill_all(duration_ms),
+            Fault::PowerLossOfAllCores => {
+                self.lose_power_of_all_cores();
+                self.recover_after(duration_ms, Recovery::Automatic);
             }
-            Trouble::AcknowledgementsLost => {
-                self.troubles.acknowledgements_lost = true;
-                self.ends_after(for_ms, Ending::KeepAcknowledgements);
+            Fault::AcknowledgementLoss => {
+                self.active_faults.acknowledgements_lost = true;
+                self.recover_after(duration_ms, Recovery::RestoreAcknowledgements);
             }
-            Trouble::NewSeeds => self.draw_seeds(),
-            trouble => self.begin_other_trouble(trouble, for_ms),
+            Fault::SeedChange => self.choose_seeds(),
+            fault => self.inject_other_fault(fault, duration_ms),
         }
     }
 
-    fn begin_other_trouble(&mut self, trouble: Trouble, for_ms: u64) {
-        let ending = match trouble {
-            Trouble::FrontKill(machine) | Trouble::SideKill(machine) => {
+    fn inject_other_fault(&mut self, fault: Fault, duration_ms: u64) {
+        let ending = match fault {
+            Fault::FrontKill(machine) | Fault::AgentKill(machine) => {
                 let powered = self.rng.bool();
-                self.kill(machine, powered, for_ms);
-                Ending::Nothing
+                self.kill(machine, powered, duration_ms);
+                Recovery::Automatic
             }
-            Trouble::FrontFreeze(machine) | Trouble::SideFreeze(machine) => {
-                self.set_frozen(machine, true);
-                Ending::Unfreeze(machine)
+            Fault::FrontSuspend(machine) | Fault::AgentSuspend(machine) => {
+                self.set_suspended(machine, true);
+                Recovery::Resume(machine)
             }
-            Trouble::FrontTerminate(machine) | Trouble::SideTerminate(machine) => {
-                self.terminate(machine)
+            Fault::FrontShutdown(machine) | Fault::AgentShutdown(machine) => {
+                self.shut_down(machine)
             }
-            Trouble::FrontRemove(machine) => self.remove_front(machine),
-            Trouble::FrontCut(machine) => self.cut_from_core(machine, false),
-            Trouble::SideCut(machine, one_way) => self.cut_from_core(machine, one_way),
-            Trouble::SideSlow(machine) => {
+            Fault::FrontRemoval(machine) => self.remove_front(machine),
+            Fault::FrontPartition(machine) => self.partition_from_core(machine, false),
+            Fault::AgentPartition(machine, one_way) => self.partition_from_core(machine, one_way),
+            Fault::AgentSlowLinks(machine) => {
                 self.network.set_slow(machine, SLOW_MS);
-                Ending::MendLinks(machine)
+                Recovery::RestoreLinks(machine)
             }
-            Trouble::Reset(machine) => {
+            Fault::ConnectionReset(machine) => {
                 self.network.reset_some(machine);
-                Ending::Nothing
+                Recovery::Automatic
             }
-            Trouble::ClockStep(machine, by) => {
+            Fault::ClockStep(machine, by) => {
                 self.machines[machine].clock.wall_offset_ms += by;
-                Ending::StepClockBack(machine, by)
+                Recovery::StepClockBack(machine, by)
             }
-            Trouble::ServerCrash(place) => {
-                self.crash(place, for_ms);
-                Ending::Nothing
+            Fault::ServerCrash(slot) => {
+                self.crash(slot, duration_ms);
+                Recovery::Automatic
             }
-            Trouble::ServerConduct(place, conduct) => {
-                self.set_conduct(place, conduct);
-                Ending::MendServer(place)
+            Fault::ServerBehaviorChange(slot, behavior) => {
+                self.set_behavior(slot, behavior);
+                Recovery::HealServer(slot)
             }
-            Trouble::ServerLeaves(place) => {
-                self.drain_server(place);
-                Ending::Nothing
+            Fault::ServerShutdown(slot) => {
+                self.drain_server(slot);
+                Recovery::Automatic
             }
             _ => return,
         };
-        let for_ms = if matches!(ending, Ending::KillTerminated(..)) {
+        let duration_ms = if matches!(ending, Recovery::KillIfRunning(..)) {
             GRACE_MS
         } else {
-            for_ms
+            duration_ms
         };
-        self.ends_after(for_ms, ending);
+        self.recover_after(duration_ms, ending);
     }
 
-    pub(super) fn ends_after(&mut self, for_ms: u64, ending: Ending) {
-        self.troubles.ends.push((self.now + for_ms, ending));
+    pub(super) fn recover_after(&mut self, duration_ms: u64, ending: Recovery) {
+        self.active_faults
+            .ends
+            .push((self.now + duration_ms, ending));
     }
 
-    fn end_trouble(&mut self, ending: Ending) {
+    fn recover(&mut self, ending: Recovery) {
         match ending {
-            Ending::Nothing => {}
-            Ending::Unfreeze(machine) => self.set_frozen(machine, false),
-            Ending::EndStutter(machine) => self.set_stuttering(machine, false),
-            Ending::Join(cuts) => cuts
+            Recovery::Automatic => {}
+            Recovery::Resume(machine) => self.set_suspended(machine, false),
+            Recovery::EndIntermittentRun(machine) => self.set_intermittent(machine, false),
+            Recovery::HealPartition(partitions) => partitions
                 .into_iter()
-                .for_each(|(from, to)| self.network.join(from, to)),
-            Ending::EndLure => self.troubles.lure = None,
-            Ending::MendDisk(machine) => self.mend_disk(machine),
-            Ending::MendLinks(machine) => self.network.set_slow(machine, 0),
-            Ending::StepClockBack(machine, by) => self.machines[machine].clock.wall_offset_ms -= by,
-            Ending::MendServer(place) => self.set_conduct(place, Conduct::Sound),
-            Ending::KillTerminated(machine, incarnation) => {
-                self.kill_terminated(machine, incarnation)
+                .for_each(|(from, to)| self.network.heal(from, to)),
+            Recovery::ReleaseCallers => self.active_faults.isolated_targets = None,
+            Recovery::RepairDisk(machine) => self.repair_disk(machine),
+            Recovery::RestoreLinks(machine) => self.network.set_slow(machine, 0),
+            Recovery::StepClockBack(machine, by) => {
+                self.machines[machine].clock.wall_offset_ms -= by
             }
-            Ending::TerminateForGood(machine) => self.terminate_for_good(machine),
-            Ending::KeepAcknowledgements => self.troubles.acknowledgements_lost = false,
-            Ending::DropStrike => self.troubles.strike = None,
+            Recovery::HealServer(slot) => self.set_behavior(slot, ServerBehavior::Healthy),
+            Recovery::KillIfRunning(machine, incarnation) => {
+                self.kill_if_running(machine, incarnation)
+            }
+            Recovery::ShutDownForGood(machine) => self.shut_down_for_good(machine),
+            Recovery::RestoreAcknowledgements => self.active_faults.acknowledgements_lost = false,
+            Recovery::DisarmCrash => self.active_faults.crash_on_ack = None,
         }
     }
 
@@ -125,16 +129,16 @@
             let down_ms = 100 + self.rng.u64(0..back_within_ms);
             self.kill(machine, true, down_ms);
         }
-        self.ends_after(back_within_ms, Ending::Nothing);
+        self.recover_after(back_within_ms, Recovery::Automatic);
     }
 
     /// Tells a process to end; it is killed where it has not ended within the grace.
-    pub(super) fn terminate(&mut self, machine: usize) -> Ending {
+    pub(super) fn shut_down(&mut self, machine: usize) -> Recovery {
         self.dispatch(machine, ProcessEvent::Terminate);
-        Ending::KillTerminated(machine, self.machines[machine].incarnation)
+        Recovery::KillIfRunning(machine, self.machines[machine].incarnation)
     }
 
-    fn kill_terminated(&mut self, machine: usize, incarnation: u64) {
+    fn kill_if_running(&mut self, machine: usize, incarnation: u64) {
         let one = &self.machines[machine];
         if one.incarnation == incarnation && one.process.is_some() {
             self.kill(machine, true, 200);
@@ -142,68 +146,69 @@
     }
 
     /// Tells the process of a machine to end, which is not started again.
-    fn terminate_for_good(&mut self, machine: usize) {
+    fn shut_down_for_good(&mut self, machine: usize) {
         self.machines[machine].removed = true;
-        let ending = self.terminate(machine);
-        self.ends_after(GRACE_MS, ending);
+        let ending = self.shut_down(machine);
+        self.recover_after(GRACE_MS, ending);
     }
 
-    fn remove_front(&mut self, machine: usize) -> Ending {
+    fn remove_front(&mut self, machine: usize) -> Recovery {
         let others = self
             .fronts()
             .filter(|front| *front != machine && !self.machines[*front].removed);
         if others.count() > 0 {
             self.machines[machine].removed = true;
         }
-        self.terminate(machine)
+        self.shut_down(machine)
     }
 
     /// Cuts a machine that is none of the core off from the core, or only what it sends there.
-    fn cut_from_core(&mut self, machine: usize, one_way: bool) -> Ending {
-        let mut cuts = Vec::new();
+    fn partition_from_core(&mut self, machine: usize, one_way: bool) -> Recovery {
+        let mut partitions = Vec::new();
         for core in self.cores() {
-            cuts.push((machine, core));
+            partitions.push((machine, core));
             if !one_way {
-                cuts.push((core, machine));
+                partitions.push((core, machine));
             }
         }
-        self.cut(cuts)
+        self.partition(partitions)
     }
 
-    pub(super) fn cut(&mut self, cuts: Vec<(usize, usize)>) -> Ending {
-        cuts.iter()
-            .for_each(|(from, to)| self.network.cut(*from, *to));
-        Ending::Join(cuts)
+    pub(super) fn partition(&mut self, partitions: Vec<(usize, usize)>) -> Recovery {
+        partitions
+            .iter()
+            .for_each(|(from, to)| self.network.partition(*from, *to));
+        Recovery::HealPartition(partitions)
     }
 
-    fn set_conduct(&mut self, place: usize, conduct: Conduct) {
-        if let Some(server) = &mut self.places[place].server {
-            server.conduct = conduct;
+    fn set_behavior(&mut self, slot: usize, behavior: ServerBehavior) {
+        if let Some(server) = &mut self.server_slots[slot].server {
+            server.behavior = behavior;
         }
     }
 
-    fn drain_server(&mut self, place: usize) {
+    fn drain_server(&mut self, slot: usize) {
         let now = self.now;
-        let leaves_at = now + self.rng.u64(2_500..5_000);
-        let Some(server) = &mut self.places[place].server else {
+        let shuts_down_at = now + self.rng.u64(2_500..5_000);
+        let Some(server) = &mut self.server_slots[slot].server else {
             return;
         };
         if server.draining_since.is_none() {
             server.draining_since = Some(now);
-            server.leaves_at = Some(leaves_at);
+            server.shuts_down_at = Some(shuts_down_at);
         }
     }
 
     /// A server has left: its agent is told.
-    pub(crate) fn tell_of_leave(&mut self, place: usize) {
-        if let Some(server) = &self.places[place].server {
+    pub(crate) fn deregister_server(&mut self, slot: usize) {
+        if let Some(server) = &self.server_slots[slot].server {
             let id = server.id().clone();
-            self.send_local(place, LocalMessage::Left(id));
+            self.send_to_agent_link(slot, AgentLinkMessage::Deregistered(id));
         }
     }
 
     /// Whether the acknowledgement to a call of the operator is lost.
     pub(crate) fn loses_acknowledgement(&mut self) -> bool {
-        self.troubles.acknowledgements_lost && self.rng.u32(0..10) < 7
+        self.active_faults.acknowledgements_lost && self.rng.u32(0..10) < 7
     }
 }
--- a/crates/cluster-simulation/src/faults/schedule.rs
+++ b/crates/cluster-simulation/src/faults/schedule.rs
@@ -1,11 +1,12 @@
 //! The plan of a day: faults and planned work, drawn from its seed or put together by hand.
 
 pub use super::fault::{
-    Acknowledgement, Blow, CoreChoice, CoreTrouble, CutDirection, OperatorOrder, Strike, Trouble,
+    Acknowledgement, CoreFault, CoreSelector, Crash, CrashOnAck, Fault, OperatorAction,
+    PartitionDirection,
 };
 
 use super::{mixed, severe};
-use crate::config::{DayKind, DaySettings};
+use crate::config::{FaultProfile, SimulationConfig};
 use std::collections::BTreeMap;
 
 /// Grace between the signal to end and the kill, in milliseconds.
@@ -16,36 +17,38 @@
 
 /// One entry.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry {
+pub struct ScheduledFault {
     /// When it begins, in milliseconds.
     pub at: u64,
     /// How long it lasts.
-    pub for_ms: u64,
+    pub duration_ms: u64,
     /// What.
-    pub trouble: Trouble,
+    pub fault: Fault,
 }
 
 /// All entries that have not begun, by their beginning.
 #[derive(Clone, Debug, Default)]
-pub struct Plan {
-    entries: BTreeMap<(u64, usize), Entry>,
+pub struct FaultSchedule {
+    entries: BTreeMap<(u64, usize), ScheduledFault>,
 }
 
-impl Plan {
+impl FaultSchedule {
     /// The plan of a day of the kind that the settings ask for.
-    pub fn draw(rng: &mut fastrand::Rng, settings: &DaySettings) -> Plan {
+    pub fn draw(rng: &mut fastrand::Rng, settings: &SimulationConfig) -> FaultSchedule {
         match settings.kind {
-            DayKind::Quiet => Plan::default(),
-            DayKind::Usual => Plan::of(mixed::draw(rng, settings)),
-            DayKind::Worst => Plan::of(severe::draw(rng, settings, None)),
-            DayKind::WorstOf(scene) => Plan::of(severe::draw(rng, settings, Some(scene))),
+            FaultProfile::Quiet => FaultSchedule::default(),
+            FaultProfile::Mixed => FaultSchedule::of(mixed::draw(rng, settings)),
+            FaultProfile::Severe => FaultSchedule::of(severe::draw(rng, settings, None)),
+            FaultProfile::Only(scenario) => {
+                FaultSchedule::of(severe::draw(rng, settings, Some(scenario)))
+            }
         }
     }
 
     /// A plan of these entries.
-    pub fn of(entries: Vec<Entry>) -> Plan {
+    pub fn of(entries: Vec<ScheduledFault>) -> FaultSchedule {
         let numbered = entries.into_iter().enumerate();
-        Plan {
+        FaultSchedule {
             entries: numbered
                 .map(|(number, entry)| ((entry.at, number), entry))
                 .collect(),
@@ -53,7 +56,7 @@
     }
 
     /// Takes the next entry that is due.
-    pub(crate) fn take_due(&mut self, now: u64) -> Option<Entry> {
+    pub(crate) fn take_due(&mut self, now: u64) -> Option<ScheduledFault> {
         let next = self
             .entries
             .first_entry()
@@ -62,7 +65,7 @@
     }
 
     /// Its entries, in their order.
-    pub fn entries(&self) -> impl Iterator<Item = &Entry> {
+    pub fn entries(&self) -> impl Iterator<Item = &ScheduledFault> {
         self.entries.values()
     }
 }
--- a/crates/cluster-simulation/src/injected_bugs/hooks.rs
+++ b/crates/cluster-simulation/src/injected_bugs/hooks.rs
@@ -1,6 +1,6 @@
 //! Where planted faults change what processes send. Nothing of it is in the processes themselves.
 
-use crate::injected_bugs::{LateAnswer, PlantedFault};
+use crate::injected_bugs::{InjectedBug, LateReply};
 use crate::machine::{address_of, ProcessEvent};
 use crate::world::World;
 use lupinrack_cluster_api::chain::ChainMessage;
@@ -21,18 +21,18 @@
 /// Copies of answers come later than the answers by this, in milliseconds.
 const LATE_MS: std::ops::Range<u64> = 100..1_500;
 /// The numbers of connections that are made up begin here.
-const MADE_UP_CONNECTIONS: u64 = 1 << 62;
+const FORGED_CONNECTIONS: u64 = 1 << 62;
 
 impl World {
     /// What a process sends, changed where a fault is planted.
-    pub(crate) fn planted_frame(&self, frame: Frame) -> Frame {
+    pub(crate) fn apply_bug_to_frame(&self, frame: Frame) -> Frame {
         match frame {
             Frame::Submit(Operation::TakeShard {
                 service,
                 owner,
                 incarnation,
                 ..
-            }) if self.planted == Some(PlantedFault::TokenNotRaised) => {
+            }) if self.injected_bug == Some(InjectedBug::TokenNotIncremented) => {
                 Frame::Submit(Operation::TakeShard {
                     service,
                     token: FencingToken(1),
@@ -45,14 +45,14 @@
     }
 
     /// What a core process writes, with another snapshot where a fault is planted.
-    pub(crate) fn planted_batch(&mut self, machine: usize, batch: Batch) -> Batch {
+    pub(crate) fn apply_bug_to_batch(&mut self, machine: usize, batch: Batch) -> Batch {
         let Some((index, bytes)) = batch.snapshot else {
             return batch;
         };
-        let bytes = match self.planted {
-            Some(PlantedFault::TakenChangesNotInSnapshot) => without_accepted_changes(bytes),
-            Some(PlantedFault::SnapshotTakenForNewer) => self
-                .planting
+        let bytes = match self.injected_bug {
+            Some(InjectedBug::AcceptedChangesNotInSnapshot) => without_accepted_changes(bytes),
+            Some(InjectedBug::StaleSnapshot) => self
+                .bug_state
                 .first_snapshots
                 .entry(machine)
                 .or_insert(bytes)
@@ -65,23 +65,23 @@
         }
     }
 
-    pub(crate) fn planted_answer(
+    pub(crate) fn apply_bug_to_response(
         &self,
         mut answer: HeartbeatResponse,
         listed: u64,
     ) -> HeartbeatResponse {
-        match self.planted {
-            Some(PlantedFault::LeaseTooLong) if answer.lease_ms > 0 => {
+        match self.injected_bug {
+            Some(InjectedBug::LeaseTooLong) if answer.lease_ms > 0 => {
                 answer.lease_ms += LEASE_EXCESS_MS
             }
-            Some(PlantedFault::ObservedTooSoon) => answer.observed = answer.observed.max(listed),
+            Some(InjectedBug::ObservedTooEarly) => answer.observed = answer.observed.max(listed),
             _ => {}
         }
         answer
     }
 
     /// Acknowledges a barrier in the place of a successor that is cut off.
-    pub(crate) fn answer_for_successor(&mut self, machine: usize, to: usize, frame: &Frame) {
+    pub(crate) fn acknowledge_for_successor(&mut self, machine: usize, to: usize, frame: &Frame) {
         let Frame::Chain(ChainMessage::Append {
             view,
             committed,
@@ -91,8 +91,8 @@
         else {
             return;
         };
-        let planted = self.planted == Some(PlantedFault::BarrierWithoutContact);
-        if !planted || !self.network.is_cut(machine, to) {
+        let injected_bug = self.injected_bug == Some(InjectedBug::BarrierWithoutQuorum);
+        if !injected_bug || !self.network.is_partitioned(machine, to) {
             return;
         }
         let acknowledge = ChainMessage::Acknowledge {
@@ -100,16 +100,16 @@
             synced: *committed,
             barrier: *barrier,
         };
-        let hello = self.presences[to].hello.clone();
-        self.make_up_frame(machine, to, hello);
-        self.make_up_frame(machine, to, Frame::Chain(acknowledge));
+        let hello = self.endpoints[to].hello.clone();
+        self.forge_frame(machine, to, hello);
+        self.forge_frame(machine, to, Frame::Chain(acknowledge));
     }
 
     /// Hands a process a frame as if another had sent it.
-    fn make_up_frame(&mut self, machine: usize, from: usize, frame: Frame) {
+    fn forge_frame(&mut self, machine: usize, from: usize, frame: Frame) {
         let (incarnation, connection) = (
             self.machines[from].incarnation,
-            MADE_UP_CONNECTIONS + from as u64,
+            FORGED_CONNECTIONS + from as u64,
         );
         self.dispatch(
             machine,
@@ -123,8 +123,8 @@
     }
 
     /// Has a copy of each answer come late, on whatever connection its caller's machine has by then.
-    pub(crate) fn copy_answer(&mut self, machine: usize, connection: u64, frame: &Frame) {
-        if self.planted != Some(PlantedFault::AnswerMatchedByNumber) {
+    pub(crate) fn duplicate_reply(&mut self, machine: usize, connection: u64, frame: &Frame) {
+        if self.injected_bug != Some(InjectedBug::ReplyMatchedByNumber) {
             return;
         }
         let Frame::Reply { id, reply } = frame else {
@@ -134,7 +134,7 @@
             return;
         };
         let due = self.now + self.rng.u64(LATE_MS);
-        self.planting.late_answers.push(LateAnswer {
+        self.bug_state.late_replies.push(LateReply {
             due,
             from: machine,
             to,
@@ -144,20 +144,20 @@
     }
 
     /// Delivers the copies of answers that are due.
-    pub(crate) fn deliver_late_answers(&mut self) {
+    pub(crate) fn deliver_late_replies(&mut self) {
         let now = self.now;
-        let (due, later) = std::mem::take(&mut self.planting.late_answers)
+        let (due, later) = std::mem::take(&mut self.bug_state.late_replies)
             .into_iter()
             .partition(|late| late.due <= now);
-        self.planting.late_answers = later;
-        let due: Vec<LateAnswer> = due;
+        self.bug_state.late_replies = later;
+        let due: Vec<LateReply> = due;
         due.into_iter()
-            .for_each(|late| self.deliver_late_answer(late));
+            .for_each(|late| self.deliver_late_reply(late));
     }
 
     /// Delivers a copy under the life that the caller's process has by now, as if lives were not compared.
-    fn deliver_late_answer(&mut self, late: LateAnswer) {
-        let LateAnswer {
+    fn deliver_late_reply(&mut self, late: LateReply) {
+        let LateReply {
             from,
             to,
             number,
@@ -184,8 +184,8 @@
     }
 
     /// Has machines that are cut off together learn of a view that they alone agreed on.
-    pub(crate) fn remove_voters_alone(&mut self, machines: &[usize]) {
-        if self.planted != Some(PlantedFault::VotersRemovedAlone) {
+    pub(crate) fn remove_voters_by_minority(&mut self, machines: &[usize]) {
+        if self.injected_bug != Some(InjectedBug::VotersRemovedByMinority) {
             return;
         }
         let Some(view) = self.newest_view().map(|view| view_of(&view, machines)) else {
@@ -193,7 +193,7 @@
         };
         let from = machines[0];
         for machine in machines {
-            self.make_up_frame(*machine, from, Frame::ViewUpdate(view.clone()));
+            self.forge_frame(*machine, from, Frame::ViewUpdate(view.clone()));
         }
     }
 }
--- a/crates/cluster-simulation/src/lib.rs
+++ b/crates/cluster-simulation/src/lib.rs
@@ -2,13 +2,12 @@
 //!
 //! The state machines are the real ones: the core process whole ([`lupinrack_cluster_node::core::CoreMachine`]), the
 //! clients of the head, the subscriptions and the agents. What is modelled is what surrounds them: connections, disks,
-//! clocks, machines that stop and fail, servers that run tasks, clients, and the operator. [`play`] plays the day of a
+//! clocks, machines that stop and fail, servers that run tasks, clients, and the operator. [`simulate`] plays the day of a
 //! seed and tells which rules were broken; the same seed gives the same day.
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
 
 mod agent_link;
-mod checks;
 mod client;
 mod config;
 mod configuration_body;
@@ -17,6 +16,7 @@
 mod machine;
 mod network;
 mod operator;
+mod oracle;
 mod pending_call;
 mod processes;
 mod server;
@@ -25,11 +25,11 @@
 mod workload;
 mod world;
 
-pub use config::{DayKind, DaySettings, Scene};
+pub use config::{FaultProfile, FaultScenario, SimulationConfig};
 pub use faults::schedule::{
-    Acknowledgement, Blow, CoreChoice, CoreTrouble, CutDirection, Entry, OperatorOrder, Plan,
-    Strike, Trouble,
+    Acknowledgement, CoreFault, CoreSelector, Crash, CrashOnAck, Fault, FaultSchedule,
+    OperatorAction, PartitionDirection, ScheduledFault,
 };
-pub use injected_bugs::PlantedFault;
-pub use server::Conduct;
-pub use simulation::{play, play_plan, DayReport};
+pub use injected_bugs::InjectedBug;
+pub use server::ServerBehavior;
+pub use simulation::{simulate, simulate_schedule, SimulationReport};
--- a/crates/cluster-simulation/src/machine/agent.rs
+++ b/crates/cluster-simulation/src/machine/agent.rs
@@ -23,14 +23,14 @@
 
 /// The process of an agent.
 #[derive(Debug)]
-pub struct Side {
+pub struct AgentProcess {
     machine: SideMachine<HeartbeatCall>,
     /// The processes that are held for alive, whether they are or not.
     table: LiveTable,
     has_ended: bool,
 }
 
-impl Side {
+impl AgentProcess {
     /// One that begins now, with this table for as long as it lives.
     pub fn new(
         own: LiveMember,
@@ -38,8 +38,8 @@
         seeds: Vec<PeerAddress>,
         settings: AgentSettings,
         now: Millis,
-    ) -> Side {
-        Side {
+    ) -> AgentProcess {
+        AgentProcess {
             machine: SideMachine::new(own, seeds, None, settings, now),
             table,
             has_ended: false,
@@ -59,14 +59,14 @@
     /// A heartbeat of the server came.
     pub fn on_heartbeat(
         &mut self,
-        beat: ServerHeartbeat,
+        heartbeat: ServerHeartbeat,
         sent_at: u64,
         now: Millis,
     ) -> Vec<AgentEffect> {
         let call = HeartbeatCall {
-            server: beat.facts.id.clone(),
+            server: heartbeat.facts.id.clone(),
             sent_at,
-            highest_end: beat
+            highest_end: heartbeat
                 .heartbeat
                 .finished
                 .iter()
@@ -74,7 +74,7 @@
                 .max()
                 .unwrap_or(0),
         };
-        self.machine.on_heartbeat(beat, call, now)
+        self.machine.on_heartbeat(heartbeat, call, now)
     }
 
     /// The open heartbeat has waited for long enough.
@@ -90,7 +90,7 @@
     }
 
     /// The server has left in order.
-    pub fn on_leave(&mut self, server: ServerId, now: Millis) -> Vec<AgentEffect> {
+    pub fn on_deregister(&mut self, server: ServerId, now: Millis) -> Vec<AgentEffect> {
         self.machine.on_leave(server, now)
     }
 
--- a/crates/cluster-simulation/src/machine/disk.rs
+++ b/crates/cluster-simulation/src/machine/disk.rs
@@ -5,7 +5,7 @@
 
 /// How a disk behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DiskTrouble {
+pub enum DiskFault {
     /// It works.
     None,
     /// Its syncs take so many times as long.
@@ -15,13 +15,13 @@
     /// It refuses every write.
     Full,
     /// It refuses every write for a half of the time.
-    Refusing,
+    Failing,
 }
 
 /// A batch under way.
 #[derive(Clone, Debug)]
 struct PendingBatch {
-    ticket: u64,
+    batch_id: u64,
     batch: Batch,
     synced_at: u64,
 }
@@ -32,13 +32,13 @@
     contents: Recovered,
     pending: VecDeque<PendingBatch>,
     /// Its behaviour.
-    pub trouble: DiskTrouble,
+    pub fault: DiskFault,
     busy_until: u64,
 }
 
 /// What a disk has to tell its process.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum DiskNews {
+pub enum DiskCompletion {
     /// These tickets are synced.
     Synced(Vec<u64>),
     /// A write was refused and is tried again.
@@ -48,14 +48,14 @@
 /// Between two tries of a write that was refused, in milliseconds.
 const RETRY_MS: u64 = 200;
 /// A disk that refuses writes now and then does so in the first half of each of these spans, in milliseconds.
-const REFUSES_MS: u64 = 1_000;
+const FAILURE_PERIOD_MS: u64 = 1_000;
 
 impl Default for SimulatedDisk {
     fn default() -> SimulatedDisk {
         SimulatedDisk {
             contents: Recovered::default(),
             pending: VecDeque::new(),
-            trouble: DiskTrouble::None,
+            fault: DiskFault::None,
             busy_until: 0,
         }
     }
@@ -68,8 +68,8 @@
     }
 
     /// Queues a batch whose sync takes `sync_ms` on a sound disk.
-    pub fn write(&mut self, ticket: u64, batch: Batch, now: u64, sync_ms: u64) {
-        let factor = if let DiskTrouble::Slow(factor) = self.trouble {
+    pub fn write(&mut self, batch_id: u64, batch: Batch, now: u64, sync_ms: u64) {
+        let factor = if let DiskFault::Slow(factor) = self.fault {
             factor
         } else {
             1
@@ -78,21 +78,23 @@
         let synced_at = self.busy_until.max(now + sync_ms * factor);
         self.busy_until = synced_at;
         self.pending.push_back(PendingBatch {
-            ticket,
+            batch_id,
             batch,
             synced_at,
         });
     }
 
     /// Lets time pass; what there is to tell the process.
-    pub fn advance(&mut self, now: u64) -> Option<DiskNews> {
-        match self.trouble {
-            DiskTrouble::Stalled => return None,
-            DiskTrouble::Full => return self.refuse(now),
-            DiskTrouble::Refusing if now % REFUSES_MS < REFUSES_MS / 2 => return self.refuse(now),
-            DiskTrouble::None | DiskTrouble::Slow(_) | DiskTrouble::Refusing => {}
+    pub fn advance(&mut self, now: u64) -> Option<DiskCompletion> {
+        match self.fault {
+            DiskFault::Stalled => return None,
+            DiskFault::Full => return self.refuse(now),
+            DiskFault::Failing if now % FAILURE_PERIOD_MS < FAILURE_PERIOD_MS / 2 => {
+                return self.refuse(now)
+            }
+            DiskFault::None | DiskFault::Slow(_) | DiskFault::Failing => {}
         }
-        let mut tickets = Vec::new();
+        let mut batch_ids = Vec::new();
         while self
             .pending
             .front()
@@ -100,25 +102,25 @@
         {
             if let Some(write) = self.pending.pop_front() {
                 apply(&mut self.contents, write.batch);
-                tickets.push(write.ticket);
+                batch_ids.push(write.batch_id);
             }
         }
-        (!tickets.is_empty()).then_some(DiskNews::Synced(tickets))
+        (!batch_ids.is_empty()).then_some(DiskCompletion::Synced(batch_ids))
     }
 
-    fn refuse(&mut self, now: u64) -> Option<DiskNews> {
+    fn refuse(&mut self, now: u64) -> Option<DiskCompletion> {
         let front = self.pending.front_mut()?;
         if front.synced_at > now {
             return None;
         }
         front.synced_at = now + RETRY_MS;
-        Some(DiskNews::Refused)
+        Some(DiskCompletion::Refused)
     }
 
     /// The process dies, or the power is lost: a part of what was under way may have reached the disk.
     pub fn crash(&mut self, rng: &mut fastrand::Rng) {
         let kept = rng.usize(0..=self.pending.len());
-        let can_write = matches!(self.trouble, DiskTrouble::None | DiskTrouble::Slow(_));
+        let can_write = matches!(self.fault, DiskFault::None | DiskFault::Slow(_));
         let under_way: Vec<PendingBatch> = self.pending.drain(..).collect();
         if can_write && rng.bool() {
             under_way
--- a/crates/cluster-simulation/src/machine/front.rs
+++ b/crates/cluster-simulation/src/machine/front.rs
@@ -19,17 +19,22 @@
 
 /// The process of a front.
 #[derive(Debug)]
-pub struct Front {
+pub struct FrontProcess {
     machine: FrontMachine,
     /// The fronts that are held for alive, whether they are or not.
     table: LiveTable,
     ending_since: Option<Millis>,
 }
 
-impl Front {
+impl FrontProcess {
     /// One that begins now, with this table for as long as it lives.
-    pub fn new(own: LiveMember, table: LiveTable, seeds: Vec<PeerAddress>, now: Millis) -> Front {
-        Front {
+    pub fn new(
+        own: LiveMember,
+        table: LiveTable,
+        seeds: Vec<PeerAddress>,
+        now: Millis,
+    ) -> FrontProcess {
+        FrontProcess {
             machine: FrontMachine::new(own, seeds, now),
             table,
             ending_since: None,
--- a/crates/cluster-simulation/src/machine/mod.rs
+++ b/crates/cluster-simulation/src/machine/mod.rs
@@ -5,10 +5,10 @@
 pub mod disk;
 pub mod front;
 
-use crate::machine::agent::{AgentEffect, HeartbeatCall, Side};
+use crate::machine::agent::{AgentEffect, AgentProcess, HeartbeatCall};
 use crate::machine::clock::MachineClock;
 use crate::machine::disk::SimulatedDisk;
-use crate::machine::front::Front;
+use crate::machine::front::FrontProcess;
 use lupinrack_cluster_api::frame::{Frame, Role};
 use lupinrack_cluster_api::identity::{PeerAddress, ServerId};
 use lupinrack_cluster_node::agent::machine::SideEffect;
@@ -25,9 +25,9 @@
 const PORT: u16 = 7_000;
 
 /// A process that stutters runs for the first part of each of these spans, in milliseconds.
-const STUTTER_MS: u64 = 150;
+const INTERMITTENT_PERIOD_MS: u64 = 150;
 /// How long that part is, in milliseconds.
-const RUNS_MS: u64 = 25;
+const INTERMITTENT_RUN_MS: u64 = 25;
 
 /// The internal address of a machine.
 pub fn address_of(machine: usize) -> PeerAddress {
@@ -48,9 +48,9 @@
     /// A core process.
     Core(Box<CoreMachine>),
     /// A front.
-    Front(Box<Front>),
+    Front(Box<FrontProcess>),
     /// An agent.
-    Side(Box<Side>),
+    Agent(Box<AgentProcess>),
 }
 
 /// What reaches a process.
@@ -83,17 +83,17 @@
     /// A heartbeat of the server.
     Heartbeat {
         /// The heartbeat.
-        beat: Box<ServerHeartbeat>,
+        heartbeat: Box<ServerHeartbeat>,
         /// When the server sent it.
         sent_at: u64,
     },
     /// An open heartbeat has waited for long enough.
     AnswerDue,
     /// The server has left in order.
-    Left(ServerId),
+    Deregistered(ServerId),
     /// Time has passed.
     Tick,
-    /// The process is told to end.
+    /// The process is asked to shut down.
     Terminate,
 }
 
@@ -129,9 +129,9 @@
     /// The life of the process, or of the last one.
     pub incarnation: u64,
     /// Whether the process stands still.
-    pub frozen: bool,
+    pub suspended: bool,
     /// Whether the process runs for a part of the time only.
-    pub stuttering: bool,
+    pub intermittent: bool,
     /// Whether the machine is gone for good, or will be once its process has ended.
     pub removed: bool,
     /// Since when its disk has been filled.
@@ -153,8 +153,8 @@
             disk: SimulatedDisk::default(),
             process: None,
             incarnation: 0,
-            frozen: false,
-            stuttering: false,
+            suspended: false,
+            intermittent: false,
             removed: false,
             disk_since: 0,
             is_new: true,
@@ -164,8 +164,8 @@
     }
 
     /// Whether the process stands still at this moment.
-    pub fn is_still(&self, now: u64) -> bool {
-        self.frozen || (self.stuttering && now % STUTTER_MS >= RUNS_MS)
+    pub fn is_suspended(&self, now: u64) -> bool {
+        self.suspended || (self.intermittent && now % INTERMITTENT_PERIOD_MS >= INTERMITTENT_RUN_MS)
     }
 
     /// Whether the process, told to end, has ended by itself.
@@ -174,7 +174,7 @@
         match &self.process {
             Some(Process::Core(core)) => core.has_left(now),
             Some(Process::Front(front)) => front.has_ended(now),
-            Some(Process::Side(side)) => side.has_ended(),
+            Some(Process::Agent(side)) => side.has_ended(),
             None => false,
         }
     }
@@ -182,7 +182,7 @@
     /// Whether a heartbeat that was left open is to be answered now.
     pub fn is_answer_due(&self, now: u64) -> bool {
         match &self.process {
-            Some(Process::Side(side)) => side.is_answer_due(self.clock.read(now).now),
+            Some(Process::Agent(side)) => side.is_answer_due(self.clock.read(now).now),
             _ => false,
         }
     }
@@ -217,17 +217,17 @@
                 };
                 effects.into_iter().map(of_front).collect()
             }
-            (Some(Process::Side(side)), event) => {
+            (Some(Process::Agent(side)), event) => {
                 let effects = match event {
                     ProcessEvent::Frame { from, frame, .. } => {
                         side.on_frame(address_of(from), frame, now)
                     }
                     ProcessEvent::Closed { from, .. } => side.on_closed(address_of(from), now),
-                    ProcessEvent::Heartbeat { beat, sent_at } => {
-                        side.on_heartbeat(*beat, sent_at, now)
+                    ProcessEvent::Heartbeat { heartbeat, sent_at } => {
+                        side.on_heartbeat(*heartbeat, sent_at, now)
                     }
                     ProcessEvent::AnswerDue => side.on_answer_due(now),
-                    ProcessEvent::Left(server) => side.on_leave(server, now),
+                    ProcessEvent::Deregistered(server) => side.on_deregister(server, now),
                     ProcessEvent::Tick => side.on_tick(now),
                     ProcessEvent::Terminate => side.on_terminate(),
                     _ => Vec::new(),
@@ -261,9 +261,9 @@
         ProcessEvent::Call(call) => CoreEvent::Call(call),
         ProcessEvent::Tick => CoreEvent::Tick,
         ProcessEvent::Terminate => CoreEvent::Terminate,
-        ProcessEvent::Heartbeat { .. } | ProcessEvent::AnswerDue | ProcessEvent::Left(_) => {
-            return None
-        }
+        ProcessEvent::Heartbeat { .. }
+        | ProcessEvent::AnswerDue
+        | ProcessEvent::Deregistered(_) => return None,
     })
 }
 
--- a/crates/cluster-simulation/src/network/mod.rs
+++ b/crates/cluster-simulation/src/network/mod.rs
@@ -6,9 +6,9 @@
 /// A connection whose frames are not acknowledged for this long is closed by their sender, in milliseconds.
 const USER_TIMEOUT_MS: u64 = 1_500;
 /// How long a frame waits for a connection, in milliseconds.
-const WAITING_MOST_MS: u64 = 1_000;
+const MAX_CONNECT_WAIT_MS: u64 = 1_000;
 /// Between two tries to open a connection, in milliseconds.
-const DIAL_AGAIN_MS: u64 = 250;
+const CONNECT_RETRY_MS: u64 = 250;
 /// Frames take at least and at most so long, in milliseconds.
 const DELAY_MS: std::ops::Range<u64> = 1..5;
 
@@ -33,7 +33,7 @@
 
 /// Frames that wait for a connection, and when it is tried.
 #[derive(Clone, Debug, Default)]
-struct Dialing {
+struct PendingConnect {
     waiting: VecDeque<(u64, Frame)>,
     due: u64,
 }
@@ -44,7 +44,7 @@
     clippy::large_enum_variant,
     reason = "nearly all arrivals are frames; a box would cost each an allocation"
 )]
-pub enum Arrival {
+pub enum Delivery {
     /// A frame.
     Frame {
         /// The sender.
@@ -65,7 +65,7 @@
 
 /// What the network knows of a machine.
 #[derive(Clone, Debug)]
-pub struct Presence {
+pub struct Endpoint {
     /// Whether its process runs.
     pub running: bool,
     /// Whether its kernel answers: false after a loss of power.
@@ -82,12 +82,12 @@
     next_connection: u64,
     /// Who opened each connection so far to whom.
     opened: BTreeMap<u64, (MachineIndex, MachineIndex)>,
-    dialing: BTreeMap<(MachineIndex, MachineIndex), Dialing>,
+    pending_connects: BTreeMap<(MachineIndex, MachineIndex), PendingConnect>,
     /// Pairs of which the first reaches the second no longer, and by how many cuts.
-    cuts: BTreeMap<(MachineIndex, MachineIndex), u32>,
+    partitions: BTreeMap<(MachineIndex, MachineIndex), u32>,
     /// Machines whose frames take up to so many milliseconds longer.
     slow: BTreeMap<MachineIndex, u64>,
-    arrivals: Vec<(MachineIndex, Arrival)>,
+    deliveries: Vec<(MachineIndex, Delivery)>,
 }
 
 impl Network {
@@ -98,32 +98,32 @@
             connections: BTreeMap::new(),
             next_connection: 0,
             opened: BTreeMap::new(),
-            dialing: BTreeMap::new(),
-            cuts: BTreeMap::new(),
+            pending_connects: BTreeMap::new(),
+            partitions: BTreeMap::new(),
             slow: BTreeMap::new(),
-            arrivals: Vec::new(),
+            deliveries: Vec::new(),
         }
     }
 
     /// Lets nothing from the first machine reach the second.
-    pub fn cut(&mut self, from: MachineIndex, to: MachineIndex) {
-        *self.cuts.entry((from, to)).or_default() += 1;
+    pub fn partition(&mut self, from: MachineIndex, to: MachineIndex) {
+        *self.partitions.entry((from, to)).or_default() += 1;
     }
 
     /// Ends one cut; what other cuts hold back stays held back.
-    pub fn join(&mut self, from: MachineIndex, to: MachineIndex) {
-        let Some(count) = self.cuts.get_mut(&(from, to)) else {
+    pub fn heal(&mut self, from: MachineIndex, to: MachineIndex) {
+        let Some(count) = self.partitions.get_mut(&(from, to)) else {
             return;
         };
         *count -= 1;
         if *count == 0 {
-            self.cuts.remove(&(from, to));
+            self.partitions.remove(&(from, to));
         }
     }
 
     /// Whether nothing from the first machine reaches the second.
-    pub fn is_cut(&self, from: MachineIndex, to: MachineIndex) -> bool {
-        self.cuts.contains_key(&(from, to))
+    pub fn is_partitioned(&self, from: MachineIndex, to: MachineIndex) -> bool {
+        self.partitions.contains_key(&(from, to))
     }
 
     /// The machine at the other end of a connection, also of one that has ended.
@@ -142,8 +142,8 @@
         match self.newest(from, to) {
             Some(connection) => self.send_on(from, connection, frame, now),
             None => {
-                let dialing = self.dialing.entry((from, to)).or_default();
-                dialing.waiting.push_back((now, frame));
+                let pending_connects = self.pending_connects.entry((from, to)).or_default();
+                pending_connects.waiting.push_back((now, frame));
             }
         }
     }
@@ -201,18 +201,19 @@
             own.open = false;
             own.outgoing.clear();
             own.unacknowledged_since = None;
-            let cut = self.cuts.contains_key(&(machine, other.machine));
-            if powered && !cut && other.open {
+            let partition = self.partitions.contains_key(&(machine, other.machine));
+            if powered && !partition && other.open {
                 other.open = false;
                 other.outgoing.clear();
-                let arrival = Arrival::Closed {
+                let delivery = Delivery::Closed {
                     from: machine,
                     connection: *number,
                 };
-                self.arrivals.push((other.machine, arrival));
+                self.deliveries.push((other.machine, delivery));
             }
         }
-        self.dialing.retain(|(from, _), _| *from != machine);
+        self.pending_connects
+            .retain(|(from, _), _| *from != machine);
     }
 
     /// Resets some of a machine's connections.
@@ -228,51 +229,53 @@
                 if end.open {
                     end.open = false;
                     end.outgoing.clear();
-                    let arrival = Arrival::Closed {
+                    let delivery = Delivery::Closed {
                         from: other,
                         connection: *number,
                     };
-                    self.arrivals.push((end.machine, arrival));
+                    self.deliveries.push((end.machine, delivery));
                 }
             }
         }
     }
 
     /// Lets time pass; what arrives where, in order.
-    pub fn advance(&mut self, now: u64, machines: &[Presence]) -> Vec<(MachineIndex, Arrival)> {
-        self.dial(now, machines);
+    pub fn advance(&mut self, now: u64, machines: &[Endpoint]) -> Vec<(MachineIndex, Delivery)> {
+        self.connect_pending(now, machines);
         let numbers: Vec<u64> = self.connections.keys().copied().collect();
         for number in numbers {
-            self.carry(number, now, machines);
+            self.advance_connection(number, now, machines);
         }
         self.connections
             .retain(|_, connection| connection.ends.iter().any(|end| end.open));
-        std::mem::take(&mut self.arrivals)
+        std::mem::take(&mut self.deliveries)
     }
 
-    fn dial(&mut self, now: u64, machines: &[Presence]) {
-        let pairs: Vec<(MachineIndex, MachineIndex)> = self.dialing.keys().copied().collect();
+    fn connect_pending(&mut self, now: u64, machines: &[Endpoint]) {
+        let pairs: Vec<(MachineIndex, MachineIndex)> =
+            self.pending_connects.keys().copied().collect();
         for (from, to) in pairs {
-            let Some(dialing) = self.dialing.get_mut(&(from, to)) else {
+            let Some(pending_connects) = self.pending_connects.get_mut(&(from, to)) else {
                 continue;
             };
-            dialing
+            pending_connects
                 .waiting
-                .retain(|(since, _)| now < since + WAITING_MOST_MS);
-            if dialing.waiting.is_empty() {
-                self.dialing.remove(&(from, to));
+                .retain(|(since, _)| now < since + MAX_CONNECT_WAIT_MS);
+            if pending_connects.waiting.is_empty() {
+                self.pending_connects.remove(&(from, to));
                 continue;
             }
-            if now < dialing.due {
+            if now < pending_connects.due {
                 continue;
             }
-            let cut = self.cuts.contains_key(&(from, to)) || self.cuts.contains_key(&(to, from));
-            if cut || !machines[to].running {
-                dialing.due = now + DIAL_AGAIN_MS;
+            let partition = self.partitions.contains_key(&(from, to))
+                || self.partitions.contains_key(&(to, from));
+            if partition || !machines[to].running {
+                pending_connects.due = now + CONNECT_RETRY_MS;
                 continue;
             }
-            let waiting = std::mem::take(&mut dialing.waiting);
-            self.dialing.remove(&(from, to));
+            let waiting = std::mem::take(&mut pending_connects.waiting);
+            self.pending_connects.remove(&(from, to));
             self.open(from, to, waiting, now, machines);
         }
     }
@@ -283,7 +286,7 @@
         to: MachineIndex,
         waiting: VecDeque<(u64, Frame)>,
         now: u64,
-        machines: &[Presence],
+        machines: &[Endpoint],
     ) {
         self.next_connection += 1;
         let number = self.next_connection;
@@ -307,7 +310,7 @@
         }
     }
 
-    fn carry(&mut self, number: u64, now: u64, machines: &[Presence]) {
+    fn advance_connection(&mut self, number: u64, now: u64, machines: &[Endpoint]) {
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
@@ -321,8 +324,8 @@
             if !from.open {
                 continue;
             }
-            let cut_there = self.cuts.contains_key(&(from.machine, to.machine));
-            let cut_back = self.cuts.contains_key(&(to.machine, from.machine));
+            let cut_there = self.partitions.contains_key(&(from.machine, to.machine));
+            let cut_back = self.partitions.contains_key(&(to.machine, from.machine));
             let due = from
                 .outgoing
                 .front()
@@ -335,7 +338,7 @@
                 if cut_back {
                     from.unacknowledged_since.get_or_insert(now);
                 } else {
-                    close(from, to.machine, number, &mut self.arrivals);
+                    close(from, to.machine, number, &mut self.deliveries);
                     continue;
                 }
             } else if due {
@@ -348,12 +351,12 @@
                     .is_some_and(|(arrives, _)| *arrives <= now)
                 {
                     if let Some((_, frame)) = from.outgoing.pop_front() {
-                        let arrival = Arrival::Frame {
+                        let delivery = Delivery::Frame {
                             from: from.machine,
                             connection: number,
                             frame,
                         };
-                        self.arrivals.push((to.machine, arrival));
+                        self.deliveries.push((to.machine, delivery));
                     }
                 }
             }
@@ -364,7 +367,7 @@
                 .unacknowledged_since
                 .is_some_and(|since| now >= since + USER_TIMEOUT_MS)
             {
-                close(from, to.machine, number, &mut self.arrivals);
+                close(from, to.machine, number, &mut self.deliveries);
             }
         }
     }
@@ -374,13 +377,13 @@
     end: &mut End,
     other: MachineIndex,
     connection: u64,
-    arrivals: &mut Vec<(MachineIndex, Arrival)>,
+    deliveries: &mut Vec<(MachineIndex, Delivery)>,
 ) {
     end.open = false;
     end.outgoing.clear();
-    arrivals.push((
+    deliveries.push((
         end.machine,
-        Arrival::Closed {
+        Delivery::Closed {
             from: other,
             connection,
         },
--- a/crates/cluster-simulation/src/operator/configuration_changes.rs
+++ b/crates/cluster-simulation/src/operator/configuration_changes.rs
@@ -1,9 +1,11 @@
 //! Changes of the configuration.
 
-use super::{Operator, SILENCE_MS};
-use crate::configuration_body::{cut_short, large, mark_of, patch, unknown_service, whole};
-use crate::faults::schedule::{Acknowledgement, OperatorOrder};
-use crate::pending_call::{call, OpenCall, Outcome};
+use super::{Operator, CALL_TIMEOUT_MS};
+use crate::configuration_body::{
+    large, marker_route_name, patch, replacement, truncated, unknown_service,
+};
+use crate::faults::schedule::{Acknowledgement, OperatorAction};
+use crate::pending_call::{call, Outcome, PendingCall};
 use crate::world::World;
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange};
@@ -11,7 +13,7 @@
 use lupinrack_configuration_history::{Call, CallNumber, ChangeId, ConditionalChange, Response};
 
 /// How many changes a crowd of operators begins at once.
-const CROWD: usize = 8;
+const BURST_SIZE: usize = 8;
 /// How soon an acknowledged change is sent again, in milliseconds.
 const REPEAT_MS: u64 = 300;
 /// The longest time after which it is sent again on the worst days, in milliseconds.
@@ -19,9 +21,9 @@
 
 /// What a change is expected to come to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Soundness {
-    /// It may be taken.
-    Sound,
+enum Validity {
+    /// It may be accepted.
+    Valid,
     /// Its body is invalid.
     Invalid,
     /// It builds on an older version, or sets none that is newer.
@@ -30,16 +32,16 @@
 
 /// A change, and what its sender knows of it.
 #[derive(Debug)]
-pub struct OpenChange {
+pub struct ChangeAttempts {
     if_match: u64,
     version: u64,
     body: ConfigurationBody,
-    soundness: Soundness,
-    open: Option<Try>,
+    validity: Validity,
+    open: Option<PendingAttempt>,
     next_at: u64,
-    pause: u64,
+    backoff_ms: u64,
     acknowledged_at: Option<u64>,
-    refused: bool,
+    rejected: bool,
     /// Whether its sender tries no more.
     over: bool,
     repeats_left: u32,
@@ -47,16 +49,16 @@
 
 /// One call of a change.
 #[derive(Debug)]
-struct Try {
-    call: OpenCall,
+struct PendingAttempt {
+    call: PendingCall,
     number: CallNumber,
     /// Whether its answer is lost on the way.
     answer_lost: bool,
     /// Whether all machines were in touch when it began.
-    began_calm: bool,
+    was_stable: bool,
 }
 
-impl OpenChange {
+impl ChangeAttempts {
     /// Whether its sender tries no more.
     pub fn is_over(&self) -> bool {
         self.over
@@ -73,14 +75,14 @@
     }
 
     /// Whether it replaces the configuration whole.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_replacement(&self) -> bool {
         matches!(self.body, ConfigurationBody::Replacement(_))
     }
 
     /// Whether it may be in force as the change of this number.
     pub fn may_be(&self, number: usize, version: u64, routes: &[String]) -> bool {
-        let rightful = self.soundness == Soundness::Sound && !self.refused;
-        rightful && self.version == version && routes.contains(&mark_of(number))
+        let rightful = self.validity == Validity::Valid && !self.rejected;
+        rightful && self.version == version && routes.contains(&marker_route_name(number))
     }
 
     fn for_history(&self, number: usize) -> ConditionalChange {
@@ -88,20 +90,22 @@
             id: ChangeId(number as u64),
             base_version: self.if_match,
             new_version: self.version,
-            is_valid: self.soundness != Soundness::Invalid,
+            is_valid: self.validity != Validity::Invalid,
         }
     }
 }
 
 impl Operator {
-    pub(super) fn begin_order(&mut self, order: OperatorOrder, world: &mut World) {
+    pub(super) fn begin_order(&mut self, order: OperatorAction, world: &mut World) {
         match order {
-            OperatorOrder::Change => self.begin_change(world),
-            OperatorOrder::LargeChange => self.begin_large_change(world),
-            OperatorOrder::Race => (0..2).for_each(|_| self.begin_change(world)),
-            OperatorOrder::Crowd => (0..CROWD).for_each(|_| self.begin_change(world)),
-            OperatorOrder::BadChange => self.begin_bad_change(world),
-            OperatorOrder::Resend => self.begin_resend(world),
+            OperatorAction::Change => self.begin_change(world),
+            OperatorAction::LargeChange => self.begin_large_change(world),
+            OperatorAction::ConcurrentPair => (0..2).for_each(|_| self.begin_change(world)),
+            OperatorAction::ConcurrentBurst => {
+                (0..BURST_SIZE).for_each(|_| self.begin_change(world))
+            }
+            OperatorAction::InvalidChange => self.begin_bad_change(world),
+            OperatorAction::Resend => self.begin_resend(world),
         }
     }
 
@@ -110,13 +114,13 @@
         let number = self.changes.len();
         let if_match = self.known;
         let version = if_match + 1 + world.rng.u64(0..3);
-        let is_whole = if_match == 0 || world.rng.u32(0..3) == 0;
-        let body = if is_whole {
-            whole(version, number)
+        let is_replacement = if_match == 0 || world.rng.u32(0..3) == 0;
+        let body = if is_replacement {
+            replacement(version, number)
         } else {
             patch(version, number)
         };
-        self.send_change(if_match, version, body, Soundness::Sound, world);
+        self.send_change(if_match, version, body, Validity::Valid, world);
     }
 
     /// Begins a change whose body is large.
@@ -127,7 +131,7 @@
             if_match,
             version,
             large(version, number),
-            Soundness::Sound,
+            Validity::Valid,
             world,
         );
     }
@@ -139,23 +143,23 @@
         if known == 0 {
             return;
         }
-        let (if_match, version, body, soundness) = match world.rng.u32(0..4) {
+        let (if_match, version, body, validity) = match world.rng.u32(0..4) {
             0 => (
                 known,
                 known + 1,
                 unknown_service(known + 1, number),
-                Soundness::Invalid,
+                Validity::Invalid,
             ),
-            1 => (known, known + 1, cut_short(known + 1), Soundness::Invalid),
-            2 => (known, known, patch(known, number), Soundness::Stale),
+            1 => (known, known + 1, truncated(known + 1), Validity::Invalid),
+            2 => (known, known, patch(known, number), Validity::Stale),
             _ => (
                 known - 1,
                 known + 5,
                 patch(known + 5, number),
-                Soundness::Stale,
+                Validity::Stale,
             ),
         };
-        self.send_change(if_match, version, body, soundness, world);
+        self.send_change(if_match, version, body, validity, world);
     }
 
     /// Sends a change again that was acknowledged at any time before.
@@ -164,7 +168,7 @@
             .changes
             .iter_mut()
             .filter(|change| change.acknowledged_at.is_some());
-        let settled: Vec<&mut OpenChange> = acknowledged.filter(|change| change.over).collect();
+        let settled: Vec<&mut ChangeAttempts> = acknowledged.filter(|change| change.over).collect();
         if let Some(change) = world.rng.choice(settled) {
             change.over = false;
             change.next_at = world.now;
@@ -176,26 +180,26 @@
         if_match: u64,
         version: u64,
         body: ConfigurationBody,
-        soundness: Soundness,
+        validity: Validity,
         world: &mut World,
     ) {
         let repeats_left = world.rng.u32(0..3);
-        self.changes.push(OpenChange {
+        self.changes.push(ChangeAttempts {
             if_match,
             version,
             body,
-            soundness,
+            validity,
             open: None,
             next_at: world.now,
-            pause: 50,
+            backoff_ms: 50,
             acknowledged_at: None,
-            refused: false,
+            rejected: false,
             over: false,
             repeats_left,
         });
     }
 
-    pub(super) fn go_on_with_change(&mut self, number: usize, world: &mut World) {
+    pub(super) fn advance_change(&mut self, number: usize, world: &mut World) {
         let now = world.now;
         let change = &mut self.changes[number];
         if let Some(open) = &mut change.open {
@@ -203,13 +207,13 @@
                 return;
             };
             let outcome = if open.answer_lost {
-                Outcome::Doubt
+                Outcome::Indeterminate
             } else {
                 outcome
             };
             self.history.respond(open.number, answer_of(&outcome), now);
-            if open.began_calm && world.is_calm() {
-                check_calm_answer(number, &outcome, world);
+            if open.was_stable && world.is_stable() {
+                check_response_while_stable(number, &outcome, world);
             }
             change.open = None;
             self.change_answered(number, outcome, world);
@@ -222,7 +226,7 @@
     }
 
     fn call_change(&mut self, number: usize, world: &mut World) {
-        let Some(core) = world.some_core() else {
+        let Some(core) = world.choose_core() else {
             return;
         };
         let answer_lost = world.loses_acknowledgement();
@@ -232,15 +236,15 @@
             if_match: change.if_match,
             body,
         });
-        let (control_call, open) = call(request, world.now, SILENCE_MS);
+        let (control_call, open) = call(request, world.now, CALL_TIMEOUT_MS);
         let in_history = self
             .history
             .invoke(Call::Change(change.for_history(number)), world.now);
-        change.open = Some(Try {
+        change.open = Some(PendingAttempt {
             call: open,
             number: in_history,
             answer_lost,
-            began_calm: world.is_calm(),
+            was_stable: world.is_stable(),
         });
         world.call_core(core, control_call);
     }
@@ -248,15 +252,15 @@
     fn change_answered(&mut self, number: usize, outcome: Outcome, world: &mut World) {
         match outcome {
             Outcome::Success(_) => self.change_acknowledged(number, world),
-            Outcome::Refused(
+            Outcome::Rejected(
                 kind @ (ErrorKind::VersionConflict
                 | ErrorKind::InvalidConfiguration
                 | ErrorKind::Malformed),
             ) => self.change_refused(number, kind, world),
-            Outcome::Refused(_) | Outcome::Doubt => {
+            Outcome::Rejected(_) | Outcome::Indeterminate => {
                 let change = &mut self.changes[number];
-                change.pause = (change.pause * 2).min(800);
-                change.next_at = world.now + change.pause;
+                change.backoff_ms = (change.backoff_ms * 2).min(800);
+                change.next_at = world.now + change.backoff_ms;
             }
         }
     }
@@ -268,14 +272,14 @@
             *other != number && change.if_match == if_match && change.acknowledged_at.is_some()
         });
         if let Some((rival, _)) = rival {
-            world.checks.broke(
+            world.oracle.report_violation(
                 now,
                 format!("CONFIG: changes {rival} and {number} on version {if_match}"),
             );
         }
         let change = &mut self.changes[number];
-        if change.soundness != Soundness::Sound || change.refused {
-            world.checks.broke(
+        if change.validity != Validity::Valid || change.rejected {
+            world.oracle.report_violation(
                 now,
                 format!("CONFIG: change {number} to {version} is acknowledged"),
             );
@@ -298,19 +302,19 @@
         let current = self.read_version;
         let change = &mut self.changes[number];
         if change.acknowledged_at.is_some() {
-            world.checks.broke(
+            world.oracle.report_violation(
                 now,
                 format!("CONFIG: change {number}, acknowledged, is refused: {kind}"),
             );
         }
-        let is_sound = change.soundness == Soundness::Sound;
+        let is_sound = change.validity == Validity::Valid;
         if is_sound && kind != ErrorKind::VersionConflict && current <= change.if_match {
-            world.checks.broke(
+            world.oracle.report_violation(
                 now,
                 format!("CONFIG: change {number}, valid, is refused: {kind}"),
             );
         }
-        change.refused = true;
+        change.rejected = true;
         change.over = true;
         self.next_read_at = now;
     }
@@ -326,22 +330,22 @@
 }
 
 /// While all machines are in touch, every one of them answers an order clearly.
-fn check_calm_answer(number: usize, outcome: &Outcome, world: &mut World) {
+fn check_response_while_stable(number: usize, outcome: &Outcome, world: &mut World) {
     if answer_of(outcome) == Response::Indeterminate {
         let text = format!(
             "ACKS: change {number} is answered {outcome:?} while all machines are in touch"
         );
-        world.checks.broke(world.now, text);
+        world.oracle.report_violation(world.now, text);
     }
 }
 
 fn answer_of(outcome: &Outcome) -> Response {
     match outcome {
         Outcome::Success(_) => Response::Acknowledged,
-        Outcome::Refused(ErrorKind::VersionConflict) => Response::Conflict,
-        Outcome::Refused(ErrorKind::InvalidConfiguration | ErrorKind::Malformed) => {
+        Outcome::Rejected(ErrorKind::VersionConflict) => Response::Conflict,
+        Outcome::Rejected(ErrorKind::InvalidConfiguration | ErrorKind::Malformed) => {
             Response::Invalid
         }
-        Outcome::Refused(_) | Outcome::Doubt => Response::Indeterminate,
+        Outcome::Rejected(_) | Outcome::Indeterminate => Response::Indeterminate,
     }
 }
--- a/crates/cluster-simulation/src/operator/configuration_reads.rs
+++ b/crates/cluster-simulation/src/operator/configuration_reads.rs
@@ -1,7 +1,7 @@
 //! Reads of the configuration.
 
-use super::{Operator, SILENCE_MS};
-use crate::pending_call::{call, OpenCall, Outcome};
+use super::{Operator, CALL_TIMEOUT_MS};
+use crate::pending_call::{call, Outcome, PendingCall};
 use crate::world::World;
 use lupinrack_cluster_api::request::{Reply, Request};
 use lupinrack_configuration_history::{Call, CallNumber, ChangeId, Response};
@@ -9,8 +9,8 @@
 
 /// A read under way, and the newest version that was acknowledged when it began.
 #[derive(Debug)]
-pub struct OpenRead {
-    call: OpenCall,
+pub struct PendingRead {
+    call: PendingCall,
     number: CallNumber,
     acknowledged: u64,
 }
@@ -22,7 +22,7 @@
 }
 
 impl Operator {
-    pub(super) fn go_on_with_read(&mut self, world: &mut World) {
+    pub(super) fn advance_read(&mut self, world: &mut World) {
         let now = world.now;
         if let Some(mut read) = self.read.take() {
             match read.call.outcome(now) {
@@ -39,13 +39,13 @@
         if now < self.next_read_at {
             return;
         }
-        let Some(core) = world.some_core() else {
+        let Some(core) = world.choose_core() else {
             return;
         };
         self.next_read_at = now + 400 + world.rng.u64(0..600);
-        let (control_call, open) = call(Request::ReadConfiguration, now, SILENCE_MS);
+        let (control_call, open) = call(Request::ReadConfiguration, now, CALL_TIMEOUT_MS);
         let number = self.history.invoke(Call::Read, now);
-        self.read = Some(OpenRead {
+        self.read = Some(PendingRead {
             call: open,
             number,
             acknowledged: self.acknowledged,
@@ -53,7 +53,7 @@
         world.call_core(core, control_call);
     }
 
-    fn configuration_read(&mut self, text: &str, read: &OpenRead, world: &mut World) {
+    fn configuration_read(&mut self, text: &str, read: &PendingRead, world: &mut World) {
         let now = world.now;
         let Some(document) = read_document(text) else {
             self.history.respond(
@@ -65,7 +65,7 @@
                 now,
             );
             if read.acknowledged > 0 {
-                world.checks.broke(
+                world.oracle.report_violation(
                     now,
                     "CONFIG: what is read back is no configuration".to_owned(),
                 );
@@ -79,7 +79,7 @@
         self.check_read(version, read.acknowledged, world);
         if change.is_none() {
             let text = format!("CONFIG: version {version} in force was refused or never sent");
-            world.checks.broke(now, text);
+            world.oracle.report_violation(now, text);
         }
         self.read_version = self.read_version.max(version);
         self.known = self.known.max(version);
@@ -93,10 +93,10 @@
         if version < acknowledged {
             let text =
                 format!("CONFIG: version {version} is read, {acknowledged} was acknowledged");
-            world.checks.broke(now, text);
+            world.oracle.report_violation(now, text);
         }
         if version < self.read_version {
-            world.checks.broke(
+            world.oracle.report_violation(
                 now,
                 format!("CONFIG: back from {} to {version}", self.read_version),
             );
--- a/crates/cluster-simulation/src/operator/mod.rs
+++ b/crates/cluster-simulation/src/operator/mod.rs
@@ -5,24 +5,24 @@
 mod configuration_reads;
 mod queue_reads;
 
-use crate::faults::schedule::OperatorOrder;
+use crate::faults::schedule::OperatorAction;
 use crate::world::World;
-use configuration_changes::OpenChange;
-use configuration_reads::OpenRead;
+use configuration_changes::ChangeAttempts;
+use configuration_reads::PendingRead;
 use lupinrack_configuration_history::History;
-use queue_reads::OpenCount;
+use queue_reads::PendingQueueRead;
 
 /// How long the operator waits for an answer before it goes on to another process, in milliseconds.
-const SILENCE_MS: u64 = 1_000;
+const CALL_TIMEOUT_MS: u64 = 1_000;
 
 /// The operator.
 #[derive(Debug, Default)]
 pub struct Operator {
-    changes: Vec<OpenChange>,
-    read: Option<OpenRead>,
-    count: Option<OpenCount>,
+    changes: Vec<ChangeAttempts>,
+    read: Option<PendingRead>,
+    count: Option<PendingQueueRead>,
     next_read_at: u64,
-    next_count_at: u64,
+    next_queue_read_at: u64,
     /// The newest version that was acknowledged.
     acknowledged: u64,
     /// The newest version that is known from an acknowledgement or a read.
@@ -50,17 +50,17 @@
     }
 
     /// Begins what the plan has it do.
-    pub fn begin(&mut self, order: OperatorOrder, world: &mut World) {
+    pub fn begin(&mut self, order: OperatorAction, world: &mut World) {
         self.begin_order(order, world);
     }
 
     /// Lets the operator do what is due.
     pub fn serve(&mut self, world: &mut World) {
         for number in 0..self.changes.len() {
-            self.go_on_with_change(number, world);
+            self.advance_change(number, world);
         }
-        self.go_on_with_read(world);
-        self.go_on_with_count(world);
+        self.advance_read(world);
+        self.advance_queue_read(world);
     }
 
     /// Checks all calls together: a single register could have given these answers.
@@ -77,7 +77,7 @@
                 "HISTORY: no order of the operator's calls fits: {}",
                 blocked.join("; ")
             );
-            world.checks.broke(world.now, text);
+            world.oracle.report_violation(world.now, text);
         }
     }
 }
--- a/crates/cluster-simulation/src/operator/queue_reads.rs
+++ b/crates/cluster-simulation/src/operator/queue_reads.rs
@@ -1,8 +1,8 @@
 //! Counts that are asked of fronts, which tell whether a route is in force there.
 
-use super::{Operator, SILENCE_MS};
-use crate::configuration_body::{mark_of, HOST};
-use crate::pending_call::{call, OpenCall, Outcome};
+use super::{Operator, CALL_TIMEOUT_MS};
+use crate::configuration_body::{marker_route_name, HOST};
+use crate::pending_call::{call, Outcome, PendingCall};
 use crate::world::World;
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::request::{Request, Target};
@@ -11,20 +11,20 @@
 /// answers nothing after that by what was in force before.
 const APPLY_MS: u64 = 1_500;
 /// Between two counts that are asked of fronts, in milliseconds.
-const COUNT_EVERY_MS: u64 = 300;
+const QUEUE_READ_INTERVAL_MS: u64 = 300;
 
 /// A count asked of a front.
 #[derive(Debug)]
-pub struct OpenCount {
-    call: OpenCall,
-    mark: String,
+pub struct PendingQueueRead {
+    call: PendingCall,
+    route: String,
     is_there: bool,
     /// How many changes had been begun.
     changes: usize,
 }
 
 impl Operator {
-    pub(super) fn go_on_with_count(&mut self, world: &mut World) {
+    pub(super) fn advance_queue_read(&mut self, world: &mut World) {
         let now = world.now;
         if let Some(count) = &mut self.count {
             let Some(outcome) = count.call.outcome(now) else {
@@ -34,28 +34,28 @@
                 return;
             };
             if count.changes == self.changes.len() {
-                count_answered(&count, &outcome, world);
+                check_queue_read(&count, &outcome, world);
             }
             return;
         }
-        if now < self.next_count_at {
+        if now < self.next_queue_read_at {
             return;
         }
-        self.next_count_at = now + COUNT_EVERY_MS;
-        let Some((mark, is_there)) = self.settled_mark(now) else {
+        self.next_queue_read_at = now + QUEUE_READ_INTERVAL_MS;
+        let Some((route, is_there)) = self.current_route(now) else {
             return;
         };
-        let Some(front) = world.ready_front() else {
+        let Some(front) = world.choose_ready_front() else {
             return;
         };
         let target = Target {
             host: HOST.to_owned(),
-            path: format!("/{mark}/"),
+            path: format!("/{route}/"),
         };
-        let (control_call, open) = call(Request::ReadQueue { target }, now, SILENCE_MS);
-        self.count = Some(OpenCount {
+        let (control_call, open) = call(Request::ReadQueue { target }, now, CALL_TIMEOUT_MS);
+        self.count = Some(PendingQueueRead {
             call: open,
-            mark,
+            route,
             is_there,
             changes: self.changes.len(),
         });
@@ -64,7 +64,7 @@
 
     /// A route of which it is certain whether fronts know it: the newest change is settled and nothing else was sent
     /// since.
-    fn settled_mark(&self, now: u64) -> Option<(String, bool)> {
+    fn current_route(&self, now: u64) -> Option<(String, bool)> {
         if self.is_busy() {
             return None;
         }
@@ -74,24 +74,24 @@
         if change.version() != self.known || change.acknowledged_at()? + APPLY_MS > now {
             return None;
         }
-        if change.is_whole() && number > 0 && now.is_multiple_of(2) {
-            return Some((mark_of(number - 1), false));
+        if change.is_replacement() && number > 0 && now.is_multiple_of(2) {
+            return Some((marker_route_name(number - 1), false));
         }
-        Some((mark_of(number), true))
+        Some((marker_route_name(number), true))
     }
 }
 
-fn count_answered(count: &OpenCount, outcome: &Outcome, world: &mut World) {
+fn check_queue_read(count: &PendingQueueRead, outcome: &Outcome, world: &mut World) {
     let wrong = match outcome {
         Outcome::Success(_) => !count.is_there,
-        Outcome::Refused(ErrorKind::UnknownQueue) => count.is_there,
+        Outcome::Rejected(ErrorKind::UnknownQueue) => count.is_there,
         _ => false,
     };
     if wrong {
         let text = format!(
             "CONFIG: route {} is there: {}, answered {outcome:?}",
-            count.mark, count.is_there
+            count.route, count.is_there
         );
-        world.checks.broke(world.now, text);
+        world.oracle.report_violation(world.now, text);
     }
 }
--- a/crates/cluster-simulation/src/checks.rs
+++ b/crates/cluster-simulation/src/oracle.rs
@@ -20,28 +20,28 @@
 
 /// What the client of a job knows.
 #[derive(Clone, Debug)]
-pub struct JobTruth {
+pub struct ExpectedJob {
     pub spec: JobSpec,
     pub max_retries: u32,
     pub cancelled_at: Option<u64>,
     /// Own failures of each task before it can succeed; more than the queue allows for a hopeless job.
-    pub own_failures: u32,
+    pub scripted_failures: u32,
     pub work_factor: f64,
     /// Whether a client has sent it, and whether every try was rejected and no other will follow.
     pub sent: bool,
-    pub refused: bool,
+    pub rejected: bool,
     pub cancel_sent: bool,
 }
 
-impl JobTruth {
+impl ExpectedJob {
     /// Whether its gangs may end for want of members.
     pub fn is_excused(&self) -> bool {
-        self.cancel_sent || self.own_failures > 0
+        self.cancel_sent || self.scripted_failures > 0
     }
 }
 
 /// A start as a server sees it.
-pub struct SeenStart<'a> {
+pub struct ObservedStart<'a> {
     pub now: u64,
     pub machine: usize,
     pub incarnation: u64,
@@ -61,9 +61,9 @@
 
 /// Which rules with time bounds are checked.
 #[derive(Clone, Copy, Debug)]
-pub struct Strictness {
+pub struct TimeBounds {
     /// No trouble but cancelled and hopeless jobs and new servers.
-    pub calm: bool,
+    pub stable: bool,
 }
 
 pub const DRAIN_MS: u64 = 2_000;
@@ -71,16 +71,16 @@
 pub const CANCEL_MS: u64 = 3_000;
 
 #[derive(Clone, Debug, Default)]
-pub struct Checks {
-    pub jobs: BTreeMap<JobId, JobTruth>,
+pub struct Oracle {
+    pub jobs: BTreeMap<JobId, ExpectedJob>,
     pub tasks: BTreeMap<TaskId, TaskHistory>,
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
-impl Checks {
-    pub fn broke(&mut self, now: u64, text: String) {
-        if self.broken.len() < 20 {
-            self.broken.push(format!("{now} ms: {text}"));
+impl Oracle {
+    pub fn report_violation(&mut self, now: u64, text: String) {
+        if self.violations.len() < 20 {
+            self.violations.push(format!("{now} ms: {text}"));
         }
     }
 
@@ -88,42 +88,52 @@
         self.jobs.get(&task.job)?.spec.steps.get(task.step as usize)
     }
 
-    pub fn start(&mut self, seen: &SeenStart<'_>, strictness: Strictness) {
-        let mut faults = self.faults_of_start(seen, strictness);
+    pub fn start(&mut self, observed_start: &ObservedStart<'_>, time_bounds: TimeBounds) {
+        let mut faults = self.faults_of_start(observed_start, time_bounds);
         for fault in faults.drain(..) {
-            self.broke(
-                seen.now,
+            self.report_violation(
+                observed_start.now,
                 format!(
                     "{fault}: {} attempt {} on {}",
-                    seen.task, seen.attempt, seen.machine
+                    observed_start.task, observed_start.attempt, observed_start.machine
                 ),
             );
         }
-        let history = self.tasks.entry(seen.task).or_default();
-        history.running_on.insert((seen.machine, seen.incarnation));
-        history.last_start_at = Some(seen.now);
-        history.highest_attempt = history.highest_attempt.max(seen.attempt);
+        let history = self.tasks.entry(observed_start.task).or_default();
+        history
+            .running_on
+            .insert((observed_start.machine, observed_start.incarnation));
+        history.last_start_at = Some(observed_start.now);
+        history.highest_attempt = history.highest_attempt.max(observed_start.attempt);
     }
 
-    fn faults_of_start(&self, seen: &SeenStart<'_>, strictness: Strictness) -> Vec<&'static str> {
+    fn faults_of_start(
+        &self,
+        observed_start: &ObservedStart<'_>,
+        time_bounds: TimeBounds,
+    ) -> Vec<&'static str> {
         let mut faults = Vec::new();
-        let Some(job) = self.jobs.get(&seen.task.job) else {
+        let Some(job) = self.jobs.get(&observed_start.task.job) else {
             return vec!["UNASKED: no such job"];
         };
-        let Some(step) = self.step(seen.task) else {
+        let Some(step) = self.step(observed_start.task) else {
             return vec!["UNASKED: no such step"];
         };
         if !job.sent {
             faults.push("UNASKED: not sent");
         }
-        if job.refused {
+        if job.rejected {
             faults.push("REFUSED");
         }
-        let history = self.tasks.get(&seen.task).cloned().unwrap_or_default();
+        let history = self
+            .tasks
+            .get(&observed_start.task)
+            .cloned()
+            .unwrap_or_default();
         let needs = step.needs;
-        if seen.used.cpu + needs.cpu > seen.capacity.cpu
-            || seen.used.memory_mb + needs.memory_mb > seen.capacity.memory_mb
-            || seen.used.gpu + needs.gpu > seen.capacity.gpu
+        if observed_start.used.cpu + needs.cpu > observed_start.capacity.cpu
+            || observed_start.used.memory_mb + needs.memory_mb > observed_start.capacity.memory_mb
+            || observed_start.used.gpu + needs.gpu > observed_start.capacity.gpu
         {
             faults.push("LIMIT");
         }
@@ -133,47 +143,51 @@
         if history.done_noted && !step.long_running && !step.speculative {
             faults.push("TWICE: was done");
         }
-        if !self.dependencies_done(job, step, seen.task) {
+        if !self.dependencies_done(job, step, observed_start.task) {
             faults.push("ORDER");
         }
-        let due = job.spec.start_at_ms + u64::from(seen.task.occurrence) * job.spec.interval_ms;
-        if job.spec.repeat > 0 && seen.wall + EARLY_MS < due {
+        let due =
+            job.spec.start_at_ms + u64::from(observed_start.task.occurrence) * job.spec.interval_ms;
+        if job.spec.repeat > 0 && observed_start.wall + EARLY_MS < due {
             faults.push("ORDER: ahead of its time");
         }
-        if !step.requires.is_empty() && !seen.labels.contains(&step.requires) {
+        if !step.requires.is_empty() && !observed_start.labels.contains(&step.requires) {
             faults.push("ROUTE: label");
         }
-        if step.anti_affinity > 0 && seen.siblings + 1 > step.anti_affinity {
+        if step.anti_affinity > 0 && observed_start.siblings + 1 > step.anti_affinity {
             faults.push("ROUTE: anti-affinity");
         }
         if !step.long_running && history.failures_noted >= job.max_retries {
             faults.push("BUDGET");
         }
-        if seen.spec != job.spec.spec {
+        if observed_start.spec != job.spec.spec {
             faults.push("UNASKED: spec");
         }
         let prefix = format!(
             "{}.{}.{}/",
-            seen.task.job, seen.task.occurrence, seen.task.step
+            observed_start.task.job, observed_start.task.occurrence, observed_start.task.step
         );
-        if !seen.checkpoint.is_empty() && !seen.checkpoint.starts_with(&prefix) {
+        if !observed_start.checkpoint.is_empty() && !observed_start.checkpoint.starts_with(&prefix)
+        {
             faults.push("UNASKED: saved");
         }
-        let cancelled = job.cancelled_at.is_some_and(|at| seen.now > at + CANCEL_MS);
-        if cancelled && strictness.calm {
+        let cancelled = job
+            .cancelled_at
+            .is_some_and(|at| observed_start.now > at + CANCEL_MS);
+        if cancelled && time_bounds.stable {
             faults.push("UNASKED: cancelled");
         }
-        if strictness.calm
-            && seen
+        if time_bounds.stable
+            && observed_start
                 .draining_since
-                .is_some_and(|since| seen.now > since + DRAIN_MS)
+                .is_some_and(|since| observed_start.now > since + DRAIN_MS)
         {
             faults.push("DRAIN");
         }
         faults
     }
 
-    fn dependencies_done(&self, job: &JobTruth, step: &Step, task: TaskId) -> bool {
+    fn dependencies_done(&self, job: &ExpectedJob, step: &Step, task: TaskId) -> bool {
         step.depends_on.iter().all(|earlier| {
             let count = job.spec.steps[*earlier as usize].count;
             (0..count).all(|index| {
@@ -211,12 +225,12 @@
     }
 
     pub fn done_noted(&mut self, task: TaskId, done_at: u64, now: u64) {
-        let lasting = self.step(task).is_some_and(|step| step.long_running);
+        let long_running_steps = self.step(task).is_some_and(|step| step.long_running);
         let history = self.tasks.entry(task).or_default();
         history.done_noted = true;
         let again = history.last_start_at.is_some_and(|at| at > done_at);
-        if again && !lasting {
-            self.broke(
+        if again && !long_running_steps {
+            self.report_violation(
                 now,
                 format!("TWICE: {task} was started after its end, which was noted later"),
             );
@@ -229,7 +243,7 @@
 
     /// Whether a task, or a gang, has failed as often as its queue allows.
     pub fn has_cause_to_fail(&self, job: JobId) -> bool {
-        let Some(truth) = self.jobs.get(&job) else {
+        let Some(expected) = self.jobs.get(&job) else {
             return false;
         };
         let mut gangs: BTreeMap<(u32, u32), u32> = BTreeMap::new();
@@ -244,7 +258,7 @@
             .range(first..)
             .take_while(|(task, _)| task.job == job);
         for (task, history) in tasks {
-            let is_gang = truth
+            let is_gang = expected
                 .spec
                 .steps
                 .get(task.step as usize)
@@ -256,7 +270,7 @@
             } else {
                 history.failures
             };
-            if failures >= truth.max_retries {
+            if failures >= expected.max_retries {
                 return true;
             }
         }
@@ -264,11 +278,11 @@
     }
 
     pub fn all_done(&self, job: JobId) -> bool {
-        let Some(truth) = self.jobs.get(&job) else {
+        let Some(expected) = self.jobs.get(&job) else {
             return false;
         };
-        (0..truth.spec.repeat.max(1)).all(|occurrence| {
-            truth.spec.steps.iter().enumerate().all(|(step, spec)| {
+        (0..expected.spec.repeat.max(1)).all(|occurrence| {
+            expected.spec.steps.iter().enumerate().all(|(step, spec)| {
                 (0..spec.count).all(|index| {
                     let task = TaskId {
                         job,
--- a/crates/cluster-simulation/src/pending_call.rs
+++ b/crates/cluster-simulation/src/pending_call.rs
@@ -8,10 +8,10 @@
 
 /// A call under way.
 #[derive(Debug)]
-pub struct OpenCall {
+pub struct PendingCall {
     reply: oneshot::Receiver<Reply>,
     /// After this the caller waits no longer.
-    gives_up_at: u64,
+    deadline: u64,
 }
 
 /// What its caller sees of a call.
@@ -20,13 +20,13 @@
     /// An answer with success.
     Success(Reply),
     /// A clear refusal of this try.
-    Refused(ErrorKind),
+    Rejected(ErrorKind),
     /// Silence, a cut or an answer that says as much.
-    Doubt,
+    Indeterminate,
 }
 
 /// A call to be handed to a process, and what its caller keeps.
-pub fn call(request: Request, now: u64, wait_ms: u64) -> (ControlCall, OpenCall) {
+pub fn call(request: Request, now: u64, wait_ms: u64) -> (ControlCall, PendingCall) {
     let (answerer, reply) = oneshot::channel();
     let call = ControlCall {
         request,
@@ -35,28 +35,28 @@
     };
     (
         call,
-        OpenCall {
+        PendingCall {
             reply,
-            gives_up_at: now + wait_ms + 250,
+            deadline: now + wait_ms + 250,
         },
     )
 }
 
-impl OpenCall {
+impl PendingCall {
     /// What has come of it, once anything has.
     pub fn outcome(&mut self, now: u64) -> Option<Outcome> {
         match self.reply.try_recv() {
             Ok(reply) => Some(outcome_of(reply)),
-            Err(TryRecvError::Closed) => Some(Outcome::Doubt),
-            Err(TryRecvError::Empty) => (now >= self.gives_up_at).then_some(Outcome::Doubt),
+            Err(TryRecvError::Closed) => Some(Outcome::Indeterminate),
+            Err(TryRecvError::Empty) => (now >= self.deadline).then_some(Outcome::Indeterminate),
         }
     }
 }
 
 fn outcome_of(reply: Reply) -> Outcome {
     match reply {
-        Reply::Error(ErrorKind::InDoubt) | Reply::NotHead(_) => Outcome::Doubt,
-        Reply::Error(kind) => Outcome::Refused(kind),
+        Reply::Error(ErrorKind::InDoubt) | Reply::NotHead(_) => Outcome::Indeterminate,
+        Reply::Error(kind) => Outcome::Rejected(kind),
         reply => Outcome::Success(reply),
     }
 }
--- a/crates/cluster-simulation/src/processes.rs
+++ b/crates/cluster-simulation/src/processes.rs
@@ -1,14 +1,14 @@
 //! Processes of the world: starting, ending, and carrying events and effects.
 
 use crate::faults::schedule::{CATCH_UP_MS, GRACE_MS};
-use crate::injected_bugs::PlantedFault;
-use crate::machine::agent::{HeartbeatCall, Side};
-use crate::machine::disk::DiskNews;
-use crate::machine::front::Front;
+use crate::injected_bugs::InjectedBug;
+use crate::machine::agent::{AgentProcess, HeartbeatCall};
+use crate::machine::disk::DiskCompletion;
+use crate::machine::front::FrontProcess;
 use crate::machine::{address_of, machine_at, Machine, Process, ProcessEffect, ProcessEvent};
-use crate::network::Arrival;
-use crate::server::{BeatAnswer, StartOrder, LEASE_MOST_MS};
-use crate::world::{LocalMessage, World};
+use crate::network::Delivery;
+use crate::server::{HeartbeatReply, StartCommand, LEASE_MOST_MS};
+use crate::world::{AgentLinkMessage, World};
 use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::frame::{Frame, Hello, Role};
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
@@ -37,13 +37,13 @@
         self.now += 1;
         let now = self.now;
         self.start_machines();
-        for (machine, arrival) in self.network.advance(now, &self.presences) {
-            self.arrive(machine, arrival);
+        for (machine, delivery) in self.network.advance(now, &self.endpoints) {
+            self.deliver(machine, delivery);
         }
         self.advance_disks();
         self.tick_machines();
-        self.deliver_local();
-        self.deliver_late_answers();
+        self.deliver_agent_link();
+        self.deliver_late_replies();
     }
 
     fn start_machines(&mut self) {
@@ -65,7 +65,7 @@
         let one = &mut self.machines[machine];
         one.incarnation = incarnation;
         one.clock.began = now;
-        one.frozen = false;
+        one.suspended = false;
         one.inbox.clear();
         let moment = one.clock.read(now);
         let mut disk = None;
@@ -73,7 +73,7 @@
             Role::Frontend => Some(Process::Front(Box::new(
                 self.new_front(machine, seeds, moment.now),
             ))),
-            Role::Agent => Some(Process::Side(Box::new(
+            Role::Agent => Some(Process::Agent(Box::new(
                 self.new_side(machine, seeds, moment.now),
             ))),
             Role::Core => {
@@ -95,19 +95,19 @@
         };
         self.machines[machine].process = process;
         self.machines[machine].is_new = false;
-        let presence = &mut self.presences[machine];
-        presence.running = true;
-        presence.powered = true;
-        presence.hello = Frame::Hello(hello);
+        let endpoint = &mut self.endpoints[machine];
+        endpoint.running = true;
+        endpoint.powered = true;
+        endpoint.hello = Frame::Hello(hello);
         self.dispatch(machine, ProcessEvent::Tick);
     }
 
-    fn new_front(&self, machine: usize, seeds: Vec<PeerAddress>, now: Millis) -> Front {
-        Front::new(self.member(machine), self.live_table(), seeds, now)
+    fn new_front(&self, machine: usize, seeds: Vec<PeerAddress>, now: Millis) -> FrontProcess {
+        FrontProcess::new(self.member(machine), self.live_table(), seeds, now)
     }
 
-    fn new_side(&self, machine: usize, seeds: Vec<PeerAddress>, now: Millis) -> Side {
-        Side::new(
+    fn new_side(&self, machine: usize, seeds: Vec<PeerAddress>, now: Millis) -> AgentProcess {
+        AgentProcess::new(
             self.member(machine),
             self.live_table(),
             seeds,
@@ -170,8 +170,8 @@
         match CoreMachine::new(settings, recovered, moment) {
             Ok(core) => Some(core),
             Err(error) => {
-                self.checks
-                    .broke(self.now, format!("core {machine} does not start: {error}"));
+                self.oracle
+                    .report_violation(self.now, format!("core {machine} does not start: {error}"));
                 None
             }
         }
@@ -188,16 +188,16 @@
         let now = self.now;
         let one = &mut self.machines[machine];
         one.process = None;
-        one.frozen = false;
+        one.suspended = false;
         one.inbox.clear();
         one.starts_at = (!one.removed).then_some(now + down_ms);
-        if self.planted == Some(PlantedFault::SyncLeftOut) {
+        if self.injected_bug == Some(InjectedBug::MissingSync) {
             one.disk.crash_hard();
         } else {
             one.disk.crash(&mut self.rng);
         }
-        self.presences[machine].running = false;
-        self.presences[machine].powered = powered;
+        self.endpoints[machine].running = false;
+        self.endpoints[machine].powered = powered;
         self.network.process_ended(machine, powered);
     }
 
@@ -207,7 +207,7 @@
         let identity = one.disk.contents().disk;
         one.disk.wipe();
         one.disk_since = self.now;
-        if self.planted == Some(PlantedFault::VoteOfEmptyDisk) {
+        if self.injected_bug == Some(InjectedBug::VoteOfEmptyDisk) {
             one.disk.write(
                 0,
                 Batch {
@@ -221,19 +221,19 @@
         }
     }
 
-    pub(crate) fn set_frozen(&mut self, machine: usize, frozen: bool) {
-        self.machines[machine].frozen = frozen;
-        self.catch_up_with_inbox(machine);
+    pub(crate) fn set_suspended(&mut self, machine: usize, suspended: bool) {
+        self.machines[machine].suspended = suspended;
+        self.drain_inbox(machine);
     }
 
-    pub(crate) fn set_stuttering(&mut self, machine: usize, stuttering: bool) {
-        self.machines[machine].stuttering = stuttering;
-        self.catch_up_with_inbox(machine);
+    pub(crate) fn set_intermittent(&mut self, machine: usize, intermittent: bool) {
+        self.machines[machine].intermittent = intermittent;
+        self.drain_inbox(machine);
     }
 
     /// Hands a process that runs what reached it while it stood still.
-    fn catch_up_with_inbox(&mut self, machine: usize) {
-        if self.machines[machine].is_still(self.now) {
+    fn drain_inbox(&mut self, machine: usize) {
+        if self.machines[machine].is_suspended(self.now) {
             return;
         }
         let inbox = std::mem::take(&mut self.machines[machine].inbox);
@@ -242,14 +242,14 @@
             .for_each(|event| self.dispatch(machine, event));
     }
 
-    fn arrive(&mut self, machine: usize, arrival: Arrival) {
-        let event = match arrival {
-            Arrival::Frame {
+    fn deliver(&mut self, machine: usize, delivery: Delivery) {
+        let event = match delivery {
+            Delivery::Frame {
                 from,
                 connection,
                 frame,
             } => {
-                let incarnation = match &self.presences[from].hello {
+                let incarnation = match &self.endpoints[from].hello {
                     Frame::Hello(hello) => hello.incarnation,
                     _ => 0,
                 };
@@ -260,7 +260,7 @@
                     frame,
                 }
             }
-            Arrival::Closed { from, connection } => ProcessEvent::Closed { from, connection },
+            Delivery::Closed { from, connection } => ProcessEvent::Closed { from, connection },
         };
         self.dispatch(machine, event);
     }
@@ -269,15 +269,15 @@
         for machine in 0..self.machines.len() {
             let is_core = self.machines[machine].role == Role::Core;
             let every = if is_core { CORE_TICK_MS } else { OTHER_TICK_MS };
-            if self.machines[machine].stuttering {
-                self.catch_up_with_inbox(machine);
+            if self.machines[machine].intermittent {
+                self.drain_inbox(machine);
             }
-            let is_still = self.machines[machine].is_still(self.now);
+            let is_suspended = self.machines[machine].is_suspended(self.now);
             let due = (self.now + machine as u64 * 7).is_multiple_of(every);
-            if !is_still && self.machines[machine].is_answer_due(self.now) {
+            if !is_suspended && self.machines[machine].is_answer_due(self.now) {
                 self.dispatch(machine, ProcessEvent::AnswerDue);
             }
-            if due && !is_still {
+            if due && !is_suspended {
                 self.dispatch(machine, ProcessEvent::Tick);
                 self.end_if_left(machine);
             }
@@ -297,10 +297,10 @@
             }
             let news = self.machines[machine].disk.advance(self.now);
             match news {
-                Some(DiskNews::Synced(tickets)) => {
+                Some(DiskCompletion::Synced(tickets)) => {
                     self.dispatch(machine, ProcessEvent::Synced(tickets))
                 }
-                Some(DiskNews::Refused) => self.dispatch(machine, ProcessEvent::WriteFailed),
+                Some(DiskCompletion::Refused) => self.dispatch(machine, ProcessEvent::WriteFailed),
                 None => {}
             }
         }
@@ -313,7 +313,7 @@
         if one.process.is_none() {
             return;
         }
-        if one.is_still(now) {
+        if one.is_suspended(now) {
             one.inbox.push_back(event);
             return;
         }
@@ -327,16 +327,16 @@
         let now = self.now;
         match effect {
             CoreEffect::Send { to, frame } => {
-                let frame = self.planted_frame(frame);
+                let frame = self.apply_bug_to_frame(frame);
                 self.count_frame(&frame);
                 let to = machine_at(to);
-                self.answer_for_successor(machine, to, &frame);
+                self.acknowledge_for_successor(machine, to, &frame);
                 self.network.send(machine, to, frame, now);
             }
             CoreEffect::SendOn { connection, frame } => {
-                let frame = self.planted_frame(frame);
+                let frame = self.apply_bug_to_frame(frame);
                 self.count_frame(&frame);
-                self.copy_answer(machine, connection, &frame);
+                self.duplicate_reply(machine, connection, &frame);
                 self.network.send_on(machine, connection, frame, now);
             }
             CoreEffect::Write { ticket, batch } => self.write(machine, ticket, batch),
@@ -352,17 +352,17 @@
                     sent_at,
                     highest_end,
                 } = call;
-                let place = machine - self.side_of(0);
-                if self.places[place]
+                let slot = machine - self.agent_of(0);
+                if self.server_slots[slot]
                     .server
                     .as_ref()
                     .is_some_and(|known| *known.id() == server)
                 {
-                    let answer = self.planted_answer(*answer, highest_end);
-                    let incarnation = self.places[place].incarnation;
+                    let answer = self.apply_bug_to_response(*answer, highest_end);
+                    let incarnation = self.server_slots[slot].incarnation;
                     let answer =
-                        LocalMessage::Answer(incarnation, heartbeat_answer(answer, sent_at));
-                    self.send_local(place, answer);
+                        AgentLinkMessage::Answer(incarnation, heartbeat_reply(answer, sent_at));
+                    self.send_to_agent_link(slot, answer);
                 }
             }
         }
@@ -377,9 +377,9 @@
     fn write(&mut self, machine: usize, ticket: u64, batch: Batch) {
         let sync_ms = self.rng.u64(1..8);
         self.snapshots_written += usize::from(batch.snapshot.is_some());
-        let batch = self.planted_batch(machine, batch);
+        let batch = self.apply_bug_to_batch(machine, batch);
         let now = self.now;
-        if self.planted == Some(PlantedFault::SyncLeftOut) {
+        if self.injected_bug == Some(InjectedBug::MissingSync) {
             self.machines[machine]
                 .disk
                 .write(ticket, batch, now, UNSYNCED_MS);
@@ -392,9 +392,13 @@
     }
 
     /// The front that a client calls: one that the platform gives new connections to, or the one that callers insist on.
-    pub(crate) fn ready_front(&mut self) -> Option<usize> {
-        if let Some(lure) = self.troubles.lure.filter(|_| self.rng.bool()) {
-            return Some(lure.front);
+    pub(crate) fn choose_ready_front(&mut self) -> Option<usize> {
+        if let Some(isolated_targets) = self
+            .active_faults
+            .isolated_targets
+            .filter(|_| self.rng.bool())
+        {
+            return Some(isolated_targets.front);
         }
         let now = self.now;
         let ready = |machine: &Machine| match &machine.process {
@@ -409,9 +413,13 @@
     }
 
     /// The core machine that the operator calls: one whose process runs, or the one that callers insist on.
-    pub(crate) fn some_core(&mut self) -> Option<usize> {
-        if let Some(lure) = self.troubles.lure.filter(|_| self.rng.u32(0..3) > 0) {
-            return Some(lure.core);
+    pub(crate) fn choose_core(&mut self) -> Option<usize> {
+        if let Some(isolated_targets) = self
+            .active_faults
+            .isolated_targets
+            .filter(|_| self.rng.u32(0..3) > 0)
+        {
+            return Some(isolated_targets.core);
         }
         let cores: Vec<usize> = self
             .cores()
@@ -439,8 +447,8 @@
     }
 }
 
-fn heartbeat_answer(answer: HeartbeatResponse, heartbeat_sent_at: u64) -> BeatAnswer {
-    let starts = answer.starts.into_iter().map(|start| StartOrder {
+fn heartbeat_reply(answer: HeartbeatResponse, heartbeat_sent_at: u64) -> HeartbeatReply {
+    let starts = answer.starts.into_iter().map(|start| StartCommand {
         task: start.task,
         attempt: start.attempt,
         spec: start.spec,
@@ -450,7 +458,7 @@
         .stops
         .into_iter()
         .filter_map(|stop| Some((stop.task.parse().ok()?, stop.attempt)));
-    BeatAnswer {
+    HeartbeatReply {
         heartbeat_sent_at,
         token: answer.token,
         lease_ms: answer.lease_ms,
--- a/crates/cluster-simulation/src/server.rs
+++ b/crates/cluster-simulation/src/server.rs
@@ -11,21 +11,21 @@
 /// A longer hold is cut down to this, in milliseconds.
 pub const LEASE_MOST_MS: u64 = 3_000;
 /// An answer later than this is dropped.
-pub const ANSWER_MOST_MS: u64 = 1_000;
+pub const MAX_REPLY_AGE_MS: u64 = 1_000;
 /// A heartbeat lists so many ends.
 const ENDS_LISTED: usize = 500;
 
 /// What a server does with its work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Conduct {
+pub enum ServerBehavior {
     /// It works.
-    Sound,
+    Healthy,
     /// Everything that it starts fails soon.
     Failing,
     /// Everything takes longer.
     Slow,
     /// Nothing moves.
-    Still,
+    Stalled,
 }
 
 /// A run on the server.
@@ -75,12 +75,12 @@
     pub finished: FinishedTask,
     pub at: u64,
     /// Whether the server's hold has lapsed since.
-    pub lapsed_since: bool,
+    pub lease_expired_since: bool,
 }
 
 /// An order of an answer to start a run.
 #[derive(Clone, Debug)]
-pub struct StartOrder {
+pub struct StartCommand {
     pub task: TaskId,
     pub attempt: Attempt,
     pub spec: String,
@@ -89,12 +89,12 @@
 
 /// The answer to a heartbeat.
 #[derive(Clone, Debug)]
-pub struct BeatAnswer {
+pub struct HeartbeatReply {
     pub heartbeat_sent_at: u64,
     pub token: FencingToken,
     pub lease_ms: u64,
     pub observed: u64,
-    pub starts: Vec<StartOrder>,
+    pub starts: Vec<StartCommand>,
     pub stops: Vec<(TaskId, Attempt)>,
     pub retry_after_ms: u64,
 }
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug)]
 pub struct ModelServer {
     pub facts: ServerFacts,
-    pub conduct: Conduct,
+    pub behavior: ServerBehavior,
     pub token: FencingToken,
     pub lease_until: u64,
     pub runs: BTreeMap<TaskId, ServerRun>,
@@ -112,7 +112,7 @@
     /// The highest attempt of each task that has ended or was stopped here.
     pub ended: BTreeMap<TaskId, Attempt>,
     pub draining_since: Option<u64>,
-    pub leaves_at: Option<u64>,
+    pub shuts_down_at: Option<u64>,
     pub next_heartbeat_at: u64,
     pub awaiting_since: Option<u64>,
 }
@@ -121,7 +121,7 @@
     pub fn new(facts: ServerFacts, now: u64) -> ModelServer {
         ModelServer {
             facts,
-            conduct: Conduct::Sound,
+            behavior: ServerBehavior::Healthy,
             token: FencingToken(0),
             lease_until: 0,
             runs: BTreeMap::new(),
@@ -129,7 +129,7 @@
             last_number: 0,
             ended: BTreeMap::new(),
             draining_since: None,
-            leaves_at: None,
+            shuts_down_at: None,
             next_heartbeat_at: now,
             awaiting_since: None,
         }
@@ -149,14 +149,14 @@
             })
     }
 
-    pub fn wants_heartbeat(&self, now: u64) -> bool {
+    pub fn is_heartbeat_due(&self, now: u64) -> bool {
         let answer_is_out = self
             .awaiting_since
-            .is_some_and(|since| now < since + ANSWER_MOST_MS);
+            .is_some_and(|since| now < since + MAX_REPLY_AGE_MS);
         now >= self.next_heartbeat_at && !answer_is_out
     }
 
-    pub fn beat(&mut self, now: u64) -> Heartbeat {
+    pub fn heartbeat(&mut self, now: u64) -> Heartbeat {
         self.awaiting_since = Some(now);
         self.next_heartbeat_at = now + 400;
         let running = self.runs.iter().map(|(task, run)| RunningTask {
@@ -169,7 +169,7 @@
             server: self.facts.id.clone(),
             sequence: now + 1,
             draining: self.draining_since.is_some(),
-            remaining_ms: self.leaves_at.map(|at| at.saturating_sub(now)),
+            remaining_ms: self.shuts_down_at.map(|at| at.saturating_sub(now)),
             running: running.collect(),
             finished: self
                 .ends
@@ -182,9 +182,9 @@
     }
 
     /// Takes hold and observed ends of an answer; tells whether its orders are to be followed.
-    pub fn take_answer(&mut self, answer: &BeatAnswer, now: u64) -> bool {
+    pub fn take_reply(&mut self, answer: &HeartbeatReply, now: u64) -> bool {
         self.awaiting_since = None;
-        if now > answer.heartbeat_sent_at + ANSWER_MOST_MS || answer.token < self.token {
+        if now > answer.heartbeat_sent_at + MAX_REPLY_AGE_MS || answer.token < self.token {
             return false;
         }
         self.token = answer.token;
@@ -198,12 +198,12 @@
 
     /// Drops the ends that were observed, and gives them.
     pub fn observe(&mut self, observed: u64) -> Vec<ServerEnd> {
-        let (seen, kept) = self
+        let (observed_start, kept) = self
             .ends
             .drain(..)
             .partition(|end| end.finished.number <= observed);
         self.ends = kept;
-        seen
+        observed_start
     }
 
     /// Whether an attempt is above all that ended here and all that run.
@@ -244,7 +244,7 @@
         self.ends.push(ServerEnd {
             finished,
             at: now,
-            lapsed_since: false,
+            lease_expired_since: false,
         });
         let ended = self.ended.entry(task).or_insert(0);
         *ended = (*ended).max(attempt);
--- a/crates/cluster-simulation/src/simulation.rs
+++ b/crates/cluster-simulation/src/simulation.rs
@@ -1,8 +1,8 @@
 //! A whole day: traffic and faults, then time to finish, then the last questions.
 
 use crate::client::Client;
-use crate::config::{DayKind, DaySettings};
-use crate::faults::schedule::{Entry, OperatorOrder, Plan, Trouble};
+use crate::config::{FaultProfile, SimulationConfig};
+use crate::faults::schedule::{Fault, FaultSchedule, OperatorAction, ScheduledFault};
 use crate::machine::clock::WALL_BEGIN_MS;
 use crate::operator::Operator;
 use crate::workload::draw;
@@ -14,9 +14,9 @@
 
 /// How a day ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct DayReport {
+pub struct SimulationReport {
     /// The rules that were broken, each with the moment.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Jobs that were accepted.
     pub accepted: usize,
     /// Tasks that were started at least once.
@@ -34,41 +34,45 @@
 }
 
 /// Plays the day of a seed.
-pub fn play(seed: u64, settings: DaySettings) -> DayReport {
-    Day::new(seed, settings).play()
+pub fn simulate(seed: u64, settings: SimulationConfig) -> SimulationReport {
+    Simulation::new(seed, settings).run()
 }
 
 /// Plays the day of a seed with these faults in place of its own.
-pub fn play_plan(seed: u64, settings: DaySettings, plan: Plan) -> DayReport {
-    let mut day = Day::new(
+pub fn simulate_schedule(
+    seed: u64,
+    settings: SimulationConfig,
+    plan: FaultSchedule,
+) -> SimulationReport {
+    let mut day = Simulation::new(
         seed,
-        DaySettings {
-            kind: DayKind::Quiet,
+        SimulationConfig {
+            kind: FaultProfile::Quiet,
             ..settings
         },
     );
     day.plan = plan;
-    day.play()
+    day.run()
 }
 
 /// The world and those who act on it.
 #[derive(Debug)]
-struct Day {
+struct Simulation {
     world: World,
-    plan: Plan,
+    plan: FaultSchedule,
     clients: Vec<Client>,
     operator: Operator,
 }
 
-impl Day {
-    fn new(seed: u64, settings: DaySettings) -> Day {
+impl Simulation {
+    fn new(seed: u64, settings: SimulationConfig) -> Simulation {
         let mut world = World::new(fastrand::Rng::with_seed(seed), settings);
-        let plan = Plan::draw(&mut world.rng, &settings);
+        let plan = FaultSchedule::draw(&mut world.rng, &settings);
         world.seed_network();
-        let clients = draw_clients(&mut world);
+        let clients = generate_clients(&mut world);
         let mut operator = Operator::default();
-        operator.begin(OperatorOrder::Change, &mut world);
-        Day {
+        operator.begin(OperatorAction::Change, &mut world);
+        Simulation {
             world,
             plan,
             clients,
@@ -76,7 +80,7 @@
         }
     }
 
-    fn play(mut self) -> DayReport {
+    fn run(mut self) -> SimulationReport {
         spdlog::default_logger().set_level_filter(spdlog::LevelFilter::Off);
         let settings = self.world.settings;
         while self.world.now < settings.traffic_ms + 6_000 {
@@ -109,16 +113,16 @@
     }
 
     fn follow_plan(&mut self) {
-        self.world.end_troubles();
+        self.world.recover_from_expired_faults();
         while let Some(entry) = self.plan.take_due(self.world.now) {
             match entry {
-                Entry {
-                    trouble: Trouble::Operator(order),
+                ScheduledFault {
+                    fault: Fault::Operator(order),
                     ..
                 } => {
                     self.operator.begin(order, &mut self.world);
                 }
-                entry => self.world.begin_trouble(entry),
+                entry => self.world.inject_fault(entry),
             }
         }
     }
@@ -142,40 +146,40 @@
         for client in self.clients.iter().filter(|client| !client.finished) {
             let shape = self
                 .world
-                .checks
+                .oracle
                 .jobs
                 .get(&client.job())
-                .map(|truth| truth.spec.steps.len());
+                .map(|expected| expected.spec.steps.len());
             let (job, accepted_at) = (client.job(), client.accepted_at);
             let text =
                 format!("LOST: not finished: {job} accepted at {accepted_at:?}, steps {shape:?}");
-            self.world.checks.broke(now, text);
+            self.world.oracle.report_violation(now, text);
         }
         if self.operator.is_busy() {
             self.world
-                .checks
-                .broke(now, "CONFIG: a change has no clear answer".to_owned());
+                .oracle
+                .report_violation(now, "CONFIG: a change has no clear answer".to_owned());
         }
         if self.operator.read_at_end.is_none() {
             self.world
-                .checks
-                .broke(now, "CONFIG: the configuration is not read back".to_owned());
+                .oracle
+                .report_violation(now, "CONFIG: the configuration is not read back".to_owned());
         }
     }
 
-    fn report(self) -> DayReport {
+    fn report(self) -> SimulationReport {
         let views = self.world.newest_view().map_or(0, |view| view.number);
         let (snapshots_written, snapshots_sent) =
             (self.world.snapshots_written, self.world.snapshots_sent);
-        let checks = self.world.checks;
-        DayReport {
+        let oracle = self.world.oracle;
+        SimulationReport {
             accepted: self
                 .clients
                 .iter()
                 .filter(|client| client.accepted_at.is_some())
                 .count(),
-            tasks_started: checks.tasks.len(),
-            tasks_done: checks
+            tasks_started: oracle.tasks.len(),
+            tasks_done: oracle
                 .tasks
                 .values()
                 .filter(|task| task.done_at.is_some())
@@ -184,23 +188,23 @@
             views,
             snapshots_written,
             snapshots_sent,
-            broken: checks.broken,
+            violations: oracle.violations,
         }
     }
 }
 
-fn draw_clients(world: &mut World) -> Vec<Client> {
+fn generate_clients(world: &mut World) -> Vec<Client> {
     (1..=world.settings.jobs)
-        .map(|number| draw_client(number, world))
+        .map(|number| generate_client(number, world))
         .collect()
 }
 
-fn draw_client(number: u64, world: &mut World) -> Client {
+fn generate_client(number: u64, world: &mut World) -> Client {
     let begins_at = 2_500 + world.rng.u64(0..world.settings.traffic_ms - 10_000);
-    let drawn = draw(&mut world.rng, number, WALL_BEGIN_MS + begins_at);
-    let cancelled = drawn.truth.is_lasting() || world.rng.u32(0..15) == 0;
+    let generated = draw(&mut world.rng, number, WALL_BEGIN_MS + begins_at);
+    let cancelled = generated.expected.is_long_running() || world.rng.u32(0..15) == 0;
     let cancel_at = cancelled.then(|| begins_at + world.rng.u64(500..9_000));
     let job = JobId(number);
-    world.checks.jobs.insert(job, drawn.truth);
-    Client::new(job, drawn.queue, begins_at, cancel_at)
+    world.oracle.jobs.insert(job, generated.expected);
+    Client::new(job, generated.queue, begins_at, cancel_at)
 }
--- a/crates/cluster-simulation/src/work.rs
+++ b/crates/cluster-simulation/src/work.rs
@@ -1,7 +1,7 @@
 //! What happens on the servers of the model: starts, progress, ends, gangs.
 
-use crate::checks::{JobTruth, SeenStart};
-use crate::server::{BeatAnswer, Conduct, ServerRun, StartOrder};
+use crate::oracle::{ExpectedJob, ObservedStart};
+use crate::server::{HeartbeatReply, ServerBehavior, ServerRun, StartCommand};
 use crate::world::World;
 use lupinrack_cluster_api::identity::TaskId;
 use lupinrack_cluster_api::server::RunEnd;
@@ -19,28 +19,30 @@
 
 impl World {
     /// A server takes the answer to its heartbeat.
-    pub fn answer(&mut self, machine: usize, incarnation: u64, answer: &BeatAnswer) {
+    pub fn answer(&mut self, machine: usize, incarnation: u64, answer: &HeartbeatReply) {
         let now = self.now;
-        if self.places[machine].incarnation != incarnation {
+        if self.server_slots[machine].incarnation != incarnation {
             return;
         }
-        let Some(server) = self.places[machine].server.as_mut() else {
+        let Some(server) = self.server_slots[machine].server.as_mut() else {
             return;
         };
-        if !server.take_answer(answer, now) {
+        if !server.take_reply(answer, now) {
             return;
         }
         let observed = server.observe(answer.observed);
         for end in observed {
             let task = end.finished.task;
             match end.finished.end {
-                RunEnd::Done if !end.lapsed_since => self.checks.done_noted(task, end.at, now),
-                RunEnd::Failed if !end.lapsed_since => self.checks.failure_noted(task),
+                RunEnd::Done if !end.lease_expired_since => {
+                    self.oracle.done_noted(task, end.at, now)
+                }
+                RunEnd::Failed if !end.lease_expired_since => self.oracle.failure_noted(task),
                 _ => {}
             }
         }
         for (task, attempt) in &answer.stops {
-            let Some(server) = self.places[machine].server.as_mut() else {
+            let Some(server) = self.server_slots[machine].server.as_mut() else {
                 return;
             };
             if let Some(run) = server
@@ -57,16 +59,16 @@
         }
     }
 
-    fn start(&mut self, machine: usize, start: &StartOrder) {
+    fn start(&mut self, machine: usize, start: &StartCommand) {
         let now = self.now;
-        let place = &self.places[machine];
-        let Some(server) = place.server.as_ref() else {
+        let slot = &self.server_slots[machine];
+        let Some(server) = slot.server.as_ref() else {
             return;
         };
         if now >= server.lease_until || !server.is_newer(start.task, start.attempt) {
             return;
         }
-        let StartOrder {
+        let StartCommand {
             task,
             attempt,
             spec,
@@ -75,10 +77,10 @@
         let siblings = server.runs.keys().filter(|other| {
             other.job == task.job && other.occurrence == task.occurrence && other.step == task.step
         });
-        let seen = SeenStart {
+        let observed_start = ObservedStart {
             now,
             machine,
-            incarnation: place.incarnation,
+            incarnation: slot.incarnation,
             task: *task,
             attempt: *attempt,
             spec,
@@ -90,21 +92,21 @@
             draining_since: server.draining_since,
             wall: self.wall(),
         };
-        let strictness = self.strictness();
-        self.checks.start(&seen, strictness);
+        let time_bounds = self.time_bounds();
+        self.oracle.start(&observed_start, time_bounds);
         if let Some(run) = self.new_run(machine, start) {
-            if let Some(server) = self.places[machine].server.as_mut() {
+            if let Some(server) = self.server_slots[machine].server.as_mut() {
                 server.runs.insert(start.task, run);
             }
         }
     }
 
-    fn new_run(&self, machine: usize, start: &StartOrder) -> Option<ServerRun> {
-        let truth = self.checks.jobs.get(&start.task.job)?;
-        let step = truth.spec.steps.get(start.task.step as usize)?;
-        let server = self.places[machine].server.as_ref()?;
+    fn new_run(&self, machine: usize, start: &StartCommand) -> Option<ServerRun> {
+        let expected = self.oracle.jobs.get(&start.task.job)?;
+        let step = expected.spec.steps.get(start.task.step as usize)?;
+        let server = self.server_slots[machine].server.as_ref()?;
         let near = step.affinity.is_empty() || server.facts.labels.contains(&step.affinity);
-        let factor = truth.work_factor * if near { 1.0 } else { FAR_FACTOR };
+        let factor = expected.work_factor * if near { 1.0 } else { FAR_FACTOR };
         let total_ms = step.estimate_ms as f64 * factor;
         let part: f64 = start
             .checkpoint
@@ -113,7 +115,7 @@
             .and_then(|part| part.parse().ok())
             .unwrap_or(0.0);
         let failures = self
-            .checks
+            .oracle
             .tasks
             .get(&start.task)
             .map_or(0, |history| history.failures);
@@ -133,7 +135,7 @@
             checkpoints: step.checkpoints,
             gang: step.gang,
             long_running: step.long_running,
-            fails_at_ms: (failures < truth.own_failures).then_some(total_ms * 0.95),
+            fails_at_ms: (failures < expected.scripted_failures).then_some(total_ms * 0.95),
             stops_at: None,
         })
     }
@@ -141,19 +143,19 @@
     /// Moves everything on the servers on by a step of so many milliseconds.
     pub fn work(&mut self, step_ms: u64) {
         let working_gangs = self.gangs_at_work();
-        for machine in 0..self.places.len() {
-            self.lapse(machine);
+        for machine in 0..self.server_slots.len() {
+            self.expire_lease(machine);
             self.work_on(machine, step_ms, &working_gangs);
         }
         self.end_gangs();
-        for machine in 0..self.places.len() {
-            self.leave_or_return(machine);
+        for machine in 0..self.server_slots.len() {
+            self.shut_down_or_restart(machine);
         }
     }
 
-    fn lapse(&mut self, machine: usize) {
+    fn expire_lease(&mut self, machine: usize) {
         let now = self.now;
-        let Some(server) = self.places[machine].server.as_mut() else {
+        let Some(server) = self.server_slots[machine].server.as_mut() else {
             return;
         };
         if now < server.lease_until {
@@ -163,20 +165,20 @@
         for task in tasks {
             self.end_run(machine, task, RunEnd::LeaseExpired);
         }
-        if let Some(server) = self.places[machine].server.as_mut() {
+        if let Some(server) = self.server_slots[machine].server.as_mut() {
             server
                 .ends
                 .iter_mut()
-                .for_each(|end| end.lapsed_since = true);
+                .for_each(|end| end.lease_expired_since = true);
         }
     }
 
     fn work_on(&mut self, machine: usize, step_ms: u64, working_gangs: &BTreeSet<(TaskId, u32)>) {
         let now = self.now;
-        let Some(server) = self.places[machine].server.as_mut() else {
+        let Some(server) = self.server_slots[machine].server.as_mut() else {
             return;
         };
-        let conduct = server.conduct;
+        let behavior = server.behavior;
         let mut over = Vec::new();
         for (task, run) in &mut server.runs {
             if run.stops_at.is_some_and(|at| now >= at) {
@@ -186,16 +188,16 @@
                 over.push((*task, RunEnd::Stopped));
                 continue;
             }
-            if conduct == Conduct::Failing && now >= run.started_at + FAILS_AFTER_MS {
+            if behavior == ServerBehavior::Failing && now >= run.started_at + FAILS_AFTER_MS {
                 over.push((*task, RunEnd::Failed));
                 continue;
             }
             let gang_works = !run.gang || working_gangs.contains(&gang_key(*task, run.attempt));
-            if conduct == Conduct::Still || now < run.works_from || !gang_works {
+            if behavior == ServerBehavior::Stalled || now < run.works_from || !gang_works {
                 continue;
             }
             run.done_ms += step_ms as f64
-                / if conduct == Conduct::Slow {
+                / if behavior == ServerBehavior::Slow {
                     SLOW_FACTOR
                 } else {
                     1.0
@@ -217,41 +219,42 @@
     /// Ends a run, and notes what that means for its gang.
     pub fn end_run(&mut self, machine: usize, task: TaskId, end: RunEnd) {
         let now = self.now;
-        let incarnation = self.places[machine].incarnation;
-        let Some(run) = self.places[machine]
+        let incarnation = self.server_slots[machine].incarnation;
+        let Some(run) = self.server_slots[machine]
             .server
             .as_mut()
             .and_then(|server| server.end(task, end, now))
         else {
             return;
         };
-        self.checks.run_over(task, machine, incarnation);
+        self.oracle.run_over(task, machine, incarnation);
         if end == RunEnd::Failed {
-            self.checks.failed(task);
+            self.oracle.failed(task);
         }
-        if end == RunEnd::Alone && self.strictness().calm {
+        if end == RunEnd::Alone && self.time_bounds().stable {
             let excused = self
-                .checks
+                .oracle
                 .jobs
                 .get(&task.job)
-                .is_some_and(JobTruth::is_excused);
+                .is_some_and(ExpectedJob::is_excused);
             if !excused {
-                self.checks.broke(now, format!("GANG: {task} ended alone"));
+                self.oracle
+                    .report_violation(now, format!("GANG: {task} ended alone"));
             }
         }
         if run.gang {
             self.gang_member_over(task, run.attempt, end);
         } else if end == RunEnd::Done {
-            self.checks.done(task, now);
+            self.oracle.done(task, now);
         }
     }
 
     fn gang_member_over(&mut self, task: TaskId, attempt: u32, end: RunEnd) {
         let now = self.now;
         if end == RunEnd::Done {
-            let count = self.checks.step(task).map_or(0, |step| step.count);
+            let count = self.oracle.step(task).map_or(0, |step| step.count);
             for index in 0..count {
-                self.checks.done(TaskId { index, ..task }, now);
+                self.oracle.done(TaskId { index, ..task }, now);
             }
         }
         if let Some(over) = self.gangs.get_mut(&gang_key(task, attempt)) {
@@ -262,27 +265,27 @@
     /// The gangs all of whose members are there.
     fn gangs_at_work(&mut self) -> BTreeSet<(TaskId, u32)> {
         let mut present: BTreeMap<(TaskId, u32), u32> = BTreeMap::new();
-        for machine in &self.places {
+        for machine in &self.server_slots {
             let Some(server) = &machine.server else {
                 continue;
             };
             for (task, run) in server.runs.iter().filter(|(_, run)| run.gang) {
                 if run.stops_at.is_none()
-                    && server.conduct != Conduct::Still
+                    && server.behavior != ServerBehavior::Stalled
                     && self.now >= run.works_from
                 {
                     *present.entry(gang_key(*task, run.attempt)).or_default() += 1;
                 }
             }
         }
-        let whole = |key: &(TaskId, u32), count: &u32| {
-            self.checks
+        let replacement = |key: &(TaskId, u32), count: &u32| {
+            self.oracle
                 .step(key.0)
                 .is_some_and(|step| step.count == *count)
         };
         let working: BTreeSet<(TaskId, u32)> = present
             .iter()
-            .filter(|(key, count)| whole(key, count))
+            .filter(|(key, count)| replacement(key, count))
             .map(|(key, _)| *key)
             .collect();
         for key in &working {
@@ -294,8 +297,8 @@
     /// Ends members whose gang has lost one, and those that waited too long for the others.
     fn end_gangs(&mut self) {
         let mut over = Vec::new();
-        for (machine, place) in self.places.iter().enumerate() {
-            let Some(server) = &place.server else {
+        for (machine, slot) in self.server_slots.iter().enumerate() {
+            let Some(server) = &slot.server else {
                 continue;
             };
             for (task, run) in server.runs.iter().filter(|(_, run)| run.gang) {
@@ -311,7 +314,7 @@
         for (machine, task, attempt) in over {
             let began = self.gangs.contains_key(&gang_key(task, attempt));
             let done = self
-                .checks
+                .oracle
                 .tasks
                 .get(&task)
                 .is_some_and(|history| history.done_at.is_some());
@@ -324,17 +327,20 @@
         }
     }
 
-    fn leave_or_return(&mut self, machine: usize) {
+    fn shut_down_or_restart(&mut self, machine: usize) {
         let now = self.now;
-        let leaves = self.places[machine]
+        let leaves = self.server_slots[machine]
             .server
             .as_ref()
-            .and_then(|server| server.leaves_at);
+            .and_then(|server| server.shuts_down_at);
         if leaves.is_some_and(|at| now >= at) {
-            self.tell_of_leave(machine);
+            self.deregister_server(machine);
             self.crash(machine, 500);
         }
-        if self.places[machine].back_at.is_some_and(|at| now >= at) {
+        if self.server_slots[machine]
+            .back_at
+            .is_some_and(|at| now >= at)
+        {
             self.restart_server(machine);
         }
     }
@@ -342,17 +348,17 @@
     /// The server dies with all that it runs, and comes back later in a new life.
     pub fn crash(&mut self, machine: usize, back_after_ms: u64) {
         let now = self.now;
-        let incarnation = self.places[machine].incarnation;
-        let Some(server) = self.places[machine].server.take() else {
+        let incarnation = self.server_slots[machine].incarnation;
+        let Some(server) = self.server_slots[machine].server.take() else {
             return;
         };
         for (task, run) in server.runs {
-            self.checks.run_over(task, machine, incarnation);
+            self.oracle.run_over(task, machine, incarnation);
             if run.gang {
                 self.gang_member_over(task, run.attempt, RunEnd::LeaseExpired);
             }
         }
-        self.places[machine].back_at = Some(now + back_after_ms);
+        self.server_slots[machine].back_at = Some(now + back_after_ms);
     }
 }
 
--- a/crates/cluster-simulation/src/workload.rs
+++ b/crates/cluster-simulation/src/workload.rs
@@ -1,15 +1,15 @@
 //! Jobs of several kinds, drawn from a seed.
 
-use crate::checks::JobTruth;
+use crate::oracle::ExpectedJob;
 use lupinrack_cluster_api::job::{JobSpec, Resources, Step};
 
 /// Failed runs after which a job has failed, in every queue.
 pub const MAX_RETRIES: u32 = 3;
 
 /// A job and the queue that it comes to.
-pub struct DrawnJob {
+pub struct GeneratedJob {
     pub queue: &'static str,
-    pub truth: JobTruth,
+    pub expected: ExpectedJob,
 }
 
 /// The queues, with their priorities.
@@ -83,7 +83,7 @@
     }]
 }
 
-fn lasting() -> Vec<Step> {
+fn long_running_steps() -> Vec<Step> {
     vec![Step {
         count: 3,
         needs: needs(300, 200, 0),
@@ -95,14 +95,14 @@
 }
 
 /// A job of the kind that the seed draws. `wall` is the time of day.
-pub fn draw(rng: &mut fastrand::Rng, number: u64, wall: u64) -> DrawnJob {
+pub fn draw(rng: &mut fastrand::Rng, number: u64, wall: u64) -> GeneratedJob {
     let kind = rng.u32(0..100);
     let (queue, steps) = match kind {
         0..55 => ("q0", small(rng)),
         55..70 => ("q1", wide(rng)),
         70..85 => ("q2", gang(rng)),
         85..93 => ("q1", small(rng)),
-        _ => ("q2", lasting()),
+        _ => ("q2", long_running_steps()),
     };
     let mut spec = spec(number, steps);
     if (85..93).contains(&kind) {
@@ -110,27 +110,27 @@
         spec.start_at_ms = wall + rng.u64(0..1_500);
         spec.interval_ms = rng.u64(200..1_500);
     }
-    let own_failures = match rng.u32(0..100) {
+    let scripted_failures = match rng.u32(0..100) {
         0..4 => MAX_RETRIES + 1,
         4..10 => 1,
         _ => 0,
     };
     let work_factor = 0.6 + rng.f64();
-    let truth = JobTruth {
+    let expected = ExpectedJob {
         spec,
         max_retries: MAX_RETRIES,
         cancelled_at: None,
-        own_failures,
+        scripted_failures,
         work_factor,
         sent: false,
-        refused: false,
+        rejected: false,
         cancel_sent: false,
     };
-    DrawnJob { queue, truth }
+    GeneratedJob { queue, expected }
 }
 
-impl JobTruth {
-    pub fn is_lasting(&self) -> bool {
+impl ExpectedJob {
+    pub fn is_long_running(&self) -> bool {
         self.spec.steps.iter().any(|step| step.long_running)
     }
 }
--- a/crates/cluster-simulation/src/world.rs
+++ b/crates/cluster-simulation/src/world.rs
@@ -1,14 +1,14 @@
 //! The world of one day: machines, network and servers. It owns their state and knows nobody who acts on it.
 
-use crate::checks::{Checks, Strictness};
-use crate::config::DaySettings;
+use crate::config::SimulationConfig;
 use crate::configuration_body::service_of_queue;
-use crate::faults::active::Troubles;
-use crate::injected_bugs::{PlantedFault, Planting};
+use crate::faults::active::ActiveFaults;
+use crate::injected_bugs::{BugState, InjectedBug};
 use crate::machine::clock::{MachineClock, WALL_BEGIN_MS};
 use crate::machine::{address_of, machine_at, Machine, Process};
-use crate::network::{Network, Presence};
-use crate::server::{BeatAnswer, ModelServer};
+use crate::network::{Endpoint, Network};
+use crate::oracle::{Oracle, TimeBounds};
+use crate::server::{HeartbeatReply, ModelServer};
 use crate::workload::QUEUES;
 use lupinrack_cluster_api::frame::{Frame, Hello, Role};
 use lupinrack_cluster_api::identity::{PeerAddress, ServerId, ServiceName, TaskId};
@@ -24,7 +24,7 @@
 
 /// The place of a server.
 #[derive(Debug)]
-pub struct Place {
+pub struct ServerSlot {
     /// The server; none while it is down.
     pub server: Option<ModelServer>,
     /// Its life, or that of the last one.
@@ -35,13 +35,13 @@
 
 /// What is on its way between a server and its agent.
 #[derive(Debug)]
-pub enum LocalMessage {
+pub enum AgentLinkMessage {
     /// A heartbeat.
     Heartbeat(Box<ServerHeartbeat>, u64),
     /// The answer to one.
-    Answer(u64, BeatAnswer),
+    Answer(u64, HeartbeatReply),
     /// The server has left in order.
-    Left(ServerId),
+    Deregistered(ServerId),
 }
 
 /// Everything.
@@ -49,28 +49,28 @@
 pub struct World {
     /// Milliseconds since the day began.
     pub now: u64,
-    pub(crate) settings: DaySettings,
-    pub(crate) planted: Option<PlantedFault>,
-    pub(crate) planting: Planting,
+    pub(crate) settings: SimulationConfig,
+    pub(crate) injected_bug: Option<InjectedBug>,
+    pub(crate) bug_state: BugState,
     pub(crate) rng: fastrand::Rng,
     pub(crate) network: Network,
     pub(crate) machines: Vec<Machine>,
-    pub(crate) presences: Vec<Presence>,
+    pub(crate) endpoints: Vec<Endpoint>,
     /// The core machines of the operator's list.
     pub(crate) core_list: Vec<usize>,
     /// The seeds that a process is given that starts now.
     pub(crate) seeds: Vec<PeerAddress>,
-    pub(crate) places: Vec<Place>,
-    pub(crate) local: BTreeMap<(u64, u64), (usize, LocalMessage)>,
+    pub(crate) server_slots: Vec<ServerSlot>,
+    pub(crate) local: BTreeMap<(u64, u64), (usize, AgentLinkMessage)>,
     pub(crate) sequence: u64,
     pub(crate) gangs: BTreeMap<(TaskId, u32), bool>,
-    pub(crate) troubles: Troubles,
+    pub(crate) active_faults: ActiveFaults,
     /// How many snapshots were written.
     pub(crate) snapshots_written: usize,
     /// How many snapshots disks were sent, by their first pieces.
     pub(crate) snapshots_sent: usize,
     /// What was seen.
-    pub checks: Checks,
+    pub oracle: Oracle,
     /// Whether the operator knows that a configuration was taken.
     pub(crate) has_configuration: bool,
     /// Whether the last questions are being asked.
@@ -79,7 +79,7 @@
 
 impl World {
     /// The world at the beginning of a day.
-    pub fn new(mut rng: fastrand::Rng, settings: DaySettings) -> World {
+    pub fn new(mut rng: fastrand::Rng, settings: SimulationConfig) -> World {
         let roles = [
             (Role::Core, settings.cores),
             (Role::Frontend, settings.fronts),
@@ -91,34 +91,34 @@
         let machines: Vec<Machine> = roles
             .map(|role| Machine::new(role, draw_clock(&mut rng)))
             .collect();
-        let presence = |(machine, one): (usize, &Machine)| Presence {
+        let endpoint = |(machine, one): (usize, &Machine)| Endpoint {
             running: false,
             powered: true,
             hello: hello(machine, one.role),
         };
-        let presences = machines.iter().enumerate().map(presence).collect();
-        let place = |number| Place {
+        let endpoints = machines.iter().enumerate().map(endpoint).collect();
+        let slot = |number| ServerSlot {
             server: Some(ModelServer::new(facts(number, 0), 0)),
             incarnation: 0,
             back_at: None,
         };
         World {
             now: 0,
-            planted: settings.planted,
-            planting: Planting::default(),
+            injected_bug: settings.injected_bug,
+            bug_state: BugState::default(),
             network: Network::new(0),
             machines,
-            presences,
+            endpoints,
             core_list: (0..settings.cores).collect(),
             seeds: (0..settings.cores.min(SEEDS)).map(address_of).collect(),
-            places: (0..settings.servers).map(place).collect(),
+            server_slots: (0..settings.servers).map(slot).collect(),
             local: BTreeMap::new(),
             sequence: 0,
             gangs: BTreeMap::new(),
-            troubles: Troubles::default(),
+            active_faults: ActiveFaults::default(),
             snapshots_written: 0,
             snapshots_sent: 0,
-            checks: Checks::default(),
+            oracle: Oracle::default(),
             has_configuration: false,
             closing: false,
             settings,
@@ -131,11 +131,10 @@
         self.network = Network::new(self.rng.u64(..));
     }
 
-    pub(crate) fn send_local(&mut self, place: usize, message: LocalMessage) {
+    pub(crate) fn send_to_agent_link(&mut self, slot: usize, message: AgentLinkMessage) {
         self.sequence += 1;
         let arrives = self.now + self.rng.u64(1..4);
-        self.local
-            .insert((arrives, self.sequence), (place, message));
+        self.local.insert((arrives, self.sequence), (slot, message));
     }
 
     /// The core machines of the operator's list.
@@ -147,12 +146,12 @@
         self.settings.fronts()
     }
 
-    pub(crate) fn side_of(&self, place: usize) -> usize {
-        self.settings.sides().start + place
+    pub(crate) fn agent_of(&self, slot: usize) -> usize {
+        self.settings.agents().start + slot
     }
 
     /// Draws other seeds from the operator's list, for processes that start from now on.
-    pub(crate) fn draw_seeds(&mut self) {
+    pub(crate) fn choose_seeds(&mut self) {
         let chosen = self
             .rng
             .choose_multiple(self.core_list.iter().copied(), SEEDS);
@@ -168,7 +167,7 @@
             ..Machine::new(role, clock)
         });
         self.machines[machine].disk_since = self.now;
-        self.presences.push(Presence {
+        self.endpoints.push(Endpoint {
             running: false,
             powered: true,
             hello: hello(machine, role),
@@ -214,22 +213,22 @@
         WALL_BEGIN_MS + self.now
     }
 
-    pub(crate) fn is_calm(&self) -> bool {
-        self.has_configuration && self.troubles.is_calm(self.now)
+    pub(crate) fn is_stable(&self) -> bool {
+        self.has_configuration && self.active_faults.is_stable(self.now)
     }
 
-    pub(crate) fn strictness(&self) -> Strictness {
-        Strictness {
-            calm: self.is_calm(),
+    pub(crate) fn time_bounds(&self) -> TimeBounds {
+        TimeBounds {
+            stable: self.is_stable(),
         }
     }
 
-    pub(crate) fn restart_server(&mut self, place: usize) {
+    pub(crate) fn restart_server(&mut self, slot: usize) {
         let now = self.now;
-        let one = &mut self.places[place];
+        let one = &mut self.server_slots[slot];
         one.incarnation += 1;
         one.back_at = None;
-        one.server = Some(ModelServer::new(facts(place, one.incarnation), now));
+        one.server = Some(ModelServer::new(facts(slot, one.incarnation), now));
     }
 }
 
@@ -251,10 +250,10 @@
     }
 }
 
-fn facts(place: usize, incarnation: u64) -> ServerFacts {
-    let service = service_of_queue(place % QUEUES.len());
+fn facts(slot: usize, incarnation: u64) -> ServerFacts {
+    let service = service_of_queue(slot % QUEUES.len());
     ServerFacts {
-        id: ServerId(format!("s{place}-{incarnation}")),
+        id: ServerId(format!("s{slot}-{incarnation}")),
         service: ServiceName(service.to_owned()),
         version: "v1".to_owned(),
         zone: String::new(),
@@ -264,8 +263,8 @@
             gpu: 8,
         },
         labels: vec![
-            ["a", "b"][place / 2 % 2].to_owned(),
-            format!("r1-{}", place / 3 + 1),
+            ["a", "b"][slot / 2 % 2].to_owned(),
+            format!("r1-{}", slot / 3 + 1),
         ],
     }
 }
