--- a/crates/cluster-simulation/tests/golden.rs
+++ b/crates/cluster-simulation/tests/golden.rs
@@ -1,12 +1,12 @@
-//! What a few short days play, compared with the files in `tests/golden`: the plans that seeds draw, the counts of the days,
+//! What a few short days simulate, compared with the files in `tests/golden`: the plans that seeds draw, the counts of the days,
 //! and the moments at which rules are broken. A change of the simulation that plays another day for a seed is seen here.
 //!
 //! All words are spelled out, so that no file depends on the names of types. `UPDATE_GOLDEN=1` writes the files anew.
 
 use lupinrack_cluster_simulation::{
-    play, play_plan, Acknowledgement, Blow, Conduct, CoreChoice, CoreTrouble, CutDirection,
-    DayKind, DayReport, DaySettings, Entry, OperatorOrder, Plan, PlantedFault, Scene, Strike,
-    Trouble,
+    simulate, simulate_schedule, Acknowledgement, CoreFault, CoreSelector, Crash, CrashOnAck,
+    Fault, FaultProfile, FaultScenario, FaultSchedule, InjectedBug, OperatorAction,
+    PartitionDirection, ScheduledFault, ServerBehavior, SimulationConfig, SimulationReport,
 };
 use std::collections::BTreeSet;
 use std::fs;
@@ -52,178 +52,182 @@
     }
 }
 
-fn short(kind: DayKind) -> DaySettings {
-    DaySettings {
+fn short(kind: FaultProfile) -> SimulationConfig {
+    SimulationConfig {
         kind,
         jobs: SHORT_MS / 1_000,
         traffic_ms: SHORT_MS,
-        ..DaySettings::default()
+        ..SimulationConfig::default()
     }
 }
 
-fn short_five(kind: DayKind) -> DaySettings {
-    DaySettings {
+fn short_five(kind: FaultProfile) -> SimulationConfig {
+    SimulationConfig {
         cores: 5,
         tolerance: 2,
         ..short(kind)
     }
 }
 
-fn direction_word(direction: CutDirection) -> &'static str {
+fn direction_word(direction: PartitionDirection) -> &'static str {
     match direction {
-        CutDirection::Both => "both",
-        CutDirection::Inward => "inward",
-        CutDirection::Outward => "outward",
+        PartitionDirection::Both => "both",
+        PartitionDirection::Inbound => "inward",
+        PartitionDirection::Outbound => "outward",
     }
 }
 
-fn choice_word(choice: CoreChoice) -> String {
-    match choice {
-        CoreChoice::Place(place) => format!("place {place}"),
-        CoreChoice::Oldest => "oldest".to_owned(),
-        CoreChoice::Newest => "newest".to_owned(),
-        CoreChoice::Head => "head".to_owned(),
-        CoreChoice::Spare => "spare".to_owned(),
+fn choice_word(selector: CoreSelector) -> String {
+    match selector {
+        CoreSelector::Index(slot) => format!("place {slot}"),
+        CoreSelector::OldestDisk => "oldest".to_owned(),
+        CoreSelector::NewestDisk => "newest".to_owned(),
+        CoreSelector::Head => "head".to_owned(),
+        CoreSelector::Spare => "spare".to_owned(),
     }
 }
 
-fn core_word(trouble: CoreTrouble) -> String {
-    let word = match trouble {
-        CoreTrouble::Kill => "kill",
-        CoreTrouble::Power => "power",
-        CoreTrouble::Wipe => "wipe",
-        CoreTrouble::Freeze => "freeze",
-        CoreTrouble::Stutter => "stutter",
-        CoreTrouble::Terminate => "terminate",
-        CoreTrouble::Replace => "replace",
-        CoreTrouble::ReplaceInOrder => "replace in order",
-        CoreTrouble::Cut(direction) => return format!("cut {}", direction_word(direction)),
-        CoreTrouble::CutFromAll => "cut from all",
-        CoreTrouble::CutWithCallers(direction) => {
+fn core_word(fault: CoreFault) -> String {
+    let word = match fault {
+        CoreFault::Kill => "kill",
+        CoreFault::PowerLoss => "power",
+        CoreFault::DiskLoss => "wipe",
+        CoreFault::Suspend => "freeze",
+        CoreFault::IntermittentRun => "stutter",
+        CoreFault::Shutdown => "terminate",
+        CoreFault::Replacement => "replace",
+        CoreFault::GracefulReplacement => "replace in order",
+        CoreFault::Partition(direction) => return format!("cut {}", direction_word(direction)),
+        CoreFault::Isolation => "cut from all",
+        CoreFault::PartitionWithCallers(direction) => {
             return format!("cut with callers {}", direction_word(direction));
         }
-        CoreTrouble::CutMinorityWithCallers(direction) => {
+        CoreFault::MinorityPartitionWithCallers(direction) => {
             return format!("cut minority with callers {}", direction_word(direction));
         }
-        CoreTrouble::LinksSlow => "links slow",
-        CoreTrouble::DiskSlow => "disk slow",
-        CoreTrouble::DiskStall => "disk stall",
-        CoreTrouble::DiskFull => "disk full",
-        CoreTrouble::DiskRefuse => "disk refuse",
+        CoreFault::SlowLinks => "links slow",
+        CoreFault::SlowDisk => "disk slow",
+        CoreFault::StalledDisk => "disk stall",
+        CoreFault::FullDisk => "disk full",
+        CoreFault::FailingDisk => "disk refuse",
     };
     word.to_owned()
 }
 
-fn strike_word(strike: Strike) -> String {
-    let after = match strike.after {
+fn strike_word(crash_on_ack: CrashOnAck) -> String {
+    let after = match crash_on_ack.after {
         Acknowledgement::Job => "job",
         Acknowledgement::Configuration => "configuration",
     };
-    let blow = match strike.blow {
-        Blow::AllPower => "all power".to_owned(),
-        Blow::Wipe(choice) => format!("wipe {}", choice_word(choice)),
-        Blow::WipeAndAllPower(choice) => format!("wipe and all power {}", choice_word(choice)),
+    let crash = match crash_on_ack.crash {
+        Crash::PowerLossOfAll => "all power".to_owned(),
+        Crash::DiskLoss(selector) => format!("wipe {}", choice_word(selector)),
+        Crash::DiskLossAndPowerLossOfAll(selector) => {
+            format!("wipe and all power {}", choice_word(selector))
+        }
     };
-    format!("strike after {after}: {blow}")
+    format!("strike after {after}: {crash}")
 }
 
-fn order_word(order: OperatorOrder) -> &'static str {
+fn order_word(order: OperatorAction) -> &'static str {
     match order {
-        OperatorOrder::Change => "change",
-        OperatorOrder::LargeChange => "large change",
-        OperatorOrder::Race => "race",
-        OperatorOrder::Crowd => "crowd",
-        OperatorOrder::BadChange => "bad change",
-        OperatorOrder::Resend => "resend",
+        OperatorAction::Change => "change",
+        OperatorAction::LargeChange => "large change",
+        OperatorAction::ConcurrentPair => "race",
+        OperatorAction::ConcurrentBurst => "crowd",
+        OperatorAction::InvalidChange => "bad change",
+        OperatorAction::Resend => "resend",
     }
 }
 
-fn conduct_word(conduct: Conduct) -> &'static str {
-    match conduct {
-        Conduct::Sound => "sound",
-        Conduct::Failing => "failing",
-        Conduct::Slow => "slow",
-        Conduct::Still => "still",
+fn conduct_word(behavior: ServerBehavior) -> &'static str {
+    match behavior {
+        ServerBehavior::Healthy => "sound",
+        ServerBehavior::Failing => "failing",
+        ServerBehavior::Slow => "slow",
+        ServerBehavior::Stalled => "still",
     }
 }
 
-fn trouble_word(trouble: Trouble) -> String {
-    match trouble {
-        Trouble::Core(kind, choice) => format!("core {}: {}", choice_word(choice), core_word(kind)),
-        Trouble::Strike(strike) => strike_word(strike),
-        Trouble::AllKilled => "all killed".to_owned(),
-        Trouble::AllCoresPower => "all cores power".to_owned(),
-        Trouble::FrontCut(front) => format!("front {front}: cut"),
-        Trouble::FrontKill(front) => format!("front {front}: kill"),
-        Trouble::FrontFreeze(front) => format!("front {front}: freeze"),
-        Trouble::FrontTerminate(front) => format!("front {front}: terminate"),
-        Trouble::FrontRemove(front) => format!("front {front}: remove"),
-        Trouble::SideKill(side) => format!("agent {side}: kill"),
-        Trouble::SideFreeze(side) => format!("agent {side}: freeze"),
-        Trouble::SideTerminate(side) => format!("agent {side}: terminate"),
-        Trouble::SideCut(side, false) => format!("agent {side}: cut both"),
-        Trouble::SideCut(side, true) => format!("agent {side}: cut outward"),
-        Trouble::SideSlow(side) => format!("agent {side}: links slow"),
-        Trouble::Reset(machine) => format!("machine {machine}: reset"),
-        Trouble::ClockStep(machine, by) => format!("machine {machine}: clock step {by}"),
-        Trouble::NewSeeds => "new seeds".to_owned(),
-        Trouble::ServerCrash(place) => format!("server {place}: crash"),
-        Trouble::ServerConduct(place, conduct) => {
-            format!("server {place}: {}", conduct_word(conduct))
+fn trouble_word(fault: Fault) -> String {
+    match fault {
+        Fault::Core(kind, selector) => {
+            format!("core {}: {}", choice_word(selector), core_word(kind))
+        }
+        Fault::CrashOnAck(crash_on_ack) => strike_word(crash_on_ack),
+        Fault::KillAll => "all killed".to_owned(),
+        Fault::PowerLossOfAllCores => "all cores power".to_owned(),
+        Fault::FrontPartition(front) => format!("front {front}: cut"),
+        Fault::FrontKill(front) => format!("front {front}: kill"),
+        Fault::FrontSuspend(front) => format!("front {front}: freeze"),
+        Fault::FrontShutdown(front) => format!("front {front}: terminate"),
+        Fault::FrontRemoval(front) => format!("front {front}: remove"),
+        Fault::AgentKill(side) => format!("agent {side}: kill"),
+        Fault::AgentSuspend(side) => format!("agent {side}: freeze"),
+        Fault::AgentShutdown(side) => format!("agent {side}: terminate"),
+        Fault::AgentPartition(side, false) => format!("agent {side}: cut both"),
+        Fault::AgentPartition(side, true) => format!("agent {side}: cut outward"),
+        Fault::AgentSlowLinks(side) => format!("agent {side}: links slow"),
+        Fault::ConnectionReset(machine) => format!("machine {machine}: reset"),
+        Fault::ClockStep(machine, by) => format!("machine {machine}: clock step {by}"),
+        Fault::SeedChange => "new seeds".to_owned(),
+        Fault::ServerCrash(slot) => format!("server {slot}: crash"),
+        Fault::ServerBehaviorChange(slot, behavior) => {
+            format!("server {slot}: {}", conduct_word(behavior))
         }
-        Trouble::ServerLeaves(place) => format!("server {place}: leaves"),
-        Trouble::Operator(order) => format!("operator: {}", order_word(order)),
-        Trouble::AcknowledgementsLost => "acknowledgements lost".to_owned(),
+        Fault::ServerShutdown(slot) => format!("server {slot}: leaves"),
+        Fault::Operator(order) => format!("operator: {}", order_word(order)),
+        Fault::AcknowledgementLoss => "acknowledgements lost".to_owned(),
     }
 }
 
-fn planted_word(planted: PlantedFault) -> &'static str {
-    match planted {
-        PlantedFault::SyncLeftOut => "sync left out",
-        PlantedFault::LeaseTooLong => "hold too long",
-        PlantedFault::RefusedInDoubt => "refused in doubt",
-        PlantedFault::ObservedTooSoon => "observed too soon",
-        PlantedFault::VoteOfEmptyDisk => "vote of empty disk",
-        PlantedFault::TokenNotRaised => "token not raised",
-        PlantedFault::BarrierWithoutContact => "barrier without contact",
-        PlantedFault::VotersRemovedAlone => "voters removed alone",
-        PlantedFault::TakenChangesNotInSnapshot => "taken changes not in snapshot",
-        PlantedFault::SnapshotTakenForNewer => "snapshot taken for newer",
-        PlantedFault::AnswerMatchedByNumber => "answer matched by number",
+fn planted_word(injected_bug: InjectedBug) -> &'static str {
+    match injected_bug {
+        InjectedBug::MissingSync => "sync left out",
+        InjectedBug::LeaseTooLong => "hold too long",
+        InjectedBug::RejectedInDoubt => "refused in doubt",
+        InjectedBug::ObservedTooEarly => "observed too soon",
+        InjectedBug::VoteOfEmptyDisk => "vote of empty disk",
+        InjectedBug::TokenNotIncremented => "token not raised",
+        InjectedBug::BarrierWithoutQuorum => "barrier without contact",
+        InjectedBug::VotersRemovedByMinority => "voters removed alone",
+        InjectedBug::AcceptedChangesNotInSnapshot => "taken changes not in snapshot",
+        InjectedBug::StaleSnapshot => "snapshot taken for newer",
+        InjectedBug::ReplyMatchedByNumber => "answer matched by number",
     }
 }
 
-fn scene_word(scene: Scene) -> &'static str {
-    match scene {
-        Scene::ReplacedAgainAndAgain => "replaced again and again",
-        Scene::ReplacedInOrder => "replaced in order",
-        Scene::ReplacedThenWiped => "replaced then wiped",
-        Scene::WipedWhileCatchingUp => "wiped while catching up",
-        Scene::WipedThenAnother => "wiped then another",
-        Scene::CutWithCallers => "cut with callers",
-        Scene::AllAtOnce => "all at once",
-        Scene::LossesAtOnce => "losses at once",
-        Scene::SlowOrSick => "slow or sick",
-        Scene::EndedInTurn => "ended in turn",
+fn scene_word(scenario: FaultScenario) -> &'static str {
+    match scenario {
+        FaultScenario::RepeatedReplacement => "replaced again and again",
+        FaultScenario::GracefulReplacement => "replaced in order",
+        FaultScenario::ReplacementThenDiskLoss => "replaced then wiped",
+        FaultScenario::DiskLossDuringCatchUp => "wiped while catching up",
+        FaultScenario::ConsecutiveDiskLosses => "wiped then another",
+        FaultScenario::PartitionWithCallers => "cut with callers",
+        FaultScenario::SimultaneousCrash => "all at once",
+        FaultScenario::SimultaneousLosses => "losses at once",
+        FaultScenario::DegradedMachine => "slow or sick",
+        FaultScenario::RollingRestart => "ended in turn",
     }
 }
 
-fn kind_word(kind: DayKind) -> &'static str {
+fn kind_word(kind: FaultProfile) -> &'static str {
     match kind {
-        DayKind::Quiet => "quiet",
-        DayKind::Usual => "usual",
-        DayKind::Worst => "worst",
-        DayKind::WorstOf(scene) => scene_word(scene),
+        FaultProfile::Quiet => "quiet",
+        FaultProfile::Mixed => "usual",
+        FaultProfile::Severe => "worst",
+        FaultProfile::Only(scenario) => scene_word(scenario),
     }
 }
 
-fn plan_text(plan: &Plan) -> String {
-    let line = |entry: &Entry| {
+fn plan_text(plan: &FaultSchedule) -> String {
+    let line = |entry: &ScheduledFault| {
         format!(
             "{} +{} {}\n",
             entry.at,
-            entry.for_ms,
-            trouble_word(entry.trouble)
+            entry.duration_ms,
+            trouble_word(entry.fault)
         )
     };
     plan.entries().map(line).collect()
@@ -249,9 +253,9 @@
     format!("  {moment} {rule}{numbers}\n")
 }
 
-fn report_text(name: &str, report: &DayReport) -> String {
-    let DayReport {
-        broken,
+fn report_text(name: &str, report: &SimulationReport) -> String {
+    let SimulationReport {
+        violations,
         accepted,
         tasks_started,
         tasks_done,
@@ -260,113 +264,127 @@
         snapshots_written,
         snapshots_sent,
     } = report;
-    let broken: String = broken.iter().map(|line| moment_and_rule(line)).collect();
+    let violations: String = violations
+        .iter()
+        .map(|line| moment_and_rule(line))
+        .collect();
     format!(
         "{name}: {accepted} accepted, {tasks_started} tasks started, {tasks_done} tasks done, {changes} changes, \
-         {views} views, {snapshots_written} snapshots written, {snapshots_sent} snapshots sent\n{broken}"
+         {views} views, {snapshots_written} snapshots written, {snapshots_sent} snapshots sent\n{violations}"
     )
 }
 
-/// Each kind of trouble, of choice, of blow, of order and of conduct at least once.
-fn plan_by_hand() -> Plan {
-    let core = |kind, choice| Trouble::Core(kind, choice);
-    let strike = |after, blow| Trouble::Strike(Strike { after, blow });
-    let settings = DaySettings::default();
-    let (front, side) = (settings.fronts().start, settings.sides().start);
-    let troubles = [
-        core(CoreTrouble::Kill, CoreChoice::Place(0)),
-        Trouble::Operator(OperatorOrder::Change),
-        core(CoreTrouble::Power, CoreChoice::Head),
-        Trouble::FrontKill(front),
-        core(CoreTrouble::Wipe, CoreChoice::Oldest),
-        Trouble::SideKill(side),
-        core(CoreTrouble::Freeze, CoreChoice::Newest),
-        Trouble::ServerCrash(0),
-        core(CoreTrouble::Stutter, CoreChoice::Place(1)),
-        Trouble::Operator(OperatorOrder::LargeChange),
-        core(CoreTrouble::Terminate, CoreChoice::Place(2)),
-        Trouble::Operator(OperatorOrder::Race),
-        core(CoreTrouble::Replace, CoreChoice::Oldest),
-        Trouble::NewSeeds,
-        core(CoreTrouble::ReplaceInOrder, CoreChoice::Spare),
-        Trouble::Operator(OperatorOrder::Crowd),
-        core(CoreTrouble::Cut(CutDirection::Both), CoreChoice::Head),
-        Trouble::ServerConduct(1, Conduct::Failing),
-        core(CoreTrouble::Cut(CutDirection::Inward), CoreChoice::Place(0)),
-        Trouble::ServerConduct(2, Conduct::Slow),
-        core(CoreTrouble::CutFromAll, CoreChoice::Place(1)),
-        Trouble::ServerConduct(3, Conduct::Still),
+/// Each kind of trouble, of selector, of blow, of order and of conduct at least once.
+fn plan_by_hand() -> FaultSchedule {
+    let core = |kind, selector| Fault::Core(kind, selector);
+    let crash_on_ack = |after, crash| Fault::CrashOnAck(CrashOnAck { after, crash });
+    let settings = SimulationConfig::default();
+    let (front, side) = (settings.fronts().start, settings.agents().start);
+    let active_faults = [
+        core(CoreFault::Kill, CoreSelector::Index(0)),
+        Fault::Operator(OperatorAction::Change),
+        core(CoreFault::PowerLoss, CoreSelector::Head),
+        Fault::FrontKill(front),
+        core(CoreFault::DiskLoss, CoreSelector::OldestDisk),
+        Fault::AgentKill(side),
+        core(CoreFault::Suspend, CoreSelector::NewestDisk),
+        Fault::ServerCrash(0),
+        core(CoreFault::IntermittentRun, CoreSelector::Index(1)),
+        Fault::Operator(OperatorAction::LargeChange),
+        core(CoreFault::Shutdown, CoreSelector::Index(2)),
+        Fault::Operator(OperatorAction::ConcurrentPair),
+        core(CoreFault::Replacement, CoreSelector::OldestDisk),
+        Fault::SeedChange,
+        core(CoreFault::GracefulReplacement, CoreSelector::Spare),
+        Fault::Operator(OperatorAction::ConcurrentBurst),
+        core(
+            CoreFault::Partition(PartitionDirection::Both),
+            CoreSelector::Head,
+        ),
+        Fault::ServerBehaviorChange(1, ServerBehavior::Failing),
         core(
-            CoreTrouble::CutWithCallers(CutDirection::Outward),
-            CoreChoice::Place(2),
+            CoreFault::Partition(PartitionDirection::Inbound),
+            CoreSelector::Index(0),
         ),
-        Trouble::ServerConduct(1, Conduct::Sound),
+        Fault::ServerBehaviorChange(2, ServerBehavior::Slow),
+        core(CoreFault::Isolation, CoreSelector::Index(1)),
+        Fault::ServerBehaviorChange(3, ServerBehavior::Stalled),
         core(
-            CoreTrouble::CutMinorityWithCallers(CutDirection::Both),
-            CoreChoice::Head,
+            CoreFault::PartitionWithCallers(PartitionDirection::Outbound),
+            CoreSelector::Index(2),
         ),
-        Trouble::Operator(OperatorOrder::BadChange),
-        core(CoreTrouble::LinksSlow, CoreChoice::Head),
-        Trouble::AcknowledgementsLost,
-        core(CoreTrouble::DiskSlow, CoreChoice::Place(0)),
-        Trouble::Operator(OperatorOrder::Resend),
-        core(CoreTrouble::DiskStall, CoreChoice::Place(1)),
-        Trouble::ServerLeaves(4),
-        core(CoreTrouble::DiskFull, CoreChoice::Place(2)),
-        Trouble::FrontCut(front),
-        core(CoreTrouble::DiskRefuse, CoreChoice::Head),
-        Trouble::FrontFreeze(front + 1),
-        strike(Acknowledgement::Job, Blow::AllPower),
-        Trouble::FrontTerminate(front),
-        strike(
+        Fault::ServerBehaviorChange(1, ServerBehavior::Healthy),
+        core(
+            CoreFault::MinorityPartitionWithCallers(PartitionDirection::Both),
+            CoreSelector::Head,
+        ),
+        Fault::Operator(OperatorAction::InvalidChange),
+        core(CoreFault::SlowLinks, CoreSelector::Head),
+        Fault::AcknowledgementLoss,
+        core(CoreFault::SlowDisk, CoreSelector::Index(0)),
+        Fault::Operator(OperatorAction::Resend),
+        core(CoreFault::StalledDisk, CoreSelector::Index(1)),
+        Fault::ServerShutdown(4),
+        core(CoreFault::FullDisk, CoreSelector::Index(2)),
+        Fault::FrontPartition(front),
+        core(CoreFault::FailingDisk, CoreSelector::Head),
+        Fault::FrontSuspend(front + 1),
+        crash_on_ack(Acknowledgement::Job, Crash::PowerLossOfAll),
+        Fault::FrontShutdown(front),
+        crash_on_ack(
             Acknowledgement::Configuration,
-            Blow::Wipe(CoreChoice::Oldest),
+            Crash::DiskLoss(CoreSelector::OldestDisk),
         ),
-        Trouble::Operator(OperatorOrder::Change),
-        strike(
+        Fault::Operator(OperatorAction::Change),
+        crash_on_ack(
             Acknowledgement::Job,
-            Blow::WipeAndAllPower(CoreChoice::Head),
+            Crash::DiskLossAndPowerLossOfAll(CoreSelector::Head),
         ),
-        Trouble::SideFreeze(side + 1),
-        Trouble::AllKilled,
-        Trouble::SideTerminate(side + 2),
-        Trouble::AllCoresPower,
-        Trouble::SideCut(side + 3, false),
-        Trouble::SideCut(side + 4, true),
-        Trouble::SideSlow(side + 5),
-        Trouble::Reset(0),
-        Trouble::ClockStep(1, -1_500),
-        Trouble::FrontRemove(front + 1),
+        Fault::AgentSuspend(side + 1),
+        Fault::KillAll,
+        Fault::AgentShutdown(side + 2),
+        Fault::PowerLossOfAllCores,
+        Fault::AgentPartition(side + 3, false),
+        Fault::AgentPartition(side + 4, true),
+        Fault::AgentSlowLinks(side + 5),
+        Fault::ConnectionReset(0),
+        Fault::ClockStep(1, -1_500),
+        Fault::FrontRemoval(front + 1),
     ];
-    let entry = |(number, trouble): (u64, Trouble)| Entry {
+    let entry = |(number, fault): (u64, Fault)| ScheduledFault {
         at: 3_000 + 600 * number,
-        for_ms: 900 + 10 * number,
-        trouble,
+        duration_ms: 900 + 10 * number,
+        fault,
     };
-    Plan::of((0..).zip(troubles).map(entry).collect())
+    FaultSchedule::of((0..).zip(active_faults).map(entry).collect())
 }
 
-fn day_by_hand(seed: u64, planted: Option<PlantedFault>) -> DayReport {
-    let settings = DaySettings {
-        planted,
+fn day_by_hand(seed: u64, injected_bug: Option<InjectedBug>) -> SimulationReport {
+    let settings = SimulationConfig {
+        injected_bug,
         jobs: 30,
-        ..DaySettings::default()
+        ..SimulationConfig::default()
     };
-    play_plan(seed, settings, plan_by_hand())
+    simulate_schedule(seed, settings, plan_by_hand())
 }
 
 #[test]
-fn the_plans_of_seeds_stay_the_same() {
+fn the_fault_schedules_of_seeds_stay_the_same() {
     let mut text = String::new();
-    let three = [DayKind::Quiet, DayKind::Usual, DayKind::Worst].map(short);
-    let scenes = Scene::ALL.map(|scene| short_five(DayKind::WorstOf(scene)));
+    let three = [
+        FaultProfile::Quiet,
+        FaultProfile::Mixed,
+        FaultProfile::Severe,
+    ]
+    .map(short);
+    let scenes = FaultScenario::ALL.map(|scenario| short_five(FaultProfile::Only(scenario)));
     for settings in three
         .into_iter()
-        .chain([short_five(DayKind::Usual)])
+        .chain([short_five(FaultProfile::Mixed)])
         .chain(scenes)
     {
         for seed in 1..=2 {
-            let plan = Plan::draw(&mut fastrand::Rng::with_seed(seed), &settings);
+            let plan = FaultSchedule::draw(&mut fastrand::Rng::with_seed(seed), &settings);
             let (kind, cores) = (kind_word(settings.kind), settings.cores);
             text += &format!("{kind}, {cores} cores, seed {seed}\n{}\n", plan_text(&plan));
         }
@@ -375,31 +393,31 @@
 }
 
 #[test]
-fn a_plan_by_hand_stays_the_same() {
+fn a_fault_schedule_by_hand_stays_the_same() {
     assert_golden("plan-by-hand.txt", &plan_text(&plan_by_hand()));
 }
 
 #[test]
-fn days_stay_the_same() {
+fn runs_stay_the_same() {
     let mut text = String::new();
-    let mut play_days = |seeds: std::ops::RangeInclusive<u64>, settings: DaySettings| {
+    let mut play_days = |seeds: std::ops::RangeInclusive<u64>, settings: SimulationConfig| {
         for seed in seeds {
             let name = format!(
                 "{}, {} cores, seed {seed}",
                 kind_word(settings.kind),
                 settings.cores
             );
-            text += &report_text(&name, &play(seed, settings));
+            text += &report_text(&name, &simulate(seed, settings));
         }
     };
-    play_days(1..=1, short(DayKind::Quiet));
-    play_days(1..=12, short(DayKind::Usual));
-    play_days(1..=4, short_five(DayKind::Usual));
-    play_days(1..=8, short(DayKind::Worst));
-    play_days(1..=2, short_five(DayKind::Worst));
-    Scene::ALL
+    play_days(1..=1, short(FaultProfile::Quiet));
+    play_days(1..=12, short(FaultProfile::Mixed));
+    play_days(1..=4, short_five(FaultProfile::Mixed));
+    play_days(1..=8, short(FaultProfile::Severe));
+    play_days(1..=2, short_five(FaultProfile::Severe));
+    FaultScenario::ALL
         .into_iter()
-        .for_each(|scene| play_days(1..=1, short(DayKind::WorstOf(scene))));
+        .for_each(|scenario| play_days(1..=1, short(FaultProfile::Only(scenario))));
     for seed in 1..=2 {
         text += &report_text(
             &format!("by hand, 3 cores, seed {seed}"),
@@ -410,19 +428,24 @@
 }
 
 #[test]
-fn usual_days_with_planted_faults_stay_the_same() {
-    let day = |planted| {
-        let settings = DaySettings {
-            planted: Some(planted),
-            ..short(DayKind::Usual)
+fn mixed_fault_runs_with_injected_bugs_stay_the_same() {
+    let day = |injected_bug| {
+        let settings = SimulationConfig {
+            injected_bug: Some(injected_bug),
+            ..short(FaultProfile::Mixed)
         };
-        report_text(planted_word(planted), &play(4, settings))
+        report_text(planted_word(injected_bug), &simulate(4, settings))
     };
-    assert_golden("planted-usual.txt", &PlantedFault::ALL.map(day).concat());
+    assert_golden("planted-usual.txt", &InjectedBug::ALL.map(day).concat());
 }
 
 #[test]
-fn a_day_by_hand_with_planted_faults_stays_the_same() {
-    let day = |planted| report_text(planted_word(planted), &day_by_hand(1, Some(planted)));
-    assert_golden("planted-by-hand.txt", &PlantedFault::ALL.map(day).concat());
+fn a_run_by_hand_with_injected_bugs_stays_the_same() {
+    let day = |injected_bug| {
+        report_text(
+            planted_word(injected_bug),
+            &day_by_hand(1, Some(injected_bug)),
+        )
+    };
+    assert_golden("planted-by-hand.txt", &InjectedBug::ALL.map(day).concat());
 }
--- a/crates/cluster-simulation/tests/injected_control_bugs.rs
+++ b/crates/cluster-simulation/tests/injected_control_bugs.rs
@@ -2,64 +2,71 @@
 //! no rule without it.
 
 use lupinrack_cluster_simulation::{
-    play, play_plan, CoreChoice, CoreTrouble, CutDirection, DayKind, DayReport, DaySettings, Entry,
-    OperatorOrder, Plan, PlantedFault, Scene, Trouble,
+    simulate, simulate_schedule, CoreFault, CoreSelector, Fault, FaultProfile, FaultScenario,
+    FaultSchedule, InjectedBug, OperatorAction, PartitionDirection, ScheduledFault,
+    SimulationConfig, SimulationReport,
 };
 
 /// Whether a line of the reports begins, after its moment, with one of the rules.
-fn breaks(reports: &[DayReport], rules: &[&str]) -> bool {
-    let mut lines = reports.iter().flat_map(|report| &report.broken);
+fn breaks(reports: &[SimulationReport], rules: &[&str]) -> bool {
+    let mut lines = reports.iter().flat_map(|report| &report.violations);
     lines.any(|line| rules.iter().any(|rule| line.contains(rule)))
 }
 
-fn assert_sound(reports: &[DayReport]) {
-    let broken: Vec<&String> = reports.iter().flat_map(|report| &report.broken).collect();
-    assert!(broken.is_empty(), "without the fault: {broken:#?}");
+fn assert_sound(reports: &[SimulationReport]) {
+    let violations: Vec<&String> = reports
+        .iter()
+        .flat_map(|report| &report.violations)
+        .collect();
+    assert!(violations.is_empty(), "without the fault: {violations:#?}");
 }
 
 /// Plays days without the fault, which have to be sound, and with it, where one of the rules has to be broken.
 fn assert_caught(
-    planted: PlantedFault,
+    injected_bug: InjectedBug,
     rules: &[&str],
-    play: impl Fn(Option<PlantedFault>) -> Vec<DayReport>,
+    simulate_all: impl Fn(Option<InjectedBug>) -> Vec<SimulationReport>,
 ) {
-    assert_sound(&play(None));
-    let reports = play(Some(planted));
+    assert_sound(&simulate_all(None));
+    let reports = simulate_all(Some(injected_bug));
     assert!(
         breaks(&reports, rules),
-        "{planted:?} is not caught: {reports:#?}"
+        "{injected_bug:?} is not caught: {reports:#?}"
     );
 }
 
-fn scene(
-    scene: Scene,
+fn scenario(
+    scenario: FaultScenario,
     seeds: &[u64],
     traffic_ms: u64,
-    planted: Option<PlantedFault>,
-) -> Vec<DayReport> {
-    let settings = DaySettings {
-        kind: DayKind::WorstOf(scene),
+    injected_bug: Option<InjectedBug>,
+) -> Vec<SimulationReport> {
+    let settings = SimulationConfig {
+        kind: FaultProfile::Only(scenario),
         traffic_ms,
         jobs: traffic_ms / 1_000,
-        planted,
-        ..DaySettings::default()
+        injected_bug,
+        ..SimulationConfig::default()
     };
-    seeds.iter().map(|seed| play(*seed, settings)).collect()
+    seeds.iter().map(|seed| simulate(*seed, settings)).collect()
 }
 
-fn core(at: u64, for_ms: u64, kind: CoreTrouble, choice: CoreChoice) -> Entry {
-    Entry {
+fn core(at: u64, duration_ms: u64, kind: CoreFault, selector: CoreSelector) -> ScheduledFault {
+    ScheduledFault {
         at,
-        for_ms,
-        trouble: Trouble::Core(kind, choice),
+        duration_ms,
+        fault: Fault::Core(kind, selector),
     }
 }
 
-fn orders(order: OperatorOrder, moments: impl Iterator<Item = u64>) -> impl Iterator<Item = Entry> {
-    moments.map(move |at| Entry {
+fn orders(
+    order: OperatorAction,
+    moments: impl Iterator<Item = u64>,
+) -> impl Iterator<Item = ScheduledFault> {
+    moments.map(move |at| ScheduledFault {
         at,
-        for_ms: 0,
-        trouble: Trouble::Operator(order),
+        duration_ms: 0,
+        fault: Fault::Operator(order),
     })
 }
 
@@ -67,8 +74,13 @@
 #[test]
 fn an_old_configuration_served_without_contact_is_caught() {
     let rules = ["CONFIG: version", "HISTORY"];
-    assert_caught(PlantedFault::BarrierWithoutContact, &rules, |planted| {
-        scene(Scene::CutWithCallers, &[1, 2, 3, 4], 60_000, planted)
+    assert_caught(InjectedBug::BarrierWithoutQuorum, &rules, |injected_bug| {
+        scenario(
+            FaultScenario::PartitionWithCallers,
+            &[1, 2, 3, 4],
+            60_000,
+            injected_bug,
+        )
     });
 }
 
@@ -76,23 +88,32 @@
 #[test]
 fn taken_changes_lost_over_a_snapshot_are_caught() {
     let rules = ["acknowledged, is refused", "HISTORY"];
-    assert_caught(PlantedFault::TakenChangesNotInSnapshot, &rules, |planted| {
-        scene(Scene::AllAtOnce, &[1, 2, 3, 4], 60_000, planted)
-    });
+    assert_caught(
+        InjectedBug::AcceptedChangesNotInSnapshot,
+        &rules,
+        |injected_bug| {
+            scenario(
+                FaultScenario::SimultaneousCrash,
+                &[1, 2, 3, 4],
+                60_000,
+                injected_bug,
+            )
+        },
+    );
 }
 
 /// The head is cut off with another machine, twice, while the operator goes on on both sides.
-fn minority_cut_off() -> Plan {
-    let cut = CoreTrouble::CutMinorityWithCallers(CutDirection::Both);
+fn minority_cut_off() -> FaultSchedule {
+    let partition = CoreFault::MinorityPartitionWithCallers(PartitionDirection::Both);
     let mut entries = vec![
-        core(8_000, 9_000, cut, CoreChoice::Head),
-        core(24_000, 9_000, cut, CoreChoice::Head),
+        core(8_000, 9_000, partition, CoreSelector::Head),
+        core(24_000, 9_000, partition, CoreSelector::Head),
     ];
     entries.extend(orders(
-        OperatorOrder::Change,
+        OperatorAction::Change,
         (5..36).map(|second| 1_000 * second),
     ));
-    Plan::of(entries)
+    FaultSchedule::of(entries)
 }
 
 /// Point 3.
@@ -104,44 +125,53 @@
         "HISTORY",
         "LOST: accepted job",
     ];
-    assert_caught(PlantedFault::VotersRemovedAlone, &rules, |planted| {
-        let settings = DaySettings {
-            cores: 5,
-            tolerance: 1,
-            planted,
-            ..DaySettings::default()
-        };
-        (1..=3)
-            .map(|seed| play_plan(seed, settings, minority_cut_off()))
-            .collect()
-    });
+    assert_caught(
+        InjectedBug::VotersRemovedByMinority,
+        &rules,
+        |injected_bug| {
+            let settings = SimulationConfig {
+                cores: 5,
+                tolerance: 1,
+                injected_bug,
+                ..SimulationConfig::default()
+            };
+            (1..=3)
+                .map(|seed| simulate_schedule(seed, settings, minority_cut_off()))
+                .collect()
+        },
+    );
 }
 
 /// Point 4.
 #[test]
 fn a_snapshot_taken_for_newer_than_it_is_is_caught() {
     let rules = ["CONFIG: version", "LOST: accepted job", "TWICE"];
-    assert_caught(PlantedFault::SnapshotTakenForNewer, &rules, |planted| {
-        scene(Scene::AllAtOnce, &[1, 2, 3, 4], 60_000, planted)
+    assert_caught(InjectedBug::StaleSnapshot, &rules, |injected_bug| {
+        scenario(
+            FaultScenario::SimultaneousCrash,
+            &[1, 2, 3, 4],
+            60_000,
+            injected_bug,
+        )
     });
 }
 
 /// Fronts are killed and come back at once, again and again, while slow links of the head make answers late.
-fn fronts_come_back_at_once() -> Plan {
-    let settings = DaySettings::default();
-    let kill = |number: usize| Entry {
+fn fronts_come_back_at_once() -> FaultSchedule {
+    let settings = SimulationConfig::default();
+    let kill = |number: usize| ScheduledFault {
         at: 6_000 + 800 * number as u64,
-        for_ms: 30,
-        trouble: Trouble::FrontKill(settings.cores + number % settings.fronts),
+        duration_ms: 30,
+        fault: Fault::FrontKill(settings.cores + number % settings.fronts),
     };
-    let mut entries: Vec<Entry> = (0..38).map(kill).collect();
+    let mut entries: Vec<ScheduledFault> = (0..38).map(kill).collect();
     entries.push(core(
         5_000,
         32_000,
-        CoreTrouble::LinksSlow,
-        CoreChoice::Head,
+        CoreFault::SlowLinks,
+        CoreSelector::Head,
     ));
-    Plan::of(entries)
+    FaultSchedule::of(entries)
 }
 
 /// Point 5.
@@ -153,14 +183,14 @@
         "is not known",
         "CONFIG: submission",
     ];
-    assert_caught(PlantedFault::AnswerMatchedByNumber, &rules, |planted| {
-        let settings = DaySettings {
+    assert_caught(InjectedBug::ReplyMatchedByNumber, &rules, |injected_bug| {
+        let settings = SimulationConfig {
             finish_ms: 60_000,
-            planted,
-            ..DaySettings::default()
+            injected_bug,
+            ..SimulationConfig::default()
         };
         (1..=4)
-            .map(|seed| play_plan(seed, settings, fronts_come_back_at_once()))
+            .map(|seed| simulate_schedule(seed, settings, fronts_come_back_at_once()))
             .collect()
     });
 }
--- a/crates/cluster-simulation/tests/mixed_faults.rs
+++ b/crates/cluster-simulation/tests/mixed_faults.rs
@@ -1,21 +1,24 @@
 //! Days of a few seeds; more are played by hand with `cargo run --release --example hunt`.
 
-use lupinrack_cluster_simulation::{play, play_plan, DayReport, DaySettings, Entry, Plan, Trouble};
+use lupinrack_cluster_simulation::{
+    simulate, simulate_schedule, Fault, FaultSchedule, ScheduledFault, SimulationConfig,
+    SimulationReport,
+};
 
-fn check(seeds: impl Iterator<Item = u64>, settings: DaySettings) {
+fn check(seeds: impl Iterator<Item = u64>, settings: SimulationConfig) {
     for seed in seeds {
-        let report = play(seed, settings);
+        let report = simulate(seed, settings);
         assert!(
-            report.broken.is_empty(),
+            report.violations.is_empty(),
             "seed {seed}: {:#?}",
-            report.broken
+            report.violations
         );
         assert_work_was_done(seed, &report);
     }
 }
 
 /// A day on which nothing happens breaks no rule either.
-fn assert_work_was_done(seed: u64, report: &DayReport) {
+fn assert_work_was_done(seed: u64, report: &SimulationReport) {
     assert!(
         report.accepted >= 30,
         "seed {seed}: {} jobs accepted",
@@ -30,41 +33,41 @@
 
 #[test]
 fn days_of_three_core_machines_break_no_rule() {
-    check(1..=24, DaySettings::default());
+    check(1..=24, SimulationConfig::default());
 }
 
 #[test]
 fn days_of_five_core_machines_break_no_rule() {
     check(
         1..=8,
-        DaySettings {
+        SimulationConfig {
             cores: 5,
             tolerance: 2,
-            ..DaySettings::default()
+            ..SimulationConfig::default()
         },
     );
 }
 
 /// Agents stand still for longer than a hold lasts, again and again: what lapsed meanwhile must not come back.
-fn agents_stand_still() -> Plan {
-    let settings = DaySettings::default();
+fn agents_stand_still() -> FaultSchedule {
+    let settings = SimulationConfig::default();
     let first = settings.cores + settings.fronts;
-    let freeze = |number: usize| Entry {
+    let freeze = |number: usize| ScheduledFault {
         at: 5_000 + 900 * number as u64,
-        for_ms: 3_800,
-        trouble: Trouble::SideFreeze(first + number % settings.servers),
+        duration_ms: 3_800,
+        fault: Fault::AgentSuspend(first + number % settings.servers),
     };
-    Plan::of((0..36).map(freeze).collect())
+    FaultSchedule::of((0..36).map(freeze).collect())
 }
 
 #[test]
 fn a_lapsed_start_does_not_come_back() {
     for seed in 1..=6 {
-        let report = play_plan(seed, DaySettings::default(), agents_stand_still());
+        let report = simulate_schedule(seed, SimulationConfig::default(), agents_stand_still());
         assert!(
-            report.broken.is_empty(),
+            report.violations.is_empty(),
             "seed {seed}: {:#?}",
-            report.broken
+            report.violations
         );
         assert_work_was_done(seed, &report);
     }
@@ -72,7 +75,7 @@
 
 #[test]
 fn the_same_seed_gives_the_same_day() {
-    let first = play(7, DaySettings::default());
-    let second = play(7, DaySettings::default());
+    let first = simulate(7, SimulationConfig::default());
+    let second = simulate(7, SimulationConfig::default());
     assert_eq!(first, second);
 }
