--- a/crates/cluster-simulation/src/pending_call.rs
+++ b/crates/cluster-simulation/src/pending_call.rs
@@ -27,7 +27,7 @@
 
 /// A call to be handed to a process, and what its caller keeps.
 pub fn call(request: Request, now: u64, wait_ms: u64) -> (HeadCall, PendingCall) {
-    let (answerer, reply) = oneshot::channel();
+    let (reply_to, reply) = oneshot::channel();
     let call = HeadCall {
         request,
         reply_to,
