--- a/crates/cluster-api/src/agreement.rs
+++ b/crates/cluster-api/src/agreement.rs
@@ -1,14 +1,14 @@
 //! Messages of the agreement on views.
 //!
-//! Views are agreed with Paxos (Lamport, "Paxos Made Simple", 2001), one instance for each view. The crate
-//! `view-agreement` holds the state machine that sends and receives these messages.
+//! One view is decided by one instance of single-decree Paxos (Lamport, *Paxos Made Simple*, 2001).
+//! The crate `view-agreement` owns the state machine that sends and receives these messages.
 
 use crate::identity::DiskId;
 use crate::view::View;
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// The number of a proposal in the agreement on views, ordered by term first. Two proposals never share a number, since
-/// the incarnations of their proposers differ.
+/// The number of a proposal in the agreement on views, ordered by term first. Two proposals never
+/// share a number, since the incarnations of their proposers differ.
 #[derive(
     Clone,
     Copy,
@@ -29,8 +29,7 @@
     pub incarnation: u64,
 }
 
-/// Messages of the agreement on views. One view is decided by one instance of single-decree Paxos (Lamport, *Paxos Made
-/// Simple*, 2001).
+/// A message of the agreement on views.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum AgreementMessage {
     /// Phase 1a: asks an acceptor to accept nothing under a lower proposal number.
--- a/crates/cluster-api/src/chain.rs
+++ b/crates/cluster-api/src/chain.rs
@@ -1,99 +1,108 @@
-//! Messages of chain replication (van Renesse and Schneider, "Chain replication for supporting high throughput and
-//! availability", OSDI 2004), and what a replica says of itself.
+//! Messages of chain replication (van Renesse and Schneider, "Chain replication for supporting high
+//! throughput and availability", OSDI 2004), and what a replica says of itself.
 //!
-//! The crate `chain` holds the state machine that sends and receives these messages.
+//! The crate `chain` owns the state machine that sends and receives these messages.
 
 use crate::identity::DiskId;
 use crate::operation::LogEntry;
 use crate::view::View;
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// Which snapshot a piece belongs to. Pieces of two snapshots are never put together.
+/// Identifies a snapshot. Chunks of different snapshots are never put together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct SnapshotIdentity {
-    /// The index that the state covers.
+    /// The index up to which the snapshot covers the log.
     pub index: u64,
-    /// How many pieces there are.
+    /// How many chunks it has.
     pub chunks: u32,
     /// A checksum over all its bytes.
     pub checksum: u64,
 }
 
-/// Messages of the replication chain.
+/// A message between replicas. Within a view, entries go from the head to the tail, and
+/// acknowledgements from the tail to the head.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum ChainMessage {
-    /// From a member to its successor: entries, and how far everything is committed as far as the sender knows.
+    /// From a member to its successor: entries to append, and what the sender knows to be
+    /// committed.
     Append {
-        /// The sender's view.
+        /// The number of the sender's view.
         view: u64,
-        /// The index before the first entry.
+        /// The index of the entry before the first one sent.
         previous: u64,
-        /// The entries; none for a check that the successor is there.
+        /// The entries; empty in a heartbeat.
         entries: Vec<LogEntry>,
-        /// Everything up to this index is committed.
+        /// Entries up to this index are committed.
         committed: u64,
-        /// Rises with each barrier of the head; acknowledged like an entry, without a sync.
+        /// The newest barrier of the head. It passes down the chain and back like an entry, but
+        /// needs no sync.
         barrier: u64,
     },
-    /// From a member to its predecessor: everything up to `synced` is on the disks of the sender and of all behind it.
+    /// From a member to its predecessor: the sender and all members behind it have synced
+    /// everything up to `synced`.
     Acknowledge {
-        /// The sender's view.
+        /// The number of the sender's view.
         view: u64,
-        /// The last index that is on all those disks.
+        /// The last index that all of them have synced.
         synced: u64,
-        /// The last barrier that the tail has seen.
+        /// The last barrier that has reached the tail.
         barrier: u64,
     },
-    /// From a member to its predecessor: entries after `have` are needed.
+    /// From a member to its predecessor: the sender lacks the entries after `have`.
     Resend {
-        /// The sender's view.
+        /// The number of the sender's view.
         view: u64,
         /// The last index that the sender has.
         have: u64,
     },
-    /// From a member to its successor, or to a disk that is to join: the whole state, in pieces.
+    /// A chunk of a snapshot of the control state, from a member to its successor or to a disk that
+    /// is to join the chain.
     Snapshot {
-        /// The sender's view.
+        /// The number of the sender's view.
         view: u64,
-        /// Which snapshot this is a piece of.
+        /// The snapshot.
         snapshot: SnapshotIdentity,
-        /// Which piece this is, from 0.
+        /// The number of the chunk, from 0.
         chunk: u32,
-        /// The bytes.
+        /// The bytes of the chunk.
         bytes: Vec<u8>,
     },
-    /// The answer to a piece of a snapshot: how many of its pieces, from the first one on, have come.
+    /// Acknowledges chunks of a snapshot.
     SnapshotReceived {
-        /// The sender's view.
+        /// The number of the sender's view.
         view: u64,
         /// The snapshot.
         snapshot: SnapshotIdentity,
-        /// How many pieces have come without a gap.
+        /// How many chunks have arrived, counted from the first without a gap.
         chunks: u32,
     },
-    /// From a disk that is to join the chain to the tail: it has everything up to `have` and wants what follows.
+    /// From a disk that is to join the chain to the member that it catches up from: it needs
+    /// everything after `have`.
     Join {
-        /// The view that the sender knows.
+        /// The number of the newest view that the sender knows.
         view: u64,
-        /// The disk.
+        /// The disk that is to join.
         disk: DiskId,
-        /// The last index that it has synced; none where it needs a snapshot.
+        /// The last index that the disk has synced; none if it needs a snapshot.
         have: Option<u64>,
     },
-    /// The receiver's view is older than the sender's.
+    /// Answers a message of an older view.
     Outdated {
-        /// The newer view.
+        /// The sender's view.
         view: View,
     },
 }
 
-/// What a core process says of its replica, in the view of the heartbeat that it comes with.
+/// What a core process reports of its replica, in the view of the heartbeat that this is part of.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ReplicaReport {
-    /// A spare that has everything that is committed, as far as it knows, and could join the chain.
+    /// The replica is a spare that has everything that is committed, as far as it knows, and could
+    /// join the chain.
     pub caught_up: bool,
-    /// A disk that is known to have everything that was committed before this view: it may be the head of the next one.
+    /// The replica is known to have everything that was committed before this view, so it may be
+    /// the head of the next.
     pub complete: bool,
-    /// The head was restarted within this view and cannot go on in it.
+    /// The replica was restarted as the head of this view and cannot continue as such, so a new
+    /// view is needed.
     pub needs_view: bool,
 }
--- a/crates/cluster-api/src/frame.rs
+++ b/crates/cluster-api/src/frame.rs
@@ -1,8 +1,8 @@
 //! Frames of the internal protocol.
 //!
-//! A connection begins with [`Frame::Hello`] from the process that opened it. On the wire a frame is its length in four
-//! bytes, little-endian, followed by its `borsh` form. Connections may end at any time; whoever needs an answer sends
-//! its request again.
+//! A connection begins with [`Frame::Hello`] from the process that opened it. On the wire a frame
+//! is its length in four bytes, little-endian, followed by its `borsh` form. Connections may end at
+//! any time; whoever needs an answer sends its request again.
 
 use crate::agent::{AgentMessage, OwnerMessage};
 use crate::agreement::AgreementMessage;
@@ -15,39 +15,39 @@
 use crate::view::{View, Voter};
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// The largest frame, in bytes.
+/// The most bytes of an encoded frame, without its length.
 pub const FRAME_BYTES_MOST: usize = 8 * 1024 * 1024;
 
-/// The kind of machine that a process runs on, as its settings name it.
+/// The role of a process, which follows from the kind of its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub enum Role {
-    /// Takes clients' calls.
+    /// Accepts clients' calls.
     Frontend,
-    /// The agent on a server's machine.
+    /// Runs beside a server, as its agent.
     Agent,
-    /// Has a disk and serves control.
+    /// Has a disk, and takes part in agreement, replication and scheduling.
     Core,
 }
 
-/// Who opened a connection.
+/// Identifies the process that opened a connection.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Hello {
-    /// Where it listens for others of the system.
+    /// Where it listens for other processes of the system.
     pub address: PeerAddress,
-    /// Its kind.
+    /// Its role.
     pub role: Role,
     /// Its zone.
     pub zone: String,
-    /// Drawn at random when the process began.
+    /// The incarnation of the process, drawn at random when it began.
     pub incarnation: u64,
-    /// Its disk, where it has one.
+    /// Its disk; none unless it is a core process.
     pub disk: Option<DiskId>,
 }
 
-/// What a subscriber wants to be told of.
+/// What a subscriber wants to receive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Interest {
-    /// Views alone.
+    /// Views only.
     Views,
     /// Views and configurations.
     Configuration {
@@ -56,71 +56,74 @@
     },
 }
 
-/// One frame.
+/// A frame: everything that one process sends another.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Frame {
     /// Opens a connection.
     Hello(Hello),
-    /// A call, and the milliseconds that its caller waits.
+    /// A call.
     Request {
-        /// Which call.
+        /// The identity of the call.
         id: CallId,
-        /// Milliseconds until the caller gives up.
+        /// How long the caller still waits, in milliseconds.
         remaining_ms: u64,
         /// The call.
         request: Request,
     },
-    /// The answer to a call, on the connection on which the call came and no other.
+    /// The answer to a call. It is sent on the connection on which the call came, and on no other.
     Reply {
-        /// Which call.
+        /// The identity of the call.
         id: CallId,
         /// The answer.
         reply: Reply,
     },
-    /// Core to core, a few times a second: it lives, and what it knows.
+    /// A heartbeat between core processes, sent a few times a second.
     Heartbeat {
-        /// The sender as a voter would be listed.
+        /// The sender, as it would be listed as a voter.
         voter: Voter,
         /// The newest view that the sender knows.
         view: View,
-        /// Whether its disk answers in time.
+        /// Whether the sender's disk answers in time.
         disk_healthy: bool,
-        /// Whether it shuts down: other disks are to take its place in the chain and, where one can, its vote.
+        /// Whether the sender is shutting down: other disks should replace it in the chain and,
+        /// where possible, as a voter.
         draining: bool,
-        /// What its replica is good for in that view.
+        /// The state of its replica in that view.
         replica: ReplicaReport,
     },
-    /// The agreement on views.
+    /// A message of the agreement on views.
     Agreement(AgreementMessage),
-    /// The replication chain.
+    /// A message of the replication chain.
     Chain(ChainMessage),
-    /// From the owner of a shard to the head: an operation to append. No answer; the owner sees it applied in its own
-    /// replica, and sends it again if it does not.
+    /// From the owner of a shard to the head: an operation to append. It is not answered: the owner
+    /// sees it applied in its own replica, and submits it again otherwise.
     Submit(Operation),
-    /// From a server's agent.
+    /// A message from a server's agent.
     Agent(AgentMessage),
-    /// To a server's agent.
+    /// A message to a server's agent.
     Owner(OwnerMessage),
-    /// To processes without a disk: the newest view.
+    /// The newest view, for processes without a disk.
     ViewUpdate(View),
-    /// Asks to be told of views and configurations from now on, a few times a second while the sender lives.
+    /// Subscribes to views and configurations. The sender repeats this a few times a second; the
+    /// subscription ends without it.
     Subscribe {
-        /// What the sender wants to be told of.
+        /// What the sender wants to receive.
         interest: Interest,
-        /// When the sender sent this, by its own steady clock.
+        /// When the sender sent this, by its own monotonic clock.
         requested_at: Millis,
     },
-    /// To a subscriber: the newest configuration; none where the subscriber has it. It was certain `age_ms` before
-    /// this was sent, which was after `requested_at`: however long this takes on its way, the subscriber knows from when on.
+    /// The newest configuration, for a subscriber. The configuration was confirmed to be the newest
+    /// at a moment not before `requested_at` less `age_ms`. So the subscriber knows how old it is
+    /// at most, however long the message took.
     ConfigurationUpdate {
-        /// The subscriber's word of when it subscribed, by its own steady clock; 0 where the sender vouches for no
-        /// moment, as when it tells of a change unasked.
+        /// The moment in the subscription that this answers, by the subscriber's clock; 0 if the
+        /// sender guarantees no moment, as when it reports a change without being asked.
         requested_at: Millis,
-        /// For how long the sender has not had it confirmed itself, in milliseconds; 0 from the head.
+        /// How long ago the sender had it confirmed itself, in milliseconds; 0 from the head.
         age_ms: u64,
         /// The newest version.
         version: u64,
-        /// The configuration.
+        /// The configuration; none if the subscriber has this version.
         configuration: Option<Configuration>,
     },
 }
