--- a/crates/control-state/tests/accepted_changes.rs
+++ b/crates/control-state/tests/accepted_changes.rs
@@ -1,4 +1,4 @@
-//! The record of changes that were taken: who sends an order again is never refused, and nobody else is confirmed.
+//! The record of accepted changes: a retry of one is never refused, and no other change is acknowledged.
 
 mod common;
 mod state_parts;
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn of_eight_orders_at_once_one_is_taken_however_often_each_is_sent() {
+fn of_eight_concurrent_changes_one_is_accepted_however_often_each_is_sent() {
     let orders: Vec<Operation> = (0..8)
         .map(|number| step(2, 3 + number % 3))
         .chain([step(2, 9)])
@@ -182,7 +182,7 @@
 
 /// What the test above is for: a record that is lost on the way makes resends be refused.
 #[test]
-fn a_record_that_a_snapshot_does_not_keep_would_be_found_out() {
+fn a_record_that_is_lost_over_a_snapshot_would_be_detected() {
     let mut parts = StateParts::of(&over_a_snapshot(&after_changes(7)));
     parts.accepted_changes = AcceptedChanges::default();
     let mut state = parts.state();
--- a/crates/control-state/tests/agent_bindings.rs
+++ b/crates/control-state/tests/agent_bindings.rs
@@ -1,4 +1,4 @@
-//! Where lives of servers run: which of them are over because a later one runs beside the same agent.
+//! Bindings to agents: which incarnations are over because a later one is bound to the same agent.
 
 mod common;
 
@@ -19,7 +19,7 @@
     PeerAddress(SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, machine), 7_000))
 }
 
-fn place(server: &str, machine: u8, token: FencingToken) -> Operation {
+fn bind(server: &str, machine: u8, token: FencingToken) -> Operation {
     Operation::RecordServer {
         service: ServiceName("one".to_owned()),
         token,
@@ -30,7 +30,7 @@
 
 fn record(state: &mut ControlState, server: &str, machine: u8) {
     assert_eq!(
-        state.apply(&place(server, machine, TOKEN)),
+        state.apply(&bind(server, machine, TOKEN)),
         OperationResult::Done
     );
 }
@@ -45,24 +45,24 @@
 }
 
 #[test]
-fn a_later_life_beside_the_same_agent_follows_the_earlier_one() {
+fn a_later_incarnation_beside_the_same_agent_follows_the_earlier_one() {
     let mut state = state_with(vec![step(1)]);
     assert!(try_start(&mut state, task(0, 0, 0), 1));
     let first = start(task(0, 0, 0), 1).server.0;
     record(&mut state, &first, 1);
-    record(&mut state, "elsewhere", 2);
+    record(&mut state, "other", 2);
     record(&mut state, "second", 1);
     assert_eq!(earlier(&state, "second"), vec![first.clone()]);
     assert!(
         earlier(&state, &first).is_empty(),
-        "a late word of the first life ends nothing"
+        "a late message of the first incarnation ends nothing"
     );
-    assert!(earlier(&state, "elsewhere").is_empty());
-    assert!(earlier(&state, "never met").is_empty());
+    assert!(earlier(&state, "other").is_empty());
+    assert!(earlier(&state, "unknown").is_empty());
 }
 
 #[test]
-fn a_life_that_is_recorded_again_keeps_its_place() {
+fn an_incarnation_that_is_recorded_again_keeps_its_binding() {
     let mut state = state_with(vec![step(1)]);
     assert!(try_start(&mut state, task(0, 0, 0), 1));
     let first = start(task(0, 0, 0), 1).server.0;
@@ -74,14 +74,14 @@
 }
 
 #[test]
-fn places_without_runs_are_dropped_once_a_later_life_is_there() {
+fn bindings_without_runs_are_forgotten_once_a_later_incarnation_is_bound() {
     let mut state = state_with(vec![step(1)]);
     for number in 0..50 {
-        record(&mut state, &format!("life-{number}"), 1);
+        record(&mut state, &format!("incarnation-{number}"), 1);
     }
     assert!(
         state.bindings().len() <= 2,
-        "{} places are kept",
+        "{} bindings are remembered",
         state.bindings().len()
     );
 }
@@ -90,7 +90,7 @@
 fn an_old_token_records_nothing() {
     let mut state = state_with(vec![step(1)]);
     state.apply(&take("one", TOKEN));
-    let refused = state.apply(&place("first", 1, FencingToken(TOKEN.0 - 1)));
+    let refused = state.apply(&bind("first", 1, FencingToken(TOKEN.0 - 1)));
     assert_eq!(refused, OperationResult::Refused(ErrorKind::Fenced));
     assert!(state.bindings().is_empty());
 }
--- a/crates/control-state/tests/changes.rs
+++ b/crates/control-state/tests/changes.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_change_on_the_current_version_is_taken() {
+fn a_change_on_the_current_version_is_accepted() {
     let mut state = ControlState::default();
     assert_eq!(state.apply(&put(0, two_queues(3))), OperationResult::Done);
     assert_eq!(
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_change_that_was_taken_is_acknowledged_again_also_after_later_ones() {
+fn an_accepted_change_is_acknowledged_again_also_after_later_ones() {
     let mut state = ControlState::default();
     let first = put(0, two_queues(3));
     let second = patch(3, remove_route(5, "a"));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_refused_change_may_be_taken_later() {
+fn a_refused_change_may_be_accepted_later() {
     let mut state = ControlState::default();
     let early = patch(3, remove_route(5, "a"));
     assert_eq!(state.apply(&early), CONFLICT);
--- a/crates/control-state/tests/configuration.rs
+++ b/crates/control-state/tests/configuration.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_whole_configuration_is_read_with_its_lists_sorted() {
+fn a_complete_configuration_is_read_with_its_lists_sorted() {
     let routes = [route("z", "/z/", "two"), route("c", "/c/", "one")];
     let text = whole(7, &routes, &[service_json("two"), service_json("one")]);
     let read = check_configuration(&text).expect("it is valid");
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn wrong_types_are_refused_with_their_place() {
+fn wrong_types_are_refused_with_their_path() {
     let text = two_queues(1);
     for (from, to) in [
         ("\"timeout-ms\":3000", "\"timeout-ms\":\"3000\""),
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn missing_fields_are_refused_with_their_place() {
+fn missing_fields_are_refused_with_their_path() {
     let text = two_queues(1);
     let route_fields = [
         ("\"host\":\"h.example\",", "routes[0].host"),
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn an_error_reads_as_its_place_and_reason() {
+fn an_error_reads_as_its_path_and_reason() {
     let text = two_queues(1).replacen("\"timeout-ms\":3000", "\"timeout-ms\":0", 1);
     let error = check_configuration(&text).expect_err("it is invalid");
     assert_eq!(
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn the_order_of_items_is_kept() {
+fn the_order_of_items_is_preserved() {
     let routes = [
         route("z", "/z/", "one"),
         route("a", "/a/", "one"),
@@ -349,7 +349,10 @@
 #[test]
 fn a_patch_of_nothing_lacks_the_bounds() {
     let patched = apply_patch(&Default::default(), r#"{"version":1}"#).expect("its form is good");
-    assert_eq!(patched.check().expect_err("it is not whole").path, "limits");
+    assert_eq!(
+        patched.check().expect_err("it has no limits").path,
+        "limits"
+    );
 }
 
 #[test]
@@ -375,7 +378,7 @@
         }
     }
 
-    fn a_body_that_is_refused_for_itself_is_never_taken(place: usize, byte: u8, insert: bool, whole: bool) -> bool {
+    fn a_body_that_is_refused_by_itself_is_never_accepted(place: usize, byte: u8, insert: bool, whole: bool) -> bool {
         let patched = format!(r#"{{"version":2,"upsert":{{"routes":[{}]}}}}"#, route("c", "/c/", "one"));
         let mut bytes = if whole { two_queues(2) } else { patched }.into_bytes();
         let place = place % bytes.len();
@@ -395,7 +398,7 @@
 }
 
 #[test]
-fn a_field_that_comes_twice_is_refused_with_its_place() {
+fn a_field_that_comes_twice_is_refused_with_its_path() {
     let text = two_queues(1);
     for (twice, path) in [
         (
--- a/crates/control-state/tests/gangs.rs
+++ b/crates/control-state/tests/gangs.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_gang_starts_whole_or_not_at_all() {
+fn a_gang_starts_completely_or_not_at_all() {
     let mut state = gang_of_three();
     for indexes in [
         &[0][..],
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn one_good_end_stands_for_the_whole_gang() {
+fn one_success_ends_the_run_of_the_complete_gang() {
     let mut state = state_with(vec![gang(3), step(1)]);
     start_all(&mut state, 1);
     record_end(&mut state, member(1), 1, RunEnd::Done);
--- a/crates/control-state/tests/histories.rs
+++ b/crates/control-state/tests/histories.rs
@@ -310,8 +310,12 @@
 
 fn assert_same_task(state: &ControlState, model: &Model, id: &TaskId, expected: &model::ModelTask) {
     let job = state.job(id.job).expect("the model has it");
-    let time_is_done = model.time_is_done(id.job, id.occurrence);
-    assert_eq!(job.occurrence_is_done(id.occurrence), time_is_done, "{id}");
+    let occurrence_is_done = model.occurrence_is_done(id.job, id.occurrence);
+    assert_eq!(
+        job.occurrence_is_done(id.occurrence),
+        occurrence_is_done,
+        "{id}"
+    );
     match job.task(id.occurrence, id.step, id.index) {
         Some(task) => {
             assert_eq!(task.is_done(), expected.done, "{id}");
@@ -323,7 +327,10 @@
             assert_eq!(task.attempt, expected.attempt, "{id}");
             assert_eq!(task.failed, expected.failures.len() as u32, "{id}");
         }
-        None => assert!(time_is_done || *expected == Default::default(), "{id}"),
+        None => assert!(
+            occurrence_is_done || *expected == Default::default(),
+            "{id}"
+        ),
     }
 }
 
--- a/crates/control-state/tests/jobs.rs
+++ b/crates/control-state/tests/jobs.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_job_that_was_taken_is_never_refused_when_its_queue_is_gone() {
+fn an_accepted_job_is_never_refused_when_its_queue_is_gone() {
     let mut state = state_with(vec![step(1)]);
     state.apply(&patch(1, r#"{"version":2,"remove":{"routes":["a"]}}"#));
     let before = state.clone();
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_job_of_more_tasks_than_can_be_kept_is_refused() {
+fn a_job_of_more_tasks_than_can_be_recorded_is_refused() {
     let mut state = state();
     let too_large = OperationResult::Refused(ErrorKind::TooLarge);
     let steps = vec![step(u32::MAX), step(u32::MAX)];
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn cancelling_leaves_other_final_states() {
+fn cancelling_does_not_change_other_final_states() {
     let mut state = state_with(vec![step(1)]);
     run(&mut state, task(0, 0, 0), 1, RunEnd::Done);
     assert_eq!(
--- a/crates/control-state/tests/model/mod.rs
+++ b/crates/control-state/tests/model/mod.rs
@@ -65,7 +65,7 @@
     }
 
     /// Whether all tasks of one time are done.
-    pub fn time_is_done(&self, job: JobId, occurrence: u32) -> bool {
+    pub fn occurrence_is_done(&self, job: JobId, occurrence: u32) -> bool {
         let mut tasks = self
             .tasks
             .iter()
--- a/crates/control-state/tests/runs.rs
+++ b/crates/control-state/tests/runs.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn the_same_start_holds_once() {
+fn the_same_start_is_accepted_once() {
     let mut state = state_with(vec![step(2)]);
     let twice = vec![
         start(task(0, 0, 0), 1),
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn the_newest_checkpoint_is_kept() {
+fn the_newest_checkpoint_is_recorded() {
     let mut state = state_with(vec![step(1)]);
     let mut attempt = 0;
     let mut run_to = |state: &mut lupinrack_control_state::ControlState, how, checkpoint: &str| {
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn impossible_dependencies_never_start_and_empty_steps_hold_nothing_up() {
+fn impossible_dependencies_never_start_and_empty_steps_delay_nothing() {
     let mut state = state_with(vec![
         after(1, vec![0]),
         after(1, vec![7]),
--- a/crates/control-store/tests/golden.rs
+++ b/crates/control-store/tests/golden.rs
@@ -26,7 +26,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
 
-/// Bytes that are kept of a piece of a long snapshot.
+/// Bytes that are shown of a chunk of a long snapshot.
 const BEGINNING_BYTES: usize = 16;
 
 /// More bytes than one row of a snapshot takes.
@@ -161,7 +161,7 @@
 }
 
 /// Everything that a disk can hold.
-fn whole_batch() -> Batch {
+fn full_batch() -> Batch {
     Batch {
         disk: Some(DiskId(0x0102_0304_0506_0708)),
         vote: Some(borsh::to_vec(&vote()).expect("a vote has bytes")),
@@ -240,7 +240,7 @@
     file.text("data file", DATA_FILE);
     file.text("data file while it is made", NEW_FILE);
     let folder = folder("names");
-    rows_after(&folder, &[whole_batch()]);
+    rows_after(&folder, &[full_batch()]);
     file.text(
         "tables",
         &golden_rows::table_names(&folder.join(DATA_FILE)).join(" "),
@@ -259,7 +259,7 @@
 #[test]
 fn rows_of_everything() {
     let mut file = golden("rows.hex");
-    let batch = whole_batch();
+    let batch = full_batch();
     let rows = kept_rows(
         &mut file,
         &rows_after(&folder("all"), std::slice::from_ref(&batch)),
@@ -268,7 +268,7 @@
     assert_eq!(found_in(&folder("all-read"), &rows), recovered(&batch));
 }
 
-/// What a later batch leaves: entries cut off and replaced, a snapshot that covers some of them, a standing changed.
+/// What a later batch leaves: entries cut off and replaced, a snapshot that covers some of them, a changed replica status.
 #[test]
 fn rows_after_changes() {
     let mut file = golden("rows_after_changes.hex");
@@ -289,11 +289,11 @@
     };
     let rows = rows_after(
         &folder("changed"),
-        &[whole_batch(), later.clone(), covering.clone()],
+        &[full_batch(), later.clone(), covering.clone()],
     );
     let rows = kept_rows(&mut file, &rows);
     file.finish();
-    let mut expected = recovered(&whole_batch());
+    let mut expected = recovered(&full_batch());
     expected.replica_status = later.replica_status.unwrap_or_default();
     expected.entries.retain(|entry| entry.index == 505);
     expected.entries.extend(later.append);
@@ -301,7 +301,7 @@
     assert_eq!(found_in(&folder("changed-read"), &rows), expected);
 }
 
-/// The pieces of a long snapshot. Their bytes are compared in code, since the file keeps no more than their beginnings.
+/// The chunks of a long snapshot. Their bytes are compared in code, since the file keeps no more than their beginnings.
 #[test]
 fn rows_of_a_long_snapshot() {
     let mut file = golden("rows_of_a_long_snapshot.txt");
@@ -333,7 +333,7 @@
     assert_eq!(found_in(&folder("long-read"), &rows).snapshot, bytes);
 }
 
-/// What the rows of votes, views and standings hold.
+/// What the rows of votes, views and replica statuses hold.
 #[test]
 fn values_of_rows() {
     let mut file = golden("values.hex");
@@ -345,13 +345,13 @@
     file.finish();
 }
 
-/// A whole data file that an earlier build left is read. Its pages are `redb`'s own and are not compared.
+/// A complete data file of an earlier build is read. Its pages are `redb`'s own and are not compared.
 #[test]
 fn an_old_data_file_is_read() {
     let kept = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/data.redb.sparse");
     if is_update() {
         let folder = folder("old-made");
-        rows_after(&folder, &[whole_batch()]);
+        rows_after(&folder, &[full_batch()]);
         write_sparse(
             &kept,
             &fs::read(folder.join(DATA_FILE)).expect("the file is there"),
@@ -360,5 +360,5 @@
     let folder = folder("old");
     fs::write(folder.join(DATA_FILE), read_sparse(&kept)).expect("the file can be written");
     let (_, found) = ControlStore::open(&folder, StoreSettings::default()).expect("a sound file");
-    assert_eq!(found, recovered(&whole_batch()));
+    assert_eq!(found, recovered(&full_batch()));
 }
--- a/crates/control-store/tests/opening.rs
+++ b/crates/control-store/tests/opening.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn an_empty_disk_holds_nothing() {
+fn an_empty_disk_contains_nothing() {
     let disk = SimulatedDisk::new();
     assert_eq!(found(&disk), Recovered::default());
     assert_eq!(disk.length(NEW_FILE).expect("readable"), None);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_large_entry_is_kept() {
+fn a_large_entry_is_recovered() {
     let disk = SimulatedDisk::new();
     let large = entry_of(1, 4_000_000);
     committed(
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn an_older_snapshot_is_taken_where_no_entries_are_left() {
+fn an_older_snapshot_is_accepted_where_there_are_no_entries() {
     let disk = SimulatedDisk::new();
     let older = Batch {
         truncate_after: Some(2),
@@ -309,7 +309,7 @@
 /// A sync that fails leaves pages that look written and are not. What the store then takes as committed has to survive a
 /// loss of power.
 #[test]
-fn what_a_failed_sync_left_behind_is_written_again() {
+fn what_a_failed_sync_may_have_lost_is_rewritten() {
     for fate in 0..20 {
         for after in 0..40 {
             let disk = SimulatedDisk::new();
@@ -429,7 +429,7 @@
 }
 
 #[test]
-fn an_identity_is_on_the_disk_before_it_is_told() {
+fn an_identity_is_on_the_disk_before_it_is_returned() {
     for seed in 0..20 {
         let disk = SimulatedDisk::new();
         let (mut store, mut found) = open(&disk).expect("opens");
