--- a/crates/control-store/src/error.rs
+++ b/crates/control-store/src/error.rs
@@ -2,6 +2,7 @@
 
 use crate::file_names::DATA_FILE;
 use crate::log_bounds::InvalidBatch;
+use std::error::Error;
 use std::io;
 
 /// Why the store cannot open or commit.
@@ -24,7 +25,15 @@
     Closed,
 }
 
-impl std::error::Error for StoreError {}
+impl Error for StoreError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            StoreError::Io(error) => Some(error),
+            StoreError::InvalidBatch(error) => Some(error),
+            StoreError::Full | StoreError::Damaged { .. } | StoreError::Closed => None,
+        }
+    }
+}
 
 impl From<io::Error> for StoreError {
     fn from(error: io::Error) -> Self {
