--- a/crates/cluster-api/src/lib.rs
+++ b/crates/cluster-api/src/lib.rs
@@ -4,7 +4,8 @@
 //! messages of the internal protocol, and the closed list of error kinds. Everything here is plain
 //! data without I/O or state of its own. The `borsh` forms are what processes of different builds
 //! exchange and what disks hold, so the order of fields and variants must not change; the files
-//! under `tests/golden` show them.
+//! under `tests/golden` show them. The only computation is [`rendezvous`], on whose results all
+//! processes must agree.
 //!
 //! Start reading at [`identity`], then [`operation`] for what is replicated, [`request`] for what
 //! clients ask, and [`frame`] for everything that one process sends another.
