--- a/crates/cluster-transport/src/peers/accept.rs
+++ b/crates/cluster-transport/src/peers/accept.rs
@@ -1,7 +1,7 @@
 //! Connections that peers open.
 
 use super::codec::FrameReader;
-use super::{tasks, Shared};
+use super::{reader_task, Shared};
 use lupinrack_cluster_api::wire::{Frame, Hello, FRAME_BYTES_MOST};
 use std::sync::Arc;
 use std::time::Duration;
@@ -44,8 +44,8 @@
     let connection = shared
         .table()
         .open(hello.address, &shared.hello, &shared.settings);
-    tokio::spawn(tasks::write(connection.clone(), write_half));
-    tasks::read(shared, connection, read_half, reader, Some(hello)).await;
+    tokio::spawn(reader_task::write(connection.clone(), write_half));
+    reader_task::read(shared, connection, read_half, reader, Some(hello)).await;
 }
 
 /// The first frame, where it is a greeting.
--- a/crates/cluster-transport/src/peers/table.rs
+++ b/crates/cluster-transport/src/peers/connection_table.rs
@@ -1,8 +1,8 @@
 //! Which connections there are to which peer, and what waits for one.
 
 use super::connection::{Connection, PushError};
+use super::pending_frames::WaitingFrames;
 use super::settings::PeerSettings;
-use super::waiting::WaitingFrames;
 use super::{codec, SendOutcome};
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::wire::Frame;
--- a/crates/cluster-transport/src/peers/dial.rs
+++ b/crates/cluster-transport/src/peers/dial.rs
@@ -1,7 +1,7 @@
 //! Connections that this process opens.
 
 use super::codec::FrameReader;
-use super::{tasks, Shared};
+use super::{reader_task, Shared};
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::wire::FRAME_BYTES_MOST;
 use std::io;
@@ -40,9 +40,9 @@
         table.open(to, &shared.hello, &shared.settings)
     };
     let (read_half, write_half) = stream.into_split();
-    tokio::spawn(tasks::write(connection.clone(), write_half));
+    tokio::spawn(reader_task::write(connection.clone(), write_half));
     let reader = FrameReader::new(FRAME_BYTES_MOST);
-    tasks::read(shared, connection, read_half, reader, None).await;
+    reader_task::read(shared, connection, read_half, reader, None).await;
 }
 
 impl Shared {
--- a/crates/cluster-transport/src/peers/mod.rs
+++ b/crates/cluster-transport/src/peers/mod.rs
@@ -7,15 +7,16 @@
 mod accept;
 mod codec;
 mod connection;
+mod connection_table;
 mod dial;
+mod pending_frames;
+mod reader_task;
 mod settings;
-mod table;
-mod tasks;
-mod waiting;
 
 pub use settings::PeerSettings;
 
 use crate::listen;
+use connection_table::Table;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::wire::{Frame, Hello, Role};
 use std::borrow::Borrow;
@@ -23,7 +24,6 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use table::Table;
 use tokio::net::TcpStream;
 use tokio::runtime::Handle;
 use tokio::sync::{mpsc, Notify};
