--- a/crates/cluster-transport/tests/golden/answers.rs
+++ b/crates/cluster-transport/tests/golden/answers.rs
@@ -42,14 +42,14 @@
     .unwrap()
 }
 
-/// What the server sends to a client that sends this.
+/// The response of the server to these bytes.
 async fn answer_to(server: &ServerHandle, text: &str) -> String {
     let mut stream = TcpStream::connect(server.local_address()).await.unwrap();
     stream.write_all(text.as_bytes()).await.unwrap();
     read_message(&mut stream).await
 }
 
-/// What the client makes of an answer.
+/// The response that the client makes of these bytes.
 async fn received(message: &str) -> Response<Bytes> {
     let (listener, address) = listener().await;
     let server = async {
--- a/crates/cluster-transport/tests/http/client.rs
+++ b/crates/cluster-transport/tests/http/client.rs
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test]
-async fn a_call_is_answered() {
+async fn a_call_returns_the_response() {
     let server = server(HttpLimits::default(), |call| async move {
         assert_eq!(
             (call.method, call.if_match),
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test]
-async fn the_host_of_the_request_is_kept() {
+async fn the_host_of_the_request_is_not_replaced() {
     let server = server(HttpLimits::default(), |call| async move {
         HttpResponse::json(call.host)
     });
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test]
-async fn a_dead_port_is_told_apart() {
+async fn a_refused_connection_has_its_own_error() {
     let listener = bind_once(ANY).unwrap();
     let address = version_4(listener.local_addr().unwrap());
     drop(listener);
@@ -85,14 +85,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn silence_ends_the_call() {
+async fn a_call_without_a_response_times_out() {
     let server = server(HttpLimits::default(), |_| pending());
     let result = call(version_4(server.local_address()), get("/"), TIMEOUT).await;
     assert!(matches!(result, Err(CallError::TimedOut)), "{result:?}");
 }
 
-/// What a call comes to whose request is answered with these bytes and the end of the connection.
-async fn answered_with(bytes: &'static [u8]) -> Result<http::Response<Bytes>, CallError> {
+/// The result of a call whose request is answered with these bytes and the end of the connection.
+async fn response_of_bytes(bytes: &'static [u8]) -> Result<http::Response<Bytes>, CallError> {
     let listener = TcpListener::bind(ANY).await.unwrap();
     let address = version_4(listener.local_addr().unwrap());
     let answer = async {
@@ -109,20 +109,22 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_breaks_off_is_none() {
+async fn a_truncated_response_is_an_error() {
     for bytes in [
         &b""[..],
         b"HTTP/1.1 200 OK\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc",
         b"nonsense\r\n\r\n",
     ] {
-        let result = answered_with(bytes).await;
+        let result = response_of_bytes(bytes).await;
         assert!(matches!(result, Err(CallError::Http(_))), "{result:?}");
     }
 }
 
 #[tokio::test]
-async fn an_answer_may_end_with_its_connection() {
-    let response = answered_with(b"HTTP/1.1 200 OK\r\n\r\nabc").await.unwrap();
+async fn a_response_may_end_with_its_connection() {
+    let response = response_of_bytes(b"HTTP/1.1 200 OK\r\n\r\nabc")
+        .await
+        .unwrap();
     assert_eq!(response.body(), "abc");
 }
--- a/crates/cluster-transport/tests/http/drain.rs
+++ b/crates/cluster-transport/tests/http/drain.rs
@@ -1,4 +1,4 @@
-//! How the HTTP server ends, and how its address is taken over.
+//! The graceful shutdown of the HTTP server, and the reuse of its address.
 
 use crate::support::{echo, request, server, within, Client, ANY};
 use http::Method;
@@ -14,7 +14,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, Notify};
 
-const AT_ONCE: DrainTimeouts = DrainTimeouts {
+const WITHOUT_DELAY: DrainTimeouts = DrainTimeouts {
     accept_for: Duration::ZERO,
     response_timeout: Duration::from_secs(30),
 };
@@ -40,7 +40,7 @@
     within(begins.recv()).await;
 
     let handle = server.clone();
-    let drain = tokio::spawn(async move { handle.drain(AT_ONCE).await });
+    let drain = tokio::spawn(async move { handle.drain(WITHOUT_DELAY).await });
     assert!(idle.is_closed().await);
     assert!(!drain.is_finished());
     assert!(TcpStream::connect(server.local_address()).await.is_err());
@@ -68,7 +68,7 @@
     assert_eq!(idle.ask(Method::GET, "/", "").await.status, 200);
 
     let handle = server.clone();
-    let drain = tokio::spawn(async move { handle.drain(AT_ONCE).await });
+    let drain = tokio::spawn(async move { handle.drain(WITHOUT_DELAY).await });
     assert!(idle.is_closed().await);
     head.send("st: h\r\n\r\n").await;
     body.send("cd").await;
@@ -94,7 +94,7 @@
     assert!(!old.ask(Method::GET, "/", "").await.is_last());
     let times = DrainTimeouts {
         accept_for: Duration::from_secs(3600),
-        ..AT_ONCE
+        ..WITHOUT_DELAY
     };
     let drain = tokio::spawn(async move { handle.drain(times).await });
     tokio::task::yield_now().await;
@@ -113,7 +113,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn requests_that_take_too_long_are_cut() {
+async fn requests_that_take_too_long_are_aborted() {
     let (begun, mut begins) = mpsc::channel(1);
     let server = server(HttpLimits::default(), move |_| {
         let begun = begun.clone();
@@ -126,7 +126,7 @@
     client.send(&request(Method::GET, "/", "")).await;
     within(begins.recv()).await;
     assert_eq!(
-        server.drain(AT_ONCE).await,
+        server.drain(WITHOUT_DELAY).await,
         DrainOutcome {
             aborted_connections: 1
         }
@@ -136,10 +136,10 @@
 }
 
 #[tokio::test]
-async fn a_server_without_connections_ends_at_once() {
+async fn a_server_without_connections_drains_at_once() {
     let server = echo(HttpLimits::default());
     assert_eq!(
-        within(server.drain(AT_ONCE)).await,
+        within(server.drain(WITHOUT_DELAY)).await,
         DrainOutcome {
             aborted_connections: 0
         }
@@ -147,7 +147,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_address_is_taken_once_it_is_free() {
+async fn an_address_is_bound_once_it_is_free() {
     let listener = bind_once(ANY).unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
         panic!("not IPv4")
--- a/crates/cluster-transport/tests/http/limits.rs
+++ b/crates/cluster-transport/tests/http/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds on heads, bodies and connections.
+//! Limits on header sections, bodies and connections.
 
 use crate::support::{echo, request, server, within, Client, ANY};
 use http::Method;
@@ -10,7 +10,7 @@
 use tokio::sync::{mpsc, Notify};
 
 #[tokio::test]
-async fn a_body_over_the_limit_is_refused_and_the_client_sees_it() {
+async fn a_body_over_the_limit_is_rejected_and_the_client_sees_it() {
     let limits = HttpLimits {
         max_body_bytes: 1000,
         ..HttpLimits::default()
@@ -20,11 +20,11 @@
     let mut client = Client::connect(&server).await;
     assert_eq!(client.ask(Method::POST, "/", &fits).await.status, 200);
 
-    // All of a large body is sent before the answer is read.
+    // All of a large body is sent before the response is read.
     let large = "x".repeat(300_000);
     let mut client = Client::connect(&server).await;
-    let refused = client.ask(Method::POST, "/", &large).await;
-    assert_eq!((refused.status, refused.is_last()), (413, true));
+    let rejected = client.ask(Method::POST, "/", &large).await;
+    assert_eq!((rejected.status, rejected.is_last()), (413, true));
     assert!(client.is_closed().await);
 
     let mut client = Client::connect(&server).await;
@@ -34,12 +34,12 @@
         .await;
     client.send(&chunk).await;
     client.send(&chunk).await;
-    let refused = client.answer().await;
-    assert_eq!((refused.status, refused.is_last()), (413, true));
+    let rejected = client.answer().await;
+    assert_eq!((rejected.status, rejected.is_last()), (413, true));
 }
 
 #[tokio::test]
-async fn a_client_that_asks_first_is_told_before_it_sends() {
+async fn a_client_that_expects_100_continue_is_answered_before_it_sends() {
     let limits = HttpLimits {
         max_body_bytes: 1000,
         ..HttpLimits::default()
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test]
-async fn a_head_over_the_limit_is_refused() {
+async fn a_head_over_the_limit_is_rejected() {
     for filler in [2000, 100_000] {
         let server = echo(HttpLimits {
             max_header_bytes: 1000,
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test]
-async fn heads_up_to_the_limit_are_taken() {
+async fn heads_up_to_the_limit_are_accepted() {
     let server = echo(HttpLimits {
         max_header_bytes: 40_000,
         ..HttpLimits::default()
@@ -94,7 +94,7 @@
 }
 
 #[tokio::test]
-async fn idle_connections_make_room_for_new_ones() {
+async fn idle_connections_close_for_new_ones() {
     let server = echo(HttpLimits {
         max_connections: 2,
         ..HttpLimits::default()
@@ -133,7 +133,7 @@
     let mut second = Client::connect(&server).await;
     second.send(&request(Method::GET, "/", "")).await;
     go.notify_one();
-    // The answer is the last one on its connection, since another client waits.
+    // The response is the last one on its connection, since another client waits.
     let answer = first.answer().await;
     assert_eq!((answer.status, answer.is_last()), (200, true));
     within(begins.recv()).await;
@@ -142,7 +142,7 @@
 }
 
 #[tokio::test]
-async fn changed_limits_hold_for_the_next_request() {
+async fn changed_limits_apply_to_the_next_request() {
     let limits = Arc::new(SharedValue::new(HttpLimits::default()));
     let handler = |_| async { HttpResponse::empty(200) };
     let server = serve(bind_once(ANY).unwrap(), limits.clone(), handler).unwrap();
--- a/crates/cluster-transport/tests/http/properties.rs
+++ b/crates/cluster-transport/tests/http/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of what the HTTP server makes of any bytes.
+//! Properties of the HTTP server for arbitrary bytes.
 
 use crate::support::{echo, request, Client};
 use http::Method;
@@ -10,7 +10,7 @@
 /// Cases of each property.
 const CASES: u64 = 60;
 
-fn play<T>(case: impl Future<Output = T>) -> T {
+fn run_case<T>(case: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -19,9 +19,9 @@
 }
 
 #[test]
-fn requests_are_answered_in_order_however_they_are_cut() {
-    fn holds(bodies: Vec<u16>, cuts: Vec<u8>) -> bool {
-        play(async {
+fn requests_are_answered_in_order_however_their_bytes_are_split() {
+    fn holds(bodies: Vec<u16>, split_sizes: Vec<u8>) -> bool {
+        run_case(async {
             let server = echo(HttpLimits::default());
             let mut client = Client::connect(&server).await;
             client.stream.set_nodelay(true).unwrap();
@@ -31,11 +31,11 @@
             };
             let all: String = sizes.iter().enumerate().map(text).collect();
             let mut rest = all.as_str();
-            let mut cuts = cuts.iter().cycle();
+            let mut split_sizes = split_sizes.iter().cycle();
             while !rest.is_empty() {
-                let size = cuts
+                let size = split_sizes
                     .next()
-                    .map_or(rest.len(), |cut| usize::from(*cut) + 1)
+                    .map_or(rest.len(), |size| usize::from(*size) + 1)
                     .min(rest.len());
                 client.send(&rest[..size]).await;
                 tokio::task::yield_now().await;
@@ -54,9 +54,9 @@
 }
 
 #[test]
-fn any_bytes_end_in_a_refusal_or_in_silence() {
+fn any_bytes_are_rejected_or_left_unanswered() {
     fn holds(bytes: Vec<u8>) -> bool {
-        play(async {
+        run_case(async {
             let server = echo(HttpLimits::default());
             let mut client = Client::connect(&server).await;
             client.stream.write_all(&bytes).await.unwrap();
--- a/crates/cluster-transport/tests/http/server.rs
+++ b/crates/cluster-transport/tests/http/server.rs
@@ -1,4 +1,4 @@
-//! Calls as handlers get them, and answers as clients get them.
+//! Requests as handlers get them, and responses as clients get them.
 
 use crate::support::{echo, request, server, within, Client};
 use http::Method;
@@ -8,8 +8,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::{mpsc, Notify};
 
-/// What the handler gets of a request's text.
-async fn call_of(text: &str) -> HttpRequest {
+/// The request that the handler gets for these bytes.
+async fn request_of(text: &str) -> HttpRequest {
     let seen = Arc::new(Mutex::new(None));
     let keep = seen.clone();
     let server = server(HttpLimits::default(), move |call| {
@@ -24,8 +24,8 @@
 }
 
 #[tokio::test]
-async fn a_call_holds_what_was_asked() {
-    let call = call_of(
+async fn a_request_holds_what_was_sent() {
+    let call = request_of(
         "PUT /a/b?c=d HTTP/1.1\r\nHost: Some.Example:8080\r\nIf-Match: 5\r\nLupinrack-Deadline-Remaining: 250\r\n\
          Content-Length: 2\r\n\r\n{}",
     )
@@ -42,15 +42,15 @@
 }
 
 #[tokio::test]
-async fn a_call_without_headers_has_none() {
-    let call = call_of("GET / HTTP/1.1\r\n\r\n").await;
+async fn a_request_without_fields_has_none() {
+    let call = request_of("GET / HTTP/1.1\r\n\r\n").await;
     assert_eq!((call.host.as_str(), call.if_match), ("", IfMatch::Missing));
     assert_eq!((call.deadline_remaining_ms, call.body.len()), (None, 0));
 }
 
 #[tokio::test]
-async fn the_host_of_an_absolute_target_counts() {
-    let call = call_of("GET http://One.example:1/x HTTP/1.1\r\nHost: two.example\r\n\r\n").await;
+async fn the_host_of_an_absolute_target_decides() {
+    let call = request_of("GET http://One.example:1/x HTTP/1.1\r\nHost: two.example\r\n\r\n").await;
     assert_eq!(
         (call.host.as_str(), call.path.as_str()),
         ("one.example", "/x")
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test]
-async fn if_match_may_stand_in_quotes_and_is_one_number() {
+async fn if_match_is_one_number_quoted_or_not() {
     let cases = [
         ("If-Match: \"7\"\r\n", IfMatch::Version(7)),
         ("If-Match:  7 \r\n", IfMatch::Version(7)),
@@ -78,14 +78,14 @@
         ("If-Match: 7\r\nIf-Match: 7\r\n", IfMatch::Malformed),
     ];
     for (header, if_match) in cases {
-        let call = call_of(&format!("GET / HTTP/1.1\r\nHost: h\r\n{header}\r\n")).await;
+        let call = request_of(&format!("GET / HTTP/1.1\r\nHost: h\r\n{header}\r\n")).await;
         assert_eq!(call.if_match, if_match, "{header}");
     }
 }
 
 #[tokio::test]
-async fn a_body_in_chunks_is_put_together() {
-    let call = call_of(
+async fn a_chunked_body_is_read_to_its_end() {
+    let call = request_of(
         "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n",
     )
     .await;
@@ -93,7 +93,7 @@
 }
 
 #[tokio::test]
-async fn answers_are_sent_with_their_headers() {
+async fn responses_are_sent_with_their_fields() {
     let server = server(HttpLimits::default(), |call| async move {
         match call.path.as_str() {
             "/empty" => HttpResponse::empty(204),
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn every_error_kind_has_its_answer() {
+fn every_error_kind_has_its_response() {
     for kind in ErrorKind::ALL {
         let answer = HttpResponse::error(kind);
         assert_eq!(
@@ -164,7 +164,7 @@
 }
 
 #[tokio::test]
-async fn a_client_that_ended_its_output_gets_its_answer() {
+async fn a_client_that_ended_its_output_gets_its_response() {
     let go = Arc::new(Notify::new());
     let wait = go.clone();
     let server = server(HttpLimits::default(), move |_| {
@@ -183,7 +183,7 @@
 }
 
 #[tokio::test]
-async fn a_client_that_has_gone_leaves_no_connection() {
+async fn a_client_that_disconnects_ends_its_connection() {
     let go = Arc::new(Notify::new());
     let (wait, (begun, mut begins)) = (go.clone(), mpsc::channel(1));
     let server = server(HttpLimits::default(), move |_| {
@@ -205,7 +205,7 @@
 }
 
 #[tokio::test]
-async fn what_is_no_request_is_refused() {
+async fn malformed_requests_are_rejected() {
     let server = echo(HttpLimits::default());
     for text in [
         "nonsense\r\n\r\n",
@@ -221,7 +221,7 @@
 }
 
 #[tokio::test]
-async fn a_body_that_breaks_off_reaches_no_handler() {
+async fn a_truncated_body_reaches_no_handler() {
     let server = server(HttpLimits::default(), |_| async {
         panic!("half a request was handled")
     });
--- a/crates/cluster-transport/tests/http/support.rs
+++ b/crates/cluster-transport/tests/http/support.rs
@@ -20,7 +20,7 @@
 /// A bound that no test comes near while it works.
 const STUCK: Duration = Duration::from_secs(60);
 
-/// A future that has to resolve.
+/// Awaits a future that has to resolve.
 pub async fn within<T>(future: impl Future<Output = T>) -> T {
     tokio::time::timeout(STUCK, future)
         .await
@@ -40,7 +40,7 @@
     .unwrap()
 }
 
-/// A server that answers each call with its method, path and body.
+/// A server that answers each request with its method, path and body.
 pub fn echo(limits: HttpLimits) -> ServerHandle {
     server(limits, |call| async move {
         let body = format!(
@@ -53,15 +53,15 @@
     })
 }
 
-/// An answer as a client sees it.
+/// A response as a client receives it.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct ReceivedResponse {
     pub status: u16,
     pub headers: HashMap<String, String>,
     pub body: String,
 }
 
-impl Seen {
+impl ReceivedResponse {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
     }
@@ -87,13 +87,13 @@
         self.stream.write_all(text.as_bytes()).await.unwrap();
     }
 
-    pub async fn ask(&mut self, method: Method, path: &str, body: &str) -> Seen {
+    pub async fn ask(&mut self, method: Method, path: &str, body: &str) -> ReceivedResponse {
         self.send(&request(method, path, body)).await;
         self.answer().await
     }
 
-    /// The next answer; there has to be one.
-    pub async fn answer(&mut self) -> Seen {
+    /// The next response; there has to be one.
+    pub async fn answer(&mut self) -> ReceivedResponse {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             head.push(within(self.stream.read_u8()).await.expect("an answer"));
@@ -114,7 +114,7 @@
             .map_or(0, |length| length.parse().unwrap());
         let mut body = vec![0; length];
         within(self.stream.read_exact(&mut body)).await.unwrap();
-        Seen {
+        ReceivedResponse {
             status,
             headers,
             body: String::from_utf8(body).unwrap(),
--- a/crates/cluster-transport/tests/http/timeouts.rs
+++ b/crates/cluster-transport/tests/http/timeouts.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 #[tokio::test(start_paused = true)]
-async fn a_slow_head_is_refused_in_time() {
+async fn a_slow_head_is_rejected_in_time() {
     let server = echo(HttpLimits::default());
     let mut client = Client::connect(&server).await;
     assert_eq!(client.ask(Method::GET, "/", "").await.status, 200);
@@ -24,15 +24,15 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_slow_body_is_refused_in_time() {
+async fn a_slow_body_is_rejected_in_time() {
     let server = echo(HttpLimits::default());
     let mut client = Client::connect(&server).await;
     let began = Instant::now();
     client
         .send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nabc")
         .await;
-    let refused = client.answer().await;
-    assert_eq!((refused.status, refused.is_last()), (408, true));
+    let rejected = client.answer().await;
+    assert_eq!((rejected.status, rejected.is_last()), (408, true));
     let took = began.elapsed();
     assert!(
         took >= Duration::from_millis(3000) && took < Duration::from_millis(3100),
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_body_in_drops_is_refused_in_time() {
+async fn a_body_in_many_small_parts_is_rejected_in_time() {
     let server = echo(HttpLimits::default());
     let mut client = Client::connect(&server).await;
     client
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_at_work_is_not_cut_by_times() {
+async fn a_request_that_is_handled_is_not_aborted_by_timeouts() {
     let server = server(HttpLimits::default(), |_| async {
         tokio::time::sleep(Duration::from_secs(50)).await;
         HttpResponse::json("done")
--- a/crates/cluster-transport/tests/peers/answers.rs
+++ b/crates/cluster-transport/tests/peers/answers.rs
@@ -1,4 +1,4 @@
-//! What becomes of answers and calls that are cut, doubled, or nobody's: each is delivered whole and once for each time it
+//! Replies and requests that are truncated, repeated, or for no connection: each is delivered completely and as often as it
 //! was sent, or its connection is closed.
 
 use crate::support::{
@@ -24,36 +24,36 @@
 
 /// How one frame is sent.
 #[derive(Clone, Copy, Debug)]
-enum Sent {
+enum Transmission {
     Whole,
     Twice,
-    /// Only so much of it, in thousandths, and then something else.
-    Cut(u16),
-    /// With this byte of its length or its content turned over.
+    /// Only a part of it, in thousandths, and then something else.
+    Truncated(u16),
+    /// With this byte of its length or its content inverted.
     Flipped(u16),
 }
 
-impl Arbitrary for Sent {
+impl Arbitrary for Transmission {
     fn arbitrary(g: &mut Gen) -> Self {
         match u8::arbitrary(g) % 8 {
-            0..=3 => Sent::Whole,
-            4 | 5 => Sent::Twice,
-            6 => Sent::Cut(u16::arbitrary(g) % 1_000),
-            _ => Sent::Flipped(u16::arbitrary(g)),
+            0..=3 => Transmission::Whole,
+            4 | 5 => Transmission::Twice,
+            6 => Transmission::Truncated(u16::arbitrary(g) % 1_000),
+            _ => Transmission::Flipped(u16::arbitrary(g)),
         }
     }
 }
 
-fn bytes_of(frame: &Frame, sent: Sent) -> Vec<u8> {
+fn bytes_of(frame: &Frame, sent: Transmission) -> Vec<u8> {
     let mut whole = encoded(frame);
     match sent {
-        Sent::Whole => whole,
-        Sent::Twice => whole.repeat(2),
-        Sent::Cut(thousandths) => {
+        Transmission::Whole => whole,
+        Transmission::Twice => whole.repeat(2),
+        Transmission::Truncated(thousandths) => {
             whole.truncate(whole.len() * usize::from(thousandths) / 1_000);
             whole
         }
-        Sent::Flipped(at) => {
+        Transmission::Flipped(at) => {
             let at = usize::from(at) % whole.len();
             whole[at] ^= 0xff;
             whole
@@ -61,14 +61,14 @@
     }
 }
 
-/// The frames that have to come before anything that was cut or changed, and whether anything was.
-fn certain(sends: &[Sent]) -> (Vec<Frame>, bool) {
+/// The frames that have to arrive before the first damaged one, and whether one is damaged.
+fn undamaged_prefix(sends: &[Transmission]) -> (Vec<Frame>, bool) {
     let mut frames = Vec::new();
     for (number, sent) in (1..).zip(sends) {
         match sent {
-            Sent::Whole => frames.push(reply(number)),
-            Sent::Twice => frames.extend([reply(number), reply(number)]),
-            Sent::Cut(_) | Sent::Flipped(_) => return (frames, true),
+            Transmission::Whole => frames.push(reply(number)),
+            Transmission::Twice => frames.extend([reply(number), reply(number)]),
+            Transmission::Truncated(_) | Transmission::Flipped(_) => return (frames, true),
         }
     }
     (frames, false)
@@ -83,8 +83,8 @@
 }
 
 #[test]
-fn answers_arrive_as_often_as_they_were_sent_until_one_is_spoilt() {
-    fn holds(sends: Vec<Sent>) -> bool {
+fn replies_arrive_as_often_as_they_were_sent_until_one_is_damaged() {
+    fn holds(sends: Vec<Transmission>) -> bool {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
@@ -98,30 +98,31 @@
                 .flat_map(|(number, sent)| bytes_of(&reply(number), *sent))
                 .collect();
             let send = async {
-                // Fails where the reader has closed the connection over what came before.
+                // Fails where the reader has closed the connection because of earlier bytes.
                 let _ = stream.write_all(&bytes).await;
                 let _ = stream.shutdown().await;
                 let _ = stream.read_to_end(&mut Vec::new()).await;
             };
-            let ((), came) = tokio::join!(send, frames_until_closed(&mut first));
-            let (certain, spoilt) = certain(&sends);
-            let clean = !spoilt && came == certain && first.peers.protocol_violations() == 0;
-            clean || (spoilt && came.starts_with(&certain))
+            let ((), received) = tokio::join!(send, frames_until_closed(&mut first));
+            let (undamaged_prefix, damaged) = undamaged_prefix(&sends);
+            let clean =
+                !damaged && received == undamaged_prefix && first.peers.protocol_violations() == 0;
+            clean || (damaged && received.starts_with(&undamaged_prefix))
         })
     }
     QuickCheck::new()
         .tests(CASES)
-        .quickcheck(holds as fn(Vec<Sent>) -> bool);
+        .quickcheck(holds as fn(Vec<Transmission>) -> bool);
 }
 
 #[tokio::test]
-async fn an_answer_to_a_connection_that_is_gone_is_dropped_though_its_process_is_there() {
+async fn a_reply_on_an_ended_connection_is_dropped_though_its_process_runs() {
     let mut first = process(1);
     let former = plain_peer(&first, PORT, 2).await;
     let asked_on = first.greeted().await;
     drop(former);
     assert_eq!(first.closed().await.0, asked_on);
-    // Another life of the process, at the same address.
+    // Another incarnation of the process, at the same address.
     let mut stream = plain_peer(&first, PORT, 3).await;
     let newer = first.greeted().await;
     assert!(!first.peers.send_on(asked_on, reply(1)));
@@ -134,7 +135,7 @@
 }
 
 #[tokio::test]
-async fn a_number_of_a_connection_is_never_given_again() {
+async fn a_connection_number_is_never_reused() {
     let mut first = process(1);
     let mut numbers = Vec::new();
     for incarnation in 2..6 {
@@ -147,14 +148,14 @@
 }
 
 #[tokio::test]
-async fn what_a_former_life_asked_is_answered_to_nobody_else() {
+async fn a_request_of_an_earlier_incarnation_is_answered_to_nobody_else() {
     let mut head = process(1);
     let front = process_at(ANY, 2, PeerSettings::default());
     let address = front.address;
     front.peers.send(head.address, request(1));
     let asked_on = head.greeted().await;
     assert_eq!(head.frame().await.0, request(1));
-    // The front's process dies, and another one begins at its address and asks as well.
+    // The front's process dies, and another one starts at its address and sends a request too.
     front.peers.stop_listening();
     front.peers.close(head.address);
     drop(front);
--- a/crates/cluster-transport/tests/peers/bounds.rs
+++ b/crates/cluster-transport/tests/peers/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds on frames, queues and connections.
+//! Limits on frames, queues and connections.
 
 use crate::support::{large, plain_peer, process, process_with, read_frame, request, within, ANY};
 use lupinrack_cluster_api::identity::PeerAddress;
@@ -10,7 +10,7 @@
 use tokio::net::TcpListener;
 
 #[tokio::test]
-async fn a_large_frame_arrives_whole() {
+async fn a_large_frame_arrives_complete() {
     let (first, mut second) = (process(1), process(2));
     let frame = large(7, FRAME_BYTES_MOST - 100);
     first.peers.send(second.address, request(1));
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn frames_that_waited_too_long_are_dropped() {
+async fn frames_that_are_pending_for_too_long_are_dropped() {
     let first = process(1);
     let listener = TcpListener::bind(ANY).await.unwrap();
     let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else {
@@ -64,7 +64,7 @@
 }
 
 #[tokio::test]
-async fn the_oldest_waiting_frames_give_way() {
+async fn the_oldest_pending_frames_are_dropped_first() {
     let settings = PeerSettings {
         max_pending_frames: 3,
         ..PeerSettings::default()
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn waiting_frames_are_bounded_in_bytes() {
+async fn pending_frames_are_bounded_in_bytes() {
     let settings = PeerSettings {
         max_pending_bytes: 2500,
         ..PeerSettings::default()
@@ -131,7 +131,7 @@
 }
 
 #[tokio::test]
-async fn a_receiver_that_is_slow_holds_readers_up_and_loses_nothing() {
+async fn a_slow_receiver_delays_readers_and_loses_nothing() {
     let settings = PeerSettings {
         max_queued_events: 1,
         ..PeerSettings::default()
--- a/crates/cluster-transport/tests/peers/connections.rs
+++ b/crates/cluster-transport/tests/peers/connections.rs
@@ -83,7 +83,7 @@
 }
 
 #[tokio::test]
-async fn frames_wait_until_the_peer_listens() {
+async fn frames_are_pending_until_the_peer_listens() {
     let mut first = process(1);
     let place = TcpListener::bind(ANY).await.unwrap();
     let std::net::SocketAddr::V4(address) = place.local_addr().unwrap() else {
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_goes_back_on_the_connection_that_asked() {
+async fn a_reply_goes_back_on_the_connection_of_its_request() {
     let mut first = process(1);
     let mut old = plain_peer(&first, 9, 2).await;
     let old_number = first.greeted().await;
@@ -133,7 +133,7 @@
 }
 
 #[tokio::test]
-async fn a_new_life_of_the_peer_ends_connections_of_the_old_one() {
+async fn a_new_incarnation_of_the_peer_closes_connections_of_the_earlier_one() {
     let mut first = process(1);
     let mut old = plain_peer(&first, 9, 2).await;
     let old_number = first.greeted().await;
@@ -173,7 +173,7 @@
 }
 
 #[tokio::test]
-async fn the_last_reception_is_known_after_the_end() {
+async fn the_last_reception_is_known_after_the_connection_ended() {
     let (mut first, mut second) = (process(1), process(2));
     assert_eq!(first.peers.last_received(second.address), None);
     first.peers.send(second.address, request(1));
--- a/crates/cluster-transport/tests/peers/properties.rs
+++ b/crates/cluster-transport/tests/peers/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of what a connection makes of any bytes.
+//! Properties of connections for arbitrary bytes.
 
 use crate::support::{encoded, large, plain_peer, process, request, Process};
 use lupinrack_cluster_api::wire::Frame;
@@ -14,7 +14,7 @@
 /// Cases of each property.
 const CASES: u64 = 60;
 
-fn play<T>(case: impl Future<Output = T>) -> T {
+fn run_case<T>(case: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -22,28 +22,28 @@
     runtime.block_on(case)
 }
 
-/// Frames, and how their bytes are cut into pieces.
+/// Frames, and the sizes into which their bytes are split.
 #[derive(Clone, Debug)]
-struct Pieces {
+struct SplitFrames {
     sizes: Vec<u16>,
-    cuts: Vec<u16>,
+    split_sizes: Vec<u16>,
 }
 
-impl Arbitrary for Pieces {
+impl Arbitrary for SplitFrames {
     fn arbitrary(g: &mut Gen) -> Self {
-        Pieces {
+        SplitFrames {
             sizes: Vec::arbitrary(g),
-            cuts: Vec::arbitrary(g),
+            split_sizes: Vec::arbitrary(g),
         }
     }
 
     fn shrink(&self) -> Box<dyn Iterator<Item = Self>> {
-        let shrunk = (self.sizes.clone(), self.cuts.clone()).shrink();
-        Box::new(shrunk.map(|(sizes, cuts)| Pieces { sizes, cuts }))
+        let shrunk = (self.sizes.clone(), self.split_sizes.clone()).shrink();
+        Box::new(shrunk.map(|(sizes, split_sizes)| SplitFrames { sizes, split_sizes }))
     }
 }
 
-impl Pieces {
+impl SplitFrames {
     fn frames(&self) -> Vec<Frame> {
         (0..)
             .zip(&self.sizes)
@@ -52,15 +52,19 @@
     }
 }
 
-/// Writes bytes in pieces of these sizes, over and over; the reader gets a turn after each.
-async fn write_in_pieces(stream: &mut TcpStream, mut bytes: &[u8], cuts: &[u16]) {
+/// Writes bytes in parts of these sizes, over and over; the reader runs after each.
+async fn write_split(stream: &mut TcpStream, mut bytes: &[u8], split_sizes: &[u16]) {
     let whole = [u16::MAX];
-    let mut sizes = if cuts.is_empty() { &whole[..] } else { cuts }
-        .iter()
-        .cycle();
+    let mut sizes = if split_sizes.is_empty() {
+        &whole[..]
+    } else {
+        split_sizes
+    }
+    .iter()
+    .cycle();
     while let Some(size) = sizes.next().filter(|_| !bytes.is_empty()) {
         let (chunk, rest) = bytes.split_at(bytes.len().min(usize::from(*size).max(1)));
-        // The reader may have closed the connection over what came before.
+        // The reader may have closed the connection because of earlier bytes.
         if stream.write_all(chunk).await.is_err() {
             return;
         }
@@ -70,9 +74,9 @@
 }
 
 #[test]
-fn frames_arrive_however_their_bytes_are_cut() {
-    fn holds(chunks: Pieces) -> bool {
-        play(async {
+fn frames_arrive_however_their_bytes_are_split() {
+    fn holds(chunks: SplitFrames) -> bool {
+        run_case(async {
             let mut first = process(1);
             let mut stream = plain_peer(&first, PORT, 2).await;
             first.greeted().await;
@@ -84,13 +88,16 @@
                     assert_eq!(first.frame().await.0, *frame);
                 }
             };
-            tokio::join!(write_in_pieces(&mut stream, &bytes, &chunks.cuts), receive);
+            tokio::join!(
+                write_split(&mut stream, &bytes, &chunks.split_sizes),
+                receive
+            );
         });
         true
     }
     QuickCheck::new()
         .tests(CASES)
-        .quickcheck(holds as fn(Pieces) -> bool);
+        .quickcheck(holds as fn(SplitFrames) -> bool);
 }
 
 /// The frames until the end of the only connection.
@@ -103,15 +110,15 @@
 }
 
 #[test]
-fn what_came_before_any_bytes_is_delivered_and_the_connection_ends() {
-    fn holds(bytes: Vec<u8>, cuts: Vec<u16>) -> bool {
-        play(async {
+fn frames_before_malformed_bytes_are_delivered_and_the_connection_ends() {
+    fn holds(bytes: Vec<u8>, split_sizes: Vec<u16>) -> bool {
+        run_case(async {
             let mut first = process(1);
             let mut stream = plain_peer(&first, PORT, 2).await;
             first.greeted().await;
             let sent = [encoded(&request(1)), encoded(&request(2)), bytes].concat();
             let send = async {
-                write_in_pieces(&mut stream, &sent, &cuts).await;
+                write_split(&mut stream, &sent, &split_sizes).await;
                 // Both fail where the reader has closed the connection already.
                 let _ = stream.shutdown().await;
                 let _ = stream.read_to_end(&mut Vec::new()).await;
--- a/crates/cluster-transport/tests/peers/protocol.rs
+++ b/crates/cluster-transport/tests/peers/protocol.rs
@@ -1,4 +1,4 @@
-//! What breaks the protocol, and how connections end.
+//! Violations of the protocol, and how connections end.
 
 use crate::support::{encoded, hello, plain_peer, process, request, within, ANY};
 use lupinrack_cluster_api::identity::PeerAddress;
@@ -8,8 +8,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What a process has to see of bytes that are no greeting: nothing at all.
-async fn is_refused_as_greeting(bytes: &[u8]) {
+/// Checks that bytes which are no greeting close the connection and cause no event.
+async fn is_rejected_as_greeting(bytes: &[u8]) {
     let mut first = process(1);
     let mut stream = TcpStream::connect(first.address.0).await.unwrap();
     stream.write_all(bytes).await.unwrap();
@@ -22,21 +22,21 @@
 
 #[tokio::test]
 async fn a_connection_without_a_greeting_is_closed() {
-    is_refused_as_greeting(&encoded(&request(1))).await;
-    is_refused_as_greeting(b"GET / HTTP/1.1\r\n\r\n").await;
-    is_refused_as_greeting(&u32::MAX.to_le_bytes()).await;
-    is_refused_as_greeting(&[0; 64]).await;
+    is_rejected_as_greeting(&encoded(&request(1))).await;
+    is_rejected_as_greeting(b"GET / HTTP/1.1\r\n\r\n").await;
+    is_rejected_as_greeting(&u32::MAX.to_le_bytes()).await;
+    is_rejected_as_greeting(&[0; 64]).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_connection_that_stays_silent_is_closed() {
+async fn a_connection_that_sends_nothing_is_closed() {
     let first = process(1);
     let mut stream = TcpStream::connect(first.address.0).await.unwrap();
     assert_eq!(within(stream.read(&mut [0])).await.unwrap(), 0);
 }
 
 #[tokio::test]
-async fn garbage_closes_a_connection() {
+async fn malformed_bytes_close_a_connection() {
     let too_long = u32::try_from(FRAME_BYTES_MOST + 1).unwrap().to_le_bytes();
     let trailing = [&[2, 0, 0, 0][..], &[250, 250]].concat();
     let second_hello = encoded(&Frame::Hello(hello(2)));
@@ -83,7 +83,7 @@
 }
 
 #[tokio::test]
-async fn another_process_at_the_address_is_not_taken_for_the_peer() {
+async fn another_process_at_the_address_is_not_accepted_as_the_peer() {
     let mut first = process(1);
     let listener = TcpListener::bind(ANY).await.unwrap();
     let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else {
--- a/crates/cluster-transport/tests/peers/support.rs
+++ b/crates/cluster-transport/tests/peers/support.rs
@@ -16,7 +16,7 @@
 /// A bound that no test comes near while it works.
 const STUCK: Duration = Duration::from_secs(20);
 
-/// A process of the system, as far as connections go.
+/// A process of the system with its connections.
 pub struct Process {
     pub peers: Peers,
     pub events: mpsc::Receiver<PeerEvent>,
@@ -90,7 +90,7 @@
     }
 }
 
-/// A future that has to resolve.
+/// Awaits a future that has to resolve.
 pub async fn within<T>(future: impl std::future::Future<Output = T>) -> T {
     tokio::time::timeout(STUCK, future)
         .await
@@ -105,7 +105,7 @@
     }
 }
 
-/// A small frame that can be told from others.
+/// A small frame with a number of its own.
 pub fn request(id: u64) -> Frame {
     Frame::Request {
         id: call_id(id),
--- a/crates/cluster-transport/tests/shared_value.rs
+++ b/crates/cluster-transport/tests/shared_value.rs
@@ -1,4 +1,4 @@
-//! Snapshots: what readers and writers of several threads see, in every interleaving.
+//! Shared values: what readers and writers of several threads see, in every interleaving.
 
 use lupinrack_cluster_transport::shared_value::{SharedCell, SharedValue};
 use shuttle::scheduler::DfsScheduler;
@@ -72,77 +72,77 @@
 }
 
 /// Loads twice and checks that the second value is no older than the first.
-fn read_twice<C: SharedCell<Pair>>(snapshot: &SharedValue<Pair, C>) {
-    let first = snapshot.load().number();
-    let second = snapshot.load().number();
+fn read_twice<C: SharedCell<Pair>>(value: &SharedValue<Pair, C>) {
+    let first = value.load().number();
+    let second = value.load().number();
     assert!(second >= first, "went back from {first} to {second}");
 }
 
 #[test]
-fn readers_see_whole_values_and_never_go_back() {
+fn readers_see_complete_values_and_never_an_older_one() {
     all_schedules(|| {
-        let snapshot = Arc::new(Interleaved::new(Pair::of(0)));
-        let shared = snapshot.clone();
+        let value = Arc::new(Interleaved::new(Pair::of(0)));
+        let shared = value.clone();
         let writer = thread::spawn(move || {
             shared.replace(Arc::new(Pair::of(1)));
             shared.replace(Arc::new(Pair::of(2)));
         });
-        let shared = snapshot.clone();
+        let shared = value.clone();
         let reader = thread::spawn(move || read_twice(&shared));
-        read_twice(&snapshot);
+        read_twice(&value);
         writer.join().unwrap();
         reader.join().unwrap();
-        assert_eq!(snapshot.load().number(), 2);
+        assert_eq!(value.load().number(), 2);
     });
 }
 
 #[test]
 fn no_update_is_lost() {
     all_schedules(|| {
-        let snapshot = Arc::new(Interleaved::new(Pair::of(0)));
+        let value = Arc::new(Interleaved::new(Pair::of(0)));
         let writers: Vec<_> = (0..2)
             .map(|_| {
-                let shared = snapshot.clone();
+                let shared = value.clone();
                 thread::spawn(move || {
                     assert!(shared.update(|pair| Some(Pair::of(pair.number() + 1))))
                 })
             })
             .collect();
-        read_twice(&snapshot);
+        read_twice(&value);
         writers
             .into_iter()
             .for_each(|writer| writer.join().unwrap());
-        assert_eq!(snapshot.load().number(), 2);
+        assert_eq!(value.load().number(), 2);
     });
 }
 
-/// Puts a value in unless a newer one is there.
-fn advance<C: SharedCell<Pair>>(snapshot: &SharedValue<Pair, C>, number: u64) -> bool {
-    snapshot.update(|pair| (pair.number() < number).then(|| Pair::of(number)))
+/// Replaces the value unless it is newer.
+fn advance<C: SharedCell<Pair>>(value: &SharedValue<Pair, C>, number: u64) -> bool {
+    value.update(|pair| (pair.number() < number).then(|| Pair::of(number)))
 }
 
 #[test]
-fn the_newest_of_two_writers_stays() {
+fn the_newest_value_of_two_writers_stays() {
     all_schedules(|| {
-        let snapshot = Arc::new(Interleaved::new(Pair::of(0)));
-        let shared = snapshot.clone();
+        let value = Arc::new(Interleaved::new(Pair::of(0)));
+        let shared = value.clone();
         let writer = thread::spawn(move || assert!(advance(&shared, 2)));
-        let shared = snapshot.clone();
+        let shared = value.clone();
         let reader = thread::spawn(move || read_twice(&shared));
-        advance(&snapshot, 1);
+        advance(&value, 1);
         writer.join().unwrap();
         reader.join().unwrap();
-        assert_eq!(snapshot.load().number(), 2);
+        assert_eq!(value.load().number(), 2);
     });
 }
 
 #[test]
-fn the_usual_cell_keeps_the_same_promises() {
+fn the_default_cell_has_the_same_guarantees() {
     const UPDATES: u64 = 1000;
-    let snapshot: Arc<SharedValue<Pair>> = Arc::new(SharedValue::new(Pair::of(0)));
+    let value: Arc<SharedValue<Pair>> = Arc::new(SharedValue::new(Pair::of(0)));
     let writers: Vec<_> = (0..3)
         .map(|_| {
-            let shared = snapshot.clone();
+            let shared = value.clone();
             std::thread::spawn(move || {
                 for _ in 0..UPDATES {
                     assert!(shared.update(|pair| Some(Pair::of(pair.number() + 1))));
@@ -154,8 +154,8 @@
     writers
         .into_iter()
         .for_each(|writer| writer.join().unwrap());
-    assert_eq!(snapshot.load().number(), 3 * UPDATES);
-    assert!(!advance(&snapshot, 1));
-    snapshot.replace(Arc::new(Pair::of(1)));
-    assert_eq!(snapshot.load().number(), 1);
+    assert_eq!(value.load().number(), 3 * UPDATES);
+    assert!(!advance(&value, 1));
+    value.replace(Arc::new(Pair::of(1)));
+    assert_eq!(value.load().number(), 1);
 }
