--- a/crates/cluster-node/src/core/shards.rs
+++ b/crates/cluster-node/src/core/shards.rs
@@ -1,6 +1,6 @@
 //! The shards that this process owns: taking them over, feeding their schedulers, sending what they decide.
 
-use crate::owner::owner_of;
+use crate::shard_owner::owner_of;
 use lupinrack_cluster_api::agent::AgentMessage;
 use lupinrack_cluster_api::identity::{DiskId, FencingToken, PeerAddress, ServiceName};
 use lupinrack_cluster_api::operation::{Operation, OperationResult};
@@ -103,7 +103,7 @@
         self.taking
             .retain(|service, _| owner_of(view, service) == Some(me));
         let mut operations = Vec::new();
-        for service in &state.configuration.services {
+        for service in &state.configuration().services {
             let mine = owner_of(view, &service.name) == Some(me);
             if !mine || self.schedulers.contains_key(&service.name) {
                 continue;
@@ -115,7 +115,7 @@
             self.taking
                 .insert(service.name.clone(), Asked::after(before, now));
             let current = state
-                .shards
+                .shards()
                 .get(&service.name)
                 .map_or(0, |shard| shard.token.0);
             let token = FencingToken(view.number.max(current + 1));
@@ -219,7 +219,7 @@
     }
 
     /// An agent's connection ended.
-    pub fn disconnected(&mut self, agent: PeerAddress, connection: u64, now: Millis) {
+    pub fn disconnected(&mut self, agent: PeerAddress, connection: u64) {
         let Some(service) = self.agents.remove(&connection) else {
             return;
         };
@@ -227,7 +227,7 @@
             early.retain(|attach| attach.connection != connection);
         }
         if let Some(scheduler) = self.schedulers.get_mut(&service) {
-            scheduler.disconnected(agent, connection, now);
+            scheduler.disconnected(agent, connection);
         }
     }
 
--- a/crates/cluster-transport/src/peers/accept.rs
+++ b/crates/cluster-transport/src/peers/accept.rs
@@ -3,7 +3,7 @@
 use super::codec::FrameReader;
 use super::shared::Shared;
 use super::{reader_task, writer_task};
-use lupinrack_cluster_api::wire::{Frame, Hello, FRAME_BYTES_MOST};
+use lupinrack_cluster_api::frame::{Frame, Hello, FRAME_BYTES_MOST};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::tcp::OwnedReadHalf;
--- a/crates/cluster-transport/src/peers/dial.rs
+++ b/crates/cluster-transport/src/peers/dial.rs
@@ -3,8 +3,8 @@
 use super::codec::FrameReader;
 use super::shared::Shared;
 use super::{reader_task, writer_task};
+use lupinrack_cluster_api::frame::FRAME_BYTES_MOST;
 use lupinrack_cluster_api::identity::PeerAddress;
-use lupinrack_cluster_api::wire::FRAME_BYTES_MOST;
 use std::io;
 use std::sync::Arc;
 use tokio::net::{TcpSocket, TcpStream};
--- a/crates/cluster-transport/src/peers/event.rs
+++ b/crates/cluster-transport/src/peers/event.rs
@@ -1,7 +1,7 @@
 //! What happens on internal connections.
 
+use lupinrack_cluster_api::frame::{Frame, Role};
 use lupinrack_cluster_api::identity::PeerAddress;
-use lupinrack_cluster_api::wire::{Frame, Role};
 
 /// An event on an internal connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/cluster-transport/src/peers/mod.rs
+++ b/crates/cluster-transport/src/peers/mod.rs
@@ -25,8 +25,8 @@
 pub use settings::PeerSettings;
 
 use crate::listen;
+use lupinrack_cluster_api::frame::{Frame, Hello};
 use lupinrack_cluster_api::identity::PeerAddress;
-use lupinrack_cluster_api::wire::{Frame, Hello};
 use shared::Shared;
 use std::borrow::Borrow;
 use std::io;
--- a/crates/cluster-transport/src/peers/shared.rs
+++ b/crates/cluster-transport/src/peers/shared.rs
@@ -3,7 +3,7 @@
 use super::connection_table::ConnectionTable;
 use super::event::PeerEvent;
 use super::settings::PeerSettings;
-use lupinrack_cluster_api::wire::{Frame, Hello};
+use lupinrack_cluster_api::frame::{Frame, Hello};
 use std::io;
 use std::net::SocketAddrV4;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/scheduler/src/heartbeats.rs
+++ b/crates/scheduler/src/heartbeats.rs
@@ -1,9 +1,9 @@
 //! Reading of heartbeats: progress, ends, runs that no record asks for, and proofs that a stopped run never runs.
 
-use crate::lapses::InferredEndReason;
-use crate::runs::{Run, RunPhase, StopReason};
+use crate::inferred_end::InferredEndReason;
+use crate::runs::table::{Run, RunPhase, StopReason};
 use crate::scheduler::Scheduler;
-use crate::servers::{ForeignRun, Server, UnreadHeartbeat};
+use crate::servers::table::{ForeignRun, Server, UnreadHeartbeat};
 use lupinrack_cluster_api::agent::Heartbeat;
 use lupinrack_cluster_api::identity::{Attempt, ServerId, TaskId};
 use lupinrack_cluster_api::job::Resources;
@@ -205,7 +205,7 @@
             .collect();
         stopped
             .into_iter()
-            .for_each(|task| self.end_unlisted(task, InferredEndReason::StopSeen));
+            .for_each(|task| self.end_unlisted(task, InferredEndReason::StopAcknowledged));
     }
 
     /// Notes that the record has taken note of an end, or never will.
@@ -262,7 +262,7 @@
 
 /// What a task needs, where its job is known.
 fn needs_of(state: &ControlState, task: TaskId) -> Option<Resources> {
-    let steps = &state.jobs.get(&task.job)?.spec.steps;
+    let steps = &state.job(task.job)?.spec.steps;
     steps.get(task.step as usize).map(|step| step.needs)
 }
 
@@ -273,7 +273,7 @@
     task: TaskId,
     attempt: Attempt,
 ) -> bool {
-    let job = state.jobs.get(&task.job);
+    let job = state.job(task.job);
     let record = job.and_then(|job| job.task(task.occurrence, task.step, task.index));
     record.is_some_and(|record| {
         record.attempt == attempt
