--- a/crates/cluster-node/tests/subscribers.rs
+++ b/crates/cluster-node/tests/subscribers.rs
@@ -1,5 +1,6 @@
 //! The table of subscribers.
 
+use lupinrack_cluster_api::frame::Interest;
 use lupinrack_cluster_node::subscribers::Subscribers;
 
 const HAS_5: Interest = Interest::Configuration { have: 5 };
