--- /dev/null
+++ b/crates/scheduler-testkit/src/gangs.rs
@@ -0,0 +1,62 @@
+//! Gangs: tasks that work only while all of them run.
+
+use lupinrack_cluster_api::identity::{Attempt, TaskId};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A gang in one of its starts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct GangId {
+    first_member: TaskId,
+    attempt: Attempt,
+}
+
+impl GangId {
+    /// The gang that this task is a member of in this attempt.
+    pub(crate) fn of(task: TaskId, attempt: Attempt) -> GangId {
+        GangId {
+            first_member: TaskId { index: 0, ..task },
+            attempt,
+        }
+    }
+
+    /// Its first member.
+    pub(crate) fn first_member(self) -> TaskId {
+        self.first_member
+    }
+}
+
+/// How far a gang has come that was complete once.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum GangState {
+    /// All its members were there, and none has ended.
+    Working,
+    /// One of its members has ended.
+    Over,
+}
+
+/// The gangs that were complete once.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct Gangs {
+    states: BTreeMap<GangId, GangState>,
+}
+
+impl Gangs {
+    /// Records that these gangs are complete now.
+    pub(crate) fn record_complete(&mut self, complete: &BTreeSet<GangId>) {
+        for gang in complete {
+            self.states.entry(*gang).or_insert(GangState::Working);
+        }
+    }
+
+    /// Records that a member has ended; a gang that was never complete is not over by that.
+    pub(crate) fn record_member_end(&mut self, gang: GangId) {
+        if let Some(state) = self.states.get_mut(&gang) {
+            *state = GangState::Over;
+        }
+    }
+
+    /// How far the gang has come; none if it was never complete.
+    pub(crate) fn state(&self, gang: GangId) -> Option<GangState> {
+        self.states.get(&gang).copied()
+    }
+}
--- /dev/null
+++ b/crates/scheduler-testkit/src/workload.rs
@@ -0,0 +1,182 @@
+//! Jobs of several kinds, drawn from a seed.
+
+use crate::expected_job::ExpectedJob;
+use lupinrack_cluster_api::job::{JobSpec, Resources, Step};
+
+/// Failed runs after which a job has failed, in every queue.
+pub const MAX_RETRIES: u32 = 3;
+
+/// The queues, with their priorities.
+pub const QUEUES: [(&str, u32); 3] = [("q0", 0), ("q1", 1), ("q2", 2)];
+
+/// Whether some jobs allow speculative runs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Speculation {
+    /// No job does.
+    Never,
+    /// A quarter of the small jobs does.
+    Sometimes,
+}
+
+/// A job and the queue that it is submitted to.
+#[derive(Clone, Debug)]
+pub struct GeneratedJob {
+    /// The name of the queue.
+    pub queue: &'static str,
+    /// What its client knows.
+    pub expected: ExpectedJob,
+}
+
+/// The kinds of jobs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum JobKind {
+    /// One or two steps of a few short tasks.
+    Small,
+    /// Small, and several times.
+    Recurring,
+    /// Many tasks with checkpoints, and a last step that needs a label.
+    Wide,
+    /// Tasks that start together or not at all.
+    Gang,
+    /// Tasks that run until they are cancelled.
+    LongRunning,
+}
+
+impl JobKind {
+    fn draw(rng: &mut fastrand::Rng) -> JobKind {
+        match rng.u32(0..100) {
+            0..55 => JobKind::Small,
+            55..70 => JobKind::Wide,
+            70..85 => JobKind::Gang,
+            85..93 => JobKind::Recurring,
+            _ => JobKind::LongRunning,
+        }
+    }
+
+    fn queue(self) -> &'static str {
+        match self {
+            JobKind::Small => "q0",
+            JobKind::Wide | JobKind::Recurring => "q1",
+            JobKind::Gang | JobKind::LongRunning => "q2",
+        }
+    }
+
+    fn steps(self, speculation: Speculation, rng: &mut fastrand::Rng) -> Vec<Step> {
+        match self {
+            JobKind::Small | JobKind::Recurring => small_steps(speculation, rng),
+            JobKind::Wide => wide_steps(rng),
+            JobKind::Gang => gang_steps(rng),
+            JobKind::LongRunning => long_running_steps(),
+        }
+    }
+}
+
+/// A job of a kind that is drawn. Its number goes into its text; `wall_ms` is the time of day.
+pub fn generate_job(
+    number: u64,
+    wall_ms: u64,
+    speculation: Speculation,
+    rng: &mut fastrand::Rng,
+) -> GeneratedJob {
+    let kind = JobKind::draw(rng);
+    let mut spec = JobSpec {
+        spec: format!("spec {number}"),
+        steps: kind.steps(speculation, rng),
+        ..JobSpec::default()
+    };
+    if kind == JobKind::Recurring {
+        spec.repeat = rng.u32(1..4);
+        spec.start_at_ms = wall_ms + rng.u64(0..1_500);
+        spec.interval_ms = rng.u64(200..1_500);
+    }
+    let own_failures = match rng.u32(0..100) {
+        0..4 => MAX_RETRIES + 1,
+        4..10 => 1,
+        _ => 0,
+    };
+    let expected = ExpectedJob {
+        spec,
+        max_retries: MAX_RETRIES,
+        cancelled_at: None,
+        cancel_sent: false,
+        own_failures,
+        work_factor: 0.6 + rng.f64(),
+        sent: false,
+        refused: false,
+    };
+    GeneratedJob {
+        queue: kind.queue(),
+        expected,
+    }
+}
+
+fn small_steps(speculation: Speculation, rng: &mut fastrand::Rng) -> Vec<Step> {
+    let affinity = ["", "r1-1", "r1-2"][rng.usize(0..3)].to_owned();
+    let first = Step {
+        count: rng.u32(2..7),
+        needs: resources(240, 100, 0),
+        estimate_ms: 400,
+        affinity,
+        speculative: speculation == Speculation::Sometimes && rng.u32(0..4) == 0,
+        ..Step::default()
+    };
+    let second = Step {
+        depends_on: vec![0],
+        affinity: String::new(),
+        ..first.clone()
+    };
+    if rng.bool() {
+        vec![first, second]
+    } else {
+        vec![first]
+    }
+}
+
+fn wide_steps(rng: &mut fastrand::Rng) -> Vec<Step> {
+    let first = Step {
+        count: rng.u32(8..20),
+        needs: resources(1_500, 1_000, 0),
+        estimate_ms: 2_500,
+        checkpoints: true,
+        ..Step::default()
+    };
+    let last = Step {
+        count: 3,
+        depends_on: vec![0],
+        requires: "a".to_owned(),
+        anti_affinity: 1,
+        ..first.clone()
+    };
+    vec![first, last]
+}
+
+fn gang_steps(rng: &mut fastrand::Rng) -> Vec<Step> {
+    vec![Step {
+        count: rng.u32(2..4),
+        needs: resources(7_000, 4_000, rng.u64(1..5)),
+        estimate_ms: 3_000,
+        checkpoints: rng.bool(),
+        gang: true,
+        same_rack: rng.bool(),
+        ..Step::default()
+    }]
+}
+
+fn long_running_steps() -> Vec<Step> {
+    vec![Step {
+        count: 3,
+        needs: resources(300, 200, 0),
+        estimate_ms: 400,
+        long_running: true,
+        anti_affinity: 2,
+        ..Step::default()
+    }]
+}
+
+fn resources(cpu: u64, memory_mb: u64, gpu: u64) -> Resources {
+    Resources {
+        cpu,
+        memory_mb,
+        gpu,
+    }
+}
--- a/crates/scheduler/tests/golden/days.rs
+++ b/crates/scheduler/tests/golden/days.rs
@@ -3,7 +3,7 @@
 use crate::day::{play, JOBS};
 use crate::files::{check, Golden};
 use crate::text::{rule_word, summary_text};
-use crate::world::{Troubles, World};
+use crate::world::{Faults, World};
 use lupinrack_cluster_api::job::JobState;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_scheduler::Round;
@@ -89,17 +89,17 @@
 }
 
 /// The trace of a day, what its jobs came to, and how the last owner sees its service in the end.
-fn day_text(seed: u64, troubles: Troubles) -> String {
+fn day_text(seed: u64, faults: Faults) -> String {
     let trace = Rc::new(RefCell::new(DayTrace::default()));
     let observer = {
         let trace = trace.clone();
         Box::new(move |at: Millis, owner, round: &Round| trace.borrow_mut().add(at, owner, round))
     };
-    let world = play(seed, troubles, JOBS, observer);
+    let world = play(seed, faults, JOBS, observer);
     assert!(
-        world.checks.broken.is_empty(),
+        world.oracle.violations().is_empty(),
         "seed {seed}: {:?}",
-        world.checks.broken
+        world.oracle.violations()
     );
     trace.borrow_mut().finish_second();
     let mut text = format!("seed {seed}\n{}", trace.borrow().text);
@@ -128,62 +128,68 @@
 }
 
 /// What goes wrong in the days of each file.
-fn kinds_of_days() -> [(&'static str, Troubles); 9] {
-    let calm = Troubles::default();
+fn kinds_of_days() -> [(&'static str, Faults); 9] {
+    let calm = Faults::default();
     [
         ("calm", calm),
         (
             "lossy",
-            Troubles {
+            Faults {
                 lossy: true,
                 ..calm
             },
         ),
         (
             "takeovers",
-            Troubles {
+            Faults {
                 takeovers: true,
                 ..calm
             },
         ),
         (
             "crashes",
-            Troubles {
+            Faults {
                 crashes: true,
                 ..calm
             },
         ),
-        ("cuts", Troubles { cuts: true, ..calm }),
+        (
+            "cuts",
+            Faults {
+                partitions: true,
+                ..calm
+            },
+        ),
         (
             "drains",
-            Troubles {
+            Faults {
                 drains: true,
                 ..calm
             },
         ),
         (
             "failing-server",
-            Troubles {
+            Faults {
                 failing_server: true,
                 ..calm
             },
         ),
         (
             "still-server",
-            Troubles {
-                still_server: true,
+            Faults {
+                stalled_server: true,
                 ..calm
             },
         ),
         (
             "everything",
-            Troubles {
+            Faults {
                 takeovers: true,
                 crashes: true,
-                cuts: true,
+                partitions: true,
                 drains: true,
                 failing_server: false,
-                still_server: true,
+                stalled_server: true,
                 lossy: true,
             },
         ),
@@ -192,9 +198,9 @@
 
 #[test]
 fn days_are_decided_as_kept() {
-    let file = |(name, troubles): (&str, Troubles)| Golden {
+    let file = |(name, faults): (&str, Faults)| Golden {
         name: format!("{name}.txt"),
-        text: SEEDS.map(|seed| day_text(seed, troubles)).concat(),
+        text: SEEDS.map(|seed| day_text(seed, faults)).concat(),
     };
     check("days", &kinds_of_days().map(file));
 }
--- a/crates/scheduler/tests/golden/main.rs
+++ b/crates/scheduler/tests/golden/main.rs
@@ -10,8 +10,6 @@
 #[allow(dead_code)]
 #[path = "../decisions/bench.rs"]
 mod bench;
-#[path = "../simulation/checks.rs"]
-mod checks;
 #[path = "../simulation/day.rs"]
 mod day;
 mod days;
@@ -19,15 +17,9 @@
 mod log_lines;
 #[path = "../simulation/model_agent.rs"]
 mod model_agent;
-#[path = "../simulation/model_server.rs"]
-mod model_server;
 mod scenario;
 mod scenarios;
 mod settings;
 mod text;
-#[path = "../simulation/work.rs"]
-mod work;
-#[path = "../simulation/workload.rs"]
-mod workload;
 #[path = "../simulation/world.rs"]
 mod world;
--- a/crates/scheduler/tests/simulation/main.rs
+++ b/crates/scheduler/tests/simulation/main.rs
@@ -1,18 +1,14 @@
 //! Days of a service under the scheduler, with all its rules checked: servers that follow the protocol, agents behind a
-//! network with delays, a record that applies operations, and troubles drawn from a seed.
+//! network with delays, a record that applies operations, and faults drawn from a seed.
 
-mod checks;
 mod day;
 mod model_agent;
-mod model_server;
-mod work;
-mod workload;
 mod world;
 
 use day::{play, JOBS};
 use lupinrack_cluster_api::job::JobState;
 use quickcheck::{QuickCheck, TestResult};
-use world::{RoundObserver, Troubles, World};
+use world::{Faults, RoundObserver, World};
 
 /// Days that each test plays, unless [`DAYS_VARIABLE`] says otherwise.
 const DAYS: u64 = 12;
@@ -24,17 +20,23 @@
     Box::new(|_, _, _| {})
 }
 
-fn verdict(seed: u64, troubles: Troubles) -> TestResult {
-    let world = play(seed, troubles, JOBS, ignored());
-    if world.checks.broken.is_empty() {
+fn verdict(seed: u64, faults: Faults) -> TestResult {
+    let world = play(seed, faults, JOBS, ignored());
+    if world.oracle.violations().is_empty() {
         return TestResult::passed();
     }
     TestResult::error(format!(
-        "seed {seed}, {troubles:?}:\n{}",
-        world.checks.broken.join("\n")
+        "seed {seed}, {faults:?}:\n{}",
+        violations_text(&world)
     ))
 }
 
+fn violations_text(world: &World) -> String {
+    let violations = world.oracle.violations().iter();
+    let lines: Vec<String> = violations.map(ToString::to_string).collect();
+    lines.join("\n")
+}
+
 /// Plays days, each with a seed that is drawn.
 fn check(day: fn(u64) -> TestResult) {
     let days = std::env::var(DAYS_VARIABLE)
@@ -45,8 +47,8 @@
 }
 
 #[test]
-fn calm_days() {
-    check(|seed| verdict(seed, Troubles::default()));
+fn days_without_faults() {
+    check(|seed| verdict(seed, Faults::default()));
 }
 
 #[test]
@@ -54,9 +56,9 @@
     check(|seed| {
         verdict(
             seed,
-            Troubles {
+            Faults {
                 lossy: true,
-                ..Troubles::default()
+                ..Faults::default()
             },
         )
     });
@@ -67,9 +69,9 @@
     check(|seed| {
         verdict(
             seed,
-            Troubles {
+            Faults {
                 takeovers: true,
-                ..Troubles::default()
+                ..Faults::default()
             },
         )
     });
@@ -80,22 +82,22 @@
     check(|seed| {
         verdict(
             seed,
-            Troubles {
+            Faults {
                 crashes: true,
-                ..Troubles::default()
+                ..Faults::default()
             },
         )
     });
 }
 
 #[test]
-fn days_with_cuts() {
+fn days_with_partitions() {
     check(|seed| {
         verdict(
             seed,
-            Troubles {
-                cuts: true,
-                ..Troubles::default()
+            Faults {
+                partitions: true,
+                ..Faults::default()
             },
         )
     });
@@ -106,9 +108,9 @@
     check(|seed| {
         verdict(
             seed,
-            Troubles {
+            Faults {
                 drains: true,
-                ..Troubles::default()
+                ..Faults::default()
             },
         )
     });
@@ -119,22 +121,22 @@
     check(|seed| {
         verdict(
             seed,
-            Troubles {
+            Faults {
                 failing_server: true,
-                ..Troubles::default()
+                ..Faults::default()
             },
         )
     });
 }
 
 #[test]
-fn days_with_a_server_that_stands_still() {
+fn days_with_a_stalled_server() {
     check(|seed| {
         verdict(
             seed,
-            Troubles {
-                still_server: true,
-                ..Troubles::default()
+            Faults {
+                stalled_server: true,
+                ..Faults::default()
             },
         )
     });
@@ -143,28 +145,28 @@
 #[test]
 fn days_with_everything() {
     let everything = |seed| {
-        let troubles = Troubles {
+        let faults = Faults {
             takeovers: true,
             crashes: true,
-            cuts: true,
+            partitions: true,
             drains: true,
             failing_server: false,
-            still_server: seed % 2 == 0,
+            stalled_server: seed % 2 == 0,
             lossy: true,
         };
-        verdict(seed, troubles)
+        verdict(seed, faults)
     };
     check(everything);
 }
 
-/// Of the urgent jobs of calm days that are not crowded, this many in a hundred are done within their objective.
+/// Of the urgent jobs of days without faults that are not crowded, this many in a hundred are done within their objective.
 const URGENT_ON_TIME_PERCENT: usize = 90;
 
 #[test]
 fn urgent_jobs_of_calm_days_meet_their_objective() {
     let mut urgent = Urgent::default();
     for seed in 0..8 {
-        let world = play(seed, Troubles::default(), JOBS / 2, ignored());
+        let world = play(seed, Faults::default(), JOBS / 2, ignored());
         urgent.count(&world);
     }
     assert!(urgent.jobs > 100, "{urgent:?}");
--- a/crates/scheduler/tests/simulation/model_agent.rs
+++ b/crates/scheduler/tests/simulation/model_agent.rs
@@ -1,14 +1,14 @@
-//! An agent beside a server: turns the owner's messages into answers to heartbeats.
+//! An agent beside a server: turns the owner's messages into responses to heartbeats.
 
-use crate::model_server::{BeatAnswer, StartOrder};
 use lupinrack_cluster_api::agent::{AgentMessage, Assignment, Heartbeat, OwnerMessage};
 use lupinrack_cluster_api::identity::{Attempt, FencingToken, PeerAddress, ServerId, TaskId};
 use lupinrack_cluster_api::server::ServerFacts;
 use lupinrack_cluster_api::time::Millis;
+use lupinrack_scheduler_testkit::{HeartbeatResponse, ModelServer, StartCommand};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Less hold than this is not passed on.
-const LEASE_LEAST_MS: u64 = 100;
+/// A lease with less than this left is not passed on, in milliseconds.
+const MIN_LEASE_MS: u64 = 100;
 
 /// A connection to an owner.
 #[derive(Clone, Debug)]
@@ -31,7 +31,7 @@
     lease_until: u64,
     heartbeat_after_ms: u64,
     applied_number: u64,
-    answered_number: u64,
+    delivered_number: u64,
 }
 
 impl ModelAgent {
@@ -48,7 +48,7 @@
             lease_until: 0,
             heartbeat_after_ms: 200,
             applied_number: 0,
-            answered_number: 0,
+            delivered_number: 0,
         }
     }
 
@@ -59,10 +59,10 @@
             attached: false,
         });
         self.applied_number = 0;
-        self.answered_number = 0;
+        self.delivered_number = 0;
     }
 
-    fn begin_life(&mut self, server: &ServerId) {
+    fn begin_incarnation(&mut self, server: &ServerId) {
         self.incarnation = Some(server.clone());
         self.desired.clear();
         self.stops.clear();
@@ -73,18 +73,18 @@
             session.attached = false;
         }
         self.applied_number = 0;
-        self.answered_number = 0;
+        self.delivered_number = 0;
     }
 
-    /// Takes a heartbeat; gives the answer, and the report to the owner where there is a session.
-    pub fn beat(
+    /// Receives a heartbeat; returns the response, and the report to the owner where there is a session.
+    pub fn receive_heartbeat(
         &mut self,
         facts: &ServerFacts,
         mut heartbeat: Heartbeat,
         now: u64,
-    ) -> (BeatAnswer, Option<AgentMessage>) {
+    ) -> (HeartbeatResponse, Option<AgentMessage>) {
         if self.incarnation.as_ref() != Some(&facts.id) {
-            self.begin_life(&facts.id);
+            self.begin_incarnation(&facts.id);
         }
         for end in &heartbeat.finished {
             self.ended.insert((end.task, end.attempt));
@@ -96,16 +96,20 @@
                 self.desired.remove(&end.task);
             }
         }
-        heartbeat.orders_seen = self.answered_number;
-        let answer = self.answer(&heartbeat, now);
-        self.answered_number = self.applied_number;
+        heartbeat.orders_seen = self.delivered_number;
+        let response = self.response(&heartbeat, now);
+        self.delivered_number = self.applied_number;
         let report = self.report(facts, heartbeat, now);
-        (answer, report)
+        (response, report)
     }
 
-    fn answer(&self, heartbeat: &Heartbeat, now: u64) -> BeatAnswer {
-        let held = self.lease_until.saturating_sub(now);
-        let lease_ms = if held >= LEASE_LEAST_MS { held } else { 0 };
+    fn response(&self, heartbeat: &Heartbeat, now: u64) -> HeartbeatResponse {
+        let remaining = self.lease_until.saturating_sub(now);
+        let lease_ms = if remaining >= MIN_LEASE_MS {
+            remaining
+        } else {
+            0
+        };
         let runs = |task: TaskId, attempt: Attempt| {
             heartbeat
                 .running
@@ -130,14 +134,14 @@
             .filter(|(task, attempt)| runs(*task, *attempt))
             .collect();
         stops.extend(older.map(|run| (run.task, run.attempt)));
-        BeatAnswer {
-            heartbeat_sent_at: heartbeat.sequence,
+        HeartbeatResponse {
+            heartbeat_sent_at: ModelServer::sent_at(heartbeat),
             token: self.token,
             lease_ms,
             observed: self.observed,
-            starts: starts.map(start_order).collect(),
+            starts: starts.map(start_command).collect(),
             stops,
-            retry_after_ms: self.heartbeat_after_ms,
+            heartbeat_after_ms: self.heartbeat_after_ms,
         }
     }
 
@@ -205,8 +209,8 @@
     }
 }
 
-fn start_order(wanted: &Assignment) -> StartOrder {
-    StartOrder {
+fn start_command(wanted: &Assignment) -> StartCommand {
+    StartCommand {
         task: wanted.task,
         attempt: wanted.attempt,
         spec: wanted.spec.clone(),
--- a/crates/scheduler/tests/simulation/world.rs
+++ b/crates/scheduler/tests/simulation/world.rs
@@ -1,14 +1,11 @@
 //! The model of a service: servers, agents, owners, and the record, moved on in small steps of time.
 
-use crate::checks::{Checks, JobTruth, Strictness};
 use crate::model_agent::ModelAgent;
-use crate::model_server::{BeatAnswer, Conduct, ModelServer};
-use crate::workload::{draw, DrawnJob, QUEUES};
 use lupinrack_cluster_api::agent::{AgentMessage, Heartbeat, OwnerMessage};
+use lupinrack_cluster_api::identity::ServerId;
 use lupinrack_cluster_api::identity::{
     DiskId, FencingToken, JobId, PeerAddress, QueueName, ServiceName,
 };
-use lupinrack_cluster_api::identity::{ServerId, TaskId};
 use lupinrack_cluster_api::job::{JobState, Resources};
 use lupinrack_cluster_api::operation::{
     ConfigurationBody, ConfigurationChange, Operation, OperationResult,
@@ -17,45 +14,54 @@
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_control_state::ControlState;
 use lupinrack_scheduler::{Round, Scheduler, SchedulerSettings};
+use lupinrack_scheduler_testkit::{
+    generate_job, DrainRule, ExpectedJob, FarmSettings, GangRule, GeneratedJob, HeartbeatResponse,
+    Oracle, OracleRules, OutdatedResponses, Rule, ServerBehavior, ServerFarm, ServerSettings,
+    Speculation, StepContext, TimeBounds, QUEUES,
+};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 pub const TICK_MS: u64 = 5;
 const ROUND_MS: u64 = 25;
 pub const WALL_START: u64 = 1_700_000_000_000;
+/// What holds in every day of this simulation.
+const ORACLE_RULES: OracleRules = OracleRules {
+    max_early_start_ms: 0,
+    draining: DrainRule::Always,
+    gangs: GangRule::CancelledJobs,
+};
 const SERVICE: &str = "service";
 
 /// What goes wrong in a day.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Troubles {
+pub struct Faults {
     pub takeovers: bool,
     pub crashes: bool,
-    pub cuts: bool,
+    pub partitions: bool,
     pub drains: bool,
     pub failing_server: bool,
-    pub still_server: bool,
+    pub stalled_server: bool,
     pub lossy: bool,
 }
 
-impl Troubles {
-    pub fn is_calm(&self) -> bool {
+impl Faults {
+    pub fn is_empty(&self) -> bool {
         !(self.takeovers
             || self.crashes
-            || self.cuts
+            || self.partitions
             || self.drains
             || self.failing_server
-            || self.still_server
+            || self.stalled_server
             || self.lossy)
     }
 }
 
-/// A machine with a server and its agent.
-pub struct Machine {
+/// The agent of a server, which stands in the slot of the farm with the same number.
+pub struct AgentMachine {
     pub agent: ModelAgent,
-    pub server: Option<ModelServer>,
-    pub incarnation: u64,
-    pub back_at: Option<u64>,
-    pub cut_until: Option<u64>,
+    /// Until when it has no connection to an owner.
+    pub partitioned_until: Option<u64>,
 }
 
 /// A process that owned the shard at some time.
@@ -66,14 +72,14 @@
 }
 
 pub enum Event {
-    Beat {
+    Heartbeat {
         machine: usize,
         heartbeat: Heartbeat,
     },
-    Answer {
+    Response {
         machine: usize,
         incarnation: u64,
-        answer: BeatAnswer,
+        response: HeartbeatResponse,
     },
     ToOwner {
         owner: usize,
@@ -92,7 +98,7 @@
         connection: u64,
     },
     Apply(Operation),
-    Submit(DrawnJob),
+    Submit(GeneratedJob),
     Cancel(JobId),
 }
 
@@ -102,13 +108,13 @@
 pub struct World {
     pub now: u64,
     pub rng: fastrand::Rng,
-    pub troubles: Troubles,
+    pub faults: Faults,
     pub settings: SchedulerSettings,
-    pub machines: Vec<Machine>,
+    pub farm: ServerFarm,
+    pub agents: Vec<AgentMachine>,
     pub owners: Vec<Owner>,
     pub state: ControlState,
-    pub checks: Checks,
-    pub gangs: BTreeMap<(TaskId, u32), bool>,
+    pub oracle: Oracle,
     events: BTreeMap<(u64, u64), Event>,
     sequence: u64,
     connections: u64,
@@ -142,6 +148,16 @@
     }
 }
 
+fn farm_settings() -> FarmSettings {
+    FarmSettings {
+        facts,
+        server: ServerSettings {
+            max_lease_ms: u64::MAX,
+            outdated_responses: OutdatedResponses::Ignored,
+        },
+    }
+}
+
 fn address(machine: usize) -> PeerAddress {
     PeerAddress(SocketAddrV4::new(
         Ipv4Addr::LOCALHOST,
@@ -167,17 +183,17 @@
 }
 
 impl World {
-    pub fn new(seed: u64, machines: usize, troubles: Troubles, observer: RoundObserver) -> World {
+    pub fn new(seed: u64, machines: usize, faults: Faults, observer: RoundObserver) -> World {
         let mut world = World {
             now: 10_000,
             rng: fastrand::Rng::with_seed(seed),
-            troubles,
+            faults,
             settings: SchedulerSettings::default(),
-            machines: Vec::new(),
+            farm: ServerFarm::new(farm_settings()),
+            agents: Vec::new(),
             owners: Vec::new(),
             state: ControlState::default(),
-            checks: Checks::default(),
-            gangs: BTreeMap::new(),
+            oracle: Oracle::new(ORACLE_RULES),
             events: BTreeMap::new(),
             sequence: 0,
             connections: 0,
@@ -188,15 +204,11 @@
         let result = world.state.apply(&configuration());
         assert_eq!(result, OperationResult::Done, "the configuration is taken");
         for machine in 0..machines {
-            let server = ModelServer::new(facts(machine, 1), world.now + world.rng.u64(0..300));
-            let agent = ModelAgent::new(address(machine));
-            let server = Some(server);
-            world.machines.push(Machine {
-                agent,
-                server,
-                incarnation: 1,
-                back_at: None,
-                cut_until: None,
+            let begins_at = world.now + world.rng.u64(0..300);
+            world.farm.add_slot(1, begins_at);
+            world.agents.push(AgentMachine {
+                agent: ModelAgent::new(address(machine)),
+                partitioned_until: None,
             });
         }
         world.take_over();
@@ -207,9 +219,11 @@
         WALL_START + self.now
     }
 
-    pub fn strictness(&self) -> Strictness {
-        Strictness {
-            calm: self.troubles.is_calm(),
+    fn time_bounds(&self) -> TimeBounds {
+        if self.faults.is_empty() {
+            TimeBounds::Enforced
+        } else {
+            TimeBounds::Suspended
         }
     }
 
@@ -235,7 +249,7 @@
     }
 
     fn is_lost(&mut self) -> bool {
-        self.troubles.lossy && self.rng.u32(0..20) == 0
+        self.faults.lossy && self.rng.u32(0..20) == 0
     }
 
     /// A new owner takes the shard; the old one may act for a second more, or is gone at once.
@@ -261,19 +275,19 @@
             authority_until: u64::MAX,
             alive: true,
         });
-        for machine in 0..self.machines.len() {
+        for machine in 0..self.agents.len() {
             self.disconnect(machine);
             let delay = self.rng.u64(0..600);
-            self.machines[machine].cut_until = Some(self.now + delay);
+            self.agents[machine].partitioned_until = Some(self.now + delay);
         }
     }
 
     pub fn disconnect(&mut self, machine: usize) {
-        let Some(session) = self.machines[machine].agent.session.take() else {
+        let Some(session) = self.agents[machine].agent.session.take() else {
             return;
         };
         let delay = self.rng.u64(0..300);
-        let agent = self.machines[machine].agent.address;
+        let agent = self.agents[machine].agent.address;
         let (owner, connection) = (session.owner, session.connection);
         self.send(
             delay,
@@ -286,48 +300,69 @@
     }
 
     fn reconnect_agents(&mut self) {
-        for machine in 0..self.machines.len() {
-            if self.machines[machine]
-                .cut_until
+        for machine in 0..self.agents.len() {
+            if self.agents[machine]
+                .partitioned_until
                 .is_some_and(|until| self.now >= until)
             {
-                self.machines[machine].cut_until = None;
+                self.agents[machine].partitioned_until = None;
                 self.connections += 1;
                 let (owner, connection) = (self.owners.len() - 1, self.connections);
-                self.machines[machine].agent.connect(owner, connection);
+                self.agents[machine].agent.connect(owner, connection);
             }
         }
     }
 
-    pub fn restart_server(&mut self, machine: usize) {
-        let place = &mut self.machines[machine];
-        place.incarnation += 1;
-        place.back_at = None;
-        place.server = Some(ModelServer::new(
-            facts(machine, place.incarnation),
-            self.now,
-        ));
+    /// Calls the farm with what it needs of this world.
+    fn with_farm<T>(&mut self, call: impl FnOnce(&mut ServerFarm, &mut StepContext<'_>) -> T) -> T {
+        let mut context = StepContext {
+            now: self.now,
+            wall_ms: self.wall(),
+            time_bounds: self.time_bounds(),
+            oracle: &mut self.oracle,
+            rng: &mut self.rng,
+        };
+        call(&mut self.farm, &mut context)
+    }
+
+    pub fn crash(&mut self, machine: usize, returns_after_ms: u64) {
+        self.with_farm(|farm, context| farm.crash(machine, returns_after_ms, context));
+    }
+
+    fn receive_response(&mut self, machine: usize, incarnation: u64, response: &HeartbeatResponse) {
+        self.with_farm(|farm, context| {
+            farm.receive_response(machine, incarnation, response, context);
+        });
+    }
+
+    fn step_servers(&mut self) {
+        // Nobody is notified of servers that shut down: their leases expire.
+        self.with_farm(|farm, context| farm.step(TICK_MS, context));
     }
 
     pub fn submit_jobs(&mut self, count: u64, within_ms: u64) {
         for number in 0..count {
             let delay = self.rng.u64(0..within_ms);
             let wall = self.wall() + delay;
-            let job = draw(&mut self.rng, number, wall);
+            let job = generate_job(number, wall, Speculation::Never, &mut self.rng);
             self.send(delay, Event::Submit(job));
         }
     }
 
-    fn submit(&mut self, job: DrawnJob) {
+    fn submit(&mut self, job: GeneratedJob) {
         self.jobs += 1;
         let id = JobId(self.jobs);
-        let cancelled = job.truth.is_lasting() || self.rng.u32(0..20) == 0;
+        let cancelled = job.expected.is_long_running() || self.rng.u32(0..20) == 0;
         if cancelled {
             let delay = self.rng.u64(200..9_000);
             self.send(delay, Event::Cancel(id));
         }
-        let spec = job.truth.spec.clone();
-        self.checks.jobs.insert(id, job.truth);
+        let spec = job.expected.spec.clone();
+        let expected = ExpectedJob {
+            sent: true,
+            ..job.expected
+        };
+        self.oracle.expect_job(id, expected);
         let queue = QueueName(job.queue.to_owned());
         let at = WallMillis(self.wall());
         self.apply(&Operation::AcceptJob {
@@ -349,8 +384,8 @@
             .state
             .job(job)
             .is_some_and(|record| record.state == JobState::Cancelled);
-        if let Some(truth) = self.checks.jobs.get_mut(&job).filter(|_| cancelled) {
-            truth.cancelled_at.get_or_insert(self.now);
+        if let Some(expected) = self.oracle.job_mut(job).filter(|_| cancelled) {
+            expected.cancelled_at.get_or_insert(self.now);
         }
     }
 
@@ -374,8 +409,8 @@
                 self.handle(event);
             }
         }
-        self.work();
-        self.beats();
+        self.step_servers();
+        self.send_heartbeats();
         if self.now.is_multiple_of(ROUND_MS) {
             self.rounds();
         }
@@ -383,12 +418,12 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Beat { machine, heartbeat } => self.beat_at_agent(machine, heartbeat),
-            Event::Answer {
+            Event::Heartbeat { machine, heartbeat } => self.receive_heartbeat(machine, heartbeat),
+            Event::Response {
                 machine,
                 incarnation,
-                answer,
-            } => self.answer(machine, incarnation, &answer),
+                response,
+            } => self.receive_response(machine, incarnation, &response),
             Event::ToOwner {
                 owner,
                 agent,
@@ -406,7 +441,7 @@
                 connection,
                 message,
             } => {
-                self.machines[machine]
+                self.agents[machine]
                     .agent
                     .owner_message(connection, message);
             }
@@ -423,37 +458,33 @@
         }
     }
 
-    fn beats(&mut self) {
-        for machine in 0..self.machines.len() {
+    fn send_heartbeats(&mut self) {
+        for machine in 0..self.agents.len() {
             let now = self.now;
-            let Some(server) = self.machines[machine].server.as_mut() else {
+            let Some(server) = self.farm.server_mut(machine) else {
                 continue;
             };
             if server.wants_heartbeat(now) {
-                let heartbeat = server.beat(now);
+                let heartbeat = server.send_heartbeat(now);
                 let delay = self.rng.u64(1..5);
                 if !self.is_lost() {
-                    self.send(delay, Event::Beat { machine, heartbeat });
+                    self.send(delay, Event::Heartbeat { machine, heartbeat });
                 }
             }
         }
     }
 
-    fn beat_at_agent(&mut self, machine: usize, heartbeat: Heartbeat) {
+    fn receive_heartbeat(&mut self, machine: usize, heartbeat: Heartbeat) {
         let now = self.now;
-        let place = &mut self.machines[machine];
-        let Some(server) = place
-            .server
-            .as_ref()
-            .filter(|server| *server.id() == heartbeat.server)
-        else {
+        let present = self.farm.server(machine);
+        let Some(server) = present.filter(|server| *server.id() == heartbeat.server) else {
             return;
         };
-        let facts = server.facts.clone();
-        let (answer, report) = place.agent.beat(&facts, heartbeat, now);
-        let (incarnation, agent) = (place.incarnation, place.agent.address);
-        let session = place.agent.session.clone();
-        let slow = self.troubles.lossy && self.rng.u32(0..30) == 0;
+        let agent = &mut self.agents[machine].agent;
+        let (response, report) = agent.receive_heartbeat(server.facts(), heartbeat, now);
+        let incarnation = self.farm.incarnation(machine);
+        let (session, agent) = (agent.session.clone(), agent.address);
+        let slow = self.faults.lossy && self.rng.u32(0..30) == 0;
         let delay = if slow {
             self.rng.u64(300..1_500)
         } else {
@@ -462,10 +493,10 @@
         if !self.is_lost() {
             self.send(
                 delay,
-                Event::Answer {
+                Event::Response {
                     machine,
                     incarnation,
-                    answer,
+                    response,
                 },
             );
         }
@@ -504,7 +535,7 @@
             for order in round.messages {
                 assert!(self.now < until.0, "no message after the authority");
                 let machine = self
-                    .machines
+                    .agents
                     .iter()
                     .position(|machine| machine.agent.address == order.agent);
                 let delay = self.connection_delay(order.connection, Direction::ToAgent);
@@ -519,9 +550,9 @@
         }
     }
 
-    pub fn set_conduct(&mut self, machine: usize, conduct: Conduct) {
-        if let Some(server) = self.machines[machine].server.as_mut() {
-            server.conduct = conduct;
+    pub fn set_behavior(&mut self, machine: usize, behavior: ServerBehavior) {
+        if let Some(server) = self.farm.server_mut(machine) {
+            server.set_behavior(behavior);
         }
     }
 
@@ -537,35 +568,33 @@
 
     /// Checks what clients are shown in the end.
     pub fn check_outcomes(&mut self) {
-        let truths: Vec<(JobId, JobTruth)> = self
-            .checks
-            .jobs
+        let expected: Vec<(JobId, ExpectedJob)> = self
+            .oracle
+            .jobs()
             .iter()
-            .map(|(id, truth)| (*id, truth.clone()))
+            .map(|(id, job)| (*id, job.clone()))
             .collect();
-        let servers_fail = self.troubles.failing_server;
-        for (id, truth) in truths {
+        let servers_fail = self.faults.failing_server;
+        for (id, job) in expected {
             let state = self.state.job(id).map(|job| job.state);
-            match state {
-                Some(JobState::Succeeded) if !self.checks.all_done(id) => {
-                    self.checks.broke(self.now, format!("MIXED: {id}"));
-                }
-                Some(JobState::Failed) if !truth.is_hopeless() && !servers_fail => {
-                    self.checks
-                        .broke(self.now, format!("{id} is shown as failed without cause"));
+            let violation = match state {
+                Some(JobState::Succeeded) if !self.oracle.all_done(id) => {
+                    (Rule::Mixed, format!("{id}"))
                 }
-                Some(JobState::Cancelled) if truth.cancelled_at.is_none() => {
-                    self.checks.broke(
-                        self.now,
-                        format!("{id} is shown as cancelled without cause"),
-                    );
+                Some(JobState::Failed) if !job.is_hopeless() && !servers_fail => {
+                    (Rule::Lost, format!("{id} is shown as failed without cause"))
                 }
+                Some(JobState::Cancelled) if job.cancelled_at.is_none() => (
+                    Rule::Lost,
+                    format!("{id} is shown as cancelled without cause"),
+                ),
                 Some(JobState::Queued | JobState::Running) | None => {
-                    self.checks
-                        .broke(self.now, format!("{id} has not ended: {state:?}"));
+                    (Rule::Lost, format!("{id} has not ended: {state:?}"))
                 }
-                _ => {}
-            }
+                _ => continue,
+            };
+            let (rule, detail) = violation;
+            self.oracle.report_violation(self.now, rule, detail);
         }
     }
 }
