--- a/crates/cluster-node/tests/byte_bounds.rs
+++ b/crates/cluster-node/tests/byte_bounds.rs
@@ -6,12 +6,12 @@
 use lupinrack_cluster_api::request::{Reply, Request};
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::Voter;
-use lupinrack_cluster_node::control_api::ControlCall;
+use lupinrack_cluster_node::control_api::HeadCall;
 use lupinrack_cluster_node::core::{
     ByteLimits, CoreEffect, CoreEvent, CoreMachine, CoreSettings, Moment,
 };
 use lupinrack_control_store::simulated::SimulatedDisk;
-use lupinrack_control_store::{ControlStore, Medium, StoreSettings, DATA_FILE};
+use lupinrack_control_store::{ControlStore, Directory, StoreSettings, DATA_FILE};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
 use tokio::sync::oneshot;
@@ -52,7 +52,7 @@
     fn new() -> Alone {
         let disk = SimulatedDisk::new();
         let (store, mut recovered) =
-            ControlStore::open_on(Arc::new(disk.clone()), StoreSettings::default()).expect("opens");
+            ControlStore::open_in(Arc::new(disk.clone()), StoreSettings::default()).expect("opens");
         recovered.disk = Some(DiskId(1));
         let address = PeerAddress(SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), 7_000));
         let settings = CoreSettings {
@@ -88,7 +88,7 @@
             events
                 .drain(..)
                 .for_each(|event| self.machine.receive(event, moment(self.now)));
-            for effect in self.machine.settle(moment(self.now)) {
+            for effect in self.machine.take_effects(moment(self.now)) {
                 let CoreEffect::Write { ticket, batch } = effect else {
                     continue;
                 };
@@ -119,10 +119,10 @@
     fn call(&mut self, body: String, if_match: u64) -> oneshot::Receiver<Reply> {
         let body = ConfigurationBody::Replacement(body);
         let request = Request::ChangeConfiguration(ConfigurationChange { if_match, body });
-        let (answerer, reply) = oneshot::channel();
-        self.receive(CoreEvent::Call(ControlCall {
+        let (reply_to, reply) = oneshot::channel();
+        self.receive(CoreEvent::Call(HeadCall {
             request,
-            answerer,
+            reply_to,
             remaining_ms: 2_000,
         }));
         reply
@@ -152,7 +152,7 @@
     } = alone;
     drop((store, machine));
     let (_, found) =
-        ControlStore::open_on(Arc::new(disk), StoreSettings::default()).expect("opens");
+        ControlStore::open_in(Arc::new(disk), StoreSettings::default()).expect("opens");
     let log_bytes: usize = found
         .entries
         .iter()
--- /dev/null
+++ b/crates/cluster-simulation/src/faults/severe.rs
@@ -0,0 +1,265 @@
+//! The worst days of the control side: scenes, one after the other, each of which takes as much as is tolerated.
+
+use super::schedule::{
+    Acknowledgement, CoreFault, CoreSelector, Crash, CrashOnAck, Fault, OperatorAction,
+    PartitionDirection, ScheduledFault, CATCH_UP_MS, GRACE_MS,
+};
+use crate::config::{FaultScenario, SimulationConfig};
+
+/// How long a machine is cut off while its callers go on, in milliseconds.
+const PARTITION_MS: u64 = 20_000;
+/// How long a strike waits for its acknowledgement, in milliseconds.
+const ARMED_MS: u64 = 2_000;
+/// A machine without power is back after this long at most, in milliseconds.
+const BACK_MOST_MS: u64 = 1_800;
+
+/// A plan that is being put together.
+struct Draft<'a> {
+    rng: &'a mut fastrand::Rng,
+    settings: &'a SimulationConfig,
+    entries: Vec<ScheduledFault>,
+    /// Up to here it is written.
+    at: u64,
+}
+
+/// The entries of a day: of this scene again and again, or of all.
+pub fn draw(
+    rng: &mut fastrand::Rng,
+    settings: &SimulationConfig,
+    scenario: Option<FaultScenario>,
+) -> Vec<ScheduledFault> {
+    let mut draft = Draft {
+        rng,
+        settings,
+        entries: Vec::new(),
+        at: 0,
+    };
+    draft.at = 3_000 + draft.rng.u64(0..3_000);
+    while draft.at + 5_000 < settings.traffic_ms {
+        let scenario =
+            scenario.unwrap_or(FaultScenario::ALL[draft.rng.usize(0..FaultScenario::ALL.len())]);
+        draft.scenario(scenario);
+        draft.at += draft.rng.u64(0..3_000);
+    }
+    draft.others();
+    draft.orders();
+    draft.entries
+}
+
+impl Draft<'_> {
+    fn scenario(&mut self, scenario: FaultScenario) {
+        match scenario {
+            FaultScenario::RepeatedReplacement => self.repeated_replacement(),
+            FaultScenario::GracefulReplacement => self.graceful_replacement(),
+            FaultScenario::ReplacementThenDiskLoss => self.replacement_then_disk_loss(),
+            FaultScenario::DiskLossDuringCatchUp => self.disk_loss_during_catch_up(),
+            FaultScenario::ConsecutiveDiskLosses => self.consecutive_disk_losses(),
+            FaultScenario::PartitionWithCallers => self.partition_with_callers(),
+            FaultScenario::SimultaneousCrash => self.simultaneous_crash(),
+            FaultScenario::SimultaneousLosses => self.simultaneous_losses(),
+            FaultScenario::DegradedMachine => self.degraded_machine(),
+            FaultScenario::RollingRestart => self.rolling_restart(),
+        }
+    }
+
+    fn push(&mut self, at: u64, duration_ms: u64, fault: Fault) {
+        self.entries.push(ScheduledFault {
+            at,
+            duration_ms,
+            fault,
+        });
+    }
+
+    fn core(&mut self, duration_ms: u64, fault: CoreFault, selector: CoreSelector) {
+        self.push(self.at, duration_ms, Fault::Core(fault, selector));
+    }
+
+    fn random_selector(&mut self) -> CoreSelector {
+        match self.rng.u32(0..4) {
+            0 => CoreSelector::Head,
+            1 => CoreSelector::OldestDisk,
+            _ => CoreSelector::Index(self.rng.usize(0..self.settings.cores)),
+        }
+    }
+
+    fn crash_on_ack(&mut self, crash: Crash) {
+        let after = if self.rng.bool() {
+            Acknowledgement::Job
+        } else {
+            Acknowledgement::Configuration
+        };
+        self.push(
+            self.at,
+            ARMED_MS,
+            Fault::CrashOnAck(CrashOnAck { after, crash }),
+        );
+        self.at += ARMED_MS + BACK_MOST_MS + CATCH_UP_MS;
+    }
+
+    /// Oldest machines are replaced by empty ones at other addresses, as fast as is allowed.
+    fn repeated_replacement(&mut self) {
+        for _ in 0..self.rng.u32(1..5) {
+            let empty_after = self.rng.u64(200..2_000);
+            self.core(
+                empty_after,
+                CoreFault::Replacement,
+                CoreSelector::OldestDisk,
+            );
+            self.at += empty_after + CATCH_UP_MS + self.rng.u64(0..1_500);
+        }
+    }
+
+    fn graceful_replacement(&mut self) {
+        let selector = self.random_selector();
+        let overlap_ms = CATCH_UP_MS + self.rng.u64(0..2_000);
+        self.core(overlap_ms, CoreFault::GracefulReplacement, selector);
+        self.at += overlap_ms + GRACE_MS + CATCH_UP_MS;
+    }
+
+    fn replacement_then_disk_loss(&mut self) {
+        let empty_after = self.rng.u64(200..1_500);
+        self.core(
+            empty_after,
+            CoreFault::Replacement,
+            CoreSelector::OldestDisk,
+        );
+        self.at += empty_after + CATCH_UP_MS;
+        self.crash_on_ack(Crash::DiskLoss(CoreSelector::OldestDisk));
+    }
+
+    fn disk_loss_during_catch_up(&mut self) {
+        let empty_after = self.rng.u64(200..1_500);
+        self.core(
+            empty_after,
+            CoreFault::Replacement,
+            CoreSelector::OldestDisk,
+        );
+        self.at += empty_after + self.rng.u64(0..CATCH_UP_MS);
+        self.core(500, CoreFault::DiskLoss, CoreSelector::NewestDisk);
+        self.at += 500 + CATCH_UP_MS;
+    }
+
+    fn partition_with_callers(&mut self) {
+        let direction = [
+            PartitionDirection::Both,
+            PartitionDirection::Inbound,
+            PartitionDirection::Outbound,
+        ][self.rng.usize(0..3)];
+        let selector = self.random_selector();
+        self.core(
+            PARTITION_MS,
+            CoreFault::PartitionWithCallers(direction),
+            selector,
+        );
+        self.at += PARTITION_MS + CATCH_UP_MS;
+    }
+
+    fn consecutive_disk_losses(&mut self) {
+        let first = self.random_selector();
+        self.crash_on_ack(Crash::DiskLoss(first));
+        self.crash_on_ack(Crash::DiskLoss(CoreSelector::OldestDisk));
+    }
+
+    fn simultaneous_crash(&mut self) {
+        let selector = self.random_selector();
+        match self.rng.u32(0..4) {
+            0 => self.crash_on_ack(Crash::PowerLossOfAll),
+            1 => self.crash_on_ack(Crash::DiskLossAndPowerLossOfAll(selector)),
+            2 => self.moment(Fault::KillAll),
+            _ => self.moment(Fault::PowerLossOfAllCores),
+        }
+    }
+
+    fn moment(&mut self, fault: Fault) {
+        self.push(self.at, 1_000, fault);
+        self.at += 1_000 + CATCH_UP_MS;
+    }
+
+    /// As many machines as is tolerated, at the same moment.
+    fn simultaneous_losses(&mut self) {
+        let duration_ms = self.rng.u64(300..6_000);
+        let first = self.rng.usize(0..self.settings.cores);
+        for number in 0..self.settings.tolerance {
+            let selector = CoreSelector::Index((first + number) % self.settings.cores);
+            use CoreFault::*;
+            let fault =
+                [Kill, PowerLoss, DiskLoss, Suspend, Isolation, Replacement][self.rng.usize(0..6)];
+            self.core(duration_ms, fault, selector);
+        }
+        self.at += duration_ms + CATCH_UP_MS;
+    }
+
+    fn degraded_machine(&mut self) {
+        use CoreFault::*;
+        let all = [
+            IntermittentRun,
+            SlowLinks,
+            SlowDisk,
+            StalledDisk,
+            FullDisk,
+            FailingDisk,
+        ];
+        let fault = all[self.rng.usize(0..all.len())];
+        let selector = self.random_selector();
+        let duration_ms = self.rng.u64(1_000..8_000);
+        self.core(duration_ms, fault, selector);
+        self.at += duration_ms + CATCH_UP_MS;
+    }
+
+    /// Each machine is told to end and comes back, one after the other.
+    fn rolling_restart(&mut self) {
+        for slot in 0..self.settings.cores.min(5) {
+            self.core(GRACE_MS, CoreFault::Shutdown, CoreSelector::Index(slot));
+            self.at += GRACE_MS + CATCH_UP_MS;
+        }
+    }
+
+    /// ActiveFaults of fronts, agents, servers and clocks beside the scenes.
+    fn others(&mut self) {
+        let fronts = self.settings.fronts();
+        let agents = self.settings.agents();
+        let mut at = 4_000;
+        while at < self.settings.traffic_ms {
+            at += self.rng.u64(1_000..5_000);
+            let front = self.rng.usize(fronts.clone());
+            let side = self.rng.usize(agents.clone());
+            let anywhere = self.rng.usize(0..agents.end);
+            let slot = self.rng.usize(0..self.settings.servers);
+            let fault = match self.rng.u32(0..13) {
+                0 => Fault::FrontKill(front),
+                1 => Fault::FrontSuspend(front),
+                2 => Fault::FrontShutdown(front),
+                3 => Fault::FrontRemoval(front),
+                4 => Fault::AgentKill(side),
+                5 => Fault::AgentShutdown(side),
+                6 => Fault::AgentSuspend(side),
+                7 | 8 => Fault::ConnectionReset(anywhere),
+                9 => Fault::ClockStep(anywhere, self.rng.i64(-2_000..2_000)),
+                10 => Fault::SeedChange,
+                11 => Fault::ServerCrash(slot),
+                _ => Fault::ServerShutdown(slot),
+            };
+            let duration_ms = self.rng.u64(300..4_500);
+            self.push(at, duration_ms, fault);
+        }
+    }
+
+    /// The operator's orders, of some days many a second.
+    fn orders(&mut self) {
+        let gap_most = [400, 1_500, 4_000][self.rng.usize(0..3)];
+        let mut at = 4_000;
+        while at < self.settings.traffic_ms {
+            at += self.rng.u64(150..gap_most);
+            let fault = match self.rng.u32(0..20) {
+                0..12 => Fault::Operator(OperatorAction::Change),
+                12 => Fault::Operator(OperatorAction::Resend),
+                13 | 14 => Fault::Operator(OperatorAction::ConcurrentPair),
+                15 => Fault::Operator(OperatorAction::ConcurrentBurst),
+                16 | 17 => Fault::Operator(OperatorAction::InvalidChange),
+                _ => Fault::AcknowledgementLoss,
+            };
+            let duration_ms = self.rng.u64(300..3_000);
+            self.push(at, duration_ms, fault);
+        }
+    }
+}
--- a/crates/cluster-simulation/src/side.rs
+++ b/crates/cluster-simulation/src/machine/agent.rs
@@ -4,7 +4,7 @@
 use lupinrack_cluster_api::identity::{PeerAddress, ServerId};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
-use lupinrack_cluster_node::agent::machine::{SideEffect, SideMachine};
+use lupinrack_cluster_node::agent::machine::{AgentEffect, AgentMachine};
 use lupinrack_worker_agent::{AgentSettings, ServerHeartbeat};
 
 /// A heartbeat of the server, as it is known again in the answer.
@@ -19,18 +19,18 @@
 }
 
 /// What an agent's process does.
-pub type AgentEffect = SideEffect<HeartbeatCall>;
+pub type HeartbeatAgentEffect = AgentEffect<HeartbeatCall>;
 
 /// The process of an agent.
 #[derive(Debug)]
-pub struct Side {
-    machine: SideMachine<HeartbeatCall>,
+pub struct AgentProcess {
+    machine: AgentMachine<HeartbeatCall>,
     /// The processes that are held for alive, whether they are or not.
     table: LiveTable,
     has_ended: bool,
 }
 
-impl Side {
+impl AgentProcess {
     /// One that begins now, with this table for as long as it lives.
     pub fn new(
         own: LiveMember,
@@ -38,35 +38,40 @@
         seeds: Vec<PeerAddress>,
         settings: AgentSettings,
         now: Millis,
-    ) -> Side {
-        Side {
-            machine: SideMachine::new(own, seeds, None, settings, now),
+    ) -> AgentProcess {
+        AgentProcess {
+            machine: AgentMachine::new(own, seeds, None, settings, now),
             table,
             has_ended: false,
         }
     }
 
     /// A frame came.
-    pub fn on_frame(&mut self, from: PeerAddress, frame: Frame, now: Millis) -> Vec<AgentEffect> {
+    pub fn on_frame(
+        &mut self,
+        from: PeerAddress,
+        frame: Frame,
+        now: Millis,
+    ) -> Vec<HeartbeatAgentEffect> {
         self.machine.on_frame(from, frame, now)
     }
 
     /// A connection ended.
-    pub fn on_closed(&mut self, from: PeerAddress, now: Millis) -> Vec<AgentEffect> {
+    pub fn on_closed(&mut self, from: PeerAddress, now: Millis) -> Vec<HeartbeatAgentEffect> {
         self.machine.on_closed(from, now)
     }
 
     /// A heartbeat of the server came.
     pub fn on_heartbeat(
         &mut self,
-        beat: ServerHeartbeat,
+        heartbeat: ServerHeartbeat,
         sent_at: u64,
         now: Millis,
-    ) -> Vec<AgentEffect> {
+    ) -> Vec<HeartbeatAgentEffect> {
         let call = HeartbeatCall {
-            server: beat.facts.id.clone(),
+            server: heartbeat.facts.id.clone(),
             sent_at,
-            highest_end: beat
+            highest_end: heartbeat
                 .heartbeat
                 .finished
                 .iter()
@@ -74,11 +79,11 @@
                 .max()
                 .unwrap_or(0),
         };
-        self.machine.on_heartbeat(beat, call, now)
+        self.machine.on_heartbeat(heartbeat, call, now)
     }
 
     /// The open heartbeat has waited for long enough.
-    pub fn on_answer_due(&mut self, now: Millis) -> Vec<AgentEffect> {
+    pub fn on_answer_due(&mut self, now: Millis) -> Vec<HeartbeatAgentEffect> {
         self.machine.on_answer_due(now)
     }
 
@@ -90,12 +95,12 @@
     }
 
     /// The server has left in order.
-    pub fn on_leave(&mut self, server: ServerId, now: Millis) -> Vec<AgentEffect> {
-        self.machine.on_leave(server, now)
+    pub fn on_deregister(&mut self, server: ServerId, now: Millis) -> Vec<HeartbeatAgentEffect> {
+        self.machine.on_deregister(server, now)
     }
 
     /// It is told to end, and does so at once.
-    pub fn on_terminate(&mut self) -> Vec<AgentEffect> {
+    pub fn on_terminate(&mut self) -> Vec<HeartbeatAgentEffect> {
         self.has_ended = true;
         Vec::new()
     }
@@ -106,7 +111,7 @@
     }
 
     /// Time has passed.
-    pub fn on_tick(&mut self, now: Millis) -> Vec<AgentEffect> {
+    pub fn on_tick(&mut self, now: Millis) -> Vec<HeartbeatAgentEffect> {
         self.machine.on_tick(&self.table, now)
     }
 }
--- /dev/null
+++ b/crates/cluster-simulation/tests/injected_control_bugs.rs
@@ -0,0 +1,196 @@
+//! Planted faults of the control side, one for each point that operators keep meeting: each is caught by days that break
+//! no rule without it.
+
+use lupinrack_cluster_simulation::{
+    simulate, simulate_schedule, CoreFault, CoreSelector, Fault, FaultProfile, FaultScenario,
+    FaultSchedule, InjectedBug, OperatorAction, PartitionDirection, ScheduledFault,
+    SimulationConfig, SimulationReport,
+};
+
+/// Whether a line of the reports begins, after its moment, with one of the rules.
+fn breaks(reports: &[SimulationReport], rules: &[&str]) -> bool {
+    let mut lines = reports.iter().flat_map(|report| &report.violations);
+    lines.any(|line| rules.iter().any(|rule| line.contains(rule)))
+}
+
+fn assert_sound(reports: &[SimulationReport]) {
+    let violations: Vec<&String> = reports
+        .iter()
+        .flat_map(|report| &report.violations)
+        .collect();
+    assert!(violations.is_empty(), "without the fault: {violations:#?}");
+}
+
+/// Plays days without the fault, which have to be sound, and with it, where one of the rules has to be broken.
+fn assert_caught(
+    injected_bug: InjectedBug,
+    rules: &[&str],
+    simulate_all: impl Fn(Option<InjectedBug>) -> Vec<SimulationReport>,
+) {
+    assert_sound(&simulate_all(None));
+    let reports = simulate_all(Some(injected_bug));
+    assert!(
+        breaks(&reports, rules),
+        "{injected_bug:?} is not caught: {reports:#?}"
+    );
+}
+
+fn scenario(
+    scenario: FaultScenario,
+    seeds: &[u64],
+    traffic_ms: u64,
+    injected_bug: Option<InjectedBug>,
+) -> Vec<SimulationReport> {
+    let settings = SimulationConfig {
+        kind: FaultProfile::Only(scenario),
+        traffic_ms,
+        jobs: traffic_ms / 1_000,
+        injected_bug,
+        ..SimulationConfig::default()
+    };
+    seeds.iter().map(|seed| simulate(*seed, settings)).collect()
+}
+
+fn core(at: u64, duration_ms: u64, kind: CoreFault, selector: CoreSelector) -> ScheduledFault {
+    ScheduledFault {
+        at,
+        duration_ms,
+        fault: Fault::Core(kind, selector),
+    }
+}
+
+fn orders(
+    order: OperatorAction,
+    moments: impl Iterator<Item = u64>,
+) -> impl Iterator<Item = ScheduledFault> {
+    moments.map(move |at| ScheduledFault {
+        at,
+        duration_ms: 0,
+        fault: Fault::Operator(order),
+    })
+}
+
+/// Point 1.
+#[test]
+fn an_old_configuration_served_without_contact_is_caught() {
+    let rules = ["CONFIG: version", "HISTORY"];
+    assert_caught(InjectedBug::BarrierWithoutQuorum, &rules, |injected_bug| {
+        scenario(
+            FaultScenario::PartitionWithCallers,
+            &[1, 2, 3, 4],
+            60_000,
+            injected_bug,
+        )
+    });
+}
+
+/// Point 2.
+#[test]
+fn taken_changes_lost_over_a_snapshot_are_caught() {
+    let rules = ["acknowledged, is refused", "HISTORY"];
+    assert_caught(
+        InjectedBug::AcceptedChangesNotInSnapshot,
+        &rules,
+        |injected_bug| {
+            scenario(
+                FaultScenario::SimultaneousCrash,
+                &[1, 2, 3, 4],
+                60_000,
+                injected_bug,
+            )
+        },
+    );
+}
+
+/// The head is cut off with another machine, twice, while the operator goes on on both sides.
+fn minority_cut_off() -> FaultSchedule {
+    let partition = CoreFault::MinorityPartitionWithCallers(PartitionDirection::Both);
+    let mut entries = vec![
+        core(8_000, 9_000, partition, CoreSelector::Head),
+        core(24_000, 9_000, partition, CoreSelector::Head),
+    ];
+    entries.extend(orders(
+        OperatorAction::Change,
+        (5..36).map(|second| 1_000 * second),
+    ));
+    FaultSchedule::of(entries)
+}
+
+/// Point 3.
+#[test]
+fn voters_removed_without_an_overlap_of_majorities_are_caught() {
+    let rules = [
+        "CONFIG: version",
+        "CONFIG: changes",
+        "HISTORY",
+        "LOST: accepted job",
+    ];
+    assert_caught(
+        InjectedBug::VotersRemovedByMinority,
+        &rules,
+        |injected_bug| {
+            let settings = SimulationConfig {
+                cores: 5,
+                tolerance: 1,
+                injected_bug,
+                ..SimulationConfig::default()
+            };
+            (1..=3)
+                .map(|seed| simulate_schedule(seed, settings, minority_cut_off()))
+                .collect()
+        },
+    );
+}
+
+/// Point 4.
+#[test]
+fn a_snapshot_taken_for_newer_than_it_is_is_caught() {
+    let rules = ["CONFIG: version", "LOST: accepted job", "TWICE"];
+    assert_caught(InjectedBug::StaleSnapshot, &rules, |injected_bug| {
+        scenario(
+            FaultScenario::SimultaneousCrash,
+            &[1, 2, 3, 4],
+            60_000,
+            injected_bug,
+        )
+    });
+}
+
+/// Fronts are killed and come back at once, again and again, while slow links of the head make answers late.
+fn fronts_come_back_at_once() -> FaultSchedule {
+    let settings = SimulationConfig::default();
+    let kill = |number: usize| ScheduledFault {
+        at: 6_000 + 800 * number as u64,
+        duration_ms: 30,
+        fault: Fault::FrontKill(settings.cores + number % settings.fronts),
+    };
+    let mut entries: Vec<ScheduledFault> = (0..38).map(kill).collect();
+    entries.push(core(
+        5_000,
+        32_000,
+        CoreFault::SlowLinks,
+        CoreSelector::Head,
+    ));
+    FaultSchedule::of(entries)
+}
+
+/// Point 5.
+#[test]
+fn an_answer_matched_by_number_alone_is_caught() {
+    let rules = [
+        "MIXED",
+        "without cause",
+        "is not known",
+        "CONFIG: submission",
+    ];
+    assert_caught(InjectedBug::ReplyMatchedByNumber, &rules, |injected_bug| {
+        let settings = SimulationConfig {
+            finish_ms: 60_000,
+            injected_bug,
+            ..SimulationConfig::default()
+        };
+        (1..=4)
+            .map(|seed| simulate_schedule(seed, settings, fronts_come_back_at_once()))
+            .collect()
+    });
+}
