--- a/crates/chain/src/chain.rs
+++ b/crates/chain/src/chain.rs
@@ -1,13 +1,13 @@
 //! The state of a replica, and what others may ask of it.
 
+use crate::catch_up_source::Feeder;
+use crate::commit_lag::KeepingUp;
 use crate::effect::{Effect, ReplicaStatus};
-use crate::feeder::Feeder;
 use crate::follower::{Follower, SenderState};
-use crate::keeping_up::KeepingUp;
 use crate::limits::{ByteLimits, CAUGHT_UP_MS, ENTRY_BYTES_MOST, UNCOMMITTED_ENTRIES_MOST};
 use crate::log::{encoded_bytes, Log};
-use crate::membership::Entry;
 use crate::snapshot::{IncomingSnapshot, SharedSnapshot};
+use crate::view_change::Entry;
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::operation::{LogEntry, Operation};
 use lupinrack_cluster_api::time::Millis;
--- a/crates/chain/src/follower.rs
+++ b/crates/chain/src/follower.rs
@@ -1,6 +1,6 @@
 //! What a member knows of a disk that it sends entries to: its successor, or a spare that joins.
 
-use crate::flow::{Flow, WINDOW_BYTES_LEAST};
+use crate::flow_control::{Flow, WINDOW_BYTES_LEAST};
 use crate::limits::{ByteLimits, RESEND_MS, SNAPSHOT_RETRY_MS, WINDOW_ENTRIES};
 use crate::log::Log;
 use crate::snapshot::{OutgoingSnapshot, SharedSnapshot};
--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -22,19 +22,19 @@
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
 
+mod catch_up_source;
 mod chain;
+mod commit;
+mod commit_lag;
 mod effect;
-mod feeder;
-mod flow;
+mod flow_control;
 mod follower;
-mod keeping_up;
 pub mod limits;
 mod log;
-mod membership;
-mod progress;
 mod receive;
 mod snapshot;
-mod timer;
+mod tick;
+mod view_change;
 
 pub use chain::{Chain, StoredState, SubmitError};
 pub use effect::{Effect, ReplicaStatus};
--- a/crates/chain/src/membership.rs
+++ b/crates/chain/src/view_change.rs
@@ -1,10 +1,10 @@
 //! The beginning of a view, and the disk's standing.
 
+use crate::catch_up_source::Feeder;
 use crate::chain::{Chain, Leadership};
+use crate::commit_lag::KeepingUp;
 use crate::effect::{Effect, ReplicaStatus};
-use crate::feeder::Feeder;
 use crate::follower::Follower;
-use crate::keeping_up::KeepingUp;
 use crate::snapshot::IncomingSnapshot;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
