--- a/crates/chain/src/catch_up_source.rs
+++ b/crates/chain/src/catch_up_source.rs
@@ -1,48 +1,50 @@
-//! From which member a spare takes entries.
+//! From which member a spare receives entries.
 //!
-//! The tail feeds spares, since what it has is committed. But a spare is needed most when a member is lost, and that may be
-//! the tail: so while its feeder is silent a spare turns to the member before it, and from the head to the tail again.
-//! Any member feeds with what it knows to be committed.
+//! The tail feeds spares, since everything it has is committed. But a spare is needed most when a
+//! member is lost, and that may be the tail. So a spare whose source times out turns to the member
+//! before it, and from the head to the tail again. Any member feeds with what it knows to be
+//! committed.
 
-use crate::limits::FEEDER_SILENT_MS;
+use crate::limits::SOURCE_TIMEOUT_MS;
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
 
 /// The member that feeds a spare in one view.
-#[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Feeder {
-    /// How many members before the tail it stands, counted round.
-    turn: usize,
-    heard_at: Millis,
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct CatchUpSource {
+    /// How many members before the tail it is, counted around the end.
+    before_tail: usize,
+    /// When it last sent anything, or became the source.
+    last_message: Millis,
 }
 
-impl Feeder {
+impl CatchUpSource {
     /// The tail, at the beginning of a view.
-    pub(crate) fn tail(now: Millis) -> Feeder {
-        Feeder {
-            turn: 0,
-            heard_at: now,
+    pub(crate) fn tail(now: Millis) -> CatchUpSource {
+        CatchUpSource {
+            before_tail: 0,
+            last_message: now,
         }
     }
 
-    /// Which member it is.
-    pub(crate) fn of(&self, view: &View) -> Option<DiskId> {
-        let behind = self.turn.checked_rem(view.chain.len())?;
-        view.chain.iter().rev().nth(behind).copied()
+    /// Which member of the view it is; none if the chain is empty.
+    pub(crate) fn member_of(&self, view: &View) -> Option<DiskId> {
+        let before_tail = self.before_tail.checked_rem(view.chain.len())?;
+        view.chain.iter().rev().nth(before_tail).copied()
     }
 
-    /// It sent something.
-    pub(crate) fn heard(&mut self, now: Millis) {
-        self.heard_at = now;
+    /// Notes that it sent something.
+    pub(crate) fn received(&mut self, now: Millis) {
+        self.last_message = now;
     }
 
-    /// Turns to the next one if this one is silent.
-    pub(crate) fn look(&mut self, now: Millis) {
-        if now.since(self.heard_at) >= FEEDER_SILENT_MS {
-            *self = Feeder {
-                turn: self.turn + 1,
-                heard_at: now,
+    /// Turns to the next member if this one has timed out.
+    pub(crate) fn turn_on_timeout(&mut self, now: Millis) {
+        if now.since(self.last_message) >= SOURCE_TIMEOUT_MS {
+            *self = CatchUpSource {
+                before_tail: self.before_tail + 1,
+                last_message: now,
             };
         }
     }
--- a/crates/chain/src/commit.rs
+++ b/crates/chain/src/commit.rs
@@ -1,19 +1,19 @@
-//! How far the log is synced, acknowledged and committed.
+//! What is synced, acknowledged and committed.
 
-use crate::chain::{Acknowledged, Chain, RECOVERY_BARRIER};
-use crate::effect::{Effect, ReplicaStatus};
+use crate::barrier::RECOVERY_BARRIER;
+use crate::chain::Chain;
+use crate::effect::Effect;
+use crate::upstream::Acknowledgement;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::wire::ChainMessage;
 
 impl Chain {
-    /// Everything up to `index` that was ordered to be appended is synced.
+    /// Everything up to `index` that was to be appended is synced.
     pub fn entries_written(&mut self, index: u64, now: Millis) -> Vec<Effect> {
-        // While a rewrite is under way this report is about entries that the rewrite may have dropped.
-        if self.disk.rewrites == 0 {
-            self.disk.synced = self.disk.synced.max(index.min(self.log.last()));
+        if self.log.entries_written(index) {
             self.progress(now);
         }
-        self.take_effects()
+        self.outbox.take()
     }
 
     /// A truncation after `index` is synced.
@@ -23,123 +23,108 @@
 
     /// A snapshot up to `index` is installed and synced.
     pub fn snapshot_installed(&mut self, index: u64, now: Millis) -> Vec<Effect> {
-        self.installing = None;
+        self.snapshots.installed();
         self.rewritten(index, now)
     }
 
+    /// The status is synced, with everything that was ordered before it.
+    pub fn replica_status_stored(&mut self, now: Millis) -> Vec<Effect> {
+        self.status.written();
+        self.progress(now);
+        self.outbox.take()
+    }
+
     fn rewritten(&mut self, index: u64, now: Millis) -> Vec<Effect> {
-        self.disk.rewrites = self.disk.rewrites.saturating_sub(1);
-        if self.disk.rewrites == 0 {
-            self.disk.synced = index.min(self.log.last());
+        if self.log.rewritten(index) {
             self.progress(now);
         }
-        self.take_effects()
+        self.outbox.take()
     }
 
-    /// Draws the conclusions of anything that may have brought the replica further.
+    /// Commits, acknowledges and reports whatever has become possible.
     pub(crate) fn progress(&mut self, now: Millis) {
         if self.is_head() {
             self.progress_as_head(now);
         } else {
-            self.advance_commit(self.told_committed.min(self.own_synced()));
+            let known = self.log.announced().min(self.log.verified_synced());
+            self.log.commit(known, &mut self.outbox);
             self.acknowledge();
         }
         if !self.is_member() {
-            self.keeping_up.synced(self.disk.synced);
+            self.catch_up.lag.synced(self.log.synced());
             self.join_after_progress(now);
         }
     }
 
-    /// What this disk has synced of the log of this view's head.
-    fn own_synced(&self) -> u64 {
-        self.verified.min(self.disk.synced)
-    }
-
-    /// What this disk and all behind it have synced.
-    fn replicated(&self) -> u64 {
-        match &self.successor {
-            Some(successor) => self.own_synced().min(successor.acknowledged.unwrap_or(0)),
-            None => self.own_synced(),
-        }
-    }
-
-    /// The barrier that this disk and all behind it have seen, with their standing durable.
-    fn barrier_passed(&self) -> u64 {
-        let own = if self.is_complete() { self.barrier } else { 0 };
-        match &self.successor {
-            Some(successor) => own.min(successor.barrier_acknowledged),
-            None => own,
-        }
-    }
-
     fn progress_as_head(&mut self, now: Millis) {
         if !self.leads() {
             return;
         }
         self.start_recovery_barrier(now);
-        let passed = self.barrier_passed();
-        if passed < RECOVERY_BARRIER || self.view.chain.len() < self.minimum_length {
+        let barrier = self.barrier_acknowledged_by_all();
+        if barrier < RECOVERY_BARRIER || self.role.chain_length() < self.minimum_length {
             return;
         }
-        self.advance_commit(self.replicated());
-        self.leadership.is_ready = self.committed >= self.leadership.base;
-        self.report_barriers(passed);
+        self.log.commit(self.replicated(), &mut self.outbox);
+        self.leadership.is_ready = self.log.committed() >= self.leadership.base;
+        self.barriers.report_completed(barrier, &mut self.outbox);
     }
 
-    /// Once everybody has what this head had, everybody is to note that it is complete.
+    /// Starts the recovery barrier once all members have what this head had when the view began.
     fn start_recovery_barrier(&mut self, now: Millis) {
-        let heard = self
-            .successor
-            .as_ref()
-            .is_none_or(|successor| successor.acknowledged.is_some());
-        if self.barrier == 0 && heard && self.replicated() >= self.leadership.base {
-            self.barrier = RECOVERY_BARRIER;
+        let successor = self.downstream.successor();
+        let has_heard = successor.is_none_or(|successor| successor.acknowledged().is_some());
+        let is_started = self.barriers.has_recovery_barrier();
+        if !is_started && has_heard && self.replicated() >= self.leadership.base {
+            self.barriers.start_recovery();
             self.feed_successor(now);
         }
     }
 
-    fn report_barriers(&mut self, passed: u64) {
-        let first = (self.leadership.barrier_passed + 1).max(RECOVERY_BARRIER + 1);
-        self.effects.extend((first..=passed).map(Effect::Barrier));
-        self.leadership.barrier_passed = passed;
-    }
-
-    pub(crate) fn advance_commit(&mut self, index: u64) {
-        if index > self.committed {
-            self.committed = index;
-            self.effects.push(Effect::Commit(index));
+    /// What this disk and all after it have synced.
+    fn replicated(&self) -> u64 {
+        let synced = self.log.verified_synced();
+        match self.downstream.successor() {
+            Some(successor) => synced.min(successor.acknowledged().unwrap_or(0)),
+            None => synced,
         }
     }
 
-    /// A complete disk holds every committed entry, so its log is right as far as the log is committed.
-    pub(crate) fn trust_committed(&mut self, committed: u64) {
-        self.told_committed = self.told_committed.max(committed);
-        if self.replica_status == ReplicaStatus::Complete {
-            self.verified = self.verified.max(self.told_committed.min(self.log.last()));
+    /// The last barrier that this disk and all after it have seen, with their status durable.
+    fn barrier_acknowledged_by_all(&self) -> u64 {
+        let own = if self.is_complete() {
+            self.barriers.newest()
+        } else {
+            0
+        };
+        match self.downstream.successor() {
+            Some(successor) => own.min(successor.barrier_acknowledged()),
+            None => own,
         }
     }
 
     /// Acknowledges to the predecessor what was not acknowledged yet.
     fn acknowledge(&mut self) {
-        let Some(predecessor) = self.predecessor().filter(|_| self.aligned) else {
+        if !self.upstream.is_aligned() {
             return;
-        };
-        let news = Acknowledged {
-            synced: self.replicated(),
-            barrier: self.barrier_passed(),
-        };
-        if self.acknowledged == Some(news) {
+        }
+        let Some(predecessor) = self.role.predecessor() else {
             return;
+        };
+        let (synced, barrier) = (self.replicated(), self.barrier_acknowledged_by_all());
+        if self
+            .upstream
+            .acknowledge(Acknowledgement { synced, barrier })
+        {
+            let view = self.role.view_number();
+            self.outbox.send(
+                predecessor,
+                ChainMessage::Acknowledge {
+                    view,
+                    synced,
+                    barrier,
+                },
+            );
         }
-        self.acknowledged = Some(news);
-        let Acknowledged { synced, barrier } = news;
-        self.send(
-            predecessor,
-            ChainMessage::Acknowledge {
-                view: self.view.number,
-                synced,
-                barrier,
-            },
-        );
     }
 }
--- a/crates/chain/src/commit_lag.rs
+++ b/crates/chain/src/commit_lag.rs
@@ -2,44 +2,45 @@
 
 use lupinrack_cluster_api::time::Millis;
 
-/// The tail's word on what is committed, as a spare follows it.
+/// What the source called committed, and when.
 #[derive(Clone, Copy, Debug)]
-struct CommittedWord {
+struct Announcement {
     committed: u64,
     at: Millis,
 }
 
-/// How a spare keeps up with the tail of this view.
+/// How far a spare is behind what its source calls committed in the current view.
 #[derive(Debug, Default)]
-pub(crate) struct KeepingUp {
-    /// The oldest word of the tail that this disk has not synced everything of.
-    pending: Option<CommittedWord>,
-    /// The newest word.
-    newest: Option<CommittedWord>,
-    /// When the newest word came of which this disk has synced everything.
+pub(crate) struct CommitLag {
+    /// The oldest announcement that this disk has not synced everything of.
+    pending: Option<Announcement>,
+    /// The newest announcement.
+    newest: Option<Announcement>,
+    /// When the newest announcement came that this disk has synced everything of.
     reached_at: Option<Millis>,
 }
 
-impl KeepingUp {
-    /// The tail said what is committed.
-    pub(crate) fn told(&mut self, committed: u64, now: Millis) {
-        let word = CommittedWord { committed, at: now };
-        self.newest = Some(word);
-        self.pending.get_or_insert(word);
+impl CommitLag {
+    /// Notes that the source calls everything up to `committed` committed.
+    pub(crate) fn announced(&mut self, committed: u64, now: Millis) {
+        let announcement = Announcement { committed, at: now };
+        self.newest = Some(announcement);
+        self.pending.get_or_insert(announcement);
     }
 
-    /// This disk has synced everything up to `synced`.
+    /// Notes that this disk has synced everything up to `synced`.
     pub(crate) fn synced(&mut self, synced: u64) {
-        for word in [self.pending, self.newest].into_iter().flatten() {
-            if word.committed <= synced {
-                self.reached_at = self.reached_at.max(Some(word.at));
+        for announcement in [self.pending, self.newest].into_iter().flatten() {
+            if announcement.committed <= synced {
+                self.reached_at = self.reached_at.max(Some(announcement.at));
                 self.pending = self.newest.filter(|newest| newest.committed > synced);
             }
         }
     }
 
-    /// Whether everything was synced that the tail called committed so lately.
-    pub(crate) fn reached_within(&self, milliseconds: u64, now: Millis) -> bool {
+    /// Whether everything is synced that the source called committed so many milliseconds ago, or
+    /// later.
+    pub(crate) fn is_within(&self, milliseconds: u64, now: Millis) -> bool {
         self.reached_at
             .is_some_and(|at| now.since(at) <= milliseconds)
     }
--- a/crates/chain/src/flow_control.rs
+++ b/crates/chain/src/flow_control.rs
@@ -1,55 +1,55 @@
-//! How much may be on its way to one disk, and when it counts as lost.
+//! How much may be in flight to one disk, and when it counts as lost.
 
 use crate::limits::{JOINER_STALLED_MOST_MS, JOINER_STALLED_MS, SLOW_LINK_BYTES_PER_S};
 use lupinrack_cluster_api::time::Millis;
 
 /// The narrowest window, in bytes.
 pub(crate) const WINDOW_BYTES_LEAST: u64 = 64 * 1024;
-/// Times without progress beyond which nothing narrows any further.
+/// How many stalls in a row have an effect.
 const STALLS_MOST: u32 = 8;
 
-/// The pace of what is sent to one disk. Without progress the window narrows and the wait before a repetition grows, so that
-/// repetitions do not pile up on a slow link.
+/// The flow control of what is sent to one disk. Without progress the window narrows and the wait
+/// before a repetition grows, so that repetitions do not pile up on a slow link.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Flow {
-    /// Times without progress, less the times with progress since.
+pub(crate) struct FlowControl {
+    /// Stalls, less the times with progress since.
     stalls: u32,
-    advanced_at: Millis,
+    /// When there was progress last, or the wait for it began.
+    progress_at: Millis,
 }
 
-impl Flow {
-    pub(crate) fn new(now: Millis) -> Flow {
-        Flow {
+impl FlowControl {
+    pub(crate) fn new(now: Millis) -> FlowControl {
+        FlowControl {
             stalls: 0,
-            advanced_at: now,
+            progress_at: now,
         }
     }
 
-    /// Bytes that may be on their way, of at most `widest`.
-    pub(crate) fn window(&self, widest: u64) -> u64 {
+    /// How many bytes may be in flight, of at most `widest`.
+    pub(crate) fn window_bytes(&self, widest: u64) -> u64 {
         (widest >> self.stalls).max(WINDOW_BYTES_LEAST)
     }
 
-    /// The receiver has more than before.
-    pub(crate) fn advanced(&mut self, now: Millis) {
+    /// Notes that the receiver has more than before.
+    pub(crate) fn progressed(&mut self, now: Millis) {
         self.stalls = self.stalls.saturating_sub(1);
-        self.advanced_at = now;
+        self.progress_at = now;
     }
 
-    /// Something is sent now; the wait for an answer begins.
-    pub(crate) fn begins(&mut self, now: Millis) {
-        self.advanced_at = now;
+    /// Notes that something is sent now, and the wait for a response begins.
+    pub(crate) fn begin_wait(&mut self, now: Millis) {
+        self.progress_at = now;
     }
 
-    /// Whether so many bytes on their way are to be taken for lost; the next wait is longer then.
-    pub(crate) fn has_stalled(&mut self, on_their_way: u64, now: Millis) -> bool {
-        let on_the_link = on_their_way * 1_000 / SLOW_LINK_BYTES_PER_S;
-        let patience =
-            ((JOINER_STALLED_MS + on_the_link) << self.stalls).min(JOINER_STALLED_MOST_MS);
-        let stalled = now.since(self.advanced_at) >= patience;
+    /// Whether so many bytes in flight are to be taken for lost; the next wait is longer then.
+    pub(crate) fn has_stalled(&mut self, bytes_in_flight: u64, now: Millis) -> bool {
+        let link_ms = bytes_in_flight * 1_000 / SLOW_LINK_BYTES_PER_S;
+        let wait_ms = (JOINER_STALLED_MS + link_ms) << self.stalls;
+        let stalled = now.since(self.progress_at) >= wait_ms.min(JOINER_STALLED_MOST_MS);
         if stalled {
             self.stalls = (self.stalls + 1).min(STALLS_MOST);
-            self.advanced_at = now;
+            self.progress_at = now;
         }
         stalled
     }
--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -1,41 +1,76 @@
 //! Chain replication of the control state's log.
 //!
-//! [`Chain`] is the state machine of one disk: member of the chain of the newest view, or spare that keeps a warm copy. It
-//! makes no I/O and reads no clock; the driver hands it messages, moments and the completion of writes, and carries out
-//! the [`Effect`]s in their order.
+//! The protocol is that of van Renesse and Schneider, *Chain Replication for Supporting High
+//! Throughput and Availability* (OSDI 2004): the *head* numbers entries, each member forwards them
+//! to its *successor*, and the *tail* acknowledges them first, so an entry that was acknowledged all
+//! the way back to the head is on the disk of every member and thereby committed. Instead of the
+//! paper's master, an agreed [`View`](lupinrack_cluster_api::view::View) says which disks form the
+//! chain. Disks outside the chain are *spares* that follow it and are ready to join.
+//!
+//! # How it is driven
+//!
+//! [`Chain`] is the state machine of one disk, member or spare. It makes no I/O and reads no clock:
+//! the driver hands it messages, moments and the completion of writes, and carries out the
+//! [`Effect`]s in their order. Messages may be lost, repeated and reordered.
 //!
 //! # Why it is safe
 //!
-//! - *One sequence per view.* Only the head of a view numbers entries. A head that was restarted within its view has
-//!   forgotten what it sent, so it stays silent until a newer view begins ([`Chain::needs_new_view`]).
-//! - *Verified prefix.* At the beginning of a view a member trusts its log only as far as it is known to be committed; the
-//!   rest is compared with what its predecessor sends, and replaced where it differs. Only the verified part is
-//!   acknowledged and sent on.
-//! - *ReplicaStatus.* A disk is [`ReplicaStatus::Complete`] when it has everything that was committed before its view. A view that
-//!   appends a spare starts with an incomplete member, since the old chain may commit until its members learn of the
-//!   view. The head first has everything acknowledged that it had when the view began, then passes barrier 1, on
-//!   which members make their standing durable; nothing is committed before that barrier has come back. So every
-//!   member of a view in which anything was committed is complete, also after a restart.
+//! - *One sequence per view.* Only the head of a view numbers entries. A head that was restarted
+//!   within its view no longer knows what it sent, so it sends nothing until a newer view begins
+//!   ([`Chain::needs_new_view`]).
+//! - *Verified prefix.* At the beginning of a view a member trusts its log only as far as it is
+//!   known to be committed; the rest is compared with what its predecessor sends, and replaced
+//!   where it differs. Only the verified part is acknowledged and forwarded.
+//! - *Replica status.* A disk is [`ReplicaStatus::Complete`] if it has everything that was committed
+//!   before its view. A view that appends a spare begins with an incomplete member, since the old
+//!   chain may commit until its members learn of the view. The head first has everything
+//!   acknowledged that it had when the view began, then passes barrier 1, on which members make
+//!   their status durable; nothing is committed before that barrier has come back. So every member
+//!   of a view in which anything was committed is complete, also after a restart.
 //! - *Succession.* The head of a view has to be a disk that was complete in the view before it
-//!   ([`Chain::is_complete`] under that view's number); the policy that proposes views has to see to it. A member that
-//!   is complete and has adopted a view keeps every older view from committing.
-// 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
-#![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
+//!   ([`Chain::is_complete`] under that view's number); the policy that proposes views has to see
+//!   to that. A complete member that has adopted a view keeps every older view from committing.
+//!
+//! # Where to start reading
+//!
+//! `chain` holds the state of a replica, in parts that own their invariants: the place in the view
+//! (`view_role`), the log (`replica_log`), the status (`status_record`), barriers, the link to the
+//! source of entries (`upstream`), the disks that are fed (`downstream`, `follower`), catching up
+//! as a spare (`catch_up`) and snapshots in transfer (`snapshot`). What happens to it is in
+//! `view_change`, `receive`, `commit`, `feed` and `tick`.
 
+mod barrier;
+mod catch_up;
 mod catch_up_source;
 mod chain;
 mod commit;
 mod commit_lag;
+mod downstream;
 mod effect;
+mod feed;
 mod flow_control;
 mod follower;
+mod leadership;
 pub mod limits;
 mod log;
+mod outbox;
 mod receive;
+mod replica_log;
+mod replica_status;
+mod sender_state;
 mod snapshot;
+mod snapshot_transfer;
+mod status_record;
+mod stored_state;
+mod submit_error;
 mod tick;
+mod upstream;
 mod view_change;
+mod view_role;
 
-pub use chain::{Chain, StoredState, SubmitError};
-pub use effect::{Effect, ReplicaStatus};
+pub use chain::Chain;
+pub use effect::Effect;
+pub use replica_status::ReplicaStatus;
 pub use snapshot::checksum as snapshot_checksum;
+pub use stored_state::StoredState;
+pub use submit_error::SubmitError;
--- a/crates/chain/src/log.rs
+++ b/crates/chain/src/log.rs
@@ -1,13 +1,14 @@
-//! The entries that are in memory.
+//! The entries of the log that are in memory.
 
 use crate::limits::{ByteLimits, BATCH_BYTES, RETAINED_ENTRIES};
 use lupinrack_cluster_api::operation::LogEntry;
 use std::collections::VecDeque;
 
-/// An entry, and where it ends when all entries since the process began are counted in bytes.
+/// An entry, and the offset of its end.
 #[derive(Debug)]
-struct PlacedEntry {
+struct OffsetEntry {
     entry: LogEntry,
+    /// How many bytes all entries since the process began have, up to this one.
     end: u64,
 }
 
@@ -16,19 +17,20 @@
 pub(crate) struct Log {
     /// The index before the first entry in memory.
     floor: u64,
-    /// Where the entry before the first one in memory ends.
+    /// The offset of the end of the entry before the first one in memory.
     floor_end: u64,
-    entries: VecDeque<PlacedEntry>,
+    entries: VecDeque<OffsetEntry>,
 }
 
 /// The bytes of an entry's encoded form.
 pub(crate) fn encoded_bytes(entry: &LogEntry) -> u64 {
-    // The length of a value in memory is always countable; an entry of unknown size fills a batch by itself.
+    // The length of a value in memory can always be counted; an entry of unknown size would fill a
+    // batch by itself.
     borsh::object_length(entry).map_or(BATCH_BYTES, |bytes| bytes as u64)
 }
 
 impl Log {
-    /// A log whose first entry follows `floor`. Entries that do not continue it are left out.
+    /// A log whose first entry follows `floor`. Entries that do not continue it are ignored.
     pub(crate) fn new(floor: u64, entries: Vec<LogEntry>) -> Log {
         let mut log = Log {
             floor,
@@ -43,19 +45,22 @@
         log
     }
 
+    /// The index before the first entry in memory.
     pub(crate) fn floor(&self) -> u64 {
         self.floor
     }
 
+    /// The last index.
     pub(crate) fn last(&self) -> u64 {
         self.floor + self.entries.len() as u64
     }
 
+    /// An entry, while it is in memory.
     pub(crate) fn get(&self, index: u64) -> Option<&LogEntry> {
-        self.placed(index).map(|placed| &placed.entry)
+        self.offset_entry(index).map(|entry| &entry.entry)
     }
 
-    fn placed(&self, index: u64) -> Option<&PlacedEntry> {
+    fn offset_entry(&self, index: u64) -> Option<&OffsetEntry> {
         let offset = index.checked_sub(self.floor + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
     }
@@ -65,16 +70,17 @@
         self.end_of(limit).saturating_sub(self.end_of(previous))
     }
 
+    /// The offset of the end of an entry.
     fn end_of(&self, index: u64) -> u64 {
-        let placed = self.placed(index.min(self.last()));
-        placed.map_or(self.floor_end, |placed| placed.end)
+        let entry = self.offset_entry(index.min(self.last()));
+        entry.map_or(self.floor_end, |entry| entry.end)
     }
 
     /// Adds the entry that follows the last one.
     pub(crate) fn push(&mut self, entry: LogEntry) {
         debug_assert_eq!(entry.index, self.last() + 1);
         let end = self.end_of(self.last()) + encoded_bytes(&entry);
-        self.entries.push_back(PlacedEntry { entry, end });
+        self.entries.push_back(OffsetEntry { entry, end });
     }
 
     /// Drops all entries above `index`.
@@ -87,8 +93,8 @@
         *self = Log::new(index, Vec::new());
     }
 
-    /// Drops entries up to `index` that are not among the retained last ones. Entries after `needed` are kept for a disk
-    /// that joins, as far as a wider bound goes.
+    /// Drops entries up to `index` that are not among the last ones, which are retained. Entries
+    /// after `needed` are retained for a disk that joins, up to a wider bound.
     pub(crate) fn compact(&mut self, index: u64, needed: Option<u64>, limits: &ByteLimits) {
         while self.floor < index && self.exceeds_retention(needed, limits) {
             let Some(dropped) = self.entries.pop_front() else {
@@ -108,7 +114,8 @@
         self.entries.len() as u64 > RETAINED_ENTRIES || bytes > limits.retained
     }
 
-    /// Copies of the entries after `previous`, up to `limit`, as many as fit a message; at least one where there is one.
+    /// Copies of the entries after `previous`, up to `limit`, as many as fit into a message; at least
+    /// one if there is any.
     pub(crate) fn batch(&self, previous: u64, limit: u64) -> Vec<LogEntry> {
         let fits = |index: &u64| {
             *index == previous + 1 || self.bytes_between(previous, *index) <= BATCH_BYTES
--- /dev/null
+++ b/crates/chain/src/outbox.rs
@@ -0,0 +1,35 @@
+//! The effects of one call.
+
+use crate::effect::Effect;
+use lupinrack_cluster_api::identity::DiskId;
+use lupinrack_cluster_api::wire::ChainMessage;
+
+/// The effects of the call in progress, in their order. Those of the constructor wait for the first
+/// call.
+#[derive(Debug, Default)]
+pub(crate) struct Outbox {
+    effects: Vec<Effect>,
+}
+
+impl Outbox {
+    /// Sends a message to the process of a disk.
+    pub(crate) fn send(&mut self, to: DiskId, message: ChainMessage) {
+        self.effects.push(Effect::Send(to, message));
+    }
+
+    /// Adds an order to the driver.
+    pub(crate) fn push(&mut self, effect: Effect) {
+        self.effects.push(effect);
+    }
+
+    /// Drops the messages that wait to be returned.
+    pub(crate) fn discard_messages(&mut self) {
+        self.effects
+            .retain(|effect| !matches!(effect, Effect::Send(..)));
+    }
+
+    /// Everything for the driver, which begins anew.
+    pub(crate) fn take(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.effects)
+    }
+}
--- a/crates/chain/src/view_change.rs
+++ b/crates/chain/src/view_change.rs
@@ -1,17 +1,20 @@
-//! The beginning of a view, and the disk's standing.
+//! The beginning of a view.
 
-use crate::catch_up_source::Feeder;
-use crate::chain::{Chain, Leadership};
-use crate::commit_lag::KeepingUp;
-use crate::effect::{Effect, ReplicaStatus};
+use crate::barrier::Barriers;
+use crate::catch_up::CatchUp;
+use crate::chain::Chain;
+use crate::downstream::Downstream;
+use crate::effect::Effect;
 use crate::follower::Follower;
-use crate::snapshot::IncomingSnapshot;
+use crate::leadership::Leadership;
+use crate::replica_status::ReplicaStatus;
+use crate::upstream::Upstream;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
 
 /// How a process comes to act in a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Entry {
+enum Entry {
     /// It has not acted in the view before.
     Fresh,
     /// An earlier process of the disk may have acted in the view.
@@ -19,98 +22,71 @@
 }
 
 impl Chain {
-    /// Adopts a newer agreed view; an older one changes nothing. The driver has the view on its disk before it calls
-    /// this, so that a restarted process knows every view in which it may have acted.
+    /// Adopts a newer agreed view; an older one changes nothing.
+    ///
+    /// The driver has the view on its disk before it calls this, so that a restarted process knows
+    /// every view in which it may have acted.
     pub fn adopt_view(&mut self, view: View, now: Millis) -> Vec<Effect> {
-        if view.number > self.view.number {
-            self.view = view;
+        if self.role.adopt(view) {
             self.enter_view(Entry::Fresh, now);
             self.progress(now);
         }
-        self.take_effects()
+        self.outbox.take()
     }
 
-    /// The standing is on the disk, with everything that was ordered before it.
-    pub fn replica_status_stored(&mut self, now: Millis) -> Vec<Effect> {
-        self.disk.replica_status_writes = self.disk.replica_status_writes.saturating_sub(1);
-        self.progress(now);
-        self.take_effects()
+    /// Enters the view that the disk had adopted when the process began.
+    pub(crate) fn reenter_view(&mut self) {
+        self.enter_view(Entry::Restarted, Millis::default());
     }
 
-    pub(crate) fn enter_view(&mut self, entry: Entry, now: Millis) {
-        self.forget_last_view();
-        self.feeder = Feeder::tail(now);
-        if !self.is_member() {
-            self.enter_as_spare();
-        } else {
+    fn enter_view(&mut self, entry: Entry, now: Millis) {
+        self.forget_last_view(now);
+        if self.is_member() {
             self.enter_as_member(entry, now);
+        } else {
+            self.enter_as_spare();
         }
     }
 
-    fn forget_last_view(&mut self) {
-        self.effects
-            .retain(|effect| !matches!(effect, Effect::Send(..)));
-        self.barrier = 0;
+    fn forget_last_view(&mut self, now: Millis) {
+        self.outbox.discard_messages();
+        self.barriers = Barriers::default();
         self.leadership = Leadership::default();
-        self.successor = None;
-        self.joiners.clear();
-        self.aligned = false;
-        self.acknowledged = None;
-        self.resend = None;
-        self.joined_at = None;
-        self.joined_with = 0;
-        self.keeping_up = KeepingUp::default();
-        self.told_committed = self.committed;
-        self.incoming = IncomingSnapshot::default();
-        self.outgoing = None;
-        self.snapshot_asked = false;
+        self.upstream = Upstream::default();
+        self.downstream = Downstream::default();
+        self.catch_up = CatchUp::begin(now);
+        self.log.forget_announced();
+        self.snapshots.forget_chunks();
     }
 
-    /// What is not known to be committed may never have been, and the chain goes on without this disk.
+    /// What is not known to be committed may never have been, and the chain continues without this
+    /// disk.
     fn enter_as_spare(&mut self) {
-        self.truncate_after(self.committed);
-        self.verified = self.log.last();
-        self.change_replica_status(ReplicaStatus::Joining);
+        self.log
+            .truncate_after(self.log.committed(), &mut self.outbox);
+        self.log.verify_all();
+        self.status.change(ReplicaStatus::Joining, &mut self.outbox);
     }
 
     fn enter_as_member(&mut self, entry: Entry, now: Millis) {
-        // A head without followers has told nobody anything that is not on its disk.
-        let has_followers = self.view.chain.len() > 1;
-        self.leadership.forgotten = entry == Entry::Restarted && self.is_head() && has_followers;
-        if self.replica_status == ReplicaStatus::Joining {
-            self.truncate_after(self.committed);
+        // A head without followers has sent nothing that is not on its disk.
+        let has_followers = self.role.chain_length() > 1;
+        self.leadership.was_interrupted =
+            entry == Entry::Restarted && self.is_head() && has_followers;
+        if self.status.status() == ReplicaStatus::Joining {
+            self.log
+                .truncate_after(self.log.committed(), &mut self.outbox);
         }
-        self.verified = if self.is_head() {
-            self.log.last()
+        if self.is_head() {
+            self.log.verify_all();
         } else {
-            self.committed
-        };
+            self.log.verify_committed_only();
+        }
         self.leadership.base = self.log.last();
-        let position = self.view.position(self.me).unwrap_or_default();
-        let successor = self.view.chain.get(position + 1).copied();
-        self.successor = successor.map(|disk| Follower::new(disk, self.verified, now));
-        self.ask_resend(self.log.last(), now);
+        let verified = self.log.verified();
+        let follower = |disk| Follower::new(disk, verified, now);
+        self.downstream = Downstream::to_successor(self.role.successor().map(follower));
+        self.request_resend(self.log.last(), now);
         self.probe_successor(now);
     }
-
-    /// Drops entries above `index`, in memory at once and on the disk by an effect.
-    pub(crate) fn truncate_after(&mut self, index: u64) {
-        if self.log.last() <= index {
-            return;
-        }
-        self.log.truncate_after(index);
-        self.disk.synced = self.disk.synced.min(index);
-        self.disk.rewrites += 1;
-        self.effects.push(Effect::TruncateAfter(index));
-    }
-
-    pub(crate) fn change_replica_status(&mut self, replica_status: ReplicaStatus) {
-        if self.replica_status == replica_status {
-            return;
-        }
-        self.replica_status = replica_status;
-        self.disk.replica_status_writes += 1;
-        self.effects
-            .push(Effect::StoreReplicaStatus(replica_status));
-    }
 }
--- a/crates/chain/tests/joining.rs
+++ b/crates/chain/tests/joining.rs
@@ -4,7 +4,7 @@
 
 use common::{acknowledge, append, entry, messages, orders, stored, view, Cluster, START};
 use lupinrack_chain::limits::{
-    CAUGHT_UP_MS, FEEDER_SILENT_MS, JOINER_SILENT_MS, RETAINED_ENTRIES, SNAPSHOT_CHUNK_BYTES,
+    CAUGHT_UP_MS, JOINER_TIMEOUT_MS, RETAINED_ENTRIES, SNAPSHOT_CHUNK_BYTES, SOURCE_TIMEOUT_MS,
 };
 use lupinrack_chain::{Chain, Effect, ReplicaStatus, StoredState};
 use lupinrack_cluster_api::identity::DiskId;
@@ -107,7 +107,7 @@
     let mut now = START;
     let mut asked = Vec::new();
     for _ in 0..20 {
-        asked.extend(joined_within(&mut spare, &mut now, FEEDER_SILENT_MS / 2));
+        asked.extend(joined_within(&mut spare, &mut now, SOURCE_TIMEOUT_MS / 2));
         spare.receive(DiskId(2), append(2, 0, vec![], 0, 0), now);
     }
     asked.dedup();
@@ -142,12 +142,12 @@
     tail.entries_written(1, START);
     tail.receive(DiskId(1), append(1, 1, vec![], 1, 0), START);
     let to_spare = |effects: &[Effect]| messages(effects).iter().any(|(to, _)| *to == DiskId(3));
-    assert!(!to_spare(&tail.tick(START.plus(JOINER_SILENT_MS + 1))));
-    tail.receive(DiskId(3), join(1, 3, 0), START.plus(JOINER_SILENT_MS + 2));
+    assert!(!to_spare(&tail.tick(START.plus(JOINER_TIMEOUT_MS + 1))));
+    tail.receive(DiskId(3), join(1, 3, 0), START.plus(JOINER_TIMEOUT_MS + 2));
     assert!(to_spare(&tail.receive(
         DiskId(3),
         join(1, 3, 0),
-        START.plus(JOINER_SILENT_MS + 2)
+        START.plus(JOINER_TIMEOUT_MS + 2)
     )));
 }
 
--- a/crates/view-agreement/src/policy/failure_detector.rs
+++ b/crates/view-agreement/src/policy/failure_detector.rs
@@ -2,7 +2,7 @@
 
 use super::peer::Peer;
 use super::peer_report::{DuplicateDisk, PeerReport};
-use super::PolicySettings;
+use super::settings::PolicySettings;
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::Voter;
