--- a/crates/chain/src/commit.rs
+++ b/crates/chain/src/commit.rs
@@ -4,8 +4,8 @@
 use crate::chain::Chain;
 use crate::effect::Effect;
 use crate::upstream::Acknowledgement;
+use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::ChainMessage;
 
 impl Chain {
     /// Everything up to `index` that was to be appended is synced.
--- a/crates/chain/src/effect.rs
+++ b/crates/chain/src/effect.rs
@@ -1,9 +1,9 @@
 //! What the driver is asked to do.
 
 use crate::replica_status::ReplicaStatus;
+use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::operation::LogEntry;
-use lupinrack_cluster_api::wire::ChainMessage;
 
 /// An order to the driver of a [`Chain`](crate::Chain).
 ///
--- a/crates/chain/src/follower.rs
+++ b/crates/chain/src/follower.rs
@@ -5,9 +5,9 @@
 use crate::log::Log;
 use crate::sender_state::SenderState;
 use crate::snapshot::{SharedSnapshot, SnapshotTransfer};
+use lupinrack_cluster_api::chain::{ChainMessage, SnapshotIdentity};
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::{ChainMessage, SnapshotIdentity};
 
 /// The last request to send entries again.
 #[derive(Clone, Copy, Debug)]
--- a/crates/chain/src/outbox.rs
+++ b/crates/chain/src/outbox.rs
@@ -1,8 +1,8 @@
 //! The effects of one call.
 
 use crate::effect::Effect;
+use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::identity::DiskId;
-use lupinrack_cluster_api::wire::ChainMessage;
 
 /// The effects of the call in progress, in their order. Those of the constructor wait for the first
 /// call.
--- a/crates/chain/src/receive.rs
+++ b/crates/chain/src/receive.rs
@@ -5,10 +5,10 @@
 use crate::effect::Effect;
 use crate::replica_status::ReplicaStatus;
 use crate::snapshot::SnapshotChunk;
+use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::operation::LogEntry;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::ChainMessage;
 
 /// The contents of an `Append` of this view.
 struct Append {
--- a/crates/chain/src/snapshot/incoming.rs
+++ b/crates/chain/src/snapshot/incoming.rs
@@ -2,8 +2,8 @@
 
 use super::checksum::checksum;
 use crate::limits::{JOINER_STALLED_MS, SNAPSHOT_CHUNK_BYTES};
+use lupinrack_cluster_api::chain::SnapshotIdentity;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::SnapshotIdentity;
 
 /// A chunk of a snapshot, as received.
 #[derive(Debug)]
--- a/crates/chain/src/snapshot/outgoing.rs
+++ b/crates/chain/src/snapshot/outgoing.rs
@@ -2,7 +2,7 @@
 
 use super::shared::SharedSnapshot;
 use crate::limits::SNAPSHOT_CHUNK_BYTES;
-use lupinrack_cluster_api::wire::{ChainMessage, SnapshotIdentity};
+use lupinrack_cluster_api::chain::{ChainMessage, SnapshotIdentity};
 
 /// A snapshot that is being sent to one disk. `received` is never above `next_chunk`.
 #[derive(Debug)]
--- a/crates/chain/src/snapshot/receiver.rs
+++ b/crates/chain/src/snapshot/receiver.rs
@@ -1,8 +1,8 @@
 //! The snapshots that a replica receives and installs.
 
 use super::incoming::{IncomingSnapshot, ReceiveOutcome, SnapshotChunk};
+use lupinrack_cluster_api::chain::SnapshotIdentity;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::SnapshotIdentity;
 
 /// The snapshot that is being received, and the one that is being written to the disk.
 #[derive(Debug, Default)]
--- a/crates/chain/src/snapshot/shared.rs
+++ b/crates/chain/src/snapshot/shared.rs
@@ -2,7 +2,7 @@
 
 use super::checksum::checksum;
 use crate::limits::SNAPSHOT_CHUNK_BYTES;
-use lupinrack_cluster_api::wire::SnapshotIdentity;
+use lupinrack_cluster_api::chain::SnapshotIdentity;
 use std::sync::Arc;
 
 /// A snapshot as the driver provided it; all disks that are sent it share its bytes.
--- a/crates/chain/src/snapshot_transfer.rs
+++ b/crates/chain/src/snapshot_transfer.rs
@@ -5,9 +5,9 @@
 use crate::effect::Effect;
 use crate::replica_status::ReplicaStatus;
 use crate::snapshot::{ReceiveOutcome, SharedSnapshot, SnapshotChunk};
+use lupinrack_cluster_api::chain::{ChainMessage, SnapshotIdentity};
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::{ChainMessage, SnapshotIdentity};
 
 impl Chain {
     /// Provides the applied state, up to `index`, for disks that need a snapshot.
--- a/crates/chain/src/tick.rs
+++ b/crates/chain/src/tick.rs
@@ -2,8 +2,8 @@
 
 use crate::chain::Chain;
 use crate::effect::Effect;
+use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::wire::ChainMessage;
 
 impl Chain {
     /// Repeats what was not answered, and keeps spares fed. To be called about every 50 ms.
--- /dev/null
+++ b/crates/cluster-local/src/member.rs
@@ -0,0 +1,78 @@
+//! The processes of the cluster and the loopback addresses that stand for their machines.
+
+use std::fmt;
+use std::net::Ipv4Addr;
+
+/// What a process does in the cluster.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Role {
+    /// A core process: votes on views, replicates the state, schedules.
+    Core,
+    /// A front, which takes clients' calls.
+    Front,
+    /// The agent beside a worker.
+    Agent,
+}
+
+impl Role {
+    /// Every role, in the order in which processes are started.
+    pub const ALL: [Role; 3] = [Role::Core, Role::Front, Role::Agent];
+
+    /// How many processes of this role a cluster has.
+    pub fn count(self) -> u8 {
+        match self {
+            Role::Core => 3,
+            Role::Front => 2,
+            Role::Agent => 4,
+        }
+    }
+
+    /// The last byte of the addresses of this role's processes, less their number.
+    fn address_base(self) -> u8 {
+        match self {
+            Role::Core => 10,
+            Role::Front => 20,
+            Role::Agent => 30,
+        }
+    }
+
+    fn as_str(self) -> &'static str {
+        match self {
+            Role::Core => "core",
+            Role::Front => "front",
+            Role::Agent => "agent",
+        }
+    }
+}
+
+/// A process of the cluster. Its [`Display`](fmt::Display) form, such as `core-1`, is its name.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Member {
+    /// What it does.
+    pub role: Role,
+    /// Its number among the processes of its role, from 1.
+    pub number: u8,
+}
+
+impl fmt::Display for Member {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}-{}", self.role.as_str(), self.number)
+    }
+}
+
+impl Member {
+    /// Every process of the cluster, core processes first.
+    pub fn all() -> impl Iterator<Item = Member> {
+        Role::ALL.into_iter().flat_map(Member::with_role)
+    }
+
+    /// Every process of a role.
+    pub fn with_role(role: Role) -> impl Iterator<Item = Member> {
+        (1..=role.count()).map(move |number| Member { role, number })
+    }
+
+    /// The loopback address that stands for its machine.
+    pub fn ip(self) -> Ipv4Addr {
+        Ipv4Addr::new(127, 0, 0, self.role.address_base() + self.number)
+    }
+}
--- /dev/null
+++ b/crates/control-state/src/jobs/record.rs
@@ -0,0 +1,114 @@
+//! What is recorded of a job.
+
+use crate::jobs::occurrence::Occurrence;
+use crate::jobs::task::TaskRecord;
+use borsh::{BorshDeserialize, BorshSerialize};
+use lupinrack_cluster_api::configuration::Route;
+use lupinrack_cluster_api::identity::{QueueName, ServiceName};
+use lupinrack_cluster_api::job::{JobSpec, JobState, Step};
+use lupinrack_cluster_api::time::WallMillis;
+use std::collections::BTreeMap;
+
+/// A job. What it takes from its route is that of the configuration when the job was accepted.
+#[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
+pub struct JobRecord {
+    /// Its queue.
+    pub queue: QueueName,
+    /// The service whose servers run it, from its route.
+    pub service: ServiceName,
+    /// Its priority, from its route; 0 is the most urgent.
+    pub priority: u32,
+    /// After how many failed runs of one task the job has failed, from its route.
+    pub max_retries: u32,
+    /// The latency target in milliseconds, from its route.
+    pub target_latency_ms: u64,
+    /// In how many times its longest chain of work the job should be done, in thousandths; from its
+    /// route.
+    pub extension_milli: u64,
+    /// The job as its client submitted it.
+    pub spec: JobSpec,
+    /// When it was accepted, by the clock of the head.
+    pub accepted_at: WallMillis,
+    /// Its state, as clients see it.
+    pub state: JobState,
+    /// When it came to its final state, by the clock of the process that ordered the operation.
+    pub ended_at: Option<WallMillis>,
+    /// The occurrences of which some task was started, by number.
+    pub occurrences: BTreeMap<u32, Occurrence>,
+    /// How many occurrences are done.
+    pub occurrences_done: u32,
+}
+
+impl JobRecord {
+    /// A job that comes by a route.
+    pub(crate) fn new(route: &Route, spec: &JobSpec, accepted_at: WallMillis) -> Self {
+        Self {
+            queue: route.name.clone(),
+            service: route.service.clone(),
+            priority: route.priority,
+            max_retries: route.max_retries,
+            target_latency_ms: route.target_latency_ms,
+            extension_milli: route.extension_milli,
+            spec: spec.clone(),
+            accepted_at,
+            state: JobState::Queued,
+            ended_at: None,
+            occurrences: BTreeMap::new(),
+            occurrences_done: 0,
+        }
+    }
+
+    /// How many occurrences it has, at least 1.
+    pub fn occurrence_count(&self) -> u32 {
+        self.spec.repeat.max(1)
+    }
+
+    /// When an occurrence is due, in milliseconds since 1970; 0 for at once.
+    pub fn due_ms(&self, occurrence: u32) -> u64 {
+        if self.spec.repeat == 0 {
+            return 0;
+        }
+        let offset = u64::from(occurrence).saturating_mul(self.spec.interval_ms);
+        self.spec.start_at_ms.saturating_add(offset)
+    }
+
+    /// A task's record; none if its occurrence was not started yet or is done.
+    pub fn task(&self, occurrence: u32, step: u32, index: u32) -> Option<&TaskRecord> {
+        self.occurrences.get(&occurrence)?.task(step, index)
+    }
+
+    /// Whether it has not come to its final state.
+    pub fn is_open(&self) -> bool {
+        !self.state.is_final()
+    }
+
+    /// One of its steps.
+    pub fn step(&self, step: u32) -> Option<&Step> {
+        self.spec.steps.get(step as usize)
+    }
+
+    /// After how many failed runs a task has failed for good: `max_retries`, but at least one.
+    pub fn failure_limit(&self) -> u32 {
+        self.max_retries.max(1)
+    }
+
+    /// Whether all tasks of an occurrence have succeeded.
+    pub fn occurrence_is_done(&self, occurrence: u32) -> bool {
+        self.occurrences
+            .get(&occurrence)
+            .is_some_and(Occurrence::is_done)
+    }
+
+    /// Whether all tasks of a step have succeeded in an occurrence; false if there is no such step.
+    pub fn step_is_done(&self, occurrence: u32, step: u32) -> bool {
+        let Some(specified) = self.step(step) else {
+            return false;
+        };
+        if specified.count == 0 || self.occurrence_is_done(occurrence) {
+            return true;
+        }
+        let started = self.occurrences.get(&occurrence);
+        let tasks = started.and_then(|started| started.steps.get(step as usize));
+        tasks.is_some_and(|tasks| tasks.iter().all(TaskRecord::is_done))
+    }
+}
--- a/crates/view-agreement/src/policy/failure_detector.rs
+++ b/crates/view-agreement/src/policy/failure_detector.rs
@@ -3,10 +3,10 @@
 use super::peer::Peer;
 use super::peer_report::{DuplicateDisk, PeerReport};
 use super::settings::PolicySettings;
+use lupinrack_cluster_api::chain::ReplicaReport;
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::Voter;
-use lupinrack_cluster_api::wire::ReplicaReport;
 use std::collections::BTreeMap;
 
 /// How long, in milliseconds, a process has to be present before it is made a voter.
