--- a/crates/cluster-simulation/src/machine.rs
+++ b/crates/cluster-simulation/src/machine/mod.rs
@@ -1,17 +1,22 @@
 //! A machine: its clocks, its disk, and the process that runs on it.
 
-use crate::clock::MachineClock;
-use crate::disk::SimulatedDisk;
-use crate::front::Front;
-use crate::side::{AgentEffect, HeartbeatCall, Side};
+pub mod agent;
+pub mod clock;
+pub mod disk;
+pub mod front;
+
+use crate::machine::agent::{HeartbeatAgentEffect, AgentProcess, HeartbeatCall};
+use crate::machine::clock::MachineClock;
+use crate::machine::disk::SimulatedDisk;
+use crate::machine::front::FrontProcess;
 use lupinrack_cluster_api::frame::{Frame, Role};
 use lupinrack_cluster_api::identity::{PeerAddress, ServerId};
-use lupinrack_cluster_node::agent::machine::SideEffect;
-use lupinrack_cluster_node::control_api::ControlCall;
+use lupinrack_cluster_node::agent::machine::AgentEffect;
+use lupinrack_cluster_node::control_api::HeadCall;
 use lupinrack_cluster_node::core::{CoreEffect, CoreEvent, CoreMachine};
 use lupinrack_cluster_node::front::machine::FrontEffect;
-use lupinrack_cluster_node::front::update_relay::RelayedFrame;
-use lupinrack_cluster_node::head_client::Outgoing;
+use lupinrack_cluster_node::front::update_relay::SubscriberFrame;
+use lupinrack_cluster_node::head_client::OutgoingFrame;
 use lupinrack_worker_agent::{HeartbeatResponse, ServerHeartbeat};
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -20,9 +25,9 @@
 const PORT: u16 = 7_000;
 
 /// A process that stutters runs for the first part of each of these spans, in milliseconds.
-const STUTTER_MS: u64 = 150;
+const INTERMITTENT_PERIOD_MS: u64 = 150;
 /// How long that part is, in milliseconds.
-const RUNS_MS: u64 = 25;
+const INTERMITTENT_RUN_MS: u64 = 25;
 
 /// The internal address of a machine.
 pub fn address_of(machine: usize) -> PeerAddress {
@@ -43,9 +48,9 @@
     /// A core process.
     Core(Box<CoreMachine>),
     /// A front.
-    Front(Box<Front>),
+    Front(Box<FrontProcess>),
     /// An agent.
-    Side(Box<Side>),
+    Agent(Box<AgentProcess>),
 }
 
 /// What reaches a process.
@@ -74,21 +79,21 @@
     /// The disk refused a write.
     WriteFailed,
     /// A call of a client or of the operator.
-    Call(ControlCall),
+    Call(HeadCall),
     /// A heartbeat of the server.
     Heartbeat {
         /// The heartbeat.
-        beat: Box<ServerHeartbeat>,
+        heartbeat: Box<ServerHeartbeat>,
         /// When the server sent it.
         sent_at: u64,
     },
     /// An open heartbeat has waited for long enough.
     AnswerDue,
     /// The server has left in order.
-    Left(ServerId),
+    Deregistered(ServerId),
     /// Time has passed.
     Tick,
-    /// The process is told to end.
+    /// The process is asked to shut down.
     Terminate,
 }
 
@@ -124,9 +129,9 @@
     /// The life of the process, or of the last one.
     pub incarnation: u64,
     /// Whether the process stands still.
-    pub frozen: bool,
+    pub suspended: bool,
     /// Whether the process runs for a part of the time only.
-    pub stuttering: bool,
+    pub intermittent: bool,
     /// Whether the machine is gone for good, or will be once its process has ended.
     pub removed: bool,
     /// Since when its disk has been filled.
@@ -148,8 +153,8 @@
             disk: SimulatedDisk::default(),
             process: None,
             incarnation: 0,
-            frozen: false,
-            stuttering: false,
+            suspended: false,
+            intermittent: false,
             removed: false,
             disk_since: 0,
             is_new: true,
@@ -159,17 +164,17 @@
     }
 
     /// Whether the process stands still at this moment.
-    pub fn is_still(&self, now: u64) -> bool {
-        self.frozen || (self.stuttering && now % STUTTER_MS >= RUNS_MS)
+    pub fn is_suspended(&self, now: u64) -> bool {
+        self.suspended || (self.intermittent && now % INTERMITTENT_PERIOD_MS >= INTERMITTENT_RUN_MS)
     }
 
     /// Whether the process, told to end, has ended by itself.
     pub fn has_ended(&self, now: u64) -> bool {
         let now = self.clock.read(now).now;
         match &self.process {
-            Some(Process::Core(core)) => core.has_left(now),
+            Some(Process::Core(core)) => core.is_shutdown_complete(now),
             Some(Process::Front(front)) => front.has_ended(now),
-            Some(Process::Side(side)) => side.has_ended(),
+            Some(Process::Agent(side)) => side.has_ended(),
             None => false,
         }
     }
@@ -177,7 +182,7 @@
     /// Whether a heartbeat that was left open is to be answered now.
     pub fn is_answer_due(&self, now: u64) -> bool {
         match &self.process {
-            Some(Process::Side(side)) => side.is_answer_due(self.clock.read(now).now),
+            Some(Process::Agent(side)) => side.is_answer_due(self.clock.read(now).now),
             _ => false,
         }
     }
@@ -192,7 +197,7 @@
                     return Vec::new();
                 };
                 core.receive(event, moment);
-                core.settle(moment).into_iter().map(of_core).collect()
+                core.take_effects(moment).into_iter().map(of_core).collect()
             }
             (Some(Process::Front(front)), event) => {
                 let effects = match event {
@@ -212,17 +217,17 @@
                 };
                 effects.into_iter().map(of_front).collect()
             }
-            (Some(Process::Side(side)), event) => {
+            (Some(Process::Agent(side)), event) => {
                 let effects = match event {
                     ProcessEvent::Frame { from, frame, .. } => {
                         side.on_frame(address_of(from), frame, now)
                     }
                     ProcessEvent::Closed { from, .. } => side.on_closed(address_of(from), now),
-                    ProcessEvent::Heartbeat { beat, sent_at } => {
-                        side.on_heartbeat(*beat, sent_at, now)
+                    ProcessEvent::Heartbeat { heartbeat, sent_at } => {
+                        side.on_heartbeat(*heartbeat, sent_at, now)
                     }
                     ProcessEvent::AnswerDue => side.on_answer_due(now),
-                    ProcessEvent::Left(server) => side.on_leave(server, now),
+                    ProcessEvent::Deregistered(server) => side.on_deregister(server, now),
                     ProcessEvent::Tick => side.on_tick(now),
                     ProcessEvent::Terminate => side.on_terminate(),
                     _ => Vec::new(),
@@ -256,9 +261,9 @@
         ProcessEvent::Call(call) => CoreEvent::Call(call),
         ProcessEvent::Tick => CoreEvent::Tick,
         ProcessEvent::Terminate => CoreEvent::Terminate,
-        ProcessEvent::Heartbeat { .. } | ProcessEvent::AnswerDue | ProcessEvent::Left(_) => {
-            return None
-        }
+        ProcessEvent::Heartbeat { .. }
+        | ProcessEvent::AnswerDue
+        | ProcessEvent::Deregistered(_) => return None,
     })
 }
 
@@ -266,17 +271,17 @@
     ProcessEffect::Core(Box::new(effect))
 }
 
-fn of_agent(effect: AgentEffect) -> ProcessEffect {
+fn of_agent(effect: HeartbeatAgentEffect) -> ProcessEffect {
     match effect {
-        SideEffect::Send(Outgoing { to, frame }) => of_core(CoreEffect::Send { to, frame }),
-        SideEffect::Answer { call, answer } => ProcessEffect::Answer { call, answer },
+        AgentEffect::Send(OutgoingFrame { to, frame }) => of_core(CoreEffect::Send { to, frame }),
+        AgentEffect::Answer { call, answer } => ProcessEffect::Answer { call, answer },
     }
 }
 
 fn of_front(effect: FrontEffect) -> ProcessEffect {
     of_core(match effect {
-        FrontEffect::Send(Outgoing { to, frame }) => CoreEffect::Send { to, frame },
-        FrontEffect::SendOn(RelayedFrame { connection, frame }) => {
+        FrontEffect::Send(OutgoingFrame { to, frame }) => CoreEffect::Send { to, frame },
+        FrontEffect::SendOn(SubscriberFrame { connection, frame }) => {
             CoreEffect::SendOn { connection, frame }
         }
     })
