--- a/crates/scheduler/src/eviction/draining.rs
+++ b/crates/scheduler/src/eviction/draining.rs
@@ -1,109 +1,120 @@
-//! Servers that are about to leave: what would not end there in time is moved.
+//! Evacuation of draining servers: what would not end there in time is continued elsewhere.
 
-use crate::estimator::rest_ms;
-use crate::eviction::unclaimed::Spare;
-use crate::runs::table::{Run, StopReason};
-use crate::scheduler::Scheduler;
-use crate::servers::table::Server;
+use crate::estimator::Estimator;
+use crate::eviction::unclaimed::UnclaimedCapacity;
+use crate::runs::run::{Run, StopReason};
+use crate::runs::table::RunTable;
+use crate::servers::server::Server;
+use crate::servers::table::ServerTable;
+use crate::settings::SchedulerSettings;
 use lupinrack_cluster_api::identity::{ServerId, TaskId};
 use lupinrack_cluster_api::time::Millis;
 
-/// A run that a draining server does not list after this time was never started, in milliseconds.
-const UNSTARTED_MS: u64 = 500;
-/// Beside the time that a stop takes, what is left to get it there.
-const STOP_DELAY_MS: u64 = 1_000;
-/// Work that saves nothing is given up where it would take so many times the time that is left, in percent.
+/// A run that a draining server does not list within this time was never started, in milliseconds.
+const MAX_UNSTARTED_MS: u64 = 500;
+/// What is left beside the time of the stop itself to deliver the order, in milliseconds.
+const STOP_DELIVERY_MS: u64 = 1_000;
+/// Work without checkpoints is given up where it needs more than this part of the time that is left,
+/// in percent.
 const GIVE_UP_PERCENT: u64 = 150;
 
-/// What to do about a run on a draining server.
+/// What happens to a run on a draining server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Move {
-    /// It ends in time, or nothing is won by a move.
+enum Verdict {
+    /// It ends in time, or nothing is gained by a move.
     Stay,
-    /// It is stopped where there is room for it elsewhere.
-    WithRoom,
+    /// It is stopped if there is capacity for it elsewhere.
+    MoveIfPossible,
     /// It is stopped at once.
-    Now,
+    StopNow,
 }
 
-impl Scheduler {
+/// Stops runs on draining servers.
+#[derive(Debug)]
+pub(crate) struct Evacuation<'a> {
+    /// The servers.
+    pub(crate) servers: &'a ServerTable,
+    /// The runs.
+    pub(crate) runs: &'a mut RunTable,
+    /// When runs are expected to end.
+    pub(crate) estimator: Estimator<'a>,
+    /// The settings.
+    pub(crate) settings: &'a SchedulerSettings,
+    /// The moment.
+    pub(crate) now: Millis,
+}
+
+impl Evacuation<'_> {
     /// Stops runs on draining servers that are better continued elsewhere.
-    pub(crate) fn evacuate(&mut self, spare: &mut Spare, now: Millis) {
-        let draining: Vec<ServerId> = self
-            .servers
-            .iter()
-            .filter(|(_, server)| server.draining_since.is_some())
-            .map(|(id, _)| id.clone())
-            .collect();
-        if draining.is_empty() {
-            return;
-        }
-        self.claim_for_moving(spare);
-        for server in draining {
-            self.evacuate_server(&server, spare, now);
+    pub(crate) fn run(&mut self, mut unclaimed: UnclaimedCapacity) {
+        self.claim_for_moving(&mut unclaimed);
+        let servers = self.servers;
+        for (id, server) in servers.iter() {
+            if let Some(since) = server.draining_since {
+                self.evacuate(id, server, since, &mut unclaimed);
+            }
         }
     }
 
-    /// Room for runs that are being stopped to go on elsewhere is not given away twice.
-    fn claim_for_moving(&self, spare: &mut Spare) {
+    /// The capacity in which runs that are being stopped will continue is not given away twice.
+    fn claim_for_moving(&self, unclaimed: &mut UnclaimedCapacity) {
         let moving = self
             .runs
             .iter()
             .filter(|run| run.stop == Some(StopReason::Draining));
         for run in moving {
-            spare.claim(&run.traits.needs, &run.traits.requires);
+            unclaimed.claim(&run.profile.needs, &run.profile.requires);
         }
     }
 
-    fn evacuate_server(&mut self, id: &ServerId, spare: &mut Spare, now: Millis) {
-        let Some(server) = self.servers.get(id) else {
-            return;
-        };
-        let wanted = self.runs.of_server(id).filter(|run| run.is_wanted());
-        let mut stops: Vec<TaskId> = Vec::new();
-        for run in wanted {
-            let stop = match self.decide(server, run, now) {
-                Move::Stay => false,
-                Move::WithRoom => spare.claim(&run.traits.needs, &run.traits.requires),
-                Move::Now => true,
+    fn evacuate(
+        &mut self,
+        id: &ServerId,
+        server: &Server,
+        since: Millis,
+        unclaimed: &mut UnclaimedCapacity,
+    ) {
+        let stays_until = server
+            .stays_until
+            .unwrap_or_else(|| since.plus(self.settings.drain_ms));
+        let mut stopped: Vec<TaskId> = Vec::new();
+        for run in self.runs.of_server(id).filter(|run| run.is_wanted()) {
+            let is_stopped = match self.verdict(run, since, stays_until) {
+                Verdict::Stay => false,
+                Verdict::MoveIfPossible => {
+                    unclaimed.claim(&run.profile.needs, &run.profile.requires)
+                }
+                Verdict::StopNow => true,
             };
-            if stop {
-                stops.push(run.task);
+            if is_stopped {
+                stopped.push(run.task);
             }
         }
-        stops
-            .into_iter()
-            .for_each(|task| self.stop_run(task, StopReason::Draining));
-    }
-
-    /// Until when a draining server stays at least, by its own word or by the rule.
-    fn leaves_at(&self, server: &Server, now: Millis) -> Millis {
-        let since = server.draining_since.unwrap_or(now);
-        server
-            .leaves_at
-            .unwrap_or_else(|| since.plus(self.settings.drain_ms))
+        for task in stopped {
+            self.runs.request_stop(task, StopReason::Draining);
+        }
     }
 
-    fn decide(&self, server: &Server, run: &Run, now: Millis) -> Move {
+    fn verdict(&self, run: &Run, draining_since: Millis, stays_until: Millis) -> Verdict {
         if run.running_since.is_none() {
-            let since = server.draining_since.unwrap_or(now);
-            return if now.since(since) >= UNSTARTED_MS {
-                Move::Now
+            return if self.now.since(draining_since) >= MAX_UNSTARTED_MS {
+                Verdict::StopNow
             } else {
-                Move::Stay
+                Verdict::Stay
             };
         }
-        let left_ms = self.leaves_at(server, now).since(now);
-        let rest = rest_ms(run, &self.durations, &self.settings, now);
-        if rest <= left_ms {
-            return Move::Stay;
+        let left_ms = stays_until.since(self.now);
+        let remaining_ms = self.estimator.remaining_ms(run);
+        if remaining_ms <= left_ms {
+            return Verdict::Stay;
         }
-        let last_call = left_ms <= self.settings.max_stop_ms + STOP_DELAY_MS;
-        let hopeless = rest.saturating_mul(100) > left_ms.saturating_mul(GIVE_UP_PERCENT);
-        match (run.traits.checkpoints, hopeless) {
-            (true, _) if last_call => Move::Now,
-            (true, _) | (false, true) => Move::WithRoom,
-            (false, false) => Move::Stay,
+        let is_last_chance = left_ms <= self.settings.max_stop_ms + STOP_DELIVERY_MS;
+        let is_hopeless =
+            remaining_ms.saturating_mul(100) > left_ms.saturating_mul(GIVE_UP_PERCENT);
+        match (run.profile.checkpoints, is_hopeless) {
+            (true, _) if is_last_chance => Verdict::StopNow,
+            (true, _) | (false, true) => Verdict::MoveIfPossible,
+            (false, false) => Verdict::Stay,
         }
     }
 }
--- a/crates/scheduler/src/eviction/preemption.rs
+++ b/crates/scheduler/src/eviction/preemption.rs
@@ -1,150 +1,162 @@
-//! Preemption: room is made for the most urgent work where less urgent work can continue later from a checkpoint.
+//! Preemption: less urgent runs that can continue later from a checkpoint make way for the most
+//! urgent work.
 
-use crate::estimator::rest_ms;
-use crate::eviction::unclaimed::Spare;
-use crate::placement::planner::Demand;
+use crate::estimator::Estimator;
+use crate::eviction::unclaimed::{UnclaimedCandidate, UnclaimedCapacity};
+use crate::placement::demand::Demand;
+use crate::placement::headroom::URGENT_PRIORITY;
 use crate::resources::{difference, fits, sum};
-use crate::runs::table::{Run, StopReason};
-use crate::scheduler::Scheduler;
-use lupinrack_cluster_api::identity::{ServerId, TaskId};
+use crate::runs::run::{Run, StopReason};
+use crate::runs::table::RunTable;
+use crate::settings::SchedulerSettings;
+use lupinrack_cluster_api::identity::TaskId;
 use lupinrack_cluster_api::job::Resources;
 use lupinrack_cluster_api::time::Millis;
+use std::cmp::Reverse;
 
-/// Only work of this priority preempts.
-const PREEMPTING_PRIORITY: u32 = 0;
-/// Tasks that room is made for in one round, at most.
-const TASKS_MOST: usize = 32;
+/// The largest number of tasks for which runs are preempted in one round.
+const MAX_TASKS: usize = 32;
 
-/// Runs on one server that would make room.
+/// Runs on one server that would free enough capacity.
+#[derive(Debug)]
 struct Victims {
-    place: usize,
+    /// The number of the candidate.
+    candidate: usize,
     tasks: Vec<TaskId>,
-    room: Resources,
+    freed: Resources,
+    /// How much work since their last checkpoints would be lost, in milliseconds.
     lost_ms: u64,
 }
 
-impl Scheduler {
-    /// Stops runs for the most urgent tasks that have waited in vain, as few as make room for them.
-    pub(crate) fn preempt(&mut self, demands: &[Demand<'_>], mut spare: Spare, now: Millis) {
-        let waiting = self.waiting_in_vain(demands, now);
+/// Stops runs for more urgent work.
+#[derive(Debug)]
+pub(crate) struct Preemption<'a> {
+    /// The runs.
+    pub(crate) runs: &'a mut RunTable,
+    /// When runs are expected to end.
+    pub(crate) estimator: Estimator<'a>,
+    /// The settings.
+    pub(crate) settings: &'a SchedulerSettings,
+    /// The moment.
+    pub(crate) now: Millis,
+}
+
+impl Preemption<'_> {
+    /// Stops runs for the most urgent tasks that have waited too long: as few as free enough capacity
+    /// for them.
+    pub(crate) fn run(&mut self, demands: &[Demand<'_>], mut unclaimed: UnclaimedCapacity) {
+        let waiting = self.waiting_too_long(demands);
         if waiting.is_empty() {
             return;
         }
-        self.add_room_soon_free(&mut spare, now);
+        self.add_soon_free(&mut unclaimed);
         for demand in waiting {
             let needs = &demand.step.needs;
-            if spare.claim(needs, &demand.step.requires) {
+            if unclaimed.claim(needs, &demand.step.requires) {
                 continue;
             }
-            let Some(victims) = self.cheapest_victims(demand, &spare, now) else {
+            let Some(victims) = self.cheapest_victims(demand, &unclaimed) else {
                 continue;
             };
-            let row = &mut spare.rows[victims.place];
-            row.left = difference(&sum(&row.left, &victims.room), needs);
-            victims
-                .tasks
-                .into_iter()
-                .for_each(|task| self.stop_run(task, StopReason::Preempted));
+            let candidate = &mut unclaimed.candidates[victims.candidate];
+            candidate.free = difference(&sum(&candidate.free, &victims.freed), needs);
+            for task in victims.tasks {
+                self.runs.request_stop(task, StopReason::Preempted);
+            }
         }
     }
 
-    /// The demands of tasks that may preempt, one for each task.
-    fn waiting_in_vain<'d, 'a>(
-        &self,
-        demands: &'d [Demand<'a>],
-        now: Millis,
-    ) -> Vec<&'d Demand<'a>> {
-        let urgent = demands.iter().filter(|demand| {
-            let waited_ms = now.since(demand.ready.since);
-            demand.job.priority == PREEMPTING_PRIORITY
-                && !demand.rank.hopeless
-                && waited_ms >= self.settings.preempt_after_ms
-        });
-        let tasks = urgent.flat_map(|demand| {
-            let waiting = demand
-                .ready
-                .indices
-                .iter()
-                .filter(|index| !self.runs.contains(demand.task(**index)));
-            waiting.map(move |_| demand)
-        });
-        tasks.take(TASKS_MOST).collect()
+    /// The demands of tasks that may preempt, once for each task.
+    fn waiting_too_long<'d, 'a>(&self, demands: &'d [Demand<'a>]) -> Vec<&'d Demand<'a>> {
+        demands
+            .iter()
+            .filter(|demand| {
+                let waited_ms = self.now.since(demand.ready.since);
+                demand.job.priority == URGENT_PRIORITY
+                    && !demand.rank.hopeless
+                    && waited_ms >= self.settings.preempt_after_ms
+            })
+            .flat_map(|demand| {
+                demand
+                    .tasks()
+                    .filter(|task| !self.runs.contains(*task))
+                    .map(move |_| demand)
+            })
+            .take(MAX_TASKS)
+            .collect()
     }
 
     /// Adds what is being stopped, and what ends by itself as soon as a stop would take.
-    fn add_room_soon_free(&self, spare: &mut Spare, now: Millis) {
+    fn add_soon_free(&self, unclaimed: &mut UnclaimedCapacity) {
         for run in self.runs.iter().filter(|run| !run.ended) {
-            if rest_ms(run, &self.durations, &self.settings, now) <= self.settings.max_stop_ms {
-                spare.add(&run.server, &run.traits.needs);
+            if self.estimator.remaining_ms(run) <= self.settings.max_stop_ms {
+                unclaimed.add(&run.server, &run.profile.needs);
             }
         }
     }
 
-    fn cheapest_victims(&self, demand: &Demand<'_>, spare: &Spare, now: Millis) -> Option<Victims> {
-        let able = spare.rows.iter().enumerate().filter(|(_, spare)| {
-            !spare.row.suspected
-                && spare.row.has_label(&demand.step.requires)
-                && fits(&demand.step.needs, &spare.row.facts.capacity)
-        });
-        let victims = able.filter_map(|(place, spare)| {
-            self.victims_on(
-                place,
-                &spare.row.server,
-                &spare.left,
-                &demand.step.needs,
-                now,
-            )
-        });
-        victims.min_by_key(|victims| (victims.lost_ms, victims.tasks.len()))
+    /// The runs of one server that lose the least work.
+    fn cheapest_victims(
+        &self,
+        demand: &Demand<'_>,
+        unclaimed: &UnclaimedCapacity,
+    ) -> Option<Victims> {
+        (0..)
+            .zip(&unclaimed.candidates)
+            .filter(|(_, unclaimed)| {
+                let candidate = &unclaimed.candidate;
+                !candidate.suspected
+                    && candidate.has_label(&demand.step.requires)
+                    && candidate.could_fit(&demand.step.needs)
+            })
+            .filter_map(|(number, unclaimed)| {
+                self.victims_on(number, unclaimed, &demand.step.needs)
+            })
+            .min_by_key(|victims| (victims.lost_ms, victims.tasks.len()))
     }
 
-    /// The runs on a server that lose least, as many as make room for `needs`.
+    /// The runs on a server that lose the least work, as many as free `needs`; none where all of them
+    /// do not.
     fn victims_on(
         &self,
-        place: usize,
-        server: &ServerId,
-        left: &Resources,
+        candidate: usize,
+        unclaimed: &UnclaimedCandidate,
         needs: &Resources,
-        now: Millis,
     ) -> Option<Victims> {
-        let mut able: Vec<&Run> = self
+        let mut preemptible: Vec<&Run> = self
             .runs
-            .of_server(server)
-            .filter(|run| self.may_stop(run, now))
+            .of_server(&unclaimed.candidate.server)
+            .filter(|run| self.is_preemptible(run))
             .collect();
-        let lost_ms = |run: &Run| now.since(run.saved_at);
-        able.sort_by_key(|run| {
-            (
-                std::cmp::Reverse(run.traits.priority),
-                lost_ms(run),
-                run.task,
-            )
-        });
+        let lost_ms = |run: &Run| self.now.since(run.checkpointed_at);
+        preemptible.sort_by_key(|run| (Reverse(run.profile.priority), lost_ms(run), run.task));
         let mut victims = Victims {
-            place,
+            candidate,
             tasks: Vec::new(),
-            room: Resources::default(),
+            freed: Resources::default(),
             lost_ms: 0,
         };
-        for run in able {
-            if fits(needs, &sum(left, &victims.room)) {
+        let is_enough = |freed: &Resources| fits(needs, &sum(&unclaimed.free, freed));
+        for run in preemptible {
+            if is_enough(&victims.freed) {
                 break;
             }
-            victims.room = sum(&victims.room, &run.traits.needs);
+            victims.freed = sum(&victims.freed, &run.profile.needs);
             victims.lost_ms += lost_ms(run);
             victims.tasks.push(run.task);
         }
-        fits(needs, &sum(left, &victims.room)).then_some(victims)
+        is_enough(&victims.freed).then_some(victims)
     }
 
-    /// Whether a run may give way: it continues later from its checkpoint, and would not end by itself as soon.
-    fn may_stop(&self, run: &Run, now: Millis) -> bool {
+    /// Whether a run may be preempted: it continues later from its checkpoint, and would not end by
+    /// itself as soon.
+    fn is_preemptible(&self, run: &Run) -> bool {
         run.is_wanted()
             && run.running_since.is_some()
-            && run.traits.priority > PREEMPTING_PRIORITY
-            && run.traits.checkpoints
-            && !run.traits.gang
-            && !run.traits.long_running
-            && rest_ms(run, &self.durations, &self.settings, now) > self.settings.max_stop_ms
+            && run.profile.priority > URGENT_PRIORITY
+            && run.profile.checkpoints
+            && !run.profile.gang
+            && !run.profile.long_running
+            && self.estimator.remaining_ms(run) > self.settings.max_stop_ms
     }
 }
--- a/crates/scheduler/src/eviction/stalled.rs
+++ b/crates/scheduler/src/eviction/stalled.rs
@@ -1,96 +1,131 @@
-//! Runs that stand still, or that their server never began.
+//! Runs that make no progress, or that their server never began.
 
-use crate::estimator::total_ms;
-use crate::runs::table::{Run, StopReason};
-use crate::scheduler::Scheduler;
-use lupinrack_cluster_api::identity::TaskId;
+use crate::estimator::Estimator;
+use crate::runs::run::Run;
+use crate::runs::table::RunTable;
+use crate::servers::table::ServerTable;
+use crate::settings::SchedulerSettings;
+use lupinrack_cluster_api::identity::{ServerId, TaskId};
 use lupinrack_cluster_api::time::Millis;
 
-/// Added to the time that a run may stand still: this part of its expected duration, in percent.
+/// By this part of its expected duration a run may stand still for longer, in percent.
 const STALL_PERCENT: u64 = 15;
-/// A start that its server does not list after this time is taken back, in milliseconds.
-const UNLISTED_MOST_MS: u64 = 5_000;
-
-/// A run is overdue after so many times its expected duration.
+/// A start that its server does not list within this time is taken back, in milliseconds.
+const MAX_UNLISTED_MS: u64 = 5_000;
+/// A run is overdue after this many times its expected duration.
 const OVERDUE_FACTOR: u64 = 2;
 
-impl Scheduler {
-    /// Notes against their servers the runs that take much longer than expected, each once.
-    pub(crate) fn note_overdue(&mut self, now: Millis) {
-        let overdue = |run: &Run| {
-            let since = run
-                .running_since
-                .filter(|_| run.shows_duration() && !run.overdue && !run.ended)?;
-            let (elapsed, total) = (now.since(since), total_ms(run, &self.durations).max(1));
-            let part_done = f64::from(run.percent.clamp(1, 100)) / 100.0;
-            let ratio = elapsed as f64 / (total as f64 * part_done);
-            (elapsed > OVERDUE_FACTOR * total).then_some((run.task, ratio))
-        };
-        let overdue: Vec<(TaskId, f64)> = self.runs.iter().filter_map(overdue).collect();
-        for (task, ratio) in overdue {
-            let Some(run) = self.runs.get_mut(task) else {
-                continue;
-            };
-            run.overdue = true;
-            self.evidence.took(&run.server, ratio, now);
-        }
+/// A run that takes much longer than expected.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct OverdueRun {
+    /// Its task.
+    pub(crate) task: TaskId,
+    /// Its server.
+    pub(crate) server: ServerId,
+    /// How many times as long as expected it is going to take, by its progress.
+    pub(crate) ratio: f64,
+}
+
+/// A run that makes no progress.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct StalledRun {
+    /// Its task.
+    pub(crate) task: TaskId,
+    /// Its server.
+    pub(crate) server: ServerId,
+    /// Whether its server has begun it, and is to blame.
+    pub(crate) has_begun: bool,
+}
+
+/// Finds the runs that are late or make no progress.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct StallDetector<'a> {
+    /// The servers.
+    pub(crate) servers: &'a ServerTable,
+    /// The runs.
+    pub(crate) runs: &'a RunTable,
+    /// How long runs are expected to take.
+    pub(crate) estimator: Estimator<'a>,
+    /// The settings.
+    pub(crate) settings: &'a SchedulerSettings,
+    /// The moment.
+    pub(crate) now: Millis,
+}
+
+impl StallDetector<'_> {
+    /// The runs that take much longer than expected and were not counted as such before.
+    pub(crate) fn overdue(&self) -> Vec<OverdueRun> {
+        self.runs
+            .iter()
+            .filter(|run| run.shows_duration() && !run.overdue && !run.ended)
+            .filter_map(|run| {
+                Some(OverdueRun {
+                    task: run.task,
+                    server: run.server.clone(),
+                    ratio: self.overdue_ratio(run)?,
+                })
+            })
+            .collect()
     }
 
-    /// Stops runs that stand still, to start them again elsewhere, and notes that against their servers.
-    pub(crate) fn stop_stalled(&mut self, now: Millis) {
-        let stalled: Vec<TaskId> = self
-            .runs
+    /// The runs that make no progress, although their servers are reachable.
+    pub(crate) fn stalled(&self) -> Vec<StalledRun> {
+        self.runs
             .iter()
-            .filter(|run| self.is_stalled(run, now))
-            .map(|run| run.task)
-            .collect();
-        for task in stalled {
-            let Some(run) = self.runs.get(task) else {
-                continue;
-            };
-            if run.running_since.is_some() {
-                let server = run.server.clone();
-                self.evidence.fault(&server, task, now);
-            }
-            self.stop_run(task, StopReason::Stalled);
-        }
+            .filter(|run| self.is_stalled(run))
+            .map(|run| StalledRun {
+                task: run.task,
+                server: run.server.clone(),
+                has_begun: run.running_since.is_some(),
+            })
+            .collect()
+    }
+
+    fn overdue_ratio(&self, run: &Run) -> Option<f64> {
+        let elapsed_ms = self.now.since(run.running_since?);
+        let total_ms = self.estimator.total_ms(&run.profile).max(1);
+        let part_done = f64::from(run.percent.clamp(1, 100)) / 100.0;
+        let ratio = elapsed_ms as f64 / (total_ms as f64 * part_done);
+        (elapsed_ms > OVERDUE_FACTOR * total_ms).then_some(ratio)
     }
 
-    fn is_stalled(&self, run: &Run, now: Millis) -> bool {
-        if !run.is_wanted() || !self.is_heard(run, now) {
+    fn is_stalled(&self, run: &Run) -> bool {
+        if !run.is_wanted() || !self.is_reachable(&run.server) {
             return false;
         }
         if run.running_since.is_none() {
-            return run.told_in.is_some() && now.since(run.progressed_at) > UNLISTED_MOST_MS;
+            let waited_ms = self.now.since(run.progressed_at);
+            return run.start_ordered_in.is_some() && waited_ms > MAX_UNLISTED_MS;
         }
-        !run.traits.long_running && self.stood_still_ms(run, now) > self.may_stand_ms(run)
+        !run.profile.long_running && self.stood_still_ms(run) > self.may_stand_still_ms(run)
     }
 
-    fn is_heard(&self, run: &Run, now: Millis) -> bool {
-        let heartbeat_timeout_ms = self.settings.heartbeat_timeout_ms;
+    fn is_reachable(&self, server: &ServerId) -> bool {
+        let timeout_ms = self.settings.heartbeat_timeout_ms;
         self.servers
-            .get(&run.server)
-            .is_some_and(|server| now.since(server.last_contact) <= heartbeat_timeout_ms)
+            .get(server)
+            .is_some_and(|server| server.is_reachable(self.now, timeout_ms))
     }
 
-    /// For how long a run has made no progress. A member of a gang only works while all others are there.
-    fn stood_still_ms(&self, run: &Run, now: Millis) -> u64 {
+    /// For how long a run has made no progress, in milliseconds. A member of a gang only works while
+    /// all others are there.
+    fn stood_still_ms(&self, run: &Run) -> u64 {
         let mut since = run.progressed_at;
-        if run.traits.gang {
-            let task = run.task;
-            let gang = self.runs.of_step(task.job, task.occurrence, task.step);
-            for member in gang.filter(|member| member.attempt == run.attempt) {
-                since = since.max(member.running_since.unwrap_or(now));
+        if run.profile.gang {
+            let gang = self
+                .runs
+                .of_step(run.task)
+                .filter(|member| member.attempt == run.attempt);
+            for member in gang {
+                since = since.max(member.running_since.unwrap_or(self.now));
             }
         }
-        now.since(since)
+        self.now.since(since)
     }
 
-    fn may_stand_ms(&self, run: &Run) -> u64 {
-        let expected_ms = self
-            .durations
-            .expected_ms(&run.traits.queue, run.traits.estimate_ms);
-        let part = expected_ms.saturating_mul(STALL_PERCENT) / 100;
-        self.settings.stall_ms + self.settings.restore_ms + part
+    fn may_stand_still_ms(&self, run: &Run) -> u64 {
+        let expected_ms = self.estimator.near_ms(&run.profile);
+        let part_ms = expected_ms.saturating_mul(STALL_PERCENT) / 100;
+        self.settings.stall_ms + self.settings.restore_ms + part_ms
     }
 }
--- a/crates/scheduler/src/eviction/unclaimed.rs
+++ b/crates/scheduler/src/eviction/unclaimed.rs
@@ -1,71 +1,72 @@
-//! What is left of the servers after a placement, to see where work could move.
+//! What is left of the candidates after a pass of placement, to see where runs could move.
 
-use crate::placement::candidate::Row;
+use crate::placement::candidate::Candidate;
 use crate::resources::{difference, fits, sum};
 use lupinrack_cluster_api::identity::ServerId;
 use lupinrack_cluster_api::job::Resources;
 
-/// One server's spare room.
+/// A candidate, and what nobody has claimed of it.
 #[derive(Clone, Debug)]
-pub struct SpareRow {
-    /// The row that it belongs to.
-    pub row: Row,
+pub(crate) struct UnclaimedCandidate {
+    /// The candidate.
+    pub(crate) candidate: Candidate,
     /// What nobody has claimed.
-    pub left: Resources,
+    pub(crate) free: Resources,
 }
 
-/// The spare room of all servers.
+/// The unclaimed capacity of all candidates, in their order.
 #[derive(Clone, Debug)]
-pub struct Spare {
-    /// By server, in the order of the rows.
-    pub rows: Vec<SpareRow>,
+pub(crate) struct UnclaimedCapacity {
+    /// The candidates.
+    pub(crate) candidates: Vec<UnclaimedCandidate>,
 }
 
-impl Spare {
-    /// What is free now beside all queued work.
-    pub fn beside_queues(rows: &[Row]) -> Spare {
-        let spare = |row: &Row| SpareRow {
-            row: row.clone(),
-            left: row.free_for(u32::MAX),
+impl UnclaimedCapacity {
+    /// What is free now beside all queued tasks.
+    pub(crate) fn beside_queues(candidates: &[Candidate]) -> UnclaimedCapacity {
+        let unclaimed = |candidate: &Candidate| UnclaimedCandidate {
+            candidate: candidate.clone(),
+            free: candidate.free_for(u32::MAX),
         };
-        Spare {
-            rows: rows.iter().map(spare).collect(),
+        UnclaimedCapacity {
+            candidates: candidates.iter().map(unclaimed).collect(),
         }
     }
 
-    /// What is free now; queued work is not counted.
-    pub fn before_queues(rows: Vec<Row>) -> Spare {
-        let spare = |row: Row| SpareRow {
-            left: row.free,
-            row,
+    /// What is free now, whether or not tasks are queued for it.
+    pub(crate) fn ahead_of_queues(candidates: Vec<Candidate>) -> UnclaimedCapacity {
+        let unclaimed = |candidate: Candidate| UnclaimedCandidate {
+            free: candidate.free,
+            candidate,
         };
-        Spare {
-            rows: rows.into_iter().map(spare).collect(),
+        UnclaimedCapacity {
+            candidates: candidates.into_iter().map(unclaimed).collect(),
         }
     }
 
-    /// Claims room on a server with this label; tells whether there was any. Suspected servers have none.
-    pub fn claim(&mut self, needs: &Resources, requires: &str) -> bool {
-        let found = self.rows.iter_mut().find(|spare| {
-            !spare.row.suspected && spare.row.has_label(requires) && fits(needs, &spare.left)
+    /// Claims capacity on a candidate with this label. Returns whether there was any. Suspected
+    /// servers have none.
+    pub(crate) fn claim(&mut self, needs: &Resources, requires: &str) -> bool {
+        let found = self.candidates.iter_mut().find(|unclaimed| {
+            !unclaimed.candidate.suspected
+                && unclaimed.candidate.has_label(requires)
+                && fits(needs, &unclaimed.free)
         });
-        match found {
-            Some(spare) => {
-                spare.left = difference(&spare.left, needs);
-                true
-            }
-            None => false,
-        }
+        let Some(unclaimed) = found else {
+            return false;
+        };
+        unclaimed.free = difference(&unclaimed.free, needs);
+        true
     }
 
-    /// Adds room that is about to be free on a server.
-    pub fn add(&mut self, server: &ServerId, room: &Resources) {
-        if let Some(spare) = self
-            .rows
+    /// Adds capacity that is about to be free on a server.
+    pub(crate) fn add(&mut self, server: &ServerId, amount: &Resources) {
+        let of_server = self
+            .candidates
             .iter_mut()
-            .find(|spare| spare.row.server == *server)
-        {
-            spare.left = sum(&spare.left, room);
+            .find(|unclaimed| unclaimed.candidate.server == *server);
+        if let Some(unclaimed) = of_server {
+            unclaimed.free = sum(&unclaimed.free, amount);
         }
     }
 }
--- a/crates/scheduler/src/heartbeats.rs
+++ b/crates/scheduler/src/heartbeats.rs
@@ -1,282 +1,196 @@
-//! Reading of heartbeats: progress, ends, runs that no record asks for, and proofs that a stopped run never runs.
+//! Reading of heartbeats: progress, ends, foreign runs, and acknowledged stops.
 
+use crate::history::History;
 use crate::inferred_end::InferredEndReason;
-use crate::runs::table::{Run, RunPhase, StopReason};
-use crate::scheduler::Scheduler;
-use crate::servers::table::{ForeignRun, Server, UnreadHeartbeat};
+use crate::jobs::board::JobBoard;
+use crate::recorded::is_assigned;
+use crate::run_id::RunId;
+use crate::run_tracker::RunTracker;
+use crate::runs::run::Run;
+use crate::servers::server::{ForeignRun, HeartbeatOrigin, UnreadHeartbeat};
+use crate::servers::table::ServerTable;
 use lupinrack_cluster_api::agent::Heartbeat;
-use lupinrack_cluster_api::identity::{Attempt, ServerId, TaskId};
-use lupinrack_cluster_api::job::Resources;
+use lupinrack_cluster_api::identity::{ServerId, TaskId};
 use lupinrack_cluster_api::operation::EndRecord;
 use lupinrack_cluster_api::server::{FinishedTask, RunEnd, RunningTask};
 use lupinrack_cluster_api::time::Millis;
-use lupinrack_control_state::{ControlState, TaskStatus};
+use lupinrack_control_state::ControlState;
 use std::collections::BTreeSet;
 
-/// A list of ends of this length may have been cut.
-const ENDS_LISTED_MOST: usize = 500;
-
-/// A heartbeat with what its server's runs are checked against.
-struct Reading<'a> {
-    server: &'a ServerId,
-    unread: &'a UnreadHeartbeat,
-    /// Runs in either list.
-    listed: BTreeSet<(TaskId, Attempt)>,
+/// A list of this many ends may be incomplete.
+const MAX_ENDS_LISTED: usize = 500;
+
+/// Takes over what heartbeats report into what the owner knows.
+#[derive(Debug)]
+pub(crate) struct HeartbeatReader<'a> {
+    /// The replicated state.
+    pub(crate) state: &'a ControlState,
+    /// The servers.
+    pub(crate) servers: &'a mut ServerTable,
+    /// The runs.
+    pub(crate) tracker: &'a mut RunTracker,
+    /// The jobs.
+    pub(crate) jobs: &'a mut JobBoard,
+    /// What was learned from runs.
+    pub(crate) history: &'a mut History,
+    /// The moment.
+    pub(crate) now: Millis,
 }
 
-impl Scheduler {
+impl HeartbeatReader<'_> {
     /// Reads the newest heartbeat of every server that sent one since the last round.
-    pub(crate) fn read_heartbeats(&mut self, state: &ControlState, now: Millis) {
-        let take =
-            |(id, server): (&ServerId, &mut Server)| Some((id.clone(), server.unread.take()?));
-        let unread: Vec<_> = self.servers.iter_mut().filter_map(take).collect();
-        for (server, unread) in unread {
-            self.read_heartbeat(state, &server, &unread, now);
+    pub(crate) fn read_all(&mut self) {
+        for (server, unread) in self.servers.take_unread() {
+            self.read(&server, &unread);
         }
     }
 
-    fn read_heartbeat(
-        &mut self,
-        state: &ControlState,
-        server: &ServerId,
-        unread: &UnreadHeartbeat,
-        now: Millis,
-    ) {
+    fn read(&mut self, server: &ServerId, unread: &UnreadHeartbeat) {
         let heartbeat = &unread.heartbeat;
         for finished in &heartbeat.finished {
-            self.read_end(state, server, finished, now);
+            self.read_end(server, finished);
         }
         for running in &heartbeat.running {
-            self.read_progress(state, server, running, unread.received_at);
+            self.read_progress(server, running, unread.received_at);
+        }
+        self.forget_foreign(server, heartbeat);
+        if unread.origin == HeartbeatOrigin::Report {
+            self.infer_acknowledged_stops(server, heartbeat);
         }
-        let reading = Reading {
-            server,
-            unread,
-            listed: listed(heartbeat),
-        };
-        self.forget_foreign(&reading);
-        self.prove_stops(&reading);
     }
 
-    /// Takes in a listed end: frees its room, and has it recorded if the record waits for it.
-    fn read_end(
-        &mut self,
-        state: &ControlState,
-        server: &ServerId,
-        finished: &FinishedTask,
-        now: Millis,
-    ) {
-        let FinishedTask {
-            number,
-            task,
-            attempt,
-            ..
-        } = *finished;
+    /// Takes over a listed end: frees the capacity of its run, and has the end recorded if the
+    /// replicated state waits for it.
+    fn read_end(&mut self, server: &ServerId, finished: &FinishedTask) {
+        let run = RunId::new(finished.task, finished.attempt);
         let Some(entry) = self.servers.get_mut(server) else {
             return;
         };
-        if !entry.ends.list(number, task, attempt) {
+        if !entry.ends.add(finished.number, run) {
             return;
         }
-        if self.runs.on_server(server, task, attempt).is_some() {
-            self.learn_from_end(server, finished, now);
-            self.runs.end(task);
+        if self.tracker.runs.on_server(server, run).is_some() {
+            self.learn_from_end(server, finished);
+            self.tracker.runs.set_ended(run.task);
         }
-        if is_assigned(state, server, task, attempt) {
-            let record = EndRecord {
-                task,
-                attempt,
+        if is_assigned(self.state, server, run) {
+            self.tracker.end(EndRecord {
+                task: finished.task,
+                attempt: finished.attempt,
                 end: finished.end,
                 checkpoint: finished.checkpoint.clone(),
-            };
-            self.end_run(record);
+            });
         } else {
-            self.end_is_recorded(task, attempt);
+            self.tracker.end_recorded(self.servers, run);
+            self.jobs.set_changed(run.task.job);
         }
     }
 
-    /// Has an end recorded, with the newest checkpoint that is known.
-    pub(crate) fn end_run(&mut self, mut record: EndRecord) {
-        self.runs.end(record.task);
-        if let Some(run) = self
-            .runs
-            .get(record.task)
-            .filter(|run| run.attempt == record.attempt)
-        {
-            if record.checkpoint.is_empty() {
-                record.checkpoint.clone_from(&run.checkpoint);
-            }
-            // The others of a gang cannot go on alone.
-            if record.end != RunEnd::Done && run.traits.gang {
-                self.stop_run(record.task, StopReason::GangBroken);
-            }
-        }
-        self.submissions.add_end(record);
-    }
-
-    fn learn_from_end(&mut self, server: &ServerId, finished: &FinishedTask, now: Millis) {
-        let Some(run) = self.runs.get(finished.task) else {
+    fn learn_from_end(&mut self, server: &ServerId, finished: &FinishedTask) {
+        let Some(run) = self.tracker.runs.get(finished.task) else {
             return;
         };
         match finished.end {
             RunEnd::Done => {
-                self.evidence.success(server, finished.task);
-                if let Some(since) = run.running_since.filter(|_| run.shows_duration()) {
-                    let expected = run.traits.estimate_ms as f64 * run.traits.distance_factor;
-                    let (actual, ratio) =
-                        (now.since(since), self.durations.ratio(&run.traits.queue));
-                    self.evidence
-                        .took(server, actual as f64 / (expected * ratio).max(1.0), now);
-                    self.durations.learn(&run.traits.queue, expected, actual);
-                }
+                self.history.faults.record_success(server, finished.task);
+                learn_duration(self.history, server, run, self.now);
             }
-            RunEnd::Failed if !run.traits.long_running => {
-                self.evidence.fault(server, finished.task, now)
+            RunEnd::Failed if !run.profile.long_running => {
+                let faults = &mut self.history.faults;
+                faults.record_fault(server, finished.task, self.now);
             }
             _ => {}
         }
     }
 
-    fn read_progress(
-        &mut self,
-        state: &ControlState,
-        server: &ServerId,
-        running: &RunningTask,
-        at: Millis,
-    ) {
-        let (task, attempt) = (running.task, running.attempt);
-        let ours = self.runs.on_server(server, task, attempt);
-        if ours.is_some_and(|run| run.phase == RunPhase::Recorded && !run.ended) {
-            if let Some(run) = self.runs.get_mut(task) {
-                note_progress(run, running, at);
-            }
+    fn read_progress(&mut self, server: &ServerId, listed: &RunningTask, at: Millis) {
+        let run = RunId::new(listed.task, listed.attempt);
+        let known = self.tracker.runs.on_server(server, run);
+        if known.is_some_and(Run::is_open) {
+            self.tracker.runs.record_progress(listed, at);
             return;
         }
         let Some(entry) = self.servers.get_mut(server) else {
             return;
         };
-        let needs = needs_of(state, task).unwrap_or(entry.facts.capacity);
-        entry.foreign.entry((task, attempt)).or_insert(ForeignRun {
+        let needs = self
+            .state
+            .job(run.task.job)
+            .and_then(|job| job.step(run.task.step))
+            .map_or(entry.facts.capacity, |step| step.needs);
+        entry.foreign.entry(run).or_insert(ForeignRun {
             needs,
-            stop_sent: None,
+            stop_order: None,
         });
     }
 
     /// Drops foreign runs that are not listed as running any longer.
-    fn forget_foreign(&mut self, reading: &Reading<'_>) {
-        let Some(entry) = self.servers.get_mut(reading.server) else {
-            return;
-        };
-        let running = |key: &(TaskId, Attempt)| {
-            reading
-                .unread
-                .heartbeat
-                .running
-                .iter()
-                .any(|run| (run.task, run.attempt) == *key)
-        };
-        entry.foreign.retain(|key, _| running(key));
+    fn forget_foreign(&mut self, server: &ServerId, heartbeat: &Heartbeat) {
+        let running = running_ids(heartbeat);
+        if let Some(entry) = self.servers.get_mut(server) {
+            entry.foreign.retain(|run, _| running.contains(run));
+        }
     }
 
-    /// A run whose stop was in the orders that the server has seen, and which it lists nowhere, never runs.
-    fn prove_stops(&mut self, reading: &Reading<'_>) {
-        let heartbeat = &reading.unread.heartbeat;
-        if !reading.unread.of_session || heartbeat.finished.len() >= ENDS_LISTED_MOST {
+    /// A run never begins if the server has acknowledged the order to stop it and does not list it.
+    fn infer_acknowledged_stops(&mut self, server: &ServerId, heartbeat: &Heartbeat) {
+        if heartbeat.finished.len() >= MAX_ENDS_LISTED {
             return;
         }
-        let Some(session) = self
+        let session = self
             .servers
-            .get(reading.server)
-            .and_then(|server| server.session.as_ref())
-        else {
+            .get(server)
+            .and_then(|entry| entry.session.as_ref());
+        let Some(session) = session else {
             return;
         };
-        let proven = |run: &&Run| {
-            let seen = run.stop_sent.is_some_and(|sent| {
-                sent.session == session.id && sent.number <= heartbeat.orders_seen
+        let listed = listed_ids(heartbeat);
+        let is_stopped = |run: &&Run| {
+            let is_acknowledged = run.stop_order.is_some_and(|order| {
+                order.session == session.id && order.number <= heartbeat.orders_seen
             });
-            seen && !run.ended && !reading.listed.contains(&(run.task, run.attempt))
+            is_acknowledged && !run.ended && !listed.contains(&run.id())
         };
         let stopped: Vec<TaskId> = self
+            .tracker
             .runs
-            .of_server(reading.server)
-            .filter(proven)
+            .of_server(server)
+            .filter(is_stopped)
             .map(|run| run.task)
             .collect();
-        stopped
-            .into_iter()
-            .for_each(|task| self.end_unlisted(task, InferredEndReason::StopAcknowledged));
-    }
-
-    /// Notes that the record has taken note of an end, or never will.
-    pub(crate) fn end_is_recorded(&mut self, task: TaskId, attempt: Attempt) {
-        self.submissions.end_applied(task, attempt);
-        self.jobs.touch(task.job);
-        let run = self.runs.get(task).filter(|run| run.attempt == attempt);
-        let Some((server, ended)) = run.map(|run| (run.server.clone(), run.ended)) else {
-            self.observe_anywhere(task, attempt);
-            return;
-        };
-        self.observe(&server, task, attempt);
-        // A member of a gang whose end another one stood for still takes room until its own end is listed.
-        if ended {
-            self.runs.remove(task);
-        }
-    }
-
-    fn observe(&mut self, server: &ServerId, task: TaskId, attempt: Attempt) {
-        if let Some(entry) = self.servers.get_mut(server) {
-            entry.ends.recorded(task, attempt);
+        for task in stopped {
+            self.tracker
+                .infer_end(task, InferredEndReason::StopAcknowledged);
         }
     }
+}
 
-    fn observe_anywhere(&mut self, task: TaskId, attempt: Attempt) {
-        for (_, entry) in self.servers.iter_mut() {
-            entry.ends.recorded(task, attempt);
-        }
-    }
+/// Learns from the duration of a run that ended well, if its duration says something.
+fn learn_duration(history: &mut History, server: &ServerId, run: &Run, now: Millis) {
+    let Some(since) = run.running_since.filter(|_| run.shows_duration()) else {
+        return;
+    };
+    let queue = &run.profile.queue;
+    let measured_ms = now.since(since);
+    let estimated_ms = run.profile.estimate_ms as f64 * run.profile.distance_factor;
+    let expected_ms = estimated_ms * history.durations.ratio(queue);
+    history
+        .speeds
+        .record(server, measured_ms as f64 / expected_ms.max(1.0), now);
+    history.durations.learn(queue, estimated_ms, measured_ms);
 }
 
-fn listed(heartbeat: &Heartbeat) -> BTreeSet<(TaskId, Attempt)> {
-    let running = heartbeat.running.iter().map(|run| (run.task, run.attempt));
+fn running_ids(heartbeat: &Heartbeat) -> BTreeSet<RunId> {
+    let running = heartbeat.running.iter();
     running
-        .chain(heartbeat.finished.iter().map(|end| (end.task, end.attempt)))
+        .map(|run| RunId::new(run.task, run.attempt))
         .collect()
 }
 
-fn note_progress(run: &mut Run, running: &RunningTask, at: Millis) {
-    if run.running_since.is_none() {
-        run.running_since = Some(at);
-        run.progressed_at = at;
-        run.saved_at = at;
-    }
-    if run.percent != running.percent {
-        run.percent = running.percent;
-        run.progressed_at = at;
-    }
-    if !running.checkpoint.is_empty() && run.checkpoint != running.checkpoint {
-        run.checkpoint.clone_from(&running.checkpoint);
-        run.saved_at = at;
-    }
-}
-
-/// What a task needs, where its job is known.
-fn needs_of(state: &ControlState, task: TaskId) -> Option<Resources> {
-    let steps = &state.job(task.job)?.spec.steps;
-    steps.get(task.step as usize).map(|step| step.needs)
-}
-
-/// Whether the record has this start assigned to this server.
-pub(crate) fn is_assigned(
-    state: &ControlState,
-    server: &ServerId,
-    task: TaskId,
-    attempt: Attempt,
-) -> bool {
-    let job = state.job(task.job);
-    let record = job.and_then(|job| job.task(task.occurrence, task.step, task.index));
-    record.is_some_and(|record| {
-        record.attempt == attempt
-            && matches!(&record.status, TaskStatus::Assigned { server: assigned } if assigned == server)
-    })
+/// The runs that are listed as running or finished.
+fn listed_ids(heartbeat: &Heartbeat) -> BTreeSet<RunId> {
+    let mut listed = running_ids(heartbeat);
+    let finished = heartbeat.finished.iter();
+    listed.extend(finished.map(|end| RunId::new(end.task, end.attempt)));
+    listed
 }
--- /dev/null
+++ b/crates/scheduler/src/placement/demand.rs
@@ -0,0 +1,108 @@
+//! What is to be placed.
+
+use crate::estimator::NEVER_MS;
+use crate::history::durations::DurationModel;
+use crate::jobs::board::JobBoard;
+use crate::jobs::rank::Rank;
+use crate::jobs::ready_step::ReadyStep;
+use crate::queues::weights::StreamWeights;
+use crate::runs::profile::RunProfile;
+use lupinrack_cluster_api::identity::{JobId, QueueName, TaskId};
+use lupinrack_cluster_api::job::Step;
+use lupinrack_cluster_api::time::WallMillis;
+use lupinrack_control_state::{ControlState, JobRecord};
+use std::collections::BTreeSet;
+
+/// A step whose tasks may start, with its job.
+#[derive(Clone, Debug)]
+pub(crate) struct Demand<'a> {
+    /// The job.
+    pub(crate) id: JobId,
+    /// Its record.
+    pub(crate) job: &'a JobRecord,
+    /// The step.
+    pub(crate) step: &'a Step,
+    /// Which of its tasks wait.
+    pub(crate) ready: &'a ReadyStep,
+    /// How urgent it is.
+    pub(crate) rank: Rank,
+    /// How long a task is expected to take near its data, in milliseconds.
+    pub(crate) expected_ms: u64,
+}
+
+impl Demand<'_> {
+    /// A task of the step.
+    pub(crate) fn task(&self, index: u32) -> TaskId {
+        TaskId {
+            job: self.id,
+            occurrence: self.ready.occurrence,
+            step: self.ready.step,
+            index,
+        }
+    }
+
+    /// The waiting tasks.
+    pub(crate) fn tasks(&self) -> impl Iterator<Item = TaskId> + use<'_> {
+        self.ready.indices.iter().map(|index| self.task(*index))
+    }
+
+    /// How long a task is expected to take capacity where it takes `factor` times as long as near its
+    /// data, in milliseconds.
+    pub(crate) fn work_ms(&self, factor: f64) -> u64 {
+        if self.step.long_running {
+            NEVER_MS
+        } else {
+            (self.expected_ms as f64 * factor) as u64
+        }
+    }
+
+    /// What the run of a task would be where it takes `distance_factor` times as long as near its
+    /// data.
+    pub(crate) fn profile(&self, distance_factor: f64) -> RunProfile {
+        RunProfile::new(self.job, self.step, distance_factor)
+    }
+}
+
+/// All steps whose tasks may start, most urgent first.
+pub(crate) fn demands<'a>(
+    state: &'a ControlState,
+    jobs: &'a JobBoard,
+    durations: &DurationModel,
+    wall: WallMillis,
+) -> Vec<Demand<'a>> {
+    let mut demands = Vec::new();
+    for (id, plan) in jobs.plans() {
+        let Some(job) = state.job(*id) else {
+            continue;
+        };
+        for ready in plan.ready() {
+            let Some(step) = job.step(ready.step) else {
+                continue;
+            };
+            demands.push(Demand {
+                id: *id,
+                job,
+                step,
+                ready,
+                rank: plan.rank(job, ready, wall),
+                expected_ms: durations.expected_ms(&job.queue, step.estimate_ms),
+            });
+        }
+    }
+    demands.sort_by_key(|demand| {
+        let ReadyStep {
+            occurrence, step, ..
+        } = demand.ready;
+        (demand.rank, demand.id, *occurrence, *step)
+    });
+    demands
+}
+
+/// The weights of the queues that these demands come from.
+pub(crate) fn stream_weights(demands: &[Demand<'_>]) -> StreamWeights {
+    let queues: BTreeSet<(&QueueName, u32)> = demands
+        .iter()
+        .map(|demand| (&demand.job.queue, demand.job.priority))
+        .collect();
+    StreamWeights::new(queues.into_iter().map(|(_, priority)| priority))
+}
--- /dev/null
+++ b/crates/scheduler/src/placement/earliest_fit.rs
@@ -0,0 +1,119 @@
+//! When several tasks could start together, and where.
+
+use crate::placement::candidate::Candidate;
+use crate::resources::{copies, sum};
+use lupinrack_cluster_api::job::Resources;
+use lupinrack_cluster_api::time::Millis;
+use std::cmp::Reverse;
+
+/// Tasks that are to start together.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct TaskGroup {
+    /// What each task needs.
+    pub(crate) needs: Resources,
+    /// How many tasks.
+    pub(crate) count: u64,
+    /// Their priority.
+    pub(crate) priority: u32,
+}
+
+/// How many tasks a candidate takes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Allotment {
+    /// The candidate, by its number in the round.
+    pub(crate) candidate: usize,
+    /// How many tasks.
+    pub(crate) count: u64,
+}
+
+/// The soonest that candidates have capacity for a group of tasks.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct EarliestFit {
+    /// When.
+    pub(crate) at: Millis,
+    /// How the tasks are then spread over the candidates.
+    pub(crate) allotments: Vec<Allotment>,
+}
+
+/// Capacity that a chosen candidate will have, by its number among the chosen.
+#[derive(Clone, Copy, Debug)]
+struct FreedEvent {
+    at: Millis,
+    chosen: usize,
+    amount: Resources,
+}
+
+/// The soonest that the chosen candidates have capacity for all tasks of the group at once; none
+/// where that cannot be foreseen. `max_on` is how many of the tasks a candidate may hold.
+pub(crate) fn earliest_fit(
+    candidates: &[Candidate],
+    chosen: &[usize],
+    group: &TaskGroup,
+    max_on: impl Fn(usize) -> u64,
+    now: Millis,
+) -> Option<EarliestFit> {
+    let count_in =
+        |number: usize, free: &Resources| copies(&group.needs, free, max_on(chosen[number]));
+    let mut free: Vec<Resources> = chosen
+        .iter()
+        .map(|candidate| candidates[*candidate].free_for(group.priority))
+        .collect();
+    let mut counts: Vec<u64> = free
+        .iter()
+        .enumerate()
+        .map(|(number, free)| count_in(number, free))
+        .collect();
+    let mut total: u64 = counts.iter().sum();
+    let mut at = now;
+    if total < group.count {
+        let mut events = freed_in_order(candidates, chosen).into_iter();
+        while total < group.count {
+            let event = events.next()?;
+            let number = event.chosen;
+            free[number] = sum(&free[number], &event.amount);
+            total -= counts[number];
+            counts[number] = count_in(number, &free[number]);
+            total += counts[number];
+            at = event.at;
+        }
+    }
+    Some(EarliestFit {
+        at,
+        allotments: allot(chosen, &counts, group.count),
+    })
+}
+
+/// When capacity of the chosen candidates is freed, soonest first.
+fn freed_in_order(candidates: &[Candidate], chosen: &[usize]) -> Vec<FreedEvent> {
+    let mut events = Vec::new();
+    for (number, candidate) in chosen.iter().enumerate() {
+        let freed = candidates[*candidate].freed.iter();
+        events.extend(freed.map(|freed| FreedEvent {
+            at: freed.at,
+            chosen: number,
+            amount: freed.amount,
+        }));
+    }
+    events.sort_by_key(|event| (event.at, event.chosen));
+    events
+}
+
+/// Spreads tasks so that few candidates are used: those that can hold most come first.
+fn allot(chosen: &[usize], counts: &[u64], wanted: u64) -> Vec<Allotment> {
+    let mut allotments: Vec<Allotment> = chosen
+        .iter()
+        .zip(counts)
+        .map(|(candidate, count)| Allotment {
+            candidate: *candidate,
+            count: *count,
+        })
+        .collect();
+    allotments.sort_by_key(|allotment| (Reverse(allotment.count), allotment.candidate));
+    let mut remaining = wanted;
+    for allotment in &mut allotments {
+        allotment.count = allotment.count.min(remaining);
+        remaining -= allotment.count;
+    }
+    allotments.retain(|allotment| allotment.count > 0);
+    allotments
+}
--- a/crates/scheduler/src/placement/gang.rs
+++ b/crates/scheduler/src/placement/gang.rs
@@ -1,160 +1,214 @@
 //! Gangs: steps whose tasks start all at once or not at all.
 
-use crate::placement::candidate::{whole_copies, Share};
-use crate::placement::planner::{Candidates, Demand, Placer};
-use crate::queues::task_queues::task_record;
+use crate::placement::demand::Demand;
+use crate::placement::planner::{CandidateSet, Forecast, Planner};
+use crate::recorded::task_record;
+use crate::resources::copies;
 use lupinrack_cluster_api::identity::{Attempt, TaskId};
 use lupinrack_cluster_api::operation::StartRecord;
 use std::collections::BTreeMap;
 
-impl Placer<'_> {
-    /// Starts a gang where it would be done soonest, if it can start there now; otherwise keeps room for it there.
-    pub(crate) fn place_gang(&mut self, demand: &Demand<'_>) {
-        let tasks: Vec<TaskId> = demand
-            .ready
-            .indices
+/// The placement of one gang.
+pub(crate) struct GangPlacement<'p, 'a> {
+    planner: &'p mut Planner<'a>,
+    demand: &'p Demand<'p>,
+    tasks: Vec<TaskId>,
+}
+
+/// What all members of a gang start with.
+struct GangStart {
+    attempt: Attempt,
+    /// Empty for none.
+    checkpoint: String,
+}
+
+impl<'p, 'a> GangPlacement<'p, 'a> {
+    /// The placement of the gang of this demand.
+    pub(crate) fn new(planner: &'p mut Planner<'a>, demand: &'p Demand<'p>) -> Self {
+        let tasks = demand.tasks().collect();
+        GangPlacement {
+            planner,
+            demand,
+            tasks,
+        }
+    }
+
+    /// Starts the gang where it would be done soonest, if it can start there now. Otherwise reserves
+    /// capacity for it there.
+    pub(crate) fn run(&mut self) {
+        if self
+            .tasks
             .iter()
-            .map(|index| demand.task(*index))
-            .collect();
-        if tasks.iter().any(|task| self.runs.contains(*task)) {
+            .any(|task| self.planner.runs.contains(*task))
+        {
             return;
         }
-        let sets = self.gang_sets(demand, &tasks);
-        let count = tasks.len() as u64;
-        let found = sets
+        let count = self.tasks.len() as u64;
+        let soonest = self
+            .candidate_sets()
             .iter()
-            .filter_map(|set| self.finish_on(demand, set, count));
-        let Some(finish) = found.min_by_key(|finish| (finish.done_at, finish.shares.len())) else {
-            return;
-        };
-        if finish.starts_at <= self.now {
-            self.start_gang(demand, &tasks, &finish.shares, finish.factor);
-        } else {
-            self.reserve(demand, finish.starts_at, &finish.shares);
+            .filter_map(|set| self.planner.forecast(self.demand, set, count))
+            .min_by_key(|forecast| (forecast.done_at, forecast.allotments.len()));
+        match soonest {
+            Some(forecast) if forecast.starts_at <= self.planner.now => self.start(&forecast),
+            Some(forecast) => self.planner.reserve(self.demand, &forecast),
+            None => {}
         }
     }
 
-    /// Where a gang may run: each rack, where it should not be spread, and all servers together; near its data and
-    /// anywhere.
-    fn gang_sets(&self, demand: &Demand<'_>, tasks: &[TaskId]) -> Vec<Candidates> {
-        let allowed = self.reliable(demand, tasks);
-        let far = self.settings.remote_factor;
-        let mut sets = Vec::new();
-        if demand.step.same_rack {
-            let mut racks: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
-            for place in &allowed {
-                racks
-                    .entry(self.rows[*place].rack())
-                    .or_default()
-                    .push(*place);
-            }
-            let spread = if racks.len() > 1 { far } else { 1.0 };
-            sets.extend(
-                racks
-                    .into_values()
-                    .map(|rows| Candidates { rows, factor: 1.0 }),
-            );
-            sets.push(Candidates {
-                rows: allowed,
-                factor: spread,
-            });
+    /// Where the gang may run: in each rack where it should not be spread, and on all candidates
+    /// together; near its data, and anywhere.
+    fn candidate_sets(&self) -> Vec<CandidateSet> {
+        let reliable = self.reliable();
+        let mut sets = if self.demand.step.same_rack {
+            self.sets_by_rack(reliable)
         } else {
-            let near = |place: &usize| self.rows[*place].has_label(&demand.step.affinity);
-            let near: Vec<usize> = allowed.iter().copied().filter(near).collect();
-            sets.push(Candidates {
-                rows: near,
-                factor: 1.0,
-            });
-            sets.push(Candidates {
-                rows: allowed,
-                factor: 1.0,
-            });
-        }
+            self.sets_by_distance(reliable)
+        };
         for set in &mut sets {
-            if !set
-                .rows
-                .iter()
-                .all(|place| self.rows[*place].has_label(&demand.step.affinity))
-            {
-                set.factor *= far;
+            if !self.is_near(&set.members) {
+                set.factor *= self.planner.settings.remote_factor;
             }
         }
-        let count = tasks.len() as u64;
-        sets.retain(|set| self.could_hold(demand, set, count));
+        sets.retain(|set| self.could_fit(&set.members));
         sets
     }
 
-    /// The rows that may be used, without slow ones and those on which the gang has failed if the others could hold it.
-    fn reliable(&self, demand: &Demand<'_>, tasks: &[TaskId]) -> Vec<usize> {
-        let allowed = self.allowed(demand);
-        let reliable = |place: &usize| {
-            let row = &self.rows[*place];
-            let faulted = tasks
-                .iter()
-                .any(|task| self.evidence.has_faulted(*task, &row.server));
-            !faulted && row.slowness <= 1.0
+    /// Each rack, and all racks together, over which the gang is slower.
+    fn sets_by_rack(&self, members: Vec<usize>) -> Vec<CandidateSet> {
+        let mut racks: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
+        for number in &members {
+            let rack = self.planner.candidates[*number].rack();
+            racks.entry(rack).or_default().push(*number);
+        }
+        let spread_factor = if racks.len() > 1 {
+            self.planner.settings.remote_factor
+        } else {
+            1.0
         };
-        let rows = allowed.iter().copied().filter(reliable).collect();
-        let reliable = Candidates { rows, factor: 1.0 };
-        if self.could_hold(demand, &reliable, tasks.len() as u64) {
-            reliable.rows
+        let mut sets: Vec<CandidateSet> = racks
+            .into_values()
+            .map(|members| CandidateSet {
+                members,
+                factor: 1.0,
+            })
+            .collect();
+        sets.push(CandidateSet {
+            members,
+            factor: spread_factor,
+        });
+        sets
+    }
+
+    /// The candidates near the gang's data, and all of them.
+    fn sets_by_distance(&self, members: Vec<usize>) -> Vec<CandidateSet> {
+        let near = members
+            .iter()
+            .copied()
+            .filter(|number| self.is_near(&[*number]))
+            .collect();
+        [near, members]
+            .map(|members| CandidateSet {
+                members,
+                factor: 1.0,
+            })
+            .into()
+    }
+
+    /// Whether all these candidates are near the gang's data.
+    fn is_near(&self, members: &[usize]) -> bool {
+        members
+            .iter()
+            .all(|number| self.planner.candidates[*number].has_label(&self.demand.step.affinity))
+    }
+
+    /// The eligible candidates without slow ones and those on which a member has failed, if the
+    /// others could hold the gang; otherwise all eligible ones.
+    fn reliable(&self) -> Vec<usize> {
+        let eligible = self.planner.eligible(self.demand);
+        let reliable: Vec<usize> = eligible
+            .iter()
+            .copied()
+            .filter(|number| self.is_reliable(*number))
+            .collect();
+        if self.could_fit(&reliable) {
+            reliable
         } else {
-            allowed
+            eligible
         }
     }
 
-    /// Whether these servers could hold so many tasks of the step if nothing else ran on them.
-    fn could_hold(&self, demand: &Demand<'_>, set: &Candidates, count: u64) -> bool {
-        let most = match demand.step.anti_affinity {
+    fn is_reliable(&self, number: usize) -> bool {
+        let candidate = &self.planner.candidates[number];
+        let has_faulted = self
+            .tasks
+            .iter()
+            .any(|task| self.planner.faults.has_faulted(*task, &candidate.server));
+        !has_faulted && candidate.slowdown <= 1.0
+    }
+
+    /// Whether these candidates could hold the gang if nothing else ran on them.
+    fn could_fit(&self, members: &[usize]) -> bool {
+        let count = self.tasks.len() as u64;
+        let max_on_one = match self.demand.step.anti_affinity {
             0 => count,
-            most => u64::from(most),
+            max_on_one => u64::from(max_on_one),
         };
-        let held = set
-            .rows
+        let held: u64 = members
             .iter()
-            .map(|place| whole_copies(&self.rows[*place], &demand.step.needs, most));
-        held.sum::<u64>() >= count
+            .map(|number| &self.planner.candidates[*number].facts.capacity)
+            .map(|capacity| copies(&self.demand.step.needs, capacity, max_on_one))
+            .sum();
+        held >= count
     }
 
-    fn start_gang(&mut self, demand: &Demand<'_>, tasks: &[TaskId], shares: &[Share], factor: f64) {
-        let (attempt, checkpoint) = gang_start(demand, tasks);
-        let places = shares
+    fn start(&mut self, forecast: &Forecast) {
+        let GangStart {
+            attempt,
+            checkpoint,
+        } = self.next_start();
+        let candidates = forecast
+            .allotments
             .iter()
-            .flat_map(|share| (0..share.count).map(|_| share.row));
-        let members: Vec<(TaskId, usize)> = tasks.iter().copied().zip(places).collect();
-        let mut starts = Vec::with_capacity(members.len());
-        for (task, place) in members {
-            let traits = demand.traits(factor);
-            self.take(place, &traits.needs);
-            self.charge(place, task, &traits);
-            let server = self.rows[place].server.clone();
+            .flat_map(|allotment| (0..allotment.count).map(|_| allotment.candidate));
+        let planner = &mut *self.planner;
+        let mut starts = Vec::with_capacity(self.tasks.len());
+        for (task, candidate) in self.tasks.iter().copied().zip(candidates) {
+            let profile = self.demand.profile(forecast.factor);
+            planner.take(candidate, &profile.needs);
+            let charge = planner.charge(candidate, &profile);
+            let server = planner.candidates[candidate].server.clone();
+            let running = planner.candidates[candidate].running;
+            // Members do not wait for their tags, since the gang starts as one; but they are charged.
+            planner
+                .queues
+                .charge(&server, task, &profile, charge, running, planner.now);
             let start = StartRecord {
                 task,
                 attempt,
                 server,
                 checkpoint: checkpoint.clone(),
             };
-            self.note_start(place, &start, traits);
+            planner.record_start(candidate, &start, profile);
             starts.push(start);
         }
-        self.starts.push(starts);
+        planner.starts.push(starts);
     }
-}
 
-/// The number of a gang's next start, above that of every member, and the checkpoint that all of them continue from:
-/// any member's is good for all.
-fn gang_start(demand: &Demand<'_>, tasks: &[TaskId]) -> (Attempt, String) {
-    let records = tasks
-        .iter()
-        .filter_map(|task| task_record(demand.job, *task));
-    let attempt = records
-        .clone()
-        .map(|record| record.attempt)
-        .max()
-        .unwrap_or(0)
-        + 1;
-    let checkpoint = records
-        .map(|record| &record.checkpoint)
-        .find(|checkpoint| !checkpoint.is_empty());
-    (attempt, checkpoint.cloned().unwrap_or_default())
+    /// The attempt above that of every member, and the checkpoint of any member: it is good for all.
+    fn next_start(&self) -> GangStart {
+        let records = || {
+            self.tasks
+                .iter()
+                .filter_map(|task| task_record(self.demand.job, *task))
+        };
+        let newest = records().map(|record| record.attempt).max().unwrap_or(0);
+        let checkpoint = records()
+            .map(|record| &record.checkpoint)
+            .find(|checkpoint| !checkpoint.is_empty());
+        GangStart {
+            attempt: newest + 1,
+            checkpoint: checkpoint.cloned().unwrap_or_default(),
+        }
+    }
 }
--- a/crates/scheduler/src/placement/headroom.rs
+++ b/crates/scheduler/src/placement/headroom.rs
@@ -1,68 +1,78 @@
-//! Room that is kept free for urgent work.
+//! Capacity that is kept free for urgent work.
 //!
-//! Urgent tasks are short and come all the time; when few of them run for a moment, longer work must not take all that
-//! they left. What urgent work used at its recent peak stays free for it, up to a part of all capacity.
+//! Urgent tasks are short and come all the time. When few of them run for a moment, longer work must
+//! not take all that they left. So what urgent work used at its recent peak is kept free for it, up
+//! to a part of all capacity.
 
-use crate::placement::candidate::Row;
+use crate::placement::candidate::Candidate;
 use crate::resources::times;
-use crate::runs::table::RunLedger;
+use crate::runs::table::RunTable;
 use lupinrack_cluster_api::job::Resources;
 use lupinrack_cluster_api::time::Millis;
 
 /// The priority of urgent work.
-const URGENT: u32 = 0;
-/// The remembered peak falls by half in this time, in milliseconds.
-const PEAK_HALF_LIFE_MS: f64 = 8_000.0;
-/// At most this part of the capacity is kept, in percent.
-const KEPT_MOST_PERCENT: u64 = 20;
+pub(crate) const URGENT_PRIORITY: u32 = 0;
+/// In this time the remembered peak falls to a half, in milliseconds.
+const PEAK_HALF_TIME_MS: f64 = 8_000.0;
+/// At most this part of the capacity is kept free, in percent.
+const MAX_RESERVE_PERCENT: u64 = 20;
 
 /// How much processor urgent work has used lately.
 #[derive(Clone, Debug, Default)]
-pub struct UrgentUse {
+pub(crate) struct UrgentUsage {
+    /// What it uses now, in thousandths of a core.
     current_cpu: u64,
+    /// What it used at its peak, which decays, in thousandths of a core.
     peak_cpu: f64,
+    /// When it was last observed.
     at: Millis,
 }
 
-impl UrgentUse {
-    /// Notes what urgent work uses now.
-    pub fn observe(&mut self, runs: &RunLedger, now: Millis) {
-        let urgent = runs
+impl UrgentUsage {
+    /// Observes what urgent work uses now.
+    pub(crate) fn observe(&mut self, runs: &RunTable, now: Millis) {
+        self.current_cpu = runs
             .iter()
-            .filter(|run| run.traits.priority == URGENT && !run.ended);
-        self.current_cpu = urgent.map(|run| run.traits.needs.cpu).sum();
-        let faded = self.peak_cpu * 0.5_f64.powf(now.since(self.at) as f64 / PEAK_HALF_LIFE_MS);
-        self.peak_cpu = faded.max(self.current_cpu as f64);
+            .filter(|run| run.profile.priority == URGENT_PRIORITY && !run.ended)
+            .map(|run| run.profile.needs.cpu)
+            .sum();
+        let halvings = now.since(self.at) as f64 / PEAK_HALF_TIME_MS;
+        let decayed = self.peak_cpu * 0.5_f64.powf(halvings);
+        self.peak_cpu = decayed.max(self.current_cpu as f64);
         self.at = now;
     }
 
-    /// What is to be kept free on these servers together.
-    pub fn headroom(&self, rows: &[Row]) -> Headroom {
-        let capacity: u64 = rows.iter().map(|row| row.facts.capacity.cpu).sum();
-        let kept_cpu = (self.peak_cpu as u64).saturating_sub(self.current_cpu);
+    /// What is to be kept free on these candidates together.
+    pub(crate) fn headroom(&self, candidates: &[Candidate]) -> Headroom {
+        let capacity: u64 = candidates
+            .iter()
+            .map(|candidate| candidate.facts.capacity.cpu)
+            .sum();
+        let below_peak = (self.peak_cpu as u64).saturating_sub(self.current_cpu);
         Headroom {
-            free_cpu: rows.iter().map(|row| row.free.cpu).sum(),
-            kept_cpu: kept_cpu.min(capacity * KEPT_MOST_PERCENT / 100),
+            free_cpu: candidates.iter().map(|candidate| candidate.free.cpu).sum(),
+            reserved_cpu: below_peak.min(capacity * MAX_RESERVE_PERCENT / 100),
         }
     }
 }
 
-/// What is free, and what of it is kept.
+/// What is free on all candidates, and how much of that is kept for urgent work; in thousandths of a
+/// core.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Headroom {
+pub(crate) struct Headroom {
     free_cpu: u64,
-    kept_cpu: u64,
+    reserved_cpu: u64,
 }
 
 impl Headroom {
-    /// Whether so many tasks of this priority may take room.
-    pub fn allows(&self, priority: u32, needs: &Resources, count: u64) -> bool {
+    /// Whether `count` tasks of this priority may take capacity.
+    pub(crate) fn allows(&self, priority: u32, needs: &Resources, count: u64) -> bool {
         let taken = times(needs, count).cpu;
-        priority == URGENT || self.free_cpu.saturating_sub(taken) >= self.kept_cpu
+        priority == URGENT_PRIORITY || self.free_cpu.saturating_sub(taken) >= self.reserved_cpu
     }
 
-    /// Notes that room was taken.
-    pub fn take(&mut self, needs: &Resources) {
+    /// Capacity was taken.
+    pub(crate) fn take(&mut self, needs: &Resources) {
         self.free_cpu = self.free_cpu.saturating_sub(needs.cpu);
     }
 }
--- a/crates/scheduler/src/placement/planner.rs
+++ b/crates/scheduler/src/placement/planner.rs
@@ -1,350 +1,196 @@
-//! Placement: which server is to run which task, in the order of urgency.
+//! The state of one pass of placement, and the questions that all kinds of work ask of it.
 
-use crate::estimator::NEVER_MS;
-use crate::eviction::unclaimed::Spare;
-use crate::history::durations::Durations;
-use crate::history::faults::Evidence;
-use crate::jobs::plan::{Rank, ReadyStep};
-use crate::placement::candidate::{earliest, Reservation, Row, Share, Wanted};
+use crate::estimator::Estimator;
+use crate::history::faults::FaultHistory;
+use crate::placement::candidate::Candidate;
+use crate::placement::demand::Demand;
+use crate::placement::earliest_fit::{earliest_fit, Allotment, EarliestFit, TaskGroup};
 use crate::placement::headroom::Headroom;
-use crate::queues::task_queues::{QueuedTask, StreamWeights};
-use crate::resources::{difference, fits, times};
-use crate::runs::table::{RunLedger, RunTraits};
-use crate::scheduler::Scheduler;
+use crate::placement::reservation::Reservation;
+use crate::queues::task_queues::{Charge, TaskQueues};
+use crate::queues::weights::{task_cost, StreamWeights};
+use crate::resources::{difference, times};
+use crate::runs::profile::RunProfile;
+use crate::runs::run::Run;
+use crate::runs::table::RunTable;
 use crate::settings::SchedulerSettings;
-use lupinrack_cluster_api::identity::{JobId, QueueName, ServerId, TaskId};
-use lupinrack_cluster_api::job::{Resources, Step};
+use lupinrack_cluster_api::job::Resources;
 use lupinrack_cluster_api::operation::StartRecord;
-use lupinrack_cluster_api::time::{Millis, WallMillis};
-use lupinrack_control_state::{ControlState, JobRecord};
-use lupinrack_dispatch::Dispatcher;
-use std::collections::{BTreeMap, BTreeSet};
+use lupinrack_cluster_api::time::Millis;
+use lupinrack_control_state::ControlState;
 
-/// A step whose turn has come, with its job.
+/// Candidates among which work may be placed.
 #[derive(Clone, Debug)]
-pub struct Demand<'a> {
-    /// The job.
-    pub id: JobId,
-    /// Its record.
-    pub job: &'a JobRecord,
-    /// The step.
-    pub step: &'a Step,
-    /// Which tasks of it wait.
-    pub ready: &'a ReadyStep,
-    /// How urgent it is.
-    pub rank: Rank,
-    /// How long a task is expected to take near its data.
-    pub expected_ms: u64,
-}
-
-impl Demand<'_> {
-    /// A task of the step.
-    pub fn task(&self, index: u32) -> TaskId {
-        TaskId {
-            job: self.id,
-            occurrence: self.ready.occurrence,
-            step: self.ready.step,
-            index,
-        }
-    }
-
-    /// What a run of it is on a server near its data, or far.
-    pub fn traits(&self, distance_factor: f64) -> RunTraits {
-        RunTraits::new(self.job, self.step, distance_factor)
-    }
-}
-
-/// Steps that are alike to placement: what found no room for one finds none for the other.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Signature<'a> {
-    cpu: u64,
-    memory_mb: u64,
-    gpu: u64,
-    requires: &'a str,
-    affinity: &'a str,
-    priority: u32,
-}
-
-/// Servers among which work may be placed, and how many times as long it takes there.
-pub struct Candidates {
-    /// The places of their rows.
-    pub rows: Vec<usize>,
-    /// The factor.
-    pub factor: f64,
+pub(crate) struct CandidateSet {
+    /// Their numbers in the round.
+    pub(crate) members: Vec<usize>,
+    /// How many times as long as near its data work takes there.
+    pub(crate) factor: f64,
 }
 
 /// When work would be done that starts as soon as it can.
 #[derive(Clone, Debug)]
-pub struct Finish {
+pub(crate) struct Forecast {
     /// When it starts.
-    pub starts_at: Millis,
+    pub(crate) starts_at: Millis,
     /// When it is done.
-    pub done_at: Millis,
+    pub(crate) done_at: Millis,
     /// Where it runs.
-    pub shares: Vec<Share>,
-    /// How many times as long it takes there.
-    pub factor: f64,
+    pub(crate) allotments: Vec<Allotment>,
+    /// How many times as long as near its data it takes there.
+    pub(crate) factor: f64,
 }
 
-/// One round of placement.
-pub struct Placer<'a> {
+/// One pass of placement: what is left of the candidates, and what was decided so far.
+#[derive(Debug)]
+pub(crate) struct Planner<'a> {
     /// The replicated state.
-    pub state: &'a ControlState,
-    /// The scheduler's settings.
-    pub settings: &'a SchedulerSettings,
+    pub(crate) state: &'a ControlState,
+    /// The settings.
+    pub(crate) settings: &'a SchedulerSettings,
     /// The moment.
-    pub now: Millis,
-    /// The servers that may be given work.
-    pub rows: Vec<Row>,
-    /// The room that is left for urgent work that may come.
-    pub headroom: Headroom,
+    pub(crate) now: Millis,
+    /// How long work takes.
+    pub(crate) estimator: Estimator<'a>,
+    /// The servers that may be given work; they are numbered by their order here.
+    pub(crate) candidates: Vec<Candidate>,
+    /// The capacity that is kept free for urgent work.
+    pub(crate) headroom: Headroom,
     /// The weights of the streams.
-    pub weights: StreamWeights,
-    /// What was learned of durations.
-    pub durations: &'a Durations,
+    pub(crate) weights: StreamWeights,
     /// All runs.
-    pub runs: &'a mut RunLedger,
-    /// The queues.
-    pub dispatcher: &'a mut Dispatcher<ServerId, QueueName, TaskId>,
-    /// What is in the queues.
-    pub queued: &'a mut BTreeMap<TaskId, QueuedTask>,
-    /// What speaks against servers.
-    pub evidence: &'a mut Evidence,
-    /// The starts that were decided; gangs side by side.
-    pub starts: Vec<Vec<StartRecord>>,
-    /// How many reservations were made.
-    pub reservations: usize,
+    pub(crate) runs: &'a mut RunTable,
+    /// All queues.
+    pub(crate) queues: &'a mut TaskQueues,
+    /// The faults of servers and tasks.
+    pub(crate) faults: &'a mut FaultHistory,
+    /// The starts that were decided; those of a gang form one group.
+    pub(crate) starts: Vec<Vec<StartRecord>>,
+    /// For how many demands capacity was reserved.
+    pub(crate) reservations: usize,
 }
 
-impl Scheduler {
-    /// Places what has its turn, has room made for what is most urgent, and proposes the starts.
-    pub(crate) fn place(&mut self, state: &ControlState, now: Millis, wall: WallMillis) {
-        self.urgent_use.observe(&self.runs, now);
-        let mut rows = self.rows(now);
-        self.tidy_queues(&mut rows, now);
-        let jobs = std::mem::take(&mut self.jobs);
-        let demands = self.demands(state, &jobs, wall);
-        let mut placer = self.placer(state, rows, &demands, now);
-        placer.place_all(&demands);
-        placer.release_all();
-        let (starts, rows) = (placer.starts, placer.rows);
-        self.submissions.add_starts(starts);
-        self.make_room(&demands, rows, now);
-        drop(demands);
-        self.jobs = jobs;
-    }
-
-    /// Stops runs that are better continued elsewhere or later.
-    fn make_room(&mut self, demands: &[Demand<'_>], rows: Vec<Row>, now: Millis) {
-        self.note_overdue(now);
-        self.stop_stalled(now);
-        self.evacuate(&mut Spare::beside_queues(&rows), now);
-        self.preempt(demands, Spare::before_queues(rows), now);
-    }
-
-    /// The steps whose turn has come, most urgent first.
-    fn demands<'a>(
-        &self,
-        state: &'a ControlState,
-        jobs: &'a crate::jobs::plan::JobBoard,
-        wall: WallMillis,
-    ) -> Vec<Demand<'a>> {
-        let mut demands = Vec::new();
-        for (id, plan) in jobs.plans() {
-            let Some(job) = state.job(*id) else {
-                continue;
-            };
-            for ready in plan.ready() {
-                let Some(step) = job.spec.steps.get(ready.step as usize) else {
-                    continue;
-                };
-                let rank = plan.rank(job, ready, wall);
-                let expected_ms = self.durations.expected_ms(&job.queue, step.estimate_ms);
-                demands.push(Demand {
-                    id: *id,
-                    job,
-                    step,
-                    ready,
-                    rank,
-                    expected_ms,
-                });
-            }
-        }
-        demands.sort_by_key(|demand| {
-            (
-                demand.rank,
-                demand.id,
-                demand.ready.occurrence,
-                demand.ready.step,
-            )
-        });
-        demands
-    }
-
-    fn placer<'a>(
-        &'a mut self,
-        state: &'a ControlState,
-        rows: Vec<Row>,
-        demands: &[Demand<'_>],
-        now: Millis,
-    ) -> Placer<'a> {
-        let queues: BTreeSet<(&QueueName, u32)> = demands
-            .iter()
-            .map(|demand| (&demand.job.queue, demand.job.priority))
-            .collect();
-        Placer {
-            state,
-            settings: &self.settings,
-            now,
-            headroom: self.urgent_use.headroom(&rows),
-            rows,
-            weights: StreamWeights::new(queues.into_iter().map(|(_, priority)| priority)),
-            durations: &self.durations,
-            runs: &mut self.runs,
-            dispatcher: &mut self.dispatcher,
-            queued: &mut self.queued,
-            evidence: &mut self.evidence,
-            starts: Vec::new(),
-            reservations: 0,
-        }
-    }
-}
-
-impl<'a> Placer<'a> {
-    fn place_all(&mut self, demands: &[Demand<'_>]) {
-        let mut without_room = BTreeSet::new();
-        for demand in demands {
-            if demand.step.gang {
-                self.place_gang(demand);
-                continue;
-            }
-            let signature = signature(demand);
-            if without_room.contains(&signature) {
-                continue;
-            }
-            let placed_all = self.place_tasks(demand);
-            if !placed_all && demand.step.anti_affinity == 0 {
-                without_room.insert(signature);
-            }
-        }
-    }
-
-    /// When so many tasks would be done on these servers if they started together as soon as they can; none where that
-    /// cannot be foreseen, or where they could start now but for room that is kept for others.
-    pub(crate) fn finish_on(
+impl Planner<'_> {
+    /// When `count` tasks would be done on these candidates if they started together as soon as they
+    /// can. None where that cannot be foreseen, or where they fit now but the capacity is kept for
+    /// other work.
+    pub(crate) fn forecast(
         &self,
         demand: &Demand<'_>,
-        set: &Candidates,
+        set: &CandidateSet,
         count: u64,
-    ) -> Option<Finish> {
-        let wanted = Wanted {
+    ) -> Option<Forecast> {
+        let group = TaskGroup {
             needs: demand.step.needs,
             count,
             priority: demand.job.priority,
         };
-        let most_on = |place: usize| self.most_on(demand, place);
-        let (starts_at, shares) = earliest(&self.rows, &set.rows, &wanted, most_on, self.now)?;
-        let done_at = starts_at.plus(self.work_ms(demand, set.factor));
-        let admitted = starts_at > self.now || self.admits_all(demand, &shares, done_at);
-        admitted.then_some(Finish {
-            starts_at,
+        let max_on = |candidate: usize| self.max_on(demand, candidate);
+        let EarliestFit { at, allotments } =
+            earliest_fit(&self.candidates, &set.members, &group, max_on, self.now)?;
+        let done_at = at.plus(demand.work_ms(set.factor));
+        let is_admitted = at > self.now || self.admits_all(demand, &allotments, done_at);
+        is_admitted.then_some(Forecast {
+            starts_at: at,
             done_at,
-            shares,
+            allotments,
             factor: set.factor,
         })
     }
 
-    fn admits_all(&self, demand: &Demand<'_>, shares: &[Share], ends_at: Millis) -> bool {
-        let (priority, needs) = (demand.job.priority, &demand.step.needs);
-        let count = shares.iter().map(|share| share.count).sum();
-        let admits = |share: &Share| {
-            self.rows[share.row].admits(priority, &times(needs, share.count), ends_at)
-        };
-        self.headroom.allows(priority, needs, count) && shares.iter().all(admits)
-    }
-
-    /// How long a task of the step is expected to hold its room where it takes so many times as long.
-    pub(crate) fn work_ms(&self, demand: &Demand<'_>, factor: f64) -> u64 {
-        if demand.step.long_running {
-            NEVER_MS
-        } else {
-            (demand.expected_ms as f64 * factor) as u64
-        }
-    }
-
-    /// The rows whose servers may run tasks of this step: by capacity, labels and suspicion.
-    pub(crate) fn allowed(&self, demand: &Demand<'_>) -> Vec<usize> {
+    /// The candidates that may run tasks of this step: by capacity, labels and suspicion. Suspected
+    /// ones are among them only where there are no others.
+    pub(crate) fn eligible(&self, demand: &Demand<'_>) -> Vec<usize> {
         let step = demand.step;
-        let able = |place: &usize| {
-            let row = &self.rows[*place];
-            row.has_label(&step.requires) && fits(&step.needs, &row.facts.capacity)
-        };
-        let able: Vec<usize> = (0..self.rows.len()).filter(able).collect();
-        let sound: Vec<usize> = able
+        let able: Vec<usize> = (0..)
+            .zip(&self.candidates)
+            .filter(|(_, candidate)| {
+                candidate.has_label(&step.requires) && candidate.could_fit(&step.needs)
+            })
+            .map(|(number, _)| number)
+            .collect();
+        let trusted: Vec<usize> = able
             .iter()
             .copied()
-            .filter(|place| !self.rows[*place].suspected)
+            .filter(|number| !self.candidates[*number].suspected)
             .collect();
-        if sound.is_empty() {
+        if trusted.is_empty() {
             able
         } else {
-            sound
+            trusted
         }
     }
 
-    /// How many more tasks of a step the server of a row may hold at the same time.
-    pub(crate) fn most_on(&self, demand: &Demand<'_>, place: usize) -> u64 {
+    /// How many more tasks of a step a candidate may hold at the same time.
+    pub(crate) fn max_on(&self, demand: &Demand<'_>, candidate: usize) -> u64 {
         if demand.step.anti_affinity == 0 {
             return u64::from(demand.step.count.max(1));
         }
-        let server = &self.rows[place].server;
-        let (occurrence, step) = (demand.ready.occurrence, demand.ready.step);
-        let running = self.runs.of_step(demand.id, occurrence, step);
-        let running = running
+        let server = &self.candidates[candidate].server;
+        let any_task = demand.task(0);
+        let running = self
+            .runs
+            .of_step(any_task)
             .filter(|run| !run.ended && run.server == *server)
             .count();
-        let (first, last) = (demand.task(0), demand.task(u32::MAX));
-        let queued = self
-            .queued
-            .range(first..=last)
-            .filter(|(_, task)| task.server == *server)
-            .count();
-        let held = (running + queued) as u64;
-        u64::from(demand.step.anti_affinity).saturating_sub(held)
+        let queued = self.queues.count_of_step(any_task, server);
+        u64::from(demand.step.anti_affinity).saturating_sub((running + queued) as u64)
     }
 
-    /// Keeps room until work can start that waits for it.
-    pub(crate) fn reserve(&mut self, demand: &Demand<'_>, until: Millis, shares: &[Share]) {
-        if self.reservations >= self.settings.max_reservations || until <= self.now {
+    /// Reserves capacity for work until it is expected to start.
+    pub(crate) fn reserve(&mut self, demand: &Demand<'_>, forecast: &Forecast) {
+        let is_full = self.reservations >= self.settings.max_reservations;
+        if is_full || forecast.starts_at <= self.now {
             return;
         }
         self.reservations += 1;
-        for share in shares {
-            let needs = times(&demand.step.needs, share.count);
-            self.rows[share.row].reserve(Reservation {
-                until,
+        for allotment in &forecast.allotments {
+            self.candidates[allotment.candidate].reserve(Reservation {
+                until: forecast.starts_at,
                 priority: demand.job.priority,
-                needs,
+                needs: times(&demand.step.needs, allotment.count),
             });
         }
     }
 
-    /// Takes room on a row.
-    pub(crate) fn take(&mut self, place: usize, needs: &Resources) {
-        let row = &mut self.rows[place];
-        row.free = difference(&row.free, needs);
+    /// Takes capacity of a candidate.
+    pub(crate) fn take(&mut self, candidate: usize, needs: &Resources) {
+        let candidate = &mut self.candidates[candidate];
+        candidate.free = difference(&candidate.free, needs);
         self.headroom.take(needs);
     }
-}
 
-fn signature<'a>(demand: &Demand<'a>) -> Signature<'a> {
-    let needs = demand.step.needs;
-    Signature {
-        cpu: needs.cpu,
-        memory_mb: needs.memory_mb,
-        gpu: needs.gpu,
-        requires: &demand.step.requires,
-        affinity: &demand.step.affinity,
-        priority: demand.job.priority,
+    /// How a run on a candidate is charged to its stream.
+    pub(crate) fn charge(&self, candidate: usize, profile: &RunProfile) -> Charge {
+        Charge {
+            weight: self.weights.weight(profile.priority),
+            cost: task_cost(&profile.needs, &self.candidates[candidate].facts.capacity),
+        }
+    }
+
+    /// A start was decided whose capacity was taken.
+    pub(crate) fn record_start(
+        &mut self,
+        candidate: usize,
+        start: &StartRecord,
+        profile: RunProfile,
+    ) {
+        let candidate = &mut self.candidates[candidate];
+        candidate.running += 1;
+        if candidate.suspected {
+            self.faults.record_probation(&candidate.server, self.now);
+        }
+        self.runs.insert(Run::proposed(start, profile, self.now));
+    }
+
+    /// Whether these tasks may start now beside what is kept for other work.
+    fn admits_all(&self, demand: &Demand<'_>, allotments: &[Allotment], ends_at: Millis) -> bool {
+        let (priority, needs) = (demand.job.priority, &demand.step.needs);
+        let count = allotments.iter().map(|allotment| allotment.count).sum();
+        let admits = |allotment: &Allotment| {
+            let needs = times(needs, allotment.count);
+            self.candidates[allotment.candidate].admits(priority, &needs, ends_at)
+        };
+        self.headroom.allows(priority, needs, count) && allotments.iter().all(admits)
     }
 }
--- /dev/null
+++ b/crates/scheduler/src/placement/release.rs
@@ -0,0 +1,80 @@
+//! Release of queued tasks, in the order of their start tags.
+
+use crate::placement::candidate::{Candidate, QueuedNeeds};
+use crate::placement::headroom::Headroom;
+use crate::placement::planner::Planner;
+use crate::queues::task_queues::QueuedTask;
+use crate::recorded::task_record;
+use crate::resources::{difference, fits};
+use crate::runs::profile::RunProfile;
+use lupinrack_cluster_api::identity::TaskId;
+use lupinrack_cluster_api::operation::StartRecord;
+use lupinrack_cluster_api::time::Millis;
+
+/// Releases what fits on each candidate now, and decides on the starts.
+pub(crate) fn release_all(planner: &mut Planner<'_>) {
+    for candidate in 0..planner.candidates.len() {
+        if !planner.candidates[candidate].queued.is_empty() {
+            release_on(planner, candidate);
+        }
+    }
+}
+
+fn release_on(planner: &mut Planner<'_>, number: usize) {
+    let Planner {
+        candidates,
+        headroom,
+        queues,
+        now,
+        ..
+    } = planner;
+    let candidate = &mut candidates[number];
+    let (server, running) = (candidate.server.clone(), candidate.running);
+    let released = queues.release(&server, running, *now, |queued| {
+        take_if_free(candidate, headroom, queued, *now)
+    });
+    for (task, queued) in released {
+        start(planner, number, task, queued.profile);
+    }
+}
+
+/// Takes capacity for a queued task if it fits beside more urgent queued tasks and what is reserved.
+/// Returns whether it does.
+fn take_if_free(
+    candidate: &mut Candidate,
+    headroom: &mut Headroom,
+    queued: &QueuedTask,
+    now: Millis,
+) -> bool {
+    let QueuedNeeds { priority, needs } = QueuedNeeds::from(queued);
+    let ends_at = now.plus(queued.expected_ms);
+    let is_free = fits(&needs, &candidate.free_beside_more_urgent(priority))
+        && headroom.allows(priority, &needs, 1)
+        && candidate.admits(priority, &needs, ends_at);
+    if !is_free {
+        return false;
+    }
+    candidate.free = difference(&candidate.free, &needs);
+    headroom.take(&needs);
+    let own = QueuedNeeds { priority, needs };
+    if let Some(position) = candidate.queued.iter().position(|queued| *queued == own) {
+        candidate.queued.swap_remove(position);
+    }
+    true
+}
+
+/// Decides on the start of a single task whose capacity was taken.
+fn start(planner: &mut Planner<'_>, candidate: usize, task: TaskId, profile: RunProfile) {
+    let record = planner
+        .state
+        .job(task.job)
+        .and_then(|job| task_record(job, task));
+    let start = StartRecord {
+        task,
+        attempt: record.map_or(0, |record| record.attempt) + 1,
+        server: planner.candidates[candidate].server.clone(),
+        checkpoint: record.map_or_else(String::new, |record| record.checkpoint.clone()),
+    };
+    planner.record_start(candidate, &start, profile);
+    planner.starts.push(vec![start]);
+}
--- a/crates/scheduler/src/placement/single.rs
+++ b/crates/scheduler/src/placement/single.rs
@@ -1,224 +1,266 @@
 //! Single tasks: on which server each is placed, or that it is to wait.
 
-use crate::placement::candidate::{earliest, Row, Wanted};
-use crate::placement::planner::{Candidates, Demand, Placer};
-use crate::queues::task_queues::task_record;
+use crate::placement::candidate::Candidate;
+use crate::placement::demand::Demand;
+use crate::placement::earliest_fit::{earliest_fit, TaskGroup};
+use crate::placement::planner::{CandidateSet, Planner};
+use crate::queues::task_queues::QueuedTask;
+use crate::recorded::task_record;
 use crate::resources::{dominant_share, fits};
 use lupinrack_cluster_api::identity::TaskId;
 use lupinrack_cluster_api::time::Millis;
+use std::cmp::Ordering;
 
-/// Single tasks that need more than this part of a server have room reserved where they do not fit.
+/// Single tasks that need more than this part of a server have capacity reserved where they do not
+/// fit.
 const LARGE_SHARE: f64 = 0.25;
-/// Tasks wait in a server's queue for at most so long; where that is not to be expected they wait unplaced.
-const QUEUE_WAIT_MOST_MS: u64 = 2_000;
-/// A server on which a task has failed or stood still counts as so many times as slow for it.
+/// A task joins the queue of a server only where it is expected to start within this time, in
+/// milliseconds; otherwise it waits unplaced.
+const MAX_QUEUE_WAIT_MS: u64 = 2_000;
+/// By which factor a server counts as slower for a task that has failed or stalled there.
 const FAULT_FACTOR: f64 = 4.0;
-/// Factors that differ by less than one part in this many count as equal.
-const FACTOR_PARTS: f64 = 4.0;
+/// Factors are rounded to multiples of one part in this many, and compared by that.
+const GRADES_PER_UNIT: f64 = 4.0;
 
-/// A row that may take a task, and how many times as long the task is expected to take there.
+/// A candidate that may take a task.
 #[derive(Clone, Copy, Debug)]
 struct Choice {
-    place: usize,
+    /// Its number in the round.
+    candidate: usize,
+    /// How many times as long as near its data and on a sound server the task takes there.
     factor: f64,
 }
 
 impl Choice {
-    /// Rows of the same grade are as good as one another.
+    /// Candidates of the same grade are as good as one another.
     fn grade(&self) -> u64 {
-        (self.factor * FACTOR_PARTS).round() as u64
+        (self.factor * GRADES_PER_UNIT).round() as u64
     }
 }
 
-impl Placer<'_> {
-    /// Places the waiting tasks of a step; tells whether none was left for want of room.
-    pub(crate) fn place_tasks(&mut self, demand: &Demand<'_>) -> bool {
-        for index in &demand.ready.indices {
-            let task = demand.task(*index);
-            if self.runs.contains(task) || self.queued.contains_key(&task) {
+/// The placement of the single tasks of one step.
+pub(crate) struct SinglePlacement<'p, 'a> {
+    planner: &'p mut Planner<'a>,
+    demand: &'p Demand<'p>,
+}
+
+impl<'p, 'a> SinglePlacement<'p, 'a> {
+    /// The placement of this demand.
+    pub(crate) fn new(planner: &'p mut Planner<'a>, demand: &'p Demand<'p>) -> Self {
+        SinglePlacement { planner, demand }
+    }
+
+    /// Places the waiting tasks. Returns whether none is left for lack of capacity.
+    pub(crate) fn run(&mut self) -> bool {
+        for task in self.demand.tasks() {
+            if self.planner.runs.contains(task) || self.planner.queues.contains(task) {
                 continue;
             }
-            let Some(place) = self.choose(demand, task) else {
-                self.reserve_for_large(demand);
+            let Some(candidate) = self.choose(task) else {
+                self.reserve_if_large();
                 return false;
             };
-            let traits = demand.traits(self.distance(demand, &self.rows[place]));
-            self.enqueue(place, task, traits, &demand.step.affinity);
+            self.enqueue(candidate, task);
         }
         true
     }
 
-    /// The row of the server that a task is placed on; none where it is to wait.
-    fn choose(&self, demand: &Demand<'_>, task: TaskId) -> Option<usize> {
-        if let Some(trial) = self.choose_trial(demand, task) {
-            return Some(trial);
+    /// Puts a task into the queue of a candidate.
+    fn enqueue(&mut self, number: usize, task: TaskId) {
+        let planner = &mut *self.planner;
+        let distance = distance_factor(planner, self.demand, &planner.candidates[number]);
+        let profile = self.demand.profile(distance);
+        let charge = planner.charge(number, &profile);
+        let queued = QueuedTask {
+            server: planner.candidates[number].server.clone(),
+            expected_ms: planner.estimator.total_ms(&profile),
+            affinity: self.demand.step.affinity.clone(),
+            since: planner.now,
+            profile,
+        };
+        planner.candidates[number].queued.push((&queued).into());
+        planner.queues.enqueue(task, queued, charge);
+    }
+
+    /// The candidate that a task is placed on; none where the task is to wait.
+    fn choose(&self, task: TaskId) -> Option<usize> {
+        if let Some(suspected) = self.choose_for_probation(task) {
+            return Some(suspected);
         }
-        let choices = self.choices(demand, task);
+        let choices = self.choices(task);
         let best_grade = choices.iter().map(Choice::grade).min()?;
-        let best: Vec<usize> = places_of_grade(&choices, best_grade);
-        match self.room_now(demand, &choices) {
-            Some(now) if now.grade() == best_grade => Some(now.place),
-            Some(now) if !self.is_worth_waiting(demand, &best, best_grade, now.factor) => {
-                Some(now.place)
-            }
-            _ => self.shortest_queue(demand, &best),
+        let best: Vec<usize> = choices
+            .iter()
+            .filter(|choice| choice.grade() == best_grade)
+            .map(|choice| choice.candidate)
+            .collect();
+        match self.best_with_capacity(&choices) {
+            Some(now) if now.grade() == best_grade => Some(now.candidate),
+            Some(now) if !self.should_wait(&best, best_grade, now.factor) => Some(now.candidate),
+            _ => self.shortest_queue(&best),
         }
     }
 
-    /// The rows whose servers may take a task.
-    fn choices(&self, demand: &Demand<'_>, task: TaskId) -> Vec<Choice> {
-        let allowed = self
-            .allowed(demand)
+    /// The candidates that may take a task.
+    fn choices(&self, task: TaskId) -> Vec<Choice> {
+        self.planner
+            .eligible(self.demand)
             .into_iter()
-            .filter(|place| self.most_on(demand, *place) > 0);
-        allowed
-            .map(|place| Choice {
-                place,
-                factor: self.factor(demand, task, place),
+            .filter(|candidate| self.planner.max_on(self.demand, *candidate) > 0)
+            .map(|candidate| Choice {
+                candidate,
+                factor: self.factor(task, candidate),
             })
             .collect()
     }
 
-    /// How many times as long a task is expected to take on a row.
-    fn factor(&self, demand: &Demand<'_>, task: TaskId, place: usize) -> f64 {
-        let row = &self.rows[place];
-        let fault = if self.evidence.has_faulted(task, &row.server) {
+    /// How many times as long as near its data and on a sound server a task takes on a candidate.
+    fn factor(&self, task: TaskId, number: usize) -> f64 {
+        let candidate = &self.planner.candidates[number];
+        let fault_factor = if self.planner.faults.has_faulted(task, &candidate.server) {
             FAULT_FACTOR
         } else {
             1.0
         };
-        self.distance(demand, row) * row.slowness * fault
+        distance_factor(self.planner, self.demand, candidate) * candidate.slowdown * fault_factor
     }
 
-    /// How many times as long work takes on a row because of its data.
-    pub(crate) fn distance(&self, demand: &Demand<'_>, row: &Row) -> f64 {
-        if row.has_label(&demand.step.affinity) {
-            1.0
+    /// The best candidate that has capacity now.
+    ///
+    /// Among those of one grade it is the one that is left with least and most evenly. Work that
+    /// does not end by itself is spread instead, to where most is left: where it gathers, one
+    /// resource of a server is used up for good and the others are idle.
+    fn best_with_capacity(&self, choices: &[Choice]) -> Option<Choice> {
+        let spread = if self.demand.step.long_running {
+            -1.0
         } else {
-            self.settings.remote_factor
-        }
-    }
-
-    /// The best row that has room now; among those of one grade, the one that is left with least and most evenly. Work
-    /// that does not end by itself is spread instead, to where most is left: where it gathers, one resource of a server is
-    /// used up for good and the others lie idle.
-    fn room_now(&self, demand: &Demand<'_>, choices: &[Choice]) -> Option<Choice> {
-        let needs = &demand.step.needs;
-        let has_room = |choice: &&Choice| {
-            let row = &self.rows[choice.place];
-            let work_ms = self.work_ms(demand, choice.factor);
-            fits(needs, &row.free_for(demand.job.priority))
-                && row.admits(demand.job.priority, needs, self.now.plus(work_ms))
-                && self.headroom.allows(demand.job.priority, needs, 1)
+            1.0
         };
-        let spread = if demand.step.long_running { -1.0 } else { 1.0 };
         let cost = |choice: &Choice| {
-            let left = self.rows[choice.place].left_after(needs);
-            spread * left.total + left.unevenness
+            let candidate = &self.planner.candidates[choice.candidate];
+            let leftover = candidate.leftover(&self.demand.step.needs);
+            spread * leftover.total + leftover.imbalance
         };
-        let order = |a: &&Choice, b: &&Choice| {
+        let order = |a: &&Choice, b: &&Choice| -> Ordering {
             a.grade()
                 .cmp(&b.grade())
                 .then_with(|| cost(a).total_cmp(&cost(b)))
         };
-        choices.iter().filter(has_room).min_by(order).copied()
+        choices
+            .iter()
+            .filter(|choice| self.has_capacity(choice))
+            .min_by(order)
+            .copied()
+    }
+
+    fn has_capacity(&self, choice: &Choice) -> bool {
+        let planner = &*self.planner;
+        let candidate = &planner.candidates[choice.candidate];
+        let (needs, priority) = (&self.demand.step.needs, self.demand.job.priority);
+        let ends_at = planner.now.plus(self.demand.work_ms(choice.factor));
+        fits(needs, &candidate.free_for(priority))
+            && candidate.admits(priority, needs, ends_at)
+            && planner.headroom.allows(priority, needs, 1)
     }
 
-    /// Whether a task had better wait for the best rows than start now on a row of this factor. Slower work also holds
-    /// its room for longer, at the cost of others; so the time that it would take more counts twice.
-    fn is_worth_waiting(
-        &self,
-        demand: &Demand<'_>,
-        best: &[usize],
-        grade: u64,
-        factor_now: f64,
-    ) -> bool {
-        let set = Candidates {
-            rows: best.to_vec(),
-            factor: grade as f64 / FACTOR_PARTS,
+    /// Whether a task had better wait for the best candidates than start now where it takes
+    /// `factor_now` times as long. Slower work also takes its capacity for longer, at the cost of
+    /// other work; so the additional time counts twice.
+    fn should_wait(&self, best: &[usize], best_grade: u64, factor_now: f64) -> bool {
+        let planner = &*self.planner;
+        let set = CandidateSet {
+            members: best.to_vec(),
+            factor: best_grade as f64 / GRADES_PER_UNIT,
         };
-        let (work_now_ms, work_best_ms) = (
-            self.work_ms(demand, factor_now),
-            self.work_ms(demand, set.factor),
-        );
-        let more_ms = work_now_ms.saturating_sub(work_best_ms);
-        let done_now = self.now.plus(work_now_ms.saturating_add(more_ms));
-        self.finish_on(demand, &set, 1)
-            .is_some_and(|finish| finish.done_at < done_now)
+        let now_ms = self.demand.work_ms(factor_now);
+        let best_ms = self.demand.work_ms(set.factor);
+        let additional_ms = now_ms.saturating_sub(best_ms);
+        let done_now = planner.now.plus(now_ms.saturating_add(additional_ms));
+        planner
+            .forecast(self.demand, &set, 1)
+            .is_some_and(|forecast| forecast.done_at < done_now)
+    }
+
+    /// Among these candidates, the one whose queue the task should join; none where it would wait too
+    /// long.
+    fn shortest_queue(&self, candidates: &[usize]) -> Option<usize> {
+        candidates
+            .iter()
+            .filter_map(|candidate| Some((self.queue_end(*candidate)?, *candidate)))
+            .min()
+            .map(|(_, candidate)| candidate)
     }
 
-    /// Among these, the row whose queue the task should join; none where it would wait too long.
-    fn shortest_queue(&self, demand: &Demand<'_>, places: &[usize]) -> Option<usize> {
-        let needs = demand.step.needs;
-        let wanted = Wanted {
+    /// When a task that joins the queue of a candidate is expected to start; none where the queue is
+    /// too long.
+    fn queue_end(&self, number: usize) -> Option<Millis> {
+        let planner = &*self.planner;
+        let candidate = &planner.candidates[number];
+        let needs = self.demand.step.needs;
+        let is_short = candidate.queued_share(&needs) <= planner.settings.max_queued_share
+            && candidate.reservation.is_none();
+        if !is_short {
+            return None;
+        }
+        let group = TaskGroup {
             needs,
             count: 1,
-            priority: demand.job.priority,
-        };
-        let waits = |place: &usize| -> Option<(Millis, usize)> {
-            let row = &self.rows[*place];
-            let short = row.queue_share(&needs) <= self.settings.max_queued_share
-                && row.reservation.is_none();
-            if !short {
-                return None;
-            }
-            let (at, _) = earliest(&self.rows, &[*place], &wanted, |_| 1, self.now)?;
-            (at.since(self.now) <= QUEUE_WAIT_MOST_MS).then_some((at, *place))
+            priority: self.demand.job.priority,
         };
-        places
-            .iter()
-            .filter_map(waits)
-            .min()
-            .map(|(_, place)| place)
+        let fit = earliest_fit(&planner.candidates, &[number], &group, |_| 1, planner.now)?;
+        (fit.at.since(planner.now) <= MAX_QUEUE_WAIT_MS).then_some(fit.at)
     }
 
-    /// A suspected server that is to be tried with this task.
-    fn choose_trial(&self, demand: &Demand<'_>, task: TaskId) -> Option<usize> {
-        let record = task_record(demand.job, task);
-        let harmless = record.map_or(0, |record| record.failed) == 0 && demand.job.max_retries > 1;
-        if !harmless || demand.step.long_running {
+    /// A suspected server on probation that is to be given this task.
+    fn choose_for_probation(&self, task: TaskId) -> Option<usize> {
+        let (planner, demand) = (&*self.planner, self.demand);
+        let failed = task_record(demand.job, task).map_or(0, |record| record.failed);
+        let may_fail = failed == 0 && demand.job.max_retries > 1;
+        if !may_fail || demand.step.long_running {
             return None;
         }
-        let trial = |place: &usize| {
-            let row = &self.rows[*place];
-            row.suspected
-                && row.running == 0
-                && row.queued.is_empty()
-                && row.has_label(&demand.step.requires)
-                && self.most_on(demand, *place) > 0
-                && fits(&demand.step.needs, &row.free)
-                && self.evidence.is_trial_due(
-                    &row.server,
-                    self.now,
-                    self.settings.probation_interval_ms,
+        (0..planner.candidates.len()).find(|number| {
+            let candidate = &planner.candidates[*number];
+            candidate.suspected
+                && candidate.running == 0
+                && candidate.queued.is_empty()
+                && candidate.has_label(&demand.step.requires)
+                && planner.max_on(demand, *number) > 0
+                && fits(&demand.step.needs, &candidate.free)
+                && planner.faults.is_probation_due(
+                    &candidate.server,
+                    planner.now,
+                    planner.settings.probation_interval_ms,
                 )
-        };
-        (0..self.rows.len()).find(trial)
+        })
     }
 
-    /// Keeps room for a single task that needs much of a server and found none.
-    fn reserve_for_large(&mut self, demand: &Demand<'_>) {
-        let allowed = self.allowed(demand);
-        let large = |place: &usize| {
-            let capacity = &self.rows[*place].facts.capacity;
-            dominant_share(&demand.step.needs, capacity) > LARGE_SHARE
+    /// Reserves capacity for a task that needs much of a server and found none.
+    fn reserve_if_large(&mut self) {
+        let needs = &self.demand.step.needs;
+        let eligible = self.planner.eligible(self.demand);
+        let is_large = eligible.iter().any(|number| {
+            let capacity = &self.planner.candidates[*number].facts.capacity;
+            dominant_share(needs, capacity) > LARGE_SHARE
+        });
+        if !is_large {
+            return;
+        }
+        let set = CandidateSet {
+            members: eligible,
+            factor: 1.0,
         };
-        if allowed.iter().any(large) {
-            let set = Candidates {
-                rows: allowed,
-                factor: 1.0,
-            };
-            if let Some(finish) = self.finish_on(demand, &set, 1) {
-                self.reserve(demand, finish.starts_at, &finish.shares);
-            }
+        if let Some(forecast) = self.planner.forecast(self.demand, &set, 1) {
+            self.planner.reserve(self.demand, &forecast);
         }
     }
 }
 
-fn places_of_grade(choices: &[Choice], grade: u64) -> Vec<usize> {
-    choices
-        .iter()
-        .filter(|choice| choice.grade() == grade)
-        .map(|choice| choice.place)
-        .collect()
+/// How many times as long as near its data work takes on a candidate.
+fn distance_factor(planner: &Planner<'_>, demand: &Demand<'_>, candidate: &Candidate) -> f64 {
+    if candidate.has_label(&demand.step.affinity) {
+        1.0
+    } else {
+        planner.settings.remote_factor
+    }
 }
--- a/crates/scheduler/src/resources.rs
+++ b/crates/scheduler/src/resources.rs
@@ -3,12 +3,12 @@
 use lupinrack_cluster_api::job::Resources;
 
 /// Whether `needs` fits into `free`.
-pub fn fits(needs: &Resources, free: &Resources) -> bool {
+pub(crate) fn fits(needs: &Resources, free: &Resources) -> bool {
     needs.cpu <= free.cpu && needs.memory_mb <= free.memory_mb && needs.gpu <= free.gpu
 }
 
 /// The sum of two amounts.
-pub fn sum(a: &Resources, b: &Resources) -> Resources {
+pub(crate) fn sum(a: &Resources, b: &Resources) -> Resources {
     Resources {
         cpu: a.cpu.saturating_add(b.cpu),
         memory_mb: a.memory_mb.saturating_add(b.memory_mb),
@@ -17,7 +17,7 @@
 }
 
 /// What is left of `a` without `b`; never below zero.
-pub fn difference(a: &Resources, b: &Resources) -> Resources {
+pub(crate) fn difference(a: &Resources, b: &Resources) -> Resources {
     Resources {
         cpu: a.cpu.saturating_sub(b.cpu),
         memory_mb: a.memory_mb.saturating_sub(b.memory_mb),
@@ -25,8 +25,8 @@
     }
 }
 
-/// So many times an amount.
-pub fn times(needs: &Resources, count: u64) -> Resources {
+/// `count` times an amount.
+pub(crate) fn times(needs: &Resources, count: u64) -> Resources {
     Resources {
         cpu: needs.cpu.saturating_mul(count),
         memory_mb: needs.memory_mb.saturating_mul(count),
@@ -34,17 +34,19 @@
     }
 }
 
-/// How many tasks with these needs fit into `free` side by side, at most `most`.
-pub fn copies(needs: &Resources, free: &Resources, most: u64) -> u64 {
-    let along = |need: u64, have: u64| have.checked_div(need).unwrap_or(most);
+/// How many tasks with these needs fit into `free` side by side, at most `max_count`.
+pub(crate) fn copies(needs: &Resources, free: &Resources, max_count: u64) -> u64 {
+    let along = |need: u64, have: u64| have.checked_div(need).unwrap_or(max_count);
     let cpu = along(needs.cpu, free.cpu);
     let memory = along(needs.memory_mb, free.memory_mb);
     let gpu = along(needs.gpu, free.gpu);
-    cpu.min(memory).min(gpu).min(most)
+    cpu.min(memory).min(gpu).min(max_count)
 }
 
-/// The largest part of `capacity` that is needed of any resource; more than 1 where it does not fit.
-pub fn dominant_share(needs: &Resources, capacity: &Resources) -> f64 {
+/// The dominant share (Ghodsi and others, *Dominant Resource Fairness*, NSDI 2011): the largest part
+/// of `capacity` that is needed of any resource. Infinite where a resource is needed that is not
+/// there at all.
+pub(crate) fn dominant_share(needs: &Resources, capacity: &Resources) -> f64 {
     let part = |need: u64, have: u64| match (need, have) {
         (0, _) => 0.0,
         (_, 0) => f64::INFINITY,
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,106 +1,104 @@
-//! The scheduler of one service: its state, and what happens in a round.
+//! The scheduler of one service: its state, its inputs, and the course of a round.
 
-use crate::history::durations::Durations;
-use crate::history::faults::Evidence;
-use crate::inferred_end::{InferredEnd, InferredEndReason};
-use crate::jobs::plan::{JobBoard, JobView};
-use crate::placement::headroom::UrgentUse;
-use crate::queues::task_queues::QueuedTask;
-use crate::runs::table::{Run, RunLedger, RunPhase, RunTraits, StopReason};
-use crate::servers::table::{Attachment, ReportTimes, ServerTable};
+use crate::adoption::adopt;
+use crate::estimator::Estimator;
+use crate::eviction::Eviction;
+use crate::heartbeats::HeartbeatReader;
+use crate::history::History;
+use crate::incarnations::Incarnations;
+use crate::inferred_end::InferredEndReason;
+use crate::jobs::board::{BoardUpdate, JobBoard};
+use crate::orders::OrderWriter;
+use crate::overview::Overview;
+use crate::placement::candidates::candidates;
+use crate::placement::demand::{demands, stream_weights};
+use crate::placement::headroom::UrgentUsage;
+use crate::placement::pass;
+use crate::placement::planner::Planner;
+use crate::placement::requeue::withdraw_misplaced;
+use crate::queues::task_queues::TaskQueues;
+use crate::round::Round;
+use crate::run_id::RunId;
+use crate::run_tracker::RunTracker;
+use crate::runs::run::StopReason;
+use crate::servers::server::HeartbeatOrigin;
+use crate::servers::session::ReportTimes;
+use crate::servers::table::{Attachment, ServerTable};
 use crate::settings::SchedulerSettings;
 use crate::submissions::Submissions;
-use lupinrack_cluster_api::agent::{AgentMessage, Heartbeat, OwnerMessage};
+use crate::summarize::summarize;
+use crate::summary::ServiceSummary;
+use lupinrack_cluster_api::agent::{AgentMessage, Heartbeat};
 use lupinrack_cluster_api::identity::{
-    FencingToken, JobId, PeerAddress, QueueName, ServerId, ServiceName, TaskId,
+    FencingToken, JobId, PeerAddress, ServerId, ServiceName, TaskId,
 };
-use lupinrack_cluster_api::operation::{Operation, OperationResult, StartRecord};
+use lupinrack_cluster_api::operation::{EndRecord, Operation, OperationResult, StartRecord};
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_control_state::ControlState;
-use lupinrack_dispatch::Dispatcher;
-use std::collections::{BTreeMap, BTreeSet};
 
-/// A message to an agent, and the connection that it goes out on.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AgentOrder {
-    /// The agent.
-    pub agent: PeerAddress,
-    /// The connection of its session.
-    pub connection: u64,
-    /// The message.
-    pub message: OwnerMessage,
-}
-
-/// What a round came to.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Round {
-    /// Operations that are to be submitted to the head, in this order.
-    pub operations: Vec<Operation>,
-    /// Messages that are to be sent to agents.
-    pub messages: Vec<AgentOrder>,
-    /// Runs whose ends are among the operations although their servers did not list them.
-    pub inferred_ends: Vec<InferredEnd>,
-}
-
-/// What the owner of a service's shard decides. A state machine without I/O: messages, applied operations and moments
-/// come in, operations and messages go out.
+/// What the owner of a service's shard decides: a state machine without I/O. Messages, applied
+/// operations and moments are its input, operations and messages its output.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
-    pub(crate) service: ServiceName,
-    pub(crate) token: FencingToken,
-    pub(crate) settings: SchedulerSettings,
-    /// Up to when runs may be held that were granted by earlier owners.
-    pub(crate) takeover_bound: Millis,
-    pub(crate) adopted: bool,
-    /// Servers whose place is recorded and was looked at.
-    pub(crate) placed: BTreeSet<ServerId>,
-    pub(crate) servers: ServerTable,
-    pub(crate) runs: RunLedger,
-    pub(crate) jobs: JobBoard,
-    pub(crate) evidence: Evidence,
-    pub(crate) durations: Durations,
-    pub(crate) urgent_use: UrgentUse,
-    pub(crate) submissions: Submissions,
-    pub(crate) dispatcher: Dispatcher<ServerId, QueueName, TaskId>,
-    pub(crate) queued: BTreeMap<TaskId, QueuedTask>,
-    /// Runs that were found to be over without their servers' word since the last round.
-    pub(crate) inferred_ends: Vec<InferredEnd>,
+    service: ServiceName,
+    token: FencingToken,
+    settings: SchedulerSettings,
+    /// When all leases that earlier owners granted have expired.
+    takeover_bound: Millis,
+    /// Whether the runs of earlier owners were taken over, in the first round.
+    has_adopted: bool,
+    servers: ServerTable,
+    tracker: RunTracker,
+    jobs: JobBoard,
+    queues: TaskQueues,
+    history: History,
+    urgent_usage: UrgentUsage,
+}
+
+/// When a round takes place.
+#[derive(Clone, Copy, Debug)]
+struct RoundTime {
+    now: Millis,
+    /// The time of day.
+    wall: WallMillis,
 }
 
 impl Scheduler {
-    /// The scheduler of a service from the moment on at which its `TakeShard` was applied here.
+    /// The scheduler of a service, from the moment at which the operation that took over the shard
+    /// was applied here.
     pub fn new(
         service: ServiceName,
         token: FencingToken,
         settings: SchedulerSettings,
         now: Millis,
     ) -> Scheduler {
+        let submissions = Submissions::new(service.clone(), token, settings.resubmit_ms);
         Scheduler {
             takeover_bound: now.plus(settings.takeover_bound_ms()),
-            adopted: false,
-            placed: BTreeSet::new(),
+            has_adopted: false,
             servers: ServerTable::default(),
-            runs: RunLedger::default(),
+            tracker: RunTracker::new(submissions),
             jobs: JobBoard::default(),
-            evidence: Evidence::default(),
-            durations: Durations::default(),
-            urgent_use: UrgentUse::default(),
-            submissions: Submissions::new(service.clone(), token, settings.resubmit_ms),
-            dispatcher: Dispatcher::new(settings.dispatch),
-            queued: BTreeMap::new(),
-            inferred_ends: Vec::new(),
+            queues: TaskQueues::new(settings.dispatch),
+            history: History::default(),
+            urgent_usage: UrgentUsage::default(),
             service,
             token,
             settings,
         }
     }
 
-    /// The token under which it acts.
+    /// The fencing token under which it acts.
     pub fn token(&self) -> FencingToken {
         self.token
     }
 
-    /// Takes a message from an agent.
+    /// The service as it knows it at this moment.
+    pub fn summary(&self, now: Millis) -> ServiceSummary {
+        summarize(&self.overview(now), &self.jobs)
+    }
+
+    /// Receives a message of an agent.
     pub fn receive(
         &mut self,
         agent: PeerAddress,
@@ -108,141 +106,61 @@
         message: AgentMessage,
         now: Millis,
     ) {
+        let report = |sent_at| ReportTimes {
+            sent_at,
+            received_at: now,
+        };
         match message {
             AgentMessage::Attach {
                 facts,
                 token: _,
                 heartbeat,
                 sent_at,
-            } => {
-                let report = ReportTimes {
-                    sent_at,
-                    received_at: now,
-                };
-                self.attach(
-                    Attachment {
-                        agent,
-                        connection,
-                        facts,
-                        heartbeat,
-                        report,
-                    },
-                    now,
-                );
-            }
+            } => self.attach(Attachment {
+                agent,
+                connection,
+                facts,
+                heartbeat,
+                report: report(sent_at),
+            }),
             AgentMessage::Report { heartbeat, sent_at } => {
-                let report = ReportTimes {
-                    sent_at,
-                    received_at: now,
-                };
-                self.report(agent, connection, heartbeat, report);
-            }
-            AgentMessage::Deregister { server } => {
-                if self
-                    .servers
-                    .in_session(agent, connection)
-                    .is_some_and(|known| known.facts.id == server)
-                {
-                    self.server_gone(&server, InferredEndReason::ServerDeregistered);
-                }
+                self.report(agent, connection, heartbeat, report(sent_at));
             }
+            AgentMessage::Deregister { server } => self.deregister(agent, connection, &server),
         }
     }
 
-    /// Notes that a connection to an agent has ended.
+    /// A connection to an agent has ended.
     pub fn disconnected(&mut self, agent: PeerAddress, connection: u64) {
         self.servers.detach(agent, connection);
     }
 
-    fn attach(&mut self, attachment: Attachment, now: Millis) {
-        if attachment.facts.service == self.service {
-            // Which of two lives beside one agent is over is decided by the record, in the next round.
-            self.placed.remove(&attachment.facts.id);
-            self.servers
-                .attach(attachment, self.takeover_bound.max(now));
-        }
-    }
-
-    fn report(
-        &mut self,
-        agent: PeerAddress,
-        connection: u64,
-        heartbeat: Option<Heartbeat>,
-        report: ReportTimes,
-    ) {
-        let Some(server) = self.servers.in_session(agent, connection) else {
-            return;
-        };
-        server.heard(report);
-        if let Some(heartbeat) = heartbeat.filter(|heartbeat| heartbeat.server == server.facts.id) {
-            server.take_heartbeat(heartbeat, true, report.received_at);
-        }
-    }
-
-    /// Notes an operation that the local replica has applied, for whatever service.
+    /// The local replica has applied an operation, of whichever service.
     pub fn applied(&mut self, operation: &Operation, result: &OperationResult, now: Millis) {
         match operation {
             Operation::AcceptJob { job, .. } | Operation::CancelJob { job, .. } => {
-                self.jobs.touch(*job)
+                self.jobs.set_changed(*job);
             }
             Operation::RecordStarts {
                 service,
                 token,
                 starts,
-            } if *service == self.service => {
-                if let (true, OperationResult::Starts(taken)) = (*token == self.token, result) {
-                    self.starts_applied(starts, taken, now);
+            } if *service == self.service && *token == self.token => {
+                if let OperationResult::Starts(accepted) = result {
+                    self.starts_applied(starts, accepted, now);
                 }
             }
             Operation::RecordEnds { service, ends, .. }
                 if *service == self.service && !matches!(result, OperationResult::Refused(_)) =>
             {
-                ends.iter()
-                    .for_each(|end| self.end_is_recorded(end.task, end.attempt));
+                self.ends_applied(ends);
             }
             _ => {}
         }
     }
 
-    fn starts_applied(&mut self, starts: &[StartRecord], taken: &[bool], now: Millis) {
-        self.submissions.starts_applied(starts);
-        for (start, taken) in starts.iter().zip(taken) {
-            self.jobs.touch(start.task.job);
-            let proposed = self
-                .runs
-                .on_server(&start.server, start.task, start.attempt);
-            match (proposed.map(|run| run.phase), taken) {
-                (Some(RunPhase::Proposed), true) => self.start_is_recorded(start.task, now),
-                (Some(RunPhase::Proposed), false) => {
-                    self.runs.remove(start.task);
-                }
-                // A copy that was submitted again; the first one counted.
-                (Some(RunPhase::Recorded), _) | (None, false) => {}
-                (None, true) => self.adopt_orphan(start, now),
-            }
-        }
-    }
-
-    fn start_is_recorded(&mut self, task: TaskId, now: Millis) {
-        if let Some(run) = self.runs.get_mut(task) {
-            run.phase = RunPhase::Recorded;
-            run.progressed_at = now;
-        }
-    }
-
-    /// A start was recorded although this scheduler holds no reservation for it. It is stopped; whether its server was
-    /// told of it, only the server can say.
-    fn adopt_orphan(&mut self, start: &StartRecord, now: Millis) {
-        let traits = RunTraits::unknown();
-        let mut run = Run::proposed(start, traits, now);
-        run.phase = RunPhase::Recorded;
-        run.inherited = true;
-        run.stop = Some(StopReason::Orphaned);
-        self.runs.insert(run);
-    }
-
-    /// Decides what is to be done now. `authority_until` is the moment up to which this process may act as the owner:
-    /// no message goes out after it.
+    /// Decides what is to be done now. No message is sent at or after `authority_until`: until then
+    /// this process may act as the owner.
     pub fn round(
         &mut self,
         state: &ControlState,
@@ -250,69 +168,192 @@
         wall: WallMillis,
         authority_until: Millis,
     ) -> Round {
-        self.adopt(state, now);
-        self.read_heartbeats(state, now);
-        self.expire_servers(now);
-        self.follow_places(state);
-        let closed = self.refresh_jobs(state, now, wall);
-        closed.into_iter().for_each(|job| self.close_job(job));
-        self.settle_runs(now);
+        let time = RoundTime { now, wall };
         let has_authority = now < authority_until;
+        self.adopt_once(state, now);
+        self.read_heartbeats(state, now);
+        let timeout_ms = self.settings.heartbeat_timeout_ms;
+        self.incarnations().expire_leases(now, timeout_ms);
+        self.incarnations().follow_bindings(state);
+        self.refresh_jobs(state, time);
+        self.tracker
+            .resolve_unknown(&self.servers, self.takeover_bound, now);
         if has_authority {
-            self.place(state, now, wall);
+            self.run_placement(state, time);
         }
-        let operations = self.submissions.due(now, wall);
+        let operations = self.tracker.submissions.due(now, wall);
         let messages = if has_authority {
-            self.orders(state, now)
+            self.order_writer(state, now).write_all()
         } else {
             Vec::new()
         };
         Round {
             operations,
             messages,
-            inferred_ends: std::mem::take(&mut self.inferred_ends),
+            inferred_ends: self.tracker.take_inferred_ends(),
         }
     }
 
-    fn refresh_jobs(&mut self, state: &ControlState, now: Millis, wall: WallMillis) -> Vec<JobId> {
-        let view = JobView {
+    fn attach(&mut self, attachment: Attachment) {
+        if attachment.facts.service == self.service {
+            let lease_bound = self.takeover_bound.max(attachment.report.received_at);
+            self.servers.attach(attachment, lease_bound);
+        }
+    }
+
+    fn report(
+        &mut self,
+        agent: PeerAddress,
+        connection: u64,
+        heartbeat: Option<Heartbeat>,
+        report: ReportTimes,
+    ) {
+        let Some(server) = self.servers.in_session(agent, connection) else {
+            return;
+        };
+        server.record_report(report);
+        if let Some(heartbeat) = heartbeat.filter(|heartbeat| heartbeat.server == server.facts.id) {
+            server.receive_heartbeat(heartbeat, HeartbeatOrigin::Report, report.received_at);
+        }
+    }
+
+    fn deregister(&mut self, agent: PeerAddress, connection: u64, id: &ServerId) {
+        let in_session = self.servers.in_session(agent, connection);
+        if in_session.is_some_and(|server| server.facts.id == *id) {
+            self.incarnations()
+                .remove(id, InferredEndReason::ServerDeregistered);
+        }
+    }
+
+    fn starts_applied(&mut self, starts: &[StartRecord], accepted: &[bool], now: Millis) {
+        self.tracker.starts_applied(starts, accepted, now);
+        for start in starts {
+            self.jobs.set_changed(start.task.job);
+        }
+    }
+
+    fn ends_applied(&mut self, ends: &[EndRecord]) {
+        for end in ends {
+            let run = RunId::new(end.task, end.attempt);
+            self.tracker.end_recorded(&mut self.servers, run);
+            self.jobs.set_changed(end.task.job);
+        }
+    }
+
+    /// Takes over the runs of earlier owners, in the first round.
+    fn adopt_once(&mut self, state: &ControlState, now: Millis) {
+        if self.has_adopted {
+            return;
+        }
+        self.has_adopted = true;
+        let runs = &mut self.tracker.runs;
+        adopt(state, &self.service, runs, &mut self.jobs, now);
+    }
+
+    fn read_heartbeats(&mut self, state: &ControlState, now: Millis) {
+        HeartbeatReader {
             state,
-            service: &self.service,
-            room: self.servers.total_capacity(),
-            durations: &self.durations,
+            servers: &mut self.servers,
+            tracker: &mut self.tracker,
+            jobs: &mut self.jobs,
+            history: &mut self.history,
             now,
-            wall,
-        };
-        self.jobs.refresh(&view)
+        }
+        .read_all();
+    }
+
+    /// Brings the open jobs up to date, and stops what is left of those that were closed.
+    fn refresh_jobs(&mut self, state: &ControlState, time: RoundTime) {
+        let closed = self.jobs.refresh(&BoardUpdate {
+            state,
+            service: &self.service,
+            capacity: self.servers.total_capacity(),
+            durations: &self.history.durations,
+            now: time.now,
+            wall: time.wall,
+        });
+        for job in closed {
+            self.close_job(job);
+        }
     }
 
-    /// Stops all that is left of a job that is not open any longer.
     fn close_job(&mut self, job: JobId) {
-        let runs: Vec<TaskId> = self.runs.of_job(job).map(|run| run.task).collect();
-        runs.into_iter()
-            .for_each(|task| self.stop_run(task, StopReason::JobClosed));
-        self.withdraw_job(job);
-        self.evidence.forget_job(job);
+        let runs = &mut self.tracker.runs;
+        let tasks: Vec<TaskId> = runs.of_job(job).map(|run| run.task).collect();
+        for task in tasks {
+            runs.request_stop(task, StopReason::JobClosed);
+        }
+        self.queues.withdraw_job(job);
+        self.history.faults.forget_job(job);
     }
 
-    /// Has a run stopped, with the other members of its gang.
-    pub(crate) fn stop_run(&mut self, task: TaskId, reason: StopReason) {
-        let Some(run) = self.runs.get(task) else {
-            return;
+    /// Places the tasks that may start, decides on starts, and evicts runs.
+    fn run_placement(&mut self, state: &ControlState, time: RoundTime) {
+        let RoundTime { now, wall } = time;
+        self.urgent_usage.observe(&self.tracker.runs, now);
+        let mut candidates = candidates(&self.overview(now));
+        withdraw_misplaced(&mut self.queues, &mut candidates, now);
+        let demands = demands(state, &self.jobs, &self.history.durations, wall);
+        let History {
+            durations, faults, ..
+        } = &mut self.history;
+        let mut planner = Planner {
+            state,
+            settings: &self.settings,
+            now,
+            estimator: Estimator::new(durations, &self.settings, now),
+            headroom: self.urgent_usage.headroom(&candidates),
+            candidates,
+            weights: stream_weights(&demands),
+            runs: &mut self.tracker.runs,
+            queues: &mut self.queues,
+            faults,
+            starts: Vec::new(),
+            reservations: 0,
         };
-        let mut members = vec![task];
-        if run.traits.gang {
-            let attempt = run.attempt;
-            let gang = self.runs.of_step(task.job, task.occurrence, task.step);
-            members.extend(
-                gang.filter(|member| member.attempt == attempt)
-                    .map(|member| member.task),
-            );
+        pass::run(&mut planner, &demands);
+        let Planner {
+            starts, candidates, ..
+        } = planner;
+        self.tracker.submissions.add_starts(starts);
+        Eviction {
+            servers: &self.servers,
+            runs: &mut self.tracker.runs,
+            history: &mut self.history,
+            settings: &self.settings,
+            now,
         }
-        for member in members {
-            if let Some(run) = self.runs.get_mut(member).filter(|run| !run.ended) {
-                run.stop.get_or_insert(reason);
-            }
+        .run(&demands, candidates);
+    }
+
+    fn incarnations(&mut self) -> Incarnations<'_> {
+        Incarnations {
+            servers: &mut self.servers,
+            tracker: &mut self.tracker,
+            queues: &mut self.queues,
+            history: &mut self.history,
+        }
+    }
+
+    fn order_writer<'a>(&'a mut self, state: &'a ControlState, now: Millis) -> OrderWriter<'a> {
+        OrderWriter {
+            state,
+            settings: &self.settings,
+            token: self.token,
+            servers: &mut self.servers,
+            runs: &mut self.tracker.runs,
+            estimator: Estimator::new(&self.history.durations, &self.settings, now),
+        }
+    }
+
+    fn overview(&self, now: Millis) -> Overview<'_> {
+        Overview {
+            servers: &self.servers,
+            runs: &self.tracker.runs,
+            queues: &self.queues,
+            history: &self.history,
+            settings: &self.settings,
+            now,
         }
     }
 }
--- a/crates/scheduler/src/servers/reported_ends.rs
+++ b/crates/scheduler/src/servers/reported_ends.rs
@@ -1,68 +1,60 @@
-//! The ends that a server lists, and up to which of them all are recorded.
+//! The ends that a server reports, and up to which of them all are recorded.
 
-use lupinrack_cluster_api::identity::{Attempt, TaskId};
+use crate::run_id::RunId;
 use std::collections::BTreeMap;
 
-/// An end in a server's list.
+/// An end that a server listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct ListedEnd {
-    task: TaskId,
-    attempt: Attempt,
+struct ReportedEnd {
+    run: RunId,
+    /// Whether the replicated state has it, or never will.
     recorded: bool,
 }
 
-/// The ends of one life of a server, in the order of their numbers.
+/// The ends of one incarnation of a server, in the order of their numbers.
 #[derive(Clone, Debug, Default)]
-pub struct EndList {
-    observed: u64,
-    listed: BTreeMap<u64, ListedEnd>,
+pub(crate) struct ReportedEnds {
+    recorded_up_to: u64,
+    ends: BTreeMap<u64, ReportedEnd>,
 }
 
-impl EndList {
-    /// Notes an end; tells whether it is new.
-    pub fn list(&mut self, number: u64, task: TaskId, attempt: Attempt) -> bool {
-        if number <= self.observed || self.listed.contains_key(&number) {
+impl ReportedEnds {
+    /// Adds an end under its number. Returns whether it is new.
+    pub(crate) fn add(&mut self, number: u64, run: RunId) -> bool {
+        if number <= self.recorded_up_to || self.ends.contains_key(&number) {
             return false;
         }
-        self.listed.insert(
-            number,
-            ListedEnd {
-                task,
-                attempt,
-                recorded: false,
-            },
-        );
+        let end = ReportedEnd {
+            run,
+            recorded: false,
+        };
+        self.ends.insert(number, end);
         true
     }
 
-    /// Notes that the ends of this start are recorded.
-    pub fn recorded(&mut self, task: TaskId, attempt: Attempt) {
-        for end in self.listed.values_mut() {
-            if end.task == task && end.attempt == attempt {
-                end.recorded = true;
-            }
+    /// The ends of this run are recorded.
+    pub(crate) fn set_recorded(&mut self, run: RunId) {
+        for end in self.ends.values_mut().filter(|end| end.run == run) {
+            end.recorded = true;
         }
         self.advance();
     }
 
-    /// The highest number up to which all ends are recorded.
-    pub fn observed(&self) -> u64 {
-        self.observed
+    /// The highest number up to which all ends are recorded; the server may forget these.
+    pub(crate) fn recorded_up_to(&self) -> u64 {
+        self.recorded_up_to
     }
 
-    /// Whether ends are listed that are not observed yet.
-    pub fn is_pending(&self) -> bool {
-        !self.listed.is_empty()
+    /// Whether there are ends that are not recorded up to their number.
+    pub(crate) fn is_pending(&self) -> bool {
+        !self.ends.is_empty()
     }
 
-    /// Servers list all ends that are not observed, beginning with the oldest: none lies between those listed here.
+    /// Servers list all ends that were not acknowledged, oldest first: so none is missing between
+    /// those kept here.
     fn advance(&mut self) {
-        while let Some(first) = self
-            .listed
-            .first_entry()
-            .filter(|first| first.get().recorded)
-        {
-            self.observed = *first.key();
+        while let Some(first) = self.ends.first_entry().filter(|first| first.get().recorded) {
+            self.recorded_up_to = *first.key();
             first.remove();
         }
     }
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -1,51 +1,49 @@
-//! What the scheduler of a service is told about times and costs.
+//! Settings of the scheduler.
 
 use lupinrack_dispatch::DispatchSettings;
 
 /// Settings of a [`Scheduler`](crate::Scheduler). Durations are in milliseconds.
 #[derive(Clone, Debug)]
 pub struct SchedulerSettings {
-    /// How many times as long work takes away from its data, or a gang spread over racks.
+    /// How many times as long as near its data work takes far from it, and a gang over several racks.
     pub remote_factor: f64,
     /// The longest that a stop takes.
     pub max_stop_ms: u64,
-    /// How long after its notice a draining server may still be given starts; the scheduler gives none at once.
+    /// How long a draining server stays that does not say how long it does.
     pub drain_ms: u64,
-    /// The hold that is granted with each message to an agent, also by every other owner.
+    /// The lease that each message to an agent grants, also those of every other owner.
     pub lease_ms: u64,
-    /// How long an old owner may still act after a new one took the shard.
+    /// How long an old owner may still act after a new one took over the shard.
     pub old_owner_authority_ms: u64,
-    /// By which part two steady clocks may differ over the same time.
+    /// By which part the durations differ that two steady clocks measure, at most.
     pub clock_drift: f64,
-    /// Added to bounds on holds, for what is on its way.
+    /// What is added to bounds on leases for messages on their way.
     pub lease_margin_ms: u64,
-    /// What it takes to continue from a checkpoint.
+    /// How long a task takes to continue from a checkpoint.
     pub restore_ms: u64,
-    /// After this time without its being applied an operation is submitted again.
+    /// After this time without being applied an operation is submitted again.
     pub resubmit_ms: u64,
-    /// A server that was not heard of for this long is given nothing new.
+    /// A server whose agent was not heard of for this time is given nothing new.
     pub heartbeat_timeout_ms: u64,
-    /// Between heartbeats of a server where something starts, ends or is about to end.
+    /// The heartbeat interval of a server where something starts or ends, or is about to end.
     pub busy_heartbeat_ms: u64,
-    /// Between heartbeats while jobs come in.
-    pub active_heartbeat_ms: u64,
-    /// Jobs come in if the newest one came within this time.
-    pub recent_job_ms: u64,
-    /// Between heartbeats of a server otherwise.
+    /// The heartbeat interval of other servers.
     pub idle_heartbeat_ms: u64,
-    /// Runs that end within this time make a server busy.
+    /// Runs that are expected to end within this time are about to end.
     pub ending_soon_ms: u64,
-    /// How long more urgent work waits before it preempts.
+    /// How long urgent work waits before it preempts.
     pub preempt_after_ms: u64,
-    /// How long a run may stand still before it counts as stalled, on top of [`Self::restore_ms`].
+    /// How long a run may stand still before it counts as stalled, on top of [`Self::restore_ms`]
+    /// and a part of its expected duration.
     pub stall_ms: u64,
-    /// Between the first trials of a server that is avoided; later ones are rarer.
+    /// The time between the first two tasks that a suspected server is given on probation; later
+    /// ones are rarer.
     pub probation_interval_ms: u64,
-    /// How much may wait for a server, as a part of its capacity.
+    /// How much may be queued for a server, as a part of its capacity.
     pub max_queued_share: f64,
-    /// Gangs and large tasks for which capacity is kept free at the same time, at most.
+    /// For how many gangs and large tasks capacity is reserved at the same time, at most.
     pub max_reservations: usize,
-    /// The dispatcher's settings. Its depth bounds the tasks that run on a server.
+    /// The settings of the dispatcher. Its depth bounds the number of runs on a server.
     pub dispatch: DispatchSettings,
 }
 
@@ -63,8 +61,6 @@
             resubmit_ms: 700,
             heartbeat_timeout_ms: 600,
             busy_heartbeat_ms: 20,
-            active_heartbeat_ms: 40,
-            recent_job_ms: 2_000,
             idle_heartbeat_ms: 60,
             ending_soon_ms: 3_000,
             preempt_after_ms: 100,
@@ -81,13 +77,13 @@
 }
 
 impl SchedulerSettings {
-    /// The longest that a hold granted now may last anywhere, by the owner's clock.
+    /// The longest that a lease which is granted now lasts anywhere, by the owner's clock.
     pub fn lease_bound_ms(&self) -> u64 {
-        let stretched = self.lease_ms as f64 * (1.0 + self.clock_drift);
-        stretched.ceil() as u64 + self.lease_margin_ms
+        let stretched_ms = self.lease_ms as f64 * (1.0 + self.clock_drift);
+        stretched_ms.ceil() as u64 + self.lease_margin_ms
     }
 
-    /// How long after a takeover something that an old owner granted may still be held.
+    /// The longest after a takeover that a lease of an earlier owner lasts.
     pub fn takeover_bound_ms(&self) -> u64 {
         self.old_owner_authority_ms + self.lease_bound_ms()
     }
--- a/crates/scheduler/src/submissions.rs
+++ b/crates/scheduler/src/submissions.rs
@@ -1,158 +1,147 @@
 //! Operations that were decided and have not been applied yet.
 //!
-//! The head gives no answer; the owner sees an operation applied in its own replica, and submits it again if it does
-//! not. Both kinds may be applied twice without harm: a start holds only for a task that waits, an end only for the
-//! start that it names.
+//! The head of the chain gives no answer. The owner sees an operation applied in its own replica,
+//! and submits it again if it does not. All kinds may be applied twice without harm: a start holds
+//! only for a waiting task, an end only for the start that it names, a binding only once.
 
-use lupinrack_cluster_api::identity::{
-    Attempt, FencingToken, PeerAddress, ServerId, ServiceName, TaskId,
-};
+use crate::run_id::RunId;
+use lupinrack_cluster_api::identity::{FencingToken, PeerAddress, ServerId, ServiceName};
 use lupinrack_cluster_api::operation::{EndRecord, Operation, StartRecord};
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use std::collections::BTreeMap;
 
-/// Ends in one operation at most.
-const ENDS_MOST: usize = 256;
-/// Starts in one operation at most, where a gang is not larger.
-const STARTS_MOST: usize = 256;
+/// The largest number of ends in one operation.
+const MAX_ENDS: usize = 256;
+/// The largest number of starts in one operation, unless a single gang is larger.
+const MAX_STARTS: usize = 256;
 
+/// Something to be submitted, and when it last was.
 #[derive(Clone, Debug)]
-struct StartBatch {
-    starts: Vec<StartRecord>,
+struct Pending<T> {
+    content: T,
     submitted_at: Option<Millis>,
 }
 
-#[derive(Clone, Debug)]
-struct PendingEnd {
-    record: EndRecord,
-    submitted_at: Option<Millis>,
-}
+impl<T> Pending<T> {
+    fn new(content: T) -> Pending<T> {
+        Pending {
+            content,
+            submitted_at: None,
+        }
+    }
 
-#[derive(Clone, Debug)]
-struct PendingServer {
-    agent: PeerAddress,
-    submitted_at: Option<Millis>,
+    /// Its content if it is to be submitted now, because it never was or not lately.
+    fn submit_if_due(&mut self, now: Millis, resubmit_ms: u64) -> Option<&T> {
+        let is_due = self
+            .submitted_at
+            .is_none_or(|at| now.since(at) >= resubmit_ms);
+        if !is_due {
+            return None;
+        }
+        self.submitted_at = Some(now);
+        Some(&self.content)
+    }
 }
 
-/// The operations of one owner that are on their way.
+/// The operations of one owner that are to be applied.
 #[derive(Clone, Debug)]
-pub struct Submissions {
+pub(crate) struct Submissions {
     service: ServiceName,
     token: FencingToken,
+    /// After this time without being applied an operation is submitted again, in milliseconds.
     resubmit_ms: u64,
-    starts: Vec<StartBatch>,
-    ends: BTreeMap<(TaskId, Attempt), PendingEnd>,
-    servers: BTreeMap<ServerId, PendingServer>,
+    /// Starts that are submitted together.
+    starts: Vec<Pending<Vec<StartRecord>>>,
+    ends: BTreeMap<RunId, Pending<EndRecord>>,
+    /// Bindings of servers to the agents beside them.
+    bindings: BTreeMap<ServerId, Pending<PeerAddress>>,
 }
 
 impl Submissions {
-    /// None yet, for this owner.
-    pub fn new(service: ServiceName, token: FencingToken, resubmit_ms: u64) -> Submissions {
+    /// No operations yet, for the owner with this token.
+    pub(crate) fn new(service: ServiceName, token: FencingToken, resubmit_ms: u64) -> Submissions {
         Submissions {
             service,
             token,
             resubmit_ms,
             starts: Vec::new(),
             ends: BTreeMap::new(),
-            servers: BTreeMap::new(),
+            bindings: BTreeMap::new(),
         }
     }
 
-    /// Adds starts that were decided together. Members of one gang have to be given in one call, side by side.
-    pub fn add_starts(&mut self, groups: Vec<Vec<StartRecord>>) {
+    /// Adds starts that were decided together. The starts of one group stay in one operation.
+    pub(crate) fn add_starts(&mut self, groups: Vec<Vec<StartRecord>>) {
         let mut batch: Vec<StartRecord> = Vec::new();
         for group in groups {
-            if !batch.is_empty() && batch.len() + group.len() > STARTS_MOST {
-                self.starts.push(StartBatch {
-                    starts: std::mem::take(&mut batch),
-                    submitted_at: None,
-                });
+            if !batch.is_empty() && batch.len() + group.len() > MAX_STARTS {
+                self.starts.push(Pending::new(std::mem::take(&mut batch)));
             }
             batch.extend(group);
         }
         if !batch.is_empty() {
-            self.starts.push(StartBatch {
-                starts: batch,
-                submitted_at: None,
-            });
+            self.starts.push(Pending::new(batch));
         }
     }
 
-    /// Adds an end; one that is there already stays.
-    pub fn add_end(&mut self, record: EndRecord) {
-        let key = (record.task, record.attempt);
-        self.ends.entry(key).or_insert(PendingEnd {
-            record,
-            submitted_at: None,
-        });
+    /// Adds an end; one of the same run that is there already stays.
+    pub(crate) fn add_end(&mut self, end: EndRecord) {
+        self.ends
+            .entry(RunId::new(end.task, end.attempt))
+            .or_insert(Pending::new(end));
     }
 
-    /// Adds the place of a server; one that is there already stays.
-    pub fn add_server(&mut self, server: ServerId, agent: PeerAddress) {
-        self.servers.entry(server).or_insert(PendingServer {
-            agent,
-            submitted_at: None,
-        });
+    /// Adds the binding of a server to an agent; one that is there already stays.
+    pub(crate) fn add_binding(&mut self, server: ServerId, agent: PeerAddress) {
+        self.bindings.entry(server).or_insert(Pending::new(agent));
     }
 
-    /// Drops the place of a server: it was applied, or the server is gone.
-    pub fn forget_server(&mut self, server: &ServerId) {
-        self.servers.remove(server);
+    /// Drops the binding of a server: it was applied, or the server is gone.
+    pub(crate) fn remove_binding(&mut self, server: &ServerId) {
+        self.bindings.remove(server);
     }
 
-    /// Notes that these starts were applied.
-    pub fn starts_applied(&mut self, starts: &[StartRecord]) {
-        self.starts.retain(|batch| batch.starts != starts);
+    /// An operation with these starts was applied.
+    pub(crate) fn starts_applied(&mut self, starts: &[StartRecord]) {
+        self.starts.retain(|batch| batch.content != starts);
     }
 
-    /// Notes that this end was applied.
-    pub fn end_applied(&mut self, task: TaskId, attempt: Attempt) {
-        self.ends.remove(&(task, attempt));
+    /// The end of this run was applied, or never will be.
+    pub(crate) fn end_applied(&mut self, run: RunId) {
+        self.ends.remove(&run);
     }
 
-    /// The operations that are to be submitted now: new ones, and those that were not applied in time. Ends go first,
-    /// since the starts may need them.
-    pub fn due(&mut self, now: Millis, wall: WallMillis) -> Vec<Operation> {
-        let mut operations = self.due_servers(now);
+    /// The operations that are to be submitted now: new ones, and those that were not applied in
+    /// time. Ends go before starts, which may need them.
+    pub(crate) fn due(&mut self, now: Millis, wall: WallMillis) -> Vec<Operation> {
+        let mut operations = self.due_bindings(now);
         operations.extend(self.due_ends(now, wall));
-        for batch in &mut self.starts {
-            if is_due(batch.submitted_at, now, self.resubmit_ms) {
-                batch.submitted_at = Some(now);
-                operations.push(Operation::RecordStarts {
-                    service: self.service.clone(),
-                    token: self.token,
-                    starts: batch.starts.clone(),
-                });
-            }
-        }
+        operations.extend(self.due_starts(now));
         operations
     }
 
-    fn due_servers(&mut self, now: Millis) -> Vec<Operation> {
-        let mut due = Vec::new();
-        for (server, pending) in &mut self.servers {
-            if is_due(pending.submitted_at, now, self.resubmit_ms) {
-                pending.submitted_at = Some(now);
-                due.push(Operation::RecordServer {
+    fn due_bindings(&mut self, now: Millis) -> Vec<Operation> {
+        let mut operations = Vec::new();
+        for (server, pending) in &mut self.bindings {
+            if let Some(agent) = pending.submit_if_due(now, self.resubmit_ms) {
+                operations.push(Operation::RecordServer {
                     service: self.service.clone(),
                     token: self.token,
                     server: server.clone(),
-                    agent: pending.agent,
+                    agent: *agent,
                 });
             }
         }
-        due
+        operations
     }
 
     fn due_ends(&mut self, now: Millis, wall: WallMillis) -> Vec<Operation> {
-        let mut due = Vec::new();
-        for end in self.ends.values_mut() {
-            if is_due(end.submitted_at, now, self.resubmit_ms) {
-                end.submitted_at = Some(now);
-                due.push(end.record.clone());
-            }
-        }
-        due.chunks(ENDS_MOST)
+        let due: Vec<EndRecord> = self
+            .ends
+            .values_mut()
+            .filter_map(|pending| pending.submit_if_due(now, self.resubmit_ms).cloned())
+            .collect();
+        due.chunks(MAX_ENDS)
             .map(|ends| Operation::RecordEnds {
                 service: self.service.clone(),
                 token: self.token,
@@ -161,8 +150,18 @@
             })
             .collect()
     }
-}
 
-fn is_due(submitted_at: Option<Millis>, now: Millis, resubmit_ms: u64) -> bool {
-    submitted_at.is_none_or(|at| now.since(at) >= resubmit_ms)
+    fn due_starts(&mut self, now: Millis) -> Vec<Operation> {
+        let mut operations = Vec::new();
+        for pending in &mut self.starts {
+            if let Some(starts) = pending.submit_if_due(now, self.resubmit_ms) {
+                operations.push(Operation::RecordStarts {
+                    service: self.service.clone(),
+                    token: self.token,
+                    starts: starts.clone(),
+                });
+            }
+        }
+        operations
+    }
 }
--- a/crates/scheduler/src/summary.rs
+++ b/crates/scheduler/src/summary.rs
@@ -1,36 +1,33 @@
-//! What a scheduler tells operators of its servers and queues.
+//! What a scheduler shows operators of its servers and queues.
 
-use crate::resources::{difference, sum};
-use crate::scheduler::Scheduler;
 use lupinrack_cluster_api::job::Resources;
-use lupinrack_cluster_api::time::Millis;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// One server in a summary.
+/// A server at one moment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerSummary {
-    /// Its name.
+    /// Its identity.
     pub server: String,
     /// What it has.
     pub capacity: Resources,
-    /// What is free.
+    /// What no run takes of it.
     pub free: Resources,
-    /// Runs on it, or on their way to it, by priority.
+    /// How many runs were decided for it and have not ended, by priority.
     pub runs: BTreeMap<u32, usize>,
-    /// Runs that are being stopped.
+    /// How many of these runs are to be stopped.
     pub stopping: usize,
-    /// Tasks in its queue.
+    /// How many tasks are in its queue.
     pub queued: usize,
-    /// Whether it may be given work.
+    /// Whether it may be given new work.
     pub schedulable: bool,
-    /// Whether it drains.
+    /// Whether it is draining.
     pub draining: bool,
-    /// Whether evidence speaks against it.
+    /// Whether it is suspected of failing what it is given.
     pub suspected: bool,
 }
 
-/// Tasks of one priority whose turn has come and which wait.
+/// Tasks of one priority that may start and wait.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WaitingSummary {
     /// How many.
@@ -48,88 +45,38 @@
     pub waiting: BTreeMap<u32, WaitingSummary>,
 }
 
-impl Scheduler {
-    /// The service at this moment.
-    pub fn summary(&self, now: Millis) -> ServiceSummary {
-        ServiceSummary {
-            servers: self.server_summaries(now),
-            waiting: self.waiting_summary(now),
+impl fmt::Display for ServiceSummary {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for (priority, waiting) in &self.waiting {
+            write!(f, "[priority {priority}: {waiting}] ")?;
         }
+        for server in &self.servers {
+            write!(f, "{server}; ")?;
+        }
+        Ok(())
     }
+}
 
-    fn server_summaries(&self, now: Millis) -> Vec<ServerSummary> {
-        let ids: Vec<_> = self.servers.iter().map(|(id, _)| id.clone()).collect();
-        let suspects = self.evidence.suspects(&ids, now);
-        let summary = |(id, server): (
-            &lupinrack_cluster_api::identity::ServerId,
-            &crate::servers::table::Server,
-        )| {
-            let mut runs = BTreeMap::new();
-            let mut stopping = 0;
-            for run in self.runs.of_server(id).filter(|run| !run.ended) {
-                *runs.entry(run.traits.priority).or_insert(0) += 1;
-                stopping += usize::from(run.stop.is_some());
-            }
-            let taken = sum(&self.runs.used(id), &server.foreign_use());
-            ServerSummary {
-                server: id.0.clone(),
-                capacity: server.facts.capacity,
-                free: difference(&server.facts.capacity, &taken),
-                runs,
-                stopping,
-                queued: self.dispatcher.queued(id).count(),
-                schedulable: server.is_schedulable(now, self.settings.heartbeat_timeout_ms),
-                draining: server.draining_since.is_some(),
-                suspected: suspects.contains(id),
-            }
-        };
-        self.servers.iter().map(summary).collect()
-    }
-
-    fn waiting_summary(&self, now: Millis) -> BTreeMap<u32, WaitingSummary> {
-        let mut waiting: BTreeMap<u32, WaitingSummary> = BTreeMap::new();
-        for (_, plan) in self.jobs.plans() {
-            for ready in plan.ready() {
-                let summary = waiting.entry(plan.priority()).or_default();
-                summary.tasks += ready.indices.len();
-                summary.longest_ms = summary.longest_ms.max(now.since(ready.since));
-            }
-        }
-        waiting
+impl fmt::Display for WaitingSummary {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{} wait, {} ms", self.tasks, self.longest_ms)
     }
 }
 
-impl fmt::Display for ServiceSummary {
+impl fmt::Display for ServerSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (priority, waiting) in &self.waiting {
-            write!(
-                f,
-                "[priority {priority}: {} wait, {} ms] ",
-                waiting.tasks, waiting.longest_ms
-            )?;
+        write!(f, "{}", self.server)?;
+        if !self.schedulable {
+            write!(f, " (not schedulable)")?;
         }
-        for server in &self.servers {
-            write!(
-                f,
-                "{}{}{}: cpu {}/{} memory {}/{} gpu {}/{} runs {:?} stopping {} queued {}; ",
-                server.server,
-                if server.schedulable {
-                    ""
-                } else {
-                    " (not schedulable)"
-                },
-                if server.suspected { " (suspected)" } else { "" },
-                server.free.cpu,
-                server.capacity.cpu,
-                server.free.memory_mb,
-                server.capacity.memory_mb,
-                server.free.gpu,
-                server.capacity.gpu,
-                server.runs,
-                server.stopping,
-                server.queued
-            )?;
+        if self.suspected {
+            write!(f, " (suspected)")?;
         }
-        Ok(())
+        let (free, capacity) = (&self.free, &self.capacity);
+        write!(f, ": cpu {}/{}", free.cpu, capacity.cpu)?;
+        write!(f, " memory {}/{}", free.memory_mb, capacity.memory_mb)?;
+        write!(f, " gpu {}/{}", free.gpu, capacity.gpu)?;
+        write!(f, " runs {:?} stopping {}", self.runs, self.stopping)?;
+        write!(f, " queued {}", self.queued)
     }
 }
