--- a/crates/cluster-node/src/core/process.rs
+++ b/crates/cluster-node/src/core/process.rs
@@ -2,16 +2,16 @@
 
 use super::machine::{CoreEffect, CoreEvent, CoreMachine, CoreSettings};
 use crate::clock::{draw, Clock};
-use crate::control_api::{self, ControlCall, QueryCall};
+use crate::control_api::{self, HeadCall, ProcessCall};
 use crate::membership::Membership;
+use crate::protocol_violations::ViolationLog;
 use crate::signals::Signals;
-use crate::violations::ViolationLog;
 use crate::NodeError;
+use lupinrack_cluster_api::frame::{Hello, Role, FRAME_BYTES_MOST};
 use lupinrack_cluster_api::identity::DiskId;
-use lupinrack_cluster_api::wire::{Hello, Role, FRAME_BYTES_MOST};
 use lupinrack_cluster_membership::{LiveMember, SwimSettings};
 use lupinrack_cluster_transport::peers::{PeerEvent, PeerSettings, Peers};
-use lupinrack_control_store::{ControlStore, StoreSettings, WriteOutcome, Writer, WriterHandle};
+use lupinrack_control_store::{ControlStore, StoreSettings, WriteOutcome, Writer};
 use lupinrack_node_settings::{MachineLimits, NodeSettings};
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -27,7 +27,7 @@
     clock: Clock,
     machine: CoreMachine,
     peers: Peers,
-    writer: WriterHandle,
+    writer: Writer,
     violations: ViolationLog,
 }
 
@@ -62,13 +62,13 @@
         writer,
         violations: ViolationLog::default(),
     };
-    let (calls_in, mut calls) = mpsc::channel::<ControlCall>(256);
-    let (queries_in, mut queries) = mpsc::channel::<QueryCall>(16);
+    let (calls_in, mut calls) = mpsc::channel::<HeadCall>(256);
+    let (queries_in, mut queries) = mpsc::channel::<ProcessCall>(16);
     let http = control_api::serve(&settings, calls_in, queries_in)?;
     let mut signals = Signals::listen()?;
     let mut timer = tokio::time::interval(Duration::from_millis(TICK_MS));
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    driver.settle();
+    driver.take_effects();
     loop {
         tokio::select! {
             Some(event) = peer_events.recv() => {
@@ -87,11 +87,11 @@
                 driver.receive(CoreEvent::Terminate);
             }
         }
-        driver.settle();
+        driver.take_effects();
         if let Some(fault) = driver.machine.fault() {
             return Err(NodeError::Core(fault));
         }
-        if driver.machine.has_left(clock.now()) {
+        if driver.machine.is_shutdown_complete(clock.now()) {
             drop(http);
             return Ok(());
         }
@@ -174,10 +174,10 @@
             spdlog::warn!("the disk refused a write: {error}");
             self.receive(CoreEvent::WriteFailed);
         }
-        if !outcome.tickets_refused.is_empty() {
+        if !outcome.rejected.is_empty() {
             self.receive(CoreEvent::WriteRefused);
         }
-        self.receive(CoreEvent::Synced(outcome.tickets_done));
+        self.receive(CoreEvent::Synced(outcome.synced));
     }
 
     /// Ends when a round of the schedulers that something has asked for may be run.
@@ -188,8 +188,8 @@
         }
     }
 
-    fn settle(&mut self) {
-        let effects = self.machine.settle(self.clock.moment());
+    fn take_effects(&mut self) {
+        let effects = self.machine.take_effects(self.clock.moment());
         for effect in effects {
             self.carry_out(effect);
         }
@@ -204,7 +204,8 @@
                 self.peers.send_on(connection, frame);
             }
             CoreEffect::Write { ticket, batch } => {
-                self.writer.write(ticket, batch);
+                // The thread ends only by a panic, which is reported where it happens.
+                let _ = self.writer.write(ticket, batch);
             }
         }
     }
--- a/crates/cluster-node/tests/answers_over_views.rs
+++ b/crates/cluster-node/tests/answers_over_views.rs
@@ -3,13 +3,14 @@
 mod common;
 
 use common::{core, disk, view};
+use lupinrack_cluster_api::chain::ReplicaReport;
+use lupinrack_cluster_api::frame::{Frame, Hello, Role};
 use lupinrack_cluster_api::identity::{JobId, PeerAddress};
 use lupinrack_cluster_api::job::{JobSpec, Step};
 use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange};
 use lupinrack_cluster_api::request::{CallId, Reply, Request, Target};
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::{Frame, Hello, ReplicaReport, Role};
 use lupinrack_cluster_node::core::{CoreEffect, CoreEvent, CoreMachine, CoreSettings, Moment};
 use lupinrack_control_store::Recovered;
 use std::collections::VecDeque;
@@ -102,7 +103,7 @@
                 },
             );
         }
-        self.settle();
+        self.take_effects();
     }
 
     fn moment(&self) -> Moment {
@@ -112,12 +113,12 @@
         }
     }
 
-    fn settle(&mut self) {
+    fn take_effects(&mut self) {
         while let Some((to, event)) = self.due.pop_front() {
             let moment = self.moment();
             let machine = &mut self.machines[usize::from(to) - 1];
             machine.receive(event, moment);
-            for effect in machine.settle(moment) {
+            for effect in machine.take_effects(moment) {
                 self.carry_out(to, effect);
             }
         }
@@ -155,7 +156,7 @@
             self.now += TICK_MS;
             self.due
                 .extend((1..=MACHINES).map(|number| (number, CoreEvent::Tick)));
-            self.settle();
+            self.take_effects();
         }
     }
 
@@ -180,7 +181,7 @@
                 frame,
             },
         ));
-        self.settle();
+        self.take_effects();
     }
 
     /// All answers to a call, each of which has to come on its connection.
--- a/crates/cluster-node/tests/zone_news.rs
+++ b/crates/cluster-node/tests/zone_news.rs
@@ -2,14 +2,14 @@
 //! itself for fresher than it is.
 
 use lupinrack_cluster_api::configuration::Configuration;
+use lupinrack_cluster_api::frame::{Frame, Interest, Role};
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::{View, Voter};
-use lupinrack_cluster_api::wire::{Frame, Interest, Role};
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
-use lupinrack_cluster_node::front_news::FrontNews;
-use lupinrack_cluster_node::home::HOME_SILENT_MS;
-use lupinrack_cluster_node::known_configuration::ConfigurationUpdate;
+use lupinrack_cluster_node::front::configuration_feed::FrontNews;
+use lupinrack_cluster_node::front::home_front::HOME_SILENT_MS;
+use lupinrack_cluster_node::front::known_configuration::ConfigurationUpdate;
 use quickcheck::{QuickCheck, TestResult};
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
--- a/crates/cluster-simulation/src/front.rs
+++ b/crates/cluster-simulation/src/machine/front.rs
@@ -1,35 +1,40 @@
 //! A front, without its sockets: the machine of the real one, and what its driver decides by the clock.
 
-use crate::plan::GRACE_MS;
+use crate::faults::schedule::GRACE_MS;
 use lupinrack_cluster_api::error::ErrorKind;
+use lupinrack_cluster_api::frame::Frame;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::request::{Reply, Request, Target};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
-use lupinrack_cluster_api::wire::Frame;
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
-use lupinrack_cluster_node::control_api::ControlCall;
-use lupinrack_cluster_node::front_machine::{
+use lupinrack_cluster_node::control_api::HeadCall;
+use lupinrack_cluster_node::front::known_configuration::negative_answer_validity_ms;
+use lupinrack_cluster_node::front::machine::{
     FrontEffect, FrontMachine, END_PERCENT, READY_MS, SERVE_ON_PERCENT,
 };
-use lupinrack_cluster_node::known_configuration::trusted_ms;
 
 /// How soon a change is in force at every machine in touch, in milliseconds, as the settings of a deployment say.
 const CONFIGURATION_APPLY_MS: u64 = 2_000;
 
 /// The process of a front.
 #[derive(Debug)]
-pub struct Front {
+pub struct FrontProcess {
     machine: FrontMachine,
     /// The fronts that are held for alive, whether they are or not.
     table: LiveTable,
     ending_since: Option<Millis>,
 }
 
-impl Front {
+impl FrontProcess {
     /// One that begins now, with this table for as long as it lives.
-    pub fn new(own: LiveMember, table: LiveTable, seeds: Vec<PeerAddress>, now: Millis) -> Front {
-        Front {
+    pub fn new(
+        own: LiveMember,
+        table: LiveTable,
+        seeds: Vec<PeerAddress>,
+        now: Millis,
+    ) -> FrontProcess {
+        FrontProcess {
             machine: FrontMachine::new(own, seeds, now),
             table,
             ending_since: None,
@@ -83,12 +88,16 @@
     }
 
     /// A client's call; answered at once where the queue is known not to exist.
-    pub fn on_call(&mut self, call: ControlCall, now: Millis) -> Vec<FrontEffect> {
-        let trusted_ms = trusted_ms(CONFIGURATION_APPLY_MS);
-        let lacks_queue = |target| self.machine.known().lacks_queue(target, trusted_ms, now);
+    pub fn on_call(&mut self, call: HeadCall, now: Millis) -> Vec<FrontEffect> {
+        let negative_answer_validity_ms = negative_answer_validity_ms(CONFIGURATION_APPLY_MS);
+        let lacks_queue = |target| {
+            self.machine
+                .known()
+                .lacks_queue(target, negative_answer_validity_ms, now)
+        };
         if target_of(&call.request).is_some_and(lacks_queue) {
             // A client that has gone needs no answer.
-            let _ = call.answerer.send(Reply::Error(ErrorKind::UnknownQueue));
+            let _ = call.reply_to.send(Reply::Error(ErrorKind::UnknownQueue));
             return Vec::new();
         }
         self.machine.on_call(call, now)
