--- a/crates/golden-files/src/golden_file.rs
+++ b/crates/golden-files/src/golden_file.rs
@@ -118,11 +118,13 @@
     ///
     /// If an example differs, or the file has one that was not built, lacks one that was, or has them in another order.
     pub fn check(self) -> KeptExamples {
-        let text: String = self
-            .built
-            .iter()
-            .map(|example| format!("{}{SEPARATOR}{}\n", example.name, example.encoding))
-            .collect();
+        let mut text = String::new();
+        for example in &self.built {
+            text.push_str(&example.name);
+            text.push_str(SEPARATOR);
+            text.push_str(&example.encoding);
+            text.push('\n');
+        }
         KeptExamples::parse(&check_text(&self.path, &text))
     }
 }
