--- a/crates/request-engine/src/lib.rs
+++ b/crates/request-engine/src/lib.rs
@@ -4,13 +4,13 @@
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
 
 mod clock;
-mod nodes;
-mod permit;
-mod places;
+mod extent_router;
+mod node_table;
+mod send_permit;
 
 pub use clock::Clock;
-pub use nodes::{Listing, Target};
-pub use permit::SendPermit;
+pub use node_table::{Listing, Target};
+pub use send_permit::SendPermit;
 
 use lupinrack_extent_map::{self as extents, Version};
 use lupinrack_policy::*;
@@ -391,8 +391,8 @@
     settings.plans.iter().map(|p| p.limit.is_some()).collect()
 }
 
-use nodes::Nodes;
-use places::Places;
+use extent_router::Places;
+use node_table::Nodes;
 
 impl Core {
     /// A core, the handle for its fronts, and the queue of nodes to probe.
