--- a/crates/cluster-api/src/agent.rs
+++ b/crates/cluster-api/src/agent.rs
@@ -27,7 +27,8 @@
     /// Ends that the owner has not acknowledged yet.
     pub finished: Vec<FinishedTask>,
     /// The highest [`OwnerMessage::number`] whose starts and stops had all been in answers that the
-    /// server received or dropped before it sent this heartbeat.
+    /// server received or dropped before it sent this heartbeat. A dropped answer counts, since it
+    /// cannot start or stop anything any more.
     pub orders_seen: u64,
 }
 
--- a/crates/cluster-api/src/chain.rs
+++ b/crates/cluster-api/src/chain.rs
@@ -1,5 +1,5 @@
 //! Messages of chain replication (van Renesse and Schneider, "Chain replication for supporting high
-//! throughput and availability", OSDI 2004), and what a replica says of itself.
+//! throughput and availability", OSDI 2004), and what a replica reports of itself.
 //!
 //! The crate `chain` owns the state machine that sends and receives these messages.
 
--- a/crates/cluster-api/tests/golden.rs
+++ b/crates/cluster-api/tests/golden.rs
@@ -143,6 +143,11 @@
     }
     file.finish();
     assert_eq!(ERROR_KINDS.map(|(_, kind)| kind), ErrorKind::ALL);
+    let unused_tag = [ErrorKind::ALL.len() as u8];
+    assert!(
+        borsh::from_slice::<ErrorKind>(&unused_tag).is_err(),
+        "a kind is missing in the list of all"
+    );
 }
 
 #[test]
--- a/crates/control-state/src/agent_bindings.rs
+++ b/crates/control-state/src/agent_bindings.rs
@@ -10,7 +10,7 @@
 
 /// The most bindings that are remembered. Beyond it the oldest are forgotten; the ends of runs on
 /// those servers are then inferred later, when their leases have expired.
-pub const BINDINGS_MOST: usize = 20_000;
+pub const MAX_BINDINGS: usize = 20_000;
 
 /// The agent of an incarnation of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
@@ -97,7 +97,7 @@
         self.by_server.retain(|server, binding| {
             newest.get(&binding.agent) == Some(&binding.order) || in_use.contains(server)
         });
-        while self.by_server.len() >= BINDINGS_MOST {
+        while self.by_server.len() >= MAX_BINDINGS {
             let oldest = self
                 .iter()
                 .min_by_key(|(_, binding)| binding.order)
--- a/crates/control-state/src/configuration/accepted_changes.rs
+++ b/crates/control-state/src/configuration/accepted_changes.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 /// The most changes that are remembered.
-pub const ACCEPTED_CHANGES_MOST: usize = 2048;
+pub const MAX_ACCEPTED_CHANGES: usize = 2048;
 
 /// Bytes of a digest, the default output length of BLAKE3.
 pub const DIGEST_BYTES: usize = blake3::OUT_LEN;
@@ -89,7 +89,7 @@
     /// Records that a change on the version `base` was accepted.
     pub(crate) fn record(&mut self, base: u64, digest: ChangeDigest) {
         self.by_base.insert(base, digest);
-        while self.by_base.len() > ACCEPTED_CHANGES_MOST {
+        while self.by_base.len() > MAX_ACCEPTED_CHANGES {
             self.forget_oldest();
         }
     }
--- a/crates/control-state/src/configuration/mod.rs
+++ b/crates/control-state/src/configuration/mod.rs
@@ -14,7 +14,7 @@
 mod patch;
 mod state;
 
-pub use accepted_changes::{AcceptedChanges, ChangeDigest, ACCEPTED_CHANGES_MOST, DIGEST_BYTES};
+pub use accepted_changes::{AcceptedChanges, ChangeDigest, DIGEST_BYTES, MAX_ACCEPTED_CHANGES};
 pub use body::{apply_body, check_body, check_configuration};
 pub use document::ConfigurationDocument;
 pub use document_item::DocumentItem;
--- a/crates/control-state/src/jobs/ends.rs
+++ b/crates/control-state/src/jobs/ends.rs
@@ -58,7 +58,7 @@
         match end.end {
             RunEnd::Done if !is_long_running => {
                 let succeeded = set_done(members, end.attempt);
-                self.close_tasks(end.task.occurrence, succeeded)
+                self.count_succeeded(end.task.occurrence, succeeded)
             }
             RunEnd::Failed => {
                 let failures = count_failure(members, end.attempt);
@@ -76,7 +76,7 @@
 
     /// Counts tasks of an occurrence that have succeeded, and the occurrence where it was the last
     /// of them.
-    fn close_tasks(&mut self, occurrence: u32, succeeded: u32) -> Option<JobState> {
+    fn count_succeeded(&mut self, occurrence: u32, succeeded: u32) -> Option<JobState> {
         let occurrence = self.occurrences.get_mut(&occurrence)?;
         occurrence.close_tasks(succeeded);
         if !occurrence.is_done() {
@@ -87,7 +87,8 @@
     }
 }
 
-/// Sets the members of a run to done, and returns how many were not before.
+/// Sets the members of a run to done, and returns how many were not before. Members that were
+/// started again since, under another number, are not of the run.
 fn set_done(members: &mut [TaskRecord], attempt: Attempt) -> u32 {
     let mut newly_done = 0;
     for task in members
@@ -101,6 +102,7 @@
 }
 
 /// Counts the failure of a run for each of its members, and returns the highest number of failures.
+/// The record of a member that was started again since ignores it.
 fn count_failure(members: &mut [TaskRecord], attempt: Attempt) -> u32 {
     for task in members.iter_mut() {
         task.count_failure(attempt);
--- a/crates/control-state/src/jobs/mod.rs
+++ b/crates/control-state/src/jobs/mod.rs
@@ -9,5 +9,5 @@
 
 pub use occurrence::Occurrence;
 pub use record::JobRecord;
-pub use table::{JobTable, TASKS_PER_OCCURRENCE_MOST};
+pub use table::{JobTable, MAX_TASKS_PER_OCCURRENCE};
 pub use task::{TaskRecord, TaskStatus};
--- a/crates/control-state/src/jobs/table.rs
+++ b/crates/control-state/src/jobs/table.rs
@@ -13,7 +13,7 @@
 
 /// The most tasks that one occurrence of a job may have; all of them are recorded at its first
 /// start.
-pub const TASKS_PER_OCCURRENCE_MOST: u64 = 100_000;
+pub const MAX_TASKS_PER_OCCURRENCE: u64 = 100_000;
 
 /// All jobs that are not forgotten.
 ///
@@ -93,7 +93,7 @@
             return OperationResult::Job(known.state);
         }
         let tasks = tasks_per_occurrence(spec);
-        if tasks > TASKS_PER_OCCURRENCE_MOST {
+        if tasks > MAX_TASKS_PER_OCCURRENCE {
             return OperationResult::Refused(ErrorKind::TooLarge);
         }
         let record = JobRecord::new(route, spec, at);
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -21,15 +21,13 @@
 mod snapshot;
 mod state;
 
-pub use agent_bindings::{AgentBinding, AgentBindings, BINDINGS_MOST};
+pub use agent_bindings::{AgentBinding, AgentBindings, MAX_BINDINGS};
 pub use configuration::{
     apply_body, check_body, check_configuration, AcceptedChanges, ChangeDigest,
     ConfigurationDocument, ConfigurationState, DocumentItem, InvalidConfiguration, InvalidReason,
-    ACCEPTED_CHANGES_MOST, DIGEST_BYTES,
-};
-pub use jobs::{
-    JobRecord, JobTable, Occurrence, TaskRecord, TaskStatus, TASKS_PER_OCCURRENCE_MOST,
+    DIGEST_BYTES, MAX_ACCEPTED_CHANGES,
 };
+pub use jobs::{JobRecord, JobTable, Occurrence, TaskRecord, TaskStatus, MAX_TASKS_PER_OCCURRENCE};
 pub use shards::{Shard, ShardTable};
 pub use snapshot::SnapshotError;
 pub use state::ControlState;
--- a/crates/control-state/src/state.rs
+++ b/crates/control-state/src/state.rs
@@ -7,9 +7,7 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use lupinrack_cluster_api::configuration::Configuration;
 use lupinrack_cluster_api::error::ErrorKind;
-use lupinrack_cluster_api::identity::{
-    FencingToken, JobId, PeerAddress, QueueName, ServerId, ServiceName,
-};
+use lupinrack_cluster_api::identity::{FencingToken, JobId, QueueName, ServiceName};
 use lupinrack_cluster_api::operation::{Operation, OperationResult};
 
 /// The replicated state. Its `borsh` form is the snapshot: the parts follow one another in the
@@ -64,7 +62,11 @@
                 token,
                 server,
                 agent,
-            } => self.unless_fenced(service, *token, |state| state.record_server(server, *agent)),
+            } => self.unless_fenced(service, *token, |state| {
+                let servers_in_use = || state.jobs.servers_in_use();
+                state.bindings.bind(server, *agent, servers_in_use);
+                OperationResult::Done
+            }),
             Operation::ForgetJobs { ended_before } => {
                 self.jobs.forget_ended_before(*ended_before);
                 OperationResult::Done
@@ -136,10 +138,4 @@
         }
         apply(self)
     }
-
-    fn record_server(&mut self, server: &ServerId, agent: PeerAddress) -> OperationResult {
-        self.bindings
-            .bind(server, agent, || self.jobs.servers_in_use());
-        OperationResult::Done
-    }
 }
--- a/crates/control-state/tests/accepted_changes.rs
+++ b/crates/control-state/tests/accepted_changes.rs
@@ -8,7 +8,7 @@
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::operation::{Operation, OperationResult};
 use lupinrack_control_state::{
-    check_configuration, AcceptedChanges, ControlState, ACCEPTED_CHANGES_MOST, DIGEST_BYTES,
+    check_configuration, AcceptedChanges, ControlState, DIGEST_BYTES, MAX_ACCEPTED_CHANGES,
 };
 use state_parts::StateParts;
 
@@ -102,7 +102,7 @@
 
 #[test]
 fn a_retry_after_more_changes_than_are_remembered_is_left_in_doubt() {
-    let remembered = ACCEPTED_CHANGES_MOST as u64;
+    let remembered = MAX_ACCEPTED_CHANGES as u64;
     let mut state = after_changes(remembered + 5);
     assert_eq!(state.configuration().version, 2 * (remembered + 5));
     let forgotten: Vec<u64> = (1..=4).map(|change| 2 * change).collect();
@@ -136,7 +136,7 @@
 
 #[test]
 fn the_first_order_is_remembered_for_ever() {
-    let mut state = after_changes(ACCEPTED_CHANGES_MOST as u64 + 50);
+    let mut state = after_changes(MAX_ACCEPTED_CHANGES as u64 + 50);
     assert_eq!(state.apply(&put(0, two_queues(2))), OperationResult::Done);
     assert_eq!(
         state.apply(&put(0, two_queues(3))),
@@ -147,15 +147,15 @@
 
 #[test]
 fn the_record_is_bounded() {
-    let mut state = after_changes(ACCEPTED_CHANGES_MOST as u64 + 50);
+    let mut state = after_changes(MAX_ACCEPTED_CHANGES as u64 + 50);
     assert_eq!(
         state.configuration_state().accepted_changes().len(),
-        ACCEPTED_CHANGES_MOST
+        MAX_ACCEPTED_CHANGES
     );
     state.apply(&step(2, 4));
     assert_eq!(
         state.configuration_state().accepted_changes().len(),
-        ACCEPTED_CHANGES_MOST
+        MAX_ACCEPTED_CHANGES
     );
 }
 
@@ -167,7 +167,7 @@
 
 #[test]
 fn the_record_lasts_over_a_snapshot() {
-    let remembered = ACCEPTED_CHANGES_MOST as u64;
+    let remembered = MAX_ACCEPTED_CHANGES as u64;
     for count in [1, 7, remembered + 5] {
         let mut state = over_a_snapshot(&after_changes(count));
         assert_eq!(state.apply(&put(0, two_queues(2))), OperationResult::Done);
--- a/crates/control-state/tests/changes.rs
+++ b/crates/control-state/tests/changes.rs
@@ -5,7 +5,7 @@
 use common::{patch, put, route, two_queues};
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::operation::OperationResult;
-use lupinrack_control_state::{ControlState, ACCEPTED_CHANGES_MOST};
+use lupinrack_control_state::{ControlState, MAX_ACCEPTED_CHANGES};
 
 const CONFLICT: OperationResult = OperationResult::Refused(ErrorKind::VersionConflict);
 const INVALID: OperationResult = OperationResult::Refused(ErrorKind::InvalidConfiguration);
@@ -121,19 +121,19 @@
     let mut state = ControlState::default();
     state.apply(&put(0, two_queues(1)));
     let change = |version: u64| patch(version, format!(r#"{{"version":{}}}"#, version + 1));
-    let last = ACCEPTED_CHANGES_MOST as u64;
+    let last = MAX_ACCEPTED_CHANGES as u64;
     for version in 1..last {
         assert_eq!(state.apply(&change(version)), OperationResult::Done);
     }
     assert_eq!(
         state.configuration_state().accepted_changes().len(),
-        ACCEPTED_CHANGES_MOST
+        MAX_ACCEPTED_CHANGES
     );
     assert_eq!(state.apply(&put(0, two_queues(1))), OperationResult::Done);
     assert_eq!(state.apply(&change(last)), OperationResult::Done);
     assert_eq!(
         state.configuration_state().accepted_changes().len(),
-        ACCEPTED_CHANGES_MOST
+        MAX_ACCEPTED_CHANGES
     );
     assert_eq!(state.apply(&put(0, two_queues(1))), OperationResult::Done);
     assert_eq!(
--- a/crates/control-state/tests/jobs.rs
+++ b/crates/control-state/tests/jobs.rs
@@ -9,7 +9,7 @@
 use lupinrack_cluster_api::operation::{Operation, OperationResult};
 use lupinrack_cluster_api::server::RunEnd;
 use lupinrack_cluster_api::time::WallMillis;
-use lupinrack_control_state::{ControlState, TASKS_PER_OCCURRENCE_MOST};
+use lupinrack_control_state::{ControlState, MAX_TASKS_PER_OCCURRENCE};
 
 fn pending(state: &ControlState, queue: &str) -> u64 {
     state.pending(&QueueName(queue.into()))
@@ -100,7 +100,7 @@
     let too_large = OperationResult::Refused(ErrorKind::TooLarge);
     let steps = vec![step(u32::MAX), step(u32::MAX)];
     assert_eq!(state.apply(&accept(JOB, "a", spec(steps))), too_large);
-    let most = TASKS_PER_OCCURRENCE_MOST as u32;
+    let most = MAX_TASKS_PER_OCCURRENCE as u32;
     assert_eq!(
         state.apply(&accept(JOB, "a", spec(vec![step(most), step(1)]))),
         too_large
