--- a/crates/chain/src/catch_up.rs
+++ b/crates/chain/src/catch_up.rs
@@ -39,23 +39,23 @@
             .is_none_or(|join| now.since(join.at) >= JOIN_MS)
     }
 
-    /// Notes that the source was told that everything up to `synced` is synced.
+    /// Notes a `Join` which said that everything up to `synced` is synced.
     pub(crate) fn joined(&mut self, synced: u64, now: Millis) {
         self.last_join = Some(LastJoin { at: now, synced });
     }
 
-    /// Notes that the source was told that this spare is at work, though nothing is synced yet.
+    /// Notes a message which said that this spare is at work, though nothing more is synced yet.
     pub(crate) fn postpone_join(&mut self, now: Millis) {
         let synced = self.synced_at_last_join();
         self.last_join = Some(LastJoin { at: now, synced });
     }
 
-    /// Whether the source was told anything in this view.
+    /// Whether a `Join` was sent in this view.
     pub(crate) fn has_joined(&self) -> bool {
         self.last_join.is_some()
     }
 
-    /// What was synced when the source was last told; 0 if it was not told.
+    /// What was synced at the last `Join`; 0 if there was none.
     pub(crate) fn synced_at_last_join(&self) -> u64 {
         self.last_join.map_or(0, |join| join.synced)
     }
--- a/crates/chain/src/commit.rs
+++ b/crates/chain/src/commit.rs
@@ -73,9 +73,9 @@
     /// Starts the recovery barrier once all members have what this head had when the view began.
     fn start_recovery_barrier(&mut self, now: Millis) {
         let successor = self.downstream.successor();
-        let has_heard = successor.is_none_or(|successor| successor.acknowledged().is_some());
+        let has_responded = successor.is_none_or(|successor| successor.acknowledged().is_some());
         let is_started = self.barriers.has_recovery_barrier();
-        if !is_started && has_heard && self.replicated() >= self.leadership.base {
+        if !is_started && has_responded && self.replicated() >= self.leadership.base {
             self.barriers.start_recovery();
             self.feed_successor(now);
         }
--- a/crates/chain/tests/golden.rs
+++ b/crates/chain/tests/golden.rs
@@ -26,7 +26,7 @@
 const SNAPSHOT_INDEX: u64 = 0x0708;
 
 #[test]
-fn the_standing_on_the_disk() {
+fn the_status_on_the_disk() {
     let name = |replica_status| match replica_status {
         ReplicaStatus::Complete => "complete",
         ReplicaStatus::Joining => "joining",
@@ -52,7 +52,7 @@
 
 /// The message up to the piece's bytes, whose own part is kept as their number and their checksum.
 #[test]
-fn the_pieces_of_a_snapshot() {
+fn the_chunks_of_a_snapshot() {
     let mut text = String::new();
     for length in [
         0,
--- a/crates/chain/tests/joining.rs
+++ b/crates/chain/tests/joining.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_spare_whose_feeder_is_silent_turns_to_the_member_before_it_and_round() {
+fn a_spare_whose_source_times_out_turns_to_the_member_before_it_and_around() {
     let kept = stored(vec![], view(1, &[1, 2, 3]), ReplicaStatus::Joining);
     let mut spare = Chain::new(DiskId(4), 2, kept);
     spare.adopt_view(view(2, &[1, 2, 3]), START);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_spare_keeps_to_a_feeder_that_answers() {
+fn a_spare_keeps_to_a_source_that_answers() {
     let kept = stored(vec![], view(1, &[1, 2]), ReplicaStatus::Joining);
     let mut spare = Chain::new(DiskId(3), 2, kept);
     spare.adopt_view(view(2, &[1, 2]), START);
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_spare_that_is_far_behind_gets_a_snapshot_in_pieces() {
+fn a_spare_that_is_far_behind_gets_a_snapshot_in_chunks() {
     let mut cluster = Cluster::new(2, 1);
     cluster.adopt(view(1, &[1]));
     cluster.stalled = vec![DiskId(2)];
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn pieces_have_their_size_and_a_missing_one_spoils_the_snapshot() {
+fn chunks_have_their_size_and_a_missing_one_spoils_the_snapshot() {
     let mut tail = Chain::new(
         DiskId(1),
         1,
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn the_recovery_barrier_is_acknowledged_once_the_standing_is_durable() {
+fn the_recovery_barrier_is_acknowledged_once_the_status_is_durable() {
     let kept = stored(vec![], view(1, &[1]), ReplicaStatus::Joining);
     let mut tail = Chain::new(DiskId(2), 1, kept);
     tail.adopt_view(view(2, &[1, 2]), START);
--- a/crates/chain/tests/simulation.rs
+++ b/crates/chain/tests/simulation.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_standing_that_is_not_kept_is_caught() {
+fn a_status_that_is_not_kept_is_caught() {
     assert!(is_caught(PlantedFault::AlwaysComplete));
 }
 
--- a/crates/chain/tests/snapshot_chunks.rs
+++ b/crates/chain/tests/snapshot_chunks.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn pieces_of_two_snapshots_are_never_put_together() {
+fn chunks_of_two_snapshots_are_never_put_together() {
     // The same index and number of pieces, other bytes.
     let (one, other) = (pieces_of(1, 5, 1), pieces_of(1, 5, 2));
     let mixed = [&one[..2], &other[2..]].concat();
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn pieces_of_another_view_are_not_taken() {
+fn chunks_of_another_view_are_not_taken() {
     let old = pieces_of(1, 5, 1);
     let mut spare = spare(1);
     assert_eq!(snapshot_installed(&mut spare, &old[..3]), []);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn pieces_of_another_sender_are_not_taken() {
+fn chunks_of_another_sender_are_not_taken() {
     let chunks = pieces_of(1, 5, 1);
     let mut spare = spare(1);
     for chunk in &chunks {
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_repeated_piece_and_a_late_one_cost_nothing() {
+fn a_repeated_chunk_and_a_late_one_cost_nothing() {
     let (old, new) = (pieces_of(1, 5, 1), pieces_of(1, 6, 2));
     let order = [
         &new[0], &new[0], &new[1], &old[0], &old[1], &new[1], &new[2], &old[0], &new[3],
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn spoilt_pieces_are_not_taken() {
+fn spoilt_chunks_are_not_taken() {
     let chunks = pieces_of(1, 5, 1);
     let right = identity(&chunks[0]);
     let chunk = |snapshot, chunk, length| ChainMessage::Snapshot {
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn a_sender_has_no_more_pieces_on_their_way_than_its_window() {
+fn a_sender_has_no_more_chunks_on_their_way_than_its_window() {
     let (mut tail, first) = sending_tail();
     assert_eq!(numbers(&first), [0, 1]);
     assert_eq!(sent(&tail.tick(START.plus(25))), []);
--- a/crates/view-agreement/tests/agreement.rs
+++ b/crates/view-agreement/tests/agreement.rs
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn lower_ballots_are_rejected() {
+fn lower_proposals_are_rejected() {
     let mut acceptor = knowing(0, view(1, &[0, 1, 2], &[0, 1]));
     prepare(&mut acceptor, 5);
     let rejected = AgreementMessage::Rejected {
@@ -474,7 +474,7 @@
 }
 
 #[test]
-fn silence_leads_to_the_same_message_and_then_to_a_higher_ballot() {
+fn a_timeout_leads_to_the_same_message_and_then_to_a_higher_proposal() {
     let mut proposer = knowing(0, view(1, &[0, 1, 2], &[0, 1]));
     let running = propose(&mut proposer, view(2, &[0, 1, 2], &[1]));
     promise(&mut proposer, 2, running, None);
@@ -490,7 +490,7 @@
 }
 
 #[test]
-fn a_rejection_leads_above_the_ballot_that_was_promised() {
+fn a_rejection_leads_above_the_proposal_that_was_promised() {
     let mut proposer = knowing(0, view(1, &[0, 1, 2], &[0, 1]));
     let running = propose(&mut proposer, view(2, &[0, 1, 2], &[1]));
     let rejection = AgreementMessage::Rejected {
--- a/crates/view-agreement/tests/model/agreement.rs
+++ b/crates/view-agreement/tests/model/agreement.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_second_ballot_agrees_on_what_the_first_may_have_chosen() {
+fn a_second_proposal_agrees_on_what_the_first_may_have_chosen() {
     explore(three(&[1, 2], 0), Some(11), &[]).assert_properties();
 }
 
--- a/crates/view-agreement/tests/model/replacement.rs
+++ b/crates/view-agreement/tests/model/replacement.rs
@@ -49,12 +49,12 @@
 }
 
 #[test]
-fn of_three_voters_one_is_replaced_through_two_losses_and_a_leaving_member() {
+fn of_three_voters_one_is_replaced_through_two_losses_and_a_draining_member() {
     explore(three(&[1, 1]), None, &[]).assert_properties();
 }
 
 #[test]
-fn of_four_voters_one_is_replaced_through_two_losses_and_a_leaving_member() {
+fn of_four_voters_one_is_replaced_through_two_losses_and_a_draining_member() {
     explore(four(&[1, 1]), None, &[]).assert_properties();
 }
 
@@ -88,6 +88,6 @@
 }
 
 #[test]
-fn of_three_voters_one_is_replaced_by_a_second_ballot() {
+fn of_three_voters_one_is_replaced_by_a_second_proposal() {
     explore(three(&[2, 1]), None, &[]).assert_properties();
 }
--- a/crates/view-agreement/tests/policy/draining.rs
+++ b/crates/view-agreement/tests/policy/draining.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_leaving_member_is_out_of_the_chain_at_once_where_enough_remain() {
+fn a_draining_member_is_out_of_the_chain_at_once_where_enough_remain() {
     for count in [5, 7, 9] {
         let mut watch = calm(0, count);
         watch.heartbeat(1).draining = true;
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_spare_joins_in_the_view_in_which_a_leaving_member_leaves() {
+fn a_spare_joins_in_the_view_in_which_a_draining_member_leaves() {
     for count in [3, 5, 7, 9] {
         let mut watch = calm(0, count);
         watch.heartbeat(count - 1).replica.caught_up = true;
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_leaving_head_leaves_the_proposal_to_the_next_member() {
+fn a_draining_head_leaves_the_proposal_to_the_next_member() {
     let mut head = calm(0, 5);
     head.heartbeat(0).draining = true;
     assert_eq!(head.pass(LONG_MS), None);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_leaving_member_stays_while_too_few_would_remain() {
+fn a_draining_member_stays_while_too_few_would_remain() {
     let mut three = calm(0, 3);
     three.heartbeat(1).draining = true;
     assert_eq!(three.pass(LONG_MS), None);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_leaving_voter_keeps_its_vote_where_no_newcomer_is_there() {
+fn a_draining_voter_keeps_its_vote_where_no_new_disk_is_there() {
     for count in [3, 5, 7, 9] {
         let mut watch = calm(0, count);
         watch.heartbeat(count - 1).draining = true;
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_newcomer_takes_the_vote_of_a_leaving_voter_that_still_lives() {
+fn a_new_disk_takes_the_vote_of_a_draining_voter_that_still_lives() {
     for count in [3, 5, 7, 9] {
         let mut watch = calm(0, count);
         watch.lose(&[count - 1]);
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_leaving_voter_that_has_ended_is_replaced_by_the_next_newcomer_at_once() {
+fn a_draining_voter_that_has_ended_is_replaced_by_the_next_new_disk_at_once() {
     let mut watch = calm(0, 5);
     watch.heartbeat(4).draining = true;
     watch.pass(500);
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn of_an_even_number_a_leaving_voter_is_removed_before_it_ends() {
+fn of_an_even_number_a_draining_voter_is_removed_before_it_ends() {
     for count in [4, 6, 8, 10] {
         let mut watch = calm(0, count);
         watch.heartbeat(1).draining = true;
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_lost_voter_goes_before_one_that_is_leaving() {
+fn a_lost_voter_goes_before_one_that_is_draining() {
     for count in [5, 7, 9] {
         let mut watch = calm(0, count);
         watch.lose(&[count - 1]);
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_leaving_process_neither_enters_nor_joins() {
+fn a_draining_process_neither_enters_nor_joins() {
     let mut watch = calm(0, 3);
     watch.add(3);
     watch.heartbeat(3).draining = true;
--- a/crates/view-agreement/tests/policy/replacement.rs
+++ b/crates/view-agreement/tests/policy/replacement.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn one_view_takes_a_newcomer_in_and_a_lost_voter_out() {
+fn one_view_takes_a_new_disk_in_and_a_lost_voter_out() {
     for count in SIZES {
         let lost = count - 1;
         let mut watch = calm(count);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn without_a_newcomer_a_lost_voter_keeps_its_place() {
+fn without_a_new_disk_a_lost_voter_keeps_its_place() {
     for count in SIZES {
         let mut watch = calm(count);
         watch.lose(&[count - 1]);
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_newcomer_of_the_lost_voters_zone_goes_first() {
+fn a_new_disk_of_the_lost_voters_zone_goes_first() {
     let mut watch = calm(5);
     watch.lose(&[4]);
     watch.add(5);
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_newcomer_that_is_wiped_while_it_catches_up_enters_under_its_new_disk() {
+fn a_replacement_that_is_wiped_while_it_catches_up_enters_under_its_new_disk() {
     for count in SIZES {
         let mut watch = calm(count);
         watch.lose(&[count - 1]);
