--- a/crates/chain/tests/support/mod.rs
+++ b/crates/chain/tests/support/mod.rs
@@ -2,10 +2,10 @@
 
 pub mod checker;
 pub mod disk;
+mod faults;
 pub mod network;
 pub mod node;
 pub mod policy;
-mod trouble;
 pub mod world;
 
 use lupinrack_cluster_api::operation::Operation;
