--- a/crates/chain/tests/catching_up.rs
+++ b/crates/chain/tests/catching_up.rs
@@ -151,7 +151,7 @@
 
 #[test]
 fn repetitions_do_not_pile_up_on_a_very_slow_link() {
-    // One piece takes 2.6 s, and the whole state 10 s.
+    // One chunk takes 2.6 s, and the whole state 10 s.
     let circumstances = Circumstances {
         link_bytes_per_s: 100_000,
         snapshot_every: 1,
@@ -192,7 +192,7 @@
 }
 
 /// What happens to a transfer.
-fn trouble(world: &mut World, choice: u8) {
+fn inject_fault(world: &mut World, choice: u8) {
     match choice % 16 {
         0 => world.reset(),
         1 => world.disconnect(),
@@ -220,7 +220,7 @@
         world.change_alone(100);
         world.compact();
         for choice in choices {
-            trouble(&mut world, choice);
+            inject_fault(&mut world, choice);
             world.step();
         }
         world.circumstances.change_every_ms = u64::MAX;
--- a/crates/chain/tests/golden.rs
+++ b/crates/chain/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Encoded forms that must stay as they are: the standing on the disk, snapshots and their checksum, and the messages of
+//! Encoded forms that must stay as they are: the status on the disk, snapshots and their checksum, and the messages of
 //! replicas.
 
 mod common;
@@ -50,7 +50,7 @@
     assert_file("checksum.hex", &lengths.map(line).concat());
 }
 
-/// The message up to the piece's bytes, whose own part is kept as their number and their checksum.
+/// The message up to the chunk's bytes, whose own part is kept as their number and their checksum.
 #[test]
 fn the_chunks_of_a_snapshot() {
     let mut text = String::new();
--- a/crates/chain/tests/snapshot_chunks.rs
+++ b/crates/chain/tests/snapshot_chunks.rs
@@ -14,8 +14,8 @@
 /// Pieces of the snapshots here.
 const PIECES: u32 = 4;
 
-/// A tail whose log begins after `index`, in this view, and the pieces of this state that it sends.
-fn pieces_of(view_number: u64, index: u64, fill: u8) -> Vec<ChainMessage> {
+/// A tail whose log begins after `index`, in this view, and the chunks of this state that it sends.
+fn chunks_of(view_number: u64, index: u64, fill: u8) -> Vec<ChainMessage> {
     let mut tail = Chain::new(
         TAIL,
         1,
@@ -38,7 +38,7 @@
     vec![fill; SNAPSHOT_CHUNK_BYTES * (PIECES as usize - 1) + 5]
 }
 
-/// The pieces among these effects.
+/// The chunks among these effects.
 fn sent(effects: &[Effect]) -> Vec<ChainMessage> {
     let is_piece = |message: &ChainMessage| matches!(message, ChainMessage::Snapshot { .. });
     messages(effects)
@@ -54,7 +54,7 @@
     spare
 }
 
-/// What the spare installs from these pieces.
+/// What the spare installs from these chunks.
 fn snapshot_installed(spare: &mut Chain, chunks: &[ChainMessage]) -> Vec<Effect> {
     let effects: Vec<Effect> = chunks
         .iter()
@@ -69,25 +69,25 @@
 fn identity(chunk: &ChainMessage) -> SnapshotIdentity {
     match chunk {
         ChainMessage::Snapshot { snapshot, .. } => *snapshot,
-        other => panic!("no piece: {other:?}"),
+        other => panic!("no chunk: {other:?}"),
     }
 }
 
 #[test]
 fn chunks_of_two_snapshots_are_never_put_together() {
-    // The same index and number of pieces, other bytes.
-    let (one, other) = (pieces_of(1, 5, 1), pieces_of(1, 5, 2));
+    // The same index and number of chunks, other bytes.
+    let (one, other) = (chunks_of(1, 5, 1), chunks_of(1, 5, 2));
     let mixed = [&one[..2], &other[2..]].concat();
     assert_eq!(snapshot_installed(&mut spare(1), &mixed), []);
     // Other indices.
-    let newer = pieces_of(1, 6, 1);
+    let newer = chunks_of(1, 6, 1);
     let mixed = [&one[..2], &newer[2..]].concat();
     assert_eq!(snapshot_installed(&mut spare(1), &mixed), []);
 }
 
 #[test]
 fn chunks_of_another_view_are_not_taken() {
-    let old = pieces_of(1, 5, 1);
+    let old = chunks_of(1, 5, 1);
     let mut spare = spare(1);
     assert_eq!(snapshot_installed(&mut spare, &old[..3]), []);
     spare.adopt_view(view(2, &[1]), START);
@@ -96,7 +96,7 @@
         [],
         "the rest of one that began in the old view"
     );
-    let new = pieces_of(2, 5, 1);
+    let new = chunks_of(2, 5, 1);
     assert_eq!(
         snapshot_installed(&mut spare, &new[1..]),
         [],
@@ -113,7 +113,7 @@
 
 #[test]
 fn chunks_of_another_sender_are_not_taken() {
-    let chunks = pieces_of(1, 5, 1);
+    let chunks = chunks_of(1, 5, 1);
     let mut spare = spare(1);
     for chunk in &chunks {
         assert_eq!(spare.receive(DiskId(3), chunk.clone(), START), []);
@@ -123,7 +123,7 @@
 
 #[test]
 fn a_repeated_chunk_and_a_late_one_cost_nothing() {
-    let (old, new) = (pieces_of(1, 5, 1), pieces_of(1, 6, 2));
+    let (old, new) = (chunks_of(1, 5, 1), chunks_of(1, 6, 2));
     let order = [
         &new[0], &new[0], &new[1], &old[0], &old[1], &new[1], &new[2], &old[0], &new[3],
     ];
@@ -139,7 +139,7 @@
 
 #[test]
 fn an_older_snapshot_is_taken_once_a_newer_one_comes_no_further() {
-    let (old, new) = (pieces_of(1, 5, 1), pieces_of(1, 6, 2));
+    let (old, new) = (chunks_of(1, 5, 1), chunks_of(1, 6, 2));
     let mut spare = spare(1);
     snapshot_installed(&mut spare, &new[..2]);
     assert_eq!(snapshot_installed(&mut spare, &old), []);
@@ -156,7 +156,7 @@
 
 #[test]
 fn spoilt_chunks_are_not_taken() {
-    let chunks = pieces_of(1, 5, 1);
+    let chunks = chunks_of(1, 5, 1);
     let right = identity(&chunks[0]);
     let chunk = |snapshot, chunk, length| ChainMessage::Snapshot {
         view: 1,
@@ -181,16 +181,16 @@
 
 #[test]
 fn a_snapshot_with_another_checksum_comes_again() {
-    let mut chunks = pieces_of(1, 5, 1);
+    let mut chunks = chunks_of(1, 5, 1);
     if let ChainMessage::Snapshot { bytes, .. } = &mut chunks[1] {
         bytes[9] ^= 1;
     }
     let mut spare = spare(1);
     assert_eq!(snapshot_installed(&mut spare, &chunks), []);
-    assert_eq!(snapshot_installed(&mut spare, &pieces_of(1, 5, 1)).len(), 1);
+    assert_eq!(snapshot_installed(&mut spare, &chunks_of(1, 5, 1)).len(), 1);
 }
 
-/// A tail that sends a snapshot of many pieces, with a narrow window, and the first of them.
+/// A tail that sends a snapshot of many chunks, with a narrow window, and the first of them.
 fn sending_tail() -> (Chain, Vec<ChainMessage>) {
     let limits = ByteLimits {
         window: 2 * SNAPSHOT_CHUNK_BYTES as u64,
@@ -271,7 +271,7 @@
     assert_eq!(
         numbers(&sent(&tail.tick(later))),
         [1],
-        "lost pieces come again, in a narrower window"
+        "lost chunks come again, in a narrower window"
     );
     assert_eq!(
         answer(&mut tail, snapshot, 0, later),
--- a/crates/chain/tests/support/faults.rs
+++ b/crates/chain/tests/support/faults.rs
@@ -28,7 +28,7 @@
     }
 
     /// Cuts one machine off from some others.
-    pub(super) fn cut(&mut self) {
+    pub(super) fn partition(&mut self) {
         let node = self.any_node();
         let until = self.now + self.random.u64(50..2500);
         let me = self.nodes[node].id;
@@ -40,8 +40,8 @@
             .collect();
         for other in others {
             if self.random.u8(..) < 180 {
-                self.network.cut(me, other, until, &mut self.random);
-                self.network.cut(other, me, until, &mut self.random);
+                self.network.partition(me, other, until, &mut self.random);
+                self.network.partition(other, me, until, &mut self.random);
             }
         }
     }
@@ -84,7 +84,7 @@
     /// Right after something was committed, or the first thing in a view: at times the worst that is to be borne.
     pub(super) fn consider_strike(&mut self, is_first_in_view: bool) {
         let odds = if is_first_in_view { 6 } else { 200 };
-        if !self.calm && self.random.u32(0..odds) == 0 {
+        if !self.is_calm && self.random.u32(0..odds) == 0 {
             self.wipe();
         }
     }
--- a/crates/chain/tests/support/mod.rs
+++ b/crates/chain/tests/support/mod.rs
@@ -43,7 +43,7 @@
     ViewNotStored,
     /// A view is written, but adopted before it is synced.
     ViewStoredLate,
-    /// The standing is stored as complete, whatever it is.
+    /// The status is stored as complete, whatever it is.
     AlwaysComplete,
     /// Views are proposed whose head was not complete in the view before.
     AnyHead,
--- a/crates/chain/tests/support/network.rs
+++ b/crates/chain/tests/support/network.rs
@@ -36,7 +36,7 @@
     links: BTreeMap<(DiskId, DiskId), Link>,
     /// Connections whose packets are lost.
     lost: BTreeSet<(DiskId, DiskId, u64)>,
-    pub calm: bool,
+    pub is_calm: bool,
 }
 
 impl Network {
@@ -50,7 +50,7 @@
         random: &mut fastrand::Rng,
     ) -> Vec<Arrival> {
         let link = self.links.entry((from, to)).or_default();
-        if link.cut_until > now && !self.calm {
+        if link.cut_until > now && !self.is_calm {
             return Vec::new();
         }
         let delay = if random.u8(..) < 8 {
@@ -96,7 +96,7 @@
     }
 
     /// Loses everything between two disks for a while.
-    pub fn cut(&mut self, from: DiskId, to: DiskId, until: u64, random: &mut fastrand::Rng) {
+    pub fn partition(&mut self, from: DiskId, to: DiskId, until: u64, random: &mut fastrand::Rng) {
         self.reconnect(from, to, random);
         self.links.entry((from, to)).or_default().cut_until = until;
     }
--- a/crates/chain/tests/support/node.rs
+++ b/crates/chain/tests/support/node.rs
@@ -10,7 +10,7 @@
 use lupinrack_cluster_api::view::View;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Bytes of a snapshot, so that it takes more than one piece.
+/// Bytes of a snapshot, so that it takes more than one chunk.
 const SNAPSHOT_BYTES: usize = 700 * 1024;
 
 /// A message to be sent.
--- a/crates/chain/tests/support/world.rs
+++ b/crates/chain/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! The history of one seed: load, trouble and views, then calm.
+//! The history of one seed: load, faults and views, then calm.
 
 use super::checker::{Checker, Violation};
 use super::network::{Network, Packet};
@@ -75,7 +75,7 @@
     pub(super) minimum_length: usize,
     pub(super) next_disk: u64,
     pub(super) next_operation: u64,
-    pub(super) calm: bool,
+    pub(super) is_calm: bool,
     pub(super) proposed_at: u64,
     pub(super) summary: Summary,
 }
@@ -110,7 +110,7 @@
             minimum_length,
             next_disk: count as u64 + 1,
             next_operation: 1,
-            calm: false,
+            is_calm: false,
             proposed_at: 0,
             summary: Summary::default(),
         };
@@ -340,15 +340,15 @@
             0..400 => self.submit(),
             400..600 => self.start_barriers(),
             600..680 => self.compact(),
-            680..760 if !self.calm => self.reconnect(),
-            760..785 if !self.calm => self.cut(),
-            785..800 if !self.calm => self.slow_disk(),
-            800..815 if !self.calm => self.crash_one(),
-            815..830 if !self.calm => self.crash_head(),
-            830..834 if !self.calm => self.crash_all(),
-            834..842 if !self.calm => self.wipe(),
-            842..900 if !self.calm => self.propose_any(),
-            900..1000 if self.calm => self.propose_in_calm(),
+            680..760 if !self.is_calm => self.reconnect(),
+            760..785 if !self.is_calm => self.partition(),
+            785..800 if !self.is_calm => self.slow_disk(),
+            800..815 if !self.is_calm => self.crash_one(),
+            815..830 if !self.is_calm => self.crash_head(),
+            830..834 if !self.is_calm => self.crash_all(),
+            834..842 if !self.is_calm => self.wipe(),
+            842..900 if !self.is_calm => self.propose_any(),
+            900..1000 if self.is_calm => self.propose_in_calm(),
             _ => {}
         }
     }
@@ -375,8 +375,8 @@
 
     /// Everything works from now on.
     fn become_calm(&mut self) {
-        self.calm = true;
-        self.network.calm = true;
+        self.is_calm = true;
+        self.network.is_calm = true;
         for node in 0..self.nodes.len() {
             self.nodes[node].disk_slow_until = 0;
             if self.nodes[node].chain.is_none() {
--- a/crates/view-agreement/tests/agreement.rs
+++ b/crates/view-agreement/tests/agreement.rs
@@ -10,8 +10,8 @@
 use lupinrack_view_agreement::{Agreement, Effect, VoteState};
 
 const START: Millis = Millis(1000);
-const BALLOT_TIMEOUT_MS: u64 = 400;
-/// Longer than every delay between two ballots.
+const ATTEMPT_TIMEOUT_MS: u64 = 400;
+/// Longer than every delay between two attempts.
 const LONG_MS: u64 = 2000;
 
 fn proposal_number(term: u64) -> ProposalNumber {
@@ -81,7 +81,7 @@
     to.receive(address(9), message, START)
 }
 
-fn promise(
+fn send_prepared(
     to: &mut Agreement,
     from: u8,
     proposal_number: ProposalNumber,
@@ -108,8 +108,8 @@
     )
 }
 
-/// The ballot of the prepares among the effects.
-fn prepared_ballot(effects: &[Effect]) -> Option<ProposalNumber> {
+/// The proposal number of the prepare requests among the effects.
+fn attempted_proposal(effects: &[Effect]) -> Option<ProposalNumber> {
     sent(effects)
         .into_iter()
         .find_map(|(_, message)| match message {
@@ -129,9 +129,9 @@
     found
 }
 
-/// Proposes and gives the ballot.
+/// Proposes a view; the number of the attempt that begins.
 fn propose(by: &mut Agreement, view: View) -> ProposalNumber {
-    prepared_ballot(&by.propose(view, START)).expect("a ballot begins")
+    attempted_proposal(&by.propose(view, START)).expect("an attempt begins")
 }
 
 #[test]
@@ -166,7 +166,7 @@
 #[test]
 fn a_disk_that_is_no_voter_answers_with_the_newest_view_alone() {
     let current = view(1, &[0, 1, 2], &[0, 1]);
-    let newcomer = Voter {
+    let new_disk = Voter {
         disk: DiskId(77),
         ..voter(0)
     };
@@ -174,7 +174,7 @@
         agreed: current.clone(),
         ..VoteState::default()
     };
-    let mut acceptor = Agreement::new(newcomer, 5, vote, Vec::new());
+    let mut acceptor = Agreement::new(new_disk, 5, vote, Vec::new());
     let news = vec![Effect::Send(
         address(9),
         AgreementMessage::Agreed { view: current },
@@ -224,9 +224,9 @@
     let mut proposer = founder(0);
     let first = view(1, &[0, 1, 2], &[0, 1]);
     let proposal_number = propose(&mut proposer, first.clone());
-    promise(&mut proposer, 0, proposal_number, None);
-    promise(&mut proposer, 7, proposal_number, None);
-    let (asked, _) = asked_to_accept(&promise(&mut proposer, 2, proposal_number, None))
+    send_prepared(&mut proposer, 0, proposal_number, None);
+    send_prepared(&mut proposer, 7, proposal_number, None);
+    let (asked, _) = asked_to_accept(&send_prepared(&mut proposer, 2, proposal_number, None))
         .expect("two founders promised");
     assert_eq!(asked, first);
     assert_eq!(agreed(&accepted(&mut proposer, 0, proposal_number)), vec![]);
@@ -259,7 +259,7 @@
 
     let mut stale = founder(2);
     let proposal_number = propose(&mut stale, view(1, &[0, 1, 2], &[2]));
-    promise(&mut stale, 2, proposal_number, None);
+    send_prepared(&mut stale, 2, proposal_number, None);
     let answer = acceptor.receive(
         address(2),
         AgreementMessage::Prepare { proposal_number },
@@ -279,14 +279,14 @@
     let newer = view(2, &[1, 2, 3], &[1]);
     let mut proposer = knowing(0, view(1, &[0, 1, 2, 4, 5], &[0, 1, 2]));
     let running = propose(&mut proposer, view(2, &[0, 1, 2], &[2]));
-    promise(
+    send_prepared(
         &mut proposer,
         1,
         running,
         Some((proposal_number(1), view(2, &[0, 1, 2], &[0]))),
     );
-    promise(&mut proposer, 0, running, None);
-    let effects = promise(
+    send_prepared(&mut proposer, 0, running, None);
+    let effects = send_prepared(
         &mut proposer,
         2,
         running,
@@ -310,13 +310,13 @@
     let mut proposer = knowing(0, view(4, &[0, 1, 2], &[0, 1]));
     let wanted = view(5, &[0, 1, 2], &[1]);
     let running = propose(&mut proposer, wanted.clone());
-    promise(
+    send_prepared(
         &mut proposer,
         0,
         running,
         Some((proposal_number(9), view(4, &[0, 1, 2], &[0, 1]))),
     );
-    let effects = promise(
+    let effects = send_prepared(
         &mut proposer,
         1,
         running,
@@ -329,28 +329,28 @@
 }
 
 #[test]
-fn promises_of_strangers_of_the_same_disk_and_from_beyond_do_not_count() {
+fn prepare_responses_of_strangers_of_the_same_disk_and_of_later_instances_do_not_count() {
     let mut proposer = knowing(0, view(1, &[0, 1, 2], &[0, 1]));
     let running = propose(&mut proposer, view(2, &[0, 1, 2], &[1]));
     let beyond = Some((proposal_number(9), view(3, &[0, 1, 2], &[2])));
     for (from, accepted) in [(0, None), (0, None), (5, None), (1, beyond)] {
         assert_eq!(
-            asked_to_accept(&promise(&mut proposer, from, running, accepted)),
+            asked_to_accept(&send_prepared(&mut proposer, from, running, accepted)),
             None
         );
     }
     assert_eq!(
-        asked_to_accept(&promise(&mut proposer, 1, proposal_number(1), None)),
+        asked_to_accept(&send_prepared(&mut proposer, 1, proposal_number(1), None)),
         None
     );
-    assert!(asked_to_accept(&promise(&mut proposer, 1, running, None)).is_some());
+    assert!(asked_to_accept(&send_prepared(&mut proposer, 1, running, None)).is_some());
 }
 
 #[test]
 fn a_disk_votes_from_its_own_address_alone() {
     let mut proposer = knowing(0, view(1, &[0, 1, 2], &[0, 1]));
     let running = propose(&mut proposer, view(2, &[0, 1, 3], &[0]));
-    promise(&mut proposer, 0, running, None);
+    send_prepared(&mut proposer, 0, running, None);
     let (accepted_proposal, nothing) = Default::default();
     let copy = AgreementMessage::Prepared {
         proposal_number: running,
@@ -362,7 +362,7 @@
         asked_to_accept(&proposer.receive(address(7), copy, START)),
         None
     );
-    assert!(asked_to_accept(&promise(&mut proposer, 1, running, None)).is_some());
+    assert!(asked_to_accept(&send_prepared(&mut proposer, 1, running, None)).is_some());
     accepted(&mut proposer, 0, running);
     for (claimed, from) in [(1, 7), (2, 7), (3, 7), (1, 0)] {
         let copy = AgreementMessage::Accepted {
@@ -382,8 +382,8 @@
     for (first, last) in [([0, 1], [3, 4]), ([3, 4], [0, 1])] {
         let mut proposer = knowing(0, view(1, &[0, 1, 2], &[0, 1]));
         let running = propose(&mut proposer, view(2, &[2, 3, 4], &[2]));
-        promise(&mut proposer, 0, running, None);
-        promise(&mut proposer, 1, running, None);
+        send_prepared(&mut proposer, 0, running, None);
+        send_prepared(&mut proposer, 1, running, None);
         for from in first.into_iter().chain([last[0]]) {
             assert_eq!(agreed(&accepted(&mut proposer, from, running)), vec![]);
         }
@@ -477,20 +477,20 @@
 fn a_timeout_leads_to_the_same_message_and_then_to_a_higher_proposal() {
     let mut proposer = knowing(0, view(1, &[0, 1, 2], &[0, 1]));
     let running = propose(&mut proposer, view(2, &[0, 1, 2], &[1]));
-    promise(&mut proposer, 2, running, None);
-    let again = proposer.tick(START.plus(BALLOT_TIMEOUT_MS / 2));
-    assert_eq!(prepared_ballot(&again), Some(running));
+    send_prepared(&mut proposer, 2, running, None);
+    let again = proposer.tick(START.plus(ATTEMPT_TIMEOUT_MS / 2));
+    assert_eq!(attempted_proposal(&again), Some(running));
     assert!(
         !sent(&again).iter().any(|(to, _)| *to == address(2)),
         "it has answered"
     );
-    assert_eq!(proposer.tick(START.plus(BALLOT_TIMEOUT_MS)), Vec::new());
-    let next = prepared_ballot(&proposer.tick(START.plus(LONG_MS))).expect("another ballot");
+    assert_eq!(proposer.tick(START.plus(ATTEMPT_TIMEOUT_MS)), Vec::new());
+    let next = attempted_proposal(&proposer.tick(START.plus(LONG_MS))).expect("another proposal");
     assert!(next > running);
 }
 
 #[test]
-fn a_rejection_leads_above_the_proposal_that_was_promised() {
+fn a_rejection_leads_above_the_proposal_that_was_prepared() {
     let mut proposer = knowing(0, view(1, &[0, 1, 2], &[0, 1]));
     let running = propose(&mut proposer, view(2, &[0, 1, 2], &[1]));
     let rejection = AgreementMessage::Rejected {
@@ -498,22 +498,22 @@
         prepared: proposal_number(40),
     };
     assert_eq!(proposer.receive(address(1), rejection, START), Vec::new());
-    let next = prepared_ballot(&proposer.tick(START.plus(LONG_MS))).expect("another ballot");
+    let next = attempted_proposal(&proposer.tick(START.plus(LONG_MS))).expect("another proposal");
     assert!(next > proposal_number(40));
 }
 
-/// Counts the ballots that begin within a minute of silence.
-fn count_ballots(proposer: &mut Agreement, wanted: Option<&View>) -> usize {
-    let mut ballots = std::collections::BTreeSet::new();
+/// Counts the proposals that begin within a minute of silence.
+fn count_attempts(proposer: &mut Agreement, wanted: Option<&View>) -> usize {
+    let mut attempts = std::collections::BTreeSet::new();
     for step in 0..2400 {
         let now = START.plus(step * 25);
         let proposed = wanted
             .map(|view| proposer.propose(view.clone(), now))
             .unwrap_or_default();
-        ballots.extend(prepared_ballot(&proposed));
-        ballots.extend(prepared_ballot(&proposer.tick(now)));
+        attempts.extend(attempted_proposal(&proposed));
+        attempts.extend(attempted_proposal(&proposer.tick(now)));
     }
-    ballots.len()
+    attempts.len()
 }
 
 #[test]
@@ -521,8 +521,8 @@
     let wanted = view(2, &[0, 1, 2], &[1]);
     let mut proposer = knowing(0, view(1, &[0, 1, 2], &[0, 1]));
     proposer.propose(wanted.clone(), START);
-    assert_eq!(count_ballots(&mut proposer, None), 5);
-    assert!(count_ballots(&mut proposer, Some(&wanted)) > 50);
+    assert_eq!(count_attempts(&mut proposer, None), 5);
+    assert!(count_attempts(&mut proposer, Some(&wanted)) > 50);
 }
 
 #[test]
--- a/crates/view-agreement/tests/golden.rs
+++ b/crates/view-agreement/tests/golden.rs
@@ -46,7 +46,7 @@
         accepted: view(2, &[4, 2, 1, 3, 5], &[1]),
         ..first_accepted.clone()
     };
-    let newcomer = VoteState {
+    let new_disk = VoteState {
         agreed: view(0x0901, &[7, 8], &[8, 7]),
         ..VoteState::default()
     };
@@ -55,7 +55,7 @@
         ("founding", founding),
         ("view 1 accepted", first_accepted),
         ("view 2 accepted", whole),
-        ("newcomer", newcomer),
+        ("newcomer", new_disk),
     ];
     assert_kept(
         "vote.hex",
@@ -107,7 +107,7 @@
     seen
 }
 
-/// What a proposer gets that asks under a lower ballot than was promised.
+/// What a proposer gets that asks under a lower proposal than was promised.
 fn overtaken_ballot() -> Vec<Envelope> {
     let (proposer, acceptor) = (address(9), address(2));
     let prepared = ProposalNumber {
--- a/crates/view-agreement/tests/model/agreement.rs
+++ b/crates/view-agreement/tests/model/agreement.rs
@@ -14,12 +14,12 @@
     }
 }
 
-fn three(ballots: &'static [u8], crashes: u8) -> Setup {
+fn three(attempts: &'static [u8], crashes: u8) -> Setup {
     Setup {
         founded: view(1, &[0, 1, 2], &[0, 1]),
         machines: 3,
         wanted: wanted_by,
-        ballots,
+        attempts,
         crashes,
         losses: 0,
         draining: None,
--- a/crates/view-agreement/tests/model/replacement.rs
+++ b/crates/view-agreement/tests/model/replacement.rs
@@ -1,4 +1,4 @@
-//! A newcomer takes the place of one of three or four voters, while two machines are lost and a third is leaving.
+//! A new disk takes the place of one of three or four voters, while two machines are lost and a third is draining.
 
 use crate::common::view;
 use crate::system::{explore, Answers, PlantedFault, Setup, NOT_ON_DISKS, STANDS_STILL, TWO_VIEWS};
@@ -23,12 +23,12 @@
     }
 }
 
-fn three(ballots: &'static [u8]) -> Setup {
+fn three(attempts: &'static [u8]) -> Setup {
     Setup {
         founded: view(1, &[0, 1, 2], &[0, 1]),
         machines: 4,
         wanted: wanted_of_three,
-        ballots,
+        attempts,
         crashes: 0,
         losses: 2,
         draining: Some(2),
@@ -38,13 +38,13 @@
     }
 }
 
-fn four(ballots: &'static [u8]) -> Setup {
+fn four(attempts: &'static [u8]) -> Setup {
     Setup {
         founded: view(1, &[0, 1, 2, 3], &[0, 1, 2]),
         machines: 5,
         wanted: wanted_of_four,
         draining: Some(3),
-        ..three(ballots)
+        ..three(attempts)
     }
 }
 
--- a/crates/view-agreement/tests/model/system.rs
+++ b/crates/view-agreement/tests/model/system.rs
@@ -11,8 +11,8 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::{Arc, Mutex};
 
-/// Longer than every delay between two ballots.
-const BALLOT_MS: u64 = 2000;
+/// Longer than every delay between two attempts.
+const ATTEMPT_MS: u64 = 2000;
 /// Ballots after which an agreement that goes on has come to its end.
 const BALLOTS_TO_GO_ON: u64 = 6;
 
@@ -50,12 +50,12 @@
 pub struct Setup {
     /// View 1, which everybody knows.
     pub founded: View,
-    /// How many machines there are: the voters, and newcomers after them.
+    /// How many machines there are: the voters, and new disks after them.
     pub machines: u8,
     /// View 2 as each machine wants it.
     pub wanted: fn(u8) -> View,
-    /// How many ballots each machine may begin; none for those that are not listed.
-    pub ballots: &'static [u8],
+    /// How many proposals each machine may begin; none for those that are not listed.
+    pub attempts: &'static [u8],
     /// How many processes may end and start again on their disks.
     pub crashes: u8,
     /// How many machines may be lost for good, with their disks, at any moment. For what is agreed that is the same as
@@ -75,7 +75,7 @@
     stored: VoteState,
     agreement: Agreement,
     incarnations: u64,
-    ballots: u8,
+    attempts: u8,
 }
 
 /// A message on its way, encoded so that it has an order and a hash.
@@ -159,7 +159,7 @@
             stored: stored.clone(),
             agreement: boot(index, stored.clone(), 0),
             incarnations: 0,
-            ballots: 0,
+            attempts: 0,
         };
         State {
             machines: (0..self.machines).map(machine).collect(),
@@ -289,24 +289,24 @@
 
     fn may_begin(&self, state: &State, index: u8) -> bool {
         let most = self
-            .ballots
+            .attempts
             .get(usize::from(index))
             .copied()
             .unwrap_or_default();
-        state.machines[usize::from(index)].ballots < most
+        state.machines[usize::from(index)].attempts < most
     }
 
-    /// Begins a ballot: the first by a proposal, later ones by letting the time of the one before run out.
+    /// Begins a proposal: the first by a proposal, later ones by letting the time of the one before run out.
     fn begin_ballot(&self, state: &mut State, index: u8) {
         let machine = &mut state.machines[usize::from(index)];
-        let now = Millis(u64::from(machine.ballots) * 3 * BALLOT_MS);
-        machine.ballots += 1;
+        let now = Millis(u64::from(machine.attempts) * 3 * ATTEMPT_MS);
+        machine.attempts += 1;
         let mut effects = machine.agreement.propose((self.wanted)(index), now);
         if effects.is_empty() {
-            effects = machine.agreement.tick(now.plus(BALLOT_MS));
+            effects = machine.agreement.tick(now.plus(ATTEMPT_MS));
         }
         if effects.is_empty() {
-            effects = machine.agreement.tick(now.plus(2 * BALLOT_MS));
+            effects = machine.agreement.tick(now.plus(2 * ATTEMPT_MS));
         }
         self.perform(state, index, effects, None);
     }
@@ -320,7 +320,7 @@
         })
     }
 
-    /// All sets of machines that may be left after the losses and the end of the leaving machine.
+    /// All sets of machines that may be left after the losses and the end of the draining machine.
     fn remainders(&self) -> impl Iterator<Item = BTreeSet<u8>> + '_ {
         let sets = (0..1_u32 << self.machines)
             .map(|set| (0..self.machines).filter(move |i| set >> i & 1 == 1));
@@ -333,7 +333,7 @@
 
     /// Whether a majority of the voters is left, and one of those of every view that may have been proposed.
     fn are_enough(&self, left: &BTreeSet<u8>) -> bool {
-        let proposed = (0..self.ballots.len() as u8).map(|index| (self.wanted)(index));
+        let proposed = (0..self.attempts.len() as u8).map(|index| (self.wanted)(index));
         let enough = proposed
             .chain([self.founded.clone()])
             .all(|view| has_majority(left, &view));
@@ -346,11 +346,11 @@
         let remainders = self.remainders().filter(|left| self.are_enough(left));
         remainders
             .into_iter()
-            .all(|left| self.settles(state, &left))
+            .all(|left| self.is_decided_by(state, &left))
     }
 
     /// Has all that are left start again from their disks, and one after another propose; nothing is lost any more.
-    fn settles(&self, state: &State, left: &BTreeSet<u8>) -> bool {
+    fn is_decided_by(&self, state: &State, left: &BTreeSet<u8>) -> bool {
         let mut hasher = DefaultHasher::new();
         left.hash(&mut hasher);
         for index in left {
@@ -391,9 +391,9 @@
             (0..BALLOTS_TO_GO_ON).flat_map(|term| left.iter().map(move |i| (term, *i)))
         {
             let machine = &mut state.machines[usize::from(index)];
-            let now = Millis((term + 1) * 3 * BALLOT_MS);
+            let now = Millis((term + 1) * 3 * ATTEMPT_MS);
             let mut effects = machine.agreement.propose((self.wanted)(index), now);
-            effects.extend(machine.agreement.tick(now.plus(BALLOT_MS)));
+            effects.extend(machine.agreement.tick(now.plus(ATTEMPT_MS)));
             calm.perform(&mut state, index, effects, None);
             while let Some(envelope) = state.sent.pop_first() {
                 if left.contains(&envelope.to) {
--- a/crates/view-agreement/tests/policy/draining.rs
+++ b/crates/view-agreement/tests/policy/draining.rs
@@ -5,7 +5,7 @@
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::view::View;
 
-/// So soon after the word of a leaving process its place is to be taken, in milliseconds.
+/// So soon after the word of a draining process its place is to be taken, in milliseconds.
 const AT_ONCE_MS: u64 = 100;
 /// Longer than every delay of the policy.
 const LONG_MS: u64 = 30_000;
@@ -116,11 +116,11 @@
         let mut watch = calm(0, count);
         watch.lose(&[count - 1]);
         watch.add(count);
-        watch.settle(4000);
+        watch.wait_until_stable(4000);
         watch.add(count - 1);
         watch.catch_all_up();
         watch.heartbeat(count - 2).draining = true;
-        let passed = watch.settle(4000);
+        let passed = watch.wait_until_stable(4000);
         assert_eq!(watch.current.voter(disk(count - 2)), None, "{count} voters");
         assert_eq!(watch.current.voters.len(), usize::from(count));
         assert!(passed <= 1000, "{count} voters: {passed} ms");
@@ -139,7 +139,7 @@
     assert_eq!(wanted.voters, voters(&[0, 1, 2, 3, 5]));
     assert!(
         passed <= 600,
-        "{passed} ms: as soon as the newcomer has settled"
+        "{passed} ms: as soon as the new disk is stable"
     );
 }
 
@@ -149,7 +149,7 @@
         let mut watch = calm(0, count);
         watch.heartbeat(1).draining = true;
         watch.heartbeat(count - 1).replica.caught_up = true;
-        watch.settle(2000);
+        watch.wait_until_stable(2000);
         let expected: Vec<_> = (0..count).filter(|index| *index != 1).map(voter).collect();
         assert_eq!(watch.current.voters, expected, "{count} voters");
     }
@@ -162,7 +162,7 @@
         watch.lose(&[count - 1]);
         watch.heartbeat(count - 2).draining = true;
         watch.add(count);
-        let passed = watch.settle(4000);
+        let passed = watch.wait_until_stable(4000);
         assert_eq!(watch.current.voter(disk(count - 1)), None, "{count} voters");
         assert!(
             watch.current.voter(disk(count - 2)).is_some(),
@@ -173,7 +173,7 @@
             "{count} voters: {passed} ms"
         );
         watch.add(count + 1);
-        watch.settle(4000);
+        watch.wait_until_stable(4000);
         assert_eq!(watch.current.voter(disk(count - 2)), None, "{count} voters");
     }
 }
@@ -190,7 +190,7 @@
     assert_eq!(spare.pass(LONG_MS), None);
 }
 
-/// Whether machine `index`, which is leaving, may end.
+/// Whether machine `index`, which is draining, may end.
 fn may_shut_down(watch: &Watch, index: u8) -> bool {
     watch
         .policy
@@ -246,7 +246,7 @@
     watch.pass(600);
     assert!(
         !may_shut_down(&watch, 4),
-        "the newcomer is about to take its vote"
+        "the new disk is about to take its vote"
     );
     watch.adopt(view(5, &[0, 1, 2, 3, 5], &[0, 1, 2]));
     watch.pass(50);
--- a/crates/view-agreement/tests/policy/identity.rs
+++ b/crates/view-agreement/tests/policy/identity.rs
@@ -68,7 +68,7 @@
     assert_eq!(
         watch.pass(30_000),
         None,
-        "neither as the voter nor as a newcomer"
+        "neither as the voter nor as a new disk"
     );
 }
 
--- a/crates/view-agreement/tests/policy/replacement.rs
+++ b/crates/view-agreement/tests/policy/replacement.rs
@@ -1,4 +1,4 @@
-//! The replacement of voters: one view takes a newcomer in and a voter that is gone out.
+//! The replacement of voters: one view takes a new disk in and a voter that is gone out.
 
 use crate::common::{disk, view, voter, voters};
 use crate::watch::{Watch, SETTINGS};
@@ -65,7 +65,7 @@
             watch.lose(&[lost]);
             watch.pass(SUCCESSOR_AFTER_MS);
             watch.add(count);
-            let passed = watch.settle(4000);
+            let passed = watch.wait_until_stable(4000);
             assert_eq!(
                 watch.current.voters,
                 swapped(count, lost, count),
@@ -118,7 +118,7 @@
     watch.add(3);
     assert_eq!(watch.pass(900), None, "it is silent, and may come back");
     watch.add(2);
-    let (wanted, _) = watch.until_wanted(LONG_MS).expect("the newcomer is added");
+    let (wanted, _) = watch.until_wanted(LONG_MS).expect("the new disk is added");
     assert_eq!(wanted.voters, voters(&[0, 1, 2, 3]));
 }
 
@@ -132,7 +132,7 @@
         watch.pass(SUCCESSOR_AFTER_MS);
         let successors: Vec<u8> = (count..count + most).collect();
         successors.iter().for_each(|index| watch.add(*index));
-        let passed = watch.settle(4000);
+        let passed = watch.wait_until_stable(4000);
         let expected: Vec<DiskId> = (0..count - most).chain(successors).map(disk).collect();
         assert_eq!(disks(&watch.current), expected, "{count} voters");
         assert!(passed <= REPLACED_WITHIN_MS, "{count} voters: {passed} ms");
@@ -150,9 +150,9 @@
             watch.add(successor);
             successor += 1;
             watch.catch_all_up();
-            watch.settle(4000);
+            watch.wait_until_stable(4000);
             watch.catch_all_up();
-            watch.settle(4000);
+            watch.wait_until_stable(4000);
             assert_eq!(
                 watch.current.voters.len(),
                 usize::from(count),
@@ -226,13 +226,13 @@
         let mut watch = calm(count);
         watch.lose(&[count - 1]);
         watch.add(count);
-        watch.settle(4000);
+        watch.wait_until_stable(4000);
         let wiped = Voter {
             disk: DiskId(900),
             ..voter(count)
         };
         watch.heartbeat(count).voter = wiped.clone();
-        let passed = watch.settle(4000);
+        let passed = watch.wait_until_stable(4000);
         assert_eq!(watch.current.voters.last(), Some(&wiped), "{count} voters");
         assert_eq!(watch.current.voters.len(), usize::from(count));
         assert!(passed <= REPLACED_WITHIN_MS, "{count} voters: {passed} ms");
@@ -245,7 +245,7 @@
         let mut watch = calm(count);
         watch.lose(&[count - 1]);
         watch.add(count);
-        let (wanted, passed) = watch.until_wanted(LONG_MS).expect("the newcomer is added");
+        let (wanted, passed) = watch.until_wanted(LONG_MS).expect("the new disk is added");
         assert_eq!(wanted.voters, voters(&indices(count + 1)));
         assert!(
             passed < SETTINGS.catch_up_ms / 4,
@@ -293,7 +293,7 @@
     let (first, _) = watch.until_wanted(LONG_MS).expect("two of three found");
     assert_eq!(first.voters, voters(&[0, 1]));
     watch.adopt(first);
-    let (second, _) = watch.until_wanted(LONG_MS).expect("the newcomer is added");
+    let (second, _) = watch.until_wanted(LONG_MS).expect("the new disk is added");
     assert_eq!(second.voters, voters(&[0, 1, 3]));
 }
 
--- a/crates/view-agreement/tests/policy/rules.rs
+++ b/crates/view-agreement/tests/policy/rules.rs
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn new_processes_are_added_one_at_a_time_once_they_have_settled() {
+fn new_processes_are_added_one_at_a_time_once_they_are_stable() {
     let mut watch = Watch::new(0, of_three(), &[]).with(&[0, 1, 2, 3, 4]);
     assert_eq!(watch.pass(500), None);
     assert_eq!(watch.pass(STEP_MS), Some(view(5, &[0, 1, 2, 3], &[0, 1])));
--- a/crates/view-agreement/tests/policy/tolerance.rs
+++ b/crates/view-agreement/tests/policy/tolerance.rs
@@ -84,7 +84,7 @@
     watch.until_wanted(1000).expect("all founders are there").0
 }
 
-/// The views by which the policy replaces lost disks by as many newcomers, who come so many milliseconds after the loss,
+/// The views by which the policy replaces lost disks by as many new disks, who come so many milliseconds after the loss,
 /// all others being warm; the first is the view at the time of the loss.
 fn replacement_of(lost: Machines, from: &View, after_ms: u64) -> Vec<View> {
     let count = from.voters.len() as u8;
@@ -98,10 +98,10 @@
         watch.catch_all_up();
         views.push(wanted);
     }
-    let newcomers: Vec<u8> = (count..count + lost.count_ones() as u8).collect();
-    newcomers.iter().for_each(|newcomer| watch.add(*newcomer));
+    let new_disks: Vec<u8> = (count..count + lost.count_ones() as u8).collect();
+    new_disks.iter().for_each(|new_disk| watch.add(*new_disk));
     let entered = |view: &View| {
-        newcomers
+        new_disks
             .iter()
             .all(|index| contains(voters_of(view), *index))
     };
@@ -130,15 +130,15 @@
         Effect::Send(_, AgreementMessage::Prepare { proposal_number }) => Some(*proposal_number),
         _ => None,
     });
-    let proposal_number = proposal_number.expect("a ballot begins");
+    let proposal_number = proposal_number.expect("a proposal begins");
     for index in members(voters_of(old)) {
-        let promise = AgreementMessage::Prepared {
+        let send_prepared = AgreementMessage::Prepared {
             proposal_number,
             disk: disk(index),
             accepted_proposal: Default::default(),
             accepted: View::default(),
         };
-        proposer.receive(address(index), promise, Millis(0));
+        proposer.receive(address(index), send_prepared, Millis(0));
     }
     for index in members(votes) {
         let accepted = AgreementMessage::Accepted {
--- a/crates/view-agreement/tests/policy/watch.rs
+++ b/crates/view-agreement/tests/policy/watch.rs
@@ -130,7 +130,7 @@
     }
 
     /// Has every wanted view agreed until nothing more is wanted for a second; gives the time until the last one.
-    pub fn settle(&mut self, milliseconds_most: u64) -> u64 {
+    pub fn wait_until_stable(&mut self, milliseconds_most: u64) -> u64 {
         let began = self.now;
         let mut last = 0;
         while let Some((view, _)) = self.until_wanted(milliseconds_most) {
--- a/crates/view-agreement/tests/simulation/random_proposals.rs
+++ b/crates/view-agreement/tests/simulation/random_proposals.rs
@@ -82,7 +82,7 @@
     world
 }
 
-/// Ends all trouble and lets one voter propose; tells how many views were agreed since.
+/// Ends all faults and lets one voter propose; tells how many views were agreed since.
 fn run_calm(world: &mut World, founders: usize) -> u64 {
     world.network = CALM;
     world.targeted_faults = 0.0;
--- a/crates/view-agreement/tests/simulation/replacement.rs
+++ b/crates/view-agreement/tests/simulation/replacement.rs
@@ -2,7 +2,7 @@
 
 use crate::checker::Violation;
 use crate::machine::POLICY;
-use crate::with_policy::{assert_settled, machine_of};
+use crate::with_policy::{assert_stable, machine_of};
 use crate::world::{PlantedFault, World, CALM, ROUGH};
 
 const SIZES: [usize; 4] = [3, 5, 7, 9];
@@ -18,7 +18,7 @@
     (running..running + others).for_each(|machine| world.kill(machine));
     world.run_for(6000);
     assert_eq!(
-        assert_settled(&world, seed).voters.len(),
+        assert_stable(&world, seed).voters.len(),
         running,
         "seed {seed}"
     );
@@ -27,7 +27,7 @@
 
 /// Asserts that the voters are so many, and that all of them run.
 fn assert_whole(world: &World, seed: u64, count: usize) {
-    let view = assert_settled(world, seed);
+    let view = assert_stable(world, seed);
     assert_eq!(view.voters.len(), count, "seed {seed}: {view:?}");
     let runs = |disk| world.is_running(machine_of(world, disk));
     assert!(
@@ -58,12 +58,12 @@
 fn heads_are_replaced_one_after_another() {
     for (seed, count) in (0..10).flat_map(|seed| SIZES.map(|count| (seed, count))) {
         let mut world = calm(seed, count, 3);
-        for newcomer in count..count + 3 {
+        for new_disk in count..count + 3 {
             let head = world.checker.newest().chain[0];
             let lost = machine_of(&world, head);
             world.kill(lost);
             world.run_for(SUCCESSOR_AFTER_MS);
-            world.start(newcomer);
+            world.start(new_disk);
             world.run_for(APART_MS);
             assert_whole(&world, seed, count);
         }
@@ -139,7 +139,7 @@
             world.start(machine);
             world.run_for(2000);
             assert_eq!(
-                assert_settled(&world, seed).voters,
+                assert_stable(&world, seed).voters,
                 before,
                 "seed {seed}: {count} voters"
             );
@@ -187,11 +187,11 @@
         let mut world = calm(seed, count, 2);
         world.network = ROUGH;
         world.targeted_faults = 0.5;
-        for newcomer in [count, count + 1] {
-            let lost = newcomer - count;
+        for new_disk in [count, count + 1] {
+            let lost = new_disk - count;
             world.kill(lost);
             world.run_for(SUCCESSOR_AFTER_MS);
-            world.start(newcomer);
+            world.start(new_disk);
             for _ in 0..8 {
                 world.run_for(APART_MS / 8);
                 world.links.heal();
--- a/crates/view-agreement/tests/simulation/with_policy.rs
+++ b/crates/view-agreement/tests/simulation/with_policy.rs
@@ -19,7 +19,7 @@
 }
 
 /// Asserts that everybody who runs knows one view, and that its chain is whole.
-pub fn assert_settled(world: &World, seed: u64) -> View {
+pub fn assert_stable(world: &World, seed: u64) -> View {
     assert_eq!(
         world.checker.violations,
         Vec::<Violation>::new(),
@@ -59,7 +59,7 @@
     for (founders, machines) in [(1, 1), (1, 3), (3, 3), (3, 5), (3, 9), (5, 5), (3, 14)] {
         for seed in 0..10 {
             let world = founded(seed, founders, machines);
-            let view = assert_settled(&world, seed);
+            let view = assert_stable(&world, seed);
             assert_eq!(
                 view.voters.len(),
                 machines.min(13),
@@ -78,11 +78,11 @@
             let machine = machine_of(&world, disk);
             world.kill(machine);
             world.run_for(2500);
-            let view = assert_settled(&world, seed);
+            let view = assert_stable(&world, seed);
             assert_eq!(view.position(disk), None, "seed {seed}");
             world.start(machine);
             world.run_for(2500);
-            assert_settled(&world, seed);
+            assert_stable(&world, seed);
         }
     }
 }
@@ -94,7 +94,7 @@
             let mut world = founded(seed, 3, 3);
             world.wipe(lost, 1000);
             world.run_for(6000);
-            let view = assert_settled(&world, seed);
+            let view = assert_stable(&world, seed);
             assert_eq!(view.voters.len(), 3, "seed {seed}");
             assert!(
                 view.voter(world.machines[lost].voter.disk).is_some(),
@@ -112,7 +112,7 @@
         let machine = machine_of(&world, disk);
         world.machines[machine].disk_healthy = false;
         world.run_for(2500);
-        let view = assert_settled(&world, seed);
+        let view = assert_stable(&world, seed);
         assert_eq!(view.position(disk), None, "seed {seed}");
         assert!(view.voter(disk).is_some(), "seed {seed}");
     }
@@ -126,7 +126,7 @@
             world.restart(machine, 300);
         }
         world.run_for(5000);
-        let number = assert_settled(&world, seed).number;
+        let number = assert_stable(&world, seed).number;
         world.run_for(5000);
         assert_eq!(
             world.checker.newest().number,
@@ -146,7 +146,7 @@
             world.restart(machine, 200);
         }
         world.run_for(5000);
-        assert_settled(&world, seed);
+        assert_stable(&world, seed);
     }
 }
 
@@ -159,7 +159,7 @@
             world.run_for(4000);
             world.links.heal();
             world.run_for(4000);
-            let view = assert_settled(&world, seed);
+            let view = assert_stable(&world, seed);
             assert_eq!(view.voters.len(), 4, "seed {seed}");
         }
     }
@@ -170,14 +170,14 @@
     let mut world = founded(1, 3, 4);
     world.kill(3);
     world.run_for(25_000);
-    assert_eq!(assert_settled(&world, 1).voters.len(), 3);
+    assert_eq!(assert_stable(&world, 1).voters.len(), 3);
     world.kill(2);
     world.run_for(25_000);
-    assert_eq!(assert_settled(&world, 1).voters.len(), 3);
+    assert_eq!(assert_stable(&world, 1).voters.len(), 3);
 }
 
 #[test]
-fn rough_networks_and_restarts_settle_once_it_is_calm() {
+fn rough_networks_and_restarts_end_in_a_stable_view() {
     for seed in 0..40 {
         let machines = [3, 5, 9][seed as usize % 3];
         let mut world = founded(seed, 3, machines);
@@ -195,7 +195,7 @@
         world.network = crate::world::CALM;
         world.links.heal();
         world.run_for(8000);
-        assert_settled(&world, seed);
+        assert_stable(&world, seed);
     }
 }
 
@@ -211,6 +211,6 @@
         assert!(views <= 8, "{views} views in 20 s");
         world.links.heal();
         world.run_for(4000);
-        assert_settled(&world, 1);
+        assert_stable(&world, 1);
     }
 }
