--- a/crates/cluster-json/src/job_reader.rs
+++ b/crates/cluster-json/src/job_reader.rs
@@ -74,20 +74,20 @@
     Ok(())
 }
 
-/// The number of occurrences, of which the last one has to be due at a time that milliseconds can state.
+/// The number of occurrences. The last one has to be due within the range of 64-bit milliseconds.
 fn read_repeat(job: &JobBody, limits: JobLimits) -> Result<u32, JobError> {
-    let too_many = JobError::TooManyOccurrences {
+    let too_many = || JobError::TooManyOccurrences {
         repeat: job.repeat,
         limit: limits.max_repeat,
     };
     if job.repeat > limits.max_repeat {
-        return Err(too_many);
+        return Err(too_many());
     }
     job.interval_ms
         .checked_mul(job.repeat)
         .and_then(|span_ms| job.start_at_ms.checked_add(span_ms))
         .ok_or(JobError::TimeOverflow)?;
-    u32::try_from(job.repeat).map_err(|_| too_many)
+    u32::try_from(job.repeat).map_err(|_| too_many())
 }
 
 /// Reads one step of a job.
--- a/crates/cluster-membership/src/live_table.rs
+++ b/crates/cluster-membership/src/live_table.rs
@@ -1,5 +1,6 @@
 //! The present members as an immutable table, and which of them serves the others of its zone.
 
+use crate::member_update::MemberUpdate;
 use lupinrack_cluster_api::frame::Role;
 use lupinrack_cluster_api::identity::{PeerAddress, ServiceName};
 use lupinrack_cluster_api::rendezvous::address_weight;
@@ -22,6 +23,17 @@
     pub process_incarnation: u64,
 }
 
+impl From<&MemberUpdate> for LiveMember {
+    fn from(update: &MemberUpdate) -> LiveMember {
+        LiveMember {
+            address: update.address,
+            role: update.role,
+            zone: update.zone.clone(),
+            process_incarnation: update.process_incarnation,
+        }
+    }
+}
+
 /// All members that this process considers present at one moment, itself included.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LiveTable {
--- a/crates/cluster-membership/src/membership_list.rs
+++ b/crates/cluster-membership/src/membership_list.rs
@@ -20,8 +20,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Member {
     update: MemberUpdate,
-    /// When it entered its state.
-    since: Millis,
+    state_entered_at: Millis,
     /// Present while its state is [`MemberState::Suspect`].
     suspicion: Option<Suspicion>,
 }
@@ -50,6 +49,7 @@
         self.members.get(&address).map(|member| &member.update)
     }
 
+    /// Whether a member is present: alive or suspected.
     pub(crate) fn is_present(&self, address: PeerAddress) -> bool {
         self.get(address)
             .is_some_and(|update| update.state.is_present())
@@ -102,7 +102,8 @@
 
     /// Applies an update about another member if it overrides what is known.
     ///
-    /// The end of an unknown member changes nothing: it was forgotten, and its update would be disseminated for ever.
+    /// The end of an unknown member changes nothing: the member was forgotten here. If the update counted as new, members
+    /// that forget at different times would disseminate it to each other for ever.
     pub(crate) fn apply(
         &mut self,
         update: &MemberUpdate,
@@ -143,7 +144,7 @@
     /// Removes members that have been absent for long enough.
     pub(crate) fn forget_absent(&mut self, forget_after_ms: u64, now: Millis) {
         self.members.retain(|_, member| {
-            member.update.state.is_present() || now.since(member.since) < forget_after_ms
+            member.update.state.is_present() || now.since(member.state_entered_at) < forget_after_ms
         });
     }
 
@@ -171,7 +172,7 @@
         };
         let member = Member {
             update: update.clone(),
-            since: now,
+            state_entered_at: now,
             suspicion,
         };
         self.digest ^= presence_digest(update);
--- a/crates/cluster-membership/src/own_member.rs
+++ b/crates/cluster-membership/src/own_member.rs
@@ -7,7 +7,7 @@
 /// Whether an update about this process was refuted, by a higher incarnation number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refutation {
-    /// It is right, or too old to be believed by anybody.
+    /// It is right, or too old to override what others know. A higher incarnation number of this very process is adopted.
     NotNeeded,
     /// It concerned an earlier process at the same address.
     OfEarlierProcess,
--- a/crates/cluster-membership/src/pending_ping.rs
+++ b/crates/cluster-membership/src/pending_ping.rs
@@ -17,12 +17,12 @@
     /// The end of the protocol period: without an acknowledgement the ping has failed.
     pub(crate) deadline: Millis,
     /// The members that were asked by ping requests.
-    pub(crate) relays: Relays,
+    pub(crate) request_targets: PingRequestTargets,
 }
 
 /// The members that were asked to ping a target as well.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Relays {
+pub(crate) struct PingRequestTargets {
     count: usize,
     /// Those that have not answered.
     unanswered: Vec<PeerAddress>,
@@ -55,17 +55,17 @@
     }
 }
 
-impl Relays {
-    pub(crate) fn new(relays: Vec<PeerAddress>) -> Relays {
-        Relays {
-            count: relays.len(),
-            unanswered: relays,
+impl PingRequestTargets {
+    pub(crate) fn new(targets: Vec<PeerAddress>) -> PingRequestTargets {
+        PingRequestTargets {
+            count: targets.len(),
+            unanswered: targets,
         }
     }
 
     /// Notes that a member could not reach the target either.
-    pub(crate) fn nack_from(&mut self, relay: PeerAddress) {
-        self.unanswered.retain(|asked| *asked != relay);
+    pub(crate) fn nack_from(&mut self, member: PeerAddress) {
+        self.unanswered.retain(|asked| *asked != member);
     }
 
     /// Whether members were asked, and all of them answered that they could not reach the target either. Otherwise the
--- a/crates/cluster-membership/src/suspicion.rs
+++ b/crates/cluster-membership/src/suspicion.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Suspicion {
     started_at: Millis,
-    /// Members that suspect on their own evidence; no more than shorten the timeout.
+    /// Members that suspect on their own evidence; at most as many as shorten the timeout.
     suspected_by: Vec<PeerAddress>,
 }
 
--- a/crates/cluster-membership/src/swim.rs
+++ b/crates/cluster-membership/src/swim.rs
@@ -110,7 +110,7 @@
     /// The members that are considered present, suspects and this one included.
     pub fn live_table(&self) -> LiveTable {
         let present = self.members.present().chain([self.own.update()]);
-        LiveTable::new(present.map(live_member).collect())
+        LiveTable::new(present.map(LiveMember::from).collect())
     }
 
     /// The latest update about every other member that is not forgotten, by address.
@@ -147,8 +147,8 @@
         if pause_ms > self.settings.suspended_after_ms {
             self.resume(pause_ms, now);
         }
-        self.continue_relayed_pings(now);
-        self.continue_ping(now);
+        self.advance_relayed_pings(now);
+        self.advance_ping(now);
         if now >= self.clock.next_at() {
             self.begin_period(now);
         }
@@ -255,7 +255,7 @@
         self.send_with(to, message, Vec::new());
     }
 
-    /// Answers a member, and corrects it where it is considered to be something else than it says.
+    /// Answers a member, and corrects it where this member knows an update that overrides what it says of itself.
     fn reply(&mut self, sender: &MemberUpdate, message: Message) {
         let correction = self.correction_for(sender);
         self.send_with(sender.address, message, correction);
@@ -293,12 +293,3 @@
         self.outgoing.push(Outgoing { to, datagram });
     }
 }
-
-fn live_member(update: &MemberUpdate) -> LiveMember {
-    LiveMember {
-        address: update.address,
-        role: update.role,
-        zone: update.zone.clone(),
-        process_incarnation: update.process_incarnation,
-    }
-}
--- a/crates/cluster-membership/src/swim/failure_detection.rs
+++ b/crates/cluster-membership/src/swim/failure_detection.rs
@@ -4,7 +4,7 @@
 use crate::member_state::MemberState;
 use crate::member_update::MemberUpdate;
 use crate::message::Message;
-use crate::pending_ping::{PendingPing, Relays};
+use crate::pending_ping::{PendingPing, PingRequestTargets};
 use crate::ping_order::{PingOrder, PingScope};
 use crate::relayed_pings::{RelayedPing, RelayedPings};
 use crate::suspicion::SuspicionRule;
@@ -36,7 +36,7 @@
     /// Notes that a member could not reach the target of the pending ping.
     pub(super) fn nack_received(&mut self, from: PeerAddress, sequence_number: u32) {
         if let Some(ping) = self.pending_with(sequence_number) {
-            ping.relays.nack_from(from);
+            ping.request_targets.nack_from(from);
         }
     }
 
@@ -131,7 +131,7 @@
             resend_at: now.plus(self.settings.ping_resend_ms),
             indirect_at: Some(now.plus(self.ack_timeout_ms())),
             deadline: self.clock.next_at(),
-            relays: Relays::default(),
+            request_targets: PingRequestTargets::default(),
         });
         self.send_ping(target, sequence_number);
     }
@@ -154,7 +154,8 @@
         self.send_with(target, Message::Ping { sequence_number }, updates);
     }
 
-    pub(super) fn continue_ping(&mut self, now: Millis) {
+    /// Sends what is due for the ping of the current period.
+    pub(super) fn advance_ping(&mut self, now: Millis) {
         let Some(ping) = &mut self.pings.pending else {
             return;
         };
@@ -169,23 +170,23 @@
     }
 
     fn send_ping_requests(&mut self, target: PeerAddress, sequence_number: u32) {
-        let mut relays: Vec<PeerAddress> = self
+        let mut targets: Vec<PeerAddress> = self
             .members
             .alive()
             .map(|update| update.address)
             .filter(|address| *address != target)
             .collect();
-        self.random.shuffle(&mut relays);
-        relays.truncate(self.settings.ping_request_fanout);
-        for relay in &relays {
+        self.random.shuffle(&mut targets);
+        targets.truncate(self.settings.ping_request_fanout);
+        for to in &targets {
             let request = Message::PingRequest {
                 sequence_number,
                 target,
             };
-            self.send(*relay, request);
+            self.send(*to, request);
         }
         if let Some(ping) = &mut self.pings.pending {
-            ping.relays = Relays::new(relays);
+            ping.request_targets = PingRequestTargets::new(targets);
         }
     }
 
@@ -208,7 +209,7 @@
             },
             ..known.clone()
         };
-        if known.state == MemberState::Alive && !ping.relays.all_sent_nacks() {
+        if known.state == MemberState::Alive && !ping.request_targets.all_sent_nacks() {
             self.health.worsen();
         }
         self.apply(&suspicion, now);
@@ -250,7 +251,8 @@
         self.send_ping(target, sequence_number);
     }
 
-    pub(super) fn continue_relayed_pings(&mut self, now: Millis) {
+    /// Sends what is due for pings on behalf of others, and ends those at their deadline.
+    pub(super) fn advance_relayed_pings(&mut self, now: Millis) {
         for (target, sequence_number) in self.pings.relayed.take_due_resends(now) {
             self.send_ping(target, sequence_number);
         }
--- a/crates/cluster-transport/src/peers/codec.rs
+++ b/crates/cluster-transport/src/peers/codec.rs
@@ -12,7 +12,7 @@
 const MIN_READ_BYTES: usize = 16 * 1024;
 
 /// A buffer that grew beyond this for a large frame is released once it is empty.
-const MAX_IDLE_BUFFER_BYTES: usize = 128 * 1024;
+pub(super) const MAX_IDLE_BUFFER_BYTES: usize = 128 * 1024;
 
 /// Why a frame cannot be encoded or decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
--- a/crates/cluster-transport/src/peers/connection.rs
+++ b/crates/cluster-transport/src/peers/connection.rs
@@ -1,6 +1,6 @@
 //! One connection: what is to be written on it, and how it ended.
 
-use super::codec::{self, FrameError};
+use super::codec::{self, FrameError, MAX_IDLE_BUFFER_BYTES};
 use lupinrack_cluster_api::frame::Frame;
 use lupinrack_cluster_api::identity::PeerAddress;
 use std::sync::{Mutex, MutexGuard, OnceLock, PoisonError};
@@ -8,9 +8,6 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A buffer that grew beyond this is released once it is written.
-const MAX_IDLE_BUFFER_BYTES: usize = 128 * 1024;
-
 /// Why a connection did not take a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PushError {
--- a/crates/cluster-transport/src/peers/connection_table.rs
+++ b/crates/cluster-transport/src/peers/connection_table.rs
@@ -38,7 +38,7 @@
 #[derive(Default)]
 pub(super) struct ConnectionTable {
     peers: HashMap<PeerAddress, Peer>,
-    connections: HashMap<u64, Arc<Connection>>,
+    connections_by_number: HashMap<u64, Arc<Connection>>,
     last_number: u64,
 }
 
@@ -72,7 +72,7 @@
 
     /// Queues a frame on one certain connection; false where that is impossible.
     pub(super) fn send_on(&mut self, number: u64, frame: &Frame, settings: &PeerSettings) -> bool {
-        self.connections
+        self.connections_by_number
             .get(&number)
             .is_some_and(|connection| connection.push(frame, settings.max_unwritten_bytes).is_ok())
     }
@@ -97,7 +97,7 @@
         if peer.connections.len() > MAX_REPLACED_CONNECTIONS + 1 {
             peer.connections[0].close();
         }
-        self.connections
+        self.connections_by_number
             .insert(connection.number, connection.clone());
         connection
     }
@@ -116,7 +116,7 @@
 
     /// Removes a connection that has ended.
     pub(super) fn remove(&mut self, connection: &Connection) {
-        self.connections.remove(&connection.number);
+        self.connections_by_number.remove(&connection.number);
         if let Some(peer) = self.peers.get_mut(&connection.peer) {
             peer.connections
                 .retain(|other| other.number != connection.number);
--- a/crates/cluster-transport/src/shared_value.rs
+++ b/crates/cluster-transport/src/shared_value.rs
@@ -1,4 +1,4 @@
-//! A value that is read often and replaced as a whole.
+//! A value that is read often and replaced atomically.
 //!
 //! Readers get the value of one moment and keep it as long as they like; a reader that loads again never gets an older
 //! one than before. The cell that holds the current value is a parameter, so that tests can use one whose every
@@ -42,7 +42,7 @@
     }
 }
 
-/// A shared value that is replaced as a whole.
+/// A shared value that is replaced atomically.
 pub struct SharedValue<T, C = ArcSwap<T>> {
     cell: C,
     value: PhantomData<T>,
--- a/crates/failure-detection/src/local_health.rs
+++ b/crates/failure-detection/src/local_health.rs
@@ -22,13 +22,13 @@
         1 + self.score
     }
 
-    /// Notes that a ping was acknowledged.
+    /// Records that a ping was acknowledged: the score falls by one.
     pub fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// Notes an event that a slow or partitioned process of its own would explain, such as a ping that failed or a
-    /// suspicion that it had to refute.
+    /// Records an event that this process may have caused itself by being slow or partitioned, such as a ping that failed
+    /// or a suspicion that it had to refute: the score rises by one.
     pub fn worsen(&mut self) {
         self.score = (self.score + 1).min(MAX_HEALTH_SCORE);
     }
--- a/crates/failure-detection/src/suspicion.rs
+++ b/crates/failure-detection/src/suspicion.rs
@@ -1,7 +1,7 @@
 //! Lifeguard's dynamic timeouts of suspicions.
 
-/// How many confirmations by other members bring a suspicion to its shortest timeout: `wanted`, or as many as there can
-/// be among this many members, of whom two are the suspect and the first to suspect it. At least 1.
+/// How many confirmations by other members bring a suspicion to its shortest timeout: the configured number `wanted`, or
+/// as many as there can be among this many members, of whom two are the suspect and the first to suspect it. At least 1.
 pub fn confirmations_needed(wanted: usize, members: usize) -> usize {
     wanted.min(members.saturating_sub(2)).max(1)
 }
--- a/crates/node-settings/src/key_values.rs
+++ b/crates/node-settings/src/key_values.rs
@@ -4,7 +4,7 @@
 use configparser::ini::{Ini, IniDefault};
 use std::collections::BTreeMap;
 
-/// The name under which the library files lines that follow no `[section]` header.
+/// The name of the section to which the library assigns lines that follow no `[section]` header.
 const TOP_SECTION: &str = "top";
 /// What follows this prefix of a key is the name of a zone, whose underscores are kept.
 const ZONES_PREFIX: &str = "zones.";
@@ -65,7 +65,7 @@
     Ini::new_from_defaults(defaults)
 }
 
-/// The spelling under which a key is filed.
+/// The spelling of a key in [`KeyValues`].
 fn canonical_key(key: String) -> String {
     if key.starts_with(ZONES_PREFIX) {
         key
