--- a/crates/scheduler/tests/decisions/main.rs
+++ b/crates/scheduler/tests/decisions/main.rs
@@ -1,11 +1,11 @@
 //! Single decisions of the scheduler, one situation each.
 
 mod bench;
-mod fit;
-mod lapses;
-mod late;
+mod best_fit;
+mod eviction;
+mod inferred_ends;
+mod late_messages;
+mod leases;
 mod orders;
 mod placement;
-mod replays;
-mod room;
-mod unlisted;
+mod unproposed_starts;
