--- a/crates/scheduler/tests/decisions/bench.rs
+++ b/crates/scheduler/tests/decisions/bench.rs
@@ -19,7 +19,7 @@
 
 /// What the model server of a machine would say.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct ModelServer {
     pub id: ServerId,
     pub connection: u64,
     pub running: Vec<RunningTask>,
@@ -38,11 +38,11 @@
     pub state: ControlState,
     pub scheduler: Scheduler,
     pub settings: SchedulerSettings,
-    pub places: BTreeMap<u16, Place>,
+    pub servers: BTreeMap<u16, ModelServer>,
     pub messages: Vec<(u16, OwnerMessage)>,
     /// Operations that are kept back, not applied.
-    pub held: Vec<Operation>,
-    pub holds_operations: bool,
+    pub pending: Vec<Operation>,
+    pub delays_operations: bool,
 }
 
 pub fn needs(cpu: u64) -> Resources {
@@ -108,10 +108,10 @@
             state,
             scheduler,
             settings,
-            places: BTreeMap::new(),
+            servers: BTreeMap::new(),
             messages: Vec::new(),
-            held: Vec::new(),
-            holds_operations: false,
+            pending: Vec::new(),
+            delays_operations: false,
         };
         bench.take_shard(1);
         bench
@@ -152,7 +152,7 @@
             labels: labels.iter().map(|label| (*label).to_owned()).collect(),
         };
         let connection = u64::from(machine) * 1_000 + self.now + incarnation;
-        let place = Place {
+        let server = ModelServer {
             id,
             connection,
             running: Vec::new(),
@@ -164,21 +164,21 @@
             facts,
             ends: 0,
         };
-        self.places.insert(machine, place);
+        self.servers.insert(machine, server);
         self.attach_again(machine, connection);
     }
 
     /// The agent of a server that is known attaches on another connection.
     pub fn attach_again(&mut self, machine: u16, connection: u64) {
         let sent_at = Millis(self.now);
-        let Some(place) = self.places.get_mut(&machine) else {
+        let Some(server) = self.servers.get_mut(&machine) else {
             return;
         };
-        place.connection = connection;
+        server.connection = connection;
         let message = AgentMessage::Attach {
-            facts: place.facts.clone(),
+            facts: server.facts.clone(),
             token: FencingToken(0),
-            heartbeat: heartbeat(place),
+            heartbeat: heartbeat(server),
             sent_at,
         };
         self.scheduler
@@ -187,14 +187,14 @@
 
     /// A heartbeat of a server.
     pub fn beat(&mut self, machine: u16) {
-        let place = &self.places[&machine];
+        let server = &self.servers[&machine];
         let message = AgentMessage::Report {
-            heartbeat: Some(heartbeat(place)),
+            heartbeat: Some(heartbeat(server)),
             sent_at: Millis(self.now),
         };
         self.scheduler.receive(
             address(machine),
-            place.connection,
+            server.connection,
             message,
             Millis(self.now),
         );
@@ -202,33 +202,33 @@
 
     /// A server leaves, having drained.
     pub fn leave(&mut self, machine: u16) {
-        let place = &self.places[&machine];
+        let server = &self.servers[&machine];
         let message = AgentMessage::Deregister {
-            server: place.id.clone(),
+            server: server.id.clone(),
         };
         self.scheduler.receive(
             address(machine),
-            place.connection,
+            server.connection,
             message,
             Millis(self.now),
         );
     }
 
     pub fn disconnect(&mut self, machine: u16) {
-        let connection = self.places[&machine].connection;
+        let connection = self.servers[&machine].connection;
         self.scheduler.disconnected(address(machine), connection);
     }
 
     /// The servers do what they were told, and beat.
     pub fn servers_follow(&mut self) {
         for (machine, message) in std::mem::take(&mut self.messages) {
-            let Some(place) = self.places.get_mut(&machine) else {
+            let Some(server) = self.servers.get_mut(&machine) else {
                 continue;
             };
-            place.orders_seen = message.number;
+            server.orders_seen = message.number;
             for assignment in message.assign {
                 let (task, attempt) = (assignment.task, assignment.attempt);
-                place.running.push(RunningTask {
+                server.running.push(RunningTask {
                     task,
                     attempt,
                     checkpoint: assignment.checkpoint,
@@ -236,11 +236,11 @@
                 });
             }
             for (task, attempt) in message.stop {
-                place.end(task, attempt, RunEnd::Stopped);
+                server.end(task, attempt, RunEnd::Stopped);
             }
-            place.finished.retain(|end| end.number > message.observed);
+            server.finished.retain(|end| end.number > message.observed);
         }
-        let machines: Vec<u16> = self.places.keys().copied().collect();
+        let machines: Vec<u16> = self.servers.keys().copied().collect();
         machines.into_iter().for_each(|machine| self.beat(machine));
     }
 
@@ -283,7 +283,7 @@
             .applied(&operation, &result, Millis(self.now));
     }
 
-    /// One round with authority; its operations are applied at once unless they are held.
+    /// One round with authority; its operations are applied at once unless they are pending.
     pub fn round(&mut self) -> Round {
         self.round_until(u64::MAX)
     }
@@ -298,8 +298,8 @@
                 .push((order.agent.0.port(), order.message.clone()));
         }
         for operation in &round.operations {
-            if self.holds_operations {
-                self.held.push(operation.clone());
+            if self.delays_operations {
+                self.pending.push(operation.clone());
             } else {
                 self.apply(operation.clone());
             }
@@ -319,16 +319,16 @@
 
     /// The machines on which the tasks of a job run, as the servers see it.
     pub fn machines_of(&self, job: u64) -> Vec<u16> {
-        let on = |place: &Place| {
-            place
+        let on = |server: &ModelServer| {
+            server
                 .running
                 .iter()
                 .filter(|run| run.task.job == JobId(job))
                 .count()
         };
-        self.places
+        self.servers
             .iter()
-            .flat_map(|(machine, place)| std::iter::repeat_n(*machine, on(place)))
+            .flat_map(|(machine, server)| std::iter::repeat_n(*machine, on(server)))
             .collect()
     }
 
@@ -351,16 +351,16 @@
     }
 }
 
-impl Place {
+impl ModelServer {
     pub fn end(&mut self, task: TaskId, attempt: Attempt, end: RunEnd) {
-        let Some(place) = self
+        let Some(server) = self
             .running
             .iter()
             .position(|run| run.task == task && run.attempt == attempt)
         else {
             return;
         };
-        let run = self.running.remove(place);
+        let run = self.running.remove(server);
         self.ends += 1;
         let number = self.ends;
         self.finished.push(FinishedTask {
@@ -373,14 +373,14 @@
     }
 }
 
-fn heartbeat(place: &Place) -> Heartbeat {
+fn heartbeat(server: &ModelServer) -> Heartbeat {
     Heartbeat {
-        server: place.id.clone(),
-        sequence: place.sequence,
-        draining: place.draining || place.remaining_ms.is_some(),
-        remaining_ms: place.remaining_ms,
-        running: place.running.clone(),
-        finished: place.finished.clone(),
-        orders_seen: place.orders_seen,
+        server: server.id.clone(),
+        sequence: server.sequence,
+        draining: server.draining || server.remaining_ms.is_some(),
+        remaining_ms: server.remaining_ms,
+        running: server.running.clone(),
+        finished: server.finished.clone(),
+        orders_seen: server.orders_seen,
     }
 }
--- a/crates/scheduler/tests/decisions/best_fit.rs
+++ b/crates/scheduler/tests/decisions/best_fit.rs
@@ -160,7 +160,7 @@
     let mut bench = near_server_frees_after(3_000);
     assert!(bench.machines_of(7).is_empty());
     bench
-        .places
+        .servers
         .get_mut(&2)
         .expect("it is there")
         .end(task(1, 0, 0), 1, RunEnd::Done);
--- a/crates/scheduler/tests/decisions/eviction.rs
+++ b/crates/scheduler/tests/decisions/eviction.rs
@@ -55,7 +55,7 @@
 #[test]
 fn a_draining_server_gets_nothing_new() {
     let mut bench = servers(2);
-    bench.places.get_mut(&1).expect("it is there").remaining_ms = Some(60_000);
+    bench.servers.get_mut(&1).expect("it is there").remaining_ms = Some(60_000);
     bench.beat(1);
     bench.accept_steps(7, 0, vec![step(20, 1_000, 500)]);
     bench.run_for(500);
@@ -63,23 +63,23 @@
 }
 
 #[test]
-fn what_would_not_end_in_time_leaves_a_draining_server_where_there_is_room() {
+fn what_would_not_end_in_time_moves_off_a_draining_server_where_there_is_capacity() {
     let mut bench = servers(2);
     bench.accept_steps(7, 1, vec![saving(1, 2_000)]);
     bench.accept_steps(8, 1, vec![step(1, 2_000, 1_000)]);
     bench.run_for(300);
     let from = bench.machines_of(7)[0];
     assert_eq!(bench.machines_of(8), vec![from], "they are packed");
-    let place = bench.places.get_mut(&from).expect("it is there");
-    place
+    let server = bench.servers.get_mut(&from).expect("it is there");
+    server
         .running
         .iter_mut()
         .for_each(|run| run.checkpoint = "kept".to_owned());
-    place.remaining_ms = Some(20_000);
+    server.remaining_ms = Some(20_000);
     bench.run_for(500);
     let to = 3 - from;
     assert_eq!(bench.machines_of(7), vec![to]);
-    assert_eq!(bench.places[&to].running[0].checkpoint, "kept");
+    assert_eq!(bench.servers[&to].running[0].checkpoint, "kept");
     assert_eq!(bench.machines_of(8), vec![from], "it ends in time");
 }
 
@@ -90,7 +90,7 @@
     bench.run_for(200);
     let first = bench.machines_of(7)[0];
     bench
-        .places
+        .servers
         .get_mut(&first)
         .expect("it is there")
         .end(task(7, 0, 0), 1, RunEnd::Failed);
@@ -108,7 +108,7 @@
         // The first one decides which server it is.
         if at == 1 {
             bench
-                .places
+                .servers
                 .get_mut(&1)
                 .expect("it is there")
                 .end(task(job, 0, 0), 1, RunEnd::Failed);
@@ -150,8 +150,8 @@
     let mut bench = servers(1);
     bench.accept_steps(7, 1, vec![saving(2, 1_000)]);
     bench.run_for(200);
-    let place = bench.places.get_mut(&1).expect("it is there");
-    place.end(task(7, 0, 0), 1, RunEnd::Stopped);
+    let server = bench.servers.get_mut(&1).expect("it is there");
+    server.end(task(7, 0, 0), 1, RunEnd::Stopped);
     bench.run_for(300);
     let record = &bench.state.job(JobId(7)).expect("the job is known");
     let attempts: Vec<u32> = (0..2)
@@ -159,5 +159,8 @@
         .map(|task| task.attempt)
         .collect();
     assert_eq!(attempts, vec![2, 1]);
-    assert!(bench.places[&1].finished.is_empty(), "the end was observed");
+    assert!(
+        bench.servers[&1].finished.is_empty(),
+        "the end was observed"
+    );
 }
--- a/crates/scheduler/tests/decisions/inferred_ends.rs
+++ b/crates/scheduler/tests/decisions/inferred_ends.rs
@@ -25,21 +25,22 @@
 /// A start was proposed, and its record is on its way.
 fn proposed() -> Bench {
     let mut bench = with_server();
-    bench.holds_operations = true;
+    bench.delays_operations = true;
     bench.accept_steps(JOB, 1, vec![step(1, 1_000, 60_000)]);
-    let starts = |bench: &Bench| Bench::starts(&bench.held).len();
+    let starts = |bench: &Bench| Bench::starts(&bench.pending).len();
     while starts(&bench) == 0 {
         bench.now += 50;
         bench.beat(MACHINE);
         bench.round();
     }
-    bench.holds_operations = false;
+    bench.delays_operations = false;
     bench
 }
 
 fn apply_held(bench: &mut Bench) {
-    let held = std::mem::take(&mut bench.held);
-    held.into_iter()
+    let pending = std::mem::take(&mut bench.pending);
+    pending
+        .into_iter()
         .for_each(|operation| bench.apply(operation));
 }
 
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn a_drained_server_that_left_runs_nothing() {
+fn a_server_that_deregistered_runs_nothing() {
     let mut bench = running();
     bench.leave(MACHINE);
     assert_eq!(
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn a_later_life_beside_the_same_agent_ends_the_earlier() {
+fn a_later_incarnation_beside_the_same_agent_ends_the_earlier() {
     let mut bench = running();
     bench.attach(MACHINE, 2, &["a", "r1"]);
     assert_eq!(
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn a_hold_that_is_over_ends_a_run() {
+fn an_expired_lease_ends_a_run() {
     let mut bench = running();
     let round = rounds_until_inferred_end(&mut bench, 10_000);
     assert_eq!(
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn a_run_that_a_new_owner_never_hears_of_is_over_after_the_longest_hold() {
+fn a_run_that_no_server_reports_to_a_new_owner_is_over_after_the_longest_lease() {
     let mut bench = running();
     bench.take_over(2);
     let began = bench.now;
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn a_start_that_is_recorded_after_its_server_has_gone_was_never_told() {
+fn a_start_that_is_recorded_after_its_server_is_gone_never_begins() {
     let mut bench = proposed();
     bench.leave(MACHINE);
     bench.round();
@@ -131,7 +132,7 @@
 }
 
 #[test]
-fn a_start_whose_job_is_cancelled_before_it_is_recorded_was_never_told() {
+fn a_start_whose_job_is_cancelled_before_it_is_recorded_never_begins() {
     let mut bench = proposed();
     apply_held(&mut bench);
     bench.cancel(JOB);
@@ -150,7 +151,7 @@
 }
 
 #[test]
-fn a_stop_that_the_server_has_seen_ends_a_run_that_it_lists_nowhere() {
+fn an_acknowledged_stop_ends_a_run_that_the_server_does_not_list() {
     let mut bench = with_server();
     bench.accept_steps(JOB, 1, vec![step(1, 1_000, 60_000)]);
     while bench
@@ -162,11 +163,11 @@
         bench.beat(MACHINE);
         bench.round();
     }
-    // The answer that held the start was lost on its way to the server.
+    // The answer that pending the start was lost on its way to the server.
     bench.messages.clear();
     bench.cancel(JOB);
     bench.round();
-    let (_, stop) = bench.messages.pop().expect("the stop is told");
+    let (_, stop) = bench.messages.pop().expect("the stop is ordered");
     assert_eq!(stop.stop, [(task(JOB, 0, 0), 1)]);
     bench.beat(MACHINE);
     assert!(
@@ -174,7 +175,7 @@
         "the server has not seen the stop"
     );
     bench
-        .places
+        .servers
         .get_mut(&MACHINE)
         .expect("it is there")
         .orders_seen = stop.number;
--- a/crates/scheduler/tests/decisions/late_messages.rs
+++ b/crates/scheduler/tests/decisions/late_messages.rs
@@ -1,14 +1,14 @@
 //! What comes late: attachments of earlier lives, and heartbeats that were overtaken.
 
-use crate::bench::{step, task, Bench, Place};
+use crate::bench::{step, task, Bench, ModelServer};
 use lupinrack_cluster_api::server::RunEnd;
 
 const MACHINE: u16 = 1;
 const OTHER: u16 = 2;
 const JOB: u64 = 7;
 
-/// Two lives followed each other beside one agent; a long task runs in the second.
-fn second_life_running() -> Bench {
+/// Two incarnations followed each other beside one agent; a long task runs in the second.
+fn second_incarnation_running() -> Bench {
     let mut bench = Bench::new();
     bench.attach(MACHINE, 1, &["a", "r1"]);
     bench.run_for(bench.settings.takeover_bound_ms());
@@ -20,44 +20,44 @@
     bench
 }
 
-/// The agent takes a late heartbeat of the first life for a living server.
-fn first_life_shows_up(bench: &mut Bench) -> Place {
-    let living = bench.places[&MACHINE].clone();
+/// The agent takes a late heartbeat of the first incarnation for a living server.
+fn first_incarnation_attaches(bench: &mut Bench) -> ModelServer {
+    let living = bench.servers[&MACHINE].clone();
     bench.attach(MACHINE, 1, &["a", "r1"]);
     living
 }
 
 #[test]
-fn an_earlier_life_that_shows_up_late_ends_no_run_of_the_later() {
-    let mut bench = second_life_running();
-    first_life_shows_up(&mut bench);
+fn an_earlier_incarnation_that_attaches_late_ends_no_run_of_the_later() {
+    let mut bench = second_incarnation_running();
+    first_incarnation_attaches(&mut bench);
     let round = bench.round();
     assert!(
         Bench::ends(&round.operations).is_empty(),
-        "the later life runs on"
+        "the later incarnation runs on"
     );
 }
 
 #[test]
-fn a_new_owner_does_not_take_an_earlier_life_that_shows_up_late_for_the_later_one_s_end() {
-    let mut bench = second_life_running();
+fn at_a_new_owner_an_earlier_incarnation_that_attaches_late_ends_no_run_of_the_later() {
+    let mut bench = second_incarnation_running();
     bench.take_over(2);
     bench.attach_again(MACHINE, 99);
     bench.round();
-    first_life_shows_up(&mut bench);
+    first_incarnation_attaches(&mut bench);
     let round = bench.round();
     assert!(
         Bench::ends(&round.operations).is_empty(),
-        "the later life runs on"
+        "the later incarnation runs on"
     );
 }
 
 #[test]
-fn the_later_life_goes_on_when_its_agent_hears_it_again() {
-    let mut bench = second_life_running();
-    let living = first_life_shows_up(&mut bench);
+fn the_later_incarnation_goes_on_when_its_agent_reports_it_again() {
+    let mut bench = second_incarnation_running();
+    let living = first_incarnation_attaches(&mut bench);
     bench.round();
-    bench.places.insert(MACHINE, living);
+    bench.servers.insert(MACHINE, living);
     bench.attach_again(MACHINE, 99);
     bench.round();
     let (_, message) = bench.messages.pop().expect("the session begins anew");
@@ -81,10 +81,10 @@
 }
 
 #[test]
-fn the_last_ends_of_a_life_count_although_the_next_has_attached() {
-    let mut bench = second_life_running();
-    let place = bench.places.get_mut(&MACHINE).expect("it is there");
-    place.end(task(JOB, 0, 0), 1, RunEnd::Done);
+fn the_last_ends_of_an_incarnation_count_although_the_next_has_attached() {
+    let mut bench = second_incarnation_running();
+    let server = bench.servers.get_mut(&MACHINE).expect("it is there");
+    server.end(task(JOB, 0, 0), 1, RunEnd::Done);
     bench.beat(MACHINE);
     bench.attach(MACHINE, 3, &["a", "r1"]);
     let round = bench.round();
@@ -100,15 +100,15 @@
     let mut bench = Bench::new();
     bench.attach(MACHINE, 1, &["a", "r1"]);
     bench.run_for(bench.settings.takeover_bound_ms());
-    let early = bench.places[&MACHINE].clone();
-    let place = bench.places.get_mut(&MACHINE).expect("it is there");
-    (place.sequence, place.draining) = (9, true);
+    let early = bench.servers[&MACHINE].clone();
+    let server = bench.servers.get_mut(&MACHINE).expect("it is there");
+    (server.sequence, server.draining) = (9, true);
     bench.beat(MACHINE);
     bench.round();
     // Another connection brings what was sent before the draining began.
-    bench.places.insert(
+    bench.servers.insert(
         MACHINE,
-        Place {
+        ModelServer {
             sequence: 5,
             ..early
         },
@@ -126,16 +126,16 @@
 }
 
 #[test]
-fn a_draining_server_is_not_told_again_what_it_has_not_started() {
+fn a_draining_server_is_not_ordered_again_what_it_has_not_started() {
     let mut bench = Bench::new();
     bench.attach(MACHINE, 1, &["a", "r1"]);
     bench.run_for(bench.settings.takeover_bound_ms());
     bench.accept_steps(JOB, 1, vec![step(1, 1_000, 60_000)]);
     bench.round();
     bench.round();
-    assert!(!bench.messages.is_empty(), "the start is told");
+    assert!(!bench.messages.is_empty(), "the start is ordered");
     bench
-        .places
+        .servers
         .get_mut(&MACHINE)
         .expect("it is there")
         .draining = true;
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_server_that_names_no_time_to_stay_is_left_as_the_rule_says() {
+fn a_server_that_reports_no_remaining_time_is_evacuated_by_the_drain_time() {
     let mut bench = Bench::new();
     bench.attach(MACHINE, 1, &["a", "r1"]);
     bench.run_for(bench.settings.takeover_bound_ms());
@@ -161,7 +161,7 @@
     assert_eq!(bench.machines_of(JOB), [MACHINE]);
     // It has sent its leave without a word of draining, and serves on.
     bench
-        .places
+        .servers
         .get_mut(&MACHINE)
         .expect("it is there")
         .draining = true;
--- a/crates/scheduler/tests/decisions/leases.rs
+++ b/crates/scheduler/tests/decisions/leases.rs
@@ -19,7 +19,7 @@
 }
 
 /// Moves on without any word from the servers; gives when the end was recorded.
-fn silent_until_lease_expired(bench: &mut Bench, at_most_ms: u64) -> Option<u64> {
+fn unreachable_until_lease_expired(bench: &mut Bench, at_most_ms: u64) -> Option<u64> {
     let begin = bench.now;
     while bench.now < begin + at_most_ms {
         bench.now += 25;
@@ -36,11 +36,11 @@
 }
 
 #[test]
-fn a_silent_server_keeps_its_runs_until_its_hold_is_over() {
+fn an_unreachable_server_keeps_its_runs_until_its_lease_expires() {
     let mut bench = one_running();
-    let expired_after_ms = silent_until_lease_expired(&mut bench, 10_000);
+    let expired_after_ms = unreachable_until_lease_expired(&mut bench, 10_000);
     let bound_ms = bench.settings.lease_bound_ms();
-    let expired_after_ms = expired_after_ms.expect("its hold ends");
+    let expired_after_ms = expired_after_ms.expect("its lease expires");
     assert!(
         expired_after_ms + bench.settings.lease_ms / 4 >= bound_ms,
         "{expired_after_ms} of {bound_ms} ms"
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_new_life_beside_the_same_agent_ends_the_old_ones_runs_at_once() {
+fn a_new_incarnation_beside_the_same_agent_ends_the_runs_of_the_old_one_at_once() {
     let mut bench = one_running();
     bench.attach(MACHINE, 2, &["a", "r1"]);
     let round = bench.round();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_life_elsewhere_ends_nothing() {
+fn an_incarnation_beside_another_agent_ends_nothing() {
     let mut bench = one_running();
     bench.disconnect(MACHINE);
     bench.attach(2, 1, &["a", "r1"]);
@@ -71,10 +71,11 @@
 }
 
 #[test]
-fn a_new_owner_waits_for_what_the_old_one_may_have_granted() {
+fn a_new_owner_waits_for_the_leases_that_the_old_one_may_have_granted() {
     let mut bench = one_running();
     bench.take_over(2);
-    let expired_after_ms = silent_until_lease_expired(&mut bench, 20_000).expect("every hold ends");
+    let expired_after_ms =
+        unreachable_until_lease_expired(&mut bench, 20_000).expect("every lease expires");
     let bound_ms = bench.settings.takeover_bound_ms();
     assert!(
         expired_after_ms > bound_ms,
@@ -92,7 +93,7 @@
     bench.take_over(2);
     bench.attach_again(MACHINE, 99);
     bench.round();
-    let (_, message) = bench.messages.pop().expect("the agent is told at once");
+    let (_, message) = bench.messages.pop().expect("the agent is notified at once");
     assert!(message.complete);
     assert_eq!(message.assign.len(), 1);
     assert_eq!(
@@ -105,10 +106,10 @@
 }
 
 #[test]
-fn orders_that_lapsed_are_replaced_before_the_next_hold() {
+fn orders_of_an_expired_lease_are_replaced_before_the_next_lease() {
     let mut bench = one_running();
     bench.messages.clear();
-    silent_until_lease_expired(&mut bench, 10_000).expect("its hold ends");
+    unreachable_until_lease_expired(&mut bench, 10_000).expect("its lease expires");
     bench.beat(MACHINE);
     bench.round();
     let holds_anew = |message: &&(u16, OwnerMessage)| message.1.lease_from == Millis(bench.now);
@@ -121,7 +122,7 @@
         .messages
         .iter()
         .position(|(_, message)| message.complete)
-        .expect("all is told anew");
+        .expect("all is ordered anew");
     assert!(
         whole <= newest,
         "starts of the old orders must not come back to life"
@@ -130,18 +131,18 @@
     let stop = &bench.messages[newest].1.stop;
     assert!(
         stop.contains(&(task(7, 0, 0), 1)),
-        "it is still listed, and nobody asks for it"
+        "it is still listed, and no record asks for it"
     );
 }
 
 #[test]
-fn a_new_owner_knows_that_a_later_life_beside_the_same_agent_ended_the_old_one() {
+fn a_new_owner_knows_that_a_later_incarnation_beside_the_same_agent_ended_the_old_one() {
     let mut bench = one_running();
     bench.take_over(2);
     // The server lost power with everything else: it comes back as another life, beside a fresh agent.
     bench.attach(MACHINE, 2, &["a", "r1"]);
     let expired_after_ms =
-        silent_until_lease_expired(&mut bench, 20_000).expect("the old life is over");
+        unreachable_until_lease_expired(&mut bench, 20_000).expect("the old incarnation is over");
     assert!(
         expired_after_ms <= 200,
         "{expired_after_ms} ms, although the bound is {} ms",
@@ -150,11 +151,12 @@
 }
 
 #[test]
-fn a_new_owner_does_not_take_a_life_elsewhere_for_the_old_one_s_end() {
+fn at_a_new_owner_an_incarnation_beside_another_agent_ends_nothing() {
     let mut bench = one_running();
     bench.take_over(2);
     bench.attach(2, 1, &["a", "r1"]);
-    let expired_after_ms = silent_until_lease_expired(&mut bench, 20_000).expect("every hold ends");
+    let expired_after_ms =
+        unreachable_until_lease_expired(&mut bench, 20_000).expect("every lease expires");
     let bound_ms = bench.settings.takeover_bound_ms();
     assert!(
         expired_after_ms > bound_ms,
--- a/crates/scheduler/tests/decisions/orders.rs
+++ b/crates/scheduler/tests/decisions/orders.rs
@@ -16,15 +16,15 @@
 }
 
 #[test]
-fn a_start_is_told_only_when_it_is_recorded() {
+fn a_start_is_ordered_only_when_it_is_recorded() {
     let mut bench = one_server();
-    bench.holds_operations = true;
+    bench.delays_operations = true;
     bench.accept_steps(7, 0, vec![step(1, 1_000, 500)]);
     bench.round();
     bench.run_for(500);
     assert!(bench.machines_of(7).is_empty());
-    let held = bench.held.pop().expect("the start was submitted");
-    bench.apply(held);
+    let pending = bench.pending.pop().expect("the start was submitted");
+    bench.apply(pending);
     bench.round();
     bench.servers_follow();
     assert_eq!(bench.machines_of(7), vec![MACHINE]);
@@ -33,15 +33,16 @@
 #[test]
 fn what_is_not_applied_is_submitted_again_unchanged() {
     let mut bench = one_server();
-    bench.holds_operations = true;
+    bench.delays_operations = true;
     bench.accept_steps(7, 0, vec![step(2, 1_000, 500)]);
     bench.run_for(bench.settings.resubmit_ms - 100);
-    assert_eq!(bench.held.len(), 1);
+    assert_eq!(bench.pending.len(), 1);
     bench.run_for(200);
-    assert_eq!(bench.held.len(), 2);
-    assert_eq!(bench.held[0], bench.held[1]);
-    let held = std::mem::take(&mut bench.held);
-    held.into_iter()
+    assert_eq!(bench.pending.len(), 2);
+    assert_eq!(bench.pending[0], bench.pending[1]);
+    let pending = std::mem::take(&mut bench.pending);
+    pending
+        .into_iter()
         .for_each(|operation| bench.apply(operation));
     bench.run_for(100);
     assert_eq!(
@@ -56,17 +57,17 @@
     let mut bench = one_server();
     bench.accept_steps(7, 0, vec![step(1, 1_000, 500)]);
     bench.run_for(200);
-    bench.holds_operations = true;
-    let place = bench.places.get_mut(&MACHINE).expect("it is there");
-    place.end(task(7, 0, 0), 1, RunEnd::Done);
+    bench.delays_operations = true;
+    let server = bench.servers.get_mut(&MACHINE).expect("it is there");
+    server.end(task(7, 0, 0), 1, RunEnd::Done);
     bench.run_for(300);
-    assert_eq!(bench.places[&MACHINE].finished.len(), 1);
-    let held = bench.held.remove(0);
-    assert!(matches!(held, Operation::RecordEnds { .. }));
-    bench.apply(held);
+    assert_eq!(bench.servers[&MACHINE].finished.len(), 1);
+    let pending = bench.pending.remove(0);
+    assert!(matches!(pending, Operation::RecordEnds { .. }));
+    bench.apply(pending);
     bench.run_for(100);
     assert!(
-        bench.places[&MACHINE].finished.is_empty(),
+        bench.servers[&MACHINE].finished.is_empty(),
         "it was observed"
     );
 }
@@ -93,12 +94,12 @@
     let (_, message) = bench
         .messages
         .first()
-        .expect("the agent is told in the same round");
+        .expect("the agent is notified in the same round");
     assert_eq!(message.stop, vec![(task(7, 0, 0), 1), (task(7, 0, 1), 1)]);
 }
 
 #[test]
-fn a_run_that_nobody_asked_for_is_stopped_and_takes_room_until_then() {
+fn a_foreign_run_is_stopped_and_takes_capacity_until_then() {
     let mut bench = one_server();
     let stray = TaskId {
         index: 5,
@@ -111,7 +112,7 @@
         percent: 10,
     };
     bench
-        .places
+        .servers
         .get_mut(&MACHINE)
         .expect("it is there")
         .running
@@ -123,7 +124,7 @@
         Bench::starts(&round.operations).is_empty(),
         "what it takes is not known"
     );
-    let (_, message) = bench.messages.last().expect("the agent is told");
+    let (_, message) = bench.messages.last().expect("the agent is notified");
     assert_eq!(message.stop, vec![(stray, 3)]);
     bench.run_for(200);
     assert_eq!(bench.machines_of(7), vec![MACHINE]);
@@ -138,11 +139,11 @@
     // The start was told, but no heartbeat has come since.
     bench.cancel(7);
     bench.round();
-    let (_, stop) = bench.messages.pop().expect("the stop was told");
+    let (_, stop) = bench.messages.pop().expect("the stop was ordered");
     bench.messages.clear();
     bench.now += 100;
     bench
-        .places
+        .servers
         .get_mut(&MACHINE)
         .expect("it is there")
         .orders_seen = stop.number - 1;
@@ -152,7 +153,7 @@
         "it may still be started"
     );
     bench
-        .places
+        .servers
         .get_mut(&MACHINE)
         .expect("it is there")
         .orders_seen = stop.number;
@@ -201,7 +202,7 @@
         bench.run_for(300);
         assert_eq!(bench.machines_of(7), vec![MACHINE], "attempt {attempt}");
         bench
-            .places
+            .servers
             .get_mut(&MACHINE)
             .expect("it is there")
             .end(task(7, 0, 0), attempt, end);
--- a/crates/scheduler/tests/decisions/placement.rs
+++ b/crates/scheduler/tests/decisions/placement.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn work_waits_for_a_place_near_its_data_that_is_free_soon() {
+fn work_waits_for_capacity_near_its_data_that_is_free_soon() {
     let mut bench = servers(&[&["a", "r1"], &["a", "r2"]]);
     bench.accept_steps(
         1,
@@ -75,7 +75,7 @@
     bench.run_for(400);
     assert!(bench.machines_of(7).is_empty());
     bench
-        .places
+        .servers
         .get_mut(&2)
         .expect("it is there")
         .end(task(1, 0, 0), 1, RunEnd::Done);
@@ -105,14 +105,14 @@
     };
     bench.accept_steps(7, 0, vec![step(2, 100, 500), second]);
     bench.run_for(200);
-    let place = bench.places.get_mut(&1).expect("it is there");
-    place.end(task(7, 0, 0), 1, RunEnd::Done);
+    let server = bench.servers.get_mut(&1).expect("it is there");
+    server.end(task(7, 0, 0), 1, RunEnd::Done);
     bench.run_for(300);
     assert_eq!(bench.machines_of(7).len(), 1);
-    let place = bench.places.get_mut(&1).expect("it is there");
-    place.end(task(7, 0, 1), 1, RunEnd::Done);
+    let server = bench.servers.get_mut(&1).expect("it is there");
+    server.end(task(7, 0, 1), 1, RunEnd::Done);
     bench.run_for(300);
-    let running = &bench.places[&1].running;
+    let running = &bench.servers[&1].running;
     assert_eq!(
         running.iter().map(|run| run.task).collect::<Vec<_>>(),
         vec![task(7, 1, 0)]
@@ -147,7 +147,7 @@
     );
     let near = bench.machines_of(1)[0];
     bench
-        .places
+        .servers
         .get_mut(&near)
         .expect("it is there")
         .end(task(1, 0, 0), 1, RunEnd::Done);
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_gang_is_spread_where_no_rack_can_hold_it() {
+fn a_gang_is_spread_where_it_fits_into_no_rack() {
     let mut bench = servers(&[&["a", "r1"], &["a", "r2"]]);
     bench.accept_steps(7, 1, vec![gang(2, 10_000)]);
     bench.run_for(300);
@@ -175,15 +175,15 @@
         }],
     );
     bench.run_for(300);
-    let place = bench.places.get_mut(&1).expect("it is there");
-    place.running[0].checkpoint = "half".to_owned();
-    let member = place.running[0].task;
-    place.end(member, 1, RunEnd::Failed);
+    let server = bench.servers.get_mut(&1).expect("it is there");
+    server.running[0].checkpoint = "half".to_owned();
+    let member = server.running[0].task;
+    server.end(member, 1, RunEnd::Failed);
     bench.run_for(400);
     let runs: Vec<_> = bench
-        .places
+        .servers
         .values()
-        .flat_map(|place| place.running.clone())
+        .flat_map(|server| server.running.clone())
         .collect();
     assert_eq!(
         runs.len(),
@@ -219,25 +219,25 @@
 
 /// Ends the runs of other jobs than the gang's that are as old as this, by a count in their progress.
 fn end_after(bench: &mut Bench, milliseconds: u64) {
-    for place in bench.places.values_mut() {
-        for run in &mut place.running {
+    for server in bench.servers.values_mut() {
+        for run in &mut server.running {
             run.percent += 1;
         }
         let old = |percent: u32| u64::from(percent) * 50 >= milliseconds;
-        let over: Vec<_> = place
+        let over: Vec<_> = server
             .running
             .iter()
             .filter(|run| old(run.percent))
             .cloned()
             .collect();
         for run in over {
-            place.end(run.task, run.attempt, RunEnd::Done);
+            server.end(run.task, run.attempt, RunEnd::Done);
         }
     }
 }
 
 #[test]
-fn a_server_never_holds_more_than_it_has() {
+fn a_server_never_runs_more_than_it_has_capacity_for() {
     let mut bench = servers(&[&["a", "r1"]]);
     bench.accept_steps(
         7,
--- a/crates/scheduler/tests/decisions/unproposed_starts.rs
+++ b/crates/scheduler/tests/decisions/unproposed_starts.rs
@@ -12,7 +12,7 @@
     let mut bench = Bench::new();
     bench.attach(MACHINE, 1, &["a", "r1"]);
     bench.run_for(bench.settings.takeover_bound_ms() + 50);
-    bench.holds_operations = true;
+    bench.delays_operations = true;
     bench.accept_steps(7, 1, vec![step(1, 1_000, 60_000)]);
     let start = StartRecord {
         task: task(7, 0, 0),
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_start_that_it_did_not_propose_is_not_over_before_its_server_says_so() {
+fn an_unproposed_start_is_not_over_before_its_server_reports_so() {
     let mut bench = unproposed_start();
     let round = bench.round();
     let ends = Bench::ends(&round.operations);
@@ -41,10 +41,10 @@
 }
 
 #[test]
-fn a_start_that_it_did_not_propose_is_over_once_its_server_has_seen_the_stop() {
+fn an_unproposed_start_is_over_once_its_server_has_acknowledged_the_stop() {
     let mut bench = unproposed_start();
     bench.run_for(200);
-    let ends = Bench::ends(&bench.held);
+    let ends = Bench::ends(&bench.pending);
     let stopped = |end: &&lupinrack_cluster_api::operation::EndRecord| end.task == task(7, 0, 0);
     let end = ends
         .iter()
--- a/crates/scheduler/tests/golden/scenario.rs
+++ b/crates/scheduler/tests/golden/scenario.rs
@@ -1,6 +1,6 @@
 //! A bench whose servers do what they are given, and the trace of its rounds.
 
-use crate::bench::{Bench, Place};
+use crate::bench::{Bench, ModelServer};
 use crate::text::{round_text, summary_text};
 use lupinrack_cluster_api::agent::{Assignment, OwnerMessage};
 use lupinrack_cluster_api::identity::{Attempt, TaskId};
@@ -97,41 +97,41 @@
     /// The servers take the messages that are on their way, and beat.
     pub fn follow(&mut self) {
         for (machine, message) in std::mem::take(&mut self.bench.messages) {
-            let place = self.bench.places.get_mut(&machine);
-            if let Some(place) = place.filter(|place| place.id == message.server) {
-                take_orders(place, message);
+            let server = self.bench.servers.get_mut(&machine);
+            if let Some(server) = server.filter(|server| server.id == message.server) {
+                take_orders(server, message);
             }
         }
-        let machines: Vec<u16> = self.bench.places.keys().copied().collect();
+        let machines: Vec<u16> = self.bench.servers.keys().copied().collect();
         machines
             .into_iter()
             .for_each(|machine| self.bench.beat(machine));
     }
 
     /// A server or its agent, as it is now.
-    pub fn place(&mut self, machine: u16) -> &mut Place {
-        self.bench.places.get_mut(&machine).expect("it is there")
+    pub fn server(&mut self, machine: u16) -> &mut ModelServer {
+        self.bench.servers.get_mut(&machine).expect("it is there")
     }
 
     /// Ends a run wherever it runs.
     pub fn end(&mut self, task: TaskId, end: RunEnd) {
-        for place in self.bench.places.values_mut() {
-            let attempt = place
+        for server in self.bench.servers.values_mut() {
+            let attempt = server
                 .running
                 .iter()
                 .find(|run| run.task == task)
                 .map(|run| run.attempt);
             if let Some(attempt) = attempt {
-                place.end(task, attempt, end);
+                server.end(task, attempt, end);
             }
         }
     }
 
     fn work(&mut self) {
-        for (machine, place) in &mut self.bench.places {
+        for (machine, server) in &mut self.bench.servers {
             let conduct = self.conduct.get(machine).copied().unwrap_or_default();
             let mut over = Vec::new();
-            for run in &mut place.running {
+            for run in &mut server.running {
                 let began = *self
                     .began
                     .entry((run.task, run.attempt))
@@ -145,14 +145,14 @@
                 }
             }
             over.into_iter()
-                .for_each(|(task, attempt, end)| place.end(task, attempt, end));
+                .for_each(|(task, attempt, end)| server.end(task, attempt, end));
         }
     }
 }
 
 /// A server that drains starts nothing; what runs or has ended there is not started again.
-fn take_orders(place: &mut Place, message: OwnerMessage) {
-    place.orders_seen = message.number;
+fn take_orders(server: &mut ModelServer, message: OwnerMessage) {
+    server.orders_seen = message.number;
     for Assignment {
         task,
         attempt,
@@ -160,16 +160,16 @@
         ..
     } in message.assign
     {
-        let runs = place
+        let runs = server
             .running
             .iter()
             .any(|run| (run.task, run.attempt) == (task, attempt));
-        let ended = place
+        let ended = server
             .finished
             .iter()
             .any(|end| (end.task, end.attempt) == (task, attempt));
-        if !(runs || ended || place.draining) {
-            place.running.push(RunningTask {
+        if !(runs || ended || server.draining) {
+            server.running.push(RunningTask {
                 task,
                 attempt,
                 checkpoint,
@@ -178,9 +178,9 @@
         }
     }
     for (task, attempt) in message.stop {
-        place.end(task, attempt, RunEnd::Stopped);
+        server.end(task, attempt, RunEnd::Stopped);
     }
-    place.finished.retain(|end| end.number > message.observed);
+    server.finished.retain(|end| end.number > message.observed);
 }
 
 /// Moves a run on to where it is after so much work; gives its end if it is over.
--- a/crates/scheduler/tests/golden/scenarios.rs
+++ b/crates/scheduler/tests/golden/scenarios.rs
@@ -1,9 +1,9 @@
 //! Situations made by hand, with everything that is decided in them.
 
+mod eviction;
 mod faults;
 mod gangs;
-mod giving_way;
-mod lapses;
+mod inferred_ends;
 mod records;
 mod singles;
 mod takeovers;
@@ -28,8 +28,8 @@
     let folders: [&[(&str, Build)]; 7] = [
         &faults::SCENARIOS,
         &gangs::SCENARIOS,
-        &giving_way::SCENARIOS,
-        &lapses::SCENARIOS,
+        &eviction::SCENARIOS,
+        &inferred_ends::SCENARIOS,
         &records::SCENARIOS,
         &singles::SCENARIOS,
         &takeovers::SCENARIOS,
--- a/crates/scheduler/tests/golden/scenarios/giving_way.rs
+++ b/crates/scheduler/tests/golden/scenarios/eviction.rs
@@ -103,13 +103,13 @@
         .bench
         .accept_steps(3, 1, vec![step(1, 2_000, 30_000)]);
     scenario.run_for(500);
-    let leaving = scenario.place(1);
+    let leaving = scenario.server(1);
     (leaving.draining, leaving.remaining_ms) = (true, Some(6_000));
     scenario.run_for(500);
     scenario.note_summary();
     scenario.run_for(3_000);
     scenario.bench.leave(1);
-    scenario.bench.places.remove(&1);
+    scenario.bench.servers.remove(&1);
     scenario.run_for(2_000);
     scenario.finish()
 }
@@ -121,14 +121,14 @@
         .bench
         .accept_steps(1, 1, vec![saving(8, 4_000, 9_000)]);
     scenario.run_for(500);
-    scenario.place(2).draining = true;
+    scenario.server(2).draining = true;
     for _ in 0..60 {
         scenario.run_for(50);
-        let left = scenario.place(2).remaining_ms.unwrap_or(4_000);
-        scenario.place(2).remaining_ms = Some(left.saturating_sub(50));
+        let left = scenario.server(2).remaining_ms.unwrap_or(4_000);
+        scenario.server(2).remaining_ms = Some(left.saturating_sub(50));
     }
     scenario.bench.leave(2);
-    scenario.bench.places.remove(&2);
+    scenario.bench.servers.remove(&2);
     scenario.run_for(6_000);
     scenario.finish()
 }
@@ -142,8 +142,8 @@
         .accept_steps(1, 1, vec![step(3, 4_000, 1_000)]);
     scenario.round();
     scenario.round();
-    scenario.place(1).draining = true;
-    scenario.place(2).draining = false;
+    scenario.server(1).draining = true;
+    scenario.server(2).draining = false;
     scenario.run_for(4_000);
     scenario.finish()
 }
@@ -157,7 +157,7 @@
             .accept_steps(job, 1, vec![step(1, 1_000, 5_000 + 1_500 * job)]);
     }
     scenario.run_for(500);
-    let leaving = scenario.place(1);
+    let leaving = scenario.server(1);
     (leaving.draining, leaving.remaining_ms) = (true, Some(7_000));
     scenario.run_for(2_000);
     scenario.finish()
--- a/crates/scheduler/tests/golden/scenarios/lapses.rs
+++ b/crates/scheduler/tests/golden/scenarios/inferred_ends.rs
@@ -32,7 +32,7 @@
 fn proposed() -> Scenario {
     let mut scenario = Scenario::new(&TWO);
     scenario.run_for(4_200);
-    scenario.bench.holds_operations = true;
+    scenario.bench.delays_operations = true;
     scenario
         .bench
         .accept_steps(7, 1, vec![step(3, 1_000, 9_000)]);
@@ -40,17 +40,18 @@
     scenario
 }
 
-fn apply_held(scenario: &mut Scenario) {
-    scenario.bench.holds_operations = false;
-    let held: Vec<Operation> = std::mem::take(&mut scenario.bench.held);
-    held.into_iter()
+fn apply_pending(scenario: &mut Scenario) {
+    scenario.bench.delays_operations = false;
+    let pending: Vec<Operation> = std::mem::take(&mut scenario.bench.pending);
+    pending
+        .into_iter()
         .for_each(|operation| scenario.bench.apply(operation));
 }
 
 fn server_left() -> String {
     let mut scenario = running();
     scenario.bench.leave(1);
-    scenario.bench.places.remove(&1);
+    scenario.bench.servers.remove(&1);
     scenario.run_for(1_000);
     scenario.finish()
 }
@@ -74,7 +75,7 @@
 fn detached() -> String {
     let mut scenario = running();
     scenario.bench.disconnect(1);
-    scenario.bench.places.remove(&1);
+    scenario.bench.servers.remove(&1);
     scenario.run_for(5_000);
     scenario.finish()
 }
@@ -82,16 +83,16 @@
 fn never_told() -> String {
     let mut scenario = proposed();
     scenario.bench.leave(1);
-    scenario.bench.places.remove(&1);
+    scenario.bench.servers.remove(&1);
     scenario.round();
-    apply_held(&mut scenario);
+    apply_pending(&mut scenario);
     scenario.run_for(500);
     scenario.finish()
 }
 
 fn stopped_untold() -> String {
     let mut scenario = proposed();
-    apply_held(&mut scenario);
+    apply_pending(&mut scenario);
     scenario.bench.cancel(7);
     scenario.run_for(500);
     scenario.finish()
@@ -100,7 +101,7 @@
 /// The order to start is lost, the stop is seen.
 fn stop_seen() -> String {
     let mut scenario = proposed();
-    apply_held(&mut scenario);
+    apply_pending(&mut scenario);
     scenario.round();
     scenario.bench.messages.clear();
     scenario.bench.cancel(7);
--- a/crates/scheduler/tests/golden/scenarios/records.rs
+++ b/crates/scheduler/tests/golden/scenarios/records.rs
@@ -17,21 +17,22 @@
 
 const TWO: [&[&str]; 2] = [&["a", "r1"], &["a", "r2"]];
 
-fn apply_held(scenario: &mut Scenario) {
-    let held: Vec<Operation> = std::mem::take(&mut scenario.bench.held);
-    held.into_iter()
+fn apply_pending(scenario: &mut Scenario) {
+    let pending: Vec<Operation> = std::mem::take(&mut scenario.bench.pending);
+    pending
+        .into_iter()
         .for_each(|operation| scenario.bench.apply(operation));
 }
 
 /// Servers, starts and ends whose operations are lost at first and applied twice later.
 fn submitted_again() -> String {
     let mut scenario = Scenario::new(&TWO);
-    scenario.bench.holds_operations = true;
+    scenario.bench.delays_operations = true;
     scenario.bench.accept_steps(1, 1, vec![step(3, 1_000, 300)]);
     scenario.run_for(1_000);
-    apply_held(&mut scenario);
+    apply_pending(&mut scenario);
     scenario.run_for(1_600);
-    apply_held(&mut scenario);
+    apply_pending(&mut scenario);
     scenario.run_for(500);
     scenario.finish()
 }
@@ -51,7 +52,7 @@
 fn unproposed_start() -> String {
     let mut scenario = Scenario::new(&TWO);
     scenario.run_for(4_200);
-    scenario.bench.holds_operations = true;
+    scenario.bench.delays_operations = true;
     scenario
         .bench
         .accept_steps(7, 1, vec![step(2, 1_000, 60_000)]);
@@ -74,8 +75,8 @@
         checkpoint: "more".to_owned(),
         percent: 5,
     };
-    scenario.place(1).running.push(running);
-    scenario.bench.holds_operations = false;
+    scenario.server(1).running.push(running);
+    scenario.bench.delays_operations = false;
     scenario.run_for(1_000);
     scenario.finish()
 }
@@ -84,13 +85,13 @@
 fn refused_start() -> String {
     let mut scenario = Scenario::new(&TWO);
     scenario.run_for(100);
-    scenario.bench.holds_operations = true;
+    scenario.bench.delays_operations = true;
     scenario.bench.accept_steps(1, 1, vec![step(2, 1_000, 300)]);
     scenario.bench.accept_steps(2, 1, vec![step(1, 1_000, 300)]);
     scenario.round();
     scenario.bench.cancel(1);
-    scenario.bench.holds_operations = false;
-    apply_held(&mut scenario);
+    scenario.bench.delays_operations = false;
+    apply_pending(&mut scenario);
     scenario.run_for(1_000);
     scenario.finish()
 }
@@ -109,10 +110,10 @@
         checkpoint: String::new(),
         percent: 1,
     };
-    scenario.place(2).running.push(stray(99, 3));
-    scenario.place(2).running.push(stray(1, 5));
-    scenario.place(1).running.push(stray(98, 1));
-    scenario.place(1).end(task(98, 0, 0), 1, RunEnd::Failed);
+    scenario.server(2).running.push(stray(99, 3));
+    scenario.server(2).running.push(stray(1, 5));
+    scenario.server(1).running.push(stray(98, 1));
+    scenario.server(1).end(task(98, 0, 0), 1, RunEnd::Failed);
     scenario
         .bench
         .accept_steps(2, 0, vec![step(20, 1_000, 500)]);
--- a/crates/scheduler/tests/golden/scenarios/takeovers.rs
+++ b/crates/scheduler/tests/golden/scenarios/takeovers.rs
@@ -60,7 +60,7 @@
 fn silent_server() -> String {
     let mut scenario = running();
     scenario.bench.take_over(2);
-    let silent = scenario.bench.places.remove(&1).expect("it is there");
+    let silent = scenario.bench.servers.remove(&1).expect("it is there");
     for machine in 2..=3 {
         scenario
             .bench
@@ -68,7 +68,7 @@
     }
     scenario.run_for(5_000);
     // It was cut off, and comes back with runs that are over for the record.
-    scenario.bench.places.insert(1, silent);
+    scenario.bench.servers.insert(1, silent);
     scenario.bench.attach_again(1, 999);
     scenario.run_for(2_000);
     scenario.finish()
@@ -78,7 +78,7 @@
 fn later_life() -> String {
     let mut scenario = running();
     scenario.bench.take_over(2);
-    scenario.bench.places.clear();
+    scenario.bench.servers.clear();
     scenario.bench.attach(1, 2, &["a", "r1"]);
     scenario.run_for(500);
     scenario.bench.attach(4, 1, &["a", "r2"]);
