--- a/crates/scheduler/src/heartbeats.rs
+++ b/crates/scheduler/src/heartbeats.rs
@@ -165,7 +165,7 @@
     }
 }
 
-/// Learns from the duration of a run that ended well, if its duration says something.
+/// Learns from the duration of a run that ended well, if it shows how long such work takes.
 fn learn_duration(history: &mut History, server: &ServerId, run: &Run, now: Millis) {
     let Some(since) = run.running_since.filter(|_| run.shows_duration()) else {
         return;
--- a/crates/scheduler/src/run_tracker.rs
+++ b/crates/scheduler/src/run_tracker.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// An operation with these starts was applied; `accepted` says of each whether it holds.
+    /// An operation with these starts was applied; `accepted` tells for each whether it took effect.
     pub(crate) fn starts_applied(
         &mut self,
         starts: &[StartRecord],
@@ -62,7 +62,7 @@
     }
 
     /// A start was recorded that this scheduler has not proposed, or not any longer. It is stopped;
-    /// only its server can say whether it was notified of it.
+    /// only its server knows whether it was notified of it.
     fn adopt_orphan(&mut self, start: &StartRecord, now: Millis) {
         let mut run = Run::inherited(start, RunProfile::without_needs(), now);
         run.stop = Some(StopReason::Orphaned);
--- a/crates/scheduler/src/servers/server.rs
+++ b/crates/scheduler/src/servers/server.rs
@@ -61,7 +61,7 @@
     pub(crate) sequence: u64,
     /// Since when it is draining, if it is. Draining does not end.
     pub(crate) draining_since: Option<Millis>,
-    /// While it is draining, until when it stays at least, if it says so.
+    /// While it is draining, until when it stays at least, if it reports that.
     pub(crate) stays_until: Option<Millis>,
     /// Its newest heartbeat, until a round reads it.
     pub(crate) unread: Option<UnreadHeartbeat>,
--- a/crates/scheduler/src/servers/table.rs
+++ b/crates/scheduler/src/servers/table.rs
@@ -150,7 +150,7 @@
             .filter(move |(_, server)| server.is_schedulable(now, timeout_ms))
     }
 
-    /// The servers all of whose leases have expired, and whose agents were not heard of within the
+    /// The servers all of whose leases have expired, and whose agents have sent nothing within the
     /// time-out.
     pub(crate) fn expired(&self, now: Millis, timeout_ms: u64) -> Vec<ExpiredServer> {
         self.iter()
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -9,7 +9,7 @@
     pub remote_factor: f64,
     /// The longest that a stop takes.
     pub max_stop_ms: u64,
-    /// How long a draining server stays that does not say how long it does.
+    /// How long a draining server stays that does not report how long it does.
     pub drain_ms: u64,
     /// The lease that each message to an agent grants, also those of every other owner.
     pub lease_ms: u64,
@@ -23,7 +23,7 @@
     pub restore_ms: u64,
     /// After this time without being applied an operation is submitted again.
     pub resubmit_ms: u64,
-    /// A server whose agent was not heard of for this time is given nothing new.
+    /// A server whose agent has sent nothing for this time is given no new work.
     pub heartbeat_timeout_ms: u64,
     /// The heartbeat interval of a server where something starts or ends, or is about to end.
     pub busy_heartbeat_ms: u64,
--- a/crates/scheduler/src/submissions.rs
+++ b/crates/scheduler/src/submissions.rs
@@ -1,8 +1,8 @@
 //! Operations that were decided and have not been applied yet.
 //!
 //! The head of the chain gives no answer. The owner sees an operation applied in its own replica,
-//! and submits it again if it does not. All kinds may be applied twice without harm: a start holds
-//! only for a waiting task, an end only for the start that it names, a binding only once.
+//! and submits it again if it does not. All kinds may be applied twice without harm: a start takes
+//! effect only for a waiting task, an end only for the start that it names, a binding only once.
 
 use crate::run_id::RunId;
 use lupinrack_cluster_api::identity::{FencingToken, PeerAddress, ServerId, ServiceName};
--- a/crates/scheduler/tests/decisions/bench.rs
+++ b/crates/scheduler/tests/decisions/bench.rs
@@ -219,7 +219,7 @@
         self.scheduler.disconnected(address(machine), connection);
     }
 
-    /// The servers do what they were told, and beat.
+    /// The servers follow their orders, and send heartbeats.
     pub fn servers_follow(&mut self) {
         for (machine, message) in std::mem::take(&mut self.messages) {
             let Some(server) = self.servers.get_mut(&machine) else {
--- a/crates/scheduler/tests/decisions/best_fit.rs
+++ b/crates/scheduler/tests/decisions/best_fit.rs
@@ -1,4 +1,4 @@
-//! Which of several servers with room a single task takes, and when it waits for a better one.
+//! Which of several servers with free capacity a single task takes, and when it waits for a better one.
 
 use crate::bench::{step, task, Bench};
 use lupinrack_cluster_api::job::{Resources, Step};
@@ -55,7 +55,7 @@
     assert_eq!(machines[0], machines[1]);
 }
 
-/// Takes room on the server with this label for the whole test.
+/// Takes capacity of the server with this label for the whole test.
 fn occupy(bench: &mut Bench, job: u64, label: &str, cpu: u64, memory_mb: u64) {
     let occupant = Step {
         requires: label.to_owned(),
--- a/crates/scheduler/tests/decisions/inferred_ends.rs
+++ b/crates/scheduler/tests/decisions/inferred_ends.rs
@@ -44,7 +44,7 @@
         .for_each(|operation| bench.apply(operation));
 }
 
-/// The end and the rule of the only run that lapsed in this round.
+/// The only inferred end of this round, as it is recorded, and its reason.
 fn only_inferred_end(round: &Round) -> (RunEnd, InferredEndReason) {
     let ends = Bench::ends(&round.operations);
     let [end] = ends.as_slice() else {
--- a/crates/scheduler/tests/decisions/late_messages.rs
+++ b/crates/scheduler/tests/decisions/late_messages.rs
@@ -1,4 +1,4 @@
-//! What comes late: attachments of earlier lives, and heartbeats that were overtaken.
+//! What comes late: attachments of earlier incarnations, and heartbeats that were overtaken.
 
 use crate::bench::{step, task, Bench, ModelServer};
 use lupinrack_cluster_api::server::RunEnd;
--- a/crates/scheduler/tests/decisions/leases.rs
+++ b/crates/scheduler/tests/decisions/leases.rs
@@ -118,16 +118,16 @@
         .iter()
         .position(|message| holds_anew(&message))
         .expect("the report is answered");
-    let whole = bench
+    let complete = bench
         .messages
         .iter()
         .position(|(_, message)| message.complete)
         .expect("all is ordered anew");
     assert!(
-        whole <= newest,
-        "starts of the old orders must not come back to life"
+        complete <= newest,
+        "starts of the old orders must not be started again"
     );
-    assert!(bench.messages[whole].1.assign.is_empty());
+    assert!(bench.messages[complete].1.assign.is_empty());
     let stop = &bench.messages[newest].1.stop;
     assert!(
         stop.contains(&(task(7, 0, 0), 1)),
@@ -139,7 +139,7 @@
 fn a_new_owner_knows_that_a_later_incarnation_beside_the_same_agent_ended_the_old_one() {
     let mut bench = one_running();
     bench.take_over(2);
-    // The server lost power with everything else: it comes back as another life, beside a fresh agent.
+    // The server lost power with everything else: it comes back as another incarnation, beside a fresh agent.
     bench.attach(MACHINE, 2, &["a", "r1"]);
     let expired_after_ms =
         unreachable_until_lease_expired(&mut bench, 20_000).expect("the old incarnation is over");
--- a/crates/scheduler/tests/decisions/orders.rs
+++ b/crates/scheduler/tests/decisions/orders.rs
@@ -1,4 +1,4 @@
-//! What agents are told, and in which order with the record.
+//! What agents are ordered, and that it follows the record.
 
 use crate::bench::{step, task, Bench};
 use lupinrack_cluster_api::identity::TaskId;
@@ -48,7 +48,7 @@
     assert_eq!(
         bench.machines_of(7).len(),
         2,
-        "the copy that did not hold changes nothing"
+        "the copy that had no effect changes nothing"
     );
 }
 
@@ -136,7 +136,7 @@
     bench.accept_steps(7, 1, vec![step(1, 1_000, 60_000)]);
     bench.round();
     bench.round();
-    // The start was told, but no heartbeat has come since.
+    // The start was ordered, but no heartbeat has come since.
     bench.cancel(7);
     bench.round();
     let (_, stop) = bench.messages.pop().expect("the stop was ordered");
--- a/crates/scheduler/tests/decisions/unproposed_starts.rs
+++ b/crates/scheduler/tests/decisions/unproposed_starts.rs
@@ -36,7 +36,7 @@
     let ends = Bench::ends(&round.operations);
     assert!(
         ends.is_empty(),
-        "its server may have been told of it: {ends:?}"
+        "its server may have been notified of it: {ends:?}"
     );
 }
 
--- a/crates/scheduler/tests/golden/main.rs
+++ b/crates/scheduler/tests/golden/main.rs
@@ -1,8 +1,8 @@
 //! Decisions of the scheduler, compared with traces that are kept beside these sources: a change of the code that moves
 //! a decision is seen here, whether or not it breaks a rule.
 //!
-//! Traces name nothing of the code: they are written by [`text`] word for word, or are digests of the encodings that go
-//! over the wire. With [`files::UPDATE_VARIABLE`] set they are written anew.
+//! Traces name nothing of the code: they are written by [`text`] in words of their own, which stay when names in the code
+//! change, or are digests of the encodings that go over the wire. With [`files::UPDATE_VARIABLE`] set they are written anew.
 //!
 //! Some decisions rest on floating point, `powf` among it, whose last bit is left to the platform. Traces are good for
 //! the platform that the software is built for: Linux on x86-64.
--- a/crates/scheduler/tests/golden/scenarios/eviction.rs
+++ b/crates/scheduler/tests/golden/scenarios/eviction.rs
@@ -90,7 +90,7 @@
     scenario.finish()
 }
 
-/// What would not end in time goes elsewhere, as far as there is room; the rest stays.
+/// What would not end in time goes elsewhere, as far as there is capacity; the rest stays.
 fn drain_with_room() -> String {
     let mut scenario = Scenario::new(&TWO);
     scenario
@@ -114,7 +114,7 @@
     scenario.finish()
 }
 
-/// Without room elsewhere what saves its progress is stopped at the last moment.
+/// Without capacity elsewhere what writes checkpoints is stopped at the last moment.
 fn drain_last_call() -> String {
     let mut scenario = Scenario::new(&TWO);
     scenario
--- a/crates/scheduler/tests/golden/scenarios/gangs.rs
+++ b/crates/scheduler/tests/golden/scenarios/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs: whole or not at all.
+//! Gangs: complete or not at all.
 
 use super::Build;
 use crate::bench::{step, task};
@@ -42,7 +42,7 @@
     scenario.finish()
 }
 
-/// No rack holds the first gang; nothing holds the second.
+/// The first gang fits into no rack; the second one fits nowhere.
 fn spread() -> String {
     let mut scenario = Scenario::new(&RACKS);
     scenario.run_for(100);
@@ -113,7 +113,7 @@
     scenario.finish()
 }
 
-/// Room is kept for a gang while small work ends; urgent work goes on.
+/// Capacity is reserved for a gang while small work ends; urgent work goes on.
 fn beside_small_work() -> String {
     let mut scenario = Scenario::new(&RACKS[..2]);
     scenario
--- a/crates/scheduler/tests/golden/scenarios/inferred_ends.rs
+++ b/crates/scheduler/tests/golden/scenarios/inferred_ends.rs
@@ -63,7 +63,7 @@
     scenario.finish()
 }
 
-/// Both servers fall silent; one is heard again after its hold.
+/// Both servers are unreachable until their leases have expired, and come back.
 fn hold_over() -> String {
     let mut scenario = running();
     scenario.silent_for(4_000);
