--- a/crates/dispatch/src/cost.rs
+++ b/crates/dispatch/src/cost.rs
@@ -1,6 +1,6 @@
 //! What a task costs, in fixed point.
 
-/// Costs and tags are kept in millionths, as integers, so that sums are exact and ties are real.
+/// Costs and tags are kept in millionths, as integers, so that sums are exact and equal tags compare as equal.
 pub(crate) const MILLIONTHS: f64 = 1_000_000.0;
 /// The largest cost that is used, in units of capacity. With the smallest weight it is still far
 /// from the largest tag.
--- a/crates/dispatch/src/delay.rs
+++ b/crates/dispatch/src/delay.rs
@@ -1,5 +1,5 @@
-//! The delay of the hybrid rule over plain numbers. The dispatcher and the decision module of the
-//! fronts share it.
+//! The delay of the hybrid rule over plain numbers. The dispatcher and the balancer of the fronts
+//! (`lupinrack-policy`) share it.
 
 /// The smallest `φmin / φ` that is used; smaller ratios are raised to it.
 const MIN_RATIO: f64 = 1e-3;
--- a/crates/dispatch/src/server_queue.rs
+++ b/crates/dispatch/src/server_queue.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// Which tasks a release takes out, and which ones it looked at in vain.
+/// Which tasks a release takes out, and which did not fit.
 struct Selection {
     selected: Vec<Position>,
     rejected: Vec<Rejection>,
--- a/crates/dispatch/src/stream_state.rs
+++ b/crates/dispatch/src/stream_state.rs
@@ -13,7 +13,7 @@
     /// The sequence number of the stream's last task here.
     last_sequence: u64,
     /// The stream's total cost when that task was enqueued, the task included.
-    total_at_last: Cost,
+    total_cost_at_last: Cost,
     /// How many of the stream's tasks are queued here.
     queued: usize,
     /// When a task was last enqueued or released here.
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct StreamState<Server> {
     /// The cost of the tasks enqueued on any server, without those withdrawn.
-    total: Cost,
+    total_cost: Cost,
     /// When a task was last enqueued or released on any server.
     last_active: Millis,
     servers: BTreeMap<Server, ServerState>,
@@ -33,7 +33,7 @@
 impl<Server> Default for StreamState<Server> {
     fn default() -> Self {
         StreamState {
-            total: Cost::default(),
+            total_cost: Cost::default(),
             last_active: Millis::default(),
             servers: BTreeMap::new(),
         }
@@ -62,11 +62,11 @@
     /// The cost enqueued on other servers since the stream's last task on this one, or since the
     /// state of the stream began.
     pub(crate) fn remote_cost(&self, server: &Server) -> Cost {
-        let total_at_last = self
+        let total_cost_at_last = self
             .servers
             .get(server)
-            .map_or(Cost::default(), |state| state.total_at_last);
-        self.total.minus(total_at_last)
+            .map_or(Cost::default(), |state| state.total_cost_at_last);
+        self.total_cost.minus(total_cost_at_last)
     }
 
     /// A task was enqueued on this server.
@@ -79,11 +79,11 @@
         now: Millis,
     ) {
         self.last_active = now;
-        self.total = self.total.plus(cost);
+        self.total_cost = self.total_cost.plus(cost);
         let state = self.servers.entry(server.clone()).or_default();
         state.finish = tags.finish;
         state.last_sequence = sequence;
-        state.total_at_last = self.total;
+        state.total_cost_at_last = self.total_cost;
         state.queued += 1;
         state.last_active = now;
     }
@@ -116,13 +116,13 @@
 
     /// Takes a cost out of the total, and out of all remembered totals that include it.
     fn refund(&mut self, sequence: u64, cost: Cost) {
-        self.total = self.total.minus(cost);
+        self.total_cost = self.total_cost.minus(cost);
         let including = self
             .servers
             .values_mut()
             .filter(|state| state.last_sequence >= sequence);
         for state in including {
-            state.total_at_last = state.total_at_last.minus(cost);
+            state.total_cost_at_last = state.total_cost_at_last.minus(cost);
         }
     }
 }
--- a/crates/scheduler/src/eviction/draining.rs
+++ b/crates/scheduler/src/eviction/draining.rs
@@ -14,9 +14,9 @@
 const MAX_UNSTARTED_MS: u64 = 500;
 /// What is left beside the time of the stop itself to deliver the order, in milliseconds.
 const STOP_DELIVERY_MS: u64 = 1_000;
-/// Work without checkpoints is given up where it needs more than this part of the time that is left,
+/// Work without checkpoints is stopped, and begins anew elsewhere, where it needs more than this part of the time that is left,
 /// in percent.
-const GIVE_UP_PERCENT: u64 = 150;
+const RESTART_PERCENT: u64 = 150;
 
 /// What happens to a run on a draining server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,7 +78,7 @@
             .stays_until
             .unwrap_or_else(|| since.plus(self.settings.drain_ms));
         let mut stopped: Vec<TaskId> = Vec::new();
-        for run in self.runs.of_server(id).filter(|run| run.is_wanted()) {
+        for run in self.runs.of_server(id).filter(|run| run.should_run()) {
             let is_stopped = match self.verdict(run, since, stays_until) {
                 Verdict::Stay => false,
                 Verdict::MoveIfPossible => {
@@ -109,9 +109,9 @@
             return Verdict::Stay;
         }
         let is_last_chance = left_ms <= self.settings.max_stop_ms + STOP_DELIVERY_MS;
-        let is_hopeless =
-            remaining_ms.saturating_mul(100) > left_ms.saturating_mul(GIVE_UP_PERCENT);
-        match (run.profile.checkpoints, is_hopeless) {
+        let is_restart_better =
+            remaining_ms.saturating_mul(100) > left_ms.saturating_mul(RESTART_PERCENT);
+        match (run.profile.checkpoints, is_restart_better) {
             (true, _) if is_last_chance => Verdict::StopNow,
             (true, _) | (false, true) => Verdict::MoveIfPossible,
             (false, false) => Verdict::Stay,
--- a/crates/scheduler/src/eviction/preemption.rs
+++ b/crates/scheduler/src/eviction/preemption.rs
@@ -20,7 +20,7 @@
 /// Runs on one server that would free enough capacity.
 #[derive(Debug)]
 struct Victims {
-    /// The number of the candidate.
+    /// The index of the candidate.
     candidate: usize,
     tasks: Vec<TaskId>,
     freed: Resources,
@@ -109,13 +109,11 @@
                     && candidate.has_label(&demand.step.requires)
                     && candidate.could_fit(&demand.step.needs)
             })
-            .filter_map(|(number, unclaimed)| {
-                self.victims_on(number, unclaimed, &demand.step.needs)
-            })
+            .filter_map(|(index, unclaimed)| self.victims_on(index, unclaimed, &demand.step.needs))
             .min_by_key(|victims| (victims.lost_ms, victims.tasks.len()))
     }
 
-    /// The runs on a server that lose the least work, as many as free `needs`; none where all of them
+    /// The runs on a server that lose the least work, as many as free `needs`; `None` if all of them
     /// do not.
     fn victims_on(
         &self,
@@ -151,7 +149,7 @@
     /// Whether a run may be preempted: it continues later from its checkpoint, and would not end by
     /// itself as soon.
     fn is_preemptible(&self, run: &Run) -> bool {
-        run.is_wanted()
+        run.should_run()
             && run.running_since.is_some()
             && run.profile.priority > URGENT_PRIORITY
             && run.profile.checkpoints
--- a/crates/scheduler/src/eviction/stalled.rs
+++ b/crates/scheduler/src/eviction/stalled.rs
@@ -90,14 +90,14 @@
     }
 
     fn is_stalled(&self, run: &Run) -> bool {
-        if !run.is_wanted() || !self.is_reachable(&run.server) {
+        if !run.should_run() || !self.is_reachable(&run.server) {
             return false;
         }
         if run.running_since.is_none() {
             let waited_ms = self.now.since(run.progressed_at);
             return run.start_ordered_in.is_some() && waited_ms > MAX_UNLISTED_MS;
         }
-        !run.profile.long_running && self.stood_still_ms(run) > self.may_stand_still_ms(run)
+        !run.profile.long_running && self.without_progress_ms(run) > self.stall_timeout_ms(run)
     }
 
     fn is_reachable(&self, server: &ServerId) -> bool {
@@ -109,7 +109,7 @@
 
     /// For how long a run has made no progress, in milliseconds. A member of a gang only works while
     /// all others are there.
-    fn stood_still_ms(&self, run: &Run) -> u64 {
+    fn without_progress_ms(&self, run: &Run) -> u64 {
         let mut since = run.progressed_at;
         if run.profile.gang {
             let gang = self
@@ -123,7 +123,7 @@
         self.now.since(since)
     }
 
-    fn may_stand_still_ms(&self, run: &Run) -> u64 {
+    fn stall_timeout_ms(&self, run: &Run) -> u64 {
         let expected_ms = self.estimator.near_ms(&run.profile);
         let part_ms = expected_ms.saturating_mul(STALL_PERCENT) / 100;
         self.settings.stall_ms + self.settings.restore_ms + part_ms
--- a/crates/scheduler/src/eviction/unclaimed.rs
+++ b/crates/scheduler/src/eviction/unclaimed.rs
@@ -5,12 +5,12 @@
 use lupinrack_cluster_api::identity::ServerId;
 use lupinrack_cluster_api::job::Resources;
 
-/// A candidate, and what nobody has claimed of it.
+/// A candidate, and the capacity of it that is left.
 #[derive(Clone, Debug)]
 pub(crate) struct UnclaimedCandidate {
     /// The candidate.
     pub(crate) candidate: Candidate,
-    /// What nobody has claimed.
+    /// The capacity that is left.
     pub(crate) free: Resources,
 }
 
--- a/crates/scheduler/src/heartbeats.rs
+++ b/crates/scheduler/src/heartbeats.rs
@@ -17,10 +17,10 @@
 use lupinrack_control_state::ControlState;
 use std::collections::BTreeSet;
 
-/// A list of this many ends may be incomplete.
+/// A list of this many ends may be incomplete: servers list no more in one heartbeat.
 const MAX_ENDS_LISTED: usize = 500;
 
-/// Takes over what heartbeats report into what the owner knows.
+/// Applies what heartbeats report to the owner's state.
 #[derive(Debug)]
 pub(crate) struct HeartbeatReader<'a> {
     /// The replicated state.
@@ -48,10 +48,10 @@
     fn read(&mut self, server: &ServerId, unread: &UnreadHeartbeat) {
         let heartbeat = &unread.heartbeat;
         for finished in &heartbeat.finished {
-            self.read_end(server, finished);
+            self.apply_end(server, finished);
         }
         for running in &heartbeat.running {
-            self.read_progress(server, running, unread.received_at);
+            self.apply_progress(server, running, unread.received_at);
         }
         self.forget_foreign(server, heartbeat);
         if unread.origin == HeartbeatOrigin::Report {
@@ -61,7 +61,7 @@
 
     /// Takes over a listed end: frees the capacity of its run, and has the end recorded if the
     /// replicated state waits for it.
-    fn read_end(&mut self, server: &ServerId, finished: &FinishedTask) {
+    fn apply_end(&mut self, server: &ServerId, finished: &FinishedTask) {
         let run = RunId::new(finished.task, finished.attempt);
         let Some(entry) = self.servers.get_mut(server) else {
             return;
@@ -103,7 +103,7 @@
         }
     }
 
-    fn read_progress(&mut self, server: &ServerId, listed: &RunningTask, at: Millis) {
+    fn apply_progress(&mut self, server: &ServerId, listed: &RunningTask, at: Millis) {
         let run = RunId::new(listed.task, listed.attempt);
         let known = self.tracker.runs.on_server(server, run);
         if known.is_some_and(Run::is_open) {
--- a/crates/scheduler/src/jobs/plan.rs
+++ b/crates/scheduler/src/jobs/plan.rs
@@ -12,7 +12,7 @@
 const WAVE_SHARE: f64 = 0.25;
 /// The largest number of occurrences of one job that are considered at once.
 const MAX_OCCURRENCES: u32 = 64;
-/// After this many times its latency target a job earns nothing any longer.
+/// After this many times its latency target a job has no value any longer.
 const HOPELESS_FACTOR: u64 = 3;
 
 /// An open job: its ready steps, and what their urgency follows from.
--- a/crates/scheduler/src/jobs/rank.rs
+++ b/crates/scheduler/src/jobs/rank.rs
@@ -3,7 +3,7 @@
 /// The urgency of a step; a smaller rank goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
-    /// Whether it is so late that it earns nothing any longer.
+    /// Whether it is so late that it has no value any longer.
     pub(crate) hopeless: bool,
     /// The priority of its queue; 0 is the most urgent.
     pub(crate) priority: u32,
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -25,7 +25,7 @@
 //! | state | owner |
 //! | --- | --- |
 //! | servers, sessions with their agents, leases, reported ends | `servers::table::ServerTable` |
-//! | runs, operations on their way, inferred ends | `run_tracker::RunTracker` |
+//! | runs, pending operations, inferred ends | `run_tracker::RunTracker`, which shares its `runs::table::RunTable` |
 //! | open jobs: which steps may start, and their urgency | `jobs::board::JobBoard` |
 //! | tasks in the queues of servers | `queues::task_queues::TaskQueues` |
 //! | durations, faults and speeds, learned from runs | `history::History` |
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -23,7 +23,7 @@
 
 /// The starts and stops that a server's agent was not ordered in its present session.
 #[derive(Debug, Default)]
-struct Changes {
+struct PendingOrders {
     assign: Vec<Assignment>,
     stop: Vec<RunId>,
 }
@@ -61,12 +61,12 @@
         let changes = self.changes(id, server, &session);
         let heartbeat_after_ms = self.heartbeat_after_ms(id, server);
         let recorded_ends = server.ends.recorded_up_to();
-        let has_news = !changes.assign.is_empty()
+        let has_changes = !changes.assign.is_empty()
             || !changes.stop.is_empty()
             || recorded_ends > session.acknowledged_ends
             || heartbeat_after_ms < session.heartbeat_after_ms;
         let renew_after_ms = self.settings.lease_ms / RENEWALS_PER_LEASE;
-        if !has_news && !session.is_renewal_due(renew_after_ms) {
+        if !has_changes && !session.is_renewal_due(renew_after_ms) {
             return None;
         }
         let stop = changes.stop.iter().map(|run| (run.task, run.attempt));
@@ -91,8 +91,8 @@
     }
 
     /// The starts and stops that were not ordered in this session yet.
-    fn changes(&self, id: &ServerId, server: &Server, session: &Session) -> Changes {
-        let mut changes = Changes::default();
+    fn changes(&self, id: &ServerId, server: &Server, session: &Session) -> PendingOrders {
+        let mut changes = PendingOrders::default();
         let mut text_bytes = 0;
         let is_draining = server.draining_since.is_some();
         // An agent that was restarted does not know that its server is draining.
@@ -156,14 +156,17 @@
 }
 
 fn needs_start(run: &Run, session: &Session) -> bool {
-    run.is_wanted() && run.start_ordered_in != Some(session.id)
+    run.should_run() && run.start_ordered_in != Some(session.id)
 }
 
 fn needs_stop(run: &Run, session: &Session) -> bool {
-    run.is_open() && run.stop.is_some() && run.may_be_known() && !session.contains(run.stop_order)
+    run.is_open()
+        && run.stop.is_some()
+        && run.server_may_know()
+        && !session.contains(run.stop_order)
 }
 
-/// The order to start a run; none where the replicated state does not ask for it any longer.
+/// The order to start a run; `None` if the replicated state does not ask for it any longer.
 fn assignment(state: &ControlState, run: &Run) -> Option<Assignment> {
     let job = state.job(run.task.job).filter(|job| job.is_open())?;
     if !is_assigned(state, &run.server, run.id()) {
--- a/crates/scheduler/src/placement/earliest_fit.rs
+++ b/crates/scheduler/src/placement/earliest_fit.rs
@@ -20,7 +20,7 @@
 /// How many tasks a candidate takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Allotment {
-    /// The candidate, by its number in the round.
+    /// The candidate, by its index in the round.
     pub(crate) candidate: usize,
     /// How many tasks.
     pub(crate) count: u64,
@@ -35,11 +35,11 @@
     pub(crate) allotments: Vec<Allotment>,
 }
 
-/// Capacity that a chosen candidate will have, by its number among the chosen.
+/// Capacity that a chosen candidate will have, by its position among the chosen.
 #[derive(Clone, Copy, Debug)]
 struct FreedEvent {
     at: Millis,
-    chosen: usize,
+    position: usize,
     amount: Resources,
 }
 
@@ -53,7 +53,7 @@
     now: Millis,
 ) -> Option<EarliestFit> {
     let count_in =
-        |number: usize, free: &Resources| copies(&group.needs, free, max_on(chosen[number]));
+        |position: usize, free: &Resources| copies(&group.needs, free, max_on(chosen[position]));
     let mut free: Vec<Resources> = chosen
         .iter()
         .map(|candidate| candidates[*candidate].free_for(group.priority))
@@ -61,7 +61,7 @@
     let mut counts: Vec<u64> = free
         .iter()
         .enumerate()
-        .map(|(number, free)| count_in(number, free))
+        .map(|(position, free)| count_in(position, free))
         .collect();
     let mut total: u64 = counts.iter().sum();
     let mut at = now;
@@ -69,11 +69,11 @@
         let mut events = freed_in_order(candidates, chosen).into_iter();
         while total < group.count {
             let event = events.next()?;
-            let number = event.chosen;
-            free[number] = sum(&free[number], &event.amount);
-            total -= counts[number];
-            counts[number] = count_in(number, &free[number]);
-            total += counts[number];
+            let position = event.position;
+            free[position] = sum(&free[position], &event.amount);
+            total -= counts[position];
+            counts[position] = count_in(position, &free[position]);
+            total += counts[position];
             at = event.at;
         }
     }
@@ -86,15 +86,15 @@
 /// When capacity of the chosen candidates is freed, soonest first.
 fn freed_in_order(candidates: &[Candidate], chosen: &[usize]) -> Vec<FreedEvent> {
     let mut events = Vec::new();
-    for (number, candidate) in chosen.iter().enumerate() {
+    for (position, candidate) in chosen.iter().enumerate() {
         let freed = candidates[*candidate].freed.iter();
         events.extend(freed.map(|freed| FreedEvent {
             at: freed.at,
-            chosen: number,
+            position,
             amount: freed.amount,
         }));
     }
-    events.sort_by_key(|event| (event.at, event.chosen));
+    events.sort_by_key(|event| (event.at, event.position));
     events
 }
 
--- a/crates/scheduler/src/placement/gang.rs
+++ b/crates/scheduler/src/placement/gang.rs
@@ -77,9 +77,9 @@
     /// Each rack, and all racks together, over which the gang is slower.
     fn sets_by_rack(&self, members: Vec<usize>) -> Vec<CandidateSet> {
         let mut racks: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
-        for number in &members {
-            let rack = self.planner.candidates[*number].rack();
-            racks.entry(rack).or_default().push(*number);
+        for index in &members {
+            let rack = self.planner.candidates[*index].rack();
+            racks.entry(rack).or_default().push(*index);
         }
         let spread_factor = if racks.len() > 1 {
             self.planner.settings.remote_factor
@@ -105,7 +105,7 @@
         let near = members
             .iter()
             .copied()
-            .filter(|number| self.is_near(&[*number]))
+            .filter(|index| self.is_near(&[*index]))
             .collect();
         [near, members]
             .map(|members| CandidateSet {
@@ -119,7 +119,7 @@
     fn is_near(&self, members: &[usize]) -> bool {
         members
             .iter()
-            .all(|number| self.planner.candidates[*number].has_label(&self.demand.step.affinity))
+            .all(|index| self.planner.candidates[*index].has_label(&self.demand.step.affinity))
     }
 
     /// The eligible candidates without slow ones and those on which a member has failed, if the
@@ -129,7 +129,7 @@
         let reliable: Vec<usize> = eligible
             .iter()
             .copied()
-            .filter(|number| self.is_reliable(*number))
+            .filter(|index| self.is_reliable(*index))
             .collect();
         if self.could_fit(&reliable) {
             reliable
@@ -138,8 +138,8 @@
         }
     }
 
-    fn is_reliable(&self, number: usize) -> bool {
-        let candidate = &self.planner.candidates[number];
+    fn is_reliable(&self, index: usize) -> bool {
+        let candidate = &self.planner.candidates[index];
         let has_faulted = self
             .tasks
             .iter()
@@ -156,7 +156,7 @@
         };
         let held: u64 = members
             .iter()
-            .map(|number| &self.planner.candidates[*number].facts.capacity)
+            .map(|index| &self.planner.candidates[*index].facts.capacity)
             .map(|capacity| copies(&self.demand.step.needs, capacity, max_on_one))
             .sum();
         held >= count
--- a/crates/scheduler/src/placement/headroom.rs
+++ b/crates/scheduler/src/placement/headroom.rs
@@ -21,9 +21,9 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UrgentUsage {
     /// What it uses now, in thousandths of a core.
-    current_cpu: u64,
+    current_millicores: u64,
     /// What it used at its peak, which decays, in thousandths of a core.
-    peak_cpu: f64,
+    peak_millicores: f64,
     /// When it was last observed.
     at: Millis,
 }
@@ -31,14 +31,14 @@
 impl UrgentUsage {
     /// Observes what urgent work uses now.
     pub(crate) fn observe(&mut self, runs: &RunTable, now: Millis) {
-        self.current_cpu = runs
+        self.current_millicores = runs
             .iter()
             .filter(|run| run.profile.priority == URGENT_PRIORITY && !run.ended)
             .map(|run| run.profile.needs.cpu)
             .sum();
         let halvings = now.since(self.at) as f64 / PEAK_HALF_TIME_MS;
-        let decayed = self.peak_cpu * 0.5_f64.powf(halvings);
-        self.peak_cpu = decayed.max(self.current_cpu as f64);
+        let decayed = self.peak_millicores * 0.5_f64.powf(halvings);
+        self.peak_millicores = decayed.max(self.current_millicores as f64);
         self.at = now;
     }
 
@@ -48,10 +48,10 @@
             .iter()
             .map(|candidate| candidate.facts.capacity.cpu)
             .sum();
-        let below_peak = (self.peak_cpu as u64).saturating_sub(self.current_cpu);
+        let below_peak = (self.peak_millicores as u64).saturating_sub(self.current_millicores);
         Headroom {
-            free_cpu: candidates.iter().map(|candidate| candidate.free.cpu).sum(),
-            reserved_cpu: below_peak.min(capacity * MAX_RESERVE_PERCENT / 100),
+            free_millicores: candidates.iter().map(|candidate| candidate.free.cpu).sum(),
+            reserved_millicores: below_peak.min(capacity * MAX_RESERVE_PERCENT / 100),
         }
     }
 }
@@ -60,19 +60,20 @@
 /// core.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Headroom {
-    free_cpu: u64,
-    reserved_cpu: u64,
+    free_millicores: u64,
+    reserved_millicores: u64,
 }
 
 impl Headroom {
     /// Whether `count` tasks of this priority may take capacity.
     pub(crate) fn allows(&self, priority: u32, needs: &Resources, count: u64) -> bool {
         let taken = times(needs, count).cpu;
-        priority == URGENT_PRIORITY || self.free_cpu.saturating_sub(taken) >= self.reserved_cpu
+        priority == URGENT_PRIORITY
+            || self.free_millicores.saturating_sub(taken) >= self.reserved_millicores
     }
 
     /// Capacity was taken.
     pub(crate) fn take(&mut self, needs: &Resources) {
-        self.free_cpu = self.free_cpu.saturating_sub(needs.cpu);
+        self.free_millicores = self.free_millicores.saturating_sub(needs.cpu);
     }
 }
--- a/crates/scheduler/src/placement/planner.rs
+++ b/crates/scheduler/src/placement/planner.rs
@@ -22,7 +22,7 @@
 /// Candidates among which work may be placed.
 #[derive(Clone, Debug)]
 pub(crate) struct CandidateSet {
-    /// Their numbers in the round.
+    /// Their indices in the round.
     pub(crate) members: Vec<usize>,
     /// How many times as long as near its data work takes there.
     pub(crate) factor: f64,
@@ -52,7 +52,7 @@
     pub(crate) now: Millis,
     /// How long work takes.
     pub(crate) estimator: Estimator<'a>,
-    /// The servers that may be given work; they are numbered by their order here.
+    /// The servers that may be given work; others refer to them by their indices here.
     pub(crate) candidates: Vec<Candidate>,
     /// The capacity that is kept free for urgent work.
     pub(crate) headroom: Headroom,
@@ -72,7 +72,7 @@
 
 impl Planner<'_> {
     /// When `count` tasks would be done on these candidates if they started together as soon as they
-    /// can. None where that cannot be foreseen, or where they fit now but the capacity is kept for
+    /// can. `None` if that cannot be foreseen, or where they fit now but the capacity is kept for
     /// other work.
     pub(crate) fn forecast(
         &self,
@@ -107,12 +107,12 @@
             .filter(|(_, candidate)| {
                 candidate.has_label(&step.requires) && candidate.could_fit(&step.needs)
             })
-            .map(|(number, _)| number)
+            .map(|(index, _)| index)
             .collect();
         let trusted: Vec<usize> = able
             .iter()
             .copied()
-            .filter(|number| !self.candidates[*number].suspected)
+            .filter(|index| !self.candidates[*index].suspected)
             .collect();
         if trusted.is_empty() {
             able
--- a/crates/scheduler/src/placement/release.rs
+++ b/crates/scheduler/src/placement/release.rs
@@ -20,7 +20,7 @@
     }
 }
 
-fn release_on(planner: &mut Planner<'_>, number: usize) {
+fn release_on(planner: &mut Planner<'_>, index: usize) {
     let Planner {
         candidates,
         headroom,
@@ -28,13 +28,13 @@
         now,
         ..
     } = planner;
-    let candidate = &mut candidates[number];
+    let candidate = &mut candidates[index];
     let (server, running) = (candidate.server.clone(), candidate.running);
     let released = queues.release(&server, running, *now, |queued| {
         take_if_free(candidate, headroom, queued, *now)
     });
     for (task, queued) in released {
-        start(planner, number, task, queued.profile);
+        start(planner, index, task, queued.profile);
     }
 }
 
--- a/crates/scheduler/src/placement/single.rs
+++ b/crates/scheduler/src/placement/single.rs
@@ -27,12 +27,12 @@
 struct Choice {
     /// Its number in the round.
     candidate: usize,
-    /// How many times as long as near its data and on a sound server the task takes there.
+    /// How many times as long as near its data and on a healthy server the task takes there.
     factor: f64,
 }
 
 impl Choice {
-    /// Candidates of the same grade are as good as one another.
+    /// Candidates of the same grade are equally good.
     fn grade(&self) -> u64 {
         (self.factor * GRADES_PER_UNIT).round() as u64
     }
@@ -66,23 +66,23 @@
     }
 
     /// Puts a task into the queue of a candidate.
-    fn enqueue(&mut self, number: usize, task: TaskId) {
+    fn enqueue(&mut self, index: usize, task: TaskId) {
         let planner = &mut *self.planner;
-        let distance = distance_factor(planner, self.demand, &planner.candidates[number]);
+        let distance = distance_factor(planner, self.demand, &planner.candidates[index]);
         let profile = self.demand.profile(distance);
-        let charge = planner.charge(number, &profile);
+        let charge = planner.charge(index, &profile);
         let queued = QueuedTask {
-            server: planner.candidates[number].server.clone(),
+            server: planner.candidates[index].server.clone(),
             expected_ms: planner.estimator.total_ms(&profile),
             affinity: self.demand.step.affinity.clone(),
             since: planner.now,
             profile,
         };
-        planner.candidates[number].queued.push((&queued).into());
+        planner.candidates[index].queued.push((&queued).into());
         planner.queues.enqueue(task, queued, charge);
     }
 
-    /// The candidate that a task is placed on; none where the task is to wait.
+    /// The candidate that a task is placed on; `None` if the task is to wait.
     fn choose(&self, task: TaskId) -> Option<usize> {
         if let Some(suspected) = self.choose_for_probation(task) {
             return Some(suspected);
@@ -95,8 +95,10 @@
             .map(|choice| choice.candidate)
             .collect();
         match self.best_with_capacity(&choices) {
-            Some(now) if now.grade() == best_grade => Some(now.candidate),
-            Some(now) if !self.should_wait(&best, best_grade, now.factor) => Some(now.candidate),
+            Some(immediate) if immediate.grade() == best_grade => Some(immediate.candidate),
+            Some(immediate) if !self.should_wait(&best, best_grade, immediate.factor) => {
+                Some(immediate.candidate)
+            }
             _ => self.shortest_queue(&best),
         }
     }
@@ -114,9 +116,9 @@
             .collect()
     }
 
-    /// How many times as long as near its data and on a sound server a task takes on a candidate.
-    fn factor(&self, task: TaskId, number: usize) -> f64 {
-        let candidate = &self.planner.candidates[number];
+    /// How many times as long as near its data and on a healthy server a task takes on a candidate.
+    fn factor(&self, task: TaskId, index: usize) -> f64 {
+        let candidate = &self.planner.candidates[index];
         let fault_factor = if self.planner.faults.has_faulted(task, &candidate.server) {
             FAULT_FACTOR
         } else {
@@ -131,7 +133,8 @@
     /// does not end by itself is spread instead, to where most is left: where it gathers, one
     /// resource of a server is used up for good and the others are idle.
     fn best_with_capacity(&self, choices: &[Choice]) -> Option<Choice> {
-        let spread = if self.demand.step.long_running {
+        // Positive to pack, negative to spread.
+        let leftover_sign = if self.demand.step.long_running {
             -1.0
         } else {
             1.0
@@ -139,7 +142,7 @@
         let cost = |choice: &Choice| {
             let candidate = &self.planner.candidates[choice.candidate];
             let leftover = candidate.leftover(&self.demand.step.needs);
-            spread * leftover.total + leftover.imbalance
+            leftover_sign * leftover.total + leftover.imbalance
         };
         let order = |a: &&Choice, b: &&Choice| -> Ordering {
             a.grade()
@@ -164,24 +167,24 @@
     }
 
     /// Whether a task had better wait for the best candidates than start now where it takes
-    /// `factor_now` times as long. Slower work also takes its capacity for longer, at the cost of
+    /// `immediate_factor` times as long. Slower work also takes its capacity for longer, at the cost of
     /// other work; so the additional time counts twice.
-    fn should_wait(&self, best: &[usize], best_grade: u64, factor_now: f64) -> bool {
+    fn should_wait(&self, best: &[usize], best_grade: u64, immediate_factor: f64) -> bool {
         let planner = &*self.planner;
         let set = CandidateSet {
             members: best.to_vec(),
             factor: best_grade as f64 / GRADES_PER_UNIT,
         };
-        let now_ms = self.demand.work_ms(factor_now);
+        let immediate_ms = self.demand.work_ms(immediate_factor);
         let best_ms = self.demand.work_ms(set.factor);
-        let additional_ms = now_ms.saturating_sub(best_ms);
-        let done_now = planner.now.plus(now_ms.saturating_add(additional_ms));
+        let additional_ms = immediate_ms.saturating_sub(best_ms);
+        let immediate_done_at = planner.now.plus(immediate_ms.saturating_add(additional_ms));
         planner
             .forecast(self.demand, &set, 1)
-            .is_some_and(|forecast| forecast.done_at < done_now)
+            .is_some_and(|forecast| forecast.done_at < immediate_done_at)
     }
 
-    /// Among these candidates, the one whose queue the task should join; none where it would wait too
+    /// Among these candidates, the one whose queue the task should join; `None` if it would wait too
     /// long.
     fn shortest_queue(&self, candidates: &[usize]) -> Option<usize> {
         candidates
@@ -191,11 +194,11 @@
             .map(|(_, candidate)| candidate)
     }
 
-    /// When a task that joins the queue of a candidate is expected to start; none where the queue is
+    /// When a task that joins the queue of a candidate is expected to start; `None` if the queue is
     /// too long.
-    fn queue_end(&self, number: usize) -> Option<Millis> {
+    fn queue_end(&self, index: usize) -> Option<Millis> {
         let planner = &*self.planner;
-        let candidate = &planner.candidates[number];
+        let candidate = &planner.candidates[index];
         let needs = self.demand.step.needs;
         let is_short = candidate.queued_share(&needs) <= planner.settings.max_queued_share
             && candidate.reservation.is_none();
@@ -207,7 +210,7 @@
             count: 1,
             priority: self.demand.job.priority,
         };
-        let fit = earliest_fit(&planner.candidates, &[number], &group, |_| 1, planner.now)?;
+        let fit = earliest_fit(&planner.candidates, &[index], &group, |_| 1, planner.now)?;
         (fit.at.since(planner.now) <= MAX_QUEUE_WAIT_MS).then_some(fit.at)
     }
 
@@ -215,17 +218,17 @@
     fn choose_for_probation(&self, task: TaskId) -> Option<usize> {
         let (planner, demand) = (&*self.planner, self.demand);
         let failed = task_record(demand.job, task).map_or(0, |record| record.failed);
-        let may_fail = failed == 0 && demand.job.max_retries > 1;
-        if !may_fail || demand.step.long_running {
+        let can_bear_failure = failed == 0 && demand.job.max_retries > 1;
+        if !can_bear_failure || demand.step.long_running {
             return None;
         }
-        (0..planner.candidates.len()).find(|number| {
-            let candidate = &planner.candidates[*number];
+        (0..planner.candidates.len()).find(|index| {
+            let candidate = &planner.candidates[*index];
             candidate.suspected
                 && candidate.running == 0
                 && candidate.queued.is_empty()
                 && candidate.has_label(&demand.step.requires)
-                && planner.max_on(demand, *number) > 0
+                && planner.max_on(demand, *index) > 0
                 && fits(&demand.step.needs, &candidate.free)
                 && planner.faults.is_probation_due(
                     &candidate.server,
@@ -239,8 +242,8 @@
     fn reserve_if_large(&mut self) {
         let needs = &self.demand.step.needs;
         let eligible = self.planner.eligible(self.demand);
-        let is_large = eligible.iter().any(|number| {
-            let capacity = &self.planner.candidates[*number].facts.capacity;
+        let is_large = eligible.iter().any(|index| {
+            let capacity = &self.planner.candidates[*index].facts.capacity;
             dominant_share(needs, capacity) > LARGE_SHARE
         });
         if !is_large {
--- a/crates/scheduler/src/run_tracker.rs
+++ b/crates/scheduler/src/run_tracker.rs
@@ -1,4 +1,4 @@
-//! The way of runs from the proposal of their starts to the record of their ends.
+//! The life cycle of runs, from the proposal of their starts to the record of their ends.
 
 use crate::inferred_end::{InferredEnd, InferredEndReason};
 use crate::run_id::RunId;
@@ -18,7 +18,7 @@
 /// before.
 #[derive(Clone, Debug)]
 pub(crate) struct RunTracker {
-    /// All runs.
+    /// All runs. Placement inserts into the table, and eviction requests stops in it.
     pub(crate) runs: RunTable,
     /// The operations that are to be applied.
     pub(crate) submissions: Submissions,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// An operation with these starts was applied; `accepted` tells for each whether it took effect.
+    /// An operation with these starts was applied; `accepted` says of each whether it took effect.
     pub(crate) fn starts_applied(
         &mut self,
         starts: &[StartRecord],
@@ -136,22 +136,27 @@
         !tasks.is_empty()
     }
 
-    /// Infers the ends of runs that never began for certain, and of those whose server is not known
+    /// Infers the ends of runs that certainly never began, and of those whose server is not known
     /// and has no lease any longer. Leases of earlier owners last until `takeover_bound`.
-    pub(crate) fn resolve_unknown(
+    pub(crate) fn infer_ends_without_report(
         &mut self,
         servers: &ServerTable,
         takeover_bound: Millis,
         now: Millis,
     ) {
-        let is_bound_over = now > takeover_bound;
-        let over: Vec<(TaskId, InferredEndReason)> = self
+        let has_takeover_bound_expired = now > takeover_bound;
+        let ended: Vec<(TaskId, InferredEndReason)> = self
             .runs
             .iter()
             .filter(|run| run.is_open())
-            .filter_map(|run| Some((run.task, over_without_report(run, servers, is_bound_over)?)))
+            .filter_map(|run| {
+                Some((
+                    run.task,
+                    end_without_report(run, servers, has_takeover_bound_expired)?,
+                ))
+            })
             .collect();
-        for (task, reason) in over {
+        for (task, reason) in ended {
             self.infer_end(task, reason);
         }
     }
@@ -163,12 +168,12 @@
 }
 
 /// Why a recorded run is over without a report of its server, if it is.
-fn over_without_report(
+fn end_without_report(
     run: &Run,
     servers: &ServerTable,
-    is_bound_over: bool,
+    has_takeover_bound_expired: bool,
 ) -> Option<InferredEndReason> {
-    if run.stop.is_some() && !run.may_be_known() {
+    if run.stop.is_some() && !run.server_may_know() {
         return Some(InferredEndReason::StoppedBeforeNotification);
     }
     if servers.get(&run.server).is_some() {
@@ -176,6 +181,8 @@
     }
     match run.origin {
         RunOrigin::Own => Some(InferredEndReason::ServerGoneBeforeNotification),
-        RunOrigin::Inherited => is_bound_over.then_some(InferredEndReason::TakeoverBoundExpired),
+        RunOrigin::Inherited => {
+            has_takeover_bound_expired.then_some(InferredEndReason::TakeoverBoundExpired)
+        }
     }
 }
--- a/crates/scheduler/src/runs/run.rs
+++ b/crates/scheduler/src/runs/run.rs
@@ -33,7 +33,7 @@
     JobClosed,
     /// Another member of its gang has ended.
     GangBroken,
-    /// Its server leaves before it would end.
+    /// Its server is draining, and shuts down before the run would end.
     Draining,
     /// More urgent work needs its capacity.
     Preempted,
@@ -44,6 +44,10 @@
 }
 
 /// One start of a task.
+///
+/// A run is proposed, then recorded, then ended. It may be asked to stop in each phase; one that is
+/// still proposed is stopped once its start is recorded. `ended` stays false before `phase` is
+/// `Recorded`, unless the run is about to be removed.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
     /// The task.
@@ -123,7 +127,7 @@
     }
 
     /// Whether any owner may have notified its server of it.
-    pub(crate) fn may_be_known(&self) -> bool {
+    pub(crate) fn server_may_know(&self) -> bool {
         self.origin == RunOrigin::Inherited || self.start_ordered_in.is_some()
     }
 
@@ -133,7 +137,7 @@
     }
 
     /// Whether it is recorded, has not ended and is not to be stopped.
-    pub(crate) fn is_wanted(&self) -> bool {
+    pub(crate) fn should_run(&self) -> bool {
         self.is_open() && self.stop.is_none()
     }
 
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -177,7 +177,7 @@
         self.incarnations().follow_bindings(state);
         self.refresh_jobs(state, time);
         self.tracker
-            .resolve_unknown(&self.servers, self.takeover_bound, now);
+            .infer_ends_without_report(&self.servers, self.takeover_bound, now);
         if has_authority {
             self.run_placement(state, time);
         }
