--- a/crates/scheduler/src/heartbeats.rs
+++ b/crates/scheduler/src/heartbeats.rs
@@ -17,7 +17,7 @@
 use lupinrack_control_state::ControlState;
 use std::collections::BTreeSet;
 
-/// A list of this many ends may be incomplete: agents pass on no more in one heartbeat
+/// A list of this many ends may be incomplete: servers list no more at once
 /// (`MAX_LISTED_ENDS` of `lupinrack-worker-agent`).
 const MAX_ENDS_LISTED: usize = 500;
 
