--- a/crates/lupinrack/src/commands/buffer.rs
+++ b/crates/lupinrack/src/commands/buffer.rs
@@ -3,11 +3,9 @@
 
 use crate::ended::Ended;
 use clap::{Args, Subcommand};
-use lupinrack_write_back::file::{Folder, FolderError};
-use lupinrack_write_back::log::{inspect, Recovered};
-use lupinrack_write_back::moment;
-use lupinrack_write_back::record::{Moment, Record};
-use lupinrack_write_back::state::{Book, Pending, Standing};
+use lupinrack_write_back::{
+    inspect, Folder, FolderError, Moment, PendingWrite, Record, Recovered, RetryStatus, WriteTable,
+};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -65,7 +63,7 @@
     match what {
         Buffer::Ls(place) => list(place, |_| true).map(drop),
         Buffer::InDoubt(place) => {
-            match list(place, |s| matches!(s, Standing::PastWindow { .. }))? {
+            match list(place, |s| matches!(s, RetryStatus::WindowExpired { .. }))? {
                 0 => Ok(()),
                 n => Err(Ended::failed(format!(
                     "{n} writes may have run; their nodes must be asked first"
@@ -78,7 +76,7 @@
 }
 
 /// Reads a log without changing it. One that a front has open is refused.
-fn read(place: &Place) -> Result<(Recovered, Book), Ended> {
+fn read(place: &Place) -> Result<(Recovered, WriteTable), Ended> {
     if !place.dir.is_dir() {
         return Err(Ended::wrong(format!(
             "{}: no such folder",
@@ -93,48 +91,50 @@
     })?;
     let found =
         inspect(&mut folder).map_err(|e| Ended::failed(format!("{}: {e}", place.dir.display())))?;
-    let mut book = Book::default();
+    let mut writes = WriteTable::default();
     found
         .records
         .iter()
-        .for_each(|(sequence, record)| book.apply(*sequence, record));
-    Ok((found, book))
+        .for_each(|(sequence, record)| writes.apply(*sequence, record));
+    Ok((found, writes))
 }
 
 fn now() -> Result<Moment, Ended> {
-    moment::now().map_err(|e| Ended::failed(format!("the time since boot: {e}")))
+    Moment::now().map_err(|e| Ended::failed(format!("the time since boot: {e}")))
 }
 
-fn row(p: &Pending, standing: &Standing) -> Row {
-    let (state, nodes, left) = match standing {
-        Standing::NeverSent => ("never sent", Vec::new(), None),
-        Standing::Answered => ("answered", Vec::new(), None),
-        Standing::InWindow { shard, left } => {
-            ("in window", vec![format!("shard {shard}")], Some(*left))
-        }
-        Standing::PastWindow { nodes } => ("past window", nodes.clone(), None),
+fn row(p: &PendingWrite, status: &RetryStatus) -> Row {
+    let (state, nodes, left) = match status {
+        RetryStatus::NeverSent => ("never sent", Vec::new(), None),
+        RetryStatus::Stored => ("answered", Vec::new(), None),
+        RetryStatus::WithinWindow { shard, remaining } => (
+            "in window",
+            vec![format!("shard {shard}")],
+            Some(*remaining),
+        ),
+        RetryStatus::WindowExpired { nodes } => ("past window", nodes.clone(), None),
     };
     Row {
-        write: p.taken.write.0,
-        volume: format!("{:016x}", p.taken.volume),
-        plan: p.taken.plan.clone(),
-        bytes: p.taken.body.len(),
-        key: String::from_utf8_lossy(&p.taken.key).into_owned(),
-        target: String::from_utf8_lossy(&p.taken.target).into_owned(),
-        attempts: p.tried.len(),
+        write: p.accepted.write.0,
+        volume: format!("{:016x}", p.accepted.volume),
+        plan: p.accepted.plan.clone(),
+        bytes: p.accepted.body.len(),
+        key: String::from_utf8_lossy(&p.accepted.key).into_owned(),
+        target: String::from_utf8_lossy(&p.accepted.target).into_owned(),
+        attempts: p.attempts.len(),
         state,
         nodes,
         left_ms: left.map(|l| l / 1000),
     }
 }
 
-fn list(place: &Place, wanted: impl Fn(&Standing) -> bool) -> Result<usize, Ended> {
-    let ((_, book), now) = (read(place)?, now()?);
+fn list(place: &Place, wanted: impl Fn(&RetryStatus) -> bool) -> Result<usize, Ended> {
+    let ((_, writes), now) = (read(place)?, now()?);
     let window = i64::from(place.window_ms) * 1000;
     let mut count = 0;
-    for p in book.pending() {
-        let standing = p.standing(now, window);
-        if !wanted(&standing) {
+    for p in writes.pending() {
+        let status = p.retry_status(now, window);
+        if !wanted(&status) {
             continue;
         }
         if count == 0 && !place.json {
@@ -144,7 +144,7 @@
             );
         }
         count += 1;
-        let row = row(p, &standing);
+        let row = row(p, &status);
         if place.json {
             println!("{}", serde_json::to_string(&row).map_err(Ended::failed)?);
             continue;
@@ -165,20 +165,20 @@
 }
 
 fn verify(place: &Place) -> Result<(), Ended> {
-    let (found, book) = read(place)?;
+    let (found, writes) = read(place)?;
     let mut kinds: BTreeMap<&str, usize> = BTreeMap::new();
     for (_, record) in &found.records {
         let kind = match record {
-            Record::Taken(_) => "taken",
+            Record::Accepted(_) => "taken",
             Record::Attempt { .. } => "attempt",
-            Record::Ended { .. } => "ended",
-            Record::Settled(_) => "settled",
+            Record::AttemptEnded { .. } => "ended",
+            Record::Resolved(_) => "settled",
             Record::Barrier { .. } => "barrier",
             Record::Flush { .. } => "flush",
         };
         *kinds.entry(kind).or_default() += 1;
     }
-    let pending = book.pending().count();
+    let pending = writes.pending().count();
     if place.json {
         let (records, torn) = (found.records.len(), found.torn);
         let line = serde_json::json!({"records": records, "kinds": kinds, "pending": pending, "torn_bytes": torn});
@@ -204,15 +204,15 @@
 }
 
 fn export(place: &Place, to: &Path) -> Result<(), Ended> {
-    let (_, book) = read(place)?;
+    let (_, writes) = read(place)?;
     std::fs::create_dir(to).map_err(|e| Ended::wrong(format!("{}: {e}", to.display())))?;
     let mut count = 0;
-    for p in book.pending() {
+    for p in writes.pending() {
         let file = to.join(format!(
             "{:016x}-{:08}.body",
-            p.taken.volume, p.taken.write.0
+            p.accepted.volume, p.accepted.write.0
         ));
-        std::fs::write(&file, &p.taken.body)
+        std::fs::write(&file, &p.accepted.body)
             .map_err(|e| Ended::failed(format!("{}: {e}", file.display())))?;
         count += 1;
     }
--- a/crates/lupinrack/tests/cli.rs
+++ b/crates/lupinrack/tests/cli.rs
@@ -124,10 +124,7 @@
 
 #[test]
 fn a_closed_log_is_listed_verified_and_exported_and_an_open_one_is_refused() {
-    use lupinrack_write_back::file::Folder;
-    use lupinrack_write_back::log::Log;
-    use lupinrack_write_back::moment;
-    use lupinrack_write_back::record::{Record, Taken, WriteId};
+    use lupinrack_write_back::{AcceptedWrite, Folder, Log, Moment, Record, WriteId};
     let dir = std::env::temp_dir().join(format!("lupinrack-buffer-{}", std::process::id()));
     let (name, out) = (
         dir.display().to_string(),
@@ -136,7 +133,7 @@
     let (mut log, _) = Log::open(Folder::open(&dir).unwrap(), 1 << 20).unwrap();
     for n in 1..=3 {
         let (plan, key, body) = ("basic".into(), format!("k-{n}").into_bytes(), vec![7; 5]);
-        let taken = Taken {
+        let taken = AcceptedWrite {
             write: WriteId(n),
             volume: 9,
             plan,
@@ -146,9 +143,9 @@
             body,
             give_up: 0,
         };
-        log.append(&Record::Taken(taken)).unwrap();
+        log.append(&Record::Accepted(taken)).unwrap();
     }
-    let mut at = moment::now().unwrap();
+    let mut at = Moment::now().unwrap();
     at.since_boot -= 60_000_000;
     let (write, node) = (WriteId(2), "s-1".to_string());
     log.append(&Record::Attempt {
@@ -159,7 +156,7 @@
         at,
     })
     .unwrap();
-    log.append(&Record::Settled(WriteId(3))).unwrap();
+    log.append(&Record::Resolved(WriteId(3))).unwrap();
     log.sync().unwrap();
     let code = |args: &[&str]| lupinrack(args).status.code();
     assert_eq!(
--- a/crates/lupinrack/tests/golden.rs
+++ b/crates/lupinrack/tests/golden.rs
@@ -6,10 +6,7 @@
 use clap::ValueEnum as _;
 use lupinrack::commands::admin::Call;
 use lupinrack_fleet_driver::Report;
-use lupinrack_write_back::file::Folder;
-use lupinrack_write_back::log::Log;
-use lupinrack_write_back::moment;
-use lupinrack_write_back::record::{End, Moment, Record, Taken, WriteId};
+use lupinrack_write_back::{AcceptedWrite, AttemptOutcome, Folder, Log, Moment, Record, WriteId};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::fs;
@@ -584,7 +581,7 @@
 }
 
 fn taken(number: u64) -> Record {
-    Record::Taken(Taken {
+    Record::Accepted(AcceptedWrite {
         write: WriteId(number),
         volume: 0x0900 + number,
         plan: "basic".to_owned(),
@@ -609,20 +606,20 @@
 /// Writes a log with a write in each standing, and a record of each kind.
 fn write_log(folder: &Path) {
     let (mut log, _) = Log::open(Folder::open(folder).expect("a folder"), 1 << 20).expect("a log");
-    let now = moment::now().expect("the time since boot");
-    let ended = |number, end| Record::Ended {
+    let now = Moment::now().expect("the time since boot");
+    let ended = |number, outcome| Record::AttemptEnded {
         write: WriteId(number),
         attempt: 1,
-        end,
+        outcome,
     };
     for number in 1..=5 {
         log.append(&taken(number)).expect("a record");
     }
     for record in [
         attempt(2, 1, "node-2", 22, now),
-        ended(2, End::Held),
+        ended(2, AttemptOutcome::Stored),
         attempt(3, 1, "node-3", 33, now),
-        ended(3, End::MayHaveRun),
+        ended(3, AttemptOutcome::MayHaveRun),
         attempt(
             4,
             1,
@@ -635,7 +632,7 @@
             },
         ),
         attempt(4, 2, "node-5", 45, now),
-        Record::Settled(WriteId(5)),
+        Record::Resolved(WriteId(5)),
         Record::Barrier { volume: 0x0901 },
         Record::Flush { volume: 0x0902 },
     ] {
--- a/crates/write-back/src/buffer.rs
+++ b/crates/write-back/src/buffer.rs
@@ -1,564 +1,484 @@
-//! What may be acknowledged, sent, sent again, given up and freed: the buffer's decisions, without I/O and without a
-//! clock. The log and the core are worked by a driver, which carries out [`Action`]s in their order and brings
-//! [`Input`]s.
-//!
-//! The promises: `buffered` is said once a write is synced to the log; `flushed` once a node has it; an attempt's intent
-//! is synced before its first byte leaves; what was acknowledged is settled only by a node that has it.
+//! The buffer's decisions.
 
-use crate::record::{End, Moment, Record, Taken, WriteId};
-use crate::state::{Book, Pending, Standing};
+mod flushes;
+mod log_position;
+mod write_progress;
+
+use crate::accepted_write::{AcceptedWrite, WriteId};
+use crate::action::{Acknowledgement, Action};
+use crate::attempt_outcome::AttemptOutcome;
+use crate::input::{AcknowledgeAt, Input, Lookup, Waiter};
+use crate::limits::Limits;
+use crate::moment::Moment;
+use crate::pending_write::{PendingWrite, RetryStatus};
+use crate::record::Record;
+use crate::write_table::WriteTable;
+use flushes::Flushes;
+use log_position::LogPosition;
 use lupinrack_policy::Micros;
 use std::collections::{BTreeMap, BTreeSet};
+use write_progress::{WriteProgress, WriteStage};
 
-/// Whoever waits for an acknowledgement, as the driver numbers them.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Waiter(pub u64);
-
-/// What a client asked to wait for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wish {
-    /// The log has it.
-    Buffered,
-    /// A node has it.
-    Flushed,
-}
-
-/// What a waiter is told.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
-    /// The write is synced to the log.
-    Buffered,
-    /// A node has it; to a flush: all that was acknowledged before it.
-    Flushed,
-    /// Not taken into the buffer: it is to be written through.
-    Through,
-}
-
-/// The figures of the operators' file.
+/// A waiter for the log to have its write.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
-    /// Bytes of bodies that may be pending; beyond it writes go through.
-    pub bytes: u64,
-    /// The longest wait for company in a sync.
-    pub gather: Micros,
-    /// The repeat window of keyed writes.
-    pub window: Micros,
-    /// The wait before a write that was turned away is opened again.
-    pub again: Micros,
-}
-
-/// What the driver brings.
-#[derive(Clone, Debug)]
-pub enum Input {
-    /// A write comes in; its number is given here.
-    Put(Waiter, Wish, Taken),
-    /// All that was acknowledged of a volume is to be on nodes.
-    Flush(Waiter, u64),
-    /// What comes after waits for all of the volume's writes before.
-    Barrier(u64),
-    /// The sync that was asked for went well.
-    Synced,
-    /// The log failed: nothing more will be written to it.
-    LogFailed,
-    /// The core is about to send a write.
-    Intends {
-        /// The write.
-        write: WriteId,
-        /// The attempt.
-        attempt: u16,
-        /// The node's name.
-        node: String,
-        /// Its shard.
-        shard: u32,
-    },
-    /// An attempt ended.
-    Ended(WriteId, u16, End),
-    /// The core let go of a write: refused or failed, with nothing out.
-    LetGo(WriteId),
-    /// The nodes that may have run a write were asked: one has it, none has it, or that cannot be known.
-    Asked(WriteId, Option<bool>),
-    /// The time asked for has come.
-    Timer,
-}
-
-/// What the driver does, in this order.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Action {
-    /// Write a record to the log.
-    Append(Record),
-    /// Sync the log; [`Input::Synced`] or [`Input::LogFailed`] answers.
-    Sync,
-    /// Tell a waiter.
-    Say(Waiter, Said),
-    /// Open a write in the core. With a shard: only there, and only for so long.
-    Open(WriteId, Option<(u32, Micros)>),
-    /// The intent is synced: the attempt's bytes may leave.
-    Go(WriteId, u16),
-    /// The intent cannot be synced: the attempt is not sent.
-    Stop(WriteId, u16),
-    /// Ask these nodes whether they hold a write's object; [`Input::Asked`] answers.
-    Ask(WriteId, Vec<String>),
-    /// Segments below this sequence may go.
-    Reclaim(u64),
-    /// Come back at this time.
-    Wake(Micros),
-    /// A write is in doubt: it may have run, and nobody can tell. It is kept, and never sent blindly.
-    InDoubt(WriteId),
-}
-
-/// Where a pending write stands in its volume's order, and what is being done with it.
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum Doing {
-    /// It waits for its barrier, or for its time.
-    Waits(Micros),
-    /// The core has it.
-    Open,
-    /// Its nodes are being asked.
-    Asking,
-    /// In doubt.
-    Doubt,
-}
-
-#[derive(Clone, Debug)]
-struct Held {
-    generation: u64,
-    doing: Doing,
-    bytes: u64,
+struct BufferedWaiter {
+    /// The sequence number of the write's record.
+    sequence: u64,
+    waiter: Waiter,
+    write: WriteId,
 }
 
-/// Who waits until nodes have some writes.
-#[derive(Clone, Debug)]
-struct Flush {
-    waiter: Waiter,
-    waits: BTreeSet<WriteId>,
-    /// It is the client of its one write.
-    own: bool,
+/// An attempt that waits for its intent to be durable.
+#[derive(Clone, Copy, Debug)]
+struct IntendedAttempt {
+    /// The sequence number of the intent's record.
+    sequence: u64,
+    write: WriteId,
+    attempt: u16,
 }
 
-/// The buffer of one front.
+/// The decisions of one front's buffer, without I/O and without a clock: what may be acknowledged, sent, sent again, given up
+/// and freed.
+///
+/// It promises: [`Acknowledgement::Buffered`] is given once a write is synced to the log, [`Acknowledgement::Flushed`] once a
+/// node has it; the intent of an attempt is synced before the attempt's first byte leaves; what was acknowledged is resolved
+/// only by a node that has it.
 #[derive(Debug)]
 pub struct Buffer {
     limits: Limits,
-    book: Book,
-    held: BTreeMap<WriteId, Held>,
-    bytes: u64,
+    writes: WriteTable,
+    progress: BTreeMap<WriteId, WriteProgress>,
+    /// Bytes of the bodies of all pending writes.
+    pending_bytes: u64,
     /// Barriers so far, by volume, while it has pending writes.
-    generations: BTreeMap<u64, u64>,
-    next: u64,
-    /// Records below this sequence last.
-    lasting: u64,
-    /// What waits for a sync: below which sequence.
-    acks: Vec<(u64, Waiter, WriteId)>,
-    goes: Vec<(u64, WriteId, u16)>,
-    /// Flushes and writes that wait for nodes.
-    flushes: Vec<Flush>,
-    sync_out: Option<u64>,
-    sync_at: Option<Micros>,
-    closed: bool,
-    wake: Option<Micros>,
+    barriers: BTreeMap<u64, u64>,
+    log: LogPosition,
+    buffered_waiters: Vec<BufferedWaiter>,
+    intended_attempts: Vec<IntendedAttempt>,
+    flushes: Flushes,
+    /// The time for which a timer was requested.
+    wake_at: Option<Micros>,
 }
 
 impl Buffer {
-    /// A buffer over what recovery found, with the sequence of the log's next record.
-    pub fn new(limits: Limits, book: Book, next: u64) -> Buffer {
-        let mut buffer = Buffer {
-            limits,
-            held: BTreeMap::new(),
-            bytes: 0,
-            generations: BTreeMap::new(),
-            next,
-            lasting: next,
-            acks: Vec::new(),
-            goes: Vec::new(),
-            flushes: Vec::new(),
-            sync_out: None,
-            sync_at: None,
-            closed: false,
-            wake: None,
-            book,
-        };
-        let writes: Vec<(WriteId, u64, u64)> = buffer
-            .book
-            .pending()
-            .map(|p| (p.taken.write, p.taken.volume, p.taken.body.len() as u64))
-            .collect();
-        for (write, volume, bytes) in writes {
-            // Barriers of before are kept by order: each pending write waits for those taken before it.
-            let generation = buffer.generations.entry(volume).or_default();
+    /// A buffer over what recovery found, with the sequence number of the log's next record.
+    pub fn new(limits: Limits, writes: WriteTable, next_sequence: u64) -> Buffer {
+        let mut barriers: BTreeMap<u64, u64> = BTreeMap::new();
+        let mut progress = BTreeMap::new();
+        for pending in writes.pending() {
+            // Earlier barriers are kept by order: each pending write waits for those accepted before it.
+            let generation = barriers.entry(pending.accepted.volume).or_default();
             *generation += 1;
-            let held = Held {
+            let recovered = WriteProgress {
                 generation: *generation,
-                doing: Doing::Waits(0),
-                bytes,
+                stage: WriteStage::READY,
+                bytes: pending.accepted.body.len() as u64,
             };
-            buffer.held.insert(write, held);
-            buffer.bytes += bytes;
+            progress.insert(pending.accepted.write, recovered);
+        }
+        Buffer {
+            limits,
+            pending_bytes: progress.values().map(|write| write.bytes).sum(),
+            writes,
+            progress,
+            barriers,
+            log: LogPosition::new(next_sequence),
+            buffered_waiters: Vec::new(),
+            intended_attempts: Vec::new(),
+            flushes: Flushes::default(),
+            wake_at: None,
         }
-        buffer
     }
 
-    /// What is pending.
-    pub fn pending(&self) -> impl Iterator<Item = &Pending> {
-        self.book.pending()
+    /// The writes that are not resolved.
+    pub fn pending(&self) -> impl Iterator<Item = &PendingWrite> {
+        self.writes.pending()
     }
 
-    /// Bytes of bodies that are pending.
-    pub fn bytes(&self) -> u64 {
-        self.bytes
+    /// Bytes of the bodies of all pending writes.
+    pub fn pending_bytes(&self) -> u64 {
+        self.pending_bytes
     }
 
-    /// Takes one input at `now`, on both clocks.
-    pub fn handle(&mut self, now: Moment, input: Input, out: &mut Vec<Action>) {
+    /// Processes one input at `now`, and appends what the driver has to do to `actions`.
+    pub fn handle(&mut self, now: Moment, input: Input, actions: &mut Vec<Action>) {
         match input {
-            Input::Put(waiter, wish, taken) => self.on_put(now, waiter, wish, taken, out),
-            Input::Flush(waiter, volume) => {
-                let mine = self
-                    .book
-                    .pending()
-                    .filter(|p| p.taken.volume == volume)
-                    .map(|p| p.taken.write);
-                let waits: BTreeSet<WriteId> = mine.collect();
-                match waits.is_empty() {
-                    true => out.push(Action::Say(waiter, Said::Flushed)),
-                    false => self.flushes.push(Flush {
-                        waiter,
-                        waits,
-                        own: false,
-                    }),
-                }
+            Input::Write(waiter, acknowledge_at, write) => {
+                self.on_write(now, waiter, acknowledge_at, write, actions);
             }
+            Input::Flush(waiter, volume) => self.on_flush(waiter, volume, actions),
             Input::Barrier(volume) => {
-                if let Some(generation) = self.generations.get_mut(&volume) {
+                if let Some(generation) = self.barriers.get_mut(&volume) {
                     *generation += 1;
                 }
             }
-            Input::Synced => self.on_synced(now, out),
-            Input::LogFailed => self.on_log_failed(out),
-            Input::Intends {
+            Input::Synced => self.on_synced(now, actions),
+            Input::LogFailed => self.on_log_failed(actions),
+            Input::Intent {
                 write,
                 attempt,
                 node,
                 shard,
             } => {
-                if self.closed || !self.held.contains_key(&write) {
-                    return out.push(Action::Stop(write, attempt));
+                if self.log.is_closed() || !self.progress.contains_key(&write) {
+                    return actions.push(Action::Abort(write, attempt));
                 }
-                let sequence = self.append(
-                    Record::Attempt {
-                        write,
-                        attempt,
-                        node,
-                        shard,
-                        at: now,
-                    },
-                    out,
-                );
-                self.goes.push((sequence, write, attempt));
-                // A request waits on it: no gathering.
-                self.sync_at = Some(now.since_boot);
+                self.on_intent(now, write, attempt, node, shard, actions);
             }
-            Input::Ended(write, attempt, end) => {
-                if self.held.contains_key(&write) {
-                    self.append(
-                        Record::Ended {
-                            write,
-                            attempt,
-                            end,
-                        },
-                        out,
-                    );
-                    if end == End::Held {
-                        self.settle(write, out);
-                    }
-                }
+            Input::AttemptEnded(write, attempt, outcome) => {
+                self.on_attempt_ended(write, attempt, outcome, actions);
             }
-            Input::LetGo(write) => self.again(now, write),
-            Input::Asked(write, held) => match held {
-                Some(true) => self.settle(write, out),
-                // Absent from every node that may have run it: their attempts are known not to have run.
-                Some(false) => {
-                    let tried = self.book.pending().find(|p| p.taken.write == write);
-                    let open: Vec<u16> =
-                        tried.map_or(Vec::new(), |p| p.tried.iter().map(|t| t.attempt).collect());
-                    for attempt in open {
-                        self.append(
-                            Record::Ended {
-                                write,
-                                attempt,
-                                end: End::NeverRan,
-                            },
-                            out,
-                        );
-                    }
-                    self.book.absent(write);
-                    self.held
-                        .entry(write)
-                        .and_modify(|h| h.doing = Doing::Waits(0));
-                }
-                None => {
-                    if let Some(h) = self.held.get_mut(&write) {
-                        h.doing = Doing::Doubt;
-                        out.push(Action::InDoubt(write));
-                    }
-                }
-            },
-            Input::Timer => self.wake = None,
+            Input::Released(write) => {
+                let retry_at = now.since_boot + self.limits.retry_delay;
+                self.set_stage(write, WriteStage::Waiting(retry_at));
+            }
+            Input::Located(write, lookup) => self.on_located(write, lookup, actions),
+            Input::Timer => self.wake_at = None,
         }
-        self.on_time(now, out);
+        self.do_what_is_due(now, actions);
     }
 
-    fn on_put(
+    fn on_write(
         &mut self,
         now: Moment,
         waiter: Waiter,
-        wish: Wish,
-        taken: Taken,
-        out: &mut Vec<Action>,
+        acknowledge_at: AcknowledgeAt,
+        write: AcceptedWrite,
+        actions: &mut Vec<Action>,
     ) {
-        let bytes = taken.body.len() as u64;
-        if self.closed || self.bytes + bytes > self.limits.bytes {
-            return out.push(Action::Say(waiter, Said::Through));
+        let bytes = write.body.len() as u64;
+        let fits = self.pending_bytes + bytes <= self.limits.max_pending_bytes;
+        if self.log.is_closed() || !fits {
+            let through = Acknowledgement::WriteThrough;
+            return actions.push(Action::Acknowledge(waiter, through));
         }
-        let write = self.book.next();
-        let generation = *self.generations.entry(taken.volume).or_default();
-        self.held.insert(
-            write,
-            Held {
-                generation,
-                doing: Doing::Waits(0),
-                bytes,
-            },
-        );
-        self.bytes += bytes;
-        let sequence = self.append(Record::Taken(Taken { write, ..taken }), out);
-        match wish {
-            Wish::Buffered => self.acks.push((sequence, waiter, write)),
-            Wish::Flushed => self.flushes.push(Flush {
+        let id = self.writes.next_id();
+        let progress = WriteProgress {
+            generation: *self.barriers.entry(write.volume).or_default(),
+            stage: WriteStage::READY,
+            bytes,
+        };
+        self.progress.insert(id, progress);
+        self.pending_bytes += bytes;
+        let accepted = AcceptedWrite { write: id, ..write };
+        let sequence = self.append(Record::Accepted(accepted), actions);
+        match acknowledge_at {
+            AcknowledgeAt::Buffered => self.buffered_waiters.push(BufferedWaiter {
+                sequence,
                 waiter,
-                waits: BTreeSet::from([write]),
-                own: true,
+                write: id,
             }),
+            AcknowledgeAt::Flushed => self.flushes.wait_for_write(waiter, id),
         }
-        self.sync_at = self.sync_at.or(Some(now.since_boot + self.limits.gather));
+        self.log.sync_by(now.since_boot + self.limits.sync_delay);
     }
 
-    fn append(&mut self, record: Record, out: &mut Vec<Action>) -> u64 {
-        let sequence = self.next;
-        self.book.apply(sequence, &record);
-        if !self.closed {
-            self.next += 1;
-            out.push(Action::Append(record));
+    fn on_flush(&mut self, waiter: Waiter, volume: u64, actions: &mut Vec<Action>) {
+        let writes: BTreeSet<WriteId> = self
+            .writes
+            .pending()
+            .filter(|pending| pending.accepted.volume == volume)
+            .map(|pending| pending.accepted.write)
+            .collect();
+        if !self.flushes.wait_for_all(waiter, writes) {
+            actions.push(Action::Acknowledge(waiter, Acknowledgement::Flushed));
         }
-        sequence
     }
 
-    fn settle(&mut self, write: WriteId, out: &mut Vec<Action>) {
-        let volume = self
-            .book
-            .pending()
-            .find(|p| p.taken.write == write)
-            .map(|p| p.taken.volume);
-        let Some(held) = self.held.remove(&write) else {
+    fn on_intent(
+        &mut self,
+        now: Moment,
+        write: WriteId,
+        attempt: u16,
+        node: String,
+        shard: u32,
+        actions: &mut Vec<Action>,
+    ) {
+        let intent = Record::Attempt {
+            write,
+            attempt,
+            node,
+            shard,
+            at: now,
+        };
+        let sequence = self.append(intent, actions);
+        self.intended_attempts.push(IntendedAttempt {
+            sequence,
+            write,
+            attempt,
+        });
+        // A request waits for it: its sync does not wait for others.
+        self.log.sync_now(now.since_boot);
+    }
+
+    fn on_attempt_ended(
+        &mut self,
+        write: WriteId,
+        attempt: u16,
+        outcome: AttemptOutcome,
+        actions: &mut Vec<Action>,
+    ) {
+        if !self.progress.contains_key(&write) {
             return;
+        }
+        let ended = Record::AttemptEnded {
+            write,
+            attempt,
+            outcome,
         };
-        self.bytes -= held.bytes;
-        self.append(Record::Settled(write), out);
-        // A node has it: that is more than the log has.
-        let acked: Vec<Waiter> = self
-            .acks
-            .iter()
-            .filter(|a| a.2 == write)
-            .map(|a| a.1)
-            .collect();
-        self.acks.retain(|a| a.2 != write);
-        out.extend(acked.into_iter().map(|w| Action::Say(w, Said::Flushed)));
-        self.flushed(write, Said::Flushed, out);
-        if let Some(volume) = volume.filter(|v| !self.book.pending().any(|p| p.taken.volume == *v))
-        {
-            self.generations.remove(&volume);
+        self.append(ended, actions);
+        if outcome == AttemptOutcome::Stored {
+            self.resolve(write, actions);
         }
-        if !self.closed {
-            out.push(Action::Reclaim(self.book.needed().unwrap_or(self.next)));
+    }
+
+    fn on_located(&mut self, write: WriteId, lookup: Lookup, actions: &mut Vec<Action>) {
+        match lookup {
+            Lookup::Present => self.resolve(write, actions),
+            Lookup::Absent => self.on_absent(write, actions),
+            Lookup::Unknown => {
+                if self.set_stage(write, WriteStage::InDoubt) {
+                    actions.push(Action::InDoubt(write));
+                }
+            }
         }
     }
 
-    fn on_synced(&mut self, now: Moment, out: &mut Vec<Action>) {
-        let Some(upto) = self.sync_out.take() else {
+    /// Absent from every node that may have run it: its attempts are known not to have run.
+    fn on_absent(&mut self, write: WriteId, actions: &mut Vec<Action>) {
+        let attempts: Vec<u16> = self.writes.get(write).map_or(Vec::new(), |pending| {
+            let attempts = pending.attempts.iter();
+            attempts.map(|attempt| attempt.attempt).collect()
+        });
+        for attempt in attempts {
+            let outcome = AttemptOutcome::NeverRan;
+            let ended = Record::AttemptEnded {
+                write,
+                attempt,
+                outcome,
+            };
+            self.append(ended, actions);
+        }
+        self.writes.record_absence(write);
+        self.set_stage(write, WriteStage::READY);
+    }
+
+    fn on_synced(&mut self, now: Moment, actions: &mut Vec<Action>) {
+        if !self.log.synced() {
             return;
-        };
-        self.lasting = self.lasting.max(upto);
-        let lasting = self.lasting;
-        for (sequence, waiter, write) in std::mem::take(&mut self.acks) {
-            match sequence < lasting {
-                true => out.push(Action::Say(waiter, Said::Buffered)),
-                false => self.acks.push((sequence, waiter, write)),
+        }
+        for buffered in std::mem::take(&mut self.buffered_waiters) {
+            if self.log.is_durable(buffered.sequence) {
+                let acknowledgement = Acknowledgement::Buffered;
+                actions.push(Action::Acknowledge(buffered.waiter, acknowledgement));
+            } else {
+                self.buffered_waiters.push(buffered);
             }
         }
-        for (sequence, write, attempt) in std::mem::take(&mut self.goes) {
-            if sequence >= lasting {
-                self.goes.push((sequence, write, attempt));
-            } else if self.may_go(now, write, attempt) {
-                out.push(Action::Go(write, attempt));
+        for intended in std::mem::take(&mut self.intended_attempts) {
+            let IntendedAttempt { write, attempt, .. } = intended;
+            if !self.log.is_durable(intended.sequence) {
+                self.intended_attempts.push(intended);
+            } else if self.may_send(now, write, attempt) {
+                actions.push(Action::Send(write, attempt));
             } else {
                 // The sync took so long that a repeat would not be dropped any more.
-                out.push(Action::Stop(write, attempt));
-                self.append(
-                    Record::Ended {
-                        write,
-                        attempt,
-                        end: End::NeverRan,
-                    },
-                    out,
-                );
-                self.held
-                    .entry(write)
-                    .and_modify(|h| h.doing = Doing::Waits(0));
+                actions.push(Action::Abort(write, attempt));
+                let outcome = AttemptOutcome::NeverRan;
+                let ended = Record::AttemptEnded {
+                    write,
+                    attempt,
+                    outcome,
+                };
+                self.append(ended, actions);
+                self.set_stage(write, WriteStage::READY);
             }
         }
     }
 
-    /// Whether an attempt may leave now, seen by those before it.
-    fn may_go(&self, now: Moment, write: WriteId, attempt: u16) -> bool {
-        let Some(mut p) = self
-            .book
-            .pending()
-            .find(|p| p.taken.write == write)
-            .cloned()
-        else {
+    /// Whether an attempt may be sent now, judged by those before it.
+    fn may_send(&self, now: Moment, write: WriteId, attempt: u16) -> bool {
+        let Some(pending) = self.writes.get(write) else {
             return false;
         };
-        let shard = p
-            .tried
+        let shard = pending
+            .attempts
             .iter()
-            .find(|t| t.attempt == attempt)
-            .map(|t| t.shard);
-        p.tried.retain(|t| t.attempt != attempt);
-        match p.standing(now, self.limits.window) {
-            Standing::NeverSent => true,
-            Standing::InWindow { shard: only, .. } => shard == Some(only),
-            Standing::Answered | Standing::PastWindow { .. } => false,
+            .find(|other| other.attempt == attempt)
+            .map(|intended| intended.shard);
+        match pending.status_before(attempt, now, self.limits.repeat_window) {
+            RetryStatus::NeverSent => true,
+            RetryStatus::WithinWindow { shard: only, .. } => shard == Some(only),
+            RetryStatus::Stored | RetryStatus::WindowExpired { .. } => false,
         }
     }
 
     /// What was not synced counts as not written: its writes go through, and nobody is told that they are buffered.
-    fn on_log_failed(&mut self, out: &mut Vec<Action>) {
-        (self.closed, self.sync_out, self.sync_at) = (true, None, None);
+    fn on_log_failed(&mut self, actions: &mut Vec<Action>) {
+        self.log.close();
         let lost: Vec<WriteId> = self
-            .book
+            .writes
             .pending()
-            .filter(|p| p.sequence >= self.lasting)
-            .map(|p| p.taken.write)
+            .filter(|pending| !self.log.is_durable(pending.sequence))
+            .map(|pending| pending.accepted.write)
             .collect();
         for write in lost {
-            self.bytes -= self.held.remove(&write).map_or(0, |h| h.bytes);
-            self.book.apply(self.next, &Record::Settled(write));
-            self.flushed(write, Said::Through, out);
+            self.remove_progress(write);
+            self.writes.apply(self.log.next(), &Record::Resolved(write));
+            let through = Acknowledgement::WriteThrough;
+            self.flushes.resolve(write, through, actions);
+        }
+        for buffered in std::mem::take(&mut self.buffered_waiters) {
+            let through = Acknowledgement::WriteThrough;
+            actions.push(Action::Acknowledge(buffered.waiter, through));
+        }
+        for intended in std::mem::take(&mut self.intended_attempts) {
+            actions.push(Action::Abort(intended.write, intended.attempt));
+        }
+    }
+
+    /// Applies a record, and has it written unless the log has failed. Returns its sequence number.
+    fn append(&mut self, record: Record, actions: &mut Vec<Action>) -> u64 {
+        let sequence = self.log.next();
+        self.writes.apply(sequence, &record);
+        if !self.log.is_closed() {
+            self.log.advance();
+            actions.push(Action::Append(record));
+        }
+        sequence
+    }
+
+    /// A node has a write.
+    fn resolve(&mut self, write: WriteId, actions: &mut Vec<Action>) {
+        let volume = self
+            .writes
+            .get(write)
+            .map(|pending| pending.accepted.volume);
+        if !self.remove_progress(write) {
+            return;
         }
-        out.extend(
-            std::mem::take(&mut self.acks)
+        self.append(Record::Resolved(write), actions);
+        // That a node has it is more than that the log has it.
+        let (resolved, waiting): (Vec<BufferedWaiter>, Vec<BufferedWaiter>) =
+            std::mem::take(&mut self.buffered_waiters)
                 .into_iter()
-                .map(|a| Action::Say(a.1, Said::Through)),
-        );
-        for (_, write, attempt) in std::mem::take(&mut self.goes) {
-            out.push(Action::Stop(write, attempt));
+                .partition(|buffered| buffered.write == write);
+        self.buffered_waiters = waiting;
+        let acknowledge = |buffered: BufferedWaiter| {
+            Action::Acknowledge(buffered.waiter, Acknowledgement::Flushed)
+        };
+        actions.extend(resolved.into_iter().map(acknowledge));
+        self.flushes
+            .resolve(write, Acknowledgement::Flushed, actions);
+        if let Some(volume) = volume {
+            self.forget_barriers_without_writes(volume);
+        }
+        if !self.log.is_closed() {
+            let needed_from = self.writes.needed_from().unwrap_or(self.log.next());
+            actions.push(Action::Reclaim(needed_from));
         }
     }
 
-    /// A write is over: who waits for it, or for it last, hears so.
-    fn flushed(&mut self, write: WriteId, own: Said, out: &mut Vec<Action>) {
-        for f in &mut self.flushes {
-            if f.waits.remove(&write) && f.waits.is_empty() {
-                out.push(Action::Say(
-                    f.waiter,
-                    if f.own { own } else { Said::Flushed },
-                ));
-            }
+    fn forget_barriers_without_writes(&mut self, volume: u64) {
+        let of_volume = |pending: &PendingWrite| pending.accepted.volume == volume;
+        if !self.writes.pending().any(of_volume) {
+            self.barriers.remove(&volume);
         }
-        self.flushes.retain(|f| !f.waits.is_empty());
     }
 
-    fn again(&mut self, now: Moment, write: WriteId) {
-        let at = now.since_boot + self.limits.again;
-        self.held
-            .entry(write)
-            .and_modify(|h| h.doing = Doing::Waits(at));
+    /// Removes a write's progress, with its bytes. Returns whether there was any.
+    fn remove_progress(&mut self, write: WriteId) -> bool {
+        let removed = self.progress.remove(&write);
+        self.pending_bytes -= removed.as_ref().map_or(0, |progress| progress.bytes);
+        removed.is_some()
     }
 
-    fn on_time(&mut self, now: Moment, out: &mut Vec<Action>) {
-        // One sync for all that waits, and one at a time.
-        if self.sync_out.is_none()
-            && !self.closed
-            && self.sync_at.is_some_and(|at| at <= now.since_boot)
-        {
-            (self.sync_out, self.sync_at) = (Some(self.next), None);
-            out.push(Action::Sync);
+    /// Changes the stage of a pending write. Returns whether there is one with this number.
+    fn set_stage(&mut self, write: WriteId, stage: WriteStage) -> bool {
+        let progress = self.progress.get_mut(&write);
+        progress.map(|progress| progress.stage = stage).is_some()
+    }
+
+    fn do_what_is_due(&mut self, now: Moment, actions: &mut Vec<Action>) {
+        if self.log.begin_due_sync(now.since_boot) {
+            actions.push(Action::Sync);
         }
-        self.open_due(now, out);
-        let waits = self.held.values().filter_map(|h| match h.doing {
-            Doing::Waits(at) if at > now.since_boot => Some(at),
-            _ => None,
-        });
-        let sync = self.sync_at.filter(|_| self.sync_out.is_none());
-        if let Some(at) = waits.chain(sync).min() {
-            if self.wake.is_none_or(|w| at < w || w <= now.since_boot) {
-                self.wake = Some(at);
-                out.push(Action::Wake(at));
-            }
+        self.open_due_writes(now, actions);
+        self.request_timer(now.since_boot, actions);
+    }
+
+    fn request_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        let retries = self
+            .progress
+            .values()
+            .filter_map(|progress| match progress.stage {
+                WriteStage::Waiting(at) if at > now => Some(at),
+                _ => None,
+            });
+        let Some(at) = retries.chain(self.log.next_sync_at()).min() else {
+            return;
+        };
+        if self.wake_at.is_none_or(|wake| at < wake || wake <= now) {
+            self.wake_at = Some(at);
+            actions.push(Action::Wake(at));
         }
     }
 
-    /// Opens what may be sent now: synced, past its barrier, due, and in a state that allows it.
-    fn open_due(&mut self, now: Moment, out: &mut Vec<Action>) {
-        if self.closed {
+    /// Opens what may be sent now: durable, past its barrier, due, and in a state that allows it.
+    fn open_due_writes(&mut self, now: Moment, actions: &mut Vec<Action>) {
+        if self.log.is_closed() {
             // No intent can be synced any more: what was acknowledged stays in the log for the next start.
             return;
         }
-        let mut first: BTreeMap<u64, u64> = BTreeMap::new();
-        for p in self.book.pending() {
-            if let Some(h) = self
-                .held
-                .get(&p.taken.write)
-                .filter(|h| h.doing != Doing::Doubt)
-            {
-                let least = first.entry(p.taken.volume).or_insert(h.generation);
-                *least = h.generation.min(*least);
-            }
-        }
-        for p in self.book.pending() {
-            let (write, volume) = (p.taken.write, p.taken.volume);
-            let Some(h) = self.held.get_mut(&write) else {
+        let first_generations = self.first_generations();
+        let mut stored = Vec::new();
+        for pending in self.writes.pending() {
+            let (write, volume) = (pending.accepted.write, pending.accepted.volume);
+            let Some(progress) = self.progress.get_mut(&write) else {
                 continue;
             };
-            let due = matches!(h.doing, Doing::Waits(at) if at <= now.since_boot);
-            // Not before its own record lasts: else an attempt could be known of a write that is not.
-            if !due || p.sequence >= self.lasting || first.get(&volume) != Some(&h.generation) {
+            let due = matches!(progress.stage, WriteStage::Waiting(at) if at <= now.since_boot);
+            let past_barriers = first_generations.get(&volume) == Some(&progress.generation);
+            // Not before its own record is durable: else an attempt could be known of a write that is not.
+            if !due || !self.log.is_durable(pending.sequence) || !past_barriers {
                 continue;
             }
-            match p.standing(now, self.limits.window) {
-                Standing::NeverSent => {
-                    h.doing = Doing::Open;
-                    out.push(Action::Open(write, None));
+            match pending.retry_status(now, self.limits.repeat_window) {
+                RetryStatus::NeverSent => {
+                    progress.stage = WriteStage::Open;
+                    actions.push(Action::Open(write, None));
                 }
-                Standing::InWindow { shard, left } => {
-                    h.doing = Doing::Open;
-                    out.push(Action::Open(write, Some((shard, left))));
+                RetryStatus::WithinWindow { shard, remaining } => {
+                    progress.stage = WriteStage::Open;
+                    actions.push(Action::Open(write, Some((shard, remaining))));
                 }
-                Standing::PastWindow { nodes } => {
-                    h.doing = Doing::Asking;
-                    out.push(Action::Ask(write, nodes));
+                RetryStatus::WindowExpired { nodes } => {
+                    progress.stage = WriteStage::Locating;
+                    actions.push(Action::Locate(write, nodes));
                 }
-                // Its settling was not written in time; the next handle of its end does it.
-                Standing::Answered => h.doing = Doing::Waits(Micros::MAX),
+                // Its resolution was not written in time.
+                RetryStatus::Stored => stored.push(write),
             }
         }
-        let answered: Vec<WriteId> = self
-            .held
-            .iter()
-            .filter(|(_, h)| h.doing == Doing::Waits(Micros::MAX))
-            .map(|(write, _)| *write)
-            .collect();
-        for write in answered {
-            self.settle(write, out);
+        for write in stored {
+            self.resolve(write, actions);
+        }
+    }
+
+    /// The earliest generation of each volume's writes, apart from those in doubt: only that may be sent.
+    fn first_generations(&self) -> BTreeMap<u64, u64> {
+        let mut first: BTreeMap<u64, u64> = BTreeMap::new();
+        for pending in self.writes.pending() {
+            let Some(progress) = self.progress.get(&pending.accepted.write) else {
+                continue;
+            };
+            if progress.stage != WriteStage::InDoubt {
+                let earliest = first
+                    .entry(pending.accepted.volume)
+                    .or_insert(progress.generation);
+                *earliest = progress.generation.min(*earliest);
+            }
         }
+        first
     }
 }
--- a/crates/write-back/src/file.rs
+++ b/crates/write-back/src/folder.rs
@@ -1,4 +1,4 @@
-//! A real folder as a [`Disk`], with a lock that keeps a second start out.
+//! A real folder as a [`Disk`], with a lock that keeps a second program out.
 
 use crate::disk::{Disk, DiskError, SegmentId};
 use std::collections::HashMap;
@@ -28,6 +28,10 @@
 
 impl Folder {
     /// Opens a folder, making it where it is not there.
+    ///
+    /// # Errors
+    ///
+    /// [`FolderError::InUse`] where another program has it open, and [`FolderError::Io`] otherwise.
     pub fn open(path: &Path) -> Result<Folder, FolderError> {
         let named = |e| FolderError::Io(path.display().to_string(), e);
         fs::create_dir_all(path).map_err(named)?;
@@ -67,18 +71,22 @@
     }
 }
 
-fn failed(e: io::Error) -> DiskError {
-    match e.kind() {
+#[expect(
+    clippy::needless_pass_by_value,
+    reason = "`map_err` passes errors by value"
+)]
+fn disk_error(error: io::Error) -> DiskError {
+    match error.kind() {
         ErrorKind::StorageFull | ErrorKind::QuotaExceeded => DiskError::Full,
-        _ => DiskError::Failed(e.to_string()),
+        _ => DiskError::Failed(error.to_string()),
     }
 }
 
 impl Disk for Folder {
     fn list(&mut self) -> Result<Vec<SegmentId>, DiskError> {
         let mut found = Vec::new();
-        for entry in fs::read_dir(&self.path).map_err(failed)? {
-            let name = entry.map_err(failed)?.file_name();
+        for entry in fs::read_dir(&self.path).map_err(disk_error)? {
+            let name = entry.map_err(disk_error)?.file_name();
             let number = name.to_str().and_then(|n| n.strip_suffix(".log"));
             found.extend(
                 number
@@ -95,41 +103,41 @@
             .append(true)
             .create_new(true)
             .open(self.name(segment))
-            .map_err(failed)?;
+            .map_err(disk_error)?;
         self.open.insert(segment, file);
-        self.sync_names().map_err(failed)
+        self.sync_names().map_err(disk_error)
     }
 
     fn append(&mut self, segment: SegmentId, bytes: &[u8]) -> Result<(), DiskError> {
         self.file(segment)
-            .and_then(|f| f.write_all(bytes))
-            .map_err(failed)
+            .and_then(|file| file.write_all(bytes))
+            .map_err(disk_error)
     }
 
     fn sync(&mut self, segment: SegmentId) -> Result<(), DiskError> {
         self.file(segment)
-            .and_then(|f| f.sync_data())
-            .map_err(failed)
+            .and_then(|file| file.sync_data())
+            .map_err(disk_error)
     }
 
     fn read(&mut self, segment: SegmentId) -> Result<Vec<u8>, DiskError> {
-        fs::read(self.name(segment)).map_err(failed)
+        fs::read(self.name(segment)).map_err(disk_error)
     }
 
     fn truncate(&mut self, segment: SegmentId, length: u64) -> Result<(), DiskError> {
         let file = OpenOptions::new()
             .write(true)
             .open(self.name(segment))
-            .map_err(failed)?;
+            .map_err(disk_error)?;
         file.set_len(length)
             .and_then(|()| file.sync_all())
-            .map_err(failed)
+            .map_err(disk_error)
     }
 
     fn remove(&mut self, segment: SegmentId) -> Result<(), DiskError> {
         self.open.remove(&segment);
         fs::remove_file(self.name(segment))
             .and_then(|()| self.sync_names())
-            .map_err(failed)
+            .map_err(disk_error)
     }
 }
--- a/crates/write-back/src/log.rs
+++ b/crates/write-back/src/log.rs
@@ -1,10 +1,11 @@
-//! The log: records in segments, each named by the sequence of its first record.
+//! The log: records in segments, each named by the sequence number of its first record.
 //!
 //! A segment is synced before the next is made, so only the last can end in a torn record. Recovery stops there and cuts
 //! it off; anything unreadable in an earlier segment is damage, and the log does not open.
 
 use crate::disk::{Disk, DiskError, SegmentId};
-use crate::record::{decode, encode, Record, Unreadable};
+use crate::frame::{decode, encode, FrameError};
+use crate::record::Record;
 use std::collections::VecDeque;
 
 /// Why a log cannot be opened.
@@ -21,7 +22,7 @@
         /// The byte.
         offset: usize,
         /// What is wrong.
-        why: Unreadable,
+        why: FrameError,
     },
 }
 
@@ -34,7 +35,7 @@
     /// An earlier call failed: nothing more is written to this log.
     #[error("the log is closed after a failure")]
     Closed,
-    /// It has no form, which is a defect.
+    /// It has no encoding, which is a defect.
     #[error("{0}")]
     Form(#[from] postcard::Error),
 }
@@ -50,10 +51,10 @@
 pub struct Log<D: Disk> {
     disk: D,
     segments: VecDeque<Segment>,
-    /// The sequence of the next record.
+    /// The sequence number of the next record.
     next: u64,
-    /// All records below this one last.
-    lasting: u64,
+    /// All records below this one are durable.
+    durable_below: u64,
     /// A segment longer than this is followed by a new one.
     segment_bytes: u64,
     closed: bool,
@@ -62,65 +63,97 @@
 /// What recovery found.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
-    /// The records, with their sequences.
+    /// The records, with their sequence numbers.
     pub records: Vec<(u64, Record)>,
     /// Bytes of a torn end that were cut off.
     pub torn: u64,
 }
 
 /// Reads a log and changes nothing.
+///
+/// # Errors
+///
+/// Where the disk fails, or a segment before the last is damaged.
 pub fn inspect(disk: &mut impl Disk) -> Result<Recovered, OpenError> {
-    scan(disk).map(|(found, ..)| found)
+    scan(disk).map(|scan| scan.found)
 }
 
-/// Reads all segments: the records, the segments up to their last good byte, and the next sequence.
-fn scan(disk: &mut impl Disk) -> Result<(Recovered, VecDeque<Segment>, u64), OpenError> {
+/// What a scan of all segments finds.
+struct Scan {
+    found: Recovered,
+    /// The segments, up to their last good byte.
+    segments: VecDeque<Segment>,
+    /// The sequence number of the next record.
+    next: u64,
+}
+
+/// Reads all segments. Only the last one may end in a torn record.
+fn scan(disk: &mut impl Disk) -> Result<Scan, OpenError> {
     let ids = disk.list()?;
-    let mut found = Recovered::default();
-    let mut segments = VecDeque::new();
-    let mut next = ids.first().map_or(1, |id| id.0);
-    for (i, id) in ids.iter().enumerate() {
-        let last = i + 1 == ids.len();
-        if id.0 != next {
+    let mut scan = Scan {
+        found: Recovered::default(),
+        segments: VecDeque::new(),
+        next: ids.first().map_or(1, |id| id.0),
+    };
+    for (index, id) in ids.iter().enumerate() {
+        if id.0 != scan.next {
             return Err(OpenError::Damaged {
                 segment: id.0,
                 offset: 0,
-                why: Unreadable::Sequence,
+                why: FrameError::Sequence,
             });
         }
         let bytes = disk.read(*id)?;
+        let (end, error) = scan.read_segment(&bytes);
+        if let Some(why) = error {
+            if index + 1 < ids.len() {
+                return Err(OpenError::Damaged {
+                    segment: id.0,
+                    offset: end,
+                    why,
+                });
+            }
+            scan.found.torn = (bytes.len() - end) as u64;
+        }
+        scan.segments.push_back(Segment {
+            id: *id,
+            bytes: end as u64,
+        });
+    }
+    Ok(scan)
+}
+
+impl Scan {
+    /// Reads the records of a segment. Returns how many of its bytes are good, and why the next is not a record.
+    fn read_segment(&mut self, bytes: &[u8]) -> (usize, Option<FrameError>) {
         let mut at = 0;
         while at < bytes.len() {
-            match decode(&bytes[at..], next) {
+            match decode(&bytes[at..], self.next) {
                 Ok((record, length)) => {
-                    found.records.push((next, record));
-                    (at, next) = (at + length, next + 1);
-                }
-                Err(why) if !last => {
-                    return Err(OpenError::Damaged {
-                        segment: id.0,
-                        offset: at,
-                        why,
-                    })
-                }
-                Err(_) => {
-                    found.torn = (bytes.len() - at) as u64;
-                    break;
+                    self.found.records.push((self.next, record));
+                    at += length;
+                    self.next += 1;
                 }
+                Err(why) => return (at, Some(why)),
             }
         }
-        segments.push_back(Segment {
-            id: *id,
-            bytes: at as u64,
-        });
+        (at, None)
     }
-    Ok((found, segments, next))
 }
 
 impl<D: Disk> Log<D> {
-    /// Opens a log and tells what stands in it.
+    /// Opens a log and returns what it holds. A torn end is cut off; a segment that has more bytes than `segment_bytes` is
+    /// followed by a new one.
+    ///
+    /// # Errors
+    ///
+    /// Where the disk fails, or a segment before the last is damaged.
     pub fn open(mut disk: D, segment_bytes: u64) -> Result<(Log<D>, Recovered), OpenError> {
-        let (found, segments, next) = scan(&mut disk)?;
+        let Scan {
+            found,
+            segments,
+            next,
+        } = scan(&mut disk)?;
         if let Some(last) = segments.back().filter(|_| found.torn > 0) {
             disk.truncate(last.id, last.bytes)?;
         }
@@ -128,14 +161,18 @@
             disk,
             segments,
             next,
-            lasting: next,
+            durable_below: next,
             segment_bytes,
             closed: false,
         };
         Ok((log, found))
     }
 
-    /// Writes a record behind the others; it lasts once a [`Log::sync`] after it went well. Tells its sequence.
+    /// Writes a record behind the others; it is durable once a [`Log::sync`] after it went well. Returns its sequence number.
+    ///
+    /// # Errors
+    ///
+    /// Where the disk fails, which closes the log, or the log is closed.
     pub fn append(&mut self, record: &Record) -> Result<u64, WriteError> {
         if self.closed {
             return Err(WriteError::Closed);
@@ -166,26 +203,40 @@
         Ok(self.next - 1)
     }
 
-    /// Makes all that was written last; tells the sequence below which all does. A sync that failed is not tried
+    /// Makes all that was written durable; returns the sequence number below which all is. A sync that failed is not tried
     /// again: what it covered counts as not written, and the log is closed.
+    ///
+    /// # Errors
+    ///
+    /// Where the disk fails, which closes the log, or the log is closed.
     pub fn sync(&mut self) -> Result<u64, WriteError> {
         if self.closed {
             return Err(WriteError::Closed);
         }
         let synced = self.sync_last();
         self.closed |= synced.is_err();
-        synced.map(|()| self.lasting).map_err(WriteError::Disk)
+        synced
+            .map(|()| self.durable_below)
+            .map_err(WriteError::Disk)
     }
 
     fn sync_last(&mut self) -> Result<(), DiskError> {
-        if let Some(last) = self.segments.back().filter(|_| self.lasting < self.next) {
+        if let Some(last) = self
+            .segments
+            .back()
+            .filter(|_| self.durable_below < self.next)
+        {
             self.disk.sync(last.id)?;
         }
-        self.lasting = self.next;
+        self.durable_below = self.next;
         Ok(())
     }
 
-    /// Removes the segments in which no record at or after `needed` stands; the last one stays. Tells how many went.
+    /// Removes the segments in which no record at or after `needed` is; the last one stays. Returns how many were removed.
+    ///
+    /// # Errors
+    ///
+    /// Where the disk fails.
     pub fn reclaim(&mut self, needed: u64) -> Result<usize, DiskError> {
         let mut gone = 0;
         while self
@@ -212,7 +263,7 @@
         self.closed
     }
 
-    /// The sequence of the next record.
+    /// The sequence number of the next record.
     pub fn next(&self) -> u64 {
         self.next
     }
--- a/crates/write-back/tests/buffer.rs
+++ b/crates/write-back/tests/buffer.rs
@@ -1,19 +1,21 @@
 //! The buffer, its log on a simulated disk, and model nodes, over random crashes: what was promised against what the
 //! nodes hold.
 
-use lupinrack_write_back::buffer::{Action, Buffer, Input, Limits, Said, Waiter, Wish};
-use lupinrack_write_back::log::Log;
-use lupinrack_write_back::record::{End, Moment, Taken, WriteId};
-use lupinrack_write_back::sim::SimDisk;
-use lupinrack_write_back::state::Book;
+mod simulated_disk;
+
+use lupinrack_write_back::{
+    AcceptedWrite, AcknowledgeAt, Acknowledgement, Action, AttemptOutcome, Buffer, Input, Limits,
+    Log, Lookup, Moment, Waiter, WriteId, WriteTable,
+};
+use simulated_disk::SimDisk;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const WINDOW: i64 = 4_000_000;
 const LIMITS: Limits = Limits {
-    bytes: 4_000,
-    gather: 2_000,
-    window: WINDOW,
-    again: 50_000,
+    max_pending_bytes: 4_000,
+    sync_delay: 2_000,
+    repeat_window: WINDOW,
+    retry_delay: 50_000,
 };
 
 /// Nodes on two shards: what ran where, and when each key first did on its shard.
@@ -65,7 +67,7 @@
 impl World {
     fn new(seed: u64) -> World {
         let (log, _) = Log::open(SimDisk::default(), 1_500).unwrap();
-        let buffer = Buffer::new(LIMITS, Book::default(), log.next());
+        let buffer = Buffer::new(LIMITS, WriteTable::default(), log.next());
         World {
             dice: fastrand::Rng::with_seed(seed),
             now: 10_000_000,
@@ -106,12 +108,12 @@
                     }
                 }
                 Action::Sync => self.syncing = true,
-                Action::Say(waiter, said) => self.told(waiter, said),
+                Action::Acknowledge(waiter, said) => self.told(waiter, said),
                 Action::Open(write, only) => {
                     let number = self.attempts.entry(write).or_default();
                     let (attempt, shard) = (*number, only.map_or(self.dice.u32(0..2), |o| o.0));
                     *number += 1;
-                    inputs.push(Input::Intends {
+                    inputs.push(Input::Intent {
                         write,
                         attempt,
                         node: format!("n{shard}"),
@@ -119,14 +121,19 @@
                     });
                     self.sent.push_back((write, attempt, shard));
                 }
-                Action::Go(write, attempt) => inputs.extend(self.go(write, attempt)),
-                Action::Stop(write, attempt) => {
+                Action::Send(write, attempt) => inputs.extend(self.go(write, attempt)),
+                Action::Abort(write, attempt) => {
                     self.sent.retain(|s| (s.0, s.1) != (write, attempt))
                 }
-                Action::Ask(write, _) => {
+                Action::Locate(write, _) => {
                     let key = self.key(write);
                     let known = self.calm || self.dice.u32(0..20) > 0;
-                    inputs.push(Input::Asked(write, known.then(|| self.nodes.hold(&key))));
+                    let lookup = match known {
+                        false => Lookup::Unknown,
+                        true if self.nodes.hold(&key) => Lookup::Present,
+                        true => Lookup::Absent,
+                    };
+                    inputs.push(Input::Located(write, lookup));
                 }
                 Action::Reclaim(needed) => {
                     if let Some(log) = &mut self.log {
@@ -144,14 +151,14 @@
     }
 
     fn key(&self, write: WriteId) -> Vec<u8> {
-        let pending = self.buffer.pending().find(|p| p.taken.write == write);
+        let pending = self.buffer.pending().find(|p| p.accepted.write == write);
         pending
-            .map(|p| p.taken.key.clone())
+            .map(|p| p.accepted.key.clone())
             .or_else(|| self.keys.get(&write).cloned())
             .unwrap_or_default()
     }
 
-    fn told(&mut self, waiter: Waiter, said: Said) {
+    fn told(&mut self, waiter: Waiter, said: Acknowledgement) {
         if let Some(keys) = self.flushes.get(&waiter) {
             for key in keys {
                 assert!(self.nodes.hold(key), "flushed, and no node has it");
@@ -161,12 +168,12 @@
             return;
         };
         match said {
-            Said::Buffered => drop(self.buffered.insert(key)),
-            Said::Flushed => {
+            Acknowledgement::Buffered => drop(self.buffered.insert(key)),
+            Acknowledgement::Flushed => {
                 assert!(self.nodes.hold(&key), "flushed, and no node has it");
                 self.flushed.insert(key);
             }
-            Said::Through => {}
+            Acknowledgement::WriteThrough => {}
         }
     }
 
@@ -188,17 +195,17 @@
         }
         match fate {
             0 => vec![
-                Input::Ended(write, attempt, End::NeverRan),
-                Input::LetGo(write),
+                Input::AttemptEnded(write, attempt, AttemptOutcome::NeverRan),
+                Input::Released(write),
             ],
             // Reset, before or after it ran: nobody knows.
             1 | 2 => vec![
-                Input::Ended(write, attempt, End::MayHaveRun),
-                Input::LetGo(write),
+                Input::AttemptEnded(write, attempt, AttemptOutcome::MayHaveRun),
+                Input::Released(write),
             ],
             // Its end is still on its way.
             3 => Vec::new(),
-            _ => vec![Input::Ended(write, attempt, End::Held)],
+            _ => vec![Input::AttemptEnded(write, attempt, AttemptOutcome::Stored)],
         }
     }
 
@@ -212,7 +219,7 @@
                     format!("k-{}", self.number).into_bytes(),
                 );
                 self.puts.insert(waiter, key.clone());
-                let taken = Taken {
+                let taken = AcceptedWrite {
                     write: WriteId(0),
                     volume: self.dice.u64(0..3),
                     plan: "basic".into(),
@@ -223,17 +230,20 @@
                     give_up: 0,
                 };
                 let wish = if self.dice.bool() {
-                    Wish::Buffered
+                    AcknowledgeAt::Buffered
                 } else {
-                    Wish::Flushed
+                    AcknowledgeAt::Flushed
                 };
-                self.handle(Input::Put(waiter, wish, taken));
+                self.handle(Input::Write(waiter, wish, taken));
             }
             8 => {
                 let volume = self.dice.u64(0..3);
                 self.number += 1;
-                let mine = self.buffer.pending().filter(|p| p.taken.volume == volume);
-                let keys: BTreeSet<Vec<u8>> = mine.map(|p| p.taken.key.clone()).collect();
+                let mine = self
+                    .buffer
+                    .pending()
+                    .filter(|p| p.accepted.volume == volume);
+                let keys: BTreeSet<Vec<u8>> = mine.map(|p| p.accepted.key.clone()).collect();
                 self.flushes.insert(Waiter(self.number), keys);
                 self.handle(Input::Flush(Waiter(self.number), volume));
             }
@@ -260,11 +270,11 @@
             (self.boot, self.now) = (self.boot + 1, self.now);
         }
         let (log, found) = Log::open(disk, 1_500).unwrap();
-        let mut book = Book::default();
+        let mut book = WriteTable::default();
         found.records.iter().for_each(|(s, r)| book.apply(*s, r));
         self.attempts = book
             .pending()
-            .map(|p| (p.taken.write, p.tried.len() as u16 + 100))
+            .map(|p| (p.accepted.write, p.attempts.len() as u16 + 100))
             .collect();
         self.buffer = Buffer::new(LIMITS, book, log.next());
         (self.log, self.syncing) = (Some(log), false);
@@ -314,7 +324,11 @@
                 String::from_utf8_lossy(key)
             );
         }
-        assert_eq!(w.buffer.bytes(), 0, "seed {seed}: something is left");
+        assert_eq!(
+            w.buffer.pending_bytes(),
+            0,
+            "seed {seed}: something is left"
+        );
         acks += w.buffered.len() + w.flushed.len();
         doubts += w.doubt.len();
         crashes += 1;
@@ -325,8 +339,8 @@
     );
 }
 
-fn put(b: &mut Buffer, n: u64, wish: Wish, size: usize, at: i64) -> Vec<Action> {
-    let taken = Taken {
+fn put(b: &mut Buffer, n: u64, wish: AcknowledgeAt, size: usize, at: i64) -> Vec<Action> {
+    let taken = AcceptedWrite {
         write: WriteId(0),
         volume: 1,
         plan: "basic".into(),
@@ -336,7 +350,7 @@
         body: vec![0; size],
         give_up: 0,
     };
-    handle(b, Input::Put(Waiter(n), wish, taken), at)
+    handle(b, Input::Write(Waiter(n), wish, taken), at)
 }
 
 fn handle(b: &mut Buffer, input: Input, at: i64) -> Vec<Action> {
@@ -355,19 +369,19 @@
 
 #[test]
 fn many_writes_share_one_sync_and_none_is_acknowledged_before_it() {
-    let mut b = Buffer::new(LIMITS, Book::default(), 1);
+    let mut b = Buffer::new(LIMITS, WriteTable::default(), 1);
     let early: Vec<Action> = (1..=10)
-        .flat_map(|n| put(&mut b, n, Wish::Buffered, 10, 0))
+        .flat_map(|n| put(&mut b, n, AcknowledgeAt::Buffered, 10, 0))
         .collect();
     assert!(!early
         .iter()
-        .any(|a| matches!(a, Action::Say(..) | Action::Sync | Action::Open(..))));
-    let out = handle(&mut b, Input::Timer, LIMITS.gather);
+        .any(|a| matches!(a, Action::Acknowledge(..) | Action::Sync | Action::Open(..))));
+    let out = handle(&mut b, Input::Timer, LIMITS.sync_delay);
     assert_eq!(out, [Action::Sync]);
     let out = handle(&mut b, Input::Synced, 3_000);
     let said = out
         .iter()
-        .filter(|a| matches!(a, Action::Say(_, Said::Buffered)))
+        .filter(|a| matches!(a, Action::Acknowledge(_, Acknowledgement::Buffered)))
         .count();
     let opened = out
         .iter()
@@ -377,7 +391,7 @@
     // An attempt's bytes leave only once its intent is synced.
     let out = handle(
         &mut b,
-        Input::Intends {
+        Input::Intent {
             write: WriteId(1),
             attempt: 0,
             node: "a".into(),
@@ -385,46 +399,60 @@
         },
         3_000,
     );
-    assert!(out.contains(&Action::Sync) && !out.contains(&Action::Go(WriteId(1), 0)));
-    assert!(handle(&mut b, Input::Synced, 3_500).contains(&Action::Go(WriteId(1), 0)));
+    assert!(out.contains(&Action::Sync) && !out.contains(&Action::Send(WriteId(1), 0)));
+    assert!(handle(&mut b, Input::Synced, 3_500).contains(&Action::Send(WriteId(1), 0)));
 }
 
 #[test]
 fn beyond_the_bound_and_after_the_log_failed_writes_go_through() {
-    let mut b = Buffer::new(LIMITS, Book::default(), 1);
+    let mut b = Buffer::new(LIMITS, WriteTable::default(), 1);
     assert!(
-        !put(&mut b, 1, Wish::Buffered, 3_900, 0).contains(&Action::Say(Waiter(1), Said::Through))
+        !put(&mut b, 1, AcknowledgeAt::Buffered, 3_900, 0).contains(&Action::Acknowledge(
+            Waiter(1),
+            Acknowledgement::WriteThrough
+        ))
     );
-    assert!(put(&mut b, 2, Wish::Buffered, 200, 0).contains(&Action::Say(Waiter(2), Said::Through)));
-    handle(&mut b, Input::Timer, LIMITS.gather);
+    assert!(
+        put(&mut b, 2, AcknowledgeAt::Buffered, 200, 0).contains(&Action::Acknowledge(
+            Waiter(2),
+            Acknowledgement::WriteThrough
+        ))
+    );
+    handle(&mut b, Input::Timer, LIMITS.sync_delay);
     let out = handle(&mut b, Input::LogFailed, 3_000);
     assert!(
-        out.contains(&Action::Say(Waiter(1), Said::Through)),
+        out.contains(&Action::Acknowledge(
+            Waiter(1),
+            Acknowledgement::WriteThrough
+        )),
         "what was not synced counts as not written"
     );
     assert!(
-        put(&mut b, 3, Wish::Flushed, 1, 4_000).contains(&Action::Say(Waiter(3), Said::Through))
+        put(&mut b, 3, AcknowledgeAt::Flushed, 1, 4_000).contains(&Action::Acknowledge(
+            Waiter(3),
+            Acknowledgement::WriteThrough
+        ))
     );
-    assert_eq!(b.bytes(), 0);
+    assert_eq!(b.pending_bytes(), 0);
 }
 
 #[test]
 fn a_barrier_holds_back_what_comes_after_it_and_a_flush_waits_for_what_came_before() {
-    let mut b = Buffer::new(LIMITS, Book::default(), 1);
-    put(&mut b, 1, Wish::Buffered, 1, 0);
+    let mut b = Buffer::new(LIMITS, WriteTable::default(), 1);
+    put(&mut b, 1, AcknowledgeAt::Buffered, 1, 0);
     handle(&mut b, Input::Barrier(1), 0);
-    put(&mut b, 2, Wish::Buffered, 1, 0);
-    handle(&mut b, Input::Timer, LIMITS.gather);
+    put(&mut b, 2, AcknowledgeAt::Buffered, 1, 0);
+    handle(&mut b, Input::Timer, LIMITS.sync_delay);
     let out = handle(&mut b, Input::Synced, 3_000);
     assert!(
         out.contains(&Action::Open(WriteId(1), None))
             && !out.contains(&Action::Open(WriteId(2), None))
     );
     assert!(!handle(&mut b, Input::Flush(Waiter(9), 1), 3_000)
-        .contains(&Action::Say(Waiter(9), Said::Flushed)));
+        .contains(&Action::Acknowledge(Waiter(9), Acknowledgement::Flushed)));
     handle(
         &mut b,
-        Input::Intends {
+        Input::Intent {
             write: WriteId(1),
             attempt: 0,
             node: "a".into(),
@@ -433,14 +461,18 @@
         3_000,
     );
     handle(&mut b, Input::Synced, 3_100);
-    let out = handle(&mut b, Input::Ended(WriteId(1), 0, End::Held), 3_200);
+    let out = handle(
+        &mut b,
+        Input::AttemptEnded(WriteId(1), 0, AttemptOutcome::Stored),
+        3_200,
+    );
     assert!(
         out.contains(&Action::Open(WriteId(2), None))
-            && !out.contains(&Action::Say(Waiter(9), Said::Flushed))
+            && !out.contains(&Action::Acknowledge(Waiter(9), Acknowledgement::Flushed))
     );
     handle(
         &mut b,
-        Input::Intends {
+        Input::Intent {
             write: WriteId(2),
             attempt: 0,
             node: "a".into(),
@@ -449,6 +481,10 @@
         3_300,
     );
     handle(&mut b, Input::Synced, 3_400);
-    let out = handle(&mut b, Input::Ended(WriteId(2), 0, End::Held), 3_500);
-    assert!(out.contains(&Action::Say(Waiter(9), Said::Flushed)));
+    let out = handle(
+        &mut b,
+        Input::AttemptEnded(WriteId(2), 0, AttemptOutcome::Stored),
+        3_500,
+    );
+    assert!(out.contains(&Action::Acknowledge(Waiter(9), Acknowledgement::Flushed)));
 }
--- a/crates/write-back/tests/golden.rs
+++ b/crates/write-back/tests/golden.rs
@@ -5,13 +5,11 @@
 mod golden_trace;
 
 use golden_file::{check_folder, hex, unhex, GoldenFile};
-use lupinrack_write_back::disk::{Disk, DiskError, SegmentId};
-use lupinrack_write_back::file::{Folder, FolderError};
-use lupinrack_write_back::log::{inspect, Log, OpenError, Recovered, WriteError};
-use lupinrack_write_back::record::{
-    decode, encode, End, Moment, Record, Taken, Unreadable, WriteId,
+use lupinrack_write_back::{
+    decode, encode, inspect, AcceptedWrite, AttemptOutcome, Disk, DiskError, Folder, FolderError,
+    FrameError, Log, Moment, OpenError, Record, Recovered, RetryStatus, SegmentId, WriteError,
+    WriteId, WriteTable,
 };
-use lupinrack_write_back::state::{Book, Standing};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
@@ -21,8 +19,8 @@
 /// The repeat window of keyed writes, in microseconds.
 const WINDOW: i64 = 4_000_000;
 
-fn taken(write: u64) -> Taken {
-    Taken {
+fn taken(write: u64) -> AcceptedWrite {
+    AcceptedWrite {
         write: WriteId(write),
         volume: 0x1122_3344_5566_7788,
         plan: "basic".into(),
@@ -34,8 +32,8 @@
     }
 }
 
-fn empty_taken() -> Taken {
-    Taken {
+fn empty_taken() -> AcceptedWrite {
+    AcceptedWrite {
         write: WriteId(0),
         volume: 0,
         plan: String::new(),
@@ -62,11 +60,11 @@
     }
 }
 
-fn ended(write: u64, attempt: u16, end: End) -> Record {
-    Record::Ended {
+fn ended(write: u64, attempt: u16, outcome: AttemptOutcome) -> Record {
+    Record::AttemptEnded {
         write: WriteId(write),
         attempt,
-        end,
+        outcome,
     }
 }
 
@@ -85,22 +83,26 @@
         at: early,
     };
     vec![
-        ("taken", 1, Record::Taken(taken(9))),
-        ("taken, empty", 2, Record::Taken(empty_taken())),
+        ("taken", 1, Record::Accepted(taken(9))),
+        ("taken, empty", 2, Record::Accepted(empty_taken())),
         (
             "attempt",
             0x0102_0304_0506_0708,
             attempt(300, 4, "node-3", 70_000),
         ),
         ("attempt, least", 3, early),
-        ("ended, held", 4, ended(300, 5, End::Held)),
-        ("ended, never ran", 5, ended(301, 6, End::NeverRan)),
+        ("ended, held", 4, ended(300, 5, AttemptOutcome::Stored)),
+        (
+            "ended, never ran",
+            5,
+            ended(301, 6, AttemptOutcome::NeverRan),
+        ),
         (
             "ended, may have run",
             6,
-            ended(302, u16::MAX, End::MayHaveRun),
+            ended(302, u16::MAX, AttemptOutcome::MayHaveRun),
         ),
-        ("settled", u64::MAX, Record::Settled(WriteId(u64::MAX))),
+        ("settled", u64::MAX, Record::Resolved(WriteId(u64::MAX))),
         (
             "barrier",
             7,
@@ -132,28 +134,28 @@
 /// What a small log holds: writes in each state, over several segments.
 fn log_records() -> Vec<Record> {
     vec![
-        Record::Taken(taken(1)),
-        Record::Taken(taken(2)),
+        Record::Accepted(taken(1)),
+        Record::Accepted(taken(2)),
         attempt(1, 0, "node-a", 3),
-        ended(1, 0, End::Held),
+        ended(1, 0, AttemptOutcome::Stored),
         Record::Barrier {
             volume: 0x1122_3344_5566_7788,
         },
-        Record::Taken(taken(3)),
+        Record::Accepted(taken(3)),
         attempt(2, 0, "node-b", 3),
-        Record::Settled(WriteId(1)),
+        Record::Resolved(WriteId(1)),
         attempt(3, 0, "node-c", 4),
-        ended(3, 0, End::NeverRan),
+        ended(3, 0, AttemptOutcome::NeverRan),
         Record::Flush {
             volume: 0x1122_3344_5566_7788,
         },
-        Record::Taken(taken(4)),
+        Record::Accepted(taken(4)),
         attempt(4, 0, "node-d", 5),
-        ended(4, 0, End::MayHaveRun),
+        ended(4, 0, AttemptOutcome::MayHaveRun),
         attempt(4, 1, "node-e", 6),
-        Record::Taken(taken(5)),
+        Record::Accepted(taken(5)),
         attempt(5, 0, "node-f", 7),
-        ended(5, 0, End::Held),
+        ended(5, 0, AttemptOutcome::Stored),
     ]
 }
 
@@ -251,8 +253,8 @@
     file.check();
 }
 
-fn standings(found: &Recovered) -> BTreeMap<u64, Standing> {
-    let mut book = Book::default();
+fn standings(found: &Recovered) -> BTreeMap<u64, RetryStatus> {
+    let mut book = WriteTable::default();
     found
         .records
         .iter()
@@ -263,27 +265,27 @@
         wall: 0,
     };
     book.pending()
-        .map(|pending| (pending.taken.write.0, pending.standing(now, WINDOW)))
+        .map(|pending| (pending.accepted.write.0, pending.retry_status(now, WINDOW)))
         .collect()
 }
 
-fn expected_standings() -> BTreeMap<u64, Standing> {
+fn expected_standings() -> BTreeMap<u64, RetryStatus> {
     BTreeMap::from([
         (
             2,
-            Standing::InWindow {
+            RetryStatus::WithinWindow {
                 shard: 3,
-                left: 2_600_000,
+                remaining: 2_600_000,
             },
         ),
-        (3, Standing::NeverSent),
+        (3, RetryStatus::NeverSent),
         (
             4,
-            Standing::PastWindow {
+            RetryStatus::WindowExpired {
                 nodes: vec!["node-d".into(), "node-e".into()],
             },
         ),
-        (5, Standing::Answered),
+        (5, RetryStatus::Stored),
     ])
 }
 
@@ -291,11 +293,11 @@
 fn errors_are_told_as_before() {
     let mut file = GoldenFile::new("errors.txt");
     let unreadable = [
-        ("short", Unreadable::Short),
-        ("length", Unreadable::Length),
-        ("checksum", Unreadable::Checksum),
-        ("sequence", Unreadable::Sequence),
-        ("form", Unreadable::Form),
+        ("short", FrameError::Short),
+        ("length", FrameError::Length),
+        ("checksum", FrameError::Checksum),
+        ("sequence", FrameError::Sequence),
+        ("form", FrameError::Form),
     ];
     for (name, why) in unreadable {
         file.add(format!("unreadable, {name}"), why.to_string());
@@ -307,7 +309,7 @@
     let damaged = OpenError::Damaged {
         segment: 0x1f,
         offset: 77,
-        why: Unreadable::Checksum,
+        why: FrameError::Checksum,
     };
     file.add("open, damaged", damaged.to_string());
     file.add("write, disk", WriteError::from(failed()).to_string());
--- a/crates/write-back/tests/golden_trace/mod.rs
+++ b/crates/write-back/tests/golden_trace/mod.rs
@@ -2,16 +2,17 @@
 //! form that they have on the disk; the lines hold no names of Rust types.
 
 use crate::golden_file::hex;
-use lupinrack_write_back::buffer::{Action, Buffer, Input, Limits, Said, Waiter, Wish};
-use lupinrack_write_back::record::{encode, End, Moment, Record, Taken, WriteId};
-use lupinrack_write_back::state::Book;
+use lupinrack_write_back::{
+    encode, AcceptedWrite, AcknowledgeAt, Acknowledgement, Action, AttemptOutcome, Buffer, Input,
+    Limits, Lookup, Moment, Record, Waiter, WriteId, WriteTable,
+};
 use std::collections::VecDeque;
 
 const LIMITS: Limits = Limits {
-    bytes: 4_000,
-    gather: 2_000,
-    window: 4_000_000,
-    again: 50_000,
+    max_pending_bytes: 4_000,
+    sync_delay: 2_000,
+    repeat_window: 4_000_000,
+    retry_delay: 50_000,
 };
 const VOLUMES: u64 = 3;
 const SHARDS: u32 = 2;
@@ -64,7 +65,7 @@
                 boot: 1,
                 wall: 50_000_000,
             },
-            buffer: Buffer::new(LIMITS, Book::default(), 1),
+            buffer: Buffer::new(LIMITS, WriteTable::default(), 1),
             log: Vec::new(),
             waiters: 0,
             syncing: false,
@@ -82,7 +83,7 @@
 
     /// The program ends and starts again with what the log holds, at times after a boot of the machine.
     fn restart(&mut self) -> String {
-        let mut book = Book::default();
+        let mut book = WriteTable::default();
         (1..)
             .zip(&self.log)
             .for_each(|(sequence, record)| book.apply(sequence, record));
@@ -118,7 +119,7 @@
             .map(|action| self.carry_out(action))
             .collect();
         let pending = self.buffer.pending().count();
-        let bytes = self.buffer.bytes();
+        let bytes = self.buffer.pending_bytes();
         format!(
             "at {} {shown} -> [{}] pending {pending} bytes {bytes}",
             self.now.since_boot,
@@ -150,11 +151,11 @@
         let volume = self.random.u64(0..VOLUMES);
         let size = self.random.usize(0..250);
         let (word, wish) = if self.random.bool() {
-            ("buffered", Wish::Buffered)
+            ("buffered", AcknowledgeAt::Buffered)
         } else {
-            ("flushed", Wish::Flushed)
+            ("flushed", AcknowledgeAt::Flushed)
         };
-        let taken = Taken {
+        let taken = AcceptedWrite {
             write: WriteId(0),
             volume,
             plan: "basic".into(),
@@ -166,7 +167,7 @@
         };
         (
             format!("put {} {word} volume {volume} size {size}", waiter.0),
-            Input::Put(waiter, wish, taken),
+            Input::Write(waiter, wish, taken),
         )
     }
 
@@ -206,7 +207,7 @@
         let shown = format!("intends {} attempt {number} {node} shard {shard}", write.0);
         (
             shown,
-            Input::Intends {
+            Input::Intent {
                 write,
                 attempt: number,
                 node,
@@ -223,36 +224,39 @@
         }
         self.attempts.swap_remove(place);
         let (word, end) = match self.random.u32(0..4) {
-            0 | 1 => ("held", End::Held),
-            2 => ("never ran", End::NeverRan),
-            _ => ("may have run", End::MayHaveRun),
+            0 | 1 => ("held", AttemptOutcome::Stored),
+            2 => ("never ran", AttemptOutcome::NeverRan),
+            _ => ("may have run", AttemptOutcome::MayHaveRun),
         };
-        if end != End::Held {
+        if end != AttemptOutcome::Stored {
             self.open.push((attempt.write, None));
         }
         let shown = format!(
             "ended {} attempt {} {word}",
             attempt.write.0, attempt.number
         );
-        (shown, Input::Ended(attempt.write, attempt.number, end))
+        (
+            shown,
+            Input::AttemptEnded(attempt.write, attempt.number, end),
+        )
     }
 
     fn let_go(&mut self) -> (String, Input) {
         let place = self.random.usize(0..self.open.len());
         let (write, _) = self.open.swap_remove(place);
-        (format!("let go {}", write.0), Input::LetGo(write))
+        (format!("let go {}", write.0), Input::Released(write))
     }
 
     fn answer_question(&mut self) -> (String, Input) {
         let write = self.asking.pop_front().unwrap_or_default();
         let (word, answer) = match self.random.u32(0..5) {
-            0 | 1 => ("there", Some(true)),
-            2 | 3 => ("absent", Some(false)),
-            _ => ("unknown", None),
+            0 | 1 => ("there", Lookup::Present),
+            2 | 3 => ("absent", Lookup::Absent),
+            _ => ("unknown", Lookup::Unknown),
         };
         (
             format!("asked {} {word}", write.0),
-            Input::Asked(write, answer),
+            Input::Located(write, answer),
         )
     }
 
@@ -267,7 +271,7 @@
                 self.syncing = true;
                 String::from("sync")
             }
-            Action::Say(waiter, said) => format!("say {} {}", waiter.0, said_word(*said)),
+            Action::Acknowledge(waiter, said) => format!("say {} {}", waiter.0, said_word(*said)),
             Action::Open(write, only) => {
                 self.open.push((*write, only.map(|(shard, _)| shard)));
                 let only = only.map_or(String::new(), |(shard, left)| {
@@ -275,16 +279,16 @@
                 });
                 format!("open {}{only}", write.0)
             }
-            Action::Go(write, attempt) => {
+            Action::Send(write, attempt) => {
                 let out = self.attempts.iter_mut().find(|out| out.number == *attempt);
                 out.expect("an attempt that was asked for").went = true;
                 format!("go {} attempt {attempt}", write.0)
             }
-            Action::Stop(write, attempt) => {
+            Action::Abort(write, attempt) => {
                 self.attempts.retain(|out| out.number != *attempt);
                 format!("stop {} attempt {attempt}", write.0)
             }
-            Action::Ask(write, nodes) => {
+            Action::Locate(write, nodes) => {
                 self.asking.push_back(*write);
                 format!("ask {} {}", write.0, nodes.join("+"))
             }
@@ -295,10 +299,10 @@
     }
 }
 
-fn said_word(said: Said) -> &'static str {
+fn said_word(said: Acknowledgement) -> &'static str {
     match said {
-        Said::Buffered => "buffered",
-        Said::Flushed => "flushed",
-        Said::Through => "through",
+        Acknowledgement::Buffered => "buffered",
+        Acknowledgement::Flushed => "flushed",
+        Acknowledgement::WriteThrough => "through",
     }
 }
--- a/crates/write-back/tests/log.rs
+++ b/crates/write-back/tests/log.rs
@@ -1,16 +1,16 @@
 //! The log over crashes of a simulated disk, damage, and a real folder.
 
-use lupinrack_write_back::disk::{Disk, DiskError, SegmentId};
-use lupinrack_write_back::file::{Folder, FolderError};
-use lupinrack_write_back::log::{Log, OpenError, WriteError};
-use lupinrack_write_back::record::{
-    decode, encode, End, Moment, Record, Taken, Unreadable, WriteId,
+mod simulated_disk;
+
+use lupinrack_write_back::{
+    decode, encode, AcceptedWrite, AttemptOutcome, Disk, DiskError, Folder, FolderError,
+    FrameError, Log, Moment, OpenError, Record, RetryStatus, SegmentId, WriteError, WriteId,
+    WriteTable,
 };
-use lupinrack_write_back::sim::SimDisk;
-use lupinrack_write_back::state::{Book, Standing};
+use simulated_disk::SimDisk;
 
 fn taken(n: u64, size: usize) -> Record {
-    Record::Taken(Taken {
+    Record::Accepted(AcceptedWrite {
         write: WriteId(n),
         volume: n % 5,
         plan: "basic".into(),
@@ -123,7 +123,7 @@
     let (_, found) = Log::open(disk, 1 << 20).unwrap();
     assert!(!found.records.is_empty(), "what was synced before is there");
 
-    let (mut log, _) = Log::open(SimDisk::with_room(150), 1 << 20).unwrap();
+    let (mut log, _) = Log::open(SimDisk::with_capacity(150), 1 << 20).unwrap();
     log.append(&taken(1, 10)).unwrap();
     log.sync().unwrap();
     assert!(matches!(
@@ -138,29 +138,38 @@
 #[test]
 fn segments_go_once_all_in_them_is_settled() {
     let (mut log, _) = Log::open(SimDisk::default(), 300).unwrap();
-    let mut book = Book::default();
+    let mut book = WriteTable::default();
     for n in 1..=12 {
         let record = taken(n, 100);
         book.apply(log.append(&record).unwrap(), &record);
     }
     let before = log.bytes();
     for n in (1..=12).filter(|n| *n != 5) {
-        let record = Record::Settled(WriteId(n));
+        let record = Record::Resolved(WriteId(n));
         book.apply(log.append(&record).unwrap(), &record);
     }
     log.sync().unwrap();
-    assert_eq!((book.needed(), book.next()), (Some(5), WriteId(13)));
-    assert!(log.reclaim(book.needed().unwrap_or(log.next())).unwrap() > 0 && log.bytes() < before);
+    assert_eq!((book.needed_from(), book.next_id()), (Some(5), WriteId(13)));
+    assert!(
+        log.reclaim(book.needed_from().unwrap_or(log.next()))
+            .unwrap()
+            > 0
+            && log.bytes() < before
+    );
     let (mut log, found) = Log::open(log.into_disk(), 300).unwrap();
-    let mut again = Book::default();
+    let mut again = WriteTable::default();
     found.records.iter().for_each(|(s, r)| again.apply(*s, r));
     assert_eq!(
-        again.pending().map(|p| p.taken.write).collect::<Vec<_>>(),
+        again
+            .pending()
+            .map(|p| p.accepted.write)
+            .collect::<Vec<_>>(),
         [WriteId(5)]
     );
-    let record = Record::Settled(WriteId(5));
+    let record = Record::Resolved(WriteId(5));
     again.apply(log.append(&record).unwrap(), &record);
-    log.reclaim(again.needed().unwrap_or(log.next())).unwrap();
+    log.reclaim(again.needed_from().unwrap_or(log.next()))
+        .unwrap();
     assert!(log.bytes() < 700, "{}", log.bytes());
 }
 
@@ -182,42 +191,48 @@
         shard,
         at: moment(at, 7, 1_000_000_000 + at),
     };
-    let ended = |n, end| Record::Ended {
+    let ended = |n, outcome| Record::AttemptEnded {
         write: WriteId(1),
         attempt: n,
-        end,
+        outcome,
     };
     let standing = |records: &[Record], now: Moment| {
-        let mut book = Book::default();
+        let mut book = WriteTable::default();
         book.apply(1, &taken(1, 1));
         records.iter().zip(2..).for_each(|(r, s)| book.apply(s, r));
         let p = book
             .pending()
             .next()
             .expect("pending")
-            .standing(now, WINDOW);
+            .retry_status(now, WINDOW);
         p
     };
     let now = |ago: i64| moment(10_000_000 + ago, 7, 1_010_000_000 + ago);
     let first = attempt(0, "a", 3, 10_000_000);
-    let past = |nodes: &[&str]| Standing::PastWindow {
+    let past = |nodes: &[&str]| RetryStatus::WindowExpired {
         nodes: nodes.iter().map(|n| n.to_string()).collect(),
     };
-    assert_eq!(standing(&[], now(0)), Standing::NeverSent);
+    assert_eq!(standing(&[], now(0)), RetryStatus::NeverSent);
     assert_eq!(
-        standing(&[first.clone(), ended(0, End::NeverRan)], now(60_000_000)),
-        Standing::NeverSent
+        standing(
+            &[first.clone(), ended(0, AttemptOutcome::NeverRan)],
+            now(60_000_000)
+        ),
+        RetryStatus::NeverSent
     );
     assert_eq!(
-        standing(&[first.clone(), ended(0, End::Held)], now(60_000_000)),
-        Standing::Answered
+        standing(
+            &[first.clone(), ended(0, AttemptOutcome::Stored)],
+            now(60_000_000)
+        ),
+        RetryStatus::Stored
     );
     let unknown = [first.clone()];
     assert_eq!(
         standing(&unknown, now(1_000_000)),
-        Standing::InWindow {
+        RetryStatus::WithinWindow {
             shard: 3,
-            left: 2_600_000
+            remaining: 2_600_000
         }
     );
     assert_eq!(
@@ -233,9 +248,9 @@
         };
         assert_eq!(
             standing(&unknown, at),
-            Standing::InWindow {
+            RetryStatus::WithinWindow {
                 shard: 3,
-                left: 2_600_000
+                remaining: 2_600_000
             }
         );
         // Over a boot it is all there is: more careful, whatever it says.
@@ -259,14 +274,14 @@
     // The window runs from the first that may have run; two shards share no memory of repeats.
     let twice = [
         first.clone(),
-        ended(0, End::MayHaveRun),
+        ended(0, AttemptOutcome::MayHaveRun),
         attempt(1, "b", 3, 12_000_000),
     ];
     assert_eq!(
         standing(&twice, now(3_000_000)),
-        Standing::InWindow {
+        RetryStatus::WithinWindow {
             shard: 3,
-            left: 600_000
+            remaining: 600_000
         }
     );
     assert_eq!(standing(&twice, now(4_000_000)), past(&["a", "b"]));
@@ -280,7 +295,7 @@
     assert_eq!(decode(&frame, 9).unwrap(), (taken(3, 50), frame.len()));
     assert_eq!(
         decode(&frame, 10),
-        Err(Unreadable::Sequence),
+        Err(FrameError::Sequence),
         "left over from another life"
     );
     for at in 0..frame.len() {
--- a/crates/write-back/src/sim.rs
+++ b/crates/write-back/tests/simulated_disk/mod.rs
@@ -1,6 +1,9 @@
 //! A simulated disk: what was not synced may be lost, torn or left in any order by a crash; calls fail when told to.
 
-use crate::disk::{Disk, DiskError, SegmentId};
+// Each test file uses some of it.
+#![allow(dead_code)]
+
+use lupinrack_write_back::{Disk, DiskError, SegmentId};
 use std::collections::BTreeMap;
 
 /// The pieces in which a real disk writes.
@@ -13,7 +16,7 @@
     /// Calls of `sync` from now until one fails; none: all go well.
     pub fail_sync_in: Option<u32>,
     /// Bytes that still fit; none: no end.
-    pub room: Option<usize>,
+    pub free_bytes: Option<usize>,
     /// Syncs made.
     pub syncs: u64,
 }
@@ -34,10 +37,10 @@
         }
     }
 
-    /// One with room for this many bytes.
-    pub fn with_room(bytes: usize) -> SimDisk {
+    /// One with free_bytes for this many bytes.
+    pub fn with_capacity(bytes: usize) -> SimDisk {
         SimDisk {
-            room: Some(bytes),
+            free_bytes: Some(bytes),
             ..SimDisk::default()
         }
     }
@@ -62,7 +65,7 @@
             }
             file.lasting = end;
         }
-        (self.fail_sync_in, self.room) = (None, None);
+        (self.fail_sync_in, self.free_bytes) = (None, None);
     }
 
     /// Alters one byte of a segment, as a failing medium does.
@@ -99,8 +102,10 @@
     }
 
     fn append(&mut self, segment: SegmentId, bytes: &[u8]) -> Result<(), DiskError> {
-        let fits = self.room.map_or(bytes.len(), |room| room.min(bytes.len()));
-        self.room = self.room.map(|room| room - fits);
+        let fits = self
+            .free_bytes
+            .map_or(bytes.len(), |free_bytes| free_bytes.min(bytes.len()));
+        self.free_bytes = self.free_bytes.map(|free_bytes| free_bytes - fits);
         self.file(segment)?.bytes.extend(&bytes[..fits]);
         if fits < bytes.len() {
             Err(DiskError::Full)
