--- a/crates/cluster-simulation/src/agent_link.rs
+++ b/crates/cluster-simulation/src/agent_link.rs
@@ -17,10 +17,10 @@
                     self.dispatch(side, ProcessEvent::Heartbeat { heartbeat, sent_at });
                 }
                 AgentLinkMessage::Answer(incarnation, answer) => {
-                    self.answer(slot, incarnation, &answer)
+                    self.answer(slot, incarnation, &answer);
                 }
                 AgentLinkMessage::Deregistered(server) => {
-                    self.dispatch(side, ProcessEvent::Deregistered(server))
+                    self.dispatch(side, ProcessEvent::Deregistered(server));
                 }
             }
         }
--- a/crates/cluster-simulation/src/client.rs
+++ b/crates/cluster-simulation/src/client.rs
@@ -23,7 +23,7 @@
 
 /// A client and its one job.
 #[derive(Debug)]
-pub struct Client {
+pub(crate) struct Client {
     job: JobId,
     queue: &'static str,
     next_at: u64,
@@ -40,7 +40,12 @@
 
 impl Client {
     /// One that hands in a job at `begins_at` and cancels it at `cancel_at`.
-    pub fn new(job: JobId, queue: &'static str, begins_at: u64, cancel_at: Option<u64>) -> Client {
+    pub(crate) fn new(
+        job: JobId,
+        queue: &'static str,
+        begins_at: u64,
+        cancel_at: Option<u64>,
+    ) -> Client {
         Client {
             job,
             queue,
@@ -55,12 +60,12 @@
     }
 
     /// The job.
-    pub fn job(&self) -> JobId {
+    pub(crate) fn job(&self) -> JobId {
         self.job
     }
 
     /// Does what is due.
-    pub fn serve(&mut self, world: &mut World) {
+    pub(crate) fn serve(&mut self, world: &mut World) {
         if !self.finished {
             self.read_answer(world);
             self.begin_call(world);
@@ -125,8 +130,8 @@
         self.next_at = now + 100 + world.rng.u64(0..300);
         match intent {
             Intent::Submit => self.check_submission_response(outcome, world),
-            Intent::Ask => self.check_read_response(outcome, world),
-            Intent::Cancel => self.cancelled(outcome, world),
+            Intent::Ask => self.check_read_response(&outcome, world),
+            Intent::Cancel => self.check_cancel_response(&outcome, world),
         }
     }
 
@@ -153,21 +158,21 @@
             }
             other => world.oracle.report_violation(
                 now,
-                format!("CONFIG: submission of {job} answered {other:?}"),
+                &format!("CONFIG: submission of {job} answered {other:?}"),
             ),
         }
     }
 
-    fn check_read_response(&mut self, outcome: Outcome, world: &mut World) {
+    fn check_read_response(&mut self, outcome: &Outcome, world: &mut World) {
         let now = world.now;
         self.next_at = now + world.rng.u64(400..1_500);
         match outcome {
-            Outcome::Success(Reply::Job(state)) => self.check_state(state, world),
+            Outcome::Success(Reply::Job(state)) => self.check_state(*state, world),
             Outcome::Rejected(ErrorKind::UnknownJob) => self.unknown(world),
             Outcome::Rejected(ErrorKind::UnknownQueue) => {
                 world.oracle.report_violation(
                     now,
-                    format!("CONFIG: the queue of {} is not known", self.job),
+                    &format!("CONFIG: the queue of {} is not known", self.job),
                 );
             }
             _ => {}
@@ -177,7 +182,7 @@
     fn unknown(&mut self, world: &mut World) {
         world.oracle.report_violation(
             world.now,
-            format!("LOST: accepted job {} is not known", self.job),
+            &format!("LOST: accepted job {} is not known", self.job),
         );
         self.finished = true;
     }
@@ -190,15 +195,18 @@
             .get(&job)
             .is_some_and(|expected| expected.cancel_sent);
         if state == JobState::Succeeded && !oracle.all_done(job) {
-            oracle.report_violation(now, format!("MIXED: {job} is shown as succeeded"));
+            oracle.report_violation(now, &format!("MIXED: {job} is shown as succeeded"));
         }
         if state == JobState::Failed && !oracle.has_cause_to_fail(job) {
-            oracle.report_violation(now, format!("LOST: {job} is shown as failed without cause"));
+            oracle.report_violation(
+                now,
+                &format!("LOST: {job} is shown as failed without cause"),
+            );
         }
         if state == JobState::Cancelled && !cancel_sent {
             oracle.report_violation(
                 now,
-                format!("LOST: {job} is shown as cancelled without cause"),
+                &format!("LOST: {job} is shown as cancelled without cause"),
             );
         }
         if state.is_final() {
@@ -206,13 +214,13 @@
         }
     }
 
-    fn cancelled(&mut self, outcome: Outcome, world: &mut World) {
+    fn check_cancel_response(&mut self, outcome: &Outcome, world: &mut World) {
         match outcome {
             Outcome::Success(Reply::Job(state)) => {
                 if let Some(expected) = world.oracle.jobs.get_mut(&self.job) {
                     expected.cancelled_at = Some(world.now);
                 }
-                self.check_state(state, world);
+                self.check_state(*state, world);
             }
             Outcome::Rejected(ErrorKind::UnknownJob) => self.unknown(world),
             _ => {}
--- a/crates/cluster-simulation/src/config.rs
+++ b/crates/cluster-simulation/src/config.rs
@@ -1,36 +1,36 @@
-//! How large a day is, and what happens on it.
+//! The size of a run, and which faults it has.
 
 use crate::injected_bugs::InjectedBug;
 use lupinrack_cluster_node::core::ByteLimits;
 use std::ops::Range;
 
-/// What happens on a day.
+/// Which faults a run has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FaultProfile {
     /// Nothing but traffic.
     Quiet,
-    /// Short troubles of all machines.
+    /// Short faults of all machines.
     #[default]
     Mixed,
-    /// Machines replaced, cut off with their callers, lost again right after a repair.
+    /// Scenarios in which machines are replaced, partitioned off with their callers, or lost again right after a repair.
     Severe,
-    /// One scene of the worst days, again and again.
+    /// One scenario of the severe profile, again and again.
     Only(FaultScenario),
 }
 
 impl FaultProfile {
-    /// Whether it is one of the worst days.
+    /// Whether it consists of scenarios of the severe profile.
     pub fn is_worst(self) -> bool {
         matches!(self, FaultProfile::Severe | FaultProfile::Only(_))
     }
 }
 
-/// A scene of the worst days of the control side. Each takes as much at once as is tolerated.
+/// A sequence of faults of core machines. Each loses as many machines at once as is tolerated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultScenario {
     /// The oldest core machines are replaced by empty ones at other addresses, as fast as is allowed.
     RepeatedReplacement,
-    /// A new core machine comes first, then the old one is told to end for good.
+    /// A new core machine starts first, then the old one is asked to shut down for good.
     GracefulReplacement,
     /// A machine is replaced; as soon as its successor counts, the oldest disk is lost right after an acknowledgement.
     ReplacementThenDiskLoss,
@@ -38,7 +38,7 @@
     DiskLossDuringCatchUp,
     /// A disk is lost right after an acknowledgement, and another right after the repair.
     ConsecutiveDiskLosses,
-    /// A core machine is cut off for 20 seconds with a front and agents, and its callers go on.
+    /// A core machine is partitioned off for 20 seconds with a front and agents, and its callers go on.
     PartitionWithCallers,
     /// All core machines are killed or lose power at one moment, also right after an acknowledgement.
     SimultaneousCrash,
@@ -46,7 +46,7 @@
     SimultaneousLosses,
     /// A machine, its links or its disk are slow, or its disk hangs, is full or refuses writes.
     DegradedMachine,
-    /// Each core machine is told to end and comes back, one after the other.
+    /// Each core machine is asked to shut down and comes back, one after the other.
     RollingRestart,
 }
 
@@ -64,9 +64,25 @@
         FaultScenario::DegradedMachine,
         FaultScenario::RollingRestart,
     ];
+
+    /// Its name, by which it is chosen on a command line.
+    pub fn name(self) -> &'static str {
+        match self {
+            FaultScenario::RepeatedReplacement => "RepeatedReplacement",
+            FaultScenario::GracefulReplacement => "GracefulReplacement",
+            FaultScenario::ReplacementThenDiskLoss => "ReplacementThenDiskLoss",
+            FaultScenario::DiskLossDuringCatchUp => "DiskLossDuringCatchUp",
+            FaultScenario::ConsecutiveDiskLosses => "ConsecutiveDiskLosses",
+            FaultScenario::PartitionWithCallers => "PartitionWithCallers",
+            FaultScenario::SimultaneousCrash => "SimultaneousCrash",
+            FaultScenario::SimultaneousLosses => "SimultaneousLosses",
+            FaultScenario::DegradedMachine => "DegradedMachine",
+            FaultScenario::RollingRestart => "RollingRestart",
+        }
+    }
 }
 
-/// How large a day is.
+/// The size of a run, and its faults.
 #[derive(Clone, Copy, Debug)]
 pub struct SimulationConfig {
     /// Core machines, an odd number.
@@ -84,7 +100,7 @@
     /// How long after that everything has to be done, in milliseconds.
     pub finish_ms: u64,
     /// Which faults there are.
-    pub kind: FaultProfile,
+    pub profile: FaultProfile,
     /// A fault of the system itself.
     pub injected_bug: Option<InjectedBug>,
 }
@@ -99,13 +115,13 @@
             jobs: 40,
             traffic_ms: 40_000,
             finish_ms: 30_000,
-            kind: FaultProfile::Mixed,
+            profile: FaultProfile::Mixed,
             injected_bug: None,
         }
     }
 }
 
-/// Bounds of the log on the worst days, so small that snapshots are taken and sent all the time.
+/// Bounds of the log under severe faults, so small that snapshots are written and sent all the time.
 const SMALL_LOG: ByteLimits = ByteLimits {
     uncommitted: 256 * 1024,
     snapshot_after: 32 * 1024,
@@ -117,7 +133,7 @@
 impl SimulationConfig {
     /// The bounds of the log of core processes.
     pub fn log_bytes(&self) -> ByteLimits {
-        if self.kind.is_worst() {
+        if self.profile.is_worst() {
             SMALL_LOG
         } else {
             ByteLimits::default()
--- a/crates/cluster-simulation/src/configuration_body.rs
+++ b/crates/cluster-simulation/src/configuration_body.rs
@@ -4,16 +4,16 @@
 use lupinrack_cluster_api::operation::ConfigurationBody;
 
 /// The host of all routes.
-pub const HOST: &str = "h";
+pub(crate) const HOST: &str = "h";
 
 /// The services; each queue belongs to the one of its place.
-pub const SERVICES: [&str; 2] = ["alpha", "beta"];
+pub(crate) const SERVICES: [&str; 2] = ["alpha", "beta"];
 
 /// Routes of a large configuration beyond the usual ones; about 200 bytes each.
 const LARGE_ROUTES: usize = 1_500;
 
 /// The service of the queue of this number.
-pub fn service_of_queue(queue: usize) -> &'static str {
+pub(crate) fn service_of_queue(queue: usize) -> &'static str {
     SERVICES[queue % SERVICES.len()]
 }
 
@@ -30,7 +30,7 @@
 }
 
 /// The route by which the change of this number is known again.
-pub fn marker_route_name(change: usize) -> String {
+pub(crate) fn marker_route_name(change: usize) -> String {
     format!("mark-{change}")
 }
 
@@ -38,13 +38,13 @@
     route(&marker_route_name(change), 3, SERVICES[0])
 }
 
-/// A whole configuration with the mark of this change alone.
-pub fn replacement(version: u64, change: usize) -> ConfigurationBody {
+/// A complete configuration with the marker route of this change alone.
+pub(crate) fn replacement(version: u64, change: usize) -> ConfigurationBody {
     replacement_with_routes(version, change, 0)
 }
 
-/// A whole configuration of some hundreds of kilobytes, with the mark of this change.
-pub fn large(version: u64, change: usize) -> ConfigurationBody {
+/// A complete configuration of some hundreds of kilobytes, with the marker route of this change.
+pub(crate) fn large(version: u64, change: usize) -> ConfigurationBody {
     replacement_with_routes(version, change, LARGE_ROUTES)
 }
 
@@ -64,7 +64,7 @@
 }
 
 /// A patch that adds the mark of this change.
-pub fn patch(version: u64, change: usize) -> ConfigurationBody {
+pub(crate) fn patch(version: u64, change: usize) -> ConfigurationBody {
     ConfigurationBody::Patch(format!(
         r#"{{"version":{version},"upsert":{{"routes":[{}]}}}}"#,
         marker_route(change)
@@ -72,7 +72,7 @@
 }
 
 /// A patch whose route names a service that does not exist.
-pub fn unknown_service(version: u64, change: usize) -> ConfigurationBody {
+pub(crate) fn unknown_service(version: u64, change: usize) -> ConfigurationBody {
     let bad = route(&marker_route_name(change), 3, "nowhere");
     ConfigurationBody::Patch(format!(
         r#"{{"version":{version},"upsert":{{"routes":[{bad}]}}}}"#
@@ -80,6 +80,6 @@
 }
 
 /// A body that ends too soon.
-pub fn truncated(version: u64) -> ConfigurationBody {
+pub(crate) fn truncated(version: u64) -> ConfigurationBody {
     ConfigurationBody::Patch(format!(r#"{{"version":{version},"upsert":{{"routes":["#))
 }
--- a/crates/cluster-simulation/src/faults/active.rs
+++ b/crates/cluster-simulation/src/faults/active.rs
@@ -1,13 +1,13 @@
-//! The troubles that are under way.
+//! The faults that are in effect, and how each one ends.
 
 use crate::faults::schedule::CrashOnAck;
 
-/// After trouble, machines are in touch again after this long, in milliseconds.
+/// After the last fault, all machines are connected again within this time, in milliseconds.
 const STABILIZATION_MS: u64 = 4_000;
 
-/// What is done when a trouble is over.
+/// What ends a fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Recovery {
+pub(crate) enum Recovery {
     /// Nothing: it has ended by itself.
     Automatic,
     /// The machine goes on.
@@ -16,29 +16,29 @@
     EndIntermittentRun(usize),
     /// Each first machine reaches the second again.
     HealPartition(Vec<(usize, usize)>),
-    /// Nobody insists on a machine that is cut off any longer.
+    /// Callers no longer keep to the isolated machines.
     ReleaseCallers,
     /// The disk works again.
     RepairDisk(usize),
     /// The links are quick again.
     RestoreLinks(usize),
-    /// The time of day jumps back by so many milliseconds.
+    /// The wall clock jumps back by so many milliseconds.
     StepClockBack(usize, i64),
     /// The server is sound again.
     HealServer(usize),
-    /// The process of this life that was told to end is killed, if it still runs.
+    /// The process of this incarnation, which was asked to shut down, is killed if it still runs.
     KillIfRunning(usize, u64),
-    /// The machine, whose successor runs, is told to end for good.
+    /// The machine, whose replacement runs, is asked to shut down for good.
     ShutDownForGood(usize),
     /// Acknowledgements arrive again.
     RestoreAcknowledgements,
-    /// The strike has waited for long enough.
+    /// The crash has waited for its acknowledgement for long enough.
     DisarmCrash,
 }
 
-/// A machine that is cut off, on which its callers insist.
+/// Isolated machines that clients and the operator go on calling.
 #[derive(Clone, Copy, Debug)]
-pub struct IsolatedTargets {
+pub(crate) struct IsolatedTargets {
     /// The core machine that the operator calls.
     pub core: usize,
     /// The front that the clients call.
@@ -47,7 +47,7 @@
 
 /// What is under way.
 #[derive(Clone, Debug, Default)]
-pub struct ActiveFaults {
+pub(crate) struct ActiveFaults {
     /// What ends by itself, with the moment.
     pub ends: Vec<(u64, Recovery)>,
     /// When the last one ended.
@@ -62,12 +62,12 @@
 
 impl ActiveFaults {
     /// Whether all machines are in touch.
-    pub fn is_stable(&self, now: u64) -> bool {
+    pub(crate) fn is_stable(&self, now: u64) -> bool {
         self.ends.is_empty() && now >= self.last_recovery_at + STABILIZATION_MS
     }
 
     /// Takes what is over by now.
-    pub fn take_expired(&mut self, now: u64) -> Vec<Recovery> {
+    pub(crate) fn take_expired(&mut self, now: u64) -> Vec<Recovery> {
         let (over, going_on): (Vec<_>, Vec<_>) = std::mem::take(&mut self.ends)
             .into_iter()
             .partition(|(at, _)| *at <= now);
--- a/crates/cluster-simulation/src/faults/core_faults.rs
+++ b/crates/cluster-simulation/src/faults/core_faults.rs
@@ -1,4 +1,4 @@
-//! ActiveFaults of core machines.
+//! Injects the faults of core machines.
 
 use super::injection::SLOW_MS;
 use crate::faults::active::{IsolatedTargets, Recovery};
@@ -120,7 +120,7 @@
         let mut near = cores.to_vec();
         near.push(front);
         near.extend(
-            (0..self.settings.servers)
+            (0..self.config.servers)
                 .step_by(2)
                 .map(|slot| self.agent_of(slot)),
         );
@@ -158,7 +158,7 @@
         self.recover_after(empty_after_ms + CATCH_UP_MS, Recovery::Automatic);
     }
 
-    /// An empty machine is started, and takes the place of another, which is told to end after so many milliseconds.
+    /// An empty machine is started in place of another, which is asked to shut down after `overlap_ms`.
     fn replace_in_order(&mut self, old: usize, overlap_ms: u64) {
         self.add_core(old, 0);
         self.recover_after(overlap_ms, Recovery::ShutDownForGood(old));
@@ -174,7 +174,7 @@
     }
 }
 
-/// The cuts of a machine from others, each of a sender and a receiver.
+/// The links between a machine and others that a partition blocks, each as sender and receiver.
 fn partitions_between(
     machine: usize,
     others: &[usize],
--- a/crates/cluster-simulation/src/faults/crash_on_ack.rs
+++ b/crates/cluster-simulation/src/faults/crash_on_ack.rs
@@ -1,10 +1,10 @@
-//! Blows right after an acknowledgement.
+//! Crashes right after an acknowledgement: what was acknowledged must survive them.
 
 use crate::faults::active::Recovery;
 use crate::faults::schedule::{Acknowledgement, Crash};
 use crate::world::World;
 
-/// How long a blow counts as trouble after it fell, in milliseconds.
+/// How long a crash counts as a fault in effect, in milliseconds.
 const LASTS_MS: u64 = 2_000;
 
 impl World {
--- a/crates/cluster-simulation/src/faults/fault.rs
+++ b/crates/cluster-simulation/src/faults/fault.rs
@@ -17,7 +17,7 @@
     Spare,
 }
 
-/// Which ways a cut holds back, seen from the machine that is cut off.
+/// Which ways a partition blocks, seen from the machine that is partitioned off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartitionDirection {
     /// Both.
@@ -41,20 +41,20 @@
     Suspend,
     /// It runs for a part of the time only.
     IntermittentRun,
-    /// It is told to end, and is started again.
+    /// It is asked to shut down, and is started again.
     Shutdown,
     /// It is gone for good; an empty one at another address takes its place after the time of the entry.
     Replacement,
-    /// An empty one at another address is started; after the time of the entry the old one is told to end, for good.
+    /// An empty one at another address is started; at the end of the fault the old one is asked to shut down, for good.
     GracefulReplacement,
-    /// It is cut off from the other core machines.
+    /// It cannot reach, or be reached by, the other core machines.
     Partition(PartitionDirection),
-    /// It is cut off from all machines.
+    /// It is partitioned from all machines.
     Isolation,
-    /// It is cut off from all machines but the last front and every second agent, while the operator and the clients go
+    /// It is partitioned from all machines but the last front and every second agent, while the operator and the clients go
     /// on calling there.
     PartitionWithCallers(PartitionDirection),
-    /// It is cut off in the same way, together with as many others as leave a majority of the list.
+    /// The same, together with as many others as leave a majority of the list on the other side.
     MinorityPartitionWithCallers(PartitionDirection),
     /// What it sends takes longer.
     SlowLinks,
@@ -68,7 +68,7 @@
     FailingDisk,
 }
 
-/// An acknowledgement that a blow follows.
+/// An acknowledgement that triggers a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acknowledgement {
     /// Of a job.
@@ -77,7 +77,7 @@
     Configuration,
 }
 
-/// A blow right after an acknowledgement.
+/// A crash right after an acknowledgement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Crash {
     /// All core machines lose power.
@@ -88,7 +88,7 @@
     DiskLossAndPowerLossOfAll(CoreSelector),
 }
 
-/// A blow that waits for its acknowledgement.
+/// A crash that waits for its acknowledgement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashOnAck {
     /// After which.
@@ -119,35 +119,35 @@
 pub enum Fault {
     /// Trouble of one core machine.
     Core(CoreFault, CoreSelector),
-    /// A blow right after an acknowledgement; if none comes, none.
+    /// A crash right after an acknowledgement; none where no acknowledgement comes in time.
     CrashOnAck(CrashOnAck),
     /// All processes are killed at once.
     KillAll,
     /// All core machines lose power at once.
     PowerLossOfAllCores,
-    /// A front is cut off from all core machines.
+    /// A front is partitioned from all core machines.
     FrontPartition(usize),
     /// A front is killed.
     FrontKill(usize),
     /// A front stands still.
     FrontSuspend(usize),
-    /// A front is told to end, and is started again.
+    /// A front is asked to shut down, and is started again.
     FrontShutdown(usize),
-    /// A front is told to end and gone for good, unless it is the last.
+    /// A front is asked to shut down for good, unless it is the last.
     FrontRemoval(usize),
     /// An agent is killed.
     AgentKill(usize),
     /// An agent stands still.
     AgentSuspend(usize),
-    /// An agent is told to end, and is started again.
+    /// An agent is asked to shut down, and is started again.
     AgentShutdown(usize),
-    /// An agent is cut off from all core machines, one way or both.
+    /// An agent is partitioned from all core machines: outbound only where the flag is set, otherwise both ways.
     AgentPartition(usize, bool),
     /// What an agent sends takes longer.
     AgentSlowLinks(usize),
     /// Connections of a machine are reset.
     ConnectionReset(usize),
-    /// The time of day of a machine jumps by so many milliseconds.
+    /// The wall clock of a machine jumps by so many milliseconds.
     ClockStep(usize, i64),
     /// Processes that begin from now on are given other seeds.
     SeedChange,
--- a/crates/cluster-simulation/src/faults/injection.rs
+++ b/crates/cluster-simulation/src/faults/injection.rs
@@ -1,4 +1,4 @@
-//! Begins and ends what the plan of a day does to the world.
+//! Injects scheduled faults into the world, and ends them.
 
 use crate::faults::active::Recovery;
 use crate::faults::schedule::{Fault, ScheduledFault, GRACE_MS};
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Begins what the plan has due, but for the work of the operator.
+    /// Injects a fault. Actions of the operator are not the world's to take.
     pub(crate) fn inject_fault(&mut self, entry: ScheduledFault) {
         let ScheduledFault {
             duration_ms, fault, ..
@@ -112,11 +112,11 @@
             Recovery::RepairDisk(machine) => self.repair_disk(machine),
             Recovery::RestoreLinks(machine) => self.network.set_slow(machine, 0),
             Recovery::StepClockBack(machine, by) => {
-                self.machines[machine].clock.wall_offset_ms -= by
+                self.machines[machine].clock.wall_offset_ms -= by;
             }
             Recovery::HealServer(slot) => self.set_behavior(slot, ServerBehavior::Healthy),
             Recovery::KillIfRunning(machine, incarnation) => {
-                self.kill_if_running(machine, incarnation)
+                self.kill_if_running(machine, incarnation);
             }
             Recovery::ShutDownForGood(machine) => self.shut_down_for_good(machine),
             Recovery::RestoreAcknowledgements => self.active_faults.acknowledgements_lost = false,
@@ -175,9 +175,9 @@
     }
 
     pub(super) fn partition(&mut self, partitions: Vec<(usize, usize)>) -> Recovery {
-        partitions
-            .iter()
-            .for_each(|(from, to)| self.network.partition(*from, *to));
+        for (from, to) in &partitions {
+            self.network.partition(*from, *to);
+        }
         Recovery::HealPartition(partitions)
     }
 
@@ -199,7 +199,7 @@
         }
     }
 
-    /// A server has left: its agent is told.
+    /// A server has shut down: its agent is notified.
     pub(crate) fn deregister_server(&mut self, slot: usize) {
         if let Some(server) = &self.server_slots[slot].server {
             let id = server.id().clone();
--- a/crates/cluster-simulation/src/faults/mixed.rs
+++ b/crates/cluster-simulation/src/faults/mixed.rs
@@ -1,4 +1,4 @@
-//! Days of the usual kind: short troubles, one after the other in each lane.
+//! The mixed profile: short faults, one after the other in each lane.
 
 use super::schedule::{
     Acknowledgement, CoreFault, CoreSelector, Crash, CrashOnAck, Fault, OperatorAction,
@@ -7,22 +7,22 @@
 use crate::config::SimulationConfig;
 use crate::server::ServerBehavior;
 
-/// The rest after a loss on a usual day: the time to catch up and a margin, in milliseconds.
+/// The pause after a loss: the time to catch up and a margin, in milliseconds.
 const REST_AFTER_LOSS_MS: u64 = 5_000;
 
-/// The entries of a day: of four days one is calm but for planned work, one has trouble of core machines alone, one has
-/// trouble in its first half, and one has trouble all the time.
-pub fn draw(rng: &mut fastrand::Rng, settings: &SimulationConfig) -> Vec<ScheduledFault> {
+/// Draws the faults of a run. Of four runs one has planned work alone, one has faults of core machines alone, one has faults
+/// in its first half, and one has faults all the time.
+pub(super) fn draw(rng: &mut fastrand::Rng, config: &SimulationConfig) -> Vec<ScheduledFault> {
     let mut entries = Vec::new();
     let kind = rng.u32(0..4);
     if kind != 0 {
-        draw_core(rng, settings, &mut entries);
+        draw_core(rng, config, &mut entries);
     }
-    draw_others(rng, settings, &mut entries);
+    draw_others(rng, config, &mut entries);
     match kind {
         0 => entries.retain(|entry| entry.fault.is_planned()),
         1 => entries.retain(|entry| entry.fault.is_planned() || entry.fault.is_of_core()),
-        2 => entries.retain(|entry| entry.fault.is_planned() || entry.at < settings.traffic_ms / 2),
+        2 => entries.retain(|entry| entry.fault.is_planned() || entry.at < config.traffic_ms / 2),
         _ => {}
     }
     entries
@@ -30,15 +30,15 @@
 
 fn draw_core(
     rng: &mut fastrand::Rng,
-    settings: &SimulationConfig,
+    config: &SimulationConfig,
     entries: &mut Vec<ScheduledFault>,
 ) {
-    let lanes = settings.tolerance;
+    let lanes = config.tolerance;
     // Each lane has its own machines, so that no more are lost at once than there are lanes.
     for _ in 0..lanes {
         let mut at = 3_000 + rng.u64(0..4_000);
-        while at + 6_000 < settings.traffic_ms {
-            let machine = CoreSelector::Index(rng.usize(0..settings.cores));
+        while at + 6_000 < config.traffic_ms {
+            let machine = CoreSelector::Index(rng.usize(0..config.cores));
             let (fault, duration_ms) = draw_core_fault(rng);
             let crash_on_ack = |crash| {
                 Fault::CrashOnAck(CrashOnAck {
@@ -72,24 +72,23 @@
 }
 
 fn draw_core_fault(rng: &mut fastrand::Rng) -> (CoreFault, u64) {
-    use CoreFault::*;
     let all = [
-        Kill,
-        PowerLoss,
-        DiskLoss,
-        Suspend,
-        Shutdown,
-        Partition(PartitionDirection::Both),
-        Partition(PartitionDirection::Inbound),
-        Partition(PartitionDirection::Outbound),
-        Isolation,
-        SlowLinks,
-        SlowDisk,
-        StalledDisk,
-        FullDisk,
+        CoreFault::Kill,
+        CoreFault::PowerLoss,
+        CoreFault::DiskLoss,
+        CoreFault::Suspend,
+        CoreFault::Shutdown,
+        CoreFault::Partition(PartitionDirection::Both),
+        CoreFault::Partition(PartitionDirection::Inbound),
+        CoreFault::Partition(PartitionDirection::Outbound),
+        CoreFault::Isolation,
+        CoreFault::SlowLinks,
+        CoreFault::SlowDisk,
+        CoreFault::StalledDisk,
+        CoreFault::FullDisk,
     ];
     let fault = all[rng.usize(0..all.len())];
-    let duration_ms = if fault == Shutdown {
+    let duration_ms = if fault == CoreFault::Shutdown {
         GRACE_MS
     } else {
         rng.u64(300..5_000)
@@ -99,17 +98,17 @@
 
 fn draw_others(
     rng: &mut fastrand::Rng,
-    settings: &SimulationConfig,
+    config: &SimulationConfig,
     entries: &mut Vec<ScheduledFault>,
 ) {
-    let fronts = settings.cores..settings.cores + settings.fronts;
-    let agents = fronts.end..fronts.end + settings.servers;
+    let fronts = config.cores..config.cores + config.fronts;
+    let agents = fronts.end..fronts.end + config.servers;
     let mut at = 4_000;
-    while at < settings.traffic_ms {
+    while at < config.traffic_ms {
         at += rng.u64(200..2_500);
         let front = rng.usize(fronts.clone());
         let side = rng.usize(agents.clone());
-        let slot = rng.usize(0..settings.servers);
+        let slot = rng.usize(0..config.servers);
         let anywhere = rng.usize(0..agents.end);
         let fault = match rng.u32(0..22) {
             0 => Fault::FrontKill(front),
--- a/crates/cluster-simulation/src/faults/mod.rs
+++ b/crates/cluster-simulation/src/faults/mod.rs
@@ -1,10 +1,11 @@
-//! What the plan of a day does to the world.
+//! Fault injection: what may fail (`fault`), when (`schedule`, drawn by `mixed` and `severe`), how it is injected
+//! (`injection`, `core_faults`, `crash_on_ack`), and what is in effect (`active`).
 
-pub mod active;
+pub(crate) mod active;
 mod core_faults;
 mod crash_on_ack;
-pub mod fault;
+pub(crate) mod fault;
 mod injection;
 mod mixed;
-pub mod schedule;
+pub(crate) mod schedule;
 mod severe;
--- a/crates/cluster-simulation/src/faults/schedule.rs
+++ b/crates/cluster-simulation/src/faults/schedule.rs
@@ -1,4 +1,4 @@
-//! The plan of a day: faults and planned work, drawn from its seed or put together by hand.
+//! The fault schedule of a run: faults and planned work, drawn from the seed or composed by hand.
 
 pub use super::fault::{
     Acknowledgement, CoreFault, CoreSelector, Crash, CrashOnAck, Fault, OperatorAction,
@@ -10,10 +10,10 @@
 use std::collections::BTreeMap;
 
 /// Grace between the signal to end and the kill, in milliseconds.
-pub const GRACE_MS: u64 = 5_000;
+pub(crate) const GRACE_MS: u64 = 5_000;
 
 /// A core machine counts as lost for this long after its return, or after its start where it is new, in milliseconds.
-pub const CATCH_UP_MS: u64 = 4_000;
+pub(crate) const CATCH_UP_MS: u64 = 4_000;
 
 /// One entry.
 #[derive(Clone, Copy, Debug)]
@@ -33,19 +33,19 @@
 }
 
 impl FaultSchedule {
-    /// The plan of a day of the kind that the settings ask for.
-    pub fn draw(rng: &mut fastrand::Rng, settings: &SimulationConfig) -> FaultSchedule {
-        match settings.kind {
+    /// Draws the schedule of the profile that the configuration asks for.
+    pub fn draw(rng: &mut fastrand::Rng, config: &SimulationConfig) -> FaultSchedule {
+        match config.profile {
             FaultProfile::Quiet => FaultSchedule::default(),
-            FaultProfile::Mixed => FaultSchedule::of(mixed::draw(rng, settings)),
-            FaultProfile::Severe => FaultSchedule::of(severe::draw(rng, settings, None)),
+            FaultProfile::Mixed => FaultSchedule::of(mixed::draw(rng, config)),
+            FaultProfile::Severe => FaultSchedule::of(severe::draw(rng, config, None)),
             FaultProfile::Only(scenario) => {
-                FaultSchedule::of(severe::draw(rng, settings, Some(scenario)))
+                FaultSchedule::of(severe::draw(rng, config, Some(scenario)))
             }
         }
     }
 
-    /// A plan of these entries.
+    /// A schedule of these faults.
     pub fn of(entries: Vec<ScheduledFault>) -> FaultSchedule {
         let numbered = entries.into_iter().enumerate();
         FaultSchedule {
--- a/crates/cluster-simulation/src/faults/severe.rs
+++ b/crates/cluster-simulation/src/faults/severe.rs
@@ -1,4 +1,4 @@
-//! The worst days of the control side: scenes, one after the other, each of which takes as much as is tolerated.
+//! The severe profile: scenarios, one after the other, each of which loses as many core machines as is tolerated.
 
 use super::schedule::{
     Acknowledgement, CoreFault, CoreSelector, Crash, CrashOnAck, Fault, OperatorAction,
@@ -6,36 +6,55 @@
 };
 use crate::config::{FaultScenario, SimulationConfig};
 
-/// How long a machine is cut off while its callers go on, in milliseconds.
+/// How long a machine is partitioned while its callers go on, in milliseconds.
 const PARTITION_MS: u64 = 20_000;
-/// How long a strike waits for its acknowledgement, in milliseconds.
+/// How long a crash waits for its acknowledgement, in milliseconds.
 const ARMED_MS: u64 = 2_000;
 /// A machine without power is back after this long at most, in milliseconds.
 const BACK_MOST_MS: u64 = 1_800;
 
-/// A plan that is being put together.
+/// Faults after which a machine counts as lost.
+const LOSSES: [CoreFault; 6] = [
+    CoreFault::Kill,
+    CoreFault::PowerLoss,
+    CoreFault::DiskLoss,
+    CoreFault::Suspend,
+    CoreFault::Isolation,
+    CoreFault::Replacement,
+];
+/// Faults with which a machine goes on, slowly or now and then.
+const DEGRADATIONS: [CoreFault; 6] = [
+    CoreFault::IntermittentRun,
+    CoreFault::SlowLinks,
+    CoreFault::SlowDisk,
+    CoreFault::StalledDisk,
+    CoreFault::FullDisk,
+    CoreFault::FailingDisk,
+];
+
+/// A schedule that is being composed.
 struct Draft<'a> {
     rng: &'a mut fastrand::Rng,
-    settings: &'a SimulationConfig,
+    config: &'a SimulationConfig,
     entries: Vec<ScheduledFault>,
     /// Up to here it is written.
     at: u64,
 }
 
-/// The entries of a day: of this scene again and again, or of all.
-pub fn draw(
+/// Draws the faults of a run: this scenario again and again, or all of them at random.
+pub(super) fn draw(
     rng: &mut fastrand::Rng,
-    settings: &SimulationConfig,
+    config: &SimulationConfig,
     scenario: Option<FaultScenario>,
 ) -> Vec<ScheduledFault> {
     let mut draft = Draft {
         rng,
-        settings,
+        config,
         entries: Vec::new(),
         at: 0,
     };
     draft.at = 3_000 + draft.rng.u64(0..3_000);
-    while draft.at + 5_000 < settings.traffic_ms {
+    while draft.at + 5_000 < config.traffic_ms {
         let scenario =
             scenario.unwrap_or(FaultScenario::ALL[draft.rng.usize(0..FaultScenario::ALL.len())]);
         draft.scenario(scenario);
@@ -78,7 +97,7 @@
         match self.rng.u32(0..4) {
             0 => CoreSelector::Head,
             1 => CoreSelector::OldestDisk,
-            _ => CoreSelector::Index(self.rng.usize(0..self.settings.cores)),
+            _ => CoreSelector::Index(self.rng.usize(0..self.config.cores)),
         }
     }
 
@@ -178,53 +197,42 @@
     /// As many machines as is tolerated, at the same moment.
     fn simultaneous_losses(&mut self) {
         let duration_ms = self.rng.u64(300..6_000);
-        let first = self.rng.usize(0..self.settings.cores);
-        for number in 0..self.settings.tolerance {
-            let selector = CoreSelector::Index((first + number) % self.settings.cores);
-            use CoreFault::*;
-            let fault =
-                [Kill, PowerLoss, DiskLoss, Suspend, Isolation, Replacement][self.rng.usize(0..6)];
+        let first = self.rng.usize(0..self.config.cores);
+        for number in 0..self.config.tolerance {
+            let selector = CoreSelector::Index((first + number) % self.config.cores);
+            let fault = LOSSES[self.rng.usize(0..LOSSES.len())];
             self.core(duration_ms, fault, selector);
         }
         self.at += duration_ms + CATCH_UP_MS;
     }
 
     fn degraded_machine(&mut self) {
-        use CoreFault::*;
-        let all = [
-            IntermittentRun,
-            SlowLinks,
-            SlowDisk,
-            StalledDisk,
-            FullDisk,
-            FailingDisk,
-        ];
-        let fault = all[self.rng.usize(0..all.len())];
+        let fault = DEGRADATIONS[self.rng.usize(0..DEGRADATIONS.len())];
         let selector = self.random_selector();
         let duration_ms = self.rng.u64(1_000..8_000);
         self.core(duration_ms, fault, selector);
         self.at += duration_ms + CATCH_UP_MS;
     }
 
-    /// Each machine is told to end and comes back, one after the other.
+    /// Each machine is asked to shut down and comes back, one after the other.
     fn rolling_restart(&mut self) {
-        for slot in 0..self.settings.cores.min(5) {
+        for slot in 0..self.config.cores.min(5) {
             self.core(GRACE_MS, CoreFault::Shutdown, CoreSelector::Index(slot));
             self.at += GRACE_MS + CATCH_UP_MS;
         }
     }
 
-    /// ActiveFaults of fronts, agents, servers and clocks beside the scenes.
+    /// Faults of fronts, agents, servers and clocks beside the scenarios.
     fn others(&mut self) {
-        let fronts = self.settings.fronts();
-        let agents = self.settings.agents();
+        let fronts = self.config.fronts();
+        let agents = self.config.agents();
         let mut at = 4_000;
-        while at < self.settings.traffic_ms {
+        while at < self.config.traffic_ms {
             at += self.rng.u64(1_000..5_000);
             let front = self.rng.usize(fronts.clone());
             let side = self.rng.usize(agents.clone());
             let anywhere = self.rng.usize(0..agents.end);
-            let slot = self.rng.usize(0..self.settings.servers);
+            let slot = self.rng.usize(0..self.config.servers);
             let fault = match self.rng.u32(0..13) {
                 0 => Fault::FrontKill(front),
                 1 => Fault::FrontSuspend(front),
@@ -244,11 +252,11 @@
         }
     }
 
-    /// The operator's orders, of some days many a second.
+    /// The operator's actions; in some runs several a second.
     fn orders(&mut self) {
         let gap_most = [400, 1_500, 4_000][self.rng.usize(0..3)];
         let mut at = 4_000;
-        while at < self.settings.traffic_ms {
+        while at < self.config.traffic_ms {
             at += self.rng.u64(150..gap_most);
             let fault = match self.rng.u32(0..20) {
                 0..12 => Fault::Operator(OperatorAction::Change),
--- a/crates/cluster-simulation/src/injected_bugs/hooks.rs
+++ b/crates/cluster-simulation/src/injected_bugs/hooks.rs
@@ -1,4 +1,4 @@
-//! Where planted faults change what processes send. Nothing of it is in the processes themselves.
+//! Where injected bugs change what processes send and write. The processes themselves contain none of it.
 
 use crate::injected_bugs::{InjectedBug, LateReply};
 use crate::machine::{address_of, ProcessEvent};
@@ -16,7 +16,7 @@
 use lupinrack_control_store::Batch;
 use lupinrack_worker_agent::HeartbeatResponse;
 
-/// How much longer than granted holds last, in milliseconds.
+/// How much longer than granted leases last, in milliseconds.
 const LEASE_EXCESS_MS: u64 = 1_000;
 /// Copies of answers come later than the answers by this, in milliseconds.
 const LATE_MS: std::ops::Range<u64> = 100..1_500;
@@ -24,7 +24,7 @@
 const FORGED_CONNECTIONS: u64 = 1 << 62;
 
 impl World {
-    /// What a process sends, changed where a fault is planted.
+    /// What a process sends, changed where a bug is injected.
     pub(crate) fn apply_bug_to_frame(&self, frame: Frame) -> Frame {
         match frame {
             Frame::Submit(Operation::TakeShard {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// What a core process writes, with another snapshot where a fault is planted.
+    /// What a core process writes, with another snapshot where a bug is injected.
     pub(crate) fn apply_bug_to_batch(&mut self, machine: usize, batch: Batch) -> Batch {
         let Some((index, bytes)) = batch.snapshot else {
             return batch;
@@ -72,7 +72,7 @@
     ) -> HeartbeatResponse {
         match self.injected_bug {
             Some(InjectedBug::LeaseTooLong) if answer.lease_ms > 0 => {
-                answer.lease_ms += LEASE_EXCESS_MS
+                answer.lease_ms += LEASE_EXCESS_MS;
             }
             Some(InjectedBug::ObservedTooEarly) => answer.observed = answer.observed.max(listed),
             _ => {}
@@ -80,7 +80,7 @@
         answer
     }
 
-    /// Acknowledges a barrier in the place of a successor that is cut off.
+    /// Acknowledges a barrier on behalf of a successor that is partitioned off.
     pub(crate) fn acknowledge_for_successor(&mut self, machine: usize, to: usize, frame: &Frame) {
         let Frame::Chain(ChainMessage::Append {
             view,
@@ -151,11 +151,12 @@
             .partition(|late| late.due <= now);
         self.bug_state.late_replies = later;
         let due: Vec<LateReply> = due;
-        due.into_iter()
-            .for_each(|late| self.deliver_late_reply(late));
+        for late in due {
+            self.deliver_late_reply(late);
+        }
     }
 
-    /// Delivers a copy under the life that the caller's process has by now, as if lives were not compared.
+    /// Delivers a copy under the incarnation that the caller's process has by now, as if incarnations were not compared.
     fn deliver_late_reply(&mut self, late: LateReply) {
         let LateReply {
             from,
@@ -183,7 +184,7 @@
         );
     }
 
-    /// Has machines that are cut off together learn of a view that they alone agreed on.
+    /// Notifies machines on the minority side of a view that they alone agreed on.
     pub(crate) fn remove_voters_by_minority(&mut self, machines: &[usize]) {
         if self.injected_bug != Some(InjectedBug::VotersRemovedByMinority) {
             return;
--- a/crates/cluster-simulation/src/injected_bugs/mod.rs
+++ b/crates/cluster-simulation/src/injected_bugs/mod.rs
@@ -1,4 +1,4 @@
-//! Faults that are planted to see whether the checks find them.
+//! Bugs that are injected to show that the oracle finds them.
 
 mod hooks;
 
@@ -10,7 +10,7 @@
 pub enum InjectedBug {
     /// A disk says that a write is synced before it is.
     MissingSync,
-    /// An agent passes on a hold a second longer than it was granted.
+    /// An agent passes on a lease a second longer than it was granted.
     LeaseTooLong,
     /// A front answers 503 where a call is in doubt.
     RejectedInDoubt,
@@ -20,14 +20,14 @@
     VoteOfEmptyDisk,
     /// A process that takes a shard over asks for the lowest token. The record refuses that, and nobody owns the shard.
     TokenNotIncremented,
-    /// A head that is cut off takes its successor's word for granted: its barriers pass without contact with a majority.
+    /// A head that is partitioned off assumes its successor's acknowledgement: its barriers pass without a quorum.
     BarrierWithoutQuorum,
-    /// Machines that are cut off together agree on a view without the others: voters are removed without an overlap of
+    /// Machines on the minority side of a partition agree on a view alone: voters are removed without an overlap of
     /// majorities.
     VotersRemovedByMinority,
-    /// The changes that were taken are not in the snapshots that disks hold.
+    /// Accepted changes are missing from the snapshots on disks.
     AcceptedChangesNotInSnapshot,
-    /// In the place of each later snapshot a disk holds its first one, as if that covered all that the later one covers.
+    /// Instead of each later snapshot a disk keeps its first one, as if that covered all that the later one covers.
     StaleSnapshot,
     /// A copy of each answer comes late, on whatever connection its caller's machine has by then, so that the number alone
     /// says which call it answers.
@@ -51,9 +51,9 @@
     ];
 }
 
-/// What has to be remembered for planted faults.
+/// State of injected bugs.
 #[derive(Debug, Default)]
-pub struct BugState {
+pub(crate) struct BugState {
     /// The first snapshot that each machine wrote.
     pub first_snapshots: BTreeMap<usize, Vec<u8>>,
     /// Copies of answers on their way.
@@ -62,7 +62,7 @@
 
 /// A copy of an answer on its way.
 #[derive(Debug)]
-pub struct LateReply {
+pub(crate) struct LateReply {
     /// When it arrives.
     pub due: u64,
     /// The machine that answered.
--- a/crates/cluster-simulation/src/lib.rs
+++ b/crates/cluster-simulation/src/lib.rs
@@ -1,11 +1,19 @@
-//! The whole control plane in one seeded simulation without I/O.
+//! The complete control plane in a deterministic, seeded simulation without I/O.
 //!
-//! The state machines are the real ones: the core process whole ([`lupinrack_cluster_node::core::CoreMachine`]), the
-//! clients of the head, the subscriptions and the agents. What is modelled is what surrounds them: connections, disks,
-//! clocks, machines that stop and fail, servers that run tasks, clients, and the operator. [`simulate`] plays the day of a
-//! seed and tells which rules were broken; the same seed gives the same day.
-// 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
-#![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
+//! The state machines are those of the program: core processes ([`lupinrack_cluster_node::core::CoreMachine`]), fronts and
+//! agents. Their surroundings are simulated: connections, disks, clocks, crashing machines, servers that run tasks, clients,
+//! and the operator. [`simulate`] runs a seed and reports which rules were violated; the same seed gives the same run.
+//!
+//! - **Workload**: clients submit, read and cancel jobs (`client`, `workload`); the operator changes and reads the
+//!   configuration (`operator`).
+//! - **Fault injection**: a [`FaultSchedule`] is drawn from the seed by the [`FaultProfile`], or composed by hand
+//!   ([`simulate_schedule`]); `faults` injects each [`Fault`] and ends it.
+//! - **Network, disks, clocks**: `network` and `machine`. Time advances by one millisecond a step.
+//! - **Oracle**: `oracle` checks what servers and clients observe; `lupinrack_configuration_history` checks the operator's
+//!   calls for linearizability. An [`InjectedBug`] shows that the oracle finds what it is there for.
+//!
+//! The crate owns the simulated world and nothing of the program. Start reading in `simulation.rs`, then `world.rs` and
+//! `processes.rs`.
 
 mod agent_link;
 mod client;
--- a/crates/cluster-simulation/src/machine/agent.rs
+++ b/crates/cluster-simulation/src/machine/agent.rs
@@ -9,8 +9,8 @@
 
 /// A heartbeat of the server, as it is known again in the answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeartbeatCall {
-    /// The server's life.
+pub(crate) struct HeartbeatCall {
+    /// The server's incarnation.
     pub server: ServerId,
     /// When the server sent it.
     pub sent_at: u64,
@@ -19,45 +19,50 @@
 }
 
 /// What an agent's process does.
-pub type AgentEffect = SideEffect<HeartbeatCall>;
+pub(crate) type AgentEffect = SideEffect<HeartbeatCall>;
 
 /// The process of an agent.
 #[derive(Debug)]
-pub struct AgentProcess {
+pub(crate) struct AgentProcess {
     machine: SideMachine<HeartbeatCall>,
-    /// The processes that are held for alive, whether they are or not.
+    /// The processes that membership reports as alive, whether they are or not.
     table: LiveTable,
     has_ended: bool,
 }
 
 impl AgentProcess {
-    /// One that begins now, with this table for as long as it lives.
-    pub fn new(
+    /// Starts now, with this membership table until it ends.
+    pub(crate) fn new(
         own: LiveMember,
         table: LiveTable,
         seeds: Vec<PeerAddress>,
-        settings: AgentSettings,
+        config: AgentSettings,
         now: Millis,
     ) -> AgentProcess {
         AgentProcess {
-            machine: SideMachine::new(own, seeds, None, settings, now),
+            machine: SideMachine::new(own, seeds, None, config, now),
             table,
             has_ended: false,
         }
     }
 
     /// A frame came.
-    pub fn on_frame(&mut self, from: PeerAddress, frame: Frame, now: Millis) -> Vec<AgentEffect> {
+    pub(crate) fn on_frame(
+        &mut self,
+        from: PeerAddress,
+        frame: Frame,
+        now: Millis,
+    ) -> Vec<AgentEffect> {
         self.machine.on_frame(from, frame, now)
     }
 
     /// A connection ended.
-    pub fn on_closed(&mut self, from: PeerAddress, now: Millis) -> Vec<AgentEffect> {
+    pub(crate) fn on_closed(&mut self, from: PeerAddress, now: Millis) -> Vec<AgentEffect> {
         self.machine.on_closed(from, now)
     }
 
     /// A heartbeat of the server came.
-    pub fn on_heartbeat(
+    pub(crate) fn on_heartbeat(
         &mut self,
         heartbeat: ServerHeartbeat,
         sent_at: u64,
@@ -78,35 +83,35 @@
     }
 
     /// The open heartbeat has waited for long enough.
-    pub fn on_answer_due(&mut self, now: Millis) -> Vec<AgentEffect> {
+    pub(crate) fn on_answer_due(&mut self, now: Millis) -> Vec<AgentEffect> {
         self.machine.on_answer_due(now)
     }
 
     /// Whether the open heartbeat has waited for long enough.
-    pub fn is_answer_due(&self, now: Millis) -> bool {
+    pub(crate) fn is_answer_due(&self, now: Millis) -> bool {
         self.machine
             .answer_due_at()
             .is_some_and(|until| now >= until)
     }
 
     /// The server has left in order.
-    pub fn on_deregister(&mut self, server: ServerId, now: Millis) -> Vec<AgentEffect> {
+    pub(crate) fn on_deregister(&mut self, server: ServerId, now: Millis) -> Vec<AgentEffect> {
         self.machine.on_leave(server, now)
     }
 
-    /// It is told to end, and does so at once.
-    pub fn on_terminate(&mut self) -> Vec<AgentEffect> {
+    /// It is asked to shut down, and does so at once.
+    pub(crate) fn on_terminate(&mut self) -> Vec<AgentEffect> {
         self.has_ended = true;
         Vec::new()
     }
 
     /// Whether it has ended.
-    pub fn has_ended(&self) -> bool {
+    pub(crate) fn has_ended(&self) -> bool {
         self.has_ended
     }
 
     /// Time has passed.
-    pub fn on_tick(&mut self, now: Millis) -> Vec<AgentEffect> {
+    pub(crate) fn on_tick(&mut self, now: Millis) -> Vec<AgentEffect> {
         self.machine.on_tick(&self.table, now)
     }
 }
--- a/crates/cluster-simulation/src/machine/clock.rs
+++ b/crates/cluster-simulation/src/machine/clock.rs
@@ -1,17 +1,17 @@
-//! The clocks of a machine: steady with drift, and a time of day that may jump.
+//! The clocks of a machine: steady with drift, and a wall clock that may jump.
 
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_node::core::Moment;
 
-/// The time of day at which every day begins, in milliseconds since 1970.
-pub const WALL_BEGIN_MS: u64 = 1_700_000_000_000;
+/// The wall-clock time at which every run begins, in milliseconds since 1970.
+pub(crate) const WALL_BEGIN_MS: u64 = 1_700_000_000_000;
 
 /// The clocks of one machine. They go on while its process stands still.
 #[derive(Clone, Copy, Debug)]
-pub struct MachineClock {
+pub(crate) struct MachineClock {
     /// How many millionths the steady clock runs fast; negative where it is slow.
     pub drift_ppm: i64,
-    /// How far the time of day is ahead, in milliseconds.
+    /// How far the wall clock is ahead, in milliseconds.
     pub wall_offset_ms: i64,
     /// When the process began, in the simulation's time.
     pub began: u64,
@@ -19,7 +19,7 @@
 
 impl MachineClock {
     /// Both clocks at this moment of the simulation.
-    pub fn read(&self, now: u64) -> Moment {
+    pub(crate) fn read(&self, now: u64) -> Moment {
         let elapsed = now.saturating_sub(self.began);
         let drift = elapsed as i64 * self.drift_ppm / 1_000_000;
         let steady = elapsed.saturating_add_signed(drift) + 1;
--- a/crates/cluster-simulation/src/machine/disk.rs
+++ b/crates/cluster-simulation/src/machine/disk.rs
@@ -5,7 +5,7 @@
 
 /// How a disk behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DiskFault {
+pub(crate) enum DiskFault {
     /// It works.
     None,
     /// Its syncs take so many times as long.
@@ -28,7 +28,7 @@
 
 /// The disk of one core machine.
 #[derive(Clone, Debug)]
-pub struct SimulatedDisk {
+pub(crate) struct SimulatedDisk {
     contents: Recovered,
     pending: VecDeque<PendingBatch>,
     /// Its behaviour.
@@ -38,7 +38,7 @@
 
 /// What a disk has to tell its process.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum DiskCompletion {
+pub(crate) enum DiskCompletion {
     /// These tickets are synced.
     Synced(Vec<u64>),
     /// A write was refused and is tried again.
@@ -63,12 +63,12 @@
 
 impl SimulatedDisk {
     /// What a process finds that begins now.
-    pub fn contents(&self) -> Recovered {
+    pub(crate) fn contents(&self) -> Recovered {
         self.contents.clone()
     }
 
     /// Queues a batch whose sync takes `sync_ms` on a sound disk.
-    pub fn write(&mut self, batch_id: u64, batch: Batch, now: u64, sync_ms: u64) {
+    pub(crate) fn write(&mut self, batch_id: u64, batch: Batch, now: u64, sync_ms: u64) {
         let factor = if let DiskFault::Slow(factor) = self.fault {
             factor
         } else {
@@ -85,7 +85,7 @@
     }
 
     /// Lets time pass; what there is to tell the process.
-    pub fn advance(&mut self, now: u64) -> Option<DiskCompletion> {
+    pub(crate) fn advance(&mut self, now: u64) -> Option<DiskCompletion> {
         match self.fault {
             DiskFault::Stalled => return None,
             DiskFault::Full => return self.refuse(now),
@@ -118,7 +118,7 @@
     }
 
     /// The process dies, or the power is lost: a part of what was under way may have reached the disk.
-    pub fn crash(&mut self, rng: &mut fastrand::Rng) {
+    pub(crate) fn crash(&mut self, rng: &mut fastrand::Rng) {
         let kept = rng.usize(0..=self.pending.len());
         let can_write = matches!(self.fault, DiskFault::None | DiskFault::Slow(_));
         let under_way: Vec<PendingBatch> = self.pending.drain(..).collect();
@@ -131,14 +131,14 @@
         self.busy_until = 0;
     }
 
-    /// Loses everything that was not synced; for planted faults.
-    pub fn crash_hard(&mut self) {
+    /// Loses everything that was not synced; for injected bugs.
+    pub(crate) fn crash_hard(&mut self) {
         self.pending.clear();
         self.busy_until = 0;
     }
 
     /// Empties the disk.
-    pub fn wipe(&mut self) {
+    pub(crate) fn wipe(&mut self) {
         *self = SimulatedDisk::default();
     }
 }
--- a/crates/cluster-simulation/src/machine/front.rs
+++ b/crates/cluster-simulation/src/machine/front.rs
@@ -19,16 +19,16 @@
 
 /// The process of a front.
 #[derive(Debug)]
-pub struct FrontProcess {
+pub(crate) struct FrontProcess {
     machine: FrontMachine,
-    /// The fronts that are held for alive, whether they are or not.
+    /// The fronts that membership reports as alive, whether they are or not.
     table: LiveTable,
     ending_since: Option<Millis>,
 }
 
 impl FrontProcess {
-    /// One that begins now, with this table for as long as it lives.
-    pub fn new(
+    /// Starts now, with this membership table until it ends.
+    pub(crate) fn new(
         own: LiveMember,
         table: LiveTable,
         seeds: Vec<PeerAddress>,
@@ -42,23 +42,23 @@
     }
 
     /// Whether it takes new connections.
-    pub fn is_ready(&self, now: Millis) -> bool {
+    pub(crate) fn is_ready(&self, now: Millis) -> bool {
         self.ending_since.is_none() && self.machine.known().is_confirmed_within(READY_MS, now)
     }
 
     /// The newest view that it knows.
-    pub fn view(&self) -> &View {
+    pub(crate) fn view(&self) -> &View {
         self.machine.view()
     }
 
-    /// It is told to end, and serves on for a part of its grace.
-    pub fn on_terminate(&mut self, now: Millis) -> Vec<FrontEffect> {
+    /// It is asked to shut down, and goes on serving for a part of its grace.
+    pub(crate) fn on_terminate(&mut self, now: Millis) -> Vec<FrontEffect> {
         self.ending_since.get_or_insert(now);
         Vec::new()
     }
 
-    /// Whether the process, told to end, has ended.
-    pub fn has_ended(&self, now: Millis) -> bool {
+    /// Whether the process, asked to shut down, has ended.
+    pub(crate) fn has_ended(&self, now: Millis) -> bool {
         let Some(waited) = self.ending_since.map(|since| now.since(since)) else {
             return false;
         };
@@ -67,7 +67,7 @@
     }
 
     /// A frame came.
-    pub fn on_frame(
+    pub(crate) fn on_frame(
         &mut self,
         from: PeerAddress,
         connection: u64,
@@ -78,7 +78,7 @@
     }
 
     /// A connection ended.
-    pub fn on_closed(
+    pub(crate) fn on_closed(
         &mut self,
         from: PeerAddress,
         connection: u64,
@@ -88,7 +88,7 @@
     }
 
     /// A client's call; answered at once where the queue is known not to exist.
-    pub fn on_call(&mut self, call: ControlCall, now: Millis) -> Vec<FrontEffect> {
+    pub(crate) fn on_call(&mut self, call: ControlCall, now: Millis) -> Vec<FrontEffect> {
         let trusted_ms = trusted_ms(CONFIGURATION_APPLY_MS);
         let lacks_queue = |target| self.machine.known().lacks_queue(target, trusted_ms, now);
         if target_of(&call.request).is_some_and(lacks_queue) {
@@ -100,7 +100,7 @@
     }
 
     /// Time has passed.
-    pub fn on_tick(&mut self, now: Millis) -> Vec<FrontEffect> {
+    pub(crate) fn on_tick(&mut self, now: Millis) -> Vec<FrontEffect> {
         self.machine.on_tick(&self.table, now)
     }
 }
--- a/crates/cluster-simulation/src/machine/mod.rs
+++ b/crates/cluster-simulation/src/machine/mod.rs
@@ -1,9 +1,9 @@
 //! A machine: its clocks, its disk, and the process that runs on it.
 
-pub mod agent;
-pub mod clock;
-pub mod disk;
-pub mod front;
+pub(crate) mod agent;
+pub(crate) mod clock;
+pub(crate) mod disk;
+pub(crate) mod front;
 
 use crate::machine::agent::{AgentEffect, AgentProcess, HeartbeatCall};
 use crate::machine::clock::MachineClock;
@@ -30,7 +30,7 @@
 const INTERMITTENT_RUN_MS: u64 = 25;
 
 /// The internal address of a machine.
-pub fn address_of(machine: usize) -> PeerAddress {
+pub(crate) fn address_of(machine: usize) -> PeerAddress {
     PeerAddress(SocketAddrV4::new(
         Ipv4Addr::new(10, 0, 0, machine as u8 + 1),
         PORT,
@@ -38,13 +38,13 @@
 }
 
 /// The machine at an internal address.
-pub fn machine_at(address: PeerAddress) -> usize {
+pub(crate) fn machine_at(address: PeerAddress) -> usize {
     usize::from(address.0.ip().octets()[3]) - 1
 }
 
 /// What runs on a machine.
 #[derive(Debug)]
-pub enum Process {
+pub(crate) enum Process {
     /// A core process.
     Core(Box<CoreMachine>),
     /// A front.
@@ -55,12 +55,12 @@
 
 /// What reaches a process.
 #[derive(Debug)]
-pub enum ProcessEvent {
+pub(crate) enum ProcessEvent {
     /// A frame of another process.
     Frame {
         /// Its machine.
         from: usize,
-        /// Its life.
+        /// Its incarnation.
         incarnation: u64,
         /// The connection.
         connection: u64,
@@ -103,7 +103,7 @@
     clippy::large_enum_variant,
     reason = "nearly all effects are frames; a box would cost each an allocation"
 )]
-pub enum ProcessEffect {
+pub(crate) enum ProcessEffect {
     /// An effect on the network or the disk.
     Core(Box<CoreEffect>),
     /// An answer to a heartbeat of the server.
@@ -117,7 +117,11 @@
 
 /// One machine.
 #[derive(Debug)]
-pub struct Machine {
+#[allow(
+    clippy::struct_excessive_bools,
+    reason = "independent conditions, any of which may hold with any other"
+)]
+pub(crate) struct Machine {
     /// Its kind.
     pub role: Role,
     /// Its clocks.
@@ -126,7 +130,7 @@
     pub disk: SimulatedDisk,
     /// What runs; none while it is down.
     pub process: Option<Process>,
-    /// The life of the process, or of the last one.
+    /// The incarnation of the process, or of the last one.
     pub incarnation: u64,
     /// Whether the process stands still.
     pub suspended: bool,
@@ -146,7 +150,7 @@
 
 impl Machine {
     /// One on which nothing runs yet.
-    pub fn new(role: Role, clock: MachineClock) -> Machine {
+    pub(crate) fn new(role: Role, clock: MachineClock) -> Machine {
         Machine {
             role,
             clock,
@@ -164,12 +168,12 @@
     }
 
     /// Whether the process stands still at this moment.
-    pub fn is_suspended(&self, now: u64) -> bool {
+    pub(crate) fn is_suspended(&self, now: u64) -> bool {
         self.suspended || (self.intermittent && now % INTERMITTENT_PERIOD_MS >= INTERMITTENT_RUN_MS)
     }
 
-    /// Whether the process, told to end, has ended by itself.
-    pub fn has_ended(&self, now: u64) -> bool {
+    /// Whether the process, asked to shut down, has ended by itself.
+    pub(crate) fn has_ended(&self, now: u64) -> bool {
         let now = self.clock.read(now).now;
         match &self.process {
             Some(Process::Core(core)) => core.has_left(now),
@@ -180,7 +184,7 @@
     }
 
     /// Whether a heartbeat that was left open is to be answered now.
-    pub fn is_answer_due(&self, now: u64) -> bool {
+    pub(crate) fn is_answer_due(&self, now: u64) -> bool {
         match &self.process {
             Some(Process::Agent(side)) => side.is_answer_due(self.clock.read(now).now),
             _ => false,
@@ -188,7 +192,7 @@
     }
 
     /// Hands an event to the process.
-    pub fn handle(&mut self, event: ProcessEvent, now: u64) -> Vec<ProcessEffect> {
+    pub(crate) fn handle(&mut self, event: ProcessEvent, now: u64) -> Vec<ProcessEffect> {
         let moment = self.clock.read(now);
         let now = moment.now;
         match (&mut self.process, event) {
--- a/crates/cluster-simulation/src/network/mod.rs
+++ b/crates/cluster-simulation/src/network/mod.rs
@@ -1,4 +1,4 @@
-//! Connections between machines: frames in order, delays, cuts, resets.
+//! Connections between machines: frames in order, delays, partitions, resets.
 
 use lupinrack_cluster_api::frame::Frame;
 use std::collections::{BTreeMap, VecDeque};
@@ -13,7 +13,7 @@
 const DELAY_MS: std::ops::Range<u64> = 1..5;
 
 /// A machine's number.
-pub type MachineIndex = usize;
+pub(crate) type MachineIndex = usize;
 
 /// One end of a connection.
 #[derive(Clone, Debug)]
@@ -44,7 +44,7 @@
     clippy::large_enum_variant,
     reason = "nearly all arrivals are frames; a box would cost each an allocation"
 )]
-pub enum Delivery {
+pub(crate) enum Delivery {
     /// A frame.
     Frame {
         /// The sender.
@@ -65,7 +65,7 @@
 
 /// What the network knows of a machine.
 #[derive(Clone, Debug)]
-pub struct Endpoint {
+pub(crate) struct Endpoint {
     /// Whether its process runs.
     pub running: bool,
     /// Whether its kernel answers: false after a loss of power.
@@ -76,14 +76,14 @@
 
 /// All connections.
 #[derive(Debug)]
-pub struct Network {
+pub(crate) struct Network {
     rng: fastrand::Rng,
     connections: BTreeMap<u64, Connection>,
     next_connection: u64,
     /// Who opened each connection so far to whom.
     opened: BTreeMap<u64, (MachineIndex, MachineIndex)>,
     pending_connects: BTreeMap<(MachineIndex, MachineIndex), PendingConnect>,
-    /// Pairs of which the first reaches the second no longer, and by how many cuts.
+    /// Pairs of which the first cannot reach the second, and by how many partitions.
     partitions: BTreeMap<(MachineIndex, MachineIndex), u32>,
     /// Machines whose frames take up to so many milliseconds longer.
     slow: BTreeMap<MachineIndex, u64>,
@@ -92,7 +92,7 @@
 
 impl Network {
     /// Without connections.
-    pub fn new(seed: u64) -> Network {
+    pub(crate) fn new(seed: u64) -> Network {
         Network {
             rng: fastrand::Rng::with_seed(seed),
             connections: BTreeMap::new(),
@@ -106,12 +106,12 @@
     }
 
     /// Lets nothing from the first machine reach the second.
-    pub fn partition(&mut self, from: MachineIndex, to: MachineIndex) {
+    pub(crate) fn partition(&mut self, from: MachineIndex, to: MachineIndex) {
         *self.partitions.entry((from, to)).or_default() += 1;
     }
 
-    /// Ends one cut; what other cuts hold back stays held back.
-    pub fn heal(&mut self, from: MachineIndex, to: MachineIndex) {
+    /// Ends one partition; what other partitions block stays blocked.
+    pub(crate) fn heal(&mut self, from: MachineIndex, to: MachineIndex) {
         let Some(count) = self.partitions.get_mut(&(from, to)) else {
             return;
         };
@@ -122,34 +122,33 @@
     }
 
     /// Whether nothing from the first machine reaches the second.
-    pub fn is_partitioned(&self, from: MachineIndex, to: MachineIndex) -> bool {
+    pub(crate) fn is_partitioned(&self, from: MachineIndex, to: MachineIndex) -> bool {
         self.partitions.contains_key(&(from, to))
     }
 
     /// The machine at the other end of a connection, also of one that has ended.
-    pub fn other_end(&self, machine: MachineIndex, connection: u64) -> Option<MachineIndex> {
+    pub(crate) fn other_end(&self, machine: MachineIndex, connection: u64) -> Option<MachineIndex> {
         let (a, b) = *self.opened.get(&connection)?;
         Some(if a == machine { b } else { a })
     }
 
     /// Has what a machine sends take up to so many milliseconds longer; 0 ends that.
-    pub fn set_slow(&mut self, machine: MachineIndex, most_ms: u64) {
+    pub(crate) fn set_slow(&mut self, machine: MachineIndex, most_ms: u64) {
         self.slow.insert(machine, most_ms);
     }
 
     /// Sends on the newest connection to a machine, or opens one.
-    pub fn send(&mut self, from: MachineIndex, to: MachineIndex, frame: Frame, now: u64) {
-        match self.newest(from, to) {
-            Some(connection) => self.send_on(from, connection, frame, now),
-            None => {
-                let pending_connects = self.pending_connects.entry((from, to)).or_default();
-                pending_connects.waiting.push_back((now, frame));
-            }
+    pub(crate) fn send(&mut self, from: MachineIndex, to: MachineIndex, frame: Frame, now: u64) {
+        if let Some(connection) = self.newest(from, to) {
+            self.send_on(from, connection, frame, now);
+        } else {
+            let pending_connects = self.pending_connects.entry((from, to)).or_default();
+            pending_connects.waiting.push_back((now, frame));
         }
     }
 
     /// Sends on a connection, if it is still open at this end.
-    pub fn send_on(&mut self, from: MachineIndex, connection: u64, frame: Frame, now: u64) {
+    pub(crate) fn send_on(&mut self, from: MachineIndex, connection: u64, frame: Frame, now: u64) {
         let extra = self
             .slow
             .get(&from)
@@ -177,7 +176,7 @@
     }
 
     /// The newest connection that a machine has open to another.
-    pub fn newest(&self, from: MachineIndex, to: MachineIndex) -> Option<u64> {
+    pub(crate) fn newest(&self, from: MachineIndex, to: MachineIndex) -> Option<u64> {
         let joins = |connection: &Connection| {
             let [a, b] = &connection.ends;
             (a.machine == from && b.machine == to && a.open)
@@ -191,7 +190,7 @@
     }
 
     /// A machine's process has ended. Where its kernel answers, the others learn of it at once.
-    pub fn process_ended(&mut self, machine: MachineIndex, powered: bool) {
+    pub(crate) fn process_ended(&mut self, machine: MachineIndex, powered: bool) {
         for (number, connection) in &mut self.connections {
             let [a, b] = &mut connection.ends;
             let (own, other) = if a.machine == machine { (a, b) } else { (b, a) };
@@ -217,7 +216,7 @@
     }
 
     /// Resets some of a machine's connections.
-    pub fn reset_some(&mut self, machine: MachineIndex) {
+    pub(crate) fn reset_some(&mut self, machine: MachineIndex) {
         for (number, connection) in &mut self.connections {
             let [a, b] = &mut connection.ends;
             let touches = a.machine == machine || b.machine == machine;
@@ -240,7 +239,11 @@
     }
 
     /// Lets time pass; what arrives where, in order.
-    pub fn advance(&mut self, now: u64, machines: &[Endpoint]) -> Vec<(MachineIndex, Delivery)> {
+    pub(crate) fn advance(
+        &mut self,
+        now: u64,
+        machines: &[Endpoint],
+    ) -> Vec<(MachineIndex, Delivery)> {
         self.connect_pending(now, machines);
         let numbers: Vec<u64> = self.connections.keys().copied().collect();
         for number in numbers {
--- a/crates/cluster-simulation/src/operator/configuration_changes.rs
+++ b/crates/cluster-simulation/src/operator/configuration_changes.rs
@@ -16,7 +16,7 @@
 const BURST_SIZE: usize = 8;
 /// How soon an acknowledged change is sent again, in milliseconds.
 const REPEAT_MS: u64 = 300;
-/// The longest time after which it is sent again on the worst days, in milliseconds.
+/// The longest time after which it is sent again under severe faults, in milliseconds.
 const LATE_REPEAT_MOST_MS: u64 = 15_000;
 
 /// What a change is expected to come to.
@@ -32,7 +32,7 @@
 
 /// A change, and what its sender knows of it.
 #[derive(Debug)]
-pub struct ChangeAttempts {
+pub(super) struct ChangeAttempts {
     if_match: u64,
     version: u64,
     body: ConfigurationBody,
@@ -60,27 +60,27 @@
 
 impl ChangeAttempts {
     /// Whether its sender tries no more.
-    pub fn is_over(&self) -> bool {
+    pub(super) fn is_over(&self) -> bool {
         self.over
     }
 
     /// When it was acknowledged first.
-    pub fn acknowledged_at(&self) -> Option<u64> {
+    pub(super) fn acknowledged_at(&self) -> Option<u64> {
         self.acknowledged_at
     }
 
     /// The version that it sets.
-    pub fn version(&self) -> u64 {
+    pub(super) fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether it replaces the configuration whole.
-    pub fn is_replacement(&self) -> bool {
+    /// Whether it replaces the complete configuration.
+    pub(super) fn is_replacement(&self) -> bool {
         matches!(self.body, ConfigurationBody::Replacement(_))
     }
 
     /// Whether it may be in force as the change of this number.
-    pub fn may_be(&self, number: usize, version: u64, routes: &[String]) -> bool {
+    pub(super) fn may_be(&self, number: usize, version: u64, routes: &[String]) -> bool {
         let rightful = self.validity == Validity::Valid && !self.rejected;
         rightful && self.version == version && routes.contains(&marker_route_name(number))
     }
@@ -102,7 +102,7 @@
             OperatorAction::LargeChange => self.begin_large_change(world),
             OperatorAction::ConcurrentPair => (0..2).for_each(|_| self.begin_change(world)),
             OperatorAction::ConcurrentBurst => {
-                (0..BURST_SIZE).for_each(|_| self.begin_change(world))
+                (0..BURST_SIZE).for_each(|_| self.begin_change(world));
             }
             OperatorAction::InvalidChange => self.begin_bad_change(world),
             OperatorAction::Resend => self.begin_resend(world),
@@ -216,7 +216,7 @@
                 check_response_while_stable(number, &outcome, world);
             }
             change.open = None;
-            self.change_answered(number, outcome, world);
+            self.change_answered(number, &outcome, world);
             return;
         }
         if change.over || now < change.next_at {
@@ -249,14 +249,14 @@
         world.call_core(core, control_call);
     }
 
-    fn change_answered(&mut self, number: usize, outcome: Outcome, world: &mut World) {
+    fn change_answered(&mut self, number: usize, outcome: &Outcome, world: &mut World) {
         match outcome {
             Outcome::Success(_) => self.change_acknowledged(number, world),
             Outcome::Rejected(
                 kind @ (ErrorKind::VersionConflict
                 | ErrorKind::InvalidConfiguration
                 | ErrorKind::Malformed),
-            ) => self.change_refused(number, kind, world),
+            ) => self.change_refused(number, *kind, world),
             Outcome::Rejected(_) | Outcome::Indeterminate => {
                 let change = &mut self.changes[number];
                 change.backoff_ms = (change.backoff_ms * 2).min(800);
@@ -274,14 +274,14 @@
         if let Some((rival, _)) = rival {
             world.oracle.report_violation(
                 now,
-                format!("CONFIG: changes {rival} and {number} on version {if_match}"),
+                &format!("CONFIG: changes {rival} and {number} on version {if_match}"),
             );
         }
         let change = &mut self.changes[number];
         if change.validity != Validity::Valid || change.rejected {
             world.oracle.report_violation(
                 now,
-                format!("CONFIG: change {number} to {version} is acknowledged"),
+                &format!("CONFIG: change {number} to {version} is acknowledged"),
             );
         }
         change.acknowledged_at.get_or_insert(now);
@@ -304,14 +304,14 @@
         if change.acknowledged_at.is_some() {
             world.oracle.report_violation(
                 now,
-                format!("CONFIG: change {number}, acknowledged, is refused: {kind}"),
+                &format!("CONFIG: change {number}, acknowledged, is refused: {kind}"),
             );
         }
         let is_sound = change.validity == Validity::Valid;
         if is_sound && kind != ErrorKind::VersionConflict && current <= change.if_match {
             world.oracle.report_violation(
                 now,
-                format!("CONFIG: change {number}, valid, is refused: {kind}"),
+                &format!("CONFIG: change {number}, valid, is refused: {kind}"),
             );
         }
         change.rejected = true;
@@ -322,7 +322,7 @@
 
 /// After how many milliseconds an acknowledged change is sent again.
 fn repeat_after(world: &mut World) -> u64 {
-    if world.settings.kind.is_worst() && world.rng.u32(0..4) == 0 {
+    if world.config.profile.is_worst() && world.rng.u32(0..4) == 0 {
         world.rng.u64(REPEAT_MS..LATE_REPEAT_MOST_MS)
     } else {
         REPEAT_MS
@@ -335,7 +335,7 @@
         let text = format!(
             "ACKS: change {number} is answered {outcome:?} while all machines are in touch"
         );
-        world.oracle.report_violation(world.now, text);
+        world.oracle.report_violation(world.now, &text);
     }
 }
 
--- a/crates/cluster-simulation/src/operator/configuration_reads.rs
+++ b/crates/cluster-simulation/src/operator/configuration_reads.rs
@@ -9,7 +9,7 @@
 
 /// A read under way, and the newest version that was acknowledged when it began.
 #[derive(Debug)]
-pub struct PendingRead {
+pub(super) struct PendingRead {
     call: PendingCall,
     number: CallNumber,
     acknowledged: u64,
@@ -65,10 +65,9 @@
                 now,
             );
             if read.acknowledged > 0 {
-                world.oracle.report_violation(
-                    now,
-                    "CONFIG: what is read back is no configuration".to_owned(),
-                );
+                world
+                    .oracle
+                    .report_violation(now, "CONFIG: what is read back is no configuration");
             }
             return;
         };
@@ -79,7 +78,7 @@
         self.check_read(version, read.acknowledged, world);
         if change.is_none() {
             let text = format!("CONFIG: version {version} in force was refused or never sent");
-            world.oracle.report_violation(now, text);
+            world.oracle.report_violation(now, &text);
         }
         self.read_version = self.read_version.max(version);
         self.known = self.known.max(version);
@@ -93,12 +92,12 @@
         if version < acknowledged {
             let text =
                 format!("CONFIG: version {version} is read, {acknowledged} was acknowledged");
-            world.oracle.report_violation(now, text);
+            world.oracle.report_violation(now, &text);
         }
         if version < self.read_version {
             world.oracle.report_violation(
                 now,
-                format!("CONFIG: back from {} to {version}", self.read_version),
+                &format!("CONFIG: back from {} to {version}", self.read_version),
             );
         }
     }
--- a/crates/cluster-simulation/src/operator/mod.rs
+++ b/crates/cluster-simulation/src/operator/mod.rs
@@ -1,5 +1,5 @@
 //! The operator: changes with races, repeats and faults, and reads. Its calls are checked one by one against the rules of
-//! the configuration, and in the end as a whole history.
+//! the configuration, and at the end as one history, for linearizability.
 
 mod configuration_changes;
 mod configuration_reads;
@@ -17,7 +17,7 @@
 
 /// The operator.
 #[derive(Debug, Default)]
-pub struct Operator {
+pub(crate) struct Operator {
     changes: Vec<ChangeAttempts>,
     read: Option<PendingRead>,
     count: Option<PendingQueueRead>,
@@ -29,7 +29,7 @@
     known: u64,
     /// The newest version that was read.
     read_version: u64,
-    /// When the newest configuration was read whole after the end of the day.
+    /// When the newest configuration was read back after the traffic ended.
     pub read_at_end: Option<u64>,
     /// All its calls but counts.
     history: History,
@@ -37,25 +37,25 @@
 
 impl Operator {
     /// Whether any change is still being sent.
-    pub fn is_busy(&self) -> bool {
+    pub(crate) fn is_busy(&self) -> bool {
         self.changes.iter().any(|change| !change.is_over())
     }
 
     /// How many changes were acknowledged.
-    pub fn count_acknowledged(&self) -> usize {
+    pub(crate) fn count_acknowledged(&self) -> usize {
         self.changes
             .iter()
             .filter(|change| change.acknowledged_at().is_some())
             .count()
     }
 
-    /// Begins what the plan has it do.
-    pub fn begin(&mut self, order: OperatorAction, world: &mut World) {
+    /// Begins what the fault schedule has it do.
+    pub(crate) fn begin(&mut self, order: OperatorAction, world: &mut World) {
         self.begin_order(order, world);
     }
 
     /// Lets the operator do what is due.
-    pub fn serve(&mut self, world: &mut World) {
+    pub(crate) fn serve(&mut self, world: &mut World) {
         for number in 0..self.changes.len() {
             self.advance_change(number, world);
         }
@@ -64,7 +64,7 @@
     }
 
     /// Checks all calls together: a single register could have given these answers.
-    pub fn check_history(&self, world: &mut World) {
+    pub(crate) fn check_history(&self, world: &mut World) {
         if let Err(violation) = self.history.check() {
             let calls = self.history.calls();
             let blocked: Vec<String> = violation
@@ -77,7 +77,7 @@
                 "HISTORY: no order of the operator's calls fits: {}",
                 blocked.join("; ")
             );
-            world.oracle.report_violation(world.now, text);
+            world.oracle.report_violation(world.now, &text);
         }
     }
 }
--- a/crates/cluster-simulation/src/operator/queue_reads.rs
+++ b/crates/cluster-simulation/src/operator/queue_reads.rs
@@ -15,7 +15,7 @@
 
 /// A count asked of a front.
 #[derive(Debug)]
-pub struct PendingQueueRead {
+pub(super) struct PendingQueueRead {
     call: PendingCall,
     route: String,
     is_there: bool,
@@ -92,6 +92,6 @@
             "CONFIG: route {} is there: {}, answered {outcome:?}",
             count.route, count.is_there
         );
-        world.oracle.report_violation(world.now, text);
+        world.oracle.report_violation(world.now, &text);
     }
 }
--- a/crates/cluster-simulation/src/oracle.rs
+++ b/crates/cluster-simulation/src/oracle.rs
@@ -1,4 +1,4 @@
-//! What the servers and clients of the model see, checked against the rules of running tasks.
+//! The oracle: what servers and clients observe, checked against the rules for running tasks.
 
 use lupinrack_cluster_api::identity::{Attempt, JobId, TaskId};
 use lupinrack_cluster_api::job::{JobSpec, Resources, Step};
@@ -6,8 +6,8 @@
 
 /// What has happened to a task.
 #[derive(Clone, Debug, Default)]
-pub struct TaskHistory {
-    /// Lives of servers on which it runs, as (machine, life).
+pub(crate) struct TaskHistory {
+    /// Incarnations of servers on which it runs, as (slot, incarnation).
     pub running_on: BTreeSet<(usize, u64)>,
     pub last_start_at: Option<u64>,
     pub done_at: Option<u64>,
@@ -20,7 +20,7 @@
 
 /// What the client of a job knows.
 #[derive(Clone, Debug)]
-pub struct ExpectedJob {
+pub(crate) struct ExpectedJob {
     pub spec: JobSpec,
     pub max_retries: u32,
     pub cancelled_at: Option<u64>,
@@ -35,13 +35,13 @@
 
 impl ExpectedJob {
     /// Whether its gangs may end for want of members.
-    pub fn is_excused(&self) -> bool {
+    pub(crate) fn is_excused(&self) -> bool {
         self.cancel_sent || self.scripted_failures > 0
     }
 }
 
 /// A start as a server sees it.
-pub struct ObservedStart<'a> {
+pub(crate) struct ObservedStart<'a> {
     pub now: u64,
     pub machine: usize,
     pub incarnation: u64,
@@ -59,41 +59,84 @@
     pub wall: u64,
 }
 
+impl ObservedStart<'_> {
+    fn exceeds_capacity(&self, needs: Resources) -> bool {
+        self.used.cpu + needs.cpu > self.capacity.cpu
+            || self.used.memory_mb + needs.memory_mb > self.capacity.memory_mb
+            || self.used.gpu + needs.gpu > self.capacity.gpu
+    }
+
+    fn is_early(&self, job: &ExpectedJob) -> bool {
+        let spec = &job.spec;
+        let due = spec.start_at_ms + u64::from(self.task.occurrence) * spec.interval_ms;
+        spec.repeat > 0 && self.wall + EARLY_MS < due
+    }
+
+    fn lacks_label(&self, step: &Step) -> bool {
+        !step.requires.is_empty() && !self.labels.contains(&step.requires)
+    }
+
+    fn exceeds_anti_affinity(&self, step: &Step) -> bool {
+        step.anti_affinity > 0 && self.siblings + 1 > step.anti_affinity
+    }
+
+    /// Whether the checkpoint belongs to another step or occurrence.
+    fn has_foreign_checkpoint(&self) -> bool {
+        let TaskId {
+            job,
+            occurrence,
+            step,
+            ..
+        } = self.task;
+        let prefix = format!("{job}.{occurrence}.{step}/");
+        !self.checkpoint.is_empty() && !self.checkpoint.starts_with(&prefix)
+    }
+
+    fn is_after_cancellation(&self, job: &ExpectedJob) -> bool {
+        job.cancelled_at.is_some_and(|at| self.now > at + CANCEL_MS)
+    }
+
+    fn is_on_draining_server(&self) -> bool {
+        self.draining_since
+            .is_some_and(|since| self.now > since + DRAIN_MS)
+    }
+}
+
 /// Which rules with time bounds are checked.
 #[derive(Clone, Copy, Debug)]
-pub struct TimeBounds {
-    /// No trouble but cancelled and hopeless jobs and new servers.
+pub(crate) struct TimeBounds {
+    /// No fault is in effect but cancelled and hopeless jobs and new servers.
     pub stable: bool,
 }
 
-pub const DRAIN_MS: u64 = 2_000;
-pub const EARLY_MS: u64 = 5_000;
-pub const CANCEL_MS: u64 = 3_000;
+pub(crate) const DRAIN_MS: u64 = 2_000;
+pub(crate) const EARLY_MS: u64 = 5_000;
+pub(crate) const CANCEL_MS: u64 = 3_000;
 
 #[derive(Clone, Debug, Default)]
-pub struct Oracle {
+pub(crate) struct Oracle {
     pub jobs: BTreeMap<JobId, ExpectedJob>,
     pub tasks: BTreeMap<TaskId, TaskHistory>,
     pub violations: Vec<String>,
 }
 
 impl Oracle {
-    pub fn report_violation(&mut self, now: u64, text: String) {
+    pub(crate) fn report_violation(&mut self, now: u64, text: &str) {
         if self.violations.len() < 20 {
             self.violations.push(format!("{now} ms: {text}"));
         }
     }
 
-    pub fn step(&self, task: TaskId) -> Option<&Step> {
+    pub(crate) fn step(&self, task: TaskId) -> Option<&Step> {
         self.jobs.get(&task.job)?.spec.steps.get(task.step as usize)
     }
 
-    pub fn start(&mut self, observed_start: &ObservedStart<'_>, time_bounds: TimeBounds) {
+    pub(crate) fn start(&mut self, observed_start: &ObservedStart<'_>, time_bounds: TimeBounds) {
         let mut faults = self.faults_of_start(observed_start, time_bounds);
         for fault in faults.drain(..) {
             self.report_violation(
                 observed_start.now,
-                format!(
+                &format!(
                     "{fault}: {} attempt {} on {}",
                     observed_start.task, observed_start.attempt, observed_start.machine
                 ),
@@ -107,82 +150,43 @@
         history.highest_attempt = history.highest_attempt.max(observed_start.attempt);
     }
 
+    /// The rules that a start breaks.
     fn faults_of_start(
         &self,
-        observed_start: &ObservedStart<'_>,
+        start: &ObservedStart<'_>,
         time_bounds: TimeBounds,
     ) -> Vec<&'static str> {
-        let mut faults = Vec::new();
-        let Some(job) = self.jobs.get(&observed_start.task.job) else {
+        let Some(job) = self.jobs.get(&start.task.job) else {
             return vec!["UNASKED: no such job"];
         };
-        let Some(step) = self.step(observed_start.task) else {
+        let Some(step) = self.step(start.task) else {
             return vec!["UNASKED: no such step"];
         };
-        if !job.sent {
-            faults.push("UNASKED: not sent");
-        }
-        if job.rejected {
-            faults.push("REFUSED");
-        }
-        let history = self
-            .tasks
-            .get(&observed_start.task)
-            .cloned()
-            .unwrap_or_default();
-        let needs = step.needs;
-        if observed_start.used.cpu + needs.cpu > observed_start.capacity.cpu
-            || observed_start.used.memory_mb + needs.memory_mb > observed_start.capacity.memory_mb
-            || observed_start.used.gpu + needs.gpu > observed_start.capacity.gpu
-        {
-            faults.push("LIMIT");
-        }
-        if !history.running_on.is_empty() && !step.speculative {
-            faults.push("TWICE: runs elsewhere");
-        }
-        if history.done_noted && !step.long_running && !step.speculative {
-            faults.push("TWICE: was done");
-        }
-        if !self.dependencies_done(job, step, observed_start.task) {
-            faults.push("ORDER");
-        }
-        let due =
-            job.spec.start_at_ms + u64::from(observed_start.task.occurrence) * job.spec.interval_ms;
-        if job.spec.repeat > 0 && observed_start.wall + EARLY_MS < due {
-            faults.push("ORDER: ahead of its time");
-        }
-        if !step.requires.is_empty() && !observed_start.labels.contains(&step.requires) {
-            faults.push("ROUTE: label");
-        }
-        if step.anti_affinity > 0 && observed_start.siblings + 1 > step.anti_affinity {
-            faults.push("ROUTE: anti-affinity");
-        }
-        if !step.long_running && history.failures_noted >= job.max_retries {
-            faults.push("BUDGET");
-        }
-        if observed_start.spec != job.spec.spec {
-            faults.push("UNASKED: spec");
-        }
-        let prefix = format!(
-            "{}.{}.{}/",
-            observed_start.task.job, observed_start.task.occurrence, observed_start.task.step
-        );
-        if !observed_start.checkpoint.is_empty() && !observed_start.checkpoint.starts_with(&prefix)
-        {
-            faults.push("UNASKED: saved");
-        }
-        let cancelled = job
-            .cancelled_at
-            .is_some_and(|at| observed_start.now > at + CANCEL_MS);
-        if cancelled && time_bounds.stable {
-            faults.push("UNASKED: cancelled");
-        }
-        if time_bounds.stable
-            && observed_start
-                .draining_since
-                .is_some_and(|since| observed_start.now > since + DRAIN_MS)
-        {
-            faults.push("DRAIN");
+        let history = self.tasks.get(&start.task).cloned().unwrap_or_default();
+        let mut faults = Vec::new();
+        let mut check = |is_broken: bool, fault| {
+            if is_broken {
+                faults.push(fault);
+            }
+        };
+        check(!job.sent, "UNASKED: not sent");
+        check(job.rejected, "REFUSED");
+        check(start.exceeds_capacity(step.needs), "LIMIT");
+        let runs = !history.running_on.is_empty();
+        check(runs && !step.speculative, "TWICE: runs elsewhere");
+        let repeatable = step.long_running || step.speculative;
+        check(history.done_noted && !repeatable, "TWICE: was done");
+        check(!self.dependencies_done(job, step, start.task), "ORDER");
+        check(start.is_early(job), "ORDER: ahead of its time");
+        check(start.lacks_label(step), "ROUTE: label");
+        check(start.exceeds_anti_affinity(step), "ROUTE: anti-affinity");
+        let budget_is_spent = history.failures_noted >= job.max_retries;
+        check(budget_is_spent && !step.long_running, "BUDGET");
+        check(start.spec != job.spec.spec, "UNASKED: spec");
+        check(start.has_foreign_checkpoint(), "UNASKED: saved");
+        if time_bounds.stable {
+            check(start.is_after_cancellation(job), "UNASKED: cancelled");
+            check(start.is_on_draining_server(), "DRAIN");
         }
         faults
     }
@@ -203,7 +207,7 @@
         })
     }
 
-    pub fn run_over(&mut self, task: TaskId, machine: usize, incarnation: u64) {
+    pub(crate) fn run_over(&mut self, task: TaskId, machine: usize, incarnation: u64) {
         self.tasks
             .entry(task)
             .or_default()
@@ -212,7 +216,7 @@
     }
 
     /// An end that was done; for a gang it stands for all its members.
-    pub fn done(&mut self, task: TaskId, now: u64) {
+    pub(crate) fn done(&mut self, task: TaskId, now: u64) {
         self.tasks
             .entry(task)
             .or_default()
@@ -220,11 +224,11 @@
             .get_or_insert(now);
     }
 
-    pub fn failed(&mut self, task: TaskId) {
+    pub(crate) fn failed(&mut self, task: TaskId) {
         self.tasks.entry(task).or_default().failures += 1;
     }
 
-    pub fn done_noted(&mut self, task: TaskId, done_at: u64, now: u64) {
+    pub(crate) fn done_noted(&mut self, task: TaskId, done_at: u64, now: u64) {
         let long_running_steps = self.step(task).is_some_and(|step| step.long_running);
         let history = self.tasks.entry(task).or_default();
         history.done_noted = true;
@@ -232,17 +236,17 @@
         if again && !long_running_steps {
             self.report_violation(
                 now,
-                format!("TWICE: {task} was started after its end, which was noted later"),
+                &format!("TWICE: {task} was started after its end, which was noted later"),
             );
         }
     }
 
-    pub fn failure_noted(&mut self, task: TaskId) {
+    pub(crate) fn failure_noted(&mut self, task: TaskId) {
         self.tasks.entry(task).or_default().failures_noted += 1;
     }
 
     /// Whether a task, or a gang, has failed as often as its queue allows.
-    pub fn has_cause_to_fail(&self, job: JobId) -> bool {
+    pub(crate) fn has_cause_to_fail(&self, job: JobId) -> bool {
         let Some(expected) = self.jobs.get(&job) else {
             return false;
         };
@@ -277,7 +281,7 @@
         false
     }
 
-    pub fn all_done(&self, job: JobId) -> bool {
+    pub(crate) fn all_done(&self, job: JobId) -> bool {
         let Some(expected) = self.jobs.get(&job) else {
             return false;
         };
--- a/crates/cluster-simulation/src/pending_call.rs
+++ b/crates/cluster-simulation/src/pending_call.rs
@@ -8,7 +8,7 @@
 
 /// A call under way.
 #[derive(Debug)]
-pub struct PendingCall {
+pub(crate) struct PendingCall {
     reply: oneshot::Receiver<Reply>,
     /// After this the caller waits no longer.
     deadline: u64,
@@ -16,17 +16,17 @@
 
 /// What its caller sees of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub(crate) enum Outcome {
     /// An answer with success.
     Success(Reply),
     /// A clear refusal of this try.
     Rejected(ErrorKind),
-    /// Silence, a cut or an answer that says as much.
+    /// A timeout, a lost connection, or an answer that says that the effect is not known.
     Indeterminate,
 }
 
 /// A call to be handed to a process, and what its caller keeps.
-pub fn call(request: Request, now: u64, wait_ms: u64) -> (ControlCall, PendingCall) {
+pub(crate) fn call(request: Request, now: u64, wait_ms: u64) -> (ControlCall, PendingCall) {
     let (answerer, reply) = oneshot::channel();
     let call = ControlCall {
         request,
@@ -44,7 +44,7 @@
 
 impl PendingCall {
     /// What has come of it, once anything has.
-    pub fn outcome(&mut self, now: u64) -> Option<Outcome> {
+    pub(crate) fn outcome(&mut self, now: u64) -> Option<Outcome> {
         match self.reply.try_recv() {
             Ok(reply) => Some(outcome_of(reply)),
             Err(TryRecvError::Closed) => Some(Outcome::Indeterminate),
--- a/crates/cluster-simulation/src/processes.rs
+++ b/crates/cluster-simulation/src/processes.rs
@@ -24,10 +24,10 @@
 /// How often processes look at their clocks, in milliseconds.
 const CORE_TICK_MS: u64 = 25;
 const OTHER_TICK_MS: u64 = 50;
-/// How soon a planted fault's writes reach the disk, in milliseconds.
+/// How soon writes reach the disk under [`InjectedBug::MissingSync`], in milliseconds.
 const UNSYNCED_MS: u64 = 400;
 
-/// Ended jobs are remembered for so much longer than the day lasts, since the last questions ask for all of them, in
+/// Ended jobs are kept for this much longer than the run lasts, since the final reads ask for all of them, in
 /// milliseconds.
 const REMEMBER_MARGIN_MS: u64 = 60_000;
 
@@ -128,7 +128,7 @@
         }
     }
 
-    /// All fronts that were not removed. Whoever trusts the table trusts processes that may be down, or cut off.
+    /// All fronts that were not removed. It may list processes that are down or partitioned off.
     fn live_table(&self) -> LiveTable {
         let there = self.fronts().filter(|front| !self.machines[*front].removed);
         LiveTable::new(there.map(|front| self.member(front)).collect())
@@ -146,7 +146,7 @@
         } else {
             Vec::new()
         };
-        let settings = CoreSettings {
+        let config = CoreSettings {
             name: format!("core-{machine}"),
             me: Voter {
                 disk,
@@ -156,22 +156,22 @@
             incarnation: self.machines[machine].incarnation,
             founders,
             seeds,
-            tolerated_losses: self.settings.tolerance,
+            tolerated_losses: self.config.tolerance,
             catch_up_ms: CATCH_UP_MS,
             grace_ms: GRACE_MS,
-            remember_ms: self.settings.traffic_ms + self.settings.finish_ms + REMEMBER_MARGIN_MS,
+            remember_ms: self.config.traffic_ms + self.config.finish_ms + REMEMBER_MARGIN_MS,
             scheduler: SchedulerSettings {
                 lease_ms: LEASE_MOST_MS,
                 ..SchedulerSettings::default()
             },
-            log_bytes: self.settings.log_bytes(),
+            log_bytes: self.config.log_bytes(),
         };
         let moment = self.machines[machine].clock.read(self.now);
-        match CoreMachine::new(settings, recovered, moment) {
+        match CoreMachine::new(config, recovered, moment) {
             Ok(core) => Some(core),
             Err(error) => {
                 self.oracle
-                    .report_violation(self.now, format!("core {machine} does not start: {error}"));
+                    .report_violation(self.now, &format!("core {machine} does not start: {error}"));
                 None
             }
         }
@@ -179,7 +179,7 @@
 
     /// Whether a core process may found the system: on its first start, if it is one of the first seeds.
     fn founds(&self, machine: usize) -> bool {
-        let first = machine < self.settings.cores && self.machines[machine].is_new;
+        let first = machine < self.config.cores && self.machines[machine].is_new;
         first && self.seeds.contains(&address_of(machine))
     }
 
@@ -237,9 +237,9 @@
             return;
         }
         let inbox = std::mem::take(&mut self.machines[machine].inbox);
-        inbox
-            .into_iter()
-            .for_each(|event| self.dispatch(machine, event));
+        for event in inbox {
+            self.dispatch(machine, event);
+        }
     }
 
     fn deliver(&mut self, machine: usize, delivery: Delivery) {
@@ -298,7 +298,7 @@
             let news = self.machines[machine].disk.advance(self.now);
             match news {
                 Some(DiskCompletion::Synced(tickets)) => {
-                    self.dispatch(machine, ProcessEvent::Synced(tickets))
+                    self.dispatch(machine, ProcessEvent::Synced(tickets));
                 }
                 Some(DiskCompletion::Refused) => self.dispatch(machine, ProcessEvent::WriteFailed),
                 None => {}
--- a/crates/cluster-simulation/src/server.rs
+++ b/crates/cluster-simulation/src/server.rs
@@ -1,4 +1,4 @@
-//! A server that follows the protocol: fencing, attempts, holds, lists of runs and ends.
+//! A server that follows the protocol: fencing, attempts, leases, lists of runs and ends.
 
 use lupinrack_cluster_api::agent::Heartbeat;
 use lupinrack_cluster_api::identity::{Attempt, FencingToken, ServerId, TaskId};
@@ -6,12 +6,12 @@
 use lupinrack_cluster_api::server::{FinishedTask, RunEnd, RunningTask, ServerFacts};
 use std::collections::BTreeMap;
 
-/// A server's clock may run this much slow, so that a hold lasts longer.
+/// A server's clock may run this much slow, so that a lease lasts longer.
 const SLOW_CLOCK: f64 = 1.02;
-/// A longer hold is cut down to this, in milliseconds.
-pub const LEASE_MOST_MS: u64 = 3_000;
+/// Leases are cut to this, in milliseconds.
+pub(crate) const LEASE_MOST_MS: u64 = 3_000;
 /// An answer later than this is dropped.
-pub const MAX_REPLY_AGE_MS: u64 = 1_000;
+pub(crate) const MAX_REPLY_AGE_MS: u64 = 1_000;
 /// A heartbeat lists so many ends.
 const ENDS_LISTED: usize = 500;
 
@@ -30,7 +30,7 @@
 
 /// A run on the server.
 #[derive(Clone, Debug)]
-pub struct ServerRun {
+pub(crate) struct ServerRun {
     pub attempt: Attempt,
     pub needs: Resources,
     pub started_at: u64,
@@ -54,7 +54,7 @@
     }
 
     /// The text of its checkpoint: its job, step and time, and the part of the work that is done.
-    pub fn saved_text(&self, task: TaskId) -> String {
+    pub(crate) fn saved_text(&self, task: TaskId) -> String {
         if self.saved_ms <= 0.0 {
             return String::new();
         }
@@ -71,16 +71,16 @@
 
 /// An end that was not observed yet.
 #[derive(Clone, Debug)]
-pub struct ServerEnd {
+pub(crate) struct ServerEnd {
     pub finished: FinishedTask,
     pub at: u64,
-    /// Whether the server's hold has lapsed since.
+    /// Whether the server's lease has expired since.
     pub lease_expired_since: bool,
 }
 
 /// An order of an answer to start a run.
 #[derive(Clone, Debug)]
-pub struct StartCommand {
+pub(crate) struct StartCommand {
     pub task: TaskId,
     pub attempt: Attempt,
     pub spec: String,
@@ -89,7 +89,7 @@
 
 /// The answer to a heartbeat.
 #[derive(Clone, Debug)]
-pub struct HeartbeatReply {
+pub(crate) struct HeartbeatReply {
     pub heartbeat_sent_at: u64,
     pub token: FencingToken,
     pub lease_ms: u64,
@@ -99,9 +99,9 @@
     pub retry_after_ms: u64,
 }
 
-/// One life of a server.
+/// One incarnation of a server.
 #[derive(Clone, Debug)]
-pub struct ModelServer {
+pub(crate) struct ModelServer {
     pub facts: ServerFacts,
     pub behavior: ServerBehavior,
     pub token: FencingToken,
@@ -118,7 +118,7 @@
 }
 
 impl ModelServer {
-    pub fn new(facts: ServerFacts, now: u64) -> ModelServer {
+    pub(crate) fn new(facts: ServerFacts, now: u64) -> ModelServer {
         ModelServer {
             facts,
             behavior: ServerBehavior::Healthy,
@@ -135,11 +135,11 @@
         }
     }
 
-    pub fn id(&self) -> &ServerId {
+    pub(crate) fn id(&self) -> &ServerId {
         &self.facts.id
     }
 
-    pub fn used(&self) -> Resources {
+    pub(crate) fn used(&self) -> Resources {
         self.runs
             .values()
             .fold(Resources::default(), |total, run| Resources {
@@ -149,14 +149,14 @@
             })
     }
 
-    pub fn is_heartbeat_due(&self, now: u64) -> bool {
+    pub(crate) fn is_heartbeat_due(&self, now: u64) -> bool {
         let answer_is_out = self
             .awaiting_since
             .is_some_and(|since| now < since + MAX_REPLY_AGE_MS);
         now >= self.next_heartbeat_at && !answer_is_out
     }
 
-    pub fn heartbeat(&mut self, now: u64) -> Heartbeat {
+    pub(crate) fn heartbeat(&mut self, now: u64) -> Heartbeat {
         self.awaiting_since = Some(now);
         self.next_heartbeat_at = now + 400;
         let running = self.runs.iter().map(|(task, run)| RunningTask {
@@ -181,8 +181,8 @@
         }
     }
 
-    /// Takes hold and observed ends of an answer; tells whether its orders are to be followed.
-    pub fn take_reply(&mut self, answer: &HeartbeatReply, now: u64) -> bool {
+    /// Takes the lease and the observed ends of a reply; returns whether its commands are to be followed.
+    pub(crate) fn take_reply(&mut self, answer: &HeartbeatReply, now: u64) -> bool {
         self.awaiting_since = None;
         if now > answer.heartbeat_sent_at + MAX_REPLY_AGE_MS || answer.token < self.token {
             return false;
@@ -197,7 +197,7 @@
     }
 
     /// Drops the ends that were observed, and gives them.
-    pub fn observe(&mut self, observed: u64) -> Vec<ServerEnd> {
+    pub(crate) fn observe(&mut self, observed: u64) -> Vec<ServerEnd> {
         let (observed_start, kept) = self
             .ends
             .drain(..)
@@ -207,13 +207,13 @@
     }
 
     /// Whether an attempt is above all that ended here and all that run.
-    pub fn is_newer(&self, task: TaskId, attempt: Attempt) -> bool {
+    pub(crate) fn is_newer(&self, task: TaskId, attempt: Attempt) -> bool {
         let ended = self.ended.get(&task).is_none_or(|ended| attempt > *ended);
         ended && !self.runs.contains_key(&task)
     }
 
     /// Ends a run and lists it.
-    pub fn end(&mut self, task: TaskId, end: RunEnd, now: u64) -> Option<ServerRun> {
+    pub(crate) fn end(&mut self, task: TaskId, end: RunEnd, now: u64) -> Option<ServerRun> {
         let run = self.runs.remove(&task)?;
         let checkpoint = if end == RunEnd::Done {
             String::new()
@@ -224,7 +224,7 @@
         Some(run)
     }
 
-    pub fn list_end(
+    pub(crate) fn list_end(
         &mut self,
         task: TaskId,
         attempt: Attempt,
--- a/crates/cluster-simulation/src/simulation.rs
+++ b/crates/cluster-simulation/src/simulation.rs
@@ -1,4 +1,4 @@
-//! A whole day: traffic and faults, then time to finish, then the last questions.
+//! One run: traffic and faults, then time to finish, then the final reads.
 
 use crate::client::Client;
 use crate::config::{FaultProfile, SimulationConfig};
@@ -12,7 +12,7 @@
 /// Servers, clients and the operator are moved on by this, in milliseconds.
 const WORK_STEP_MS: u64 = 5;
 
-/// How a day ended.
+/// The outcome of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SimulationReport {
     /// The rules that were broken, each with the moment.
@@ -33,22 +33,22 @@
     pub snapshots_sent: usize,
 }
 
-/// Plays the day of a seed.
-pub fn simulate(seed: u64, settings: SimulationConfig) -> SimulationReport {
-    Simulation::new(seed, settings).run()
+/// Runs the simulation of a seed. The same seed and configuration give the same report.
+pub fn simulate(seed: u64, config: SimulationConfig) -> SimulationReport {
+    Simulation::new(seed, config).run()
 }
 
-/// Plays the day of a seed with these faults in place of its own.
+/// Runs the simulation of a seed with this fault schedule in place of the one that the seed draws.
 pub fn simulate_schedule(
     seed: u64,
-    settings: SimulationConfig,
+    config: SimulationConfig,
     plan: FaultSchedule,
 ) -> SimulationReport {
     let mut day = Simulation::new(
         seed,
         SimulationConfig {
-            kind: FaultProfile::Quiet,
-            ..settings
+            profile: FaultProfile::Quiet,
+            ..config
         },
     );
     day.plan = plan;
@@ -65,9 +65,9 @@
 }
 
 impl Simulation {
-    fn new(seed: u64, settings: SimulationConfig) -> Simulation {
-        let mut world = World::new(fastrand::Rng::with_seed(seed), settings);
-        let plan = FaultSchedule::draw(&mut world.rng, &settings);
+    fn new(seed: u64, config: SimulationConfig) -> Simulation {
+        let mut world = World::new(fastrand::Rng::with_seed(seed), config);
+        let plan = FaultSchedule::draw(&mut world.rng, &config);
         world.seed_network();
         let clients = generate_clients(&mut world);
         let mut operator = Operator::default();
@@ -82,12 +82,12 @@
 
     fn run(mut self) -> SimulationReport {
         spdlog::default_logger().set_level_filter(spdlog::LevelFilter::Off);
-        let settings = self.world.settings;
-        while self.world.now < settings.traffic_ms + 6_000 {
+        let config = self.world.config;
+        while self.world.now < config.traffic_ms + 6_000 {
             self.step();
         }
         self.begin_closing();
-        while self.world.now < settings.traffic_ms + settings.finish_ms && !self.is_finished() {
+        while self.world.now < config.traffic_ms + config.finish_ms && !self.is_finished() {
             self.step();
         }
         self.check_end();
@@ -153,17 +153,17 @@
             let (job, accepted_at) = (client.job(), client.accepted_at);
             let text =
                 format!("LOST: not finished: {job} accepted at {accepted_at:?}, steps {shape:?}");
-            self.world.oracle.report_violation(now, text);
+            self.world.oracle.report_violation(now, &text);
         }
         if self.operator.is_busy() {
             self.world
                 .oracle
-                .report_violation(now, "CONFIG: a change has no clear answer".to_owned());
+                .report_violation(now, "CONFIG: a change has no clear answer");
         }
         if self.operator.read_at_end.is_none() {
             self.world
                 .oracle
-                .report_violation(now, "CONFIG: the configuration is not read back".to_owned());
+                .report_violation(now, "CONFIG: the configuration is not read back");
         }
     }
 
@@ -194,13 +194,13 @@
 }
 
 fn generate_clients(world: &mut World) -> Vec<Client> {
-    (1..=world.settings.jobs)
+    (1..=world.config.jobs)
         .map(|number| generate_client(number, world))
         .collect()
 }
 
 fn generate_client(number: u64, world: &mut World) -> Client {
-    let begins_at = 2_500 + world.rng.u64(0..world.settings.traffic_ms - 10_000);
+    let begins_at = 2_500 + world.rng.u64(0..world.config.traffic_ms - 10_000);
     let generated = draw(&mut world.rng, number, WALL_BEGIN_MS + begins_at);
     let cancelled = generated.expected.is_long_running() || world.rng.u32(0..15) == 0;
     let cancel_at = cancelled.then(|| begins_at + world.rng.u64(500..9_000));
--- a/crates/cluster-simulation/src/work.rs
+++ b/crates/cluster-simulation/src/work.rs
@@ -19,7 +19,7 @@
 
 impl World {
     /// A server takes the answer to its heartbeat.
-    pub fn answer(&mut self, machine: usize, incarnation: u64, answer: &HeartbeatReply) {
+    pub(crate) fn answer(&mut self, machine: usize, incarnation: u64, answer: &HeartbeatReply) {
         let now = self.now;
         if self.server_slots[machine].incarnation != incarnation {
             return;
@@ -35,7 +35,7 @@
             let task = end.finished.task;
             match end.finished.end {
                 RunEnd::Done if !end.lease_expired_since => {
-                    self.oracle.done_noted(task, end.at, now)
+                    self.oracle.done_noted(task, end.at, now);
                 }
                 RunEnd::Failed if !end.lease_expired_since => self.oracle.failure_noted(task),
                 _ => {}
@@ -141,7 +141,7 @@
     }
 
     /// Moves everything on the servers on by a step of so many milliseconds.
-    pub fn work(&mut self, step_ms: u64) {
+    pub(crate) fn work(&mut self, step_ms: u64) {
         let working_gangs = self.gangs_at_work();
         for machine in 0..self.server_slots.len() {
             self.expire_lease(machine);
@@ -217,7 +217,7 @@
     }
 
     /// Ends a run, and notes what that means for its gang.
-    pub fn end_run(&mut self, machine: usize, task: TaskId, end: RunEnd) {
+    pub(crate) fn end_run(&mut self, machine: usize, task: TaskId, end: RunEnd) {
         let now = self.now;
         let incarnation = self.server_slots[machine].incarnation;
         let Some(run) = self.server_slots[machine]
@@ -239,7 +239,7 @@
                 .is_some_and(ExpectedJob::is_excused);
             if !excused {
                 self.oracle
-                    .report_violation(now, format!("GANG: {task} ended alone"));
+                    .report_violation(now, &format!("GANG: {task} ended alone"));
             }
         }
         if run.gang {
@@ -345,8 +345,8 @@
         }
     }
 
-    /// The server dies with all that it runs, and comes back later in a new life.
-    pub fn crash(&mut self, machine: usize, back_after_ms: u64) {
+    /// The server dies with all that it runs, and comes back later in a new incarnation.
+    pub(crate) fn crash(&mut self, machine: usize, back_after_ms: u64) {
         let now = self.now;
         let incarnation = self.server_slots[machine].incarnation;
         let Some(server) = self.server_slots[machine].server.take() else {
--- a/crates/cluster-simulation/src/workload.rs
+++ b/crates/cluster-simulation/src/workload.rs
@@ -4,16 +4,16 @@
 use lupinrack_cluster_api::job::{JobSpec, Resources, Step};
 
 /// Failed runs after which a job has failed, in every queue.
-pub const MAX_RETRIES: u32 = 3;
+pub(crate) const MAX_RETRIES: u32 = 3;
 
 /// A job and the queue that it comes to.
-pub struct GeneratedJob {
+pub(crate) struct GeneratedJob {
     pub queue: &'static str,
     pub expected: ExpectedJob,
 }
 
 /// The queues, with their priorities.
-pub const QUEUES: [(&str, u32); 3] = [("q0", 0), ("q1", 1), ("q2", 2)];
+pub(crate) const QUEUES: [(&str, u32); 3] = [("q0", 0), ("q1", 1), ("q2", 2)];
 
 fn needs(cpu: u64, memory_mb: u64, gpu: u64) -> Resources {
     Resources {
@@ -94,8 +94,8 @@
     }]
 }
 
-/// A job of the kind that the seed draws. `wall` is the time of day.
-pub fn draw(rng: &mut fastrand::Rng, number: u64, wall: u64) -> GeneratedJob {
+/// Generates a job of a random kind. `wall` is the wall-clock time in milliseconds since 1970.
+pub(crate) fn draw(rng: &mut fastrand::Rng, number: u64, wall: u64) -> GeneratedJob {
     let kind = rng.u32(0..100);
     let (queue, steps) = match kind {
         0..55 => ("q0", small(rng)),
@@ -130,7 +130,7 @@
 }
 
 impl ExpectedJob {
-    pub fn is_long_running(&self) -> bool {
+    pub(crate) fn is_long_running(&self) -> bool {
         self.spec.steps.iter().any(|step| step.long_running)
     }
 }
--- a/crates/cluster-simulation/src/world.rs
+++ b/crates/cluster-simulation/src/world.rs
@@ -1,4 +1,5 @@
-//! The world of one day: machines, network and servers. It owns their state and knows nobody who acts on it.
+//! The simulated world: machines, network, servers and oracle. It owns their state and does not know who acts on it
+//! (clients, the operator, the fault schedule).
 
 use crate::config::SimulationConfig;
 use crate::configuration_body::service_of_queue;
@@ -24,10 +25,10 @@
 
 /// The place of a server.
 #[derive(Debug)]
-pub struct ServerSlot {
+pub(crate) struct ServerSlot {
     /// The server; none while it is down.
     pub server: Option<ModelServer>,
-    /// Its life, or that of the last one.
+    /// Its incarnation, or that of the last one.
     pub incarnation: u64,
     /// When it comes back.
     pub back_at: Option<u64>,
@@ -35,7 +36,7 @@
 
 /// What is on its way between a server and its agent.
 #[derive(Debug)]
-pub enum AgentLinkMessage {
+pub(crate) enum AgentLinkMessage {
     /// A heartbeat.
     Heartbeat(Box<ServerHeartbeat>, u64),
     /// The answer to one.
@@ -46,10 +47,10 @@
 
 /// Everything.
 #[derive(Debug)]
-pub struct World {
-    /// Milliseconds since the day began.
+pub(crate) struct World {
+    /// Milliseconds since the run began.
     pub now: u64,
-    pub(crate) settings: SimulationConfig,
+    pub(crate) config: SimulationConfig,
     pub(crate) injected_bug: Option<InjectedBug>,
     pub(crate) bug_state: BugState,
     pub(crate) rng: fastrand::Rng,
@@ -78,12 +79,12 @@
 }
 
 impl World {
-    /// The world at the beginning of a day.
-    pub fn new(mut rng: fastrand::Rng, settings: SimulationConfig) -> World {
+    /// The world at the beginning of a run.
+    pub(crate) fn new(mut rng: fastrand::Rng, config: SimulationConfig) -> World {
         let roles = [
-            (Role::Core, settings.cores),
-            (Role::Frontend, settings.fronts),
-            (Role::Agent, settings.servers),
+            (Role::Core, config.cores),
+            (Role::Frontend, config.fronts),
+            (Role::Agent, config.servers),
         ];
         let roles = roles
             .iter()
@@ -104,14 +105,14 @@
         };
         World {
             now: 0,
-            injected_bug: settings.injected_bug,
+            injected_bug: config.injected_bug,
             bug_state: BugState::default(),
             network: Network::new(0),
             machines,
             endpoints,
-            core_list: (0..settings.cores).collect(),
-            seeds: (0..settings.cores.min(SEEDS)).map(address_of).collect(),
-            server_slots: (0..settings.servers).map(slot).collect(),
+            core_list: (0..config.cores).collect(),
+            seeds: (0..config.cores.min(SEEDS)).map(address_of).collect(),
+            server_slots: (0..config.servers).map(slot).collect(),
             local: BTreeMap::new(),
             sequence: 0,
             gangs: BTreeMap::new(),
@@ -121,7 +122,7 @@
             oracle: Oracle::default(),
             has_configuration: false,
             closing: false,
-            settings,
+            config,
             rng,
         }
     }
@@ -143,11 +144,11 @@
     }
 
     pub(crate) fn fronts(&self) -> Range<usize> {
-        self.settings.fronts()
+        self.config.fronts()
     }
 
     pub(crate) fn agent_of(&self, slot: usize) -> usize {
-        self.settings.agents().start + slot
+        self.config.agents().start + slot
     }
 
     /// Draws other seeds from the operator's list, for processes that start from now on.
--- a/crates/cluster-simulation/tests/golden.rs
+++ b/crates/cluster-simulation/tests/golden.rs
@@ -52,20 +52,20 @@
     }
 }
 
-fn short(kind: FaultProfile) -> SimulationConfig {
+fn short(profile: FaultProfile) -> SimulationConfig {
     SimulationConfig {
-        kind,
+        profile,
         jobs: SHORT_MS / 1_000,
         traffic_ms: SHORT_MS,
         ..SimulationConfig::default()
     }
 }
 
-fn short_five(kind: FaultProfile) -> SimulationConfig {
+fn short_five(profile: FaultProfile) -> SimulationConfig {
     SimulationConfig {
         cores: 5,
         tolerance: 2,
-        ..short(kind)
+        ..short(profile)
     }
 }
 
@@ -212,8 +212,8 @@
     }
 }
 
-fn kind_word(kind: FaultProfile) -> &'static str {
-    match kind {
+fn kind_word(profile: FaultProfile) -> &'static str {
+    match profile {
         FaultProfile::Quiet => "quiet",
         FaultProfile::Mixed => "usual",
         FaultProfile::Severe => "worst",
@@ -278,8 +278,8 @@
 fn plan_by_hand() -> FaultSchedule {
     let core = |kind, selector| Fault::Core(kind, selector);
     let crash_on_ack = |after, crash| Fault::CrashOnAck(CrashOnAck { after, crash });
-    let settings = SimulationConfig::default();
-    let (front, side) = (settings.fronts().start, settings.agents().start);
+    let config = SimulationConfig::default();
+    let (front, side) = (config.fronts().start, config.agents().start);
     let active_faults = [
         core(CoreFault::Kill, CoreSelector::Index(0)),
         Fault::Operator(OperatorAction::Change),
@@ -360,12 +360,12 @@
 }
 
 fn day_by_hand(seed: u64, injected_bug: Option<InjectedBug>) -> SimulationReport {
-    let settings = SimulationConfig {
+    let config = SimulationConfig {
         injected_bug,
         jobs: 30,
         ..SimulationConfig::default()
     };
-    simulate_schedule(seed, settings, plan_by_hand())
+    simulate_schedule(seed, config, plan_by_hand())
 }
 
 #[test]
@@ -378,14 +378,14 @@
     ]
     .map(short);
     let scenes = FaultScenario::ALL.map(|scenario| short_five(FaultProfile::Only(scenario)));
-    for settings in three
+    for config in three
         .into_iter()
         .chain([short_five(FaultProfile::Mixed)])
         .chain(scenes)
     {
         for seed in 1..=2 {
-            let plan = FaultSchedule::draw(&mut fastrand::Rng::with_seed(seed), &settings);
-            let (kind, cores) = (kind_word(settings.kind), settings.cores);
+            let plan = FaultSchedule::draw(&mut fastrand::Rng::with_seed(seed), &config);
+            let (kind, cores) = (kind_word(config.profile), config.cores);
             text += &format!("{kind}, {cores} cores, seed {seed}\n{}\n", plan_text(&plan));
         }
     }
@@ -400,14 +400,14 @@
 #[test]
 fn runs_stay_the_same() {
     let mut text = String::new();
-    let mut play_days = |seeds: std::ops::RangeInclusive<u64>, settings: SimulationConfig| {
+    let mut play_days = |seeds: std::ops::RangeInclusive<u64>, config: SimulationConfig| {
         for seed in seeds {
             let name = format!(
                 "{}, {} cores, seed {seed}",
-                kind_word(settings.kind),
-                settings.cores
+                kind_word(config.profile),
+                config.cores
             );
-            text += &report_text(&name, &simulate(seed, settings));
+            text += &report_text(&name, &simulate(seed, config));
         }
     };
     play_days(1..=1, short(FaultProfile::Quiet));
@@ -430,11 +430,11 @@
 #[test]
 fn mixed_fault_runs_with_injected_bugs_stay_the_same() {
     let day = |injected_bug| {
-        let settings = SimulationConfig {
+        let config = SimulationConfig {
             injected_bug: Some(injected_bug),
             ..short(FaultProfile::Mixed)
         };
-        report_text(planted_word(injected_bug), &simulate(4, settings))
+        report_text(planted_word(injected_bug), &simulate(4, config))
     };
     assert_golden("planted-usual.txt", &InjectedBug::ALL.map(day).concat());
 }
--- a/crates/cluster-simulation/tests/injected_bugs.rs
+++ b/crates/cluster-simulation/tests/injected_bugs.rs
@@ -51,11 +51,11 @@
             "seed {seed} without the fault: {:#?}",
             sound.violations
         );
-        let settings = SimulationConfig {
+        let config = SimulationConfig {
             injected_bug: Some(injected_bug),
             ..SimulationConfig::default()
         };
-        let violations = simulate_schedule(seed, settings, plan.clone()).violations;
+        let violations = simulate_schedule(seed, config, plan.clone()).violations;
         caught |= violations.iter().any(|line| line.contains(rule));
     }
     assert!(caught, "{injected_bug:?} is not caught by {rule}");
@@ -63,12 +63,12 @@
 
 /// Agents are cut off from the core for longer than a hold lasts, again and again.
 fn agents_cut_off() -> FaultSchedule {
-    let settings = SimulationConfig::default();
-    let first = settings.cores + settings.fronts;
+    let config = SimulationConfig::default();
+    let first = config.cores + config.fronts;
     let partition = |number: usize| ScheduledFault {
         at: 5_000 + 1_500 * number as u64,
         duration_ms: 4_500,
-        fault: Fault::AgentPartition(first + number % settings.servers, false),
+        fault: Fault::AgentPartition(first + number % config.servers, false),
     };
     FaultSchedule::of((0..16).map(partition).collect())
 }
@@ -80,11 +80,11 @@
 
 /// Fronts are cut off from the core for longer than clients wait, again and again.
 fn fronts_cut_off() -> FaultSchedule {
-    let settings = SimulationConfig::default();
+    let config = SimulationConfig::default();
     let partition = |number: usize| ScheduledFault {
         at: 5_000 + 3_500 * number as u64,
         duration_ms: 2_900,
-        fault: Fault::FrontPartition(settings.cores + number % settings.fronts),
+        fault: Fault::FrontPartition(config.cores + number % config.fronts),
     };
     FaultSchedule::of((0..9).map(partition).collect())
 }
@@ -137,14 +137,14 @@
         [2, 0, 1],
         [2, 1, 0],
     ];
-    let settings = SimulationConfig {
+    let config = SimulationConfig {
         injected_bug,
         ..SimulationConfig::default()
     };
     let day = |[old, newest, empty]: [usize; 3]| {
         simulate_schedule(
             seed,
-            settings,
+            config,
             empty_disk_beside_an_old_one(old, newest, empty),
         )
     };
--- a/crates/cluster-simulation/tests/injected_control_bugs.rs
+++ b/crates/cluster-simulation/tests/injected_control_bugs.rs
@@ -41,14 +41,14 @@
     traffic_ms: u64,
     injected_bug: Option<InjectedBug>,
 ) -> Vec<SimulationReport> {
-    let settings = SimulationConfig {
-        kind: FaultProfile::Only(scenario),
+    let config = SimulationConfig {
+        profile: FaultProfile::Only(scenario),
         traffic_ms,
         jobs: traffic_ms / 1_000,
         injected_bug,
         ..SimulationConfig::default()
     };
-    seeds.iter().map(|seed| simulate(*seed, settings)).collect()
+    seeds.iter().map(|seed| simulate(*seed, config)).collect()
 }
 
 fn core(at: u64, duration_ms: u64, kind: CoreFault, selector: CoreSelector) -> ScheduledFault {
@@ -129,14 +129,14 @@
         InjectedBug::VotersRemovedByMinority,
         &rules,
         |injected_bug| {
-            let settings = SimulationConfig {
+            let config = SimulationConfig {
                 cores: 5,
                 tolerance: 1,
                 injected_bug,
                 ..SimulationConfig::default()
             };
             (1..=3)
-                .map(|seed| simulate_schedule(seed, settings, minority_cut_off()))
+                .map(|seed| simulate_schedule(seed, config, minority_cut_off()))
                 .collect()
         },
     );
@@ -158,11 +158,11 @@
 
 /// Fronts are killed and come back at once, again and again, while slow links of the head make answers late.
 fn fronts_come_back_at_once() -> FaultSchedule {
-    let settings = SimulationConfig::default();
+    let config = SimulationConfig::default();
     let kill = |number: usize| ScheduledFault {
         at: 6_000 + 800 * number as u64,
         duration_ms: 30,
-        fault: Fault::FrontKill(settings.cores + number % settings.fronts),
+        fault: Fault::FrontKill(config.cores + number % config.fronts),
     };
     let mut entries: Vec<ScheduledFault> = (0..38).map(kill).collect();
     entries.push(core(
@@ -184,13 +184,13 @@
         "CONFIG: submission",
     ];
     assert_caught(InjectedBug::ReplyMatchedByNumber, &rules, |injected_bug| {
-        let settings = SimulationConfig {
+        let config = SimulationConfig {
             finish_ms: 60_000,
             injected_bug,
             ..SimulationConfig::default()
         };
         (1..=4)
-            .map(|seed| simulate_schedule(seed, settings, fronts_come_back_at_once()))
+            .map(|seed| simulate_schedule(seed, config, fronts_come_back_at_once()))
             .collect()
     });
 }
--- a/crates/cluster-simulation/tests/mixed_faults.rs
+++ b/crates/cluster-simulation/tests/mixed_faults.rs
@@ -5,9 +5,9 @@
     SimulationReport,
 };
 
-fn check(seeds: impl Iterator<Item = u64>, settings: SimulationConfig) {
+fn check(seeds: impl Iterator<Item = u64>, config: SimulationConfig) {
     for seed in seeds {
-        let report = simulate(seed, settings);
+        let report = simulate(seed, config);
         assert!(
             report.violations.is_empty(),
             "seed {seed}: {:#?}",
@@ -50,12 +50,12 @@
 
 /// Agents stand still for longer than a hold lasts, again and again: what lapsed meanwhile must not come back.
 fn agents_stand_still() -> FaultSchedule {
-    let settings = SimulationConfig::default();
-    let first = settings.cores + settings.fronts;
+    let config = SimulationConfig::default();
+    let first = config.cores + config.fronts;
     let freeze = |number: usize| ScheduledFault {
         at: 5_000 + 900 * number as u64,
         duration_ms: 3_800,
-        fault: Fault::AgentSuspend(first + number % settings.servers),
+        fault: Fault::AgentSuspend(first + number % config.servers),
     };
     FaultSchedule::of((0..36).map(freeze).collect())
 }
--- a/crates/cluster-simulation/tests/severe_scenarios.rs
+++ b/crates/cluster-simulation/tests/severe_scenarios.rs
@@ -5,13 +5,13 @@
     simulate, FaultProfile, FaultScenario, SimulationConfig, SimulationReport,
 };
 
-fn check(scenario: FaultScenario, seeds: impl Iterator<Item = u64>, settings: SimulationConfig) {
+fn check(scenario: FaultScenario, seeds: impl Iterator<Item = u64>, config: SimulationConfig) {
     for seed in seeds {
         let report = simulate(
             seed,
             SimulationConfig {
-                kind: FaultProfile::Only(scenario),
-                ..settings
+                profile: FaultProfile::Only(scenario),
+                ..config
             },
         );
         assert!(
