--- a/crates/cluster-simulation/src/machine/agent.rs
+++ b/crates/cluster-simulation/src/machine/agent.rs
@@ -4,7 +4,7 @@
 use lupinrack_cluster_api::identity::{PeerAddress, ServerId};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
-use lupinrack_cluster_node::agent::machine::{SideEffect, SideMachine};
+use lupinrack_cluster_node::agent::machine::{AgentEffect, AgentMachine};
 use lupinrack_worker_agent::{AgentSettings, ServerHeartbeat};
 
 /// A heartbeat of the server, as it is known again in the answer.
@@ -19,12 +19,12 @@
 }
 
 /// What an agent's process does.
-pub(crate) type AgentEffect = SideEffect<HeartbeatCall>;
+pub(crate) type HeartbeatAgentEffect = AgentEffect<HeartbeatCall>;
 
 /// The process of an agent.
 #[derive(Debug)]
 pub(crate) struct AgentProcess {
-    machine: SideMachine<HeartbeatCall>,
+    machine: AgentMachine<HeartbeatCall>,
     /// The processes that membership reports as alive, whether they are or not.
     table: LiveTable,
     has_ended: bool,
@@ -40,7 +40,7 @@
         now: Millis,
     ) -> AgentProcess {
         AgentProcess {
-            machine: SideMachine::new(own, seeds, None, config, now),
+            machine: AgentMachine::new(own, seeds, None, config, now),
             table,
             has_ended: false,
         }
@@ -52,12 +52,16 @@
         from: PeerAddress,
         frame: Frame,
         now: Millis,
-    ) -> Vec<AgentEffect> {
+    ) -> Vec<HeartbeatAgentEffect> {
         self.machine.on_frame(from, frame, now)
     }
 
     /// A connection ended.
-    pub(crate) fn on_closed(&mut self, from: PeerAddress, now: Millis) -> Vec<AgentEffect> {
+    pub(crate) fn on_closed(
+        &mut self,
+        from: PeerAddress,
+        now: Millis,
+    ) -> Vec<HeartbeatAgentEffect> {
         self.machine.on_closed(from, now)
     }
 
@@ -67,7 +71,7 @@
         heartbeat: ServerHeartbeat,
         sent_at: u64,
         now: Millis,
-    ) -> Vec<AgentEffect> {
+    ) -> Vec<HeartbeatAgentEffect> {
         let call = HeartbeatCall {
             server: heartbeat.facts.id.clone(),
             sent_at,
@@ -83,7 +87,7 @@
     }
 
     /// The open heartbeat has waited for long enough.
-    pub(crate) fn on_answer_due(&mut self, now: Millis) -> Vec<AgentEffect> {
+    pub(crate) fn on_answer_due(&mut self, now: Millis) -> Vec<HeartbeatAgentEffect> {
         self.machine.on_answer_due(now)
     }
 
@@ -95,12 +99,16 @@
     }
 
     /// The server has left in order.
-    pub(crate) fn on_deregister(&mut self, server: ServerId, now: Millis) -> Vec<AgentEffect> {
-        self.machine.on_leave(server, now)
+    pub(crate) fn on_deregister(
+        &mut self,
+        server: ServerId,
+        now: Millis,
+    ) -> Vec<HeartbeatAgentEffect> {
+        self.machine.on_deregister(server, now)
     }
 
     /// It is asked to shut down, and does so at once.
-    pub(crate) fn on_terminate(&mut self) -> Vec<AgentEffect> {
+    pub(crate) fn on_terminate(&mut self) -> Vec<HeartbeatAgentEffect> {
         self.has_ended = true;
         Vec::new()
     }
@@ -111,7 +119,7 @@
     }
 
     /// Time has passed.
-    pub(crate) fn on_tick(&mut self, now: Millis) -> Vec<AgentEffect> {
+    pub(crate) fn on_tick(&mut self, now: Millis) -> Vec<HeartbeatAgentEffect> {
         self.machine.on_tick(&self.table, now)
     }
 }
--- a/crates/cluster-simulation/src/pending_call.rs
+++ b/crates/cluster-simulation/src/pending_call.rs
@@ -2,7 +2,7 @@
 
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::request::{Reply, Request};
-use lupinrack_cluster_node::control_api::ControlCall;
+use lupinrack_cluster_node::control_api::HeadCall;
 use tokio::sync::oneshot;
 use tokio::sync::oneshot::error::TryRecvError;
 
@@ -26,11 +26,11 @@
 }
 
 /// A call to be handed to a process, and what its caller keeps.
-pub(crate) fn call(request: Request, now: u64, wait_ms: u64) -> (ControlCall, PendingCall) {
-    let (answerer, reply) = oneshot::channel();
-    let call = ControlCall {
+pub(crate) fn call(request: Request, now: u64, wait_ms: u64) -> (HeadCall, PendingCall) {
+    let (reply_to, reply) = oneshot::channel();
+    let call = HeadCall {
         request,
-        answerer,
+        reply_to,
         remaining_ms: wait_ms,
     };
     (
