--- a/crates/chain/tests/golden.rs
+++ b/crates/chain/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Encoded forms that must stay as they are: the standing on the disk, snapshots and their checksum, and the messages of
+//! Encoded forms that must stay as they are: the status on the disk, snapshots and their checksum, and the messages of
 //! replicas.
 
 mod common;
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn the_standing_on_the_disk() {
+fn the_status_on_the_disk() {
     let name = |replica_status| match replica_status {
         ReplicaStatus::Complete => "complete",
         ReplicaStatus::Joining => "joining",
@@ -61,9 +61,9 @@
     check_text(path!("checksum.hex"), &lengths.map(line).concat());
 }
 
-/// The message up to the piece's bytes, whose own part is kept as their number and their checksum.
+/// The message up to the chunk's bytes, whose own part is kept as their number and their checksum.
 #[test]
-fn the_pieces_of_a_snapshot() {
+fn the_chunks_of_a_snapshot() {
     let mut text = String::new();
     for length in [
         0,
--- a/crates/cluster-api/tests/golden.rs
+++ b/crates/cluster-api/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The wire forms of all types, compared with the examples in `tests/golden`.
 //!
-//! Every variant and every optional field occurs, and no two fields of a value are equal where their types let them
-//! differ, so that a swap of fields shows.
+//! Every variant and every optional field occurs, and no two fields of a value are equal where
+//! their types let them differ, so that a swap of fields shows.
 
 mod golden_values;
 
@@ -143,6 +143,11 @@
     }
     file.check();
     assert_eq!(ERROR_KINDS.map(|(_, kind)| kind), ErrorKind::ALL);
+    let unused_tag = [ErrorKind::ALL.len() as u8];
+    assert!(
+        borsh::from_slice::<ErrorKind>(&unused_tag).is_err(),
+        "a kind is missing in the list of all"
+    );
 }
 
 #[test]
