--- a/crates/extent-map-driver/src/lib.rs
+++ b/crates/extent-map-driver/src/lib.rs
@@ -17,7 +17,7 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use lupinrack_extent_map::config::Section;
 use lupinrack_extent_map::{datagram, Action, Counters, Input};
-use lupinrack_request_engine::Handle;
+use lupinrack_request_engine::EngineHandle;
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -55,7 +55,7 @@
 
 /// The driver of one front's map.
 pub struct Driver {
-    core: Handle,
+    core: EngineHandle,
     authority: SocketAddr,
     client: Client<HttpConnector, Empty<Bytes>>,
     socket: Option<Arc<UdpSocket>>,
@@ -65,7 +65,7 @@
 
 impl Driver {
     /// A driver as the section wants it; it listens to peers from now on.
-    pub async fn new(section: &Section, core: Handle) -> std::io::Result<Driver> {
+    pub async fn new(section: &Section, core: EngineHandle) -> std::io::Result<Driver> {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT));
         connector.set_nodelay(true);
@@ -106,14 +106,16 @@
                     let from = from.map_or(String::new(), |v| format!("from={v}&"));
                     let path = format!("/extents?{from}hold_ms={}", hold.as_millis());
                     let (call, core) = (self.call(path, hold + PATIENCE), self.core.clone());
-                    tasks.spawn(async move { core.extents(Input::Polled(call.await)).await });
+                    tasks.spawn(
+                        async move { core.extent_map_input(Input::Polled(call.await)).await },
+                    );
                 }
                 Action::Fetch { volume, key } => {
                     let key = key.map_or(String::new(), |k| format!("?key={:x}", k.0));
                     let path = format!("/extents/volume/{:x}{key}", volume.0);
                     let (call, core) = (self.call(path, PATIENCE), self.core.clone());
                     tasks.spawn(async move {
-                        core.extents(Input::Fetched {
+                        core.extent_map_input(Input::Fetched {
                             volume,
                             answer: call.await,
                         })
@@ -176,14 +178,14 @@
 }
 
 /// Hears what peers tell; what comes from anybody else is dropped.
-async fn listen(socket: Arc<UdpSocket>, peers: Arc<[SocketAddr]>, core: Handle) {
+async fn listen(socket: Arc<UdpSocket>, peers: Arc<[SocketAddr]>, core: EngineHandle) {
     // One byte more than allowed: a longer datagram shows by its length.
     let mut buffer = [0; datagram::LONGEST + 1];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, from)) => {
                 if let Some(peer) = peers.iter().position(|p| *p == from) {
-                    core.extents(Input::Peer(peer as u16, buffer[..length].to_vec()))
+                    core.extent_map_input(Input::Peer(peer as u16, buffer[..length].to_vec()))
                         .await;
                 }
             }
--- a/crates/extent-map-driver/tests/golden.rs
+++ b/crates/extent-map-driver/tests/golden.rs
@@ -5,7 +5,7 @@
 use lupinrack_extent_map_driver::Driver;
 use lupinrack_golden_files::{path, GoldenFile};
 use lupinrack_policy::{Key, Settings, VolumeId};
-use lupinrack_request_engine::{Clock, Core};
+use lupinrack_request_engine::{Clock, EngineParts};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
@@ -31,7 +31,11 @@
         authority: authority.local_addr().unwrap(),
         ..Section::default()
     };
-    let (_core, handle, _probes) = Core::new(Settings::default(), 1, Clock::start());
+    let EngineParts {
+        engine: _engine,
+        handle,
+        health_checks: _health_checks,
+    } = EngineParts::new(Settings::default(), 1, Clock::start());
     let driver = Driver::new(&section, handle).await.unwrap();
     let (actions, to_do) = mpsc::channel(4);
     let (_counters, counted) = watch::channel(Counters::default());
--- a/crates/fleet-driver/src/lib.rs
+++ b/crates/fleet-driver/src/lib.rs
@@ -16,7 +16,7 @@
 use lupinrack_graceful_shutdown::Phase;
 use lupinrack_peer_transport::{Tag, LONGEST};
 use lupinrack_policy::QuotaShares;
-use lupinrack_request_engine::Handle;
+use lupinrack_request_engine::EngineHandle;
 use machines::Machines;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -64,7 +64,7 @@
 pub struct Driver {
     section: Section,
     me: u16,
-    core: Handle,
+    core: EngineHandle,
     listen: SocketAddr,
     peers: HashMap<SocketAddr, u16>,
     asked: mpsc::Receiver<oneshot::Sender<Report>>,
@@ -77,7 +77,7 @@
     /// A driver as the section wants it.
     pub fn new(
         section: Section,
-        core: Handle,
+        core: EngineHandle,
         shared: bool,
     ) -> Result<(Driver, Fleet), StartError> {
         let me = section
@@ -125,7 +125,7 @@
             0.0
         };
         self.core
-            .rights(QuotaShares {
+            .set_quota_shares(QuotaShares {
                 reserve,
                 slow_start: reserve,
                 ..QuotaShares::default()
@@ -226,8 +226,8 @@
                 }
                 if now >= ask {
                     ask = now + SERVED;
-                    for (volume, hosts) in self.core.serving().await? {
-                        front.serves(now, volume, hosts);
+                    for served in self.core.take_served_volumes().await? {
+                        front.serves(now, served.volume, served.hosts);
                     }
                 }
                 front.tick(clock.now(), &mut out);
@@ -236,7 +236,7 @@
             let rights = front.rights(clock.now());
             if told.as_ref() != Some(&rights) {
                 note(&rights, clock.now());
-                self.core.rights(rights.clone()).await;
+                self.core.set_quota_shares(rights.clone()).await;
                 told = Some(rights);
             }
             self.machines.stands(|| front.standing(clock.now()));
--- a/crates/flow-export/src/lib.rs
+++ b/crates/flow-export/src/lib.rs
@@ -44,14 +44,14 @@
 fn end_reason(end: FlowEnd) -> u8 {
     match end {
         FlowEnd::Served => 3,
-        FlowEnd::Refused | FlowEnd::Failed | FlowEnd::ClientGone => 4,
+        FlowEnd::Rejected | FlowEnd::Failed | FlowEnd::ClientGone => 4,
     }
 }
 
 fn end_code(end: FlowEnd) -> u8 {
     match end {
         FlowEnd::Served => 0,
-        FlowEnd::Refused => 1,
+        FlowEnd::Rejected => 1,
         FlowEnd::Failed => 2,
         FlowEnd::ClientGone => 3,
     }
--- a/crates/flow-export/tests/golden.rs
+++ b/crates/flow-export/tests/golden.rs
@@ -40,7 +40,7 @@
 fn flows() -> Vec<(&'static str, Flow)> {
     vec![
         ("served", flow(1, FlowEnd::Served)),
-        ("refused", flow(2, FlowEnd::Refused)),
+        ("refused", flow(2, FlowEnd::Rejected)),
         ("failed", flow(3, FlowEnd::Failed)),
         ("client gone", flow(4, FlowEnd::ClientGone)),
     ]
--- a/crates/http/src/accept.rs
+++ b/crates/http/src/accept.rs
@@ -21,7 +21,7 @@
 use lupinrack_front_settings::Told;
 use lupinrack_graceful_shutdown::{reached, Phase};
 use lupinrack_metrics::{End, Figures, Life};
-use lupinrack_request_engine::Handle;
+use lupinrack_request_engine::EngineHandle;
 use std::convert::Infallible;
 use std::future::Future;
 use std::pin::Pin;
@@ -47,7 +47,7 @@
 #[derive(Clone)]
 pub struct Front {
     /// The core.
-    pub core: Handle,
+    pub core: EngineHandle,
     /// The way to the nodes.
     pub upstream: Upstream,
     /// The settings in use.
--- a/crates/http/src/probe.rs
+++ b/crates/http/src/probe.rs
@@ -1,7 +1,7 @@
 //! The prober: looks at a node when the module asks for it.
 
 use crate::upstream::Upstream;
-use lupinrack_request_engine::{Handle, Target};
+use lupinrack_request_engine::{EngineHandle, NodeTarget};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, Semaphore};
@@ -12,7 +12,7 @@
 const OUT_MOST: usize = 16;
 
 /// Runs until the core is gone.
-pub async fn run(core: Handle, upstream: Upstream, mut targets: mpsc::Receiver<Target>) {
+pub async fn run(core: EngineHandle, upstream: Upstream, mut targets: mpsc::Receiver<NodeTarget>) {
     let room = Arc::new(Semaphore::new(OUT_MOST));
     while let Some(target) = targets.recv().await {
         let Ok(permit) = room.clone().acquire_owned().await else {
@@ -22,7 +22,7 @@
         tokio::spawn(async move {
             let began = core.clock.now();
             let ended = upstream.probe(target.address, PATIENCE).await;
-            core.probed(
+            core.health_checked(
                 target.node,
                 ended.outcome,
                 core.clock.now() - began,
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -9,7 +9,7 @@
 use http::{header, HeaderValue, Response, StatusCode};
 use lupinrack_graceful_shutdown::{reached, Phase};
 use lupinrack_policy::*;
-use lupinrack_request_engine::{Handle, Order, Teller};
+use lupinrack_request_engine::{EngineHandle, Order, RequestReporter};
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 
@@ -54,7 +54,7 @@
 
 /// Serves one request. `client` takes its one final answer; closed, the client has gone, as it has where `visit` says so.
 pub async fn serve(
-    core: Handle,
+    core: EngineHandle,
     upstream: Upstream,
     mut phase: watch::Receiver<Phase>,
     request: Request,
@@ -64,7 +64,7 @@
     // Taken: the module hears of it, and every order it gives comes back here.
     let span = tracing::Span::current();
     let mut ticket = core.open(request).await;
-    let teller = ticket.teller();
+    let reporter = ticket.reporter();
     let (_waiting, waiting) = watch::channel(());
     let waiting = Waiting::new(waiting, visit);
     let mut client = Some(Client {
@@ -80,15 +80,15 @@
             // The client left before its answer. What is out still ends properly; what is not, never begins.
             () = closed(&mut client) => {
                 client = None;
-                teller.client_gone().await;
+                reporter.client_gone().await;
             }
-            order = ticket.order() => match order {
+            order = ticket.next_order() => match order {
                 // The module sends it out.
                 Some(Order::Send(attempt)) => {
                     let (number, (cancel, cancelled)) = (attempt.number, oneshot::channel::<()>());
                     cancels.push((number, cancel));
                     span.record("attempt", number);
-                    tracing::debug!(node = &*attempt.to.name, "sent");
+                    tracing::debug!(node = &*attempt.target.name, "sent");
                     let exchange = upstream.attempt(parcel.clone(), attempt, begins.clone(), waiting.clone());
                     attempts.push(async move {
                         tokio::select! {
@@ -105,7 +105,7 @@
                 // Answers are collected whole: no transfer here asks for more.
                 Some(Order::Grant) => {}
                 // The module has given up: the client hears at once.
-                Some(Order::Refuse(after)) => answer(&mut client, Answer::Whole(refused(after))),
+                Some(Order::Reject(after)) => answer(&mut client, Answer::Whole(refused(after))),
                 Some(Order::Fail) => answer(&mut client, Answer::Whole(failed())),
                 // Over, with nothing out.
                 None => return,
@@ -113,42 +113,42 @@
             Some((number, ended)) = attempts.next() => {
                 // One that began and ended in the same turn: its beginning stands here still, and comes first.
                 if let Ok(begun) = begun.try_recv() {
-                    begin(&mut client, &teller, begun).await;
+                    begin(&mut client, &reporter, begun).await;
                 }
                 let Ended { outcome, body, passed, load, hint } = ended;
                 tracing::debug!(attempt = number, ?outcome, "attempt ended");
                 if let Some(bytes) = passed {
-                    teller.moved(bytes).await;
+                    reporter.bytes_forwarded(bytes).await;
                 } else if outcome == Outcome::Ok {
                     if client.is_some() {
-                        teller.moved(body.len() as u64).await;
+                        reporter.bytes_forwarded(body.len() as u64).await;
                     }
                     answer(&mut client, Answer::Whole(Response::new(Body::from(body))));
                 }
                 // What began to pass on and stopped: its client went, or hears of it by a broken frame.
                 if passed.is_some() && outcome != Outcome::Ok {
-                    teller.client_gone().await;
+                    reporter.client_gone().await;
                 }
                 match outcome {
-                    Outcome::WrongShard => teller.turned_away(number, hint).await,
-                    _ => teller.ended(number, outcome, load).await,
+                    Outcome::WrongShard => reporter.wrong_shard(number, hint).await,
+                    _ => reporter.attempt_ended(number, outcome, load).await,
                 }
             }
             // An answer too long to be collected: from here on it belongs to the client, and is never made again.
-            Some(begun) = begun.recv() => begin(&mut client, &teller, begun).await,
+            Some(begun) = begun.recv() => begin(&mut client, &reporter, begun).await,
             // The program must be out in a moment: whatever this waits for, its client hears now.
             () = reached(&mut phase, Phase::Over), if client.is_some() => {
                 answer(&mut client, Answer::Whole(failed()));
-                teller.client_gone().await;
+                reporter.client_gone().await;
             }
         }
     }
 }
 
 /// Hands over an answer that passes on as it comes; where another was first, dropping it ends its attempt.
-async fn begin(client: &mut Option<Client>, teller: &Teller, begun: Begun) {
+async fn begin(client: &mut Option<Client>, reporter: &RequestReporter, begun: Begun) {
     if let Some(client) = client.take() {
-        teller.began(begun.number).await;
+        reporter.response_started(begun.number).await;
         let Begun {
             length,
             taken,
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -125,25 +125,25 @@
         begins: mpsc::Sender<Begun>,
         mut waiting: Waiting,
     ) -> Ended {
-        let late = tokio::time::sleep_until(self.clock.instant(attempt.until));
+        let late = tokio::time::sleep_until(self.clock.instant(attempt.timeout_at));
         tokio::pin!(late);
         let line = tokio::select! {
             biased;
             // Told to drain while the connection was still coming up: this send must not go out any more.
-            () = attempt.to.stopped(self.clock) => return Outcome::ConnectFailed.into(),
+            () = attempt.target.stopped(self.clock) => return Outcome::ConnectFailed.into(),
             () = waiting.over() => return Outcome::NotSent.into(),
-            line = self.lines.line(attempt.to.address) => line,
+            line = self.lines.line(attempt.target.address) => line,
             () = &mut late => return Outcome::ConnectFailed.into(),
         };
         let mut line = match line {
             Ok(line) => line,
             Err(why) => return unconnected(&why).into(),
         };
-        let left = (attempt.until - self.clock.now()).max(0);
+        let left = (attempt.timeout_at - self.clock.now()).max(0);
         let mut request = HttpRequest::builder()
             .method(parcel.method)
             .uri(http::Uri::from(parcel.target))
-            .header(header::HOST, attempt.to.address.to_string())
+            .header(header::HOST, attempt.target.address.to_string())
             .header(&REQUEST_ID, parcel.id);
         if let Some(key) = parcel.key {
             request = request.header(&IDEMPOTENCY_KEY, key);
--- a/crates/lupinrack/src/lib.rs
+++ b/crates/lupinrack/src/lib.rs
@@ -14,7 +14,7 @@
 pub use lupinrack_flow_export as ipfix;
 pub use lupinrack_front_settings as settings;
 pub use lupinrack_policy::*;
-pub use lupinrack_request_engine as core;
+pub use lupinrack_request_engine as engine;
 pub use lupinrack_rsync as rsync;
 
 /// The platform's front and what the platform tells it.
--- a/crates/lupinrack/src/serve.rs
+++ b/crates/lupinrack/src/serve.rs
@@ -18,7 +18,7 @@
 use lupinrack_overload::Section as OverloadSection;
 use lupinrack_peer_transport::Tag;
 use lupinrack_platform::{clock::Epoch, config::Config, discovery::Watch, inherited, reload};
-use lupinrack_request_engine::{Clock, Core, Handle};
+use lupinrack_request_engine::{Clock, EngineHandle, EngineParts, ExtentMapChannels};
 use lupinrack_rsync::{config::RsyncConfig, daemon};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -100,7 +100,7 @@
     /// Where its clients connect.
     pub listen: SocketAddr,
     /// Its core.
-    pub core: Handle,
+    pub core: EngineHandle,
     /// What it counts.
     pub figures: Figures,
     /// What its map of extents did so far.
@@ -165,10 +165,14 @@
     let told = Arc::new(config.told);
     let figures = Figures::default();
     figures.classes(told.classes.iter().map(String::as_str));
-    let (mut core, handle, targets) = Core::new(told.module.clone(), config.seed, clock);
+    let EngineParts {
+        mut engine,
+        handle,
+        health_checks: targets,
+    } = EngineParts::new(told.module.clone(), config.seed, clock);
     if let Some(config) = ipfix {
         let (to, flows) = mpsc::channel(lupinrack_flow_export::WAITING_MOST);
-        core = core.tell_flows(to);
+        engine = engine.export_flows(to);
         tracing::info!("flows go to {}", config.collector);
         tokio::spawn(async move {
             if let Err(why) = lupinrack_flow_export::run(config, epoch.unix_offset(), flows).await {
@@ -180,8 +184,12 @@
     let mut driver = None;
     if let Some(section) = extents {
         let cache = cache(&section, clock.now());
-        let (with, actions, seen) = core.with_extents(cache);
-        (core, counters) = (with, seen.clone());
+        let (with_map, channels) = engine.with_extent_map(cache);
+        let ExtentMapChannels {
+            actions,
+            counters: seen,
+        } = channels;
+        (engine, counters) = (with_map, seen.clone());
         tracing::info!("extents from {}", section.authority);
         driver = Some(tokio::spawn(
             Driver::new(&section, handle.clone())
@@ -202,7 +210,7 @@
         room.clone(),
         figures.clone(),
     );
-    let core = tokio::spawn(core.run());
+    let core = tokio::spawn(engine.run());
     let (zones, how, seed) = (
         told.zones.clone(),
         (told.module.discovery, told.module.hosts),
@@ -323,7 +331,7 @@
 /// Opens the operators' door. An address that cannot be had stops the start.
 async fn door(
     address: SocketAddr,
-    core: Handle,
+    core: EngineHandle,
     figures: Figures,
     phase: watch::Receiver<Phase>,
     fleet: Option<Fleet>,
@@ -343,9 +351,12 @@
             match (call, phase) {
                 (Call::Status, Phase::Ready) => Answer::Yes("ready"),
                 (Call::Status, _) => Answer::No("ending".into()),
-                (Call::Stats, _) => match core.targets().await {
-                    Some((listed, disabled)) => {
-                        let mut text = figures.text(Targets { listed, disabled });
+                (Call::Stats, _) => match core.count_nodes().await {
+                    Some(nodes) => {
+                        let mut text = figures.text(Targets {
+                            listed: nodes.listed,
+                            disabled: nodes.avoided,
+                        });
                         if let Some(report) = fleet_report(&fleet).await {
                             text += &report.figures();
                         }
@@ -398,7 +409,7 @@
 
 async fn second_front(
     config: Option<RsyncConfig>,
-    core: &Handle,
+    core: &EngineHandle,
     connect: Duration,
     phase: &watch::Receiver<Phase>,
 ) -> std::io::Result<Option<impl Future<Output = ()>>> {
--- a/crates/lupinrack/src/takeover.rs
+++ b/crates/lupinrack/src/takeover.rs
@@ -3,7 +3,7 @@
 
 use lupinrack_graceful_shutdown::Phase;
 use lupinrack_hot_restart::{Post, Share, Step};
-use lupinrack_request_engine::Handle;
+use lupinrack_request_engine::EngineHandle;
 use std::path::PathBuf;
 use std::time::Duration;
 use tokio::sync::watch;
@@ -18,14 +18,14 @@
 /// This process among those of its front.
 pub struct Takeover {
     post: Post,
-    core: Handle,
+    core: EngineHandle,
     share: Share,
 }
 
 impl Takeover {
     /// Takes a place in `$TMPDIR` and waits a moment for a part. None where there is no such folder: the process then goes by the
     /// whole, as one that is alone.
-    pub async fn begin(core: Handle) -> Option<Takeover> {
+    pub async fn begin(core: EngineHandle) -> Option<Takeover> {
         let folder = std::env::var_os("TMPDIR")
             .map(PathBuf::from)
             .filter(|f| !f.as_os_str().is_empty());
@@ -40,7 +40,7 @@
                 return None;
             }
         };
-        core.part(0.0).await;
+        core.set_process_share(0.0).await;
         let mut takeover = Takeover {
             post,
             core,
@@ -77,7 +77,7 @@
                     }
                 }
                 Step::Use(part) => {
-                    self.core.part(part).await;
+                    self.core.set_process_share(part).await;
                     tracing::info!("uses {part:.2} of this front's limits");
                     if let Err(why) = self.post.publish(part) {
                         // Others go on by the greater word.
--- a/crates/lupinrack/tests/common/front.rs
+++ b/crates/lupinrack/tests/common/front.rs
@@ -1,6 +1,6 @@
 //! The fronts on loopback, with one core, as the program starts them.
 
-use lupinrack::core::{Clock, Core, Handle, Listing};
+use lupinrack::engine::{Clock, EngineHandle, EngineParts, NodeListing};
 use lupinrack::net::budget::{Budget, Room};
 use lupinrack::net::shutdown::Phase;
 use lupinrack::net::{accept, upstream::Upstream};
@@ -45,25 +45,25 @@
 }
 
 /// Node `n0` on shard 0, as discovery lists it.
-pub fn listing(address: SocketAddr, state: NodeState) -> Listing {
-    Listing {
+pub fn listing(address: SocketAddr, state: NodeState) -> NodeListing {
+    NodeListing {
         name: "n0".into(),
         address,
         state,
         zone: Zone(0),
         shard: Shard(0),
         started: None,
-        size: 1.0,
+        weight: 1.0,
     }
 }
 
 /// The same at an address where nothing is ever sent.
-pub fn unreached(state: NodeState) -> Listing {
+pub fn unreached(state: NodeState) -> NodeListing {
     listing(SocketAddr::from(([127, 0, 0, 1], 9)), state)
 }
 
 pub struct Fronts {
-    pub core: Handle,
+    pub core: EngineHandle,
     pub room: Room,
     pub http: SocketAddr,
     pub rsync: SocketAddr,
@@ -95,7 +95,11 @@
     deadline_ms: u64,
 ) -> Fronts {
     let clock = Clock::start();
-    let (core, handle, _targets) = Core::new(told.module.clone(), 7, clock);
+    let EngineParts {
+        engine,
+        handle,
+        health_checks: _health_checks,
+    } = EngineParts::new(told.module.clone(), 7, clock);
     let mut text = format!(
         "enabled = true\nlisten = '127.0.0.1:0'\n[[module]]\nname = 'trips'\ncomment = 'Trip exports'\n\
          plan = '{plan}'\nvolume = 'a1'\nclass = 'bulk-read'\nshard = 0\nbytes_per_unit = 16384\n\
@@ -111,7 +115,7 @@
         TcpListener::bind("127.0.0.1:0").await.unwrap(),
     );
     let (http, rsync) = (a.local_addr().unwrap(), b.local_addr().unwrap());
-    tokio::spawn(core.run());
+    tokio::spawn(engine.run());
     let room = room();
     let upstream = Upstream::new(&told, clock, 64, room.clone(), Default::default());
     let front = accept::Front {
@@ -156,6 +160,8 @@
 impl Fronts {
     /// Tells the core of node `n0`.
     pub async fn node(&self, kind: NodeListKind, address: SocketAddr, state: NodeState) {
-        self.core.list(kind, vec![listing(address, state)]).await;
+        self.core
+            .update_nodes(kind, vec![listing(address, state)])
+            .await;
     }
 }
--- a/crates/lupinrack/tests/core.rs
+++ b/crates/lupinrack/tests/core.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::front::{told, unreached};
-use lupinrack::core::{Clock, Core, Order, Ticket};
+use lupinrack::engine::{Clock, EngineParts, Order, RequestHandle};
 use lupinrack::*;
 use quickcheck::{quickcheck, Arbitrary, Gen};
 use std::collections::BTreeSet;
@@ -47,7 +47,7 @@
 
 /// What a request's owner may have seen: which attempts are out, and whether all is said.
 struct Owner {
-    ticket: Ticket,
+    ticket: RequestHandle,
     out: BTreeSet<u16>,
     sent: u16,
     over: bool,
@@ -58,7 +58,7 @@
     /// Takes the orders that are there. None may come after the end, and no attempt number twice.
     async fn look(&mut self) -> bool {
         loop {
-            match tokio::time::timeout(Duration::from_millis(1), self.ticket.order()).await {
+            match tokio::time::timeout(Duration::from_millis(1), self.ticket.next_order()).await {
                 Err(_) => return true,
                 Ok(None) => {
                     assert!(
@@ -73,7 +73,7 @@
                     self.sent += 1;
                     self.out.insert(a.number);
                 }
-                Ok(Some(Order::Refuse(_) | Order::Fail)) => {
+                Ok(Some(Order::Reject(_) | Order::Fail)) => {
                     self.finals += 1;
                     self.over = true;
                     assert_eq!(self.finals, 1, "one final answer");
@@ -96,10 +96,14 @@
 
 async fn play(steps: Vec<Step>) {
     let clock = Clock::start();
-    let (core, handle, _targets) = Core::new(told().module, 3, clock);
-    tokio::spawn(core.run());
+    let EngineParts {
+        engine,
+        handle,
+        health_checks: _health_checks,
+    } = EngineParts::new(told().module, 3, clock);
+    tokio::spawn(engine.run());
     handle
-        .list(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
+        .update_nodes(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
         .await;
     let mut owners: Vec<Owner> = Vec::new();
     for step in steps {
@@ -134,9 +138,15 @@
                     if let Some(number) = o.out.pop_first() {
                         let outcome = OUTCOMES[usize::from(outcome) % OUTCOMES.len()];
                         o.over |= outcome == Outcome::Ok;
-                        o.ticket.teller().ended(number, outcome, None).await;
+                        o.ticket
+                            .reporter()
+                            .attempt_ended(number, outcome, None)
+                            .await;
                         // A second report of the same end must change nothing.
-                        o.ticket.teller().ended(number, Outcome::Ok, None).await;
+                        o.ticket
+                            .reporter()
+                            .attempt_ended(number, Outcome::Ok, None)
+                            .await;
                     }
                 }
             }
@@ -144,7 +154,7 @@
                 if let Some(o) = owners.get_mut(usize::from(n) % count) {
                     o.look().await;
                     o.over = true;
-                    o.ticket.teller().client_gone().await;
+                    o.ticket.reporter().client_gone().await;
                 }
             }
             Step::Drop(n) if !owners.is_empty() => drop(owners.swap_remove(usize::from(n) % count)),
@@ -156,7 +166,7 @@
                     NodeState::Ready
                 };
                 handle
-                    .list(NodeListKind::Changes, vec![unreached(state)])
+                    .update_nodes(NodeListKind::Changes, vec![unreached(state)])
                     .await;
             }
             Step::Pass(ms) => tokio::time::sleep(Duration::from_millis(u64::from(ms))).await,
@@ -176,8 +186,8 @@
         assert!(o.over, "no final answer in time");
         while let Some(number) = o.out.pop_first() {
             o.ticket
-                .teller()
-                .ended(number, Outcome::Timeout, None)
+                .reporter()
+                .attempt_ended(number, Outcome::Timeout, None)
                 .await;
         }
         assert!(!o.look().await, "kept though it is over");
@@ -205,10 +215,14 @@
 fn a_send_still_unwritten_is_stopped_within_the_grace_of_a_drain() {
     paused(async {
         let clock = Clock::start();
-        let (core, handle, _targets) = Core::new(told().module, 3, clock);
-        tokio::spawn(core.run());
+        let EngineParts {
+            engine,
+            handle,
+            health_checks: _health_checks,
+        } = EngineParts::new(told().module, 3, clock);
+        tokio::spawn(engine.run());
         handle
-            .list(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
+            .update_nodes(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
             .await;
         let client_deadline = clock.now() + 60_000_000;
         let request = Request {
@@ -219,11 +233,11 @@
             ..Request::default()
         };
         let mut ticket = handle.open(request).await;
-        let Some(Order::Send(attempt)) = ticket.order().await else {
+        let Some(Order::Send(attempt)) = ticket.next_order().await else {
             panic!("not sent")
         };
         let began = tokio::time::Instant::now();
-        let stopped = attempt.to.stopped(clock);
+        let stopped = attempt.target.stopped(clock);
         tokio::pin!(stopped);
         assert!(
             tokio::time::timeout(Duration::from_secs(30), &mut stopped)
@@ -232,7 +246,7 @@
             "it serves"
         );
         handle
-            .list(NodeListKind::Changes, vec![unreached(NodeState::Draining)])
+            .update_nodes(NodeListKind::Changes, vec![unreached(NodeState::Draining)])
             .await;
         stopped.await;
         let waited = began.elapsed() - Duration::from_secs(30);
@@ -240,6 +254,9 @@
             waited >= Duration::from_millis(500) && waited < Duration::from_secs(1),
             "{waited:?}"
         );
-        ticket.teller().ended(0, Outcome::ConnectFailed, None).await;
+        ticket
+            .reporter()
+            .attempt_ended(0, Outcome::ConnectFailed, None)
+            .await;
     });
 }
--- a/crates/lupinrack/tests/extents.rs
+++ b/crates/lupinrack/tests/extents.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::front::{told, unreached};
-use lupinrack::core::{Clock, Core, Handle, Listing, Order, Ticket};
+use lupinrack::engine::{Clock, EngineHandle, EngineParts, NodeListing, Order, RequestHandle};
 use lupinrack::net::config::Config;
 use lupinrack::net::shutdown::Phase;
 use lupinrack::serve::{self, Plan};
@@ -63,23 +63,27 @@
 }
 
 /// A core with nodes `n0` to `n2` on shards 0 to 2, and the actions of its map.
-async fn core() -> (Handle, mpsc::Receiver<Action>) {
+async fn core() -> (EngineHandle, mpsc::Receiver<Action>) {
     let clock = Clock::start();
-    let (core, handle, _targets) = Core::new(told().module, 3, clock);
-    let (core, actions, _counters) = core.with_extents(Cache::new(Section::default(), clock.now()));
-    tokio::spawn(core.run());
+    let EngineParts {
+        engine,
+        handle,
+        health_checks: _health_checks,
+    } = EngineParts::new(told().module, 3, clock);
+    let (engine, channels) = engine.with_extent_map(Cache::new(Section::default(), clock.now()));
+    tokio::spawn(engine.run());
     handle
-        .list(
+        .update_nodes(
             NodeListKind::Cached,
             (0..3).map(|n| node(n, NodeState::Ready)).collect(),
         )
         .await;
-    handle.extents(news(1, Vec::new())).await;
-    (handle, actions)
+    handle.extent_map_input(news(1, Vec::new())).await;
+    (handle, channels.actions)
 }
 
-fn node(shard: u32, state: NodeState) -> Listing {
-    Listing {
+fn node(shard: u32, state: NodeState) -> NodeListing {
+    NodeListing {
         name: format!("n{shard}"),
         shard: Shard(shard),
         ..unreached(state)
@@ -87,7 +91,7 @@
 }
 
 /// Opens a read or a new write whose client believes in shard 0.
-async fn open(core: &Handle, write: bool) -> Ticket {
+async fn open(core: &EngineHandle, write: bool) -> RequestHandle {
     let request = Request {
         class: u16::from(write),
         plan: 2,
@@ -110,8 +114,8 @@
         .expect("it is fetched");
 }
 
-async fn answer(core: &Handle, cover: Cover) {
-    core.extents(Input::Fetched {
+async fn answer(core: &EngineHandle, cover: Cover) {
+    core.extent_map_input(Input::Fetched {
         volume: VOLUME,
         answer: Ok(cover),
     })
@@ -119,12 +123,12 @@
 }
 
 /// The next order must be a Send; tells where to, and the attempt's number.
-async fn sent(ticket: &mut Ticket) -> (String, u16) {
-    match tokio::time::timeout(PATIENCE, ticket.order())
+async fn sent(ticket: &mut RequestHandle) -> (String, u16) {
+    match tokio::time::timeout(PATIENCE, ticket.next_order())
         .await
         .expect("it is sent")
     {
-        Some(Order::Send(attempt)) => (attempt.to.name.to_string(), attempt.number),
+        Some(Order::Send(attempt)) => (attempt.target.name.to_string(), attempt.number),
         other => panic!("{other:?}"),
     }
 }
@@ -150,7 +154,10 @@
     fetch(&mut actions).await;
     answer(&core, cover(1, 1)).await;
     let (_, number) = sent(&mut ticket).await;
-    ticket.teller().turned_away(number, Some(version(2))).await;
+    ticket
+        .reporter()
+        .wrong_shard(number, Some(version(2)))
+        .await;
     fetch(&mut actions).await;
     answer(&core, cover(2, 2)).await;
     assert_eq!(
@@ -168,15 +175,15 @@
     answer(&core, cover(1, 1)).await;
     let mut tries = 0;
     loop {
-        match ticket.order().await {
+        match ticket.next_order().await {
             Some(Order::Send(attempt)) => {
                 tries += 1;
                 ticket
-                    .teller()
-                    .turned_away(attempt.number, Some(version(1)))
+                    .reporter()
+                    .wrong_shard(attempt.number, Some(version(1)))
                     .await;
             }
-            Some(Order::Refuse(after)) => {
+            Some(Order::Reject(after)) => {
                 break assert!(after.is_some(), "it says when to come back")
             }
             other => panic!("{other:?}"),
@@ -192,10 +199,13 @@
     fetch(&mut actions).await;
     answer(&core, cover(1, 1)).await;
     let (_, number) = sent(&mut ticket).await;
-    core.extents(news(2, vec![change(2, 2)])).await;
-    ticket.teller().ended(number, Outcome::Reset, None).await;
+    core.extent_map_input(news(2, vec![change(2, 2)])).await;
+    ticket
+        .reporter()
+        .attempt_ended(number, Outcome::Reset, None)
+        .await;
     assert!(
-        matches!(ticket.order().await, Some(Order::Fail)),
+        matches!(ticket.next_order().await, Some(Order::Fail)),
         "it fails plainly, and at once"
     );
 }
@@ -212,14 +222,14 @@
     for _ in 0..30 {
         waiting.push(open(&core, false).await);
     }
-    core.list(NodeListKind::Changes, vec![node(1, NodeState::Draining)])
+    core.update_nodes(NodeListKind::Changes, vec![node(1, NodeState::Draining)])
         .await;
     let before = sends(&mut waiting).await;
     assert!(
         before.len() < 30 && before.iter().all(|to| to == "n1"),
         "within its grace: {before:?}"
     );
-    core.extents(news(2, vec![change(2, 2)])).await;
+    core.extent_map_input(news(2, vec![change(2, 2)])).await;
     tokio::time::sleep(Duration::from_millis(400)).await;
     let after = sends(&mut waiting).await;
     assert!(
@@ -229,12 +239,12 @@
 }
 
 /// Where what was sent by now went.
-async fn sends(tickets: &mut [Ticket]) -> Vec<String> {
+async fn sends(tickets: &mut [RequestHandle]) -> Vec<String> {
     let mut to = Vec::new();
     for ticket in tickets {
-        let order = tokio::time::timeout(Duration::from_millis(1), ticket.order()).await;
+        let order = tokio::time::timeout(Duration::from_millis(1), ticket.next_order()).await;
         if let Ok(Some(Order::Send(attempt))) = order {
-            to.push(attempt.to.name.to_string());
+            to.push(attempt.target.name.to_string());
         }
     }
     to
--- a/crates/lupinrack/tests/ipfix.rs
+++ b/crates/lupinrack/tests/ipfix.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::front::{told, unreached};
-use lupinrack::core::{Clock, Core, Order};
+use lupinrack::engine::{Clock, EngineParts, Order};
 use lupinrack::ipfix::{self, config::IpfixConfig, ENTERPRISE_NUMBER};
 use lupinrack::*;
 use std::collections::BTreeMap;
@@ -72,9 +72,13 @@
     );
     let config = IpfixConfig::parse(&text).unwrap().unwrap();
     let clock = Clock::start();
-    let (core, handle, _targets) = Core::new(told().module, 3, clock);
+    let EngineParts {
+        engine,
+        handle,
+        health_checks: _health_checks,
+    } = EngineParts::new(told().module, 3, clock);
     let (to, flows) = mpsc::channel(ipfix::WAITING_MOST);
-    tokio::spawn(core.tell_flows(to).run());
+    tokio::spawn(engine.export_flows(to).run());
     // A clock that reads a known Unix time: the records' times are whole milliseconds from there.
     tokio::spawn(ipfix::run(
         config,
@@ -82,7 +86,7 @@
         flows,
     ));
     handle
-        .list(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
+        .update_nodes(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
         .await;
     let request = |units| Request {
         class: 2,
@@ -98,19 +102,19 @@
     for round in 0..3_u64 {
         // A transfer: it moves two units more than it began with, and 300 bytes in all.
         let mut ticket = handle.open(request(2.0)).await;
-        let Some(Order::Send(_)) = ticket.order().await else {
+        let Some(Order::Send(_)) = ticket.next_order().await else {
             panic!("not sent")
         };
-        let teller = ticket.teller();
-        teller.began(0).await;
-        teller.moved(100).await;
-        teller.more(2.0).await;
-        let Some(Order::Grant) = ticket.order().await else {
+        let reporter = ticket.reporter();
+        reporter.response_started(0).await;
+        reporter.bytes_forwarded(100).await;
+        reporter.request_units(2.0).await;
+        let Some(Order::Grant) = ticket.next_order().await else {
             panic!("not granted")
         };
-        teller.moved(200).await;
-        teller.ended(0, Outcome::Ok, None).await;
-        assert!(ticket.order().await.is_none());
+        reporter.bytes_forwarded(200).await;
+        reporter.attempt_ended(0, Outcome::Ok, None).await;
+        assert!(ticket.next_order().await.is_none());
         let mut message = [0; 2048];
         let n = tokio::time::timeout(Duration::from_secs(20), collector.recv(&mut message))
             .await
@@ -147,9 +151,13 @@
 #[tokio::test]
 async fn a_full_queue_costs_records_and_never_time() {
     let clock = Clock::start();
-    let (core, handle, _targets) = Core::new(told().module, 3, clock);
+    let EngineParts {
+        engine,
+        handle,
+        health_checks: _health_checks,
+    } = EngineParts::new(told().module, 3, clock);
     let (to, mut flows) = mpsc::channel(2);
-    tokio::spawn(core.tell_flows(to).run());
+    tokio::spawn(engine.export_flows(to).run());
     for _ in 0..50 {
         // No node is known: each is left by its client.
         let request = Request {
@@ -160,8 +168,8 @@
             ..Request::default()
         };
         let mut ticket = handle.open(request).await;
-        ticket.teller().client_gone().await;
-        assert!(ticket.order().await.is_none());
+        ticket.reporter().client_gone().await;
+        assert!(ticket.next_order().await.is_none());
     }
     let kept = std::iter::from_fn(|| flows.try_recv().ok()).count();
     assert_eq!(kept, 2, "two waited, the rest were dropped");
--- a/crates/lupinrack/tests/reload.rs
+++ b/crates/lupinrack/tests/reload.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::front::SETTINGS;
-use lupinrack::core::{Clock, Core, Order};
+use lupinrack::engine::{Clock, EngineParts, Order};
 use lupinrack::net::config::Config;
 use lupinrack::net::reload::Current;
 use lupinrack::settings::Told;
@@ -180,11 +180,15 @@
     let (mut current, path) = started("attempts");
     let told = current.told().borrow().clone();
     let clock = Clock::start();
-    let (core, handle, _probes) = Core::new(told.module.clone(), 7, clock);
-    tokio::spawn(core.run());
+    let EngineParts {
+        engine,
+        handle,
+        health_checks: _health_checks,
+    } = EngineParts::new(told.module.clone(), 7, clock);
+    tokio::spawn(engine.run());
     let at = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     handle
-        .list(
+        .update_nodes(
             NodeListKind::Cached,
             vec![common::front::listing(at, NodeState::Ready)],
         )
@@ -200,7 +204,7 @@
     };
     let mut old = handle.open(request).await;
     let sent = |order: Option<Order>| matches!(order, Some(Order::Send(_)));
-    assert!(sent(old.order().await));
+    assert!(sent(old.next_order().await));
 
     let mut new = file();
     new["settings"]["policyLimits"]["mostTries"] = json!(1);
@@ -215,15 +219,18 @@
         .contains("lb_success{type=\"new-write\"} 0\n"));
 
     let mut after = handle.open(request).await;
-    assert!(sent(after.order().await));
-    after.teller().ended(0, Outcome::Error, None).await;
+    assert!(sent(after.next_order().await));
+    after
+        .reporter()
+        .attempt_ended(0, Outcome::Error, None)
+        .await;
     assert!(
-        matches!(after.order().await, Some(Order::Refuse(_))),
+        matches!(after.next_order().await, Some(Order::Reject(_))),
         "one attempt is all it has"
     );
-    old.teller().ended(0, Outcome::Error, None).await;
+    old.reporter().attempt_ended(0, Outcome::Error, None).await;
     assert!(
-        sent(old.order().await),
+        sent(old.next_order().await),
         "three were its own when it was taken"
     );
 }
--- a/crates/lupinrack/tests/rsync.rs
+++ b/crates/lupinrack/tests/rsync.rs
@@ -4,7 +4,7 @@
 
 use common::front::{ask, get, listing, node, start, start_with, with_rsync};
 use common::rsync::*;
-use lupinrack::core::Listing;
+use lupinrack::engine::NodeListing;
 use lupinrack::*;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -145,12 +145,12 @@
     let fronts = start_with(old.address, &servers, "priority", 20_000).await;
     let pull = tokio::spawn(RsyncClient::pull(fronts.rsync, "trips/a/"));
     until(|| sent(&old) >= 150_000 - 16_384).await;
-    let successor = Listing {
+    let successor = NodeListing {
         name: "n1".into(),
         ..listing(new.address, NodeState::Ready)
     };
     let news = vec![listing(old.address, NodeState::Draining), successor];
-    fronts.core.list(NodeListKind::Changes, news).await;
+    fronts.core.update_nodes(NodeListKind::Changes, news).await;
     sleep(Duration::from_millis(1_200)).await;
     old.hold.send_replace(false);
     let got = timeout(Duration::from_secs(60), pull)
--- a/crates/lupinrack/tests/upstream.rs
+++ b/crates/lupinrack/tests/upstream.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use common::front::{told, unreached};
 use futures_util::FutureExt;
-use lupinrack::core::{Attempt, Clock, Core, Handle, Order};
+use lupinrack::engine::{Attempt, Clock, EngineHandle, EngineParts, Order};
 use lupinrack::net::gate::Gate;
 use lupinrack::net::intake::Parcel;
 use lupinrack::net::request::Waiting;
@@ -111,7 +111,7 @@
 }
 
 /// An attempt as the core orders it, at this address.
-async fn attempt(core: &Handle, address: SocketAddr) -> Attempt {
+async fn attempt(core: &EngineHandle, address: SocketAddr) -> Attempt {
     let client_deadline = core.clock.now() + 60_000_000;
     let request = Request {
         plan: 2,
@@ -121,11 +121,11 @@
         ..Request::default()
     };
     let mut ticket = core.open(request).await;
-    let Some(Order::Send(mut attempt)) = ticket.order().await else {
+    let Some(Order::Send(mut attempt)) = ticket.next_order().await else {
         panic!("not sent")
     };
-    attempt.to.address = address;
-    ticket.teller().ended(0, Outcome::Ok, None).await;
+    attempt.target.address = address;
+    ticket.reporter().attempt_ended(0, Outcome::Ok, None).await;
     attempt
 }
 
@@ -157,10 +157,14 @@
 async fn play(steps: Vec<Step>) {
     let (address, mut came) = scripted(steps.clone()).await;
     let clock = Clock::start();
-    let (core, handle, _targets) = Core::new(told().module, 3, clock);
-    tokio::spawn(core.run());
+    let EngineParts {
+        engine,
+        handle,
+        health_checks: _health_checks,
+    } = EngineParts::new(told().module, 3, clock);
+    tokio::spawn(engine.run());
     handle
-        .list(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
+        .update_nodes(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
         .await;
     let upstream = Upstream::new(
         &told(),
@@ -226,10 +230,14 @@
 async fn where_no_descriptor_is_left_an_attempt_was_never_sent() {
     let (address, mut came) = scripted(vec![Step::Silent, Step::Silent]).await;
     let clock = Clock::start();
-    let (core, handle, _targets) = Core::new(told().module, 3, clock);
-    tokio::spawn(core.run());
+    let EngineParts {
+        engine,
+        handle,
+        health_checks: _health_checks,
+    } = EngineParts::new(told().module, 3, clock);
+    tokio::spawn(engine.run());
     handle
-        .list(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
+        .update_nodes(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
         .await;
     let upstream = Upstream::new(&told(), clock, 2, common::front::room(), Default::default());
     let mut out = Vec::new();
@@ -261,10 +269,14 @@
 async fn an_attempt_whose_right_has_ended_is_never_begun() {
     let (address, mut came) = scripted(vec![Step::Whole(200, false)]).await;
     let clock = Clock::start();
-    let (core, handle, _targets) = Core::new(told().module, 3, clock);
-    tokio::spawn(core.run());
+    let EngineParts {
+        engine,
+        handle,
+        health_checks: _health_checks,
+    } = EngineParts::new(told().module, 3, clock);
+    tokio::spawn(engine.run());
     handle
-        .list(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
+        .update_nodes(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
         .await;
     let upstream = Upstream::new(
         &told(),
@@ -275,7 +287,7 @@
     );
     let until = clock.now() + 60_000_000;
     handle
-        .rights(QuotaShares {
+        .set_quota_shares(QuotaShares {
             valid_until: until,
             reserve: 0.1,
             slow_start: 1.0,
@@ -304,7 +316,7 @@
     );
     // What draws on the reserve has no end.
     handle
-        .rights(QuotaShares {
+        .set_quota_shares(QuotaShares {
             reserve: 0.1,
             slow_start: 0.1,
             ..QuotaShares::default()
@@ -314,14 +326,18 @@
 }
 
 /// A front's end of the core with one node on the list, and the way to the nodes, with this long for a connection to come up.
-async fn way(connect: Micros) -> (Handle, Upstream) {
+async fn way(connect: Micros) -> (EngineHandle, Upstream) {
     let mut told = told();
     told.connect_timeout = connect;
     let clock = Clock::start();
-    let (core, handle, _targets) = Core::new(told.module.clone(), 3, clock);
-    tokio::spawn(core.run());
+    let EngineParts {
+        engine,
+        handle,
+        health_checks: _health_checks,
+    } = EngineParts::new(told.module.clone(), 3, clock);
+    tokio::spawn(engine.run());
     handle
-        .list(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
+        .update_nodes(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
         .await;
     (
         handle,
@@ -422,10 +438,14 @@
         window,
     };
     let clock = Clock::start();
-    let (core, handle, _targets) = Core::new(told.module.clone(), 3, clock);
-    tokio::spawn(core.run());
+    let EngineParts {
+        engine,
+        handle,
+        health_checks: _health_checks,
+    } = EngineParts::new(told.module.clone(), 3, clock);
+    tokio::spawn(engine.run());
     handle
-        .list(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
+        .update_nodes(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
         .await;
     let (class, client_deadline) = (1, clock.now() + 60_000_000);
     let request = Request {
@@ -439,7 +459,7 @@
     };
     let before = clock.now();
     let mut ticket = handle.open(request).await;
-    let Some(Order::Send(first)) = ticket.order().await else {
+    let Some(Order::Send(first)) = ticket.next_order().await else {
         panic!("not sent")
     };
     assert_eq!(
@@ -447,8 +467,11 @@
         Micros::MAX,
         "the first one has all its time"
     );
-    ticket.teller().ended(0, Outcome::Reset, None).await;
-    let Some(Order::Send(second)) = ticket.order().await else {
+    ticket
+        .reporter()
+        .attempt_ended(0, Outcome::Reset, None)
+        .await;
+    let Some(Order::Send(second)) = ticket.next_order().await else {
         panic!("not repeated")
     };
     let sent = before..=clock.now();
@@ -457,16 +480,19 @@
         "from the first that may have run"
     );
     // The order that was not carried out in time is the last, and the client hears that it failed.
-    ticket.teller().ended(1, Outcome::Expired, None).await;
+    ticket
+        .reporter()
+        .attempt_ended(1, Outcome::Expired, None)
+        .await;
     tokio::time::sleep_until(clock.instant(second.begin_by)).await;
     loop {
-        match ticket.order().await {
+        match ticket.next_order().await {
             // Still in time: the module's choice.
             Some(Order::Send(again)) => {
                 assert!(again.begin_by == second.begin_by);
                 ticket
-                    .teller()
-                    .ended(again.number, Outcome::Expired, None)
+                    .reporter()
+                    .attempt_ended(again.number, Outcome::Expired, None)
                     .await;
             }
             Some(Order::Fail) => break,
@@ -481,7 +507,7 @@
     let (core, upstream) = way(60_000_000).await;
     let (node, fill) = late_node();
     let order = attempt(&core, node.local_addr().unwrap()).await;
-    let stops = order.to.stop_at.clone();
+    let stops = order.target.stop_at.clone();
     // One that was ordered before and whose connection is there at once.
     let (address, mut came) = scripted(vec![Step::Whole(200, false)]).await;
     let late = attempt(&core, address).await;
@@ -491,7 +517,7 @@
         (&mut exchange).now_or_never().is_none(),
         "its connection is coming up"
     );
-    core.list(NodeListKind::Changes, vec![unreached(NodeState::Draining)])
+    core.update_nodes(NodeListKind::Changes, vec![unreached(NodeState::Draining)])
         .await;
     common::rsync::until(|| *stops.borrow() != Micros::MAX).await;
     let ended = tokio::time::timeout(std::time::Duration::from_secs(10), exchange).await;
--- a/crates/overload-driver/src/lib.rs
+++ b/crates/overload-driver/src/lib.rs
@@ -7,7 +7,7 @@
 use lupinrack_fleet_driver::{Heard, Machine, Words};
 use lupinrack_overload::trials::NodeHash;
 use lupinrack_overload::{Act, Section, Trials};
-use lupinrack_request_engine::Handle;
+use lupinrack_request_engine::EngineHandle;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 }
 
 /// Runs for as long as the core and the fleet's driver do.
-pub async fn run(section: Section, core: Handle, mut machine: Machine) {
+pub async fn run(section: Section, core: EngineHandle, mut machine: Machine) {
     let mut trials = Trials::new(&section);
     let mut names: HashMap<NodeHash, Arc<str>> = HashMap::new();
     let mut steps = interval(STEP);
@@ -47,15 +47,15 @@
                 let standing = machine.standing.borrow().clone();
                 let Some(standing) = standing else { continue };
                 if !std::mem::replace(&mut begun, true) {
-                    core.trials(Vec::new(), core.clock.now()).await;
+                    core.grant_probation(Vec::new(), core.clock.now()).await;
                 }
-                let Some((silent, answered)) = core.silent().await else { return };
+                let Some(responses) = core.take_node_responses().await else { return };
                 if names.len() > NAMES_MOST {
                     names.clear();
                 }
-                let hashes: Vec<NodeHash> = silent.iter().map(|name| hash(name)).collect();
-                names.extend(hashes.iter().copied().zip(silent));
-                let answered: Vec<NodeHash> = answered.iter().map(|name| hash(name)).collect();
+                let hashes: Vec<NodeHash> = responses.unresponsive.iter().map(|name| hash(name)).collect();
+                names.extend(hashes.iter().copied().zip(responses.unresponsive));
+                let answered: Vec<NodeHash> = responses.responded.iter().map(|name| hash(name)).collect();
                 trials.step(core.clock.now(), &hashes, &answered, &standing, &mut out);
             }
         }
@@ -64,13 +64,13 @@
                 Act::Grant(node, until) => {
                     if let Some(name) = names.get(&node) {
                         tracing::debug!(node = &**name, "overload: trial");
-                        core.trials(vec![name.clone()], until).await;
+                        core.grant_probation(vec![name.clone()], until).await;
                     }
                 }
                 Act::Back(node) => {
                     if let Some(name) = names.get(&node) {
                         tracing::info!(node = &**name, "overload: answers at another front");
-                        core.back(name.clone()).await;
+                        core.node_recovered(name.clone()).await;
                     }
                 }
                 Act::Say(to, bytes) => drop(machine.try_say(Words::Once(to, bytes))),
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -7,7 +7,7 @@
 use hyper_util::client::legacy::{connect::HttpConnector, Client};
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use lupinrack_policy::*;
-use lupinrack_request_engine::{Handle, Listing};
+use lupinrack_request_engine::{EngineHandle, NodeListing};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -87,10 +87,10 @@
 }
 
 /// Words a list for the core.
-fn listings(list: &List, zones: &[String], epoch: &Epoch) -> Vec<Listing> {
+fn listings(list: &List, zones: &[String], epoch: &Epoch) -> Vec<NodeListing> {
     let zone = |name: &str| Zone(zones.iter().position(|z| z == name).unwrap_or(0) as u8);
     let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-    let one = |i: &Instance| Listing {
+    let one = |i: &Instance| NodeListing {
         name: i.instance_id.clone(),
         address: i.host_port.unwrap_or(nowhere),
         state: match (i.lifecycle, i.host_port) {
@@ -104,7 +104,7 @@
         zone: zone(&i.zone),
         shard: Shard(i.cell),
         started: epoch.reading(i.started_at_ms),
-        size: i.weight,
+        weight: i.weight,
     };
     list.instances.iter().map(one).collect()
 }
@@ -125,7 +125,7 @@
 
 impl Watch {
     /// Hands over the list this front last had, then watches for as long as the program runs.
-    pub async fn run(mut self, core: Handle, known: Option<List>) {
+    pub async fn run(mut self, core: EngineHandle, known: Option<List>) {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT));
         connector.set_nodelay(true);
@@ -140,7 +140,7 @@
             self.seed,
         );
         if let Some(list) = known {
-            core.list(
+            core.update_nodes(
                 NodeListKind::Cached,
                 listings(&list, &self.zones, &self.epoch),
             )
@@ -194,8 +194,8 @@
         }
     }
 
-    async fn tell(&self, core: &Handle, kind: NodeListKind, list: &List) {
-        core.list(kind, listings(list, &self.zones, &self.epoch))
+    async fn tell(&self, core: &EngineHandle, kind: NodeListKind, list: &List) {
+        core.update_nodes(kind, listings(list, &self.zones, &self.epoch))
             .await;
     }
 
--- a/crates/platform/src/reload.rs
+++ b/crates/platform/src/reload.rs
@@ -8,7 +8,7 @@
 use crate::shape;
 use lupinrack_front_settings::Told;
 use lupinrack_metrics::Figures;
-use lupinrack_request_engine::Handle;
+use lupinrack_request_engine::EngineHandle;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -87,9 +87,9 @@
     }
 
     /// Goes by the new file from here on. The core hears of it before any request taken under it.
-    pub async fn take(&mut self, change: Change, core: &Handle, figures: &Figures) {
+    pub async fn take(&mut self, change: Change, core: &EngineHandle, figures: &Figures) {
         figures.classes(change.told.named());
-        core.settings(change.told.for_module()).await;
+        core.update_settings(change.told.for_module()).await;
         self.told.send_replace(Arc::new(change.told));
         self.file = change.file;
         self.discovery
@@ -108,7 +108,7 @@
     mut hangups: Signal,
     path: PathBuf,
     mut current: Current,
-    core: Handle,
+    core: EngineHandle,
     figures: Figures,
 ) {
     while hangups.recv().await.is_some() {
--- a/crates/platform/tests/golden.rs
+++ b/crates/platform/tests/golden.rs
@@ -5,7 +5,7 @@
 use lupinrack_platform::config::Config;
 use lupinrack_platform::discovery::Watch;
 use lupinrack_policy::{DiscoveryMode, Request, Shard, VolumeId};
-use lupinrack_request_engine::{Clock, Core, Handle, Order};
+use lupinrack_request_engine::{Clock, EngineHandle, EngineParts, Order};
 use serde_json::{json, Value};
 use std::fmt::Debug;
 use std::time::Duration;
@@ -117,13 +117,17 @@
 }
 
 /// A core that hears of nodes from this registry alone.
-async fn watched() -> (Registry, Handle) {
+async fn watched() -> (Registry, EngineHandle) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut file: Value = serde_json::from_str(CONFIGURATION).unwrap();
     file["settings"]["safety"]["stopSendingWithin"] = json!(DRAIN_GRACE_MS);
     let config = Config::parse(&file.to_string()).unwrap();
     let clock = Clock::start();
-    let (core, handle, probes) = Core::new(config.told.for_module(), 1, clock);
+    let EngineParts {
+        engine,
+        handle,
+        health_checks: probes,
+    } = EngineParts::new(config.told.for_module(), 1, clock);
     let (moves, address) = watch::channel(listener.local_addr().unwrap());
     let watch = Watch {
         address,
@@ -132,7 +136,7 @@
         how: (DiscoveryMode::Push, 1),
         seed: 7,
     };
-    tokio::spawn(core.run());
+    tokio::spawn(engine.run());
     let watching = watch.run(handle.clone(), None);
     tokio::spawn(async move {
         // The address never moves, and nodes are not probed.
@@ -143,7 +147,7 @@
 }
 
 /// Where a request for data of a shard is sent; the longest wait tells that it is sent nowhere.
-async fn sent(core: Handle, shard: u32) -> String {
+async fn sent(core: EngineHandle, shard: u32) -> String {
     let request = Request {
         volume: VolumeId(u64::from(shard) + 1),
         hosts: 1.0,
@@ -153,16 +157,18 @@
         ..Request::default()
     };
     let mut ticket = core.open(request).await;
-    match timeout(Duration::from_secs(1), ticket.order()).await {
-        Ok(Some(Order::Send(attempt))) => format!("{} at {}", attempt.to.name, attempt.to.address),
+    match timeout(Duration::from_secs(1), ticket.next_order()).await {
+        Ok(Some(Order::Send(attempt))) => {
+            format!("{} at {}", attempt.target.name, attempt.target.address)
+        }
         _ => "nowhere".to_string(),
     }
 }
 
 /// What the core made of the list that it heard last. The registry was called again, so that the list is with the core.
-async fn placed(examples: &mut GoldenFile, list: &str, core: &Handle) {
+async fn placed(examples: &mut GoldenFile, list: &str, core: &EngineHandle) {
     sleep(Duration::from_millis(20 * DRAIN_GRACE_MS)).await;
-    let (listed, _) = core.targets().await.unwrap();
+    let listed = core.count_nodes().await.unwrap().listed;
     examples.add(format!("{list}, nodes listed"), listed);
     let sent: Vec<_> = (0..6)
         .map(|shard| tokio::spawn(sent(core.clone(), shard)))
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -132,10 +132,14 @@
         nodes + self.volumes.len() + self.open.len() + self.attempts.len() + self.ends.len()
     }
 
-    /// The listed nodes, whether each is avoided now, and whether that is because it does not answer.
-    pub fn targets(&self) -> impl Iterator<Item = (NodeId, bool, bool)> + '_ {
+    /// How the balancer holds each listed node.
+    pub fn node_statuses(&self) -> impl Iterator<Item = NodeStatus> + '_ {
         let listed = self.nodes.iter().filter(|(_, n)| !n.gone);
-        listed.map(|(id, n)| (*id, n.open || n.stopping_since.is_some(), n.open))
+        listed.map(|(id, n)| NodeStatus {
+            node: *id,
+            is_avoided: n.open || n.stopping_since.is_some(),
+            is_unresponsive: n.open,
+        })
     }
 
     fn random(&mut self) -> f64 {
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -15,7 +15,7 @@
 pub use action::Action;
 pub use event::Event;
 pub use ids::{Key, Micros, NodeId, RequestId, Shard, VolumeId, Zone};
-pub use node::{NodeEntry, NodeListKind, NodeState};
+pub use node::{NodeEntry, NodeListKind, NodeState, NodeStatus};
 pub use outcome::{AttemptEnd, LoadReport, Outcome};
 pub use quota::QuotaShares;
 pub use request::Request;
--- a/crates/policy/src/interface/node.rs
+++ b/crates/policy/src/interface/node.rs
@@ -42,3 +42,14 @@
     /// Nothing: a call failed or the subscription ended. The list that is known stands.
     Failed,
 }
+
+/// How the balancer holds a listed node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct NodeStatus {
+    /// The node.
+    pub node: NodeId,
+    /// It gets nothing new, or next to nothing: it is draining or unresponsive.
+    pub is_avoided: bool,
+    /// Its circuit breaker is open: it does not respond.
+    pub is_unresponsive: bool,
+}
--- /dev/null
+++ b/crates/request-engine/src/engine/extents.rs
@@ -0,0 +1,164 @@
+//! The map of extents in the engine's turns.
+//!
+//! A request is routed by the cache when it arrives, again when what is known of its range changes, and once more when it is sent. The
+//! cache decides what is known, the balancer what becomes of a request; here each is told of the other.
+
+use super::Engine;
+use crate::flow::FlowEnd;
+use lupinrack_extent_map::{self as extent_map, Party, Place, Turn, Version};
+use lupinrack_policy::{Event, Micros, Outcome, Request, RequestId, Shard};
+
+impl Engine {
+    /// A request as the balancer is told of it: on the shard that the map has, or waiting for it to be known.
+    pub(super) fn routed(&mut self, now: Micros, request: Request) -> Request {
+        let place = self
+            .extents
+            .as_mut()
+            .and_then(|extents| extents.locate(now, &request));
+        match place {
+            Some(Place::At(shard)) => Request {
+                shard: Some(shard),
+                ..request
+            },
+            Some(Place::Unknown) => Request {
+                shard_unknown: true,
+                ..request
+            },
+            Some(Place::Uncovered) | None => request,
+        }
+    }
+
+    /// The shard of a request that is about to be sent, if it is another one by now.
+    pub(super) fn changed_shard(&mut self, now: Micros, request: &Request) -> Option<Shard> {
+        match self.extents.as_mut()?.locate(now, request)? {
+            Place::At(shard) if request.shard != Some(shard) => Some(shard),
+            _ => None,
+        }
+    }
+
+    /// A node rejected an attempt, unrun: it says that the data is on another shard.
+    pub(super) fn wrong_shard(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        attempt: u16,
+        hint: Option<Version>,
+    ) {
+        let Some(open) = self.requests.get_mut(id) else {
+            return;
+        };
+        let sent = open.in_flight.iter().find(|sent| sent.number == attempt);
+        let sent_to = sent.and_then(|sent| sent.shard);
+        let turn = match (&mut self.extents, sent_to) {
+            (Some(extents), Some(shard)) => extents.wrong_turn(now, &open.request, shard, hint),
+            // A node that speaks of extents where nobody knows them is one that had no capacity.
+            _ => Turn::Stands,
+        };
+        if turn == Turn::Stands {
+            return self.attempt_ended(now, id, attempt, Outcome::Rejected, None);
+        }
+        open.request.shard_unknown = true;
+        self.attempt_ended(now, id, attempt, Outcome::WrongShard, None);
+        if let Turn::At(shard) = turn {
+            self.set_shard(now, id, Some(shard));
+        }
+    }
+
+    /// Takes what the driver of the map brings.
+    pub(super) fn extent_map_input(&mut self, now: Micros, input: extent_map::Input) {
+        if let Some(extents) = &mut self.extents {
+            extents.handle(now, input);
+        }
+        self.carry_out_extent_actions(now);
+    }
+
+    /// The end of a turn: what the cache has due, and all that comes of it.
+    pub(super) fn finish_extent_turn(&mut self, now: Micros) {
+        let Some(extents) = &mut self.extents else {
+            return;
+        };
+        if extents.finish_turn(now) {
+            self.carry_out_extent_actions(now);
+        }
+    }
+
+    fn carry_out_extent_actions(&mut self, now: Micros) {
+        while let Some(extents) = self
+            .extents
+            .as_mut()
+            .filter(|extents| extents.has_actions())
+        {
+            for action in extents.take_actions() {
+                self.carry_out_extent_action(now, action);
+            }
+        }
+        if let Some(extents) = &self.extents {
+            extents.publish_counters();
+        }
+    }
+
+    fn carry_out_extent_action(&mut self, now: Micros, action: extent_map::Action) {
+        match action {
+            extent_map::Action::Changed {
+                volume,
+                first,
+                last,
+            } => self.route_again(now, |request| {
+                let key = request.key.filter(|_| request.volume == volume);
+                key.is_some_and(|key| (first..=last).contains(&key.0))
+            }),
+            extent_map::Action::ChangedAll => self.route_again(now, |_| true),
+            extent_map::Action::Complain { who, why } => match who {
+                Party::Authority => tracing::warn!("extent authority: {why}"),
+                Party::Peer(peer) => tracing::warn!("extents: peer {peer}: {why}"),
+                Party::Node(shard) => {
+                    tracing::warn!("extents: the node of shard {}: {why}", shard.0);
+                }
+            },
+            action => {
+                if let Some(extents) = &mut self.extents {
+                    extents.carry_out(now, action);
+                }
+            }
+        }
+    }
+
+    /// Looks again where the data of these open requests is.
+    fn route_again(&mut self, now: Micros, is_concerned: impl Fn(&Request) -> bool) {
+        let concerned: Vec<RequestId> = self
+            .requests
+            .iter()
+            .filter(|open| open.end.is_none() && is_concerned(&open.request))
+            .map(|open| open.request.id)
+            .collect();
+        for id in concerned {
+            let (Some(extents), Some(open)) = (&mut self.extents, self.requests.get(id)) else {
+                continue;
+            };
+            let (request, client_shard) = (open.request, open.client_shard);
+            match extents.locate(now, &request) {
+                Some(Place::At(shard)) if request.shard_unknown || request.shard != Some(shard) => {
+                    self.set_shard(now, id, Some(shard));
+                }
+                // What no extent covers is where its client says.
+                Some(Place::Uncovered) if request.shard_unknown => {
+                    self.set_shard(now, id, client_shard);
+                }
+                _ => {}
+            }
+        }
+    }
+
+    /// Tells the balancer of a request's shard, unless the request was served.
+    fn set_shard(&mut self, now: Micros, request: RequestId, shard: Option<Shard>) {
+        let Some(open) = self.requests.get_mut(request) else {
+            return;
+        };
+        if open.end.is_some_and(|end| end.end == FlowEnd::Served) {
+            return;
+        }
+        open.request.shard = shard;
+        open.request.shard_unknown = false;
+        self.notify_balancer(now, Event::ShardChanged { request, shard });
+    }
+}
--- a/crates/request-engine/src/extent_router.rs
+++ b/crates/request-engine/src/extent_router.rs
@@ -1,242 +1,120 @@
-//! Where data lies, in the core's turns: requests are resolved by the [`Cache`] when they are taken, looked at again
-//! when what is known of their range changes, and once more when they are sent. The cache decides what is known, the
-//! [`Balancer`] what becomes of a request; here each hears of the other.
+//! The cache of the map of extents, and the queues to its driver.
 
-use super::{Core, FlowEnd};
-use lupinrack_extent_map::{self as extents, Cache, Counters, Party, Place, Turn, Version};
-use lupinrack_policy::*;
+use lupinrack_extent_map::{self as extent_map, Action, Cache, Counters, Place, Turn, Version};
+use lupinrack_policy::{Micros, Request, Shard};
 use tokio::sync::{mpsc, watch};
 
-/// Actions that may wait for the driver: a poll, every flight, and datagrams.
-pub const DRIVER_QUEUE: usize = 2 * extents::FLIGHTS_MOST;
+/// Actions that may wait for the driver of the map: a poll, every call in flight, and datagrams.
+pub const DRIVER_QUEUE_LENGTH: usize = 2 * extent_map::FLIGHTS_MOST;
 
-/// The cache, and the ways out of it.
-pub(super) struct Places {
+/// The reason given to the cache for a call that the driver had no capacity for.
+const DRIVER_BEHIND: &str = "the calls that are out take too long";
+
+/// Owns the cache. Its methods gather the cache's actions until the engine takes them.
+pub(crate) struct ExtentRouter {
     cache: Cache,
-    driver: mpsc::Sender<extents::Action>,
+    driver: mpsc::Sender<Action>,
     counters: watch::Sender<Counters>,
-    pub(super) wake: Option<Micros>,
-    actions: Vec<extents::Action>,
+    wake_at: Option<Micros>,
+    actions: Vec<Action>,
 }
 
-impl Core {
-    /// Has requests routed by this cache. Its actions come out of the first queue, what it did out of the second.
-    pub fn with_extents(
-        mut self,
+impl ExtentRouter {
+    /// The cache is due at once.
+    pub(crate) fn new(
         cache: Cache,
-    ) -> (
-        Core,
-        mpsc::Receiver<extents::Action>,
-        watch::Receiver<Counters>,
-    ) {
-        let (driver, actions) = mpsc::channel(DRIVER_QUEUE);
-        let (counters, seen) = watch::channel(Counters::default());
-        self.places = Some(Places {
+        driver: mpsc::Sender<Action>,
+        counters: watch::Sender<Counters>,
+        now: Micros,
+    ) -> Self {
+        ExtentRouter {
             cache,
             driver,
             counters,
-            wake: Some(self.clock.now()),
+            wake_at: Some(now),
             actions: Vec::new(),
-        });
-        (self, actions, seen)
+        }
     }
 
-    /// A request as it is told to the module: on the shard that the map has, or waiting to be told.
-    pub(super) fn placed(&mut self, now: Micros, request: Request) -> Request {
-        let (Some(places), Some(key)) = (&mut self.places, request.key) else {
-            return request;
-        };
-        match places
-            .cache
-            .locate(now, request.volume, key, &mut places.actions)
-        {
-            Place::At(shard) => Request {
-                shard: Some(shard),
-                ..request
-            },
-            Place::Uncovered => request,
-            Place::Unknown => Request {
-                shard_unknown: true,
-                ..request
-            },
-        }
+    /// When the cache is due without any input.
+    pub(crate) fn wake_at(&self) -> Option<Micros> {
+        self.wake_at
     }
 
-    /// Where a request that is about to be sent lies by now, if elsewhere.
-    pub(super) fn moved(&mut self, now: Micros, request: &Request) -> Option<Shard> {
-        let (places, key) = (self.places.as_mut()?, request.key?);
-        match places
-            .cache
-            .locate(now, request.volume, key, &mut places.actions)
-        {
-            Place::At(shard) if request.shard != Some(shard) => Some(shard),
-            _ => None,
-        }
+    /// Where the data of a request is; `None`: it names no key.
+    pub(crate) fn locate(&mut self, now: Micros, request: &Request) -> Option<Place> {
+        let key = request.key?;
+        Some(
+            self.cache
+                .locate(now, request.volume, key, &mut self.actions),
+        )
     }
 
-    /// A node turned an attempt away unrun: its data lies elsewhere, the node says.
-    pub(super) fn turned_away(
+    /// A node of `shard` rejected the request because its data is elsewhere, as of `hint`.
+    pub(crate) fn wrong_turn(
         &mut self,
         now: Micros,
-        id: RequestId,
-        attempt: u16,
+        request: &Request,
+        shard: Shard,
         hint: Option<Version>,
-    ) {
-        let Some(o) = self.open.get(&id) else { return };
-        let asked = o.out.iter().find(|a| a.0 == attempt).and_then(|a| a.3);
-        let turn = match (&mut self.places, o.request.key, asked) {
-            (Some(places), Some(key), Some(asked)) => places.cache.wrong_turn(
-                now,
-                (o.request.volume, key),
-                asked,
-                hint,
-                &mut places.actions,
-            ),
-            // A node that speaks of extents where nobody knows them is one that had no room.
-            _ => Turn::Stands,
+    ) -> Turn {
+        let Some(key) = request.key else {
+            return Turn::Stands;
         };
-        let outcome = if turn == Turn::Stands {
-            Outcome::Rejected
-        } else {
-            Outcome::WrongShard
-        };
-        if outcome == Outcome::WrongShard {
-            self.open
-                .entry(id)
-                .and_modify(|o| o.request.shard_unknown = true);
-        }
-        self.ended(now, id, attempt, outcome, None);
-        if let Turn::At(shard) = turn {
-            self.lies(now, id, Some(shard));
-        }
+        self.cache
+            .wrong_turn(now, (request.volume, key), shard, hint, &mut self.actions)
     }
 
     /// Takes what the driver brings.
-    pub(super) fn on_extents(&mut self, now: Micros, input: extents::Input) {
-        if let Some(places) = &mut self.places {
-            places.cache.handle(now, input, &mut places.actions);
-        }
-        self.carry_out(now);
+    pub(crate) fn handle(&mut self, now: Micros, input: extent_map::Input) {
+        self.cache.handle(now, input, &mut self.actions);
     }
 
-    /// The end of a turn: what the cache has due, and all that comes of it.
-    pub(super) fn settle_places(&mut self, now: Micros) {
-        let Some(places) = &mut self.places else {
-            return;
-        };
-        if places.wake.is_some_and(|at| at <= now) {
-            places.wake = None;
-            places
-                .cache
-                .handle(now, extents::Input::Timer, &mut places.actions);
+    /// Does what is due at the end of a turn. True: there are actions to carry out.
+    pub(crate) fn finish_turn(&mut self, now: Micros) -> bool {
+        if self.wake_at.is_some_and(|at| at <= now) {
+            self.wake_at = None;
+            self.handle(now, extent_map::Input::Timer);
         }
-        if !places.actions.is_empty() {
-            places.cache.on_time(now, &mut places.actions);
-            self.carry_out(now);
+        if self.actions.is_empty() {
+            return false;
         }
+        self.cache.on_time(now, &mut self.actions);
+        true
     }
 
-    fn carry_out(&mut self, now: Micros) {
-        while let Some(places) = self.places.as_mut().filter(|p| !p.actions.is_empty()) {
-            for action in std::mem::take(&mut places.actions) {
-                self.carry_one(now, action);
-            }
-        }
-        if let Some(places) = &self.places {
-            let counters = places.cache.counters();
-            places
-                .counters
-                .send_if_modified(|seen| std::mem::replace(seen, counters) != counters);
-        }
+    pub(crate) fn has_actions(&self) -> bool {
+        !self.actions.is_empty()
     }
 
-    fn carry_one(&mut self, now: Micros, action: extents::Action) {
-        match action {
-            extents::Action::Changed {
-                volume,
-                first,
-                last,
-            } => self.look_again(now, |r| {
-                r.volume == volume && r.key.is_some_and(|k| (first..=last).contains(&k.0))
-            }),
-            extents::Action::ChangedAll => self.look_again(now, |_| true),
-            extents::Action::Wake(at) => {
-                if let Some(places) = &mut self.places {
-                    places.wake = Some(places.wake.map_or(at, |w| w.min(at)));
-                }
-            }
-            extents::Action::Complain { who, why } => match who {
-                Party::Authority => tracing::warn!("extent authority: {why}"),
-                Party::Peer(peer) => tracing::warn!("extents: peer {peer}: {why}"),
-                Party::Node(shard) => {
-                    tracing::warn!("extents: the node of shard {}: {why}", shard.0)
-                }
-            },
-            call => {
-                let Some(places) = &mut self.places else {
-                    return;
-                };
-                // The driver is behind by a whole queue: to the cache that is a call that failed.
-                let busy = || "the calls that are out take too long".to_string();
-                match places
-                    .driver
-                    .try_send(call)
-                    .map_err(mpsc::error::TrySendError::into_inner)
-                {
-                    Err(extents::Action::Poll { .. }) => {
-                        places.cache.handle(
-                            now,
-                            extents::Input::Polled(Err(busy())),
-                            &mut places.actions,
-                        );
-                    }
-                    Err(extents::Action::Fetch { volume, .. }) => {
-                        let input = extents::Input::Fetched {
-                            volume,
-                            answer: Err(busy()),
-                        };
-                        places.cache.handle(now, input, &mut places.actions);
-                    }
-                    _ => {}
-                }
-            }
-        }
+    pub(crate) fn take_actions(&mut self) -> Vec<Action> {
+        std::mem::take(&mut self.actions)
     }
 
-    /// Looks again where the open requests of a range lie.
-    fn look_again(&mut self, now: Micros, within: impl Fn(&Request) -> bool) {
-        let open = self
-            .open
-            .iter()
-            .filter(|(_, o)| o.end.is_none() && within(&o.request));
-        let ids: Vec<RequestId> = open.map(|(id, _)| *id).collect();
-        for id in ids {
-            let (Some(places), Some(o)) = (&mut self.places, self.open.get(&id)) else {
-                continue;
-            };
-            let Some(key) = o.request.key else { continue };
-            match places
-                .cache
-                .locate(now, o.request.volume, key, &mut places.actions)
-            {
-                Place::At(shard) if o.request.shard_unknown || o.request.shard != Some(shard) => {
-                    self.lies(now, id, Some(shard));
-                }
-                // What no extent covers lies where its client says.
-                Place::Uncovered if o.request.shard_unknown => self.lies(now, id, o.said),
-                _ => {}
+    /// Sets the alarm, or hands a call to the driver. A driver that is behind by a whole queue is, to the cache, a call that failed.
+    pub(crate) fn carry_out(&mut self, now: Micros, action: Action) {
+        if let Action::Wake(at) = action {
+            self.wake_at = Some(self.wake_at.map_or(at, |wake_at| wake_at.min(at)));
+            return;
+        }
+        let dropped = self.driver.try_send(action);
+        let failed = || DRIVER_BEHIND.to_string();
+        match dropped.map_err(mpsc::error::TrySendError::into_inner) {
+            Err(Action::Poll { .. }) => {
+                self.handle(now, extent_map::Input::Polled(Err(failed())));
             }
+            Err(Action::Fetch { volume, .. }) => {
+                let answer = Err(failed());
+                self.handle(now, extent_map::Input::Fetched { volume, answer });
+            }
+            _ => {}
         }
     }
 
-    fn lies(&mut self, now: Micros, request: RequestId, shard: Option<Shard>) {
-        if let Some(o) = self
-            .open
-            .get_mut(&request)
-            .filter(|o| !matches!(o.end, Some((FlowEnd::Served, _))))
-        {
-            (o.request.shard, o.request.shard_unknown) = (shard, false);
-            self.tell(now, Event::ShardChanged { request, shard });
-        }
+    /// Publishes what the cache counted, where that has changed.
+    pub(crate) fn publish_counters(&self) {
+        let counters = self.cache.counters();
+        self.counters
+            .send_if_modified(|seen| std::mem::replace(seen, counters) != counters);
     }
 }
--- /dev/null
+++ b/crates/request-engine/src/flow.rs
@@ -0,0 +1,35 @@
+//! The record of a finished request, for the export of flows.
+
+use lupinrack_policy::{Micros, Request};
+
+/// How a request ended for its client.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FlowEnd {
+    /// It got a complete answer.
+    Served,
+    /// It was rejected.
+    Rejected,
+    /// It failed.
+    Failed,
+    /// The client disconnected first.
+    ClientGone,
+}
+
+/// A finished request or transfer.
+#[derive(Clone, Debug)]
+pub struct Flow {
+    /// The request as it was opened.
+    pub request: Request,
+    /// When it was opened.
+    pub opened: Micros,
+    /// When it ended for its client.
+    pub ended: Micros,
+    /// All units that it was allowed to move.
+    pub units: f64,
+    /// Bytes forwarded to the client.
+    pub bytes: u64,
+    /// Attempts sent.
+    pub attempts: u16,
+    /// How it ended.
+    pub end: FlowEnd,
+}
--- a/crates/request-engine/src/node_table.rs
+++ b/crates/request-engine/src/node_table.rs
@@ -1,60 +1,59 @@
-//! The node table: one [`NodeId`] for each instance name, its address, and when sends to it must stop.
+//! The node table: one number for each node name, its address, and when sends to it must stop.
 
-use super::Clock;
-use lupinrack_policy::*;
+use crate::clock::Clock;
+use lupinrack_policy::{Micros, NodeEntry, NodeId, NodeListKind, NodeState, Shard, Zone};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// Part of the drain grace (in tenths) after which a send that is still unwritten is dropped; the rest covers
-/// the way to the node and a late turn.
-const GRACE_TENTHS: Micros = 9;
-
-/// How long a node that is gone is remembered; longer than any attempt to it lasts.
-const FORGET: Micros = 60_000_000;
+/// Part of the drain grace (in tenths) after which an attempt that is not written yet is dropped; the rest covers the way to the node
+/// and a late turn.
+const GRACE_USED_TENTHS: Micros = 9;
+/// How long a node that was removed is remembered, in microseconds; longer than any attempt to it lasts.
+const REMOVED_MEMORY_US: Micros = 60_000_000;
 
 /// A node as discovery lists it, by name and address.
 #[derive(Clone, Debug)]
-pub struct Listing {
-    /// Its name everywhere, also after a restart.
+pub struct NodeListing {
+    /// Its name, the same after a restart.
     pub name: String,
     /// Where this front reaches it.
     pub address: SocketAddr,
-    /// What it is doing.
+    /// Whether it takes requests.
     pub state: NodeState,
     /// Its zone.
     pub zone: Zone,
-    /// The shard it holds.
+    /// The shard that it stores.
     pub shard: Shard,
-    /// When it last started, on the monotonic clock; none: long ago.
+    /// When it last started, on the engine's clock; `None`: long ago.
     pub started: Option<Micros>,
-    /// Its size against that of others.
-    pub size: f64,
+    /// Its capacity relative to that of others, without a unit.
+    pub weight: f64,
 }
 
 /// What a front needs to reach a node.
 #[derive(Clone, Debug)]
-pub struct Target {
+pub struct NodeTarget {
     /// Its number.
     pub node: NodeId,
     /// Its name.
     pub name: Arc<str>,
     /// Its address on the platform's protocol.
     pub address: SocketAddr,
-    /// From this reading on nothing new may be written to it; `Micros::MAX` while it serves.
+    /// From this reading on nothing new may be written to it; `Micros::MAX` while it takes requests.
     pub stop_at: watch::Receiver<Micros>,
 }
 
-impl Target {
-    /// Ends once the node may be sent nothing new.
+impl NodeTarget {
+    /// Waits until nothing new may be sent to the node.
     pub async fn stopped(&self, clock: Clock) {
         let mut stop_at = self.stop_at.clone();
         loop {
             let at = *stop_at.borrow_and_update();
             tokio::select! {
                 () = tokio::time::sleep_until(clock.instant(at)), if at != Micros::MAX => return,
-                // Forgotten: what was told last holds.
+                // The table forgot the node: what it said last holds.
                 changed = stop_at.changed() => if changed.is_err() {
                     match at {
                         Micros::MAX => return std::future::pending().await,
@@ -66,154 +65,140 @@
     }
 }
 
-struct Known {
-    target: Target,
-    stop: watch::Sender<Micros>,
-    /// When it was told to be gone.
-    gone: Option<Micros>,
+/// A node in the table.
+struct KnownNode {
+    target: NodeTarget,
+    stop_at: watch::Sender<Micros>,
+    /// When the list first lacked it, or called it gone.
+    removed_at: Option<Micros>,
+}
+
+impl KnownNode {
+    fn set_stop_at(&self, stop_at: impl FnOnce(Micros) -> Micros) {
+        self.stop_at.send_if_modified(|current| {
+            let new = stop_at(*current);
+            std::mem::replace(current, new) != new
+        });
+    }
 }
 
-/// The nodes named to this front, until they have been gone for a while.
-#[derive(Default)]
-pub(super) struct Nodes {
+/// The nodes that this front was told of, until they have been removed for a while.
+pub(crate) struct NodeTable {
+    drain_grace: Micros,
     ids: HashMap<Arc<str>, NodeId>,
-    known: BTreeMap<NodeId, Known>,
-    named: u32,
+    known: BTreeMap<NodeId, KnownNode>,
+    next_id: u32,
 }
 
-impl Nodes {
-    /// Takes a list in and words it for the module.
-    pub(super) fn apply(
+impl NodeTable {
+    /// No nodes yet; a node that drains may get something new for `drain_grace` after this front was told.
+    pub(crate) fn new(drain_grace: Micros) -> Self {
+        NodeTable {
+            drain_grace,
+            ids: HashMap::new(),
+            known: BTreeMap::new(),
+            next_id: 0,
+        }
+    }
+
+    pub(crate) fn set_drain_grace(&mut self, drain_grace: Micros) {
+        self.drain_grace = drain_grace;
+    }
+
+    /// Takes an update of the list, and returns its entries as the balancer has them.
+    pub(crate) fn update(
         &mut self,
         now: Micros,
-        grace: Micros,
         kind: NodeListKind,
-        list: Vec<Listing>,
+        listings: Vec<NodeListing>,
     ) -> Vec<NodeEntry> {
-        let until = now + grace * GRACE_TENTHS / 10;
-        let mut listed = BTreeSet::new();
-        let mut entries = Vec::with_capacity(list.len());
-        for l in list {
-            let node = self.place(&l);
-            let Some(known) = self.known.get_mut(&node) else {
-                continue;
-            };
-            listed.insert(node);
-            known.target.address = l.address;
-            match l.state {
-                NodeState::Ready => known.stop(|_| Micros::MAX),
-                _ => known.stop(|at| until.min(at)),
-            }
-            known.gone = (l.state == NodeState::Gone).then(|| known.gone.unwrap_or(now));
-            let (state, zone, shard, started, size) = (l.state, l.zone, l.shard, l.started, l.size);
-            entries.push(NodeEntry {
-                node,
-                state,
-                zone,
-                shard,
-                started,
-                weight: size,
-            });
+        let stop_at = now + self.drain_grace * GRACE_USED_TENTHS / 10;
+        let mut entries = Vec::with_capacity(listings.len());
+        for listing in listings {
+            entries.extend(self.update_node(now, stop_at, &listing));
         }
         if kind != NodeListKind::Changes {
-            for (_, known) in self
+            let listed: BTreeSet<NodeId> = entries.iter().map(|entry| entry.node).collect();
+            let absent = self
                 .known
                 .iter_mut()
-                .filter(|(node, _)| !listed.contains(node))
-            {
-                known.stop(|at| until.min(at));
-                known.gone = known.gone.or(Some(now));
+                .filter(|(node, _)| !listed.contains(node));
+            for (_, known) in absent {
+                known.set_stop_at(|at| stop_at.min(at));
+                known.removed_at = known.removed_at.or(Some(now));
             }
         }
-        // Nodes come and go all day under ever new names.
-        self.known
-            .retain(|_, known| known.gone.is_none_or(|at| now - at < FORGET));
-        self.ids.retain(|_, node| self.known.contains_key(node));
+        self.forget_removed(now);
         entries
     }
 
-    fn place(&mut self, l: &Listing) -> NodeId {
-        if let Some(node) = self.ids.get(l.name.as_str()) {
+    fn update_node(
+        &mut self,
+        now: Micros,
+        stop_at: Micros,
+        listing: &NodeListing,
+    ) -> Option<NodeEntry> {
+        let node = self.id_or_new(listing);
+        let known = self.known.get_mut(&node)?;
+        known.target.address = listing.address;
+        known.set_stop_at(|at| match listing.state {
+            NodeState::Ready => Micros::MAX,
+            NodeState::Draining | NodeState::Gone => stop_at.min(at),
+        });
+        known.removed_at = match listing.state {
+            NodeState::Gone => known.removed_at.or(Some(now)),
+            NodeState::Ready | NodeState::Draining => None,
+        };
+        Some(NodeEntry {
+            node,
+            state: listing.state,
+            zone: listing.zone,
+            shard: listing.shard,
+            started: listing.started,
+            weight: listing.weight,
+        })
+    }
+
+    fn id_or_new(&mut self, listing: &NodeListing) -> NodeId {
+        if let Some(node) = self.ids.get(listing.name.as_str()) {
             return *node;
         }
-        let (node, name): (NodeId, Arc<str>) = (NodeId(self.named), l.name.as_str().into());
-        self.named += 1;
-        let (stop, stop_at) = watch::channel(Micros::MAX);
+        let node = NodeId(self.next_id);
+        self.next_id += 1;
+        let name: Arc<str> = listing.name.as_str().into();
+        let (sender, stop_at) = watch::channel(Micros::MAX);
         self.ids.insert(name.clone(), node);
-        let target = Target {
-            node,
-            name,
-            address: l.address,
-            stop_at,
-        };
-        self.known.insert(
-            node,
-            Known {
-                target,
-                stop,
-                gone: None,
+        let known = KnownNode {
+            target: NodeTarget {
+                node,
+                name,
+                address: listing.address,
+                stop_at,
             },
-        );
+            stop_at: sender,
+            removed_at: None,
+        };
+        self.known.insert(node, known);
         node
     }
 
-    pub(super) fn id(&self, name: &str) -> Option<NodeId> {
-        self.ids.get(name).copied()
-    }
-
-    pub(super) fn target(&self, node: NodeId) -> Option<Target> {
-        self.known.get(&node).map(|k| k.target.clone())
-    }
-}
-
-impl Known {
-    fn stop(&self, when: impl FnOnce(Micros) -> Micros) {
-        self.stop.send_if_modified(|stop| {
-            let at = when(*stop);
-            std::mem::replace(stop, at) != at
+    /// Nodes come and go all day under ever new names: those that were removed a while ago are forgotten.
+    fn forget_removed(&mut self, now: Micros) {
+        self.known.retain(|_, known| {
+            known
+                .removed_at
+                .is_none_or(|at| now - at < REMOVED_MEMORY_US)
         });
+        self.ids.retain(|_, node| self.known.contains_key(node));
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn listing(name: String, state: NodeState) -> Listing {
-        let address = SocketAddr::from(([127, 0, 0, 1], 9));
-        Listing {
-            name,
-            address,
-            state,
-            zone: Zone(0),
-            shard: Shard(0),
-            started: None,
-            size: 1.0,
-        }
+    /// The number of the node of this name.
+    pub(crate) fn id(&self, name: &str) -> Option<NodeId> {
+        self.ids.get(name).copied()
     }
 
-    #[test]
-    fn a_day_of_replaced_nodes_leaves_no_names_behind() {
-        let mut nodes = Nodes::default();
-        let mut last = None;
-        for day in 0..10_000 {
-            let now = 1_000_000 * i64::from(day);
-            let mut list = vec![listing(format!("s-{day}"), NodeState::Ready)];
-            if day > 0 && day % 3 > 0 {
-                list.push(listing(format!("s-{}", day - 1), NodeState::Gone));
-            }
-            let kind = if day % 3 == 0 {
-                NodeListKind::Full
-            } else {
-                NodeListKind::Changes
-            };
-            let entries = nodes.apply(now, 1_000_000, kind, list);
-            assert!(
-                last.replace(entries[0].node) < Some(entries[0].node),
-                "a number is never used again"
-            );
-            assert!(nodes.known.len() <= 64 && nodes.ids.len() == nodes.known.len());
-        }
-        assert!(nodes.target(last.unwrap()).is_some() && nodes.target(NodeId(0)).is_none());
+    /// How to reach a node.
+    pub(crate) fn target(&self, node: NodeId) -> Option<NodeTarget> {
+        self.known.get(&node).map(|known| known.target.clone())
     }
 }
--- a/crates/request-engine/src/send_permit.rs
+++ b/crates/request-engine/src/send_permit.rs
@@ -1,10 +1,10 @@
-//! The permit for one sending.
+//! The permit for sending an attempt once.
 
-/// A permit to hand one request to a node, once.
+/// A permit to send one request to a node, once.
 ///
-/// Only the core makes one, in each [`Attempt`](crate::Attempt) that its module orders, and the sending takes it by value.
-/// It cannot be copied, so a request that may not be repeated cannot be sent a second time without another order, which
-/// the module gives only where it may. One sending is well:
+/// Only the engine makes one, in each [`Attempt`](crate::Attempt) that its balancer orders, and sending takes it by value. It cannot be
+/// copied, so a request that may not be repeated cannot be sent a second time without another order, which the balancer gives only
+/// where it may. Sending once compiles:
 ///
 /// ```
 /// fn send(_: lupinrack_request_engine::SendPermit) {}
@@ -14,7 +14,7 @@
 /// }
 /// ```
 ///
-/// A second one is refused by the compiler:
+/// Sending twice does not:
 ///
 /// ```compile_fail,E0382
 /// fn send(_: lupinrack_request_engine::SendPermit) {}
@@ -25,7 +25,7 @@
 /// }
 /// ```
 ///
-/// Nor can one be made elsewhere:
+/// Nor can a permit be made elsewhere:
 ///
 /// ```compile_fail,E0423
 /// let permit = lupinrack_request_engine::SendPermit(());
@@ -35,7 +35,7 @@
 pub struct SendPermit(());
 
 impl SendPermit {
-    /// For an attempt that the module ordered.
+    /// The permit for an attempt that the balancer ordered.
     pub(crate) fn for_order() -> SendPermit {
         SendPermit(())
     }
--- a/crates/rsync/src/daemon.rs
+++ b/crates/rsync/src/daemon.rs
@@ -5,7 +5,7 @@
 use super::unit::{self, End, Meter};
 use super::wire::{self, Entry, Reader, Sum, WireError, Writer, PATH_MOST, VERSION};
 use lupinrack_graceful_shutdown::{reached, Phase};
-use lupinrack_request_engine::Handle;
+use lupinrack_request_engine::EngineHandle;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -31,7 +31,7 @@
 #[derive(Clone)]
 pub struct Front {
     /// The core, the same as the platform's front has.
-    pub core: Handle,
+    pub core: EngineHandle,
     /// Modules and servers.
     pub config: Arc<RsyncConfig>,
     /// The longest time for a connection to a server to come up.
@@ -137,7 +137,7 @@
         meter(0),
         from.ended(AHEAD_MOST),
         |attempt, line| {
-            let address = servers.get(&*attempt.to.name).copied();
+            let address = servers.get(&*attempt.target.name).copied();
             pull::list(
                 want(asked.path.clone(), asked.recursive),
                 address,
@@ -190,7 +190,7 @@
             meter(entry.size),
             gone,
             |attempt, line| {
-                let address = servers.get(&*attempt.to.name).copied();
+                let address = servers.get(&*attempt.target.name).copied();
                 let passing = Passing {
                     client: to.clone(),
                     head,
--- a/crates/rsync/src/pull.rs
+++ b/crates/rsync/src/pull.rs
@@ -74,7 +74,7 @@
     attempt: Attempt,
     mut line: Line,
 ) -> (Outcome, Vec<Entry>) {
-    let (until, clock) = (attempt.until, line.clock);
+    let (until, clock) = (attempt.timeout_at, line.clock);
     let pull = async {
         let mut s = open(&want, address, &attempt, clock).await?;
         let list = s.from.list().await?;
@@ -94,7 +94,7 @@
     mut line: Line,
     mut passing: Passing,
 ) -> (Outcome, ()) {
-    let (until, clock) = (attempt.until, line.clock);
+    let (until, clock) = (attempt.timeout_at, line.clock);
     let pull = async {
         let mut s = open(&want, address, &attempt, line.clock).await?;
         let list = s.from.list().await?;
@@ -213,7 +213,7 @@
     };
     let (mut from, mut to) = tokio::select! {
         biased;
-        () = attempt.to.stopped(clock) => return Err(PullError::Unsent),
+        () = attempt.target.stopped(clock) => return Err(PullError::Unsent),
         greeted = greet => greeted?,
     };
     if clock.now() >= attempt.begin_by {
--- a/crates/rsync/src/unit.rs
+++ b/crates/rsync/src/unit.rs
@@ -1,7 +1,7 @@
 //! The life of one unit of work (a file list, or one file) in the core, from its opening to its end.
 
 use lupinrack_policy::*;
-use lupinrack_request_engine::{Attempt, Clock, Handle, Order, Teller};
+use lupinrack_request_engine::{Attempt, Clock, EngineHandle, Order, RequestReporter};
 use std::future::Future;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -50,7 +50,7 @@
 pub struct Line {
     /// The clock.
     pub clock: Clock,
-    teller: Teller,
+    reporter: RequestReporter,
     number: u16,
     began: Arc<AtomicBool>,
     meter: Meter,
@@ -63,21 +63,21 @@
     pub async fn begin(&mut self) -> bool {
         let first = !self.began.swap(true, Ordering::Relaxed);
         if first {
-            self.teller.began(self.number).await;
+            self.reporter.response_started(self.number).await;
         }
         first
     }
 
     /// Tells of bytes passed on to the client.
     pub async fn moved(&self, bytes: u64) {
-        self.teller.moved(bytes).await;
+        self.reporter.bytes_forwarded(bytes).await;
     }
 
     /// Waits until this many bytes in all are paid for.
     pub async fn pay(&mut self, moved: u64) {
         while moved > self.paid {
             let units = self.meter.units(self.meter.bytes.max(moved) - self.paid);
-            self.teller.more(units).await;
+            self.reporter.request_units(units).await;
             if self.grants.recv().await.is_none() {
                 // The unit is over; whoever ended it drops this attempt.
                 return std::future::pending().await;
@@ -89,7 +89,7 @@
 
 /// Runs one unit of work. `gone` ends when the client leaves; `pull` makes one attempt.
 pub async fn run<T, F: Future<Output = (Outcome, T)>>(
-    core: &Handle,
+    core: &EngineHandle,
     request: Request,
     meter: Meter,
     gone: impl Future<Output = ()>,
@@ -108,7 +108,7 @@
 
 /// Follows the core's orders to the unit's end.
 async fn follow<T, F: Future<Output = (Outcome, T)>>(
-    core: &Handle,
+    core: &EngineHandle,
     request: Request,
     meter: Meter,
     gone: impl Future<Output = ()>,
@@ -121,7 +121,7 @@
             ..request
         })
         .await;
-    let teller = ticket.teller();
+    let reporter = ticket.reporter();
     let began = Arc::new(AtomicBool::new(false));
     let mut running = None;
     tokio::pin!(gone);
@@ -134,25 +134,25 @@
             biased;
             // Before all else: nothing begins for a client that has gone.
             () = &mut gone => {
-                teller.client_gone().await;
+                reporter.client_gone().await;
                 break End::ClientGone;
             }
-            order = ticket.order() => match order {
+            order = ticket.next_order() => match order {
                 // One connection to the client can take one answer: a copy beside it is never sent.
                 Some(Order::Send(attempt)) if out.is_some() => {
-                    teller.ended(attempt.number, Outcome::NotSent, None).await;
+                    reporter.attempt_ended(attempt.number, Outcome::NotSent, None).await;
                 }
                 Some(Order::Send(attempt)) => {
                     let (number, (grant, grants)) = (attempt.number, mpsc::channel(1));
                     span.record("attempt", number);
                     let paid = meter.first() as u64 * meter.bytes_per_unit;
-                    let (began, teller) = (began.clone(), teller.clone());
-                    let line = Line { clock: core.clock, teller, number, began, meter, paid, grants };
+                    let (began, reporter) = (began.clone(), reporter.clone());
+                    let line = Line { clock: core.clock, reporter, number, began, meter, paid, grants };
                     running = Some((number, grant, Box::pin(pull(attempt, line))));
                 }
                 Some(Order::Cancel(number)) if out == Some(number) => {
                     running = None;
-                    teller.ended(number, Outcome::Cancelled, None).await;
+                    reporter.attempt_ended(number, Outcome::Cancelled, None).await;
                     if began.load(Ordering::Relaxed) {
                         break End::Broken;
                     }
@@ -163,7 +163,7 @@
                         let _ = grants.try_send(());
                     }
                 }
-                Some(Order::Refuse(after)) => break End::Refused(after),
+                Some(Order::Reject(after)) => break End::Refused(after),
                 Some(Order::Fail) | None => break End::Failed,
             },
             (outcome, value) = async {
@@ -173,7 +173,7 @@
                 }
             } => {
                 running = None;
-                teller.ended(out.unwrap_or(0), outcome, None).await;
+                reporter.attempt_ended(out.unwrap_or(0), outcome, None).await;
                 match outcome {
                     Outcome::Ok => break End::Done(value),
                     _ if began.load(Ordering::Relaxed) => break End::Broken,
@@ -184,7 +184,9 @@
     };
     // An attempt still out is given up here: its connection closes with it.
     if let Some((number, ..)) = running {
-        teller.ended(number, Outcome::Cancelled, None).await;
+        reporter
+            .attempt_ended(number, Outcome::Cancelled, None)
+            .await;
         if began.load(Ordering::Relaxed) && !matches!(end, End::ClientGone) {
             return End::Broken;
         }
--- a/crates/rsync/tests/golden_sessions.rs
+++ b/crates/rsync/tests/golden_sessions.rs
@@ -3,7 +3,7 @@
 use lupinrack_golden_files::{path, GoldenFile};
 use lupinrack_graceful_shutdown::Phase;
 use lupinrack_policy::{NodeListKind, NodeState, Shard, Zone};
-use lupinrack_request_engine::{Clock, Core, Listing};
+use lupinrack_request_engine::{Clock, EngineParts, NodeListing};
 use lupinrack_rsync::config::RsyncConfig;
 use lupinrack_rsync::daemon::{self, Front};
 use lupinrack_rsync::wire::{list, stats, Entry, Sum};
@@ -88,7 +88,11 @@
 async fn front(server: SocketAddr) -> SocketAddr {
     let told = lupinrack_front_settings::parse(SETTINGS).unwrap();
     let clock = Clock::start();
-    let (core, handle, probes) = Core::new(told.module.clone(), 7, clock);
+    let EngineParts {
+        engine,
+        handle,
+        health_checks: probes,
+    } = EngineParts::new(told.module.clone(), 7, clock);
     let section = format!(
         "enabled = true\nlisten = '127.0.0.1:0'\n[[module]]\nname = 'trips'\ncomment = 'Trip exports'\n\
          remote = 'exports'\nplan = 'priority'\nvolume = 'a1'\nclass = 'bulk-read'\nshard = 5\n\
@@ -97,17 +101,17 @@
          [[server]]\nnode = 'n0'\naddress = '{server}'\n"
     );
     let config = RsyncConfig::parse(&section, &told).unwrap().unwrap();
-    let node = Listing {
+    let node = NodeListing {
         name: "n0".into(),
         address: server,
         state: NodeState::Ready,
         zone: Zone(0),
         shard: Shard(5),
         started: None,
-        size: 1.0,
+        weight: 1.0,
     };
-    tokio::spawn(core.run());
-    handle.list(NodeListKind::Full, vec![node]).await;
+    tokio::spawn(engine.run());
+    handle.update_nodes(NodeListKind::Full, vec![node]).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (phase, seen) = watch::channel(Phase::Ready);
