--- /dev/null
+++ b/crates/cluster-simulation/tests/severe_scenarios.rs
@@ -0,0 +1,128 @@
+//! The worst days of the control side, a few of each scene; more are played by hand with
+//! `cargo run --release --example hunt`.
+
+use lupinrack_cluster_simulation::{
+    simulate, FaultProfile, FaultScenario, SimulationConfig, SimulationReport,
+};
+
+fn check(scenario: FaultScenario, seeds: impl Iterator<Item = u64>, settings: SimulationConfig) {
+    for seed in seeds {
+        let report = simulate(
+            seed,
+            SimulationConfig {
+                kind: FaultProfile::Only(scenario),
+                ..settings
+            },
+        );
+        assert!(
+            report.violations.is_empty(),
+            "{scenario:?}, seed {seed}: {:#?}",
+            report.violations
+        );
+        assert_work_was_done(scenario, seed, &report);
+    }
+}
+
+/// A day on which nothing happens breaks no rule either.
+fn assert_work_was_done(scenario: FaultScenario, seed: u64, report: &SimulationReport) {
+    assert!(
+        report.accepted >= 30,
+        "{scenario:?}, seed {seed}: {} jobs accepted",
+        report.accepted
+    );
+    assert!(
+        report.tasks_done >= 100,
+        "{scenario:?}, seed {seed}: {} tasks done",
+        report.tasks_done
+    );
+    assert!(
+        report.changes >= 5,
+        "{scenario:?}, seed {seed}: {} changes acknowledged",
+        report.changes
+    );
+}
+
+fn three() -> SimulationConfig {
+    SimulationConfig {
+        traffic_ms: 60_000,
+        ..SimulationConfig::default()
+    }
+}
+
+fn five() -> SimulationConfig {
+    SimulationConfig {
+        cores: 5,
+        tolerance: 2,
+        ..three()
+    }
+}
+
+#[test]
+fn a_machine_cut_off_with_its_callers_breaks_no_rule() {
+    check(FaultScenario::PartitionWithCallers, 1..=4, three());
+    check(FaultScenario::PartitionWithCallers, 1..=2, five());
+}
+
+#[test]
+fn a_disk_lost_right_after_the_repair_of_another_breaks_no_rule() {
+    check(FaultScenario::ConsecutiveDiskLosses, 1..=4, three());
+    check(FaultScenario::ConsecutiveDiskLosses, 1..=2, five());
+}
+
+#[test]
+fn all_at_once_breaks_no_rule() {
+    check(FaultScenario::SimultaneousCrash, 1..=4, three());
+    check(FaultScenario::SimultaneousCrash, 1..=2, five());
+}
+
+#[test]
+fn slow_and_sick_machines_break_no_rule() {
+    check(FaultScenario::DegradedMachine, 1..=4, three());
+}
+
+#[test]
+fn machines_ended_in_turn_break_no_rule() {
+    check(FaultScenario::RollingRestart, 1..=4, three());
+}
+
+#[test]
+fn machines_replaced_in_order_break_no_rule() {
+    check(FaultScenario::GracefulReplacement, 1..=4, three());
+}
+
+#[test]
+fn machines_replaced_again_and_again_break_no_rule() {
+    check(FaultScenario::RepeatedReplacement, 1..=4, three());
+    check(FaultScenario::RepeatedReplacement, 1..=2, five());
+}
+
+/// Nine voters are renewed like fewer.
+#[test]
+fn machines_of_nine_replaced_again_and_again_break_no_rule() {
+    check(
+        FaultScenario::RepeatedReplacement,
+        1..=1,
+        SimulationConfig {
+            cores: 9,
+            tolerance: 2,
+            ..three()
+        },
+    );
+}
+
+#[test]
+fn a_disk_lost_right_after_a_replacement_breaks_no_rule() {
+    check(FaultScenario::ReplacementThenDiskLoss, 1..=4, three());
+    check(FaultScenario::ReplacementThenDiskLoss, 1..=2, five());
+}
+
+#[test]
+fn a_newcomer_wiped_while_it_catches_up_breaks_no_rule() {
+    check(FaultScenario::DiskLossDuringCatchUp, 1..=4, three());
+}
+
+#[test]
+fn losses_at_once_break_no_rule() {
+    check(FaultScenario::SimultaneousLosses, 1..=4, three());
+    check(FaultScenario::SimultaneousLosses, 1..=2, five());
+}
