--- a/crates/cluster-node/src/core/machine/mod.rs
+++ b/crates/cluster-node/src/core/machine/mod.rs
@@ -4,20 +4,19 @@
 //! carries frames, writes batches to the disk, and hands what comes of it back as events. The simulation of the whole
 //! control plane runs the same machine.
 
-mod effects;
-mod events;
+mod frames;
 mod identity;
 mod ownership;
 mod replication;
 mod requests;
-mod settings;
 mod shutdown;
 mod subscriptions;
 mod views;
 
-pub use effects::{CoreEffect, CoreEvent, CoreFault, Moment};
-pub use settings::CoreSettings;
+pub use super::effect::{CoreEffect, CoreEvent, CoreFault, Moment};
+pub use super::settings::CoreSettings;
 
+use super::effect::Outbox;
 use super::pending_requests::{Caller, NewsRequest, Waiting, WaitingCall};
 use super::pending_writes::{AfterWrite, Disk};
 use super::replica::Replica;
@@ -28,7 +27,6 @@
 use crate::subscribers::Subscribers;
 use crate::NodeError;
 use borsh::BorshDeserialize;
-use effects::Outbox;
 use lupinrack_chain::{Chain, Effect as ChainEffect, ReplicaStatus, StoredState, SubmitError};
 use lupinrack_cluster_api::agreement::AgreementMessage;
 use lupinrack_cluster_api::chain::{ChainMessage, ReplicaReport};
--- a/crates/cluster-node/src/core/mod.rs
+++ b/crates/cluster-node/src/core/mod.rs
@@ -3,6 +3,7 @@
 //! One task owns all of it. Everything that happens (frames, calls of this process, synced writes, the timer) comes in as
 //! an event; the state machines answer with effects, which are carried out here.
 
+mod effect;
 mod machine;
 pub mod pending_requests;
 pub mod pending_writes;
@@ -10,6 +11,7 @@
 mod replica;
 pub mod request_steps;
 mod scheduler_settings;
+mod settings;
 mod shards;
 
 pub use lupinrack_chain::limits::ByteLimits;
--- a/crates/cluster-node/src/core/machine/settings.rs
+++ b/crates/cluster-node/src/core/settings.rs
@@ -15,7 +15,7 @@
 /// The time between the signal to end and being killed where nothing is set, in milliseconds.
 const GRACE_MS: u64 = 6_000;
 
-/// Settings of a [`CoreMachine`](super::CoreMachine).
+/// Settings of a [`CoreMachine`](super::machine::CoreMachine).
 #[derive(Clone, Debug)]
 pub struct CoreSettings {
     /// Its name, for operators.
