--- a/crates/cluster-node/tests/head_client.rs
+++ b/crates/cluster-node/tests/head_client.rs
@@ -19,12 +19,12 @@
 /// When the callers of these tests give up.
 const UNTIL: Millis = Millis(4_000);
 /// Open calls that a client takes.
-const OPEN_CALLS_MOST: usize = 2_000;
+const MAX_PENDING_CALLS: usize = 2_000;
 
 /// A client that knows a view whose head is core process 1.
 fn client() -> HeadClient {
     let mut client = HeadClient::new(LIFE);
-    assert!(client.learn(&head(1, 1), START).is_empty());
+    assert!(client.learn_view(&head(1, 1), START).is_empty());
     client
 }
 
@@ -49,14 +49,14 @@
 }
 
 /// An answer to the call with this number in the client's life.
-fn answered(
+fn receive_reply(
     client: &mut HeadClient,
     from: u8,
     number: u64,
     reply: Reply,
     now: Millis,
 ) -> Vec<OutgoingFrame> {
-    client.answered(
+    client.receive_reply(
         core(from),
         CallId {
             incarnation: LIFE,
@@ -108,7 +108,7 @@
         }]
     );
     assert!(!client.is_idle());
-    answered(&mut client, 1, 1, Reply::Done, START.plus(5));
+    receive_reply(&mut client, 1, 1, Reply::Done, START.plus(5));
     assert_eq!(answer.try_recv(), Ok(Reply::Done));
     assert!(client.is_idle());
 }
@@ -117,10 +117,10 @@
 fn an_answer_to_no_open_call_changes_nothing() {
     let mut client = client();
     let (_, mut answer) = begin(&mut client, START);
-    answered(&mut client, 1, 99, Reply::Done, START);
+    receive_reply(&mut client, 1, 99, Reply::Done, START);
     assert!(answer.try_recv().is_err());
-    answered(&mut client, 1, 1, Reply::Done, START);
-    answered(&mut client, 1, 1, Reply::Pending(1), START);
+    receive_reply(&mut client, 1, 1, Reply::Done, START);
+    receive_reply(&mut client, 1, 1, Reply::Pending(1), START);
     assert_eq!(answer.try_recv(), Ok(Reply::Done));
 }
 
@@ -132,10 +132,10 @@
         incarnation: LIFE - 1,
         number: 1,
     };
-    client.answered(core(1), of_former_life, Reply::Pending(5), START);
+    client.receive_reply(core(1), of_former_life, Reply::Pending(5), START);
     assert!(answer.try_recv().is_err());
-    assert_eq!(client.unmatched_answers(), 1);
-    answered(&mut client, 1, 1, Reply::Done, START);
+    assert_eq!(client.unmatched_replies(), 1);
+    receive_reply(&mut client, 1, 1, Reply::Done, START);
     assert_eq!(answer.try_recv(), Ok(Reply::Done));
 }
 
@@ -148,22 +148,25 @@
         Reply::Error(ErrorKind::UnknownJob),
         Reply::NotHead(head(2, 2)),
     ] {
-        assert!(answered(&mut client, 2, 1, reply, START).is_empty());
+        assert!(receive_reply(&mut client, 2, 1, reply, START).is_empty());
         assert!(answer.try_recv().is_err());
     }
-    assert_eq!((client.unmatched_answers(), client.view().number), (3, 1));
+    assert_eq!((client.unmatched_replies(), client.view().number), (3, 1));
 }
 
 #[test]
 fn an_answer_of_the_head_before_is_still_the_answer() {
     let mut client = client();
     let (_, mut answer) = begin(&mut client, START);
-    assert_eq!(sent(client.learn(&head(2, 2), START.plus(100))).len(), 1);
-    answered(&mut client, 1, 1, Reply::Pending(3), START.plus(110));
+    assert_eq!(
+        sent(client.learn_view(&head(2, 2), START.plus(100))).len(),
+        1
+    );
+    receive_reply(&mut client, 1, 1, Reply::Pending(3), START.plus(110));
     assert_eq!(answer.try_recv(), Ok(Reply::Pending(3)));
-    answered(&mut client, 2, 1, Reply::Pending(4), START.plus(120));
+    receive_reply(&mut client, 2, 1, Reply::Pending(4), START.plus(120));
     assert_eq!(
-        client.unmatched_answers(),
+        client.unmatched_replies(),
         1,
         "each further one belongs to nobody"
     );
@@ -173,8 +176,8 @@
 fn a_refusal_of_the_head_before_does_not_hurry_the_call() {
     let mut client = client();
     let _answer = begin(&mut client, START);
-    client.learn(&head(2, 2), START.plus(100));
-    answered(
+    client.learn_view(&head(2, 2), START.plus(100));
+    receive_reply(
         &mut client,
         1,
         1,
@@ -195,7 +198,7 @@
 fn a_new_head_gets_what_is_open() {
     let mut client = client();
     let (_, mut answer) = begin(&mut client, START);
-    let again = sent(client.learn(&head(2, 2), START.plus(100)));
+    let again = sent(client.learn_view(&head(2, 2), START.plus(100)));
     assert_eq!(
         again,
         [Sent {
@@ -204,7 +207,7 @@
             remaining_ms: 2_900
         }]
     );
-    answered(&mut client, 2, 1, Reply::Done, START.plus(110));
+    receive_reply(&mut client, 2, 1, Reply::Done, START.plus(110));
     assert_eq!(answer.try_recv(), Ok(Reply::Done));
 }
 
@@ -212,8 +215,8 @@
 fn an_older_view_or_the_same_head_sends_nothing_again() {
     let mut client = client();
     let _answer = begin(&mut client, START);
-    assert!(client.learn(&head(1, 2), START).is_empty());
-    assert!(client.learn(&head(2, 1), START).is_empty());
+    assert!(client.learn_view(&head(1, 2), START).is_empty());
+    assert!(client.learn_view(&head(2, 1), START).is_empty());
     assert_eq!(client.view().number, 2);
 }
 
@@ -230,8 +233,8 @@
 fn a_closed_connection_sends_again_at_once_what_went_there() {
     let mut client = client();
     let _answer = begin(&mut client, START);
-    assert!(client.closed(core(2), START.plus(5)).is_empty());
-    let again = sent(client.closed(core(1), START.plus(5)));
+    assert!(client.disconnected(core(2), START.plus(5)).is_empty());
+    let again = sent(client.disconnected(core(1), START.plus(5)));
     assert_eq!(
         again,
         [Sent {
@@ -257,7 +260,10 @@
 fn a_call_that_waits_for_a_head_goes_out_once_there_is_one() {
     let mut client = HeadClient::new(LIFE);
     let _answer = begin(&mut client, START);
-    assert_eq!(sent(client.learn(&head(1, 3), START.plus(500))).len(), 1);
+    assert_eq!(
+        sent(client.learn_view(&head(1, 3), START.plus(500))).len(),
+        1
+    );
 }
 
 #[test]
@@ -285,7 +291,7 @@
     let mut client = client();
     let (_, mut answer) = begin(&mut client, START);
     let same = Reply::NotHead(head(1, 1));
-    assert!(answered(&mut client, 1, 1, same, START.plus(20)).is_empty());
+    assert!(receive_reply(&mut client, 1, 1, same, START.plus(20)).is_empty());
     let again = ticks(&mut client, START.plus(30), START.plus(200));
     assert_eq!(
         again
@@ -301,7 +307,7 @@
 fn one_that_is_not_the_head_and_knows_a_newer_view_turns_the_call_there() {
     let mut client = client();
     let _answer = begin(&mut client, START);
-    let again = sent(answered(
+    let again = sent(receive_reply(
         &mut client,
         1,
         1,
@@ -323,7 +329,7 @@
     ] {
         let mut client = client();
         let (_, mut answer) = begin(&mut client, START);
-        answered(&mut client, 1, 1, Reply::Error(kind), START.plus(5));
+        receive_reply(&mut client, 1, 1, Reply::Error(kind), START.plus(5));
         assert_eq!(answer.try_recv(), Ok(Reply::Error(kind)));
     }
 }
@@ -337,8 +343,8 @@
     ] {
         let mut client = client();
         let (_, mut answer) = begin(&mut client, START);
-        client.learn(&head(2, 2), START.plus(10));
-        answered(&mut client, 2, 1, Reply::Error(kind), START.plus(20));
+        client.learn_view(&head(2, 2), START.plus(10));
+        receive_reply(&mut client, 2, 1, Reply::Error(kind), START.plus(20));
         assert_eq!(
             answer.try_recv(),
             Ok(Reply::Error(ErrorKind::InDoubt)),
@@ -356,8 +362,8 @@
     ] {
         let mut client = client();
         let (_, mut answer) = begin(&mut client, START);
-        client.learn(&head(2, 2), START.plus(10));
-        answered(&mut client, 2, 1, Reply::Error(kind), START.plus(20));
+        client.learn_view(&head(2, 2), START.plus(10));
+        receive_reply(&mut client, 2, 1, Reply::Error(kind), START.plus(20));
         assert_eq!(answer.try_recv(), Ok(Reply::Error(kind)));
     }
 }
@@ -365,13 +371,13 @@
 #[test]
 fn more_calls_than_it_keeps_are_refused_as_overload() {
     let mut client = client();
-    let open: Vec<Receiver<Reply>> = (0..OPEN_CALLS_MOST)
+    let open: Vec<Receiver<Reply>> = (0..MAX_PENDING_CALLS)
         .map(|_| begin(&mut client, START).1)
         .collect();
     let (nothing, mut refused) = begin(&mut client, START);
     assert!(nothing.is_empty());
     assert_eq!(refused.try_recv(), Ok(Reply::Error(ErrorKind::Overloaded)));
-    answered(&mut client, 1, 1, Reply::Done, START);
+    receive_reply(&mut client, 1, 1, Reply::Done, START);
     let (sent, mut taken) = begin(&mut client, START);
     assert_eq!(sent.len(), 1);
     assert!(taken.try_recv().is_err());
@@ -421,16 +427,16 @@
                 }
                 Happening::NewHead(at) => {
                     view_number += 1;
-                    client.learn(&head(view_number, at), now)
+                    client.learn_view(&head(view_number, at), now)
                 }
                 Happening::NoHead => {
                     view_number += 1;
-                    client.learn(&view(view_number, &[1, 2, 3], &[]), now)
+                    client.learn_view(&view(view_number, &[1, 2, 3], &[]), now)
                 }
-                Happening::Close(at) => client.closed(core(at), now),
+                Happening::Close(at) => client.disconnected(core(at), now),
                 // Answers come only to what was sent.
                 other => match asked {
-                    Some(from) => client.answered(from, CallId { incarnation: LIFE, number: 1 }, reply(other), now),
+                    Some(from) => client.receive_reply(from, CallId { incarnation: LIFE, number: 1 }, reply(other), now),
                     None => Vec::new(),
                 },
             };
--- a/crates/cluster-node/tests/known_configuration.rs
+++ b/crates/cluster-node/tests/known_configuration.rs
@@ -4,7 +4,7 @@
 use lupinrack_cluster_api::request::Target;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_node::front::known_configuration::{
-    negative_answer_validity_ms, ConfigurationUpdate, KnownConfiguration, Learned,
+    negative_answer_validity_ms, ConfigurationUpdate, KnownConfiguration, UpdateOutcome,
 };
 use quickcheck::quickcheck;
 
@@ -26,7 +26,7 @@
     let mut known = KnownConfiguration::default();
     assert_eq!(
         known.learn(news(3, true, 1_000, 150)),
-        Learned {
+        UpdateOutcome {
             newer: true,
             fresher: true
         }
@@ -34,7 +34,7 @@
     assert_eq!(known.confirmed_at, Millis(850));
     assert_eq!(
         known.learn(news(3, false, 1_400, 0)),
-        Learned {
+        UpdateOutcome {
             newer: false,
             fresher: true
         }
@@ -46,7 +46,10 @@
 fn an_answer_that_was_long_on_its_way_makes_nothing_fresher() {
     let mut known = KnownConfiguration::default();
     known.learn(news(3, true, 5_000, 0));
-    assert_eq!(known.learn(news(3, false, 1_000, 0)), Learned::default());
+    assert_eq!(
+        known.learn(news(3, false, 1_000, 0)),
+        UpdateOutcome::default()
+    );
     assert_eq!(known.confirmed_at, Millis(5_000));
 }
 
@@ -54,7 +57,10 @@
 fn word_of_a_version_without_it_is_not_taken() {
     let mut known = KnownConfiguration::default();
     known.learn(news(3, true, 1_000, 0));
-    assert_eq!(known.learn(news(4, false, 2_000, 0)), Learned::default());
+    assert_eq!(
+        known.learn(news(4, false, 2_000, 0)),
+        UpdateOutcome::default()
+    );
     assert_eq!(
         (known.configuration.version, known.confirmed_at),
         (3, Millis(1_000))
@@ -66,10 +72,10 @@
     let mut known = KnownConfiguration::default();
     known.learn(news(3, true, 1_000, 0));
     let unasked = news(4, true, 0, 0);
-    assert!(!unasked.is_vouched_for());
+    assert!(!unasked.is_timestamped());
     assert_eq!(
         known.learn(unasked),
-        Learned {
+        UpdateOutcome {
             newer: true,
             fresher: true
         }
--- a/crates/cluster-node/tests/membership.rs
+++ b/crates/cluster-node/tests/membership.rs
@@ -58,7 +58,7 @@
         until(|| sizes(&members, 3)).await,
         "three processes find one another"
     );
-    members[2].leave();
+    members[2].shut_down();
     assert!(
         until(|| sizes(&members[..2], 2)).await,
         "the others notice who leaves"
--- a/crates/cluster-node/tests/network/mod.rs
+++ b/crates/cluster-node/tests/network/mod.rs
@@ -362,8 +362,8 @@
                     self.send(from, to, frame);
                 }
             }
-            CoreEffect::Write { ticket, .. } => {
-                let event = CoreEvent::Synced(vec![ticket]);
+            CoreEffect::Write { number, .. } => {
+                let event = CoreEvent::Synced(vec![number]);
                 self.due.push_back(Due {
                     at: self.now + DISK_MS,
                     to: from,
--- a/crates/cluster-node/tests/network/operator.rs
+++ b/crates/cluster-node/tests/network/operator.rs
@@ -26,7 +26,7 @@
 }
 
 /// A call under way.
-struct OpenCall {
+struct PendingCall {
     number: CallNumber,
     order: Option<usize>,
     process: usize,
@@ -57,7 +57,7 @@
     orders: Vec<Order>,
     /// The places of the orders that are still being sent.
     active: Vec<usize>,
-    open: Vec<OpenCall>,
+    open: Vec<PendingCall>,
     next_read_at: u64,
     turn: usize,
     /// The newest version that one of them knows of.
@@ -188,7 +188,7 @@
         let began = network.now;
         let number = self.history.invoke(call, began);
         let reply = network.call(process, request, call_ms(0));
-        self.open.push(OpenCall {
+        self.open.push(PendingCall {
             number,
             order,
             process,
--- a/crates/cluster-node/tests/relay.rs
+++ b/crates/cluster-node/tests/relay.rs
@@ -6,11 +6,11 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::{View, Voter};
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
-use lupinrack_cluster_node::front::configuration_feed::FrontNews;
-use lupinrack_cluster_node::front::home_front::{HOME_AVOID_MS, HOME_SILENT_MS};
+use lupinrack_cluster_node::front::configuration_feed::ConfigurationFeed;
+use lupinrack_cluster_node::front::home_front::{HOME_RETRY_AFTER_MS, HOME_TIMEOUT_MS};
 use lupinrack_cluster_node::front::known_configuration::{ConfigurationUpdate, KnownConfiguration};
 use lupinrack_cluster_node::front::update_relay::{
-    Relay, RelayedKnowledge, SubscriberFrame, AGE_MOST_MS,
+    RelayState, SubscriberFrame, UpdateRelay, MAX_RELAY_AGE_MS,
 };
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -36,7 +36,7 @@
     }
 }
 
-fn knowledge(view_number: u64, version: u64) -> RelayedKnowledge {
+fn knowledge(view_number: u64, version: u64) -> RelayState {
     let configuration = Arc::new(Configuration {
         version,
         ..Configuration::default()
@@ -45,16 +45,16 @@
         configuration,
         confirmed_at: Millis(CONFIRMED_AT),
     };
-    RelayedKnowledge {
+    RelayState {
         view: view(view_number),
         known,
     }
 }
 
 fn subscribe(
-    relay: &mut Relay,
+    relay: &mut UpdateRelay,
     interest: Interest,
-    knowledge: &RelayedKnowledge,
+    knowledge: &RelayState,
     now: u64,
 ) -> Vec<Frame> {
     let frames = relay.subscribed(5, interest, Millis(300), knowledge, Millis(now));
@@ -64,7 +64,7 @@
 
 #[test]
 fn a_subscriber_gets_the_view_once_and_the_configuration_with_its_age() {
-    let mut relay = Relay::default();
+    let mut relay = UpdateRelay::default();
     let known = knowledge(2, 4);
     let first = subscribe(&mut relay, HAS_NONE, &known, CONFIRMED_AT + 120);
     let configuration = Some(Configuration::clone(&known.known.configuration));
@@ -87,14 +87,25 @@
 
 #[test]
 fn what_was_not_confirmed_for_long_is_not_passed_on() {
-    let mut relay = Relay::default();
+    let mut relay = UpdateRelay::default();
     let known = knowledge(0, 4);
     assert_eq!(
-        subscribe(&mut relay, HAS_NONE, &known, CONFIRMED_AT + AGE_MOST_MS).len(),
+        subscribe(
+            &mut relay,
+            HAS_NONE,
+            &known,
+            CONFIRMED_AT + MAX_RELAY_AGE_MS
+        )
+        .len(),
         1
     );
     assert_eq!(
-        subscribe(&mut relay, HAS_NONE, &known, CONFIRMED_AT + AGE_MOST_MS + 1),
+        subscribe(
+            &mut relay,
+            HAS_NONE,
+            &known,
+            CONFIRMED_AT + MAX_RELAY_AGE_MS + 1
+        ),
         []
     );
     assert_eq!(
@@ -106,16 +117,16 @@
 
 #[test]
 fn who_wants_views_gets_nothing_else() {
-    let mut relay = Relay::default();
+    let mut relay = UpdateRelay::default();
     assert_eq!(
         subscribe(&mut relay, Interest::Views, &knowledge(2, 4), CONFIRMED_AT),
         [Frame::ViewUpdate(view(2))]
     );
     assert_eq!(
-        relay.tell_configuration(&knowledge(2, 5), Millis(CONFIRMED_AT)),
+        relay.send_configuration(&knowledge(2, 5), Millis(CONFIRMED_AT)),
         []
     );
-    let told = relay.tell_view(&view(3));
+    let told = relay.send_view(&view(3));
     assert_eq!(
         told,
         [SubscriberFrame {
@@ -123,12 +134,12 @@
             frame: Frame::ViewUpdate(view(3))
         }]
     );
-    relay.closed(5);
-    assert_eq!(relay.tell_view(&view(4)), []);
+    relay.disconnected(5);
+    assert_eq!(relay.send_view(&view(4)), []);
 }
 
 /// A front at address 7 in a zone whose other front is at address 8.
-fn follower() -> (FrontNews, LiveTable) {
+fn follower() -> (ConfigurationFeed, LiveTable) {
     let zone = "east".to_string();
     let member = |number| LiveMember {
         address: address(number),
@@ -146,7 +157,7 @@
         address(7)
     };
     (
-        FrontNews::new(own, zone, vec![address(1)], Millis(1)),
+        ConfigurationFeed::new(own, zone, vec![address(1)], Millis(1)),
         table,
     )
 }
@@ -167,12 +178,12 @@
         }),
     };
     front.receive(home, news(1), &view(1), Millis(began));
-    for now in (began..=began + HOME_SILENT_MS).step_by(50) {
+    for now in (began..=began + HOME_TIMEOUT_MS).step_by(50) {
         front.receive(home, news(1), &view(1), Millis(now));
         front.tick(&table, &view(1), Millis(now));
     }
     assert_eq!(front.source(), Some(home));
-    let left_at = began + HOME_SILENT_MS + 1;
+    let left_at = began + HOME_TIMEOUT_MS + 1;
     let sent = front.tick(&table, &view(1), Millis(left_at));
     assert_eq!(front.source(), None);
     assert_eq!(
@@ -180,9 +191,9 @@
         Some(address(1)),
         "the head is asked at once"
     );
-    front.tick(&table, &view(1), Millis(left_at + HOME_AVOID_MS - 1));
+    front.tick(&table, &view(1), Millis(left_at + HOME_RETRY_AFTER_MS - 1));
     assert_eq!(front.source(), None);
-    front.tick(&table, &view(1), Millis(left_at + HOME_AVOID_MS));
+    front.tick(&table, &view(1), Millis(left_at + HOME_RETRY_AFTER_MS));
     assert_eq!(front.source(), Some(home));
 }
 
--- a/crates/cluster-node/tests/restarted_core.rs
+++ b/crates/cluster-node/tests/restarted_core.rs
@@ -76,7 +76,7 @@
                     to,
                     frame: Frame::Request { .. },
                 } => called.push(to),
-                CoreEffect::Write { ticket, .. } => events.push(CoreEvent::Synced(vec![ticket])),
+                CoreEffect::Write { number, .. } => events.push(CoreEvent::Synced(vec![number])),
                 _ => {}
             }
         }
--- a/crates/cluster-node/tests/restarted_owner.rs
+++ b/crates/cluster-node/tests/restarted_owner.rs
@@ -182,7 +182,7 @@
     /// Carries out an effect; gives the event that follows from it. The head confirms the view at once.
     fn carry_out(&mut self, effect: CoreEffect) -> Option<CoreEvent> {
         match effect {
-            CoreEffect::Write { ticket, .. } => Some(CoreEvent::Synced(vec![ticket])),
+            CoreEffect::Write { number, .. } => Some(CoreEvent::Synced(vec![number])),
             CoreEffect::Send {
                 frame:
                     Frame::Request {
--- a/crates/cluster-node/tests/status.rs
+++ b/crates/cluster-node/tests/status.rs
@@ -67,7 +67,7 @@
         state: &state,
         applied: 11,
         committed: 12,
-        unmatched_answers: 3,
+        unmatched_replies: 3,
         services,
     };
     status.to_string()
@@ -134,7 +134,7 @@
         view: &view,
         configuration: 4,
         confirmed_ms_ago: Some(120),
-        unmatched_answers: 2,
+        unmatched_replies: 2,
     };
     let expected = "\
 node front-1
@@ -159,7 +159,7 @@
         view: &view,
         configuration: 0,
         confirmed_ms_ago: None,
-        unmatched_answers: 0,
+        unmatched_replies: 0,
     };
     let expected =
         "node front-1\nclass front\nready no\nview 0\nchain none\nconfiguration 0\nconfirmed never\nunmatched answers 0\n";
@@ -177,7 +177,7 @@
         server: None,
         service: None,
         owner: None,
-        owner_heard_ms_ago: 0,
+        owner_received_ms_ago: 0,
         token: 0,
     };
     let expected =
@@ -187,7 +187,7 @@
         server: Some(&server),
         service: Some(&service),
         owner: Some(core(2)),
-        owner_heard_ms_ago: 40,
+        owner_received_ms_ago: 40,
         token: 9,
         ..nothing
     };
--- a/crates/cluster-node/tests/subscribers.rs
+++ b/crates/cluster-node/tests/subscribers.rs
@@ -9,24 +9,24 @@
 #[test]
 fn a_new_subscriber_was_told_no_view() {
     let mut subscribers = Subscribers::default();
-    let subscriber = subscribers.heard(1, HAS_5);
-    assert_eq!((subscriber.interest, subscriber.told_view), (HAS_5, 0));
+    let subscriber = subscribers.subscribe(1, HAS_5);
+    assert_eq!((subscriber.interest, subscriber.sent_view), (HAS_5, 0));
 }
 
 #[test]
 fn what_it_was_told_stays_while_its_connection_lives() {
     let mut subscribers = Subscribers::default();
-    subscribers.heard(1, HAS_5).told_view = 3;
-    let subscriber = subscribers.heard(1, HAS_6);
-    assert_eq!((subscriber.interest, subscriber.told_view), (HAS_6, 3));
+    subscribers.subscribe(1, HAS_5).sent_view = 3;
+    let subscriber = subscribers.subscribe(1, HAS_6);
+    assert_eq!((subscriber.interest, subscriber.sent_view), (HAS_6, 3));
 }
 
 #[test]
 fn a_new_connection_is_told_everything_again() {
     let mut subscribers = Subscribers::default();
-    subscribers.heard(1, HAS_5).told_view = 3;
-    subscribers.closed(1);
-    assert_eq!(subscribers.heard(2, HAS_5).told_view, 0);
+    subscribers.subscribe(1, HAS_5).sent_view = 3;
+    subscribers.disconnected(1);
+    assert_eq!(subscribers.subscribe(2, HAS_5).sent_view, 0);
     let connections: Vec<u64> = subscribers
         .iter_mut()
         .map(|(connection, _)| *connection)
@@ -37,21 +37,21 @@
 #[test]
 fn the_end_of_an_unknown_connection_changes_nothing() {
     let mut subscribers = Subscribers::default();
-    subscribers.heard(1, HAS_5);
-    subscribers.closed(2);
+    subscribers.subscribe(1, HAS_5);
+    subscribers.disconnected(2);
     assert_eq!(subscribers.iter_mut().count(), 1);
 }
 
 #[test]
 fn who_wants_configurations_wants_newer_ones_whatever_their_number() {
     let mut subscribers = Subscribers::default();
-    let subscriber = subscribers.heard(1, HAS_5);
+    let subscriber = subscribers.subscribe(1, HAS_5);
     assert!(!subscriber.wants(5) && subscriber.wants(6));
-    subscriber.was_told(u64::MAX);
+    subscriber.was_sent(u64::MAX);
     assert_eq!(
         subscriber.interest,
         Interest::Configuration { have: u64::MAX }
     );
     assert!(!subscriber.wants(u64::MAX));
-    assert!(!subscribers.heard(2, Interest::Views).wants(7));
+    assert!(!subscribers.subscribe(2, Interest::Views).wants(7));
 }
--- a/crates/cluster-node/tests/subscription.rs
+++ b/crates/cluster-node/tests/subscription.rs
@@ -59,7 +59,7 @@
     let known = view(4, &[1, 2, 3], &[2, 1]);
     let mut asked = Vec::new();
     for now in (1..6_000).step_by(50).map(Millis) {
-        subscription.heard_news(now);
+        subscription.received_update(now);
         asked.extend(receiver(subscription.tick(&known, HAS_NONE, now)));
     }
     assert_eq!(asked, [core(2); 4]);
@@ -116,7 +116,7 @@
     let known = view(4, &[1, 2, 3], &[2, 1]);
     let silent = Millis(1 + 1_000 + EVERY_MS);
     subscription.tick(&known, HAS_NONE, silent);
-    subscription.heard_news(silent.plus(10));
+    subscription.received_update(silent.plus(10));
     subscription.hurry();
     assert_eq!(
         receiver(subscription.tick(&known, HAS_NONE, silent.plus(20))),
--- a/crates/cluster-node/tests/waiting.rs
+++ b/crates/cluster-node/tests/waiting.rs
@@ -6,14 +6,14 @@
 use lupinrack_cluster_api::request::{CallId, Request};
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_node::core::pending_requests::{
-    Caller, NewsRequest, Passed, Waiting, WaitingCall,
+    Caller, CompletedBarrier, PendingRequest, PendingRequests, UpdateRequest,
 };
 use quickcheck::quickcheck;
 
 /// No calls.
 const NOTHING: [u64; 0] = [];
 
-fn call_until(id: u64, until: u64) -> WaitingCall {
+fn call_until(id: u64, until: u64) -> PendingRequest {
     let caller = Caller {
         from: core(1),
         connection: Some(1),
@@ -23,17 +23,17 @@
         },
         until: Millis(until),
     };
-    WaitingCall {
+    PendingRequest {
         caller,
         request: Request::ReadConfiguration,
     }
 }
 
-fn call(id: u64) -> WaitingCall {
+fn call(id: u64) -> PendingRequest {
     call_until(id, 1_000)
 }
 
-fn ids(calls: Vec<WaitingCall>) -> Vec<u64> {
+fn ids(calls: Vec<PendingRequest>) -> Vec<u64> {
     calls
         .into_iter()
         .map(|call| call.caller.id.number)
@@ -41,56 +41,56 @@
 }
 
 /// The calls that a barrier makes certain.
-fn passed_ids(passed: Passed) -> Vec<u64> {
-    ids(passed.calls)
+fn passed_ids(passed: CompletedBarrier) -> Vec<u64> {
+    ids(passed.requests)
 }
 
 #[test]
 fn an_applied_operation_brings_its_call_once() {
-    let mut waiting = Waiting::default();
-    waiting.for_operation(7, call(1));
-    assert!(waiting.applied(6).is_none());
+    let mut waiting = PendingRequests::default();
+    waiting.await_operation(7, call(1));
+    assert!(waiting.take_applied(6).is_none());
     assert_eq!(
-        waiting.applied(7).map(|call| call.caller.id.number),
+        waiting.take_applied(7).map(|call| call.caller.id.number),
         Some(1)
     );
-    assert!(waiting.applied(7).is_none());
+    assert!(waiting.take_applied(7).is_none());
 }
 
 #[test]
 fn a_barrier_is_due_while_reads_wait_and_none_is_under_way() {
-    let mut waiting = Waiting::default();
-    assert!(!waiting.wants_barrier());
-    waiting.for_barrier(call(1));
-    assert!(waiting.wants_barrier());
-    waiting.barrier_began(1);
-    assert!(!waiting.wants_barrier());
-    waiting.for_barrier(call(2));
-    assert!(!waiting.wants_barrier(), "one barrier at a time");
-    waiting.barrier_passed(1);
-    assert!(waiting.wants_barrier());
+    let mut waiting = PendingRequests::default();
+    assert!(!waiting.needs_barrier());
+    waiting.await_barrier(call(1));
+    assert!(waiting.needs_barrier());
+    waiting.barrier_started(1);
+    assert!(!waiting.needs_barrier());
+    waiting.await_barrier(call(2));
+    assert!(!waiting.needs_barrier(), "one barrier at a time");
+    waiting.complete_barrier(1);
+    assert!(waiting.needs_barrier());
 }
 
 #[test]
 fn a_barrier_answers_only_reads_that_came_before_it_began() {
-    let mut waiting = Waiting::default();
-    waiting.for_barrier(call(1));
-    waiting.barrier_began(1);
-    waiting.for_barrier(call(2));
-    assert_eq!(passed_ids(waiting.barrier_passed(1)), [1]);
-    waiting.barrier_began(2);
-    assert_eq!(passed_ids(waiting.barrier_passed(2)), [2]);
+    let mut waiting = PendingRequests::default();
+    waiting.await_barrier(call(1));
+    waiting.barrier_started(1);
+    waiting.await_barrier(call(2));
+    assert_eq!(passed_ids(waiting.complete_barrier(1)), [1]);
+    waiting.barrier_started(2);
+    assert_eq!(passed_ids(waiting.complete_barrier(2)), [2]);
 }
 
 #[test]
 fn an_older_barrier_answers_nothing() {
-    let mut waiting = Waiting::default();
-    waiting.for_barrier(call(1));
-    waiting.barrier_began(5);
-    assert_eq!(passed_ids(waiting.barrier_passed(4)), NOTHING);
-    assert_eq!(passed_ids(waiting.barrier_passed(5)), [1]);
+    let mut waiting = PendingRequests::default();
+    waiting.await_barrier(call(1));
+    waiting.barrier_started(5);
+    assert_eq!(passed_ids(waiting.complete_barrier(4)), NOTHING);
+    assert_eq!(passed_ids(waiting.complete_barrier(5)), [1]);
     assert_eq!(
-        passed_ids(waiting.barrier_passed(5)),
+        passed_ids(waiting.complete_barrier(5)),
         NOTHING,
         "it passes once"
     );
@@ -98,37 +98,37 @@
 
 #[test]
 fn a_barrier_that_begins_beside_another_loses_no_read() {
-    let mut waiting = Waiting::default();
-    waiting.for_barrier(call(1));
-    waiting.barrier_began(1);
-    waiting.for_barrier(call(2));
-    waiting.barrier_began(2);
+    let mut waiting = PendingRequests::default();
+    waiting.await_barrier(call(1));
+    waiting.barrier_started(1);
+    waiting.await_barrier(call(2));
+    waiting.barrier_started(2);
     assert_eq!(
-        passed_ids(waiting.barrier_passed(1)),
+        passed_ids(waiting.complete_barrier(1)),
         NOTHING,
         "the second covers the first one's reads, too"
     );
-    assert_eq!(passed_ids(waiting.barrier_passed(2)), [1, 2]);
+    assert_eq!(passed_ids(waiting.complete_barrier(2)), [1, 2]);
 }
 
 #[test]
 fn a_view_change_hands_everything_back_and_voids_the_barrier() {
-    let mut waiting = Waiting::default();
-    waiting.for_operation(7, call(1));
-    waiting.for_barrier(call(2));
-    waiting.barrier_began(1);
-    waiting.for_barrier(call(3));
+    let mut waiting = PendingRequests::default();
+    waiting.await_operation(7, call(1));
+    waiting.await_barrier(call(2));
+    waiting.barrier_started(1);
+    waiting.await_barrier(call(3));
     waiting.defer(call(4));
     assert_eq!(ids(waiting.view_changed()), [1, 2, 3, 4]);
     assert_eq!(ids(waiting.view_changed()), NOTHING);
-    assert!(waiting.applied(7).is_none());
-    waiting.for_barrier(call(5));
+    assert!(waiting.take_applied(7).is_none());
+    waiting.await_barrier(call(5));
     assert!(
-        waiting.wants_barrier(),
+        waiting.needs_barrier(),
         "the old view's barrier is not waited for"
     );
     assert_eq!(
-        passed_ids(waiting.barrier_passed(1)),
+        passed_ids(waiting.complete_barrier(1)),
         NOTHING,
         "and answers nothing in the new view"
     );
@@ -136,7 +136,7 @@
 
 #[test]
 fn deferred_calls_come_back_once() {
-    let mut waiting = Waiting::default();
+    let mut waiting = PendingRequests::default();
     waiting.defer(call(1));
     waiting.defer(call(2));
     assert_eq!(ids(waiting.take_deferred()), [1, 2]);
@@ -145,17 +145,17 @@
 
 #[test]
 fn calls_whose_callers_gave_up_are_dropped_wherever_they_wait() {
-    let mut waiting = Waiting::default();
+    let mut waiting = PendingRequests::default();
     for late in [false, true] {
         let until = if late { 2_000 } else { 1_000 };
         let base = if late { 10 } else { 0 };
-        waiting.for_operation(base + 1, call_until(base + 1, until));
+        waiting.await_operation(base + 1, call_until(base + 1, until));
         waiting.defer(call_until(base + 4, until));
-        waiting.for_barrier(call_until(base + 2, until));
+        waiting.await_barrier(call_until(base + 2, until));
     }
-    waiting.barrier_began(1);
-    waiting.for_barrier(call_until(3, 1_000));
-    waiting.for_barrier(call_until(13, 2_000));
+    waiting.barrier_started(1);
+    waiting.await_barrier(call_until(3, 1_000));
+    waiting.await_barrier(call_until(13, 2_000));
     waiting.expire(Millis(1_000));
     assert_eq!(ids(waiting.view_changed()), [11, 12, 13, 14]);
 }
@@ -163,7 +163,7 @@
 quickcheck! {
     /// Every read is answered by exactly one barrier, and by none that began before the read came.
     fn no_read_is_answered_early_or_twice(steps: Vec<bool>) -> bool {
-        let mut waiting = Waiting::default();
+        let mut waiting = PendingRequests::default();
         let mut barrier = 0;
         let mut under_way = false;
         // The barrier that was the newest when each read came.
@@ -172,20 +172,20 @@
         for read_comes in steps {
             if read_comes {
                 came_at.push(barrier);
-                waiting.for_barrier(call(came_at.len() as u64 - 1));
+                waiting.await_barrier(call(came_at.len() as u64 - 1));
                 continue;
             }
             if under_way {
-                let passed = passed_ids(waiting.barrier_passed(barrier));
+                let passed = passed_ids(waiting.complete_barrier(barrier));
                 if passed.iter().any(|id| came_at[*id as usize] >= barrier) {
                     return false;
                 }
                 answered.extend(passed);
                 under_way = false;
             }
-            if waiting.wants_barrier() {
+            if waiting.needs_barrier() {
                 barrier += 1;
-                waiting.barrier_began(barrier);
+                waiting.barrier_started(barrier);
                 under_way = true;
             }
         }
@@ -195,8 +195,8 @@
     }
 }
 
-fn question(connection: u64, requested_at: u64) -> NewsRequest {
-    NewsRequest {
+fn question(connection: u64, requested_at: u64) -> UpdateRequest {
+    UpdateRequest {
         connection,
         have: 0,
         requested_at: Millis(requested_at),
@@ -205,44 +205,44 @@
 
 #[test]
 fn a_subscriber_is_answered_by_a_barrier_that_began_after_it_asked() {
-    let mut waiting = Waiting::default();
-    waiting.for_news(question(4, 100));
-    assert!(waiting.wants_barrier());
-    waiting.barrier_began(1);
-    waiting.for_news(question(4, 200));
+    let mut waiting = PendingRequests::default();
+    waiting.await_update(question(4, 100));
+    assert!(waiting.needs_barrier());
+    waiting.barrier_started(1);
+    waiting.await_update(question(4, 200));
     assert_eq!(
-        waiting.barrier_passed(1).news,
+        waiting.complete_barrier(1).updates,
         [question(4, 100)],
         "not with the moment of its later question"
     );
-    assert!(waiting.wants_barrier());
-    waiting.barrier_began(2);
-    assert_eq!(waiting.barrier_passed(2).news, [question(4, 200)]);
-    assert!(!waiting.wants_barrier());
+    assert!(waiting.needs_barrier());
+    waiting.barrier_started(2);
+    assert_eq!(waiting.complete_barrier(2).updates, [question(4, 200)]);
+    assert!(!waiting.needs_barrier());
 }
 
 #[test]
 fn of_the_questions_of_one_subscriber_the_newest_waits() {
-    let mut waiting = Waiting::default();
+    let mut waiting = PendingRequests::default();
     for requested_at in [100, 200, 300] {
-        waiting.for_news(question(4, requested_at));
-        waiting.for_news(question(5, requested_at + 1));
+        waiting.await_update(question(4, requested_at));
+        waiting.await_update(question(5, requested_at + 1));
     }
-    waiting.barrier_began(1);
+    waiting.barrier_started(1);
     assert_eq!(
-        waiting.barrier_passed(1).news,
+        waiting.complete_barrier(1).updates,
         [question(4, 300), question(5, 301)]
     );
 }
 
 #[test]
 fn a_view_change_voids_the_questions_of_subscribers() {
-    let mut waiting = Waiting::default();
-    waiting.for_news(question(4, 100));
-    waiting.barrier_began(1);
-    waiting.for_news(question(5, 100));
+    let mut waiting = PendingRequests::default();
+    waiting.await_update(question(4, 100));
+    waiting.barrier_started(1);
+    waiting.await_update(question(5, 100));
     assert_eq!(ids(waiting.view_changed()), NOTHING);
-    assert!(!waiting.wants_barrier());
-    waiting.barrier_began(2);
-    assert_eq!(waiting.barrier_passed(2).news, []);
+    assert!(!waiting.needs_barrier());
+    waiting.barrier_started(2);
+    assert_eq!(waiting.complete_barrier(2).updates, []);
 }
--- a/crates/cluster-node/tests/zone_news.rs
+++ b/crates/cluster-node/tests/zone_news.rs
@@ -7,8 +7,8 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::{View, Voter};
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
-use lupinrack_cluster_node::front::configuration_feed::FrontNews;
-use lupinrack_cluster_node::front::home_front::HOME_SILENT_MS;
+use lupinrack_cluster_node::front::configuration_feed::ConfigurationFeed;
+use lupinrack_cluster_node::front::home_front::HOME_TIMEOUT_MS;
 use lupinrack_cluster_node::front::known_configuration::ConfigurationUpdate;
 use quickcheck::{QuickCheck, TestResult};
 use std::collections::VecDeque;
@@ -64,7 +64,7 @@
     now: u64,
     /// When each version was committed, from version 1 on.
     committed: Vec<u64>,
-    fronts: Vec<FrontNews>,
+    fronts: Vec<ConfigurationFeed>,
     tables: Vec<LiveTable>,
     silent: Vec<bool>,
     /// Fronts between which and the head nothing passes.
@@ -76,7 +76,9 @@
 impl Zone {
     fn new(fronts: usize) -> Zone {
         let seeds = || vec![address(HEAD)];
-        let news = |index| FrontNews::new(address(index), ZONE.to_string(), seeds(), Millis(1_000));
+        let news = |index| {
+            ConfigurationFeed::new(address(index), ZONE.to_string(), seeds(), Millis(1_000))
+        };
         let table = table_of(1..=fronts);
         Zone {
             now: 1_000,
@@ -291,7 +293,7 @@
     zone.run(5_000);
     let home = zone.home();
     zone.silent[home] = true;
-    zone.run(HOME_SILENT_MS + 200);
+    zone.run(HOME_TIMEOUT_MS + 200);
     zone.committed.push(zone.now);
     zone.run(500);
     for front in (1..=4).filter(|front| *front != home) {
--- a/crates/cluster-simulation/src/machine/agent.rs
+++ b/crates/cluster-simulation/src/machine/agent.rs
@@ -84,13 +84,13 @@
 
     /// The open heartbeat has waited for long enough.
     pub fn on_answer_due(&mut self, now: Millis) -> Vec<HeartbeatAgentEffect> {
-        self.machine.on_answer_due(now)
+        self.machine.on_response_due(now)
     }
 
     /// Whether the open heartbeat has waited for long enough.
     pub fn is_answer_due(&self, now: Millis) -> bool {
         self.machine
-            .answer_due_at()
+            .response_due_at()
             .is_some_and(|until| now >= until)
     }
 
--- a/crates/cluster-simulation/src/processes.rs
+++ b/crates/cluster-simulation/src/processes.rs
@@ -339,7 +339,7 @@
                 self.duplicate_reply(machine, connection, &frame);
                 self.network.send_on(machine, connection, frame, now);
             }
-            CoreEffect::Write { ticket, batch } => self.write(machine, ticket, batch),
+            CoreEffect::Write { number, batch } => self.write(machine, number, batch),
         }
     }
 
