--- /dev/null
+++ b/crates/chain/src/tick.rs
@@ -0,0 +1,75 @@
+//! What is repeated as time goes by.
+
+use crate::chain::Chain;
+use crate::effect::Effect;
+use lupinrack_cluster_api::chain::ChainMessage;
+use lupinrack_cluster_api::time::Millis;
+
+impl Chain {
+    /// Repeats what was not answered, and keeps spares fed. To be called about every 50 ms.
+    pub fn tick(&mut self, now: Millis) -> Vec<Effect> {
+        if self.is_member() {
+            self.tick_as_member(now);
+        } else {
+            self.tick_as_spare(now);
+        }
+        self.outbox.take()
+    }
+
+    fn tick_as_member(&mut self, now: Millis) {
+        if !self.upstream.is_aligned() {
+            self.request_resend(self.log.last(), now);
+        }
+        self.progress(now);
+        self.send_chunks(now);
+        self.feed_successor(now);
+        if self.downstream.is_probe_due(self.member_state(), now) {
+            self.probe_successor(now);
+        } else {
+            self.forward_committed(now);
+        }
+        self.feed_joiners(now);
+        self.downstream.drop_sent_snapshot();
+    }
+
+    fn tick_as_spare(&mut self, now: Millis) {
+        if !self.catch_up.is_join_due(now) {
+            return;
+        }
+        if self.is_disk_idle() {
+            self.join(now);
+        } else if let Some(snapshot) = self.snapshots.installing() {
+            // A slow disk may take long; meanwhile the source is to retain what follows the
+            // snapshot.
+            self.catch_up.postpone_join(now);
+            self.answer_chunk(snapshot, snapshot.chunks);
+        }
+    }
+
+    /// Tells the source up to where this spare has everything.
+    fn join(&mut self, now: Millis) {
+        self.catch_up.source.turn_on_timeout(now);
+        let Some(source) = self.source() else { return };
+        let synced = self.log.synced();
+        self.catch_up.joined(synced, now);
+        let (view, disk) = (self.role.view_number(), self.role.me());
+        self.outbox.send(
+            source,
+            ChainMessage::Join {
+                view,
+                disk,
+                have: Some(synced),
+            },
+        );
+    }
+
+    /// Tells the source ahead of time once much was synced, so that its window moves on.
+    pub(crate) fn join_after_progress(&mut self, now: Millis) {
+        let (before, synced) = (self.catch_up.synced_at_last_join(), self.log.synced());
+        let bytes = self.log.entries().bytes_between(before, synced);
+        let has_progressed = self.catch_up.has_joined() && before < synced;
+        if has_progressed && self.is_disk_idle() && bytes >= self.limits.window / 2 {
+            self.join(now);
+        }
+    }
+}
--- a/crates/cluster-node/src/core/machine/views.rs
+++ b/crates/cluster-node/src/core/machine/views.rs
@@ -56,7 +56,7 @@
             draining: self.shutdown.is_draining(),
             replica: self.replica_report(),
         };
-        self.views.note_own_heartbeat(report, now);
+        self.views.record_own_heartbeat(report, now);
         let recipients = self.peers.begin_heartbeats(&view, &self.me, now);
         let heartbeat = Frame::Heartbeat {
             voter: self.me.clone(),
--- a/crates/cluster-node/src/core/shard_takeover.rs
+++ b/crates/cluster-node/src/core/shard_takeover.rs
@@ -21,7 +21,7 @@
     /// log: that incarnation sent orders to servers under the token of which this one knows nothing.
     pub(super) is_own: bool,
     /// Whether it holds: its token was high enough.
-    pub(super) holds: bool,
+    pub(super) is_accepted: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/cluster-node/src/core/shards.rs
+++ b/crates/cluster-node/src/core/shards.rs
@@ -105,7 +105,7 @@
                 service,
                 token: *token,
                 is_own: *owner == self.me && *incarnation == self.incarnation,
-                holds: *result == OperationResult::Done,
+                is_accepted: *result == OperationResult::Done,
             };
             self.takeover_applied(&takeover, view, now);
         }
@@ -118,11 +118,11 @@
     /// record holds every start that an earlier owner may have sent to a server.
     fn takeover_applied(&mut self, takeover: &AppliedTakeover<'_>, view: &View, now: Millis) {
         let service = takeover.service;
-        if takeover.is_own || takeover.holds {
+        if takeover.is_own || takeover.is_accepted {
             // One that was refused came under a token that is not high enough by now: the next one will be.
             self.takeovers.remove(service);
         }
-        if !takeover.holds {
+        if !takeover.is_accepted {
             return;
         }
         self.schedulers.remove(service);
--- a/crates/cluster-node/src/core/view_manager.rs
+++ b/crates/cluster-node/src/core/view_manager.rs
@@ -147,7 +147,7 @@
     }
 
     /// This process sends a heartbeat. A copy of its disk that was heard from first is rejected from the next tick on.
-    pub(super) fn note_own_heartbeat(&mut self, report: PeerReport, now: Millis) {
+    pub(super) fn record_own_heartbeat(&mut self, report: PeerReport, now: Millis) {
         let _ = self.policy.receive_heartbeat(self.me.clone(), report, now);
     }
 
--- a/crates/cluster-node/src/front/configuration_feed.rs
+++ b/crates/cluster-node/src/front/configuration_feed.rs
@@ -70,12 +70,12 @@
     pub fn receive(
         &mut self,
         from: PeerAddress,
-        news: ConfigurationUpdate,
+        update: ConfigurationUpdate,
         view: &View,
         now: Millis,
     ) -> Vec<SubscriberFrame> {
-        let (valid_at, is_timestamped) = (news.valid_at(), news.is_timestamped());
-        let learned = self.known.learn(news);
+        let (valid_at, is_timestamped) = (update.valid_at(), update.is_timestamped());
+        let learned = self.known.learn(update);
         if learned.fresher {
             self.subscription.received_update(valid_at);
             self.home.confirmed(from, now);
--- a/crates/cluster-node/src/front/machine.rs
+++ b/crates/cluster-node/src/front/machine.rs
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub struct FrontMachine {
     client: HeadClient,
-    news: ConfigurationFeed,
+    feed: ConfigurationFeed,
 }
 
 impl FrontMachine {
@@ -48,7 +48,7 @@
         } = own;
         FrontMachine {
             client: HeadClient::new(incarnation),
-            news: ConfigurationFeed::new(address, zone, seeds, now),
+            feed: ConfigurationFeed::new(address, zone, seeds, now),
         }
     }
 
@@ -59,7 +59,7 @@
 
     /// The configuration as it is known.
     pub fn known(&self) -> &KnownConfiguration {
-        self.news.known()
+        self.feed.known()
     }
 
     /// Whether no call to the head is open.
@@ -89,13 +89,13 @@
                 version,
                 configuration,
             } => {
-                let news = ConfigurationUpdate {
+                let update = ConfigurationUpdate {
                     requested_at,
                     age_ms,
                     version,
                     configuration,
                 };
-                relays(self.news.receive(from, news, self.client.view(), now))
+                relays(self.feed.receive(from, update, self.client.view(), now))
             }
             Frame::Subscribe {
                 interest,
@@ -103,7 +103,7 @@
             } => {
                 let view = self.client.view();
                 relays(
-                    self.news
+                    self.feed
                         .subscribed(connection, interest, requested_at, view, now),
                 )
             }
@@ -116,7 +116,7 @@
             return Vec::new();
         }
         let mut effects = sends(self.client.learn_view(view, now));
-        effects.extend(relays(self.news.view_changed(view)));
+        effects.extend(relays(self.feed.view_changed(view)));
         effects
     }
 
@@ -127,7 +127,7 @@
         connection: u64,
         now: Millis,
     ) -> Vec<FrontEffect> {
-        self.news.closed(from, connection, now);
+        self.feed.closed(from, connection, now);
         sends(self.client.disconnected(from, now))
     }
 
@@ -141,7 +141,7 @@
     pub fn on_tick(&mut self, table: &LiveTable, now: Millis) -> Vec<FrontEffect> {
         let mut effects = sends(self.client.tick(now));
         effects.extend(
-            self.news
+            self.feed
                 .tick(table, self.client.view(), now)
                 .map(FrontEffect::Send),
         );
--- a/crates/cluster-node/src/front/update_relay.rs
+++ b/crates/cluster-node/src/front/update_relay.rs
@@ -53,7 +53,7 @@
             .requested_at = requested_at;
         let mut frames = self.send_view(&knowledge.view);
         if let Interest::Configuration { have } = interest {
-            frames.extend(news(connection, have, requested_at, knowledge, now));
+            frames.extend(update_for(connection, have, requested_at, knowledge, now));
         }
         frames
     }
@@ -93,7 +93,7 @@
             if !subscriber.wants(version) {
                 continue;
             }
-            frames.extend(news(
+            frames.extend(update_for(
                 *connection,
                 have,
                 subscriber.requested_at,
@@ -106,7 +106,7 @@
     }
 }
 
-fn news(
+fn update_for(
     connection: u64,
     have: u64,
     requested_at: Millis,
