--- a/crates/cluster-membership/src/lib.rs
+++ b/crates/cluster-membership/src/lib.rs
@@ -41,6 +41,7 @@
 mod pending_ping;
 mod period_clock;
 mod ping_order;
+mod pings;
 mod relayed_pings;
 pub mod settings;
 mod suspicion;
--- a/crates/cluster-membership/src/own_member.rs
+++ b/crates/cluster-membership/src/own_member.rs
@@ -1,5 +1,6 @@
 //! This process as a member: what it announces of itself.
 
+use crate::live_table::LiveMember;
 use crate::member_state::MemberState;
 use crate::member_update::MemberUpdate;
 use lupinrack_cluster_api::identity::PeerAddress;
@@ -23,7 +24,7 @@
 
 impl OwnMember {
     /// A process that begins, with the lowest incarnation number.
-    pub(crate) fn new(member: crate::LiveMember) -> OwnMember {
+    pub(crate) fn new(member: LiveMember) -> OwnMember {
         let update = MemberUpdate {
             address: member.address,
             role: member.role,
--- a/crates/cluster-membership/src/settings.rs
+++ b/crates/cluster-membership/src/settings.rs
@@ -22,11 +22,10 @@
     pub suspicion_confirmations: usize,
     /// After which time a member that is dead or has left is forgotten, in milliseconds.
     pub forget_after_ms: u64,
-    /// In each period of this number, counted from the start, the ping goes to a member of another zone, if there is
-    /// one.
+    /// In every period whose number is a multiple of this the ping goes to a member of another zone, if there is one.
     pub other_zone_every_periods: u64,
-    /// In each period of this number a seed or dead member is pinged in addition, so that the halves of a partitioned
-    /// cluster find each other.
+    /// In every period whose number is a multiple of this a seed or dead member is pinged in addition, so that the halves
+    /// of a partitioned cluster find each other.
     pub reconnect_every_periods: u64,
     /// At least so many periods lie between two requests for a page of the membership list while lists differ.
     pub page_every_periods: u64,
--- a/crates/cluster-membership/src/swim/failure_detection.rs
+++ b/crates/cluster-membership/src/swim/failure_detection.rs
@@ -5,53 +5,18 @@
 use crate::member_update::MemberUpdate;
 use crate::message::Message;
 use crate::pending_ping::{PendingPing, PingRequestTargets};
-use crate::ping_order::{PingOrder, PingScope};
-use crate::relayed_pings::{RelayedPing, RelayedPings};
+use crate::ping_order::PingScope;
+use crate::relayed_pings::RelayedPing;
 use crate::suspicion::SuspicionRule;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 
 /// However bad the local health is, ping requests are sent before this part of the period is over, in percent.
 const MAX_ACK_TIMEOUT_PERCENT: u64 = 60;
-/// In each period of this number the ping goes to a suspect, if there is one, so that it learns of the suspicion and
-/// refutes it.
+/// In every period whose number is a multiple of this the ping goes to a suspect, if there is one, so that it learns of
+/// the suspicion and refutes it.
 const SUSPECT_EVERY_PERIODS: u64 = 2;
 
-/// All pings of a member: their order, the one of the current period, and those on behalf of others.
-#[derive(Clone, Debug, Default)]
-pub(super) struct Pings {
-    order: PingOrder,
-    pending: Option<PendingPing>,
-    relayed: RelayedPings,
-    last_sequence_number: u32,
-}
-
-impl Pings {
-    /// When the next step of any ping is due.
-    pub(super) fn next_step_at(&self) -> Option<Millis> {
-        let pending = self.pending.as_ref().map(PendingPing::next_step_at);
-        pending.into_iter().chain(self.relayed.next_step_at()).min()
-    }
-
-    /// Notes that a member could not reach the target of the pending ping.
-    pub(super) fn nack_received(&mut self, from: PeerAddress, sequence_number: u32) {
-        if let Some(ping) = self.pending_with(sequence_number) {
-            ping.request_targets.nack_from(from);
-        }
-    }
-
-    fn pending_with(&mut self, sequence_number: u32) -> Option<&mut PendingPing> {
-        self.pending
-            .as_mut()
-            .filter(|ping| ping.sequence_number == sequence_number)
-    }
-
-    fn next_sequence_number(&mut self) -> u32 {
-        self.last_sequence_number = self.last_sequence_number.wrapping_add(1);
-        self.last_sequence_number
-    }
-}
-
 impl Swim {
     pub(super) fn begin_period(&mut self, now: Millis) {
         self.end_ping(now);
