--- a/crates/view-agreement/tests/model/agreement.rs
+++ b/crates/view-agreement/tests/model/agreement.rs
@@ -14,12 +14,12 @@
     }
 }
 
-fn three(ballots: &'static [u8], crashes: u8) -> Setup {
+fn three(attempts: &'static [u8], crashes: u8) -> Setup {
     Setup {
         founded: view(1, &[0, 1, 2], &[0, 1]),
         machines: 3,
         wanted: wanted_by,
-        ballots,
+        attempts,
         crashes,
         losses: 0,
         draining: None,
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_second_ballot_agrees_on_what_the_first_may_have_chosen() {
+fn a_second_proposal_agrees_on_what_the_first_may_have_chosen() {
     explore(three(&[1, 2], 0), Some(11), &[]).assert_properties();
 }
 
