--- a/crates/cluster-log/src/levels.rs
+++ b/crates/cluster-log/src/levels.rs
@@ -1,5 +1,6 @@
 //! Which events are logged, by module.
 
+use crate::renamed_crate::with_present_crate;
 use displaydoc::Display;
 use spdlog::{Level, LevelFilter};
 use std::str::FromStr;
@@ -113,7 +114,7 @@
 fn parse_module(name: &str) -> Option<String> {
     let name = name.trim().replace('-', "_");
     let name = without_crate_prefix(&name);
-    (!name.is_empty()).then(|| name.to_string())
+    (!name.is_empty()).then(|| with_present_crate(name))
 }
 
 fn without_crate_prefix(module: &str) -> &str {
--- a/crates/cluster-log/src/lib.rs
+++ b/crates/cluster-log/src/lib.rs
@@ -9,6 +9,7 @@
 mod levels;
 mod line_formatter;
 mod module_sink;
+mod renamed_crate;
 
 pub use error_chain::error_chain;
 pub use init::{init, init_from_environment, logger, LogError, LEVEL_VARIABLE};
--- /dev/null
+++ b/crates/cluster-log/src/renamed_crate.rs
@@ -0,0 +1,18 @@
+//! Crates whose names have changed: texts that were written for the earlier names go on working.
+
+/// The earlier name of a crate and its present one, without the common prefix.
+const RENAMED: [(&str, &str); 2] = [
+    ("cluster_net", "cluster_transport"),
+    ("cluster_settings", "node_settings"),
+];
+
+/// The module with the present name of its crate: `cluster_net::peers` is `cluster_transport::peers`.
+pub(crate) fn with_present_crate(module: &str) -> String {
+    let (named, inner) = match module.find("::") {
+        Some(end) => module.split_at(end),
+        None => (module, ""),
+    };
+    let renamed = RENAMED.iter().find(|(earlier, _)| *earlier == named);
+    let present = renamed.map_or(named, |(_, present)| *present);
+    format!("{present}{inner}")
+}
--- a/crates/cluster-log/tests/log.rs
+++ b/crates/cluster-log/tests/log.rs
@@ -52,6 +52,15 @@
     );
 }
 
+#[test]
+fn the_earlier_name_of_a_renamed_crate_goes_on_working() {
+    let levels = levels("warn,cluster-net::peers=off,lupinrack_cluster_settings=trace");
+    assert!(!levels.allow("lupinrack_cluster_transport::peers", Level::Critical));
+    assert!(levels.allow("lupinrack_cluster_transport", Level::Warn));
+    assert!(levels.allow("lupinrack_node_settings", Level::Trace));
+    assert!(!levels.allow("lupinrack_cluster_networks", Level::Info));
+}
+
 #[test]
 fn the_longest_module_decides() {
     for text in [
