--- a/crates/cluster-node/src/agent/process.rs
+++ b/crates/cluster-node/src/agent/process.rs
@@ -71,9 +71,9 @@
         incarnation,
         disk: None,
     };
-    let (peers, mut events) = Peers::start(address.0, hello, PeerSettings::default())
+    let (peers, events) = Peers::start(address.0, hello, PeerSettings::default())
         .map_err(NodeError::ListenForPeers)?;
-    let (calls_in, mut calls) = mpsc::channel::<ServerCall>(64);
+    let (calls_in, calls) = mpsc::channel::<ServerCall>(64);
     let server = serve(&settings, calls_in)?;
     let now = clock.now();
     let agent_settings = AgentSettings {
@@ -89,7 +89,7 @@
         process_incarnation: incarnation,
     };
     let service = settings.service.clone().map(ServiceName);
-    let mut side = Side {
+    let side = Side {
         node: settings.node.clone(),
         clock,
         peers,
@@ -108,21 +108,38 @@
         ),
         violations: ProtocolViolationLog::default(),
     };
-    let mut signals = Signals::listen()?;
+    let inputs = Inputs {
+        events,
+        calls,
+        signals: Signals::listen()?,
+    };
+    drive(side, inputs).await;
+    drop(server);
+    Ok(())
+}
+
+/// Everything that reaches the process from outside.
+struct Inputs {
+    events: mpsc::Receiver<PeerEvent>,
+    calls: mpsc::Receiver<ServerCall>,
+    signals: Signals,
+}
+
+/// Drives the machine until the process is told to end.
+async fn drive(mut side: Side, mut inputs: Inputs) {
     let mut timer = tokio::time::interval(Duration::from_millis(TICK_MS));
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            Some(event) = events.recv() => side.on_peer_event(event),
-            Some(call) = calls.recv() => side.on_server_call(call),
+            Some(event) = inputs.events.recv() => side.on_peer_event(event),
+            Some(call) = inputs.calls.recv() => side.on_server_call(call),
             _ = timer.tick() => side.on_tick(),
             () = side.wait_is_over() => side.on_response_due(),
-            () = signals.terminated() => {
-                drop(server);
+            () = inputs.signals.terminated() => {
                 side.membership.shut_down();
                 // The farewell is sent by a task of its own.
                 tokio::task::yield_now().await;
-                return Ok(());
+                return;
             }
         }
     }
--- a/crates/cluster-node/src/agent/view_source.rs
+++ b/crates/cluster-node/src/agent/view_source.rs
@@ -37,10 +37,9 @@
         now: Millis,
     ) -> PeerAddress {
         let may_differ = Some(due) == head && now >= self.ask_head_until;
-        let source = match may_differ {
-            true => table.view_source(&self.zone, self.own),
-            false => None,
-        };
+        let source = may_differ
+            .then(|| table.view_source(&self.zone, self.own))
+            .flatten();
         let chosen = source.unwrap_or(due);
         self.last_source = Some(chosen);
         chosen
--- a/crates/cluster-node/src/control_api/mod.rs
+++ b/crates/cluster-node/src/control_api/mod.rs
@@ -57,6 +57,10 @@
 }
 
 /// Serves at the control address.
+///
+/// # Errors
+///
+/// Where the settings name no such address, or the process cannot listen there.
 pub fn serve(
     settings: &NodeSettings,
     calls: mpsc::Sender<HeadCall>,
@@ -83,14 +87,14 @@
 ) -> HttpResponse {
     match parse_request(&call) {
         Ok(ControlRequest::Head(request)) => {
-            answer_of(call_head(&calls, request, call_ms(call.body.len())).await)
+            http_response(call_head(&calls, request, call_ms(call.body.len())).await)
         }
         Ok(ControlRequest::Process(query)) => query_process(&queries, query).await,
         Err(kind) => HttpResponse::error(kind),
     }
 }
 
-fn answer_of(reply: Reply) -> HttpResponse {
+fn http_response(reply: Reply) -> HttpResponse {
     match reply {
         Reply::Done | Reply::Job(_) | Reply::Pending(_) => HttpResponse::empty(200),
         Reply::ConfigurationDocument(document) => HttpResponse::json(document),
--- a/crates/cluster-node/src/core/machine/requests.rs
+++ b/crates/cluster-node/src/core/machine/requests.rs
@@ -51,14 +51,13 @@
 
     fn reply(&mut self, caller: Caller, reply: Reply) {
         let id = caller.id;
-        match caller.connection {
-            Some(connection) => self.outbox.send_on(connection, Frame::Reply { id, reply }),
-            None => {
-                let now = self.now();
-                self.own_calls
-                    .receive_reply(caller.from, id, reply, now, &mut self.outbox);
-            }
+        if let Some(connection) = caller.connection {
+            self.outbox.send_on(connection, Frame::Reply { id, reply });
+            return;
         }
+        let now = self.now();
+        self.own_calls
+            .receive_reply(caller.from, id, reply, now, &mut self.outbox);
     }
 
     /// Replies to the request whose operation was applied, if there is one.
--- a/crates/cluster-node/src/core/settings.rs
+++ b/crates/cluster-node/src/core/settings.rs
@@ -63,9 +63,10 @@
     pub fn of_node(node: &NodeSettings, disk: DiskId, incarnation: u64) -> CoreSettings {
         let address = PeerAddress(node.internal_address);
         let seeds = node.seed_internal();
-        let founders = match node.is_founder() {
-            true => seeds.clone(),
-            false => Vec::new(),
+        let founders = if node.is_founder() {
+            seeds.clone()
+        } else {
+            Vec::new()
         };
         CoreSettings {
             name: node.node.clone(),
--- a/crates/cluster-node/src/front/configuration_feed.rs
+++ b/crates/cluster-node/src/front/configuration_feed.rs
@@ -83,10 +83,11 @@
         if learned.newer && !is_timestamped {
             self.subscription.hurry();
         }
-        match learned.newer {
-            true => self.relay.send_configuration(&self.knowledge(view), now),
-            false => Vec::new(),
+        if !learned.newer {
+            return Vec::new();
         }
+        let knowledge = self.knowledge(view);
+        self.relay.send_configuration(&knowledge, now)
     }
 
     /// A newer view is known; what is to be passed on.
--- a/crates/cluster-node/src/front/process.rs
+++ b/crates/cluster-node/src/front/process.rs
@@ -21,7 +21,7 @@
 use lupinrack_cluster_json::{job_state_body, pending_body};
 use lupinrack_cluster_membership::{LiveMember, SwimSettings};
 use lupinrack_cluster_transport::http_server::{
-    self, DrainTimeouts, HttpLimits, HttpRequest, HttpResponse,
+    self, DrainTimeouts, HttpLimits, HttpRequest, HttpResponse, ServerHandle,
 };
 use lupinrack_cluster_transport::listen;
 use lupinrack_cluster_transport::peers::{PeerEvent, PeerSettings, Peers};
@@ -34,9 +34,9 @@
 /// How often the process looks at its clock, in milliseconds.
 const TICK_MS: u64 = 50;
 /// What is kept of a client's time for the answer's way back, in milliseconds.
-const ANSWER_MARGIN_MS: u64 = 250;
+const RESPONSE_MARGIN_MS: u64 = 250;
 /// How long a client without a deadline is made to wait, in milliseconds.
-const WAIT_MS: u64 = 2_500;
+const DEFAULT_DEADLINE_MS: u64 = 2_500;
 
 /// What the handlers of calls know, swapped whole.
 #[derive(Clone, Debug, Default)]
@@ -67,10 +67,10 @@
         incarnation,
         disk: None,
     };
-    let (peers, mut events) = Peers::start(address.0, hello, PeerSettings::default())
+    let (peers, events) = Peers::start(address.0, hello, PeerSettings::default())
         .map_err(NodeError::ListenForPeers)?;
     let table = Arc::new(SharedValue::new(FrontTable::default()));
-    let (calls_in, mut calls) = mpsc::channel::<HeadCall>(1024);
+    let (calls_in, calls) = mpsc::channel::<HeadCall>(1024);
     let front_server = serve_jobs(&settings, &table, calls_in, clock)?;
     let readiness_server = serve_readiness(&settings, &table, clock)?;
     let own = LiveMember {
@@ -79,7 +79,7 @@
         zone,
         process_incarnation: incarnation,
     };
-    let mut front = Front {
+    let front = Front {
         clock,
         peers,
         machine: FrontMachine::new(own.clone(), settings.seed_internal(), clock.now()),
@@ -92,35 +92,51 @@
         ),
         violations: ProtocolViolationLog::default(),
     };
-    let mut signals = Signals::listen()?;
+    let inputs = Inputs {
+        events,
+        calls,
+        signals: Signals::listen()?,
+    };
+    drive(front, inputs, &front_server, settings.bounds.grace_ms).await;
+    drop(readiness_server);
+    Ok(())
+}
+
+/// Everything that reaches the process from outside.
+struct Inputs {
+    events: mpsc::Receiver<PeerEvent>,
+    calls: mpsc::Receiver<HeadCall>,
+    signals: Signals,
+}
+
+/// Drives the machine until the process is told to end and has served on for its part of the grace.
+async fn drive(mut front: Front, mut inputs: Inputs, server: &ServerHandle, grace_ms: u64) {
     let mut timer = tokio::time::interval(Duration::from_millis(TICK_MS));
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let grace_ms = settings.bounds.grace_ms;
-    let mut ending: Option<Millis> = None;
-    let mut drained = false;
+    let mut shutdown_began_at: Option<Millis> = None;
+    let mut is_draining = false;
     loop {
         tokio::select! {
-            Some(event) = events.recv() => front.on_peer_event(event),
-            Some(call) = calls.recv() => front.on_call(call),
+            Some(event) = inputs.events.recv() => front.on_peer_event(event),
+            Some(call) = inputs.calls.recv() => front.on_call(call),
             _ = timer.tick() => front.on_tick(),
-            () = signals.terminated(), if ending.is_none() => {
-                ending = Some(clock.now());
+            () = inputs.signals.terminated(), if shutdown_began_at.is_none() => {
+                shutdown_began_at = Some(front.clock.now());
                 front.drain();
             }
         }
-        let Some(since) = ending else {
+        let Some(began_at) = shutdown_began_at else {
             continue;
         };
-        let waited = clock.now().since(since);
-        if !drained && waited >= grace_ms * SERVE_ON_PERCENT / 100 {
-            drained = true;
-            let server = front_server.clone();
+        let waited_ms = front.clock.now().since(began_at);
+        if !is_draining && waited_ms >= grace_ms * SERVE_ON_PERCENT / 100 {
+            is_draining = true;
+            let server = server.clone();
             tokio::spawn(async move { server.drain(drain_times(grace_ms)).await });
         }
-        let idle = drained && front_server.open_connections() == 0;
-        if idle || waited >= grace_ms * END_PERCENT / 100 {
-            drop(readiness_server);
-            return Ok(());
+        let is_idle = is_draining && server.open_connections() == 0;
+        if is_idle || waited_ms >= grace_ms * END_PERCENT / 100 {
+            return;
         }
     }
 }
@@ -299,19 +315,22 @@
     ) {
         Err(kind) => HttpResponse::error(kind),
         Ok(request) => {
-            let remaining = call.deadline_remaining_ms.unwrap_or(WAIT_MS).min(WAIT_MS);
-            let wait = remaining.saturating_sub(ANSWER_MARGIN_MS).max(1);
-            answer_of(call_head(&calls, request, wait).await)
+            let remaining = call
+                .deadline_remaining_ms
+                .unwrap_or(DEFAULT_DEADLINE_MS)
+                .min(DEFAULT_DEADLINE_MS);
+            let wait = remaining.saturating_sub(RESPONSE_MARGIN_MS).max(1);
+            http_response(&call_head(&calls, request, wait).await)
         }
     }
 }
 
-fn answer_of(reply: Reply) -> HttpResponse {
+fn http_response(reply: &Reply) -> HttpResponse {
     match reply {
-        Reply::Job(state) => HttpResponse::json(job_state_body(state)),
-        Reply::Pending(count) => HttpResponse::json(pending_body(count)),
+        Reply::Job(state) => HttpResponse::json(job_state_body(*state)),
+        Reply::Pending(count) => HttpResponse::json(pending_body(*count)),
         Reply::Done => HttpResponse::empty(200),
-        Reply::Error(kind) => HttpResponse::error(kind),
+        Reply::Error(kind) => HttpResponse::error(*kind),
         Reply::ConfigurationDocument(_) | Reply::NotHead(_) => {
             HttpResponse::error(ErrorKind::InDoubt)
         }
--- a/crates/cluster-node/src/head_client/pending_calls.rs
+++ b/crates/cluster-node/src/head_client/pending_calls.rs
@@ -190,7 +190,7 @@
             .collect();
         let mut effects: Vec<CallEffect<C>> = over
             .into_iter()
-            .flat_map(|number| self.finish(number, |call| call.timeout_reply()))
+            .flat_map(|number| self.finish(number, PendingCall::timeout_reply))
             .collect();
         let head = self.head();
         effects.extend(self.send_where(now, |_, call| call.is_overdue(head, now)));
--- a/crates/cluster-node/src/membership.rs
+++ b/crates/cluster-node/src/membership.rs
@@ -53,7 +53,7 @@
                 tokio::spawn(driver.run());
             }
             Err(error) => {
-                spdlog::warn!("no membership: the internal UDP port cannot be bound: {error}")
+                spdlog::warn!("no membership: the internal UDP port cannot be bound: {error}");
             }
         }
         membership
--- a/crates/control-store/tests/golden.rs
+++ b/crates/control-store/tests/golden.rs
@@ -1,6 +1,7 @@
 //! The rows of the data file, compared with the examples in `tests/golden`.
 //!
-//! The rows are read and written with `redb` itself, so that their table, keys and bytes are seen as they are on a disk.
+//! The rows are read and written with `redb` itself, so that their table, keys and bytes are seen
+//! as they are on a disk.
 
 mod golden_rows;
 mod golden_sparse;
@@ -228,7 +229,7 @@
 fn kept_rows(file: &mut GoldenFile, rows: &[Row]) -> Vec<Row> {
     let kept = |(key, bytes): &Row| {
         let name = row_name(*key);
-        file.bytes(&name, bytes);
+        file.add_bytes(&name, bytes);
         (*key, file.kept_bytes(&name).unwrap_or(bytes.clone()))
     };
     rows.iter().map(kept).collect()
@@ -237,22 +238,22 @@
 #[test]
 fn names() {
     let mut file = golden("names.txt");
-    file.text("data file", DATA_FILE);
-    file.text("data file while it is made", NEW_FILE);
+    file.add("data file", DATA_FILE);
+    file.add("data file while it is made", NEW_FILE);
     let folder = folder("names");
     rows_after(&folder, &[full_batch()]);
-    file.text(
+    file.add(
         "tables",
         &golden_rows::table_names(&folder.join(DATA_FILE)).join(" "),
     );
-    file.finish();
+    file.check();
 }
 
 #[test]
 fn rows_of_a_new_store() {
     let mut file = golden("rows_of_a_new_store.hex");
     let rows = kept_rows(&mut file, &rows_after(&folder("new"), &[]));
-    file.finish();
+    file.check();
     assert_eq!(found_in(&folder("new-read"), &rows), Recovered::default());
 }
 
@@ -264,11 +265,12 @@
         &mut file,
         &rows_after(&folder("all"), std::slice::from_ref(&batch)),
     );
-    file.finish();
+    file.check();
     assert_eq!(found_in(&folder("all-read"), &rows), recovered(&batch));
 }
 
-/// What a later batch leaves: entries cut off and replaced, a snapshot that covers some of them, a changed replica status.
+/// What a later batch leaves: entries cut off and replaced, a snapshot that covers some of them, a
+/// changed replica status.
 #[test]
 fn rows_after_changes() {
     let mut file = golden("rows_after_changes.hex");
@@ -292,7 +294,7 @@
         &[full_batch(), later.clone(), covering.clone()],
     );
     let rows = kept_rows(&mut file, &rows);
-    file.finish();
+    file.check();
     let mut expected = recovered(&full_batch());
     expected.replica_status = later.replica_status.unwrap_or_default();
     expected.entries.retain(|entry| entry.index == 505);
@@ -301,7 +303,8 @@
     assert_eq!(found_in(&folder("changed-read"), &rows), expected);
 }
 
-/// The chunks of a long snapshot. Their bytes are compared in code, since the file keeps no more than their beginnings.
+/// The chunks of a long snapshot. Their bytes are compared in code, since the file keeps no more
+/// than their beginnings.
 #[test]
 fn rows_of_a_long_snapshot() {
     let mut file = golden("rows_of_a_long_snapshot.txt");
@@ -318,12 +321,12 @@
         } else {
             row
         };
-        file.text(
+        file.add(
             &row_name(*key),
             &format!("{} bytes, {}", row.len(), to_hex(shown)),
         );
     }
-    file.finish();
+    file.check();
     let chunks: Vec<u8> = rows
         .iter()
         .filter(|((kind, _), _)| *kind == 5)
@@ -337,15 +340,16 @@
 #[test]
 fn values_of_rows() {
     let mut file = golden("values.hex");
-    file.borsh("vote", &vote());
-    file.borsh("vote of a disk that has not voted", &VoteState::default());
-    file.borsh("view", &view(15));
-    file.borsh("standing complete", &ReplicaStatus::Complete);
-    file.borsh("standing joining", &ReplicaStatus::Joining);
-    file.finish();
+    file.add_borsh("vote", &vote());
+    file.add_borsh("vote of a disk that has not voted", &VoteState::default());
+    file.add_borsh("view", &view(15));
+    file.add_borsh("standing complete", &ReplicaStatus::Complete);
+    file.add_borsh("standing joining", &ReplicaStatus::Joining);
+    file.check();
 }
 
-/// A complete data file of an earlier build is read. Its pages are `redb`'s own and are not compared.
+/// A complete data file of an earlier build is read. Its pages are `redb`'s own and are not
+/// compared.
 #[test]
 fn an_old_data_file_is_read() {
     let kept = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/data.redb.sparse");
