--- a/crates/worker-agent/src/agent.rs
+++ b/crates/worker-agent/src/agent.rs
@@ -81,7 +81,7 @@
         pending: &PendingHeartbeat,
         now: Millis,
     ) -> HeartbeatResponse {
-        let response = self.response(pending);
+        let response = self.compose_response(pending);
         if let Some(incarnation) = &mut self.incarnation {
             incarnation.expect_heartbeat(now, response.heartbeat_after_ms);
         }
@@ -100,9 +100,9 @@
 
     /// Receives a server's call that deregisters it.
     ///
-    /// An incarnation that drained before ends now. One that deregisters first serves on, with all that runs on it: it
-    /// counts as draining from now on, and is over when its lease expires. So does one that this agent does not know to
-    /// drain, since the agent may have been restarted.
+    /// An incarnation that drained before ends now. One that deregisters without having drained goes on serving what runs on
+    /// it: it counts as draining from now on, and ends when its lease expires. An incarnation that this agent does not know
+    /// to drain is treated alike, since the agent may have been restarted.
     pub fn deregister(&mut self, server: ServerId) {
         let present = self
             .incarnation
@@ -114,8 +114,8 @@
                 self.history.record_departed(&server);
                 self.owner.report_departure(server);
             }
-            Some(incarnation) => incarnation.deregister_first(),
-            None => self.history.record_early_deregistration(server),
+            Some(incarnation) => incarnation.deregister_without_draining(),
+            None => self.history.record_deregistration_while_absent(server),
         }
     }
 
@@ -206,10 +206,10 @@
         delivered: MessageNumbers,
         now: Millis,
     ) {
-        let deregistered = self.history.deregistered_early(&first.facts.id);
+        let deregistered = self.history.deregistered_while_absent(&first.facts.id);
         let mut incarnation = Incarnation::new(first, delivered, now);
         if deregistered {
-            incarnation.deregister_first();
+            incarnation.deregister_without_draining();
         }
         self.incarnation = Some(incarnation);
     }
@@ -223,7 +223,7 @@
         self.owner.restart_session();
     }
 
-    fn response(&mut self, pending: &PendingHeartbeat) -> HeartbeatResponse {
+    fn compose_response(&mut self, pending: &PendingHeartbeat) -> HeartbeatResponse {
         let Some(incarnation) = &self.incarnation else {
             return HeartbeatResponse::default();
         };
@@ -233,8 +233,8 @@
         let stops: Vec<StopOrder> = incarnation.stops().chain(unknown).collect();
         let busy =
             !missing.starts.is_empty() || !stops.is_empty() || incarnation.has_unobserved_ends();
-        // What drains is started nothing on any more: there the starts that wait count as seen, too.
-        if incarnation.is_draining() || !missing.some_wait {
+        // A draining server is given no starts, so its withheld starts count as delivered, too.
+        if incarnation.is_draining() || !missing.has_withheld {
             self.owner.record_delivery();
         }
         HeartbeatResponse {
--- a/crates/worker-agent/src/desired_state.rs
+++ b/crates/worker-agent/src/desired_state.rs
@@ -10,8 +10,8 @@
 /// How many tasks' ends, and as many tasks' stops, are remembered.
 pub const MAX_WATERMARKED_TASKS: usize = 50_000;
 
-/// The most bytes of specs and checkpoints in the starts of one response. A byte can take six in JSON, and a server accepts
-/// 4 MiB.
+/// The largest total size, in bytes, of the specs and checkpoints in the starts of one response. A byte can take six in JSON,
+/// and a server accepts 4 MiB.
 pub const MAX_START_BYTES: usize = 512 * 1024;
 
 /// Whether the server may be ordered to start runs now.
@@ -28,8 +28,8 @@
 pub(crate) struct MissingStarts {
     /// Those to order now.
     pub(crate) starts: Vec<Assignment>,
-    /// Whether there are others, which have to wait.
-    pub(crate) some_wait: bool,
+    /// Whether further starts were withheld.
+    pub(crate) has_withheld: bool,
 }
 
 /// What should run in one incarnation of the server, and what must not any more.
@@ -53,7 +53,7 @@
 }
 
 impl DesiredState {
-    /// Applies the owner's orders. A complete message replaces all earlier ones; only the memory of ends stays.
+    /// Applies the owner's orders. A complete message replaces all earlier ones; recorded ends are kept.
     pub(crate) fn apply(&mut self, message: OwnerMessage) {
         if message.complete {
             self.assignments.clear();
@@ -97,7 +97,7 @@
             if permission == StartPermission::Granted && newest.is_none() && fits {
                 missing.starts.push(assignment.clone());
             } else {
-                missing.some_wait = true;
+                missing.has_withheld = true;
             }
         }
         missing
@@ -132,12 +132,12 @@
 
     fn assign(&mut self, assignment: Assignment) {
         let (task, attempt) = (assignment.task, assignment.attempt);
-        let over = self.ended.covers(&task, attempt) || self.stopped.covers(&task, attempt);
+        let has_ended = self.ended.covers(&task, attempt) || self.stopped.covers(&task, attempt);
         let outdated = self
             .assignments
             .get(&task)
             .is_some_and(|newer| attempt < newer.attempt);
-        if !over && !outdated {
+        if !has_ended && !outdated {
             self.assignments.insert(task, assignment);
         }
     }
--- a/crates/worker-agent/src/heartbeat_json/parse.rs
+++ b/crates/worker-agent/src/heartbeat_json/parse.rs
@@ -11,7 +11,7 @@
 use lupinrack_cluster_api::server::{FinishedTask, RunningTask, ServerFacts};
 use serde::Deserialize;
 
-/// The most bytes of a server's identity.
+/// The longest identity of a server, in bytes.
 pub const MAX_SERVER_ID_BYTES: usize = 256;
 
 /// Whether a server takes new runs, as it writes it.
--- a/crates/worker-agent/src/heartbeat_json/render.rs
+++ b/crates/worker-agent/src/heartbeat_json/render.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// `[task, run, spec, saved]`.
+/// `[task, run, spec, saved]`, by the names of the servers' interface; `saved` is the checkpoint.
 #[derive(Serialize)]
 struct StartRow<'a>(TaskText<'a>, Attempt, &'a str, &'a str);
 
--- a/crates/worker-agent/src/incarnation.rs
+++ b/crates/worker-agent/src/incarnation.rs
@@ -16,7 +16,7 @@
 /// A server whose heartbeat is later than was asked for by more than this many milliseconds is overdue.
 pub const HEARTBEAT_GRACE_MS: u64 = 600;
 
-/// How far the server is on its way out. It only moves on, also where a heartbeat does not repeat it.
+/// How far the server's draining has come. It never goes back, also where a heartbeat does not repeat it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DrainState {
     /// It takes new runs.
@@ -24,7 +24,7 @@
     /// It has said that it drains; once it deregisters it is over.
     Draining,
     /// It has deregistered without having said that it drains: it counts as draining, and serves on until its lease expires.
-    DeregisteredFirst,
+    DeregisteredWithoutDraining,
 }
 
 /// What the agent knows of the server's present incarnation; all of it ends with the incarnation.
@@ -35,7 +35,7 @@
     heartbeat: Heartbeat,
     /// The number of the owner's newest message with orders that the heartbeat's `orders_seen` covers.
     orders_delivered: u64,
-    /// Whether the heartbeat lists every end that was not observed.
+    /// Whether the heartbeat lists every end that was not observed (see [`MAX_LISTED_ENDS`]).
     all_ends_listed: bool,
     drain_state: DrainState,
     /// The owner has recorded the ends up to this number.
@@ -127,8 +127,8 @@
     }
 
     /// Records that it has deregistered without having drained.
-    pub(crate) fn deregister_first(&mut self) {
-        self.drain_state = DrainState::DeregisteredFirst;
+    pub(crate) fn deregister_without_draining(&mut self) {
+        self.drain_state = DrainState::DeregisteredWithoutDraining;
         self.heartbeat.draining = true;
     }
 
--- a/crates/worker-agent/src/incarnation_history.rs
+++ b/crates/worker-agent/src/incarnation_history.rs
@@ -2,7 +2,7 @@
 //!
 //! One server stands beside the agent, but its incarnations follow one another, and a heartbeat may arrive after its sender
 //! has ended. To mistake a dead incarnation for a new one would make the owner give up the runs of the living one. So where
-//! the present incarnation has not deregistered, another identity is believed only once the present one is overdue and the
+//! the present incarnation has not deregistered, another identity is accepted only once the present one is overdue and the
 //! other has sent a second heartbeat; it is asked to do so soon.
 
 use lupinrack_cluster_api::agent::Heartbeat;
@@ -12,12 +12,12 @@
 /// How many earlier incarnations of the server are remembered, of each kind.
 const MAX_REMEMBERED_INCARNATIONS: usize = 16;
 
-/// What a heartbeat counts for.
+/// How a heartbeat is classified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeartbeatStatus {
     /// It is the newest of the living server.
     Current,
-    /// It is of another incarnation, which has yet to show that it lives.
+    /// It is of another incarnation, which is not confirmed yet.
     Unconfirmed,
     /// It is late, repeated, or of an incarnation that is over.
     Stale,
@@ -57,16 +57,16 @@
 pub(crate) struct IncarnationHistory {
     /// The newest heartbeats of incarnations that seem to be over.
     past: VecDeque<SequencePoint>,
-    /// Incarnations that drained and then deregistered: they are over for certain.
+    /// Departed incarnations: they drained and then deregistered, and are over for certain.
     departed: VecDeque<ServerId>,
     /// Incarnations that deregistered while this agent knew nothing of them: they may still serve.
-    early_deregistered: VecDeque<ServerId>,
-    /// The newest heartbeat of an incarnation that has yet to show that it lives.
+    deregistered_while_absent: VecDeque<ServerId>,
+    /// The newest heartbeat of an incarnation that is not confirmed yet.
     unconfirmed: Option<SequencePoint>,
 }
 
 impl IncarnationHistory {
-    /// Decides what a heartbeat counts for.
+    /// Classifies a heartbeat.
     pub(crate) fn classify(
         &mut self,
         heartbeat: &Heartbeat,
@@ -101,15 +101,15 @@
     }
 
     /// Records that an incarnation other than the present one has deregistered.
-    pub(crate) fn record_early_deregistration(&mut self, server: ServerId) {
-        if !self.departed.contains(&server) && !self.early_deregistered.contains(&server) {
-            push_bounded(&mut self.early_deregistered, server);
+    pub(crate) fn record_deregistration_while_absent(&mut self, server: ServerId) {
+        if !self.departed.contains(&server) && !self.deregistered_while_absent.contains(&server) {
+            push_bounded(&mut self.deregistered_while_absent, server);
         }
     }
 
     /// Whether an incarnation has deregistered while it was not the present one.
-    pub(crate) fn deregistered_early(&self, server: &ServerId) -> bool {
-        self.early_deregistered.contains(server)
+    pub(crate) fn deregistered_while_absent(&self, server: &ServerId) -> bool {
+        self.deregistered_while_absent.contains(server)
     }
 
     /// The incarnations that drained and deregistered, the latest last.
@@ -123,7 +123,7 @@
         heartbeat: &Heartbeat,
         present_overdue: bool,
     ) -> HeartbeatStatus {
-        if self.is_over(heartbeat) {
+        if self.is_outdated(heartbeat) {
             return HeartbeatStatus::Stale;
         }
         let second_heartbeat = self
@@ -140,9 +140,10 @@
     fn status_without_present(&self, heartbeat: &Heartbeat) -> HeartbeatStatus {
         let known = self.past.iter().any(|past| past.server == heartbeat.server);
         if known {
+            // A past incarnation may return as if the present one were overdue.
             return self.status_beside_present(heartbeat, true);
         }
-        if self.is_over(heartbeat) {
+        if self.is_outdated(heartbeat) {
             HeartbeatStatus::Stale
         } else {
             HeartbeatStatus::Current
@@ -150,7 +151,7 @@
     }
 
     /// Whether the heartbeat is of an incarnation that departed, or no newer than one that was taken of a past incarnation.
-    fn is_over(&self, heartbeat: &Heartbeat) -> bool {
+    fn is_outdated(&self, heartbeat: &Heartbeat) -> bool {
         let past = self
             .past
             .iter()
--- a/crates/worker-agent/src/lease.rs
+++ b/crates/worker-agent/src/lease.rs
@@ -12,19 +12,19 @@
 }
 
 impl Lease {
-    /// Takes the first grant of a session. It replaces what earlier sessions granted, since another owner does not rely on
+    /// Sets the lease to the first grant of a session. It replaces what earlier sessions granted, since another owner does not rely on
     /// that beyond a bound of its own.
     pub(crate) fn replace(&mut self, granted_from: Millis, duration_ms: u64) {
         self.expires_at = granted_from.plus(duration_ms);
     }
 
-    /// Takes a later grant of the same session, which never shortens the lease.
+    /// Extends the lease by a later grant of the same session, which never shortens it.
     pub(crate) fn extend(&mut self, granted_from: Millis, duration_ms: u64) {
         self.expires_at = self.expires_at.max(granted_from.plus(duration_ms));
     }
 
-    /// The lease in milliseconds that the response to a heartbeat may carry which arrived at `arrived_at`, at most `max_ms`;
-    /// none where less than [`MIN_LEASE_MS`] is left.
+    /// The lease, in milliseconds, that the response to a heartbeat may carry if the heartbeat arrived at `arrived_at`, at
+    /// most `max_ms`; none where less than [`MIN_LEASE_MS`] is left.
     ///
     /// The server counts from the moment at which it sent the heartbeat. That lies before the arrival, so its lease ends no
     /// later than the owner's grant.
--- a/crates/worker-agent/src/owner_link.rs
+++ b/crates/worker-agent/src/owner_link.rs
@@ -43,7 +43,7 @@
             .filter(|session| session.connection() == connection)
     }
 
-    /// Has the agent attach again on the same connection.
+    /// Makes the agent attach again on the same connection.
     pub(crate) fn restart_session(&mut self) {
         if let Some(session) = &mut self.session {
             session.restart();
@@ -75,7 +75,7 @@
         self.last_sent.unwrap_or_default()
     }
 
-    /// Has the owner notified that an incarnation drained and deregistered.
+    /// Queues the notification that an incarnation drained and deregistered.
     pub(crate) fn report_departure(&mut self, server: ServerId) {
         self.unreported_departures.push(server);
     }
--- a/crates/worker-agent/src/owner_session.rs
+++ b/crates/worker-agent/src/owner_session.rs
@@ -15,7 +15,7 @@
 
 /// How far a session has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Phase {
+enum SessionPhase {
     /// The agent has to attach.
     Detached,
     /// The agent attached at this moment and waits for the owner's first message.
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct OwnerSession {
     connection: u64,
-    phase: Phase,
+    phase: SessionPhase,
     /// The messages that were accepted.
     accepted: MessageNumbers,
     /// The messages all of whose orders were in a response to the server.
@@ -56,7 +56,7 @@
     pub(crate) fn new(connection: u64) -> OwnerSession {
         OwnerSession {
             connection,
-            phase: Phase::Detached,
+            phase: SessionPhase::Detached,
             accepted: MessageNumbers::default(),
             delivered: MessageNumbers::default(),
             heartbeat_after_ms: None,
@@ -81,21 +81,22 @@
     /// When an attach is to be sent if nothing else happens; none once the owner has answered.
     pub(crate) fn attach_due(&self) -> Option<Millis> {
         match self.phase {
-            Phase::Detached => Some(Millis::default()),
-            Phase::Attached(at) => Some(at.plus(ATTACH_RETRY_MS)),
-            Phase::Active { .. } => None,
+            // At once.
+            SessionPhase::Detached => Some(Millis::default()),
+            SessionPhase::Attached(at) => Some(at.plus(ATTACH_RETRY_MS)),
+            SessionPhase::Active { .. } => None,
         }
     }
 
     /// Records that the attach was sent.
     pub(crate) fn record_attach(&mut self, now: Millis) {
         self.restart();
-        self.phase = Phase::Attached(now);
+        self.phase = SessionPhase::Attached(now);
     }
 
     /// Whether the attach was sent.
     pub(crate) fn is_attached(&self) -> bool {
-        self.phase != Phase::Detached
+        self.phase != SessionPhase::Detached
     }
 
     /// Accepts a message if it answers the newest attach or something later, and follows the one before.
@@ -106,17 +107,19 @@
     /// stays as it was.
     pub(crate) fn accept(&mut self, message: &OwnerMessage) -> Result<(), OwnerMessageError> {
         let attached_at = match self.phase {
-            Phase::Attached(at) if message.complete => at,
-            Phase::Active { attached_at, .. } => attached_at,
-            Phase::Detached | Phase::Attached(_) => return Err(OwnerMessageError::EarlierSession),
+            SessionPhase::Attached(at) if message.complete => at,
+            SessionPhase::Active { attached_at, .. } => attached_at,
+            SessionPhase::Detached | SessionPhase::Attached(_) => {
+                return Err(OwnerMessageError::EarlierSession)
+            }
         };
         if message.lease_from < attached_at {
             return Err(OwnerMessageError::EarlierSession);
         }
-        if let Phase::Active { token, .. } = self.phase {
+        if let SessionPhase::Active { token, .. } = self.phase {
             self.check_number(message, token)?;
         }
-        self.phase = Phase::Active {
+        self.phase = SessionPhase::Active {
             token: message.token,
             attached_at,
         };
--- a/crates/worker-agent/src/report_schedule.rs
+++ b/crates/worker-agent/src/report_schedule.rs
@@ -1,10 +1,10 @@
-//! Which heartbeats are worth forwarding to the owner, and when.
+//! Which heartbeats are to be forwarded to the owner, and when.
 
 use lupinrack_cluster_api::agent::Heartbeat;
 use lupinrack_cluster_api::server::RunningTask;
 use lupinrack_cluster_api::time::Millis;
 
-/// The longest time, in milliseconds, without a report while the server lives: reports renew its lease.
+/// The longest time, in milliseconds, without a report while heartbeats arrive: reports renew the lease.
 pub const REPORT_INTERVAL_MS: u64 = 400;
 
 /// The shortest time, in milliseconds, between heartbeats that are forwarded for the progress of runs alone.
@@ -66,24 +66,24 @@
         orders_delivered: u64,
         now: Millis,
     ) -> Option<ReportKind> {
-        if self.heartbeat_due(heartbeat, orders_delivered) <= now {
+        if self.heartbeat_due_at(heartbeat, orders_delivered) <= now {
             return Some(ReportKind::Heartbeat);
         }
-        (self.no_change_due() <= now).then_some(ReportKind::NoChange)
+        (self.no_change_due_at() <= now).then_some(ReportKind::NoChange)
     }
 
     /// When something has to be reported if nothing else happens.
     pub(crate) fn next_due(&self, heartbeat: &Heartbeat, orders_delivered: u64) -> Millis {
-        self.heartbeat_due(heartbeat, orders_delivered)
-            .min(self.no_change_due())
+        self.heartbeat_due_at(heartbeat, orders_delivered)
+            .min(self.no_change_due_at())
     }
 
-    fn no_change_due(&self) -> Millis {
+    fn no_change_due_at(&self) -> Millis {
         self.last_report
             .map_or(Millis::default(), |at| at.plus(REPORT_INTERVAL_MS))
     }
 
-    fn heartbeat_due(&self, heartbeat: &Heartbeat, orders_delivered: u64) -> Millis {
+    fn heartbeat_due_at(&self, heartbeat: &Heartbeat, orders_delivered: u64) -> Millis {
         let Some(forwarded) = &self.forwarded else {
             return Millis::default();
         };
