--- a/crates/chain/tests/support/mod.rs
+++ b/crates/chain/tests/support/mod.rs
@@ -2,10 +2,10 @@
 
 pub mod checker;
 pub mod disk;
+mod faults;
 pub mod network;
 pub mod node;
 pub mod policy;
-mod trouble;
 pub mod world;
 
 use lupinrack_cluster_api::operation::Operation;
@@ -43,7 +43,7 @@
     ViewNotStored,
     /// A view is written, but adopted before it is synced.
     ViewStoredLate,
-    /// The standing is stored as complete, whatever it is.
+    /// The status is stored as complete, whatever it is.
     AlwaysComplete,
     /// Views are proposed whose head was not complete in the view before.
     AnyHead,
--- a/crates/cluster-membership/src/own_member.rs
+++ b/crates/cluster-membership/src/own_member.rs
@@ -1,5 +1,6 @@
 //! This process as a member: what it announces of itself.
 
+use crate::live_table::LiveMember;
 use crate::member_state::MemberState;
 use crate::member_update::MemberUpdate;
 use lupinrack_cluster_api::identity::PeerAddress;
@@ -7,7 +8,7 @@
 /// Whether an update about this process was refuted, by a higher incarnation number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refutation {
-    /// It is right, or too old to be believed by anybody.
+    /// It is right, or too old to override what others know. A higher incarnation number of this very process is adopted.
     NotNeeded,
     /// It concerned an earlier process at the same address.
     OfEarlierProcess,
@@ -23,7 +24,7 @@
 
 impl OwnMember {
     /// A process that begins, with the lowest incarnation number.
-    pub(crate) fn new(member: crate::LiveMember) -> OwnMember {
+    pub(crate) fn new(member: LiveMember) -> OwnMember {
         let update = MemberUpdate {
             address: member.address,
             role: member.role,
