--- a/crates/scheduler-testkit/src/model_server.rs
+++ b/crates/scheduler-testkit/src/model_server.rs
@@ -220,7 +220,7 @@
     }
 
     /// Records for all ends that are not recorded yet that the lease has expired since.
-    pub(crate) fn mark_lease_expired(&mut self) {
+    pub(crate) fn record_lease_expiry(&mut self) {
         for end in &mut self.ends {
             end.lease_expired_since = true;
         }
--- a/crates/scheduler-testkit/src/server_farm/step.rs
+++ b/crates/scheduler-testkit/src/server_farm/step.rs
@@ -46,7 +46,7 @@
             self.end_run(slot, task, RunEnd::LeaseExpired, context);
         }
         if let Some(server) = self.slots[slot].server.as_mut() {
-            server.mark_lease_expired();
+            server.record_lease_expiry();
         }
     }
 
