--- a/crates/cluster-local/src/progress.rs
+++ b/crates/cluster-local/src/progress.rs
@@ -25,12 +25,12 @@
         u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Prints an event, unless the run is silent; returns its time in milliseconds.
+    /// Prints an event, unless events are hidden; returns its time in milliseconds.
     pub(crate) fn record(&self, event: impl fmt::Display) -> u64 {
         let at_ms = self.elapsed_ms();
         match self.progress {
             Progress::Printed => println!("{at_ms:>7} ms  {event}"),
-            Progress::Silent => {}
+            Progress::Hidden => {}
         }
         at_ms
     }
--- a/crates/cluster-local/src/run.rs
+++ b/crates/cluster-local/src/run.rs
@@ -31,7 +31,7 @@
     /// To standard output.
     Printed,
     /// Nothing is printed.
-    Silent,
+    Hidden,
 }
 
 /// What is run.
--- a/crates/cluster-local/tests/golden.rs
+++ b/crates/cluster-local/tests/golden.rs
@@ -398,7 +398,7 @@
         submit_for: Duration::from_secs(1),
         end_within: Duration::from_secs(1),
         kill: Vec::new(),
-        progress: Progress::Silent,
+        progress: Progress::Hidden,
     };
     let observed = observe(folder.clone());
     let rejected = run(&settings).await;
--- a/crates/cluster-simulation/tests/golden.rs
+++ b/crates/cluster-simulation/tests/golden.rs
@@ -1,5 +1,6 @@
-//! What a few short days simulate, compared with the files in `tests/golden`: the plans that seeds draw, the counts of the days,
-//! and the moments at which rules are broken. A change of the simulation that plays another day for a seed is seen here.
+//! What a few short runs do, compared with the files in `tests/golden`: the fault schedules that seeds draw, the counts of the
+//! runs, and the moments at which rules are violated. A change of the simulation that plays another run for a seed is seen
+//! here.
 //!
 //! All words are spelled out, so that no file depends on the names of types. `UPDATE_GOLDEN=1` writes the files anew.
 
@@ -19,7 +20,7 @@
     "planted-by-hand.txt",
     "planted-usual.txt",
 ];
-/// Traffic of a short day, in milliseconds; a job comes in each second.
+/// Traffic of a short run, in milliseconds; a job comes in each second.
 const SHORT_MS: u64 = 20_000;
 
 fn golden_folder() -> PathBuf {
@@ -181,7 +182,7 @@
     }
 }
 
-fn planted_word(injected_bug: InjectedBug) -> &'static str {
+fn bug_word(injected_bug: InjectedBug) -> &'static str {
     match injected_bug {
         InjectedBug::MissingSync => "sync left out",
         InjectedBug::LeaseTooLong => "hold too long",
@@ -197,7 +198,7 @@
     }
 }
 
-fn scene_word(scenario: FaultScenario) -> &'static str {
+fn scenario_word(scenario: FaultScenario) -> &'static str {
     match scenario {
         FaultScenario::RepeatedReplacement => "replaced again and again",
         FaultScenario::GracefulReplacement => "replaced in order",
@@ -217,11 +218,11 @@
         FaultProfile::Quiet => "quiet",
         FaultProfile::Mixed => "usual",
         FaultProfile::Severe => "worst",
-        FaultProfile::Only(scenario) => scene_word(scenario),
+        FaultProfile::Only(scenario) => scenario_word(scenario),
     }
 }
 
-fn plan_text(plan: &FaultSchedule) -> String {
+fn schedule_text(schedule: &FaultSchedule) -> String {
     let line = |entry: &ScheduledFault| {
         format!(
             "{} +{} {}\n",
@@ -230,7 +231,7 @@
             trouble_word(entry.fault)
         )
     };
-    plan.entries().map(line).collect()
+    schedule.entries().map(line).collect()
 }
 
 /// Rules whose lines hold values as the language prints them.
@@ -275,7 +276,7 @@
 }
 
 /// Each kind of trouble, of selector, of blow, of order and of conduct at least once.
-fn plan_by_hand() -> FaultSchedule {
+fn schedule_by_hand() -> FaultSchedule {
     let core = |kind, selector| Fault::Core(kind, selector);
     let crash_on_ack = |after, crash| Fault::CrashOnAck(CrashOnAck { after, crash });
     let config = SimulationConfig::default();
@@ -359,13 +360,13 @@
     FaultSchedule::of((0..).zip(active_faults).map(entry).collect())
 }
 
-fn day_by_hand(seed: u64, injected_bug: Option<InjectedBug>) -> SimulationReport {
+fn run_by_hand(seed: u64, injected_bug: Option<InjectedBug>) -> SimulationReport {
     let config = SimulationConfig {
         injected_bug,
         jobs: 30,
         ..SimulationConfig::default()
     };
-    simulate_schedule(seed, config, plan_by_hand())
+    simulate_schedule(seed, config, schedule_by_hand())
 }
 
 #[test]
@@ -377,16 +378,19 @@
         FaultProfile::Severe,
     ]
     .map(short);
-    let scenes = FaultScenario::ALL.map(|scenario| short_five(FaultProfile::Only(scenario)));
+    let scenarios = FaultScenario::ALL.map(|scenario| short_five(FaultProfile::Only(scenario)));
     for config in three
         .into_iter()
         .chain([short_five(FaultProfile::Mixed)])
-        .chain(scenes)
+        .chain(scenarios)
     {
         for seed in 1..=2 {
-            let plan = FaultSchedule::draw(&mut fastrand::Rng::with_seed(seed), &config);
+            let schedule = FaultSchedule::draw(&mut fastrand::Rng::with_seed(seed), &config);
             let (kind, cores) = (kind_word(config.profile), config.cores);
-            text += &format!("{kind}, {cores} cores, seed {seed}\n{}\n", plan_text(&plan));
+            text += &format!(
+                "{kind}, {cores} cores, seed {seed}\n{}\n",
+                schedule_text(&schedule)
+            );
         }
     }
     assert_golden("plans.txt", &text);
@@ -394,13 +398,13 @@
 
 #[test]
 fn a_fault_schedule_by_hand_stays_the_same() {
-    assert_golden("plan-by-hand.txt", &plan_text(&plan_by_hand()));
+    assert_golden("plan-by-hand.txt", &schedule_text(&schedule_by_hand()));
 }
 
 #[test]
 fn runs_stay_the_same() {
     let mut text = String::new();
-    let mut play_days = |seeds: std::ops::RangeInclusive<u64>, config: SimulationConfig| {
+    let mut run_seeds = |seeds: std::ops::RangeInclusive<u64>, config: SimulationConfig| {
         for seed in seeds {
             let name = format!(
                 "{}, {} cores, seed {seed}",
@@ -410,18 +414,18 @@
             text += &report_text(&name, &simulate(seed, config));
         }
     };
-    play_days(1..=1, short(FaultProfile::Quiet));
-    play_days(1..=12, short(FaultProfile::Mixed));
-    play_days(1..=4, short_five(FaultProfile::Mixed));
-    play_days(1..=8, short(FaultProfile::Severe));
-    play_days(1..=2, short_five(FaultProfile::Severe));
+    run_seeds(1..=1, short(FaultProfile::Quiet));
+    run_seeds(1..=12, short(FaultProfile::Mixed));
+    run_seeds(1..=4, short_five(FaultProfile::Mixed));
+    run_seeds(1..=8, short(FaultProfile::Severe));
+    run_seeds(1..=2, short_five(FaultProfile::Severe));
     FaultScenario::ALL
         .into_iter()
-        .for_each(|scenario| play_days(1..=1, short(FaultProfile::Only(scenario))));
+        .for_each(|scenario| run_seeds(1..=1, short(FaultProfile::Only(scenario))));
     for seed in 1..=2 {
         text += &report_text(
             &format!("by hand, 3 cores, seed {seed}"),
-            &day_by_hand(seed, None),
+            &run_by_hand(seed, None),
         );
     }
     assert_golden("days.txt", &text);
@@ -434,18 +438,14 @@
             injected_bug: Some(injected_bug),
             ..short(FaultProfile::Mixed)
         };
-        report_text(planted_word(injected_bug), &simulate(4, config))
+        report_text(bug_word(injected_bug), &simulate(4, config))
     };
     assert_golden("planted-usual.txt", &InjectedBug::ALL.map(day).concat());
 }
 
 #[test]
 fn a_run_by_hand_with_injected_bugs_stays_the_same() {
-    let day = |injected_bug| {
-        report_text(
-            planted_word(injected_bug),
-            &day_by_hand(1, Some(injected_bug)),
-        )
-    };
+    let day =
+        |injected_bug| report_text(bug_word(injected_bug), &run_by_hand(1, Some(injected_bug)));
     assert_golden("planted-by-hand.txt", &InjectedBug::ALL.map(day).concat());
 }
--- a/crates/cluster-simulation/tests/injected_bugs.rs
+++ b/crates/cluster-simulation/tests/injected_bugs.rs
@@ -1,11 +1,11 @@
-//! Planted faults: each is caught by the days of a few seeds, which break no rule without it.
+//! Injected bugs: each is caught by the runs of a few seeds, which violate no rule without it.
 
 use lupinrack_cluster_simulation::{
     simulate, simulate_schedule, CoreFault, CoreSelector, Fault, FaultSchedule, InjectedBug,
     PartitionDirection, ScheduledFault, SimulationConfig, SimulationReport,
 };
 
-/// Whether one of the days breaks one of the rules with the fault, and none does without it.
+/// Asserts that one of the runs violates one of the rules with the bug, and that none does without it.
 fn assert_caught(injected_bug: InjectedBug, seeds: &[u64], rules: &[&str]) {
     let mut violations = Vec::new();
     for seed in seeds {
@@ -41,7 +41,7 @@
     );
 }
 
-/// The same for a plan in place of the seeds' own.
+/// The same for a fault schedule in place of the seeds' own.
 fn assert_caught_in(plan: &FaultSchedule, injected_bug: InjectedBug, rule: &str) {
     let mut caught = false;
     for seed in 1..=4 {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_hold_too_long_is_caught() {
+fn a_lease_too_long_is_caught() {
     assert_caught_in(&agents_cut_off(), InjectedBug::LeaseTooLong, "TWICE");
 }
 
--- a/crates/cluster-simulation/tests/injected_control_bugs.rs
+++ b/crates/cluster-simulation/tests/injected_control_bugs.rs
@@ -1,4 +1,4 @@
-//! Planted faults of the control side, one for each point that operators keep meeting: each is caught by days that break
+//! Injected bugs of the control side, one for each point that operators keep meeting: each is caught by days that break
 //! no rule without it.
 
 use lupinrack_cluster_simulation::{
@@ -18,10 +18,10 @@
         .iter()
         .flat_map(|report| &report.violations)
         .collect();
-    assert!(violations.is_empty(), "without the fault: {violations:#?}");
+    assert!(violations.is_empty(), "without the bug: {violations:#?}");
 }
 
-/// Plays days without the fault, which have to be sound, and with it, where one of the rules has to be broken.
+/// Runs without the bug, which must violate no rule, and with it, which must violate one of these.
 fn assert_caught(
     injected_bug: InjectedBug,
     rules: &[&str],
--- a/crates/cluster-simulation/tests/mixed_faults.rs
+++ b/crates/cluster-simulation/tests/mixed_faults.rs
@@ -1,4 +1,4 @@
-//! Days of a few seeds; more are played by hand with `cargo run --release --example hunt`.
+//! Mixed faults under a few seeds; more are run by hand with `cargo run --release --example hunt`.
 
 use lupinrack_cluster_simulation::{
     simulate, simulate_schedule, Fault, FaultSchedule, ScheduledFault, SimulationConfig,
@@ -17,7 +17,7 @@
     }
 }
 
-/// A day on which nothing happens breaks no rule either.
+/// A run in which nothing happens violates no rule either.
 fn assert_work_was_done(seed: u64, report: &SimulationReport) {
     assert!(
         report.accepted >= 30,
@@ -32,12 +32,12 @@
 }
 
 #[test]
-fn days_of_three_core_machines_break_no_rule() {
+fn mixed_faults_of_three_core_machines_break_no_rule() {
     check(1..=24, SimulationConfig::default());
 }
 
 #[test]
-fn days_of_five_core_machines_break_no_rule() {
+fn mixed_faults_of_five_core_machines_break_no_rule() {
     check(
         1..=8,
         SimulationConfig {
@@ -48,7 +48,7 @@
     );
 }
 
-/// Agents stand still for longer than a hold lasts, again and again: what lapsed meanwhile must not come back.
+/// Agents are suspended for longer than a lease lasts, again and again: what ended meanwhile must not come back.
 fn agents_stand_still() -> FaultSchedule {
     let config = SimulationConfig::default();
     let first = config.cores + config.fronts;
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_lapsed_start_does_not_come_back() {
+fn a_start_under_an_expired_lease_does_not_come_back() {
     for seed in 1..=6 {
         let report = simulate_schedule(seed, SimulationConfig::default(), agents_stand_still());
         assert!(
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_day() {
+fn the_same_seed_gives_the_same_run() {
     let first = simulate(7, SimulationConfig::default());
     let second = simulate(7, SimulationConfig::default());
     assert_eq!(first, second);
--- a/crates/cluster-simulation/tests/severe_scenarios.rs
+++ b/crates/cluster-simulation/tests/severe_scenarios.rs
@@ -1,4 +1,4 @@
-//! The worst days of the control side, a few of each scene; more are played by hand with
+//! Severe scenarios, a few seeds of each; more are run by hand with
 //! `cargo run --release --example hunt`.
 
 use lupinrack_cluster_simulation::{
@@ -23,7 +23,7 @@
     }
 }
 
-/// A day on which nothing happens breaks no rule either.
+/// A run in which nothing happens violates no rule either.
 fn assert_work_was_done(scenario: FaultScenario, seed: u64, report: &SimulationReport) {
     assert!(
         report.accepted >= 30,
--- a/crates/lupinrack/src/cluster/local.rs
+++ b/crates/lupinrack/src/cluster/local.rs
@@ -75,7 +75,7 @@
         end_within: duration(matches, END_WITHIN),
         kill: kill_targets(matches),
         progress: if json {
-            Progress::Silent
+            Progress::Hidden
         } else {
             Progress::Printed
         },
