--- a/crates/write-back/tests/golden.rs
+++ b/crates/write-back/tests/golden.rs
@@ -1,17 +1,14 @@
 //! The records of the log as they stand on the disk, a closed log, and the texts of errors, pinned by the files under
 //! `tests/golden/`.
 
-mod golden_file;
 mod golden_trace;
 
-use golden_file::{check_folder, hex, unhex, GoldenFile};
-use lupinrack_write_back::disk::{Disk, DiskError, SegmentId};
-use lupinrack_write_back::file::{Folder, FolderError};
-use lupinrack_write_back::log::{inspect, Log, OpenError, Recovered, WriteError};
-use lupinrack_write_back::record::{
-    decode, encode, End, Moment, Record, Taken, Unreadable, WriteId,
+use lupinrack_golden_files::{check_folder, from_hex, path, to_hex, GoldenFile};
+use lupinrack_write_back::{
+    decode, encode, inspect, AcceptedWrite, AttemptOutcome, Disk, DiskError, Folder, FolderError,
+    FrameError, Log, Moment, OpenError, Record, Recovered, RetryStatus, SegmentId, WriteError,
+    WriteId, WriteTable,
 };
-use lupinrack_write_back::state::{Book, Standing};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
@@ -21,8 +18,8 @@
 /// The repeat window of keyed writes, in microseconds.
 const WINDOW: i64 = 4_000_000;
 
-fn taken(write: u64) -> Taken {
-    Taken {
+fn taken(write: u64) -> AcceptedWrite {
+    AcceptedWrite {
         write: WriteId(write),
         volume: 0x1122_3344_5566_7788,
         plan: "basic".into(),
@@ -34,8 +31,8 @@
     }
 }
 
-fn empty_taken() -> Taken {
-    Taken {
+fn empty_taken() -> AcceptedWrite {
+    AcceptedWrite {
         write: WriteId(0),
         volume: 0,
         plan: String::new(),
@@ -62,11 +59,11 @@
     }
 }
 
-fn ended(write: u64, attempt: u16, end: End) -> Record {
-    Record::Ended {
+fn ended(write: u64, attempt: u16, outcome: AttemptOutcome) -> Record {
+    Record::AttemptEnded {
         write: WriteId(write),
         attempt,
-        end,
+        outcome,
     }
 }
 
@@ -85,22 +82,26 @@
         at: early,
     };
     vec![
-        ("taken", 1, Record::Taken(taken(9))),
-        ("taken, empty", 2, Record::Taken(empty_taken())),
+        ("taken", 1, Record::Accepted(taken(9))),
+        ("taken, empty", 2, Record::Accepted(empty_taken())),
         (
             "attempt",
             0x0102_0304_0506_0708,
             attempt(300, 4, "node-3", 70_000),
         ),
         ("attempt, least", 3, early),
-        ("ended, held", 4, ended(300, 5, End::Held)),
-        ("ended, never ran", 5, ended(301, 6, End::NeverRan)),
+        ("ended, held", 4, ended(300, 5, AttemptOutcome::Stored)),
+        (
+            "ended, never ran",
+            5,
+            ended(301, 6, AttemptOutcome::NeverRan),
+        ),
         (
             "ended, may have run",
             6,
-            ended(302, u16::MAX, End::MayHaveRun),
+            ended(302, u16::MAX, AttemptOutcome::MayHaveRun),
         ),
-        ("settled", u64::MAX, Record::Settled(WriteId(u64::MAX))),
+        ("settled", u64::MAX, Record::Resolved(WriteId(u64::MAX))),
         (
             "barrier",
             7,
@@ -114,13 +115,13 @@
 
 #[test]
 fn records_have_the_form_that_logs_hold() {
-    let mut file = GoldenFile::new("records.txt");
+    let mut file = GoldenFile::open(path!("records.txt"));
     for (name, sequence, record) in records() {
         file.add_bytes(name, &encode(sequence, &record).expect("a frame"));
     }
     let kept = file.check();
     for (name, sequence, record) in records() {
-        let frame = unhex(&kept[name]);
+        let frame = kept.bytes(name);
         assert_eq!(
             decode(&frame, sequence),
             Ok((record, frame.len())),
@@ -132,28 +133,28 @@
 /// What a small log holds: writes in each state, over several segments.
 fn log_records() -> Vec<Record> {
     vec![
-        Record::Taken(taken(1)),
-        Record::Taken(taken(2)),
+        Record::Accepted(taken(1)),
+        Record::Accepted(taken(2)),
         attempt(1, 0, "node-a", 3),
-        ended(1, 0, End::Held),
+        ended(1, 0, AttemptOutcome::Stored),
         Record::Barrier {
             volume: 0x1122_3344_5566_7788,
         },
-        Record::Taken(taken(3)),
+        Record::Accepted(taken(3)),
         attempt(2, 0, "node-b", 3),
-        Record::Settled(WriteId(1)),
+        Record::Resolved(WriteId(1)),
         attempt(3, 0, "node-c", 4),
-        ended(3, 0, End::NeverRan),
+        ended(3, 0, AttemptOutcome::NeverRan),
         Record::Flush {
             volume: 0x1122_3344_5566_7788,
         },
-        Record::Taken(taken(4)),
+        Record::Accepted(taken(4)),
         attempt(4, 0, "node-d", 5),
-        ended(4, 0, End::MayHaveRun),
+        ended(4, 0, AttemptOutcome::MayHaveRun),
         attempt(4, 1, "node-e", 6),
-        Record::Taken(taken(5)),
+        Record::Accepted(taken(5)),
         attempt(5, 0, "node-f", 7),
-        ended(5, 0, End::Held),
+        ended(5, 0, AttemptOutcome::Stored),
     ]
 }
 
@@ -207,14 +208,14 @@
 fn a_closed_log_has_these_files_and_is_read_from_them() {
     let written = TestFolder::new("written");
     write_log(&written);
-    let mut file = GoldenFile::new("closed-log.txt");
+    let mut file = GoldenFile::open(path!("closed-log.txt"));
     for (name, bytes) in written.files() {
         file.add_bytes(name, &bytes);
     }
     let kept = file.check();
     let copied = TestFolder::new("copied");
-    for (name, digits) in &kept {
-        std::fs::write(copied.0.join(name), unhex(digits)).expect("a file");
+    for (name, digits) in kept.iter() {
+        std::fs::write(copied.0.join(name), from_hex(digits)).expect("a file");
     }
     let mut folder = Folder::open(&copied.0).expect("a folder");
     let found = inspect(&mut folder).expect("a log");
@@ -243,7 +244,7 @@
     let (log, found) =
         Log::open(Folder::open(&torn.0).expect("a folder"), SEGMENT_BYTES).expect("a log");
     assert_eq!((log.next(), found.records.len()), (18, 17));
-    let mut file = GoldenFile::new("torn-log.txt");
+    let mut file = GoldenFile::open(path!("torn-log.txt"));
     file.add("torn bytes", found.torn.to_string());
     for (name, bytes) in torn.files() {
         file.add_bytes(name, &bytes);
@@ -251,8 +252,8 @@
     file.check();
 }
 
-fn standings(found: &Recovered) -> BTreeMap<u64, Standing> {
-    let mut book = Book::default();
+fn standings(found: &Recovered) -> BTreeMap<u64, RetryStatus> {
+    let mut book = WriteTable::default();
     found
         .records
         .iter()
@@ -263,39 +264,39 @@
         wall: 0,
     };
     book.pending()
-        .map(|pending| (pending.taken.write.0, pending.standing(now, WINDOW)))
+        .map(|pending| (pending.accepted.write.0, pending.retry_status(now, WINDOW)))
         .collect()
 }
 
-fn expected_standings() -> BTreeMap<u64, Standing> {
+fn expected_standings() -> BTreeMap<u64, RetryStatus> {
     BTreeMap::from([
         (
             2,
-            Standing::InWindow {
+            RetryStatus::WithinWindow {
                 shard: 3,
-                left: 2_600_000,
+                remaining: 2_600_000,
             },
         ),
-        (3, Standing::NeverSent),
+        (3, RetryStatus::NeverSent),
         (
             4,
-            Standing::PastWindow {
+            RetryStatus::WindowExpired {
                 nodes: vec!["node-d".into(), "node-e".into()],
             },
         ),
-        (5, Standing::Answered),
+        (5, RetryStatus::Stored),
     ])
 }
 
 #[test]
 fn errors_are_told_as_before() {
-    let mut file = GoldenFile::new("errors.txt");
+    let mut file = GoldenFile::open(path!("errors.txt"));
     let unreadable = [
-        ("short", Unreadable::Short),
-        ("length", Unreadable::Length),
-        ("checksum", Unreadable::Checksum),
-        ("sequence", Unreadable::Sequence),
-        ("form", Unreadable::Form),
+        ("short", FrameError::Short),
+        ("length", FrameError::Length),
+        ("checksum", FrameError::Checksum),
+        ("sequence", FrameError::Sequence),
+        ("form", FrameError::Form),
     ];
     for (name, why) in unreadable {
         file.add(format!("unreadable, {name}"), why.to_string());
@@ -307,7 +308,7 @@
     let damaged = OpenError::Damaged {
         segment: 0x1f,
         offset: 77,
-        why: Unreadable::Checksum,
+        why: FrameError::Checksum,
     };
     file.add("open, damaged", damaged.to_string());
     file.add("write, disk", WriteError::from(failed()).to_string());
@@ -346,7 +347,7 @@
 #[test]
 fn the_buffer_decides_as_before() {
     const STEPS: usize = 200;
-    let mut file = GoldenFile::new("buffer-trace.txt");
+    let mut file = GoldenFile::open(path!("buffer-trace.txt"));
     for seed in 1..=2 {
         for (step, line) in golden_trace::play(seed, STEPS).into_iter().enumerate() {
             file.add(format!("seed {seed} step {step}"), line);
@@ -358,12 +359,12 @@
 #[test]
 fn the_buffer_decides_as_before_over_long_runs() {
     const STEPS: usize = 2_000;
-    let mut file = GoldenFile::new("buffer-trace-digests.txt");
+    let mut file = GoldenFile::open(path!("buffer-trace-digests.txt"));
     for seed in 100..140 {
         let lines = golden_trace::play(seed, STEPS);
         file.add(
             format!("seed {seed}"),
-            hex(&golden_trace::digest(&lines).to_be_bytes()),
+            to_hex(&golden_trace::digest(&lines).to_be_bytes()),
         );
     }
     file.check();
@@ -371,12 +372,15 @@
 
 #[test]
 fn every_golden_file_is_compared() {
-    check_folder(&[
-        "buffer-trace-digests.txt",
-        "buffer-trace.txt",
-        "closed-log.txt",
-        "errors.txt",
-        "records.txt",
-        "torn-log.txt",
-    ]);
+    check_folder(
+        path!(),
+        [
+            "buffer-trace-digests.txt",
+            "buffer-trace.txt",
+            "closed-log.txt",
+            "errors.txt",
+            "records.txt",
+            "torn-log.txt",
+        ],
+    );
 }
