--- a/crates/cluster-node/src/agent/view_source.rs
+++ b/crates/cluster-node/src/agent/view_source.rs
@@ -13,7 +13,7 @@
 pub struct ViewSource {
     own: PeerAddress,
     zone: String,
-    asked_last: Option<PeerAddress>,
+    last_source: Option<PeerAddress>,
     ask_head_until: Millis,
 }
 
@@ -23,7 +23,7 @@
         ViewSource {
             own,
             zone,
-            asked_last: None,
+            last_source: None,
             ask_head_until: Millis(0),
         }
     }
@@ -42,7 +42,7 @@
             false => None,
         };
         let chosen = source.unwrap_or(due);
-        self.asked_last = Some(chosen);
+        self.last_source = Some(chosen);
         chosen
     }
 
@@ -53,9 +53,9 @@
 
     /// A connection ended; whether it was the source's, so that another one should be asked at once.
     pub fn closed(&mut self, from: PeerAddress, now: Millis) -> bool {
-        let was_source = self.asked_last == Some(from);
+        let was_source = self.last_source == Some(from);
         if was_source {
-            self.asked_last = None;
+            self.last_source = None;
             self.doubt(now);
         }
         was_source
