--- a/crates/cluster-node/src/agent/view_source.rs
+++ b/crates/cluster-node/src/agent/view_source.rs
@@ -13,7 +13,7 @@
 pub struct ViewSource {
     own: PeerAddress,
     zone: String,
-    asked_last: Option<PeerAddress>,
+    last_source: Option<PeerAddress>,
     ask_head_until: Millis,
 }
 
@@ -23,7 +23,7 @@
         ViewSource {
             own,
             zone,
-            asked_last: None,
+            last_source: None,
             ask_head_until: Millis(0),
         }
     }
@@ -37,12 +37,11 @@
         now: Millis,
     ) -> PeerAddress {
         let may_differ = Some(due) == head && now >= self.ask_head_until;
-        let source = match may_differ {
-            true => table.view_source(&self.zone, self.own),
-            false => None,
-        };
+        let source = may_differ
+            .then(|| table.view_source(&self.zone, self.own))
+            .flatten();
         let chosen = source.unwrap_or(due);
-        self.asked_last = Some(chosen);
+        self.last_source = Some(chosen);
         chosen
     }
 
@@ -53,9 +52,9 @@
 
     /// A connection ended; whether it was the source's, so that another one should be asked at once.
     pub fn closed(&mut self, from: PeerAddress, now: Millis) -> bool {
-        let was_source = self.asked_last == Some(from);
+        let was_source = self.last_source == Some(from);
         if was_source {
-            self.asked_last = None;
+            self.last_source = None;
             self.doubt(now);
         }
         was_source
--- a/crates/cluster-node/src/front/machine.rs
+++ b/crates/cluster-node/src/front/machine.rs
@@ -4,7 +4,7 @@
 //! plane runs the same machine.
 
 use crate::control_api::HeadCall;
-use crate::front::configuration_feed::FrontNews;
+use crate::front::configuration_feed::ConfigurationFeed;
 use crate::front::known_configuration::{ConfigurationUpdate, KnownConfiguration};
 use crate::front::update_relay::SubscriberFrame;
 use crate::head_client::{HeadClient, OutgoingFrame};
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub struct FrontMachine {
     client: HeadClient,
-    news: FrontNews,
+    feed: ConfigurationFeed,
 }
 
 impl FrontMachine {
@@ -48,7 +48,7 @@
         } = own;
         FrontMachine {
             client: HeadClient::new(incarnation),
-            news: FrontNews::new(address, zone, seeds, now),
+            feed: ConfigurationFeed::new(address, zone, seeds, now),
         }
     }
 
@@ -59,7 +59,7 @@
 
     /// The configuration as it is known.
     pub fn known(&self) -> &KnownConfiguration {
-        self.news.known()
+        self.feed.known()
     }
 
     /// Whether no call to the head is open.
@@ -68,8 +68,8 @@
     }
 
     /// How many answers came that belong to no open call.
-    pub fn unmatched_answers(&self) -> u64 {
-        self.client.unmatched_answers()
+    pub fn unmatched_replies(&self) -> u64 {
+        self.client.unmatched_replies()
     }
 
     /// A frame came.
@@ -81,7 +81,7 @@
         now: Millis,
     ) -> Vec<FrontEffect> {
         match frame {
-            Frame::Reply { id, reply } => sends(self.client.answered(from, id, reply, now)),
+            Frame::Reply { id, reply } => sends(self.client.receive_reply(from, id, reply, now)),
             Frame::ViewUpdate(view) => self.on_view(&view, now),
             Frame::ConfigurationUpdate {
                 requested_at,
@@ -89,13 +89,13 @@
                 version,
                 configuration,
             } => {
-                let news = ConfigurationUpdate {
+                let update = ConfigurationUpdate {
                     requested_at,
                     age_ms,
                     version,
                     configuration,
                 };
-                relays(self.news.receive(from, news, self.client.view(), now))
+                relays(self.feed.receive(from, update, self.client.view(), now))
             }
             Frame::Subscribe {
                 interest,
@@ -103,7 +103,7 @@
             } => {
                 let view = self.client.view();
                 relays(
-                    self.news
+                    self.feed
                         .subscribed(connection, interest, requested_at, view, now),
                 )
             }
@@ -115,8 +115,8 @@
         if view.number <= self.client.view().number {
             return Vec::new();
         }
-        let mut effects = sends(self.client.learn(view, now));
-        effects.extend(relays(self.news.view_changed(view)));
+        let mut effects = sends(self.client.learn_view(view, now));
+        effects.extend(relays(self.feed.view_changed(view)));
         effects
     }
 
@@ -127,8 +127,8 @@
         connection: u64,
         now: Millis,
     ) -> Vec<FrontEffect> {
-        self.news.closed(from, connection, now);
-        sends(self.client.closed(from, now))
+        self.feed.closed(from, connection, now);
+        sends(self.client.disconnected(from, now))
     }
 
     /// A client's call that the head is to answer.
@@ -141,7 +141,7 @@
     pub fn on_tick(&mut self, table: &LiveTable, now: Millis) -> Vec<FrontEffect> {
         let mut effects = sends(self.client.tick(now));
         effects.extend(
-            self.news
+            self.feed
                 .tick(table, self.client.view(), now)
                 .map(FrontEffect::Send),
         );
--- a/crates/cluster-node/src/front/process.rs
+++ b/crates/cluster-node/src/front/process.rs
@@ -1,14 +1,14 @@
 //! The front's process: the driver of its state machine, which takes clients' calls, checks them, and hands them on.
 
 use crate::clock::{draw, Clock};
-use crate::control_api::{ask, HeadCall};
-use crate::front::client_call::read_call;
+use crate::control_api::{call_head, HeadCall};
+use crate::front::client_call::parse_client_call;
 use crate::front::known_configuration::{negative_answer_validity_ms, KnownConfiguration};
 use crate::front::machine::{FrontEffect, FrontMachine, END_PERCENT, READY_MS, SERVE_ON_PERCENT};
 use crate::front::update_relay::SubscriberFrame;
 use crate::head_client::OutgoingFrame;
 use crate::membership::Membership;
-use crate::protocol_violations::ViolationLog;
+use crate::protocol_violations::ProtocolViolationLog;
 use crate::signals::Signals;
 use crate::status::{FrontStatus, STATUS_PATH};
 use crate::NodeError;
@@ -21,7 +21,7 @@
 use lupinrack_cluster_json::{job_state_body, pending_body};
 use lupinrack_cluster_membership::{LiveMember, SwimSettings};
 use lupinrack_cluster_transport::http_server::{
-    self, DrainTimeouts, HttpLimits, HttpRequest, HttpResponse,
+    self, DrainTimeouts, HttpLimits, HttpRequest, HttpResponse, ServerHandle,
 };
 use lupinrack_cluster_transport::listen;
 use lupinrack_cluster_transport::peers::{PeerEvent, PeerSettings, Peers};
@@ -34,16 +34,16 @@
 /// How often the process looks at its clock, in milliseconds.
 const TICK_MS: u64 = 50;
 /// What is kept of a client's time for the answer's way back, in milliseconds.
-const ANSWER_MARGIN_MS: u64 = 250;
+const RESPONSE_MARGIN_MS: u64 = 250;
 /// How long a client without a deadline is made to wait, in milliseconds.
-const WAIT_MS: u64 = 2_500;
+const DEFAULT_DEADLINE_MS: u64 = 2_500;
 
 /// What the handlers of calls know, swapped whole.
 #[derive(Clone, Debug, Default)]
 struct FrontTable {
     known: KnownConfiguration,
     view: Arc<View>,
-    unmatched_answers: u64,
+    unmatched_replies: u64,
     draining: bool,
 }
 
@@ -53,7 +53,7 @@
     machine: FrontMachine,
     table: Arc<SharedValue<FrontTable>>,
     membership: Membership,
-    violations: ViolationLog,
+    violations: ProtocolViolationLog,
 }
 
 /// Runs until the process is told to end.
@@ -67,9 +67,10 @@
         incarnation,
         disk: None,
     };
-    let (peers, mut events) = Peers::start(address.0, hello, PeerSettings::default())?;
+    let (peers, events) = Peers::start(address.0, hello, PeerSettings::default())
+        .map_err(NodeError::ListenForPeers)?;
     let table = Arc::new(SharedValue::new(FrontTable::default()));
-    let (calls_in, mut calls) = mpsc::channel::<HeadCall>(1024);
+    let (calls_in, calls) = mpsc::channel::<HeadCall>(1024);
     let front_server = serve_jobs(&settings, &table, calls_in, clock)?;
     let readiness_server = serve_readiness(&settings, &table, clock)?;
     let own = LiveMember {
@@ -78,7 +79,7 @@
         zone,
         process_incarnation: incarnation,
     };
-    let mut front = Front {
+    let front = Front {
         clock,
         peers,
         machine: FrontMachine::new(own.clone(), settings.seed_internal(), clock.now()),
@@ -89,37 +90,53 @@
             SwimSettings::default(),
             clock,
         ),
-        violations: ViolationLog::default(),
+        violations: ProtocolViolationLog::default(),
     };
-    let mut signals = Signals::listen()?;
+    let inputs = Inputs {
+        events,
+        calls,
+        signals: Signals::listen()?,
+    };
+    drive(front, inputs, &front_server, settings.bounds.grace_ms).await;
+    drop(readiness_server);
+    Ok(())
+}
+
+/// Everything that reaches the process from outside.
+struct Inputs {
+    events: mpsc::Receiver<PeerEvent>,
+    calls: mpsc::Receiver<HeadCall>,
+    signals: Signals,
+}
+
+/// Drives the machine until the process is told to end and has served on for its part of the grace.
+async fn drive(mut front: Front, mut inputs: Inputs, server: &ServerHandle, grace_ms: u64) {
     let mut timer = tokio::time::interval(Duration::from_millis(TICK_MS));
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let grace_ms = settings.bounds.grace_ms;
-    let mut ending: Option<Millis> = None;
-    let mut drained = false;
+    let mut shutdown_began_at: Option<Millis> = None;
+    let mut is_draining = false;
     loop {
         tokio::select! {
-            Some(event) = events.recv() => front.on_peer_event(event),
-            Some(call) = calls.recv() => front.on_call(call),
+            Some(event) = inputs.events.recv() => front.on_peer_event(event),
+            Some(call) = inputs.calls.recv() => front.on_call(call),
             _ = timer.tick() => front.on_tick(),
-            () = signals.terminated(), if ending.is_none() => {
-                ending = Some(clock.now());
+            () = inputs.signals.terminated(), if shutdown_began_at.is_none() => {
+                shutdown_began_at = Some(front.clock.now());
                 front.drain();
             }
         }
-        let Some(since) = ending else {
+        let Some(began_at) = shutdown_began_at else {
             continue;
         };
-        let waited = clock.now().since(since);
-        if !drained && waited >= grace_ms * SERVE_ON_PERCENT / 100 {
-            drained = true;
-            let server = front_server.clone();
+        let waited_ms = front.clock.now().since(began_at);
+        if !is_draining && waited_ms >= grace_ms * SERVE_ON_PERCENT / 100 {
+            is_draining = true;
+            let server = server.clone();
             tokio::spawn(async move { server.drain(drain_times(grace_ms)).await });
         }
-        let idle = drained && front_server.open_connections() == 0;
-        if idle || waited >= grace_ms * END_PERCENT / 100 {
-            drop(readiness_server);
-            return Ok(());
+        let is_idle = is_draining && server.open_connections() == 0;
+        if is_idle || waited_ms >= grace_ms * END_PERCENT / 100 {
+            return;
         }
     }
 }
@@ -168,7 +185,7 @@
             .on_tick(&self.membership.table(), self.clock.now());
         self.carry_out(effects);
         self.publish_calls();
-        self.violations.look(&self.peers);
+        self.violations.report_new(&self.peers);
     }
 
     /// Shows the handlers of calls the configuration as it is known now.
@@ -182,14 +199,14 @@
     fn publish_calls(&mut self) {
         let table = self.table.load();
         let newest = self.machine.view();
-        let unmatched_answers = self.machine.unmatched_answers();
-        if newest.number <= table.view.number && unmatched_answers == table.unmatched_answers {
+        let unmatched_replies = self.machine.unmatched_replies();
+        if newest.number <= table.view.number && unmatched_replies == table.unmatched_replies {
             return;
         }
         let view = Arc::new(newest.clone());
         let next = FrontTable {
             view,
-            unmatched_answers,
+            unmatched_replies,
             ..FrontTable::clone(&table)
         };
         self.table.replace(Arc::new(next));
@@ -197,7 +214,7 @@
 
     fn drain(&mut self) {
         spdlog::info!("told to end");
-        self.membership.leave();
+        self.membership.shut_down();
         let mut next = FrontTable::clone(&self.table.load());
         next.draining = true;
         self.table.replace(Arc::new(next));
@@ -222,8 +239,8 @@
     table: &Arc<SharedValue<FrontTable>>,
     clock: Clock,
 ) -> Result<http_server::ServerHandle, NodeError> {
-    let address = settings.readiness.ok_or(NodeError::NoAddress)?;
-    let listener = listen::bind_once(address)?;
+    let address = settings.readiness.ok_or(NodeError::MissingAddress)?;
+    let listener = listen::bind_once(address).map_err(NodeError::ListenForHttp)?;
     let table = table.clone();
     let node = settings.node.clone();
     let handler = move |call: HttpRequest| {
@@ -235,11 +252,12 @@
         };
         async move { answer }
     };
-    Ok(http_server::serve(
+    http_server::serve(
         listener,
         Arc::new(SharedValue::new(HttpLimits::default())),
         handler,
-    )?)
+    )
+    .map_err(NodeError::ListenForHttp)
 }
 
 fn status(node: &str, table: &FrontTable, now: Millis) -> String {
@@ -250,7 +268,7 @@
         view: &table.view,
         configuration: table.known.configuration.version,
         confirmed_ms_ago: confirmed.then(|| now.since(table.known.confirmed_at)),
-        unmatched_answers: table.unmatched_answers,
+        unmatched_replies: table.unmatched_replies,
     };
     status.to_string()
 }
@@ -265,8 +283,8 @@
     calls: mpsc::Sender<HeadCall>,
     clock: Clock,
 ) -> Result<http_server::ServerHandle, NodeError> {
-    let address = settings.front.ok_or(NodeError::NoAddress)?;
-    let listener = listen::bind_once(address)?;
+    let address = settings.front.ok_or(NodeError::MissingAddress)?;
+    let listener = listen::bind_once(address).map_err(NodeError::ListenForHttp)?;
     let table = table.clone();
     let negative_answer_validity_ms = negative_answer_validity_ms(settings.bounds.config_apply_ms);
     let handler = move |call: HttpRequest| {
@@ -274,11 +292,12 @@
         let calls = calls.clone();
         async move { answer(call, table, calls, negative_answer_validity_ms, clock).await }
     };
-    Ok(http_server::serve(
+    http_server::serve(
         listener,
         Arc::new(SharedValue::new(HttpLimits::default())),
         handler,
-    )?)
+    )
+    .map_err(NodeError::ListenForHttp)
 }
 
 async fn answer(
@@ -288,7 +307,7 @@
     negative_answer_validity_ms: u64,
     clock: Clock,
 ) -> HttpResponse {
-    match read_call(
+    match parse_client_call(
         &call,
         &table.known,
         negative_answer_validity_ms,
@@ -296,19 +315,22 @@
     ) {
         Err(kind) => HttpResponse::error(kind),
         Ok(request) => {
-            let remaining = call.deadline_remaining_ms.unwrap_or(WAIT_MS).min(WAIT_MS);
-            let wait = remaining.saturating_sub(ANSWER_MARGIN_MS).max(1);
-            answer_of(ask(&calls, request, wait).await)
+            let remaining = call
+                .deadline_remaining_ms
+                .unwrap_or(DEFAULT_DEADLINE_MS)
+                .min(DEFAULT_DEADLINE_MS);
+            let wait = remaining.saturating_sub(RESPONSE_MARGIN_MS).max(1);
+            http_response(&call_head(&calls, request, wait).await)
         }
     }
 }
 
-fn answer_of(reply: Reply) -> HttpResponse {
+fn http_response(reply: &Reply) -> HttpResponse {
     match reply {
-        Reply::Job(state) => HttpResponse::json(job_state_body(state)),
-        Reply::Pending(count) => HttpResponse::json(pending_body(count)),
+        Reply::Job(state) => HttpResponse::json(job_state_body(*state)),
+        Reply::Pending(count) => HttpResponse::json(pending_body(*count)),
         Reply::Done => HttpResponse::empty(200),
-        Reply::Error(kind) => HttpResponse::error(kind),
+        Reply::Error(kind) => HttpResponse::error(*kind),
         Reply::ConfigurationDocument(_) | Reply::NotHead(_) => {
             HttpResponse::error(ErrorKind::InDoubt)
         }
