--- a/crates/view-agreement/src/agreement.rs
+++ b/crates/view-agreement/src/agreement.rs
@@ -188,8 +188,8 @@
     /// such a response says nothing about this one.
     fn on_prepared(&mut self, response: Prepared, now: Millis) -> Vec<Effect> {
         let (electorate, view_number) = (self.vote.electorate(), self.vote.next_view_number());
-        let is_outdated = response.accepted.1.number > view_number;
-        if is_outdated || !electorate.counts(response.disk, response.from) {
+        let is_of_later_instance = response.accepted.1.number > view_number;
+        if is_of_later_instance || !electorate.counts_response(response.disk, response.from) {
             return Vec::new();
         }
         let requests = self
--- a/crates/view-agreement/src/electorate.rs
+++ b/crates/view-agreement/src/electorate.rs
@@ -25,7 +25,7 @@
 
     /// Whether a response of this disk counts. It has to come from the acceptor's own address: a
     /// process that runs on a copy of an acceptor's data has no vote.
-    pub(crate) fn counts(self, disk: DiskId, from: PeerAddress) -> bool {
+    pub(crate) fn counts_response(self, disk: DiskId, from: PeerAddress) -> bool {
         match self {
             Electorate::Founders(founders) => founders.contains(&from),
             Electorate::Voters(view) => view.address(disk) == Some(from),
--- a/crates/view-agreement/src/policy/chain_plan.rs
+++ b/crates/view-agreement/src/policy/chain_plan.rs
@@ -111,8 +111,8 @@
     }
 }
 
-/// The length of the chain for so many voters: it intersects every majority of them, and outlasts
-/// the tolerated losses.
+/// The length of the chain for so many voters. The chain is a majority of them, so every majority
+/// that agrees on the next view includes a member; and it outlasts the tolerated losses.
 pub(super) fn wanted_chain_length(voters: usize, tolerated_losses: usize) -> usize {
     (voters / 2 + 1).max(tolerated_losses + 1).min(voters)
 }
--- a/crates/view-agreement/src/policy/failure_detector.rs
+++ b/crates/view-agreement/src/policy/failure_detector.rs
@@ -75,6 +75,8 @@
         }
     }
 
+    /// Replaces what is known of the process at the voter's address. The times since when it is
+    /// present, and since when its disk is unhealthy, are carried over where they still hold.
     fn record(&mut self, voter: Voter, report: PeerReport, now: Millis) {
         self.started.get_or_insert(now);
         let before = self.peer(&voter);
@@ -116,6 +118,7 @@
         self.record_self(me, now);
     }
 
+    /// Moves the last heartbeats forward by the time that this process stalled, in milliseconds.
     fn exclude_stall(&mut self, gap_ms: u64, now: Millis) {
         for peer in self.peers.values_mut() {
             peer.last_heartbeat = peer.last_heartbeat.plus(gap_ms).min(now);
--- a/crates/view-agreement/src/policy/peer.rs
+++ b/crates/view-agreement/src/policy/peer.rs
@@ -32,7 +32,8 @@
         self.voter.disk == disk
     }
 
-    /// Whether no heartbeat came for so long. A reset connection makes the timeout shorter.
+    /// Whether no heartbeat came for `suspect_after_ms` milliseconds. A reset connection makes the
+    /// timeout shorter, since it may mean that the process has ended.
     pub(super) fn has_timed_out(&self, suspect_after_ms: u64, now: Millis) -> bool {
         let timeout_ms = if self.connection_reset {
             suspect_after_ms / RESET_DIVISOR
--- a/crates/view-agreement/src/policy/view_policy.rs
+++ b/crates/view-agreement/src/policy/view_policy.rs
@@ -25,10 +25,12 @@
     pending: Option<PendingChange>,
 }
 
-/// Since when a view after the one of this number has been wanted.
+/// A change of the view that is wanted.
 #[derive(Clone, Copy, Debug)]
 struct PendingChange {
+    /// The number of the view that it would replace.
     replaces: u64,
+    /// Since when it has been wanted without interruption.
     since: Millis,
 }
 
--- a/crates/view-agreement/src/policy/voter_plan.rs
+++ b/crates/view-agreement/src/policy/voter_plan.rs
@@ -12,6 +12,8 @@
 const VOTERS_MOST: usize = 13;
 /// How many voters there are at least.
 const VOTERS_LEAST: usize = 3;
+/// What the timeout of a process is divided by for the time after which its heartbeat is late.
+const LATE_DIVISOR: u64 = 2;
 
 /// Derives the voters: new disks replace voters that are gone, further ones are added, and an even
 /// number is made odd by removing a voter that is gone.
@@ -41,7 +43,7 @@
         let gone = outside_chain().filter(|voter| self.is_gone(voter));
         let draining = outside_chain().filter(|voter| self.may_hand_over(voter));
         let mut replaceable = gone.chain(draining);
-        let (old, new) = replaceable.find_map(|old| Some((old, self.successor_of(old)?)))?;
+        let (old, new) = replaceable.find_map(|old| Some((old, self.replacement_for(old)?)))?;
         let replace = |voter: &Voter| {
             if voter == old {
                 new.clone()
@@ -99,7 +101,7 @@
 
     /// The disk that replaces a voter: the new disk at its address, or else a new disk, of its zone
     /// if there is one.
-    fn successor_of(&self, old: &Voter) -> Option<&'a Voter> {
+    fn replacement_for(&self, old: &Voter) -> Option<&'a Voter> {
         let ClusterSnapshot {
             detector,
             current,
@@ -119,7 +121,8 @@
             now,
             ..
         } = *self.snapshot;
-        let is_late = detector.since_heartbeat_ms(voter, now) > settings.suspect_after_ms / 2;
+        let late_after_ms = settings.suspect_after_ms / LATE_DIVISOR;
+        let is_late = detector.since_heartbeat_ms(voter, now) > late_after_ms;
         self.snapshot.is_alive(voter) && !is_late
     }
 
--- a/crates/view-agreement/src/proposal.rs
+++ b/crates/view-agreement/src/proposal.rs
@@ -16,7 +16,7 @@
 pub(crate) struct Proposal {
     /// The view to propose unless an earlier proposal may have been chosen already.
     pub(crate) wanted: View,
-    /// Attempts since the view was last asked for.
+    /// Attempts begun. Asking for a view again lowers it so far that one more is left.
     pub(crate) attempts: u32,
     /// The phase of the current attempt.
     pub(crate) phase: Phase,
@@ -98,7 +98,7 @@
     }
 
     /// Whether requests are to be sent again now; if so, the next time is set.
-    pub(crate) fn resend_is_due(&mut self, now: Millis) -> bool {
+    pub(crate) fn take_due_resend(&mut self, now: Millis) -> bool {
         let due = now >= self.resend_at;
         if due {
             self.resend_at = now.plus(RESEND_AFTER_MS);
@@ -137,7 +137,8 @@
         }
     }
 
-    /// The view that has to be proposed because it may have been chosen already.
+    /// The view that has to be proposed because it may have been chosen already: that of the highest
+    /// proposal number which any responder has accepted (condition P2c of *Paxos Made Simple*).
     pub(crate) fn view_to_keep(&self) -> Option<&View> {
         self.highest_accepted.as_ref().map(|(_, view)| view)
     }
--- a/crates/view-agreement/src/proposer.rs
+++ b/crates/view-agreement/src/proposer.rs
@@ -20,7 +20,8 @@
     pub(crate) from: PeerAddress,
     pub(crate) disk: DiskId,
     pub(crate) proposal_number: ProposalNumber,
-    /// The proposal number and the view that the disk accepted last.
+    /// The view that the disk reports, and its proposal number: the one that it accepted last, or
+    /// the agreed one if that is newer.
     pub(crate) accepted: (ProposalNumber, View),
 }
 
@@ -61,6 +62,7 @@
     ) -> Requests {
         if let Some(proposal) = &mut self.proposal {
             proposal.wanted = wanted;
+            // At least one more attempt is left for what was asked for again.
             proposal.attempts = proposal.attempts.min(ATTEMPTS_MOST - 1);
             return Vec::new();
         }
@@ -92,7 +94,7 @@
                     self.back_off(now);
                     return Vec::new();
                 }
-                if timers.resend_is_due(now) {
+                if timers.take_due_resend(now) {
                     return self.requests(electorate);
                 }
                 Vec::new()
@@ -157,7 +159,9 @@
             return None;
         };
         let becomes_voter = view.address(disk) == Some(from);
-        if *proposal_number != accepted || !(electorate.counts(disk, from) || becomes_voter) {
+        if *proposal_number != accepted
+            || !(electorate.counts_response(disk, from) || becomes_voter)
+        {
             return None;
         }
         accepted_by.add(disk, from);
