--- a/crates/chain/src/catch_up.rs
+++ b/crates/chain/src/catch_up.rs
@@ -8,8 +8,9 @@
 /// The `Join` message that was sent last.
 #[derive(Clone, Copy, Debug)]
 struct LastJoin {
+    /// When it was sent.
     at: Millis,
-    /// The index up to which the disk was synced, as it said.
+    /// The index up to which it said that the disk was synced.
     synced: u64,
 }
 
--- a/crates/chain/src/catch_up_source.rs
+++ b/crates/chain/src/catch_up_source.rs
@@ -13,7 +13,8 @@
 /// The member that feeds a spare in one view.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CatchUpSource {
-    /// How many members before the tail it is, counted around the end.
+    /// How many members before the tail it is, modulo the length of the chain: after the head it is
+    /// the turn of the tail again.
     before_tail: usize,
     /// When it last sent anything, or became the source.
     last_message: Millis,
--- a/crates/chain/src/chain.rs
+++ b/crates/chain/src/chain.rs
@@ -27,16 +27,27 @@
 pub struct Chain {
     /// With fewer members the chain commits nothing.
     pub(crate) minimum_length: usize,
+    /// Bounds in bytes of the log and of what is in flight.
     pub(crate) limits: ByteLimits,
+    /// The newest view, and the place of this disk in it.
     pub(crate) role: ViewRole,
+    /// The log, and how far it is synced, verified and committed.
     pub(crate) log: ReplicaLog,
+    /// Whether this disk has everything that was committed before the view.
     pub(crate) status: StatusRecord,
+    /// The barriers of the view.
     pub(crate) barriers: Barriers,
+    /// What matters only to the head.
     pub(crate) leadership: Leadership,
+    /// The link to the disk that sends this one entries.
     pub(crate) upstream: Upstream,
+    /// The disks that this one sends entries to.
     pub(crate) downstream: Downstream,
+    /// What matters only to a spare.
     pub(crate) catch_up: CatchUp,
+    /// The snapshot that is being received or installed.
     pub(crate) snapshots: SnapshotReceiver,
+    /// The effects that the driver has not been given yet.
     pub(crate) outbox: Outbox,
 }
 
--- a/crates/chain/src/commit.rs
+++ b/crates/chain/src/commit.rs
@@ -34,6 +34,7 @@
         self.outbox.take()
     }
 
+    /// A truncation or installation that left everything up to `index` is synced.
     fn rewritten(&mut self, index: u64, now: Millis) -> Vec<Effect> {
         if self.log.rewritten(index) {
             self.progress(now);
@@ -46,8 +47,8 @@
         if self.is_head() {
             self.progress_as_head(now);
         } else {
-            let known = self.log.announced().min(self.log.verified_synced());
-            self.log.commit(known, &mut self.outbox);
+            let committed = self.log.announced().min(self.log.verified_synced());
+            self.log.commit(committed, &mut self.outbox);
             self.acknowledge();
         }
         if !self.is_member() {
@@ -81,7 +82,8 @@
         }
     }
 
-    /// What this disk and all after it have synced.
+    /// The last index up to which this disk has its log synced and verified, and all members after
+    /// it have acknowledged theirs.
     fn replicated(&self) -> u64 {
         let synced = self.log.verified_synced();
         match self.downstream.successor() {
--- a/crates/chain/src/commit_lag.rs
+++ b/crates/chain/src/commit_lag.rs
@@ -12,11 +12,12 @@
 /// How far a spare is behind what its source calls committed in the current view.
 #[derive(Debug, Default)]
 pub(crate) struct CommitLag {
-    /// The oldest announcement that this disk has not synced everything of.
+    /// The oldest announcement of which this disk has not synced all entries. Of those between it
+    /// and the newest one none is kept, which bounds the memory.
     pending: Option<Announcement>,
     /// The newest announcement.
     newest: Option<Announcement>,
-    /// When the newest announcement came that this disk has synced everything of.
+    /// When the newest of the announcements came whose entries this disk has all synced.
     reached_at: Option<Millis>,
 }
 
--- a/crates/chain/src/downstream.rs
+++ b/crates/chain/src/downstream.rs
@@ -20,7 +20,8 @@
     NewOnly,
 }
 
-/// The disks that this member feeds in the current view, and the snapshot that they share.
+/// The disks that this member feeds in the current view, and the snapshot that they share. A
+/// *joiner* is a spare that has sent this member a `Join`.
 #[derive(Debug, Default)]
 pub(crate) struct Downstream {
     successor: Option<Follower>,
@@ -127,7 +128,7 @@
 
     /// Whether the successor owes an acknowledgement and was quiet for so long that it is to be
     /// probed, which is noted.
-    pub(crate) fn is_probe_due(&mut self, state: SenderState, now: Millis) -> bool {
+    pub(crate) fn take_due_probe(&mut self, state: SenderState, now: Millis) -> bool {
         let Some(successor) = &mut self.successor else {
             return false;
         };
--- a/crates/chain/src/flow_control.rs
+++ b/crates/chain/src/flow_control.rs
@@ -5,7 +5,7 @@
 
 /// The narrowest window, in bytes.
 pub(crate) const WINDOW_BYTES_LEAST: u64 = 64 * 1024;
-/// How many stalls in a row have an effect.
+/// How many stalls in a row narrow the window and lengthen the wait; further ones change nothing.
 const STALLS_MOST: u32 = 8;
 
 /// The flow control of what is sent to one disk. Without progress the window narrows and the wait
@@ -42,8 +42,9 @@
         self.progress_at = now;
     }
 
-    /// Whether so many bytes in flight are to be taken for lost; the next wait is longer then.
-    pub(crate) fn has_stalled(&mut self, bytes_in_flight: u64, now: Millis) -> bool {
+    /// Whether so many bytes in flight are to be taken for lost. If so, the stall is noted: the
+    /// window narrows and the next wait is longer.
+    pub(crate) fn detect_stall(&mut self, bytes_in_flight: u64, now: Millis) -> bool {
         let link_ms = bytes_in_flight * 1_000 / SLOW_LINK_BYTES_PER_S;
         let wait_ms = (JOINER_STALLED_MS + link_ms) << self.stalls;
         let stalled = now.since(self.progress_at) >= wait_ms.min(JOINER_STALLED_MOST_MS);
--- a/crates/chain/src/follower.rs
+++ b/crates/chain/src/follower.rs
@@ -9,10 +9,15 @@
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::time::Millis;
 
+/// How often the time for which a repeated request is ignored doubles at most.
+const RESEND_DOUBLINGS_MOST: u32 = 4;
+
 /// The last request to send entries again.
 #[derive(Clone, Copy, Debug)]
 struct ResendRequest {
+    /// The last index that the requester had.
     have: u64,
+    /// When the request came.
     at: Millis,
     /// How often the same was requested before.
     repetitions: u32,
@@ -24,7 +29,7 @@
     pub(crate) disk: DiskId,
     /// The last index that was sent to it.
     sent: u64,
-    /// Where the window of entries in flight begins.
+    /// The index before the first entry that counts as in flight.
     window_start: u64,
     /// What it has acknowledged in this view; none before its first message.
     acknowledged: Option<u64>,
@@ -179,8 +184,9 @@
         self.last_contact = now;
         let before = self.resend.filter(|before| before.have == have);
         let repetitions = before.map_or(0, |before| before.repetitions + 1);
-        let is_too_early =
-            |before: ResendRequest| now.since(before.at) < RESEND_MS << before.repetitions.min(4);
+        let is_too_early = |before: ResendRequest| {
+            now.since(before.at) < RESEND_MS << before.repetitions.min(RESEND_DOUBLINGS_MOST)
+        };
         let is_much = log.bytes_between(have, limit) > WINDOW_BYTES_LEAST;
         if is_much && before.is_some_and(is_too_early) {
             return false;
@@ -200,8 +206,9 @@
         self.window_start = self.sent;
     }
 
-    /// Notes up to where a spare has everything, and sends again what seems to be lost.
-    pub(crate) fn joiner_stands_at(&mut self, have: u64, limit: u64, log: &Log, now: Millis) {
+    /// Notes the `Join` of a spare that has synced everything up to `have`. Where what is in flight
+    /// seems to be lost, sending begins again after `have`.
+    pub(crate) fn receive_join(&mut self, have: u64, limit: u64, log: &Log, now: Millis) {
         self.last_contact = now;
         let before = self.acknowledged.replace(have);
         if before != Some(have) {
@@ -212,7 +219,7 @@
         let went_back = before.is_some_and(|before| have < before);
         let is_new = before.is_none() || went_back || have > self.sent;
         let in_flight = log.bytes_between(have, self.sent);
-        if is_new || (self.sent > have && self.flow.has_stalled(in_flight, now)) {
+        if is_new || (self.sent > have && self.flow.detect_stall(in_flight, now)) {
             self.rewind(have, limit, now);
         }
     }
@@ -256,7 +263,7 @@
         let SnapshotTransfer::Sending(snapshot) = &mut self.transfer else {
             return Vec::new();
         };
-        if snapshot.is_unanswered() && self.flow.has_stalled(snapshot.bytes_in_flight(), now) {
+        if snapshot.is_unanswered() && self.flow.detect_stall(snapshot.bytes_in_flight(), now) {
             snapshot.rewind();
         }
         let window = self.flow.window_bytes(limits.window);
--- a/crates/chain/src/log.rs
+++ b/crates/chain/src/log.rs
@@ -8,7 +8,7 @@
 #[derive(Debug)]
 struct OffsetEntry {
     entry: LogEntry,
-    /// How many bytes all entries since the process began have, up to this one.
+    /// The encoded bytes of all entries since the process began, this one included.
     end: u64,
 }
 
--- a/crates/chain/src/receive.rs
+++ b/crates/chain/src/receive.rs
@@ -12,9 +12,13 @@
 
 /// The contents of an `Append` of this view.
 struct Append {
+    /// The index before the first of the entries.
     previous: u64,
+    /// Entries without gaps; none in a probe.
     entries: Vec<LogEntry>,
+    /// Everything up to this index is committed.
     committed: u64,
+    /// The newest barrier of the sender; 0 for none, or if entries before it were not sent yet.
     barrier: u64,
 }
 
@@ -183,7 +187,7 @@
         let joiner = self
             .downstream
             .joiner_or_insert(from, have.min(committed), now);
-        joiner.joiner_stands_at(have, committed, self.log.entries(), now);
+        joiner.receive_join(have, committed, self.log.entries(), now);
         self.feed_joiner(from, JoinerFeed::Answer, now);
     }
 
--- a/crates/chain/src/replica_log.rs
+++ b/crates/chain/src/replica_log.rs
@@ -21,7 +21,8 @@
     verified: u64,
     /// Up to here the log is known to be committed.
     committed: u64,
-    /// Up to here others have said that entries are committed, beyond the end of this log too.
+    /// The highest index that another replica has called committed in this view; it may lie beyond
+    /// the end of this log.
     announced: u64,
 }
 
--- a/crates/chain/src/tick.rs
+++ b/crates/chain/src/tick.rs
@@ -23,7 +23,7 @@
         self.progress(now);
         self.send_chunks(now);
         self.feed_successor(now);
-        if self.downstream.is_probe_due(self.member_state(), now) {
+        if self.downstream.take_due_probe(self.member_state(), now) {
             self.probe_successor(now);
         } else {
             self.forward_committed(now);
--- a/crates/chain/src/upstream.rs
+++ b/crates/chain/src/upstream.rs
@@ -15,7 +15,9 @@
 /// A request for the entries after an index.
 #[derive(Clone, Copy, Debug)]
 struct ResendRequest {
+    /// The last index that this disk had.
     have: u64,
+    /// When the request was sent.
     at: Millis,
 }
 
--- a/crates/chain/src/view_change.rs
+++ b/crates/chain/src/view_change.rs
@@ -14,7 +14,7 @@
 
 /// How a process comes to act in a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Entry {
+enum ViewStart {
     /// It has not acted in the view before.
     Fresh,
     /// An earlier process of the disk may have acted in the view.
@@ -28,7 +28,7 @@
     /// every view in which it may have acted.
     pub fn adopt_view(&mut self, view: View, now: Millis) -> Vec<Effect> {
         if self.role.adopt(view) {
-            self.enter_view(Entry::Fresh, now);
+            self.enter_view(ViewStart::Fresh, now);
             self.progress(now);
         }
         self.outbox.take()
@@ -36,13 +36,13 @@
 
     /// Enters the view that the disk had adopted when the process began.
     pub(crate) fn reenter_view(&mut self) {
-        self.enter_view(Entry::Restarted, Millis::default());
+        self.enter_view(ViewStart::Restarted, Millis::default());
     }
 
-    fn enter_view(&mut self, entry: Entry, now: Millis) {
+    fn enter_view(&mut self, start: ViewStart, now: Millis) {
         self.forget_last_view(now);
         if self.is_member() {
-            self.enter_as_member(entry, now);
+            self.enter_as_member(start, now);
         } else {
             self.enter_as_spare();
         }
@@ -59,8 +59,8 @@
         self.snapshots.forget_chunks();
     }
 
-    /// What is not known to be committed may never have been, and the chain continues without this
-    /// disk.
+    /// Removes what is not known to be committed: the chain continues without this disk, and may
+    /// never commit it.
     fn enter_as_spare(&mut self) {
         self.log
             .truncate_after(self.log.committed(), &mut self.outbox);
@@ -68,11 +68,11 @@
         self.status.change(ReplicaStatus::Joining, &mut self.outbox);
     }
 
-    fn enter_as_member(&mut self, entry: Entry, now: Millis) {
+    fn enter_as_member(&mut self, start: ViewStart, now: Millis) {
         // A head without followers has sent nothing that is not on its disk.
         let has_followers = self.role.chain_length() > 1;
         self.leadership.was_interrupted =
-            entry == Entry::Restarted && self.is_head() && has_followers;
+            start == ViewStart::Restarted && self.is_head() && has_followers;
         if self.status.status() == ReplicaStatus::Joining {
             self.log
                 .truncate_after(self.log.committed(), &mut self.outbox);
