--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -59,7 +59,7 @@
 mod replica_status;
 mod sender_state;
 mod snapshot;
-mod snapshot_transfer;
+mod snapshot_messages;
 mod status_record;
 mod stored_state;
 mod submit_error;
