--- a/crates/chain/src/view_change.rs
+++ b/crates/chain/src/view_change.rs
@@ -68,11 +68,31 @@
         self.status.change(ReplicaStatus::Joining, &mut self.outbox);
     }
 
+    /// Verifies the log as far as this member may trust it, and begins to exchange entries with its
+    /// neighbours in the chain.
     fn enter_as_member(&mut self, start: ViewStart, now: Millis) {
+        self.leadership.was_interrupted = self.is_interrupted_head(start);
+        self.trust_log_as_member();
+        self.leadership.base = self.log.last();
+        let verified = self.log.verified();
+        let follower = |disk| Follower::new(disk, verified, now);
+        self.downstream = Downstream::to_successor(self.role.successor().map(follower));
+        self.request_resend(self.log.last(), now);
+        self.probe_successor(now);
+    }
+
+    /// Whether this is a head that was restarted within the view, and may have sent entries that it
+    /// no longer knows.
+    fn is_interrupted_head(&self, start: ViewStart) -> bool {
         // A head without followers has sent nothing that is not on its disk.
         let has_followers = self.role.chain_length() > 1;
-        self.leadership.was_interrupted =
-            start == ViewStart::Restarted && self.is_head() && has_followers;
+        start == ViewStart::Restarted && self.is_head() && has_followers
+    }
+
+    /// A replica that is not complete keeps only what is known to be committed. A head then trusts
+    /// its whole log, since the log of the head is that of the view; any other member trusts only
+    /// what is known to be committed, until its predecessor confirms the rest.
+    fn trust_log_as_member(&mut self) {
         if self.status.status() == ReplicaStatus::Joining {
             self.log
                 .truncate_after(self.log.committed(), &mut self.outbox);
@@ -82,11 +102,5 @@
         } else {
             self.log.verify_committed_only();
         }
-        self.leadership.base = self.log.last();
-        let verified = self.log.verified();
-        let follower = |disk| Follower::new(disk, verified, now);
-        self.downstream = Downstream::to_successor(self.role.successor().map(follower));
-        self.request_resend(self.log.last(), now);
-        self.probe_successor(now);
     }
 }
