--- a/crates/cluster-node/src/agent/machine.rs
+++ b/crates/cluster-node/src/agent/machine.rs
@@ -1,8 +1,8 @@
-//! The agent's process as one state machine without I/O: frames, heartbeats and ticks come in; frames to send and answers
-//! to heartbeats go out.
+//! The agent's process as one state machine without I/O: frames, heartbeats and ticks come in; frames to send and
+//! answers to heartbeats go out.
 //!
-//! Its driver carries the frames, serves HTTP to the server and tells it who is held for alive. The simulation of the
-//! whole control plane runs the same machine.
+//! Its driver carries the frames, serves HTTP to the server and passes in the table of live members. The simulation of
+//! the control plane runs the same machine.
 
 use crate::agent::view_source::ViewSource;
 use crate::head_client::OutgoingFrame;
@@ -18,9 +18,9 @@
     Agent, AgentSettings, HeartbeatOutcome, HeartbeatResponse, PendingHeartbeat, ServerHeartbeat,
 };
 
-/// Between two subscriptions to views, in milliseconds.
+/// Interval between two subscriptions to views, in milliseconds.
 const SUBSCRIBE_MS: u64 = 1_500;
-/// An owner that says nothing for this long after it was told of the server is told again, in milliseconds.
+/// After this time without a frame from the owner the session with it is restarted, in milliseconds.
 const OWNER_TIMEOUT_MS: u64 = 600;
 /// How long the answer to a heartbeat that lists ends waits for what takes their place, in milliseconds.
 const RESPONSE_DELAY_AFTER_ENDS_MS: u64 = 80;
@@ -111,7 +111,7 @@
         self.owner
     }
 
-    /// When the owner was heard last, or a session with it began.
+    /// When a frame of the owner was received last, or a session with it began.
     pub fn owner_received_at(&self) -> Millis {
         self.owner_received_at
     }
@@ -216,10 +216,11 @@
         self.take_effects()
     }
 
-    /// Time has passed. The table says who is held for alive, and may be wrong.
+    /// Time has passed. The table of live members may be wrong.
     pub fn on_tick(&mut self, table: &LiveTable, now: Millis) -> Vec<AgentEffect<C>> {
-        let silent = self.owner.is_some() && now.since(self.owner_received_at) >= OWNER_TIMEOUT_MS;
-        if silent {
+        let timed_out =
+            self.owner.is_some() && now.since(self.owner_received_at) >= OWNER_TIMEOUT_MS;
+        if timed_out {
             self.view_source.doubt(now);
             self.subscription.hurry();
             self.begin_session(now);
--- a/crates/cluster-node/src/agent/process.rs
+++ b/crates/cluster-node/src/agent/process.rs
@@ -60,8 +60,8 @@
     violations: ProtocolViolationLog,
 }
 
-/// Runs until the process is told to end.
-pub async fn run(settings: NodeSettings, clock: Clock) -> Result<(), NodeError> {
+/// Runs until the process receives a signal to terminate.
+pub(crate) async fn run(settings: NodeSettings, clock: Clock) -> Result<(), NodeError> {
     let address = PeerAddress(settings.internal_address);
     let (zone, incarnation) = (settings.zone.clone(), draw());
     let hello = Hello {
@@ -125,7 +125,7 @@
     signals: Signals,
 }
 
-/// Drives the machine until the process is told to end.
+/// Drives the machine until the process receives a signal to terminate.
 async fn drive(mut side: Side, mut inputs: Inputs) {
     let mut timer = tokio::time::interval(Duration::from_millis(TICK_MS));
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
--- a/crates/cluster-node/src/agent/view_source.rs
+++ b/crates/cluster-node/src/agent/view_source.rs
@@ -45,7 +45,7 @@
         chosen
     }
 
-    /// The owner is silent, which may be since another view made another process the owner.
+    /// The owner timed out, possibly because a newer view made another process the owner.
     pub fn doubt(&mut self, now: Millis) {
         self.ask_head_until = now.plus(ASK_HEAD_MS);
     }
--- a/crates/cluster-node/src/clock.rs
+++ b/crates/cluster-node/src/clock.rs
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Milliseconds of the steady clock since the process began.
+    /// Milliseconds of the monotonic clock since the process began.
     pub fn now(&self) -> Millis {
         Millis(self.began.elapsed().as_millis() as u64 + 1)
     }
@@ -38,7 +38,7 @@
     }
 }
 
-/// A number drawn once for this life of the process, from the system's source of randomness.
+/// A number drawn once for this incarnation of the process, from the system's source of randomness.
 pub fn draw() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     // Each `RandomState` is keyed from the system's randomness; two of them make one draw hard to repeat.
--- a/crates/cluster-node/src/control_api/mod.rs
+++ b/crates/cluster-node/src/control_api/mod.rs
@@ -17,8 +17,8 @@
 use tokio::sync::{mpsc, oneshot};
 
 const CONFIGURATION_PATH: &str = "/lupinrack/config";
-/// How long a call to the head may take, in milliseconds. Callers go on to another process after a second of silence, so
-/// whoever holds a call for longer only keeps them from going on.
+/// How long a call to the head may take, in milliseconds. Callers go on to another process after a timeout of one
+/// second, so a longer wait would only delay that.
 const CALL_MS: u64 = 850;
 /// For so many bytes of a body a call may take a millisecond more: callers wait longer for large ones.
 const BODY_BYTES_PER_MS: u64 = 256;
--- a/crates/cluster-node/src/core/core_peers.rs
+++ b/crates/cluster-node/src/core/core_peers.rs
@@ -16,9 +16,9 @@
 pub(super) struct CorePeers {
     /// Where core processes are looked for.
     seeds: Vec<PeerAddress>,
-    /// When each process was last heard from.
+    /// When a heartbeat of each process was last received.
     last_received: BTreeMap<PeerAddress, Millis>,
-    /// A process that was not heard from for longer is forgotten, in milliseconds.
+    /// A process from which nothing was received for longer is forgotten, in milliseconds.
     timeout_ms: u64,
     last_heartbeat_at: Millis,
     /// The disk of the process at the other end of each connection.
@@ -49,8 +49,9 @@
         now.since(self.last_heartbeat_at) >= HEARTBEAT_INTERVAL_MS
     }
 
-    /// Begins a round of heartbeats; returns to whom. Processes that were not heard from for long are dropped: a machine
-    /// that was replaced is not called for ever. Voters are called in any case, and whoever is no voter calls them.
+    /// Begins a round of heartbeats; returns to whom. Processes from which nothing was received for long are
+    /// dropped, so that a replaced machine does not get heartbeats forever. Voters always get them, and every process
+    /// that is no voter sends its own to the voters.
     pub(super) fn begin_heartbeats(
         &mut self,
         view: &View,
--- a/crates/cluster-node/src/core/fault.rs
+++ b/crates/cluster-node/src/core/fault.rs
@@ -1,7 +1,7 @@
 //! Why a core process has to end at once.
 
-/// Memory and disk no longer agree, so the process must send nothing more. Started anew, it goes on from what is on its
-/// disk.
+/// Memory and disk no longer agree, so the process must send nothing more. After a restart it continues from what is on
+/// its disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum CoreFault {
     /// a write does not fit the log on the disk
--- a/crates/cluster-node/src/core/machine/mod.rs
+++ b/crates/cluster-node/src/core/machine/mod.rs
@@ -1,7 +1,7 @@
 //! The core process as one state machine without I/O: events come in, effects go out.
 //!
-//! [`CoreMachine`] owns one component for each concern and routes what each of them has to say to the others; the files of
-//! this folder hold its routes, by concern. A component's state is changed by its own methods only.
+//! [`CoreMachine`] owns one component for each concern and routes what each of them has to say to the others; the files
+//! of this folder contain its event routing, by concern. A component's state is changed by its own methods only.
 
 mod frames;
 mod ownership;
@@ -39,7 +39,7 @@
 use lupinrack_control_store::{Batch, Recovered};
 use lupinrack_view_agreement::{Agreement, PolicySettings, ViewPolicy, VoteState};
 
-/// A core process that is not heard from for this long is suspected, in milliseconds.
+/// A core process from which nothing was received for this long is suspected, in milliseconds.
 const SUSPECT_AFTER_MS: u64 = 700;
 
 /// The core process.
@@ -178,8 +178,8 @@
         }
     }
 
-    /// Finishes what the last events left to be done, and takes all effects, in the order in which they are to be carried
-    /// out.
+    /// Finishes what the last events left to be done, and takes all effects, in the order in which they are to be
+    /// carried out.
     pub fn take_effects(&mut self, moment: Moment) -> Vec<CoreEffect> {
         self.moment = moment;
         self.finish_events();
--- a/crates/cluster-node/src/core/machine/ownership.rs
+++ b/crates/cluster-node/src/core/machine/ownership.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Asks the head now and then whether this process's view still rules.
+    /// Asks the head now and then whether this process's view is still in force.
     pub(super) fn confirm_view(&mut self) {
         let now = self.now();
         if self.shards.is_empty() || !self.authority.is_request_due(now) {
@@ -88,7 +88,7 @@
     }
     if ends.len() > MAX_INFERRED_END_LINES {
         let more = ends.len() - MAX_INFERRED_END_LINES;
-        spdlog::info!("{more} more runs are over likewise");
+        spdlog::info!("{more} more runs have an inferred end");
     }
 }
 
--- a/crates/cluster-node/src/core/machine/subscriptions.rs
+++ b/crates/cluster-node/src/core/machine/subscriptions.rs
@@ -6,8 +6,9 @@
 use lupinrack_cluster_api::time::Millis;
 
 impl CoreMachine {
-    /// A process subscribed, or said again what it has. It is sent the newest view at once, and the newest configuration
-    /// by the head, after a barrier that begins after now: so the answer was true at a moment after the request.
+    /// A process subscribed, or said again what it has. It is sent the newest view at once, and the newest
+    /// configuration by the head, after a barrier that begins after now: so the answer was true at a moment after the
+    /// request.
     pub(super) fn on_subscribe(
         &mut self,
         connection: u64,
@@ -49,8 +50,9 @@
         self.outbox.send_on(request.connection, update);
     }
 
-    /// Sends a change that was committed to all subscribers that want it. When it was committed is not certain here: the
-    /// message that says so may have been long on its way. So the update carries no moment, and subscribers ask at once.
+    /// Sends a change that was committed to all subscribers that want it. When it was committed is not certain here:
+    /// the message that says so may have been long on its way. So the update carries no moment, and subscribers ask at
+    /// once.
     pub(super) fn send_configuration(&mut self) {
         if !self.chain.is_head() {
             return;
--- a/crates/cluster-node/src/core/machine/views.rs
+++ b/crates/cluster-node/src/core/machine/views.rs
@@ -70,7 +70,7 @@
         }
     }
 
-    /// What the replica is good for in the view that the heartbeat names; nothing while it has not adopted that view.
+    /// The replica status for the view that the heartbeat names; none while the replica has not adopted that view.
     fn replica_report(&self) -> ReplicaReport {
         if self.chain.view().number != self.views.current().number {
             return ReplicaReport::default();
--- a/crates/cluster-node/src/core/pending_requests.rs
+++ b/crates/cluster-node/src/core/pending_requests.rs
@@ -35,7 +35,7 @@
     pub connection: u64,
     /// The version that it has.
     pub have: u64,
-    /// When it made the request, by its own steady clock.
+    /// When it made the request, by its own monotonic clock.
     pub requested_at: Millis,
 }
 
@@ -83,8 +83,8 @@
         self.next.push(request);
     }
 
-    /// Keeps a subscriber's request until a barrier that begins after now has completed. A later one of the same connection
-    /// replaces one that no barrier covers yet.
+    /// Keeps a subscriber's request until a barrier that begins after now has completed. A later one of the same
+    /// connection replaces one that no barrier covers yet.
     pub fn await_update(&mut self, request: UpdateRequest) {
         self.next_updates.insert(request.connection, request);
     }
@@ -124,8 +124,8 @@
         std::mem::take(&mut self.deferred)
     }
 
-    /// The view changed. A barrier of the old view is void, and subscribers ask again. Takes every request that waited, to
-    /// be looked at once more: one whose operation was appended may be appended again, since operations on jobs and
+    /// The view changed. A barrier of the old view is void, and subscribers ask again. Takes every request that waited,
+    /// to be looked at once more: one whose operation was appended may be appended again, since operations on jobs and
     /// configurations are idempotent.
     pub fn view_changed(&mut self) -> Vec<PendingRequest> {
         self.barrier = None;
--- a/crates/cluster-node/src/core/pending_writes.rs
+++ b/crates/cluster-node/src/core/pending_writes.rs
@@ -18,15 +18,15 @@
     Nothing,
     /// Messages of the agreement on views are sent.
     SendVotes(Vec<(PeerAddress, AgreementMessage)>),
-    /// The chain is told that its entries up to this index are on the disk.
+    /// Notifies the chain that its entries up to this index are on the disk.
     EntriesWritten(u64),
     /// The view may be adopted.
     ViewStored(View),
-    /// The chain is told that the log was truncated after this index.
+    /// Notifies the chain that the log was truncated after this index.
     Truncated(u64),
-    /// The chain is told that the replica's status is on the disk.
+    /// Notifies the chain that the replica's status is on the disk.
     ReplicaStatusStored,
-    /// The chain is told that the snapshot up to this index, received from another member, is on the disk.
+    /// Notifies the chain that the snapshot up to this index, received from another member, is on the disk.
     SnapshotInstalled(u64),
 }
 
--- a/crates/cluster-node/src/core/request_steps.rs
+++ b/crates/cluster-node/src/core/request_steps.rs
@@ -1,5 +1,5 @@
 //! What the head does with a request, by the state that is applied: the first look when it comes, the second after a
-//! barrier, when the applied state is known to hold everything that was committed before the request came.
+//! barrier, when the applied state is known to contain everything that was committed before the request came.
 
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::identity::{JobId, QueueName};
--- a/crates/cluster-node/src/core/settings.rs
+++ b/crates/cluster-node/src/core/settings.rs
@@ -1,4 +1,4 @@
-//! What a core process is told when it begins.
+//! Settings of a core process, derived from those of its node.
 
 use lupinrack_chain::limits::ByteLimits;
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
--- a/crates/cluster-node/src/core/shard_authority.rs
+++ b/crates/cluster-node/src/core/shard_authority.rs
@@ -1,15 +1,15 @@
 //! For how long this process may act as the owner of shards.
 //!
 //! An owner acts only while its view is known to rule. It asks the head now and then, which answers after a barrier
-//! through the chain; its authority counts from the moment of the question, on its own steady clock.
+//! through the chain; its authority counts from the moment of the question, on its own monotonic clock.
 
 use lupinrack_cluster_api::request::Reply;
 use lupinrack_cluster_api::time::Millis;
 use tokio::sync::oneshot;
 
-/// How long an owner may act after it last asked whether its view rules, in milliseconds.
+/// How long an owner may act after it last asked whether its view is in force, in milliseconds.
 pub(super) const AUTHORITY_MS: u64 = 1_000;
-/// Between two questions whether the own view rules, in milliseconds.
+/// Interval between two confirmations that the own view is in force, in milliseconds.
 const CONFIRMATION_INTERVAL_MS: u64 = 300;
 
 /// A question that the head has not answered.
--- a/crates/cluster-node/src/core/shard_takeover.rs
+++ b/crates/cluster-node/src/core/shard_takeover.rs
@@ -17,10 +17,10 @@
     pub(super) service: &'a ServiceName,
     /// The new owner's token.
     pub(super) token: FencingToken,
-    /// Whether this incarnation of this process submitted it. What an earlier incarnation submitted is read again from the
-    /// log: that incarnation sent orders to servers under the token of which this one knows nothing.
+    /// Whether this incarnation of this process submitted it. What an earlier incarnation submitted is read again from
+    /// the log: that incarnation sent orders to servers under the token of which this one knows nothing.
     pub(super) is_own: bool,
-    /// Whether it holds: its token was high enough.
+    /// Whether it is valid: its token was high enough.
     pub(super) is_accepted: bool,
 }
 
@@ -54,7 +54,7 @@
         true
     }
 
-    /// Drops the take-over of a service, which was applied, or whose next one begins anew.
+    /// Drops the take-over of a service, which was applied, or is followed by a new one.
     pub(super) fn remove(&mut self, service: &ServiceName) {
         self.by_service.remove(service);
     }
--- a/crates/cluster-node/src/core/shards.rs
+++ b/crates/cluster-node/src/core/shards.rs
@@ -52,8 +52,8 @@
         self.schedulers.is_empty()
     }
 
-    /// Drops the shards that the view gives to others; returns the operations that take over those that it gives to this
-    /// process.
+    /// Drops the shards that the view gives to others; returns the operations that take over those that it gives to
+    /// this process.
     pub(super) fn follow_view(
         &mut self,
         view: &View,
@@ -114,8 +114,8 @@
         }
     }
 
-    /// A scheduler begins with a take-over of this very incarnation only, so nobody else ever acted under its token, and the
-    /// record holds every start that an earlier owner may have sent to a server.
+    /// A scheduler begins with a take-over of this very incarnation only, so nobody else ever acted under its token,
+    /// and the record contains every start that an earlier owner may have sent to a server.
     fn takeover_applied(&mut self, takeover: &AppliedTakeover<'_>, view: &View, now: Millis) {
         let service = takeover.service;
         if takeover.is_own || takeover.is_accepted {
--- a/crates/cluster-node/src/core/view_manager.rs
+++ b/crates/cluster-node/src/core/view_manager.rs
@@ -61,8 +61,8 @@
         view.address(view.head()?)
     }
 
-    /// Begins with the view that the last incarnation stored. The vote may know it, or a newer one, as agreed already: then
-    /// the agreement has nothing to say of it, but the rest of this incarnation still has to adopt it.
+    /// Begins with the view that the last incarnation stored. The vote may know it, or a newer one, as agreed already:
+    /// then the agreement has nothing to say of it, but the rest of this incarnation still has to adopt it.
     pub(super) fn begin(&mut self, stored: View) -> Vec<ViewEffect> {
         let effects = self.agreement.learn(stored);
         let was_known = effects.is_empty();
@@ -125,7 +125,7 @@
 
     /// Notes that a stored view is adopted; false where a newer one was adopted before.
     pub(super) fn adopt(&mut self, number: u64) -> bool {
-        // Not compared with what the own calls know: a reply of another process may have told them of it already.
+        // Not compared with what the own calls know: a reply of another process may have brought it already.
         let is_new = number > self.adopted;
         self.adopted = self.adopted.max(number);
         is_new
@@ -146,7 +146,8 @@
         self.policy.receive_heartbeat(voter, report, now)
     }
 
-    /// This process sends a heartbeat. A copy of its disk that was heard from first is rejected from the next tick on.
+    /// This process sends a heartbeat. A copy of its disk whose heartbeat was received first is rejected from the next
+    /// tick on.
     pub(super) fn record_own_heartbeat(&mut self, report: PeerReport, now: Millis) {
         let _ = self.policy.receive_heartbeat(self.me.clone(), report, now);
     }
@@ -179,7 +180,7 @@
         self.policy.connection_reset(from);
     }
 
-    /// Whether others hold everything and vote in this process's place, as far as there are others.
+    /// Whether other replicas are complete and vote in this process's place, as far as there are others.
     pub(super) fn may_shut_down(&self, now: Millis) -> bool {
         self.policy.may_shut_down(self.current(), &self.me, now)
     }
--- a/crates/cluster-node/src/front/configuration_feed.rs
+++ b/crates/cluster-node/src/front/configuration_feed.rs
@@ -15,7 +15,7 @@
 /// The front subscribes again at least so often, in milliseconds.
 const SUBSCRIBE_MS: u64 = 400;
 
-/// The news of one front.
+/// The configuration updates of one front: its subscription, what it knows, and its own subscribers.
 #[derive(Debug)]
 pub struct ConfigurationFeed {
     subscription: Subscription,
@@ -66,7 +66,7 @@
         })
     }
 
-    /// News of the configuration came; what is to be passed on. With `view` as the newest view known.
+    /// A configuration update was received; returns the frames to relay. `view` is the newest view known.
     pub fn receive(
         &mut self,
         from: PeerAddress,
@@ -90,13 +90,13 @@
         self.relay.send_configuration(&knowledge, now)
     }
 
-    /// A newer view is known; what is to be passed on.
+    /// A newer view is known; returns the frames to relay.
     pub fn view_changed(&mut self, view: &View) -> Vec<SubscriberFrame> {
         self.subscription.hurry();
         self.relay.send_view(view)
     }
 
-    /// Another process subscribed here; what is to be passed on.
+    /// Another process subscribed here; returns the frames to relay.
     pub fn subscribed(
         &mut self,
         connection: u64,
--- a/crates/cluster-node/src/front/home_front.rs
+++ b/crates/cluster-node/src/front/home_front.rs
@@ -1,4 +1,4 @@
-//! Whom a front of a zone asks for news: the zone's home front, or the head of the chain.
+//! Where a front of a zone subscribes to updates: the zone's home front, or the head of the chain.
 //!
 //! Which front is the home comes from the table of live members, which may be wrong. So a home is left as soon as it
 //! says nothing that makes this process's knowledge fresher, and the head is asked instead.
@@ -40,8 +40,8 @@
         let found = table
             .home_front(&self.zone, None)
             .filter(|home| *home != self.own);
-        let silent = self.current.is_some() && now.since(self.confirmed_at) > HOME_TIMEOUT_MS;
-        if silent {
+        let timed_out = self.current.is_some() && now.since(self.confirmed_at) > HOME_TIMEOUT_MS;
+        if timed_out {
             self.avoid_until = now.plus(HOME_RETRY_AFTER_MS);
         }
         let next = found.filter(|_| now >= self.avoid_until);
@@ -57,7 +57,7 @@
         self.current
     }
 
-    /// A process sent news that made this one's knowledge fresher.
+    /// A process sent an update that confirmed this one's configuration or replaced it.
     pub fn confirmed(&mut self, from: PeerAddress, now: Millis) {
         if self.current == Some(from) {
             self.confirmed_at = now;
--- a/crates/cluster-node/src/front/known_configuration.rs
+++ b/crates/cluster-node/src/front/known_configuration.rs
@@ -5,19 +5,19 @@
 use lupinrack_cluster_api::time::Millis;
 use std::sync::Arc;
 
-/// The newest configuration that this process was told of.
+/// The newest configuration that this process received.
 #[derive(Clone, Debug, Default)]
 pub struct KnownConfiguration {
     /// The configuration; version 0 before the first.
     pub configuration: Arc<Configuration>,
-    /// A moment of this process's steady clock at which it certainly was the newest one.
+    /// A moment of this process's monotonic clock at which it certainly was the newest one.
     pub confirmed_at: Millis,
 }
 
-/// News of the configuration, as the frame brings it.
+/// An update of the configuration, as received in a frame.
 #[derive(Clone, Debug)]
 pub struct ConfigurationUpdate {
-    /// When this process asked, by its own steady clock; 0 where the sender vouches for no moment.
+    /// When this process asked, by its own monotonic clock; 0 where the sender gives no moment.
     pub requested_at: Millis,
     /// How old the sender's own confirmation was, in milliseconds.
     pub age_ms: u64,
@@ -27,7 +27,7 @@
     pub configuration: Option<Configuration>,
 }
 
-/// What came of news.
+/// The effect of a [`ConfigurationUpdate`] on the [`KnownConfiguration`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UpdateOutcome {
     /// Another configuration is known now.
@@ -37,24 +37,24 @@
 }
 
 impl ConfigurationUpdate {
-    /// Whether the sender vouches for a moment at all.
+    /// Whether the sender gives a moment at which the update was valid.
     pub fn is_timestamped(&self) -> bool {
         self.requested_at > Millis(0)
     }
 
-    /// A moment at which the news certainly held: the sender sent it after this process asked.
+    /// A moment at which the update certainly was valid: the sender sent it after this process asked.
     pub fn valid_at(&self) -> Millis {
         Millis(self.requested_at.0.saturating_sub(self.age_ms))
     }
 }
 
-/// The most for which a confirmation is trusted where the settings allow more, in milliseconds.
-const TRUSTED_MOST_MS: u64 = 900;
+/// The longest time for which a confirmation is trusted, whatever the settings allow, in milliseconds.
+const TRUSTED_MAX_MS: u64 = 900;
 
 /// For how long after its confirmation a configuration says what does not exist, in milliseconds: for half of the time
 /// that a change may take to be in force, since other times add to it.
 pub fn negative_answer_validity_ms(config_apply_ms: u64) -> u64 {
-    (config_apply_ms / 2).min(TRUSTED_MOST_MS)
+    (config_apply_ms / 2).min(TRUSTED_MAX_MS)
 }
 
 impl KnownConfiguration {
@@ -63,8 +63,8 @@
         self.configuration.version > 0 && now.since(self.confirmed_at) < bound_ms
     }
 
-    /// Whether there is no queue for a target, as far as a configuration that was confirmed within `bound_ms` says. Where
-    /// it says nothing the head is to be asked.
+    /// Whether there is no queue for a target, as far as a configuration that was confirmed within `bound_ms` says.
+    /// Where it says nothing the head is to be asked.
     pub fn lacks_queue(&self, target: &Target, bound_ms: u64, now: Millis) -> bool {
         let is_known = self
             .configuration
@@ -73,18 +73,18 @@
         !is_known && self.is_confirmed_within(bound_ms, now)
     }
 
-    /// Takes news over; never back to an older configuration in one life of the process.
-    pub fn learn(&mut self, news: ConfigurationUpdate) -> UpdateOutcome {
-        let valid_at = news.valid_at();
+    /// Applies an update; never returns to an older configuration in one incarnation of the process.
+    pub fn learn(&mut self, update: ConfigurationUpdate) -> UpdateOutcome {
+        let valid_at = update.valid_at();
         let known = self.configuration.version;
-        if news.version < known {
+        if update.version < known {
             return UpdateOutcome::default();
         }
-        let newer = news.version > known;
+        let newer = update.version > known;
         if newer {
-            let Some(configuration) = news
+            let Some(configuration) = update
                 .configuration
-                .filter(|given| given.version == news.version)
+                .filter(|given| given.version == update.version)
             else {
                 return UpdateOutcome::default();
             };
--- a/crates/cluster-node/src/front/machine.rs
+++ b/crates/cluster-node/src/front/machine.rs
@@ -1,6 +1,6 @@
 //! A front as one state machine without I/O: frames, calls and ticks come in, frames to send go out.
 //!
-//! Its driver carries the frames, serves HTTP and tells it who is held for alive. The simulation of the whole control
+//! Its driver carries the frames, serves HTTP and passes in the table of live members. The simulation of the control
 //! plane runs the same machine.
 
 use crate::control_api::HeadCall;
@@ -16,9 +16,9 @@
 
 /// A front that was not confirmed for this long is not ready, in milliseconds.
 pub const READY_MS: u64 = 2_500;
-/// A front that is told to end goes on taking calls for this part of its grace, in hundredths.
+/// After a signal to terminate a front goes on accepting calls for this part of its grace period, in percent.
 pub const SERVE_ON_PERCENT: u64 = 55;
-/// It has ended before this part of its grace is over, in hundredths.
+/// It has ended before this part of its grace period is over, in percent.
 pub const END_PERCENT: u64 = 85;
 
 /// What the driver is to do.
@@ -137,7 +137,7 @@
         sends(self.client.call(call.request, call.reply_to, until, now))
     }
 
-    /// Time has passed. The table says who is held for alive, and may be wrong.
+    /// Time has passed. The table of live members may be wrong.
     pub fn on_tick(&mut self, table: &LiveTable, now: Millis) -> Vec<FrontEffect> {
         let mut effects = sends(self.client.tick(now));
         effects.extend(
--- a/crates/cluster-node/src/front/process.rs
+++ b/crates/cluster-node/src/front/process.rs
@@ -38,7 +38,7 @@
 /// How long a client without a deadline is made to wait, in milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 2_500;
 
-/// What the handlers of calls know, swapped whole.
+/// What the handlers of calls know, replaced as a unit.
 #[derive(Clone, Debug, Default)]
 struct FrontTable {
     known: KnownConfiguration,
@@ -56,8 +56,8 @@
     violations: ProtocolViolationLog,
 }
 
-/// Runs until the process is told to end.
-pub async fn run(settings: NodeSettings, clock: Clock) -> Result<(), NodeError> {
+/// Runs until the process receives a signal to terminate.
+pub(crate) async fn run(settings: NodeSettings, clock: Clock) -> Result<(), NodeError> {
     let address = PeerAddress(settings.internal_address);
     let (zone, incarnation) = (settings.zone.clone(), draw());
     let hello = Hello {
@@ -109,7 +109,7 @@
     signals: Signals,
 }
 
-/// Drives the machine until the process is told to end and has served on for its part of the grace.
+/// Drives the machine until the process receives a signal to terminate and its share of the grace period is over.
 async fn drive(mut front: Front, mut inputs: Inputs, server: &ServerHandle, grace_ms: u64) {
     let mut timer = tokio::time::interval(Duration::from_millis(TICK_MS));
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -160,9 +160,9 @@
                 frame,
                 ..
             } => {
-                let is_news = matches!(frame, Frame::ConfigurationUpdate { .. });
+                let is_update = matches!(frame, Frame::ConfigurationUpdate { .. });
                 let effects = self.machine.on_frame(from, connection, frame, now);
-                if is_news {
+                if is_update {
                     self.publish_configuration();
                 }
                 effects
@@ -213,7 +213,7 @@
     }
 
     fn drain(&mut self) {
-        spdlog::info!("told to end");
+        spdlog::info!("received a signal to terminate");
         self.membership.shut_down();
         let mut next = FrontTable::clone(&self.table.load());
         next.draining = true;
--- a/crates/cluster-node/src/front/update_relay.rs
+++ b/crates/cluster-node/src/front/update_relay.rs
@@ -1,4 +1,4 @@
-//! News passed on by a front to others that subscribed to it: to the fronts of its zone, whose home it is, and to agents
+//! Updates that a front relays to its subscribers: to the fronts of its zone, whose home it is, and to agents
 //! that want views only.
 //!
 //! What is passed on says how old it is, so that the freshness of every process counts from a confirmation by the head.
@@ -10,7 +10,7 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
 
-/// A configuration that was not confirmed for longer than this is not passed on, in milliseconds: subscribers that hear
+/// A configuration that was not confirmed for longer than this is not relayed, in milliseconds: subscribers that hear
 /// nothing turn to the head.
 pub const MAX_RELAY_AGE_MS: u64 = 600;
 
@@ -63,7 +63,7 @@
         self.subscribers.disconnected(connection);
     }
 
-    /// Tells the view to whom it was not told yet.
+    /// Sends the view to each subscriber that was not sent it yet.
     pub fn send_view(&mut self, view: &View) -> Vec<SubscriberFrame> {
         let mut frames = Vec::new();
         for (connection, subscriber) in self.subscribers.iter_mut() {
@@ -78,7 +78,7 @@
         frames
     }
 
-    /// Tells a new configuration to all who want it.
+    /// Sends a new configuration to all subscribers that want it.
     pub fn send_configuration(
         &mut self,
         knowledge: &RelayState,
--- a/crates/cluster-node/src/head_client/mod.rs
+++ b/crates/cluster-node/src/head_client/mod.rs
@@ -1,6 +1,7 @@
 //! Calls to the head of the chain, from any process: sent again to each new head until they are answered or given up.
 //!
-//! When a call is sent again, and which answer is its own, is for [`PendingCalls`] to say; here are the callers who wait.
+//! When a call is sent again, and which answer is its own, is for [`PendingCalls`] to say; here are the callers who
+//! wait.
 
 pub mod pending_calls;
 
@@ -38,7 +39,7 @@
 }
 
 impl HeadClient {
-    /// No calls. `life` is drawn at random when the process begins, as in its greeting.
+    /// No calls. The incarnation is drawn at random when the process begins, as in its greeting.
     pub fn new(incarnation: u64) -> HeadClient {
         HeadClient {
             calls: PendingCalls::new(incarnation),
--- a/crates/cluster-node/src/head_client/pending_calls.rs
+++ b/crates/cluster-node/src/head_client/pending_calls.rs
@@ -1,8 +1,8 @@
 //! Calls to the head of the chain that are not answered yet, as a state machine without I/O: when each is sent, sent
 //! again or given up, and which answer belongs to which call.
 //!
-//! An answer belongs to a call if it names the call's whole identity, the life of this process included, and comes from a
-//! process to which that call was sent. Whatever else comes is counted and changes nothing.
+//! An answer belongs to a call if it names the call's complete identity, the incarnation of this process included, and
+//! comes from a process to which that call was sent. Whatever else comes is counted and changes nothing.
 //!
 //! Only calls whose type says that they are [`Idempotent`] can be kept here, since each may be sent more than once:
 //!
@@ -69,7 +69,7 @@
         /// The call.
         call: C,
     },
-    /// Tell its caller; the call is over.
+    /// The reply goes to the caller; the call is over.
     Finish {
         /// The number of the call.
         number: u64,
@@ -78,7 +78,7 @@
     },
 }
 
-/// All open calls of one life of a process.
+/// All open calls of one incarnation of a process.
 #[derive(Clone, Debug)]
 pub struct PendingCalls<C: Idempotent> {
     incarnation: u64,
@@ -89,7 +89,7 @@
 }
 
 impl<C: Idempotent + Clone> PendingCalls<C> {
-    /// No calls, in this life of the process.
+    /// No calls, in this incarnation of the process.
     pub fn new(incarnation: u64) -> PendingCalls<C> {
         PendingCalls {
             incarnation,
@@ -201,7 +201,7 @@
         self.view.address(self.view.head()?)
     }
 
-    /// Whether this life of the process has asked `from` that, and waits for an answer.
+    /// Whether this incarnation of the process has asked `from` that, and waits for an answer.
     fn is_awaited_from(&self, from: PeerAddress, id: CallId) -> bool {
         let call = self
             .open
@@ -308,7 +308,7 @@
     }
 }
 
-/// A refusal speaks for the try that it answers; where there were others, the call as a whole is in doubt.
+/// A refusal is conclusive for the attempt that it answers; after other attempts the outcome of the call is unknown.
 fn final_reply(reply: Reply, sends: u32) -> Reply {
     let refused = matches!(
         reply,
--- a/crates/cluster-node/src/lib.rs
+++ b/crates/cluster-node/src/lib.rs
@@ -6,14 +6,14 @@
 //! - [`front`]: a front, which takes clients' calls and hands them on to the head of the replication chain;
 //! - [`agent`]: the agent beside one server.
 //!
-//! Each has a `machine` without I/O or clock, which the simulation of the whole control plane drives too, and a `process`
+//! Each has a `machine` without I/O or clock, which the simulation of the control plane drives too, and a `process`
 //! that carries its frames, serves HTTP and reads the clocks. A process runs on one thread; a core process has one more
 //! for its disk.
 //!
 //! Where to start reading: [`core::CoreMachine`], with the components that it names; then [`front::machine`] and
 //! [`agent::machine`]. What they share is beside them: [`head_client`] (calls to the head), [`subscription`] and
-//! [`subscribers`] (views and configurations), [`membership`] (the driver of SWIM), [`control_api`] and [`status`] (what
-//! operators see).
+//! [`subscribers`] (views and configurations), [`membership`] (the driver of SWIM), [`control_api`] and [`status`]
+//! (what operators see).
 
 pub mod agent;
 pub mod clock;
--- a/crates/cluster-node/src/membership.rs
+++ b/crates/cluster-node/src/membership.rs
@@ -59,12 +59,12 @@
         membership
     }
 
-    /// The members that are held for there.
+    /// The members that are believed to be alive.
     pub fn table(&self) -> Arc<LiveTable> {
         self.table.load()
     }
 
-    /// Tells others that this process leaves, and takes no part any more.
+    /// Announces to other members that this process leaves, and ends the part that it takes.
     pub fn shut_down(&self) {
         self.shutdown.notify_one();
     }
--- a/crates/cluster-node/src/protocol_violations.rs
+++ b/crates/cluster-node/src/protocol_violations.rs
@@ -1,16 +1,16 @@
-//! Tells the log of internal connections that were closed because what came on them broke the protocol.
+//! Logs internal connections that were closed because what was received on them violated the protocol.
 
 use lupinrack_cluster_transport::peers::Peers;
 
-/// How many such connections the log was told of.
+/// The number of such connections that were logged.
 #[derive(Debug, Default)]
-pub struct ProtocolViolationLog {
+pub(crate) struct ProtocolViolationLog {
     reported: u64,
 }
 
 impl ProtocolViolationLog {
     /// Looks at the count, and says so where it has risen.
-    pub fn report_new(&mut self, peers: &Peers) {
+    pub(crate) fn report_new(&mut self, peers: &Peers) {
         let total = peers.protocol_violations();
         if total > self.reported {
             spdlog::warn!(
--- a/crates/cluster-node/src/signals.rs
+++ b/crates/cluster-node/src/signals.rs
@@ -5,7 +5,7 @@
 
 /// The signals that a process listens to.
 #[derive(Debug)]
-pub struct Signals {
+pub(crate) struct Signals {
     terminate: Signal,
     interrupt: Signal,
     hangup: Signal,
@@ -13,7 +13,11 @@
 
 impl Signals {
     /// Begins to listen.
-    pub fn listen() -> Result<Signals, NodeError> {
+    ///
+    /// # Errors
+    ///
+    /// [`NodeError::ListenForSignals`] where the system refuses a signal handler.
+    pub(crate) fn listen() -> Result<Signals, NodeError> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate()).map_err(NodeError::ListenForSignals)?,
             interrupt: signal(SignalKind::interrupt()).map_err(NodeError::ListenForSignals)?,
@@ -21,9 +25,9 @@
         })
     }
 
-    /// The process is told to end. A hangup changes nothing here: settings that matter in one life of a process do not
-    /// change, and seeds are only read at its start.
-    pub async fn terminated(&mut self) {
+    /// Completes when the process receives a signal to terminate. A hangup is ignored: the settings of an incarnation
+    /// do not change, and seeds are only read at its start.
+    pub(crate) async fn terminated(&mut self) {
         loop {
             tokio::select! {
                 _ = self.terminate.recv() => return,
--- a/crates/cluster-node/src/status.rs
+++ b/crates/cluster-node/src/status.rs
@@ -1,4 +1,4 @@
-//! What a process tells operators of itself, as lines of a key and its value.
+//! The status that a process reports to operators, as lines of a key and its value.
 
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress, QueueName, ServerId, ServiceName};
 use lupinrack_cluster_api::view::{View, Voter};
@@ -118,13 +118,13 @@
     pub node: &'a str,
     /// The newest view that it knows.
     pub view: &'a View,
-    /// The server beside it, once that was heard.
+    /// The server beside it, once that has registered.
     pub server: Option<&'a ServerId>,
     /// The server's service.
     pub service: Option<&'a ServiceName>,
     /// The owner of the service's shard.
     pub owner: Option<PeerAddress>,
-    /// Milliseconds since the owner was last heard, or since the session with it began.
+    /// Milliseconds since a frame of the owner was last received, or since the session with it began.
     pub owner_received_ms_ago: u64,
     /// The highest fencing token that it has seen.
     pub token: u64,
--- a/crates/cluster-node/src/subscribers.rs
+++ b/crates/cluster-node/src/subscribers.rs
@@ -1,4 +1,4 @@
-//! Processes that asked to be told of views and configurations.
+//! Processes that subscribed to views or configurations.
 
 use lupinrack_cluster_api::frame::Interest;
 use lupinrack_cluster_api::time::Millis;
@@ -13,9 +13,9 @@
 /// One of them.
 #[derive(Clone, Copy, Debug)]
 pub struct Subscriber {
-    /// What it wants to be told of.
+    /// What it subscribed to.
     pub interest: Interest,
-    /// The number of the view that it was told last.
+    /// The number of the view that it was sent last.
     pub sent_view: u64,
     /// When it subscribed last, by its own clock.
     pub requested_at: Millis,
@@ -34,7 +34,7 @@
 }
 
 impl Subscribers {
-    /// A process subscribed, or said again what it has.
+    /// A process subscribed, or renewed its subscription.
     pub fn subscribe(&mut self, connection: u64, interest: Interest) -> &mut Subscriber {
         let entry = self.by_connection.entry(connection);
         let subscriber = entry.or_insert(Subscriber {
--- a/crates/cluster-node/src/subscription.rs
+++ b/crates/cluster-node/src/subscription.rs
@@ -7,11 +7,11 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
 
-/// Between two subscriptions while the view is known, in milliseconds.
+/// Interval between two subscriptions while the view is known, in milliseconds.
 const KNOWN_MS: u64 = 400;
-/// Between two tries while no view is known, in milliseconds.
+/// Interval between two attempts while no view is known, in milliseconds.
 const SEARCH_MS: u64 = 150;
-/// Without news of the head for this long, other core processes are asked for the view, in milliseconds.
+/// Without an update from the head for this long, other core processes are asked for the view, in milliseconds.
 const HEAD_TIMEOUT_MS: u64 = 1_000;
 
 /// One subscription.
@@ -36,7 +36,7 @@
         }
     }
 
-    /// News came that was true at this moment.
+    /// An update was received that was valid at this moment.
     pub fn received_update(&mut self, at: Millis) {
         self.last_update_at = self.last_update_at.max(at);
     }
