--- a/crates/cluster-node/src/agent/machine.rs
+++ b/crates/cluster-node/src/agent/machine.rs
@@ -20,7 +20,7 @@
 
 /// Interval between two subscriptions to views, in milliseconds.
 const SUBSCRIBE_MS: u64 = 1_500;
-/// After this time without a frame from the owner the session with it is restarted, in milliseconds.
+/// Time without a frame from the owner after which the session with it is restarted, in milliseconds.
 const OWNER_TIMEOUT_MS: u64 = 600;
 /// How long the answer to a heartbeat that lists ends waits for what takes their place, in milliseconds.
 const RESPONSE_DELAY_AFTER_ENDS_MS: u64 = 80;
--- a/crates/cluster-node/src/agent/view_source.rs
+++ b/crates/cluster-node/src/agent/view_source.rs
@@ -1,5 +1,5 @@
-//! Whom an agent asks for views: a process of its own zone, so that not all agents ask the head of the chain; the head
-//! itself whenever something may have changed that the zone does not know yet.
+//! Which process an agent asks for views: a process of its own zone, so that not all agents ask the head of the chain;
+//! the head itself whenever something may have changed that the zone does not know yet.
 
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Whom to ask where `due` is to be asked: another process only if `due` is the head and there is no doubt.
+    /// The process to ask where `due` is to be asked: another process only if `due` is the head and there is no doubt.
     pub fn choose(
         &mut self,
         due: PeerAddress,
--- a/crates/cluster-node/src/front/home_front.rs
+++ b/crates/cluster-node/src/front/home_front.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Looks at the table and the clock; whether whom to ask has changed, so that it should be asked at once.
+    /// Chooses the source from the table and the clock; returns whether it changed, so that it is to be asked at once.
     pub fn tick(&mut self, table: &LiveTable, now: Millis) -> bool {
         let before = self.source();
         let found = table
--- a/crates/cluster-node/src/front/update_relay.rs
+++ b/crates/cluster-node/src/front/update_relay.rs
@@ -1,7 +1,8 @@
 //! Updates that a front relays to its subscribers: to the fronts of its zone, whose home it is, and to agents
 //! that want views only.
 //!
-//! What is passed on says how old it is, so that the freshness of every process counts from a confirmation by the head.
+//! Each relayed update says how old it is, so that the freshness of every process counts from a confirmation by the
+//! head.
 
 use crate::front::known_configuration::KnownConfiguration;
 use crate::subscribers::Subscribers;
@@ -10,8 +11,8 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
 
-/// A configuration that was not confirmed for longer than this is not relayed, in milliseconds: subscribers that hear
-/// nothing turn to the head.
+/// A configuration that was not confirmed for longer than this is not relayed, in milliseconds: subscribers that get
+/// no update turn to the head.
 pub const MAX_RELAY_AGE_MS: u64 = 600;
 
 /// What a front knows that it may pass on.
--- a/crates/cluster-node/src/membership.rs
+++ b/crates/cluster-node/src/membership.rs
@@ -17,8 +17,8 @@
 use tokio::sync::Notify;
 
 /// However many datagrams come, the timer is not kept waiting for longer than this, in milliseconds.
-const TIMER_LATE_MOST_MS: u64 = 200;
-/// The pause after the socket failed, in milliseconds.
+const MAX_TIMER_DELAY_MS: u64 = 200;
+/// The delay before the next read after the socket failed, in milliseconds.
 const SOCKET_RETRY_MS: u64 = 100;
 
 /// Membership of this process, as its other parts see it.
@@ -119,7 +119,7 @@
             }
             Err(error) => spdlog::debug!("from {from}: {error}"),
         }
-        if self.clock.now().since(self.swim.next_wakeup()) >= TIMER_LATE_MOST_MS {
+        if self.clock.now().since(self.swim.next_wakeup()) >= MAX_TIMER_DELAY_MS {
             self.on_timer();
         }
     }
--- a/crates/cluster-node/src/subscription.rs
+++ b/crates/cluster-node/src/subscription.rs
@@ -25,7 +25,8 @@
 }
 
 impl Subscription {
-    /// With the seeds of the settings; `every_ms` is the least time between two subscriptions once the view is known.
+    /// With the seeds of the settings; `every_ms` is the minimum interval between two subscriptions, in milliseconds,
+    /// once the view is known.
     pub fn new(seeds: Vec<PeerAddress>, every_ms: u64, now: Millis) -> Subscription {
         Subscription {
             seeds,
