--- a/crates/cluster-node/src/agent/machine.rs
+++ b/crates/cluster-node/src/agent/machine.rs
@@ -69,7 +69,7 @@
 }
 
 impl<C> AgentMachine<C> {
-    /// One that begins now, as this member. The service of its server may be known beforehand.
+    /// An agent that starts now, as this member. The service of its server may be known beforehand.
     pub fn new(
         own: LiveMember,
         seeds: Vec<PeerAddress>,
--- a/crates/cluster-node/src/agent/process.rs
+++ b/crates/cluster-node/src/agent/process.rs
@@ -28,9 +28,9 @@
 
 /// How often the process looks at its clock, in milliseconds.
 const TICK_MS: u64 = 50;
-/// Between heartbeats of a server on which nothing happens, in milliseconds.
+/// Interval between heartbeats of a server on which nothing happens, in milliseconds.
 const IDLE_HEARTBEAT_MS: u64 = 60;
-/// Between heartbeats of a server on which runs start or end, in milliseconds.
+/// Interval between heartbeats of a server on which runs start or end, in milliseconds.
 const BUSY_HEARTBEAT_MS: u64 = 20;
 const INSTANCES_PATH: &str = "/lupinrack/instances/";
 
--- a/crates/cluster-node/src/core/core_peers.rs
+++ b/crates/cluster-node/src/core/core_peers.rs
@@ -6,7 +6,7 @@
 use lupinrack_view_agreement::policy::DuplicateDisk;
 use std::collections::BTreeMap;
 
-/// Between heartbeats to other core processes, in milliseconds.
+/// Interval between heartbeats to other core processes, in milliseconds.
 pub(super) const HEARTBEAT_INTERVAL_MS: u64 = 150;
 /// A process that is no voter and sends nothing for so many times the time to catch up gets no heartbeats any more.
 const FORGOTTEN_AFTER_CATCH_UPS: u64 = 3;
--- a/crates/cluster-node/src/core/effect.rs
+++ b/crates/cluster-node/src/core/effect.rs
@@ -1,4 +1,4 @@
-//! What a core process has its driver do.
+//! Effects that the driver of a core process carries out.
 
 use lupinrack_cluster_api::frame::Frame;
 use lupinrack_cluster_api::identity::PeerAddress;
--- a/crates/cluster-node/src/core/event.rs
+++ b/crates/cluster-node/src/core/event.rs
@@ -1,4 +1,4 @@
-//! What reaches a core process.
+//! Events that the driver passes to a core process.
 
 use crate::control_api::{HeadCall, ProcessCall};
 use lupinrack_cluster_api::frame::Frame;
--- a/crates/cluster-node/src/core/job_retention.rs
+++ b/crates/cluster-node/src/core/job_retention.rs
@@ -6,7 +6,7 @@
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_control_state::{ControlState, JobRecord};
 
-/// Between two looks for jobs that may be dropped, in milliseconds.
+/// Interval between two searches for jobs that may be dropped, in milliseconds.
 const SWEEP_INTERVAL_MS: u64 = 5_000;
 
 /// How long ended jobs are remembered.
--- a/crates/cluster-node/src/core/request_steps.rs
+++ b/crates/cluster-node/src/core/request_steps.rs
@@ -1,5 +1,5 @@
-//! What the head does with a request, by the state that is applied: the first look when it comes, the second after a
-//! barrier, when the applied state is known to contain everything that was committed before the request came.
+//! What the head does with a request, by the state that is applied: a first step when it is received, a second one
+//! after a barrier, when the applied state is known to contain everything that was committed before the request came.
 
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::identity::{JobId, QueueName};
@@ -13,13 +13,13 @@
 pub enum RequestStep {
     /// Appends this operation, and replies once it is applied.
     Append(Operation),
-    /// Looks at it again after a barrier.
+    /// Handles it again after a barrier.
     AwaitBarrier,
     /// Replies.
     Reply(Reply),
 }
 
-/// The first look at a request, by the state that is applied here, which may be older than what was committed.
+/// Handles a request before a barrier, by the state that is applied here, which may be older than what was committed.
 pub fn first_step(state: &ControlState, request: &Request, wall: WallMillis) -> RequestStep {
     match request {
         Request::ChangeConfiguration(change) => {
@@ -36,7 +36,7 @@
     }
 }
 
-/// The look at a request after a barrier. `view` is the number of the view in which the barrier completed.
+/// Handles a request after a barrier. `view` is the number of the view in which the barrier completed.
 pub fn second_step(
     state: &ControlState,
     view: u64,
@@ -117,7 +117,7 @@
     Some(&route.name)
 }
 
-/// Why a job is not taken for whose target no queue is configured.
+/// Why a job is rejected whose target has no configured queue.
 fn job_rejection(state: &ControlState, job: JobId) -> ErrorKind {
     if state.configuration().version == 0 {
         ErrorKind::NotTaken
--- a/crates/cluster-node/src/core/round_schedule.rs
+++ b/crates/cluster-node/src/core/round_schedule.rs
@@ -6,10 +6,11 @@
 const MIN_ROUND_INTERVAL_MS: u64 = 5;
 /// The longest time between two rounds, in milliseconds.
 const MAX_ROUND_INTERVAL_MS: u64 = 100;
-/// Between two lines on the services in the log, in milliseconds.
+/// Interval between two summaries of the services in the log, in milliseconds.
 const SUMMARY_INTERVAL_MS: u64 = 1_000;
 
-/// Rounds run when something asks for one, but not too often, and without being asked for now and then.
+/// Rounds run on request, at least [`MIN_ROUND_INTERVAL_MS`] apart, and without a request every
+/// [`MAX_ROUND_INTERVAL_MS`].
 #[derive(Debug)]
 pub(super) struct RoundSchedule {
     last_round_at: Millis,
--- a/crates/cluster-node/src/core/shard_authority.rs
+++ b/crates/cluster-node/src/core/shard_authority.rs
@@ -1,7 +1,7 @@
 //! For how long this process may act as the owner of shards.
 //!
-//! An owner acts only while its view is known to rule. It asks the head now and then, which answers after a barrier
-//! through the chain; its authority counts from the moment of the question, on its own monotonic clock.
+//! An owner acts only while its view is known to be in force. It asks the head now and then, which answers after a
+//! barrier through the chain; its authority counts from the moment of the question, on its own monotonic clock.
 
 use lupinrack_cluster_api::request::Reply;
 use lupinrack_cluster_api::time::Millis;
@@ -29,7 +29,7 @@
 }
 
 impl ShardAuthority {
-    /// None yet.
+    /// No authority yet.
     pub(super) fn new() -> ShardAuthority {
         ShardAuthority {
             pending: None,
--- a/crates/cluster-node/src/core/shutdown.rs
+++ b/crates/cluster-node/src/core/shutdown.rs
@@ -1,11 +1,12 @@
-//! The graceful shutdown of a core process: it goes on until others have its places, but not beyond its grace.
+//! The graceful shutdown of a core process: it goes on until other processes have replaced it, but not beyond its
+//! grace period.
 
 use lupinrack_cluster_api::time::Millis;
 
 /// How long a process that shuts down goes on at least, so that those who call it learn of the next view, in
 /// milliseconds.
 const MIN_SHUTDOWN_MS: u64 = 500;
-/// How much of its grace a process waits for others to take its places, in hundredths.
+/// The part of its grace period for which a process waits for others to replace it, in percent.
 const GRACE_PERCENT: u64 = 75;
 
 /// The state of the shutdown.
@@ -17,7 +18,7 @@
 }
 
 impl Shutdown {
-    /// Not begun.
+    /// A shutdown that has not begun.
     pub(super) fn new(grace_ms: u64) -> Shutdown {
         Shutdown {
             grace_ms,
--- a/crates/cluster-node/src/front/configuration_feed.rs
+++ b/crates/cluster-node/src/front/configuration_feed.rs
@@ -25,7 +25,7 @@
 }
 
 impl ConfigurationFeed {
-    /// Of a front at this address in this zone that begins now.
+    /// The feed of a front at this address in this zone that starts now.
     pub fn new(
         own: PeerAddress,
         zone: String,
--- a/crates/cluster-node/src/front/known_configuration.rs
+++ b/crates/cluster-node/src/front/known_configuration.rs
@@ -32,7 +32,7 @@
 pub struct UpdateOutcome {
     /// Another configuration is known now.
     pub newer: bool,
-    /// It is certain for a later moment than before, or newer.
+    /// The configuration is confirmed for a later moment than before, or is newer.
     pub fresher: bool,
 }
 
--- a/crates/cluster-node/src/front/machine.rs
+++ b/crates/cluster-node/src/front/machine.rs
@@ -18,7 +18,7 @@
 pub const READY_MS: u64 = 2_500;
 /// After a signal to terminate a front goes on accepting calls for this part of its grace period, in percent.
 pub const SERVE_ON_PERCENT: u64 = 55;
-/// It has ended before this part of its grace period is over, in percent.
+/// A front has ended before this part of its grace period is over, in percent.
 pub const END_PERCENT: u64 = 85;
 
 /// What the driver is to do.
@@ -38,7 +38,7 @@
 }
 
 impl FrontMachine {
-    /// One that begins now, as this member.
+    /// A front that starts now, as this member.
     pub fn new(own: LiveMember, seeds: Vec<PeerAddress>, now: Millis) -> FrontMachine {
         let LiveMember {
             address,
--- a/crates/cluster-node/src/head_client/mod.rs
+++ b/crates/cluster-node/src/head_client/mod.rs
@@ -24,7 +24,7 @@
 /// A frame to send.
 #[derive(Debug)]
 pub struct OutgoingFrame {
-    /// To whom.
+    /// The receiver.
     pub to: PeerAddress,
     /// What.
     pub frame: Frame,
--- a/crates/cluster-node/src/head_client/pending_calls.rs
+++ b/crates/cluster-node/src/head_client/pending_calls.rs
@@ -55,12 +55,12 @@
     sends: u32,
 }
 
-/// What is to be done for a call.
+/// What the driver is to do for a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallEffect<C> {
-    /// Send it.
+    /// Sends it, for the first time or again.
     Send {
-        /// To whom.
+        /// The receiver.
         to: PeerAddress,
         /// Which call.
         id: CallId,
@@ -69,11 +69,11 @@
         /// The call.
         call: C,
     },
-    /// The reply goes to the caller; the call is over.
+    /// Hands the reply to the caller; the call is over.
     Finish {
         /// The number of the call.
         number: u64,
-        /// What came of it.
+        /// The reply to its caller.
         reply: Reply,
     },
 }
--- a/crates/cluster-node/src/subscribers.rs
+++ b/crates/cluster-node/src/subscribers.rs
@@ -10,7 +10,7 @@
     by_connection: BTreeMap<u64, Subscriber>,
 }
 
-/// One of them.
+/// A process that subscribed on one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Subscriber {
     /// What it subscribed to.
@@ -56,7 +56,7 @@
         self.by_connection.remove(&connection);
     }
 
-    /// All of them.
+    /// All subscribers, with their connections.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&u64, &mut Subscriber)> {
         self.by_connection.iter_mut()
     }
