--- a/crates/cluster-simulation/examples/hunt.rs
+++ b/crates/cluster-simulation/examples/hunt.rs
@@ -1,17 +1,33 @@
 //! Runs many seeds and prints those that violate a rule:
 //! `hunt FIRST COUNT [CORES] [TOLERANCE] [KIND] [SECONDS] [BUG]`, where the kind is `usual` (mixed faults), `worst` (severe
 //! faults) or the name of a scenario such as `PartitionWithCallers`, and the bug is its number in `InjectedBug::ALL`.
+//! The names that scenarios had earlier are accepted too, so that recorded command lines can be repeated.
 
 use lupinrack_cluster_simulation::{
     simulate, FaultProfile, FaultScenario, InjectedBug, SimulationConfig,
 };
+use std::process::ExitCode;
 
 /// Runs between two lines on progress.
 const PROGRESS_EVERY: u64 = 100;
 /// Between two submissions of jobs, on average, in milliseconds.
 const JOB_EVERY_MS: u64 = 1_000;
 
-fn main() {
+/// The names that scenarios had earlier, which recorded command lines use.
+const EARLIER_NAMES: [(&str, FaultScenario); 10] = [
+    ("ReplacedAgainAndAgain", FaultScenario::RepeatedReplacement),
+    ("ReplacedInOrder", FaultScenario::GracefulReplacement),
+    ("ReplacedThenWiped", FaultScenario::ReplacementThenDiskLoss),
+    ("WipedWhileCatchingUp", FaultScenario::DiskLossDuringCatchUp),
+    ("WipedThenAnother", FaultScenario::ConsecutiveDiskLosses),
+    ("CutWithCallers", FaultScenario::PartitionWithCallers),
+    ("AllAtOnce", FaultScenario::SimultaneousCrash),
+    ("LossesAtOnce", FaultScenario::SimultaneousLosses),
+    ("SlowOrSick", FaultScenario::DegradedMachine),
+    ("EndedInTurn", FaultScenario::RollingRestart),
+];
+
+fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let number = |position: usize, default: u64| {
         arguments
@@ -20,20 +36,29 @@
             .unwrap_or(default)
     };
     let first = number(0, 1);
-    let config = config(&arguments, number);
+    let kind = arguments.get(4).map_or("usual", String::as_str);
+    let Some(profile) = profile(kind) else {
+        eprintln!("hunt: unknown kind {kind:?}; known are: {}", known_kinds());
+        return ExitCode::FAILURE;
+    };
+    let config = config(&arguments, profile, number);
     hunt(first, number(1, 100), config);
+    ExitCode::SUCCESS
 }
 
-fn config(arguments: &[String], number: impl Fn(usize, u64) -> u64) -> SimulationConfig {
+fn config(
+    arguments: &[String],
+    profile: FaultProfile,
+    number: impl Fn(usize, u64) -> u64,
+) -> SimulationConfig {
     let defaults = SimulationConfig::default();
-    let kind = arguments.get(4).map_or("usual", String::as_str);
     let traffic_ms = number(5, defaults.traffic_ms / 1_000) * 1_000;
     let injected_bug = arguments.get(6).and_then(|text| text.parse::<usize>().ok());
     let cores = number(2, 3) as usize;
     SimulationConfig {
         cores,
         tolerance: number(3, cores as u64 / 2) as usize,
-        profile: profile(kind),
+        profile,
         traffic_ms,
         jobs: traffic_ms / JOB_EVERY_MS,
         injected_bug: injected_bug.and_then(|number| InjectedBug::ALL.get(number).copied()),
@@ -41,17 +66,29 @@
     }
 }
 
-fn profile(name: &str) -> FaultProfile {
-    let scenario = FaultScenario::ALL
-        .into_iter()
-        .find(|scenario| scenario.name() == name);
-    match (name, scenario) {
-        ("worst", _) => FaultProfile::Severe,
-        (_, Some(scenario)) => FaultProfile::Only(scenario),
-        _ => FaultProfile::Mixed,
+/// The profile of a kind; none where no profile or scenario has this name.
+fn profile(kind: &str) -> Option<FaultProfile> {
+    match kind {
+        "usual" => Some(FaultProfile::Mixed),
+        "worst" => Some(FaultProfile::Severe),
+        name => scenario(name).map(FaultProfile::Only),
     }
 }
 
+fn scenario(name: &str) -> Option<FaultScenario> {
+    let current = FaultScenario::ALL.map(|scenario| (scenario.name(), scenario));
+    current
+        .into_iter()
+        .chain(EARLIER_NAMES)
+        .find(|(known, _)| *known == name)
+        .map(|(_, scenario)| scenario)
+}
+
+fn known_kinds() -> String {
+    let scenarios = FaultScenario::ALL.map(FaultScenario::name);
+    format!("usual, worst, {}", scenarios.join(", "))
+}
+
 fn hunt(first: u64, count: u64, config: SimulationConfig) {
     let (mut failed, mut tasks, mut changes, mut views) = (0, 0, 0, 0);
     let (mut written, mut sent) = (0, 0);
