--- a/crates/cluster-simulation/src/faults/core_faults.rs
+++ b/crates/cluster-simulation/src/faults/core_faults.rs
@@ -42,7 +42,7 @@
             }
             CoreFault::Shutdown => self.shut_down(machine),
             CoreFault::Replacement => return self.replace(machine, duration_ms),
-            CoreFault::GracefulReplacement => return self.replace_in_order(machine, duration_ms),
+            CoreFault::GracefulReplacement => return self.replace_gracefully(machine, duration_ms),
             CoreFault::Partition(direction) => {
                 self.partition(partitions_between(machine, &self.cores(), direction))
             }
@@ -108,7 +108,7 @@
             .collect()
     }
 
-    /// Cuts core machines off together with the last front and every second agent, while callers insist on the first of
+    /// Partitions core machines off together with the last front and every second agent, while callers insist on the first of
     /// them and the front.
     fn partition_with_callers(
         &mut self,
@@ -159,7 +159,7 @@
     }
 
     /// An empty machine is started in place of another, which is asked to shut down after `overlap_ms`.
-    fn replace_in_order(&mut self, old: usize, overlap_ms: u64) {
+    fn replace_gracefully(&mut self, old: usize, overlap_ms: u64) {
         self.add_core(old, 0);
         self.recover_after(overlap_ms, Recovery::ShutDownForGood(old));
         self.recover_after(overlap_ms + GRACE_MS, Recovery::Automatic);
--- a/crates/cluster-simulation/src/faults/fault.rs
+++ b/crates/cluster-simulation/src/faults/fault.rs
@@ -28,7 +28,7 @@
     Outbound,
 }
 
-/// Trouble of core machines, of which no more may be lost at once than is tolerated.
+/// Faults of core machines, of which no more may be lost at once than is tolerated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CoreFault {
     /// Its process is killed.
@@ -37,7 +37,7 @@
     PowerLoss,
     /// It loses power and its disk.
     DiskLoss,
-    /// It stands still.
+    /// Its process is suspended: it runs nothing until it is resumed.
     Suspend,
     /// It runs for a part of the time only.
     IntermittentRun,
@@ -117,7 +117,7 @@
 /// Anything that is planned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Trouble of one core machine.
+    /// A fault of one core machine.
     Core(CoreFault, CoreSelector),
     /// A crash right after an acknowledgement; none where no acknowledgement comes in time.
     CrashOnAck(CrashOnAck),
@@ -129,7 +129,7 @@
     FrontPartition(usize),
     /// A front is killed.
     FrontKill(usize),
-    /// A front stands still.
+    /// A front is suspended.
     FrontSuspend(usize),
     /// A front is asked to shut down, and is started again.
     FrontShutdown(usize),
@@ -137,7 +137,7 @@
     FrontRemoval(usize),
     /// An agent is killed.
     AgentKill(usize),
-    /// An agent stands still.
+    /// An agent is suspended.
     AgentSuspend(usize),
     /// An agent is asked to shut down, and is started again.
     AgentShutdown(usize),
@@ -153,11 +153,11 @@
     SeedChange,
     /// A server crashes.
     ServerCrash(usize),
-    /// A server conducts itself otherwise.
+    /// A server behaves differently.
     ServerBehaviorChange(usize, ServerBehavior),
-    /// A server drains and leaves.
+    /// A server drains and shuts down.
     ServerShutdown(usize),
-    /// Work of the operator.
+    /// An action of the operator.
     Operator(OperatorAction),
     /// Acknowledgements to the operator are lost.
     AcknowledgementLoss,
--- a/crates/cluster-simulation/src/faults/injection.rs
+++ b/crates/cluster-simulation/src/faults/injection.rs
@@ -162,7 +162,7 @@
         self.shut_down(machine)
     }
 
-    /// Cuts a machine that is none of the core off from the core, or only what it sends there.
+    /// Partitions a machine outside the core from all core machines, or blocks only what it sends to them.
     fn partition_from_core(&mut self, machine: usize, one_way: bool) -> Recovery {
         let mut partitions = Vec::new();
         for core in self.cores() {
--- a/crates/cluster-simulation/src/machine/agent.rs
+++ b/crates/cluster-simulation/src/machine/agent.rs
@@ -98,7 +98,7 @@
             .is_some_and(|until| now >= until)
     }
 
-    /// The server has left in order.
+    /// The server has shut down gracefully.
     pub(crate) fn on_deregister(
         &mut self,
         server: ServerId,
--- a/crates/cluster-simulation/src/machine/clock.rs
+++ b/crates/cluster-simulation/src/machine/clock.rs
@@ -6,7 +6,7 @@
 /// The wall-clock time at which every run begins, in milliseconds since 1970.
 pub(crate) const WALL_BEGIN_MS: u64 = 1_700_000_000_000;
 
-/// The clocks of one machine. They go on while its process stands still.
+/// The clocks of one machine. They go on while its process is suspended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MachineClock {
     /// How many millionths the steady clock runs fast; negative where it is slow.
--- a/crates/cluster-simulation/src/machine/mod.rs
+++ b/crates/cluster-simulation/src/machine/mod.rs
@@ -89,7 +89,7 @@
     },
     /// An open heartbeat has waited for long enough.
     AnswerDue,
-    /// The server has left in order.
+    /// The server has shut down gracefully.
     Deregistered(ServerId),
     /// Time has passed.
     Tick,
@@ -132,7 +132,7 @@
     pub process: Option<Process>,
     /// The incarnation of the process, or of the last one.
     pub incarnation: u64,
-    /// Whether the process stands still.
+    /// Whether the process is suspended.
     pub suspended: bool,
     /// Whether the process runs for a part of the time only.
     pub intermittent: bool,
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Whether the process stands still at this moment.
+    /// Whether the process is suspended at this moment.
     pub(crate) fn is_suspended(&self, now: u64) -> bool {
         self.suspended || (self.intermittent && now % INTERMITTENT_PERIOD_MS >= INTERMITTENT_RUN_MS)
     }
--- a/crates/cluster-simulation/src/network/mod.rs
+++ b/crates/cluster-simulation/src/network/mod.rs
@@ -7,7 +7,7 @@
 const USER_TIMEOUT_MS: u64 = 1_500;
 /// How long a frame waits for a connection, in milliseconds.
 const MAX_CONNECT_WAIT_MS: u64 = 1_000;
-/// Between two tries to open a connection, in milliseconds.
+/// Between two attempts to open a connection, in milliseconds.
 const CONNECT_RETRY_MS: u64 = 250;
 /// Frames take at least and at most so long, in milliseconds.
 const DELAY_MS: std::ops::Range<u64> = 1..5;
@@ -327,25 +327,25 @@
             if !from.open {
                 continue;
             }
-            let cut_there = self.partitions.contains_key(&(from.machine, to.machine));
-            let cut_back = self.partitions.contains_key(&(to.machine, from.machine));
+            let is_blocked_there = self.partitions.contains_key(&(from.machine, to.machine));
+            let is_blocked_back = self.partitions.contains_key(&(to.machine, from.machine));
             let due = from
                 .outgoing
                 .front()
                 .is_some_and(|(arrives, _)| *arrives <= now);
             let dark = !machines[to.machine].powered;
-            if due && (cut_there || dark) {
+            if due && (is_blocked_there || dark) {
                 from.unacknowledged_since.get_or_insert(now);
             } else if due && !to.open {
                 // Nobody listens there any longer: the connection is reset.
-                if cut_back {
+                if is_blocked_back {
                     from.unacknowledged_since.get_or_insert(now);
                 } else {
                     close(from, to.machine, number, &mut self.deliveries);
                     continue;
                 }
             } else if due {
-                if cut_back {
+                if is_blocked_back {
                     from.unacknowledged_since.get_or_insert(now);
                 }
                 while from
@@ -363,7 +363,7 @@
                     }
                 }
             }
-            if !cut_there && !cut_back && !dark {
+            if !is_blocked_there && !is_blocked_back && !dark {
                 from.unacknowledged_since = None;
             }
             if from
--- a/crates/cluster-simulation/src/oracle.rs
+++ b/crates/cluster-simulation/src/oracle.rs
@@ -174,8 +174,8 @@
         check(start.exceeds_capacity(step.needs), "LIMIT");
         let runs = !history.running_on.is_empty();
         check(runs && !step.speculative, "TWICE: runs elsewhere");
-        let repeatable = step.long_running || step.speculative;
-        check(history.done_noted && !repeatable, "TWICE: was done");
+        let is_idempotent = step.long_running || step.speculative;
+        check(history.done_noted && !is_idempotent, "TWICE: was done");
         check(!self.dependencies_done(job, step, start.task), "ORDER");
         check(start.is_early(job), "ORDER: ahead of its time");
         check(start.lacks_label(step), "ROUTE: label");
--- a/crates/cluster-simulation/src/processes.rs
+++ b/crates/cluster-simulation/src/processes.rs
@@ -231,7 +231,7 @@
         self.drain_inbox(machine);
     }
 
-    /// Hands a process that runs what reached it while it stood still.
+    /// Hands a process that runs what reached it while it was suspended.
     fn drain_inbox(&mut self, machine: usize) {
         if self.machines[machine].is_suspended(self.now) {
             return;
@@ -295,8 +295,8 @@
             if self.machines[machine].process.is_none() {
                 continue;
             }
-            let news = self.machines[machine].disk.advance(self.now);
-            match news {
+            let completion = self.machines[machine].disk.advance(self.now);
+            match completion {
                 Some(DiskCompletion::Synced(tickets)) => {
                     self.dispatch(machine, ProcessEvent::Synced(tickets));
                 }
--- a/crates/cluster-simulation/src/server.rs
+++ b/crates/cluster-simulation/src/server.rs
@@ -8,7 +8,7 @@
 
 /// A server's clock may run this much slow, so that a lease lasts longer.
 const SLOW_CLOCK: f64 = 1.02;
-/// Leases are cut to this, in milliseconds.
+/// The longest lease that a server accepts, in milliseconds.
 pub(crate) const LEASE_MOST_MS: u64 = 3_000;
 /// An answer later than this is dropped.
 pub(crate) const MAX_REPLY_AGE_MS: u64 = 1_000;
@@ -189,9 +189,9 @@
         }
         self.token = answer.token;
         self.next_heartbeat_at = now + answer.retry_after_ms;
-        let held = (answer.lease_ms.min(LEASE_MOST_MS) as f64 * SLOW_CLOCK) as u64;
+        let lease_ms = (answer.lease_ms.min(LEASE_MOST_MS) as f64 * SLOW_CLOCK) as u64;
         if answer.lease_ms > 0 {
-            self.lease_until = self.lease_until.max(answer.heartbeat_sent_at + held);
+            self.lease_until = self.lease_until.max(answer.heartbeat_sent_at + lease_ms);
         }
         true
     }
--- a/crates/cluster-simulation/src/world.rs
+++ b/crates/cluster-simulation/src/world.rs
@@ -41,7 +41,7 @@
     Heartbeat(Box<ServerHeartbeat>, u64),
     /// The answer to one.
     Answer(u64, HeartbeatReply),
-    /// The server has left in order.
+    /// The server has shut down gracefully.
     Deregistered(ServerId),
 }
 
