--- a/crates/cluster-simulation/src/faults/active.rs
+++ b/crates/cluster-simulation/src/faults/active.rs
@@ -1,6 +1,7 @@
 //! The faults that are in effect, and how each one ends.
 
 use crate::faults::schedule::CrashOnAck;
+use crate::network::DirectedLink;
 
 /// After the last fault, all machines are connected again within this time, in milliseconds.
 const STABILIZATION_MS: u64 = 4_000;
@@ -14,8 +15,8 @@
     Resume(usize),
     /// The machine runs all the time again.
     EndIntermittentRun(usize),
-    /// Each first machine reaches the second again.
-    HealPartition(Vec<(usize, usize)>),
+    /// Frames pass these links again.
+    HealPartition(Vec<DirectedLink>),
     /// Callers no longer keep to the isolated machines.
     ReleaseCallers,
     /// The disk works again.
--- a/crates/cluster-simulation/src/faults/core_faults.rs
+++ b/crates/cluster-simulation/src/faults/core_faults.rs
@@ -4,6 +4,7 @@
 use crate::faults::active::{IsolatedTargets, Recovery};
 use crate::faults::schedule::{CoreFault, CoreSelector, PartitionDirection, CATCH_UP_MS, GRACE_MS};
 use crate::machine::disk::DiskFault;
+use crate::network::DirectedLink;
 use crate::world::World;
 use lupinrack_cluster_api::frame::Role;
 
@@ -44,11 +45,11 @@
             CoreFault::Replacement => return self.replace(machine, duration_ms),
             CoreFault::GracefulReplacement => return self.replace_gracefully(machine, duration_ms),
             CoreFault::Partition(direction) => {
-                self.partition(partitions_between(machine, &self.cores(), direction))
+                self.partition(links_between(machine, &self.cores(), direction))
             }
             CoreFault::Isolation => {
                 let all: Vec<usize> = (0..self.machines.len()).collect();
-                self.partition(partitions_between(machine, &all, PartitionDirection::Both))
+                self.partition(links_between(machine, &all, PartitionDirection::Both))
             }
             CoreFault::PartitionWithCallers(direction) => {
                 self.partition_with_callers(&[machine], direction, duration_ms)
@@ -127,9 +128,9 @@
         let others: Vec<usize> = (0..self.machines.len())
             .filter(|other| !near.contains(other))
             .collect();
-        let partitions = near
+        let links = near
             .iter()
-            .flat_map(|machine| partitions_between(*machine, &others, direction))
+            .flat_map(|machine| links_between(*machine, &others, direction))
             .collect();
         self.active_faults.isolated_targets = Some(IsolatedTargets {
             core: cores[0],
@@ -137,7 +138,7 @@
         });
         self.recover_after(duration_ms, Recovery::ReleaseCallers);
         self.remove_voters_by_minority(cores);
-        self.partition(partitions)
+        self.partition(links)
     }
 
     fn inject_disk_fault(&mut self, machine: usize, fault: DiskFault) -> Recovery {
@@ -174,20 +175,26 @@
     }
 }
 
-/// The links between a machine and others that a partition blocks, each as sender and receiver.
-fn partitions_between(
+/// The links between a machine and others that a partition in this direction blocks.
+pub(super) fn links_between(
     machine: usize,
     others: &[usize],
     direction: PartitionDirection,
-) -> Vec<(usize, usize)> {
-    let mut partitions = Vec::new();
+) -> Vec<DirectedLink> {
+    let mut links = Vec::new();
     for other in others.iter().copied().filter(|other| *other != machine) {
         if direction != PartitionDirection::Outbound {
-            partitions.push((other, machine));
+            links.push(DirectedLink {
+                from: other,
+                to: machine,
+            });
         }
         if direction != PartitionDirection::Inbound {
-            partitions.push((machine, other));
+            links.push(DirectedLink {
+                from: machine,
+                to: other,
+            });
         }
     }
-    partitions
+    links
 }
--- a/crates/cluster-simulation/src/faults/fault.rs
+++ b/crates/cluster-simulation/src/faults/fault.rs
@@ -141,8 +141,8 @@
     AgentSuspend(usize),
     /// An agent is asked to shut down, and is started again.
     AgentShutdown(usize),
-    /// An agent is partitioned from all core machines: outbound only where the flag is set, otherwise both ways.
-    AgentPartition(usize, bool),
+    /// An agent is partitioned from all core machines, in these directions as seen from the agent.
+    AgentPartition(usize, PartitionDirection),
     /// What an agent sends takes longer.
     AgentSlowLinks(usize),
     /// Connections of a machine are reset.
--- a/crates/cluster-simulation/src/faults/injection.rs
+++ b/crates/cluster-simulation/src/faults/injection.rs
@@ -1,8 +1,10 @@
 //! Injects scheduled faults into the world, and ends them.
 
+use super::core_faults::links_between;
 use crate::faults::active::Recovery;
-use crate::faults::schedule::{Fault, ScheduledFault, GRACE_MS};
+use crate::faults::schedule::{Fault, PartitionDirection, ScheduledFault, GRACE_MS};
 use crate::machine::ProcessEvent;
+use crate::network::DirectedLink;
 use crate::server::ServerBehavior;
 use crate::world::{AgentLinkMessage, World};
 
@@ -58,8 +60,12 @@
                 self.shut_down(machine)
             }
             Fault::FrontRemoval(machine) => self.remove_front(machine),
-            Fault::FrontPartition(machine) => self.partition_from_core(machine, false),
-            Fault::AgentPartition(machine, one_way) => self.partition_from_core(machine, one_way),
+            Fault::FrontPartition(machine) => {
+                self.partition_from_core(machine, PartitionDirection::Both)
+            }
+            Fault::AgentPartition(machine, direction) => {
+                self.partition_from_core(machine, direction)
+            }
             Fault::AgentSlowLinks(machine) => {
                 self.network.set_slow(machine, SLOW_MS);
                 Recovery::RestoreLinks(machine)
@@ -105,9 +111,9 @@
             Recovery::Automatic => {}
             Recovery::Resume(machine) => self.set_suspended(machine, false),
             Recovery::EndIntermittentRun(machine) => self.set_intermittent(machine, false),
-            Recovery::HealPartition(partitions) => partitions
-                .into_iter()
-                .for_each(|(from, to)| self.network.heal(from, to)),
+            Recovery::HealPartition(links) => {
+                links.into_iter().for_each(|link| self.network.heal(link));
+            }
             Recovery::ReleaseCallers => self.active_faults.isolated_targets = None,
             Recovery::RepairDisk(machine) => self.repair_disk(machine),
             Recovery::RestoreLinks(machine) => self.network.set_slow(machine, 0),
@@ -162,23 +168,16 @@
         self.shut_down(machine)
     }
 
-    /// Partitions a machine outside the core from all core machines, or blocks only what it sends to them.
-    fn partition_from_core(&mut self, machine: usize, one_way: bool) -> Recovery {
-        let mut partitions = Vec::new();
-        for core in self.cores() {
-            partitions.push((machine, core));
-            if !one_way {
-                partitions.push((core, machine));
-            }
-        }
-        self.partition(partitions)
+    /// Partitions a machine outside the core from all core machines, in these directions as seen from the machine.
+    fn partition_from_core(&mut self, machine: usize, direction: PartitionDirection) -> Recovery {
+        self.partition(links_between(machine, &self.cores(), direction))
     }
 
-    pub(super) fn partition(&mut self, partitions: Vec<(usize, usize)>) -> Recovery {
-        for (from, to) in &partitions {
-            self.network.partition(*from, *to);
+    pub(super) fn partition(&mut self, links: Vec<DirectedLink>) -> Recovery {
+        for link in &links {
+            self.network.partition(*link);
         }
-        Recovery::HealPartition(partitions)
+        Recovery::HealPartition(links)
     }
 
     fn set_behavior(&mut self, slot: usize, behavior: ServerBehavior) {
--- a/crates/cluster-simulation/src/injected_bugs/hooks.rs
+++ b/crates/cluster-simulation/src/injected_bugs/hooks.rs
@@ -2,6 +2,7 @@
 
 use crate::injected_bugs::{InjectedBug, LateReply};
 use crate::machine::{address_of, ProcessEvent};
+use crate::network::DirectedLink;
 use crate::world::World;
 use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::configuration::Configuration;
@@ -92,7 +93,11 @@
             return;
         };
         let injected_bug = self.injected_bug == Some(InjectedBug::BarrierWithoutQuorum);
-        if !injected_bug || !self.network.is_partitioned(machine, to) {
+        if !injected_bug
+            || !self
+                .network
+                .is_partitioned(DirectedLink { from: machine, to })
+        {
             return;
         }
         let acknowledge = ChainMessage::Acknowledge {
--- a/crates/cluster-simulation/src/network/mod.rs
+++ b/crates/cluster-simulation/src/network/mod.rs
@@ -15,6 +15,24 @@
 /// A machine's number.
 pub(crate) type MachineIndex = usize;
 
+/// A pair of machines, in the direction in which frames go.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct DirectedLink {
+    /// The sender.
+    pub from: MachineIndex,
+    /// The receiver.
+    pub to: MachineIndex,
+}
+
+impl DirectedLink {
+    fn reversed(self) -> DirectedLink {
+        DirectedLink {
+            from: self.to,
+            to: self.from,
+        }
+    }
+}
+
 /// One end of a connection.
 #[derive(Clone, Debug)]
 struct End {
@@ -81,10 +99,10 @@
     connections: BTreeMap<u64, Connection>,
     next_connection: u64,
     /// Who opened each connection so far to whom.
-    opened: BTreeMap<u64, (MachineIndex, MachineIndex)>,
-    pending_connects: BTreeMap<(MachineIndex, MachineIndex), PendingConnect>,
-    /// Pairs of which the first cannot reach the second, and by how many partitions.
-    partitions: BTreeMap<(MachineIndex, MachineIndex), u32>,
+    opened: BTreeMap<u64, DirectedLink>,
+    pending_connects: BTreeMap<DirectedLink, PendingConnect>,
+    /// Links that are blocked, and by how many partitions.
+    partitions: BTreeMap<DirectedLink, u32>,
     /// Machines whose frames take up to so many milliseconds longer.
     slow: BTreeMap<MachineIndex, u64>,
     deliveries: Vec<(MachineIndex, Delivery)>,
@@ -105,31 +123,31 @@
         }
     }
 
-    /// Lets nothing from the first machine reach the second.
-    pub(crate) fn partition(&mut self, from: MachineIndex, to: MachineIndex) {
-        *self.partitions.entry((from, to)).or_default() += 1;
+    /// Lets nothing pass a link.
+    pub(crate) fn partition(&mut self, link: DirectedLink) {
+        *self.partitions.entry(link).or_default() += 1;
     }
 
     /// Ends one partition; what other partitions block stays blocked.
-    pub(crate) fn heal(&mut self, from: MachineIndex, to: MachineIndex) {
-        let Some(count) = self.partitions.get_mut(&(from, to)) else {
+    pub(crate) fn heal(&mut self, link: DirectedLink) {
+        let Some(count) = self.partitions.get_mut(&link) else {
             return;
         };
         *count -= 1;
         if *count == 0 {
-            self.partitions.remove(&(from, to));
+            self.partitions.remove(&link);
         }
     }
 
-    /// Whether nothing from the first machine reaches the second.
-    pub(crate) fn is_partitioned(&self, from: MachineIndex, to: MachineIndex) -> bool {
-        self.partitions.contains_key(&(from, to))
+    /// Whether nothing passes a link.
+    pub(crate) fn is_partitioned(&self, link: DirectedLink) -> bool {
+        self.partitions.contains_key(&link)
     }
 
     /// The machine at the other end of a connection, also of one that has ended.
     pub(crate) fn other_end(&self, machine: MachineIndex, connection: u64) -> Option<MachineIndex> {
-        let (a, b) = *self.opened.get(&connection)?;
-        Some(if a == machine { b } else { a })
+        let DirectedLink { from, to } = *self.opened.get(&connection)?;
+        Some(if from == machine { to } else { from })
     }
 
     /// Has what a machine sends take up to so many milliseconds longer; 0 ends that.
@@ -142,7 +160,10 @@
         if let Some(connection) = self.newest(from, to) {
             self.send_on(from, connection, frame, now);
         } else {
-            let pending_connects = self.pending_connects.entry((from, to)).or_default();
+            let pending_connects = self
+                .pending_connects
+                .entry(DirectedLink { from, to })
+                .or_default();
             pending_connects.waiting.push_back((now, frame));
         }
     }
@@ -200,7 +221,10 @@
             own.open = false;
             own.outgoing.clear();
             own.unacknowledged_since = None;
-            let partition = self.partitions.contains_key(&(machine, other.machine));
+            let partition = self.partitions.contains_key(&DirectedLink {
+                from: machine,
+                to: other.machine,
+            });
             if powered && !partition && other.open {
                 other.open = false;
                 other.outgoing.clear();
@@ -211,8 +235,7 @@
                 self.deliveries.push((other.machine, delivery));
             }
         }
-        self.pending_connects
-            .retain(|(from, _), _| *from != machine);
+        self.pending_connects.retain(|link, _| link.from != machine);
     }
 
     /// Resets some of a machine's connections.
@@ -255,42 +278,41 @@
     }
 
     fn connect_pending(&mut self, now: u64, machines: &[Endpoint]) {
-        let pairs: Vec<(MachineIndex, MachineIndex)> =
-            self.pending_connects.keys().copied().collect();
-        for (from, to) in pairs {
-            let Some(pending_connects) = self.pending_connects.get_mut(&(from, to)) else {
+        let links: Vec<DirectedLink> = self.pending_connects.keys().copied().collect();
+        for link in links {
+            let Some(pending_connects) = self.pending_connects.get_mut(&link) else {
                 continue;
             };
             pending_connects
                 .waiting
                 .retain(|(since, _)| now < since + MAX_CONNECT_WAIT_MS);
             if pending_connects.waiting.is_empty() {
-                self.pending_connects.remove(&(from, to));
+                self.pending_connects.remove(&link);
                 continue;
             }
             if now < pending_connects.due {
                 continue;
             }
-            let partition = self.partitions.contains_key(&(from, to))
-                || self.partitions.contains_key(&(to, from));
-            if partition || !machines[to].running {
+            let is_blocked = self.partitions.contains_key(&link)
+                || self.partitions.contains_key(&link.reversed());
+            if is_blocked || !machines[link.to].running {
                 pending_connects.due = now + CONNECT_RETRY_MS;
                 continue;
             }
             let waiting = std::mem::take(&mut pending_connects.waiting);
-            self.pending_connects.remove(&(from, to));
-            self.open(from, to, waiting, now, machines);
+            self.pending_connects.remove(&link);
+            self.open(link, waiting, now, machines);
         }
     }
 
     fn open(
         &mut self,
-        from: MachineIndex,
-        to: MachineIndex,
+        link: DirectedLink,
         waiting: VecDeque<(u64, Frame)>,
         now: u64,
         machines: &[Endpoint],
     ) {
+        let DirectedLink { from, to } = link;
         self.next_connection += 1;
         let number = self.next_connection;
         let end = |machine| End {
@@ -305,7 +327,7 @@
                 ends: [end(from), end(to)],
             },
         );
-        self.opened.insert(number, (from, to));
+        self.opened.insert(number, link);
         self.send_on(from, number, machines[from].hello.clone(), now);
         self.send_on(to, number, machines[to].hello.clone(), now);
         for (_, frame) in waiting {
@@ -327,8 +349,12 @@
             if !from.open {
                 continue;
             }
-            let is_blocked_there = self.partitions.contains_key(&(from.machine, to.machine));
-            let is_blocked_back = self.partitions.contains_key(&(to.machine, from.machine));
+            let link = DirectedLink {
+                from: from.machine,
+                to: to.machine,
+            };
+            let is_blocked_there = self.partitions.contains_key(&link);
+            let is_blocked_back = self.partitions.contains_key(&link.reversed());
             let due = from
                 .outgoing
                 .front()
--- a/crates/cluster-simulation/src/oracle.rs
+++ b/crates/cluster-simulation/src/oracle.rs
@@ -103,10 +103,12 @@
 }
 
 /// Which rules with time bounds are checked.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct TimeBounds {
-    /// No fault is in effect but cancelled and hopeless jobs and new servers.
-    pub stable: bool,
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum TimeBounds {
+    /// All: no fault is in effect but cancelled and hopeless jobs and new servers.
+    Checked,
+    /// None: a fault is in effect, or ended a short time ago.
+    Suspended,
 }
 
 pub(crate) const DRAIN_MS: u64 = 2_000;
@@ -184,7 +186,7 @@
         check(budget_is_spent && !step.long_running, "BUDGET");
         check(start.spec != job.spec.spec, "UNASKED: spec");
         check(start.has_foreign_checkpoint(), "UNASKED: saved");
-        if time_bounds.stable {
+        if time_bounds == TimeBounds::Checked {
             check(start.is_after_cancellation(job), "UNASKED: cancelled");
             check(start.is_on_draining_server(), "DRAIN");
         }
--- a/crates/cluster-simulation/src/work.rs
+++ b/crates/cluster-simulation/src/work.rs
@@ -1,6 +1,6 @@
 //! What happens on the servers of the model: starts, progress, ends, gangs.
 
-use crate::oracle::{ExpectedJob, ObservedStart};
+use crate::oracle::{ExpectedJob, ObservedStart, TimeBounds};
 use crate::server::{HeartbeatReply, ServerBehavior, ServerRun, StartCommand};
 use crate::world::World;
 use lupinrack_cluster_api::identity::TaskId;
@@ -231,7 +231,7 @@
         if end == RunEnd::Failed {
             self.oracle.failed(task);
         }
-        if end == RunEnd::Alone && self.time_bounds().stable {
+        if end == RunEnd::Alone && self.time_bounds() == TimeBounds::Checked {
             let excused = self
                 .oracle
                 .jobs
--- a/crates/cluster-simulation/src/world.rs
+++ b/crates/cluster-simulation/src/world.rs
@@ -219,8 +219,10 @@
     }
 
     pub(crate) fn time_bounds(&self) -> TimeBounds {
-        TimeBounds {
-            stable: self.is_stable(),
+        if self.is_stable() {
+            TimeBounds::Checked
+        } else {
+            TimeBounds::Suspended
         }
     }
 
--- a/crates/cluster-simulation/tests/golden.rs
+++ b/crates/cluster-simulation/tests/golden.rs
@@ -153,8 +153,9 @@
         Fault::AgentKill(side) => format!("agent {side}: kill"),
         Fault::AgentSuspend(side) => format!("agent {side}: freeze"),
         Fault::AgentShutdown(side) => format!("agent {side}: terminate"),
-        Fault::AgentPartition(side, false) => format!("agent {side}: cut both"),
-        Fault::AgentPartition(side, true) => format!("agent {side}: cut outward"),
+        Fault::AgentPartition(side, direction) => {
+            format!("agent {side}: cut {}", direction_word(direction))
+        }
         Fault::AgentSlowLinks(side) => format!("agent {side}: links slow"),
         Fault::ConnectionReset(machine) => format!("machine {machine}: reset"),
         Fault::ClockStep(machine, by) => format!("machine {machine}: clock step {by}"),
@@ -332,8 +333,8 @@
         Fault::KillAll,
         Fault::AgentShutdown(side + 2),
         Fault::PowerLossOfAllCores,
-        Fault::AgentPartition(side + 3, false),
-        Fault::AgentPartition(side + 4, true),
+        Fault::AgentPartition(side + 3, PartitionDirection::Both),
+        Fault::AgentPartition(side + 4, PartitionDirection::Outbound),
         Fault::AgentSlowLinks(side + 5),
         Fault::ConnectionReset(0),
         Fault::ClockStep(1, -1_500),
--- a/crates/cluster-simulation/tests/injected_bugs.rs
+++ b/crates/cluster-simulation/tests/injected_bugs.rs
@@ -68,7 +68,7 @@
     let partition = |number: usize| ScheduledFault {
         at: 5_000 + 1_500 * number as u64,
         duration_ms: 4_500,
-        fault: Fault::AgentPartition(first + number % config.servers, false),
+        fault: Fault::AgentPartition(first + number % config.servers, PartitionDirection::Both),
     };
     FaultSchedule::of((0..16).map(partition).collect())
 }
