--- a/crates/cluster-simulation/src/faults/injection.rs
+++ b/crates/cluster-simulation/src/faults/injection.rs
@@ -112,7 +112,9 @@
             Recovery::Resume(machine) => self.set_suspended(machine, false),
             Recovery::EndIntermittentRun(machine) => self.set_intermittent(machine, false),
             Recovery::HealPartition(links) => {
-                links.into_iter().for_each(|link| self.network.heal(link));
+                for link in links {
+                    self.network.heal(link);
+                }
             }
             Recovery::ReleaseCallers => self.active_faults.isolated_targets = None,
             Recovery::RepairDisk(machine) => self.repair_disk(machine),
