--- a/crates/cluster-simulation/src/lib.rs
+++ b/crates/cluster-simulation/src/lib.rs
@@ -16,6 +16,7 @@
 //! `processes.rs`.
 
 mod agent_link;
+mod call_routing;
 mod client;
 mod config;
 mod configuration_body;
@@ -26,6 +27,7 @@
 mod operator;
 mod oracle;
 mod pending_call;
+mod process_start;
 mod processes;
 mod server;
 mod simulation;
--- /dev/null
+++ b/crates/cluster-simulation/src/process_start.rs
@@ -0,0 +1,169 @@
+//! Starts the processes of machines: what each role is given, and on which machines core processes found the system.
+
+use crate::faults::schedule::{CATCH_UP_MS, GRACE_MS};
+use crate::machine::agent::AgentProcess;
+use crate::machine::front::FrontProcess;
+use crate::machine::{address_of, Machine, Process, ProcessEvent};
+use crate::server::LEASE_MOST_MS;
+use crate::world::World;
+use lupinrack_cluster_api::frame::{Frame, Hello, Role};
+use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
+use lupinrack_cluster_api::time::Millis;
+use lupinrack_cluster_api::view::Voter;
+use lupinrack_cluster_membership::{LiveMember, LiveTable};
+use lupinrack_cluster_node::core::{CoreMachine, CoreSettings};
+use lupinrack_control_store::Recovered;
+use lupinrack_scheduler::SchedulerSettings;
+use lupinrack_worker_agent::AgentSettings;
+
+/// Ended jobs are kept for this much longer than the run lasts, since the final reads ask for all of them, in
+/// milliseconds.
+const REMEMBER_MARGIN_MS: u64 = 60_000;
+
+impl World {
+    pub(crate) fn start_machines(&mut self) {
+        for machine in 0..self.machines.len() {
+            if self.machines[machine]
+                .starts_at
+                .is_some_and(|at| self.now >= at)
+            {
+                self.machines[machine].starts_at = None;
+                self.start_process(machine);
+            }
+        }
+    }
+
+    fn start_process(&mut self, machine: usize) {
+        let incarnation = self.rng.u64(1..);
+        let now = self.now;
+        let seeds = self.seeds.clone();
+        let one = &mut self.machines[machine];
+        one.incarnation = incarnation;
+        one.clock.began = now;
+        one.suspended = false;
+        one.inbox.clear();
+        let moment = one.clock.read(now);
+        let mut disk = None;
+        let process = match one.role {
+            Role::Frontend => Some(Process::Front(Box::new(
+                self.new_front(machine, seeds, moment.now),
+            ))),
+            Role::Agent => Some(Process::Agent(Box::new(
+                self.new_side(machine, seeds, moment.now),
+            ))),
+            Role::Core => {
+                let recovered = one.disk.contents();
+                let id = recovered.disk.unwrap_or_else(|| DiskId(self.rng.u64(1..)));
+                disk = Some(id);
+                self.new_core(machine, id, recovered)
+                    .map(|core| Process::Core(Box::new(core)))
+            }
+        };
+        let role = self.machines[machine].role;
+        let address = address_of(machine);
+        let hello = Hello {
+            address,
+            role,
+            zone: String::new(),
+            incarnation,
+            disk,
+        };
+        self.machines[machine].process = process;
+        self.machines[machine].is_new = false;
+        let endpoint = &mut self.endpoints[machine];
+        endpoint.running = true;
+        endpoint.powered = true;
+        endpoint.hello = Frame::Hello(hello);
+        self.dispatch(machine, ProcessEvent::Tick);
+    }
+
+    fn new_front(&self, machine: usize, seeds: Vec<PeerAddress>, now: Millis) -> FrontProcess {
+        FrontProcess::new(self.member(machine), self.live_table(), seeds, now)
+    }
+
+    fn new_side(&self, machine: usize, seeds: Vec<PeerAddress>, now: Millis) -> AgentProcess {
+        AgentProcess::new(
+            self.member(machine),
+            self.live_table(),
+            seeds,
+            agent_settings(),
+            now,
+        )
+    }
+
+    fn member(&self, machine: usize) -> LiveMember {
+        let Machine {
+            role, incarnation, ..
+        } = self.machines[machine];
+        LiveMember {
+            address: address_of(machine),
+            role,
+            zone: String::new(),
+            process_incarnation: incarnation,
+        }
+    }
+
+    /// All fronts that were not removed. It may list processes that are down or partitioned off.
+    fn live_table(&self) -> LiveTable {
+        let there = self.fronts().filter(|front| !self.machines[*front].removed);
+        LiveTable::new(there.map(|front| self.member(front)).collect())
+    }
+
+    fn new_core(
+        &mut self,
+        machine: usize,
+        disk: DiskId,
+        recovered: Recovered,
+    ) -> Option<CoreMachine> {
+        let seeds = self.seeds.clone();
+        let founders = if self.founds(machine) {
+            seeds.clone()
+        } else {
+            Vec::new()
+        };
+        let config = CoreSettings {
+            name: format!("core-{machine}"),
+            me: Voter {
+                disk,
+                address: address_of(machine),
+                zone: String::new(),
+            },
+            incarnation: self.machines[machine].incarnation,
+            founders,
+            seeds,
+            tolerated_losses: self.config.tolerance,
+            catch_up_ms: CATCH_UP_MS,
+            grace_ms: GRACE_MS,
+            remember_ms: self.config.traffic_ms + self.config.finish_ms + REMEMBER_MARGIN_MS,
+            scheduler: SchedulerSettings {
+                lease_ms: LEASE_MOST_MS,
+                ..SchedulerSettings::default()
+            },
+            log_bytes: self.config.log_bytes(),
+        };
+        let moment = self.machines[machine].clock.read(self.now);
+        match CoreMachine::new(config, recovered, moment) {
+            Ok(core) => Some(core),
+            Err(error) => {
+                self.oracle
+                    .report_violation(self.now, &format!("core {machine} does not start: {error}"));
+                None
+            }
+        }
+    }
+
+    /// Whether a core process may found the system: on its first start, if it is one of the first seeds.
+    fn founds(&self, machine: usize) -> bool {
+        let first = machine < self.config.cores && self.machines[machine].is_new;
+        first && self.seeds.contains(&address_of(machine))
+    }
+}
+
+fn agent_settings() -> AgentSettings {
+    AgentSettings {
+        lease_max_ms: LEASE_MOST_MS,
+        heartbeat_ms: 1_000,
+        idle_heartbeat_ms: 400,
+        busy_heartbeat_ms: 100,
+    }
+}
--- a/crates/cluster-simulation/src/processes.rs
+++ b/crates/cluster-simulation/src/processes.rs
@@ -1,25 +1,17 @@
-//! Processes of the world: starting, ending, and carrying events and effects.
+//! Runs the processes of the world: time, events, effects, and how processes end.
 
-use crate::faults::schedule::{CATCH_UP_MS, GRACE_MS};
 use crate::injected_bugs::InjectedBug;
-use crate::machine::agent::{AgentProcess, HeartbeatCall};
+use crate::machine::agent::HeartbeatCall;
 use crate::machine::disk::DiskCompletion;
-use crate::machine::front::FrontProcess;
-use crate::machine::{address_of, machine_at, Machine, Process, ProcessEffect, ProcessEvent};
+use crate::machine::{machine_at, ProcessEffect, ProcessEvent};
 use crate::network::Delivery;
-use crate::server::{HeartbeatReply, StartCommand, LEASE_MOST_MS};
+use crate::server::{HeartbeatReply, StartCommand};
 use crate::world::{AgentLinkMessage, World};
 use lupinrack_cluster_api::chain::ChainMessage;
-use lupinrack_cluster_api::frame::{Frame, Hello, Role};
-use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
-use lupinrack_cluster_api::time::Millis;
-use lupinrack_cluster_api::view::Voter;
-use lupinrack_cluster_membership::{LiveMember, LiveTable};
-use lupinrack_cluster_node::control_api::HeadCall;
-use lupinrack_cluster_node::core::{CoreEffect, CoreMachine, CoreSettings};
-use lupinrack_control_store::{Batch, Recovered};
-use lupinrack_scheduler::SchedulerSettings;
-use lupinrack_worker_agent::{AgentSettings, HeartbeatResponse};
+use lupinrack_cluster_api::frame::{Frame, Role};
+use lupinrack_cluster_node::core::CoreEffect;
+use lupinrack_control_store::Batch;
+use lupinrack_worker_agent::HeartbeatResponse;
 
 /// How often processes look at their clocks, in milliseconds.
 const CORE_TICK_MS: u64 = 25;
@@ -27,10 +19,6 @@
 /// How soon writes reach the disk under [`InjectedBug::MissingSync`], in milliseconds.
 const UNSYNCED_MS: u64 = 400;
 
-/// Ended jobs are kept for this much longer than the run lasts, since the final reads ask for all of them, in
-/// milliseconds.
-const REMEMBER_MARGIN_MS: u64 = 60_000;
-
 impl World {
     /// Moves machines, network and disks on by a millisecond.
     pub(crate) fn step(&mut self) {
@@ -46,143 +34,6 @@
         self.deliver_late_replies();
     }
 
-    fn start_machines(&mut self) {
-        for machine in 0..self.machines.len() {
-            if self.machines[machine]
-                .starts_at
-                .is_some_and(|at| self.now >= at)
-            {
-                self.machines[machine].starts_at = None;
-                self.start_process(machine);
-            }
-        }
-    }
-
-    fn start_process(&mut self, machine: usize) {
-        let incarnation = self.rng.u64(1..);
-        let now = self.now;
-        let seeds = self.seeds.clone();
-        let one = &mut self.machines[machine];
-        one.incarnation = incarnation;
-        one.clock.began = now;
-        one.suspended = false;
-        one.inbox.clear();
-        let moment = one.clock.read(now);
-        let mut disk = None;
-        let process = match one.role {
-            Role::Frontend => Some(Process::Front(Box::new(
-                self.new_front(machine, seeds, moment.now),
-            ))),
-            Role::Agent => Some(Process::Agent(Box::new(
-                self.new_side(machine, seeds, moment.now),
-            ))),
-            Role::Core => {
-                let recovered = one.disk.contents();
-                let id = recovered.disk.unwrap_or_else(|| DiskId(self.rng.u64(1..)));
-                disk = Some(id);
-                self.new_core(machine, id, recovered)
-                    .map(|core| Process::Core(Box::new(core)))
-            }
-        };
-        let role = self.machines[machine].role;
-        let address = address_of(machine);
-        let hello = Hello {
-            address,
-            role,
-            zone: String::new(),
-            incarnation,
-            disk,
-        };
-        self.machines[machine].process = process;
-        self.machines[machine].is_new = false;
-        let endpoint = &mut self.endpoints[machine];
-        endpoint.running = true;
-        endpoint.powered = true;
-        endpoint.hello = Frame::Hello(hello);
-        self.dispatch(machine, ProcessEvent::Tick);
-    }
-
-    fn new_front(&self, machine: usize, seeds: Vec<PeerAddress>, now: Millis) -> FrontProcess {
-        FrontProcess::new(self.member(machine), self.live_table(), seeds, now)
-    }
-
-    fn new_side(&self, machine: usize, seeds: Vec<PeerAddress>, now: Millis) -> AgentProcess {
-        AgentProcess::new(
-            self.member(machine),
-            self.live_table(),
-            seeds,
-            agent_settings(),
-            now,
-        )
-    }
-
-    fn member(&self, machine: usize) -> LiveMember {
-        let Machine {
-            role, incarnation, ..
-        } = self.machines[machine];
-        LiveMember {
-            address: address_of(machine),
-            role,
-            zone: String::new(),
-            process_incarnation: incarnation,
-        }
-    }
-
-    /// All fronts that were not removed. It may list processes that are down or partitioned off.
-    fn live_table(&self) -> LiveTable {
-        let there = self.fronts().filter(|front| !self.machines[*front].removed);
-        LiveTable::new(there.map(|front| self.member(front)).collect())
-    }
-
-    fn new_core(
-        &mut self,
-        machine: usize,
-        disk: DiskId,
-        recovered: Recovered,
-    ) -> Option<CoreMachine> {
-        let seeds = self.seeds.clone();
-        let founders = if self.founds(machine) {
-            seeds.clone()
-        } else {
-            Vec::new()
-        };
-        let config = CoreSettings {
-            name: format!("core-{machine}"),
-            me: Voter {
-                disk,
-                address: address_of(machine),
-                zone: String::new(),
-            },
-            incarnation: self.machines[machine].incarnation,
-            founders,
-            seeds,
-            tolerated_losses: self.config.tolerance,
-            catch_up_ms: CATCH_UP_MS,
-            grace_ms: GRACE_MS,
-            remember_ms: self.config.traffic_ms + self.config.finish_ms + REMEMBER_MARGIN_MS,
-            scheduler: SchedulerSettings {
-                lease_ms: LEASE_MOST_MS,
-                ..SchedulerSettings::default()
-            },
-            log_bytes: self.config.log_bytes(),
-        };
-        let moment = self.machines[machine].clock.read(self.now);
-        match CoreMachine::new(config, recovered, moment) {
-            Ok(core) => Some(core),
-            Err(error) => {
-                self.oracle
-                    .report_violation(self.now, &format!("core {machine} does not start: {error}"));
-                None
-            }
-        }
-    }
-
-    /// Whether a core process may found the system: on its first start, if it is one of the first seeds.
-    fn founds(&self, machine: usize) -> bool {
-        let first = machine < self.config.cores && self.machines[machine].is_new;
-        first && self.seeds.contains(&address_of(machine))
-    }
-
     /// Ends a process at once; without power its machine answers nobody until it starts again.
     pub(crate) fn kill(&mut self, machine: usize, powered: bool, down_ms: u64) {
         let now = self.now;
@@ -390,61 +241,6 @@
                 .write(ticket, batch, now, sync_ms);
         }
     }
-
-    /// The front that a client calls: one that the platform gives new connections to, or the one that callers insist on.
-    pub(crate) fn choose_ready_front(&mut self) -> Option<usize> {
-        if let Some(isolated_targets) = self
-            .active_faults
-            .isolated_targets
-            .filter(|_| self.rng.bool())
-        {
-            return Some(isolated_targets.front);
-        }
-        let now = self.now;
-        let ready = |machine: &Machine| match &machine.process {
-            Some(Process::Front(front)) => front.is_ready(machine.clock.read(now).now),
-            _ => false,
-        };
-        let fronts: Vec<usize> = self
-            .fronts()
-            .filter(|front| ready(&self.machines[*front]))
-            .collect();
-        self.rng.choice(fronts)
-    }
-
-    /// The core machine that the operator calls: one whose process runs, or the one that callers insist on.
-    pub(crate) fn choose_core(&mut self) -> Option<usize> {
-        if let Some(isolated_targets) = self
-            .active_faults
-            .isolated_targets
-            .filter(|_| self.rng.u32(0..3) > 0)
-        {
-            return Some(isolated_targets.core);
-        }
-        let cores: Vec<usize> = self
-            .cores()
-            .into_iter()
-            .filter(|core| self.machines[*core].process.is_some())
-            .collect();
-        self.rng.choice(cores)
-    }
-
-    pub(crate) fn call_front(&mut self, front: usize, call: HeadCall) {
-        self.dispatch(front, ProcessEvent::Call(call));
-    }
-
-    pub(crate) fn call_core(&mut self, core: usize, call: HeadCall) {
-        self.dispatch(core, ProcessEvent::Call(call));
-    }
-}
-
-fn agent_settings() -> AgentSettings {
-    AgentSettings {
-        lease_max_ms: LEASE_MOST_MS,
-        heartbeat_ms: 1_000,
-        idle_heartbeat_ms: 400,
-        busy_heartbeat_ms: 100,
-    }
 }
 
 fn heartbeat_reply(answer: HeartbeatResponse, heartbeat_sent_at: u64) -> HeartbeatReply {
