--- a/crates/cluster-simulation/src/faults/active.rs
+++ b/crates/cluster-simulation/src/faults/active.rs
@@ -76,6 +76,6 @@
         if !over.is_empty() {
             self.last_recovery_at = now;
         }
-        over.into_iter().map(|(_, ending)| ending).collect()
+        over.into_iter().map(|(_, recovery)| recovery).collect()
     }
 }
--- a/crates/cluster-simulation/src/faults/core_faults.rs
+++ b/crates/cluster-simulation/src/faults/core_faults.rs
@@ -19,7 +19,7 @@
         duration_ms: u64,
     ) {
         let machine = self.select_core(selector);
-        let ending = match kind {
+        let recovery = match kind {
             CoreFault::Kill => {
                 self.kill(machine, true, duration_ms);
                 Recovery::Automatic
@@ -73,7 +73,7 @@
         } else {
             duration_ms
         };
-        self.recover_after(duration_ms, ending);
+        self.recover_after(duration_ms, recovery);
     }
 
     pub(super) fn select_core(&self, selector: CoreSelector) -> usize {
--- a/crates/cluster-simulation/src/faults/injection.rs
+++ b/crates/cluster-simulation/src/faults/injection.rs
@@ -14,8 +14,8 @@
 impl World {
     /// Ends what is over.
     pub(crate) fn recover_from_expired_faults(&mut self) {
-        for ending in self.active_faults.take_expired(self.now) {
-            self.recover(ending);
+        for recovery in self.active_faults.take_expired(self.now) {
+            self.recover(recovery);
         }
     }
 
@@ -46,7 +46,7 @@
     }
 
     fn inject_other_fault(&mut self, fault: Fault, duration_ms: u64) {
-        let ending = match fault {
+        let recovery = match fault {
             Fault::FrontKill(machine) | Fault::AgentKill(machine) => {
                 let powered = self.rng.bool();
                 self.kill(machine, powered, duration_ms);
@@ -92,22 +92,22 @@
             }
             _ => return,
         };
-        let duration_ms = if matches!(ending, Recovery::KillIfRunning(..)) {
+        let duration_ms = if matches!(recovery, Recovery::KillIfRunning(..)) {
             GRACE_MS
         } else {
             duration_ms
         };
-        self.recover_after(duration_ms, ending);
+        self.recover_after(duration_ms, recovery);
     }
 
-    pub(super) fn recover_after(&mut self, duration_ms: u64, ending: Recovery) {
+    pub(super) fn recover_after(&mut self, duration_ms: u64, recovery: Recovery) {
         self.active_faults
             .ends
-            .push((self.now + duration_ms, ending));
+            .push((self.now + duration_ms, recovery));
     }
 
-    fn recover(&mut self, ending: Recovery) {
-        match ending {
+    fn recover(&mut self, recovery: Recovery) {
+        match recovery {
             Recovery::Automatic => {}
             Recovery::Resume(machine) => self.set_suspended(machine, false),
             Recovery::EndIntermittentRun(machine) => self.set_intermittent(machine, false),
@@ -156,8 +156,8 @@
     /// Tells the process of a machine to end, which is not started again.
     fn shut_down_for_good(&mut self, machine: usize) {
         self.machines[machine].removed = true;
-        let ending = self.shut_down(machine);
-        self.recover_after(GRACE_MS, ending);
+        let recovery = self.shut_down(machine);
+        self.recover_after(GRACE_MS, recovery);
     }
 
     fn remove_front(&mut self, machine: usize) -> Recovery {
--- a/crates/cluster-simulation/src/faults/mixed.rs
+++ b/crates/cluster-simulation/src/faults/mixed.rs
@@ -107,16 +107,16 @@
     while at < config.traffic_ms {
         at += rng.u64(200..2_500);
         let front = rng.usize(fronts.clone());
-        let side = rng.usize(agents.clone());
+        let agent = rng.usize(agents.clone());
         let slot = rng.usize(0..config.servers);
         let anywhere = rng.usize(0..agents.end);
         let fault = match rng.u32(0..22) {
             0 => Fault::FrontKill(front),
             1 => Fault::FrontSuspend(front),
-            2 => Fault::AgentKill(side),
-            3 => Fault::AgentSuspend(side),
-            4 => Fault::AgentPartition(side, PartitionDirection::Both),
-            5 => Fault::AgentPartition(side, PartitionDirection::Outbound),
+            2 => Fault::AgentKill(agent),
+            3 => Fault::AgentSuspend(agent),
+            4 => Fault::AgentPartition(agent, PartitionDirection::Both),
+            5 => Fault::AgentPartition(agent, PartitionDirection::Outbound),
             6 => Fault::ConnectionReset(anywhere),
             7 => Fault::ClockStep(anywhere, rng.i64(-2_000..2_000)),
             8 | 9 => Fault::ServerCrash(slot),
@@ -128,7 +128,7 @@
             17 => Fault::Operator(OperatorAction::ConcurrentPair),
             18 => Fault::Operator(OperatorAction::InvalidChange),
             19 => Fault::FrontPartition(front),
-            20 => Fault::AgentSlowLinks(side),
+            20 => Fault::AgentSlowLinks(agent),
             _ => Fault::AcknowledgementLoss,
         };
         entries.push(ScheduledFault {
--- a/crates/cluster-simulation/src/faults/severe.rs
+++ b/crates/cluster-simulation/src/faults/severe.rs
@@ -230,7 +230,7 @@
         while at < self.config.traffic_ms {
             at += self.rng.u64(1_000..5_000);
             let front = self.rng.usize(fronts.clone());
-            let side = self.rng.usize(agents.clone());
+            let agent = self.rng.usize(agents.clone());
             let anywhere = self.rng.usize(0..agents.end);
             let slot = self.rng.usize(0..self.config.servers);
             let fault = match self.rng.u32(0..13) {
@@ -238,9 +238,9 @@
                 1 => Fault::FrontSuspend(front),
                 2 => Fault::FrontShutdown(front),
                 3 => Fault::FrontRemoval(front),
-                4 => Fault::AgentKill(side),
-                5 => Fault::AgentShutdown(side),
-                6 => Fault::AgentSuspend(side),
+                4 => Fault::AgentKill(agent),
+                5 => Fault::AgentShutdown(agent),
+                6 => Fault::AgentSuspend(agent),
                 7 | 8 => Fault::ConnectionReset(anywhere),
                 9 => Fault::ClockStep(anywhere, self.rng.i64(-2_000..2_000)),
                 10 => Fault::SeedChange,
--- a/crates/cluster-simulation/src/machine/mod.rs
+++ b/crates/cluster-simulation/src/machine/mod.rs
@@ -178,7 +178,7 @@
         match &self.process {
             Some(Process::Core(core)) => core.is_shutdown_complete(now),
             Some(Process::Front(front)) => front.has_ended(now),
-            Some(Process::Agent(side)) => side.has_ended(),
+            Some(Process::Agent(agent)) => agent.has_ended(),
             None => false,
         }
     }
@@ -186,7 +186,7 @@
     /// Whether a heartbeat that was left open is to be answered now.
     pub(crate) fn is_answer_due(&self, now: u64) -> bool {
         match &self.process {
-            Some(Process::Agent(side)) => side.is_answer_due(self.clock.read(now).now),
+            Some(Process::Agent(agent)) => agent.is_answer_due(self.clock.read(now).now),
             _ => false,
         }
     }
@@ -221,19 +221,19 @@
                 };
                 effects.into_iter().map(of_front).collect()
             }
-            (Some(Process::Agent(side)), event) => {
+            (Some(Process::Agent(agent)), event) => {
                 let effects = match event {
                     ProcessEvent::Frame { from, frame, .. } => {
-                        side.on_frame(address_of(from), frame, now)
+                        agent.on_frame(address_of(from), frame, now)
                     }
-                    ProcessEvent::Closed { from, .. } => side.on_closed(address_of(from), now),
+                    ProcessEvent::Closed { from, .. } => agent.on_closed(address_of(from), now),
                     ProcessEvent::Heartbeat { heartbeat, sent_at } => {
-                        side.on_heartbeat(*heartbeat, sent_at, now)
+                        agent.on_heartbeat(*heartbeat, sent_at, now)
                     }
-                    ProcessEvent::AnswerDue => side.on_answer_due(now),
-                    ProcessEvent::Deregistered(server) => side.on_deregister(server, now),
-                    ProcessEvent::Tick => side.on_tick(now),
-                    ProcessEvent::Terminate => side.on_terminate(),
+                    ProcessEvent::AnswerDue => agent.on_answer_due(now),
+                    ProcessEvent::Deregistered(server) => agent.on_deregister(server, now),
+                    ProcessEvent::Tick => agent.on_tick(now),
+                    ProcessEvent::Terminate => agent.on_terminate(),
                     _ => Vec::new(),
                 };
                 effects.into_iter().map(of_agent).collect()
--- a/crates/cluster-simulation/src/oracle.rs
+++ b/crates/cluster-simulation/src/oracle.rs
@@ -111,8 +111,11 @@
     Suspended,
 }
 
+/// A server that drains for longer than this may be given nothing, in milliseconds.
 pub(crate) const DRAIN_MS: u64 = 2_000;
+/// An occurrence of a recurring job may start this much before it is due, in milliseconds.
 pub(crate) const EARLY_MS: u64 = 5_000;
+/// A job that was cancelled longer ago than this may not start, in milliseconds.
 pub(crate) const CANCEL_MS: u64 = 3_000;
 
 #[derive(Clone, Debug, Default)]
@@ -134,12 +137,12 @@
     }
 
     pub(crate) fn start(&mut self, observed_start: &ObservedStart<'_>, time_bounds: TimeBounds) {
-        let mut faults = self.faults_of_start(observed_start, time_bounds);
-        for fault in faults.drain(..) {
+        let mut broken = self.broken_rules(observed_start, time_bounds);
+        for rule in broken.drain(..) {
             self.report_violation(
                 observed_start.now,
                 &format!(
-                    "{fault}: {} attempt {} on {}",
+                    "{rule}: {} attempt {} on {}",
                     observed_start.task, observed_start.attempt, observed_start.machine
                 ),
             );
@@ -153,7 +156,7 @@
     }
 
     /// The rules that a start breaks.
-    fn faults_of_start(
+    fn broken_rules(
         &self,
         start: &ObservedStart<'_>,
         time_bounds: TimeBounds,
@@ -165,10 +168,10 @@
             return vec!["UNASKED: no such step"];
         };
         let history = self.tasks.get(&start.task).cloned().unwrap_or_default();
-        let mut faults = Vec::new();
-        let mut check = |is_broken: bool, fault| {
+        let mut broken = Vec::new();
+        let mut check = |is_broken: bool, rule| {
             if is_broken {
-                faults.push(fault);
+                broken.push(rule);
             }
         };
         check(!job.sent, "UNASKED: not sent");
@@ -190,7 +193,7 @@
             check(start.is_after_cancellation(job), "UNASKED: cancelled");
             check(start.is_on_draining_server(), "DRAIN");
         }
-        faults
+        broken
     }
 
     fn dependencies_done(&self, job: &ExpectedJob, step: &Step, task: TaskId) -> bool {
--- a/crates/cluster-simulation/src/process_start.rs
+++ b/crates/cluster-simulation/src/process_start.rs
@@ -49,7 +49,7 @@
                 self.new_front(machine, seeds, moment.now),
             ))),
             Role::Agent => Some(Process::Agent(Box::new(
-                self.new_side(machine, seeds, moment.now),
+                self.new_agent(machine, seeds, moment.now),
             ))),
             Role::Core => {
                 let recovered = one.disk.contents();
@@ -81,7 +81,7 @@
         FrontProcess::new(self.member(machine), self.live_table(), seeds, now)
     }
 
-    fn new_side(&self, machine: usize, seeds: Vec<PeerAddress>, now: Millis) -> AgentProcess {
+    fn new_agent(&self, machine: usize, seeds: Vec<PeerAddress>, now: Millis) -> AgentProcess {
         AgentProcess::new(
             self.member(machine),
             self.live_table(),
--- a/crates/cluster-simulation/src/work.rs
+++ b/crates/cluster-simulation/src/work.rs
@@ -7,10 +7,14 @@
 use lupinrack_cluster_api::server::RunEnd;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A run that is asked to stop ends before this time has passed, in milliseconds.
 const STOP_MS: u64 = 400;
-const SAVE_MS: f64 = 1_000.0;
+/// Work between two checkpoints of a run, in milliseconds.
+const CHECKPOINT_EVERY_MS: f64 = 1_000.0;
+/// A run that continues from a checkpoint begins to work after this time, in milliseconds.
 const RESTORE_MS: u64 = 200;
 const GANG_MS: u64 = 3_000;
+/// How many times as long a run takes on a server without the label that the step has an affinity to.
 const FAR_FACTOR: f64 = 1.5;
 /// How many times as long a slow server takes.
 const SLOW_FACTOR: f64 = 4.0;
@@ -202,7 +206,7 @@
                 } else {
                     1.0
                 };
-            if run.checkpoints && run.done_ms >= run.saved_ms + SAVE_MS {
+            if run.checkpoints && run.done_ms >= run.saved_ms + CHECKPOINT_EVERY_MS {
                 run.saved_ms = run.done_ms;
             }
             if run.fails_at_ms.is_some_and(|at| run.done_ms >= at) {
