--- a/crates/cluster-simulation/src/work.rs
+++ b/crates/cluster-simulation/src/work.rs
@@ -1,11 +1,12 @@
-//! What happens on the servers of the model: starts, progress, ends, gangs.
+//! What happens on the servers of the model: starts, progress, ends.
 
+use crate::gangs::gang_key;
 use crate::oracle::{ExpectedJob, ObservedStart, TimeBounds};
 use crate::server::{HeartbeatReply, ServerBehavior, ServerRun, StartCommand};
 use crate::world::World;
 use lupinrack_cluster_api::identity::TaskId;
 use lupinrack_cluster_api::server::RunEnd;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
 /// A run that is asked to stop ends before this time has passed, in milliseconds.
 const STOP_MS: u64 = 400;
@@ -13,7 +14,6 @@
 const CHECKPOINT_EVERY_MS: f64 = 1_000.0;
 /// A run that continues from a checkpoint begins to work after this time, in milliseconds.
 const RESTORE_MS: u64 = 200;
-const GANG_MS: u64 = 3_000;
 /// How many times as long a run takes on a server without the label that the step has an affinity to.
 const FAR_FACTOR: f64 = 1.5;
 /// How many times as long a slow server takes.
@@ -253,84 +253,6 @@
         }
     }
 
-    fn gang_member_over(&mut self, task: TaskId, attempt: u32, end: RunEnd) {
-        let now = self.now;
-        if end == RunEnd::Done {
-            let count = self.oracle.step(task).map_or(0, |step| step.count);
-            for index in 0..count {
-                self.oracle.done(TaskId { index, ..task }, now);
-            }
-        }
-        if let Some(over) = self.gangs.get_mut(&gang_key(task, attempt)) {
-            *over = true;
-        }
-    }
-
-    /// The gangs all of whose members are there.
-    fn gangs_at_work(&mut self) -> BTreeSet<(TaskId, u32)> {
-        let mut present: BTreeMap<(TaskId, u32), u32> = BTreeMap::new();
-        for machine in &self.server_slots {
-            let Some(server) = &machine.server else {
-                continue;
-            };
-            for (task, run) in server.runs.iter().filter(|(_, run)| run.gang) {
-                if run.stops_at.is_none()
-                    && server.behavior != ServerBehavior::Stalled
-                    && self.now >= run.works_from
-                {
-                    *present.entry(gang_key(*task, run.attempt)).or_default() += 1;
-                }
-            }
-        }
-        let replacement = |key: &(TaskId, u32), count: &u32| {
-            self.oracle
-                .step(key.0)
-                .is_some_and(|step| step.count == *count)
-        };
-        let working: BTreeSet<(TaskId, u32)> = present
-            .iter()
-            .filter(|(key, count)| replacement(key, count))
-            .map(|(key, _)| *key)
-            .collect();
-        for key in &working {
-            self.gangs.entry(*key).or_insert(false);
-        }
-        working
-    }
-
-    /// Ends members whose gang has lost one, and those that waited too long for the others.
-    fn end_gangs(&mut self) {
-        let mut over = Vec::new();
-        for (machine, slot) in self.server_slots.iter().enumerate() {
-            let Some(server) = &slot.server else {
-                continue;
-            };
-            for (task, run) in server.runs.iter().filter(|(_, run)| run.gang) {
-                match self.gangs.get(&gang_key(*task, run.attempt)) {
-                    Some(true) => over.push((machine, *task, run.attempt)),
-                    None if self.now > run.started_at + GANG_MS => {
-                        over.push((machine, *task, run.attempt));
-                    }
-                    _ => {}
-                }
-            }
-        }
-        for (machine, task, attempt) in over {
-            let began = self.gangs.contains_key(&gang_key(task, attempt));
-            let done = self
-                .oracle
-                .tasks
-                .get(&task)
-                .is_some_and(|history| history.done_at.is_some());
-            let end = match (began, done) {
-                (true, true) => RunEnd::Done,
-                (true, false) => RunEnd::Broken,
-                (false, _) => RunEnd::Alone,
-            };
-            self.end_run(machine, task, end);
-        }
-    }
-
     fn shut_down_or_restart(&mut self, machine: usize) {
         let now = self.now;
         let leaves = self.server_slots[machine]
@@ -365,8 +287,3 @@
         self.server_slots[machine].back_at = Some(now + back_after_ms);
     }
 }
-
-/// A gang in one attempt, by its first member.
-fn gang_key(task: TaskId, attempt: u32) -> (TaskId, u32) {
-    (TaskId { index: 0, ..task }, attempt)
-}
