--- a/crates/cluster-simulation/src/faults/core_faults.rs
+++ b/crates/cluster-simulation/src/faults/core_faults.rs
@@ -4,6 +4,7 @@
 use crate::faults::active::{IsolatedTargets, Recovery};
 use crate::faults::schedule::{CoreFault, CoreSelector, PartitionDirection, CATCH_UP_MS, GRACE_MS};
 use crate::machine::disk::DiskFault;
+use crate::network::DirectedLink;
 use crate::world::World;
 use lupinrack_cluster_api::frame::Role;
 
@@ -18,7 +19,7 @@
         duration_ms: u64,
     ) {
         let machine = self.select_core(selector);
-        let ending = match kind {
+        let recovery = match kind {
             CoreFault::Kill => {
                 self.kill(machine, true, duration_ms);
                 Recovery::Automatic
@@ -42,13 +43,13 @@
             }
             CoreFault::Shutdown => self.shut_down(machine),
             CoreFault::Replacement => return self.replace(machine, duration_ms),
-            CoreFault::GracefulReplacement => return self.replace_in_order(machine, duration_ms),
+            CoreFault::GracefulReplacement => return self.replace_gracefully(machine, duration_ms),
             CoreFault::Partition(direction) => {
-                self.partition(partitions_between(machine, &self.cores(), direction))
+                self.partition(links_between(machine, &self.cores(), direction))
             }
             CoreFault::Isolation => {
                 let all: Vec<usize> = (0..self.machines.len()).collect();
-                self.partition(partitions_between(machine, &all, PartitionDirection::Both))
+                self.partition(links_between(machine, &all, PartitionDirection::Both))
             }
             CoreFault::PartitionWithCallers(direction) => {
                 self.partition_with_callers(&[machine], direction, duration_ms)
@@ -72,7 +73,7 @@
         } else {
             duration_ms
         };
-        self.recover_after(duration_ms, ending);
+        self.recover_after(duration_ms, recovery);
     }
 
     pub(super) fn select_core(&self, selector: CoreSelector) -> usize {
@@ -108,7 +109,7 @@
             .collect()
     }
 
-    /// Cuts core machines off together with the last front and every second agent, while callers insist on the first of
+    /// Partitions core machines off together with the last front and every second agent, while callers insist on the first of
     /// them and the front.
     fn partition_with_callers(
         &mut self,
@@ -127,9 +128,9 @@
         let others: Vec<usize> = (0..self.machines.len())
             .filter(|other| !near.contains(other))
             .collect();
-        let partitions = near
+        let links = near
             .iter()
-            .flat_map(|machine| partitions_between(*machine, &others, direction))
+            .flat_map(|machine| links_between(*machine, &others, direction))
             .collect();
         self.active_faults.isolated_targets = Some(IsolatedTargets {
             core: cores[0],
@@ -137,7 +138,7 @@
         });
         self.recover_after(duration_ms, Recovery::ReleaseCallers);
         self.remove_voters_by_minority(cores);
-        self.partition(partitions)
+        self.partition(links)
     }
 
     fn inject_disk_fault(&mut self, machine: usize, fault: DiskFault) -> Recovery {
@@ -159,7 +160,7 @@
     }
 
     /// An empty machine is started in place of another, which is asked to shut down after `overlap_ms`.
-    fn replace_in_order(&mut self, old: usize, overlap_ms: u64) {
+    fn replace_gracefully(&mut self, old: usize, overlap_ms: u64) {
         self.add_core(old, 0);
         self.recover_after(overlap_ms, Recovery::ShutDownForGood(old));
         self.recover_after(overlap_ms + GRACE_MS, Recovery::Automatic);
@@ -174,20 +175,26 @@
     }
 }
 
-/// The links between a machine and others that a partition blocks, each as sender and receiver.
-fn partitions_between(
+/// The links between a machine and others that a partition in this direction blocks.
+pub(super) fn links_between(
     machine: usize,
     others: &[usize],
     direction: PartitionDirection,
-) -> Vec<(usize, usize)> {
-    let mut partitions = Vec::new();
+) -> Vec<DirectedLink> {
+    let mut links = Vec::new();
     for other in others.iter().copied().filter(|other| *other != machine) {
         if direction != PartitionDirection::Outbound {
-            partitions.push((other, machine));
+            links.push(DirectedLink {
+                from: other,
+                to: machine,
+            });
         }
         if direction != PartitionDirection::Inbound {
-            partitions.push((machine, other));
+            links.push(DirectedLink {
+                from: machine,
+                to: other,
+            });
         }
     }
-    partitions
+    links
 }
--- a/crates/cluster-simulation/src/faults/injection.rs
+++ b/crates/cluster-simulation/src/faults/injection.rs
@@ -1,8 +1,10 @@
 //! Injects scheduled faults into the world, and ends them.
 
+use super::core_faults::links_between;
 use crate::faults::active::Recovery;
-use crate::faults::schedule::{Fault, ScheduledFault, GRACE_MS};
+use crate::faults::schedule::{Fault, PartitionDirection, ScheduledFault, GRACE_MS};
 use crate::machine::ProcessEvent;
+use crate::network::DirectedLink;
 use crate::server::ServerBehavior;
 use crate::world::{AgentLinkMessage, World};
 
@@ -12,8 +14,8 @@
 impl World {
     /// Ends what is over.
     pub(crate) fn recover_from_expired_faults(&mut self) {
-        for ending in self.active_faults.take_expired(self.now) {
-            self.recover(ending);
+        for recovery in self.active_faults.take_expired(self.now) {
+            self.recover(recovery);
         }
     }
 
@@ -44,7 +46,7 @@
     }
 
     fn inject_other_fault(&mut self, fault: Fault, duration_ms: u64) {
-        let ending = match fault {
+        let recovery = match fault {
             Fault::FrontKill(machine) | Fault::AgentKill(machine) => {
                 let powered = self.rng.bool();
                 self.kill(machine, powered, duration_ms);
@@ -58,8 +60,12 @@
                 self.shut_down(machine)
             }
             Fault::FrontRemoval(machine) => self.remove_front(machine),
-            Fault::FrontPartition(machine) => self.partition_from_core(machine, false),
-            Fault::AgentPartition(machine, one_way) => self.partition_from_core(machine, one_way),
+            Fault::FrontPartition(machine) => {
+                self.partition_from_core(machine, PartitionDirection::Both)
+            }
+            Fault::AgentPartition(machine, direction) => {
+                self.partition_from_core(machine, direction)
+            }
             Fault::AgentSlowLinks(machine) => {
                 self.network.set_slow(machine, SLOW_MS);
                 Recovery::RestoreLinks(machine)
@@ -86,28 +92,30 @@
             }
             _ => return,
         };
-        let duration_ms = if matches!(ending, Recovery::KillIfRunning(..)) {
+        let duration_ms = if matches!(recovery, Recovery::KillIfRunning(..)) {
             GRACE_MS
         } else {
             duration_ms
         };
-        self.recover_after(duration_ms, ending);
+        self.recover_after(duration_ms, recovery);
     }
 
-    pub(super) fn recover_after(&mut self, duration_ms: u64, ending: Recovery) {
+    pub(super) fn recover_after(&mut self, duration_ms: u64, recovery: Recovery) {
         self.active_faults
             .ends
-            .push((self.now + duration_ms, ending));
+            .push((self.now + duration_ms, recovery));
     }
 
-    fn recover(&mut self, ending: Recovery) {
-        match ending {
+    fn recover(&mut self, recovery: Recovery) {
+        match recovery {
             Recovery::Automatic => {}
             Recovery::Resume(machine) => self.set_suspended(machine, false),
             Recovery::EndIntermittentRun(machine) => self.set_intermittent(machine, false),
-            Recovery::HealPartition(partitions) => partitions
-                .into_iter()
-                .for_each(|(from, to)| self.network.heal(from, to)),
+            Recovery::HealPartition(links) => {
+                for link in links {
+                    self.network.heal(link);
+                }
+            }
             Recovery::ReleaseCallers => self.active_faults.isolated_targets = None,
             Recovery::RepairDisk(machine) => self.repair_disk(machine),
             Recovery::RestoreLinks(machine) => self.network.set_slow(machine, 0),
@@ -148,8 +156,8 @@
     /// Tells the process of a machine to end, which is not started again.
     fn shut_down_for_good(&mut self, machine: usize) {
         self.machines[machine].removed = true;
-        let ending = self.shut_down(machine);
-        self.recover_after(GRACE_MS, ending);
+        let recovery = self.shut_down(machine);
+        self.recover_after(GRACE_MS, recovery);
     }
 
     fn remove_front(&mut self, machine: usize) -> Recovery {
@@ -162,23 +170,16 @@
         self.shut_down(machine)
     }
 
-    /// Cuts a machine that is none of the core off from the core, or only what it sends there.
-    fn partition_from_core(&mut self, machine: usize, one_way: bool) -> Recovery {
-        let mut partitions = Vec::new();
-        for core in self.cores() {
-            partitions.push((machine, core));
-            if !one_way {
-                partitions.push((core, machine));
-            }
-        }
-        self.partition(partitions)
+    /// Partitions a machine outside the core from all core machines, in these directions as seen from the machine.
+    fn partition_from_core(&mut self, machine: usize, direction: PartitionDirection) -> Recovery {
+        self.partition(links_between(machine, &self.cores(), direction))
     }
 
-    pub(super) fn partition(&mut self, partitions: Vec<(usize, usize)>) -> Recovery {
-        for (from, to) in &partitions {
-            self.network.partition(*from, *to);
+    pub(super) fn partition(&mut self, links: Vec<DirectedLink>) -> Recovery {
+        for link in &links {
+            self.network.partition(*link);
         }
-        Recovery::HealPartition(partitions)
+        Recovery::HealPartition(links)
     }
 
     fn set_behavior(&mut self, slot: usize, behavior: ServerBehavior) {
--- a/crates/cluster-simulation/src/lib.rs
+++ b/crates/cluster-simulation/src/lib.rs
@@ -16,16 +16,19 @@
 //! `processes.rs`.
 
 mod agent_link;
+mod call_routing;
 mod client;
 mod config;
 mod configuration_body;
 mod faults;
+mod gangs;
 mod injected_bugs;
 mod machine;
 mod network;
 mod operator;
 mod oracle;
 mod pending_call;
+mod process_start;
 mod processes;
 mod server;
 mod simulation;
--- a/crates/cluster-simulation/src/network/mod.rs
+++ b/crates/cluster-simulation/src/network/mod.rs
@@ -1,20 +1,34 @@
-//! Connections between machines: frames in order, delays, partitions, resets.
+//! Connections between machines: frames in order, delays, partitions, resets. `transmission` moves them on in time.
+
+mod transmission;
 
 use lupinrack_cluster_api::frame::Frame;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A connection whose frames are not acknowledged for this long is closed by their sender, in milliseconds.
-const USER_TIMEOUT_MS: u64 = 1_500;
-/// How long a frame waits for a connection, in milliseconds.
-const MAX_CONNECT_WAIT_MS: u64 = 1_000;
-/// Between two tries to open a connection, in milliseconds.
-const CONNECT_RETRY_MS: u64 = 250;
 /// Frames take at least and at most so long, in milliseconds.
 const DELAY_MS: std::ops::Range<u64> = 1..5;
 
 /// A machine's number.
 pub(crate) type MachineIndex = usize;
 
+/// A pair of machines, in the direction in which frames go.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct DirectedLink {
+    /// The sender.
+    pub from: MachineIndex,
+    /// The receiver.
+    pub to: MachineIndex,
+}
+
+impl DirectedLink {
+    fn reversed(self) -> DirectedLink {
+        DirectedLink {
+            from: self.to,
+            to: self.from,
+        }
+    }
+}
+
 /// One end of a connection.
 #[derive(Clone, Debug)]
 struct End {
@@ -81,10 +95,10 @@
     connections: BTreeMap<u64, Connection>,
     next_connection: u64,
     /// Who opened each connection so far to whom.
-    opened: BTreeMap<u64, (MachineIndex, MachineIndex)>,
-    pending_connects: BTreeMap<(MachineIndex, MachineIndex), PendingConnect>,
-    /// Pairs of which the first cannot reach the second, and by how many partitions.
-    partitions: BTreeMap<(MachineIndex, MachineIndex), u32>,
+    opened: BTreeMap<u64, DirectedLink>,
+    pending_connects: BTreeMap<DirectedLink, PendingConnect>,
+    /// Links that are blocked, and by how many partitions.
+    partitions: BTreeMap<DirectedLink, u32>,
     /// Machines whose frames take up to so many milliseconds longer.
     slow: BTreeMap<MachineIndex, u64>,
     deliveries: Vec<(MachineIndex, Delivery)>,
@@ -105,31 +119,31 @@
         }
     }
 
-    /// Lets nothing from the first machine reach the second.
-    pub(crate) fn partition(&mut self, from: MachineIndex, to: MachineIndex) {
-        *self.partitions.entry((from, to)).or_default() += 1;
+    /// Lets nothing pass a link.
+    pub(crate) fn partition(&mut self, link: DirectedLink) {
+        *self.partitions.entry(link).or_default() += 1;
     }
 
     /// Ends one partition; what other partitions block stays blocked.
-    pub(crate) fn heal(&mut self, from: MachineIndex, to: MachineIndex) {
-        let Some(count) = self.partitions.get_mut(&(from, to)) else {
+    pub(crate) fn heal(&mut self, link: DirectedLink) {
+        let Some(count) = self.partitions.get_mut(&link) else {
             return;
         };
         *count -= 1;
         if *count == 0 {
-            self.partitions.remove(&(from, to));
+            self.partitions.remove(&link);
         }
     }
 
-    /// Whether nothing from the first machine reaches the second.
-    pub(crate) fn is_partitioned(&self, from: MachineIndex, to: MachineIndex) -> bool {
-        self.partitions.contains_key(&(from, to))
+    /// Whether nothing passes a link.
+    pub(crate) fn is_partitioned(&self, link: DirectedLink) -> bool {
+        self.partitions.contains_key(&link)
     }
 
     /// The machine at the other end of a connection, also of one that has ended.
     pub(crate) fn other_end(&self, machine: MachineIndex, connection: u64) -> Option<MachineIndex> {
-        let (a, b) = *self.opened.get(&connection)?;
-        Some(if a == machine { b } else { a })
+        let DirectedLink { from, to } = *self.opened.get(&connection)?;
+        Some(if from == machine { to } else { from })
     }
 
     /// Has what a machine sends take up to so many milliseconds longer; 0 ends that.
@@ -142,7 +156,10 @@
         if let Some(connection) = self.newest(from, to) {
             self.send_on(from, connection, frame, now);
         } else {
-            let pending_connects = self.pending_connects.entry((from, to)).or_default();
+            let pending_connects = self
+                .pending_connects
+                .entry(DirectedLink { from, to })
+                .or_default();
             pending_connects.waiting.push_back((now, frame));
         }
     }
@@ -200,7 +217,10 @@
             own.open = false;
             own.outgoing.clear();
             own.unacknowledged_since = None;
-            let partition = self.partitions.contains_key(&(machine, other.machine));
+            let partition = self.partitions.contains_key(&DirectedLink {
+                from: machine,
+                to: other.machine,
+            });
             if powered && !partition && other.open {
                 other.open = false;
                 other.outgoing.clear();
@@ -211,8 +231,7 @@
                 self.deliveries.push((other.machine, delivery));
             }
         }
-        self.pending_connects
-            .retain(|(from, _), _| *from != machine);
+        self.pending_connects.retain(|link, _| link.from != machine);
     }
 
     /// Resets some of a machine's connections.
@@ -237,158 +256,4 @@
             }
         }
     }
-
-    /// Lets time pass; what arrives where, in order.
-    pub(crate) fn advance(
-        &mut self,
-        now: u64,
-        machines: &[Endpoint],
-    ) -> Vec<(MachineIndex, Delivery)> {
-        self.connect_pending(now, machines);
-        let numbers: Vec<u64> = self.connections.keys().copied().collect();
-        for number in numbers {
-            self.advance_connection(number, now, machines);
-        }
-        self.connections
-            .retain(|_, connection| connection.ends.iter().any(|end| end.open));
-        std::mem::take(&mut self.deliveries)
-    }
-
-    fn connect_pending(&mut self, now: u64, machines: &[Endpoint]) {
-        let pairs: Vec<(MachineIndex, MachineIndex)> =
-            self.pending_connects.keys().copied().collect();
-        for (from, to) in pairs {
-            let Some(pending_connects) = self.pending_connects.get_mut(&(from, to)) else {
-                continue;
-            };
-            pending_connects
-                .waiting
-                .retain(|(since, _)| now < since + MAX_CONNECT_WAIT_MS);
-            if pending_connects.waiting.is_empty() {
-                self.pending_connects.remove(&(from, to));
-                continue;
-            }
-            if now < pending_connects.due {
-                continue;
-            }
-            let partition = self.partitions.contains_key(&(from, to))
-                || self.partitions.contains_key(&(to, from));
-            if partition || !machines[to].running {
-                pending_connects.due = now + CONNECT_RETRY_MS;
-                continue;
-            }
-            let waiting = std::mem::take(&mut pending_connects.waiting);
-            self.pending_connects.remove(&(from, to));
-            self.open(from, to, waiting, now, machines);
-        }
-    }
-
-    fn open(
-        &mut self,
-        from: MachineIndex,
-        to: MachineIndex,
-        waiting: VecDeque<(u64, Frame)>,
-        now: u64,
-        machines: &[Endpoint],
-    ) {
-        self.next_connection += 1;
-        let number = self.next_connection;
-        let end = |machine| End {
-            machine,
-            open: true,
-            outgoing: VecDeque::new(),
-            unacknowledged_since: None,
-        };
-        self.connections.insert(
-            number,
-            Connection {
-                ends: [end(from), end(to)],
-            },
-        );
-        self.opened.insert(number, (from, to));
-        self.send_on(from, number, machines[from].hello.clone(), now);
-        self.send_on(to, number, machines[to].hello.clone(), now);
-        for (_, frame) in waiting {
-            self.send_on(from, number, frame, now);
-        }
-    }
-
-    fn advance_connection(&mut self, number: u64, now: u64, machines: &[Endpoint]) {
-        let Some(connection) = self.connections.get_mut(&number) else {
-            return;
-        };
-        let [a, b] = &mut connection.ends;
-        for forward in [true, false] {
-            let (from, to) = if forward {
-                (&mut *a, &mut *b)
-            } else {
-                (&mut *b, &mut *a)
-            };
-            if !from.open {
-                continue;
-            }
-            let cut_there = self.partitions.contains_key(&(from.machine, to.machine));
-            let cut_back = self.partitions.contains_key(&(to.machine, from.machine));
-            let due = from
-                .outgoing
-                .front()
-                .is_some_and(|(arrives, _)| *arrives <= now);
-            let dark = !machines[to.machine].powered;
-            if due && (cut_there || dark) {
-                from.unacknowledged_since.get_or_insert(now);
-            } else if due && !to.open {
-                // Nobody listens there any longer: the connection is reset.
-                if cut_back {
-                    from.unacknowledged_since.get_or_insert(now);
-                } else {
-                    close(from, to.machine, number, &mut self.deliveries);
-                    continue;
-                }
-            } else if due {
-                if cut_back {
-                    from.unacknowledged_since.get_or_insert(now);
-                }
-                while from
-                    .outgoing
-                    .front()
-                    .is_some_and(|(arrives, _)| *arrives <= now)
-                {
-                    if let Some((_, frame)) = from.outgoing.pop_front() {
-                        let delivery = Delivery::Frame {
-                            from: from.machine,
-                            connection: number,
-                            frame,
-                        };
-                        self.deliveries.push((to.machine, delivery));
-                    }
-                }
-            }
-            if !cut_there && !cut_back && !dark {
-                from.unacknowledged_since = None;
-            }
-            if from
-                .unacknowledged_since
-                .is_some_and(|since| now >= since + USER_TIMEOUT_MS)
-            {
-                close(from, to.machine, number, &mut self.deliveries);
-            }
-        }
-    }
-}
-
-fn close(
-    end: &mut End,
-    other: MachineIndex,
-    connection: u64,
-    deliveries: &mut Vec<(MachineIndex, Delivery)>,
-) {
-    end.open = false;
-    end.outgoing.clear();
-    deliveries.push((
-        end.machine,
-        Delivery::Closed {
-            from: other,
-            connection,
-        },
-    ));
 }
