--- a/crates/lupinrack/tests/golden.rs
+++ b/crates/lupinrack/tests/golden.rs
@@ -6,10 +6,8 @@
 use clap::ValueEnum as _;
 use lupinrack::commands::admin::Call;
 use lupinrack_fleet_driver::Report;
-use lupinrack_write_back::file::Folder;
-use lupinrack_write_back::log::Log;
-use lupinrack_write_back::moment;
-use lupinrack_write_back::record::{End, Moment, Record, Taken, WriteId};
+use lupinrack_golden_files::{check_folder, check_text, is_update};
+use lupinrack_write_back::{AcceptedWrite, AttemptOutcome, Folder, Log, Moment, Record, WriteId};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::fs;
@@ -41,28 +39,16 @@
 
 /// Compares a text with its file, or writes the file.
 fn assert_golden(name: &str, text: &str) {
-    let path = golden_folder().join(name);
-    if std::env::var_os("UPDATE_GOLDEN").is_some() {
-        fs::write(&path, text).expect("a golden file written");
-    }
-    let kept = fs::read_to_string(&path).unwrap_or_else(|error| panic!("{name}: {error}"));
-    assert_eq!(text, kept, "{name} differs");
+    check_text(golden_folder().join(name), text);
 }
 
 #[test]
 fn every_golden_file_is_built_by_a_test() {
-    let files = fs::read_dir(golden_folder()).expect("the golden files");
-    let kept: BTreeSet<String> = files
-        .map(|file| {
-            file.expect("a file")
-                .file_name()
-                .to_string_lossy()
-                .into_owned()
-        })
-        .collect();
-    if std::env::var_os("UPDATE_GOLDEN").is_none() {
-        assert_eq!(kept, FILES.map(str::to_owned).into_iter().collect());
+    // While files are updated other tests may not have written theirs yet.
+    if is_update() {
+        return;
     }
+    check_folder(golden_folder(), FILES);
 }
 
 /// A folder in which the program is run; removed when it is dropped.
@@ -584,7 +570,7 @@
 }
 
 fn taken(number: u64) -> Record {
-    Record::Taken(Taken {
+    Record::Accepted(AcceptedWrite {
         write: WriteId(number),
         volume: 0x0900 + number,
         plan: "basic".to_owned(),
@@ -609,20 +595,20 @@
 /// Writes a log with a write in each standing, and a record of each kind.
 fn write_log(folder: &Path) {
     let (mut log, _) = Log::open(Folder::open(folder).expect("a folder"), 1 << 20).expect("a log");
-    let now = moment::now().expect("the time since boot");
-    let ended = |number, end| Record::Ended {
+    let now = Moment::now().expect("the time since boot");
+    let ended = |number, outcome| Record::AttemptEnded {
         write: WriteId(number),
         attempt: 1,
-        end,
+        outcome,
     };
     for number in 1..=5 {
         log.append(&taken(number)).expect("a record");
     }
     for record in [
         attempt(2, 1, "node-2", 22, now),
-        ended(2, End::Held),
+        ended(2, AttemptOutcome::Stored),
         attempt(3, 1, "node-3", 33, now),
-        ended(3, End::MayHaveRun),
+        ended(3, AttemptOutcome::MayHaveRun),
         attempt(
             4,
             1,
@@ -635,7 +621,7 @@
             },
         ),
         attempt(4, 2, "node-5", 45, now),
-        Record::Settled(WriteId(5)),
+        Record::Resolved(WriteId(5)),
         Record::Barrier { volume: 0x0901 },
         Record::Flush { volume: 0x0902 },
     ] {
