--- a/crates/cluster-node/tests/call_model.rs
+++ b/crates/cluster-node/tests/call_model.rs
@@ -1,6 +1,6 @@
-//! Calls and their answers in a model checker: one caller in two incarnations at one address, two heads that may be restarted,
-//! connections that are reset while answers are on their way, and answers that come late. Every order of a bounded number
-//! of steps is played.
+//! Calls and their answers in a model checker: one caller in two incarnations at one address, two heads that may be
+//! restarted, connections that are reset while answers are on their way, and answers that come late. Every order of a
+//! bounded number of steps is played.
 
 mod common;
 
--- a/crates/cluster-node/tests/known_configuration.rs
+++ b/crates/cluster-node/tests/known_configuration.rs
@@ -1,4 +1,4 @@
-//! What a process without a disk takes over of updates.
+//! What a process without a disk takes over from updates.
 
 use lupinrack_cluster_api::configuration::Configuration;
 use lupinrack_cluster_api::request::Target;
--- a/crates/cluster-node/tests/partitioned_core.rs
+++ b/crates/cluster-node/tests/partitioned_core.rs
@@ -134,7 +134,8 @@
         "{name}"
     );
     if direction == Direction::Inward {
-        // The others receive from it, so it may go on as their head: only what is said is looked at, not whether anything is.
+        // The others receive from it, so it may go on as their head: only what is said is looked at, not
+        // whether anything is.
         return;
     }
     let other = (process + 1) % count;
--- a/crates/cluster-node/tests/wiped_disk_during_partition.rs
+++ b/crates/cluster-node/tests/wiped_disk_during_partition.rs
@@ -1,5 +1,5 @@
-//! One disk is lost while another process is partitioned from the rest for a while. Nothing acknowledged is lost with it, so once the other
-//! is back everything goes on, and nothing is forgotten.
+//! One disk is lost while another process is partitioned from the rest for a while. Nothing acknowledged is lost
+//! with it, so once the other is back everything goes on, and nothing is forgotten.
 
 mod network;
 
