--- a/crates/cluster-api/tests/golden.rs
+++ b/crates/cluster-api/tests/golden.rs
@@ -69,8 +69,8 @@
 fn texts_of_identities() {
     let mut file = golden("identities.txt");
     let job = JobId(0x0a0b_0c0d_0e0f_1011);
-    file.add("job", &job.to_string());
-    file.add("task", &task(9).to_string());
+    file.add("job", job.to_string());
+    file.add("task", task(9).to_string());
     let job_text = file
         .kept_text("job")
         .unwrap_or("0a0b0c0d0e0f1011")
@@ -87,18 +87,18 @@
 #[test]
 fn weights_of_candidates() {
     let mut file = golden("rendezvous.txt");
-    file.add("mix of 0", &mix(0).to_string());
-    file.add("mix of 1", &mix(1).to_string());
-    file.add("no key, candidate 0", &weight(b"", 0).to_string());
-    file.add("key worker, candidate 1", &weight(b"worker", 1).to_string());
-    file.add("key worker, candidate 2", &weight(b"worker", 2).to_string());
+    file.add("mix of 0", mix(0).to_string());
+    file.add("mix of 1", mix(1).to_string());
+    file.add("no key, candidate 0", weight(b"", 0).to_string());
+    file.add("key worker, candidate 1", weight(b"worker", 1).to_string());
+    file.add("key worker, candidate 2", weight(b"worker", 2).to_string());
     file.add(
         "key worker, address 4",
-        &address_weight(b"worker", address(4)).to_string(),
+        address_weight(b"worker", address(4)).to_string(),
     );
     file.add(
         "key worker, address 5",
-        &address_weight(b"worker", address(5)).to_string(),
+        address_weight(b"worker", address(5)).to_string(),
     );
     file.check();
 }
@@ -110,13 +110,13 @@
     file.add_borsh("resources of nothing", &Resources::default());
     file.add_borsh("step", &step());
     for (name, flagged) in steps_with_one_flag() {
-        file.add_borsh(&format!("step with {name}"), &flagged);
+        file.add_borsh(format!("step with {name}"), &flagged);
     }
     file.add_borsh("step of nothing", &Step::default());
     file.add_borsh("job", &job_spec());
     file.add_borsh("job without steps", &JobSpec::default());
     for state in JOB_STATES {
-        file.add_borsh(&format!("state {}", state.as_str()), &state);
+        file.add_borsh(format!("state {}", state.as_str()), &state);
     }
     file.check();
 }
@@ -128,8 +128,8 @@
         let finality = if state.is_final() { "final" } else { "open" };
         let encoded = borsh::to_vec(&state).expect("a state has bytes");
         file.add(
-            &format!("state {}", to_hex(&encoded)),
-            &format!("{} {finality}", state.as_str()),
+            format!("state {}", to_hex(&encoded)),
+            format!("{} {finality}", state.as_str()),
         );
     }
     file.check();
@@ -160,7 +160,7 @@
             .map_or("none".to_owned(), |seconds| format!("{seconds} s"));
         file.add(
             name,
-            &format!("{}, retry after {retry}, {kind}", answer.status),
+            format!("{}, retry after {retry}, {kind}", answer.status),
         );
     }
     file.check();
@@ -191,7 +191,7 @@
     file.add_borsh("facts", &server_facts());
     file.add_borsh("running task", &running_task());
     for (name, end) in RUN_ENDS {
-        file.add_borsh(&format!("end {name}"), &end);
+        file.add_borsh(format!("end {name}"), &end);
     }
     file.add_borsh("finished task", &finished_task(RunEnd::Done));
     file.check();
@@ -247,9 +247,9 @@
     let whole = ConfigurationBody::Replacement("{1}".to_owned());
     let patch = ConfigurationBody::Patch("{2}".to_owned());
     for (name, body) in [("whole", whole), ("patch", patch)] {
-        file.add_borsh(&format!("body {name}"), &body);
+        file.add_borsh(format!("body {name}"), &body);
         file.add_borsh(
-            &format!("change {name}"),
+            format!("change {name}"),
             &ConfigurationChange { if_match: 81, body },
         );
     }
@@ -274,13 +274,13 @@
     file.add_borsh("done", &OperationResult::Done);
     for state in JOB_STATES {
         file.add_borsh(
-            &format!("job {}", state.as_str()),
+            format!("job {}", state.as_str()),
             &OperationResult::Job(state),
         );
     }
     file.add_borsh("starts", &OperationResult::Starts(vec![true, false, true]));
     for (name, kind) in ERROR_KINDS {
-        file.add_borsh(&format!("refused {name}"), &OperationResult::Refused(kind));
+        file.add_borsh(format!("refused {name}"), &OperationResult::Refused(kind));
     }
     file.check();
 }
@@ -341,7 +341,7 @@
         ("core", Role::Core),
     ] {
         file.add_borsh(name, &role);
-        file.add_borsh(&format!("hello of {name}"), &hello(role, None));
+        file.add_borsh(format!("hello of {name}"), &hello(role, None));
     }
     file.add_borsh("hello with a disk", &hello(Role::Core, Some(DiskId(84))));
     file.add_borsh("replica of nothing", &ReplicaReport::default());
--- a/crates/control-state/tests/golden.rs
+++ b/crates/control-state/tests/golden.rs
@@ -26,8 +26,8 @@
 fn records() {
     let mut file = GoldenFile::open(path("records.hex"));
     for (name, status) in task_statuses() {
-        file.add_borsh(&format!("status {name}"), &status);
-        file.add_borsh(&format!("task {name}"), &task_record(status));
+        file.add_borsh(format!("status {name}"), &status);
+        file.add_borsh(format!("task {name}"), &task_record(status));
     }
     file.add_borsh("task that was never started", &TaskRecord::default());
     file.add_borsh("occurrence", &occurrence());
@@ -185,7 +185,7 @@
     let mut file = GoldenFile::open(path("faults.txt"));
     for (name, body) in faulty_bodies() {
         let fault = check_body(&body).expect_err(name);
-        file.add(name, &fault.to_string());
+        file.add(name, fault.to_string());
     }
     file.check();
 }
@@ -200,7 +200,7 @@
         let body = ConfigurationBody::Patch(patch.to_owned());
         assert_eq!(check_body(&body), Ok(()), "{name}");
         let changed = apply_body(state.configuration_state().document(), &body).expect(name);
-        file.add(name, &changed.check().expect_err(name).to_string());
+        file.add(name, changed.check().expect_err(name).to_string());
     }
     file.check();
 }
--- a/crates/control-store/tests/golden.rs
+++ b/crates/control-store/tests/golden.rs
@@ -244,7 +244,7 @@
     rows_after(&folder, &[full_batch()]);
     file.add(
         "tables",
-        &golden_rows::table_names(&folder.join(DATA_FILE)).join(" "),
+        golden_rows::table_names(&folder.join(DATA_FILE)).join(" "),
     );
     file.check();
 }
@@ -322,8 +322,8 @@
             row
         };
         file.add(
-            &row_name(*key),
-            &format!("{} bytes, {}", row.len(), to_hex(shown)),
+            row_name(*key),
+            format!("{} bytes, {}", row.len(), to_hex(shown)),
         );
     }
     file.check();
