--- a/crates/scheduler/benches/placement_round.rs
+++ b/crates/scheduler/benches/placement_round.rs
@@ -1,7 +1,8 @@
-//! What a round of the scheduler costs, by the number of servers and of tasks that wait.
+//! The duration of a scheduling round, by the number of servers and waiting tasks.
 //!
-//! Each server has 16 runs, so the service is full. Before each measured round one run ends somewhere and the heartbeats of
-//! that server and of two others arrive; so a round whose cost follows what has changed costs the same at all sizes.
+//! Each server has 16 runs, so no capacity is free. Before each measured round one run ends, and
+//! the heartbeats of its server and of two others arrive. If the cost of a round depends only on
+//! what has changed, the durations are the same for all sizes.
 //!
 //! `cargo bench -p lupinrack-scheduler --bench placement_round`
 
@@ -15,23 +16,23 @@
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use std::time::{Duration, Instant};
 
-/// Runs on each server while the service is full.
+/// The number of runs on each full server.
 const RUNS_PER_SERVER: u32 = 16;
-/// The processor of one task, in thousandths of a core: a server has sixteen cores.
+/// The processor needs of one task, in thousandths of a core. A server has 16 cores.
 const TASK_MILLICORES: u64 = 1_000;
-/// Tasks of one waiting job.
+/// The number of tasks of one waiting job.
 const TASKS_PER_JOB: u32 = 20;
-/// Racks, which the waiting jobs have their data on in turn.
+/// The number of racks. The data of the waiting jobs is distributed over them round-robin.
 const RACKS: u64 = 7;
-/// Measured rounds of each size.
+/// The number of measured rounds for each size.
 const ROUNDS: usize = 300;
-/// Milliseconds between two measured rounds.
+/// The time between two measured rounds, in milliseconds.
 const ROUND_INTERVAL_MS: u64 = 5;
-/// How long a task is expected to take, in milliseconds.
+/// The estimated duration of a task, in milliseconds.
 const ESTIMATE_MS: u64 = 4_000;
 
 fn main() {
-    println!("servers  waiting  median us  95 of 100 us");
+    println!("servers  waiting  median us        p95 us");
     for servers in [43, 173, 1_000] {
         for waiting in [0, 100, 1_000, 10_000] {
             let mut fleet = full_fleet(servers);
@@ -47,7 +48,7 @@
     }
 }
 
-/// A service all of whose servers are full.
+/// Creates a service whose servers are all full.
 fn full_fleet(servers: u16) -> Bench {
     let mut fleet = Bench::new();
     for machine in 1..=servers {
@@ -60,7 +61,8 @@
     fleet
 }
 
-/// Adds tasks that find no free capacity, in jobs that differ in what they need and where their data is.
+/// Adds tasks that find no free capacity. Their jobs differ in needs and in the location of their
+/// data.
 fn add_waiting(fleet: &mut Bench, tasks: u32) {
     for job in 0..u64::from(tasks / TASKS_PER_JOB) {
         let waiting = Step {
@@ -81,7 +83,7 @@
     fleet.run_for(200);
 }
 
-/// The durations of rounds, before each of which a little has changed.
+/// Measures the durations of rounds. A few heartbeats arrive before each of them.
 fn measure(fleet: &mut Bench) -> Vec<Duration> {
     let machines: Vec<u16> = fleet.servers.keys().copied().collect();
     let mut durations = Vec::with_capacity(ROUNDS);
--- a/crates/scheduler/src/adoption.rs
+++ b/crates/scheduler/src/adoption.rs
@@ -1,6 +1,6 @@
-//! What a new owner takes over from the replicated state.
+//! Adoption: a new owner takes over the jobs and runs in the replicated state.
 
-use crate::jobs::board::JobBoard;
+use crate::jobs::open_jobs::OpenJobs;
 use crate::runs::profile::RunProfile;
 use crate::runs::run::Run;
 use crate::runs::table::RunTable;
@@ -9,13 +9,13 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_control_state::{ControlState, JobRecord, TaskStatus};
 
-/// Takes over the jobs and runs of a service. Runs of jobs that are not open any longer are among
-/// them: they may still take capacity.
+/// Adopts the jobs and runs of a service, including runs of jobs that are no longer open, because
+/// such runs may still use capacity.
 pub(crate) fn adopt(
     state: &ControlState,
     service: &ServiceName,
     runs: &mut RunTable,
-    jobs: &mut JobBoard,
+    jobs: &mut OpenJobs,
     now: Millis,
 ) {
     let of_service = state
@@ -39,7 +39,7 @@
     }
 }
 
-/// The starts of a job that are recorded without an end.
+/// The starts of a job whose ends are not recorded.
 fn assigned_starts(job: JobId, record: &JobRecord) -> Vec<StartRecord> {
     let mut starts = Vec::new();
     for (number, occurrence) in &record.occurrences {
--- a/crates/scheduler/src/estimator.rs
+++ b/crates/scheduler/src/estimator.rs
@@ -1,4 +1,4 @@
-//! When runs are expected to end.
+//! Estimates of how long runs take and when they end.
 
 use crate::history::durations::DurationModel;
 use crate::runs::profile::RunProfile;
@@ -6,15 +6,15 @@
 use crate::settings::SchedulerSettings;
 use lupinrack_cluster_api::time::Millis;
 
-/// Stands for work that does not end by itself, in milliseconds (about 35 years).
+/// The duration of work that does not end by itself, in milliseconds (about 35 years).
 pub(crate) const NEVER_MS: u64 = 1 << 40;
-/// From the proposal of a start until its server has it, in milliseconds.
+/// The expected time from the proposal of a start until its server receives it, in milliseconds.
 const START_DELAY_MS: u64 = 200;
-/// A run without recent progress is expected to need at least this part of what its progress
-/// leaves.
+/// The lower bound of the remaining time of a run without recent progress is the remaining time by
+/// its last reported progress, divided by this value.
 const MIN_REMAINING_DIVISOR: u64 = 4;
 
-/// Estimates at one moment.
+/// Estimates at one point in time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Estimator<'a> {
     durations: &'a DurationModel,
@@ -23,7 +23,7 @@
 }
 
 impl<'a> Estimator<'a> {
-    /// Estimates at this moment.
+    /// Creates the estimator for the time `now`.
     pub(crate) fn new(
         durations: &'a DurationModel,
         settings: &SchedulerSettings,
@@ -36,23 +36,24 @@
         }
     }
 
-    /// How long a run is expected to take in all, in milliseconds.
+    /// The expected total duration of a run, in milliseconds.
     pub(crate) fn total_ms(&self, profile: &RunProfile) -> u64 {
         if profile.long_running {
             return NEVER_MS;
         }
-        let near_ms = self.near_ms(profile);
-        (near_ms as f64 * profile.distance_factor) as u64
+        let local_ms = self.local_ms(profile);
+        (local_ms as f64 * profile.distance_factor) as u64
     }
 
-    /// How long a run is expected to take near its data, in milliseconds, whether or not it ends by
-    /// itself.
-    pub(crate) fn near_ms(&self, profile: &RunProfile) -> u64 {
+    /// The expected duration of a run on a server near its data, in milliseconds. For a
+    /// long-running task this is its client's estimate corrected by the queue's ratio, although it
+    /// does not end by itself.
+    pub(crate) fn local_ms(&self, profile: &RunProfile) -> u64 {
         self.durations
             .expected_ms(&profile.queue, profile.estimate_ms)
     }
 
-    /// For how long from now on a run is expected to take capacity, in milliseconds.
+    /// For how long from now a run is expected to use capacity, in milliseconds.
     pub(crate) fn remaining_ms(&self, run: &Run) -> u64 {
         if run.ended {
             return 0;
--- a/crates/scheduler/src/eviction.rs
+++ b/crates/scheduler/src/eviction.rs
@@ -1,4 +1,4 @@
-//! Eviction: runs that are stopped to be continued elsewhere or later.
+//! Eviction: stops runs so that they continue on another server or at a later time.
 
 pub(crate) mod draining;
 pub(crate) mod preemption;
@@ -19,31 +19,26 @@
 use crate::settings::SchedulerSettings;
 use lupinrack_cluster_api::time::Millis;
 
-/// The evictions of one round.
 #[derive(Debug)]
 pub(crate) struct Eviction<'a> {
-    /// The servers.
     pub(crate) servers: &'a ServerTable,
-    /// The runs.
     pub(crate) runs: &'a mut RunTable,
-    /// What was learned from runs.
+    /// The durations, faults and speeds learned from runs.
     pub(crate) history: &'a mut History,
-    /// The settings.
     pub(crate) settings: &'a SchedulerSettings,
-    /// The moment.
+    /// The time of the round.
     pub(crate) now: Millis,
 }
 
 impl Eviction<'_> {
-    /// Counts the runs that take too long against their servers, and stops those that make no
-    /// progress.
+    /// Records overdue runs as slowness of their servers, and stops runs that make no progress.
     pub(crate) fn stop_stalled_runs(mut self) {
         self.record_overdue();
         self.stop_stalled();
     }
 
-    /// Stops runs that would not end on a draining server, and that make way for more urgent demands.
-    /// `candidates` are as the pass of placement left them.
+    /// Stops runs on draining servers that would not end in time, and preempts runs for more urgent
+    /// demands. `candidates` has the capacity that remains after the placement pass.
     pub(crate) fn make_way(self, demands: &[Demand<'_>], candidates: Vec<Candidate>) {
         let Eviction {
             servers,
@@ -74,8 +69,8 @@
         }
     }
 
-    /// Counts the runs that take much longer than expected against the speed of their servers, each
-    /// once.
+    /// Records runs that take much longer than expected in the speed history of their servers, each
+    /// run once.
     fn record_overdue(&mut self) {
         if !self.settings.policy.learns_speeds {
             return;
@@ -87,10 +82,11 @@
         }
     }
 
-    /// Stops the runs that make no progress, which counts as a fault of their servers.
+    /// Stops the runs that make no progress. If the server has started the run, this counts as a
+    /// fault of the server.
     fn stop_stalled(&mut self) {
         for stalled in self.detector().stalled() {
-            if stalled.has_begun {
+            if stalled.was_started {
                 let faults = &mut self.history.faults;
                 faults.record_fault(&stalled.server, stalled.task, self.now);
             }
--- a/crates/scheduler/src/eviction/draining.rs
+++ b/crates/scheduler/src/eviction/draining.rs
@@ -1,4 +1,5 @@
-//! Evacuation of draining servers: what would not end there in time is continued elsewhere.
+//! Evacuation of draining servers: runs that would not end there in time continue on another
+//! server.
 
 use crate::estimator::Estimator;
 use crate::eviction::unclaimed::UnclaimedCapacity;
@@ -10,44 +11,43 @@
 use lupinrack_cluster_api::identity::{ServerId, TaskId};
 use lupinrack_cluster_api::time::Millis;
 
-/// A run that a draining server does not list within this time was never started, in milliseconds.
+/// If a server does not list a run within this time after it began to drain, in milliseconds, it
+/// never started the run.
 const MAX_UNSTARTED_MS: u64 = 500;
-/// What is left beside the time of the stop itself to deliver the order, in milliseconds.
+/// The time to deliver the order to stop, in addition to the duration of the stop itself, in
+/// milliseconds.
 const STOP_DELIVERY_MS: u64 = 1_000;
-/// Work without checkpoints is stopped, and begins anew elsewhere, where it needs more than this part of the time that is left,
-/// in percent.
-const RESTART_PERCENT: u64 = 150;
+/// A run without checkpoints is restarted on another server only if its expected remaining time
+/// exceeds this percentage of the time until the server's drain deadline.
+const MIN_RESTART_PERCENT: u64 = 150;
 
-/// What happens to a run on a draining server.
+/// The action for a run on a draining server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Verdict {
-    /// It ends in time, or nothing is gained by a move.
-    Stay,
-    /// It is stopped if there is capacity for it elsewhere.
-    MoveIfPossible,
-    /// It is stopped at once.
+enum DrainAction {
+    /// Let it continue: it ends in time, or a restart on another server would not end it earlier.
+    Continue,
+    /// Stop it if another server has capacity for it.
+    StopIfMovable,
+    /// Stop it now.
     StopNow,
 }
 
 /// Stops runs on draining servers.
 #[derive(Debug)]
 pub(crate) struct Evacuation<'a> {
-    /// The servers.
     pub(crate) servers: &'a ServerTable,
-    /// The runs.
     pub(crate) runs: &'a mut RunTable,
-    /// When runs are expected to end.
+    /// Estimates of when runs end.
     pub(crate) estimator: Estimator<'a>,
-    /// The settings.
     pub(crate) settings: &'a SchedulerSettings,
-    /// The moment.
+    /// The time of the round.
     pub(crate) now: Millis,
 }
 
 impl Evacuation<'_> {
-    /// Stops runs on draining servers that are better continued elsewhere.
+    /// Stops the runs on draining servers that should continue on another server.
     pub(crate) fn run(&mut self, mut unclaimed: UnclaimedCapacity) {
-        self.claim_for_moving(&mut unclaimed);
+        self.claim_for_stopping_runs(&mut unclaimed);
         let servers = self.servers;
         for (id, server) in servers.iter() {
             if let Some(since) = server.draining_since {
@@ -56,8 +56,9 @@
         }
     }
 
-    /// The capacity in which runs that are being stopped will continue is not given away twice.
-    fn claim_for_moving(&self, unclaimed: &mut UnclaimedCapacity) {
+    /// Claims capacity for the draining runs that are already being stopped, so that it is not
+    /// promised to other runs.
+    fn claim_for_stopping_runs(&self, unclaimed: &mut UnclaimedCapacity) {
         let moving = self
             .runs
             .iter()
@@ -74,17 +75,17 @@
         since: Millis,
         unclaimed: &mut UnclaimedCapacity,
     ) {
-        let stays_until = server
-            .stays_until
+        let drain_deadline = server
+            .drain_deadline
             .unwrap_or_else(|| since.plus(self.settings.drain_ms));
         let mut stopped: Vec<TaskId> = Vec::new();
         for run in self.runs.of_server(id).filter(|run| run.should_run()) {
-            let is_stopped = match self.verdict(run, since, stays_until) {
-                Verdict::Stay => false,
-                Verdict::MoveIfPossible => {
+            let is_stopped = match self.action_for(run, since, drain_deadline) {
+                DrainAction::Continue => false,
+                DrainAction::StopIfMovable => {
                     unclaimed.claim(&run.profile.needs, &run.profile.requires)
                 }
-                Verdict::StopNow => true,
+                DrainAction::StopNow => true,
             };
             if is_stopped {
                 stopped.push(run.task);
@@ -95,26 +96,26 @@
         }
     }
 
-    fn verdict(&self, run: &Run, draining_since: Millis, stays_until: Millis) -> Verdict {
+    fn action_for(&self, run: &Run, draining_since: Millis, drain_deadline: Millis) -> DrainAction {
         if run.running_since.is_none() {
             return if self.now.since(draining_since) >= MAX_UNSTARTED_MS {
-                Verdict::StopNow
+                DrainAction::StopNow
             } else {
-                Verdict::Stay
+                DrainAction::Continue
             };
         }
-        let left_ms = stays_until.since(self.now);
+        let until_deadline_ms = drain_deadline.since(self.now);
         let remaining_ms = self.estimator.remaining_ms(run);
-        if remaining_ms <= left_ms {
-            return Verdict::Stay;
+        if remaining_ms <= until_deadline_ms {
+            return DrainAction::Continue;
         }
-        let is_last_chance = left_ms <= self.settings.max_stop_ms + STOP_DELIVERY_MS;
+        let must_stop_now = until_deadline_ms <= self.settings.max_stop_ms + STOP_DELIVERY_MS;
         let is_restart_better =
-            remaining_ms.saturating_mul(100) > left_ms.saturating_mul(RESTART_PERCENT);
+            remaining_ms.saturating_mul(100) > until_deadline_ms.saturating_mul(MIN_RESTART_PERCENT);
         match (run.profile.checkpoints, is_restart_better) {
-            (true, _) if is_last_chance => Verdict::StopNow,
-            (true, _) | (false, true) => Verdict::MoveIfPossible,
-            (false, false) => Verdict::Stay,
+            (true, _) if must_stop_now => DrainAction::StopNow,
+            (true, _) | (false, true) => DrainAction::StopIfMovable,
+            (false, false) => DrainAction::Continue,
         }
     }
 }
--- a/crates/scheduler/src/eviction/preemption.rs
+++ b/crates/scheduler/src/eviction/preemption.rs
@@ -1,5 +1,5 @@
-//! Preemption: less urgent runs that can continue later from a checkpoint make way for the most
-//! urgent work.
+//! Preemption: stops less urgent runs that can continue later from a checkpoint, to free capacity
+//! for the most urgent work.
 
 use crate::estimator::Estimator;
 use crate::eviction::unclaimed::{UnclaimedCandidate, UnclaimedCapacity};
@@ -15,43 +15,39 @@
 use lupinrack_cluster_api::time::Millis;
 use std::cmp::Reverse;
 
-/// The largest number of tasks for which runs are preempted in one round.
+/// The maximum number of waiting tasks for which one round preempts runs.
 const MAX_TASKS: usize = 32;
 
-/// Runs on one server that would free enough capacity.
+/// Runs on one server whose stop would free enough capacity.
 #[derive(Debug)]
 struct Victims {
-    /// The index of the candidate.
     candidate: usize,
     tasks: Vec<TaskId>,
     freed: Resources,
-    /// How much work since their last checkpoints would be lost, in milliseconds.
+    /// The work since their last checkpoints, which a stop would lose, in milliseconds.
     lost_ms: u64,
 }
 
-/// Stops runs for more urgent work.
 #[derive(Debug)]
 pub(crate) struct Preemption<'a> {
-    /// The runs.
     pub(crate) runs: &'a mut RunTable,
-    /// When runs are expected to end.
+    /// Estimates of when runs end.
     pub(crate) estimator: Estimator<'a>,
-    /// The settings.
     pub(crate) settings: &'a SchedulerSettings,
-    /// The moment.
+    /// The time of the round.
     pub(crate) now: Millis,
 }
 
 impl Preemption<'_> {
-    /// Stops runs for the most urgent tasks that have waited too long: as few as free enough capacity
-    /// for them.
+    /// Stops runs for the most urgent tasks that have waited too long. For each task, stops only as
+    /// many runs as are needed to free enough capacity.
     pub(crate) fn run(&mut self, demands: &[Demand<'_>], candidates: Vec<Candidate>) {
         let waiting = self.waiting_too_long(demands);
         if waiting.is_empty() {
             return;
         }
         let mut unclaimed = UnclaimedCapacity::ahead_of_queues(candidates);
-        self.add_soon_free(&mut unclaimed);
+        self.add_soon_freed(&mut unclaimed);
         for demand in waiting {
             let needs = &demand.step.needs;
             if unclaimed.claim(needs, &demand.step.requires) {
@@ -68,14 +64,14 @@
         }
     }
 
-    /// The demands of tasks that may preempt, once for each task.
+    /// The demands of the tasks that may preempt runs. A demand occurs once for each such task.
     fn waiting_too_long<'d, 'a>(&self, demands: &'d [Demand<'a>]) -> Vec<&'d Demand<'a>> {
         demands
             .iter()
             .filter(|demand| {
                 let waited_ms = self.now.since(demand.ready.since);
                 demand.job.priority == URGENT_PRIORITY
-                    && !demand.rank.hopeless
+                    && !demand.rank.expired
                     && waited_ms >= self.settings.preempt_after_ms
             })
             .flat_map(|demand| {
@@ -88,8 +84,9 @@
             .collect()
     }
 
-    /// Adds what is being stopped, and what ends by itself as soon as a stop would take.
-    fn add_soon_free(&self, unclaimed: &mut UnclaimedCapacity) {
+    /// Adds the capacity of runs that are being stopped, and of runs that are expected to end
+    /// within the time that a stop takes.
+    fn add_soon_freed(&self, unclaimed: &mut UnclaimedCapacity) {
         for run in self.runs.iter().filter(|run| !run.ended) {
             if self.estimator.remaining_ms(run) <= self.settings.max_stop_ms {
                 unclaimed.add(&run.server, &run.profile.needs);
@@ -97,7 +94,7 @@
         }
     }
 
-    /// The runs of one server that lose the least work.
+    /// The runs of one server whose preemption loses the least work, over all candidates.
     fn cheapest_victims(
         &self,
         demand: &Demand<'_>,
@@ -115,8 +112,8 @@
             .min_by_key(|victims| (victims.lost_ms, victims.tasks.len()))
     }
 
-    /// The runs on a server that lose the least work, as many as free `needs`; `None` if all of them
-    /// do not.
+    /// The runs on a server whose preemption loses the least work, as many as are needed to free
+    /// `needs`; `None` if all preemptible runs together do not free enough.
     fn victims_on(
         &self,
         candidate: usize,
@@ -148,8 +145,8 @@
         is_enough(&victims.freed).then_some(victims)
     }
 
-    /// Whether a run may be preempted: it continues later from its checkpoint, and would not end by
-    /// itself as soon.
+    /// Whether a run may be preempted: it can continue later from a checkpoint, and would not end
+    /// by itself within the time that a stop takes.
     fn is_preemptible(&self, run: &Run) -> bool {
         run.should_run()
             && run.running_since.is_some()
--- a/crates/scheduler/src/eviction/stalled.rs
+++ b/crates/scheduler/src/eviction/stalled.rs
@@ -1,4 +1,4 @@
-//! Runs that make no progress, or that their server never began.
+//! Detects runs that make no progress, and runs that their server never started.
 
 use crate::estimator::Estimator;
 use crate::runs::run::Run;
@@ -8,56 +8,50 @@
 use lupinrack_cluster_api::identity::{ServerId, TaskId};
 use lupinrack_cluster_api::time::Millis;
 
-/// By this part of its expected duration a run may stand still for longer, in percent.
+/// The part of its expected duration by which the stall timeout of a run is extended, in percent.
 const STALL_PERCENT: u64 = 15;
-/// A start that its server does not list within this time is taken back, in milliseconds.
+/// The maximum time until a server lists a run that it was ordered to start, in milliseconds. After
+/// it the run is stopped.
 const MAX_UNLISTED_MS: u64 = 5_000;
-/// A run is overdue after this many times its expected duration.
+/// A run is overdue after this multiple of its expected duration.
 const OVERDUE_FACTOR: u64 = 2;
 
 /// A run that takes much longer than expected.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct OverdueRun {
-    /// Its task.
     pub(crate) task: TaskId,
-    /// Its server.
     pub(crate) server: ServerId,
-    /// How many times as long as expected it is going to take, by its progress.
+    /// The ratio of its duration, extrapolated from its progress, to its expected duration.
     pub(crate) ratio: f64,
 }
 
 /// A run that makes no progress.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct StalledRun {
-    /// Its task.
     pub(crate) task: TaskId,
-    /// Its server.
     pub(crate) server: ServerId,
-    /// Whether its server has begun it, and is to blame.
-    pub(crate) has_begun: bool,
+    /// Whether its server has started it, so that the stall counts as a fault of the server.
+    pub(crate) was_started: bool,
 }
 
-/// Finds the runs that are late or make no progress.
+/// Finds runs that are overdue and runs that make no progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StallDetector<'a> {
-    /// The servers.
     pub(crate) servers: &'a ServerTable,
-    /// The runs.
     pub(crate) runs: &'a RunTable,
-    /// How long runs are expected to take.
+    /// Estimates of how long runs take.
     pub(crate) estimator: Estimator<'a>,
-    /// The settings.
     pub(crate) settings: &'a SchedulerSettings,
-    /// The moment.
+    /// The time of the round.
     pub(crate) now: Millis,
 }
 
 impl StallDetector<'_> {
-    /// The runs that take much longer than expected and were not counted as such before.
+    /// The runs that take much longer than expected and have not been counted as overdue yet.
     pub(crate) fn overdue(&self) -> Vec<OverdueRun> {
         self.runs
             .iter()
-            .filter(|run| run.shows_duration() && !run.overdue && !run.ended)
+            .filter(|run| run.is_duration_sample() && !run.overdue && !run.ended)
             .filter_map(|run| {
                 Some(OverdueRun {
                     task: run.task,
@@ -68,7 +62,7 @@
             .collect()
     }
 
-    /// The runs that make no progress, although their servers are reachable.
+    /// The runs that make no progress although their servers are reachable.
     pub(crate) fn stalled(&self) -> Vec<StalledRun> {
         self.runs
             .iter()
@@ -76,7 +70,7 @@
             .map(|run| StalledRun {
                 task: run.task,
                 server: run.server.clone(),
-                has_begun: run.running_since.is_some(),
+                was_started: run.running_since.is_some(),
             })
             .collect()
     }
@@ -84,8 +78,8 @@
     fn overdue_ratio(&self, run: &Run) -> Option<f64> {
         let elapsed_ms = self.now.since(run.running_since?);
         let total_ms = self.estimator.total_ms(&run.profile).max(1);
-        let part_done = f64::from(run.percent.clamp(1, 100)) / 100.0;
-        let ratio = elapsed_ms as f64 / (total_ms as f64 * part_done);
+        let fraction_done = f64::from(run.percent.clamp(1, 100)) / 100.0;
+        let ratio = elapsed_ms as f64 / (total_ms as f64 * fraction_done);
         (elapsed_ms > OVERDUE_FACTOR * total_ms).then_some(ratio)
     }
 
@@ -107,8 +101,9 @@
             .is_some_and(|server| server.is_reachable(self.now, timeout_ms))
     }
 
-    /// For how long a run has made no progress, in milliseconds. A member of a gang only works while
-    /// all others are there.
+    /// The time since a run last made progress, in milliseconds. A member of a gang makes progress
+    /// only while all other members run, so for a gang the time counts from the latest start of a
+    /// member.
     fn without_progress_ms(&self, run: &Run) -> u64 {
         let mut since = run.progressed_at;
         if run.profile.gang {
@@ -124,8 +119,8 @@
     }
 
     fn stall_timeout_ms(&self, run: &Run) -> u64 {
-        let expected_ms = self.estimator.near_ms(&run.profile);
-        let part_ms = expected_ms.saturating_mul(STALL_PERCENT) / 100;
-        self.settings.stall_ms + self.settings.restore_ms + part_ms
+        let expected_ms = self.estimator.local_ms(&run.profile);
+        let extension_ms = expected_ms.saturating_mul(STALL_PERCENT) / 100;
+        self.settings.stall_ms + self.settings.restore_ms + extension_ms
     }
 }
--- a/crates/scheduler/src/eviction/unclaimed.rs
+++ b/crates/scheduler/src/eviction/unclaimed.rs
@@ -1,28 +1,27 @@
-//! What is left of the candidates after a pass of placement, to see where runs could move.
+//! The capacity of candidates that remains after a placement pass, used to find servers to which
+//! runs can move.
 
 use crate::placement::candidate::Candidate;
 use crate::resources::{difference, fits, sum};
 use lupinrack_cluster_api::identity::ServerId;
 use lupinrack_cluster_api::job::Resources;
 
-/// A candidate, and the capacity of it that is left.
+/// A candidate and its capacity that has not been claimed.
 #[derive(Clone, Debug)]
 pub(crate) struct UnclaimedCandidate {
-    /// The candidate.
     pub(crate) candidate: Candidate,
-    /// The capacity that is left.
+    /// The capacity that has not been claimed.
     pub(crate) free: Resources,
 }
 
-/// The unclaimed capacity of all candidates, in their order.
+/// The unclaimed capacity of all candidates, in the order of the candidates.
 #[derive(Clone, Debug)]
 pub(crate) struct UnclaimedCapacity {
-    /// The candidates.
     pub(crate) candidates: Vec<UnclaimedCandidate>,
 }
 
 impl UnclaimedCapacity {
-    /// What is free now beside all queued tasks.
+    /// The capacity that is free now minus the needs of all queued tasks.
     pub(crate) fn beside_queues(candidates: &[Candidate]) -> UnclaimedCapacity {
         let unclaimed = |candidate: &Candidate| UnclaimedCandidate {
             candidate: candidate.clone(),
@@ -33,7 +32,7 @@
         }
     }
 
-    /// What is free now, whether or not tasks are queued for it.
+    /// The capacity that is free now, ignoring queued tasks.
     pub(crate) fn ahead_of_queues(candidates: Vec<Candidate>) -> UnclaimedCapacity {
         let unclaimed = |candidate: Candidate| UnclaimedCandidate {
             free: candidate.free,
@@ -44,8 +43,8 @@
         }
     }
 
-    /// Claims capacity on a candidate with this label. Returns whether there was any. Suspected
-    /// servers have none.
+    /// Claims capacity on a candidate with this label that is not suspected. Returns whether one
+    /// had enough capacity.
     pub(crate) fn claim(&mut self, needs: &Resources, requires: &str) -> bool {
         let found = self.candidates.iter_mut().find(|unclaimed| {
             !unclaimed.candidate.suspected
@@ -59,7 +58,7 @@
         true
     }
 
-    /// Adds capacity that is about to be free on a server.
+    /// Adds capacity that will soon be free on a server.
     pub(crate) fn add(&mut self, server: &ServerId, amount: &Resources) {
         let of_server = self
             .candidates
--- a/crates/scheduler/src/heartbeats.rs
+++ b/crates/scheduler/src/heartbeats.rs
@@ -1,14 +1,14 @@
-//! Reading of heartbeats: progress, ends, foreign runs, and acknowledged stops.
+//! Reads heartbeats: progress and ends of runs, unexpected runs, and acknowledged stops.
 
 use crate::history::History;
 use crate::inferred_end::InferredEndReason;
-use crate::jobs::board::JobBoard;
+use crate::jobs::open_jobs::OpenJobs;
 use crate::policy::SchedulingPolicy;
 use crate::recorded::is_assigned;
 use crate::run_id::RunId;
 use crate::run_tracker::RunTracker;
 use crate::runs::run::Run;
-use crate::servers::server::{ForeignRun, HeartbeatOrigin, UnreadHeartbeat};
+use crate::servers::server::{HeartbeatOrigin, UnexpectedRun, UnreadHeartbeat};
 use crate::servers::table::ServerTable;
 use lupinrack_cluster_api::agent::Heartbeat;
 use lupinrack_cluster_api::identity::{ServerId, TaskId};
@@ -18,31 +18,27 @@
 use lupinrack_control_state::ControlState;
 use std::collections::BTreeSet;
 
-/// A list of this many ends may be incomplete: servers list no more at once
-/// (`MAX_LISTED_ENDS` of `lupinrack-worker-agent`).
+/// Servers list at most this many ends in one heartbeat (`MAX_LISTED_ENDS` of
+/// `lupinrack-worker-agent`), so a list of this length may be incomplete.
 const MAX_ENDS_LISTED: usize = 500;
 
-/// Applies what heartbeats report to the owner's state.
+/// Applies the reports in heartbeats to the owner's state.
 #[derive(Debug)]
 pub(crate) struct HeartbeatReader<'a> {
-    /// The replicated state.
     pub(crate) state: &'a ControlState,
-    /// The servers.
     pub(crate) servers: &'a mut ServerTable,
-    /// The runs.
     pub(crate) tracker: &'a mut RunTracker,
-    /// The jobs.
-    pub(crate) jobs: &'a mut JobBoard,
-    /// What was learned from runs.
+    pub(crate) jobs: &'a mut OpenJobs,
+    /// The durations, faults and speeds learned from runs.
     pub(crate) history: &'a mut History,
-    /// What is learned from them.
+    /// The mechanisms that are enabled, among them those that learn.
     pub(crate) policy: SchedulingPolicy,
-    /// The moment.
+    /// The time of the round.
     pub(crate) now: Millis,
 }
 
 impl HeartbeatReader<'_> {
-    /// Reads the newest heartbeat of every server that sent one since the last round.
+    /// Reads the newest heartbeat of each server that has sent one since the last round.
     pub(crate) fn read_all(&mut self) {
         for (server, unread) in self.servers.take_unread() {
             self.read(&server, &unread);
@@ -57,14 +53,14 @@
         for running in &heartbeat.running {
             self.apply_progress(server, running, unread.received_at);
         }
-        self.forget_foreign(server, heartbeat);
+        self.drop_ended_unexpected(server, heartbeat);
         if unread.origin == HeartbeatOrigin::Report {
             self.infer_acknowledged_stops(server, heartbeat);
         }
     }
 
-    /// Takes over a listed end: frees the capacity of its run, and has the end recorded if the
-    /// replicated state waits for it.
+    /// Applies a listed end: frees the capacity of the run, and submits the end if the replicated
+    /// state does not have it yet.
     fn apply_end(&mut self, server: &ServerId, finished: &FinishedTask) {
         let run = RunId::new(finished.task, finished.attempt);
         let Some(entry) = self.servers.get_mut(server) else {
@@ -122,24 +118,25 @@
             .job(run.task.job)
             .and_then(|job| job.step(run.task.step))
             .map_or(entry.facts.capacity, |step| step.needs);
-        entry.foreign.entry(run).or_insert(ForeignRun {
+        entry.unexpected.entry(run).or_insert(UnexpectedRun {
             needs,
             stop_order: None,
         });
     }
 
-    /// Drops foreign runs that are not listed as running any longer.
-    fn forget_foreign(&mut self, server: &ServerId, heartbeat: &Heartbeat) {
+    /// Drops unexpected runs that the server no longer lists as running.
+    fn drop_ended_unexpected(&mut self, server: &ServerId, heartbeat: &Heartbeat) {
         let Some(entry) = self.servers.get_mut(server) else {
             return;
         };
-        if !entry.foreign.is_empty() {
+        if !entry.unexpected.is_empty() {
             let running = running_ids(heartbeat);
-            entry.foreign.retain(|run, _| running.contains(run));
+            entry.unexpected.retain(|run, _| running.contains(run));
         }
     }
 
-    /// A run never begins if the server has acknowledged the order to stop it and does not list it.
+    /// Infers the ends of runs whose stop the server has acknowledged and that it does not list.
+    /// The server will never start such a run.
     fn infer_acknowledged_stops(&mut self, server: &ServerId, heartbeat: &Heartbeat) {
         if heartbeat.finished.len() >= MAX_ENDS_LISTED {
             return;
@@ -152,10 +149,10 @@
             return;
         };
         let is_acknowledged = |run: &&Run| {
-            let is_seen = run.stop_order.is_some_and(|order| {
+            let was_received = run.stop_order.is_some_and(|order| {
                 order.session == session.id && order.number <= heartbeat.orders_seen
             });
-            is_seen && !run.ended
+            was_received && !run.ended
         };
         let mut acknowledged = self
             .tracker
@@ -178,7 +175,7 @@
     }
 }
 
-/// Learns from the duration of a run that ended well, if it shows how long such work takes.
+/// Learns from the duration of a successful run, if the duration is a usable sample.
 fn learn_duration(
     history: &mut History,
     policy: SchedulingPolicy,
@@ -186,7 +183,7 @@
     run: &Run,
     now: Millis,
 ) {
-    let Some(since) = run.running_since.filter(|_| run.shows_duration()) else {
+    let Some(since) = run.running_since.filter(|_| run.is_duration_sample()) else {
         return;
     };
     let queue = &run.profile.queue;
@@ -209,7 +206,7 @@
         .collect()
 }
 
-/// The runs that are listed as running or finished.
+/// The runs that the server lists as running or finished.
 fn listed_ids(heartbeat: &Heartbeat) -> BTreeSet<RunId> {
     let mut listed = running_ids(heartbeat);
     let finished = heartbeat.finished.iter();
--- a/crates/scheduler/src/history.rs
+++ b/crates/scheduler/src/history.rs
@@ -1,4 +1,4 @@
-//! What the owner learned from runs: how long work takes, and which servers fail or are slow.
+//! What the owner has learned from runs: how long work takes, and which servers are faulty or slow.
 
 pub(crate) mod durations;
 pub(crate) mod faults;
@@ -9,19 +9,19 @@
 use crate::history::speeds::SpeedHistory;
 use lupinrack_cluster_api::identity::ServerId;
 
-/// What was learned since this owner took the shard.
+/// What this owner has learned since it took over the shard.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct History {
-    /// How long work takes, by queue.
+    /// The durations of work, by queue.
     pub(crate) durations: DurationModel,
-    /// Faults of servers and tasks.
+    /// The faults of servers and tasks.
     pub(crate) faults: FaultHistory,
-    /// How fast servers are.
+    /// The speeds of servers.
     pub(crate) speeds: SpeedHistory,
 }
 
 impl History {
-    /// Forgets a server.
+    /// Removes the faults and the speed of a server.
     pub(crate) fn forget_server(&mut self, server: &ServerId) {
         self.faults.forget_server(server);
         self.speeds.forget_server(server);
--- a/crates/scheduler/src/history/durations.rs
+++ b/crates/scheduler/src/history/durations.rs
@@ -1,39 +1,39 @@
-//! How long work takes, learned from the runs that ended.
+//! The expected durations of work, learned from runs that have ended.
 //!
-//! The estimates of clients are rough. So the ratio of measured to estimated duration is averaged
-//! for each queue, with exponentially falling weights.
+//! The estimates of clients are rough. So an exponentially weighted moving average (EWMA) of the
+//! ratio of measured to estimated duration is kept for each queue.
 
 use lupinrack_cluster_api::identity::QueueName;
 use std::collections::BTreeMap;
 
 /// The weight of the newest run in the average.
-const NEWEST_WEIGHT: f64 = 0.1;
-/// Bounds on the ratio of one run, so that single runs do not spoil the average.
+const EWMA_WEIGHT: f64 = 0.1;
+/// Bounds on the ratio of one run, so that an outlier does not distort the average.
 const MIN_RATIO: f64 = 0.2;
 const MAX_RATIO: f64 = 6.0;
-/// The largest number of queues that are remembered.
+/// The maximum number of queues with a learned ratio.
 const MAX_QUEUES: usize = 4_096;
 
-/// Learned ratios of measured to estimated duration, by queue.
+/// The learned ratios of measured to estimated duration, by queue.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DurationModel {
     ratios: BTreeMap<QueueName, f64>,
 }
 
 impl DurationModel {
-    /// Learns from a run that ended well. `estimated_ms` is its client's estimate times the factor
-    /// for the distance from its data.
+    /// Learns from a successful run. `estimated_ms` is its client's estimate times the factor for
+    /// the distance to its data.
     pub(crate) fn learn(&mut self, queue: &QueueName, estimated_ms: f64, measured_ms: u64) {
         let is_full = self.ratios.len() >= MAX_QUEUES && !self.ratios.contains_key(queue);
         if estimated_ms < 1.0 || is_full {
             return;
         }
         let ratio = (measured_ms as f64 / estimated_ms).clamp(MIN_RATIO, MAX_RATIO);
-        let average = self.ratios.entry(queue.clone()).or_insert(1.0);
-        *average += NEWEST_WEIGHT * (ratio - *average);
+        let ewma = self.ratios.entry(queue.clone()).or_insert(1.0);
+        *ewma += EWMA_WEIGHT * (ratio - *ewma);
     }
 
-    /// By which factor an estimate of this queue is to be multiplied.
+    /// The factor by which estimates of this queue are multiplied.
     pub(crate) fn ratio(&self, queue: &QueueName) -> f64 {
         self.ratios.get(queue).copied().unwrap_or(1.0)
     }
--- a/crates/scheduler/src/history/faults.rs
+++ b/crates/scheduler/src/history/faults.rs
@@ -1,44 +1,43 @@
-//! Servers that fail or stall what they are given.
+//! Detection of servers on which runs fail or stall.
 //!
-//! A job that fails by its own fault fails everywhere. So a server is suspected only after faults of
-//! several jobs with nothing that ended well in between. A suspected server is on probation: it is
-//! given a single task now and then, and the first one that ends well clears it.
+//! A job with a fault of its own fails on every server. So a server is suspected only after faults
+//! of several jobs without a successful run in between. A suspected server is on probation: it runs
+//! a single task now and then, and the first success clears the suspicion.
 
 use lupinrack_cluster_api::identity::{JobId, ServerId, TaskId};
 use lupinrack_cluster_api::time::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Faults of so many different jobs make a server suspected.
+/// A server is suspected after faults of this many different jobs.
 const JOBS_FOR_SUSPICION: usize = 2;
-/// Older faults no longer count, in milliseconds.
+/// The age after which a fault no longer counts, in milliseconds.
 const MAX_FAULT_AGE_MS: u64 = 30_000;
-/// The largest number of servers that are remembered for one task.
+/// The maximum number of servers that are recorded as faulty for one task.
 const MAX_SERVERS_PER_TASK: usize = 16;
-/// How often the interval between probation tasks doubles at most, once for each that did not end
-/// well.
+/// The interval between probation tasks doubles with each one that does not succeed, at most this
+/// many times.
 const MAX_PROBATION_DOUBLINGS: u32 = 2;
 
-/// What is known of a server's faults.
+/// The faults of one server.
 #[derive(Clone, Debug, Default)]
 struct ServerFaults {
-    /// When each job last had a fault there, since the last run that ended well.
+    /// When each job last had a fault there, since the last successful run.
     jobs: BTreeMap<JobId, Millis>,
-    /// When it was last given a probation task.
+    /// When its last probation task was assigned.
     last_probation: Option<Millis>,
-    /// How many probation tasks it was given since the last run that ended well.
+    /// The number of probation tasks since the last successful run.
     probations: u32,
 }
 
-/// The faults of servers and tasks.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FaultHistory {
     servers: BTreeMap<ServerId, ServerFaults>,
-    /// On which servers each task had a fault since it last ended well.
+    /// The servers on which each task has had a fault since its last success.
     servers_of_task: BTreeMap<TaskId, BTreeSet<ServerId>>,
 }
 
 impl FaultHistory {
-    /// A run failed or stalled.
+    /// Records that a run has failed or stalled.
     pub(crate) fn record_fault(&mut self, server: &ServerId, task: TaskId, now: Millis) {
         let faults = self.servers.entry(server.clone()).or_default();
         faults.jobs.insert(task.job, now);
@@ -48,7 +47,7 @@
         }
     }
 
-    /// A run ended well.
+    /// Records that a run has succeeded.
     pub(crate) fn record_success(&mut self, server: &ServerId, task: TaskId) {
         if let Some(faults) = self.servers.get_mut(server) {
             faults.jobs.clear();
@@ -57,8 +56,8 @@
         self.servers_of_task.remove(&task);
     }
 
-    /// The suspected ones among these servers: never more than half of them, those with faults of the
-    /// most jobs first.
+    /// The suspected servers among `servers`: at most half of them, preferring those with faults of
+    /// the most jobs.
     pub(crate) fn suspects(&self, servers: &[ServerId], now: Millis) -> BTreeSet<ServerId> {
         if self.servers.is_empty() {
             return BTreeSet::new();
@@ -76,8 +75,8 @@
             .collect()
     }
 
-    /// Whether a suspected server may be given a probation task. `interval_ms` is the time between
-    /// the first two.
+    /// Whether a suspected server may run a probation task now. `interval_ms` is the time between
+    /// the first two probation tasks.
     pub(crate) fn is_probation_due(
         &self,
         server: &ServerId,
@@ -94,7 +93,7 @@
             .is_none_or(|at| now.since(at) >= interval_ms)
     }
 
-    /// A suspected server is given a probation task.
+    /// Records that a probation task was assigned to a suspected server.
     pub(crate) fn record_probation(&mut self, server: &ServerId, now: Millis) {
         let faults = self.servers.entry(server.clone()).or_default();
         faults.last_probation = Some(now);
@@ -108,17 +107,17 @@
             .is_some_and(|servers| servers.contains(server))
     }
 
-    /// Forgets a server.
+    /// Removes the faults of a server.
     pub(crate) fn forget_server(&mut self, server: &ServerId) {
         self.servers.remove(server);
     }
 
-    /// Forgets the tasks of a job that is no longer open.
+    /// Removes the faults of the tasks of a job that is no longer open.
     pub(crate) fn forget_job(&mut self, job: JobId) {
         self.servers_of_task.retain(|task, _| task.job != job);
     }
 
-    /// How many jobs had a recent fault on a server.
+    /// The number of jobs that had a recent fault on a server.
     fn faulty_jobs(&self, server: &ServerId, now: Millis) -> usize {
         let Some(faults) = self.servers.get(server) else {
             return 0;
--- a/crates/scheduler/src/incarnations.rs
+++ b/crates/scheduler/src/incarnations.rs
@@ -1,4 +1,4 @@
-//! The ends of server incarnations.
+//! Detects the ends of server incarnations, and removes their state.
 
 use crate::history::History;
 use crate::inferred_end::InferredEndReason;
@@ -9,21 +9,20 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_control_state::ControlState;
 
-/// All that belongs to servers, so that it goes with them.
+/// The state that is kept for servers and removed with them.
 #[derive(Debug)]
 pub(crate) struct Incarnations<'a> {
-    /// The servers.
     pub(crate) servers: &'a mut ServerTable,
-    /// Their runs.
+    /// The runs of the servers.
     pub(crate) tracker: &'a mut RunTracker,
-    /// Their queues.
+    /// The queues of the servers.
     pub(crate) queues: &'a mut TaskQueues,
-    /// What was learned of them.
+    /// What was learned about the servers.
     pub(crate) history: &'a mut History,
 }
 
 impl Incarnations<'_> {
-    /// A server is gone, and with it all that ran there.
+    /// Removes a server that has ended, and infers the ends of its runs.
     pub(crate) fn remove(&mut self, id: &ServerId, reason: InferredEndReason) {
         self.tracker.infer_ends_on(id, reason);
         self.tracker.submissions.remove_binding(id);
@@ -33,8 +32,9 @@
     }
 
     /// Infers the ends of runs on servers whose leases have expired. A server without a session is
-    /// forgotten. The agent of another one may still have starts of before; it is sent all its orders
-    /// anew before it gets another lease.
+    /// removed. If a server still has a session, its agent may have starts from before the expiry,
+    /// so the session is reset: the agent receives its complete orders before it gets another
+    /// lease.
     pub(crate) fn expire_leases(&mut self, now: Millis, timeout_ms: u64) {
         for expired in self.servers.expired(now, timeout_ms) {
             let reason = InferredEndReason::LeaseExpired;
@@ -42,20 +42,21 @@
                 self.remove(&expired.id, reason);
             } else if self.tracker.infer_ends_on(&expired.id, reason) {
                 self.queues.remove_server(&expired.id);
-                self.servers.renew_session(&expired.id);
+                self.servers.reset_session(&expired.id);
             }
         }
     }
 
-    /// Has the agents recorded beside which servers were seen for the first time, and ends the
-    /// incarnations that were there before.
+    /// Submits the bindings between agents and servers that are not recorded yet, and removes
+    /// earlier incarnations of the same agent's server.
     ///
-    /// After a loss of power both the owner and the agents have forgotten which incarnation ran
-    /// where. Without the recorded bindings a new owner would have to wait for the longest lease of
-    /// each old one. Heartbeats may be late, so an incarnation that attaches is not always the latest:
-    /// the replicated state tells which of two was seen first, and only one that was never seen
-    /// before is later than all others.
-    pub(crate) fn follow_bindings(&mut self, state: &ControlState) {
+    /// After a power failure neither the owner nor the agents know which incarnation ran on which
+    /// machine. Without the recorded bindings a new owner would have to wait until the longest
+    /// lease of each old incarnation has expired. Heartbeats can be delayed, so the incarnation
+    /// that attaches last is not always the latest one. The replicated state records which of two
+    /// incarnations was seen first. Only an incarnation that was never seen before is known to be
+    /// later than all others.
+    pub(crate) fn reconcile_bindings(&mut self, state: &ControlState) {
         let unchecked: Vec<(ServerId, PeerAddress)> = self
             .servers
             .attached()
@@ -69,7 +70,7 @@
                 let earlier = bindings.earlier_incarnations(&id);
                 earlier.into_iter().cloned().collect()
             } else {
-                self.servers.others_beside(agent, &id)
+                self.servers.other_incarnations_of(agent, &id)
             };
             for incarnation in earlier {
                 self.remove(&incarnation, InferredEndReason::LaterIncarnation);
--- a/crates/scheduler/src/inferred_end.rs
+++ b/crates/scheduler/src/inferred_end.rs
@@ -1,7 +1,6 @@
-//! Ends of runs that their servers did not report.
+//! Inferred ends: ends of runs that their servers did not report.
 //!
-//! Each such end is a conclusion, and each kind of conclusion has a name and a proof: see
-//! `docs/design/control-safety.md`.
+//! Each reason for such a conclusion has a name and a proof; see `docs/design/control-safety.md`.
 
 use lupinrack_cluster_api::identity::{Attempt, ServerId, TaskId};
 use lupinrack_cluster_api::server::RunEnd;
@@ -26,7 +25,7 @@
 }
 
 impl InferredEndReason {
-    /// How the end is recorded.
+    /// The end that is recorded for a run that is over for this reason.
     pub(crate) fn run_end(self) -> RunEnd {
         match self {
             InferredEndReason::StoppedBeforeNotification | InferredEndReason::StopAcknowledged => {
@@ -44,11 +43,11 @@
 /// The end of a run that its server did not report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InferredEnd {
-    /// The task.
+    /// The task of the run.
     pub task: TaskId,
-    /// The number of the start.
+    /// The attempt number of the run.
     pub attempt: Attempt,
-    /// The server that it was assigned to.
+    /// The server that the run was assigned to.
     pub server: ServerId,
     /// Why the run is over.
     pub reason: InferredEndReason,
--- a/crates/scheduler/src/jobs/board.rs
+++ b/crates/scheduler/src/jobs/open_jobs.rs
@@ -1,4 +1,4 @@
-//! The job board: the plans of all open jobs.
+//! The plans of all open jobs.
 
 use crate::history::durations::DurationModel;
 use crate::jobs::plan::JobPlan;
@@ -8,44 +8,42 @@
 use lupinrack_control_state::{ControlState, JobRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The open jobs of a service, and which jobs changed since the last refresh.
+/// The plans of a service's open jobs, and the jobs that have changed since the last refresh.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct JobBoard {
+pub(crate) struct OpenJobs {
     plans: BTreeMap<JobId, JobPlan>,
     changed: BTreeSet<JobId>,
 }
 
-/// What plans are brought up to date with.
+/// The inputs of a refresh.
 #[derive(Debug)]
-pub(crate) struct BoardUpdate<'a> {
-    /// The replicated state.
+pub(crate) struct JobsRefresh<'a> {
     pub(crate) state: &'a ControlState,
-    /// The service.
     pub(crate) service: &'a ServiceName,
-    /// What all its servers have together.
+    /// The total capacity of the service's servers.
     pub(crate) capacity: Resources,
-    /// How long work takes.
+    /// The expected durations of work.
     pub(crate) durations: &'a DurationModel,
-    /// The moment.
+    /// The time of the round.
     pub(crate) now: Millis,
-    /// The time of day.
+    /// The wall-clock time.
     pub(crate) wall: WallMillis,
 }
 
-impl JobBoard {
-    /// Something of a job has changed: its plan is brought up to date with the next refresh.
+impl OpenJobs {
+    /// Marks a job as changed, so that the next refresh updates its plan.
     pub(crate) fn set_changed(&mut self, job: JobId) {
         self.changed.insert(job);
     }
 
-    /// The plans of the open jobs.
+    /// The plans of the open jobs, by job.
     pub(crate) fn plans(&self) -> impl Iterator<Item = (&JobId, &JobPlan)> {
         self.plans.iter()
     }
 
-    /// Brings the plans of changed jobs up to date, and those that an occurrence has become due of.
-    /// Returns the changed jobs that are not open any longer.
-    pub(crate) fn refresh(&mut self, update: &BoardUpdate<'_>) -> Vec<JobId> {
+    /// Refreshes the plans of changed jobs, and of jobs with an occurrence that has become due.
+    /// Returns the changed jobs that are no longer open.
+    pub(crate) fn refresh(&mut self, update: &JobsRefresh<'_>) -> Vec<JobId> {
         let mut closed = Vec::new();
         for job in std::mem::take(&mut self.changed) {
             if let Some(record) = update.open_job(job) {
@@ -55,11 +53,11 @@
                 closed.push(job);
             }
         }
-        let stale = self
+        let due = self
             .plans
             .iter_mut()
-            .filter(|(_, plan)| plan.is_stale(update.wall));
-        for (job, plan) in stale {
+            .filter(|(_, plan)| plan.has_newly_due_occurrence(update.wall));
+        for (job, plan) in due {
             if let Some(record) = update.state.job(*job) {
                 plan.refresh(record, update.now, update.wall);
             }
@@ -67,7 +65,7 @@
         closed
     }
 
-    fn refresh_plan(&mut self, job: JobId, record: &JobRecord, update: &BoardUpdate<'_>) {
+    fn refresh_plan(&mut self, job: JobId, record: &JobRecord, update: &JobsRefresh<'_>) {
         self.plans
             .entry(job)
             .or_insert_with(|| JobPlan::new(record, &update.capacity, update.durations))
@@ -75,8 +73,8 @@
     }
 }
 
-impl BoardUpdate<'_> {
-    /// The record of a job, if it is an open one of the service.
+impl JobsRefresh<'_> {
+    /// The record of a job, if the job belongs to the service and is open.
     fn open_job(&self, job: JobId) -> Option<&JobRecord> {
         self.state
             .job(job)
--- a/crates/scheduler/src/jobs/plan.rs
+++ b/crates/scheduler/src/jobs/plan.rs
@@ -1,80 +1,83 @@
-//! What is planned for one open job.
+//! The plan of one open job.
 
 use crate::history::durations::DurationModel;
 use crate::jobs::rank::Rank;
 use crate::jobs::ready_step::{ready_steps, ReadyStep};
-use crate::resources::{dominant_share, times};
+use crate::resources::{dominant_share, scaled};
 use lupinrack_cluster_api::job::{Resources, Step};
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_control_state::JobRecord;
 
-/// A step is expected to run in waves, each of which takes this part of the service's capacity.
+/// A step is expected to run in waves. Each wave uses this share of the service's capacity.
 const WAVE_SHARE: f64 = 0.25;
-/// The largest number of occurrences of one job that are considered at once.
+/// The maximum number of occurrences of one job that are considered at once.
 const MAX_OCCURRENCES: u32 = 64;
-/// After this many times its latency target a job has no value any longer.
-const HOPELESS_FACTOR: u64 = 3;
+/// An occurrence expires, and has no value any more, after this multiple of the time allowed for
+/// it.
+const EXPIRY_FACTOR: u64 = 3;
 
-/// An open job: its ready steps, and what their urgency follows from.
+/// The ready steps of an open job, and the data that determine their urgency.
 #[derive(Clone, Debug)]
 pub(crate) struct JobPlan {
-    /// For each step its expected work and the longest chain of work that depends on it, in
+    /// For each step, the expected duration of the longest chain of steps that starts with it, in
     /// milliseconds.
-    tails_ms: Vec<u64>,
-    /// How long an occurrence may take to meet its latency target, in milliseconds.
-    objective_ms: u64,
+    chain_durations_ms: Vec<u64>,
+    /// How long an occurrence may take to meet its latency target, in milliseconds: the longest
+    /// chain times the job's extension, plus the latency target itself.
+    time_allowed_ms: u64,
     priority: u32,
     /// When the job was accepted, in milliseconds since 1970.
     accepted_ms: u64,
     ready: Vec<ReadyStep>,
-    /// All occurrences before this one are done.
-    first_open: u32,
-    /// When the next occurrence is due, in milliseconds since 1970, if one is not due yet.
+    /// The first occurrence that may not be done; all earlier ones are.
+    first_open_occurrence: u32,
+    /// When the next occurrence becomes due, in milliseconds since 1970; `None` if all considered
+    /// occurrences are due.
     next_due_ms: Option<u64>,
 }
 
 impl JobPlan {
-    /// The plan of a job at a service with this capacity in all; nothing is ready before the first
-    /// refresh.
+    /// Creates the plan of a job for a service with this total capacity. No step is ready before
+    /// the first refresh.
     pub(crate) fn new(job: &JobRecord, capacity: &Resources, durations: &DurationModel) -> JobPlan {
         let expected_ms = |step: &Step| {
             durations.expected_ms(&job.queue, step.estimate_ms) * waves(step, capacity)
         };
-        let tails_ms = tails_ms(&job.spec.steps, expected_ms);
-        let longest_chain_ms = tails_ms.iter().copied().max().unwrap_or(0);
-        let allowed_ms = longest_chain_ms.saturating_mul(job.extension_milli) / 1_000;
+        let chain_durations_ms = chain_durations_ms(&job.spec.steps, expected_ms);
+        let longest_chain_ms = chain_durations_ms.iter().copied().max().unwrap_or(0);
+        let allowed_work_ms = longest_chain_ms.saturating_mul(job.extension_milli) / 1_000;
         JobPlan {
-            tails_ms,
-            objective_ms: allowed_ms.saturating_add(job.target_latency_ms),
+            chain_durations_ms,
+            time_allowed_ms: allowed_work_ms.saturating_add(job.target_latency_ms),
             priority: job.priority,
             accepted_ms: job.accepted_at.0,
             ready: Vec::new(),
-            first_open: 0,
+            first_open_occurrence: 0,
             next_due_ms: None,
         }
     }
 
-    /// The priority of its queue; 0 is the most urgent.
+    /// The priority of the job's queue; 0 is the most urgent.
     pub(crate) fn priority(&self) -> u32 {
         self.priority
     }
 
-    /// The steps whose tasks may start.
+    /// The steps with tasks that are ready to start.
     pub(crate) fn ready(&self) -> &[ReadyStep] {
         &self.ready
     }
 
-    /// How urgent a step is.
+    /// The urgency of a step.
     pub(crate) fn rank(&self, job: &JobRecord, ready: &ReadyStep, wall: WallMillis) -> Rank {
         let begin_ms = self.accepted_ms.max(job.due_ms(ready.occurrence));
-        let tail_ms = self.tails_ms.get(ready.step as usize).copied().unwrap_or(0);
+        let chain_ms = self.chain_durations_ms.get(ready.step as usize).copied().unwrap_or(0);
         let latest_start_ms = begin_ms
-            .saturating_add(self.objective_ms)
-            .saturating_sub(tail_ms);
-        let hopeless_ms =
-            begin_ms.saturating_add(self.objective_ms.saturating_mul(HOPELESS_FACTOR));
+            .saturating_add(self.time_allowed_ms)
+            .saturating_sub(chain_ms);
+        let expires_ms =
+            begin_ms.saturating_add(self.time_allowed_ms.saturating_mul(EXPIRY_FACTOR));
         Rank {
-            hopeless: wall.0 > hopeless_ms,
+            expired: wall.0 > expires_ms,
             priority: self.priority,
             late: wall.0 > latest_start_ms,
             latest_start_ms,
@@ -82,58 +85,58 @@
     }
 
     /// Whether an occurrence has become due since the last refresh.
-    pub(crate) fn is_stale(&self, wall: WallMillis) -> bool {
+    pub(crate) fn has_newly_due_occurrence(&self, wall: WallMillis) -> bool {
         self.next_due_ms.is_some_and(|due| wall.0 >= due)
     }
 
-    /// Brings the ready steps up to date.
+    /// Updates the ready steps from the job's record.
     pub(crate) fn refresh(&mut self, job: &JobRecord, now: Millis, wall: WallMillis) {
-        let before = std::mem::take(&mut self.ready);
+        let previous = std::mem::take(&mut self.ready);
         self.next_due_ms = None;
-        self.skip_done(job);
+        self.skip_done_occurrences(job);
         let end = self
-            .first_open
+            .first_open_occurrence
             .saturating_add(MAX_OCCURRENCES)
             .min(job.occurrence_count());
-        for occurrence in self.first_open..end {
+        for occurrence in self.first_open_occurrence..end {
             let due_ms = job.due_ms(occurrence);
             if wall.0 < due_ms {
                 self.next_due_ms = Some(due_ms);
                 break;
             }
             self.ready
-                .extend(ready_steps(job, occurrence, &before, now));
+                .extend(ready_steps(job, occurrence, &previous, now));
         }
     }
 
-    fn skip_done(&mut self, job: &JobRecord) {
-        while job.occurrence_is_done(self.first_open) {
-            self.first_open += 1;
+    fn skip_done_occurrences(&mut self, job: &JobRecord) {
+        while job.occurrence_is_done(self.first_open_occurrence) {
+            self.first_open_occurrence += 1;
         }
     }
 }
 
-/// In how many waves a step is expected to run.
+/// The number of waves in which a step is expected to run.
 fn waves(step: &Step, capacity: &Resources) -> u64 {
-    let share = dominant_share(&times(&step.needs, u64::from(step.count)), capacity);
+    let share = dominant_share(&scaled(&step.needs, u64::from(step.count)), capacity);
     if !share.is_finite() {
         return 1;
     }
     (share / WAVE_SHARE).ceil().max(1.0) as u64
 }
 
-/// For each step its expected work and the longest chain of work that depends on it. Steps depend on
-/// earlier ones only.
-fn tails_ms(steps: &[Step], expected_ms: impl Fn(&Step) -> u64) -> Vec<u64> {
-    let mut behind_ms = vec![0_u64; steps.len()];
-    let mut tails_ms = vec![0_u64; steps.len()];
+/// For each step, the expected duration of the longest chain of steps that starts with it. Steps
+/// depend on earlier steps only, so one backward pass computes all chains.
+fn chain_durations_ms(steps: &[Step], expected_ms: impl Fn(&Step) -> u64) -> Vec<u64> {
+    let mut dependents_ms = vec![0_u64; steps.len()];
+    let mut chain_durations_ms = vec![0_u64; steps.len()];
     for (number, step) in steps.iter().enumerate().rev() {
-        tails_ms[number] = expected_ms(step).saturating_add(behind_ms[number]);
-        for earlier in &step.depends_on {
-            if let Some(longest) = behind_ms.get_mut(*earlier as usize) {
-                *longest = (*longest).max(tails_ms[number]);
+        chain_durations_ms[number] = expected_ms(step).saturating_add(dependents_ms[number]);
+        for dependency in &step.depends_on {
+            if let Some(longest) = dependents_ms.get_mut(*dependency as usize) {
+                *longest = (*longest).max(chain_durations_ms[number]);
             }
         }
     }
-    tails_ms
+    chain_durations_ms
 }
--- a/crates/scheduler/src/jobs/rank.rs
+++ b/crates/scheduler/src/jobs/rank.rs
@@ -1,14 +1,15 @@
-//! How urgent work is.
+//! The urgency of work.
 
-/// The urgency of a step; a smaller rank goes first.
+/// The urgency of a step. Smaller ranks are placed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
-    /// Whether it is so late that it has no value any longer.
-    pub(crate) hopeless: bool,
-    /// The priority of its queue; 0 is the most urgent.
+    /// Whether it is so late that its result has no value any more. Expired steps are placed after
+    /// all others.
+    pub(crate) expired: bool,
+    /// The priority of the job's queue; 0 is the most urgent.
     pub(crate) priority: u32,
-    /// Whether it cannot meet its latency target any longer.
+    /// Whether it can no longer meet its latency target.
     pub(crate) late: bool,
-    /// When it has to start to meet its latency target, in milliseconds since 1970.
+    /// The latest start that meets its latency target, in milliseconds since 1970.
     pub(crate) latest_start_ms: u64,
 }
--- a/crates/scheduler/src/jobs/ready_step.rs
+++ b/crates/scheduler/src/jobs/ready_step.rs
@@ -1,35 +1,35 @@
-//! Steps whose tasks may start.
+//! Steps with tasks that are ready to start.
 
 use lupinrack_cluster_api::job::Step;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_control_state::{JobRecord, Occurrence, TaskRecord, TaskStatus};
 
-/// Tasks of one step that may start and are not assigned.
+/// The tasks of one step that are ready to start and not assigned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ReadyStep {
-    /// The number of the job's occurrence, from 0.
+    /// The index of the job's occurrence, from 0.
     pub(crate) occurrence: u32,
-    /// The number of the step, from 0.
+    /// The index of the step, from 0.
     pub(crate) step: u32,
-    /// Which tasks of the step; for a gang all of them.
+    /// The indices of the waiting tasks; for a gang these are all tasks of the step.
     pub(crate) indices: Vec<u32>,
-    /// Since when some of them have been waiting.
+    /// The time since which tasks of this step have been waiting.
     pub(crate) since: Millis,
 }
 
-/// The steps of one occurrence whose dependencies are done and that have waiting tasks. Steps that
-/// are among `before` keep the moment since when they wait.
+/// The steps of one occurrence whose dependencies are done and that have waiting tasks. A step that
+/// is also in `previous` keeps the time at which it began to wait.
 pub(crate) fn ready_steps(
     job: &JobRecord,
     occurrence: u32,
-    before: &[ReadyStep],
+    previous: &[ReadyStep],
     now: Millis,
 ) -> Vec<ReadyStep> {
     if job.occurrence_is_done(occurrence) {
         return Vec::new();
     }
     let waiting_since = |step: u32| {
-        before
+        previous
             .iter()
             .find(|old| old.occurrence == occurrence && old.step == step)
             .map_or(now, |old| old.since)
@@ -55,14 +55,14 @@
         .collect()
 }
 
-/// Whether all steps that a step depends on are done, by their numbers.
+/// Whether all steps that a step depends on are done. `done` is indexed by step.
 fn dependencies_are_done(step: &Step, done: &[bool]) -> bool {
     step.depends_on
         .iter()
-        .all(|earlier| done.get(*earlier as usize).copied().unwrap_or(true))
+        .all(|dependency| done.get(*dependency as usize).copied().unwrap_or(true))
 }
 
-/// The tasks of a step that wait; all of them before the occurrence has begun.
+/// The indices of a step's waiting tasks. Before the occurrence has a record, all tasks wait.
 fn waiting_tasks(step: &Step, number: u32, occurrence: Option<&Occurrence>) -> Vec<u32> {
     let Some(tasks) = occurrence.and_then(|occurrence| occurrence.steps.get(number as usize))
     else {
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,39 +1,41 @@
 //! Scheduling of the tasks of one service on its servers.
 //!
-//! [`Scheduler`] is what the owner of a service's shard decides: a state machine without I/O, clock or
-//! randomness. Its driver (the core process of `lupinrack-cluster-node`) hands it what the agents of
-//! the servers send ([`Scheduler::receive`]), and each operation that the local replica has applied
-//! ([`Scheduler::applied`]). Now and then it asks for a [`Round`] ([`Scheduler::round`]), and sends on
-//! the operations and messages of that round. Start reading at [`Scheduler::round`].
+//! [`Scheduler`] makes the decisions of the owner of a service's shard. It is a state machine without
+//! I/O, clock or randomness. Its driver is the core process of `lupinrack-cluster-node`. The driver
+//! passes it the messages from the servers' agents ([`Scheduler::receive`]) and each operation that
+//! the local replica has applied ([`Scheduler::applied`]). The driver also requests a [`Round`]
+//! repeatedly ([`Scheduler::round`]), and sends the operations and messages of that round. To read
+//! the code, start at [`Scheduler::round`].
 //!
-//! # How a task runs
+//! # The life cycle of a task
 //!
-//! 1. A task that may start is *placed*: it joins the queue of a server ([`lupinrack_dispatch`]),
-//!    which is chosen by urgency, capacity, labels, distance from the task's data, and what was
-//!    learned of the servers.
-//! 2. It is *released* from the queue, in the order of start tags, when it fits beside all that runs
-//!    there or is being stopped.
-//! 3. Its start is *proposed*: the operation that records it is submitted. From now on the run takes
-//!    capacity.
-//! 4. When the start is *recorded*, the server's agent is ordered to start it.
-//! 5. Its end is recorded, and only then acknowledged to the server.
+//! 1. A ready task is *placed*: it joins the queue of a server ([`lupinrack_dispatch`]). The server is
+//!    chosen by urgency, capacity, labels, distance to the task's data, and the learned speed and
+//!    faults of servers.
+//! 2. The task is *released* from the queue when it fits next to all runs on the server, including
+//!    those that are being stopped. Tasks are released in the order of their start tags.
+//! 3. Its start is *proposed*: the operation that records the start is submitted. From now on the run
+//!    uses capacity.
+//! 4. When the start is *recorded*, the server's agent is ordered to start the run.
+//! 5. The end of the run is recorded. Only after that is it acknowledged to the server.
 //!
-//! A gang skips the queue: it starts on all its servers at once or not at all.
+//! A gang is not queued: it starts on all its servers at once or not at all.
 //!
-//! # Who owns which state
+//! # Ownership of state
 //!
 //! | state | owner |
 //! | --- | --- |
 //! | servers, sessions with their agents, leases, reported ends | `servers::table::ServerTable` |
 //! | runs, pending operations, inferred ends | `run_tracker::RunTracker`, which shares its `runs::table::RunTable` |
-//! | open jobs: which steps may start, and their urgency | `jobs::board::JobBoard` |
+//! | open jobs: their ready steps and urgency | `jobs::open_jobs::OpenJobs` |
 //! | tasks in the queues of servers | `queues::task_queues::TaskQueues` |
 //! | durations, faults and speeds, learned from runs | `history::History` |
-//! | processor that urgent work used lately | `placement::headroom::UrgentUsage` |
+//! | recent resource usage of urgent work | `placement::headroom::UrgentUsage` |
 //!
-//! Each part keeps its own invariants, and is changed through its methods. What works on several of
-//! them borrows them for one round: `heartbeats` takes over what servers report, `placement` decides
-//! on starts, `eviction` on stops, `orders` writes the messages.
+//! Each of these types maintains its own invariants and is modified only through its methods. Modules
+//! that work on several of them borrow them for one round: `heartbeats` applies the reports of
+//! servers, `placement` decides on starts, `eviction` decides on stops, and `orders` writes the
+//! messages.
 
 mod adoption;
 mod agent_order;
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -1,5 +1,5 @@
-//! Messages to agents: what should run, what should not, which ends are recorded, and for how long
-//! the server has a lease.
+//! Messages to agents: which runs to start and stop, which ends are recorded, and how long the
+//! server's lease is.
 
 use crate::agent_order::AgentOrder;
 use crate::estimator::Estimator;
@@ -15,43 +15,41 @@
 use lupinrack_cluster_api::identity::{FencingToken, ServerId};
 use lupinrack_control_state::ControlState;
 
-/// About the largest number of bytes of job texts in one message; further starts go into the next
-/// one.
-const MAX_TEXT_BYTES: usize = 1 << 20;
-/// A lease is renewed when one part of it in this many has passed.
+/// The approximate maximum of bytes of job specs in one message. Further starts go into the next
+/// message.
+const MAX_SPEC_BYTES: usize = 1 << 20;
+/// A lease is renewed after `lease_ms` / this value.
 const RENEWALS_PER_LEASE: u64 = 8;
 
-/// The starts and stops that a server's agent was not ordered in its present session.
+/// The starts and stops that have not been sent to a server's agent in its current session.
 #[derive(Debug, Default)]
 struct PendingOrders {
     assign: Vec<Assignment>,
     stop: Vec<RunId>,
     /// Whether further starts have to wait for the next message.
-    is_cut_short: bool,
+    is_truncated: bool,
 }
 
 /// Writes the messages of one round.
 #[derive(Debug)]
 pub(crate) struct OrderWriter<'a> {
-    /// The replicated state.
     pub(crate) state: &'a ControlState,
-    /// The settings.
     pub(crate) settings: &'a SchedulerSettings,
-    /// The token of the owner.
+    /// The fencing token of the owner.
     pub(crate) token: FencingToken,
-    /// The servers.
     pub(crate) servers: &'a mut ServerTable,
-    /// What should run on them.
+    /// The runs of the servers.
     pub(crate) runs: &'a mut RunTable,
-    /// When runs are expected to end.
+    /// Estimates of when runs end.
     pub(crate) estimator: Estimator<'a>,
 }
 
 impl OrderWriter<'_> {
-    /// The messages that are due now. They count as sent.
+    /// The messages that are due now. They are recorded as sent.
     ///
-    /// Only servers are looked at of which something has changed. What depends on time alone, the
-    /// renewal of a lease and the interval of heartbeats, is looked at with each report of the agent.
+    /// Checks only servers that have changed since their last check. The conditions that depend on
+    /// time alone, the renewal of the lease and the heartbeat interval, are checked with each
+    /// report of the agent.
     pub(crate) fn write_all(&mut self) -> Vec<AgentOrder> {
         let runs = &mut *self.runs;
         let changed: Vec<ServerId> = self
@@ -70,7 +68,7 @@
         let server = self.servers.get(id)?;
         let session = server.session.clone()?;
         let changes = self.changes(id, server, &session);
-        let is_cut_short = changes.is_cut_short;
+        let is_truncated = changes.is_truncated;
         let heartbeat_after_ms = self.heartbeat_after_ms(id, server);
         let recorded_ends = server.ends.recorded_up_to();
         let has_changes = !changes.assign.is_empty()
@@ -78,7 +76,7 @@
             || recorded_ends > session.acknowledged_ends
             || heartbeat_after_ms < session.heartbeat_after_ms;
         let renew_after_ms = self.settings.lease_ms / RENEWALS_PER_LEASE;
-        if !has_changes && !session.is_renewal_due(renew_after_ms) {
+        if !has_changes && !session.is_lease_renewal_due(renew_after_ms) {
             self.servers.set_orders_written(id);
             return None;
         }
@@ -100,36 +98,37 @@
             },
         };
         self.record_sent(id, &session, &order.message);
-        if !is_cut_short {
+        if !is_truncated {
             self.servers.set_orders_written(id);
         }
         Some(order)
     }
 
-    /// The starts and stops that were not ordered in this session yet.
+    /// The starts and stops that have not been sent in this session.
     fn changes(&self, id: &ServerId, server: &Server, session: &Session) -> PendingOrders {
         let mut changes = PendingOrders::default();
-        let mut text_bytes = 0;
+        let mut spec_bytes = 0;
         let is_draining = server.draining_since.is_some();
-        // An agent that was restarted does not know that its server is draining.
+        // A restarted agent does not know that its server is draining, so it is not sent new
+        // starts.
         let may_start = |run: &Run| !is_draining || run.running_since.is_some();
         for run in self.runs.of_server(id) {
-            let is_full = text_bytes >= MAX_TEXT_BYTES;
-            changes.is_cut_short |= is_full && needs_start(run, session);
+            let is_full = spec_bytes >= MAX_SPEC_BYTES;
+            changes.is_truncated |= is_full && needs_start(run, session);
             if needs_start(run, session) && may_start(run) && !is_full {
                 if let Some(assignment) = assignment(self.state, run) {
-                    text_bytes += assignment.spec.len();
+                    spec_bytes += assignment.spec.len();
                     changes.assign.push(assignment);
                 }
             } else if needs_stop(run, session) {
                 changes.stop.push(run.id());
             }
         }
-        let foreign = server
-            .foreign
+        let unexpected = server
+            .unexpected
             .iter()
             .filter(|(_, run)| !session.contains(run.stop_order));
-        changes.stop.extend(foreign.map(|(run, _)| *run));
+        changes.stop.extend(unexpected.map(|(run, _)| *run));
         changes
     }
 
@@ -156,8 +155,8 @@
         }
     }
 
-    /// After which time the server should send its next heartbeat, in milliseconds: soon while
-    /// something starts or ends there, or is about to end.
+    /// The delay until the server's next heartbeat, in milliseconds. It is short while a run is
+    /// starting or ending there, or is about to end.
     fn heartbeat_after_ms(&self, id: &ServerId, server: &Server) -> u64 {
         let changes_soon = |run: &Run| {
             run.running_since.is_none()
@@ -180,11 +179,12 @@
 fn needs_stop(run: &Run, session: &Session) -> bool {
     run.is_open()
         && run.stop.is_some()
-        && run.server_may_know()
+        && run.may_be_known_to_server()
         && !session.contains(run.stop_order)
 }
 
-/// The order to start a run; `None` if the replicated state does not ask for it any longer.
+/// The order to start a run; `None` if the replicated state no longer assigns the run to this
+/// server.
 fn assignment(state: &ControlState, run: &Run) -> Option<Assignment> {
     let job = state.job(run.task.job).filter(|job| job.is_open())?;
     if !is_assigned(state, &run.server, run.id()) {
--- a/crates/scheduler/src/overview.rs
+++ b/crates/scheduler/src/overview.rs
@@ -1,4 +1,4 @@
-//! What the owner knows of the servers and their work, to be read.
+//! A read-only overview of the servers and their work.
 
 use crate::history::History;
 use crate::queues::task_queues::TaskQueues;
@@ -11,27 +11,25 @@
 use lupinrack_cluster_api::job::Resources;
 use lupinrack_cluster_api::time::Millis;
 
-/// The servers, what runs and waits there, and what was learned of them, at one moment.
+/// The servers, their runs and queues, and what was learned from runs, at one point in time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Overview<'a> {
-    /// The servers.
     pub(crate) servers: &'a ServerTable,
-    /// What runs on them.
+    /// The runs on the servers.
     pub(crate) runs: &'a RunTable,
-    /// What is queued for them.
+    /// The tasks in the queues of the servers.
     pub(crate) queues: &'a TaskQueues,
-    /// What was learned from runs.
+    /// The durations, faults and speeds learned from runs.
     pub(crate) history: &'a History,
-    /// The settings.
     pub(crate) settings: &'a SchedulerSettings,
-    /// The moment.
+    /// The time of the overview.
     pub(crate) now: Millis,
 }
 
 impl Overview<'_> {
-    /// What no run takes of a server.
+    /// The capacity of a server that no run uses.
     pub(crate) fn free(&self, id: &ServerId, server: &Server) -> Resources {
-        let taken = sum(&self.runs.used(id), &server.foreign_usage());
-        difference(&server.facts.capacity, &taken)
+        let in_use = sum(&self.runs.used(id), &server.unexpected_usage());
+        difference(&server.facts.capacity, &in_use)
     }
 }
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -1,9 +1,9 @@
-//! Placement: which server is to run which task, in the order of urgency.
+//! Placement: assigns tasks to servers, most urgent tasks first.
 //!
-//! A pass over the [demands](demand::Demand) ([`pass::run`]) works on a [`planner::Planner`], which
-//! holds the [candidates](candidate::Candidate): the servers that may be given work, with what is
-//! left of them. Single tasks join the queue of a server and are released from there; gangs start at
-//! once or not at all.
+//! A placement pass ([`pass::run`]) goes over the [demands](demand::Demand) and keeps its state in
+//! a [`planner::Planner`]. The planner has the [candidates](candidate::Candidate): the servers that
+//! accept new work, with their remaining capacity. A single task joins the queue of a server and is
+//! released from there. A gang starts all its tasks at once or none of them.
 
 pub(crate) mod candidate;
 pub(crate) mod candidates;
--- a/crates/scheduler/src/placement/candidate.rs
+++ b/crates/scheduler/src/placement/candidate.rs
@@ -1,4 +1,4 @@
-//! A server as a round of placement sees it.
+//! A server as seen by one placement pass.
 
 use crate::placement::reservation::Reservation;
 use crate::queues::task_queues::QueuedTask;
@@ -11,21 +11,19 @@
 use std::cell::OnceCell;
 use std::sync::Arc;
 
-/// Capacity of a server that will be free.
+/// Capacity of a server that is expected to become free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FreedCapacity {
-    /// When.
+    /// When it becomes free.
     pub(crate) at: Millis,
-    /// How much.
+    /// The amount that becomes free.
     pub(crate) amount: Resources,
 }
 
-/// What a task in a server's queue needs.
+/// The priority and resource needs of a task in a server's queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct QueuedNeeds {
-    /// The priority of the task.
     pub(crate) priority: u32,
-    /// What it needs.
     pub(crate) needs: Resources,
 }
 
@@ -38,66 +36,67 @@
     }
 }
 
-/// What would be left of a server, in parts of its capacity.
+/// The capacity that would remain free on a server, as fractions of its total capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Leftover {
-    /// The sum of the free parts of all resources.
+    /// The sum of the free fractions of all resources.
     pub(crate) total: f64,
-    /// By how much the free parts of processor and memory differ.
+    /// The difference between the free fractions of processor and memory.
     pub(crate) imbalance: f64,
 }
 
-/// A server that may be given work.
+/// A server that accepts new work.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
-    /// Its identity.
+    /// The identity of the server.
     pub(crate) server: ServerId,
-    /// What it reports of itself.
+    /// The facts that the server reports about itself.
     pub(crate) facts: Arc<ServerFacts>,
-    /// What is neither used nor given away in this round.
+    /// The capacity that is neither used by runs nor allocated in this round.
     pub(crate) free: Resources,
-    /// What the tasks in its queue need.
+    /// The needs of the tasks in its queue.
     pub(crate) queued: Vec<QueuedNeeds>,
-    /// How many runs it has.
+    /// The number of its runs.
     pub(crate) running: usize,
-    /// Whether it is suspected of failing what it is given.
+    /// Whether it is suspected of causing its tasks to fail.
     pub(crate) suspected: bool,
-    /// How many times as long as expected work takes on it; 1 unless it counts as slow.
+    /// The ratio of actual to expected duration of work on this server; 1 unless the server counts
+    /// as slow.
     pub(crate) slowdown: f64,
-    /// When its runs are expected to free capacity, soonest first; filled when placement first asks
-    /// ([`Planner::freed`](crate::placement::planner::Planner::freed)).
+    /// When its runs are expected to free capacity, soonest first. Computed on first use by
+    /// [`Planner::freed`](crate::placement::planner::Planner::freed).
     pub(crate) freed: OnceCell<Vec<FreedCapacity>>,
-    /// What is reserved of it.
+    /// The capacity that is reserved on it.
     pub(crate) reservation: Option<Reservation>,
 }
 
 impl Candidate {
-    /// Whether it has this label; every server has the empty one.
+    /// Whether the server has this label. Every server has the empty label.
     pub(crate) fn has_label(&self, label: &str) -> bool {
-        label.is_empty() || self.facts.labels.iter().any(|own| own == label)
+        label.is_empty() || self.facts.labels.iter().any(|existing| existing == label)
     }
 
-    /// The label of its rack; empty where it has none.
+    /// The label of its rack; empty if it has none.
     pub(crate) fn rack(&self) -> &str {
         rack_of(&self.facts)
     }
 
-    /// Whether it could hold a task with these needs if nothing else ran there.
+    /// Whether a task with these needs fits on the server when it is otherwise empty.
     pub(crate) fn could_fit(&self, needs: &Resources) -> bool {
         fits(needs, &self.facts.capacity)
     }
 
-    /// What is free beside queued tasks of the same or a more urgent priority.
+    /// The free capacity minus the needs of queued tasks of the same or a more urgent priority.
     pub(crate) fn free_for(&self, priority: u32) -> Resources {
         self.free_beside(|queued| queued.priority <= priority)
     }
 
-    /// What is free beside queued tasks of more urgent priorities.
+    /// The free capacity minus the needs of queued tasks of more urgent priorities.
     pub(crate) fn free_beside_more_urgent(&self, priority: u32) -> Resources {
         self.free_beside(|queued| queued.priority < priority)
     }
 
-    /// Which part of its capacity its queue would need with `more`.
+    /// The share of its capacity that its queued tasks and `more` need together.
     pub(crate) fn queued_share(&self, more: &Resources) -> f64 {
         let total = self
             .queued
@@ -106,8 +105,9 @@
         dominant_share(&total, &self.facts.capacity)
     }
 
-    /// Whether work of this priority that ends at `ends_at` may take `needs` in spite of what is
-    /// reserved.
+    /// Whether work of this priority that ends at `ends_at` may use `needs` despite the
+    /// reservation: it is more urgent than the reserved work, ends before that work starts, or fits
+    /// next to it.
     pub(crate) fn admits(&self, priority: u32, needs: &Resources, ends_at: Millis) -> bool {
         self.reservation.as_ref().is_none_or(|reserved| {
             let fits_beside = fits(&sum(needs, &reserved.needs), &self.free);
@@ -115,20 +115,21 @@
         })
     }
 
-    /// What would be left of it with `needs` taken, beside its whole queue.
+    /// The capacity that would remain free after allocating `needs` and the needs of all its queued
+    /// tasks.
     pub(crate) fn leftover(&self, needs: &Resources) -> Leftover {
         let free = difference(&self.free_beside(|_| true), needs);
         let capacity = &self.facts.capacity;
-        let cpu = part(free.cpu, capacity.cpu);
-        let memory = part(free.memory_mb, capacity.memory_mb);
-        let gpu = part(free.gpu, capacity.gpu);
+        let cpu = fraction(free.cpu, capacity.cpu);
+        let memory = fraction(free.memory_mb, capacity.memory_mb);
+        let gpu = fraction(free.gpu, capacity.gpu);
         Leftover {
             total: cpu + memory + gpu,
             imbalance: (cpu - memory).abs(),
         }
     }
 
-    /// Reserves capacity, beside what is reserved already.
+    /// Reserves capacity in addition to an existing reservation.
     pub(crate) fn reserve(&mut self, more: Reservation) {
         let merged = self
             .reservation
@@ -144,7 +145,7 @@
     }
 }
 
-fn part(amount: u64, capacity: u64) -> f64 {
+fn fraction(amount: u64, capacity: u64) -> f64 {
     if capacity == 0 {
         0.0
     } else {
--- a/crates/scheduler/src/placement/candidates.rs
+++ b/crates/scheduler/src/placement/candidates.rs
@@ -1,4 +1,4 @@
-//! The candidates of a round.
+//! Collects the candidates of a round.
 
 use crate::overview::Overview;
 use crate::placement::candidate::{Candidate, QueuedNeeds};
@@ -7,7 +7,7 @@
 use std::cell::OnceCell;
 use std::collections::BTreeSet;
 
-/// All servers that may be given work now, in the order of their identities.
+/// All servers that accept new work now, ordered by identity.
 pub(crate) fn candidates(overview: &Overview<'_>) -> Vec<Candidate> {
     let schedulable = || {
         let timeout_ms = overview.settings.heartbeat_timeout_ms;
@@ -40,7 +40,7 @@
             .of_server(id)
             .map(QueuedNeeds::from)
             .collect(),
-        running: overview.runs.open_count(id) + server.foreign.len(),
+        running: overview.runs.open_count(id) + server.unexpected.len(),
         suspected: suspects.contains(id),
         slowdown: speeds.slowdown(id, overview.now),
         freed: OnceCell::new(),
--- a/crates/scheduler/src/placement/demand.rs
+++ b/crates/scheduler/src/placement/demand.rs
@@ -1,8 +1,8 @@
-//! What is to be placed.
+//! Demands: the steps whose tasks are to be placed.
 
 use crate::estimator::NEVER_MS;
 use crate::history::durations::DurationModel;
-use crate::jobs::board::JobBoard;
+use crate::jobs::open_jobs::OpenJobs;
 use crate::jobs::rank::Rank;
 use crate::jobs::ready_step::ReadyStep;
 use crate::queues::weights::StreamWeights;
@@ -13,25 +13,23 @@
 use lupinrack_control_state::{ControlState, JobRecord};
 use std::collections::BTreeSet;
 
-/// A step whose tasks may start, with its job.
+/// A step with tasks that are ready to start, and its job.
 #[derive(Clone, Debug)]
 pub(crate) struct Demand<'a> {
-    /// The job.
     pub(crate) id: JobId,
-    /// Its record.
+    /// The replicated record of the job.
     pub(crate) job: &'a JobRecord,
-    /// The step.
     pub(crate) step: &'a Step,
-    /// Which of its tasks wait.
+    /// Which of its tasks are waiting.
     pub(crate) ready: &'a ReadyStep,
-    /// How urgent it is.
+    /// The urgency of the step.
     pub(crate) rank: Rank,
-    /// How long a task is expected to take near its data, in milliseconds.
+    /// The expected duration of a task on a server near its data, in milliseconds.
     pub(crate) expected_ms: u64,
 }
 
 impl Demand<'_> {
-    /// A task of the step.
+    /// The identity of one task of the step.
     pub(crate) fn task(&self, index: u32) -> TaskId {
         TaskId {
             job: self.id,
@@ -41,32 +39,32 @@
         }
     }
 
-    /// The waiting tasks.
+    /// The identities of the waiting tasks.
     pub(crate) fn tasks(&self) -> impl Iterator<Item = TaskId> + use<'_> {
         self.ready.indices.iter().map(|index| self.task(*index))
     }
 
-    /// How long a task is expected to take capacity where it takes `factor` times as long as near its
-    /// data, in milliseconds.
-    pub(crate) fn work_ms(&self, factor: f64) -> u64 {
+    /// For how long a task is expected to use capacity, in milliseconds, on a server where it takes
+    /// `duration_factor` times as long as near its data.
+    pub(crate) fn work_ms(&self, duration_factor: f64) -> u64 {
         if self.step.long_running {
             NEVER_MS
         } else {
-            (self.expected_ms as f64 * factor) as u64
+            (self.expected_ms as f64 * duration_factor) as u64
         }
     }
 
-    /// What the run of a task would be where it takes `distance_factor` times as long as near its
-    /// data.
+    /// The profile of a task's run on a server where it takes `distance_factor` times as long as
+    /// near its data.
     pub(crate) fn profile(&self, distance_factor: f64) -> RunProfile {
         RunProfile::new(self.job, self.step, distance_factor)
     }
 }
 
-/// All steps whose tasks may start, most urgent first.
+/// All steps with tasks that are ready to start, most urgent first.
 pub(crate) fn demands<'a>(
     state: &'a ControlState,
-    jobs: &'a JobBoard,
+    jobs: &'a OpenJobs,
     durations: &DurationModel,
     wall: WallMillis,
 ) -> Vec<Demand<'a>> {
@@ -101,7 +99,7 @@
     demands
 }
 
-/// The weights of the queues that these demands come from.
+/// The dispatcher weights of the queues that these demands belong to.
 pub(crate) fn stream_weights(demands: &[Demand<'_>]) -> StreamWeights {
     let queues: BTreeSet<(&QueueName, u32)> = demands
         .iter()
--- a/crates/scheduler/src/placement/earliest_fit.rs
+++ b/crates/scheduler/src/placement/earliest_fit.rs
@@ -1,51 +1,50 @@
-//! When several tasks could start together, and where.
+//! Finds the earliest time at which several tasks can start together, and on which servers.
 
 use crate::placement::candidate::{Candidate, FreedCapacity};
-use crate::resources::{copies, sum};
+use crate::resources::{fitting_count, sum};
 use lupinrack_cluster_api::job::Resources;
 use lupinrack_cluster_api::time::Millis;
 use std::cmp::Reverse;
 
-/// Tasks that are to start together.
+/// Tasks that have to start together.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TaskGroup {
-    /// What each task needs.
+    /// The needs of each task.
     pub(crate) needs: Resources,
-    /// How many tasks.
+    /// The number of tasks.
     pub(crate) count: u64,
-    /// Their priority.
+    /// The priority of the tasks.
     pub(crate) priority: u32,
 }
 
-/// How many tasks a candidate takes.
+/// The number of tasks allocated to a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Allotment {
-    /// The candidate, by its index in the round.
+pub(crate) struct Allocation {
+    /// The index of the candidate in the round.
     pub(crate) candidate: usize,
-    /// How many tasks.
+    /// The number of tasks.
     pub(crate) count: u64,
 }
 
-/// The soonest that candidates have capacity for a group of tasks.
+/// The earliest time at which candidates have capacity for a group of tasks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct EarliestFit {
-    /// When.
+    /// When the capacity is available.
     pub(crate) at: Millis,
-    /// How the tasks are then spread over the candidates.
-    pub(crate) allotments: Vec<Allotment>,
+    /// How the tasks are distributed over the candidates at that time.
+    pub(crate) allocations: Vec<Allocation>,
 }
 
-/// The capacity that candidates have, and will have.
+/// The free capacity of candidates, now and in the future.
 pub(crate) struct CapacitySupply<'a, F> {
-    /// All candidates of the round.
     pub(crate) candidates: &'a [Candidate],
-    /// The indices of those that are looked at.
+    /// The indices of the candidates to consider.
     pub(crate) chosen: &'a [usize],
-    /// When the runs of a candidate free capacity, soonest first, by the index of the candidate.
+    /// Returns when the runs of a candidate free capacity, soonest first, by the candidate's index.
     pub(crate) freed: F,
 }
 
-/// Capacity that a chosen candidate will have, by its position among the chosen.
+/// Capacity that becomes free on the candidate at this position in `chosen`.
 #[derive(Clone, Copy, Debug)]
 struct FreedEvent {
     at: Millis,
@@ -53,19 +52,20 @@
     amount: Resources,
 }
 
-/// The soonest that the chosen candidates have capacity for all tasks of the group at once; none
-/// where that cannot be foreseen. `max_on` is how many of the tasks a candidate may hold.
+/// The earliest time at which the chosen candidates have capacity for all tasks of the group at
+/// once; `None` if the known ends of runs do not free enough. `max_tasks_on` limits the number of
+/// tasks of the group on each candidate.
 pub(crate) fn earliest_fit<'a, F: Fn(usize) -> &'a [FreedCapacity]>(
     supply: &CapacitySupply<'a, F>,
     group: &TaskGroup,
-    max_on: impl Fn(usize) -> u64,
+    max_tasks_on: impl Fn(usize) -> u64,
     now: Millis,
 ) -> Option<EarliestFit> {
     let CapacitySupply {
         candidates, chosen, ..
     } = *supply;
     let count_in =
-        |position: usize, free: &Resources| copies(&group.needs, free, max_on(chosen[position]));
+        |position: usize, free: &Resources| fitting_count(&group.needs, free, max_tasks_on(chosen[position]));
     let mut free: Vec<Resources> = chosen
         .iter()
         .map(|candidate| candidates[*candidate].free_for(group.priority))
@@ -91,11 +91,11 @@
     }
     Some(EarliestFit {
         at,
-        allotments: allot(chosen, &counts, group.count),
+        allocations: allocate(chosen, &counts, group.count),
     })
 }
 
-/// When capacity of the chosen candidates is freed, soonest first.
+/// The times at which capacity of the chosen candidates becomes free, soonest first.
 fn freed_in_order<'a, F: Fn(usize) -> &'a [FreedCapacity]>(
     supply: &CapacitySupply<'a, F>,
 ) -> Vec<FreedEvent> {
@@ -112,22 +112,22 @@
     events
 }
 
-/// Spreads tasks so that few candidates are used: those that can hold most come first.
-fn allot(chosen: &[usize], counts: &[u64], wanted: u64) -> Vec<Allotment> {
-    let mut allotments: Vec<Allotment> = chosen
+/// Distributes tasks over few candidates: those with capacity for the most tasks are filled first.
+fn allocate(chosen: &[usize], counts: &[u64], wanted: u64) -> Vec<Allocation> {
+    let mut allocations: Vec<Allocation> = chosen
         .iter()
         .zip(counts)
-        .map(|(candidate, count)| Allotment {
+        .map(|(candidate, count)| Allocation {
             candidate: *candidate,
             count: *count,
         })
         .collect();
-    allotments.sort_by_key(|allotment| (Reverse(allotment.count), allotment.candidate));
+    allocations.sort_by_key(|allocation| (Reverse(allocation.count), allocation.candidate));
     let mut remaining = wanted;
-    for allotment in &mut allotments {
-        allotment.count = allotment.count.min(remaining);
-        remaining -= allotment.count;
+    for allocation in &mut allocations {
+        allocation.count = allocation.count.min(remaining);
+        remaining -= allocation.count;
     }
-    allotments.retain(|allotment| allotment.count > 0);
-    allotments
+    allocations.retain(|allocation| allocation.count > 0);
+    allocations
 }
--- a/crates/scheduler/src/placement/gang.rs
+++ b/crates/scheduler/src/placement/gang.rs
@@ -1,9 +1,9 @@
-//! Gangs: steps whose tasks start all at once or not at all.
+//! Placement of gangs: all tasks of a gang start at once or none of them does.
 
 use crate::placement::demand::Demand;
 use crate::placement::planner::{CandidateSet, Forecast, Planner};
 use crate::recorded::task_record;
-use crate::resources::copies;
+use crate::resources::fitting_count;
 use lupinrack_cluster_api::identity::{Attempt, TaskId};
 use lupinrack_cluster_api::operation::StartRecord;
 use std::collections::BTreeMap;
@@ -15,15 +15,15 @@
     tasks: Vec<TaskId>,
 }
 
-/// What all members of a gang start with.
+/// The start parameters that all members of a gang share.
 struct GangStart {
     attempt: Attempt,
-    /// Empty for none.
+    /// The checkpoint that the members continue from; empty for none.
     checkpoint: String,
 }
 
 impl<'p, 'a> GangPlacement<'p, 'a> {
-    /// The placement of the gang of this demand.
+    /// Prepares the placement of this demand's gang.
     pub(crate) fn new(planner: &'p mut Planner<'a>, demand: &'p Demand<'p>) -> Self {
         let tasks = demand.tasks().collect();
         GangPlacement {
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Starts the gang where it would be done soonest, if it can start there now. Otherwise reserves
-    /// capacity for it there.
+    /// Starts the gang on the candidates where it would finish first, if it can start there now.
+    /// Otherwise reserves capacity there.
     pub(crate) fn run(&mut self) {
         if self
             .tasks
@@ -48,7 +48,7 @@
             .candidate_sets()
             .iter()
             .filter_map(|set| self.planner.forecast(self.demand, set, count))
-            .min_by_key(|forecast| (forecast.done_at, forecast.allotments.len()));
+            .min_by_key(|forecast| (forecast.done_at, forecast.allocations.len()));
         match soonest {
             Some(forecast) if forecast.starts_at <= self.planner.now => self.start(&forecast),
             Some(forecast) => self.planner.reserve(self.demand, &forecast),
@@ -56,8 +56,9 @@
         }
     }
 
-    /// Where the gang may run: in each rack where it should not be spread, and on all candidates
-    /// together; near its data, and anywhere.
+    /// The sets of candidates on which the gang could run. A gang that prefers one rack may use
+    /// each rack or all racks together; other gangs may use the candidates near their data or all
+    /// candidates.
     fn candidate_sets(&self) -> Vec<CandidateSet> {
         let reliable = self.reliable();
         let mut sets = if self.demand.step.same_rack {
@@ -66,15 +67,15 @@
             self.sets_by_distance(reliable)
         };
         for set in &mut sets {
-            if !self.is_near(&set.members) {
-                set.factor *= self.planner.settings.remote_factor;
+            if !self.is_local(&set.members) {
+                set.duration_factor *= self.planner.settings.remote_factor;
             }
         }
         sets.retain(|set| self.could_fit(&set.members));
         sets
     }
 
-    /// Each rack, and all racks together, over which the gang is slower.
+    /// One set for each rack, and one for all racks together, where the gang is slower.
     fn sets_by_rack(&self, members: Vec<usize>) -> Vec<CandidateSet> {
         let mut racks: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
         for index in &members {
@@ -90,40 +91,40 @@
             .into_values()
             .map(|members| CandidateSet {
                 members,
-                factor: 1.0,
+                duration_factor: 1.0,
             })
             .collect();
         sets.push(CandidateSet {
             members,
-            factor: spread_factor,
+            duration_factor: spread_factor,
         });
         sets
     }
 
-    /// The candidates near the gang's data, and all of them.
+    /// One set with the candidates near the gang's data, and one with all candidates.
     fn sets_by_distance(&self, members: Vec<usize>) -> Vec<CandidateSet> {
         let near = members
             .iter()
             .copied()
-            .filter(|index| self.is_near(&[*index]))
+            .filter(|index| self.is_local(&[*index]))
             .collect();
         [near, members]
             .map(|members| CandidateSet {
                 members,
-                factor: 1.0,
+                duration_factor: 1.0,
             })
             .into()
     }
 
     /// Whether all these candidates are near the gang's data.
-    fn is_near(&self, members: &[usize]) -> bool {
+    fn is_local(&self, members: &[usize]) -> bool {
         members
             .iter()
             .all(|index| self.planner.candidates[*index].has_label(&self.demand.step.affinity))
     }
 
-    /// The eligible candidates without slow ones and those on which a member has failed, if the
-    /// others could hold the gang; otherwise all eligible ones.
+    /// The eligible candidates that are not slow and on which no member has failed or stalled, if
+    /// the gang fits on them. Otherwise all eligible candidates.
     fn reliable(&self) -> Vec<usize> {
         let eligible = self.planner.eligible(self.demand);
         let reliable: Vec<usize> = eligible
@@ -147,19 +148,19 @@
         !has_faulted && candidate.slowdown <= 1.0
     }
 
-    /// Whether these candidates could hold the gang if nothing else ran on them.
+    /// Whether the gang fits on these candidates when they are otherwise empty.
     fn could_fit(&self, members: &[usize]) -> bool {
         let count = self.tasks.len() as u64;
         let max_on_one = match self.demand.step.anti_affinity {
             0 => count,
             max_on_one => u64::from(max_on_one),
         };
-        let held: u64 = members
+        let fitting: u64 = members
             .iter()
             .map(|index| &self.planner.candidates[*index].facts.capacity)
-            .map(|capacity| copies(&self.demand.step.needs, capacity, max_on_one))
+            .map(|capacity| fitting_count(&self.demand.step.needs, capacity, max_on_one))
             .sum();
-        held >= count
+        fitting >= count
     }
 
     fn start(&mut self, forecast: &Forecast) {
@@ -168,18 +169,19 @@
             checkpoint,
         } = self.next_start();
         let candidates = forecast
-            .allotments
+            .allocations
             .iter()
-            .flat_map(|allotment| (0..allotment.count).map(|_| allotment.candidate));
+            .flat_map(|allocation| (0..allocation.count).map(|_| allocation.candidate));
         let planner = &mut *self.planner;
         let mut starts = Vec::with_capacity(self.tasks.len());
         for (task, candidate) in self.tasks.iter().copied().zip(candidates) {
-            let profile = self.demand.profile(forecast.factor);
-            planner.take(candidate, &profile.needs);
+            let profile = self.demand.profile(forecast.duration_factor);
+            planner.allocate(candidate, &profile.needs);
             let charge = planner.charge(candidate, &profile);
             let server = planner.candidates[candidate].server.clone();
             let running = planner.candidates[candidate].running;
-            // Members do not wait for their tags, since the gang starts as one; but they are charged.
+            // The members skip the queue, since the gang starts as a unit. Their cost is still
+            // charged to their stream.
             planner
                 .queues
                 .charge(&server, task, &profile, charge, running, planner.now);
@@ -195,19 +197,20 @@
         planner.starts.push(starts);
     }
 
-    /// The attempt above that of every member, and the checkpoint of any member: it is good for all.
+    /// The next attempt number, which is above those of all members, and a checkpoint of any
+    /// member. The checkpoint of one member is valid for the whole gang.
     fn next_start(&self) -> GangStart {
         let records = || {
             self.tasks
                 .iter()
                 .filter_map(|task| task_record(self.demand.job, *task))
         };
-        let newest = records().map(|record| record.attempt).max().unwrap_or(0);
+        let latest_attempt = records().map(|record| record.attempt).max().unwrap_or(0);
         let checkpoint = records()
             .map(|record| &record.checkpoint)
             .find(|checkpoint| !checkpoint.is_empty());
         GangStart {
-            attempt: newest + 1,
+            attempt: latest_attempt + 1,
             checkpoint: checkpoint.cloned().unwrap_or_default(),
         }
     }
--- a/crates/scheduler/src/placement/headroom.rs
+++ b/crates/scheduler/src/placement/headroom.rs
@@ -1,40 +1,40 @@
-//! Capacity that is kept free for urgent work.
+//! Headroom: capacity that is kept free for urgent work.
 //!
-//! Urgent tasks are short and come all the time. When few of them run for a moment, longer work must
-//! not take all that they left. So what urgent work used at its recent peak is kept free for it, up
-//! to a part of all capacity.
+//! Urgent tasks are short and arrive continuously. When few of them are running, longer work must
+//! not use all of the capacity that they left free, because the next urgent tasks would then have
+//! to wait. So the recent peak usage of urgent work is kept free for it, up to a share of the total
+//! capacity.
 
 use crate::placement::candidate::Candidate;
 use crate::policy::SchedulingPolicy;
-use crate::resources::{difference, times};
+use crate::resources::{difference, scaled};
 use lupinrack_cluster_api::job::Resources;
 use lupinrack_cluster_api::time::Millis;
 
-/// The priority of urgent work.
 pub(crate) const URGENT_PRIORITY: u32 = 0;
-/// In this time the remembered peak falls to a half, in milliseconds.
-const PEAK_HALF_TIME_MS: f64 = 8_000.0;
-/// At most this part of the capacity is kept free, in percent.
-const MAX_RESERVE_PERCENT: u64 = 20;
+/// The half-life of the recorded peak, in milliseconds.
+const PEAK_HALF_LIFE_MS: f64 = 8_000.0;
+/// The largest share of the total capacity that is kept free, in percent.
+const MAX_HEADROOM_PERCENT: u64 = 20;
 
-/// How much processor and memory urgent work has used lately. The two go separate ways: where work is
-/// large in memory, processor that is free on a server is of no use to it.
+/// The recent processor and memory usage of urgent work. The two are tracked separately: urgent
+/// tasks with large memory needs cannot use processor that is free on a server without free memory.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UrgentUsage {
-    /// Of processor, in thousandths of a core.
+    /// Processor usage, in thousandths of a core.
     cpu: RecentPeak,
-    /// Of memory, in megabytes.
+    /// Memory usage, in megabytes.
     memory: RecentPeak,
-    /// When it was last observed.
+    /// The time of the last observation.
     at: Millis,
 }
 
-/// What is used of one resource, and its recent peak.
+/// The current usage of one resource and its recent peak.
 #[derive(Clone, Copy, Debug, Default)]
 struct RecentPeak {
-    /// What is used now.
+    /// The current usage.
     current: u64,
-    /// What was used at the peak, which decays.
+    /// The peak usage, which decays over time.
     peak: f64,
 }
 
@@ -44,24 +44,24 @@
         self.peak = (self.peak * decay).max(current as f64);
     }
 
-    /// What is to be kept free of a resource of which there is so much in all.
+    /// The amount to keep free of a resource with this total capacity.
     fn reserved(&self, capacity: u64) -> u64 {
         let below_peak = (self.peak as u64).saturating_sub(self.current);
-        below_peak.min(capacity * MAX_RESERVE_PERCENT / 100)
+        below_peak.min(capacity * MAX_HEADROOM_PERCENT / 100)
     }
 }
 
 impl UrgentUsage {
-    /// Observes what urgent work uses now.
+    /// Records the current usage of urgent work.
     pub(crate) fn observe(&mut self, used: &Resources, now: Millis) {
-        let halvings = now.since(self.at) as f64 / PEAK_HALF_TIME_MS;
-        let decay = 0.5_f64.powf(halvings);
+        let half_lives = now.since(self.at) as f64 / PEAK_HALF_LIFE_MS;
+        let decay = 0.5_f64.powf(half_lives);
         self.cpu.observe(used.cpu, decay);
         self.memory.observe(used.memory_mb, decay);
         self.at = now;
     }
 
-    /// What is to be kept free on these candidates together.
+    /// The headroom to keep on these candidates together.
     pub(crate) fn headroom(&self, candidates: &[Candidate], policy: SchedulingPolicy) -> Headroom {
         let total = |amount: fn(&Candidate) -> u64| candidates.iter().map(amount).sum::<u64>();
         let cpu = total(|candidate| candidate.facts.capacity.cpu);
@@ -85,7 +85,7 @@
     }
 }
 
-/// What is free on all candidates, and how much of that is kept for urgent work.
+/// The free capacity of all candidates together, and the part of it that is kept for urgent work.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Headroom {
     free: Resources,
@@ -93,15 +93,16 @@
 }
 
 impl Headroom {
-    /// Whether `count` tasks of this priority may take capacity.
+    /// Whether `count` tasks of this priority may start without using the headroom. Urgent tasks
+    /// may use it.
     pub(crate) fn allows(&self, priority: u32, needs: &Resources, count: u64) -> bool {
-        let left = difference(&self.free, &times(needs, count));
+        let remaining = difference(&self.free, &scaled(needs, count));
         priority == URGENT_PRIORITY
-            || (left.cpu >= self.reserved.cpu && left.memory_mb >= self.reserved.memory_mb)
+            || (remaining.cpu >= self.reserved.cpu && remaining.memory_mb >= self.reserved.memory_mb)
     }
 
-    /// Capacity was taken.
-    pub(crate) fn take(&mut self, needs: &Resources) {
+    /// Subtracts allocated capacity from the free capacity.
+    pub(crate) fn allocate(&mut self, needs: &Resources) {
         self.free = difference(&self.free, needs);
     }
 }
--- a/crates/scheduler/src/placement/pass.rs
+++ b/crates/scheduler/src/placement/pass.rs
@@ -1,4 +1,4 @@
-//! One pass of placement over all demands.
+//! One placement pass over all demands.
 
 use crate::placement::demand::Demand;
 use crate::placement::gang::GangPlacement;
@@ -7,10 +7,10 @@
 use crate::placement::single::SinglePlacement;
 use std::collections::BTreeSet;
 
-/// What placement looks at of a step. Where one step found no capacity, no other one with the same
-/// signature finds any.
+/// The properties of a step that decide where its tasks fit. If one step finds no capacity, another
+/// step of the same equivalence class finds none either.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Signature<'a> {
+struct EquivalenceClass<'a> {
     cpu: u64,
     memory_mb: u64,
     gpu: u64,
@@ -19,10 +19,10 @@
     priority: u32,
 }
 
-impl<'a> Signature<'a> {
-    fn of(demand: &Demand<'a>) -> Signature<'a> {
+impl<'a> EquivalenceClass<'a> {
+    fn of(demand: &Demand<'a>) -> EquivalenceClass<'a> {
         let needs = demand.step.needs;
-        Signature {
+        EquivalenceClass {
             cpu: needs.cpu,
             memory_mb: needs.memory_mb,
             gpu: needs.gpu,
@@ -33,23 +33,24 @@
     }
 }
 
-/// Places the demands, which are in the order of their urgency, and releases from the queues what
-/// fits now.
+/// Places the demands, which are sorted by urgency, and then releases from the queues the tasks
+/// that fit now.
 pub(crate) fn run(planner: &mut Planner<'_>, demands: &[Demand<'_>]) {
-    let mut without_capacity = BTreeSet::new();
+    let mut exhausted = BTreeSet::new();
     for demand in demands {
         if demand.step.gang {
             GangPlacement::new(planner, demand).run();
             continue;
         }
-        let signature = Signature::of(demand);
-        if without_capacity.contains(&signature) {
+        let class = EquivalenceClass::of(demand);
+        if exhausted.contains(&class) {
             continue;
         }
         let placed_all = SinglePlacement::new(planner, demand).run();
-        // With anti-affinity a step may be out of capacity that others still find.
+        // A step with anti-affinity can fail to place its tasks on capacity that other steps can
+        // still use.
         if !placed_all && demand.step.anti_affinity == 0 {
-            without_capacity.insert(signature);
+            exhausted.insert(class);
         }
     }
     release_all(planner);
--- a/crates/scheduler/src/placement/planner.rs
+++ b/crates/scheduler/src/placement/planner.rs
@@ -1,17 +1,17 @@
-//! The state of one pass of placement, and the questions that all kinds of work ask of it.
+//! The state of one placement pass, and the queries on it that gangs and single tasks share.
 
 use crate::estimator::Estimator;
 use crate::history::faults::FaultHistory;
 use crate::placement::candidate::{Candidate, FreedCapacity};
 use crate::placement::demand::Demand;
 use crate::placement::earliest_fit::{
-    earliest_fit, Allotment, CapacitySupply, EarliestFit, TaskGroup,
+    earliest_fit, Allocation, CapacitySupply, EarliestFit, TaskGroup,
 };
 use crate::placement::headroom::Headroom;
 use crate::placement::reservation::Reservation;
 use crate::queues::task_queues::{Charge, TaskQueues};
 use crate::queues::weights::{task_cost, StreamWeights};
-use crate::resources::{difference, fits, sum, times};
+use crate::resources::{difference, fits, scaled, sum};
 use crate::runs::profile::RunProfile;
 use crate::runs::run::{Run, RunPhase};
 use crate::runs::table::RunTable;
@@ -21,61 +21,57 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_control_state::ControlState;
 
-/// Candidates among which work may be placed.
+/// A set of candidates on which work may be placed.
 #[derive(Clone, Debug)]
 pub(crate) struct CandidateSet {
-    /// Their indices in the round.
+    /// The indices of the candidates in the round.
     pub(crate) members: Vec<usize>,
-    /// How many times as long as near its data work takes there.
-    pub(crate) factor: f64,
+    /// The ratio of the duration of work on these candidates to its duration near its data.
+    pub(crate) duration_factor: f64,
 }
 
-/// When work would be done that starts as soon as it can.
+/// When work would start and finish if it starts as early as possible.
 #[derive(Clone, Debug)]
 pub(crate) struct Forecast {
-    /// When it starts.
+    /// The expected start time.
     pub(crate) starts_at: Millis,
-    /// When it is done.
+    /// The expected completion time.
     pub(crate) done_at: Millis,
-    /// Where it runs.
-    pub(crate) allotments: Vec<Allotment>,
-    /// How many times as long as near its data it takes there.
-    pub(crate) factor: f64,
+    /// The candidates on which it runs.
+    pub(crate) allocations: Vec<Allocation>,
+    /// The ratio of its duration on these candidates to its duration near its data.
+    pub(crate) duration_factor: f64,
 }
 
-/// One pass of placement: what is left of the candidates, and what was decided so far.
+/// The state of one placement pass: the remaining capacity of the candidates and the decisions made
+/// so far.
 #[derive(Debug)]
 pub(crate) struct Planner<'a> {
-    /// The replicated state.
     pub(crate) state: &'a ControlState,
-    /// The settings.
     pub(crate) settings: &'a SchedulerSettings,
-    /// The moment.
+    /// The time of the round.
     pub(crate) now: Millis,
-    /// How long work takes.
+    /// Estimates of how long runs take.
     pub(crate) estimator: Estimator<'a>,
-    /// The servers that may be given work; others refer to them by their indices here.
+    /// The servers that accept new work. Other types refer to a candidate by its index here.
     pub(crate) candidates: Vec<Candidate>,
     /// The capacity that is kept free for urgent work.
     pub(crate) headroom: Headroom,
-    /// The weights of the streams.
+    /// The dispatcher weights of the streams.
     pub(crate) weights: StreamWeights,
-    /// All runs.
     pub(crate) runs: &'a mut RunTable,
-    /// All queues.
     pub(crate) queues: &'a mut TaskQueues,
-    /// The faults of servers and tasks.
     pub(crate) faults: &'a mut FaultHistory,
-    /// The starts that were decided; those of a gang form one group.
+    /// The starts that the pass has decided. The starts of one gang form one group.
     pub(crate) starts: Vec<Vec<StartRecord>>,
-    /// For how many demands capacity was reserved.
+    /// The number of demands that have reserved capacity.
     pub(crate) reservations: usize,
 }
 
 impl Planner<'_> {
-    /// When `count` tasks would be done on these candidates if they started together as soon as they
-    /// can. `None` if that cannot be foreseen, or where they fit now but the capacity is kept for
-    /// other work.
+    /// When `count` tasks would finish on these candidates if they started together as early as
+    /// possible. `None` if the known ends of runs do not free enough capacity, or if the tasks fit
+    /// now but the capacity is kept for other work.
     pub(crate) fn forecast(
         &self,
         demand: &Demand<'_>,
@@ -87,34 +83,34 @@
             count,
             priority: demand.job.priority,
         };
-        let max_on = |candidate: usize| self.max_on(demand, candidate);
+        let max_tasks_on = |candidate: usize| self.max_tasks_on(demand, candidate);
         let supply = CapacitySupply {
             candidates: &self.candidates,
             chosen: &set.members,
             freed: |candidate| self.freed(candidate),
         };
-        let EarliestFit { at, allotments } = earliest_fit(&supply, &group, max_on, self.now)?;
-        let done_at = at.plus(demand.work_ms(set.factor));
-        let is_admitted = at > self.now || self.admits_all(demand, &allotments, done_at);
+        let EarliestFit { at, allocations } = earliest_fit(&supply, &group, max_tasks_on, self.now)?;
+        let done_at = at.plus(demand.work_ms(set.duration_factor));
+        let is_admitted = at > self.now || self.admits_all(demand, &allocations, done_at);
         is_admitted.then_some(Forecast {
             starts_at: at,
             done_at,
-            allotments,
-            factor: set.factor,
+            allocations,
+            duration_factor: set.duration_factor,
         })
     }
 
-    /// When the runs of a candidate are expected to free capacity, soonest first. Runs that are
-    /// proposed at this very moment are left out: this round counts their capacity as taken.
+    /// When the runs of a candidate are expected to free capacity, soonest first. Leaves out runs
+    /// that this round has proposed, since their capacity counts as used in this round.
     pub(crate) fn freed(&self, index: usize) -> &[FreedCapacity] {
         let candidate = &self.candidates[index];
         candidate.freed.get_or_init(|| {
-            let is_new =
+            let is_proposed_now =
                 |run: &Run| run.phase == RunPhase::Proposed && run.progressed_at == self.now;
             let mut freed: Vec<FreedCapacity> = self
                 .runs
                 .of_server(&candidate.server)
-                .filter(|run| !run.ended && !is_new(run))
+                .filter(|run| !run.ended && !is_proposed_now(run))
                 .map(|run| FreedCapacity {
                     at: self.now.plus(self.estimator.remaining_ms(run)),
                     amount: run.profile.needs,
@@ -125,9 +121,10 @@
         })
     }
 
-    /// When a candidate has capacity for one task beside queued tasks of the same or a more urgent
-    /// priority; none where that cannot be foreseen.
-    pub(crate) fn earliest_for_one(
+    /// The earliest time at which a candidate has capacity for one task in addition to queued tasks
+    /// of the same or a more urgent priority; `None` if the known ends of its runs do not free
+    /// enough.
+    pub(crate) fn earliest_start(
         &self,
         index: usize,
         needs: &Resources,
@@ -146,31 +143,32 @@
         None
     }
 
-    /// The candidates that may run tasks of this step: by capacity, labels and suspicion. Suspected
-    /// ones are among them only where there are no others.
+    /// The candidates that have the labels and the total capacity for tasks of this step. Includes
+    /// suspected servers only if all of these candidates are suspected.
     pub(crate) fn eligible(&self, demand: &Demand<'_>) -> Vec<usize> {
         let step = demand.step;
-        let able: Vec<usize> = (0..)
+        let capable: Vec<usize> = (0..)
             .zip(&self.candidates)
             .filter(|(_, candidate)| {
                 candidate.has_label(&step.requires) && candidate.could_fit(&step.needs)
             })
             .map(|(index, _)| index)
             .collect();
-        let trusted: Vec<usize> = able
+        let trusted: Vec<usize> = capable
             .iter()
             .copied()
             .filter(|index| !self.candidates[*index].suspected)
             .collect();
         if trusted.is_empty() {
-            able
+            capable
         } else {
             trusted
         }
     }
 
-    /// How many more tasks of a step a candidate may hold at the same time.
-    pub(crate) fn max_on(&self, demand: &Demand<'_>, candidate: usize) -> u64 {
+    /// How many more tasks of a step a candidate may run or queue under the step's anti-affinity
+    /// limit.
+    pub(crate) fn max_tasks_on(&self, demand: &Demand<'_>, candidate: usize) -> u64 {
         if demand.step.anti_affinity == 0 {
             return u64::from(demand.step.count.max(1));
         }
@@ -185,30 +183,31 @@
         u64::from(demand.step.anti_affinity).saturating_sub((running + queued) as u64)
     }
 
-    /// Reserves capacity for work until it is expected to start.
+    /// Reserves capacity for work until its expected start, unless the limit on reservations is
+    /// reached.
     pub(crate) fn reserve(&mut self, demand: &Demand<'_>, forecast: &Forecast) {
         let is_full = self.reservations >= self.settings.max_reservations;
         if is_full || forecast.starts_at <= self.now {
             return;
         }
         self.reservations += 1;
-        for allotment in &forecast.allotments {
-            self.candidates[allotment.candidate].reserve(Reservation {
+        for allocation in &forecast.allocations {
+            self.candidates[allocation.candidate].reserve(Reservation {
                 until: forecast.starts_at,
                 priority: demand.job.priority,
-                needs: times(&demand.step.needs, allotment.count),
+                needs: scaled(&demand.step.needs, allocation.count),
             });
         }
     }
 
-    /// Takes capacity of a candidate.
-    pub(crate) fn take(&mut self, candidate: usize, needs: &Resources) {
+    /// Allocates capacity of a candidate.
+    pub(crate) fn allocate(&mut self, candidate: usize, needs: &Resources) {
         let candidate = &mut self.candidates[candidate];
         candidate.free = difference(&candidate.free, needs);
-        self.headroom.take(needs);
+        self.headroom.allocate(needs);
     }
 
-    /// How a run on a candidate is charged to its stream.
+    /// The weight and cost with which a run on a candidate is charged to its stream.
     pub(crate) fn charge(&self, candidate: usize, profile: &RunProfile) -> Charge {
         Charge {
             weight: self.weights.weight(profile.priority),
@@ -216,7 +215,7 @@
         }
     }
 
-    /// A start was decided whose capacity was taken.
+    /// Records the decision to start a task whose capacity has been allocated.
     pub(crate) fn record_start(
         &mut self,
         candidate: usize,
@@ -231,14 +230,14 @@
         self.runs.insert(Run::proposed(start, profile, self.now));
     }
 
-    /// Whether these tasks may start now beside what is kept for other work.
-    fn admits_all(&self, demand: &Demand<'_>, allotments: &[Allotment], ends_at: Millis) -> bool {
+    /// Whether these tasks may start now without using capacity that is kept for other work.
+    fn admits_all(&self, demand: &Demand<'_>, allocations: &[Allocation], ends_at: Millis) -> bool {
         let (priority, needs) = (demand.job.priority, &demand.step.needs);
-        let count = allotments.iter().map(|allotment| allotment.count).sum();
-        let admits = |allotment: &Allotment| {
-            let needs = times(needs, allotment.count);
-            self.candidates[allotment.candidate].admits(priority, &needs, ends_at)
+        let count = allocations.iter().map(|allocation| allocation.count).sum();
+        let admits = |allocation: &Allocation| {
+            let needs = scaled(needs, allocation.count);
+            self.candidates[allocation.candidate].admits(priority, &needs, ends_at)
         };
-        self.headroom.allows(priority, needs, count) && allotments.iter().all(admits)
+        self.headroom.allows(priority, needs, count) && allocations.iter().all(admits)
     }
 }
--- a/crates/scheduler/src/placement/release.rs
+++ b/crates/scheduler/src/placement/release.rs
@@ -1,4 +1,4 @@
-//! Release of queued tasks, in the order of their start tags.
+//! Releases queued tasks in the order of their start tags.
 
 use crate::placement::candidate::{Candidate, QueuedNeeds};
 use crate::placement::headroom::Headroom;
@@ -11,7 +11,7 @@
 use lupinrack_cluster_api::operation::StartRecord;
 use lupinrack_cluster_api::time::Millis;
 
-/// Releases what fits on each candidate now, and decides on the starts.
+/// On each candidate, releases the queued tasks that fit now and decides to start them.
 pub(crate) fn release_all(planner: &mut Planner<'_>) {
     for candidate in 0..planner.candidates.len() {
         if !planner.candidates[candidate].queued.is_empty() {
@@ -31,16 +31,16 @@
     let candidate = &mut candidates[index];
     let (server, running) = (candidate.server.clone(), candidate.running);
     let released = queues.release(&server, running, *now, |queued| {
-        take_if_free(candidate, headroom, queued, *now)
+        allocate_if_free(candidate, headroom, queued, *now)
     });
     for (task, queued) in released {
         start(planner, index, task, queued.profile);
     }
 }
 
-/// Takes capacity for a queued task if it fits beside more urgent queued tasks and what is reserved.
-/// Returns whether it does.
-fn take_if_free(
+/// Allocates capacity for a queued task if it fits next to more urgent queued tasks, reservations
+/// and headroom. Returns whether it fits.
+fn allocate_if_free(
     candidate: &mut Candidate,
     headroom: &mut Headroom,
     queued: &QueuedTask,
@@ -55,15 +55,15 @@
         return false;
     }
     candidate.free = difference(&candidate.free, &needs);
-    headroom.take(&needs);
-    let own = QueuedNeeds { priority, needs };
-    if let Some(position) = candidate.queued.iter().position(|queued| *queued == own) {
+    headroom.allocate(&needs);
+    let queued_needs = QueuedNeeds { priority, needs };
+    if let Some(position) = candidate.queued.iter().position(|queued| *queued == queued_needs) {
         candidate.queued.swap_remove(position);
     }
     true
 }
 
-/// Decides on the start of a single task whose capacity was taken.
+/// Decides to start a single task whose capacity has been allocated.
 fn start(planner: &mut Planner<'_>, candidate: usize, task: TaskId, profile: RunProfile) {
     let record = planner
         .state
--- a/crates/scheduler/src/placement/requeue.rs
+++ b/crates/scheduler/src/placement/requeue.rs
@@ -1,26 +1,26 @@
-//! Queued tasks that are better placed anew.
+//! Withdraws queued tasks that should be placed on another server.
 
 use crate::placement::candidate::{Candidate, QueuedNeeds};
 use crate::queues::task_queues::{QueuedTask, TaskQueues};
-use crate::resources::{fits, larger};
+use crate::resources::{component_max, fits};
 use lupinrack_cluster_api::identity::TaskId;
 use lupinrack_cluster_api::job::Resources;
 use lupinrack_cluster_api::time::Millis;
 use std::collections::BTreeMap;
 
-/// After this time in a queue a task is placed anew, in milliseconds.
+/// The maximum time a task stays in one queue before it is placed again, in milliseconds.
 const MAX_QUEUED_MS: u64 = 3_000;
 
-/// Takes tasks out of the queues of servers that are no candidates or suspected, those that waited
-/// too long, and those for which another candidate has capacity now.
+/// Removes from the queues tasks that are on a server that is suspected or no longer a candidate,
+/// tasks that have been queued too long, and tasks for which another candidate has capacity now.
 pub(crate) fn withdraw_misplaced(
     queues: &mut TaskQueues,
     candidates: &mut [Candidate],
     now: Millis,
 ) {
-    let mut search = BetterPlaceSearch {
+    let mut search = BetterServerSearch {
         candidates,
-        most_free: BTreeMap::new(),
+        max_free: BTreeMap::new(),
     };
     let misplaced: Vec<TaskId> = queues
         .iter()
@@ -41,53 +41,53 @@
     }
 }
 
-/// Looks for queued tasks that another candidate could start now.
-struct BetterPlaceSearch<'a> {
-    /// In the order of their servers' identities.
+/// Finds queued tasks that another candidate could start now.
+struct BetterServerSearch<'a> {
+    /// Sorted by server identity, for binary search.
     candidates: &'a [Candidate],
-    /// For each priority the most that is free for it of each resource on any candidate: what does not
-    /// fit into that fits nowhere.
-    most_free: BTreeMap<u32, Resources>,
+    /// For each priority, the maximum over all candidates of the free amount of each resource. A
+    /// task whose needs exceed these amounts fits on no candidate.
+    max_free: BTreeMap<u32, Resources>,
 }
 
-impl BetterPlaceSearch<'_> {
+impl BetterServerSearch<'_> {
     fn is_misplaced(&mut self, queued: &QueuedTask, now: Millis) -> bool {
-        let own = self
+        let current = self
             .candidates
             .binary_search_by(|candidate| candidate.server.cmp(&queued.server));
-        let Ok(own) = own else {
+        let Ok(current) = current else {
             return true;
         };
         now.since(queued.since) > MAX_QUEUED_MS
-            || self.candidates[own].suspected
-            || self.fits_on_another(queued, own)
+            || self.candidates[current].suspected
+            || self.fits_on_another(queued, current)
     }
 
-    /// Whether a task that does not fit on its server now would fit on another one that is as good
-    /// for it.
-    fn fits_on_another(&mut self, queued: &QueuedTask, own: usize) -> bool {
+    /// Whether a task does not fit on its server now but fits on another candidate that is at least
+    /// as near to the task's data.
+    fn fits_on_another(&mut self, queued: &QueuedTask, current: usize) -> bool {
         let QueuedNeeds { priority, needs } = QueuedNeeds::from(queued);
-        if fits(&needs, &self.candidates[own].free) || !self.may_fit(priority, &needs) {
+        if fits(&needs, &self.candidates[current].free) || !self.may_fit_anywhere(priority, &needs) {
             return false;
         }
-        let own = &self.candidates[own];
+        let current = &self.candidates[current];
         self.candidates.iter().any(|other| {
-            let is_as_near = other.has_label(&queued.affinity) || !own.has_label(&queued.affinity);
-            other.server != own.server
+            let is_as_local = other.has_label(&queued.affinity) || !current.has_label(&queued.affinity);
+            other.server != current.server
                 && !other.suspected
-                && is_as_near
+                && is_as_local
                 && fits(&needs, &other.free_for(priority))
         })
     }
 
-    fn may_fit(&mut self, priority: u32, needs: &Resources) -> bool {
+    fn may_fit_anywhere(&mut self, priority: u32, needs: &Resources) -> bool {
         let candidates = self.candidates;
-        let most_free = self.most_free.entry(priority).or_insert_with(|| {
+        let max_free = self.max_free.entry(priority).or_insert_with(|| {
             let free = candidates
                 .iter()
                 .map(|candidate| candidate.free_for(priority));
-            free.fold(Resources::default(), |most, free| larger(&most, &free))
+            free.fold(Resources::default(), |max, free| component_max(&max, &free))
         });
-        fits(needs, most_free)
+        fits(needs, max_free)
     }
 }
--- a/crates/scheduler/src/placement/single.rs
+++ b/crates/scheduler/src/placement/single.rs
@@ -1,4 +1,4 @@
-//! Single tasks: on which server each is placed, or that it is to wait.
+//! Placement of single tasks: chooses a server for each task, or leaves it waiting.
 
 use crate::placement::candidate::Candidate;
 use crate::placement::demand::Demand;
@@ -9,44 +9,45 @@
 use lupinrack_cluster_api::identity::TaskId;
 use lupinrack_cluster_api::time::Millis;
 
-/// Single tasks that need more than this part of a server have capacity reserved where they do not
-/// fit.
-const LARGE_SHARE: f64 = 0.25;
-/// A task joins the queue of a server only where it is expected to start within this time, in
-/// milliseconds; otherwise it waits unplaced.
+/// A single task that does not fit anywhere now reserves capacity if it needs more than this share
+/// of a server.
+const MIN_RESERVED_SHARE: f64 = 0.25;
+/// The maximum expected wait in a server's queue, in milliseconds. A task that would wait longer
+/// stays unplaced.
 const MAX_QUEUE_WAIT_MS: u64 = 2_000;
-/// By which factor a server counts as slower for a task that has failed or stalled there.
-const FAULT_FACTOR: f64 = 4.0;
-/// Factors are rounded to multiples of one part in this many, and compared by that.
-const GRADES_PER_UNIT: f64 = 4.0;
+/// The factor on the expected duration of a task on a server where it has failed or stalled.
+const FAULT_DURATION_FACTOR: f64 = 4.0;
+/// Duration factors are compared after rounding to multiples of 1 / this value.
+const FACTOR_STEPS_PER_UNIT: f64 = 4.0;
 
-/// A candidate that may take a task.
+/// A candidate that may run a task.
 #[derive(Clone, Copy, Debug)]
 struct Choice {
-    /// Its number in the round.
+    /// The index of the candidate in the round.
     candidate: usize,
-    /// How many times as long as near its data and on a healthy server the task takes there.
-    factor: f64,
+    /// The ratio of the task's duration there to its duration near its data on a server without
+    /// slowdown or faults.
+    duration_factor: f64,
 }
 
 impl Choice {
-    /// Candidates of the same grade are equally good.
-    fn grade(&self) -> u64 {
-        (self.factor * GRADES_PER_UNIT).round() as u64
+    /// The rounded duration factor. Candidates with the same rounded factor are equally good.
+    fn rounded_factor(&self) -> u64 {
+        (self.duration_factor * FACTOR_STEPS_PER_UNIT).round() as u64
     }
 }
 
-/// The placement of the single tasks of one step.
+/// Places the single tasks of one step.
 pub(crate) struct SinglePlacement<'p, 'a> {
     planner: &'p mut Planner<'a>,
     demand: &'p Demand<'p>,
-    /// The candidates that may run tasks of the step, with the factor for a task that has not failed
-    /// there.
+    /// The candidates that may run tasks of the step, with the duration factor of a task that has
+    /// no faults there.
     eligible: Vec<Choice>,
 }
 
 impl<'p, 'a> SinglePlacement<'p, 'a> {
-    /// The placement of this demand.
+    /// Prepares the placement of this demand.
     pub(crate) fn new(planner: &'p mut Planner<'a>, demand: &'p Demand<'p>) -> Self {
         let eligible = planner
             .eligible(demand)
@@ -55,7 +56,7 @@
                 let candidate = &planner.candidates[index];
                 Choice {
                     candidate: index,
-                    factor: distance_factor(planner, demand, candidate) * candidate.slowdown,
+                    duration_factor: distance_factor(planner, demand, candidate) * candidate.slowdown,
                 }
             })
             .collect();
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Places the waiting tasks. Returns whether none is left for lack of capacity.
+    /// Places the waiting tasks. Returns `false` if a task stays unplaced for lack of capacity.
     pub(crate) fn run(&mut self) -> bool {
         for task in self.demand.tasks() {
             if self.planner.runs.contains(task) || self.planner.queues.contains(task) {
@@ -81,7 +82,7 @@
         true
     }
 
-    /// Puts a task into the queue of a candidate.
+    /// Adds a task to the queue of a candidate.
     fn enqueue(&mut self, index: usize, task: TaskId) {
         let planner = &mut *self.planner;
         let distance = distance_factor(planner, self.demand, &planner.candidates[index]);
@@ -98,44 +99,44 @@
         planner.queues.enqueue(task, queued, charge);
     }
 
-    /// The candidate that a task is placed on; `None` if the task is to wait.
+    /// The candidate to place a task on; `None` if the task has to wait.
     fn choose(&self, task: TaskId) -> Option<usize> {
         if let Some(suspected) = self.choose_for_probation(task) {
             return Some(suspected);
         }
         let choices = self.choices(task);
-        let best_grade = choices.iter().map(Choice::grade).min()?;
+        let best_rounded_factor = choices.iter().map(Choice::rounded_factor).min()?;
         let best: Vec<usize> = choices
             .iter()
-            .filter(|choice| choice.grade() == best_grade)
+            .filter(|choice| choice.rounded_factor() == best_rounded_factor)
             .map(|choice| choice.candidate)
             .collect();
         match self.best_with_capacity(&choices) {
-            Some(immediate) if immediate.grade() == best_grade => Some(immediate.candidate),
-            Some(immediate) if !self.should_wait(&best, best_grade, immediate.factor) => {
+            Some(immediate) if immediate.rounded_factor() == best_rounded_factor => Some(immediate.candidate),
+            Some(immediate) if !self.should_wait(&best, best_rounded_factor, immediate.duration_factor) => {
                 Some(immediate.candidate)
             }
             _ => self.shortest_queue(&best),
         }
     }
 
-    /// The candidates that may take a task.
+    /// The candidates that may run a task, with its duration factors.
     fn choices(&self, task: TaskId) -> Vec<Choice> {
         self.eligible
             .iter()
-            .filter(|choice| self.planner.max_on(self.demand, choice.candidate) > 0)
+            .filter(|choice| self.planner.max_tasks_on(self.demand, choice.candidate) > 0)
             .map(|choice| Choice {
                 candidate: choice.candidate,
-                factor: choice.factor * self.fault_factor(task, choice.candidate),
+                duration_factor: choice.duration_factor * self.fault_factor(task, choice.candidate),
             })
             .collect()
     }
 
-    /// By which factor a candidate counts as slower for a task because it has failed there.
+    /// The factor on the expected duration of a task on a candidate where it has failed or stalled.
     fn fault_factor(&self, task: TaskId, index: usize) -> f64 {
         let server = &self.planner.candidates[index].server;
         if self.planner.faults.has_faulted(task, server) {
-            FAULT_FACTOR
+            FAULT_DURATION_FACTOR
         } else {
             1.0
         }
@@ -143,15 +144,16 @@
 
     /// The best candidate that has capacity now.
     ///
-    /// Among those of one grade it is the one that is left with least and most evenly. Work that
-    /// does not end by itself is spread instead, to where most is left: where it gathers, one
-    /// resource of a server is used up for good and the others are idle.
+    /// Among candidates with the same rounded factor, chooses the one with the least and most
+    /// balanced remaining capacity. Long-running tasks are spread instead, to the candidate with
+    /// the most remaining capacity. They never end by themselves: packed on one server they would
+    /// use up one of its resources permanently, and its other resources would stay idle.
     fn best_with_capacity(&self, choices: &[Choice]) -> Option<Choice> {
         if !self.planner.settings.policy.packs {
-            let able = choices.iter().filter(|choice| self.has_capacity(choice));
-            return able.min_by_key(|choice| choice.grade()).copied();
+            let with_capacity = choices.iter().filter(|choice| self.has_capacity(choice));
+            return with_capacity.min_by_key(|choice| choice.rounded_factor()).copied();
         }
-        // Positive to pack, negative to spread.
+        // Positive to pack tasks, negative to spread them.
         let leftover_sign = if self.demand.step.long_running {
             -1.0
         } else {
@@ -165,9 +167,9 @@
         choices
             .iter()
             .filter(|choice| self.has_capacity(choice))
-            .map(|choice| (choice.grade(), cost(choice), choice))
-            .min_by(|(grade_a, cost_a, _), (grade_b, cost_b, _)| {
-                grade_a.cmp(grade_b).then(cost_a.total_cmp(cost_b))
+            .map(|choice| (choice.rounded_factor(), cost(choice), choice))
+            .min_by(|(rounded_a, cost_a, _), (rounded_b, cost_b, _)| {
+                rounded_a.cmp(rounded_b).then(cost_a.total_cmp(cost_b))
             })
             .map(|(_, _, choice)| *choice)
     }
@@ -176,23 +178,23 @@
         let planner = &*self.planner;
         let candidate = &planner.candidates[choice.candidate];
         let (needs, priority) = (&self.demand.step.needs, self.demand.job.priority);
-        let ends_at = planner.now.plus(self.demand.work_ms(choice.factor));
+        let ends_at = planner.now.plus(self.demand.work_ms(choice.duration_factor));
         fits(needs, &candidate.free_for(priority))
             && candidate.admits(priority, needs, ends_at)
             && planner.headroom.allows(priority, needs, 1)
     }
 
-    /// Whether a task had better wait for the best candidates than start now where it takes
-    /// `immediate_factor` times as long. Slower work also takes its capacity for longer, at the cost of
-    /// other work; so the additional time counts twice.
-    fn should_wait(&self, best: &[usize], best_grade: u64, immediate_factor: f64) -> bool {
+    /// Whether waiting for one of the best candidates is better than starting now on a candidate
+    /// with the duration factor `immediate_factor`. Slower work also blocks capacity for longer,
+    /// which delays other work, so the additional time counts twice.
+    fn should_wait(&self, best: &[usize], best_rounded_factor: u64, immediate_factor: f64) -> bool {
         let planner = &*self.planner;
         let set = CandidateSet {
             members: best.to_vec(),
-            factor: best_grade as f64 / GRADES_PER_UNIT,
+            duration_factor: best_rounded_factor as f64 / FACTOR_STEPS_PER_UNIT,
         };
         let immediate_ms = self.demand.work_ms(immediate_factor);
-        let best_ms = self.demand.work_ms(set.factor);
+        let best_ms = self.demand.work_ms(set.duration_factor);
         let additional_ms = immediate_ms.saturating_sub(best_ms);
         let immediate_done_at = planner.now.plus(immediate_ms.saturating_add(additional_ms));
         planner
@@ -200,8 +202,8 @@
             .is_some_and(|forecast| forecast.done_at < immediate_done_at)
     }
 
-    /// Among these candidates, the one whose queue the task should join; `None` if it would wait too
-    /// long.
+    /// The candidate whose queue is expected to start the task first; `None` if the task would wait
+    /// too long in each queue.
     fn shortest_queue(&self, candidates: &[usize]) -> Option<usize> {
         candidates
             .iter()
@@ -211,7 +213,7 @@
     }
 
     /// When a task that joins the queue of a candidate is expected to start; `None` if the queue is
-    /// too long.
+    /// too long, capacity is reserved there, or the wait would be too long.
     fn queue_end(&self, index: usize) -> Option<Millis> {
         let planner = &*self.planner;
         let candidate = &planner.candidates[index];
@@ -221,16 +223,16 @@
         if !is_short {
             return None;
         }
-        let at = planner.earliest_for_one(index, &needs, self.demand.job.priority)?;
-        (at.since(planner.now) <= MAX_QUEUE_WAIT_MS).then_some(at)
+        let starts_at = planner.earliest_start(index, &needs, self.demand.job.priority)?;
+        (starts_at.since(planner.now) <= MAX_QUEUE_WAIT_MS).then_some(starts_at)
     }
 
-    /// A suspected server on probation that is to be given this task.
+    /// A suspected server that may run this task as its next probation task.
     fn choose_for_probation(&self, task: TaskId) -> Option<usize> {
         let (planner, demand) = (&*self.planner, self.demand);
         let failed = task_record(demand.job, task).map_or(0, |record| record.failed);
-        let can_bear_failure = failed == 0 && demand.job.max_retries > 1;
-        if !can_bear_failure || demand.step.long_running {
+        let can_tolerate_failure = failed == 0 && demand.job.max_retries > 1;
+        if !can_tolerate_failure || demand.step.long_running {
             return None;
         }
         (0..planner.candidates.len()).find(|index| {
@@ -239,7 +241,7 @@
                 && candidate.running == 0
                 && candidate.queued.is_empty()
                 && candidate.has_label(&demand.step.requires)
-                && planner.max_on(demand, *index) > 0
+                && planner.max_tasks_on(demand, *index) > 0
                 && fits(&demand.step.needs, &candidate.free)
                 && planner.faults.is_probation_due(
                     &candidate.server,
@@ -249,12 +251,12 @@
         })
     }
 
-    /// Reserves capacity for a task that needs much of a server and found none.
+    /// Reserves capacity for a task that found none, if it needs a large share of a server.
     fn reserve_if_large(&mut self) {
         let needs = &self.demand.step.needs;
         let is_large = self.eligible.iter().any(|choice| {
             let capacity = &self.planner.candidates[choice.candidate].facts.capacity;
-            dominant_share(needs, capacity) > LARGE_SHARE
+            dominant_share(needs, capacity) > MIN_RESERVED_SHARE
         });
         if !is_large {
             return;
@@ -265,7 +267,7 @@
                 .iter()
                 .map(|choice| choice.candidate)
                 .collect(),
-            factor: 1.0,
+            duration_factor: 1.0,
         };
         if let Some(forecast) = self.planner.forecast(self.demand, &set, 1) {
             self.planner.reserve(self.demand, &forecast);
@@ -273,7 +275,7 @@
     }
 }
 
-/// How many times as long as near its data work takes on a candidate.
+/// The ratio of the duration of work on a candidate to its duration near its data.
 fn distance_factor(planner: &Planner<'_>, demand: &Demand<'_>, candidate: &Candidate) -> f64 {
     if candidate.has_label(&demand.step.affinity) {
         1.0
--- a/crates/scheduler/src/policy.rs
+++ b/crates/scheduler/src/policy.rs
@@ -1,35 +1,36 @@
-//! Which mechanisms take part in the decisions of a scheduler.
+//! The mechanisms that a scheduler uses for its decisions.
 //!
-//! All of them do in service. Each can be left out by itself, so that its worth is measured
-//! (`docs/design/policy.md`); what a mechanism does is described where it is.
+//! In production all of them are enabled. Each can be disabled separately to measure its effect
+//! (`docs/design/policy.md`). The mechanisms are documented where they are implemented.
 
-/// The mechanisms that decide what is placed, started and stopped. The dispatcher's own are in
-/// [`DispatchSettings`](lupinrack_dispatch::DispatchSettings), and
-/// [`SchedulerSettings::max_reservations`](crate::SchedulerSettings::max_reservations) of 0 leaves out
-/// reservations.
-// Each flag leaves out one mechanism; they are independent of each other.
+/// Enables the mechanisms that decide which tasks are placed, started and stopped. The mechanisms
+/// of the dispatcher have their own settings in
+/// [`DispatchSettings`](lupinrack_dispatch::DispatchSettings). Reservations are disabled by setting
+/// [`SchedulerSettings::max_reservations`](crate::SchedulerSettings::max_reservations) to 0.
+// Each flag enables one mechanism, independently of the others.
 #[allow(clippy::struct_excessive_bools)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SchedulingPolicy {
-    /// Estimates of clients are corrected by what runs of their queue were measured to take;
-    /// otherwise they are taken as they are.
+    /// Clients' estimates are corrected by the measured durations of runs of the same queue;
+    /// otherwise they are used uncorrected.
     pub learns_durations: bool,
     /// Servers on which work takes longer than expected count as slow.
     pub learns_speeds: bool,
-    /// Servers with faults of several jobs are given no work but on probation.
+    /// Servers with faults of several jobs are suspected and run only probation tasks.
     pub suspects_servers: bool,
-    /// What urgent work used at its recent peak is kept free for it.
+    /// The recent peak usage of urgent work is kept free for urgent work.
     pub keeps_headroom: bool,
-    /// Single tasks with checkpoints are stopped where urgent work waits too long.
+    /// Single tasks with checkpoints are stopped when urgent work has waited too long.
     pub preempts: bool,
-    /// Queued tasks are placed anew where another server could start them now.
+    /// Queued tasks are placed again if another server could start them now.
     pub requeues: bool,
-    /// A task joins the server that is left with least; otherwise the first one that has capacity.
+    /// A task is placed on the server with the least remaining capacity; otherwise on the first one
+    /// that has capacity.
     pub packs: bool,
 }
 
 impl Default for SchedulingPolicy {
-    /// All mechanisms.
+    /// Enables all mechanisms.
     fn default() -> Self {
         SchedulingPolicy {
             learns_durations: true,
--- a/crates/scheduler/src/queues.rs
+++ b/crates/scheduler/src/queues.rs
@@ -1,4 +1,4 @@
-//! The queues of tasks that were placed on a server and wait there for capacity.
+//! The queues of tasks that are placed on a server and wait there for capacity.
 
 pub(crate) mod task_queues;
 pub(crate) mod weights;
--- a/crates/scheduler/src/queues/task_queues.rs
+++ b/crates/scheduler/src/queues/task_queues.rs
@@ -1,4 +1,4 @@
-//! The queues of all servers.
+//! The task queues of all servers.
 
 use crate::runs::profile::RunProfile;
 use crate::runs::table::{first_task, last_task};
@@ -10,29 +10,27 @@
 /// A task in the queue of a server.
 #[derive(Clone, Debug)]
 pub(crate) struct QueuedTask {
-    /// The server.
     pub(crate) server: ServerId,
-    /// What its run would be.
+    /// The profile of the run that would start.
     pub(crate) profile: RunProfile,
-    /// How long its run is expected to take, in milliseconds.
+    /// The expected duration of its run, in milliseconds.
     pub(crate) expected_ms: u64,
-    /// The rack that holds its data; empty for none.
+    /// The label of the rack with its data; empty for none.
     pub(crate) affinity: String,
-    /// Since when it is queued there.
+    /// When it was queued.
     pub(crate) since: Millis,
 }
 
-/// How a task is charged to its stream.
+/// The weight and cost with which a task is charged to its stream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Charge {
-    /// The weight of the stream.
     pub(crate) weight: f64,
-    /// The cost of the task, as a part of its server.
+    /// The cost of the task, as a share of its server's capacity.
     pub(crate) cost: f64,
 }
 
-/// The queues of all servers, and what is in them. The dispatcher and the tasks are changed together
-/// only, so that each has exactly the tasks of the other.
+/// The queues of all servers, and the tasks in them. The dispatcher and the map of tasks change
+/// only together, so both have exactly the same tasks.
 #[derive(Clone, Debug)]
 pub(crate) struct TaskQueues {
     dispatcher: Dispatcher<ServerId, QueueName, TaskId>,
@@ -40,7 +38,7 @@
 }
 
 impl TaskQueues {
-    /// Empty queues.
+    /// Creates empty queues.
     pub(crate) fn new(settings: DispatchSettings) -> TaskQueues {
         TaskQueues {
             dispatcher: Dispatcher::new(settings),
@@ -70,7 +68,8 @@
             .filter_map(|task| self.tasks.get(task))
     }
 
-    /// How many tasks of the step and occurrence of this task are in the queue of a server.
+    /// The number of tasks in a server's queue that belong to the same step and occurrence as
+    /// `task`.
     pub(crate) fn count_of_step(&self, task: TaskId, server: &ServerId) -> usize {
         let first = TaskId { index: 0, ..task };
         let last = TaskId {
@@ -91,8 +90,8 @@
         self.tasks.insert(task, queued);
     }
 
-    /// Charges a stream for a task that starts at once, which moves the server's virtual time.
-    /// `running` is how many runs the server has.
+    /// Charges a stream for a task that starts without queueing, which advances the server's
+    /// virtual time. `running` is the number of the server's runs.
     pub(crate) fn charge(
         &mut self,
         server: &ServerId,
@@ -109,8 +108,8 @@
         self.dispatcher.withdraw(server, &task);
     }
 
-    /// Takes the tasks out of a server's queue that it should start now, in the order of their start
-    /// tags. See [`Dispatcher::release`].
+    /// Removes and returns the tasks of a server's queue that the server should start now, in the
+    /// order of their start tags. See [`Dispatcher::release`].
     pub(crate) fn release(
         &mut self,
         server: &ServerId,
@@ -128,14 +127,14 @@
             .collect()
     }
 
-    /// Takes a task out of its queue without running it.
+    /// Removes a task from its queue without starting it.
     pub(crate) fn withdraw(&mut self, task: TaskId) {
         if let Some(queued) = self.tasks.remove(&task) {
             self.dispatcher.withdraw(&queued.server, &task);
         }
     }
 
-    /// Takes the tasks of a job out of all queues.
+    /// Removes the tasks of a job from all queues.
     pub(crate) fn withdraw_job(&mut self, job: JobId) {
         let tasks: Vec<TaskId> = self
             .tasks
@@ -147,7 +146,7 @@
         }
     }
 
-    /// Forgets the queue of a server.
+    /// Removes the queue of a server.
     pub(crate) fn remove_server(&mut self, server: &ServerId) {
         for task in self.dispatcher.remove_server(server) {
             self.tasks.remove(&task);
--- a/crates/scheduler/src/resources.rs
+++ b/crates/scheduler/src/resources.rs
@@ -1,4 +1,4 @@
-//! Arithmetic on what servers have and what tasks need.
+//! Arithmetic on resource amounts. Additions, subtractions and multiplications saturate.
 
 use lupinrack_cluster_api::job::Resources;
 
@@ -16,7 +16,7 @@
     }
 }
 
-/// What is left of `a` without `b`; never below zero.
+/// `a` minus `b`, at least 0 for each resource.
 pub(crate) fn difference(a: &Resources, b: &Resources) -> Resources {
     Resources {
         cpu: a.cpu.saturating_sub(b.cpu),
@@ -25,8 +25,8 @@
     }
 }
 
-/// The larger amount of each resource.
-pub(crate) fn larger(a: &Resources, b: &Resources) -> Resources {
+/// The larger of the two amounts of each resource.
+pub(crate) fn component_max(a: &Resources, b: &Resources) -> Resources {
     Resources {
         cpu: a.cpu.max(b.cpu),
         memory_mb: a.memory_mb.max(b.memory_mb),
@@ -34,8 +34,8 @@
     }
 }
 
-/// `count` times an amount.
-pub(crate) fn times(needs: &Resources, count: u64) -> Resources {
+/// `count` times `needs`.
+pub(crate) fn scaled(needs: &Resources, count: u64) -> Resources {
     Resources {
         cpu: needs.cpu.saturating_mul(count),
         memory_mb: needs.memory_mb.saturating_mul(count),
@@ -43,26 +43,26 @@
     }
 }
 
-/// How many tasks with these needs fit into `free` side by side, at most `max_count`.
-pub(crate) fn copies(needs: &Resources, free: &Resources, max_count: u64) -> u64 {
-    let along = |need: u64, have: u64| have.checked_div(need).unwrap_or(max_count);
-    let cpu = along(needs.cpu, free.cpu);
-    let memory = along(needs.memory_mb, free.memory_mb);
-    let gpu = along(needs.gpu, free.gpu);
+/// How many tasks with these needs fit into `free` together, at most `max_count`.
+pub(crate) fn fitting_count(needs: &Resources, free: &Resources, max_count: u64) -> u64 {
+    let fitting = |needed: u64, available: u64| available.checked_div(needed).unwrap_or(max_count);
+    let cpu = fitting(needs.cpu, free.cpu);
+    let memory = fitting(needs.memory_mb, free.memory_mb);
+    let gpu = fitting(needs.gpu, free.gpu);
     cpu.min(memory).min(gpu).min(max_count)
 }
 
-/// The dominant share (Ghodsi and others, *Dominant Resource Fairness*, NSDI 2011): the largest part
-/// of `capacity` that is needed of any resource. Infinite where a resource is needed that is not
-/// there at all.
+/// The dominant share (Ghodsi and others, *Dominant Resource Fairness*, NSDI 2011): the maximum
+/// over all resources of `needs` as a fraction of `capacity`. Infinite if a needed resource has no
+/// capacity at all.
 pub(crate) fn dominant_share(needs: &Resources, capacity: &Resources) -> f64 {
-    let part = |need: u64, have: u64| match (need, have) {
+    let fraction = |needed: u64, available: u64| match (needed, available) {
         (0, _) => 0.0,
         (_, 0) => f64::INFINITY,
-        (need, have) => need as f64 / have as f64,
+        (needed, available) => needed as f64 / available as f64,
     };
-    let cpu = part(needs.cpu, capacity.cpu);
-    let memory = part(needs.memory_mb, capacity.memory_mb);
-    let gpu = part(needs.gpu, capacity.gpu);
+    let cpu = fraction(needs.cpu, capacity.cpu);
+    let memory = fraction(needs.memory_mb, capacity.memory_mb);
+    let gpu = fraction(needs.gpu, capacity.gpu);
     cpu.max(memory).max(gpu)
 }
--- a/crates/scheduler/src/run_tracker.rs
+++ b/crates/scheduler/src/run_tracker.rs
@@ -1,4 +1,4 @@
-//! The life cycle of runs, from the proposal of their starts to the record of their ends.
+//! The life cycle of runs, from the proposal of the start to the recorded end.
 
 use crate::inferred_end::{InferredEnd, InferredEndReason};
 use crate::run_id::RunId;
@@ -12,26 +12,26 @@
 use lupinrack_cluster_api::server::RunEnd;
 use lupinrack_cluster_api::time::Millis;
 
-/// All leases that earlier owners granted have expired.
+/// Proof that all leases granted by earlier owners have expired.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TakeoverBoundExpired;
 
-/// The runs, the operations that record their starts and ends, and the ends that were inferred.
+/// The runs, the pending operations that record their starts and ends, and the inferred ends.
 ///
-/// A run that has ended stays until its end is recorded, so that its task is not started again
-/// before.
+/// A run that has ended stays in the table until its end is recorded, so that its task is not
+/// started again before that.
 #[derive(Clone, Debug)]
 pub(crate) struct RunTracker {
-    /// All runs. Placement inserts into the table, and eviction requests stops in it.
+    /// All runs. Placement inserts runs into the table, and eviction requests stops in it.
     pub(crate) runs: RunTable,
-    /// The operations that are to be applied.
+    /// The operations that have not been applied yet.
     pub(crate) submissions: Submissions,
-    /// The ends that were inferred since the last round.
+    /// The ends inferred since the last round.
     inferred_ends: Vec<InferredEnd>,
 }
 
 impl RunTracker {
-    /// No runs yet.
+    /// Creates a tracker without runs.
     pub(crate) fn new(submissions: Submissions) -> RunTracker {
         RunTracker {
             runs: RunTable::default(),
@@ -40,7 +40,8 @@
         }
     }
 
-    /// An operation with these starts was applied; `accepted` says of each whether it took effect.
+    /// Handles an applied operation with these starts. `accepted` has for each start whether it
+    /// took effect.
     pub(crate) fn starts_applied(
         &mut self,
         starts: &[StartRecord],
@@ -59,21 +60,21 @@
         match (phase, accepted) {
             (Some(RunPhase::Proposed), true) => self.runs.set_recorded(start.task, now),
             (Some(RunPhase::Proposed), false) => self.runs.remove(start.task),
-            // The operation was submitted twice, and applied before.
+            // The operation was submitted twice and had been applied before.
             (Some(RunPhase::Recorded), _) | (None, false) => {}
             (None, true) => self.adopt_orphan(start, now),
         }
     }
 
-    /// A start was recorded that this scheduler has not proposed, or not any longer. It is stopped;
-    /// only its server knows whether it was notified of it.
+    /// Adopts and stops a recorded start that this scheduler did not propose, or whose proposal it
+    /// has dropped. Only the server knows whether it has received the start.
     fn adopt_orphan(&mut self, start: &StartRecord, now: Millis) {
         let mut run = Run::inherited(start, RunProfile::without_needs(), now);
         run.stop = Some(StopReason::Orphaned);
         self.runs.insert(run);
     }
 
-    /// A run has ended: has the end recorded, with the newest checkpoint that is known.
+    /// Marks a run as ended and submits its end, with the newest known checkpoint.
     pub(crate) fn end(&mut self, mut end: EndRecord) {
         self.runs.set_ended(end.task);
         let run = self.runs.get(end.task);
@@ -81,7 +82,7 @@
             if end.checkpoint.is_empty() {
                 end.checkpoint.clone_from(&run.checkpoint);
             }
-            // The other members of a gang cannot go on alone.
+            // The other members of a gang cannot continue without this one.
             if end.end != RunEnd::Done && run.profile.gang {
                 self.runs.request_stop(end.task, StopReason::GangBroken);
             }
@@ -89,7 +90,7 @@
         self.submissions.add_end(end);
     }
 
-    /// The end of a run is recorded, or never will be: the server that reported it may forget it.
+    /// Handles an end that is recorded or never will be: the server that reported it may forget it.
     pub(crate) fn end_recorded(&mut self, servers: &mut ServerTable, id: RunId) {
         self.submissions.end_applied(id);
         let Some(run) = self.runs.get(id.task).filter(|run| run.id() == id) else {
@@ -99,14 +100,14 @@
         if let Some(server) = servers.get_mut(&run.server) {
             server.ends.set_recorded(id);
         }
-        // The end of one member is recorded for the whole gang. Another member takes capacity until
-        // its server reports its own end.
+        // The end of one member is recorded for all members of its gang. Another member uses
+        // capacity until its server reports its own end.
         if run.ended {
             self.runs.remove(id.task);
         }
     }
 
-    /// Has the end of a run recorded that its server did not report.
+    /// Infers and submits the end of a run that its server did not report.
     pub(crate) fn infer_end(&mut self, task: TaskId, reason: InferredEndReason) {
         let Some(run) = self.runs.get(task) else {
             return;
@@ -126,7 +127,7 @@
         });
     }
 
-    /// Infers the ends of all runs of a server. Returns whether there were any.
+    /// Infers the ends of all open runs of a server. Returns whether there were any.
     pub(crate) fn infer_ends_on(&mut self, server: &ServerId, reason: InferredEndReason) -> bool {
         let tasks: Vec<TaskId> = self
             .runs
@@ -140,54 +141,56 @@
         !tasks.is_empty()
     }
 
-    /// Infers the ends of runs that certainly never began, and of those whose server is not known
-    /// and has no lease any longer. Leases of earlier owners last until the bound has expired.
-    pub(crate) fn infer_ends_without_report(
+    /// Infers the ends of runs that cannot have started, and of runs on unknown servers without a
+    /// valid lease. Leases granted by earlier owners count as valid until `bound` proves otherwise.
+    /// Checks all runs.
+    pub(crate) fn infer_unreported_ends(
         &mut self,
         servers: &ServerTable,
         bound: Option<TakeoverBoundExpired>,
     ) {
-        let ended = ends_without_report(self.runs.iter(), servers, bound);
+        let ended = unreported_ends(self.runs.iter(), servers, bound);
         for (task, reason) in ended {
             self.infer_end(task, reason);
         }
     }
 
-    /// The same for the runs of which something changed that matters to it.
-    pub(crate) fn infer_ends_of_unconfirmed(
+    /// Like [`Self::infer_unreported_ends`], but checks only the runs that may have ended since the
+    /// last call.
+    pub(crate) fn infer_possible_unreported_ends(
         &mut self,
         servers: &ServerTable,
         bound: Option<TakeoverBoundExpired>,
     ) {
-        let ended = ends_without_report(self.runs.take_unconfirmed().into_iter(), servers, bound);
+        let ended = unreported_ends(self.runs.take_possibly_ended().into_iter(), servers, bound);
         for (task, reason) in ended {
             self.infer_end(task, reason);
         }
     }
 
-    /// The ends that were inferred since the last call.
+    /// Takes the ends inferred since the last call.
     pub(crate) fn take_inferred_ends(&mut self) -> Vec<InferredEnd> {
         std::mem::take(&mut self.inferred_ends)
     }
 }
 
-fn ends_without_report<'a>(
+fn unreported_ends<'a>(
     runs: impl Iterator<Item = &'a Run>,
     servers: &ServerTable,
     bound: Option<TakeoverBoundExpired>,
 ) -> Vec<(TaskId, InferredEndReason)> {
     runs.filter(|run| run.is_open())
-        .filter_map(|run| Some((run.task, end_without_report(run, servers, bound)?)))
+        .filter_map(|run| Some((run.task, unreported_end(run, servers, bound)?)))
         .collect()
 }
 
-/// Why a recorded run is over without a report of its server, if it is.
-fn end_without_report(
+/// The reason for which an open run is over without a report of its server; `None` if it is not.
+fn unreported_end(
     run: &Run,
     servers: &ServerTable,
     bound: Option<TakeoverBoundExpired>,
 ) -> Option<InferredEndReason> {
-    if run.stop.is_some() && !run.server_may_know() {
+    if run.stop.is_some() && !run.may_be_known_to_server() {
         return Some(InferredEndReason::StoppedBeforeNotification);
     }
     if servers.get(&run.server).is_some() {
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -1,4 +1,4 @@
-//! The runs of a service: every start that was proposed or recorded, until its end is recorded.
+//! The runs of a service. A run exists from the proposal of a start until its end is recorded.
 
 pub(crate) mod profile;
 pub(crate) mod run;
--- a/crates/scheduler/src/runs/profile.rs
+++ b/crates/scheduler/src/runs/profile.rs
@@ -1,21 +1,21 @@
-//! What placement and estimates have to know of a run.
+//! The properties of a run that placement and estimates use.
 
 use lupinrack_cluster_api::identity::QueueName;
 use lupinrack_cluster_api::job::{Resources, Step};
 use lupinrack_control_state::JobRecord;
 
-/// The properties of a run, copied from its job so that they outlast it.
+/// The properties of a run, copied from its job so that they remain available after the job is
+/// removed.
 #[derive(Clone, Debug)]
 pub(crate) struct RunProfile {
-    /// What it takes of its server.
+    /// The capacity that it uses on its server.
     pub(crate) needs: Resources,
     /// The priority of its queue; 0 is the most urgent.
     pub(crate) priority: u32,
-    /// Its queue.
     pub(crate) queue: QueueName,
-    /// How long its client expects it to take near its data, in milliseconds.
+    /// The client's estimate of its duration near its data, in milliseconds.
     pub(crate) estimate_ms: u64,
-    /// By which factor its duration grows with the distance from its data.
+    /// The factor on its duration for the distance to its data.
     pub(crate) distance_factor: f64,
     /// The label that its server must have; empty for none.
     pub(crate) requires: String,
@@ -28,7 +28,7 @@
 }
 
 impl RunProfile {
-    /// The profile of a task of this step.
+    /// Creates the profile of a task of this step.
     pub(crate) fn new(job: &JobRecord, step: &Step, distance_factor: f64) -> RunProfile {
         RunProfile {
             needs: step.needs,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The profile of a run that is only there to be stopped: it takes no capacity.
+    /// The profile of a run that only has to be stopped. It uses no capacity.
     pub(crate) fn without_needs() -> RunProfile {
         RunProfile {
             needs: Resources::default(),
--- a/crates/scheduler/src/runs/run.rs
+++ b/crates/scheduler/src/runs/run.rs
@@ -1,4 +1,4 @@
-//! One start of a task, from its proposal to the record of its end.
+//! One start of a task, from its proposal until its end is recorded.
 
 use crate::run_id::RunId;
 use crate::runs::profile::RunProfile;
@@ -11,52 +11,51 @@
 /// Whether the start of a run is in the replicated state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunPhase {
-    /// The operation that records it was submitted and not applied; no server knows of it.
+    /// The operation that records it has not been applied. No server has received it.
     Proposed,
-    /// It is recorded; its server may know of it.
+    /// It is recorded. Its server may have received it.
     Recorded,
 }
 
-/// Who decided on a run.
+/// Which owner proposed a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunOrigin {
-    /// This scheduler proposed it: its server knows of it only from this scheduler.
+    /// This scheduler proposed it. Its server can have received it only from this scheduler.
     Own,
-    /// An earlier owner, or an unknown proposer: its server may have been notified by somebody else.
+    /// An earlier owner or an unknown proposer. Its server may have received it from another owner.
     Inherited,
 }
 
-/// Why a run is to be stopped.
+/// The reason to stop a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StopReason {
-    /// Its job was cancelled, has failed or is not known any longer.
+    /// Its job was cancelled, has failed or is no longer known.
     JobClosed,
     /// Another member of its gang has ended.
     GangBroken,
-    /// Its server is draining, and shuts down before the run would end.
+    /// Its server is draining and shuts down before the run would end.
     Draining,
     /// More urgent work needs its capacity.
     Preempted,
     /// It makes no progress.
     Stalled,
-    /// Its start was recorded although this scheduler had not proposed it.
+    /// Its start was recorded without a proposal of this scheduler.
     Orphaned,
 }
 
 /// One start of a task.
 ///
-/// A run is proposed, then recorded, then ended. It may be asked to stop in each phase; one that is
-/// still proposed is stopped once its start is recorded. `ended` stays false before `phase` is
-/// `Recorded`, unless the run is about to be removed.
+/// A run is first proposed, then recorded, then ended. A stop may be requested in each phase; a
+/// proposed run is stopped once its start is recorded. `ended` is false before `phase` is
+/// `Recorded`, except for a run that is about to be removed.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
-    /// The task.
     pub(crate) task: TaskId,
-    /// The number of the start.
+    /// The attempt number of the start.
     pub(crate) attempt: Attempt,
-    /// The server that it was assigned to.
+    /// The server that it is assigned to.
     pub(crate) server: ServerId,
-    /// What placement and estimates have to know of it.
+    /// The properties that placement and estimates use.
     pub(crate) profile: RunProfile,
     /// The checkpoint that it started from; empty for none.
     pub(crate) start_checkpoint: String,
@@ -64,32 +63,32 @@
     pub(crate) checkpoint: String,
     /// Whether its start is recorded.
     pub(crate) phase: RunPhase,
-    /// Who decided on it.
+    /// Which owner proposed it.
     pub(crate) origin: RunOrigin,
-    /// The newest session in which its server's agent was ordered to start it.
+    /// The latest session in which the agent was ordered to start it.
     pub(crate) start_ordered_in: Option<SessionId>,
-    /// Why it is to be stopped, if it is.
+    /// The reason to stop it, if a stop was requested.
     pub(crate) stop: Option<StopReason>,
-    /// The newest order that carried its stop.
+    /// The latest message with the order to stop it.
     pub(crate) stop_order: Option<OrderId>,
     /// When its server first listed it as running.
     pub(crate) running_since: Option<Millis>,
-    /// The newest progress that its server listed, in percent.
+    /// The latest progress that its server reported, in percent.
     pub(crate) percent: u32,
-    /// When the progress last changed; before the run is listed, when its start was proposed or
-    /// recorded.
+    /// When the progress last changed. Before the server lists the run, the time at which its start
+    /// was proposed or recorded.
     pub(crate) progressed_at: Millis,
     /// When the checkpoint last changed.
     pub(crate) checkpointed_at: Millis,
-    /// Whether it was already counted as taking much longer than expected.
+    /// Whether it has already been counted as overdue.
     pub(crate) overdue: bool,
-    /// Whether its end is known: it takes no capacity any longer, and the operation that records its
-    /// end was submitted.
+    /// Whether its end is known. Then it uses no capacity, and the operation that records its end
+    /// has been submitted.
     pub(crate) ended: bool,
 }
 
 impl Run {
-    /// A start that this scheduler proposes now.
+    /// Creates a run whose start this scheduler proposes now.
     pub(crate) fn proposed(start: &StartRecord, profile: RunProfile, now: Millis) -> Run {
         Run {
             task: start.task,
@@ -112,7 +111,7 @@
         }
     }
 
-    /// A recorded start that this scheduler did not propose.
+    /// Creates a run for a recorded start that this scheduler did not propose.
     pub(crate) fn inherited(start: &StartRecord, profile: RunProfile, now: Millis) -> Run {
         Run {
             phase: RunPhase::Recorded,
@@ -121,13 +120,13 @@
         }
     }
 
-    /// What identifies it.
+    /// The identity of the run.
     pub(crate) fn id(&self) -> RunId {
         RunId::new(self.task, self.attempt)
     }
 
-    /// Whether any owner may have notified its server of it.
-    pub(crate) fn server_may_know(&self) -> bool {
+    /// Whether any owner may have sent the start to the server.
+    pub(crate) fn may_be_known_to_server(&self) -> bool {
         self.origin == RunOrigin::Inherited || self.start_ordered_in.is_some()
     }
 
@@ -136,18 +135,18 @@
         self.phase == RunPhase::Recorded && !self.ended
     }
 
-    /// Whether it is recorded, has not ended and is not to be stopped.
+    /// Whether it is recorded, has not ended and has no stop requested.
     pub(crate) fn should_run(&self) -> bool {
         self.is_open() && self.stop.is_none()
     }
 
-    /// Whether the time that it takes shows how long such work takes: it started without a
-    /// checkpoint and does not wait for other tasks.
-    pub(crate) fn shows_duration(&self) -> bool {
+    /// Whether its duration is a usable sample of how long such work takes: it started without a
+    /// checkpoint, ends by itself and does not wait for other members of a gang.
+    pub(crate) fn is_duration_sample(&self) -> bool {
         self.start_checkpoint.is_empty() && !self.profile.gang && !self.profile.long_running
     }
 
-    /// Takes over what its server listed of it at this moment.
+    /// Records the progress that its server listed at the time `at`.
     pub(crate) fn record_progress(&mut self, listed: &RunningTask, at: Millis) {
         if self.running_since.is_none() {
             self.running_since = Some(at);
--- a/crates/scheduler/src/runs/table.rs
+++ b/crates/scheduler/src/runs/table.rs
@@ -1,4 +1,4 @@
-//! The run table.
+//! The table of runs.
 
 use crate::resources::{difference, sum};
 use crate::run_id::RunId;
@@ -13,30 +13,29 @@
 /// The runs of one server.
 #[derive(Clone, Debug, Default)]
 struct RunsOfServer {
-    /// Their tasks.
     tasks: BTreeSet<TaskId>,
-    /// What those that have not ended take.
+    /// The capacity used by the runs that have not ended.
     used: Resources,
-    /// How many have not ended.
+    /// The number of runs that have not ended.
     open: usize,
-    /// Whether one of them changed since the last call of [`RunTable::take_changed`].
+    /// Whether a run has changed since the last call of [`RunTable::take_changed`].
     changed: bool,
 }
 
 /// All runs of a service, by task.
 ///
-/// A task has at most one run: its next start is only proposed when the end of the one before was
-/// recorded. The capacity that runs take of each server is kept up to date; so a run's server, needs
-/// and end change only through the methods of the table.
+/// A task has at most one run: its next start is proposed only after the end of the previous run
+/// was recorded. The table keeps the capacity used on each server up to date, so the server, the
+/// needs and the end of a run change only through its methods.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RunTable {
     runs: BTreeMap<TaskId, Run>,
     by_server: BTreeMap<ServerId, RunsOfServer>,
-    /// What the runs of each priority take that have not ended.
+    /// The capacity used by the runs of each priority that have not ended.
     used_by_priority: BTreeMap<u32, Resources>,
-    /// The tasks of runs that may be over without a report of their server: those that are to be
-    /// stopped, and those that were recorded since the last look at them.
-    unconfirmed: BTreeSet<TaskId>,
+    /// The tasks of runs that may be over without a report of their server: those with a requested
+    /// stop, and those that were recorded since the last call of [`RunTable::take_possibly_ended`].
+    possibly_ended: BTreeSet<TaskId>,
 }
 
 /// The smallest identity that a task of this job can have.
@@ -60,7 +59,8 @@
 }
 
 impl RunTable {
-    /// Adds a run, in place of one of the same task. From now on it takes capacity of its server.
+    /// Adds a run, replacing an earlier one of the same task. From now on it uses capacity of its
+    /// server.
     pub(crate) fn insert(&mut self, run: Run) {
         self.remove(run.task);
         let needs = &run.profile.needs;
@@ -75,7 +75,7 @@
             .or_default();
         *of_priority = sum(of_priority, needs);
         if run.stop.is_some() {
-            self.unconfirmed.insert(run.task);
+            self.possibly_ended.insert(run.task);
         }
         self.runs.insert(run.task, run);
     }
@@ -90,13 +90,13 @@
         self.runs.contains_key(&task)
     }
 
-    /// The run with this identity, if it was assigned to this server.
+    /// The run with this identity, if it is assigned to this server.
     pub(crate) fn on_server(&self, server: &ServerId, id: RunId) -> Option<&Run> {
         self.get(id.task)
             .filter(|run| run.attempt == id.attempt && run.server == *server)
     }
 
-    /// What the runs on a server take in all.
+    /// The capacity that the runs on a server use.
     pub(crate) fn used(&self, server: &ServerId) -> Resources {
         self.by_server
             .get(server)
@@ -104,7 +104,7 @@
             .unwrap_or_default()
     }
 
-    /// What the runs of a priority take in all.
+    /// The capacity that the runs of a priority use.
     pub(crate) fn used_by(&self, priority: u32) -> Resources {
         self.used_by_priority
             .get(&priority)
@@ -112,20 +112,20 @@
             .unwrap_or_default()
     }
 
-    /// How many runs of a server have not ended.
+    /// The number of runs on a server that have not ended.
     pub(crate) fn open_count(&self, server: &ServerId) -> usize {
         self.by_server.get(server).map_or(0, |runs| runs.open)
     }
 
-    /// Whether a run of a server came, changed or ended since the last call; the progress that its
-    /// server lists does not count.
+    /// Whether a run on a server was added, changed or ended since the last call. Reported progress
+    /// does not count as a change.
     pub(crate) fn take_changed(&mut self, server: &ServerId) -> bool {
         self.by_server
             .get_mut(server)
             .is_some_and(|runs| std::mem::take(&mut runs.changed))
     }
 
-    /// A run of this server has changed.
+    /// Marks the runs of a server as changed.
     fn set_changed(&mut self, server: &ServerId) {
         if let Some(runs) = self.by_server.get_mut(server) {
             runs.changed = true;
@@ -151,7 +151,7 @@
             .map(|(_, run)| run)
     }
 
-    /// The runs of the step and occurrence that this task belongs to.
+    /// The runs of the step and occurrence of this task.
     pub(crate) fn of_step(&self, task: TaskId) -> impl Iterator<Item = &Run> {
         let first = TaskId { index: 0, ..task };
         let last = TaskId {
@@ -161,18 +161,18 @@
         self.runs.range(first..=last).map(|(_, run)| run)
     }
 
-    /// The runs that may be over without a report of their server, since they are to be stopped or were
-    /// recorded since the last call.
-    pub(crate) fn take_unconfirmed(&mut self) -> Vec<&Run> {
+    /// The runs that may be over without a report of their server: those with a requested stop, and
+    /// those that were recorded since the last call.
+    pub(crate) fn take_possibly_ended(&mut self) -> Vec<&Run> {
         let runs = &self.runs;
-        let unconfirmed: Vec<&Run> = self
-            .unconfirmed
+        let possibly_ended: Vec<&Run> = self
+            .possibly_ended
             .iter()
             .filter_map(|task| runs.get(task))
             .collect();
-        self.unconfirmed
+        self.possibly_ended
             .retain(|task| runs.get(task).is_some_and(|run| run.stop.is_some()));
-        unconfirmed
+        possibly_ended
     }
 
     /// All runs.
@@ -180,46 +180,46 @@
         self.runs.values()
     }
 
-    /// The start of a run was recorded.
+    /// Marks the start of a run as recorded.
     pub(crate) fn set_recorded(&mut self, task: TaskId, now: Millis) {
         if let Some(run) = self.runs.get_mut(&task) {
             run.phase = RunPhase::Recorded;
             run.progressed_at = now;
             let server = run.server.clone();
             self.set_changed(&server);
-            self.unconfirmed.insert(task);
+            self.possibly_ended.insert(task);
         }
     }
 
-    /// The agent of a run's server was ordered to start it.
+    /// Notes the session in which the agent was ordered to start a run.
     pub(crate) fn set_start_ordered(&mut self, task: TaskId, session: SessionId) {
         if let Some(run) = self.runs.get_mut(&task) {
             run.start_ordered_in = Some(session);
         }
     }
 
-    /// The agent of a run's server was ordered to stop it.
+    /// Notes the message in which the agent was ordered to stop a run.
     pub(crate) fn set_stop_ordered(&mut self, task: TaskId, order: OrderId) {
         if let Some(run) = self.runs.get_mut(&task) {
             run.stop_order = Some(order);
         }
     }
 
-    /// A server listed a run as running.
+    /// Records the progress of a run that a server lists as running.
     pub(crate) fn record_progress(&mut self, listed: &RunningTask, at: Millis) {
         if let Some(run) = self.runs.get_mut(&listed.task) {
             run.record_progress(listed, at);
         }
     }
 
-    /// A run was counted as taking much longer than expected.
+    /// Marks a run as counted among the overdue ones.
     pub(crate) fn set_overdue(&mut self, task: TaskId) {
         if let Some(run) = self.runs.get_mut(&task) {
             run.overdue = true;
         }
     }
 
-    /// Has a run stopped, together with the other members of its gang. The first reason counts.
+    /// Requests the stop of a run and of the other members of its gang. An earlier reason is kept.
     pub(crate) fn request_stop(&mut self, task: TaskId, reason: StopReason) {
         let Some(run) = self.runs.get(&task) else {
             return;
@@ -233,14 +233,14 @@
         for member in members {
             if let Some(run) = self.runs.get_mut(&member).filter(|run| !run.ended) {
                 run.stop.get_or_insert(reason);
-                self.unconfirmed.insert(member);
+                self.possibly_ended.insert(member);
                 let server = run.server.clone();
                 self.set_changed(&server);
             }
         }
     }
 
-    /// A run is over on its server: its capacity is free.
+    /// Marks a run as ended and frees its capacity.
     pub(crate) fn set_ended(&mut self, task: TaskId) {
         let Some(run) = self.runs.get_mut(&task) else {
             return;
@@ -260,13 +260,13 @@
         }
     }
 
-    /// Forgets the run of a task.
+    /// Removes the run of a task.
     pub(crate) fn remove(&mut self, task: TaskId) {
         self.set_ended(task);
         let Some(run) = self.runs.remove(&task) else {
             return;
         };
-        self.unconfirmed.remove(&task);
+        self.possibly_ended.remove(&task);
         if let Some(on_server) = self.by_server.get_mut(&run.server) {
             on_server.tasks.remove(&task);
             if on_server.tasks.is_empty() {
