--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler of one service: its state, its inputs, and the course of a round.
+//! The scheduler of one service: its state, its inputs and the steps of a round.
 
 use crate::adoption::adopt;
 use crate::estimator::Estimator;
@@ -7,7 +7,7 @@
 use crate::history::History;
 use crate::incarnations::Incarnations;
 use crate::inferred_end::InferredEndReason;
-use crate::jobs::board::{BoardUpdate, JobBoard};
+use crate::jobs::open_jobs::{JobsRefresh, OpenJobs};
 use crate::orders::OrderWriter;
 use crate::overview::Overview;
 use crate::placement::candidate::Candidate;
@@ -37,43 +37,44 @@
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_control_state::ControlState;
 
-/// What the owner of a service's shard decides: a state machine without I/O. Messages, applied
-/// operations and moments are its input, operations and messages its output.
+/// Makes the scheduling decisions for one service. The owner of the service's shard runs it. It is
+/// a state machine without I/O: its inputs are agent messages, applied operations and timestamps;
+/// its outputs are operations and agent messages.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     service: ServiceName,
     token: FencingToken,
     settings: SchedulerSettings,
-    /// When all leases that earlier owners granted have expired.
+    /// The time by which all leases granted by earlier owners have expired.
     takeover_bound: Millis,
-    /// Whether the runs of earlier owners were taken over, in the first round.
+    /// Whether the runs of earlier owners have been adopted. This happens in the first round.
     has_adopted: bool,
     servers: ServerTable,
     tracker: RunTracker,
-    jobs: JobBoard,
+    jobs: OpenJobs,
     queues: TaskQueues,
     history: History,
     urgent_usage: UrgentUsage,
-    /// When all runs were last looked at.
-    swept_at: Option<Millis>,
+    /// The time of the last full scan over the runs.
+    last_full_scan: Option<Millis>,
 }
 
-/// The shortest time between two looks at all runs, in milliseconds.
-const SWEEP_INTERVAL_MS: u64 = 50;
+/// The minimum time between two full scans over the runs, in milliseconds.
+const FULL_SCAN_INTERVAL_MS: u64 = 50;
 
-/// When a round takes place.
+/// The time of a round.
 #[derive(Clone, Copy, Debug)]
 struct RoundTime {
     now: Millis,
-    /// The time of day.
+    /// The wall-clock time.
     wall: WallMillis,
-    /// Whether all runs are looked at, rather than what has changed alone.
-    is_sweep: bool,
+    /// Whether the round checks all runs instead of only those that have changed.
+    is_full_scan: bool,
 }
 
 impl Scheduler {
-    /// The scheduler of a service, from the moment at which the operation that took over the shard
-    /// was applied here.
+    /// Creates the scheduler of a service. `now` is the time at which the local replica applied the
+    /// operation that took over the shard.
     pub fn new(
         service: ServiceName,
         token: FencingToken,
@@ -86,28 +87,28 @@
             has_adopted: false,
             servers: ServerTable::default(),
             tracker: RunTracker::new(submissions),
-            jobs: JobBoard::default(),
+            jobs: OpenJobs::default(),
             queues: TaskQueues::new(settings.dispatch),
             history: History::default(),
             urgent_usage: UrgentUsage::default(),
-            swept_at: None,
+            last_full_scan: None,
             service,
             token,
             settings,
         }
     }
 
-    /// The fencing token under which it acts.
+    /// The fencing token of this owner.
     pub fn token(&self) -> FencingToken {
         self.token
     }
 
-    /// The service as it knows it at this moment.
+    /// A summary of the service's servers and waiting tasks.
     pub fn summary(&self, now: Millis) -> ServiceSummary {
         summarize(&self.overview(now), &self.jobs)
     }
 
-    /// Receives a message of an agent.
+    /// Handles a message from an agent.
     pub fn receive(
         &mut self,
         agent: PeerAddress,
@@ -139,12 +140,13 @@
         }
     }
 
-    /// A connection to an agent has ended.
+    /// Handles the end of a connection to an agent.
     pub fn disconnected(&mut self, agent: PeerAddress, connection: u64) {
         self.servers.detach(agent, connection);
     }
 
-    /// The local replica has applied an operation, of whichever service.
+    /// Handles an operation that the local replica has applied. The operation may belong to any
+    /// service.
     pub fn applied(&mut self, operation: &Operation, result: &OperationResult, now: Millis) {
         match operation {
             Operation::AcceptJob { job, .. } | Operation::CancelJob { job, .. } => {
@@ -168,14 +170,15 @@
         }
     }
 
-    /// What was submitted and not applied is submitted again with the next round: the head that it went
-    /// to may be gone.
+    /// Makes the next round submit again all operations that have not been applied. The chain head
+    /// that received them may have failed.
     pub fn resubmit_operations(&mut self) {
         self.tracker.submissions.resubmit_all();
     }
 
-    /// Decides what is to be done now. No message is sent at or after `authority_until`: until then
-    /// this process may act as the owner.
+    /// Runs one scheduling round and returns its decisions. This process may act as the owner only
+    /// before `authority_until`: a round at or after that time places no task and writes no
+    /// message.
     pub fn round(
         &mut self,
         state: &ControlState,
@@ -186,14 +189,14 @@
         let time = RoundTime {
             now,
             wall,
-            is_sweep: self.begin_sweep_if_due(now),
+            is_full_scan: self.begin_full_scan_if_due(now),
         };
         let has_authority = now < authority_until;
         self.adopt_once(state, now);
         self.read_heartbeats(state, now);
         let timeout_ms = self.settings.heartbeat_timeout_ms;
         self.incarnations().expire_leases(now, timeout_ms);
-        self.incarnations().follow_bindings(state);
+        self.incarnations().reconcile_bindings(state);
         self.refresh_jobs(state, time);
         self.infer_ends(time);
         if has_authority {
@@ -212,24 +215,24 @@
         }
     }
 
-    /// Whether all runs are to be looked at in this round. What is found only then depends on times
-    /// of seconds.
-    fn begin_sweep_if_due(&mut self, now: Millis) -> bool {
+    /// Whether this round scans all runs. Conditions that only a full scan detects depend on
+    /// timeouts of seconds, so a scan every [`FULL_SCAN_INTERVAL_MS`] is often enough.
+    fn begin_full_scan_if_due(&mut self, now: Millis) -> bool {
         let is_due = self
-            .swept_at
-            .is_none_or(|at| now.since(at) >= SWEEP_INTERVAL_MS);
+            .last_full_scan
+            .is_none_or(|at| now.since(at) >= FULL_SCAN_INTERVAL_MS);
         if is_due {
-            self.swept_at = Some(now);
+            self.last_full_scan = Some(now);
         }
         is_due
     }
 
     fn infer_ends(&mut self, time: RoundTime) {
         let bound = (time.now > self.takeover_bound).then_some(TakeoverBoundExpired);
-        if time.is_sweep {
-            self.tracker.infer_ends_without_report(&self.servers, bound);
+        if time.is_full_scan {
+            self.tracker.infer_unreported_ends(&self.servers, bound);
         } else {
-            self.tracker.infer_ends_of_unconfirmed(&self.servers, bound);
+            self.tracker.infer_possible_unreported_ends(&self.servers, bound);
         }
     }
 
@@ -247,7 +250,7 @@
         heartbeat: Option<Heartbeat>,
         report: ReportTimes,
     ) {
-        let Some(server) = self.servers.in_session(agent, connection) else {
+        let Some(server) = self.servers.get_by_connection(agent, connection) else {
             return;
         };
         server.record_report(report);
@@ -257,8 +260,8 @@
     }
 
     fn deregister(&mut self, agent: PeerAddress, connection: u64, id: &ServerId) {
-        let in_session = self.servers.in_session(agent, connection);
-        if in_session.is_some_and(|server| server.facts.id == *id) {
+        let attached = self.servers.get_by_connection(agent, connection);
+        if attached.is_some_and(|server| server.facts.id == *id) {
             self.incarnations()
                 .remove(id, InferredEndReason::ServerDeregistered);
         }
@@ -279,7 +282,7 @@
         }
     }
 
-    /// Takes over the runs of earlier owners, in the first round.
+    /// Adopts the runs of earlier owners in the first round.
     fn adopt_once(&mut self, state: &ControlState, now: Millis) {
         if self.has_adopted {
             return;
@@ -302,9 +305,9 @@
         .read_all();
     }
 
-    /// Brings the open jobs up to date, and stops what is left of those that were closed.
+    /// Refreshes the plans of the open jobs, and stops the remaining runs of jobs that have closed.
     fn refresh_jobs(&mut self, state: &ControlState, time: RoundTime) {
-        let closed = self.jobs.refresh(&BoardUpdate {
+        let closed = self.jobs.refresh(&JobsRefresh {
             state,
             service: &self.service,
             capacity: self.servers.total_capacity(),
@@ -327,20 +330,21 @@
         self.history.faults.forget_job(job);
     }
 
-    /// Places the tasks that may start, decides on starts, and evicts runs.
+    /// Places ready tasks, proposes starts and evicts runs.
     fn run_placement(&mut self, state: &ControlState, time: RoundTime) {
         let RoundTime { now, wall, .. } = time;
         let urgent = self.tracker.runs.used_by(URGENT_PRIORITY);
         self.urgent_usage.observe(&urgent, now);
-        // The demands refer to the plans of the jobs, which nothing changes meanwhile.
+        // The demands borrow the plans of the jobs, so the plans are moved out of `self`, which is
+        // borrowed mutably below.
         let jobs = std::mem::take(&mut self.jobs);
         let demands = demands(state, &jobs, &self.history.durations, wall);
-        let candidates = if self.has_to_place(&demands) {
+        let candidates = if self.needs_placement(&demands) {
             Some(self.place(state, &demands, now))
         } else {
             None
         };
-        if time.is_sweep {
+        if time.is_full_scan {
             self.eviction(now).stop_stalled_runs();
         }
         if let Some(candidates) = candidates {
@@ -349,16 +353,17 @@
         self.jobs = jobs;
     }
 
-    /// Whether a round of placement could change anything: a task waits that has neither a run nor a
-    /// place in a queue, or tasks are queued, or a server is to be emptied.
-    fn has_to_place(&self, demands: &[Demand<'_>]) -> bool {
+    /// Whether a placement pass could change anything: a ready task has neither a run nor a queue
+    /// entry, a queue is not empty, or a server is draining.
+    fn needs_placement(&self, demands: &[Demand<'_>]) -> bool {
         let is_unplaced = |task| !self.tracker.runs.contains(task) && !self.queues.contains(task);
         !self.queues.is_empty()
             || self.servers.has_draining()
             || demands.iter().any(|demand| demand.tasks().any(is_unplaced))
     }
 
-    /// One pass of placement over the demands. Returns the candidates as it left them.
+    /// Runs one placement pass over the demands. Returns the candidates with the capacity that
+    /// remains after the pass.
     fn place(
         &mut self,
         state: &ControlState,
--- a/crates/scheduler/src/servers.rs
+++ b/crates/scheduler/src/servers.rs
@@ -1,4 +1,4 @@
-//! The servers that the owner knows, and what their agents reported of them.
+//! The servers that the owner knows, with the reports of their agents.
 
 pub(crate) mod reported_ends;
 pub(crate) mod server;
--- a/crates/scheduler/src/servers/reported_ends.rs
+++ b/crates/scheduler/src/servers/reported_ends.rs
@@ -1,4 +1,4 @@
-//! The ends that a server reports, and up to which of them all are recorded.
+//! The ends that a server has reported, and which of them are recorded.
 
 use crate::run_id::RunId;
 use std::collections::BTreeMap;
@@ -7,11 +7,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ReportedEnd {
     run: RunId,
-    /// Whether the replicated state has it, or never will.
+    /// Whether the replicated state has the end, or never will.
     recorded: bool,
 }
 
-/// The ends of one incarnation of a server, in the order of their numbers.
+/// The ends reported by one incarnation of a server, ordered by number.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReportedEnds {
     recorded_up_to: u64,
@@ -19,7 +19,7 @@
 }
 
 impl ReportedEnds {
-    /// Adds an end under its number. Returns whether it is new.
+    /// Adds an end with its number. Returns whether it is new.
     pub(crate) fn add(&mut self, number: u64, run: RunId) -> bool {
         if number <= self.recorded_up_to || self.ends.contains_key(&number) {
             return false;
@@ -32,7 +32,7 @@
         true
     }
 
-    /// The ends of this run are recorded.
+    /// Marks the ends of this run as recorded.
     pub(crate) fn set_recorded(&mut self, run: RunId) {
         for end in self.ends.values_mut().filter(|end| end.run == run) {
             end.recorded = true;
@@ -40,18 +40,18 @@
         self.advance();
     }
 
-    /// The highest number up to which all ends are recorded; the server may forget these.
+    /// The highest number up to which all ends are recorded. The server may forget these ends.
     pub(crate) fn recorded_up_to(&self) -> u64 {
         self.recorded_up_to
     }
 
-    /// Whether there are ends that are not recorded up to their number.
+    /// Whether there are ends with numbers above [`Self::recorded_up_to`].
     pub(crate) fn is_pending(&self) -> bool {
         !self.ends.is_empty()
     }
 
-    /// Servers list all ends that were not acknowledged, oldest first: so none is missing between
-    /// those kept here.
+    /// Drops the recorded ends at the front. Servers list all unacknowledged ends, oldest first, so
+    /// no number is missing among those in the map.
     fn advance(&mut self) {
         while let Some(first) = self.ends.first_entry().filter(|first| first.get().recorded) {
             self.recorded_up_to = *first.key();
--- a/crates/scheduler/src/servers/server.rs
+++ b/crates/scheduler/src/servers/server.rs
@@ -12,34 +12,33 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Which of a server's labels names its rack; the one before it names its kind.
+/// The index of the rack in a server's labels. The label before it is the server's kind.
 const RACK_LABEL: usize = 1;
 
-/// A run that a server lists although the replicated state does not ask for it there.
+/// A run that a server lists as running although it is not an open run there.
 #[derive(Clone, Debug)]
-pub(crate) struct ForeignRun {
-    /// What it takes; everything that the server has where its job is not known.
+pub(crate) struct UnexpectedRun {
+    /// The capacity that it uses; the server's total capacity if its job is not known.
     pub(crate) needs: Resources,
-    /// The newest order that carried its stop.
+    /// The latest message with the order to stop it.
     pub(crate) stop_order: Option<OrderId>,
 }
 
-/// With which kind of message a heartbeat came.
+/// The kind of message that a heartbeat arrived with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeartbeatOrigin {
-    /// With the attachment that began the session: its `orders_seen` counts messages of an earlier
+    /// The attachment that started the session. `orders_seen` counts messages of an earlier
     /// session.
     Attachment,
-    /// With a report: its `orders_seen` counts messages of the present session.
+    /// A report. `orders_seen` counts messages of the current session.
     Report,
 }
 
 /// A heartbeat that no round has read yet.
 #[derive(Clone, Debug)]
 pub(crate) struct UnreadHeartbeat {
-    /// The heartbeat.
     pub(crate) heartbeat: Heartbeat,
-    /// How it came.
+    /// The kind of message that it arrived with.
     pub(crate) origin: HeartbeatOrigin,
     /// When it was received.
     pub(crate) received_at: Millis,
@@ -48,39 +47,39 @@
 /// One incarnation of a server.
 #[derive(Clone, Debug)]
 pub(crate) struct Server {
-    /// What it reports of itself.
+    /// The facts that the server reports about itself.
     pub(crate) facts: Arc<ServerFacts>,
-    /// The agent on its machine.
+    /// The address of the agent on its machine.
     pub(crate) agent: PeerAddress,
-    /// The session with its agent, while there is one.
+    /// The session with its agent, if there is one.
     pub(crate) session: Option<Session>,
-    /// Whether its binding to the agent is recorded, and earlier incarnations beside that agent were
-    /// ended.
+    /// Whether its binding to the agent is recorded and earlier incarnations of this agent's server
+    /// were removed.
     pub(crate) binding_checked: bool,
-    /// The highest sequence number of its heartbeats; one with a lower number is late and ignored.
+    /// The highest sequence number of its heartbeats. Heartbeats with lower numbers are late and
+    /// ignored.
     pub(crate) sequence: u64,
-    /// Since when it is draining, if it is. Draining does not end.
+    /// When it began to drain. Draining cannot be revoked.
     pub(crate) draining_since: Option<Millis>,
-    /// While it is draining, until when it stays at least, if it reports that.
-    pub(crate) stays_until: Option<Millis>,
-    /// Its newest heartbeat, until a round reads it.
+    /// While it is draining, the time until which it keeps running at least, if it reports that.
+    pub(crate) drain_deadline: Option<Millis>,
+    /// Its latest heartbeat, until a round reads it.
     pub(crate) unread: Option<UnreadHeartbeat>,
-    /// Runs that it lists although the replicated state does not ask for them there.
-    pub(crate) foreign: BTreeMap<RunId, ForeignRun>,
-    /// The ends that it reported.
+    /// The runs that it lists although they are not open runs there.
+    pub(crate) unexpected: BTreeMap<RunId, UnexpectedRun>,
     pub(crate) ends: ReportedEnds,
-    /// When a message of its agent was last received.
+    /// When the last message from its agent was received.
     pub(crate) last_contact: Millis,
-    /// When all leases that it was granted have expired, by the owner's clock.
+    /// The time by which all its leases have expired, by the owner's clock.
     pub(crate) lease_bound: Millis,
-    /// Whether something of it changed since it was last looked at for orders: what is to be sent to
-    /// its agent may differ from what was sent.
+    /// Whether it has changed since its orders were last written, so that its agent may need a
+    /// message.
     pub(crate) may_need_orders: bool,
 }
 
 impl Server {
-    /// A server that attaches for the first time. It may have leases of earlier owners until
-    /// `lease_bound`.
+    /// Creates a server that attaches for the first time. It may have leases from earlier owners
+    /// until `lease_bound`.
     pub(crate) fn new(
         facts: Arc<ServerFacts>,
         agent: PeerAddress,
@@ -94,9 +93,9 @@
             binding_checked: false,
             sequence: 0,
             draining_since: None,
-            stays_until: None,
+            drain_deadline: None,
             unread: None,
-            foreign: BTreeMap::new(),
+            unexpected: BTreeMap::new(),
             ends: ReportedEnds::default(),
             last_contact: now,
             lease_bound,
@@ -104,14 +103,14 @@
         }
     }
 
-    /// What its foreign runs take.
-    pub(crate) fn foreign_usage(&self) -> Resources {
-        self.foreign
+    /// The capacity that its unexpected runs use.
+    pub(crate) fn unexpected_usage(&self) -> Resources {
+        self.unexpected
             .values()
             .fold(Resources::default(), |total, run| sum(&total, &run.needs))
     }
 
-    /// A report of its agent was received.
+    /// Records a report from its agent.
     pub(crate) fn record_report(&mut self, report: ReportTimes) {
         self.last_contact = report.received_at;
         self.may_need_orders = true;
@@ -120,7 +119,7 @@
         }
     }
 
-    /// Keeps a heartbeat for the next round; a late one is dropped.
+    /// Stores a heartbeat for the next round. A late one is dropped.
     pub(crate) fn receive_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
@@ -134,7 +133,7 @@
         if heartbeat.draining {
             self.draining_since.get_or_insert(received_at);
         }
-        self.stays_until = heartbeat
+        self.drain_deadline = heartbeat
             .remaining_ms
             .map(|remaining_ms| received_at.plus(remaining_ms));
         self.unread = Some(UnreadHeartbeat {
@@ -144,7 +143,8 @@
         });
     }
 
-    /// A message was sent to its agent. With it all its leases end by `lease_bound` at the latest.
+    /// Records a message sent to its agent. The lease that the message grants expires by
+    /// `lease_bound`.
     pub(crate) fn record_sent(
         &mut self,
         message: &OwnerMessage,
@@ -152,7 +152,7 @@
         lease_bound: Millis,
     ) {
         for (task, attempt) in &message.stop {
-            if let Some(run) = self.foreign.get_mut(&RunId::new(*task, *attempt)) {
+            if let Some(run) = self.unexpected.get_mut(&RunId::new(*task, *attempt)) {
                 run.stop_order = Some(order);
             }
         }
@@ -162,12 +162,12 @@
         }
     }
 
-    /// Whether a message of its agent was received within this time.
+    /// Whether a message from its agent was received within the timeout.
     pub(crate) fn is_reachable(&self, now: Millis, timeout_ms: u64) -> bool {
         now.since(self.last_contact) <= timeout_ms
     }
 
-    /// Whether it may be given new work.
+    /// Whether it accepts new work.
     pub(crate) fn is_schedulable(&self, now: Millis, timeout_ms: u64) -> bool {
         let has_orders = self
             .session
@@ -177,7 +177,7 @@
     }
 }
 
-/// The label of a server's rack; empty where it has none.
+/// The label of a server's rack; empty if it has none.
 pub(crate) fn rack_of(facts: &ServerFacts) -> &str {
     facts.labels.get(RACK_LABEL).map_or("", String::as_str)
 }
--- a/crates/scheduler/src/servers/session.rs
+++ b/crates/scheduler/src/servers/session.rs
@@ -1,18 +1,16 @@
-//! Sessions: connections to agents, and what was sent on them.
+//! Sessions with agents, and the messages sent in them.
 
 use lupinrack_cluster_api::agent::OwnerMessage;
 use lupinrack_cluster_api::time::Millis;
 
-/// The number of a session, unique at one owner.
+/// The number of a session, unique for one owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SessionId(pub(crate) u64);
 
-/// A message to an agent, by its session and its number there.
+/// Identifies a message to an agent by its session and its number in the session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OrderId {
-    /// The session.
     pub(crate) session: SessionId,
-    /// The number of the message in the session.
     pub(crate) number: u64,
 }
 
@@ -25,28 +23,26 @@
     pub(crate) received_at: Millis,
 }
 
-/// A connection to an agent, from its attachment on.
+/// A session with an agent on one connection. It starts with the agent's attachment.
 #[derive(Clone, Debug)]
 pub(crate) struct Session {
-    /// Its number.
     pub(crate) id: SessionId,
-    /// The connection.
     pub(crate) connection: u64,
     /// The number of the next message.
     pub(crate) next_number: u64,
-    /// The newest report.
+    /// The latest report of the agent.
     pub(crate) report: ReportTimes,
-    /// The report that the newest message answered, from which on its lease counts; none before the
-    /// first message.
+    /// The report that the latest message answered. The lease granted by that message counts from
+    /// this report. `None` before the first message.
     pub(crate) answered: Option<ReportTimes>,
-    /// Up to which number ends were acknowledged in the newest message.
+    /// The number up to which the latest message acknowledged ends.
     pub(crate) acknowledged_ends: u64,
-    /// The heartbeat interval that the newest message asked for, in milliseconds.
+    /// The heartbeat interval that the latest message requested, in milliseconds.
     pub(crate) heartbeat_after_ms: u64,
 }
 
 impl Session {
-    /// A session on which nothing was sent yet.
+    /// Creates a session in which nothing has been sent.
     pub(crate) fn new(id: SessionId, connection: u64, report: ReportTimes) -> Session {
         Session {
             id,
@@ -59,26 +55,26 @@
         }
     }
 
-    /// Begins it anew on the same connection: its next message is complete.
-    pub(crate) fn renew(&mut self, id: SessionId) {
+    /// Resets the session on the same connection, so that its next message is complete.
+    pub(crate) fn reset(&mut self, id: SessionId) {
         self.id = id;
         self.answered = None;
     }
 
-    /// Whether this order belongs to it.
+    /// Whether this order was sent in this session.
     pub(crate) fn contains(&self, order: Option<OrderId>) -> bool {
         order.is_some_and(|order| order.session == self.id)
     }
 
-    /// Whether the lease has to be renewed: the newest report came this much later than the one that
-    /// was last answered.
-    pub(crate) fn is_renewal_due(&self, renew_after_ms: u64) -> bool {
+    /// Whether the lease has to be renewed: the latest report was received at least
+    /// `renew_after_ms` after the last answered one.
+    pub(crate) fn is_lease_renewal_due(&self, renew_after_ms: u64) -> bool {
         self.answered.is_none_or(|answered| {
             self.report.received_at.since(answered.received_at) >= renew_after_ms
         })
     }
 
-    /// A message was sent.
+    /// Records a sent message.
     pub(crate) fn record_sent(&mut self, message: &OwnerMessage) {
         self.next_number += 1;
         self.answered = Some(self.report);
--- a/crates/scheduler/src/servers/table.rs
+++ b/crates/scheduler/src/servers/table.rs
@@ -1,4 +1,4 @@
-//! The server table.
+//! The table of servers.
 
 use crate::resources::sum;
 use crate::run_id::RunId;
@@ -12,43 +12,41 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The first message of a session.
+/// The message that starts a session.
 #[derive(Debug)]
 pub(crate) struct Attachment {
-    /// The agent.
+    /// The address of the agent.
     pub(crate) agent: PeerAddress,
-    /// Its connection.
     pub(crate) connection: u64,
-    /// What the server reports of itself.
+    /// The facts that the server reports about itself.
     pub(crate) facts: ServerFacts,
-    /// The server's newest heartbeat.
+    /// The latest heartbeat of the server.
     pub(crate) heartbeat: Heartbeat,
-    /// When it was sent and received.
+    /// When the message was sent and received.
     pub(crate) report: ReportTimes,
 }
 
-/// A server all of whose leases have expired.
+/// A server whose leases have all expired.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ExpiredServer {
-    /// The server.
     pub(crate) id: ServerId,
     /// Whether its agent still has a session.
     pub(crate) has_session: bool,
 }
 
-/// All servers that are known, by incarnation. An agent has at most one of them in session.
+/// All known servers, by incarnation. An agent has a session for at most one of them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServerTable {
     servers: BTreeMap<ServerId, Server>,
-    /// The incarnation that each agent last attached for.
+    /// The incarnation for which each agent last attached.
     by_agent: BTreeMap<PeerAddress, ServerId>,
-    /// The number of the newest session.
+    /// The number of the latest session.
     last_session: u64,
 }
 
 impl ServerTable {
-    /// Begins a session. A server that was not known may have leases of earlier owners until
-    /// `lease_bound`.
+    /// Starts a session. A server that was not known before may have leases from earlier owners
+    /// until `lease_bound`.
     pub(crate) fn attach(&mut self, attachment: Attachment, lease_bound: Millis) {
         let Attachment {
             agent,
@@ -59,13 +57,13 @@
         } = attachment;
         let id = facts.id.clone();
         let session = Session::new(self.next_session(), connection, report);
-        self.end_session_beside(agent, &id);
+        self.end_other_session_of(agent, &id);
         let facts = Arc::new(facts);
         let server = self
             .servers
             .entry(id.clone())
             .or_insert_with(|| Server::new(facts.clone(), agent, report.received_at, lease_bound));
-        // Attachments of two connections may overtake each other.
+        // Attachments on two connections may arrive out of order.
         if heartbeat.sequence >= server.sequence {
             server.facts = facts;
         }
@@ -77,24 +75,24 @@
         self.by_agent.insert(agent, id);
     }
 
-    /// Begins the session of a server anew on its connection: its next message is complete.
-    pub(crate) fn renew_session(&mut self, id: &ServerId) {
+    /// Resets the session of a server on its connection, so that its next message is complete.
+    pub(crate) fn reset_session(&mut self, id: &ServerId) {
         let session_id = self.next_session();
         let session = self.get_mut(id).and_then(|server| server.session.as_mut());
         if let Some(session) = session {
-            session.renew(session_id);
+            session.reset(session_id);
         }
     }
 
     /// Ends the session of this connection.
     pub(crate) fn detach(&mut self, agent: PeerAddress, connection: u64) {
-        if let Some(server) = self.in_session(agent, connection) {
+        if let Some(server) = self.get_by_connection(agent, connection) {
             server.session = None;
         }
     }
 
-    /// The server whose session is on this connection.
-    pub(crate) fn in_session(
+    /// The server whose current session is on this connection.
+    pub(crate) fn get_by_connection(
         &mut self,
         agent: PeerAddress,
         connection: u64,
@@ -112,21 +110,21 @@
         self.servers.get(id)
     }
 
-    /// A server, to be changed. Its agent may need orders afterwards.
+    /// Mutable access to a server. Marks it as possibly needing orders.
     pub(crate) fn get_mut(&mut self, id: &ServerId) -> Option<&mut Server> {
         let server = self.servers.get_mut(id)?;
         server.may_need_orders = true;
         Some(server)
     }
 
-    /// The messages that were due to the agent of a server were written.
+    /// Notes that all messages due to the server's agent have been written.
     pub(crate) fn set_orders_written(&mut self, id: &ServerId) {
         if let Some(server) = self.servers.get_mut(id) {
             server.may_need_orders = false;
         }
     }
 
-    /// Forgets a server.
+    /// Removes a server.
     pub(crate) fn remove(&mut self, id: &ServerId) {
         let Some(server) = self.servers.remove(id) else {
             return;
@@ -141,12 +139,12 @@
         self.servers.iter()
     }
 
-    /// The servers that are in session.
+    /// The servers that have a session.
     pub(crate) fn attached(&self) -> impl Iterator<Item = (&ServerId, &Server)> {
         self.iter().filter(|(_, server)| server.session.is_some())
     }
 
-    /// The servers that may be given new work.
+    /// The servers that accept new work.
     pub(crate) fn schedulable(
         &self,
         now: Millis,
@@ -163,8 +161,8 @@
             .any(|server| server.draining_since.is_some())
     }
 
-    /// The servers all of whose leases have expired, and whose agents have sent nothing within the
-    /// time-out.
+    /// The servers whose leases have all expired and whose agents have sent nothing within the
+    /// timeout.
     pub(crate) fn expired(&self, now: Millis, timeout_ms: u64) -> Vec<ExpiredServer> {
         self.iter()
             .filter(|(_, server)| now > server.lease_bound && !server.is_reachable(now, timeout_ms))
@@ -175,8 +173,8 @@
             .collect()
     }
 
-    /// The other incarnations beside an agent.
-    pub(crate) fn others_beside(
+    /// The other incarnations that belong to the same agent.
+    pub(crate) fn other_incarnations_of(
         &self,
         agent: PeerAddress,
         incarnation: &ServerId,
@@ -187,7 +185,7 @@
             .collect()
     }
 
-    /// Takes the newest heartbeat of every server that sent one since the last call.
+    /// Takes the latest heartbeat of each server that has sent one since the last call.
     pub(crate) fn take_unread(&mut self) -> Vec<(ServerId, UnreadHeartbeat)> {
         self.servers
             .iter_mut()
@@ -198,7 +196,7 @@
             .collect()
     }
 
-    /// The ends of this run are recorded, whichever server reported them.
+    /// Marks the ends of this run as recorded on every server that reported one.
     pub(crate) fn set_end_recorded(&mut self, run: RunId) {
         for server in self.servers.values_mut() {
             server.ends.set_recorded(run);
@@ -206,7 +204,7 @@
         }
     }
 
-    /// What all servers have together.
+    /// The total capacity of all servers.
     pub(crate) fn total_capacity(&self) -> Resources {
         self.servers
             .values()
@@ -220,13 +218,14 @@
         SessionId(self.last_session)
     }
 
-    /// An agent speaks for one incarnation at a time.
-    fn end_session_beside(&mut self, agent: PeerAddress, incarnation: &ServerId) {
-        let before = self
+    /// Ends the agent's session for another incarnation. An agent reports for one incarnation at a
+    /// time.
+    fn end_other_session_of(&mut self, agent: PeerAddress, incarnation: &ServerId) {
+        let other = self
             .by_agent
             .get(&agent)
-            .filter(|before| *before != incarnation);
-        if let Some(server) = before.and_then(|before| self.servers.get_mut(before)) {
+            .filter(|other| *other != incarnation);
+        if let Some(server) = other.and_then(|other| self.servers.get_mut(other)) {
             server.session = None;
         }
     }
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -6,47 +6,49 @@
 /// Settings of a [`Scheduler`](crate::Scheduler). Durations are in milliseconds.
 #[derive(Clone, Debug)]
 pub struct SchedulerSettings {
-    /// How many times as long as near its data work takes far from it, and a gang over several racks.
+    /// The factor on the duration of work that runs far from its data, and of a gang that spans
+    /// several racks.
     pub remote_factor: f64,
-    /// The longest that a stop takes.
+    /// The maximum duration of a stop.
     pub max_stop_ms: u64,
-    /// How long a draining server stays that does not report how long it does.
+    /// How long a draining server is expected to keep running if it does not report that time.
     pub drain_ms: u64,
-    /// The lease that each message to an agent grants, also those of every other owner.
+    /// The duration of the lease that each message to an agent grants. All owners use the same
+    /// duration.
     pub lease_ms: u64,
-    /// How long an old owner may still act after a new one took over the shard.
+    /// How long an old owner may still act after a new owner has taken over the shard.
     pub old_owner_authority_ms: u64,
-    /// By which part the durations differ that two steady clocks measure, at most.
+    /// The maximum relative difference between durations measured by two monotonic clocks.
     pub clock_drift: f64,
-    /// What is added to bounds on leases for messages on their way.
+    /// The margin that is added to lease bounds for messages in transit.
     pub lease_margin_ms: u64,
-    /// How long a task takes to continue from a checkpoint.
+    /// How long a task takes to restore a checkpoint.
     pub restore_ms: u64,
-    /// After this time without being applied an operation is submitted again.
+    /// The time after which an operation that has not been applied is submitted again.
     pub resubmit_ms: u64,
-    /// A server whose agent has sent nothing for this time is given no new work.
+    /// The time without messages from its agent after which a server is assigned no new work.
     pub heartbeat_timeout_ms: u64,
-    /// The heartbeat interval of a server where something starts or ends, or is about to end.
+    /// The heartbeat interval of a server on which a run is starting, ending or about to end.
     pub busy_heartbeat_ms: u64,
     /// The heartbeat interval of other servers.
     pub idle_heartbeat_ms: u64,
-    /// Runs that are expected to end within this time are about to end.
+    /// A run counts as about to end if it is expected to end within this time.
     pub ending_soon_ms: u64,
-    /// How long urgent work waits before it preempts.
+    /// How long urgent work waits before it preempts other runs.
     pub preempt_after_ms: u64,
-    /// How long a run may stand still before it counts as stalled, on top of [`Self::restore_ms`]
-    /// and a part of its expected duration.
+    /// How long a run may make no progress before it counts as stalled, in addition to
+    /// [`Self::restore_ms`] and a part of its expected duration.
     pub stall_ms: u64,
-    /// The time between the first two tasks that a suspected server is given on probation; later
-    /// ones are rarer.
+    /// The time between the first two probation tasks of a suspected server. Later ones are less
+    /// frequent.
     pub probation_interval_ms: u64,
-    /// How much may be queued for a server, as a part of its capacity.
+    /// The maximum total needs of the tasks queued for a server, as a share of its capacity.
     pub max_queued_share: f64,
-    /// For how many gangs and large tasks capacity is reserved at the same time, at most.
+    /// The maximum number of gangs and large tasks that have capacity reserved at the same time.
     pub max_reservations: usize,
-    /// Which mechanisms take part.
+    /// The mechanisms that are enabled.
     pub policy: SchedulingPolicy,
-    /// The settings of the dispatcher. Its depth bounds the number of runs on a server.
+    /// The settings of the dispatcher. Its depth limits the number of runs on a server.
     pub dispatch: DispatchSettings,
 }
 
@@ -81,13 +83,13 @@
 }
 
 impl SchedulerSettings {
-    /// The longest that a lease which is granted now lasts anywhere, by the owner's clock.
+    /// The maximum duration of a lease that is granted now, measured by the owner's clock.
     pub fn lease_bound_ms(&self) -> u64 {
         let stretched_ms = self.lease_ms as f64 * (1.0 + self.clock_drift);
         stretched_ms.ceil() as u64 + self.lease_margin_ms
     }
 
-    /// The longest after a takeover that a lease of an earlier owner lasts.
+    /// The maximum time after a takeover for which a lease granted by an earlier owner is valid.
     pub fn takeover_bound_ms(&self) -> u64 {
         self.old_owner_authority_ms + self.lease_bound_ms()
     }
--- a/crates/scheduler/src/submissions.rs
+++ b/crates/scheduler/src/submissions.rs
@@ -1,8 +1,9 @@
-//! Operations that were decided and have not been applied yet.
+//! Submissions: operations that have been decided but not applied yet.
 //!
-//! The head of the chain gives no answer. The owner sees an operation applied in its own replica,
-//! and submits it again if it does not. All kinds may be applied twice without harm: a start takes
-//! effect only for a waiting task, an end only for the start that it names, a binding only once.
+//! The head of the chain does not answer. The owner sees in its own replica that an operation was
+//! applied, and otherwise submits it again. An operation of any kind may be applied twice: a start
+//! takes effect only for a waiting task, an end only for the attempt that it names, and a binding
+//! only once.
 
 use crate::run_id::RunId;
 use lupinrack_cluster_api::identity::{FencingToken, PeerAddress, ServerId, ServiceName};
@@ -10,12 +11,12 @@
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use std::collections::BTreeMap;
 
-/// The largest number of ends in one operation.
+/// The maximum number of ends in one operation.
 const MAX_ENDS: usize = 256;
-/// The largest number of starts in one operation, unless a single gang is larger.
+/// The maximum number of starts in one operation. A single gang may exceed it.
 const MAX_STARTS: usize = 256;
 
-/// Something to be submitted, and when it last was.
+/// An item to submit, and the time of its last submission.
 #[derive(Clone, Debug)]
 struct Pending<T> {
     content: T,
@@ -30,7 +31,8 @@
         }
     }
 
-    /// Its content if it is to be submitted now, because it never was or not lately.
+    /// Returns the content if it was never submitted or last submitted at least `resubmit_ms` ago,
+    /// and marks it as submitted now.
     fn submit_if_due(&mut self, now: Millis, resubmit_ms: u64) -> Option<&T> {
         let is_due = self
             .submitted_at
@@ -43,22 +45,23 @@
     }
 }
 
-/// The operations of one owner that are to be applied.
+/// The operations of one owner that have not been applied yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Submissions {
     service: ServiceName,
     token: FencingToken,
-    /// After this time without being applied an operation is submitted again, in milliseconds.
+    /// The time after which an operation that has not been applied is submitted again, in
+    /// milliseconds.
     resubmit_ms: u64,
-    /// Starts that are submitted together.
+    /// Batches of starts. Each batch is one operation.
     starts: Vec<Pending<Vec<StartRecord>>>,
     ends: BTreeMap<RunId, Pending<EndRecord>>,
-    /// Bindings of servers to the agents beside them.
+    /// Bindings of servers to the agents on their machines.
     bindings: BTreeMap<ServerId, Pending<PeerAddress>>,
 }
 
 impl Submissions {
-    /// No operations yet, for the owner with this token.
+    /// Creates an empty set of operations for the owner with this token.
     pub(crate) fn new(service: ServiceName, token: FencingToken, resubmit_ms: u64) -> Submissions {
         Submissions {
             service,
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Everything that was not applied is due again.
+    /// Makes all operations that have not been applied due again.
     pub(crate) fn resubmit_all(&mut self) {
         let starts = self
             .starts
@@ -89,7 +92,7 @@
         }
     }
 
-    /// Adds starts that were decided together. The starts of one group stay in one operation.
+    /// Adds starts that were decided in one round. The starts of one group stay in one operation.
     pub(crate) fn add_starts(&mut self, groups: Vec<Vec<StartRecord>>) {
         let mut batch: Vec<StartRecord> = Vec::new();
         for group in groups {
@@ -103,35 +106,35 @@
         }
     }
 
-    /// Adds an end; one of the same run that is there already stays.
+    /// Adds an end, unless there already is one of the same run.
     pub(crate) fn add_end(&mut self, end: EndRecord) {
         self.ends
             .entry(RunId::new(end.task, end.attempt))
             .or_insert(Pending::new(end));
     }
 
-    /// Adds the binding of a server to an agent; one that is there already stays.
+    /// Adds the binding of a server to an agent, unless the server already has one.
     pub(crate) fn add_binding(&mut self, server: ServerId, agent: PeerAddress) {
         self.bindings.entry(server).or_insert(Pending::new(agent));
     }
 
-    /// Drops the binding of a server: it was applied, or the server is gone.
+    /// Removes the binding of a server because it was applied or the server has ended.
     pub(crate) fn remove_binding(&mut self, server: &ServerId) {
         self.bindings.remove(server);
     }
 
-    /// An operation with these starts was applied.
+    /// Removes the batch with these starts, which was applied.
     pub(crate) fn starts_applied(&mut self, starts: &[StartRecord]) {
         self.starts.retain(|batch| batch.content != starts);
     }
 
-    /// The end of this run was applied, or never will be.
+    /// Removes the end of this run, which was applied or never will be.
     pub(crate) fn end_applied(&mut self, run: RunId) {
         self.ends.remove(&run);
     }
 
-    /// The operations that are to be submitted now: new ones, and those that were not applied in
-    /// time. Ends go before starts, which may need them.
+    /// The operations to submit now: new ones, and those that were not applied in time. Ends
+    /// precede starts, because starts may depend on them.
     pub(crate) fn due(&mut self, now: Millis, wall: WallMillis) -> Vec<Operation> {
         let mut operations = self.due_bindings(now);
         operations.extend(self.due_ends(now, wall));
--- a/crates/scheduler/src/summarize.rs
+++ b/crates/scheduler/src/summarize.rs
@@ -1,6 +1,6 @@
-//! Summaries of a service.
+//! Computes the summary of a service.
 
-use crate::jobs::board::JobBoard;
+use crate::jobs::open_jobs::OpenJobs;
 use crate::overview::Overview;
 use crate::servers::server::Server;
 use crate::summary::{ServerSummary, ServiceSummary, WaitingSummary};
@@ -8,8 +8,8 @@
 use lupinrack_cluster_api::time::Millis;
 use std::collections::BTreeMap;
 
-/// The service as the owner knows it.
-pub(crate) fn summarize(overview: &Overview<'_>, jobs: &JobBoard) -> ServiceSummary {
+/// Summarizes the servers and waiting tasks that the owner knows.
+pub(crate) fn summarize(overview: &Overview<'_>, jobs: &OpenJobs) -> ServiceSummary {
     let ids: Vec<ServerId> = overview.servers.iter().map(|(id, _)| id.clone()).collect();
     let suspects = overview.history.faults.suspects(&ids, overview.now);
     let servers = overview.servers.iter().map(|(id, server)| ServerSummary {
@@ -44,7 +44,7 @@
     }
 }
 
-fn waiting(jobs: &JobBoard, now: Millis) -> BTreeMap<u32, WaitingSummary> {
+fn waiting(jobs: &OpenJobs, now: Millis) -> BTreeMap<u32, WaitingSummary> {
     let mut waiting: BTreeMap<u32, WaitingSummary> = BTreeMap::new();
     for (_, plan) in jobs.plans() {
         for ready in plan.ready() {
--- a/crates/scheduler/src/summary.rs
+++ b/crates/scheduler/src/summary.rs
@@ -1,47 +1,47 @@
-//! What a scheduler shows operators of its servers and queues.
+//! The summary of servers and waiting tasks that a scheduler shows to operators.
 
 use lupinrack_cluster_api::job::Resources;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A server at one moment.
+/// The state of a server at one point in time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerSummary {
-    /// Its identity.
+    /// The identity of the server.
     pub server: String,
-    /// What it has.
+    /// The total capacity of the server.
     pub capacity: Resources,
-    /// What no run takes of it.
+    /// The capacity that no run uses.
     pub free: Resources,
-    /// How many runs were decided for it and have not ended, by priority.
+    /// The number of its runs that were proposed and have not ended, by priority.
     pub runs: BTreeMap<u32, usize>,
-    /// How many of these runs are to be stopped.
+    /// The number of these runs with a requested stop.
     pub stopping: usize,
-    /// How many tasks are in its queue.
+    /// The number of tasks in its queue.
     pub queued: usize,
-    /// Whether it may be given new work.
+    /// Whether it accepts new work.
     pub schedulable: bool,
     /// Whether it is draining.
     pub draining: bool,
-    /// Whether it is suspected of failing what it is given.
+    /// Whether it is suspected of causing its tasks to fail.
     pub suspected: bool,
 }
 
-/// Tasks of one priority that may start and wait.
+/// The ready tasks of one priority that have not started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WaitingSummary {
-    /// How many.
+    /// The number of tasks.
     pub tasks: usize,
     /// The longest wait, in milliseconds.
     pub longest_ms: u64,
 }
 
-/// A service at one moment.
+/// The state of a service at one point in time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServiceSummary {
-    /// Its servers.
+    /// The servers of the service.
     pub servers: Vec<ServerSummary>,
-    /// What waits, by priority.
+    /// The waiting tasks, by priority.
     pub waiting: BTreeMap<u32, WaitingSummary>,
 }
 
