--- a/crates/scheduler/src/eviction/draining.rs
+++ b/crates/scheduler/src/eviction/draining.rs
@@ -110,8 +110,8 @@
             return DrainAction::Continue;
         }
         let must_stop_now = until_deadline_ms <= self.settings.max_stop_ms + STOP_DELIVERY_MS;
-        let is_restart_better =
-            remaining_ms.saturating_mul(100) > until_deadline_ms.saturating_mul(MIN_RESTART_PERCENT);
+        let is_restart_better = remaining_ms.saturating_mul(100)
+            > until_deadline_ms.saturating_mul(MIN_RESTART_PERCENT);
         match (run.profile.checkpoints, is_restart_better) {
             (true, _) if must_stop_now => DrainAction::StopNow,
             (true, _) | (false, true) => DrainAction::StopIfMovable,
--- a/crates/scheduler/src/history.rs
+++ b/crates/scheduler/src/history.rs
@@ -1,4 +1,5 @@
-//! What the owner has learned from runs: how long work takes, and which servers are faulty or slow.
+//! What the owner has learned from runs: the durations of work, and which servers are faulty or
+//! slow.
 
 pub(crate) mod durations;
 pub(crate) mod faults;
@@ -22,8 +23,8 @@
 
 impl History {
     /// Removes the faults and the speed of a server.
-    pub(crate) fn forget_server(&mut self, server: &ServerId) {
-        self.faults.forget_server(server);
-        self.speeds.forget_server(server);
+    pub(crate) fn remove_server(&mut self, server: &ServerId) {
+        self.faults.remove_server(server);
+        self.speeds.remove_server(server);
     }
 }
--- a/crates/scheduler/src/history/faults.rs
+++ b/crates/scheduler/src/history/faults.rs
@@ -108,12 +108,12 @@
     }
 
     /// Removes the faults of a server.
-    pub(crate) fn forget_server(&mut self, server: &ServerId) {
+    pub(crate) fn remove_server(&mut self, server: &ServerId) {
         self.servers.remove(server);
     }
 
     /// Removes the faults of the tasks of a job that is no longer open.
-    pub(crate) fn forget_job(&mut self, job: JobId) {
+    pub(crate) fn remove_job(&mut self, job: JobId) {
         self.servers_of_task.retain(|task, _| task.job != job);
     }
 
--- a/crates/scheduler/src/history/speeds.rs
+++ b/crates/scheduler/src/history/speeds.rs
@@ -59,7 +59,7 @@
     }
 
     /// Removes the slowdown of a server.
-    pub(crate) fn forget_server(&mut self, server: &ServerId) {
+    pub(crate) fn remove_server(&mut self, server: &ServerId) {
         self.servers.remove(server);
     }
 
--- a/crates/scheduler/src/incarnations.rs
+++ b/crates/scheduler/src/incarnations.rs
@@ -28,7 +28,7 @@
         self.tracker.submissions.remove_binding(id);
         self.queues.remove_server(id);
         self.servers.remove(id);
-        self.history.forget_server(id);
+        self.history.remove_server(id);
     }
 
     /// Infers the ends of runs on servers whose leases have expired. A server without a session is
--- a/crates/scheduler/src/jobs/open_jobs.rs
+++ b/crates/scheduler/src/jobs/open_jobs.rs
@@ -15,7 +15,7 @@
     changed: BTreeSet<JobId>,
 }
 
-/// The inputs of a refresh.
+/// The inputs of [`OpenJobs::refresh`].
 #[derive(Debug)]
 pub(crate) struct JobsRefresh<'a> {
     pub(crate) state: &'a ControlState,
--- a/crates/scheduler/src/jobs/plan.rs
+++ b/crates/scheduler/src/jobs/plan.rs
@@ -70,7 +70,11 @@
     /// The urgency of a step.
     pub(crate) fn rank(&self, job: &JobRecord, ready: &ReadyStep, wall: WallMillis) -> Rank {
         let begin_ms = self.accepted_ms.max(job.due_ms(ready.occurrence));
-        let chain_ms = self.chain_durations_ms.get(ready.step as usize).copied().unwrap_or(0);
+        let chain_ms = self
+            .chain_durations_ms
+            .get(ready.step as usize)
+            .copied()
+            .unwrap_or(0);
         let latest_start_ms = begin_ms
             .saturating_add(self.time_allowed_ms)
             .saturating_sub(chain_ms);
--- a/crates/scheduler/src/placement/earliest_fit.rs
+++ b/crates/scheduler/src/placement/earliest_fit.rs
@@ -64,8 +64,9 @@
     let CapacitySupply {
         candidates, chosen, ..
     } = *supply;
-    let count_in =
-        |position: usize, free: &Resources| fitting_count(&group.needs, free, max_tasks_on(chosen[position]));
+    let count_in = |position: usize, free: &Resources| {
+        fitting_count(&group.needs, free, max_tasks_on(chosen[position]))
+    };
     let mut free: Vec<Resources> = chosen
         .iter()
         .map(|candidate| candidates[*candidate].free_for(group.priority))
--- a/crates/scheduler/src/placement/headroom.rs
+++ b/crates/scheduler/src/placement/headroom.rs
@@ -98,7 +98,8 @@
     pub(crate) fn allows(&self, priority: u32, needs: &Resources, count: u64) -> bool {
         let remaining = difference(&self.free, &scaled(needs, count));
         priority == URGENT_PRIORITY
-            || (remaining.cpu >= self.reserved.cpu && remaining.memory_mb >= self.reserved.memory_mb)
+            || (remaining.cpu >= self.reserved.cpu
+                && remaining.memory_mb >= self.reserved.memory_mb)
     }
 
     /// Subtracts allocated capacity from the free capacity.
--- a/crates/scheduler/src/placement/planner.rs
+++ b/crates/scheduler/src/placement/planner.rs
@@ -89,7 +89,8 @@
             chosen: &set.members,
             freed: |candidate| self.freed(candidate),
         };
-        let EarliestFit { at, allocations } = earliest_fit(&supply, &group, max_tasks_on, self.now)?;
+        let EarliestFit { at, allocations } =
+            earliest_fit(&supply, &group, max_tasks_on, self.now)?;
         let done_at = at.plus(demand.work_ms(set.duration_factor));
         let is_admitted = at > self.now || self.admits_all(demand, &allocations, done_at);
         is_admitted.then_some(Forecast {
--- a/crates/scheduler/src/placement/release.rs
+++ b/crates/scheduler/src/placement/release.rs
@@ -57,7 +57,11 @@
     candidate.free = difference(&candidate.free, &needs);
     headroom.allocate(&needs);
     let queued_needs = QueuedNeeds { priority, needs };
-    if let Some(position) = candidate.queued.iter().position(|queued| *queued == queued_needs) {
+    if let Some(position) = candidate
+        .queued
+        .iter()
+        .position(|queued| *queued == queued_needs)
+    {
         candidate.queued.swap_remove(position);
     }
     true
--- a/crates/scheduler/src/placement/requeue.rs
+++ b/crates/scheduler/src/placement/requeue.rs
@@ -67,12 +67,14 @@
     /// as near to the task's data.
     fn fits_on_another(&mut self, queued: &QueuedTask, current: usize) -> bool {
         let QueuedNeeds { priority, needs } = QueuedNeeds::from(queued);
-        if fits(&needs, &self.candidates[current].free) || !self.may_fit_anywhere(priority, &needs) {
+        if fits(&needs, &self.candidates[current].free) || !self.may_fit_anywhere(priority, &needs)
+        {
             return false;
         }
         let current = &self.candidates[current];
         self.candidates.iter().any(|other| {
-            let is_as_local = other.has_label(&queued.affinity) || !current.has_label(&queued.affinity);
+            let is_as_local =
+                other.has_label(&queued.affinity) || !current.has_label(&queued.affinity);
             other.server != current.server
                 && !other.suspected
                 && is_as_local
--- a/crates/scheduler/src/placement/single.rs
+++ b/crates/scheduler/src/placement/single.rs
@@ -56,7 +56,8 @@
                 let candidate = &planner.candidates[index];
                 Choice {
                     candidate: index,
-                    duration_factor: distance_factor(planner, demand, candidate) * candidate.slowdown,
+                    duration_factor: distance_factor(planner, demand, candidate)
+                        * candidate.slowdown,
                 }
             })
             .collect();
@@ -112,8 +113,12 @@
             .map(|choice| choice.candidate)
             .collect();
         match self.best_with_capacity(&choices) {
-            Some(immediate) if immediate.rounded_factor() == best_rounded_factor => Some(immediate.candidate),
-            Some(immediate) if !self.should_wait(&best, best_rounded_factor, immediate.duration_factor) => {
+            Some(immediate) if immediate.rounded_factor() == best_rounded_factor => {
+                Some(immediate.candidate)
+            }
+            Some(immediate)
+                if !self.should_wait(&best, best_rounded_factor, immediate.duration_factor) =>
+            {
                 Some(immediate.candidate)
             }
             _ => self.shortest_queue(&best),
@@ -151,7 +156,9 @@
     fn best_with_capacity(&self, choices: &[Choice]) -> Option<Choice> {
         if !self.planner.settings.policy.packs {
             let with_capacity = choices.iter().filter(|choice| self.has_capacity(choice));
-            return with_capacity.min_by_key(|choice| choice.rounded_factor()).copied();
+            return with_capacity
+                .min_by_key(|choice| choice.rounded_factor())
+                .copied();
         }
         // Positive to pack tasks, negative to spread them.
         let leftover_sign = if self.demand.step.long_running {
@@ -178,7 +185,9 @@
         let planner = &*self.planner;
         let candidate = &planner.candidates[choice.candidate];
         let (needs, priority) = (&self.demand.step.needs, self.demand.job.priority);
-        let ends_at = planner.now.plus(self.demand.work_ms(choice.duration_factor));
+        let ends_at = planner
+            .now
+            .plus(self.demand.work_ms(choice.duration_factor));
         fits(needs, &candidate.free_for(priority))
             && candidate.admits(priority, needs, ends_at)
             && planner.headroom.allows(priority, needs, 1)
--- a/crates/scheduler/src/run_tracker.rs
+++ b/crates/scheduler/src/run_tracker.rs
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Handles an applied operation with these starts. `accepted` has for each start whether it
-    /// took effect.
+    /// Handles an applied operation with these starts. `accepted[i]` is whether `starts[i]` took
+    /// effect.
     pub(crate) fn starts_applied(
         &mut self,
         starts: &[StartRecord],
@@ -184,7 +184,7 @@
         .collect()
 }
 
-/// The reason for which an open run is over without a report of its server; `None` if it is not.
+/// Why an open run is over without a report of its server; `None` if it is not over.
 fn unreported_end(
     run: &Run,
     servers: &ServerTable,
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -232,7 +232,8 @@
         if time.is_full_scan {
             self.tracker.infer_unreported_ends(&self.servers, bound);
         } else {
-            self.tracker.infer_possible_unreported_ends(&self.servers, bound);
+            self.tracker
+                .infer_possible_unreported_ends(&self.servers, bound);
         }
     }
 
@@ -327,7 +328,7 @@
             runs.request_stop(task, StopReason::JobClosed);
         }
         self.queues.withdraw_job(job);
-        self.history.faults.forget_job(job);
+        self.history.faults.remove_job(job);
     }
 
     /// Places ready tasks, proposes starts and evicts runs.
