--- a/crates/scheduler/src/history/faults.rs
+++ b/crates/scheduler/src/history/faults.rs
@@ -107,7 +107,6 @@
             .is_some_and(|servers| servers.contains(server))
     }
 
-    /// Removes the faults of a server.
     pub(crate) fn remove_server(&mut self, server: &ServerId) {
         self.servers.remove(server);
     }
--- a/crates/scheduler/src/history/speeds.rs
+++ b/crates/scheduler/src/history/speeds.rs
@@ -58,7 +58,6 @@
         }
     }
 
-    /// Removes the slowdown of a server.
     pub(crate) fn remove_server(&mut self, server: &ServerId) {
         self.servers.remove(server);
     }
--- a/crates/scheduler/src/inferred_end.rs
+++ b/crates/scheduler/src/inferred_end.rs
@@ -1,6 +1,6 @@
 //! Inferred ends: ends of runs that their servers did not report.
 //!
-//! Each reason for such a conclusion has a name and a proof; see `docs/design/control-safety.md`.
+//! Each reason to infer an end has a name and a proof; see `docs/design/control-safety.md`.
 
 use lupinrack_cluster_api::identity::{Attempt, ServerId, TaskId};
 use lupinrack_cluster_api::server::RunEnd;
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -109,8 +109,8 @@
         let mut changes = PendingOrders::default();
         let mut spec_bytes = 0;
         let is_draining = server.draining_since.is_some();
-        // A restarted agent does not know that its server is draining, so it is not sent new
-        // starts.
+        // A restarted agent does not know that its server is draining and would start new runs. So
+        // a draining server is sent only starts of runs that it already listed as running.
         let may_start = |run: &Run| !is_draining || run.running_since.is_some();
         for run in self.runs.of_server(id) {
             let is_full = spec_bytes >= MAX_SPEC_BYTES;
--- a/crates/scheduler/src/placement/gang.rs
+++ b/crates/scheduler/src/placement/gang.rs
@@ -103,12 +103,12 @@
 
     /// One set with the candidates near the gang's data, and one with all candidates.
     fn sets_by_distance(&self, members: Vec<usize>) -> Vec<CandidateSet> {
-        let near = members
+        let local = members
             .iter()
             .copied()
             .filter(|index| self.is_local(&[*index]))
             .collect();
-        [near, members]
+        [local, members]
             .map(|members| CandidateSet {
                 members,
                 duration_factor: 1.0,
--- a/crates/scheduler/src/placement/single.rs
+++ b/crates/scheduler/src/placement/single.rs
@@ -106,19 +106,17 @@
             return Some(suspected);
         }
         let choices = self.choices(task);
-        let best_rounded_factor = choices.iter().map(Choice::rounded_factor).min()?;
+        let best_factor = choices.iter().map(Choice::rounded_factor).min()?;
         let best: Vec<usize> = choices
             .iter()
-            .filter(|choice| choice.rounded_factor() == best_rounded_factor)
+            .filter(|choice| choice.rounded_factor() == best_factor)
             .map(|choice| choice.candidate)
             .collect();
         match self.best_with_capacity(&choices) {
-            Some(immediate) if immediate.rounded_factor() == best_rounded_factor => {
+            Some(immediate) if immediate.rounded_factor() == best_factor => {
                 Some(immediate.candidate)
             }
-            Some(immediate)
-                if !self.should_wait(&best, best_rounded_factor, immediate.duration_factor) =>
-            {
+            Some(immediate) if !self.should_wait(&best, best_factor, immediate.duration_factor) => {
                 Some(immediate.candidate)
             }
             _ => self.shortest_queue(&best),
@@ -196,11 +194,11 @@
     /// Whether waiting for one of the best candidates is better than starting now on a candidate
     /// with the duration factor `immediate_factor`. Slower work also blocks capacity for longer,
     /// which delays other work, so the additional time counts twice.
-    fn should_wait(&self, best: &[usize], best_rounded_factor: u64, immediate_factor: f64) -> bool {
+    fn should_wait(&self, best: &[usize], best_factor: u64, immediate_factor: f64) -> bool {
         let planner = &*self.planner;
         let set = CandidateSet {
             members: best.to_vec(),
-            duration_factor: best_rounded_factor as f64 / FACTOR_STEPS_PER_UNIT,
+            duration_factor: best_factor as f64 / FACTOR_STEPS_PER_UNIT,
         };
         let immediate_ms = self.demand.work_ms(immediate_factor);
         let best_ms = self.demand.work_ms(set.duration_factor);
--- a/crates/scheduler/src/queues/task_queues.rs
+++ b/crates/scheduler/src/queues/task_queues.rs
@@ -38,7 +38,6 @@
 }
 
 impl TaskQueues {
-    /// Creates empty queues.
     pub(crate) fn new(settings: DispatchSettings) -> TaskQueues {
         TaskQueues {
             dispatcher: Dispatcher::new(settings),
@@ -51,12 +50,10 @@
         self.tasks.contains_key(&task)
     }
 
-    /// Whether no task is queued.
     pub(crate) fn is_empty(&self) -> bool {
         self.tasks.is_empty()
     }
 
-    /// All queued tasks.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&TaskId, &QueuedTask)> {
         self.tasks.iter()
     }
--- a/crates/scheduler/src/resources.rs
+++ b/crates/scheduler/src/resources.rs
@@ -7,7 +7,6 @@
     needs.cpu <= free.cpu && needs.memory_mb <= free.memory_mb && needs.gpu <= free.gpu
 }
 
-/// The sum of two amounts.
 pub(crate) fn sum(a: &Resources, b: &Resources) -> Resources {
     Resources {
         cpu: a.cpu.saturating_add(b.cpu),
--- a/crates/scheduler/src/run_id.rs
+++ b/crates/scheduler/src/run_id.rs
@@ -11,7 +11,6 @@
 }
 
 impl RunId {
-    /// Creates the identity of a task's run with this attempt number.
     pub(crate) fn new(task: TaskId, attempt: Attempt) -> RunId {
         RunId { task, attempt }
     }
--- a/crates/scheduler/src/runs/table.rs
+++ b/crates/scheduler/src/runs/table.rs
@@ -80,12 +80,10 @@
         self.runs.insert(run.task, run);
     }
 
-    /// The run of a task.
     pub(crate) fn get(&self, task: TaskId) -> Option<&Run> {
         self.runs.get(&task)
     }
 
-    /// Whether the task has a run.
     pub(crate) fn contains(&self, task: TaskId) -> bool {
         self.runs.contains_key(&task)
     }
@@ -144,7 +142,6 @@
             .filter_map(|task| self.runs.get(task))
     }
 
-    /// The runs of a job.
     pub(crate) fn of_job(&self, job: JobId) -> impl Iterator<Item = &Run> {
         self.runs
             .range(first_task(job)..=last_task(job))
@@ -175,7 +172,6 @@
         possibly_ended
     }
 
-    /// All runs.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Run> {
         self.runs.values()
     }
@@ -260,7 +256,6 @@
         }
     }
 
-    /// Removes the run of a task.
     pub(crate) fn remove(&mut self, task: TaskId) {
         self.set_ended(task);
         let Some(run) = self.runs.remove(&task) else {
--- a/crates/scheduler/src/servers/server.rs
+++ b/crates/scheduler/src/servers/server.rs
@@ -40,7 +40,6 @@
     pub(crate) heartbeat: Heartbeat,
     /// The kind of message that it arrived with.
     pub(crate) origin: HeartbeatOrigin,
-    /// When it was received.
     pub(crate) received_at: Millis,
 }
 
@@ -61,7 +60,7 @@
     pub(crate) sequence: u64,
     /// When it began to drain. Draining cannot be revoked.
     pub(crate) draining_since: Option<Millis>,
-    /// While it is draining, the time until which it keeps running at least, if it reports that.
+    /// While it is draining, the time until which it at least keeps running, if it reports that.
     pub(crate) drain_deadline: Option<Millis>,
     /// Its latest heartbeat, until a round reads it.
     pub(crate) unread: Option<UnreadHeartbeat>,
--- a/crates/scheduler/src/servers/table.rs
+++ b/crates/scheduler/src/servers/table.rs
@@ -105,7 +105,6 @@
         is_current.then_some(server)
     }
 
-    /// A server.
     pub(crate) fn get(&self, id: &ServerId) -> Option<&Server> {
         self.servers.get(id)
     }
@@ -124,7 +123,6 @@
         }
     }
 
-    /// Removes a server.
     pub(crate) fn remove(&mut self, id: &ServerId) {
         let Some(server) = self.servers.remove(id) else {
             return;
@@ -134,7 +132,6 @@
         }
     }
 
-    /// All servers.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&ServerId, &Server)> {
         self.servers.iter()
     }
@@ -154,7 +151,6 @@
             .filter(move |(_, server)| server.is_schedulable(now, timeout_ms))
     }
 
-    /// Whether any server is draining.
     pub(crate) fn has_draining(&self) -> bool {
         self.servers
             .values()
