--- a/crates/policy/src/balancer/health.rs
+++ b/crates/policy/src/balancer/health.rs
@@ -1,183 +1,248 @@
-//! The health of a node: its latency, its depth D (PARDA), and the breaker.
+//! The health of each node: its latency, its depth D (PARDA), and its circuit breaker.
+//!
+//! Latency comes from answers, and from the age of attempts that have not been answered. D follows latency.
+//! The breaker follows failures in a row; while it is open, the node gets only probes.
+//!
+//! PARDA: Gulati, Ahmad and Waldspurger, *PARDA: Proportional Allocation of Resources for Distributed
+//! Storage Access*, FAST 2009. D is its window, the latency threshold its congestion signal.
 
 use super::*;
 
-/// Below one D is a rate, D over the latency; that counts as this many targets at most, so that D is tried.
-const GAP_MOST: f64 = 4.0;
-/// Weight of a new answer in a node's smoothed latency and error share.
-const SMOOTH: f64 = 0.15;
-/// What is known of a latency halves in value and weight over this; in weight slower where hosts are few.
-const KNOWN_HALF: Micros = 700_000;
-const KNOWN_FEW: f64 = 4.0;
-/// An attempt is overtaken once one sent this much later was answered.
-const OVERTAKEN: Micros = 250_000;
-/// All that is out may be lost after this, and this many usual latencies: one more goes, to find out.
-const STALLED: Micros = 400_000;
-const STALLED_USUAL: f64 = 8.0;
-/// A full queue, or a time-out that counts, says: a wait of this many times the shortest aim.
-const FULL_AS: f64 = 2.0;
-/// Weight of an answer or a time-out of any node in the latency of the fleet.
-const FLEET_GAIN: f64 = 0.1;
-/// A single answer counts as this many usual latencies at most.
-const CLIP: f64 = 2.0;
-/// Failures in a row that open the breaker: broken or refused connections, and time-outs.
-const BREAK_AT: u32 = 3;
+/// The largest latency that paces a node whose D is below 1, as a multiple of the latency threshold. It
+/// keeps sends coming, so that D can recover.
+const MAX_PACING_LATENCY_MULTIPLE: f64 = 4.0;
+/// Weight of a new answer in a node's running means of latency and errors.
+const EWMA_WEIGHT: f64 = 0.15;
+/// Half-life of a latency estimate since the node's last answer: of its weight against a new answer, and of
+/// its value while nothing is in flight.
+const ESTIMATE_HALF_LIFE: Micros = 700_000;
+/// With few hosts, the half-life of the weight is up to this many times as long.
+const MAX_HALF_LIFE_MULTIPLE: f64 = 4.0;
+/// An attempt is overtaken once the node has answered another that was sent this much later.
+const OVERTAKEN_AFTER: Micros = 250_000;
+/// A node is stalled when all its attempts have been in flight for at least this long, and for this many
+/// times its latency.
+const MIN_STALL_TIME: Micros = 400_000;
+const STALL_LATENCY_MULTIPLE: f64 = 8.0;
+/// A rejection counts as a latency of this many times the shortest latency target. A timeout counts as a
+/// failure from the same length on.
+const OVERLOAD_LATENCY_MULTIPLE: f64 = 2.0;
+/// Weight of one answer or timeout of any node in the latency of the fleet.
+const FLEET_EWMA_WEIGHT: f64 = 0.1;
+/// A single answer counts as at most this many times the node's latency.
+const MAX_SAMPLE_MULTIPLE: f64 = 2.0;
+/// Failures in a row that open the breaker: failed or broken connections, and timeouts.
+const BREAKER_FAILURES: u32 = 3;
 
 impl Balancer {
-    /// Sets D anew: latency above the target shrinks it, below lets it grow where it was the bound (PARDA).
-    pub(super) fn adapt_depth(&mut self, now: Micros, id: NodeId) {
-        let Some(n) = self.nodes.get_mut(&id) else {
+    /// Updates a node's D by the rule of PARDA, once per [`DEPTH_UPDATE_INTERVAL`]:
+    ///
+    /// `D' = (1 - γ) D + γ (threshold / latency × D + β)`, γ = [`DEPTH_GAIN`], β = [`DEPTH_INCREMENT`].
+    ///
+    /// The ratio is at most 2. Below D = 1, γ is doubled, β is scaled by D, and D waits for an answer since
+    /// its last update.
+    ///
+    /// A latency above the threshold shrinks D. A latency below it lets D grow, but only if D has held a
+    /// request back; otherwise the latency says nothing about a larger D. An attempt that has not been
+    /// answered counts as a latency of half its age.
+    pub(super) fn update_depth(&mut self, now: Micros, id: NodeId) {
+        let Some(node) = self.nodes.get_mut(&id) else {
             return;
         };
-        let eldest = n.not_overtaken().min().map_or(0.0, |s| (now - s) as f64);
-        let seen = n.latency.max(eldest * 0.5);
-        if now - n.depth_at < DEPTH_EVERY
-            || seen <= 0.0
-            || (n.depth < 1.0 && n.heard_at < n.depth_at)
+        let oldest_age = node
+            .not_overtaken()
+            .min()
+            .map_or(0.0, |sent_at| (now - sent_at) as f64);
+        let latency = node.latency_ewma.max(oldest_age * 0.5);
+        if now - node.depth_updated_at < DEPTH_UPDATE_INTERVAL
+            || latency <= 0.0
+            || (node.depth < 1.0 && node.last_answer_at < node.depth_updated_at)
         {
             return;
         }
-        n.depth_at = now;
-        let gain = if n.depth < 1.0 {
+        node.depth_updated_at = now;
+        let gain = if node.depth < 1.0 {
             DEPTH_GAIN * 2.0
         } else {
             DEPTH_GAIN
         };
-        let goal = n.depth * (self.target / seen).min(2.0) + DEPTH_PUSH * n.depth.min(1.0);
-        if goal < n.depth || n.pressed {
-            n.depth = (n.depth + gain * (goal - n.depth)).clamp(1.0 / self.crowd, DEPTH_MAX);
+        let target_depth = node.depth * (self.latency_threshold / latency).min(2.0)
+            + DEPTH_INCREMENT * node.depth.min(1.0);
+        if target_depth < node.depth || node.depth_limited {
+            node.depth = (node.depth + gain * (target_depth - node.depth))
+                .clamp(1.0 / self.host_scale, MAX_DEPTH);
         }
-        n.pressed = false;
+        node.depth_limited = false;
     }
 
-    /// Takes what an attempt tells of its node. Connections that break, and time-outs in a row, open the
-    /// breaker; errors do not. Silence needs none: the eldest attempt out counts as latency.
+    /// Updates a node's health with the outcome of one attempt: its latency, its errors, its D after a
+    /// rejection, and its breaker.
+    ///
+    /// Failed and broken connections and timeouts, [`BREAKER_FAILURES`] in a row, open the breaker. Any
+    /// answer closes it, errors included. A node that gives no outcome at all is seen elsewhere, by the age
+    /// of its attempts: [`Node::current_latency`] and [`Self::update_depth`].
     pub(super) fn record_outcome(
         &mut self,
         now: Micros,
-        node: NodeId,
+        node_id: NodeId,
         outcome: Outcome,
         elapsed: Micros,
-        out: &mut Actions,
+        actions: &mut Actions,
     ) {
         if matches!(outcome, Outcome::Ok | Outcome::Timeout) {
-            self.fleet += FLEET_GAIN * (elapsed as f64 - self.fleet);
+            self.fleet_latency += FLEET_EWMA_WEIGHT * (elapsed as f64 - self.fleet_latency);
         }
-        let (floor, least, wait) = (1.0 / self.crowd, self.least, 0.5 + self.random());
-        let Some(n) = self.nodes.get_mut(&node) else {
+        let (min_depth, min_latency_target, jitter) = (
+            1.0 / self.host_scale,
+            self.min_latency_target,
+            0.5 + self.random(),
+        );
+        let Some(node) = self.nodes.get_mut(&node_id) else {
             return;
         };
-        let half = KNOWN_HALF as f64 * (KNOWN_FEW / self.crowd).max(1.0);
-        let known = if n.latency > 0.0 {
-            0.5_f64.powf((now - n.heard_at) as f64 / half)
+        let half_life =
+            ESTIMATE_HALF_LIFE as f64 * (MAX_HALF_LIFE_MULTIPLE / self.host_scale).max(1.0);
+        let estimate_weight = if node.latency_ewma > 0.0 {
+            0.5_f64.powf((now - node.last_answer_at) as f64 / half_life)
         } else {
             0.0
         };
-        let overtaken = now - elapsed + OVERTAKEN < n.answered;
+        // The node has answered a later attempt, so a timeout of this one says nothing about its health.
+        let overtaken = now - elapsed + OVERTAKEN_AFTER < node.answered_sent_at;
         if outcome.is_node_response() {
-            n.heard_at = now;
-            n.answered = n.answered.max(now - elapsed);
-            n.fails = 0;
-            if n.open {
-                n.open = false;
-                n.depth = n.depth.min(1.0);
-                out.push(Action::Log(format!("node {} answers again", node.0)));
+            node.last_answer_at = now;
+            node.answered_sent_at = node.answered_sent_at.max(now - elapsed);
+            node.consecutive_failures = 0;
+            if node.breaker_open {
+                node.breaker_open = false;
+                node.depth = node.depth.min(1.0);
+                actions.push(Action::Log(format!(
+                    "node {} answers again; circuit breaker closed",
+                    node_id.0
+                )));
             }
         }
         match outcome {
             Outcome::Ok => {
-                n.record_latency(elapsed as f64, known);
-                n.errors -= SMOOTH * n.errors;
+                node.record_latency(elapsed as f64, estimate_weight);
+                node.error_ewma -= EWMA_WEIGHT * node.error_ewma;
             }
-            Outcome::Error => n.errors += SMOOTH * (1.0 - n.errors),
+            Outcome::Error => node.error_ewma += EWMA_WEIGHT * (1.0 - node.error_ewma),
             Outcome::Rejected => {
-                n.depth = (n.depth * 0.5).max(floor);
-                n.record_latency(least * FULL_AS, known);
+                node.depth = (node.depth * 0.5).max(min_depth);
+                node.record_latency(
+                    min_latency_target * OVERLOAD_LATENCY_MULTIPLE,
+                    estimate_weight,
+                );
             }
-            Outcome::ConnectFailed | Outcome::Reset => n.fails += 1,
+            Outcome::ConnectFailed | Outcome::Reset => node.consecutive_failures += 1,
             Outcome::Timeout => {
-                n.fails += u32::from(!overtaken && elapsed as f64 > FULL_AS * least);
-                let short = (elapsed as f64) < least;
-                if !overtaken && (n.fails > 1 || short) {
-                    n.record_latency(
-                        n.latency
-                            .max(elapsed as f64 * if short { 2.0 } else { 1.0 }),
-                        known,
+                node.consecutive_failures += u32::from(
+                    !overtaken && elapsed as f64 > OVERLOAD_LATENCY_MULTIPLE * min_latency_target,
+                );
+                // One timeout may be a lost attempt, so a second failure in a row has to confirm it. An
+                // attempt that timed out before the shortest latency target does not show how slow the node
+                // is: it counts at once, as a latency of twice its age.
+                let is_short = (elapsed as f64) < min_latency_target;
+                if !overtaken && (node.consecutive_failures > 1 || is_short) {
+                    node.record_latency(
+                        node.latency_ewma
+                            .max(elapsed as f64 * if is_short { 2.0 } else { 1.0 }),
+                        estimate_weight,
                     );
                 }
             }
             _ => {}
         }
-        if n.fails < BREAK_AT || n.open {
+        if node.consecutive_failures < BREAKER_FAILURES || node.breaker_open {
             return;
         }
-        (n.open, n.backoff, n.trial_at) = (
+        (node.breaker_open, node.probe_backoff, node.next_probe_at) = (
             true,
-            TRIAL_FIRST,
-            now + (TRIAL_FIRST as f64 * wait) as Micros,
+            MIN_PROBE_BACKOFF,
+            now + (MIN_PROBE_BACKOFF as f64 * jitter) as Micros,
         );
-        out.push(Action::Log(format!("node {} does not answer", node.0)));
-        let mut waiting: Vec<RequestId> = n.queue.values().copied().collect();
-        waiting.retain(|r| {
-            self.open
-                .get(r)
-                .is_some_and(|o| o.req.shard.is_none() && o.anchor.is_none())
+        actions.push(Action::Log(format!(
+            "node {} does not answer; circuit breaker opened",
+            node_id.0
+        )));
+        // New objects that were never sent may go to another node.
+        let mut waiting: Vec<RequestId> = node.queue.values().copied().collect();
+        waiting.retain(|id| {
+            self.requests
+                .get(id)
+                .is_some_and(|open| open.request.shard.is_none() && open.first_attempt.is_none())
         });
-        waiting.into_iter().for_each(|r| self.place(now, r));
+        waiting.into_iter().for_each(|id| self.place(now, id));
     }
 }
 
 impl Node {
-    /// Attempts out that were not overtaken. One that was is lost or long in work, and holds no slot of D.
+    /// When each attempt in flight that was not overtaken was sent. An overtaken attempt is lost or runs
+    /// for long: it takes no slot of D, and its age says nothing about the node.
     pub(super) fn not_overtaken(&self) -> impl Iterator<Item = Micros> + '_ {
-        self.out
+        self.in_flight
             .values()
             .copied()
-            .filter(|sent| sent + OVERTAKEN >= self.answered)
+            .filter(|sent_at| sent_at + OVERTAKEN_AFTER >= self.answered_sent_at)
     }
 
-    /// A new reading of the latency, clipped: a pause or a flush tells little of the next ones.
-    fn record_latency(&mut self, elapsed: f64, known: f64) {
-        let most = if known > 0.0 {
-            self.latency * CLIP / known
+    /// Adds an answer to the running mean. With an `estimate_weight` of 1 the answer gets the weight
+    /// [`EWMA_WEIGHT`]; with 0 it replaces the mean. The answer is clipped, since a pause or a flush of the
+    /// node says little about the next answers.
+    fn record_latency(&mut self, elapsed: f64, estimate_weight: f64) {
+        let max_sample = if estimate_weight > 0.0 {
+            self.latency_ewma * MAX_SAMPLE_MULTIPLE / estimate_weight
         } else {
             f64::MAX
         };
-        self.latency += (1.0 - (1.0 - SMOOTH) * known) * (elapsed.min(most) - self.latency);
+        self.latency_ewma += (1.0 - (1.0 - EWMA_WEIGHT) * estimate_weight)
+            * (elapsed.min(max_sample) - self.latency_ewma);
     }
 
-    /// When D below one lets the next request go: D is a rate there.
-    pub(super) fn next_at(&self, target: f64) -> Micros {
-        let latency = self.latency.clamp(target, target * GAP_MOST);
-        self.sent_at + (latency / self.depth * self.jitter) as Micros
+    /// When the next request may be sent while D is below 1. Such a D is a rate: one request per latency /
+    /// D, with jitter.
+    pub(super) fn next_paced_send(&self, latency_threshold: f64) -> Micros {
+        let latency = self.latency_ewma.clamp(
+            latency_threshold,
+            latency_threshold * MAX_PACING_LATENCY_MULTIPLE,
+        );
+        self.last_sent_at + (latency / self.depth * self.send_jitter) as Micros
     }
 
-    /// The usual latency, forgotten by halves while nothing is out, and what missing answers tell of it.
-    pub(super) fn latency_now(&self, now: Micros, crowd: f64) -> f64 {
-        let halves = (now - self.heard_at).max(0) as f64 / (KNOWN_HALF as f64 * crowd);
+    /// The latency that a request sent now is expected to have.
+    ///
+    /// With nothing in flight, the mean decays toward 0, so that a node that was slow is used again. With
+    /// unanswered attempts in flight, their age raises it.
+    pub(super) fn current_latency(&self, now: Micros, half_life_multiple: f64) -> f64 {
+        let half_lives = (now - self.last_answer_at).max(0) as f64
+            / (ESTIMATE_HALF_LIFE as f64 * half_life_multiple);
         match self.not_overtaken().next() {
-            None => self.latency * 0.5_f64.powf(halves),
-            _ if self.stalled(now) => self.latency,
+            None => self.latency_ewma * 0.5_f64.powf(half_lives),
+            _ if self.is_stalled(now) => self.latency_ewma,
             _ => self
-                .longest_wait(now)
-                .map_or(self.latency, |w| self.latency.max(w)),
+                .longest_credible_age(now)
+                .map_or(self.latency_ewma, |age| self.latency_ewma.max(age)),
         }
     }
 
-    /// Whether all that is out is late: then one more may go, where D and the wait would let nothing.
-    pub(super) fn stalled(&self, now: Micros) -> bool {
-        let late = STALLED.max((self.latency * STALLED_USUAL) as Micros);
-        self.not_overtaken().all(|sent| now - sent >= late)
+    /// Whether every attempt in flight is late; true with none in flight. All may be lost, as after their
+    /// connections broke silently. Then one more request is sent to find out, even if D or the latency
+    /// would hold it back.
+    pub(super) fn is_stalled(&self, now: Micros) -> bool {
+        let late_after = MIN_STALL_TIME.max((self.latency_ewma * STALL_LATENCY_MULTIPLE) as Micros);
+        self.not_overtaken()
+            .all(|sent_at| now - sent_at >= late_after)
     }
 
-    /// The longest wait of what is out that tells of the node: one alone may be lost, it takes two.
-    fn longest_wait(&self, now: Micros) -> Option<f64> {
-        let mut waits: Vec<Micros> = self.not_overtaken().map(|sent| now - sent).collect();
-        waits.sort_unstable();
-        waits
-            .iter()
+    /// The longest age of attempts in flight that says something about the node. A single old attempt may
+    /// be lost, so the second longest age counts, unless the node has failed since its last answer.
+    fn longest_credible_age(&self, now: Micros) -> Option<f64> {
+        let mut ages: Vec<Micros> = self.not_overtaken().map(|sent_at| now - sent_at).collect();
+        ages.sort_unstable();
+        ages.iter()
             .rev()
-            .nth(usize::from(self.fails == 0))
-            .map(|w| *w as f64)
+            .nth(usize::from(self.consecutive_failures == 0))
+            .map(|age| *age as f64)
     }
 }
--- a/crates/policy/src/balancer/limits.rs
+++ b/crates/policy/src/balancer/limits.rs
@@ -1,71 +1,88 @@
-//! What may be sent now: repeats, drains, cold nodes, order, retry budget, limits of volumes.
+//! The rules that decide whether a request may be sent now: repetition (2), draining nodes (3), slow start
+//! (4), order by key (5), the retry budget (6) and the rate limits of volumes (7).
 
 use super::*;
 
-/// Part of the drain grace that is used; the rest covers the way to the node.
-const GRACE_USED: f64 = 0.7;
-/// Share of a keyed request's window in which it may be sent again; the rest covers the way.
-const WINDOW_USED: f64 = 0.9;
-/// Share of this host's part of a limit or cold budget that is used.
-const PART_USED: f64 = 0.98;
-/// How far this host's part of the cold budget may be overdrawn in the mean.
-const COLD_LEAN: f64 = 2.0;
-/// Where hosts are many, traffic is uneven: at one node up to this many times what it is in the mean.
-const UNEVEN_MOST: f64 = 3.0;
-/// How long a host looks before it trusts what it sees of the usual traffic.
-const USUAL_LEAST: Micros = 2_000_000;
+/// The share of the drain grace that is used; the rest covers the time on the way to the node.
+const USABLE_DRAIN_GRACE: f64 = 0.7;
+/// The share of a deduplication window that is used; the rest covers the time on the way to the node.
+const USABLE_DEDUPLICATION_WINDOW: f64 = 0.9;
+/// The share of this host's quota of a limit or slow-start budget that is used.
+const USABLE_QUOTA: f64 = 0.98;
+/// A slow-start bucket refills at this many times this host's quota, which hosts may exceed by as much in
+/// the mean. Its capacity is the quota itself.
+const SLOW_START_OVERCOMMIT: f64 = 2.0;
+/// Traffic of many hosts is uneven: one host may send a node up to this many times its mean per node.
+const MAX_TRAFFIC_SKEW: f64 = 3.0;
+/// The shortest period over which a host's traffic is averaged.
+const MIN_TRAFFIC_PERIOD: Micros = 2_000_000;
 
 impl Balancer {
-    /// Every guard that can hold a request back for now, on one path.
+    /// Whether every rule allows the next attempt of a request at this node now.
     pub(super) fn may_send(&mut self, now: Micros, id: RequestId, to: NodeId) -> bool {
-        let (Some(o), Some(n)) = (self.open.get(&id), self.nodes.get(&to)) else {
+        let (Some(open), Some(node)) = (self.requests.get(&id), self.nodes.get(&to)) else {
             return false;
         };
-        let (req, tries, drawn) = (o.req, o.tries, o.drawn);
-        let open = u32::from(tries) < o.most.max(1)
-            && !n.gone
-            && now < self.drain_end(n).min(req.client_deadline);
-        let cold = |t: f64| t >= req.units || (t > 0.0 && n.out.is_empty());
-        if !open || !self.effect_allows(now, o, n) || !self.cold_tokens(now, n).is_none_or(cold) {
+        let (request, attempts, limit_charged) = (open.request, open.attempts, open.limit_charged);
+        let usable = u32::from(attempts) < open.max_attempts.max(1)
+            && !node.gone
+            && now < self.drain_grace_end(node).min(request.client_deadline);
+        // With nothing in flight, one request may overdraw the slow-start bucket.
+        let slow_start_allows =
+            |level: f64| level >= request.units || (level > 0.0 && node.in_flight.is_empty());
+        if !usable
+            || !self.idempotence_allows(now, open, node)
+            || !self
+                .slow_start_level(now, node)
+                .is_none_or(slow_start_allows)
+        {
             return false;
         }
-        let limited = !drawn
+        let over_limit = !limit_charged
             && self
-                .tokens(now, &req)
-                .is_some_and(|(have, _)| have < req.units);
-        !limited && (tries == 0 || self.budget_allows(now)) && self.order_allows(now, id)
+                .limit_level(now, &request)
+                .is_some_and(|(level, _)| level < request.units);
+        !over_limit
+            && (attempts == 0 || self.retry_budget_allows(now))
+            && self.key_order_allows(now, id)
     }
 
-    pub(super) fn effect(&self, o: &Open) -> Idempotence {
-        self.cfg
+    /// What sending a request a second time does; an unknown class is not idempotent.
+    pub(super) fn idempotence(&self, open: &OpenRequest) -> Idempotence {
+        self.settings
             .classes
-            .get(o.req.class as usize)
-            .map_or(Idempotence::NotIdempotent, |c| c.idempotence)
+            .get(open.request.class as usize)
+            .map_or(Idempotence::NotIdempotent, |class| class.idempotence)
     }
 
-    /// Rule 2, sending: may an attempt of this request go to this node now?
-    pub(super) fn effect_allows(&self, now: Micros, o: &Open, n: &Node) -> bool {
-        let alone = o.live == 0 || self.cfg.parallel_attempts;
-        alone
-            && o.anchor.is_none_or(|a| same_group(self.effect(o), a, n))
-            && now < self.covered_until(o)
+    /// Rule 2, attempts: whether the request may be sent to this node although it may have run already, or
+    /// be running.
+    pub(super) fn idempotence_allows(&self, now: Micros, open: &OpenRequest, node: &Node) -> bool {
+        let may_overlap = open.in_flight == 0 || self.settings.parallel_attempts;
+        may_overlap
+            && open
+                .first_attempt
+                .is_none_or(|first| repeats_safely(self.idempotence(open), first, node))
+            && now < self.deduplicated_until(open)
     }
 
-    /// Until when nodes drop a repeat for certain: from the first send that may have run, less the way there.
-    pub(super) fn covered_until(&self, o: &Open) -> Micros {
-        match (o.anchor, self.effect(o)) {
-            (Some(a), Idempotence::Deduplicated { window, .. }) => {
-                a.sent + (window as f64 * WINDOW_USED) as Micros
+    /// Until when an attempt may begin: nodes drop a repetition for a window after the first attempt that
+    /// may have run. Requests that need no deduplication have no such end.
+    pub(super) fn deduplicated_until(&self, open: &OpenRequest) -> Micros {
+        match (open.first_attempt, self.idempotence(open)) {
+            (Some(first), Idempotence::Deduplicated { window, .. }) => {
+                first.sent_at + (window as f64 * USABLE_DEDUPLICATION_WINDOW) as Micros
             }
             _ => Micros::MAX,
         }
     }
 
-    /// Rule 2, answering: may the client be told that trying again is harmless?
-    pub(super) fn may_refuse(&self, o: &Open) -> bool {
-        o.anchor.is_none()
+    /// Rule 2, answers: whether the request may be rejected, which says that a retry by the client is
+    /// harmless.
+    pub(super) fn may_reject(&self, open: &OpenRequest) -> bool {
+        open.first_attempt.is_none()
             || matches!(
-                self.effect(o),
+                self.idempotence(open),
                 Idempotence::Idempotent
                     | Idempotence::Deduplicated {
                         scope: DeduplicationScope::AllNodes,
@@ -74,159 +91,195 @@
             )
     }
 
-    /// Rule 3: the moment from which a draining node gets nothing new.
-    pub(super) fn drain_end(&self, n: &Node) -> Micros {
-        n.stopping_since.map_or(Micros::MAX, |t| {
-            t + (self.cfg.drain_grace as f64 * GRACE_USED) as Micros
+    /// Rule 3: from when on a draining node gets nothing new.
+    pub(super) fn drain_grace_end(&self, node: &Node) -> Micros {
+        node.draining_since.map_or(Micros::MAX, |since| {
+            since + (self.settings.drain_grace as f64 * USABLE_DRAIN_GRACE) as Micros
         })
     }
 
-    /// Rule 4: how long ago the node started, while it may still be cold.
-    pub(super) fn cold_age(&self, now: Micros, n: &Node) -> Option<Micros> {
-        let (c, started) = (self.cfg.slow_start?, n.started?);
-        let age = (now - started).max(0);
-        (age < c.duration + c.window).then_some(age)
-    }
-
-    /// Rule 4: this host's part of what a cold node bears: what was stated, and the rule's multiple of the
-    /// cold share of what warm ones are seen to do. The bucket grows as the slowest warm; with many hosts one
-    /// request goes above zero and is repaid after, and most start in debt, so as not to come at once.
-    pub(super) fn cold_tokens(&self, now: Micros, n: &Node) -> Option<f64> {
-        let (age, c) = (self.cold_age(now, n)?, self.cfg.slow_start?);
-        let warmth = (age - c.window).max(0) as f64 / c.duration.max(1) as f64;
-        let grown =
-            (c.initial_share + (1.0 - c.initial_share) * warmth) / c.initial_share.max(0.01);
-        let usual =
-            self.served / self.ready_nodes / (now - self.served_since).max(USUAL_LEAST) as f64
-                * c.window as f64;
-        let seen =
-            c.overload_multiple * c.initial_share * usual * self.crowd.sqrt().min(UNEVEN_MOST);
-        let share = self.share(now, self.rights.slow_start);
-        let told = c.guaranteed_units / f64::from(self.cfg.hosts.max(1)) * share;
-        let part = told.max(seen * share.min(1.0)) * grown * COLD_LEAN * PART_USED;
-        let mut cold = n.cold;
-        cold.fill(
+    /// Rule 4: how long ago the node started, if it may still be in its slow start.
+    pub(super) fn slow_start_age(&self, now: Micros, node: &Node) -> Option<Micros> {
+        let (slow_start, started_at) = (self.settings.slow_start?, node.started_at?);
+        let age = (now - started_at).max(0);
+        (age < slow_start.duration + slow_start.window).then_some(age)
+    }
+
+    /// Rule 4: the level of this host's bucket for a node in its slow start; `None` for any other node.
+    ///
+    /// The host's quota is the larger of two figures: its share of the units that the settings guarantee,
+    /// and the units that the node bears at its start, estimated from what nodes past their slow start
+    /// serve for this host. It grows with the capacity of a node that takes the full `duration` to warm up.
+    ///
+    /// With many hosts, a quota may be smaller than one request. Then one request overdraws the bucket, and
+    /// the debt is paid off before the next. Most buckets start in debt, so that the hosts do not all send
+    /// at once.
+    pub(super) fn slow_start_level(&self, now: Micros, node: &Node) -> Option<f64> {
+        let (age, slow_start) = (self.slow_start_age(now, node)?, self.settings.slow_start?);
+        let warm_share =
+            (age - slow_start.window).max(0) as f64 / slow_start.duration.max(1) as f64;
+        let growth = (slow_start.initial_share + (1.0 - slow_start.initial_share) * warm_share)
+            / slow_start.initial_share.max(0.01);
+        let mean_node_units = self.served_units
+            / self.ready_nodes
+            / (now - self.served_since).max(MIN_TRAFFIC_PERIOD) as f64
+            * slow_start.window as f64;
+        let estimated_units = slow_start.overload_multiple
+            * slow_start.initial_share
+            * mean_node_units
+            * self.host_scale.sqrt().min(MAX_TRAFFIC_SKEW);
+        let quota_share = self.quota_share(now, self.quota.slow_start);
+        let guaranteed_units =
+            slow_start.guaranteed_units / f64::from(self.settings.hosts.max(1)) * quota_share;
+        let units = guaranteed_units.max(estimated_units * quota_share.min(1.0))
+            * growth
+            * SLOW_START_OVERCOMMIT
+            * USABLE_QUOTA;
+        let mut bucket = node.slow_start_bucket;
+        bucket.refill(
             now,
-            part / c.window.max(1) as f64 * 1e6,
-            (part / COLD_LEAN).max(self.cfg.mean_units),
+            units / slow_start.window.max(1) as f64 * 1e6,
+            (units / SLOW_START_OVERCOMMIT).max(self.settings.mean_units),
         );
-        Some(cold.level)
+        Some(bucket.level)
     }
 
-    /// Rule 5: is it this request's turn among those with its key?
-    fn order_allows(&mut self, now: Micros, id: RequestId) -> bool {
-        let Some(o) = self.open.get(&id) else {
+    /// Rule 5: whether the request is the next one among those with its key. During the
+    /// cooldown, only a request that was sent before may be sent.
+    fn key_order_allows(&mut self, now: Micros, id: RequestId) -> bool {
+        let Some(open) = self.requests.get(&id) else {
             return false;
         };
-        let (Some(key), tries) = (self.ordered_key(&o.req), o.tries) else {
+        let (Some(key), attempts) = (self.ordered_key(&open.request), open.attempts) else {
             return true;
         };
-        let Some(queue) = self.drop_ended(key) else {
+        let Some(queue) = self.drop_finished(key) else {
             return true;
         };
-        queue.ids.front().is_none_or(|front| *front == id) && (tries > 0 || queue.rest_until <= now)
+        queue.requests.front().is_none_or(|front| *front == id)
+            && (attempts > 0 || queue.cooldown_until <= now)
     }
 
-    /// Drops from the front of a key's queue what has its final answer and nothing out.
-    pub(super) fn drop_ended(&mut self, key: Key) -> Option<&mut KeyQueue> {
+    /// Drops requests from the front of a key's queue that have their final answer and no attempt in
+    /// flight.
+    pub(super) fn drop_finished(&mut self, key: Key) -> Option<&mut KeyQueue> {
         let queue = self.key_queues.get_mut(&key)?;
-        let out = |id: RequestId| {
+        let in_flight = |id: RequestId| {
             self.attempts
                 .range((id, 0)..=(id, u16::MAX))
                 .next()
                 .is_some()
         };
         while queue
-            .ids
+            .requests
             .front()
-            .is_some_and(|id| !self.open.contains_key(id) && !out(*id))
+            .is_some_and(|id| !self.requests.contains_key(id) && !in_flight(*id))
         {
-            queue.ids.pop_front();
+            queue.requests.pop_front();
         }
         Some(queue)
     }
 
-    pub(super) fn ordered_key(&self, req: &Request) -> Option<Key> {
-        req.key.filter(|_| {
-            self.cfg
+    /// The key of a request, if requests of its class with one key run in order.
+    pub(super) fn ordered_key(&self, request: &Request) -> Option<Key> {
+        request.key.filter(|_| {
+            self.settings
                 .classes
-                .get(req.class as usize)
-                .is_some_and(|c| c.in_order)
+                .get(request.class as usize)
+                .is_some_and(|class| class.in_order)
         })
     }
 
-    /// Rule 6: room for one more attempt past a request's first?
-    fn budget_allows(&mut self, now: Micros) -> bool {
-        let Some(b) = self.cfg.retry_budget else {
+    /// Rule 6: whether the budget allows one more retry.
+    fn retry_budget_allows(&mut self, now: Micros) -> bool {
+        let Some(budget) = self.settings.retry_budget else {
             return true;
         };
-        self.extra
-            .retain(|t| now - t <= b.window + self.cfg.timer_resolution);
-        self.taken
-            .retain(|t| now - t < b.window - self.cfg.timer_resolution);
-        (self.extra.len() + 1) as f64 <= b.min_retries + b.retry_ratio * self.taken.len() as f64
-    }
-
-    /// Rule 7: fills this host's part of the volume's bucket. Empty at first: a restart forgets.
-    pub(super) fn tokens(&mut self, now: Micros, req: &Request) -> Option<(f64, f64)> {
-        let limit = self.cfg.plans.get(req.plan as usize)?.limit?;
-        let share = self.share(now, self.rights.volume_factor(req.volume)) * PART_USED;
-        let v = self.volumes.entry(req.volume).or_default();
-        if v.hosts <= 0.0 {
-            v.tokens = Bucket {
+        // Retries count for a tick longer than the window, arrivals for a tick less, so that an error of
+        // one tick does not exceed the budget.
+        self.retry_times
+            .retain(|t| now - t <= budget.window + self.settings.timer_resolution);
+        self.arrival_times
+            .retain(|t| now - t < budget.window - self.settings.timer_resolution);
+        (self.retry_times.len() + 1) as f64
+            <= budget.min_retries + budget.retry_ratio * self.arrival_times.len() as f64
+    }
+
+    /// Rule 7: refills this host's bucket for the volume's rate limit and returns its level and its rate;
+    /// `None` for an unlimited volume. A new bucket is empty, since a host that restarts has lost what it
+    /// spent.
+    pub(super) fn limit_level(&mut self, now: Micros, request: &Request) -> Option<(f64, f64)> {
+        let limit = self.settings.plans.get(request.plan as usize)?.limit?;
+        let quota_share =
+            self.quota_share(now, self.quota.volume_factor(request.volume)) * USABLE_QUOTA;
+        let volume = self.volumes.entry(request.volume).or_default();
+        if volume.hosts <= 0.0 {
+            volume.limit = TokenBucket {
                 level: 0.0,
-                at: self.begun.unwrap_or(now),
+                refilled_at: self.buckets_fill_from.unwrap_or(now),
             };
         }
-        let told = if req.hosts >= 1.0 {
-            req.hosts
+        let hosts = if request.hosts >= 1.0 {
+            request.hosts
         } else {
-            f64::from(self.cfg.hosts.max(1))
+            f64::from(self.settings.hosts.max(1))
         };
-        v.hosts = v.hosts.max(told);
-        (v.rate, v.most) = (
-            limit.rate / v.hosts * share,
-            (limit.burst + limit.overdraft) / v.hosts * share,
+        volume.hosts = volume.hosts.max(hosts);
+        (volume.limit_rate, volume.limit_capacity) = (
+            limit.rate / volume.hosts * quota_share,
+            (limit.burst + limit.overdraft) / volume.hosts * quota_share,
         );
-        v.tokens.fill(now, v.rate, v.most);
-        Some((v.tokens.level, v.rate))
+        volume
+            .limit
+            .refill(now, volume.limit_rate, volume.limit_capacity);
+        Some((volume.limit.level, volume.limit_rate))
     }
 
-    /// How much of this host's even part may be used now, by this process.
-    fn share(&self, now: Micros, held: f64) -> f64 {
-        self.part
-            * if now < self.rights.valid_until {
-                held
+    /// How much of this host's even share this process may use now. `factor` applies while the quota is
+    /// valid, and its reserve afterwards.
+    fn quota_share(&self, now: Micros, factor: f64) -> f64 {
+        self.process_share
+            * if now < self.quota.valid_until {
+                factor
             } else {
-                self.rights.reserve
+                self.quota.reserve
             }
     }
 
-    /// What a unit of this request earns: in full within this host's part of the reserve, less beyond it.
-    pub(super) fn value(&mut self, now: Micros, req: &Request) -> f64 {
-        let Some(plan) = self.cfg.plans.get(req.plan as usize) else {
-            return self.best;
+    /// The value of a unit of this request: the full value within this host's share of the volume's
+    /// reservation, less beyond it.
+    pub(super) fn request_value(&mut self, now: Micros, request: &Request) -> f64 {
+        let Some(plan) = self.settings.plans.get(request.plan as usize) else {
+            return self.max_value;
         };
-        let worth = self
-            .cfg
+        let full_value = self
+            .settings
             .classes
-            .get(req.class as usize)
-            .map_or(1.0, |c| c.value)
+            .get(request.class as usize)
+            .map_or(1.0, |class| class.value)
             * plan.value_multiplier;
-        let rate = plan.reserved_rate / req.hosts.max(1.0);
-        let v = self.volumes.entry(req.volume).or_default();
-        v.reserve.fill(now, rate, rate + self.cfg.max_units);
-        v.last = now;
-        let due = rate > 0.0 && v.reserve.level >= req.units;
-        v.reserve.level -= if due { req.units } else { 0.0 };
-        worth * if due { 1.0 } else { self.cfg.fair_share_value }
+        let rate = plan.reserved_rate / request.hosts.max(1.0);
+        let volume = self.volumes.entry(request.volume).or_default();
+        volume
+            .reservation
+            .refill(now, rate, rate + self.settings.max_units);
+        volume.last_used = now;
+        let reserved = rate > 0.0 && volume.reservation.level >= request.units;
+        volume.reservation.level -= if reserved { request.units } else { 0.0 };
+        full_value
+            * if reserved {
+                1.0
+            } else {
+                self.settings.fair_share_value
+            }
     }
 }
 
-impl Bucket {
-    /// At so much a second, up to the most it holds.
-    pub(super) fn fill(&mut self, now: Micros, rate: f64, most: f64) {
-        self.level = (self.level + rate * (now - self.at).max(0) as f64 / 1e6).min(most);
-        self.at = now;
+impl TokenBucket {
+    /// Adds what has accrued since the last refill at `rate` units a second, up to `capacity`.
+    pub(super) fn refill(&mut self, now: Micros, rate: f64, capacity: f64) {
+        self.level =
+            (self.level + rate * (now - self.refilled_at).max(0) as f64 / 1e6).min(capacity);
+        self.refilled_at = now;
     }
 }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,5 +1,5 @@
-//! The types that a host and its [`Balancer`](crate::Balancer) exchange: settings at the start, events in, actions out. No decision is
-//! made here.
+//! The types that a host and its [`Balancer`](crate::Balancer) exchange: settings at the start, events in,
+//! actions out. No decision is made here.
 //!
 //! Times are whole microseconds on the embedder's monotonic clock, which may start at any reading.
 
--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -1,11 +1,12 @@
-//! What a host does.
+//! The actions that the balancer asks of its host.
 
 use super::ids::{Micros, NodeId, RequestId};
 
 /// An action that the embedder carries out, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt. It times out after `timeout`, or when the client gives up if that is `None`.
+    /// Start an attempt. It times out after `timeout`, or when the client gives up if that is
+    /// `None`.
     Send {
         /// The request.
         request: RequestId,
@@ -13,7 +14,7 @@
         node: NodeId,
         /// The attempt's timeout.
         timeout: Option<Micros>,
-        /// The attempt must not begin from this moment on; it then ends with
+        /// The attempt must begin before this moment; otherwise it ends with
         /// [`Outcome::Expired`](super::Outcome::Expired).
         begin_by: Micros,
     },
@@ -24,28 +25,28 @@
         /// The attempt.
         attempt: u16,
     },
-    /// Final answer: rejected. A retry is harmless.
+    /// Final answer: rejected. A retry by the client is harmless.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should wait before it comes back.
+        /// How long the client should wait before it retries; `None`: the client gets no such hint.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed. Whether it ran is not known.
+    /// Final answer: failed. The request may have run.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Let a transfer in progress move the units that it asked for.
+    /// Let a transfer in progress move the units that it requested.
     Grant {
         /// The request.
         request: RequestId,
     },
-    /// Set the timer; [`Event::Timer`](super::Event::Timer) reports that it expired.
+    /// Set a timer; [`Event::Timer`](super::Event::Timer) reports that it expired.
     SetTimer {
-        /// The moment.
+        /// When it expires.
         at: Micros,
-        /// The number that the event brings back.
+        /// The number that the event carries.
         token: u32,
     },
     /// Check the health of a node.
@@ -54,6 +55,6 @@
     Subscribe,
     /// Fetch the full node list once.
     FetchList,
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -1,4 +1,4 @@
-//! What a host observes.
+//! The events that a host observes.
 
 use super::ids::{Micros, NodeId, RequestId, Shard};
 use super::node::{NodeEntry, NodeListKind};
@@ -20,29 +20,31 @@
     },
     /// New settings. Classes and plans keep their indices, and open requests keep their attempts.
     Settings(Box<Settings>),
-    /// The share of this host's quota that this process may use from now on, 0 to 1: another process serves for the same host.
+    /// The share of this host's quota that this process may use from now on, 0 to 1. Another process
+    /// of the same host uses the rest.
     ProcessShare(f64),
     /// What this host may use of the limits that all hosts share.
     QuotaShares(Box<QuotaShares>),
-    /// From now on unresponsive nodes are tried as the fleet grants it, not at this host's own pace: each of these nodes once, before
-    /// its moment.
+    /// Grants of the fleet: each of these nodes may be probed once, before the given time. From the
+    /// first of these events on, unresponsive nodes are no longer probed at this host's own pace.
     ProbationGrants(BTreeMap<NodeId, Micros>),
-    /// Another host of the fleet saw a node answer again.
+    /// A node that was unresponsive has answered another host of the fleet.
     NodeRecovered(NodeId),
     /// A request arrived.
     RequestArrived(Request),
-    /// The answer of an attempt has begun to reach the client: the attempt is not repeated from now on.
+    /// The answer of an attempt has begun to reach the client. From now on the request is not retried.
     ResponseStarted {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: u16,
     },
-    /// A transfer in progress is to move more units; [`Action::Grant`](super::Action::Grant) allows it.
+    /// A transfer in progress asks to move more units. [`Action::Grant`](super::Action::Grant) allows
+    /// them.
     UnitsRequested {
         /// The request.
         request: RequestId,
-        /// The units, at most the most units of one request.
+        /// The units, at most [`Settings::max_units`].
         units: f64,
     },
     /// The shard that stores the data of a request is known, or has changed.
@@ -54,7 +56,7 @@
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The client disconnected, or its answer is overdue: it needs none any more.
+    /// The client disconnected, or its deadline has passed: the request needs no answer.
     ClientGone(RequestId),
     /// A timer that was set has expired.
     Timer(u32),
@@ -69,6 +71,6 @@
         /// The load report, if one came.
         load: Option<LoadReport>,
     },
-    /// A message of a peer. Ignored by this policy: hosts share nothing this way.
+    /// A message from another host. Ignored by this policy.
     PeerMessage,
 }
--- a/crates/policy/src/interface/ids.rs
+++ b/crates/policy/src/interface/ids.rs
@@ -1,6 +1,6 @@
-//! Identifiers and the unit of time.
+//! Identifiers, and the unit of time.
 
-/// Microseconds on the embedder's monotonic clock: a clock reading or a duration, as the name of the value says.
+/// Microseconds on the embedder's monotonic clock: a point in time or a duration.
 pub type Micros = i64;
 
 /// A request, as the embedder numbers it. A number is never reused.
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(pub u64);
 
-/// The part of the data that a node, or the node that succeeds it, stores.
+/// The part of the data that a node stores. If the node is replaced, its successor stores it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Shard(pub u32);
 
--- a/crates/policy/src/interface/node.rs
+++ b/crates/policy/src/interface/node.rs
@@ -2,7 +2,7 @@
 
 use super::ids::{Micros, NodeId, Shard, Zone};
 
-/// A node as the list has it.
+/// An entry of the node list.
 #[derive(Clone, Debug)]
 pub struct NodeEntry {
     /// Its number.
@@ -24,7 +24,7 @@
 pub enum NodeState {
     /// It takes requests.
     Ready,
-    /// It finishes what it has and is to get nothing new.
+    /// It finishes the requests that it has and must get no new ones.
     Draining,
     /// It was removed.
     Gone,
@@ -39,17 +39,17 @@
     Full,
     /// The full list as this host last had it. It may be out of date.
     Cached,
-    /// Nothing: a call failed or the subscription ended. The list that is known stands.
+    /// Nothing: a call failed or the subscription ended. The known list stays in use.
     Failed,
 }
 
-/// How the balancer holds a listed node.
+/// How the balancer treats a listed node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeStatus {
     /// The node.
     pub node: NodeId,
-    /// It gets nothing new, or next to nothing: it is draining or unresponsive.
+    /// It gets no new requests, or only probes: it is draining or unresponsive.
     pub is_avoided: bool,
-    /// Its circuit breaker is open: it does not respond.
+    /// It does not answer: its circuit breaker is open.
     pub is_unresponsive: bool,
 }
--- a/crates/policy/src/interface/outcome.rs
+++ b/crates/policy/src/interface/outcome.rs
@@ -2,21 +2,21 @@
 
 use super::ids::{Micros, NodeId, RequestId};
 
-/// How an attempt or a health check ended, by what that proves.
+/// How an attempt or a health check ended, and whether the request may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The node served it.
     Ok,
     /// The node answered with an error. It may have run.
     Error,
-    /// The node rejected it unread for want of capacity. It did not run.
+    /// The node had no capacity and rejected it without reading it. It did not run.
     Rejected,
-    /// The node rejected it because the data is on another shard. It did not run. The request waits for
-    /// [`Event::ShardChanged`](super::Event::ShardChanged).
+    /// The node rejected it because the data is on another shard. It did not run. The request waits
+    /// for [`Event::ShardChanged`](super::Event::ShardChanged).
     WrongShard,
-    /// No answer came in time. It may have run, or be running.
+    /// No answer came in time. It may have run, or may still be running.
     Timeout,
-    /// No connection came up. It did not run.
+    /// No connection could be opened. It did not run.
     ConnectFailed,
     /// The connection broke. It may have run.
     Reset,
@@ -24,7 +24,7 @@
     Cancelled,
     /// It was never sent.
     NotSent,
-    /// It was never sent: the moment by which it had to begin had passed.
+    /// It was never sent, because the time before which it had to begin had passed.
     Expired,
 }
 
@@ -68,11 +68,13 @@
     pub outcome: Outcome,
     /// How long it was in flight.
     pub elapsed: Micros,
-    /// The request needs no final answer any more.
+    /// The request needs no final answer from the balancer.
     pub request_finished: bool,
-    /// The volume's use everywhere in a past period, as a multiple of the plan's nominal rate. Not used by this policy.
+    /// The volume's use everywhere in a past period, as a multiple of the plan's nominal rate. Not
+    /// used by this policy.
     pub volume_usage: Option<f64>,
-    /// Units that the node served for the volume through other hosts since its last answer here. Not used by this policy.
+    /// Units that the node served for the volume through other hosts since its last answer here.
+    /// Not used by this policy.
     pub units_through_other_hosts: f64,
     /// The node's load report, if one came. Not used by this policy.
     pub load: Option<LoadReport>,
--- a/crates/policy/src/interface/request.rs
+++ b/crates/policy/src/interface/request.rs
@@ -17,7 +17,7 @@
     pub hosts: f64,
     /// Its cost in units.
     pub units: f64,
-    /// The piece of data, where it names one.
+    /// The piece of data, if the request names one.
     pub key: Option<Key>,
     /// The shard that stores the data; `None`: a new object, which any node may take.
     pub shard: Option<Shard>,
@@ -25,6 +25,7 @@
     pub client_deadline: Micros,
     /// The client marked it as a retry of its own.
     pub is_client_retry: bool,
-    /// The shard is not known yet: the request waits for [`Event::ShardChanged`](super::Event::ShardChanged).
+    /// The shard is not known yet: the request waits for
+    /// [`Event::ShardChanged`](super::Event::ShardChanged).
     pub shard_unknown: bool,
 }
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that a host starts with, and that may be replaced while it runs.
+//! The settings of a host. They may be replaced while it runs.
 
 use super::ids::{Micros, Zone};
 
@@ -18,7 +18,8 @@
 pub enum Idempotence {
     /// Nothing more than sending it once.
     Idempotent,
-    /// Nodes within the scope drop the repetition, for a while after the first attempt that may have run.
+    /// Nodes within the scope drop the repetition, for a while after the first attempt that may
+    /// have run.
     Deduplicated {
         /// Which nodes drop it.
         scope: DeduplicationScope,
@@ -34,7 +35,8 @@
 pub struct Class {
     /// The latency target (SLO): an answer within this time earns the full value of the request.
     pub latency_target: Micros,
-    /// The latency target grows by this multiple of the request's own work. Not used by this policy.
+    /// The latency target grows by this multiple of the request's own work. Not used by this
+    /// policy.
     pub latency_target_stretch: f64,
     /// How long a client waits, over all its own attempts.
     pub deadline: Micros,
@@ -57,7 +59,7 @@
 pub struct RateLimit {
     /// Units a second.
     pub rate: f64,
-    /// The most units in the bucket, which is full at first.
+    /// The capacity of the bucket in units. It is full at first.
     pub burst: f64,
     /// How many units the bucket may be overdrawn by.
     pub overdraft: f64,
@@ -68,7 +70,7 @@
 pub struct Plan {
     /// The weight of the volume's share.
     pub weight: f64,
-    /// Units a second that earn their full value.
+    /// The reservation: units a second that earn their full value.
     pub reserved_rate: f64,
     /// Units a second for which the volume is sized. Not used by this policy.
     pub nominal_rate: f64,
@@ -81,12 +83,12 @@
 /// How updates of the node list reach the host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// They are pushed without being asked for.
+    /// They are pushed to it.
     #[default]
     Push,
     /// The host subscribes to them or fetches them.
     Poll {
-        /// A host that did neither for this long counts as informed all the same.
+        /// A host that has done neither for this long counts as informed of an update.
         informed_after: Micros,
     },
 }
@@ -94,11 +96,12 @@
 /// Slow start: the limit on the load of a node that has just started.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// Units within `window`, from all hosts together, that a node which has just started always bears.
+    /// Units that a node can always take in a `window` after its start, from all hosts together.
     pub guaranteed_units: f64,
     /// The share of its capacity that a node starts with, at least.
     pub initial_share: f64,
-    /// A node that is sent more than this many times its present capacity for the length of `window` fails; 0: not known.
+    /// A node fails if it is sent more than this many times its present capacity during a `window`;
+    /// 0: not known.
     pub overload_multiple: f64,
     /// After this time a node has its full capacity, at the latest.
     pub duration: Micros,
@@ -106,10 +109,10 @@
     pub window: Micros,
 }
 
-/// The budget of retries: of the attempts after each request's first.
+/// The budget of retries, which are all attempts of a request after its first.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Retries allowed in any window, however little traffic there is.
+    /// Retries allowed in any window, whatever the traffic.
     pub min_retries: f64,
     /// Retries allowed for each request that arrived within the window.
     pub retry_ratio: f64,
@@ -134,15 +137,16 @@
     pub slow_start: Option<SlowStart>,
     /// The budget of retries; `None`: unlimited.
     pub retry_budget: Option<RetryBudget>,
-    /// For how long no other request with the same key is sent, after an attempt that may still be running.
+    /// For how long no other request with the same key is sent after an attempt that may still be
+    /// running.
     pub key_cooldown: Micros,
     /// How long after learning that a node is draining a host may still send it something new.
     pub drain_grace: Micros,
     /// The shortest time to which a timer may be set.
     pub timer_resolution: Micros,
-    /// The most attempts for one request.
+    /// The largest number of attempts for one request.
     pub max_attempts: u32,
-    /// The most requests open at once; 0: unlimited. Not used by this policy.
+    /// The largest number of requests open at once; 0: unlimited. Not used by this policy.
     pub max_open_requests: u32,
     /// Two attempts of one request may be in flight at once.
     pub parallel_attempts: bool,
@@ -154,14 +158,16 @@
     pub send_retry_after: bool,
     /// The longest time after which a client is told to come back.
     pub max_retry_after: Micros,
-    /// The most units that one request counts for.
+    /// The largest number of units that one request counts for.
     pub max_units: f64,
     /// The mean units of a request.
     pub mean_units: f64,
-    /// The share of their value that units above the reservation earn while the volume stays within its fair share.
+    /// The share of their value that units above the reservation earn while the volume stays within
+    /// its fair share.
     pub fair_share_value: f64,
-    /// The share of their value that units above both earn. Not used by this policy.
+    /// The share of their value that units above both the reservation and the fair share earn. Not used by this policy.
     pub excess_value: f64,
-    /// The period over which a volume's use everywhere is measured; 0: it is not. Not used by this policy.
+    /// The period over which a volume's use through all hosts is measured; 0: not measured. Not used
+    /// by this policy.
     pub usage_period: Micros,
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,8 @@
 //! lupinrack makes the decisions of a host-side scheduler for a shared disk pool.
 //!
-//! Each host (gateway) owns one [`Balancer`]. It tells the brain what it sees ([`Event`]) and carries out what the
-//! brain answers ([`Action`]). The brain does no I/O, reads no clock and keeps no threads: time and the seed of
-//! its random numbers come in from outside, and the same input gives the same output.
+//! Each host (gateway) owns one [`Balancer`]. It passes what it observes ([`Event`]) and carries out the
+//! actions that the balancer returns ([`Action`]). The balancer does no I/O, reads no clock and has no threads:
+//! time and the seed of its random numbers are arguments, and the same input gives the same output.
 //!
 //! ```
 //! use lupinrack_policy::*;
@@ -16,21 +16,21 @@
 //!     hosts: 3, classes: vec![class], plans: vec![plan], drain_grace: 1_000_000, timer_resolution: 2_000, max_attempts: 3,
 //!     send_retry_after: true, max_retry_after: 2_000_000, ..Settings::default()
 //! };
-//! let mut brain = Balancer::new(settings, 42);
+//! let mut balancer = Balancer::new(settings, 42);
 //! let mut actions = Vec::new();
 //!
-//! // The node list, as the host last saw it.
+//! // The node list as the host last had it.
 //! let node = NodeEntry {
 //!     node: NodeId(7), state: NodeState::Ready, zone: Zone(0), shard: Shard(0), started: None, weight: 1.0,
 //! };
-//! brain.handle(0, Event::NodeList { kind: NodeListKind::Cached, entries: vec![node] }, &mut actions);
+//! balancer.handle(0, Event::NodeList { kind: NodeListKind::Cached, entries: vec![node] }, &mut actions);
 //!
-//! // A request lands; the node has room, so it goes out at once.
+//! // A request arrives. The node has a free slot, so the request is sent at once.
 //! let request = Request {
 //!     id: RequestId(1), class: 0, plan: 0, volume: VolumeId(9), hosts: 1.0, units: 2.0, key: None,
 //!     shard: Some(Shard(0)), client_deadline: 2_001_000, is_client_retry: false, shard_unknown: false,
 //! };
-//! brain.handle(1_000, Event::RequestArrived(request), &mut actions);
+//! balancer.handle(1_000, Event::RequestArrived(request), &mut actions);
 //! let (request, node, begin_by) = (RequestId(1), NodeId(7), Micros::MAX);
 //! assert!(actions.contains(&Action::Send { request, node, timeout: None, begin_by }));
 //! ```
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! Settings, lists and requests that the tests share.
+//! Settings, node entries and a simulated host that the tests share.
 #![allow(dead_code)]
 
 use lupinrack_policy::*;
 
-/// A host with one safe class and one plan; tests change what they need.
+/// Settings of a host with one idempotent class and one plan. Tests change what they need.
 pub fn settings() -> Settings {
     Settings {
         hosts: 1,
@@ -66,46 +66,46 @@
     }
 }
 
-/// A brain and what it has said so far.
+/// A balancer with a clock, and all actions that it has returned.
 pub struct Host {
     pub balancer: Balancer,
     pub now: Micros,
-    pub said: Vec<Action>,
+    pub actions: Vec<Action>,
 }
 
 impl Host {
-    /// A host that knows these nodes.
+    /// A host that knows these nodes from a cached list.
     pub fn new(settings: Settings, nodes: Vec<NodeEntry>) -> Self {
-        let mut h = Host {
+        let mut host = Host {
             balancer: Balancer::new(settings, 1),
             now: 1_000_000,
-            said: Vec::new(),
+            actions: Vec::new(),
         };
-        h.event(Event::NodeList {
+        host.event(Event::NodeList {
             kind: NodeListKind::Cached,
             entries: nodes,
         });
-        h
+        host
     }
-    pub fn event(&mut self, e: Event) {
-        self.balancer.handle(self.now, e, &mut self.said);
+    pub fn event(&mut self, event: Event) {
+        self.balancer.handle(self.now, event, &mut self.actions);
     }
-    /// Lets time pass, with a wake-up every two ticks.
-    pub fn pass(&mut self, span: Micros) {
-        let end = self.now + span;
+    /// Advances the clock. A timer expires every two ticks of 2 ms.
+    pub fn advance(&mut self, duration: Micros) {
+        let end = self.now + duration;
         while self.now < end {
             self.now = (self.now + 4_000).min(end);
             self.event(Event::Timer(0));
         }
     }
-    pub fn list(&mut self, kind: NodeListKind, entries: Vec<NodeEntry>) {
+    pub fn node_list(&mut self, kind: NodeListKind, entries: Vec<NodeEntry>) {
         self.event(Event::NodeList { kind, entries });
     }
     pub fn request(&mut self, id: u32) {
         self.request_with(id, |_| {});
     }
     pub fn request_with(&mut self, id: u32, change: impl FnOnce(&mut Request)) {
-        let mut r = Request {
+        let mut request = Request {
             id: RequestId(id),
             class: 0,
             plan: 0,
@@ -118,10 +118,10 @@
             is_client_retry: false,
             shard_unknown: false,
         };
-        change(&mut r);
-        self.event(Event::RequestArrived(r));
+        change(&mut request);
+        self.event(Event::RequestArrived(request));
     }
-    pub fn answer(&mut self, id: u32, attempt: u16, node: u32, outcome: Outcome) {
+    pub fn end_attempt(&mut self, id: u32, attempt: u16, node: u32, outcome: Outcome) {
         self.event(Event::AttemptEnded(AttemptEnd {
             request: RequestId(id),
             attempt,
@@ -134,12 +134,18 @@
             load: None,
         }));
     }
-    /// The first attempt of a request is served after this long.
-    pub fn answer_after(&mut self, id: u32, node: u32, elapsed: Micros) {
-        self.answer_waited(id, node, elapsed, Outcome::Ok);
-    }
-    /// The first attempt of a request ends like this after this long.
-    pub fn answer_waited(&mut self, id: u32, node: u32, elapsed: Micros, outcome: Outcome) {
+    /// The first attempt of a request is served after `elapsed`.
+    pub fn serve_after(&mut self, id: u32, node: u32, elapsed: Micros) {
+        self.end_first_attempt_after(id, node, elapsed, Outcome::Ok);
+    }
+    /// The first attempt of a request ends with `outcome` after `elapsed`.
+    pub fn end_first_attempt_after(
+        &mut self,
+        id: u32,
+        node: u32,
+        elapsed: Micros,
+        outcome: Outcome,
+    ) {
         self.event(Event::AttemptEnded(AttemptEnd {
             request: RequestId(id),
             attempt: 0,
@@ -154,7 +160,7 @@
     }
     /// Everything sent so far: request and node.
     pub fn sends(&self) -> Vec<(u32, u32)> {
-        self.said
+        self.actions
             .iter()
             .filter_map(|a| match a {
                 Action::Send { request, node, .. } => Some((request.0, node.0)),
@@ -162,24 +168,26 @@
             })
             .collect()
     }
-    pub fn sent(&self, id: u32) -> usize {
+    /// The number of attempts of a request.
+    pub fn send_count(&self, id: u32) -> usize {
         self.sends().iter().filter(|s| s.0 == id).count()
     }
-    pub fn refused(&self, id: u32) -> bool {
-        self.said
+    pub fn rejected(&self, id: u32) -> bool {
+        self.actions
             .iter()
             .any(|a| matches!(a, Action::Reject { request, .. } if request.0 == id))
     }
     pub fn failed(&self, id: u32) -> bool {
-        self.said.contains(&Action::Fail {
+        self.actions.contains(&Action::Fail {
             request: RequestId(id),
         })
     }
-    pub fn finals(&self, id: u32) -> usize {
-        let is = |a: &&Action| match a {
+    /// The number of final answers that a request got from the balancer.
+    pub fn final_answers(&self, id: u32) -> usize {
+        let is_final = |a: &&Action| match a {
             Action::Reject { request, .. } | Action::Fail { request } => request.0 == id,
             _ => false,
         };
-        self.said.iter().filter(is).count()
+        self.actions.iter().filter(is_final).count()
     }
 }
--- a/crates/policy/tests/random.rs
+++ b/crates/policy/tests/random.rs
@@ -1,23 +1,24 @@
-//! Random legal events and outcomes, thrown at one host; the rules are checked on what it does.
+//! Random legal events and outcomes at one host. A model checks the host's actions against the rules.
 
 mod common;
 use common::*;
 use lupinrack_policy::*;
 use std::collections::BTreeMap;
 
-struct Seen {
+/// What the model knows of a request.
+struct ModelRequest {
     class: u16,
     client_deadline: Micros,
     key: Option<Key>,
     sends: Vec<(Micros, u32)>,
-    live: Vec<u16>,
-    maybe_ran: bool,
-    over: bool,
+    in_flight: Vec<u16>,
+    may_have_run: bool,
+    answered: bool,
 }
 
-fn all_settings(dice: &mut fastrand::Rng) -> Settings {
-    let mut s = settings();
-    let effects = [
+fn all_settings(rng: &mut fastrand::Rng) -> Settings {
+    let mut settings = settings();
+    let idempotences = [
         Idempotence::Idempotent,
         Idempotence::NotIdempotent,
         Idempotence::Deduplicated {
@@ -33,94 +34,94 @@
             window: 700_000,
         },
     ];
-    s.classes = effects.into_iter().map(class).collect();
-    s.classes[0].in_order = true;
-    s.classes[1].streamed = true;
-    s.plans = vec![plan(0.0), plan(1.0), plan(4.0)];
-    s.plans[0].reserved_rate = 0.0;
-    s.plans[1].limit = Some(RateLimit {
+    settings.classes = idempotences.into_iter().map(class).collect();
+    settings.classes[0].in_order = true;
+    settings.classes[1].streamed = true;
+    settings.plans = vec![plan(0.0), plan(1.0), plan(4.0)];
+    settings.plans[0].reserved_rate = 0.0;
+    settings.plans[1].limit = Some(RateLimit {
         rate: 30.0,
         burst: 40.0,
         overdraft: 4.0,
     });
-    s.retry_budget = dice.bool().then_some(RetryBudget {
+    settings.retry_budget = rng.bool().then_some(RetryBudget {
         min_retries: 3.0,
         retry_ratio: 0.2,
         window: 1_000_000,
     });
-    s.key_cooldown = 50_000;
-    s.parallel_attempts = dice.bool();
-    if dice.bool() {
-        s.discovery = DiscoveryMode::Poll {
+    settings.key_cooldown = 50_000;
+    settings.parallel_attempts = rng.bool();
+    if rng.bool() {
+        settings.discovery = DiscoveryMode::Poll {
             informed_after: 10_000_000,
         };
     }
-    s.slow_start = Some(SlowStart {
+    settings.slow_start = Some(SlowStart {
         guaranteed_units: 20.0,
         initial_share: 0.2,
         overload_multiple: 4.0,
         duration: 5_000_000,
         window: 1_000_000,
     });
-    s
+    settings
 }
 
-fn one_day(seed: u64) {
-    let mut dice = fastrand::Rng::with_seed(seed);
-    let s = all_settings(&mut dice);
-    let mut h = Host::new(s.clone(), (0..4).map(|n| entry(n, n)).collect());
-    let mut seen: BTreeMap<u32, Seen> = BTreeMap::new();
-    let mut taken: Vec<Micros> = Vec::new();
-    let mut extra: Vec<Micros> = Vec::new();
-    let (mut read, mut next) = (0, 0);
-    let born = h.now;
-    let mut drawn: BTreeMap<u64, f64> = BTreeMap::new();
-    let mut stopped: BTreeMap<u32, Micros> = BTreeMap::new();
+fn run_random_events(seed: u64) {
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let settings = all_settings(&mut rng);
+    let mut host = Host::new(settings.clone(), (0..4).map(|n| entry(n, n)).collect());
+    let mut requests: BTreeMap<u32, ModelRequest> = BTreeMap::new();
+    let mut arrivals: Vec<Micros> = Vec::new();
+    let mut retries: Vec<Micros> = Vec::new();
+    let (mut actions_read, mut next_id) = (0, 0);
+    let started_at = host.now;
+    let mut units_drawn: BTreeMap<u64, f64> = BTreeMap::new();
+    let mut draining_since: BTreeMap<u32, Micros> = BTreeMap::new();
     let mut volumes: BTreeMap<u32, (u64, u32)> = BTreeMap::new();
     for _ in 0..1500 {
-        h.now += dice.i64(0..8_000);
-        match dice.u32(0..10) {
+        host.now += rng.i64(0..8_000);
+        match rng.u32(0..10) {
             0..=4 => {
-                let (id, class, key) = (next, dice.u16(0..5), Some(Key(dice.u64(1..5))));
-                let plan = dice.u32(0..3);
-                let volume = u64::from(plan) * 10 + dice.u64(0..3);
-                let shard = if dice.bool() {
+                let (id, class, key) = (next_id, rng.u16(0..5), Some(Key(rng.u64(1..5))));
+                let plan = rng.u32(0..3);
+                let volume = u64::from(plan) * 10 + rng.u64(0..3);
+                let shard = if rng.bool() {
                     None
                 } else {
-                    Some(Shard(dice.u32(0..5)))
+                    Some(Shard(rng.u32(0..5)))
                 };
-                let client_deadline = h.now + dice.i64(1..2_000_000);
+                let client_deadline = host.now + rng.i64(1..2_000_000);
                 volumes.insert(id, (volume, plan));
-                let (sends, live) = (vec![], vec![]);
-                seen.insert(
+                let (sends, in_flight) = (vec![], vec![]);
+                requests.insert(
                     id,
-                    Seen {
+                    ModelRequest {
                         class,
                         client_deadline,
                         key,
                         sends,
-                        live,
-                        maybe_ran: false,
-                        over: false,
+                        in_flight,
+                        may_have_run: false,
+                        answered: false,
                     },
                 );
-                taken.push(h.now);
-                h.request_with(id, |r| {
+                arrivals.push(host.now);
+                host.request_with(id, |r| {
                     (r.class, r.key, r.plan, r.shard) = (class, key, plan, shard);
                     (r.volume, r.client_deadline) = (VolumeId(volume), client_deadline);
                 });
-                next += 1;
+                next_id += 1;
             }
             5..=7 => {
-                let out: Vec<(u32, u16)> = seen
+                let in_flight: Vec<(u32, u16)> = requests
                     .iter()
-                    .flat_map(|(id, s)| s.live.iter().map(|a| (*id, *a)))
+                    .flat_map(|(id, request)| request.in_flight.iter().map(|a| (*id, *a)))
                     .collect();
-                if let Some(&(id, attempt)) = dice.choice(&out) {
-                    let r = seen.get_mut(&id).unwrap();
-                    r.live.retain(|a| *a != attempt);
-                    let node = r.sends[usize::from(attempt)].1;
-                    let outcome = *dice
+                if let Some(&(id, attempt)) = rng.choice(&in_flight) {
+                    let model = requests.get_mut(&id).unwrap();
+                    model.in_flight.retain(|a| *a != attempt);
+                    let node = model.sends[usize::from(attempt)].1;
+                    let outcome = *rng
                         .choice(&[
                             Outcome::Ok,
                             Outcome::Ok,
@@ -132,15 +133,16 @@
                             Outcome::Cancelled,
                         ])
                         .unwrap();
-                    r.over |= outcome == Outcome::Ok;
-                    r.maybe_ran |= !matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed);
-                    h.answer(id, attempt, node, outcome);
+                    model.answered |= outcome == Outcome::Ok;
+                    model.may_have_run |=
+                        !matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed);
+                    host.end_attempt(id, attempt, node, outcome);
                 }
             }
             8 => {
-                let (n, state) = (dice.u32(0..5), dice.u32(0..4));
-                let started = Some(h.now - dice.i64(0..1_000_000));
-                let e = match state {
+                let (n, state) = (rng.u32(0..5), rng.u32(0..4));
+                let started = Some(host.now - rng.i64(0..1_000_000));
+                let changed = match state {
                     0 => NodeEntry {
                         state: NodeState::Draining,
                         ..entry(n, n)
@@ -155,99 +157,109 @@
                     },
                     _ => entry(n, n),
                 };
-                match e.state {
-                    NodeState::Ready => drop(stopped.remove(&n)),
-                    _ => drop(stopped.entry(n).or_insert(h.now)),
+                match changed.state {
+                    NodeState::Ready => drop(draining_since.remove(&n)),
+                    _ => drop(draining_since.entry(n).or_insert(host.now)),
                 }
-                let kind = if dice.u32(0..5) == 0 {
+                let kind = if rng.u32(0..5) == 0 {
                     NodeListKind::Failed
                 } else {
                     NodeListKind::Changes
                 };
                 if kind == NodeListKind::Failed {
-                    h.list(kind, vec![]);
-                    stopped.clear(); // unknown to the check from here; the guard itself keeps what it was told
+                    host.node_list(kind, vec![]);
+                    draining_since.clear(); // unknown to the model from now on; the balancer keeps the states that it knows
                 } else {
-                    h.list(kind, vec![e]);
+                    host.node_list(kind, vec![changed]);
                 }
             }
             _ => {
-                // Stale and odd news: none of it may hurt.
-                let id = dice.u32(0..next + 2);
-                match dice.u32(0..4) {
-                    0 => h.event(Event::Timer(dice.u32(0..50))),
-                    1 => h.event(Event::PeerMessage),
-                    2 if seen.get(&id).is_none_or(|s| s.over) => {
-                        h.event(Event::ClientGone(RequestId(id)))
+                // Unexpected events must be harmless.
+                let id = rng.u32(0..next_id + 2);
+                match rng.u32(0..4) {
+                    0 => host.event(Event::Timer(rng.u32(0..50))),
+                    1 => host.event(Event::PeerMessage),
+                    2 if requests.get(&id).is_none_or(|request| request.answered) => {
+                        host.event(Event::ClientGone(RequestId(id)))
                     }
-                    _ => h.answer(id, 999, 2, Outcome::Ok),
+                    _ => host.end_attempt(id, 999, 2, Outcome::Ok),
                 }
             }
         }
-        h.event(Event::Timer(0));
-        for action in h.said[read..].iter().cloned() {
+        host.event(Event::Timer(0));
+        for action in host.actions[actions_read..].iter().cloned() {
             match action {
                 Action::Send { request, node, .. } => {
-                    let c = s.classes[usize::from(seen[&request.0].class)].clone();
-                    if c.in_order {
-                        let key = seen[&request.0].key;
-                        let ahead = |(id, o): (&u32, &Seen)| {
+                    let class = settings.classes[usize::from(requests[&request.0].class)].clone();
+                    if class.in_order {
+                        let key = requests[&request.0].key;
+                        let ahead = |(id, other): (&u32, &ModelRequest)| {
                             *id < request.0
-                                && o.class == 0
-                                && o.key == key
-                                && (!o.over || !o.live.is_empty())
+                                && other.class == 0
+                                && other.key == key
+                                && (!other.answered || !other.in_flight.is_empty())
                         };
-                        assert!(!seen.iter().any(ahead), "order, seed {seed}");
+                        assert!(!requests.iter().any(ahead), "order, seed {seed}");
                     }
-                    let r = seen.get_mut(&request.0).unwrap();
-                    assert!(!r.over, "sent after its end, seed {seed}");
+                    let model = requests.get_mut(&request.0).unwrap();
+                    assert!(!model.answered, "sent after its final answer, seed {seed}");
                     assert!(
-                        s.parallel_attempts || r.live.is_empty(),
-                        "two at once, seed {seed}"
+                        settings.parallel_attempts || model.in_flight.is_empty(),
+                        "two attempts in flight, seed {seed}"
                     );
-                    assert!(r.sends.len() < 4);
-                    if let Some(t) = stopped.get(&node.0) {
-                        assert!(h.now - t <= s.drain_grace, "drain, seed {seed}");
+                    assert!(model.sends.len() < 4);
+                    if let Some(since) = draining_since.get(&node.0) {
+                        assert!(
+                            host.now - since <= settings.drain_grace,
+                            "drain, seed {seed}"
+                        );
                     }
-                    if r.maybe_ran || !r.live.is_empty() {
-                        match c.idempotence {
+                    if model.may_have_run || !model.in_flight.is_empty() {
+                        match class.idempotence {
                             Idempotence::Idempotent => {}
-                            Idempotence::NotIdempotent => panic!("unsafe twice, seed {seed}"),
+                            Idempotence::NotIdempotent => {
+                                panic!("not idempotent, sent twice, seed {seed}")
+                            }
                             Idempotence::Deduplicated { scope, window } => {
                                 assert!(
-                                    h.now - r.sends[0].0 <= window || r.sends.len() > 1,
+                                    host.now - model.sends[0].0 <= window || model.sends.len() > 1,
                                     "seed {seed}"
                                 );
-                                let same = scope != DeduplicationScope::Shard
-                                    || r.sends.last().unwrap().1 == node.0;
-                                assert!(same || r.sends.len() > 1, "seed {seed}");
+                                let in_scope = scope != DeduplicationScope::Shard
+                                    || model.sends.last().unwrap().1 == node.0;
+                                assert!(in_scope || model.sends.len() > 1, "seed {seed}");
                             }
                         }
                     }
-                    if r.sends.is_empty() {
+                    if model.sends.is_empty() {
                         let (volume, plan) = volumes[&request.0];
-                        let used = drawn.entry(volume).or_default();
+                        let used = units_drawn.entry(volume).or_default();
                         *used += 2.0;
-                        let store = 40.0 + 4.0 + 30.0 * (h.now - born) as f64 / 1e6;
-                        assert!(plan != 1 || *used <= store, "limit, seed {seed}");
+                        let max_units = 40.0 + 4.0 + 30.0 * (host.now - started_at) as f64 / 1e6;
+                        assert!(plan != 1 || *used <= max_units, "limit, seed {seed}");
                     } else {
-                        extra.push(h.now);
-                        if let Some(b) = s.retry_budget {
-                            let within =
-                                |v: &[Micros]| v.iter().filter(|t| h.now - **t <= b.window).count();
-                            let most = b.min_retries + b.retry_ratio * within(&taken) as f64;
-                            assert!(within(&extra) as f64 <= most, "budget, seed {seed}");
+                        retries.push(host.now);
+                        if let Some(budget) = settings.retry_budget {
+                            let within = |v: &[Micros]| {
+                                v.iter().filter(|t| host.now - **t <= budget.window).count()
+                            };
+                            let max_retries =
+                                budget.min_retries + budget.retry_ratio * within(&arrivals) as f64;
+                            assert!(
+                                within(&retries) as f64 <= max_retries,
+                                "budget, seed {seed}"
+                            );
                         }
                     }
-                    r.live.push(r.sends.len() as u16);
-                    r.sends.push((h.now, node.0));
+                    model.in_flight.push(model.sends.len() as u16);
+                    model.sends.push((host.now, node.0));
                 }
                 Action::Reject { request, .. } => {
-                    let r = seen.get_mut(&request.0).unwrap();
-                    assert!(!r.over, "answered twice, seed {seed}");
-                    let effect = s.classes[usize::from(r.class)].idempotence;
+                    let model = requests.get_mut(&request.0).unwrap();
+                    assert!(!model.answered, "answered twice, seed {seed}");
+                    let idempotence = settings.classes[usize::from(model.class)].idempotence;
                     let harmless = matches!(
-                        effect,
+                        idempotence,
                         Idempotence::Idempotent
                             | Idempotence::Deduplicated {
                                 scope: DeduplicationScope::AllNodes,
@@ -255,48 +267,48 @@
                             }
                     );
                     assert!(
-                        harmless || (!r.maybe_ran && r.live.is_empty()),
-                        "refused in doubt, seed {seed}"
+                        harmless || (!model.may_have_run && model.in_flight.is_empty()),
+                        "rejected although it may have run, seed {seed}"
                     );
-                    r.over = true;
+                    model.answered = true;
                 }
                 Action::Fail { request } => {
-                    let r = seen.get_mut(&request.0).unwrap();
-                    assert!(!r.over, "answered twice, seed {seed}");
-                    r.over = true;
+                    let model = requests.get_mut(&request.0).unwrap();
+                    assert!(!model.answered, "answered twice, seed {seed}");
+                    model.answered = true;
                 }
                 _ => {}
             }
         }
-        read = h.said.len();
-        for (id, r) in &seen {
+        actions_read = host.actions.len();
+        for (id, request) in &requests {
             assert!(
-                r.over || h.now <= r.client_deadline,
-                "request {id} lost, seed {seed}"
+                request.answered || host.now <= request.client_deadline,
+                "request {id} without a final answer, seed {seed}"
             );
         }
     }
 }
 
 #[test]
-fn the_rules_hold_on_random_days() {
-    (0..60).for_each(one_day);
+fn the_rules_hold_for_random_events() {
+    (0..60).for_each(run_random_events);
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut h = Host::new(
+        let mut host = Host::new(
             all_settings(&mut fastrand::Rng::with_seed(3)),
             vec![entry(0, 0), entry(1, 1)],
         );
         for id in 0..100 {
-            h.request_with(id, |r| {
+            host.request_with(id, |r| {
                 (r.shard, r.volume) = (None, VolumeId(u64::from(id % 7)))
             });
-            h.pass(3_000);
+            host.advance(3_000);
         }
-        h.said
+        host.actions
     };
     assert_eq!(run(), run());
 }
