--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Adapter between the bench's wire and the library: one [`lupinrack_policy::Balancer`] for each instance. It frames,
-//! names and converts; it decides nothing.
+//! Adapter between the wire protocol of the simulator and the library: one [`lupinrack_policy::Balancer`]
+//! for each instance. It decodes batches of records into events and encodes actions as replies; it makes no
+//! decisions.
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
 
@@ -11,40 +12,43 @@
 use std::io::{self, Read, Write};
 use wire::{Incoming, Reply};
 
-/// Larger batches than this are taken for a broken length.
-const LONGEST_BATCH: usize = 1 << 30;
+/// A larger length of a batch counts as corrupt.
+const MAX_BATCH_BYTES: usize = 1 << 30;
 
 fn main() {
     let (stdin, stdout) = (io::stdin().lock(), io::stdout().lock());
-    if let Err(what) = serve(
+    if let Err(error) = serve(
         io::BufReader::with_capacity(1 << 16, stdin),
         io::BufWriter::new(stdout),
     ) {
-        eprintln!("lupinrack-simulator-adapter: {what}");
+        eprintln!("lupinrack-simulator-adapter: {error}");
         std::process::exit(1);
     }
 }
 
-/// Answers batch after batch until the input ends between two frames.
+/// Reads batches and writes a reply to each, until the input ends between two frames.
 fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), String> {
-    let mut brains: BTreeMap<u16, (Balancer, Vec<String>)> = BTreeMap::new();
+    let mut instances: BTreeMap<u16, (Balancer, Vec<String>)> = BTreeMap::new();
     let mut actions = Vec::new();
     while let Some(frame) = read_frame(&mut input)? {
         let (now, records) = wire::batch(&frame)?;
         let mut reply = Reply::default();
         for record in records {
-            let columns = |instance: u16| brains.get(&instance).map_or(&[][..], |b| &b.1[..]);
+            let columns = |instance: u16| instances.get(&instance).map_or(&[][..], |i| &i.1[..]);
             let (instance, incoming) = wire::record(record?, columns)?;
             match incoming {
                 Incoming::Start { seed, info } => match settings::parse(&info) {
-                    Ok(told) => {
-                        brains.insert(instance, (Balancer::new(told.module, seed), told.columns));
+                    Ok(parsed) => {
+                        instances.insert(
+                            instance,
+                            (Balancer::new(parsed.module, seed), parsed.columns),
+                        );
                     }
-                    Err(what) => reply.crash(instance, &what),
+                    Err(error) => reply.crash(instance, &error),
                 },
-                Incoming::Stop => drop(brains.remove(&instance)),
+                Incoming::Stop => drop(instances.remove(&instance)),
                 Incoming::Event(event) => {
-                    let Some((balancer, _)) = brains.get_mut(&instance) else {
+                    let Some((balancer, _)) = instances.get_mut(&instance) else {
                         continue;
                     };
                     balancer.handle(now, event, &mut actions);
@@ -62,23 +66,23 @@
     Ok(())
 }
 
-/// The next frame's content after its length; none at a clean end of input.
+/// Reads the next frame and returns what follows its length; `None` at a clean end of the input.
 fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, String> {
-    let mut head = [0; 4];
-    let mut got = 0;
-    while got < head.len() {
-        match input.read(&mut head[got..]) {
-            Ok(0) if got == 0 => return Ok(None),
+    let mut header = [0; 4];
+    let mut received = 0;
+    while received < header.len() {
+        match input.read(&mut header[received..]) {
+            Ok(0) if received == 0 => return Ok(None),
             Ok(0) => return Err("input ends inside a batch header".into()),
-            Ok(n) => got += n,
+            Ok(n) => received += n,
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(e) => return Err(e.to_string()),
         }
     }
-    // The length counts what follows the header; the header goes on for a clock and a count.
-    let length = u32::from_be_bytes(head) as usize;
-    if length > LONGEST_BATCH {
-        return Err(format!("batch length {length} is absurd"));
+    // The length counts the records alone. Before them come the clock (8 bytes) and the count (4 bytes).
+    let length = u32::from_be_bytes(header) as usize;
+    if length > MAX_BATCH_BYTES {
+        return Err(format!("batch length {length} is out of range"));
     }
     let length = length + 12;
     let mut frame = Vec::new();
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,9 +1,9 @@
-//! Frames and records of the wire, to and from the library's words.
+//! The wire protocol of the simulator: decodes batches of records into events, encodes actions as replies.
 
 use lupinrack_front_settings::micros;
 use lupinrack_policy::*;
 
-/// What a record asks of the adapter.
+/// The content of a record.
 pub enum Incoming {
     /// An instance starts.
     Start {
@@ -12,16 +12,16 @@
         /// Its settings, as text.
         info: String,
     },
-    /// An instance is gone.
+    /// An instance stops.
     Stop,
-    /// Something for the instance's brain.
+    /// An event for the instance's balancer.
     Event(Event),
 }
 
-/// Big-endian fields, one after another.
+/// Reads the big-endian fields of a batch or record, one after another. `name` appears in errors.
 struct Fields<'a> {
     rest: &'a [u8],
-    what: &'static str,
+    name: &'static str,
 }
 
 impl<'a> Fields<'a> {
@@ -29,7 +29,7 @@
         if self.rest.len() < n {
             return Err(format!(
                 "{}: {} bytes left where {n} are needed",
-                self.what,
+                self.name,
                 self.rest.len()
             ));
         }
@@ -62,55 +62,55 @@
     fn end(&self) -> Result<(), String> {
         match self.rest.len() {
             0 => Ok(()),
-            n => Err(format!("{}: {n} bytes too many", self.what)),
+            n => Err(format!("{}: {n} bytes too many", self.name)),
         }
     }
 }
 
-fn millis(t: Micros) -> f64 {
+fn to_millis(t: Micros) -> f64 {
     t as f64 / 1000.0
 }
 
-/// Splits a frame (without its length) into its clock and its records.
+/// Splits a frame, without its length, into its clock and its records. Each record is a code and a body.
 #[allow(clippy::type_complexity)]
 pub fn batch(
     frame: &[u8],
 ) -> Result<(Micros, impl Iterator<Item = Result<(u8, &[u8]), String>>), String> {
     let mut f = Fields {
         rest: frame,
-        what: "batch",
+        name: "batch",
     };
     let now = f.time()?;
     let count = f.u32()?;
-    let mut left = count;
+    let mut remaining = count;
     let records = std::iter::from_fn(move || {
-        if left == 0 {
+        if remaining == 0 {
             return f.end().err().map(|e| {
                 f.rest = &[];
                 Err(e)
             });
         }
-        left -= 1;
-        let one = (|| {
+        remaining -= 1;
+        let record = (|| {
             let code = f.u8()?;
             let length = f.u32()? as usize;
             Ok((code, f.take(length)?))
         })();
-        if one.is_err() {
-            (left, f.rest) = (0, &[]);
+        if record.is_err() {
+            (remaining, f.rest) = (0, &[]);
         }
-        Some(one)
+        Some(record)
     });
     Ok((now, records))
 }
 
-/// Reads one record: the instance it is for, and what it says. `columns` names the values in an instance's load
+/// Decodes one record into its instance and its content. `columns` names the values in an instance's load
 /// reports.
 pub fn record<'a>(
     (code, body): (u8, &[u8]),
     columns: impl Fn(u16) -> &'a [String],
 ) -> Result<(u16, Incoming), String> {
-    let what = match code {
+    let name = match code {
         90 => "enlist",
         100 => "teardown",
         60 => "announce",
@@ -123,7 +123,7 @@
         80 => "note_from",
         _ => return Err(format!("unknown record code {code}")),
     };
-    let mut f = Fields { rest: body, what };
+    let mut f = Fields { rest: body, name };
     let instance = f.u16()?;
     let incoming = match code {
         90 => {
@@ -135,19 +135,22 @@
             }
         }
         100 => Incoming::Stop,
-        60 => Incoming::Event(announce(&mut f)?),
-        20 => Incoming::Event(Event::RequestArrived(ingress(&mut f)?)),
+        60 => Incoming::Event(read_node_list(&mut f)?),
+        20 => Incoming::Event(Event::RequestArrived(read_request(&mut f)?)),
         70 => {
             let (request, attempt) = (RequestId(f.u32()?), f.u16()?);
             f.take(12)?;
             Incoming::Event(Event::ResponseStarted { request, attempt })
         }
-        50 => Incoming::Event(Event::AttemptEnded(response(&mut f, columns(instance))?)),
+        50 => Incoming::Event(Event::AttemptEnded(read_attempt_end(
+            &mut f,
+            columns(instance),
+        )?)),
         40 => Incoming::Event(Event::ClientGone(RequestId(f.u32()?))),
         30 => Incoming::Event(Event::Timer(f.u32()?)),
         10 => {
-            let (elapsed, node, outcome) = (f.time()?, NodeId(f.u32()?), outcome(f.u16()?)?);
-            let load = load(&mut f, columns(instance))?;
+            let (elapsed, node, outcome) = (f.time()?, NodeId(f.u32()?), read_outcome(f.u16()?)?);
+            let load = read_load_report(&mut f, columns(instance))?;
             Incoming::Event(Event::HealthChecked {
                 node,
                 outcome,
@@ -166,7 +169,7 @@
     Ok((instance, incoming))
 }
 
-fn announce(f: &mut Fields) -> Result<Event, String> {
+fn read_node_list(f: &mut Fields) -> Result<Event, String> {
     f.u32()?;
     let kind = match f.u8()? {
         0 => NodeListKind::Changes,
@@ -200,10 +203,10 @@
     Ok(Event::NodeList { kind, entries })
 }
 
-fn ingress(f: &mut Fields) -> Result<Request, String> {
+fn read_request(f: &mut Fields) -> Result<Request, String> {
     let id = RequestId(f.u32()?);
     let (units, hosts, client_deadline, key) = (f.f32()?, f.f32()?, f.time()?, f.u64()?);
-    let (marks, plan, shard) = (f.u8()?, f.u32()?, f.f32()?);
+    let (flags, plan, shard) = (f.u8()?, f.u32()?, f.f32()?);
     let (volume, class) = (VolumeId(f.u64()?), f.u16()?);
     let key = (key != 0).then_some(Key(key));
     let shard = (shard >= 0.0).then_some(Shard(shard as u32));
@@ -217,18 +220,19 @@
         key,
         shard,
         client_deadline,
-        is_client_retry: marks & 2 != 0,
+        is_client_retry: flags & 2 != 0,
         shard_unknown: false,
     })
 }
 
-fn response(f: &mut Fields, columns: &[String]) -> Result<AttemptEnd, String> {
+fn read_attempt_end(f: &mut Fields, columns: &[String]) -> Result<AttemptEnd, String> {
     let (request, attempt, node) = (RequestId(f.u32()?), f.u16()?, NodeId(f.u32()?));
-    let (outcome, elapsed, finished) = (outcome(f.u16()?)?, f.time()?, f.u8()? != 0);
-    let used = f.u16()?;
-    let volume_usage = (used > 0).then(|| f64::from(used - 1) / 100.0);
+    let (outcome, elapsed, finished) = (read_outcome(f.u16()?)?, f.time()?, f.u8()? != 0);
+    // Percent plus one; 0 if it was not measured.
+    let usage_code = f.u16()?;
+    let volume_usage = (usage_code > 0).then(|| f64::from(usage_code - 1) / 100.0);
     let units_through_other_hosts = f64::from(f.u16()?);
-    let load = load(f, columns)?;
+    let load = read_load_report(f, columns)?;
     Ok(AttemptEnd {
         request,
         attempt,
@@ -242,7 +246,7 @@
     })
 }
 
-fn outcome(code: u16) -> Result<Outcome, String> {
+fn read_outcome(code: u16) -> Result<Outcome, String> {
     Ok(match code {
         200 => Outcome::Ok,
         502 => Outcome::Error,
@@ -256,29 +260,30 @@
     })
 }
 
-/// A load report, if one came along.
-fn load(f: &mut Fields, columns: &[String]) -> Result<Option<LoadReport>, String> {
-    let n = f.u8()?;
-    if n == 0 {
+/// Reads an optional load report: a count of values, then the values. Values of unknown columns are
+/// ignored.
+fn read_load_report(f: &mut Fields, columns: &[String]) -> Result<Option<LoadReport>, String> {
+    let count = f.u8()?;
+    if count == 0 {
         return Ok(None);
     }
     let mut load = LoadReport::default();
-    for i in 0..usize::from(n) {
-        let x = Some(f.f32()?);
+    for i in 0..usize::from(count) {
+        let value = Some(f.f32()?);
         match columns.get(i).map_or("", String::as_str) {
-            "outstanding" => load.outstanding = x,
-            "backlog" => load.backlog = x,
-            "utilization" => load.utilization = x,
-            "recent_ms" => load.service_time = x.map(micros),
-            "throughput" => load.throughput = x,
-            "errors_per_s" => load.errors = x,
+            "outstanding" => load.outstanding = value,
+            "backlog" => load.backlog = value,
+            "utilization" => load.utilization = value,
+            "recent_ms" => load.service_time = value.map(micros),
+            "throughput" => load.throughput = value,
+            "errors_per_s" => load.errors = value,
             _ => {}
         }
     }
     Ok(Some(load))
 }
 
-/// The records of one reply.
+/// The records of one reply, which answers one batch.
 #[derive(Default)]
 pub struct Reply {
     count: u32,
@@ -286,7 +291,7 @@
 }
 
 impl Reply {
-    fn put(&mut self, code: u8, instance: u16, fields: &[&[u8]]) {
+    fn push_record(&mut self, code: u8, instance: u16, fields: &[&[u8]]) {
         let length = 2 + fields.iter().map(|f| f.len()).sum::<usize>();
         self.count += 1;
         self.body.push(code);
@@ -295,24 +300,25 @@
         fields.iter().for_each(|f| self.body.extend(*f));
     }
 
-    fn text(&mut self, code: u8, instance: u16, line: &str) {
+    /// Adds a record with a text, cut to 65,535 bytes.
+    fn push_text(&mut self, code: u8, instance: u16, line: &str) {
         let bytes = &line.as_bytes()[..line.len().min(usize::from(u16::MAX))];
-        self.put(
+        self.push_record(
             code,
             instance,
             &[&(bytes.len() as u16).to_be_bytes(), bytes],
         );
     }
 
-    /// The decision code of this instance cannot run.
-    pub fn crash(&mut self, instance: u16, what: &str) {
-        self.text(10, instance, what);
+    /// Adds a record which says that this instance cannot run.
+    pub fn crash(&mut self, instance: u16, error: &str) {
+        self.push_text(10, instance, error);
     }
 
-    /// Adds what an instance does.
+    /// Adds an action of an instance.
     pub fn action(&mut self, instance: u16, action: &Action) {
         let id = |r: &RequestId| r.0.to_be_bytes();
-        let ms = |t: &Option<Micros>| t.map_or(0.0, millis).to_be_bytes();
+        let ms = |t: &Option<Micros>| t.map_or(0.0, to_millis).to_be_bytes();
         match action {
             Action::Send {
                 request,
@@ -320,39 +326,39 @@
                 timeout,
                 ..
             } => {
-                self.put(
+                self.push_record(
                     70,
                     instance,
                     &[&id(request), &node.0.to_be_bytes(), &ms(timeout)],
                 );
             }
             Action::Cancel { request, attempt } => {
-                self.put(80, instance, &[&id(request), &attempt.to_be_bytes()]);
+                self.push_record(80, instance, &[&id(request), &attempt.to_be_bytes()]);
             }
             Action::Reject {
                 request,
                 retry_after,
             } => {
-                self.put(90, instance, &[&id(request), &ms(retry_after)]);
+                self.push_record(90, instance, &[&id(request), &ms(retry_after)]);
             }
-            Action::Fail { request } => self.put(30, instance, &[&id(request)]),
+            Action::Fail { request } => self.push_record(30, instance, &[&id(request)]),
             Action::SetTimer { at, token } => {
-                self.put(
+                self.push_record(
                     40,
                     instance,
-                    &[&millis(*at).to_be_bytes(), &token.to_be_bytes()],
+                    &[&to_millis(*at).to_be_bytes(), &token.to_be_bytes()],
                 );
             }
-            Action::HealthCheck(node) => self.put(120, instance, &[&node.0.to_be_bytes()]),
-            // Nothing on this wire asks for more units: no transfer is ever in hand.
+            Action::HealthCheck(node) => self.push_record(120, instance, &[&node.0.to_be_bytes()]),
+            // No record of this protocol requests more units, so the balancer grants none.
             Action::Grant { .. } => {}
-            Action::Subscribe => self.put(100, instance, &[&[1]]),
-            Action::FetchList => self.put(60, instance, &[]),
-            Action::Log(line) => self.text(20, instance, line),
+            Action::Subscribe => self.push_record(100, instance, &[&[1]]),
+            Action::FetchList => self.push_record(60, instance, &[]),
+            Action::Log(line) => self.push_text(20, instance, line),
         }
     }
 
-    /// The frame to write.
+    /// Returns the frame to write.
     pub fn finish(self) -> Vec<u8> {
         let mut frame = Vec::with_capacity(8 + self.body.len());
         frame.extend(self.count.to_be_bytes());
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! Round trips through the adapter's program: frames in, frames out, and what it says of broken input.
+//! The adapter as a program: batches in, replies out, and its errors on malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -16,11 +16,11 @@
         .unwrap();
     let mut stdin = child.stdin.take().unwrap();
     let input = input.to_vec();
-    let feed = std::thread::spawn(move || {
-        let _ = stdin.write_all(&input); // the program may have ended on what came before
+    let writer = std::thread::spawn(move || {
+        let _ = stdin.write_all(&input); // the program may have stopped at an earlier record
     });
     let out = child.wait_with_output().unwrap();
-    feed.join().unwrap();
+    writer.join().unwrap();
     out
 }
 
@@ -46,7 +46,7 @@
     (90, f)
 }
 
-fn list() -> (u8, Vec<u8>) {
+fn node_list() -> (u8, Vec<u8>) {
     let mut f = vec![0, 3, 0, 0, 0, 1, 2, 0, 0, 0, 1];
     f.extend(1f32.to_be_bytes());
     f.extend([0, 0, 0, 0, 0, 0, 7, 0]);
@@ -55,7 +55,7 @@
     (60, f)
 }
 
-fn ingress(shard: f32) -> (u8, Vec<u8>) {
+fn request(shard: f32) -> (u8, Vec<u8>) {
     let mut f = vec![0, 3, 0, 0, 0, 9];
     f.extend(2f32.to_be_bytes());
     f.extend(1f32.to_be_bytes());
@@ -69,18 +69,18 @@
     (20, f)
 }
 
-/// Codes and fields of a reply.
+/// The codes and fields of a reply's records.
 fn records(reply: &[u8]) -> Vec<(u8, Vec<u8>)> {
-    let word = |at: usize| u32::from_be_bytes(reply[at..at + 4].try_into().unwrap()) as usize;
+    let u32_at = |at: usize| u32::from_be_bytes(reply[at..at + 4].try_into().unwrap()) as usize;
     let mut at = 8;
-    let mut found = Vec::new();
-    for _ in 0..word(0) {
-        let length = word(at + 1);
-        found.push((reply[at], reply[at + 5..at + 5 + length].to_vec()));
+    let mut records = Vec::new();
+    for _ in 0..u32_at(0) {
+        let length = u32_at(at + 1);
+        records.push((reply[at], reply[at + 5..at + 5 + length].to_vec()));
         at += 5 + length;
     }
-    assert_eq!(at - 8, word(4));
-    found
+    assert_eq!(at - 8, u32_at(4));
+    records
 }
 
 #[test]
@@ -91,35 +91,35 @@
 }
 
 #[test]
-fn a_request_is_sent_to_the_node_that_holds_its_shard() {
-    let out = run(&batch(10_000.0, &[start(INFO), list(), ingress(5.0)]));
+fn a_request_is_sent_to_the_node_that_stores_its_shard() {
+    let out = run(&batch(10_000.0, &[start(INFO), node_list(), request(5.0)]));
     assert!(
         out.status.success(),
         "{}",
         String::from_utf8_lossy(&out.stderr)
     );
-    let mut want = vec![0, 3, 0, 0, 0, 9, 0, 0, 0, 7];
-    want.extend(0f64.to_be_bytes());
-    assert!(records(&out.stdout).contains(&(70, want)));
+    let mut expected = vec![0, 3, 0, 0, 0, 9, 0, 0, 0, 7];
+    expected.extend(0f64.to_be_bytes());
+    assert!(records(&out.stdout).contains(&(70, expected)));
 }
 
 #[test]
-fn a_request_without_a_node_is_held_with_a_timer() {
-    let out = run(&batch(10_000.0, &[start(INFO), list(), ingress(6.0)]));
+fn a_request_without_a_node_waits_with_a_timer() {
+    let out = run(&batch(10_000.0, &[start(INFO), node_list(), request(6.0)]));
     let codes: Vec<u8> = records(&out.stdout).iter().map(|r| r.0).collect();
     assert_eq!(codes, [40]);
 }
 
 #[test]
-fn a_missing_setting_is_named_through_the_fault() {
-    for (gone, name) in [
+fn a_missing_setting_is_named_in_a_crash_record() {
+    for (removed, name) in [
         ("resolution=2.0\n", "resolution"),
         ("classes.0.aim=300.0\n", "classes.0.aim"),
     ] {
-        let out = run(&batch(1.0, &[start(&INFO.replace(gone, ""))]));
-        let said = records(&out.stdout);
-        assert_eq!(said[0].0, 10);
-        assert!(String::from_utf8_lossy(&said[0].1).contains(name));
+        let out = run(&batch(1.0, &[start(&INFO.replace(removed, ""))]));
+        let reply = records(&out.stdout);
+        assert_eq!(reply[0].0, 10);
+        assert!(String::from_utf8_lossy(&reply[0].1).contains(name));
     }
 }
 
@@ -130,13 +130,13 @@
 }
 
 #[test]
-fn broken_input_ends_with_a_message() {
-    let good = batch(10_000.0, &[start(INFO), list(), ingress(5.0)]);
-    let mut short_field = ingress(5.0);
+fn malformed_input_ends_with_an_error() {
+    let good = batch(10_000.0, &[start(INFO), node_list(), request(5.0)]);
+    let mut short_field = request(5.0);
     short_field.1.pop();
-    let mut long_field = ingress(5.0);
+    let mut long_field = request(5.0);
     long_field.1.push(0);
-    let mut wrong_count = batch(1.0, &[list()]);
+    let mut wrong_count = batch(1.0, &[node_list()]);
     wrong_count[15] = 2;
     let cases: [(&str, Vec<u8>, &str); 8] = [
         (
@@ -170,20 +170,23 @@
             batch(1.0, &[start(INFO), (10, [&[0, 3][..], &[0; 15]].concat())]),
             "outcome 0",
         ),
-        ("an absurd length", vec![255; 16], "absurd"),
+        ("a length out of range", vec![255; 16], "out of range"),
     ];
-    for (what, input, message) in cases {
+    for (case, input, message) in cases {
         let out = run(&input);
-        let said = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert!(!out.status.success(), "{what}");
-        assert!(said.contains(message), "{what}: {said}");
+        let error = String::from_utf8_lossy(&out.stderr).into_owned();
+        assert!(!out.status.success(), "{case}");
+        assert!(error.contains(message), "{case}: {error}");
     }
 }
 
 #[test]
-fn a_stopped_instance_is_forgotten() {
+fn a_stopped_instance_gets_no_events() {
     let stop = (100, vec![0, 3]);
-    let out = run(&batch(10_000.0, &[start(INFO), list(), stop, ingress(5.0)]));
+    let out = run(&batch(
+        10_000.0,
+        &[start(INFO), node_list(), stop, request(5.0)],
+    ));
     assert!(out.status.success());
     assert!(records(&out.stdout).iter().all(|r| r.0 != 70));
 }
--- a/crates/simulator-adapter/tests/golden.rs
+++ b/crates/simulator-adapter/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Golden files of the simulator's wire: every record that the simulator writes, and every record of a reply.
+//! Golden files of the simulator's wire protocol: every record that the simulator writes, every record of a
+//! reply.
 
 use lupinrack_golden_files::{path, GoldenFile};
 use lupinrack_policy::*;
@@ -6,13 +7,13 @@
 use std::process::{Command, Stdio};
 use wire::{Incoming, Reply};
 
-/// The adapter is a program without a library: its wire is taken in as it stands.
+/// The adapter is a program without a library, so the test includes its module.
 #[path = "../src/wire.rs"]
 mod wire;
 
 const INSTANCE: u16 = 0x0102;
 
-/// Fields of a record, big-endian, as the simulator writes them.
+/// The big-endian fields of a record, as the simulator writes them.
 #[derive(Default)]
 struct Fields(Vec<u8>);
 
@@ -44,20 +45,20 @@
     }
 }
 
-/// A record as the simulator writes it, and what the adapter reads from it.
+/// A record as the simulator writes it, and its content as the adapter decodes it.
 struct Record {
     name: String,
     code: u8,
     fields: Fields,
-    read: Incoming,
+    expected: Incoming,
 }
 
-fn record(name: impl Into<String>, code: u8, fields: Fields, read: Incoming) -> Record {
+fn record(name: impl Into<String>, code: u8, fields: Fields, expected: Incoming) -> Record {
     Record {
         name: name.into(),
         code,
         fields,
-        read,
+        expected,
     }
 }
 
@@ -65,7 +66,8 @@
     record(name, code, fields, Incoming::Event(event))
 }
 
-/// The names of the values in load reports, as the settings give them; one of them is not known.
+/// The names of the values in load reports, as the settings give them. One of them is not known to the
+/// adapter.
 fn columns() -> Vec<String> {
     [
         "outstanding",
@@ -98,7 +100,7 @@
     }
 }
 
-fn life_of_an_instance() -> Vec<Record> {
+fn start_and_stop() -> Vec<Record> {
     let info = "resolution=2.0\nzone=3";
     let start = Fields::of_instance()
         .u64(0x1112_1314_1516_1718)
@@ -141,7 +143,7 @@
     {
         let n = n as u32;
         let (node, zone, shard) = (0x3132_3330 + n, 0x40 + n as u8, 0x5150 + n as u16);
-        // A node that started long ago is told as started at zero.
+        // 0 stands for a node that started long ago.
         let started_ms = f64::from(n) * 1000.25;
         fields = fields
             .f32(0.5 + n as f32)
@@ -173,7 +175,7 @@
 }
 
 fn requests() -> Vec<Record> {
-    let fields = |key: u64, marks: u8, shard: f32| {
+    let fields = |key: u64, flags: u8, shard: f32| {
         let fields = Fields::of_instance()
             .u32(0x7172_7374)
             .f32(2.5)
@@ -181,7 +183,7 @@
             .f64(12_000.5);
         fields
             .u64(key)
-            .u8(marks)
+            .u8(flags)
             .u32(0x8182_8384)
             .f32(shard)
             .u64(0x9192_9394_9596_9798)
@@ -200,12 +202,12 @@
         is_client_retry: false,
         shard_unknown: false,
     };
-    let bare = Request {
+    let without_key_and_shard = Request {
         key: None,
         shard: None,
         ..request
     };
-    let repeated = Request {
+    let client_retry = Request {
         is_client_retry: true,
         ..request
     };
@@ -220,13 +222,13 @@
             "request_repeated",
             20,
             fields(0xb1b2_b3b4_b5b6_b7b8, 2, 77.0),
-            Event::RequestArrived(repeated),
+            Event::RequestArrived(client_retry),
         ),
         event(
             "request_without_key_and_shard",
             20,
             fields(0, 0, -1.0),
-            Event::RequestArrived(bare),
+            Event::RequestArrived(without_key_and_shard),
         ),
     ]
 }
@@ -242,14 +244,18 @@
     ("moot", 409, Outcome::NotSent),
 ];
 
-fn answers() -> Vec<Record> {
-    let fields = |code: u16, request_finished: u8, used: u16| {
+fn attempt_ends() -> Vec<Record> {
+    let fields = |code: u16, request_finished: u8, usage_code: u16| {
         let fields = Fields::of_instance()
             .u32(0x7172_7374)
             .u16(0xc1c2)
             .u32(0xd1d2_d3d4)
             .u16(code);
-        fields.f64(41.5).u8(request_finished).u16(used).u16(0xe1e2)
+        fields
+            .f64(41.5)
+            .u8(request_finished)
+            .u16(usage_code)
+            .u16(0xe1e2)
     };
     let answer = |outcome| AttemptEnd {
         request: RequestId(0x7172_7374),
@@ -264,15 +270,15 @@
     };
     let mut records: Vec<Record> = Vec::new();
     for (name, code, outcome) in OUTCOMES {
-        let read = Event::AttemptEnded(answer(outcome));
+        let expected = Event::AttemptEnded(answer(outcome));
         records.push(event(
             format!("answer_{name}"),
             50,
             fields(code, 0, 0).u8(0),
-            read,
+            expected,
         ));
     }
-    let whole = AttemptEnd {
+    let with_all = AttemptEnd {
         request_finished: true,
         volume_usage: Some(1.5),
         load: Some(load()),
@@ -282,29 +288,29 @@
         "answer_with_all",
         50,
         load_fields(fields(200, 1, 151)),
-        Event::AttemptEnded(whole),
+        Event::AttemptEnded(with_all),
     ));
     records
 }
 
-fn others() -> Vec<Record> {
-    let began = Fields::of_instance()
+fn other_records() -> Vec<Record> {
+    let response_started = Fields::of_instance()
         .u32(0x7172_7374)
         .u16(0xc1c2)
         .raw(&[0xee; 12]);
-    let probed = |outcome, load| Event::HealthChecked {
+    let health_checked = |outcome, load| Event::HealthChecked {
         node: NodeId(0xd1d2_d3d4),
         outcome,
         elapsed: 41_500,
         load,
     };
-    let probe = |code| Fields::of_instance().f64(41.5).u32(0xd1d2_d3d4).u16(code);
-    let note = Fields::of_instance().u32(0xf1f2_f3f4).u16(3).raw(b"abc");
+    let health_check = |code| Fields::of_instance().f64(41.5).u32(0xd1d2_d3d4).u16(code);
+    let peer_message = Fields::of_instance().u32(0xf1f2_f3f4).u16(3).raw(b"abc");
     vec![
         event(
             "began",
             70,
-            began,
+            response_started,
             Event::ResponseStarted {
                 request: RequestId(0x7172_7374),
                 attempt: 0xc1c2,
@@ -322,20 +328,25 @@
             Fields::of_instance().u32(0x1920_2122),
             Event::Timer(0x1920_2122),
         ),
-        event("probed", 10, probe(502).u8(0), probed(Outcome::Error, None)),
+        event(
+            "probed",
+            10,
+            health_check(502).u8(0),
+            health_checked(Outcome::Error, None),
+        ),
         event(
             "probed_with_load",
             10,
-            load_fields(probe(200)),
-            probed(Outcome::Ok, Some(load())),
+            load_fields(health_check(200)),
+            health_checked(Outcome::Ok, Some(load())),
         ),
-        event("note", 80, note, Event::PeerMessage),
+        event("note", 80, peer_message, Event::PeerMessage),
     ]
 }
 
-/// What was read, as text: an event cannot be compared.
-fn told(read: &Incoming) -> String {
-    match read {
+/// The content of a record as text, since events cannot be compared.
+fn describe(incoming: &Incoming) -> String {
+    match incoming {
         Incoming::Start { seed, info } => format!("start {seed} {info:?}"),
         Incoming::Stop => "stop".to_string(),
         Incoming::Event(event) => format!("{event:?}"),
@@ -343,13 +354,13 @@
 }
 
 #[test]
-fn every_record_of_the_simulator_is_read_as_before() {
+fn every_record_of_the_simulator_is_decoded_as_in_the_golden_file() {
     let records: Vec<Record> = [
-        life_of_an_instance(),
+        start_and_stop(),
         node_lists(),
         requests(),
-        answers(),
-        others(),
+        attempt_ends(),
+        other_records(),
     ]
     .into_iter()
     .flatten()
@@ -358,14 +369,14 @@
     for r in &records {
         examples.add_bytes(r.name.clone(), &[&[r.code], &r.fields.0[..]].concat());
     }
-    let kept = examples.check();
+    let golden = examples.check();
     let columns = columns();
     for r in &records {
-        let bytes = kept.bytes(&r.name);
-        let (instance, read) = wire::record((bytes[0], &bytes[1..]), |_| &columns[..]).unwrap();
+        let bytes = golden.bytes(&r.name);
+        let (instance, incoming) = wire::record((bytes[0], &bytes[1..]), |_| &columns[..]).unwrap();
         assert_eq!(
-            (instance, told(&read)),
-            (INSTANCE, told(&r.read)),
+            (instance, describe(&incoming)),
+            (INSTANCE, describe(&r.expected)),
             "{}",
             r.name
         );
@@ -373,7 +384,7 @@
 }
 
 #[test]
-fn every_record_of_a_reply_keeps_its_form() {
+fn every_record_of_a_reply_is_encoded_as_in_the_golden_file() {
     let request = RequestId(0x7172_7374);
     let send = |timeout| Action::Send {
         request,
@@ -435,7 +446,7 @@
     examples.check();
 }
 
-/// One batch of records with its length, as the simulator writes it.
+/// A batch of records with its length, as the simulator writes it.
 fn batch(now_ms: f64, records: &[Record]) -> Vec<u8> {
     let mut body = Vec::new();
     for r in records {
@@ -450,7 +461,7 @@
     frame
 }
 
-/// The program's answer to this input.
+/// What the program writes for this input.
 fn run(input: &[u8]) -> Vec<u8> {
     let mut child = Command::new(env!("CARGO_BIN_EXE_lupinrack-simulator-adapter"))
         .stdin(Stdio::piped())
@@ -464,7 +475,7 @@
 }
 
 #[test]
-fn batches_and_replies_keep_their_form() {
+fn batches_and_replies_match_the_golden_file() {
     let settings = "classes.count=1\nclasses.0.aim=300.0\nclasses.0.deadline=2000.0\nclasses.0.repeat=free\n\
                     grades.count=1\nregistryMode=ask\nsafety.stopSendingWithin=1000.0\nresolution=2.0\n";
     let start = |info: &str| {
@@ -500,7 +511,7 @@
         record("nodes", 60, node, ignored()),
         record("request", 20, request, ignored()),
     ];
-    // Each with its moment in microseconds and the codes of its records.
+    // Each with its clock in microseconds and the codes of its records.
     let batches = [
         ("empty", batch(8_284.0, &[]), (8_284_000, vec![])),
         (
@@ -519,13 +530,17 @@
         examples.add_bytes(format!("{name}, batch"), input);
         examples.add_bytes(format!("{name}, reply"), &run(input));
     }
-    let kept = examples.check();
+    let golden = examples.check();
     for (name, _, expected) in batches {
-        let input = kept.bytes(&format!("{name}, batch"));
-        // Behind the length.
+        let input = golden.bytes(&format!("{name}, batch"));
+        // The frame without its length.
         let (now, records) = wire::batch(&input[4..]).unwrap();
         let codes: Vec<u8> = records.map(|r| r.unwrap().0).collect();
         assert_eq!((now, codes), expected, "{name}");
-        assert_eq!(run(&input), kept.bytes(&format!("{name}, reply")), "{name}");
+        assert_eq!(
+            run(&input),
+            golden.bytes(&format!("{name}, reply")),
+            "{name}"
+        );
     }
 }
