--- a/crates/extent-map-drill/src/lib.rs
+++ b/crates/extent-map-drill/src/lib.rs
@@ -1,5 +1,5 @@
-//! The extents drill: processes of the program with a relay between them, nodes, discovery and the authority on loopback, all
-//! chances from one seed. What was promised is compared with what the stand-ins saw.
+//! The extents drill: front processes with a relay between them, and mock nodes, discovery and authority, all on loopback,
+//! with all random choices from one seed. Checks the guarantees of the fronts against the requests that the nodes received.
 #![warn(missing_docs)]
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub)]
@@ -56,7 +56,7 @@
     pub resets: u32,
     /// Play only this one. Otherwise `versioned` is played, and the other two after it for comparison.
     #[arg(long, value_enum)]
-    pub strategy: Option<Which>,
+    pub strategy: Option<Strategy>,
     /// Print one JSON object in place of the table.
     #[arg(long)]
     pub json: bool,
@@ -64,7 +64,7 @@
 
 /// How the map is kept fresh.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Which {
+pub enum Strategy {
     /// Volumes are fetched on need, and refreshed by wrong turns only.
     None,
     /// Volumes are fetched anew once they are 5 s old.
@@ -73,53 +73,53 @@
     Versioned,
 }
 
-impl Which {
+impl Strategy {
     fn name(self) -> &'static str {
         match self {
-            Which::None => "none",
-            Which::Ttl => "ttl",
-            Which::Versioned => "versioned",
+            Strategy::None => "none",
+            Strategy::Ttl => "ttl",
+            Strategy::Versioned => "versioned",
         }
     }
 }
 
-/// What came of one run.
+/// The results of one run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
-    /// How the map was kept fresh.
+    /// The strategy by which the map was kept current.
     pub strategy: &'static str,
     /// The seed.
     pub seed: u64,
-    /// What came of the requests. A promise: none is lost.
+    /// Requests by result. Guaranteed: `lost` is 0.
     #[serde(flatten)]
     pub tally: Tally,
-    /// New writes that ran more than once. A promise: 0.
+    /// New writes that ran more than once. Guaranteed: 0.
     pub duplicates: u64,
-    /// What reached a node more than 1 s (and 50 ms) after the last front was told that it drains. A promise: 0.
+    /// Requests received by a draining node more than 1.05 s after the last front was notified. Guaranteed: 0.
     pub drain_late: u64,
-    /// Requests that a node turned away because their data lay elsewhere.
+    /// Requests that a node rejected because their data was elsewhere.
     pub misdirected: u64,
-    /// Their share of all requests.
+    /// `misdirected` as a share of all requests.
     pub misdirected_share: f64,
-    /// Requests that were turned away so more than once.
+    /// Requests that were rejected in this way more than once.
     pub second_misdirected: u64,
-    /// Bytes of calls to the authority, both ways, and of datagrams between fronts, for each request.
+    /// Bytes per request of calls to the authority, in both directions, and of datagrams between fronts.
     pub message_bytes_per_request: f64,
-    /// Polls and fetches, all fronts together.
+    /// Polls and fetches of all fronts.
     pub refresh_calls: u64,
-    /// During the burst, the most polls and fetches of one front.
+    /// Polls and fetches during the burst, of the front with the most.
     pub burst_calls_per_front: u64,
-    /// Bytes by which the fronts learned the map at first; not counted above.
+    /// Bytes of calls by which the fronts loaded the map before the run; not included in the other figures.
     pub first_load_bytes: u64,
-    /// Moves, splits and merges made.
+    /// Moves, splits and merges of extents.
     pub moves: u64,
-    /// Drains made.
+    /// Drains of nodes.
     pub drains: u64,
-    /// Datagrams sent from front to front.
+    /// Datagrams between fronts.
     pub datagrams: u64,
 }
 
-/// All runs of a drill.
+/// The results of all runs of a drill.
 #[derive(Serialize)]
 pub struct Report {
     #[serde(flatten)]
@@ -128,21 +128,21 @@
     baselines: BTreeMap<&'static str, Figures>,
 }
 
-/// Extents of a volume at first.
-const LOTS: u64 = 8;
-/// A drain begins this often, while the run lasts.
-const DRAIN_EVERY: Duration = Duration::from_secs(3);
-/// The successor of every other drained node comes only after this: in between nobody holds the shard.
-const SUCCESSOR_LATE: Duration = Duration::from_millis(1_300);
-/// A drained node is gone after this.
-const DRAIN_LASTS: Duration = Duration::from_millis(1_800);
-/// Extents of a drained node that move elsewhere while it drains.
-const DRAIN_MOVES: u64 = 3;
-/// What a node may get after the front was told that it drains, and what sockets add.
-const GRACE: Duration = Duration::from_millis(1_050);
+/// Extents of a volume at the start.
+const EXTENTS_PER_VOLUME: u64 = 8;
+/// Time between the starts of two drains.
+const DRAIN_INTERVAL: Duration = Duration::from_secs(3);
+/// Every other drained node gets its successor only after this time; until then no node serves the shard.
+const LATE_SUCCESSOR_DELAY: Duration = Duration::from_millis(1_300);
+/// A draining node is deleted after this time.
+const DRAIN_DURATION: Duration = Duration::from_millis(1_800);
+/// Extents of a draining node that are moved.
+const MOVES_PER_DRAIN: u64 = 3;
+/// How long after the notification of its drain a node may receive requests: 1 s, and 50 ms of delay by sockets.
+const DRAIN_GRACE: Duration = Duration::from_millis(1_050);
 
 impl Drill {
-    /// What of it cannot be played.
+    /// Checks the values that the argument parser cannot check.
     pub fn check(&self) -> Result<(), String> {
         match (0.0..=10_000.0).contains(&self.moves_per_s) {
             true => Ok(()),
@@ -150,20 +150,23 @@
         }
     }
 
-    /// Plays it with this program, and for comparison the other strategies.
+    /// Runs the drill with fronts of this program; without a given strategy, also the other two for comparison.
     pub async fn run(&self, program: &Path) -> Result<Report, RigError> {
         let seed = self.seed.unwrap_or_else(|| fastrand::u64(..));
         let figures = play(
             self,
             seed,
-            self.strategy.unwrap_or(Which::Versioned),
+            self.strategy.unwrap_or(Strategy::Versioned),
             program,
         )
         .await?;
         let mut baselines = BTreeMap::new();
         if self.strategy.is_none() {
-            for which in [Which::None, Which::Ttl] {
-                baselines.insert(which.name(), play(self, seed, which, program).await?);
+            for strategy in [Strategy::None, Strategy::Ttl] {
+                baselines.insert(
+                    strategy.name(),
+                    play(self, seed, strategy, program).await?,
+                );
             }
         }
         Ok(Report { figures, baselines })
@@ -171,24 +174,24 @@
 }
 
 impl Report {
-    fn all(&self) -> impl Iterator<Item = &Figures> {
+    fn all_runs(&self) -> impl Iterator<Item = &Figures> {
         self.baselines.values().chain([&self.figures])
     }
 
-    /// How often a promise was broken.
+    /// Number of violated guarantees, over all runs.
     pub fn broken(&self) -> u64 {
-        self.all()
+        self.all_runs()
             .map(|f| f.tally.lost + f.duplicates + f.drain_late)
             .sum()
     }
 
-    /// As a table.
+    /// The results as a table.
     pub fn table(&self) -> String {
-        table(self.figures.seed, self.all())
+        table(self.figures.seed, self.all_runs())
     }
 }
 
-fn table<'a>(seed: u64, all: impl Iterator<Item = &'a Figures>) -> String {
+fn table<'a>(seed: u64, runs: impl Iterator<Item = &'a Figures>) -> String {
     let mut text = format!(
         "seed {seed}\n{:<10}{:>9}{:>8}{:>8}{:>7}{:>6}{:>6}{:>6}{:>11}{:>9}{:>8}{:>10}\n",
         "strategy",
@@ -204,63 +207,64 @@
         "second",
         "bytes/req"
     );
-    for f in all {
+    for run in runs {
         text += &format!(
             "{:<10}{:>9}{:>8}{:>8}{:>7}{:>6}{:>6}{:>6}{:>11}{:>9.3}{:>8}{:>10.2}\n",
-            f.strategy,
-            f.tally.requests,
-            f.tally.served,
-            f.tally.refused,
-            f.tally.failed,
-            f.tally.lost,
-            f.duplicates,
-            f.drain_late,
-            f.misdirected,
-            f.misdirected_share * 100.0,
-            f.second_misdirected,
-            f.message_bytes_per_request
+            run.strategy,
+            run.tally.requests,
+            run.tally.served,
+            run.tally.refused,
+            run.tally.failed,
+            run.tally.lost,
+            run.duplicates,
+            run.drain_late,
+            run.misdirected,
+            run.misdirected_share * 100.0,
+            run.second_misdirected,
+            run.message_bytes_per_request
         );
     }
     text
 }
 
-/// The room: nodes by shard, the list, and who drains.
-struct Room {
+/// The mock servers: the authority, discovery and the nodes.
+struct Cluster {
     authority: Arc<Authority>,
     stage: Stage,
-    /// The version of the list that told of a node's drain.
+    /// The version of the node list in which a node started to drain, by the node's index.
     drained: HashMap<usize, u64>,
-    /// The node that holds each shard.
-    holders: Vec<usize>,
+    /// The index of the node that serves each shard.
+    serving_nodes: Vec<usize>,
     resets: u32,
 }
 
-impl Room {
+impl Cluster {
     async fn new(
         drill: &Drill,
         authority: Arc<Authority>,
         program: PathBuf,
-        dice: &mut fastrand::Rng,
-    ) -> Result<Room, RigError> {
+        rng: &mut fastrand::Rng,
+    ) -> Result<Cluster, RigError> {
         let (stage, resets) = (Stage::new(program).await?, drill.resets);
-        let mut room = Room {
+        let mut cluster = Cluster {
             authority,
             stage,
             drained: HashMap::new(),
-            holders: Vec::new(),
+            serving_nodes: Vec::new(),
             resets,
         };
         for shard in 0..drill.nodes {
-            let at = room.add(shard, dice).await?;
-            room.holders.push(at);
+            let index = cluster.add_node(shard, rng).await?;
+            cluster.serving_nodes.push(index);
         }
-        Ok(room)
+        Ok(cluster)
     }
 
-    async fn add(&mut self, shard: u32, dice: &mut fastrand::Rng) -> Result<usize, RigError> {
+    /// Starts a node for a shard and lists it as serving. Returns its index.
+    async fn add_node(&mut self, shard: u32, rng: &mut fastrand::Rng) -> Result<usize, RigError> {
         let truth = self.authority.truth.clone();
         let whereabouts: Whereabouts = Arc::new(move |volume, key| lock(&truth).lies(volume, key));
-        let (seed, resets) = (dice.u64(..), self.resets);
+        let (seed, resets) = (rng.u64(..), self.resets);
         let manner = Manner {
             shard,
             seed,
@@ -268,36 +272,39 @@
             whereabouts: Some(whereabouts),
             ..Manner::default()
         };
-        let at = self.stage.node(manner).await?;
-        self.stage.list(at, "SERVING");
-        Ok(at)
+        let index = self.stage.node(manner).await?;
+        self.stage.list(index, "SERVING");
+        Ok(index)
     }
 
-    /// A node drains, and some of its extents move elsewhere meanwhile; its successor takes the shard over now, or is
-    /// still to come.
-    async fn drain(&mut self, late: bool, dice: &mut fastrand::Rng) -> Result<usize, RigError> {
-        let shard = dice.u32(0..self.holders.len() as u32);
-        let old = self.holders[shard as usize];
-        if !late {
-            self.holders[shard as usize] = self.add(shard, dice).await?;
+    /// Drains a node and moves some of its extents. Starts its successor, unless that is to come late. Returns the
+    /// node's index.
+    async fn drain(
+        &mut self,
+        late_successor: bool, rng: &mut fastrand::Rng) -> Result<usize, RigError> {
+        let shard = rng.u32(0..self.serving_nodes.len() as u32);
+        let node = self.serving_nodes[shard as usize];
+        if !late_successor {
+            self.serving_nodes[shard as usize] = self.add_node(shard, rng).await?;
         }
-        self.drained.insert(old, self.stage.list(old, "DRAINING"));
-        let mine: Vec<Lot> = lock(&self.authority.truth)
+        self.drained
+            .insert(node, self.stage.list(node, "DRAINING"));
+        let extents: Vec<Lot> = lock(&self.authority.truth)
             .lots()
-            .filter(|l| l.shard == shard)
+            .filter(|extent| extent.shard == shard)
             .copied()
             .collect();
-        for _ in 0..DRAIN_MOVES.min(mine.len() as u64) {
-            let lot = mine[dice.usize(0..mine.len())];
-            let to = dice.u32(0..self.holders.len() as u32);
+        for _ in 0..MOVES_PER_DRAIN.min(extents.len() as u64) {
+            let extent = extents[rng.usize(0..extents.len())];
+            let to = rng.u32(0..self.serving_nodes.len() as u32);
             self.authority
-                .change(|t| t.put(lot.volume, lot.first, lot.last, to));
+                .change(|truth| truth.put(extent.volume, extent.first, extent.last, to));
         }
-        Ok(old)
+        Ok(node)
     }
 }
 
-/// A front: its process, its own entrance to the authority.
+/// A front process, with its own address of the authority so that its calls are counted separately.
 struct Front {
     process: Process,
     clients: SocketAddr,
@@ -311,182 +318,188 @@
     }
 }
 
-/// Bytes and datagrams over all fronts so far: of calls to the authority, and between fronts.
+/// Totals of all fronts so far: bytes of calls to the authority, and number and bytes of datagrams between fronts.
 fn traffic(fronts: &[Front], relay: &Relay) -> (u64, u64, u64) {
-    let asked = fronts
+    let call_bytes = fronts
         .iter()
-        .map(|f| f.entrance.traffic.bytes.load(Ordering::Relaxed))
+        .map(|front| front.entrance.traffic.bytes.load(Ordering::Relaxed))
         .sum();
     let sent: Vec<(u64, u64)> = (0..fronts.len()).map(|i| relay.sent(i)).collect();
     (
-        asked,
+        call_bytes,
         sent.iter().map(|s| s.0).sum(),
         sent.iter().map(|s| s.1).sum(),
     )
 }
 
-async fn play(drill: &Drill, seed: u64, which: Which, program: &Path) -> Result<Figures, RigError> {
-    let mut dice = fastrand::Rng::with_seed(seed);
-    let mut truth = Truth::new(dice.u64(1..1 << 40));
+/// Runs the drill once.
+async fn play(
+    drill: &Drill,
+    seed: u64,
+    strategy: Strategy,
+    program: &Path,
+) -> Result<Figures, RigError> {
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let mut truth = Truth::new(rng.u64(1..1 << 40));
     for volume in 0..drill.volumes {
-        for lot in 0..LOTS {
+        for extent in 0..EXTENTS_PER_VOLUME {
             truth.put(
                 volume,
-                lot * SPAN,
-                lot * SPAN + (SPAN - 1),
-                dice.u32(0..drill.nodes),
+                extent * KEYS_PER_EXTENT,
+                extent * KEYS_PER_EXTENT + (KEYS_PER_EXTENT - 1),
+                rng.u32(0..drill.nodes),
             );
         }
     }
     let authority = Arc::new(Authority::start(truth).await?);
-    let mut room = Room::new(drill, authority.clone(), program.to_path_buf(), &mut dice).await?;
-    let relay = Relay::new(drill.fronts as usize, dice.u64(..)).await?;
-    let fronts = fronts(drill, which, &room, &relay, &mut dice).await?;
+    let mut cluster = Cluster::new(drill, authority.clone(), program.to_path_buf(), &mut rng).await?;
+    let relay = Relay::new(drill.fronts as usize, rng.u64(..)).await?;
+    let fronts = start_fronts(drill, strategy, &cluster, &relay, &mut rng).await?;
     let clients = Clients::default();
 
-    // The fronts learn where everything lies before the load begins.
-    let mut first = JoinSet::new();
-    let number = std::cell::Cell::new(0);
-    let next = |dice: &mut fastrand::Rng, volume: Option<u64>| {
-        number.set(number.get() + 1);
-        let volume = volume.unwrap_or_else(|| dice.u64(0..drill.volumes));
-        ask(dice, number.get(), volume, drill.fronts)
+    // A request to each volume through each front loads the map before the run.
+    let mut warm_up = JoinSet::new();
+    let last_number = std::cell::Cell::new(0);
+    let next_request = |rng: &mut fastrand::Rng, volume: Option<u64>| {
+        last_number.set(last_number.get() + 1);
+        let volume = volume.unwrap_or_else(|| rng.u64(0..drill.volumes));
+        request(rng, last_number.get(), volume, drill.fronts)
     };
     for front in &fronts {
         for volume in 0..drill.volumes {
-            let (clients, ask, at) = (
+            let (clients, request, address) = (
                 clients.clone(),
-                next(&mut dice, Some(volume)),
+                next_request(&mut rng, Some(volume)),
                 front.clients,
             );
-            first.spawn(async move { clients.ask(at, &ask).await });
-            while first.len() > 32 {
-                first.join_next().await;
+            warm_up.spawn(async move { clients.ask(address, &request).await });
+            while warm_up.len() > 32 {
+                warm_up.join_next().await;
             }
         }
     }
-    while first.join_next().await.is_some() {}
-    for (node, _) in &room.stage.nodes {
+    while warm_up.join_next().await.is_some() {}
+    for (node, _) in &cluster.stage.nodes {
         lock(&node.seen).clear();
     }
-    let told = |f: &[Front]| f.iter().map(Front::calls).collect::<Vec<u64>>();
-    let (before, first_load) = (told(&fronts), traffic(&fronts, &relay));
-    let first_load_bytes = first_load.0;
+    let count_calls = |fronts: &[Front]| fronts.iter().map(Front::calls).collect::<Vec<u64>>();
+    let (calls_before, traffic_before) = (count_calls(&fronts), traffic(&fronts, &relay));
+    let first_load_bytes = traffic_before.0;
     let mut figures = Figures {
-        strategy: which.name(),
+        strategy: strategy.name(),
         seed,
         first_load_bytes,
         ..Figures::default()
     };
 
-    let (began, span) = (Instant::now(), Duration::from_secs(drill.seconds));
+    let (started, duration) = (Instant::now(), Duration::from_secs(drill.seconds));
     let total = drill.rate * drill.seconds * u64::from(drill.fronts);
-    let mut script = Script::new(drill, span, &mut dice);
-    let mut asked: JoinSet<(Came, Duration)> = JoinSet::new();
-    let mut gone: Vec<(Duration, Later)> = Vec::new();
-    let (mut burst, mut burst_from): (Option<Duration>, Vec<u64>) = (None, Vec::new());
+    let mut schedule = Schedule::new(drill, duration, &mut rng);
+    let mut in_flight: JoinSet<(Came, Duration)> = JoinSet::new();
+    let mut follow_ups: Vec<(Duration, FollowUp)> = Vec::new();
+    let (mut burst_end, mut calls_before_burst): (Option<Duration>, Vec<u64>) = (None, Vec::new());
     for n in 0..total {
-        let due = span.mul_f64((n as f64 + dice.f64()) / total as f64);
-        while let Some((at, what)) = script.next(due) {
-            sleep_until(began + at).await;
-            match what {
-                Scene::Change => {
-                    change(&authority, drill, &mut script.undo, &mut dice);
+        let due = duration.mul_f64((n as f64 + rng.f64()) / total as f64);
+        while let Some((at, event)) = schedule.next(due) {
+            sleep_until(started + at).await;
+            match event {
+                ScheduledEvent::Change => {
+                    change_extent(&authority, drill, &mut schedule.undoable, &mut rng);
                     figures.moves += 1;
                 }
-                Scene::Drain => {
+                ScheduledEvent::Drain => {
                     figures.drains += 1;
-                    figures.moves += DRAIN_MOVES;
-                    let late = figures.drains.is_multiple_of(2);
-                    let old = room.drain(late, &mut dice).await?;
-                    if late {
-                        gone.push((
-                            at + SUCCESSOR_LATE,
-                            Later::Successor(room.stage.nodes[old].1),
+                    figures.moves += MOVES_PER_DRAIN;
+                    let late_successor = figures.drains.is_multiple_of(2);
+                    let node = cluster.drain(late_successor, &mut rng).await?;
+                    if late_successor {
+                        follow_ups.push((
+                            at + LATE_SUCCESSOR_DELAY,
+                            FollowUp::StartSuccessor(cluster.stage.nodes[node].1),
                         ));
                     }
-                    gone.push((at + DRAIN_LASTS, Later::Gone(old)));
+                    follow_ups.push((at + DRAIN_DURATION, FollowUp::Delete(node)));
                 }
-                Scene::BurstBegins => burst_from = told(&fronts),
-                Scene::BurstEnds => burst = Some(at),
+                ScheduledEvent::BurstBegins => calls_before_burst = count_calls(&fronts),
+                ScheduledEvent::BurstEnds => burst_end = Some(at),
             }
-            if burst == Some(at) {
-                let since = told(&fronts);
-                let each = since.iter().zip(&burst_from).map(|(a, b)| a - b);
-                figures.burst_calls_per_front = each.max().unwrap_or(0);
+            if burst_end == Some(at) {
+                let calls = count_calls(&fronts);
+                let calls_in_burst = calls.iter().zip(&calls_before_burst).map(|(after, before)| after - before);
+                figures.burst_calls_per_front = calls_in_burst.max().unwrap_or(0);
             }
         }
-        while let Some(i) = gone.iter().position(|(at, _)| *at <= due) {
-            match gone.swap_remove(i).1 {
-                Later::Successor(shard) => {
-                    room.holders[shard as usize] = room.add(shard, &mut dice).await?
+        while let Some(i) = follow_ups.iter().position(|(at, _)| *at <= due) {
+            match follow_ups.swap_remove(i).1 {
+                FollowUp::StartSuccessor(shard) => {
+                    cluster.serving_nodes[shard as usize] = cluster.add_node(shard, &mut rng).await?
                 }
-                Later::Gone(node) => {
-                    room.stage.list(node, "DELETED");
+                FollowUp::Delete(node) => {
+                    cluster.stage.list(node, "DELETED");
                 }
             }
         }
-        sleep_until(began + due).await;
-        let at = fronts[dice.usize(0..fronts.len())].clients;
-        let (clients, ask) = (clients.clone(), next(&mut dice, None));
-        asked.spawn(async move { clients.ask(at, &ask).await });
-        while let Some(Ok(came)) = asked.try_join_next() {
-            figures.tally.count(came.0);
+        sleep_until(started + due).await;
+        let address = fronts[rng.usize(0..fronts.len())].clients;
+        let (clients, request) = (clients.clone(), next_request(&mut rng, None));
+        in_flight.spawn(async move { clients.ask(address, &request).await });
+        while let Some(Ok(result)) = in_flight.try_join_next() {
+            figures.tally.count(result.0);
         }
     }
-    while let Some(came) = asked.join_next().await {
-        figures.tally.count(came.map_err(std::io::Error::other)?.0);
+    while let Some(result) = in_flight.join_next().await {
+        figures.tally.count(result.map_err(std::io::Error::other)?.0);
     }
-    let (after, all) = (told(&fronts), traffic(&fronts, &relay));
-    figures.refresh_calls = after.iter().sum::<u64>() - before.iter().sum::<u64>();
-    figures.datagrams = all.1 - first_load.1;
-    let messages = all.0 - first_load.0 + all.2 - first_load.2;
-    figures.message_bytes_per_request = messages as f64 / figures.tally.requests.max(1) as f64;
+    let (calls_after, traffic_after) = (count_calls(&fronts), traffic(&fronts, &relay));
+    figures.refresh_calls = calls_after.iter().sum::<u64>() - calls_before.iter().sum::<u64>();
+    figures.datagrams = traffic_after.1 - traffic_before.1;
+    let message_bytes = traffic_after.0 - traffic_before.0 + traffic_after.2 - traffic_before.2;
+    figures.message_bytes_per_request = message_bytes as f64 / figures.tally.requests.max(1) as f64;
     for front in fronts {
-        room.stage.end(front.process).await?;
+        cluster.stage.end(front.process).await?;
     }
-    figures.compare(&room);
+    figures.count_node_observations(&cluster);
     Ok(figures)
 }
 
-/// Keys of one extent at first.
-const SPAN: u64 = u64::MAX / LOTS;
+/// Keys of one extent at the start.
+const KEYS_PER_EXTENT: u64 = u64::MAX / EXTENTS_PER_VOLUME;
 
-async fn fronts(
+async fn start_fronts(
     drill: &Drill,
-    which: Which,
-    room: &Room,
+    strategy: Strategy,
+    cluster: &Cluster,
     relay: &Relay,
-    dice: &mut fastrand::Rng,
+    rng: &mut fastrand::Rng,
 ) -> Result<Vec<Front>, RigError> {
-    // Ports that are free now; the fronts bind them in a moment.
-    let held: Vec<std::net::UdpSocket> = (0..drill.fronts)
+    // Finds free ports, which the fronts bind shortly afterwards.
+    let reserved: Vec<std::net::UdpSocket> = (0..drill.fronts)
         .map(|_| std::net::UdpSocket::bind("127.0.0.1:0"))
         .collect::<Result<_, _>>()?;
-    let own: Vec<SocketAddr> = held
+    let peer_addresses: Vec<SocketAddr> = reserved
         .iter()
-        .map(|s| s.local_addr())
+        .map(|socket| socket.local_addr())
         .collect::<Result<_, _>>()?;
-    drop(held);
+    drop(reserved);
     let mut fronts = Vec::new();
-    for (i, own) in own.iter().enumerate() {
-        let entrance = room.authority.entrance().await?;
-        let discovery = room.stage.discovery.address;
-        let config = configuration(&format!("n{i}"), discovery, dice.u64(..), drill.fronts);
+    for (i, own_address) in peer_addresses.iter().enumerate() {
+        let entrance = cluster.authority.entrance().await?;
+        let discovery = cluster.stage.discovery.address;
+        let module_config = configuration(&format!("n{i}"), discovery, rng.u64(..), drill.fronts);
         let others = (0..drill.fronts as usize).filter(|j| *j != i);
         let peers: Vec<SocketAddr> = others
             .map(|j| relay.address(i, j))
             .collect::<Result<_, _>>()?;
-        let operator = format!(
-            "[extents]\nenabled = true\nauthority = \"{}\"\nstrategy = \"{}\"\npeer_listen = \"{own}\"\npeers = {}\n",
+        let operator_config = format!(
+            "[extents]\nenabled = true\nauthority = \"{}\"\nstrategy = \"{}\"\npeer_listen = \"{own_address}\"\npeers = {}\n",
             entrance.address,
-            which.name(),
+            strategy.name(),
             json!(peers)
         );
-        relay.target(i, Some(*own));
-        let process = room.stage.front(i as u16, config, operator).await?;
+        relay.target(i, Some(*own_address));
+        let process = cluster.stage.front(i as u16, module_config, operator_config).await?;
         let Some(clients) = process.listens.clients else {
-            return Err(RigError::Script("a front listens for no clients".into()));
+            return Err(RigError::Script("a front has no address for clients".into()));
         };
         fronts.push(Front {
             process,
@@ -497,134 +510,141 @@
     Ok(fronts)
 }
 
-fn ask(dice: &mut fastrand::Rng, number: u64, volume: u64, fronts: u32) -> Ask {
-    let (class, writes, units) = mix(dice);
+fn request(rng: &mut fastrand::Rng, number: u64, volume: u64, fronts: u32) -> Ask {
+    let (class, writes, units) = mix(rng);
     Ask {
         id: format!("{number:016x}"),
         class,
         writes,
         plan: "priority",
         volume,
-        key: dice.u64(1..u64::MAX),
+        key: rng.u64(1..u64::MAX),
         units,
-        // The client's own idea is as good as none: the map says.
+        // The client names no shard, so the map decides.
         shard: -1,
         hosts: fronts,
         deadline: Duration::from_secs(if class == "read" { 2 } else { 4 }),
     }
 }
 
-/// One thing that happens beside the load.
+/// An event that happens during the load.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Scene {
+enum ScheduledEvent {
     Change,
     Drain,
     BurstBegins,
     BurstEnds,
 }
 
-/// What comes of a drain a little later.
+/// A later step of a drain.
 #[derive(Clone, Copy, Debug)]
-enum Later {
-    /// The shard's new node is there.
-    Successor(u32),
-    /// The drained node is gone.
-    Gone(usize),
+enum FollowUp {
+    /// The late successor for this shard starts.
+    StartSuccessor(u32),
+    /// The drained node is deleted.
+    Delete(usize),
 }
 
-/// What happens when, and the moves that may be undone.
-struct Script {
-    scenes: Vec<(Duration, Scene)>,
-    undo: Vec<Lot>,
+/// The events of a run, and the moves that may be undone.
+struct Schedule {
+    /// The last one is the next to happen.
+    events: Vec<(Duration, ScheduledEvent)>,
+    undoable: Vec<Lot>,
 }
 
-impl Script {
-    fn new(drill: &Drill, span: Duration, dice: &mut fastrand::Rng) -> Script {
-        let mut scenes = Vec::new();
-        let moves = (drill.moves_per_s * span.as_secs_f64()).round() as u64;
-        scenes.extend((0..moves).map(|n| {
+impl Schedule {
+    fn new(drill: &Drill, duration: Duration, rng: &mut fastrand::Rng) -> Schedule {
+        let mut events = Vec::new();
+        let moves = (drill.moves_per_s * duration.as_secs_f64()).round() as u64;
+        events.extend((0..moves).map(|n| {
             (
-                span.mul_f64((n as f64 + dice.f64()) / moves as f64),
-                Scene::Change,
+                duration.mul_f64((n as f64 + rng.f64()) / moves as f64),
+                ScheduledEvent::Change,
             )
         }));
-        let drains = (span.as_secs_f64() / DRAIN_EVERY.as_secs_f64()) as u32;
-        scenes.extend((0..drains).map(|n| {
+        let drains = (duration.as_secs_f64() / DRAIN_INTERVAL.as_secs_f64()) as u32;
+        events.extend((0..drains).map(|n| {
             (
-                DRAIN_EVERY * n + DRAIN_EVERY.mul_f64(dice.f64() * 0.3),
-                Scene::Drain,
+                DRAIN_INTERVAL * n + DRAIN_INTERVAL.mul_f64(rng.f64() * 0.3),
+                ScheduledEvent::Drain,
             )
         }));
         if drill.burst > 0 {
-            let (from, lasts) = (span / 2, Duration::from_secs(5).min(span / 4));
-            scenes.push((from, Scene::BurstBegins));
-            scenes.extend(
-                (0..drill.burst).map(|_| (from + lasts.mul_f64(dice.f64()), Scene::Change)),
+            let (from, burst_duration) = (duration / 2, Duration::from_secs(5).min(duration / 4));
+            events.push((from, ScheduledEvent::BurstBegins));
+            events.extend(
+                (0..drill.burst).map(|_| (from + burst_duration.mul_f64(rng.f64()), ScheduledEvent::Change)),
             );
-            scenes.push((from + lasts, Scene::BurstEnds));
+            events.push((from + burst_duration, ScheduledEvent::BurstEnds));
         }
-        // Where two fall on one moment the burst's marks stay outside of its moves.
-        scenes.sort_by_key(|(at, scene)| {
+        // At the same time, the start of the burst comes before its moves, and the end after them.
+        events.sort_by_key(|(at, event)| {
             (
                 *at,
-                *scene == Scene::BurstEnds,
-                *scene != Scene::BurstBegins,
+                *event == ScheduledEvent::BurstEnds,
+                *event != ScheduledEvent::BurstBegins,
             )
         });
-        scenes.reverse();
-        Script {
-            scenes,
-            undo: Vec::new(),
+        events.reverse();
+        Schedule {
+            events,
+            undoable: Vec::new(),
         }
     }
 
-    fn next(&mut self, due: Duration) -> Option<(Duration, Scene)> {
-        self.scenes.pop_if(|(at, _)| *at <= due)
+    /// Removes the next event that is due.
+    fn next(&mut self, due: Duration) -> Option<(Duration, ScheduledEvent)> {
+        self.events.pop_if(|(at, _)| *at <= due)
     }
 }
 
-/// A move, a move undone, two moves of one extent at once, a split, or a merge.
-fn change(authority: &Authority, drill: &Drill, undo: &mut Vec<Lot>, dice: &mut fastrand::Rng) {
+/// Makes a random change: a move, the reversal of a move, two moves of one extent, a split, or a merge.
+fn change_extent(authority: &Authority, drill: &Drill, undoable: &mut Vec<Lot>, rng: &mut fastrand::Rng) {
     let (volume, key, to) = (
-        dice.u64(0..drill.volumes),
-        dice.u64(..),
-        dice.u32(0..drill.nodes),
+        rng.u64(0..drill.volumes),
+        rng.u64(..),
+        rng.u32(0..drill.nodes),
     );
     authority.change(|truth| {
-        let Some(lot) = truth.lot(volume, key) else {
+        let Some(extent) = truth.lot(volume, key) else {
             return;
         };
-        match dice.u32(0..10) {
+        match rng.u32(0..10) {
             0..=4 => {
-                undo.push(lot);
-                truth.put(volume, lot.first, lot.last, to);
+                undoable.push(extent);
+                truth.put(volume, extent.first, extent.last, to);
             }
             5 => {
-                truth.put(volume, lot.first, lot.last, to);
-                truth.put(volume, lot.first, lot.last, dice.u32(0..drill.nodes));
+                truth.put(volume, extent.first, extent.last, to);
+                truth.put(volume, extent.first, extent.last, rng.u32(0..drill.nodes));
             }
-            6 | 7 => match undo.pop() {
-                Some(was) => truth.put(was.volume, was.first, was.last, was.shard),
-                None => truth.put(volume, lot.first, lot.last, to),
+            6 | 7 => match undoable.pop() {
+                Some(previous) => truth.put(
+                    previous.volume,
+                    previous.first,
+                    previous.last,
+                    previous.shard,
+                ),
+                None => truth.put(volume, extent.first, extent.last, to),
             },
             8 => truth.put(
                 volume,
-                lot.first,
-                lot.first + (lot.last - lot.first) / 2,
+                extent.first,
+                extent.first + (extent.last - extent.first) / 2,
                 to,
             ),
             _ => {
-                let next = lot
+                let next = extent
                     .last
                     .checked_add(1)
                     .and_then(|n| truth.lot(volume, n))
-                    .unwrap_or(lot);
-                truth.put(volume, lot.first, next.last, lot.shard);
+                    .unwrap_or(extent);
+                truth.put(volume, extent.first, next.last, extent.shard);
             }
         }
     });
-    if undo.len() > 16 {
-        undo.remove(0);
+    if undoable.len() > 16 {
+        undoable.remove(0);
     }
 }
 
@@ -633,24 +653,24 @@
 }
 
 impl Figures {
-    /// What the nodes saw against what was promised.
-    fn compare(&mut self, room: &Room) {
-        let mut turned: HashMap<String, u64> = HashMap::new();
-        for (at, (node, _)) in room.stage.nodes.iter().enumerate() {
-            let told = room
+    /// Counts rejections and violated guarantees in the requests that the nodes received.
+    fn count_node_observations(&mut self, cluster: &Cluster) {
+        let mut rejections: HashMap<String, u64> = HashMap::new();
+        for (index, (node, _)) in cluster.stage.nodes.iter().enumerate() {
+            let notified_at = cluster
                 .drained
-                .get(&at)
-                .and_then(|version| room.stage.discovery.told(*version));
+                .get(&index)
+                .and_then(|version| cluster.stage.discovery.told(*version));
             for seen in lock(&node.seen).iter() {
                 if seen.fate == Fate::Elsewhere {
-                    *turned.entry(seen.id.clone()).or_default() += 1;
+                    *rejections.entry(seen.id.clone()).or_default() += 1;
                 }
-                self.drain_late += u64::from(told.is_some_and(|told| seen.at > told + GRACE));
+                self.drain_late += u64::from(notified_at.is_some_and(|notified_at| seen.at > notified_at + DRAIN_GRACE));
             }
         }
-        self.duplicates = room.stage.duplicates();
-        self.misdirected = turned.len() as u64;
-        self.second_misdirected = turned.values().filter(|n| **n > 1).count() as u64;
+        self.duplicates = cluster.stage.duplicates();
+        self.misdirected = rejections.len() as u64;
+        self.second_misdirected = rejections.values().filter(|n| **n > 1).count() as u64;
         self.misdirected_share = self.misdirected as f64 / self.tally.requests.max(1) as f64;
     }
 }
--- a/crates/extent-map-drill/tests/golden.rs
+++ b/crates/extent-map-drill/tests/golden.rs
@@ -1,11 +1,11 @@
-//! A golden file of one run's figures in `lupinrack extents drill --json`.
+//! Golden file of the results of one run, as printed by `lupinrack extents drill --json`.
 
 use lupinrack_extent_map_drill::Figures;
 use lupinrack_golden_files::{check_text, path};
 use mock_servers::load::Tally;
 
 #[test]
-fn the_figures_of_a_run_keep_their_form() {
+fn the_results_of_a_run_keep_their_json() {
     let figures = Figures {
         strategy: "versioned",
         seed: 1,
--- a/crates/extent-map-driver/src/file_tests.rs
+++ b/crates/extent-map-driver/src/file_tests.rs
@@ -1,23 +1,23 @@
-//! The file is replaced whole, or stays as it was.
+//! Saving and loading of the snapshot file.
 
 use super::{load, save};
 
 #[test]
-fn a_file_is_replaced_whole_and_one_that_is_missing_is_none() {
-    let folder = std::env::temp_dir().join(format!("lupinrack-map-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
-    let file = folder.join("extents.map");
+fn a_save_replaces_the_file_and_a_missing_file_loads_as_none() {
+    let directory = std::env::temp_dir().join(format!("lupinrack-map-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).unwrap();
+    let file = directory.join("extents.map");
     assert!(load(&file).unwrap().is_none());
     save(&file, b"one").unwrap();
     save(&file, b"another").unwrap();
     assert_eq!(load(&file).unwrap().as_deref(), Some(&b"another"[..]));
     assert_eq!(
-        std::fs::read_dir(&folder).unwrap().count(),
+        std::fs::read_dir(&directory).unwrap().count(),
         1,
-        "nothing is left beside it"
+        "no temporary file is left"
     );
-    // A folder that is not there: the old file stays.
-    assert!(save(&folder.join("none/extents.map"), b"x").is_err());
-    std::fs::remove_dir_all(&folder).unwrap();
-    assert!(load(&folder).unwrap().is_none());
+    // The directory does not exist.
+    assert!(save(&directory.join("none/extents.map"), b"x").is_err());
+    std::fs::remove_dir_all(&directory).unwrap();
+    assert!(load(&directory).unwrap().is_none());
 }
--- a/crates/extent-map-driver/tests/golden.rs
+++ b/crates/extent-map-driver/tests/golden.rs
@@ -1,4 +1,4 @@
-//! A golden file of the calls to the extent authority: the request lines.
+//! Golden file of the calls to the extent authority: the request lines.
 
 use lupinrack_extent_map::config::Section;
 use lupinrack_extent_map::{Action, Counters, Version};
@@ -10,22 +10,22 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-const ANSWER: &[u8] =
+const RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
-/// Takes one call, turns it away, and returns its head.
-async fn call(authority: &TcpListener) -> String {
+/// Accepts one call, answers it with 503, and returns its head.
+async fn accept_call(authority: &TcpListener) -> String {
     let (mut stream, _) = authority.accept().await.unwrap();
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(stream.read_u8().await.unwrap());
     }
-    stream.write_all(ANSWER).await.unwrap();
+    stream.write_all(RESPONSE).await.unwrap();
     String::from_utf8(head).unwrap()
 }
 
 #[tokio::test]
-async fn calls_to_the_authority_keep_their_form() {
+async fn calls_to_the_authority_keep_their_request_lines() {
     let authority = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let section = Section {
         authority: authority.local_addr().unwrap(),
@@ -37,9 +37,9 @@
         health_checks: _health_checks,
     } = EngineParts::new(Settings::default(), 1, Clock::start());
     let driver = Driver::new(&section, handle).await.unwrap();
-    let (actions, to_do) = mpsc::channel(4);
-    let (_counters, counted) = watch::channel(Counters::default());
-    let running = tokio::spawn(driver.run(to_do, counted));
+    let (actions, receiver) = mpsc::channel(4);
+    let (_counters, watcher) = watch::channel(Counters::default());
+    let running = tokio::spawn(driver.run(receiver, watcher));
 
     let version = Version {
         incarnation: 3,
@@ -72,7 +72,7 @@
         ),
     ] {
         actions.send(action).await.unwrap();
-        let head = call(&authority).await;
+        let head = accept_call(&authority).await;
         examples.add(name, head.lines().next().unwrap());
     }
     examples.check();
--- a/crates/extent-map/src/cache.rs
+++ b/crates/extent-map/src/cache.rs
@@ -1,80 +1,85 @@
-//! The cache: what a front knows of where data lies, and what it does to know it better. No I/O, no clock: time and
-//! answers come in, [`Action`]s go out.
+//! The extent cache: what a front knows about the location of data, and how it keeps that knowledge current. A state
+//! machine without I/O or clock: the driver passes in the time and [`Input`]s and carries out [`Action`]s.
 //!
-//! Three sources lead to one map, in which the later epoch wins piece by piece, so that their order does not matter:
-//! the authority's stream (polls from a version on), single volumes or ranges fetched on need, and peers. A node is no
-//! source: its hint says that something changed, never what, and it is believed only where it is newer than all that
-//! is known, once for each range, and within budgets for each volume and for all.
+//! Three sources update one map: the authority's stream of changes (polls from a version on), fetches of single
+//! volumes or key ranges, and updates from peers. For each key the change with the highest epoch wins, so the order of
+//! arrival does not matter.
+//!
+//! Storage nodes are not a source. A node that rejects a request because its data is elsewhere sends a version as a
+//! hint that something changed, but not what changed. The cache fetches the range in response only if the hint is
+//! newer than everything known, with a single fetch in flight for a volume, and within one budget for each volume and
+//! one for all.
 
-use crate::budget::Budget;
 use crate::config::{Section, Strategy};
 use crate::datagram;
 use crate::map::Map;
-use crate::peers::{Outbox, Provisional};
-use crate::snapshot::{self, Unusable};
-use crate::words::{Change, Cover, News, Version};
+use crate::peers::{ConfirmationTracker, Outbox};
+use crate::protocol::{Change, FetchResponse, PollResponse, Version};
+use crate::snapshot::{self, DecodeError};
+use crate::token_bucket::TokenBucket;
 use lupinrack_policy::{Key, Micros, Shard, VolumeId};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Calls on volumes that are out at once.
-pub const FLIGHTS_MOST: usize = 64;
-/// Volumes that wait for a call; further ones are asked for again by the next request.
-pub const WANTED_MOST: usize = 4_096;
-/// Volumes whose own budget is remembered; where there are more, the full ones are forgotten.
-const BUDGETS_MOST: usize = 4_096;
-/// The first and the longest wait after a poll or fetch that failed.
-const AGAIN_FIRST: Micros = 100_000;
-const AGAIN_LAST: Micros = 2_000_000;
-/// Where the authority has just confirmed a place, hints against it are followed only in part for this long.
-const CONFIRMED: Micros = 500_000;
-/// Confirmed places that are remembered.
-const CONFIRMED_MOST: usize = 64;
-/// What a peer told and the stream has not confirmed for so long is fetched anew.
-const UNCONFIRMED: Micros = 5_000_000;
-/// One complaint about one party in this time is told; the rest are counted.
-const COMPLAIN: Micros = 1_000_000;
-
-/// Where a piece of data lies.
+/// Fetches in flight at once.
+pub const MAX_IN_FLIGHT_FETCHES: usize = 64;
+/// Volumes queued for a fetch. A volume beyond this limit is queued by a later request for it.
+pub const MAX_QUEUED_FETCHES: usize = 4_096;
+/// Volumes with a refresh budget of their own. At this limit, the full budgets are dropped.
+const MAX_VOLUME_BUDGETS: usize = 4_096;
+/// First and longest delay before a failed poll is repeated. Failed fetches are always repeated after the first delay.
+const MIN_RETRY_BACKOFF_US: Micros = 100_000;
+const MAX_RETRY_BACKOFF_US: Micros = 2_000_000;
+/// How long a fetch protects its range from hints: older hints are ignored, newer ones too once the volume's refresh
+/// budget is empty.
+const FETCH_PROTECTION_US: Micros = 500_000;
+/// Fetched ranges that are protected from hints at once.
+const MAX_PROTECTED_RANGES: usize = 64;
+/// A change received from a peer that the stream has not confirmed after this time causes a fetch of its volume.
+const CONFIRMATION_TIMEOUT_US: Micros = 5_000_000;
+/// At most one warning about each source in this time.
+const WARNING_INTERVAL_US: Micros = 1_000_000;
+
+/// Where a piece of data is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Location {
     /// On this shard.
-    At(Shard),
-    /// No extent covers it: what the client says stands.
+    OnShard(Shard),
+    /// No extent covers it: the shard named by the client applies.
     Uncovered,
-    /// Not known yet; [`Action::Changed`] will tell.
+    /// Not known yet; [`Action::Changed`] follows once it is.
     Unknown,
 }
 
-/// What a wrong turn comes to.
+/// What to do with a request that a node rejected because its data is elsewhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
-    /// The map knows better by now.
-    At(Shard),
-    /// The range is being refreshed; [`Action::Changed`] will tell.
-    Waiting,
-    /// The node's word counts for nothing: it is behind, lies, or says nothing. The place stands.
-    Stands,
+pub enum Reroute {
+    /// Send it to this shard, which the map has by now.
+    To(Shard),
+    /// Wait: the range is being refreshed, and [`Action::Changed`] follows.
+    Pending,
+    /// Keep the shard: the hint is missing, not newer than what is known, or over budget.
+    Unchanged,
 }
 
-/// What the cache has its driver do.
+/// What the driver carries out for the cache.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Ask the authority for changes from this version on (none: for all); [`Input::Polled`] answers, always.
+    /// Ask the authority for the changes since a version. Always answered by [`Input::Polled`].
     Poll {
-        /// The version in hand.
+        /// The last version received; `None` asks for the full map.
         from: Option<Version>,
-        /// How long the authority may hold the call.
+        /// How long the authority may hold the poll while there are no changes.
         hold: Micros,
     },
-    /// Ask the authority for a volume, or for the extent of one key; [`Input::Fetched`] answers, always.
+    /// Ask the authority for a volume, or for the extent of one key. Always answered by [`Input::Fetched`].
     Fetch {
         /// The volume.
         volume: VolumeId,
-        /// The key; none: the whole volume.
+        /// The key; `None` fetches the complete volume.
         key: Option<Key>,
     },
-    /// What is known of a range changed or was confirmed: requests in it are to be looked at again.
+    /// A range changed or was confirmed: locate the open requests in it again.
     Changed {
         /// The volume.
         volume: VolumeId,
@@ -83,97 +88,106 @@
         /// The last key.
         last: u64,
     },
-    /// All that is known changed: every request is to be looked at again.
+    /// Everything may have changed: locate all open requests again.
     ChangedAll,
     /// Send this datagram to each peer.
-    Tell(Vec<u8>),
-    /// Write the map to its file.
+    SendToPeers(Vec<u8>),
+    /// Write these bytes to the snapshot file.
     Save(Vec<u8>),
-    /// Come back at this time.
+    /// Pass [`Input::Timer`] at this time.
     Wake(Micros),
-    /// A line for the staff, at most one for each party and second.
-    Complain {
-        /// Who did it.
-        who: Party,
-        /// What.
-        why: String,
+    /// Log a warning; at most one per second for each source.
+    Warn {
+        /// Whose message or answer is at fault.
+        source: Source,
+        /// What is wrong with it.
+        reason: String,
     },
 }
 
-/// Who a complaint is about.
+/// The process that a warning is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Party {
+pub enum Source {
     /// The extent authority.
     Authority,
-    /// A peer, by its place in the settings.
+    /// A peer, by its index in the settings.
     Peer(u16),
-    /// A node, by the shard that it holds.
+    /// A storage node, by its shard.
     Node(Shard),
 }
 
-/// What the driver tells the cache.
+/// What the driver passes to the cache.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A poll's end; a text says how it failed.
-    Polled(Result<News, String>),
-    /// A fetch's end.
+    /// The result of a poll; the error is a text for the log.
+    Polled(Result<PollResponse, String>),
+    /// The result of a fetch.
     Fetched {
-        /// The volume asked for.
+        /// The volume of the [`Action::Fetch`].
         volume: VolumeId,
-        /// The answer, or how it failed.
-        answer: Result<Cover, String>,
+        /// The response; the error is a text for the log.
+        answer: Result<FetchResponse, String>,
     },
-    /// A datagram from a peer, by its place in the settings.
-    Peer(u16, Vec<u8>),
-    /// The time asked for has come.
+    /// A datagram from a peer, by the peer's index in the settings.
+    PeerUpdate(u16, Vec<u8>),
+    /// The time of an [`Action::Wake`] has come.
     Timer,
 }
 
-/// What the cache did so far.
+/// Event counters since the cache was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counters {
-    /// Polls begun.
+    /// Polls started.
     pub polls: u64,
-    /// Fetches begun.
+    /// Fetches started.
     pub fetches: u64,
-    /// Polls and fetches that failed or could not be read.
+    /// Polls and fetches that failed, or whose answer was malformed.
     pub failed_calls: u64,
-    /// Changes taken in from the stream.
+    /// Changes received on the stream.
     pub changes: u64,
-    /// Whole resets of the stream.
+    /// Resets of the stream.
     pub resets: u64,
-    /// Answers that were older than what was known, and left out.
+    /// Answers ignored because they are older than what is known.
     pub stale_answers: u64,
-    /// Requests that a node turned away because their data lies elsewhere.
-    pub wrong_turns: u64,
-    /// Of these, those whose node was behind, lied or gave no version.
-    pub unfounded_hints: u64,
-    /// Refreshes put off because a budget was used up.
-    pub put_off: u64,
-    /// Datagrams told.
-    pub told: u64,
-    /// Datagrams heard.
-    pub heard: u64,
-    /// Datagrams that could not be read.
-    pub unreadable: u64,
-    /// Moves heard from peers that were news.
-    pub peer_news: u64,
-    /// Moves that peers told and the authority never confirmed.
+    /// Requests that a node rejected because their data is elsewhere.
+    #[serde(rename = "wrong_turns")]
+    pub wrong_shard_rejections: u64,
+    /// Of these, the ones ignored because their hint is missing, not newer than what is known, or over budget.
+    #[serde(rename = "unfounded_hints")]
+    pub ignored_hints: u64,
+    /// Fetches deferred because a budget was empty.
+    #[serde(rename = "put_off")]
+    pub deferred_fetches: u64,
+    /// Datagrams sent to the peers.
+    #[serde(rename = "told")]
+    pub datagrams_sent: u64,
+    /// Datagrams received from peers.
+    #[serde(rename = "heard")]
+    pub datagrams_received: u64,
+    /// Datagrams received that are malformed.
+    #[serde(rename = "unreadable")]
+    pub malformed_datagrams: u64,
+    /// Changes received from peers that changed the map.
+    #[serde(rename = "peer_news")]
+    pub peer_changes: u64,
+    /// Changes received from peers that the authority did not confirm in time.
     pub unconfirmed: u64,
-    /// Volumes that left because the map was full.
-    pub left: u64,
+    /// Volumes evicted because the map was full.
+    #[serde(rename = "left")]
+    pub evicted_volumes: u64,
 }
 
-struct Flight {
+struct InFlightFetch {
+    /// The key asked for; `None`: the complete volume.
     key: Option<Key>,
-    /// A wrong turn led to it: what it brings may be news to the peers.
-    turn: bool,
-    /// Another range of the volume was asked for meanwhile.
-    more: bool,
+    /// A node's rejection caused it: moves that it reveals may be new to the peers.
+    after_rejection: bool,
+    /// Another range of the volume was requested after the fetch had started.
+    other_range_requested: bool,
 }
 
-/// A place that the authority confirmed lately.
-struct Confirmed {
+/// A range fetched from the authority lately, protected from hints.
+struct ProtectedRange {
     until: Micros,
     volume: VolumeId,
     first: u64,
@@ -181,415 +195,468 @@
     version: Version,
 }
 
-/// A front's view of where data lies.
+/// A front's cache of extents.
 pub struct Cache {
-    cfg: Section,
+    config: Section,
     map: Map,
-    /// How far the stream has come.
-    at: Option<Version>,
-    poll_out: bool,
-    poll_at: Micros,
-    poll_again: Micros,
-    polls: Budget,
-    loads: Budget,
-    refreshes: Budget,
-    budgets: HashMap<VolumeId, Budget>,
-    flights: BTreeMap<VolumeId, Flight>,
-    /// Volumes to be fetched once a budget allows: when at the soonest, whether whole, and whether by a wrong turn.
-    wanted: BTreeMap<VolumeId, (Micros, Option<Key>, bool)>,
-    fetch_again: Micros,
-    confirmed: Vec<Confirmed>,
+    /// The version up to which the stream was received. Without a stream, that of the first fetch.
+    stream_version: Option<Version>,
+    poll_in_flight: bool,
+    next_poll_at: Micros,
+    /// Zero unless the last poll failed.
+    poll_backoff: Micros,
+    poll_budget: TokenBucket,
+    /// For fetches of volumes that are not known completely, or possibly stale.
+    load_budget: TokenBucket,
+    /// For fetches caused by rejections, of all volumes together.
+    refresh_budget: TokenBucket,
+    /// For fetches caused by rejections, of each volume.
+    volume_budgets: HashMap<VolumeId, TokenBucket>,
+    in_flight: BTreeMap<VolumeId, InFlightFetch>,
+    /// Volumes to fetch: not before which time, for which key (`None`: the complete volume), and whether a rejection
+    /// caused it.
+    queued: BTreeMap<VolumeId, (Micros, Option<Key>, bool)>,
+    /// No fetch starts before this time, because one failed.
+    fetch_backoff_until: Micros,
+    protected: Vec<ProtectedRange>,
     outbox: Outbox,
-    provisional: Provisional,
-    save_at: Option<Micros>,
+    confirmations: ConfirmationTracker,
+    /// `None` without a snapshot file.
+    next_save_at: Option<Micros>,
+    /// The map has changed since the last snapshot.
     dirty: bool,
-    complaints: HashMap<Party, Micros>,
-    wake: Option<Micros>,
+    last_warnings: HashMap<Source, Micros>,
+    /// The time of the last [`Action::Wake`].
+    wake_at: Option<Micros>,
     counters: Counters,
 }
 
 impl Cache {
-    /// An empty cache at `now`.
-    pub fn new(cfg: Section, now: Micros) -> Cache {
-        let peers = cfg.peer_listen.is_some() && !cfg.peers.is_empty();
+    /// Creates an empty cache.
+    pub fn new(config: Section, now: Micros) -> Cache {
+        let has_peers = config.peer_listen.is_some() && !config.peers.is_empty();
         Cache {
-            map: Map::new(cfg.most_extents, cfg.most_volumes),
-            at: None,
-            poll_out: false,
-            poll_at: now,
-            poll_again: 0,
-            polls: Budget::new(now, cfg.polls_per_s, f64::from(cfg.poll_burst)),
-            loads: Budget::new(now, cfg.loads_per_s, f64::from(cfg.load_burst)),
-            refreshes: Budget::new(now, cfg.refreshes_per_s, f64::from(cfg.refresh_burst)),
-            budgets: HashMap::new(),
-            flights: BTreeMap::new(),
-            wanted: BTreeMap::new(),
-            fetch_again: 0,
-            confirmed: Vec::new(),
-            outbox: Outbox::new(now, peers, cfg.messages_per_s),
-            provisional: Provisional::default(),
-            save_at: cfg
+            map: Map::new(config.most_extents, config.most_volumes),
+            stream_version: None,
+            poll_in_flight: false,
+            next_poll_at: now,
+            poll_backoff: 0,
+            poll_budget: TokenBucket::new(now, config.polls_per_s, f64::from(config.poll_burst)),
+            load_budget: TokenBucket::new(now, config.loads_per_s, f64::from(config.load_burst)),
+            refresh_budget: TokenBucket::new(
+                now,
+                config.refreshes_per_s,
+                f64::from(config.refresh_burst),
+            ),
+            volume_budgets: HashMap::new(),
+            in_flight: BTreeMap::new(),
+            queued: BTreeMap::new(),
+            fetch_backoff_until: 0,
+            protected: Vec::new(),
+            outbox: Outbox::new(now, has_peers, config.messages_per_s),
+            confirmations: ConfirmationTracker::default(),
+            next_save_at: config
                 .snapshot
                 .as_ref()
-                .map(|_| now + Section::micros(cfg.snapshot_every_ms)),
+                .map(|_| now + Section::micros(config.snapshot_every_ms)),
             dirty: false,
-            complaints: HashMap::new(),
-            wake: None,
+            last_warnings: HashMap::new(),
+            wake_at: None,
             counters: Counters::default(),
-            cfg,
+            config,
         }
     }
 
-    /// Takes over what a file kept; the stream goes on from there.
-    pub fn restore(&mut self, now: Micros, bytes: &[u8]) -> Result<(), Unusable> {
-        let mut map = Map::new(self.cfg.most_extents, self.cfg.most_volumes);
-        self.at = Some(snapshot::decode(now, bytes, &mut map)?);
+    /// Replaces the map by the contents of a snapshot file. The stream continues from the version of the snapshot.
+    pub fn restore(&mut self, now: Micros, bytes: &[u8]) -> Result<(), DecodeError> {
+        let mut map = Map::new(self.config.most_extents, self.config.most_volumes);
+        self.stream_version = Some(snapshot::decode(now, bytes, &mut map)?);
         self.map = map;
         Ok(())
     }
 
-    /// What it did so far.
+    /// The event counters.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// The map.
+    /// The cached extents.
     pub fn map(&self) -> &Map {
         &self.map
     }
 
-    /// How far the stream has come.
+    /// The version up to which the stream was received. Without a stream, that of the first fetch.
     pub fn version(&self) -> Option<Version> {
-        self.at
+        self.stream_version
     }
 
-    /// Where a piece of data lies, as far as that is known. What is not held is fetched.
+    /// Returns where a piece of data is. Queues a fetch if its volume is not cached completely, may be stale, or is
+    /// older than the TTL of the strategy `ttl`.
     pub fn locate(
         &mut self,
         now: Micros,
         volume: VolumeId,
         key: Key,
         out: &mut Vec<Action>,
-    ) -> Place {
-        let ttl = Section::micros(self.cfg.ttl_ms);
-        let Some(v) = self.map.ask(now, volume) else {
-            let since = self.at.map_or(0, |v| v.epoch);
-            self.map.expect(now, volume, since);
-            self.counters.left += self
+    ) -> Location {
+        let ttl = Section::micros(self.config.ttl_ms);
+        let Some(cached) = self.map.touch(now, volume) else {
+            let min_epoch = self.stream_version.map_or(0, |v| v.epoch);
+            self.map.add_pending(now, volume, min_epoch);
+            self.counters.evicted_volumes += self
                 .map
-                .shrink(|id| id == volume || self.flights.contains_key(&id))
+                .evict(|id| id == volume || self.in_flight.contains_key(&id))
                 as u64;
-            self.want(now, volume, None, false, out);
-            return Place::Unknown;
+            self.request_fetch(now, volume, None, false, out);
+            return Location::Unknown;
         };
-        let piece = v.ranges.get(key.0);
-        let (whole, doubt) = (v.whole, v.doubt);
-        let old = self.cfg.strategy == Strategy::Ttl
+        let range = cached.ranges.get(key.0);
+        let (complete, may_be_stale) = (cached.complete, cached.may_be_stale);
+        let expired = self.config.strategy == Strategy::Ttl
             && self
-                .provisional
-                .fetched(volume)
+                .confirmations
+                .fetched_at(volume)
                 .is_none_or(|at| now - at >= ttl);
-        if !whole || doubt || old {
-            self.want(now, volume, None, false, out);
+        if !complete || may_be_stale || expired {
+            self.request_fetch(now, volume, None, false, out);
         }
-        match piece.shard {
-            // What was told of this very range since holds, whatever is missing around it.
-            Some(shard) if whole || piece.epoch > v_since(&self.map, volume) => {
-                Place::At(Shard(shard))
+        match range.shard {
+            // A change received since the volume was added is valid even while the rest of the volume is missing.
+            Some(shard) if complete || range.epoch > min_fetch_epoch(&self.map, volume) => {
+                Location::OnShard(Shard(shard))
             }
-            None if whole => Place::Uncovered,
-            _ => Place::Unknown,
+            None if complete => Location::Uncovered,
+            _ => Location::Unknown,
         }
     }
 
-    /// A node turned a request away unrun: its data lies elsewhere, the node says, as of `hint`.
-    pub fn wrong_turn(
+    /// Handles a node's rejection of a request, which did not run: according to the node, the data is not on the shard
+    /// `asked`, as of version `hint`. Queues a fetch of the key's range if the hint is newer than what is known.
+    pub fn on_wrong_shard(
         &mut self,
         now: Micros,
         (volume, key): (VolumeId, Key),
         asked: Shard,
         hint: Option<Version>,
         out: &mut Vec<Action>,
-    ) -> Turn {
-        self.counters.wrong_turns += 1;
+    ) -> Reroute {
+        self.counters.wrong_shard_rejections += 1;
         match self.locate(now, volume, key, out) {
-            Place::At(shard) if shard != asked => return Turn::At(shard),
-            Place::Unknown => return Turn::Waiting,
+            Location::OnShard(shard) if shard != asked => return Reroute::To(shard),
+            Location::Unknown => return Reroute::Pending,
             _ => {}
         }
-        let known = self.known(volume);
-        // Where the authority has just said otherwise, a newer hint is followed only as far as the volume's own budget
-        // goes: data may have moved since, but a request must not wait on a node that lies.
-        let spent = self
-            .budgets
+        let known = self.known_version(volume);
+        // For a range that the authority has just confirmed, newer hints are followed only while the volume's own
+        // budget lasts: the data may have moved since, but a request must not wait because of a faulty node.
+        let budget_empty = self
+            .volume_budgets
             .get_mut(&volume)
-            .is_some_and(|b| b.next(now) > now);
-        let unfounded = |h: Version| {
-            let lately = self.confirmed.iter().any(|c| {
-                let here = c.volume == volume && (c.first..=c.last).contains(&key.0);
-                here && c.until > now && (spent || h <= c.version)
+            .is_some_and(|budget| budget.next_token_at(now) > now);
+        let ignored = |hint: Version| {
+            let protected = self.protected.iter().any(|range| {
+                let covers = range.volume == volume && (range.first..=range.last).contains(&key.0);
+                covers && range.until > now && (budget_empty || hint <= range.version)
             });
-            lately || known.is_some_and(|k| h <= k)
+            protected || known.is_some_and(|known| hint <= known)
         };
-        if hint.is_none_or(unfounded) {
-            self.counters.unfounded_hints += 1;
-            let said = hint.map_or("no version".into(), |h| h.to_string());
-            self.complain(
+        if hint.is_none_or(ignored) {
+            self.counters.ignored_hints += 1;
+            let hint_text = hint.map_or("no version".into(), |hint| hint.to_string());
+            self.warn(
                 now,
-                Party::Node(asked),
-                format!("turned away what is here, with {said}"),
+                Source::Node(asked),
+                format!("turned away what is here, with {hint_text}"),
                 out,
             );
-            return Turn::Stands;
+            return Reroute::Unchanged;
         }
-        self.want(now, volume, Some(key), true, out);
-        Turn::Waiting
+        self.request_fetch(now, volume, Some(key), true, out);
+        Reroute::Pending
     }
 
-    /// Takes one input.
+    /// Handles one input, then runs what is due.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Action>) {
         match input {
-            Input::Polled(Ok(news)) => self.on_news(now, news, out),
-            Input::Polled(Err(why)) => {
-                self.poll_out = false;
+            Input::Polled(Ok(response)) => self.on_poll_response(now, response, out),
+            Input::Polled(Err(reason)) => {
+                self.poll_in_flight = false;
                 self.counters.failed_calls += 1;
-                self.poll_again = (self.poll_again * 2).clamp(AGAIN_FIRST, AGAIN_LAST);
-                self.poll_at = now + self.poll_again;
-                self.complain(now, Party::Authority, why, out);
+                self.poll_backoff =
+                    (self.poll_backoff * 2).clamp(MIN_RETRY_BACKOFF_US, MAX_RETRY_BACKOFF_US);
+                self.next_poll_at = now + self.poll_backoff;
+                self.warn(now, Source::Authority, reason, out);
             }
-            Input::Fetched { volume, answer } => self.on_fetched(now, volume, answer, out),
-            Input::Peer(peer, bytes) => self.on_peer(now, peer, &bytes, out),
-            Input::Timer => self.wake = None,
+            Input::Fetched { volume, answer } => self.on_fetch_response(now, volume, answer, out),
+            Input::PeerUpdate(peer, bytes) => self.on_peer_update(now, peer, &bytes, out),
+            Input::Timer => self.wake_at = None,
         }
-        self.on_time(now, out);
+        self.run_due(now, out);
     }
 
-    /// Does what is due, and asks to be woken for the rest. Due after each [`Cache::locate`] and
-    /// [`Cache::wrong_turn`] of a turn, too; [`Cache::handle`] does it itself.
-    pub fn on_time(&mut self, now: Micros, out: &mut Vec<Action>) {
-        if self.cfg.strategy == Strategy::Versioned && !self.poll_out && now >= self.poll_at {
-            if self.polls.take(now) {
-                (self.poll_out, self.poll_at) = (true, now);
+    /// Starts the polls, fetches, datagrams and saves that are due, and requests a wake-up for the next ones.
+    ///
+    /// [`Cache::handle`] calls it. A caller of [`Cache::locate`] or [`Cache::on_wrong_shard`] calls it once after a
+    /// series of them.
+    pub fn run_due(&mut self, now: Micros, out: &mut Vec<Action>) {
+        if self.config.strategy == Strategy::Versioned
+            && !self.poll_in_flight
+            && now >= self.next_poll_at
+        {
+            if self.poll_budget.try_take(now) {
+                (self.poll_in_flight, self.next_poll_at) = (true, now);
                 self.counters.polls += 1;
                 out.push(Action::Poll {
-                    from: self.at,
-                    hold: Section::micros(self.cfg.hold_ms),
+                    from: self.stream_version,
+                    hold: Section::micros(self.config.hold_ms),
                 });
             } else {
-                self.poll_at = self.polls.next(now);
+                self.next_poll_at = self.poll_budget.next_token_at(now);
             }
         }
-        self.launch(now, out);
-        for (volume, since) in self.provisional.expired(now, self.poll_again == 0) {
+        self.start_due_fetches(now, out);
+        for (volume, min_epoch) in self.confirmations.take_expired(now, self.poll_backoff == 0) {
             self.counters.unconfirmed += 1;
-            self.map.doubt(volume, since);
-            self.want(now, volume, None, false, out);
+            self.map.mark_stale(volume, min_epoch);
+            self.request_fetch(now, volume, None, false, out);
         }
-        if let Some(incarnation) = self.at.map(|v| v.incarnation) {
-            while let Some(bytes) = self.outbox.next(now, incarnation) {
-                self.counters.told += 1;
-                out.push(Action::Tell(bytes));
+        if let Some(incarnation) = self.stream_version.map(|v| v.incarnation) {
+            while let Some(bytes) = self.outbox.next_datagram(now, incarnation) {
+                self.counters.datagrams_sent += 1;
+                out.push(Action::SendToPeers(bytes));
             }
         }
-        if self.save_at.is_some_and(|at| now >= at) {
-            self.save_at = Some(now + Section::micros(self.cfg.snapshot_every_ms));
-            if let Some(version) = self.at.filter(|_| std::mem::take(&mut self.dirty)) {
+        if self.next_save_at.is_some_and(|at| now >= at) {
+            self.next_save_at = Some(now + Section::micros(self.config.snapshot_every_ms));
+            if let Some(version) = self
+                .stream_version
+                .filter(|_| std::mem::take(&mut self.dirty))
+            {
                 out.push(Action::Save(snapshot::encode(version, &self.map)));
             }
         }
-        self.arm(now, out);
+        self.schedule_wake(now, out);
     }
 
-    fn arm(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let poll =
-            (self.cfg.strategy == Strategy::Versioned && !self.poll_out).then_some(self.poll_at);
-        let wanted = match self.flights.len() < FLIGHTS_MOST {
+    /// Requests a wake-up at the earliest due time, unless one is pending that is early enough.
+    fn schedule_wake(&mut self, now: Micros, out: &mut Vec<Action>) {
+        let poll_at = (self.config.strategy == Strategy::Versioned && !self.poll_in_flight)
+            .then_some(self.next_poll_at);
+        let fetch_at = match self.in_flight.len() < MAX_IN_FLIGHT_FETCHES {
             true => self
-                .wanted
+                .queued
                 .values()
-                .map(|w| w.0)
+                .map(|queued| queued.0)
                 .min()
-                .map(|at| at.max(self.fetch_again)),
+                .map(|at| at.max(self.fetch_backoff_until)),
             false => None,
         };
         let due = [
-            poll,
-            wanted,
-            self.outbox.due(now),
-            self.provisional.due(),
-            self.save_at,
+            poll_at,
+            fetch_at,
+            self.outbox.next_send_at(now),
+            self.confirmations.next_expiry(),
+            self.next_save_at,
         ];
         let Some(at) = due.into_iter().flatten().min() else {
             return;
         };
         let at = at.max(now + 1_000);
-        if self.wake.is_none_or(|w| at < w || w <= now) {
-            self.wake = Some(at);
+        if self
+            .wake_at
+            .is_none_or(|wake_at| at < wake_at || wake_at <= now)
+        {
+            self.wake_at = Some(at);
             out.push(Action::Wake(at));
         }
     }
 
-    /// The version up to which all of a volume is known.
-    fn known(&self, volume: VolumeId) -> Option<Version> {
-        match self.cfg.strategy {
-            Strategy::Versioned => self.at,
-            _ => self.provisional.version(volume).or(self.at),
+    /// The version up to which every change of a volume is known.
+    fn known_version(&self, volume: VolumeId) -> Option<Version> {
+        match self.config.strategy {
+            Strategy::Versioned => self.stream_version,
+            _ => self
+                .confirmations
+                .fetched_version(volume)
+                .or(self.stream_version),
         }
     }
 
     // ---- the stream ------------------------------------------------------------------------------------
 
-    fn on_news(&mut self, now: Micros, news: News, out: &mut Vec<Action>) {
-        self.poll_out = false;
-        let told = news.version;
-        let back = self
-            .at
-            .is_some_and(|at| told.incarnation < at.incarnation || (told < at && !news.reset));
-        let ends = news.changes.iter().map(|c| c.epoch).max().unwrap_or(0);
-        let another = self.at.is_some_and(|at| told.incarnation != at.incarnation);
-        let wrong = if back {
+    /// Applies the answer to a poll. An answer that goes back in time or contradicts itself is ignored, and the poll
+    /// repeated after a backoff.
+    fn on_poll_response(&mut self, now: Micros, response: PollResponse, out: &mut Vec<Action>) {
+        self.poll_in_flight = false;
+        let version = response.version;
+        let is_older = self.stream_version.is_some_and(|known| {
+            version.incarnation < known.incarnation || (version < known && !response.reset)
+        });
+        let last_epoch = response.changes.iter().map(|c| c.epoch).max().unwrap_or(0);
+        let other_incarnation = self
+            .stream_version
+            .is_some_and(|known| version.incarnation != known.incarnation);
+        let fault = if is_older {
             Some(format!(
-                "an answer of {told}, which is older than what is known"
+                "an answer of {version}, which is older than what is known"
             ))
-        } else if another && !news.reset {
+        } else if other_incarnation && !response.reset {
             Some(format!(
-                "an answer of another incarnation, {told}, that does not start anew"
+                "answer of another incarnation, {version}, is not a reset"
+            ))
+        } else if last_epoch > version.epoch || response.changes.iter().any(|c| c.first > c.last) {
+            Some(format!(
+                "answer of {version} has a change with a later epoch or an invalid key range"
             ))
-        } else if ends > told.epoch || news.changes.iter().any(|c| c.first > c.last) {
-            Some(format!("an answer of {told} with changes that cannot be"))
         } else {
             None
         };
-        if let Some(why) = wrong {
+        if let Some(reason) = fault {
             self.counters.stale_answers += 1;
-            self.poll_again = (self.poll_again * 2).clamp(AGAIN_FIRST, AGAIN_LAST);
-            self.poll_at = now + self.poll_again;
-            return self.complain(now, Party::Authority, why, out);
+            self.poll_backoff =
+                (self.poll_backoff * 2).clamp(MIN_RETRY_BACKOFF_US, MAX_RETRY_BACKOFF_US);
+            self.next_poll_at = now + self.poll_backoff;
+            return self.warn(now, Source::Authority, reason, out);
         }
-        (self.poll_again, self.poll_at) = (0, now);
+        (self.poll_backoff, self.next_poll_at) = (0, now);
         self.dirty = true;
-        if news.reset {
-            return self.on_reset(now, news, out);
+        if response.reset {
+            return self.on_reset(now, response, out);
         }
-        self.counters.changes += news.changes.len() as u64;
-        for c in &news.changes {
-            if self.map.change(c) {
+        self.counters.changes += response.changes.len() as u64;
+        for change in &response.changes {
+            if self.map.apply_change(change) {
                 out.push(Action::Changed {
-                    volume: c.volume,
-                    first: c.first,
-                    last: c.last,
+                    volume: change.volume,
+                    first: change.first,
+                    last: change.last,
                 });
             }
         }
-        self.reached(told);
+        self.advance_stream(version);
     }
 
-    /// The stream starts anew: after a gap that the authority does not keep, or in another of its lives.
-    fn on_reset(&mut self, now: Micros, news: News, out: &mut Vec<Action>) {
+    /// Restarts the stream: the authority no longer keeps the changes since the polled version, or has another
+    /// incarnation.
+    fn on_reset(&mut self, now: Micros, response: PollResponse, out: &mut Vec<Action>) {
         self.counters.resets += 1;
-        let told = news.version;
-        if self.at.is_some_and(|at| at.incarnation != told.incarnation) {
-            // Epochs of another life say nothing in this one: requests wait until their volumes are fetched anew.
+        let version = response.version;
+        if self
+            .stream_version
+            .is_some_and(|known| known.incarnation != version.incarnation)
+        {
+            // Epochs of different incarnations cannot be compared, so the map is dropped. Requests wait until their
+            // volumes are fetched.
             self.map.clear();
             self.outbox.clear();
-            self.provisional.clear();
+            self.confirmations.clear();
         }
-        self.map.doubt_all(told.epoch);
-        if news.whole {
+        self.map.mark_all_stale(version.epoch);
+        if response.full_map {
             let mut volumes: BTreeMap<VolumeId, Vec<Change>> = BTreeMap::new();
-            for c in news.changes {
-                volumes.entry(c.volume).or_default().push(c);
+            for change in response.changes {
+                volumes.entry(change.volume).or_default().push(change);
             }
             for (volume, mut extents) in volumes {
-                extents.sort_unstable_by_key(|c| c.first);
-                self.map.expect(now, volume, told.epoch);
-                self.map.cover(&Cover {
-                    version: told,
+                extents.sort_unstable_by_key(|extent| extent.first);
+                self.map.add_pending(now, volume, version.epoch);
+                self.map.apply_fetch(&FetchResponse {
+                    version,
                     volume,
                     first: 0,
                     last: u64::MAX,
                     extents,
                 });
-                self.counters.left += self.map.shrink(|id| id == volume) as u64;
+                self.counters.evicted_volumes += self.map.evict(|id| id == volume) as u64;
             }
         }
         out.push(Action::ChangedAll);
-        self.reached(told);
+        self.advance_stream(version);
     }
 
-    fn reached(&mut self, version: Version) {
-        self.at = Some(version);
-        self.outbox.reached(version.epoch);
-        self.provisional.reached(version.epoch);
-        self.counters.left += self.map.shrink(|id| self.flights.contains_key(&id)) as u64;
+    /// Records that every change up to a version was received. Changes up to it need no confirmation and are not sent
+    /// to the peers, which receive the same stream.
+    fn advance_stream(&mut self, version: Version) {
+        self.stream_version = Some(version);
+        self.outbox.discard_up_to(version.epoch);
+        self.confirmations.confirm_up_to(version.epoch);
+        self.counters.evicted_volumes +=
+            self.map.evict(|id| self.in_flight.contains_key(&id)) as u64;
     }
 
     // ---- single volumes --------------------------------------------------------------------------------
 
-    /// Has a volume, or the range of one key, fetched: at once where the budgets allow, else as soon as they do.
-    fn want(
+    /// Queues the fetch of a volume, or of one key's range, and starts it if the budgets allow it now.
+    fn request_fetch(
         &mut self,
         now: Micros,
         volume: VolumeId,
         key: Option<Key>,
-        turn: bool,
+        after_rejection: bool,
         out: &mut Vec<Action>,
     ) {
-        if let Some(flight) = self.flights.get_mut(&volume) {
-            // Single flight. A range that the call out does not bring comes after it.
-            flight.more |= flight.key.is_some() && flight.key != key;
-            flight.turn |= turn;
+        if let Some(fetch) = self.in_flight.get_mut(&volume) {
+            // One fetch in flight for a volume. A range that it does not return is fetched afterwards.
+            fetch.other_range_requested |= fetch.key.is_some() && fetch.key != key;
+            fetch.after_rejection |= after_rejection;
             return;
         }
-        if let Some(wanted) = self.wanted.get_mut(&volume) {
-            // Two ranges of one volume: the whole volume is one call.
-            wanted.1 = wanted.1.filter(|k| Some(*k) == key);
-            wanted.2 |= turn;
-        } else if self.wanted.len() < WANTED_MOST {
-            self.wanted.insert(volume, (now, key, turn));
+        if let Some(queued) = self.queued.get_mut(&volume) {
+            // For two ranges of one volume, the complete volume is fetched: a single call.
+            queued.1 = queued.1.filter(|queued_key| Some(*queued_key) == key);
+            queued.2 |= after_rejection;
+        } else if self.queued.len() < MAX_QUEUED_FETCHES {
+            self.queued.insert(volume, (now, key, after_rejection));
         }
-        self.launch(now, out);
+        self.start_due_fetches(now, out);
     }
 
-    /// Begins the fetches that are due and within the budgets.
-    fn launch(&mut self, now: Micros, out: &mut Vec<Action>) {
-        if now < self.fetch_again {
+    /// Starts the queued fetches that are due and within the budgets, and defers those that are over budget.
+    fn start_due_fetches(&mut self, now: Micros, out: &mut Vec<Action>) {
+        if now < self.fetch_backoff_until {
             return;
         }
         let due: Vec<VolumeId> = self
-            .wanted
+            .queued
             .iter()
-            .filter(|(_, w)| w.0 <= now)
-            .map(|(v, _)| *v)
+            .filter(|(_, queued)| queued.0 <= now)
+            .map(|(volume, _)| *volume)
             .collect();
         for volume in due {
-            if self.flights.len() >= FLIGHTS_MOST {
+            if self.in_flight.len() >= MAX_IN_FLIGHT_FETCHES {
                 return;
             }
-            let held = self.map.get(volume).is_some_and(|v| v.whole && !v.doubt);
-            // Requests cannot do without what is not held. What a wrong turn asks for is another matter: nodes may
-            // be behind, or lie.
-            let next = match held && self.wanted.get(&volume).is_some_and(|w| w.2) {
-                true => self.refresh_at(now, volume),
-                false if self.loads.take(now) => now,
-                false => self.loads.next(now),
+            let is_current = self
+                .map
+                .get(volume)
+                .is_some_and(|v| v.complete && !v.may_be_stale);
+            // Requests cannot proceed without a volume that is missing or stale. Refreshes caused by rejections have
+            // budgets of their own, because nodes may be behind or send wrong hints.
+            let start_at = match is_current
+                && self.queued.get(&volume).is_some_and(|queued| queued.2)
+            {
+                true => self.take_refresh_token(now, volume),
+                false if self.load_budget.try_take(now) => now,
+                false => self.load_budget.next_token_at(now),
             };
-            if next > now {
-                self.counters.put_off += 1;
-                self.wanted.entry(volume).and_modify(|w| w.0 = next);
+            if start_at > now {
+                self.counters.deferred_fetches += 1;
+                self.queued
+                    .entry(volume)
+                    .and_modify(|queued| queued.0 = start_at);
                 continue;
             }
-            let Some((_, key, turn)) = self.wanted.remove(&volume) else {
+            let Some((_, key, after_rejection)) = self.queued.remove(&volume) else {
                 continue;
             };
-            // Only a volume known in full has ranges to refresh.
-            let key = key.filter(|_| held);
-            self.flights.insert(
+            // A single range can be refreshed only in a volume that is otherwise known completely.
+            let key = key.filter(|_| is_current);
+            self.in_flight.insert(
                 volume,
-                Flight {
+                InFlightFetch {
                     key,
-                    turn,
-                    more: false,
+                    after_rejection,
+                    other_range_requested: false,
                 },
             );
             self.counters.fetches += 1;
@@ -597,102 +664,123 @@
         }
     }
 
-    /// Takes from the budgets of refreshes, where both have one left; else when to come back.
-    fn refresh_at(&mut self, now: Micros, volume: VolumeId) -> Micros {
-        if self.budgets.len() >= BUDGETS_MOST {
-            self.budgets.retain(|_, b| !b.full(now));
-            if self.budgets.len() >= BUDGETS_MOST {
-                return now + AGAIN_LAST;
+    /// Takes a token from the volume's refresh budget and one from the common one if both have one, and returns `now`.
+    /// Otherwise takes none and returns when to try again.
+    fn take_refresh_token(&mut self, now: Micros, volume: VolumeId) -> Micros {
+        if self.volume_budgets.len() >= MAX_VOLUME_BUDGETS {
+            self.volume_budgets.retain(|_, budget| !budget.is_full(now));
+            if self.volume_budgets.len() >= MAX_VOLUME_BUDGETS {
+                return now + MAX_RETRY_BACKOFF_US;
             }
         }
-        let rate = self.cfg.volume_refreshes_per_s;
-        let own = self
-            .budgets
+        let rate = self.config.volume_refreshes_per_s;
+        let volume_budget = self
+            .volume_budgets
             .entry(volume)
-            .or_insert_with(|| Budget::new(now, rate, 2.0));
-        let next = own.next(now).max(self.refreshes.next(now));
+            .or_insert_with(|| TokenBucket::new(now, rate, 2.0));
+        let next = volume_budget
+            .next_token_at(now)
+            .max(self.refresh_budget.next_token_at(now));
         if next <= now {
-            own.take(now);
-            self.refreshes.take(now);
+            volume_budget.try_take(now);
+            self.refresh_budget.try_take(now);
         }
         next
     }
 
-    fn on_fetched(
+    /// Applies the answer to a fetch. After a failure, or an answer that cannot be used, the fetch is repeated.
+    fn on_fetch_response(
         &mut self,
         now: Micros,
         volume: VolumeId,
-        answer: Result<Cover, String>,
+        answer: Result<FetchResponse, String>,
         out: &mut Vec<Action>,
     ) {
-        let Some(flight) = self.flights.remove(&volume) else {
+        let Some(fetch) = self.in_flight.remove(&volume) else {
             return;
         };
-        let fit = |c: &Cover| {
-            let told = c.first <= c.last && c.extents.windows(2).all(|w| w[0].last < w[1].first);
-            let within = c.extents.iter().all(|e| {
-                e.volume == volume && e.first <= e.last && e.first >= c.first && e.last <= c.last
-            });
-            let asked = flight.key.map_or(c.first == 0 && c.last == u64::MAX, |k| {
-                (c.first..=c.last).contains(&k.0)
+        let is_valid = |response: &FetchResponse| {
+            let ordered = response.first <= response.last
+                && response
+                    .extents
+                    .windows(2)
+                    .all(|pair| pair[0].last < pair[1].first);
+            let within = response.extents.iter().all(|extent| {
+                extent.volume == volume
+                    && extent.first <= extent.last
+                    && extent.first >= response.first
+                    && extent.last <= response.last
             });
-            c.volume == volume && told && within && asked
+            let answers_fetch = fetch
+                .key
+                .map_or(response.first == 0 && response.last == u64::MAX, |key| {
+                    (response.first..=response.last).contains(&key.0)
+                });
+            response.volume == volume && ordered && within && answers_fetch
         };
-        let cover = match answer {
-            Ok(cover) if fit(&cover) => cover,
+        let response = match answer {
+            Ok(response) if is_valid(&response) => response,
             failed => {
-                let why = failed
-                    .err()
-                    .unwrap_or_else(|| "an answer that was not asked for".into());
+                let reason = failed.err().unwrap_or_else(|| {
+                    "fetch answer has invalid extents or does not match the request".into()
+                });
                 self.counters.failed_calls += 1;
-                self.fetch_again = now + AGAIN_FIRST;
-                self.complain(now, Party::Authority, why, out);
-                return self.later(now, volume, &flight);
+                self.fetch_backoff_until = now + MIN_RETRY_BACKOFF_US;
+                self.warn(now, Source::Authority, reason, out);
+                return self.retry_fetch(now, volume, &fetch);
             }
         };
         let older = self
-            .at
-            .is_some_and(|at| cover.version.incarnation < at.incarnation);
+            .stream_version
+            .is_some_and(|known| response.version.incarnation < known.incarnation);
         let newer = self
-            .at
-            .is_some_and(|at| cover.version.incarnation > at.incarnation);
-        if newer && self.cfg.strategy != Strategy::Versioned {
-            // Without a stream nothing else tells of another life.
+            .stream_version
+            .is_some_and(|known| response.version.incarnation > known.incarnation);
+        if newer && self.config.strategy != Strategy::Versioned {
+            // Without a stream, only a fetch can reveal another incarnation.
             self.map.clear();
-            self.map.expect(now, volume, 0);
-            self.at = None;
+            self.map.add_pending(now, volume, 0);
+            self.stream_version = None;
         } else if older || newer {
-            // The stream tells first of another life; what comes of it before then fits nothing that is held.
+            // With a stream, its reset switches the map to another incarnation. Until then, an answer of that
+            // incarnation cannot be merged with the map.
             self.counters.stale_answers += u64::from(older);
-            self.poll_at = if self.poll_out { self.poll_at } else { now };
-            return self.later(now, volume, &flight);
+            self.next_poll_at = if self.poll_in_flight {
+                self.next_poll_at
+            } else {
+                now
+            };
+            return self.retry_fetch(now, volume, &fetch);
         }
         let before = self.map.get(volume).map(|v| v.ranges.clone());
-        let Some(moved) = self.map.cover(&cover) else {
+        let Some(moved) = self.map.apply_fetch(&response) else {
             if self.map.get(volume).is_some() {
                 self.counters.stale_answers += 1;
-                self.later(now, volume, &flight);
+                self.retry_fetch(now, volume, &fetch);
             }
             return;
         };
         self.dirty = true;
-        if self.at.is_none() && self.cfg.strategy != Strategy::Versioned {
-            self.at = Some(cover.version);
+        if self.stream_version.is_none() && self.config.strategy != Strategy::Versioned {
+            self.stream_version = Some(response.version);
         }
-        if flight.turn && moved {
-            for e in &cover.extents {
-                let was = before.as_ref().and_then(|r| r.get(e.first).shard);
-                if was != e.shard {
-                    self.outbox.add(now, *e);
+        if fetch.after_rejection && moved {
+            for extent in &response.extents {
+                let shard_before = before
+                    .as_ref()
+                    .and_then(|ranges| ranges.get(extent.first).shard);
+                if shard_before != extent.shard {
+                    self.outbox.add(now, *extent);
                 }
             }
         }
-        self.provisional.confirmed(now, volume, cover.version);
-        self.confirmed.retain(|c| c.until > now);
-        if self.confirmed.len() < CONFIRMED_MOST {
-            let (first, last, version) = (cover.first, cover.last, cover.version);
-            self.confirmed.push(Confirmed {
-                until: now + CONFIRMED,
+        self.confirmations
+            .record_fetch(now, volume, response.version);
+        self.protected.retain(|range| range.until > now);
+        if self.protected.len() < MAX_PROTECTED_RANGES {
+            let (first, last, version) = (response.first, response.last, response.version);
+            self.protected.push(ProtectedRange {
+                until: now + FETCH_PROTECTION_US,
                 volume,
                 first,
                 last,
@@ -701,78 +789,88 @@
         }
         out.push(Action::Changed {
             volume,
-            first: cover.first,
-            last: cover.last,
+            first: response.first,
+            last: response.last,
         });
-        self.counters.left +=
+        self.counters.evicted_volumes +=
             self.map
-                .shrink(|id| id == volume || self.flights.contains_key(&id)) as u64;
-        if flight.more {
-            self.want(now, volume, None, flight.turn, out);
+                .evict(|id| id == volume || self.in_flight.contains_key(&id)) as u64;
+        if fetch.other_range_requested {
+            self.request_fetch(now, volume, None, fetch.after_rejection, out);
         }
     }
 
-    /// Puts a fetch that brought nothing back in line, after a while.
-    fn later(&mut self, now: Micros, volume: VolumeId, flight: &Flight) {
-        if self.map.get(volume).is_some() && self.wanted.len() < WANTED_MOST {
-            let key = flight.key.filter(|_| !flight.more);
-            self.wanted
-                .insert(volume, (now + AGAIN_FIRST, key, flight.turn));
+    /// Queues a fetch without a usable answer again, after a delay. Drops it if the volume was evicted meanwhile.
+    fn retry_fetch(&mut self, now: Micros, volume: VolumeId, fetch: &InFlightFetch) {
+        if self.map.get(volume).is_some() && self.queued.len() < MAX_QUEUED_FETCHES {
+            let key = fetch.key.filter(|_| !fetch.other_range_requested);
+            self.queued.insert(
+                volume,
+                (now + MIN_RETRY_BACKOFF_US, key, fetch.after_rejection),
+            );
         }
     }
 
     // ---- peers -----------------------------------------------------------------------------------------
 
-    fn on_peer(&mut self, now: Micros, peer: u16, bytes: &[u8], out: &mut Vec<Action>) {
-        self.counters.heard += 1;
+    /// Applies the changes of a peer's datagram that are newer than the stream. They count as unconfirmed until the
+    /// stream reaches their epoch.
+    fn on_peer_update(&mut self, now: Micros, peer: u16, bytes: &[u8], out: &mut Vec<Action>) {
+        self.counters.datagrams_received += 1;
         let (incarnation, changes) = match datagram::decode(bytes) {
-            Ok(news) => news,
-            Err(why) => {
-                self.counters.unreadable += 1;
-                return self.complain(now, Party::Peer(peer), why.to_string(), out);
+            Ok(update) => update,
+            Err(error) => {
+                self.counters.malformed_datagrams += 1;
+                return self.warn(now, Source::Peer(peer), error.to_string(), out);
             }
         };
-        // Of another life of the authority: the stream will tell of it.
-        let Some(at) = self.at.filter(|at| at.incarnation == incarnation) else {
+        // Changes of another incarnation are ignored: a reset of the stream will bring them.
+        let Some(known) = self
+            .stream_version
+            .filter(|known| known.incarnation == incarnation)
+        else {
             return;
         };
-        for c in changes.iter().filter(|c| c.epoch > at.epoch) {
-            if self.map.change(c) {
-                self.counters.peer_news += 1;
-                self.provisional.add(now + UNCONFIRMED, c);
+        for change in changes.iter().filter(|c| c.epoch > known.epoch) {
+            if self.map.apply_change(change) {
+                self.counters.peer_changes += 1;
+                self.confirmations
+                    .add_unconfirmed(now + CONFIRMATION_TIMEOUT_US, change);
                 out.push(Action::Changed {
-                    volume: c.volume,
-                    first: c.first,
-                    last: c.last,
+                    volume: change.volume,
+                    first: change.first,
+                    last: change.last,
                 });
             }
         }
     }
 
-    fn complain(&mut self, now: Micros, who: Party, why: String, out: &mut Vec<Action>) {
-        let quiet = self
-            .complaints
-            .get(&who)
-            .is_some_and(|at| now - at < COMPLAIN);
-        if !quiet {
-            if self.complaints.len() >= WANTED_MOST {
-                self.complaints.clear();
+    /// Emits a warning, unless there was one about the same source within [`WARNING_INTERVAL_US`].
+    fn warn(&mut self, now: Micros, source: Source, reason: String, out: &mut Vec<Action>) {
+        let suppressed = self
+            .last_warnings
+            .get(&source)
+            .is_some_and(|at| now - at < WARNING_INTERVAL_US);
+        if !suppressed {
+            if self.last_warnings.len() >= MAX_QUEUED_FETCHES {
+                self.last_warnings.clear();
             }
-            self.complaints.insert(who, now);
-            out.push(Action::Complain { who, why });
+            self.last_warnings.insert(source, now);
+            out.push(Action::Warn { source, reason });
         }
     }
 
-    /// Volumes whose fetch is out or waits, for tests and figures.
+    /// Volumes with a fetch queued or in flight, for tests and statistics.
     pub fn pending(&self) -> BTreeSet<VolumeId> {
-        self.flights
+        self.in_flight
             .keys()
-            .chain(self.wanted.keys())
+            .chain(self.queued.keys())
             .copied()
             .collect()
     }
 }
 
-fn v_since(map: &Map, volume: VolumeId) -> u64 {
-    map.get(volume).map_or(u64::MAX, |v| v.since)
+/// The epoch from which on a fetch of a volume has every change. Maximal for a volume that is not cached.
+fn min_fetch_epoch(map: &Map, volume: VolumeId) -> u64 {
+    map.get(volume).map_or(u64::MAX, |v| v.min_fetch_epoch)
 }
--- a/crates/extent-map/src/config.rs
+++ b/crates/extent-map/src/config.rs
@@ -1,4 +1,4 @@
-//! The section `[extents]` of the operators' file.
+//! The section `[extents]` of the operator's settings file.
 
 use lupinrack_policy::Micros;
 use schemars::{json_schema, JsonSchema, Schema, SchemaGenerator};
@@ -24,7 +24,7 @@
     Ttl,
 }
 
-/// An address with a port, in the schema.
+/// The schema of an address with a port.
 struct Address;
 
 impl JsonSchema for Address {
@@ -127,25 +127,25 @@
 }
 
 impl Section {
-    /// What the schema cannot say: each fault with its path below the section.
+    /// Finds faults that the schema cannot express, each with its path below the section.
     pub fn faults(&self) -> Vec<(String, String)> {
         let mut faults = Vec::new();
         if self.most_volumes > self.most_extents {
             faults.push((
                 "most_volumes".into(),
-                "more than most_extents: each volume has an extent at least".into(),
+                "more than most_extents, although each volume has at least one extent".into(),
             ));
         }
         if self.peer_listen.is_none() && !self.peers.is_empty() {
             faults.push((
                 "peers".into(),
-                "peers are named, but not where this front hears them (peer_listen)".into(),
+                "peers are set, but not the address on which to receive their datagrams (peer_listen)".into(),
             ));
         }
         let mut seen = HashSet::new();
         for (i, peer) in self.peers.iter().enumerate() {
             if !seen.insert(peer) {
-                faults.push((format!("peers[{i}]"), "this peer stands above".into()));
+                faults.push((format!("peers[{i}]"), "this peer is listed twice".into()));
             }
             if Some(*peer) == self.peer_listen {
                 faults.push((
@@ -159,13 +159,13 @@
         {
             faults.push((
                 "polls_per_s".into(),
-                "fewer polls than the stream needs when nothing moves".into(),
+                "lower than half the rate at which polls without changes end (one per hold_ms)".into(),
             ));
         }
         faults
     }
 
-    /// A span of the section as the cache counts time.
+    /// Converts a duration of the section to the cache's unit.
     pub(crate) fn micros(ms: u32) -> Micros {
         Micros::from(ms) * 1000
     }
--- a/crates/extent-map/src/datagram.rs
+++ b/crates/extent-map/src/datagram.rs
@@ -1,95 +1,99 @@
-//! The datagrams in which fronts tell each other of moves: at most 256 bytes, a version, a checksum.
+//! The datagrams in which fronts send each other changes: at most 256 bytes, with a format version and a checksum.
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
 //! | 2 | `LX` |
-//! | 1 | the form's version, 1 |
-//! | 1 | how many moves follow, 1 to 6 |
-//! | 4 | CRC-32 (IEEE 802.3) of all that follows, big-endian as all numbers |
-//! | 8 | the incarnation of the authority whose epochs these are |
+//! | 1 | format version, 1 |
+//! | 1 | number of changes, 1 to 6 |
+//! | 4 | CRC-32 (IEEE 802.3) of all bytes that follow; big-endian, like all numbers |
+//! | 8 | incarnation of the authority, to which the epochs belong |
 //! | 36 each | volume, first key, last key (8 each), shard (4, all ones: none), epoch (8) |
 
-use crate::words::Change;
+use crate::protocol::Change;
 use lupinrack_policy::VolumeId;
 
-/// The longest datagram that fronts may send each other.
-pub const LONGEST: usize = 256;
-/// Moves in one datagram.
-pub const MOST: usize = (LONGEST - HEAD) / EACH;
-const HEAD: usize = 16;
-const EACH: usize = 36;
-const MARK: [u8; 3] = [b'L', b'X', 1];
+/// The longest valid datagram.
+pub const MAX_DATAGRAM_BYTES: usize = 256;
+/// Changes in one datagram.
+pub const MAX_CHANGES: usize = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / CHANGE_BYTES;
+const HEADER_BYTES: usize = 16;
+const CHANGE_BYTES: usize = 36;
+const MAGIC_AND_VERSION: [u8; 3] = [b'L', b'X', 1];
 
-/// Why a datagram cannot be read.
+/// Why a datagram is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unreadable {
-    /// Too short, too long, or of another length than its count says.
-    #[error("a length that cannot be")]
+pub enum DecodeError {
+    /// Too short, too long, or not the length that its number of changes requires.
+    #[error("invalid datagram length")]
     Length,
-    /// Another program's, or a form that this version does not know.
-    #[error("not a form that is known")]
-    Form,
-    /// Its checksum does not match.
-    #[error("a wrong checksum")]
+    /// From another program, or in an unsupported format version.
+    #[error("unknown datagram format or version")]
+    Format,
+    /// The checksum does not match.
+    #[error("datagram checksum mismatch")]
     Checksum,
-    /// A range that ends before it begins, or an epoch of zero.
-    #[error("a range that cannot be")]
-    Range,
+    /// A change has a last key before its first, or epoch 0.
+    #[error("invalid key range or epoch")]
+    Change,
 }
 
-/// Words moves of one incarnation; at most [`MOST`] of them.
+/// Encodes the first [`MAX_CHANGES`] of the changes, which belong to one incarnation.
 pub fn encode(incarnation: u64, changes: &[Change]) -> Vec<u8> {
-    let changes = &changes[..changes.len().min(MOST)];
-    let mut rest = Vec::with_capacity(LONGEST);
-    rest.extend(incarnation.to_be_bytes());
-    for c in changes {
-        for n in [c.volume.0, c.first, c.last] {
-            rest.extend(n.to_be_bytes());
+    let changes = &changes[..changes.len().min(MAX_CHANGES)];
+    let mut checked = Vec::with_capacity(MAX_DATAGRAM_BYTES);
+    checked.extend(incarnation.to_be_bytes());
+    for change in changes {
+        for number in [change.volume.0, change.first, change.last] {
+            checked.extend(number.to_be_bytes());
         }
-        rest.extend(c.shard.unwrap_or(u32::MAX).to_be_bytes());
-        rest.extend(c.epoch.to_be_bytes());
+        checked.extend(change.shard.unwrap_or(u32::MAX).to_be_bytes());
+        checked.extend(change.epoch.to_be_bytes());
     }
-    let mut bytes = MARK.to_vec();
+    let mut bytes = MAGIC_AND_VERSION.to_vec();
     bytes.push(changes.len() as u8);
-    bytes.extend(crc32fast::hash(&rest).to_be_bytes());
-    bytes.extend(rest);
+    bytes.extend(crc32fast::hash(&checked).to_be_bytes());
+    bytes.extend(checked);
     bytes
 }
 
-/// Reads a datagram: the incarnation, and the moves.
-pub fn decode(bytes: &[u8]) -> Result<(u64, Vec<Change>), Unreadable> {
-    if bytes.len() < HEAD + EACH || bytes.len() > LONGEST {
-        return Err(Unreadable::Length);
+/// Decodes a datagram to the incarnation and the changes.
+pub fn decode(bytes: &[u8]) -> Result<(u64, Vec<Change>), DecodeError> {
+    if bytes.len() < HEADER_BYTES + CHANGE_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
+        return Err(DecodeError::Length);
     }
-    let (head, rest) = bytes.split_at(8);
-    if head[..3] != MARK {
-        return Err(Unreadable::Form);
+    let (head, checked) = bytes.split_at(8);
+    if head[..3] != MAGIC_AND_VERSION {
+        return Err(DecodeError::Format);
     }
-    if rest.len() != 8 + usize::from(head[3]) * EACH {
-        return Err(Unreadable::Length);
+    if checked.len() != 8 + usize::from(head[3]) * CHANGE_BYTES {
+        return Err(DecodeError::Length);
     }
-    if crc32fast::hash(rest).to_be_bytes() != head[4..8] {
-        return Err(Unreadable::Checksum);
+    if crc32fast::hash(checked).to_be_bytes() != head[4..8] {
+        return Err(DecodeError::Checksum);
     }
-    let number = |b: &[u8]| b.iter().fold(0u64, |n, b| n << 8 | u64::from(*b));
-    let one = |b: &[u8]| {
-        let (shard, epoch) = (number(&b[24..28]) as u32, number(&b[28..36]));
-        let c = Change {
-            volume: VolumeId(number(&b[..8])),
-            first: number(&b[8..16]),
-            last: number(&b[16..24]),
-            shard: Some(shard).filter(|s| *s != u32::MAX),
+    let number = |bytes: &[u8]| {
+        bytes
+            .iter()
+            .fold(0u64, |number, byte| number << 8 | u64::from(*byte))
+    };
+    let decode_change = |bytes: &[u8]| {
+        let (shard, epoch) = (number(&bytes[24..28]) as u32, number(&bytes[28..36]));
+        let change = Change {
+            volume: VolumeId(number(&bytes[..8])),
+            first: number(&bytes[8..16]),
+            last: number(&bytes[16..24]),
+            shard: Some(shard).filter(|shard| *shard != u32::MAX),
             epoch,
         };
-        if c.first > c.last || epoch == 0 {
-            Err(Unreadable::Range)
+        if change.first > change.last || epoch == 0 {
+            Err(DecodeError::Change)
         } else {
-            Ok(c)
+            Ok(change)
         }
     };
-    let changes = rest[8..]
-        .chunks_exact(EACH)
-        .map(one)
+    let changes = checked[8..]
+        .chunks_exact(CHANGE_BYTES)
+        .map(decode_change)
         .collect::<Result<_, _>>()?;
-    Ok((number(&rest[..8]), changes))
+    Ok((number(&checked[..8]), changes))
 }
--- a/crates/extent-map/src/map.rs
+++ b/crates/extent-map/src/map.rs
@@ -1,209 +1,228 @@
-//! The map: the extents of the volumes held, bounded in extents and in volumes. Where it is full, the volumes that were
-//! not asked for the longest leave.
+//! The extents of all cached volumes, limited in the numbers of extents and volumes. At a limit the least recently used
+//! volumes are evicted.
 
-use crate::ranges::{Piece, Ranges};
-use crate::words::{Change, Cover};
+use crate::protocol::{Change, FetchResponse};
+use crate::ranges::{KeyRange, Ranges};
 use lupinrack_policy::{Micros, VolumeId};
 use std::collections::HashMap;
 
-/// Pieces in one chunk of a volume's table: small enough that an update moves 4 KiB, large enough that the upper search
-/// stays short. `lupinrack extents bench` measures it against one flat table and a `BTreeMap`.
-pub const CHUNK: usize = 256;
-/// Part of the bound that is left when volumes leave, in eighths: so that not every new volume costs a search.
-const LEAVE_EIGHTHS: usize = 7;
+/// Key ranges in one chunk of a volume's table: an update moves at most 4 KiB, and the search for the chunk stays short.
+/// `benches/ranges.rs` compares it with one flat table and a `BTreeMap`.
+pub const MAX_CHUNK_RANGES: usize = 256;
+/// An eviction goes down to this many eighths of the limits, so that not every new volume needs another one.
+const EVICTION_TARGET_EIGHTHS: usize = 7;
 
 /// What is known of one volume.
 #[derive(Clone, Debug)]
 pub struct Volume {
-    /// Its extents, as far as they are known.
-    pub ranges: Ranges<CHUNK>,
-    /// Whether they are known in full. Where not, only what was told since the entry was made.
-    pub whole: bool,
-    /// They were known in full once, but changes may have been missed since.
-    pub doubt: bool,
-    /// Answers of an earlier epoch than this may lack changes that came while the volume was not held.
-    pub since: u64,
-    /// When it was last asked for.
-    pub used: Micros,
+    /// The known extents.
+    pub ranges: Ranges<MAX_CHUNK_RANGES>,
+    /// Whether all extents are known. Otherwise `ranges` has only the changes received since the volume was added.
+    pub complete: bool,
+    /// Changes may have been missed since the volume was last fetched.
+    pub may_be_stale: bool,
+    /// A fetch of an earlier epoch may lack changes made while the volume was not cached, or changes that were missed.
+    pub min_fetch_epoch: u64,
+    /// When the volume was last located.
+    pub last_used: Micros,
 }
 
-/// All volumes held.
+/// All cached volumes.
 #[derive(Clone, Debug, Default)]
 pub struct Map {
     volumes: HashMap<VolumeId, Volume>,
     extents: usize,
-    most_extents: usize,
-    most_volumes: usize,
+    max_extents: usize,
+    max_volumes: usize,
 }
 
 impl Map {
-    /// An empty map with its bounds.
-    pub fn new(most_extents: usize, most_volumes: usize) -> Map {
+    /// Creates an empty map with its limits.
+    pub fn new(max_extents: usize, max_volumes: usize) -> Map {
         Map {
-            most_extents,
-            most_volumes: most_volumes.max(1),
+            max_extents,
+            max_volumes: max_volumes.max(1),
             ..Map::default()
         }
     }
 
-    /// Volumes held.
+    /// Number of cached volumes.
     pub fn volumes(&self) -> usize {
         self.volumes.len()
     }
 
-    /// Extents held.
+    /// Number of cached extents, including key ranges that no extent covers.
     pub fn extents(&self) -> usize {
         self.extents
     }
 
-    /// A volume, where it is held.
+    /// A volume, if it is cached.
     pub fn get(&self, volume: VolumeId) -> Option<&Volume> {
         self.volumes.get(&volume)
     }
 
-    /// The same, and marks it as asked for now.
-    pub fn ask(&mut self, now: Micros, volume: VolumeId) -> Option<&Volume> {
-        let v = self.volumes.get_mut(&volume)?;
-        v.used = now;
-        Some(v)
+    /// A volume, if it is cached. Marks it as used now.
+    pub fn touch(&mut self, now: Micros, volume: VolumeId) -> Option<&Volume> {
+        let cached = self.volumes.get_mut(&volume)?;
+        cached.last_used = now;
+        Some(cached)
     }
 
-    /// All volumes held, in no order.
+    /// All cached volumes, in no order.
     pub fn iter(&self) -> impl Iterator<Item = (VolumeId, &Volume)> {
-        self.volumes.iter().map(|(id, v)| (*id, v))
+        self.volumes.iter().map(|(id, volume)| (*id, volume))
     }
 
-    /// Makes an entry that waits for its extents; changes from now on are kept in it.
-    pub fn expect(&mut self, now: Micros, volume: VolumeId, since: u64) {
+    /// Adds a volume before its fetch is answered, so that changes received meanwhile are kept. Does nothing if the
+    /// volume is cached.
+    pub fn add_pending(&mut self, now: Micros, volume: VolumeId, min_fetch_epoch: u64) {
         self.volumes.entry(volume).or_insert_with(|| {
             self.extents += 1;
             Volume {
-                ranges: Ranges::new(since),
-                whole: false,
-                doubt: false,
-                since,
-                used: now,
+                ranges: Ranges::new(min_fetch_epoch),
+                complete: false,
+                may_be_stale: false,
+                min_fetch_epoch,
+                last_used: now,
             }
         });
     }
 
-    /// Takes a change in, where its volume is held. Tells whether anything moved.
-    pub fn change(&mut self, c: &Change) -> bool {
-        let Some(v) = self.volumes.get_mut(&c.volume) else {
+    /// Applies a change if its volume is cached. Returns whether any key changed its shard.
+    pub fn apply_change(&mut self, change: &Change) -> bool {
+        let Some(cached) = self.volumes.get_mut(&change.volume) else {
             return false;
         };
-        if !v.ranges.fits(c.epoch) {
-            // Four thousand million changes after the base: known no more, and fetched on need.
-            v.doubt = true;
+        if !cached.ranges.can_store(change.epoch) {
+            // 2^32 changes after the base epoch, the table cannot store the epoch: the volume has to be fetched.
+            cached.may_be_stale = true;
             return false;
         }
-        let before = v.ranges.len();
-        let moved = v
-            .ranges
-            .set(c.first, c.last, c.shard, c.epoch, c.epoch.saturating_sub(1));
-        self.extents = self.extents + v.ranges.len() - before;
+        let before = cached.ranges.len();
+        let moved = cached.ranges.set(
+            change.first,
+            change.last,
+            change.shard,
+            change.epoch,
+            change.epoch.saturating_sub(1),
+        );
+        self.extents = self.extents + cached.ranges.len() - before;
         moved
     }
 
-    /// Takes an answer on a volume in. What is known of later epochs than the answer's stays. None where the volume
-    /// is not held (any more) or the answer may lack changes; else whether anything moved.
-    pub fn cover(&mut self, cover: &Cover) -> Option<bool> {
-        let epoch = cover.version.epoch;
-        let v = self.volumes.get_mut(&cover.volume)?;
-        let whole = cover.first == 0 && cover.last == u64::MAX;
-        if (!v.whole || v.doubt) && (!whole || epoch < v.since) {
+    /// Applies the answer to a fetch, except where a later epoch is known. Returns whether any key changed its shard;
+    /// `None` if the volume is not cached (any more), or the answer may lack changes.
+    pub fn apply_fetch(&mut self, response: &FetchResponse) -> Option<bool> {
+        let epoch = response.version.epoch;
+        let cached = self.volumes.get_mut(&response.volume)?;
+        let complete = response.first == 0 && response.last == u64::MAX;
+        if (!cached.complete || cached.may_be_stale)
+            && (!complete || epoch < cached.min_fetch_epoch)
+        {
             return None;
         }
-        let before = v.ranges.len();
+        let before = cached.ranges.len();
         let mut moved = false;
-        if whole && v.ranges.is_empty() {
-            v.ranges = Ranges::new(epoch);
+        if complete && cached.ranges.is_empty() {
+            cached.ranges = Ranges::new(epoch);
         }
-        // Gaps first, as of the answer: what the extents leave open is covered by none.
-        let mut next = Some(cover.first);
-        for e in &cover.extents {
-            if let Some(gap) = next.filter(|n| *n < e.first) {
-                moved |= v.ranges.set(gap, e.first - 1, None, epoch, epoch);
+        // No extent covers the gaps between the extents, as of the epoch of the answer.
+        let mut next = Some(response.first);
+        for extent in &response.extents {
+            if let Some(gap) = next.filter(|next| *next < extent.first) {
+                moved |= cached
+                    .ranges
+                    .set(gap, extent.first - 1, None, epoch, epoch);
             }
-            moved |= v
-                .ranges
-                .set(e.first, e.last, e.shard, e.epoch.min(epoch), epoch);
-            next = e.last.checked_add(1);
+            moved |= cached.ranges.set(
+                extent.first,
+                extent.last,
+                extent.shard,
+                extent.epoch.min(epoch),
+                epoch,
+            );
+            next = extent.last.checked_add(1);
         }
-        if let Some(gap) = next.filter(|n| *n <= cover.last) {
-            moved |= v.ranges.set(gap, cover.last, None, epoch, epoch);
+        if let Some(gap) = next.filter(|next| *next <= response.last) {
+            moved |= cached.ranges.set(gap, response.last, None, epoch, epoch);
         }
-        if whole {
-            (v.whole, v.doubt) = (true, false);
+        if complete {
+            (cached.complete, cached.may_be_stale) = (true, false);
         }
-        self.extents = self.extents + v.ranges.len() - before;
+        self.extents = self.extents + cached.ranges.len() - before;
         Some(moved)
     }
 
-    /// Marks a volume as one that may have missed changes up to an epoch.
-    pub fn doubt(&mut self, volume: VolumeId, since: u64) {
-        if let Some(v) = self.volumes.get_mut(&volume) {
-            (v.doubt, v.since) = (true, v.since.max(since));
+    /// Marks a volume that may have missed changes up to an epoch.
+    pub fn mark_stale(&mut self, volume: VolumeId, epoch: u64) {
+        if let Some(cached) = self.volumes.get_mut(&volume) {
+            (cached.may_be_stale, cached.min_fetch_epoch) =
+                (true, cached.min_fetch_epoch.max(epoch));
         }
     }
 
-    /// The same for all, but for those that were fetched as of that epoch or later.
-    pub fn doubt_all(&mut self, since: u64) {
-        for v in self
+    /// Marks all volumes that may have missed changes up to an epoch: all but those fetched as of that epoch or later.
+    pub fn mark_all_stale(&mut self, epoch: u64) {
+        for cached in self
             .volumes
             .values_mut()
-            .filter(|v| !v.whole || v.ranges.base() < since)
+            .filter(|cached| !cached.complete || cached.ranges.base_epoch() < epoch)
         {
-            (v.doubt, v.since) = (true, v.since.max(since));
+            (cached.may_be_stale, cached.min_fetch_epoch) =
+                (true, cached.min_fetch_epoch.max(epoch));
         }
     }
 
-    /// Forgets everything.
+    /// Removes all volumes.
     pub fn clear(&mut self) {
         self.volumes.clear();
         self.extents = 0;
     }
 
-    /// Has the volumes that were not asked for the longest leave, where the map is over a bound; `keep` stay. Tells
-    /// how many left.
-    pub fn shrink(&mut self, keep: impl Fn(VolumeId) -> bool) -> usize {
-        if self.extents <= self.most_extents && self.volumes.len() <= self.most_volumes {
+    /// Evicts the least recently used volumes if the map is over a limit, except those to `keep`. Returns how many were
+    /// evicted.
+    pub fn evict(&mut self, keep: impl Fn(VolumeId) -> bool) -> usize {
+        if self.extents <= self.max_extents && self.volumes.len() <= self.max_volumes {
             return 0;
         }
-        let mut old: Vec<(Micros, VolumeId)> = self
+        let mut candidates: Vec<(Micros, VolumeId)> = self
             .volumes
             .iter()
             .filter(|(id, _)| !keep(**id))
-            .map(|(id, v)| (v.used, *id))
+            .map(|(id, cached)| (cached.last_used, *id))
             .collect();
-        old.sort_unstable();
-        let (extents, volumes) = (
-            self.most_extents / 8 * LEAVE_EIGHTHS,
-            self.most_volumes.div_ceil(8) * LEAVE_EIGHTHS,
+        candidates.sort_unstable();
+        let (target_extents, target_volumes) = (
+            self.max_extents / 8 * EVICTION_TARGET_EIGHTHS,
+            self.max_volumes.div_ceil(8) * EVICTION_TARGET_EIGHTHS,
         );
-        let mut left = 0;
-        for (_, id) in old {
-            if self.extents <= extents && self.volumes.len() <= volumes.min(self.most_volumes) {
+        let mut evicted = 0;
+        for (_, id) in candidates {
+            if self.extents <= target_extents
+                && self.volumes.len() <= target_volumes.min(self.max_volumes)
+            {
                 break;
             }
-            if let Some(v) = self.volumes.remove(&id) {
-                self.extents -= v.ranges.len();
-                left += 1;
+            if let Some(cached) = self.volumes.remove(&id) {
+                self.extents -= cached.ranges.len();
+                evicted += 1;
             }
         }
-        left
+        evicted
     }
 
-    /// The piece of a volume that covers a key, where the volume is held.
-    pub fn piece(&self, volume: VolumeId, key: u64) -> Option<Piece> {
-        self.volumes.get(&volume).map(|v| v.ranges.get(key))
+    /// The key range that contains a key, if the volume is cached.
+    pub fn range_of(&self, volume: VolumeId, key: u64) -> Option<KeyRange> {
+        self.volumes
+            .get(&volume)
+            .map(|cached| cached.ranges.get(key))
     }
 
-    /// Memory held by the tables, in bytes.
-    pub fn bytes(&self) -> usize {
+    /// Memory used by the tables, in bytes.
+    pub fn memory_bytes(&self) -> usize {
         self.volumes
             .values()
-            .map(|v| v.ranges.bytes() + size_of::<(VolumeId, Volume)>())
+            .map(|cached| cached.ranges.memory_bytes() + size_of::<(VolumeId, Volume)>())
             .sum()
     }
 }
--- a/crates/extent-map/src/peers.rs
+++ b/crates/extent-map/src/peers.rs
@@ -1,160 +1,178 @@
-//! What fronts tell each other: moves that a wrong turn showed and the stream has not brought yet, and what is to be
-//! thought of those that were heard.
+//! The exchange of changes between fronts: the changes to send to the peers, and the changes received from them that the
+//! authority has not confirmed yet.
 
-use crate::budget::Budget;
-use crate::datagram::{self, MOST};
-use crate::words::{Change, Version};
+use crate::datagram::{self, MAX_CHANGES};
+use crate::protocol::{Change, Version};
+use crate::token_bucket::TokenBucket;
 use lupinrack_policy::{Micros, VolumeId};
 use std::collections::{BTreeMap, HashMap};
 
-/// How long moves are gathered before they are told.
-const GATHER: Micros = 50_000;
-/// Moves that wait; beyond it the oldest epoch makes way.
-const WAITING_MOST: usize = 1_024;
-/// Moves that were heard and wait for the stream; further ones are applied all the same, and the stream corrects them.
-const UNCONFIRMED_MOST: usize = 1_024;
-/// Volumes of which the last fetch is remembered.
-const FETCHED_MOST: usize = 200_000;
-
-/// Moves to be told. What the stream has brought meanwhile is dropped: it has told the peers, too.
+/// How long changes are collected before a datagram is sent.
+const BATCH_DELAY_US: Micros = 50_000;
+/// Changes waiting to be sent. Beyond this limit the one with the oldest epoch is dropped.
+const MAX_PENDING_CHANGES: usize = 1_024;
+/// Changes tracked until the stream confirms them. Further ones are applied without tracking; if they are wrong, the
+/// stream corrects them.
+const MAX_UNCONFIRMED_CHANGES: usize = 1_024;
+/// Volumes whose last fetch is remembered.
+const MAX_TRACKED_FETCHES: usize = 200_000;
+
+/// Changes to send to the peers: moves found by a node's rejection that the stream has not brought yet. A change is
+/// dropped once the stream has brought it, because the peers receive the same stream.
 #[derive(Debug)]
 pub(crate) struct Outbox {
-    on: bool,
-    budget: Budget,
-    waiting: BTreeMap<(VolumeId, u64), Change>,
-    since: Option<Micros>,
+    enabled: bool,
+    budget: TokenBucket,
+    /// By volume and first key.
+    pending: BTreeMap<(VolumeId, u64), Change>,
+    /// When the first pending change was added.
+    pending_since: Option<Micros>,
 }
 
 impl Outbox {
-    pub(crate) fn new(now: Micros, on: bool, rate: f64) -> Outbox {
+    pub(crate) fn new(now: Micros, enabled: bool, datagrams_per_s: f64) -> Outbox {
         Outbox {
-            on,
-            budget: Budget::new(now, rate, rate.max(1.0)),
-            waiting: BTreeMap::new(),
-            since: None,
+            enabled,
+            budget: TokenBucket::new(now, datagrams_per_s, datagrams_per_s.max(1.0)),
+            pending: BTreeMap::new(),
+            pending_since: None,
         }
     }
 
-    /// Takes a move in; of two on one range the later counts.
+    /// Adds a change. Of two changes with the same volume and first key, the one with the later epoch is kept.
     pub(crate) fn add(&mut self, now: Micros, change: Change) {
-        if !self.on {
+        if !self.enabled {
             return;
         }
-        self.since = self.since.or(Some(now));
-        let waits = self
-            .waiting
+        self.pending_since = self.pending_since.or(Some(now));
+        let kept = self
+            .pending
             .entry((change.volume, change.first))
             .or_insert(change);
-        if waits.epoch < change.epoch {
-            *waits = change;
+        if kept.epoch < change.epoch {
+            *kept = change;
         }
-        if self.waiting.len() > WAITING_MOST {
+        if self.pending.len() > MAX_PENDING_CHANGES {
             let oldest = self
-                .waiting
+                .pending
                 .iter()
-                .min_by_key(|(_, c)| c.epoch)
-                .map(|(at, _)| *at);
-            oldest.map(|at| self.waiting.remove(&at));
+                .min_by_key(|(_, change)| change.epoch)
+                .map(|(key, _)| *key);
+            oldest.map(|key| self.pending.remove(&key));
         }
     }
 
-    pub(crate) fn reached(&mut self, epoch: u64) {
-        self.waiting.retain(|_, c| c.epoch > epoch);
+    /// Drops the changes up to the epoch that the stream has reached.
+    pub(crate) fn discard_up_to(&mut self, epoch: u64) {
+        self.pending.retain(|_, change| change.epoch > epoch);
     }
 
     pub(crate) fn clear(&mut self) {
-        self.waiting.clear();
+        self.pending.clear();
     }
 
-    /// The next datagram, where one is due and within the budget.
-    pub(crate) fn next(&mut self, now: Micros, incarnation: u64) -> Option<Vec<u8>> {
-        if self.waiting.is_empty() {
-            self.since = None;
+    /// Returns a datagram with pending changes if one is due and within the budget.
+    pub(crate) fn next_datagram(&mut self, now: Micros, incarnation: u64) -> Option<Vec<u8>> {
+        if self.pending.is_empty() {
+            self.pending_since = None;
             return None;
         }
-        if self.since.is_none_or(|s| now < s + GATHER) || !self.budget.take(now) {
+        if self
+            .pending_since
+            .is_none_or(|since| now < since + BATCH_DELAY_US)
+            || !self.budget.try_take(now)
+        {
             return None;
         }
-        let mut changes = Vec::with_capacity(MOST);
-        while let Some((_, c)) = (changes.len() < MOST)
-            .then(|| self.waiting.pop_first())
+        let mut changes = Vec::with_capacity(MAX_CHANGES);
+        while let Some((_, change)) = (changes.len() < MAX_CHANGES)
+            .then(|| self.pending.pop_first())
             .flatten()
         {
-            changes.push(c);
+            changes.push(change);
         }
         Some(datagram::encode(incarnation, &changes))
     }
 
-    pub(crate) fn due(&mut self, now: Micros) -> Option<Micros> {
-        let since = self.since.filter(|_| !self.waiting.is_empty())?;
-        Some((since + GATHER).max(self.budget.next(now)))
+    /// When the next datagram is due.
+    pub(crate) fn next_send_at(&mut self, now: Micros) -> Option<Micros> {
+        let since = self.pending_since.filter(|_| !self.pending.is_empty())?;
+        Some((since + BATCH_DELAY_US).max(self.budget.next_token_at(now)))
     }
 }
 
-/// What was heard from peers and the stream has not reached yet, and what was fetched when.
+/// Tracks which changes from peers the stream has not confirmed yet, and the last fetch of each volume.
 #[derive(Debug, Default)]
-pub(crate) struct Provisional {
-    heard: Vec<(Micros, VolumeId, u64)>,
-    fetched: HashMap<VolumeId, (Micros, Version)>,
+pub(crate) struct ConfirmationTracker {
+    /// When the change expires, its volume, and its epoch.
+    unconfirmed: Vec<(Micros, VolumeId, u64)>,
+    /// The time and version of the last fetch.
+    fetches: HashMap<VolumeId, (Micros, Version)>,
 }
 
-impl Provisional {
-    pub(crate) fn add(&mut self, until: Micros, c: &Change) {
-        if self.heard.len() < UNCONFIRMED_MOST {
-            self.heard.push((until, c.volume, c.epoch));
+impl ConfirmationTracker {
+    pub(crate) fn add_unconfirmed(&mut self, expires_at: Micros, change: &Change) {
+        if self.unconfirmed.len() < MAX_UNCONFIRMED_CHANGES {
+            self.unconfirmed
+                .push((expires_at, change.volume, change.epoch));
         }
     }
 
-    /// The stream has come to this epoch: what was heard of it or before is superseded.
-    pub(crate) fn reached(&mut self, epoch: u64) {
-        self.heard.retain(|h| h.2 > epoch);
+    /// The stream has reached an epoch: changes up to it are confirmed or overwritten.
+    pub(crate) fn confirm_up_to(&mut self, epoch: u64) {
+        self.unconfirmed.retain(|change| change.2 > epoch);
     }
 
     pub(crate) fn clear(&mut self) {
-        self.heard.clear();
-        self.fetched.clear();
+        self.unconfirmed.clear();
+        self.fetches.clear();
     }
 
-    pub(crate) fn due(&self) -> Option<Micros> {
-        self.heard.iter().map(|h| h.0).min()
+    pub(crate) fn next_expiry(&self) -> Option<Micros> {
+        self.unconfirmed.iter().map(|change| change.0).min()
     }
 
-    /// Volumes with something that was never confirmed, where the stream is well: they are to be fetched anew.
-    pub(crate) fn expired(&mut self, now: Micros, well: bool) -> Vec<(VolumeId, u64)> {
-        let late: Vec<_> = self
-            .heard
+    /// Removes the expired changes and returns their volumes, which have to be fetched, each with the epoch from which
+    /// on a fetch is accepted (any). While polls fail, the peers may know more than this front: nothing is returned, and
+    /// the expiry is extended.
+    pub(crate) fn take_expired(
+        &mut self,
+        now: Micros,
+        polls_succeed: bool,
+    ) -> Vec<(VolumeId, u64)> {
+        let expired: Vec<_> = self
+            .unconfirmed
             .iter()
-            .filter(|h| h.0 <= now)
-            .map(|h| (h.1, 0))
+            .filter(|change| change.0 <= now)
+            .map(|change| (change.1, 0))
             .collect();
-        match well {
-            true => self.heard.retain(|h| h.0 > now),
-            // While the authority is silent peers may well be right: they are asked about again later.
+        match polls_succeed {
+            true => self.unconfirmed.retain(|change| change.0 > now),
             false => self
-                .heard
+                .unconfirmed
                 .iter_mut()
-                .filter(|h| h.0 <= now)
-                .for_each(|h| h.0 = now + 1_000_000),
+                .filter(|change| change.0 <= now)
+                .for_each(|change| change.0 = now + 1_000_000),
         }
-        if well {
-            late
+        if polls_succeed {
+            expired
         } else {
             Vec::new()
         }
     }
 
-    pub(crate) fn confirmed(&mut self, now: Micros, volume: VolumeId, version: Version) {
-        if self.fetched.len() >= FETCHED_MOST {
-            self.fetched.clear();
+    pub(crate) fn record_fetch(&mut self, now: Micros, volume: VolumeId, version: Version) {
+        if self.fetches.len() >= MAX_TRACKED_FETCHES {
+            self.fetches.clear();
         }
-        self.fetched.insert(volume, (now, version));
+        self.fetches.insert(volume, (now, version));
     }
 
-    pub(crate) fn fetched(&self, volume: VolumeId) -> Option<Micros> {
-        self.fetched.get(&volume).map(|f| f.0)
+    pub(crate) fn fetched_at(&self, volume: VolumeId) -> Option<Micros> {
+        self.fetches.get(&volume).map(|fetch| fetch.0)
     }
 
-    pub(crate) fn version(&self, volume: VolumeId) -> Option<Version> {
-        self.fetched.get(&volume).map(|f| f.1)
+    pub(crate) fn fetched_version(&self, volume: VolumeId) -> Option<Version> {
+        self.fetches.get(&volume).map(|fetch| fetch.1)
     }
 }
--- a/crates/extent-map/src/snapshot.rs
+++ b/crates/extent-map/src/snapshot.rs
@@ -1,71 +1,74 @@
-//! The map as a file, for a front that starts again: a mark, a checksum, and the volumes known in full.
+//! The map in a file, so that a restarted front need not fetch it: magic bytes, a checksum, and the volumes that are
+//! known completely.
 
 use crate::map::{Map, Volume};
-use crate::words::{Change, Cover, Version};
+use crate::protocol::{Change, FetchResponse, Version};
 use lupinrack_policy::{Micros, VolumeId};
 
-const MARK: &[u8; 8] = b"LXMAP\0\0\x01";
-const HEAD: usize = 12;
+const MAGIC_AND_VERSION: &[u8; 8] = b"LXMAP\0\0\x01";
+const HEADER_BYTES: usize = 12;
 
-/// Why a file cannot be used.
+/// Why a snapshot cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum Unusable {
-    /// It is not such a file, or of another version.
+pub enum DecodeError {
+    /// The file is not a snapshot, or has another format version.
     #[error("not a snapshot of this version")]
-    Mark,
-    /// Its checksum does not match.
-    #[error("a wrong checksum")]
+    Magic,
+    /// The checksum does not match.
+    #[error("snapshot checksum mismatch")]
     Checksum,
-    /// What the checksum covers cannot be read.
+    /// The body cannot be decoded, although its checksum matches.
     #[error("{0}")]
-    Form(#[from] postcard::Error),
+    Body(#[from] postcard::Error),
 }
 
-/// Words the map; volumes in doubt are left out.
+/// Encodes the map. Volumes that are incomplete or may be stale are left out.
 pub fn encode(version: Version, map: &Map) -> Vec<u8> {
-    let known = |(id, v): (VolumeId, &Volume)| (v.whole && !v.doubt).then(|| cover(version, id, v));
-    let mut volumes: Vec<Cover> = map.iter().filter_map(known).collect();
-    volumes.sort_unstable_by_key(|c| c.volume);
+    let current = |(id, volume): (VolumeId, &Volume)| {
+        (volume.complete && !volume.may_be_stale).then(|| as_response(version, id, volume))
+    };
+    let mut volumes: Vec<FetchResponse> = map.iter().filter_map(current).collect();
+    volumes.sort_unstable_by_key(|response| response.volume);
     let body = postcard::to_allocvec(&(version, volumes)).unwrap_or_default();
-    let mut bytes = MARK.to_vec();
+    let mut bytes = MAGIC_AND_VERSION.to_vec();
     bytes.extend(crc32fast::hash(&body).to_be_bytes());
     bytes.extend(body);
     bytes
 }
 
-/// A volume as an answer on it would have it.
-pub fn cover(version: Version, volume: VolumeId, v: &Volume) -> Cover {
-    let pieces = v.ranges.iter().filter(|p| p.shard.is_some());
-    let change = |p: crate::Piece| Change {
+/// A volume in the form in which the authority answers a fetch of it.
+pub fn as_response(version: Version, volume: VolumeId, cached: &Volume) -> FetchResponse {
+    let covered = cached.ranges.iter().filter(|range| range.shard.is_some());
+    let change = |range: crate::KeyRange| Change {
         volume,
-        first: p.first,
-        last: p.last,
-        shard: p.shard,
-        epoch: p.epoch,
+        first: range.first,
+        last: range.last,
+        shard: range.shard,
+        epoch: range.epoch,
     };
-    Cover {
+    FetchResponse {
         version,
         volume,
         first: 0,
         last: u64::MAX,
-        extents: pieces.map(change).collect(),
+        extents: covered.map(change).collect(),
     }
 }
 
-/// Reads such a file into an empty map; tells the version to go on from.
-pub fn decode(now: Micros, bytes: &[u8], map: &mut Map) -> Result<Version, Unusable> {
-    if bytes.len() < HEAD || !bytes.starts_with(MARK) {
-        return Err(Unusable::Mark);
+/// Decodes a snapshot into an empty map. Returns the version from which the stream continues.
+pub fn decode(now: Micros, bytes: &[u8], map: &mut Map) -> Result<Version, DecodeError> {
+    if bytes.len() < HEADER_BYTES || !bytes.starts_with(MAGIC_AND_VERSION) {
+        return Err(DecodeError::Magic);
     }
-    let (head, body) = bytes.split_at(HEAD);
-    if crc32fast::hash(body).to_be_bytes() != head[8..] {
-        return Err(Unusable::Checksum);
+    let (header, body) = bytes.split_at(HEADER_BYTES);
+    if crc32fast::hash(body).to_be_bytes() != header[8..] {
+        return Err(DecodeError::Checksum);
     }
-    let (version, volumes): (Version, Vec<Cover>) = postcard::from_bytes(body)?;
-    for cover in &volumes {
-        map.expect(now, cover.volume, 0);
-        map.cover(cover);
-        map.shrink(|_| false);
+    let (version, volumes): (Version, Vec<FetchResponse>) = postcard::from_bytes(body)?;
+    for response in &volumes {
+        map.add_pending(now, response.volume, 0);
+        map.apply_fetch(response);
+        map.evict(|_| false);
     }
     Ok(version)
 }
--- a/crates/extent-map/tests/cache.rs
+++ b/crates/extent-map/tests/cache.rs
@@ -1,12 +1,13 @@
-//! The cache against a naive authority under random changes, losses, reorders and lies; and each hard case by itself.
+//! The cache against a naive model of the authority: single cases, and random runs with lost, late, reordered and
+//! repeated answers.
 
 use lupinrack_extent_map::config::{Section, Strategy};
 use lupinrack_extent_map::*;
 use lupinrack_policy::{Key, Micros, Shard, VolumeId};
 use std::collections::BTreeMap;
 
-const S: Micros = 1_000_000;
-const MS: Micros = 1_000;
+const SECOND_US: Micros = 1_000_000;
+const MILLISECOND_US: Micros = 1_000;
 
 fn section() -> Section {
     Section {
@@ -15,15 +16,15 @@
     }
 }
 
-/// The authority, naively: every change ever made.
-struct Truth {
+/// A naive model of the authority, which keeps every change.
+struct ModelAuthority {
     version: Version,
     changes: Vec<Change>,
 }
 
-impl Truth {
-    fn new() -> Truth {
-        Truth {
+impl ModelAuthority {
+    fn new() -> ModelAuthority {
+        ModelAuthority {
             version: Version {
                 incarnation: 5,
                 epoch: 0,
@@ -45,53 +46,54 @@
         change
     }
 
-    fn shard(&self, volume: u64, key: u64) -> Option<u32> {
-        self.change_at(volume, key).and_then(|c| c.shard)
+    fn shard_of(&self, volume: u64, key: u64) -> Option<u32> {
+        self.last_change_of(volume, key).and_then(|c| c.shard)
     }
 
-    fn change_at(&self, volume: u64, key: u64) -> Option<&Change> {
+    fn last_change_of(&self, volume: u64, key: u64) -> Option<&Change> {
         self.changes
             .iter()
             .rev()
             .find(|c| c.volume.0 == volume && (c.first..=c.last).contains(&key))
     }
 
-    fn news(&self, from: u64) -> News {
+    /// The changes after an epoch.
+    fn poll_response(&self, from: u64) -> PollResponse {
         let changes = self
             .changes
             .iter()
             .filter(|c| c.epoch > from)
             .copied()
             .collect();
-        News {
+        PollResponse {
             version: self.version,
             reset: false,
-            whole: false,
+            full_map: false,
             changes,
         }
     }
 
-    /// The extents of a volume, cut at every bound of every change.
-    fn cover(&self, volume: u64, within: (u64, u64)) -> Cover {
+    /// The extents of a volume within a key range, split at the bounds of all changes.
+    fn fetch_response(&self, volume: u64, within: (u64, u64)) -> FetchResponse {
         let mut cuts: Vec<u64> = vec![within.0];
         for c in self.changes.iter().filter(|c| c.volume.0 == volume) {
             cuts.push(c.first);
             cuts.extend(c.last.checked_add(1));
         }
-        cuts.retain(|c| (within.0..=within.1).contains(c));
+        cuts.retain(|cut| (within.0..=within.1).contains(cut));
         cuts.sort_unstable();
         cuts.dedup();
-        let ends = cuts.iter().skip(1).map(|c| c - 1).chain([within.1]);
-        let spans = cuts.iter().zip(ends);
+        let lasts = cuts.iter().skip(1).map(|cut| cut - 1).chain([within.1]);
+        let spans = cuts.iter().zip(lasts);
         let extent = |(first, last): (&u64, u64)| {
-            self.change_at(volume, *first).map(|c| Change {
+            self.last_change_of(volume, *first).map(|c| Change {
                 first: *first,
                 last,
                 ..*c
             })
         };
         let extents = spans.filter_map(extent).collect();
-        Cover {
+        FetchResponse {
             version: self.version,
             volume: VolumeId(volume),
             first: within.0,
@@ -100,12 +102,12 @@
         }
     }
 
-    fn whole(&self, volume: u64) -> Cover {
-        self.cover(volume, (0, u64::MAX))
+    fn volume_response(&self, volume: u64) -> FetchResponse {
+        self.fetch_response(volume, (0, u64::MAX))
     }
 }
 
-/// A cache, its time, and what it asked for.
+/// A cache, the simulated time, and the actions not taken yet.
 struct Front {
     cache: Cache,
     now: Micros,
@@ -123,22 +125,22 @@
         front
     }
 
-    /// One that has the whole truth.
-    fn informed(section: Section, truth: &Truth) -> Front {
+    /// A front that has received the stream and fetched all volumes.
+    fn with_all_volumes(section: Section, authority: &ModelAuthority) -> Front {
         let mut front = Front::new(section);
-        let reset = News {
+        let reset = PollResponse {
             reset: true,
-            whole: true,
-            ..truth.news(0)
+            full_map: true,
+            ..authority.poll_response(0)
         };
         front.handle(Input::Polled(Ok(reset)));
         let volumes: std::collections::BTreeSet<u64> =
-            truth.changes.iter().map(|c| c.volume.0).collect();
+            authority.changes.iter().map(|c| c.volume.0).collect();
         for volume in volumes {
             front.locate(volume, 0);
-            front.fetched(volume, truth.whole(volume));
+            front.answer_fetch(volume, authority.volume_response(volume));
         }
-        front.take();
+        front.take_actions();
         front
     }
 
@@ -146,20 +148,26 @@
         self.cache.handle(self.now, input, &mut self.out);
     }
 
-    fn locate(&mut self, volume: u64, key: u64) -> Place {
+    fn locate(&mut self, volume: u64, key: u64) -> Location {
         self.cache
             .locate(self.now, VolumeId(volume), Key(key), &mut self.out)
     }
 
-    fn fetched(&mut self, volume: u64, cover: Cover) {
+    fn answer_fetch(&mut self, volume: u64, response: FetchResponse) {
         self.handle(Input::Fetched {
             volume: VolumeId(volume),
-            answer: Ok(cover),
+            answer: Ok(response),
         });
     }
 
-    fn turn(&mut self, volume: u64, key: u64, asked: u32, hint: Option<Version>) -> Turn {
-        self.cache.wrong_turn(
+    fn reject(
+        &mut self,
+        volume: u64,
+        key: u64,
+        asked: u32,
+        hint: Option<Version>,
+    ) -> Reroute {
+        self.cache.on_wrong_shard(
             self.now,
             (VolumeId(volume), Key(key)),
             Shard(asked),
@@ -168,184 +176,190 @@
         )
     }
 
-    /// Takes what it asked for so far.
-    fn take(&mut self) -> Vec<Action> {
+    /// Takes the actions emitted so far.
+    fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.out)
     }
 
-    fn pass(&mut self, span: Micros) {
-        let end = self.now + span;
+    /// Passes the timer every 10 ms until the time is over.
+    fn advance(&mut self, duration: Micros) {
+        let end = self.now + duration;
         while self.now < end {
-            self.now = (self.now + 10 * MS).min(end);
+            self.now = (self.now + 10 * MILLISECOND_US).min(end);
             self.handle(Input::Timer);
         }
     }
 }
 
-fn fetches(actions: &[Action]) -> usize {
+fn count_fetches(actions: &[Action]) -> usize {
     actions
         .iter()
         .filter(|a| matches!(a, Action::Fetch { .. }))
         .count()
 }
 
-fn polls(actions: &[Action]) -> usize {
+fn count_polls(actions: &[Action]) -> usize {
     actions
         .iter()
         .filter(|a| matches!(a, Action::Poll { .. }))
         .count()
 }
 
-fn at(shard: u32) -> Place {
-    Place::At(Shard(shard))
+fn on_shard(shard: u32) -> Location {
+    Location::OnShard(Shard(shard))
 }
 
 #[test]
-fn a_volume_is_fetched_on_need_once_however_many_ask() {
-    let mut truth = Truth::new();
-    truth.put(1, 0, 99, 3);
-    let mut f = Front::new(section());
-    f.handle(Input::Polled(Ok(News {
+fn concurrent_requests_for_a_volume_cause_one_fetch() {
+    let mut authority = ModelAuthority::new();
+    authority.put(1, 0, 99, 3);
+    let mut front = Front::new(section());
+    front.handle(Input::Polled(Ok(PollResponse {
         reset: true,
-        ..truth.news(truth.version.epoch)
+        ..authority.poll_response(authority.version.epoch)
     })));
-    f.take();
+    front.take_actions();
     for key in 0..50 {
-        assert_eq!(f.locate(1, key), Place::Unknown);
+        assert_eq!(front.locate(1, key), Location::Unknown);
     }
-    assert_eq!(fetches(&f.take()), 1);
-    f.fetched(1, truth.whole(1));
-    assert!(f.out.contains(&Action::Changed {
+    assert_eq!(count_fetches(&front.take_actions()), 1);
+    front.answer_fetch(1, authority.volume_response(1));
+    assert!(front.out.contains(&Action::Changed {
         volume: VolumeId(1),
         first: 0,
         last: u64::MAX
     }));
     assert_eq!(
-        (f.locate(1, 99), f.locate(1, 100)),
-        (at(3), Place::Uncovered)
+        (front.locate(1, 99), front.locate(1, 100)),
+        (on_shard(3), Location::Uncovered)
     );
 }
 
 #[test]
-fn a_wrong_turn_refreshes_its_range_once_however_many_requests_meet_it() {
-    let mut truth = Truth::new();
-    truth.put(1, 0, u64::MAX, 3);
-    let mut f = Front::informed(section(), &truth);
-    // Moved, and the stream has not brought it.
-    truth.put(1, 100, 199, 4);
+fn concurrent_rejections_in_a_range_cause_one_fetch_of_it() {
+    let mut authority = ModelAuthority::new();
+    authority.put(1, 0, u64::MAX, 3);
+    let mut front = Front::with_all_volumes(section(), &authority);
+    // A move that the stream has not brought.
+    authority.put(1, 100, 199, 4);
     for key in 100..150 {
-        assert_eq!(f.turn(1, key, 3, Some(truth.version)), Turn::Waiting);
+        assert_eq!(front.reject(1, key, 3, Some(authority.version)), Reroute::Pending);
     }
-    let asked = f.take();
-    assert_eq!(fetches(&asked), 1);
-    assert!(asked.contains(&Action::Fetch {
+    let actions = front.take_actions();
+    assert_eq!(count_fetches(&actions), 1);
+    assert!(actions.contains(&Action::Fetch {
         volume: VolumeId(1),
         key: Some(Key(100))
     }));
-    f.fetched(1, truth.cover(1, (100, 199)));
-    assert!(f.out.contains(&Action::Changed {
+    front.answer_fetch(1, authority.fetch_response(1, (100, 199)));
+    assert!(front.out.contains(&Action::Changed {
         volume: VolumeId(1),
         first: 100,
         last: 199
     }));
-    assert_eq!((f.locate(1, 150), f.locate(1, 99)), (at(4), at(3)));
-    // One that was out meanwhile and comes back: the map knows better by now.
-    assert_eq!(f.turn(1, 160, 3, Some(truth.version)), Turn::At(Shard(4)));
+    assert_eq!((front.locate(1, 150), front.locate(1, 99)), (on_shard(4), on_shard(3)));
+    // A request rejected after the answer was applied is sent to the shard that the map has now.
+    assert_eq!(front.reject(1, 160, 3, Some(authority.version)), Reroute::To(Shard(4)));
 }
 
 #[test]
-fn a_hint_never_overrides_what_is_newer_and_a_node_that_lies_causes_a_bounded_number_of_calls() {
-    let mut truth = Truth::new();
-    truth.put(1, 0, u64::MAX, 3);
-    let mut f = Front::informed(section(), &truth);
-    let old = Version {
+fn older_hints_are_ignored_and_false_newer_hints_cause_a_bounded_number_of_fetches() {
+    let mut authority = ModelAuthority::new();
+    authority.put(1, 0, u64::MAX, 3);
+    let mut front = Front::with_all_volumes(section(), &authority);
+    let older_epoch = Version {
         epoch: 0,
-        ..truth.version
+        ..authority.version
     };
-    let before = Version {
+    let older_incarnation = Version {
         incarnation: 4,
         epoch: 1 << 40,
     };
-    for hint in [None, Some(old), Some(truth.version), Some(before)] {
-        assert_eq!(f.turn(1, 7, 3, hint), Turn::Stands, "{hint:?}");
+    for hint in [
+        None,
+        Some(older_epoch),
+        Some(authority.version),
+        Some(older_incarnation),
+    ] {
+        assert_eq!(front.reject(1, 7, 3, hint), Reroute::Unchanged, "{hint:?}");
     }
-    let said = f.take();
-    assert_eq!(fetches(&said), 0);
-    let complaints = said
+    let actions = front.take_actions();
+    assert_eq!(count_fetches(&actions), 0);
+    let warnings = actions
         .iter()
-        .filter(|a| matches!(a, Action::Complain { .. }))
+        .filter(|a| matches!(a, Action::Warn { .. }))
         .count();
-    assert_eq!(complaints, 1, "once for each party and second");
-    // Just after the authority has confirmed the place newer hints are followed until the volume's budget is used up,
-    // and from then on no request waits in vain. What is not newer than the confirmation is not followed at all.
+    assert_eq!(warnings, 1, "one per second for each source");
+    // After a fetch, hints newer than it cause further fetches only until the volume's budget is empty, so that requests
+    // do not wait because of false hints. Hints that are not newer cause none.
     for epoch in [900, 901] {
         assert_eq!(
-            f.turn(
+            front.reject(
                 1,
                 7,
                 3,
                 Some(Version {
                     epoch,
-                    ..truth.version
+                    ..authority.version
                 })
             ),
-            Turn::Waiting
+            Reroute::Pending
         );
-        f.fetched(
+        front.answer_fetch(
             1,
-            Cover {
+            FetchResponse {
                 version: Version {
                     epoch,
-                    ..truth.version
+                    ..authority.version
                 },
-                ..truth.cover(1, (0, u64::MAX))
+                ..authority.fetch_response(1, (0, u64::MAX))
             },
         );
         assert_eq!(
-            f.turn(
+            front.reject(
                 1,
                 7,
                 3,
                 Some(Version {
                     epoch,
-                    ..truth.version
+                    ..authority.version
                 })
             ),
-            Turn::Stands
+            Reroute::Unchanged
         );
     }
     assert_eq!(
-        f.turn(
+        front.reject(
             1,
             7,
             3,
             Some(Version {
                 epoch: 902,
-                ..truth.version
+                ..authority.version
             })
         ),
-        Turn::Stands
+        Reroute::Unchanged
     );
-    f.take();
-    // Ever newer versions, a thousand times a second for ten seconds; the authority says otherwise each time.
+    front.take_actions();
+    // 1000 hints per second for 10 s, each newer than the last, while the authority has no change.
     let mut calls = 0;
     for n in 0..10_000 {
-        f.now += MS;
-        f.turn(
+        front.now += MILLISECOND_US;
+        front.reject(
             1,
             n % 100,
             3,
             Some(Version {
                 epoch: 1_000 + n,
-                ..truth.version
+                ..authority.version
             }),
         );
-        f.handle(Input::Timer);
-        for action in f.take() {
+        front.handle(Input::Timer);
+        for action in front.take_actions() {
             if let Action::Fetch { key, .. } = action {
                 calls += 1;
                 let within = key.map_or((0, u64::MAX), |_| (0, u64::MAX));
-                f.fetched(1, truth.cover(1, within));
+                front.answer_fetch(1, authority.fetch_response(1, within));
             }
         }
     }
@@ -353,247 +367,247 @@
         (2..=13).contains(&calls),
         "{calls} calls in 10 s for one volume"
     );
-    assert_eq!(f.locate(1, 7), at(3));
+    assert_eq!(front.locate(1, 7), on_shard(3));
 }
 
 #[test]
-fn a_move_that_is_undone_and_two_moves_in_one_batch_end_where_the_last_says() {
-    let mut truth = Truth::new();
-    truth.put(1, 0, 99, 3);
-    let mut f = Front::informed(section(), &truth);
-    let from = truth.version.epoch;
-    truth.put(1, 0, 99, 4);
-    truth.put(1, 0, 99, 3);
-    truth.put(1, 50, 99, 5);
-    truth.put(1, 50, 99, 6);
-    f.handle(Input::Polled(Ok(truth.news(from))));
-    assert_eq!((f.locate(1, 0), f.locate(1, 50)), (at(3), at(6)));
-    // The same batch in reverse order, by another front: epochs decide, not the order.
-    let mut g = Front::informed(
+fn the_last_epoch_of_a_batch_decides_in_any_order() {
+    let mut authority = ModelAuthority::new();
+    authority.put(1, 0, 99, 3);
+    let mut front = Front::with_all_volumes(section(), &authority);
+    let from = authority.version.epoch;
+    authority.put(1, 0, 99, 4);
+    authority.put(1, 0, 99, 3);
+    authority.put(1, 50, 99, 5);
+    authority.put(1, 50, 99, 6);
+    front.handle(Input::Polled(Ok(authority.poll_response(from))));
+    assert_eq!((front.locate(1, 0), front.locate(1, 50)), (on_shard(3), on_shard(6)));
+    // Another front receives the same batch in reverse order.
+    let mut other_front = Front::with_all_volumes(
         section(),
-        &Truth {
+        &ModelAuthority {
             version: Version {
                 epoch: 1,
-                ..truth.version
+                ..authority.version
             },
-            changes: truth.changes[..1].to_vec(),
+            changes: authority.changes[..1].to_vec(),
         },
     );
-    let mut news = truth.news(from);
-    news.changes.reverse();
-    g.handle(Input::Polled(Ok(news)));
-    assert_eq!((g.locate(1, 0), g.locate(1, 50)), (at(3), at(6)));
+    let mut reversed = authority.poll_response(from);
+    reversed.changes.reverse();
+    other_front.handle(Input::Polled(Ok(reversed)));
+    assert_eq!((other_front.locate(1, 0), other_front.locate(1, 50)), (on_shard(3), on_shard(6)));
 }
 
 #[test]
-fn an_answer_that_is_older_than_changes_already_applied_takes_none_of_them_back() {
-    let mut truth = Truth::new();
-    truth.put(1, 0, 99, 3);
-    let mut f = Front::informed(section(), &truth);
-    let (from, old) = (truth.version.epoch, truth.whole(1));
-    truth.put(1, 20, 29, 4);
-    f.now += S;
-    assert_eq!(f.turn(1, 50, 3, Some(truth.version)), Turn::Waiting);
-    f.handle(Input::Polled(Ok(truth.news(from))));
-    f.fetched(1, old);
-    assert_eq!((f.locate(1, 25), f.locate(1, 50)), (at(4), at(3)));
-    // A poll's answer from before is left out as a whole.
-    f.handle(Input::Polled(Ok(News {
+fn an_older_answer_does_not_undo_applied_changes() {
+    let mut authority = ModelAuthority::new();
+    authority.put(1, 0, 99, 3);
+    let mut front = Front::with_all_volumes(section(), &authority);
+    let (from, old) = (authority.version.epoch, authority.volume_response(1));
+    authority.put(1, 20, 29, 4);
+    front.now += SECOND_US;
+    assert_eq!(front.reject(1, 50, 3, Some(authority.version)), Reroute::Pending);
+    front.handle(Input::Polled(Ok(authority.poll_response(from))));
+    front.answer_fetch(1, old);
+    assert_eq!((front.locate(1, 25), front.locate(1, 50)), (on_shard(4), on_shard(3)));
+    // A poll answer with an older version is ignored.
+    front.handle(Input::Polled(Ok(PollResponse {
         version: Version {
             epoch: 1,
-            ..truth.version
+            ..authority.version
         },
-        ..truth.news(99)
+        ..authority.poll_response(99)
     })));
     assert_eq!(
-        (f.cache.version(), f.cache.counters().stale_answers),
-        (Some(truth.version), 1)
+        (front.cache.version(), front.cache.counters().stale_answers),
+        (Some(authority.version), 1)
     );
 }
 
 #[test]
-fn changes_that_came_while_a_volume_was_fetched_are_not_lost() {
-    let mut truth = Truth::new();
-    truth.put(1, 0, 99, 3);
-    let mut f = Front::new(section());
-    f.handle(Input::Polled(Ok(News {
+fn changes_received_during_a_fetch_are_not_lost() {
+    let mut authority = ModelAuthority::new();
+    authority.put(1, 0, 99, 3);
+    let mut front = Front::new(section());
+    front.handle(Input::Polled(Ok(PollResponse {
         reset: true,
-        ..truth.news(9)
+        ..authority.poll_response(9)
     })));
-    assert_eq!(f.locate(1, 5), Place::Unknown);
-    // The answer was made before the move, and arrives after the stream told of it.
-    let answer = truth.whole(1);
-    let from = truth.version.epoch;
-    truth.put(1, 0, 9, 4);
-    f.handle(Input::Polled(Ok(truth.news(from))));
-    f.fetched(1, answer.clone());
-    assert_eq!((f.locate(1, 5), f.locate(1, 50)), (at(4), at(3)));
-    // One from before the volume was asked for at all may lack changes: it is asked again.
-    let mut g = Front::new(section());
-    g.handle(Input::Polled(Ok(News {
+    assert_eq!(front.locate(1, 5), Location::Unknown);
+    // The answer was made before the move and arrives after the stream has brought the move.
+    let answer = authority.volume_response(1);
+    let from = authority.version.epoch;
+    authority.put(1, 0, 9, 4);
+    front.handle(Input::Polled(Ok(authority.poll_response(from))));
+    front.answer_fetch(1, answer.clone());
+    assert_eq!((front.locate(1, 5), front.locate(1, 50)), (on_shard(4), on_shard(3)));
+    // An answer of an earlier epoch than the volume's entry may lack changes, so the fetch is repeated.
+    let mut other_front = Front::new(section());
+    other_front.handle(Input::Polled(Ok(PollResponse {
         reset: true,
-        ..truth.news(9)
+        ..authority.poll_response(9)
     })));
-    g.locate(1, 5);
-    g.fetched(1, answer);
+    other_front.locate(1, 5);
+    other_front.answer_fetch(1, answer);
     assert_eq!(
-        (g.locate(1, 5), g.cache.counters().stale_answers),
-        (Place::Unknown, 1)
+        (other_front.locate(1, 5), other_front.cache.counters().stale_answers),
+        (Location::Unknown, 1)
     );
-    g.take();
-    g.pass(2 * S);
-    assert_eq!(fetches(&g.out), 1);
+    other_front.take_actions();
+    other_front.advance(2 * SECOND_US);
+    assert_eq!(count_fetches(&other_front.out), 1);
 }
 
 #[test]
-fn splits_and_merges_of_ranges() {
-    let mut truth = Truth::new();
-    truth.put(1, 0, 99, 3);
-    let mut f = Front::informed(section(), &truth);
-    let from = truth.version.epoch;
-    truth.put(1, 50, 99, 4);
-    f.handle(Input::Polled(Ok(truth.news(from))));
-    assert_eq!((f.locate(1, 49), f.locate(1, 50)), (at(3), at(4)));
-    let from = truth.version.epoch;
-    truth.put(1, 0, 99, 4);
-    f.handle(Input::Polled(Ok(truth.news(from))));
-    assert_eq!((f.locate(1, 49), f.locate(1, 50)), (at(4), at(4)));
-    assert_eq!(f.cache.map().extents(), 2, "one extent and the open rest");
+fn ranges_are_split_and_merged() {
+    let mut authority = ModelAuthority::new();
+    authority.put(1, 0, 99, 3);
+    let mut front = Front::with_all_volumes(section(), &authority);
+    let from = authority.version.epoch;
+    authority.put(1, 50, 99, 4);
+    front.handle(Input::Polled(Ok(authority.poll_response(from))));
+    assert_eq!((front.locate(1, 49), front.locate(1, 50)), (on_shard(3), on_shard(4)));
+    let from = authority.version.epoch;
+    authority.put(1, 0, 99, 4);
+    front.handle(Input::Polled(Ok(authority.poll_response(from))));
+    assert_eq!((front.locate(1, 49), front.locate(1, 50)), (on_shard(4), on_shard(4)));
+    assert_eq!(front.cache.map().extents(), 2, "one extent and the open rest");
 }
 
 #[test]
-fn an_authority_that_is_silent_for_a_minute_and_then_far_ahead() {
-    let mut truth = Truth::new();
-    truth.put(1, 0, 99, 3);
-    truth.put(2, 0, 99, 3);
-    let mut f = Front::informed(section(), &truth);
+fn the_map_serves_while_the_authority_is_silent_and_is_stale_after_a_reset() {
+    let mut authority = ModelAuthority::new();
+    authority.put(1, 0, 99, 3);
+    authority.put(2, 0, 99, 3);
+    let mut front = Front::with_all_volumes(section(), &authority);
     let mut polled = 0;
-    // The poll that was out when it fell silent.
-    f.handle(Input::Polled(Err("no answer in time".into())));
+    // The poll that was in flight when the authority became silent.
+    front.handle(Input::Polled(Err("no answer in time".into())));
     for _ in 0..600 {
-        f.pass(100 * MS);
-        for action in f.take() {
+        front.advance(100 * MILLISECOND_US);
+        for action in front.take_actions() {
             if matches!(action, Action::Poll { .. }) {
                 polled += 1;
-                f.handle(Input::Polled(Err("no answer in time".into())));
+                front.handle(Input::Polled(Err("no answer in time".into())));
             }
         }
-        assert_eq!(f.locate(1, 5), at(3), "it goes on with what it had");
+        assert_eq!(front.locate(1, 5), on_shard(3), "the map still serves");
     }
     assert!(
         (25..=60).contains(&polled),
         "{polled} polls of a silent authority in a minute"
     );
-    // Its history does not reach back that far; the map is too large to be told whole.
-    truth.put(1, 0, 99, 7);
-    truth.version.epoch = 50_000;
-    f.handle(Input::Polled(Ok(News {
-        version: truth.version,
+    // The authority no longer has the changes since the polled version, and the full map is too large for one answer.
+    authority.put(1, 0, 99, 7);
+    authority.version.epoch = 50_000;
+    front.handle(Input::Polled(Ok(PollResponse {
+        version: authority.version,
         reset: true,
-        whole: false,
+        full_map: false,
         changes: vec![],
     })));
-    assert!(f.out.contains(&Action::ChangedAll));
-    f.take();
-    f.locate(1, 5);
+    assert!(front.out.contains(&Action::ChangedAll));
+    front.take_actions();
+    front.locate(1, 5);
     assert_eq!(
-        fetches(&f.take()),
+        count_fetches(&front.take_actions()),
         1,
-        "in doubt, and fetched with the first request"
+        "possibly stale, so the first request causes a fetch"
     );
-    f.fetched(1, truth.whole(1));
-    assert_eq!(f.locate(1, 5), at(7));
-    f.locate(2, 5);
-    assert_eq!(fetches(&f.take()), 1);
+    front.answer_fetch(1, authority.volume_response(1));
+    assert_eq!(front.locate(1, 5), on_shard(7));
+    front.locate(2, 5);
+    assert_eq!(count_fetches(&front.take_actions()), 1);
 }
 
 #[test]
-fn an_authority_that_starts_again_with_a_lower_epoch() {
-    let mut truth = Truth::new();
+fn a_reset_to_a_later_incarnation_with_a_lower_epoch_is_accepted() {
+    let mut authority = ModelAuthority::new();
     for n in 0..20 {
-        truth.put(1, 0, 99, n);
+        authority.put(1, 0, 99, n);
     }
-    let mut f = Front::informed(section(), &truth);
-    let mut next = Truth::new();
-    next.version.incarnation = 6;
-    next.put(1, 0, 99, 40);
-    // Its word on one volume, before the stream told of the new life: it fits nothing yet.
-    f.turn(1, 5, 19, Some(next.version));
-    f.fetched(1, next.whole(1));
-    assert_eq!(f.locate(1, 5), at(19));
-    // Changes of another life without a fresh start are no answer; the fresh start is.
-    f.handle(Input::Polled(Ok(next.news(0))));
-    assert_eq!(f.cache.version().unwrap().incarnation, 5);
-    f.handle(Input::Polled(Ok(News {
+    let mut front = Front::with_all_volumes(section(), &authority);
+    let mut restarted = ModelAuthority::new();
+    restarted.version.incarnation = 6;
+    restarted.put(1, 0, 99, 40);
+    // A fetch answered by the new incarnation before the stream was reset is ignored.
+    front.reject(1, 5, 19, Some(restarted.version));
+    front.answer_fetch(1, restarted.volume_response(1));
+    assert_eq!(front.locate(1, 5), on_shard(19));
+    // Changes of another incarnation are accepted only with a reset.
+    front.handle(Input::Polled(Ok(restarted.poll_response(0))));
+    assert_eq!(front.cache.version().unwrap().incarnation, 5);
+    front.handle(Input::Polled(Ok(PollResponse {
         reset: true,
-        whole: true,
-        ..next.news(0)
+        full_map: true,
+        ..restarted.poll_response(0)
     })));
     assert_eq!(
-        (f.locate(1, 5), f.cache.version()),
-        (at(40), Some(next.version))
+        (front.locate(1, 5), front.cache.version()),
+        (on_shard(40), Some(restarted.version))
     );
-    // And the old life, come back from the dead, is not believed.
-    f.handle(Input::Polled(Ok(News {
+    // A reset to the old incarnation is ignored.
+    front.handle(Input::Polled(Ok(PollResponse {
         reset: true,
-        whole: true,
-        ..truth.news(0)
+        full_map: true,
+        ..authority.poll_response(0)
     })));
     assert_eq!(
-        (f.locate(1, 5), f.cache.version()),
-        (at(40), Some(next.version))
+        (front.locate(1, 5), front.cache.version()),
+        (on_shard(40), Some(restarted.version))
     );
 }
 
 #[test]
-fn a_snapshot_from_disk_serves_until_the_stream_has_caught_up() {
-    let mut truth = Truth::new();
-    truth.put(1, 0, 99, 3);
-    truth.put(2, 0, 99, 4);
-    let file = Some("unused".into());
-    let mut f = Front::informed(
+fn a_restored_snapshot_serves_until_the_stream_has_caught_up() {
+    let mut authority = ModelAuthority::new();
+    authority.put(1, 0, 99, 3);
+    authority.put(2, 0, 99, 4);
+    let snapshot = Some("unused".into());
+    let mut front = Front::with_all_volumes(
         Section {
-            snapshot: file,
+            snapshot,
             snapshot_every_ms: 1_000,
             ..section()
         },
-        &truth,
+        &authority,
     );
-    f.pass(2 * S);
-    let saved = f.take().into_iter().find_map(|a| {
+    front.advance(2 * SECOND_US);
+    let saved = front.take_actions().into_iter().find_map(|a| {
         if let Action::Save(bytes) = a {
             Some(bytes)
         } else {
             None
         }
     });
-    let saved = saved.expect("it is written");
-    let from = truth.version;
-    truth.put(1, 0, 99, 5);
-    let mut g = Front {
+    let saved = saved.expect("a snapshot was saved");
+    let from = authority.version;
+    authority.put(1, 0, 99, 5);
+    let mut other_front = Front {
         cache: Cache::new(section(), 0),
         now: 0,
         out: Vec::new(),
     };
-    g.cache.restore(0, &saved).unwrap();
-    g.handle(Input::Timer);
-    assert!(g.take().contains(&Action::Poll {
+    other_front.cache.restore(0, &saved).unwrap();
+    other_front.handle(Input::Timer);
+    assert!(other_front.take_actions().contains(&Action::Poll {
         from: Some(from),
-        hold: 2 * S
+        hold: 2 * SECOND_US
     }));
     assert_eq!(
-        (g.locate(1, 5), g.locate(2, 5)),
-        (at(3), at(4)),
-        "known before any answer"
+        (other_front.locate(1, 5), other_front.locate(2, 5)),
+        (on_shard(3), on_shard(4)),
+        "served before any answer"
     );
-    g.handle(Input::Polled(Ok(truth.news(from.epoch))));
-    assert_eq!((g.locate(1, 5), g.locate(2, 5)), (at(5), at(4)));
-    // Every altered byte and every shorter file shows.
+    other_front.handle(Input::Polled(Ok(authority.poll_response(from.epoch))));
+    assert_eq!((other_front.locate(1, 5), other_front.locate(2, 5)), (on_shard(5), on_shard(4)));
+    // A change of any byte and any truncation is detected.
     for i in 0..saved.len() {
-        let mut bad = saved.clone();
-        bad[i] ^= 0x10;
+        let mut corrupt = saved.clone();
+        corrupt[i] ^= 0x10;
         assert!(
-            Cache::new(section(), 0).restore(0, &bad).is_err(),
+            Cache::new(section(), 0).restore(0, &corrupt).is_err(),
             "byte {i}"
         );
         assert!(
@@ -604,161 +618,161 @@
 }
 
 #[test]
-fn a_burst_of_two_thousand_moves_costs_a_bounded_number_of_calls() {
-    let mut truth = Truth::new();
+fn a_burst_of_2000_moves_causes_a_bounded_number_of_calls() {
+    let mut authority = ModelAuthority::new();
     for volume in 0..50 {
-        truth.put(volume, 0, u64::MAX, 0);
+        authority.put(volume, 0, u64::MAX, 0);
     }
-    let mut f = Front::informed(section(), &truth);
-    f.pass(10 * S);
-    f.take();
-    let mut dice = fastrand::Rng::with_seed(9);
+    let mut front = Front::with_all_volumes(section(), &authority);
+    front.advance(10 * SECOND_US);
+    front.take_actions();
+    let mut rng = fastrand::Rng::with_seed(9);
     let (mut calls, mut moves) = (0, 0);
     while moves < 2_000 {
-        // 400 moves a second; every request that meets one takes a wrong turn.
-        f.now += 2_500;
+        // 400 moves per second, each followed by a request that is sent to the old shard and rejected.
+        front.now += 2_500;
         moves += 1;
-        let (volume, key) = (dice.u64(0..50), dice.u64(..));
-        let was = truth.shard(volume, key).unwrap();
-        truth.put(volume, key & !0xffff, key | 0xffff, dice.u32(1..8));
-        f.turn(volume, key, was, Some(truth.version));
-        f.handle(Input::Timer);
-        for action in f.take() {
+        let (volume, key) = (rng.u64(0..50), rng.u64(..));
+        let old_shard = authority.shard_of(volume, key).unwrap();
+        authority.put(volume, key & !0xffff, key | 0xffff, rng.u32(1..8));
+        front.reject(volume, key, old_shard, Some(authority.version));
+        front.handle(Input::Timer);
+        for action in front.take_actions() {
             match action {
                 Action::Poll { from, .. } => {
                     calls += 1;
-                    let news = truth.news(from.unwrap().epoch);
-                    f.handle(Input::Polled(Ok(news)));
+                    let response = authority.poll_response(from.unwrap().epoch);
+                    front.handle(Input::Polled(Ok(response)));
                 }
                 Action::Fetch { volume, .. } => {
                     calls += 1;
-                    let cover = truth.whole(volume.0);
-                    f.fetched(volume.0, cover);
+                    let response = authority.volume_response(volume.0);
+                    front.answer_fetch(volume.0, response);
                 }
                 _ => {}
             }
         }
     }
     assert!(calls < 64, "{calls} calls");
-    let from = f.cache.version().unwrap().epoch;
-    f.handle(Input::Polled(Ok(truth.news(from))));
-    for c in &truth.changes {
+    let from = front.cache.version().unwrap().epoch;
+    front.handle(Input::Polled(Ok(authority.poll_response(from))));
+    for c in &authority.changes {
         assert_eq!(
-            f.locate(c.volume.0, c.first),
-            at(truth.shard(c.volume.0, c.first).unwrap())
+            front.locate(c.volume.0, c.first),
+            on_shard(authority.shard_of(c.volume.0, c.first).unwrap())
         );
     }
 }
 
 #[test]
-fn a_map_over_its_bound_lets_the_oldest_volumes_go_and_fetches_them_again() {
-    let mut truth = Truth::new();
+fn a_map_over_its_limit_evicts_the_least_recently_used_volumes() {
+    let mut authority = ModelAuthority::new();
     for volume in 0..40 {
-        for lot in 0..10 {
-            truth.put(volume, lot * 10, lot * 10 + 9, lot as u32 % 4);
+        for extent in 0..10 {
+            authority.put(volume, extent * 10, extent * 10 + 9, extent as u32 % 4);
         }
     }
-    let bounds = Section {
+    let limits = Section {
         most_extents: 200,
         most_volumes: 30,
         load_burst: 200,
         ..section()
     };
-    let mut f = Front::new(bounds);
-    f.handle(Input::Polled(Ok(News {
+    let mut front = Front::new(limits);
+    front.handle(Input::Polled(Ok(PollResponse {
         reset: true,
-        ..truth.news(9_999)
+        ..authority.poll_response(9_999)
     })));
     for volume in 0..40 {
-        f.now += 10 * MS;
-        f.locate(volume, 5);
-        f.fetched(volume, truth.whole(volume));
-        assert!(f.cache.map().extents() <= 200 + 12 && f.cache.map().volumes() <= 31);
-        assert_eq!(f.locate(volume, 15), at(1));
+        front.now += 10 * MILLISECOND_US;
+        front.locate(volume, 5);
+        front.answer_fetch(volume, authority.volume_response(volume));
+        assert!(front.cache.map().extents() <= 200 + 12 && front.cache.map().volumes() <= 31);
+        assert_eq!(front.locate(volume, 15), on_shard(1));
     }
-    assert!(f.cache.counters().left > 0);
-    f.take();
-    assert_eq!(f.locate(39, 5), at(0), "the youngest stayed");
-    assert_eq!(f.locate(0, 5), Place::Unknown, "the oldest left");
-    assert_eq!(fetches(&f.take()), 1, "and is fetched again");
-    f.fetched(0, truth.whole(0));
-    assert_eq!(f.locate(0, 15), at(1));
+    assert!(front.cache.counters().evicted_volumes > 0);
+    front.take_actions();
+    assert_eq!(front.locate(39, 5), on_shard(0), "the most recently used volume is kept");
+    assert_eq!(front.locate(0, 5), Location::Unknown, "the least recently used volume was evicted");
+    assert_eq!(count_fetches(&front.take_actions()), 1, "it is fetched again");
+    front.answer_fetch(0, authority.volume_response(0));
+    assert_eq!(front.locate(0, 15), on_shard(1));
 }
 
 #[test]
-fn peers_news_is_provisional_until_the_stream_confirms_it() {
-    let mut truth = Truth::new();
-    truth.put(1, 0, 99, 3);
-    let peers = Section {
+fn peer_changes_expire_unless_the_stream_confirms_them() {
+    let mut authority = ModelAuthority::new();
+    authority.put(1, 0, 99, 3);
+    let section = Section {
         peer_listen: Some("127.0.0.1:1".parse().unwrap()),
         peers: vec!["127.0.0.1:2".parse().unwrap()],
         ..section()
     };
-    let (mut f, mut g) = (
-        Front::informed(peers.clone(), &truth),
-        Front::informed(peers, &truth),
+    let (mut front, mut other_front) = (
+        Front::with_all_volumes(section.clone(), &authority),
+        Front::with_all_volumes(section, &authority),
     );
-    let from = truth.version.epoch;
-    // The stream is down: one front takes a wrong turn and tells the other.
-    let moved = truth.put(1, 0, 99, 4);
-    f.turn(1, 5, 3, Some(truth.version));
-    f.fetched(1, truth.whole(1));
-    f.pass(60 * MS);
-    let told: Vec<_> = f
-        .take()
+    let from = authority.version.epoch;
+    // Without a stream, one front learns of a move by a rejection and sends it to the other.
+    let moved = authority.put(1, 0, 99, 4);
+    front.reject(1, 5, 3, Some(authority.version));
+    front.answer_fetch(1, authority.volume_response(1));
+    front.advance(60 * MILLISECOND_US);
+    let datagrams: Vec<_> = front
+        .take_actions()
         .into_iter()
         .filter_map(|a| {
-            if let Action::Tell(b) = a {
-                Some(b)
+            if let Action::SendToPeers(bytes) = a {
+                Some(bytes)
             } else {
                 None
             }
         })
         .collect();
-    assert!(told.len() == 1 && told[0].len() <= datagram::LONGEST);
-    for bytes in [&told[0], &told[0]] {
-        g.handle(Input::Peer(0, bytes.clone()));
+    assert!(datagrams.len() == 1 && datagrams[0].len() <= datagram::MAX_DATAGRAM_BYTES);
+    for bytes in [&datagrams[0], &datagrams[0]] {
+        other_front.handle(Input::PeerUpdate(0, bytes.clone()));
     }
     assert_eq!(
-        (g.locate(1, 5), g.cache.counters().peer_news),
-        (at(4), 1),
-        "repeated, it is no news"
+        (other_front.locate(1, 5), other_front.cache.counters().peer_changes),
+        (on_shard(4), 1),
+        "the repeated datagram changes nothing"
     );
-    // A lie: never confirmed, and fetched anew once the stream has gone on without it.
-    let lie = Change {
+    // A false change: it is not confirmed, and the volume is fetched once the stream has continued without it.
+    let false_change = Change {
         shard: Some(9),
         epoch: 1_000,
         ..moved
     };
-    g.handle(Input::Peer(0, datagram::encode(5, &[lie])));
-    assert_eq!(g.locate(1, 5), at(9));
-    g.handle(Input::Polled(Ok(truth.news(from))));
-    g.take();
-    g.pass(6 * S);
-    assert_eq!((fetches(&g.out), g.cache.counters().unconfirmed), (1, 1));
-    let later = truth.put(2, 0, 1, 1);
-    truth.version.epoch = 2_000;
+    other_front.handle(Input::PeerUpdate(0, datagram::encode(5, &[false_change])));
+    assert_eq!(other_front.locate(1, 5), on_shard(9));
+    other_front.handle(Input::Polled(Ok(authority.poll_response(from))));
+    other_front.take_actions();
+    other_front.advance(6 * SECOND_US);
+    assert_eq!((count_fetches(&other_front.out), other_front.cache.counters().unconfirmed), (1, 1));
+    let later = authority.put(2, 0, 1, 1);
+    authority.version.epoch = 2_000;
     let _ = later;
-    g.fetched(1, truth.whole(1));
-    assert_eq!(g.locate(1, 5), at(4));
-    // What the stream has brought is not told again.
-    let from = truth.version.epoch;
-    truth.version.epoch += 1;
-    f.turn(1, 5, 4, Some(truth.version));
-    truth.put(1, 0, 99, 7);
-    f.now += 2 * S;
-    f.fetched(1, truth.whole(1));
-    f.handle(Input::Polled(Ok(truth.news(from))));
-    f.take();
-    f.pass(S);
-    assert!(!f.out.iter().any(|a| matches!(a, Action::Tell(_))));
+    other_front.answer_fetch(1, authority.volume_response(1));
+    assert_eq!(other_front.locate(1, 5), on_shard(4));
+    // A change that the stream has brought is not sent to the peers.
+    let from = authority.version.epoch;
+    authority.version.epoch += 1;
+    front.reject(1, 5, 4, Some(authority.version));
+    authority.put(1, 0, 99, 7);
+    front.now += 2 * SECOND_US;
+    front.answer_fetch(1, authority.volume_response(1));
+    front.handle(Input::Polled(Ok(authority.poll_response(from))));
+    front.take_actions();
+    front.advance(SECOND_US);
+    assert!(!front.out.iter().any(|a| matches!(a, Action::SendToPeers(_))));
 }
 
 #[test]
-fn unreadable_datagrams_are_counted_and_change_nothing() {
-    let mut truth = Truth::new();
-    truth.put(1, 0, 99, 3);
-    let mut f = Front::informed(section(), &truth);
+fn malformed_datagrams_are_counted_and_change_nothing() {
+    let mut authority = ModelAuthority::new();
+    authority.put(1, 0, 99, 3);
+    let mut front = Front::with_all_volumes(section(), &authority);
     let change = Change {
         volume: VolumeId(1),
         first: 0,
@@ -766,58 +780,58 @@
         shard: Some(8),
         epoch: 50,
     };
-    let good = datagram::encode(5, &[change; 6]);
-    assert_eq!((good.len(), datagram::MOST), (232, 6));
-    let mut bad: Vec<Vec<u8>> = (0..good.len()).map(|i| good[..i].to_vec()).collect();
-    for i in 0..good.len() {
-        let mut flipped = good.clone();
+    let valid = datagram::encode(5, &[change; 6]);
+    assert_eq!((valid.len(), datagram::MAX_CHANGES), (232, 6));
+    let mut malformed: Vec<Vec<u8>> = (0..valid.len()).map(|i| valid[..i].to_vec()).collect();
+    for i in 0..valid.len() {
+        let mut flipped = valid.clone();
         flipped[i] ^= 1;
-        bad.push(flipped);
+        malformed.push(flipped);
     }
-    bad.push([good.clone(), vec![0; 100]].concat());
-    bad.push(datagram::encode(
+    malformed.push([valid.clone(), vec![0; 100]].concat());
+    malformed.push(datagram::encode(
         5,
         &[Change {
             first: 100,
             ..change
         }],
     ));
-    let count = bad.len() as u64;
-    for bytes in bad {
-        f.handle(Input::Peer(3, bytes));
+    let count = malformed.len() as u64;
+    for bytes in malformed {
+        front.handle(Input::PeerUpdate(3, bytes));
     }
     assert_eq!(
-        (f.cache.counters().unreadable, f.locate(1, 5)),
-        (count, at(3))
+        (front.cache.counters().malformed_datagrams, front.locate(1, 5)),
+        (count, on_shard(3))
     );
-    let complaints = f
-        .take()
+    let warnings = front
+        .take_actions()
         .iter()
         .filter(|a| {
             matches!(
                 a,
-                Action::Complain {
-                    who: Party::Peer(3),
+                Action::Warn {
+                    source: Source::Peer(3),
                     ..
                 }
             )
         })
         .count();
-    assert_eq!(complaints, 1);
-    // Another life of the authority's, or an epoch that the stream has passed: no news.
-    f.handle(Input::Peer(3, datagram::encode(6, &[change])));
-    f.handle(Input::Peer(
+    assert_eq!(warnings, 1);
+    // Changes of another incarnation, or of an epoch that the stream has passed, are ignored.
+    front.handle(Input::PeerUpdate(3, datagram::encode(6, &[change])));
+    front.handle(Input::PeerUpdate(
         3,
         datagram::encode(5, &[Change { epoch: 1, ..change }]),
     ));
-    assert_eq!(f.locate(1, 5), at(3));
+    assert_eq!(front.locate(1, 5), on_shard(3));
 }
 
 #[test]
-fn wrong_answers_are_counted_and_change_nothing() {
-    let mut truth = Truth::new();
-    truth.put(1, 0, 99, 3);
-    let mut f = Front::informed(section(), &truth);
+fn invalid_answers_are_counted_and_change_nothing() {
+    let mut authority = ModelAuthority::new();
+    authority.put(1, 0, 99, 3);
+    let mut front = Front::with_all_volumes(section(), &authority);
     let ahead = Change {
         volume: VolumeId(1),
         first: 0,
@@ -825,56 +839,56 @@
         shard: Some(8),
         epoch: 900,
     };
-    let news = |changes| News {
+    let response = |changes| PollResponse {
         version: Version {
             epoch: 5,
-            ..truth.version
+            ..authority.version
         },
         reset: false,
-        whole: false,
+        full_map: false,
         changes,
     };
-    f.handle(Input::Polled(Ok(news(vec![ahead]))));
-    f.handle(Input::Polled(Ok(news(vec![Change {
+    front.handle(Input::Polled(Ok(response(vec![ahead]))));
+    front.handle(Input::Polled(Ok(response(vec![Change {
         first: 9,
         last: 8,
         epoch: 4,
         ..ahead
     }]))));
     assert_eq!(
-        (f.cache.version(), f.cache.counters().stale_answers),
-        (Some(truth.version), 2)
+        (front.cache.version(), front.cache.counters().stale_answers),
+        (Some(authority.version), 2)
     );
-    for wrong in [
-        truth.whole(2),
-        truth.cover(1, (50, 99)),
-        Cover {
+    for invalid in [
+        authority.volume_response(2),
+        authority.fetch_response(1, (50, 99)),
+        FetchResponse {
             extents: vec![Change {
                 volume: VolumeId(2),
                 epoch: 1,
                 ..ahead
             }],
-            ..truth.whole(1)
+            ..authority.volume_response(1)
         },
-        Cover {
+        FetchResponse {
             extents: vec![Change { epoch: 1, ..ahead }, Change { epoch: 1, ..ahead }],
-            ..truth.whole(1)
+            ..authority.volume_response(1)
         },
     ] {
-        f.now += 3 * S;
-        f.turn(
+        front.now += 3 * SECOND_US;
+        front.reject(
             1,
             5,
             3,
             Some(Version {
                 epoch: 2_000,
-                ..truth.version
+                ..authority.version
             }),
         );
-        f.fetched(1, wrong);
-        assert_eq!(f.locate(1, 5), at(3));
+        front.answer_fetch(1, invalid);
+        assert_eq!(front.locate(1, 5), on_shard(3));
     }
-    assert_eq!(f.cache.counters().failed_calls, 4);
+    assert_eq!(front.cache.counters().failed_calls, 4);
     for text in [
         "",
         "3",
@@ -899,156 +913,156 @@
         r#"{"version":{"incarnation":1}}"#,
         "[]",
     ] {
-        assert!(serde_json::from_str::<News>(json).is_err());
+        assert!(serde_json::from_str::<PollResponse>(json).is_err());
     }
-    let json = serde_json::to_string(&truth.whole(1)).unwrap();
+    let json = serde_json::to_string(&authority.volume_response(1)).unwrap();
     assert_eq!(
-        serde_json::from_str::<Cover>(&json).unwrap(),
-        truth.whole(1)
+        serde_json::from_str::<FetchResponse>(&json).unwrap(),
+        authority.volume_response(1)
     );
-    assert!(serde_json::from_str::<Cover>(&json.replace("\"63\"", "\"xyz\"")).is_err());
+    assert!(serde_json::from_str::<FetchResponse>(&json.replace("\"63\"", "\"xyz\"")).is_err());
 }
 
 #[test]
-fn without_a_stream_a_volume_is_fetched_by_age_or_by_wrong_turns_only() {
-    let mut truth = Truth::new();
-    truth.put(1, 0, 99, 3);
+fn without_a_stream_volumes_are_refreshed_by_age_or_after_rejections_only() {
+    let mut authority = ModelAuthority::new();
+    authority.put(1, 0, 99, 3);
     for (strategy, expected) in [(Strategy::None, 0), (Strategy::Ttl, 1)] {
-        let mut f = Front::new(Section {
+        let mut front = Front::new(Section {
             strategy,
             ttl_ms: 5_000,
             ..section()
         });
-        f.locate(1, 5);
-        f.fetched(1, truth.whole(1));
-        f.take();
-        f.pass(6 * S);
-        assert_eq!(f.locate(1, 5), at(3));
-        let asked = f.take();
+        front.locate(1, 5);
+        front.answer_fetch(1, authority.volume_response(1));
+        front.take_actions();
+        front.advance(6 * SECOND_US);
+        assert_eq!(front.locate(1, 5), on_shard(3));
+        let actions = front.take_actions();
         assert_eq!(
-            (polls(&asked), fetches(&asked)),
+            (count_polls(&actions), count_fetches(&actions)),
             (0, expected),
             "{strategy:?}"
         );
-        truth.put(1, 0, 99, 3);
-        f.now += 10 * S;
-        assert_eq!(f.turn(1, 5, 3, Some(truth.version)), Turn::Waiting);
+        authority.put(1, 0, 99, 3);
+        front.now += 10 * SECOND_US;
+        assert_eq!(front.reject(1, 5, 3, Some(authority.version)), Reroute::Pending);
     }
 }
 
-/// Random play: an authority that moves things, a front that hears late, twice, out of order or not at all, peers that
-/// tell it, nodes that hint. Whatever happens, once the authority is heard again the map is the truth, and until then
-/// nothing is known that was never true.
+/// Random runs: the authority moves extents, its answers are lost, late or out of order, peers send changes, possibly
+/// twice, and nodes send hints. The cache never returns a shard that the volume was never on. Once all answers arrive,
+/// the map equals the authority's.
 #[test]
-fn whatever_is_lost_late_or_repeated_the_map_ends_at_the_truth() {
+fn the_map_converges_after_lost_late_reordered_and_repeated_answers() {
     for seed in 0..300 {
-        let mut dice = fastrand::Rng::with_seed(seed);
-        let mut truth = Truth::new();
-        let mut f = Front::new(Section {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let mut authority = ModelAuthority::new();
+        let mut front = Front::new(Section {
             refresh_burst: 1_000,
             volume_refreshes_per_s: 500.0,
             refreshes_per_s: 500.0,
             ..section()
         });
-        let mut waiting: Vec<Input> = Vec::new();
-        let mut ever: BTreeMap<(u64, u32), bool> = BTreeMap::new();
+        let mut delayed: Vec<Input> = Vec::new();
+        let mut ever_on: BTreeMap<(u64, u32), bool> = BTreeMap::new();
         for _ in 0..200 {
-            f.now += dice.i64(0..50) * MS;
-            match dice.u32(0..8) {
+            front.now += rng.i64(0..50) * MILLISECOND_US;
+            match rng.u32(0..8) {
                 0..=2 => {
-                    let (a, b) = (dice.u64(0..64), dice.u64(0..64));
-                    let (volume, shard) = (dice.u64(0..3), dice.u32(0..5));
-                    truth.put(volume, a.min(b), a.max(b), shard);
-                    ever.insert((volume, shard), true);
+                    let (a, b) = (rng.u64(0..64), rng.u64(0..64));
+                    let (volume, shard) = (rng.u64(0..3), rng.u32(0..5));
+                    authority.put(volume, a.min(b), a.max(b), shard);
+                    ever_on.insert((volume, shard), true);
                 }
                 3 => {
-                    let (volume, key) = (dice.u64(0..3), dice.u64(0..64));
-                    if let Place::At(shard) = f.locate(volume, key) {
+                    let (volume, key) = (rng.u64(0..3), rng.u64(0..64));
+                    if let Location::OnShard(shard) = front.locate(volume, key) {
                         assert!(
-                            ever.contains_key(&(volume, shard.0)),
-                            "seed {seed}: a place that never was"
+                            ever_on.contains_key(&(volume, shard.0)),
+                            "seed {seed}: a shard that the volume was never on"
                         );
-                        if truth.shard(volume, key) != Some(shard.0) {
-                            f.turn(volume, key, shard.0, Some(truth.version));
+                        if authority.shard_of(volume, key) != Some(shard.0) {
+                            front.reject(volume, key, shard.0, Some(authority.version));
                         }
                     }
                 }
-                4 if !truth.changes.is_empty() => {
-                    // A peer tells of changes made at any time; the datagram may come twice.
-                    let told = truth.changes[dice.usize(0..truth.changes.len())];
-                    f.handle(Input::Peer(0, datagram::encode(5, &[told])));
+                4 if !authority.changes.is_empty() => {
+                    // A peer sends any change made so far, possibly one that it has sent before.
+                    let change = authority.changes[rng.usize(0..authority.changes.len())];
+                    front.handle(Input::PeerUpdate(0, datagram::encode(5, &[change])));
                 }
-                _ => f.handle(Input::Timer),
+                _ => front.handle(Input::Timer),
             }
-            for action in f.take() {
+            for action in front.take_actions() {
                 match action {
                     Action::Poll { from, .. } => {
                         let known = from.map_or(0, |v| v.epoch);
-                        waiting.push(Input::Polled(match dice.u32(0..5) {
+                        delayed.push(Input::Polled(match rng.u32(0..5) {
                             0 => Err("lost".into()),
-                            1 => Ok(News {
+                            1 => Ok(PollResponse {
                                 reset: true,
-                                whole: false,
-                                ..truth.news(truth.version.epoch)
+                                full_map: false,
+                                ..authority.poll_response(authority.version.epoch)
                             }),
-                            _ if from.is_none() => Ok(News {
+                            _ if from.is_none() => Ok(PollResponse {
                                 reset: true,
-                                whole: true,
-                                ..truth.news(truth.version.epoch)
+                                full_map: true,
+                                ..authority.poll_response(authority.version.epoch)
                             }),
-                            _ => Ok(truth.news(known)),
+                            _ => Ok(authority.poll_response(known)),
                         }));
                     }
                     Action::Fetch { volume, .. } => {
-                        let answer = if dice.u32(0..4) == 0 {
+                        let answer = if rng.u32(0..4) == 0 {
                             Err("lost".into())
                         } else {
-                            Ok(truth.whole(volume.0))
+                            Ok(authority.volume_response(volume.0))
                         };
-                        waiting.push(Input::Fetched { volume, answer });
+                        delayed.push(Input::Fetched { volume, answer });
                     }
                     _ => {}
                 }
             }
-            // Answers arrive late and in any order.
-            while !waiting.is_empty() && dice.bool() {
-                let input = waiting.swap_remove(dice.usize(0..waiting.len()));
-                f.handle(input);
+            // Delayed answers arrive in any order.
+            while !delayed.is_empty() && rng.bool() {
+                let input = delayed.swap_remove(rng.usize(0..delayed.len()));
+                front.handle(input);
             }
         }
-        // The authority is heard again.
+        // From here on, every answer arrives.
         for _ in 0..40 {
-            f.pass(S);
+            front.advance(SECOND_US);
             for volume in 0..3 {
-                f.locate(volume, 0);
+                front.locate(volume, 0);
             }
-            let mut inputs = std::mem::take(&mut waiting);
-            for action in f.take() {
+            let mut inputs = std::mem::take(&mut delayed);
+            for action in front.take_actions() {
                 match action {
                     Action::Poll { from, .. } => inputs.push(Input::Polled(Ok(match from {
-                        Some(v) => truth.news(v.epoch),
-                        None => News {
+                        Some(v) => authority.poll_response(v.epoch),
+                        None => PollResponse {
                             reset: true,
-                            whole: false,
-                            ..truth.news(truth.version.epoch)
+                            full_map: false,
+                            ..authority.poll_response(authority.version.epoch)
                         },
                     }))),
                     Action::Fetch { volume, .. } => {
                         inputs.push(Input::Fetched {
                             volume,
-                            answer: Ok(truth.whole(volume.0)),
+                            answer: Ok(authority.volume_response(volume.0)),
                         });
                     }
                     _ => {}
                 }
             }
-            inputs.into_iter().for_each(|i| f.handle(i));
+            inputs.into_iter().for_each(|i| front.handle(i));
         }
         for volume in 0..3 {
             for key in 0..64 {
-                let expected = truth.shard(volume, key).map_or(Place::Uncovered, at);
+                let expected = authority.shard_of(volume, key).map_or(Location::Uncovered, on_shard);
                 assert_eq!(
-                    f.locate(volume, key),
+                    front.locate(volume, key),
                     expected,
                     "seed {seed}: volume {volume}, key {key}"
                 );
