--- a/crates/extent-map/tests/ranges.rs
+++ b/crates/extent-map/tests/ranges.rs
@@ -1,103 +1,103 @@
-//! The table of ranges against a naive model: one word for each key of a small key space.
+//! Compares the table of key ranges with a naive model that stores each key of a small key space by itself.
 
-use lupinrack_extent_map::plain::Plain;
+use lupinrack_extent_map::btree_ranges::BTreeRanges;
 use lupinrack_extent_map::ranges::Ranges;
 use quickcheck::{quickcheck, Arbitrary, Gen};
 
-/// Keys of the model; the table's are these, spread over all 64 bits.
-const KEYS: usize = 48;
-const STEP: u64 = u64::MAX / (KEYS as u64 - 1);
+/// Keys of the model. In the table they are spread over all 64 bits.
+const MODEL_KEYS: usize = 48;
+const KEY_STEP: u64 = u64::MAX / (MODEL_KEYS as u64 - 1);
 
-/// A change of a range, by its first and last key of the model.
+/// One update of a range, with keys of the model.
 #[derive(Clone, Copy, Debug)]
 struct Set {
     first: usize,
     last: usize,
     shard: Option<u32>,
     epoch: u64,
-    limit: u64,
+    max_replaced_epoch: u64,
 }
 
 impl Arbitrary for Set {
     fn arbitrary(g: &mut Gen) -> Set {
-        let (a, b) = (usize::arbitrary(g) % KEYS, usize::arbitrary(g) % KEYS);
+        let (key_a, key_b) = (usize::arbitrary(g) % MODEL_KEYS, usize::arbitrary(g) % MODEL_KEYS);
         let epoch = 1 + u64::arbitrary(g) % 20;
-        // Changes replace what is older; answers on a volume also what is as old as they are.
-        let limit = if bool::arbitrary(g) {
+        // A change replaces earlier epochs; a fetch also replaces its own epoch.
+        let max_replaced_epoch = if bool::arbitrary(g) {
             epoch - 1
         } else {
             epoch + u64::arbitrary(g) % 3
         };
-        let shard = Some(u32::arbitrary(g) % 4).filter(|s| *s > 0);
+        let shard = Some(u32::arbitrary(g) % 4).filter(|shard| *shard > 0);
         Set {
-            first: a.min(b),
-            last: a.max(b),
+            first: key_a.min(key_b),
+            last: key_a.max(key_b),
             shard,
             epoch,
-            limit,
+            max_replaced_epoch,
         }
     }
 }
 
-/// The keys from the model's first up to the one before the next of its last.
-fn span(s: &Set) -> (u64, u64) {
-    let last = if s.last + 1 == KEYS {
+/// The first and last key in the table for the model's keys.
+fn table_keys(set: &Set) -> (u64, u64) {
+    let last = if set.last + 1 == MODEL_KEYS {
         u64::MAX
     } else {
-        (s.last as u64 + 1) * STEP - 1
+        (set.last as u64 + 1) * KEY_STEP - 1
     };
-    (s.first as u64 * STEP, last)
+    (set.first as u64 * KEY_STEP, last)
 }
 
-/// Applies all to the naive model, to the table and to the plain one, and compares after each.
-fn agree<const CHUNK: usize>(sets: &[Set]) -> bool {
-    let mut model = [(None, 0u64); KEYS];
-    let (mut table, mut plain) = (Ranges::<CHUNK>::new(0), Plain::new(0));
-    for s in sets {
+/// Applies the updates to the model, the chunked table and the `BTreeMap` table. Compares all three after each.
+fn agrees_with_model<const MAX_CHUNK_RANGES: usize>(sets: &[Set]) -> bool {
+    let mut model = [(None, 0u64); MODEL_KEYS];
+    let (mut table, mut btree) = (Ranges::<MAX_CHUNK_RANGES>::new(0), BTreeRanges::new(0));
+    for set in sets {
         let mut moved = false;
-        for key in &mut model[s.first..=s.last] {
-            if key.1 <= s.limit {
-                moved |= key.0 != s.shard;
-                *key = (s.shard, s.epoch);
+        for key in &mut model[set.first..=set.last] {
+            if key.1 <= set.max_replaced_epoch {
+                moved |= key.0 != set.shard;
+                *key = (set.shard, set.epoch);
             }
         }
-        let (first, last) = span(s);
-        let told = table.set(first, last, s.shard, s.epoch, s.limit);
-        assert_eq!(told, moved, "whether anything moved");
-        assert_eq!(plain.set(first, last, s.shard, s.epoch, s.limit), moved);
+        let (first, last) = table_keys(set);
+        let table_moved = table.set(first, last, set.shard, set.epoch, set.max_replaced_epoch);
+        assert_eq!(table_moved, moved, "whether any key changed its shard");
+        assert_eq!(btree.set(first, last, set.shard, set.epoch, set.max_replaced_epoch), moved);
         for (i, key) in model.iter().enumerate() {
-            for at in [i as u64 * STEP, (i as u64 * STEP).saturating_add(STEP / 2)] {
-                let piece = table.get(at);
-                let expected = if at / STEP == i as u64 {
+            for at in [i as u64 * KEY_STEP, (i as u64 * KEY_STEP).saturating_add(KEY_STEP / 2)] {
+                let range = table.get(at);
+                let expected = if at / KEY_STEP == i as u64 {
                     key
                 } else {
-                    &model[(at / STEP) as usize]
+                    &model[(at / KEY_STEP) as usize]
                 };
                 assert_eq!(
-                    (piece.shard, piece.epoch),
+                    (range.shard, range.epoch),
                     *expected,
-                    "at {at:x} after {s:?}"
+                    "at {at:x} after {set:?}"
                 );
-                assert!(piece.first <= at && at <= piece.last);
+                assert!(range.first <= at && at <= range.last);
             }
         }
-        let pieces: Vec<_> = table.iter().collect();
+        let ranges: Vec<_> = table.iter().collect();
         assert_eq!(
-            pieces,
-            plain.iter().collect::<Vec<_>>(),
-            "the plain table has the same pieces"
+            ranges,
+            btree.iter().collect::<Vec<_>>(),
+            "the BTreeMap table has the same ranges"
         );
-        assert_eq!(pieces.len(), table.len());
+        assert_eq!(ranges.len(), table.len());
         assert_eq!(
-            (pieces[0].first, pieces[pieces.len() - 1].last),
+            (ranges[0].first, ranges[ranges.len() - 1].last),
             (0, u64::MAX),
             "all keys are covered"
         );
-        for pair in pieces.windows(2) {
+        for pair in ranges.windows(2) {
             assert_eq!(pair[0].last + 1, pair[1].first, "no gap and no overlap");
             assert!(
                 (pair[0].shard, pair[0].epoch) != (pair[1].shard, pair[1].epoch),
-                "what is alike is one piece"
+                "equal neighbours are one range"
             );
         }
     }
@@ -106,38 +106,38 @@
 
 quickcheck! {
     fn small_chunks_agree_with_the_model(sets: Vec<Set>) -> bool {
-        agree::<3>(&sets) && agree::<2>(&sets)
+        agrees_with_model::<3>(&sets) && agrees_with_model::<2>(&sets)
     }
 
     fn one_flat_table_agrees_with_the_model(sets: Vec<Set>) -> bool {
-        agree::<{ usize::MAX }>(&sets)
+        agrees_with_model::<{ usize::MAX }>(&sets)
     }
 
-    /// Whatever order changes come in, and however often, the same is known in the end.
+    /// Reordered and repeated changes lead to the same table.
     fn order_and_repetition_do_not_matter(sets: Vec<Set>, seed: u64) -> bool {
-        let mut dice = fastrand::Rng::with_seed(seed);
-        // Each epoch is one change, as the authority makes them.
-        let changes: Vec<Set> = sets.iter().zip(1u64..).map(|(s, n)| Set { epoch: n, limit: n - 1, ..*s }).collect();
+        let mut rng = fastrand::Rng::with_seed(seed);
+        // Each change has its own epoch, as it does at the authority.
+        let changes: Vec<Set> = sets.iter().zip(1u64..).map(|(set, epoch)| Set { epoch, max_replaced_epoch: epoch - 1, ..*set }).collect();
         let mut shuffled: Vec<Set> = changes.iter().chain(&changes).copied().collect();
-        dice.shuffle(&mut shuffled);
-        let play = |all: &[Set]| {
+        rng.shuffle(&mut shuffled);
+        let apply = |all: &[Set]| {
             let mut table = Ranges::<4>::new(0);
-            for s in all {
-                let (first, last) = span(s);
-                table.set(first, last, s.shard, s.epoch, s.limit);
+            for set in all {
+                let (first, last) = table_keys(set);
+                table.set(first, last, set.shard, set.epoch, set.max_replaced_epoch);
             }
             table.iter().collect::<Vec<_>>()
         };
-        play(&changes) == play(&shuffled)
+        apply(&changes) == apply(&shuffled)
     }
 }
 
 #[test]
-fn ends_of_the_key_space_and_empty_ranges() {
+fn updates_at_the_ends_of_the_key_space_and_of_empty_ranges() {
     let mut table = Ranges::<4>::new(7);
     assert!(
         !table.set(5, 4, Some(1), 9, 8),
-        "a range that ends before it begins changes nothing"
+        "a range whose last key is before its first changes nothing"
     );
     assert!(table.set(u64::MAX, u64::MAX, Some(1), 9, 8) && table.set(0, 0, Some(2), 10, 9));
     assert_eq!(
@@ -150,8 +150,8 @@
     );
     assert!(
         !table.set(0, u64::MAX, Some(3), 5, 4),
-        "older than all that is known"
+        "an epoch older than all known ones changes nothing"
     );
     assert!(table.set(0, u64::MAX, None, 11, 11) && table.len() == 1 && table.is_empty());
-    assert!(table.fits(7 + u64::from(u32::MAX) - 1) && !table.fits(7 + u64::from(u32::MAX)));
+    assert!(table.can_store(7 + u64::from(u32::MAX) - 1) && !table.can_store(7 + u64::from(u32::MAX)));
 }
--- a/crates/lupinrack/src/commands/extents/sim.rs
+++ b/crates/lupinrack/src/commands/extents/sim.rs
@@ -6,7 +6,7 @@
 use lupinrack_extent_map::config::Section;
 use lupinrack_extent_map::ranges::Ranges;
 use lupinrack_extent_map::{
-    datagram, Action, Cache, Change, Cover, Input, News, Place, Turn, Version,
+    datagram, Action, Cache, Change, FetchResponse, Input, PollResponse, Location, Reroute, Version,
 };
 use lupinrack_policy::{Key, Micros, Shard, VolumeId};
 use serde::Serialize;
@@ -288,7 +288,7 @@
         f.calls_per_request = self.calls as f64 / requests;
         f.message_bytes_per_request = (self.bytes + self.peer_bytes) as f64 / requests;
         f.peer_bytes_per_request = self.peer_bytes as f64 / requests;
-        let held: usize = self.fronts.iter().map(|f| f.cache.map().bytes()).sum();
+        let held: usize = self.fronts.iter().map(|f| f.cache.map().memory_bytes()).sum();
         f.table_bytes_per_front = held as f64 / self.fronts.len() as f64;
         f.took_s = began.elapsed().as_secs_f64();
         self.figures
@@ -349,12 +349,12 @@
                         self.resolve(front, w);
                     }
                 }
-                Action::Tell(bytes) => {
+                Action::SendToPeers(bytes) => {
                     for peer in (0..self.fronts.len()).filter(|p| *p != front) {
-                        self.peer_bytes += datagram::LONGEST.min(bytes.len()) as u64;
+                        self.peer_bytes += datagram::MAX_DATAGRAM_BYTES.min(bytes.len()) as u64;
                         if self.dice.f64() >= LOST {
                             let way = self.dice.i64(WAY);
-                            let input = Input::Peer(front as u16, bytes.clone());
+                            let input = Input::PeerUpdate(front as u16, bytes.clone());
                             self.later(way, Happens::Answer(peer, input));
                         }
                     }
@@ -364,7 +364,7 @@
                     let way = self.dice.i64(WAY);
                     self.later(way, Happens::Call(front, call));
                 }
-                Action::Save(_) | Action::Complain { .. } => {}
+                Action::Save(_) | Action::Warn { .. } => {}
             }
         }
     }
@@ -391,26 +391,26 @@
             .get(w.key.0)
             .shard
             .map(Shard);
-        while let Place::At(shard) = place {
+        while let Location::OnShard(shard) = place {
             if Some(shard) == truth {
                 break;
             }
             w.turned += 1;
             self.figures.misdirected += u64::from(w.turned == 1);
             self.figures.second_misdirected += u64::from(w.turned == 2);
-            match f.cache.wrong_turn(
+            match f.cache.on_wrong_shard(
                 self.now,
                 (w.volume, w.key),
                 shard,
                 Some(self.version),
                 &mut out,
             ) {
-                Turn::At(shard) if w.turned < 3 => place = Place::At(shard),
-                Turn::Waiting => place = Place::Unknown,
+                Reroute::To(shard) if w.turned < 3 => place = Location::OnShard(shard),
+                Reroute::Pending => place = Location::Unknown,
                 _ => break,
             }
         }
-        if place == Place::Unknown {
+        if place == Location::Unknown {
             f.waits.push(w);
         }
         self.carry(front, out);
@@ -472,7 +472,7 @@
                 let pieces = ranges
                     .iter()
                     .filter(|p| p.shard.is_some() && p.first >= within.0 && p.last <= within.1);
-                let extent = |p: lupinrack_extent_map::Piece| Change {
+                let extent = |p: lupinrack_extent_map::KeyRange| Change {
                     volume,
                     first: p.first,
                     last: p.last,
@@ -480,7 +480,7 @@
                     epoch: p.epoch,
                 };
                 let extents = pieces.map(extent).collect();
-                let cover = Cover {
+                let cover = FetchResponse {
                     version: self.version,
                     volume,
                     first: within.0,
@@ -506,18 +506,18 @@
             Some(from) => {
                 let known = self.history.partition_point(|c| c.epoch <= from.epoch);
                 let changes = self.history.range(known..).copied().collect();
-                News {
+                PollResponse {
                     version: self.version,
                     reset: false,
-                    whole: false,
+                    full_map: false,
                     changes,
                 }
             }
             // Too large to be told whole: volumes are fetched on need.
-            None => News {
+            None => PollResponse {
                 version: self.version,
                 reset: true,
-                whole: false,
+                full_map: false,
                 changes: Vec::new(),
             },
         };
--- a/crates/lupinrack/tests/extents.rs
+++ b/crates/lupinrack/tests/extents.rs
@@ -8,7 +8,7 @@
 use lupinrack::net::shutdown::Phase;
 use lupinrack::serve::{self, Plan};
 use lupinrack_extent_map::config::Section;
-use lupinrack_extent_map::{Action, Cache, Change, Cover, Input, News, Version};
+use lupinrack_extent_map::{Action, Cache, Change, FetchResponse, Input, PollResponse, Version};
 use lupinrack_operator_config::Operator;
 use lupinrack_policy::{Key, NodeListKind, NodeState, Outcome, Request, Shard, VolumeId};
 use mock_servers::authority::{Authority, Truth};
@@ -43,8 +43,8 @@
     }
 }
 
-fn cover(shard: u32, epoch: u64) -> Cover {
-    Cover {
+fn cover(shard: u32, epoch: u64) -> FetchResponse {
+    FetchResponse {
         version: version(epoch),
         volume: VOLUME,
         first: 0,
@@ -54,10 +54,10 @@
 }
 
 fn news(epoch: u64, changes: Vec<Change>) -> Input {
-    Input::Polled(Ok(News {
+    Input::Polled(Ok(PollResponse {
         version: version(epoch),
         reset: epoch == 1,
-        whole: false,
+        full_map: false,
         changes,
     }))
 }
@@ -114,7 +114,7 @@
         .expect("it is fetched");
 }
 
-async fn answer(core: &EngineHandle, cover: Cover) {
+async fn answer(core: &EngineHandle, cover: FetchResponse) {
     core.extent_map_input(Input::Fetched {
         volume: VOLUME,
         answer: Ok(cover),
@@ -257,7 +257,7 @@
     fetch(&mut actions).await;
     answer(
         &core,
-        Cover {
+        FetchResponse {
             extents: Vec::new(),
             ..cover(1, 1)
         },
--- a/crates/request-engine/src/engine/extents.rs
+++ b/crates/request-engine/src/engine/extents.rs
@@ -5,7 +5,7 @@
 
 use super::Engine;
 use crate::flow::FlowEnd;
-use lupinrack_extent_map::{self as extent_map, Party, Place, Turn, Version};
+use lupinrack_extent_map::{self as extent_map, Source, Location, Reroute, Version};
 use lupinrack_policy::{Event, Micros, Outcome, Request, RequestId, Shard};
 
 impl Engine {
@@ -16,22 +16,22 @@
             .as_mut()
             .and_then(|extents| extents.locate(now, &request));
         match place {
-            Some(Place::At(shard)) => Request {
+            Some(Location::OnShard(shard)) => Request {
                 shard: Some(shard),
                 ..request
             },
-            Some(Place::Unknown) => Request {
+            Some(Location::Unknown) => Request {
                 shard_unknown: true,
                 ..request
             },
-            Some(Place::Uncovered) | None => request,
+            Some(Location::Uncovered) | None => request,
         }
     }
 
     /// The shard of a request that is about to be sent, if it is another one by now.
     pub(super) fn changed_shard(&mut self, now: Micros, request: &Request) -> Option<Shard> {
         match self.extents.as_mut()?.locate(now, request)? {
-            Place::At(shard) if request.shard != Some(shard) => Some(shard),
+            Location::OnShard(shard) if request.shard != Some(shard) => Some(shard),
             _ => None,
         }
     }
@@ -52,14 +52,14 @@
         let turn = match (&mut self.extents, sent_to) {
             (Some(extents), Some(shard)) => extents.wrong_turn(now, &open.request, shard, hint),
             // A node that speaks of extents where nobody knows them is one that had no capacity.
-            _ => Turn::Stands,
+            _ => Reroute::Unchanged,
         };
-        if turn == Turn::Stands {
+        if turn == Reroute::Unchanged {
             return self.attempt_ended(now, id, attempt, Outcome::Rejected, None);
         }
         open.request.shard_unknown = true;
         self.attempt_ended(now, id, attempt, Outcome::WrongShard, None);
-        if let Turn::At(shard) = turn {
+        if let Reroute::To(shard) = turn {
             self.set_shard(now, id, Some(shard));
         }
     }
@@ -108,11 +108,11 @@
                 key.is_some_and(|key| (first..=last).contains(&key.0))
             }),
             extent_map::Action::ChangedAll => self.route_again(now, |_| true),
-            extent_map::Action::Complain { who, why } => match who {
-                Party::Authority => tracing::warn!("extent authority: {why}"),
-                Party::Peer(peer) => tracing::warn!("extents: peer {peer}: {why}"),
-                Party::Node(shard) => {
-                    tracing::warn!("extents: the node of shard {}: {why}", shard.0);
+            extent_map::Action::Warn { source, reason } => match source {
+                Source::Authority => tracing::warn!("extent authority: {reason}"),
+                Source::Peer(peer) => tracing::warn!("extents: peer {peer}: {reason}"),
+                Source::Node(shard) => {
+                    tracing::warn!("extents: the node of shard {}: {reason}", shard.0);
                 }
             },
             action => {
@@ -137,11 +137,11 @@
             };
             let (request, client_shard) = (open.request, open.client_shard);
             match extents.locate(now, &request) {
-                Some(Place::At(shard)) if request.shard_unknown || request.shard != Some(shard) => {
+                Some(Location::OnShard(shard)) if request.shard_unknown || request.shard != Some(shard) => {
                     self.set_shard(now, id, Some(shard));
                 }
                 // What no extent covers is where its client says.
-                Some(Place::Uncovered) if request.shard_unknown => {
+                Some(Location::Uncovered) if request.shard_unknown => {
                     self.set_shard(now, id, client_shard);
                 }
                 _ => {}
--- a/crates/request-engine/src/extent_router.rs
+++ b/crates/request-engine/src/extent_router.rs
@@ -1,11 +1,11 @@
 //! The cache of the map of extents, and the queues to its driver.
 
-use lupinrack_extent_map::{self as extent_map, Action, Cache, Counters, Place, Turn, Version};
+use lupinrack_extent_map::{self as extent_map, Action, Cache, Counters, Location, Reroute, Version};
 use lupinrack_policy::{Micros, Request, Shard};
 use tokio::sync::{mpsc, watch};
 
 /// Actions that may wait for the driver of the map: a poll, every call in flight, and datagrams.
-pub const DRIVER_QUEUE_LENGTH: usize = 2 * extent_map::FLIGHTS_MOST;
+pub const DRIVER_QUEUE_LENGTH: usize = 2 * extent_map::MAX_IN_FLIGHT_FETCHES;
 
 /// The reason given to the cache for a call that the driver had no capacity for.
 const DRIVER_BEHIND: &str = "the calls that are out take too long";
@@ -42,7 +42,7 @@
     }
 
     /// Where the data of a request is; `None`: it names no key.
-    pub(crate) fn locate(&mut self, now: Micros, request: &Request) -> Option<Place> {
+    pub(crate) fn locate(&mut self, now: Micros, request: &Request) -> Option<Location> {
         let key = request.key?;
         Some(
             self.cache
@@ -57,12 +57,12 @@
         request: &Request,
         shard: Shard,
         hint: Option<Version>,
-    ) -> Turn {
+    ) -> Reroute {
         let Some(key) = request.key else {
-            return Turn::Stands;
+            return Reroute::Unchanged;
         };
         self.cache
-            .wrong_turn(now, (request.volume, key), shard, hint, &mut self.actions)
+            .on_wrong_shard(now, (request.volume, key), shard, hint, &mut self.actions)
     }
 
     /// Takes what the driver brings.
@@ -79,7 +79,7 @@
         if self.actions.is_empty() {
             return false;
         }
-        self.cache.on_time(now, &mut self.actions);
+        self.cache.run_due(now, &mut self.actions);
         true
     }
 
