--- a/crates/extent-map/src/cache.rs
+++ b/crates/extent-map/src/cache.rs
@@ -178,7 +178,7 @@
 }
 
 struct InFlightFetch {
-    /// The key asked for; `None`: the complete volume.
+    /// The requested key; `None`: the complete volume.
     key: Option<Key>,
     /// A node's rejection caused it: moves that it reveals may be new to the peers.
     after_rejection: bool,
@@ -331,18 +331,18 @@
     }
 
     /// Handles a node's rejection of a request, which did not run: according to the node, the data is not on the shard
-    /// `asked`, as of version `hint`. Queues a fetch of the key's range if the hint is newer than what is known.
+    /// `sent_to`, as of version `hint`. Queues a fetch of the key's range if the hint is newer than what is known.
     pub fn on_wrong_shard(
         &mut self,
         now: Micros,
         (volume, key): (VolumeId, Key),
-        asked: Shard,
+        sent_to: Shard,
         hint: Option<Version>,
         out: &mut Vec<Action>,
     ) -> Reroute {
         self.counters.wrong_shard_rejections += 1;
         match self.locate(now, volume, key, out) {
-            Location::OnShard(shard) if shard != asked => return Reroute::To(shard),
+            Location::OnShard(shard) if shard != sent_to => return Reroute::To(shard),
             Location::Unknown => return Reroute::Pending,
             _ => {}
         }
@@ -365,7 +365,7 @@
             let hint_text = hint.map_or("no version".into(), |hint| hint.to_string());
             self.warn(
                 now,
-                Source::Node(asked),
+                Source::Node(sent_to),
                 format!("turned away what is here, with {hint_text}"),
                 out,
             );
--- a/crates/extent-map/tests/cache.rs
+++ b/crates/extent-map/tests/cache.rs
@@ -1,5 +1,5 @@
 //! The cache against a naive model of the authority: single cases, and random runs with lost, late, reordered and
-//! repeated answers.
+//! repeated messages.
 
 use lupinrack_extent_map::config::{Section, Strategy};
 use lupinrack_extent_map::*;
@@ -164,13 +164,13 @@
         &mut self,
         volume: u64,
         key: u64,
-        asked: u32,
+        sent_to: u32,
         hint: Option<Version>,
     ) -> Reroute {
         self.cache.on_wrong_shard(
             self.now,
             (VolumeId(volume), Key(key)),
-            Shard(asked),
+            Shard(sent_to),
             hint,
             &mut self.out,
         )
@@ -954,7 +954,7 @@
 /// twice, and nodes send hints. The cache never returns a shard that the volume was never on. Once all answers arrive,
 /// the map equals the authority's.
 #[test]
-fn the_map_converges_after_lost_late_reordered_and_repeated_answers() {
+fn the_map_converges_after_lost_late_reordered_and_repeated_messages() {
     for seed in 0..300 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut authority = ModelAuthority::new();
