--- a/crates/extent-map-drill/src/lib.rs
+++ b/crates/extent-map-drill/src/lib.rs
@@ -163,10 +163,7 @@
         let mut baselines = BTreeMap::new();
         if self.strategy.is_none() {
             for strategy in [Strategy::None, Strategy::Ttl] {
-                baselines.insert(
-                    strategy.name(),
-                    play(self, seed, strategy, program).await?,
-                );
+                baselines.insert(strategy.name(), play(self, seed, strategy, program).await?);
             }
         }
         Ok(Report { figures, baselines })
@@ -281,14 +278,15 @@
     /// node's index.
     async fn drain(
         &mut self,
-        late_successor: bool, rng: &mut fastrand::Rng) -> Result<usize, RigError> {
+        late_successor: bool,
+        rng: &mut fastrand::Rng,
+    ) -> Result<usize, RigError> {
         let shard = rng.u32(0..self.serving_nodes.len() as u32);
         let node = self.serving_nodes[shard as usize];
         if !late_successor {
             self.serving_nodes[shard as usize] = self.add_node(shard, rng).await?;
         }
-        self.drained
-            .insert(node, self.stage.list(node, "DRAINING"));
+        self.drained.insert(node, self.stage.list(node, "DRAINING"));
         let extents: Vec<Lot> = lock(&self.authority.truth)
             .lots()
             .filter(|extent| extent.shard == shard)
@@ -352,7 +350,8 @@
         }
     }
     let authority = Arc::new(Authority::start(truth).await?);
-    let mut cluster = Cluster::new(drill, authority.clone(), program.to_path_buf(), &mut rng).await?;
+    let mut cluster =
+        Cluster::new(drill, authority.clone(), program.to_path_buf(), &mut rng).await?;
     let relay = Relay::new(drill.fronts as usize, rng.u64(..)).await?;
     let fronts = start_fronts(drill, strategy, &cluster, &relay, &mut rng).await?;
     let clients = Clients::default();
@@ -425,14 +424,18 @@
             }
             if burst_end == Some(at) {
                 let calls = count_calls(&fronts);
-                let calls_in_burst = calls.iter().zip(&calls_before_burst).map(|(after, before)| after - before);
+                let calls_in_burst = calls
+                    .iter()
+                    .zip(&calls_before_burst)
+                    .map(|(after, before)| after - before);
                 figures.burst_calls_per_front = calls_in_burst.max().unwrap_or(0);
             }
         }
         while let Some(i) = follow_ups.iter().position(|(at, _)| *at <= due) {
             match follow_ups.swap_remove(i).1 {
                 FollowUp::StartSuccessor(shard) => {
-                    cluster.serving_nodes[shard as usize] = cluster.add_node(shard, &mut rng).await?
+                    cluster.serving_nodes[shard as usize] =
+                        cluster.add_node(shard, &mut rng).await?
                 }
                 FollowUp::Delete(node) => {
                     cluster.stage.list(node, "DELETED");
@@ -448,7 +451,9 @@
         }
     }
     while let Some(result) = in_flight.join_next().await {
-        figures.tally.count(result.map_err(std::io::Error::other)?.0);
+        figures
+            .tally
+            .count(result.map_err(std::io::Error::other)?.0);
     }
     let (calls_after, traffic_after) = (count_calls(&fronts), traffic(&fronts, &relay));
     figures.refresh_calls = calls_after.iter().sum::<u64>() - calls_before.iter().sum::<u64>();
@@ -497,9 +502,14 @@
             json!(peers)
         );
         relay.target(i, Some(*own_address));
-        let process = cluster.stage.front(i as u16, module_config, operator_config).await?;
+        let process = cluster
+            .stage
+            .front(i as u16, module_config, operator_config)
+            .await?;
         let Some(clients) = process.listens.clients else {
-            return Err(RigError::Script("a front has no address for clients".into()));
+            return Err(RigError::Script(
+                "a front has no address for clients".into(),
+            ));
         };
         fronts.push(Front {
             process,
@@ -572,9 +582,12 @@
         if drill.burst > 0 {
             let (from, burst_duration) = (duration / 2, Duration::from_secs(5).min(duration / 4));
             events.push((from, ScheduledEvent::BurstBegins));
-            events.extend(
-                (0..drill.burst).map(|_| (from + burst_duration.mul_f64(rng.f64()), ScheduledEvent::Change)),
-            );
+            events.extend((0..drill.burst).map(|_| {
+                (
+                    from + burst_duration.mul_f64(rng.f64()),
+                    ScheduledEvent::Change,
+                )
+            }));
             events.push((from + burst_duration, ScheduledEvent::BurstEnds));
         }
         // At the same time, the start of the burst comes before its moves, and the end after them.
@@ -599,7 +612,12 @@
 }
 
 /// Makes a random change: a move, the reversal of a move, two moves of one extent, a split, or a merge.
-fn change_extent(authority: &Authority, drill: &Drill, undoable: &mut Vec<Lot>, rng: &mut fastrand::Rng) {
+fn change_extent(
+    authority: &Authority,
+    drill: &Drill,
+    undoable: &mut Vec<Lot>,
+    rng: &mut fastrand::Rng,
+) {
     let (volume, key, to) = (
         rng.u64(0..drill.volumes),
         rng.u64(..),
@@ -665,7 +683,9 @@
                 if seen.fate == Fate::Elsewhere {
                     *rejections.entry(seen.id.clone()).or_default() += 1;
                 }
-                self.drain_late += u64::from(notified_at.is_some_and(|notified_at| seen.at > notified_at + DRAIN_GRACE));
+                self.drain_late += u64::from(
+                    notified_at.is_some_and(|notified_at| seen.at > notified_at + DRAIN_GRACE),
+                );
             }
         }
         self.duplicates = cluster.stage.duplicates();
--- a/crates/extent-map-driver/src/file.rs
+++ b/crates/extent-map-driver/src/file.rs
@@ -10,7 +10,9 @@
 /// Reads the file; `None` if it does not exist.
 pub fn load(path: &Path) -> io::Result<Option<Vec<u8>>> {
     match fs::metadata(path) {
-        Ok(meta) if meta.len() > MAX_FILE_BYTES => Err(io::Error::other("larger than any snapshot")),
+        Ok(meta) if meta.len() > MAX_FILE_BYTES => {
+            Err(io::Error::other("larger than any snapshot"))
+        }
         Ok(_) => fs::read(path).map(Some),
         Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
         Err(e) => Err(e),
--- a/crates/extent-map-driver/src/lib.rs
+++ b/crates/extent-map-driver/src/lib.rs
@@ -97,7 +97,11 @@
     ) {
         let mut tasks = JoinSet::new();
         if let Some(socket) = self.socket.clone() {
-            tasks.spawn(receive_peer_updates(socket, self.peers.clone(), self.engine.clone()));
+            tasks.spawn(receive_peer_updates(
+                socket,
+                self.peers.clone(),
+                self.engine.clone(),
+            ));
         }
         tasks.spawn(log_counters(counters));
         while let Some(action) = actions.recv().await {
@@ -106,7 +110,8 @@
                     let hold = Duration::from_micros(hold.max(0) as u64);
                     let from = from.map_or(String::new(), |v| format!("from={v}&"));
                     let path = format!("/extents?{from}hold_ms={}", hold.as_millis());
-                    let (call, engine) = (self.call(path, hold + CALL_TIMEOUT), self.engine.clone());
+                    let (call, engine) =
+                        (self.call(path, hold + CALL_TIMEOUT), self.engine.clone());
                     tasks.spawn(
                         async move { engine.extent_map_input(Input::Polled(call.await)).await },
                     );
@@ -116,11 +121,12 @@
                     let path = format!("/extents/volume/{:x}{key}", volume.0);
                     let (call, engine) = (self.call(path, CALL_TIMEOUT), self.engine.clone());
                     tasks.spawn(async move {
-                        engine.extent_map_input(Input::Fetched {
-                            volume,
-                            answer: call.await,
-                        })
-                        .await;
+                        engine
+                            .extent_map_input(Input::Fetched {
+                                volume,
+                                answer: call.await,
+                            })
+                            .await;
                     });
                 }
                 Action::SendToPeers(bytes) => {
@@ -194,7 +200,8 @@
         match socket.recv_from(&mut buffer).await {
             Ok((length, from)) => {
                 if let Some(peer) = peers.iter().position(|peer| *peer == from) {
-                    engine.extent_map_input(Input::PeerUpdate(peer as u16, buffer[..length].to_vec()))
+                    engine
+                        .extent_map_input(Input::PeerUpdate(peer as u16, buffer[..length].to_vec()))
                         .await;
                 }
             }
--- a/crates/extent-map/benches/ranges.rs
+++ b/crates/extent-map/benches/ranges.rs
@@ -26,7 +26,11 @@
 }
 
 impl<const MAX_RANGES: usize> Table for Ranges<MAX_RANGES> {
-    const NAME: &'static str = if MAX_RANGES == usize::MAX { "flat" } else { "chunked" };
+    const NAME: &'static str = if MAX_RANGES == usize::MAX {
+        "flat"
+    } else {
+        "chunked"
+    };
     fn empty() -> Self {
         Ranges::new(0)
     }
--- a/crates/extent-map/src/cache.rs
+++ b/crates/extent-map/src/cache.rs
@@ -632,13 +632,12 @@
                 .is_some_and(|v| v.complete && !v.may_be_stale);
             // Requests cannot proceed without a volume that is missing or stale. Refreshes caused by rejections have
             // budgets of their own, because nodes may be behind or send wrong hints.
-            let start_at = match is_current
-                && self.queued.get(&volume).is_some_and(|queued| queued.2)
-            {
-                true => self.take_refresh_token(now, volume),
-                false if self.load_budget.try_take(now) => now,
-                false => self.load_budget.next_token_at(now),
-            };
+            let start_at =
+                match is_current && self.queued.get(&volume).is_some_and(|queued| queued.2) {
+                    true => self.take_refresh_token(now, volume),
+                    false if self.load_budget.try_take(now) => now,
+                    false => self.load_budget.next_token_at(now),
+                };
             if start_at > now {
                 self.counters.deferred_fetches += 1;
                 self.queued
--- a/crates/extent-map/src/config.rs
+++ b/crates/extent-map/src/config.rs
@@ -159,7 +159,8 @@
         {
             faults.push((
                 "polls_per_s".into(),
-                "lower than half the rate at which polls without changes end (one per hold_ms)".into(),
+                "lower than half the rate at which polls without changes end (one per hold_ms)"
+                    .into(),
             ));
         }
         faults
--- a/crates/extent-map/src/map.rs
+++ b/crates/extent-map/src/map.rs
@@ -130,9 +130,7 @@
         let mut next = Some(response.first);
         for extent in &response.extents {
             if let Some(gap) = next.filter(|next| *next < extent.first) {
-                moved |= cached
-                    .ranges
-                    .set(gap, extent.first - 1, None, epoch, epoch);
+                moved |= cached.ranges.set(gap, extent.first - 1, None, epoch, epoch);
             }
             moved |= cached.ranges.set(
                 extent.first,
--- a/crates/extent-map/src/protocol.rs
+++ b/crates/extent-map/src/protocol.rs
@@ -129,20 +129,26 @@
         }
     }
 
-    pub(super) fn serialize<T: Number, S: Serializer>(value: &T, serializer: S) -> Result<S::Ok, S::Error> {
+    pub(super) fn serialize<T: Number, S: Serializer>(
+        value: &T,
+        serializer: S,
+    ) -> Result<S::Ok, S::Error> {
         match serializer.is_human_readable() {
             true => serializer.collect_str(&format_args!("{:x}", value.number())),
             false => serializer.serialize_u64(value.number()),
         }
     }
 
-    pub(super) fn deserialize<'a, T: Number, D: Deserializer<'a>>(deserializer: D) -> Result<T, D::Error> {
+    pub(super) fn deserialize<'a, T: Number, D: Deserializer<'a>>(
+        deserializer: D,
+    ) -> Result<T, D::Error> {
         if !deserializer.is_human_readable() {
             return u64::deserialize(deserializer).map(T::from_number);
         }
         let text = <std::borrow::Cow<'a, str>>::deserialize(deserializer)?;
-        let valid =
-            !text.is_empty() && text.len() <= 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        let valid = !text.is_empty()
+            && text.len() <= 16
+            && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         let number = valid.then(|| u64::from_str_radix(&text, 16).ok()).flatten();
         number
             .map(T::from_number)
--- a/crates/extent-map/tests/cache.rs
+++ b/crates/extent-map/tests/cache.rs
@@ -160,13 +160,7 @@
         });
     }
 
-    fn reject(
-        &mut self,
-        volume: u64,
-        key: u64,
-        sent_to: u32,
-        hint: Option<Version>,
-    ) -> Reroute {
+    fn reject(&mut self, volume: u64, key: u64, sent_to: u32, hint: Option<Version>) -> Reroute {
         self.cache.on_wrong_shard(
             self.now,
             (VolumeId(volume), Key(key)),
@@ -243,7 +237,10 @@
     // A move that the stream has not brought.
     authority.put(1, 100, 199, 4);
     for key in 100..150 {
-        assert_eq!(front.reject(1, key, 3, Some(authority.version)), Reroute::Pending);
+        assert_eq!(
+            front.reject(1, key, 3, Some(authority.version)),
+            Reroute::Pending
+        );
     }
     let actions = front.take_actions();
     assert_eq!(count_fetches(&actions), 1);
@@ -257,9 +254,15 @@
         first: 100,
         last: 199
     }));
-    assert_eq!((front.locate(1, 150), front.locate(1, 99)), (on_shard(4), on_shard(3)));
+    assert_eq!(
+        (front.locate(1, 150), front.locate(1, 99)),
+        (on_shard(4), on_shard(3))
+    );
     // A request rejected after the answer was applied is sent to the shard that the map has now.
-    assert_eq!(front.reject(1, 160, 3, Some(authority.version)), Reroute::To(Shard(4)));
+    assert_eq!(
+        front.reject(1, 160, 3, Some(authority.version)),
+        Reroute::To(Shard(4))
+    );
 }
 
 #[test]
@@ -381,7 +384,10 @@
     authority.put(1, 50, 99, 5);
     authority.put(1, 50, 99, 6);
     front.handle(Input::Polled(Ok(authority.poll_response(from))));
-    assert_eq!((front.locate(1, 0), front.locate(1, 50)), (on_shard(3), on_shard(6)));
+    assert_eq!(
+        (front.locate(1, 0), front.locate(1, 50)),
+        (on_shard(3), on_shard(6))
+    );
     // Another front receives the same batch in reverse order.
     let mut other_front = Front::with_all_volumes(
         section(),
@@ -396,7 +402,10 @@
     let mut reversed = authority.poll_response(from);
     reversed.changes.reverse();
     other_front.handle(Input::Polled(Ok(reversed)));
-    assert_eq!((other_front.locate(1, 0), other_front.locate(1, 50)), (on_shard(3), on_shard(6)));
+    assert_eq!(
+        (other_front.locate(1, 0), other_front.locate(1, 50)),
+        (on_shard(3), on_shard(6))
+    );
 }
 
 #[test]
@@ -407,10 +416,16 @@
     let (from, old) = (authority.version.epoch, authority.volume_response(1));
     authority.put(1, 20, 29, 4);
     front.now += SECOND_US;
-    assert_eq!(front.reject(1, 50, 3, Some(authority.version)), Reroute::Pending);
+    assert_eq!(
+        front.reject(1, 50, 3, Some(authority.version)),
+        Reroute::Pending
+    );
     front.handle(Input::Polled(Ok(authority.poll_response(from))));
     front.answer_fetch(1, old);
-    assert_eq!((front.locate(1, 25), front.locate(1, 50)), (on_shard(4), on_shard(3)));
+    assert_eq!(
+        (front.locate(1, 25), front.locate(1, 50)),
+        (on_shard(4), on_shard(3))
+    );
     // A poll answer with an older version is ignored.
     front.handle(Input::Polled(Ok(PollResponse {
         version: Version {
@@ -441,7 +456,10 @@
     authority.put(1, 0, 9, 4);
     front.handle(Input::Polled(Ok(authority.poll_response(from))));
     front.answer_fetch(1, answer.clone());
-    assert_eq!((front.locate(1, 5), front.locate(1, 50)), (on_shard(4), on_shard(3)));
+    assert_eq!(
+        (front.locate(1, 5), front.locate(1, 50)),
+        (on_shard(4), on_shard(3))
+    );
     // An answer of an earlier epoch than the volume's entry may lack changes, so the fetch is repeated.
     let mut other_front = Front::new(section());
     other_front.handle(Input::Polled(Ok(PollResponse {
@@ -451,7 +469,10 @@
     other_front.locate(1, 5);
     other_front.answer_fetch(1, answer);
     assert_eq!(
-        (other_front.locate(1, 5), other_front.cache.counters().stale_answers),
+        (
+            other_front.locate(1, 5),
+            other_front.cache.counters().stale_answers
+        ),
         (Location::Unknown, 1)
     );
     other_front.take_actions();
@@ -467,12 +488,22 @@
     let from = authority.version.epoch;
     authority.put(1, 50, 99, 4);
     front.handle(Input::Polled(Ok(authority.poll_response(from))));
-    assert_eq!((front.locate(1, 49), front.locate(1, 50)), (on_shard(3), on_shard(4)));
+    assert_eq!(
+        (front.locate(1, 49), front.locate(1, 50)),
+        (on_shard(3), on_shard(4))
+    );
     let from = authority.version.epoch;
     authority.put(1, 0, 99, 4);
     front.handle(Input::Polled(Ok(authority.poll_response(from))));
-    assert_eq!((front.locate(1, 49), front.locate(1, 50)), (on_shard(4), on_shard(4)));
-    assert_eq!(front.cache.map().extents(), 2, "one extent and the open rest");
+    assert_eq!(
+        (front.locate(1, 49), front.locate(1, 50)),
+        (on_shard(4), on_shard(4))
+    );
+    assert_eq!(
+        front.cache.map().extents(),
+        2,
+        "one extent and the open rest"
+    );
 }
 
 #[test]
@@ -601,7 +632,10 @@
         "served before any answer"
     );
     other_front.handle(Input::Polled(Ok(authority.poll_response(from.epoch))));
-    assert_eq!((other_front.locate(1, 5), other_front.locate(2, 5)), (on_shard(5), on_shard(4)));
+    assert_eq!(
+        (other_front.locate(1, 5), other_front.locate(2, 5)),
+        (on_shard(5), on_shard(4))
+    );
     // A change of any byte and any truncation is detected.
     for i in 0..saved.len() {
         let mut corrupt = saved.clone();
@@ -692,9 +726,21 @@
     }
     assert!(front.cache.counters().evicted_volumes > 0);
     front.take_actions();
-    assert_eq!(front.locate(39, 5), on_shard(0), "the most recently used volume is kept");
-    assert_eq!(front.locate(0, 5), Location::Unknown, "the least recently used volume was evicted");
-    assert_eq!(count_fetches(&front.take_actions()), 1, "it is fetched again");
+    assert_eq!(
+        front.locate(39, 5),
+        on_shard(0),
+        "the most recently used volume is kept"
+    );
+    assert_eq!(
+        front.locate(0, 5),
+        Location::Unknown,
+        "the least recently used volume was evicted"
+    );
+    assert_eq!(
+        count_fetches(&front.take_actions()),
+        1,
+        "it is fetched again"
+    );
     front.answer_fetch(0, authority.volume_response(0));
     assert_eq!(front.locate(0, 15), on_shard(1));
 }
@@ -734,7 +780,10 @@
         other_front.handle(Input::PeerUpdate(0, bytes.clone()));
     }
     assert_eq!(
-        (other_front.locate(1, 5), other_front.cache.counters().peer_changes),
+        (
+            other_front.locate(1, 5),
+            other_front.cache.counters().peer_changes
+        ),
         (on_shard(4), 1),
         "the repeated datagram changes nothing"
     );
@@ -749,7 +798,13 @@
     other_front.handle(Input::Polled(Ok(authority.poll_response(from))));
     other_front.take_actions();
     other_front.advance(6 * SECOND_US);
-    assert_eq!((count_fetches(&other_front.out), other_front.cache.counters().unconfirmed), (1, 1));
+    assert_eq!(
+        (
+            count_fetches(&other_front.out),
+            other_front.cache.counters().unconfirmed
+        ),
+        (1, 1)
+    );
     let later = authority.put(2, 0, 1, 1);
     authority.version.epoch = 2_000;
     let _ = later;
@@ -765,7 +820,10 @@
     front.handle(Input::Polled(Ok(authority.poll_response(from))));
     front.take_actions();
     front.advance(SECOND_US);
-    assert!(!front.out.iter().any(|a| matches!(a, Action::SendToPeers(_))));
+    assert!(!front
+        .out
+        .iter()
+        .any(|a| matches!(a, Action::SendToPeers(_))));
 }
 
 #[test]
@@ -801,7 +859,10 @@
         front.handle(Input::PeerUpdate(3, bytes));
     }
     assert_eq!(
-        (front.cache.counters().malformed_datagrams, front.locate(1, 5)),
+        (
+            front.cache.counters().malformed_datagrams,
+            front.locate(1, 5)
+        ),
         (count, on_shard(3))
     );
     let warnings = front
@@ -946,7 +1007,10 @@
         );
         authority.put(1, 0, 99, 3);
         front.now += 10 * SECOND_US;
-        assert_eq!(front.reject(1, 5, 3, Some(authority.version)), Reroute::Pending);
+        assert_eq!(
+            front.reject(1, 5, 3, Some(authority.version)),
+            Reroute::Pending
+        );
     }
 }
 
@@ -1060,7 +1124,9 @@
         }
         for volume in 0..3 {
             for key in 0..64 {
-                let expected = authority.shard_of(volume, key).map_or(Location::Uncovered, on_shard);
+                let expected = authority
+                    .shard_of(volume, key)
+                    .map_or(Location::Uncovered, on_shard);
                 assert_eq!(
                     front.locate(volume, key),
                     expected,
--- a/crates/extent-map/tests/golden.rs
+++ b/crates/extent-map/tests/golden.rs
@@ -53,7 +53,11 @@
 fn check_json<T: Serialize + DeserializeOwned + PartialEq + Debug>(file: &str, value: &T) {
     let text = serde_json::to_string_pretty(value).unwrap() + "\n";
     let golden = check_text(file, &text);
-    assert_eq!(serde_json::from_str::<T>(&golden).unwrap(), *value, "{file}");
+    assert_eq!(
+        serde_json::from_str::<T>(&golden).unwrap(),
+        *value,
+        "{file}"
+    );
 }
 
 #[test]
--- a/crates/extent-map/tests/ranges.rs
+++ b/crates/extent-map/tests/ranges.rs
@@ -20,7 +20,10 @@
 
 impl Arbitrary for Set {
     fn arbitrary(g: &mut Gen) -> Set {
-        let (key_a, key_b) = (usize::arbitrary(g) % MODEL_KEYS, usize::arbitrary(g) % MODEL_KEYS);
+        let (key_a, key_b) = (
+            usize::arbitrary(g) % MODEL_KEYS,
+            usize::arbitrary(g) % MODEL_KEYS,
+        );
         let epoch = 1 + u64::arbitrary(g) % 20;
         // A change replaces earlier epochs; a fetch also replaces its own epoch.
         let max_replaced_epoch = if bool::arbitrary(g) {
@@ -64,9 +67,15 @@
         let (first, last) = table_keys(set);
         let table_moved = table.set(first, last, set.shard, set.epoch, set.max_replaced_epoch);
         assert_eq!(table_moved, moved, "whether any key changed its shard");
-        assert_eq!(btree.set(first, last, set.shard, set.epoch, set.max_replaced_epoch), moved);
+        assert_eq!(
+            btree.set(first, last, set.shard, set.epoch, set.max_replaced_epoch),
+            moved
+        );
         for (i, key) in model.iter().enumerate() {
-            for at in [i as u64 * KEY_STEP, (i as u64 * KEY_STEP).saturating_add(KEY_STEP / 2)] {
+            for at in [
+                i as u64 * KEY_STEP,
+                (i as u64 * KEY_STEP).saturating_add(KEY_STEP / 2),
+            ] {
                 let range = table.get(at);
                 let expected = if at / KEY_STEP == i as u64 {
                     key
@@ -153,5 +162,7 @@
         "an epoch older than all known ones changes nothing"
     );
     assert!(table.set(0, u64::MAX, None, 11, 11) && table.len() == 1 && table.is_empty());
-    assert!(table.can_store(7 + u64::from(u32::MAX) - 1) && !table.can_store(7 + u64::from(u32::MAX)));
+    assert!(
+        table.can_store(7 + u64::from(u32::MAX) - 1) && !table.can_store(7 + u64::from(u32::MAX))
+    );
 }
--- a/crates/lupinrack/src/commands/extents/sim.rs
+++ b/crates/lupinrack/src/commands/extents/sim.rs
@@ -6,7 +6,7 @@
 use lupinrack_extent_map::config::Section;
 use lupinrack_extent_map::ranges::Ranges;
 use lupinrack_extent_map::{
-    datagram, Action, Cache, Change, FetchResponse, Input, PollResponse, Location, Reroute, Version,
+    datagram, Action, Cache, Change, FetchResponse, Input, Location, PollResponse, Reroute, Version,
 };
 use lupinrack_policy::{Key, Micros, Shard, VolumeId};
 use serde::Serialize;
@@ -288,7 +288,11 @@
         f.calls_per_request = self.calls as f64 / requests;
         f.message_bytes_per_request = (self.bytes + self.peer_bytes) as f64 / requests;
         f.peer_bytes_per_request = self.peer_bytes as f64 / requests;
-        let held: usize = self.fronts.iter().map(|f| f.cache.map().memory_bytes()).sum();
+        let held: usize = self
+            .fronts
+            .iter()
+            .map(|f| f.cache.map().memory_bytes())
+            .sum();
         f.table_bytes_per_front = held as f64 / self.fronts.len() as f64;
         f.took_s = began.elapsed().as_secs_f64();
         self.figures
--- a/crates/request-engine/src/engine/extents.rs
+++ b/crates/request-engine/src/engine/extents.rs
@@ -5,7 +5,7 @@
 
 use super::Engine;
 use crate::flow::FlowEnd;
-use lupinrack_extent_map::{self as extent_map, Source, Location, Reroute, Version};
+use lupinrack_extent_map::{self as extent_map, Location, Reroute, Source, Version};
 use lupinrack_policy::{Event, Micros, Outcome, Request, RequestId, Shard};
 
 impl Engine {
@@ -137,7 +137,9 @@
             };
             let (request, client_shard) = (open.request, open.client_shard);
             match extents.locate(now, &request) {
-                Some(Location::OnShard(shard)) if request.shard_unknown || request.shard != Some(shard) => {
+                Some(Location::OnShard(shard))
+                    if request.shard_unknown || request.shard != Some(shard) =>
+                {
                     self.set_shard(now, id, Some(shard));
                 }
                 // What no extent covers is where its client says.
--- a/crates/request-engine/src/extent_router.rs
+++ b/crates/request-engine/src/extent_router.rs
@@ -1,6 +1,8 @@
 //! The cache of the map of extents, and the queues to its driver.
 
-use lupinrack_extent_map::{self as extent_map, Action, Cache, Counters, Location, Reroute, Version};
+use lupinrack_extent_map::{
+    self as extent_map, Action, Cache, Counters, Location, Reroute, Version,
+};
 use lupinrack_policy::{Micros, Request, Shard};
 use tokio::sync::{mpsc, watch};
 
