--- a/crates/extent-map/src/cache.rs
+++ b/crates/extent-map/src/cache.rs
@@ -6,7 +6,7 @@
 //! arrival does not matter.
 //!
 //! Storage nodes are not a source. A node that rejects a request because its data is elsewhere sends a version as a
-//! hint that something changed, but not what changed. The cache fetches the range in response only if the hint is
+//! hint that something changed, without the change itself. The cache fetches the range in response only if the hint is
 //! newer than everything known, with a single fetch in flight for a volume, and within one budget for each volume and
 //! one for all.
 
@@ -30,8 +30,8 @@
 /// First and longest delay before a failed poll is repeated. Failed fetches are always repeated after the first delay.
 const MIN_RETRY_BACKOFF_US: Micros = 100_000;
 const MAX_RETRY_BACKOFF_US: Micros = 2_000_000;
-/// How long a fetch protects its range from hints: older hints are ignored, newer ones too once the volume's refresh
-/// budget is empty.
+/// How long a fetch protects its range from hints: those not newer than the fetch are ignored, and newer ones too once
+/// the volume's refresh budget is empty.
 const FETCH_PROTECTION_US: Micros = 500_000;
 /// Fetched ranges that are protected from hints at once.
 const MAX_PROTECTED_RANGES: usize = 64;
@@ -54,7 +54,7 @@
 /// What to do with a request that a node rejected because its data is elsewhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reroute {
-    /// Send it to this shard, which the map has by now.
+    /// Send it to this shard: the map was updated after the request had been sent.
     To(Shard),
     /// Wait: the range is being refreshed, and [`Action::Changed`] follows.
     Pending,
@@ -180,7 +180,7 @@
 struct InFlightFetch {
     /// The requested key; `None`: the complete volume.
     key: Option<Key>,
-    /// A node's rejection caused it: moves that it reveals may be new to the peers.
+    /// A node's rejection caused the fetch: moves found by it are sent to the peers.
     after_rejection: bool,
     /// Another range of the volume was requested after the fetch had started.
     other_range_requested: bool,
@@ -799,7 +799,8 @@
         }
     }
 
-    /// Queues a fetch without a usable answer again, after a delay. Drops it if the volume was evicted meanwhile.
+    /// Queues a fetch without a usable answer again, after a delay. Drops it if the volume was evicted
+    /// meanwhile or the queue is full.
     fn retry_fetch(&mut self, now: Micros, volume: VolumeId, fetch: &InFlightFetch) {
         if self.map.get(volume).is_some() && self.queued.len() < MAX_QUEUED_FETCHES {
             let key = fetch.key.filter(|_| !fetch.other_range_requested);
--- a/crates/extent-map/src/datagram.rs
+++ b/crates/extent-map/src/datagram.rs
@@ -34,7 +34,7 @@
     Checksum,
     /// A change has a last key before its first, or epoch 0.
     #[error("invalid key range or epoch")]
-    Change,
+    InvalidChange,
 }
 
 /// Encodes the first [`MAX_CHANGES`] of the changes, which belong to one incarnation.
@@ -86,7 +86,7 @@
             epoch,
         };
         if change.first > change.last || epoch == 0 {
-            Err(DecodeError::Change)
+            Err(DecodeError::InvalidChange)
         } else {
             Ok(change)
         }
--- a/crates/extent-map/src/peers.rs
+++ b/crates/extent-map/src/peers.rs
@@ -14,7 +14,7 @@
 /// Changes tracked until the stream confirms them. Further ones are applied without tracking; if they are wrong, the
 /// stream corrects them.
 const MAX_UNCONFIRMED_CHANGES: usize = 1_024;
-/// Volumes whose last fetch is remembered.
+/// Volumes whose last fetch is tracked. Beyond this limit all are forgotten.
 const MAX_TRACKED_FETCHES: usize = 200_000;
 
 /// Changes to send to the peers: moves found by a node's rejection that the stream has not brought yet. A change is
--- a/crates/extent-map/src/snapshot.rs
+++ b/crates/extent-map/src/snapshot.rs
@@ -22,7 +22,7 @@
     Body(#[from] postcard::Error),
 }
 
-/// Encodes the map. Volumes that are incomplete or may be stale are left out.
+/// Encodes the map. Volumes that are incomplete or may be stale are skipped.
 pub fn encode(version: Version, map: &Map) -> Vec<u8> {
     let current = |(id, volume): (VolumeId, &Volume)| {
         (volume.complete && !volume.may_be_stale).then(|| as_response(version, id, volume))
