--- a/crates/front-settings/src/lib.rs
+++ b/crates/front-settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! The settings of an instance, from `path=value` lines. Unknown keys are passed over; a required key that is
-//! missing or does not parse is named.
+//! Parses the settings of a front, from `path=value` lines or from nested JSON. Unknown keys are ignored; an error names the
+//! required key that is missing or the key whose value is invalid.
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
 
@@ -7,56 +7,59 @@
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-/// What the settings say: to the module, and to the programs round it.
+/// The settings of a front: those of the policy, and those of the program around it.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
-    /// The module's part.
-    pub module: Settings,
+pub struct FrontSettings {
+    /// The settings of the policy.
+    pub policy: Settings,
     /// The names of the values in load reports, in order.
-    pub columns: Vec<String>,
+    pub load_columns: Vec<String>,
     /// The names of the classes, by index.
     pub classes: Vec<String>,
-    /// The classes that were dropped while the program ran: open requests keep their rules, new ones find no class.
+    /// Whether each class was removed while the program was running. Open requests keep its rules; new requests cannot use
+    /// it.
     pub retired: Vec<bool>,
-    /// Whether each class writes, where the settings say so for these very classes: a list of another length tells
-    /// nothing of which is which.
+    /// Whether each class writes, if the settings say so. A list of another length than that of the classes is ignored,
+    /// since it cannot be assigned to them.
     pub writes: Vec<Option<bool>>,
     /// The names of the plans, by index.
     pub plans: Vec<String>,
     /// The names of the zones, by index.
     pub zones: Vec<String>,
-    /// An idle connection is closed by a node after this, at the latest.
-    pub conn_idle: Micros,
-    /// A connection that is not up by then has failed.
+    /// How long a node keeps an idle connection open at most.
+    pub node_idle_timeout: Micros,
+    /// How long connecting to a node may take.
     pub connect_timeout: Micros,
 }
 
-/// The longest span that a setting may name, in milliseconds: ten days. Times are added to clock readings.
-const SPAN_MOST: f64 = 864e6;
+/// The longest duration that a setting may have: ten days. Durations are added to clock readings, which must not overflow.
+const MAX_DURATION_MS: f64 = 864e6;
 
-/// The most classes that one process can be told, with all that were dropped or changed.
-pub const CLASSES_MOST: usize = 256;
+/// The most classes that one process can have, including those that were removed or changed while it was running.
+pub const MAX_CLASSES: usize = 256;
 
-impl Told {
-    /// The index of the class of this name.
+impl FrontSettings {
+    /// The index of the active class with this name.
     pub fn class(&self, name: &str) -> Option<usize> {
-        self.current().find(|(_, n)| *n == name).map(|(at, _)| at)
+        self.active_classes()
+            .find(|(_, n)| *n == name)
+            .map(|(index, _)| index)
     }
 
-    fn current(&self) -> impl Iterator<Item = (usize, &str)> {
+    fn active_classes(&self) -> impl Iterator<Item = (usize, &str)> {
         let names = self.classes.iter().map(String::as_str).enumerate();
-        names.filter(|(at, _)| !self.retired.get(*at).copied().unwrap_or(false))
+        names.filter(|(index, _)| !self.retired.get(*index).copied().unwrap_or(false))
     }
 
-    /// The names of the classes in use.
-    pub fn named(&self) -> impl Iterator<Item = &str> {
-        self.current().map(|(_, name)| name)
+    /// The names of the active classes.
+    pub fn active_class_names(&self) -> impl Iterator<Item = &str> {
+        self.active_classes().map(|(_, name)| name)
     }
 
-    /// What the module goes by. It sees to it that a class that was dropped decides nothing for the others: neither the
-    /// shortest aim nor the most worth.
-    pub fn for_module(&self) -> Settings {
-        let mut settings = self.module.clone();
+    /// The settings as the policy gets them. The latency target and value of a removed class are 0: the policy compares
+    /// classes by the shortest latency target and the largest value, and a removed class must not affect the others.
+    pub fn policy_settings(&self) -> Settings {
+        let mut settings = self.policy.clone();
         let retired = settings
             .classes
             .iter_mut()
@@ -66,34 +69,39 @@
         settings
     }
 
-    /// The settings that follow these while the program runs. A class whose rules stay keeps its index; one with new rules
-    /// gets a new index, so that what is open under the old one keeps them. Plans keep theirs, with new figures.
-    pub fn followed_by(&self, new: Told) -> Result<Told, String> {
-        let (mut classes, mut rules) = (self.classes.clone(), self.module.classes.clone());
+    /// Merges new settings into the current ones while the program is running. A class with unchanged rules keeps its index.
+    /// One with new rules gets a new index, so that open requests of the old one keep its rules. A plan keeps its index and
+    /// gets its new values.
+    pub fn updated_with(&self, new: FrontSettings) -> Result<FrontSettings, String> {
+        let (mut classes, mut class_rules) = (self.classes.clone(), self.policy.classes.clone());
         let (mut retired, mut writes) = (vec![true; classes.len()], self.writes.clone());
-        for ((name, rule), said) in new.classes.iter().zip(&new.module.classes).zip(&new.writes) {
+        for ((name, rules), stated_writes) in
+            new.classes.iter().zip(&new.policy.classes).zip(&new.writes)
+        {
             match classes
                 .iter()
-                .zip(&rules)
-                .position(|(n, r)| n == name && r == rule)
+                .zip(&class_rules)
+                .position(|(n, r)| n == name && r == rules)
             {
-                Some(at) => (retired[at], writes[at]) = (false, said.or(writes[at])),
+                Some(index) => {
+                    (retired[index], writes[index]) = (false, stated_writes.or(writes[index]))
+                }
                 None => {
                     classes.push(name.clone());
-                    rules.push(rule.clone());
+                    class_rules.push(rules.clone());
                     retired.push(false);
-                    writes.push(*said);
+                    writes.push(*stated_writes);
                 }
             }
         }
-        if classes.len() > CLASSES_MOST {
-            return Err(format!("more than {CLASSES_MOST} classes since the start"));
+        if classes.len() > MAX_CLASSES {
+            return Err(format!("more than {MAX_CLASSES} classes since the start"));
         }
-        let (mut plans, mut figures) = (self.plans.clone(), self.module.plans.clone());
-        for (name, figure) in new.plans.iter().zip(&new.module.plans) {
+        let (mut plans, mut plan_rules) = (self.plans.clone(), self.policy.plans.clone());
+        for (name, rules) in new.plans.iter().zip(&new.policy.plans) {
             match plans.iter().position(|p| p == name) {
-                Some(at) => figures[at] = figure.clone(),
-                None => (plans.push(name.clone()), figures.push(figure.clone())).0,
+                Some(index) => plan_rules[index] = rules.clone(),
+                None => (plans.push(name.clone()), plan_rules.push(rules.clone())).0,
             }
         }
         if let Some(name) = plans.iter().find(|p| !new.plans.contains(p)) {
@@ -101,13 +109,13 @@
                 "setting grades: the plan '{name}' cannot be dropped while the program runs"
             ));
         }
-        let module = Settings {
-            classes: rules,
-            plans: figures,
-            ..new.module
+        let policy = Settings {
+            classes: class_rules,
+            plans: plan_rules,
+            ..new.policy
         };
-        Ok(Told {
-            module,
+        Ok(FrontSettings {
+            policy,
             classes,
             retired,
             writes,
@@ -117,15 +125,16 @@
     }
 }
 
-/// Milliseconds of the settings as microseconds.
+/// Converts milliseconds to microseconds.
 pub fn micros(ms: f64) -> Micros {
     (ms * 1000.0).round() as Micros
 }
 
-struct Keys(BTreeMap<String, String>);
+/// The values of all settings, by their keys.
+struct SettingValues(BTreeMap<String, String>);
 
-impl Keys {
-    fn opt<T: FromStr>(&self, key: &str) -> Result<Option<T>, String> {
+impl SettingValues {
+    fn optional<T: FromStr>(&self, key: &str) -> Result<Option<T>, String> {
         match self.0.get(key) {
             None => Ok(None),
             Some(v) if v.is_empty() => Ok(None),
@@ -135,58 +144,59 @@
                 .map_err(|_| format!("setting {key}: cannot read '{v}'")),
         }
     }
-    fn must<T: FromStr>(&self, key: &str) -> Result<T, String> {
-        self.opt(key)?
+    fn required<T: FromStr>(&self, key: &str) -> Result<T, String> {
+        self.optional(key)?
             .ok_or_else(|| format!("setting {key} is missing"))
     }
-    fn num(&self, key: &str) -> Result<Option<f64>, String> {
-        match self.opt::<f64>(key)? {
+    fn number(&self, key: &str) -> Result<Option<f64>, String> {
+        match self.optional::<f64>(key)? {
             Some(x) if !x.is_finite() => Err(format!("setting {key}: not a finite number")),
             Some(x) if x < 0.0 => Err(format!("setting {key}: not a positive number")),
             x => Ok(x),
         }
     }
-    fn ms(&self, key: &str) -> Result<Option<Micros>, String> {
-        match self.num(key)? {
-            Some(x) if x > SPAN_MOST => Err(format!("setting {key}: over ten days")),
+    fn duration(&self, key: &str) -> Result<Option<Micros>, String> {
+        match self.number(key)? {
+            Some(x) if x > MAX_DURATION_MS => Err(format!("setting {key}: over ten days")),
             x => Ok(x.map(micros)),
         }
     }
-    fn real(&self, key: &str, absent: f64) -> Result<f64, String> {
-        Ok(self.num(key)?.unwrap_or(absent))
+    fn number_or(&self, key: &str, default: f64) -> Result<f64, String> {
+        Ok(self.number(key)?.unwrap_or(default))
     }
-    fn span(&self, key: &str, absent_ms: f64) -> Result<Micros, String> {
-        Ok(self.ms(key)?.unwrap_or(micros(absent_ms)))
+    fn duration_or(&self, key: &str, default_ms: f64) -> Result<Micros, String> {
+        Ok(self.duration(key)?.unwrap_or(micros(default_ms)))
     }
-    fn must_span(&self, key: &str) -> Result<Micros, String> {
-        self.ms(key)?
+    fn required_duration(&self, key: &str) -> Result<Micros, String> {
+        self.duration(key)?
             .ok_or_else(|| format!("setting {key} is missing"))
     }
     fn flag(&self, key: &str) -> Result<bool, String> {
-        Ok(self.opt(key)?.unwrap_or(false))
+        Ok(self.optional(key)?.unwrap_or(false))
     }
 }
 
-/// Reads the settings from `path=value` lines, as the simulator gives them.
-pub fn parse(info: &str) -> Result<Told, String> {
-    let pair = |l: &str| {
-        l.split_once('=')
-            .map(|(a, b)| (a.trim().to_string(), b.trim().to_string()))
+/// Parses the settings from `path=value` lines, as the simulator passes them.
+pub fn parse(lines: &str) -> Result<FrontSettings, String> {
+    let pair = |line: &str| {
+        line.split_once('=')
+            .map(|(key, value)| (key.trim().to_string(), value.trim().to_string()))
     };
-    read(&Keys(info.lines().filter_map(pair).collect()))
+    from_values(&SettingValues(lines.lines().filter_map(pair).collect()))
 }
 
-/// Reads the settings from nested JSON, as a real front gets them.
-pub fn parse_json(value: &serde_json::Value) -> Result<Told, String> {
-    let mut keys = BTreeMap::new();
-    flatten("", value, &mut keys);
-    read(&Keys(keys))
+/// Parses the settings from nested JSON, as the configuration of a front has them.
+pub fn parse_json(value: &serde_json::Value) -> Result<FrontSettings, String> {
+    let mut values = BTreeMap::new();
+    flatten("", value, &mut values);
+    from_values(&SettingValues(values))
 }
 
-/// Words nested JSON as the lines do: lists of plain values joined by commas, lists of objects counted.
-fn flatten(path: &str, value: &serde_json::Value, keys: &mut BTreeMap<String, String>) {
+/// Converts nested JSON to the keys and values of the line format. A list of plain values becomes one value, joined by commas;
+/// a list of objects gets a `count` key.
+fn flatten(path: &str, value: &serde_json::Value, values: &mut BTreeMap<String, String>) {
     use serde_json::Value;
-    let under = |name: &str| {
+    let child_path = |name: &str| {
         if path.is_empty() {
             name.to_string()
         } else {
@@ -196,23 +206,23 @@
     match value {
         Value::Object(fields) => fields
             .iter()
-            .for_each(|(name, v)| flatten(&under(name), v, keys)),
+            .for_each(|(name, v)| flatten(&child_path(name), v, values)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            keys.insert(under("count"), items.len().to_string());
+            values.insert(child_path("count"), items.len().to_string());
             items
                 .iter()
                 .enumerate()
-                .for_each(|(i, v)| flatten(&under(&i.to_string()), v, keys));
+                .for_each(|(i, v)| flatten(&child_path(&i.to_string()), v, values));
         }
         Value::Array(items) => {
-            let words: Vec<String> = items.iter().map(plain).collect();
-            keys.insert(path.to_string(), words.join(","));
+            let items: Vec<String> = items.iter().map(plain_text).collect();
+            values.insert(path.to_string(), items.join(","));
         }
-        _ => drop(keys.insert(path.to_string(), plain(value))),
+        _ => drop(values.insert(path.to_string(), plain_text(value))),
     }
 }
 
-fn plain(value: &serde_json::Value) -> String {
+fn plain_text(value: &serde_json::Value) -> String {
     match value {
         serde_json::Value::String(s) => s.clone(),
         serde_json::Value::Null => String::new(),
@@ -220,27 +230,34 @@
     }
 }
 
-fn read(k: &Keys) -> Result<Told, String> {
+fn from_values(values: &SettingValues) -> Result<FrontSettings, String> {
     let list = |key: &str| -> Vec<String> {
-        k.0.get(key)
+        values
+            .0
+            .get(key)
             .filter(|v| !v.is_empty())
             .map_or(Vec::new(), |v| v.split(',').map(String::from).collect())
     };
-    let (writes, count) = (list("domain.changesData"), k.must("classes.count")?);
+    let (writes, count) = (
+        list("domain.changesData"),
+        values.required("classes.count")?,
+    );
     let writes: Vec<Option<bool>> = (0..count)
         .map(|i| (writes.len() == count).then(|| writes[i] == "true"))
         .collect();
     let classes = (0..count)
-        .map(|i| class(k, i, writes[i]))
+        .map(|i| parse_class(values, i, writes[i]))
         .collect::<Result<Vec<_>, _>>()?;
-    let count = k.opt("grades.count")?.unwrap_or(0);
+    let count = values.optional("grades.count")?.unwrap_or(0);
     let plans = (0..count)
-        .map(|i| plan(k, i))
+        .map(|i| parse_plan(values, i))
         .collect::<Result<Vec<_>, _>>()?;
-    let names = |of: &str, n: usize| -> Vec<String> {
-        (0..n)
+    let names = |list: &str, count: usize| -> Vec<String> {
+        (0..count)
             .map(|i| {
-                k.0.get(&format!("{of}.{i}.name"))
+                values
+                    .0
+                    .get(&format!("{list}.{i}.name"))
                     .cloned()
                     .unwrap_or_default()
             })
@@ -250,146 +267,154 @@
         names("classes", classes.len()),
         names("grades", plans.len()),
     );
-    for (of, names) in [("classes", &class_names), ("grades", &plan_names)] {
-        let twice = names
+    for (list, names) in [("classes", &class_names), ("grades", &plan_names)] {
+        let duplicate = names
             .iter()
             .enumerate()
             .find(|(i, n)| !n.is_empty() && names[..*i].contains(n));
-        if let Some((i, name)) = twice {
+        if let Some((i, name)) = duplicate {
             return Err(format!(
-                "setting {of}.{i}.name: '{name}' stands there twice"
+                "setting {list}.{i}.name: '{name}' stands there twice"
             ));
         }
     }
-    let discovery = match k.0.get("registryMode").map(String::as_str) {
+    let discovery = match values.0.get("registryMode").map(String::as_str) {
         Some("ask") => DiscoveryMode::Poll {
-            informed_after: k.span("safety.askWithin", 10_000.0)?,
+            informed_after: values.duration_or("safety.askWithin", 10_000.0)?,
         },
         Some("push") | None => DiscoveryMode::Push,
         Some(other) => return Err(format!("setting registryMode: cannot read '{other}'")),
     };
-    let slow_start = match k.ms("safety.tipAfter")? {
+    let slow_start = match values.duration("safety.tipAfter")? {
         Some(window) if window > 0 => Some(SlowStart {
-            guaranteed_units: k.real("domain.coldBears", 0.0)?,
-            initial_share: match k.real("safety.coldFrom", 0.0)? {
+            guaranteed_units: values.number_or("domain.coldBears", 0.0)?,
+            initial_share: match values.number_or("safety.coldFrom", 0.0)? {
                 share if share > 1.0 => {
                     return Err(format!("setting safety.coldFrom: {share} is over 1"))
                 }
                 share => share,
             },
-            overload_multiple: k.real("safety.fallMultiple", 0.0)?,
-            duration: k.span("safety.warmUp", 0.0)?,
+            overload_multiple: values.number_or("safety.fallMultiple", 0.0)?,
+            duration: values.duration_or("safety.warmUp", 0.0)?,
             window,
         }),
         _ => None,
     };
-    let retry_budget = match (k.num("safety.spareAttempts")?, k.num("safety.resendRatio")?) {
+    let retry_budget = match (
+        values.number("safety.spareAttempts")?,
+        values.number("safety.resendRatio")?,
+    ) {
         (None, None) => None,
         (min_retries, retry_ratio) => Some(RetryBudget {
             min_retries: min_retries.unwrap_or(0.0),
             retry_ratio: retry_ratio.unwrap_or(0.0),
-            window: k.must_span("safety.lookBack")?,
+            window: values.required_duration("safety.lookBack")?,
         }),
     };
-    let module = Settings {
-        hosts: k.opt("peersTotal")?.unwrap_or(1),
-        zone: Zone(k.opt("zone")?.unwrap_or(0)),
+    let policy = Settings {
+        hosts: values.optional("peersTotal")?.unwrap_or(1),
+        zone: Zone(values.optional("zone")?.unwrap_or(0)),
         classes,
         plans,
         discovery,
         slow_start,
         retry_budget,
-        key_cooldown: k.span("safety.settleAfterDoubt", 0.0)?,
-        drain_grace: k.must_span("safety.stopSendingWithin")?,
-        timer_resolution: k.must_span("resolution")?,
-        max_attempts: match k.opt("policyLimits.mostTries")? {
+        key_cooldown: values.duration_or("safety.settleAfterDoubt", 0.0)?,
+        drain_grace: values.required_duration("safety.stopSendingWithin")?,
+        timer_resolution: values.required_duration("resolution")?,
+        max_attempts: match values.optional("policyLimits.mostTries")? {
             Some(0) => return Err("setting policyLimits.mostTries: not a positive number".into()),
-            most => most.unwrap_or(1),
+            max_attempts => max_attempts.unwrap_or(1),
         },
-        max_open_requests: k.opt("policyLimits.mostHeld")?.unwrap_or(0),
-        parallel_attempts: k.flag("policyLimits.parallelTries")?,
-        cancel_attempts: k.flag("policyLimits.cancel")?,
-        health_checks: k.flag("policyLimits.probes")?,
-        send_retry_after: k.flag("policyLimits.retryAfter")?,
-        max_retry_after: k.span("policyLimits.maxRetryAfter", 0.0)?,
-        max_units: k.real("domain.maxUnits", 0.0)?,
-        mean_units: k.real("domain.unitMean", 0.0)?,
-        fair_share_value: k.real("domain.fairWorth", 1.0)?,
-        excess_value: k.real("domain.idleWorth", 1.0)?,
-        usage_period: k.span("domain.metering", 0.0)?,
+        max_open_requests: values.optional("policyLimits.mostHeld")?.unwrap_or(0),
+        parallel_attempts: values.flag("policyLimits.parallelTries")?,
+        cancel_attempts: values.flag("policyLimits.cancel")?,
+        health_checks: values.flag("policyLimits.probes")?,
+        send_retry_after: values.flag("policyLimits.retryAfter")?,
+        max_retry_after: values.duration_or("policyLimits.maxRetryAfter", 0.0)?,
+        max_units: values.number_or("domain.maxUnits", 0.0)?,
+        mean_units: values.number_or("domain.unitMean", 0.0)?,
+        fair_share_value: values.number_or("domain.fairWorth", 1.0)?,
+        excess_value: values.number_or("domain.idleWorth", 1.0)?,
+        usage_period: values.duration_or("domain.metering", 0.0)?,
     };
-    Ok(Told {
-        module,
-        columns: list("report.columns"),
+    Ok(FrontSettings {
+        policy,
+        load_columns: list("report.columns"),
         writes,
         retired: vec![false; class_names.len()],
         classes: class_names,
         plans: plan_names,
         zones: list("areas"),
-        conn_idle: k.span("policyLimits.connIdle", 15_000.0)?,
-        connect_timeout: k.span("policyLimits.connectTimeout", 250.0)?,
+        node_idle_timeout: values.duration_or("policyLimits.connIdle", 15_000.0)?,
+        connect_timeout: values.duration_or("policyLimits.connectTimeout", 250.0)?,
     })
 }
 
-fn class(k: &Keys, i: usize, writes: Option<bool>) -> Result<Class, String> {
-    let at = |name: &str| format!("classes.{i}.{name}");
-    let repeat: String = k.must(&at("repeat"))?;
+fn parse_class(values: &SettingValues, i: usize, writes: Option<bool>) -> Result<Class, String> {
+    let key = |name: &str| format!("classes.{i}.{name}");
+    let repeat: String = values.required(&key("repeat"))?;
     let idempotence = match repeat.as_str() {
         "free" => Idempotence::Idempotent,
         "single_shot" => Idempotence::NotIdempotent,
         "guarded" => {
-            let scope = match k.must::<String>(&at("group"))?.as_str() {
+            let scope = match values.required::<String>(&key("group"))?.as_str() {
                 "all" => DeduplicationScope::AllNodes,
                 "zone" => DeduplicationScope::Zone,
                 "cell" => DeduplicationScope::Shard,
-                other => return Err(format!("setting {}: cannot read '{other}'", at("group"))),
+                other => return Err(format!("setting {}: cannot read '{other}'", key("group"))),
             };
             Idempotence::Deduplicated {
                 scope,
-                window: k.must_span(&at("window"))?,
+                window: values.required_duration(&key("window"))?,
             }
         }
-        other => return Err(format!("setting {}: cannot read '{other}'", at("repeat"))),
+        other => return Err(format!("setting {}: cannot read '{other}'", key("repeat"))),
     };
     Ok(Class {
-        latency_target: k.must_span(&at("aim"))?,
-        latency_target_stretch: k.real(&at("aimStretch"), 0.0)?,
-        deadline: match k.must_span(&at("deadline"))? {
-            ..=0 => return Err(format!("setting {}: not a positive number", at("deadline"))),
+        latency_target: values.required_duration(&key("aim"))?,
+        latency_target_stretch: values.number_or(&key("aimStretch"), 0.0)?,
+        deadline: match values.required_duration(&key("deadline"))? {
+            ..=0 => {
+                return Err(format!(
+                    "setting {}: not a positive number",
+                    key("deadline")
+                ))
+            }
             deadline => deadline,
         },
         idempotence,
-        in_order: k.flag(&at("byArrival"))?,
-        streamed: k.flag(&at("streamed"))?,
-        value: k.real(&at("worth"), 1.0)?,
-        late_value_share: k.real(&at("lateShare"), 0.0)?,
-        // Unsaid: what may not simply be repeated changes something.
+        in_order: values.flag(&key("byArrival"))?,
+        streamed: values.flag(&key("streamed"))?,
+        value: values.number_or(&key("worth"), 1.0)?,
+        late_value_share: values.number_or(&key("lateShare"), 0.0)?,
+        // If the settings do not say, a class that is not idempotent is assumed to write.
         writes: writes.unwrap_or(idempotence != Idempotence::Idempotent),
     })
 }
 
-fn plan(k: &Keys, i: usize) -> Result<Plan, String> {
-    let at = |name: &str| format!("grades.{i}.{name}");
-    let rate = k.real(&at("limit"), 0.0)?;
+fn parse_plan(values: &SettingValues, i: usize) -> Result<Plan, String> {
+    let key = |name: &str| format!("grades.{i}.{name}");
+    let rate = values.number_or(&key("limit"), 0.0)?;
     let limit = match rate > 0.0 {
         true => {
-            let burst = at("limitBurst");
-            let burst = k
-                .num(&burst)?
-                .ok_or_else(|| format!("setting {burst} is missing"))?;
+            let burst_key = key("limitBurst");
+            let burst = values
+                .number(&burst_key)?
+                .ok_or_else(|| format!("setting {burst_key} is missing"))?;
             Some(RateLimit {
                 rate,
                 burst,
-                overdraft: k.real(&at("limitSlack"), 0.0)?,
+                overdraft: values.number_or(&key("limitSlack"), 0.0)?,
             })
         }
         false => None,
     };
     Ok(Plan {
-        weight: k.real(&at("shares"), 1.0)?,
-        reserved_rate: k.real(&at("guaranteed"), 0.0)?,
-        nominal_rate: k.real(&at("nominal"), 0.0)?,
-        value_multiplier: k.real(&at("worthFactor"), 1.0)?,
+        weight: values.number_or(&key("shares"), 1.0)?,
+        reserved_rate: values.number_or(&key("guaranteed"), 0.0)?,
+        nominal_rate: values.number_or(&key("nominal"), 0.0)?,
+        value_multiplier: values.number_or(&key("worthFactor"), 1.0)?,
         limit,
     })
 }
--- a/crates/front-settings/tests/golden.rs
+++ b/crates/front-settings/tests/golden.rs
@@ -1,174 +1,178 @@
-//! Golden files of the settings: what is read from each key, in both of their forms, and what holds where a key is missing. Times
-//! are read in microseconds.
+//! Golden files of the parsed settings: the value of each key in both formats, and the default of each missing key. Durations
+//! are in microseconds.
 
-use lupinrack_front_settings::{parse, parse_json, Told};
+use lupinrack_front_settings::{parse, parse_json, FrontSettings};
 use lupinrack_golden_files::{path, GoldenFile};
 use lupinrack_policy::{
     Class, DeduplicationScope, DiscoveryMode, Idempotence, Plan, RetryBudget, SlowStart,
 };
 use std::fmt::Debug;
 
-const WHOLE_JSON: &str = include_str!("golden/settings.json");
-const WHOLE_LINES: &str = include_str!("golden/settings.txt");
-const SHORT_JSON: &str = include_str!("golden/settings-short.json");
+const COMPLETE_JSON: &str = include_str!("golden/settings.json");
+const COMPLETE_LINES: &str = include_str!("golden/settings.txt");
+const MINIMAL_JSON: &str = include_str!("golden/settings-short.json");
 
-/// What was read, by the keys of the settings.
-fn read(file: &str, told: &Told) -> GoldenFile {
-    let mut read = GoldenFile::open(file);
-    names(&mut read, told);
-    for (i, class) in told.module.classes.iter().enumerate() {
-        read_class(&mut read, i, class);
+/// The parsed settings, by their keys.
+fn parsed(file: &str, settings: &FrontSettings) -> GoldenFile {
+    let mut golden = GoldenFile::open(file);
+    add_names(&mut golden, settings);
+    for (i, class) in settings.policy.classes.iter().enumerate() {
+        add_class(&mut golden, i, class);
     }
-    for (i, plan) in told.module.plans.iter().enumerate() {
-        read_plan(&mut read, i, plan);
+    for (i, plan) in settings.policy.plans.iter().enumerate() {
+        add_plan(&mut golden, i, plan);
     }
-    read_cold_rule(&mut read, told.module.slow_start.as_ref());
-    read_budget(&mut read, told.module.retry_budget.as_ref());
-    read_others(&mut read, told);
-    read
+    add_slow_start(&mut golden, settings.policy.slow_start.as_ref());
+    add_retry_budget(&mut golden, settings.policy.retry_budget.as_ref());
+    add_others(&mut golden, settings);
+    golden
 }
 
-fn add(read: &mut GoldenFile, key: impl Into<String>, value: impl Debug) {
-    read.add(key, format!("{value:?}"));
+fn add(golden: &mut GoldenFile, key: impl Into<String>, value: impl Debug) {
+    golden.add(key, format!("{value:?}"));
 }
 
-fn names(read: &mut GoldenFile, told: &Told) {
-    add(read, "areas", &told.zones);
-    add(read, "report.columns", &told.columns);
-    add(read, "classes.name", &told.classes);
-    add(read, "classes that were dropped", &told.retired);
-    add(read, "grades.name", &told.plans);
-    add(read, "domain.changesData", &told.writes);
+fn add_names(golden: &mut GoldenFile, settings: &FrontSettings) {
+    add(golden, "areas", &settings.zones);
+    add(golden, "report.columns", &settings.load_columns);
+    add(golden, "classes.name", &settings.classes);
+    add(golden, "classes that were dropped", &settings.retired);
+    add(golden, "grades.name", &settings.plans);
+    add(golden, "domain.changesData", &settings.writes);
 }
 
-fn read_class(read: &mut GoldenFile, i: usize, class: &Class) {
+fn add_class(golden: &mut GoldenFile, i: usize, class: &Class) {
     let key = |name: &str| format!("classes.{i}.{name}");
-    add(read, key("aim"), class.latency_target);
-    add(read, key("aimStretch"), class.latency_target_stretch);
-    add(read, key("deadline"), class.deadline);
+    add(golden, key("aim"), class.latency_target);
+    add(golden, key("aimStretch"), class.latency_target_stretch);
+    add(golden, key("deadline"), class.deadline);
     match class.idempotence {
-        Idempotence::Idempotent => add(read, key("repeat"), "free"),
-        Idempotence::NotIdempotent => add(read, key("repeat"), "single_shot"),
+        Idempotence::Idempotent => add(golden, key("repeat"), "free"),
+        Idempotence::NotIdempotent => add(golden, key("repeat"), "single_shot"),
         Idempotence::Deduplicated { scope, window } => {
             let scope = match scope {
                 DeduplicationScope::AllNodes => "all",
                 DeduplicationScope::Zone => "zone",
                 DeduplicationScope::Shard => "cell",
             };
-            add(read, key("repeat"), "guarded");
-            add(read, key("group"), scope);
-            add(read, key("window"), window);
+            add(golden, key("repeat"), "guarded");
+            add(golden, key("group"), scope);
+            add(golden, key("window"), window);
         }
     }
-    add(read, key("byArrival"), class.in_order);
-    add(read, key("streamed"), class.streamed);
-    add(read, key("worth"), class.value);
-    add(read, key("lateShare"), class.late_value_share);
-    add(read, key("writes"), class.writes);
+    add(golden, key("byArrival"), class.in_order);
+    add(golden, key("streamed"), class.streamed);
+    add(golden, key("worth"), class.value);
+    add(golden, key("lateShare"), class.late_value_share);
+    add(golden, key("writes"), class.writes);
 }
 
-fn read_plan(read: &mut GoldenFile, i: usize, plan: &Plan) {
+fn add_plan(golden: &mut GoldenFile, i: usize, plan: &Plan) {
     let key = |name: &str| format!("grades.{i}.{name}");
-    add(read, key("shares"), plan.weight);
-    add(read, key("guaranteed"), plan.reserved_rate);
-    add(read, key("nominal"), plan.nominal_rate);
-    add(read, key("worthFactor"), plan.value_multiplier);
+    add(golden, key("shares"), plan.weight);
+    add(golden, key("guaranteed"), plan.reserved_rate);
+    add(golden, key("nominal"), plan.nominal_rate);
+    add(golden, key("worthFactor"), plan.value_multiplier);
     match &plan.limit {
         Some(limit) => {
-            add(read, key("limit"), limit.rate);
-            add(read, key("limitBurst"), limit.burst);
-            add(read, key("limitSlack"), limit.overdraft);
+            add(golden, key("limit"), limit.rate);
+            add(golden, key("limitBurst"), limit.burst);
+            add(golden, key("limitSlack"), limit.overdraft);
         }
-        None => add(read, key("limit"), "none"),
+        None => add(golden, key("limit"), "none"),
     }
 }
 
-fn read_cold_rule(read: &mut GoldenFile, rule: Option<&SlowStart>) {
-    let Some(rule) = rule else {
-        return add(read, "safety.tipAfter", "none");
+fn add_slow_start(golden: &mut GoldenFile, slow_start: Option<&SlowStart>) {
+    let Some(slow_start) = slow_start else {
+        return add(golden, "safety.tipAfter", "none");
     };
-    add(read, "safety.tipAfter", rule.window);
-    add(read, "domain.coldBears", rule.guaranteed_units);
-    add(read, "safety.coldFrom", rule.initial_share);
-    add(read, "safety.fallMultiple", rule.overload_multiple);
-    add(read, "safety.warmUp", rule.duration);
+    add(golden, "safety.tipAfter", slow_start.window);
+    add(golden, "domain.coldBears", slow_start.guaranteed_units);
+    add(golden, "safety.coldFrom", slow_start.initial_share);
+    add(golden, "safety.fallMultiple", slow_start.overload_multiple);
+    add(golden, "safety.warmUp", slow_start.duration);
 }
 
-fn read_budget(read: &mut GoldenFile, budget: Option<&RetryBudget>) {
+fn add_retry_budget(golden: &mut GoldenFile, budget: Option<&RetryBudget>) {
     let Some(budget) = budget else {
-        return add(read, "safety.lookBack", "none");
+        return add(golden, "safety.lookBack", "none");
     };
-    add(read, "safety.spareAttempts", budget.min_retries);
-    add(read, "safety.resendRatio", budget.retry_ratio);
-    add(read, "safety.lookBack", budget.window);
+    add(golden, "safety.spareAttempts", budget.min_retries);
+    add(golden, "safety.resendRatio", budget.retry_ratio);
+    add(golden, "safety.lookBack", budget.window);
 }
 
-fn read_others(read: &mut GoldenFile, told: &Told) {
-    let module = &told.module;
-    match module.discovery {
-        DiscoveryMode::Push => add(read, "registryMode", "push"),
+fn add_others(golden: &mut GoldenFile, settings: &FrontSettings) {
+    let policy = &settings.policy;
+    match policy.discovery {
+        DiscoveryMode::Push => add(golden, "registryMode", "push"),
         DiscoveryMode::Poll { informed_after } => {
-            add(read, "registryMode", "ask");
-            add(read, "safety.askWithin", informed_after);
+            add(golden, "registryMode", "ask");
+            add(golden, "safety.askWithin", informed_after);
         }
     }
-    add(read, "peersTotal", module.hosts);
-    add(read, "zone", module.zone.0);
-    add(read, "resolution", module.timer_resolution);
-    add(read, "domain.maxUnits", module.max_units);
-    add(read, "domain.unitMean", module.mean_units);
-    add(read, "domain.fairWorth", module.fair_share_value);
-    add(read, "domain.idleWorth", module.excess_value);
-    add(read, "domain.metering", module.usage_period);
-    add(read, "safety.settleAfterDoubt", module.key_cooldown);
-    add(read, "safety.stopSendingWithin", module.drain_grace);
-    add(read, "policyLimits.mostTries", module.max_attempts);
-    add(read, "policyLimits.mostHeld", module.max_open_requests);
-    add(read, "policyLimits.parallelTries", module.parallel_attempts);
-    add(read, "policyLimits.cancel", module.cancel_attempts);
-    add(read, "policyLimits.probes", module.health_checks);
-    add(read, "policyLimits.retryAfter", module.send_retry_after);
-    add(read, "policyLimits.maxRetryAfter", module.max_retry_after);
-    add(read, "policyLimits.connIdle", told.conn_idle);
-    add(read, "policyLimits.connectTimeout", told.connect_timeout);
+    add(golden, "peersTotal", policy.hosts);
+    add(golden, "zone", policy.zone.0);
+    add(golden, "resolution", policy.timer_resolution);
+    add(golden, "domain.maxUnits", policy.max_units);
+    add(golden, "domain.unitMean", policy.mean_units);
+    add(golden, "domain.fairWorth", policy.fair_share_value);
+    add(golden, "domain.idleWorth", policy.excess_value);
+    add(golden, "domain.metering", policy.usage_period);
+    add(golden, "safety.settleAfterDoubt", policy.key_cooldown);
+    add(golden, "safety.stopSendingWithin", policy.drain_grace);
+    add(golden, "policyLimits.mostTries", policy.max_attempts);
+    add(golden, "policyLimits.mostHeld", policy.max_open_requests);
+    add(
+        golden,
+        "policyLimits.parallelTries",
+        policy.parallel_attempts,
+    );
+    add(golden, "policyLimits.cancel", policy.cancel_attempts);
+    add(golden, "policyLimits.probes", policy.health_checks);
+    add(golden, "policyLimits.retryAfter", policy.send_retry_after);
+    add(golden, "policyLimits.maxRetryAfter", policy.max_retry_after);
+    add(golden, "policyLimits.connIdle", settings.node_idle_timeout);
+    add(
+        golden,
+        "policyLimits.connectTimeout",
+        settings.connect_timeout,
+    );
 }
 
-fn from_json(text: &str) -> Told {
+fn from_json(text: &str) -> FrontSettings {
     parse_json(&serde_json::from_str(text).unwrap()).unwrap()
 }
 
 #[test]
-fn every_setting_is_read_as_before_from_either_form() {
-    read(path!("settings-read.txt"), &from_json(WHOLE_JSON)).check();
-    read(path!("settings-read.txt"), &parse(WHOLE_LINES).unwrap()).check();
+fn every_setting_is_parsed_from_both_formats() {
+    parsed(path!("settings-read.txt"), &from_json(COMPLETE_JSON)).check();
+    parsed(path!("settings-read.txt"), &parse(COMPLETE_LINES).unwrap()).check();
 }
 
 #[test]
-fn settings_that_are_missing_are_read_as_before() {
-    read(path!("settings-short-read.txt"), &from_json(SHORT_JSON)).check();
+fn missing_settings_get_their_defaults() {
+    parsed(path!("settings-short-read.txt"), &from_json(MINIMAL_JSON)).check();
 }
 
-/// A part of the retry budget that is not stated is none.
+/// A part of the retry budget that is missing is 0.
 #[test]
-fn either_part_of_the_retry_budget_may_stand_alone() {
-    for (stated, expected) in [("spareAttempts", (4.0, 0.0)), ("resendRatio", (0.0, 4.0))] {
-        let mut settings: serde_json::Value = serde_json::from_str(SHORT_JSON).unwrap();
-        settings["safety"][stated] = 4.0.into();
+fn each_part_of_the_retry_budget_may_be_given_alone() {
+    for (key, expected) in [("spareAttempts", (4.0, 0.0)), ("resendRatio", (0.0, 4.0))] {
+        let mut settings: serde_json::Value = serde_json::from_str(MINIMAL_JSON).unwrap();
+        settings["safety"][key] = 4.0.into();
         settings["safety"]["lookBack"] = 9.0.into();
-        let budget = parse_json(&settings).unwrap().module.retry_budget.unwrap();
-        assert_eq!(
-            (budget.min_retries, budget.retry_ratio),
-            expected,
-            "{stated}"
-        );
+        let budget = parse_json(&settings).unwrap().policy.retry_budget.unwrap();
+        assert_eq!((budget.min_retries, budget.retry_ratio), expected, "{key}");
         assert_eq!(budget.window, 9_000);
     }
 }
 
-/// Operators read these, and search for the key that they name.
+/// Operators search for the key that an error text names.
 #[test]
-fn faults_keep_their_words() {
-    let mut faults = GoldenFile::open(path!("faults.txt"));
+fn error_texts_stay_the_same() {
+    let mut errors = GoldenFile::open(path!("faults.txt"));
     for (name, pointer, value) in [
         ("missing", "/resolution", serde_json::Value::Null),
         ("not_a_number", "/classes/0/aim", "soon".into()),
@@ -193,9 +197,9 @@
         ),
         ("no_tries", "/policyLimits/mostTries", 0.into()),
     ] {
-        let mut settings: serde_json::Value = serde_json::from_str(WHOLE_JSON).unwrap();
+        let mut settings: serde_json::Value = serde_json::from_str(COMPLETE_JSON).unwrap();
         *settings.pointer_mut(pointer).unwrap() = value;
-        faults.add(name, parse_json(&settings).unwrap_err());
+        errors.add(name, parse_json(&settings).unwrap_err());
     }
-    faults.check();
+    errors.check();
 }
--- a/crates/http/src/accept.rs
+++ b/crates/http/src/accept.rs
@@ -1,10 +1,10 @@
-//! The listening end: connections, the readiness check, and the way of each request to its own task.
+//! Accepts client connections, answers readiness checks, and starts a task for each request.
 
-use crate::budget::Room;
-use crate::gate::{self, Gate, Visit};
+use crate::client_slots::ClientSlots;
+use crate::client_stream::{self, ClientConnection, ClientStream};
 use crate::intake::{self, IntakeError, OpenIds};
-use crate::places::Places;
-use crate::request::{self, Answer};
+use crate::memory_budget::MemoryPool;
+use crate::request::{self, FinalResponse};
 use crate::upstream::Upstream;
 use axum::body::Body;
 use axum::extract::{Request as AxumRequest, State};
@@ -18,7 +18,7 @@
 use hyper_util::rt::TokioIo;
 use hyper_util::server::graceful::GracefulShutdown;
 use hyper_util::service::TowerToHyperService;
-use lupinrack_front_settings::Told;
+use lupinrack_front_settings::FrontSettings;
 use lupinrack_graceful_shutdown::{reached, Phase};
 use lupinrack_metrics::{End, Figures, Life};
 use lupinrack_request_engine::EngineHandle;
@@ -32,86 +32,94 @@
 use tokio::time::{sleep_until, Instant};
 use tracing::Instrument;
 
-/// How long the queue of new connections is looked at before it closes: whether anybody waits in it is known only after a turn.
-const LOOK: Duration = Duration::from_millis(2);
-/// How long connections stay open once the queue of new ones is closed: a request that crosses the close has to be sent again elsewhere.
-const HEARD: Duration = Duration::from_millis(20);
+/// How long the queue of new connections is polled before it is closed. One poll of the runtime's I/O driver is needed to
+/// see whether a connection waits in it.
+const FINAL_ACCEPT_TIME: Duration = Duration::from_millis(2);
+/// How long connections stay open after the queue of new ones is closed. A request that arrives just after its connection
+/// closed has to be sent again to another front.
+const CLOSE_DELAY: Duration = Duration::from_millis(20);
 
-/// The wait after an accept that failed, as it does when descriptors run out.
-const PAUSE: Duration = Duration::from_millis(20);
+/// The wait after a failed accept. Accepts fail when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// When one that found no memory for its body may come back, at the latest: large bodies hold it for as long as they take.
-const BACK: Duration = Duration::from_millis(500);
+/// The longest `Retry-After` of a request that found no memory for its body. Other large bodies hold the memory for as
+/// long as they take.
+const MAX_NO_MEMORY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What every request needs.
+/// What serving a request needs.
 #[derive(Clone)]
 pub struct Front {
-    /// The core.
-    pub core: EngineHandle,
-    /// The way to the nodes.
+    /// The request engine.
+    pub engine: EngineHandle,
+    /// Sends requests to the nodes.
     pub upstream: Upstream,
-    /// The settings in use.
-    pub told: watch::Receiver<Arc<Told>>,
-    /// Whether the front is ending.
+    /// The current settings.
+    pub settings: watch::Receiver<Arc<FrontSettings>>,
+    /// The phase of the graceful shutdown.
     pub phase: watch::Receiver<Phase>,
     /// The ids of all open requests.
     pub ids: OpenIds,
-    /// Memory for large bodies.
-    pub room: Room,
-    /// What is counted of requests.
+    /// The memory for large bodies.
+    pub memory: MemoryPool,
+    /// The metrics of requests.
     pub figures: Figures,
-    /// From this phase on no connection is taken and each answer is the last on its own.
-    pub last: Phase,
+    /// From this phase on no connection is accepted, and each response is the last on its connection.
+    pub close_phase: Phase,
 }
 
-/// Takes connections, at most `most` at once, until the front is closing; then finishes what was taken.
-pub async fn run(listener: TcpListener, front: Front, most: usize) {
-    let (mut phase, ending, last) = (front.phase.clone(), front.phase.clone(), front.last);
+/// Accepts connections, at most `max_connections` open at once, until the front is closing. Then finishes the requests
+/// that were received.
+pub async fn run(listener: TcpListener, front: Front, max_connections: usize) {
+    let (mut phase, connection_phase, close_phase) =
+        (front.phase.clone(), front.phase.clone(), front.close_phase);
     let app = Router::new()
-        .route("/health/ready", get(ready))
-        .fallback(take)
+        .route("/health/ready", get(readiness))
+        .fallback(handle_request)
         .with_state(front);
     let connections = GracefulShutdown::new();
-    let places = Places::new(most);
-    // A connection that was taken is served, also where the end comes while it waits for its place.
+    let slots = ClientSlots::new(max_connections);
+    // An accepted connection is served even if the shutdown begins while it waits for its slot.
     let serve = async |number: u64, stream: TcpStream| {
         let _ = stream.set_nodelay(true);
-        let (gate, visit) = Gate::new(stream, ending.clone());
-        let place = places.take(number, &visit).await;
-        let service = Visited {
+        let (stream, connection) = ClientStream::new(stream, connection_phase.clone());
+        let slot = slots.take(number, &connection).await;
+        let service = ConnectionService {
             app: TowerToHyperService::new(app.clone()),
-            visit,
+            connection,
         };
-        let connection = http1::Builder::new()
+        let server = http1::Builder::new()
             .header_read_timeout(None)
-            .max_buf_size(gate::HEAD_MOST)
-            .serve_connection(TokioIo::new(gate), service);
-        let connection = connections.watch(connection);
+            .max_buf_size(client_stream::MAX_HEAD_BYTES)
+            .serve_connection(TokioIo::new(stream), service);
+        let server = connections.watch(server);
         tokio::spawn(async move {
-            if let Err(e) = connection.await {
+            if let Err(e) = server.await {
                 tracing::debug!("connection: {e}");
             }
-            drop(place);
+            drop(slot);
         });
     };
     let mut number = 0;
     loop {
-        let next = tokio::select! {
+        let accepted = tokio::select! {
             biased;
-            // Where another process takes from the same queue, what is left in it is left to that one.
-            () = reached(&mut phase, last) => break,
-            next = listener.accept() => next,
+            // If another process accepts from the same queue, that process takes the connections left in it.
+            () = reached(&mut phase, close_phase) => break,
+            accepted = listener.accept() => accepted,
         };
-        match next {
+        match accepted {
             Ok((stream, _)) => serve(number, stream).await,
-            Err(_) => tokio::time::sleep(PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
         number += 1;
     }
-    // What the system took until now would be reset with the queue, its requests unheard: look at it once more, then take what is left.
-    if last >= Phase::Closing {
-        let until = Instant::now() + LOOK;
-        while let Ok(Ok((stream, _))) = tokio::time::timeout_at(until, listener.accept()).await {
+    // Closing the listener resets the connections in its queue, and their requests would be lost. So the queue is polled
+    // for a moment, and then emptied.
+    if close_phase >= Phase::Closing {
+        let accept_until = Instant::now() + FINAL_ACCEPT_TIME;
+        while let Ok(Ok((stream, _))) =
+            tokio::time::timeout_at(accept_until, listener.accept()).await
+        {
             serve(number, stream).await;
             number += 1;
         }
@@ -123,36 +131,36 @@
     drop(listener);
     tokio::select! {
         () = reached(&mut phase, Phase::Closing) => {}
-        () = places.empty() => {}
+        () = slots.all_free() => {}
     }
-    // A request that is on its way to a connection without one is heard, where it comes at once.
-    tokio::time::sleep(HEARD).await;
+    // A request that is in flight to an idle connection is still served if it arrives now.
+    tokio::time::sleep(CLOSE_DELAY).await;
     connections.shutdown().await;
 }
 
-/// The application, as one connection's clients see it.
-struct Visited {
+/// Runs the application for the requests of one connection.
+struct ConnectionService {
     app: TowerToHyperService<Router>,
-    visit: Visit,
+    connection: ClientConnection,
 }
 
-impl Service<Request<Incoming>> for Visited {
+impl Service<Request<Incoming>> for ConnectionService {
     type Response = Response<Body>;
     type Error = Infallible;
     type Future = Pin<Box<dyn Future<Output = Result<Response<Body>, Infallible>> + Send>>;
 
     fn call(&self, mut request: Request<Incoming>) -> Self::Future {
-        request.extensions_mut().insert(self.visit.clone());
-        let (answer, visit) = (self.app.call(request), self.visit.clone());
+        request.extensions_mut().insert(self.connection.clone());
+        let (response, connection) = (self.app.call(request), self.connection.clone());
         Box::pin(async move {
-            let mut response = answer.await?;
-            // Answered before its request had come whole, or to an end that cannot be told: nothing that follows
-            // on this connection may be taken for a request.
-            let passing = response.extensions_mut().remove::<OnItsWay>().is_some();
-            if !(if passing {
-                visit.passes_on()
+            let mut response = response.await?;
+            // If the request is not complete, or its end is unknown, the following bytes of this connection must not be
+            // taken for another request.
+            let streamed = response.extensions_mut().remove::<IsStreamed>().is_some();
+            if !(if streamed {
+                connection.start_streaming()
             } else {
-                visit.answered()
+                connection.finish_request()
             }) {
                 response
                     .headers_mut()
@@ -163,38 +171,39 @@
     }
 }
 
-/// Marks an answer that is still coming: its connection is free once all of it has gone.
+/// Marks a response that is streamed. Its connection is free for the next request once all of it was sent.
 #[derive(Clone, Copy)]
-struct OnItsWay;
+struct IsStreamed;
 
-async fn ready(State(front): State<Front>) -> StatusCode {
+async fn readiness(State(front): State<Front>) -> StatusCode {
     match *front.phase.borrow() {
         Phase::Ready => StatusCode::OK,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     }
 }
 
-/// Takes one request from a client and waits for its final answer.
-async fn take(State(front): State<Front>, request: AxumRequest) -> Response<Body> {
+/// Handles one client request, up to its final response.
+async fn handle_request(State(front): State<Front>, request: AxumRequest) -> Response<Body> {
     let mut life = None;
-    let visit = request.extensions().get::<Visit>().cloned();
+    let connection = request.extensions().get::<ClientConnection>().cloned();
     let mut response = match admit(&front, request, &mut life).await {
-        Ok(answer) => match answer.await {
-            Ok(Answer::Whole(response)) => response,
-            Ok(Answer::Passing(passing)) => {
-                let mut response = Response::new(Body::new(passing.with(life.take(), visit)));
-                response.extensions_mut().insert(OnItsWay);
+        Ok(final_response) => match final_response.await {
+            Ok(FinalResponse::Complete(response)) => response,
+            Ok(FinalResponse::Streamed(body)) => {
+                let mut response = Response::new(Body::new(body.with(life.take(), connection)));
+                response.extensions_mut().insert(IsStreamed);
                 response
             }
-            Err(_) => lost(),
+            Err(_) => task_failed(),
         },
-        Err(why) => {
-            let told = front.told.borrow();
-            malformed(
-                &why,
-                told.module
+        Err(error) => {
+            let settings = front.settings.borrow();
+            rejected(
+                &error,
+                settings
+                    .policy
                     .send_retry_after
-                    .then_some(told.module.max_retry_after),
+                    .then_some(settings.policy.max_retry_after),
             )
         }
     };
@@ -205,7 +214,7 @@
             _ => End::Error,
         });
     }
-    if *front.phase.borrow() >= front.last {
+    if *front.phase.borrow() >= front.close_phase {
         response
             .headers_mut()
             .insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -213,80 +222,94 @@
     response
 }
 
-/// Reads a request and gives it a task of its own, which outlives this connection where it must.
+/// Validates a request, reads its body, and starts its task. The task outlives the connection if attempts are running.
 async fn admit(
     front: &Front,
     request: AxumRequest,
     life: &mut Option<Life>,
-) -> Result<oneshot::Receiver<Answer>, IntakeError> {
+) -> Result<oneshot::Receiver<FinalResponse>, IntakeError> {
     let (parts, body) = request.into_parts();
-    let visit = parts.extensions.get::<Visit>().cloned();
-    if visit.as_ref().is_some_and(Visit::doubtful) {
-        return Err(IntakeError::Framing);
+    let connection = parts.extensions.get::<ClientConnection>().cloned();
+    if connection
+        .as_ref()
+        .is_some_and(ClientConnection::has_contradictory_lengths)
+    {
+        return Err(IntakeError::ContradictoryLengths);
     }
-    let told = front.told.borrow().clone();
-    let (mut wanted, patience) = intake::head(&told, &parts)?;
-    let class = told
+    let settings = front.settings.borrow().clone();
+    let (mut policy_request, time_to_deadline) = intake::parse_head(&settings, &parts)?;
+    let class = settings
         .classes
-        .get(usize::from(wanted.class))
+        .get(usize::from(policy_request.class))
         .map_or("", String::as_str);
     let life = life.insert(front.figures.life(class));
-    let parcel = tokio::select! {
-        // What is there counts, however late it was looked at.
+    let forwarded = tokio::select! {
+        // A body that is complete counts as received in time, however late this task was polled.
         biased;
-        parcel = intake::parcel(parts, body, &front.room) => parcel?,
-        () = overdue(visit.clone()) => return Err(IntakeError::Slow),
+        forwarded = intake::read_body(parts, body, &front.memory) => forwarded?,
+        () = request_timed_out(connection.clone()) => return Err(IntakeError::BodyTimeout),
     };
-    // A request's time runs from its last byte, however slowly it came.
+    // The request's deadline and latency run from its last byte, however slowly it arrived.
     life.taken();
-    wanted.client_deadline = front.core.clock.now() + patience.as_micros() as i64;
-    let one = front.ids.take(&parcel.id).ok_or(IntakeError::Open)?;
-    let (client, answer) = oneshot::channel();
-    let (core, upstream, phase) = (
-        front.core.clone(),
+    policy_request.client_deadline = front.engine.clock.now() + time_to_deadline.as_micros() as i64;
+    let open_id = front
+        .ids
+        .take(&forwarded.id)
+        .ok_or(IntakeError::DuplicateId)?;
+    let (response_sender, final_response) = oneshot::channel();
+    let (engine, upstream, phase) = (
+        front.engine.clone(),
         front.upstream.clone(),
         front.phase.clone(),
     );
-    let (id, volume) = (parcel.id.to_str().unwrap_or(""), wanted.volume.0);
+    let (id, volume) = (forwarded.id.to_str().unwrap_or(""), policy_request.volume.0);
     let span = tracing::debug_span!("request", id, class, volume = %format_args!("{volume:016x}"), attempt = tracing::field::Empty);
-    let life =
-        request::serve(core, upstream, phase, wanted, parcel, (client, visit)).instrument(span);
+    let serving = request::serve(
+        engine,
+        upstream,
+        phase,
+        policy_request,
+        forwarded,
+        (response_sender, connection),
+    )
+    .instrument(span);
     tokio::spawn(async move {
-        life.await;
-        drop(one);
+        serving.await;
+        drop(open_id);
     });
-    Ok(answer)
+    Ok(final_response)
 }
 
-/// Ends once the client has not sent its request as fast as it must. That moves on while its bytes come.
-async fn overdue(visit: Option<Visit>) {
-    let Some(visit) = visit else {
+/// Completes once the request has not been received in time. Its deadline moves on while body bytes arrive.
+async fn request_timed_out(connection: Option<ClientConnection>) {
+    let Some(connection) = connection else {
         return std::future::pending().await;
     };
     loop {
-        let due = visit.due();
-        if due <= Instant::now() {
+        let deadline = connection.request_deadline();
+        if deadline <= Instant::now() {
             return;
         }
-        sleep_until(due).await;
+        sleep_until(deadline).await;
     }
 }
 
-/// The answer to a request that goes no further; `hint` is the longest time that clients stay away, where they hear of one.
-fn malformed(why: &IntakeError, hint: Option<i64>) -> Response<Body> {
-    let mut response = match (why, hint) {
-        (IntakeError::NoRoom, Some(most)) => {
-            request::refused(Some(Duration::from_micros(most.max(0) as u64).min(BACK)))
-        }
-        _ => Response::new(Body::from(format!("{why}\n"))),
+/// The response to a request that was rejected before the policy saw it. `max_retry_after_us` is the setting's limit of
+/// `Retry-After`, if clients are sent one.
+fn rejected(error: &IntakeError, max_retry_after_us: Option<i64>) -> Response<Body> {
+    let mut response = match (error, max_retry_after_us) {
+        (IntakeError::NoMemory, Some(max_us)) => request::refused(Some(
+            Duration::from_micros(max_us.max(0) as u64).min(MAX_NO_MEMORY_RETRY_AFTER),
+        )),
+        _ => Response::new(Body::from(format!("{error}\n"))),
     };
-    *response.status_mut() = why.status();
+    *response.status_mut() = error.status();
     response
 }
 
-/// The request's task ended without an answer; that is a defect, and the client hears that it failed.
-fn lost() -> Response<Body> {
-    tracing::error!("a request's task ended without an answer");
+/// The response to a request whose task ended without one. That is a bug in this program.
+fn task_failed() -> Response<Body> {
+    tracing::error!("a request's task ended without a response");
     let mut response = Response::new(Body::empty());
     *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
     response
--- a/crates/http/src/intake.rs
+++ b/crates/http/src/intake.rs
@@ -1,13 +1,14 @@
-//! Takes from a client's request the fields that the decisions need; all else stays as the bytes that came.
+//! Validates a client's request, reads the fields that the policy needs, and reads its body. Everything else is forwarded
+//! unchanged.
 
-use crate::budget::{Entry, Hold, Room};
+use crate::memory_budget::{BodyAdmission, MemoryPool, MemoryReservation};
 use axum::body::Body;
 use bytes::{Bytes, BytesMut};
 use http::header::HeaderName;
 use http::{HeaderMap, HeaderValue, Method, StatusCode};
 use http_body_util::BodyExt;
 use hyper::body::Body as _;
-use lupinrack_front_settings::Told;
+use lupinrack_front_settings::FrontSettings;
 use lupinrack_policy::*;
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -20,55 +21,55 @@
 const IO: HeaderName = HeaderName::from_static("x-io");
 const RETRY: HeaderName = HeaderName::from_static("x-retry");
 
-/// Why a request is turned down before the decisions see it.
+/// Why a request is rejected before the policy sees it.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum IntakeError {
-    /// A header is missing.
+    /// A required header is missing.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// A header stands there twice, or cannot be read.
+    /// A header appears twice, or its value is invalid.
     #[error("{0} cannot be read")]
     Unreadable(&'static str),
-    /// The path names no class of the settings.
+    /// The path does not begin with the name of a class in the settings.
     #[error("the path names no known class")]
-    Class,
-    /// The path's last part is not a piece of data.
+    UnknownClass,
+    /// The path's last segment is not a key.
     #[error("the path's last part is not 16 hexadecimal digits")]
-    Key,
-    /// The plan is not one of the settings'.
+    InvalidKey,
+    /// The settings have no plan of this name.
     #[error("x-plan names no known plan")]
-    Plan,
-    /// The class is not used with this method.
+    UnknownPlan,
+    /// The class does not allow this method.
     #[error("the class is not used with this method")]
-    Method,
-    /// The body is longer than allowed.
+    WrongMethod,
+    /// The body is longer than this front can ever hold.
     #[error("the body is longer than this front can hold")]
-    TooLong,
-    /// There is no memory for the body now; asking again is harmless.
+    BodyTooLong,
+    /// There is no memory for the body at present. The client may safely retry.
     #[error("there is no room for the body now")]
-    NoRoom,
-    /// The body broke off.
+    NoMemory,
+    /// The connection failed before the body was complete.
     #[error("the body broke off")]
-    Body,
-    /// Its lengths contradict each other: a body may hide another request.
+    BodyTruncated,
+    /// The lengths contradict each other, so that the body may hide another request.
     #[error("content-length and transfer-encoding contradict each other")]
-    Framing,
-    /// Another request with this id is open. A node could not tell one from the other.
+    ContradictoryLengths,
+    /// Another request with this id is open. A node could not distinguish the two.
     #[error("a request with this x-request-id is open")]
-    Open,
-    /// The body did not come in time.
+    DuplicateId,
+    /// The body was not received in time.
     #[error("the body did not come in time")]
-    Slow,
+    BodyTimeout,
 }
 
 impl IntakeError {
-    /// The status that says so.
+    /// The response status for this error.
     pub fn status(&self) -> StatusCode {
         match self {
-            IntakeError::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
-            IntakeError::NoRoom => StatusCode::SERVICE_UNAVAILABLE,
-            IntakeError::Slow => StatusCode::REQUEST_TIMEOUT,
-            IntakeError::Open => StatusCode::CONFLICT,
+            IntakeError::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
+            IntakeError::NoMemory => StatusCode::SERVICE_UNAVAILABLE,
+            IntakeError::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
+            IntakeError::DuplicateId => StatusCode::CONFLICT,
             _ => StatusCode::BAD_REQUEST,
         }
     }
@@ -78,18 +79,18 @@
 #[derive(Clone, Default)]
 pub struct OpenIds(Arc<Mutex<HashSet<HeaderValue>>>);
 
-/// An id in use, until it is dropped.
+/// An id in use. Dropping this releases it.
 pub struct OpenId(OpenIds, HeaderValue);
 
 impl OpenIds {
-    /// Marks an id as in use; none where it is already.
+    /// Marks an id as in use, or returns `None` if it already is.
     pub fn take(&self, id: &HeaderValue) -> Option<OpenId> {
-        let new = self
+        let is_new = self
             .0
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .insert(id.clone());
-        new.then(|| OpenId(self.clone(), id.clone()))
+        is_new.then(|| OpenId(self.clone(), id.clone()))
     }
 }
 
@@ -103,57 +104,64 @@
     }
 }
 
-/// What passes on to a node unchanged.
+/// The part of a request that each attempt forwards to its node.
 #[derive(Clone, Debug)]
-pub struct Parcel {
+pub struct ForwardedRequest {
     /// The method.
     pub method: Method,
-    /// Path and query.
+    /// The path and query.
     pub target: http::uri::PathAndQuery,
     /// The request's id.
     pub id: HeaderValue,
-    /// The idempotency key, where there is one.
-    pub key: Option<HeaderValue>,
+    /// The idempotency key, if the client sent one.
+    pub idempotency_key: Option<HeaderValue>,
     /// The body.
     pub body: Bytes,
-    /// The memory that it holds, where it is a large one.
-    pub hold: Arc<Hold>,
+    /// The memory reserved for a large body.
+    pub reservation: Arc<MemoryReservation>,
 }
 
-/// Reads the head: what the decisions need, with the client's patience in place of the time it ends.
-pub fn head(told: &Told, parts: &http::request::Parts) -> Result<(Request, Duration), IntakeError> {
+/// Parses the head. Returns the policy's view of the request, without its deadline, and the time that the client allows
+/// until the deadline.
+pub fn parse_head(
+    settings: &FrontSettings,
+    parts: &http::request::Parts,
+) -> Result<(Request, Duration), IntakeError> {
     let path = parts.uri.path();
-    let first = path.trim_start_matches('/').split('/').next().unwrap_or("");
-    let class = told.class(first).ok_or(IntakeError::Class)?;
-    let last = path.rsplit('/').next().unwrap_or("");
-    let key = hex16(last).ok_or(IntakeError::Key)?;
-    let plan = text(&parts.headers, &PLAN)?.ok_or(IntakeError::Missing("x-plan"))?;
-    let plan = told
+    let first_segment = path.trim_start_matches('/').split('/').next().unwrap_or("");
+    let class = settings
+        .class(first_segment)
+        .ok_or(IntakeError::UnknownClass)?;
+    let last_segment = path.rsplit('/').next().unwrap_or("");
+    let key = parse_hex16(last_segment).ok_or(IntakeError::InvalidKey)?;
+    let plan = single_value(&parts.headers, &PLAN)?.ok_or(IntakeError::Missing("x-plan"))?;
+    let plan = settings
         .plans
         .iter()
         .position(|p| p == plan)
-        .ok_or(IntakeError::Plan)?;
-    let deadline = text(&parts.headers, &DEADLINE)?.ok_or(IntakeError::Missing("x-deadline"))?;
-    let patience = span(deadline).ok_or(IntakeError::Unreadable("x-deadline"))?;
-    let io = text(&parts.headers, &IO)?.ok_or(IntakeError::Missing("x-io"))?;
-    let io = extras(io, told.module.max_units).ok_or(IntakeError::Unreadable("x-io"))?;
-    let is_client_retry = text(&parts.headers, &RETRY)?.is_some_and(|v| v.trim() == "1");
-    text(&parts.headers, &REQUEST_ID)?
+        .ok_or(IntakeError::UnknownPlan)?;
+    let deadline =
+        single_value(&parts.headers, &DEADLINE)?.ok_or(IntakeError::Missing("x-deadline"))?;
+    let time_to_deadline = parse_duration(deadline).ok_or(IntakeError::Unreadable("x-deadline"))?;
+    let io = single_value(&parts.headers, &IO)?.ok_or(IntakeError::Missing("x-io"))?;
+    let io = parse_io(io, settings.policy.max_units).ok_or(IntakeError::Unreadable("x-io"))?;
+    let is_client_retry = single_value(&parts.headers, &RETRY)?.is_some_and(|v| v.trim() == "1");
+    single_value(&parts.headers, &REQUEST_ID)?
         .filter(|v| !v.is_empty())
         .ok_or(IntakeError::Missing("x-request-id"))?;
-    let keyed = text(&parts.headers, &IDEMPOTENCY_KEY)?.is_some();
-    let rules = &told.module.classes[class];
-    if matches!(rules.idempotence, Idempotence::Deduplicated { .. }) && !keyed {
+    let has_idempotency_key = single_value(&parts.headers, &IDEMPOTENCY_KEY)?.is_some();
+    let rules = &settings.policy.classes[class];
+    if matches!(rules.idempotence, Idempotence::Deduplicated { .. }) && !has_idempotency_key {
         return Err(IntakeError::Missing("idempotency-key"));
     }
-    let fits = match told.writes.get(class).copied().flatten() {
+    let method_allowed = match settings.writes.get(class).copied().flatten() {
         Some(true) => parts.method == Method::PUT,
         Some(false) => parts.method == Method::GET,
-        // Not said for these classes: the client knows.
+        // The settings do not say whether this class writes; the client's choice is accepted.
         None => [Method::PUT, Method::GET].contains(&parts.method),
     };
-    if !fits {
-        return Err(IntakeError::Method);
+    if !method_allowed {
+        return Err(IntakeError::WrongMethod);
     }
     let request = Request {
         id: RequestId(0),
@@ -168,63 +176,66 @@
         is_client_retry,
         shard_unknown: false,
     };
-    Ok((request, patience))
+    Ok((request, time_to_deadline))
 }
 
-/// Collects the body, as the budget allows, and puts together what passes on.
-pub async fn parcel(
+/// Reads the body within the memory budget, and returns what is forwarded to a node.
+pub async fn read_body(
     parts: http::request::Parts,
     mut body: Body,
-    room: &Room,
-) -> Result<Parcel, IntakeError> {
-    let (budget, mut hold) = (room.budget(), Hold::default());
+    memory: &MemoryPool,
+) -> Result<ForwardedRequest, IntakeError> {
+    let (budget, mut reservation) = (memory.budget(), MemoryReservation::default());
     let length = body.size_hint().exact();
-    match budget.body(length) {
-        Entry::Small => {}
-        Entry::TooLong => return Err(IntakeError::TooLong),
-        // Unread until there is room: the client waits, and so do its bytes.
-        Entry::Hold(bytes) if !room.raise(&mut hold, bytes).await => {
-            return Err(IntakeError::NoRoom)
+    match budget.admit_body(length) {
+        BodyAdmission::Unreserved => {}
+        BodyAdmission::TooLong => return Err(IntakeError::BodyTooLong),
+        // The body stays unread until there is memory for it; flow control then stops the client.
+        BodyAdmission::Reserve(bytes) if !memory.reserve_body(&mut reservation, bytes).await => {
+            return Err(IntakeError::NoMemory)
         }
-        Entry::Hold(_) => {}
+        BodyAdmission::Reserve(_) => {}
     }
-    let known = length.and_then(|l| usize::try_from(l).ok()).unwrap_or(0);
-    let mut whole = BytesMut::with_capacity(known);
+    let capacity = length.and_then(|l| usize::try_from(l).ok()).unwrap_or(0);
+    let mut received = BytesMut::with_capacity(capacity);
     while let Some(frame) = body.frame().await {
-        let Ok(piece) = frame.map_err(|_| IntakeError::Body)?.into_data() else {
+        let Ok(chunk) = frame.map_err(|_| IntakeError::BodyTruncated)?.into_data() else {
             continue;
         };
-        let bytes = whole.len() + piece.len();
-        let held = budget
-            .grown(bytes, hold.bytes())
-            .ok_or(IntakeError::TooLong)?;
-        if !room.raise(&mut hold, held).await {
-            return Err(IntakeError::NoRoom);
+        let bytes = received.len() + chunk.len();
+        let required_bytes = budget
+            .required_reservation(bytes, reservation.bytes())
+            .ok_or(IntakeError::BodyTooLong)?;
+        if !memory.reserve_body(&mut reservation, required_bytes).await {
+            return Err(IntakeError::NoMemory);
         }
-        whole.extend_from_slice(&piece);
+        received.extend_from_slice(&chunk);
     }
     let id = parts
         .headers
         .get(&REQUEST_ID)
         .cloned()
         .ok_or(IntakeError::Missing("x-request-id"))?;
-    Ok(Parcel {
+    Ok(ForwardedRequest {
         method: parts.method,
         target: parts
             .uri
             .path_and_query()
             .cloned()
-            .ok_or(IntakeError::Class)?,
+            .ok_or(IntakeError::UnknownClass)?,
         id,
-        key: parts.headers.get(&IDEMPOTENCY_KEY).cloned(),
-        body: whole.freeze(),
-        hold: Arc::new(hold),
+        idempotency_key: parts.headers.get(&IDEMPOTENCY_KEY).cloned(),
+        body: received.freeze(),
+        reservation: Arc::new(reservation),
     })
 }
 
-/// A header's one value. Twice is an error: which of the two a node would take is not known.
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, IntakeError> {
-    let named = || match name.as_str() {
+/// The only value of a header. A header that appears twice is an error, since it is unknown which value a node would use.
+fn single_value<'a>(
+    headers: &'a HeaderMap,
+    name: &HeaderName,
+) -> Result<Option<&'a str>, IntakeError> {
+    let static_name = || match name.as_str() {
         "x-plan" => "x-plan",
         "x-deadline" => "x-deadline",
         "x-io" => "x-io",
@@ -237,28 +248,30 @@
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(IntakeError::Unreadable(named()));
+        return Err(IntakeError::Unreadable(static_name()));
     }
     first
         .to_str()
         .map(Some)
-        .map_err(|_| IntakeError::Unreadable(named()))
+        .map_err(|_| IntakeError::Unreadable(static_name()))
 }
 
-struct Extras {
+/// The fields of the `x-io` header.
+struct IoFields {
     volume: VolumeId,
     units: f64,
     shard: Option<Shard>,
     hosts: f64,
 }
 
-fn extras(value: &str, most: f64) -> Option<Extras> {
+/// Parses the `x-io` header. `max_units` of 0 or less is no limit.
+fn parse_io(value: &str, max_units: f64) -> Option<IoFields> {
     let (mut volume, mut units, mut shard, mut hosts) = (None, None, None, None);
     for field in value.split(',') {
         let (name, v) = field.split_once('=')?;
         let v = v.trim();
         match name.trim() {
-            "volume" => volume = Some(VolumeId(hex16(v)?)),
+            "volume" => volume = Some(VolumeId(parse_hex16(v)?)),
             "units" => units = v.parse::<f64>().ok().filter(|u| u.is_finite() && *u > 0.0),
             "shard" => {
                 shard = v
@@ -270,9 +283,9 @@
             _ => {}
         }
     }
-    let units = units.filter(|u| most <= 0.0 || *u <= most)?;
+    let units = units.filter(|u| max_units <= 0.0 || *u <= max_units)?;
     let shard = u32::try_from(shard?).ok().map(Shard);
-    Some(Extras {
+    Some(IoFields {
         volume: volume?,
         units,
         shard,
@@ -280,16 +293,18 @@
     })
 }
 
-/// Exactly 16 hexadecimal digits.
-fn hex16(text: &str) -> Option<u64> {
-    let plain = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    plain.then(|| u64::from_str_radix(text, 16).ok()).flatten()
+/// Parses exactly 16 hexadecimal digits.
+fn parse_hex16(text: &str) -> Option<u64> {
+    let is_hex16 = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
+    is_hex16
+        .then(|| u64::from_str_radix(text, 16).ok())
+        .flatten()
 }
 
-/// A span with its unit, `480m` or `480000u`; at most a day.
-pub fn span(text: &str) -> Option<Duration> {
+/// Parses a duration with its unit, milliseconds as `480m` or microseconds as `480000u`; at most a day.
+pub fn parse_duration(text: &str) -> Option<Duration> {
     let text = text.trim();
-    let unit = match text.chars().last()? {
+    let unit_us = match text.chars().last()? {
         'm' => 1_000,
         'u' => 1,
         _ => return None,
@@ -300,7 +315,7 @@
         .parse()
         .ok()?;
     number
-        .checked_mul(unit)
+        .checked_mul(unit_us)
         .filter(|us| *us <= 86_400_000_000)
         .map(Duration::from_micros)
 }
--- a/crates/http/src/probe.rs
+++ b/crates/http/src/probe.rs
@@ -1,4 +1,4 @@
-//! The prober: looks at a node when the module asks for it.
+//! Sends a health probe to a node when the policy asks for one.
 
 use crate::upstream::Upstream;
 use lupinrack_request_engine::{EngineHandle, NodeTarget};
@@ -7,28 +7,33 @@
 use tokio::sync::{mpsc, Semaphore};
 
 /// How long a probe may take.
-const PATIENCE: Duration = Duration::from_secs(1);
-/// Probes out at once; further ones wait in the core's bounded queue.
-const OUT_MOST: usize = 16;
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+/// The most probes sent at once. Further ones wait in the engine's bounded queue.
+const MAX_CONCURRENT_PROBES: usize = 16;
 
-/// Runs until the core is gone.
-pub async fn run(core: EngineHandle, upstream: Upstream, mut targets: mpsc::Receiver<NodeTarget>) {
-    let room = Arc::new(Semaphore::new(OUT_MOST));
+/// Sends probes until the engine has ended.
+pub async fn run(
+    engine: EngineHandle,
+    upstream: Upstream,
+    mut targets: mpsc::Receiver<NodeTarget>,
+) {
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_PROBES));
     while let Some(target) = targets.recv().await {
-        let Ok(permit) = room.clone().acquire_owned().await else {
+        let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
         };
-        let (core, upstream) = (core.clone(), upstream.clone());
+        let (engine, upstream) = (engine.clone(), upstream.clone());
         tokio::spawn(async move {
-            let began = core.clock.now();
-            let ended = upstream.probe(target.address, PATIENCE).await;
-            core.health_checked(
-                target.node,
-                ended.outcome,
-                core.clock.now() - began,
-                ended.load,
-            )
-            .await;
+            let started_at = engine.clock.now();
+            let result = upstream.probe(target.address, PROBE_TIMEOUT).await;
+            engine
+                .health_checked(
+                    target.node,
+                    result.outcome,
+                    engine.clock.now() - started_at,
+                    result.load,
+                )
+                .await;
             drop(permit);
         });
     }
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -1,9 +1,9 @@
-//! The life of one request, from its arrival to its one final answer and the end of its last attempt.
+//! Follows one request until its client has the final response and its last attempt has ended.
 
-use crate::gate::Visit;
-use crate::intake::Parcel;
-use crate::passing::Passing;
-use crate::upstream::{Begun, Ended, Upstream};
+use crate::client_stream::ClientConnection;
+use crate::intake::ForwardedRequest;
+use crate::streamed_response::StreamedResponse;
+use crate::upstream::{AttemptResult, StartedResponse, Upstream};
 use axum::body::Body;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use http::{header, HeaderValue, Response, StatusCode};
@@ -13,183 +13,198 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// A final answer.
-pub enum Answer {
-    /// All of it.
-    Whole(Response<Body>),
-    /// Served, as it comes from the node.
-    Passing(Passing),
+/// A final response.
+pub enum FinalResponse {
+    /// The complete response.
+    Complete(Response<Body>),
+    /// A successful response that is streamed from the node.
+    Streamed(StreamedResponse),
 }
 
-/// The client of a request, until it has its final answer or has gone.
-struct Client {
-    answer: oneshot::Sender<Answer>,
-    /// Ends with this: what was not sent by then never is.
-    _waiting: watch::Sender<()>,
+/// A client that still waits for its final response.
+struct WaitingClient {
+    response_sender: oneshot::Sender<FinalResponse>,
+    /// Dropping this ends the [`ClientWait`] of all attempts, so that none is sent later.
+    _wait_sender: watch::Sender<()>,
 }
 
-/// Whether a request's client still waits for its answer.
+/// Tells whether a request's client still waits for its response.
 #[derive(Clone)]
-pub struct Waiting {
-    waiting: watch::Receiver<()>,
-    visit: Option<Visit>,
+pub struct ClientWait {
+    ended: watch::Receiver<()>,
+    connection: Option<ClientConnection>,
 }
 
-impl Waiting {
-    /// One that waits until the sender is dropped or its connection, if it is known, is closed.
-    pub fn new(waiting: watch::Receiver<()>, visit: Option<Visit>) -> Self {
-        Waiting { waiting, visit }
+impl ClientWait {
+    /// A client that waits until the sender of `ended` is dropped or its connection, if it is known, is closed.
+    pub fn new(ended: watch::Receiver<()>, connection: Option<ClientConnection>) -> Self {
+        ClientWait { ended, connection }
     }
 
-    /// Ends once the client has its answer, or has gone.
-    pub async fn over(&mut self) {
-        while self.waiting.changed().await.is_ok() {}
+    /// Completes once the client has its response or its request's task has noticed that it left.
+    pub async fn ended(&mut self) {
+        while self.ended.changed().await.is_ok() {}
     }
 
-    /// The look in the moment of a send: nothing is sent for a client that has gone, whoever has heard of it yet.
-    pub fn now(&self) -> bool {
-        self.waiting.has_changed().is_ok() && !self.visit.as_ref().is_some_and(Visit::gone)
+    /// Whether the client waits at this moment. Also checks the client's socket, so that nothing is sent for a client that
+    /// has left unnoticed.
+    pub fn is_waiting(&self) -> bool {
+        self.ended.has_changed().is_ok()
+            && !self
+                .connection
+                .as_ref()
+                .is_some_and(ClientConnection::client_left)
     }
 }
 
-/// Serves one request. `client` takes its one final answer; closed, the client has gone, as it has where `visit` says so.
+/// Serves one request. `response_sender` takes the final response; it is closed if the client has left. `connection` is
+/// the client's connection, if it is known.
 pub async fn serve(
-    core: EngineHandle,
+    engine: EngineHandle,
     upstream: Upstream,
     mut phase: watch::Receiver<Phase>,
     request: Request,
-    parcel: Parcel,
-    (client, visit): (oneshot::Sender<Answer>, Option<Visit>),
+    forwarded: ForwardedRequest,
+    (response_sender, connection): (oneshot::Sender<FinalResponse>, Option<ClientConnection>),
 ) {
-    // Taken: the module hears of it, and every order it gives comes back here.
+    // From here on the policy knows the request, and its orders for it arrive at the ticket.
     let span = tracing::Span::current();
-    let mut ticket = core.open(request).await;
+    let mut ticket = engine.open(request).await;
     let reporter = ticket.reporter();
-    let (_waiting, waiting) = watch::channel(());
-    let waiting = Waiting::new(waiting, visit);
-    let mut client = Some(Client {
-        answer: client,
-        _waiting,
+    let (_wait_sender, wait) = watch::channel(());
+    let wait = ClientWait::new(wait, connection);
+    let mut client = Some(WaitingClient {
+        response_sender,
+        _wait_sender,
     });
     let mut attempts = FuturesUnordered::new();
-    let (begins, mut begun) = mpsc::channel(1);
-    let mut cancels: Vec<(u16, oneshot::Sender<()>)> = Vec::new();
+    let (response_started, mut started_responses) = mpsc::channel(1);
+    let mut cancel_senders: Vec<(u16, oneshot::Sender<()>)> = Vec::new();
     loop {
         tokio::select! {
             biased;
-            // The client left before its answer. What is out still ends properly; what is not, never begins.
-            () = closed(&mut client) => {
+            // The client left before its response. Running attempts are still ended in order; no other one is sent.
+            () = client_left(&mut client) => {
                 client = None;
                 reporter.client_gone().await;
             }
             order = ticket.next_order() => match order {
-                // The module sends it out.
                 Some(Order::Send(attempt)) => {
                     let (number, (cancel, cancelled)) = (attempt.number, oneshot::channel::<()>());
-                    cancels.push((number, cancel));
+                    cancel_senders.push((number, cancel));
                     span.record("attempt", number);
                     tracing::debug!(node = &*attempt.target.name, "sent");
-                    let exchange = upstream.attempt(parcel.clone(), attempt, begins.clone(), waiting.clone());
+                    let exchange = upstream.attempt(forwarded.clone(), attempt, response_started.clone(), wait.clone());
                     attempts.push(async move {
                         tokio::select! {
-                            ended = exchange => (number, ended),
+                            result = exchange => (number, result),
                             Ok(()) = cancelled => (number, Outcome::Cancelled.into()),
                         }
                     });
                 }
                 Some(Order::Cancel(number)) => {
-                    if let Some(at) = cancels.iter().position(|c| c.0 == number) {
-                        let _ = cancels.swap_remove(at).1.send(());
+                    if let Some(index) = cancel_senders.iter().position(|c| c.0 == number) {
+                        let _ = cancel_senders.swap_remove(index).1.send(());
                     }
                 }
-                // Answers are collected whole: no transfer here asks for more.
+                // No transfer of this front asks to move more units, so no grant is awaited.
                 Some(Order::Grant) => {}
-                // The module has given up: the client hears at once.
-                Some(Order::Reject(after)) => answer(&mut client, Answer::Whole(refused(after))),
-                Some(Order::Fail) => answer(&mut client, Answer::Whole(failed())),
-                // Over, with nothing out.
+                // The policy gave up: the client gets its response now, whatever is still running.
+                Some(Order::Reject(retry_after)) => respond(&mut client, FinalResponse::Complete(refused(retry_after))),
+                Some(Order::Fail) => respond(&mut client, FinalResponse::Complete(failed())),
+                // The request is over and no attempt is running.
                 None => return,
             },
-            Some((number, ended)) = attempts.next() => {
-                // One that began and ended in the same turn: its beginning stands here still, and comes first.
-                if let Ok(begun) = begun.try_recv() {
-                    begin(&mut client, &reporter, begun).await;
+            Some((number, result)) = attempts.next() => {
+                // An attempt may start its response and end between two polls: the start is still in the channel and has
+                // to be handled first.
+                if let Ok(started) = started_responses.try_recv() {
+                    stream_response(&mut client, &reporter, started).await;
                 }
-                let Ended { outcome, body, passed, load, hint } = ended;
+                let AttemptResult { outcome, body, streamed_bytes, load, map_version } = result;
                 tracing::debug!(attempt = number, ?outcome, "attempt ended");
-                if let Some(bytes) = passed {
+                if let Some(bytes) = streamed_bytes {
                     reporter.bytes_forwarded(bytes).await;
                 } else if outcome == Outcome::Ok {
                     if client.is_some() {
                         reporter.bytes_forwarded(body.len() as u64).await;
                     }
-                    answer(&mut client, Answer::Whole(Response::new(Body::from(body))));
+                    respond(&mut client, FinalResponse::Complete(Response::new(Body::from(body))));
                 }
-                // What began to pass on and stopped: its client went, or hears of it by a broken frame.
-                if passed.is_some() && outcome != Outcome::Ok {
+                // A streamed response that stopped early is the end for its client: the client left, or sees that the
+                // response is truncated.
+                if streamed_bytes.is_some() && outcome != Outcome::Ok {
                     reporter.client_gone().await;
                 }
                 match outcome {
-                    Outcome::WrongShard => reporter.wrong_shard(number, hint).await,
+                    Outcome::WrongShard => reporter.wrong_shard(number, map_version).await,
                     _ => reporter.attempt_ended(number, outcome, load).await,
                 }
             }
-            // An answer too long to be collected: from here on it belongs to the client, and is never made again.
-            Some(begun) = begun.recv() => begin(&mut client, &reporter, begun).await,
-            // The program must be out in a moment: whatever this waits for, its client hears now.
+            // A response is too long to be collected: it now belongs to the client, and is never retried.
+            Some(started) = started_responses.recv() => stream_response(&mut client, &reporter, started).await,
+            // The process is about to exit: the client gets a response now, whatever is still running.
             () = reached(&mut phase, Phase::Over), if client.is_some() => {
-                answer(&mut client, Answer::Whole(failed()));
+                respond(&mut client, FinalResponse::Complete(failed()));
                 reporter.client_gone().await;
             }
         }
     }
 }
 
-/// Hands over an answer that passes on as it comes; where another was first, dropping it ends its attempt.
-async fn begin(client: &mut Option<Client>, reporter: &RequestReporter, begun: Begun) {
+/// Hands a streamed response to the client. If the client already has one, dropping `started` ends its attempt.
+async fn stream_response(
+    client: &mut Option<WaitingClient>,
+    reporter: &RequestReporter,
+    started: StartedResponse,
+) {
     if let Some(client) = client.take() {
-        reporter.response_started(begun.number).await;
-        let Begun {
+        reporter.response_started(started.attempt_number).await;
+        let StartedResponse {
             length,
-            taken,
-            pieces,
+            received,
+            chunks,
             ..
-        } = begun;
+        } = started;
         let _ = client
-            .answer
-            .send(Answer::Passing(Passing::new(length, taken, pieces)));
+            .response_sender
+            .send(FinalResponse::Streamed(StreamedResponse::new(
+                length, received, chunks,
+            )));
     }
 }
 
-/// Hands over the final answer; of several only the first.
-fn answer(client: &mut Option<Client>, answer: Answer) {
+/// Hands the final response to the client. Only the first one counts.
+fn respond(client: &mut Option<WaitingClient>, response: FinalResponse) {
     if let Some(client) = client.take() {
-        if let Answer::Whole(response) = &answer {
+        if let FinalResponse::Complete(response) = &response {
             tracing::debug!(status = response.status().as_u16(), "answered");
         }
-        let _ = client.answer.send(answer);
+        let _ = client.response_sender.send(response);
     }
 }
 
-async fn closed(client: &mut Option<Client>) {
+/// Completes once a client that waits for its response leaves.
+async fn client_left(client: &mut Option<WaitingClient>) {
     match client {
-        Some(client) => client.answer.closed().await,
+        Some(client) => client.response_sender.closed().await,
         None => std::future::pending().await,
     }
 }
 
-/// Refused: asking again is harmless, after the time given.
-pub(crate) fn refused(after: Option<Duration>) -> Response<Body> {
+/// The response to a request that was refused: the client may safely retry it after the given time.
+pub(crate) fn refused(retry_after: Option<Duration>) -> Response<Body> {
     let mut response = Response::new(Body::from("refused\n"));
     *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-    let hint = after.and_then(|t| HeaderValue::try_from(format!("{:.3}", t.as_secs_f64())).ok());
-    if let Some(hint) = hint {
-        response.headers_mut().insert(header::RETRY_AFTER, hint);
+    let value =
+        retry_after.and_then(|t| HeaderValue::try_from(format!("{:.3}", t.as_secs_f64())).ok());
+    if let Some(value) = value {
+        response.headers_mut().insert(header::RETRY_AFTER, value);
     }
     response
 }
 
-/// Failed: nothing is promised.
+/// The response to a request that failed: it may have run, or not.
 fn failed() -> Response<Body> {
     let mut response = Response::new(Body::from("failed\n"));
     *response.status_mut() = StatusCode::BAD_GATEWAY;
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -1,15 +1,25 @@
-//! One attempt at a node, and what its end proves.
+//! Sends one attempt of a request, or one health probe, to a storage node and reports its outcome.
+//!
+//! The outcome tells the policy whether the node may have run the request. The request certainly did not run if it was
+//! never completely written to the connection, or if the node says so with `x-not-run: 1`.
+//!
+//! A short response is collected completely before the client gets any of it. If it breaks off, the policy can still retry.
+//! A long response is streamed to the client while it arrives and is never retried.
 
-use crate::budget::{Hold, Room, ANSWER_LONGEST, SMALL, WINDOW};
-use crate::intake::{Parcel, DEADLINE, IDEMPOTENCY_KEY, REQUEST_ID};
-use crate::line::{Line, LineError, Lines, Sending, Spoilt};
-use crate::request::Waiting;
+use crate::intake::{ForwardedRequest, DEADLINE, IDEMPOTENCY_KEY, REQUEST_ID};
+use crate::memory_budget::{
+    MemoryPool, MemoryReservation, MAX_RESPONSE_BYTES, MAX_UNRESERVED_BYTES, STREAM_BUFFER_BYTES,
+};
+use crate::request::ClientWait;
+use crate::upstream_connection::{
+    ConnectError, ConnectionPool, ExchangeError, OutgoingRequest, UpstreamConnection,
+};
 use bytes::Bytes;
 use http::{header, HeaderMap, Request as HttpRequest, StatusCode};
 use http_body_util::Full;
 use hyper::body::{Body, Incoming};
 use lupinrack_extent_map::Version;
-use lupinrack_front_settings::{micros, Told};
+use lupinrack_front_settings::{micros, FrontSettings};
 use lupinrack_metrics::Figures;
 use lupinrack_policy::*;
 use lupinrack_request_engine::{Attempt, Clock};
@@ -19,294 +29,316 @@
 use tokio::sync::mpsc;
 use tokio::time::Sleep;
 
-/// Part of a node's idle time (in tenths) that a connection is kept here: any request written to one that the
-/// node has just closed would end as a reset.
-const IDLE_TENTHS: Micros = 6;
+/// Tenths of the node's idle timeout for which an idle connection is kept. A request written to a connection that the
+/// node has just closed would be reset.
+const IDLE_TIMEOUT_TENTHS: Micros = 6;
 
-/// What must be there of an answer that is said to be long before it begins to pass on: its head alone may be spoilt, and
-/// it can still be made again.
-const BEGINS: usize = 1;
-/// How long before the client's end an answer that may be long begins to pass on, whatever is there of it. A little more
-/// than the module takes to give up.
-const LAST: Duration = Duration::from_millis(30);
+/// Bytes collected from a response whose declared length makes it long before it is streamed to the client. Until then a
+/// response of which only the head arrives can still be retried.
+const MIN_BYTES_BEFORE_STREAMING: usize = 1;
+/// How long before the attempt's timeout a response that may be long is streamed, however little of it has arrived. The
+/// policy needs a little less time than this to give up on the request.
+const STREAM_BEFORE_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// The way to the nodes.
+/// Sends requests to storage nodes over pooled connections.
 #[derive(Clone)]
 pub struct Upstream {
-    lines: Lines,
+    pool: ConnectionPool,
     clock: Clock,
-    columns: std::sync::Arc<[String]>,
+    load_columns: std::sync::Arc<[String]>,
     figures: Figures,
-    room: Room,
+    memory: MemoryPool,
 }
 
-/// How an attempt ended.
+/// The result of one attempt.
 #[derive(Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     /// The outcome.
     pub outcome: Outcome,
-    /// The answer to pass on, where the outcome is served and it was collected whole.
+    /// The complete body of a response that was collected before the client got any of it; empty otherwise.
     pub body: Bytes,
-    /// Where the answer began to pass on before it was whole: how many bytes of it did.
-    pub passed: Option<u64>,
-    /// The load report that came along.
+    /// The number of body bytes received, if the response was streamed to the client.
+    pub streamed_bytes: Option<u64>,
+    /// The load report in the response, if there was one.
     pub load: Option<LoadReport>,
-    /// Where the outcome is that the data lies elsewhere: the version of the map by which it does.
-    pub hint: Option<Version>,
+    /// The node's version of the extent map, if it refused the request because another shard holds the data.
+    pub map_version: Option<Version>,
 }
 
-/// An answer that begins to pass on before it is whole.
+/// A response that is streamed to the client before all of it has arrived.
 #[derive(Debug)]
-pub struct Begun {
-    /// Its attempt.
-    pub number: u16,
-    /// Its length, where the node gave one.
+pub struct StartedResponse {
+    /// The number of the attempt.
+    pub attempt_number: u16,
+    /// The declared length of the body, if the node sent one.
     pub length: Option<u64>,
-    /// What was collected of it.
-    pub taken: Vec<Bytes>,
-    /// The rest, as it comes; an empty piece is its end.
-    pub pieces: mpsc::Receiver<Result<Bytes, Cut>>,
+    /// The part of the body received so far.
+    pub received: Vec<Bytes>,
+    /// The rest of the body as it arrives. An empty chunk marks the end.
+    pub chunks: mpsc::Receiver<Result<Bytes, ResponseTruncated>>,
 }
 
-/// An answer broke off after it had begun.
+/// A response broke off after part of it was sent to the client.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
-#[error("the answer broke off")]
-pub struct Cut;
+#[error("the response broke off")]
+pub struct ResponseTruncated;
 
-/// What was taken of an answer.
-enum Taken {
-    Whole(Ended),
-    /// Nothing of use by the end of the client's time.
-    Late,
-    Part {
+/// How far [`Upstream::exchange`] collected a response.
+enum Collected {
+    /// The response is complete.
+    Complete(AttemptResult),
+    /// The attempt's timeout passed before the response was complete.
+    TimedOut,
+    /// The response has status 200 and is long, or may be: the rest has to be streamed.
+    Partial {
         length: Option<u64>,
-        taken: Vec<Bytes>,
+        received: Vec<Bytes>,
         load: Option<LoadReport>,
         body: Incoming,
     },
 }
 
-impl From<Outcome> for Ended {
+impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
-        Ended {
+        AttemptResult {
             outcome,
             body: Bytes::new(),
-            passed: None,
+            streamed_bytes: None,
             load: None,
-            hint: None,
+            map_version: None,
         }
     }
 }
 
 impl Upstream {
-    /// Connections as the settings want them, at most this many.
-    pub fn new(told: &Told, clock: Clock, most: usize, room: Room, figures: Figures) -> Self {
-        let span = |us: Micros| Duration::from_micros(us.max(1) as u64);
-        let lines = Lines::new(
-            most,
-            span(told.connect_timeout),
-            span(told.conn_idle * IDLE_TENTHS / 10),
+    /// Creates an upstream with at most `max_connections` connections to all nodes together.
+    pub fn new(
+        settings: &FrontSettings,
+        clock: Clock,
+        max_connections: usize,
+        memory: MemoryPool,
+        figures: Figures,
+    ) -> Self {
+        let duration = |us: Micros| Duration::from_micros(us.max(1) as u64);
+        let pool = ConnectionPool::new(
+            max_connections,
+            duration(settings.connect_timeout),
+            duration(settings.node_idle_timeout * IDLE_TIMEOUT_TENTHS / 10),
         );
         Upstream {
-            lines,
+            pool,
             clock,
-            columns: told.columns.clone().into(),
+            load_columns: settings.load_columns.clone().into(),
             figures,
-            room,
+            memory,
         }
     }
 
-    /// Makes one attempt. Dropped, it closes the attempt's connection. An answer that is passed on as it comes is told to
-    /// `begins`, and the attempt then lasts until all of it has passed. Nothing is written once its client waits no more.
+    /// Sends one attempt to its node and waits for its outcome.
+    ///
+    /// A response that has to be streamed is handed to `response_started`; the attempt then lasts until all of it has
+    /// been passed on. Nothing is written once the client has left. Dropping the future closes the attempt's connection.
     pub async fn attempt(
         &self,
-        parcel: Parcel,
+        forwarded: ForwardedRequest,
         attempt: Attempt,
-        begins: mpsc::Sender<Begun>,
-        mut waiting: Waiting,
-    ) -> Ended {
-        let late = tokio::time::sleep_until(self.clock.instant(attempt.timeout_at));
-        tokio::pin!(late);
-        let line = tokio::select! {
+        response_started: mpsc::Sender<StartedResponse>,
+        mut client: ClientWait,
+    ) -> AttemptResult {
+        let timeout = tokio::time::sleep_until(self.clock.instant(attempt.timeout_at));
+        tokio::pin!(timeout);
+        let connection = tokio::select! {
             biased;
-            // Told to drain while the connection was still coming up: this send must not go out any more.
+            // The node's drain grace ended while the connection was being established: this attempt must not be sent.
             () = attempt.target.stopped(self.clock) => return Outcome::ConnectFailed.into(),
-            () = waiting.over() => return Outcome::NotSent.into(),
-            line = self.lines.line(attempt.target.address) => line,
-            () = &mut late => return Outcome::ConnectFailed.into(),
+            () = client.ended() => return Outcome::NotSent.into(),
+            connection = self.pool.connection(attempt.target.address) => connection,
+            () = &mut timeout => return Outcome::ConnectFailed.into(),
         };
-        let mut line = match line {
-            Ok(line) => line,
-            Err(why) => return unconnected(&why).into(),
+        let mut connection = match connection {
+            Ok(connection) => connection,
+            Err(error) => return connect_outcome(&error).into(),
         };
-        let left = (attempt.timeout_at - self.clock.now()).max(0);
+        let remaining_us = (attempt.timeout_at - self.clock.now()).max(0);
         let mut request = HttpRequest::builder()
-            .method(parcel.method)
-            .uri(http::Uri::from(parcel.target))
+            .method(forwarded.method)
+            .uri(http::Uri::from(forwarded.target))
             .header(header::HOST, attempt.target.address.to_string())
-            .header(&REQUEST_ID, parcel.id);
-        if let Some(key) = parcel.key {
+            .header(&REQUEST_ID, forwarded.id);
+        if let Some(key) = forwarded.idempotency_key {
             request = request.header(&IDEMPOTENCY_KEY, key);
         }
         let request = request
-            .header(&DEADLINE, format!("{left}u"))
-            .body(Full::new(parcel.body));
+            .header(&DEADLINE, format!("{remaining_us}u"))
+            .body(Full::new(forwarded.body));
         let Ok(request) = request else {
             return Outcome::NotSent.into();
         };
-        // The last look before the first byte: there is no wait between it and the write.
-        if !waiting.now() {
-            self.lines.keep(line).await;
+        // The last check before the first byte is written; nothing is awaited between the check and the write.
+        if !client.is_waiting() {
+            self.pool.release(connection).await;
             return Outcome::NotSent.into();
         }
         if self.clock.now() >= attempt.begin_by {
-            // The connection came up too late, or this process was stopped meanwhile: the nodes may have forgotten what ran, and others
-            // may use by now what this attempt drew on.
+            // The connection took too long, or this process was suspended. The nodes may have forgotten an earlier attempt
+            // that they would deduplicate, and another front may be using the quota that this attempt was charged to.
             return Outcome::Expired.into();
         }
-        let sending = Sending::Attempt {
+        let outgoing = OutgoingRequest::Attempt {
             request,
             permit: attempt.permit,
             figures: self.figures.clone(),
         };
-        let ended = match self.exchange(&mut line, sending, late).await {
-            Ok(Taken::Late) => {
-                return if line.written() {
+        let result = match self.exchange(&mut connection, outgoing, timeout).await {
+            Ok(Collected::TimedOut) => {
+                return if connection.request_sent() {
                     Outcome::Timeout
                 } else {
                     Outcome::ConnectFailed
                 }
                 .into()
             }
-            Ok(Taken::Whole(ended)) => Ok(ended),
-            Ok(part) => match self.pass(&mut line, part, attempt.number, &begins).await {
-                // Only what was passed on to its end leaves a connection that can be used again.
-                ended if ended.outcome == Outcome::Ok => Ok(ended),
-                ended => return ended,
+            Ok(Collected::Complete(result)) => Ok(result),
+            Ok(partial) => match self
+                .stream(&mut connection, partial, attempt.number, &response_started)
+                .await
+            {
+                // A connection can be used again only if the streamed response was read to its end.
+                result if result.outcome == Outcome::Ok => Ok(result),
+                result => return result,
             },
-            Err(why) => Err(why),
+            Err(error) => Err(error),
         };
-        self.settle(line, ended).await
+        self.finish(connection, result).await
     }
 
-    /// Sends a request and takes its answer: whole, where it is short, so that one that breaks off has not begun at the
-    /// client; else as it comes.
+    /// Sends a request and reads its response. A short response is collected completely, since one that breaks off can be
+    /// retried while the client has none of it. A long one is returned as [`Collected::Partial`] to be streamed.
     async fn exchange(
         &self,
-        line: &mut Line,
-        sending: Sending,
-        mut late: Pin<&mut Sleep>,
-    ) -> Result<Taken, Spoilt> {
-        let answer = tokio::select! {
+        connection: &mut UpstreamConnection,
+        outgoing: OutgoingRequest,
+        mut timeout: Pin<&mut Sleep>,
+    ) -> Result<Collected, ExchangeError> {
+        let response = tokio::select! {
             biased;
-            answer = line.begin(sending) => answer?,
-            () = &mut late => return Ok(Taken::Late),
+            response = connection.send(outgoing) => response?,
+            () = &mut timeout => return Ok(Collected::TimedOut),
         };
-        let (head, mut body) = answer.into_parts();
+        let (head, mut body) = response.into_parts();
         if head.headers.contains_key(header::TRANSFER_ENCODING)
             && head.headers.contains_key(header::CONTENT_LENGTH)
         {
-            return Err(Spoilt::Lengths);
+            return Err(ExchangeError::ContradictoryLengths);
         }
         let length = body.size_hint().exact();
-        if length.is_some_and(|l| l > ANSWER_LONGEST) {
-            return Err(Spoilt::Endless);
+        if length.is_some_and(|l| l > MAX_RESPONSE_BYTES) {
+            return Err(ExchangeError::TooLong);
         }
-        // One that is said to be long begins as soon as it is seen to come: the client waits for its first bytes.
-        let enough = if length.is_some_and(|l| l > SMALL as u64) {
-            BEGINS
+        // A response declared as long is streamed from its first bytes on: the client waits for them.
+        let max_collected = if length.is_some_and(|l| l > MAX_UNRESERVED_BYTES as u64) {
+            MIN_BYTES_BEFORE_STREAMING
         } else {
-            SMALL + 1
+            MAX_UNRESERVED_BYTES + 1
         };
-        let soon = tokio::time::sleep_until(late.deadline() - LAST);
-        tokio::pin!(soon);
-        let may_be_long = head.status == StatusCode::OK && length.is_none_or(|l| l > SMALL as u64);
-        let (mut taken, mut held) = (Vec::new(), 0);
-        while held < enough {
-            let piece = tokio::select! {
+        let stream_at = tokio::time::sleep_until(timeout.deadline() - STREAM_BEFORE_TIMEOUT);
+        tokio::pin!(stream_at);
+        let may_be_long =
+            head.status == StatusCode::OK && length.is_none_or(|l| l > MAX_UNRESERVED_BYTES as u64);
+        let (mut received, mut received_bytes) = (Vec::new(), 0);
+        while received_bytes < max_collected {
+            let chunk = tokio::select! {
                 biased;
-                piece = line.piece(&mut body) => piece?,
-                // What the node is still giving is not cut off where it may be long: it is the client's before the module
-                // answers in its place.
-                () = &mut soon, if may_be_long => break,
-                () = &mut late => return Ok(Taken::Late),
+                chunk = connection.next_chunk(&mut body) => chunk?,
+                // A response that may be long and is still arriving is not aborted: it becomes the client's response
+                // before the policy answers the client with a failure.
+                () = &mut stream_at, if may_be_long => break,
+                () = &mut timeout => return Ok(Collected::TimedOut),
             };
-            let Some(piece) = piece else {
-                return Ok(Taken::Whole(self.ended(&head, taken)));
+            let Some(chunk) = chunk else {
+                return Ok(Collected::Complete(self.result_of(&head, received)));
             };
-            held += piece.len();
-            taken.push(piece);
+            received_bytes += chunk.len();
+            received.push(chunk);
         }
         match head.status {
-            StatusCode::OK => Ok(Taken::Part {
+            StatusCode::OK => Ok(Collected::Partial {
                 length,
-                taken,
-                load: self.load(&head.headers),
+                received,
+                load: self.load_report(&head.headers),
                 body,
             }),
-            _ => Err(Spoilt::Endless),
+            _ => Err(ExchangeError::TooLong),
         }
     }
 
-    fn ended(&self, head: &http::response::Parts, taken: Vec<Bytes>) -> Ended {
+    /// Derives the outcome of a complete response from its status and the `x-not-run` and `x-extent-epoch` headers.
+    fn result_of(&self, head: &http::response::Parts, received: Vec<Bytes>) -> AttemptResult {
         let not_run = head
             .headers
             .get("x-not-run")
             .is_some_and(|v| v.as_bytes() == b"1");
-        let moved = head.headers.get("x-extent-epoch");
-        let hint = moved.and_then(|v| v.to_str().ok()?.parse().ok());
+        let extent_epoch = head.headers.get("x-extent-epoch");
+        let map_version = extent_epoch.and_then(|v| v.to_str().ok()?.parse().ok());
         let outcome = match head.status {
             StatusCode::OK => Outcome::Ok,
-            StatusCode::SERVICE_UNAVAILABLE if not_run && moved.is_some() => Outcome::WrongShard,
+            StatusCode::SERVICE_UNAVAILABLE if not_run && extent_epoch.is_some() => {
+                Outcome::WrongShard
+            }
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => {
                 Outcome::Rejected
             }
             _ => Outcome::Error,
         };
-        let body = match <[Bytes; 1]>::try_from(taken) {
-            Ok([one]) => one,
-            Err(pieces) => pieces.concat().into(),
+        let body = match <[Bytes; 1]>::try_from(received) {
+            Ok([single]) => single,
+            Err(chunks) => chunks.concat().into(),
         };
-        Ended {
+        AttemptResult {
             outcome,
             body,
-            passed: None,
-            load: self.load(&head.headers),
-            hint,
+            streamed_bytes: None,
+            load: self.load_report(&head.headers),
+            map_version,
         }
     }
 
-    /// Passes on an answer that has begun, at the client's pace. It is never made again, so its deadline is over.
-    async fn pass(
+    /// Streams a partially received response to the client as fast as the client reads it. It is never retried, so the
+    /// attempt's timeout no longer applies.
+    async fn stream(
         &self,
-        line: &mut Line,
-        part: Taken,
-        number: u16,
-        begins: &mpsc::Sender<Begun>,
-    ) -> Ended {
-        let Taken::Part {
+        connection: &mut UpstreamConnection,
+        partial: Collected,
+        attempt_number: u16,
+        response_started: &mpsc::Sender<StartedResponse>,
+    ) -> AttemptResult {
+        let Collected::Partial {
             length,
-            taken,
+            received,
             load,
             mut body,
-        } = part
+        } = partial
         else {
             return Outcome::NotSent.into();
         };
-        let mut hold = Hold::default();
-        if !self.room.pass(&mut hold, WINDOW).await {
-            tracing::debug!("no memory for a long answer");
-            // The node did its part; it tells nothing of it.
+        let mut reservation = MemoryReservation::default();
+        if !self
+            .memory
+            .reserve_response(&mut reservation, STREAM_BUFFER_BYTES)
+            .await
+        {
+            tracing::debug!("no memory to stream a long response");
+            // The node answered; the shortage is this front's and must not count against the node.
             return Outcome::Cancelled.into();
         }
-        let mut passed = taken.iter().map(|p| p.len() as u64).sum::<u64>();
-        let (to, pieces) = mpsc::channel(1);
-        if begins
-            .send(Begun {
-                number,
+        let mut streamed_bytes = received.iter().map(|c| c.len() as u64).sum::<u64>();
+        let (chunk_sender, chunks) = mpsc::channel(1);
+        if response_started
+            .send(StartedResponse {
+                attempt_number,
                 length,
-                taken,
-                pieces,
+                received,
+                chunks,
             })
             .await
             .is_err()
@@ -314,47 +346,51 @@
             return Outcome::Cancelled.into();
         }
         let outcome = loop {
-            let piece = tokio::select! {
+            let chunk = tokio::select! {
                 biased;
-                // The client has gone: what the node still gives is of no use.
-                () = to.closed() => break Outcome::Cancelled,
-                piece = line.passing(&mut body) => piece,
+                // The client has left: the rest of the response is of no use.
+                () = chunk_sender.closed() => break Outcome::Cancelled,
+                chunk = connection.next_streamed_chunk(&mut body) => chunk,
             };
-            let (say, end) = match piece {
-                Ok(Some(piece)) if passed + piece.len() as u64 <= ANSWER_LONGEST => {
-                    passed += piece.len() as u64;
-                    (Ok(piece), None)
+            let (message, end) = match chunk {
+                Ok(Some(chunk)) if streamed_bytes + chunk.len() as u64 <= MAX_RESPONSE_BYTES => {
+                    streamed_bytes += chunk.len() as u64;
+                    (Ok(chunk), None)
                 }
-                // The end is told by an empty piece.
+                // An empty chunk marks the end of the body.
                 Ok(None) => (Ok(Bytes::new()), Some(Outcome::Ok)),
-                // The client must be able to tell that it is not whole.
-                Ok(Some(_)) | Err(_) => (Err(Cut), Some(Outcome::Reset)),
+                // The client must be able to see that its response is incomplete.
+                Ok(Some(_)) | Err(_) => (Err(ResponseTruncated), Some(Outcome::Reset)),
             };
-            match (end, to.send(say).await) {
-                // A client that has all that was promised looks no further.
+            match (end, chunk_sender.send(message).await) {
+                // A client that has all bytes of the declared length does not read the end marker.
                 (Some(end), _) => break end,
                 (None, Err(_)) => break Outcome::Cancelled,
                 (None, Ok(())) => {}
             }
         };
-        Ended {
+        AttemptResult {
             load,
-            passed: Some(passed),
+            streamed_bytes: Some(streamed_bytes),
             ..outcome.into()
         }
     }
 
-    /// What the end of an exchange proves; its connection is kept where the answer was whole.
-    async fn settle(&self, line: Line, exchange: Result<Ended, Spoilt>) -> Ended {
+    /// Returns the connection to the pool after a complete response, and turns an error into the outcome that it proves.
+    async fn finish(
+        &self,
+        connection: UpstreamConnection,
+        exchange: Result<AttemptResult, ExchangeError>,
+    ) -> AttemptResult {
         match exchange {
-            Ok(ended) => {
-                self.lines.keep(line).await;
-                ended
+            Ok(result) => {
+                self.pool.release(connection).await;
+                result
             }
-            Err(why) => {
-                tracing::debug!("attempt: {why}");
-                // Only where its last byte was never written did it provably not run.
-                if line.written() {
+            Err(error) => {
+                tracing::debug!("attempt: {error}");
+                // The node cannot have run a request whose last byte was never written.
+                if connection.request_sent() {
                     Outcome::Reset
                 } else {
                     Outcome::ConnectFailed
@@ -364,16 +400,17 @@
         }
     }
 
-    fn load(&self, headers: &HeaderMap) -> Option<LoadReport> {
+    /// Reads the load report in the `x-load` header.
+    fn load_report(&self, headers: &HeaderMap) -> Option<LoadReport> {
         headers
             .get("x-load")
             .and_then(|v| v.to_str().ok())
-            .and_then(|v| report(v, &self.columns))
+            .and_then(|v| parse_load_report(v, &self.load_columns))
     }
 
-    /// Looks at a node once: whether it answers, how long that took, and its load report.
-    pub async fn probe(&self, address: SocketAddr, patience: Duration) -> Ended {
-        let path = if self.columns.is_empty() {
+    /// Sends one health probe to a node. Where nodes report their load, the probe fetches the load report as well.
+    pub async fn probe(&self, address: SocketAddr, timeout: Duration) -> AttemptResult {
+        let path = if self.load_columns.is_empty() {
             "/health/live"
         } else {
             "/stats"
@@ -384,43 +421,46 @@
         let Ok(request) = request else {
             return Outcome::NotSent.into();
         };
-        let late = tokio::time::sleep(patience);
-        tokio::pin!(late);
-        let line = tokio::select! {
-            line = self.lines.line(address) => line,
-            () = &mut late => return Outcome::ConnectFailed.into(),
+        let timeout = tokio::time::sleep(timeout);
+        tokio::pin!(timeout);
+        let connection = tokio::select! {
+            connection = self.pool.connection(address) => connection,
+            () = &mut timeout => return Outcome::ConnectFailed.into(),
         };
-        let mut line = match line {
-            Ok(line) => line,
-            Err(why) => return unconnected(&why).into(),
+        let mut connection = match connection {
+            Ok(connection) => connection,
+            Err(error) => return connect_outcome(&error).into(),
         };
-        let whole = match self
-            .exchange(&mut line, Sending::Probe(request), late)
+        let collected = match self
+            .exchange(&mut connection, OutgoingRequest::Probe(request), timeout)
             .await
         {
-            Ok(Taken::Late) => return Outcome::Timeout.into(),
-            Ok(Taken::Whole(ended)) => Ok(ended),
-            Ok(Taken::Part { .. }) => Err(Spoilt::Endless),
-            Err(why) => Err(why),
+            Ok(Collected::TimedOut) => return Outcome::Timeout.into(),
+            Ok(Collected::Complete(result)) => Ok(result),
+            Ok(Collected::Partial { .. }) => Err(ExchangeError::TooLong),
+            Err(error) => Err(error),
         };
-        let mut ended = self.settle(line, whole).await;
-        let text = std::str::from_utf8(&ended.body).unwrap_or("");
-        ended.load = ended.load.or_else(|| report(text, &self.columns));
-        ended
+        let mut result = self.finish(connection, collected).await;
+        let text = std::str::from_utf8(&result.body).unwrap_or("");
+        result.load = result
+            .load
+            .or_else(|| parse_load_report(text, &self.load_columns));
+        result
     }
 }
 
-/// Without a connection nothing was sent; where only our own descriptors are short, that tells nothing of the node.
-fn unconnected(why: &LineError) -> Outcome {
-    tracing::debug!("attempt: {why}");
-    match why {
-        LineError::NoRoom => Outcome::NotSent,
+/// The outcome of an attempt that got no connection. Nothing was sent; a shortage of this front's own descriptors says
+/// nothing about the node.
+fn connect_outcome(error: &ConnectError) -> Outcome {
+    tracing::debug!("attempt: {error}");
+    match error {
+        ConnectError::NoDescriptor => Outcome::NotSent,
         _ => Outcome::ConnectFailed,
     }
 }
 
-/// Reads a load report, `TEXT inflight=7, queue=2`; names are the settings' own or the protocol's.
-fn report(text: &str, columns: &[String]) -> Option<LoadReport> {
+/// Parses a load report such as `TEXT inflight=7, queue=2`. A value may have its name in the settings or in the protocol.
+fn parse_load_report(text: &str, load_columns: &[String]) -> Option<LoadReport> {
     let text = text.trim();
     let fields = text.strip_prefix("TEXT").unwrap_or(text);
     let mut load = LoadReport::default();
@@ -428,18 +468,18 @@
         let Some((name, value)) = field.split_once('=') else {
             continue;
         };
-        let Some(x) = value.trim().parse::<f64>().ok().filter(|x| x.is_finite()) else {
+        let Some(value) = value.trim().parse::<f64>().ok().filter(|x| x.is_finite()) else {
             continue;
         };
         match name.trim() {
-            "outstanding" | "inflight" => load.outstanding = Some(x),
-            "backlog" | "queue" => load.backlog = Some(x),
-            "utilization" | "util" => load.utilization = Some(x),
-            "recent_ms" | "latency_ms" => load.service_time = Some(micros(x)),
-            "throughput" | "qps" => load.throughput = Some(x),
-            "errors_per_s" | "eps" => load.errors = Some(x),
+            "outstanding" | "inflight" => load.outstanding = Some(value),
+            "backlog" | "queue" => load.backlog = Some(value),
+            "utilization" | "util" => load.utilization = Some(value),
+            "recent_ms" | "latency_ms" => load.service_time = Some(micros(value)),
+            "throughput" | "qps" => load.throughput = Some(value),
+            "errors_per_s" | "eps" => load.errors = Some(value),
             _ => {}
         }
     }
-    (!columns.is_empty() && load != LoadReport::default()).then_some(load)
+    (!load_columns.is_empty() && load != LoadReport::default()).then_some(load)
 }
--- a/crates/lupinrack/src/cli.rs
+++ b/crates/lupinrack/src/cli.rs
@@ -8,7 +8,7 @@
 use crate::log_targets::with_present_names;
 use crate::serve;
 use clap::{Args, CommandFactory, FromArgMatches, Parser, Subcommand, ValueEnum};
-use lupinrack_operator_config::{Format, Log, Operator};
+use lupinrack_operator_config::{Format, Log, OperatorConfig};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use tracing_subscriber::EnvFilter;
@@ -136,7 +136,7 @@
     };
     let operator =
         named(args.operator, "LUPINRACK_CONFIG").unwrap_or_else(|| "deploy/lupinrack.toml".into());
-    let operator = Operator::load(&operator).map_err(Ended::wrong)?;
+    let operator = OperatorConfig::load(&operator).map_err(Ended::wrong)?;
     log(&operator.log, format)?;
     let config = named(args.config, "LB_CONFIG")
         .ok_or_else(|| Ended::wrong("no configuration: --config or LB_CONFIG names it"))?;
--- a/crates/lupinrack/src/commands/check.rs
+++ b/crates/lupinrack/src/commands/check.rs
@@ -2,7 +2,7 @@
 
 use crate::ended::Ended;
 use lupinrack_fleet_membership::config::Section;
-use lupinrack_operator_config::Operator;
+use lupinrack_operator_config::OperatorConfig;
 use lupinrack_overload as overload;
 use lupinrack_platform::config::Config;
 use std::path::{Path, PathBuf};
@@ -42,15 +42,15 @@
 }
 
 /// Checks one file; what it says, where it is an operators' file.
-fn one(file: &Path) -> Result<Operator, String> {
+fn one(file: &Path) -> Result<OperatorConfig, String> {
     if !file.exists() {
         return Err(format!("{}: no such file", file.display()));
     }
     match file.extension().is_some_and(|e| e == "json") {
         true => Config::load(file)
-            .map(|_| Operator::default())
+            .map(|_| OperatorConfig::default())
             .map_err(|e| format!("{}: {e}", file.display())),
-        false => Operator::load(file).map_err(|e| e.to_string()),
+        false => OperatorConfig::load(file).map_err(|e| e.to_string()),
     }
 }
 
--- a/crates/lupinrack/src/lib.rs
+++ b/crates/lupinrack/src/lib.rs
@@ -21,7 +21,8 @@
 pub mod net {
     pub use lupinrack_graceful_shutdown as shutdown;
     pub use lupinrack_http::{
-        accept, budget, gate, intake, line, places, probe, request, upstream,
+        accept, client_slots, client_stream, intake, memory_budget, probe, request,
+        streamed_response, upstream, upstream_connection,
     };
     pub use lupinrack_platform::{clock, config, discovery, reload};
 }
--- a/crates/lupinrack/src/serve.rs
+++ b/crates/lupinrack/src/serve.rs
@@ -7,17 +7,19 @@
 use lupinrack_fleet_driver::{Driver as FleetDriver, Fleet};
 use lupinrack_fleet_membership::config::Section as FleetSection;
 use lupinrack_flow_export::config::IpfixConfig;
-use lupinrack_front_settings::Told;
+use lupinrack_front_settings::FrontSettings;
 use lupinrack_graceful_shutdown as lifecycle;
 use lupinrack_graceful_shutdown::Phase;
-use lupinrack_http::budget::{Budget, Room};
+use lupinrack_http::memory_budget::{MemoryBudget, MemoryPool};
 use lupinrack_http::upstream::Upstream;
 use lupinrack_http::{accept, probe};
 use lupinrack_metrics::{Figures, Targets};
-use lupinrack_operator_config::Operator;
+use lupinrack_operator_config::OperatorConfig;
 use lupinrack_overload::Section as OverloadSection;
 use lupinrack_peer_transport::Tag;
-use lupinrack_platform::{clock::Epoch, config::Config, discovery::Watch, inherited, reload};
+use lupinrack_platform::{
+    clock::UnixClockOffset, config::Config, discovery::NodeListWatcher, inherited, reload,
+};
 use lupinrack_request_engine::{Clock, EngineHandle, EngineParts, ExtentMapChannels};
 use lupinrack_rsync::{config::RsyncConfig, daemon};
 use std::future::Future;
@@ -60,12 +62,12 @@
 impl Plan {
     /// Reads the platform's configuration and joins it with the operators' file. `LUPINRACK_RSYNC` and
     /// `LUPINRACK_IPFIX` name files of their own that stand in for the sections, as they always did.
-    pub fn read(config: &Path, operator: Operator) -> Result<Plan, PlanError> {
+    pub fn read(config: &Path, operator: OperatorConfig) -> Result<Plan, PlanError> {
         let mut plan = Plan::new(Config::load(config)?.with_environment()?, operator)?;
         plan.inherited = inherited::listener(plan.config.listen)?;
         let named = |variable: &str| std::env::var_os(variable).map(PathBuf::from);
         if let Some(file) = named("LUPINRACK_RSYNC") {
-            plan.rsync = RsyncConfig::load(&file, &plan.config.told)?;
+            plan.rsync = RsyncConfig::load(&file, &plan.config.settings)?;
         }
         if let Some(file) = named("LUPINRACK_IPFIX") {
             plan.ipfix = IpfixConfig::load(&file)?;
@@ -74,9 +76,9 @@
     }
 
     /// The same from what is in hand.
-    pub fn new(config: Config, operator: Operator) -> Result<Plan, PlanError> {
+    pub fn new(config: Config, operator: OperatorConfig) -> Result<Plan, PlanError> {
         let rsync = match operator.rsync {
-            Some(section) => RsyncConfig::new(section, &config.told)?,
+            Some(section) => RsyncConfig::new(section, &config.settings)?,
             None => None,
         };
         let extents = operator.extents.filter(|section| section.enabled);
@@ -115,12 +117,13 @@
         .enable_all()
         .build()?;
     runtime.block_on(async {
-        let current = reload::Current::new(&plan.config);
-        let told = current.told();
-        let phase = lifecycle::watch(move || lifecycle::Plan::new(&told.borrow().for_module()))?;
-        let hangups = reload::hangups()?;
-        let front = start_with(plan, phase, current.told(), current.discovery()).await?;
-        tokio::spawn(reload::follow(
+        let current = reload::ActiveConfig::new(&plan.config);
+        let told = current.settings();
+        let phase =
+            lifecycle::watch(move || lifecycle::Plan::new(&told.borrow().policy_settings()))?;
+        let hangups = reload::sighup_signals()?;
+        let front = start_with(plan, phase, current.settings(), current.discovery()).await?;
+        tokio::spawn(reload::reload_on_sighup(
             hangups,
             path,
             current,
@@ -140,7 +143,7 @@
     phase: watch::Receiver<Phase>,
     discovery: watch::Receiver<SocketAddr>,
 ) -> std::io::Result<Front> {
-    let settings = watch::channel(Arc::new(plan.config.told.clone())).1;
+    let settings = watch::channel(Arc::new(plan.config.settings.clone())).1;
     start_with(plan, phase, settings, discovery).await
 }
 
@@ -148,7 +151,7 @@
 async fn start_with(
     plan: Plan,
     phase: watch::Receiver<Phase>,
-    settings: watch::Receiver<Arc<Told>>,
+    settings: watch::Receiver<Arc<FrontSettings>>,
     discovery: watch::Receiver<SocketAddr>,
 ) -> std::io::Result<Front> {
     let Plan {
@@ -161,21 +164,23 @@
         inherited,
     } = plan;
     let clock = Clock::start();
-    let epoch = Epoch::fix(&clock);
-    let told = Arc::new(config.told);
+    let clock_offset = UnixClockOffset::measure(&clock);
+    let told = Arc::new(config.settings);
     let figures = Figures::default();
     figures.classes(told.classes.iter().map(String::as_str));
     let EngineParts {
         mut engine,
         handle,
         health_checks: targets,
-    } = EngineParts::new(told.module.clone(), config.seed, clock);
+    } = EngineParts::new(told.policy.clone(), config.seed, clock);
     if let Some(config) = ipfix {
         let (to, flows) = mpsc::channel(lupinrack_flow_export::WAITING_MOST);
         engine = engine.export_flows(to);
         tracing::info!("flows go to {}", config.collector);
         tokio::spawn(async move {
-            if let Err(why) = lupinrack_flow_export::run(config, epoch.unix_offset(), flows).await {
+            if let Err(why) =
+                lupinrack_flow_export::run(config, clock_offset.unix_offset(), flows).await
+            {
                 tracing::error!("ipfix: {why}");
             }
         });
@@ -202,31 +207,31 @@
         .management
         .map_or(0, |_| lupinrack_admin::CALLERS_MOST + 1);
     let others = rsync.as_ref().map_or(0, |r| 2 * r.max_clients) + callers;
-    let room = Room::new(Budget::of(config.limits.memory_mb));
+    let room = MemoryPool::new(MemoryBudget::of_memory_mb(config.limits.memory_mb));
     let upstream = Upstream::new(
         &told,
         clock,
-        config.limits.nodes(others),
+        config.limits.max_node_connections(others),
         room.clone(),
         figures.clone(),
     );
     let core = tokio::spawn(engine.run());
-    let (zones, how, seed) = (
+    let (zones, mode_and_fronts, seed) = (
         told.zones.clone(),
-        (told.module.discovery, told.module.hosts),
+        (told.policy.discovery, told.policy.hosts),
         config.seed,
     );
-    let watch = Watch {
+    let watch = NodeListWatcher {
         address: discovery,
         zones,
-        epoch,
-        how,
+        clock_offset,
+        mode_and_fronts,
         seed,
     };
     let watch = tokio::spawn(watch.run(handle.clone(), config.known));
     let prober = tokio::spawn(probe::run(handle.clone(), upstream.clone(), targets));
 
-    let most = config.limits.clients(others);
+    let most = config.limits.max_client_connections(others);
     let connect = Duration::from_micros(told.connect_timeout.max(1) as u64);
     let second = second_front(rsync, &handle, connect, &phase).await?;
     let shared = inherited.is_some();
@@ -288,14 +293,14 @@
         Phase::Closing
     };
     let front = accept::Front {
-        core: handle.clone(),
+        engine: handle.clone(),
         upstream,
-        told: settings,
+        settings,
         phase,
         ids: Default::default(),
-        room,
+        memory: room,
         figures: figures.clone(),
-        last,
+        close_phase: last,
     };
     let ended = tokio::spawn(async move {
         let fronts = async {
--- a/crates/lupinrack/tests/allocations.rs
+++ b/crates/lupinrack/tests/allocations.rs
@@ -6,7 +6,7 @@
 use lupinrack::net::shutdown::Phase;
 use lupinrack::serve::{self, Plan};
 use lupinrack_fleet_membership::config::{Peer, Section};
-use lupinrack_operator_config::Operator;
+use lupinrack_operator_config::OperatorConfig;
 use mock_servers::discovery::{Discovery, Entry};
 use mock_servers::load::{Ask, Came, Clients};
 use mock_servers::node::{Manner, Node};
@@ -72,9 +72,9 @@
         for i in 0..3 {
             let fleet = fleet.then(|| section(i, &addresses));
             let config = configuration(&format!("n{i}"), discovery.address, 7, 3).to_string();
-            let operator = Operator {
+            let operator = OperatorConfig {
                 fleet,
-                ..Operator::default()
+                ..OperatorConfig::default()
             };
             let plan = Plan::new(Config::parse(&config).unwrap(), operator).unwrap();
             fronts.push(
--- a/crates/lupinrack/tests/bodies.rs
+++ b/crates/lupinrack/tests/bodies.rs
@@ -256,8 +256,8 @@
         slow.push((seed, stream));
     }
     sleep(Duration::from_millis(300)).await;
-    let free = fronts.room.free();
-    let all = room().free();
+    let free = fronts.room.free_bytes();
+    let all = room().free_bytes();
     assert!(
         free > 0 && free < all,
         "held while they crawl: {free} of {all}"
@@ -286,7 +286,7 @@
     }
     assert_eq!(whole, 12);
     sleep(Duration::from_millis(50)).await;
-    assert_eq!(fronts.room.free(), all, "all of it is given back");
+    assert_eq!(fronts.room.free_bytes(), all, "all of it is given back");
 }
 
 #[tokio::test]
@@ -337,7 +337,7 @@
     assert!(
         fronts
             .room
-            .raise(&mut all, fronts.room.budget().longest())
+            .reserve_body(&mut all, fronts.room.budget().max_body_bytes())
             .await
     );
     let mut stream = TcpStream::connect(fronts.http).await.unwrap();
@@ -382,5 +382,5 @@
             "{framing}"
         );
     }
-    assert_eq!(fronts.room.free(), room().free());
+    assert_eq!(fronts.room.free_bytes(), room().free_bytes());
 }
--- a/crates/lupinrack/tests/common/front.rs
+++ b/crates/lupinrack/tests/common/front.rs
@@ -1,11 +1,11 @@
 //! The fronts on loopback, with one core, as the program starts them.
 
 use lupinrack::engine::{Clock, EngineHandle, EngineParts, NodeListing};
-use lupinrack::net::budget::{Budget, Room};
+use lupinrack::net::memory_budget::{MemoryBudget, MemoryPool};
 use lupinrack::net::shutdown::Phase;
 use lupinrack::net::{accept, upstream::Upstream};
 use lupinrack::rsync::{config::RsyncConfig, daemon};
-use lupinrack::settings::{self, Told};
+use lupinrack::settings::{self, FrontSettings};
 use lupinrack::*;
 use mock_servers::rsync::RsyncServer;
 pub use mock_servers::scripted::{ask, get, node, Heads};
@@ -36,11 +36,11 @@
 pub const PLACES: usize = 64;
 
 /// Memory for large bodies, as a front of 48 MB has it.
-pub fn room() -> Room {
-    Room::new(Budget::of(48))
+pub fn room() -> MemoryPool {
+    MemoryPool::new(MemoryBudget::of_memory_mb(48))
 }
 
-pub fn told() -> Told {
+pub fn told() -> FrontSettings {
     settings::parse_json(&serde_json::from_str(SETTINGS).unwrap()).unwrap()
 }
 
@@ -64,7 +64,7 @@
 
 pub struct Fronts {
     pub core: EngineHandle,
-    pub room: Room,
+    pub room: MemoryPool,
     pub http: SocketAddr,
     pub rsync: SocketAddr,
     pub phase: watch::Sender<Phase>,
@@ -88,7 +88,7 @@
 
 /// The same with these settings.
 pub async fn start_told(
-    told: Told,
+    told: FrontSettings,
     node: SocketAddr,
     servers: &[(&str, SocketAddr)],
     plan: &str,
@@ -99,7 +99,7 @@
         engine,
         handle,
         health_checks: _health_checks,
-    } = EngineParts::new(told.module.clone(), 7, clock);
+    } = EngineParts::new(told.policy.clone(), 7, clock);
     let mut text = format!(
         "enabled = true\nlisten = '127.0.0.1:0'\n[[module]]\nname = 'trips'\ncomment = 'Trip exports'\n\
          plan = '{plan}'\nvolume = 'a1'\nclass = 'bulk-read'\nshard = 0\nbytes_per_unit = 16384\n\
@@ -119,14 +119,14 @@
     let room = room();
     let upstream = Upstream::new(&told, clock, 64, room.clone(), Default::default());
     let front = accept::Front {
-        core: handle.clone(),
+        engine: handle.clone(),
         upstream,
-        told: watch::channel(Arc::new(told)).1,
+        settings: watch::channel(Arc::new(told)).1,
         phase: seen.clone(),
         ids: Default::default(),
-        room: room.clone(),
+        memory: room.clone(),
         figures: Default::default(),
-        last: Phase::Closing,
+        close_phase: Phase::Closing,
     };
     let connect = Duration::from_millis(500);
     let second = daemon::Front {
--- a/crates/lupinrack/tests/core.rs
+++ b/crates/lupinrack/tests/core.rs
@@ -100,7 +100,7 @@
         engine,
         handle,
         health_checks: _health_checks,
-    } = EngineParts::new(told().module, 3, clock);
+    } = EngineParts::new(told().policy, 3, clock);
     tokio::spawn(engine.run());
     handle
         .update_nodes(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
@@ -219,7 +219,7 @@
             engine,
             handle,
             health_checks: _health_checks,
-        } = EngineParts::new(told().module, 3, clock);
+        } = EngineParts::new(told().policy, 3, clock);
         tokio::spawn(engine.run());
         handle
             .update_nodes(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
--- a/crates/lupinrack/tests/crossings.rs
+++ b/crates/lupinrack/tests/crossings.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::front::{get, node, start, told, Fronts};
-use lupinrack::net::clock::Epoch;
-use lupinrack::net::discovery::Watch;
-use lupinrack::net::gate::Gate;
+use lupinrack::net::client_stream::ClientStream;
+use lupinrack::net::clock::UnixClockOffset;
+use lupinrack::net::discovery::NodeListWatcher;
 use lupinrack::net::shutdown::Phase;
 use mock_servers::scripted::{head, node_in_hand, reset};
 use std::time::Duration;
@@ -163,13 +163,17 @@
     );
 }
 
-async fn gate() -> (TcpStream, Gate, lupinrack::net::gate::Visit) {
+async fn gate() -> (
+    TcpStream,
+    ClientStream,
+    lupinrack::net::client_stream::ClientConnection,
+) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = TcpStream::connect(listener.local_addr().unwrap())
         .await
         .unwrap();
     let (_tell, phase) = watch::channel(Phase::Ready);
-    let (gate, visit) = Gate::new(listener.accept().await.unwrap().0, phase);
+    let (gate, visit) = ClientStream::new(listener.accept().await.unwrap().0, phase);
     (client, gate, visit)
 }
 
@@ -194,7 +198,7 @@
         .expect("its end shows");
     assert_eq!(end.unwrap_or(0), 0);
     sends.await.unwrap();
-    assert!(visit.gone());
+    assert!(visit.client_left());
 }
 
 /// A request that is there as the idle timer goes off is served: the socket is looked at before the clock.
@@ -222,7 +226,7 @@
     client.write_all(b"GET / HTTP/1.1\r\n\r\n").await.unwrap();
     gate.shutdown().await.unwrap();
     drop(gate);
-    assert!(visit.gone(), "nobody sends anything for it");
+    assert!(visit.client_left(), "nobody sends anything for it");
     assert!(
         !matches!(client.read(&mut bytes).await, Ok(1..)),
         "and it hears no answer"
@@ -306,11 +310,11 @@
         r#"{{"instanceId":"s-1","hostPort":"{address}","cell":0,"lifecycle":"SERVING","startedAtMs":0}}"#
     );
     let known = format!(r#"{{"generation":41,"reset":true,"instances":[{entry}]}}"#);
-    let watch = Watch {
+    let watch = NodeListWatcher {
         address: watch::channel(discovery).1,
         zones: told().zones,
-        epoch: Epoch::fix(&fronts.core.clock),
-        how: (lupinrack::DiscoveryMode::Push, 3),
+        clock_offset: UnixClockOffset::measure(&fronts.core.clock),
+        mode_and_fronts: (lupinrack::DiscoveryMode::Push, 3),
         seed: 1,
     };
     tokio::spawn(watch.run(
--- a/crates/lupinrack/tests/extents.rs
+++ b/crates/lupinrack/tests/extents.rs
@@ -9,7 +9,7 @@
 use lupinrack::serve::{self, Plan};
 use lupinrack_extent_map::config::Section;
 use lupinrack_extent_map::{Action, Cache, Change, Cover, Input, News, Version};
-use lupinrack_operator_config::Operator;
+use lupinrack_operator_config::OperatorConfig;
 use lupinrack_policy::{Key, NodeListKind, NodeState, Outcome, Request, Shard, VolumeId};
 use mock_servers::authority::{Authority, Truth};
 use mock_servers::discovery::{Discovery, Entry};
@@ -69,7 +69,7 @@
         engine,
         handle,
         health_checks: _health_checks,
-    } = EngineParts::new(told().module, 3, clock);
+    } = EngineParts::new(told().policy, 3, clock);
     let (engine, channels) = engine.with_extent_map(Cache::new(Section::default(), clock.now()));
     tokio::spawn(engine.run());
     handle
@@ -310,9 +310,9 @@
             hold_ms: 200,
             ..Section::default()
         };
-        let operator = Operator {
+        let operator = OperatorConfig {
             extents: Some(section),
-            ..Operator::default()
+            ..OperatorConfig::default()
         };
         let plan = Plan::new(Config::parse(&config.to_string()).unwrap(), operator).unwrap();
         let (phase, seen) = watch::channel(Phase::Ready);
--- a/crates/lupinrack/tests/gate.rs
+++ b/crates/lupinrack/tests/gate.rs
@@ -5,7 +5,7 @@
 
 use common::front::{ask, get, node, start, Fronts, Heads, PLACES};
 use common::rsync::until;
-use lupinrack::net::gate::{Framing, Gate, Stage};
+use lupinrack::net::client_stream::{ClientStream, RequestFraming, Stage};
 use lupinrack::net::shutdown::Phase;
 use quickcheck::{quickcheck, Arbitrary, Gen};
 use std::time::Duration;
@@ -45,7 +45,7 @@
             stream.extend(vec![b'\n'; body.into()]);
             requests.push((start, head, stream.len()));
         }
-        let (now, mut gate) = (Instant::now(), Framing::new(Instant::now()));
+        let (now, mut gate) = (Instant::now(), RequestFraming::new(Instant::now()));
         let (mut came, mut passed, mut answered) = (0, Vec::new(), 0);
         for step in steps {
             match step {
@@ -54,13 +54,13 @@
                     gate.feed(now, &stream[came..end]);
                     came = end;
                 }
-                Step::HandOn(n) => passed.extend_from_slice(&gate.hand_on(n.into())),
+                Step::HandOn(n) => passed.extend_from_slice(&gate.take_ready(n.into())),
                 Step::Answer => {
                     let whole = requests.get(answered).is_some_and(|r| came >= r.2);
-                    assert_eq!(gate.stage() == Stage::Answer, whole);
+                    assert_eq!(gate.stage() == Stage::AwaitingResponse, whole);
                     if whole {
-                        passed.extend_from_slice(&gate.hand_on(usize::MAX));
-                        assert!(gate.answered(now));
+                        passed.extend_from_slice(&gate.take_ready(usize::MAX));
+                        assert!(gate.finish_request(now));
                         answered += 1;
                     }
                 }
@@ -72,7 +72,7 @@
             };
             assert!(passed.len() <= most && stream.starts_with(&passed), "{passed:?} of {most}");
             if let Step::HandOn(u8::MAX) = step {
-                passed.extend_from_slice(&gate.hand_on(usize::MAX));
+                passed.extend_from_slice(&gate.take_ready(usize::MAX));
                 assert_eq!(passed.len(), most, "what may pass does");
             }
         }
@@ -248,11 +248,14 @@
         .unwrap();
     let (stream, _) = listener.accept().await.unwrap();
     let (_tell, phase) = watch::channel(Phase::Ready);
-    let (mut gate, visit) = Gate::new(stream, phase);
+    let (mut gate, visit) = ClientStream::new(stream, phase);
     client.write_all(b"GET / HTTP/1.1\r\n\r\n").await.unwrap();
     let mut bytes = vec![0; 64 << 10];
     assert!(gate.read(&mut bytes).await.unwrap() > 0);
-    assert!(visit.answered(), "its answer is handed to the library");
+    assert!(
+        visit.finish_request(),
+        "its answer is handed to the library"
+    );
     // The client does not read, until no more leaves.
     let mut sent = 0;
     while let Ok(n) = timeout(Duration::from_millis(500), gate.write(&bytes)).await {
--- a/crates/lupinrack/tests/http.rs
+++ b/crates/lupinrack/tests/http.rs
@@ -346,7 +346,7 @@
 #[test]
 fn a_planned_end_is_over_before_the_platform_kills() {
     let plan = |deadline| {
-        let mut settings = told().module;
+        let mut settings = told().policy;
         settings
             .classes
             .iter_mut()
--- a/crates/lupinrack/tests/ipfix.rs
+++ b/crates/lupinrack/tests/ipfix.rs
@@ -76,7 +76,7 @@
         engine,
         handle,
         health_checks: _health_checks,
-    } = EngineParts::new(told().module, 3, clock);
+    } = EngineParts::new(told().policy, 3, clock);
     let (to, flows) = mpsc::channel(ipfix::WAITING_MOST);
     tokio::spawn(engine.export_flows(to).run());
     // A clock that reads a known Unix time: the records' times are whole milliseconds from there.
@@ -155,7 +155,7 @@
         engine,
         handle,
         health_checks: _health_checks,
-    } = EngineParts::new(told().module, 3, clock);
+    } = EngineParts::new(told().policy, 3, clock);
     let (to, mut flows) = mpsc::channel(2);
     tokio::spawn(engine.export_flows(to).run());
     for _ in 0..50 {
--- a/crates/lupinrack/tests/program.rs
+++ b/crates/lupinrack/tests/program.rs
@@ -4,9 +4,9 @@
 
 use common::front::{ask, get, node, start, told, Fronts, SETTINGS};
 use common::rsync::until;
-use lupinrack::net::clock::Epoch;
+use lupinrack::net::clock::UnixClockOffset;
 use lupinrack::net::config::{Config, Limits};
-use lupinrack::net::discovery::Watch;
+use lupinrack::net::discovery::NodeListWatcher;
 use lupinrack::settings;
 use mock_servers::scripted::{discovery, Calls};
 use std::net::SocketAddr;
@@ -33,7 +33,11 @@
     );
     assert_eq!(format!("{a:?}"), format!("{b:?}"));
     assert_eq!(
-        (b.module.hosts, b.module.classes[0].writes, b.columns.len()),
+        (
+            b.policy.hosts,
+            b.policy.classes[0].writes,
+            b.load_columns.len()
+        ),
         (3, true, 2)
     );
 }
@@ -111,7 +115,7 @@
             sockets,
             ..Limits::default()
         }
-        .clients(0);
+        .max_client_connections(0);
         assert!(
             most > sockets / 2 && most < sockets * 3 / 4,
             "{most} of {sockets}"
@@ -121,7 +125,7 @@
                 sockets,
                 ..Limits::default()
             }
-            .clients(60),
+            .max_client_connections(60),
             most - 40
         );
     }
@@ -130,7 +134,7 @@
             sockets: 10,
             ..Limits::default()
         }
-        .clients(0),
+        .max_client_connections(0),
         1
     );
 }
@@ -183,13 +187,13 @@
     let (address, heads) = node(OK).await;
     let (at, calls, tell) = discovery().await;
     let fronts = start(address, address, "priority", 1_000).await;
-    let epoch = Epoch::fix(&fronts.core.clock);
+    let clock_offset = UnixClockOffset::measure(&fronts.core.clock);
     let (move_to, at) = watch::channel(at);
-    let watch = Watch {
+    let watch = NodeListWatcher {
         address: at,
         zones: told().zones,
-        epoch,
-        how: (lupinrack_policy::DiscoveryMode::Push, 3),
+        clock_offset,
+        mode_and_fronts: (lupinrack_policy::DiscoveryMode::Push, 3),
         seed: 1,
     };
     // The cached list is empty: the node known so far is not in it.
--- a/crates/lupinrack/tests/reload.rs
+++ b/crates/lupinrack/tests/reload.rs
@@ -5,8 +5,8 @@
 use common::front::SETTINGS;
 use lupinrack::engine::{Clock, EngineParts, Order};
 use lupinrack::net::config::Config;
-use lupinrack::net::reload::Current;
-use lupinrack::settings::Told;
+use lupinrack::net::reload::ActiveConfig;
+use lupinrack::settings::FrontSettings;
 use lupinrack::*;
 use lupinrack_metrics::{Figures, Targets};
 use serde_json::{json, Value};
@@ -18,13 +18,13 @@
 }
 
 /// A process started with `file()`, and a path for new files.
-fn started(name: &str) -> (Current, std::path::PathBuf) {
+fn started(name: &str) -> (ActiveConfig, std::path::PathBuf) {
     let path = std::env::temp_dir().join(format!(
         "lupinrack-reload-{name}-{}.json",
         std::process::id()
     ));
     (
-        Current::new(&Config::parse(&file().to_string()).unwrap()),
+        ActiveConfig::new(&Config::parse(&file().to_string()).unwrap()),
         path,
     )
 }
@@ -103,7 +103,7 @@
     std::fs::remove_file(&path).unwrap();
 }
 
-fn told(change: impl Fn(&mut Value)) -> Told {
+fn told(change: impl Fn(&mut Value)) -> FrontSettings {
     let mut settings: Value = serde_json::from_str(SETTINGS).unwrap();
     change(&mut settings);
     settings::parse_json(&settings).unwrap()
@@ -112,7 +112,7 @@
 #[test]
 fn a_class_keeps_its_index_while_its_rules_stay_and_gets_a_new_one_with_new_rules() {
     let first = told(|_| {});
-    let second = first.followed_by(told(|s| {
+    let second = first.updated_with(told(|s| {
         s["classes"][0]["repeat"] = json!("single_shot");
         let swapped = (s["classes"][1].clone(), s["classes"][2].clone());
         (s["classes"][2], s["classes"][1]) = swapped;
@@ -127,23 +127,26 @@
     assert_eq!(second.class("read"), Some(3));
     assert_eq!(
         (
-            second.module.classes[0].idempotence,
-            second.module.classes[3].idempotence
+            second.policy.classes[0].idempotence,
+            second.policy.classes[3].idempotence
         ),
         (Idempotence::Idempotent, Idempotence::NotIdempotent)
     );
     let dropped = second
-        .followed_by(told(|s| {
+        .updated_with(told(|s| {
             drop(s["classes"].as_array_mut().map(|c| c.remove(0)))
         }))
         .unwrap();
-    assert_eq!((dropped.class("read"), dropped.named().count()), (None, 2));
+    assert_eq!(
+        (dropped.class("read"), dropped.active_class_names().count()),
+        (None, 2)
+    );
     assert!(
-        dropped.for_module().classes[0].latency_target == 0
-            && dropped.module.classes[0].latency_target > 0
+        dropped.policy_settings().classes[0].latency_target == 0
+            && dropped.policy.classes[0].latency_target > 0
     );
     // A list of writes that was not brought up to date tells nothing of which class is which.
-    let stale = first.followed_by(told(|s| {
+    let stale = first.updated_with(told(|s| {
         let mut more = s["classes"][1].clone();
         more["name"] = json!("new-write-2");
         s["classes"].as_array_mut().unwrap().insert(0, more);
@@ -162,12 +165,12 @@
         } else {
             told(|s| s["classes"][0]["repeat"] = json!("single_shot"))
         };
-        now = now.followed_by(next).unwrap();
+        now = now.updated_with(next).unwrap();
     }
     assert_eq!(now.classes.len(), 4);
     // Ever new rules end at the bound, and say so.
     let refused = (1..).find_map(|latency_target| {
-        let next = now.followed_by(told(|s| {
+        let next = now.updated_with(told(|s| {
             s["classes"][0]["aim"] = json!(1_000 + latency_target)
         }));
         next.map(|n| now = n).err()
@@ -178,13 +181,13 @@
 #[tokio::test(start_paused = true)]
 async fn an_open_request_keeps_its_attempts_and_new_ones_have_the_new() {
     let (mut current, path) = started("attempts");
-    let told = current.told().borrow().clone();
+    let told = current.settings().borrow().clone();
     let clock = Clock::start();
     let EngineParts {
         engine,
         handle,
         health_checks: _health_checks,
-    } = EngineParts::new(told.module.clone(), 7, clock);
+    } = EngineParts::new(told.policy.clone(), 7, clock);
     tokio::spawn(engine.run());
     let at = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     handle
@@ -211,9 +214,9 @@
     std::fs::write(&path, new.to_string()).unwrap();
     let change = current.check(&path).unwrap();
     let figures = Figures::default();
-    current.take(change, &handle, &figures).await;
+    current.apply(change, &handle, &figures).await;
     std::fs::remove_file(&path).unwrap();
-    assert_eq!(current.told().borrow().module.max_attempts, 1);
+    assert_eq!(current.settings().borrow().policy.max_attempts, 1);
     assert!(figures
         .text(Targets::default())
         .contains("lb_success{type=\"new-write\"} 0\n"));
--- a/crates/lupinrack/tests/single_send.rs
+++ b/crates/lupinrack/tests/single_send.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::front::{get, start_told, Fronts, SETTINGS};
-use lupinrack::settings::{self, Told};
+use lupinrack::settings::{self, FrontSettings};
 use mock_servers::scripted::{head, node_in_hand, reset};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -22,7 +22,7 @@
 const STUCK: Duration = Duration::from_secs(20);
 
 /// Settings in which no write may be repeated.
-fn no_repeats() -> Told {
+fn no_repeats() -> FrontSettings {
     let single = r#""repeat": "single_shot", "worth": 2.0"#;
     let guarded = r#""repeat": "guarded", "window": 4000.0, "worth": 2.0"#;
     assert!(SETTINGS.contains(guarded));
--- a/crates/lupinrack/tests/sites.rs
+++ b/crates/lupinrack/tests/sites.rs
@@ -14,7 +14,7 @@
 }
 
 /// The settings that a front of such a deployment is told.
-fn told(site: &Value) -> settings::Told {
+fn told(site: &Value) -> settings::FrontSettings {
     let list = |of: &Value| of.as_array().unwrap().clone();
     let repeat = |effect: &str| match effect {
         "safe" => "free",
@@ -58,7 +58,7 @@
 
 #[test]
 fn the_variants_parse_and_are_what_they_are_there_for() {
-    let short = told(&site("harbour-ledger.toml")).module;
+    let short = told(&site("harbour-ledger.toml")).policy;
     assert!(short
         .classes
         .iter()
@@ -72,7 +72,7 @@
             .count(),
         1
     );
-    let other = told(&site("quarry-archive.toml")).module;
+    let other = told(&site("quarry-archive.toml")).policy;
     let effects: Vec<Idempotence> = other.classes.iter().map(|c| c.idempotence).collect();
     let keyed = Idempotence::Deduplicated {
         scope: DeduplicationScope::AllNodes,
--- a/crates/lupinrack/tests/upstream.rs
+++ b/crates/lupinrack/tests/upstream.rs
@@ -7,9 +7,9 @@
 use common::front::{told, unreached};
 use futures_util::FutureExt;
 use lupinrack::engine::{Attempt, Clock, EngineHandle, EngineParts, Order};
-use lupinrack::net::gate::Gate;
-use lupinrack::net::intake::Parcel;
-use lupinrack::net::request::Waiting;
+use lupinrack::net::client_stream::ClientStream;
+use lupinrack::net::intake::ForwardedRequest;
+use lupinrack::net::request::ClientWait;
 use lupinrack::net::shutdown::Phase;
 use lupinrack::net::upstream::Upstream;
 use lupinrack::*;
@@ -130,27 +130,27 @@
 }
 
 /// Nobody waits for a long answer here.
-fn begins() -> tokio::sync::mpsc::Sender<lupinrack::net::upstream::Begun> {
+fn begins() -> tokio::sync::mpsc::Sender<lupinrack::net::upstream::StartedResponse> {
     tokio::sync::mpsc::channel(1).0
 }
 
 /// A client that waits for as long as the test runs.
-fn waits() -> Waiting {
+fn waits() -> ClientWait {
     let (waiting, over) = watch::channel(());
     Box::leak(Box::new(waiting));
-    Waiting::new(over, None)
+    ClientWait::new(over, None)
 }
 
-fn parcel() -> Parcel {
+fn forwarded_request() -> ForwardedRequest {
     let target = "/read/7f3a9c21e0b4d655".parse().unwrap();
     let id = http::HeaderValue::from_static("1");
-    Parcel {
+    ForwardedRequest {
         method: http::Method::GET,
         target,
         id,
-        key: None,
+        idempotency_key: None,
         body: Bytes::new(),
-        hold: Default::default(),
+        reservation: Default::default(),
     }
 }
 
@@ -161,7 +161,7 @@
         engine,
         handle,
         health_checks: _health_checks,
-    } = EngineParts::new(told().module, 3, clock);
+    } = EngineParts::new(told().policy, 3, clock);
     tokio::spawn(engine.run());
     handle
         .update_nodes(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
@@ -175,8 +175,12 @@
     );
     let mut closed = BTreeSet::new();
     for step in steps {
-        let exchange =
-            upstream.attempt(parcel(), attempt(&handle, address).await, begins(), waits());
+        let exchange = upstream.attempt(
+            forwarded_request(),
+            attempt(&handle, address).await,
+            begins(),
+            waits(),
+        );
         tokio::pin!(exchange);
         let (outcome, reuse) = expected(step);
         let (seen, connection) = match step {
@@ -234,7 +238,7 @@
         engine,
         handle,
         health_checks: _health_checks,
-    } = EngineParts::new(told().module, 3, clock);
+    } = EngineParts::new(told().policy, 3, clock);
     tokio::spawn(engine.run());
     handle
         .update_nodes(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
@@ -244,12 +248,19 @@
     for _ in 0..2 {
         let (upstream, attempt) = (upstream.clone(), attempt(&handle, address).await);
         out.push(tokio::spawn(async move {
-            upstream.attempt(parcel(), attempt, begins(), waits()).await
+            upstream
+                .attempt(forwarded_request(), attempt, begins(), waits())
+                .await
         }));
         came.recv().await.expect("the node has it");
     }
     let third = upstream
-        .attempt(parcel(), attempt(&handle, address).await, begins(), waits())
+        .attempt(
+            forwarded_request(),
+            attempt(&handle, address).await,
+            begins(),
+            waits(),
+        )
         .await;
     assert_eq!(
         third.outcome,
@@ -259,7 +270,12 @@
     // Given up, an attempt leaves its descriptor to others.
     out.remove(0).abort();
     let fourth = upstream
-        .attempt(parcel(), attempt(&handle, address).await, begins(), waits())
+        .attempt(
+            forwarded_request(),
+            attempt(&handle, address).await,
+            begins(),
+            waits(),
+        )
         .await;
     assert_eq!(fourth.outcome, Outcome::Reset);
 }
@@ -273,7 +289,7 @@
         engine,
         handle,
         health_checks: _health_checks,
-    } = EngineParts::new(told().module, 3, clock);
+    } = EngineParts::new(told().policy, 3, clock);
     tokio::spawn(engine.run());
     handle
         .update_nodes(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
@@ -300,7 +316,7 @@
     late.begin_by = clock.now();
     assert_eq!(
         upstream
-            .attempt(parcel(), late, begins(), waits())
+            .attempt(forwarded_request(), late, begins(), waits())
             .await
             .outcome,
         Outcome::Expired
@@ -309,7 +325,7 @@
     let right = attempt(&handle, address).await;
     assert_eq!(
         upstream
-            .attempt(parcel(), right, begins(), waits())
+            .attempt(forwarded_request(), right, begins(), waits())
             .await
             .outcome,
         Outcome::Ok
@@ -334,7 +350,7 @@
         engine,
         handle,
         health_checks: _health_checks,
-    } = EngineParts::new(told.module.clone(), 3, clock);
+    } = EngineParts::new(told.policy.clone(), 3, clock);
     tokio::spawn(engine.run());
     handle
         .update_nodes(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
@@ -369,7 +385,12 @@
     let (node, fill) = late_node();
     let order = attempt(&core, node.local_addr().unwrap()).await;
     let (client, over) = watch::channel(());
-    let exchange = upstream.attempt(parcel(), order, begins(), Waiting::new(over, None));
+    let exchange = upstream.attempt(
+        forwarded_request(),
+        order,
+        begins(),
+        ClientWait::new(over, None),
+    );
     tokio::pin!(exchange);
     assert!(
         (&mut exchange).now_or_never().is_none(),
@@ -404,15 +425,15 @@
         .await
         .unwrap();
     // Its connection's own task never runs here: only a look at the socket can tell.
-    let (_gate, visit) = Gate::new(
+    let (_gate, visit) = ClientStream::new(
         door.accept().await.unwrap().0,
         watch::channel(Phase::Ready).1,
     );
     let (_open, over) = watch::channel(());
-    let waiting = Waiting::new(over, Some(visit.clone()));
+    let waiting = ClientWait::new(over, Some(visit.clone()));
     let first = upstream
         .attempt(
-            parcel(),
+            forwarded_request(),
             attempt(&core, address).await,
             begins(),
             waiting.clone(),
@@ -420,9 +441,14 @@
         .await;
     assert_eq!((first.outcome, came.recv().await), (Outcome::Ok, Some(0)));
     drop(client);
-    common::rsync::until(|| visit.gone()).await;
+    common::rsync::until(|| visit.client_left()).await;
     let second = upstream
-        .attempt(parcel(), attempt(&core, address).await, begins(), waiting)
+        .attempt(
+            forwarded_request(),
+            attempt(&core, address).await,
+            begins(),
+            waiting,
+        )
         .await;
     assert_eq!(second.outcome, Outcome::NotSent);
     assert!(came.try_recv().is_err(), "nothing of it reached the node");
@@ -433,7 +459,7 @@
 async fn a_repeat_is_not_begun_once_the_nodes_may_have_forgotten_the_first() {
     let mut told = told();
     let window = 400_000;
-    told.module.classes[1].idempotence = Idempotence::Deduplicated {
+    told.policy.classes[1].idempotence = Idempotence::Deduplicated {
         scope: DeduplicationScope::Shard,
         window,
     };
@@ -442,7 +468,7 @@
         engine,
         handle,
         health_checks: _health_checks,
-    } = EngineParts::new(told.module.clone(), 3, clock);
+    } = EngineParts::new(told.policy.clone(), 3, clock);
     tokio::spawn(engine.run());
     handle
         .update_nodes(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
@@ -511,7 +537,7 @@
     // One that was ordered before and whose connection is there at once.
     let (address, mut came) = scripted(vec![Step::Whole(200, false)]).await;
     let late = attempt(&core, address).await;
-    let exchange = upstream.attempt(parcel(), order, begins(), waits());
+    let exchange = upstream.attempt(forwarded_request(), order, begins(), waits());
     tokio::pin!(exchange);
     assert!(
         (&mut exchange).now_or_never().is_none(),
@@ -534,7 +560,7 @@
     // The other one is too late as well.
     assert_eq!(
         upstream
-            .attempt(parcel(), late, begins(), waits())
+            .attempt(forwarded_request(), late, begins(), waits())
             .await
             .outcome,
         Outcome::ConnectFailed
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,19 +1,19 @@
-//! The operators' file, `deploy/lupinrack.toml`: a section for each subsystem, its JSON Schema made from the types, and
-//! a check that names every fault at once, each with its path and line.
+//! The operators' configuration file, `deploy/lupinrack.toml`: a section for each subsystem, the JSON Schema derived from the
+//! types, and a check that reports all faults at once, each with its path and line.
 //!
-//! A file is checked in three steps: it must be TOML; it must fit the schema (unknown keys are faults); and what it
-//! says must not contradict itself. The first step ends at its first fault, since nothing can be told of the rest.
+//! A file is checked in three steps: it must be TOML; it must match the schema (unknown keys are faults); and its values must
+//! not contradict each other. A TOML syntax error is reported alone, since the text after it cannot be parsed.
 #![warn(missing_docs)]
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub)]
 
-mod lines;
+mod source_lines;
 
-use lines::Lines;
 use schemars::JsonSchema;
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use serde_json::Value;
+use source_lines::SourceLines;
 use std::fmt;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(title = "The operators' file of lupinrack")]
-pub struct Operator {
+pub struct OperatorConfig {
     /// What the program says of itself.
     #[serde(default)]
     pub log: Log,
@@ -75,9 +75,9 @@
 /// One fault of a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fault {
-    /// The line, from 1 on, where it is known.
+    /// The line, counted from 1, if it is known.
     pub line: Option<usize>,
-    /// Where in the file's tree, as `rsync.module[0].volume`; empty: the file itself.
+    /// The path of the value, such as `rsync.module[0].volume`; empty for the file as a whole.
     pub path: String,
     /// What is wrong.
     pub reason: String,
@@ -96,25 +96,25 @@
     }
 }
 
-/// All faults of a file, never none.
+/// All faults of a file, at least one.
 #[derive(Debug, thiserror::Error)]
 #[error("{}", .faults.iter().map(|fault| format!("{}:{fault}", .file)).collect::<Vec<_>>().join("\n"))]
 pub struct Faults {
-    /// The file.
+    /// The path of the file.
     pub file: String,
-    /// Its faults, by line.
+    /// The faults, sorted by line.
     pub faults: Vec<Fault>,
 }
 
-impl Operator {
-    /// Reads the file; where there is none, everything is off.
-    pub fn load(path: &Path) -> Result<Operator, Faults> {
+impl OperatorConfig {
+    /// Reads and checks the file. Without a file, everything is off.
+    pub fn load(path: &Path) -> Result<OperatorConfig, Faults> {
         match std::fs::read_to_string(path) {
-            Ok(text) => Operator::parse(&text).map_err(|faults| Faults {
+            Ok(text) => OperatorConfig::parse(&text).map_err(|faults| Faults {
                 file: path.display().to_string(),
                 faults,
             }),
-            Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(Operator::default()),
+            Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(OperatorConfig::default()),
             Err(e) => {
                 let faults = vec![Fault {
                     line: None,
@@ -129,73 +129,77 @@
         }
     }
 
-    /// Reads the text of such a file and names every fault in it.
-    pub fn parse(text: &str) -> Result<Operator, Vec<Fault>> {
-        let lines = Lines::of(text)?;
+    /// Parses the text of the file, and reports all faults in it.
+    pub fn parse(text: &str) -> Result<OperatorConfig, Vec<Fault>> {
+        let source_lines = SourceLines::parse(text)?;
         let value: Value = match toml::from_str(text) {
             Ok(value) => value,
-            Err(e) => return Err(vec![lines.fault(String::new(), e.message().to_string())]),
+            Err(e) => {
+                return Err(vec![
+                    source_lines.fault_at(String::new(), e.message().to_string())
+                ])
+            }
         };
-        let mut faults = misfits::<Operator>(&value);
-        faults.extend(section(
+        let mut faults = schema_violations::<OperatorConfig>(&value);
+        faults.extend(section_faults(
             &value,
             "rsync",
             lupinrack_rsync::config::Section::faults,
         ));
-        faults.extend(section(
+        faults.extend(section_faults(
             &value,
             "extents",
             lupinrack_extent_map::config::Section::faults,
         ));
-        faults.extend(section(
+        faults.extend(section_faults(
             &value,
             "fleet",
             lupinrack_fleet_membership::config::Section::faults,
         ));
-        let fleet = value
+        let fleet_enabled = value
             .pointer("/fleet/enabled")
             .and_then(Value::as_bool)
             .unwrap_or(false);
-        faults.extend(section(
+        faults.extend(section_faults(
             &value,
             "overload",
-            |s: &lupinrack_overload::Section| s.faults(fleet),
+            |s: &lupinrack_overload::Section| s.faults(fleet_enabled),
         ));
         if let Some(filter) = value.pointer("/log/filter").and_then(Value::as_str) {
             if let Err(e) = filter.parse::<tracing_subscriber::filter::Targets>() {
                 faults.push(("log.filter".into(), e.to_string()));
             }
         }
-        let mut named: Vec<Fault> = Vec::new();
+        let mut located: Vec<Fault> = Vec::new();
         for (path, reason) in faults {
-            // One word on each place: what the schema says goes first.
-            if !named.iter().any(|f| f.path == path) {
-                named.push(lines.fault(path, reason));
+            // Only the first fault of each path is reported; the schema's come first.
+            if !located.iter().any(|f| f.path == path) {
+                located.push(source_lines.fault_at(path, reason));
             }
         }
-        if named.is_empty() {
+        if located.is_empty() {
             match serde_json::from_value(value) {
-                Ok(operator) => return Ok(operator),
-                Err(e) => named.push(lines.fault(String::new(), e.to_string())),
+                Ok(config) => return Ok(config),
+                Err(e) => located.push(source_lines.fault_at(String::new(), e.to_string())),
             }
         }
-        named.sort();
-        Err(named)
+        located.sort();
+        Err(located)
     }
 }
 
-/// The JSON Schema of the operators' file.
+/// The JSON Schema of the operators' configuration file.
 pub fn schema() -> Value {
-    schema_of::<Operator>()
+    schema_of::<OperatorConfig>()
 }
 
-/// The JSON Schema of a checked file.
+/// The JSON Schema of any type.
 pub fn schema_of<T: JsonSchema>() -> Value {
     schemars::schema_for!(T).to_value()
 }
 
-/// A section's own faults, where it can be read at all.
-fn section<T: DeserializeOwned>(
+/// The faults that a section finds in its own values, if the section can be deserialized.
+fn section_faults<T: DeserializeOwned>(
     value: &Value,
     name: &str,
     faults: impl Fn(&T) -> Vec<(String, String)>,
@@ -206,15 +210,15 @@
     let found = section.map_or(Vec::new(), |s: T| faults(&s));
     found
         .into_iter()
-        .map(|(path, why)| (format!("{name}.{path}"), why))
+        .map(|(path, reason)| (format!("{name}.{path}"), reason))
         .collect()
 }
 
-/// Where a value does not fit the schema of `T`: each place with its reason.
-pub fn misfits<T: JsonSchema>(value: &Value) -> Vec<(String, String)> {
-    let address = |text: &str| text.parse::<SocketAddr>().is_ok();
+/// The places where a value violates the schema of `T`, each with its reason.
+pub fn schema_violations<T: JsonSchema>(value: &Value) -> Vec<(String, String)> {
+    let is_address = |text: &str| text.parse::<SocketAddr>().is_ok();
     let validator = jsonschema::options()
-        .with_format("socket-address", address)
+        .with_format("socket-address", is_address)
         .should_validate_formats(true)
         .build(&schema_of::<T>());
     let validator = match validator {
@@ -223,34 +227,34 @@
     };
     let mut faults = Vec::new();
     for error in validator.iter_errors(value) {
-        let place = dotted(error.instance_path().as_str());
+        let path = dotted_path(error.instance_path().as_str());
         match error.kind() {
             jsonschema::error::ValidationErrorKind::AdditionalProperties { unexpected } => {
                 for key in unexpected {
-                    let path = if place.is_empty() {
+                    let key_path = if path.is_empty() {
                         key.clone()
                     } else {
-                        format!("{place}.{key}")
+                        format!("{path}.{key}")
                     };
-                    faults.push((path, "unknown key".to_string()));
+                    faults.push((key_path, "unknown key".to_string()));
                 }
             }
             jsonschema::error::ValidationErrorKind::Format { format }
                 if *format == "socket-address" =>
             {
                 faults.push((
-                    place,
+                    path,
                     format!("{} is not an address with a port", error.instance()),
                 ));
             }
-            _ => faults.push((place, error.to_string())),
+            _ => faults.push((path, error.to_string())),
         }
     }
     faults
 }
 
-/// `/rsync/module/0/volume` as `rsync.module[0].volume`.
-fn dotted(pointer: &str) -> String {
+/// Converts a JSON pointer such as `/rsync/module/0/volume` to a path such as `rsync.module[0].volume`.
+fn dotted_path(pointer: &str) -> String {
     let mut path = String::new();
     for part in pointer.split('/').skip(1) {
         match part.parse::<usize>() {
--- a/crates/operator-config/tests/faults.rs
+++ b/crates/operator-config/tests/faults.rs
@@ -1,9 +1,9 @@
-//! Every fault of a file is named at once, with its path and line.
+//! All faults of a file are reported at once, each with its path and line.
 
-use lupinrack_operator_config::{schema, Fault, Operator};
+use lupinrack_operator_config::{schema, Fault, OperatorConfig};
 
 fn faults(text: &str) -> Vec<(usize, String)> {
-    let faults: Vec<Fault> = Operator::parse(text).expect_err("it is faulty");
+    let faults: Vec<Fault> = OperatorConfig::parse(text).expect_err("it has faults");
     faults
         .into_iter()
         .map(|f| (f.line.unwrap_or(0), format!("{}: {}", f.path, f.reason)))
@@ -11,17 +11,17 @@
 }
 
 #[test]
-fn the_file_in_the_repository_is_good_and_all_off() {
-    let operator = Operator::parse(include_str!("../../../deploy/lupinrack.toml")).unwrap();
-    assert!(!operator.rsync.unwrap().enabled && !operator.ipfix.unwrap().enabled);
+fn the_file_in_the_repository_is_valid_and_enables_nothing() {
+    let config = OperatorConfig::parse(include_str!("../../../deploy/lupinrack.toml")).unwrap();
+    assert!(!config.rsync.unwrap().enabled && !config.ipfix.unwrap().enabled);
     assert!(
-        Operator::parse("").unwrap().rsync.is_none(),
-        "what is missing is off"
+        OperatorConfig::parse("").unwrap().rsync.is_none(),
+        "a missing section is off"
     );
 }
 
 #[test]
-fn all_faults_are_named_at_once_each_with_its_line() {
+fn all_faults_are_reported_at_once_each_with_its_line() {
     let text = "[log]\nformat = 'xml'\nfilter = 'info,=[x'\ntypo = 1\n[ipfix]\nenabled = 'yes'\n\
                 collector = 'localhost'\n[rsync]\nlisten = '127.0.0.1:1'\nmax_clients = 0\n[[rsync.module]]\n\
                 name = 'a/b'\nplan = 'basic'\nvolume = 'zz'\nclass = 'bulk-read'\nshard = -1\n\
@@ -52,16 +52,16 @@
         ),
     ];
     assert_eq!(found.len(), expected.len(), "{found:#?}");
-    for ((line, said), (at, start)) in found.iter().zip(expected) {
+    for ((line, fault), (expected_line, start)) in found.iter().zip(expected) {
         assert!(
-            *line == at && said.starts_with(start),
-            "line {line}: {said}, not {start} at {at}"
+            *line == expected_line && fault.starts_with(start),
+            "line {line}: {fault}, expected {start} at line {expected_line}"
         );
     }
 }
 
 #[test]
-fn what_the_schema_cannot_say_is_checked_too() {
+fn rules_that_the_schema_cannot_express_are_checked() {
     let module =
         "[[rsync.module]]\nname = 'trips'\nplan = 'basic'\nvolume = 'a1'\nclass = 'bulk-read'\n\
                   shard = 0\nbytes_per_unit = 1\ndeadline_ms = 1\n";
@@ -78,29 +78,29 @@
 }
 
 #[test]
-fn text_that_is_no_toml_is_one_fault_with_its_line() {
+fn a_syntax_error_is_a_single_fault_with_its_line() {
     let found = faults("[log]\nformat = 'text'\n[a\n");
     assert!(found.len() == 1 && found[0].0 == 3, "{found:?}");
 }
 
 #[test]
-fn the_schema_allows_no_unknown_keys_anywhere() {
-    fn objects(value: &serde_json::Value, open: &mut Vec<String>) {
+fn the_schema_allows_no_unknown_keys() {
+    fn collect_open_objects(value: &serde_json::Value, open: &mut Vec<String>) {
         if let Some(map) = value.as_object() {
             if map.contains_key("properties")
                 && map.get("additionalProperties") != Some(&false.into())
             {
                 open.push(value.to_string());
             }
-            map.values().for_each(|v| objects(v, open));
+            map.values().for_each(|v| collect_open_objects(v, open));
         }
     }
     let mut open = Vec::new();
-    objects(&schema(), &mut open);
+    collect_open_objects(&schema(), &mut open);
     assert!(open.is_empty(), "{open:?}");
 }
 
-fn fleet(name: &str, more: &str, members: &[(&str, u16)]) -> String {
+fn fleet_section(name: &str, more: &str, members: &[(&str, u16)]) -> String {
     let mut text = format!("[fleet]\nenabled = true\nname = \"{name}\"\n{more}\n");
     for (name, port) in members {
         text += &format!("[[fleet.member]]\nname = \"{name}\"\naddress = \"127.0.0.1:{port}\"\n");
@@ -109,51 +109,54 @@
 }
 
 #[test]
-fn the_faults_of_a_fleet_say_what_they_lead_to() {
+fn faults_and_remarks_of_a_fleet_are_reported() {
     let three = [("a", 1), ("b", 2), ("c", 3)];
-    assert!(Operator::parse(&fleet("a", "", &three)).is_ok());
-    for (text, path) in [
+    assert!(OperatorConfig::parse(&fleet_section("a", "", &three)).is_ok());
+    for (text, expected) in [
         (
-            fleet("d", "", &three),
+            fleet_section("d", "", &three),
             "fleet.name: 'd' is not among the members",
         ),
         (
-            fleet("a", "", &[("a", 1), ("b", 1)]),
+            fleet_section("a", "", &[("a", 1), ("b", 1)]),
             "fleet.member[1].address: 127.0.0.1:1 stands twice",
         ),
         (
-            fleet("a", "", &[("a", 1), ("a", 2)]),
+            fleet_section("a", "", &[("a", 1), ("a", 2)]),
             "fleet.member[1].name: 'a' stands twice",
         ),
         (
-            fleet("a", "lease_ms = 300", &three),
+            fleet_section("a", "lease_ms = 300", &three),
             "fleet.lease_ms: shorter than two periods",
         ),
         (
-            fleet("a", "keys = [\"12\"]", &three),
+            fleet_section("a", "keys = [\"12\"]", &three),
             "fleet.keys[0]: a key is 64 hexadecimal digits",
         ),
         (
-            fleet("a", "patience_ms = 200", &three),
+            fleet_section("a", "patience_ms = 200", &three),
             "fleet.patience_ms: must be less",
         ),
-        (fleet("a", "reserve = 1.5", &three), "fleet.reserve: "),
+        (
+            fleet_section("a", "reserve = 1.5", &three),
+            "fleet.reserve: ",
+        ),
     ] {
         let found = faults(&text);
         assert!(
-            found.iter().any(|(_, why)| why.starts_with(path)),
-            "{path}: {found:?}"
+            found.iter().any(|(_, fault)| fault.starts_with(expected)),
+            "{expected}: {found:?}"
         );
     }
-    let fleet = |text: String| Operator::parse(&text).unwrap().fleet.unwrap();
-    let remarks = fleet(fleet_of(4)).remarks();
+    let section = |text: String| OperatorConfig::parse(&text).unwrap().fleet.unwrap();
+    let remarks = section(fleet_of(4)).remarks();
     assert!(
         remarks
             .iter()
-            .any(|(path, why)| path == "member" && why.contains("4 is even")),
+            .any(|(path, remark)| path == "member" && remark.contains("4 is even")),
         "{remarks:?}"
     );
-    assert!(fleet(fleet_of(5))
+    assert!(section(fleet_of(5))
         .remarks()
         .iter()
         .any(|(path, _)| path == "lease_ms"));
@@ -166,47 +169,50 @@
         .zip(1..)
         .map(|(name, port)| (name.as_str(), port))
         .collect();
-    fleet("n0", "", &members)
+    fleet_section("n0", "", &members)
 }
 
 #[test]
-fn files_of_one_fleet_that_contradict_each_other_are_named() {
+fn contradictions_between_the_files_of_one_fleet_are_reported() {
     use lupinrack_fleet_membership::config::Section;
     let three = [("a", 1), ("b", 2), ("c", 3)];
     let section = |name: &str, more: &str| {
-        Operator::parse(&fleet(name, more, &three))
+        OperatorConfig::parse(&fleet_section(name, more, &three))
             .unwrap()
             .fleet
             .unwrap()
     };
-    let across = |other: &Section| {
+    let faults_across = |other: &Section| {
         let found = Section::across(&[&section("a", ""), other]);
         found
             .into_iter()
-            .map(|(at, path, _)| (at, path))
+            .map(|(file, path, _)| (file, path))
             .collect::<Vec<_>>()
     };
-    assert_eq!(across(&section("b", "")), []);
-    assert_eq!(across(&section("a", "")), [(1, "name".to_string())]);
+    assert_eq!(faults_across(&section("b", "")), []);
+    assert_eq!(faults_across(&section("a", "")), [(1, "name".to_string())]);
     assert_eq!(
-        across(&section("b", "lease_ms = 9000")),
+        faults_across(&section("b", "lease_ms = 9000")),
         [(1, "lease_ms".to_string())]
     );
     let key = format!("keys = [\"{}\"]", "ab".repeat(32));
-    assert_eq!(across(&section("b", &key)), [(1, "keys".to_string())]);
-    let fewer = Operator::parse(&fleet("b", "", &three[..2]))
+    assert_eq!(
+        faults_across(&section("b", &key)),
+        [(1, "keys".to_string())]
+    );
+    let fewer = OperatorConfig::parse(&fleet_section("b", "", &three[..2]))
         .unwrap()
         .fleet
         .unwrap();
-    assert_eq!(across(&fewer), [(1, "member".to_string())]);
+    assert_eq!(faults_across(&fewer), [(1, "member".to_string())]);
 }
 
 #[test]
-fn overload_needs_a_fleet_and_one_budget_for_all_of_it() {
+fn overload_needs_a_fleet_and_the_same_budget_in_all_files() {
     use lupinrack_overload::Section;
     let three = [("a", 1), ("b", 2), ("c", 3)];
-    let on = |more: &str| format!("[overload]\nenabled = true\n{more}");
-    let alone = Operator::parse(&on("")).unwrap_err();
+    let enabled = |more: &str| format!("[overload]\nenabled = true\n{more}");
+    let alone = OperatorConfig::parse(&enabled("")).unwrap_err();
     assert!(
         alone
             .iter()
@@ -214,20 +220,23 @@
         "{alone:?}"
     );
     let section = |more: &str| {
-        let text = format!("{}\n{more}", fleet("a", "", &three));
-        Operator::parse(&text).unwrap().overload.unwrap_or_default()
+        let text = format!("{}\n{more}", fleet_section("a", "", &three));
+        OperatorConfig::parse(&text)
+            .unwrap()
+            .overload
+            .unwrap_or_default()
     };
-    let across = |other: &str| {
-        let found = Section::across(&[&section(&on("")), &section(other)]);
+    let faults_across = |other: &str| {
+        let found = Section::across(&[&section(&enabled("")), &section(other)]);
         found
             .into_iter()
-            .map(|(at, path, _)| (at, path))
+            .map(|(file, path, _)| (file, path))
             .collect::<Vec<_>>()
     };
-    assert_eq!(across(&on("")), []);
-    assert_eq!(across(""), [(1, "enabled".to_string())]);
+    assert_eq!(faults_across(&enabled("")), []);
+    assert_eq!(faults_across(""), [(1, "enabled".to_string())]);
     assert_eq!(
-        across(&on("trials_per_s = 9.0")),
+        faults_across(&enabled("trials_per_s = 9.0")),
         [(1, "trials_per_s".to_string())]
     );
 }
