--- a/crates/operator-config/tests/golden.rs
+++ b/crates/operator-config/tests/golden.rs
@@ -1,79 +1,83 @@
-//! Golden files of the operators' file: the form that its schema allows, and what is read from a file that has every key, and from one
-//! whose sections have only the keys that they need.
+//! Golden files of the operators' configuration file: the structure of its schema, and the parsed values of a file with every
+//! key and of one with only the required keys.
 
 use lupinrack_extent_map::config::Strategy;
 use lupinrack_golden_files::{check_text, path, GoldenFile};
-use lupinrack_operator_config::{schema, Format, Operator};
+use lupinrack_operator_config::{schema, Format, OperatorConfig};
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
 use std::fmt::Debug;
 
-/// The schema with its references put in place, without its texts, and with each choice of words as one list: neither the name of a
-/// type in the code nor the words of a comment, nor whether there is one, belong to the form of the file.
-fn form() -> Value {
-    let whole = schema();
-    let mut form = resolved(&whole, &whole);
-    form.as_object_mut().unwrap().remove("$defs");
-    form
+/// The structure of the schema: references are resolved, descriptions removed, and each choice of strings is one list. The names
+/// of types in the code and the texts of comments do not belong to the format of the file.
+fn schema_structure() -> Value {
+    let root = schema();
+    let mut structure = resolved(&root, &root);
+    structure.as_object_mut().unwrap().remove("$defs");
+    structure
 }
 
-fn resolved(value: &Value, whole: &Value) -> Value {
+fn resolved(value: &Value, root: &Value) -> Value {
     match value {
         Value::Object(fields) => {
-            let mut all = Map::new();
+            let mut merged = Map::new();
             if let Some(target) = fields.get("$ref").and_then(Value::as_str) {
-                let definition = whole
+                let definition = root
                     .pointer(target.trim_start_matches('#'))
                     .expect("a definition");
-                all.extend(
-                    resolved(definition, whole)
+                merged.extend(
+                    resolved(definition, root)
                         .as_object()
                         .expect("an object")
                         .clone(),
                 );
             }
-            let text = |name: &str, value: &Value| name == "description" && value.is_string();
+            let is_description =
+                |name: &str, value: &Value| name == "description" && value.is_string();
             let kept = fields
                 .iter()
-                .filter(|(name, value)| *name != "$ref" && !text(name, value));
-            all.extend(kept.map(|(name, value)| (name.clone(), resolved(value, whole))));
-            if let Some(words) = all.get("oneOf").and_then(words) {
-                all.remove("oneOf");
-                all.insert("type".into(), "string".into());
-                all.insert("enum".into(), words);
+                .filter(|(name, value)| *name != "$ref" && !is_description(name, value));
+            merged.extend(kept.map(|(name, value)| (name.clone(), resolved(value, root))));
+            if let Some(choices) = merged.get("oneOf").and_then(choices) {
+                merged.remove("oneOf");
+                merged.insert("type".into(), "string".into());
+                merged.insert("enum".into(), choices);
             }
-            if let Some(Value::Array(words)) = all.get_mut("enum") {
-                words.sort_by_key(Value::to_string);
+            if let Some(Value::Array(choices)) = merged.get_mut("enum") {
+                choices.sort_by_key(Value::to_string);
             }
-            Value::Object(all)
+            Value::Object(merged)
         }
-        Value::Array(items) => items.iter().map(|item| resolved(item, whole)).collect(),
+        Value::Array(items) => items.iter().map(|item| resolved(item, root)).collect(),
         other => other.clone(),
     }
 }
 
-/// A choice among words as one list; none where something else is chosen among.
-fn words(choice: &Value) -> Option<Value> {
-    let mut words = BTreeSet::new();
-    for one in choice.as_array()? {
-        match (one.get("const"), one.get("enum").and_then(Value::as_array)) {
-            (Some(word), _) => words.extend([word.as_str()?]),
-            (None, Some(several)) => words.extend(several.iter().filter_map(Value::as_str)),
+/// The strings of a `oneOf`, or `None` if it has other alternatives.
+fn choices(one_of: &Value) -> Option<Value> {
+    let mut choices = BTreeSet::new();
+    for alternative in one_of.as_array()? {
+        match (
+            alternative.get("const"),
+            alternative.get("enum").and_then(Value::as_array),
+        ) {
+            (Some(choice), _) => choices.extend([choice.as_str()?]),
+            (None, Some(several)) => choices.extend(several.iter().filter_map(Value::as_str)),
             (None, None) => return None,
         }
     }
-    Some(words.into_iter().collect())
+    Some(choices.into_iter().collect())
 }
 
 #[test]
-fn the_schema_keeps_its_form() {
+fn the_schema_keeps_its_structure() {
     check_text(
         path!("schema-form.json"),
-        &(serde_json::to_string_pretty(&form()).unwrap() + "\n"),
+        &(serde_json::to_string_pretty(&schema_structure()).unwrap() + "\n"),
     );
 }
 
-/// The keys that a schema names, as `rsync.module[].name`.
+/// Collects the keys of a schema, such as `rsync.module[].name`.
 fn schema_keys(schema: &Value, path: &str, keys: &mut BTreeSet<String>) {
     for (name, inner) in schema
         .get("properties")
@@ -94,7 +98,7 @@
     }
 }
 
-/// The keys that a file has, in the same words.
+/// Collects the keys of a file, in the same form.
 fn file_keys(value: &Value, path: &str, keys: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
@@ -115,172 +119,184 @@
     }
 }
 
-const WHOLE: &str = include_str!("golden/operators-file.toml");
+const COMPLETE_FILE: &str = include_str!("golden/operators-file.toml");
 
 #[test]
 fn the_file_has_every_key_of_the_schema() {
-    let (mut named, mut there) = (BTreeSet::new(), BTreeSet::new());
-    schema_keys(&form(), "", &mut named);
-    file_keys(&toml::from_str(WHOLE).unwrap(), "", &mut there);
-    assert_eq!(named, there);
+    let (mut in_schema, mut in_file) = (BTreeSet::new(), BTreeSet::new());
+    schema_keys(&schema_structure(), "", &mut in_schema);
+    file_keys(&toml::from_str(COMPLETE_FILE).unwrap(), "", &mut in_file);
+    assert_eq!(in_schema, in_file);
 }
 
-/// What was read, by the keys of the file.
-fn read(file: &str, operator: &Operator) -> GoldenFile {
-    let mut read = GoldenFile::open(file);
-    log(&mut read, operator);
-    rsync(&mut read, operator);
-    ipfix(&mut read, operator);
-    extents(&mut read, operator);
-    fleet(&mut read, operator);
-    overload(&mut read, operator);
-    read
+/// The parsed values, by the keys of the file.
+fn parsed(file: &str, config: &OperatorConfig) -> GoldenFile {
+    let mut golden = GoldenFile::open(file);
+    add_log(&mut golden, config);
+    add_rsync(&mut golden, config);
+    add_ipfix(&mut golden, config);
+    add_extents(&mut golden, config);
+    add_fleet(&mut golden, config);
+    add_overload(&mut golden, config);
+    golden
 }
 
-fn add(read: &mut GoldenFile, key: impl Into<String>, value: impl Debug) {
-    read.add(key, format!("{value:?}"));
+fn add(golden: &mut GoldenFile, key: impl Into<String>, value: impl Debug) {
+    golden.add(key, format!("{value:?}"));
 }
 
-fn log(read: &mut GoldenFile, operator: &Operator) {
-    let format = match operator.log.format {
+fn add_log(golden: &mut GoldenFile, config: &OperatorConfig) {
+    let format = match config.log.format {
         Format::Text => "text",
         Format::Json => "json",
     };
-    add(read, "log.format", format);
-    add(read, "log.filter", &operator.log.filter);
+    add(golden, "log.format", format);
+    add(golden, "log.filter", &config.log.filter);
 }
 
-fn rsync(read: &mut GoldenFile, operator: &Operator) {
-    let Some(section) = &operator.rsync else {
-        return add(read, "rsync", None::<()>);
+fn add_rsync(golden: &mut GoldenFile, config: &OperatorConfig) {
+    let Some(section) = &config.rsync else {
+        return add(golden, "rsync", None::<()>);
     };
-    add(read, "rsync.enabled", section.enabled);
-    add(read, "rsync.listen", section.listen);
-    add(read, "rsync.max_clients", section.max_clients);
+    add(golden, "rsync.enabled", section.enabled);
+    add(golden, "rsync.listen", section.listen);
+    add(golden, "rsync.max_clients", section.max_clients);
     for (i, module) in section.module.iter().enumerate() {
         let key = |name: &str| format!("rsync.module[{i}].{name}");
-        add(read, key("name"), &module.name);
-        add(read, key("comment"), &module.comment);
-        add(read, key("remote"), &module.remote);
-        add(read, key("plan"), &module.plan);
-        add(read, key("volume"), &module.volume);
-        add(read, key("class"), &module.class);
-        add(read, key("shard"), module.shard);
-        add(read, key("hosts"), module.hosts);
-        add(read, key("bytes_per_unit"), module.bytes_per_unit);
-        add(read, key("deadline_ms"), module.deadline_ms);
+        add(golden, key("name"), &module.name);
+        add(golden, key("comment"), &module.comment);
+        add(golden, key("remote"), &module.remote);
+        add(golden, key("plan"), &module.plan);
+        add(golden, key("volume"), &module.volume);
+        add(golden, key("class"), &module.class);
+        add(golden, key("shard"), module.shard);
+        add(golden, key("hosts"), module.hosts);
+        add(golden, key("bytes_per_unit"), module.bytes_per_unit);
+        add(golden, key("deadline_ms"), module.deadline_ms);
     }
     for (i, server) in section.server.iter().enumerate() {
-        add(read, format!("rsync.server[{i}].node"), &server.node);
-        add(read, format!("rsync.server[{i}].address"), server.address);
+        add(golden, format!("rsync.server[{i}].node"), &server.node);
+        add(golden, format!("rsync.server[{i}].address"), server.address);
     }
 }
 
-fn ipfix(read: &mut GoldenFile, operator: &Operator) {
-    let Some(section) = &operator.ipfix else {
-        return add(read, "ipfix", None::<()>);
+fn add_ipfix(golden: &mut GoldenFile, config: &OperatorConfig) {
+    let Some(section) = &config.ipfix else {
+        return add(golden, "ipfix", None::<()>);
     };
-    add(read, "ipfix.enabled", section.enabled);
-    add(read, "ipfix.collector", section.collector);
-    add(read, "ipfix.observation_domain", section.observation_domain);
-    add(read, "ipfix.template_every_ms", section.template_every_ms);
+    add(golden, "ipfix.enabled", section.enabled);
+    add(golden, "ipfix.collector", section.collector);
+    add(
+        golden,
+        "ipfix.observation_domain",
+        section.observation_domain,
+    );
+    add(golden, "ipfix.template_every_ms", section.template_every_ms);
 }
 
-fn extents(read: &mut GoldenFile, operator: &Operator) {
-    let Some(section) = &operator.extents else {
-        return add(read, "extents", None::<()>);
+fn add_extents(golden: &mut GoldenFile, config: &OperatorConfig) {
+    let Some(section) = &config.extents else {
+        return add(golden, "extents", None::<()>);
     };
     let strategy = match section.strategy {
         Strategy::Versioned => "versioned",
         Strategy::None => "none",
         Strategy::Ttl => "ttl",
     };
-    add(read, "extents.enabled", section.enabled);
-    add(read, "extents.authority", section.authority);
-    add(read, "extents.strategy", strategy);
-    add(read, "extents.ttl_ms", section.ttl_ms);
-    add(read, "extents.hold_ms", section.hold_ms);
-    add(read, "extents.polls_per_s", section.polls_per_s);
-    add(read, "extents.poll_burst", section.poll_burst);
-    add(read, "extents.loads_per_s", section.loads_per_s);
-    add(read, "extents.load_burst", section.load_burst);
-    add(read, "extents.refreshes_per_s", section.refreshes_per_s);
-    add(read, "extents.refresh_burst", section.refresh_burst);
+    add(golden, "extents.enabled", section.enabled);
+    add(golden, "extents.authority", section.authority);
+    add(golden, "extents.strategy", strategy);
+    add(golden, "extents.ttl_ms", section.ttl_ms);
+    add(golden, "extents.hold_ms", section.hold_ms);
+    add(golden, "extents.polls_per_s", section.polls_per_s);
+    add(golden, "extents.poll_burst", section.poll_burst);
+    add(golden, "extents.loads_per_s", section.loads_per_s);
+    add(golden, "extents.load_burst", section.load_burst);
+    add(golden, "extents.refreshes_per_s", section.refreshes_per_s);
+    add(golden, "extents.refresh_burst", section.refresh_burst);
     add(
-        read,
+        golden,
         "extents.volume_refreshes_per_s",
         section.volume_refreshes_per_s,
     );
-    add(read, "extents.most_extents", section.most_extents);
-    add(read, "extents.most_volumes", section.most_volumes);
-    add(read, "extents.snapshot", &section.snapshot);
-    add(read, "extents.snapshot_every_ms", section.snapshot_every_ms);
-    add(read, "extents.peer_listen", section.peer_listen);
-    add(read, "extents.peers", &section.peers);
-    add(read, "extents.messages_per_s", section.messages_per_s);
+    add(golden, "extents.most_extents", section.most_extents);
+    add(golden, "extents.most_volumes", section.most_volumes);
+    add(golden, "extents.snapshot", &section.snapshot);
+    add(
+        golden,
+        "extents.snapshot_every_ms",
+        section.snapshot_every_ms,
+    );
+    add(golden, "extents.peer_listen", section.peer_listen);
+    add(golden, "extents.peers", &section.peers);
+    add(golden, "extents.messages_per_s", section.messages_per_s);
 }
 
-fn fleet(read: &mut GoldenFile, operator: &Operator) {
-    let Some(section) = &operator.fleet else {
-        return add(read, "fleet", None::<()>);
+fn add_fleet(golden: &mut GoldenFile, config: &OperatorConfig) {
+    let Some(section) = &config.fleet else {
+        return add(golden, "fleet", None::<()>);
     };
-    add(read, "fleet.enabled", section.enabled);
-    add(read, "fleet.name", &section.name);
-    add(read, "fleet.listen", section.listen);
+    add(golden, "fleet.enabled", section.enabled);
+    add(golden, "fleet.name", &section.name);
+    add(golden, "fleet.listen", section.listen);
     for (i, member) in section.member.iter().enumerate() {
-        add(read, format!("fleet.member[{i}].name"), &member.name);
-        add(read, format!("fleet.member[{i}].address"), member.address);
+        add(golden, format!("fleet.member[{i}].name"), &member.name);
+        add(golden, format!("fleet.member[{i}].address"), member.address);
     }
-    add(read, "fleet.keys", &section.keys);
-    add(read, "fleet.period_ms", section.period_ms);
-    add(read, "fleet.patience_ms", section.patience_ms);
-    add(read, "fleet.suspicion_ms", section.suspicion_ms);
-    add(read, "fleet.lease_ms", section.lease_ms);
-    add(read, "fleet.drift_ppm", section.drift_ppm);
-    add(read, "fleet.reserve", section.reserve);
-    add(read, "fleet.datagrams_per_s", section.datagrams_per_s);
-    add(read, "fleet.most_volumes", section.most_volumes);
+    add(golden, "fleet.keys", &section.keys);
+    add(golden, "fleet.period_ms", section.period_ms);
+    add(golden, "fleet.patience_ms", section.patience_ms);
+    add(golden, "fleet.suspicion_ms", section.suspicion_ms);
+    add(golden, "fleet.lease_ms", section.lease_ms);
+    add(golden, "fleet.drift_ppm", section.drift_ppm);
+    add(golden, "fleet.reserve", section.reserve);
+    add(golden, "fleet.datagrams_per_s", section.datagrams_per_s);
+    add(golden, "fleet.most_volumes", section.most_volumes);
 }
 
-fn overload(read: &mut GoldenFile, operator: &Operator) {
-    let Some(section) = &operator.overload else {
-        return add(read, "overload", None::<()>);
+fn add_overload(golden: &mut GoldenFile, config: &OperatorConfig) {
+    let Some(section) = &config.overload else {
+        return add(golden, "overload", None::<()>);
     };
-    add(read, "overload.enabled", section.enabled);
-    add(read, "overload.trials_per_s", section.trials_per_s);
+    add(golden, "overload.enabled", section.enabled);
+    add(golden, "overload.trials_per_s", section.trials_per_s);
 }
 
 #[test]
-fn every_key_is_read_as_before() {
-    read(
+fn every_key_is_parsed() {
+    parsed(
         path!("operators-file-read.txt"),
-        &Operator::parse(WHOLE).unwrap(),
+        &OperatorConfig::parse(COMPLETE_FILE).unwrap(),
     )
     .check();
 }
 
 #[test]
-fn keys_that_are_missing_are_read_as_before() {
+fn missing_keys_get_their_defaults() {
     let sections = "[log]\n[rsync]\nlisten = '127.0.0.1:1'\n[ipfix]\ncollector = '127.0.0.1:2'\n[extents]\n[fleet]\n[overload]\n";
-    read(
+    parsed(
         path!("defaults-read.txt"),
-        &Operator::parse(sections).unwrap(),
+        &OperatorConfig::parse(sections).unwrap(),
+    )
+    .check();
+    parsed(
+        path!("empty-file-read.txt"),
+        &OperatorConfig::parse("").unwrap(),
     )
     .check();
-    read(path!("empty-file-read.txt"), &Operator::parse("").unwrap()).check();
 }
 
 #[test]
-fn other_words_are_read_as_before() {
-    let strategy = |word: &str| {
-        let operator = Operator::parse(&format!("[extents]\nstrategy = '{word}'\n")).unwrap();
-        operator.extents.unwrap().strategy
+fn every_choice_is_parsed() {
+    let strategy = |choice: &str| {
+        let config = OperatorConfig::parse(&format!("[extents]\nstrategy = '{choice}'\n")).unwrap();
+        config.extents.unwrap().strategy
     };
     assert_eq!(strategy("versioned"), Strategy::Versioned);
     assert_eq!(strategy("none"), Strategy::None);
     assert_eq!(strategy("ttl"), Strategy::Ttl);
-    let format = |word: &str| {
-        Operator::parse(&format!("[log]\nformat = '{word}'\n"))
+    let format = |choice: &str| {
+        OperatorConfig::parse(&format!("[log]\nformat = '{choice}'\n"))
             .unwrap()
             .log
             .format
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,7 +1,7 @@
-//! What the platform tells a front: the file that `LB_CONFIG` names.
+//! The platform's configuration of a front: the file that `LB_CONFIG` names.
 
-use crate::discovery::List;
-use lupinrack_front_settings::{self as settings, Told};
+use crate::discovery::NodeList;
+use lupinrack_front_settings::{self as settings, FrontSettings};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,25 +12,25 @@
     /// The file cannot be read.
     #[error("{0}: {1}")]
     Read(String, std::io::Error),
-    /// It is no JSON.
+    /// The file is not JSON.
     #[error("configuration: {0}")]
-    Form(#[from] serde_json::Error),
-    /// Something in it is of another kind; the path says where.
+    Syntax(#[from] serde_json::Error),
+    /// A value has the wrong type; the error names its path.
     #[error("configuration: {0}")]
-    Kind(#[from] serde_path_to_error::Error<serde_json::Error>),
-    /// A limit is none.
+    Type(#[from] serde_path_to_error::Error<serde_json::Error>),
+    /// A limit is 0.
     #[error("configuration: {0}: not a positive number")]
     Limit(&'static str),
-    /// An address in the environment cannot be read.
+    /// An environment variable is not an address.
     #[error("{0}: '{1}' is not an address")]
     Address(&'static str, String),
-    /// Its settings cannot be used.
+    /// The settings are invalid.
     #[error("configuration: {0}")]
     Settings(String),
 }
 
 #[derive(Deserialize)]
-struct Raw {
+struct ConfigFile {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -39,37 +39,37 @@
     #[serde(default)]
     limits: Limits,
     #[serde(default)]
-    known: Option<List>,
+    known: Option<NodeList>,
     #[serde(default)]
     management: Option<SocketAddr>,
     settings: serde_json::Value,
 }
 
-/// The limits that the platform holds this front to.
+/// The resource limits that the platform sets for this front.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// File descriptors.
+    /// The number of file descriptors.
     pub sockets: usize,
-    /// Memory.
+    /// The memory in MiB.
     pub memory_mb: usize,
 }
 
-/// Descriptors of the program's own: standard streams, listeners, the runtime's, signals, discovery.
-const OWN: usize = 24;
+/// The file descriptors that the program itself uses: standard streams, listeners, runtime, signals, discovery.
+const PROGRAM_DESCRIPTORS: usize = 24;
 
 impl Limits {
-    /// How many descriptors clients of the platform's front may hold, with `others` promised to the rsync front and the door.
-    /// Two thirds of what is left: they keep idle connections by the dozen, and a third of all is what their open
-    /// requests hold at most. The rest is for connections to nodes.
-    pub fn clients(&self, others: usize) -> usize {
-        (self.sockets.saturating_sub(OWN + others) * 2 / 3).max(1)
+    /// The most descriptors for HTTP clients. `reserved` descriptors are set aside for the rsync front and the management
+    /// interface. Clients get two thirds of the rest, since each keeps dozens of idle connections, and their open requests
+    /// use at most a third of all. The remainder is for connections to nodes.
+    pub fn max_client_connections(&self, reserved: usize) -> usize {
+        (self.sockets.saturating_sub(PROGRAM_DESCRIPTORS + reserved) * 2 / 3).max(1)
     }
 
-    /// How many descriptors connections to nodes may hold: what clients, the rsync front, the door and the program leave.
-    pub fn nodes(&self, others: usize) -> usize {
+    /// The most descriptors for connections to nodes: what the program, the reserved descriptors and the clients leave.
+    pub fn max_node_connections(&self, reserved: usize) -> usize {
         self.sockets
-            .saturating_sub(OWN + others + self.clients(others))
+            .saturating_sub(PROGRAM_DESCRIPTORS + reserved + self.max_client_connections(reserved))
             .max(1)
     }
 }
@@ -83,53 +83,53 @@
     }
 }
 
-/// A front's configuration.
+/// The configuration of a front.
 pub struct Config {
-    /// Its name.
+    /// The front's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// DiscoveryMode's address.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// The seed of the module's random numbers.
+    /// The seed of the policy's random numbers.
     pub seed: u64,
-    /// The platform's limits.
+    /// The resource limits.
     pub limits: Limits,
-    /// The list of nodes as this front last had it.
-    pub known: Option<List>,
-    /// Where operators ask; without it there is no door.
+    /// The node list as this front last knew it.
+    pub known: Option<NodeList>,
+    /// The address of the management interface. Without one there is no such interface.
     pub management: Option<SocketAddr>,
-    /// The file as it was read.
+    /// The parsed JSON of the file.
     pub file: serde_json::Value,
     /// The settings.
-    pub told: Told,
+    pub settings: FrontSettings,
 }
 
 impl Config {
-    /// Reads the file.
+    /// Reads and parses the file.
     pub fn load(path: &Path) -> Result<Config, ConfigError> {
         let text = std::fs::read_to_string(path)
             .map_err(|e| ConfigError::Read(path.display().to_string(), e))?;
         Config::parse(&text)
     }
 
-    /// Takes the address of the door from `LB_MANAGEMENT`, where it is set: the environment belongs to this process
-    /// alone, the file may be shared with the one before it.
+    /// Takes the address of the management interface from `LB_MANAGEMENT`, if it is set. The environment belongs to this
+    /// process alone, while the file may be shared with the process that it replaces.
     pub fn with_environment(mut self) -> Result<Config, ConfigError> {
-        if let Some(said) = std::env::var_os("LB_MANAGEMENT").filter(|v| !v.is_empty()) {
-            let said = said.to_string_lossy();
-            let address = said
+        if let Some(value) = std::env::var_os("LB_MANAGEMENT").filter(|v| !v.is_empty()) {
+            let value = value.to_string_lossy();
+            let address = value
                 .parse()
-                .map_err(|_| ConfigError::Address("LB_MANAGEMENT", said.into()))?;
+                .map_err(|_| ConfigError::Address("LB_MANAGEMENT", value.into()))?;
             self.management = Some(address);
         }
         Ok(self)
     }
 
-    /// Reads the text of such a file.
+    /// Parses the text of the file.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let file: serde_json::Value = serde_json::from_str(text)?;
-        let raw: Raw = serde_path_to_error::deserialize(&file)?;
+        let raw: ConfigFile = serde_path_to_error::deserialize(&file)?;
         for (path, limit) in [
             ("limits.sockets", raw.limits.sockets),
             ("limits.memory_mb", raw.limits.memory_mb),
@@ -138,7 +138,7 @@
                 return Err(ConfigError::Limit(path));
             }
         }
-        let told = settings::parse_json(&raw.settings).map_err(ConfigError::Settings)?;
+        let settings = settings::parse_json(&raw.settings).map_err(ConfigError::Settings)?;
         let seed = u64::from_str_radix(&raw.seed, 16).map_err(|_| {
             ConfigError::Settings(format!("seed '{}' is not hexadecimal", raw.seed))
         })?;
@@ -151,7 +151,7 @@
             known: raw.known,
             management: raw.management,
             file,
-            told,
+            settings,
         })
     }
 }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,7 +1,9 @@
-//! The node list: its form on the wire, and the loop that watches it.
+//! The node list: its JSON form, and the loop that fetches it from discovery.
 
-use crate::clock::Epoch;
-use crate::watching::{Call, Failure, Head, Verdict, Watching};
+use crate::clock::UnixClockOffset;
+use crate::discovery_schedule::{
+    AnswerSummary, CallFailure, DiscoveryCall, DiscoverySchedule, Verdict,
+};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper_util::client::legacy::{connect::HttpConnector, Client};
@@ -13,14 +15,14 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How long a connection may take to come up: the agent is on the front's own machine.
-const CONNECT: Duration = Duration::from_secs(1);
-/// The longest list taken.
-const LONGEST: usize = 4 << 20;
+/// How long connecting may take. The agent is on the front's own machine.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The longest answer that is accepted.
+const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// A list, or the changes to one.
+/// The full node list, or the changes to it.
 #[derive(Clone, Debug, Deserialize)]
-pub struct List {
+pub struct NodeList {
     generation: u64,
     #[serde(default)]
     reset: bool,
@@ -39,7 +41,7 @@
     #[serde(default)]
     cell: u32,
     lifecycle: Lifecycle,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     weight: f64,
     #[serde(default)]
     started_at_ms: i64,
@@ -51,16 +53,16 @@
     Serving,
     Draining,
     Deleted,
-    /// A word that this version does not know: one such entry must not cost the whole list.
+    /// A value that this version does not know. One such entry must not invalidate the whole list.
     #[serde(other)]
     Unknown,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// Why a call to discovery brought nothing.
+/// Why a call to discovery failed.
 #[derive(Debug, thiserror::Error)]
 enum CallError {
     #[error("call: {0}")]
@@ -68,34 +70,38 @@
     #[error("answer: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
     #[error("answer: {0}")]
-    Form(#[from] serde_json::Error),
+    Syntax(#[from] serde_json::Error),
     #[error("status {0}")]
     Status(http::StatusCode),
     #[error("no answer in time")]
-    Late,
+    TimedOut,
     #[error("address: {0}")]
     Address(#[from] http::Error),
 }
 
 impl CallError {
-    fn failure(&self) -> Failure {
+    fn failure(&self) -> CallFailure {
         match self {
-            CallError::Late => Failure::Silent,
-            _ => Failure::Said,
+            CallError::TimedOut => CallFailure::TimedOut,
+            _ => CallFailure::Failed,
         }
     }
 }
 
-/// Words a list for the core.
-fn listings(list: &List, zones: &[String], epoch: &Epoch) -> Vec<NodeListing> {
+/// Converts a list for the engine.
+fn to_listings(
+    list: &NodeList,
+    zones: &[String],
+    clock_offset: &UnixClockOffset,
+) -> Vec<NodeListing> {
     let zone = |name: &str| Zone(zones.iter().position(|z| z == name).unwrap_or(0) as u8);
-    let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-    let one = |i: &Instance| NodeListing {
+    let no_address = SocketAddr::from(([0, 0, 0, 0], 0));
+    let to_listing = |i: &Instance| NodeListing {
         name: i.instance_id.clone(),
-        address: i.host_port.unwrap_or(nowhere),
+        address: i.host_port.unwrap_or(no_address),
         state: match (i.lifecycle, i.host_port) {
             (Lifecycle::Serving, Some(_)) => NodeState::Ready,
-            // Known to be there, but not that it takes anything new.
+            // The node exists, but it is not known to accept new requests.
             (Lifecycle::Serving | Lifecycle::Draining | Lifecycle::Unknown, _) => {
                 NodeState::Draining
             }
@@ -103,99 +109,101 @@
         },
         zone: zone(&i.zone),
         shard: Shard(i.cell),
-        started: epoch.reading(i.started_at_ms),
+        started: clock_offset.monotonic_at(i.started_at_ms),
         weight: i.weight,
     };
-    list.instances.iter().map(one).collect()
+    list.instances.iter().map(to_listing).collect()
 }
 
-/// Watches the list and hands all news to the core.
-pub struct Watch {
-    /// DiscoveryMode's address, which a new configuration may move.
+/// Follows the node list and hands each change to the engine.
+pub struct NodeListWatcher {
+    /// The address of discovery, which a new configuration may change.
     pub address: watch::Receiver<SocketAddr>,
     /// The names of the zones.
     pub zones: Vec<String>,
-    /// How Unix time maps to the clock.
-    pub epoch: Epoch,
-    /// Whether an agent is asked or a service, and how many fronts ask it.
-    pub how: (DiscoveryMode, u32),
-    /// For random waits.
+    /// Converts Unix time to the monotonic clock.
+    pub clock_offset: UnixClockOffset,
+    /// Whether an agent or a central service is called, and how many fronts call it.
+    pub mode_and_fronts: (DiscoveryMode, u32),
+    /// The seed of random delays.
     pub seed: u64,
 }
 
-impl Watch {
-    /// Hands over the list this front last had, then watches for as long as the program runs.
-    pub async fn run(mut self, core: EngineHandle, known: Option<List>) {
+impl NodeListWatcher {
+    /// Hands the list that this front last knew to the engine, then follows the list for as long as the program runs.
+    pub async fn run(mut self, engine: EngineHandle, known: Option<NodeList>) {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(CONNECT));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .retry_canceled_requests(false)
             .build(connector);
-        let mut watching = Watching::new(
-            self.how.0,
-            self.how.1,
+        let mut schedule = DiscoverySchedule::new(
+            self.mode_and_fronts.0,
+            self.mode_and_fronts.1,
             known.as_ref().map(|l| l.generation),
             self.seed,
         );
         if let Some(list) = known {
-            core.update_nodes(
-                NodeListKind::Cached,
-                listings(&list, &self.zones, &self.epoch),
-            )
-            .await;
+            engine
+                .update_nodes(
+                    NodeListKind::Cached,
+                    to_listings(&list, &self.zones, &self.clock_offset),
+                )
+                .await;
         }
         loop {
-            let call = watching.next_call();
-            tokio::time::sleep(call.after).await;
+            let call = schedule.next_call();
+            tokio::time::sleep(call.delay).await;
             let address = *self.address.borrow_and_update();
-            let mut moved = self.address.clone();
-            let begun = tokio::time::Instant::now();
+            let mut address_changed = self.address.clone();
+            let started_at = tokio::time::Instant::now();
             let answer = tokio::select! {
                 biased;
                 answer = self.call(&client, address, call) => answer,
-                // Moved while a call is out: the watch goes on at the new address from the version in hand, so
-                // that no node is lost and nothing told twice. The old call ends with its connection.
-                Ok(()) = moved.changed() => continue,
+                // The address changed during a call. The next call goes to the new address and continues from the known
+                // version, so that no change is lost or applied twice. The old call ends with its connection.
+                Ok(()) = address_changed.changed() => continue,
             };
-            let before = watching.fails();
+            let failures_before = schedule.failures();
             match answer {
                 Ok(list) => {
-                    let (generation, whole, empty) =
+                    let (generation, is_full, is_empty) =
                         (list.generation, list.reset, list.instances.is_empty());
-                    match watching.answered(
+                    match schedule.record_answer(
                         call,
-                        Head {
+                        AnswerSummary {
                             generation,
-                            whole,
-                            empty,
+                            is_full,
+                            is_empty,
                         },
                     ) {
-                        Verdict::Whole => self.tell(&core, NodeListKind::Full, &list).await,
-                        Verdict::Changes => self.tell(&core, NodeListKind::Changes, &list).await,
-                        Verdict::Same => {}
-                        Verdict::Doubted => {
-                            tracing::debug!("discovery: version {generation} is left aside")
+                        Verdict::Full => self.apply(&engine, NodeListKind::Full, &list).await,
+                        Verdict::Delta => self.apply(&engine, NodeListKind::Changes, &list).await,
+                        Verdict::Unchanged => {}
+                        Verdict::Contradictory => {
+                            tracing::debug!("discovery: version {generation} contradicts the known list and is ignored")
                         }
                     }
                 }
-                Err(why) => {
-                    watching.failed(why.failure(), begun.elapsed());
-                    tracing::debug!("discovery: {why}");
-                    if before == 0 {
-                        tracing::warn!("discovery: {why}; asked again, with growing waits");
+                Err(error) => {
+                    schedule.record_failure(error.failure(), started_at.elapsed());
+                    tracing::debug!("discovery: {error}");
+                    if failures_before == 0 {
+                        tracing::warn!("discovery: {error}; retrying with increasing delays");
                     }
                 }
             }
-            if before > 0 && watching.fails() == 0 {
-                tracing::info!("discovery answers again, after {before} calls");
+            if failures_before > 0 && schedule.failures() == 0 {
+                tracing::info!("discovery answers again, after {failures_before} failed calls");
             }
         }
     }
 
-    async fn tell(&self, core: &EngineHandle, kind: NodeListKind, list: &List) {
-        core.update_nodes(kind, listings(list, &self.zones, &self.epoch))
+    async fn apply(&self, engine: &EngineHandle, kind: NodeListKind, list: &NodeList) {
+        engine
+            .update_nodes(kind, to_listings(list, &self.zones, &self.clock_offset))
             .await;
     }
 
@@ -203,11 +211,11 @@
         &self,
         client: &Client<HttpConnector, Empty<Bytes>>,
         address: SocketAddr,
-        call: Call,
-    ) -> Result<List, CallError> {
+        call: DiscoveryCall,
+    ) -> Result<NodeList, CallError> {
         let hold = call.hold;
-        let query = call.from.map_or(String::new(), |g| {
-            format!("?from={g}&hold_ms={}", hold.as_millis())
+        let query = call.from.map_or(String::new(), |generation| {
+            format!("?from={generation}&hold_ms={}", hold.as_millis())
         });
         let uri = format!("http://{address}/registry/instances{query}");
         let request = http::Request::get(uri).body(Empty::new())?;
@@ -216,14 +224,14 @@
             if answer.status() != http::StatusCode::OK {
                 return Err(CallError::Status(answer.status()));
             }
-            let body = Limited::new(answer.into_body(), LONGEST)
+            let body = Limited::new(answer.into_body(), MAX_LIST_BYTES)
                 .collect()
                 .await
                 .map_err(CallError::Body)?;
             Ok(serde_json::from_slice(&body.to_bytes())?)
         };
-        tokio::time::timeout(call.patience, exchange)
+        tokio::time::timeout(call.timeout, exchange)
             .await
-            .unwrap_or(Err(CallError::Late))
+            .unwrap_or(Err(CallError::TimedOut))
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the platform tells a front: its configuration, the node list, and news of either while it runs.
+//! What the platform provides to a front: its configuration and the node list, both followed while the front runs.
 #![warn(missing_docs)]
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub)]
@@ -6,7 +6,7 @@
 pub mod clock;
 pub mod config;
 pub mod discovery;
+pub mod discovery_schedule;
 pub mod inherited;
 pub mod reload;
-pub mod shape;
-pub mod watching;
+pub mod required_keys;
--- a/crates/platform/src/reload.rs
+++ b/crates/platform/src/reload.rs
@@ -1,12 +1,13 @@
-//! A new configuration while the front runs: `SIGHUP` has the file read again.
+//! Reloads the configuration on `SIGHUP` while the front runs.
 //!
-//! It is read and checked whole, then all of it is taken, or none. What can change in service is where discovery listens
-//! and the settings: classes, attempts, the figures of plans and rules. A request keeps the rules it was taken under.
-//! Addresses, limits, load reports and time-outs of connections were told to the sockets at the start and wait for a restart.
+//! The whole file is read and checked first. Then all of it is applied, or nothing. Only the address of the discovery service
+//! and the settings can change: classes, attempts, the values of plans and rules. A request keeps the rules it was admitted
+//! under. Addresses, limits, load reports and connection timeouts were applied to the sockets at the start and change only
+//! with a restart.
 
 use crate::config::{Config, ConfigError};
-use crate::shape;
-use lupinrack_front_settings::Told;
+use crate::required_keys;
+use lupinrack_front_settings::FrontSettings;
 use lupinrack_metrics::Figures;
 use lupinrack_request_engine::EngineHandle;
 use serde_json::Value;
@@ -16,116 +17,115 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::watch;
 
-/// Why a new file is not taken.
+/// Why a new file is not applied.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
-    /// It cannot be read or used.
+    /// The file cannot be read, or is invalid.
     #[error("{0}")]
     Config(#[from] ConfigError),
-    /// Something that the file in use says is not in it.
+    /// A key of the current file is missing in the new one, or has another type there.
     #[error("configuration: {0} is missing or of another kind")]
     Missing(String),
-    /// Its settings do not follow those in use.
+    /// The new settings cannot replace the current ones while the program is running.
     #[error("configuration: {0}")]
     Settings(String),
 }
 
-/// What the front goes by now. It changes whole.
+/// The configuration that the front uses at present.
 #[derive(Debug)]
-pub struct Current {
+pub struct ActiveConfig {
     file: Value,
-    told: watch::Sender<Arc<Told>>,
+    settings: watch::Sender<Arc<FrontSettings>>,
     discovery: watch::Sender<SocketAddr>,
 }
 
-/// What a new file changes.
+/// A new configuration that was checked and can be applied.
 #[derive(Debug)]
-pub struct Change {
+pub struct CheckedConfig {
     file: Value,
-    /// The settings, with the indices of classes and plans in use kept.
-    pub told: Told,
-    /// Where discovery listens.
+    /// The new settings, in which the current classes and plans keep their indices.
+    pub settings: FrontSettings,
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
 }
 
-impl Current {
-    /// As the program was started.
-    pub fn new(config: &Config) -> Current {
-        Current {
+impl ActiveConfig {
+    /// The configuration that the program was started with.
+    pub fn new(config: &Config) -> ActiveConfig {
+        ActiveConfig {
             file: config.file.clone(),
-            told: watch::channel(Arc::new(config.told.clone())).0,
+            settings: watch::channel(Arc::new(config.settings.clone())).0,
             discovery: watch::channel(config.discovery).0,
         }
     }
 
-    /// The settings in use.
-    pub fn told(&self) -> watch::Receiver<Arc<Told>> {
-        self.told.subscribe()
+    /// Follows the current settings.
+    pub fn settings(&self) -> watch::Receiver<Arc<FrontSettings>> {
+        self.settings.subscribe()
     }
 
-    /// Where discovery listens.
+    /// Follows the address of the discovery service.
     pub fn discovery(&self) -> watch::Receiver<SocketAddr> {
         self.discovery.subscribe()
     }
 
-    /// Reads a new file whole; nothing changes yet.
-    pub fn check(&self, path: &Path) -> Result<Change, ReloadError> {
+    /// Reads and checks a new file, without applying it.
+    pub fn check(&self, path: &Path) -> Result<CheckedConfig, ReloadError> {
         let config = Config::load(path)?;
-        if let Some(key) = shape::missing(&self.file, &config.file) {
+        if let Some(key) = required_keys::first_missing(&self.file, &config.file) {
             return Err(ReloadError::Missing(key));
         }
-        let told = self
-            .told
+        let settings = self
+            .settings
             .borrow()
-            .followed_by(config.told)
+            .updated_with(config.settings)
             .map_err(ReloadError::Settings)?;
-        Ok(Change {
+        Ok(CheckedConfig {
             file: config.file,
-            told,
+            settings,
             discovery: config.discovery,
         })
     }
 
-    /// Goes by the new file from here on. The core hears of it before any request taken under it.
-    pub async fn take(&mut self, change: Change, core: &EngineHandle, figures: &Figures) {
-        figures.classes(change.told.named());
-        core.update_settings(change.told.for_module()).await;
-        self.told.send_replace(Arc::new(change.told));
-        self.file = change.file;
+    /// Applies a new configuration. The engine gets the new settings before any request is admitted under them.
+    pub async fn apply(&mut self, new: CheckedConfig, engine: &EngineHandle, figures: &Figures) {
+        figures.classes(new.settings.active_class_names());
+        engine.update_settings(new.settings.policy_settings()).await;
+        self.settings.send_replace(Arc::new(new.settings));
+        self.file = new.file;
         self.discovery
-            .send_if_modified(|at| std::mem::replace(at, change.discovery) != change.discovery);
+            .send_if_modified(|address| std::mem::replace(address, new.discovery) != new.discovery);
     }
 }
 
-/// Follows the signal from here on: before this, it would end the program.
-pub fn hangups() -> std::io::Result<Signal> {
+/// Handles `SIGHUP` from here on. Before this call the signal would end the program.
+pub fn sighup_signals() -> std::io::Result<Signal> {
     signal(SignalKind::hangup())
 }
 
-/// Takes over what the file says at each signal. One that cannot be used changes nothing: a bad file must not cost a
-/// front that serves.
-pub async fn follow(
-    mut hangups: Signal,
+/// Reloads the file at each signal. An invalid file is logged and changes nothing, so that the front goes on serving.
+pub async fn reload_on_sighup(
+    mut signals: Signal,
     path: PathBuf,
-    mut current: Current,
-    core: EngineHandle,
+    mut active: ActiveConfig,
+    engine: EngineHandle,
     figures: Figures,
 ) {
-    while hangups.recv().await.is_some() {
-        let checked = current.check(&path);
+    while signals.recv().await.is_some() {
+        let checked = active.check(&path);
         figures.reloaded(checked.is_ok());
         match checked {
-            Ok(change) => {
-                let names: Vec<&str> = change.told.named().collect();
+            Ok(new) => {
+                let names: Vec<&str> = new.settings.active_class_names().collect();
                 tracing::info!(
                     "configuration read again: discovery at {}, classes {}, attempts {}",
-                    change.discovery,
+                    new.discovery,
                     names.join(" "),
-                    change.told.module.max_attempts
+                    new.settings.policy.max_attempts
                 );
-                current.take(change, &core, &figures).await;
+                active.apply(new, &engine, &figures).await;
             }
-            Err(why) => tracing::error!("the configuration stays as it was: {why}"),
+            Err(error) => tracing::error!("the configuration stays as it was: {error}"),
         }
     }
 }
--- a/crates/platform/tests/golden.rs
+++ b/crates/platform/tests/golden.rs
@@ -1,9 +1,9 @@
-//! Golden files of what the platform tells a front: its configuration, the node list, and the calls for that list.
+//! Golden files of the configuration of a front, the node list, and the calls to discovery.
 
 use lupinrack_golden_files::{path, GoldenFile};
-use lupinrack_platform::clock::Epoch;
+use lupinrack_platform::clock::UnixClockOffset;
 use lupinrack_platform::config::Config;
-use lupinrack_platform::discovery::Watch;
+use lupinrack_platform::discovery::NodeListWatcher;
 use lupinrack_policy::{DiscoveryMode, Request, Shard, VolumeId};
 use lupinrack_request_engine::{Clock, EngineHandle, EngineParts, Order};
 use serde_json::{json, Value};
@@ -15,51 +15,52 @@
 use tokio::time::{sleep, timeout};
 
 const CONFIGURATION: &str = include_str!("golden/configuration.json");
-const SHORT: &str = include_str!("golden/configuration-short.json");
+const MINIMAL_CONFIGURATION: &str = include_str!("golden/configuration-short.json");
 const NODE_LIST: &str = include_str!("golden/node-list.json");
-const CHANGES: &str = include_str!("golden/node-list-changes.json");
+const NODE_LIST_CHANGES: &str = include_str!("golden/node-list-changes.json");
 
-/// How long after hearing of a drain a node may still get something new: next to nothing, so that one that drains shows.
+/// How long a draining node may still get new requests: very short, so that the test sees the drain.
 const DRAIN_GRACE_MS: u64 = 1;
 
-fn add(read: &mut GoldenFile, key: &str, value: impl Debug) {
-    read.add(key, format!("{value:?}"));
+fn add(golden: &mut GoldenFile, key: &str, value: impl Debug) {
+    golden.add(key, format!("{value:?}"));
 }
 
-/// What was read, by the keys of the file; of the settings their names alone, since `lupinrack-front-settings` reads them.
-fn read(file: &str, config: &Config) -> GoldenFile {
-    let mut read = GoldenFile::open(file);
-    add(&mut read, "name", &config.name);
-    add(&mut read, "listen", config.listen);
-    add(&mut read, "discovery", config.discovery);
-    add(&mut read, "management", config.management);
-    add(&mut read, "seed", config.seed);
-    add(&mut read, "limits.sockets", config.limits.sockets);
-    add(&mut read, "limits.memory_mb", config.limits.memory_mb);
-    add(&mut read, "known", config.known.is_some());
-    add(&mut read, "settings.areas", &config.told.zones);
-    add(&mut read, "settings.classes", &config.told.classes);
-    add(&mut read, "settings.grades", &config.told.plans);
-    read
+/// The parsed configuration, by the keys of the file. Of the settings only names are added, since
+/// `lupinrack-front-settings` parses and tests them.
+fn parsed(file: &str, config: &Config) -> GoldenFile {
+    let mut golden = GoldenFile::open(file);
+    add(&mut golden, "name", &config.name);
+    add(&mut golden, "listen", config.listen);
+    add(&mut golden, "discovery", config.discovery);
+    add(&mut golden, "management", config.management);
+    add(&mut golden, "seed", config.seed);
+    add(&mut golden, "limits.sockets", config.limits.sockets);
+    add(&mut golden, "limits.memory_mb", config.limits.memory_mb);
+    add(&mut golden, "known", config.known.is_some());
+    add(&mut golden, "settings.areas", &config.settings.zones);
+    add(&mut golden, "settings.classes", &config.settings.classes);
+    add(&mut golden, "settings.grades", &config.settings.plans);
+    golden
 }
 
 #[test]
-fn the_configuration_is_read_as_before() {
-    read(
+fn the_configuration_is_parsed() {
+    parsed(
         path!("configuration-read.txt"),
         &Config::parse(CONFIGURATION).unwrap(),
     )
     .check();
-    read(
+    parsed(
         path!("configuration-short-read.txt"),
-        &Config::parse(SHORT).unwrap(),
+        &Config::parse(MINIMAL_CONFIGURATION).unwrap(),
     )
     .check();
 }
 
 #[test]
-fn faults_of_the_configuration_keep_their_words() {
-    let mut faults = GoldenFile::open(path!("configuration-faults.txt"));
+fn error_texts_of_the_configuration_stay_the_same() {
+    let mut errors = GoldenFile::open(path!("configuration-faults.txt"));
     for (name, pointer, value) in [
         ("listen_without_port", "/listen", json!("127.0.0.1")),
         ("no_sockets", "/limits/sockets", json!(0)),
@@ -75,21 +76,21 @@
     ] {
         let mut file: Value = serde_json::from_str(CONFIGURATION).unwrap();
         *file.pointer_mut(pointer).unwrap() = value;
-        faults.add(
+        errors.add(
             name,
-            Config::parse(&file.to_string()).err().expect("a fault"),
+            Config::parse(&file.to_string()).err().expect("an error"),
         );
     }
-    faults.check();
+    errors.check();
 }
 
-/// DiscoveryMode as a test has it: it takes one call after another.
+/// A discovery service whose answers the test writes, one call after another.
 struct Registry {
     listener: TcpListener,
 }
 
 impl Registry {
-    /// The next call's request line, and the connection that waits for its answer.
+    /// Accepts the next call. Returns its request line and its connection.
     async fn call(&self) -> (String, TcpStream) {
         let (mut stream, _) = self.listener.accept().await.unwrap();
         let mut head = Vec::new();
@@ -108,7 +109,7 @@
     }
 }
 
-async fn answer(mut stream: TcpStream, body: &str) {
+async fn respond(mut stream: TcpStream, body: &str) {
     let head = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
         body.len()
@@ -116,8 +117,8 @@
     stream.write_all((head + body).as_bytes()).await.unwrap();
 }
 
-/// A core that hears of nodes from this registry alone.
-async fn watched() -> (Registry, EngineHandle) {
+/// An engine whose node list comes from the registry alone.
+async fn engine_with_registry() -> (Registry, EngineHandle) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut file: Value = serde_json::from_str(CONFIGURATION).unwrap();
     file["settings"]["safety"]["stopSendingWithin"] = json!(DRAIN_GRACE_MS);
@@ -127,36 +128,36 @@
         engine,
         handle,
         health_checks: probes,
-    } = EngineParts::new(config.told.for_module(), 1, clock);
-    let (moves, address) = watch::channel(listener.local_addr().unwrap());
-    let watch = Watch {
+    } = EngineParts::new(config.settings.policy_settings(), 1, clock);
+    let (address_sender, address) = watch::channel(listener.local_addr().unwrap());
+    let watcher = NodeListWatcher {
         address,
-        zones: config.told.zones.clone(),
-        epoch: Epoch::fix(&clock),
-        how: (DiscoveryMode::Push, 1),
+        zones: config.settings.zones.clone(),
+        clock_offset: UnixClockOffset::measure(&clock),
+        mode_and_fronts: (DiscoveryMode::Push, 1),
         seed: 7,
     };
     tokio::spawn(engine.run());
-    let watching = watch.run(handle.clone(), None);
+    let watching = watcher.run(handle.clone(), None);
     tokio::spawn(async move {
-        // The address never moves, and nodes are not probed.
-        let _kept = (moves, probes);
+        // The address never changes, and no probes are sent.
+        let _kept = (address_sender, probes);
         watching.await;
     });
     (Registry { listener }, handle)
 }
 
-/// Where a request for data of a shard is sent; the longest wait tells that it is sent nowhere.
-async fn sent(core: EngineHandle, shard: u32) -> String {
+/// The node that a request for data of a shard is sent to, or `nowhere` if none is chosen within a second.
+async fn target_of(engine: EngineHandle, shard: u32) -> String {
     let request = Request {
         volume: VolumeId(u64::from(shard) + 1),
         hosts: 1.0,
         units: 1.0,
         shard: Some(Shard(shard)),
-        client_deadline: core.clock.now() + 10_000_000,
+        client_deadline: engine.clock.now() + 10_000_000,
         ..Request::default()
     };
-    let mut ticket = core.open(request).await;
+    let mut ticket = engine.open(request).await;
     match timeout(Duration::from_secs(1), ticket.next_order()).await {
         Ok(Some(Order::Send(attempt))) => {
             format!("{} at {}", attempt.target.name, attempt.target.address)
@@ -165,32 +166,32 @@
     }
 }
 
-/// What the core made of the list that it heard last. The registry was called again, so that the list is with the core.
-async fn placed(examples: &mut GoldenFile, list: &str, core: &EngineHandle) {
+/// Adds what the engine does with its latest list. The registry was called again before, so the engine has that list.
+async fn add_targets(examples: &mut GoldenFile, list: &str, engine: &EngineHandle) {
     sleep(Duration::from_millis(20 * DRAIN_GRACE_MS)).await;
-    let listed = core.count_nodes().await.unwrap().listed;
+    let listed = engine.count_nodes().await.unwrap().listed;
     examples.add(format!("{list}, nodes listed"), listed);
-    let sent: Vec<_> = (0..6)
-        .map(|shard| tokio::spawn(sent(core.clone(), shard)))
+    let targets: Vec<_> = (0..6)
+        .map(|shard| tokio::spawn(target_of(engine.clone(), shard)))
         .collect();
-    for (shard, sent) in sent.into_iter().enumerate() {
-        examples.add(format!("{list}, shard {shard}"), sent.await.unwrap());
+    for (shard, target) in targets.into_iter().enumerate() {
+        examples.add(format!("{list}, shard {shard}"), target.await.unwrap());
     }
 }
 
 #[tokio::test]
-async fn the_node_list_is_called_for_and_read_as_before() {
-    let (registry, core) = watched().await;
+async fn the_node_list_is_fetched_and_parsed() {
+    let (registry, engine) = engine_with_registry().await;
     let mut examples = GoldenFile::open(path!("node-list-read.txt"));
     let (line, stream) = registry.call().await;
     examples.add("first call", line);
-    answer(stream, NODE_LIST).await;
+    respond(stream, NODE_LIST).await;
     let (line, stream) = registry.call().await;
-    placed(&mut examples, "whole list", &core).await;
+    add_targets(&mut examples, "whole list", &engine).await;
     examples.add("second call", line);
-    answer(stream, CHANGES).await;
+    respond(stream, NODE_LIST_CHANGES).await;
     let (line, _stream) = registry.call().await;
-    placed(&mut examples, "changes", &core).await;
+    add_targets(&mut examples, "changes", &engine).await;
     examples.add("third call", line);
     examples.check();
 }
--- a/crates/rsync/src/config.rs
+++ b/crates/rsync/src/config.rs
@@ -1,7 +1,7 @@
 //! The section `[rsync]` of the operators' file: modules and the volumes they count for, servers and the nodes they
 //! stand for.
 
-use lupinrack_front_settings::Told;
+use lupinrack_front_settings::FrontSettings;
 use lupinrack_policy::*;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -141,7 +141,7 @@
 
 impl RsyncConfig {
     /// Reads the file; none where it is not there or the front is off.
-    pub fn load(path: &Path, told: &Told) -> Result<Option<Self>, ConfigError> {
+    pub fn load(path: &Path, told: &FrontSettings) -> Result<Option<Self>, ConfigError> {
         match std::fs::read_to_string(path) {
             Ok(text) => Self::parse(&text, told),
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(None),
@@ -150,12 +150,12 @@
     }
 
     /// Reads the text of such a file against the settings.
-    pub fn parse(text: &str, told: &Told) -> Result<Option<Self>, ConfigError> {
+    pub fn parse(text: &str, told: &FrontSettings) -> Result<Option<Self>, ConfigError> {
         Self::new(toml::from_str(text)?, told)
     }
 
     /// Takes the section over, checked against the settings; none where the front is off.
-    pub fn new(section: Section, told: &Told) -> Result<Option<Self>, ConfigError> {
+    pub fn new(section: Section, told: &FrontSettings) -> Result<Option<Self>, ConfigError> {
         if !section.enabled {
             return Ok(None);
         }
@@ -228,7 +228,7 @@
     }
 }
 
-fn module(raw: ModuleSection, told: &Told) -> Result<Module, Vec<(&'static str, String)>> {
+fn module(raw: ModuleSection, told: &FrontSettings) -> Result<Module, Vec<(&'static str, String)>> {
     let mut faults = Vec::new();
     let class = told.classes.iter().position(|c| *c == raw.class);
     if class.is_none() {
@@ -239,7 +239,7 @@
         faults.push(("plan", "unknown plan".into()));
     }
     // A pull only reads; a class that writes would promise what a second attempt must not break.
-    if class.is_some_and(|c| told.module.classes[c].idempotence != Idempotence::Idempotent) {
+    if class.is_some_and(|c| told.policy.classes[c].idempotence != Idempotence::Idempotent) {
         faults.push(("class", "the class must be safe to repeat".into()));
     }
     let (Some(class), Some(plan), true) = (class, plan, faults.is_empty()) else {
@@ -259,8 +259,8 @@
         comment: raw.comment,
         request,
         bytes_per_unit: raw.bytes_per_unit,
-        most_units: if told.module.max_units >= 1.0 {
-            told.module.max_units
+        most_units: if told.policy.max_units >= 1.0 {
+            told.policy.max_units
         } else {
             8.0
         },
--- a/crates/rsync/tests/golden_sessions.rs
+++ b/crates/rsync/tests/golden_sessions.rs
@@ -92,7 +92,7 @@
         engine,
         handle,
         health_checks: probes,
-    } = EngineParts::new(told.module.clone(), 7, clock);
+    } = EngineParts::new(told.policy.clone(), 7, clock);
     let section = format!(
         "enabled = true\nlisten = '127.0.0.1:0'\n[[module]]\nname = 'trips'\ncomment = 'Trip exports'\n\
          remote = 'exports'\nplan = 'priority'\nvolume = 'a1'\nclass = 'bulk-read'\nshard = 5\n\
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -38,7 +38,10 @@
             match incoming {
                 Incoming::Start { seed, info } => match settings::parse(&info) {
                     Ok(told) => {
-                        brains.insert(instance, (Balancer::new(told.module, seed), told.columns));
+                        brains.insert(
+                            instance,
+                            (Balancer::new(told.policy, seed), told.load_columns),
+                        );
                     }
                     Err(what) => reply.crash(instance, &what),
                 },
