--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -41,7 +41,7 @@
                     Ok(parsed) => {
                         instances.insert(
                             instance,
-                            (Balancer::new(parsed.module, seed), parsed.columns),
+                            (Balancer::new(parsed.policy, seed), parsed.load_columns),
                         );
                     }
                     Err(error) => reply.crash(instance, &error),
