--- a/crates/fleet-driver/src/lib.rs
+++ b/crates/fleet-driver/src/lib.rs
@@ -81,7 +81,7 @@
         shared: bool,
     ) -> Result<(Driver, Fleet), StartError> {
         let me = section
-            .me()
+            .own_index()
             .ok_or_else(|| StartError::Name(section.name.clone()))?;
         let own = section.member.get(usize::from(me)).map(|m| m.address);
         let listen = section
@@ -201,7 +201,7 @@
                 let source = self
                     .peers
                     .get(&from)
-                    .map_or(Source::Stranger, |i| Source::Peer(*i));
+                    .map_or(Source::Unknown, |i| Source::Peer(*i));
                 let at = out.len();
                 front.datagram(clock.now(), source, &buffer[..length], &mut out);
                 let answers = out
@@ -254,7 +254,7 @@
                             let _ = socket.try_send_to(&bytes, to);
                         }
                     }
-                    Out::Event(Event::Outlived(above)) => return Some(above),
+                    Out::Event(Event::Superseded(above)) => return Some(above),
                     Out::Event(event) => self.tell(&event),
                     Out::Said(..) | Out::Ended(..) | Out::Reborn(_) => self.machines.hear(o),
                 }
@@ -271,22 +271,22 @@
         };
         match event {
             Event::Member(c) => tracing::info!(
-                front = name(c.of),
-                from = c.from.word(),
-                to = c.to.word(),
-                by = name(c.by),
-                reborn = c.reborn,
+                front = name(c.front),
+                from = c.from.as_str(),
+                to = c.to.as_str(),
+                by = name(c.reported_by),
+                reborn = c.restarted,
                 unix_us = unix_us(),
                 "fleet: member"
             ),
             Event::View(v) => {
                 let members: Vec<&str> = v.members.iter().map(name).collect();
-                tracing::info!(view = %v.number, prev = %v.prev, members = members.join(" "), unix_us = unix_us(), "fleet: view");
+                tracing::info!(view = %v.number, prev = %v.previous, members = members.join(" "), unix_us = unix_us(), "fleet: view");
             }
-            Event::Stance(from, to) => {
+            Event::Participation(from, to) => {
                 tracing::info!(
-                    from = from.word(),
-                    to = to.word(),
+                    from = from.as_str(),
+                    to = to.as_str(),
                     unix_us = unix_us(),
                     "fleet: stance"
                 );
@@ -296,20 +296,20 @@
             Event::Paused(gap) => {
                 tracing::warn!(ms = gap / 1000, "fleet: this process did not run")
             }
-            Event::Twin(of, life) => {
+            Event::DuplicateName(of, life) => {
                 tracing::error!(
                     front = name(*of),
                     life,
                     "fleet: another life uses this name from elsewhere"
                 );
             }
-            Event::Roster(of) => {
+            Event::RosterMismatch(of) => {
                 tracing::error!(
                     front = name(*of),
                     "fleet: its members, lease, drift or reserve differ"
                 )
             }
-            Event::Outlived(_) => {}
+            Event::Superseded(_) => {}
         }
     }
 }
--- a/crates/fleet-driver/src/report.rs
+++ b/crates/fleet-driver/src/report.rs
@@ -1,7 +1,7 @@
 //! What a front knows of its fleet, as the door tells it.
 
 use lupinrack_fleet_membership::config::Section;
-use lupinrack_fleet_membership::{Counts, Told};
+use lupinrack_fleet_membership::{Counts, Status};
 use lupinrack_policy::{Micros, QuotaShares};
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
@@ -62,7 +62,7 @@
 
 impl Report {
     /// What is told, in words.
-    pub fn new(section: &Section, now: Micros, told: &Told<'_>, rights: &QuotaShares) -> Report {
+    pub fn new(section: &Section, now: Micros, told: &Status<'_>, rights: &QuotaShares) -> Report {
         let name = |i: u16| {
             section
                 .member
@@ -71,19 +71,19 @@
         };
         let members = told.members.iter().enumerate().map(|(i, m)| Line {
             name: name(i as u16),
-            state: m.state.word().into(),
+            state: m.state.as_str().into(),
             since_ms: (now - m.since) / 1000,
-            by: name(m.by),
-            life: m.life,
-            incarnation: m.inc,
-            in_view: told.view.members.has(i as u16),
+            by: name(m.reported_by),
+            life: m.process_incarnation,
+            incarnation: m.incarnation,
+            in_view: told.view.members.contains(i as u16),
         });
         Report {
             name: name(told.me),
-            life: told.life,
+            life: told.process_incarnation,
             at_us: now,
-            stance: told.stance.word().into(),
-            lease_left_ms: told.left.map(|l| l / 1000),
+            stance: told.participation.as_str().into(),
+            lease_left_ms: told.lease_remaining.map(|l| l / 1000),
             until_us: rights.valid_until,
             reserve: rights.reserve,
             part: if now < rights.valid_until {
@@ -125,10 +125,10 @@
             ("views", self.counts.views),
             ("datagrams_sent", self.counts.sent),
             ("bytes_sent", self.counts.bytes),
-            ("datagrams_taken", self.counts.taken),
-            ("datagrams_void", self.counts.void),
+            ("datagrams_taken", self.counts.accepted),
+            ("datagrams_void", self.counts.invalid),
             ("datagrams_stale", self.counts.stale),
-            ("datagrams_held_back", self.counts.held_back),
+            ("datagrams_held_back", self.counts.rate_limited),
         ] {
             let _ = writeln!(text, "lb_fleet_{name} {value}");
         }
--- a/crates/fleet-driver/tests/golden.rs
+++ b/crates/fleet-driver/tests/golden.rs
@@ -43,11 +43,11 @@
         counts: Counts {
             sent: 101,
             bytes: 102,
-            taken: 103,
-            void: 104,
+            accepted: 103,
+            invalid: 104,
             stale: 105,
-            held_back: 106,
-            carried: 107,
+            rate_limited: 106,
+            payloads_sent: 107,
             views: 108,
         },
     }
--- a/crates/fleet-membership/fuzz/fuzz_targets/datagram.rs
+++ b/crates/fleet-membership/fuzz/fuzz_targets/datagram.rs
@@ -1,4 +1,4 @@
-//! The datagram's reader, and a front that hears what it read.
+//! Decodes arbitrary datagrams, and has a front receive them.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
@@ -7,12 +7,12 @@
 use lupinrack_fleet_membership::{Front, Source};
 
 fuzz_target!(|data: &[u8]| {
-    // The sum is made right, so that the fuzzer gets past it.
+    // The checksum is made valid, so that the fuzzer gets past it.
     let mut bytes = data.to_vec();
-    bytes.extend(crc32fast_of(data));
-    for n in [1, 5, 1024] {
-        if let Ok(read) = Datagram::read(&bytes, n, &Keys::default()) {
-            assert!(read.write(n, &Keys::default()).len() <= LONGEST);
+    bytes.extend(crc32(data));
+    for front_count in [1, 5, 1024] {
+        if let Ok(decoded) = Datagram::decode(&bytes, front_count, &Keys::default()) {
+            assert!(decoded.encode(front_count, &Keys::default()).len() <= LONGEST);
         }
     }
     let address = |i: u16| std::net::SocketAddr::from(([127, 0, 0, 1], 1 + i));
@@ -20,14 +20,14 @@
     let section = Section { enabled: true, name: "n0".into(), member, ..Section::default() };
     let mut front = Front::new(&section, 0, 7, 1, 1_000_000_000);
     let mut out = Vec::new();
-    front.datagram(1_000_000_100, Source::Peer(1), &bytes, &mut out);
-    front.datagram(1_000_000_200, Source::Stranger, &bytes, &mut out);
+    front.receive(1_000_000_100, Source::Peer(1), &bytes, &mut out);
+    front.receive(1_000_000_200, Source::Unknown, &bytes, &mut out);
     front.tick(1_000_100_000, &mut out);
     assert!(out.len() < 64);
 });
 
-/// CRC-32 as the datagram has it.
-fn crc32fast_of(data: &[u8]) -> [u8; 4] {
+/// The CRC-32 that ends a datagram.
+fn crc32(data: &[u8]) -> [u8; 4] {
     let mut crc = !0u32;
     for byte in data {
         crc ^= u32::from(*byte);
--- a/crates/fleet-membership/src/config.rs
+++ b/crates/fleet-membership/src/config.rs
@@ -1,6 +1,6 @@
-//! The section `[fleet]` of the operators' file.
+//! The section `[fleet]` of the operators' configuration file.
 
-use crate::bits;
+use crate::front_set;
 use crate::wire::{Key, Keys};
 use lupinrack_policy::Micros;
 use schemars::JsonSchema;
@@ -84,8 +84,8 @@
     }
 }
 
-/// Reads a key.
-pub fn key(text: &str) -> Option<Key> {
+/// Parses a key of 64 hexadecimal digits.
+pub fn parse_key(text: &str) -> Option<Key> {
     if text.len() != 64 || !text.is_ascii() {
         return None;
     }
@@ -97,26 +97,26 @@
 }
 
 impl Section {
-    /// This front's index.
-    pub fn me(&self) -> Option<u16> {
+    /// The index of this front among the members.
+    pub fn own_index(&self) -> Option<u16> {
         self.member
             .iter()
             .position(|m| m.name == self.name)
             .map(|i| i as u16)
     }
 
-    /// The keys in force.
+    /// The keys that datagrams are authenticated with.
     pub fn keys(&self) -> Keys {
-        let mut keys = self.keys.iter().filter_map(|k| key(k));
+        let mut keys = self.keys.iter().filter_map(|k| parse_key(k));
         Keys {
             sign: keys.next(),
             also: keys.next(),
         }
     }
 
-    /// A hash of the names in their order and of the terms that safety rests on: fronts whose files differ in them don't count on each
-    /// other.
-    pub fn roster(&self) -> u32 {
+    /// A hash of the names in their order and of the settings that safety depends on. Fronts with different hashes ignore each
+    /// other's datagrams.
+    pub fn roster_hash(&self) -> u32 {
         let mut hash = crc32fast::Hasher::new();
         for m in &self.member {
             hash.update(m.name.as_bytes());
@@ -128,14 +128,14 @@
         hash.finalize()
     }
 
-    /// How long after its last word a front is held for dead, at the most, while this one is well.
-    pub fn detection_ms(&self) -> u64 {
-        let round = self.member.len().saturating_sub(1).min(8) as u64;
-        let size = (self.member.len() as f64 + 1.0).log10().max(1.0);
-        u64::from(self.period_ms) * (round + 1) + (3.0 * f64::from(self.suspicion_ms) * size) as u64
+    /// The longest time from a front's last datagram until this front declares it dead, while this front itself is healthy.
+    pub fn max_detection_ms(&self) -> u64 {
+        let others = self.member.len().saturating_sub(1).min(8) as u64;
+        let size_factor = (self.member.len() as f64 + 1.0).log10().max(1.0);
+        u64::from(self.period_ms) * (others + 1) + (3.0 * f64::from(self.suspicion_ms) * size_factor) as u64
     }
 
-    /// All that a schema cannot say, each with its path below the section.
+    /// What is invalid in ways that a JSON Schema cannot express, each with its path below the section.
     pub fn faults(&self) -> Vec<(String, String)> {
         let mut faults = Vec::new();
         let mut fault = |path: &str, why: String| faults.push((path.to_string(), why));
@@ -143,12 +143,12 @@
             return faults;
         }
         if self.member.len() < 2 {
-            fault("member", "a fleet is two fronts or more".into());
+            fault("member", "a fleet has at least two fronts".into());
         }
-        if self.member.len() > bits::MOST {
-            fault("member", format!("at most {} fronts", bits::MOST));
+        if self.member.len() > front_set::MAX_FRONTS {
+            fault("member", format!("at most {} fronts", front_set::MAX_FRONTS));
         }
-        if self.me().is_none() {
+        if self.own_index().is_none() {
             fault("name", format!("'{}' is not among the members", self.name));
         }
         let (mut names, mut addresses) = (HashSet::new(), HashSet::new());
@@ -158,21 +158,21 @@
             }
             if !names.insert(&m.name) {
                 let why = format!(
-                    "'{}' stands twice: neither would be known from the other",
+                    "'{}' stands twice: the two fronts could not be told apart",
                     m.name
                 );
                 fault(&format!("member[{i}].name"), why);
             }
             if !addresses.insert(m.address) {
                 let why = format!(
-                    "{} stands twice: what comes from there has no one sender",
+                    "{} stands twice: the sender of its datagrams would be ambiguous",
                     m.address
                 );
                 fault(&format!("member[{i}].address"), why);
             }
         }
         for (i, k) in self.keys.iter().enumerate() {
-            if key(k).is_none() {
+            if parse_key(k).is_none() {
                 fault(
                     &format!("keys[{i}]"),
                     "a key is 64 hexadecimal digits".into(),
@@ -182,47 +182,47 @@
         if self.keys.len() == 2 && self.keys[0] == self.keys[1] {
             fault(
                 "keys[1]",
-                "the same key as the first: a change of keys would change nothing".into(),
+                "the same key as the first: replacing one by the other would have no effect".into(),
             );
         }
         if self.patience_ms >= self.period_ms {
             fault(
                 "patience_ms",
-                "must be less than period_ms: no helper would be asked".into(),
+                "must be less than period_ms, or no ping requests are sent".into(),
             );
         }
         if u64::from(self.lease_ms) < 2 * u64::from(self.period_ms) {
-            let why = "shorter than two periods: it would end between two renewals, and every front would fall to its \
+            let why = "shorter than two periods: it would expire between two renewals, and every front would fall back to its \
                        reserve again and again";
             fault("lease_ms", why.into());
         }
         faults
     }
 
-    /// What is no fault, but is better known.
-    pub fn remarks(&self) -> Vec<(String, String)> {
-        let mut remarks = Vec::new();
-        let mut remark = |path: &str, why: String| remarks.push((path.to_string(), why));
+    /// What is valid but has a drawback, each with its path below the section.
+    pub fn warnings(&self) -> Vec<(String, String)> {
+        let mut warnings = Vec::new();
+        let mut warn = |path: &str, why: String| warnings.push((path.to_string(), why));
         if self.enabled && self.member.len().is_multiple_of(2) {
             let n = self.member.len();
             let why = format!(
                 "{n} is even: in a split into {0} and {0} neither half is a majority, and both fall to the reserve",
                 n / 2
             );
-            remark("member", why);
+            warn("member", why);
         }
-        if self.enabled && u64::from(self.lease_ms) < self.detection_ms() {
+        if self.enabled && u64::from(self.lease_ms) < self.max_detection_ms() {
             let why = format!(
                 "shorter than the detection of a death ({} ms at the most): when the leader dies, every front falls to its \
                  reserve until the next one leads",
-                self.detection_ms()
+                self.max_detection_ms()
             );
-            remark("lease_ms", why);
+            warn("lease_ms", why);
         }
-        remarks
+        warnings
     }
 
-    /// What is wrong between the files of one fleet, each with the place of its file and the path below the section.
+    /// Contradictions between the files of one fleet, each with the index of its file and the path below the section.
     pub fn across(files: &[&Section]) -> Vec<(usize, String, String)> {
         let mut faults = Vec::new();
         let Some((first, rest)) = files.split_first() else {
@@ -232,8 +232,8 @@
         for (i, other) in rest.iter().enumerate().map(|(i, s)| (i + 1, s)) {
             let mut fault = |path: &str, why: String| faults.push((i, path.to_string(), why));
             if names(other) != names(first) {
-                let why = "not the members of the first file, in its order: fronts with such files don't count on each other, and \
-                           no front of the smaller side ever gets more than its reserve";
+                let why = "not the members of the first file in its order: such fronts ignore each other, and no front of the \
+                           smaller side ever gets more than its reserve";
                 fault("member", why.into());
             }
             for (path, own, theirs) in [
@@ -257,18 +257,18 @@
                 }
             }
             let (own, theirs) = (other.keys(), first.keys());
-            let valid = |k: &Keys| [k.sign, k.also];
-            let understood = match (own.sign, theirs.sign) {
+            let accepted = |k: &Keys| [k.sign, k.also];
+            let compatible = match (own.sign, theirs.sign) {
                 (None, None) => true,
                 (Some(a), Some(b)) => {
-                    valid(&theirs).contains(&Some(a)) && valid(&own).contains(&Some(b))
+                    accepted(&theirs).contains(&Some(a)) && accepted(&own).contains(&Some(b))
                 }
                 _ => false,
             };
-            if !understood {
+            if !compatible {
                 fault(
                     "keys",
-                    "what one signs the other does not take: they never hear each other".into(),
+                    "one of the two files does not accept the key that the other signs with: such fronts ignore each other".into(),
                 );
             }
         }
@@ -284,8 +284,8 @@
         faults
     }
 
-    /// Microseconds of a setting in milliseconds.
-    pub fn span(ms: u32) -> Micros {
+    /// A setting in milliseconds as microseconds.
+    pub fn micros(ms: u32) -> Micros {
         Micros::from(ms) * 1000
     }
 }
--- a/crates/fleet-membership/src/front.rs
+++ b/crates/fleet-membership/src/front.rs
@@ -1,14 +1,18 @@
-//! One front among the others: datagrams and moments in, datagrams, rights and events out.
+//! One front of the fleet: datagrams and the time come in; datagrams, quota shares and events come out.
+//!
+//! [`Front`] ties the failure detector ([`Swim`]), the agreement on views ([`Agreement`]), the lease on the current view
+//! ([`Lease`]) and the evidence on served volumes ([`ServedVolumes`]) together. All of them share one kind of datagram: pings,
+//! acknowledgements and pushes piggyback what the sender knows of views and members.
 
-use crate::agree::{Agree, Ballot, Number, Step, Times, View};
-use crate::bits::Bits;
+use crate::agreement::{Agreement, Effect, ProposalNumber, Timing, View, ViewNumber};
 use crate::config::Section;
-use crate::lease::{Lease, Right};
-use crate::part::{factor, Share};
-use crate::serving::Serving;
-use crate::stance::{decide, May, Seen, Stance};
-use crate::swim::{Change, Member, Out, Pace, State, Swim};
-use crate::wire::{self, Body, Datagram, Keys, Void, Window, VOLUMES_MOST};
+use crate::front_set::FrontSet;
+use crate::lease::{Lease, LeaseGrant};
+use crate::participation::{decide, Allowance, Observations, Participation};
+use crate::served_volumes::ServedVolumes;
+use crate::share::{share_factor, Share};
+use crate::swim::{Change, Member, MemberState, Outgoing, ProbeTiming, Swim};
+use crate::wire::{self, Body, Datagram, Keys, Void, Window, MAX_VOLUMES};
 use lupinrack_peer_transport::budget::Budget;
 use lupinrack_peer_transport::frame::{self, Head, Tag};
 use lupinrack_policy::{Micros, QuotaShares, VolumeId};
@@ -16,437 +20,493 @@
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Looks whose moment is remembered.
-const LOOKS_MOST: usize = 64;
-/// Fronts that are told something new at once.
-const FAN: usize = 16;
-/// Fronts that join or leave within this time, among ten, come into one view; in step with the common logarithm of more.
-const CALM: Micros = 250_000;
-/// But a view waits no longer than this.
-const CALM_MOST: Micros = 1_000_000;
-/// A name that another life was seen under counts as contested for this long.
-const CONTESTED: Micros = 10_000_000;
-/// The wait between two hellos to one front.
-const HELLO: Micros = 500_000;
-/// Volumes are shared out in fleets of at most this many fronts: each has to answer to each of what it serves.
-const SHARING_MOST: usize = 64;
-/// The wait until one front is told again what it did not answer to.
-const TELL: Micros = 200_000;
-/// How often what is old is forgotten.
-const FORGET: Micros = 1_000_000;
-/// Strangers are answered this often at the most.
-const STRANGER: Micros = 250_000;
-/// Only a front whose looks were answered within this many periods stands for leader.
-const HEARD: Micros = 4;
-/// News on fronts in one datagram, as far as they fit.
-const NEWS_MOST: usize = 11;
-/// With news on more fronts than this to tell, a datagram goes out each step.
-const BACKLOG: usize = 16;
-/// Something new is told on for this many steps beside the logarithm of the fleet.
-const HOT: u32 = 2;
+/// Pings whose send time is kept until their acknowledgement arrives.
+const MAX_PENDING_PINGS: usize = 64;
+/// How many fronts receive an urgent change directly. A fleet of at most this many fronts needs no further gossip.
+const DIRECT_FANOUT: usize = 16;
+/// A view is issued once nobody joined or left for this long, in a fleet of ten; longer by the common logarithm of its size.
+const VIEW_STABILITY_WAIT: Micros = 250_000;
+/// A view is issued after this long even if members keep changing; scaled like [`VIEW_STABILITY_WAIT`].
+const MAX_VIEW_DELAY: Micros = 1_000_000;
+/// How long a name counts as contested after another process was last seen to use it.
+const NAME_CONTESTED_FOR: Micros = 10_000_000;
+/// The least time between two hellos to one front.
+const HELLO_INTERVAL: Micros = 500_000;
+/// Above this many fronts volumes are not redistributed, because every front must acknowledge what every other one serves.
+const MAX_FRONTS_SHARING_VOLUMES: usize = 64;
+/// Unacknowledged served volumes are sent to the same front again after this long.
+const SERVED_VOLUMES_RETRY: Micros = 200_000;
+/// How often outdated evidence on served volumes is removed.
+const EVIDENCE_EXPIRY_INTERVAL: Micros = 1_000_000;
+/// The least time between two answers to unknown senders.
+const UNKNOWN_SENDER_INTERVAL: Micros = 250_000;
+/// A front proposes itself as leader only if one of its pings was acknowledged within this many protocol periods.
+const MAX_PERIODS_WITHOUT_ACK: Micros = 4;
+/// Member updates in one datagram, as far as they fit.
+const MAX_UPDATES: usize = 11;
+/// With updates about more members than this pending, one extra push goes out in each tick.
+const MAX_PENDING_UPDATES: usize = 16;
+/// Ticks with an extra push after a change, added to the binary logarithm of the fleet's size.
+const EXTRA_GOSSIP_TICKS: u32 = 2;
 
 /// Where a datagram came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The address of a member.
     Peer(u16),
-    /// Any other.
-    Stranger,
+    /// Any other address.
+    Unknown,
 }
 
-/// What a step brings.
+/// What a call asks the driver to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// To a member.
+    /// Send a datagram to a member.
     Send(u16, Vec<u8>),
-    /// Back to where the datagram came from.
+    /// Send a datagram back to the source of the one just received.
     Answer(Vec<u8>),
-    /// A member's machine says this to the same machine here. Its life is the one that is held now.
-    Carried(u16, Tag, Vec<u8>),
-    /// Another life of a member is heard, or the first: what was underway between the two has ended.
-    Reborn(u16),
-    /// Something that operators are told of.
+    /// Deliver a member's payload to the local protocol with this tag. The sender's process incarnation is the current one.
+    Deliver(u16, Tag, Vec<u8>),
+    /// A member was heard under a new process incarnation, or for the first time. Exchanges with the previous one have ended.
+    Restarted(u16),
+    /// Report an event to the operators.
     Event(Event),
 }
 
-/// What operators are told of, each with its cause.
+/// What is reported to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A front is held for something else.
+    /// The state or process incarnation of a member changed.
     Member(Change),
-    /// Another view is accepted.
+    /// A new view was accepted.
     View(View),
-    /// It stands differently towards the fleet.
-    Stance(Stance, Stance),
-    /// It begins to lead, or gives it up.
+    /// The participation changed from the first to the second.
+    Participation(Participation, Participation),
+    /// This front began to lead (true) or stopped (false).
     Leads(bool),
-    /// It did not run for this long.
+    /// The process did not run for this long.
     Paused(Micros),
-    /// A name is used by a life at an address that is not its own.
-    Twin(u16, u64),
-    /// A front whose list of members, or whose terms, differ.
-    Roster(u16),
-    /// Others know a later life of this name: this one must begin anew above it.
-    Outlived(u64),
+    /// A process with this incarnation uses the name of this front from another address.
+    DuplicateName(u16, u64),
+    /// The member list, lease, drift or reserve of this front differ from the own ones.
+    RosterMismatch(u16),
+    /// Others know this name under the given, newer process incarnation. The driver has to restart with a higher one.
+    Superseded(u64),
 }
 
-/// What was counted, where it happened.
+/// Counters since the start of this process incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Datagrams sent.
     pub sent: u64,
     /// Bytes sent.
     pub bytes: u64,
-    /// Datagrams taken.
-    pub taken: u64,
-    /// Datagrams that were spoilt, or had no right sum.
-    pub void: u64,
-    /// Old or doubled ones, and those for an earlier life.
+    /// Datagrams accepted.
+    #[serde(rename = "taken")]
+    pub accepted: u64,
+    /// Datagrams that were malformed, failed authentication or came from another roster.
+    #[serde(rename = "void")]
+    pub invalid: u64,
+    /// Datagrams that were duplicates, too old, or meant for an earlier process incarnation.
     pub stale: u64,
-    /// Those kept back by the bound on datagrams a second.
-    pub held_back: u64,
-    /// Datagrams of other machines sent, those of streams too; counted in `sent` as well.
-    #[serde(default)]
-    pub carried: u64,
+    /// Datagrams that were not sent because of the limit on datagrams per second.
+    #[serde(rename = "held_back")]
+    pub rate_limited: u64,
+    /// Datagrams sent for other protocols, streams included; `sent` counts them too.
+    #[serde(default, rename = "carried")]
+    pub payloads_sent: u64,
     /// Views accepted.
     pub views: u64,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Peer {
-    /// The life that its datagrams were taken from.
-    life: u64,
-    window: Window,
-    /// The view it told last.
-    number: Number,
-    hello: Option<Micros>,
+    /// The process incarnation that its datagrams were accepted from.
+    process_incarnation: u64,
+    replay_window: Window,
+    /// The view that it last reported.
+    view_number: ViewNumber,
+    hello_sent_at: Option<Micros>,
     contested_until: Micros,
-    roster_told: bool,
-    /// When it was told last of what is served here.
-    told: Option<Micros>,
+    roster_mismatch_reported: bool,
+    /// When served volumes were last sent to it, until it acknowledges them.
+    served_volumes_sent_at: Option<Micros>,
 }
 
-/// Factors by volume, and what they follow from: the evidence, who is absent, and who is present.
-type Factors = ((u64, Bits, Bits), BTreeMap<VolumeId, f64>);
+/// Factors by volume, and what they were computed from: the version of the evidence, and the absent and the present fronts.
+type CachedFactors = ((u64, FrontSet, FrontSet), BTreeMap<VolumeId, f64>);
 
-/// One life of one front.
+/// One process incarnation of one front.
 pub struct Front {
     me: u16,
-    life: u64,
-    n: usize,
-    roster: u32,
+    process_incarnation: u64,
+    front_count: usize,
+    roster_hash: u32,
     keys: Keys,
-    times: Times,
+    timing: Timing,
     reserve: f64,
-    step: Micros,
-    period: Micros,
+    tick_interval: Micros,
+    protocol_period: Micros,
     budget: Budget,
     peers: Vec<Peer>,
     swim: Swim,
-    agree: Agree,
+    agreement: Agreement,
     lease: Lease,
-    serving: Serving,
-    dice: fastrand::Rng,
-    seq: u32,
-    looks: VecDeque<(u16, u32, Micros)>,
-    nonce: u32,
-    born: Micros,
-    last: Micros,
+    served_volumes: ServedVolumes,
+    rng: fastrand::Rng,
+    sequence: u32,
+    /// Pings without acknowledgement: to whom, nonce, and when they were sent.
+    pending_pings: VecDeque<(u16, u32, Micros)>,
+    /// The nonce of the last ping for the lease. The highest bit keeps it apart from the nonces of [`Swim`].
+    lease_ping_nonce: u32,
+    started_at: Micros,
+    last_tick_at: Micros,
+    /// Whether another front addressed this process incarnation.
     acknowledged: bool,
     contested_until: Micros,
     paused: bool,
     leaving: bool,
-    stance: Stance,
-    /// Since when the present members are what they are, and since when they differ from the view.
-    present: (Bits, Micros),
-    differs: Option<Micros>,
-    leaderless: Option<Micros>,
+    participation: Participation,
+    /// The members that are present, and since when this set is unchanged.
+    present: (FrontSet, Micros),
+    /// Since when the present members differ from the view.
+    differs_since: Option<Micros>,
+    /// Since when this front could propose itself as leader.
+    leaderless_since: Option<Micros>,
+    /// When the highest promised proposal changed.
     promised_at: Micros,
-    /// A ballot whose leader said that it leads no longer.
-    given_up: Ballot,
-    /// When a look of this front was answered last.
-    answered_at: Micros,
-    ask_at: Micros,
-    forget_at: Micros,
-    tell_to: u16,
-    /// Factors, and what they were worked out from.
-    factors: RefCell<Option<Factors>>,
-    stranger_at: Micros,
-    hot: u32,
-    /// Datagrams, every other of which is to carry a view that is new here.
-    view_hot: u32,
+    /// The highest proposal whose proposer reported that it no longer leads.
+    abandoned_proposal: ProposalNumber,
+    /// When a ping of this front was last acknowledged.
+    last_ack_at: Micros,
+    next_lease_ping_at: Micros,
+    next_expiry_at: Micros,
+    /// The front that served volumes were last sent to; the next round-robin turn starts behind it.
+    served_volumes_cursor: u16,
+    cached_factors: RefCell<Option<CachedFactors>>,
+    unknown_sender_answered_at: Micros,
+    gossip_ticks_left: u32,
+    /// Datagrams for which a new view is gossiped; every other one of them carries the view itself.
+    view_gossip_left: u32,
     counts: Counts,
 }
 
-/// What a front knows, for whoever asks.
+/// A snapshot of what a front knows.
 #[derive(Clone, Debug)]
-pub struct Told<'a> {
-    /// Its index.
+pub struct Status<'a> {
+    /// The index of this front.
     pub me: u16,
-    /// Its life.
-    pub life: u64,
-    /// How it stands.
-    pub stance: Stance,
-    /// What it may use.
-    pub may: May,
-    /// What is left of its lease.
-    pub left: Option<Micros>,
+    /// The process incarnation of this front.
+    pub process_incarnation: u64,
+    /// How this front takes part in the fleet.
+    pub participation: Participation,
+    /// What this front may use.
+    pub allowance: Allowance,
+    /// How much of the lease remains.
+    pub lease_remaining: Option<Micros>,
     /// The view accepted last.
     pub view: &'a View,
-    /// Whether it leads.
+    /// Whether this front leads.
     pub leads: bool,
-    /// What it holds of each.
+    /// What is known of each front.
     pub members: &'a [Member],
-    /// Volumes that it serves.
+    /// The number of volumes that this front serves.
     pub volumes: usize,
-    /// Local health; 0 is well.
+    /// The local health score of Lifeguard; 0 is healthy.
     pub health: u32,
-    /// What was counted.
+    /// The counters.
     pub counts: Counts,
 }
 
 impl Front {
-    /// A life that begins now. `life` must be above that of every earlier one of this name, `seed` new.
-    pub fn new(section: &Section, me: u16, life: u64, seed: u64, now: Micros) -> Front {
-        let n = section.member.len();
-        let lease = Section::span(section.lease_ms);
+    /// A front that starts at `now`. `process_incarnation` must be above every earlier one of this name; `seed` must be new.
+    pub fn new(
+        section: &Section,
+        me: u16,
+        process_incarnation: u64,
+        seed: u64,
+        now: Micros,
+    ) -> Front {
+        let front_count = section.member.len();
+        let lease = Section::micros(section.lease_ms);
         let drift = i64::from(section.drift_ppm);
-        let lapse = lease + lease * 4 * drift / 1_000_000 + 1;
-        // What an earlier life said is used or dropped twice over by then, and the leases that rest on it have ended.
-        let drop = lease / 2;
-        let times = Times {
+        let lease_expiry_bound = lease + lease * 4 * drift / 1_000_000 + 1;
+        // A promise of an earlier process incarnation is used or given up within twice this time, and the leases that rest
+        // on it have ended.
+        let give_up_after = lease / 2;
+        let timing = Timing {
             lease,
-            lapse,
-            drop,
-            quiet: lapse + 2 * drop,
-            renew: lease / 4,
+            lease_expiry_bound,
+            give_up_after,
+            quiet_period: lease_expiry_bound + 2 * give_up_after,
+            renewal_interval: lease / 4,
         };
-        let period = Section::span(section.period_ms);
-        let pace = Pace {
-            period,
-            patience: Section::span(section.patience_ms),
-            suspicion: Section::span(section.suspicion_ms),
+        let protocol_period = Section::micros(section.period_ms);
+        let probe_timing = ProbeTiming {
+            period: protocol_period,
+            ping_timeout: Section::micros(section.patience_ms),
+            min_suspicion: Section::micros(section.suspicion_ms),
         };
-        let mut dice = fastrand::Rng::with_seed(seed);
-        let swim = Swim::new(me, life, n, pace, dice.u64(..), now);
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let swim = Swim::new(
+            me,
+            process_incarnation,
+            front_count,
+            probe_timing,
+            rng.u64(..),
+            now,
+        );
         Front {
             me,
-            life,
-            n,
-            roster: section.roster(),
+            process_incarnation,
+            front_count,
+            roster_hash: section.roster_hash(),
             keys: section.keys(),
-            times,
+            timing,
             reserve: section.reserve.clamp(0.0, 1.0),
-            step: (period / 8).max(5_000),
-            period,
+            tick_interval: (protocol_period / 8).max(5_000),
+            protocol_period,
             budget: Budget::new(now, f64::from(section.datagrams_per_s)),
-            peers: vec![Peer::default(); n],
+            peers: vec![Peer::default(); front_count],
             swim,
-            agree: Agree::new(me, life, n, times, now),
-            lease: Lease::new(me, n, times),
-            serving: Serving::new(section.most_volumes as usize),
-            dice,
-            seq: 0,
-            looks: VecDeque::new(),
-            nonce: 1 << 31,
-            born: now,
-            last: now,
+            agreement: Agreement::new(me, process_incarnation, front_count, timing, now),
+            lease: Lease::new(me, front_count, timing),
+            served_volumes: ServedVolumes::new(section.most_volumes as usize),
+            rng,
+            sequence: 0,
+            pending_pings: VecDeque::new(),
+            lease_ping_nonce: 1 << 31,
+            started_at: now,
+            last_tick_at: now,
             acknowledged: false,
             contested_until: 0,
             paused: false,
             leaving: false,
-            stance: Stance::Starting,
-            present: (Bits::default(), now),
-            differs: None,
-            leaderless: None,
+            participation: Participation::Starting,
+            present: (FrontSet::default(), now),
+            differs_since: None,
+            leaderless_since: None,
             promised_at: now,
-            given_up: Ballot::default(),
-            answered_at: now,
-            ask_at: now,
-            forget_at: now,
-            tell_to: me,
-            factors: RefCell::new(None),
-            stranger_at: 0,
-            hot: 0,
-            view_hot: 0,
+            abandoned_proposal: ProposalNumber::default(),
+            last_ack_at: now,
+            next_lease_ping_at: now,
+            next_expiry_at: now,
+            served_volumes_cursor: me,
+            cached_factors: RefCell::new(None),
+            unknown_sender_answered_at: 0,
+            gossip_ticks_left: 0,
+            view_gossip_left: 0,
             counts: Counts::default(),
         }
     }
 
-    /// How often [`Front::tick`] is to be called.
-    pub fn step(&self) -> Micros {
-        self.step
+    /// How often [`Front::tick`] has to be called.
+    pub fn tick_interval(&self) -> Micros {
+        self.tick_interval
     }
 
-    /// This front served a volume that works through this many fronts.
-    pub fn serves(&mut self, now: Micros, volume: VolumeId, hosts: f64) {
-        self.serving.own(now, volume.0, hosts);
+    /// Records that this front served a volume whose requests are spread over `hosts` fronts.
+    pub fn record_served(&mut self, now: Micros, volume: VolumeId, hosts: f64) {
+        self.served_volumes.record_own(now, volume.0, hosts);
     }
 
-    /// It is told to end: others need not find out.
+    /// Begins to leave the fleet: announces it, so that the others need not detect it, and no longer renews the lease.
     pub fn leave(&mut self, now: Micros, out: &mut Vec<Output>) {
         if std::mem::replace(&mut self.leaving, true) {
             return;
         }
         self.swim.leave(now);
-        for to in self.some(FAN) {
+        for to in self.random_present(DIRECT_FANOUT) {
             self.push(now, to, out);
         }
-        self.restate(now, out);
+        self.report_participation(now, out);
     }
 
-    /// Others that are there, at random.
-    fn some(&mut self, most: usize) -> Vec<u16> {
-        self.swim.some(most)
+    /// At most `max_count` other fronts that are present, chosen at random.
+    fn random_present(&mut self, max_count: usize) -> Vec<u16> {
+        self.swim.random_present(max_count)
     }
 
-    /// What it may use now of whatever all fronts of the roster share.
+    /// The share of this front in limits that all fronts of the roster share.
+    ///
+    /// With a lease on a view that lists this front, the fronts that are surely absent leave it their shares, except for
+    /// their reserves. Otherwise it has its reserve, or nothing where not even that is safe.
     pub fn share(&self, now: Micros) -> Share {
-        let (_, may) = self.stand(now);
-        let right = self.lease.right(now);
-        let reserve = if may == May::Nothing {
+        let (_, allowance) = self.decide_participation(now);
+        let grant = self.lease.grant(now);
+        let reserve = if allowance == Allowance::Nothing {
             0.0
         } else {
             self.reserve
         };
-        match may {
-            May::View => {
-                let held = factor(self.n as f64, right.absent.len() as f64, self.reserve);
+        match allowance {
+            Allowance::View => {
+                let leased = share_factor(
+                    self.front_count as f64,
+                    grant.absent.len() as f64,
+                    self.reserve,
+                );
                 Share {
-                    until: right.until,
-                    held,
+                    valid_until: grant.valid_until,
+                    leased,
                     reserve,
                 }
             }
             _ => Share {
-                until: now,
-                held: reserve,
+                valid_until: now,
+                leased: reserve,
                 reserve,
             },
         }
     }
 
-    /// The same for the module, with what is shared among the fronts of one volume.
-    pub fn rights(&self, now: Micros) -> QuotaShares {
-        let (share, right) = (self.share(now), self.lease.right(now));
-        let whole = share.until > now;
-        // Where some are missing, a volume that not all others know of is left at the reserve.
-        let shared = whole && right.partial && self.n <= SHARING_MOST;
-        let factors = if shared {
-            self.factors(&right)
+    /// The shares of this front as the policy takes them: [`Front::share`], and for each volume what the fronts that serve it
+    /// share among themselves.
+    pub fn quota_shares(&self, now: Micros) -> QuotaShares {
+        let (share, grant) = (self.share(now), self.lease.grant(now));
+        let has_lease = share.valid_until > now;
+        // While fronts are missing from a view, a volume stays at the reserve until all others know that this front serves it.
+        let per_volume = has_lease
+            && grant.some_view_partial
+            && self.front_count <= MAX_FRONTS_SHARING_VOLUMES;
+        let volume_factors = if per_volume {
+            self.volume_factors(&grant)
         } else {
             BTreeMap::new()
         };
         QuotaShares {
-            valid_until: share.until,
+            valid_until: share.valid_until,
             reserve: share.reserve,
-            slow_start: share.held,
-            volume_factors: factors,
-            default_volume_factor: if shared { self.reserve } else { 1.0 },
+            slow_start: share.leased,
+            volume_factors,
+            default_volume_factor: if per_volume { self.reserve } else { 1.0 },
         }
     }
 
-    fn factors(&self, right: &Right) -> BTreeMap<VolumeId, f64> {
-        let mut present = Bits::first(self.n).without(&right.absent);
+    /// The factors by volume under this grant; computed again only if the evidence or the grant changed.
+    fn volume_factors(&self, grant: &LeaseGrant) -> BTreeMap<VolumeId, f64> {
+        let mut present = FrontSet::first_n(self.front_count).difference(&grant.absent);
         present.remove(self.me);
-        let from = (self.serving.version(), right.absent, present);
-        let mut kept = self.factors.borrow_mut();
-        if let Some((_, factors)) = kept.as_ref().filter(|(of, _)| *of == from) {
+        let inputs = (self.served_volumes.version(), grant.absent, present);
+        let mut cached = self.cached_factors.borrow_mut();
+        if let Some((_, factors)) = cached.as_ref().filter(|(of, _)| *of == inputs) {
             return factors.clone();
         }
-        let factors = self.serving.factors(&right.absent, &present, self.reserve);
-        let factors: BTreeMap<_, _> = factors.into_iter().map(|(v, f)| (VolumeId(v), f)).collect();
-        *kept = Some((from, factors.clone()));
+        let factors = self
+            .served_volumes
+            .factors(&grant.absent, &present, self.reserve);
+        let factors: BTreeMap<_, _> = factors
+            .into_iter()
+            .map(|(volume, factor)| (VolumeId(volume), factor))
+            .collect();
+        *cached = Some((inputs, factors.clone()));
         factors
     }
 
-    /// What it knows.
-    pub fn told(&self, now: Micros) -> Told<'_> {
-        let (stance, may) = self.stand(now);
-        Told {
+    /// What this front knows now.
+    pub fn status(&self, now: Micros) -> Status<'_> {
+        let (participation, allowance) = self.decide_participation(now);
+        Status {
             me: self.me,
-            life: self.life,
-            stance,
-            may,
-            left: self.lease.left(now),
-            view: self.agree.view(),
-            leads: self.agree.leads(),
+            process_incarnation: self.process_incarnation,
+            participation,
+            allowance,
+            lease_remaining: self.lease.remaining(now),
+            view: self.agreement.view(),
+            leads: self.agreement.leads(),
             members: self.swim.members(),
-            volumes: self.serving.count(),
+            volumes: self.served_volumes.own_count(),
             health: self.swim.health(),
             counts: self.counts,
         }
     }
 
-    fn stand(&self, now: Micros) -> (Stance, May) {
-        decide(&Seen {
+    fn decide_participation(&self, now: Micros) -> (Participation, Allowance) {
+        decide(&Observations {
             acknowledged: self.acknowledged,
-            waited: now - self.born >= self.times.quiet,
-            others: self.swim.present().len().saturating_sub(1),
-            right: self.lease.right(now),
-            held: self.lease.left(now).is_some(),
-            settled: self.lease.settled(now),
+            quiet_period_over: now - self.started_at >= self.timing.quiet_period,
+            others_present: self.swim.present().len().saturating_sub(1),
+            grant: self.lease.grant(now),
+            lease_held: self.lease.remaining(now).is_some(),
+            earlier_leases_expired: self.lease.earlier_leases_expired(now),
             paused: self.paused,
             leaving: self.leaving,
-            contested: now < self.contested_until,
+            name_contested: now < self.contested_until,
         })
     }
 
-    fn restate(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let (stance, _) = self.stand(now);
-        if stance != self.stance {
-            out.push(Output::Event(Event::Stance(self.stance, stance)));
-            self.stance = stance;
+    /// Reports the participation if it changed since the last report.
+    fn report_participation(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let (participation, _) = self.decide_participation(now);
+        if participation != self.participation {
+            out.push(Output::Event(Event::Participation(
+                self.participation,
+                participation,
+            )));
+            self.participation = participation;
         }
     }
 
     // ---- sending ---------------------------------------------------------------------------------------
 
     fn send(&mut self, now: Micros, to: u16, body: Body, out: &mut Vec<Output>) {
-        let Some(bytes) = self.worded(now, self.life_of(to), body) else {
+        let Some(bytes) = self.encode(now, self.process_incarnation_of(to), body) else {
             return;
         };
         out.push(Output::Send(to, bytes));
     }
 
-    fn worded(&mut self, now: Micros, to_life: u64, body: Body) -> Option<Vec<u8>> {
+    /// Encodes the next datagram of this front; none if the budget of datagrams per second is used up.
+    fn encode(
+        &mut self,
+        now: Micros,
+        to_process_incarnation: u64,
+        body: Body,
+    ) -> Option<Vec<u8>> {
         if !self.budget.draw(now, Tag::MEMBERSHIP, 0) {
-            self.counts.held_back += 1;
+            self.counts.rate_limited += 1;
             return None;
         }
-        self.seq = self.seq.wrapping_add(1);
+        self.sequence = self.sequence.wrapping_add(1);
         let datagram = Datagram {
-            roster: self.roster,
+            roster_hash: self.roster_hash,
             from: self.me,
-            seq: self.seq,
-            life: self.life,
-            to_life,
-            inc: self.swim.inc(),
+            sequence: self.sequence,
+            process_incarnation: self.process_incarnation,
+            to_process_incarnation,
+            incarnation: self.swim.incarnation(),
             body,
         };
-        let bytes = datagram.write(self.n, &self.keys);
+        let bytes = datagram.encode(self.front_count, &self.keys);
         self.counts.sent += 1;
         self.counts.bytes += bytes.len() as u64;
         Some(bytes)
     }
 
-    /// Whether another machine may say so much to a member now: it is met, and there is room in the machine's budget, of which this is
-    /// drawn. A member that is met is one whose life is known, not one that is there.
-    pub fn may_carry(&mut self, now: Micros, to: u16, tag: Tag, bytes: usize) -> bool {
-        let known = to != self.me && self.met(to) && bytes <= frame::room(&self.keys);
-        let may = known
+    /// Whether another protocol may send a payload of this size to a member now; if so, it is charged to that protocol's budget.
+    ///
+    /// The member's process incarnation has to be known; the member need not be present.
+    pub fn may_send_payload(&mut self, now: Micros, to: u16, tag: Tag, bytes: usize) -> bool {
+        let sendable =
+            to != self.me && self.knows_incarnation_of(to) && bytes <= frame::room(&self.keys);
+        let allowed = sendable
             && self
                 .budget
                 .draw(now, tag, frame::LONGEST - frame::room(&self.keys) + bytes);
-        self.counts.held_back += u64::from(known && !may);
-        may
+        self.counts.rate_limited += u64::from(sendable && !allowed);
+        allowed
     }
 
-    /// Says what [`Front::may_carry`] allowed.
-    pub fn carry_to(&mut self, to: u16, tag: Tag, said: &[u8], out: &mut Vec<Output>) {
-        self.seq = self.seq.wrapping_add(1);
-        let (roster, from, seq, life, to_life) =
-            (self.roster, self.me, self.seq, self.life, self.life_of(to));
+    /// Sends a payload that [`Front::may_send_payload`] allowed.
+    pub fn send_payload(&mut self, to: u16, tag: Tag, payload: &[u8], out: &mut Vec<Output>) {
+        self.sequence = self.sequence.wrapping_add(1);
+        let (roster, from, seq, life, to_life) = (
+            self.roster_hash,
+            self.me,
+            self.sequence,
+            self.process_incarnation,
+            self.process_incarnation_of(to),
+        );
         let bytes = frame::seal(
             &Head {
                 tag,
@@ -456,502 +516,602 @@
                 life,
                 to_life,
             },
-            said,
+            payload,
             &self.keys,
         );
         self.counts.sent += 1;
-        self.counts.carried += 1;
+        self.counts.payloads_sent += 1;
         self.counts.bytes += bytes.len() as u64;
         out.push(Output::Send(to, bytes));
     }
 
-    /// How many bytes a machine may say in one datagram.
-    pub fn room(&self) -> usize {
+    /// The most bytes of a payload in one datagram.
+    pub fn max_payload_bytes(&self) -> usize {
         frame::room(&self.keys)
     }
 
-    /// A front's life, first-hand or as others told; 0: not known, and nothing but a hello is said to it.
-    fn life_of(&self, of: u16) -> u64 {
-        let at = usize::from(of);
-        let told = self.swim.members().get(at).map_or(0, |m| m.life);
-        self.peers.get(at).map_or(0, |p| p.life).max(told)
+    /// The process incarnation of a front, known first-hand or from others; 0 if unknown: then it can only be sent a hello.
+    fn process_incarnation_of(&self, front: u16) -> u64 {
+        let index = usize::from(front);
+        let reported = self
+            .swim
+            .members()
+            .get(index)
+            .map_or(0, |m| m.process_incarnation);
+        self.peers
+            .get(index)
+            .map_or(0, |p| p.process_incarnation)
+            .max(reported)
     }
 
-    fn met(&self, to: u16) -> bool {
-        self.life_of(to) != 0
+    fn knows_incarnation_of(&self, front: u16) -> bool {
+        self.process_incarnation_of(front) != 0
     }
 
-    /// What is told to one whose view is known at this moment.
-    fn words(&mut self, to: u16) -> wire::Told {
-        let theirs = self
+    /// The piggyback for a front that was just heard, whose view is therefore known.
+    fn piggyback_for_known_view(&mut self, to: u16) -> wire::Piggyback {
+        let their_view = self
             .peers
             .get(usize::from(to))
-            .map_or(Number::default(), |p| p.number);
-        self.worded_of(to, theirs)
+            .map_or(ViewNumber::default(), |p| p.view_number);
+        self.piggyback(to, their_view)
     }
 
-    /// What is told to one that was not just heard. In a large fleet its view is not known, and a datagram has no room for the
-    /// view and what is collected under it: they go in turn while the view is new, and then whoever lacks it hears it by its looks.
-    fn words_unasked(&mut self, to: u16) -> wire::Told {
-        if self.n <= FAN {
-            return self.words(to);
+    /// The piggyback for a front that was not just heard.
+    ///
+    /// In a large fleet its view is not known, and a datagram has no room for both the view and the promises or
+    /// acknowledgements collected under it. They alternate while the view is new. After that a front that lacks the view gets
+    /// it as the acknowledgement of its own pings.
+    fn piggyback_for(&mut self, to: u16) -> wire::Piggyback {
+        if self.front_count <= DIRECT_FANOUT {
+            return self.piggyback_for_known_view(to);
         }
-        self.view_hot = self.view_hot.saturating_sub(1);
-        let theirs = match self.view_hot % 2 {
-            0 => self.agree.view().number,
-            _ => Number::default(),
+        self.view_gossip_left = self.view_gossip_left.saturating_sub(1);
+        let their_view = match self.view_gossip_left % 2 {
+            0 => self.agreement.view().number,
+            _ => ViewNumber::default(),
         };
-        self.worded_of(to, theirs)
+        self.piggyback(to, their_view)
     }
 
-    fn worded_of(&mut self, to: u16, theirs: Number) -> wire::Told {
-        let (word, leads) = (self.agree.word(theirs), self.agree.leads());
-        wire::Told {
-            word,
+    fn piggyback(&mut self, to: u16, their_view: ViewNumber) -> wire::Piggyback {
+        let (agreement, leads) = (
+            self.agreement.message_for(their_view),
+            self.agreement.leads(),
+        );
+        wire::Piggyback {
+            agreement,
             leads,
-            news: self.swim.news(to, NEWS_MOST),
+            updates: self.swim.updates_for(to, MAX_UPDATES),
         }
     }
 
-    /// Looks at a front; a front that was never met is greeted first.
-    fn look(&mut self, now: Micros, to: u16, nonce: u32, out: &mut Vec<Output>) {
+    /// Pings a front; one whose process incarnation is unknown is sent a hello instead.
+    fn ping(&mut self, now: Micros, to: u16, nonce: u32, out: &mut Vec<Output>) {
         if to == self.me {
             return;
         }
-        if !self.met(to) {
+        if !self.knows_incarnation_of(to) {
             return self.hello(now, to, out);
         }
-        if self.looks.len() >= LOOKS_MOST {
-            self.looks.pop_front();
+        if self.pending_pings.len() >= MAX_PENDING_PINGS {
+            self.pending_pings.pop_front();
         }
-        self.looks.push_back((to, nonce, now));
-        let told = self.words_unasked(to);
-        self.send(now, to, Body::Ping(nonce, told), out);
+        self.pending_pings.push_back((to, nonce, now));
+        let piggyback = self.piggyback_for(to);
+        self.send(now, to, Body::Ping(nonce, piggyback), out);
     }
 
+    /// Sends a piggyback without a ping.
     fn push(&mut self, now: Micros, to: u16, out: &mut Vec<Output>) {
-        if to != self.me && self.met(to) {
-            let told = self.words_unasked(to);
-            self.send(now, to, Body::Push(told), out);
+        if to != self.me && self.knows_incarnation_of(to) {
+            let piggyback = self.piggyback_for(to);
+            self.send(now, to, Body::Push(piggyback), out);
         }
     }
 
+    /// Sends a hello, which asks a front for its process incarnation, unless one was sent within [`HELLO_INTERVAL`].
     fn hello(&mut self, now: Micros, to: u16, out: &mut Vec<Output>) {
-        let due = self
-            .peers
-            .get_mut(usize::from(to))
-            .filter(|p| p.hello.is_none_or(|at| now - at >= HELLO));
+        let due = self.peers.get_mut(usize::from(to)).filter(|p| {
+            p.hello_sent_at
+                .is_none_or(|at| now - at >= HELLO_INTERVAL)
+        });
         if let Some(peer) = due {
-            peer.hello = Some(now);
+            peer.hello_sent_at = Some(now);
             self.send(now, to, Body::Hello(0), out);
         }
     }
 
-    fn carry(&mut self, now: Micros, outs: Vec<Out>, out: &mut Vec<Output>) {
-        for o in outs {
-            match o {
-                Out::Ping(to, nonce) => self.look(now, to, nonce, out),
-                Out::Ask(to, target, nonce) if self.met(to) => {
-                    self.send(now, to, Body::Ask(target, nonce), out);
+    /// Sends what the failure detector returned.
+    fn send_probes(&mut self, now: Micros, messages: Vec<Outgoing>, out: &mut Vec<Output>) {
+        for message in messages {
+            match message {
+                Outgoing::Ping(to, nonce) => self.ping(now, to, nonce, out),
+                Outgoing::PingReq(to, target, nonce) if self.knows_incarnation_of(to) => {
+                    self.send(now, to, Body::PingReq(target, nonce), out);
                 }
-                Out::Told(to, nonce, reached) if self.met(to) => {
-                    self.send(now, to, Body::Reached(nonce, reached), out);
+                Outgoing::PingReqResult(to, nonce, reached) if self.knows_incarnation_of(to) => {
+                    self.send(now, to, Body::PingReqResult(nonce, reached), out);
                 }
-                Out::Ask(..) | Out::Told(..) => {}
+                Outgoing::PingReq(..) | Outgoing::PingReqResult(..) => {}
             }
         }
     }
 
-    fn changed(&mut self, changes: Vec<Change>, out: &mut Vec<Output>) {
+    fn report_changes(&mut self, changes: Vec<Change>, out: &mut Vec<Output>) {
         out.extend(changes.into_iter().map(|c| Output::Event(Event::Member(c))));
     }
 
-    // ---- hearing ---------------------------------------------------------------------------------------
+    // ---- receiving -------------------------------------------------------------------------------------
 
-    /// Takes a datagram.
-    pub fn datagram(&mut self, now: Micros, source: Source, bytes: &[u8], out: &mut Vec<Output>) {
-        let read = frame::open(bytes, self.n, &self.keys).and_then(|(head, said)| {
+    /// Receives a datagram: authenticates it, checks its sender, and handles it or delivers it to another protocol.
+    pub fn receive(&mut self, now: Micros, source: Source, bytes: &[u8], out: &mut Vec<Output>) {
+        let opened = frame::open(bytes, self.front_count, &self.keys).and_then(|(head, payload)| {
             let own = (head.tag == Tag::MEMBERSHIP)
-                .then(|| Datagram::said(head, said, self.n))
+                .then(|| Datagram::decode_payload(head, payload, self.front_count))
                 .transpose()?;
-            let known = own.is_some() || Tag::ALL.contains(&head.tag);
-            known.then_some((head, said, own)).ok_or(Void::Content)
+            let known_tag = own.is_some() || Tag::ALL.contains(&head.tag);
+            known_tag.then_some((head, payload, own)).ok_or(Void::Content)
         });
-        let Ok((head, said, own)) = read else {
-            return self.counts.void += 1;
+        let Ok((head, payload, own)) = opened else {
+            return self.counts.invalid += 1;
         };
-        let at = match source {
-            Source::Peer(at) if at == head.from && at != self.me => at,
-            _ => return self.stranger(now, &head, out),
+        let from = match source {
+            Source::Peer(from) if from == head.from && from != self.me => from,
+            _ => return self.on_unknown_sender(now, &head, out),
         };
-        if !self.admits(now, at, &head, out) {
+        if !self.accepts_head(now, from, &head, out) {
             return;
         }
-        let Some(d) = own else {
-            return out.push(Output::Carried(at, head.tag, said.to_vec()));
+        let Some(datagram) = own else {
+            return out.push(Output::Deliver(from, head.tag, payload.to_vec()));
         };
-        // That its name is another's is no word for this life.
-        self.acknowledged |= d.body != Body::Contested;
+        // A warning that the name is contested does not show that the sender accepts this process incarnation.
+        self.acknowledged |= datagram.body != Body::NameContested;
         let mut changes = Vec::new();
-        self.swim.heard(now, at, d.life, d.inc, &mut changes);
-        self.changed(changes, out);
-        self.body(now, at, d.body, out);
-        self.restate(now, out);
+        self.swim.on_first_hand(
+            now,
+            from,
+            datagram.process_incarnation,
+            datagram.incarnation,
+            &mut changes,
+        );
+        self.report_changes(changes, out);
+        self.on_body(now, from, datagram.body, out);
+        self.report_participation(now, out);
     }
 
-    /// Whether a member's datagram is taken: of its terms, from a life to this life, and for the first time.
-    fn admits(&mut self, now: Micros, at: u16, d: &Head, out: &mut Vec<Output>) -> bool {
-        let Some(peer) = self.peers.get_mut(usize::from(at)) else {
+    /// Whether a member's datagram is accepted: same roster, for this process incarnation, not from an earlier one of the
+    /// sender, and no duplicate.
+    ///
+    /// A sender that does not know this process incarnation is sent a hello. A newer process incarnation of the sender
+    /// replaces what is known of the earlier one.
+    fn accepts_head(
+        &mut self,
+        now: Micros,
+        from: u16,
+        head: &Head,
+        out: &mut Vec<Output>,
+    ) -> bool {
+        let Some(peer) = self.peers.get_mut(usize::from(from)) else {
             return false;
         };
-        if d.roster != self.roster {
-            if !std::mem::replace(&mut peer.roster_told, true) {
-                out.push(Output::Event(Event::Roster(at)));
+        if head.roster != self.roster_hash {
+            if !std::mem::replace(&mut peer.roster_mismatch_reported, true) {
+                out.push(Output::Event(Event::RosterMismatch(from)));
             }
-            self.counts.void += 1;
+            self.counts.invalid += 1;
             return false;
         }
-        // Meant for an earlier life of this front, or its sender does not know this life: it is told.
-        if d.to_life != self.life {
-            if d.to_life != 0 {
+        // Meant for an earlier process incarnation of this front, or the sender does not know the current one: a hello tells it.
+        if head.to_life != self.process_incarnation {
+            if head.to_life != 0 {
                 self.counts.stale += 1;
             }
-            let known = peer.life;
-            // The life is taken once it answers by this front's own; until then it is only greeted by it.
-            let due = peer.hello.is_none_or(|h| now - h >= self.step);
+            let known = peer.process_incarnation;
+            // The sender's process incarnation is only addressed here. It is accepted once a datagram of it is addressed
+            // to the own one.
+            let due = peer
+                .hello_sent_at
+                .is_none_or(|at| now - at >= self.tick_interval);
             if due {
-                peer.hello = Some(now);
-                if let Some(bytes) = self.worded(now, d.life, Body::Hello(known)) {
-                    out.push(Output::Send(at, bytes));
+                peer.hello_sent_at = Some(now);
+                if let Some(bytes) = self.encode(now, head.life, Body::Hello(known)) {
+                    out.push(Output::Send(from, bytes));
                 }
             }
             return false;
         }
-        if d.life < peer.life {
+        if head.life < peer.process_incarnation {
             self.counts.stale += 1;
             return false;
         }
-        if d.life > peer.life {
-            (peer.life, peer.window, peer.number) = (d.life, Window::default(), Number::default());
-            self.serving.reborn(at);
-            out.push(Output::Reborn(at));
+        if head.life > peer.process_incarnation {
+            (peer.process_incarnation, peer.replay_window, peer.view_number) =
+                (head.life, Window::default(), ViewNumber::default());
+            self.served_volumes.on_restart(from);
+            out.push(Output::Restarted(from));
         }
-        let new = peer.window.take(d.seq);
-        self.counts.taken += u64::from(new);
+        let new = peer.replay_window.take(head.seq);
+        self.counts.accepted += u64::from(new);
         self.counts.stale += u64::from(!new);
         new
     }
 
-    fn body(&mut self, now: Micros, from: u16, body: Body, out: &mut Vec<Output>) {
-        let mut outs = Vec::new();
+    fn on_body(&mut self, now: Micros, from: u16, body: Body, out: &mut Vec<Output>) {
+        let mut probes = Vec::new();
         match body {
-            // Once: whoever greets by this life has met it.
-            Body::Hello(known) if known > self.life => {
-                out.push(Output::Event(Event::Outlived(known)))
+            // At most once per sender: it sends hellos only until it is addressed by its own process incarnation.
+            Body::Hello(known) if known > self.process_incarnation => {
+                out.push(Output::Event(Event::Superseded(known)))
             }
             Body::Hello(_) => {
-                self.swim.greeted(from, &mut outs);
+                self.swim.on_hello(from, &mut probes);
                 self.push(now, from, out);
             }
-            Body::Ping(nonce, told) => {
-                self.take(now, from, &told, out);
-                let left = self.lease.left(now).unwrap_or(0);
-                let words = self.words(from);
-                self.send(now, from, Body::Ack(nonce, left, words), out);
-                self.warn(now, from, out);
+            Body::Ping(nonce, piggyback) => {
+                self.on_piggyback(now, from, &piggyback, out);
+                let lease_remaining = self.lease.remaining(now).unwrap_or(0);
+                let own = self.piggyback_for_known_view(from);
+                self.send(now, from, Body::Ack(nonce, lease_remaining, own), out);
+                self.warn_if_contested(now, from, out);
             }
-            Body::Ack(nonce, left, told) => {
-                let asked = self.looks.iter().position(|l| l.0 == from && l.1 == nonce);
-                let asked = asked.and_then(|at| self.looks.remove(at));
-                self.take(now, from, &told, out);
-                self.swim.answered(from, nonce, &mut outs);
-                self.answered_at = now;
-                if let Some((.., at)) = asked.filter(|_| left > 0 && !self.leaving) {
-                    self.hold(now, told.word.number, at + left.min(self.times.lease));
+            Body::Ack(nonce, lease_remaining, piggyback) => {
+                let pending = self
+                    .pending_pings
+                    .iter()
+                    .position(|ping| ping.0 == from && ping.1 == nonce);
+                let pending = pending.and_then(|at| self.pending_pings.remove(at));
+                self.on_piggyback(now, from, &piggyback, out);
+                self.swim.on_ack(from, nonce, &mut probes);
+                self.last_ack_at = now;
+                // The remaining lease counts from when the ping was sent, so that the way of the answer cannot prolong it.
+                if let Some((.., sent_at)) =
+                    pending.filter(|_| lease_remaining > 0 && !self.leaving)
+                {
+                    self.extend_lease(
+                        now,
+                        piggyback.agreement.view_number,
+                        sent_at + lease_remaining.min(self.timing.lease),
+                    );
                 }
             }
-            Body::Push(told) => self.take(now, from, &told, out),
-            Body::Ask(target, nonce) => self.swim.asked(now, from, nonce, target, &mut outs),
-            Body::Reached(nonce, reached) => self.swim.told(nonce, reached),
-            Body::Serves(round, volumes) => {
-                self.serving.heard(now, from, &volumes);
-                let too = self.serving.too(&volumes);
-                self.send(now, from, Body::Heard(round, volumes, too), out);
+            Body::Push(piggyback) => self.on_piggyback(now, from, &piggyback, out),
+            Body::PingReq(target, nonce) => {
+                self.swim.on_ping_req(now, from, nonce, target, &mut probes)
             }
-            Body::Heard(round, volumes, too) => {
-                self.serving.answered(now, from, round, &volumes, too);
+            Body::PingReqResult(nonce, reached) => self.swim.on_ping_req_result(nonce, reached),
+            Body::ServedVolumes(round, volumes) => {
+                self.served_volumes.record_others(now, from, &volumes);
+                let also_served = self.served_volumes.also_served(&volumes);
+                self.send(
+                    now,
+                    from,
+                    Body::ServedVolumesAck(round, volumes, also_served),
+                    out,
+                );
+            }
+            Body::ServedVolumesAck(round, volumes, also_served) => {
+                self.served_volumes
+                    .on_ack(now, from, round, &volumes, also_served);
                 if let Some(peer) = self.peers.get_mut(usize::from(from)) {
-                    peer.told = None;
+                    peer.served_volumes_sent_at = None;
                 }
             }
-            Body::Contested => self.contest(now, self.me, 0, out),
+            Body::NameContested => self.mark_contested(now, self.me, 0, out),
         }
-        self.carry(now, outs, out);
+        self.send_probes(now, probes, out);
     }
 
-    fn hold(&mut self, now: Micros, number: Number, until: Micros) {
-        let members = self.agree.view().members;
-        self.lease.hold(now, number, until, members);
-        self.paused &= self.lease.left(now).is_none();
+    fn extend_lease(&mut self, now: Micros, view_number: ViewNumber, valid_until: Micros) {
+        let members = self.agreement.view().members;
+        self.lease.extend(now, view_number, valid_until, members);
+        self.paused &= self.lease.remaining(now).is_none();
     }
 
-    fn take(&mut self, now: Micros, from: u16, told: &wire::Told, out: &mut Vec<Output>) {
+    /// Applies member updates and the agreement message of another front, and forwards what they changed here.
+    fn on_piggyback(
+        &mut self,
+        now: Micros,
+        from: u16,
+        piggyback: &wire::Piggyback,
+        out: &mut Vec<Output>,
+    ) {
         if let Some(peer) = self.peers.get_mut(usize::from(from)) {
-            peer.number = told.word.number;
-            // Ballots are led once: whoever leads no longer has given its last one up for good.
-            let own = Ballot {
-                leader: from,
-                life: peer.life,
-                ..told.word.promised
+            peer.view_number = piggyback.agreement.view_number;
+            // A proposer leads under each of its proposals once: one that no longer leads has abandoned its last proposal.
+            let own = ProposalNumber {
+                proposer: from,
+                process_incarnation: peer.process_incarnation,
+                ..piggyback.agreement.promised
             };
-            if !told.leads && told.word.promised == own {
-                self.given_up = self.given_up.max(own);
+            if !piggyback.leads && piggyback.agreement.promised == own {
+                self.abandoned_proposal = self.abandoned_proposal.max(own);
             }
         }
-        let (mut changes, inc) = (Vec::new(), self.swim.inc());
-        for news in &told.news {
-            self.swim.hear(now, *news, &mut changes);
+        let (mut changes, incarnation) = (Vec::new(), self.swim.incarnation());
+        for update in &piggyback.updates {
+            self.swim.on_update(now, *update, &mut changes);
         }
-        self.changed(changes, out);
-        if self.swim.inc() != inc {
-            // Whoever told of a suspicion hears the refutation at once.
+        self.report_changes(changes, out);
+        if self.swim.incarnation() != incarnation {
+            // This front was reported as suspect or gone: the refutation goes to the reporting front at once.
             self.push(now, from, out);
-            self.heat();
-        }
-        let before = self.agree.word(Number::default());
-        let mut steps = Vec::new();
-        self.agree.hear(now, &told.word, &mut steps);
-        self.stepped(now, steps, out);
-        let after = self.agree.word(Number::default());
-        let place = |w: &crate::agree::Word| (w.promised, w.number, w.round.map(|r| r.k));
-        if place(&before) != place(&after) {
+            self.start_gossip();
+        }
+        let before = self.agreement.message_for(ViewNumber::default());
+        let mut effects = Vec::new();
+        self.agreement
+            .receive(now, &piggyback.agreement, &mut effects);
+        self.on_agreement_effects(now, effects, out);
+        let after = self.agreement.message_for(ViewNumber::default());
+        let position = |m: &crate::agreement::AgreementMessage| {
+            (m.promised, m.view_number, m.renewal.map(|r| r.sequence))
+        };
+        if position(&before) != position(&after) {
             if before.promised != after.promised {
                 self.promised_at = now;
             }
-            self.heat();
-            let leader = after.promised.leader;
-            if self.n <= FAN || self.dice.usize(0..self.n) < FAN {
+            self.start_gossip();
+            let leader = after.promised.proposer;
+            if self.front_count <= DIRECT_FANOUT
+                || self.rng.usize(0..self.front_count) < DIRECT_FANOUT
+            {
                 self.push(now, leader, out);
             }
         }
     }
 
-    fn heat(&mut self) {
-        if self.n > FAN {
-            self.hot = self.spread();
+    /// Has the next ticks push to random fronts. A small fleet needs it not: its changes are sent to all fronts directly.
+    fn start_gossip(&mut self) {
+        if self.front_count > DIRECT_FANOUT {
+            self.gossip_ticks_left = self.gossip_ticks();
         }
     }
 
-    /// Steps for which something new is told on.
-    fn spread(&self) -> u32 {
-        HOT + (self.n as f64).log2().ceil() as u32
+    /// For how many ticks a change is gossiped.
+    fn gossip_ticks(&self) -> u32 {
+        EXTRA_GOSSIP_TICKS + (self.front_count as f64).log2().ceil() as u32
     }
 
-    fn stepped(&mut self, now: Micros, steps: Vec<Step>, out: &mut Vec<Output>) {
-        for step in steps {
-            match step {
-                Step::Accepted(view) => {
+    fn on_agreement_effects(&mut self, now: Micros, effects: Vec<Effect>, out: &mut Vec<Output>) {
+        for effect in effects {
+            match effect {
+                Effect::Accepted(view) => {
                     self.counts.views += 1;
-                    self.view_hot = 2 * self.spread();
+                    self.view_gossip_left = 2 * self.gossip_ticks();
                     self.lease.accept(&view);
                     out.push(Output::Event(Event::View(view)));
                 }
-                Step::Renewed(began) if !self.leaving => {
-                    self.hold(now, self.agree.view().number, began + self.times.lease);
+                Effect::Renewed(began_at) if !self.leaving => {
+                    self.extend_lease(
+                        now,
+                        self.agreement.view().number,
+                        began_at + self.timing.lease,
+                    );
                 }
-                Step::Renewed(_) => {}
-                Step::Spread => {
-                    self.heat();
-                    for to in self.some(FAN) {
+                Effect::Renewed(_) => {}
+                Effect::Disseminate => {
+                    self.start_gossip();
+                    for to in self.random_present(DIRECT_FANOUT) {
                         self.push(now, to, out);
                     }
                 }
-                Step::GaveUp => {
-                    self.leaderless = None;
+                Effect::SteppedDown => {
+                    self.leaderless_since = None;
                     out.push(Output::Event(Event::Leads(false)));
                 }
             }
         }
     }
 
-    /// A datagram from elsewhere, whose sum is right: some life uses a name of this roster at another address.
-    fn stranger(&mut self, now: Micros, d: &Head, out: &mut Vec<Output>) {
-        if d.roster != self.roster || now - self.stranger_at < STRANGER {
-            return self.counts.void += 1;
+    /// Handles an authentic datagram from an address that is not the sender's: another process uses a name of this roster.
+    ///
+    /// Both processes are warned that the name is contested.
+    fn on_unknown_sender(&mut self, now: Micros, head: &Head, out: &mut Vec<Output>) {
+        if head.roster != self.roster_hash
+            || now - self.unknown_sender_answered_at < UNKNOWN_SENDER_INTERVAL
+        {
+            return self.counts.invalid += 1;
         }
-        self.stranger_at = now;
-        self.contest(now, d.from, d.life, out);
-        if let Some(bytes) = self.worded(now, d.life, Body::Contested) {
+        self.unknown_sender_answered_at = now;
+        self.mark_contested(now, head.from, head.life, out);
+        if let Some(bytes) = self.encode(now, head.life, Body::NameContested) {
             out.push(Output::Answer(bytes));
         }
-        self.warn(now, d.from, out);
-        self.restate(now, out);
+        self.warn_if_contested(now, head.from, out);
+        self.report_participation(now, out);
     }
 
-    fn contest(&mut self, now: Micros, of: u16, life: u64, out: &mut Vec<Output>) {
+    /// Marks a name as contested, the own one included, and reports the first time.
+    fn mark_contested(
+        &mut self,
+        now: Micros,
+        front: u16,
+        process_incarnation: u64,
+        out: &mut Vec<Output>,
+    ) {
         let me = self.me;
-        let Some(peer) = self.peers.get_mut(usize::from(of)) else {
+        let Some(peer) = self.peers.get_mut(usize::from(front)) else {
             return;
         };
-        let until = if of == me {
+        let until = if front == me {
             &mut self.contested_until
         } else {
             &mut peer.contested_until
         };
         if *until <= now {
-            out.push(Output::Event(Event::Twin(of, life)));
+            out.push(Output::Event(Event::DuplicateName(
+                front,
+                process_incarnation,
+            )));
         }
-        *until = now + CONTESTED;
+        *until = now + NAME_CONTESTED_FOR;
     }
 
-    /// Tells a front that its name is contested.
-    fn warn(&mut self, now: Micros, of: u16, out: &mut Vec<Output>) {
+    /// Warns a front whose name is contested.
+    fn warn_if_contested(&mut self, now: Micros, front: u16, out: &mut Vec<Output>) {
         let contested = self
             .peers
-            .get(usize::from(of))
+            .get(usize::from(front))
             .is_some_and(|p| now < p.contested_until);
-        if contested && of != self.me && self.met(of) {
-            self.send(now, of, Body::Contested, out);
+        if contested && front != self.me && self.knows_incarnation_of(front) {
+            self.send(now, front, Body::NameContested, out);
         }
     }
 
     // ---- time ------------------------------------------------------------------------------------------
 
-    /// Carries on at a moment.
+    /// Does what is due at `now`: probes, views and renewals, proposals, lease pings, gossip, and served volumes.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let gap = now - std::mem::replace(&mut self.last, now);
-        if gap > 8 * self.step + 100_000 {
-            self.swim.paused(now, gap);
-            self.paused = self.lease.left(now).is_none();
+        let gap = now - std::mem::replace(&mut self.last_tick_at, now);
+        if gap > 8 * self.tick_interval + 100_000 {
+            self.swim.on_pause(now, gap);
+            self.paused = self.lease.remaining(now).is_none();
             out.push(Output::Event(Event::Paused(gap)));
         }
-        let (mut outs, mut changes, mut steps) = (Vec::new(), Vec::new(), Vec::new());
-        self.swim.tick(now, &mut outs, &mut changes);
-        self.changed(changes, out);
-        self.carry(now, outs, out);
+        let (mut probes, mut changes, mut effects) = (Vec::new(), Vec::new(), Vec::new());
+        self.swim.tick(now, &mut probes, &mut changes);
+        self.report_changes(changes, out);
+        self.send_probes(now, probes, out);
         let present = self.swim.present();
         if present != self.present.0 {
             self.present = (present, now);
         }
-        let wanted = self.wanted(now);
+        let next_members = self.next_members(now);
         if !self.leaving {
-            self.agree.tick(now, wanted, &mut steps);
-            self.stepped(now, std::mem::take(&mut steps), out);
-            self.candidate(now, out);
-        }
-        self.ask(now, out);
-        let backlog = self.n > FAN && self.swim.untold() > BACKLOG;
-        if self.hot > 0 || backlog {
-            self.hot = self.hot.saturating_sub(1);
-            for to in self.some(1) {
+            self.agreement.tick(now, next_members, &mut effects);
+            self.on_agreement_effects(now, std::mem::take(&mut effects), out);
+            self.propose_if_leaderless(now, out);
+        }
+        self.ping_for_lease(now, out);
+        let has_backlog = self.front_count > DIRECT_FANOUT
+            && self.swim.pending_update_count() > MAX_PENDING_UPDATES;
+        if self.gossip_ticks_left > 0 || has_backlog {
+            self.gossip_ticks_left = self.gossip_ticks_left.saturating_sub(1);
+            for to in self.random_present(1) {
                 self.push(now, to, out);
             }
         }
-        self.tell(now, out);
-        self.restate(now, out);
+        self.send_served_volumes(now, out);
+        self.report_participation(now, out);
     }
 
-    /// Whom the next view is to list, once who is there has stayed the same for a moment.
-    fn wanted(&mut self, now: Micros) -> Option<Bits> {
+    /// The members of the next view, once the present fronts are unchanged for long enough.
+    ///
+    /// The wait puts fronts that join or leave together into one view.
+    fn next_members(&mut self, now: Micros) -> Option<FrontSet> {
         let (present, since) = self.present;
-        if present == self.agree.view().members {
-            self.differs = None;
+        if present == self.agreement.view().members {
+            self.differs_since = None;
             return Some(present);
         }
-        let differs = *self.differs.get_or_insert(now);
-        // In a large fleet news takes longer to come round.
-        let span = |calm: Micros| (calm as f64 * self.swim.size()) as Micros;
-        (now - since >= span(CALM) || now - differs >= span(CALM_MOST)).then_some(present)
+        let differs_since = *self.differs_since.get_or_insert(now);
+        // Updates take longer to reach all fronts of a large fleet.
+        let scaled = |wait: Micros| (wait as f64 * self.swim.size_factor()) as Micros;
+        (now - since >= scaled(VIEW_STABILITY_WAIT)
+            || now - differs_since >= scaled(MAX_VIEW_DELAY))
+        .then_some(present)
     }
 
-    /// Stands for leader where there is none: the first of those who are there, and the others after it.
-    fn candidate(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let ballot = self.agree.promised();
-        let leader = self.swim.members().get(usize::from(ballot.leader));
-        // One that was not heard of yet is not gone, nor is one whose life is newer than what is known of it.
+    /// Proposes this front as leader if no present front leads, after a wait that depends on how many present fronts have a
+    /// lower index: the first of them proposes first, so that rivals are rare.
+    fn propose_if_leaderless(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let proposal = self.agreement.promised();
+        let leader = self.swim.members().get(usize::from(proposal.proposer));
+        // A proposer that was never heard of is not gone, nor is one whose process incarnation is newer than the known one.
         let gone = |m: &Member| {
-            m.life > ballot.life
-                || matches!(m.state, State::Dead | State::Left) && m.life == ballot.life
+            m.process_incarnation > proposal.process_incarnation
+                || matches!(m.state, MemberState::Dead | MemberState::Left)
+                    && m.process_incarnation == proposal.process_incarnation
         };
-        let there = leader.is_some_and(|m| !gone(m));
-        let (held, fresh) = (
-            self.lease.left(now).is_some(),
-            now - self.promised_at < 2 * self.times.drop,
+        let leader_present = leader.is_some_and(|m| !gone(m));
+        let (lease_held, recently_promised) = (
+            self.lease.remaining(now).is_some(),
+            now - self.promised_at < 2 * self.timing.give_up_after,
         );
-        let led = ballot.round > 0 && there && ballot != self.given_up && (held || fresh);
-        // One that is heard by nobody would only take the ballot from those who are.
-        let heard = now - self.answered_at < HEARD * self.period;
-        if led
+        let has_leader = proposal.round > 0
+            && leader_present
+            && proposal != self.abandoned_proposal
+            && (lease_held || recently_promised);
+        // A front that reaches nobody would only interrupt a leader that reaches a majority.
+        let heard = now - self.last_ack_at < MAX_PERIODS_WITHOUT_ACK * self.protocol_period;
+        if has_leader
             || !heard
-            || self.agree.leads()
-            || !self.agree.votes(now)
-            || self.present.0.len() < self.agree.majority()
+            || self.agreement.leads()
+            || !self.agreement.may_vote(now)
+            || self.present.0.len() < self.agreement.majority()
         {
-            self.leaderless = None;
+            self.leaderless_since = None;
             return;
         }
         let me = self.me;
-        let before = self.present.0.iter().filter(|i| *i < me).count().min(8) as Micros;
-        let wait = before * self.times.drop / 4 + self.dice.i64(0..self.times.drop / 8 + 1);
-        let since = *self.leaderless.get_or_insert(now);
-        if now - since >= wait {
-            let mut steps = Vec::new();
-            self.agree.stand(now, &mut steps);
+        let lower = self.present.0.iter().filter(|i| *i < me).count().min(8) as Micros;
+        let wait = lower * self.timing.give_up_after / 4
+            + self.rng.i64(0..self.timing.give_up_after / 8 + 1);
+        let leaderless_since = *self.leaderless_since.get_or_insert(now);
+        if now - leaderless_since >= wait {
+            let mut effects = Vec::new();
+            self.agreement.propose(now, &mut effects);
             self.promised_at = now;
             out.push(Output::Event(Event::Leads(true)));
-            self.stepped(now, steps, out);
+            self.on_agreement_effects(now, effects, out);
         }
     }
 
-    /// Asks for what is left of the lease: the leader where the fleet is small, anybody where it is large.
-    fn ask(&mut self, now: Micros, out: &mut Vec<Output>) {
-        if now < self.ask_at || self.agree.leads() || self.leaving {
+    /// Pings a front so that its acknowledgement extends the lease: mostly the leader in a small fleet, mostly any front in a
+    /// large one, where the leader could not answer all.
+    fn ping_for_lease(&mut self, now: Micros, out: &mut Vec<Output>) {
+        if now < self.next_lease_ping_at || self.agreement.leads() || self.leaving {
             return;
         }
-        let spread = self.times.lease / 16;
-        self.ask_at = now + self.times.lease / 8 + self.dice.i64(0..spread + 1);
-        let leader = self.agree.promised().leader;
-        let near = self.n <= FAN || self.dice.usize(0..self.n) < FAN;
-        let to = match near
+        let max_jitter = self.timing.lease / 16;
+        self.next_lease_ping_at = now + self.timing.lease / 8 + self.rng.i64(0..max_jitter + 1);
+        let leader = self.agreement.promised().proposer;
+        let may_ask_leader = self.front_count <= DIRECT_FANOUT
+            || self.rng.usize(0..self.front_count) < DIRECT_FANOUT;
+        let to = match may_ask_leader
             && leader != self.me
-            && self.agree.promised().round > 0
-            && self.dice.u32(0..4) > 0
+            && self.agreement.promised().round > 0
+            && self.rng.u32(0..4) > 0
         {
             true => Some(leader),
-            false => self.some(1).first().copied(),
+            false => self.random_present(1).first().copied(),
         };
         let Some(to) = to else { return };
-        self.nonce = self.nonce.wrapping_add(1) | 1 << 31;
-        let nonce = self.nonce;
-        self.look(now, to, nonce, out);
+        self.lease_ping_nonce = self.lease_ping_nonce.wrapping_add(1) | 1 << 31;
+        let nonce = self.lease_ping_nonce;
+        self.ping(now, to, nonce, out);
     }
 
-    /// Tells one other front after another what is served here, until each has answered to all of it.
-    fn tell(&mut self, now: Micros, out: &mut Vec<Output>) {
-        if now >= self.forget_at {
-            self.forget_at = now + FORGET;
-            self.serving.forget(now, &self.present.0);
+    /// Sends the volumes served here to one other present front in turn, until each has acknowledged all of them.
+    fn send_served_volumes(&mut self, now: Micros, out: &mut Vec<Output>) {
+        if now >= self.next_expiry_at {
+            self.next_expiry_at = now + EVIDENCE_EXPIRY_INTERVAL;
+            self.served_volumes.expire(now, &self.present.0);
         }
-        if self.n > SHARING_MOST || self.leaving {
+        if self.front_count > MAX_FRONTS_SHARING_VOLUMES || self.leaving {
             return;
         }
-        let n = self.n as u16;
-        for to in (1..n).map(|i| (self.tell_to + i) % n) {
+        let front_count = self.front_count as u16;
+        for to in (1..front_count).map(|i| (self.served_volumes_cursor + i) % front_count) {
             let peer = &self.peers[usize::from(to)];
             if to == self.me
-                || !self.present.0.has(to)
-                || peer.told.is_some_and(|at| now - at < TELL)
+                || !self.present.0.contains(to)
+                || peer
+                    .served_volumes_sent_at
+                    .is_some_and(|at| now - at < SERVED_VOLUMES_RETRY)
             {
                 continue;
             }
-            let (round, volumes) = self.serving.tell(to, VOLUMES_MOST);
-            if volumes.is_empty() || !self.met(to) {
+            let (round, volumes) = self.served_volumes.unacknowledged(to, MAX_VOLUMES);
+            if volumes.is_empty() || !self.knows_incarnation_of(to) {
                 continue;
             }
-            // Until the answer comes nothing more is told to it; with it the next part goes at once.
-            self.peers[usize::from(to)].told = Some(now);
-            self.tell_to = to;
-            return self.send(now, to, Body::Serves(round, volumes), out);
+            // The next volumes wait for this front's acknowledgement and go out in the first tick after it.
+            self.peers[usize::from(to)].served_volumes_sent_at = Some(now);
+            self.served_volumes_cursor = to;
+            return self.send(now, to, Body::ServedVolumes(round, volumes), out);
         }
     }
 }
--- a/crates/fleet-membership/src/lease.rs
+++ b/crates/fleet-membership/src/lease.rs
@@ -1,122 +1,138 @@
-//! What this front may use, and until when: a lease on its part of the view, held on its own monotonic clock.
+//! The lease of this front on its share of the current view, measured on its own monotonic clock.
 //!
-//! A lease is a remainder that one who holds it tells, counted from the moment at which it was asked for. What a view gives is
-//! used in full only once every lease under an earlier view has surely ended; until then the least of what each view since
-//! gives. Where a view in between is not known, or the lease had ended meanwhile, nothing but the reserve is used until then.
+//! A front that holds a lease reports how much of it remains; whoever asked counts that from the moment when it asked. What a
+//! view gives is used in full only once every lease on an earlier view has surely expired. Until then this front uses the least
+//! of what each of these views gives; where one of them is not known, or the lease expired in between, only the reserve.
 
-use crate::agree::{Number, Times, View};
-use crate::bits::Bits;
+use crate::agreement::{Timing, View, ViewNumber};
+use crate::front_set::FrontSet;
 use lupinrack_policy::Micros;
 
-/// The most views whose leases may still be out; beyond them nothing is known.
-const RANGE_MOST: usize = 16;
+/// How many views may have leases that have not expired; with more, they count as not known.
+const MAX_OUTSTANDING_VIEWS: usize = 16;
 
 /// What may be used while the lease lasts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Right {
-    /// Until this reading, exclusive. Past it: the reserve.
-    pub until: Micros,
-    /// Whether it lets more than the reserve be used.
-    pub whole: bool,
-    /// The fronts that surely use nothing but their reserve until then.
-    pub absent: Bits,
-    /// Some front may take another for absent: it is missing in a view that a lease may be out on.
-    pub partial: bool,
+pub struct LeaseGrant {
+    /// When the lease ends, exclusive, on this front's clock. From then on only the reserve may be used.
+    pub valid_until: Micros,
+    /// Whether every outstanding view lists this front, so that it may use more than the reserve.
+    pub in_all_views: bool,
+    /// The fronts that surely use no more than their reserve until then.
+    pub absent: FrontSet,
+    /// Whether some outstanding view lacks a front, so that another front may take that one as absent.
+    pub some_view_partial: bool,
 }
 
-/// One life's lease.
+/// The lease of one process incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
     me: u16,
-    all: Bits,
-    times: Times,
-    number: Number,
-    until: Micros,
-    /// When the lease on the present number was first held without a break since.
+    all: FrontSet,
+    timing: Timing,
+    view_number: ViewNumber,
+    valid_until: Micros,
+    /// Since when a lease on the current view is held without interruption.
     held_since: Option<Micros>,
-    /// The views that others may still hold leases on, the present one last; none: not all are known.
-    range: Option<Vec<(Number, Bits)>>,
+    /// The views on which others may still hold leases, the current one last; none if not all of them are known.
+    outstanding_views: Option<Vec<(ViewNumber, FrontSet)>>,
 }
 
 impl Lease {
-    /// A life without a lease.
-    pub fn new(me: u16, configured: usize, times: Times) -> Lease {
-        let all = Bits::first(configured);
+    /// A front that holds no lease.
+    pub fn new(me: u16, configured: usize, timing: Timing) -> Lease {
+        let all = FrontSet::first_n(configured);
         Lease {
             me,
             all,
-            times,
-            number: Number::default(),
-            until: 0,
+            timing,
+            view_number: ViewNumber::default(),
+            valid_until: 0,
             held_since: None,
-            range: None,
+            outstanding_views: None,
         }
     }
 
-    /// The view that it is on.
-    pub fn number(&self) -> Number {
-        self.number
+    /// The view that the lease is on.
+    pub fn view_number(&self) -> ViewNumber {
+        self.view_number
     }
 
-    /// Takes another view. What is left of a lease on the one before it may still be used, within both.
+    /// Accepts a new view. The rest of the lease on the previous one may still be used, within what both views give.
     pub fn accept(&mut self, view: &View) {
-        let follows = |r: &Vec<(Number, Bits)>| r.len() < RANGE_MOST && self.number == view.prev;
-        self.range = self.range.take().filter(follows).map(|mut r| {
-            r.push((view.number, view.members));
-            r
-        });
-        (self.number, self.held_since) = (view.number, None);
+        let follows = |views: &Vec<(ViewNumber, FrontSet)>| {
+            views.len() < MAX_OUTSTANDING_VIEWS && self.view_number == view.previous
+        };
+        self.outstanding_views = self
+            .outstanding_views
+            .take()
+            .filter(follows)
+            .map(|mut views| {
+                views.push((view.number, view.members));
+                views
+            });
+        (self.view_number, self.held_since) = (view.number, None);
     }
 
-    /// Takes a lease on a view that lasts until `until`, as far as this clock goes.
-    pub fn hold(&mut self, now: Micros, number: Number, until: Micros, members: Bits) {
-        if number != self.number || until <= now || number.n == 0 {
+    /// Extends the lease on a view to `valid_until` on this front's clock. Has no effect for a view other than the current one.
+    pub fn extend(
+        &mut self,
+        now: Micros,
+        view_number: ViewNumber,
+        valid_until: Micros,
+        members: FrontSet,
+    ) {
+        if view_number != self.view_number || valid_until <= now || view_number.sequence == 0 {
             return;
         }
-        if self.until <= now {
-            // It had ended: others may hold leases on views that this front does not know.
-            (self.held_since, self.range) = (None, None);
+        if self.valid_until <= now {
+            // The lease had expired: others may hold leases on views that this front does not know.
+            (self.held_since, self.outstanding_views) = (None, None);
         }
         let since = *self.held_since.get_or_insert(now);
-        self.until = self.until.max(until);
-        if now - since >= self.times.lapse {
-            self.range = Some(vec![(number, members)]);
+        self.valid_until = self.valid_until.max(valid_until);
+        if now - since >= self.timing.lease_expiry_bound {
+            self.outstanding_views = Some(vec![(view_number, members)]);
         }
     }
 
-    /// What is left of it for whoever asks now.
-    pub fn left(&self, now: Micros) -> Option<Micros> {
-        Some(self.until - now).filter(|left| *left > 0)
+    /// How much of the lease remains; none if it expired.
+    pub fn remaining(&self, now: Micros) -> Option<Micros> {
+        Some(self.valid_until - now).filter(|remaining| *remaining > 0)
     }
 
-    /// Whether the lease is held and all before it have ended.
-    pub fn settled(&self, now: Micros) -> bool {
-        self.until > now
+    /// Whether the lease is held, and all leases on earlier views have surely expired.
+    pub fn earlier_leases_expired(&self, now: Micros) -> bool {
+        self.valid_until > now
             && self
                 .held_since
-                .is_some_and(|since| now - since >= self.times.lapse)
+                .is_some_and(|since| now - since >= self.timing.lease_expiry_bound)
     }
 
     /// What may be used from now on.
-    pub fn right(&self, now: Micros) -> Right {
-        let Some(range) = self.range.as_ref().filter(|_| self.until > now) else {
-            return Right {
-                until: now,
-                ..Right::default()
+    pub fn grant(&self, now: Micros) -> LeaseGrant {
+        let Some(views) = self
+            .outstanding_views
+            .as_ref()
+            .filter(|_| self.valid_until > now)
+        else {
+            return LeaseGrant {
+                valid_until: now,
+                ..LeaseGrant::default()
             };
         };
-        let whole = range.iter().all(|(_, members)| members.has(self.me));
-        let present = range
+        let in_all_views = views.iter().all(|(_, members)| members.contains(self.me));
+        let present = views
             .iter()
-            .fold(Bits::default(), |all, (_, members)| all.or(members));
-        let partial = range
+            .fold(FrontSet::default(), |all, (_, members)| all.union(members));
+        let some_view_partial = views
             .iter()
-            .any(|(_, members)| !self.all.without(members).is_empty());
-        Right {
-            until: self.until,
-            whole,
-            absent: self.all.without(&present),
-            partial,
+            .any(|(_, members)| !self.all.difference(members).is_empty());
+        LeaseGrant {
+            valid_until: self.valid_until,
+            in_all_views,
+            absent: self.all.difference(&present),
+            some_view_partial,
         }
     }
 }
--- a/crates/fleet-membership/src/lib.rs
+++ b/crates/fleet-membership/src/lib.rs
@@ -1,19 +1,24 @@
-//! Fronts that know each other, as machines without I/O, clock or chance of their own: who is there ([`swim`]), on which
-//! list a majority agreed ([`agree`]), what may be used of what is shared and until when ([`lease`], [`serving`], [`part`]), and what to do
-//! while they disagree ([`stance`]). [`Front`] puts them together; a driver, the lab and the model checker run the same.
+//! Membership of the fronts of a fleet, as state machines without I/O, clock or entropy of their own.
+//!
+//! - [`swim`] detects which fronts are present (SWIM with Lifeguard).
+//! - [`agreement`] numbers lists of members, called views, that a majority of the fronts accepts.
+//! - [`lease`], [`share`] and [`served_volumes`] decide how much of the fleet's limits this front may use, and until when.
+//! - [`participation`] decides what this front may do while the fronts do not agree.
+//!
+//! [`Front`] ties them together. The driver, the simulation and the model checker run the same code.
 #![warn(missing_docs)]
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub)]
 
-pub mod agree;
-pub mod bits;
+pub mod agreement;
 pub mod config;
 pub mod front;
+pub mod front_set;
 pub mod lease;
-pub mod part;
-pub mod serving;
-pub mod stance;
+pub mod participation;
+pub mod served_volumes;
+pub mod share;
 pub mod swim;
 pub mod wire;
 
-pub use front::{Counts, Event, Front, Output, Source, Told};
+pub use front::{Counts, Event, Front, Output, Source, Status};
--- a/crates/fleet-membership/src/swim.rs
+++ b/crates/fleet-membership/src/swim.rs
@@ -1,685 +1,800 @@
-//! Who is there: SWIM with Lifeguard's local health, suspicion that shortens as others agree, and refutation by incarnation.
+//! Failure detection: SWIM with the local health multiplier of Lifeguard, suspicions that shorten as other fronts confirm them,
+//! and refutation by incarnation.
 //!
 //! The roster is fixed. A front that was never heard of is *unknown*, which is not dead: nothing is concluded from it.
+//!
+//! A *process incarnation* numbers the runs of a front's process. Within one, the *incarnation* of SWIM is what a front raises
+//! to refute a wrong report about itself.
 
-use crate::bits::Bits;
+use crate::front_set::FrontSet;
 use lupinrack_failure_detection as arithmetic;
 use lupinrack_failure_detection::LocalHealth;
 use lupinrack_policy::Micros;
 use std::collections::VecDeque;
 
-/// Fronts asked to probe in one's stead.
-const HELPERS: usize = 3;
-/// Independent suspicions after which one's own patience is at its least.
-const CONFIRMS: usize = 3;
-/// A suspicion lasts this many times its least without any of them.
-const PATIENCE: f64 = 3.0;
-/// Looks of one's own before a suspect is held for dead: with three datagrams in ten lost, a living one answers one of them to all but
-/// 2 in 100. Once a suspicion is over they follow each other at half the patience.
-const LOOKS: u32 = 6;
-/// Probes sent for others that are remembered at once.
-const FAVOURS_MOST: usize = 64;
-/// Every so many periods one front that is not held for alive is looked at too.
-const REACH_EVERY: u32 = 2;
-/// News is told this many times the common logarithm of the roster; that a front is there, once it is known, fewer times.
-const TELLINGS: f64 = 3.0;
-const TELLINGS_LEAST: f64 = 5.0;
-const TELLINGS_THERE: f64 = 2.0;
-
-/// What is held of a front.
+/// Fronts that are sent a ping request for one target.
+const PING_REQ_FANOUT: usize = 3;
+/// Independent confirmations after which a suspicion lasts its minimum.
+const MAX_CONFIRMATIONS: usize = 3;
+/// Without confirmations a suspicion lasts this many times its minimum.
+const MAX_SUSPICION_FACTOR: f64 = 3.0;
+/// Direct pings of a suspect before it is declared dead. With 30 % of datagrams lost, 98 of 100 live suspects acknowledge one of
+/// them. Once the suspicion has run out they follow each other at half the ping timeout.
+const PINGS_BEFORE_DEATH: u32 = 6;
+/// Pings relayed for others that may be pending.
+const MAX_RELAYED_PINGS: usize = 64;
+/// A front that is not present is pinged every so many periods.
+const ABSENT_PING_PERIODS: u32 = 2;
+/// An update is sent this many times the common logarithm of the roster's size.
+const TRANSMISSIONS_FACTOR: f64 = 3.0;
+/// An update is sent at least this many times.
+const MIN_TRANSMISSIONS: f64 = 5.0;
+/// The factor for updates that only report a front as alive, which nothing has to refute.
+const PRESENCE_TRANSMISSIONS_FACTOR: f64 = 2.0;
+
+/// The state of a front as another one sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum State {
+pub enum MemberState {
     /// Never heard of.
     #[default]
     Unknown,
-    /// There.
+    /// Present.
     Alive,
-    /// Silent; it may refute that.
+    /// Does not answer; it may refute the suspicion.
     Suspect,
-    /// Held for dead: it was suspected for long enough and did not refute it.
+    /// Its suspicion ran out without a refutation.
     Dead,
-    /// It said that it leaves.
+    /// It announced that it leaves.
     Left,
 }
 
-impl State {
-    /// Whether it is held for there: silence alone is no death.
-    pub fn there(self) -> bool {
-        matches!(self, State::Alive | State::Suspect)
+impl MemberState {
+    /// Whether the front counts as present: a suspect does until it is dead.
+    pub fn is_present(self) -> bool {
+        matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 
-    /// Its word in figures and lines.
-    pub fn word(self) -> &'static str {
+    /// The name of the state in metrics, reports and logs.
+    pub fn as_str(self) -> &'static str {
         match self {
-            State::Unknown => "unknown",
-            State::Alive => "alive",
-            State::Suspect => "suspect",
-            State::Dead => "dead",
-            State::Left => "left",
+            MemberState::Unknown => "unknown",
+            MemberState::Alive => "alive",
+            MemberState::Suspect => "suspect",
+            MemberState::Dead => "dead",
+            MemberState::Left => "left",
         }
     }
 }
 
-/// A piece of news on one front.
+/// A report about one front, disseminated by all.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct News {
-    /// Of whom.
-    pub of: u16,
-    /// What; never unknown.
-    pub state: State,
-    /// Which life of it.
-    pub life: u64,
-    /// Its incarnation within that life: it raises it to refute.
-    pub inc: u16,
-    /// Who says so first-hand.
-    pub by: u16,
+pub struct Update {
+    /// The front that it is about.
+    pub front: u16,
+    /// The reported state; never unknown.
+    pub state: MemberState,
+    /// The process incarnation that it is about.
+    pub process_incarnation: u64,
+    /// The incarnation within that process incarnation; the front raises it to refute.
+    pub incarnation: u16,
+    /// The front that reports it first-hand.
+    pub reported_by: u16,
 }
 
-/// What is held of one front.
+/// What is known of one front.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Member {
-    /// What it is held for.
-    pub state: State,
-    /// Its life.
-    pub life: u64,
+    /// Its state.
+    pub state: MemberState,
+    /// Its process incarnation.
+    pub process_incarnation: u64,
     /// Its incarnation.
-    pub inc: u16,
-    /// Since when it is held for that.
+    pub incarnation: u16,
+    /// Since when it is in this state.
     pub since: Micros,
-    /// By whose word.
-    pub by: u16,
-    /// Who suspects it first-hand.
-    suspects: Vec<u16>,
-    /// Tellings left of the present state.
-    tell: u32,
-    /// When one that this front itself suspects is looked at again.
-    again: Micros,
-    /// Looks at it since it is suspected.
-    looks: u32,
+    /// The front that reported this state first-hand.
+    pub reported_by: u16,
+    /// The fronts that suspect it first-hand.
+    suspected_by: Vec<u16>,
+    /// How many more times its state is sent.
+    transmissions_left: u32,
+    /// While it is suspected: when this front pings it next.
+    next_ping_at: Micros,
+    /// How many pings it was sent since it is suspected.
+    pings: u32,
 }
 
-/// Times of the detection.
+/// The times of the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Pace {
-    /// One front is probed in each.
+pub struct ProbeTiming {
+    /// One front is probed in each protocol period.
     pub period: Micros,
-    /// How long a direct answer may take before others are asked.
-    pub patience: Micros,
-    /// The least that a suspicion lasts, among ten fronts; more in step with the common logarithm of a larger roster.
-    pub suspicion: Micros,
+    /// How long a direct acknowledgement may take before other fronts are sent ping requests.
+    pub ping_timeout: Micros,
+    /// The shortest suspicion in a roster of ten; it grows with the common logarithm of a larger roster.
+    pub min_suspicion: Micros,
 }
 
-/// What is to be sent.
+/// A message to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Out {
-    /// A probe, under this nonce.
+pub enum Outgoing {
+    /// A ping: its receiver and nonce.
     Ping(u16, u32),
-    /// A request to this helper to probe a target; the nonce comes back.
-    Ask(u16, u16, u32),
-    /// The answer to such a request: whether the target answered.
-    Told(u16, u32, bool),
+    /// A ping request: its receiver, the target, and the nonce that comes back with the result.
+    PingReq(u16, u16, u32),
+    /// The result of a ping request: its receiver, the nonce, and whether the target acknowledged.
+    PingReqResult(u16, u32, bool),
 }
 
-/// A change of what is held of a front.
+/// A change of state or process incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Of whom.
-    pub of: u16,
-    /// What it was held for.
-    pub from: State,
-    /// What it is held for now.
-    pub to: State,
-    /// By whose word.
-    pub by: u16,
-    /// Another life than before.
-    pub reborn: bool,
+    /// The front whose state changed.
+    pub front: u16,
+    /// The state before.
+    pub from: MemberState,
+    /// The state now.
+    pub to: MemberState,
+    /// The front that reported it first-hand.
+    pub reported_by: u16,
+    /// Whether the process incarnation changed.
+    pub restarted: bool,
 }
 
+/// The probe of the current protocol period.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Probe {
-    of: u16,
+    target: u16,
     nonce: u32,
-    life: u64,
-    asked: Vec<u16>,
-    patience_ends: Micros,
-    /// When it is sent once more: a datagram may be lost.
-    again: Micros,
-    ends: Micros,
+    process_incarnation: u64,
+    /// The fronts that were sent ping requests.
+    helpers: Vec<u16>,
+    /// When ping requests go out if the target has not acknowledged.
+    direct_deadline: Micros,
+    /// When the ping is repeated, since a datagram may be lost.
+    resend_at: Micros,
+    deadline: Micros,
+    /// Negative results of ping requests.
     nacks: usize,
 }
 
+/// A ping that another front requested.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Favour {
+struct RelayedPing {
     target: u16,
-    whose: u16,
-    their: u32,
+    requester: u16,
+    requester_nonce: u32,
     nonce: u32,
-    again: Micros,
-    ends: Micros,
+    resend_at: Micros,
+    deadline: Micros,
 }
 
-/// One front's opinion of all.
+/// The failure detector of one front.
 #[derive(Clone, Debug)]
 pub struct Swim {
     me: u16,
-    pace: Pace,
+    timing: ProbeTiming,
     members: Vec<Member>,
-    /// Who is held for there, who is suspected, and of whom there is something to tell: what `members` says, in sets.
-    here: Bits,
-    suspected: Bits,
-    telling: Bits,
-    order: Vec<u16>,
+    /// Alive and suspected fronts. This set and the next two repeat what `members` holds.
+    present: FrontSet,
+    suspected: FrontSet,
+    /// Fronts about which an update has transmissions left.
+    pending_updates: FrontSet,
+    /// The rest of the current round of probes, shuffled.
+    probe_order: Vec<u16>,
     probe: Option<Probe>,
-    favours: VecDeque<Favour>,
-    next: Micros,
+    relayed_pings: VecDeque<RelayedPing>,
+    next_period_at: Micros,
     periods: u32,
     health: LocalHealth,
-    nonce: u32,
-    dice: fastrand::Rng,
+    last_nonce: u32,
+    rng: fastrand::Rng,
 }
 
 impl Swim {
-    /// A life that begins now and knows of nobody.
-    pub fn new(me: u16, life: u64, configured: usize, pace: Pace, seed: u64, now: Micros) -> Swim {
+    /// The detector of a front that starts at `now` and knows of no other.
+    pub fn new(
+        me: u16,
+        process_incarnation: u64,
+        configured: usize,
+        timing: ProbeTiming,
+        seed: u64,
+        now: Micros,
+    ) -> Swim {
         let mut members = vec![Member::default(); configured];
         if let Some(own) = members.get_mut(usize::from(me)) {
             *own = Member {
-                state: State::Alive,
-                life,
+                state: MemberState::Alive,
+                process_incarnation,
                 since: now,
-                by: me,
-                tell: 1,
+                reported_by: me,
+                transmissions_left: 1,
                 ..Member::default()
             };
         }
-        let mut dice = fastrand::Rng::with_seed(seed);
-        // Fronts that start together don't probe in step.
-        let next = now + dice.i64(0..pace.period.max(1));
-        let order = Vec::new();
+        let mut rng = fastrand::Rng::with_seed(seed);
+        // Fronts that start together must not probe in step.
+        let next_period_at = now + rng.i64(0..timing.period.max(1));
+        let probe_order = Vec::new();
         Swim {
             me,
-            pace,
+            timing,
             members,
-            here: [me].into_iter().collect(),
-            suspected: Bits::default(),
-            telling: [me].into_iter().collect(),
-            order,
+            present: [me].into_iter().collect(),
+            suspected: FrontSet::default(),
+            pending_updates: [me].into_iter().collect(),
+            probe_order,
             probe: None,
-            favours: VecDeque::new(),
-            next,
+            relayed_pings: VecDeque::new(),
+            next_period_at,
             periods: 0,
             health: LocalHealth::default(),
-            nonce: 0,
-            dice,
+            last_nonce: 0,
+            rng,
         }
     }
 
-    /// What is held of each.
+    /// What is known of each front, by its index.
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
-    /// Local health: 0 is well; this many times longer is waited.
+    /// The local health score of Lifeguard: 0 is healthy; a higher score makes this front wait longer for others.
     pub fn health(&self) -> u32 {
         self.health.score()
     }
 
-    /// Who is held for there, suspects included.
-    pub fn present(&self) -> Bits {
-        self.here
+    /// The fronts that are present, suspects included.
+    pub fn present(&self) -> FrontSet {
+        self.present
     }
 
-    /// How many there is news of to tell.
-    pub fn untold(&self) -> usize {
-        self.telling.len()
+    /// The number of fronts about which an update is still to be sent.
+    pub fn pending_update_count(&self) -> usize {
+        self.pending_updates.len()
     }
 
-    /// Others that are held for there, at random.
-    pub fn some(&mut self, most: usize) -> Vec<u16> {
-        let mut others = self.here;
+    /// At most `max_count` other fronts that are present, chosen at random.
+    pub fn random_present(&mut self, max_count: usize) -> Vec<u16> {
+        let mut others = self.present;
         others.remove(self.me);
         let mut left = others.len();
-        let mut some = Vec::with_capacity(most.min(left));
-        while left > 0 && some.len() < most {
-            let Some(one) = others.nth(self.dice.usize(0..left)) else {
+        let mut chosen = Vec::with_capacity(max_count.min(left));
+        while left > 0 && chosen.len() < max_count {
+            let Some(front) = others.nth(self.rng.usize(0..left)) else {
                 break;
             };
-            others.remove(one);
-            some.push(one);
+            others.remove(front);
+            chosen.push(front);
             left -= 1;
         }
-        some
+        chosen
     }
 
-    fn scale(&self, span: Micros) -> Micros {
+    /// A time multiplied by the local health multiplier.
+    fn scaled_by_health(&self, span: Micros) -> Micros {
         span * Micros::from(self.health.multiplier())
     }
 
-    /// The size of the fleet as it counts for spreading: the common logarithm, one at the least.
-    pub fn size(&self) -> f64 {
+    /// The factor by which dissemination takes longer in a large roster: the common logarithm of its size, at least 1.
+    pub fn size_factor(&self) -> f64 {
         arithmetic::size_factor(self.members.len())
     }
 
-    fn tellings(&self, news: &News) -> u32 {
-        let plain = news.state == State::Alive && news.inc == 0;
-        match plain {
-            true => arithmetic::transmission_limit(self.size(), TELLINGS_THERE, 0.0),
-            false => arithmetic::transmission_limit(self.size(), TELLINGS, TELLINGS_LEAST),
+    /// How many times an update is sent.
+    fn transmission_limit(&self, update: &Update) -> u32 {
+        let only_presence = update.state == MemberState::Alive && update.incarnation == 0;
+        match only_presence {
+            true => arithmetic::transmission_limit(
+                self.size_factor(),
+                PRESENCE_TRANSMISSIONS_FACTOR,
+                0.0,
+            ),
+            false => arithmetic::transmission_limit(
+                self.size_factor(),
+                TRANSMISSIONS_FACTOR,
+                MIN_TRANSMISSIONS,
+            ),
         }
     }
 
-    fn set(&mut self, now: Micros, news: News, changes: &mut Vec<Change>) {
-        let tell = self.tellings(&news);
-        let Some(m) = self.members.get_mut(usize::from(news.of)) else {
+    /// Replaces what is known of a front and has it disseminated.
+    fn apply(&mut self, now: Micros, update: Update, changes: &mut Vec<Change>) {
+        let transmissions = self.transmission_limit(&update);
+        let Some(member) = self.members.get_mut(usize::from(update.front)) else {
             return;
         };
-        let from = m.state;
-        let reborn = m.life != 0 && news.life != m.life;
-        if from != news.state || reborn {
-            m.since = now;
+        let from = member.state;
+        let restarted = member.process_incarnation != 0
+            && update.process_incarnation != member.process_incarnation;
+        if from != update.state || restarted {
+            member.since = now;
         }
-        m.suspects = if news.state == State::Suspect {
-            vec![news.by]
+        member.suspected_by = if update.state == MemberState::Suspect {
+            vec![update.reported_by]
         } else {
             Vec::new()
         };
-        (m.again, m.looks) = (now, 0);
-        (m.state, m.life, m.inc, m.by, m.tell) = (news.state, news.life, news.inc, news.by, tell);
-        self.telling.insert(news.of);
-        for (set, is) in [
+        (member.next_ping_at, member.pings) = (now, 0);
+        (
+            member.state,
+            member.process_incarnation,
+            member.incarnation,
+            member.reported_by,
+            member.transmissions_left,
+        ) = (
+            update.state,
+            update.process_incarnation,
+            update.incarnation,
+            update.reported_by,
+            transmissions,
+        );
+        self.pending_updates.insert(update.front);
+        for (set, contains) in [
             (
-                &mut self.here,
-                matches!(news.state, State::Alive | State::Suspect),
+                &mut self.present,
+                matches!(update.state, MemberState::Alive | MemberState::Suspect),
             ),
-            (&mut self.suspected, news.state == State::Suspect),
+            (&mut self.suspected, update.state == MemberState::Suspect),
         ] {
-            if is {
-                set.insert(news.of)
+            if contains {
+                set.insert(update.front)
             } else {
-                set.remove(news.of)
+                set.remove(update.front)
             }
         }
-        if from != news.state || reborn {
+        if from != update.state || restarted {
             changes.push(Change {
-                of: news.of,
+                front: update.front,
                 from,
-                to: news.state,
-                by: news.by,
-                reborn,
+                to: update.state,
+                reported_by: update.reported_by,
+                restarted,
             });
         }
     }
 
-    /// Takes a piece of news. News of this front that is wrong is refuted.
-    pub fn hear(&mut self, now: Micros, news: News, changes: &mut Vec<Change>) {
-        let Some(m) = self.members.get(usize::from(news.of)) else {
+    /// Receives an update. A wrong one about this front is refuted; one about another front is applied if it is newer, and
+    /// counts as a confirmation if it reports the same suspicion.
+    pub fn on_update(&mut self, now: Micros, update: Update, changes: &mut Vec<Change>) {
+        let Some(member) = self.members.get(usize::from(update.front)) else {
             return;
         };
-        if news.of == self.me {
-            let wrong = news.life == m.life && news.state != State::Alive && news.inc >= m.inc;
-            if wrong && m.state == State::Alive {
+        if update.front == self.me {
+            let wrong = update.process_incarnation == member.process_incarnation
+                && update.state != MemberState::Alive
+                && update.incarnation >= member.incarnation;
+            if wrong && member.state == MemberState::Alive {
                 self.health.worsen();
-                let inc = news.inc.saturating_add(1);
-                self.set(
+                let incarnation = update.incarnation.saturating_add(1);
+                self.apply(
                     now,
-                    News {
-                        inc,
-                        state: State::Alive,
-                        by: self.me,
-                        ..news
+                    Update {
+                        incarnation,
+                        state: MemberState::Alive,
+                        reported_by: self.me,
+                        ..update
                     },
                     changes,
                 );
             }
             return;
         }
-        let newer = match (news.life.cmp(&m.life), news.state) {
+        let newer = match (
+            update.process_incarnation.cmp(&member.process_incarnation),
+            update.state,
+        ) {
             (std::cmp::Ordering::Less, _) => false,
             (std::cmp::Ordering::Greater, _) => true,
-            (_, State::Alive) => news.inc > m.inc || m.state == State::Unknown,
-            (_, State::Suspect) => match m.state {
-                State::Alive | State::Unknown => news.inc >= m.inc,
-                // Who is suspected in a later incarnation was there in it.
-                _ => news.inc > m.inc,
+            (_, MemberState::Alive) => {
+                update.incarnation > member.incarnation || member.state == MemberState::Unknown
+            }
+            (_, MemberState::Suspect) => match member.state {
+                MemberState::Alive | MemberState::Unknown => {
+                    update.incarnation >= member.incarnation
+                }
+                // A front that is suspected in a later incarnation was alive in it.
+                _ => update.incarnation > member.incarnation,
             },
-            (_, State::Dead | State::Left) => {
-                news.inc >= m.inc && !matches!(m.state, State::Dead | State::Left)
-                    || news.inc > m.inc
+            (_, MemberState::Dead | MemberState::Left) => {
+                update.incarnation >= member.incarnation
+                    && !matches!(member.state, MemberState::Dead | MemberState::Left)
+                    || update.incarnation > member.incarnation
             }
-            (_, State::Unknown) => false,
+            (_, MemberState::Unknown) => false,
         };
         if newer {
-            return self.set(now, news, changes);
+            return self.apply(now, update, changes);
         }
-        let again = news.life == m.life && news.inc == m.inc && m.state == State::Suspect;
-        if again && news.state == State::Suspect {
-            let tell = self.tellings(&news);
-            let m = &mut self.members[usize::from(news.of)];
-            if m.suspects.len() < CONFIRMS + 1 && !m.suspects.contains(&news.by) {
-                m.suspects.push(news.by);
-                m.tell = tell;
-                self.telling.insert(news.of);
+        let same_suspicion = update.process_incarnation == member.process_incarnation
+            && update.incarnation == member.incarnation
+            && member.state == MemberState::Suspect;
+        if same_suspicion && update.state == MemberState::Suspect {
+            let transmissions = self.transmission_limit(&update);
+            let member = &mut self.members[usize::from(update.front)];
+            if member.suspected_by.len() < MAX_CONFIRMATIONS + 1
+                && !member.suspected_by.contains(&update.reported_by)
+            {
+                member.suspected_by.push(update.reported_by);
+                member.transmissions_left = transmissions;
+                self.pending_updates.insert(update.front);
             }
         }
     }
 
-    /// Somebody was heard first-hand, in this life.
-    pub fn heard(&mut self, now: Micros, of: u16, life: u64, inc: u16, changes: &mut Vec<Change>) {
-        let Some(m) = self.members.get(usize::from(of)).filter(|_| of != self.me) else {
+    /// A datagram of `front` arrived, which proves that it is alive in this process incarnation and incarnation.
+    pub fn on_first_hand(
+        &mut self,
+        now: Micros,
+        front: u16,
+        process_incarnation: u64,
+        incarnation: u16,
+        changes: &mut Vec<Change>,
+    ) {
+        let Some(member) = self
+            .members
+            .get(usize::from(front))
+            .filter(|_| front != self.me)
+        else {
             return;
         };
-        if life > m.life || (life == m.life && (inc > m.inc || m.state == State::Unknown)) {
-            self.set(
+        if process_incarnation > member.process_incarnation
+            || (process_incarnation == member.process_incarnation
+                && (incarnation > member.incarnation || member.state == MemberState::Unknown))
+        {
+            self.apply(
                 now,
-                News {
-                    of,
-                    state: State::Alive,
-                    life,
-                    inc,
-                    by: self.me,
+                Update {
+                    front,
+                    state: MemberState::Alive,
+                    process_incarnation,
+                    incarnation,
+                    reported_by: self.me,
                 },
                 changes,
             );
         }
     }
 
-    /// The news to go with a datagram to `to`: what it has to know of itself first, then what was told the least.
-    pub fn news(&mut self, to: u16, most: usize) -> Vec<News> {
-        let worded = |i: u16, m: &Member| News {
-            of: i,
+    /// The updates to piggyback on a datagram to `to`: first what it may have to refute about itself, then the updates with the
+    /// most transmissions left.
+    pub fn updates_for(&mut self, to: u16, max_count: usize) -> Vec<Update> {
+        let update_about = |front: u16, m: &Member| Update {
+            front,
             state: m.state,
-            life: m.life,
-            inc: m.inc,
-            by: m.by,
+            process_incarnation: m.process_incarnation,
+            incarnation: m.incarnation,
+            reported_by: m.reported_by,
         };
-        let mut told = Vec::new();
-        let held = self
+        let mut updates = Vec::new();
+        let receiver = self
             .members
             .get(usize::from(to))
-            .filter(|m| !matches!(m.state, State::Alive | State::Unknown));
-        told.extend(held.map(|m| worded(to, m)));
-        // What may have to be refuted, and refutations, before who is there; of each the least told first.
-        let plain = |m: &Member| m.state == State::Alive && m.inc == 0;
-        let mut fresh: Vec<(bool, u32, u16)> = self
-            .telling
+            .filter(|m| !matches!(m.state, MemberState::Alive | MemberState::Unknown));
+        updates.extend(receiver.map(|m| update_about(to, m)));
+        // Suspicions, deaths and refutations go before updates that only report presence.
+        let only_presence = |m: &Member| m.state == MemberState::Alive && m.incarnation == 0;
+        let mut pending: Vec<(bool, u32, u16)> = self
+            .pending_updates
             .iter()
             .map(|i| (i, &self.members[usize::from(i)]))
             .filter(|(i, _)| *i != to)
-            .map(|(i, m)| (!plain(m), m.tell, i))
+            .map(|(i, m)| (!only_presence(m), m.transmissions_left, i))
             .collect();
-        let room = most.saturating_sub(told.len());
-        if fresh.len() > room && room > 0 {
-            fresh.select_nth_unstable_by(room - 1, |a, b| b.cmp(a));
-            fresh.truncate(room);
+        let capacity = max_count.saturating_sub(updates.len());
+        if pending.len() > capacity && capacity > 0 {
+            pending.select_nth_unstable_by(capacity - 1, |a, b| b.cmp(a));
+            pending.truncate(capacity);
         }
-        fresh.sort_unstable_by(|a, b| b.cmp(a));
-        for (.., i) in fresh.into_iter().take(room) {
-            let m = &mut self.members[usize::from(i)];
-            m.tell = m.tell.saturating_sub(1);
-            if m.tell == 0 {
-                self.telling.remove(i);
+        pending.sort_unstable_by(|a, b| b.cmp(a));
+        for (.., front) in pending.into_iter().take(capacity) {
+            let member = &mut self.members[usize::from(front)];
+            member.transmissions_left = member.transmissions_left.saturating_sub(1);
+            if member.transmissions_left == 0 {
+                self.pending_updates.remove(front);
             }
-            let mut news = worded(i, m);
-            if m.state == State::Suspect && m.suspects.contains(&self.me) {
-                news.by = self.me;
+            let mut update = update_about(front, member);
+            if member.state == MemberState::Suspect && member.suspected_by.contains(&self.me) {
+                update.reported_by = self.me;
             }
-            told.push(news);
+            updates.push(update);
         }
-        told.truncate(most);
-        told
+        updates.truncate(max_count);
+        updates
     }
 
-    /// Own incarnation.
-    pub fn inc(&self) -> u16 {
-        self.members.get(usize::from(self.me)).map_or(0, |m| m.inc)
+    /// The incarnation of this front.
+    pub fn incarnation(&self) -> u16 {
+        self.members
+            .get(usize::from(self.me))
+            .map_or(0, |m| m.incarnation)
     }
 
-    /// This front says that it leaves.
+    /// Announces that this front leaves.
     pub fn leave(&mut self, now: Micros) {
-        let Some(m) = self.members.get(usize::from(self.me)) else {
+        let Some(own) = self.members.get(usize::from(self.me)) else {
             return;
         };
-        let news = News {
-            of: self.me,
-            state: State::Left,
-            life: m.life,
-            inc: m.inc,
-            by: self.me,
+        let update = Update {
+            front: self.me,
+            state: MemberState::Left,
+            process_incarnation: own.process_incarnation,
+            incarnation: own.incarnation,
+            reported_by: self.me,
         };
-        self.set(now, news, &mut Vec::new());
+        self.apply(now, update, &mut Vec::new());
     }
 
-    fn nonce(&mut self) -> u32 {
-        self.nonce = self.nonce.wrapping_add(1);
-        self.nonce
+    fn next_nonce(&mut self) -> u32 {
+        self.last_nonce = self.last_nonce.wrapping_add(1);
+        self.last_nonce
     }
 
-    /// A probe, or one made for another, was answered.
-    pub fn answered(&mut self, from: u16, nonce: u32, out: &mut Vec<Out>) {
+    /// A ping was acknowledged: the one of the current probe, or a relayed one, whose result goes to its requester.
+    pub fn on_ack(&mut self, from: u16, nonce: u32, out: &mut Vec<Outgoing>) {
         if self
             .probe
             .as_ref()
-            .is_some_and(|p| p.of == from && p.nonce == nonce)
+            .is_some_and(|p| p.target == from && p.nonce == nonce)
         {
             self.probe = None;
             self.health.improve();
         }
-        if let Some(at) = self.favours.iter().position(|f| f.nonce == nonce) {
-            if let Some(f) = self.favours.remove(at) {
-                out.push(Out::Told(f.whose, f.their, true));
+        if let Some(at) = self.relayed_pings.iter().position(|p| p.nonce == nonce) {
+            if let Some(relayed) = self.relayed_pings.remove(at) {
+                out.push(Outgoing::PingReqResult(
+                    relayed.requester,
+                    relayed.requester_nonce,
+                    true,
+                ));
             }
         }
     }
 
-    /// One that was not met before greeted: that answers as well as any probe of it, which could only greet.
-    pub fn greeted(&mut self, from: u16, out: &mut Vec<Out>) {
+    /// A hello arrived. It counts as the acknowledgement of all pings of its sender, since a ping of a front whose process
+    /// incarnation was unknown went out as a hello.
+    pub fn on_hello(&mut self, from: u16, out: &mut Vec<Outgoing>) {
         if let Some(nonce) = self
             .probe
             .as_ref()
-            .filter(|p| p.of == from)
+            .filter(|p| p.target == from)
             .map(|p| p.nonce)
         {
-            self.answered(from, nonce, out);
+            self.on_ack(from, nonce, out);
         }
-        let waiting: Vec<u32> = self
-            .favours
+        let relayed: Vec<u32> = self
+            .relayed_pings
             .iter()
-            .filter(|f| f.target == from)
-            .map(|f| f.nonce)
+            .filter(|p| p.target == from)
+            .map(|p| p.nonce)
             .collect();
-        waiting
+        relayed
             .into_iter()
-            .for_each(|nonce| self.answered(from, nonce, out));
+            .for_each(|nonce| self.on_ack(from, nonce, out));
     }
 
-    /// Another asks to probe `target` for it.
-    pub fn asked(&mut self, now: Micros, whose: u16, their: u32, target: u16, out: &mut Vec<Out>) {
+    /// A ping request arrived: pings `target` for the requester.
+    pub fn on_ping_req(
+        &mut self,
+        now: Micros,
+        requester: u16,
+        requester_nonce: u32,
+        target: u16,
+        out: &mut Vec<Outgoing>,
+    ) {
         if target == self.me || usize::from(target) >= self.members.len() {
             return;
         }
-        if self.favours.len() >= FAVOURS_MOST {
-            self.favours.pop_front();
+        if self.relayed_pings.len() >= MAX_RELAYED_PINGS {
+            self.relayed_pings.pop_front();
         }
-        let nonce = self.nonce();
-        let (again, ends) = (now + self.pace.patience / 2, now + self.pace.patience);
-        self.favours.push_back(Favour {
+        let nonce = self.next_nonce();
+        let (resend_at, deadline) = (
+            now + self.timing.ping_timeout / 2,
+            now + self.timing.ping_timeout,
+        );
+        self.relayed_pings.push_back(RelayedPing {
             target,
-            whose,
-            their,
+            requester,
+            requester_nonce,
             nonce,
-            again,
-            ends,
+            resend_at,
+            deadline,
         });
-        out.push(Out::Ping(target, nonce));
+        out.push(Outgoing::Ping(target, nonce));
     }
 
-    /// A helper tells what came of its probe.
-    pub fn told(&mut self, nonce: u32, reached: bool) {
-        let Some(p) = self.probe.as_mut().filter(|p| p.nonce == nonce) else {
+    /// The result of a ping request arrived.
+    pub fn on_ping_req_result(&mut self, nonce: u32, reached: bool) {
+        let Some(probe) = self.probe.as_mut().filter(|p| p.nonce == nonce) else {
             return;
         };
         if reached {
             self.probe = None;
             self.health.improve();
         } else {
-            p.nacks += 1;
+            probe.nacks += 1;
         }
     }
 
-    /// This process was not running for `gap`: what ran out meanwhile says nothing of others.
-    pub fn paused(&mut self, now: Micros, gap: Micros) {
+    /// This process did not run for `gap`: timeouts that passed meanwhile prove nothing about other fronts.
+    pub fn on_pause(&mut self, now: Micros, gap: Micros) {
         self.probe = None;
-        self.favours.clear();
+        self.relayed_pings.clear();
         self.health.worsen();
         self.members
             .iter_mut()
-            .filter(|m| m.state == State::Suspect)
+            .filter(|m| m.state == MemberState::Suspect)
             .for_each(|m| m.since += gap);
-        self.next = now + self.pace.period;
+        self.next_period_at = now + self.timing.period;
     }
 
-    /// How long a suspicion that began is to last.
-    fn lasts(&self, m: &Member) -> Micros {
-        let confirms = arithmetic::confirmations_needed(CONFIRMS, self.members.len());
-        let agreed = m.suspects.len().saturating_sub(1);
-        // A refutation has to come round first, which takes longer in a large fleet.
-        let least = self.scale(self.pace.suspicion) as f64 * self.size();
-        arithmetic::suspicion_timeout(least, PATIENCE, agreed, confirms) as Micros
+    /// How long the suspicion of this member lasts; shorter the more fronts confirm it.
+    fn suspicion_timeout(&self, member: &Member) -> Micros {
+        let needed = arithmetic::confirmations_needed(MAX_CONFIRMATIONS, self.members.len());
+        let confirmations = member.suspected_by.len().saturating_sub(1);
+        // A refutation has to reach this front first, which takes longer in a large fleet.
+        let min = self.scaled_by_health(self.timing.min_suspicion) as f64 * self.size_factor();
+        arithmetic::suspicion_timeout(min, MAX_SUSPICION_FACTOR, confirmations, needed) as Micros
     }
 
-    /// Carries on at a moment.
-    pub fn tick(&mut self, now: Micros, out: &mut Vec<Out>, changes: &mut Vec<Change>) {
-        while let Some(f) = self.favours.front().filter(|f| f.ends <= now).cloned() {
-            self.favours.pop_front();
-            out.push(Out::Told(f.whose, f.their, false));
+    /// Does what is due at `now`: results of relayed pings, ping requests, repeated pings, the end of the probe, pings of
+    /// suspects and their deaths, and the next protocol period.
+    pub fn tick(&mut self, now: Micros, out: &mut Vec<Outgoing>, changes: &mut Vec<Change>) {
+        while let Some(relayed) = self
+            .relayed_pings
+            .front()
+            .filter(|p| p.deadline <= now)
+            .cloned()
+        {
+            self.relayed_pings.pop_front();
+            out.push(Outgoing::PingReqResult(
+                relayed.requester,
+                relayed.requester_nonce,
+                false,
+            ));
         }
-        let late = self
+        let needs_helpers = self
             .probe
             .as_ref()
-            .is_some_and(|p| p.asked.is_empty() && p.patience_ends <= now);
-        if late {
-            if let Some(mut p) = self.probe.take() {
-                p.asked = self
-                    .some(HELPERS + 1)
+            .is_some_and(|p| p.helpers.is_empty() && p.direct_deadline <= now);
+        if needs_helpers {
+            if let Some(mut probe) = self.probe.take() {
+                probe.helpers = self
+                    .random_present(PING_REQ_FANOUT + 1)
                     .into_iter()
-                    .filter(|i| *i != p.of)
-                    .take(HELPERS)
+                    .filter(|i| *i != probe.target)
+                    .take(PING_REQ_FANOUT)
                     .collect();
-                out.extend(p.asked.iter().map(|h| Out::Ask(*h, p.of, p.nonce)));
-                self.probe = Some(p);
+                out.extend(
+                    probe
+                        .helpers
+                        .iter()
+                        .map(|helper| Outgoing::PingReq(*helper, probe.target, probe.nonce)),
+                );
+                self.probe = Some(probe);
             }
         }
-        let patience = self.pace.patience;
-        if let Some(p) = self.probe.as_mut().filter(|p| p.again <= now) {
-            p.again = now + patience / 2;
-            out.push(Out::Ping(p.of, p.nonce));
+        let ping_timeout = self.timing.ping_timeout;
+        if let Some(probe) = self.probe.as_mut().filter(|p| p.resend_at <= now) {
+            probe.resend_at = now + ping_timeout / 2;
+            out.push(Outgoing::Ping(probe.target, probe.nonce));
         }
-        for f in self.favours.iter_mut().filter(|f| f.again <= now) {
-            f.again = now + patience / 2;
-            out.push(Out::Ping(f.target, f.nonce));
+        for relayed in self.relayed_pings.iter_mut().filter(|p| p.resend_at <= now) {
+            relayed.resend_at = now + ping_timeout / 2;
+            out.push(Outgoing::Ping(relayed.target, relayed.nonce));
         }
-        if let Some(p) = self.probe.take_if(|p| p.ends <= now) {
-            // Helpers that said nothing tell of this front's own health.
-            let silent = p.asked.len() - p.nacks.min(p.asked.len());
-            if p.asked.is_empty() || silent > 0 {
+        if let Some(probe) = self.probe.take_if(|p| p.deadline <= now) {
+            // Lifeguard: helpers that do not even send a negative result point to a fault of this front.
+            let missing_nacks = probe.helpers.len() - probe.nacks.min(probe.helpers.len());
+            if probe.helpers.is_empty() || missing_nacks > 0 {
                 self.health.worsen();
             }
-            self.suspect(now, &p, changes);
+            self.suspect(now, &probe, changes);
         }
         let suspected: Vec<u16> = self.suspected.iter().collect();
-        for of in suspected {
-            let m = &self.members[usize::from(of)];
-            let over = now - m.since >= self.lasts(m);
-            if m.again > now || !(over || m.suspects.contains(&self.me)) {
+        for front in suspected {
+            let member = &self.members[usize::from(front)];
+            let expired = now - member.since >= self.suspicion_timeout(member);
+            if member.next_ping_at > now || !(expired || member.suspected_by.contains(&self.me)) {
                 continue;
             }
-            if over && m.looks >= LOOKS {
-                let news = News {
-                    of,
-                    state: State::Dead,
-                    life: m.life,
-                    inc: m.inc,
-                    by: self.me,
+            if expired && member.pings >= PINGS_BEFORE_DEATH {
+                let update = Update {
+                    front,
+                    state: MemberState::Dead,
+                    process_incarnation: member.process_incarnation,
+                    incarnation: member.incarnation,
+                    reported_by: self.me,
                 };
-                self.set(now, news, changes);
+                self.apply(now, update, changes);
                 continue;
             }
-            // It hears of the suspicion first-hand, and its answer refutes it. Nobody is held for dead by hearsay alone.
-            let nonce = self.nonce();
-            let m = &mut self.members[usize::from(of)];
-            let pause = if over {
-                self.pace.patience / 2
+            // A ping tells the suspect of the suspicion, so that its acknowledgement refutes it. No front is declared dead
+            // before this front has pinged it itself.
+            let nonce = self.next_nonce();
+            let member = &mut self.members[usize::from(front)];
+            let interval = if expired {
+                self.timing.ping_timeout / 2
             } else {
-                self.pace.patience
+                self.timing.ping_timeout
             };
-            (m.again, m.looks) = (now + pause, m.looks + 1);
-            out.push(Out::Ping(of, nonce));
+            (member.next_ping_at, member.pings) = (now + interval, member.pings + 1);
+            out.push(Outgoing::Ping(front, nonce));
         }
-        if now >= self.next && self.probe.is_none() {
-            self.next = (self.next + self.scale(self.pace.period)).max(now + self.pace.period / 2);
+        if now >= self.next_period_at && self.probe.is_none() {
+            self.next_period_at = (self.next_period_at
+                + self.scaled_by_health(self.timing.period))
+            .max(now + self.timing.period / 2);
             self.periods = self.periods.wrapping_add(1);
-            self.begin(now, out);
+            self.start_probe(now, out);
         }
     }
 
-    fn suspect(&mut self, now: Micros, p: &Probe, changes: &mut Vec<Change>) {
-        let Some(m) = self
+    /// Suspects the target of a failed probe, unless it has restarted meanwhile.
+    fn suspect(&mut self, now: Micros, probe: &Probe, changes: &mut Vec<Change>) {
+        let Some(member) = self
             .members
-            .get(usize::from(p.of))
-            .filter(|m| m.life == p.life)
+            .get(usize::from(probe.target))
+            .filter(|m| m.process_incarnation == probe.process_incarnation)
         else {
             return;
         };
-        let news = News {
-            of: p.of,
-            state: State::Suspect,
-            life: m.life,
-            inc: m.inc,
-            by: self.me,
+        let update = Update {
+            front: probe.target,
+            state: MemberState::Suspect,
+            process_incarnation: member.process_incarnation,
+            incarnation: member.incarnation,
+            reported_by: self.me,
         };
-        match m.state {
-            State::Alive => self.set(now, news, changes),
-            State::Suspect => self.hear(now, news, changes),
+        match member.state {
+            MemberState::Alive => self.apply(now, update, changes),
+            MemberState::Suspect => self.on_update(now, update, changes),
             _ => {}
         }
     }
 
-    fn begin(&mut self, now: Micros, out: &mut Vec<Out>) {
-        if self.periods.is_multiple_of(REACH_EVERY) {
+    /// Begins a protocol period: probes the next present front and, every few periods, pings one that is not present, so that
+    /// the sides of a healed partition find each other.
+    fn start_probe(&mut self, now: Micros, out: &mut Vec<Outgoing>) {
+        if self.periods.is_multiple_of(ABSENT_PING_PERIODS) {
             let present = self.present();
-            let away: Vec<u16> = (0..self.members.len() as u16)
-                .filter(|i| !present.has(*i))
+            let absent: Vec<u16> = (0..self.members.len() as u16)
+                .filter(|i| !present.contains(*i))
                 .collect();
-            if let Some(of) = self.dice.choice(&away).copied() {
-                let nonce = self.nonce();
-                out.push(Out::Ping(of, nonce));
+            if let Some(front) = self.rng.choice(&absent).copied() {
+                let nonce = self.next_nonce();
+                out.push(Outgoing::Ping(front, nonce));
             }
         }
-        let of = loop {
-            match self.order.pop() {
-                Some(i) if i != self.me && self.present().has(i) => break i,
+        let target = loop {
+            match self.probe_order.pop() {
+                Some(i) if i != self.me && self.present().contains(i) => break i,
                 Some(_) => {}
                 None => {
-                    self.order = self.present().iter().filter(|i| *i != self.me).collect();
-                    self.dice.shuffle(&mut self.order);
-                    if self.order.is_empty() {
+                    self.probe_order = self.present().iter().filter(|i| *i != self.me).collect();
+                    self.rng.shuffle(&mut self.probe_order);
+                    if self.probe_order.is_empty() {
                         return;
                     }
                 }
             }
         };
-        let nonce = self.nonce();
-        let (patience, period) = (self.scale(self.pace.patience), self.scale(self.pace.period));
+        let nonce = self.next_nonce();
+        let (ping_timeout, period) = (
+            self.scaled_by_health(self.timing.ping_timeout),
+            self.scaled_by_health(self.timing.period),
+        );
         self.probe = Some(Probe {
-            of,
+            target,
             nonce,
-            life: self.members[usize::from(of)].life,
-            asked: Vec::new(),
-            patience_ends: now + patience,
-            again: now + self.pace.patience / 2,
-            ends: now + period,
+            process_incarnation: self.members[usize::from(target)].process_incarnation,
+            helpers: Vec::new(),
+            direct_deadline: now + ping_timeout,
+            resend_at: now + self.timing.ping_timeout / 2,
+            deadline: now + period,
             nacks: 0,
         });
-        out.push(Out::Ping(of, nonce));
+        out.push(Outgoing::Ping(target, nonce));
     }
 }
--- a/crates/fleet-membership/src/wire.rs
+++ b/crates/fleet-membership/src/wire.rs
@@ -1,245 +1,271 @@
-//! What the membership says in a datagram of the carrier: a kind, the sender's incarnation, and a body by kind.
+//! The payload of a membership datagram: a kind, the sender's incarnation, and a body that depends on the kind.
 //!
-//! Nothing in it is longer than it says, and whatever is left over makes it void.
+//! Integers are little-endian. A payload with bytes left over after its body is rejected.
 
-use crate::agree::{Ballot, Number, Promises, Round, View, Word};
-use crate::bits::Bits;
-use crate::swim::{News, State};
+use crate::agreement::{AgreementMessage, Promises, ProposalNumber, Renewal, View, ViewNumber};
+use crate::front_set::FrontSet;
+use crate::swim::{MemberState, Update};
 use lupinrack_peer_transport::frame::{open, room, seal, Head, Reader, Tag, Writer};
 pub use lupinrack_peer_transport::frame::{Key, Keys, Void, Window, LONGEST};
 use lupinrack_policy::Micros;
 
-/// The most volumes of one datagram.
-pub const VOLUMES_MOST: usize = 24;
-const NEWS: usize = 15;
-const BALLOT: usize = 14;
-const NUMBER: usize = BALLOT + 4;
+/// The largest number of volumes in one datagram.
+pub const MAX_VOLUMES: usize = 24;
+const UPDATE_BYTES: usize = 15;
+const PROPOSAL_NUMBER_BYTES: usize = 14;
+const VIEW_NUMBER_BYTES: usize = PROPOSAL_NUMBER_BYTES + 4;
 
-/// What a datagram says.
+/// The body of a datagram.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Body {
-    /// The first word to one whose life is not known, or the answer to it; and the highest life heard of under its name.
+    /// Sent to a front whose process incarnation is not known, and as the answer to a sender that does not know the own one.
+    /// Contains the highest process incarnation that the sender has accepted from the receiver; 0 for none.
     Hello(u64),
-    /// A look: the answer brings the nonce back.
-    Ping(u32, Told),
-    /// The answer to a look, and what is left of the lease on the view told.
-    Ack(u32, Micros, Told),
-    /// News without a question.
-    Push(Told),
-    /// A request to look at another.
-    Ask(u16, u32),
-    /// What came of that.
-    Reached(u32, bool),
-    /// Volumes that the sender serves, in a round of its own numbering.
-    Serves(u8, Vec<u64>),
-    /// The answer: what was told is noted, and acted on; which of these the answerer serves too, the first in the lowest bit.
-    Heard(u8, Vec<u64>, u32),
-    /// The receiver's name is held by another life at another address.
-    Contested,
+    /// A ping with a nonce, which its acknowledgement returns.
+    Ping(u32, Piggyback),
+    /// The acknowledgement of a ping, with how much remains of the lease on the view in the piggyback; 0 for none.
+    Ack(u32, Micros, Piggyback),
+    /// A piggyback without a ping.
+    Push(Piggyback),
+    /// A ping request: the target, and a nonce that the result returns.
+    PingReq(u16, u32),
+    /// The result of a ping request: whether the target acknowledged.
+    PingReqResult(u32, bool),
+    /// Volumes that the sender serves, with the number of its current round.
+    ServedVolumes(u8, Vec<u64>),
+    /// The acknowledgement that these volumes are recorded and acted on, with a mask of those that its sender serves as well;
+    /// the first volume is the lowest bit.
+    ServedVolumesAck(u8, Vec<u64>, u32),
+    /// Another process uses the receiver's name at another address.
+    NameContested,
 }
 
-/// What goes with looks and answers.
+/// What pings, acknowledgements and pushes carry about views and members.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told {
-    /// On views.
-    pub word: Word,
-    /// Whether the sender leads under a ballot of its own.
+pub struct Piggyback {
+    /// What the sender knows of views.
+    pub agreement: AgreementMessage,
+    /// Whether the sender leads under a proposal of its own.
     pub leads: bool,
-    /// On fronts.
-    pub news: Vec<News>,
+    /// Updates about members.
+    pub updates: Vec<Update>,
 }
 
-/// A datagram.
+/// A membership datagram.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Datagram {
-    /// A hash of the roster's names.
-    pub roster: u32,
+    /// A hash of the roster's names and terms.
+    pub roster_hash: u32,
     /// The sender.
     pub from: u16,
-    /// Its number among what this life of the sender sent.
-    pub seq: u32,
-    /// The sender's life.
-    pub life: u64,
-    /// The receiver's life as the sender knows it; 0: not known.
-    pub to_life: u64,
+    /// Its position among the datagrams of this process incarnation of the sender.
+    pub sequence: u32,
+    /// The sender's process incarnation.
+    pub process_incarnation: u64,
+    /// The receiver's process incarnation as the sender knows it; 0 if unknown.
+    pub to_process_incarnation: u64,
     /// The sender's incarnation.
-    pub inc: u16,
-    /// What it says.
+    pub incarnation: u16,
+    /// Its body.
     pub body: Body,
 }
 
-/// The membership's own forms.
-trait Write {
-    fn ballot(&mut self, b: &Ballot);
-    fn number(&mut self, n: &Number);
+/// Encoding of the membership's types.
+trait Encode {
+    fn proposal_number(&mut self, number: &ProposalNumber);
+    fn view_number(&mut self, number: &ViewNumber);
     fn volumes(&mut self, round: u8, volumes: &[u64]);
-    fn told(&mut self, told: &Told, n: usize, room: usize);
+    fn piggyback(&mut self, piggyback: &Piggyback, front_count: usize, max_bytes: usize);
 }
 
-impl Write for Writer {
-    fn ballot(&mut self, b: &Ballot) {
-        self.put(b.round.to_le_bytes());
-        self.put(b.leader.to_le_bytes());
-        self.put(b.life.to_le_bytes());
+impl Encode for Writer {
+    fn proposal_number(&mut self, number: &ProposalNumber) {
+        self.put(number.round.to_le_bytes());
+        self.put(number.proposer.to_le_bytes());
+        self.put(number.process_incarnation.to_le_bytes());
     }
 
-    fn number(&mut self, n: &Number) {
-        self.ballot(&n.ballot);
-        self.put(n.n.to_le_bytes());
+    fn view_number(&mut self, number: &ViewNumber) {
+        self.proposal_number(&number.proposal);
+        self.put(number.sequence.to_le_bytes());
     }
 
     fn volumes(&mut self, round: u8, volumes: &[u64]) {
-        let volumes = &volumes[..volumes.len().min(VOLUMES_MOST)];
+        let volumes = &volumes[..volumes.len().min(MAX_VOLUMES)];
         self.put([round, volumes.len() as u8]);
-        volumes.iter().for_each(|v| self.put(v.to_le_bytes()));
+        volumes
+            .iter()
+            .for_each(|volume| self.put(volume.to_le_bytes()));
     }
 
-    /// The word, as much of it as fits into `room`; its first byte says what follows.
-    fn told(&mut self, told: &Told, n: usize, room: usize) {
-        let (word, bits, at) = (&told.word, n.div_ceil(8), self.0.len());
-        let mut left = room.saturating_sub(1 + BALLOT + NUMBER + 1);
+    /// Encodes as much of the piggyback as fits into `max_bytes`. Flags in the first byte tell which parts follow; the view goes
+    /// before the promises, the renewal and the updates.
+    fn piggyback(&mut self, piggyback: &Piggyback, front_count: usize, max_bytes: usize) {
+        let (agreement, set_bytes, start) = (
+            &piggyback.agreement,
+            front_count.div_ceil(8),
+            self.0.len(),
+        );
+        let mut left =
+            max_bytes.saturating_sub(1 + PROPOSAL_NUMBER_BYTES + VIEW_NUMBER_BYTES + 1);
         let mut fits = |size: usize| {
             let fits = left >= size;
             left -= if fits { size } else { 0 };
             fits
         };
-        let view = word.view.filter(|_| fits(NUMBER + bits));
-        let promises = word.promises.filter(|_| fits(NUMBER + bits));
-        let round = word.round.filter(|_| fits(4 + bits));
+        let view = agreement
+            .view
+            .filter(|_| fits(VIEW_NUMBER_BYTES + set_bytes));
+        let promises = agreement
+            .promises
+            .filter(|_| fits(VIEW_NUMBER_BYTES + set_bytes));
+        let renewal = agreement.renewal.filter(|_| fits(4 + set_bytes));
         let flags = [
             view.is_some(),
             promises.is_some(),
-            round.is_some(),
-            told.leads,
+            renewal.is_some(),
+            piggyback.leads,
         ];
         let flags = flags
             .iter()
             .rev()
             .fold(0_u8, |all, flag| all << 1 | u8::from(*flag));
         self.put([flags]);
-        self.ballot(&word.promised);
-        self.number(&word.number);
+        self.proposal_number(&agreement.promised);
+        self.view_number(&agreement.view_number);
         if let Some(view) = view {
-            self.number(&view.prev);
-            self.0.extend(view.members.bytes(n));
+            self.view_number(&view.previous);
+            self.0.extend(view.members.to_bytes(front_count));
         }
-        if let Some(p) = promises {
-            self.number(&p.best);
-            self.0.extend(p.by.bytes(n));
+        if let Some(promises) = promises {
+            self.view_number(&promises.highest_accepted);
+            self.0.extend(promises.promised_by.to_bytes(front_count));
         }
-        if let Some(r) = round {
-            self.put(r.k.to_le_bytes());
-            self.0.extend(r.by.bytes(n));
+        if let Some(renewal) = renewal {
+            self.put(renewal.sequence.to_le_bytes());
+            self.0.extend(renewal.acknowledged_by.to_bytes(front_count));
         }
-        let most = (room - (self.0.len() - at) - 1) / NEWS;
-        let news = &told.news[..told.news.len().min(most)];
-        self.put([news.len() as u8]);
-        for piece in news {
-            self.put(piece.of.to_le_bytes());
-            self.put([piece.state as u8]);
-            self.put(piece.life.to_le_bytes());
-            self.put(piece.inc.to_le_bytes());
-            self.put(piece.by.to_le_bytes());
+        let max_updates = (max_bytes - (self.0.len() - start) - 1) / UPDATE_BYTES;
+        let updates = &piggyback.updates[..piggyback.updates.len().min(max_updates)];
+        self.put([updates.len() as u8]);
+        for update in updates {
+            self.put(update.front.to_le_bytes());
+            self.put([update.state as u8]);
+            self.put(update.process_incarnation.to_le_bytes());
+            self.put(update.incarnation.to_le_bytes());
+            self.put(update.reported_by.to_le_bytes());
         }
     }
 }
 
-trait Read {
+/// Decoding of the membership's types.
+trait Decode {
     fn volumes(&mut self) -> Option<Vec<u64>>;
-    fn ballot(&mut self) -> Option<Ballot>;
-    fn number(&mut self) -> Option<Number>;
-    fn bits(&mut self, n: usize) -> Option<Bits>;
-    fn told(&mut self, n: usize) -> Option<Told>;
+    fn proposal_number(&mut self) -> Option<ProposalNumber>;
+    fn view_number(&mut self) -> Option<ViewNumber>;
+    fn front_set(&mut self, front_count: usize) -> Option<FrontSet>;
+    fn piggyback(&mut self, front_count: usize) -> Option<Piggyback>;
 }
 
-impl Read for Reader<'_> {
+impl Decode for Reader<'_> {
     fn volumes(&mut self) -> Option<Vec<u64>> {
-        let count = Some(usize::from(self.u8()?)).filter(|n| *n <= VOLUMES_MOST)?;
+        let count = Some(usize::from(self.u8()?)).filter(|count| *count <= MAX_VOLUMES)?;
         (0..count).map(|_| self.u64()).collect()
     }
 
-    fn ballot(&mut self) -> Option<Ballot> {
-        Some(Ballot {
+    fn proposal_number(&mut self) -> Option<ProposalNumber> {
+        Some(ProposalNumber {
             round: self.u32()?,
-            leader: self.u16()?,
-            life: self.u64()?,
+            proposer: self.u16()?,
+            process_incarnation: self.u64()?,
         })
     }
 
-    fn number(&mut self) -> Option<Number> {
-        Some(Number {
-            ballot: self.ballot()?,
-            n: self.u32()?,
+    fn view_number(&mut self) -> Option<ViewNumber> {
+        Some(ViewNumber {
+            proposal: self.proposal_number()?,
+            sequence: self.u32()?,
         })
     }
 
-    fn bits(&mut self, n: usize) -> Option<Bits> {
-        Bits::read(self.take(n.div_ceil(8))?, n)
+    fn front_set(&mut self, front_count: usize) -> Option<FrontSet> {
+        FrontSet::from_bytes(self.take(front_count.div_ceil(8))?, front_count)
     }
 
-    fn told(&mut self, n: usize) -> Option<Told> {
+    fn piggyback(&mut self, front_count: usize) -> Option<Piggyback> {
         let flags = self.u8().filter(|f| *f < 16)?;
-        let mut word = Word {
-            promised: self.ballot()?,
-            number: self.number()?,
-            ..Word::default()
+        let mut agreement = AgreementMessage {
+            promised: self.proposal_number()?,
+            view_number: self.view_number()?,
+            ..AgreementMessage::default()
         };
         if flags & 1 != 0 {
-            let (prev, members) = (self.number()?, self.bits(n)?);
-            word.view = Some(View {
-                number: word.number,
-                prev,
+            let (previous, members) = (self.view_number()?, self.front_set(front_count)?);
+            agreement.view = Some(View {
+                number: agreement.view_number,
+                previous,
                 members,
             });
         }
         if flags & 2 != 0 {
-            let (best, by) = (self.number()?, self.bits(n)?);
-            word.promises = Some(Promises { by, best });
+            let (highest_accepted, promised_by) =
+                (self.view_number()?, self.front_set(front_count)?);
+            agreement.promises = Some(Promises {
+                promised_by,
+                highest_accepted,
+            });
         }
         if flags & 4 != 0 {
-            word.round = Some(Round {
-                k: self.u32()?,
-                by: self.bits(n)?,
+            agreement.renewal = Some(Renewal {
+                sequence: self.u32()?,
+                acknowledged_by: self.front_set(front_count)?,
             });
         }
-        // No view is above what its sender promised.
-        if word.number.ballot > word.promised || word.view.is_some_and(|v| v.prev >= v.number) {
+        // A front has promised at least the proposal of the view that it accepted, and a view follows a lower one.
+        if agreement.view_number.proposal > agreement.promised
+            || agreement.view.is_some_and(|v| v.previous >= v.number)
+        {
             return None;
         }
         let count = usize::from(self.u8()?);
-        let mut news = Vec::with_capacity(count.min(LONGEST / NEWS));
+        let mut updates = Vec::with_capacity(count.min(LONGEST / UPDATE_BYTES));
         for _ in 0..count {
-            let of = self.u16().filter(|of| usize::from(*of) < n)?;
+            let front = self.u16().filter(|i| usize::from(*i) < front_count)?;
             let state = match self.u8()? {
-                1 => State::Alive,
-                2 => State::Suspect,
-                3 => State::Dead,
-                4 => State::Left,
+                1 => MemberState::Alive,
+                2 => MemberState::Suspect,
+                3 => MemberState::Dead,
+                4 => MemberState::Left,
                 _ => return None,
             };
-            let (life, inc) = (self.u64()?, self.u16()?);
-            let by = self.u16().filter(|by| usize::from(*by) < n)?;
-            news.push(News {
-                of,
+            let (process_incarnation, incarnation) = (self.u64()?, self.u16()?);
+            let reported_by = self.u16().filter(|i| usize::from(*i) < front_count)?;
+            updates.push(Update {
+                front,
                 state,
-                life,
-                inc,
-                by,
+                process_incarnation,
+                incarnation,
+                reported_by,
             });
         }
-        Some(Told {
-            word,
+        Some(Piggyback {
+            agreement,
             leads: flags & 8 != 0,
-            news,
+            updates,
         })
     }
 }
 
 impl Datagram {
-    /// Its head, as the carrier has it.
+    /// The head of the datagram's frame.
     pub fn head(&self) -> Head {
-        let (roster, from, seq, life, to_life) =
-            (self.roster, self.from, self.seq, self.life, self.to_life);
+        let (roster, from, seq, life, to_life) = (
+            self.roster_hash,
+            self.from,
+            self.sequence,
+            self.process_incarnation,
+            self.to_process_incarnation,
+        );
         Head {
             tag: Tag::MEMBERSHIP,
             roster,
@@ -250,70 +276,74 @@
         }
     }
 
-    /// As bytes, for a roster of `n` fronts.
-    pub fn write(&self, n: usize, keys: &Keys) -> Vec<u8> {
-        let most = room(keys);
-        let mut w = Writer(Vec::with_capacity(most));
+    /// Encodes and authenticates the datagram for a roster of `front_count` fronts. A piggyback that does not fit is shortened.
+    pub fn encode(&self, front_count: usize, keys: &Keys) -> Vec<u8> {
+        let max_bytes = room(keys);
+        let mut writer = Writer(Vec::with_capacity(max_bytes));
         let kind = match &self.body {
             Body::Hello(_) => 0,
             Body::Ping(..) => 1,
             Body::Ack(..) => 2,
             Body::Push(_) => 3,
-            Body::Ask(..) => 4,
-            Body::Reached(..) => 5,
-            Body::Serves(..) => 6,
-            Body::Contested => 7,
-            Body::Heard(..) => 8,
+            Body::PingReq(..) => 4,
+            Body::PingReqResult(..) => 5,
+            Body::ServedVolumes(..) => 6,
+            Body::NameContested => 7,
+            Body::ServedVolumesAck(..) => 8,
         };
-        w.put([kind, 0]);
-        w.put(self.inc.to_le_bytes());
-        let room = |w: &Writer| most - w.0.len();
+        writer.put([kind, 0]);
+        writer.put(self.incarnation.to_le_bytes());
+        let capacity = |writer: &Writer| max_bytes - writer.0.len();
         match &self.body {
-            Body::Contested => {}
-            Body::Hello(known) => w.put(known.to_le_bytes()),
-            Body::Ping(nonce, told) => {
-                w.put(nonce.to_le_bytes());
-                let room = room(&w);
-                w.told(told, n, room);
+            Body::NameContested => {}
+            Body::Hello(known) => writer.put(known.to_le_bytes()),
+            Body::Ping(nonce, piggyback) => {
+                writer.put(nonce.to_le_bytes());
+                let capacity = capacity(&writer);
+                writer.piggyback(piggyback, front_count, capacity);
             }
-            Body::Ack(nonce, left, told) => {
-                w.put(nonce.to_le_bytes());
-                w.put(u32::try_from(*left).unwrap_or(0).to_le_bytes());
-                let room = room(&w);
-                w.told(told, n, room);
+            Body::Ack(nonce, lease_remaining, piggyback) => {
+                writer.put(nonce.to_le_bytes());
+                writer.put(u32::try_from(*lease_remaining).unwrap_or(0).to_le_bytes());
+                let capacity = capacity(&writer);
+                writer.piggyback(piggyback, front_count, capacity);
             }
-            Body::Push(told) => {
-                let room = room(&w);
-                w.told(told, n, room);
+            Body::Push(piggyback) => {
+                let capacity = capacity(&writer);
+                writer.piggyback(piggyback, front_count, capacity);
             }
-            Body::Ask(target, nonce) => {
-                w.put(target.to_le_bytes());
-                w.put(nonce.to_le_bytes());
+            Body::PingReq(target, nonce) => {
+                writer.put(target.to_le_bytes());
+                writer.put(nonce.to_le_bytes());
             }
-            Body::Reached(nonce, reached) => {
-                w.put(nonce.to_le_bytes());
-                w.put([u8::from(*reached)]);
+            Body::PingReqResult(nonce, reached) => {
+                writer.put(nonce.to_le_bytes());
+                writer.put([u8::from(*reached)]);
             }
-            Body::Serves(round, volumes) => w.volumes(*round, volumes),
-            Body::Heard(round, volumes, too) => {
-                w.volumes(*round, volumes);
-                w.put(too.to_le_bytes());
+            Body::ServedVolumes(round, volumes) => writer.volumes(*round, volumes),
+            Body::ServedVolumesAck(round, volumes, also_served) => {
+                writer.volumes(*round, volumes);
+                writer.put(also_served.to_le_bytes());
             }
         }
-        seal(&self.head(), &w.0, keys)
+        seal(&self.head(), &writer.0, keys)
     }
 
-    /// From bytes, for a roster of `n` fronts.
-    pub fn read(bytes: &[u8], n: usize, keys: &Keys) -> Result<Datagram, Void> {
-        let (head, said) = open(bytes, n, keys)?;
+    /// Authenticates and decodes a datagram for a roster of `front_count` fronts.
+    pub fn decode(bytes: &[u8], front_count: usize, keys: &Keys) -> Result<Datagram, Void> {
+        let (head, payload) = open(bytes, front_count, keys)?;
         match head.tag {
-            Tag::MEMBERSHIP => Datagram::said(head, said, n),
+            Tag::MEMBERSHIP => Datagram::decode_payload(head, payload, front_count),
             _ => Err(Void::Content),
         }
     }
 
-    /// From what the carrier made of it.
-    pub fn said(head: Head, said: &[u8], n: usize) -> Result<Datagram, Void> {
+    /// Decodes the payload of a frame that is already open.
+    pub fn decode_payload(
+        head: Head,
+        payload: &[u8],
+        front_count: usize,
+    ) -> Result<Datagram, Void> {
         let Head {
             roster,
             from,
@@ -322,32 +352,39 @@
             to_life,
             ..
         } = head;
-        let mut r = Reader(said);
-        let mut read = || -> Option<Datagram> {
-            let (kind, zero, inc) = (r.u8()?, r.u8()?, r.u16()?);
+        let mut reader = Reader(payload);
+        let mut decode = || -> Option<Datagram> {
+            let (kind, zero, incarnation) = (reader.u8()?, reader.u8()?, reader.u16()?);
             let body = match kind {
-                0 => Body::Hello(r.u64()?),
-                1 => Body::Ping(r.u32()?, r.told(n)?),
-                2 => Body::Ack(r.u32()?, Micros::from(r.u32()?), r.told(n)?),
-                3 => Body::Push(r.told(n)?),
-                4 => Body::Ask(r.u16().filter(|t| usize::from(*t) < n)?, r.u32()?),
-                5 => Body::Reached(r.u32()?, r.u8().filter(|b| *b < 2)? == 1),
-                6 => Body::Serves(r.u8()?, r.volumes()?),
-                8 => Body::Heard(r.u8()?, r.volumes()?, r.u32()?),
-                7 => Body::Contested,
+                0 => Body::Hello(reader.u64()?),
+                1 => Body::Ping(reader.u32()?, reader.piggyback(front_count)?),
+                2 => Body::Ack(
+                    reader.u32()?,
+                    Micros::from(reader.u32()?),
+                    reader.piggyback(front_count)?,
+                ),
+                3 => Body::Push(reader.piggyback(front_count)?),
+                4 => Body::PingReq(
+                    reader.u16().filter(|i| usize::from(*i) < front_count)?,
+                    reader.u32()?,
+                ),
+                5 => Body::PingReqResult(reader.u32()?, reader.u8().filter(|b| *b < 2)? == 1),
+                6 => Body::ServedVolumes(reader.u8()?, reader.volumes()?),
+                8 => Body::ServedVolumesAck(reader.u8()?, reader.volumes()?, reader.u32()?),
+                7 => Body::NameContested,
                 _ => return None,
             };
-            let whole = r.0.is_empty() && zero == 0;
-            whole.then_some(Datagram {
-                roster,
+            let valid = reader.0.is_empty() && zero == 0;
+            valid.then_some(Datagram {
+                roster_hash: roster,
                 from,
-                seq,
-                life,
-                to_life,
-                inc,
+                sequence: seq,
+                process_incarnation: life,
+                to_process_incarnation: to_life,
+                incarnation,
                 body,
             })
         };
-        read().ok_or(Void::Content)
+        decode().ok_or(Void::Content)
     }
 }
--- a/crates/fleet-membership/tests/golden.rs
+++ b/crates/fleet-membership/tests/golden.rs
@@ -1,180 +1,192 @@
-//! Golden files of the membership: every kind of datagram, the hash of the roster that goes with each, and the words for operators.
+//! Golden files of the membership: every kind of datagram, the roster hashes, and the names in reports, metrics and logs.
 
-use lupinrack_fleet_membership::agree::{Ballot, Number, Promises, Round, View, Word};
-use lupinrack_fleet_membership::bits::Bits;
+use lupinrack_fleet_membership::agreement::{
+    AgreementMessage, Promises, ProposalNumber, Renewal, View, ViewNumber,
+};
 use lupinrack_fleet_membership::config::{Peer, Section};
-use lupinrack_fleet_membership::stance::Stance;
-use lupinrack_fleet_membership::swim::{News, State};
-use lupinrack_fleet_membership::wire::{Body, Datagram, Keys, Told, Void};
+use lupinrack_fleet_membership::front_set::FrontSet;
+use lupinrack_fleet_membership::participation::Participation;
+use lupinrack_fleet_membership::swim::{MemberState, Update};
+use lupinrack_fleet_membership::wire::{Body, Datagram, Keys, Piggyback, Void};
 use lupinrack_fleet_membership::Counts;
 use lupinrack_golden_files::{path, GoldenFile};
 
-/// A small roster, and one whose sets of fronts are longer than the lists that a datagram has room for.
+/// A small roster, and one whose sets of fronts do not all fit into one datagram.
 const SMALL: usize = 11;
 const LARGE: usize = 500;
 
-fn ballot(round: u32) -> Ballot {
-    Ballot {
+fn proposal(round: u32) -> ProposalNumber {
+    ProposalNumber {
         round,
-        leader: 7,
-        life: 0x2122_2324_2526_2728,
+        proposer: 7,
+        process_incarnation: 0x2122_2324_2526_2728,
     }
 }
 
-fn number(round: u32, n: u32) -> Number {
-    Number {
-        ballot: ballot(round),
-        n,
+fn view_number(round: u32, sequence: u32) -> ViewNumber {
+    ViewNumber {
+        proposal: proposal(round),
+        sequence,
     }
 }
 
-fn fronts(of: &[u16]) -> Bits {
-    of.iter().copied().collect()
+fn fronts(indexes: &[u16]) -> FrontSet {
+    indexes.iter().copied().collect()
 }
 
-fn word() -> Word {
-    Word {
-        promised: ballot(0x3132_3334),
-        number: number(0x2930_3132, 0x4142_4344),
-        ..Word::default()
+fn agreement() -> AgreementMessage {
+    AgreementMessage {
+        promised: proposal(0x3132_3334),
+        view_number: view_number(0x2930_3132, 0x4142_4344),
+        ..AgreementMessage::default()
     }
 }
 
 fn view() -> View {
     View {
-        number: word().number,
-        prev: number(0x1920_2122, 0x5152_5354),
+        number: agreement().view_number,
+        previous: view_number(0x1920_2122, 0x5152_5354),
         members: fronts(&[0, 2, 10]),
     }
 }
 
 fn promises() -> Promises {
     Promises {
-        by: fronts(&[1, 3, 9]),
-        best: number(0x0910_1112, 0x6162_6364),
+        promised_by: fronts(&[1, 3, 9]),
+        highest_accepted: view_number(0x0910_1112, 0x6162_6364),
     }
 }
 
-fn round() -> Round {
-    Round {
-        k: 0x7172_7374,
-        by: fronts(&[4, 5, 8]),
+fn renewal() -> Renewal {
+    Renewal {
+        sequence: 0x7172_7374,
+        acknowledged_by: fronts(&[4, 5, 8]),
     }
 }
 
-fn news(of: u16, state: State) -> News {
-    News {
-        of,
+fn update(front: u16, state: MemberState) -> Update {
+    Update {
+        front,
         state,
-        life: 0x8182_8384_8586_8700 + u64::from(of),
-        inc: 0x9190 + of,
-        by: 10 - of,
+        process_incarnation: 0x8182_8384_8586_8700 + u64::from(front),
+        incarnation: 0x9190 + front,
+        reported_by: 10 - front,
     }
 }
 
-/// One of each state that is told.
-fn all_news() -> Vec<News> {
-    [State::Alive, State::Suspect, State::Dead, State::Left]
-        .into_iter()
+/// An update for each state that is ever reported.
+fn all_updates() -> Vec<Update> {
+    [
+        MemberState::Alive,
+        MemberState::Suspect,
+        MemberState::Dead,
+        MemberState::Left,
+    ]
+    .into_iter()
         .zip(1..)
-        .map(|(s, of)| news(of, s))
+        .map(|(state, front)| update(front, state))
         .collect()
 }
 
-fn told(word: Word, leads: bool, news: Vec<News>) -> Told {
-    Told { word, leads, news }
+fn piggyback(agreement: AgreementMessage, leads: bool, updates: Vec<Update>) -> Piggyback {
+    Piggyback {
+        agreement,
+        leads,
+        updates,
+    }
 }
 
-fn whole() -> Told {
-    let word = Word {
+/// A piggyback with every optional part.
+fn full_piggyback() -> Piggyback {
+    let agreement = AgreementMessage {
         view: Some(view()),
         promises: Some(promises()),
-        round: Some(round()),
-        ..word()
+        renewal: Some(renewal()),
+        ..agreement()
     };
-    told(word, true, all_news())
+    piggyback(agreement, true, all_updates())
 }
 
 fn datagram(body: Body) -> Datagram {
     Datagram {
-        roster: 0x0102_0304,
+        roster_hash: 0x0102_0304,
         from: 6,
-        seq: 0x0506_0708,
-        life: 0x090a_0b0c_0d0e_0f10,
-        to_life: 0x1112_1314_1516_1718,
-        inc: 0x191a,
+        sequence: 0x0506_0708,
+        process_incarnation: 0x090a_0b0c_0d0e_0f10,
+        to_process_incarnation: 0x1112_1314_1516_1718,
+        incarnation: 0x191a,
         body,
     }
 }
 
-/// Bodies that are read back as they were written, each under a name.
+/// Bodies that fit and are decoded as they were encoded, each under the name of its example.
 fn bodies() -> Vec<(&'static str, Body)> {
-    let only = |word: Word| Body::Push(told(word, false, Vec::new()));
+    let push = |agreement: AgreementMessage| Body::Push(piggyback(agreement, false, Vec::new()));
     vec![
         ("hello_not_met", Body::Hello(0)),
         ("hello", Body::Hello(0xa1a2_a3a4_a5a6_a7a8)),
-        ("ping", Body::Ping(0xb1b2_b3b4, whole())),
-        ("ack", Body::Ack(0xc1c2_c3c4, 0x0102_0305, whole())),
+        ("ping", Body::Ping(0xb1b2_b3b4, full_piggyback())),
+        ("ack", Body::Ack(0xc1c2_c3c4, 0x0102_0305, full_piggyback())),
         (
             "ack_without_a_lease",
-            Body::Ack(0xc1c2_c3c4, 0, told(word(), false, Vec::new())),
+            Body::Ack(0xc1c2_c3c4, 0, piggyback(agreement(), false, Vec::new())),
         ),
-        ("push", Body::Push(whole())),
-        ("push_of_a_new_life", Body::Push(Told::default())),
-        ("push_leads", Body::Push(told(word(), true, Vec::new()))),
+        ("push", Body::Push(full_piggyback())),
+        ("push_of_a_new_life", Body::Push(Piggyback::default())),
+        ("push_leads", Body::Push(piggyback(agreement(), true, Vec::new()))),
         (
             "push_view",
-            only(Word {
+            push(AgreementMessage {
                 view: Some(view()),
-                ..word()
+                ..agreement()
             }),
         ),
         (
             "push_promises",
-            only(Word {
+            push(AgreementMessage {
                 promises: Some(promises()),
-                ..word()
+                ..agreement()
             }),
         ),
         (
             "push_round",
-            only(Word {
-                round: Some(round()),
-                ..word()
+            push(AgreementMessage {
+                renewal: Some(renewal()),
+                ..agreement()
             }),
         ),
-        ("push_news", Body::Push(told(word(), false, all_news()))),
-        ("ask", Body::Ask(9, 0xd1d2_d3d4)),
-        ("reached", Body::Reached(0xe1e2_e3e4, true)),
-        ("not_reached", Body::Reached(0xe1e2_e3e4, false)),
-        ("serves_nothing", Body::Serves(0xf1, Vec::new())),
+        ("push_news", Body::Push(piggyback(agreement(), false, all_updates()))),
+        ("ask", Body::PingReq(9, 0xd1d2_d3d4)),
+        ("reached", Body::PingReqResult(0xe1e2_e3e4, true)),
+        ("not_reached", Body::PingReqResult(0xe1e2_e3e4, false)),
+        ("serves_nothing", Body::ServedVolumes(0xf1, Vec::new())),
         (
             "serves",
-            Body::Serves(0xf2, vec![0x0101_0101_0101_0102, 0x0202_0202_0202_0203]),
+            Body::ServedVolumes(0xf2, vec![0x0101_0101_0101_0102, 0x0202_0202_0202_0203]),
         ),
         (
             "heard",
-            Body::Heard(
+            Body::ServedVolumesAck(
                 0xf3,
                 vec![0x0303_0303_0303_0304, 0x0404_0404_0404_0405],
                 0x8000_0002,
             ),
         ),
-        ("contested", Body::Contested),
+        ("contested", Body::NameContested),
     ]
 }
 
 #[test]
-fn every_kind_of_datagram_keeps_its_form() {
+fn every_kind_of_datagram_keeps_its_encoding() {
     let keys = Keys::default();
     let mut examples = GoldenFile::open(path!("datagrams.txt"));
     for (name, body) in bodies() {
-        examples.add_bytes(name, &datagram(body).write(SMALL, &keys));
+        examples.add_bytes(name, &datagram(body).encode(SMALL, &keys));
     }
     let kept = examples.check();
     for (name, body) in bodies() {
         assert_eq!(
-            Datagram::read(&kept.bytes(name), SMALL, &keys),
+            Datagram::decode(&kept.bytes(name), SMALL, &keys),
             Ok(datagram(body)),
             "{name}"
         );
@@ -182,89 +194,89 @@
 }
 
 #[test]
-fn datagrams_under_a_key_keep_their_sum() {
+fn datagrams_under_a_key_keep_their_authentication_code() {
     let keys = Keys {
         sign: Some([0x5a; 32]),
         also: None,
     };
-    let written = datagram(Body::Ping(0xb1b2_b3b4, told(word(), false, all_news())));
+    let signed = datagram(Body::Ping(0xb1b2_b3b4, piggyback(agreement(), false, all_updates())));
     let mut examples = GoldenFile::open(path!("datagrams-keyed.txt"));
-    examples.add_bytes("ping", &written.write(SMALL, &keys));
+    examples.add_bytes("ping", &signed.encode(SMALL, &keys));
     let kept = examples.check();
     assert_eq!(
-        Datagram::read(&kept.bytes("ping"), SMALL, &keys),
-        Ok(written)
+        Datagram::decode(&kept.bytes("ping"), SMALL, &keys),
+        Ok(signed)
     );
-    let other = Keys {
+    let other_keys = Keys {
         sign: Some([0xa5; 32]),
         also: None,
     };
     assert_eq!(
-        Datagram::read(&kept.bytes("ping"), SMALL, &other),
+        Datagram::decode(&kept.bytes("ping"), SMALL, &other_keys),
         Err(Void::Sum)
     );
 }
 
-/// In a large roster sets are longer, and what does not fit is left out: first whole sets in their order, then news from its end.
+/// In a large roster sets are longer. What does not fit is left out: sets as a whole, in their order, then updates from the end.
 #[test]
 fn datagrams_of_a_large_roster_leave_out_what_does_not_fit() {
     let keys = Keys::default();
-    let word = Word {
+    let agreement = AgreementMessage {
         view: Some(View {
             members: fronts(&[0, 255, 499]),
             ..view()
         }),
         promises: Some(Promises {
-            by: fronts(&[1, 256, 498]),
+            promised_by: fronts(&[1, 256, 498]),
             ..promises()
         }),
-        round: Some(Round {
-            by: fronts(&[2, 257, 497]),
-            ..round()
+        renewal: Some(Renewal {
+            acknowledged_by: fronts(&[2, 257, 497]),
+            ..renewal()
         }),
-        ..word()
+        ..agreement()
     };
-    let long_news: Vec<News> = all_news().into_iter().cycle().take(14).collect();
-    let crowded = datagram(Body::Push(told(word, true, all_news())));
-    let crowded_fits = datagram(Body::Push(told(
-        Word {
-            round: None,
-            ..word
+    let many_updates: Vec<Update> = all_updates().into_iter().cycle().take(14).collect();
+    let many_sets = datagram(Body::Push(piggyback(agreement, true, all_updates())));
+    let many_sets_shortened = datagram(Body::Push(piggyback(
+        AgreementMessage {
+            renewal: None,
+            ..agreement
         },
         true,
-        all_news()[..1].to_vec(),
+        all_updates()[..1].to_vec(),
     )));
-    let newsy = datagram(Body::Push(told(
-        Word {
+    let updates_only = datagram(Body::Push(piggyback(
+        AgreementMessage {
             view: None,
             promises: None,
-            round: None,
-            ..word
+            renewal: None,
+            ..agreement
         },
         false,
-        long_news.clone(),
+        many_updates.clone(),
     )));
-    let newsy_fits = datagram(Body::Push(told(
-        Word {
+    let updates_only_shortened = datagram(Body::Push(piggyback(
+        AgreementMessage {
             view: None,
             promises: None,
-            round: None,
-            ..word
+            renewal: None,
+            ..agreement
         },
         false,
-        long_news[..12].to_vec(),
+        many_updates[..12].to_vec(),
     )));
     let mut examples = GoldenFile::open(path!("datagrams-large.txt"));
-    examples.add_bytes("sets_that_do_not_fit", &crowded.write(LARGE, &keys));
-    examples.add_bytes("news_that_does_not_fit", &newsy.write(LARGE, &keys));
+    examples.add_bytes("sets_that_do_not_fit", &many_sets.encode(LARGE, &keys));
+    examples.add_bytes("news_that_does_not_fit", &updates_only.encode(LARGE, &keys));
     let kept = examples.check();
-    for (name, fits) in [
-        ("sets_that_do_not_fit", crowded_fits),
-        ("news_that_does_not_fit", newsy_fits),
+    for (name, expected) in [
+        ("sets_that_do_not_fit", many_sets_shortened),
+        ("news_that_does_not_fit", updates_only_shortened),
     ] {
         assert_eq!(
-            Datagram::read(&kept.bytes(name), LARGE, &keys),
-            Ok(fits),
+            Datagram::decode(&kept.bytes(name), LARGE, &keys),
+            Ok(expected),
             "{name}"
         );
     }
@@ -283,13 +295,13 @@
     }
 }
 
-/// Fronts whose hashes differ don't count on each other: what goes into the hash is a part of the protocol.
+/// Fronts with different roster hashes ignore each other, so the hash is part of the protocol.
 #[test]
-fn the_hash_of_a_roster_follows_from_names_and_terms() {
+fn the_roster_hash_depends_on_names_order_and_safety_settings() {
     let plain = section(&["n0", "n1", "n2"]);
     let mut examples = GoldenFile::open(path!("roster-hashes.txt"));
     let mut add =
-        |name: &str, section: &Section| examples.add_bytes(name, &section.roster().to_be_bytes());
+        |name: &str, section: &Section| examples.add_bytes(name, &section.roster_hash().to_be_bytes());
     add("three_fronts", &plain);
     add("another_order", &section(&["n1", "n0", "n2"]));
     add(
@@ -324,67 +336,67 @@
     );
 }
 
-/// In figures, in JSON at the door, and in lines of the log.
+/// Operators match these names in metrics, in the JSON of the admin interface, and in logs.
 #[test]
-fn words_for_operators_stay() {
+fn names_in_metrics_json_and_logs_stay() {
     let mut examples = GoldenFile::open(path!("words.txt"));
-    for (name, stance) in [
-        ("stance_starting", Stance::Starting),
-        ("stance_alone", Stance::Alone),
-        ("stance_minority", Stance::Minority),
-        ("stance_healing", Stance::Healing),
-        ("stance_majority", Stance::Majority),
-        ("stance_paused", Stance::Paused),
-        ("stance_leaving", Stance::Leaving),
-        ("stance_contested", Stance::Contested),
+    for (name, participation) in [
+        ("stance_starting", Participation::Starting),
+        ("stance_alone", Participation::Alone),
+        ("stance_minority", Participation::Minority),
+        ("stance_healing", Participation::Healing),
+        ("stance_majority", Participation::Majority),
+        ("stance_paused", Participation::Paused),
+        ("stance_leaving", Participation::Leaving),
+        ("stance_contested", Participation::Contested),
     ] {
-        examples.add(name, stance.word());
+        examples.add(name, participation.as_str());
     }
     for (name, state) in [
-        ("state_unknown", State::Unknown),
-        ("state_alive", State::Alive),
-        ("state_suspect", State::Suspect),
-        ("state_dead", State::Dead),
-        ("state_left", State::Left),
+        ("state_unknown", MemberState::Unknown),
+        ("state_alive", MemberState::Alive),
+        ("state_suspect", MemberState::Suspect),
+        ("state_dead", MemberState::Dead),
+        ("state_left", MemberState::Left),
     ] {
-        examples.add(name, state.word());
+        examples.add(name, state.as_str());
     }
-    examples.add("view_none", Number::default());
+    examples.add("view_none", ViewNumber::default());
     examples.add(
         "view",
-        Number {
-            ballot: Ballot {
+        ViewNumber {
+            proposal: ProposalNumber {
                 round: 12,
-                leader: 3,
-                life: 0x0102_0304_0506_000f,
+                proposer: 3,
+                process_incarnation: 0x0102_0304_0506_000f,
             },
-            n: 45,
+            sequence: 45,
         },
     );
     examples.check();
 }
 
 #[test]
-fn counts_keep_their_names() {
+fn counters_keep_their_json_keys() {
     let counts = Counts {
         sent: 1,
         bytes: 2,
-        taken: 3,
-        void: 4,
+        accepted: 3,
+        invalid: 4,
         stale: 5,
-        held_back: 6,
-        carried: 7,
+        rate_limited: 6,
+        payloads_sent: 7,
         views: 8,
     };
     let text = serde_json::to_string_pretty(&counts).unwrap() + "\n";
     let kept = lupinrack_golden_files::check_text(path!("counts.json"), &text);
     assert_eq!(serde_json::from_str::<Counts>(&kept).unwrap(), counts);
-    // An older front does not tell of what other machines said.
+    // An older front does not report payloads of other protocols.
     let older = kept.replace("  \"carried\": 7,\n", "");
     assert_eq!(
         serde_json::from_str::<Counts>(&older).unwrap(),
         Counts {
-            carried: 0,
+            payloads_sent: 0,
             ..counts
         }
     );
