--- a/crates/fleet-membership/src/front.rs
+++ b/crates/fleet-membership/src/front.rs
@@ -666,7 +666,7 @@
         let Some(datagram) = own else {
             return out.push(Output::Deliver(from, head.tag, payload.to_vec()));
         };
-        // A warning that the name is contested does not show that the sender accepts this process incarnation.
+        // A warning that the name is contested does not acknowledge this process incarnation.
         self.acknowledged |= datagram.body != Body::NameContested;
         let mut changes = Vec::new();
         self.swim.on_first_hand(
@@ -703,7 +703,8 @@
             self.counts.invalid += 1;
             return false;
         }
-        // Meant for an earlier process incarnation of this front, or the sender does not know the current one: a hello tells it.
+        // The datagram is meant for an earlier process incarnation of this front, or its sender knows none. A hello reports the
+        // current one.
         if head.to_life != self.process_incarnation {
             if head.to_life != 0 {
                 self.counts.stale += 1;
@@ -862,7 +863,7 @@
         }
     }
 
-    /// Has the next ticks push to random fronts. A small fleet needs it not: its changes are sent to all fronts directly.
+    /// Has the next ticks push to random fronts. A small fleet does not need that: its changes are sent to all fronts directly.
     fn start_gossip(&mut self) {
         if self.front_count > DIRECT_FANOUT {
             self.gossip_ticks_left = self.gossip_ticks();
--- a/crates/fleet-membership/src/served_volumes.rs
+++ b/crates/fleet-membership/src/served_volumes.rs
@@ -19,7 +19,7 @@
 /// For how long the report of a present front is kept. Reports of absent fronts stay.
 const REPORT_RETENTION: Micros = 120_000_000;
 /// The length of a round. An acknowledgement counts in its round and in the next one.
-const ROUND: Micros = 40_000_000;
+const ROUND_DURATION: Micros = 40_000_000;
 
 #[derive(Clone, Debug, Default)]
 struct Volume {
@@ -59,7 +59,7 @@
 
     /// Records that this front served a volume whose requests are spread over `hosts` fronts.
     pub fn record_own(&mut self, now: Micros, volume: u64, hosts: f64) {
-        let has_capacity = self.make_room(now, volume);
+        let has_capacity = self.ensure_capacity(now, volume);
         if let Some(v) = has_capacity.then(|| self.volumes.entry(volume).or_default()) {
             let known = v.served_here_at.is_some() && v.hosts >= hosts;
             if v.served_here_at.is_none() {
@@ -73,7 +73,7 @@
     /// Records that another front reports to serve these volumes.
     pub fn record_others(&mut self, now: Micros, from: u16, volumes: &[u64]) {
         for volume in volumes {
-            if !self.make_room(now, *volume) {
+            if !self.ensure_capacity(now, *volume) {
                 continue;
             }
             let v = self.volumes.entry(*volume).or_default();
@@ -91,7 +91,7 @@
 
     /// Whether a volume is recorded or may be; the volume with the oldest evidence is dropped for it if that evidence is
     /// outdated.
-    fn make_room(&mut self, now: Micros, volume: u64) -> bool {
+    fn ensure_capacity(&mut self, now: Micros, volume: u64) -> bool {
         if self.volumes.contains_key(&volume) || self.volumes.len() < self.max_volumes {
             return true;
         }
@@ -177,7 +177,7 @@
     /// Begins a new round if one is due, and removes outdated reports. Reports of fronts that are not present stay.
     pub fn expire(&mut self, now: Micros, present: &FrontSet) {
         let (round, began_at) = self.round;
-        if began_at.is_none_or(|at| now - at >= ROUND) {
+        if began_at.is_none_or(|at| now - at >= ROUND_DURATION) {
             self.round = (round.wrapping_add(1), Some(now));
             self.volumes
                 .values_mut()
--- a/crates/fleet-membership/src/share.rs
+++ b/crates/fleet-membership/src/share.rs
@@ -1,4 +1,4 @@
-//! The share of a front in a limit of the whole fleet, and a token bucket that goes by it.
+//! The share of a front in a limit of the whole fleet, and a token bucket that fills by it.
 //!
 //! A [`Share`] is how many times its even share a front may use, and until when. At any moment the shares of all fronts add up to
 //! at most their number (`docs/design/membership.md`). A [`TokenBucket`] is what a front may take of a [`FleetLimit`], which
@@ -7,7 +7,7 @@
 //!
 //! 1. Within any time span all fronts together take at most the burst of the limit and what it fills by in that span.
 //! 2. What a front may take is checked when it takes it, on its own clock: a share that has expired by then is the reserve.
-//! 3. Time before a share changed fills the bucket by the old share. Nothing beyond that is ever made up for.
+//! 3. Time before a share changed fills the bucket by the old share; a larger share later never makes up for it.
 //!
 //! ```
 //! use lupinrack_fleet_membership::share::{share_factor, FleetLimit, Share, TokenBucket};
--- a/crates/fleet-membership/src/wire.rs
+++ b/crates/fleet-membership/src/wire.rs
@@ -98,7 +98,7 @@
             .for_each(|volume| self.put(volume.to_le_bytes()));
     }
 
-    /// Encodes as much of the piggyback as fits into `max_bytes`. Flags in the first byte tell which parts follow; the view goes
+    /// Encodes as much of the piggyback as fits into `max_bytes`. Flags in the first byte say which parts follow; the view goes
     /// before the promises, the renewal and the updates.
     fn piggyback(&mut self, piggyback: &Piggyback, front_count: usize, max_bytes: usize) {
         let (agreement, set_bytes, start) = (
--- a/crates/fleet-membership/tests/model.rs
+++ b/crates/fleet-membership/tests/model.rs
@@ -148,7 +148,7 @@
         self.on_effects(s, me, effects);
     }
 
-    /// The part of the whole that a front uses if it sends now. Its grant may be from a long time ago.
+    /// The fraction of the shared limit that a front uses if it sends now. Its grant may be old.
     fn used(&self, s: &State, p: &Process) -> f64 {
         let grant = if self.fault == InjectedFault::StaleGrant {
             p.grant
@@ -355,7 +355,7 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no more in use than the whole", |m: &Fleet, s: &State| {
+            Property::always("use stays within the limit", |m: &Fleet, s: &State| {
                 s.processes.iter().flatten().map(|p| m.used(s, p)).sum::<f64>() <= 1.0 + 1e-9
             }),
             Property::always("one list of members under a view number", |_, s: &State| !s.conflict),
@@ -382,7 +382,7 @@
     (checker.unique_state_count(), found)
 }
 
-const LIMIT: &str = "no more in use than the whole";
+const LIMIT: &str = "use stays within the limit";
 const VIEW: &str = "one list of members under a view number";
 
 #[test]
--- a/crates/fleet-membership/tests/served_volumes.rs
+++ b/crates/fleet-membership/tests/served_volumes.rs
@@ -1,5 +1,5 @@
 //! The evidence on served volumes under lost and late messages, deaths and restarts, against an oracle that knows which fronts
-//! really serve the volume: together, the live fronts never use more than the whole limit.
+//! really serve the volume: together, the live fronts never use more than its limit.
 
 use lupinrack_fleet_membership::front_set::FrontSet;
 use lupinrack_fleet_membership::served_volumes::ServedVolumes;
@@ -99,7 +99,7 @@
         }
     }
 
-    /// What the live fronts use of the volume, as a part of the whole limit.
+    /// What the live fronts use of the volume, as a fraction of its limit.
     fn used(&self) -> f64 {
         let absent: FrontSet = self.dead.iter().copied().collect();
         let used_by = |front: u16| {
