--- a/crates/fleet-membership/src/front.rs
+++ b/crates/fleet-membership/src/front.rs
@@ -45,7 +45,7 @@
 /// Member updates in one datagram, as far as they fit.
 const MAX_UPDATES: usize = 11;
 /// With updates about more members than this pending, one extra push goes out in each tick.
-const MAX_PENDING_UPDATES: usize = 16;
+const UPDATE_BACKLOG_THRESHOLD: usize = 16;
 /// Ticks with an extra push after a change, added to the binary logarithm of the fleet's size.
 const EXTRA_GOSSIP_TICKS: u32 = 2;
 
@@ -86,11 +86,11 @@
     Leads(bool),
     /// The process did not run for this long.
     Paused(Micros),
-    /// A process with this incarnation uses the name of this front from another address.
+    /// Another process uses the name of this front. The second field is that process's incarnation; 0 if only others saw it.
     DuplicateName(u16, u64),
-    /// The member list, lease, drift or reserve of this front differ from the own ones.
+    /// This front is configured with another member list, lease, drift or reserve than the own one.
     RosterMismatch(u16),
-    /// Others know this name under the given, newer process incarnation. The driver has to restart with a higher one.
+    /// Others know the own name under this newer process incarnation. The driver has to restart with a higher one.
     Superseded(u64),
 }
 
@@ -104,7 +104,8 @@
     /// Datagrams accepted.
     #[serde(rename = "taken")]
     pub accepted: u64,
-    /// Datagrams that were malformed, failed authentication or came from another roster.
+    /// Datagrams that were malformed, failed authentication, came from another roster, or came from an unknown sender soon after
+    /// another one.
     #[serde(rename = "void")]
     pub invalid: u64,
     /// Datagrams that were duplicates, too old, or meant for an earlier process incarnation.
@@ -555,7 +556,7 @@
     ///
     /// In a large fleet its view is not known, and a datagram has no room for both the view and the promises or
     /// acknowledgements collected under it. They alternate while the view is new. After that a front that lacks the view gets
-    /// it as the acknowledgement of its own pings.
+    /// it with the acknowledgements of its own pings.
     fn piggyback_for(&mut self, to: u16) -> wire::Piggyback {
         if self.front_count <= DIRECT_FANOUT {
             return self.piggyback_for_known_view(to);
@@ -701,8 +702,8 @@
                 self.counts.stale += 1;
             }
             let known = peer.process_incarnation;
-            // The sender's process incarnation is only addressed here. It is accepted once a datagram of it is addressed
-            // to the own one.
+            // The hello only addresses the sender's process incarnation. It is accepted once the sender addresses the current
+            // one of this front.
             let due = peer
                 .hello_sent_at
                 .is_none_or(|at| now - at >= self.tick_interval);
@@ -760,7 +761,7 @@
                 self.on_piggyback(now, from, &piggyback, out);
                 self.swim.on_ack(from, nonce, &mut probes);
                 self.last_ack_at = now;
-                // The remaining lease counts from when the ping was sent, so that the way of the answer cannot prolong it.
+                // The remaining lease counts from when the ping was sent, so that a slow answer cannot prolong it.
                 if let Some((.., sent_at)) =
                     pending.filter(|_| lease_remaining > 0 && !self.leaving)
                 {
@@ -981,7 +982,7 @@
         }
         self.ping_for_lease(now, out);
         let has_backlog = self.front_count > DIRECT_FANOUT
-            && self.swim.pending_update_count() > MAX_PENDING_UPDATES;
+            && self.swim.pending_update_count() > UPDATE_BACKLOG_THRESHOLD;
         if self.gossip_ticks_left > 0 || has_backlog {
             self.gossip_ticks_left = self.gossip_ticks_left.saturating_sub(1);
             for to in self.random_present(1) {
--- a/crates/fleet-membership/src/wire.rs
+++ b/crates/fleet-membership/src/wire.rs
@@ -18,8 +18,8 @@
 /// The body of a datagram.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Body {
-    /// Sent to a front whose process incarnation is not known, and as the answer to a sender that does not know the own one.
-    /// Contains the highest process incarnation that the sender has accepted from the receiver; 0 for none.
+    /// Sent to a front whose process incarnation is not known, and as the answer to a datagram that does not address the current
+    /// one of this front. Contains the highest process incarnation that the sender has accepted from the receiver; 0 for none.
     Hello(u64),
     /// A ping with a nonce, which its acknowledgement returns.
     Ping(u32, Piggyback),
