--- a/crates/operator-config/tests/faults.rs
+++ b/crates/operator-config/tests/faults.rs
@@ -149,7 +149,7 @@
         );
     }
     let section = |text: String| OperatorConfig::parse(&text).unwrap().fleet.unwrap();
-    let remarks = section(fleet_of(4)).remarks();
+    let remarks = section(fleet_of(4)).warnings();
     assert!(
         remarks
             .iter()
@@ -157,7 +157,7 @@
         "{remarks:?}"
     );
     assert!(section(fleet_of(5))
-        .remarks()
+        .warnings()
         .iter()
         .any(|(path, _)| path == "lease_ms"));
 }
