--- a/crates/scheduler-testkit/src/expected_job.rs
+++ b/crates/scheduler-testkit/src/expected_job.rs
@@ -1,36 +1,36 @@
-//! What the client of a job knows.
+//! A job as its client expects it.
 
 use lupinrack_cluster_api::job::JobSpec;
 
-/// What the client of a job knows, and how its tasks will behave.
+/// A job as its client expects it, and the modelled behavior of its tasks.
 #[derive(Clone, Debug)]
 pub struct ExpectedJob {
-    /// The job as it is submitted.
+    /// The spec that the client submits.
     pub spec: JobSpec,
-    /// Failed runs of one task after which the job fails.
+    /// The failures of one task after which the job fails.
     pub max_retries: u32,
-    /// When the client learnt that it is cancelled.
+    /// When the client received the confirmation that the job is cancelled.
     pub cancelled_at: Option<u64>,
-    /// Whether its client asked for its cancellation.
+    /// Whether the client has sent a request to cancel the job.
     pub cancel_sent: bool,
-    /// Failures of each task by its own fault before it can succeed; more than the queue allows for a hopeless job.
-    pub own_failures: u32,
-    /// How many times as long as estimated its tasks take.
+    /// The injected failures of each task before it succeeds. A job that cannot succeed has more than `max_retries`.
+    pub injected_failures: u32,
+    /// The factor of the tasks' duration to the estimate.
     pub work_factor: f64,
-    /// Whether its client has sent it.
+    /// Whether the client has sent the submission.
     pub sent: bool,
     /// Whether every submission was rejected and none will follow.
     pub refused: bool,
 }
 
 impl ExpectedJob {
-    /// Whether it has tasks that run until they are cancelled.
+    /// Whether the job has tasks that run until they are cancelled.
     pub fn is_long_running(&self) -> bool {
         self.spec.steps.iter().any(|step| step.long_running)
     }
 
-    /// Whether its tasks fail by their own fault as often as the queue allows.
-    pub fn is_hopeless(&self) -> bool {
-        self.own_failures > self.max_retries && !self.is_long_running()
+    /// Whether the injected failures of each task exceed `max_retries`, so that the job cannot succeed.
+    pub fn cannot_succeed(&self) -> bool {
+        self.injected_failures > self.max_retries && !self.is_long_running()
     }
 }
--- a/crates/scheduler-testkit/src/gangs.rs
+++ b/crates/scheduler-testkit/src/gangs.rs
@@ -1,9 +1,9 @@
-//! Gangs: tasks that work only while all of them run.
+//! Gangs: groups of tasks that make progress only while all of them run.
 
 use lupinrack_cluster_api::identity::{Attempt, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A gang in one of its starts.
+/// One attempt of a gang.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct GangId {
     first_member: TaskId,
@@ -25,16 +25,16 @@
     }
 }
 
-/// How far a gang has come that was complete once.
+/// The state of a gang that has been complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GangState {
-    /// All its members were there, and none has ended.
+    /// All members have been ready together, and none has ended since.
     Working,
-    /// One of its members has ended.
-    Over,
+    /// A member has ended.
+    Ended,
 }
 
-/// The gangs that were complete once.
+/// The gangs that have been complete.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Gangs {
     states: BTreeMap<GangId, GangState>,
@@ -48,14 +48,14 @@
         }
     }
 
-    /// Records that a member has ended; a gang that was never complete is not over by that.
+    /// Records that a member has ended. This ends the gang only if it has been complete.
     pub(crate) fn record_member_end(&mut self, gang: GangId) {
         if let Some(state) = self.states.get_mut(&gang) {
-            *state = GangState::Over;
+            *state = GangState::Ended;
         }
     }
 
-    /// How far the gang has come; none if it was never complete.
+    /// The state of the gang; `None` if it was never complete.
     pub(crate) fn state(&self, gang: GangId) -> Option<GangState> {
         self.states.get(&gang).copied()
     }
--- a/crates/scheduler-testkit/src/heartbeat_response.rs
+++ b/crates/scheduler-testkit/src/heartbeat_response.rs
@@ -1,4 +1,4 @@
-//! The response to a heartbeat, as a server reads it.
+//! The response to a heartbeat, as a server receives it.
 
 use lupinrack_cluster_api::identity::{Attempt, FencingToken, TaskId};
 
@@ -7,9 +7,9 @@
 pub struct StartCommand {
     /// The task.
     pub task: TaskId,
-    /// The number of the start.
+    /// The number of the attempt.
     pub attempt: Attempt,
-    /// The text of the job.
+    /// The job's spec.
     pub spec: String,
     /// The checkpoint to continue from; empty for none.
     pub checkpoint: String,
@@ -20,16 +20,16 @@
 pub struct HeartbeatResponse {
     /// When the server sent the heartbeat.
     pub heartbeat_sent_at: u64,
-    /// The token of the owner that the orders are from.
+    /// The fencing token of the owner that sent the orders.
     pub token: FencingToken,
-    /// The lease from the sending of the heartbeat on; 0 for none.
+    /// The lease, counted from when the heartbeat was sent; 0 for none.
     pub lease_ms: u64,
-    /// The owner has recorded the ends up to this number.
+    /// The owner has recorded the ends up to and including this number.
     pub observed: u64,
     /// Runs to start.
     pub starts: Vec<StartCommand>,
     /// Runs to stop.
     pub stops: Vec<(TaskId, Attempt)>,
-    /// After how long the next heartbeat is wanted.
+    /// The delay until the next heartbeat.
     pub heartbeat_after_ms: u64,
 }
--- a/crates/scheduler-testkit/src/lib.rs
+++ b/crates/scheduler-testkit/src/lib.rs
@@ -1,17 +1,17 @@
-//! What tests of the scheduler model around it: servers that run tasks, jobs for them, and the oracle that knows what must
-//! hold.
+//! The environment of the scheduler in tests: modelled servers that run tasks, generated jobs, and an oracle that checks
+//! the invariants.
 //!
-//! Two simulations share it: the days of the scheduler alone (`crates/scheduler/tests/simulation`) and the whole control
-//! plane (`crates/cluster-simulation`). Each has its own network, agents, owners and faults; here is only what they have in
-//! common. Nothing here does I/O or reads a clock, and all randomness is drawn from the generator that the simulation hands
-//! in: the same seed gives the same run.
+//! Two kinds of simulation share this crate: the scheduler alone (`crates/scheduler/tests/simulation`) and the whole
+//! control plane (`crates/cluster-simulation`). Each has its own network, agents, owners and faults; this crate contains
+//! what they have in common. It does no I/O and reads no clock. All randomness comes from the generator that the
+//! simulation passes in, so the same seed gives the same run.
 //!
-//! - [`ServerFarm`] owns the servers: [`ServerFarm::receive_response`] hands one the response to its heartbeat,
-//!   [`ServerFarm::step`] moves all of them on in time.
+//! - [`ServerFarm`] owns the servers: [`ServerFarm::receive_response`] delivers the response to a server's heartbeat,
+//!   [`ServerFarm::step`] advances all servers in time.
 //! - [`Oracle`] records what servers and clients observe, and reports each broken rule as a [`Violation`].
-//! - [`generate_job`] draws jobs of several kinds.
+//! - [`generate_job`] generates random jobs of several kinds.
 //!
-//! Moments are milliseconds since the simulation began, as plain numbers; names end in `_at`. Durations end in `_ms`.
+//! Times are plain numbers: milliseconds since the simulation began. Their names end in `_at`, those of durations in `_ms`.
 
 mod expected_job;
 mod gangs;
--- a/crates/scheduler-testkit/src/observed_start.rs
+++ b/crates/scheduler-testkit/src/observed_start.rs
@@ -6,9 +6,9 @@
 /// A start as a server observes it.
 #[derive(Clone, Debug)]
 pub(crate) struct ObservedStart<'a> {
-    /// When.
+    /// When the server started the run.
     pub(crate) now: u64,
-    /// The time of day, in milliseconds since 1970.
+    /// The wall clock time, in milliseconds since 1970.
     pub(crate) wall_ms: u64,
     /// The server's slot in the farm.
     pub(crate) slot: usize,
@@ -16,20 +16,20 @@
     pub(crate) incarnation: u64,
     /// The task.
     pub(crate) task: TaskId,
-    /// The number of the start.
+    /// The number of the attempt.
     pub(crate) attempt: Attempt,
-    /// The text of its job.
+    /// The job's spec in the order to start.
     pub(crate) spec: &'a str,
-    /// The checkpoint that it continues from; empty for none.
+    /// The checkpoint that the run continues from; empty for none.
     pub(crate) checkpoint: &'a str,
-    /// What the server's runs need already.
+    /// The resources that the server's other runs use.
     pub(crate) used: Resources,
-    /// What the server has.
+    /// The server's capacity.
     pub(crate) capacity: Resources,
     /// The server's labels.
     pub(crate) labels: &'a [String],
-    /// Runs of the same step and occurrence on the server.
+    /// The number of other runs of the same step and occurrence on the server.
     pub(crate) siblings: u32,
-    /// Since when the server drains.
+    /// Since when the server has been draining.
     pub(crate) draining_since: Option<u64>,
 }
--- a/crates/scheduler-testkit/src/oracle.rs
+++ b/crates/scheduler-testkit/src/oracle.rs
@@ -1,4 +1,4 @@
-//! What the servers and clients of a simulation observe, checked against the rules of running tasks.
+//! Checks what the servers and clients of a simulation observe against the rules for running tasks.
 
 use crate::expected_job::ExpectedJob;
 use crate::observed_start::ObservedStart;
@@ -10,51 +10,51 @@
 use lupinrack_cluster_api::job::Step;
 use std::collections::BTreeMap;
 
-/// How many violations are recorded; more say nothing new.
+/// The number of violations that are recorded. Further ones are dropped: they are mostly consequences of the first.
 const MAX_VIOLATIONS: usize = 20;
 
 /// When the rule on starts on draining servers is checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainRule {
-    /// Always: an agent is beside its server, whatever else is out of order.
+    /// Always: each agent can reach its server, whatever other faults are active.
     Always,
-    /// Only while [`TimeBounds::Enforced`]: the agent's process may stand still.
+    /// Only while [`TimeBounds::Enforced`]: the agent's process may be paused.
     WithinTimeBounds,
 }
 
-/// Which jobs' gangs may end for want of members.
+/// The jobs whose gangs may end because members are missing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GangRule {
-    /// Those of cancelled jobs.
+    /// Cancelled jobs.
     CancelledJobs,
-    /// Those of jobs whose cancellation was asked for, and of jobs whose tasks fail by their own fault: a simulation with
-    /// lost calls and answers does not know when a cancellation counts.
+    /// Jobs whose cancellation was requested, and jobs with injected failures. A simulation with lost requests and responses
+    /// does not know when a cancellation takes effect.
     CancelledOrFailingJobs,
 }
 
-/// In what the rules of two simulations differ.
+/// The rules that differ between simulations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OracleRules {
-    /// How much before its time an occurrence may start, in milliseconds: the error of the clocks.
+    /// How long before its start time an occurrence may start, in milliseconds: the maximum clock error.
     pub max_early_start_ms: u64,
     /// When starts on draining servers are violations.
     pub draining: DrainRule,
-    /// Which jobs' gangs may end for want of members.
+    /// The jobs whose gangs may end because members are missing.
     pub gangs: GangRule,
 }
 
-/// Records what servers and clients observe, and reports violations.
+/// Records the observations of servers and clients, and reports violations.
 #[derive(Clone, Debug)]
 pub struct Oracle {
     rules: OracleRules,
-    /// What clients know of their jobs.
+    /// The jobs as their clients expect them.
     jobs: BTreeMap<JobId, ExpectedJob>,
     tasks: BTreeMap<TaskId, TaskHistory>,
     violations: Vec<Violation>,
 }
 
 impl Oracle {
-    /// An oracle that has observed nothing.
+    /// An oracle without observations.
     pub fn new(rules: OracleRules) -> Oracle {
         Oracle {
             rules,
@@ -64,27 +64,27 @@
         }
     }
 
-    /// Expects a job from now on.
+    /// Adds a job that clients have submitted or will submit.
     pub fn expect_job(&mut self, id: JobId, job: ExpectedJob) {
         self.jobs.insert(id, job);
     }
 
-    /// What clients know of their jobs.
+    /// The jobs as their clients expect them.
     pub fn jobs(&self) -> &BTreeMap<JobId, ExpectedJob> {
         &self.jobs
     }
 
-    /// What the client of a job knows, to be changed.
+    /// The expectation of a job's client, for changes.
     pub fn job_mut(&mut self, id: JobId) -> Option<&mut ExpectedJob> {
         self.jobs.get_mut(&id)
     }
 
-    /// What has happened to the tasks that were started.
+    /// The histories of the tasks that were started.
     pub fn tasks(&self) -> &BTreeMap<TaskId, TaskHistory> {
         &self.tasks
     }
 
-    /// The rules that were broken, in the order of their reports; after twenty, no more are recorded.
+    /// The violations in the order of their reports; at most the first twenty.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
@@ -97,13 +97,13 @@
         }
     }
 
-    /// The step of a task of a known job.
+    /// The step of a task; `None` for an unknown job.
     pub fn step(&self, task: TaskId) -> Option<&Step> {
         self.jobs.get(&task.job)?.spec.steps.get(task.step as usize)
     }
 
-    /// Whether all tasks of a job were done.
-    pub fn all_done(&self, job: JobId) -> bool {
+    /// Whether all tasks of a job are done.
+    pub fn all_tasks_done(&self, job: JobId) -> bool {
         let Some(expected) = self.jobs.get(&job) else {
             return false;
         };
@@ -122,8 +122,8 @@
         })
     }
 
-    /// Whether a task, or the members of a gang together, failed as often as the job's queue allows.
-    pub fn has_cause_to_fail(&self, job: JobId) -> bool {
+    /// Whether a task, or the members of a gang together, have failed `max_retries` times.
+    pub fn has_exhausted_retries(&self, job: JobId) -> bool {
         let Some(expected) = self.jobs.get(&job) else {
             return false;
         };
@@ -155,13 +155,13 @@
         false
     }
 
-    /// Whether a gang of the job may end for want of members.
-    pub(crate) fn may_gang_lack_members(&self, job: JobId) -> bool {
+    /// Whether a gang of the job may end because members are missing.
+    pub(crate) fn may_gang_miss_members(&self, job: JobId) -> bool {
         self.jobs
             .get(&job)
             .is_some_and(|job| match self.rules.gangs {
                 GangRule::CancelledJobs => job.cancelled_at.is_some(),
-                GangRule::CancelledOrFailingJobs => job.cancel_sent || job.own_failures > 0,
+                GangRule::CancelledOrFailingJobs => job.cancel_sent || job.injected_failures > 0,
             })
     }
 
@@ -170,7 +170,7 @@
         self.tasks.get(&task).map_or(0, |history| history.failures)
     }
 
-    /// Whether a task was done.
+    /// Whether a task is done.
     pub(crate) fn is_done(&self, task: TaskId) -> bool {
         self.tasks
             .get(&task)
@@ -180,10 +180,10 @@
     /// Checks and records a start.
     pub(crate) fn observe_start(&mut self, start: &ObservedStart<'_>, time_bounds: TimeBounds) {
         for BrokenRule { rule, cause } in self.rules_broken_by(start, time_bounds) {
-            let what = format!("{} attempt {} on {}", start.task, start.attempt, start.slot);
+            let subject = format!("{} attempt {} on {}", start.task, start.attempt, start.slot);
             let detail = match cause {
-                Some(cause) => format!("{cause}: {what}"),
-                None => what,
+                Some(cause) => format!("{cause}: {subject}"),
+                None => subject,
             };
             self.report_violation(start.now, rule, detail);
         }
@@ -193,8 +193,8 @@
         history.highest_attempt = history.highest_attempt.max(start.attempt);
     }
 
-    /// Records that a run is over, however it ended.
-    pub(crate) fn observe_run_over(&mut self, task: TaskId, slot: usize, incarnation: u64) {
+    /// Records that a run has ended, for whatever reason.
+    pub(crate) fn observe_run_end(&mut self, task: TaskId, slot: usize, incarnation: u64) {
         let history = self.tasks.entry(task).or_default();
         history.running_on.remove(&(slot, incarnation));
     }
@@ -210,15 +210,16 @@
         self.tasks.entry(task).or_default().failures += 1;
     }
 
-    /// Records that the owner has recorded that a task was done at `done_at`.
+    /// Records that the owner has recorded the end of a task that was done at `done_at`.
     pub(crate) fn observe_done_recorded(&mut self, task: TaskId, done_at: u64, now: u64) {
         let long_running = self.step(task).is_some_and(|step| step.long_running);
         let history = self.tasks.entry(task).or_default();
         history.done_recorded = true;
         let started_since = history.last_start_at.is_some_and(|at| at > done_at);
         if started_since && !long_running {
-            let detail = format!("{task} was started after its end, which was recorded later");
-            self.report_violation(now, Rule::Twice, detail);
+            let detail =
+                format!("{task} was started again after it was done and before that was recorded");
+            self.report_violation(now, Rule::DuplicateRun, detail);
         }
     }
 
@@ -238,10 +239,10 @@
             cause: Some(cause),
         };
         let Some(job) = self.jobs.get(&start.task.job) else {
-            return vec![unrequested("no such job")];
+            return vec![unrequested("unknown job")];
         };
         let Some(step) = self.step(start.task) else {
-            return vec![unrequested("no such step")];
+            return vec![unrequested("unknown step")];
         };
         let within_bounds = match time_bounds {
             TimeBounds::Enforced => Bound::Checked,
@@ -276,7 +277,7 @@
         })
     }
 
-    /// Whether the tasks of a step in one occurrence were done, by its first task.
+    /// Whether all tasks of a step in one occurrence are done; `first` is the task with index 0.
     fn step_done(&self, first: TaskId, count: u32) -> bool {
         (0..count).all(|index| self.is_done(TaskId { index, ..first }))
     }
--- a/crates/scheduler-testkit/src/server_farm.rs
+++ b/crates/scheduler-testkit/src/server_farm.rs
@@ -1,4 +1,4 @@
-//! The servers of a simulation: starts, progress, ends, gangs, crashes.
+//! The servers of a simulation: starts, progress, ends, gangs and crashes of them.
 
 mod step;
 
@@ -12,35 +12,35 @@
 use lupinrack_cluster_api::server::{RunEnd, ServerFacts};
 use std::ops::Range;
 
-/// When a run that is ordered to stop does so, in milliseconds.
-const STOP_MS: Range<u64> = 20..400;
+/// The delay from the order to stop a run to its end, in milliseconds.
+const STOP_DELAY_MS: Range<u64> = 20..400;
 
-/// How a simulation's servers are made.
+/// How a simulation's servers are created.
 #[derive(Clone, Copy, Debug)]
 pub struct FarmSettings {
-    /// What the server of a slot says of itself, by slot and incarnation.
+    /// The description of the server in a slot, by slot and incarnation.
     pub facts: fn(usize, u64) -> ServerFacts,
-    /// How its servers read responses.
+    /// How the servers process responses.
     pub server: ServerSettings,
 }
 
-/// Where a server stands; its incarnations follow one another.
+/// The place of one server, with one incarnation after the other.
 #[derive(Clone, Debug)]
 struct ServerSlot {
-    /// The server; none while it is down.
+    /// The server; `None` while it is down.
     server: Option<ModelServer>,
-    /// Its incarnation, or that of the last one.
+    /// The server's incarnation; the last one while it is down.
     incarnation: u64,
-    /// When the next one begins, while it is down.
+    /// When the next incarnation starts, while the server is down.
     returns_at: Option<u64>,
 }
 
-/// A server that drained and shut down.
+/// A server that has drained and shut down.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Deregistration {
-    /// Its slot.
+    /// The server's slot.
     pub slot: usize,
-    /// Its identity.
+    /// The server's identity.
     pub server: ServerId,
 }
 
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Adds a slot whose first incarnation has this number and begins at this moment.
+    /// Adds a slot whose first server has this incarnation and starts at `begins_at`.
     pub fn add_slot(&mut self, incarnation: u64, begins_at: u64) {
         let slot = self.slots.len();
         self.slots.push(ServerSlot {
@@ -72,12 +72,12 @@
         });
     }
 
-    /// How many slots there are; they are numbered from 0.
+    /// The number of slots. Slots are numbered from 0.
     pub fn slot_count(&self) -> usize {
         self.slots.len()
     }
 
-    /// The incarnation of a slot's server, or that of the last one while it is down.
+    /// The incarnation of a slot's server; the last one while the server is down.
     pub fn incarnation(&self, slot: usize) -> u64 {
         self.slots[slot].incarnation
     }
@@ -92,7 +92,7 @@
         self.slots[slot].server.as_mut()
     }
 
-    /// Begins the next incarnation of a slot's server, whatever becomes of the present one.
+    /// Replaces a slot's server by its next incarnation. The present one may be up or down.
     pub fn restart(&mut self, slot: usize, now: u64) {
         let incarnation = self.slots[slot].incarnation + 1;
         let server = self.new_server(slot, incarnation, now);
@@ -103,14 +103,14 @@
         };
     }
 
-    /// The server of a slot dies with all that it runs, and returns later in a new incarnation.
+    /// Crashes the server of a slot with all its runs. It returns after `returns_after_ms` as a new incarnation.
     pub fn crash(&mut self, slot: usize, returns_after_ms: u64, context: &mut StepContext<'_>) {
         let incarnation = self.slots[slot].incarnation;
         let Some(server) = self.slots[slot].server.take() else {
             return;
         };
         for (task, run) in server.runs {
-            context.oracle.observe_run_over(task, slot, incarnation);
+            context.oracle.observe_run_end(task, slot, incarnation);
             if run.gang {
                 self.end_gang_member(task, run.attempt, RunEnd::LeaseExpired, context);
             }
@@ -118,7 +118,7 @@
         self.slots[slot].returns_at = Some(context.now + returns_after_ms);
     }
 
-    /// The server of a slot receives the response to a heartbeat of this incarnation.
+    /// Delivers the response to a heartbeat of this incarnation to the server of a slot.
     pub fn receive_response(
         &mut self,
         slot: usize,
@@ -161,7 +161,7 @@
             return;
         };
         let (task, attempt) = (command.task, command.attempt);
-        if !server.has_lease(context.now) || !server.is_newer(task, attempt) {
+        if !server.has_lease(context.now) || !server.is_new_attempt(task, attempt) {
             return;
         }
         let observed = ObservedStart {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Records the end of a gang's member. One that is done stands for all members.
+    /// Records the end of a gang's member. If one member is done, all members are done.
     fn end_gang_member(
         &mut self,
         task: TaskId,
@@ -205,7 +205,8 @@
     }
 }
 
-/// Records that the owner has recorded an end. One from before the lease expired may have been replaced by an inferred end.
+/// Records that the owner has recorded an end. Ends from before the lease expired are skipped: the owner may have recorded
+/// an inferred end in their place.
 fn observe_recorded_end(end: &ServerEnd, context: &mut StepContext<'_>) {
     if end.lease_expired_since {
         return;
@@ -220,16 +221,16 @@
     }
 }
 
-/// A run that is ordered to stop does so after a moment.
+/// Orders a run to stop. It ends after a random delay.
 fn stop(server: &mut ModelServer, task: TaskId, attempt: Attempt, context: &mut StepContext<'_>) {
     let run = server.runs.get_mut(&task);
     if let Some(run) = run.filter(|run| run.attempt == attempt) {
-        let stops_at = context.now + context.rng.u64(STOP_MS);
+        let stops_at = context.now + context.rng.u64(STOP_DELAY_MS);
         run.stops_at.get_or_insert(stops_at);
     }
 }
 
-/// The run that a command starts; none for a job that nobody submitted.
+/// The run that a command starts; `None` for an unknown job or step.
 fn new_run(
     server: &ModelServer,
     command: &StartCommand,
@@ -241,8 +242,8 @@
     let labels = &server.facts().labels;
     let plan = RunPlan {
         work_factor: job.work_factor,
-        near: step.affinity.is_empty() || labels.contains(&step.affinity),
-        fails: context.oracle.failures(task) < job.own_failures,
+        has_affinity_label: step.affinity.is_empty() || labels.contains(&step.affinity),
+        fails: context.oracle.failures(task) < job.injected_failures,
     };
     let (attempt, checkpoint) = (command.attempt, &command.checkpoint);
     Some(ServerRun::new(attempt, step, checkpoint, plan, context.now))
--- a/crates/scheduler-testkit/src/server_farm/step.rs
+++ b/crates/scheduler-testkit/src/server_farm/step.rs
@@ -1,4 +1,4 @@
-//! One step of time on all servers of a farm.
+//! Advances all servers of a farm by one time step.
 
 use super::{Deregistration, ServerFarm, ServerSlot};
 use crate::gangs::{GangId, GangState};
@@ -10,17 +10,17 @@
 use lupinrack_cluster_api::server::RunEnd;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a member waits for the others of its gang.
-const GANG_WAIT_MS: u64 = 3_000;
-/// How many times as long a slow server takes.
+/// How long a member of a gang waits for the other members.
+const MAX_GANG_WAIT_MS: u64 = 3_000;
+/// The factor on the duration of runs on a slow server.
 const SLOW_FACTOR: f64 = 4.0;
-/// A failing server fails what it starts after this time.
-const FAILS_AFTER_MS: u64 = 100;
-/// How long a server is away that has drained and shut down.
-const SHUTDOWN_MS: u64 = 500;
+/// The delay from a start on a failing server to its failure.
+const FAILURE_DELAY_MS: u64 = 100;
+/// How long a server is down after it has drained and shut down.
+const SHUTDOWN_DOWNTIME_MS: u64 = 500;
 
 impl ServerFarm {
-    /// Moves all servers on by a step of so many milliseconds, which ends now. Returns those that drained and shut down.
+    /// Advances all servers by `step_ms`, up to the present time. Returns the servers that have drained and shut down.
     pub fn step(&mut self, step_ms: u64, context: &mut StepContext<'_>) -> Vec<Deregistration> {
         let complete_gangs = self.complete_gangs(context);
         self.gangs.record_complete(&complete_gangs);
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Ends a run, and records what that means for its gang.
+    /// Ends a run, and records the end in the oracle and in the run's gang.
     fn end_run(&mut self, slot: usize, task: TaskId, end: RunEnd, context: &mut StepContext<'_>) {
         let now = context.now;
         let ServerSlot {
@@ -87,15 +87,19 @@
             return;
         };
         let oracle = &mut *context.oracle;
-        oracle.observe_run_over(task, slot, *incarnation);
+        oracle.observe_run_end(task, slot, *incarnation);
         if end == RunEnd::Failed {
             oracle.observe_failure(task);
         }
         if end == RunEnd::Alone
             && context.time_bounds == TimeBounds::Enforced
-            && !oracle.may_gang_lack_members(task.job)
+            && !oracle.may_gang_miss_members(task.job)
         {
-            oracle.report_violation(now, Rule::Gang, format!("{task} ended alone"));
+            oracle.report_violation(
+                now,
+                Rule::Gang,
+                format!("{task} ended because members of its gang were missing"),
+            );
         }
         if run.gang {
             self.end_gang_member(task, run.attempt, end, context);
@@ -104,13 +108,13 @@
         }
     }
 
-    /// The gangs all of whose members are there and ready to work.
+    /// The gangs whose members all run and are ready to work.
     fn complete_gangs(&self, context: &StepContext<'_>) -> BTreeSet<GangId> {
         let mut ready: BTreeMap<GangId, u32> = BTreeMap::new();
         let servers = self.slots.iter().filter_map(|slot| slot.server.as_ref());
         for server in servers.filter(|server| server.behavior != ServerBehavior::Stalled) {
             for (task, run) in server.runs.iter().filter(|(_, run)| run.gang) {
-                if run.stops_at.is_none() && context.now >= run.works_from {
+                if run.stops_at.is_none() && context.now >= run.work_begins_at {
                     *ready.entry(GangId::of(*task, run.attempt)).or_default() += 1;
                 }
             }
@@ -125,7 +129,7 @@
         complete.map(|(gang, _)| gang).collect()
     }
 
-    /// Ends members whose gang has lost one, and those that waited too long for the others.
+    /// Ends the members of gangs that have lost a member, and members that have waited too long for the others.
     fn end_broken_gangs(&mut self, context: &mut StepContext<'_>) {
         let mut ended = Vec::new();
         for (slot, server) in self.slots.iter().enumerate() {
@@ -134,9 +138,9 @@
             };
             for (task, run) in server.runs.iter().filter(|(_, run)| run.gang) {
                 let state = self.gangs.state(GangId::of(*task, run.attempt));
-                let waited_too_long = context.now > run.started_at + GANG_WAIT_MS;
+                let waited_too_long = context.now > run.started_at + MAX_GANG_WAIT_MS;
                 match state {
-                    Some(GangState::Over) => ended.push((slot, *task, state)),
+                    Some(GangState::Ended) => ended.push((slot, *task, state)),
                     None if waited_too_long => ended.push((slot, *task, state)),
                     Some(GangState::Working) | None => {}
                 }
@@ -164,7 +168,7 @@
             .filter(|server| is_due(server.shuts_down_at()))
             .map(|server| server.id().clone());
         if shut_down.is_some() {
-            self.crash(slot, SHUTDOWN_MS, context);
+            self.crash(slot, SHUTDOWN_DOWNTIME_MS, context);
         }
         if is_due(self.slots[slot].returns_at) {
             self.restart(slot, now);
@@ -173,7 +177,7 @@
     }
 }
 
-/// Works on a run for a step of so many milliseconds. Returns how it ended, if it did.
+/// Advances a run by `step_ms`. Returns the run's end if it has ended.
 fn work_on(
     run: &mut ServerRun,
     behavior: ServerBehavior,
@@ -185,10 +189,10 @@
         run.write_last_checkpoint();
         return Some(RunEnd::Stopped);
     }
-    if behavior == ServerBehavior::Failing && now >= run.started_at + FAILS_AFTER_MS {
+    if behavior == ServerBehavior::Failing && now >= run.started_at + FAILURE_DELAY_MS {
         return Some(RunEnd::Failed);
     }
-    if behavior == ServerBehavior::Stalled || now < run.works_from || !gang_works {
+    if behavior == ServerBehavior::Stalled || now < run.work_begins_at || !gang_works {
         return None;
     }
     let slowdown = match behavior {
--- a/crates/scheduler-testkit/src/step_context.rs
+++ b/crates/scheduler-testkit/src/step_context.rs
@@ -1,26 +1,26 @@
-//! What a simulation hands to its server farm with each call.
+//! The simulation's state that each call of the server farm needs.
 
 use crate::oracle::Oracle;
 
 /// Whether rules with time bounds are checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimeBounds {
-    /// Nothing is wrong but cancelled and hopeless jobs and new servers: all rules are checked.
+    /// All rules are checked. The only faults are cancelled jobs, jobs that cannot succeed, and new servers.
     Enforced,
-    /// Something is, or was lately, out of order: what has to happen soon may happen late.
+    /// A fault is active or ended recently, so actions may be later than their time bounds.
     Suspended,
 }
 
-/// What a simulation hands to its server farm with each call.
+/// The simulation's state that each call of the server farm needs.
 #[derive(Debug)]
 pub struct StepContext<'a> {
-    /// The moment.
+    /// The present time.
     pub now: u64,
-    /// The time of day, in milliseconds since 1970.
+    /// The wall clock time, in milliseconds since 1970.
     pub wall_ms: u64,
     /// Whether rules with time bounds are checked.
     pub time_bounds: TimeBounds,
-    /// Records what happens.
+    /// Records and checks observations.
     pub oracle: &'a mut Oracle,
     /// The source of randomness.
     pub rng: &'a mut fastrand::Rng,
--- a/crates/scheduler-testkit/src/violation.rs
+++ b/crates/scheduler-testkit/src/violation.rs
@@ -1,52 +1,52 @@
-//! Broken rules.
+//! The rules that are checked, and violations of them.
 
 use std::fmt;
 
 /// The rules that an oracle and the clients of a simulation check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
-    /// What runs on a server fits its capacity.
-    Limit,
-    /// A task runs once at a time, and not after it is known to be done.
-    Twice,
-    /// A step starts after those that it depends on, and not before its time.
-    Order,
+    /// The runs on a server fit its capacity.
+    Capacity,
+    /// A task has at most one run at a time, and none after it is known to be done.
+    DuplicateRun,
+    /// A step starts after the steps that it depends on, and not before its start time.
+    StartOrder,
     /// A task runs only where its labels and its anti-affinity allow it.
-    Route,
-    /// A task is not started again after as many failures as its queue allows.
-    Budget,
-    /// What runs was submitted by a client, is not cancelled, and is started as it was submitted.
+    Placement,
+    /// A task is not restarted once it has failed `max_retries` times.
+    RetryLimit,
+    /// A run belongs to a job that a client submitted and that is not cancelled, and is started with the submitted spec.
     Unrequested,
     /// A job whose submission was rejected never runs.
-    Refused,
-    /// A server that drains gets no new runs.
+    RejectedSubmission,
+    /// A draining server gets no new runs.
     Drain,
     /// The members of a gang start together.
     Gang,
     /// A job succeeds only if all its tasks did.
-    Mixed,
-    /// An accepted job ends, and as its tasks did.
-    Lost,
-    /// The configuration is the one that was acknowledged last.
-    Config,
+    PartialSuccess,
+    /// An accepted job ends, and its final state agrees with the ends of its tasks.
+    JobOutcome,
+    /// The configuration is the one of the last acknowledged change.
+    Configuration,
 }
 
 impl Rule {
     /// The rule's name in reports.
     pub fn as_str(self) -> &'static str {
         match self {
-            Rule::Limit => "LIMIT",
-            Rule::Twice => "TWICE",
-            Rule::Order => "ORDER",
-            Rule::Route => "ROUTE",
-            Rule::Budget => "BUDGET",
+            Rule::Capacity => "LIMIT",
+            Rule::DuplicateRun => "TWICE",
+            Rule::StartOrder => "ORDER",
+            Rule::Placement => "ROUTE",
+            Rule::RetryLimit => "BUDGET",
             Rule::Unrequested => "UNASKED",
-            Rule::Refused => "REFUSED",
+            Rule::RejectedSubmission => "REFUSED",
             Rule::Drain => "DRAIN",
             Rule::Gang => "GANG",
-            Rule::Mixed => "MIXED",
-            Rule::Lost => "LOST",
-            Rule::Config => "CONFIG",
+            Rule::PartialSuccess => "MIXED",
+            Rule::JobOutcome => "LOST",
+            Rule::Configuration => "CONFIG",
         }
     }
 }
@@ -57,7 +57,7 @@
     }
 }
 
-/// A broken rule. Its text is `{moment} ms: {RULE}: {detail}`.
+/// A broken rule. Its text is `{at} ms: {RULE}: {detail}`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// When it was observed.
--- a/crates/scheduler-testkit/src/workload.rs
+++ b/crates/scheduler-testkit/src/workload.rs
@@ -1,9 +1,9 @@
-//! Jobs of several kinds, drawn from a seed.
+//! Random jobs of several kinds; the same seed gives the same jobs.
 
 use crate::expected_job::ExpectedJob;
 use lupinrack_cluster_api::job::{JobSpec, Resources, Step};
 
-/// Failed runs after which a job has failed, in every queue.
+/// The failures of one task after which its job has failed, in every queue.
 pub const MAX_RETRIES: u32 = 3;
 
 /// The queues, with their priorities.
@@ -12,9 +12,9 @@
 /// Whether some jobs allow speculative runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Speculation {
-    /// No job does.
+    /// No job allows them.
     Never,
-    /// A quarter of the small jobs does.
+    /// A quarter of the small jobs allow them.
     Sometimes,
 }
 
@@ -23,16 +23,16 @@
 pub struct GeneratedJob {
     /// The name of the queue.
     pub queue: &'static str,
-    /// What its client knows.
+    /// The job as its client expects it.
     pub expected: ExpectedJob,
 }
 
-/// The kinds of jobs.
+/// The kinds of generated jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum JobKind {
     /// One or two steps of a few short tasks.
     Small,
-    /// Small, and several times.
+    /// Like `Small`, and it runs one to three times.
     Recurring,
     /// Many tasks with checkpoints, and a last step that needs a label.
     Wide,
@@ -71,7 +71,7 @@
     }
 }
 
-/// A job of a kind that is drawn. Its number goes into its text; `wall_ms` is the time of day.
+/// Generates a job of a random kind. Its spec contains `number`; `wall_ms` is the wall clock time.
 pub fn generate_job(
     number: u64,
     wall_ms: u64,
@@ -89,7 +89,7 @@
         spec.start_at_ms = wall_ms + rng.u64(0..1_500);
         spec.interval_ms = rng.u64(200..1_500);
     }
-    let own_failures = match rng.u32(0..100) {
+    let injected_failures = match rng.u32(0..100) {
         0..4 => MAX_RETRIES + 1,
         4..10 => 1,
         _ => 0,
@@ -99,7 +99,7 @@
         max_retries: MAX_RETRIES,
         cancelled_at: None,
         cancel_sent: false,
-        own_failures,
+        injected_failures,
         work_factor: 0.6 + rng.f64(),
         sent: false,
         refused: false,
--- a/crates/scheduler/tests/simulation/world.rs
+++ b/crates/scheduler/tests/simulation/world.rs
@@ -464,7 +464,7 @@
             let Some(server) = self.farm.server_mut(machine) else {
                 continue;
             };
-            if server.wants_heartbeat(now) {
+            if server.is_heartbeat_due(now) {
                 let heartbeat = server.send_heartbeat(now);
                 let delay = self.rng.u64(1..5);
                 if !self.is_lost() {
@@ -578,18 +578,19 @@
         for (id, job) in expected {
             let state = self.state.job(id).map(|job| job.state);
             let violation = match state {
-                Some(JobState::Succeeded) if !self.oracle.all_done(id) => {
-                    (Rule::Mixed, format!("{id}"))
-                }
-                Some(JobState::Failed) if !job.is_hopeless() && !servers_fail => {
-                    (Rule::Lost, format!("{id} is shown as failed without cause"))
+                Some(JobState::Succeeded) if !self.oracle.all_tasks_done(id) => {
+                    (Rule::PartialSuccess, format!("{id}"))
                 }
+                Some(JobState::Failed) if !job.cannot_succeed() && !servers_fail => (
+                    Rule::JobOutcome,
+                    format!("{id} is shown as failed without cause"),
+                ),
                 Some(JobState::Cancelled) if job.cancelled_at.is_none() => (
-                    Rule::Lost,
+                    Rule::JobOutcome,
                     format!("{id} is shown as cancelled without cause"),
                 ),
                 Some(JobState::Queued | JobState::Running) | None => {
-                    (Rule::Lost, format!("{id} has not ended: {state:?}"))
+                    (Rule::JobOutcome, format!("{id} has not ended: {state:?}"))
                 }
                 _ => continue,
             };
