--- a/crates/scheduler-testkit/src/lib.rs
+++ b/crates/scheduler-testkit/src/lib.rs
@@ -1,9 +1,8 @@
 //! The environment of the scheduler in tests: modelled servers that run tasks, generated jobs, and an oracle that checks
 //! the invariants.
 //!
-//! Two kinds of simulation share this crate: the scheduler alone (`crates/scheduler/tests/simulation`) and the whole
-//! control plane (`crates/cluster-simulation`). Each has its own network, agents, owners and faults; this crate contains
-//! what they have in common. It does no I/O and reads no clock. All randomness comes from the generator that the
+//! The simulation of the scheduler in `crates/scheduler/tests/simulation` uses it, and adds the network, the agents, the
+//! owners and the faults. This crate does no I/O and reads no clock. All randomness comes from the generator that the
 //! simulation passes in, so the same seed gives the same run.
 //!
 //! - [`ServerFarm`] owns the servers: [`ServerFarm::receive_response`] delivers the response to a server's heartbeat,
--- a/crates/scheduler-testkit/src/oracle.rs
+++ b/crates/scheduler-testkit/src/oracle.rs
@@ -10,7 +10,7 @@
 use lupinrack_cluster_api::job::Step;
 use std::collections::BTreeMap;
 
-/// The number of violations that are recorded. Further ones are dropped: they are mostly consequences of the first.
+/// The number of violations that are recorded. Further ones add no information and are dropped.
 const MAX_VIOLATIONS: usize = 20;
 
 /// When the rule on starts on draining servers is checked.
--- a/crates/scheduler/tests/decisions/bench.rs
+++ b/crates/scheduler/tests/decisions/bench.rs
@@ -1,4 +1,4 @@
-//! A scheduler with a record and a few servers, moved on by hand.
+//! A test bench: a scheduler, the replicated state and a few servers. The test advances them step by step.
 
 use lupinrack_cluster_api::agent::{AgentMessage, Heartbeat, OwnerMessage};
 use lupinrack_cluster_api::identity::{
@@ -17,7 +17,7 @@
 
 pub const WALL_START: u64 = 1_700_000_000_000;
 
-/// What the model server of a machine would say.
+/// A server and what its next heartbeat reports.
 #[derive(Clone, Debug)]
 pub struct ModelServer {
     pub id: ServerId,
@@ -29,8 +29,8 @@
     pub sequence: u64,
     pub orders_seen: u64,
     pub facts: ServerFacts,
-    /// How many ends were listed so far.
-    pub ends: u64,
+    /// The number of the last end.
+    pub last_end_number: u64,
 }
 
 pub struct Bench {
@@ -40,7 +40,7 @@
     pub settings: SchedulerSettings,
     pub servers: BTreeMap<u16, ModelServer>,
     pub messages: Vec<(u16, OwnerMessage)>,
-    /// Operations that are kept back, not applied.
+    /// Submitted operations that are not applied yet, if `delays_operations` is set.
     pub pending: Vec<Operation>,
     pub delays_operations: bool,
 }
@@ -97,12 +97,12 @@
 }
 
 impl Bench {
-    /// No servers yet.
+    /// A bench without servers, with the default policy.
     pub fn new() -> Bench {
         Bench::with_policy(SchedulingPolicy::default())
     }
 
-    /// No servers yet, with these mechanisms.
+    /// A bench without servers, with this policy.
     pub fn with_policy(policy: SchedulingPolicy) -> Bench {
         let mut state = ControlState::default();
         assert_eq!(state.apply(&configuration()), OperationResult::Done);
@@ -136,7 +136,7 @@
         assert_eq!(taken, OperationResult::Done);
     }
 
-    /// Another process takes over.
+    /// Another process takes over the shard.
     pub fn take_over(&mut self, token: u64) {
         self.take_shard(token);
         let settings = self.settings.clone();
@@ -144,7 +144,7 @@
         self.messages.clear();
     }
 
-    /// A server of 16 cores attaches, with these labels.
+    /// Attaches a new server of 16 cores with these labels.
     pub fn attach(&mut self, machine: u16, incarnation: u64, labels: &[&str]) {
         let id = ServerId(format!("s{machine}-{incarnation}"));
         let facts = ServerFacts {
@@ -170,14 +170,14 @@
             sequence: 0,
             orders_seen: 0,
             facts,
-            ends: 0,
+            last_end_number: 0,
         };
         self.servers.insert(machine, server);
-        self.attach_again(machine, connection);
+        self.reattach(machine, connection);
     }
 
-    /// The agent of a server that is known attaches on another connection.
-    pub fn attach_again(&mut self, machine: u16, connection: u64) {
+    /// The agent of a known server attaches on another connection.
+    pub fn reattach(&mut self, machine: u16, connection: u64) {
         let sent_at = Millis(self.now);
         let Some(server) = self.servers.get_mut(&machine) else {
             return;
@@ -193,8 +193,8 @@
             .receive(address(machine), connection, message, Millis(self.now));
     }
 
-    /// A heartbeat of a server.
-    pub fn beat(&mut self, machine: u16) {
+    /// Sends a heartbeat of a server to the scheduler.
+    pub fn send_heartbeat(&mut self, machine: u16) {
         let server = &self.servers[&machine];
         let message = AgentMessage::Report {
             heartbeat: Some(heartbeat(server)),
@@ -208,8 +208,8 @@
         );
     }
 
-    /// A server leaves, having drained.
-    pub fn leave(&mut self, machine: u16) {
+    /// Deregisters a server that has drained.
+    pub fn deregister(&mut self, machine: u16) {
         let server = &self.servers[&machine];
         let message = AgentMessage::Deregister {
             server: server.id.clone(),
@@ -227,17 +227,19 @@
         self.scheduler.disconnected(address(machine), connection);
     }
 
-    /// The servers follow their orders, and send heartbeats.
-    pub fn servers_follow(&mut self) {
+    /// Delivers the messages to the servers, and a heartbeat of each server to the scheduler.
+    pub fn exchange_messages(&mut self) {
         for (machine, message) in std::mem::take(&mut self.messages) {
-            self.follow(machine, message);
+            self.apply_orders(machine, message);
         }
         let machines: Vec<u16> = self.servers.keys().copied().collect();
-        machines.into_iter().for_each(|machine| self.beat(machine));
+        machines
+            .into_iter()
+            .for_each(|machine| self.send_heartbeat(machine));
     }
 
-    /// A server follows the orders of one message.
-    pub fn follow(&mut self, machine: u16, message: OwnerMessage) {
+    /// Applies the orders of one message to a server.
+    pub fn apply_orders(&mut self, machine: u16, message: OwnerMessage) {
         let Some(server) = self.servers.get_mut(&machine) else {
             return;
         };
@@ -257,7 +259,7 @@
         server.finished.retain(|end| end.number > message.observed);
     }
 
-    pub fn accept(&mut self, job: u64, priority: u32, spec: JobSpec) {
+    pub fn accept_job(&mut self, job: u64, priority: u32, spec: JobSpec) {
         let queue = QueueName(format!("q{priority}"));
         let at = WallMillis(WALL_START + self.now);
         self.apply(Operation::AcceptJob {
@@ -269,7 +271,7 @@
     }
 
     pub fn accept_steps(&mut self, job: u64, priority: u32, steps: Vec<Step>) {
-        self.accept(
+        self.accept_job(
             job,
             priority,
             JobSpec {
@@ -282,7 +284,7 @@
 
     pub fn cancel(&mut self, job: u64) {
         let job = JobId(job);
-        let queue = self.state.job(job).expect("the job is known").queue.clone();
+        let queue = self.state.job(job).expect("the job exists").queue.clone();
         self.apply(Operation::CancelJob {
             job,
             queue,
@@ -296,7 +298,7 @@
             .applied(&operation, &result, Millis(self.now));
     }
 
-    /// One round with authority; its operations are applied at once unless they are pending.
+    /// Runs one round with authority. Its operations are applied at once unless `delays_operations` is set.
     pub fn round(&mut self) -> Round {
         self.round_until(u64::MAX)
     }
@@ -320,19 +322,19 @@
         round
     }
 
-    /// Moves on by so much time, with rounds and heartbeats on the way.
+    /// Advances the time, with a heartbeat of each server and a round every 50 ms.
     pub fn run_for(&mut self, milliseconds: u64) {
         let until = self.now + milliseconds;
         while self.now < until {
             self.now = (self.now + 50).min(until);
-            self.servers_follow();
+            self.exchange_messages();
             self.round();
         }
     }
 
-    /// The machines on which the tasks of a job run, as the servers see it.
-    pub fn machines_of(&self, job: u64) -> Vec<u16> {
-        let on = |server: &ModelServer| {
+    /// The machines that run tasks of a job according to the servers, once per task.
+    pub fn machines_running(&self, job: u64) -> Vec<u16> {
+        let run_count = |server: &ModelServer| {
             server
                 .running
                 .iter()
@@ -341,12 +343,12 @@
         };
         self.servers
             .iter()
-            .flat_map(|(machine, server)| std::iter::repeat_n(*machine, on(server)))
+            .flat_map(|(machine, server)| std::iter::repeat_n(*machine, run_count(server)))
             .collect()
     }
 
-    /// Ends of the newest rounds that were submitted.
-    pub fn ends(operations: &[Operation]) -> Vec<EndRecord> {
+    /// The ends in these operations.
+    pub fn submitted_ends(operations: &[Operation]) -> Vec<EndRecord> {
         let ends = operations.iter().filter_map(|operation| match operation {
             Operation::RecordEnds { ends, .. } => Some(ends.clone()),
             _ => None,
@@ -354,8 +356,8 @@
         ends.flatten().collect()
     }
 
-    /// Starts that were submitted.
-    pub fn starts(operations: &[Operation]) -> Vec<StartRecord> {
+    /// The starts in these operations.
+    pub fn submitted_starts(operations: &[Operation]) -> Vec<StartRecord> {
         let starts = operations.iter().filter_map(|operation| match operation {
             Operation::RecordStarts { starts, .. } => Some(starts.clone()),
             _ => None,
@@ -366,16 +368,16 @@
 
 impl ModelServer {
     pub fn end(&mut self, task: TaskId, attempt: Attempt, end: RunEnd) {
-        let Some(server) = self
+        let Some(position) = self
             .running
             .iter()
             .position(|run| run.task == task && run.attempt == attempt)
         else {
             return;
         };
-        let run = self.running.remove(server);
-        self.ends += 1;
-        let number = self.ends;
+        let run = self.running.remove(position);
+        self.last_end_number += 1;
+        let number = self.last_end_number;
         self.finished.push(FinishedTask {
             number,
             task,
--- a/crates/scheduler/tests/decisions/best_fit.rs
+++ b/crates/scheduler/tests/decisions/best_fit.rs
@@ -1,11 +1,13 @@
-//! Which of several servers with free capacity a single task takes, and when it waits for a better one.
+//! Placement of a single task when several servers have free capacity: which server it gets, and when it waits for a
+//! better one.
 
 use crate::bench::{step, task, Bench};
 use lupinrack_cluster_api::job::{Resources, Step};
 use lupinrack_cluster_api::server::RunEnd;
 
-/// How long a task with data takes near it; away from it takes half as long again by the default settings.
-const NEAR_MS: u64 = 4_000;
+/// The duration of a task on the server with its data. On other servers it takes half as long again, by the default
+/// settings.
+const LOCAL_DURATION_MS: u64 = 4_000;
 
 fn two_servers() -> Bench {
     let mut bench = Bench::new();
@@ -15,20 +17,20 @@
     bench
 }
 
-/// Has jobs of one task each accepted one after the other; the machines that they run on.
+/// Submits two jobs of one task each, one after the other. Returns the machines that run them.
 fn machines_of_two_jobs(step: &Step) -> Vec<u16> {
     let mut bench = two_servers();
     let mut machines = Vec::new();
     for job in 1..=2 {
         bench.accept_steps(job, 1, vec![step.clone()]);
         bench.run_for(200);
-        machines.extend(bench.machines_of(job));
+        machines.extend(bench.machines_running(job));
     }
     machines.sort_unstable();
     machines
 }
 
-fn lasting(count: u32) -> Step {
+fn long_running(count: u32) -> Step {
     Step {
         long_running: true,
         ..step(count, 1_000, 500)
@@ -36,26 +38,26 @@
 }
 
 #[test]
-fn lasting_tasks_of_two_jobs_go_to_different_servers() {
-    assert_eq!(machines_of_two_jobs(&lasting(1)), vec![1, 2]);
+fn long_running_tasks_of_two_jobs_go_to_different_servers() {
+    assert_eq!(machines_of_two_jobs(&long_running(1)), vec![1, 2]);
 }
 
 #[test]
-fn lasting_tasks_of_one_step_go_to_different_servers() {
+fn long_running_tasks_of_one_step_go_to_different_servers() {
     let mut bench = two_servers();
-    bench.accept_steps(1, 1, vec![lasting(2)]);
+    bench.accept_steps(1, 1, vec![long_running(2)]);
     bench.run_for(200);
-    assert_eq!(bench.machines_of(1), vec![1, 2]);
+    assert_eq!(bench.machines_running(1), vec![1, 2]);
 }
 
 #[test]
-fn short_tasks_are_packed() {
+fn tasks_that_end_are_packed_on_one_server() {
     let machines = machines_of_two_jobs(&step(1, 1_000, 60_000));
     assert_eq!(machines.len(), 2);
     assert_eq!(machines[0], machines[1]);
 }
 
-/// Takes capacity of the server with this label for the whole test.
+/// Uses capacity of the server with this label until the end of the test.
 fn occupy(bench: &mut Bench, job: u64, label: &str, cpu: u64, memory_mb: u64) {
     let occupant = Step {
         requires: label.to_owned(),
@@ -71,8 +73,8 @@
 }
 
 #[test]
-fn a_lasting_task_goes_where_it_uses_up_no_resource() {
-    // The first server would be left with more in sum (0.96 against 0.94), but with hardly any memory.
+fn a_long_running_task_goes_where_it_exhausts_no_resource() {
+    // The first server would keep more free capacity in sum (0.96 versus 0.94), but almost no memory.
     let mut bench = two_servers();
     occupy(&mut bench, 1, "first", 100, 24_000);
     occupy(&mut bench, 2, "second", 6_500, 12_000);
@@ -86,16 +88,16 @@
         1,
         vec![Step {
             needs,
-            ..lasting(1)
+            ..long_running(1)
         }],
     );
     bench.run_for(200);
-    assert_eq!(bench.machines_of(3), vec![2]);
+    assert_eq!(bench.machines_running(3), vec![2]);
 }
 
-/// The machine that a task with these needs takes, of a first one with 14 cores and 8 GB free and a second one with
-/// `cpu` and `memory_mb` used.
-fn machine_beside(cpu: u64, memory_mb: u64, needs: Resources) -> Vec<u16> {
+/// The machine that a task with these needs gets. The first one has 14 cores and 8 GB free, the second one has `cpu` and
+/// `memory_mb` in use.
+fn machine_chosen_with_second_using(cpu: u64, memory_mb: u64, needs: Resources) -> Vec<u16> {
     let mut bench = two_servers();
     occupy(&mut bench, 1, "first", 2_000, 24_000);
     occupy(&mut bench, 2, "second", cpu, memory_mb);
@@ -108,32 +110,38 @@
         }],
     );
     bench.run_for(200);
-    bench.machines_of(3)
+    bench.machines_running(3)
 }
 
 #[test]
-fn processor_heavy_work_goes_where_memory_is_short() {
-    // The second server would be left with less in sum (0.78 against 0.91), but more unevenly (0.66 against 0.47).
+fn a_cpu_heavy_task_goes_where_memory_is_short() {
+    // The second server would keep less free capacity in sum (0.78 versus 0.91), but less balanced (0.66 versus 0.47).
     let needs = Resources {
         cpu: 3_000,
         memory_mb: 1_000,
         gpu: 0,
     };
-    assert_eq!(machine_beside(12_000, 8_000, needs), vec![1]);
+    assert_eq!(
+        machine_chosen_with_second_using(12_000, 8_000, needs),
+        vec![1]
+    );
 }
 
 #[test]
-fn evenness_does_not_outweigh_a_much_tighter_fit() {
+fn balance_does_not_outweigh_a_much_tighter_fit() {
     let needs = Resources {
         cpu: 3_000,
         memory_mb: 1_000,
         gpu: 0,
     };
-    assert_eq!(machine_beside(12_000, 20_000, needs), vec![2]);
+    assert_eq!(
+        machine_chosen_with_second_using(12_000, 20_000, needs),
+        vec![2]
+    );
 }
 
-/// Two servers of which the one near the data of job 7 is used up by job 1 for so much longer.
-fn near_server_frees_after(milliseconds: u64) -> Bench {
+/// Two servers. The one with the data of job 7 is fully used by job 1 for `milliseconds`.
+fn local_server_busy_for(milliseconds: u64) -> Bench {
     let mut bench = two_servers();
     let occupant = Step {
         requires: "second".to_owned(),
@@ -141,13 +149,13 @@
     };
     bench.accept_steps(1, 1, vec![occupant]);
     bench.run_for(200);
-    assert_eq!(bench.machines_of(1), vec![2]);
+    assert_eq!(bench.machines_running(1), vec![2]);
     bench.accept_steps(
         7,
         1,
         vec![Step {
             affinity: "second".to_owned(),
-            ..step(1, 1_000, NEAR_MS)
+            ..step(1, 1_000, LOCAL_DURATION_MS)
         }],
     );
     bench.run_for(200);
@@ -155,21 +163,21 @@
 }
 
 #[test]
-fn work_waits_near_its_data_for_up_to_twice_the_extra_time() {
-    // Far it would be done 2 s later than near; it waits for more than that, but for less than 4 s.
-    let mut bench = near_server_frees_after(3_000);
-    assert!(bench.machines_of(7).is_empty());
+fn a_task_waits_for_its_data_server_up_to_twice_the_remote_penalty() {
+    // On the other server the task would be done 2 s later. It waits for more than 2 s, but for less than 4 s.
+    let mut bench = local_server_busy_for(3_000);
+    assert!(bench.machines_running(7).is_empty());
     bench
         .servers
         .get_mut(&2)
-        .expect("it is there")
+        .expect("the server exists")
         .end(task(1, 0, 0), 1, RunEnd::Done);
     bench.run_for(200);
-    assert_eq!(bench.machines_of(7), vec![2]);
+    assert_eq!(bench.machines_running(7), vec![2]);
 }
 
 #[test]
-fn work_goes_far_rather_than_wait_for_more_than_twice_the_extra_time() {
-    let bench = near_server_frees_after(5_000);
-    assert_eq!(bench.machines_of(7), vec![1]);
+fn a_task_runs_away_from_its_data_if_the_wait_exceeds_twice_the_remote_penalty() {
+    let bench = local_server_busy_for(5_000);
+    assert_eq!(bench.machines_running(7), vec![1]);
 }
--- a/crates/scheduler/tests/decisions/main.rs
+++ b/crates/scheduler/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! Single decisions of the scheduler, one situation each.
+//! Decisions of the scheduler in single situations.
 
 mod bench;
 mod best_fit;
--- a/crates/scheduler/tests/decisions/orders.rs
+++ b/crates/scheduler/tests/decisions/orders.rs
@@ -1,4 +1,4 @@
-//! What agents are ordered, and that it follows the record.
+//! Orders to agents, and the operations that have to be applied before them.
 
 use crate::bench::{step, task, Bench};
 use lupinrack_cluster_api::identity::TaskId;
@@ -16,22 +16,22 @@
 }
 
 #[test]
-fn a_start_is_ordered_only_when_it_is_recorded() {
+fn a_start_is_ordered_only_after_it_is_recorded() {
     let mut bench = one_server();
     bench.delays_operations = true;
     bench.accept_steps(7, 0, vec![step(1, 1_000, 500)]);
     bench.round();
     bench.run_for(500);
-    assert!(bench.machines_of(7).is_empty());
+    assert!(bench.machines_running(7).is_empty());
     let pending = bench.pending.pop().expect("the start was submitted");
     bench.apply(pending);
     bench.round();
-    bench.servers_follow();
-    assert_eq!(bench.machines_of(7), vec![MACHINE]);
+    bench.exchange_messages();
+    assert_eq!(bench.machines_running(7), vec![MACHINE]);
 }
 
 #[test]
-fn what_is_not_applied_is_submitted_again_unchanged() {
+fn an_operation_that_is_not_applied_is_resubmitted_unchanged() {
     let mut bench = one_server();
     bench.delays_operations = true;
     bench.accept_steps(7, 0, vec![step(2, 1_000, 500)]);
@@ -46,14 +46,14 @@
         .for_each(|operation| bench.apply(operation));
     bench.run_for(100);
     assert_eq!(
-        bench.machines_of(7).len(),
+        bench.machines_running(7).len(),
         2,
-        "the copy that had no effect changes nothing"
+        "the second copy has no effect"
     );
 }
 
 #[test]
-fn what_is_not_applied_is_submitted_again_at_once_when_the_head_may_have_changed() {
+fn operations_are_resubmitted_at_once_after_a_change_of_head() {
     let mut bench = one_server();
     bench.delays_operations = true;
     bench.accept_steps(7, 0, vec![step(2, 1_000, 500)]);
@@ -66,12 +66,12 @@
 }
 
 #[test]
-fn an_end_is_observed_only_when_it_is_recorded() {
+fn an_end_is_acknowledged_only_after_it_is_recorded() {
     let mut bench = one_server();
     bench.accept_steps(7, 0, vec![step(1, 1_000, 500)]);
     bench.run_for(200);
     bench.delays_operations = true;
-    let server = bench.servers.get_mut(&MACHINE).expect("it is there");
+    let server = bench.servers.get_mut(&MACHINE).expect("the server exists");
     server.end(task(7, 0, 0), 1, RunEnd::Done);
     bench.run_for(300);
     assert_eq!(bench.servers[&MACHINE].finished.len(), 1);
@@ -81,23 +81,23 @@
     bench.run_for(100);
     assert!(
         bench.servers[&MACHINE].finished.is_empty(),
-        "it was observed"
+        "the end was acknowledged"
     );
 }
 
 #[test]
-fn nothing_is_sent_without_authority() {
+fn no_orders_or_starts_are_issued_without_authority() {
     let mut bench = one_server();
     bench.accept_steps(7, 0, vec![step(1, 1_000, 500)]);
     bench.now += 100;
-    bench.beat(MACHINE);
+    bench.send_heartbeat(MACHINE);
     let round = bench.round_until(bench.now);
     assert!(round.messages.is_empty());
-    assert!(Bench::starts(&round.operations).is_empty());
+    assert!(Bench::submitted_starts(&round.operations).is_empty());
 }
 
 #[test]
-fn a_cancelled_job_is_stopped_at_once() {
+fn runs_of_a_cancelled_job_are_stopped_in_the_same_round() {
     let mut bench = one_server();
     bench.accept_steps(7, 1, vec![step(2, 1_000, 60_000)]);
     bench.run_for(200);
@@ -107,19 +107,19 @@
     let (_, message) = bench
         .messages
         .first()
-        .expect("the agent is notified in the same round");
+        .expect("the agent is sent a message in the same round");
     assert_eq!(message.stop, vec![(task(7, 0, 0), 1), (task(7, 0, 1), 1)]);
 }
 
 #[test]
-fn a_foreign_run_is_stopped_and_takes_capacity_until_then() {
+fn an_unexpected_run_is_stopped_and_blocks_new_starts_until_then() {
     let mut bench = one_server();
-    let stray = TaskId {
+    let unexpected = TaskId {
         index: 5,
         ..task(99, 0, 0)
     };
     let running = RunningTask {
-        task: stray,
+        task: unexpected,
         attempt: 3,
         checkpoint: String::new(),
         percent: 10,
@@ -127,29 +127,29 @@
     bench
         .servers
         .get_mut(&MACHINE)
-        .expect("it is there")
+        .expect("the server exists")
         .running
         .push(running);
-    bench.beat(MACHINE);
+    bench.send_heartbeat(MACHINE);
     bench.accept_steps(7, 0, vec![step(1, 1_000, 500)]);
     let round = bench.round();
     assert!(
-        Bench::starts(&round.operations).is_empty(),
-        "what it takes is not known"
+        Bench::submitted_starts(&round.operations).is_empty(),
+        "the resources of the unexpected run are unknown"
     );
-    let (_, message) = bench.messages.last().expect("the agent is notified");
-    assert_eq!(message.stop, vec![(stray, 3)]);
+    let (_, message) = bench.messages.last().expect("the agent is sent a message");
+    assert_eq!(message.stop, vec![(unexpected, 3)]);
     bench.run_for(200);
-    assert_eq!(bench.machines_of(7), vec![MACHINE]);
+    assert_eq!(bench.machines_running(7), vec![MACHINE]);
 }
 
 #[test]
-fn a_stop_that_the_server_saw_and_a_list_without_the_run_end_it() {
+fn an_acknowledged_stop_ends_a_run_that_the_server_does_not_list() {
     let mut bench = one_server();
     bench.accept_steps(7, 1, vec![step(1, 1_000, 60_000)]);
     bench.round();
     bench.round();
-    // The start was ordered, but no heartbeat has come since.
+    // The start is ordered, and no heartbeat has arrived since.
     bench.cancel(7);
     bench.round();
     let (_, stop) = bench.messages.pop().expect("the stop was ordered");
@@ -158,35 +158,35 @@
     bench
         .servers
         .get_mut(&MACHINE)
-        .expect("it is there")
+        .expect("the server exists")
         .orders_seen = stop.number - 1;
-    bench.beat(MACHINE);
+    bench.send_heartbeat(MACHINE);
     assert!(
-        Bench::ends(&bench.round().operations).is_empty(),
-        "it may still be started"
+        Bench::submitted_ends(&bench.round().operations).is_empty(),
+        "the server may still start the run"
     );
     bench
         .servers
         .get_mut(&MACHINE)
-        .expect("it is there")
+        .expect("the server exists")
         .orders_seen = stop.number;
-    bench.beat(MACHINE);
-    let ends = Bench::ends(&bench.round().operations);
+    bench.send_heartbeat(MACHINE);
+    let ends = Bench::submitted_ends(&bench.round().operations);
     assert_eq!(ends.len(), 1);
     assert_eq!(ends[0].end, RunEnd::Stopped);
 }
 
 #[test]
-fn a_timed_job_never_starts_ahead_of_its_time() {
+fn a_recurring_job_never_starts_before_its_start_time() {
     let mut bench = one_server();
-    let due = crate::bench::WALL_START + 2_000;
+    let start_at_ms = crate::bench::WALL_START + 2_000;
     let spec = JobSpec {
         steps: vec![step(1, 1_000, 500)],
         repeat: 2,
-        start_at_ms: due,
+        start_at_ms,
         ..JobSpec::default()
     };
-    bench.accept(
+    bench.accept_job(
         7,
         0,
         JobSpec {
@@ -196,30 +196,38 @@
     );
     while bench.now < 1_950 {
         bench.run_for(50);
-        assert!(bench.machines_of(7).is_empty(), "at {}", bench.now);
+        assert!(bench.machines_running(7).is_empty(), "at {}", bench.now);
     }
     bench.run_for(200);
-    assert_eq!(bench.machines_of(7).len(), 1);
+    assert_eq!(bench.machines_running(7).len(), 1);
     bench.run_for(1_000);
-    assert_eq!(bench.machines_of(7).len(), 2, "times may overlap");
+    assert_eq!(
+        bench.machines_running(7).len(),
+        2,
+        "occurrences may overlap"
+    );
 }
 
 #[test]
-fn a_lasting_task_is_started_again_however_it_ends() {
+fn a_long_running_task_is_restarted_after_any_end() {
     let mut bench = one_server();
-    let mut lasting = step(1, 1_000, 500);
-    lasting.long_running = true;
-    bench.accept_steps(7, 2, vec![lasting]);
+    let mut long_running = step(1, 1_000, 500);
+    long_running.long_running = true;
+    bench.accept_steps(7, 2, vec![long_running]);
     for (attempt, end) in (1..).zip([RunEnd::Done, RunEnd::Failed, RunEnd::Failed, RunEnd::Failed])
     {
         bench.run_for(300);
-        assert_eq!(bench.machines_of(7), vec![MACHINE], "attempt {attempt}");
+        assert_eq!(
+            bench.machines_running(7),
+            vec![MACHINE],
+            "attempt {attempt}"
+        );
         bench
             .servers
             .get_mut(&MACHINE)
-            .expect("it is there")
+            .expect("the server exists")
             .end(task(7, 0, 0), attempt, end);
     }
     bench.run_for(300);
-    assert_eq!(bench.machines_of(7), vec![MACHINE]);
+    assert_eq!(bench.machines_running(7), vec![MACHINE]);
 }
--- a/crates/scheduler/tests/decisions/placement.rs
+++ b/crates/scheduler/tests/decisions/placement.rs
@@ -1,4 +1,4 @@
-//! Where tasks go.
+//! Placement of single tasks and gangs.
 
 use crate::bench::{needs, step, task, Bench};
 use lupinrack_cluster_api::job::{Resources, Step};
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn work_goes_near_its_data() {
+fn tasks_go_to_the_server_with_their_data() {
     let mut bench = servers(&[&["a", "r1"], &["a", "r2"]]);
     bench.accept_steps(
         7,
@@ -25,11 +25,11 @@
         }],
     );
     bench.run_for(200);
-    assert_eq!(bench.machines_of(7), vec![2, 2, 2, 2]);
+    assert_eq!(bench.machines_running(7), vec![2, 2, 2, 2]);
 }
 
 #[test]
-fn work_goes_far_where_the_wait_would_be_longer() {
+fn a_task_runs_away_from_its_data_if_the_wait_would_take_longer() {
     let mut bench = servers(&[&["a", "r1"], &["a", "r2"]]);
     bench.accept_steps(
         1,
@@ -49,11 +49,11 @@
         }],
     );
     bench.run_for(200);
-    assert_eq!(bench.machines_of(7), vec![1]);
+    assert_eq!(bench.machines_running(7), vec![1]);
 }
 
 #[test]
-fn work_waits_for_capacity_near_its_data_that_is_free_soon() {
+fn a_task_waits_for_its_data_server_if_capacity_is_free_soon() {
     let mut bench = servers(&[&["a", "r1"], &["a", "r2"]]);
     bench.accept_steps(
         1,
@@ -73,31 +73,31 @@
         }],
     );
     bench.run_for(400);
-    assert!(bench.machines_of(7).is_empty());
+    assert!(bench.machines_running(7).is_empty());
     bench
         .servers
         .get_mut(&2)
-        .expect("it is there")
+        .expect("the server exists")
         .end(task(1, 0, 0), 1, RunEnd::Done);
     bench.run_for(200);
-    assert_eq!(bench.machines_of(7), vec![2]);
+    assert_eq!(bench.machines_running(7), vec![2]);
 }
 
 #[test]
-fn labels_and_anti_affinity_bind() {
+fn required_labels_and_anti_affinity_are_respected() {
     let mut bench = servers(&[&["a", "r1"], &["b", "r1"], &["a", "r2"]]);
-    let spread = Step {
+    let restricted = Step {
         requires: "a".to_owned(),
         anti_affinity: 2,
         ..step(6, 100, 60_000)
     };
-    bench.accept_steps(7, 0, vec![spread]);
+    bench.accept_steps(7, 0, vec![restricted]);
     bench.run_for(500);
-    assert_eq!(bench.machines_of(7), vec![1, 1, 3, 3]);
+    assert_eq!(bench.machines_running(7), vec![1, 1, 3, 3]);
 }
 
 #[test]
-fn a_step_waits_for_all_of_the_steps_it_depends_on() {
+fn a_step_waits_for_all_tasks_of_the_steps_it_depends_on() {
     let mut bench = servers(&[&["a", "r1"]]);
     let second = Step {
         depends_on: vec![0],
@@ -105,11 +105,11 @@
     };
     bench.accept_steps(7, 0, vec![step(2, 100, 500), second]);
     bench.run_for(200);
-    let server = bench.servers.get_mut(&1).expect("it is there");
+    let server = bench.servers.get_mut(&1).expect("the server exists");
     server.end(task(7, 0, 0), 1, RunEnd::Done);
     bench.run_for(300);
-    assert_eq!(bench.machines_of(7).len(), 1);
-    let server = bench.servers.get_mut(&1).expect("it is there");
+    assert_eq!(bench.machines_running(7).len(), 1);
+    let server = bench.servers.get_mut(&1).expect("the server exists");
     server.end(task(7, 0, 1), 1, RunEnd::Done);
     bench.run_for(300);
     let running = &bench.servers[&1].running;
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_gang_starts_whole_in_one_rack_or_waits() {
+fn a_gang_waits_for_one_rack_if_its_capacity_is_free_soon() {
     let mut bench = servers(&[&["a", "r1"], &["a", "r2"], &["a", "r2"]]);
     bench.accept_steps(
         1,
@@ -142,29 +142,29 @@
     bench.accept_steps(7, 1, vec![gang(2, 10_000)]);
     bench.run_for(300);
     assert!(
-        bench.machines_of(7).is_empty(),
-        "the rack is soon free, and spread it would take longer"
+        bench.machines_running(7).is_empty(),
+        "the rack has capacity soon, and the gang would take longer across racks"
     );
-    let near = bench.machines_of(1)[0];
+    let busy = bench.machines_running(1)[0];
     bench
         .servers
-        .get_mut(&near)
-        .expect("it is there")
+        .get_mut(&busy)
+        .expect("the server exists")
         .end(task(1, 0, 0), 1, RunEnd::Done);
     bench.run_for(300);
-    assert_eq!(bench.machines_of(7), vec![2, 3]);
+    assert_eq!(bench.machines_running(7), vec![2, 3]);
 }
 
 #[test]
-fn a_gang_is_spread_where_it_fits_into_no_rack() {
+fn a_gang_spans_racks_if_it_fits_into_none() {
     let mut bench = servers(&[&["a", "r1"], &["a", "r2"]]);
     bench.accept_steps(7, 1, vec![gang(2, 10_000)]);
     bench.run_for(300);
-    assert_eq!(bench.machines_of(7), vec![1, 2]);
+    assert_eq!(bench.machines_running(7), vec![1, 2]);
 }
 
 #[test]
-fn members_of_a_gang_share_attempt_and_checkpoint() {
+fn members_of_a_gang_restart_with_the_same_attempt_and_checkpoint() {
     let mut bench = servers(&[&["a", "r1"], &["a", "r1"]]);
     bench.accept_steps(
         7,
@@ -175,7 +175,7 @@
         }],
     );
     bench.run_for(300);
-    let server = bench.servers.get_mut(&1).expect("it is there");
+    let server = bench.servers.get_mut(&1).expect("the server exists");
     server.running[0].checkpoint = "half".to_owned();
     let member = server.running[0].task;
     server.end(member, 1, RunEnd::Failed);
@@ -188,7 +188,7 @@
     assert_eq!(
         runs.len(),
         2,
-        "the other member was stopped, and both were started again"
+        "the other member was stopped, and both were restarted"
     );
     assert!(
         runs.iter()
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn small_work_does_not_keep_a_gang_from_starting() {
+fn small_tasks_do_not_starve_a_gang() {
     let mut bench = servers(&[&["a", "r1"], &["a", "r1"]]);
     bench.accept_steps(1, 2, vec![step(30, 1_000, 2_000)]);
     bench.run_for(200);
@@ -207,37 +207,37 @@
     let mut started = None;
     for _ in 0..200 {
         bench.run_for(50);
-        end_after(&mut bench, 2_000);
-        if !bench.machines_of(7).is_empty() {
+        end_runs_older_than(&mut bench, 2_000);
+        if !bench.machines_running(7).is_empty() {
             started = Some(bench.now);
             break;
         }
     }
     let started = started.expect("the gang starts");
-    assert!(started < 6_000, "at {started} ms");
+    assert!(started < 6_000, "started at {started} ms");
 }
 
-/// Ends the runs of other jobs than the gang's that are as old as this, by a count in their progress.
-fn end_after(bench: &mut Bench, milliseconds: u64) {
+/// Ends the runs that are at least `milliseconds` old. Their progress counts the calls of this function, one per 50 ms.
+fn end_runs_older_than(bench: &mut Bench, milliseconds: u64) {
     for server in bench.servers.values_mut() {
         for run in &mut server.running {
             run.percent += 1;
         }
-        let old = |percent: u32| u64::from(percent) * 50 >= milliseconds;
-        let over: Vec<_> = server
+        let is_old = |percent: u32| u64::from(percent) * 50 >= milliseconds;
+        let ended: Vec<_> = server
             .running
             .iter()
-            .filter(|run| old(run.percent))
+            .filter(|run| is_old(run.percent))
             .cloned()
             .collect();
-        for run in over {
+        for run in ended {
             server.end(run.task, run.attempt, RunEnd::Done);
         }
     }
 }
 
 #[test]
-fn a_server_never_runs_more_than_it_has_capacity_for() {
+fn runs_never_exceed_the_capacity_of_a_server() {
     let mut bench = servers(&[&["a", "r1"]]);
     bench.accept_steps(
         7,
@@ -251,5 +251,5 @@
         }],
     );
     bench.run_for(500);
-    assert_eq!(bench.machines_of(7).len(), 5);
+    assert_eq!(bench.machines_running(7).len(), 5);
 }
--- a/crates/scheduler/tests/decisions/policy.rs
+++ b/crates/scheduler/tests/decisions/policy.rs
@@ -1,10 +1,10 @@
-//! Mechanisms that are left out take no part in the decisions.
+//! Mechanisms that the policy turns off have no effect on decisions.
 
 use crate::bench::{step, Bench};
 use lupinrack_cluster_api::job::Step;
 use lupinrack_scheduler::SchedulingPolicy;
 
-/// Two servers that are full of work which can be preempted, and an urgent task that waits; how many of the runs are stopped.
+/// Two servers are full of preemptible runs, and an urgent task waits. Returns the number of runs that are stopped.
 fn stops_for_urgent_work(policy: SchedulingPolicy) -> usize {
     let mut bench = Bench::with_policy(policy);
     for machine in 1..=2 {
@@ -26,18 +26,18 @@
             .iter()
             .map(|order| order.message.stop.len())
             .sum::<usize>();
-        bench.servers_follow();
+        bench.exchange_messages();
     }
     stops
 }
 
 #[test]
-fn urgent_work_preempts() {
+fn urgent_tasks_preempt_by_default() {
     assert!(stops_for_urgent_work(SchedulingPolicy::default()) > 0);
 }
 
 #[test]
-fn without_preemption_nothing_is_stopped_for_urgent_work() {
+fn without_preemption_no_run_is_stopped_for_urgent_tasks() {
     let policy = SchedulingPolicy {
         preempts: false,
         ..SchedulingPolicy::default()
@@ -45,7 +45,7 @@
     assert_eq!(stops_for_urgent_work(policy), 0);
 }
 
-/// The machine on which a task is placed that leaves least on the second of two servers.
+/// The machine of a small task, if the second of two servers has the least capacity left.
 fn machine_of_small_task(policy: SchedulingPolicy) -> Vec<u16> {
     let mut bench = Bench::with_policy(policy);
     bench.attach(1, 1, &["a", "r1"]);
@@ -59,16 +59,16 @@
     bench.run_for(200);
     bench.accept_steps(2, 0, vec![step(1, 1_000, 60_000)]);
     bench.run_for(200);
-    bench.machines_of(2)
+    bench.machines_running(2)
 }
 
 #[test]
-fn tasks_are_packed_to_where_least_is_left() {
+fn tasks_are_packed_on_the_server_with_least_capacity_left() {
     assert_eq!(machine_of_small_task(SchedulingPolicy::default()), [2]);
 }
 
 #[test]
-fn without_packing_the_first_server_with_capacity_is_taken() {
+fn without_packing_the_first_server_with_capacity_is_chosen() {
     let policy = SchedulingPolicy {
         packs: false,
         ..SchedulingPolicy::default()
@@ -76,9 +76,9 @@
     assert_eq!(machine_of_small_task(policy), [1]);
 }
 
-/// How many long tasks run that are large in memory, after urgent ones that are too have left it free; the servers' processor
-/// would do for all of them.
-fn long_tasks_beside_urgent_peak(policy: SchedulingPolicy) -> usize {
+/// The number of long tasks with large memory needs that run after urgent tasks with such needs have ended. The server has
+/// enough processor for all of them.
+fn long_tasks_running_after_urgent_peak(policy: SchedulingPolicy) -> usize {
     let mut bench = Bench::with_policy(policy);
     bench.attach(1, 1, &["a", "r1"]);
     let large_in_memory = |count: u32, estimate_ms: u64| {
@@ -92,20 +92,20 @@
     bench.run_for(300);
     bench.accept_steps(2, 1, vec![large_in_memory(10, 60_000)]);
     bench.run_for(500);
-    bench.machines_of(2).len()
+    bench.machines_running(2).len()
 }
 
 #[test]
-fn memory_that_urgent_work_used_at_its_peak_is_kept_free_for_it() {
-    let running = long_tasks_beside_urgent_peak(SchedulingPolicy::default());
-    assert!((7..=8).contains(&running), "{running} of 10");
+fn the_peak_memory_of_urgent_tasks_is_kept_free_for_them() {
+    let running = long_tasks_running_after_urgent_peak(SchedulingPolicy::default());
+    assert!((7..=8).contains(&running), "{running} of 10 tasks run");
 }
 
 #[test]
-fn without_headroom_long_work_takes_all_memory() {
+fn without_headroom_long_tasks_use_all_memory() {
     let policy = SchedulingPolicy {
         keeps_headroom: false,
         ..SchedulingPolicy::default()
     };
-    assert_eq!(long_tasks_beside_urgent_peak(policy), 10);
+    assert_eq!(long_tasks_running_after_urgent_peak(policy), 10);
 }
--- a/crates/scheduler/tests/decisions/unproposed_starts.rs
+++ b/crates/scheduler/tests/decisions/unproposed_starts.rs
@@ -1,4 +1,4 @@
-//! What a scheduler makes of records that it did not ask for.
+//! Recorded starts that the scheduler did not propose.
 
 use crate::bench::{service, step, task, Bench};
 use lupinrack_cluster_api::identity::{FencingToken, ServerId};
@@ -7,7 +7,7 @@
 
 const MACHINE: u16 = 1;
 
-/// A start of the only task is applied under the scheduler's own token; it did not propose it.
+/// Applies a start of the only task under the scheduler's own fencing token, without a proposal.
 fn unproposed_start() -> Bench {
     let mut bench = Bench::new();
     bench.attach(MACHINE, 1, &["a", "r1"]);
@@ -30,25 +30,25 @@
 }
 
 #[test]
-fn an_unproposed_start_is_not_over_before_its_server_reports_so() {
+fn an_unproposed_start_is_not_ended_before_its_server_reports() {
     let mut bench = unproposed_start();
     let round = bench.round();
-    let ends = Bench::ends(&round.operations);
+    let ends = Bench::submitted_ends(&round.operations);
     assert!(
         ends.is_empty(),
-        "its server may have been notified of it: {ends:?}"
+        "the server may have received the start: {ends:?}"
     );
 }
 
 #[test]
-fn an_unproposed_start_is_over_once_its_server_has_acknowledged_the_stop() {
+fn an_unproposed_start_ends_once_its_server_has_acknowledged_the_stop() {
     let mut bench = unproposed_start();
     bench.run_for(200);
-    let ends = Bench::ends(&bench.pending);
+    let ends = Bench::submitted_ends(&bench.pending);
     let stopped = |end: &&lupinrack_cluster_api::operation::EndRecord| end.task == task(7, 0, 0);
     let end = ends
         .iter()
         .find(stopped)
-        .expect("the server lists it nowhere after the stop");
+        .expect("the server does not list the run after the stop");
     assert_eq!((end.attempt, end.end), (1, RunEnd::Stopped));
 }
--- a/crates/scheduler/tests/golden/scenario.rs
+++ b/crates/scheduler/tests/golden/scenario.rs
@@ -105,12 +105,15 @@
         let machines: Vec<u16> = self.bench.servers.keys().copied().collect();
         machines
             .into_iter()
-            .for_each(|machine| self.bench.beat(machine));
+            .for_each(|machine| self.bench.send_heartbeat(machine));
     }
 
     /// A server or its agent, as it is now.
     pub fn server(&mut self, machine: u16) -> &mut ModelServer {
-        self.bench.servers.get_mut(&machine).expect("it is there")
+        self.bench
+            .servers
+            .get_mut(&machine)
+            .expect("the server exists")
     }
 
     /// Ends a run wherever it runs.
--- a/crates/scheduler/tests/golden/scenarios/eviction.rs
+++ b/crates/scheduler/tests/golden/scenarios/eviction.rs
@@ -108,7 +108,7 @@
     scenario.run_for(500);
     scenario.note_summary();
     scenario.run_for(3_000);
-    scenario.bench.leave(1);
+    scenario.bench.deregister(1);
     scenario.bench.servers.remove(&1);
     scenario.run_for(2_000);
     scenario.finish()
@@ -127,7 +127,7 @@
         let left = scenario.server(2).remaining_ms.unwrap_or(4_000);
         scenario.server(2).remaining_ms = Some(left.saturating_sub(50));
     }
-    scenario.bench.leave(2);
+    scenario.bench.deregister(2);
     scenario.bench.servers.remove(&2);
     scenario.run_for(6_000);
     scenario.finish()
--- a/crates/scheduler/tests/golden/scenarios/inferred_ends.rs
+++ b/crates/scheduler/tests/golden/scenarios/inferred_ends.rs
@@ -50,7 +50,7 @@
 
 fn server_left() -> String {
     let mut scenario = running();
-    scenario.bench.leave(1);
+    scenario.bench.deregister(1);
     scenario.bench.servers.remove(&1);
     scenario.run_for(1_000);
     scenario.finish()
@@ -82,7 +82,7 @@
 
 fn never_told() -> String {
     let mut scenario = proposed();
-    scenario.bench.leave(1);
+    scenario.bench.deregister(1);
     scenario.bench.servers.remove(&1);
     scenario.round();
     apply_pending(&mut scenario);
--- a/crates/scheduler/tests/golden/scenarios/singles.rs
+++ b/crates/scheduler/tests/golden/scenarios/singles.rs
@@ -197,7 +197,7 @@
         start_at_ms: WALL_START + 600,
         interval_ms: 450,
     };
-    scenario.bench.accept(1, 0, spec);
+    scenario.bench.accept_job(1, 0, spec);
     scenario.run_for(4_000);
     scenario.finish()
 }
@@ -234,6 +234,6 @@
 
 fn attach_all(bench: &mut Bench) {
     for machine in [1, 2] {
-        bench.attach_again(machine, 500 + u64::from(machine));
+        bench.reattach(machine, 500 + u64::from(machine));
     }
 }
--- a/crates/scheduler/tests/golden/scenarios/takeovers.rs
+++ b/crates/scheduler/tests/golden/scenarios/takeovers.rs
@@ -48,9 +48,7 @@
     scenario.bench.take_over(2);
     scenario.round();
     for machine in 1..=3 {
-        scenario
-            .bench
-            .attach_again(machine, 900 + u64::from(machine));
+        scenario.bench.reattach(machine, 900 + u64::from(machine));
         scenario.run_for(200);
     }
     scenario.run_for(6_000);
@@ -60,16 +58,18 @@
 fn silent_server() -> String {
     let mut scenario = running();
     scenario.bench.take_over(2);
-    let silent = scenario.bench.servers.remove(&1).expect("it is there");
+    let silent = scenario
+        .bench
+        .servers
+        .remove(&1)
+        .expect("the server exists");
     for machine in 2..=3 {
-        scenario
-            .bench
-            .attach_again(machine, 900 + u64::from(machine));
+        scenario.bench.reattach(machine, 900 + u64::from(machine));
     }
     scenario.run_for(5_000);
     // It was cut off, and comes back with runs that are over for the record.
     scenario.bench.servers.insert(1, silent);
-    scenario.bench.attach_again(1, 999);
+    scenario.bench.reattach(1, 999);
     scenario.run_for(2_000);
     scenario.finish()
 }
--- a/crates/scheduler/tests/round_cost.rs
+++ b/crates/scheduler/tests/round_cost.rs
@@ -1,34 +1,34 @@
-//! What a round costs follows what has changed, not the size of the service.
+//! The cost of a round depends on the number of changes, not on the number of servers.
 
 #[path = "decisions/bench.rs"]
-#[allow(dead_code, reason = "the tests of decisions use more of it")]
+#[allow(dead_code, reason = "only the tests of decisions use all of it")]
 mod bench;
 
 use bench::{step, Bench};
 
-/// Allocations of a round in which nothing has changed since the last one.
-fn allocations_of_a_quiet_round(servers: u16) -> u64 {
-    let mut fleet = Bench::new();
+/// The allocations of a round without changes since the last one.
+fn allocations_of_an_unchanged_round(servers: u16) -> u64 {
+    let mut bench = Bench::new();
     for machine in 1..=servers {
-        fleet.attach(machine, 1, &["kind", "rack"]);
+        bench.attach(machine, 1, &["kind", "rack"]);
     }
-    fleet.accept_steps(1, 0, vec![step(u32::from(servers) * 4, 1_000, 60_000)]);
-    fleet.run_for(1_000);
-    fleet.now += 5;
+    bench.accept_steps(1, 0, vec![step(u32::from(servers) * 4, 1_000, 60_000)]);
+    bench.run_for(1_000);
+    bench.now += 5;
     allocation_counter::measure(|| {
-        fleet.round();
+        bench.round();
     })
     .count_total
 }
 
 #[test]
-fn a_round_without_changes_allocates_the_same_whatever_the_number_of_servers() {
-    let (few, many) = (
-        allocations_of_a_quiet_round(4),
-        allocations_of_a_quiet_round(400),
+fn allocations_of_a_round_without_changes_do_not_grow_with_the_number_of_servers() {
+    let (few_servers, many_servers) = (
+        allocations_of_an_unchanged_round(4),
+        allocations_of_an_unchanged_round(400),
     );
     assert!(
-        many <= few + 8,
-        "{few} allocations with 4 servers, {many} with 400"
+        many_servers <= few_servers + 8,
+        "{few_servers} allocations with 4 servers, {many_servers} with 400"
     );
 }
