--- a/crates/scheduler-testkit/src/expected_job.rs
+++ b/crates/scheduler-testkit/src/expected_job.rs
@@ -18,9 +18,9 @@
     /// The factor of the tasks' duration to the estimate.
     pub work_factor: f64,
     /// Whether the client has sent the submission.
-    pub sent: bool,
+    pub submitted: bool,
     /// Whether every submission was rejected and none will follow.
-    pub refused: bool,
+    pub rejected: bool,
 }
 
 impl ExpectedJob {
--- a/crates/scheduler-testkit/src/model_server.rs
+++ b/crates/scheduler-testkit/src/model_server.rs
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ServerEnd {
     pub(crate) finished: FinishedTask,
-    pub(crate) at: u64,
+    pub(crate) ended_at: u64,
     /// Whether the server's lease has expired since the end. Then the owner may have inferred another end.
     pub(crate) lease_expired_since: bool,
 }
@@ -257,7 +257,7 @@
                 end,
                 checkpoint,
             },
-            at: now,
+            ended_at: now,
             lease_expired_since: false,
         });
         let ended = self.ended.entry(task).or_insert(0);
--- a/crates/scheduler-testkit/src/server_farm.rs
+++ b/crates/scheduler-testkit/src/server_farm.rs
@@ -215,7 +215,7 @@
     match end.finished.end {
         RunEnd::Done => context
             .oracle
-            .observe_done_recorded(task, end.at, context.now),
+            .observe_done_recorded(task, end.ended_at, context.now),
         RunEnd::Failed => context.oracle.observe_failure_recorded(task),
         _ => {}
     }
@@ -243,7 +243,7 @@
     let plan = RunPlan {
         work_factor: job.work_factor,
         has_affinity_label: step.affinity.is_empty() || labels.contains(&step.affinity),
-        fails: context.oracle.failures(task) < job.injected_failures,
+        has_injected_failure: context.oracle.failures(task) < job.injected_failures,
     };
     let (attempt, checkpoint) = (command.attempt, &command.checkpoint);
     Some(ServerRun::new(attempt, step, checkpoint, plan, context.now))
--- a/crates/scheduler-testkit/src/server_run.rs
+++ b/crates/scheduler-testkit/src/server_run.rs
@@ -25,7 +25,7 @@
     /// Whether the server has the label of the step's affinity.
     pub(crate) has_affinity_label: bool,
     /// Whether the run has an injected failure.
-    pub(crate) fails: bool,
+    pub(crate) has_injected_failure: bool,
 }
 
 /// A run on a modelled server.
@@ -84,7 +84,7 @@
             gang: step.gang,
             long_running: step.long_running,
             fails_after_work_ms: plan
-                .fails
+                .has_injected_failure
                 .then_some(total_work_ms * INJECTED_FAILURE_FRACTION),
             stops_at: None,
         }
--- a/crates/scheduler-testkit/src/start_rules.rs
+++ b/crates/scheduler-testkit/src/start_rules.rs
@@ -63,8 +63,12 @@
 
     fn submission(&self) -> [Option<BrokenRule>; 2] {
         [
-            broken(!self.job.sent, Rule::Unrequested, "submission was not sent"),
-            broken_without_cause(self.job.refused, Rule::RejectedSubmission),
+            broken(
+                !self.job.submitted,
+                Rule::Unrequested,
+                "submission was not sent",
+            ),
+            broken_without_cause(self.job.rejected, Rule::RejectedSubmission),
         ]
     }
 
--- a/crates/scheduler-testkit/src/workload.rs
+++ b/crates/scheduler-testkit/src/workload.rs
@@ -101,8 +101,8 @@
         cancel_sent: false,
         injected_failures,
         work_factor: 0.6 + rng.f64(),
-        sent: false,
-        refused: false,
+        submitted: false,
+        rejected: false,
     };
     GeneratedJob {
         queue: kind.queue(),
--- a/crates/scheduler/tests/decisions/bench.rs
+++ b/crates/scheduler/tests/decisions/bench.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-pub const WALL_START: u64 = 1_700_000_000_000;
+pub const WALL_START_MS: u64 = 1_700_000_000_000;
 
 /// A server and what its next heartbeat reports.
 #[derive(Clone, Debug)]
@@ -261,7 +261,7 @@
 
     pub fn accept_job(&mut self, job: u64, priority: u32, spec: JobSpec) {
         let queue = QueueName(format!("q{priority}"));
-        let at = WallMillis(WALL_START + self.now);
+        let at = WallMillis(WALL_START_MS + self.now);
         self.apply(Operation::AcceptJob {
             job: JobId(job),
             queue,
@@ -288,7 +288,7 @@
         self.apply(Operation::CancelJob {
             job,
             queue,
-            at: WallMillis(WALL_START + self.now),
+            at: WallMillis(WALL_START_MS + self.now),
         });
     }
 
@@ -304,7 +304,7 @@
     }
 
     pub fn round_until(&mut self, authority_until: u64) -> Round {
-        let (now, wall) = (Millis(self.now), WallMillis(WALL_START + self.now));
+        let (now, wall) = (Millis(self.now), WallMillis(WALL_START_MS + self.now));
         let round = self
             .scheduler
             .round(&self.state, now, wall, Millis(authority_until));
--- a/crates/scheduler/tests/decisions/orders.rs
+++ b/crates/scheduler/tests/decisions/orders.rs
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn an_acknowledged_stop_ends_a_run_that_the_server_does_not_list() {
+fn an_unlisted_run_is_not_ended_before_its_server_acknowledges_the_stop() {
     let mut bench = one_server();
     bench.accept_steps(7, 1, vec![step(1, 1_000, 60_000)]);
     bench.round();
@@ -179,11 +179,11 @@
 #[test]
 fn a_recurring_job_never_starts_before_its_start_time() {
     let mut bench = one_server();
-    let start_at_ms = crate::bench::WALL_START + 2_000;
+    let first_start_at_ms = crate::bench::WALL_START_MS + 2_000;
     let spec = JobSpec {
         steps: vec![step(1, 1_000, 500)],
         repeat: 2,
-        start_at_ms,
+        start_at_ms: first_start_at_ms,
         ..JobSpec::default()
     };
     bench.accept_job(
--- a/crates/scheduler/tests/golden/days.rs
+++ b/crates/scheduler/tests/golden/days.rs
@@ -1,8 +1,8 @@
-//! Days of the simulation, each with a fixed seed: a digest of what was decided in each second.
+//! Simulated days with fixed seeds: a digest of the decisions of each second.
 
-use crate::day::{play, JOBS};
+use crate::day::{simulate_day, JOBS_PER_DAY};
 use crate::files::{check, Golden};
-use crate::text::{rule_word, summary_text};
+use crate::text::{reason_word, summary_text};
 use crate::world::{Faults, World};
 use lupinrack_cluster_api::job::JobState;
 use lupinrack_cluster_api::time::Millis;
@@ -13,10 +13,10 @@
 
 const SEEDS: [u64; 3] = [11, 12, 13];
 const SECOND_MS: u64 = 1_000;
-/// Hexadecimal digits of a digest that are kept.
-const DIGITS: usize = 16;
+/// The number of hexadecimal digits of a digest in the trace.
+const DIGEST_DIGITS: usize = 16;
 
-/// What one second came to.
+/// The decisions of one second.
 #[derive(Default)]
 struct Second {
     number: u64,
@@ -24,8 +24,8 @@
     operations: usize,
     messages: usize,
     inferred_ends: usize,
-    /// The encodings of all rounds, in their order.
-    bytes: Vec<u8>,
+    /// The encodings of all rounds, in order.
+    encoded_rounds: Vec<u8>,
 }
 
 impl Second {
@@ -41,11 +41,11 @@
             .collect();
         let inferred_ends = round.inferred_ends.iter();
         let inferred_ends: Vec<_> = inferred_ends
-            .map(|run| (run.task, run.attempt, &run.server, rule_word(run.reason)))
+            .map(|run| (run.task, run.attempt, &run.server, reason_word(run.reason)))
             .collect();
         let round = (at, owner as u64, &round.operations, messages, inferred_ends);
-        self.bytes
-            .extend(borsh::to_vec(&round).expect("all of it has an encoding"));
+        self.encoded_rounds
+            .extend(borsh::to_vec(&round).expect("a round can be encoded"));
     }
 
     fn line(&self) -> String {
@@ -57,13 +57,13 @@
             inferred_ends,
             ..
         } = self;
-        let digest = blake3::hash(&self.bytes).to_hex();
-        let digest = &digest[..DIGITS];
+        let digest = blake3::hash(&self.encoded_rounds).to_hex();
+        let digest = &digest[..DIGEST_DIGITS];
         format!("second {number}: rounds {rounds} operations {operations} messages {messages} lapsed {inferred_ends} digest {digest}\n")
     }
 }
 
-/// The lines of one day.
+/// The trace of one day.
 #[derive(Default)]
 struct DayTrace {
     text: String,
@@ -88,14 +88,14 @@
     }
 }
 
-/// The trace of a day, what its jobs came to, and how the last owner sees its service in the end.
+/// The trace of a day, the outcome of its jobs, and the last owner's summary of the service.
 fn day_text(seed: u64, faults: Faults) -> String {
     let trace = Rc::new(RefCell::new(DayTrace::default()));
     let observer = {
         let trace = trace.clone();
         Box::new(move |at: Millis, owner, round: &Round| trace.borrow_mut().add(at, owner, round))
     };
-    let world = play(seed, faults, JOBS, observer);
+    let world = simulate_day(seed, faults, JOBS_PER_DAY, observer);
     assert!(
         world.oracle.violations().is_empty(),
         "seed {seed}: {:?}",
@@ -103,7 +103,7 @@
     );
     trace.borrow_mut().finish_second();
     let mut text = format!("seed {seed}\n{}", trace.borrow().text);
-    write!(text, "{}", outcome(&world)).expect("strings take all");
+    write!(text, "{}", outcome(&world)).expect("writing to a string cannot fail");
     text
 }
 
@@ -127,58 +127,58 @@
     )
 }
 
-/// What goes wrong in the days of each file.
-fn kinds_of_days() -> [(&'static str, Faults); 9] {
-    let calm = Faults::default();
+/// The faults of the days in each file.
+fn faults_of_files() -> [(&'static str, Faults); 9] {
+    let no_faults = Faults::default();
     [
-        ("calm", calm),
+        ("calm", no_faults),
         (
             "lossy",
             Faults {
                 lossy: true,
-                ..calm
+                ..no_faults
             },
         ),
         (
             "takeovers",
             Faults {
                 takeovers: true,
-                ..calm
+                ..no_faults
             },
         ),
         (
             "crashes",
             Faults {
                 crashes: true,
-                ..calm
+                ..no_faults
             },
         ),
         (
             "cuts",
             Faults {
                 partitions: true,
-                ..calm
+                ..no_faults
             },
         ),
         (
             "drains",
             Faults {
                 drains: true,
-                ..calm
+                ..no_faults
             },
         ),
         (
             "failing-server",
             Faults {
                 failing_server: true,
-                ..calm
+                ..no_faults
             },
         ),
         (
             "still-server",
             Faults {
                 stalled_server: true,
-                ..calm
+                ..no_faults
             },
         ),
         (
@@ -197,10 +197,10 @@
 }
 
 #[test]
-fn days_are_decided_as_kept() {
+fn decisions_of_simulated_days_match_the_golden_files() {
     let file = |(name, faults): (&str, Faults)| Golden {
         name: format!("{name}.txt"),
         text: SEEDS.map(|seed| day_text(seed, faults)).concat(),
     };
-    check("days", &kinds_of_days().map(file));
+    check("days", &faults_of_files().map(file));
 }
--- a/crates/scheduler/tests/golden/log_lines.rs
+++ b/crates/scheduler/tests/golden/log_lines.rs
@@ -1,12 +1,12 @@
-//! What log lines say of a service and of ends that follow from a rule.
+//! The log texts of a service's summary and of inferred ends.
 
 use crate::files::{check, Golden};
-use crate::text::rule_word;
+use crate::text::reason_word;
 use lupinrack_cluster_api::job::Resources;
 use lupinrack_scheduler::{InferredEndReason, ServerSummary, ServiceSummary, WaitingSummary};
 use std::collections::BTreeMap;
 
-const RULES: [InferredEndReason; 7] = [
+const REASONS: [InferredEndReason; 7] = [
     InferredEndReason::ServerDeregistered,
     InferredEndReason::LaterIncarnation,
     InferredEndReason::LeaseExpired,
@@ -39,9 +39,9 @@
 }
 
 #[test]
-fn log_lines_are_those_kept() {
-    let rules = RULES
-        .map(|reason| format!("{}: {reason}\n", rule_word(reason)))
+fn log_texts_match_the_golden_files() {
+    let reasons = REASONS
+        .map(|reason| format!("{}: {reason}\n", reason_word(reason)))
         .concat();
     let servers = vec![server("s1", true, false), server("s2", false, true)];
     let waiting = |tasks, longest_ms| WaitingSummary { tasks, longest_ms };
@@ -50,7 +50,7 @@
     let built = [
         Golden {
             name: "rules.txt".to_owned(),
-            text: rules,
+            text: reasons,
         },
         Golden {
             name: "summary.txt".to_owned(),
--- a/crates/scheduler/tests/golden/main.rs
+++ b/crates/scheduler/tests/golden/main.rs
@@ -1,11 +1,11 @@
-//! Decisions of the scheduler, compared with traces that are kept beside these sources: a change of the code that moves
-//! a decision is seen here, whether or not it breaks a rule.
+//! Compares decisions of the scheduler with the traces in `traces`. A code change that alters a decision fails here, even
+//! if it violates no rule.
 //!
-//! Traces name nothing of the code: they are written by [`text`] word for word, or are digests of the encodings that go
-//! over the wire. With `UPDATE_GOLDEN=1` they are written anew.
+//! Traces contain no names from the code: [`text`] writes fixed words, and digests are over the wire encodings.
+//! `UPDATE_GOLDEN=1` rewrites them.
 //!
-//! Some decisions rest on floating point, `powf` among it, whose last bit is left to the platform. Traces are good for
-//! the platform that the software is built for: Linux on x86-64.
+//! Some decisions use floating point, including `powf`, whose last bit depends on the platform. The traces are valid for
+//! the target platform: Linux on x86-64.
 
 #[allow(dead_code)]
 #[path = "../decisions/bench.rs"]
--- a/crates/scheduler/tests/golden/scenario.rs
+++ b/crates/scheduler/tests/golden/scenario.rs
@@ -1,4 +1,4 @@
-//! A bench whose servers do what they are given, and the trace of its rounds.
+//! A test bench whose servers run their tasks, and the trace of its rounds.
 
 use crate::bench::{Bench, ModelServer};
 use crate::text::{round_text, summary_text};
@@ -11,32 +11,32 @@
 use lupinrack_scheduler::Round;
 use std::collections::BTreeMap;
 
-/// Between two heartbeats of every server, and two rounds, in milliseconds.
-const STEP_MS: u64 = 50;
+/// The interval of heartbeats and rounds, in milliseconds.
+const STEP_INTERVAL_MS: u64 = 50;
 
-/// What a server does with what it is given.
+/// How a server performs its work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Conduct {
-    /// Work takes as long as estimated.
+pub enum Behavior {
+    /// Runs take as long as estimated.
     #[default]
-    Sound,
-    /// Work takes three times as long.
+    Healthy,
+    /// Runs take three times as long.
     Slow,
-    /// Everything fails at once.
+    /// Every run fails at once.
     Failing,
-    /// Nothing moves.
-    Still,
+    /// No run makes progress.
+    Stalled,
 }
 
 pub struct Scenario {
     pub bench: Bench,
-    pub conduct: BTreeMap<u16, Conduct>,
-    began: BTreeMap<(TaskId, Attempt), u64>,
+    pub behaviors: BTreeMap<u16, Behavior>,
+    started_at: BTreeMap<(TaskId, Attempt), u64>,
     text: String,
 }
 
 impl Scenario {
-    /// Servers of 16 cores with these labels, beside agents of the numbers from 1 on.
+    /// Servers of 16 cores with these labels. Machines are numbered from 1.
     pub fn new(labels: &[&[&str]]) -> Scenario {
         let mut bench = Bench::new();
         for (machine, labels) in (1..).zip(labels) {
@@ -44,62 +44,62 @@
         }
         Scenario {
             bench,
-            conduct: BTreeMap::new(),
-            began: BTreeMap::new(),
+            behaviors: BTreeMap::new(),
+            started_at: BTreeMap::new(),
             text: String::new(),
         }
     }
 
-    /// What was decided, and the service as it is summed up in the end.
+    /// The trace, with a summary of the service at the end.
     pub fn finish(mut self) -> String {
-        self.note_summary();
+        self.record_summary();
         self.text
     }
 
-    /// Writes down how the scheduler sums its service up now.
-    pub fn note_summary(&mut self) {
+    /// Appends the scheduler's present summary of the service to the trace.
+    pub fn record_summary(&mut self) {
         let summary = self.bench.scheduler.summary(Millis(self.bench.now));
         self.text.push_str(&summary_text(self.bench.now, &summary));
     }
 
-    /// One round, without a word from the servers.
+    /// Runs one round without heartbeats.
     pub fn round(&mut self) -> Round {
         self.round_until(u64::MAX)
     }
 
-    /// One round of an owner whose authority ends at this time.
+    /// Runs one round of an owner whose authority ends at this time.
     pub fn round_until(&mut self, authority_until: u64) -> Round {
         let round = self.bench.round_until(authority_until);
         self.text.push_str(&round_text(self.bench.now, &round));
         round
     }
 
-    /// Moves on while the servers work and beat.
+    /// Advances the time. The servers work and send heartbeats.
     pub fn run_for(&mut self, milliseconds: u64) {
         let until = self.bench.now + milliseconds;
         while self.bench.now < until {
-            self.bench.now += STEP_MS;
+            self.bench.now += STEP_INTERVAL_MS;
             self.work();
-            self.follow();
+            self.exchange_messages();
             self.round();
         }
     }
 
-    /// Moves on without a word from the servers.
-    pub fn silent_for(&mut self, milliseconds: u64) {
+    /// Advances the time without heartbeats.
+    pub fn run_without_heartbeats(&mut self, milliseconds: u64) {
         let until = self.bench.now + milliseconds;
         while self.bench.now < until {
-            self.bench.now += STEP_MS;
+            self.bench.now += STEP_INTERVAL_MS;
             self.round();
         }
     }
 
-    /// The servers take the messages that are on their way, and beat.
-    pub fn follow(&mut self) {
+    /// Delivers the messages to the servers, and a heartbeat of each server to the scheduler.
+    pub fn exchange_messages(&mut self) {
         for (machine, message) in std::mem::take(&mut self.bench.messages) {
             let server = self.bench.servers.get_mut(&machine);
             if let Some(server) = server.filter(|server| server.id == message.server) {
-                take_orders(server, message);
+                apply_orders(server, message);
             }
         }
         let machines: Vec<u16> = self.bench.servers.keys().copied().collect();
@@ -108,7 +108,7 @@
             .for_each(|machine| self.bench.send_heartbeat(machine));
     }
 
-    /// A server or its agent, as it is now.
+    /// The server of a machine.
     pub fn server(&mut self, machine: u16) -> &mut ModelServer {
         self.bench
             .servers
@@ -116,7 +116,7 @@
             .expect("the server exists")
     }
 
-    /// Ends a run wherever it runs.
+    /// Ends the runs of a task on all servers.
     pub fn end(&mut self, task: TaskId, end: RunEnd) {
         for server in self.bench.servers.values_mut() {
             let attempt = server
@@ -132,29 +132,31 @@
 
     fn work(&mut self) {
         for (machine, server) in &mut self.bench.servers {
-            let conduct = self.conduct.get(machine).copied().unwrap_or_default();
-            let mut over = Vec::new();
+            let behavior = self.behaviors.get(machine).copied().unwrap_or_default();
+            let mut ended = Vec::new();
             for run in &mut server.running {
-                let began = *self
-                    .began
+                let started_at = *self
+                    .started_at
                     .entry((run.task, run.attempt))
                     .or_insert(self.bench.now);
                 let Some(step) = step_of(&self.bench.state, run.task) else {
                     continue;
                 };
-                let worked_ms = self.bench.now - began;
-                if let Some(end) = work_on(run, step, conduct, worked_ms) {
-                    over.push((run.task, run.attempt, end));
+                let worked_ms = self.bench.now - started_at;
+                if let Some(end) = work_on(run, step, behavior, worked_ms) {
+                    ended.push((run.task, run.attempt, end));
                 }
             }
-            over.into_iter()
+            ended
+                .into_iter()
                 .for_each(|(task, attempt, end)| server.end(task, attempt, end));
         }
     }
 }
 
-/// A server that drains starts nothing; what runs or has ended there is not started again.
-fn take_orders(server: &mut ModelServer, message: OwnerMessage) {
+/// Applies the orders of one message. A draining server starts no runs, and no server restarts a run that it lists as
+/// running or ended.
+fn apply_orders(server: &mut ModelServer, message: OwnerMessage) {
     server.orders_seen = message.number;
     for Assignment {
         task,
@@ -163,15 +165,15 @@
         ..
     } in message.assign
     {
-        let runs = server
+        let is_running = server
             .running
             .iter()
             .any(|run| (run.task, run.attempt) == (task, attempt));
-        let ended = server
+        let has_ended = server
             .finished
             .iter()
             .any(|end| (end.task, end.attempt) == (task, attempt));
-        if !(runs || ended || server.draining) {
+        if !(is_running || has_ended || server.draining) {
             server.running.push(RunningTask {
                 task,
                 attempt,
@@ -186,13 +188,18 @@
     server.finished.retain(|end| end.number > message.observed);
 }
 
-/// Moves a run on to where it is after so much work; gives its end if it is over.
-fn work_on(run: &mut RunningTask, step: &Step, conduct: Conduct, worked_ms: u64) -> Option<RunEnd> {
-    let total_ms = match conduct {
-        Conduct::Sound => step.estimate_ms,
-        Conduct::Slow => 3 * step.estimate_ms,
-        Conduct::Failing => return Some(RunEnd::Failed),
-        Conduct::Still => return None,
+/// Sets the progress of a run after `worked_ms` of work. Returns its end if it has ended.
+fn work_on(
+    run: &mut RunningTask,
+    step: &Step,
+    behavior: Behavior,
+    worked_ms: u64,
+) -> Option<RunEnd> {
+    let total_ms = match behavior {
+        Behavior::Healthy => step.estimate_ms,
+        Behavior::Slow => 3 * step.estimate_ms,
+        Behavior::Failing => return Some(RunEnd::Failed),
+        Behavior::Stalled => return None,
     };
     if step.long_running {
         return None;
--- a/crates/scheduler/tests/golden/scenarios.rs
+++ b/crates/scheduler/tests/golden/scenarios.rs
@@ -1,4 +1,4 @@
-//! Situations made by hand, with everything that is decided in them.
+//! Handwritten situations and the trace of all decisions in them.
 
 mod eviction;
 mod faults;
@@ -12,11 +12,11 @@
 use crate::files::{check, Golden};
 use lupinrack_cluster_api::job::Step;
 
-/// Builds a trace.
-type Build = fn() -> String;
+/// Runs a scenario and returns its trace.
+type TraceBuilder = fn() -> String;
 
-/// A step whose tasks save their progress.
-fn saving(count: u32, cpu: u64, estimate_ms: u64) -> Step {
+/// A step whose tasks write checkpoints.
+fn checkpointing(count: u32, cpu: u64, estimate_ms: u64) -> Step {
     Step {
         checkpoints: true,
         ..step(count, cpu, estimate_ms)
@@ -24,8 +24,8 @@
 }
 
 #[test]
-fn scenarios_are_decided_as_kept() {
-    let folders: [&[(&str, Build)]; 7] = [
+fn decisions_of_scenarios_match_the_golden_files() {
+    let folders: [&[(&str, TraceBuilder)]; 7] = [
         &faults::SCENARIOS,
         &gangs::SCENARIOS,
         &eviction::SCENARIOS,
@@ -34,7 +34,7 @@
         &singles::SCENARIOS,
         &takeovers::SCENARIOS,
     ];
-    let file = |(name, build): &(&str, Build)| Golden {
+    let file = |(name, build): &(&str, TraceBuilder)| Golden {
         name: format!("{name}.txt"),
         text: build(),
     };
--- a/crates/scheduler/tests/golden/scenarios/eviction.rs
+++ b/crates/scheduler/tests/golden/scenarios/eviction.rs
@@ -1,43 +1,43 @@
-//! Runs that give way to more urgent work, or that leave a server which drains.
+//! Preemption for more urgent tasks, and evacuation of draining servers.
 
-use super::{saving, Build};
+use super::{checkpointing, TraceBuilder};
 use crate::bench::step;
 use crate::scenario::Scenario;
 use lupinrack_cluster_api::job::Step;
 
-pub const SCENARIOS: [(&str, Build); 7] = [
+pub const SCENARIOS: [(&str, TraceBuilder); 7] = [
     ("preemption", preemption),
-    ("preemption-least-loss", least_loss),
+    ("preemption-least-loss", least_lost_work),
     ("preemption-not", not_preempted),
-    ("drain-with-room", drain_with_room),
-    ("drain-last-call", drain_last_call),
-    ("drain-unstarted", drain_unstarted),
-    ("drain-giving-up", drain_giving_up),
+    ("drain-with-room", drain_with_capacity),
+    ("drain-last-call", drain_without_capacity),
+    ("drain-unstarted", drain_with_unstarted_runs),
+    ("drain-giving-up", drain_without_checkpoints),
 ];
 
-const TWO: [&[&str]; 2] = [&["a", "r1"], &["a", "r1"]];
+const TWO_SERVERS: [&[&str]; 2] = [&["a", "r1"], &["a", "r1"]];
 
 fn preemption() -> String {
-    let mut scenario = Scenario::new(&TWO);
+    let mut scenario = Scenario::new(&TWO_SERVERS);
     scenario
         .bench
-        .accept_steps(1, 2, vec![saving(8, 2_000, 6_000)]);
+        .accept_steps(1, 2, vec![checkpointing(8, 2_000, 6_000)]);
     scenario
         .bench
-        .accept_steps(2, 1, vec![saving(4, 4_000, 6_000)]);
+        .accept_steps(2, 1, vec![checkpointing(4, 4_000, 6_000)]);
     scenario.run_for(1_500);
     scenario.bench.accept_steps(3, 0, vec![step(5, 3_000, 500)]);
     scenario.run_for(8_000);
     scenario.finish()
 }
 
-/// What was saved last loses least.
-fn least_loss() -> String {
-    let mut scenario = Scenario::new(&TWO);
+/// Runs with the most recent checkpoints are preempted, because they lose the least work.
+fn least_lost_work() -> String {
+    let mut scenario = Scenario::new(&TWO_SERVERS);
     for job in 1..=4 {
         scenario
             .bench
-            .accept_steps(job, 2, vec![saving(1, 8_000, 4_000 + 1_000 * job)]);
+            .accept_steps(job, 2, vec![checkpointing(1, 8_000, 4_000 + 1_000 * job)]);
         scenario.run_for(300);
     }
     scenario.bench.accept_steps(
@@ -56,15 +56,15 @@
     scenario.finish()
 }
 
-/// Neither work that saves nothing, nor gangs, nor lasting work, nor work of the same priority gives way.
+/// Runs without checkpoints, gangs, long-running tasks and runs of the same priority are not preempted.
 fn not_preempted() -> String {
-    let mut scenario = Scenario::new(&TWO);
+    let mut scenario = Scenario::new(&TWO_SERVERS);
     scenario.bench.accept_steps(
         1,
         2,
         vec![Step {
             gang: true,
-            ..saving(2, 6_000, 3_000)
+            ..checkpointing(2, 6_000, 3_000)
         }],
     );
     scenario
@@ -75,12 +75,12 @@
         2,
         vec![Step {
             long_running: true,
-            ..saving(1, 6_000, 500)
+            ..checkpointing(1, 6_000, 500)
         }],
     );
     scenario
         .bench
-        .accept_steps(4, 0, vec![saving(2, 4_000, 2_500)]);
+        .accept_steps(4, 0, vec![checkpointing(2, 4_000, 2_500)]);
     scenario.run_for(500);
     scenario.bench.accept_steps(5, 0, vec![step(2, 6_000, 500)]);
     scenario
@@ -90,12 +90,12 @@
     scenario.finish()
 }
 
-/// What would not end in time goes elsewhere, as far as there is capacity; the rest stays.
-fn drain_with_room() -> String {
-    let mut scenario = Scenario::new(&TWO);
+/// Runs that would not end in time move to the other server, as far as it has capacity. The others continue.
+fn drain_with_capacity() -> String {
+    let mut scenario = Scenario::new(&TWO_SERVERS);
     scenario
         .bench
-        .accept_steps(1, 1, vec![saving(5, 4_000, 9_000)]);
+        .accept_steps(1, 1, vec![checkpointing(5, 4_000, 9_000)]);
     scenario
         .bench
         .accept_steps(2, 1, vec![step(2, 2_000, 1_000)]);
@@ -103,10 +103,10 @@
         .bench
         .accept_steps(3, 1, vec![step(1, 2_000, 30_000)]);
     scenario.run_for(500);
-    let leaving = scenario.server(1);
-    (leaving.draining, leaving.remaining_ms) = (true, Some(6_000));
+    let draining_server = scenario.server(1);
+    (draining_server.draining, draining_server.remaining_ms) = (true, Some(6_000));
     scenario.run_for(500);
-    scenario.note_summary();
+    scenario.record_summary();
     scenario.run_for(3_000);
     scenario.bench.deregister(1);
     scenario.bench.servers.remove(&1);
@@ -114,12 +114,12 @@
     scenario.finish()
 }
 
-/// Without capacity elsewhere what writes checkpoints is stopped at the last moment.
-fn drain_last_call() -> String {
-    let mut scenario = Scenario::new(&TWO);
+/// Without capacity on the other server, runs with checkpoints are stopped at the latest possible time.
+fn drain_without_capacity() -> String {
+    let mut scenario = Scenario::new(&TWO_SERVERS);
     scenario
         .bench
-        .accept_steps(1, 1, vec![saving(8, 4_000, 9_000)]);
+        .accept_steps(1, 1, vec![checkpointing(8, 4_000, 9_000)]);
     scenario.run_for(500);
     scenario.server(2).draining = true;
     for _ in 0..60 {
@@ -133,9 +133,9 @@
     scenario.finish()
 }
 
-/// A start that a server had not begun when it began to drain is taken back.
-fn drain_unstarted() -> String {
-    let mut scenario = Scenario::new(&TWO);
+/// A start that a server has not executed when it begins to drain is withdrawn.
+fn drain_with_unstarted_runs() -> String {
+    let mut scenario = Scenario::new(&TWO_SERVERS);
     scenario.run_for(100);
     scenario
         .bench
@@ -148,17 +148,17 @@
     scenario.finish()
 }
 
-/// Work that saves nothing is given up only where it would take much more time than is left.
-fn drain_giving_up() -> String {
-    let mut scenario = Scenario::new(&TWO);
+/// Runs without checkpoints are stopped only if they would take much longer than the time that is left.
+fn drain_without_checkpoints() -> String {
+    let mut scenario = Scenario::new(&TWO_SERVERS);
     for job in 1..=6 {
         scenario
             .bench
             .accept_steps(job, 1, vec![step(1, 1_000, 5_000 + 1_500 * job)]);
     }
     scenario.run_for(500);
-    let leaving = scenario.server(1);
-    (leaving.draining, leaving.remaining_ms) = (true, Some(7_000));
+    let draining_server = scenario.server(1);
+    (draining_server.draining, draining_server.remaining_ms) = (true, Some(7_000));
     scenario.run_for(2_000);
     scenario.finish()
 }
--- a/crates/scheduler/tests/golden/scenarios/faults.rs
+++ b/crates/scheduler/tests/golden/scenarios/faults.rs
@@ -1,26 +1,26 @@
-//! Servers that fail, stand still or are slow.
+//! Servers that fail, stall or are slow.
 
-use super::{saving, Build};
+use super::{checkpointing, TraceBuilder};
 use crate::bench::{step, task};
-use crate::scenario::{Conduct, Scenario};
+use crate::scenario::{Behavior, Scenario};
 use lupinrack_cluster_api::job::Step;
 use lupinrack_cluster_api::server::RunEnd;
 
-pub const SCENARIOS: [(&str, Build); 6] = [
+pub const SCENARIOS: [(&str, TraceBuilder); 6] = [
     ("faults-failing-server", failing_server),
-    ("faults-still-server", still_server),
+    ("faults-still-server", stalled_server),
     ("faults-slow-server", slow_server),
-    ("faults-hopeless-job", hopeless_job),
+    ("faults-hopeless-job", job_that_cannot_succeed),
     ("faults-unlisted-start", unlisted_start),
     ("faults-every-end", every_end),
 ];
 
-const THREE: [&[&str]; 3] = [&["a", "r1"], &["a", "r1"], &["a", "r2"]];
+const THREE_SERVERS: [&[&str]; 3] = [&["a", "r1"], &["a", "r1"], &["a", "r2"]];
 
-/// It is suspected after faults of several jobs, tried now and then, and cleared when it works again.
+/// The server is suspected after failures of several jobs, probed at intervals, and cleared once runs succeed again.
 fn failing_server() -> String {
-    let mut scenario = Scenario::new(&THREE);
-    scenario.conduct.insert(1, Conduct::Failing);
+    let mut scenario = Scenario::new(&THREE_SERVERS);
+    scenario.behaviors.insert(1, Behavior::Failing);
     scenario.run_for(100);
     for job in 1..=12 {
         scenario
@@ -28,29 +28,29 @@
             .accept_steps(job, (job % 3) as u32, vec![step(5, 2_000, 600)]);
         scenario.run_for(400);
         if job == 6 {
-            scenario.note_summary();
+            scenario.record_summary();
         }
         if job == 9 {
-            scenario.conduct.remove(&1);
+            scenario.behaviors.remove(&1);
         }
     }
     scenario.run_for(6_000);
     scenario.finish()
 }
 
-fn still_server() -> String {
-    let mut scenario = Scenario::new(&THREE);
-    scenario.conduct.insert(2, Conduct::Still);
+fn stalled_server() -> String {
+    let mut scenario = Scenario::new(&THREE_SERVERS);
+    scenario.behaviors.insert(2, Behavior::Stalled);
     scenario.run_for(100);
     scenario
         .bench
-        .accept_steps(1, 1, vec![saving(12, 3_000, 1_500)]);
+        .accept_steps(1, 1, vec![checkpointing(12, 3_000, 1_500)]);
     scenario.bench.accept_steps(
         2,
         0,
         vec![Step {
             gang: true,
-            ..saving(2, 3_000, 1_000)
+            ..checkpointing(2, 3_000, 1_000)
         }],
     );
     scenario.run_for(9_000);
@@ -58,8 +58,8 @@
 }
 
 fn slow_server() -> String {
-    let mut scenario = Scenario::new(&THREE);
-    scenario.conduct.insert(3, Conduct::Slow);
+    let mut scenario = Scenario::new(&THREE_SERVERS);
+    scenario.behaviors.insert(3, Behavior::Slow);
     scenario.run_for(100);
     for job in 1..=10 {
         scenario
@@ -71,9 +71,9 @@
     scenario.finish()
 }
 
-/// A job that fails as often as its queue allows.
-fn hopeless_job() -> String {
-    let mut scenario = Scenario::new(&THREE);
+/// A job whose task fails `max_retries` times.
+fn job_that_cannot_succeed() -> String {
+    let mut scenario = Scenario::new(&THREE_SERVERS);
     scenario
         .bench
         .accept_steps(1, 1, vec![step(2, 1_000, 60_000), step(1, 500, 60_000)]);
@@ -94,9 +94,9 @@
     scenario.finish()
 }
 
-/// A server that hears of a start and never lists it.
+/// A server that acknowledges an order to start a run and never lists the run.
 fn unlisted_start() -> String {
-    let mut scenario = Scenario::new(&THREE);
+    let mut scenario = Scenario::new(&THREE_SERVERS);
     scenario.run_for(100);
     scenario
         .bench
@@ -110,7 +110,7 @@
     scenario.finish()
 }
 
-/// Each way in which a run ends, with and without a checkpoint.
+/// Each kind of end, with and without a checkpoint.
 fn every_end() -> String {
     let ends = [
         RunEnd::Done,
@@ -121,12 +121,12 @@
         RunEnd::Alone,
         RunEnd::Refused,
     ];
-    let mut scenario = Scenario::new(&THREE);
+    let mut scenario = Scenario::new(&THREE_SERVERS);
     let count = ends.len() as u32;
     scenario.bench.accept_steps(
         1,
         1,
-        vec![saving(count, 500, 20_000), step(count, 500, 20_000)],
+        vec![checkpointing(count, 500, 20_000), step(count, 500, 20_000)],
     );
     scenario.run_for(3_000);
     for (index, end) in (0..).zip(ends) {
--- a/crates/scheduler/tests/golden/scenarios/gangs.rs
+++ b/crates/scheduler/tests/golden/scenarios/gangs.rs
@@ -1,17 +1,17 @@
-//! Gangs: complete or not at all.
+//! Gangs: all members start together or none.
 
-use super::Build;
+use super::TraceBuilder;
 use crate::bench::{step, task};
-use crate::scenario::{Conduct, Scenario};
+use crate::scenario::{Behavior, Scenario};
 use lupinrack_cluster_api::job::Step;
 use lupinrack_cluster_api::server::RunEnd;
 
-pub const SCENARIOS: [(&str, Build); 6] = [
+pub const SCENARIOS: [(&str, TraceBuilder); 6] = [
     ("gangs-one-rack", one_rack),
-    ("gangs-spread", spread),
+    ("gangs-spread", across_racks),
     ("gangs-near-data", near_data),
     ("gangs-broken", broken),
-    ("gangs-beside-small-work", beside_small_work),
+    ("gangs-beside-small-work", with_small_tasks),
     ("gangs-unreliable-servers", unreliable_servers),
 ];
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// The second gang waits for a rack that is soon free; the third one starts in the other.
+/// The second gang waits for a rack with capacity soon. The third one starts in the other rack.
 fn one_rack() -> String {
     let mut scenario = Scenario::new(&RACKS);
     scenario.run_for(100);
@@ -42,8 +42,8 @@
     scenario.finish()
 }
 
-/// The first gang fits into no rack; the second one fits nowhere.
-fn spread() -> String {
+/// The first gang fits into no single rack, the second one not even across all racks.
+fn across_racks() -> String {
     let mut scenario = Scenario::new(&RACKS);
     scenario.run_for(100);
     scenario
@@ -91,7 +91,8 @@
     scenario.finish()
 }
 
-/// A member fails, another one's end stands for all, one is stopped with its job.
+/// One gang restarts after a member failed and after a member ended alone, and is done once one member is done. The job of
+/// the other gang is cancelled.
 fn broken() -> String {
     let mut scenario = Scenario::new(&RACKS);
     scenario.run_for(100);
@@ -113,8 +114,8 @@
     scenario.finish()
 }
 
-/// Capacity is reserved for a gang while small work ends; urgent work goes on.
-fn beside_small_work() -> String {
+/// Capacity is reserved for a gang while small tasks end. Urgent tasks continue to start.
+fn with_small_tasks() -> String {
     let mut scenario = Scenario::new(&RACKS[..2]);
     scenario
         .bench
@@ -138,8 +139,8 @@
 
 fn unreliable_servers() -> String {
     let mut scenario = Scenario::new(&RACKS);
-    scenario.conduct.insert(1, Conduct::Failing);
-    scenario.conduct.insert(3, Conduct::Slow);
+    scenario.behaviors.insert(1, Behavior::Failing);
+    scenario.behaviors.insert(3, Behavior::Slow);
     scenario.run_for(100);
     for job in 1..4 {
         scenario
--- a/crates/scheduler/tests/golden/scenarios/records.rs
+++ b/crates/scheduler/tests/golden/scenarios/records.rs
@@ -1,21 +1,21 @@
-//! Records that come late, twice or unasked, and runs that nobody asked for.
+//! Late, duplicate and unproposed operations, and unexpected runs.
 
-use super::Build;
+use super::TraceBuilder;
 use crate::bench::{service, step, task};
 use crate::scenario::Scenario;
 use lupinrack_cluster_api::identity::{FencingToken, ServerId};
 use lupinrack_cluster_api::operation::{Operation, StartRecord};
 use lupinrack_cluster_api::server::{RunEnd, RunningTask};
 
-pub const SCENARIOS: [(&str, Build); 5] = [
-    ("records-submitted-again", submitted_again),
-    ("records-many", many),
+pub const SCENARIOS: [(&str, TraceBuilder); 5] = [
+    ("records-submitted-again", resubmitted),
+    ("records-many", many_starts_and_ends),
     ("records-unproposed-start", unproposed_start),
-    ("records-refused-start", refused_start),
-    ("records-foreign-run", foreign_run),
+    ("records-refused-start", rejected_start),
+    ("records-foreign-run", unexpected_run),
 ];
 
-const TWO: [&[&str]; 2] = [&["a", "r1"], &["a", "r2"]];
+const TWO_SERVERS: [&[&str]; 2] = [&["a", "r1"], &["a", "r2"]];
 
 fn apply_pending(scenario: &mut Scenario) {
     let pending: Vec<Operation> = std::mem::take(&mut scenario.bench.pending);
@@ -24,9 +24,9 @@
         .for_each(|operation| scenario.bench.apply(operation));
 }
 
-/// Servers, starts and ends whose operations are lost at first and applied twice later.
-fn submitted_again() -> String {
-    let mut scenario = Scenario::new(&TWO);
+/// Operations that record servers, starts and ends are delayed, resubmitted, and then applied twice.
+fn resubmitted() -> String {
+    let mut scenario = Scenario::new(&TWO_SERVERS);
     scenario.bench.delays_operations = true;
     scenario.bench.accept_steps(1, 1, vec![step(3, 1_000, 300)]);
     scenario.run_for(1_000);
@@ -37,9 +37,9 @@
     scenario.finish()
 }
 
-/// More starts and ends than one operation holds.
-fn many() -> String {
-    let mut scenario = Scenario::new(&TWO);
+/// More starts and ends than fit into one operation.
+fn many_starts_and_ends() -> String {
+    let mut scenario = Scenario::new(&TWO_SERVERS);
     scenario.run_for(100);
     scenario
         .bench
@@ -48,9 +48,10 @@
     scenario.finish()
 }
 
-/// Starts that somebody recorded under the scheduler's own token: one that its server never sees, one that it runs.
+/// Starts that are recorded under the scheduler's own fencing token without a proposal. The server never receives one of
+/// them, and runs the other.
 fn unproposed_start() -> String {
-    let mut scenario = Scenario::new(&TWO);
+    let mut scenario = Scenario::new(&TWO_SERVERS);
     scenario.run_for(4_200);
     scenario.bench.delays_operations = true;
     scenario
@@ -81,9 +82,9 @@
     scenario.finish()
 }
 
-/// The job of a proposed start is cancelled before the record comes: its start is refused.
-fn refused_start() -> String {
-    let mut scenario = Scenario::new(&TWO);
+/// The job of a proposed start is cancelled before the start is applied, so the start is rejected.
+fn rejected_start() -> String {
+    let mut scenario = Scenario::new(&TWO_SERVERS);
     scenario.run_for(100);
     scenario.bench.delays_operations = true;
     scenario.bench.accept_steps(1, 1, vec![step(2, 1_000, 300)]);
@@ -96,23 +97,23 @@
     scenario.finish()
 }
 
-/// Runs and ends of jobs that are not known, and of an older start.
-fn foreign_run() -> String {
-    let mut scenario = Scenario::new(&TWO);
+/// Runs and ends of unknown jobs, and a run of a known task with another attempt.
+fn unexpected_run() -> String {
+    let mut scenario = Scenario::new(&TWO_SERVERS);
     scenario.run_for(100);
     scenario
         .bench
         .accept_steps(1, 1, vec![step(2, 1_000, 2_000)]);
     scenario.run_for(200);
-    let stray = |job, attempt| RunningTask {
+    let unexpected = |job, attempt| RunningTask {
         task: task(job, 0, 0),
         attempt,
         checkpoint: String::new(),
         percent: 1,
     };
-    scenario.server(2).running.push(stray(99, 3));
-    scenario.server(2).running.push(stray(1, 5));
-    scenario.server(1).running.push(stray(98, 1));
+    scenario.server(2).running.push(unexpected(99, 3));
+    scenario.server(2).running.push(unexpected(1, 5));
+    scenario.server(1).running.push(unexpected(98, 1));
     scenario.server(1).end(task(98, 0, 0), 1, RunEnd::Failed);
     scenario
         .bench
--- a/crates/scheduler/tests/golden/scenarios/singles.rs
+++ b/crates/scheduler/tests/golden/scenarios/singles.rs
@@ -1,26 +1,26 @@
-//! Single tasks: where they go, and what waits.
+//! Placement and queueing of single tasks.
 
-use super::{saving, Build};
-use crate::bench::{step, Bench, WALL_START};
+use super::{checkpointing, TraceBuilder};
+use crate::bench::{step, Bench, WALL_START_MS};
 use crate::scenario::Scenario;
 use lupinrack_cluster_api::job::{JobSpec, Resources, Step};
 
-pub const SCENARIOS: [(&str, Build); 9] = [
+pub const SCENARIOS: [(&str, TraceBuilder); 9] = [
     ("singles-labels", labels),
-    ("singles-crowd", crowd),
+    ("singles-crowd", many_tasks),
     ("singles-large", large),
     ("singles-quarter", quarter),
     ("singles-near-data", near_data),
-    ("singles-lasting", lasting),
-    ("singles-evenness", evenness),
-    ("singles-timed", timed),
+    ("singles-lasting", long_running),
+    ("singles-evenness", balanced_resources),
+    ("singles-timed", recurring),
     ("singles-other-settings", other_settings),
 ];
 
-const MIXED: [&[&str]; 3] = [&["a", "r1"], &["b", "r1"], &["a", "r2"]];
+const THREE_SERVERS: [&[&str]; 3] = [&["a", "r1"], &["b", "r1"], &["a", "r2"]];
 
 fn labels() -> String {
-    let mut scenario = Scenario::new(&MIXED);
+    let mut scenario = Scenario::new(&THREE_SERVERS);
     scenario.run_for(100);
     let labelled = Step {
         requires: "a".to_owned(),
@@ -49,7 +49,7 @@
     scenario.finish()
 }
 
-fn crowd() -> String {
+fn many_tasks() -> String {
     let mut scenario = Scenario::new(&[&["a", "r1"], &["a", "r1"]]);
     scenario.run_for(100);
     for (job, priority) in (1..).zip([2, 1, 0, 2, 1, 0]) {
@@ -58,7 +58,7 @@
             .accept_steps(job, priority, vec![step(25, 1_500, 300 + 100 * job)]);
         scenario.run_for(100);
     }
-    scenario.note_summary();
+    scenario.record_summary();
     scenario.run_for(9_000);
     scenario.finish()
 }
@@ -82,7 +82,7 @@
     scenario.finish()
 }
 
-/// Tasks that need a little more than a quarter of a server, and a little less.
+/// Tasks that need slightly more, and slightly less, than a quarter of a server.
 fn quarter() -> String {
     let mut scenario = Scenario::new(&[&["a", "r1"]]);
     scenario
@@ -105,7 +105,7 @@
     scenario.finish()
 }
 
-/// Work waits near its data for a while, and goes far where the wait would be longer.
+/// Tasks wait for the server with their data, and run on the other one if the wait would be longer.
 fn near_data() -> String {
     let mut scenario = Scenario::new(&[&["a", "r1"], &["a", "r2"]]);
     scenario.bench.accept_steps(
@@ -130,21 +130,23 @@
     scenario.finish()
 }
 
-fn lasting() -> String {
-    let mut scenario = Scenario::new(&MIXED);
+fn long_running() -> String {
+    let mut scenario = Scenario::new(&THREE_SERVERS);
     scenario.run_for(100);
-    let lasting = Step {
+    let long_running_step = Step {
         long_running: true,
         ..step(4, 1_000, 500)
     };
-    scenario.bench.accept_steps(1, 2, vec![lasting.clone()]);
+    scenario
+        .bench
+        .accept_steps(1, 2, vec![long_running_step.clone()]);
     scenario.run_for(200);
     scenario.bench.accept_steps(
         2,
         1,
         vec![Step {
             anti_affinity: 1,
-            ..lasting
+            ..long_running_step
         }],
     );
     scenario.run_for(1_000);
@@ -153,9 +155,9 @@
     scenario.finish()
 }
 
-/// Tasks that are heavy on processor, memory and accelerators, beside one another.
-fn evenness() -> String {
-    let mut scenario = Scenario::new(&MIXED);
+/// Tasks that need mostly processor, memory or accelerators.
+fn balanced_resources() -> String {
+    let mut scenario = Scenario::new(&THREE_SERVERS);
     scenario.run_for(100);
     let shapes = [
         (6_000, 2_000, 0),
@@ -183,9 +185,9 @@
     scenario.finish()
 }
 
-fn timed() -> String {
+fn recurring() -> String {
     let mut scenario = Scenario::new(&[&["a", "r1"]]);
-    let first = saving(2, 1_000, 400);
+    let first = checkpointing(2, 1_000, 400);
     let second = Step {
         depends_on: vec![0],
         ..step(1, 500, 200)
@@ -194,7 +196,7 @@
         spec: "timed".to_owned(),
         steps: vec![first, second],
         repeat: 3,
-        start_at_ms: WALL_START + 600,
+        start_at_ms: WALL_START_MS + 600,
         interval_ms: 450,
     };
     scenario.bench.accept_job(1, 0, spec);
@@ -202,7 +204,7 @@
     scenario.finish()
 }
 
-/// A shallow queue, a dear distance, hardly any waiting in queues.
+/// A low dispatch depth, a high remote factor, and short queues on servers.
 fn other_settings() -> String {
     let mut scenario = Scenario::new(&[&["a", "r1"], &["a", "r2"]]);
     let settings = &mut scenario.bench.settings;
--- a/crates/scheduler/tests/golden/scenarios/takeovers.rs
+++ b/crates/scheduler/tests/golden/scenarios/takeovers.rs
@@ -1,28 +1,28 @@
-//! New owners: what they take over, and for how long they wait.
+//! Takeovers: which runs a new owner keeps, and how long it waits.
 
-use super::{saving, Build};
+use super::{checkpointing, TraceBuilder};
 use crate::bench::step;
 use crate::scenario::Scenario;
 use lupinrack_cluster_api::job::Step;
 
-pub const SCENARIOS: [(&str, Build); 4] = [
+pub const SCENARIOS: [(&str, TraceBuilder); 4] = [
     ("takeover", takeover),
-    ("takeover-silent-server", silent_server),
-    ("takeover-later-life", later_life),
+    ("takeover-silent-server", unreachable_server),
+    ("takeover-later-life", later_incarnation),
     ("takeover-without-authority", without_authority),
 ];
 
-const THREE: [&[&str]; 3] = [&["a", "r1"], &["a", "r1"], &["a", "r2"]];
+const THREE_SERVERS: [&[&str]; 3] = [&["a", "r1"], &["a", "r1"], &["a", "r2"]];
 
-/// Singles, a gang, lasting work and a job of two steps run, and something waits.
-fn running() -> Scenario {
-    let mut scenario = Scenario::new(&THREE);
+/// Single tasks, a gang, long-running tasks and a job of two steps run, and further tasks wait.
+fn mixed_workload() -> Scenario {
+    let mut scenario = Scenario::new(&THREE_SERVERS);
     scenario.run_for(4_200);
     let gang = Step {
         gang: true,
-        ..saving(2, 5_000, 4_000)
+        ..checkpointing(2, 5_000, 4_000)
     };
-    let lasting = Step {
+    let long_running = Step {
         long_running: true,
         ..step(2, 500, 500)
     };
@@ -32,9 +32,9 @@
     };
     scenario
         .bench
-        .accept_steps(1, 1, vec![saving(4, 2_000, 3_000), second]);
+        .accept_steps(1, 1, vec![checkpointing(4, 2_000, 3_000), second]);
     scenario.bench.accept_steps(2, 2, vec![gang]);
-    scenario.bench.accept_steps(3, 2, vec![lasting]);
+    scenario.bench.accept_steps(3, 2, vec![long_running]);
     scenario
         .bench
         .accept_steps(4, 0, vec![step(3, 12_000, 2_500)]);
@@ -42,9 +42,9 @@
     scenario
 }
 
-/// The agents come one after the other.
+/// The agents attach one after the other.
 fn takeover() -> String {
-    let mut scenario = running();
+    let mut scenario = mixed_workload();
     scenario.bench.take_over(2);
     scenario.round();
     for machine in 1..=3 {
@@ -55,10 +55,10 @@
     scenario.finish()
 }
 
-fn silent_server() -> String {
-    let mut scenario = running();
+fn unreachable_server() -> String {
+    let mut scenario = mixed_workload();
     scenario.bench.take_over(2);
-    let silent = scenario
+    let unreachable = scenario
         .bench
         .servers
         .remove(&1)
@@ -67,16 +67,16 @@
         scenario.bench.reattach(machine, 900 + u64::from(machine));
     }
     scenario.run_for(5_000);
-    // It was cut off, and comes back with runs that are over for the record.
-    scenario.bench.servers.insert(1, silent);
+    // The server was partitioned, and reconnects with runs whose ends are already recorded.
+    scenario.bench.servers.insert(1, unreachable);
     scenario.bench.reattach(1, 999);
     scenario.run_for(2_000);
     scenario.finish()
 }
 
-/// The servers lost power with the owner; one comes back beside its agent.
-fn later_life() -> String {
-    let mut scenario = running();
+/// The servers lost power together with the owner. One returns with its agent.
+fn later_incarnation() -> String {
+    let mut scenario = mixed_workload();
     scenario.bench.take_over(2);
     scenario.bench.servers.clear();
     scenario.bench.attach(1, 2, &["a", "r1"]);
@@ -86,14 +86,14 @@
     scenario.finish()
 }
 
-/// Past its authority an owner records what it learns, and orders nothing.
+/// After the end of its authority, an owner records reported ends and sends no orders.
 fn without_authority() -> String {
-    let mut scenario = running();
+    let mut scenario = mixed_workload();
     let authority_until = scenario.bench.now;
     scenario.bench.cancel(3);
     for _ in 0..10 {
         scenario.bench.now += 50;
-        scenario.follow();
+        scenario.exchange_messages();
         scenario.round_until(authority_until);
     }
     scenario.finish()
--- a/crates/scheduler/tests/golden/settings.rs
+++ b/crates/scheduler/tests/golden/settings.rs
@@ -1,10 +1,10 @@
-//! The default settings, and the bounds that follow from them.
+//! The default settings, and the bounds derived from them.
 
 use crate::files::{check, Golden};
 use lupinrack_scheduler::SchedulerSettings;
 
 #[test]
-fn defaults_are_those_kept() {
+fn default_settings_match_the_golden_file() {
     let settings = SchedulerSettings::default();
     let rows = [
         ("far factor", settings.remote_factor.to_string()),
--- a/crates/scheduler/tests/golden/text.rs
+++ b/crates/scheduler/tests/golden/text.rs
@@ -1,4 +1,4 @@
-//! Rounds as text, every field of every operation and message written out.
+//! Rounds as text with every field of every operation and message.
 
 use lupinrack_cluster_api::agent::OwnerMessage;
 use lupinrack_cluster_api::job::Resources;
@@ -9,13 +9,13 @@
 };
 use std::fmt::Write;
 
-/// The lines of a round; none where nothing was decided.
+/// The lines of a round; empty if the round made no decisions.
 pub fn round_text(at: u64, round: &Round) -> String {
     let mut text = String::new();
     round
         .inferred_ends
         .iter()
-        .for_each(|inferred_ends| text.push_str(&lapsed_text(inferred_ends)));
+        .for_each(|inferred_end| text.push_str(&inferred_end_text(inferred_end)));
     round
         .operations
         .iter()
@@ -30,22 +30,22 @@
     format!("at {at}\n{text}")
 }
 
-fn lapsed_text(inferred_ends: &InferredEnd) -> String {
+fn inferred_end_text(inferred_end: &InferredEnd) -> String {
     let InferredEnd {
         task,
         attempt,
         server,
         reason,
-    } = inferred_ends;
+    } = inferred_end;
     format!(
         "  lapsed {task} attempt {attempt} on {}: {}\n",
         server.0,
-        rule_word(*reason)
+        reason_word(*reason)
     )
 }
 
-/// A word for a rule, whatever its log line says.
-pub fn rule_word(reason: InferredEndReason) -> &'static str {
+/// The word for a reason in traces. It does not depend on the reason's log text.
+pub fn reason_word(reason: InferredEndReason) -> &'static str {
     match reason {
         InferredEndReason::ServerDeregistered => "server-left",
         InferredEndReason::LaterIncarnation => "later-life",
@@ -90,7 +90,7 @@
                 service.0, token.0, at.0
             )
         }
-        other => panic!("a scheduler submits no such operation: {other:?}"),
+        other => panic!("unexpected operation of a scheduler: {other:?}"),
     }
 }
 
@@ -150,18 +150,19 @@
             "    run {task} attempt {attempt} {:?} from {:?}",
             assignment.spec, assignment.checkpoint
         )
-        .expect("strings take all");
+        .expect("writing to a string cannot fail");
     }
     for (task, attempt) in &message.stop {
-        writeln!(text, "    stop {task} attempt {attempt}").expect("strings take all");
+        writeln!(text, "    stop {task} attempt {attempt}")
+            .expect("writing to a string cannot fail");
     }
     text
 }
 
 fn order_head(message: &OwnerMessage) -> String {
-    let extent = if message.complete { "whole" } else { "more" };
+    let scope = if message.complete { "whole" } else { "more" };
     format!(
-        "token {} server {} number {} {extent} observed {} hold {} from {} beat {}",
+        "token {} server {} number {} {scope} observed {} hold {} from {} beat {}",
         message.token.0,
         message.server.0,
         message.number,
@@ -172,7 +173,7 @@
     )
 }
 
-/// A summary with every field.
+/// A summary as text with every field.
 pub fn summary_text(at: u64, summary: &ServiceSummary) -> String {
     let mut text = format!("summary at {at}\n");
     for (priority, waiting) in &summary.waiting {
@@ -181,7 +182,7 @@
             "  priority {priority}: {} wait, {} ms",
             waiting.tasks, waiting.longest_ms
         )
-        .expect("strings take all");
+        .expect("writing to a string cannot fail");
     }
     summary
         .servers
--- a/crates/scheduler/tests/simulation/main.rs
+++ b/crates/scheduler/tests/simulation/main.rs
@@ -1,27 +1,27 @@
-//! Days of a service under the scheduler, with all its rules checked: servers that follow the protocol, agents behind a
-//! network with delays, a record that applies operations, and faults drawn from a seed.
+//! Simulates days of a service and checks all rules of the oracle. The model has servers that follow the protocol, agents
+//! behind a network with delays, replicated state that applies operations, and random faults. The seed determines a day.
 
 mod day;
 mod model_agent;
 mod world;
 
-use day::{play, JOBS};
+use day::{simulate_day, JOBS_PER_DAY};
 use lupinrack_cluster_api::job::JobState;
 use quickcheck::{QuickCheck, TestResult};
 use world::{Faults, RoundObserver, World};
 
-/// Days that each test plays, unless [`DAYS_VARIABLE`] says otherwise.
-const DAYS: u64 = 12;
-/// Days that each test plays in a longer search for broken rules.
-const DAYS_VARIABLE: &str = "SCHEDULER_TEST_DAYS";
+/// The number of days that each test simulates, unless [`DAYS_ENV_VAR`] is set.
+const DEFAULT_DAYS: u64 = 12;
+/// The environment variable with the number of days per test, for longer searches.
+const DAYS_ENV_VAR: &str = "SCHEDULER_TEST_DAYS";
 
-/// Nobody looks at single rounds.
-fn ignored() -> RoundObserver {
+/// An observer that does nothing.
+fn no_observer() -> RoundObserver {
     Box::new(|_, _, _| {})
 }
 
-fn verdict(seed: u64, faults: Faults) -> TestResult {
-    let world = play(seed, faults, JOBS, ignored());
+fn check_day(seed: u64, faults: Faults) -> TestResult {
+    let world = simulate_day(seed, faults, JOBS_PER_DAY, no_observer());
     if world.oracle.violations().is_empty() {
         return TestResult::passed();
     }
@@ -37,24 +37,24 @@
     lines.join("\n")
 }
 
-/// Plays days, each with a seed that is drawn.
-fn check(day: fn(u64) -> TestResult) {
-    let days = std::env::var(DAYS_VARIABLE)
+/// Simulates days with random seeds.
+fn check_days(day: fn(u64) -> TestResult) {
+    let days = std::env::var(DAYS_ENV_VAR)
         .ok()
         .and_then(|days| days.parse().ok())
-        .unwrap_or(DAYS);
+        .unwrap_or(DEFAULT_DAYS);
     QuickCheck::new().tests(days).quickcheck(day);
 }
 
 #[test]
-fn days_without_faults() {
-    check(|seed| verdict(seed, Faults::default()));
+fn rules_hold_without_faults() {
+    check_days(|seed| check_day(seed, Faults::default()));
 }
 
 #[test]
-fn days_with_lost_and_late_answers() {
-    check(|seed| {
-        verdict(
+fn rules_hold_with_lost_and_late_messages() {
+    check_days(|seed| {
+        check_day(
             seed,
             Faults {
                 lossy: true,
@@ -65,9 +65,9 @@
 }
 
 #[test]
-fn days_with_takeovers() {
-    check(|seed| {
-        verdict(
+fn rules_hold_with_takeovers() {
+    check_days(|seed| {
+        check_day(
             seed,
             Faults {
                 takeovers: true,
@@ -78,9 +78,9 @@
 }
 
 #[test]
-fn days_with_crashes() {
-    check(|seed| {
-        verdict(
+fn rules_hold_with_server_crashes() {
+    check_days(|seed| {
+        check_day(
             seed,
             Faults {
                 crashes: true,
@@ -91,9 +91,9 @@
 }
 
 #[test]
-fn days_with_partitions() {
-    check(|seed| {
-        verdict(
+fn rules_hold_with_partitions() {
+    check_days(|seed| {
+        check_day(
             seed,
             Faults {
                 partitions: true,
@@ -104,9 +104,9 @@
 }
 
 #[test]
-fn days_with_drains() {
-    check(|seed| {
-        verdict(
+fn rules_hold_with_draining_servers() {
+    check_days(|seed| {
+        check_day(
             seed,
             Faults {
                 drains: true,
@@ -117,9 +117,9 @@
 }
 
 #[test]
-fn days_with_a_failing_server() {
-    check(|seed| {
-        verdict(
+fn rules_hold_with_a_failing_server() {
+    check_days(|seed| {
+        check_day(
             seed,
             Faults {
                 failing_server: true,
@@ -130,9 +130,9 @@
 }
 
 #[test]
-fn days_with_a_stalled_server() {
-    check(|seed| {
-        verdict(
+fn rules_hold_with_a_stalled_server() {
+    check_days(|seed| {
+        check_day(
             seed,
             Faults {
                 stalled_server: true,
@@ -143,8 +143,8 @@
 }
 
 #[test]
-fn days_with_everything() {
-    let everything = |seed| {
+fn rules_hold_with_combined_faults() {
+    let combined_faults = |seed| {
         let faults = Faults {
             takeovers: true,
             crashes: true,
@@ -154,36 +154,36 @@
             stalled_server: seed % 2 == 0,
             lossy: true,
         };
-        verdict(seed, faults)
+        check_day(seed, faults)
     };
-    check(everything);
+    check_days(combined_faults);
 }
 
-/// Of the urgent jobs of days without faults that are not crowded, this many in a hundred are done within their objective.
-const URGENT_ON_TIME_PERCENT: usize = 90;
+/// The minimum percentage of urgent jobs that end within their objective, on days without faults and with half the load.
+const MIN_URGENT_ON_TIME_PERCENT: usize = 90;
 
 #[test]
-fn urgent_jobs_of_calm_days_meet_their_objective() {
-    let mut urgent = Urgent::default();
+fn urgent_jobs_meet_their_objective_without_faults_and_at_half_load() {
+    let mut urgent_jobs = UrgentJobs::default();
     for seed in 0..8 {
-        let world = play(seed, Faults::default(), JOBS / 2, ignored());
-        urgent.count(&world);
+        let world = simulate_day(seed, Faults::default(), JOBS_PER_DAY / 2, no_observer());
+        urgent_jobs.count(&world);
     }
-    assert!(urgent.jobs > 100, "{urgent:?}");
+    assert!(urgent_jobs.jobs > 100, "{urgent_jobs:?}");
     assert!(
-        urgent.on_time * 100 >= urgent.jobs * URGENT_ON_TIME_PERCENT,
-        "{urgent:?}"
+        urgent_jobs.on_time * 100 >= urgent_jobs.jobs * MIN_URGENT_ON_TIME_PERCENT,
+        "{urgent_jobs:?}"
     );
 }
 
-/// Urgent jobs that succeeded, and how many of them within their objective.
+/// The number of urgent jobs that succeeded, and how many of them did so within their objective.
 #[derive(Debug, Default)]
-struct Urgent {
+struct UrgentJobs {
     jobs: usize,
     on_time: usize,
 }
 
-impl Urgent {
+impl UrgentJobs {
     fn count(&mut self, world: &World) {
         let succeeded = world
             .state
@@ -191,11 +191,12 @@
             .values()
             .filter(|job| job.state == JobState::Succeeded);
         for job in succeeded.filter(|job| job.priority == 0) {
-            let chain_ms: u64 = job.spec.steps.iter().map(|step| step.estimate_ms).sum();
-            let objective_ms = chain_ms * job.extension_milli / 1_000 + job.target_latency_ms;
-            let took_ms = job.ended_at.map_or(u64::MAX, |at| at.0 - job.accepted_at.0);
+            let total_estimate_ms: u64 = job.spec.steps.iter().map(|step| step.estimate_ms).sum();
+            let objective_ms =
+                total_estimate_ms * job.extension_milli / 1_000 + job.target_latency_ms;
+            let duration_ms = job.ended_at.map_or(u64::MAX, |at| at.0 - job.accepted_at.0);
             self.jobs += 1;
-            self.on_time += usize::from(took_ms <= objective_ms);
+            self.on_time += usize::from(duration_ms <= objective_ms);
         }
     }
 }
--- a/crates/scheduler/tests/simulation/model_agent.rs
+++ b/crates/scheduler/tests/simulation/model_agent.rs
@@ -1,4 +1,4 @@
-//! An agent beside a server: turns the owner's messages into responses to heartbeats.
+//! A modelled agent: answers its server's heartbeats according to the owner's messages.
 
 use lupinrack_cluster_api::agent::{AgentMessage, Assignment, Heartbeat, OwnerMessage};
 use lupinrack_cluster_api::identity::{Attempt, FencingToken, PeerAddress, ServerId, TaskId};
@@ -7,8 +7,8 @@
 use lupinrack_scheduler_testkit::{HeartbeatResponse, ModelServer, StartCommand};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A lease with less than this left is not passed on, in milliseconds.
-const MIN_LEASE_MS: u64 = 100;
+/// The minimum remaining lease that is granted to the server, in milliseconds.
+const MIN_GRANTED_LEASE_MS: u64 = 100;
 
 /// A connection to an owner.
 #[derive(Clone, Debug)]
@@ -76,7 +76,7 @@
         self.delivered_number = 0;
     }
 
-    /// Receives a heartbeat; returns the response, and the report to the owner where there is a session.
+    /// Receives a heartbeat. Returns the response, and the report to the owner if there is a session.
     pub fn receive_heartbeat(
         &mut self,
         facts: &ServerFacts,
@@ -91,7 +91,7 @@
             if self
                 .desired
                 .get(&end.task)
-                .is_some_and(|wanted| wanted.attempt <= end.attempt)
+                .is_some_and(|assignment| assignment.attempt <= end.attempt)
             {
                 self.desired.remove(&end.task);
             }
@@ -104,36 +104,36 @@
     }
 
     fn response(&self, heartbeat: &Heartbeat, now: u64) -> HeartbeatResponse {
-        let remaining = self.lease_until.saturating_sub(now);
-        let lease_ms = if remaining >= MIN_LEASE_MS {
-            remaining
+        let remaining_ms = self.lease_until.saturating_sub(now);
+        let lease_ms = if remaining_ms >= MIN_GRANTED_LEASE_MS {
+            remaining_ms
         } else {
             0
         };
-        let runs = |task: TaskId, attempt: Attempt| {
+        let is_running = |task: TaskId, attempt: Attempt| {
             heartbeat
                 .running
                 .iter()
                 .any(|run| run.task == task && run.attempt == attempt)
         };
         let may_start = lease_ms > 0 && !heartbeat.draining;
-        let starts = self.desired.values().filter(|wanted| {
+        let starts = self.desired.values().filter(|assignment| {
             may_start
-                && !runs(wanted.task, wanted.attempt)
-                && !self.ended.contains(&(wanted.task, wanted.attempt))
+                && !is_running(assignment.task, assignment.attempt)
+                && !self.ended.contains(&(assignment.task, assignment.attempt))
         });
-        let older = heartbeat.running.iter().filter(|run| {
+        let outdated = heartbeat.running.iter().filter(|run| {
             self.desired
                 .get(&run.task)
-                .is_some_and(|wanted| wanted.attempt > run.attempt)
+                .is_some_and(|assignment| assignment.attempt > run.attempt)
         });
         let mut stops: Vec<_> = self
             .stops
             .iter()
             .copied()
-            .filter(|(task, attempt)| runs(*task, *attempt))
+            .filter(|(task, attempt)| is_running(*task, *attempt))
             .collect();
-        stops.extend(older.map(|run| (run.task, run.attempt)));
+        stops.extend(outdated.map(|run| (run.task, run.attempt)));
         HeartbeatResponse {
             heartbeat_sent_at: ModelServer::sent_at(heartbeat),
             token: self.token,
@@ -169,12 +169,12 @@
         })
     }
 
-    pub fn owner_message(&mut self, connection: u64, message: OwnerMessage) {
-        let current = self
+    pub fn receive_owner_message(&mut self, connection: u64, message: OwnerMessage) {
+        let is_current = self
             .session
             .as_ref()
             .is_some_and(|session| session.connection == connection);
-        if !current
+        if !is_current
             || self.incarnation.as_ref() != Some(&message.server)
             || message.token < self.token
         {
@@ -195,7 +195,7 @@
             if self
                 .desired
                 .get(&task)
-                .is_some_and(|wanted| wanted.attempt <= attempt)
+                .is_some_and(|assignment| assignment.attempt <= attempt)
             {
                 self.desired.remove(&task);
             }
@@ -209,11 +209,11 @@
     }
 }
 
-fn start_command(wanted: &Assignment) -> StartCommand {
+fn start_command(assignment: &Assignment) -> StartCommand {
     StartCommand {
-        task: wanted.task,
-        attempt: wanted.attempt,
-        spec: wanted.spec.clone(),
-        checkpoint: wanted.checkpoint.clone(),
+        task: assignment.task,
+        attempt: assignment.attempt,
+        spec: assignment.spec.clone(),
+        checkpoint: assignment.checkpoint.clone(),
     }
 }
--- a/crates/scheduler/tests/simulation/world.rs
+++ b/crates/scheduler/tests/simulation/world.rs
@@ -1,4 +1,4 @@
-//! The model of a service: servers, agents, owners, and the record, moved on in small steps of time.
+//! The model of a service: servers, agents, owners and the replicated state, advanced in small time steps.
 
 use crate::model_agent::ModelAgent;
 use lupinrack_cluster_api::agent::{AgentMessage, Heartbeat, OwnerMessage};
@@ -23,9 +23,9 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 pub const TICK_MS: u64 = 5;
-const ROUND_MS: u64 = 25;
-pub const WALL_START: u64 = 1_700_000_000_000;
-/// What holds in every day of this simulation.
+const ROUND_INTERVAL_MS: u64 = 25;
+pub const WALL_START_MS: u64 = 1_700_000_000_000;
+/// The rules of this simulation.
 const ORACLE_RULES: OracleRules = OracleRules {
     max_early_start_ms: 0,
     draining: DrainRule::Always,
@@ -33,7 +33,7 @@
 };
 const SERVICE: &str = "service";
 
-/// What goes wrong in a day.
+/// The faults that are injected in a day.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     pub takeovers: bool,
@@ -57,14 +57,14 @@
     }
 }
 
-/// The agent of a server, which stands in the slot of the farm with the same number.
+/// The agent of a server. The server is in the farm's slot with the same index.
 pub struct AgentMachine {
     pub agent: ModelAgent,
-    /// Until when it has no connection to an owner.
+    /// Until when the agent has no connection to an owner.
     pub partitioned_until: Option<u64>,
 }
 
-/// A process that owned the shard at some time.
+/// A present or former owner of the shard.
 pub struct Owner {
     pub scheduler: Scheduler,
     pub authority_until: u64,
@@ -102,7 +102,7 @@
     Cancel(JobId),
 }
 
-/// Sees each round: when it was, of which owner, and what it came to.
+/// Called with each round: the time, the index of the owner, and the round.
 pub type RoundObserver = Box<dyn FnMut(Millis, usize, &Round)>;
 
 pub struct World {
@@ -117,9 +117,9 @@
     pub oracle: Oracle,
     events: BTreeMap<(u64, u64), Event>,
     sequence: u64,
-    connections: u64,
-    jobs: u64,
-    /// When the newest message of a connection arrives, by its direction: messages of one connection keep their order.
+    last_connection: u64,
+    last_job: u64,
+    /// When the last message on a connection arrives, by direction. Messages on one connection stay in order.
     arrivals: BTreeMap<(u64, Direction), u64>,
     observer: RoundObserver,
 }
@@ -196,13 +196,17 @@
             oracle: Oracle::new(ORACLE_RULES),
             events: BTreeMap::new(),
             sequence: 0,
-            connections: 0,
-            jobs: 0,
+            last_connection: 0,
+            last_job: 0,
             arrivals: BTreeMap::new(),
             observer,
         };
         let result = world.state.apply(&configuration());
-        assert_eq!(result, OperationResult::Done, "the configuration is taken");
+        assert_eq!(
+            result,
+            OperationResult::Done,
+            "the configuration is accepted"
+        );
         for machine in 0..machines {
             let begins_at = world.now + world.rng.u64(0..300);
             world.farm.add_slot(1, begins_at);
@@ -215,8 +219,8 @@
         world
     }
 
-    pub fn wall(&self) -> u64 {
-        WALL_START + self.now
+    pub fn wall_ms(&self) -> u64 {
+        WALL_START_MS + self.now
     }
 
     fn time_bounds(&self) -> TimeBounds {
@@ -240,19 +244,19 @@
         }
     }
 
-    /// The delay of a message on a connection, which does not overtake the one before.
+    /// The random delay of a message on a connection. The message does not overtake the previous one.
     fn connection_delay(&mut self, connection: u64, direction: Direction) -> u64 {
-        let drawn = self.now + self.network_delay();
-        let newest = self.arrivals.entry((connection, direction)).or_insert(0);
-        *newest = drawn.max(*newest);
-        *newest - self.now
+        let arrives_at = self.now + self.network_delay();
+        let last_arrival = self.arrivals.entry((connection, direction)).or_insert(0);
+        *last_arrival = arrives_at.max(*last_arrival);
+        *last_arrival - self.now
     }
 
     fn is_lost(&mut self) -> bool {
         self.faults.lossy && self.rng.u32(0..20) == 0
     }
 
-    /// A new owner takes the shard; the old one may act for a second more, or is gone at once.
+    /// A new owner takes the shard. The old one has authority for one more second, or terminates at once.
     pub fn take_over(&mut self) {
         let token = FencingToken(self.owners.len() as u64 + 1);
         let service = ServiceName(SERVICE.to_owned());
@@ -263,11 +267,11 @@
             owner,
             incarnation: token.0,
         });
-        assert_eq!(result, OperationResult::Done, "the shard is taken");
-        let (now, dies) = (self.now, self.rng.bool());
+        assert_eq!(result, OperationResult::Done, "the takeover is accepted");
+        let (now, terminates) = (self.now, self.rng.bool());
         if let Some(old) = self.owners.last_mut() {
             old.authority_until = now + 1_000;
-            old.alive = !dies;
+            old.alive = !terminates;
         }
         let scheduler = Scheduler::new(service, token, self.settings.clone(), Millis(self.now));
         self.owners.push(Owner {
@@ -306,18 +310,18 @@
                 .is_some_and(|until| self.now >= until)
             {
                 self.agents[machine].partitioned_until = None;
-                self.connections += 1;
-                let (owner, connection) = (self.owners.len() - 1, self.connections);
+                self.last_connection += 1;
+                let (owner, connection) = (self.owners.len() - 1, self.last_connection);
                 self.agents[machine].agent.connect(owner, connection);
             }
         }
     }
 
-    /// Calls the farm with what it needs of this world.
+    /// Calls a function of the farm with the context that it needs.
     fn with_farm<T>(&mut self, call: impl FnOnce(&mut ServerFarm, &mut StepContext<'_>) -> T) -> T {
         let mut context = StepContext {
             now: self.now,
-            wall_ms: self.wall(),
+            wall_ms: self.wall_ms(),
             time_bounds: self.time_bounds(),
             oracle: &mut self.oracle,
             rng: &mut self.rng,
@@ -336,22 +340,22 @@
     }
 
     fn step_servers(&mut self) {
-        // Nobody is notified of servers that shut down: their leases expire.
+        // Servers that shut down are not deregistered with the owner: their leases expire.
         self.with_farm(|farm, context| farm.step(TICK_MS, context));
     }
 
     pub fn submit_jobs(&mut self, count: u64, within_ms: u64) {
         for number in 0..count {
             let delay = self.rng.u64(0..within_ms);
-            let wall = self.wall() + delay;
-            let job = generate_job(number, wall, Speculation::Never, &mut self.rng);
+            let wall_ms = self.wall_ms() + delay;
+            let job = generate_job(number, wall_ms, Speculation::Never, &mut self.rng);
             self.send(delay, Event::Submit(job));
         }
     }
 
     fn submit(&mut self, job: GeneratedJob) {
-        self.jobs += 1;
-        let id = JobId(self.jobs);
+        self.last_job += 1;
+        let id = JobId(self.last_job);
         let cancelled = job.expected.is_long_running() || self.rng.u32(0..20) == 0;
         if cancelled {
             let delay = self.rng.u64(200..9_000);
@@ -359,12 +363,12 @@
         }
         let spec = job.expected.spec.clone();
         let expected = ExpectedJob {
-            sent: true,
+            submitted: true,
             ..job.expected
         };
         self.oracle.expect_job(id, expected);
         let queue = QueueName(job.queue.to_owned());
-        let at = WallMillis(self.wall());
+        let at = WallMillis(self.wall_ms());
         self.apply(&Operation::AcceptJob {
             job: id,
             queue,
@@ -378,7 +382,7 @@
             return;
         };
         let queue = record.queue.clone();
-        let at = WallMillis(self.wall());
+        let at = WallMillis(self.wall_ms());
         self.apply(&Operation::CancelJob { job, queue, at });
         let cancelled = self
             .state
@@ -411,8 +415,8 @@
         }
         self.step_servers();
         self.send_heartbeats();
-        if self.now.is_multiple_of(ROUND_MS) {
-            self.rounds();
+        if self.now.is_multiple_of(ROUND_INTERVAL_MS) {
+            self.run_rounds();
         }
     }
 
@@ -443,7 +447,7 @@
             } => {
                 self.agents[machine]
                     .agent
-                    .owner_message(connection, message);
+                    .receive_owner_message(connection, message);
             }
             Event::Disconnected {
                 owner,
@@ -484,8 +488,8 @@
         let (response, report) = agent.receive_heartbeat(server.facts(), heartbeat, now);
         let incarnation = self.farm.incarnation(machine);
         let (session, agent) = (agent.session.clone(), agent.address);
-        let slow = self.faults.lossy && self.rng.u32(0..30) == 0;
-        let delay = if slow {
+        let is_delayed = self.faults.lossy && self.rng.u32(0..30) == 0;
+        let delay = if is_delayed {
             self.rng.u64(300..1_500)
         } else {
             self.rng.u64(1..5)
@@ -515,16 +519,16 @@
         }
     }
 
-    fn rounds(&mut self) {
+    fn run_rounds(&mut self) {
         for owner in 0..self.owners.len() {
             if !self.owners[owner].alive {
                 continue;
             }
-            let (now, wall) = (Millis(self.now), WallMillis(self.wall()));
+            let (now, wall_ms) = (Millis(self.now), WallMillis(self.wall_ms()));
             let until = Millis(self.owners[owner].authority_until);
             let round = self.owners[owner]
                 .scheduler
-                .round(&self.state, now, wall, until);
+                .round(&self.state, now, wall_ms, until);
             (self.observer)(now, owner, &round);
             for operation in round.operations {
                 let delay = self.rng.u64(10..60);
@@ -533,7 +537,10 @@
                 }
             }
             for order in round.messages {
-                assert!(self.now < until.0, "no message after the authority");
+                assert!(
+                    self.now < until.0,
+                    "an owner sends no messages after the end of its authority"
+                );
                 let machine = self
                     .agents
                     .iter()
@@ -556,7 +563,7 @@
         }
     }
 
-    /// Jobs that are not final.
+    /// The jobs that have not ended.
     pub fn open_jobs(&self) -> Vec<(JobId, JobState)> {
         let open = self
             .state
@@ -566,7 +573,7 @@
         open.map(|(id, job)| (id, job.state)).collect()
     }
 
-    /// Checks what clients are shown in the end.
+    /// Checks the final states of all jobs that clients see.
     pub fn check_outcomes(&mut self) {
         let expected: Vec<(JobId, ExpectedJob)> = self
             .oracle
@@ -574,20 +581,19 @@
             .iter()
             .map(|(id, job)| (*id, job.clone()))
             .collect();
-        let servers_fail = self.faults.failing_server;
+        let has_failing_server = self.faults.failing_server;
         for (id, job) in expected {
             let state = self.state.job(id).map(|job| job.state);
             let violation = match state {
                 Some(JobState::Succeeded) if !self.oracle.all_tasks_done(id) => {
                     (Rule::PartialSuccess, format!("{id}"))
                 }
-                Some(JobState::Failed) if !job.cannot_succeed() && !servers_fail => (
-                    Rule::JobOutcome,
-                    format!("{id} is shown as failed without cause"),
-                ),
+                Some(JobState::Failed) if !job.cannot_succeed() && !has_failing_server => {
+                    (Rule::JobOutcome, format!("{id} failed without a cause"))
+                }
                 Some(JobState::Cancelled) if job.cancelled_at.is_none() => (
                     Rule::JobOutcome,
-                    format!("{id} is shown as cancelled without cause"),
+                    format!("{id} was cancelled without a request"),
                 ),
                 Some(JobState::Queued | JobState::Running) | None => {
                     (Rule::JobOutcome, format!("{id} has not ended: {state:?}"))
