--- a/crates/scheduler/benches/placement_round.rs
+++ b/crates/scheduler/benches/placement_round.rs
@@ -10,7 +10,7 @@
 #[allow(dead_code, reason = "the tests of decisions use more of it")]
 mod bench;
 
-use bench::{step, Bench, WALL_START};
+use bench::{step, Bench, WALL_START_MS};
 use lupinrack_cluster_api::job::{Resources, Step};
 use lupinrack_cluster_api::server::RunEnd;
 use lupinrack_cluster_api::time::{Millis, WallMillis};
@@ -92,7 +92,7 @@
         let machine = machines[round * 7 % machines.len()];
         end_first_run(fleet, machine);
         for offset in 0..3 {
-            fleet.beat(machines[(round * 7 + offset) % machines.len()]);
+            fleet.send_heartbeat(machines[(round * 7 + offset) % machines.len()]);
         }
         durations.push(timed_round(fleet));
     }
@@ -111,7 +111,7 @@
 }
 
 fn timed_round(fleet: &mut Bench) -> Duration {
-    let (now, wall) = (Millis(fleet.now), WallMillis(WALL_START + fleet.now));
+    let (now, wall) = (Millis(fleet.now), WallMillis(WALL_START_MS + fleet.now));
     let began = Instant::now();
     let round = fleet
         .scheduler
@@ -121,7 +121,7 @@
         fleet.apply(operation);
     }
     for order in round.messages {
-        fleet.follow(order.agent.0.port(), order.message);
+        fleet.apply_orders(order.agent.0.port(), order.message);
     }
     duration
 }
