--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The queues of all servers of one owner, and the streams that share them.
+//! The dispatcher: the task queues of all servers of one owner, and the streams that share them.
 
 use crate::cost::Cost;
 use crate::delay::hybrid_delay;
@@ -11,12 +11,12 @@
 use std::fmt::Debug;
 use std::hash::Hash;
 
-/// What may identify a server, a stream or a task.
+/// An identifier of a server, a stream or a task.
 pub trait Key: Clone + Eq + Ord + Hash + Debug {}
 
 impl<T: Clone + Eq + Ord + Hash + Debug> Key for T {}
 
-/// A task that is to be enqueued.
+/// A task to be enqueued.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival<Stream, Task> {
     /// The task.
@@ -25,11 +25,11 @@
     pub stream: Stream,
     /// The weight of the stream (`φ`), above 0 and at most 1.
     pub weight: f64,
-    /// What the task costs, in units of capacity.
+    /// The cost of the task, in units of capacity.
     pub cost: f64,
 }
 
-/// HYBRID-DSFQ over the tasks that wait for each server; see the [crate] documentation.
+/// HYBRID-DSFQ over the task queue of each server; see the [crate] documentation.
 #[derive(Clone, Debug)]
 pub struct Dispatcher<Server, Stream, Task> {
     settings: DispatchSettings,
@@ -37,30 +37,30 @@
     streams: BTreeMap<Stream, StreamState<Server>>,
     next_sequence: u64,
     /// When idle streams were last removed.
-    swept_at: Millis,
+    last_sweep: Millis,
 }
 
 impl<Server: Key, Stream: Key, Task: Key> Dispatcher<Server, Stream, Task> {
-    /// A dispatcher without servers and streams.
+    /// A dispatcher without servers or streams.
     pub fn new(settings: DispatchSettings) -> Self {
         Dispatcher {
             settings,
             queues: BTreeMap::new(),
             streams: BTreeMap::new(),
             next_sequence: 0,
-            swept_at: Millis::default(),
+            last_sweep: Millis::default(),
         }
     }
 
     /// Adds a task to the queue of a server and returns its tags. A task that is already queued
-    /// there keeps its tags. A server that is not known yet is added.
+    /// there keeps its tags. An unknown server is added.
     pub fn enqueue(
         &mut self,
         server: &Server,
         arrival: Arrival<Stream, Task>,
         now: Millis,
     ) -> Tags {
-        self.sweep(now);
+        self.remove_idle_streams(now);
         if let Some(tags) = self.tags(server, &arrival.task) {
             return tags;
         }
@@ -81,10 +81,10 @@
         tags
     }
 
-    /// Takes a task out of a server's queue without running it. Returns whether it was queued there.
+    /// Removes a task from a server's queue without running it. Returns whether it was queued there.
     ///
-    /// Its cost no longer counts. If it was its stream's last task on this server, the next one
-    /// starts from its start tag.
+    /// Its cost is refunded. If it was its stream's last task on this server, its start tag becomes
+    /// the stream's previous finish tag there.
     pub fn withdraw(&mut self, server: &Server, task: &Task) -> bool {
         let removed = self
             .queues
@@ -96,11 +96,12 @@
         removed.is_some()
     }
 
-    /// Takes out the tasks that the server should start now, in the order of their start tags.
+    /// Removes the tasks that the server should start now, and returns them in the order of their
+    /// start tags.
     ///
-    /// `running` is how many tasks the server already has, including those that are being started
-    /// or stopped. `fits` is called in the order of start tags. A task for which it returns `true`
-    /// is released, so it may reserve capacity for that task.
+    /// `running` is the number of tasks that the server already has, including those that are being
+    /// started or stopped. `fits` is called in the order of start tags. Each task for which it
+    /// returns `true` is released, so `fits` may reserve capacity for that task.
     pub fn release(
         &mut self,
         server: &Server,
@@ -129,7 +130,7 @@
             .flat_map(|queue| queue.iter().map(|queued| &queued.task))
     }
 
-    /// Forgets a server. Returns the tasks of its queue, in the order of their start tags.
+    /// Removes a server. Returns the tasks of its queue, in the order of their start tags.
     pub fn remove_server(&mut self, server: &Server) -> Vec<Task> {
         let Some(queue) = self.queues.remove(server) else {
             return Vec::new();
@@ -138,19 +139,19 @@
             self.refund(server, queued);
         }
         for stream in self.streams.values_mut() {
-            stream.forget_server(server);
+            stream.remove_server(server);
         }
         queue.iter().map(|queued| queued.task.clone()).collect()
     }
 
-    /// A server's `v`: the highest start tag that was released there, zero at first.
+    /// A server's virtual time `v`: the highest start tag released there, initially zero.
     pub fn virtual_time(&self, server: &Server) -> Tag {
         self.queues
             .get(server)
             .map_or(Tag::default(), ServerQueue::virtual_time)
     }
 
-    /// The tags of a task in the queue of a server; none where it is not queued there.
+    /// The tags of a task in the queue of a server; `None` if it is not queued there.
     pub fn tags(&self, server: &Server, task: &Task) -> Option<Tags> {
         self.queues.get(server)?.get(task).map(|queued| queued.tags)
     }
@@ -169,10 +170,10 @@
         now: Millis,
     ) -> Tags {
         if !self.settings.orders_by_start_tag {
-            // Equal tags leave the order to the numbers of the arrivals.
+            // Among equal tags, the sequence number decides: tasks are released in the order of arrival.
             return Tags::default();
         }
-        self.forget_if_idle(stream, now);
+        self.remove_if_idle(stream, now);
         let state = self.streams.entry(stream.clone()).or_default();
         let remote_cost = state.remote_cost(server).units();
         let previous_finish = state.previous_finish(server);
@@ -192,27 +193,27 @@
         }
     }
 
-    fn forget_if_idle(&mut self, stream: &Stream, now: Millis) {
+    fn remove_if_idle(&mut self, stream: &Stream, now: Millis) {
         let idle_ms = self.settings.stream_idle_ms;
         let Some(state) = self.streams.get_mut(stream) else {
             return;
         };
-        state.forget_idle_servers(now, idle_ms);
+        state.remove_idle_servers(now, idle_ms);
         if state.is_idle(now, idle_ms) {
             self.streams.remove(stream);
         }
     }
 
-    /// Frees the state of idle streams, once in the time after which they are idle. Tags do not
-    /// depend on it, since [`Self::enqueue`] looks at its own stream each time.
-    fn sweep(&mut self, now: Millis) {
+    /// Frees the state of idle streams, at most once per `stream_idle_ms`. Tags do not depend on it,
+    /// since [`Self::enqueue`] checks its own stream each time.
+    fn remove_idle_streams(&mut self, now: Millis) {
         let idle_ms = self.settings.stream_idle_ms;
-        if now.since(self.swept_at) < idle_ms {
+        if now.since(self.last_sweep) < idle_ms {
             return;
         }
-        self.swept_at = now;
+        self.last_sweep = now;
         self.streams.retain(|_, state| {
-            state.forget_idle_servers(now, idle_ms);
+            state.remove_idle_servers(now, idle_ms);
             !state.is_idle(now, idle_ms)
         });
     }
--- a/crates/dispatch/src/server_queue.rs
+++ b/crates/dispatch/src/server_queue.rs
@@ -4,7 +4,7 @@
 use crate::tags::{Tag, Tags};
 use std::collections::BTreeMap;
 
-/// The order of tasks in a queue: by start tag, and among equal tags as they were enqueued.
+/// The order of tasks in a queue: by start tag, then by the order in which they were enqueued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Position {
     start: Tag,
@@ -18,18 +18,18 @@
     pub(crate) task: Task,
     /// The stream that is charged for it.
     pub(crate) stream: Stream,
-    /// The number under which it was enqueued, unique in a dispatcher.
+    /// The sequence number of its arrival, unique in a dispatcher.
     pub(crate) sequence: u64,
-    /// What it costs.
+    /// Its cost.
     pub(crate) cost: Cost,
     /// Its tags.
     pub(crate) tags: Tags,
-    /// How many later tasks were released while this one did not fit.
+    /// The number of later tasks that were released while this one did not fit.
     bypasses: u32,
 }
 
 impl<Stream, Task> QueuedTask<Stream, Task> {
-    /// A task that nothing has bypassed yet.
+    /// A task that no other has bypassed yet.
     pub(crate) fn new(task: Task, stream: Stream, sequence: u64, cost: Cost, tags: Tags) -> Self {
         QueuedTask {
             task,
@@ -54,7 +54,7 @@
 pub(crate) struct ServerQueue<Stream, Task> {
     virtual_time: Tag,
     tasks: BTreeMap<Position, QueuedTask<Stream, Task>>,
-    /// Where each task is found in `tasks`.
+    /// The key of each task in `tasks`.
     positions: BTreeMap<Task, Position>,
 }
 
@@ -68,25 +68,25 @@
     }
 }
 
-/// Which tasks a release takes out, and which did not fit.
+/// The tasks that a release removes from the queue, and those that did not fit.
 struct Selection {
     selected: Vec<Position>,
     rejected: Vec<Rejection>,
 }
 
-/// A task that did not fit, and how many had been selected when it was reached.
+/// A task that did not fit, and the number of tasks selected before it.
 struct Rejection {
     position: Position,
     selected_before: usize,
 }
 
 impl<Stream, Task: Clone + Ord> ServerQueue<Stream, Task> {
-    /// The highest start tag that was released here.
+    /// The highest start tag released here.
     pub(crate) fn virtual_time(&self) -> Tag {
         self.virtual_time
     }
 
-    /// A task that waits here.
+    /// A queued task.
     pub(crate) fn get(&self, task: &Task) -> Option<&QueuedTask<Stream, Task>> {
         self.positions
             .get(task)
@@ -100,7 +100,7 @@
         self.tasks.insert(position, queued);
     }
 
-    /// Takes a task out. The virtual time stays.
+    /// Removes a task without running it. The virtual time is unchanged.
     pub(crate) fn remove(&mut self, task: &Task) -> Option<QueuedTask<Stream, Task>> {
         let position = self.positions.remove(task)?;
         self.tasks.remove(&position)
@@ -111,8 +111,8 @@
         self.tasks.values()
     }
 
-    /// Takes out up to `max_tasks` tasks that fit, in the order of their start tags. Nothing is
-    /// taken from behind a task that does not fit and was bypassed `max_bypasses` times.
+    /// Removes up to `max_tasks` tasks that fit, in the order of their start tags. No task is
+    /// released from behind one that does not fit and was bypassed `max_bypasses` times.
     pub(crate) fn release(
         &mut self,
         max_tasks: usize,
@@ -135,7 +135,7 @@
     ) -> Selection {
         let mut selected = Vec::new();
         let mut rejected = Vec::new();
-        // Falls as soon as a rejected task may be bypassed by fewer tasks than there are slots.
+        // Lowered when a rejected task may be bypassed by fewer tasks than there are free slots.
         let mut max_selected = max_tasks;
         for (position, queued) in &self.tasks {
             if selected.len() >= max_selected {
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Takes out a task that is to run. The virtual time moves to its start tag, and never back.
+    /// Removes a task to be run. The virtual time advances to its start tag; it never moves back.
     fn start(&mut self, position: Position) -> Option<QueuedTask<Stream, Task>> {
         let queued = self.tasks.remove(&position)?;
         self.positions.remove(&queued.task);
--- a/crates/dispatch/src/stream_state.rs
+++ b/crates/dispatch/src/stream_state.rs
@@ -1,29 +1,29 @@
-//! What is known of a stream: its cost over all servers, and its last task on each server.
+//! The state of a stream: its cost over all servers, and its last task on each server.
 
 use crate::cost::Cost;
 use crate::tags::{Tag, Tags};
 use lupinrack_cluster_api::time::Millis;
 use std::collections::BTreeMap;
 
-/// A stream on one server.
+/// The state of a stream on one server.
 #[derive(Clone, Debug, Default)]
 struct ServerState {
-    /// `F_prev`.
+    /// `F_prev`: the finish tag of the stream's last task here.
     finish: Tag,
     /// The sequence number of the stream's last task here.
     last_sequence: u64,
     /// The stream's total cost when that task was enqueued, the task included.
     total_cost_at_last: Cost,
-    /// How many of the stream's tasks are queued here.
+    /// The number of the stream's tasks queued here.
     queued: usize,
     /// When a task was last enqueued or released here.
     last_active: Millis,
 }
 
-/// A stream on all servers of a dispatcher.
+/// The state of a stream on all servers of a dispatcher.
 #[derive(Clone, Debug)]
 pub(crate) struct StreamState<Server> {
-    /// The cost of the tasks enqueued on any server, without those withdrawn.
+    /// The cost of all tasks enqueued on any server, except withdrawn ones.
     total_cost: Cost,
     /// When a task was last enqueued or released on any server.
     last_active: Millis,
@@ -41,18 +41,18 @@
 }
 
 impl<Server: Clone + Ord> StreamState<Server> {
-    /// Forgets the servers on which the stream has been idle for `idle_ms`.
-    pub(crate) fn forget_idle_servers(&mut self, now: Millis, idle_ms: u64) {
+    /// Removes the servers on which the stream has been idle for `idle_ms`.
+    pub(crate) fn remove_idle_servers(&mut self, now: Millis, idle_ms: u64) {
         self.servers
             .retain(|_, state| state.queued > 0 || now.since(state.last_active) < idle_ms);
     }
 
-    /// Whether the stream has been idle for `idle_ms` on all servers, and they are forgotten.
+    /// Whether the stream has been idle for `idle_ms` on all servers, and these have been removed.
     pub(crate) fn is_idle(&self, now: Millis, idle_ms: u64) -> bool {
         self.servers.is_empty() && now.since(self.last_active) >= idle_ms
     }
 
-    /// `F_prev` on this server; zero where the stream has none.
+    /// `F_prev` on this server; zero if the stream has no state there.
     pub(crate) fn previous_finish(&self, server: &Server) -> Tag {
         self.servers
             .get(server)
@@ -69,7 +69,7 @@
         self.total_cost.minus(total_cost_at_last)
     }
 
-    /// A task was enqueued on this server.
+    /// Records that a task was enqueued on this server.
     pub(crate) fn enqueued(
         &mut self,
         server: &Server,
@@ -88,7 +88,7 @@
         state.last_active = now;
     }
 
-    /// A task has left the queue of this server to run there.
+    /// Records that a task left the queue of this server to run there.
     pub(crate) fn released(&mut self, server: &Server, now: Millis) {
         self.last_active = now;
         if let Some(state) = self.servers.get_mut(server) {
@@ -97,8 +97,8 @@
         }
     }
 
-    /// A task has left the queue of this server without having run. Its cost no longer counts. If
-    /// it was the stream's last task here, the next one starts from its start tag.
+    /// Records that a task left the queue of this server without running. Its cost is refunded. If
+    /// it was the stream's last task here, its start tag becomes `F_prev`.
     pub(crate) fn withdrawn(&mut self, server: &Server, sequence: u64, cost: Cost, tags: Tags) {
         self.refund(sequence, cost);
         if let Some(state) = self.servers.get_mut(server) {
@@ -109,12 +109,12 @@
         }
     }
 
-    /// Forgets this server.
-    pub(crate) fn forget_server(&mut self, server: &Server) {
+    /// Removes this server.
+    pub(crate) fn remove_server(&mut self, server: &Server) {
         self.servers.remove(server);
     }
 
-    /// Takes a cost out of the total, and out of all remembered totals that include it.
+    /// Subtracts a cost from the total, and from the earlier totals that include it.
     fn refund(&mut self, sequence: u64, cost: Cost) {
         self.total_cost = self.total_cost.minus(cost);
         let including = self
--- a/crates/dispatch/src/tags.rs
+++ b/crates/dispatch/src/tags.rs
@@ -1,8 +1,8 @@
-//! Start and finish tags, and the rule that sets them.
+//! Start and finish tags, and their formula.
 
 use crate::cost::MILLIONTHS;
 
-/// The smallest weight that is used; smaller ones are raised to it.
+/// The smallest weight; smaller ones are raised to it.
 const MIN_WEIGHT: f64 = 1e-4;
 
 /// A point on the virtual time of one server, in millionths of a unit of capacity per weight.
@@ -14,12 +14,12 @@
 pub struct Tags {
     /// `S`: tasks are released in this order.
     pub start: Tag,
-    /// `F`: the start tag of the stream's next task on the same server builds on it.
+    /// `F`: the start tag of the stream's next task on the same server is derived from it.
     pub finish: Tag,
 }
 
 impl Tag {
-    /// This tag plus what `units` cost a stream of this weight.
+    /// This tag plus `units / weight`.
     fn plus(self, units: f64, weight: f64) -> Tag {
         Tag(self
             .0
@@ -39,10 +39,10 @@
     }
 }
 
-/// What a task adds to the tags of its stream.
+/// The delay, cost and weight from which the tags of a task are computed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Load {
-    /// The delay of the hybrid rule, in units of capacity.
+    /// The delay ([`hybrid_delay`](crate::hybrid_delay)), in units of capacity.
     pub(crate) delay: f64,
     /// The cost of the task, in units of capacity.
     pub(crate) cost: f64,
@@ -50,7 +50,8 @@
     pub(crate) weight: f64,
 }
 
-/// A weight from the smallest allowed one to 1. A weight that is not a positive number counts as 1.
+/// A weight clamped to the range from [`MIN_WEIGHT`] to 1. A weight that is not a positive number
+/// counts as 1.
 pub(crate) fn valid_weight(weight: f64) -> f64 {
     if weight > 0.0 {
         weight.clamp(MIN_WEIGHT, 1.0)
--- a/crates/dispatch/tests/arrival_order.rs
+++ b/crates/dispatch/tests/arrival_order.rs
@@ -1,4 +1,4 @@
-//! Without the order of start tags a server's tasks are released as they came.
+//! Without `orders_by_start_tag`, tasks are released in the order of arrival.
 
 mod common;
 
@@ -7,7 +7,7 @@
 
 const SERVER: u8 = 1;
 
-/// The order in which a heavy stream's late task and the tasks of a light one before it are released.
+/// The order of release when a stream of high weight enqueues a task after the backlog of a stream of low weight.
 fn released(orders_by_start_tag: bool) -> Vec<u32> {
     let mut dispatcher = Dispatcher::new(DispatchSettings {
         orders_by_start_tag,
@@ -21,11 +21,11 @@
 }
 
 #[test]
-fn by_start_tags_the_other_stream_passes_the_backlog() {
+fn in_start_tag_order_a_later_stream_overtakes_a_backlog() {
     assert_eq!(released(true), [0, 3, 1, 2]);
 }
 
 #[test]
-fn by_arrival_it_waits_behind_it() {
+fn in_arrival_order_a_later_stream_waits_behind_a_backlog() {
     assert_eq!(released(false), [0, 1, 2, 3]);
 }
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Shorthand for the tests.
+//! Helpers for the tests.
 #![allow(dead_code)]
 
 use lupinrack_cluster_api::time::Millis;
@@ -12,7 +12,7 @@
     Dispatcher::new(DispatchSettings::default())
 }
 
-/// A dispatcher with this depth and bound on passing.
+/// A dispatcher with this depth and limit of bypasses.
 pub fn dispatcher_with(depth: usize, max_bypasses: u32) -> TestDispatcher {
     Dispatcher::new(DispatchSettings {
         depth,
@@ -36,12 +36,12 @@
     }
 }
 
-/// A tag at this many units per weight.
+/// The tag at this many units of capacity per weight.
 pub fn tag(units: f64) -> Tag {
     Tag((units * 1e6).round() as u64)
 }
 
-/// A generator of pseudo-random numbers (splitmix64), for choices that a test has to repeat.
+/// A seeded generator of pseudo-random numbers (splitmix64), so that a test repeats the same choices.
 pub struct Choices(pub u64);
 
 impl Choices {
--- a/crates/dispatch/tests/golden.rs
+++ b/crates/dispatch/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Seeded runs of the dispatcher, compared with traces that are kept in `golden/`: tags, and the order of releases.
+//! Seeded runs of the dispatcher, compared with the traces in `golden/`: tags, and the order of releases.
 //!
-//! Traces are text and name nothing of the code. With `UPDATE_GOLDEN=1` they are written anew.
+//! The traces contain no identifiers of the code. `UPDATE_GOLDEN=1` rewrites them.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use std::path::Path;
 
 const SERVERS: u64 = 4;
-/// Streams and their weights; the last ones are out of bounds.
+/// Streams and their weights; the last two are out of range.
 const STREAMS: [(char, f64); 6] = [
     ('a', 0.5),
     ('b', 0.25),
@@ -22,7 +22,7 @@
 ];
 const CALLS: usize = 400;
 
-/// Calls of one run, drawn from its seed.
+/// One run: calls drawn from a seed, and their trace.
 struct SeededRun {
     choices: Choices,
     dispatcher: TestDispatcher,
@@ -42,54 +42,54 @@
         }
     }
 
-    fn play(mut self) -> String {
+    fn run(mut self) -> String {
         for _ in 0..CALLS {
             let server = self.choices.below(SERVERS) as u8;
             match self.choices.below(20) {
-                0..=10 => self.place(server),
+                0..=10 => self.enqueue(server),
                 11..=12 => self.withdraw(server),
                 13..=17 => self.release(server),
-                18 => self.wait(),
+                18 => self.advance_clock(),
                 _ => self.remove_server(server),
             }
         }
-        self.note_ends();
+        self.record_final_state();
         self.text
     }
 
-    fn note(&mut self, line: &str) {
+    fn record(&mut self, line: &str) {
         self.text.push_str(line);
         self.text.push('\n');
     }
 
-    fn place(&mut self, server: u8) {
+    fn enqueue(&mut self, server: u8) {
         let (stream, weight) = STREAMS[self.choices.below(STREAMS.len() as u64) as usize];
         let cost = self.choices.below(2_000) as f64 / 1_000.0;
-        // Now and then a task that is there already.
-        let again = self.choices.below(10) == 0 && self.next_task > 0;
-        let task = if again {
+        // One in ten tasks is a duplicate of the last one.
+        let is_duplicate = self.choices.below(10) == 0 && self.next_task > 0;
+        let task = if is_duplicate {
             self.next_task - 1
         } else {
             self.next_task
         };
-        self.next_task += u32::from(!again);
+        self.next_task += u32::from(!is_duplicate);
         let tags = self
             .dispatcher
             .enqueue(&server, arrival(stream, weight, cost, task), self.now);
         let tags = tags_text(tags);
-        self.note(&format!(
+        self.record(&format!(
             "place {task} of {stream} on {server} cost {cost}: {tags}"
         ));
     }
 
     fn withdraw(&mut self, server: u8) {
-        let waiting: Vec<u32> = self.dispatcher.queued(&server).copied().collect();
-        let task = match waiting.len() {
+        let queued: Vec<u32> = self.dispatcher.queued(&server).copied().collect();
+        let task = match queued.len() {
             0 => u32::MAX,
-            length => waiting[self.choices.below(length as u64) as usize],
+            length => queued[self.choices.below(length as u64) as usize],
         };
-        let waited = self.dispatcher.withdraw(&server, &task);
-        self.note(&format!("withdraw {task} from {server}: {waited}"));
+        let withdrawn = self.dispatcher.withdraw(&server, &task);
+        self.record(&format!("withdraw {task} from {server}: {withdrawn}"));
     }
 
     fn release(&mut self, server: u8) {
@@ -99,31 +99,34 @@
             .dispatcher
             .release(&server, running, self.now, |task| task % 4 != misfit);
         let virtual_time = self.dispatcher.virtual_time(&server).0;
-        self.note(&format!(
+        self.record(&format!(
             "release on {server} beside {running} without {misfit} of 4: {released:?} virtual time {virtual_time}"
         ));
     }
 
-    fn wait(&mut self) {
+    fn advance_clock(&mut self) {
         self.now = self.now.plus(self.choices.below(900));
-        self.note(&format!("now {}", self.now.0));
+        self.record(&format!("now {}", self.now.0));
     }
 
     fn remove_server(&mut self, server: u8) {
-        let waited = self.dispatcher.remove_server(&server);
-        self.note(&format!("remove {server}: {waited:?}"));
+        let returned = self.dispatcher.remove_server(&server);
+        self.record(&format!("remove {server}: {returned:?}"));
     }
 
-    /// What is left: the queues with their tags, and how many streams are remembered.
-    fn note_ends(&mut self) {
+    /// Records the final state: the queues with their tags, and the number of streams with state.
+    fn record_final_state(&mut self) {
         for server in 0..SERVERS as u8 {
-            let waiting: Vec<u32> = self.dispatcher.queued(&server).copied().collect();
-            for task in waiting {
-                let tags = self.dispatcher.tags(&server, &task).expect("it waits");
-                self.note(&format!("left on {server}: {task} {}", tags_text(tags)));
+            let queued: Vec<u32> = self.dispatcher.queued(&server).copied().collect();
+            for task in queued {
+                let tags = self
+                    .dispatcher
+                    .tags(&server, &task)
+                    .expect("the task is queued");
+                self.record(&format!("left on {server}: {task} {}", tags_text(tags)));
             }
         }
-        self.note(&format!("streams {}", self.dispatcher.stream_count()));
+        self.record(&format!("streams {}", self.dispatcher.stream_count()));
     }
 }
 
@@ -160,8 +163,8 @@
     )
 }
 
-/// Every file and its text.
-fn built() -> Vec<(&'static str, String)> {
+/// The expected name and text of every golden file.
+fn rendered() -> Vec<(&'static str, String)> {
     let usual = DispatchSettings {
         stream_idle_ms: 2_000,
         ..DispatchSettings::default()
@@ -183,18 +186,18 @@
     vec![
         ("defaults.txt", defaults()),
         ("delays.txt", delays()),
-        ("usual.txt", SeededRun::new(21, usual).play()),
-        ("shallow.txt", SeededRun::new(22, shallow).play()),
-        ("even.txt", SeededRun::new(23, even).play()),
-        ("strict.txt", SeededRun::new(24, strict).play()),
+        ("usual.txt", SeededRun::new(21, usual).run()),
+        ("shallow.txt", SeededRun::new(22, shallow).run()),
+        ("even.txt", SeededRun::new(23, even).run()),
+        ("strict.txt", SeededRun::new(24, strict).run()),
     ]
 }
 
 #[test]
-fn runs_are_decided_as_kept() {
-    let built = built();
-    for (name, text) in &built {
+fn seeded_runs_match_their_golden_traces() {
+    let rendered = rendered();
+    for (name, text) in &rendered {
         check_text(Path::new(path!()).join(name), text);
     }
-    check_folder(path!(), built.iter().map(|(name, _)| name));
+    check_folder(path!(), rendered.iter().map(|(name, _)| name));
 }
--- a/crates/dispatch/tests/model.rs
+++ b/crates/dispatch/tests/model.rs
@@ -1,4 +1,4 @@
-//! The dispatcher against a model that keeps every placement and reckons each tag from the whole list.
+//! The dispatcher, compared with a model that computes each tag from the list of all arrivals.
 
 mod common;
 
@@ -19,7 +19,7 @@
 };
 const SCALE: f64 = 1e6;
 
-/// One call.
+/// A call of the dispatcher.
 #[derive(Clone, Debug)]
 enum Call {
     Place {
@@ -29,12 +29,12 @@
     },
     Withdraw {
         server: u8,
-        which: usize,
+        index: usize,
     },
     Release {
         server: u8,
         running: usize,
-        free: u32,
+        free_quarters: u32,
     },
     RemoveServer {
         server: u8,
@@ -56,12 +56,12 @@
             },
             10..=11 => Call::Withdraw {
                 server,
-                which: choices.below(8) as usize,
+                index: choices.below(8) as usize,
             },
             12..=17 => Call::Release {
                 server,
                 running: choices.below(5) as usize,
-                free: choices.below(30) as u32,
+                free_quarters: choices.below(30) as u32,
             },
             18 => Call::Wait {
                 ms: choices.below(1500),
@@ -73,13 +73,13 @@
 
 #[derive(Clone, PartialEq)]
 enum Stage {
-    Waiting,
+    Queued,
     Released,
     Withdrawn,
 }
 
 #[derive(Clone)]
-struct Placement {
+struct TaskRecord {
     server: u8,
     stream: usize,
     quarters: u32,
@@ -89,25 +89,25 @@
 }
 
 #[derive(Clone)]
-struct Last {
+struct LastTask {
     finish: u64,
-    placement: usize,
-    active: u64,
+    task: usize,
+    last_active: u64,
 }
 
-/// The record of a stream: when it began (the number of placements at that time) and when it was last active.
+/// The state of a stream: the number of arrivals before it began, and when the stream was last active.
 #[derive(Clone)]
-struct Record {
-    began: usize,
-    active: u64,
+struct StreamRecord {
+    first_arrival: usize,
+    last_active: u64,
 }
 
-/// Tasks are numbered as they are placed.
+/// The model. Tasks are numbered in the order of arrival.
 #[derive(Default)]
 struct Model {
-    placements: Vec<Placement>,
-    last: BTreeMap<(usize, u8), Last>,
-    records: BTreeMap<usize, Record>,
+    arrivals: Vec<TaskRecord>,
+    last: BTreeMap<(usize, u8), LastTask>,
+    streams: BTreeMap<usize, StreamRecord>,
     virtual_times: BTreeMap<u8, u64>,
     now: u64,
 }
@@ -118,72 +118,72 @@
 
 impl Model {
     fn queue(&self, server: u8) -> Vec<usize> {
-        let waits = |task: &usize| {
-            let placement = &self.placements[*task];
-            placement.server == server && placement.stage == Stage::Waiting
+        let is_queued = |task: &usize| {
+            let task_record = &self.arrivals[*task];
+            task_record.server == server && task_record.stage == Stage::Queued
         };
-        let mut tasks: Vec<usize> = (0..self.placements.len()).filter(waits).collect();
-        tasks.sort_by_key(|task| (self.placements[*task].start, *task));
+        let mut tasks: Vec<usize> = (0..self.arrivals.len()).filter(is_queued).collect();
+        tasks.sort_by_key(|task| (self.arrivals[*task].start, *task));
         tasks
     }
 
-    fn drop_idle(&mut self, stream: usize) {
-        let waits = |server: u8| {
+    fn remove_idle(&mut self, stream: usize) {
+        let is_queued = |server: u8| {
             self.queue(server)
                 .iter()
-                .any(|task| self.placements[*task].stream == stream)
+                .any(|task| self.arrivals[*task].stream == stream)
         };
-        let idle = |active: u64| self.now - active >= SETTINGS.stream_idle_ms;
-        let gone: Vec<(usize, u8)> = (0..SERVERS)
+        let idle = |last_active: u64| self.now - last_active >= SETTINGS.stream_idle_ms;
+        let idle_servers: Vec<(usize, u8)> = (0..SERVERS)
             .filter(|server| {
                 self.last
                     .get(&(stream, *server))
-                    .is_some_and(|last| idle(last.active))
+                    .is_some_and(|last| idle(last.last_active))
             })
-            .filter(|server| !waits(*server))
+            .filter(|server| !is_queued(*server))
             .map(|server| (stream, server))
             .collect();
-        self.last.retain(|key, _| !gone.contains(key));
-        let left = (0..SERVERS).any(|server| self.last.contains_key(&(stream, server)));
-        if !left
+        self.last.retain(|key, _| !idle_servers.contains(key));
+        let remaining = (0..SERVERS).any(|server| self.last.contains_key(&(stream, server)));
+        if !remaining
             && self
-                .records
+                .streams
                 .get(&stream)
-                .is_some_and(|record| idle(record.active))
+                .is_some_and(|stream_record| idle(stream_record.last_active))
         {
-            self.records.remove(&stream);
+            self.streams.remove(&stream);
         }
     }
 
-    fn remote_cost(&self, stream: usize, server: u8, began: usize) -> f64 {
+    fn remote_cost(&self, stream: usize, server: u8, first_arrival: usize) -> f64 {
         let from = self
             .last
             .get(&(stream, server))
-            .map_or(began, |last| last.placement + 1);
-        let counts = |placement: &&Placement| {
-            placement.stream == stream && placement.stage != Stage::Withdrawn
+            .map_or(first_arrival, |last| last.task + 1);
+        let counts = |task_record: &&TaskRecord| {
+            task_record.stream == stream && task_record.stage != Stage::Withdrawn
         };
-        self.placements[from..]
+        self.arrivals[from..]
             .iter()
             .filter(counts)
-            .map(|placement| units(placement.quarters))
+            .map(|task_record| units(task_record.quarters))
             .sum()
     }
 
     fn place(&mut self, server: u8, stream: usize, quarters: u32) {
-        self.drop_idle(stream);
-        let number = self.placements.len();
-        let fresh = Record {
-            began: number,
-            active: self.now,
+        self.remove_idle(stream);
+        let number = self.arrivals.len();
+        let new_record = StreamRecord {
+            first_arrival: number,
+            last_active: self.now,
         };
-        let record = self.records.entry(stream).or_insert(fresh);
-        record.active = self.now;
-        let began = record.began;
+        let stream_record = self.streams.entry(stream).or_insert(new_record);
+        stream_record.last_active = self.now;
+        let first_arrival = stream_record.first_arrival;
         let weight = STREAMS[stream].1;
         let cost = units(quarters);
         let delay = hybrid_delay(
-            self.remote_cost(stream, server, began),
+            self.remote_cost(stream, server, first_arrival),
             cost,
             weight,
             SETTINGS.minimum_weight_ratio,
@@ -197,63 +197,63 @@
         let finish = start + (cost / weight * SCALE).round() as u64;
         self.last.insert(
             (stream, server),
-            Last {
+            LastTask {
                 finish,
-                placement: number,
-                active: self.now,
+                task: number,
+                last_active: self.now,
             },
         );
-        self.placements.push(Placement {
+        self.arrivals.push(TaskRecord {
             server,
             stream,
             quarters,
             start,
-            stage: Stage::Waiting,
+            stage: Stage::Queued,
             bypasses: 0,
         });
     }
 
     fn withdraw(&mut self, task: usize) {
-        self.placements[task].stage = Stage::Withdrawn;
-        let Placement {
+        self.arrivals[task].stage = Stage::Withdrawn;
+        let TaskRecord {
             server,
             stream,
             start,
             ..
-        } = self.placements[task];
+        } = self.arrivals[task];
         if let Some(last) = self
             .last
             .get_mut(&(stream, server))
-            .filter(|last| last.placement == task)
+            .filter(|last| last.task == task)
         {
             last.finish = start;
         }
     }
 
-    /// Releases one task after another, each time from the head, skipping those that were refused.
-    fn release(&mut self, server: u8, running: usize, mut free: u32) -> Vec<u32> {
+    /// Releases one task at a time, each time scanning from the head and skipping the tasks that did not fit.
+    fn release(&mut self, server: u8, running: usize, mut free_quarters: u32) -> Vec<u32> {
         let mut released = Vec::new();
-        let mut refused: Vec<usize> = Vec::new();
+        let mut rejected: Vec<usize> = Vec::new();
         while running + released.len() < SETTINGS.depth {
-            if refused
+            if rejected
                 .iter()
-                .any(|task| self.placements[*task].bypasses >= SETTINGS.max_bypasses)
+                .any(|task| self.arrivals[*task].bypasses >= SETTINGS.max_bypasses)
             {
                 break;
             }
             let next = self
                 .queue(server)
                 .into_iter()
-                .find(|task| !refused.contains(task));
+                .find(|task| !rejected.contains(task));
             let Some(task) = next else { break };
-            if self.placements[task].quarters > free {
-                refused.push(task);
+            if self.arrivals[task].quarters > free_quarters {
+                rejected.push(task);
                 continue;
             }
-            free -= self.placements[task].quarters;
-            refused
+            free_quarters -= self.arrivals[task].quarters;
+            rejected
                 .iter()
-                .for_each(|task| self.placements[*task].bypasses += 1);
+                .for_each(|task| self.arrivals[*task].bypasses += 1);
             self.start(task);
             released.push(task as u32);
         }
@@ -261,23 +261,23 @@
     }
 
     fn start(&mut self, task: usize) {
-        self.placements[task].stage = Stage::Released;
-        let Placement {
+        self.arrivals[task].stage = Stage::Released;
+        let TaskRecord {
             server,
             stream,
             start,
             ..
-        } = self.placements[task];
+        } = self.arrivals[task];
         let virtual_time = self.virtual_times.entry(server).or_insert(0);
         *virtual_time = start.max(*virtual_time);
-        self.records
+        self.streams
             .get_mut(&stream)
             .expect("it was waiting")
-            .active = self.now;
+            .last_active = self.now;
         self.last
             .get_mut(&(stream, server))
             .expect("it was waiting")
-            .active = self.now;
+            .last_active = self.now;
     }
 
     fn remove_server(&mut self, server: u8) -> Vec<u32> {
@@ -296,8 +296,8 @@
         .collect()
 }
 
-/// Makes one call on both; tells whether the answers are the same.
-fn same_answer(model: &mut Model, dispatcher: &mut TestDispatcher, call: &Call) -> bool {
+/// Makes one call on both; returns whether the results are equal.
+fn same_result(model: &mut Model, dispatcher: &mut TestDispatcher, call: &Call) -> bool {
     let now = Millis(model.now);
     match *call {
         Call::Place {
@@ -306,17 +306,17 @@
             quarters,
         } => {
             let (name, weight) = STREAMS[stream];
-            let task = model.placements.len();
+            let task = model.arrivals.len();
             model.place(server, stream, quarters);
             let tags = dispatcher.enqueue(
                 &server,
                 arrival(name, weight, units(quarters), task as u32),
                 now,
             );
-            tags.start == Tag(model.placements[task].start)
+            tags.start == Tag(model.arrivals[task].start)
                 && tags.finish == Tag(model.last[&(stream, server)].finish)
         }
-        Call::Withdraw { server, which } => match model.queue(server).get(which).copied() {
+        Call::Withdraw { server, index } => match model.queue(server).get(index).copied() {
             Some(task) => {
                 model.withdraw(task);
                 dispatcher.withdraw(&server, &(task as u32))
@@ -326,17 +326,18 @@
         Call::Release {
             server,
             running,
-            free,
+            free_quarters,
         } => {
-            let mut left = free;
-            let placements = model.placements.clone();
+            let mut remaining = free_quarters;
+            let arrivals = model.arrivals.clone();
             let fits = |task: &u32| {
-                let quarters = placements[*task as usize].quarters;
-                let fits = quarters <= left;
-                left -= if fits { quarters } else { 0 };
+                let quarters = arrivals[*task as usize].quarters;
+                let fits = quarters <= remaining;
+                remaining -= if fits { quarters } else { 0 };
                 fits
             };
-            dispatcher.release(&server, running, now, fits) == model.release(server, running, free)
+            dispatcher.release(&server, running, now, fits)
+                == model.release(server, running, free_quarters)
         }
         Call::RemoveServer { server } => {
             dispatcher.remove_server(&server) == model.remove_server(server)
@@ -353,7 +354,7 @@
         let mut model = Model::default();
         let mut dispatcher = Dispatcher::new(SETTINGS);
         calls.iter().all(|call| {
-            same_answer(&mut model, &mut dispatcher, call)
+            same_result(&mut model, &mut dispatcher, call)
                 && (0..SERVERS).all(|server| {
                     let virtual_time = model.virtual_times.get(&server).copied().unwrap_or(0);
                     queue_of(&dispatcher, server) == model.queue(server)
--- a/crates/dispatch/tests/release.rs
+++ b/crates/dispatch/tests/release.rs
@@ -1,10 +1,10 @@
-//! Which tasks leave a queue, and in which order.
+//! Which tasks are released, and in which order.
 
 mod common;
 
 use common::{arrival, dispatcher, dispatcher_with, tag, TestDispatcher, NOW};
 
-/// One queue, tasks numbered in the order of their tags.
+/// A dispatcher with one server whose tasks are numbered in the order of their start tags.
 fn filled(depth: usize, max_bypasses: u32, tasks: u32) -> TestDispatcher {
     let mut dispatcher = dispatcher_with(depth, max_bypasses);
     for task in 0..tasks {
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn tasks_leave_in_the_order_of_their_start_tags() {
+fn tasks_are_released_in_the_order_of_their_start_tags() {
     let mut dispatcher = dispatcher();
     for task in 0..3 {
         dispatcher.enqueue(&1, arrival('a', 0.2, 1.0, task), NOW);
@@ -22,7 +22,7 @@
     for task in 10..13 {
         dispatcher.enqueue(&1, arrival('b', 0.8, 1.0, task), NOW);
     }
-    // a starts at 0, 5, 10; b at 0, 1.25, 2.5; among equals, the one placed first.
+    // The start tags of a are 0, 5, 10, those of b 0, 1.25, 2.5. Among equal tags, the task enqueued first comes first.
     assert_eq!(
         dispatcher.queued(&1).copied().collect::<Vec<_>>(),
         [0, 10, 11, 12, 1, 2]
@@ -35,14 +35,14 @@
 }
 
 #[test]
-fn no_more_than_the_depth_runs() {
+fn at_most_depth_tasks_run_on_a_server() {
     let mut dispatcher = filled(3, 64, 10);
     assert_eq!(dispatcher.release(&1, 1, NOW, |_| true), [0, 1]);
     assert!(dispatcher
-        .release(&1, 3, NOW, |_| panic!("there is no room"))
+        .release(&1, 3, NOW, |_| panic!("the server is full"))
         .is_empty());
     assert!(dispatcher
-        .release(&1, 9, NOW, |_| panic!("there is no room"))
+        .release(&1, 9, NOW, |_| panic!("the server is full"))
         .is_empty());
     assert_eq!(dispatcher.release(&1, 2, NOW, |_| true), [2]);
 }
@@ -50,14 +50,14 @@
 #[test]
 fn fits_may_reserve_capacity() {
     let mut dispatcher = filled(8, 64, 10);
-    let mut free = 3;
+    let mut free_capacity = 3;
     let released = dispatcher.release(&1, 0, NOW, |_| {
-        let fits = free > 0;
-        free -= i32::from(fits);
+        let fits = free_capacity > 0;
+        free_capacity -= i32::from(fits);
         fits
     });
     assert_eq!(released, [0, 1, 2]);
-    assert_eq!(free, 0);
+    assert_eq!(free_capacity, 0);
 }
 
 #[test]
@@ -113,16 +113,16 @@
 }
 
 #[test]
-fn the_strictest_bound_counts() {
+fn the_task_with_the_fewest_bypasses_left_limits_the_release() {
     let mut dispatcher = filled(8, 2, 6);
     assert_eq!(dispatcher.release(&1, 7, NOW, |task| *task == 2), [2]);
-    // 0 and 1 were bypassed once each; 1 may go, then 0 may be bypassed no more.
+    // 0 and 1 have been bypassed once each. When 1 is released, 0 has reached its limit of 2.
     assert_eq!(dispatcher.release(&1, 0, NOW, |task| *task != 0), [1]);
     assert!(dispatcher.release(&1, 0, NOW, |task| *task != 0).is_empty());
 }
 
 #[test]
-fn a_server_that_leaves_gives_its_queue_back() {
+fn removing_a_server_returns_its_queue() {
     let mut dispatcher = filled(8, 64, 3);
     dispatcher.enqueue(&1, arrival('b', 0.9, 1.0, 7), NOW);
     dispatcher.release(&1, 7, NOW, |_| true);
@@ -130,7 +130,7 @@
     assert!(dispatcher.remove_server(&1).is_empty());
     assert_eq!(dispatcher.virtual_time(&1), tag(0.0));
     assert!(dispatcher.tags(&1, &1).is_none());
-    // Its waiting units are counted no longer (one unit was released); F_prev and v start from zero.
+    // The cost of its queued tasks is refunded; one unit was released and still counts. F_prev and v start from zero.
     let on_other_server = dispatcher.enqueue(&2, arrival('a', 0.5, 1.0, 1), NOW);
     assert_eq!(on_other_server.start, tag(2.0));
     assert_eq!(
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn unknown_servers_are_empty() {
+fn an_unknown_server_has_an_empty_queue() {
     let mut dispatcher = dispatcher();
     assert!(dispatcher.release(&1, 0, NOW, |_| true).is_empty());
     assert_eq!(dispatcher.queued(&1).count(), 0);
--- a/crates/dispatch/tests/shares.rs
+++ b/crates/dispatch/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Shares of the servers' time under backlog, and what they would be without the design.
+//! Shares of backlogged streams, compared with first-in-first-out order.
 
 mod common;
 
@@ -8,11 +8,12 @@
 
 const STREAMS: usize = 3;
 const WEIGHTS: [f64; STREAMS] = [0.5, 0.3, 0.2];
-/// Tasks that each stream keeps waiting on each server it uses: unequal, so that shares which follow the backlog show.
+/// The number of tasks that each stream keeps queued on each server it uses. They differ, so that shares in
+/// proportion to the backlog differ from shares in proportion to the weights.
 const BACKLOG: [u32; STREAMS] = [10, 20, 30];
-/// Tasks that each server runs, one at a time.
+/// The number of tasks that each server runs, one at a time.
 const ROUNDS: u32 = 3000;
-/// Within this part of what it should be, a share is taken as right.
+/// The relative deviation up to which a share counts as equal to the expected one.
 const TOLERANCE: f64 = 0.1;
 const DEFAULT_RATIO: f64 = 0.5;
 
@@ -22,21 +23,21 @@
     number: u32,
 }
 
-/// How tasks are placed.
+/// How tasks are enqueued.
 struct Setup {
     servers: u8,
     minimum_weight_ratio: f64,
-    /// Under which stream and with which weight a stream's tasks are placed.
+    /// The stream and the weight under which the tasks of a stream are enqueued.
     label: fn(usize) -> (usize, f64),
-    /// Which servers a stream uses.
+    /// Whether a stream uses a server.
     uses: fn(usize, u8) -> bool,
 }
 
-fn by_weight(stream: usize) -> (usize, f64) {
+fn own_stream_and_weight(stream: usize) -> (usize, f64) {
     (stream, WEIGHTS[stream])
 }
 
-/// One stream of weight 1 holds all tasks: first come, first served.
+/// All tasks are in one stream of weight 1, which makes the order first in, first out.
 fn first_in_first_out(_: usize) -> (usize, f64) {
     (0, 1.0)
 }
@@ -49,15 +50,15 @@
     stream != 0 || server == 0
 }
 
-/// Backlogged streams: each task that is served is followed by another one of its stream on the same server.
-struct Load {
+/// Backlogged streams: each served task is replaced by another task of its stream on the same server.
+struct BackloggedStreams {
     dispatcher: Dispatcher<u8, usize, Task>,
     choices: Choices,
     costs: BTreeMap<Task, f64>,
-    placed: u32,
+    enqueued: u32,
 }
 
-impl Load {
+impl BackloggedStreams {
     fn new(setup: &Setup) -> Self {
         let minimum_weight_ratio = setup.minimum_weight_ratio;
         let settings = DispatchSettings {
@@ -65,19 +66,19 @@
             minimum_weight_ratio,
             ..DispatchSettings::default()
         };
-        Load {
+        BackloggedStreams {
             dispatcher: Dispatcher::new(settings),
             choices: Choices(7),
             costs: BTreeMap::new(),
-            placed: 0,
+            enqueued: 0,
         }
     }
 
-    fn place(&mut self, setup: &Setup, stream: usize, server: u8) {
-        self.placed += 1;
+    fn enqueue(&mut self, setup: &Setup, stream: usize, server: u8) {
+        self.enqueued += 1;
         let task = Task {
             stream,
-            number: self.placed,
+            number: self.enqueued,
         };
         let cost = 0.5 + self.choices.below(100) as f64 / 100.0;
         let (label, weight) = (setup.label)(stream);
@@ -87,12 +88,12 @@
     }
 
     fn fill(&mut self, setup: &Setup) {
-        let most = BACKLOG.into_iter().max().unwrap_or(0);
-        for turn in 0..most {
+        let max_backlog = BACKLOG.into_iter().max().unwrap_or(0);
+        for position in 0..max_backlog {
             for server in 0..setup.servers {
-                for stream in (0..STREAMS).filter(|stream| turn < BACKLOG[*stream]) {
+                for stream in (0..STREAMS).filter(|stream| position < BACKLOG[*stream]) {
                     if (setup.uses)(stream, server) {
-                        self.place(setup, stream, server);
+                        self.enqueue(setup, stream, server);
                     }
                 }
             }
@@ -100,34 +101,34 @@
     }
 }
 
-/// Each stream's part of the units that were served, by server.
+/// The units served for each stream, by server.
 fn served(setup: &Setup) -> Vec<[f64; STREAMS]> {
-    let mut load = Load::new(setup);
-    load.fill(setup);
+    let mut backlogged = BackloggedStreams::new(setup);
+    backlogged.fill(setup);
     let mut served = vec![[0.0; STREAMS]; setup.servers.into()];
     for _ in 0..ROUNDS {
         for server in 0..setup.servers {
-            for task in load.dispatcher.release(&server, 0, NOW, |_| true) {
+            for task in backlogged.dispatcher.release(&server, 0, NOW, |_| true) {
                 served[usize::from(server)][task.stream] +=
-                    load.costs.remove(&task).expect("placed before");
-                load.place(setup, task.stream, server);
+                    backlogged.costs.remove(&task).expect("task was enqueued");
+                backlogged.enqueue(setup, task.stream, server);
             }
         }
     }
     served
 }
 
-fn normalised(units: [f64; STREAMS]) -> [f64; STREAMS] {
-    let all: f64 = units.iter().sum();
-    units.map(|part| part / all)
+fn normalized(units: [f64; STREAMS]) -> [f64; STREAMS] {
+    let total: f64 = units.iter().sum();
+    units.map(|served| served / total)
 }
 
 fn total(served: &[[f64; STREAMS]]) -> [f64; STREAMS] {
     let sum_of = |stream: usize| served.iter().map(|units| units[stream]).sum();
-    normalised([sum_of(0), sum_of(1), sum_of(2)])
+    normalized([sum_of(0), sum_of(1), sum_of(2)])
 }
 
-fn follow(shares: [f64; STREAMS], expected: [f64; STREAMS]) -> bool {
+fn approx_equal(shares: [f64; STREAMS], expected: [f64; STREAMS]) -> bool {
     shares
         .iter()
         .zip(expected)
@@ -139,11 +140,11 @@
     let setup = Setup {
         servers: 1,
         minimum_weight_ratio: DEFAULT_RATIO,
-        label: by_weight,
+        label: own_stream_and_weight,
         uses: every_server,
     };
     let shares = total(&served(&setup));
-    assert!(follow(shares, WEIGHTS), "{shares:?}");
+    assert!(approx_equal(shares, WEIGHTS), "{shares:?}");
 }
 
 #[test]
@@ -151,14 +152,14 @@
     let setup = Setup {
         servers: 2,
         minimum_weight_ratio: DEFAULT_RATIO,
-        label: by_weight,
+        label: own_stream_and_weight,
         uses: every_server,
     };
     let shares = total(&served(&setup));
-    assert!(follow(shares, WEIGHTS), "{shares:?}");
+    assert!(approx_equal(shares, WEIGHTS), "{shares:?}");
 }
 
-/// With a least share of one part in as many as there are servers, nothing is clipped where they are used evenly.
+/// With `φmin / φ` of 1 / servers, no delay is clipped when the servers are used evenly.
 #[test]
 fn shares_of_many_servers_follow_the_weights_where_the_delay_is_not_clipped() {
     for servers in [3, 4, 6, 8] {
@@ -166,15 +167,18 @@
         let setup = Setup {
             servers,
             minimum_weight_ratio,
-            label: by_weight,
+            label: own_stream_and_weight,
             uses: every_server,
         };
         let shares = total(&served(&setup));
-        assert!(follow(shares, WEIGHTS), "{servers} servers: {shares:?}");
+        assert!(
+            approx_equal(shares, WEIGHTS),
+            "{servers} servers: {shares:?}"
+        );
     }
 }
 
-/// A clip of half the weight binds from three servers on, and pulls the shares together: a unit of cost takes
+/// With `φmin / φ` of one half, the delay is clipped from three servers on, which makes the shares more equal: a unit of cost takes
 /// `(1 + delay) / φ` of virtual time, and the clip is larger for larger weights.
 #[test]
 fn shares_of_many_servers_are_those_of_the_clipped_delay() {
@@ -185,13 +189,13 @@
         let setup = Setup {
             servers,
             minimum_weight_ratio: DEFAULT_RATIO,
-            label: by_weight,
+            label: own_stream_and_weight,
             uses: every_server,
         };
         let shares = total(&served(&setup));
-        let expected = normalised(WEIGHTS.map(|weight| rate(weight, servers)));
+        let expected = normalized(WEIGHTS.map(|weight| rate(weight, servers)));
         assert!(
-            follow(shares, expected),
+            approx_equal(shares, expected),
             "{servers} servers: {shares:?}, expected {expected:?}"
         );
         assert!(
@@ -202,7 +206,7 @@
 }
 
 #[test]
-fn first_in_first_out_follows_the_backlog_instead() {
+fn shares_of_first_in_first_out_follow_the_backlog() {
     for servers in [1, 2, 4] {
         let setup = Setup {
             servers,
@@ -211,7 +215,10 @@
             uses: every_server,
         };
         let shares = total(&served(&setup));
-        assert!(!follow(shares, WEIGHTS), "{servers} servers: {shares:?}");
+        assert!(
+            !approx_equal(shares, WEIGHTS),
+            "{servers} servers: {shares:?}"
+        );
         assert!(
             shares[0] < shares[1] && shares[1] < shares[2],
             "{servers} servers: {shares:?}"
@@ -219,17 +226,17 @@
     }
 }
 
-/// Stream 0 can use one of two servers alone. What the others get on the other server is charged to them, so that
-/// stream 0 gets more than its weight of its only server; but each of the others keeps `φmin` of it.
+/// Stream 0 can use only one of two servers. The other streams are charged for their tasks on the other server, so that stream 0 gets
+/// more than its weight of its only server; but each of the others keeps `φmin` of that server.
 #[test]
-fn costs_on_other_servers_are_charged_and_the_smallest_share_is_kept() {
+fn costs_on_other_servers_are_charged_down_to_the_minimum_share() {
     let setup = |minimum_weight_ratio| Setup {
         servers: 2,
         minimum_weight_ratio,
-        label: by_weight,
+        label: own_stream_and_weight,
         uses: first_stream_on_one_server,
     };
-    let charged = normalised(served(&setup(DEFAULT_RATIO))[0]);
+    let charged = normalized(served(&setup(DEFAULT_RATIO))[0]);
     assert!(charged[0] > WEIGHTS[0] * 1.3, "{charged:?}");
     for stream in [1, 2] {
         assert!(
@@ -237,7 +244,7 @@
             "{charged:?}"
         );
     }
-    // With φmin = φ there is no delay, and the server is shared for itself.
-    let alone = normalised(served(&setup(1.0))[0]);
-    assert!(follow(alone, WEIGHTS), "{alone:?}");
+    // With φmin = φ there is no delay, and the shares of this server do not depend on the other one.
+    let without_delay = normalized(served(&setup(1.0))[0]);
+    assert!(approx_equal(without_delay, WEIGHTS), "{without_delay:?}");
 }
--- a/crates/dispatch/tests/tags.rs
+++ b/crates/dispatch/tests/tags.rs
@@ -1,4 +1,4 @@
-//! The rule that sets tags: the maximum, the delay and its clip.
+//! The formula of the tags: the maximum of virtual time and previous finish tag, the delay, and its clip.
 
 mod common;
 
@@ -6,10 +6,10 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_dispatch::{hybrid_delay, DispatchSettings, Dispatcher, Tags};
 
-const IDLE_MS: u64 = 10_000;
+const STREAM_IDLE_MS: u64 = 10_000;
 
 #[test]
-fn tags_of_a_backlogged_stream_follow_each_other() {
+fn a_backlogged_stream_starts_each_task_at_the_previous_finish_tag() {
     let mut dispatcher = dispatcher();
     let first = dispatcher.enqueue(&1, arrival('a', 0.5, 1.0, 1), NOW);
     let second = dispatcher.enqueue(&1, arrival('a', 0.5, 3.0, 2), NOW);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_stream_that_comes_late_starts_at_the_virtual_time() {
+fn a_new_stream_starts_at_the_virtual_time() {
     let mut dispatcher = dispatcher();
     for task in 0..4 {
         dispatcher.enqueue(&1, arrival('a', 0.5, 1.0, task), NOW);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_stream_ahead_of_the_virtual_time_keeps_its_finish_tag() {
+fn a_stream_ahead_of_the_virtual_time_starts_at_its_previous_finish_tag() {
     let mut dispatcher = dispatcher();
     dispatcher.enqueue(&1, arrival('a', 0.5, 10.0, 1), NOW);
     dispatcher.release(&1, 0, NOW, |_| true);
@@ -73,7 +73,7 @@
             finish: tag(19.0)
         }
     );
-    // Counted once: nothing was enqueued on another server since.
+    // The remote cost counts once: since then, no task was enqueued on another server.
     assert_eq!(
         dispatcher.enqueue(&1, arrival('a', 0.5, 1.0, 5), NOW).start,
         tag(19.0)
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn withdrawing_the_last_task_returns_its_start_tag() {
+fn withdrawing_the_last_task_restores_the_previous_finish_tag() {
     let mut dispatcher = dispatcher();
     dispatcher.enqueue(&1, arrival('a', 0.5, 1.0, 1), NOW);
     let before = dispatcher.enqueue(&1, arrival('a', 0.5, 5.0, 2), NOW);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn withdrawing_an_earlier_task_leaves_the_tags_behind_it() {
+fn withdrawing_an_earlier_task_keeps_the_tags_of_later_ones() {
     let mut dispatcher = dispatcher();
     dispatcher.enqueue(&1, arrival('a', 0.5, 5.0, 1), NOW);
     let last = dispatcher.enqueue(&1, arrival('a', 0.5, 1.0, 2), NOW);
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn withdrawn_costs_delay_no_stream() {
+fn the_cost_of_a_withdrawn_task_causes_no_delay() {
     let mut dispatcher = dispatcher();
     dispatcher.enqueue(&1, arrival('a', 0.5, 4.0, 1), NOW);
     dispatcher.enqueue(&2, arrival('a', 0.5, 1.0, 2), NOW);
@@ -164,12 +164,12 @@
 }
 
 #[test]
-fn an_idle_stream_is_forgotten_and_a_queued_one_is_not() {
+fn an_idle_stream_loses_its_state_and_a_queued_one_does_not() {
     let mut dispatcher = dispatcher();
     dispatcher.enqueue(&1, arrival('a', 0.5, 50.0, 1), NOW);
-    let still = dispatcher.enqueue(&1, arrival('b', 0.5, 50.0, 2), NOW);
+    let queued = dispatcher.enqueue(&1, arrival('b', 0.5, 50.0, 2), NOW);
     dispatcher.release(&1, 0, NOW, |task| *task == 1);
-    let later = Millis(IDLE_MS);
+    let later = Millis(STREAM_IDLE_MS);
     assert_eq!(
         dispatcher
             .enqueue(&1, arrival('a', 0.5, 1.0, 3), later)
@@ -180,7 +180,7 @@
         dispatcher
             .enqueue(&1, arrival('b', 0.5, 1.0, 4), later)
             .start,
-        still.finish
+        queued.finish
     );
 }
 
@@ -192,12 +192,12 @@
         dispatcher.release(&1, 0, NOW, |_| true);
     }
     assert_eq!(dispatcher.stream_count(), 1000);
-    dispatcher.enqueue(&1, arrival(0, 0.5, 1.0, 5000), Millis(IDLE_MS));
+    dispatcher.enqueue(&1, arrival(0, 0.5, 1.0, 5000), Millis(STREAM_IDLE_MS));
     assert_eq!(dispatcher.stream_count(), 1);
 }
 
 #[test]
-fn odd_weights_and_costs_are_bounded() {
+fn invalid_weights_and_costs_are_clamped() {
     let mut dispatcher = dispatcher();
     for (task, weight) in [0.0, -1.0, f64::NAN, 7.0].into_iter().enumerate() {
         let tags = dispatcher.enqueue(&(task as u8), arrival('a', weight, 1.0, task as u32), NOW);
@@ -217,5 +217,5 @@
     let huge = dispatcher.enqueue(&9, arrival('c', 1e-9, f64::INFINITY, 100), NOW);
     assert!(huge.finish > huge.start);
     let next = dispatcher.enqueue(&9, arrival('c', 1e-9, f64::INFINITY, 101), NOW);
-    assert!(next.finish > next.start, "tags still have room: {next:?}");
+    assert!(next.finish > next.start, "tags must not saturate: {next:?}");
 }
--- a/crates/failure-detection/src/lib.rs
+++ b/crates/failure-detection/src/lib.rs
@@ -1,10 +1,10 @@
-//! Arithmetic that the SWIM failure detectors of this workspace share.
+//! The arithmetic shared by the SWIM failure detectors of this workspace.
 //!
 //! [`LocalHealth`] and [`suspicion_timeout`] are Lifeguard's (A. Dadgar, J. Phillips, J. Currey: *Lifeguard: Local Health
 //! Awareness for More Accurate Failure Detection*, 2018); [`transmission_limit`] bounds the dissemination of SWIM (A. Das,
 //! I. Gupta, A. Motivala, DSN 2002, section 4.1).
 //!
-//! This crate has no membership list, no messages and no clock: times are numbers in the caller's unit.
+//! This crate has no membership list, no messages and no clock. Times are numbers in the unit of the caller.
 
 mod dissemination;
 mod local_health;
--- a/crates/failure-detection/src/local_health.rs
+++ b/crates/failure-detection/src/local_health.rs
@@ -1,11 +1,11 @@
-//! Lifeguard's local health.
+//! Lifeguard's local health multiplier.
 
 /// The worst local health score.
 pub const MAX_HEALTH_SCORE: u32 = 8;
 
 /// How far a process trusts its own observations: Lifeguard's *local health multiplier*.
 ///
-/// A score of 0 is good health, and every further point makes its timeouts longer by their base length.
+/// A score of 0 is good health. Every point adds the base length of a timeout to that timeout.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LocalHealth {
     score: u32,
@@ -17,7 +17,7 @@
         self.score
     }
 
-    /// The factor by which timeouts are longer than their base length, from 1.
+    /// The factor of timeouts over their base length, at least 1.
     pub fn multiplier(self) -> u32 {
         1 + self.score
     }
--- a/crates/failure-detection/tests/arithmetic.rs
+++ b/crates/failure-detection/tests/arithmetic.rs
@@ -1,4 +1,4 @@
-//! Properties of the shared arithmetic.
+//! Bounds and monotonicity of the shared arithmetic.
 
 use lupinrack_failure_detection::{
     confirmations_needed, size_factor, suspicion_timeout, transmission_limit, LocalHealth,
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn updates_are_sent_more_often_among_more_members() {
+fn the_transmission_limit_grows_with_the_logarithm_of_the_members() {
     assert_eq!(transmission_limit(size_factor(5), 3.0, 0.0), 3);
     assert_eq!(transmission_limit(size_factor(99), 3.0, 0.0), 6);
     assert_eq!(transmission_limit(size_factor(999), 3.0, 0.0), 9);
@@ -31,20 +31,20 @@
 }
 
 #[test]
-fn no_more_confirmations_are_needed_than_can_come() {
+fn confirmations_needed_are_limited_by_the_number_of_members() {
     assert_eq!(confirmations_needed(3, 300), 3);
     assert_eq!(confirmations_needed(3, 4), 2);
     assert_eq!(confirmations_needed(3, 1), 1);
 }
 
 quickcheck! {
-    fn a_suspicion_shortens_with_each_confirmation(least: u16, ratio: u8, needed: u8) -> bool {
-        let (least, ratio) = (f64::from(least), 1.0 + f64::from(ratio) / 16.0);
+    fn the_suspicion_timeout_falls_with_each_confirmation(min_timeout: u16, ratio: u8, needed: u8) -> bool {
+        let (min_timeout, ratio) = (f64::from(min_timeout), 1.0 + f64::from(ratio) / 16.0);
         let needed = usize::from(needed).max(1);
-        let lengths: Vec<f64> = (0..=needed + 1).map(|count| suspicion_timeout(least, ratio, count, needed)).collect();
-        let falls = lengths.windows(2).all(|pair| pair[1] <= pair[0]);
-        let begins = (lengths[0] - least * ratio).abs() < 1e-6 * (1.0 + least * ratio);
-        let ends = lengths[needed] == least && lengths[needed + 1] == least;
-        falls && begins && ends
+        let timeouts: Vec<f64> = (0..=needed + 1).map(|count| suspicion_timeout(min_timeout, ratio, count, needed)).collect();
+        let is_monotonic = timeouts.windows(2).all(|pair| pair[1] <= pair[0]);
+        let starts_at_max = (timeouts[0] - min_timeout * ratio).abs() < 1e-6 * (1.0 + min_timeout * ratio);
+        let ends_at_min = timeouts[needed] == min_timeout && timeouts[needed + 1] == min_timeout;
+        is_monotonic && starts_at_max && ends_at_min
     }
 }
--- a/crates/request-engine/src/clock.rs
+++ b/crates/request-engine/src/clock.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The reading at the start. Well above zero: the balancer fills its buckets from the time 0 onward, and a volume that turns up in
-/// the first second must find its reservation full, as it does on the simulator's clock.
+/// The reading at the start. Well above zero, because the balancer fills its token buckets from time 0 on: a volume whose first request
+/// arrives in the first second must find its reservation full, as it does on the simulator's clock.
 const START_READING_US: Micros = 1_000_000_000;
-/// Readings further ahead than a day lead to the instant a day ahead, so that no reading overflows the platform's instants.
-const AHEAD_MOST_US: Micros = 86_400_000_000;
+/// The furthest that [`Clock::instant`] looks ahead, one day: later readings would overflow the platform's instants.
+const MAX_AHEAD_US: Micros = 86_400_000_000;
 
-/// A monotonic clock that began with the program. All readings are on one clock.
+/// A monotonic clock that starts with the program. All readings in a process come from the same one.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
@@ -35,10 +35,10 @@
         START_READING_US + Micros::try_from(since_start).unwrap_or(Micros::MAX / 2)
     }
 
-    /// The instant of a reading. Readings before the start lead to the start, those far ahead to the instant a day from now.
+    /// The instant of a reading, clamped to between the start of the clock and one day from now.
     pub fn instant(&self, at: Micros) -> Instant {
-        let ahead_most = self.now() - START_READING_US + AHEAD_MOST_US;
-        let ahead = (at - START_READING_US).clamp(0, ahead_most);
-        self.origin + Duration::from_micros(ahead as u64)
+        let max_since_start = self.now() - START_READING_US + MAX_AHEAD_US;
+        let since_start = (at - START_READING_US).clamp(0, max_since_start);
+        self.origin + Duration::from_micros(since_start as u64)
     }
 }
--- a/crates/request-engine/src/engine.rs
+++ b/crates/request-engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine and its turns.
+//! The engine and its event loop.
 
 mod balancer_loop;
 mod extents;
@@ -18,12 +18,12 @@
 use std::collections::BTreeSet;
 use tokio::sync::{mpsc, watch};
 
-/// Inputs that may wait for the next turn; whoever would add more waits.
+/// Inputs that may be queued for the next turn; senders wait while the queue is full.
 const INPUT_QUEUE_LENGTH: usize = 4096;
-/// Health checks that may wait for the task that makes them; further ones are dropped.
+/// Health checks that may be queued for the task that makes them; further ones are dropped.
 const HEALTH_CHECK_QUEUE_LENGTH: usize = 64;
 
-/// The loop around the [`Balancer`]; [`EngineHandle`] is the way to it.
+/// The loop around the [`Balancer`]; other tasks reach it through an [`EngineHandle`].
 pub struct Engine {
     balancer: Balancer,
     clock: Clock,
@@ -32,11 +32,11 @@
     nodes: NodeTable,
     requests: OpenRequests,
     timers: Timers,
-    /// `None`: a request's shard is what its client says.
+    /// `None`: a request's shard is the one that its client named.
     extents: Option<ExtentRouter>,
     /// `None`: this front is in no fleet.
     fleet: Option<FleetQuota>,
-    /// Nodes that responded since the last question; `None` while nobody asks.
+    /// Nodes that responded since [`EngineHandle::take_node_responses`] was last called; `None` until its first call.
     responded: Option<BTreeSet<NodeId>>,
     /// Which plans have a rate limit, by index.
     limited_plans: Vec<bool>,
@@ -44,29 +44,29 @@
     actions: Vec<Action>,
 }
 
-/// An engine that does not run yet, and the ends of its queues.
+/// An engine that is not running yet, and the far ends of its queues.
 pub struct EngineParts {
     /// The engine, to be run.
     pub engine: Engine,
-    /// The handle for everyone who uses it.
+    /// The handle through which other tasks use it.
     pub handle: EngineHandle,
-    /// The nodes whose health is to be checked.
+    /// The nodes for which the balancer ordered a health check.
     pub health_checks: mpsc::Receiver<NodeTarget>,
 }
 
-/// The engine's ends of the map of extents.
+/// The channels between the engine and the driver of the map of extents.
 pub struct ExtentMapChannels {
-    /// What the cache has its driver do.
+    /// The actions that the cache orders from its driver.
     pub actions: mpsc::Receiver<extent_map::Action>,
-    /// What the cache counted.
+    /// The counters of the cache.
     pub counters: watch::Receiver<Counters>,
 }
 
 impl EngineParts {
-    /// Makes an engine that uses these settings until others come, and this seed for the balancer's random numbers.
+    /// Makes an engine that starts with these settings, and with this seed for the balancer's random numbers.
     pub fn new(settings: Settings, seed: u64, clock: Clock) -> Self {
         let (sender, inputs) = mpsc::channel(INPUT_QUEUE_LENGTH);
-        let (health_checks, to_check) = mpsc::channel(HEALTH_CHECK_QUEUE_LENGTH);
+        let (health_checks, health_check_targets) = mpsc::channel(HEALTH_CHECK_QUEUE_LENGTH);
         let handle = EngineHandle::new(sender, &settings, clock);
         let engine = Engine {
             nodes: NodeTable::new(settings.drain_grace),
@@ -85,25 +85,30 @@
         EngineParts {
             engine,
             handle,
-            health_checks: to_check,
+            health_checks: health_check_targets,
         }
     }
 }
 
 impl Engine {
-    /// Has a record of each finished request sent there. Where that queue is full, the record is dropped.
+    /// Sends a record of each finished request to this queue. When the queue is full, the record is dropped.
     #[must_use]
     pub fn export_flows(mut self, to: mpsc::Sender<Flow>) -> Engine {
         self.requests.export_to(to);
         self
     }
 
-    /// Has requests routed by this cache of the map of extents.
+    /// Routes requests by this cache of the map of extents.
     #[must_use]
     pub fn with_extent_map(mut self, cache: Cache) -> (Engine, ExtentMapChannels) {
         let (driver, actions) = mpsc::channel(DRIVER_QUEUE_LENGTH);
-        let (counted, counters) = watch::channel(Counters::default());
-        self.extents = Some(ExtentRouter::new(cache, driver, counted, self.clock.now()));
+        let (counters_sender, counters) = watch::channel(Counters::default());
+        self.extents = Some(ExtentRouter::new(
+            cache,
+            driver,
+            counters_sender,
+            self.clock.now(),
+        ));
         (self, ExtentMapChannels { actions, counters })
     }
 
@@ -133,7 +138,7 @@
         self.timers.next_at().into_iter().chain(extents).min()
     }
 
-    /// One turn. The clock is read once: all that is taken now happened at this moment.
+    /// Runs one turn. The clock is read once, so that all inputs of a turn have the same time.
     fn turn(&mut self, batch: &mut Vec<Input>) {
         let now = self.clock.now();
         for input in batch.drain(..) {
--- a/crates/request-engine/src/engine/balancer_loop.rs
+++ b/crates/request-engine/src/engine/balancer_loop.rs
@@ -1,4 +1,4 @@
-//! Events to the balancer, and its actions carried out.
+//! Passes events to the balancer and carries out its actions.
 
 use super::Engine;
 use crate::flow::FlowEnd;
@@ -9,7 +9,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// An attempt that the balancer orders.
+/// An attempt that the balancer ordered.
 struct SendOrder {
     request: RequestId,
     node: NodeId,
@@ -18,7 +18,7 @@
 }
 
 impl Engine {
-    /// Tells the balancer of an event, carries out its actions, and tells it of what comes of them at once.
+    /// Passes an event to the balancer and carries out its actions. Events that these cause immediately are passed on as well.
     pub(super) fn notify_balancer(&mut self, now: Micros, event: Event) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Carries out one action, and returns the events that it leads to at once.
+    /// Carries out one action, and returns the events that it causes immediately.
     fn carry_out(&mut self, now: Micros, action: Action) -> Vec<Event> {
         match action {
             Action::Send {
@@ -69,25 +69,25 @@
             Action::SetTimer { at, token } => self.timers.set(at, token),
             Action::HealthCheck(node) => {
                 if let Some(target) = self.nodes.target(node) {
-                    // Dropped where the task that checks is behind: nothing depends on a single health check.
+                    // Dropped when the queue of health checks is full: no decision depends on a single health check.
                     let _ = self.health_checks.try_send(target);
                 }
             }
-            // The node list is watched from the start to the end; there is nothing to ask for.
+            // Discovery pushes the node list for as long as the engine runs, so there is nothing to request.
             Action::Subscribe | Action::FetchList => {}
             Action::Log(line) => tracing::info!("{line}"),
         }
         Vec::new()
     }
 
-    /// Gives an attempt to the owner of its request. Where that cannot be, or its data is on another shard by now, the attempt was
-    /// never sent, and the events returned tell the balancer so.
+    /// Orders an attempt from the owner of its request. If the owner cannot take it or the data has moved to another shard, the
+    /// attempt counts as not sent, and the returned events report this to the balancer.
     fn send(&mut self, now: Micros, order: &SendOrder) -> Vec<Event> {
         let Some(request) = self.requests.get(order.request).map(|open| open.request) else {
             return Vec::new();
         };
         let new_shard = self.changed_shard(now, &request);
-        let quota_end = self.fleet.as_ref().map(|fleet| fleet.begin_by(now));
+        let quota_valid_until = self.fleet.as_ref().map(|fleet| fleet.begin_by(now));
         let Some(open) = self.requests.get_mut(order.request) else {
             return Vec::new();
         };
@@ -109,7 +109,7 @@
                 timeout_at: order
                     .timeout
                     .map_or(deadline, |timeout| deadline.min(now + timeout)),
-                begin_by: quota_end.unwrap_or(Micros::MAX).min(order.begin_by),
+                begin_by: quota_valid_until.unwrap_or(Micros::MAX).min(order.begin_by),
                 permit: SendPermit::for_order(),
             }))
         });
@@ -135,12 +135,12 @@
         events
     }
 
-    /// Gives the final answer to the owner of a request, unless it had one.
+    /// Gives the final answer to the owner of a request, unless the request has ended already.
     fn finish(&mut self, now: Micros, id: RequestId, end: FlowEnd, order: Order) {
         let open = self.requests.get_mut(id).filter(|open| open.end.is_none());
         let Some(open) = open else { return };
         open.end_for_client(now, end);
         open.give(order);
-        self.requests.forget_if_over(id);
+        self.requests.remove_if_ended(id);
     }
 }
--- a/crates/request-engine/src/engine/extents.rs
+++ b/crates/request-engine/src/engine/extents.rs
@@ -1,7 +1,7 @@
-//! The map of extents in the engine's turns.
+//! Routing of requests by the map of extents.
 //!
-//! A request is routed by the cache when it arrives, again when what is known of its range changes, and once more when it is sent. The
-//! cache decides what is known, the balancer what becomes of a request; here each is told of the other.
+//! The cache routes a request when it arrives, again when the extents of its range change, and once more when an attempt is sent. The
+//! cache decides on which shard the data is, the balancer what happens to the request; this module connects the two.
 
 use super::Engine;
 use crate::flow::FlowEnd;
@@ -9,7 +9,7 @@
 use lupinrack_policy::{Event, Micros, Outcome, Request, RequestId, Shard};
 
 impl Engine {
-    /// A request as the balancer is told of it: on the shard that the map has, or waiting for it to be known.
+    /// The request as it is passed to the balancer: with the shard from the map, or with the shard marked as unknown.
     pub(super) fn routed(&mut self, now: Micros, request: Request) -> Request {
         let place = self
             .extents
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The shard of a request that is about to be sent, if it is another one by now.
+    /// The shard of a request that is about to be sent, if the map now has another one than the request.
     pub(super) fn changed_shard(&mut self, now: Micros, request: &Request) -> Option<Shard> {
         match self.extents.as_mut()?.locate(now, request)? {
             Place::At(shard) if request.shard != Some(shard) => Some(shard),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A node rejected an attempt, unrun: it says that the data is on another shard.
+    /// Handles the rejection of an attempt by a node that does not store the data. The attempt did not run.
     pub(super) fn wrong_shard(
         &mut self,
         now: Micros,
@@ -50,8 +50,8 @@
         let sent = open.in_flight.iter().find(|sent| sent.number == attempt);
         let sent_to = sent.and_then(|sent| sent.shard);
         let turn = match (&mut self.extents, sent_to) {
-            (Some(extents), Some(shard)) => extents.wrong_turn(now, &open.request, shard, hint),
-            // A node that speaks of extents where nobody knows them is one that had no capacity.
+            (Some(extents), Some(shard)) => extents.wrong_shard(now, &open.request, shard, hint),
+            // Without a map, a rejection for the wrong shard counts as one for lack of capacity.
             _ => Turn::Stands,
         };
         if turn == Turn::Stands {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Takes what the driver of the map brings.
+    /// Applies an input from the driver of the map.
     pub(super) fn extent_map_input(&mut self, now: Micros, input: extent_map::Input) {
         if let Some(extents) = &mut self.extents {
             extents.handle(now, input);
@@ -72,7 +72,7 @@
         self.carry_out_extent_actions(now);
     }
 
-    /// The end of a turn: what the cache has due, and all that comes of it.
+    /// Ends a turn: runs the cache's timer if it is due, and carries out the cache's actions.
     pub(super) fn finish_extent_turn(&mut self, now: Micros) {
         let Some(extents) = &mut self.extents else {
             return;
@@ -103,11 +103,11 @@
                 volume,
                 first,
                 last,
-            } => self.route_again(now, |request| {
+            } => self.reroute(now, |request| {
                 let key = request.key.filter(|_| request.volume == volume);
                 key.is_some_and(|key| (first..=last).contains(&key.0))
             }),
-            extent_map::Action::ChangedAll => self.route_again(now, |_| true),
+            extent_map::Action::ChangedAll => self.reroute(now, |_| true),
             extent_map::Action::Complain { who, why } => match who {
                 Party::Authority => tracing::warn!("extent authority: {why}"),
                 Party::Peer(peer) => tracing::warn!("extents: peer {peer}: {why}"),
@@ -123,15 +123,15 @@
         }
     }
 
-    /// Looks again where the data of these open requests is.
-    fn route_again(&mut self, now: Micros, is_concerned: impl Fn(&Request) -> bool) {
-        let concerned: Vec<RequestId> = self
+    /// Looks up the shards of these open requests again.
+    fn reroute(&mut self, now: Micros, is_affected: impl Fn(&Request) -> bool) {
+        let affected: Vec<RequestId> = self
             .requests
             .iter()
-            .filter(|open| open.end.is_none() && is_concerned(&open.request))
+            .filter(|open| open.end.is_none() && is_affected(&open.request))
             .map(|open| open.request.id)
             .collect();
-        for id in concerned {
+        for id in affected {
             let (Some(extents), Some(open)) = (&mut self.extents, self.requests.get(id)) else {
                 continue;
             };
@@ -140,7 +140,7 @@
                 Some(Place::At(shard)) if request.shard_unknown || request.shard != Some(shard) => {
                     self.set_shard(now, id, Some(shard));
                 }
-                // What no extent covers is where its client says.
+                // Data that no extent covers is on the shard that the client named.
                 Some(Place::Uncovered) if request.shard_unknown => {
                     self.set_shard(now, id, client_shard);
                 }
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Tells the balancer of a request's shard, unless the request was served.
+    /// Changes a request's shard and notifies the balancer, unless the request was served.
     fn set_shard(&mut self, now: Micros, request: RequestId, shard: Option<Shard>) {
         let Some(open) = self.requests.get_mut(request) else {
             return;
--- a/crates/request-engine/src/engine/inputs.rs
+++ b/crates/request-engine/src/engine/inputs.rs
@@ -1,9 +1,9 @@
-//! What each input changes.
+//! Applies the inputs.
 
 use super::Engine;
 use crate::fleet_quota::{limited_plans, FleetQuota};
 use crate::flow::FlowEnd;
-use crate::input::{Input, Question, Report};
+use crate::input::{Input, Query, Report};
 use crate::node_queries::{NodeCounts, NodeResponses};
 use crate::open_requests::OpenRequest;
 use crate::order::Order;
@@ -40,7 +40,7 @@
             Input::Settings(settings) => self.update_settings(now, settings),
             Input::ProcessShare { share, applied } => {
                 self.notify_balancer(now, Event::ProcessShare(share));
-                // Whoever asked may be gone.
+                // An error means that the caller no longer waits.
                 let _ = applied.send(());
             }
             Input::QuotaShares { shares, applied } => {
@@ -53,7 +53,7 @@
                     self.notify_balancer(now, Event::NodeRecovered(node));
                 }
             }
-            Input::Question(question) => self.answer(question),
+            Input::Query(query) => self.answer(query),
         }
     }
 
@@ -79,12 +79,12 @@
         }
     }
 
-    fn answer(&mut self, question: Question) {
-        // Whoever asked may be gone; the answer is then dropped.
-        match question {
-            Question::CountNodes(to) => drop(to.send(self.count_nodes())),
-            Question::TakeNodeResponses(to) => drop(to.send(self.take_node_responses())),
-            Question::TakeServedVolumes(to) => {
+    fn answer(&mut self, query: Query) {
+        // The answer is dropped if the caller no longer waits.
+        match query {
+            Query::CountNodes(to) => drop(to.send(self.count_nodes())),
+            Query::TakeNodeResponses(to) => drop(to.send(self.take_node_responses())),
+            Query::TakeServedVolumes(to) => {
                 let served = self.fleet.as_mut().map(FleetQuota::take_served);
                 drop(to.send(served.unwrap_or_default()));
             }
@@ -103,7 +103,7 @@
         self.notify_balancer(now, Event::RequestArrived(request));
     }
 
-    /// Takes the outcome of an attempt: exactly one for each that was sent, so a second report finds nothing in flight.
+    /// Records the outcome of an attempt. Each attempt has one outcome: a second report finds no such attempt in flight and is ignored.
     pub(super) fn attempt_ended(
         &mut self,
         now: Micros,
@@ -115,12 +115,12 @@
         let Some(open) = self.requests.get_mut(id) else {
             return;
         };
-        let in_flight = open
+        let index = open
             .in_flight
             .iter()
             .position(|sent| sent.number == attempt);
-        let Some(at) = in_flight else { return };
-        let sent = open.in_flight.swap_remove(at);
+        let Some(index) = index else { return };
+        let sent = open.in_flight.swap_remove(index);
         if let Some(responded) = self
             .responded
             .as_mut()
@@ -133,7 +133,7 @@
         }
         let ended = sent.ended(now, open, outcome, load);
         self.notify_balancer(now, Event::AttemptEnded(ended));
-        self.requests.forget_if_over(id);
+        self.requests.remove_if_ended(id);
     }
 
     fn units_requested(&mut self, now: Micros, request: RequestId, units: f64) {
@@ -144,12 +144,12 @@
     }
 
     fn client_gone(&mut self, now: Micros, id: RequestId) {
-        // The balancer may have ended it a moment ago: then it has no use for this event.
+        // The balancer may have ended the request already; it then ignores a client that disconnects.
         let open = self.requests.get_mut(id).filter(|open| open.end.is_none());
         let Some(open) = open else { return };
         open.end_for_client(now, FlowEnd::ClientGone);
         self.notify_balancer(now, Event::ClientGone(id));
-        self.requests.forget_if_over(id);
+        self.requests.remove_if_ended(id);
     }
 
     fn owner_gone(&mut self, now: Micros, id: RequestId) {
--- a/crates/request-engine/src/engine_handle.rs
+++ b/crates/request-engine/src/engine_handle.rs
@@ -1,7 +1,7 @@
-//! The way of all other tasks to the engine.
+//! The handle through which other tasks use the engine.
 
 use crate::clock::Clock;
-use crate::input::{Input, Question};
+use crate::input::{Input, Query};
 use crate::node_queries::{NodeCounts, NodeResponses, ServedVolume};
 use crate::node_table::NodeListing;
 use crate::order::order_queue_length;
@@ -14,15 +14,16 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// A clone of it for each task that opens requests or brings updates. Its methods wait while the engine's queue is full.
+/// Opens requests and sends updates and queries to the engine; each task has its own clone. Its methods wait while the engine's queue
+/// is full.
 ///
-/// Once the engine has ended, updates are dropped and questions have no answer.
+/// Once the engine has ended, updates are dropped and queries return `None`.
 #[derive(Clone)]
 pub struct EngineHandle {
     inputs: mpsc::Sender<Input>,
     next_request: Arc<AtomicU32>,
     order_queue_length: Arc<AtomicUsize>,
-    /// The clock on which all readings are taken.
+    /// The clock of all readings.
     pub clock: Clock,
 }
 
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Opens a request. The engine numbers it, whatever `id` it has.
+    /// Opens a request. The handle assigns its number; the `id` that it has is ignored.
     pub async fn open(&self, mut request: Request) -> RequestHandle {
         request.id = RequestId(self.next_request.fetch_add(1, Ordering::Relaxed));
         let (sender, orders) = mpsc::channel(self.order_queue_length.load(Ordering::Relaxed));
@@ -48,41 +49,42 @@
         RequestHandle::new(request.id, orders, self.inputs.clone())
     }
 
-    /// Brings an update of the node list.
+    /// Sends an update of the node list.
     pub async fn update_nodes(&self, kind: NodeListKind, nodes: Vec<NodeListing>) {
         self.send(Input::NodeList { kind, nodes }).await;
     }
 
-    /// Brings what the extent authority or a peer sent.
+    /// Sends a message of the extent authority or of a peer.
     pub async fn extent_map_input(&self, input: extent_map::Input) {
         self.send(Input::ExtentMap(input)).await;
     }
 
-    /// Replaces the settings. Requests that are opened after this are under the new ones.
+    /// Replaces the settings. They apply to requests that are opened afterwards.
     pub async fn update_settings(&self, settings: Settings) {
         self.order_queue_length
             .fetch_max(order_queue_length(&settings), Ordering::Relaxed);
         self.send(Input::Settings(settings)).await;
     }
 
-    /// Sets the share of this front's quota that this process may use, 0 to 1. Returns once it is in effect.
+    /// Sets the share of this front's quota that this process may use, from 0 to 1. Returns once the share is in effect.
     pub async fn set_process_share(&self, share: f64) {
         let (applied, done) = oneshot::channel();
         self.send(Input::ProcessShare { share, applied }).await;
-        // An error means that the engine has ended: nothing is used any more.
+        // An error means that the engine has ended and uses no quota.
         let _ = done.await;
     }
 
-    /// Sets what this front may use of the limits that its fleet shares. Returns once it is in effect.
+    /// Sets this front's shares of the limits of its fleet. Returns once they are in effect.
     pub async fn set_quota_shares(&self, shares: QuotaShares) {
         let (applied, done) = oneshot::channel();
         let shares = Box::new(shares);
         self.send(Input::QuotaShares { shares, applied }).await;
-        // An error means that the engine has ended: nothing is used any more.
+        // An error means that the engine has ended and uses no quota.
         let _ = done.await;
     }
 
-    /// From now on unresponsive nodes are tried as the fleet grants it: each of these nodes once, before `until`.
+    /// Grants probation to these unresponsive nodes: each may get one request before `until`. After the first grant, unresponsive nodes
+    /// get requests only by grants of the fleet.
     pub async fn grant_probation(&self, nodes: Vec<Arc<str>>, until: Micros) {
         self.send(Input::ProbationGrants { nodes, until }).await;
     }
@@ -92,7 +94,7 @@
         self.send(Input::NodeRecovered(node)).await;
     }
 
-    /// Reports the end of a health check.
+    /// Reports the outcome of a health check.
     pub async fn health_checked(
         &self,
         node: NodeId,
@@ -111,28 +113,28 @@
 
     /// Counts the listed nodes; `None` once the engine has ended.
     pub async fn count_nodes(&self) -> Option<NodeCounts> {
-        self.ask(Question::CountNodes).await
+        self.query(Query::CountNodes).await
     }
 
-    /// Takes which nodes respond, as seen since the last such question; `None` once the engine has ended.
+    /// Takes the responses of the nodes since the previous query; `None` once the engine has ended.
     pub async fn take_node_responses(&self) -> Option<NodeResponses> {
-        self.ask(Question::TakeNodeResponses).await
+        self.query(Query::TakeNodeResponses).await
     }
 
-    /// Takes the volumes with rate limits that were served since the last such question; `None` once the engine has ended.
+    /// Takes the volumes with rate limits that were served since the previous query; `None` once the engine has ended.
     pub async fn take_served_volumes(&self) -> Option<Vec<ServedVolume>> {
-        self.ask(Question::TakeServedVolumes).await
+        self.query(Query::TakeServedVolumes).await
     }
 
-    async fn ask<T>(&self, question: impl FnOnce(oneshot::Sender<T>) -> Question) -> Option<T> {
+    async fn query<T>(&self, query: impl FnOnce(oneshot::Sender<T>) -> Query) -> Option<T> {
         let (sender, answer) = oneshot::channel();
-        let question = Input::Question(question(sender));
-        self.inputs.send(question).await.ok()?;
+        let query = Input::Query(query(sender));
+        self.inputs.send(query).await.ok()?;
         answer.await.ok()
     }
 
     async fn send(&self, input: Input) {
-        // An error means that the engine has ended, and with it everything that the input could change.
+        // An error means that the engine has ended: the input would have no effect.
         let _ = self.inputs.send(input).await;
     }
 }
--- a/crates/request-engine/src/extent_router.rs
+++ b/crates/request-engine/src/extent_router.rs
@@ -4,13 +4,13 @@
 use lupinrack_policy::{Micros, Request, Shard};
 use tokio::sync::{mpsc, watch};
 
-/// Actions that may wait for the driver of the map: a poll, every call in flight, and datagrams.
+/// Actions that may be queued for the driver of the map: a poll, every call in flight, and datagrams.
 pub const DRIVER_QUEUE_LENGTH: usize = 2 * extent_map::FLIGHTS_MOST;
 
-/// The reason given to the cache for a call that the driver had no capacity for.
-const DRIVER_BEHIND: &str = "the calls that are out take too long";
+/// The failure reported to the cache for a call that finds the driver's queue full.
+const DRIVER_QUEUE_FULL: &str = "the queue of calls is full";
 
-/// Owns the cache. Its methods gather the cache's actions until the engine takes them.
+/// Owns the cache, and collects the cache's actions until the engine takes them.
 pub(crate) struct ExtentRouter {
     cache: Cache,
     driver: mpsc::Sender<Action>,
@@ -20,7 +20,7 @@
 }
 
 impl ExtentRouter {
-    /// The cache is due at once.
+    /// A router whose cache runs its timer in the first turn.
     pub(crate) fn new(
         cache: Cache,
         driver: mpsc::Sender<Action>,
@@ -36,12 +36,12 @@
         }
     }
 
-    /// When the cache is due without any input.
+    /// When the cache's timer expires.
     pub(crate) fn wake_at(&self) -> Option<Micros> {
         self.wake_at
     }
 
-    /// Where the data of a request is; `None`: it names no key.
+    /// The shard of a request's data; `None`: the request has no key.
     pub(crate) fn locate(&mut self, now: Micros, request: &Request) -> Option<Place> {
         let key = request.key?;
         Some(
@@ -50,8 +50,8 @@
         )
     }
 
-    /// A node of `shard` rejected the request because its data is elsewhere, as of `hint`.
-    pub(crate) fn wrong_turn(
+    /// Handles the rejection of a request by a node of `shard` because its data is on another shard, as of version `hint` of the map.
+    pub(crate) fn wrong_shard(
         &mut self,
         now: Micros,
         request: &Request,
@@ -65,12 +65,12 @@
             .wrong_turn(now, (request.volume, key), shard, hint, &mut self.actions)
     }
 
-    /// Takes what the driver brings.
+    /// Applies an input from the driver.
     pub(crate) fn handle(&mut self, now: Micros, input: extent_map::Input) {
         self.cache.handle(now, input, &mut self.actions);
     }
 
-    /// Does what is due at the end of a turn. True: there are actions to carry out.
+    /// Runs the cache's timer if it has expired. Returns whether there are actions to carry out.
     pub(crate) fn finish_turn(&mut self, now: Micros) -> bool {
         if self.wake_at.is_some_and(|at| at <= now) {
             self.wake_at = None;
@@ -91,14 +91,14 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Sets the alarm, or hands a call to the driver. A driver that is behind by a whole queue is, to the cache, a call that failed.
+    /// Sets the timer, or passes an action to the driver. When the driver's queue is full, a poll or a fetch counts as failed.
     pub(crate) fn carry_out(&mut self, now: Micros, action: Action) {
         if let Action::Wake(at) = action {
             self.wake_at = Some(self.wake_at.map_or(at, |wake_at| wake_at.min(at)));
             return;
         }
         let dropped = self.driver.try_send(action);
-        let failed = || DRIVER_BEHIND.to_string();
+        let failed = || DRIVER_QUEUE_FULL.to_string();
         match dropped.map_err(mpsc::error::TrySendError::into_inner) {
             Err(Action::Poll { .. }) => {
                 self.handle(now, extent_map::Input::Polled(Err(failed())));
@@ -111,10 +111,10 @@
         }
     }
 
-    /// Publishes what the cache counted, where that has changed.
+    /// Publishes the counters of the cache if they have changed.
     pub(crate) fn publish_counters(&self) {
         let counters = self.cache.counters();
         self.counters
-            .send_if_modified(|seen| std::mem::replace(seen, counters) != counters);
+            .send_if_modified(|published| std::mem::replace(published, counters) != counters);
     }
 }
--- a/crates/request-engine/src/fleet_quota.rs
+++ b/crates/request-engine/src/fleet_quota.rs
@@ -1,17 +1,17 @@
-//! This front's part in its fleet, as far as the engine needs it.
+//! The engine's part of fleet quotas: how long they are valid, and which volumes use them.
 
 use crate::node_queries::ServedVolume;
 use lupinrack_policy::{Micros, Request, Settings, VolumeId};
 use std::collections::BTreeMap;
 
-/// Volumes that are remembered between two questions; further ones are remembered after the next.
-const SERVED_VOLUMES_MOST: usize = 4096;
+/// The largest number of volumes recorded between two queries. Further volumes are recorded after the next query.
+const MAX_SERVED_VOLUMES: usize = 4096;
 
-/// How long attempts may draw on the fleet's quota, and which volumes were served.
+/// Until when attempts may draw on the fleet's quota, and which volumes were served.
 #[derive(Default)]
 pub(crate) struct FleetQuota {
     valid_until: Micros,
-    /// The volumes with rate limits that were served since the last question, and their numbers of fronts.
+    /// The volumes with rate limits that were served since the last query, each with its number of fronts.
     served: BTreeMap<VolumeId, f64>,
 }
 
@@ -20,8 +20,8 @@
         self.valid_until = until;
     }
 
-    /// The moment by which an attempt that is sent now must have begun. Quota that expires while it is on its way ends it; what draws
-    /// on the reserve does not expire.
+    /// The time by which an attempt that is sent now must start. An attempt on the quota must not start after the quota has expired;
+    /// one that draws on the reserve has no such limit.
     pub(crate) fn begin_by(&self, now: Micros) -> Micros {
         if now < self.valid_until {
             self.valid_until
@@ -31,8 +31,8 @@
     }
 
     pub(crate) fn record_served(&mut self, request: &Request) {
-        let has_room = self.served.len() < SERVED_VOLUMES_MOST;
-        if has_room || self.served.contains_key(&request.volume) {
+        let has_capacity = self.served.len() < MAX_SERVED_VOLUMES;
+        if has_capacity || self.served.contains_key(&request.volume) {
             self.served.insert(request.volume, request.hosts);
         }
     }
--- a/crates/request-engine/src/flow.rs
+++ b/crates/request-engine/src/flow.rs
@@ -1,11 +1,11 @@
-//! The record of a finished request, for the export of flows.
+//! The record of a finished request, for flow export.
 
 use lupinrack_policy::{Micros, Request};
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FlowEnd {
-    /// It got a complete answer.
+    /// The client got a complete answer.
     Served,
     /// It was rejected.
     Rejected,
@@ -24,11 +24,11 @@
     pub opened: Micros,
     /// When it ended for its client.
     pub ended: Micros,
-    /// All units that it was allowed to move.
+    /// The units that it was granted in total.
     pub units: f64,
-    /// Bytes forwarded to the client.
+    /// The bytes forwarded to the client.
     pub bytes: u64,
-    /// Attempts sent.
+    /// The number of attempts sent.
     pub attempts: u16,
     /// How it ended.
     pub end: FlowEnd,
--- a/crates/request-engine/src/input.rs
+++ b/crates/request-engine/src/input.rs
@@ -1,4 +1,4 @@
-//! What reaches the engine through its queue.
+//! The inputs in the engine's queue.
 
 use crate::node_queries::{NodeCounts, NodeResponses, ServedVolume};
 use crate::node_table::NodeListing;
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// An input, in the order in which it was sent.
+/// An input to the engine.
 #[derive(Debug)]
 pub(crate) enum Input {
     Open {
@@ -46,10 +46,10 @@
         until: Micros,
     },
     NodeRecovered(Arc<str>),
-    Question(Question),
+    Query(Query),
 }
 
-/// What the owner of a request reports of it.
+/// A report by the owner of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Report {
     AttemptEnded {
@@ -72,9 +72,9 @@
     OwnerGone,
 }
 
-/// What other parts of the program ask, and where the answer goes.
+/// A query from another task, with the channel for its answer.
 #[derive(Debug)]
-pub(crate) enum Question {
+pub(crate) enum Query {
     CountNodes(oneshot::Sender<NodeCounts>),
     TakeNodeResponses(oneshot::Sender<NodeResponses>),
     TakeServedVolumes(oneshot::Sender<Vec<ServedVolume>>),
--- a/crates/request-engine/src/lib.rs
+++ b/crates/request-engine/src/lib.rs
@@ -1,19 +1,19 @@
 //! The request engine: the loop around one [`Balancer`](lupinrack_policy::Balancer).
 //!
-//! The engine owns what the decisions are made from and what they lead to: the balancer, the open requests and their attempts, the
-//! node table, the timers, and, where they are used, the map of extents and this front's part in its fleet. It knows no wire: fronts
+//! The engine owns the balancer and the state around it: the open requests and their attempts, the node table, the timers, and, where
+//! they are used, the map of extents and the quota that this front has from its fleet. It is independent of any wire protocol: fronts
 //! (HTTP, rsync) open requests through an [`EngineHandle`], carry out the [`Order`]s that come back on each [`RequestHandle`], and
-//! report what came of them by a [`RequestReporter`].
+//! report the outcomes through a [`RequestReporter`].
 //!
-//! [`Engine::run`] is one task. In each turn it takes all inputs that wait, reads the clock once, tells the balancer of each input and
-//! of each timer that is due, and carries out the balancer's actions. Inputs keep their order.
+//! [`Engine::run`] is one task. Each turn drains the input queue, reads the clock once, passes every input and every expired timer
+//! to the balancer, and carries out the balancer's actions. Inputs are processed in the order in which they were sent.
 //!
-//! Three promises hold for every front:
+//! Three invariants hold for every front:
 //!
-//! 1. Each [`Order::Send`] has exactly one outcome. A second report of the same attempt changes nothing, and an owner that ends early
-//!    has its attempts reported as reset.
+//! 1. Each [`Order::Send`] has exactly one outcome. A second report of the same attempt changes nothing, and when an owner ends
+//!    early, its attempts are reported as reset.
 //! 2. Each request has one final answer.
-//! 3. A request is forgotten once it is over and none of its attempts is in flight; its owner then sees the end of its orders.
+//! 3. A request is removed once it has ended and none of its attempts is in flight; its queue of orders is then closed.
 //!
 //! Start reading at [`Engine`], then [`Order`].
 
--- a/crates/request-engine/src/node_queries.rs
+++ b/crates/request-engine/src/node_queries.rs
@@ -1,14 +1,14 @@
-//! Answers to what other parts of the program ask of the engine.
+//! The answers to queries from other tasks.
 
 use lupinrack_policy::VolumeId;
 use std::sync::Arc;
 
-/// How many nodes there are, at the moment of the question.
+/// The number of nodes at the time of the query.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeCounts {
     /// Nodes in the list.
     pub listed: usize,
-    /// Of these, the ones that the balancer avoids now.
+    /// Listed nodes that the balancer currently avoids.
     pub avoided: usize,
 }
 
@@ -17,15 +17,15 @@
 pub struct NodeResponses {
     /// Listed nodes that do not respond.
     pub unresponsive: Vec<Arc<str>>,
-    /// Nodes that responded since the last such question.
+    /// Nodes that responded since the previous query.
     pub responded: Vec<Arc<str>>,
 }
 
-/// A volume with a rate limit that this front served of late.
+/// A volume with a rate limit that this front served recently.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServedVolume {
     /// The volume.
     pub volume: VolumeId,
-    /// The number of fronts through which its requests come.
+    /// The number of fronts that its requests pass through.
     pub hosts: f64,
 }
--- a/crates/request-engine/src/node_table.rs
+++ b/crates/request-engine/src/node_table.rs
@@ -1,4 +1,4 @@
-//! The node table: one number for each node name, its address, and when sends to it must stop.
+//! The node table: the number of each node name, its address, and when sends to it must stop.
 
 use crate::clock::Clock;
 use lupinrack_policy::{Micros, NodeEntry, NodeId, NodeListKind, NodeState, Shard, Zone};
@@ -7,18 +7,18 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// Part of the drain grace (in tenths) after which an attempt that is not written yet is dropped; the rest covers the way to the node
-/// and a late turn.
+/// The part of the drain grace, in tenths, after which an attempt that has not been written is dropped. The rest covers the network
+/// delay to the node and a late turn of the engine.
 const GRACE_USED_TENTHS: Micros = 9;
-/// How long a node that was removed is remembered, in microseconds; longer than any attempt to it lasts.
-const REMOVED_MEMORY_US: Micros = 60_000_000;
+/// How long a removed node stays in the table; longer than any attempt to it lasts.
+const REMOVED_NODE_TTL_US: Micros = 60_000_000;
 
 /// A node as discovery lists it, by name and address.
 #[derive(Clone, Debug)]
 pub struct NodeListing {
     /// Its name, the same after a restart.
     pub name: String,
-    /// Where this front reaches it.
+    /// The address at which this front reaches it.
     pub address: SocketAddr,
     /// Whether it takes requests.
     pub state: NodeState,
@@ -26,13 +26,13 @@
     pub zone: Zone,
     /// The shard that it stores.
     pub shard: Shard,
-    /// When it last started, on the engine's clock; `None`: long ago.
+    /// When it last started, on the engine's clock; `None`: so long ago that it is not warming up.
     pub started: Option<Micros>,
-    /// Its capacity relative to that of others, without a unit.
+    /// Its capacity relative to other nodes, without a unit.
     pub weight: f64,
 }
 
-/// What a front needs to reach a node.
+/// The data that a front needs to send to a node.
 #[derive(Clone, Debug)]
 pub struct NodeTarget {
     /// Its number.
@@ -41,19 +41,19 @@
     pub name: Arc<str>,
     /// Its address on the platform's protocol.
     pub address: SocketAddr,
-    /// From this reading on nothing new may be written to it; `Micros::MAX` while it takes requests.
+    /// The clock reading from which on no new request may be written to it; `Micros::MAX` while it takes requests.
     pub stop_at: watch::Receiver<Micros>,
 }
 
 impl NodeTarget {
-    /// Waits until nothing new may be sent to the node.
+    /// Waits until no new request may be sent to the node.
     pub async fn stopped(&self, clock: Clock) {
         let mut stop_at = self.stop_at.clone();
         loop {
             let at = *stop_at.borrow_and_update();
             tokio::select! {
                 () = tokio::time::sleep_until(clock.instant(at)), if at != Micros::MAX => return,
-                // The table forgot the node: what it said last holds.
+                // The table has dropped the node, so the last value is final.
                 changed = stop_at.changed() => if changed.is_err() {
                     match at {
                         Micros::MAX => return std::future::pending().await,
@@ -69,7 +69,7 @@
 struct KnownNode {
     target: NodeTarget,
     stop_at: watch::Sender<Micros>,
-    /// When the list first lacked it, or called it gone.
+    /// When the list first omitted it or listed it as gone.
     removed_at: Option<Micros>,
 }
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// The nodes that this front was told of, until they have been removed for a while.
+/// The nodes that discovery listed. A removed node stays for [`REMOVED_NODE_TTL_US`].
 pub(crate) struct NodeTable {
     drain_grace: Micros,
     ids: HashMap<Arc<str>, NodeId>,
@@ -91,7 +91,7 @@
 }
 
 impl NodeTable {
-    /// No nodes yet; a node that drains may get something new for `drain_grace` after this front was told.
+    /// An empty table. A draining node may get new requests for `drain_grace` after this front was notified that it drains.
     pub(crate) fn new(drain_grace: Micros) -> Self {
         NodeTable {
             drain_grace,
@@ -105,7 +105,7 @@
         self.drain_grace = drain_grace;
     }
 
-    /// Takes an update of the list, and returns its entries as the balancer has them.
+    /// Applies an update of the list, and returns its entries in the form that the balancer takes.
     pub(crate) fn update(
         &mut self,
         now: Micros,
@@ -138,7 +138,7 @@
         stop_at: Micros,
         listing: &NodeListing,
     ) -> Option<NodeEntry> {
-        let node = self.id_or_new(listing);
+        let node = self.id_or_insert(listing);
         let known = self.known.get_mut(&node)?;
         known.target.address = listing.address;
         known.set_stop_at(|at| match listing.state {
@@ -159,7 +159,7 @@
         })
     }
 
-    fn id_or_new(&mut self, listing: &NodeListing) -> NodeId {
+    fn id_or_insert(&mut self, listing: &NodeListing) -> NodeId {
         if let Some(node) = self.ids.get(listing.name.as_str()) {
             return *node;
         }
@@ -182,12 +182,13 @@
         node
     }
 
-    /// Nodes come and go all day under ever new names: those that were removed a while ago are forgotten.
+    /// Drops nodes that were removed at least [`REMOVED_NODE_TTL_US`] ago. Replaced nodes return under new names, so that the table would
+    /// otherwise grow without bound.
     fn forget_removed(&mut self, now: Micros) {
         self.known.retain(|_, known| {
             known
                 .removed_at
-                .is_none_or(|at| now - at < REMOVED_MEMORY_US)
+                .is_none_or(|at| now - at < REMOVED_NODE_TTL_US)
         });
         self.ids.retain(|_, node| self.known.contains_key(node));
     }
@@ -197,7 +198,7 @@
         self.ids.get(name).copied()
     }
 
-    /// How to reach a node.
+    /// The data needed to send to a node.
     pub(crate) fn target(&self, node: NodeId) -> Option<NodeTarget> {
         self.known.get(&node).map(|known| known.target.clone())
     }
--- a/crates/request-engine/src/open_requests.rs
+++ b/crates/request-engine/src/open_requests.rs
@@ -8,18 +8,18 @@
 use std::collections::BTreeMap;
 use tokio::sync::mpsc;
 
-/// An attempt whose end was not reported yet.
+/// An attempt whose outcome has not been reported.
 #[derive(Clone, Copy)]
 pub(crate) struct InFlightAttempt {
     pub(crate) number: u16,
     pub(crate) node: NodeId,
     pub(crate) sent: Micros,
-    /// The shard for which it was sent.
+    /// The shard that the request had when the attempt was sent.
     pub(crate) shard: Option<Shard>,
 }
 
 impl InFlightAttempt {
-    /// What the balancer is told of its end.
+    /// The balancer's record of its outcome.
     pub(crate) fn ended(
         &self,
         now: Micros,
@@ -50,11 +50,11 @@
 
 /// An open request.
 pub(crate) struct OpenRequest {
-    /// The request as it is now: its shard may have changed since it was opened.
+    /// The request with its current shard, which may have changed since the request was opened.
     pub(crate) request: Request,
     /// The shard that its client named.
     pub(crate) client_shard: Option<Shard>,
-    /// Set once it is over for its client; attempts may still be in flight.
+    /// Set once the request has ended for its client; attempts may still be in flight.
     pub(crate) end: Option<ClientEnd>,
     pub(crate) in_flight: Vec<InFlightAttempt>,
     pub(crate) attempts_sent: u16,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Gives an order to the owner. False: the owner has gone. The queue always has room; see
+    /// Gives an order to the owner. Returns false if the owner has ended. The queue is never full; see
     /// [`order_queue_length`](crate::order::order_queue_length).
     pub(crate) fn give(&self, order: Order) -> bool {
         self.orders.try_send(order).is_ok()
@@ -107,7 +107,7 @@
         self.bytes_forwarded += bytes;
     }
 
-    /// Marks it as over for its client, unless it is already.
+    /// Marks the request as ended for its client, unless it has ended already.
     pub(crate) fn end_for_client(&mut self, now: Micros, end: FlowEnd) {
         self.end = self.end.or(Some(ClientEnd { end, at: now }));
     }
@@ -133,7 +133,7 @@
 }
 
 impl OpenRequests {
-    /// Has each finished request sent there; where that queue is full, it is dropped.
+    /// Sends a record of each finished request to this queue. When the queue is full, the record is dropped.
     pub(crate) fn export_to(&mut self, finished: mpsc::Sender<Flow>) {
         self.finished = Some(finished);
     }
@@ -154,8 +154,8 @@
         self.by_id.values()
     }
 
-    /// Forgets a request that is over and has no attempt in flight. Its owner then sees the end of its orders.
-    pub(crate) fn forget_if_over(&mut self, id: RequestId) {
+    /// Removes a request that has ended and has no attempt in flight. This closes its queue of orders.
+    pub(crate) fn remove_if_ended(&mut self, id: RequestId) {
         let Some(end) = self
             .get(id)
             .filter(|open| open.in_flight.is_empty())
@@ -167,7 +167,7 @@
             return;
         };
         if let Some(finished) = &self.finished {
-            // A slow exporter costs records, never time.
+            // A slow exporter loses records; it never delays the engine.
             let _ = finished.try_send(open.flow(end));
         }
     }
--- a/crates/request-engine/src/order.rs
+++ b/crates/request-engine/src/order.rs
@@ -1,12 +1,12 @@
-//! What the engine has the owner of a request do.
+//! The orders of the engine to the owner of a request.
 
 use crate::node_table::NodeTarget;
 use crate::send_permit::SendPermit;
 use lupinrack_policy::{Micros, Settings};
 use std::time::Duration;
 
-/// The most attempts of one request for which a queue of orders has room.
-const ATTEMPTS_MOST: u32 = 1024;
+/// The largest number of attempts for which a request's queue of orders has capacity.
+const MAX_ATTEMPTS: u32 = 1024;
 
 /// An order to the owner of a request.
 #[derive(Debug)]
@@ -17,7 +17,7 @@
     Cancel(u16),
     /// Move the units that were requested.
     Grant,
-    /// Final answer: rejected. The client may come back after the time given.
+    /// Final answer: rejected. The client may retry after the time given.
     Reject(Option<Duration>),
     /// Final answer: failed.
     Fail,
@@ -32,14 +32,15 @@
     pub target: NodeTarget,
     /// When to stop waiting for its answer.
     pub timeout_at: Micros,
-    /// From this reading on it must not begin: the quota that it draws on has expired, or nodes may have forgotten what it repeats.
+    /// The clock reading from which on it must not start: the quota that it draws on has expired, or nodes may have forgotten the
+    /// request that it retries.
     pub begin_by: Micros,
-    /// The permit for sending it once.
+    /// The permit to send it once.
     pub permit: SendPermit,
 }
 
 /// The length of a request's queue of orders under these settings. A `Send` and a `Cancel` for each attempt, one `Grant` at a time and
-/// one final answer always have room.
+/// one final answer always fit.
 pub(crate) fn order_queue_length(settings: &Settings) -> usize {
-    2 * settings.max_attempts.clamp(1, ATTEMPTS_MOST) as usize + 3
+    2 * settings.max_attempts.clamp(1, MAX_ATTEMPTS) as usize + 3
 }
--- a/crates/request-engine/src/request_handle.rs
+++ b/crates/request-engine/src/request_handle.rs
@@ -1,4 +1,4 @@
-//! An open request as its owner sees it.
+//! The handle of an open request for its owner.
 
 use crate::input::{Input, Report};
 use crate::order::Order;
@@ -6,15 +6,15 @@
 use lupinrack_policy::{LoadReport, Outcome, RequestId};
 use tokio::sync::mpsc;
 
-/// One open request, owned by the task that serves it. If it is dropped before the request is over, the client counts as gone and the
-/// attempts in flight as reset.
+/// An open request, owned by the task that serves it. If the handle is dropped before the request has ended, the client counts as
+/// disconnected and the attempts in flight as reset.
 pub struct RequestHandle {
     reporter: RequestReporter,
     orders: mpsc::Receiver<Order>,
-    over: bool,
+    is_over: bool,
 }
 
-/// The way from a request back to the engine, for whoever makes its attempts.
+/// Reports on a request to the engine, for the tasks that make its attempts.
 #[derive(Clone)]
 pub struct RequestReporter {
     request: RequestId,
@@ -30,14 +30,14 @@
         RequestHandle {
             reporter: RequestReporter { request, inputs },
             orders,
-            over: false,
+            is_over: false,
         }
     }
 
-    /// The next order; `None` once the request is over and none of its attempts is in flight.
+    /// The next order; `None` once the request has ended and none of its attempts is in flight.
     pub async fn next_order(&mut self) -> Option<Order> {
         let order = self.orders.recv().await;
-        self.over |= order.is_none();
+        self.is_over |= order.is_none();
         order
     }
 
@@ -48,12 +48,12 @@
 }
 
 impl RequestReporter {
-    /// Reports that the answer of an attempt has begun to reach the client: the attempt is not repeated from now on.
+    /// Reports that the client has received the first part of an attempt's response: the request is not retried from now on.
     pub async fn response_started(&self, attempt: u16) {
         self.send(Report::ResponseStarted { attempt }).await;
     }
 
-    /// Asks to move more units of a transfer in progress; [`Order::Grant`] allows it.
+    /// Requests more units for a transfer in progress; [`Order::Grant`] grants them.
     pub async fn request_units(&self, units: f64) {
         self.send(Report::UnitsRequested(units)).await;
     }
@@ -73,13 +73,13 @@
         .await;
     }
 
-    /// Reports that a node rejected an attempt because the data is on another shard, as of the version `hint` of the map. It did not
-    /// run.
+    /// Reports that a node rejected an attempt because the data is on another shard, as of the version `hint` of the map. The attempt
+    /// did not run.
     pub async fn wrong_shard(&self, attempt: u16, hint: Option<Version>) {
         self.send(Report::WrongShard { attempt, hint }).await;
     }
 
-    /// Reports that the client disconnected: it needs no answer any more.
+    /// Reports that the client disconnected and needs no answer.
     pub async fn client_gone(&self) {
         self.send(Report::ClientGone).await;
     }
@@ -92,15 +92,15 @@
     }
 
     async fn send(&self, report: Report) {
-        // An error means that the engine has ended, and with it the request.
+        // An error means that the engine has ended, and the request with it.
         let _ = self.inputs.send(self.input(report)).await;
     }
 }
 
 impl Drop for RequestHandle {
     fn drop(&mut self) {
-        // An owner that ends early (its connection's task was dropped) must not leave the balancer waiting.
-        if self.over {
+        // When the owner ends early, as when its connection's task is dropped, the balancer must not wait for its reports.
+        if self.is_over {
             return;
         }
         let inputs = self.reporter.inputs.clone();
--- a/crates/request-engine/src/send_permit.rs
+++ b/crates/request-engine/src/send_permit.rs
@@ -1,10 +1,10 @@
-//! The permit for sending an attempt once.
+//! The permit to send an attempt once.
 
 /// A permit to send one request to a node, once.
 ///
-/// Only the engine makes one, in each [`Attempt`](crate::Attempt) that its balancer orders, and sending takes it by value. It cannot be
-/// copied, so a request that may not be repeated cannot be sent a second time without another order, which the balancer gives only
-/// where it may. Sending once compiles:
+/// Only the engine creates permits, one for each [`Attempt`](crate::Attempt) that its balancer orders, and sending takes the permit by
+/// value. It cannot be copied. A request that must not be retried therefore cannot be sent again without a second order, and the
+/// balancer gives that order only where a retry is allowed. Sending once compiles:
 ///
 /// ```
 /// fn send(_: lupinrack_request_engine::SendPermit) {}
@@ -25,7 +25,7 @@
 /// }
 /// ```
 ///
-/// Nor can a permit be made elsewhere:
+/// A permit cannot be created outside of the engine:
 ///
 /// ```compile_fail,E0423
 /// let permit = lupinrack_request_engine::SendPermit(());
--- a/crates/request-engine/src/timers.rs
+++ b/crates/request-engine/src/timers.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// All timers that have not expired yet. A timer cannot be reset: the balancer ignores tokens that it no longer waits for.
+/// The timers that have not expired. They cannot be cancelled: the balancer ignores tokens that it no longer waits for.
 #[derive(Default)]
 pub(crate) struct Timers(BinaryHeap<Reverse<(Micros, u32)>>);
 
@@ -13,12 +13,12 @@
         self.0.push(Reverse((at, token)));
     }
 
-    /// The moment at which the next one expires.
+    /// When the next timer expires.
     pub(crate) fn next_at(&self) -> Option<Micros> {
         self.0.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Takes one that has expired, the earliest first, and returns its token.
+    /// Removes the earliest timer if it has expired, and returns its token.
     pub(crate) fn take_expired(&mut self, now: Micros) -> Option<u32> {
         if self.next_at()? > now {
             return None;
--- a/crates/request-engine/tests/node_table.rs
+++ b/crates/request-engine/tests/node_table.rs
@@ -1,8 +1,8 @@
-//! Nodes that were removed are forgotten, names and numbers alike.
+//! The node table drops removed nodes, both their names and their numbers.
 
 #[allow(
     dead_code,
-    reason = "the table is private to the engine, and needs only a part of its clock"
+    reason = "the table is private to the engine, and uses only a part of its clock"
 )]
 #[path = "../src/clock.rs"]
 mod clock;
@@ -26,7 +26,7 @@
     }
 }
 
-/// Whether a node is known, which its name and its number have to agree on.
+/// Whether the table has the node. The lookups by name and by number must agree.
 fn is_known(nodes: &NodeTable, second: u32) -> bool {
     let by_name = nodes.id(&format!("s-{second}")).is_some();
     let by_number = nodes.target(NodeId(second)).is_some();
@@ -35,10 +35,10 @@
 }
 
 #[test]
-fn hours_of_replaced_nodes_leave_no_names_behind() {
+fn removed_nodes_are_dropped_while_nodes_are_replaced_for_hours() {
     let mut nodes = NodeTable::new(1_000_000);
     let mut last = None;
-    // Every node enters under a number of its own and never comes back, so those known before and the new one are all.
+    // Every node has a new number and none returns, so only the nodes known before and the new one can be in the table.
     let mut known: Vec<u32> = Vec::new();
     for second in 0..10_000 {
         let now = 1_000_000 * i64::from(second);
@@ -54,7 +54,7 @@
         let entries = nodes.update(now, kind, list);
         assert!(
             last.replace(entries[0].node) < Some(entries[0].node),
-            "a number is never used again"
+            "a node number was reused"
         );
         known.push(second);
         known.retain(|second| is_known(&nodes, *second));
