--- a/crates/fleet-driver/src/lib.rs
+++ b/crates/fleet-driver/src/lib.rs
@@ -221,7 +221,7 @@
             let now = clock.now();
             if now >= next {
                 next = now + step;
-                if *phase.borrow() >= Phase::Closing {
+                if *phase.borrow() >= Phase::Draining {
                     front.leave(now, &mut out);
                 }
                 if now >= ask {
--- a/crates/graceful-shutdown/src/lib.rs
+++ b/crates/graceful-shutdown/src/lib.rs
@@ -1,7 +1,8 @@
-//! A planned end: first not ready, then no more requests, then out once all that was taken is answered.
+//! Graceful shutdown: the front first reports that it is not ready, then takes no more requests, and ends once it has
+//! answered every request that it accepted.
 //!
-//! Clients do not go elsewhere at once: they use the connections they have for as long as these stay open, and what
-//! finds none is lost to them. So the front serves on for most of the time it is sure to have.
+//! Clients do not move to another front at once: they use their connections for as long as these stay open, and a request
+//! that finds no connection fails. The front therefore keeps serving for most of the time before the platform may kill it.
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
 
@@ -9,85 +10,91 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// What the platform gives a front beyond the longest deadline before it kills it, and the most it counts for that.
-const BEYOND: Duration = Duration::from_millis(700);
-const DEADLINE_MOST: Duration = Duration::from_secs(3);
-/// How long before that no further request is taken, and the last ones are answered whatever they wait for.
-const FINISH: Duration = Duration::from_millis(1_000);
-const ANSWER: Duration = Duration::from_millis(300);
+/// The platform kills a front no sooner than this time after the longest deadline.
+const KILL_MARGIN: Duration = Duration::from_millis(700);
+/// The largest deadline that the platform counts for this.
+const MAX_DEADLINE: Duration = Duration::from_secs(3);
+/// How long before the kill the front stops taking requests.
+const DRAIN_BEFORE_KILL: Duration = Duration::from_millis(1_000);
+/// How long before the kill the front answers all open requests, even unfinished ones.
+const ANSWER_BEFORE_KILL: Duration = Duration::from_millis(300);
 
-/// Whether the front is on its way out.
+/// The phase of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// Serving.
     Ready,
-    /// Told to end: not ready, but connections, new ones too, are served on.
-    Ending,
-    /// No new connections, and the open ones close; what was taken is finished.
-    Closing,
-    /// What is still open is answered at once.
-    Over,
+    /// A signal was received: the front reports that it is not ready, but still serves old and new connections.
+    NotReady,
+    /// The front accepts no connections and closes the open ones; it finishes the requests that it accepted.
+    Draining,
+    /// All requests that are still open are answered at once.
+    GraceExpired,
 }
 
-/// When each phase begins, from the signal on.
+/// When each phase begins, counted from the signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// The phase [`Phase::Closing`].
-    pub closing: Duration,
-    /// The phase [`Phase::Over`].
-    pub over: Duration,
+    /// The start of [`Phase::Draining`].
+    pub draining_after: Duration,
+    /// The start of [`Phase::GraceExpired`].
+    pub grace_expires_after: Duration,
 }
 
 impl Plan {
-    /// As the deadlines of the settings allow: the platform kills no sooner than the longest of them and a little.
+    /// Plans the phases within the time that the platform grants: the longest deadline of the settings plus a margin.
     pub fn new(settings: &Settings) -> Plan {
-        let longest = settings
+        let longest_deadline_us = settings
             .classes
             .iter()
-            .map(|c| c.deadline.max(0) as u64)
+            .map(|class| class.deadline.max(0) as u64)
             .max()
             .unwrap_or(0);
-        let sure = Duration::from_micros(longest).min(DEADLINE_MOST) + BEYOND;
-        let over = sure.saturating_sub(ANSWER);
+        let kill_after = Duration::from_micros(longest_deadline_us).min(MAX_DEADLINE) + KILL_MARGIN;
+        let grace_expires_after = kill_after.saturating_sub(ANSWER_BEFORE_KILL);
         Plan {
-            closing: sure.saturating_sub(FINISH).max(BEYOND).min(over),
-            over,
+            draining_after: kill_after
+                .saturating_sub(DRAIN_BEFORE_KILL)
+                .max(KILL_MARGIN)
+                .min(grace_expires_after),
+            grace_expires_after,
         }
     }
 }
 
-/// Follows the signals; `plan` is asked when one comes, for settings may have changed since the start.
+/// Waits for SIGTERM or SIGINT and then advances the phase. `plan` is called when the signal arrives, because the settings may have
+/// changed since the start.
 pub fn watch(plan: impl Fn() -> Plan + Send + 'static) -> std::io::Result<watch::Receiver<Phase>> {
     use tokio::signal::unix::{signal, SignalKind};
-    let (mut term, mut int) = (
+    let (mut sigterm, mut sigint) = (
         signal(SignalKind::terminate())?,
         signal(SignalKind::interrupt())?,
     );
-    let (tell, phase) = watch::channel(Phase::Ready);
+    let (phase_sender, phase) = watch::channel(Phase::Ready);
     tokio::spawn(async move {
         tokio::select! {
-            _ = term.recv() => {}
-            _ = int.recv() => {}
+            _ = sigterm.recv() => {}
+            _ = sigint.recv() => {}
         }
-        tracing::info!("told to end");
-        advance(&tell, plan()).await;
+        tracing::info!("received a shutdown signal");
+        advance(&phase_sender, plan()).await;
     });
     Ok(phase)
 }
 
-/// Goes through the phases.
-pub async fn advance(tell: &watch::Sender<Phase>, plan: Plan) {
-    let _ = tell.send(Phase::Ending);
-    tokio::time::sleep(plan.closing).await;
-    let _ = tell.send(Phase::Closing);
-    tokio::time::sleep(plan.over.saturating_sub(plan.closing)).await;
-    let _ = tell.send(Phase::Over);
-    tell.closed().await;
+/// Publishes each phase when it begins.
+pub async fn advance(phase_sender: &watch::Sender<Phase>, plan: Plan) {
+    let _ = phase_sender.send(Phase::NotReady);
+    tokio::time::sleep(plan.draining_after).await;
+    let _ = phase_sender.send(Phase::Draining);
+    tokio::time::sleep(plan.grace_expires_after.saturating_sub(plan.draining_after)).await;
+    let _ = phase_sender.send(Phase::GraceExpired);
+    phase_sender.closed().await;
 }
 
-/// Ends once the front has come to this phase; never, where nobody tells of phases any more.
+/// Waits until the front has reached this phase; forever if the sender of phases was dropped before.
 pub async fn reached(phase: &mut watch::Receiver<Phase>, at: Phase) {
-    if phase.wait_for(|p| *p >= at).await.is_err() {
+    if phase.wait_for(|current| *current >= at).await.is_err() {
         std::future::pending().await
     }
 }
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,83 +1,84 @@
-//! Several processes that are one front: which part of its limits each may use, so that the parts never add up past the
-//! whole, whichever starts, dies or stalls at any step.
+//! Hot restart: several processes of one front share its limits. Their shares never add up to more than the limits,
+//! whichever process starts, dies or stalls at any step.
 //!
-//! Each publishes the part that it keeps. A process may have what those before it, as far as they live, have not kept.
-//! While another lives after it, its own part may only fall: the one after it goes by what it has read. [`Share`] decides,
-//! without I/O; [`Post`] holds the files.
+//! Each process publishes its share. A process may use what the running processes that are older than it do not use. While a
+//! newer process runs, the share of an older one may only fall, because the newer one relies on the share that it has read.
+//! [`ProcessShare`] decides, without I/O; [`ShareFile`] publishes and reads the shares.
 #![warn(missing_docs)]
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub)]
 
-pub mod post;
+pub mod share_file;
 
-pub use post::Post;
+pub use share_file::ShareFile;
 
-/// What a process that has another after it keeps of what it may have: while it serves, and once it is told to end.
-const KEPT: (f64, f64) = (0.5, 0.1);
+/// The part of its available share that a process keeps while a newer one runs: while it serves, and once it shuts down.
+const KEPT_BESIDE_NEWER: (f64, f64) = (0.5, 0.1);
 
-/// What a process sees of the others.
+/// The other running processes of the front.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Seen {
-    /// What the living ones before it keep.
-    pub before: Vec<f64>,
-    /// Whether one that was started after it lives.
-    pub after: bool,
+pub struct OtherProcesses {
+    /// The published shares of the processes that are older than this one.
+    pub older_shares: Vec<f64>,
+    /// Whether a process newer than this one runs.
+    pub has_newer: bool,
 }
 
-/// What is to be done after a look at the others.
+/// The next step after the other processes were read.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Step {
-    /// Nothing.
-    Rest,
-    /// Use this part from now on, and once it is used publish it.
+    /// Keep the share in use.
+    Keep,
+    /// Use this share from now on, and publish it once it is in use.
     Use(f64),
-    /// Publish this part, use nothing more yet, and look again.
+    /// Publish this share, do not use it yet, and read the other processes again.
     Announce(f64),
 }
 
-/// One process's part. It begins with nothing.
+/// The share of one process, initially zero.
 #[derive(Clone, Debug, Default)]
-pub struct Share {
+pub struct ProcessShare {
     used: f64,
-    /// Announced, and not used before another look: one that was started meanwhile may have read the old word.
+    /// A published increase. It is not used before the other processes have been read again, because one that started meanwhile may have
+    /// read the former share.
     announced: Option<f64>,
 }
 
-impl Share {
-    /// The part in use.
+impl ProcessShare {
+    /// The share in use.
     pub fn used(&self) -> f64 {
         self.used
     }
 
-    /// Takes a look at the others.
-    pub fn seen(&mut self, seen: &Seen, ending: bool) -> Step {
-        let part = decide(self.used, seen, ending);
-        let part = match self.announced.take() {
-            Some(announced) => part.min(announced),
-            None if part > self.used => {
-                self.announced = Some(part);
-                return Step::Announce(part);
+    /// Decides the next step from the other processes.
+    pub fn update(&mut self, others: &OtherProcesses, is_shutting_down: bool) -> Step {
+        let share = decide(self.used, others, is_shutting_down);
+        let share = match self.announced.take() {
+            Some(announced) => share.min(announced),
+            None if share > self.used => {
+                self.announced = Some(share);
+                return Step::Announce(share);
             }
-            None if part == self.used => return Step::Rest,
-            None => part,
+            None if share == self.used => return Step::Keep,
+            None => share,
         };
-        self.used = part;
-        Step::Use(part)
+        self.used = share;
+        Step::Use(share)
     }
 
-    /// What was announced could not be published.
-    pub fn unheard(&mut self) {
+    /// Withdraws an announced increase that could not be published.
+    pub fn announcement_failed(&mut self) {
         self.announced = None;
     }
 }
 
-/// The part to keep, from the part kept so far.
-fn decide(kept: f64, seen: &Seen, ending: bool) -> f64 {
-    let whole = (1.0 - seen.before.iter().sum::<f64>()).clamp(0.0, 1.0);
-    match (seen.after, ending) {
-        (false, _) => whole,
-        (true, false) => kept.min(whole * KEPT.0),
-        (true, true) => kept.min(whole * KEPT.1),
+/// The share that the process may use, given the share in use.
+fn decide(used: f64, others: &OtherProcesses, is_shutting_down: bool) -> f64 {
+    let available = (1.0 - others.older_shares.iter().sum::<f64>()).clamp(0.0, 1.0);
+    match (others.has_newer, is_shutting_down) {
+        (false, _) => available,
+        (true, false) => used.min(available * KEPT_BESIDE_NEWER.0),
+        (true, true) => used.min(available * KEPT_BESIDE_NEWER.1),
     }
 }
 
@@ -87,125 +88,136 @@
 
     #[derive(Clone, Default)]
     struct Process {
-        share: Share,
+        share: ProcessShare,
         published: f64,
-        /// What its module really uses, which follows its share a step later.
+        /// The share that its balancer uses, which follows `share` one step later.
         uses: f64,
-        alive: bool,
-        ending: bool,
-        /// Done one at a time, any number of steps of the others between.
+        is_running: bool,
+        is_shutting_down: bool,
+        /// The pending step. Other processes may make any number of steps before it is done.
         next: Option<Step>,
-        saw: Option<Seen>,
+        others: Option<OtherProcesses>,
     }
 
-    fn look(all: &[Process], me: usize) -> Seen {
-        let before = all[..me]
+    fn read_others(processes: &[Process], index: usize) -> OtherProcesses {
+        let older_shares = processes[..index]
             .iter()
-            .filter(|p| p.alive)
+            .filter(|p| p.is_running)
             .map(|p| p.published)
             .collect();
-        Seen {
-            before,
-            after: all[me + 1..].iter().any(|p| p.alive),
+        OtherProcesses {
+            older_shares,
+            has_newer: processes[index + 1..].iter().any(|p| p.is_running),
         }
     }
 
-    /// Random starts, deaths, stalls and ends between any two steps of a driver: look, decide, use, publish. With `rash`, what
-    /// is announced is used at once. The most that was used together.
-    fn play(seed: u64, rash: bool) -> f64 {
-        let mut dice = fastrand::Rng::with_seed(seed);
-        let mut all = vec![Process {
-            alive: true,
+    /// Random starts, crashes, stalls and shutdowns between any two steps of a driver: read, decide, use, publish. With
+    /// `uses_announced`, an announced share is used at once. Returns the largest total in use at any time.
+    fn simulate(seed: u64, uses_announced: bool) -> f64 {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let mut processes = vec![Process {
+            is_running: true,
             ..Process::default()
         }];
-        let mut most = 0.0_f64;
+        let mut max_total = 0.0_f64;
         for _ in 0..600 {
-            let me = dice.usize(0..all.len());
-            match dice.u32(0..24) {
-                0 if all.len() < 12 => all.push(Process {
-                    alive: true,
+            let index = rng.usize(0..processes.len());
+            match rng.u32(0..24) {
+                0 if processes.len() < 12 => processes.push(Process {
+                    is_running: true,
                     ..Process::default()
                 }),
-                1 if all.iter().filter(|p| p.alive).count() > 1 => {
-                    (all[me].alive, all[me].uses) = (false, 0.0)
+                1 if processes.iter().filter(|p| p.is_running).count() > 1 => {
+                    (processes[index].is_running, processes[index].uses) = (false, 0.0)
                 }
-                2 => all[me].ending = true,
-                _ if !all[me].alive => {}
-                _ => match (all[me].next.take(), all[me].saw.take()) {
-                    (None, None) => all[me].saw = Some(look(&all, me)),
-                    (None, Some(saw)) => {
-                        let ending = all[me].ending;
-                        all[me].next =
-                            Some(all[me].share.seen(&saw, ending)).filter(|s| *s != Step::Rest);
+                2 => processes[index].is_shutting_down = true,
+                _ if !processes[index].is_running => {}
+                _ => match (processes[index].next.take(), processes[index].others.take()) {
+                    (None, None) => processes[index].others = Some(read_others(&processes, index)),
+                    (None, Some(others)) => {
+                        let is_shutting_down = processes[index].is_shutting_down;
+                        processes[index].next =
+                            Some(processes[index].share.update(&others, is_shutting_down))
+                                .filter(|s| *s != Step::Keep);
                     }
-                    // A disk that is full, now and then.
-                    (Some(Step::Announce(_)), _) if dice.u32(0..10) == 0 => all[me].share.unheard(),
-                    (Some(Step::Announce(part)), _) => {
-                        all[me].published = part;
-                        all[me].uses = if rash { part } else { all[me].uses };
+                    // One in ten announcements fails, as on a full disk.
+                    (Some(Step::Announce(_)), _) if rng.u32(0..10) == 0 => {
+                        processes[index].share.announcement_failed()
                     }
-                    (Some(Step::Use(part)), _) if all[me].uses != part => {
-                        (all[me].uses, all[me].next) = (part, Some(Step::Use(part)));
+                    (Some(Step::Announce(share)), _) => {
+                        processes[index].published = share;
+                        processes[index].uses = if uses_announced {
+                            share
+                        } else {
+                            processes[index].uses
+                        };
                     }
-                    (Some(Step::Use(part)), _) => all[me].published = part,
-                    (Some(Step::Rest), _) => {}
+                    (Some(Step::Use(share)), _) if processes[index].uses != share => {
+                        (processes[index].uses, processes[index].next) =
+                            (share, Some(Step::Use(share)));
+                    }
+                    (Some(Step::Use(share)), _) => processes[index].published = share,
+                    (Some(Step::Keep), _) => {}
                 },
             }
-            most = most.max(all.iter().map(|p| p.uses).sum());
+            max_total = max_total.max(processes.iter().map(|p| p.uses).sum());
         }
-        most
+        max_total
     }
 
     #[test]
-    fn the_parts_never_add_up_past_the_whole_and_what_is_announced_used_at_once_does() {
+    fn shares_add_up_to_at_most_one_unless_announced_shares_are_used_at_once() {
         for seed in 0..4_000 {
-            let most = play(seed, false);
-            assert!(most < 1.0 + 1e-9, "seed {seed}: {most}");
+            let max_total = simulate(seed, false);
+            assert!(max_total < 1.0 + 1e-9, "seed {seed}: {max_total}");
         }
         assert!(
-            (0..4_000).any(|seed| play(seed, true) > 1.0 + 1e-9),
-            "the model can fail"
+            (0..4_000).any(|seed| simulate(seed, true) > 1.0 + 1e-9),
+            "the simulation must find a violation"
         );
     }
 
     #[test]
-    fn the_one_that_stays_gets_all() {
-        let mut old = Share::default();
-        assert_eq!(old.seen(&Seen::default(), false), Step::Announce(1.0));
+    fn the_remaining_process_gets_the_whole_limit() {
+        let mut old = ProcessShare::default();
+        assert_eq!(
+            old.update(&OtherProcesses::default(), false),
+            Step::Announce(1.0)
+        );
         assert_eq!(
-            (old.used(), old.seen(&Seen::default(), false)),
+            (old.used(), old.update(&OtherProcesses::default(), false)),
             (0.0, Step::Use(1.0))
         );
-        assert_eq!(old.seen(&Seen::default(), false), Step::Rest);
-        let after = Seen {
-            before: vec![],
-            after: true,
+        assert_eq!(old.update(&OtherProcesses::default(), false), Step::Keep);
+        let newer = OtherProcesses {
+            older_shares: vec![],
+            has_newer: true,
         };
-        assert_eq!(old.seen(&after, false), Step::Use(0.5));
-        assert_eq!(old.seen(&after, true), Step::Use(0.1));
-        let mut new = Share::default();
-        let both = Seen {
-            before: vec![0.1],
-            after: false,
+        assert_eq!(old.update(&newer, false), Step::Use(0.5));
+        assert_eq!(old.update(&newer, true), Step::Use(0.1));
+        let mut new = ProcessShare::default();
+        let older = OtherProcesses {
+            older_shares: vec![0.1],
+            has_newer: false,
         };
         assert_eq!(
-            (new.seen(&both, false), new.seen(&both, false)),
+            (new.update(&older, false), new.update(&older, false)),
             (Step::Announce(0.9), Step::Use(0.9))
         );
-        // One that published nonsense keeps all, as far as others go.
+        // Older shares that add up to more than 1 leave nothing.
         assert_eq!(
-            Share::default().seen(
-                &Seen {
-                    before: vec![1.0, 0.5],
-                    after: false
+            ProcessShare::default().update(
+                &OtherProcesses {
+                    older_shares: vec![1.0, 0.5],
+                    has_newer: false
                 },
                 false
             ),
-            Step::Rest
+            Step::Keep
         );
-        // One started between word and use: the raise is taken back.
-        let mut late = Share::default();
-        late.seen(&Seen::default(), false);
-        assert_eq!(late.seen(&after, false), Step::Use(0.0));
+        // A newer process started between the announcement and its use: the increase is withdrawn.
+        let mut late = ProcessShare::default();
+        late.update(&OtherProcesses::default(), false);
+        assert_eq!(late.update(&newer, false), Step::Use(0.0));
     }
 }
--- a/crates/hot-restart/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -1,30 +1,30 @@
-//! The files by which the processes of one front know of each other, pinned by the file under `tests/golden/`.
-//! Processes of two versions read each other's files during an upgrade.
+//! The format of the share files, pinned by the golden file in `tests/golden/`. During an upgrade, processes of two
+//! versions read each other's files.
 
 use lupinrack_golden_files::{check_folder, path, GoldenFile};
-use lupinrack_hot_restart::{Post, Seen};
+use lupinrack_hot_restart::{OtherProcesses, ShareFile};
 use std::collections::BTreeMap;
 use std::fs::File;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// The most processes of one front.
-const PROCESSES_MOST: usize = 64;
+/// The largest number of processes of one front.
+const MAX_PROCESSES: usize = 64;
 
 /// A folder for one test, removed at its end.
 struct TestFolder(PathBuf);
 
 impl TestFolder {
     fn new(name: &str) -> TestFolder {
-        static MADE: AtomicU32 = AtomicU32::new(0);
-        let number = MADE.fetch_add(1, Ordering::Relaxed);
+        static FOLDERS_CREATED: AtomicU32 = AtomicU32::new(0);
+        let number = FOLDERS_CREATED.fetch_add(1, Ordering::Relaxed);
         let name = format!("lupinrack-takeover-{}-{name}-{number}", std::process::id());
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path).expect("a folder");
         TestFolder(path)
     }
 
-    /// All files in it, by their names.
+    /// The contents of all files in it, by file name.
     fn files(&self) -> BTreeMap<String, Vec<u8>> {
         let entries = std::fs::read_dir(&self.0).expect("a folder");
         let paths = entries.map(|entry| entry.expect("an entry").path());
@@ -46,8 +46,8 @@
     }
 }
 
-/// Published parts, and what the others read of them.
-const PARTS: [(&str, f64, f64); 9] = [
+/// The names of the examples, the published shares, and the shares that others read.
+const SHARES: [(&str, f64, f64); 9] = [
     ("nothing", 0.0, 0.0),
     ("all", 1.0, 1.0),
     ("half", 0.5, 0.5),
@@ -60,12 +60,12 @@
 ];
 
 #[test]
-fn files_have_the_form_that_other_processes_read() {
+fn files_have_the_format_that_other_processes_read() {
     let folder = TestFolder::new("form");
     let mut file = GoldenFile::open(path!("files.txt"));
-    let old = Post::take(&folder.0).expect("a place");
-    for (name, part, _) in PARTS {
-        old.publish(part).expect("published");
+    let old = ShareFile::create(&folder.0).expect("a share file");
+    for (name, share, _) in SHARES {
+        old.publish(share).expect("published");
         for (file_name, bytes) in folder.files() {
             file.add(
                 format!("{name} | {file_name}"),
@@ -74,7 +74,7 @@
         }
     }
     old.publish(0.25).expect("published");
-    let new = Post::take(&folder.0).expect("a place");
+    let new = ShareFile::create(&folder.0).expect("a share file");
     for (file_name, bytes) in folder.files() {
         file.add(
             format!("two processes | {file_name}"),
@@ -82,43 +82,43 @@
         );
     }
     assert_eq!(
-        new.look().expect("a look"),
-        Seen {
-            before: vec![0.25],
-            after: false
+        new.read_others().expect("the other processes"),
+        OtherProcesses {
+            older_shares: vec![0.25],
+            has_newer: false
         }
     );
     assert_eq!(
-        old.look().expect("a look"),
-        Seen {
-            before: vec![],
-            after: true
+        old.read_others().expect("the other processes"),
+        OtherProcesses {
+            older_shares: vec![],
+            has_newer: true
         }
     );
-    let kept = file.check();
-    for (name, _, read) in PARTS {
-        let text = kept
+    let golden = file.check();
+    for (name, _, read) in SHARES {
+        let text = golden
             .text(&format!("{name} | lupinrack-part-1"))
             .replace("\\n", "\n");
-        assert_eq!(read_by_the_next(text.as_bytes()), [read], "{name}");
+        assert_eq!(read_by_new_process(text.as_bytes()), [read], "{name}");
     }
 }
 
-/// What the next process reads of a living one with this file.
-fn read_by_the_next(bytes: &[u8]) -> Vec<f64> {
+/// The older shares that a new process reads when a running process has this file.
+fn read_by_new_process(bytes: &[u8]) -> Vec<f64> {
     let folder = TestFolder::new("read");
     let path = folder.0.join("lupinrack-part-1");
     std::fs::write(&path, bytes).expect("a file");
-    let living = File::open(&path).expect("a file");
-    living.lock().expect("a lock");
-    let next = Post::take(&folder.0).expect("a place");
-    let seen = next.look().expect("a look");
-    assert!(!seen.after);
-    seen.before
+    let running = File::open(&path).expect("a file");
+    running.lock().expect("a lock");
+    let new = ShareFile::create(&folder.0).expect("a share file");
+    let others = new.read_others().expect("the other processes");
+    assert!(!others.has_newer);
+    others.older_shares
 }
 
 #[test]
-fn a_file_that_cannot_be_read_may_keep_all() {
+fn a_malformed_file_counts_as_a_share_of_one() {
     for damaged in [
         "",
         "0500000",
@@ -126,17 +126,19 @@
         "nonsense\n",
         "0500000x1234567\n",
     ] {
-        assert_eq!(read_by_the_next(damaged.as_bytes()), [1.0], "{damaged}");
+        assert_eq!(read_by_new_process(damaged.as_bytes()), [1.0], "{damaged}");
     }
 }
 
 #[test]
-fn errors_are_told_as_before() {
+fn error_texts_match_the_golden_file() {
     let folder = TestFolder::new("errors");
-    for number in 1..=PROCESSES_MOST {
+    for number in 1..=MAX_PROCESSES {
         std::fs::write(folder.0.join(format!("lupinrack-part-{number}")), "").expect("a file");
     }
-    let error = Post::take(&folder.0).expect_err("no room").to_string();
+    let error = ShareFile::create(&folder.0)
+        .expect_err("too many files")
+        .to_string();
     let mut file = GoldenFile::open(path!("errors.txt"));
     file.add(
         "no room",
@@ -146,6 +148,6 @@
 }
 
 #[test]
-fn every_golden_file_is_compared() {
+fn every_golden_file_is_checked() {
     check_folder(path!(), ["errors.txt", "files.txt"]);
 }
--- a/crates/http/src/accept.rs
+++ b/crates/http/src/accept.rs
@@ -109,7 +109,7 @@
         number += 1;
     }
     // What the system took until now would be reset with the queue, its requests unheard: look at it once more, then take what is left.
-    if last >= Phase::Closing {
+    if last >= Phase::Draining {
         let until = Instant::now() + LOOK;
         while let Ok(Ok((stream, _))) = tokio::time::timeout_at(until, listener.accept()).await {
             serve(number, stream).await;
@@ -122,7 +122,7 @@
     }
     drop(listener);
     tokio::select! {
-        () = reached(&mut phase, Phase::Closing) => {}
+        () = reached(&mut phase, Phase::Draining) => {}
         () = places.empty() => {}
     }
     // A request that is on its way to a connection without one is heard, where it comes at once.
--- a/crates/http/src/gate.rs
+++ b/crates/http/src/gate.rs
@@ -398,7 +398,7 @@
             }
             let (due, closing) = (framing.due(), framing.closing);
             // While the front is ending, a client cannot come back on another connection.
-            let kept = framing.idle() && *this.phase.borrow() == Phase::Ending;
+            let kept = framing.idle() && *this.phase.borrow() == Phase::NotReady;
             // The last of an answer may still wait for its client: to the library, an end now would be a client that has gone,
             // and it would cut the answer off.
             let over = this.stuck.is_none() && (closing || (!kept && this.patience_over(cx, due)));
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -137,7 +137,7 @@
             // An answer too long to be collected: from here on it belongs to the client, and is never made again.
             Some(begun) = begun.recv() => begin(&mut client, &reporter, begun).await,
             // The program must be out in a moment: whatever this waits for, its client hears now.
-            () = reached(&mut phase, Phase::Over), if client.is_some() => {
+            () = reached(&mut phase, Phase::GraceExpired), if client.is_some() => {
                 answer(&mut client, Answer::Whole(failed()));
                 reporter.client_gone().await;
             }
--- a/crates/lupinrack/src/serve.rs
+++ b/crates/lupinrack/src/serve.rs
@@ -283,9 +283,9 @@
     );
     // Another process takes from an inherited socket: this one stops at once, not when it must.
     let last = if shared {
-        Phase::Ending
+        Phase::NotReady
     } else {
-        Phase::Closing
+        Phase::Draining
     };
     let front = accept::Front {
         core: handle.clone(),
--- a/crates/lupinrack/src/takeover.rs
+++ b/crates/lupinrack/src/takeover.rs
@@ -2,7 +2,7 @@
 //! publishes it.
 
 use lupinrack_graceful_shutdown::Phase;
-use lupinrack_hot_restart::{Post, Share, Step};
+use lupinrack_hot_restart::{ProcessShare, ShareFile, Step};
 use lupinrack_request_engine::EngineHandle;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -17,9 +17,9 @@
 
 /// This process among those of its front.
 pub struct Takeover {
-    post: Post,
+    post: ShareFile,
     core: EngineHandle,
-    share: Share,
+    share: ProcessShare,
 }
 
 impl Takeover {
@@ -29,7 +29,7 @@
         let folder = std::env::var_os("TMPDIR")
             .map(PathBuf::from)
             .filter(|f| !f.as_os_str().is_empty());
-        let post = match folder.as_deref().map(Post::take) {
+        let post = match folder.as_deref().map(ShareFile::create) {
             Some(Ok(post)) => post,
             Some(Err(why)) => {
                 tracing::warn!("upgrades: no place among the processes of this front: {why}");
@@ -44,7 +44,7 @@
         let mut takeover = Takeover {
             post,
             core,
-            share: Share::default(),
+            share: ProcessShare::default(),
         };
         let began = Instant::now();
         while takeover.share.used() <= 0.0 && began.elapsed() < FIRST {
@@ -60,20 +60,20 @@
     pub async fn run(mut self, phase: watch::Receiver<Phase>) {
         loop {
             sleep(EVERY).await;
-            let ending = *phase.borrow() >= Phase::Ending;
+            let ending = *phase.borrow() >= Phase::NotReady;
             self.step(ending).await;
         }
     }
 
     async fn step(&mut self, ending: bool) {
         // A folder that cannot be read tells nothing of the others: the part stays.
-        while let Ok(seen) = self.post.look() {
-            match self.share.seen(&seen, ending) {
-                Step::Rest => return,
+        while let Ok(seen) = self.post.read_others() {
+            match self.share.update(&seen, ending) {
+                Step::Keep => return,
                 Step::Announce(part) => {
                     if let Err(why) = self.post.publish(part) {
                         tracing::debug!("upgrades: {why}");
-                        return self.share.unheard();
+                        return self.share.announcement_failed();
                     }
                 }
                 Step::Use(part) => {
--- a/crates/lupinrack/tests/allocations.rs
+++ b/crates/lupinrack/tests/allocations.rs
@@ -109,7 +109,7 @@
     runtime.block_on(async { tokio::time::sleep(Duration::from_secs(3)).await });
     asks(1, WARM);
     let counted = measure(|| asks(WARM, WARM + COUNTED)).count_total;
-    phase.send_replace(Phase::Closing);
+    phase.send_replace(Phase::Draining);
     drop((fronts, held));
     counted as f64 / COUNTED as f64
 }
--- a/crates/lupinrack/tests/common/front.rs
+++ b/crates/lupinrack/tests/common/front.rs
@@ -126,7 +126,7 @@
         ids: Default::default(),
         room: room.clone(),
         figures: Default::default(),
-        last: Phase::Closing,
+        last: Phase::Draining,
     };
     let connect = Duration::from_millis(500);
     let second = daemon::Front {
--- a/crates/lupinrack/tests/crossings.rs
+++ b/crates/lupinrack/tests/crossings.rs
@@ -242,7 +242,7 @@
         let (second, third) = (get(2, "priority", 1, 4_000), get(3, "priority", 1, 4_000));
         used.write_all(&second.as_bytes()[..cut]).await.unwrap();
         let mut fresh = client(&fronts, &third[..cut]).await;
-        fronts.phase.send(Phase::Closing).unwrap();
+        fronts.phase.send(Phase::Draining).unwrap();
         let _ = used.write_all(&second.as_bytes()[cut..]).await;
         let _ = fresh.write_all(&third.as_bytes()[cut..]).await;
         let mut heard = 1;
@@ -273,7 +273,7 @@
     let (fronts, mut taken) = front().await;
     let mut stream = client(&fronts, &get(1, "priority", 1, 4_000)[..30]).await;
     tokio::task::yield_now().await;
-    fronts.phase.send(Phase::Over).unwrap();
+    fronts.phase.send(Phase::GraceExpired).unwrap();
     stream
         .write_all(&get(1, "priority", 1, 4_000).as_bytes()[30..])
         .await
--- a/crates/lupinrack/tests/ending.rs
+++ b/crates/lupinrack/tests/ending.rs
@@ -77,7 +77,7 @@
             .write_all(get(100 + i as u32, "priority", 1, 2_000).as_bytes())
             .unwrap();
     }
-    fronts.phase.send(Phase::Closing).unwrap();
+    fronts.phase.send(Phase::Draining).unwrap();
     for stream in streams {
         stream.set_nonblocking(true).unwrap();
         let mut stream = TcpStream::from_std(stream).unwrap();
--- a/crates/lupinrack/tests/extents.rs
+++ b/crates/lupinrack/tests/extents.rs
@@ -370,7 +370,7 @@
     until(|| room.front.extents.borrow().changes > 0).await;
     assert_eq!(room.ask(4).await, Came::Served);
     assert_eq!(room.fates(1), [Fate::Ran]);
-    room.phase.send_replace(Phase::Closing);
+    room.phase.send_replace(Phase::Draining);
     room.front.ended.await.unwrap().unwrap();
 }
 
--- a/crates/lupinrack/tests/http.rs
+++ b/crates/lupinrack/tests/http.rs
@@ -259,7 +259,7 @@
     until(|| heads.lock().unwrap().len() == 1).await;
     drop(stream);
     // The front ends without waiting for the minute of a client that is gone.
-    fronts.phase.send_replace(Phase::Closing);
+    fronts.phase.send_replace(Phase::Draining);
     timeout(Duration::from_secs(20), fronts.ended)
         .await
         .unwrap()
@@ -274,7 +274,7 @@
     let http = fronts.http;
     let early = tokio::spawn(async move { ask(http, &get(1, "priority", 1, 3_000)).await });
     until(|| heads.lock().unwrap().len() == 1).await;
-    fronts.phase.send_replace(Phase::Ending);
+    fronts.phase.send_replace(Phase::NotReady);
     assert_eq!(status(&ask(fronts.http, ready).await), "503");
     // Connections still come, and are closed with their answer once the front is closing.
     let mut stream = TcpStream::connect(http).await.unwrap();
@@ -283,7 +283,7 @@
         .await
         .unwrap();
     until(|| heads.lock().unwrap().len() == 2).await;
-    fronts.phase.send_replace(Phase::Closing);
+    fronts.phase.send_replace(Phase::Draining);
     let mut late = String::new();
     stream.read_to_string(&mut late).await.unwrap();
     assert!(
@@ -305,7 +305,7 @@
 async fn while_a_front_is_ending_its_clients_connections_serve_on() {
     let (fronts, heads) = front(OK).await;
     let mut stream = TcpStream::connect(fronts.http).await.unwrap();
-    fronts.phase.send_replace(Phase::Ending);
+    fronts.phase.send_replace(Phase::NotReady);
     for i in 0..2 {
         // Longer than a connection may idle otherwise: it could not be replaced.
         tokio::time::sleep(Duration::from_millis(2_300)).await;
@@ -331,7 +331,7 @@
     let http = fronts.http;
     let open = tokio::spawn(async move { ask(http, &put("60000m", "body")).await });
     until(|| heads.lock().unwrap().len() == 1).await;
-    fronts.phase.send_replace(Phase::Over);
+    fronts.phase.send_replace(Phase::GraceExpired);
     let answer = timeout(Duration::from_secs(20), open)
         .await
         .unwrap()
@@ -362,11 +362,12 @@
     ] {
         let (plan, kill) = (plan(deadline), Duration::from_millis(kill));
         assert!(
-            plan.closing >= Duration::from_millis(700),
+            plan.draining_after >= Duration::from_millis(700),
             "new connections come for up to 0.4 s"
         );
         assert!(
-            plan.closing <= plan.over && plan.over + Duration::from_millis(200) <= kill,
+            plan.draining_after <= plan.grace_expires_after
+                && plan.grace_expires_after + Duration::from_millis(200) <= kill,
             "{plan:?}"
         );
     }
--- a/crates/rsync/src/daemon.rs
+++ b/crates/rsync/src/daemon.rs
@@ -67,7 +67,7 @@
             biased;
             Some(_) = sessions.join_next() => continue,
             next = next => next,
-            () = reached(&mut phase, Phase::Closing) => break,
+            () = reached(&mut phase, Phase::Draining) => break,
         };
         let Ok((stream, _)) = stream else {
             tokio::time::sleep(PAUSE).await;
@@ -164,7 +164,7 @@
         let index = tokio::select! {
             biased;
             // Nothing is in hand here: a client that idles must not hold up the program's end.
-            () = reached(&mut phase, Phase::Closing) => return Err(told("this front is ending; come back")),
+            () = reached(&mut phase, Phase::Draining) => return Err(told("this front is ending; come back")),
             index = tokio::time::timeout(IDLE, from.int()) => index.map_err(late)??,
         };
         if index == -1 {
