--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -12,8 +12,8 @@
 
 pub use share_file::ShareFile;
 
-/// The part of its available share that a process keeps while a newer one runs: while it serves, and once it shuts down.
-const KEPT_BESIDE_NEWER: (f64, f64) = (0.5, 0.1);
+/// The fraction of the available share that a process may use while a newer one runs: while it serves, and while it shuts down.
+const FRACTION_BESIDE_NEWER: (f64, f64) = (0.5, 0.1);
 
 /// The other running processes of the front.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -77,8 +77,8 @@
     let available = (1.0 - others.older_shares.iter().sum::<f64>()).clamp(0.0, 1.0);
     match (others.has_newer, is_shutting_down) {
         (false, _) => available,
-        (true, false) => used.min(available * KEPT_BESIDE_NEWER.0),
-        (true, true) => used.min(available * KEPT_BESIDE_NEWER.1),
+        (true, false) => used.min(available * FRACTION_BESIDE_NEWER.0),
+        (true, true) => used.min(available * FRACTION_BESIDE_NEWER.1),
     }
 }
 
@@ -178,7 +178,7 @@
     }
 
     #[test]
-    fn the_remaining_process_gets_the_whole_limit() {
+    fn the_remaining_process_gets_the_full_limit() {
         let mut old = ProcessShare::default();
         assert_eq!(
             old.update(&OtherProcesses::default(), false),
--- a/crates/hot-restart/src/share_file.rs
+++ b/crates/hot-restart/src/share_file.rs
@@ -1,5 +1,5 @@
 //! The files through which the processes of one front exchange their shares. A process runs for as long as it holds the
-//! lock on its file. The kernel releases the lock when the process ends, so an unlocked file stands for no process.
+//! lock on its file. The kernel releases the lock when the process ends, so an unlocked file belongs to no process.
 
 use crate::OtherProcesses;
 use std::fs::{File, OpenOptions, TryLockError};
@@ -85,7 +85,7 @@
                         .and_then(|_| decode(&text));
                     others.has_newer |= sequence > self.sequence;
                     if sequence < self.sequence {
-                        // The owner of a malformed file may use the whole limit.
+                        // The owner of a malformed file may use all of the limits.
                         others.older_shares.push(share.unwrap_or(1.0));
                     }
                 }
