--- a/crates/http/src/accept.rs
+++ b/crates/http/src/accept.rs
@@ -115,7 +115,7 @@
     }
     // Closing the listener resets the connections in its queue, and their requests would be lost. So the queue is polled
     // for a moment, and then emptied.
-    if close_phase >= Phase::Closing {
+    if close_phase >= Phase::Draining {
         let accept_until = Instant::now() + FINAL_ACCEPT_TIME;
         while let Ok(Ok((stream, _))) =
             tokio::time::timeout_at(accept_until, listener.accept()).await
@@ -130,7 +130,7 @@
     }
     drop(listener);
     tokio::select! {
-        () = reached(&mut phase, Phase::Closing) => {}
+        () = reached(&mut phase, Phase::Draining) => {}
         () = slots.all_free() => {}
     }
     // A request that is in flight to an idle connection is still served if it arrives now.
--- a/crates/http/src/client_stream.rs
+++ b/crates/http/src/client_stream.rs
@@ -425,7 +425,7 @@
             }
             let (deadline, closing) = (framing.deadline(), framing.closing);
             // While the front is ending, a client whose idle connection closes cannot connect again.
-            let kept = framing.is_idle() && *this.phase.borrow() == Phase::Ending;
+            let kept = framing.is_idle() && *this.phase.borrow() == Phase::NotReady;
             // While response bytes are still to be written, hyper must not see an end of the input: it would take that for
             // a client that left, and abort the response.
             let expired = this.write_blocked_since.is_none()
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -144,7 +144,7 @@
             // A response is too long to be collected: it now belongs to the client, and is never retried.
             Some(started) = started_responses.recv() => stream_response(&mut client, &reporter, started).await,
             // The process is about to exit: the client gets a response now, whatever is still running.
-            () = reached(&mut phase, Phase::Over), if client.is_some() => {
+            () = reached(&mut phase, Phase::GraceExpired), if client.is_some() => {
                 respond(&mut client, FinalResponse::Complete(failed()));
                 reporter.client_gone().await;
             }
--- a/crates/lupinrack/tests/common/front.rs
+++ b/crates/lupinrack/tests/common/front.rs
@@ -126,7 +126,7 @@
         ids: Default::default(),
         memory: room.clone(),
         figures: Default::default(),
-        close_phase: Phase::Closing,
+        close_phase: Phase::Draining,
     };
     let connect = Duration::from_millis(500);
     let second = daemon::Front {
