--- a/crates/flow-export/src/config.rs
+++ b/crates/flow-export/src/config.rs
@@ -6,15 +6,15 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Why the file cannot be used.
+/// Why the configuration is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{0}: {1}")]
     Read(String, std::io::Error),
-    /// It is not the TOML expected.
+    /// The text is not TOML, or not a section of this form.
     #[error("ipfix: {0}")]
-    Form(#[from] toml::de::Error),
+    Toml(#[from] toml::de::Error),
 }
 
 /// The section as it is written.
@@ -29,35 +29,35 @@
     #[schemars(with = "String", extend("format" = "socket-address"))]
     pub collector: SocketAddr,
     /// The observation domain that they name.
-    #[serde(default = "domain")]
+    #[serde(default = "default_observation_domain")]
     pub observation_domain: u32,
     /// The template goes out with the first message and again after this, in milliseconds.
-    #[serde(default = "often")]
+    #[serde(default = "default_template_every_ms")]
     #[schemars(range(min = 100))]
     pub template_every_ms: u64,
 }
 
-fn domain() -> u32 {
+fn default_observation_domain() -> u32 {
     1
 }
 
-fn often() -> u64 {
+fn default_template_every_ms() -> u64 {
     10_000
 }
 
-/// The exporter's configuration.
+/// Configuration of the exporter.
 #[derive(Clone, Debug)]
 pub struct IpfixConfig {
-    /// Where the records go.
+    /// Address of the collector.
     pub collector: SocketAddr,
-    /// The observation domain that they name.
+    /// Observation domain ID in the message headers.
     pub domain: u32,
-    /// How often the template goes out again.
-    pub template_every: Duration,
+    /// Interval after which the template is sent again.
+    pub template_interval: Duration,
 }
 
 impl IpfixConfig {
-    /// Reads the file; none where it is not there or the export is off.
+    /// Reads the file. Returns `None` if it does not exist or the export is disabled.
     pub fn load(path: &Path) -> Result<Option<Self>, ConfigError> {
         match std::fs::read_to_string(path) {
             Ok(text) => Self::parse(&text),
@@ -66,19 +66,19 @@
         }
     }
 
-    /// Reads the text of such a file.
+    /// Parses the text of such a file.
     pub fn parse(text: &str) -> Result<Option<Self>, ConfigError> {
         Ok(Self::new(toml::from_str(text)?))
     }
 
-    /// Takes the section over; none where the export is off.
+    /// Builds the configuration from the section. Returns `None` if the export is disabled.
     pub fn new(section: Section) -> Option<Self> {
-        let template_every = Duration::from_millis(section.template_every_ms.max(100));
+        let template_interval = Duration::from_millis(section.template_every_ms.max(100));
         let domain = section.observation_domain;
         section.enabled.then_some(IpfixConfig {
             collector: section.collector,
             domain,
-            template_every,
+            template_interval,
         })
     }
 }
--- a/crates/flow-export/src/lib.rs
+++ b/crates/flow-export/src/lib.rs
@@ -1,5 +1,5 @@
-//! Export of flows: one IPFIX record (RFC 7011) for each finished request or transfer, over UDP. It listens to
-//! the core's events, and a collector that is slow or away costs records, never time.
+//! Export of flows over UDP: one IPFIX data record (RFC 7011) for each finished request or transfer. The request engine
+//! sends the flows without waiting, so a slow or unreachable collector loses records and delays no request.
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
 
@@ -14,19 +14,19 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// The template's number; the first that RFC 7011 leaves free.
-pub const TEMPLATE: u16 = 256;
-/// Records that may wait for the exporter; further ones are dropped.
-pub const WAITING_MOST: usize = 1024;
-/// The longest message: it fits a datagram that no usual link splits.
-const MESSAGE_MOST: usize = 1400;
-/// Set on an information element that is this project's own.
-const ENTERPRISE: u16 = 0x8000;
-/// The enterprise number that RFC 5612 keeps for examples: the elements are this project's own, and it has
-/// none registered.
+/// Template ID, also the set ID of its data sets. 256 is the first ID that RFC 7011 does not reserve.
+pub const TEMPLATE_ID: u16 = 256;
+/// Most flows that wait for the exporter; further ones are dropped.
+pub const MAX_QUEUED_FLOWS: usize = 1024;
+/// Longest message in bytes. It fits an Ethernet frame, so the datagram is not fragmented.
+const MAX_MESSAGE_BYTES: usize = 1400;
+/// Enterprise bit of an information element that has an enterprise number.
+const ENTERPRISE_BIT: u16 = 0x8000;
+/// Enterprise number of the project-specific information elements. The project has none registered, so this is the one
+/// that RFC 5612 reserves for examples.
 pub const ENTERPRISE_NUMBER: u32 = 32_473;
 
-/// The fields of a record, in order: element, length, and whether the element is this project's own.
+/// Fields of a data record in order: information element, length in bytes, and whether the element is project-specific.
 pub const FIELDS: [(u16, u16, bool); 10] = [
     (152, 8, false), // flowStartMilliseconds
     (153, 8, false), // flowEndMilliseconds
@@ -37,10 +37,10 @@
     (2, 4, true),    // units, in thousandths
     (3, 2, true),    // class
     (4, 2, true),    // attempts
-    (5, 1, true),    // how it ended: see `end_code`
+    (5, 1, true),    // end of the flow, see `end_code`
 ];
 
-/// RFC 5102's flowEndReason: the end was seen, or the flow was forced to end.
+/// flowEndReason of RFC 5102: 3 is end of flow detected, 4 is forced end.
 fn end_reason(end: FlowEnd) -> u8 {
     match end {
         FlowEnd::Served => 3,
@@ -48,6 +48,7 @@
     }
 }
 
+/// Project-specific code for the end of a flow.
 fn end_code(end: FlowEnd) -> u8 {
     match end {
         FlowEnd::Served => 0,
@@ -57,107 +58,115 @@
     }
 }
 
-/// Messages of one observation domain, numbered as RFC 7011 wants it.
+/// Encodes the messages of one observation domain and numbers them as RFC 7011 requires.
 struct Messages {
-    domain: u32,
+    observation_domain: u32,
+    /// Number of data records sent before the next message.
     sequence: u32,
-    unix_offset: Micros,
+    unix_offset_us: Micros,
 }
 
 impl Messages {
-    fn millis(&self, at: Micros) -> u64 {
-        u64::try_from((at + self.unix_offset) / 1000).unwrap_or(0)
+    fn unix_millis(&self, time: Micros) -> u64 {
+        u64::try_from((time + self.unix_offset_us) / 1000).unwrap_or(0)
     }
 
-    /// A message with these sets and so many records in it.
-    fn message(&mut self, sets: &[u8], records: u32) -> BytesMut {
-        let mut to = BytesMut::with_capacity(16 + sets.len());
-        to.put_u16(10);
-        to.put_u16((16 + sets.len()) as u16);
+    /// Encodes a message with these sets, which contain `record_count` data records.
+    fn message(&mut self, sets: &[u8], record_count: u32) -> BytesMut {
+        let mut output = BytesMut::with_capacity(16 + sets.len());
+        output.put_u16(10);
+        output.put_u16((16 + sets.len()) as u16);
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        to.put_u32(now.as_secs() as u32);
-        // The number of data records sent before this message.
-        to.put_u32(self.sequence);
-        to.put_u32(self.domain);
-        to.put_slice(sets);
-        self.sequence = self.sequence.wrapping_add(records);
-        to
+        output.put_u32(now.as_secs() as u32);
+        output.put_u32(self.sequence);
+        output.put_u32(self.observation_domain);
+        output.put_slice(sets);
+        self.sequence = self.sequence.wrapping_add(record_count);
+        output
     }
 
-    fn record(&self, flow: &Flow, to: &mut BytesMut) {
-        to.put_u64(self.millis(flow.opened));
-        to.put_u64(self.millis(flow.ended));
-        to.put_u64(flow.bytes);
-        to.put_u64(u64::from(flow.request.id.0));
-        to.put_u8(end_reason(flow.end));
-        to.put_u64(flow.request.volume.0);
-        to.put_u32((flow.units * 1000.0) as u32);
-        to.put_u16(flow.request.class);
-        to.put_u16(flow.attempts);
-        to.put_u8(end_code(flow.end));
+    fn record(&self, flow: &Flow, output: &mut BytesMut) {
+        output.put_u64(self.unix_millis(flow.opened));
+        output.put_u64(self.unix_millis(flow.ended));
+        output.put_u64(flow.bytes);
+        output.put_u64(u64::from(flow.request.id.0));
+        output.put_u8(end_reason(flow.end));
+        output.put_u64(flow.request.volume.0);
+        output.put_u32((flow.units * 1000.0) as u32);
+        output.put_u16(flow.request.class);
+        output.put_u16(flow.attempts);
+        output.put_u8(end_code(flow.end));
     }
 }
 
-fn template() -> BytesMut {
-    let mut to = BytesMut::new();
+/// Encodes the template set.
+fn template_set() -> BytesMut {
+    let mut output = BytesMut::new();
     let length = 8 + FIELDS
         .iter()
-        .map(|f| if f.2 { 8 } else { 4 })
+        .map(|field| if field.2 { 8 } else { 4 })
         .sum::<usize>();
-    to.put_u16(2);
-    to.put_u16(length as u16);
-    to.put_u16(TEMPLATE);
-    to.put_u16(FIELDS.len() as u16);
-    for (element, length, own) in FIELDS {
-        to.put_u16(if own { element | ENTERPRISE } else { element });
-        to.put_u16(length);
-        if own {
-            to.put_u32(ENTERPRISE_NUMBER);
+    output.put_u16(2);
+    output.put_u16(length as u16);
+    output.put_u16(TEMPLATE_ID);
+    output.put_u16(FIELDS.len() as u16);
+    for (element, length, project_specific) in FIELDS {
+        output.put_u16(if project_specific {
+            element | ENTERPRISE_BIT
+        } else {
+            element
+        });
+        output.put_u16(length);
+        if project_specific {
+            output.put_u32(ENTERPRISE_NUMBER);
         }
     }
-    to
+    output
 }
 
-/// Sends records until the core is gone. `unix_offset` leads from the monotonic clock to Unix time.
+/// Exports flows until the channel is closed. `unix_offset_us` is the difference between Unix time and the monotonic clock.
 pub async fn run(
     config: IpfixConfig,
-    unix_offset: Micros,
+    unix_offset_us: Micros,
     mut flows: mpsc::Receiver<Flow>,
 ) -> std::io::Result<()> {
-    let any = if config.collector.is_ipv4() {
+    let local_address = if config.collector.is_ipv4() {
         "0.0.0.0:0"
     } else {
         "[::]:0"
     };
-    let socket = UdpSocket::bind(any).await?;
+    let socket = UdpSocket::bind(local_address).await?;
     socket.connect(config.collector).await?;
     let mut messages = Messages {
-        domain: config.domain,
+        observation_domain: config.domain,
         sequence: 0,
-        unix_offset,
+        unix_offset_us,
     };
-    let length = FIELDS.iter().map(|f| usize::from(f.1)).sum::<usize>();
-    let most = (MESSAGE_MOST - 16 - template().len() - 4) / length;
-    let (mut batch, mut told): (Vec<Flow>, Option<Instant>) = (Vec::new(), None);
-    while flows.recv_many(&mut batch, most).await > 0 {
+    let record_bytes = FIELDS
+        .iter()
+        .map(|field| usize::from(field.1))
+        .sum::<usize>();
+    let max_records = (MAX_MESSAGE_BYTES - 16 - template_set().len() - 4) / record_bytes;
+    let (mut batch, mut template_sent_at): (Vec<Flow>, Option<Instant>) = (Vec::new(), None);
+    while flows.recv_many(&mut batch, max_records).await > 0 {
         let mut sets = BytesMut::new();
-        // UDP loses messages, and collectors start late: the template goes out again and again.
-        if told.is_none_or(|t| t.elapsed() >= config.template_every) {
-            told = Some(Instant::now());
-            sets.extend_from_slice(&template());
+        // Over UDP the template is sent periodically: messages get lost, and collectors start later.
+        if template_sent_at.is_none_or(|sent_at| sent_at.elapsed() >= config.template_interval) {
+            template_sent_at = Some(Instant::now());
+            sets.extend_from_slice(&template_set());
         }
-        sets.put_u16(TEMPLATE);
-        sets.put_u16((4 + batch.len() * length) as u16);
+        sets.put_u16(TEMPLATE_ID);
+        sets.put_u16((4 + batch.len() * record_bytes) as u16);
         batch
             .iter()
             .for_each(|flow| messages.record(flow, &mut sets));
         let message = messages.message(&sets, batch.len() as u32);
         batch.clear();
-        // An error here (nobody listens) tells of an earlier message; what is lost is lost.
-        if let Err(e) = socket.send(&message).await {
-            tracing::debug!("ipfix: {e}");
+        // The error may belong to an earlier message (port unreachable). Messages are not sent again.
+        if let Err(error) = socket.send(&message).await {
+            tracing::debug!("sending an IPFIX message failed: {error}");
         }
     }
     Ok(())
--- a/crates/flow-export/tests/golden.rs
+++ b/crates/flow-export/tests/golden.rs
@@ -1,8 +1,7 @@
-//! Messages as collectors get them, the settings' schema and the texts of errors, pinned by the files under
-//! `tests/golden/`.
+//! Golden tests of the exported messages, the schema of the section and the error texts.
 
 use lupinrack_flow_export::config::{IpfixConfig, Section};
-use lupinrack_flow_export::{run, ENTERPRISE_NUMBER, FIELDS, TEMPLATE};
+use lupinrack_flow_export::{run, ENTERPRISE_NUMBER, FIELDS, TEMPLATE_ID};
 use lupinrack_golden_files::{check_folder, check_text, path, GoldenFile};
 use lupinrack_policy::{Request, RequestId, VolumeId};
 use lupinrack_request_engine::{Flow, FlowEnd};
@@ -12,10 +11,10 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-/// Where a message says when it was sent; that is written as zeros in the files.
+/// Bytes of the export time in a message header. They are zeroed in the golden files.
 const EXPORT_TIME: std::ops::Range<usize> = 4..8;
-/// What leads from the flows' clock to Unix time, in microseconds.
-const UNIX_OFFSET: i64 = 1_700_000_000_000_000;
+/// Difference between Unix time and the clock of the flows.
+const UNIX_OFFSET_US: i64 = 1_700_000_000_000_000;
 
 fn flow(number: u32, end: FlowEnd) -> Flow {
     let number_wide = u64::from(number);
@@ -36,7 +35,7 @@
     }
 }
 
-/// A flow of each way of ending.
+/// One flow for each [`FlowEnd`].
 fn flows() -> Vec<(&'static str, Flow)> {
     vec![
         ("served", flow(1, FlowEnd::Served)),
@@ -46,11 +45,11 @@
     ]
 }
 
-/// A flow from before 1970, without anything moved, and one whose numbers are as large as they get.
-fn odd_flows() -> Vec<(&'static str, Flow)> {
+/// A flow before 1970 without any bytes, and one with numbers at their limits.
+fn edge_case_flows() -> Vec<(&'static str, Flow)> {
     let early = Flow {
-        opened: -UNIX_OFFSET - 1_000,
-        ended: -UNIX_OFFSET,
+        opened: -UNIX_OFFSET_US - 1_000,
+        ended: -UNIX_OFFSET_US,
         units: -1.0,
         bytes: 0,
         ..flow(0, FlowEnd::Served)
@@ -64,8 +63,8 @@
     vec![("early", early), ("large", large)]
 }
 
-/// Runs an exporter and returns its messages, one for each batch.
-async fn messages(template_every: Duration, batches: Vec<Vec<Flow>>) -> Vec<Vec<u8>> {
+/// Runs an exporter and returns the messages that it sends, one for each batch.
+async fn exported_messages(template_interval: Duration, batches: Vec<Vec<Flow>>) -> Vec<Vec<u8>> {
     let collector = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))
         .await
         .expect("a socket");
@@ -73,15 +72,15 @@
     let config = IpfixConfig {
         collector: address,
         domain: 0x0a0b_0c0d,
-        template_every,
+        template_interval,
     };
-    let (sender, receiver) = mpsc::channel(lupinrack_flow_export::WAITING_MOST);
+    let (sender, receiver) = mpsc::channel(lupinrack_flow_export::MAX_QUEUED_FLOWS);
     let mut batches = batches.into_iter();
-    // The first batch waits before the exporter begins, so that it comes whole.
+    // The first batch is queued before the exporter starts, so that it is sent in one message.
     for flow in batches.next().into_iter().flatten() {
         sender.send(flow).await.expect("room");
     }
-    let exporter = tokio::spawn(run(config, UNIX_OFFSET, receiver));
+    let exporter = tokio::spawn(run(config, UNIX_OFFSET_US, receiver));
     let mut received = vec![receive(&collector).await];
     for batch in batches {
         for flow in batch {
@@ -107,8 +106,8 @@
     named.into_iter().map(|(_, flow)| flow).collect()
 }
 
-/// A number of so many bytes, off the front.
-fn take(bytes: &mut &[u8], length: usize) -> u64 {
+/// Removes a big-endian number of `length` bytes from the front.
+fn take_number(bytes: &mut &[u8], length: usize) -> u64 {
     let (number, rest) = bytes.split_at(length);
     *bytes = rest;
     number
@@ -116,52 +115,59 @@
         .fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
 
-/// The sets of a message by their numbers; checks the header of RFC 7011, section 3.1.
+/// The sets of a message with their set IDs. Checks the message header (RFC 7011, section 3.1).
 fn sets(message: &[u8], sequence: u64) -> Vec<(u64, &[u8])> {
     let mut rest = message;
     assert_eq!(
-        (take(&mut rest, 2), take(&mut rest, 2)),
+        (take_number(&mut rest, 2), take_number(&mut rest, 2)),
         (10, message.len() as u64)
     );
     assert_eq!(
-        (take(&mut rest, 4), take(&mut rest, 4), take(&mut rest, 4)),
+        (
+            take_number(&mut rest, 4),
+            take_number(&mut rest, 4),
+            take_number(&mut rest, 4)
+        ),
         (0, sequence, 0x0a0b_0c0d)
     );
     let mut sets = Vec::new();
     while !rest.is_empty() {
-        let number = take(&mut rest, 2);
-        let length = take(&mut rest, 2) as usize - 4;
-        let (set, behind) = rest.split_at(length);
-        sets.push((number, set));
-        rest = behind;
+        let set_id = take_number(&mut rest, 2);
+        let length = take_number(&mut rest, 2) as usize - 4;
+        let (set, after_set) = rest.split_at(length);
+        sets.push((set_id, set));
+        rest = after_set;
     }
     sets
 }
 
 fn check_template(mut set: &[u8]) {
     assert_eq!(
-        (take(&mut set, 2), take(&mut set, 2)),
-        (u64::from(TEMPLATE), FIELDS.len() as u64)
+        (take_number(&mut set, 2), take_number(&mut set, 2)),
+        (u64::from(TEMPLATE_ID), FIELDS.len() as u64)
     );
-    for (element, length, own) in FIELDS {
-        let own_bit = if own { 0x8000 } else { 0 };
-        assert_eq!(take(&mut set, 2), u64::from(element) | own_bit);
-        assert_eq!(take(&mut set, 2), u64::from(length));
-        if own {
-            assert_eq!(take(&mut set, 4), u64::from(ENTERPRISE_NUMBER));
+    for (element, length, project_specific) in FIELDS {
+        let enterprise_bit = if project_specific { 0x8000 } else { 0 };
+        assert_eq!(
+            take_number(&mut set, 2),
+            u64::from(element) | enterprise_bit
+        );
+        assert_eq!(take_number(&mut set, 2), u64::from(length));
+        if project_specific {
+            assert_eq!(take_number(&mut set, 4), u64::from(ENTERPRISE_NUMBER));
         }
     }
     assert!(set.is_empty());
 }
 
-/// The fields of each record of a data set.
+/// The field values of each record of a data set.
 fn record_fields(mut set: &[u8]) -> Vec<Vec<u64>> {
     let mut records = Vec::new();
     while !set.is_empty() {
         records.push(
             FIELDS
                 .iter()
-                .map(|field| take(&mut set, usize::from(field.1)))
+                .map(|field| take_number(&mut set, usize::from(field.1)))
                 .collect(),
         );
     }
@@ -184,23 +190,23 @@
 }
 
 #[tokio::test]
-async fn messages_have_the_form_that_collectors_get() {
-    let seldom = Duration::from_secs(3_600);
+async fn messages_match_the_golden_file() {
+    let long_interval = Duration::from_secs(3_600);
     let mut file = GoldenFile::open(path!("messages.txt"));
     let batches = vec![
         only_flows(flows()),
         vec![flow(5, FlowEnd::Served)],
         vec![flow(6, FlowEnd::ClientGone)],
     ];
-    let sent = messages(seldom, batches).await;
+    let sent = exported_messages(long_interval, batches).await;
     file.add_bytes("template and a record of each end", &sent[0]);
     file.add_bytes("without template, sequence 4", &sent[1]);
     file.add_bytes("without template, sequence 5", &sent[2]);
-    for (name, flow) in flows().into_iter().chain(odd_flows()) {
-        let sent = messages(seldom, vec![vec![flow]]).await;
+    for (name, flow) in flows().into_iter().chain(edge_case_flows()) {
+        let sent = exported_messages(long_interval, vec![vec![flow]]).await;
         file.add_bytes(format!("{name} alone"), &sent[0]);
     }
-    let every_time = messages(
+    let template_each_time = exported_messages(
         Duration::ZERO,
         vec![
             vec![flow(1, FlowEnd::Served)],
@@ -208,12 +214,12 @@
         ],
     )
     .await;
-    file.add_bytes("template again, sequence 1", &every_time[1]);
-    let kept = file.check();
+    file.add_bytes("template again, sequence 1", &template_each_time[1]);
+    let golden = file.check();
 
-    let first = kept.bytes("template and a record of each end");
+    let first = golden.bytes("template and a record of each end");
     let [(2, template), (256, data)] = sets(&first, 0)[..] else {
-        panic!("a template and records")
+        panic!("a template set and a data set")
     };
     check_template(template);
     let expected = [
@@ -223,28 +229,29 @@
         expected_fields(4, 4, 3),
     ];
     assert_eq!(record_fields(data), expected);
-    let last = kept.bytes("without template, sequence 5");
+    let last = golden.bytes("without template, sequence 5");
     let [(256, data)] = sets(&last, 5)[..] else {
-        panic!("records alone")
+        panic!("only a data set")
     };
     assert_eq!(record_fields(data), [expected_fields(6, 4, 3)]);
-    let again = kept.bytes("template again, sequence 1");
+    let again = golden.bytes("template again, sequence 1");
     let [(2, template), (256, data)] = sets(&again, 1)[..] else {
-        panic!("a template and records")
+        panic!("a template set and a data set")
     };
     check_template(template);
     assert_eq!(record_fields(data), [expected_fields(2, 3, 0)]);
 }
 
 #[tokio::test]
-async fn a_batch_that_is_too_long_is_split() {
-    let many: Vec<Flow> = (0..60)
+async fn a_batch_over_the_message_limit_is_split() {
+    let batch: Vec<Flow> = (0..60)
         .map(|number| flow(number, FlowEnd::Served))
         .collect();
-    let sent = messages(Duration::from_secs(3_600), vec![many, Vec::new()]).await;
+    let sent = exported_messages(Duration::from_secs(3_600), vec![batch, Vec::new()]).await;
     let records = |message: &[u8], sequence| -> Vec<u64> {
-        let all = sets(message, sequence);
-        all.iter()
+        let message_sets = sets(message, sequence);
+        message_sets
+            .iter()
             .filter(|set| set.0 == 256)
             .flat_map(|set| record_fields(set.1))
             .map(|record| record[3])
@@ -256,7 +263,7 @@
 }
 
 #[test]
-fn the_schema_of_the_section_is_as_before() {
+fn the_section_schema_matches_the_golden_file() {
     let schema = schemars::schema_for!(Section);
     check_text(
         path!("section.schema.json"),
@@ -265,18 +272,18 @@
 }
 
 #[test]
-fn the_section_is_read_as_before() {
+fn the_section_is_parsed_with_its_defaults_and_limits() {
     let parse = |text: &str| IpfixConfig::parse(text).expect("a section");
     assert!(
         parse("collector = '127.0.0.1:4739'").is_none(),
-        "off unless it is said"
+        "disabled by default"
     );
-    let least = parse("enabled = true\ncollector = '127.0.0.1:4739'").expect("enabled");
+    let defaults = parse("enabled = true\ncollector = '127.0.0.1:4739'").expect("enabled");
     assert_eq!(
-        (least.collector, least.domain),
+        (defaults.collector, defaults.domain),
         (SocketAddr::from(([127, 0, 0, 1], 4739)), 1)
     );
-    assert_eq!(least.template_every, Duration::from_secs(10));
+    assert_eq!(defaults.template_interval, Duration::from_secs(10));
     let full =
         "enabled = true\ncollector = '[::1]:1'\nobservation_domain = 7\ntemplate_every_ms = 2500";
     let full = parse(full).expect("enabled");
@@ -284,17 +291,17 @@
         (full.collector.to_string().as_str(), full.domain),
         ("[::1]:1", 7)
     );
-    assert_eq!(full.template_every, Duration::from_millis(2_500));
-    let often =
+    assert_eq!(full.template_interval, Duration::from_millis(2_500));
+    let below_minimum =
         parse("enabled = true\ncollector = '[::1]:1'\ntemplate_every_ms = 1").expect("enabled");
-    assert_eq!(often.template_every, Duration::from_millis(100));
+    assert_eq!(below_minimum.template_interval, Duration::from_millis(100));
     assert!(IpfixConfig::load(Path::new("/nowhere/ipfix.toml"))
         .expect("no file")
         .is_none());
 }
 
 #[test]
-fn errors_are_told_as_before() {
+fn error_texts_match_the_golden_file() {
     let mut file = GoldenFile::open(path!("errors.txt"));
     let texts = [
         ("no collector", ""),
@@ -312,7 +319,7 @@
     }
     let folder = std::env::temp_dir();
     let error = IpfixConfig::load(&folder)
-        .expect_err("a folder is no file")
+        .expect_err("a folder cannot be read as a file")
         .to_string();
     file.add(
         "not a file",
@@ -322,7 +329,7 @@
 }
 
 #[test]
-fn every_golden_file_is_compared() {
+fn every_golden_file_is_checked() {
     check_folder(
         path!(),
         ["errors.txt", "messages.txt", "section.schema.json"],
--- a/crates/lupinrack/src/serve.rs
+++ b/crates/lupinrack/src/serve.rs
@@ -174,7 +174,7 @@
         health_checks: targets,
     } = EngineParts::new(told.policy.clone(), config.seed, clock);
     if let Some(config) = ipfix {
-        let (to, flows) = mpsc::channel(lupinrack_flow_export::WAITING_MOST);
+        let (to, flows) = mpsc::channel(lupinrack_flow_export::MAX_QUEUED_FLOWS);
         engine = engine.export_flows(to);
         tracing::info!("flows go to {}", config.collector);
         tokio::spawn(async move {
@@ -427,9 +427,9 @@
     Ok(Some(daemon::run(
         listener,
         daemon::Front {
-            core,
+            engine: core,
             config,
-            connect,
+            connect_timeout: connect,
             phase,
         },
     )))
--- a/crates/lupinrack/tests/common/front.rs
+++ b/crates/lupinrack/tests/common/front.rs
@@ -130,9 +130,9 @@
     };
     let connect = Duration::from_millis(500);
     let second = daemon::Front {
-        core: handle.clone(),
+        engine: handle.clone(),
         config: Arc::new(config),
-        connect,
+        connect_timeout: connect,
         phase: seen,
     };
     let ended = tokio::spawn(async move {
--- a/crates/lupinrack/tests/ipfix.rs
+++ b/crates/lupinrack/tests/ipfix.rs
@@ -77,7 +77,7 @@
         handle,
         health_checks: _health_checks,
     } = EngineParts::new(told().policy, 3, clock);
-    let (to, flows) = mpsc::channel(ipfix::WAITING_MOST);
+    let (to, flows) = mpsc::channel(ipfix::MAX_QUEUED_FLOWS);
     tokio::spawn(engine.export_flows(to).run());
     // A clock that reads a known Unix time: the records' times are whole milliseconds from there.
     tokio::spawn(ipfix::run(
--- a/crates/operator-config/tests/faults.rs
+++ b/crates/operator-config/tests/faults.rs
@@ -72,7 +72,7 @@
         found,
         [(
             12,
-            "rsync.module[1].name: a module of this name stands above".to_string()
+            "rsync.module[1].name: another module has this name".to_string()
         )]
     );
 }
--- a/crates/rsync/src/config.rs
+++ b/crates/rsync/src/config.rs
@@ -1,5 +1,4 @@
-//! The section `[rsync]` of the operators' file: modules and the volumes they count for, servers and the nodes they
-//! stand for.
+//! The section `[rsync]` of the operators' file: modules with their volumes, and the rsync servers of the nodes.
 
 use lupinrack_front_settings::FrontSettings;
 use lupinrack_policy::*;
@@ -10,24 +9,24 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Why the section cannot be used.
+/// Why the section is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file cannot be read.
     #[error("{0}: {1}")]
     Read(String, std::io::Error),
-    /// It is not the TOML expected.
+    /// The text is not TOML, or not a section of this form.
     #[error("rsync: {0}")]
-    Form(#[from] toml::de::Error),
-    /// What it says contradicts itself or the settings: each fault with its path.
-    #[error("rsync: {}", list(.0))]
+    Toml(#[from] toml::de::Error),
+    /// Invalid values, each with its path: they contradict each other or the settings.
+    #[error("rsync: {}", format_faults(.0))]
     Faults(Vec<(String, String)>),
 }
 
-fn list(faults: &[(String, String)]) -> String {
+fn format_faults(faults: &[(String, String)]) -> String {
     faults
         .iter()
-        .map(|(path, why)| format!("{path}: {why}"))
+        .map(|(path, reason)| format!("{path}: {reason}"))
         .collect::<Vec<_>>()
         .join("; ")
 }
@@ -44,7 +43,7 @@
     #[schemars(with = "String", extend("format" = "socket-address"))]
     pub listen: SocketAddr,
     /// Clients served at once; each may hold one further connection to a server.
-    #[serde(default = "clients")]
+    #[serde(default = "default_max_clients")]
     #[schemars(range(min = 1, max = 10_000))]
     pub max_clients: usize,
     /// The modules, as clients see them.
@@ -77,7 +76,7 @@
     /// The shard that holds the data.
     pub shard: u32,
     /// Through how many fronts the volume works.
-    #[serde(default = "one")]
+    #[serde(default = "default_hosts")]
     #[schemars(range(min = 1))]
     pub hosts: u32,
     /// Bytes that count as one unit.
@@ -99,74 +98,75 @@
     pub address: SocketAddr,
 }
 
-fn clients() -> usize {
+fn default_max_clients() -> usize {
     32
 }
 
-fn one() -> u32 {
+fn default_hosts() -> u32 {
     1
 }
 
-/// A module: what clients see, and what its transfers count as.
+/// A module: its names, and the template of its requests.
 #[derive(Clone, Debug)]
 pub struct Module {
-    /// Its name for clients.
+    /// Name that clients use.
     pub name: String,
-    /// A line about it.
+    /// Line in the list of modules.
     pub comment: String,
-    /// Its name on the servers.
+    /// Name on the servers.
     pub remote: String,
-    /// A request of it, but for its units and its end.
+    /// Template of its requests, without units and deadline.
     pub request: Request,
     /// Bytes that count as one unit.
     pub bytes_per_unit: u64,
-    /// The most units of one request.
-    pub most_units: f64,
-    /// How long the list, or one file, may take.
+    /// Most units of one request.
+    pub max_units: f64,
+    /// Deadline of the file list or of one file.
     pub deadline: Duration,
 }
 
-/// The front's configuration.
+/// Configuration of the rsync front.
 #[derive(Clone, Debug)]
 pub struct RsyncConfig {
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub listen: SocketAddr,
-    /// Clients served at once.
+    /// Most clients served at once.
     pub max_clients: usize,
     /// The modules, in the order given.
     pub modules: Vec<Module>,
-    /// The servers' addresses by the names of their nodes.
+    /// Addresses of the rsync servers by node name.
     pub servers: HashMap<String, SocketAddr>,
 }
 
 impl RsyncConfig {
-    /// Reads the file; none where it is not there or the front is off.
-    pub fn load(path: &Path, told: &FrontSettings) -> Result<Option<Self>, ConfigError> {
+    /// Reads the file. Returns `None` if it does not exist or the front is disabled.
+    pub fn load(path: &Path, settings: &FrontSettings) -> Result<Option<Self>, ConfigError> {
         match std::fs::read_to_string(path) {
-            Ok(text) => Self::parse(&text, told),
+            Ok(text) => Self::parse(&text, settings),
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(None),
             Err(e) => Err(ConfigError::Read(path.display().to_string(), e)),
         }
     }
 
-    /// Reads the text of such a file against the settings.
-    pub fn parse(text: &str, told: &FrontSettings) -> Result<Option<Self>, ConfigError> {
-        Self::new(toml::from_str(text)?, told)
+    /// Parses the text of such a file and checks it against the settings.
+    pub fn parse(text: &str, settings: &FrontSettings) -> Result<Option<Self>, ConfigError> {
+        Self::new(toml::from_str(text)?, settings)
     }
 
-    /// Takes the section over, checked against the settings; none where the front is off.
-    pub fn new(section: Section, told: &FrontSettings) -> Result<Option<Self>, ConfigError> {
+    /// Checks the section against the settings. Returns `None` if the front is disabled.
+    pub fn new(section: Section, settings: &FrontSettings) -> Result<Option<Self>, ConfigError> {
         if !section.enabled {
             return Ok(None);
         }
         let mut faults = section.faults();
         let mut modules = Vec::with_capacity(section.module.len());
-        for (i, raw) in section.module.into_iter().enumerate() {
-            match module(raw, told) {
+        for (index, raw) in section.module.into_iter().enumerate() {
+            match build_module(raw, settings) {
                 Ok(module) => modules.push(module),
-                Err(whys) => faults.extend(
-                    whys.into_iter()
-                        .map(|(k, why)| (format!("module[{i}].{k}"), why)),
+                Err(found) => faults.extend(
+                    found
+                        .into_iter()
+                        .map(|(key, reason)| (format!("module[{index}].{key}"), reason)),
                 ),
             }
         }
@@ -176,7 +176,7 @@
         let servers = section
             .server
             .into_iter()
-            .map(|s| (s.node, s.address))
+            .map(|server| (server.node, server.address))
             .collect();
         Ok(Some(RsyncConfig {
             listen: section.listen,
@@ -188,39 +188,49 @@
 }
 
 impl Section {
-    /// What is wrong whatever the settings say: each fault with its path below the section.
+    /// Checks that do not depend on the settings. Returns each fault with its path below the section.
     pub fn faults(&self) -> Vec<(String, String)> {
         let mut faults = Vec::new();
         if self.max_clients == 0 {
             faults.push(("max_clients".into(), "must be above zero".into()));
         }
-        for (i, m) in self.module.iter().enumerate() {
-            let mut wrong =
-                |key: &str, why: &str| faults.push((format!("module[{i}].{key}"), why.to_string()));
-            if u64::from_str_radix(&m.volume, 16).is_err() {
-                wrong("volume", "volume is not hexadecimal");
+        for (index, module) in self.module.iter().enumerate() {
+            let mut add_fault = |key: &str, reason: &str| {
+                faults.push((format!("module[{index}].{key}"), reason.to_string()))
+            };
+            if u64::from_str_radix(&module.volume, 16).is_err() {
+                add_fault("volume", "volume is not hexadecimal");
             }
-            for (key, zero) in [
-                ("bytes_per_unit", m.bytes_per_unit == 0),
-                ("deadline_ms", m.deadline_ms == 0),
-                ("hosts", m.hosts == 0),
+            for (key, is_zero) in [
+                ("bytes_per_unit", module.bytes_per_unit == 0),
+                ("deadline_ms", module.deadline_ms == 0),
+                ("hosts", module.hosts == 0),
             ] {
-                if zero {
-                    wrong(key, "must be above zero");
+                if is_zero {
+                    add_fault(key, "must be above zero");
                 }
             }
-            if m.name.is_empty() || m.name.contains(['/', '\n', '\t', '#']) {
-                wrong("name", "not a module's name");
+            if module.name.is_empty() || module.name.contains(['/', '\n', '\t', '#']) {
+                add_fault(
+                    "name",
+                    "a module name is not empty and has no '/', '#', tab or line feed",
+                );
             }
-            if self.module[..i].iter().any(|other| other.name == m.name) {
-                wrong("name", "a module of this name stands above");
+            if self.module[..index]
+                .iter()
+                .any(|other| other.name == module.name)
+            {
+                add_fault("name", "another module has this name");
             }
         }
-        for (i, s) in self.server.iter().enumerate() {
-            if self.server[..i].iter().any(|other| other.node == s.node) {
+        for (index, server) in self.server.iter().enumerate() {
+            if self.server[..index]
+                .iter()
+                .any(|other| other.node == server.node)
+            {
                 faults.push((
-                    format!("server[{i}].node"),
-                    "a server of this node stands above".into(),
+                    format!("server[{index}].node"),
+                    "another server is listed for this node".into(),
                 ));
             }
         }
@@ -228,18 +238,23 @@
     }
 }
 
-fn module(raw: ModuleSection, told: &FrontSettings) -> Result<Module, Vec<(&'static str, String)>> {
+fn build_module(
+    raw: ModuleSection,
+    settings: &FrontSettings,
+) -> Result<Module, Vec<(&'static str, String)>> {
     let mut faults = Vec::new();
-    let class = told.classes.iter().position(|c| *c == raw.class);
+    let class = settings.classes.iter().position(|name| *name == raw.class);
     if class.is_none() {
         faults.push(("class", "unknown class".into()));
     }
-    let plan = told.plans.iter().position(|p| *p == raw.plan);
+    let plan = settings.plans.iter().position(|name| *name == raw.plan);
     if plan.is_none() {
         faults.push(("plan", "unknown plan".into()));
     }
-    // A pull only reads; a class that writes would promise what a second attempt must not break.
-    if class.is_some_and(|c| told.policy.classes[c].idempotence != Idempotence::Idempotent) {
+    // A pull only reads and may be retried, so its class must be idempotent.
+    if class
+        .is_some_and(|index| settings.policy.classes[index].idempotence != Idempotence::Idempotent)
+    {
         faults.push(("class", "the class must be safe to repeat".into()));
     }
     let (Some(class), Some(plan), true) = (class, plan, faults.is_empty()) else {
@@ -259,8 +274,8 @@
         comment: raw.comment,
         request,
         bytes_per_unit: raw.bytes_per_unit,
-        most_units: if told.policy.max_units >= 1.0 {
-            told.policy.max_units
+        max_units: if settings.policy.max_units >= 1.0 {
+            settings.policy.max_units
         } else {
             8.0
         },
--- a/crates/rsync/src/daemon.rs
+++ b/crates/rsync/src/daemon.rs
@@ -1,9 +1,11 @@
-//! The daemon's side: clients, their handshakes and arguments, and the files they ask for.
+//! The daemon: accepts clients, handles their handshakes and arguments, and serves the files that they request.
 
 use super::config::{Module, RsyncConfig};
-use super::pull::{self, Passing, Want};
-use super::unit::{self, End, Meter};
-use super::wire::{self, Entry, Reader, Sum, WireError, Writer, PATH_MOST, VERSION};
+use super::pull::{self, ClientFile, PullRequest};
+use super::transfer::{self, TransferCost, TransferEnd};
+use super::wire::{
+    self, FileChecksum, FileEntry, Reader, WireError, Writer, MAX_PATH_BYTES, PROTOCOL_VERSION,
+};
 use lupinrack_graceful_shutdown::{reached, Phase};
 use lupinrack_request_engine::EngineHandle;
 use std::sync::Arc;
@@ -13,64 +15,64 @@
 use tokio::sync::{watch, Mutex, Semaphore};
 use tokio::task::JoinSet;
 
-/// How long a client may take for its handshake and arguments: one that connects and says nothing must not hold
-/// its place for long.
-const HANDSHAKE: Duration = Duration::from_secs(3);
-/// How long it may take to ask for the next file.
-const IDLE: Duration = Duration::from_secs(60);
-/// The most arguments.
-const ARGUMENTS_MOST: usize = 64;
-/// What a client may have asked for ahead, in bytes, while a file is under way.
-const AHEAD_MOST: usize = 64 << 10;
-/// How long a client that has been told its ending may take to close its side.
-const LINGER: Duration = Duration::from_millis(500);
-/// The wait after an accept that failed.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Timeout of the handshake with its arguments. Short, because a silent client occupies one of `max_clients` slots.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Timeout for the next file request of a client.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Most arguments of a client.
+const MAX_ARGUMENTS: usize = 64;
+/// Most bytes of further requests that are buffered while a file is transferred.
+const MAX_PIPELINED_BYTES: usize = 64 << 10;
+/// How long to wait for the client to close its side after the session has ended.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What every client needs.
+/// State shared by all sessions.
 #[derive(Clone)]
 pub struct Front {
-    /// The core, the same as the platform's front has.
-    pub core: EngineHandle,
+    /// Request engine, shared with the HTTP front.
+    pub engine: EngineHandle,
     /// Modules and servers.
     pub config: Arc<RsyncConfig>,
-    /// The longest time for a connection to a server to come up.
-    pub connect: Duration,
-    /// Whether the program is ending.
+    /// Timeout of the TCP connect to a server.
+    pub connect_timeout: Duration,
+    /// Shutdown phase of the process.
     pub phase: watch::Receiver<Phase>,
 }
 
-/// Why a client is turned away.
+/// Why a session ends early. The text is sent to the client.
 #[derive(Debug, thiserror::Error)]
-enum Turned {
+enum SessionError {
     #[error(transparent)]
     Wire(#[from] WireError),
     #[error("{0}")]
-    Told(String),
+    Rejected(String),
 }
 
-fn told(text: impl Into<String>) -> Turned {
-    Turned::Told(text.into())
+fn reject(text: impl Into<String>) -> SessionError {
+    SessionError::Rejected(text.into())
 }
 
-/// Takes clients until the program is closing, then lets each finish the file in hand.
+/// Accepts clients until the process reaches [`Phase::Closing`], then waits until every session has finished its current
+/// file.
 pub async fn run(listener: TcpListener, front: Front) {
     let mut phase = front.phase.clone();
-    let room = Arc::new(Semaphore::new(front.config.max_clients));
+    let permits = Arc::new(Semaphore::new(front.config.max_clients));
     let mut sessions = JoinSet::new();
     loop {
-        let next = async {
-            let permit = room.clone().acquire_owned().await;
+        let accept = async {
+            let permit = permits.clone().acquire_owned().await;
             (permit, listener.accept().await)
         };
         let (permit, stream) = tokio::select! {
             biased;
             Some(_) = sessions.join_next() => continue,
-            next = next => next,
+            accepted = accept => accepted,
             () = reached(&mut phase, Phase::Closing) => break,
         };
         let Ok((stream, _)) = stream else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let front = front.clone();
@@ -83,227 +85,277 @@
     while sessions.join_next().await.is_some() {}
 }
 
-/// One client, from its first line to its one clear ending.
+/// Serves one client. An error is reported to the client before the connection is closed.
 async fn session(stream: TcpStream, front: Front) {
     let _ = stream.set_nodelay(true);
-    let (from, to) = stream.into_split();
-    let mut from = Reader::new(from);
-    let to = Arc::new(Mutex::new(Writer::new(to)));
-    let served = serve(&mut from, &to, &front).await;
-    let mut to = to.lock().await;
-    if let Err(why) = served {
-        tracing::info!("rsync client: {why}");
-        let _ = tokio::time::timeout(PAUSE * 10, to.error(&why.to_string())).await;
+    let (reader, writer) = stream.into_split();
+    let mut reader = Reader::new(reader);
+    let client = Arc::new(Mutex::new(Writer::new(writer)));
+    let served = serve(&mut reader, &client, &front).await;
+    let mut writer = client.lock().await;
+    if let Err(error) = served {
+        tracing::info!("rsync client session failed: {error}");
+        let _ = tokio::time::timeout(
+            ACCEPT_RETRY_DELAY * 10,
+            writer.write_error(&error.to_string()),
+        )
+        .await;
     }
-    to.close().await;
-    // Closed with input unread, the connection would be reset, and the last words lost on their way.
-    let _ = tokio::time::timeout(LINGER, from.discard()).await;
+    writer.close().await;
+    // Closing a socket with unread input resets the connection, and the client could lose the last bytes.
+    let _ = tokio::time::timeout(LINGER_TIMEOUT, reader.discard()).await;
 }
 
 type Client = Arc<Mutex<Writer<OwnedWriteHalf>>>;
 
-async fn serve(from: &mut Reader<OwnedReadHalf>, to: &Client, front: &Front) -> Result<(), Turned> {
-    let late = |_| told("too slow");
-    let hello = tokio::time::timeout(HANDSHAKE, handshake(from, to, front))
+async fn serve(
+    reader: &mut Reader<OwnedReadHalf>,
+    client: &Client,
+    front: &Front,
+) -> Result<(), SessionError> {
+    let timed_out = |_| reject("too slow");
+    let pull = tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake(reader, client, front))
         .await
-        .map_err(late)??;
-    let Some((module, asked, seed)) = hello else {
+        .map_err(timed_out)??;
+    let Some((module, arguments, checksum_seed)) = pull else {
         return Ok(());
     };
 
-    // The file list is the first unit of work.
-    let want = |path: String, recursive| Want {
+    // The file list is the first transfer.
+    let pull_request = |path: String, recursive| PullRequest {
         module: module.remote.clone(),
         path,
         recursive,
-        connect: front.connect,
+        connect_timeout: front.connect_timeout,
     };
     let servers = &front.config.servers;
     let request = || {
-        let client_deadline = front.core.clock.now() + module.deadline.as_micros() as i64;
+        let client_deadline = front.engine.clock.now() + module.deadline.as_micros() as i64;
         lupinrack_policy::Request {
             client_deadline,
             ..module.request
         }
     };
-    let meter = |bytes| Meter {
+    let cost = |expected_bytes| TransferCost {
         bytes_per_unit: module.bytes_per_unit,
-        most_units: module.most_units,
-        bytes,
+        max_units: module.max_units,
+        expected_bytes,
     };
-    let listed = unit::run(
-        &front.core,
+    let pulled_list = transfer::run(
+        &front.engine,
         request(),
-        meter(0),
-        from.ended(AHEAD_MOST),
-        |attempt, line| {
+        cost(0),
+        reader.closed(MAX_PIPELINED_BYTES),
+        |attempt, meter| {
             let address = servers.get(&*attempt.target.name).copied();
-            pull::list(
-                want(asked.path.clone(), asked.recursive),
+            pull::pull_file_list(
+                pull_request(arguments.path.clone(), arguments.recursive),
                 address,
                 attempt,
-                line,
+                meter,
             )
         },
     );
-    let list = match listed.await {
-        End::Done(list) => list,
-        other => return Err(told(ending("the file list", &other))),
+    let list = match pulled_list.await {
+        TransferEnd::Completed(list) => list,
+        end => return Err(reject(describe_end("the file list", &end))),
     };
-    let mut out = wire::list(&list);
-    out.extend_from_slice(&[0; 4].repeat(asked.id_lists));
-    out.extend_from_slice(&[0; 4]);
-    tokio::time::timeout(module.deadline, async { to.lock().await.data(&out).await })
-        .await
-        .map_err(late)??;
+    let mut reply = wire::encode_file_list(&list);
+    // One empty list per kind of owner identifier, then the I/O error flags: none.
+    reply.extend_from_slice(&[0; 4].repeat(arguments.id_lists));
+    reply.extend_from_slice(&[0; 4]);
+    tokio::time::timeout(module.deadline, async {
+        client.lock().await.write_data(&reply).await
+    })
+    .await
+    .map_err(timed_out)??;
 
-    // Each file asked for is new work.
-    let (mut phases, mut bytes) = (0, 0);
+    // Each requested file is a transfer of its own.
+    let (mut phases, mut total_size) = (0, 0);
     let mut phase = front.phase.clone();
     while phases < 2 {
         let index = tokio::select! {
             biased;
-            // Nothing is in hand here: a client that idles must not hold up the program's end.
-            () = reached(&mut phase, Phase::Closing) => return Err(told("this front is ending; come back")),
-            index = tokio::time::timeout(IDLE, from.int()) => index.map_err(late)??,
+            // No file is being transferred: an idle client must not delay the shutdown.
+            () = reached(&mut phase, Phase::Closing) => return Err(reject("this front is ending; come back")),
+            index = tokio::time::timeout(IDLE_TIMEOUT, reader.read_int()) => index.map_err(timed_out)??,
         };
         if index == -1 {
             phases += 1;
-            to.lock().await.data(&(-1i32).to_le_bytes()).await?;
+            client
+                .lock()
+                .await
+                .write_data(&(-1i32).to_le_bytes())
+                .await?;
             continue;
         }
         let entry = usize::try_from(index)
             .ok()
-            .and_then(|i| list.get(i))
-            .filter(|e| e.is_file());
-        let entry = entry.ok_or(WireError::Garbage("no such file in the list"))?;
-        let sums = tokio::time::timeout(IDLE, from.sums())
+            .and_then(|index| list.get(index))
+            .filter(|entry| entry.is_file());
+        let entry = entry.ok_or(WireError::Malformed("no such file in the list"))?;
+        let sums = tokio::time::timeout(IDLE_TIMEOUT, reader.read_block_sums())
             .await
-            .map_err(late)??;
+            .map_err(timed_out)??;
         let name = String::from_utf8_lossy(&entry.name).into_owned();
-        let path = path_of(&asked, entry)?;
-        let head = [index, sums[0], sums[1], sums[2], sums[3]];
-        let gone = from.ended(AHEAD_MOST);
-        let pulled = unit::run(
-            &front.core,
+        let path = module_path(&arguments, entry)?;
+        let header = [index, sums[0], sums[1], sums[2], sums[3]];
+        let client_gone = reader.closed(MAX_PIPELINED_BYTES);
+        let pulled_file = transfer::run(
+            &front.engine,
             request(),
-            meter(entry.size),
-            gone,
-            |attempt, line| {
+            cost(entry.size),
+            client_gone,
+            |attempt, meter| {
                 let address = servers.get(&*attempt.target.name).copied();
-                let passing = Passing {
-                    client: to.clone(),
-                    head,
+                let client_file = ClientFile {
+                    client: client.clone(),
+                    header,
                     size: entry.size,
-                    sum: Some(Sum::new(seed)),
+                    checksum: Some(FileChecksum::new(checksum_seed)),
                 };
-                pull::file(want(path.clone(), false), address, attempt, line, passing)
+                pull::pull_file(
+                    pull_request(path.clone(), false),
+                    address,
+                    attempt,
+                    meter,
+                    client_file,
+                )
             },
         );
-        match pulled.await {
-            End::Done(()) => bytes += entry.size,
-            // Not begun: this file is left out, and the client hears why and goes on.
-            end @ (End::Refused(_) | End::Failed) => {
-                to.lock().await.error(&ending(&name, &end)).await?
+        match pulled_file.await {
+            TransferEnd::Completed(()) => total_size += entry.size,
+            // Nothing of this file was sent: the client gets an error for it, and the session continues.
+            end @ (TransferEnd::Rejected(_) | TransferEnd::Failed) => {
+                client
+                    .lock()
+                    .await
+                    .write_error(&describe_end(&name, &end))
+                    .await?
             }
-            // Bytes have passed on: the connection ends where the file is not whole.
-            end => return Err(told(ending(&name, &end))),
+            // A part of the file was sent: the protocol cannot take it back, so the connection is closed.
+            end => return Err(reject(describe_end(&name, &end))),
         }
     }
-    let figures = wire::stats(from.read, to.lock().await.written, bytes);
-    to.lock().await.data(&figures).await?;
-    // The client's last word.
-    let _ = tokio::time::timeout(HANDSHAKE, from.int()).await;
+    let stats = wire::encode_stats(
+        reader.bytes_read,
+        client.lock().await.bytes_written,
+        total_size,
+    );
+    client.lock().await.write_data(&stats).await?;
+    // The final goodbye of the client.
+    let _ = tokio::time::timeout(HANDSHAKE_TIMEOUT, reader.read_int()).await;
     Ok(())
 }
 
-/// Words an end for the client.
-fn ending<T>(what: &str, end: &End<T>) -> String {
+/// Text for the client about how a transfer ended.
+fn describe_end<T>(name: &str, end: &TransferEnd<T>) -> String {
     match end {
-        End::Done(_) => format!("{what}: done"),
-        End::Refused(Some(after)) => {
-            format!("{what}: refused; come back in {:.3} s", after.as_secs_f64())
+        TransferEnd::Completed(_) => format!("{name}: done"),
+        TransferEnd::Rejected(Some(retry_after)) => {
+            format!(
+                "{name}: refused; come back in {:.3} s",
+                retry_after.as_secs_f64()
+            )
         }
-        End::Refused(None) => format!("{what}: refused; come back later"),
-        End::Failed => format!("{what}: failed"),
-        End::Broken => format!("{what}: broke off; what came is not whole"),
-        End::ClientGone => format!("{what}: the client left"),
+        TransferEnd::Rejected(None) => format!("{name}: refused; come back later"),
+        TransferEnd::Failed => format!("{name}: failed"),
+        TransferEnd::Interrupted => format!("{name}: broke off; what came is not whole"),
+        TransferEnd::ClientGone => format!("{name}: the client left"),
     }
 }
 
-/// What a client asks for.
-struct Asked {
+/// The arguments of a pull.
+struct PullArguments {
+    /// Path in the module; empty for the whole module.
     path: String,
     recursive: bool,
+    /// Number of lists of user and group names that the client expects after the file list.
     id_lists: usize,
 }
 
-/// Greeting, module and arguments. None where the client only wanted the list of modules.
+/// Handles greeting, module and arguments. Returns `None` if the client only requested the list of modules.
 async fn handshake<'a>(
-    from: &mut Reader<OwnedReadHalf>,
-    to: &Client,
+    reader: &mut Reader<OwnedReadHalf>,
+    client: &Client,
     front: &'a Front,
-) -> Result<Option<(&'a Module, Asked, i32)>, Turned> {
-    let mut to = to.lock().await;
-    to.data(format!("@RSYNCD: {VERSION}\n").as_bytes()).await?;
-    let hello = from.line().await?;
-    let version = hello
+) -> Result<Option<(&'a Module, PullArguments, i32)>, SessionError> {
+    let mut writer = client.lock().await;
+    writer
+        .write_data(format!("@RSYNCD: {PROTOCOL_VERSION}\n").as_bytes())
+        .await?;
+    let greeting = reader.read_line().await?;
+    let version = greeting
         .strip_prefix("@RSYNCD: ")
-        .and_then(|v| v.split('.').next()?.trim().parse::<u32>().ok());
-    let version = version.ok_or_else(|| told("this is an rsync daemon; a greeting is expected"))?;
-    if version < VERSION {
-        return Err(told(format!(
-            "protocol version {version} is not served; {VERSION} is the oldest"
+        .and_then(|text| text.split('.').next()?.trim().parse::<u32>().ok());
+    let version =
+        version.ok_or_else(|| reject("this is an rsync daemon; a greeting is expected"))?;
+    if version < PROTOCOL_VERSION {
+        return Err(reject(format!(
+            "protocol version {version} is not served; {PROTOCOL_VERSION} is the oldest"
         )));
     }
-    let name = from.line().await?;
+    let name = reader.read_line().await?;
     if name.is_empty() || name == "#list" {
-        for m in &front.config.modules {
-            to.data(format!("{:<15}\t{}\n", m.name, m.comment.replace('\n', " ")).as_bytes())
+        for module in &front.config.modules {
+            writer
+                .write_data(
+                    format!(
+                        "{:<15}\t{}\n",
+                        module.name,
+                        module.comment.replace('\n', " ")
+                    )
+                    .as_bytes(),
+                )
                 .await?;
         }
-        to.data(b"@RSYNCD: EXIT\n").await?;
+        writer.write_data(b"@RSYNCD: EXIT\n").await?;
         return Ok(None);
     }
-    let module = front.config.modules.iter().find(|m| m.name == name);
+    let module = front
+        .config
+        .modules
+        .iter()
+        .find(|module| module.name == name);
     let module =
-        module.ok_or_else(|| told(format!("Unknown module '{}'", name.escape_default())))?;
-    to.data(b"@RSYNCD: OK\n").await?;
+        module.ok_or_else(|| reject(format!("Unknown module '{}'", name.escape_default())))?;
+    writer.write_data(b"@RSYNCD: OK\n").await?;
     let mut arguments = Vec::new();
     loop {
-        let line = from.line().await?;
+        let line = reader.read_line().await?;
         if line.is_empty() {
             break;
         }
-        if arguments.len() == ARGUMENTS_MOST {
-            return Err(told("too many arguments"));
+        if arguments.len() == MAX_ARGUMENTS {
+            return Err(reject("too many arguments"));
         }
         arguments.push(line);
     }
-    // From here on the client reads frames, so what is wrong with its arguments is said in one.
-    let seed = fastrand::i32(1..);
-    to.data(&seed.to_le_bytes()).await?;
-    to.multiplex();
-    let asked = parse(&arguments, &module.name)?;
-    if from.int().await? != 0 {
-        return Err(told("filter rules are not served"));
+    // After the checksum seed the client reads frames, so errors in its arguments are sent in a frame.
+    let checksum_seed = fastrand::i32(1..);
+    writer.write_data(&checksum_seed.to_le_bytes()).await?;
+    writer.multiplex();
+    let arguments = parse_arguments(&arguments, &module.name)?;
+    if reader.read_int().await? != 0 {
+        return Err(reject("filter rules are not served"));
     }
-    Ok(Some((module, asked, seed)))
+    Ok(Some((module, arguments, checksum_seed)))
 }
 
-/// Reads the arguments of a pull; all that would change the bytes to come in ways not served is named.
-fn parse(arguments: &[String], module: &str) -> Result<Asked, Turned> {
-    let (mut server, mut sender, mut recursive, mut numeric) = (false, false, false, false);
+/// Parses the arguments of a pull. An option that would change the protocol in an unsupported way is an error that names
+/// it.
+fn parse_arguments(arguments: &[String], module: &str) -> Result<PullArguments, SessionError> {
+    let (mut server, mut sender, mut recursive, mut numeric_ids) = (false, false, false, false);
     let (mut owners, mut groups) = (false, false);
-    let mut rest = arguments.iter();
-    for a in rest.by_ref() {
-        match a.as_str() {
+    let mut remaining = arguments.iter();
+    for argument in remaining.by_ref() {
+        match argument.as_str() {
             "--server" => server = true,
             "--sender" => sender = true,
-            "--numeric-ids" => numeric = true,
+            "--numeric-ids" => numeric_ids = true,
             "." => break,
             long if long.starts_with("--") => {
-                return Err(told(format!("option {long} is not served")))
+                return Err(reject(format!("option {long} is not served")))
             }
             short if short.starts_with('-') => {
                 for letter in short[1..].chars() {
@@ -311,16 +363,16 @@
                         'r' => recursive = true,
                         'o' => owners = true,
                         'g' => groups = true,
-                        // Times and modes always go along; links and devices are never listed.
+                        // Times and modes are always sent; links and devices are never listed.
                         't' | 'p' | 'l' | 'D' | 'v' | 'q' | 'W' => {}
-                        // The rest tells of later versions' abilities.
+                        // The letters after `e` are the capabilities of later protocol versions.
                         'e' => break,
-                        other => return Err(told(format!("option -{other} is not served"))),
+                        other => return Err(reject(format!("option -{other} is not served"))),
                     }
                 }
             }
             other => {
-                return Err(told(format!(
+                return Err(reject(format!(
                     "argument '{}' is not expected",
                     other.escape_default()
                 )))
@@ -328,39 +380,45 @@
         }
     }
     if !server || !sender {
-        return Err(told("only pulls are served"));
+        return Err(reject("only pulls are served"));
     }
-    let (Some(path), None) = (rest.next(), rest.next()) else {
-        return Err(told("exactly one path is served"));
+    let (Some(path), None) = (remaining.next(), remaining.next()) else {
+        return Err(reject("exactly one path is served"));
     };
     let path = path
         .strip_prefix(module)
-        .filter(|p| p.is_empty() || p.starts_with('/'));
-    let path = path.ok_or_else(|| told("the path is not in the module"))?;
+        .filter(|path| path.is_empty() || path.starts_with('/'));
+    let path = path.ok_or_else(|| reject("the path is not in the module"))?;
     let path = match path.trim_start_matches('/') {
         "." => "",
         path => path,
     };
-    let plain = path.strip_suffix('/').unwrap_or(path);
-    if path.len() > PATH_MOST || !(plain.is_empty() || wire::inside(plain.as_bytes())) {
-        return Err(told("the path leads out of the module"));
+    let relative = path.strip_suffix('/').unwrap_or(path);
+    if path.len() > MAX_PATH_BYTES
+        || !(relative.is_empty() || wire::is_inside_base(relative.as_bytes()))
+    {
+        return Err(reject("the path leads out of the module"));
     }
-    let id_lists = if numeric {
+    let id_lists = if numeric_ids {
         0
     } else {
         usize::from(owners) + usize::from(groups)
     };
-    Ok(Asked {
+    Ok(PullArguments {
         path: path.to_string(),
         recursive,
         id_lists,
     })
 }
 
-/// Where an entry lies in the module: below the path asked for, or beside it where that has no slash at its end.
-fn path_of(asked: &Asked, entry: &Entry) -> Result<String, Turned> {
+/// Path of an entry in the module. Entries are relative to the requested path if it ends in a slash, and else to its parent
+/// folder.
+fn module_path(arguments: &PullArguments, entry: &FileEntry) -> Result<String, SessionError> {
     let name = std::str::from_utf8(&entry.name)
-        .map_err(|_| told("a name that is not UTF-8 is not served"))?;
-    let base = asked.path.rfind('/').map_or("", |at| &asked.path[..=at]);
+        .map_err(|_| reject("a name that is not UTF-8 is not served"))?;
+    let base = arguments
+        .path
+        .rfind('/')
+        .map_or("", |slash| &arguments.path[..=slash]);
     Ok(format!("{base}{name}"))
 }
--- a/crates/rsync/src/pull.rs
+++ b/crates/rsync/src/pull.rs
@@ -1,7 +1,9 @@
-//! One attempt at a server: the file list, or one whole file, on a connection of its own.
+//! One attempt at an rsync server: pulls the file list or one file over a new connection.
 
-use super::unit::Line;
-use super::wire::{Entry, Reader, Sum, WireError, Writer, TOKEN_MOST, VERSION};
+use super::transfer::AttemptMeter;
+use super::wire::{
+    FileChecksum, FileEntry, Reader, WireError, Writer, MAX_TOKEN_BYTES, PROTOCOL_VERSION,
+};
 use lupinrack_policy::*;
 use lupinrack_request_engine::{Attempt, Clock};
 use std::net::SocketAddr;
@@ -11,49 +13,48 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::sync::Mutex;
 
-/// What the machine may take in from a server before it is read. Seen with the default: a server had written a
-/// good part of a file before the first units past its start were granted, and the volume's limit was passed
-/// at the server though not at the client.
-const READ_AHEAD: u32 = 64 << 10;
+/// Receive buffer of a connection to a server. With the default size, a server had written a good part of a file before
+/// the units after the initial ones were granted: the volume's limit was exceeded at the server, though not at the client.
+const RECEIVE_BUFFER_BYTES: u32 = 64 << 10;
 
-/// What is asked of a server.
+/// What to pull from a server.
 #[derive(Clone, Debug)]
-pub struct Want {
-    /// The module there.
+pub struct PullRequest {
+    /// Module name on the server.
     pub module: String,
-    /// The path in it; empty for all.
+    /// Path in the module; empty for the whole module.
     pub path: String,
-    /// With all that lies below it?
+    /// Whether to list directories recursively.
     pub recursive: bool,
-    /// The longest time for a connection to come up.
-    pub connect: Duration,
+    /// Timeout of the TCP connect.
+    pub connect_timeout: Duration,
 }
 
-/// Why a pull ended, and what that proves.
+/// Why a pull failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PullError {
-    #[error("no connection: {0}")]
-    Unreached(std::io::Error),
-    #[error("no connection in time, or the node stops")]
-    Unsent,
-    #[error("the right that it drew on had ended")]
-    Lapsed,
-    #[error("turned away: {0}")]
-    Full(String),
+    #[error("connect failed: {0}")]
+    ConnectFailed(std::io::Error),
+    #[error("not sent: no connection in time, the handshake broke off, or the node takes no new requests")]
+    NotSent,
+    #[error("not sent: the time by which the pull had to start has passed")]
+    Expired,
+    #[error("server is at its connection limit: {0}")]
+    AtConnectionLimit(String),
     #[error("server: {0}")]
     Server(String),
-    #[error("server: {0}")]
+    #[error("server connection: {0}")]
     Wire(#[from] WireError),
-    #[error("client: {0}")]
+    #[error("client connection: {0}")]
     Client(WireError),
 }
 
 impl PullError {
     fn outcome(&self) -> Outcome {
         match self {
-            PullError::Unreached(_) | PullError::Unsent => Outcome::ConnectFailed,
-            PullError::Lapsed => Outcome::Expired,
-            PullError::Full(_) => Outcome::Rejected,
+            PullError::ConnectFailed(_) | PullError::NotSent => Outcome::ConnectFailed,
+            PullError::Expired => Outcome::Expired,
+            PullError::AtConnectionLimit(_) => Outcome::Rejected,
             PullError::Server(_) => Outcome::Error,
             PullError::Wire(_) => Outcome::Reset,
             PullError::Client(_) => Outcome::Cancelled,
@@ -62,100 +63,111 @@
 }
 
 struct Session {
-    from: Reader<OwnedReadHalf>,
-    to: Writer<OwnedWriteHalf>,
-    seed: i32,
+    reader: Reader<OwnedReadHalf>,
+    writer: Writer<OwnedWriteHalf>,
+    checksum_seed: i32,
 }
 
 /// Pulls the file list.
-pub async fn list(
-    want: Want,
+pub async fn pull_file_list(
+    request: PullRequest,
     address: Option<SocketAddr>,
     attempt: Attempt,
-    mut line: Line,
-) -> (Outcome, Vec<Entry>) {
-    let (until, clock) = (attempt.timeout_at, line.clock);
+    mut meter: AttemptMeter,
+) -> (Outcome, Vec<FileEntry>) {
+    let (deadline, clock) = (attempt.timeout_at, meter.clock);
     let pull = async {
-        let mut s = open(&want, address, &attempt, clock).await?;
-        let list = s.from.list().await?;
-        line.pay(s.from.read).await;
-        line.moved(s.from.read).await;
-        goodbye(&mut s).await;
+        let mut session = open_session(&request, address, &attempt, clock).await?;
+        let list = session.reader.read_file_list().await?;
+        meter.acquire_units(session.reader.bytes_read).await;
+        meter.bytes_forwarded(session.reader.bytes_read).await;
+        end_session(&mut session).await;
         Ok(list)
     };
-    finish(until, clock, pull).await
+    run_until(deadline, clock, pull).await
 }
 
-/// Pulls one whole file and passes it on to the client as it comes.
-pub async fn file(
-    want: Want,
+/// Pulls one file and forwards it to the client as it arrives.
+pub async fn pull_file(
+    request: PullRequest,
     address: Option<SocketAddr>,
     attempt: Attempt,
-    mut line: Line,
-    mut passing: Passing,
+    mut meter: AttemptMeter,
+    mut client_file: ClientFile,
 ) -> (Outcome, ()) {
-    let (until, clock) = (attempt.timeout_at, line.clock);
+    let (deadline, clock) = (attempt.timeout_at, meter.clock);
     let pull = async {
-        let mut s = open(&want, address, &attempt, line.clock).await?;
-        let list = s.from.list().await?;
-        if !matches!(&list[..], [e] if e.is_file() && e.size == passing.size) {
+        let mut session = open_session(&request, address, &attempt, meter.clock).await?;
+        let list = session.reader.read_file_list().await?;
+        if !matches!(&list[..], [entry] if entry.is_file() && entry.size == client_file.size) {
             return Err(PullError::Server(
-                "the file is no longer what was listed".into(),
+                "the file has changed since it was listed".into(),
             ));
         }
-        // Entry 0, with no blocks of an older copy: the whole file is wanted.
-        let mut ask = [0; 5].map(i32::to_le_bytes).concat();
-        ask[8..16].copy_from_slice(&[700i32.to_le_bytes(), 2i32.to_le_bytes()].concat());
-        s.to.data(&ask).await?;
-        if s.from.int().await? != 0 {
-            let said = s.from.said.join("; ");
-            return Err(PullError::Server(format!("the file is not sent: {said}")));
+        // Index 0 and an empty header of block sums (block length 700, strong sums of 2 bytes), so the server sends the
+        // complete file.
+        let mut file_request = [0; 5].map(i32::to_le_bytes).concat();
+        file_request[8..16].copy_from_slice(&[700i32.to_le_bytes(), 2i32.to_le_bytes()].concat());
+        session.writer.write_data(&file_request).await?;
+        if session.reader.read_int().await? != 0 {
+            let messages = session.reader.messages.join("; ");
+            return Err(PullError::Server(format!(
+                "the server does not send the file: {messages}"
+            )));
         }
-        s.from.sums().await?;
-        let (mut theirs, mut moved) = (Sum::new(s.seed), 0);
+        session.reader.read_block_sums().await?;
+        let (mut checksum, mut received_bytes) = (FileChecksum::new(session.checksum_seed), 0);
         loop {
-            let n = s.from.int().await?;
-            match usize::try_from(n) {
+            let token = session.reader.read_int().await?;
+            match usize::try_from(token) {
                 Ok(0) => break,
-                Ok(n) if n <= TOKEN_MOST => {
-                    let part = s.from.bytes(n).await?;
-                    theirs.add(&part);
-                    moved += n as u64;
-                    if moved > passing.size {
-                        return Err(WireError::Oversize("file").into());
+                Ok(length) if length <= MAX_TOKEN_BYTES => {
+                    let data = session.reader.read_bytes(length).await?;
+                    checksum.update(&data);
+                    received_bytes += length as u64;
+                    if received_bytes > client_file.size {
+                        return Err(WireError::TooLong("file").into());
                     }
-                    line.pay(moved).await;
-                    passing
-                        .part(&mut line, &part)
+                    meter.acquire_units(received_bytes).await;
+                    client_file
+                        .forward(&mut meter, &data)
                         .await
                         .map_err(PullError::Client)?;
                 }
-                Ok(_) => return Err(WireError::Oversize("token").into()),
+                Ok(_) => return Err(WireError::TooLong("token").into()),
                 Err(_) => {
-                    return Err(WireError::Garbage("a block of a copy that is not there").into())
+                    return Err(WireError::Malformed(
+                        "a block reference though no block sums were sent",
+                    )
+                    .into())
                 }
             }
         }
-        if s.from.bytes(16).await?[..] != theirs.end() || moved != passing.size {
-            return Err(WireError::Garbage("the file's sum does not match").into());
+        if session.reader.read_bytes(16).await?[..] != checksum.finalize()
+            || received_bytes != client_file.size
+        {
+            return Err(WireError::Malformed("the checksum of the file does not match").into());
         }
-        passing.end(&mut line).await.map_err(PullError::Client)?;
-        goodbye(&mut s).await;
+        client_file
+            .finish(&mut meter)
+            .await
+            .map_err(PullError::Client)?;
+        end_session(&mut session).await;
         Ok(())
     };
-    finish(until, clock, pull).await
+    run_until(deadline, clock, pull).await
 }
 
-async fn finish<T: Default>(
-    until: Micros,
+async fn run_until<T: Default>(
+    deadline: Micros,
     clock: Clock,
     pull: impl std::future::Future<Output = Result<T, PullError>>,
 ) -> (Outcome, T) {
-    match tokio::time::timeout_at(clock.instant(until), pull).await {
+    match tokio::time::timeout_at(clock.instant(deadline), pull).await {
         Ok(Ok(value)) => (Outcome::Ok, value),
-        Ok(Err(why)) => {
-            tracing::info!("rsync: {why}");
-            (why.outcome(), T::default())
+        Ok(Err(error)) => {
+            tracing::info!("rsync pull failed: {error}");
+            (error.outcome(), T::default())
         }
         Err(_) => (Outcome::Timeout, T::default()),
     }
@@ -167,124 +179,141 @@
     } else {
         TcpSocket::new_v6()?
     };
-    socket.set_recv_buffer_size(READ_AHEAD)?;
+    socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES)?;
     socket.connect(address).await
 }
 
-/// Connects and goes through the handshake, up to where the file list begins. Before the arguments are written
-/// nothing has run; a node that must get nothing new by then gets nothing.
-async fn open(
-    want: &Want,
+/// Connects and completes the handshake, up to the start of the file list. The server does no work before the arguments
+/// are written, so a pull that fails earlier counts as not sent.
+async fn open_session(
+    request: &PullRequest,
     address: Option<SocketAddr>,
     attempt: &Attempt,
     clock: Clock,
 ) -> Result<Session, PullError> {
-    let address = address.ok_or(PullError::Unsent)?;
-    let greet = async {
-        let connected = tokio::time::timeout(want.connect, connect(address)).await;
+    let address = address.ok_or(PullError::NotSent)?;
+    let handshake = async {
+        let connected = tokio::time::timeout(request.connect_timeout, connect(address)).await;
         let stream = connected
-            .map_err(|_| PullError::Unsent)?
-            .map_err(PullError::Unreached)?;
+            .map_err(|_| PullError::NotSent)?
+            .map_err(PullError::ConnectFailed)?;
         let _ = stream.set_nodelay(true);
-        let (from, to) = stream.into_split();
-        let (mut from, mut to) = (Reader::new(from), Writer::new(to));
-        let unrun = |_| PullError::Unsent;
-        let hello = from.line().await.map_err(unrun)?;
-        let version = hello
+        let (reader, writer) = stream.into_split();
+        let (mut reader, mut writer) = (Reader::new(reader), Writer::new(writer));
+        let not_sent = |_| PullError::NotSent;
+        let greeting = reader.read_line().await.map_err(not_sent)?;
+        let version = greeting
             .strip_prefix("@RSYNCD: ")
-            .and_then(|v| v.split('.').next()?.trim().parse().ok());
-        if version.is_none_or(|v: u32| v < VERSION) {
-            return Err(PullError::Server(format!("greeting '{hello}'")));
+            .and_then(|text| text.split('.').next()?.trim().parse().ok());
+        if version.is_none_or(|version: u32| version < PROTOCOL_VERSION) {
+            return Err(PullError::Server(format!(
+                "unsupported greeting '{greeting}'"
+            )));
         }
-        to.data(format!("@RSYNCD: {VERSION}\n{}\n", want.module).as_bytes())
+        writer
+            .write_data(format!("@RSYNCD: {PROTOCOL_VERSION}\n{}\n", request.module).as_bytes())
             .await
-            .map_err(unrun)?;
+            .map_err(not_sent)?;
         loop {
-            let line = from.line().await.map_err(unrun)?;
+            let line = reader.read_line().await.map_err(not_sent)?;
             match line.strip_prefix("@ERROR") {
-                _ if line == "@RSYNCD: OK" => return Ok((from, to)),
-                // What a daemon says when it holds as many connections as it may.
-                Some(why) if why.contains("max connections") => return Err(PullError::Full(line)),
+                _ if line == "@RSYNCD: OK" => return Ok((reader, writer)),
+                // Reply of a daemon that has reached its connection limit.
+                Some(reason) if reason.contains("max connections") => {
+                    return Err(PullError::AtConnectionLimit(line))
+                }
                 Some(_) => return Err(PullError::Server(line)),
                 None if line.starts_with("@RSYNCD: ") => return Err(PullError::Server(line)),
                 None => {}
             }
         }
     };
-    let (mut from, mut to) = tokio::select! {
+    let (mut reader, mut writer) = tokio::select! {
         biased;
-        () = attempt.target.stopped(clock) => return Err(PullError::Unsent),
-        greeted = greet => greeted?,
+        () = attempt.target.stopped(clock) => return Err(PullError::NotSent),
+        connection = handshake => connection?,
     };
     if clock.now() >= attempt.begin_by {
-        // This process was stopped meanwhile: others may use by now what this pull drew on.
-        return Err(PullError::Lapsed);
+        // The handshake took too long, for example because this process was suspended. The quota that the pull draws on
+        // may belong to another front by now.
+        return Err(PullError::Expired);
     }
-    let recurse = if want.recursive { "-rt" } else { "-t" };
+    let recurse = if request.recursive { "-rt" } else { "-t" };
     let arguments = format!(
         "--server\n--sender\n{recurse}\n.\n{}/{}\n\n",
-        want.module, want.path
+        request.module, request.path
     );
-    to.data(arguments.as_bytes()).await?;
-    let seed = from.int().await?;
-    from.demultiplex();
-    // An empty list of exclusions.
-    to.data(&0i32.to_le_bytes()).await?;
-    Ok(Session { from, to, seed })
+    writer.write_data(arguments.as_bytes()).await?;
+    let checksum_seed = reader.read_int().await?;
+    reader.demultiplex();
+    // An empty list of filter rules.
+    writer.write_data(&0i32.to_le_bytes()).await?;
+    Ok(Session {
+        reader,
+        writer,
+        checksum_seed,
+    })
 }
 
-/// Ends a session as the protocol wants it. All that was wanted has come; what goes wrong here harms nobody.
-async fn goodbye(s: &mut Session) {
-    let farewell = async {
-        // The ends of both phases, their echoes, the figures, and the last word.
-        s.to.data(&[-1i32, -1].map(i32::to_le_bytes).concat())
+/// Ends a session in the order of the protocol. Errors are ignored: the requested data is already complete.
+async fn end_session(session: &mut Session) {
+    let goodbye = async {
+        // The ends of both phases, their echoes, the statistics and the final goodbye.
+        session
+            .writer
+            .write_data(&[-1i32, -1].map(i32::to_le_bytes).concat())
             .await?;
-        let _ = (s.from.int().await?, s.from.int().await?);
-        s.from.stats().await?;
-        s.to.data(&(-1i32).to_le_bytes()).await
+        let _ = (
+            session.reader.read_int().await?,
+            session.reader.read_int().await?,
+        );
+        session.reader.read_stats().await?;
+        session.writer.write_data(&(-1i32).to_le_bytes()).await
     };
-    let _ = tokio::time::timeout(Duration::from_millis(200), farewell).await;
-    s.to.close().await;
+    let _ = tokio::time::timeout(Duration::from_millis(200), goodbye).await;
+    session.writer.close().await;
 }
 
-/// The client's end of one file: its head goes out with the first bytes, its sum with the last.
-pub struct Passing {
-    /// The client.
+/// Forwards one file to the client: the header before the first token, the checksum after the last one.
+pub struct ClientFile {
+    /// Write half of the client connection.
     pub client: Arc<Mutex<Writer<OwnedWriteHalf>>>,
-    /// The entry's number at the client, and the head of the block sums that came with it.
-    pub head: [i32; 5],
-    /// The size listed.
+    /// Index of the file in the client's file list, and the header of the block sums that the client sent.
+    pub header: [i32; 5],
+    /// Size in the file list, in bytes.
     pub size: u64,
-    /// The client's running sum.
-    pub sum: Option<Sum>,
+    /// Checksum with the client's seed; taken when the file is finished.
+    pub checksum: Option<FileChecksum>,
 }
 
-impl Passing {
-    async fn part(&mut self, line: &mut Line, part: &[u8]) -> Result<(), WireError> {
+impl ClientFile {
+    async fn forward(&mut self, meter: &mut AttemptMeter, data: &[u8]) -> Result<(), WireError> {
         let mut client = self.client.lock().await;
-        if line.begin().await {
+        if meter.start_response().await {
             client
-                .data(&self.head.map(i32::to_le_bytes).concat())
+                .write_data(&self.header.map(i32::to_le_bytes).concat())
                 .await?;
         }
-        if let Some(sum) = &mut self.sum {
-            sum.add(part);
+        if let Some(checksum) = &mut self.checksum {
+            checksum.update(data);
         }
-        client.data(&(part.len() as i32).to_le_bytes()).await?;
-        client.data(part).await?;
-        line.moved(part.len() as u64).await;
+        client
+            .write_data(&(data.len() as i32).to_le_bytes())
+            .await?;
+        client.write_data(data).await?;
+        meter.bytes_forwarded(data.len() as u64).await;
         Ok(())
     }
 
-    async fn end(&mut self, line: &mut Line) -> Result<(), WireError> {
+    async fn finish(&mut self, meter: &mut AttemptMeter) -> Result<(), WireError> {
         let mut client = self.client.lock().await;
-        if line.begin().await {
+        if meter.start_response().await {
             client
-                .data(&self.head.map(i32::to_le_bytes).concat())
+                .write_data(&self.header.map(i32::to_le_bytes).concat())
                 .await?;
         }
-        client.data(&0i32.to_le_bytes()).await?;
-        let sum = self.sum.take().ok_or(WireError::Closed)?;
-        client.data(&sum.end()).await
+        client.write_data(&0i32.to_le_bytes()).await?;
+        let checksum = self.checksum.take().ok_or(WireError::Closed)?;
+        client.write_data(&checksum.finalize()).await
     }
 }
