--- a/crates/lupinrack/src/commands/buffer.rs
+++ b/crates/lupinrack/src/commands/buffer.rs
@@ -180,7 +180,7 @@
     }
     let pending = writes.pending().count();
     if place.json {
-        let (records, torn) = (found.records.len(), found.torn);
+        let (records, torn) = (found.records.len(), found.torn_bytes);
         let line = serde_json::json!({"records": records, "kinds": kinds, "pending": pending, "torn_bytes": torn});
         println!("{line}");
         return Ok(());
@@ -192,11 +192,11 @@
     for (kind, count) in kinds {
         let _ = write!(text, "\n{kind:<10}{count:>8}");
     }
-    if found.torn > 0 {
+    if found.torn_bytes > 0 {
         let _ = write!(
             text,
             "\na torn end of {} bytes; the next start cuts it off",
-            found.torn
+            found.torn_bytes
         );
     }
     println!("{text}");
--- a/crates/write-back/src/attempt_outcome.rs
+++ b/crates/write-back/src/attempt_outcome.rs
@@ -2,13 +2,13 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How an attempt to send a write ended. The variants' order is the form in the log.
+/// How an attempt to send a write ended. The order of the variants is the encoding in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptOutcome {
-    /// A node has the write.
+    /// A node has stored the write.
     Stored,
-    /// It provably never ran.
+    /// It is proven that it did not run.
     NeverRan,
-    /// It may have run.
+    /// Whether it ran is not known.
     MayHaveRun,
 }
--- a/crates/write-back/src/buffer.rs
+++ b/crates/write-back/src/buffer.rs
@@ -1,4 +1,4 @@
-//! The buffer's decisions.
+//! The decisions of the buffer.
 
 mod flushes;
 mod log_position;
@@ -19,54 +19,57 @@
 use std::collections::{BTreeMap, BTreeSet};
 use write_progress::{WriteProgress, WriteStage};
 
-/// A waiter for the log to have its write.
+/// A client that waits until its write is durable in the log.
 #[derive(Clone, Copy, Debug)]
 struct BufferedWaiter {
-    /// The sequence number of the write's record.
+    /// Sequence number of the record of the write.
     sequence: u64,
     waiter: Waiter,
     write: WriteId,
 }
 
-/// An attempt that waits for its intent to be durable.
+/// An attempt that waits until its intent is durable.
 #[derive(Clone, Copy, Debug)]
 struct IntendedAttempt {
-    /// The sequence number of the intent's record.
+    /// Sequence number of the record of the intent.
     sequence: u64,
     write: WriteId,
     attempt: u16,
 }
 
-/// The decisions of one front's buffer, without I/O and without a clock: what may be acknowledged, sent, sent again, given up
-/// and freed.
+/// Decides, without I/O and without a clock, which writes of one front are acknowledged, sent, retried and resolved, and which
+/// segments of the log can be removed.
 ///
-/// It promises: [`Acknowledgement::Buffered`] is given once a write is synced to the log, [`Acknowledgement::Flushed`] once a
-/// node has it; the intent of an attempt is synced before the attempt's first byte leaves; what was acknowledged is resolved
-/// only by a node that has it.
+/// It guarantees:
+/// - [`Acknowledgement::Buffered`] is returned once a write is synced to the log, [`Acknowledgement::Flushed`] once a node has
+///   stored it.
+/// - The intent of an attempt is synced before the first byte of the attempt is sent.
+/// - An acknowledged write is resolved only once a node has stored it.
 #[derive(Debug)]
 pub struct Buffer {
     limits: Limits,
     writes: WriteTable,
     progress: BTreeMap<WriteId, WriteProgress>,
-    /// Bytes of the bodies of all pending writes.
+    /// Total bytes of the bodies of all pending writes.
     pending_bytes: u64,
-    /// Barriers so far, by volume, while it has pending writes.
+    /// Number of barriers so far per volume, for volumes with pending writes.
     barriers: BTreeMap<u64, u64>,
     log: LogPosition,
     buffered_waiters: Vec<BufferedWaiter>,
     intended_attempts: Vec<IntendedAttempt>,
     flushes: Flushes,
-    /// The time for which a timer was requested.
+    /// Time of the last requested timer.
     wake_at: Option<Micros>,
 }
 
 impl Buffer {
-    /// A buffer over what recovery found, with the sequence number of the log's next record.
+    /// Creates a buffer from the recovered writes and the sequence number of the next record in the log.
     pub fn new(limits: Limits, writes: WriteTable, next_sequence: u64) -> Buffer {
         let mut barriers: BTreeMap<u64, u64> = BTreeMap::new();
         let mut progress = BTreeMap::new();
         for pending in writes.pending() {
-            // Earlier barriers are kept by order: each pending write waits for those accepted before it.
+            // Barriers before the restart are not counted. Instead, each recovered write waits for all earlier ones of its
+            // volume.
             let generation = barriers.entry(pending.accepted.volume).or_default();
             *generation += 1;
             let recovered = WriteProgress {
@@ -90,17 +93,17 @@
         }
     }
 
-    /// The writes that are not resolved.
+    /// The pending writes.
     pub fn pending(&self) -> impl Iterator<Item = &PendingWrite> {
         self.writes.pending()
     }
 
-    /// Bytes of the bodies of all pending writes.
+    /// Total bytes of the bodies of all pending writes.
     pub fn pending_bytes(&self) -> u64 {
         self.pending_bytes
     }
 
-    /// Processes one input at `now`, and appends what the driver has to do to `actions`.
+    /// Handles one input at `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Moment, input: Input, actions: &mut Vec<Action>) {
         match input {
             Input::Write(waiter, acknowledge_at, write) => {
@@ -135,7 +138,7 @@
             Input::Located(write, lookup) => self.on_located(write, lookup, actions),
             Input::Timer => self.wake_at = None,
         }
-        self.do_what_is_due(now, actions);
+        self.perform_due_actions(now, actions);
     }
 
     fn on_write(
@@ -149,8 +152,8 @@
         let bytes = write.body.len() as u64;
         let fits = self.pending_bytes + bytes <= self.limits.max_pending_bytes;
         if self.log.is_closed() || !fits {
-            let through = Acknowledgement::WriteThrough;
-            return actions.push(Action::Acknowledge(waiter, through));
+            let write_through = Acknowledgement::WriteThrough;
+            return actions.push(Action::Acknowledge(waiter, write_through));
         }
         let id = self.writes.next_id();
         let progress = WriteProgress {
@@ -207,7 +210,7 @@
             write,
             attempt,
         });
-        // A request waits for it: its sync does not wait for others.
+        // A request waits for this intent, so its sync is not delayed to be shared.
         self.log.sync_now(now.since_boot);
     }
 
@@ -244,7 +247,7 @@
         }
     }
 
-    /// Absent from every node that may have run it: its attempts are known not to have run.
+    /// No node that may have run the write has it, so none of its attempts ran.
     fn on_absent(&mut self, write: WriteId, actions: &mut Vec<Action>) {
         let attempts: Vec<u16> = self.writes.get(write).map_or(Vec::new(), |pending| {
             let attempts = pending.attempts.iter();
@@ -282,7 +285,7 @@
             } else if self.may_send(now, write, attempt) {
                 actions.push(Action::Send(write, attempt));
             } else {
-                // The sync took so long that a repeat would not be dropped any more.
+                // The sync took so long that nodes would no longer drop the retry as a repeat.
                 actions.push(Action::Abort(write, attempt));
                 let outcome = AttemptOutcome::NeverRan;
                 let ended = Record::AttemptEnded {
@@ -296,7 +299,7 @@
         }
     }
 
-    /// Whether an attempt may be sent now, judged by those before it.
+    /// Whether an attempt may be sent now, given the other attempts at the write.
     fn may_send(&self, now: Moment, write: WriteId, attempt: u16) -> bool {
         let Some(pending) = self.writes.get(write) else {
             return false;
@@ -313,7 +316,7 @@
         }
     }
 
-    /// What was not synced counts as not written: its writes go through, and nobody is told that they are buffered.
+    /// Records that were not synced count as not written. Their writes are written through and not acknowledged as buffered.
     fn on_log_failed(&mut self, actions: &mut Vec<Action>) {
         self.log.close();
         let lost: Vec<WriteId> = self
@@ -324,22 +327,23 @@
             .collect();
         for write in lost {
             self.remove_progress(write);
-            self.writes.apply(self.log.next(), &Record::Resolved(write));
-            let through = Acknowledgement::WriteThrough;
-            self.flushes.resolve(write, through, actions);
+            self.writes
+                .apply(self.log.next_sequence(), &Record::Resolved(write));
+            let write_through = Acknowledgement::WriteThrough;
+            self.flushes.resolve(write, write_through, actions);
         }
         for buffered in std::mem::take(&mut self.buffered_waiters) {
-            let through = Acknowledgement::WriteThrough;
-            actions.push(Action::Acknowledge(buffered.waiter, through));
+            let write_through = Acknowledgement::WriteThrough;
+            actions.push(Action::Acknowledge(buffered.waiter, write_through));
         }
         for intended in std::mem::take(&mut self.intended_attempts) {
             actions.push(Action::Abort(intended.write, intended.attempt));
         }
     }
 
-    /// Applies a record, and has it written unless the log has failed. Returns its sequence number.
+    /// Applies a record, and appends it to the log unless the log has failed. Returns its sequence number.
     fn append(&mut self, record: Record, actions: &mut Vec<Action>) -> u64 {
-        let sequence = self.log.next();
+        let sequence = self.log.next_sequence();
         self.writes.apply(sequence, &record);
         if !self.log.is_closed() {
             self.log.advance();
@@ -348,7 +352,7 @@
         sequence
     }
 
-    /// A node has a write.
+    /// Resolves a write that a node has stored.
     fn resolve(&mut self, write: WriteId, actions: &mut Vec<Action>) {
         let volume = self
             .writes
@@ -358,7 +362,7 @@
             return;
         }
         self.append(Record::Resolved(write), actions);
-        // That a node has it is more than that the log has it.
+        // Clients that wait for the log are acknowledged as well: stored by a node is stronger than buffered.
         let (resolved, waiting): (Vec<BufferedWaiter>, Vec<BufferedWaiter>) =
             std::mem::take(&mut self.buffered_waiters)
                 .into_iter()
@@ -371,36 +375,40 @@
         self.flushes
             .resolve(write, Acknowledgement::Flushed, actions);
         if let Some(volume) = volume {
-            self.forget_barriers_without_writes(volume);
+            self.remove_unused_barriers(volume);
         }
         if !self.log.is_closed() {
-            let needed_from = self.writes.needed_from().unwrap_or(self.log.next());
+            let needed_from = self
+                .writes
+                .needed_from()
+                .unwrap_or(self.log.next_sequence());
             actions.push(Action::Reclaim(needed_from));
         }
     }
 
-    fn forget_barriers_without_writes(&mut self, volume: u64) {
+    /// Removes the barrier count of a volume without pending writes.
+    fn remove_unused_barriers(&mut self, volume: u64) {
         let of_volume = |pending: &PendingWrite| pending.accepted.volume == volume;
         if !self.writes.pending().any(of_volume) {
             self.barriers.remove(&volume);
         }
     }
 
-    /// Removes a write's progress, with its bytes. Returns whether there was any.
+    /// Removes the state of a write and subtracts its bytes. Returns false if there was none.
     fn remove_progress(&mut self, write: WriteId) -> bool {
         let removed = self.progress.remove(&write);
         self.pending_bytes -= removed.as_ref().map_or(0, |progress| progress.bytes);
         removed.is_some()
     }
 
-    /// Changes the stage of a pending write. Returns whether there is one with this number.
+    /// Sets the stage of a write. Returns false if no write with this number is pending.
     fn set_stage(&mut self, write: WriteId, stage: WriteStage) -> bool {
         let progress = self.progress.get_mut(&write);
         progress.map(|progress| progress.stage = stage).is_some()
     }
 
-    fn do_what_is_due(&mut self, now: Moment, actions: &mut Vec<Action>) {
-        if self.log.begin_due_sync(now.since_boot) {
+    fn perform_due_actions(&mut self, now: Moment, actions: &mut Vec<Action>) {
+        if self.log.start_due_sync(now.since_boot) {
             actions.push(Action::Sync);
         }
         self.open_due_writes(now, actions);
@@ -408,14 +416,14 @@
     }
 
     fn request_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let retries = self
+        let retry_times = self
             .progress
             .values()
             .filter_map(|progress| match progress.stage {
                 WriteStage::Waiting(at) if at > now => Some(at),
                 _ => None,
             });
-        let Some(at) = retries.chain(self.log.next_sync_at()).min() else {
+        let Some(at) = retry_times.chain(self.log.next_sync_at()).min() else {
             return;
         };
         if self.wake_at.is_none_or(|wake| at < wake || wake <= now) {
@@ -424,10 +432,11 @@
         }
     }
 
-    /// Opens what may be sent now: durable, past its barrier, due, and in a state that allows it.
+    /// Opens the waiting writes that are due, durable and not behind a barrier, and that may be sent. Starts lookups for those
+    /// whose retry window has expired.
     fn open_due_writes(&mut self, now: Moment, actions: &mut Vec<Action>) {
         if self.log.is_closed() {
-            // No intent can be synced any more: what was acknowledged stays in the log for the next start.
+            // Intents can no longer be synced. Acknowledged writes stay in the log and are sent after the next start.
             return;
         }
         let first_generations = self.first_generations();
@@ -439,7 +448,7 @@
             };
             let due = matches!(progress.stage, WriteStage::Waiting(at) if at <= now.since_boot);
             let past_barriers = first_generations.get(&volume) == Some(&progress.generation);
-            // Not before its own record is durable: else an attempt could be known of a write that is not.
+            // The record of the write must be durable first. Otherwise the log could contain an attempt without its write.
             if !due || !self.log.is_durable(pending.sequence) || !past_barriers {
                 continue;
             }
@@ -456,7 +465,7 @@
                     progress.stage = WriteStage::Locating;
                     actions.push(Action::Locate(write, nodes));
                 }
-                // Its resolution was not written in time.
+                // The process ended before the resolution was logged.
                 RetryStatus::Stored => stored.push(write),
             }
         }
@@ -465,7 +474,8 @@
         }
     }
 
-    /// The earliest generation of each volume's writes, apart from those in doubt: only that may be sent.
+    /// The lowest generation of the pending writes of each volume, without those in doubt. Only writes of this generation may be
+    /// sent.
     fn first_generations(&self) -> BTreeMap<u64, u64> {
         let mut first: BTreeMap<u64, u64> = BTreeMap::new();
         for pending in self.writes.pending() {
--- a/crates/write-back/src/buffer/flushes.rs
+++ b/crates/write-back/src/buffer/flushes.rs
@@ -1,20 +1,20 @@
-//! Waiters for writes to reach nodes.
+//! Waiters for writes to be stored by nodes.
 
 use crate::accepted_write::WriteId;
 use crate::action::{Acknowledgement, Action};
 use crate::input::Waiter;
 use std::collections::BTreeSet;
 
-/// What a waiter waits for.
+/// Kind of a waiter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FlushKind {
-    /// It is the client of its one write, which may also be written through.
+    /// The client of a single write, which may also be written through.
     OwnWrite,
-    /// It asked for a flush of what was acknowledged before.
+    /// A flush of the pending writes of a volume.
     Volume,
 }
 
-/// Who waits until nodes have some writes.
+/// A waiter and the writes that it waits for.
 #[derive(Clone, Debug)]
 struct Flush {
     waiter: Waiter,
@@ -22,14 +22,14 @@
     kind: FlushKind,
 }
 
-/// All waiters for writes to reach nodes, in the order of their requests.
+/// All waiters, in the order of their requests.
 #[derive(Debug, Default)]
 pub(super) struct Flushes {
     waiting: Vec<Flush>,
 }
 
 impl Flushes {
-    /// The client of a write waits for it.
+    /// Adds the client of a write, which waits for this write.
     pub(super) fn wait_for_write(&mut self, waiter: Waiter, write: WriteId) {
         self.waiting.push(Flush {
             waiter,
@@ -38,7 +38,7 @@
         });
     }
 
-    /// A flush waits for these writes. Returns whether there is anything to wait for.
+    /// Adds a flush that waits for these writes. Returns false if there are none.
     pub(super) fn wait_for_all(&mut self, waiter: Waiter, writes: BTreeSet<WriteId>) -> bool {
         let any = !writes.is_empty();
         if any {
@@ -51,7 +51,8 @@
         any
     }
 
-    /// A write is over: whoever waits for it, or for it as the last, is acknowledged; its own client with `own`.
+    /// Removes a resolved write. Waiters without further writes are acknowledged: the client of the write with `own`, flushes
+    /// as flushed.
     pub(super) fn resolve(
         &mut self,
         write: WriteId,
--- a/crates/write-back/src/buffer/log_position.rs
+++ b/crates/write-back/src/buffer/log_position.rs
@@ -1,36 +1,36 @@
-//! How far the log is written and synced.
+//! Position of the log: which records are written, which are durable, and when the next sync is due.
 
 use lupinrack_policy::Micros;
 
-/// How far the log is written and synced. One sync at a time is in flight.
+/// Position of the log. At most one sync is in flight.
 #[derive(Debug)]
 pub(super) struct LogPosition {
-    /// The sequence number of the next record.
-    next: u64,
+    /// Sequence number of the next record.
+    next_sequence: u64,
     /// Records below this sequence number are durable.
     durable_below: u64,
-    /// The sync in flight covers the records below this.
+    /// The sync in flight covers the records below this sequence number.
     syncing_below: Option<u64>,
-    /// When the next sync is due.
+    /// Time at which the next sync is due.
     sync_due: Option<Micros>,
-    /// Whether the log failed: nothing more is written to it.
+    /// Whether the log has failed. Nothing more is written to it then.
     closed: bool,
 }
 
 impl LogPosition {
-    /// A log whose next record has this number; all before are durable.
-    pub(super) fn new(next: u64) -> LogPosition {
+    /// A log whose next record has this sequence number. All records before it are durable.
+    pub(super) fn new(next_sequence: u64) -> LogPosition {
         LogPosition {
-            next,
-            durable_below: next,
+            next_sequence,
+            durable_below: next_sequence,
             syncing_below: None,
             sync_due: None,
             closed: false,
         }
     }
 
-    pub(super) fn next(&self) -> u64 {
-        self.next
+    pub(super) fn next_sequence(&self) -> u64 {
+        self.next_sequence
     }
 
     pub(super) fn is_closed(&self) -> bool {
@@ -41,38 +41,38 @@
         sequence < self.durable_below
     }
 
-    /// Takes the number of a record that is written now.
+    /// Counts a record that is appended.
     pub(super) fn advance(&mut self) {
-        self.next += 1;
+        self.next_sequence += 1;
     }
 
-    /// Has a sync begin at this time at the latest, as far as none is due before.
+    /// Schedules a sync at this time unless one is already due.
     pub(super) fn sync_by(&mut self, due: Micros) {
         self.sync_due = self.sync_due.or(Some(due));
     }
 
-    /// Has a sync begin as soon as none is in flight.
+    /// Schedules a sync as soon as none is in flight.
     pub(super) fn sync_now(&mut self, now: Micros) {
         self.sync_due = Some(now);
     }
 
-    /// Begins a sync if one is due and none is in flight.
-    pub(super) fn begin_due_sync(&mut self, now: Micros) -> bool {
+    /// Starts a sync if one is due and none is in flight. Returns whether it did.
+    pub(super) fn start_due_sync(&mut self, now: Micros) -> bool {
         let due = self.sync_due.is_some_and(|at| at <= now);
-        let begins = due && self.syncing_below.is_none() && !self.closed;
-        if begins {
-            self.syncing_below = Some(self.next);
+        let starts = due && self.syncing_below.is_none() && !self.closed;
+        if starts {
+            self.syncing_below = Some(self.next_sequence);
             self.sync_due = None;
         }
-        begins
+        starts
     }
 
-    /// When the next sync begins if nothing else happens; none while one is in flight.
+    /// Time at which the next sync starts without further input. `None` while one is in flight.
     pub(super) fn next_sync_at(&self) -> Option<Micros> {
         self.sync_due.filter(|_| self.syncing_below.is_none())
     }
 
-    /// The sync in flight went well. Returns whether there was one.
+    /// Completes the sync in flight. Returns false if there was none.
     pub(super) fn synced(&mut self) -> bool {
         let Some(below) = self.syncing_below.take() else {
             return false;
@@ -81,7 +81,7 @@
         true
     }
 
-    /// The log failed.
+    /// Closes the log after a failure.
     pub(super) fn close(&mut self) {
         self.closed = true;
         self.syncing_below = None;
--- a/crates/write-back/src/buffer/write_progress.rs
+++ b/crates/write-back/src/buffer/write_progress.rs
@@ -1,29 +1,29 @@
-//! How far a pending write has come.
+//! Stage of a pending write.
 
 use lupinrack_policy::Micros;
 
-/// What is being done with a pending write.
+/// Stage of a pending write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteStage {
-    /// It waits for its barrier, or until this time since boot.
+    /// Waits for the barriers before it and until this time since boot.
     Waiting(Micros),
-    /// The core has it.
+    /// Open in the request engine.
     Open,
-    /// The nodes that may have run it are being asked.
+    /// A lookup on the nodes that may have run it is in progress.
     Locating,
-    /// It may have run, and nobody knows.
+    /// In doubt: whether it ran is not known.
     InDoubt,
 }
 
 impl WriteStage {
-    /// It waits for its barrier alone.
+    /// Waits for the barriers before it only.
     pub(super) const READY: WriteStage = WriteStage::Waiting(0);
 }
 
-/// How far a pending write has come.
+/// State of a pending write in the buffer.
 #[derive(Clone, Debug)]
 pub(super) struct WriteProgress {
-    /// How many barriers of its volume it comes after.
+    /// Number of barriers of its volume before it.
     pub(super) generation: u64,
     pub(super) stage: WriteStage,
     /// Bytes of its body.
--- a/crates/write-back/src/disk.rs
+++ b/crates/write-back/src/disk.rs
@@ -1,65 +1,66 @@
-//! What the log needs of a disk: few calls, so that a real folder and a simulated one are the same to it.
+//! The disk operations that the log needs, as a trait with a real and a simulated implementation.
 
 use std::fmt::Debug;
 
-/// A segment's number; its file's name follows from it.
+/// Number of a segment: the sequence number of its first record. The file name is derived from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SegmentId(pub u64);
 
-/// Why a call failed.
+/// Why a disk operation failed.
 #[derive(Debug, thiserror::Error)]
 pub enum DiskError {
-    /// There is no space left.
+    /// No space left on the device.
     #[error("the disk is full")]
     Full,
-    /// Anything else.
+    /// Any other failure.
     #[error("{0}")]
     Failed(String),
 }
 
-/// A folder of segments. After a crash what was synced is there, of the rest any part may be, in any order.
+/// A directory of segments. A crash preserves all synced bytes; of the unsynced bytes, any part
+/// may survive, regardless of the order in which they were written.
 pub trait Disk: Debug {
-    /// All segments, in order.
+    /// Lists all segments in ascending order.
     ///
     /// # Errors
     ///
-    /// Where the disk fails, or the folder cannot be read.
+    /// If the disk fails or the directory cannot be read.
     fn list(&mut self) -> Result<Vec<SegmentId>, DiskError>;
-    /// Makes an empty segment; its name is durable once it is synced.
+    /// Creates an empty segment. Its directory entry is durable after the first sync of the segment.
     ///
     /// # Errors
     ///
-    /// Where the disk fails, or the segment is there already.
+    /// If the disk fails or the segment exists.
     fn create(&mut self, segment: SegmentId) -> Result<(), DiskError>;
-    /// Writes at the end of a segment.
+    /// Appends bytes to a segment.
     ///
     /// # Errors
     ///
-    /// Where the disk fails, or there is no space left.
+    /// If the disk fails or has no space left.
     fn append(&mut self, segment: SegmentId, bytes: &[u8]) -> Result<(), DiskError>;
-    /// Makes all that was written to a segment, and its name, durable. One that failed is never tried again as if nothing
-    /// had happened: what it covered counts as not written.
+    /// Makes all appended bytes and the directory entry of a segment durable. A failed sync must not be retried: the bytes
+    /// that it covered count as not written.
     ///
     /// # Errors
     ///
-    /// Where the disk fails, or the segment is not there.
+    /// If the disk fails or the segment does not exist.
     fn sync(&mut self, segment: SegmentId) -> Result<(), DiskError>;
     /// Reads a complete segment.
     ///
     /// # Errors
     ///
-    /// Where the disk fails, or the segment is not there.
+    /// If the disk fails or the segment does not exist.
     fn read(&mut self, segment: SegmentId) -> Result<Vec<u8>, DiskError>;
-    /// Cuts a segment to a length, durably.
+    /// Truncates a segment and syncs it.
     ///
     /// # Errors
     ///
-    /// Where the disk fails, or the segment is not there.
+    /// If the disk fails or the segment does not exist.
     fn truncate(&mut self, segment: SegmentId, length: u64) -> Result<(), DiskError>;
     /// Removes a segment.
     ///
     /// # Errors
     ///
-    /// Where the disk fails, or the segment is not there.
+    /// If the disk fails or the segment does not exist.
     fn remove(&mut self, segment: SegmentId) -> Result<(), DiskError>;
 }
--- a/crates/write-back/src/frame.rs
+++ b/crates/write-back/src/frame.rs
@@ -1,46 +1,46 @@
-//! The form of records in the log.
+//! Encoding of records in the log.
 //!
-//! A frame is the length of its body (4 bytes), the CRC-32 of the rest (4), its sequence number (8), and the body (postcard);
-//! numbers are little-endian. The sequence rises by one from frame to frame, also over segments, so that a frame left over
-//! from an earlier use of the same file is never mistaken for one of this.
+//! A frame consists of the length of its body (4 bytes), the CRC-32 of sequence number and body (4), the sequence number (8)
+//! and the body (postcard). Numbers are little-endian. The sequence number increases by one with each frame, also across
+//! segments, so a frame left over from an earlier use of the file is not mistaken for a valid one.
 
 use crate::record::Record;
 
-/// Frames with a longer body are damage: the body of a write has 64 KiB at most.
+/// Most bytes of the body of a frame; a longer one is corrupt. The body of a write has 64 KiB at most.
 pub const MAX_BODY_BYTES: usize = 128 << 10;
-/// Bytes ahead of a frame's body.
+/// Bytes of the header of a frame.
 pub const HEADER_BYTES: usize = 16;
 
-/// Where the parts of the header begin.
-const LENGTH_AT: usize = 0;
-const CHECKSUM_AT: usize = 4;
-const SEQUENCE_AT: usize = 8;
+/// Offsets of the header fields.
+const LENGTH_OFFSET: usize = 0;
+const CHECKSUM_OFFSET: usize = 4;
+const SEQUENCE_OFFSET: usize = 8;
 
 /// Why a frame cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The bytes end inside it: it was torn, if nothing follows.
+    /// The bytes end inside the frame. At the end of the log it is a torn write.
     #[error("it ends inside a record")]
-    Short,
-    /// Its length cannot be.
+    Truncated,
+    /// The length is zero or above the limit.
     #[error("a record of a length that cannot be")]
-    Length,
-    /// Its checksum does not match.
+    InvalidLength,
+    /// The checksum does not match.
     #[error("a record with a wrong checksum")]
-    Checksum,
-    /// Its sequence number is not the next.
+    ChecksumMismatch,
+    /// The sequence number is not the expected one.
     #[error("a record out of sequence")]
-    Sequence,
-    /// Its body is of no form that this version knows.
+    SequenceMismatch,
+    /// This version cannot decode the body.
     #[error("a record of an unknown form")]
-    Form,
+    UnknownBody,
 }
 
 /// Encodes a record as a frame.
 ///
 /// # Errors
 ///
-/// Where the record has no encoding, which is a defect.
+/// If the record cannot be encoded, which is a bug.
 pub fn encode(sequence: u64, record: &Record) -> Result<Vec<u8>, postcard::Error> {
     let body = postcard::to_allocvec(record)?;
     let mut checksum = crc32fast::Hasher::new();
@@ -54,34 +54,34 @@
     Ok(frame)
 }
 
-/// Decodes the frame at the front of `bytes`, which must have this sequence number. Returns its length, too.
+/// Decodes the frame at the start of `bytes`, which must have this sequence number. Returns the record and the frame length.
 ///
 /// # Errors
 ///
-/// Why the bytes are not the frame with this sequence number.
+/// If the bytes do not start with a valid frame that has this sequence number.
 pub fn decode(bytes: &[u8], sequence: u64) -> Result<(Record, usize), FrameError> {
-    let length = number_at(bytes, LENGTH_AT)? as usize;
-    let checksum = number_at(bytes, CHECKSUM_AT)?;
+    let length = u32_at(bytes, LENGTH_OFFSET)? as usize;
+    let checksum = u32_at(bytes, CHECKSUM_OFFSET)?;
     if length == 0 || length > MAX_BODY_BYTES {
-        return Err(FrameError::Length);
+        return Err(FrameError::InvalidLength);
     }
     let frame_bytes = HEADER_BYTES + length;
     let checked = bytes
-        .get(SEQUENCE_AT..frame_bytes)
-        .ok_or(FrameError::Short)?;
+        .get(SEQUENCE_OFFSET..frame_bytes)
+        .ok_or(FrameError::Truncated)?;
     if crc32fast::hash(checked) != checksum {
-        return Err(FrameError::Checksum);
+        return Err(FrameError::ChecksumMismatch);
     }
-    let (sequence_bytes, body) = checked.split_at(HEADER_BYTES - SEQUENCE_AT);
+    let (sequence_bytes, body) = checked.split_at(HEADER_BYTES - SEQUENCE_OFFSET);
     if sequence_bytes != sequence.to_le_bytes() {
-        return Err(FrameError::Sequence);
+        return Err(FrameError::SequenceMismatch);
     }
-    let record = postcard::from_bytes(body).map_err(|_| FrameError::Form)?;
+    let record = postcard::from_bytes(body).map_err(|_| FrameError::UnknownBody)?;
     Ok((record, frame_bytes))
 }
 
-fn number_at(bytes: &[u8], at: usize) -> Result<u32, FrameError> {
-    let rest = bytes.get(at..).ok_or(FrameError::Short)?;
-    let number = rest.first_chunk().ok_or(FrameError::Short)?;
+fn u32_at(bytes: &[u8], offset: usize) -> Result<u32, FrameError> {
+    let rest = bytes.get(offset..).ok_or(FrameError::Truncated)?;
+    let number = rest.first_chunk().ok_or(FrameError::Truncated)?;
     Ok(u32::from_le_bytes(*number))
 }
--- a/crates/write-back/src/input.rs
+++ b/crates/write-back/src/input.rs
@@ -1,46 +1,46 @@
-//! What the driver brings to the buffer.
+//! Inputs of the buffer.
 
 use crate::accepted_write::{AcceptedWrite, WriteId};
 use crate::attempt_outcome::AttemptOutcome;
 
-/// Whoever waits for an acknowledgement, as the driver numbers them.
+/// A caller that waits for an acknowledgement, numbered by the driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Waiter(pub u64);
 
 /// When a client wants its write acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcknowledgeAt {
-    /// Once the log has it.
+    /// Once it is durable in the log.
     Buffered,
-    /// Once a node has it.
+    /// Once a node has stored it.
     Flushed,
 }
 
-/// What the nodes that may have run a write said of its object.
+/// Whether the nodes that may have run a write have its object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lookup {
     /// One of them has it.
     Present,
     /// None of them has it.
     Absent,
-    /// That cannot be known.
+    /// Not known, for example because a node did not answer.
     Unknown,
 }
 
-/// What the driver brings.
+/// An input of the buffer.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A write comes in; its number is given by the buffer.
+    /// A write arrived. The buffer assigns its number.
     Write(Waiter, AcknowledgeAt, AcceptedWrite),
-    /// All that was acknowledged of a volume is to be on nodes.
+    /// Acknowledge the waiter once nodes have stored all pending writes of the volume.
     Flush(Waiter, u64),
-    /// What comes after waits for all of the volume's writes before.
+    /// Later writes of the volume wait until all earlier ones are resolved.
     Barrier(u64),
-    /// The sync that was requested went well.
+    /// The requested sync succeeded.
     Synced,
-    /// The log failed: nothing more will be written to it.
+    /// The log failed. Nothing more is written to it.
     LogFailed,
-    /// The core is about to send a write.
+    /// The request engine is about to send a write.
     Intent {
         /// The write.
         write: WriteId,
@@ -53,10 +53,10 @@
     },
     /// An attempt ended.
     AttemptEnded(WriteId, u16, AttemptOutcome),
-    /// The core released a write: rejected or failed, with no attempt in flight.
+    /// The request engine released a write: it was rejected or failed, and no attempt is in flight.
     Released(WriteId),
-    /// The nodes that may have run a write answered [`Action::Locate`](crate::Action::Locate).
+    /// Result of the lookup that was requested by [`Action::Locate`](crate::Action::Locate).
     Located(WriteId, Lookup),
-    /// The requested time has come.
+    /// The time requested by [`Action::Wake`](crate::Action::Wake) has been reached.
     Timer,
 }
--- a/crates/write-back/src/lib.rs
+++ b/crates/write-back/src/lib.rs
@@ -1,14 +1,14 @@
-//! A write-back buffer that survives a crash.
+//! A crash-safe write-back buffer.
 //!
-//! A front that accepts a write may acknowledge it once the write is synced to a log on its disk, and send it to a storage
-//! node afterwards. This crate holds the decisions and the log; it opens no connection and reads no clock but in
-//! [`Moment::now`].
+//! A front can acknowledge a write once it is synced to a write-ahead log on the local disk, and send it to a storage node
+//! later. This crate contains the decisions and the log. It opens no connections, and only [`Moment::now`] reads a clock.
 //!
-//! Where to start reading: [`Buffer`] decides, without I/O, what may be acknowledged, sent, sent again, given up and freed.
-//! Its driver carries out the [`Action`]s that it returns and brings [`Input`]s. [`Log`] keeps [`Record`]s in segments on a
-//! [`Disk`], which is a real [`Folder`] or a simulated one; [`WriteTable`] says what the records of a log mean.
+//! [`Buffer`] decides, without I/O, which writes are acknowledged, sent, retried and resolved, and which segments can be
+//! removed. The driver passes it [`Input`]s and carries out the [`Action`]s that it returns. [`Log`] stores [`Record`]s in
+//! segments on a [`Disk`], which is a real [`Folder`] or a simulated disk. [`WriteTable`] replays the records of a log into
+//! the pending writes.
 //!
-//! `docs/design/write-back.md` has the reasons, and what is still to come.
+//! `docs/design/write-back.md` gives the reasons and lists what is not implemented yet.
 
 mod accepted_write;
 mod action;
--- a/crates/write-back/src/limits.rs
+++ b/crates/write-back/src/limits.rs
@@ -1,16 +1,16 @@
-//! Bounds and delays of a buffer.
+//! Limits and delays of a buffer.
 
 use lupinrack_policy::Micros;
 
-/// Bounds and delays of a buffer, from the operators' settings. Times are in microseconds.
+/// Limits and delays of a buffer, from the operators' settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of bodies that may be pending; beyond it writes go through.
+    /// Most bytes of pending bodies. Writes beyond it are written through.
     pub max_pending_bytes: u64,
-    /// The longest time that a write waits for others to share its sync.
+    /// Longest delay of a sync, so that several writes share it.
     pub sync_delay: Micros,
-    /// For how long nodes drop the repeat of a keyed write.
+    /// Time for which nodes drop repeats of a write with an idempotency key.
     pub repeat_window: Micros,
-    /// The wait before a write that was rejected is opened again.
+    /// Delay before a released write is opened again.
     pub retry_delay: Micros,
 }
--- a/crates/write-back/src/log.rs
+++ b/crates/write-back/src/log.rs
@@ -1,7 +1,7 @@
-//! The log: records in segments, each named by the sequence number of its first record.
+//! The write-ahead log: records in segments, each named after the sequence number of its first record.
 //!
-//! A segment is synced before the next is made, so only the last can end in a torn record. Recovery stops there and cuts
-//! it off; anything unreadable in an earlier segment is damage, and the log does not open.
+//! A segment is synced before the next one is created, so only the last segment can end in a torn record. Recovery truncates
+//! it there. An unreadable record in an earlier segment is corruption, and the log does not open.
 
 use crate::disk::{Disk, DiskError, SegmentId};
 use crate::frame::{decode, encode, FrameError};
@@ -11,33 +11,33 @@
 /// Why a log cannot be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// The disk.
+    /// The disk failed.
     #[error("{0}")]
     Disk(#[from] DiskError),
-    /// Damage in a segment that is not the last, or a segment that is missing between two.
-    #[error("segment {segment:016x}, offset {offset}: {why}")]
-    Damaged {
+    /// A segment before the last one is corrupt, or a segment is missing between two others.
+    #[error("segment {segment:016x}, offset {offset}: {reason}")]
+    Corrupt {
         /// The segment.
         segment: u64,
-        /// The byte.
+        /// Offset of the unreadable record, in bytes.
         offset: usize,
-        /// What is wrong.
-        why: FrameError,
+        /// Why the record is unreadable.
+        reason: FrameError,
     },
 }
 
 /// Why a record was not written.
 #[derive(Debug, thiserror::Error)]
 pub enum WriteError {
-    /// The disk.
+    /// The disk failed.
     #[error("{0}")]
     Disk(#[from] DiskError),
-    /// An earlier call failed: nothing more is written to this log.
+    /// An earlier operation failed, so nothing more is written to this log.
     #[error("the log is closed after a failure")]
     Closed,
-    /// It has no encoding, which is a defect.
+    /// The record cannot be encoded, which is a bug.
     #[error("{0}")]
-    Form(#[from] postcard::Error),
+    Encode(#[from] postcard::Error),
 }
 
 #[derive(Debug)]
@@ -46,74 +46,74 @@
     bytes: u64,
 }
 
-/// A log at work.
+/// An open log.
 #[derive(Debug)]
 pub struct Log<D: Disk> {
     disk: D,
     segments: VecDeque<Segment>,
-    /// The sequence number of the next record.
-    next: u64,
-    /// All records below this one are durable.
+    /// Sequence number of the next record.
+    next_sequence: u64,
+    /// All records below this sequence number are durable.
     durable_below: u64,
-    /// A segment longer than this is followed by a new one.
+    /// Once a segment has this many bytes, the next record starts a new one.
     segment_bytes: u64,
     closed: bool,
 }
 
-/// What recovery found.
+/// Result of recovery.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
     /// The records, with their sequence numbers.
     pub records: Vec<(u64, Record)>,
-    /// Bytes of a torn end that were cut off.
-    pub torn: u64,
+    /// Bytes of a torn record at the end, which recovery truncates.
+    pub torn_bytes: u64,
 }
 
-/// Reads a log and changes nothing.
+/// Reads a log without changing it.
 ///
 /// # Errors
 ///
-/// Where the disk fails, or a segment before the last is damaged.
+/// If the disk fails, or a segment before the last one is corrupt.
 pub fn inspect(disk: &mut impl Disk) -> Result<Recovered, OpenError> {
-    scan(disk).map(|scan| scan.found)
+    scan(disk).map(|scan| scan.recovered)
 }
 
-/// What a scan of all segments finds.
+/// Result of reading all segments.
 struct Scan {
-    found: Recovered,
-    /// The segments, up to their last good byte.
+    recovered: Recovered,
+    /// The segments, each with the length of its readable part.
     segments: VecDeque<Segment>,
-    /// The sequence number of the next record.
-    next: u64,
+    /// Sequence number of the next record.
+    next_sequence: u64,
 }
 
 /// Reads all segments. Only the last one may end in a torn record.
 fn scan(disk: &mut impl Disk) -> Result<Scan, OpenError> {
     let ids = disk.list()?;
     let mut scan = Scan {
-        found: Recovered::default(),
+        recovered: Recovered::default(),
         segments: VecDeque::new(),
-        next: ids.first().map_or(1, |id| id.0),
+        next_sequence: ids.first().map_or(1, |id| id.0),
     };
     for (index, id) in ids.iter().enumerate() {
-        if id.0 != scan.next {
-            return Err(OpenError::Damaged {
+        if id.0 != scan.next_sequence {
+            return Err(OpenError::Corrupt {
                 segment: id.0,
                 offset: 0,
-                why: FrameError::Sequence,
+                reason: FrameError::SequenceMismatch,
             });
         }
         let bytes = disk.read(*id)?;
         let (end, error) = scan.read_segment(&bytes);
-        if let Some(why) = error {
+        if let Some(reason) = error {
             if index + 1 < ids.len() {
-                return Err(OpenError::Damaged {
+                return Err(OpenError::Corrupt {
                     segment: id.0,
                     offset: end,
-                    why,
+                    reason,
                 });
             }
-            scan.found.torn = (bytes.len() - end) as u64;
+            scan.recovered.torn_bytes = (bytes.len() - end) as u64;
         }
         scan.segments.push_back(Segment {
             id: *id,
@@ -124,74 +124,74 @@
 }
 
 impl Scan {
-    /// Reads the records of a segment. Returns how many of its bytes are good, and why the next is not a record.
+    /// Reads the records of a segment. Returns the length of its readable part, and why the next record is unreadable.
     fn read_segment(&mut self, bytes: &[u8]) -> (usize, Option<FrameError>) {
-        let mut at = 0;
-        while at < bytes.len() {
-            match decode(&bytes[at..], self.next) {
+        let mut offset = 0;
+        while offset < bytes.len() {
+            match decode(&bytes[offset..], self.next_sequence) {
                 Ok((record, length)) => {
-                    self.found.records.push((self.next, record));
-                    at += length;
-                    self.next += 1;
+                    self.recovered.records.push((self.next_sequence, record));
+                    offset += length;
+                    self.next_sequence += 1;
                 }
-                Err(why) => return (at, Some(why)),
+                Err(reason) => return (offset, Some(reason)),
             }
         }
-        (at, None)
+        (offset, None)
     }
 }
 
 impl<D: Disk> Log<D> {
-    /// Opens a log and returns what it holds. A torn end is cut off; a segment that has more bytes than `segment_bytes` is
-    /// followed by a new one.
+    /// Opens a log and returns its records. A torn record at the end is truncated. Once a segment has `segment_bytes`, the next
+    /// record starts a new one.
     ///
     /// # Errors
     ///
-    /// Where the disk fails, or a segment before the last is damaged.
+    /// If the disk fails, or a segment before the last one is corrupt.
     pub fn open(mut disk: D, segment_bytes: u64) -> Result<(Log<D>, Recovered), OpenError> {
         let Scan {
-            found,
+            recovered,
             segments,
-            next,
+            next_sequence,
         } = scan(&mut disk)?;
-        if let Some(last) = segments.back().filter(|_| found.torn > 0) {
+        if let Some(last) = segments.back().filter(|_| recovered.torn_bytes > 0) {
             disk.truncate(last.id, last.bytes)?;
         }
         let log = Log {
             disk,
             segments,
-            next,
-            durable_below: next,
+            next_sequence,
+            durable_below: next_sequence,
             segment_bytes,
             closed: false,
         };
-        Ok((log, found))
+        Ok((log, recovered))
     }
 
-    /// Writes a record behind the others; it is durable once a [`Log::sync`] after it went well. Returns its sequence number.
+    /// Appends a record, which is durable after the next successful [`Log::sync`]. Returns its sequence number.
     ///
     /// # Errors
     ///
-    /// Where the disk fails, which closes the log, or the log is closed.
+    /// If the log is closed, or the disk fails, which closes it.
     pub fn append(&mut self, record: &Record) -> Result<u64, WriteError> {
         if self.closed {
             return Err(WriteError::Closed);
         }
         let written = self.write(record);
-        // Whatever failed: what stands at the end is not known any more.
+        // After a failure the end of the last segment is undefined, so the log is closed.
         self.closed |= written.is_err();
         written
     }
 
     fn write(&mut self, record: &Record) -> Result<u64, WriteError> {
-        let frame = encode(self.next, record)?;
+        let frame = encode(self.next_sequence, record)?;
         if self
             .segments
             .back()
-            .is_none_or(|s| s.bytes >= self.segment_bytes)
+            .is_none_or(|segment| segment.bytes >= self.segment_bytes)
         {
             self.sync_last()?;
-            let id = SegmentId(self.next);
+            let id = SegmentId(self.next_sequence);
             self.disk.create(id)?;
             self.segments.push_back(Segment { id, bytes: 0 });
         }
@@ -199,16 +199,16 @@
             self.disk.append(segment.id, &frame)?;
             segment.bytes += frame.len() as u64;
         }
-        self.next += 1;
-        Ok(self.next - 1)
+        self.next_sequence += 1;
+        Ok(self.next_sequence - 1)
     }
 
-    /// Makes all that was written durable; returns the sequence number below which all is. A sync that failed is not tried
-    /// again: what it covered counts as not written, and the log is closed.
+    /// Makes all appended records durable. Returns the sequence number below which all records are durable. A failed sync is
+    /// not retried: the records that it covered count as not written, and the log is closed.
     ///
     /// # Errors
     ///
-    /// Where the disk fails, which closes the log, or the log is closed.
+    /// If the log is closed, or the disk fails, which closes it.
     pub fn sync(&mut self) -> Result<u64, WriteError> {
         if self.closed {
             return Err(WriteError::Closed);
@@ -224,51 +224,51 @@
         if let Some(last) = self
             .segments
             .back()
-            .filter(|_| self.durable_below < self.next)
+            .filter(|_| self.durable_below < self.next_sequence)
         {
             self.disk.sync(last.id)?;
         }
-        self.durable_below = self.next;
+        self.durable_below = self.next_sequence;
         Ok(())
     }
 
-    /// Removes the segments in which no record at or after `needed` is; the last one stays. Returns how many were removed.
+    /// Removes all segments that have no record from `needed_from` on, except the last segment. Returns how many were removed.
     ///
     /// # Errors
     ///
-    /// Where the disk fails.
-    pub fn reclaim(&mut self, needed: u64) -> Result<usize, DiskError> {
-        let mut gone = 0;
+    /// If the disk fails.
+    pub fn reclaim(&mut self, needed_from: u64) -> Result<usize, DiskError> {
+        let mut removed = 0;
         while self
             .segments
             .get(1)
-            .is_some_and(|second| second.id.0 <= needed)
+            .is_some_and(|second| second.id.0 <= needed_from)
         {
             if let Some(first) = self.segments.front() {
                 self.disk.remove(first.id)?;
             }
             self.segments.pop_front();
-            gone += 1;
+            removed += 1;
         }
-        Ok(gone)
+        Ok(removed)
     }
 
-    /// Bytes in all segments.
+    /// Total bytes of all segments.
     pub fn bytes(&self) -> u64 {
-        self.segments.iter().map(|s| s.bytes).sum()
+        self.segments.iter().map(|segment| segment.bytes).sum()
     }
 
-    /// Whether nothing more is written to it.
-    pub fn closed(&self) -> bool {
+    /// Whether a failure has closed the log.
+    pub fn is_closed(&self) -> bool {
         self.closed
     }
 
-    /// The sequence number of the next record.
-    pub fn next(&self) -> u64 {
-        self.next
+    /// Sequence number of the next record.
+    pub fn next_sequence(&self) -> u64 {
+        self.next_sequence
     }
 
-    /// The disk, when the log is done with.
+    /// Consumes the log and returns its disk.
     pub fn into_disk(self) -> D {
         self.disk
     }
--- a/crates/write-back/src/pending_write.rs
+++ b/crates/write-back/src/pending_write.rs
@@ -1,15 +1,15 @@
-//! A write that is not resolved, and what may be done with it now.
+//! A write that is not resolved, and whether it may be sent again.
 //!
-//! The repeat window is judged by time that also passes while the program is down, within one boot of the machine. Over a
-//! boot only the wall clock is left, which may have been set: then every window counts as over, which costs a question to
-//! the nodes and never a second run.
+//! The repeat window is measured with the time since boot, which also advances while the process is down. After a reboot
+//! only the wall clock remains, and it may have been stepped. Every window then counts as expired, which costs a lookup on
+//! the nodes but never runs a write twice.
 
 use crate::accepted_write::AcceptedWrite;
 use crate::attempt_outcome::AttemptOutcome;
 use crate::moment::Moment;
 use lupinrack_policy::Micros;
 
-/// Part of the window (in tenths) in which a repeat is sent; the rest covers its way to the node.
+/// Part of the repeat window, in tenths, in which a retry is sent. The rest covers its transmission to the node.
 const WINDOW_TENTHS: Micros = 9;
 
 /// An attempt at a write.
@@ -19,41 +19,41 @@
     pub attempt: u16,
     /// The node's name.
     pub node: String,
-    /// The shard that the node held.
+    /// Shard of the node.
     pub shard: u32,
-    /// When it was about to be sent.
-    pub at: Moment,
-    /// How it ended, where that is known.
+    /// When its intent was recorded, before it was sent.
+    pub intended_at: Moment,
+    /// How it ended, if known.
     pub outcome: Option<AttemptOutcome>,
 }
 
 /// A write that is not resolved.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingWrite {
-    /// The write as it was accepted.
+    /// The accepted write.
     pub accepted: AcceptedWrite,
-    /// The sequence number of its record: the log is needed from there on.
+    /// Sequence number of its [`Accepted`](crate::Record::Accepted) record. The log is needed from there on.
     pub sequence: u64,
     /// Its attempts, in order.
     pub attempts: Vec<AttemptState>,
 }
 
-/// What may be done with a pending write.
+/// Whether and where a pending write may be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RetryStatus {
-    /// It provably never ran: it may be sent at any time, anywhere.
+    /// It has not run: it may be sent at any time to any shard.
     NeverSent,
-    /// A node has it: it only remains to be resolved.
+    /// A node has stored it: it only has to be resolved.
     Stored,
-    /// It may have run, and the nodes of this shard still drop its repeat: it may be sent again, to them only.
+    /// It may have run, and the nodes of this shard still drop repeats of it: it may be retried on this shard only.
     WithinWindow {
         /// The shard.
         shard: u32,
-        /// For how long, in microseconds.
+        /// Time until the window expires.
         remaining: Micros,
     },
-    /// It may have run and its repeat is dropped no more: these nodes are asked first, by a read of the object, and it is
-    /// sent only where it is absent from all of them.
+    /// It may have run, and nodes no longer drop repeats of it. The nodes must be asked for the object first, and it is sent
+    /// only if none of them has it.
     WindowExpired {
         /// The names of the nodes that may have run it.
         nodes: Vec<String>,
@@ -61,24 +61,24 @@
 }
 
 impl PendingWrite {
-    /// What may be done with it at `now`, with the repeat window of its class.
+    /// Whether and where it may be sent at `now`, with the repeat window of its class.
     pub fn retry_status(&self, now: Moment, repeat_window: Micros) -> RetryStatus {
         status_of(&self.attempts, now, repeat_window)
     }
 
-    /// What could be done with it if this attempt had never been intended.
+    /// The status without this attempt, as if it had not been intended.
     pub(crate) fn status_before(
         &self,
         attempt: u16,
         now: Moment,
         repeat_window: Micros,
     ) -> RetryStatus {
-        let others = self
+        let other_attempts = self
             .attempts
             .iter()
             .filter(|other| other.attempt != attempt);
-        let others: Vec<AttemptState> = others.cloned().collect();
-        status_of(&others, now, repeat_window)
+        let other_attempts: Vec<AttemptState> = other_attempts.cloned().collect();
+        status_of(&other_attempts, now, repeat_window)
     }
 }
 
@@ -94,10 +94,10 @@
     let Some(first) = may_have_run.first() else {
         return RetryStatus::NeverSent;
     };
-    let elapsed = now.since_boot - first.at.since_boot;
+    let elapsed = now.since_boot - first.intended_at.since_boot;
     let remaining = repeat_window * WINDOW_TENTHS / 10 - elapsed;
     let one_shard = may_have_run.iter().all(|other| other.shard == first.shard);
-    if now.boot == first.at.boot && elapsed >= 0 && remaining > 0 && one_shard {
+    if now.boot == first.intended_at.boot && elapsed >= 0 && remaining > 0 && one_shard {
         return RetryStatus::WithinWindow {
             shard: first.shard,
             remaining,
--- a/crates/write-back/src/record.rs
+++ b/crates/write-back/src/record.rs
@@ -5,12 +5,12 @@
 use crate::moment::Moment;
 use serde::{Deserialize, Serialize};
 
-/// One record. The order of variants and of their fields is the form in the log.
+/// A record. The order of the variants and of their fields is the encoding in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// A write is accepted; synced before it is acknowledged as buffered.
+    /// A write was accepted. Synced before the write is acknowledged as buffered.
     Accepted(AcceptedWrite),
-    /// An attempt is about to be sent; synced before its first byte leaves.
+    /// Intent of an attempt. Synced before the first byte of the attempt is sent.
     Attempt {
         /// The write.
         write: WriteId,
@@ -18,9 +18,9 @@
         attempt: u16,
         /// The node's name.
         node: String,
-        /// The shard that the node holds.
+        /// Shard of the node.
         shard: u32,
-        /// When.
+        /// When the intent was recorded.
         at: Moment,
     },
     /// An attempt ended.
@@ -29,12 +29,12 @@
         write: WriteId,
         /// The attempt's number.
         attempt: u16,
-        /// How.
+        /// How it ended.
         outcome: AttemptOutcome,
     },
-    /// A write is over: a node has it, or its client was notified that it failed.
+    /// A write is resolved: a node has stored it, or its client was notified of the failure.
     Resolved(WriteId),
-    /// What comes after waits for all of the volume's writes before.
+    /// Later writes of the volume wait until all earlier ones are resolved.
     Barrier {
         /// The volume.
         volume: u64,
--- a/crates/write-back/src/write_table.rs
+++ b/crates/write-back/src/write_table.rs
@@ -1,4 +1,4 @@
-//! What the records of a log say: all writes that are not resolved.
+//! The pending writes according to the records of a log.
 
 use crate::accepted_write::WriteId;
 use crate::attempt_outcome::AttemptOutcome;
@@ -6,20 +6,20 @@
 use crate::record::Record;
 use std::collections::BTreeMap;
 
-/// All writes that are not resolved, from the records of the log in their order.
+/// All pending writes, built from the records of the log.
 #[derive(Clone, Debug, Default)]
 pub struct WriteTable {
     writes: BTreeMap<WriteId, PendingWrite>,
-    /// The highest number that was ever given, so that none is given twice.
-    last: WriteId,
+    /// Highest number assigned so far, so that none is assigned twice.
+    last_id: WriteId,
 }
 
 impl WriteTable {
-    /// Applies a record, in the order of the log.
+    /// Applies a record. Records must be applied in the order of the log.
     pub fn apply(&mut self, sequence: u64, record: &Record) {
         match record {
             Record::Accepted(accepted) => {
-                self.last = self.last.max(accepted.write);
+                self.last_id = self.last_id.max(accepted.write);
                 let pending = PendingWrite {
                     accepted: accepted.clone(),
                     sequence,
@@ -39,7 +39,7 @@
                         attempt: *attempt,
                         node: node.clone(),
                         shard: *shard,
-                        at: *at,
+                        intended_at: *at,
                         outcome: None,
                     });
                 }
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Records that every node that may have run a write was asked, and none has it: none of its attempts ran.
+    /// Marks all attempts at a write as never run, after a lookup has shown that no node has it.
     pub fn record_absence(&mut self, write: WriteId) {
         if let Some(pending) = self.writes.get_mut(&write) {
             for attempt in &mut pending.attempts {
@@ -63,38 +63,38 @@
         }
     }
 
-    /// The writes that are not resolved, in the order in which they were accepted.
+    /// The pending writes in the order in which they were accepted.
     pub fn pending(&self) -> impl Iterator<Item = &PendingWrite> {
         self.writes.values()
     }
 
-    /// A write that is not resolved.
+    /// A pending write by its number.
     pub fn get(&self, write: WriteId) -> Option<&PendingWrite> {
         self.writes.get(&write)
     }
 
-    /// A number that was never given.
+    /// The next unused number.
     pub fn next_id(&self) -> WriteId {
-        WriteId(self.last.0 + 1)
+        WriteId(self.last_id.0 + 1)
     }
 
-    /// The sequence number from which on the log is needed; none where nothing is pending.
+    /// Sequence number from which on the log is needed. `None` if no write is pending.
     pub fn needed_from(&self) -> Option<u64> {
         self.writes.values().map(|pending| pending.sequence).min()
     }
 
-    /// The first outcome of an attempt stands, except that a node which has the write is always believed.
+    /// Sets the outcome of an attempt. The first outcome is kept, except that [`AttemptOutcome::Stored`] overrides any other.
     fn end_attempt(&mut self, write: WriteId, attempt: u16, outcome: AttemptOutcome) {
         let Some(pending) = self.writes.get_mut(&write) else {
             return;
         };
-        let ended = pending
+        let state = pending
             .attempts
             .iter_mut()
             .find(|other| other.attempt == attempt);
-        if let Some(ended) = ended {
-            if ended.outcome.is_none() || outcome == AttemptOutcome::Stored {
-                ended.outcome = Some(outcome);
+        if let Some(state) = state {
+            if state.outcome.is_none() || outcome == AttemptOutcome::Stored {
+                state.outcome = Some(outcome);
             }
         }
     }
--- a/crates/write-back/tests/buffer.rs
+++ b/crates/write-back/tests/buffer.rs
@@ -1,5 +1,5 @@
-//! The buffer, its log on a simulated disk, and model nodes, over random crashes: what was promised against what the
-//! nodes hold.
+//! Tests of the buffer. A simulation runs it with a log on a simulated disk and model nodes through random crashes, and
+//! compares the acknowledgements with the writes that the nodes have stored.
 
 mod simulated_disk;
 
@@ -10,87 +10,91 @@
 use simulated_disk::SimDisk;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-const WINDOW: i64 = 4_000_000;
+const REPEAT_WINDOW_US: i64 = 4_000_000;
 const LIMITS: Limits = Limits {
     max_pending_bytes: 4_000,
     sync_delay: 2_000,
-    repeat_window: WINDOW,
+    repeat_window: REPEAT_WINDOW_US,
     retry_delay: 50_000,
 };
 
-/// Nodes on two shards: what ran where, and when each key first did on its shard.
+/// Model of the nodes of two shards: which writes ran, and when each key first ran on each shard.
 #[derive(Default)]
 struct Nodes {
-    first: BTreeMap<(u32, Vec<u8>), i64>,
+    first_run_at: BTreeMap<(u32, Vec<u8>), i64>,
     runs: BTreeMap<Vec<u8>, u32>,
     order: Vec<Vec<u8>>,
 }
 
 impl Nodes {
     fn run(&mut self, now: i64, shard: u32, key: &[u8]) {
-        let first = self.first.get(&(shard, key.to_vec())).copied();
-        if first.is_none_or(|at| now - at >= WINDOW) {
-            self.first.insert((shard, key.to_vec()), now);
+        let first_run_at = self.first_run_at.get(&(shard, key.to_vec())).copied();
+        if first_run_at.is_none_or(|at| now - at >= REPEAT_WINDOW_US) {
+            self.first_run_at.insert((shard, key.to_vec()), now);
             *self.runs.entry(key.to_vec()).or_default() += 1;
             self.order.push(key.to_vec());
         }
     }
 
-    fn hold(&self, key: &[u8]) -> bool {
+    fn have(&self, key: &[u8]) -> bool {
         self.runs.contains_key(key)
     }
 }
 
-/// One front over its lives.
-struct World {
-    dice: fastrand::Rng,
+/// Simulation of one front and its restarts.
+struct Simulation {
+    random: fastrand::Rng,
     now: i64,
     boot: u64,
     buffer: Buffer,
     log: Option<Log<SimDisk>>,
     nodes: Nodes,
     keys: BTreeMap<WriteId, Vec<u8>>,
-    /// Keys by the waiter of their put, and what each waiter was told.
-    puts: BTreeMap<Waiter, Vec<u8>>,
+    /// Key of each write by its waiter.
+    put_keys: BTreeMap<Waiter, Vec<u8>>,
+    /// Keys of the writes that were acknowledged as buffered.
     buffered: BTreeSet<Vec<u8>>,
+    /// Keys of the writes that were acknowledged as flushed.
     flushed: BTreeSet<Vec<u8>>,
-    doubt: BTreeSet<Vec<u8>>,
-    /// What each flush was promised of.
+    in_doubt: BTreeSet<Vec<u8>>,
+    /// Keys that each flush covers, by its waiter.
     flushes: BTreeMap<Waiter, BTreeSet<Vec<u8>>>,
     syncing: bool,
-    sent: VecDeque<(WriteId, u16, u32)>,
-    attempts: BTreeMap<WriteId, u16>,
-    number: u64,
-    calm: bool,
+    /// Attempts whose intent is not durable yet: write, attempt and shard.
+    intended: VecDeque<(WriteId, u16, u32)>,
+    next_attempt: BTreeMap<WriteId, u16>,
+    last_waiter: u64,
+    /// Whether attempts and lookups succeed without faults.
+    fault_free: bool,
 }
 
-impl World {
-    fn new(seed: u64) -> World {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let (log, _) = Log::open(SimDisk::default(), 1_500).unwrap();
-        let buffer = Buffer::new(LIMITS, WriteTable::default(), log.next());
-        World {
-            dice: fastrand::Rng::with_seed(seed),
+        let buffer = Buffer::new(LIMITS, WriteTable::default(), log.next_sequence());
+        Simulation {
+            random: fastrand::Rng::with_seed(seed),
             now: 10_000_000,
             boot: 1,
             buffer,
             log: Some(log),
             nodes: Nodes::default(),
             keys: BTreeMap::new(),
-            puts: BTreeMap::new(),
+            put_keys: BTreeMap::new(),
             buffered: BTreeSet::new(),
             flushed: BTreeSet::new(),
-            doubt: BTreeSet::new(),
+            in_doubt: BTreeSet::new(),
             flushes: BTreeMap::new(),
             syncing: false,
-            sent: VecDeque::new(),
-            attempts: BTreeMap::new(),
-            number: 0,
-            calm: false,
+            intended: VecDeque::new(),
+            next_attempt: BTreeMap::new(),
+            last_waiter: 0,
+            fault_free: false,
         }
     }
 
     fn handle(&mut self, input: Input) {
-        let (mut out, moment) = (
+        let (mut actions, moment) = (
             Vec::new(),
             Moment {
                 since_boot: self.now,
@@ -98,9 +102,9 @@
                 wall: 0,
             },
         );
-        self.buffer.handle(moment, input, &mut out);
+        self.buffer.handle(moment, input, &mut actions);
         let mut inputs = Vec::new();
-        for action in out {
+        for action in actions {
             match action {
                 Action::Append(record) => {
                     if let Some(log) = &mut self.log {
@@ -108,147 +112,161 @@
                     }
                 }
                 Action::Sync => self.syncing = true,
-                Action::Acknowledge(waiter, said) => self.told(waiter, said),
+                Action::Acknowledge(waiter, acknowledgement) => {
+                    self.on_acknowledgement(waiter, acknowledgement)
+                }
                 Action::Open(write, only) => {
-                    let number = self.attempts.entry(write).or_default();
-                    let (attempt, shard) = (*number, only.map_or(self.dice.u32(0..2), |o| o.0));
-                    *number += 1;
+                    let next_attempt = self.next_attempt.entry(write).or_default();
+                    let (attempt, shard) = (
+                        *next_attempt,
+                        only.map_or(self.random.u32(0..2), |restriction| restriction.0),
+                    );
+                    *next_attempt += 1;
                     inputs.push(Input::Intent {
                         write,
                         attempt,
                         node: format!("n{shard}"),
                         shard,
                     });
-                    self.sent.push_back((write, attempt, shard));
-                }
-                Action::Send(write, attempt) => inputs.extend(self.go(write, attempt)),
-                Action::Abort(write, attempt) => {
-                    self.sent.retain(|s| (s.0, s.1) != (write, attempt))
+                    self.intended.push_back((write, attempt, shard));
                 }
+                Action::Send(write, attempt) => inputs.extend(self.send(write, attempt)),
+                Action::Abort(write, attempt) => self
+                    .intended
+                    .retain(|intended| (intended.0, intended.1) != (write, attempt)),
                 Action::Locate(write, _) => {
                     let key = self.key(write);
-                    let known = self.calm || self.dice.u32(0..20) > 0;
+                    let known = self.fault_free || self.random.u32(0..20) > 0;
                     let lookup = match known {
                         false => Lookup::Unknown,
-                        true if self.nodes.hold(&key) => Lookup::Present,
+                        true if self.nodes.have(&key) => Lookup::Present,
                         true => Lookup::Absent,
                     };
                     inputs.push(Input::Located(write, lookup));
                 }
-                Action::Reclaim(needed) => {
+                Action::Reclaim(needed_from) => {
                     if let Some(log) = &mut self.log {
-                        log.reclaim(needed).unwrap();
+                        log.reclaim(needed_from).unwrap();
                     }
                 }
                 Action::InDoubt(write) => {
                     let key = self.key(write);
-                    self.doubt.insert(key);
+                    self.in_doubt.insert(key);
                 }
                 Action::Wake(_) => {}
             }
         }
-        inputs.into_iter().for_each(|i| self.handle(i));
+        inputs.into_iter().for_each(|input| self.handle(input));
     }
 
     fn key(&self, write: WriteId) -> Vec<u8> {
-        let pending = self.buffer.pending().find(|p| p.accepted.write == write);
+        let pending = self
+            .buffer
+            .pending()
+            .find(|pending| pending.accepted.write == write);
         pending
-            .map(|p| p.accepted.key.clone())
+            .map(|pending| pending.accepted.key.clone())
             .or_else(|| self.keys.get(&write).cloned())
             .unwrap_or_default()
     }
 
-    fn told(&mut self, waiter: Waiter, said: Acknowledgement) {
+    fn on_acknowledgement(&mut self, waiter: Waiter, acknowledgement: Acknowledgement) {
         if let Some(keys) = self.flushes.get(&waiter) {
             for key in keys {
-                assert!(self.nodes.hold(key), "flushed, and no node has it");
+                assert!(self.nodes.have(key), "flushed, and no node has it");
             }
         }
-        let Some(key) = self.puts.get(&waiter).cloned() else {
+        let Some(key) = self.put_keys.get(&waiter).cloned() else {
             return;
         };
-        match said {
+        match acknowledgement {
             Acknowledgement::Buffered => drop(self.buffered.insert(key)),
             Acknowledgement::Flushed => {
-                assert!(self.nodes.hold(&key), "flushed, and no node has it");
+                assert!(self.nodes.have(&key), "flushed, and no node has it");
                 self.flushed.insert(key);
             }
             Acknowledgement::WriteThrough => {}
         }
     }
 
-    /// An attempt's bytes leave; how it ends is told now, later, or never.
-    fn go(&mut self, write: WriteId, attempt: u16) -> Vec<Input> {
-        let Some(at) = self
-            .sent
+    /// Sends an attempt. Its outcome is reported at once, reported as unknown, or never reported.
+    fn send(&mut self, write: WriteId, attempt: u16) -> Vec<Input> {
+        let Some(position) = self
+            .intended
             .iter()
-            .position(|s| (s.0, s.1) == (write, attempt))
+            .position(|intended| (intended.0, intended.1) == (write, attempt))
         else {
             return Vec::new();
         };
-        let (_, _, shard) = self.sent.remove(at).unwrap();
+        let (_, _, shard) = self.intended.remove(position).unwrap();
         let key = self.key(write);
         self.keys.insert(write, key.clone());
-        let fate = if self.calm { 9 } else { self.dice.u32(0..10) };
-        if fate > 1 {
+        let result = if self.fault_free {
+            9
+        } else {
+            self.random.u32(0..10)
+        };
+        if result > 1 {
             self.nodes.run(self.now, shard, &key);
         }
-        match fate {
+        match result {
             0 => vec![
                 Input::AttemptEnded(write, attempt, AttemptOutcome::NeverRan),
                 Input::Released(write),
             ],
-            // Reset, before or after it ran: nobody knows.
+            // Connection reset before (1) or after (2) it ran.
             1 | 2 => vec![
                 Input::AttemptEnded(write, attempt, AttemptOutcome::MayHaveRun),
                 Input::Released(write),
             ],
-            // Its end is still on its way.
+            // It ran, but its end is never reported.
             3 => Vec::new(),
             _ => vec![Input::AttemptEnded(write, attempt, AttemptOutcome::Stored)],
         }
     }
 
     fn step(&mut self) {
-        self.now += self.dice.i64(0..40_000);
-        match self.dice.u32(0..20) {
+        self.now += self.random.i64(0..40_000);
+        match self.random.u32(0..20) {
             0..=7 => {
-                self.number += 1;
+                self.last_waiter += 1;
                 let (waiter, key) = (
-                    Waiter(self.number),
-                    format!("k-{}", self.number).into_bytes(),
+                    Waiter(self.last_waiter),
+                    format!("k-{}", self.last_waiter).into_bytes(),
                 );
-                self.puts.insert(waiter, key.clone());
-                let taken = AcceptedWrite {
+                self.put_keys.insert(waiter, key.clone());
+                let write = AcceptedWrite {
                     write: WriteId(0),
-                    volume: self.dice.u64(0..3),
+                    volume: self.random.u64(0..3),
                     plan: "basic".into(),
                     milliunits: 1_000,
                     key,
                     target: Vec::new(),
-                    body: vec![1; self.dice.usize(0..300)],
+                    body: vec![1; self.random.usize(0..300)],
                     give_up: 0,
                 };
-                let wish = if self.dice.bool() {
+                let acknowledge_at = if self.random.bool() {
                     AcknowledgeAt::Buffered
                 } else {
                     AcknowledgeAt::Flushed
                 };
-                self.handle(Input::Write(waiter, wish, taken));
+                self.handle(Input::Write(waiter, acknowledge_at, write));
             }
             8 => {
-                let volume = self.dice.u64(0..3);
-                self.number += 1;
-                let mine = self
+                let volume = self.random.u64(0..3);
+                self.last_waiter += 1;
+                let of_volume = self
                     .buffer
                     .pending()
-                    .filter(|p| p.accepted.volume == volume);
-                let keys: BTreeSet<Vec<u8>> = mine.map(|p| p.accepted.key.clone()).collect();
-                self.flushes.insert(Waiter(self.number), keys);
-                self.handle(Input::Flush(Waiter(self.number), volume));
+                    .filter(|pending| pending.accepted.volume == volume);
+                let keys: BTreeSet<Vec<u8>> = of_volume
+                    .map(|pending| pending.accepted.key.clone())
+                    .collect();
+                self.flushes.insert(Waiter(self.last_waiter), keys);
+                self.handle(Input::Flush(Waiter(self.last_waiter), volume));
             }
             9 => {
-                let volume = self.dice.u64(0..3);
+                let volume = self.random.u64(0..3);
                 self.handle(Input::Barrier(volume));
             }
             10 => self.crash(),
@@ -262,30 +280,35 @@
         }
     }
 
+    /// Crashes the front, sometimes with a reboot of the machine, and restarts it from its log.
     fn crash(&mut self) {
         let mut disk = self.log.take().unwrap().into_disk();
-        disk.crash(&mut self.dice);
-        self.now += self.dice.i64(0..8_000_000);
-        if self.dice.u32(0..5) == 0 {
+        disk.crash(&mut self.random);
+        self.now += self.random.i64(0..8_000_000);
+        if self.random.u32(0..5) == 0 {
             (self.boot, self.now) = (self.boot + 1, self.now);
         }
-        let (log, found) = Log::open(disk, 1_500).unwrap();
-        let mut book = WriteTable::default();
-        found.records.iter().for_each(|(s, r)| book.apply(*s, r));
-        self.attempts = book
+        let (log, recovered) = Log::open(disk, 1_500).unwrap();
+        let mut table = WriteTable::default();
+        recovered
+            .records
+            .iter()
+            .for_each(|(sequence, record)| table.apply(*sequence, record));
+        self.next_attempt = table
             .pending()
-            .map(|p| (p.accepted.write, p.attempts.len() as u16 + 100))
+            .map(|pending| (pending.accepted.write, pending.attempts.len() as u16 + 100))
             .collect();
-        self.buffer = Buffer::new(LIMITS, book, log.next());
+        self.buffer = Buffer::new(LIMITS, table, log.next_sequence());
         (self.log, self.syncing) = (Some(log), false);
-        self.sent.clear();
+        self.intended.clear();
         self.flushes.clear();
         self.keys.clear();
     }
 
+    /// Restarts the front and runs it without faults until all writes are resolved.
     fn finish(&mut self) {
         self.crash();
-        self.calm = true;
+        self.fault_free = true;
         for _ in 0..2_000 {
             self.now += 20_000;
             if std::mem::take(&mut self.syncing) {
@@ -301,22 +324,22 @@
 }
 
 #[test]
-fn nothing_acknowledged_is_lost_and_nothing_runs_twice_over_crashes_at_any_point() {
-    let (mut crashes, mut acks, mut doubts) = (0, 0, 0);
+fn no_acknowledged_write_is_lost_and_none_runs_twice_across_crashes() {
+    let (mut runs_done, mut acknowledgements, mut in_doubt) = (0, 0, 0);
     for seed in 0..400 {
-        let mut w = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         for _ in 0..300 {
-            w.step();
+            simulation.step();
         }
-        w.finish();
-        for key in w.buffered.iter().chain(&w.flushed) {
+        simulation.finish();
+        for key in simulation.buffered.iter().chain(&simulation.flushed) {
             let name = String::from_utf8_lossy(key).into_owned();
             assert!(
-                w.nodes.hold(key),
+                simulation.nodes.have(key),
                 "seed {seed}: {name} was acknowledged and lost"
             );
         }
-        for (key, runs) in &w.nodes.runs {
+        for (key, runs) in &simulation.nodes.runs {
             assert_eq!(
                 *runs,
                 1,
@@ -325,72 +348,83 @@
             );
         }
         assert_eq!(
-            w.buffer.pending_bytes(),
+            simulation.buffer.pending_bytes(),
             0,
-            "seed {seed}: something is left"
+            "seed {seed}: writes are still pending"
         );
-        acks += w.buffered.len() + w.flushed.len();
-        doubts += w.doubt.len();
-        crashes += 1;
+        acknowledgements += simulation.buffered.len() + simulation.flushed.len();
+        in_doubt += simulation.in_doubt.len();
+        runs_done += 1;
     }
     assert!(
-        acks > 10_000 && crashes == 400 && doubts > 0,
-        "{acks} acknowledgements, {doubts} in doubt"
+        acknowledgements > 10_000 && runs_done == 400 && in_doubt > 0,
+        "{acknowledgements} acknowledgements, {in_doubt} in doubt"
     );
 }
 
-fn put(b: &mut Buffer, n: u64, wish: AcknowledgeAt, size: usize, at: i64) -> Vec<Action> {
-    let taken = AcceptedWrite {
+fn put(
+    buffer: &mut Buffer,
+    number: u64,
+    acknowledge_at: AcknowledgeAt,
+    body_bytes: usize,
+    since_boot: i64,
+) -> Vec<Action> {
+    let write = AcceptedWrite {
         write: WriteId(0),
         volume: 1,
         plan: "basic".into(),
         milliunits: 1_000,
-        key: vec![n as u8],
+        key: vec![number as u8],
         target: Vec::new(),
-        body: vec![0; size],
+        body: vec![0; body_bytes],
         give_up: 0,
     };
-    handle(b, Input::Write(Waiter(n), wish, taken), at)
+    handle(
+        buffer,
+        Input::Write(Waiter(number), acknowledge_at, write),
+        since_boot,
+    )
 }
 
-fn handle(b: &mut Buffer, input: Input, at: i64) -> Vec<Action> {
-    let mut out = Vec::new();
-    b.handle(
+fn handle(buffer: &mut Buffer, input: Input, since_boot: i64) -> Vec<Action> {
+    let mut actions = Vec::new();
+    buffer.handle(
         Moment {
-            since_boot: at,
+            since_boot,
             boot: 1,
             wall: 0,
         },
         input,
-        &mut out,
+        &mut actions,
     );
-    out
+    actions
 }
 
 #[test]
 fn many_writes_share_one_sync_and_none_is_acknowledged_before_it() {
-    let mut b = Buffer::new(LIMITS, WriteTable::default(), 1);
-    let early: Vec<Action> = (1..=10)
-        .flat_map(|n| put(&mut b, n, AcknowledgeAt::Buffered, 10, 0))
+    let mut buffer = Buffer::new(LIMITS, WriteTable::default(), 1);
+    let before_sync: Vec<Action> = (1..=10)
+        .flat_map(|number| put(&mut buffer, number, AcknowledgeAt::Buffered, 10, 0))
         .collect();
-    assert!(!early
-        .iter()
-        .any(|a| matches!(a, Action::Acknowledge(..) | Action::Sync | Action::Open(..))));
-    let out = handle(&mut b, Input::Timer, LIMITS.sync_delay);
-    assert_eq!(out, [Action::Sync]);
-    let out = handle(&mut b, Input::Synced, 3_000);
-    let said = out
+    assert!(!before_sync.iter().any(|action| matches!(
+        action,
+        Action::Acknowledge(..) | Action::Sync | Action::Open(..)
+    )));
+    let actions = handle(&mut buffer, Input::Timer, LIMITS.sync_delay);
+    assert_eq!(actions, [Action::Sync]);
+    let actions = handle(&mut buffer, Input::Synced, 3_000);
+    let acknowledged = actions
         .iter()
-        .filter(|a| matches!(a, Action::Acknowledge(_, Acknowledgement::Buffered)))
+        .filter(|action| matches!(action, Action::Acknowledge(_, Acknowledgement::Buffered)))
         .count();
-    let opened = out
+    let opened = actions
         .iter()
-        .filter(|a| matches!(a, Action::Open(_, None)))
+        .filter(|action| matches!(action, Action::Open(_, None)))
         .count();
-    assert_eq!((said, opened), (10, 10));
-    // An attempt's bytes leave only once its intent is synced.
-    let out = handle(
-        &mut b,
+    assert_eq!((acknowledged, opened), (10, 10));
+    // An attempt is sent only once its intent is synced.
+    let actions = handle(
+        &mut buffer,
         Input::Intent {
             write: WriteId(1),
             attempt: 0,
@@ -399,59 +433,59 @@
         },
         3_000,
     );
-    assert!(out.contains(&Action::Sync) && !out.contains(&Action::Send(WriteId(1), 0)));
-    assert!(handle(&mut b, Input::Synced, 3_500).contains(&Action::Send(WriteId(1), 0)));
+    assert!(actions.contains(&Action::Sync) && !actions.contains(&Action::Send(WriteId(1), 0)));
+    assert!(handle(&mut buffer, Input::Synced, 3_500).contains(&Action::Send(WriteId(1), 0)));
 }
 
 #[test]
-fn beyond_the_bound_and_after_the_log_failed_writes_go_through() {
-    let mut b = Buffer::new(LIMITS, WriteTable::default(), 1);
+fn writes_over_the_limit_or_after_a_log_failure_are_written_through() {
+    let mut buffer = Buffer::new(LIMITS, WriteTable::default(), 1);
     assert!(
-        !put(&mut b, 1, AcknowledgeAt::Buffered, 3_900, 0).contains(&Action::Acknowledge(
+        !put(&mut buffer, 1, AcknowledgeAt::Buffered, 3_900, 0).contains(&Action::Acknowledge(
             Waiter(1),
             Acknowledgement::WriteThrough
         ))
     );
     assert!(
-        put(&mut b, 2, AcknowledgeAt::Buffered, 200, 0).contains(&Action::Acknowledge(
+        put(&mut buffer, 2, AcknowledgeAt::Buffered, 200, 0).contains(&Action::Acknowledge(
             Waiter(2),
             Acknowledgement::WriteThrough
         ))
     );
-    handle(&mut b, Input::Timer, LIMITS.sync_delay);
-    let out = handle(&mut b, Input::LogFailed, 3_000);
+    handle(&mut buffer, Input::Timer, LIMITS.sync_delay);
+    let actions = handle(&mut buffer, Input::LogFailed, 3_000);
     assert!(
-        out.contains(&Action::Acknowledge(
+        actions.contains(&Action::Acknowledge(
             Waiter(1),
             Acknowledgement::WriteThrough
         )),
-        "what was not synced counts as not written"
+        "an unsynced write counts as not written"
     );
     assert!(
-        put(&mut b, 3, AcknowledgeAt::Flushed, 1, 4_000).contains(&Action::Acknowledge(
+        put(&mut buffer, 3, AcknowledgeAt::Flushed, 1, 4_000).contains(&Action::Acknowledge(
             Waiter(3),
             Acknowledgement::WriteThrough
         ))
     );
-    assert_eq!(b.pending_bytes(), 0);
+    assert_eq!(buffer.pending_bytes(), 0);
 }
 
 #[test]
-fn a_barrier_holds_back_what_comes_after_it_and_a_flush_waits_for_what_came_before() {
-    let mut b = Buffer::new(LIMITS, WriteTable::default(), 1);
-    put(&mut b, 1, AcknowledgeAt::Buffered, 1, 0);
-    handle(&mut b, Input::Barrier(1), 0);
-    put(&mut b, 2, AcknowledgeAt::Buffered, 1, 0);
-    handle(&mut b, Input::Timer, LIMITS.sync_delay);
-    let out = handle(&mut b, Input::Synced, 3_000);
+fn a_barrier_delays_later_writes_and_a_flush_waits_for_earlier_ones() {
+    let mut buffer = Buffer::new(LIMITS, WriteTable::default(), 1);
+    put(&mut buffer, 1, AcknowledgeAt::Buffered, 1, 0);
+    handle(&mut buffer, Input::Barrier(1), 0);
+    put(&mut buffer, 2, AcknowledgeAt::Buffered, 1, 0);
+    handle(&mut buffer, Input::Timer, LIMITS.sync_delay);
+    let actions = handle(&mut buffer, Input::Synced, 3_000);
     assert!(
-        out.contains(&Action::Open(WriteId(1), None))
-            && !out.contains(&Action::Open(WriteId(2), None))
+        actions.contains(&Action::Open(WriteId(1), None))
+            && !actions.contains(&Action::Open(WriteId(2), None))
     );
-    assert!(!handle(&mut b, Input::Flush(Waiter(9), 1), 3_000)
+    assert!(!handle(&mut buffer, Input::Flush(Waiter(9), 1), 3_000)
         .contains(&Action::Acknowledge(Waiter(9), Acknowledgement::Flushed)));
     handle(
-        &mut b,
+        &mut buffer,
         Input::Intent {
             write: WriteId(1),
             attempt: 0,
@@ -460,18 +494,18 @@
         },
         3_000,
     );
-    handle(&mut b, Input::Synced, 3_100);
-    let out = handle(
-        &mut b,
+    handle(&mut buffer, Input::Synced, 3_100);
+    let actions = handle(
+        &mut buffer,
         Input::AttemptEnded(WriteId(1), 0, AttemptOutcome::Stored),
         3_200,
     );
     assert!(
-        out.contains(&Action::Open(WriteId(2), None))
-            && !out.contains(&Action::Acknowledge(Waiter(9), Acknowledgement::Flushed))
+        actions.contains(&Action::Open(WriteId(2), None))
+            && !actions.contains(&Action::Acknowledge(Waiter(9), Acknowledgement::Flushed))
     );
     handle(
-        &mut b,
+        &mut buffer,
         Input::Intent {
             write: WriteId(2),
             attempt: 0,
@@ -480,11 +514,11 @@
         },
         3_300,
     );
-    handle(&mut b, Input::Synced, 3_400);
-    let out = handle(
-        &mut b,
+    handle(&mut buffer, Input::Synced, 3_400);
+    let actions = handle(
+        &mut buffer,
         Input::AttemptEnded(WriteId(2), 0, AttemptOutcome::Stored),
         3_500,
     );
-    assert!(out.contains(&Action::Acknowledge(Waiter(9), Acknowledgement::Flushed)));
+    assert!(actions.contains(&Action::Acknowledge(Waiter(9), Acknowledgement::Flushed)));
 }
--- a/crates/write-back/tests/golden.rs
+++ b/crates/write-back/tests/golden.rs
@@ -1,5 +1,4 @@
-//! The records of the log as they stand on the disk, a closed log, and the texts of errors, pinned by the files under
-//! `tests/golden/`.
+//! Golden tests of the encoded records, the files of a log, the decisions of the buffer and the error texts.
 
 mod golden_trace;
 
@@ -12,13 +11,13 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// A segment longer than this is followed by a new one.
+/// Segment size, small so that a few records fill several segments.
 const SEGMENT_BYTES: u64 = 150;
 
-/// The repeat window of keyed writes, in microseconds.
-const WINDOW: i64 = 4_000_000;
+/// Repeat window of writes with an idempotency key.
+const REPEAT_WINDOW_US: i64 = 4_000_000;
 
-fn taken(write: u64) -> AcceptedWrite {
+fn accepted_write(write: u64) -> AcceptedWrite {
     AcceptedWrite {
         write: WriteId(write),
         volume: 0x1122_3344_5566_7788,
@@ -31,7 +30,7 @@
     }
 }
 
-fn empty_taken() -> AcceptedWrite {
+fn empty_write() -> AcceptedWrite {
     AcceptedWrite {
         write: WriteId(0),
         volume: 0,
@@ -67,7 +66,7 @@
     }
 }
 
-/// Records of every kind by names, with their sequences.
+/// Records of every kind with their names in the golden file and their sequence numbers.
 fn records() -> Vec<(&'static str, u64, Record)> {
     let early = Moment {
         since_boot: -5,
@@ -82,8 +81,8 @@
         at: early,
     };
     vec![
-        ("taken", 1, Record::Accepted(taken(9))),
-        ("taken, empty", 2, Record::Accepted(empty_taken())),
+        ("taken", 1, Record::Accepted(accepted_write(9))),
+        ("taken, empty", 2, Record::Accepted(empty_write())),
         (
             "attempt",
             0x0102_0304_0506_0708,
@@ -114,14 +113,14 @@
 }
 
 #[test]
-fn records_have_the_form_that_logs_hold() {
+fn encoded_records_match_the_golden_file() {
     let mut file = GoldenFile::open(path!("records.txt"));
     for (name, sequence, record) in records() {
         file.add_bytes(name, &encode(sequence, &record).expect("a frame"));
     }
-    let kept = file.check();
+    let golden = file.check();
     for (name, sequence, record) in records() {
-        let frame = kept.bytes(name);
+        let frame = golden.bytes(name);
         assert_eq!(
             decode(&frame, sequence),
             Ok((record, frame.len())),
@@ -130,17 +129,17 @@
     }
 }
 
-/// What a small log holds: writes in each state, over several segments.
+/// Records of a small log with writes in each state, which fill several segments.
 fn log_records() -> Vec<Record> {
     vec![
-        Record::Accepted(taken(1)),
-        Record::Accepted(taken(2)),
+        Record::Accepted(accepted_write(1)),
+        Record::Accepted(accepted_write(2)),
         attempt(1, 0, "node-a", 3),
         ended(1, 0, AttemptOutcome::Stored),
         Record::Barrier {
             volume: 0x1122_3344_5566_7788,
         },
-        Record::Accepted(taken(3)),
+        Record::Accepted(accepted_write(3)),
         attempt(2, 0, "node-b", 3),
         Record::Resolved(WriteId(1)),
         attempt(3, 0, "node-c", 4),
@@ -148,17 +147,17 @@
         Record::Flush {
             volume: 0x1122_3344_5566_7788,
         },
-        Record::Accepted(taken(4)),
+        Record::Accepted(accepted_write(4)),
         attempt(4, 0, "node-d", 5),
         ended(4, 0, AttemptOutcome::MayHaveRun),
         attempt(4, 1, "node-e", 6),
-        Record::Accepted(taken(5)),
+        Record::Accepted(accepted_write(5)),
         attempt(5, 0, "node-f", 7),
         ended(5, 0, AttemptOutcome::Stored),
     ]
 }
 
-/// A folder for one test, removed at its end.
+/// A temporary directory, removed when it is dropped.
 struct TestFolder(PathBuf);
 
 impl TestFolder {
@@ -169,7 +168,7 @@
         TestFolder(path)
     }
 
-    /// All files in it, by their names.
+    /// The contents of all files by name.
     fn files(&self) -> BTreeMap<String, Vec<u8>> {
         let entries = std::fs::read_dir(&self.0).expect("a folder");
         let paths = entries.map(|entry| entry.expect("an entry").path());
@@ -205,70 +204,80 @@
 }
 
 #[test]
-fn a_closed_log_has_these_files_and_is_read_from_them() {
+fn the_files_of_a_closed_log_match_the_golden_file_and_are_recovered() {
     let written = TestFolder::new("written");
     write_log(&written);
     let mut file = GoldenFile::open(path!("closed-log.txt"));
     for (name, bytes) in written.files() {
         file.add_bytes(name, &bytes);
     }
-    let kept = file.check();
+    let golden = file.check();
     let copied = TestFolder::new("copied");
-    for (name, digits) in kept.iter() {
+    for (name, digits) in golden.iter() {
         std::fs::write(copied.0.join(name), from_hex(digits)).expect("a file");
     }
     let mut folder = Folder::open(&copied.0).expect("a folder");
-    let found = inspect(&mut folder).expect("a log");
+    let recovered = inspect(&mut folder).expect("a log");
     assert_eq!(
-        found,
+        recovered,
         Recovered {
             records: numbered(log_records()),
-            torn: 0
+            torn_bytes: 0
         }
     );
-    let (log, found) = Log::open(folder, SEGMENT_BYTES).expect("a log");
-    assert_eq!((log.next(), found.records.len()), (19, 18));
-    assert_eq!(standings(&found), expected_standings());
+    let (log, recovered) = Log::open(folder, SEGMENT_BYTES).expect("a log");
+    assert_eq!((log.next_sequence(), recovered.records.len()), (19, 18));
+    assert_eq!(retry_statuses(&recovered), expected_retry_statuses());
 }
 
 #[test]
-fn a_torn_end_is_cut_off() {
+fn a_torn_record_at_the_end_is_truncated() {
     let torn = TestFolder::new("torn");
     write_log(&torn);
-    let last = torn
+    let last_segment = torn
         .files()
         .into_iter()
         .rfind(|(name, _)| name.ends_with(".log"))
         .expect("a segment");
-    std::fs::write(torn.0.join(&last.0), &last.1[..last.1.len() - 3]).expect("a file");
-    let (log, found) =
+    std::fs::write(
+        torn.0.join(&last_segment.0),
+        &last_segment.1[..last_segment.1.len() - 3],
+    )
+    .expect("a file");
+    let (log, recovered) =
         Log::open(Folder::open(&torn.0).expect("a folder"), SEGMENT_BYTES).expect("a log");
-    assert_eq!((log.next(), found.records.len()), (18, 17));
+    assert_eq!((log.next_sequence(), recovered.records.len()), (18, 17));
     let mut file = GoldenFile::open(path!("torn-log.txt"));
-    file.add("torn bytes", found.torn.to_string());
+    file.add("torn bytes", recovered.torn_bytes.to_string());
     for (name, bytes) in torn.files() {
         file.add_bytes(name, &bytes);
     }
     file.check();
 }
 
-fn standings(found: &Recovered) -> BTreeMap<u64, RetryStatus> {
-    let mut book = WriteTable::default();
-    found
+fn retry_statuses(recovered: &Recovered) -> BTreeMap<u64, RetryStatus> {
+    let mut table = WriteTable::default();
+    recovered
         .records
         .iter()
-        .for_each(|(sequence, record)| book.apply(*sequence, record));
+        .for_each(|(sequence, record)| table.apply(*sequence, record));
     let now = Moment {
         since_boot: 13_345_678,
         boot: 0xfeed_0000_0000_0001,
         wall: 0,
     };
-    book.pending()
-        .map(|pending| (pending.accepted.write.0, pending.retry_status(now, WINDOW)))
+    table
+        .pending()
+        .map(|pending| {
+            (
+                pending.accepted.write.0,
+                pending.retry_status(now, REPEAT_WINDOW_US),
+            )
+        })
         .collect()
 }
 
-fn expected_standings() -> BTreeMap<u64, RetryStatus> {
+fn expected_retry_statuses() -> BTreeMap<u64, RetryStatus> {
     BTreeMap::from([
         (
             2,
@@ -289,28 +298,28 @@
 }
 
 #[test]
-fn errors_are_told_as_before() {
+fn error_texts_match_the_golden_file() {
     let mut file = GoldenFile::open(path!("errors.txt"));
     let unreadable = [
-        ("short", FrameError::Short),
-        ("length", FrameError::Length),
-        ("checksum", FrameError::Checksum),
-        ("sequence", FrameError::Sequence),
-        ("form", FrameError::Form),
+        ("short", FrameError::Truncated),
+        ("length", FrameError::InvalidLength),
+        ("checksum", FrameError::ChecksumMismatch),
+        ("sequence", FrameError::SequenceMismatch),
+        ("form", FrameError::UnknownBody),
     ];
-    for (name, why) in unreadable {
-        file.add(format!("unreadable, {name}"), why.to_string());
+    for (name, error) in unreadable {
+        file.add(format!("unreadable, {name}"), error.to_string());
     }
     let failed = || DiskError::Failed("a medium that fails".into());
     file.add("disk, full", DiskError::Full.to_string());
     file.add("disk, failed", failed().to_string());
     file.add("open, disk", OpenError::from(failed()).to_string());
-    let damaged = OpenError::Damaged {
+    let corrupt = OpenError::Corrupt {
         segment: 0x1f,
         offset: 77,
-        why: FrameError::Checksum,
+        reason: FrameError::ChecksumMismatch,
     };
-    file.add("open, damaged", damaged.to_string());
+    file.add("open, damaged", corrupt.to_string());
     file.add("write, disk", WriteError::from(failed()).to_string());
     file.add("write, closed", WriteError::Closed.to_string());
     file.add(
@@ -345,7 +354,7 @@
 }
 
 #[test]
-fn the_buffer_decides_as_before() {
+fn short_traces_of_the_buffer_match_the_golden_file() {
     const STEPS: usize = 200;
     let mut file = GoldenFile::open(path!("buffer-trace.txt"));
     for seed in 1..=2 {
@@ -357,7 +366,7 @@
 }
 
 #[test]
-fn the_buffer_decides_as_before_over_long_runs() {
+fn long_traces_of_the_buffer_match_their_digests() {
     const STEPS: usize = 2_000;
     let mut file = GoldenFile::open(path!("buffer-trace-digests.txt"));
     for seed in 100..140 {
@@ -371,7 +380,7 @@
 }
 
 #[test]
-fn every_golden_file_is_compared() {
+fn every_golden_file_is_checked() {
     check_folder(
         path!(),
         [
--- a/crates/write-back/tests/golden_trace/mod.rs
+++ b/crates/write-back/tests/golden_trace/mod.rs
@@ -1,5 +1,5 @@
-//! A seeded run of a buffer and a line for each input: what came in and which actions it asked for. Records stand in the
-//! form that they have on the disk; the lines hold no names of Rust types.
+//! A seeded run of a buffer with one line for each input: the input and the resulting actions. Records are shown in their
+//! encoding in the log. The lines contain no names of Rust types, so that renames do not change them.
 
 use lupinrack_golden_files::to_hex;
 use lupinrack_write_back::{
@@ -17,13 +17,13 @@
 const VOLUMES: u64 = 3;
 const SHARDS: u32 = 2;
 
-/// Plays so many inputs and returns a line for each.
+/// Runs `steps` inputs and returns a line for each.
 pub fn play(seed: u64, steps: usize) -> Vec<String> {
     let mut run = Run::new(seed);
     (0..steps).map(|_| run.step()).collect()
 }
 
-/// A hash (FNV-1a, 64 bits) of all lines.
+/// FNV-1a hash (64 bits) of all lines.
 pub fn digest(lines: &[String]) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
@@ -33,27 +33,28 @@
     })
 }
 
-/// An attempt that was asked for, and whether its bytes may leave.
+/// An attempt whose intent was passed to the buffer.
 #[derive(Clone, Copy)]
 struct Attempt {
     write: WriteId,
     number: u16,
-    went: bool,
+    /// Whether the buffer has let it be sent.
+    sent: bool,
 }
 
 struct Run {
     random: fastrand::Rng,
     now: Moment,
     buffer: Buffer,
-    /// All records so far.
+    /// All records appended so far.
     log: Vec<Record>,
-    waiters: u64,
+    last_waiter: u64,
     syncing: bool,
-    /// Writes that the core has, without an attempt that is out.
+    /// Writes that are open without an attempt in flight, each with the shard that it is restricted to.
     open: Vec<(WriteId, Option<u32>)>,
     attempts: Vec<Attempt>,
     next_attempt: u16,
-    asking: VecDeque<WriteId>,
+    locating: VecDeque<WriteId>,
 }
 
 impl Run {
@@ -67,31 +68,31 @@
             },
             buffer: Buffer::new(LIMITS, WriteTable::default(), 1),
             log: Vec::new(),
-            waiters: 0,
+            last_waiter: 0,
             syncing: false,
             open: Vec::new(),
             attempts: Vec::new(),
             next_attempt: 0,
-            asking: VecDeque::new(),
+            locating: VecDeque::new(),
         }
     }
 
-    /// The sequence of the next record.
+    /// Sequence number of the next record.
     fn next_sequence(&self) -> u64 {
         self.log.len() as u64 + 1
     }
 
-    /// The program ends and starts again with what the log holds, at times after a boot of the machine.
+    /// Restarts the process from its log, sometimes after a reboot of the machine.
     fn restart(&mut self) -> String {
-        let mut book = WriteTable::default();
+        let mut table = WriteTable::default();
         (1..)
             .zip(&self.log)
-            .for_each(|(sequence, record)| book.apply(sequence, record));
-        self.buffer = Buffer::new(LIMITS, book, self.next_sequence());
+            .for_each(|(sequence, record)| table.apply(sequence, record));
+        self.buffer = Buffer::new(LIMITS, table, self.next_sequence());
         self.syncing = false;
         self.open.clear();
         self.attempts.clear();
-        self.asking.clear();
+        self.locating.clear();
         if self.random.bool() {
             self.now.boot += 1;
             self.now.since_boot = 1_000_000;
@@ -103,14 +104,14 @@
         if self.random.u32(0..150) == 0 {
             return self.restart();
         }
-        let longest = if self.random.u32(0..20) == 0 {
+        let max_elapsed = if self.random.u32(0..20) == 0 {
             6_000_000
         } else {
             3_000
         };
-        let passed = self.random.i64(0..longest);
-        self.now.since_boot += passed;
-        self.now.wall += passed;
+        let elapsed = self.random.i64(0..max_elapsed);
+        self.now.since_boot += elapsed;
+        self.now.wall += elapsed;
         let (shown, input) = self.input();
         let mut actions = Vec::new();
         self.buffer.handle(self.now, input, &mut actions);
@@ -135,27 +136,27 @@
             7..=9 if self.syncing => self.end_sync(),
             10..=12 if !self.open.is_empty() => self.attempt(),
             13..=15 if !self.attempts.is_empty() => self.end_attempt(),
-            16 | 17 if !self.open.is_empty() => self.let_go(),
-            18 | 19 if !self.asking.is_empty() => self.answer_question(),
+            16 | 17 if !self.open.is_empty() => self.release(),
+            18 | 19 if !self.locating.is_empty() => self.end_lookup(),
             _ => (String::from("timer"), Input::Timer),
         }
     }
 
     fn waiter(&mut self) -> Waiter {
-        self.waiters += 1;
-        Waiter(self.waiters)
+        self.last_waiter += 1;
+        Waiter(self.last_waiter)
     }
 
     fn put(&mut self) -> (String, Input) {
         let waiter = self.waiter();
         let volume = self.random.u64(0..VOLUMES);
         let size = self.random.usize(0..250);
-        let (word, wish) = if self.random.bool() {
+        let (shown, acknowledge_at) = if self.random.bool() {
             ("buffered", AcknowledgeAt::Buffered)
         } else {
             ("flushed", AcknowledgeAt::Flushed)
         };
-        let taken = AcceptedWrite {
+        let write = AcceptedWrite {
             write: WriteId(0),
             volume,
             plan: "basic".into(),
@@ -166,8 +167,8 @@
             give_up: self.now.wall + 1_000_000,
         };
         (
-            format!("put {} {word} volume {volume} size {size}", waiter.0),
-            Input::Write(waiter, wish, taken),
+            format!("put {} {shown} volume {volume} size {size}", waiter.0),
+            Input::Write(waiter, acknowledge_at, write),
         )
     }
 
@@ -193,15 +194,15 @@
     }
 
     fn attempt(&mut self) -> (String, Input) {
-        let place = self.random.usize(0..self.open.len());
-        let (write, only) = self.open.swap_remove(place);
+        let index = self.random.usize(0..self.open.len());
+        let (write, only) = self.open.swap_remove(index);
         let shard = only.unwrap_or_else(|| self.random.u32(0..SHARDS));
         let number = self.next_attempt;
         self.next_attempt += 1;
         self.attempts.push(Attempt {
             write,
             number,
-            went: false,
+            sent: false,
         });
         let node = format!("node-{}", self.random.u32(0..4));
         let shown = format!("intends {} attempt {number} {node} shard {shard}", write.0);
@@ -217,46 +218,46 @@
     }
 
     fn end_attempt(&mut self) -> (String, Input) {
-        let place = self.random.usize(0..self.attempts.len());
-        let attempt = self.attempts[place];
-        if !attempt.went {
+        let index = self.random.usize(0..self.attempts.len());
+        let attempt = self.attempts[index];
+        if !attempt.sent {
             return (String::from("timer"), Input::Timer);
         }
-        self.attempts.swap_remove(place);
-        let (word, end) = match self.random.u32(0..4) {
+        self.attempts.swap_remove(index);
+        let (shown_outcome, outcome) = match self.random.u32(0..4) {
             0 | 1 => ("held", AttemptOutcome::Stored),
             2 => ("never ran", AttemptOutcome::NeverRan),
             _ => ("may have run", AttemptOutcome::MayHaveRun),
         };
-        if end != AttemptOutcome::Stored {
+        if outcome != AttemptOutcome::Stored {
             self.open.push((attempt.write, None));
         }
         let shown = format!(
-            "ended {} attempt {} {word}",
+            "ended {} attempt {} {shown_outcome}",
             attempt.write.0, attempt.number
         );
         (
             shown,
-            Input::AttemptEnded(attempt.write, attempt.number, end),
+            Input::AttemptEnded(attempt.write, attempt.number, outcome),
         )
     }
 
-    fn let_go(&mut self) -> (String, Input) {
-        let place = self.random.usize(0..self.open.len());
-        let (write, _) = self.open.swap_remove(place);
+    fn release(&mut self) -> (String, Input) {
+        let index = self.random.usize(0..self.open.len());
+        let (write, _) = self.open.swap_remove(index);
         (format!("let go {}", write.0), Input::Released(write))
     }
 
-    fn answer_question(&mut self) -> (String, Input) {
-        let write = self.asking.pop_front().unwrap_or_default();
-        let (word, answer) = match self.random.u32(0..5) {
+    fn end_lookup(&mut self) -> (String, Input) {
+        let write = self.locating.pop_front().unwrap_or_default();
+        let (shown_lookup, lookup) = match self.random.u32(0..5) {
             0 | 1 => ("there", Lookup::Present),
             2 | 3 => ("absent", Lookup::Absent),
             _ => ("unknown", Lookup::Unknown),
         };
         (
-            format!("asked {} {word}", write.0),
-            Input::Located(write, answer),
+            format!("asked {} {shown_lookup}", write.0),
+            Input::Located(write, lookup),
         )
     }
 
@@ -271,25 +272,32 @@
                 self.syncing = true;
                 String::from("sync")
             }
-            Action::Acknowledge(waiter, said) => format!("say {} {}", waiter.0, said_word(*said)),
+            Action::Acknowledge(waiter, acknowledgement) => format!(
+                "say {} {}",
+                waiter.0,
+                show_acknowledgement(*acknowledgement)
+            ),
             Action::Open(write, only) => {
                 self.open.push((*write, only.map(|(shard, _)| shard)));
-                let only = only.map_or(String::new(), |(shard, left)| {
-                    format!(" shard {shard} left {left}")
+                let only = only.map_or(String::new(), |(shard, remaining)| {
+                    format!(" shard {shard} left {remaining}")
                 });
                 format!("open {}{only}", write.0)
             }
             Action::Send(write, attempt) => {
-                let out = self.attempts.iter_mut().find(|out| out.number == *attempt);
-                out.expect("an attempt that was asked for").went = true;
+                let intended = self
+                    .attempts
+                    .iter_mut()
+                    .find(|intended| intended.number == *attempt);
+                intended.expect("an attempt with an intent").sent = true;
                 format!("go {} attempt {attempt}", write.0)
             }
             Action::Abort(write, attempt) => {
-                self.attempts.retain(|out| out.number != *attempt);
+                self.attempts.retain(|intended| intended.number != *attempt);
                 format!("stop {} attempt {attempt}", write.0)
             }
             Action::Locate(write, nodes) => {
-                self.asking.push_back(*write);
+                self.locating.push_back(*write);
                 format!("ask {} {}", write.0, nodes.join("+"))
             }
             Action::Reclaim(sequence) => format!("reclaim {sequence}"),
@@ -299,8 +307,8 @@
     }
 }
 
-fn said_word(said: Acknowledgement) -> &'static str {
-    match said {
+fn show_acknowledgement(acknowledgement: Acknowledgement) -> &'static str {
+    match acknowledgement {
         Acknowledgement::Buffered => "buffered",
         Acknowledgement::Flushed => "flushed",
         Acknowledgement::WriteThrough => "through",
--- a/crates/write-back/tests/simulated_disk/mod.rs
+++ b/crates/write-back/tests/simulated_disk/mod.rs
@@ -1,35 +1,35 @@
-//! A simulated disk: what was not synced may be lost, torn or left in any order by a crash; calls fail when told to.
+//! A simulated disk. A crash may lose, tear or reorder unsynced writes; syncs and appends fail as configured.
 
-// Each test file uses some of it.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use lupinrack_write_back::{Disk, DiskError, SegmentId};
 use std::collections::BTreeMap;
 
-/// The pieces in which a real disk writes.
-const SECTOR: usize = 512;
+/// Unit in which a real disk writes.
+const SECTOR_BYTES: usize = 512;
 
 /// A disk in memory.
 #[derive(Clone, Debug, Default)]
 pub struct SimDisk {
     files: BTreeMap<SegmentId, SimFile>,
-    /// Calls of `sync` from now until one fails; none: all go well.
+    /// Number of successful syncs before the next one fails. `None`: no sync fails.
     pub fail_sync_in: Option<u32>,
-    /// Bytes that still fit; none: no end.
+    /// Free space in bytes. `None`: unlimited.
     pub free_bytes: Option<usize>,
-    /// Syncs made.
+    /// Number of syncs so far.
     pub syncs: u64,
 }
 
 #[derive(Clone, Debug, Default)]
 struct SimFile {
     bytes: Vec<u8>,
-    /// So many of them last.
-    lasting: usize,
+    /// Length of the synced prefix.
+    synced_bytes: usize,
 }
 
 impl SimDisk {
-    /// One whose sync fails after this many that go well.
+    /// A disk whose syncs fail after this many successful ones.
     pub fn failing_after(syncs: u32) -> SimDisk {
         SimDisk {
             fail_sync_in: Some(syncs),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// One with free_bytes for this many bytes.
+    /// A disk with space for this many bytes.
     pub fn with_capacity(bytes: usize) -> SimDisk {
         SimDisk {
             free_bytes: Some(bytes),
@@ -45,43 +45,43 @@
         }
     }
 
-    /// What a crash leaves. Each sector that was not synced is there, or is zeros, or holds noise; a file ends anywhere
-    /// between what lasts and what was written.
-    pub fn crash(&mut self, dice: &mut fastrand::Rng) {
+    /// Simulates a crash. Each unsynced sector is kept, zeroed or filled with noise, and each file is truncated anywhere between
+    /// its synced and its written length.
+    pub fn crash(&mut self, random: &mut fastrand::Rng) {
         for file in self.files.values_mut() {
-            let end = dice.usize(file.lasting..=file.bytes.len());
+            let end = random.usize(file.synced_bytes..=file.bytes.len());
             file.bytes.truncate(end);
-            let mut at = file.lasting;
-            while at < end {
-                let next = ((at / SECTOR + 1) * SECTOR).min(end);
-                match dice.u32(0..4) {
-                    0 => file.bytes[at..next].fill(0),
-                    1 => file.bytes[at..next]
+            let mut offset = file.synced_bytes;
+            while offset < end {
+                let next = ((offset / SECTOR_BYTES + 1) * SECTOR_BYTES).min(end);
+                match random.u32(0..4) {
+                    0 => file.bytes[offset..next].fill(0),
+                    1 => file.bytes[offset..next]
                         .iter_mut()
-                        .for_each(|b| *b = dice.u8(..)),
+                        .for_each(|byte| *byte = random.u8(..)),
                     _ => {}
                 }
-                at = next;
+                offset = next;
             }
-            file.lasting = end;
+            file.synced_bytes = end;
         }
         (self.fail_sync_in, self.free_bytes) = (None, None);
     }
 
-    /// Alters one byte of a segment, as a failing medium does.
-    pub fn damage(&mut self, segment: SegmentId, at: usize) {
+    /// Corrupts one byte of a segment, as a failing medium does.
+    pub fn corrupt(&mut self, segment: SegmentId, offset: usize) {
         if let Some(byte) = self
             .files
             .get_mut(&segment)
-            .and_then(|f| f.bytes.get_mut(at))
+            .and_then(|file| file.bytes.get_mut(offset))
         {
             *byte ^= 0x55;
         }
     }
 
-    /// How long a segment is.
+    /// Length of a segment in bytes.
     pub fn length(&self, segment: SegmentId) -> usize {
-        self.files.get(&segment).map_or(0, |f| f.bytes.len())
+        self.files.get(&segment).map_or(0, |file| file.bytes.len())
     }
 
     fn file(&mut self, segment: SegmentId) -> Result<&mut SimFile, DiskError> {
@@ -102,12 +102,14 @@
     }
 
     fn append(&mut self, segment: SegmentId, bytes: &[u8]) -> Result<(), DiskError> {
-        let fits = self
+        let appended_bytes = self
             .free_bytes
             .map_or(bytes.len(), |free_bytes| free_bytes.min(bytes.len()));
-        self.free_bytes = self.free_bytes.map(|free_bytes| free_bytes - fits);
-        self.file(segment)?.bytes.extend(&bytes[..fits]);
-        if fits < bytes.len() {
+        self.free_bytes = self
+            .free_bytes
+            .map(|free_bytes| free_bytes - appended_bytes);
+        self.file(segment)?.bytes.extend(&bytes[..appended_bytes]);
+        if appended_bytes < bytes.len() {
             Err(DiskError::Full)
         } else {
             Ok(())
@@ -116,14 +118,14 @@
 
     fn sync(&mut self, segment: SegmentId) -> Result<(), DiskError> {
         self.syncs += 1;
-        if let Some(left) = &mut self.fail_sync_in {
-            if *left == 0 {
-                return Err(DiskError::Failed("a sync that failed".into()));
+        if let Some(remaining) = &mut self.fail_sync_in {
+            if *remaining == 0 {
+                return Err(DiskError::Failed("injected sync failure".into()));
             }
-            *left -= 1;
+            *remaining -= 1;
         }
         let file = self.file(segment)?;
-        file.lasting = file.bytes.len();
+        file.synced_bytes = file.bytes.len();
         Ok(())
     }
 
@@ -134,7 +136,7 @@
     fn truncate(&mut self, segment: SegmentId, length: u64) -> Result<(), DiskError> {
         let file = self.file(segment)?;
         file.bytes.truncate(length as usize);
-        file.lasting = file.bytes.len();
+        file.synced_bytes = file.bytes.len();
         Ok(())
     }
 
