--- a/crates/fleet-membership-drill/src/cases.rs
+++ b/crates/fleet-membership-drill/src/cases.rs
@@ -1,19 +1,19 @@
-//! The hard cases, each a script by name.
+//! Named cases of faults, each with a script.
 
 use lupinrack_fault_injection::relay::Fault;
 use lupinrack_fault_injection::script::{key, Act, Script};
 
-/// A case: its name, what it shows, and its script for a seed.
+/// A named case.
 pub struct Case {
-    /// Its name, for the command line.
+    /// The name on the command line.
     pub name: &'static str,
-    /// What it shows.
-    pub shows: &'static str,
-    /// Its script.
+    /// What it covers, for the list on the command line.
+    pub description: &'static str,
+    /// Its script for a seed.
     pub script: fn(u64) -> Script,
 }
 
-fn cut() -> Fault {
+fn cut_path() -> Fault {
     Fault {
         cut: true,
         ..Fault::default()
@@ -22,40 +22,40 @@
 
 /// All cases.
 pub const CASES: &[Case] = &[
-    Case { name: "dead", shows: "one of three is killed; the others use what it had", script: dead },
+    Case { name: "dead", description: "one of three is killed; the others use what it had", script: dead },
     Case {
         name: "paused",
-        shows: "a front is stopped for 5 s in the middle of using its part",
+        description: "a front is stopped for 5 s in the middle of using its part",
         script: paused,
     },
-    Case { name: "one-way", shows: "one direction between two fronts is cut", script: one_way },
-    Case { name: "halves", shows: "two halves of equal size, then healing", script: halves },
-    Case { name: "mute", shows: "a front hears all and is heard by none", script: mute },
-    Case { name: "lossy", shows: "30 % loss with reordering and duplicates, and a death", script: lossy },
-    Case { name: "storm", shows: "seven of ten are killed within 10 ms and back within 2 s", script: storm },
-    Case { name: "start", shows: "all start at once from nothing", script: start },
-    Case { name: "twin", shows: "two processes under one name", script: twin },
-    Case { name: "sets", shows: "volumes through 3 of 9, the dead among them and beside them", script: sets },
+    Case { name: "one-way", description: "one direction between two fronts is cut", script: one_way },
+    Case { name: "halves", description: "two halves of equal size, then healing", script: halves },
+    Case { name: "mute", description: "a front hears all and is heard by none", script: mute },
+    Case { name: "lossy", description: "30 % loss with reordering and duplicates, and a death", script: lossy },
+    Case { name: "storm", description: "seven of ten are killed within 10 ms and back within 2 s", script: storm },
+    Case { name: "start", description: "all start at once from nothing", script: start },
+    Case { name: "twin", description: "two processes under one name", script: twin },
+    Case { name: "sets", description: "volumes through 3 of 9, the dead among them and beside them", script: sets },
     Case {
         name: "newcomer",
-        shows: "volumes of a dead front come to others, while its part is shared out",
+        description: "volumes of a dead front come to others, while its part is shared out",
         script: newcomer,
     },
     Case {
         name: "upgrade",
-        shows: "newer processes of two fronts take over from the older ones, one front is dead meanwhile",
+        description: "newer processes of two fronts take over from the older ones, one front is dead meanwhile",
         script: upgrade,
     },
-    Case { name: "keys", shows: "a key is changed while a third of the fleet is cut off", script: keys },
-    Case { name: "leader", shows: "leaders die one after another between any two steps", script: leader },
-    Case { name: "again", shows: "old datagrams come again", script: again },
-    Case { name: "roster", shows: "one front's list of members differs", script: roster },
-    Case { name: "flaps", shows: "a front comes and goes every second", script: flaps },
-    Case { name: "nodes", shows: "a front's ways to nodes and discovery are cut", script: nodes },
+    Case { name: "keys", description: "a key is changed while a third of the fleet is cut off", script: keys },
+    Case { name: "leader", description: "leaders die one after another between any two steps", script: leader },
+    Case { name: "again", description: "old datagrams come again", script: again },
+    Case { name: "roster", description: "one front's list of members differs", script: roster },
+    Case { name: "flaps", description: "a front comes and goes every second", script: flaps },
+    Case { name: "nodes", description: "a front's ways to nodes and discovery are cut", script: nodes },
 ];
 
-/// The case of this name.
-pub fn named(name: &str) -> Option<&'static Case> {
+/// The case with this name.
+pub fn find_case(name: &str) -> Option<&'static Case> {
     CASES.iter().find(|c| c.name == name)
 }
 
@@ -79,7 +79,7 @@
             Act::Path {
                 from,
                 to,
-                fault: cut(),
+                fault: cut_path(),
             },
         )
         .at(
@@ -175,7 +175,7 @@
 
 fn upgrade(seed: u64) -> Script {
     let front = (seed % 4) as u16;
-    // A new life has no vote for two leases: with one of five dead, one at a time leaves a majority.
+    // A new process incarnation does not vote for two leases. One of five fronts is dead, so upgrading one at a time keeps a majority.
     Script::new("upgrade", seed, 5, 20.0)
         .at(1_500, Act::Upgrade { front })
         .at(8_000, Act::Kill { front: 4 })
@@ -190,7 +190,7 @@
 fn newcomer(seed: u64) -> Script {
     let mut script = Script::new("newcomer", seed, 5, 16.0);
     (script.hosts, script.volumes) = (3, 4);
-    // Front 2 is in the sets of volumes 0, 1 and 3. By 8 s what it had is shared out among the others.
+    // Front 2 serves volumes 0, 1 and 3. By 8 s its share has passed to the others.
     script = script.at(2_000, Act::Kill { front: 2 });
     script
         .at(
@@ -218,15 +218,15 @@
 
 fn keys(seed: u64) -> Script {
     let mut script = Script::new("keys", seed, 3, 30.0);
-    let both = vec![key(1), key(2)];
+    let both_keys = vec![key(1), key(2)];
     script = script.at(
         1_000,
         Act::Keys {
             front: None,
-            keys: both,
+            keys: both_keys,
         },
     );
-    // One after another takes both keys; front 2 is cut off meanwhile.
+    // Fronts 0 and 1 restart with both keys, one after another, while front 2 is cut off.
     script = script.at(
         1_500,
         Act::Split {
@@ -240,7 +240,7 @@
             .at(at + 200, Act::Start { front });
     }
     script = script.at(15_000, Act::Heal);
-    // The next step may come only once all have taken it.
+    // The old key must not be removed before all fronts have both.
     script = script
         .at(21_000, Act::Kill { front: 2 })
         .at(21_200, Act::Start { front: 2 });
@@ -248,12 +248,13 @@
 }
 
 fn leader(seed: u64) -> Script {
-    // The one with the least index leads; the moment walks through the agreement on the death before it.
-    let after = (seed * 37) % 2_600;
+    // The present front with the lowest index leads. The seed places its death at different steps of the agreement on the first
+    // death.
+    let after_ms = (seed * 37) % 2_600;
     let mut script = Script::new("leader", seed, 5, 18.0);
     script = script
         .at(2_000, Act::Kill { front: 4 })
-        .at(2_000 + after, Act::Kill { front: 0 });
+        .at(2_000 + after_ms, Act::Kill { front: 0 });
     script
         .at(7_000, Act::Start { front: 0 })
         .at(7_500, Act::Start { front: 4 })
@@ -304,32 +305,35 @@
         .at(5_000, Act::Discovery { front, cut: false })
 }
 
-/// Deaths, pauses, cuts and losses by chance; the last fault leaves time to come to rest.
-pub fn chance(seed: u64, n: u16, seconds: u64) -> Script {
-    let mut dice = fastrand::Rng::with_seed(seed);
-    let mut script = Script::new("chance", seed, n, seconds as f64);
-    let end = seconds * 1000;
-    let mut at = 1500 + dice.u64(0..1000);
-    while at + 4000 < end {
-        let front = dice.u16(0..n);
-        let lasts = 1500 + dice.u64(0..5000);
-        let (begin, over) = match dice.u32(0..6) {
+/// Random kills, pauses, partitions and loss. After the last fault there is time to recover.
+pub fn random_script(seed: u64, front_count: u16, seconds: u64) -> Script {
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let mut script = Script::new("chance", seed, front_count, seconds as f64);
+    let end_ms = seconds * 1000;
+    let mut at_ms = 1500 + rng.u64(0..1000);
+    while at_ms + 4000 < end_ms {
+        let front = rng.u16(0..front_count);
+        let duration_ms = 1500 + rng.u64(0..5000);
+        let (begin, end) = match rng.u32(0..6) {
             0 | 1 => (Act::Kill { front }, Act::Start { front }),
             2 => (Act::Stop { front }, Act::Cont { front }),
             3 => (Act::Mute { front }, Act::Heal),
             4 => {
-                let mut all: Vec<u16> = (0..n).collect();
-                dice.shuffle(&mut all);
-                let at = dice.usize(1..usize::from(n));
-                let groups = vec![all[..at].to_vec(), all[at..].to_vec()];
+                let mut fronts: Vec<u16> = (0..front_count).collect();
+                rng.shuffle(&mut fronts);
+                let first_group = rng.usize(1..usize::from(front_count));
+                let groups = vec![
+                    fronts[..first_group].to_vec(),
+                    fronts[first_group..].to_vec(),
+                ];
                 (Act::Split { groups }, Act::Heal)
             }
             _ => {
                 let fault = Fault {
-                    loss: 0.1 + 0.2 * dice.f64(),
+                    loss: 0.1 + 0.2 * rng.f64(),
                     twice: 0.1,
                     delay_ms: 1,
-                    spread_ms: dice.u64(1..40),
+                    spread_ms: rng.u64(1..40),
                     ..Default::default()
                 };
                 (
@@ -340,8 +344,10 @@
                 )
             }
         };
-        script = script.at(at, begin).at((at + lasts).min(end - 500), over);
-        at += 1500 + dice.u64(0..4000);
+        script = script
+            .at(at_ms, begin)
+            .at((at_ms + duration_ms).min(end_ms - 500), end);
+        at_ms += 1500 + rng.u64(0..4000);
     }
-    script.at(end / 2, Act::Cold)
+    script.at(end_ms / 2, Act::Cold)
 }
--- a/crates/fleet-membership-drill/src/check.rs
+++ b/crates/fleet-membership-drill/src/check.rs
@@ -1,5 +1,5 @@
-//! The checkers: what was promised against what was seen, written apart from the program's code. They know the processes'
-//! lines, the nodes' notes and the rig's own deeds, and nothing of the machines.
+//! Checks the guarantees of the membership against what was observed: the log lines of the processes, the requests that reached the
+//! nodes, and the faults that were injected. It shares no code with the state machines, so that a bug there cannot hide itself.
 
 use lupinrack_fault_injection::checks::{
     cold, duplicates, limits, lost, quantile, said, Verdict, Wellness,
@@ -13,67 +13,67 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::ops::Range;
 
-/// What a checker holds of sums beside rounding.
+/// The rounding error allowed in a sum of shares.
 const EPSILON: f64 = 1e-6;
-/// What came of a script.
+/// The report of a script.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Figures {
+pub struct DrillReport {
     /// The script's name.
     pub script: String,
     /// Its seed.
     pub seed: u64,
     /// Processes started.
     pub processes: u64,
-    /// Kills.
+    /// Processes killed.
     pub kills: u64,
-    /// Stops.
+    /// Processes suspended.
     pub pauses: u64,
-    /// Cuts of any kind.
+    /// Network partitions, muted fronts and cut paths.
     pub partitions: u64,
     /// Requests.
     pub requests: u64,
-    /// Served.
+    /// Requests served.
     pub served: u64,
-    /// Views that anybody accepted.
+    /// Views that any front accepted.
     pub views: u64,
-    /// Two lists under one number. A promise: 0.
+    /// View numbers with more than one member list. Must be 0.
     pub view_conflicts: u64,
-    /// Volumes of which more was sent than the limit and its slack allow. A promise: 0.
+    /// Volumes whose limit, with its tolerance, was exceeded. Must be 0.
     pub limit_broken: u64,
-    /// The most that was in use of anything shared at one moment, over the whole. A promise: not above 1.
+    /// The largest sum of all fronts' shares of one limit at any time, as a fraction of that limit. Must not be above 1.
     pub parts_sum_max: f64,
-    /// Seconds in which a cold node got more than it can bear. A promise: 0.
+    /// Seconds in which a node in slow start got more load than it can bear. Must be 0.
     pub cold_over: u64,
-    /// The most that a cold node got within a second, over what it can bear; more than 1 breaks the promise above.
+    /// The largest load of a node in slow start within a second, as a fraction of what it can bear. `cold_over` counts seconds above 1.
     pub cold_most: f64,
-    /// Repeats of writes that a node dropped: they could have run twice.
+    /// Repeated writes that a node dropped; without that they would have run twice.
     pub repeats: u64,
-    /// Requests without an answer at fronts to which nothing was done. A promise: 0.
+    /// Requests without a response at fronts without a fault. Must be 0.
     pub lost: u64,
-    /// Writes that ran twice. A promise: 0.
+    /// Writes that ran twice. Must be 0.
     pub duplicates: u64,
-    /// Fronts held for dead while alive and reachable by a majority.
+    /// Fronts declared dead while they ran and reached a majority.
     pub false_deaths: u64,
-    /// From a death until the first front holds it for one, in milliseconds: median.
+    /// Time from a front's death until the first other front declares it dead, in milliseconds: median.
     pub detect_ms_p50: f64,
     /// The same, 99th percentile.
     pub detect_ms_p99: f64,
-    /// From there until every well front accepted a view without it, 99th percentile.
+    /// Time from there until every healthy front accepted a view without it, in milliseconds: 99th percentile.
     pub agree_ms_p99: f64,
-    /// Of the limits' units, the share left unused while asked for.
+    /// The fraction of the limits that was not used, although clients requested all of it.
     pub idle_limit_share: f64,
-    /// Bytes of datagrams that a front sent, a second.
+    /// Bytes of datagrams that a front sent per second.
     pub bytes_per_front_s: f64,
-    /// Datagrams that a front sent, a second.
+    /// Datagrams that a front sent per second.
     pub datagrams_per_front_s: f64,
-    /// Processor time of the processes that lived to the end, over all requests, in microseconds.
+    /// CPU time of the processes that ran to the end, divided by all requests, in microseconds.
     pub cpu_us_per_request: f64,
-    /// Every broken promise in words.
+    /// A message for each violated guarantee.
     pub broken: Vec<String>,
 }
 
-impl Figures {
-    /// Whether all promises held.
+impl DrillReport {
+    /// An error with all messages if a guarantee was violated.
     pub fn verdict(&self) -> Verdict {
         if self.broken.is_empty() {
             Ok(())
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Puts all that was seen against what was promised.
-    pub fn of(script: &Script, witness: Witness) -> Figures {
+    /// Checks what was observed while a script ran.
+    pub fn new(script: &Script, witness: Witness) -> DrillReport {
         let Witness {
             span,
             history,
@@ -95,20 +95,21 @@
             cpu_ms,
         } = witness;
         let (history, deeds, seen, done) = (&history[..], &deeds[..], &seen[..], &done[..]);
-        let count = |of: fn(&Act) -> bool| deeds.iter().filter(|(_, a)| of(a)).count() as u64;
+        let count =
+            |matches: fn(&Act) -> bool| deeds.iter().filter(|(_, act)| matches(act)).count() as u64;
         let seconds = (span.end - span.start).max(1) as f64 / 1e6;
         let well = Wellness::new(script, deeds);
         let mut broken = Vec::new();
-        let (views, view_conflicts) = views(history, &mut broken);
-        let parts_sum_max = parts(script, history, deeds, &mut broken);
+        let (views, view_conflicts) = count_views(history, &mut broken);
+        let parts_sum_max = max_share_sum(script, history, deeds, &mut broken);
         let limit_broken = limits(seen, &mut broken);
         let (cold_over, cold_most) = cold(seen, &mut broken);
         let lost = lost(done, &well, &mut broken);
         let duplicates = duplicates(seen, &mut broken);
-        let false_deaths = deaths(history, &well).len() as u64;
-        let (detect, agree) = detection(script, history, deeds, &well);
-        let per_front = |n: u64| n as f64 / sent.len().max(1) as f64 / seconds;
-        Figures {
+        let false_deaths = false_deaths(history, &well).len() as u64;
+        let (detect_ms, agree_ms) = detection_times(script, history, deeds, &well);
+        let per_front_s = |total: u64| total as f64 / sent.len().max(1) as f64 / seconds;
+        DrillReport {
             script: script.name.clone(),
             seed: script.seed,
             processes,
@@ -128,53 +129,54 @@
             lost,
             duplicates,
             false_deaths,
-            detect_ms_p50: quantile(&detect, 0.5),
-            detect_ms_p99: quantile(&detect, 0.99),
-            agree_ms_p99: quantile(&agree, 0.99),
-            idle_limit_share: idle(script, seen, &span),
-            bytes_per_front_s: per_front(sent.iter().map(|(_, b)| b).sum()),
-            datagrams_per_front_s: per_front(sent.iter().map(|(c, _)| c).sum()),
+            detect_ms_p50: quantile(&detect_ms, 0.5),
+            detect_ms_p99: quantile(&detect_ms, 0.99),
+            agree_ms_p99: quantile(&agree_ms, 0.99),
+            idle_limit_share: unused_limit_share(script, seen, &span),
+            bytes_per_front_s: per_front_s(sent.iter().map(|(_, bytes)| bytes).sum()),
+            datagrams_per_front_s: per_front_s(sent.iter().map(|(datagrams, _)| datagrams).sum()),
             cpu_us_per_request: cpu_ms * 1000.0 / done.len().max(1) as f64,
             broken,
         }
     }
 }
 
-/// Numbers of views, and numbers under which two lists were accepted.
-pub fn views(history: &[(Moment, Entry)], broken: &mut Vec<String>) -> (u64, u64) {
-    let mut lists: BTreeMap<String, HashSet<String>> = BTreeMap::new();
-    for (_, n) in said(history, "view") {
-        let text = |name: &str| n.fields[name].as_str().unwrap_or("").to_string();
-        lists
+/// The number of accepted view numbers, and of those with more than one member list.
+pub fn count_views(history: &[(Moment, Entry)], violations: &mut Vec<String>) -> (u64, u64) {
+    let mut member_lists: BTreeMap<String, HashSet<String>> = BTreeMap::new();
+    for (_, note) in said(history, "view") {
+        let text = |name: &str| note.fields[name].as_str().unwrap_or("").to_string();
+        member_lists
             .entry(text("view"))
             .or_default()
             .insert(text("members"));
     }
-    let conflicts: Vec<&String> = lists
+    let conflicts: Vec<&String> = member_lists
         .iter()
-        .filter(|(_, l)| l.len() > 1)
-        .map(|(n, _)| n)
+        .filter(|(_, lists)| lists.len() > 1)
+        .map(|(number, _)| number)
         .collect();
-    broken.extend(
-        conflicts
-            .iter()
-            .map(|n| format!("view {n}: two lists, {:?}", lists[*n])),
-    );
-    (lists.len() as u64, conflicts.len() as u64)
+    violations.extend(conflicts.iter().map(|number| {
+        format!(
+            "view {number} has several member lists: {:?}",
+            member_lists[*number]
+        )
+    }));
+    (member_lists.len() as u64, conflicts.len() as u64)
 }
 
-/// What one process may use, as it said.
+/// What one process may use, as it logged it.
 #[derive(Clone, Default)]
-struct Holds {
-    until: Moment,
+struct LoggedShares {
+    valid_until: Moment,
     reserve: f64,
-    cold: f64,
-    factors: HashMap<u64, f64>,
-    rest: f64,
+    slow_start: f64,
+    volume_factors: HashMap<u64, f64>,
+    default_volume_factor: f64,
 }
 
-impl Holds {
-    fn read(fields: &Value) -> Holds {
+impl LoggedShares {
+    fn parse(fields: &Value) -> LoggedShares {
         let factors = fields["factors"]
             .as_str()
             .unwrap_or("")
@@ -183,139 +185,168 @@
                 let (volume, factor) = pair.split_once(':')?;
                 Some((u64::from_str_radix(volume, 16).ok()?, factor.parse().ok()?))
             });
-        Holds {
-            until: fields["until_unix_us"].as_u64().unwrap_or(0),
+        LoggedShares {
+            valid_until: fields["until_unix_us"].as_u64().unwrap_or(0),
             reserve: fields["reserve"].as_f64().unwrap_or(0.0),
-            cold: fields["cold"].as_f64().unwrap_or(0.0),
-            factors: factors.collect(),
-            rest: fields["rest"].as_f64().unwrap_or(1.0),
+            slow_start: fields["cold"].as_f64().unwrap_or(0.0),
+            volume_factors: factors.collect(),
+            default_volume_factor: fields["rest"].as_f64().unwrap_or(1.0),
         }
     }
 
-    fn of(&self, at: Moment, volume: Option<u64>) -> f64 {
+    fn factor(&self, at: Moment, volume: Option<u64>) -> f64 {
         match volume {
-            _ if at >= self.until => self.reserve,
-            None => self.cold,
-            Some(volume) => self.factors.get(&volume).copied().unwrap_or(self.rest),
+            _ if at >= self.valid_until => self.reserve,
+            None => self.slow_start,
+            Some(volume) => self
+                .volume_factors
+                .get(&volume)
+                .copied()
+                .unwrap_or(self.default_volume_factor),
         }
     }
 }
 
-/// The most in use at one moment, over the whole: of cold budgets by all fronts, of each volume by its set.
-pub fn parts(
+/// The largest sum of shares at any time, as a fraction of the limit: of all fronts for the slow-start budgets, and of the fronts of a
+/// volume for its limit.
+pub fn max_share_sum(
     script: &Script,
     history: &[(Moment, Entry)],
     deeds: &[(Moment, Act)],
-    broken: &mut Vec<String>,
+    violations: &mut Vec<String>,
 ) -> f64 {
-    let mut held: HashMap<(u16, bool), Holds> = HashMap::new();
-    let mut most = 0.0_f64;
-    let n = f64::from(script.fronts);
+    let mut shares: HashMap<(u16, bool), LoggedShares> = HashMap::new();
+    let mut max_sum = 0.0_f64;
+    let front_count = f64::from(script.fronts);
     for (at, entry) in history {
         match entry {
             Entry::Said(note) if note.what == "rights" => {
-                held.insert((note.front, note.twin), Holds::read(&note.fields));
+                shares.insert((note.front, note.twin), LoggedShares::parse(&note.fields));
             }
-            Entry::Lives(front, twin, false) => drop(held.remove(&(*front, *twin))),
+            Entry::Lives(front, twin, false) => drop(shares.remove(&(*front, *twin))),
             _ => continue,
         }
-        let of = |front: u16, volume: Option<u64>| -> f64 {
+        let factor = |front: u16, volume: Option<u64>| -> f64 {
             [false, true]
                 .iter()
-                .filter_map(|t| held.get(&(front, *t)))
-                .map(|h| h.of(*at, volume))
+                .filter_map(|twin| shares.get(&(front, *twin)))
+                .map(|share| share.factor(*at, volume))
                 .sum()
         };
-        let cold: f64 = (0..script.fronts).map(|f| of(f, None) / n).sum();
-        let mut worst = (cold, "cold budgets".to_string());
+        let slow_start: f64 = (0..script.fronts)
+            .map(|front| factor(front, None) / front_count)
+            .sum();
+        let mut largest = (slow_start, "slow-start budgets".to_string());
         for volume in 0..script.volumes {
-            let mut set = script.set(volume);
-            let hosts = set.len() as f64;
-            set.extend(
+            let mut fronts = script.set(volume);
+            let hosts = fronts.len() as f64;
+            fronts.extend(
                 deeds
                     .iter()
-                    .filter(|(t, _)| t <= at)
+                    .filter(|(acted_at, _)| acted_at <= at)
                     .filter_map(|(_, act)| match act {
-                        Act::Joins { volume: v, front } if *v == volume => Some(*front),
+                        Act::Joins {
+                            volume: joined,
+                            front,
+                        } if *joined == volume => Some(*front),
                         _ => None,
                     }),
             );
             let id = u64::from(volume) + 1;
-            let sum: f64 = set.iter().map(|f| of(*f, Some(id)) / hosts).sum();
-            if sum > worst.0 {
-                worst = (sum, format!("volume {id}"));
+            let sum: f64 = fronts
+                .iter()
+                .map(|front| factor(*front, Some(id)) / hosts)
+                .sum();
+            if sum > largest.0 {
+                largest = (sum, format!("volume {id}"));
             }
         }
-        if worst.0 > 1.0 + EPSILON && worst.0 > most + EPSILON {
-            broken.push(format!("{:.4} of {} in use at {at}", worst.0, worst.1));
+        if largest.0 > 1.0 + EPSILON && largest.0 > max_sum + EPSILON {
+            violations.push(format!(
+                "{:.4} times the limit of {} is in use at {at}",
+                largest.0, largest.1
+            ));
         }
-        most = most.max(worst.0);
+        max_sum = max_sum.max(largest.0);
     }
-    most
+    max_sum
 }
 
-fn index(name: &Value) -> Option<u16> {
+fn front_index(name: &Value) -> Option<u16> {
     name.as_str()?.strip_prefix('n')?.parse().ok()
 }
 
-/// Moments at which a well front was held for dead by a well one; once in 5 s for each.
-pub fn deaths(history: &[(Moment, Entry)], well: &Wellness) -> Vec<(Moment, u16, u16)> {
+/// When a healthy front declared another healthy one dead, with the indexes of both; at most once in 5 s for each front.
+pub fn false_deaths(history: &[(Moment, Entry)], well: &Wellness) -> Vec<(Moment, u16, u16)> {
     let mut last: HashMap<u16, Moment> = HashMap::new();
     said(history, "member")
-        .filter(|(_, n)| n.fields["to"] == "dead")
-        .filter_map(|(at, n)| Some((at, n.front, index(&n.fields["front"])?)))
-        .filter(|(at, by, of)| well.well(*of, *at) && well.well(*by, *at))
-        .filter(|(at, _, of)| last.insert(*of, *at).is_none_or(|t| at - t > 5_000_000))
+        .filter(|(_, note)| note.fields["to"] == "dead")
+        .filter_map(|(at, note)| Some((at, note.front, front_index(&note.fields["front"])?)))
+        .filter(|(at, by, front)| well.well(*front, *at) && well.well(*by, *at))
+        .filter(|(at, _, front)| {
+            last.insert(*front, *at)
+                .is_none_or(|previous| at - previous > 5_000_000)
+        })
         .collect()
 }
 
-/// From each death to the first front that holds it for one, and from there to the last well front's view without it.
-fn detection(
+/// In milliseconds: from each death until the first front declares it, and from there until each healthy front accepts a view without
+/// the dead one.
+fn detection_times(
     script: &Script,
     history: &[(Moment, Entry)],
     deeds: &[(Moment, Act)],
     well: &Wellness,
 ) -> (Vec<f64>, Vec<f64>) {
-    let (mut detect, mut agree) = (Vec::new(), Vec::new());
+    let (mut detect_ms, mut agree_ms) = (Vec::new(), Vec::new());
     for (at, act) in deeds {
         let (Act::Kill { front } | Act::Stop { front }) = act else {
             continue;
         };
-        // Until it is back.
-        let back = deeds.iter().find(|(t, a)| {
-            t > at && matches!(a, Act::Start { front: f } | Act::Cont { front: f } if f == front)
+        let returned = deeds.iter().find(|(acted_at, act)| {
+            acted_at > at
+                && matches!(act, Act::Start { front: f } | Act::Cont { front: f } if f == front)
         });
-        let back = back.map_or(Moment::MAX, |(t, _)| *t);
+        let returned_at = returned.map_or(Moment::MAX, |(acted_at, _)| *acted_at);
         let name = format!("n{front}");
-        let first = said(history, "member").find(|(t, n)| {
-            t > at && *t < back && n.fields["to"] == "dead" && n.fields["front"] == name.as_str()
+        let declared = said(history, "member").find(|(logged_at, note)| {
+            logged_at > at
+                && *logged_at < returned_at
+                && note.fields["to"] == "dead"
+                && note.fields["front"] == name.as_str()
         });
-        let Some((first, _)) = first else { continue };
-        detect.push((first - at) as f64 / 1000.0);
-        if !well.majority(first) {
+        let Some((declared_at, _)) = declared else {
+            continue;
+        };
+        detect_ms.push((declared_at - at) as f64 / 1000.0);
+        if !well.majority(declared_at) {
             continue;
         }
-        let others = (0..script.fronts).filter(|f| f != front && well.well(*f, first + 1_000_000));
+        let others = (0..script.fronts)
+            .filter(|other| other != front && well.well(*other, declared_at + 1_000_000));
         for other in others {
-            let without = said(history, "view").find(|(t, n)| {
-                let members = n.fields["members"].as_str().unwrap_or("");
-                n.front == other && *t > *at && *t < back && !members.split(' ').any(|m| m == name)
+            let view_without = said(history, "view").find(|(logged_at, note)| {
+                let members = note.fields["members"].as_str().unwrap_or("");
+                note.front == other
+                    && *logged_at > *at
+                    && *logged_at < returned_at
+                    && !members.split(' ').any(|member| member == name)
             });
-            if let Some((t, _)) = without {
-                agree.push(t.saturating_sub(first) as f64 / 1000.0);
+            if let Some((accepted_at, _)) = view_without {
+                agree_ms.push(accepted_at.saturating_sub(declared_at) as f64 / 1000.0);
             }
         }
     }
-    (detect, agree)
+    (detect_ms, agree_ms)
 }
 
-/// Of what the limits allow over the span, the share that did not run.
-fn idle(script: &Script, seen: &[Seen], span: &Range<Moment>) -> f64 {
-    let allowed = LIMIT.0 * (span.end - span.start) as f64 / 1e6 * f64::from(script.volumes);
-    let ran: f64 = seen
+/// The fraction of what the limits allow in the span that was not used.
+fn unused_limit_share(script: &Script, seen: &[Seen], span: &Range<Moment>) -> f64 {
+    let allowed_units = LIMIT.0 * (span.end - span.start) as f64 / 1e6 * f64::from(script.volumes);
+    let used_units: f64 = seen
         .iter()
         .filter(|s| s.ran && s.volume > 0 && s.volume < 10_000 && span.contains(&s.at))
         .map(|s| f64::from(s.units))
         .sum();
-    1.0 - ran / allowed.max(1.0)
+    1.0 - used_units / allowed_units.max(1.0)
 }
--- a/crates/fleet-membership-drill/src/lib.rs
+++ b/crates/fleet-membership-drill/src/lib.rs
@@ -1,5 +1,5 @@
-//! The drill of the membership: scripts of its hard cases, the checkers of what only it promises, and its table of figures. The rig
-//! plays it.
+//! Fault tests of the fleet membership with real processes: scripts of faults, checkers of the guarantees that only the membership
+//! gives, and a report. `lupinrack_fault_injection` runs the scripts.
 #![warn(missing_docs)]
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub)]
@@ -7,24 +7,24 @@
 pub mod cases;
 pub mod check;
 
-pub use check::Figures;
+pub use check::DrillReport;
 use lupinrack_fault_injection::{rig, History, Plan, RigError};
 use std::sync::Arc;
 
-/// What came of a script.
-pub struct Played {
-    /// The figures, with every broken promise.
-    pub figures: Figures,
+/// The outcome of a script.
+pub struct DrillOutcome {
+    /// The report, with every violated guarantee.
+    pub report: DrillReport,
     /// All that happened.
     pub history: Arc<History>,
 }
 
-/// Plays a script and checks it.
-pub async fn play(plan: Plan) -> Result<Played, RigError> {
+/// Runs a script and checks its outcome.
+pub async fn play(plan: Plan) -> Result<DrillOutcome, RigError> {
     let script = plan.script.clone();
     let played = rig::play(plan).await?;
-    Ok(Played {
-        figures: Figures::of(&script, played.witness),
+    Ok(DrillOutcome {
+        report: DrillReport::new(&script, played.witness),
         history: played.history,
     })
 }
--- a/crates/fleet-membership-drill/tests/check.rs
+++ b/crates/fleet-membership-drill/tests/check.rs
@@ -1,15 +1,15 @@
-//! Each checker finds the fault that is planted for it, and nothing where there is none.
+//! Each checker reports the violation in a history made for it, and nothing in a history without one.
 
 use lupinrack_fault_injection::checks::{cold, duplicates, limits, lost, Wellness};
 use lupinrack_fault_injection::history::{Entry, Note};
 use lupinrack_fault_injection::witness::{Asked, Seen};
 use lupinrack_fault_injection::{Act, Script};
-use lupinrack_fleet_membership_drill::check::{deaths, parts, views};
+use lupinrack_fleet_membership_drill::check::{count_views, false_deaths, max_share_sum};
 use mock_servers::load::Came;
 use serde_json::{json, Value};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-const S: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 
 fn said(front: u16, what: &str, fields: Value) -> Entry {
     Entry::Said(Note {
@@ -20,14 +20,14 @@
     })
 }
 
-fn rights(until: u64, cold: f64, factors: &str) -> Value {
-    json!({"until_unix_us": until, "reserve": 0.15, "cold": cold, "factors": factors})
+fn shares(valid_until: u64, slow_start: f64, factors: &str) -> Value {
+    json!({"until_unix_us": valid_until, "reserve": 0.15, "cold": slow_start, "factors": factors})
 }
 
 fn ran(at: u64, node: usize, volume: u64, units: u32) -> Seen {
-    // Each its own request.
-    static NEXT: AtomicU64 = AtomicU64::new(0);
-    let id = NEXT.fetch_add(1, Ordering::Relaxed).to_string();
+    // Each call is a request of its own.
+    static NEXT_ID: AtomicU64 = AtomicU64::new(0);
+    let id = NEXT_ID.fetch_add(1, Ordering::Relaxed).to_string();
     Seen {
         at,
         node,
@@ -42,143 +42,180 @@
 }
 
 #[test]
-fn two_lists_under_one_number() {
+fn view_number_with_two_member_lists_is_reported() {
     let view = |members: &str| json!({"view": "1.0-aaaa.2", "members": members});
     let mut history = vec![
         (1, said(0, "view", view("n0 n1"))),
         (2, said(1, "view", view("n0 n1"))),
     ];
-    let mut broken = Vec::new();
-    assert_eq!((views(&history, &mut broken), broken.len()), ((1, 0), 0));
+    let mut violations = Vec::new();
+    assert_eq!(
+        (count_views(&history, &mut violations), violations.len()),
+        ((1, 0), 0)
+    );
     history.push((3, said(2, "view", view("n0 n2"))));
-    assert_eq!((views(&history, &mut broken), broken.len()), ((1, 1), 1));
+    assert_eq!(
+        (count_views(&history, &mut violations), violations.len()),
+        ((1, 1), 1)
+    );
 }
 
 #[test]
-fn parts_past_the_whole_of_cold_budgets_and_of_one_volume() {
+fn shares_that_exceed_slow_start_budgets_or_a_volume_limit_are_reported() {
     let mut script = Script::new("x", 1, 3, 1.0);
     (script.hosts, script.volumes) = (3, 2);
-    let mut broken = Vec::new();
-    let whole: Vec<_> = (0..3)
-        .map(|f| (S, said(f, "rights", rights(5 * S, 1.0, ""))))
+    let mut violations = Vec::new();
+    let even_shares: Vec<_> = (0..3)
+        .map(|front| {
+            (
+                SECOND_US,
+                said(front, "rights", shares(5 * SECOND_US, 1.0, "")),
+            )
+        })
         .collect();
-    assert!((parts(&script, &whole, &[], &mut broken) - 1.0).abs() < 1e-9 && broken.is_empty());
-    // One takes over while the one that had it still may: until its lease ends, and while it lives.
-    let mut early = whole.clone();
-    early.push((4 * S, said(0, "rights", rights(9 * S, 1.425, ""))));
-    assert!(parts(&script, &early, &[], &mut broken) > 1.1 && !broken.is_empty());
-    let mut volume = whole.clone();
-    volume.push((4 * S, said(0, "rights", rights(9 * S, 1.0, "2:1.425"))));
     assert!(
-        parts(&script, &volume, &[], &mut Vec::new()) > 1.1,
-        "of one volume only"
+        (max_share_sum(&script, &even_shares, &[], &mut violations) - 1.0).abs() < 1e-9
+            && violations.is_empty()
+    );
+    // A front takes a share over while the lease of the previous owner is still valid.
+    let mut too_early = even_shares.clone();
+    too_early.push((
+        4 * SECOND_US,
+        said(0, "rights", shares(9 * SECOND_US, 1.425, "")),
+    ));
+    assert!(
+        max_share_sum(&script, &too_early, &[], &mut violations) > 1.1 && !violations.is_empty()
     );
-    let mut late = whole;
-    late.push((6 * S, said(0, "rights", rights(9 * S, 1.425, ""))));
+    let mut volume = even_shares.clone();
+    volume.push((
+        4 * SECOND_US,
+        said(0, "rights", shares(9 * SECOND_US, 1.0, "2:1.425")),
+    ));
     assert!(
-        parts(&script, &late, &[], &mut Vec::new()) <= 1.0 + 1e-9,
-        "the others' leases have ended"
+        max_share_sum(&script, &volume, &[], &mut Vec::new()) > 1.1,
+        "the limit of one volume"
+    );
+    let mut after_leases = even_shares;
+    after_leases.push((
+        6 * SECOND_US,
+        said(0, "rights", shares(9 * SECOND_US, 1.425, "")),
+    ));
+    assert!(
+        max_share_sum(&script, &after_leases, &[], &mut Vec::new()) <= 1.0 + 1e-9,
+        "the leases of the others have ended"
     );
 }
 
 #[test]
-fn a_newcomer_that_uses_its_even_part_beside_those_who_share_out_a_dead_ones() {
+fn even_share_of_a_new_front_beside_a_taken_over_share_is_reported() {
     let mut script = Script::new("x", 1, 4, 1.0);
     (script.hosts, script.volumes) = (3, 1);
     let deeds = [(
-        2 * S,
+        2 * SECOND_US,
         Act::Joins {
             volume: 0,
             front: 3,
         },
     )];
     let mut history: Vec<_> = (1..3)
-        .map(|f| (3 * S, said(f, "rights", rights(9 * S, 1.0, "1:1.425"))))
+        .map(|front| {
+            (
+                3 * SECOND_US,
+                said(front, "rights", shares(9 * SECOND_US, 1.0, "1:1.425")),
+            )
+        })
         .collect();
-    let mut careful = rights(9 * S, 1.0, "");
-    careful["rest"] = json!(0.15);
-    history.push((3 * S, said(3, "rights", careful)));
-    assert!(parts(&script, &history, &deeds, &mut Vec::new()) <= 1.0 + 1e-9);
-    history.push((4 * S, said(3, "rights", rights(9 * S, 1.0, ""))));
-    assert!(parts(&script, &history, &deeds, &mut Vec::new()) > 1.2);
+    let mut reserve_only = shares(9 * SECOND_US, 1.0, "");
+    reserve_only["rest"] = json!(0.15);
+    history.push((3 * SECOND_US, said(3, "rights", reserve_only)));
+    assert!(max_share_sum(&script, &history, &deeds, &mut Vec::new()) <= 1.0 + 1e-9);
+    history.push((
+        4 * SECOND_US,
+        said(3, "rights", shares(9 * SECOND_US, 1.0, "")),
+    ));
+    assert!(max_share_sum(&script, &history, &deeds, &mut Vec::new()) > 1.2);
 }
 
 #[test]
-fn a_limit_that_is_passed() {
-    // 40 units a second after a first 46 at once.
-    let mut seen: Vec<Seen> = (0..11).map(|_| ran(S, 0, 1, 4)).collect();
-    seen.extend((1..100).map(|i| ran(S + i * 100_000, 0, 1, 4)));
-    let mut broken = Vec::new();
-    assert_eq!((limits(&seen, &mut broken), broken.len()), (0, 0));
-    seen.push(ran(11 * S, 1, 1, 4));
-    seen.push(ran(11 * S, 2, 1, 4));
+fn exceeded_limit_is_reported() {
+    // A burst of 46 units at once, then 40 units per second.
+    let mut seen: Vec<Seen> = (0..11).map(|_| ran(SECOND_US, 0, 1, 4)).collect();
+    seen.extend((1..100).map(|i| ran(SECOND_US + i * 100_000, 0, 1, 4)));
+    let mut violations = Vec::new();
+    assert_eq!((limits(&seen, &mut violations), violations.len()), (0, 0));
+    seen.push(ran(11 * SECOND_US, 1, 1, 4));
+    seen.push(ran(11 * SECOND_US, 2, 1, 4));
     assert_eq!(
-        (limits(&seen, &mut broken), broken.len()),
+        (limits(&seen, &mut violations), violations.len()),
         (1, 1),
-        "at whichever nodes"
+        "the units of all nodes count"
     );
-    // A request draws once, whatever became of its first attempt; another one draws for itself.
-    let mut one: Vec<Seen> = (0..3)
+    // All attempts of one request count once; each request counts by itself.
+    let mut attempts: Vec<Seen> = (0..3)
         .map(|i| Seen {
             id: "one".into(),
-            ..ran(S, i, 1, 16)
+            ..ran(SECOND_US, i, 1, 16)
         })
         .collect();
-    assert_eq!(limits(&one, &mut Vec::new()), 0);
-    one.iter_mut()
+    assert_eq!(limits(&attempts, &mut Vec::new()), 0);
+    attempts
+        .iter_mut()
         .zip(["one", "two", "three"])
         .for_each(|(s, id)| s.id = id.into());
-    assert_eq!(limits(&one, &mut Vec::new()), 1);
+    assert_eq!(limits(&attempts, &mut Vec::new()), 1);
 }
 
 #[test]
-fn a_cold_node_that_is_pushed_over() {
-    let on = |at: u64| Seen {
-        cold: Some(S),
+fn overload_of_a_node_in_slow_start_is_reported() {
+    let request = |at: u64| Seen {
+        cold: Some(SECOND_US),
         ..ran(at, 5, 0, 4)
     };
-    let mut broken = Vec::new();
-    let seen: Vec<Seen> = (0..25).map(|i| on(S + i * 28_000)).collect();
-    let (over, most) = cold(&seen, &mut broken);
-    assert!(over == 0 && most > 0.5 && most <= 1.0, "{over} {most}");
-    let seen: Vec<Seen> = (0..60).map(|i| on(S + i * 15_000)).collect();
-    let (over, most) = cold(&seen, &mut broken);
+    let mut violations = Vec::new();
+    let seen: Vec<Seen> = (0..25).map(|i| request(SECOND_US + i * 28_000)).collect();
+    let (seconds_over, max_load) = cold(&seen, &mut violations);
+    assert!(
+        seconds_over == 0 && max_load > 0.5 && max_load <= 1.0,
+        "{seconds_over} {max_load}"
+    );
+    let seen: Vec<Seen> = (0..60).map(|i| request(SECOND_US + i * 15_000)).collect();
+    let (seconds_over, max_load) = cold(&seen, &mut violations);
     assert!(
-        over > 0 && most > 1.0 && !broken.is_empty(),
-        "{over} {most}"
+        seconds_over > 0 && max_load > 1.0 && !violations.is_empty(),
+        "{seconds_over} {max_load}"
     );
 }
 
 #[test]
-fn a_write_that_runs_twice_and_a_request_without_an_answer() {
+fn duplicate_writes_and_unanswered_requests_are_reported() {
     let write = |node: usize| Seen {
         key: Some("k".into()),
-        ..ran(S, node, 10_000, 1)
+        ..ran(SECOND_US, node, 10_000, 1)
     };
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     let dropped = Seen {
         dropped: true,
         ..write(1)
     };
     assert_eq!(
-        duplicates(&[write(1), dropped], &mut broken),
+        duplicates(&[write(1), dropped], &mut violations),
         0,
         "the node dropped the repeat"
     );
-    assert_eq!(duplicates(&[write(1), write(2)], &mut broken), 1);
-    let late = Seen {
-        at: 9 * S,
+    assert_eq!(duplicates(&[write(1), write(2)], &mut violations), 1);
+    let later = Seen {
+        at: 9 * SECOND_US,
         ..write(1)
     };
     assert_eq!(
-        duplicates(&[write(1), late], &mut broken),
+        duplicates(&[write(1), later], &mut violations),
         1,
-        "past the window, at the same node"
+        "at the same node, after its deduplication window"
     );
     let script = Script::new("x", 1, 3, 20.0);
-    let deeds = [(10 * S, Act::Kill { front: 1 })];
+    let deeds = [(10 * SECOND_US, Act::Kill { front: 1 })];
     let well = Wellness::new(&script, &deeds);
-    let ask = |front: u16, at: u64| Asked {
+    let request = |front: u16, at: u64| Asked {
         at,
         front,
         volume: 1,
@@ -186,42 +223,56 @@
         limited: true,
         writes: false,
     };
-    let done = |front, at| (ask(front, at), Came::Lost);
+    let unanswered = |front, at| (request(front, at), Came::Lost);
     assert_eq!(
-        lost(&[done(1, 9 * S)], &well, &mut broken),
+        lost(&[unanswered(1, 9 * SECOND_US)], &well, &mut violations),
         0,
-        "it was killed under it"
+        "the front was killed during the request"
     );
     assert_eq!(
-        lost(&[done(0, 9 * S), done(1, 2 * S)], &well, &mut broken),
+        lost(
+            &[unanswered(0, 9 * SECOND_US), unanswered(1, 2 * SECOND_US)],
+            &well,
+            &mut violations
+        ),
         2
     );
 }
 
 #[test]
-fn a_front_held_for_dead_while_it_is_well() {
+fn false_deaths_are_reported() {
     let script = Script::new("x", 1, 5, 30.0);
-    let deeds = [(10 * S, Act::Mute { front: 1 }), (20 * S, Act::Heal)];
+    let deeds = [
+        (10 * SECOND_US, Act::Mute { front: 1 }),
+        (20 * SECOND_US, Act::Heal),
+    ];
     let well = Wellness::new(&script, &deeds);
-    let dead = |at: u64, by: u16, of: u16| {
+    let declared_dead = |at: u64, by: u16, front: u16| {
         (
             at,
             said(
                 by,
                 "member",
-                json!({"to": "dead", "front": format!("n{of}")}),
+                json!({"to": "dead", "front": format!("n{front}")}),
             ),
         )
     };
     assert_eq!(
-        deaths(&[dead(12 * S, 0, 1)], &well).len(),
+        false_deaths(&[declared_dead(12 * SECOND_US, 0, 1)], &well).len(),
         0,
-        "it was not heard"
+        "the front was muted"
+    );
+    assert_eq!(
+        false_deaths(&[declared_dead(8 * SECOND_US, 0, 1)], &well).len(),
+        1
     );
-    assert_eq!(deaths(&[dead(8 * S, 0, 1)], &well).len(), 1);
     assert_eq!(
-        deaths(
-            &[dead(8 * S, 0, 1), dead(9 * S, 2, 1), dead(16 * S, 0, 2)],
+        false_deaths(
+            &[
+                declared_dead(8 * SECOND_US, 0, 1),
+                declared_dead(9 * SECOND_US, 2, 1),
+                declared_dead(16 * SECOND_US, 0, 2)
+            ],
             &well
         )
         .len(),
--- a/crates/fleet-membership-drill/tests/golden.rs
+++ b/crates/fleet-membership-drill/tests/golden.rs
@@ -1,12 +1,12 @@
-//! Golden files of `lupinrack fleet drill --json`, and of the names of its cases.
+//! Golden files of `lupinrack fleet drill --json` and of the case names.
 
 use lupinrack_fleet_membership_drill::cases::CASES;
-use lupinrack_fleet_membership_drill::Figures;
+use lupinrack_fleet_membership_drill::DrillReport;
 use lupinrack_golden_files::{check_text, path, GoldenFile};
 
 #[test]
-fn the_report_keeps_its_form() {
-    let figures = Figures {
+fn report_json_matches_golden_files() {
+    let report = DrillReport {
         script: "chance".into(),
         seed: 1,
         processes: 2,
@@ -36,24 +36,24 @@
     };
     check_text(
         path!("report.json"),
-        &(serde_json::to_string(&figures).unwrap() + "\n"),
+        &(serde_json::to_string(&report).unwrap() + "\n"),
     );
-    let nothing_broken = Figures {
+    let without_violations = DrillReport {
         broken: Vec::new(),
-        ..figures
+        ..report
     };
     check_text(
         path!("report-kept.json"),
-        &(serde_json::to_string(&nothing_broken).unwrap() + "\n"),
+        &(serde_json::to_string(&without_violations).unwrap() + "\n"),
     );
 }
 
-/// `--faults` names them, and so do kept scripts.
+/// Case names are arguments of `--faults` and appear in saved scripts.
 #[test]
-fn cases_keep_their_names() {
+fn case_names_match_golden_file() {
     let mut names = GoldenFile::open(path!("cases.txt"));
-    for (at, case) in CASES.iter().enumerate() {
-        names.add(format!("{at:02}"), case.name);
+    for (index, case) in CASES.iter().enumerate() {
+        names.add(format!("{index:02}"), case.name);
         let script = (case.script)(1);
         assert!(
             !script.name.is_empty() && script.check().is_ok(),
--- a/crates/fleet-simulation/src/experiment.rs
+++ b/crates/fleet-simulation/src/experiment.rs
@@ -4,7 +4,7 @@
 use lupinrack_fault_injection::relay::Fault;
 use lupinrack_fault_injection::{Act, Script};
 use lupinrack_fleet_membership::config::Section;
-use lupinrack_fleet_membership_drill::cases::{chance, named};
+use lupinrack_fleet_membership_drill::cases::{find_case, random_script};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
@@ -196,7 +196,7 @@
         if self
             .case
             .as_ref()
-            .is_some_and(|c| c != "chance" && named(c).is_none())
+            .is_some_and(|c| c != "chance" && find_case(c).is_none())
         {
             return Err(format!(
                 "no such case: {}",
@@ -218,9 +218,9 @@
     /// The script of one run.
     pub fn script(&self, fronts: u16, loss: f64, seed: u64) -> Script {
         if self.case.as_deref() == Some("chance") {
-            return chance(seed, fronts, self.seconds as u64);
+            return random_script(seed, fronts, self.seconds as u64);
         }
-        if let Some(case) = self.case.as_deref().and_then(named) {
+        if let Some(case) = self.case.as_deref().and_then(find_case) {
             return (case.script)(seed);
         }
         let mut script = Script::new(&self.name, seed, fronts, self.seconds);
--- a/crates/fleet-simulation/tests/lab.rs
+++ b/crates/fleet-simulation/tests/lab.rs
@@ -3,7 +3,7 @@
 use lupinrack_fault_injection::relay::Fault;
 use lupinrack_fault_injection::{Act, Script};
 use lupinrack_fleet_membership::config::Section;
-use lupinrack_fleet_membership_drill::cases::{chance, CASES};
+use lupinrack_fleet_membership_drill::cases::{random_script, CASES};
 use lupinrack_fleet_simulation::world::Net;
 use lupinrack_fleet_simulation::{plot, Experiment, Outcome, World};
 
@@ -24,9 +24,9 @@
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
-    let script = chance(5, 6, 25);
+    let script = random_script(5, 6, 25);
     assert_eq!(run(&script), run(&script));
-    assert_ne!(run(&script), run(&chance(6, 6, 25)));
+    assert_ne!(run(&script), run(&random_script(6, 6, 25)));
 }
 
 #[test]
@@ -43,7 +43,7 @@
 #[test]
 fn faults_by_chance_break_no_promise() {
     for seed in 0..300 {
-        kept(&chance(seed, 3 + (seed % 7) as u16, 25));
+        kept(&random_script(seed, 3 + (seed % 7) as u16, 25));
     }
 }
 
@@ -55,7 +55,7 @@
         ..Net::default()
     };
     let past = |seed| {
-        let script = chance(seed, 4, 30);
+        let script = random_script(seed, 4, 30);
         World::new(script, Section::default(), net)
             .run()
             .parts_sum_max
@@ -68,7 +68,7 @@
 #[test]
 fn a_fleet_comes_to_rest_once_the_faults_are_over() {
     for seed in 0..40 {
-        let mut script = chance(1000 + seed, 5, 20);
+        let mut script = random_script(1000 + seed, 5, 20);
         script.seconds = 45.0;
         let o = kept(&script);
         assert!(
--- a/crates/lupinrack/src/commands/fleet/drill.rs
+++ b/crates/lupinrack/src/commands/fleet/drill.rs
@@ -3,8 +3,8 @@
 use crate::ended::Ended;
 use clap::Args;
 use lupinrack_fault_injection::{Plan, Script};
-use lupinrack_fleet_membership_drill::cases::{chance, named, CASES};
-use lupinrack_fleet_membership_drill::{play, Figures};
+use lupinrack_fleet_membership_drill::cases::{find_case, random_script, CASES};
+use lupinrack_fleet_membership_drill::{play, DrillReport};
 use std::path::PathBuf;
 
 /// What the drill plays.
@@ -44,7 +44,7 @@
     if drill.faults.iter().any(|f| f == "list") {
         CASES
             .iter()
-            .for_each(|c| println!("{:<10}{}", c.name, c.shows));
+            .for_each(|c| println!("{:<10}{}", c.name, c.description));
         return Ok(());
     }
     if drill.faults.is_empty() {
@@ -55,7 +55,7 @@
             }
             None => {
                 let seed = drill.seed.unwrap_or_else(|| fastrand::u64(..1 << 32));
-                chance(seed, drill.fronts, drill.seconds)
+                random_script(seed, drill.fronts, drill.seconds)
             }
         };
         return one(drill, script);
@@ -65,8 +65,9 @@
     for name in &drill.faults {
         match name.as_str() {
             "all" => cases.extend(CASES),
-            name => cases
-                .push(named(name).ok_or_else(|| Ended::wrong(format!("no such case: {name}")))?),
+            name => cases.push(
+                find_case(name).ok_or_else(|| Ended::wrong(format!("no such case: {name}")))?,
+            ),
         }
     }
     let mut broken = Vec::new();
@@ -109,7 +110,7 @@
     let played = runtime
         .block_on(play(plan))
         .map_err(|e| Ended::failed(format!("seed {}: {e}", script.seed)))?;
-    let figures = &played.figures;
+    let figures = &played.report;
     if let Some(file) = &drill.history {
         std::fs::write(file, played.history.last(usize::MAX)).map_err(Ended::failed)?;
     }
@@ -131,7 +132,7 @@
     }
 }
 
-fn table(f: &Figures, told_once: bool) -> String {
+fn table(f: &DrillReport, told_once: bool) -> String {
     let mut text = format!(
         "{}, seed {}: {} processes, {} kills, {} pauses, {} cuts, parts {}\n\n",
         f.script,
--- a/crates/lupinrack/src/commands/overload.rs
+++ b/crates/lupinrack/src/commands/overload.rs
@@ -3,7 +3,7 @@
 use crate::ended::Ended;
 use clap::{Args, Subcommand};
 use lupinrack_fault_injection::Plan;
-use lupinrack_overload_drill::{named, play, CASES, SECONDS, SECONDS_LEAST};
+use lupinrack_overload_drill::{find_case, play, CASES, DEFAULT_SECONDS, MIN_SECONDS};
 
 /// Overload handled by the fleet as one.
 #[derive(Debug, Subcommand)]
@@ -22,7 +22,7 @@
     #[arg(long)]
     seed: Option<u64>,
     /// Seconds of load; the node hangs from the second one to the sixth before the last.
-    #[arg(long, default_value_t = SECONDS, value_parser = clap::value_parser!(u64).range(SECONDS_LEAST..=600))]
+    #[arg(long, default_value_t = DEFAULT_SECONDS, value_parser = clap::value_parser!(u64).range(MIN_SECONDS..=600))]
     seconds: u64,
     /// The script; `list` to see them.
     #[arg(long, default_value = "hung")]
@@ -40,10 +40,10 @@
     if drill.script == "list" {
         CASES
             .iter()
-            .for_each(|c| println!("{:<12}{}", c.name, c.shows));
+            .for_each(|c| println!("{:<12}{}", c.name, c.description));
         return Ok(());
     }
-    let case = named(&drill.script)
+    let case = find_case(&drill.script)
         .ok_or_else(|| Ended::wrong(format!("no such script: {}", drill.script)))?;
     let seed = drill.seed.unwrap_or_else(|| fastrand::u64(..1 << 32));
     let mut script = (case.script)(drill.fronts, seed, drill.seconds);
@@ -66,7 +66,7 @@
     let played = runtime
         .block_on(play(plan))
         .map_err(|e| Ended::failed(format!("seed {seed}: {e}")))?;
-    let f = &played.figures;
+    let f = &played.report;
     if drill.json {
         println!("{}", serde_json::to_string(f).map_err(Ended::failed)?);
     } else {
--- a/crates/lupinrack/tests/fleet.rs
+++ b/crates/lupinrack/tests/fleet.rs
@@ -2,15 +2,15 @@
 //! played once, four at a time at the most, with shorter leases than in service.
 
 use lupinrack_fault_injection::{Act, Plan, Script};
-use lupinrack_fleet_membership_drill::cases::{named, CASES};
-use lupinrack_fleet_membership_drill::{play, Figures};
+use lupinrack_fleet_membership_drill::cases::{find_case, CASES};
+use lupinrack_fleet_membership_drill::{play, DrillReport};
 use std::sync::OnceLock;
 use tokio::sync::Semaphore;
 
 const SHORT: &str = "lease_ms = 1500\nsuspicion_ms = 500\nperiod_ms = 120\npatience_ms = 60\n";
 const SEED: u64 = 7;
 
-async fn figures(script: Script) -> (Figures, String) {
+async fn figures(script: Script) -> (DrillReport, String) {
     static PLACES: OnceLock<Semaphore> = OnceLock::new();
     let _place = PLACES
         .get_or_init(|| Semaphore::new(4))
@@ -33,10 +33,10 @@
     .await
     .unwrap();
     let last = format!("{text}\n{}", played.history.last(80));
-    (played.figures, last)
+    (played.report, last)
 }
 
-async fn played(script: Script) -> Figures {
+async fn played(script: Script) -> DrillReport {
     let (figures, last) = figures(script).await;
     if let Err(broken) = figures.verdict() {
         panic!("{last}\n{broken:#?}\n{figures:#?}");
@@ -44,8 +44,8 @@
     figures
 }
 
-async fn case(name: &str) -> Figures {
-    let script = (named(name).expect("a case").script)(SEED);
+async fn case(name: &str) -> DrillReport {
+    let script = (find_case(name).expect("a case").script)(SEED);
     let f = played(script).await;
     assert!(f.requests > 0 && f.served > 0 && f.views > 0, "{f:#?}");
     f
--- a/crates/lupinrack/tests/golden.rs
+++ b/crates/lupinrack/tests/golden.rs
@@ -734,11 +734,11 @@
         ),
         (
             "fleet drill",
-            serde_json::to_value(lupinrack_fleet_membership_drill::Figures::default()),
+            serde_json::to_value(lupinrack_fleet_membership_drill::DrillReport::default()),
         ),
         (
             "overload drill",
-            serde_json::to_value(lupinrack_overload_drill::Figures::default()),
+            serde_json::to_value(lupinrack_overload_drill::DrillReport::default()),
         ),
     ];
     for (command, figures) in figures {
--- a/crates/lupinrack/tests/overload.rs
+++ b/crates/lupinrack/tests/overload.rs
@@ -1,12 +1,12 @@
 //! Overload handled as one, with real processes: a node hangs under one and the same load. Promises are asserted, never speed.
 
 use lupinrack_fault_injection::Plan;
-use lupinrack_overload_drill::{named, play, Figures, CASES, SECONDS};
+use lupinrack_overload_drill::{find_case, play, DrillReport, CASES, DEFAULT_SECONDS};
 
 const SHORT: &str = "lease_ms = 1500\nsuspicion_ms = 500\nperiod_ms = 120\npatience_ms = 60\n";
 
-async fn played(name: &str) -> Figures {
-    let script = (named(name).expect("a script").script)(5, 7, SECONDS);
+async fn played(name: &str) -> DrillReport {
+    let script = (find_case(name).expect("a script").script)(5, 7, DEFAULT_SECONDS);
     let folder =
         std::env::temp_dir().join(format!("lupinrack-overload-{}-{name}", std::process::id()));
     let program = env!("CARGO_BIN_EXE_lupinrack").into();
@@ -18,14 +18,14 @@
     })
     .await
     .unwrap();
-    if let Err(broken) = played.figures.verdict() {
+    if let Err(broken) = played.report.verdict() {
         panic!(
             "{}\n{broken:#?}\n{:#?}",
             played.history.last(80),
-            played.figures
+            played.report
         );
     }
-    played.figures
+    played.report
 }
 
 /// The node is tried while it hangs, within the fleet's budget, and serves again after it.
--- a/crates/overload-drill/src/lib.rs
+++ b/crates/overload-drill/src/lib.rs
@@ -1,6 +1,7 @@
-//! The drill of overload handled as one: real processes, a node that hangs under one and the same load, and what reached it.
+//! Fault tests of overload control across the fleet with real processes: a node hangs under constant load, and the requests that reach
+//! it are counted.
 //!
-//! The checkers know what the nodes saw and what the rig did, and nothing of the machines.
+//! The checks use the requests that reached the nodes and the faults that were injected. They share no code with the state machines.
 #![warn(missing_docs)]
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub)]
@@ -12,62 +13,66 @@
 use serde::Serialize;
 use std::sync::Arc;
 
-/// How often all fronts together may try a silent node, a second, as the scripts' files say.
-pub const TRIALS_PER_S: f64 = 4.0;
-/// From the hang on, until every front that asks the node has found out: time-outs count once a client's time of 2 s is over, and it takes three.
-const FOUND_OUT_MS: u64 = 5_000;
-/// For how long a grant may wait for its request, with the way to the node, in seconds.
-const GRANT_S: f64 = 0.5;
-/// Before the hang, and after it.
-const BEFORE_MS: u64 = 2_000;
-const AFTER_MS: u64 = 6_000;
-/// The least seconds of load: the node has to hang for longer than it takes to find out.
-pub const SECONDS_LEAST: u64 = 15;
-/// The seconds of load where nothing else is said.
-pub const SECONDS: u64 = 20;
+/// How often all fronts together may probe an unresponsive node per second, as the scripts configure it.
+pub const PROBES_PER_S: f64 = 4.0;
+/// From the start of the hang until every front that uses the node sees it as unresponsive: that takes three timeouts, which count only
+/// when the client's time of 2 s is over.
+const DETECTION_MS: u64 = 5_000;
+/// How long a grant waits for a request, and the request takes to reach the node, in seconds.
+const GRANT_VALIDITY_S: f64 = 0.5;
+/// The load before the hang, and after it.
+const BEFORE_HANG_MS: u64 = 2_000;
+const AFTER_HANG_MS: u64 = 6_000;
+/// The minimum seconds of load: the node has to hang for longer than its detection takes.
+pub const MIN_SECONDS: u64 = 15;
+/// The default seconds of load.
+pub const DEFAULT_SECONDS: u64 = 20;
 
-/// A script by name.
+/// A named case.
 pub struct Case {
-    /// Its name.
+    /// The name on the command line.
     pub name: &'static str,
-    /// What it shows.
-    pub shows: &'static str,
-    /// Its script, for so many fronts, a seed and seconds of load.
+    /// What it covers, for the list on the command line.
+    pub description: &'static str,
+    /// Its script for a number of fronts, a seed and seconds of load.
     pub script: fn(u16, u64, u64) -> Script,
 }
 
-/// All scripts.
+/// All cases.
 pub const CASES: &[Case] = &[
     Case {
         name: "hung",
-        shows:
+        description:
             "a node hangs (of 20 s, for 12); how often it is tried, and how soon it is used again",
         script: hung,
     },
     Case {
         name: "hung-deaths",
-        shows: "the same, and a third of the fronts is killed while it hangs",
+        description: "the same, and a third of the fronts is killed while it hangs",
         script: hung_deaths,
     },
     Case {
         name: "hung-cut",
-        shows: "the same, and one front hears nobody meanwhile",
+        description: "the same, and one front hears nobody meanwhile",
         script: hung_cut,
     },
 ];
 
-/// The script of this name.
-pub fn named(name: &str) -> Option<&'static Case> {
+/// The case with this name.
+pub fn find_case(name: &str) -> Option<&'static Case> {
     CASES.iter().find(|c| c.name == name)
 }
 
 fn hung(fronts: u16, seed: u64, seconds: u64) -> Script {
-    let seconds = seconds.max(SECONDS_LEAST);
+    let seconds = seconds.max(MIN_SECONDS);
     let mut script = Script::new("hung", seed, fronts, seconds as f64)
-        .at(BEFORE_MS, Act::Hang { node: 0, on: true })
-        .at(seconds * 1000 - AFTER_MS, Act::Hang { node: 0, on: false });
+        .at(BEFORE_HANG_MS, Act::Hang { node: 0, on: true })
+        .at(
+            seconds * 1000 - AFTER_HANG_MS,
+            Act::Hang { node: 0, on: false },
+        );
     script.apart = true;
-    script.sections = format!("[overload]\nenabled = true\ntrials_per_s = {TRIALS_PER_S:.1}\n");
+    script.sections = format!("[overload]\nenabled = true\ntrials_per_s = {PROBES_PER_S:.1}\n");
     script
 }
 
@@ -83,7 +88,7 @@
 fn hung_cut(fronts: u16, seed: u64, seconds: u64) -> Script {
     let mut script = hung(fronts, seed, seconds);
     script.name = "hung-cut".into();
-    let heals = (script.seconds * 1000.0) as u64 - AFTER_MS - 1_000;
+    let heal_at_ms = (script.seconds * 1000.0) as u64 - AFTER_HANG_MS - 1_000;
     script
         .at(
             4_000,
@@ -91,44 +96,44 @@
                 groups: vec![vec![0], (1..fronts).collect()],
             },
         )
-        .at(heals, Act::Heal)
+        .at(heal_at_ms, Act::Heal)
 }
 
-/// What came of a script.
+/// The report of a script.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Figures {
+pub struct DrillReport {
     /// The script's name.
     pub script: String,
     /// Its seed.
     pub seed: u64,
-    /// Whether each front was on its own.
+    /// Whether each front probed nodes by itself: the baseline.
     pub alone: bool,
     /// Processes started.
     pub processes: u64,
     /// Requests.
     pub requests: u64,
-    /// The share of them that was served.
+    /// The fraction of them that was served.
     pub served_share: f64,
     /// Attempts that reached the hung node.
     pub attempts_at_hung: u64,
-    /// The same a second, once all fronts had found out.
+    /// Attempts per second at that node, once all fronts saw it as unresponsive.
     pub trials_per_s: f64,
-    /// Trials above the budget of the fleet and what may be saved up of it. A promise: 0, but on its own.
+    /// Probes above the fleet's budget and its burst. Must be 0, except in the baseline.
     pub trials_over: u64,
-    /// From the hang's end until the node served half as many a second as before, in milliseconds; none: not before the end.
+    /// Time from the end of the hang until the node served half as many requests per second as before, in milliseconds; none if it did not.
     pub recovery_ms: Option<f64>,
-    /// Volumes of which more was sent than the limit and its slack allow. A promise: 0.
+    /// Volumes whose limit, with its tolerance, was exceeded. Must be 0.
     pub limit_broken: u64,
-    /// Requests without an answer at fronts to which nothing was done. A promise: 0.
+    /// Requests without a response at fronts without a fault. Must be 0.
     pub lost: u64,
-    /// Writes that ran twice. A promise: 0.
+    /// Writes that ran twice. Must be 0.
     pub duplicates: u64,
-    /// Every broken promise in words.
+    /// A message for each violated guarantee.
     pub broken: Vec<String>,
 }
 
-impl Figures {
-    /// Whether all promises held.
+impl DrillReport {
+    /// An error with all messages if a guarantee was violated.
     pub fn verdict(&self) -> Verdict {
         match self.broken.is_empty() {
             true => Ok(()),
@@ -136,37 +141,41 @@
         }
     }
 
-    /// Puts what was seen against what was promised.
-    pub fn of(script: &Script, witness: &Witness) -> Figures {
+    /// Checks what was observed while a script ran.
+    pub fn new(script: &Script, witness: &Witness) -> DrillReport {
         let alone = script.sections.is_empty();
         let mut broken = Vec::new();
-        let at = |on: bool| {
-            let hang = |(_, act): &&(u64, Act)| *act == Act::Hang { node: 0, on };
+        let hang_changed_at = |on: bool| {
+            let is_change = |(_, act): &&(u64, Act)| *act == Act::Hang { node: 0, on };
             witness
                 .deeds
                 .iter()
-                .find(hang)
+                .find(is_change)
                 .map_or(witness.span.end, |(at, _)| *at)
         };
-        let (from, to) = (at(true), at(false));
-        let node = |s: &&Seen| s.node == 0;
-        let hung: Vec<u64> = witness
+        let (hang_start, hang_end) = (hang_changed_at(true), hang_changed_at(false));
+        let at_hung_node = |s: &&Seen| s.node == 0;
+        let attempts: Vec<u64> = witness
             .seen
             .iter()
-            .filter(node)
+            .filter(at_hung_node)
             .map(|s| s.at)
-            .filter(|t| (from..to).contains(t))
+            .filter(|t| (hang_start..hang_end).contains(t))
+            .collect();
+        let detected_at = hang_start + DETECTION_MS * 1000;
+        let probes: Vec<u64> = attempts
+            .iter()
+            .copied()
+            .filter(|t| *t >= detected_at)
             .collect();
-        let known = from + FOUND_OUT_MS * 1000;
-        let trials: Vec<u64> = hung.iter().copied().filter(|t| *t >= known).collect();
-        let seconds = to.saturating_sub(known).max(1) as f64 / 1e6;
+        let probing_s = hang_end.saturating_sub(detected_at).max(1) as f64 / 1e6;
         let trials_over = if alone {
             0
         } else {
-            over(&trials, f64::from(script.fronts))
+            excess_probes(&probes, f64::from(script.fronts))
         };
         if trials_over > 0 {
-            broken.push(format!("{trials_over} trials above the fleet's budget"));
+            broken.push(format!("{trials_over} probes above the fleet's budget"));
         }
         let well = Wellness::new(script, &witness.deeds);
         let served = witness
@@ -174,17 +183,17 @@
             .iter()
             .filter(|(_, c)| *c == Came::Served)
             .count();
-        Figures {
+        DrillReport {
             script: script.name.clone(),
             seed: script.seed,
             alone,
             processes: witness.processes,
             requests: witness.done.len() as u64,
             served_share: served as f64 / witness.done.len().max(1) as f64,
-            attempts_at_hung: hung.len() as u64,
-            trials_per_s: trials.len() as f64 / seconds,
+            attempts_at_hung: attempts.len() as u64,
+            trials_per_s: probes.len() as f64 / probing_s,
             trials_over,
-            recovery_ms: recovery(witness, from, to),
+            recovery_ms: recovery_ms(witness, hang_start, hang_end),
             limit_broken: limits(&witness.seen, &mut broken),
             lost: lost(&witness.done, &well, &mut broken),
             duplicates: duplicates(&witness.seen, &mut broken),
@@ -193,58 +202,60 @@
     }
 }
 
-/// Attempts above a bucket that fills with the fleet's budget. It holds one for each front, and what comes due while a grant waits for
-/// its request.
-pub fn over(trials: &[u64], fronts: f64) -> u64 {
-    let most = fronts + TRIALS_PER_S * GRANT_S;
-    let (mut level, mut last, mut over) = (most, trials.first().copied().unwrap_or(0), 0);
-    for at in trials {
-        level = (level + TRIALS_PER_S * (at - last) as f64 / 1e6).min(most) - 1.0;
-        last = *at;
+/// Probes above a token bucket that fills at the rate of the fleet's budget. Its burst is one token for each front, and what the rate gives
+/// while a grant waits for a request.
+pub fn excess_probes(probes: &[u64], front_count: f64) -> u64 {
+    let burst = front_count + PROBES_PER_S * GRANT_VALIDITY_S;
+    let (mut level, mut filled_at, mut excess) = (burst, probes.first().copied().unwrap_or(0), 0);
+    for at in probes {
+        level = (level + PROBES_PER_S * (at - filled_at) as f64 / 1e6).min(burst) - 1.0;
+        filled_at = *at;
         if level < -1e-6 {
-            over += 1;
+            excess += 1;
             level = 0.0;
         }
     }
-    over
+    excess
 }
 
-fn recovery(witness: &Witness, from: u64, to: u64) -> Option<f64> {
-    let ran: Vec<u64> = witness
+fn recovery_ms(witness: &Witness, hang_start: u64, hang_end: u64) -> Option<f64> {
+    let served: Vec<u64> = witness
         .seen
         .iter()
         .filter(|s| s.node == 0 && s.ran)
         .map(|s| s.at)
         .collect();
-    let before = ran
+    let served_before = served
         .iter()
-        .filter(|t| (witness.span.start..from).contains(t))
+        .filter(|t| (witness.span.start..hang_start).contains(t))
         .count() as f64;
-    let per_s = before / (from.saturating_sub(witness.span.start).max(1) as f64 / 1e6);
-    // A second in which at least half of that many came.
-    let after: Vec<u64> = ran.into_iter().filter(|t| *t >= to).collect();
-    let need = (per_s / 2.0).ceil().max(1.0) as usize;
-    let back = after
-        .iter()
-        .enumerate()
-        .find(|(i, t)| after.get(i + need - 1).is_some_and(|l| l - *t <= 1_000_000));
-    back.map(|(_, t)| (t - to) as f64 / 1000.0)
+    let rate_before =
+        served_before / (hang_start.saturating_sub(witness.span.start).max(1) as f64 / 1e6);
+    // The first second in which the node served at least half of the rate before the hang.
+    let served_after: Vec<u64> = served.into_iter().filter(|t| *t >= hang_end).collect();
+    let required = (rate_before / 2.0).ceil().max(1.0) as usize;
+    let recovered = served_after.iter().enumerate().find(|(i, t)| {
+        served_after
+            .get(i + required - 1)
+            .is_some_and(|last| last - *t <= 1_000_000)
+    });
+    recovered.map(|(_, t)| (t - hang_end) as f64 / 1000.0)
 }
 
-/// What came of a script.
-pub struct Played {
-    /// The figures, with every broken promise.
-    pub figures: Figures,
+/// The outcome of a script.
+pub struct DrillOutcome {
+    /// The report, with every violated guarantee.
+    pub report: DrillReport,
     /// All that happened.
     pub history: Arc<History>,
 }
 
-/// Plays a script and checks it.
-pub async fn play(plan: Plan) -> Result<Played, RigError> {
+/// Runs a script and checks its outcome.
+pub async fn play(plan: Plan) -> Result<DrillOutcome, RigError> {
     let script = plan.script.clone();
     let played = rig::play(plan).await?;
-    Ok(Played {
-        figures: Figures::of(&script, &played.witness),
+    Ok(DrillOutcome {
+        report: DrillReport::new(&script, &played.witness),
         history: played.history,
     })
 }
@@ -254,9 +265,13 @@
     use super::*;
 
     #[test]
-    fn more_trials_than_the_budget_are_found() {
-        let every = |us: u64| (0..60).map(|k| 1_000_000 + k * us).collect::<Vec<u64>>();
-        assert_eq!(over(&every(250_000), 3.0), 0);
-        assert!(over(&every(100_000), 3.0) > 20);
+    fn probes_above_the_budget_are_counted() {
+        let probes_every = |interval_us: u64| {
+            (0..60)
+                .map(|i| 1_000_000 + i * interval_us)
+                .collect::<Vec<u64>>()
+        };
+        assert_eq!(excess_probes(&probes_every(250_000), 3.0), 0);
+        assert!(excess_probes(&probes_every(100_000), 3.0) > 20);
     }
 }
--- a/crates/overload-drill/tests/golden.rs
+++ b/crates/overload-drill/tests/golden.rs
@@ -1,10 +1,10 @@
 //! Golden files of `lupinrack overload drill --json`.
 
 use lupinrack_golden_files::{check_text, path};
-use lupinrack_overload_drill::Figures;
+use lupinrack_overload_drill::DrillReport;
 
-fn figures() -> Figures {
-    Figures {
+fn report() -> DrillReport {
+    DrillReport {
         script: "hung".into(),
         seed: 1,
         alone: true,
@@ -22,18 +22,18 @@
     }
 }
 
-fn same(file: &str, figures: &Figures) {
-    check_text(file, &(serde_json::to_string(figures).unwrap() + "\n"));
+fn check_report(file: &str, report: &DrillReport) {
+    check_text(file, &(serde_json::to_string(report).unwrap() + "\n"));
 }
 
 #[test]
-fn the_report_keeps_its_form() {
-    same(path!("report.json"), &figures());
-    let kept = Figures {
+fn report_json_matches_golden_files() {
+    check_report(path!("report.json"), &report());
+    let not_recovered = DrillReport {
         alone: false,
         recovery_ms: None,
         broken: Vec::new(),
-        ..figures()
+        ..report()
     };
-    same(path!("report-not-recovered.json"), &kept);
+    check_report(path!("report-not-recovered.json"), &not_recovered);
 }
