--- a/crates/cluster-node/src/agent/machine.rs
+++ b/crates/cluster-node/src/agent/machine.rs
@@ -1,8 +1,8 @@
-//! The agent's process as one state machine without I/O: frames, heartbeats and ticks come in; frames to send and
-//! answers to heartbeats go out.
+//! The agent's process as one state machine without I/O. Its inputs are frames, heartbeats and ticks; its outputs are
+//! frames to send and answers to heartbeats.
 //!
-//! Its driver carries the frames, serves HTTP to the server and passes in the table of live members. The simulation of
-//! the control plane runs the same machine.
+//! Its driver sends and receives the frames, serves HTTP to the server and passes in the table of live members. The
+//! simulation of the control plane runs the same machine.
 
 use crate::agent::view_source::ViewSource;
 use crate::head_client::OutgoingFrame;
@@ -18,16 +18,16 @@
     Agent, AgentSettings, HeartbeatOutcome, HeartbeatResponse, PendingHeartbeat, ServerHeartbeat,
 };
 
-/// Interval between two subscriptions to views, in milliseconds.
-const SUBSCRIBE_MS: u64 = 1_500;
-/// Time without a frame from the owner after which the session with it is restarted, in milliseconds.
+/// Interval at which an agent renews its subscription to views, in milliseconds.
+const SUBSCRIBE_INTERVAL_MS: u64 = 1_500;
+/// Timeout without a frame from the owner after which the session with it is restarted, in milliseconds.
 const OWNER_TIMEOUT_MS: u64 = 600;
-/// How long the answer to a heartbeat that lists ends waits for what takes their place, in milliseconds.
+/// How long the answer to a heartbeat that lists ended runs waits for new starts, in milliseconds.
 const RESPONSE_DELAY_AFTER_ENDS_MS: u64 = 80;
-/// How long the answer to a server on which nothing runs waits for work, in milliseconds.
+/// How long the answer to an idle server waits for starts, in milliseconds.
 const RESPONSE_DELAY_IDLE_MS: u64 = 300;
 
-/// What the driver is to do. `C` is the driver's own handle of a heartbeat, by which it is answered.
+/// An action for the driver. `C` is the driver's handle for answering a heartbeat.
 #[derive(Debug)]
 #[allow(
     clippy::large_enum_variant,
@@ -38,7 +38,7 @@
     Send(OutgoingFrame),
     /// Answers a heartbeat.
     Answer {
-        /// The heartbeat.
+        /// The handle of the heartbeat.
         call: C,
         /// Its answer.
         answer: Box<HeartbeatResponse>,
@@ -50,10 +50,10 @@
 struct PendingResponse<C> {
     pending: PendingHeartbeat,
     call: C,
-    until: Millis,
+    due_at: Millis,
 }
 
-/// The process of an agent.
+/// The state machine of an agent's process.
 #[derive(Debug)]
 pub struct AgentMachine<C> {
     view: View,
@@ -69,7 +69,7 @@
 }
 
 impl<C> AgentMachine<C> {
-    /// An agent that starts now, as this member. The service of its server may be known beforehand.
+    /// Creates an agent that starts now, as this member. The settings may name the service of its server.
     pub fn new(
         own: LiveMember,
         seeds: Vec<PeerAddress>,
@@ -79,7 +79,7 @@
     ) -> AgentMachine<C> {
         AgentMachine {
             view: View::default(),
-            subscription: Subscription::new(seeds, SUBSCRIBE_MS, now),
+            subscription: Subscription::new(seeds, SUBSCRIBE_INTERVAL_MS, now),
             agent: Agent::new(settings),
             service,
             owner: None,
@@ -91,12 +91,12 @@
         }
     }
 
-    /// The newest view that it knows.
+    /// The newest known view.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// The agent itself.
+    /// The agent's session and server state.
     pub fn agent(&self) -> &Agent {
         &self.agent
     }
@@ -106,27 +106,27 @@
         self.service.as_ref()
     }
 
-    /// The process that owns the service's shard, as far as it knows.
+    /// The owner of the service's shard in the newest known view.
     pub fn owner(&self) -> Option<PeerAddress> {
         self.owner
     }
 
-    /// When a frame of the owner was received last, or a session with it began.
+    /// When the last frame from the owner was received, or the session with it began.
     pub fn owner_received_at(&self) -> Millis {
         self.owner_received_at
     }
 
-    /// When the open heartbeat has waited for long enough; none without an open one.
+    /// When the pending heartbeat must be answered; none if no heartbeat is pending.
     pub fn response_due_at(&self) -> Option<Millis> {
-        self.pending.as_ref().map(|pending| pending.until)
+        self.pending.as_ref().map(|pending| pending.due_at)
     }
 
-    /// Replaces the seeds by which core processes are looked for.
+    /// Replaces the seeds at which core processes may be found.
     pub fn set_seeds(&mut self, seeds: Vec<PeerAddress>) {
         self.subscription.set_seeds(seeds);
     }
 
-    /// A frame came.
+    /// Handles a received frame.
     pub fn on_frame(
         &mut self,
         from: PeerAddress,
@@ -179,19 +179,19 @@
         self.send_to_owner(now);
     }
 
-    /// A connection ended.
+    /// Handles the end of a connection.
     pub fn on_closed(&mut self, from: PeerAddress, now: Millis) -> Vec<AgentEffect<C>> {
         if Some(from) == self.owner {
             self.begin_session(now);
-            self.subscription.hurry();
+            self.subscription.make_due();
         }
         if self.view_source.closed(from, now) {
-            self.subscription.hurry();
+            self.subscription.make_due();
         }
         self.take_effects()
     }
 
-    /// A heartbeat of the server came.
+    /// Handles a heartbeat of the server.
     pub fn on_heartbeat(
         &mut self,
         heartbeat: ServerHeartbeat,
@@ -208,26 +208,26 @@
         self.take_effects()
     }
 
-    /// The server has left in order.
+    /// Handles the deregistration of the server.
     pub fn on_deregister(&mut self, server: ServerId, now: Millis) -> Vec<AgentEffect<C>> {
         self.agent.deregister(server);
         self.send_to_owner(now);
         self.take_effects()
     }
 
-    /// The open heartbeat may have waited for long enough.
+    /// Answers the pending heartbeat if its answer is due.
     pub fn on_response_due(&mut self, now: Millis) -> Vec<AgentEffect<C>> {
         self.respond_if_due(now);
         self.take_effects()
     }
 
-    /// Time has passed. The table of live members may be wrong.
+    /// Handles a tick of the timer. The table of live members is a hint and may be wrong.
     pub fn on_tick(&mut self, table: &LiveTable, now: Millis) -> Vec<AgentEffect<C>> {
         let timed_out =
             self.owner.is_some() && now.since(self.owner_received_at) >= OWNER_TIMEOUT_MS;
         if timed_out {
-            self.view_source.doubt(now);
-            self.subscription.hurry();
+            self.view_source.prefer_head(now);
+            self.subscription.make_due();
             self.begin_session(now);
         }
         self.send_to_owner(now);
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Takes a heartbeat. Its answer waits a moment where orders are likely to come.
+    /// Handles a heartbeat. Its answer is delayed if orders are likely to arrive soon.
     fn take_heartbeat(&mut self, heartbeat: ServerHeartbeat, call: C, now: Millis) {
         let pending = match self.agent.receive_heartbeat(heartbeat, now) {
             HeartbeatOutcome::Pending(pending) => pending,
@@ -263,15 +263,18 @@
         self.pending = Some(PendingResponse {
             pending,
             call,
-            until: now.plus(wait_ms),
+            due_at: now.plus(wait_ms),
         });
         self.respond_if_due(now);
     }
 
-    /// Answers the open heartbeat if there are orders, or if it has waited for long enough.
+    /// Answers the pending heartbeat if there are orders for the server, or if its answer is due.
     fn respond_if_due(&mut self, now: Millis) {
-        let waits = self.pending.as_ref().is_some_and(|call| now < call.until);
-        if waits && !self.agent.has_orders(now) {
+        let may_wait = self
+            .pending
+            .as_ref()
+            .is_some_and(|pending| now < pending.due_at);
+        if may_wait && !self.agent.has_orders(now) {
             return;
         }
         self.respond(now);
--- a/crates/cluster-node/src/agent/mod.rs
+++ b/crates/cluster-node/src/agent/mod.rs
@@ -1,4 +1,4 @@
-//! The agent beside one server: takes the server's heartbeats and talks to the owner of the server's shard.
+//! The agent of one server: receives the server's heartbeats and has a session with the owner of the server's shard.
 
 pub mod machine;
 pub(crate) mod process;
--- a/crates/cluster-node/src/agent/process.rs
+++ b/crates/cluster-node/src/agent/process.rs
@@ -1,4 +1,4 @@
-//! The agent's process, beside one server: the driver of its state machine.
+//! The driver of an agent's state machine.
 
 use crate::agent::machine::{AgentEffect, AgentMachine};
 use crate::clock::{draw, Clock};
@@ -27,11 +27,11 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// How often the process looks at its clock, in milliseconds.
-const TICK_MS: u64 = 50;
-/// Interval between heartbeats of a server on which nothing happens, in milliseconds.
+/// Interval of the timer that drives the machine, in milliseconds.
+const TICK_INTERVAL_MS: u64 = 50;
+/// Heartbeat interval of an idle server, in milliseconds.
 const IDLE_HEARTBEAT_MS: u64 = 60;
-/// Interval between heartbeats of a server on which runs start or end, in milliseconds.
+/// Heartbeat interval of a server on which runs start or end, in milliseconds.
 const BUSY_HEARTBEAT_MS: u64 = 20;
 const INSTANCES_PATH: &str = "/lupinrack/instances/";
 
@@ -49,14 +49,14 @@
     },
 }
 
-/// How a heartbeat is answered.
-type HeartbeatAnswerer = oneshot::Sender<String>;
+/// Sender of the answer to a heartbeat.
+type HeartbeatReplySender = oneshot::Sender<String>;
 
-struct Side {
+struct AgentProcess {
     node: String,
     clock: Clock,
     peers: Peers,
-    machine: AgentMachine<HeartbeatAnswerer>,
+    machine: AgentMachine<HeartbeatReplySender>,
     membership: Membership,
     violations: ProtocolViolationLog,
     settings_file: SettingsFile,
@@ -64,7 +64,7 @@
 
 /// Runs until the process receives a signal to terminate.
 pub(crate) async fn run(settings_file: SettingsFile, clock: Clock) -> Result<(), NodeError> {
-    // Before anybody can reach the process: a signal would end one that does not listen yet.
+    // Handlers are installed before any socket is open: without them a signal kills the process.
     let signals = Signals::listen()?;
     let settings = settings_file.settings();
     let address = PeerAddress(settings.internal_address);
@@ -94,7 +94,7 @@
         process_incarnation: incarnation,
     };
     let service = settings.service.clone().map(ServiceName);
-    let side = Side {
+    let process = AgentProcess {
         node: settings.node.clone(),
         clock,
         peers,
@@ -119,12 +119,12 @@
         calls,
         signals,
     };
-    drive(side, inputs).await;
+    drive(process, inputs).await;
     drop(server);
     Ok(())
 }
 
-/// Everything that reaches the process from outside.
+/// The inputs of the process.
 struct Inputs {
     events: mpsc::Receiver<PeerEvent>,
     calls: mpsc::Receiver<ServerCall>,
@@ -132,20 +132,20 @@
 }
 
 /// Drives the machine until the process receives a signal to terminate.
-async fn drive(mut side: Side, mut inputs: Inputs) {
-    let mut timer = tokio::time::interval(Duration::from_millis(TICK_MS));
+async fn drive(mut process: AgentProcess, mut inputs: Inputs) {
+    let mut timer = tokio::time::interval(Duration::from_millis(TICK_INTERVAL_MS));
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            Some(event) = inputs.events.recv() => side.on_peer_event(event),
-            Some(call) = inputs.calls.recv() => side.on_server_call(call),
-            _ = timer.tick() => side.on_tick(),
-            () = side.wait_is_over() => side.on_response_due(),
+            Some(event) = inputs.events.recv() => process.on_peer_event(event),
+            Some(call) = inputs.calls.recv() => process.on_server_call(call),
+            _ = timer.tick() => process.on_tick(),
+            () = process.response_is_due() => process.on_response_due(),
             signal = inputs.signals.next() => match signal {
-                ProcessSignal::Reload => side.reload(),
+                ProcessSignal::Reload => process.reload(),
                 ProcessSignal::Terminate => {
-                    side.membership.shut_down();
-                    // The farewell is sent by a task of its own.
+                    process.membership.shut_down();
+                    // Lets the membership task announce the departure.
                     tokio::task::yield_now().await;
                     return;
                 }
@@ -154,7 +154,7 @@
     }
 }
 
-impl Side {
+impl AgentProcess {
     fn on_peer_event(&mut self, event: PeerEvent) {
         let now = self.clock.now();
         let effects = match event {
@@ -207,11 +207,11 @@
         self.carry_out(effects);
     }
 
-    /// Ends when the open heartbeat has waited for long enough.
-    async fn wait_is_over(&self) {
+    /// Completes when the answer to the pending heartbeat is due. Pending forever if no heartbeat is pending.
+    async fn response_is_due(&self) {
         match self.machine.response_due_at() {
-            Some(until) => {
-                let wait_ms = until.since(self.clock.now());
+            Some(due_at) => {
+                let wait_ms = due_at.since(self.clock.now());
                 tokio::time::sleep(Duration::from_millis(wait_ms)).await;
             }
             None => std::future::pending().await,
@@ -226,14 +226,14 @@
         self.carry_out(effects);
     }
 
-    fn carry_out(&self, effects: Vec<AgentEffect<HeartbeatAnswerer>>) {
+    fn carry_out(&self, effects: Vec<AgentEffect<HeartbeatReplySender>>) {
         for effect in effects {
             match effect {
                 AgentEffect::Send(OutgoingFrame { to, frame }) => {
                     self.peers.send(to, frame);
                 }
                 AgentEffect::Answer { call, answer } => {
-                    // A server that has given up needs no answer.
+                    // Sending fails if the server has disconnected. The answer is then dropped.
                     let _ = call.send(render(&answer));
                 }
             }
--- a/crates/cluster-node/src/agent/view_source.rs
+++ b/crates/cluster-node/src/agent/view_source.rs
@@ -1,14 +1,14 @@
-//! Which process an agent asks for views: a process of its own zone, so that not all agents ask the head of the chain;
-//! the head itself whenever something may have changed that the zone does not know yet.
+//! The process to which an agent subscribes for views. It is a process of the agent's own zone, so that not all agents
+//! subscribe to the head of the chain. It is the head while there may be a newer view that the zone does not know yet.
 
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_membership::LiveTable;
 
-/// After a reason for doubt an agent asks the head itself for so long, in milliseconds.
+/// How long an agent subscribes to the head after a sign that there may be a newer view, in milliseconds.
 pub const ASK_HEAD_MS: u64 = 3_000;
 
-/// The source of views as one agent sees it.
+/// The source of views of one agent.
 #[derive(Debug)]
 pub struct ViewSource {
     own: PeerAddress,
@@ -18,7 +18,7 @@
 }
 
 impl ViewSource {
-    /// As seen by the agent at this address.
+    /// Starts without a source, for the agent at this address in this zone.
     pub fn new(own: PeerAddress, zone: String) -> ViewSource {
         ViewSource {
             own,
@@ -28,7 +28,8 @@
         }
     }
 
-    /// The process to ask where `due` is to be asked: another process only if `due` is the head and there is no doubt.
+    /// Chooses the receiver of a subscription that is due at `due`. A process of the zone replaces `due` only if that
+    /// is the head and the agent need not ask the head itself.
     pub fn choose(
         &mut self,
         due: PeerAddress,
@@ -36,8 +37,8 @@
         table: &LiveTable,
         now: Millis,
     ) -> PeerAddress {
-        let may_differ = Some(due) == head && now >= self.ask_head_until;
-        let source = may_differ
+        let may_replace = Some(due) == head && now >= self.ask_head_until;
+        let source = may_replace
             .then(|| table.view_source(&self.zone, self.own))
             .flatten();
         let chosen = source.unwrap_or(due);
@@ -45,17 +46,19 @@
         chosen
     }
 
-    /// The owner timed out, possibly because a newer view made another process the owner.
-    pub fn doubt(&mut self, now: Millis) {
+    /// Makes the agent ask the head itself for a while. Called when the owner timed out, since a newer view may have
+    /// another owner.
+    pub fn prefer_head(&mut self, now: Millis) {
         self.ask_head_until = now.plus(ASK_HEAD_MS);
     }
 
-    /// A connection ended; whether it was the source's, so that another one should be asked at once.
+    /// Handles the end of a connection. Returns whether it was the source's, in which case a subscription is due at
+    /// once.
     pub fn closed(&mut self, from: PeerAddress, now: Millis) -> bool {
         let was_source = self.last_source == Some(from);
         if was_source {
             self.last_source = None;
-            self.doubt(now);
+            self.prefer_head(now);
         }
         was_source
     }
--- a/crates/cluster-node/src/clock.rs
+++ b/crates/cluster-node/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clocks of the process; the only place where they are read.
+//! The clocks of the process. No other module reads them.
 
 use crate::core::Moment;
 use lupinrack_cluster_api::time::{Millis, WallMillis};
@@ -11,7 +11,7 @@
 }
 
 impl Clock {
-    /// Begins at 1, so that 0 lies before every moment.
+    /// Starts the monotonic clock at 1, so that 0 is earlier than any reading.
     pub fn start() -> Clock {
         Clock {
             began: Instant::now(),
@@ -23,7 +23,7 @@
         Millis(self.began.elapsed().as_millis() as u64 + 1)
     }
 
-    /// Both clocks.
+    /// Reads both clocks.
     pub fn moment(&self) -> Moment {
         Moment {
             now: self.now(),
@@ -38,10 +38,10 @@
     }
 }
 
-/// A number drawn once for this incarnation of the process, from the system's source of randomness.
+/// Draws a random number from the system's source of randomness, for example as the incarnation of this process.
 pub fn draw() -> u64 {
     use std::hash::{BuildHasher, Hasher};
-    // Each `RandomState` is keyed from the system's randomness; two of them make one draw hard to repeat.
+    // Each `RandomState` is seeded from the system's randomness. Combining two makes a repeated number unlikely.
     let first = std::collections::hash_map::RandomState::new()
         .build_hasher()
         .finish();
--- a/crates/cluster-node/src/control_api/configuration_request.rs
+++ b/crates/cluster-node/src/control_api/configuration_request.rs
@@ -1,17 +1,19 @@
-//! The operator's order to change the configuration, as it comes over HTTP.
+//! An operator's HTTP request to change the configuration.
 
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange};
 use lupinrack_cluster_transport::http_server::HttpRequest;
 use lupinrack_control_state::check_body;
 
-/// Reads the order in a `PUT` or `PATCH`. An order that is wrong whatever configuration is current is refused here,
-/// also by a process that cannot know what is current; whether a sound one is taken is decided where it is applied.
+/// Parses the change in a `PUT` or `PATCH`. A change that is invalid under every current configuration is refused here,
+/// even by a process that does not know the current one. Whether a valid change is accepted is decided when it is
+/// applied.
 ///
 /// # Errors
 ///
-/// Where it is refused: as [`ErrorKind::Malformed`] without a single number in `If-Match` or with a body that is no
-/// text, as [`ErrorKind::InvalidConfiguration`] for what the body says.
+/// [`ErrorKind::Malformed`] if `If-Match` is not a single number or the body is not UTF-8,
+/// [`ErrorKind::InvalidConfiguration`] if the content of the body is invalid, and [`ErrorKind::NotServed`] for other
+/// methods.
 pub fn parse_configuration_request(call: &HttpRequest) -> Result<ConfigurationChange, ErrorKind> {
     let if_match = call.if_match.version().ok_or(ErrorKind::Malformed)?;
     let text = std::str::from_utf8(&call.body)
@@ -23,7 +25,7 @@
         _ => return Err(ErrorKind::NotServed),
     };
     if let Err(fault) = check_body(&body) {
-        spdlog::info!("an order is refused: {fault}");
+        spdlog::info!("configuration change refused: {fault}");
         return Err(ErrorKind::InvalidConfiguration);
     }
     Ok(ConfigurationChange { if_match, body })
--- a/crates/cluster-node/src/control_api/mod.rs
+++ b/crates/cluster-node/src/control_api/mod.rs
@@ -17,50 +17,50 @@
 use tokio::sync::{mpsc, oneshot};
 
 const CONFIGURATION_PATH: &str = "/lupinrack/config";
-/// How long a call to the head may take, in milliseconds. Callers go on to another process after a timeout of one
-/// second, so a longer wait would only delay that.
-const CALL_MS: u64 = 850;
-/// For so many bytes of a body a call may take a millisecond more: callers wait longer for large ones.
+/// Timeout of a call to the head, in milliseconds. Callers try another process after a timeout of one second, so a
+/// longer wait would only delay that.
+const CALL_TIMEOUT_MS: u64 = 850;
+/// The timeout is one millisecond longer for each of these bytes of a body, since callers wait longer for large bodies.
 const BODY_BYTES_PER_MS: u64 = 256;
 /// The largest body that an operator may send, in bytes.
 const MAX_BODY_BYTES: u64 = 4 * 1024 * 1024;
 
-/// How long a call with a body of this many bytes may take, in milliseconds.
+/// Timeout of a call with a body of this many bytes, in milliseconds.
 pub fn call_ms(body_bytes: usize) -> u64 {
-    CALL_MS + body_bytes as u64 / BODY_BYTES_PER_MS
+    CALL_TIMEOUT_MS + body_bytes as u64 / BODY_BYTES_PER_MS
 }
 
-/// A call of this process to the head.
+/// A call from this process to the head.
 #[derive(Debug)]
 pub struct HeadCall {
-    /// What is asked.
+    /// The request.
     pub request: Request,
-    /// Where the answer goes.
+    /// The sender for the reply.
     pub reply_to: oneshot::Sender<Reply>,
-    /// Milliseconds that the caller waits.
+    /// Milliseconds until the caller gives up.
     pub remaining_ms: u64,
 }
 
-/// A question to this process itself.
+/// A query to this process itself.
 #[derive(Debug)]
 pub struct ProcessCall {
-    /// What is asked.
+    /// The query.
     pub query: ProcessQuery,
-    /// Where the answer goes, as text.
+    /// The sender for the answer, as text.
     pub reply_to: oneshot::Sender<String>,
 }
 
-/// What is asked over HTTP: of the head, wherever it is, or of this very process.
+/// A parsed HTTP request: for the head, which may be another process, or for this process itself.
 enum ControlRequest {
     Head(Request),
     Process(ProcessQuery),
 }
 
-/// Serves at the control address.
+/// Serves the operator's interface at the control address.
 ///
 /// # Errors
 ///
-/// Where the settings name no such address, or the process cannot listen there.
+/// If the settings have no control address, or the process cannot listen on it.
 pub fn serve(
     settings: &NodeSettings,
     calls: mpsc::Sender<HeadCall>,
@@ -103,7 +103,7 @@
     }
 }
 
-/// Asks the head and waits for its answer.
+/// Calls the head and waits for its reply.
 pub async fn call_head(
     calls: &mpsc::Sender<HeadCall>,
     request: Request,
--- a/crates/cluster-node/src/core/commit_history.rs
+++ b/crates/cluster-node/src/core/commit_history.rs
@@ -1,52 +1,52 @@
-//! When entries were committed, so that a replica's position in the log tells how far behind it is in time.
+//! Samples of commit times, which convert a replica's log position to how far behind it is in time.
 
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_view_agreement::policy::{Redundancy, SpareReplica};
 use std::collections::VecDeque;
 
-/// Between two samples, in milliseconds.
-const SAMPLE_MS: u64 = 500;
-/// How many samples are kept: two minutes.
-const SAMPLES_MOST: usize = 240;
+/// Interval between samples, in milliseconds.
+const SAMPLE_INTERVAL_MS: u64 = 500;
+/// Number of samples that are kept: two minutes' worth.
+const MAX_SAMPLES: usize = 240;
 
-/// What was committed at a moment.
+/// The commit index at one time.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
     at: Millis,
     committed: u64,
 }
 
-/// Samples of how far the log was committed.
+/// Samples of the commit index, oldest first.
 #[derive(Debug, Default)]
 pub struct CommitHistory {
     samples: VecDeque<Sample>,
 }
 
 impl CommitHistory {
-    /// Notes what is committed now.
+    /// Records the commit index, if a sample is due.
     pub fn record(&mut self, committed: u64, now: Millis) {
         let is_due = self
             .samples
             .back()
-            .is_none_or(|last| now.since(last.at) >= SAMPLE_MS);
+            .is_none_or(|last| now.since(last.at) >= SAMPLE_INTERVAL_MS);
         if !is_due {
             return;
         }
         self.samples.push_back(Sample { at: now, committed });
-        if self.samples.len() > SAMPLES_MOST {
+        if self.samples.len() > MAX_SAMPLES {
             self.samples.pop_front();
         }
     }
 
-    /// For how long, in milliseconds, more than this has been committed; 0 if nothing more is.
+    /// How long ago an entry after `applied` was committed, in milliseconds; 0 if there is no such entry.
     pub fn behind_ms(&self, applied: u64, now: Millis) -> u64 {
         let mut samples = self.samples.iter();
         let passed = samples.find(|sample| sample.committed > applied);
         passed.map_or(0, |sample| now.since(sample.at))
     }
 
-    /// Whether a disk is needed that is at least so many milliseconds behind: not if enough others have everything, or if
-    /// no such disk is there.
+    /// Whether the cluster needs a disk that is at least `tolerated_ms` behind. False if no disk is that late, or if
+    /// enough others have caught up.
     pub fn is_joiner_late(&self, redundancy: &Redundancy, tolerated_ms: u64, now: Millis) -> bool {
         let is_late = |spare: &&SpareReplica| {
             let behind_ms = self.behind_ms(spare.applied, now).min(spare.present_ms);
--- a/crates/cluster-node/src/core/core_peers.rs
+++ b/crates/cluster-node/src/core/core_peers.rs
@@ -1,4 +1,4 @@
-//! The other core processes: which of them heartbeats are sent to, and whose disk is behind which connection.
+//! The other core processes: the recipients of heartbeats, and the disk at the other end of each connection.
 
 use lupinrack_cluster_api::core_heartbeat::HeartbeatStamp;
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
@@ -9,31 +9,31 @@
 
 /// Interval between heartbeats to other core processes, in milliseconds.
 pub(super) const HEARTBEAT_INTERVAL_MS: u64 = 100;
-/// A process that is no voter and sends nothing for so many times the time to catch up gets no heartbeats any more.
+/// A process that is not a voter gets no more heartbeats after it was silent for this many catch-up times.
 const FORGOTTEN_AFTER_CATCH_UPS: u64 = 3;
 
-/// A heartbeat that was received.
+/// A received heartbeat.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedHeartbeat {
-    /// What identifies it to its sender.
+    /// Identifies the heartbeat to its sender.
     stamp: HeartbeatStamp,
     /// When it was received.
     received_at: Millis,
 }
 
-/// Without a heartbeat for this long a process does not count as one that this process is in touch with, in milliseconds.
-const IN_TOUCH_MS: u64 = 1_000;
+/// A process counts as reachable for this long after its last heartbeat, in milliseconds.
+const REACHABLE_MS: u64 = 1_000;
 
-/// What is known of other core processes.
+/// The state that a core process keeps about the others.
 #[derive(Debug)]
 pub(super) struct CorePeers {
-    /// Where core processes are looked for.
+    /// Addresses from the settings at which core processes may be found.
     seeds: Vec<PeerAddress>,
-    /// Core processes that membership believes to be alive.
+    /// Core processes that are alive according to membership.
     live: Vec<PeerAddress>,
     /// The last heartbeat of each process.
     last_received: BTreeMap<PeerAddress, ReceivedHeartbeat>,
-    /// A process from which nothing was received for longer is forgotten, in milliseconds.
+    /// A process is removed after this time without a heartbeat, in milliseconds.
     timeout_ms: u64,
     last_heartbeat_at: Millis,
     /// The disk of the process at the other end of each connection.
@@ -42,7 +42,7 @@
 }
 
 impl CorePeers {
-    /// Nobody but the seeds.
+    /// Starts with the seeds only.
     pub(super) fn new(seeds: Vec<PeerAddress>, catch_up_ms: u64) -> CorePeers {
         CorePeers {
             seeds,
@@ -60,12 +60,12 @@
         self.seeds = seeds;
     }
 
-    /// Notes the core processes that membership believes to be alive.
+    /// Replaces the core processes that are alive according to membership.
     pub(super) fn set_live(&mut self, addresses: Vec<PeerAddress>) {
         self.live = addresses;
     }
 
-    /// Notes a heartbeat of a process.
+    /// Records a heartbeat from a process.
     pub(super) fn received_heartbeat(
         &mut self,
         from: PeerAddress,
@@ -79,19 +79,19 @@
         self.last_received.insert(from, received);
     }
 
-    /// The last heartbeat that was received from a process.
+    /// The stamp of the last heartbeat received from a process.
     pub(super) fn last_received(&self, from: PeerAddress) -> Option<HeartbeatStamp> {
         self.last_received.get(&from).map(|received| received.stamp)
     }
 
-    /// Whether heartbeats are to be sent.
+    /// Whether the next heartbeats are due.
     pub(super) fn is_heartbeat_due(&self, now: Millis) -> bool {
         now.since(self.last_heartbeat_at) >= HEARTBEAT_INTERVAL_MS
     }
 
-    /// Begins a round of heartbeats; returns to whom. Processes from which nothing was received for long are
-    /// dropped, so that a replaced machine does not get heartbeats forever. Voters always get them, and every process
-    /// that is no voter sends its own to the voters.
+    /// Begins a round of heartbeats. Returns the recipients. Silent processes are removed after the timeout, so that a
+    /// replaced machine does not get heartbeats forever. Voters always get them, and every process that is not a voter
+    /// sends its own to the voters.
     pub(super) fn begin_heartbeats(
         &mut self,
         view: &View,
@@ -105,12 +105,12 @@
         self.addresses(view, me, now)
     }
 
-    /// A process that is not in touch with a majority of the voters that it knows also looks for the others at its seeds,
-    /// and by membership: all those voters may have been replaced while it was away.
+    /// The recipients of heartbeats. A process that cannot reach a majority of its known voters also tries its seeds
+    /// and the live core processes, since all those voters may have been replaced during its absence.
     fn addresses(&self, view: &View, me: &Voter, now: Millis) -> Vec<PeerAddress> {
         let mut addresses: Vec<PeerAddress> =
             view.voters.iter().map(|voter| voter.address).collect();
-        let is_isolated = !self.is_in_touch_with_majority(view, me, now);
+        let is_isolated = !self.reaches_majority(view, me, now);
         if view.voter(me.disk).is_none() || is_isolated {
             addresses.extend(self.seeds.iter().copied());
         }
@@ -124,37 +124,37 @@
         addresses
     }
 
-    fn is_in_touch_with_majority(&self, view: &View, me: &Voter, now: Millis) -> bool {
-        let is_in_touch = |voter: &&Voter| {
+    fn reaches_majority(&self, view: &View, me: &Voter, now: Millis) -> bool {
+        let is_reachable = |voter: &&Voter| {
             let received = self.last_received.get(&voter.address);
             voter.disk == me.disk
-                || received.is_some_and(|received| now.since(received.received_at) <= IN_TOUCH_MS)
+                || received.is_some_and(|received| now.since(received.received_at) <= REACHABLE_MS)
         };
-        let in_touch = view.voters.iter().filter(is_in_touch).count();
-        in_touch * 2 > view.voters.len()
+        let reachable = view.voters.iter().filter(is_reachable).count();
+        reachable * 2 > view.voters.len()
     }
 
-    /// Notes whose connection this is.
+    /// Records the disk at the other end of a connection.
     pub(super) fn connected(&mut self, connection: u64, disk: DiskId) {
         self.disks.insert(connection, disk);
     }
 
-    /// Whose connection this is.
+    /// The disk at the other end of a connection, if it is known.
     pub(super) fn disk(&self, connection: u64) -> Option<DiskId> {
         self.disks.get(&connection).copied()
     }
 
-    /// A connection ended; returns whose it was.
+    /// Removes a connection that ended. Returns the disk at its other end, if it was known.
     pub(super) fn disconnected(&mut self, connection: u64) -> Option<DiskId> {
         self.disks.remove(&connection)
     }
 
-    /// How often a process claimed a disk that another has.
+    /// Number of rejected claims to a disk that another process has.
     pub(super) fn rejected_claims(&self) -> u64 {
         self.rejected_claims
     }
 
-    /// Counts a claim that was rejected, and logs ever fewer of them.
+    /// Counts a rejected claim. Logs the 1st, 2nd, 4th, 8th and so on.
     pub(super) fn reject_claim(&mut self, claimed_at: PeerAddress, duplicate: &DuplicateDisk) {
         self.rejected_claims += 1;
         let count = self.rejected_claims;
--- a/crates/cluster-node/src/core/effect.rs
+++ b/crates/cluster-node/src/core/effect.rs
@@ -13,12 +13,12 @@
 pub enum CoreEffect {
     /// Sends a frame to a process, on its newest connection or a new one.
     Send {
-        /// The process.
+        /// The receiver.
         to: PeerAddress,
         /// The frame.
         frame: Frame,
     },
-    /// Sends a frame on this very connection, if it is still open.
+    /// Sends a frame on this connection, if it is still open. No other connection is used.
     SendOn {
         /// The connection.
         connection: u64,
--- a/crates/cluster-node/src/core/event.rs
+++ b/crates/cluster-node/src/core/event.rs
@@ -11,13 +11,13 @@
     reason = "nearly all events are frames; a box would cost each an allocation"
 )]
 pub enum CoreEvent {
-    /// A frame of another process.
+    /// A frame from another process was received.
     Frame {
-        /// The process.
+        /// The sender.
         from: PeerAddress,
         /// Its incarnation.
         incarnation: u64,
-        /// The connection on which the frame came.
+        /// The connection on which the frame was received.
         connection: u64,
         /// The frame.
         frame: Frame,
@@ -31,20 +31,20 @@
     },
     /// The batches of these numbers are synced.
     Synced(Vec<u64>),
-    /// The disk failed to take a write, which is retried.
+    /// A write to the disk failed. The driver retries it.
     WriteFailed,
-    /// A write does not fit what is on the disk, and was dropped for good.
+    /// A write does not fit the log on the disk and was dropped. It is not retried.
     WriteRejected,
-    /// A call of an operator at this process, to be answered by the head.
+    /// An operator's call at this process, which the head answers.
     Call(HeadCall),
-    /// A question of an operator to this process itself.
+    /// An operator's query to this process itself.
     Query(ProcessCall),
-    /// The core processes of the table of live members, which may be wrong.
+    /// The core processes in the table of live members. The table is a hint and may be wrong.
     LiveCoreProcesses(Vec<PeerAddress>),
-    /// The settings name other seeds.
+    /// The seeds in the settings changed.
     SeedsReplaced(Vec<PeerAddress>),
     /// Time has passed.
     Tick,
-    /// The process is to shut down gracefully.
+    /// The process received a signal to shut down gracefully.
     Terminate,
 }
--- a/crates/cluster-node/src/core/job_retention.rs
+++ b/crates/cluster-node/src/core/job_retention.rs
@@ -1,15 +1,14 @@
-//! When jobs that ended long ago are dropped from the record, so that it stays bounded by the open jobs and those that
-//! ended lately.
+//! Removal of jobs that ended long ago, which bounds the state by the open jobs and those that ended recently.
 
 use super::moment::Moment;
 use lupinrack_cluster_api::operation::Operation;
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_control_state::{ControlState, JobRecord};
 
-/// Interval between two searches for jobs that may be dropped, in milliseconds.
+/// Interval between sweeps for jobs that may be dropped, in milliseconds.
 const SWEEP_INTERVAL_MS: u64 = 5_000;
 
-/// How long ended jobs are remembered.
+/// The retention time of ended jobs.
 #[derive(Debug)]
 pub(super) struct JobRetention {
     remember_ms: u64,
@@ -17,7 +16,7 @@
 }
 
 impl JobRetention {
-    /// Remembers ended jobs for so many milliseconds.
+    /// Keeps ended jobs for `remember_ms` milliseconds.
     pub(super) fn new(remember_ms: u64) -> JobRetention {
         JobRetention {
             remember_ms,
@@ -25,12 +24,12 @@
         }
     }
 
-    /// Whether the head should look for jobs that may be dropped.
+    /// Whether the next sweep is due.
     pub(super) fn is_sweep_due(&self, now: Millis) -> bool {
         now.since(self.last_sweep_at) >= SWEEP_INTERVAL_MS
     }
 
-    /// Looks for jobs that may be dropped; returns the operation that drops them.
+    /// Searches for jobs that may be dropped. Returns the operation that drops them, if there are any.
     pub(super) fn sweep(&mut self, state: &ControlState, moment: Moment) -> Option<Operation> {
         self.last_sweep_at = moment.now;
         let ended_before = WallMillis(moment.wall.0.saturating_sub(self.remember_ms));
--- a/crates/cluster-node/src/core/machine/frames.rs
+++ b/crates/cluster-node/src/core/machine/frames.rs
@@ -1,4 +1,4 @@
-//! Frames of other processes, and the ends of their connections.
+//! Routes received frames and closed connections to the components.
 
 use super::CoreMachine;
 use crate::core::pending_requests::{Caller, PendingRequest};
@@ -47,7 +47,7 @@
                     from,
                     connection: Some(connection),
                     id,
-                    until: now.plus(remaining_ms),
+                    deadline: now.plus(remaining_ms),
                 };
                 self.take_request(PendingRequest { caller, request });
             }
@@ -75,7 +75,7 @@
 
     fn on_heartbeat(&mut self, from: PeerAddress, incarnation: u64, heartbeat: CoreHeartbeat) {
         let now = self.now();
-        let own = heartbeat
+        let own_stamp = heartbeat
             .acknowledges
             .filter(|stamp| stamp.incarnation == self.incarnation);
         let report = PeerReport {
@@ -85,7 +85,7 @@
             draining: heartbeat.draining,
             replica: heartbeat.replica,
             applied: heartbeat.applied,
-            acknowledged: own.map(|stamp| stamp.sent_at),
+            acknowledged: own_stamp.map(|stamp| stamp.sent_at),
             linked: heartbeat.linked,
         };
         let received = self.views.receive_heartbeat(heartbeat.voter, report, now);
@@ -101,7 +101,7 @@
         self.learn_view(heartbeat.view);
     }
 
-    /// Messages of the chain are taken only on a connection whose disk is known.
+    /// Handles a chain message. It is ignored on a connection on which no `Hello` has named a disk.
     fn on_chain_message(&mut self, connection: u64, message: ChainMessage) {
         if let Some(disk) = self.peers.disk(connection) {
             let effects = self.chain.receive(disk, message, self.now());
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Another core process opened a connection.
+    /// Handles the `Hello` of a core process that opened a connection.
     fn on_hello(&mut self, connection: u64, disk: DiskId, address: PeerAddress) {
         match self.views.check_disk(disk, address, self.now()) {
             Ok(()) => self.peers.connected(connection, disk),
--- a/crates/cluster-node/src/core/machine/mod.rs
+++ b/crates/cluster-node/src/core/machine/mod.rs
@@ -1,7 +1,7 @@
 //! The core process as one state machine without I/O: events come in, effects go out.
 //!
-//! [`CoreMachine`] owns one component for each concern and routes what each of them has to say to the others; the files
-//! of this folder contain its event routing, by concern. A component's state is changed by its own methods only.
+//! [`CoreMachine`] owns one component per concern and routes events and effects between them. Each file of this folder
+//! contains the routing of one concern. Only a component's own methods change its state.
 
 mod frames;
 mod ownership;
@@ -42,11 +42,10 @@
 use lupinrack_control_store::{Batch, Recovered};
 use lupinrack_view_agreement::{Agreement, PolicySettings, ViewPolicy, VoteState};
 
-/// A core process from which nothing was received for this long is suspected, in milliseconds.
+/// A core process becomes suspect after this time without a message from it, in milliseconds.
 const SUSPECT_AFTER_MS: u64 = 700;
-/// The same for one whose heartbeats have come in time for a while, in milliseconds: three intervals of heartbeats and
-/// half of one.
-const SUSPECT_AFTER_LEAST_MS: u64 = 350;
+/// Suspicion timeout for a process whose recent heartbeats were on time, in milliseconds: 3.5 heartbeat intervals.
+const MIN_SUSPECT_AFTER_MS: u64 = 350;
 
 /// The core process.
 #[derive(Debug)]
@@ -55,9 +54,9 @@
     name: String,
     me: Voter,
     incarnation: u64,
-    /// The newest moment that the driver gave.
+    /// The latest clock reading from the driver.
     moment: Moment,
-    /// Set once memory and disk no longer agree; nothing goes out from then on.
+    /// Set once memory and disk no longer agree. No effect leaves the machine after that.
     fault: Option<CoreFault>,
     outbox: Outbox,
     stalls: StallWatch,
@@ -66,7 +65,7 @@
     peers: CorePeers,
     chain: Chain,
     replica: Replica,
-    /// Requests at this process as the head.
+    /// Requests that this process handles as the head.
     requests: PendingRequests,
     admission: Admission,
     commit_history: CommitHistory,
@@ -80,11 +79,11 @@
 }
 
 impl CoreMachine {
-    /// A process that begins with what was found on its disk.
+    /// Starts a process from the contents of its disk.
     ///
     /// # Errors
     ///
-    /// Where what was found cannot be decoded.
+    /// If the contents cannot be decoded.
     pub fn new(
         settings: CoreSettings,
         recovered: Recovered,
@@ -121,7 +120,7 @@
         let policy_settings = PolicySettings {
             heartbeat_ms: HEARTBEAT_INTERVAL_MS,
             suspect_after_ms: SUSPECT_AFTER_MS,
-            suspect_after_least_ms: SUSPECT_AFTER_LEAST_MS,
+            suspect_after_least_ms: MIN_SUSPECT_AFTER_MS,
             tolerated_losses: settings.tolerated_losses,
             catch_up_ms: settings.catch_up_ms,
         };
@@ -172,7 +171,7 @@
         );
     }
 
-    /// Handles an event. Its effects wait for [`CoreMachine::take_effects`].
+    /// Handles an event. [`CoreMachine::take_effects`] returns its effects.
     pub fn receive(&mut self, event: CoreEvent, moment: Moment) {
         self.advance(moment);
         match event {
@@ -195,8 +194,8 @@
         }
     }
 
-    /// Finishes what the last events left to be done, and takes all effects, in the order in which they are to be
-    /// carried out.
+    /// Completes the work that the last events made due, and returns all effects. The driver carries them out in this
+    /// order.
     pub fn take_effects(&mut self, moment: Moment) -> Vec<CoreEffect> {
         self.advance(moment);
         self.finish_events();
@@ -207,24 +206,24 @@
         effects
     }
 
-    /// Why the process has to end at once; none while it may go on.
+    /// The fault for which the process must exit at once, if any.
     pub fn fault(&self) -> Option<CoreFault> {
         self.fault
     }
 
-    /// How often a process claimed a disk that another has: one of the two runs on a copy of the other's data. Nothing
-    /// of such a process is taken.
+    /// Number of times a process claimed a disk that another process has. One of the two runs on a copy of the other's
+    /// data. Messages of the claiming process are rejected.
     pub fn rejected_identity_claims(&self) -> u64 {
         self.peers.rejected_claims()
     }
 
-    /// Whether the process, after [`CoreEvent::Terminate`], may end now.
+    /// Whether the graceful shutdown that [`CoreEvent::Terminate`] began is complete, so that the process may exit.
     pub fn is_shutdown_complete(&self, now: Millis) -> bool {
         let is_needed = !(self.own_calls.is_idle() && self.views.may_shut_down(now));
         self.shutdown.is_complete(is_needed, now)
     }
 
-    /// Takes a newer moment. Time in which this process stood still does not count against its disk.
+    /// Advances the clock. A stall of this process does not count as write latency of its disk.
     fn advance(&mut self, moment: Moment) {
         self.moment = moment;
         if let Some(stalled_ms) = self.stalls.advance(moment.now) {
@@ -241,7 +240,7 @@
         self.fault.get_or_insert(fault);
     }
 
-    /// Hands a batch to the disk.
+    /// Queues a write of the batch to the disk. The continuation runs once the write is synced.
     fn write(&mut self, batch: Batch, continuation: WriteContinuation) {
         let number = self.writes.begin(continuation, self.now());
         self.outbox.write(number, batch);
@@ -279,17 +278,17 @@
 
     fn on_call(&mut self, call: HeadCall) {
         let now = self.now();
-        let until = now.plus(call.remaining_ms);
+        let deadline = now.plus(call.remaining_ms);
         let outbox = &mut self.outbox;
         self.own_calls
-            .begin(call.request, call.reply_to, until, now, outbox);
+            .begin(call.request, call.reply_to, deadline, now, outbox);
     }
 
     fn on_query(&mut self, call: ProcessCall) {
         let text = match call.query {
             ProcessQuery::Status => self.status(),
         };
-        // An operator that has gone needs no answer.
+        // Sending fails if the operator has disconnected. The answer is then dropped.
         let _ = call.reply_to.send(text);
     }
 
@@ -328,13 +327,14 @@
         self.requests.expire(now);
         self.send_due_heartbeats();
         self.propose_view();
-        self.watch_joiner();
+        self.update_joiner_throttle();
         self.confirm_view();
         self.take_over_shards();
         self.forget_jobs();
     }
 
-    /// Carries out what the last events left: messages to this process, requests that can go on, rounds that are due.
+    /// Completes the work that the last events made due: messages of this process to itself, deferred requests, a
+    /// barrier, and a scheduling round.
     fn finish_events(&mut self) {
         let now = self.now();
         while let Some(effects) = self.views.receive_from_self(now) {
--- a/crates/cluster-node/src/core/machine/ownership.rs
+++ b/crates/cluster-node/src/core/machine/ownership.rs
@@ -8,11 +8,11 @@
 use lupinrack_scheduler::InferredEnd;
 use std::time::Duration;
 
-/// The most log lines on inferred ends of one round.
+/// Limit on the log lines about inferred ends in one round.
 const MAX_INFERRED_END_LINES: usize = 20;
 
 impl CoreMachine {
-    /// Takes over the shards that the view gives to this process, and drops the others.
+    /// Takes over the shards that the view assigns to this process, and drops the others.
     pub(super) fn take_over_shards(&mut self) {
         let now = self.now();
         let view = self.views.current();
@@ -22,7 +22,7 @@
         }
     }
 
-    /// In how many milliseconds a round that something has asked for may run; none where nothing asks for one.
+    /// Milliseconds until the requested round may run; none if no round is requested.
     pub fn round_wait_ms(&self, now: Millis) -> Option<u64> {
         if self.shards.is_empty() {
             return None;
@@ -30,7 +30,7 @@
         self.rounds.wait_ms(now)
     }
 
-    /// Finishing the newest events took so long: rounds are paced by that.
+    /// Reports how long the latest events took to finish. The interval between rounds follows from it.
     pub fn events_finished_in(&mut self, duration: Duration) {
         self.rounds.events_finished_in(duration);
     }
@@ -55,7 +55,7 @@
         }
     }
 
-    /// A line a second and service, for whoever looks for the reason of a wait.
+    /// Logs a summary of each service once a second, to diagnose why tasks wait.
     fn log_services(&mut self) {
         let now = self.now();
         let is_logged = spdlog::default_logger().should_log(spdlog::Level::Debug);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Asks the head now and then whether this process's view is still in force.
+    /// Asks the head whether this process's view is still in force, if a confirmation is due.
     pub(super) fn confirm_view(&mut self) {
         let now = self.now();
         if !self.shards.needs_authority() || !self.authority.is_request_due(now) {
@@ -75,9 +75,10 @@
         }
         let number = self.views.current().number;
         let reply_to = self.authority.begin_request(number, now);
-        let (request, until) = (Request::ConfirmView { number }, now.plus(AUTHORITY_MS));
+        let (request, deadline) = (Request::ConfirmView { number }, now.plus(AUTHORITY_MS));
         let outbox = &mut self.outbox;
-        self.own_calls.begin(request, reply_to, until, now, outbox);
+        self.own_calls
+            .begin(request, reply_to, deadline, now, outbox);
     }
 
     pub(super) fn poll_confirmation(&mut self) {
@@ -87,7 +88,7 @@
     }
 }
 
-/// Lines on runs whose end no server reported, for whoever looks for the reason of a second start.
+/// Logs runs whose end was inferred rather than reported by a server, to explain a second start of a task.
 fn log_inferred_ends(ends: &[InferredEnd]) {
     for end in ends.iter().take(MAX_INFERRED_END_LINES) {
         log_inferred_end(end);
--- a/crates/cluster-node/src/core/machine/replication.rs
+++ b/crates/cluster-node/src/core/machine/replication.rs
@@ -57,7 +57,7 @@
         self.write(batch, WriteContinuation::EntriesWritten(last));
     }
 
-    /// Replaces the replica by the snapshot of another member.
+    /// Replaces the replica with a snapshot received from another member.
     fn install_snapshot(&mut self, index: u64, bytes: Vec<u8>) {
         match Replica::load(index, &bytes) {
             Ok(replica) => {
@@ -65,7 +65,7 @@
                 self.measure_state(bytes.len());
             }
             Err(error) => {
-                spdlog::error!("a snapshot up to {index}: {error}");
+                spdlog::error!("cannot decode the snapshot up to index {index}: {error}");
                 return self.fail(CoreFault::UnreadableSnapshot);
             }
         }
@@ -78,7 +78,7 @@
         self.write(batch, WriteContinuation::SnapshotInstalled(index));
     }
 
-    /// Writes a snapshot where so many entries, or so many bytes of them, were applied since the last one.
+    /// Writes a snapshot if enough entries, or enough bytes of entries, were applied since the last one.
     pub(super) fn write_snapshot_if_due(&mut self) {
         let (snapshot_index, applied) = (self.replica.snapshot_index(), self.replica.applied());
         let is_due =
@@ -97,7 +97,7 @@
         self.chain.compact_log(index);
     }
 
-    /// The state was encoded, in so many bytes.
+    /// Records the size of the encoded state.
     pub(super) fn measure_state(&mut self, encoded_bytes: usize) {
         let size = self.admission.size_mut();
         size.measure(self.replica.state(), encoded_bytes);
--- a/crates/cluster-node/src/core/machine/requests.rs
+++ b/crates/cluster-node/src/core/machine/requests.rs
@@ -1,8 +1,8 @@
-//! Requests at this process as the head, and operations that this process submits itself.
+//! Requests that this process handles as the head, and operations that it submits itself.
 
 use super::CoreMachine;
 use crate::core::pending_requests::{Caller, PendingRequest};
-use crate::core::request_steps::{first_step, reply_for, second_step, RequestStep};
+use crate::core::request_steps::{reply_for, step_after_barrier, step_before_barrier, RequestStep};
 use lupinrack_chain::{Chain, SubmitError};
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::frame::Frame;
@@ -10,7 +10,7 @@
 use lupinrack_cluster_api::request::Reply;
 
 impl CoreMachine {
-    /// Begins a request, or replies that this process is not the head.
+    /// Starts to handle a request; replies [`Reply::NotHead`] if this process is not the head.
     pub(super) fn take_request(&mut self, request: PendingRequest) {
         if !self.chain.is_head() {
             let view = self.views.current().clone();
@@ -22,7 +22,7 @@
             return;
         }
         let state = self.replica.state();
-        let step = first_step(state, &request.request, self.moment.wall);
+        let step = step_before_barrier(state, &request.request, self.moment.wall);
         self.follow_step(step, request);
     }
 
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Judges whether there is room for new work. What is known already adds nothing: it is never refused here, since its
-    /// answer follows from what it met before.
+    /// Checks whether the operation may add to the state. A repeated operation adds nothing and always passes, since
+    /// its result follows from its first application.
     fn admit(&mut self, operation: &Operation) -> Result<(), ErrorKind> {
         let state = self.replica.state();
         let is_new = match operation {
@@ -74,8 +74,8 @@
         verdict
     }
 
-    /// Notes whether a disk is late that is needed.
-    pub(super) fn watch_joiner(&mut self) {
+    /// Updates whether a disk that the cluster needs is late to join.
+    pub(super) fn update_joiner_throttle(&mut self) {
         let now = self.now();
         self.commit_history.record(self.chain.committed(), now);
         let redundancy = self.views.redundancy(now);
@@ -120,7 +120,7 @@
         let completed = self.requests.complete_barrier(number);
         for request in completed.requests {
             let state = self.replica.state();
-            let step = second_step(state, view_number, &request.request, wall);
+            let step = step_after_barrier(state, view_number, &request.request, wall);
             self.follow_step(step, request);
         }
         for request in completed.updates {
@@ -129,7 +129,7 @@
         self.begin_barrier();
     }
 
-    /// Appends an operation for which nobody waits; it waits until this process is a ready head.
+    /// Appends an operation that has no caller; defers it until this process is a ready head.
     pub(super) fn append(&mut self, operation: Operation) {
         if !self.chain.is_ready() {
             return self.requests.defer_operation(operation);
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Appends an operation for which nobody waits, or sends it to the head.
+    /// Appends an operation that has no caller, or sends it to the head.
     pub(super) fn submit(&mut self, operation: Operation) {
         if self.chain.is_head() {
             self.append(operation);
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Has jobs dropped that ended long ago.
+    /// Appends the operation that drops jobs that ended long ago, if there are any.
     pub(super) fn forget_jobs(&mut self) {
         let is_due = self.retention.is_sweep_due(self.now());
         if !is_due || !self.chain.is_head() || !self.chain.is_ready() {
@@ -160,7 +160,7 @@
     }
 }
 
-/// Whether the same was appended by an earlier request and is not committed yet.
+/// Whether an earlier request appended the same operation and it is not committed yet.
 fn is_uncommitted(chain: &Chain, operation: &Operation) -> bool {
     let is_same = |appended: &Operation| match (appended, operation) {
         (Operation::AcceptJob { job: one, .. }, Operation::AcceptJob { job: other, .. })
@@ -177,7 +177,8 @@
     })
 }
 
-/// The reply to a request whose operation was not appended. One that was appended before is never said not to be taken.
+/// The error for a request whose operation was not appended. A repeated operation is in doubt, since its earlier copy
+/// may still be committed.
 fn rejection(error: SubmitError, is_repeated: bool) -> ErrorKind {
     match error {
         _ if is_repeated => ErrorKind::InDoubt,
--- a/crates/cluster-node/src/core/machine/subscriptions.rs
+++ b/crates/cluster-node/src/core/machine/subscriptions.rs
@@ -1,4 +1,4 @@
-//! Processes that subscribed to views and configurations.
+//! Updates of views and configurations to subscribed processes.
 
 use super::CoreMachine;
 use crate::core::pending_requests::UpdateRequest;
@@ -6,9 +6,8 @@
 use lupinrack_cluster_api::time::Millis;
 
 impl CoreMachine {
-    /// A process subscribed, or said again what it has. It is sent the newest view at once, and the newest
-    /// configuration by the head, after a barrier that begins after now: so the answer was true at a moment after the
-    /// request.
+    /// Handles a new or renewed subscription. The subscriber gets the newest view at once. The head sends it the newest
+    /// configuration after a barrier that begins after the request, so the update is not older than the request.
     pub(super) fn on_subscribe(
         &mut self,
         connection: u64,
@@ -34,7 +33,7 @@
         }
     }
 
-    /// Answers a subscriber after the barrier for which its request waited.
+    /// Sends a subscriber its update, once the barrier that covers its request has completed.
     pub(super) fn send_update(&mut self, request: UpdateRequest) {
         let newest = self.replica.state().configuration();
         if newest.version == 0 {
@@ -50,9 +49,9 @@
         self.outbox.send_on(request.connection, update);
     }
 
-    /// Sends a change that was committed to all subscribers that want it. When it was committed is not certain here:
-    /// the message that says so may have been long on its way. So the update carries no moment, and subscribers ask at
-    /// once.
+    /// Sends a committed configuration change to all subscribers that lack it. The commit time is unknown here, since
+    /// the commit message may have been delayed. So the update has no timestamp, and subscribers request a timestamped
+    /// one at once.
     pub(super) fn send_configuration(&mut self) {
         if !self.chain.is_head() {
             return;
--- a/crates/cluster-node/src/core/machine/views.rs
+++ b/crates/cluster-node/src/core/machine/views.rs
@@ -1,4 +1,4 @@
-//! Views: carrying out the agreement on them, adopting them, and the heartbeats that carry them.
+//! Agreement on views, adoption of views, and the heartbeats that spread them.
 
 use super::CoreMachine;
 use crate::core::view_manager::ViewEffect;
@@ -23,7 +23,7 @@
         self.carry_out_views(effects);
     }
 
-    /// Adopts a view that is on the disk: everything of this process goes on in it.
+    /// Adopts a view that is stored on the disk. All components of this process switch to it.
     pub(super) fn adopt_view(&mut self, view: &View) {
         let now = self.now();
         if view.number < self.chain.view().number || !self.views.adopt(view.number) {
@@ -40,7 +40,7 @@
             self.requests.take_deferred_operations();
         }
         self.authority.revoke();
-        // What was on its way to the head of the old view may be lost.
+        // Operations in flight to the head of the old view may be lost.
         self.shards.resubmit_operations();
         self.rounds.request();
         for (connection, subscriber) in self.subscribers.iter_mut() {
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Sends heartbeats where they are due, or where others should learn at once of a link that works
-    /// or no longer works.
+    /// Sends heartbeats if they are due, or if a link came up or went down that other processes should learn of at
+    /// once.
     pub(super) fn send_due_heartbeats(&mut self) {
         let now = self.now();
         if self.peers.is_heartbeat_due(now) || self.views.have_links_changed(now) {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The replica status for the view that the heartbeat names; none while the replica has not adopted that view.
+    /// The replica's status in the view that the heartbeat names; the default until the replica has adopted that view.
     fn replica_report(&self) -> ReplicaReport {
         if self.chain.view().number != self.views.current().number {
             return ReplicaReport::default();
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Proposes the next view where one is due. A process that shuts down leaves that to others.
+    /// Proposes the next view if one is due. A draining process leaves proposals to others.
     pub(super) fn propose_view(&mut self) {
         if !self.shutdown.is_draining() {
             let effects = self.views.propose(self.now());
--- a/crates/cluster-node/src/core/mod.rs
+++ b/crates/cluster-node/src/core/mod.rs
@@ -1,8 +1,8 @@
-//! A core process: votes on views, replicates the control state, answers calls, owns shards.
+//! A core process. It votes on views, replicates the control state, answers calls, and owns shards.
 //!
-//! [`CoreMachine`] is the process without I/O: everything that happens (frames, calls of this process, synced writes,
-//! the timer) comes in as a [`CoreEvent`], and what is to be done comes out as [`CoreEffect`]s. `process` drives it: it
-//! owns the sockets, the disk's thread and the clocks, and carries the effects out in their order.
+//! [`CoreMachine`] is the process without I/O. Its inputs (frames, operators' calls, synced writes, the timer) are
+//! [`CoreEvent`]s, and its outputs are [`CoreEffect`]s. `process` is its driver: it owns the sockets, the disk's thread
+//! and the clocks, and carries out the effects in order.
 
 pub mod admission;
 pub mod commit_history;
--- a/crates/cluster-node/src/core/moment.rs
+++ b/crates/cluster-node/src/core/moment.rs
@@ -2,7 +2,7 @@
 
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 
-/// Both clocks, read at once.
+/// Both clocks, read at the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct Moment {
     /// The monotonic clock of the process.
--- a/crates/cluster-node/src/core/own_calls.rs
+++ b/crates/cluster-node/src/core/own_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the head that this process makes itself. Where it is the head, they do not go over the network.
+//! Calls that this process itself makes to the head. If it is the head, they do not go over the network.
 
 use super::outbox::Outbox;
 use super::pending_requests::{Caller, PendingRequest};
@@ -16,12 +16,12 @@
 pub(super) struct OwnCalls {
     me: PeerAddress,
     client: HeadClient,
-    /// Calls that this process is to answer itself.
+    /// Calls that this process answers itself, as the head.
     to_self: VecDeque<PendingRequest>,
 }
 
 impl OwnCalls {
-    /// No calls, in this incarnation of the process at this address.
+    /// Starts without calls, in this incarnation of the process at this address.
     pub(super) fn new(me: PeerAddress, incarnation: u64) -> OwnCalls {
         OwnCalls {
             me,
@@ -35,30 +35,30 @@
         self.client.is_idle()
     }
 
-    /// How many replies came that belong to no open call.
+    /// Number of received replies that match no open call.
     pub(super) fn unmatched_replies(&self) -> u64 {
         self.client.unmatched_replies()
     }
 
-    /// The next call that this process is to answer itself.
+    /// Takes the next call that this process answers itself.
     pub(super) fn next_to_self(&mut self) -> Option<PendingRequest> {
         self.to_self.pop_front()
     }
 
-    /// Begins a call that is given up at `until`.
+    /// Begins a call that is given up at `deadline`.
     pub(super) fn begin(
         &mut self,
         request: Request,
         reply_to: oneshot::Sender<Reply>,
-        until: Millis,
+        deadline: Millis,
         now: Millis,
         outbox: &mut Outbox,
     ) {
-        let outgoing = self.client.call(request, reply_to, until, now);
+        let outgoing = self.client.call(request, reply_to, deadline, now);
         self.send(outgoing, now, outbox);
     }
 
-    /// A reply came.
+    /// Handles a reply.
     pub(super) fn receive_reply(
         &mut self,
         from: PeerAddress,
@@ -71,19 +71,19 @@
         self.send(outgoing, now, outbox);
     }
 
-    /// A newer view is adopted.
+    /// Handles the adoption of a newer view.
     pub(super) fn view_changed(&mut self, view: &View, now: Millis, outbox: &mut Outbox) {
         let outgoing = self.client.learn_view(view, now);
         self.send(outgoing, now, outbox);
     }
 
-    /// A connection ended.
+    /// Handles the end of a connection.
     pub(super) fn disconnected(&mut self, from: PeerAddress, now: Millis, outbox: &mut Outbox) {
         let outgoing = self.client.disconnected(from, now);
         self.send(outgoing, now, outbox);
     }
 
-    /// Time has passed.
+    /// Handles a tick of the timer.
     pub(super) fn tick(&mut self, now: Millis, outbox: &mut Outbox) {
         let outgoing = self.client.tick(now);
         self.send(outgoing, now, outbox);
@@ -101,7 +101,7 @@
                         from: to,
                         connection: None,
                         id,
-                        until: now.plus(remaining_ms),
+                        deadline: now.plus(remaining_ms),
                     };
                     self.to_self.push_back(PendingRequest { caller, request });
                 }
--- a/crates/cluster-node/src/core/pending_requests.rs
+++ b/crates/cluster-node/src/core/pending_requests.rs
@@ -1,5 +1,5 @@
-//! Requests that wait at the head: for their operation to be applied, for a barrier, or for the head to be ready; and
-//! subscribers that wait for a barrier.
+//! Requests that wait at the head for an operation to be applied, for a barrier, or for the head to be ready, and
+//! subscribers' requests that wait for a barrier.
 
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::operation::Operation;
@@ -7,70 +7,70 @@
 use lupinrack_cluster_api::time::Millis;
 use std::collections::BTreeMap;
 
-/// The most operations of owners of shards that wait for this head to be ready; further ones are dropped, and submitted
-/// again by their owners.
+/// Limit on shard owners' operations that wait for this head to be ready. Further ones are dropped, and their owners
+/// submit them again.
 const MAX_DEFERRED_OPERATIONS: usize = 64;
 
-/// Who made a request.
+/// The caller that made a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Caller {
-    /// The process.
+    /// The calling process.
     pub from: PeerAddress,
-    /// The connection on which the request came; none for this process itself.
+    /// The connection on which the request was received; none for a call by this process itself.
     pub connection: Option<u64>,
     /// The caller's identity of the call.
     pub id: CallId,
     /// When the caller gives up.
-    pub until: Millis,
+    pub deadline: Millis,
 }
 
 /// A request that is not answered yet.
 #[derive(Clone, Debug)]
 pub struct PendingRequest {
-    /// Who made it.
+    /// The caller.
     pub caller: Caller,
-    /// What it asks for.
+    /// The request.
     pub request: Request,
 }
 
 /// A subscriber's request for the newest configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpdateRequest {
-    /// Its connection.
+    /// The subscriber's connection.
     pub connection: u64,
-    /// The version that it has.
+    /// The version that the subscriber has.
     pub have: u64,
-    /// When it made the request, by its own monotonic clock.
+    /// When it made the request, on its own monotonic clock.
     pub requested_at: Millis,
 }
 
-/// What a barrier that went through the chain lets the head answer.
+/// The requests that a completed barrier lets the head answer.
 #[derive(Clone, Debug, Default)]
 pub struct CompletedBarrier {
-    /// Requests that came before it began.
+    /// Requests received before the barrier began.
     pub requests: Vec<PendingRequest>,
-    /// Requests of subscribers that came before it began.
+    /// Subscribers' requests received before the barrier began.
     pub updates: Vec<UpdateRequest>,
 }
 
-/// Everything that waits at the head.
+/// All requests and operations that wait at the head.
 #[derive(Debug, Default)]
 pub struct PendingRequests {
-    /// By the index of their operation.
+    /// Requests that wait for their operation to be applied, by its index.
     by_operation: BTreeMap<u64, PendingRequest>,
-    /// Covered by the barrier under way.
+    /// Requests that the current barrier covers.
     covered: Vec<PendingRequest>,
-    /// Came after the barrier under way began.
+    /// Requests received after the current barrier began.
     next: Vec<PendingRequest>,
-    /// Requests of subscribers that the barrier under way covers.
+    /// Subscribers' requests that the current barrier covers.
     covered_updates: Vec<UpdateRequest>,
-    /// The newest request of each connection that came after the barrier under way began.
+    /// The newest request of each subscriber's connection, received after the current barrier began.
     next_updates: BTreeMap<u64, UpdateRequest>,
-    /// The number of the barrier under way.
+    /// The number of the current barrier, if there is one.
     barrier: Option<u64>,
-    /// Came while this head was not ready.
+    /// Requests received while this head was not ready.
     deferred: Vec<PendingRequest>,
-    /// Operations of owners of shards that came while this process was not a ready head.
+    /// Shard owners' operations received while this process was not a ready head.
     deferred_operations: Vec<Operation>,
 }
 
@@ -85,23 +85,23 @@
         self.by_operation.remove(&index)
     }
 
-    /// Keeps a request until a barrier that begins after now has completed.
+    /// Keeps a request until the next barrier has completed. The current barrier does not cover it.
     pub fn await_barrier(&mut self, request: PendingRequest) {
         self.next.push(request);
     }
 
-    /// Keeps a subscriber's request until a barrier that begins after now has completed. A later one of the same
-    /// connection replaces one that no barrier covers yet.
+    /// Keeps a subscriber's request until the next barrier has completed. It replaces an earlier request of the same
+    /// connection that no barrier covers yet.
     pub fn await_update(&mut self, request: UpdateRequest) {
         self.next_updates.insert(request.connection, request);
     }
 
-    /// Whether a barrier should begin.
+    /// Whether requests wait for a barrier and none is running.
     pub fn needs_barrier(&self) -> bool {
         self.barrier.is_none() && !(self.next.is_empty() && self.next_updates.is_empty())
     }
 
-    /// The barrier of this number began: it covers everything that waits for one.
+    /// Records that the barrier of this number began. It covers all requests that wait for a barrier.
     pub fn barrier_started(&mut self, number: u64) {
         self.barrier = Some(number);
         self.covered.append(&mut self.next);
@@ -109,7 +109,7 @@
             .extend(std::mem::take(&mut self.next_updates).into_values());
     }
 
-    /// The barrier of this number went through the chain; takes what it covers.
+    /// Completes the barrier of this number, which went through the chain. Returns the requests that it covers.
     pub fn complete_barrier(&mut self, number: u64) -> CompletedBarrier {
         if self.barrier.is_none_or(|began| began > number) {
             return CompletedBarrier::default();
@@ -126,27 +126,27 @@
         self.deferred.push(request);
     }
 
-    /// Takes the requests that waited for this head to be ready.
+    /// Takes the requests that wait for this head to be ready.
     pub fn take_deferred(&mut self) -> Vec<PendingRequest> {
         std::mem::take(&mut self.deferred)
     }
 
-    /// Keeps an operation, for which nobody waits, until this process is a ready head. It may come before the view that
-    /// makes it the head.
+    /// Keeps an operation that has no caller until this process is a ready head. The operation may arrive before the
+    /// view that makes this process the head.
     pub fn defer_operation(&mut self, operation: Operation) {
         if self.deferred_operations.len() < MAX_DEFERRED_OPERATIONS {
             self.deferred_operations.push(operation);
         }
     }
 
-    /// Takes the operations that waited for this head to be ready.
+    /// Takes the operations that wait for this head to be ready.
     pub fn take_deferred_operations(&mut self) -> Vec<Operation> {
         std::mem::take(&mut self.deferred_operations)
     }
 
-    /// The view changed. A barrier of the old view is void, and subscribers ask again. Takes every request that waited,
-    /// to be looked at once more: one whose operation was appended may be appended again, since operations on jobs and
-    /// configurations are idempotent.
+    /// Drops the barrier of the old view after a view change, with the subscribers' requests, which subscribers repeat.
+    /// Returns all waiting requests, to be handled again. An operation may be appended a second time, since operations
+    /// on jobs and configurations are idempotent.
     pub fn view_changed(&mut self) -> Vec<PendingRequest> {
         self.barrier = None;
         self.covered_updates.clear();
@@ -159,9 +159,9 @@
         requests
     }
 
-    /// Drops requests whose callers have given up.
+    /// Drops requests whose deadline is over.
     pub fn expire(&mut self, now: Millis) {
-        let is_awaited = |request: &PendingRequest| request.caller.until > now;
+        let is_awaited = |request: &PendingRequest| request.caller.deadline > now;
         self.by_operation.retain(|_, request| is_awaited(request));
         self.next.retain(is_awaited);
         self.covered.retain(is_awaited);
--- a/crates/cluster-node/src/core/pending_writes.rs
+++ b/crates/cluster-node/src/core/pending_writes.rs
@@ -1,4 +1,4 @@
-//! Writes to the disk that are not synced yet, and what continues once they are.
+//! Writes to the disk that are not synced yet, and their continuations.
 
 use lupinrack_cluster_api::agreement::AgreementMessage;
 use lupinrack_cluster_api::identity::PeerAddress;
@@ -8,19 +8,19 @@
 
 /// A write that is not synced after this long makes the disk unhealthy, in milliseconds.
 const SLOW_WRITE_MS: u64 = 150;
-/// A disk is healthy again once its writes were quick for this long, in milliseconds.
+/// A disk is healthy again once no write has been slow or failed for this long, in milliseconds.
 const RECOVERY_MS: u64 = 2_000;
 
-/// What continues once a write is synced.
+/// The action that follows once a write is synced.
 #[derive(Debug)]
 pub enum WriteContinuation {
-    /// Nothing waits for it.
+    /// No action.
     Nothing,
-    /// Messages of the agreement on views are sent.
+    /// Sends these messages of the agreement on views.
     SendVotes(Vec<(PeerAddress, AgreementMessage)>),
     /// Notifies the chain that its entries up to this index are on the disk.
     EntriesWritten(u64),
-    /// The view may be adopted.
+    /// Adopts the view.
     ViewStored(View),
     /// Notifies the chain that the log was truncated after this index.
     Truncated(u64),
@@ -36,8 +36,8 @@
     continuation: WriteContinuation,
 }
 
-/// All writes under way, by the numbers under which the driver acknowledges them, and the disk's health, which follows
-/// from how long they take.
+/// All unsynced writes, by the numbers with which the driver acknowledges them, and the disk's health, which follows
+/// from their latency.
 #[derive(Debug, Default)]
 pub struct PendingWrites {
     last_number: u64,
@@ -46,7 +46,7 @@
 }
 
 impl PendingWrites {
-    /// Notes a write that begins now, and returns its number.
+    /// Records a write that begins now. Returns its number.
     pub fn begin(&mut self, continuation: WriteContinuation, now: Millis) -> u64 {
         self.last_number += 1;
         let write = PendingWrite {
@@ -57,7 +57,7 @@
         self.last_number
     }
 
-    /// The writes of these numbers are synced; returns their continuations, in their order.
+    /// Records that the writes of these numbers are synced. Returns their continuations in the same order.
     pub fn synced(&mut self, numbers: &[u64], now: Millis) -> Vec<WriteContinuation> {
         let mut continuations = Vec::new();
         for number in numbers {
@@ -72,19 +72,19 @@
         continuations
     }
 
-    /// The process stood still for so many milliseconds until now: they do not count as time of the writes under way.
+    /// Excludes a stall of this process, which just ended, from the latency of the unsynced writes.
     pub fn exclude_stall(&mut self, stalled_ms: u64, now: Millis) {
         for write in self.pending.values_mut() {
             write.began_at = write.began_at.plus(stalled_ms).min(now);
         }
     }
 
-    /// A write failed; the driver retries it.
+    /// Records that a write failed. The driver retries it.
     pub fn failed(&mut self, now: Millis) {
         self.last_slow_at = Some(now);
     }
 
-    /// Whether writes are synced in time.
+    /// Whether no write has been slow or failed recently.
     pub fn is_healthy(&self, now: Millis) -> bool {
         let oldest = self.pending.values().next();
         let is_slow = oldest.is_some_and(|write| now.since(write.began_at) >= SLOW_WRITE_MS);
--- a/crates/cluster-node/src/core/process.rs
+++ b/crates/cluster-node/src/core/process.rs
@@ -1,4 +1,4 @@
-//! The process: the driver of [`CoreMachine`], which owns its sockets, its disk's thread and its clocks.
+//! The driver of [`CoreMachine`]. It owns the sockets, the thread that writes to the disk, and the clocks.
 
 use super::{CoreEffect, CoreEvent, CoreMachine, CoreSettings};
 use crate::clock::{draw, Clock};
@@ -18,15 +18,15 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// How often the process looks at its clock, in milliseconds.
-const TICK_MS: u64 = 25;
-/// The part of a disk above which the file is compacted when it is opened.
-const COMPACTED_DISK_PARTS: u64 = 4;
-/// Bytes of a megabyte, as disks are described.
+/// Interval of the timer that drives the machine, in milliseconds.
+const TICK_INTERVAL_MS: u64 = 25;
+/// The store's file is compacted on opening if it is larger than one part in this many of the disk.
+const COMPACTION_DISK_DIVISOR: u64 = 4;
+/// Bytes in a megabyte, the unit of disk sizes in the settings.
 const MEGABYTE: u64 = 1_000_000;
-/// Calls of operators that wait for the process.
+/// Capacity of the queue of operators' calls to the head.
 const MAX_WAITING_CALLS: usize = 256;
-/// Questions of operators that wait for the process.
+/// Capacity of the queue of operators' queries to this process.
 const MAX_WAITING_QUERIES: usize = 16;
 
 struct Driver {
@@ -37,11 +37,11 @@
     membership: Membership,
     settings_file: SettingsFile,
     violations: ProtocolViolationLog,
-    /// The table of live members that the machine was told of last.
+    /// The table of live members that was last passed to the machine.
     table: Arc<LiveTable>,
 }
 
-/// Everything that reaches the process from outside.
+/// The inputs of the process.
 struct Inputs {
     peer_events: mpsc::Receiver<PeerEvent>,
     write_outcomes: mpsc::UnboundedReceiver<WriteOutcome>,
@@ -54,9 +54,9 @@
 ///
 /// # Errors
 ///
-/// Where it cannot start, or cannot go on with what it has in memory.
+/// If the process cannot start, or has to exit because of a [`CoreFault`](super::CoreFault).
 pub(crate) async fn run(settings_file: SettingsFile, clock: Clock) -> Result<(), NodeError> {
-    // Before anybody can reach the process: a signal would end one that does not listen yet.
+    // Handlers are installed before any socket is open: without them a signal kills the process.
     let signals = Signals::listen()?;
     let settings = settings_file.settings();
     let data_dir = settings.data_dir.as_ref();
@@ -75,7 +75,7 @@
     .map_err(NodeError::ListenForPeers)?;
     let (outcomes_in, write_outcomes) = mpsc::unbounded_channel::<WriteOutcome>();
     let writer = Writer::spawn(store, move |outcome| {
-        // The process ends with its receiver; nobody is left to notify then.
+        // Sending fails only once the driver has dropped its receiver at exit.
         let _ = outcomes_in.send(outcome);
     })
     .map_err(NodeError::StartWriter)?;
@@ -112,7 +112,7 @@
 }
 
 async fn drive(mut driver: Driver, mut inputs: Inputs) -> Result<(), NodeError> {
-    let mut timer = tokio::time::interval(Duration::from_millis(TICK_MS));
+    let mut timer = tokio::time::interval(Duration::from_millis(TICK_INTERVAL_MS));
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     driver.carry_out_effects();
     loop {
@@ -127,7 +127,7 @@
             Some(call) = inputs.calls.recv() => driver.receive(CoreEvent::Call(call)),
             Some(call) = inputs.queries.recv() => driver.receive(CoreEvent::Query(call)),
             _ = timer.tick() => driver.on_tick(),
-            () = driver.round_may_run() => {}
+            () = driver.round_is_due() => {}
             signal = inputs.signals.next() => driver.on_signal(signal),
         }
         driver.carry_out_effects();
@@ -146,7 +146,7 @@
         0 => default.compact_above_bytes,
         known => default
             .compact_above_bytes
-            .min(known.saturating_mul(MEGABYTE) / COMPACTED_DISK_PARTS),
+            .min(known.saturating_mul(MEGABYTE) / COMPACTION_DISK_DIVISOR),
     };
     StoreSettings {
         compact_above_bytes,
@@ -154,7 +154,7 @@
     }
 }
 
-/// The largest entry has room beside a full window on a connection.
+/// Lets a connection buffer the largest frame.
 fn peer_settings() -> PeerSettings {
     PeerSettings {
         max_unwritten_bytes: FRAME_BYTES_MOST,
@@ -243,8 +243,8 @@
         self.receive(CoreEvent::Synced(outcome.synced));
     }
 
-    /// Ends when a round of the schedulers that something has asked for may run.
-    async fn round_may_run(&self) {
+    /// Completes when the requested round of the schedulers may run. Pending forever if none is requested.
+    async fn round_is_due(&self) {
         match self.machine.round_wait_ms(self.clock.now()) {
             Some(wait_ms) => tokio::time::sleep(Duration::from_millis(wait_ms)).await,
             None => std::future::pending().await,
@@ -269,7 +269,7 @@
                 self.peers.send_on(connection, frame);
             }
             CoreEffect::Write { number, batch } => {
-                // The thread ends only with this process.
+                // Writing fails only if the writer's thread has ended, which happens only at exit.
                 let _ = self.writer.write(number, batch);
             }
         }
--- a/crates/cluster-node/src/core/replica.rs
+++ b/crates/cluster-node/src/core/replica.rs
@@ -1,13 +1,13 @@
-//! This disk's replica of the control state: the state, how far the log is applied to it, and what its newest snapshot
-//! covers. Only committed entries may be applied.
+//! This disk's replica of the control state, with the index of the last applied entry and of the newest snapshot. Only
+//! committed entries may be applied.
 
 use lupinrack_cluster_api::operation::{LogEntry, OperationResult};
 use lupinrack_control_state::{ControlState, SnapshotError};
 
-/// Entries after which the state is written as a new snapshot.
+/// Number of applied entries after which a new snapshot is due.
 const SNAPSHOT_INTERVAL_ENTRIES: u64 = 4_000;
 
-/// The applied state.
+/// The replica.
 #[derive(Debug, Default)]
 pub(super) struct Replica {
     state: ControlState,
@@ -16,11 +16,11 @@
 }
 
 impl Replica {
-    /// From a snapshot up to this index; empty bytes stand for the empty state.
+    /// Loads a snapshot that covers the log up to this index. Empty bytes are the empty state.
     ///
     /// # Errors
     ///
-    /// Where the bytes are not a state.
+    /// If the bytes are not a valid snapshot.
     pub(super) fn load(index: u64, bytes: &[u8]) -> Result<Replica, SnapshotError> {
         let state = if bytes.is_empty() {
             ControlState::default()
@@ -44,7 +44,7 @@
         self.applied
     }
 
-    /// The version of the configuration; 0 before the first.
+    /// The version of the configuration; 0 before the first one.
     pub(super) fn configuration_version(&self) -> u64 {
         self.state.configuration().version
     }
@@ -65,18 +65,18 @@
         self.snapshot_index
     }
 
-    /// Whether a new snapshot is due for the number of entries since the last one.
+    /// Whether a new snapshot is due, by the number of entries since the last one.
     pub(super) fn needs_snapshot(&self) -> bool {
         self.applied.saturating_sub(self.snapshot_index) >= SNAPSHOT_INTERVAL_ENTRIES
     }
 
-    /// The state as bytes and the index that it covers, to be written as the newest snapshot.
+    /// Encodes the state as the newest snapshot. Returns the index that it covers and its bytes.
     pub(super) fn take_snapshot(&mut self) -> (u64, Vec<u8>) {
         self.snapshot_index = self.applied;
         (self.applied, self.to_bytes())
     }
 
-    /// The state as bytes.
+    /// The encoded state.
     pub(super) fn to_bytes(&self) -> Vec<u8> {
         // Writing into memory does not fail.
         self.state.to_bytes().unwrap_or_default()
--- a/crates/cluster-node/src/core/request_steps.rs
+++ b/crates/cluster-node/src/core/request_steps.rs
@@ -1,5 +1,6 @@
-//! What the head does with a request, by the state that is applied: a first step when it is received, a second one
-//! after a barrier, when the applied state is known to contain everything that was committed before the request came.
+//! How the head handles a request by its applied state. The first step runs when the request is received. The second
+//! step runs after a barrier, when the applied state contains everything that was committed before the request was
+//! received.
 
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::identity::{JobId, QueueName};
@@ -8,19 +9,23 @@
 use lupinrack_cluster_api::time::WallMillis;
 use lupinrack_control_state::ControlState;
 
-/// What the head does next with a request.
+/// The head's next action for a request.
 #[derive(Debug)]
 pub enum RequestStep {
-    /// Appends this operation, and replies once it is applied.
+    /// Append this operation, and reply once it is applied.
     Append(Operation),
-    /// Handles it again after a barrier.
+    /// Handle the request again after a barrier.
     AwaitBarrier,
-    /// Replies.
+    /// Send this reply.
     Reply(Reply),
 }
 
-/// Handles a request before a barrier, by the state that is applied here, which may be older than what was committed.
-pub fn first_step(state: &ControlState, request: &Request, wall: WallMillis) -> RequestStep {
+/// Handles a request before a barrier. The applied state may lack committed entries.
+pub fn step_before_barrier(
+    state: &ControlState,
+    request: &Request,
+    wall: WallMillis,
+) -> RequestStep {
     match request {
         Request::ChangeConfiguration(change) => {
             RequestStep::Append(Operation::ChangeConfiguration(change.clone()))
@@ -37,7 +42,7 @@
 }
 
 /// Handles a request after a barrier. `view` is the number of the view in which the barrier completed.
-pub fn second_step(
+pub fn step_after_barrier(
     state: &ControlState,
     view: u64,
     request: &Request,
@@ -45,8 +50,8 @@
 ) -> RequestStep {
     match request {
         Request::SubmitJob { job, .. } => {
-            let refusal = || RequestStep::Reply(Reply::Error(job_rejection(state, *job)));
-            operation_on_job(state, request, wall).map_or_else(refusal, RequestStep::Append)
+            let rejected = || RequestStep::Reply(Reply::Error(job_rejection(state, *job)));
+            operation_on_job(state, request, wall).map_or_else(rejected, RequestStep::Append)
         }
         Request::CancelJob { .. } => {
             let unknown = || RequestStep::Reply(Reply::Error(unknown_queue(state)));
@@ -72,11 +77,11 @@
         }),
         Request::ConfirmView { number } if *number == view => RequestStep::Reply(Reply::Done),
         Request::ConfirmView { .. } => RequestStep::Reply(Reply::Error(ErrorKind::Fenced)),
-        Request::ChangeConfiguration(_) => first_step(state, request, wall),
+        Request::ChangeConfiguration(_) => step_before_barrier(state, request, wall),
     }
 }
 
-/// The answer to a call whose operation was applied.
+/// The reply to a request whose operation was applied.
 pub fn reply_for(result: &OperationResult) -> Reply {
     match result {
         OperationResult::Done | OperationResult::Starts(_) => Reply::Done,
@@ -117,7 +122,7 @@
     Some(&route.name)
 }
 
-/// Why a job is rejected whose target has no configured queue.
+/// The error for a job whose target has no configured queue.
 fn job_rejection(state: &ControlState, job: JobId) -> ErrorKind {
     if state.configuration().version == 0 {
         ErrorKind::NotTaken
@@ -126,7 +131,7 @@
     }
 }
 
-/// A queue that is not configured; before the first configuration nothing is known.
+/// The error for a queue that is not configured. Before the first configuration it is unknown whether the queue exists.
 fn unknown_queue(state: &ControlState) -> ErrorKind {
     if state.configuration().version == 0 {
         ErrorKind::NotTaken
--- a/crates/cluster-node/src/core/settings.rs
+++ b/crates/cluster-node/src/core/settings.rs
@@ -1,51 +1,51 @@
-//! Settings of a core process, derived from those of its node.
+//! Settings of a core process, derived from the settings of its node.
 
-use super::state_size::admitted_bytes_most;
+use super::state_size::max_admitted_bytes;
 use lupinrack_chain::limits::ByteLimits;
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::view::Voter;
 use lupinrack_node_settings::NodeSettings;
 use lupinrack_scheduler::SchedulerSettings;
 
-/// Ended jobs are remembered for so much longer than their state may be asked for, since clocks of different machines
-/// differ and jump, in milliseconds.
+/// Ended jobs are kept for this long beyond the time in which clients may ask for their state, in milliseconds, since
+/// the clocks of machines differ and jump.
 const REMEMBER_MARGIN_MS: u64 = 60_000;
-/// For how long a machine counts as lost after its start where nothing is set, in milliseconds.
+/// Default time for which a machine counts as lost after its start, in milliseconds.
 const CATCH_UP_MS: u64 = 4_000;
-/// The time between the signal to end and being killed where nothing is set, in milliseconds.
+/// Default time between the signal to terminate and the kill, in milliseconds.
 const GRACE_MS: u64 = 6_000;
 
 /// Settings of a [`CoreMachine`](super::CoreMachine).
 #[derive(Clone, Debug)]
 pub struct CoreSettings {
-    /// Its name, for operators.
+    /// The name of its machine, for operators.
     pub name: String,
     /// Its disk, its address and its zone.
     pub me: Voter,
-    /// Drawn at random when the process began.
+    /// Random number drawn at the start of the process.
     pub incarnation: u64,
-    /// Where core processes are looked for.
+    /// Addresses at which core processes may be found.
     pub seeds: Vec<PeerAddress>,
-    /// The processes that may found the first view; empty where this process does not found.
+    /// The processes that may found the first view; empty if this process is not a founder.
     pub founders: Vec<PeerAddress>,
-    /// How many core machines may be lost.
+    /// Number of core machines whose loss is tolerated.
     pub tolerated_losses: usize,
     /// How long a machine counts as lost after its start, in milliseconds.
     pub catch_up_ms: u64,
-    /// How long a process has between the signal to end and being killed, in milliseconds.
+    /// Time between the signal to terminate and the kill, in milliseconds.
     pub grace_ms: u64,
-    /// How long a job that has ended is remembered, in milliseconds.
+    /// Retention time of an ended job, in milliseconds.
     pub remember_ms: u64,
     /// Settings of its schedulers.
     pub scheduler: SchedulerSettings,
-    /// Bounds of the log in bytes.
+    /// Size limits of the log in bytes.
     pub log_bytes: ByteLimits,
-    /// The most bytes of state for which new work is admitted.
+    /// Size limit of the state up to which new work is admitted, in bytes.
     pub admitted_state_bytes: u64,
 }
 
 impl CoreSettings {
-    /// The defaults of a process that knows nobody, founds nothing and tolerates no loss.
+    /// Defaults for a process without seeds that is not a founder and tolerates no loss.
     pub fn with_defaults(me: Voter, incarnation: u64) -> CoreSettings {
         CoreSettings {
             name: "core".to_owned(),
@@ -59,11 +59,11 @@
             remember_ms: REMEMBER_MARGIN_MS,
             scheduler: SchedulerSettings::default(),
             log_bytes: ByteLimits::default(),
-            admitted_state_bytes: admitted_bytes_most(0, 0),
+            admitted_state_bytes: max_admitted_bytes(0, 0),
         }
     }
 
-    /// From the settings of the node, for this disk and this incarnation.
+    /// Derives the settings from those of the node, for this disk and incarnation.
     pub fn of_node(node: &NodeSettings, disk: DiskId, incarnation: u64) -> CoreSettings {
         let address = PeerAddress(node.internal_address);
         let seeds = node.seed_internal();
@@ -88,12 +88,12 @@
             remember_ms: node.bounds.status_ms.saturating_add(REMEMBER_MARGIN_MS),
             scheduler: scheduler_settings(node),
             log_bytes: ByteLimits::of_machine(node.limits.memory_mb, node.limits.disk_mb),
-            admitted_state_bytes: admitted_bytes_most(node.limits.memory_mb, node.limits.disk_mb),
+            admitted_state_bytes: max_admitted_bytes(node.limits.memory_mb, node.limits.disk_mb),
         }
     }
 }
 
-/// The scheduler's settings, from the bounds of the deployment.
+/// Derives the scheduler's settings from the deployment's time limits.
 fn scheduler_settings(node: &NodeSettings) -> SchedulerSettings {
     let bounds = &node.bounds;
     SchedulerSettings {
--- a/crates/cluster-node/src/core/shard_authority.rs
+++ b/crates/cluster-node/src/core/shard_authority.rs
@@ -1,18 +1,19 @@
-//! For how long this process may act as the owner of shards.
+//! The lease under which this process may act as the owner of shards.
 //!
-//! An owner acts only while its view is known to be in force. It asks the head now and then, which answers after a
-//! barrier through the chain; its authority counts from the moment of the question, on its own monotonic clock.
+//! An owner acts only while its view is known to be in force. It asks the head at regular intervals, and the head
+//! answers after a barrier through the chain. The authority lasts from the time of the request, on the owner's
+//! monotonic clock.
 
 use lupinrack_cluster_api::request::Reply;
 use lupinrack_cluster_api::time::Millis;
 use tokio::sync::oneshot::{self, error::TryRecvError};
 
-/// How long an owner may act after it last asked whether its view is in force, in milliseconds.
+/// How long an owner may act after it sent the last request that the head confirmed, in milliseconds.
 pub const AUTHORITY_MS: u64 = 1_000;
-/// Interval between two confirmations that the own view is in force, in milliseconds.
+/// Interval between requests to confirm this process's view, in milliseconds.
 const CONFIRMATION_INTERVAL_MS: u64 = 300;
 
-/// A question that the head has not answered.
+/// A request for confirmation that the head has not answered.
 #[derive(Debug)]
 struct PendingConfirmation {
     requested_at: Millis,
@@ -20,7 +21,7 @@
     reply: oneshot::Receiver<Reply>,
 }
 
-/// The authority of this process in its view; none at first.
+/// The authority of this process in its view. A new process has none.
 #[derive(Debug, Default)]
 pub struct ShardAuthority {
     pending: Option<PendingConfirmation>,
@@ -34,8 +35,8 @@
         self.until
     }
 
-    /// Whether the head should be asked again. A question that it has not answered is left open for as long as its answer
-    /// is of use: where the head is slower than the interval, a question that replaced it would never be answered.
+    /// Whether to ask the head again. An unanswered request stays open while its answer can still extend the authority:
+    /// if the head is slower than the interval, replacing the request each time would mean that none is ever answered.
     pub fn is_request_due(&self, now: Millis) -> bool {
         let interval_ms = if self.pending.is_some() {
             AUTHORITY_MS
@@ -45,7 +46,7 @@
         now.since(self.last_requested_at) >= interval_ms
     }
 
-    /// Begins a question about the view of this number; returns where its answer goes.
+    /// Begins a request to confirm the view of this number. Returns the sender for its reply.
     pub fn begin_request(&mut self, view_number: u64, now: Millis) -> oneshot::Sender<Reply> {
         let (reply_to, reply) = oneshot::channel();
         self.last_requested_at = now;
@@ -57,7 +58,7 @@
         reply_to
     }
 
-    /// Takes the head's answer, if it came; returns whether it extends the authority in the current view.
+    /// Takes the head's reply, if it has arrived. Returns whether it extends the authority in the current view.
     pub fn poll(&mut self, current_view_number: u64) -> bool {
         let Some(pending) = &mut self.pending else {
             return false;
@@ -78,7 +79,7 @@
         is_confirmed
     }
 
-    /// The view changed: the authority of the old one is over, and the head is to be asked at once.
+    /// Ends the authority, since the view changed. A request to the head is due at once.
     pub fn revoke(&mut self) {
         *self = ShardAuthority::default();
     }
--- a/crates/cluster-node/src/core/shard_takeover.rs
+++ b/crates/cluster-node/src/core/shard_takeover.rs
@@ -1,26 +1,25 @@
-//! Operations by which this process takes shards over: when each is submitted again, and what one that was applied
-//! means.
+//! The operations by which this process takes over shards: when each is retried, and what an applied one means.
 
 use lupinrack_cluster_api::identity::{FencingToken, ServiceName};
 use lupinrack_cluster_api::time::Millis;
 use std::collections::BTreeMap;
 
-/// The first delay after which a take-over that was not applied is submitted again, in milliseconds; doubled with each
-/// submission. A head that is not ready yet drops it, and one that is applied twice does no harm.
+/// Initial backoff before a takeover that was not applied is retried, in milliseconds; each attempt doubles it. A head
+/// that is not ready drops takeovers. Applying one twice is harmless.
 const INITIAL_RETRY_MS: u64 = 150;
-/// The longest such delay, in milliseconds.
+/// Maximum backoff between attempts, in milliseconds.
 const MAX_RETRY_MS: u64 = 1_200;
 
-/// A take-over of a shard that was applied to the replica.
+/// A takeover that was applied to the replica.
 pub(super) struct AppliedTakeover<'a> {
     /// The service.
     pub(super) service: &'a ServiceName,
     /// The new owner's token.
     pub(super) token: FencingToken,
-    /// Whether this incarnation of this process submitted it. What an earlier incarnation submitted is read again from
-    /// the log: that incarnation sent orders to servers under the token of which this one knows nothing.
+    /// Whether this incarnation of this process submitted it. A takeover by an earlier incarnation may be replayed from
+    /// the log, and that incarnation may have sent orders under the token that this one does not know.
     pub(super) is_own: bool,
-    /// Whether it is valid: its token was high enough.
+    /// Whether it took effect: its token was high enough.
     pub(super) is_accepted: bool,
 }
 
@@ -30,14 +29,14 @@
     retry_after_ms: u64,
 }
 
-/// Take-overs that were submitted and not applied yet.
+/// Takeovers that were submitted and not applied yet.
 #[derive(Debug, Default)]
 pub(super) struct PendingTakeovers {
     by_service: BTreeMap<ServiceName, Submission>,
 }
 
 impl PendingTakeovers {
-    /// Notes that a take-over is to be submitted now; false where the last submission is too recent.
+    /// Records a submission at this time. Returns false if the backoff since the last one is not over.
     pub(super) fn submit(&mut self, service: &ServiceName, now: Millis) -> bool {
         let before = self.by_service.get(service);
         if before.is_some_and(|last| now.since(last.at) < last.retry_after_ms) {
@@ -54,17 +53,17 @@
         true
     }
 
-    /// Whether there is none.
+    /// Whether no takeover is pending.
     pub(super) fn is_empty(&self) -> bool {
         self.by_service.is_empty()
     }
 
-    /// Drops the take-over of a service, which was applied, or is followed by a new one.
+    /// Removes the takeover of a service, once it was applied or another one replaces it.
     pub(super) fn remove(&mut self, service: &ServiceName) {
         self.by_service.remove(service);
     }
 
-    /// Keeps the take-overs of these services only.
+    /// Keeps only the takeovers of services for which `is_kept` is true.
     pub(super) fn retain(&mut self, is_kept: impl Fn(&ServiceName) -> bool) {
         self.by_service.retain(|service, _| is_kept(service));
     }
--- a/crates/cluster-node/src/core/shards.rs
+++ b/crates/cluster-node/src/core/shards.rs
@@ -1,4 +1,4 @@
-//! The shards that this process owns: taking them over, feeding their schedulers, and the messages of agents that come
+//! The shards that this process owns: takeovers, the input of their schedulers, and messages of agents that arrive
 //! before a shard is owned.
 
 use super::shard_takeover::{AppliedTakeover, PendingTakeovers};
@@ -12,7 +12,7 @@
 use lupinrack_scheduler::{Round, Scheduler, SchedulerSettings, ServiceSummary};
 use std::collections::BTreeMap;
 
-/// An agent's newest first message, kept until its shard is owned.
+/// An agent's latest `Attach` message, kept until this process owns the shard.
 #[derive(Debug)]
 struct EarlyAttach {
     agent: PeerAddress,
@@ -34,7 +34,7 @@
 }
 
 impl Shards {
-    /// None yet, in this incarnation of the process of this disk.
+    /// Starts without shards, in this incarnation of the process on this disk.
     pub(super) fn new(me: DiskId, incarnation: u64, settings: SchedulerSettings) -> Shards {
         Shards {
             me,
@@ -57,15 +57,15 @@
         !self.schedulers.is_empty() || !self.takeovers.is_empty()
     }
 
-    /// The operations of all schedulers that were not applied are submitted again with their next rounds.
+    /// Makes all schedulers submit their unapplied operations again in their next rounds.
     pub(super) fn resubmit_operations(&mut self) {
         for scheduler in self.schedulers.values_mut() {
             scheduler.resubmit_operations();
         }
     }
 
-    /// Drops the shards that the view gives to others; returns the operations that take over those that it gives to
-    /// this process.
+    /// Drops the shards that the view assigns to others. Returns the operations that take over the shards that it
+    /// assigns to this process.
     pub(super) fn follow_view(
         &mut self,
         view: &View,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// An operation was applied to the replica.
+    /// Handles an operation that was applied to the replica.
     pub(super) fn applied(
         &mut self,
         operation: &Operation,
@@ -126,12 +126,12 @@
         }
     }
 
-    /// A scheduler begins with a take-over of this very incarnation only, so nobody else ever acted under its token,
-    /// and the record contains every start that an earlier owner may have sent to a server.
+    /// Starts a scheduler only for a takeover that this incarnation submitted. So no other process has acted under its
+    /// fencing token, and the state contains every start that an earlier owner may have sent to a server.
     fn takeover_applied(&mut self, takeover: &AppliedTakeover<'_>, view: &View, now: Millis) {
         let service = takeover.service;
         if takeover.is_own || takeover.is_accepted {
-            // One that was refused came under a token that is not high enough by now: the next one will be.
+            // A refused takeover had a stale fencing token. The next attempt uses a higher one.
             self.takeovers.remove(service);
         }
         if !takeover.is_accepted {
@@ -151,7 +151,8 @@
         self.schedulers.insert(service.clone(), scheduler);
     }
 
-    /// A message of an agent came. Until the agent has attached on its connection, its service is not known.
+    /// Handles a message of an agent. Until the agent has attached on its connection, its service is unknown and other
+    /// messages are ignored.
     pub(super) fn receive(
         &mut self,
         agent: PeerAddress,
@@ -180,7 +181,7 @@
         }
     }
 
-    /// An agent's connection ended.
+    /// Handles the end of an agent's connection.
     pub(super) fn disconnected(&mut self, agent: PeerAddress, connection: u64) {
         let Some(service) = self.services.remove(&connection) else {
             return;
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Every scheduler at this moment, for operators.
+    /// A summary of each scheduler, for operators.
     pub(super) fn summaries(
         &self,
         now: Millis,
@@ -202,7 +203,7 @@
         schedulers.map(move |(service, scheduler)| (service, scheduler.summary(now)))
     }
 
-    /// One round of every scheduler.
+    /// Runs one round of every scheduler.
     pub(super) fn round(
         &mut self,
         state: &ControlState,
--- a/crates/cluster-node/src/core/shutdown.rs
+++ b/crates/cluster-node/src/core/shutdown.rs
@@ -1,24 +1,23 @@
-//! The graceful shutdown of a core process: it goes on until other processes have replaced it, but not beyond its
+//! The graceful shutdown of a core process. It lasts until other processes have replaced this one, but not beyond the
 //! grace period.
 
 use lupinrack_cluster_api::time::Millis;
 
-/// How long a process that shuts down goes on at least, so that those who call it learn of the next view, in
-/// milliseconds.
+/// Minimum duration of a shutdown, in milliseconds, so that callers of this process learn of the next view.
 const MIN_SHUTDOWN_MS: u64 = 500;
-/// The part of its grace period for which a process waits for others to replace it, in percent.
+/// Part of the grace period for which a process waits for others to replace it, in percent.
 const GRACE_PERCENT: u64 = 75;
 
 /// The state of the shutdown.
 #[derive(Debug)]
 pub(super) struct Shutdown {
-    /// How long the process has between the signal to end and being killed, in milliseconds.
+    /// Time between the signal to terminate and the kill, in milliseconds.
     grace_ms: u64,
     began_at: Option<Millis>,
 }
 
 impl Shutdown {
-    /// A shutdown that has not begun.
+    /// The state before the shutdown has begun.
     pub(super) fn new(grace_ms: u64) -> Shutdown {
         Shutdown {
             grace_ms,
@@ -26,7 +25,7 @@
         }
     }
 
-    /// Begins the shutdown; returns whether it had not begun before.
+    /// Begins the shutdown. Returns false if it had begun before.
     pub(super) fn begin(&mut self, now: Millis) -> bool {
         let is_new = self.began_at.is_none();
         self.began_at.get_or_insert(now);
@@ -38,7 +37,7 @@
         self.began_at.is_some()
     }
 
-    /// Whether the process may end now, where it is no longer needed or not.
+    /// Whether the process may exit: it is no longer needed and the minimum duration is over, or the grace period is.
     pub(super) fn is_complete(&self, is_needed: bool, now: Millis) -> bool {
         let Some(waited_ms) = self.began_at.map(|began_at| now.since(began_at)) else {
             return false;
--- a/crates/cluster-node/src/core/stall_watch.rs
+++ b/crates/cluster-node/src/core/stall_watch.rs
@@ -1,29 +1,29 @@
-//! Notices when this process itself stood still: frozen with its machine, or without processor time.
+//! Detects stalls of this process: its machine was frozen, or it got no processor time.
 //!
-//! What others or the disk did meanwhile cannot be told from what this process was late to see, so time in which it stood
-//! still counts against nobody.
+//! After a stall the process cannot tell a late message or write from one that it was late to see. So the duration of a
+//! stall is not counted against other processes or the disk.
 
 use lupinrack_cluster_api::time::Millis;
 
-/// The process looks at its clock every 25 ms at the least; a longer gap than this is a stall, in milliseconds.
-const LONGEST_GAP_MS: u64 = 60;
+/// A longer gap between clock readings is a stall, in milliseconds. The process reads its clock at least every 25 ms.
+const MAX_GAP_MS: u64 = 60;
 
-/// The moments at which the process was seen to run.
+/// The last time at which the process is known to have run.
 #[derive(Debug)]
 pub struct StallWatch {
     last_seen: Millis,
 }
 
 impl StallWatch {
-    /// A process that begins now.
+    /// Starts the watch at this time.
     pub fn new(now: Millis) -> StallWatch {
         StallWatch { last_seen: now }
     }
 
-    /// The process runs now; returns for how long, in milliseconds, it stood still before, if it did.
+    /// Records that the process runs now. Returns the duration of the stall before, in milliseconds, if there was one.
     pub fn advance(&mut self, now: Millis) -> Option<u64> {
         let gap_ms = now.since(self.last_seen);
         self.last_seen = self.last_seen.max(now);
-        (gap_ms > LONGEST_GAP_MS).then_some(gap_ms)
+        (gap_ms > MAX_GAP_MS).then_some(gap_ms)
     }
 }
--- a/crates/cluster-node/src/core/view_manager.rs
+++ b/crates/cluster-node/src/core/view_manager.rs
@@ -1,4 +1,4 @@
-//! Views: the agreement on them, the policy that says which one to propose, and which one this process has adopted.
+//! Views: the agreement on them, the policy that selects the one to propose, and the one that this process has adopted.
 
 use super::pending_writes::WriteContinuation;
 use borsh::BorshSerialize;
@@ -11,16 +11,16 @@
 use lupinrack_view_agreement::{Agreement, Effect, PeerReport, ViewPolicy};
 use std::collections::VecDeque;
 
-/// What follows from the agreement on views.
+/// An effect of the agreement on views.
 #[derive(Debug)]
 pub(super) enum ViewEffect {
     /// A message to another process.
     Send(PeerAddress, AgreementMessage),
-    /// A write; its continuation waits for it.
+    /// A write, and its continuation once it is synced.
     Write(Batch, WriteContinuation),
 }
 
-/// The views as one process knows them.
+/// This process's knowledge of views.
 #[derive(Debug)]
 pub(super) struct ViewManager {
     me: Voter,
@@ -30,12 +30,12 @@
     adopted: u64,
     /// Messages of the agreement to this process itself.
     to_self: VecDeque<AgreementMessage>,
-    /// The links of the last heartbeat.
+    /// The links that the last heartbeat reported.
     reported_links: Vec<DiskId>,
 }
 
 impl ViewManager {
-    /// As this voter, with nothing adopted yet.
+    /// Starts as this voter, without an adopted view.
     pub(super) fn new(me: Voter, agreement: Agreement, policy: ViewPolicy) -> ViewManager {
         ViewManager {
             me,
@@ -52,7 +52,7 @@
         self.agreement.current()
     }
 
-    /// The address of a disk's process: by the view, or else by its last heartbeat.
+    /// The address of a disk's process: from the view, or else from its last heartbeat.
     pub(super) fn address_of(&self, disk: DiskId) -> Option<PeerAddress> {
         let voter = self.current().address(disk);
         voter.or_else(|| self.policy.address_of(disk))
@@ -64,8 +64,9 @@
         view.address(view.head()?)
     }
 
-    /// Begins with the view that the last incarnation stored. The vote may know it, or a newer one, as agreed already:
-    /// then the agreement has nothing to say of it, but the rest of this incarnation still has to adopt it.
+    /// Begins with the view that the last incarnation stored. The stored vote may contain this or a newer agreed view.
+    /// The agreement then emits no effect for it, so this stores the view once more, upon which the other components
+    /// adopt it.
     pub(super) fn begin(&mut self, stored: View) -> Vec<ViewEffect> {
         let effects = self.agreement.learn(stored);
         let was_known = effects.is_empty();
@@ -76,13 +77,13 @@
         effects
     }
 
-    /// Another process knows this view.
+    /// Learns a view that another process knows.
     pub(super) fn learn(&mut self, view: View) -> Vec<ViewEffect> {
         let effects = self.agreement.learn(view);
         self.effects(effects)
     }
 
-    /// A message of the agreement came.
+    /// Handles a message of the agreement.
     pub(super) fn receive(
         &mut self,
         from: PeerAddress,
@@ -93,19 +94,19 @@
         self.effects(effects)
     }
 
-    /// Handles the next message of this process to itself; none where there is none.
+    /// Handles the next message of this process to itself; none if there is no such message.
     pub(super) fn receive_from_self(&mut self, now: Millis) -> Option<Vec<ViewEffect>> {
         let message = self.to_self.pop_front()?;
         Some(self.receive(self.me.address, message, now))
     }
 
-    /// Time has passed.
+    /// Handles a tick of the timer.
     pub(super) fn tick(&mut self, now: Millis) -> Vec<ViewEffect> {
         let effects = self.agreement.tick(now);
         self.effects(effects)
     }
 
-    /// Proposes the next view if the policy says so.
+    /// Proposes the next view if the policy selects one.
     pub(super) fn propose(&mut self, now: Millis) -> Vec<ViewEffect> {
         let current = self.current().clone();
         let Some(next) = self.policy.view_to_propose(&current, &self.me, now) else {
@@ -115,7 +116,7 @@
         self.effects(effects)
     }
 
-    /// Votes are on the disk: their messages may go out.
+    /// Sends the messages of votes that are now on the disk.
     pub(super) fn votes_stored(
         &mut self,
         messages: Vec<(PeerAddress, AgreementMessage)>,
@@ -126,19 +127,19 @@
         sent.collect()
     }
 
-    /// Notes that a stored view is adopted; false where a newer one was adopted before.
+    /// Records that a stored view is adopted. Returns false if it or a newer one was adopted before.
     pub(super) fn adopt(&mut self, number: u64) -> bool {
-        // Not compared with what the own calls know: a reply of another process may have brought it already.
+        // The view of `OwnCalls` is no substitute for `adopted`: a reply of another process may have set it earlier.
         let is_new = number > self.adopted;
         self.adopted = self.adopted.max(number);
         is_new
     }
 
-    /// A heartbeat of another process came.
+    /// Handles a heartbeat from another process.
     ///
     /// # Errors
     ///
-    /// Where the process claims a disk that is at another address.
+    /// If the process claims a disk that is known at another address.
     pub(super) fn receive_heartbeat(
         &mut self,
         voter: Voter,
@@ -149,7 +150,7 @@
         self.policy.receive_heartbeat(voter, report, now)
     }
 
-    /// The disks whose processes messages pass to and from, in ascending order.
+    /// The disks whose processes this one exchanges messages with in both directions, in ascending order.
     fn links(&mut self, now: Millis) -> Vec<DiskId> {
         let mut links = self.policy.linked_disks(&self.me, now);
         links.sort_unstable();
@@ -162,22 +163,22 @@
         self.reported_links.clone()
     }
 
-    /// Whether other links work than the last heartbeat reported.
+    /// Whether the working links differ from those that the last heartbeat reported.
     pub(super) fn have_links_changed(&mut self, now: Millis) -> bool {
         self.links(now) != self.reported_links
     }
 
-    /// This process sends a heartbeat. A copy of its disk whose heartbeat was received first is rejected from the next
-    /// tick on.
+    /// Records a heartbeat of this process. If a process with a copy of this disk sent a heartbeat first, that process
+    /// is rejected from the next tick on.
     pub(super) fn record_own_heartbeat(&mut self, report: PeerReport, now: Millis) {
         let _ = self.policy.receive_heartbeat(self.me.clone(), report, now);
     }
 
-    /// Checks that no other address is known to have this disk.
+    /// Checks that the disk is not known at another address.
     ///
     /// # Errors
     ///
-    /// Where another address has it.
+    /// If it is known at another address.
     pub(super) fn check_disk(
         &self,
         disk: DiskId,
@@ -188,7 +189,7 @@
         self.policy.check_disk(disk, address, now)
     }
 
-    /// A voter's disk is where the view says.
+    /// Checks a voter's address against the view.
     fn check_voter(&self, disk: DiskId, address: PeerAddress) -> Result<(), DuplicateDisk> {
         match self.current().address(disk) {
             Some(known_at) if known_at != address => Err(DuplicateDisk { disk, known_at }),
@@ -196,17 +197,17 @@
         }
     }
 
-    /// A connection ended.
+    /// Handles the end of a connection.
     pub(super) fn disconnected(&mut self, from: PeerAddress) {
         self.policy.connection_reset(from);
     }
 
-    /// The disks that hold, or will hold, everything that is committed.
+    /// The replicas that have all committed entries, and the spares that are catching up.
     pub(super) fn redundancy(&self, now: Millis) -> Redundancy {
         self.policy.redundancy(self.current(), now)
     }
 
-    /// Whether other replicas are complete and vote in this process's place, as far as there are others.
+    /// Whether this process may exit: other replicas, if there are any, are complete and vote in its place.
     pub(super) fn may_shut_down(&self, now: Millis) -> bool {
         self.policy.may_shut_down(self.current(), &self.me, now)
     }
@@ -239,8 +240,8 @@
     }
 }
 
-/// A view that is agreed is adopted once it is on the disk: a head that forgot its view in a crash could number entries
-/// in it twice.
+/// Stores an agreed view. It is adopted only once it is on the disk: a head that lost its view in a crash could assign
+/// the same indexes to different entries in that view.
 fn store(view: View) -> ViewEffect {
     let batch = Batch {
         view: Some(encode(&view)),
@@ -249,7 +250,7 @@
     ViewEffect::Write(batch, WriteContinuation::ViewStored(view))
 }
 
-/// The form in which a value is kept on the disk.
+/// Encodes a value for the disk.
 pub(super) fn encode<T: BorshSerialize>(value: &T) -> Vec<u8> {
     // Writing into memory does not fail.
     borsh::to_vec(value).unwrap_or_default()
--- a/crates/cluster-node/src/error.rs
+++ b/crates/cluster-node/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a process ends with an error.
+//! Errors that end a process.
 
 use crate::core::CoreFault;
 use lupinrack_control_state::SnapshotError;
--- a/crates/cluster-node/src/front/client_call.rs
+++ b/crates/cluster-node/src/front/client_call.rs
@@ -1,4 +1,4 @@
-//! What a client's call at a front asks the head for.
+//! Translation of a client's call at a front into a request to the head.
 
 use crate::front::known_configuration::KnownConfiguration;
 use lupinrack_cluster_api::error::ErrorKind;
@@ -8,12 +8,12 @@
 use lupinrack_cluster_json::{parse_job, JobLimits, JobTarget};
 use lupinrack_cluster_transport::http_server::HttpRequest;
 
-/// Reads a client's call. That there is no queue is said here only by a configuration that was confirmed within
-/// `negative_answer_validity_ms`; whatever else depends on the state of the cluster is for the head.
+/// Parses a client's call. The front answers that a queue does not exist only by a configuration that was confirmed
+/// within `negative_answer_validity_ms`. The head answers everything else that depends on the state of the cluster.
 ///
 /// # Errors
 ///
-/// Where the head need not be asked, with how the call is answered.
+/// If the front can answer the call without the head: the error for the client.
 pub fn parse_client_call(
     call: &HttpRequest,
     known: &KnownConfiguration,
--- a/crates/cluster-node/src/front/configuration_feed.rs
+++ b/crates/cluster-node/src/front/configuration_feed.rs
@@ -1,5 +1,5 @@
-//! How a front learns of views and configurations, and passes them on: from the home front of its zone where there is
-//! one that answers, and else from the head of the chain.
+//! How a front receives and relays views and configurations. It subscribes to the home front of its zone if that front
+//! answers, and otherwise to the head of the chain.
 
 use crate::front::home_front::HomeFront;
 use crate::front::known_configuration::{ConfigurationUpdate, KnownConfiguration};
@@ -12,10 +12,10 @@
 use lupinrack_cluster_api::view::View;
 use lupinrack_cluster_membership::LiveTable;
 
-/// The front subscribes again at least so often, in milliseconds.
-const SUBSCRIBE_MS: u64 = 400;
+/// Interval at which a front renews its subscription, in milliseconds.
+const SUBSCRIBE_INTERVAL_MS: u64 = 400;
 
-/// The configuration updates of one front: its subscription, what it knows, and its own subscribers.
+/// The configuration updates of one front: its subscription, its known configuration, and its own subscribers.
 #[derive(Debug)]
 pub struct ConfigurationFeed {
     subscription: Subscription,
@@ -25,7 +25,7 @@
 }
 
 impl ConfigurationFeed {
-    /// The feed of a front at this address in this zone that starts now.
+    /// Creates the feed of a front that starts now at this address in this zone.
     pub fn new(
         own: PeerAddress,
         zone: String,
@@ -33,24 +33,24 @@
         now: Millis,
     ) -> ConfigurationFeed {
         ConfigurationFeed {
-            subscription: Subscription::new(seeds, SUBSCRIBE_MS, now),
+            subscription: Subscription::new(seeds, SUBSCRIBE_INTERVAL_MS, now),
             home: HomeFront::new(own, zone),
             relay: UpdateRelay::default(),
             known: KnownConfiguration::default(),
         }
     }
 
-    /// Replaces the seeds by which core processes are looked for.
+    /// Replaces the seeds at which core processes may be found.
     pub fn set_seeds(&mut self, seeds: Vec<PeerAddress>) {
         self.subscription.set_seeds(seeds);
     }
 
-    /// The configuration as it is known.
+    /// The configuration as this front knows it.
     pub fn known(&self) -> &KnownConfiguration {
         &self.known
     }
 
-    /// The home that is asked at present; none for the head.
+    /// The home front that this front currently subscribes to; none if it subscribes to the head.
     pub fn source(&self) -> Option<PeerAddress> {
         self.home.source()
     }
@@ -58,7 +58,7 @@
     /// The subscription that is due, if any.
     pub fn tick(&mut self, table: &LiveTable, view: &View, now: Millis) -> Option<OutgoingFrame> {
         if self.home.tick(table, now) {
-            self.subscription.hurry();
+            self.subscription.make_due();
         }
         let interest = Interest::Configuration {
             have: self.known.configuration.version,
@@ -71,7 +71,7 @@
         })
     }
 
-    /// A configuration update was received; returns the frames to relay. `view` is the newest view known.
+    /// Handles a configuration update. Returns the frames to relay. `view` is the newest known view.
     pub fn receive(
         &mut self,
         from: PeerAddress,
@@ -86,22 +86,22 @@
             self.home.confirmed(from, now);
         }
         if learned.newer && !is_timestamped {
-            self.subscription.hurry();
+            self.subscription.make_due();
         }
         if !learned.newer {
             return Vec::new();
         }
-        let knowledge = self.knowledge(view);
-        self.relay.send_configuration(&knowledge, now)
+        let relay_state = self.relay_state(view);
+        self.relay.send_configuration(&relay_state, now)
     }
 
-    /// A newer view is known; returns the frames to relay.
+    /// Handles a newer view. Returns the frames to relay.
     pub fn view_changed(&mut self, view: &View) -> Vec<SubscriberFrame> {
-        self.subscription.hurry();
+        self.subscription.make_due();
         self.relay.send_view(view)
     }
 
-    /// Another process subscribed here; returns the frames to relay.
+    /// Handles a subscription of another process. Returns the frames for it.
     pub fn subscribed(
         &mut self,
         connection: u64,
@@ -110,19 +110,19 @@
         view: &View,
         now: Millis,
     ) -> Vec<SubscriberFrame> {
-        let knowledge = self.knowledge(view);
+        let relay_state = self.relay_state(view);
         self.relay
-            .subscribed(connection, interest, requested_at, &knowledge, now)
+            .subscribed(connection, interest, requested_at, &relay_state, now)
     }
 
-    /// A connection ended.
+    /// Handles the end of a connection.
     pub fn closed(&mut self, from: PeerAddress, connection: u64, now: Millis) {
         self.relay.disconnected(connection);
         self.home.closed(from, now);
-        self.subscription.hurry();
+        self.subscription.make_due();
     }
 
-    fn knowledge(&self, view: &View) -> RelayState {
+    fn relay_state(&self, view: &View) -> RelayState {
         RelayState {
             view: view.clone(),
             known: self.known.clone(),
--- a/crates/cluster-node/src/front/home_front.rs
+++ b/crates/cluster-node/src/front/home_front.rs
@@ -1,15 +1,15 @@
-//! Where a front of a zone subscribes to updates: the zone's home front, or the head of the chain.
+//! The process to which a front subscribes for updates: its zone's home front, or the head of the chain.
 //!
-//! Which front is the home comes from the table of live members, which may be wrong. So a home is left as soon as it
-//! says nothing that makes this process's knowledge fresher, and the head is asked instead.
+//! The home front is chosen from the table of live members, which may be wrong. So if the home front does not confirm a
+//! newer state within a timeout, this front subscribes to the head instead.
 
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_membership::LiveTable;
 
-/// A home that confirms nothing for longer than this is left, in milliseconds.
+/// Timeout without a confirmation after which a front leaves its home front, in milliseconds.
 pub const HOME_TIMEOUT_MS: u64 = 600;
-/// A home that was left is not asked again for so long, in milliseconds.
+/// Delay after leaving a home front before a front subscribes to a home front again, in milliseconds.
 pub const HOME_RETRY_AFTER_MS: u64 = 5_000;
 
 /// The home front as one front of its zone sees it.
@@ -23,7 +23,7 @@
 }
 
 impl HomeFront {
-    /// As seen by the front at this address.
+    /// Starts without a home front, for the front at this address in this zone.
     pub fn new(own: PeerAddress, zone: String) -> HomeFront {
         HomeFront {
             own,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Chooses the source from the table and the clock; returns whether it changed, so that it is to be asked at once.
+    /// Chooses the source of updates. Returns whether it changed, in which case a subscription is due at once.
     pub fn tick(&mut self, table: &LiveTable, now: Millis) -> bool {
         let before = self.source();
         let found = table
@@ -52,19 +52,19 @@
         self.source() != before
     }
 
-    /// The home to ask; none where the head is to be asked.
+    /// The home front to subscribe to; none for the head.
     pub fn source(&self) -> Option<PeerAddress> {
         self.current
     }
 
-    /// A process sent an update that confirmed this one's configuration or replaced it.
+    /// Records that a process sent an update that confirmed or replaced the known configuration.
     pub fn confirmed(&mut self, from: PeerAddress, now: Millis) {
         if self.current == Some(from) {
             self.confirmed_at = now;
         }
     }
 
-    /// The connection to a process ended: if it is the home, it is left.
+    /// Handles the end of the connection to a process. If it was the home front, this front leaves it.
     pub fn closed(&mut self, from: PeerAddress, now: Millis) {
         if self.current == Some(from) {
             self.current = None;
--- a/crates/cluster-node/src/front/known_configuration.rs
+++ b/crates/cluster-node/src/front/known_configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration as a process without a disk knows it, and from when on it is certain.
+//! The configuration as a process without a disk knows it, and the time at which it was last confirmed.
 
 use lupinrack_cluster_api::configuration::Configuration;
 use lupinrack_cluster_api::request::Target;
@@ -10,61 +10,63 @@
 pub struct KnownConfiguration {
     /// The configuration; version 0 before the first.
     pub configuration: Arc<Configuration>,
-    /// A moment of this process's monotonic clock at which it certainly was the newest one.
+    /// A time on this process's monotonic clock at which this was certainly the newest configuration.
     pub confirmed_at: Millis,
 }
 
 /// An update of the configuration, as received in a frame.
 #[derive(Clone, Debug)]
 pub struct ConfigurationUpdate {
-    /// When this process asked, by its own monotonic clock; 0 where the sender gives no moment.
+    /// When this process sent the request, on its own monotonic clock; 0 if the update has no timestamp.
     pub requested_at: Millis,
-    /// How old the sender's own confirmation was, in milliseconds.
+    /// Age of the sender's own confirmation, in milliseconds.
     pub age_ms: u64,
     /// The newest version.
     pub version: u64,
-    /// The configuration, where this process did not have it.
+    /// The configuration, if this process did not have this version.
     pub configuration: Option<Configuration>,
 }
 
 /// The effect of a [`ConfigurationUpdate`] on the [`KnownConfiguration`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UpdateOutcome {
-    /// Another configuration is known now.
+    /// The update contained a newer configuration.
     pub newer: bool,
-    /// The configuration is confirmed for a later moment than before, or is newer.
+    /// The configuration was confirmed for a later time, or is newer.
     pub fresher: bool,
 }
 
 impl ConfigurationUpdate {
-    /// Whether the sender gives a moment at which the update was valid.
+    /// Whether the update says at what time it was valid.
     pub fn is_timestamped(&self) -> bool {
         self.requested_at > Millis(0)
     }
 
-    /// A moment at which the update certainly was valid: the sender sent it after this process asked.
+    /// A time at which the update was certainly valid: the request precedes the sender's answer, less the age of the
+    /// sender's confirmation.
     pub fn valid_at(&self) -> Millis {
         Millis(self.requested_at.0.saturating_sub(self.age_ms))
     }
 }
 
-/// The longest time for which a confirmation is trusted, whatever the settings allow, in milliseconds.
-const TRUSTED_MAX_MS: u64 = 900;
+/// Limit on the validity of a confirmation, whatever the settings allow, in milliseconds.
+const MAX_VALIDITY_MS: u64 = 900;
 
-/// For how long after its confirmation a configuration says what does not exist, in milliseconds: for half of the time
-/// that a change may take to be in force, since other times add to it.
+/// How long after its confirmation a configuration is proof that a queue does not exist, in milliseconds. This is half
+/// of the time that a change may take to be in force, since other delays add to it.
 pub fn negative_answer_validity_ms(config_apply_ms: u64) -> u64 {
-    (config_apply_ms / 2).min(TRUSTED_MAX_MS)
+    (config_apply_ms / 2).min(MAX_VALIDITY_MS)
 }
 
 impl KnownConfiguration {
-    /// Whether it certainly was the newest one at a moment less than `bound_ms` ago. Before the first one nothing is.
+    /// Whether this was certainly the newest configuration less than `bound_ms` ago. False before the first
+    /// configuration.
     pub fn is_confirmed_within(&self, bound_ms: u64, now: Millis) -> bool {
         self.configuration.version > 0 && now.since(self.confirmed_at) < bound_ms
     }
 
-    /// Whether there is no queue for a target, as far as a configuration that was confirmed within `bound_ms` says.
-    /// Where it says nothing the head is to be asked.
+    /// Whether a configuration that was confirmed within `bound_ms` has no queue for this target. If this is false,
+    /// only the head can say whether there is one.
     pub fn lacks_queue(&self, target: &Target, bound_ms: u64, now: Millis) -> bool {
         let is_known = self
             .configuration
@@ -73,7 +75,7 @@
         !is_known && self.is_confirmed_within(bound_ms, now)
     }
 
-    /// Applies an update; never returns to an older configuration in one incarnation of the process.
+    /// Applies an update. Within one incarnation of the process the version never decreases.
     pub fn learn(&mut self, update: ConfigurationUpdate) -> UpdateOutcome {
         let valid_at = update.valid_at();
         let known = self.configuration.version;
--- a/crates/cluster-node/src/front/machine.rs
+++ b/crates/cluster-node/src/front/machine.rs
@@ -1,7 +1,7 @@
-//! A front as one state machine without I/O: frames, calls and ticks come in, frames to send go out.
+//! A front as one state machine without I/O. Its inputs are frames, calls and ticks; its outputs are frames to send.
 //!
-//! Its driver carries the frames, serves HTTP and passes in the table of live members. The simulation of the control
-//! plane runs the same machine.
+//! Its driver sends and receives the frames, serves HTTP and passes in the table of live members. The simulation of the
+//! control plane runs the same machine.
 
 use crate::control_api::HeadCall;
 use crate::front::configuration_feed::ConfigurationFeed;
@@ -14,23 +14,23 @@
 use lupinrack_cluster_api::view::View;
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
 
-/// A front that was not confirmed for this long is not ready, in milliseconds.
-pub const READY_MS: u64 = 2_500;
-/// After a signal to terminate a front goes on accepting calls for this part of its grace period, in percent.
-pub const SERVE_ON_PERCENT: u64 = 55;
-/// A front has ended before this part of its grace period is over, in percent.
-pub const END_PERCENT: u64 = 85;
+/// A front is ready for this long after its configuration was last confirmed, in milliseconds.
+pub const READY_TIMEOUT_MS: u64 = 2_500;
+/// Part of the grace period for which a front accepts calls after a signal to terminate, in percent.
+pub const ACCEPT_CALLS_PERCENT: u64 = 55;
+/// Part of the grace period after which a front exits at the latest, in percent.
+pub const EXIT_PERCENT: u64 = 85;
 
-/// What the driver is to do.
+/// An action for the driver.
 #[derive(Debug)]
 pub enum FrontEffect {
     /// Sends a frame to a process, on its newest connection or a new one.
     Send(OutgoingFrame),
-    /// Sends a frame on this very connection, if it is still there.
+    /// Sends a frame on this connection, if it is still open. No other connection is used.
     SendOn(SubscriberFrame),
 }
 
-/// A front.
+/// The state machine of a front.
 #[derive(Debug)]
 pub struct FrontMachine {
     client: HeadClient,
@@ -38,7 +38,7 @@
 }
 
 impl FrontMachine {
-    /// A front that starts now, as this member.
+    /// Creates a front that starts now, as this member.
     pub fn new(own: LiveMember, seeds: Vec<PeerAddress>, now: Millis) -> FrontMachine {
         let LiveMember {
             address,
@@ -52,17 +52,17 @@
         }
     }
 
-    /// The newest view that it knows.
+    /// The newest known view.
     pub fn view(&self) -> &View {
         self.client.view()
     }
 
-    /// Replaces the seeds by which core processes are looked for.
+    /// Replaces the seeds at which core processes may be found.
     pub fn set_seeds(&mut self, seeds: Vec<PeerAddress>) {
         self.feed.set_seeds(seeds);
     }
 
-    /// The configuration as it is known.
+    /// The configuration as this front knows it.
     pub fn known(&self) -> &KnownConfiguration {
         self.feed.known()
     }
@@ -72,12 +72,12 @@
         self.client.is_idle()
     }
 
-    /// How many answers came that belong to no open call.
+    /// Number of received replies that match no open call.
     pub fn unmatched_replies(&self) -> u64 {
         self.client.unmatched_replies()
     }
 
-    /// A frame came.
+    /// Handles a received frame.
     pub fn on_frame(
         &mut self,
         from: PeerAddress,
@@ -125,7 +125,7 @@
         effects
     }
 
-    /// A connection ended.
+    /// Handles the end of a connection.
     pub fn on_closed(
         &mut self,
         from: PeerAddress,
@@ -136,13 +136,13 @@
         sends(self.client.disconnected(from, now))
     }
 
-    /// A client's call that the head is to answer.
+    /// Handles a client's call that the head has to answer.
     pub fn on_call(&mut self, call: HeadCall, now: Millis) -> Vec<FrontEffect> {
-        let until = now.plus(call.remaining_ms);
-        sends(self.client.call(call.request, call.reply_to, until, now))
+        let deadline = now.plus(call.remaining_ms);
+        sends(self.client.call(call.request, call.reply_to, deadline, now))
     }
 
-    /// Time has passed. The table of live members may be wrong.
+    /// Handles a tick of the timer. The table of live members is a hint and may be wrong.
     pub fn on_tick(&mut self, table: &LiveTable, now: Millis) -> Vec<FrontEffect> {
         let mut effects = sends(self.client.tick(now));
         effects.extend(
--- a/crates/cluster-node/src/front/mod.rs
+++ b/crates/cluster-node/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! A front: takes clients' calls, checks them and hands them on to the head of the chain.
+//! A front: accepts clients' calls, checks them, and forwards them to the head of the chain.
 
 pub mod client_call;
 pub mod configuration_feed;
--- a/crates/cluster-node/src/front/process.rs
+++ b/crates/cluster-node/src/front/process.rs
@@ -1,10 +1,13 @@
-//! The front's process: the driver of its state machine, which takes clients' calls, checks them, and hands them on.
+//! The driver of a front's state machine. It serves clients' calls over HTTP, checks them, and passes them to the
+//! machine.
 
 use crate::clock::{draw, Clock};
 use crate::control_api::{call_head, HeadCall};
 use crate::front::client_call::parse_client_call;
 use crate::front::known_configuration::{negative_answer_validity_ms, KnownConfiguration};
-use crate::front::machine::{FrontEffect, FrontMachine, END_PERCENT, READY_MS, SERVE_ON_PERCENT};
+use crate::front::machine::{
+    FrontEffect, FrontMachine, ACCEPT_CALLS_PERCENT, EXIT_PERCENT, READY_TIMEOUT_MS,
+};
 use crate::front::update_relay::SubscriberFrame;
 use crate::head_client::OutgoingFrame;
 use crate::membership::Membership;
@@ -32,14 +35,14 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// How often the process looks at its clock, in milliseconds.
-const TICK_MS: u64 = 50;
-/// What is kept of a client's time for the answer's way back, in milliseconds.
+/// Interval of the timer that drives the machine, in milliseconds.
+const TICK_INTERVAL_MS: u64 = 50;
+/// Time before a client's deadline that is reserved for the response to reach it, in milliseconds.
 const RESPONSE_MARGIN_MS: u64 = 250;
-/// How long a client without a deadline is made to wait, in milliseconds.
+/// Deadline for calls without one, and limit on the deadline of the others, in milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 2_500;
 
-/// What the handlers of calls know, replaced as a unit.
+/// The state that HTTP handlers read. It is replaced as a unit.
 #[derive(Clone, Debug, Default)]
 struct FrontTable {
     known: KnownConfiguration,
@@ -60,7 +63,7 @@
 
 /// Runs until the process receives a signal to terminate.
 pub(crate) async fn run(settings_file: SettingsFile, clock: Clock) -> Result<(), NodeError> {
-    // Before anybody can reach the process: a signal would end one that does not listen yet.
+    // Handlers are installed before any socket is open: without them a signal kills the process.
     let signals = Signals::listen()?;
     let settings = settings_file.settings();
     let grace_ms = settings.bounds.grace_ms;
@@ -109,16 +112,16 @@
     Ok(())
 }
 
-/// Everything that reaches the process from outside.
+/// The inputs of the process.
 struct Inputs {
     events: mpsc::Receiver<PeerEvent>,
     calls: mpsc::Receiver<HeadCall>,
     signals: Signals,
 }
 
-/// Drives the machine until the process receives a signal to terminate and its share of the grace period is over.
+/// Drives the machine until the graceful shutdown after a signal to terminate is complete.
 async fn drive(mut front: Front, mut inputs: Inputs, server: &ServerHandle, grace_ms: u64) {
-    let mut timer = tokio::time::interval(Duration::from_millis(TICK_MS));
+    let mut timer = tokio::time::interval(Duration::from_millis(TICK_INTERVAL_MS));
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut shutdown_began_at: Option<Millis> = None;
     let mut is_draining = false;
@@ -140,24 +143,24 @@
             continue;
         };
         let waited_ms = front.clock.now().since(began_at);
-        if !is_draining && waited_ms >= grace_ms * SERVE_ON_PERCENT / 100 {
+        if !is_draining && waited_ms >= grace_ms * ACCEPT_CALLS_PERCENT / 100 {
             is_draining = true;
             let server = server.clone();
-            tokio::spawn(async move { server.drain(drain_times(grace_ms)).await });
+            tokio::spawn(async move { server.drain(drain_timeouts(grace_ms)).await });
         }
         let is_idle = is_draining && server.open_connections() == 0;
-        if is_idle || waited_ms >= grace_ms * END_PERCENT / 100 {
+        if is_idle || waited_ms >= grace_ms * EXIT_PERCENT / 100 {
             return;
         }
     }
 }
 
-/// How the front's server ends once the front has served on for long enough.
-fn drain_times(grace_ms: u64) -> DrainTimeouts {
-    let left = grace_ms * (END_PERCENT - SERVE_ON_PERCENT) / 100;
+/// Timeouts for draining the HTTP server in the rest of the grace period.
+fn drain_timeouts(grace_ms: u64) -> DrainTimeouts {
+    let remaining_ms = grace_ms * (EXIT_PERCENT - ACCEPT_CALLS_PERCENT) / 100;
     DrainTimeouts {
-        accept_for: Duration::from_millis(left / 4),
-        response_timeout: Duration::from_millis(left / 2),
+        accept_for: Duration::from_millis(remaining_ms / 4),
+        response_timeout: Duration::from_millis(remaining_ms / 2),
     }
 }
 
@@ -199,14 +202,14 @@
         self.violations.report_new(&self.peers);
     }
 
-    /// Shows the handlers of calls the configuration as it is known now.
+    /// Publishes the known configuration to the HTTP handlers.
     fn publish_configuration(&mut self) {
         let mut next = FrontTable::clone(&self.table.load());
         next.known = self.machine.known().clone();
         self.table.replace(Arc::new(next));
     }
 
-    /// Shows the handlers of calls the newest view, and what the calls to the head have counted.
+    /// Publishes the newest view and the count of unmatched replies to the HTTP handlers.
     fn publish_calls(&mut self) {
         let table = self.table.load();
         let newest = self.machine.view();
@@ -292,7 +295,7 @@
 }
 
 fn is_ready(table: &FrontTable, now: Millis) -> bool {
-    !table.draining && table.known.is_confirmed_within(READY_MS, now)
+    !table.draining && table.known.is_confirmed_within(READY_TIMEOUT_MS, now)
 }
 
 fn serve_jobs(
@@ -333,12 +336,12 @@
     ) {
         Err(kind) => HttpResponse::error(kind),
         Ok(request) => {
-            let remaining = call
+            let remaining_ms = call
                 .deadline_remaining_ms
                 .unwrap_or(DEFAULT_DEADLINE_MS)
                 .min(DEFAULT_DEADLINE_MS);
-            let wait = remaining.saturating_sub(RESPONSE_MARGIN_MS).max(1);
-            http_response(&call_head(&calls, request, wait).await)
+            let wait_ms = remaining_ms.saturating_sub(RESPONSE_MARGIN_MS).max(1);
+            http_response(&call_head(&calls, request, wait_ms).await)
         }
     }
 }
--- a/crates/cluster-node/src/front/update_relay.rs
+++ b/crates/cluster-node/src/front/update_relay.rs
@@ -1,8 +1,7 @@
-//! Updates that a front relays to its subscribers: to the fronts of its zone, whose home it is, and to agents
-//! that want views only.
+//! Updates that a front relays to its subscribers: views and configurations to the other fronts of its zone if it is
+//! their home front, and views to agents.
 //!
-//! Each relayed update says how old it is, so that the freshness of every process counts from a confirmation by the
-//! head.
+//! Each relayed update contains its age, so that every process measures freshness from a confirmation by the head.
 
 use crate::front::known_configuration::KnownConfiguration;
 use crate::subscribers::Subscribers;
@@ -11,11 +10,11 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
 
-/// A configuration that was not confirmed for longer than this is not relayed, in milliseconds: subscribers that get
-/// no update turn to the head.
+/// A configuration is relayed for this long after its confirmation, in milliseconds. Subscribers that get no update
+/// subscribe to the head.
 pub const MAX_RELAY_AGE_MS: u64 = 600;
 
-/// What a front knows that it may pass on.
+/// The view and the configuration that a front relays.
 #[derive(Clone, Debug, Default)]
 pub struct RelayState {
     /// The newest view.
@@ -29,7 +28,7 @@
 pub struct SubscriberFrame {
     /// The subscriber's connection.
     pub connection: u64,
-    /// What.
+    /// The frame.
     pub frame: Frame,
 }
 
@@ -40,31 +39,31 @@
 }
 
 impl UpdateRelay {
-    /// A process subscribed, or said again what it has.
+    /// Handles a new or renewed subscription. Returns the frames for the subscriber, and for others that lack the view.
     pub fn subscribed(
         &mut self,
         connection: u64,
         interest: Interest,
         requested_at: Millis,
-        knowledge: &RelayState,
+        relay_state: &RelayState,
         now: Millis,
     ) -> Vec<SubscriberFrame> {
         self.subscribers
             .subscribe(connection, interest)
             .requested_at = requested_at;
-        let mut frames = self.send_view(&knowledge.view);
+        let mut frames = self.send_view(&relay_state.view);
         if let Interest::Configuration { have } = interest {
-            frames.extend(update_for(connection, have, requested_at, knowledge, now));
+            frames.extend(update_for(connection, have, requested_at, relay_state, now));
         }
         frames
     }
 
-    /// A connection ended.
+    /// Handles the end of a connection.
     pub fn disconnected(&mut self, connection: u64) {
         self.subscribers.disconnected(connection);
     }
 
-    /// Sends the view to each subscriber that was not sent it yet.
+    /// Sends the view to each subscriber that has not been sent it.
     pub fn send_view(&mut self, view: &View) -> Vec<SubscriberFrame> {
         let mut frames = Vec::new();
         for (connection, subscriber) in self.subscribers.iter_mut() {
@@ -79,14 +78,14 @@
         frames
     }
 
-    /// Sends a new configuration to all subscribers that want it.
+    /// Sends a new configuration to all subscribers that lack it.
     pub fn send_configuration(
         &mut self,
-        knowledge: &RelayState,
+        relay_state: &RelayState,
         now: Millis,
     ) -> Vec<SubscriberFrame> {
         let mut frames = Vec::new();
-        let version = knowledge.known.configuration.version;
+        let version = relay_state.known.configuration.version;
         for (connection, subscriber) in self.subscribers.iter_mut() {
             let Interest::Configuration { have } = subscriber.interest else {
                 continue;
@@ -98,7 +97,7 @@
                 *connection,
                 have,
                 subscriber.requested_at,
-                knowledge,
+                relay_state,
                 now,
             ));
             subscriber.was_sent(version);
@@ -111,16 +110,16 @@
     connection: u64,
     have: u64,
     requested_at: Millis,
-    knowledge: &RelayState,
+    relay_state: &RelayState,
     now: Millis,
 ) -> Option<SubscriberFrame> {
-    let age_ms = now.since(knowledge.known.confirmed_at);
-    let version = knowledge.known.configuration.version;
+    let age_ms = now.since(relay_state.known.confirmed_at);
+    let version = relay_state.known.configuration.version;
     if version == 0 || age_ms > MAX_RELAY_AGE_MS {
         return None;
     }
     let configuration =
-        (have != version).then(|| Configuration::clone(&knowledge.known.configuration));
+        (have != version).then(|| Configuration::clone(&relay_state.known.configuration));
     Some(SubscriberFrame {
         connection,
         frame: Frame::ConfigurationUpdate {
--- a/crates/cluster-node/src/head_client/mod.rs
+++ b/crates/cluster-node/src/head_client/mod.rs
@@ -1,7 +1,8 @@
-//! Calls to the head of the chain, from any process: sent again to each new head until they are answered or given up.
+//! Calls to the head of the chain, from any process. Each call is sent again to each new head until it is answered or
+//! given up.
 //!
-//! When a call is sent again, and which answer is its own, is for [`PendingCalls`] to say; here are the callers who
-//! wait.
+//! [`PendingCalls`] decides when a call is sent again and which reply belongs to it. [`HeadClient`] keeps the senders
+//! by which the callers get their replies.
 
 pub mod pending_calls;
 
@@ -15,10 +16,10 @@
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
 
-/// Open calls of one process; further ones are refused.
+/// Limit on the open calls of one process. Further ones are refused.
 const MAX_PENDING_CALLS: usize = 2_000;
 
-/// Where a finished call's answer goes.
+/// Sends the reply of a finished call to its caller.
 pub type ReplySender = oneshot::Sender<Reply>;
 
 /// A frame to send.
@@ -26,20 +27,20 @@
 pub struct OutgoingFrame {
     /// The receiver.
     pub to: PeerAddress,
-    /// What.
+    /// The frame.
     pub frame: Frame,
 }
 
-/// All open calls of this process, and who waits for them.
+/// All open calls of this process, and the senders for their replies.
 #[derive(Debug)]
 pub struct HeadClient {
     calls: PendingCalls<Request>,
-    /// By the numbers of their calls.
+    /// The reply senders, by the numbers of their calls.
     reply_senders: BTreeMap<u64, ReplySender>,
 }
 
 impl HeadClient {
-    /// No calls. The incarnation is drawn at random when the process begins, as in its greeting.
+    /// Starts without calls. The incarnation is the one in the process's `Hello`, drawn at random at its start.
     pub fn new(incarnation: u64) -> HeadClient {
         HeadClient {
             calls: PendingCalls::new(incarnation),
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The newest view known.
+    /// The newest known view.
     pub fn view(&self) -> &View {
         self.calls.view()
     }
@@ -57,36 +58,36 @@
         self.calls.is_idle()
     }
 
-    /// How many answers came that belong to no open call.
+    /// Number of received replies that match no open call.
     pub fn unmatched_replies(&self) -> u64 {
         self.calls.unmatched_replies()
     }
 
-    /// Takes over a view if it is newer; calls that wait are sent to its head.
+    /// Adopts a view if it is newer. If its head is another one, open calls are sent to it.
     pub fn learn_view(&mut self, view: &View, now: Millis) -> Vec<OutgoingFrame> {
         let effects = self.calls.learn_view(view, now);
         self.carry_out(effects)
     }
 
-    /// Begins a call that is given up at `until`.
+    /// Begins a call that is given up at `deadline`.
     pub fn call(
         &mut self,
         request: Request,
         reply_to: ReplySender,
-        until: Millis,
+        deadline: Millis,
         now: Millis,
     ) -> Vec<OutgoingFrame> {
         if self.calls.open_count() >= MAX_PENDING_CALLS {
-            // A caller that has gone needs no answer.
+            // Sending fails if the caller has gone. The reply is then dropped.
             let _ = reply_to.send(Reply::Error(ErrorKind::Overloaded));
             return Vec::new();
         }
-        let (number, effects) = self.calls.begin(request, until, now);
+        let (number, effects) = self.calls.begin(request, deadline, now);
         self.reply_senders.insert(number, reply_to);
         self.carry_out(effects)
     }
 
-    /// An answer came from a process.
+    /// Handles a reply from a process.
     pub fn receive_reply(
         &mut self,
         from: PeerAddress,
@@ -98,28 +99,28 @@
         self.carry_out(effects)
     }
 
-    /// A connection ended: what was sent there goes out again.
+    /// Handles the end of the connection to a process. Open calls that were last sent to it are sent again.
     pub fn disconnected(&mut self, peer: PeerAddress, now: Millis) -> Vec<OutgoingFrame> {
         let effects = self.calls.disconnected(peer, now);
         self.carry_out(effects)
     }
 
-    /// Gives up what is over and repeats what is overdue.
+    /// Handles a tick of the timer: gives up expired calls and sends overdue ones again.
     pub fn tick(&mut self, now: Millis) -> Vec<OutgoingFrame> {
-        self.abandon_calls_of_the_gone();
+        self.abandon_closed_calls();
         let effects = self.calls.tick(now);
         self.carry_out(effects)
     }
 
-    fn abandon_calls_of_the_gone(&mut self) {
-        let gone = |(_, reply_to): &(&u64, &ReplySender)| reply_to.is_closed();
-        let gone: Vec<u64> = self
+    fn abandon_closed_calls(&mut self) {
+        let is_closed = |(_, reply_to): &(&u64, &ReplySender)| reply_to.is_closed();
+        let closed: Vec<u64> = self
             .reply_senders
             .iter()
-            .filter(gone)
+            .filter(is_closed)
             .map(|(number, _)| *number)
             .collect();
-        for number in gone {
+        for number in closed {
             self.reply_senders.remove(&number);
             self.calls.abandon(number);
         }
@@ -149,7 +150,7 @@
             }),
             CallEffect::Finish { number, reply } => {
                 if let Some(reply_to) = self.reply_senders.remove(&number) {
-                    // A caller that has gone needs no answer.
+                    // Sending fails if the caller has gone. The reply is then dropped.
                     let _ = reply_to.send(reply);
                 }
                 None
--- a/crates/cluster-node/src/head_client/pending_calls.rs
+++ b/crates/cluster-node/src/head_client/pending_calls.rs
@@ -1,10 +1,10 @@
-//! Calls to the head of the chain that are not answered yet, as a state machine without I/O: when each is sent, sent
-//! again or given up, and which answer belongs to which call.
+//! Unanswered calls to the head of the chain, as a state machine without I/O. It decides when each call is sent, sent
+//! again or given up, and which reply belongs to which call.
 //!
-//! An answer belongs to a call if it names the call's complete identity, the incarnation of this process included, and
-//! comes from a process to which that call was sent. Whatever else comes is counted and changes nothing.
+//! A reply belongs to a call if it has the call's complete identity, including the incarnation of this process, and
+//! comes from a process to which that call was sent. Other replies are counted and ignored.
 //!
-//! Only calls whose type says that they are [`Idempotent`] can be kept here, since each may be sent more than once:
+//! The type of a call must be [`Idempotent`], since a call may be sent more than once:
 //!
 //! ```
 //! use lupinrack_cluster_api::request::Request;
@@ -14,7 +14,7 @@
 //! assert!(calls.is_idle());
 //! ```
 //!
-//! A question to one certain process is not:
+//! A query to one specific process is not idempotent:
 //!
 //! ```compile_fail,E0277
 //! use lupinrack_cluster_api::request::ProcessQuery;
@@ -30,16 +30,16 @@
 use lupinrack_cluster_api::view::View;
 use std::collections::BTreeMap;
 
-/// A call that was sent and not answered is sent again after this long, in milliseconds.
+/// Delay before an unanswered call is sent again, in milliseconds.
 const RESEND_AFTER_MS: u64 = 900;
-/// A call that reached a process which is not the head is sent again after this long, in milliseconds.
+/// Delay before a call is sent again after a process replied that it is not the head, in milliseconds.
 const NOT_HEAD_RETRY_MS: u64 = 100;
-/// A call that finds no head is given up after this long, in milliseconds.
+/// Timeout after which a call is given up if no head is known, in milliseconds.
 const NO_HEAD_TIMEOUT_MS: u64 = 800;
 
-/// The newest sending of a call.
+/// The latest attempt to send a call.
 #[derive(Clone, Copy, Debug)]
-struct Transmission {
+struct Attempt {
     to: PeerAddress,
     at: Millis,
 }
@@ -47,33 +47,33 @@
 #[derive(Clone, Debug)]
 struct PendingCall<C> {
     call: C,
-    began: Millis,
-    until: Millis,
-    newest: Option<Transmission>,
-    /// All processes to which it was sent.
+    began_at: Millis,
+    deadline: Millis,
+    last_attempt: Option<Attempt>,
+    /// All processes to which the call was sent.
     recipients: Vec<PeerAddress>,
-    sends: u32,
+    attempts: u32,
 }
 
-/// What the driver is to do for a call.
+/// An action for the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallEffect<C> {
-    /// Sends it, for the first time or again.
+    /// Sends a call, for the first time or again.
     Send {
         /// The receiver.
         to: PeerAddress,
-        /// Which call.
+        /// The identity of the call.
         id: CallId,
-        /// Milliseconds that its caller still waits.
+        /// Milliseconds until the deadline of the call.
         remaining_ms: u64,
         /// The call.
         call: C,
     },
-    /// Hands the reply to the caller; the call is over.
+    /// Passes the reply to the caller. The call is closed.
     Finish {
         /// The number of the call.
         number: u64,
-        /// The reply to its caller.
+        /// The reply.
         reply: Reply,
     },
 }
@@ -89,7 +89,7 @@
 }
 
 impl<C: Idempotent + Clone> PendingCalls<C> {
-    /// No calls, in this incarnation of the process.
+    /// Starts without calls, in this incarnation of the process.
     pub fn new(incarnation: u64) -> PendingCalls<C> {
         PendingCalls {
             incarnation,
@@ -100,12 +100,12 @@
         }
     }
 
-    /// The newest view known.
+    /// The newest known view.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// How many calls are open.
+    /// Number of open calls.
     pub fn open_count(&self) -> usize {
         self.open.len()
     }
@@ -115,12 +115,12 @@
         self.open.is_empty()
     }
 
-    /// How many answers came that belong to no open call: late, repeated, or never asked for.
+    /// Number of received replies that match no open call: late, duplicate or unsolicited ones.
     pub fn unmatched_replies(&self) -> u64 {
         self.unmatched_replies
     }
 
-    /// Takes over a view if it is newer; calls that wait are sent to its head.
+    /// Adopts a view if it is newer. If its head is another one, open calls are sent to it.
     pub fn learn_view(&mut self, view: &View, now: Millis) -> Vec<CallEffect<C>> {
         if view.number <= self.view.number {
             return Vec::new();
@@ -133,28 +133,28 @@
         self.send_where(now, |_, _| true)
     }
 
-    /// Begins a call that is given up at `until`, and gives it its number.
-    pub fn begin(&mut self, call: C, until: Millis, now: Millis) -> (u64, Vec<CallEffect<C>>) {
+    /// Begins a call that is given up at `deadline`. Returns its number.
+    pub fn begin(&mut self, call: C, deadline: Millis, now: Millis) -> (u64, Vec<CallEffect<C>>) {
         self.last_number += 1;
         let number = self.last_number;
         let open = PendingCall {
             call,
-            began: now,
-            until,
-            newest: None,
+            began_at: now,
+            deadline,
+            last_attempt: None,
             recipients: Vec::new(),
-            sends: 0,
+            attempts: 0,
         };
         self.open.insert(number, open);
         (number, self.send_where(now, |other, _| other == number))
     }
 
-    /// Forgets a call whose caller has gone.
+    /// Removes a call whose caller has gone.
     pub fn abandon(&mut self, number: u64) {
         self.open.remove(&number);
     }
 
-    /// An answer came.
+    /// Handles a reply.
     pub fn receive_reply(
         &mut self,
         from: PeerAddress,
@@ -167,28 +167,28 @@
             return Vec::new();
         }
         match reply {
-            Reply::NotHead(view) => self.refused_by(from, id.number, &view, now),
-            reply => self.finish(id.number, |call| final_reply(reply, call.sends)),
+            Reply::NotHead(view) => self.redirected_by(from, id.number, &view, now),
+            reply => self.finish(id.number, |call| final_reply(reply, call.attempts)),
         }
     }
 
-    /// A connection ended: what was sent there goes out again.
+    /// Handles the end of the connection to a process. Open calls that were last sent to it are sent again.
     pub fn disconnected(&mut self, peer: PeerAddress, now: Millis) -> Vec<CallEffect<C>> {
         self.send_where(now, |_, call| {
-            call.newest.is_some_and(|newest| newest.to == peer)
+            call.last_attempt.is_some_and(|attempt| attempt.to == peer)
         })
     }
 
-    /// Gives up what is over and repeats what is overdue.
+    /// Handles a tick of the timer: gives up expired calls and sends overdue ones again.
     pub fn tick(&mut self, now: Millis) -> Vec<CallEffect<C>> {
-        let is_over = |call: &PendingCall<C>| call.is_over(now);
-        let over: Vec<u64> = self
+        let is_expired = |call: &PendingCall<C>| call.is_expired(now);
+        let expired: Vec<u64> = self
             .open
             .iter()
-            .filter(|(_, call)| is_over(call))
+            .filter(|(_, call)| is_expired(call))
             .map(|(number, _)| *number)
             .collect();
-        let mut effects: Vec<CallEffect<C>> = over
+        let mut effects: Vec<CallEffect<C>> = expired
             .into_iter()
             .flat_map(|number| self.finish(number, PendingCall::timeout_reply))
             .collect();
@@ -201,7 +201,7 @@
         self.view.address(self.view.head()?)
     }
 
-    /// Whether this incarnation of the process has asked `from` that, and waits for an answer.
+    /// Whether this incarnation of the process has sent the open call with this identity to `from`.
     fn is_awaited_from(&self, from: PeerAddress, id: CallId) -> bool {
         let call = self
             .open
@@ -210,21 +210,21 @@
         call.is_some_and(|call| call.recipients.contains(&from))
     }
 
-    /// A process that is not the head took nothing; it may know of a newer view.
-    fn refused_by(
+    /// Handles the reply of a process that is not the head. It did not take the call, and may know a newer view.
+    fn redirected_by(
         &mut self,
         from: PeerAddress,
         number: u64,
         view: &View,
         now: Millis,
     ) -> Vec<CallEffect<C>> {
-        let again_at = Millis(now.0.saturating_sub(RESEND_AFTER_MS - NOT_HEAD_RETRY_MS));
-        let newest = self
+        let retry_as_if_sent_at = Millis(now.0.saturating_sub(RESEND_AFTER_MS - NOT_HEAD_RETRY_MS));
+        let attempt = self
             .open
             .get_mut(&number)
-            .and_then(|call| call.newest.as_mut());
-        if let Some(newest) = newest.filter(|newest| newest.to == from) {
-            newest.at = again_at;
+            .and_then(|call| call.last_attempt.as_mut());
+        if let Some(attempt) = attempt.filter(|attempt| attempt.to == from) {
+            attempt.at = retry_as_if_sent_at;
         }
         self.learn_view(view, now)
     }
@@ -246,7 +246,7 @@
     fn send_where(
         &mut self,
         now: Millis,
-        which: impl Fn(u64, &PendingCall<C>) -> bool,
+        is_due: impl Fn(u64, &PendingCall<C>) -> bool,
     ) -> Vec<CallEffect<C>> {
         let Some(head) = self.head() else {
             return Vec::new();
@@ -255,7 +255,7 @@
         let due = self
             .open
             .iter_mut()
-            .filter(|(number, call)| which(**number, call));
+            .filter(|(number, call)| is_due(**number, call));
         due.map(|(number, call)| {
             call.send(
                 head,
@@ -272,34 +272,34 @@
 
 impl<C: Clone> PendingCall<C> {
     fn send(&mut self, to: PeerAddress, id: CallId, now: Millis) -> CallEffect<C> {
-        self.newest = Some(Transmission { to, at: now });
-        self.sends += 1;
+        self.last_attempt = Some(Attempt { to, at: now });
+        self.attempts += 1;
         if !self.recipients.contains(&to) {
             self.recipients.push(to);
         }
         CallEffect::Send {
             to,
             id,
-            remaining_ms: self.until.since(now),
+            remaining_ms: self.deadline.since(now),
             call: self.call.clone(),
         }
     }
 
     fn is_overdue(&self, head: Option<PeerAddress>, now: Millis) -> bool {
-        match self.newest {
+        match self.last_attempt {
             None => true,
-            Some(newest) => Some(newest.to) != head || now.since(newest.at) >= RESEND_AFTER_MS,
+            Some(attempt) => Some(attempt.to) != head || now.since(attempt.at) >= RESEND_AFTER_MS,
         }
     }
 
-    fn is_over(&self, now: Millis) -> bool {
-        let no_head = self.newest.is_none() && now.since(self.began) >= NO_HEAD_TIMEOUT_MS;
-        now >= self.until || no_head
+    fn is_expired(&self, now: Millis) -> bool {
+        let no_head = self.last_attempt.is_none() && now.since(self.began_at) >= NO_HEAD_TIMEOUT_MS;
+        now >= self.deadline || no_head
     }
 
-    /// *Not taken* where it was never handed to a connection, and *in doubt* otherwise.
+    /// The reply to an expired call: *not taken* if it was never sent, and *in doubt* otherwise.
     fn timeout_reply(&self) -> Reply {
-        let kind = if self.newest.is_some() {
+        let kind = if self.last_attempt.is_some() {
             ErrorKind::InDoubt
         } else {
             ErrorKind::NotTaken
@@ -308,13 +308,14 @@
     }
 }
 
-/// A refusal is conclusive for the attempt that it answers; after other attempts the outcome of the call is unknown.
-fn final_reply(reply: Reply, sends: u32) -> Reply {
+/// The reply that the caller gets. A refusal is conclusive only for the attempt that it answers. If there were other
+/// attempts, the outcome of the call is unknown.
+fn final_reply(reply: Reply, attempts: u32) -> Reply {
     let refused = matches!(
         reply,
         Reply::Error(ErrorKind::NotTaken | ErrorKind::Overloaded | ErrorKind::ShuttingDown)
     );
-    if refused && sends > 1 {
+    if refused && attempts > 1 {
         Reply::Error(ErrorKind::InDoubt)
     } else {
         reply
--- a/crates/cluster-node/src/lib.rs
+++ b/crates/cluster-node/src/lib.rs
@@ -3,17 +3,16 @@
 //! What a process does follows from `serves` in its settings:
 //!
 //! - [`core`]: a core process, which votes on views, replicates the control state, answers calls and schedules services;
-//! - [`front`]: a front, which takes clients' calls and hands them on to the head of the replication chain;
-//! - [`agent`]: the agent beside one server.
+//! - [`front`]: a front, which accepts clients' calls and forwards them to the head of the replication chain;
+//! - [`agent`]: the agent of one server.
 //!
-//! Each has a `machine` without I/O or clock, which the simulation of the control plane drives too, and a `process`
-//! that carries its frames, serves HTTP and reads the clocks. A process runs on one thread; a core process has one more
-//! for its disk.
+//! Each has a `machine` without I/O or clock, which the simulation of the control plane runs too, and a `process` that
+//! sends and receives its frames, serves HTTP and reads the clocks. A process runs on one thread. A core process has a
+//! second thread for its disk.
 //!
-//! Where to start reading: [`core::CoreMachine`], with the components that it names; then [`front::machine`] and
-//! [`agent::machine`]. What they share is beside them: [`head_client`] (calls to the head), [`subscription`] and
-//! [`subscribers`] (views and configurations), [`membership`] (the driver of SWIM), [`control_api`] and [`status`]
-//! (what operators see).
+//! Start reading at [`core::CoreMachine`] and its components, then [`front::machine`] and [`agent::machine`]. They
+//! share [`head_client`] (calls to the head), [`subscription`] and [`subscribers`] (views and configurations),
+//! [`membership`] (the driver of SWIM), [`control_api`] and [`status`] (the operators' interface).
 
 pub mod agent;
 pub mod clock;
@@ -37,8 +36,8 @@
 use lupinrack_node_settings::{CommandDelivery, NodeSettings, ServedInterface, SettingsFile};
 use std::process::ExitCode;
 
-/// Runs a process until it has shut down; an error is logged, and its exit code is 1. At SIGHUP the process reads its
-/// settings file again.
+/// Runs a process until it has shut down. An error is logged, and the exit code is then 1. On SIGHUP the process reads
+/// its settings file again.
 pub fn run(settings: SettingsFile) -> ExitCode {
     match run_to_end(settings) {
         Ok(()) => ExitCode::SUCCESS,
@@ -49,11 +48,11 @@
     }
 }
 
-/// Checks that this program can do what the settings ask for.
+/// Checks that this program supports the settings.
 ///
 /// # Errors
 ///
-/// [`NodeError::UnservedCommands`] at an agent whose server is to be called.
+/// [`NodeError::UnservedCommands`] for an agent that would have to call its server to deliver commands.
 pub fn check_served(settings: &NodeSettings) -> Result<(), NodeError> {
     let calls_server = settings.commands == CommandDelivery::Rpc;
     if settings.serves(ServedInterface::Agent) && calls_server {
--- a/crates/cluster-node/src/membership.rs
+++ b/crates/cluster-node/src/membership.rs
@@ -1,8 +1,8 @@
-//! The driver of SWIM membership: a UDP socket at the internal port, its timer, and the table of live members that the
+//! The driver of SWIM membership: a UDP socket on the internal port, a timer, and the table of live members that the
 //! process reads.
 //!
-//! The process works without it: where the socket cannot be bound, or nobody answers, the table holds this process at
-//! most, and everything goes to the head of the chain as if there were no membership.
+//! The process works without membership. If the socket cannot be bound, or no member answers, the table contains at
+//! most this process, and all subscriptions and calls go to the head of the chain.
 
 use crate::clock::{draw, Clock};
 use lupinrack_cluster_api::identity::PeerAddress;
@@ -16,12 +16,12 @@
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
-/// However many datagrams come, the timer is not kept waiting for longer than this, in milliseconds.
+/// Limit on the delay of the timer under a flood of datagrams, in milliseconds.
 const MAX_TIMER_DELAY_MS: u64 = 200;
-/// The delay before the next read after the socket failed, in milliseconds.
+/// Delay before the next read after the socket failed, in milliseconds.
 const SOCKET_RETRY_MS: u64 = 100;
 
-/// Membership of this process, as its other parts see it.
+/// The handle by which the process uses its membership.
 #[derive(Clone)]
 pub struct Membership {
     table: Arc<SharedValue<LiveTable>>,
@@ -31,7 +31,7 @@
 }
 
 impl Membership {
-    /// Begins to take part, from these seeds on. To be called within a runtime.
+    /// Joins the membership through these seeds. Must be called within a Tokio runtime.
     pub fn start(
         own: LiveMember,
         seeds: Vec<PeerAddress>,
@@ -52,7 +52,7 @@
                     swim,
                     clock,
                     membership: membership.clone(),
-                    published: 0,
+                    published_version: 0,
                 };
                 tokio::spawn(driver.run());
             }
@@ -63,18 +63,18 @@
         membership
     }
 
-    /// The members that are believed to be alive.
+    /// The members that SWIM considers alive.
     pub fn table(&self) -> Arc<LiveTable> {
         self.table.load()
     }
 
-    /// Replaces the seeds by which the others are looked for.
+    /// Replaces the seeds through which other members are found.
     pub fn set_seeds(&self, seeds: Vec<PeerAddress>) {
         self.seeds.replace(Arc::new(seeds));
         self.seeds_replaced.notify_one();
     }
 
-    /// Announces to other members that this process leaves, and ends the part that it takes.
+    /// Announces to other members that this process leaves, and ends its membership.
     pub fn shut_down(&self) {
         self.shutdown.notify_one();
     }
@@ -91,23 +91,23 @@
     swim: Swim,
     clock: Clock,
     membership: Membership,
-    /// The version of the table that was published last.
-    published: u64,
+    /// The version of the last published table.
+    published_version: u64,
 }
 
 impl Driver {
     async fn run(mut self) {
-        // One byte more than allowed, so that a datagram that is too long shows.
+        // One byte more than allowed, so that a datagram that is too long can be detected.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         let shutdown = self.membership.shutdown.clone();
         let seeds_replaced = self.membership.seeds_replaced.clone();
         loop {
             self.publish();
-            let pause = self.swim.next_wakeup().since(self.clock.now());
+            let timer_delay_ms = self.swim.next_wakeup().since(self.clock.now());
             tokio::select! {
-                // What was received before the timer fired may be what the timer would miss.
+                // Datagrams are read before the timer runs: one of them may be the answer whose timeout is due.
                 biased;
-                () = shutdown.notified() => return self.farewell(),
+                () = shutdown.notified() => return self.announce_departure(),
                 () = seeds_replaced.notified() => {
                     self.swim.set_seeds(self.membership.seeds.load().to_vec());
                 }
@@ -115,7 +115,7 @@
                     Ok((length, from)) => self.on_datagram(from, &buffer[..length]),
                     Err(error) => self.on_failure(error).await,
                 },
-                () = tokio::time::sleep(Duration::from_millis(pause)) => self.on_timer(),
+                () = tokio::time::sleep(Duration::from_millis(timer_delay_ms)) => self.on_timer(),
             }
         }
     }
@@ -131,7 +131,7 @@
                     .receive(PeerAddress(from), datagram, self.clock.now());
                 self.send_all(outgoing);
             }
-            Err(error) => spdlog::debug!("from {from}: {error}"),
+            Err(error) => spdlog::debug!("malformed datagram from {from}: {error}"),
         }
         if self.clock.now().since(self.swim.next_wakeup()) >= MAX_TIMER_DELAY_MS {
             self.on_timer();
@@ -144,29 +144,29 @@
     }
 
     async fn on_failure(&mut self, error: io::Error) {
-        spdlog::debug!("the internal UDP port: {error}");
+        spdlog::debug!("cannot receive on the internal UDP port: {error}");
         tokio::time::sleep(Duration::from_millis(SOCKET_RETRY_MS)).await;
     }
 
-    fn farewell(&mut self) {
+    fn announce_departure(&mut self) {
         let outgoing = self.swim.leave();
         self.send_all(outgoing);
     }
 
-    /// A datagram that cannot be sent at once is lost, like one that gets lost on its way.
+    /// A datagram that cannot be sent at once is dropped. SWIM treats it like one that the network lost.
     fn send_all(&self, outgoing: Vec<Outgoing>) {
         for Outgoing { to, datagram } in outgoing {
             if let Err(error) = self.socket.try_send_to(&datagram.encode(), to.0.into()) {
-                spdlog::debug!("to {}: {error}", to.0);
+                spdlog::debug!("cannot send a datagram to {}: {error}", to.0);
             }
         }
     }
 
     fn publish(&mut self) {
-        if self.published == self.swim.version() {
+        if self.published_version == self.swim.version() {
             return;
         }
-        self.published = self.swim.version();
+        self.published_version = self.swim.version();
         let table = self.swim.live_table();
         spdlog::debug!("{} live members", table.members().len());
         self.membership.table.replace(Arc::new(table));
--- a/crates/cluster-node/src/settings_reload.rs
+++ b/crates/cluster-node/src/settings_reload.rs
@@ -1,9 +1,9 @@
-//! Reading the settings file again at SIGHUP: what is taken, and what waits for a restart, is said in the log.
+//! Reloading of the settings file on SIGHUP. The log lists the keys that take effect and those that need a restart.
 
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_node_settings::SettingsFile;
 
-/// Reads the file again; returns the seeds if they have changed. A file that cannot be used changes nothing.
+/// Reads the file again. Returns the seeds if they have changed. An unreadable or invalid file changes nothing.
 pub(crate) fn reread_seeds(file: &mut SettingsFile) -> Option<Vec<PeerAddress>> {
     let changes = match file.reread() {
         Ok(changes) => changes,
@@ -15,14 +15,14 @@
     };
     spdlog::info!(
         "SIGHUP: taken: {}; waiting for a restart: {}",
-        listed(&changes.taken),
-        listed(&changes.deferred)
+        list_keys(&changes.taken),
+        list_keys(&changes.deferred)
     );
-    let are_new = !changes.taken.is_empty();
-    are_new.then(|| file.settings().seed_internal())
+    let have_changed = !changes.taken.is_empty();
+    have_changed.then(|| file.settings().seed_internal())
 }
 
-fn listed(keys: &[String]) -> String {
+fn list_keys(keys: &[String]) -> String {
     if keys.is_empty() {
         "nothing".to_owned()
     } else {
--- a/crates/cluster-node/src/signals.rs
+++ b/crates/cluster-node/src/signals.rs
@@ -1,14 +1,14 @@
-//! Signals of the platform.
+//! Signals from the platform.
 
 use crate::NodeError;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// What the platform asks of the process.
+/// A request of the platform to the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProcessSignal {
-    /// To end gracefully (SIGTERM, SIGINT).
+    /// Shut down gracefully (SIGTERM, SIGINT).
     Terminate,
-    /// To read its settings file again (SIGHUP).
+    /// Read the settings file again (SIGHUP).
     Reload,
 }
 
@@ -21,11 +21,11 @@
 }
 
 impl Signals {
-    /// Begins to listen.
+    /// Installs the signal handlers.
     ///
     /// # Errors
     ///
-    /// [`NodeError::ListenForSignals`] where the system refuses a signal handler.
+    /// [`NodeError::ListenForSignals`] if the system refuses a signal handler.
     pub(crate) fn listen() -> Result<Signals, NodeError> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate()).map_err(NodeError::ListenForSignals)?,
--- a/crates/cluster-node/src/status.rs
+++ b/crates/cluster-node/src/status.rs
@@ -6,27 +6,27 @@
 use lupinrack_scheduler::ServiceSummary;
 use std::fmt;
 
-/// The path at which every process answers it.
+/// The path at which every process serves its status.
 pub const STATUS_PATH: &str = "/lupinrack/status";
 
-/// A core process at one moment.
+/// The status of a core process.
 #[derive(Clone, Copy, Debug)]
 pub struct CoreStatus<'a> {
     /// The name of its machine.
     pub node: &'a str,
     /// Its disk and address.
     pub me: &'a Voter,
-    /// The newest view that it knows.
+    /// The newest known view.
     pub view: &'a View,
     /// The control state that is applied here.
     pub state: &'a ControlState,
-    /// The index of the last operation that is applied here.
+    /// The index of the last applied log entry.
     pub applied: u64,
-    /// The index of the last operation that is known to be committed.
+    /// The index of the last log entry that is known to be committed.
     pub committed: u64,
-    /// How many answers came that belong to none of its open calls: late, repeated, or never asked for.
+    /// Number of received replies that match none of its open calls: late, duplicate or unsolicited ones.
     pub unmatched_replies: u64,
-    /// The services that it schedules.
+    /// The services whose shards it owns.
     pub services: &'a [(ServiceName, ServiceSummary)],
 }
 
@@ -79,20 +79,20 @@
     }
 }
 
-/// A front at one moment.
+/// The status of a front.
 #[derive(Clone, Copy, Debug)]
 pub struct FrontStatus<'a> {
     /// The name of its machine.
     pub node: &'a str,
-    /// Whether it calls itself ready.
+    /// Whether it is ready.
     pub ready: bool,
-    /// The newest view that it knows.
+    /// The newest known view.
     pub view: &'a View,
-    /// The version of its configuration; 0 for none.
+    /// The version of its configuration; 0 if it has none.
     pub configuration: u64,
-    /// Milliseconds since the head last confirmed it; none where it never did.
+    /// Milliseconds since the head last confirmed the configuration; none if it never did.
     pub confirmed_ms_ago: Option<u64>,
-    /// How many answers came that belong to none of its open calls: late, repeated, or never asked for.
+    /// Number of received replies that match none of its open calls: late, duplicate or unsolicited ones.
     pub unmatched_replies: u64,
 }
 
@@ -111,20 +111,20 @@
     }
 }
 
-/// An agent at one moment.
+/// The status of an agent.
 #[derive(Clone, Copy, Debug)]
 pub struct AgentStatus<'a> {
     /// The name of its machine.
     pub node: &'a str,
-    /// The newest view that it knows.
+    /// The newest known view.
     pub view: &'a View,
-    /// The server beside it, once that has registered.
+    /// Its server, once that has registered.
     pub server: Option<&'a ServerId>,
     /// The server's service.
     pub service: Option<&'a ServiceName>,
     /// The owner of the service's shard.
     pub owner: Option<PeerAddress>,
-    /// Milliseconds since a frame of the owner was last received, or since the session with it began.
+    /// Milliseconds since the last frame from the owner, or since the session with it began.
     pub owner_received_ms_ago: u64,
     /// The highest fencing token that it has seen.
     pub token: u64,
@@ -185,7 +185,7 @@
     )
 }
 
-/// The address of a disk's process; the disk itself where it is no voter.
+/// The address of a disk's process, or the disk itself if it is not a voter.
 fn address_text(view: &View, disk: DiskId) -> String {
     match view.address(disk) {
         Some(PeerAddress(address)) => address.to_string(),
--- a/crates/cluster-node/src/subscribers.rs
+++ b/crates/cluster-node/src/subscribers.rs
@@ -4,7 +4,7 @@
 use lupinrack_cluster_api::time::Millis;
 use std::collections::BTreeMap;
 
-/// All subscribers, by their connection.
+/// All subscribers of this process.
 #[derive(Debug, Default)]
 pub struct Subscribers {
     by_connection: BTreeMap<u64, Subscriber>,
@@ -13,28 +13,28 @@
 /// A process that subscribed on one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Subscriber {
-    /// What it subscribed to.
+    /// What the process subscribed to.
     pub interest: Interest,
-    /// The number of the view that it was sent last.
+    /// The number of the last view that it was sent.
     pub sent_view: u64,
-    /// When it subscribed last, by its own clock.
+    /// When it last subscribed, on its own monotonic clock.
     pub requested_at: Millis,
 }
 
 impl Subscriber {
-    /// Whether it wants a configuration of this version.
+    /// Whether it subscribed to configurations and lacks this version.
     pub fn wants(&self, version: u64) -> bool {
         matches!(self.interest, Interest::Configuration { have } if have < version)
     }
 
-    /// Notes that it was sent a configuration of this version.
+    /// Records that it was sent a configuration of this version.
     pub fn was_sent(&mut self, version: u64) {
         self.interest = Interest::Configuration { have: version };
     }
 }
 
 impl Subscribers {
-    /// A process subscribed, or renewed its subscription.
+    /// Adds a subscriber, or renews its subscription.
     pub fn subscribe(&mut self, connection: u64, interest: Interest) -> &mut Subscriber {
         let entry = self.by_connection.entry(connection);
         let subscriber = entry.or_insert(Subscriber {
@@ -51,7 +51,7 @@
         self.by_connection.get_mut(&connection)
     }
 
-    /// Its connection ended.
+    /// Removes the subscriber whose connection ended.
     pub fn disconnected(&mut self, connection: u64) {
         self.by_connection.remove(&connection);
     }
--- a/crates/cluster-node/src/subscription.rs
+++ b/crates/cluster-node/src/subscription.rs
@@ -1,6 +1,7 @@
-//! How a process without a disk follows the core: it finds a core process from its seeds, learns the view, and stays
-//! subscribed to the head. Where the head is silent it asks the voters that it knows, its seeds, and the core processes of
-//! the table of live members: after a long absence all of the former may have been replaced.
+//! The subscription of a process without a disk to the core. It finds a core process through its seeds, learns the
+//! view, and then subscribes to the head. If the head is silent, it tries the known voters, its seeds, and the core
+//! processes in the table of live members, since all known voters and seeds may have been replaced during a long
+//! absence.
 
 use crate::head_client::OutgoingFrame;
 use lupinrack_cluster_api::frame::{Frame, Interest};
@@ -9,33 +10,33 @@
 use lupinrack_cluster_api::view::View;
 use lupinrack_cluster_membership::LiveTable;
 
-/// Interval between two subscriptions while the view is known, in milliseconds.
-const KNOWN_MS: u64 = 400;
-/// Interval between two attempts while no view is known, in milliseconds.
-const SEARCH_MS: u64 = 150;
-/// Without an update from the head for this long, other core processes are asked for the view, in milliseconds.
+/// Minimum interval between two subscriptions while a view is known, in milliseconds.
+const MIN_SUBSCRIBE_INTERVAL_MS: u64 = 400;
+/// Interval between two attempts while the head is unknown or silent, in milliseconds.
+const SEARCH_INTERVAL_MS: u64 = 150;
+/// Timeout without an update from the head after which other core processes are tried, in milliseconds.
 const HEAD_TIMEOUT_MS: u64 = 1_000;
 
-/// One subscription.
+/// The subscription of one process.
 #[derive(Debug)]
 pub struct Subscription {
     seeds: Vec<PeerAddress>,
-    every_ms: u64,
+    interval_ms: u64,
     last_sent: Option<Millis>,
     last_update_at: Millis,
-    turn: usize,
+    search_attempts: usize,
 }
 
 impl Subscription {
-    /// With the seeds of the settings; `every_ms` is the minimum interval between two subscriptions, in milliseconds,
-    /// once the view is known.
-    pub fn new(seeds: Vec<PeerAddress>, every_ms: u64, now: Millis) -> Subscription {
+    /// Creates a subscription with the seeds of the settings. `interval_ms` is the interval between two subscriptions
+    /// once a view is known, in milliseconds.
+    pub fn new(seeds: Vec<PeerAddress>, interval_ms: u64, now: Millis) -> Subscription {
         Subscription {
             seeds,
-            every_ms: every_ms.max(KNOWN_MS),
+            interval_ms: interval_ms.max(MIN_SUBSCRIBE_INTERVAL_MS),
             last_sent: None,
             last_update_at: now,
-            turn: 0,
+            search_attempts: 0,
         }
     }
 
@@ -44,17 +45,19 @@
         self.seeds = seeds;
     }
 
-    /// An update was received that was valid at this moment.
+    /// Records an update that was valid at this time.
     pub fn received_update(&mut self, at: Millis) {
         self.last_update_at = self.last_update_at.max(at);
     }
 
-    /// Something that the subscription depends on has changed: the next tick subscribes at once.
-    pub fn hurry(&mut self) {
+    /// Makes the next tick subscribe, whatever the interval. Called when something changed that the subscription
+    /// depends on.
+    pub fn make_due(&mut self) {
         self.last_sent = None;
     }
 
-    /// The subscription that is due, if any. The table of live members may be wrong.
+    /// Handles a tick of the timer. Returns the subscription that is due, if any. The table of live members is a hint
+    /// and may be wrong.
     pub fn tick(
         &mut self,
         view: &View,
@@ -62,10 +65,14 @@
         table: &LiveTable,
         now: Millis,
     ) -> Option<OutgoingFrame> {
-        let searching =
-            view.number == 0 || now.since(self.last_update_at) >= HEAD_TIMEOUT_MS + self.every_ms;
-        let every = if searching { SEARCH_MS } else { self.every_ms };
-        if self.last_sent.is_some_and(|at| now.since(at) < every) {
+        let searching = view.number == 0
+            || now.since(self.last_update_at) >= HEAD_TIMEOUT_MS + self.interval_ms;
+        let interval_ms = if searching {
+            SEARCH_INTERVAL_MS
+        } else {
+            self.interval_ms
+        };
+        if self.last_sent.is_some_and(|at| now.since(at) < interval_ms) {
             return None;
         }
         self.last_sent = Some(now);
@@ -91,8 +98,10 @@
                 candidates.push(address);
             }
         }
-        self.turn += 1;
+        self.search_attempts += 1;
         let count = candidates.len();
-        candidates.get(self.turn.checked_rem(count)?).copied()
+        candidates
+            .get(self.search_attempts.checked_rem(count)?)
+            .copied()
     }
 }
--- a/crates/cluster-node/tests/admission.rs
+++ b/crates/cluster-node/tests/admission.rs
@@ -11,7 +11,7 @@
 use lupinrack_cluster_api::server::RunEnd;
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_node::core::admission::Admission;
-use lupinrack_cluster_node::core::state_size::{admitted_bytes_most, StateSize};
+use lupinrack_cluster_node::core::state_size::{max_admitted_bytes, StateSize};
 use lupinrack_control_state::ControlState;
 use quickcheck::quickcheck;
 
@@ -227,7 +227,7 @@
 
 #[test]
 fn the_bound_follows_the_smaller_of_memory_and_disk() {
-    assert_eq!(admitted_bytes_most(256, 128), 25_600_000);
-    assert_eq!(admitted_bytes_most(80, 1_000), 10_000_000);
-    assert_eq!(admitted_bytes_most(0, 0), 32_000_000);
+    assert_eq!(max_admitted_bytes(256, 128), 25_600_000);
+    assert_eq!(max_admitted_bytes(80, 1_000), 10_000_000);
+    assert_eq!(max_admitted_bytes(0, 0), 32_000_000);
 }
--- a/crates/cluster-node/tests/byte_bounds.rs
+++ b/crates/cluster-node/tests/byte_bounds.rs
@@ -8,7 +8,7 @@
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::Voter;
 use lupinrack_cluster_node::control_api::HeadCall;
-use lupinrack_cluster_node::core::state_size::admitted_bytes_most;
+use lupinrack_cluster_node::core::state_size::max_admitted_bytes;
 use lupinrack_cluster_node::core::{
     ByteLimits, CoreEffect, CoreEvent, CoreMachine, CoreSettings, Moment,
 };
@@ -65,7 +65,7 @@
             seeds: vec![address],
             remember_ms: 10_000,
             log_bytes: ByteLimits::of_machine(256, 128),
-            admitted_state_bytes: admitted_bytes_most(256, 128),
+            admitted_state_bytes: max_admitted_bytes(256, 128),
             ..CoreSettings::with_defaults(
                 Voter {
                     disk: DiskId(1),
--- a/crates/cluster-node/tests/pending_requests.rs
+++ b/crates/cluster-node/tests/pending_requests.rs
@@ -23,7 +23,7 @@
             incarnation: 1,
             number: id,
         },
-        until: Millis(until),
+        deadline: Millis(until),
     };
     PendingRequest {
         caller,
--- a/crates/cluster-node/tests/request_steps.rs
+++ b/crates/cluster-node/tests/request_steps.rs
@@ -9,7 +9,7 @@
 use lupinrack_cluster_api::request::{Reply, Request, Target};
 use lupinrack_cluster_api::time::WallMillis;
 use lupinrack_cluster_node::core::request_steps::{
-    first_step, reply_for, second_step, RequestStep,
+    reply_for, step_after_barrier, step_before_barrier, RequestStep,
 };
 use lupinrack_control_state::ControlState;
 
@@ -114,11 +114,11 @@
 }
 
 fn first(state: &ControlState, request: &Request) -> RequestStep {
-    first_step(state, request, WALL)
+    step_before_barrier(state, request, WALL)
 }
 
 fn second(state: &ControlState, request: &Request) -> Option<Reply> {
-    answered(second_step(state, VIEW, request, WALL))
+    answered(step_after_barrier(state, VIEW, request, WALL))
 }
 
 fn error(kind: ErrorKind) -> Option<Reply> {
@@ -165,7 +165,7 @@
 
 #[test]
 fn a_queue_that_came_meanwhile_is_found_after_the_barrier() {
-    let step = second_step(&configured(), VIEW, &submission(orders()), WALL);
+    let step = step_after_barrier(&configured(), VIEW, &submission(orders()), WALL);
     assert_eq!(submitted(step), Some(acceptance()));
 }
 
--- a/crates/cluster-node/tests/restarted_core.rs
+++ b/crates/cluster-node/tests/restarted_core.rs
@@ -9,7 +9,7 @@
 use lupinrack_cluster_api::time::{Millis, WallMillis};
 use lupinrack_cluster_api::view::{View, Voter};
 use lupinrack_cluster_node::control_api::HeadCall;
-use lupinrack_cluster_node::core::state_size::admitted_bytes_most;
+use lupinrack_cluster_node::core::state_size::max_admitted_bytes;
 use lupinrack_cluster_node::core::{
     ByteLimits, CoreEffect, CoreEvent, CoreMachine, CoreSettings, Moment,
 };
@@ -59,7 +59,7 @@
         remember_ms: 10_000,
         scheduler: SchedulerSettings::default(),
         log_bytes: ByteLimits::default(),
-        admitted_state_bytes: admitted_bytes_most(0, 0),
+        admitted_state_bytes: max_admitted_bytes(0, 0),
     };
     CoreMachine::new(settings, recovered, moment(1)).expect("the disk can be read")
 }
--- a/crates/cluster-node/tests/subscription.rs
+++ b/crates/cluster-node/tests/subscription.rs
@@ -98,7 +98,7 @@
         receiver(subscription.tick(&known, HAS_NONE, &LiveTable::default(), Millis(20))),
         None
     );
-    subscription.hurry();
+    subscription.make_due();
     assert_eq!(
         receiver(subscription.tick(&known, HAS_NONE, &LiveTable::default(), Millis(30))),
         Some(core(2))
@@ -152,7 +152,7 @@
     let timed_out = Millis(1 + 1_000 + EVERY_MS);
     subscription.tick(&known, HAS_NONE, &LiveTable::default(), timed_out);
     subscription.received_update(timed_out.plus(10));
-    subscription.hurry();
+    subscription.make_due();
     assert_eq!(
         receiver(subscription.tick(&known, HAS_NONE, &LiveTable::default(), timed_out.plus(20))),
         Some(core(2))
--- a/crates/cluster-node/tests/view_source.rs
+++ b/crates/cluster-node/tests/view_source.rs
@@ -68,7 +68,7 @@
 #[test]
 fn in_doubt_the_head_is_asked_for_a_while() {
     let mut source = source();
-    source.doubt(Millis(1_000));
+    source.prefer_head(Millis(1_000));
     let mut choose = |now| source.choose(address(HEAD), Some(address(HEAD)), &table(), Millis(now));
     assert_eq!(choose(1_000 + ASK_HEAD_MS - 1), address(HEAD));
     assert_eq!(choose(1_000 + ASK_HEAD_MS), address(2));
--- a/crates/cluster-simulation/src/machine/front.rs
+++ b/crates/cluster-simulation/src/machine/front.rs
@@ -11,7 +11,7 @@
 use lupinrack_cluster_node::control_api::HeadCall;
 use lupinrack_cluster_node::front::known_configuration::negative_answer_validity_ms;
 use lupinrack_cluster_node::front::machine::{
-    FrontEffect, FrontMachine, END_PERCENT, READY_MS, SERVE_ON_PERCENT,
+    FrontEffect, FrontMachine, ACCEPT_CALLS_PERCENT, EXIT_PERCENT, READY_TIMEOUT_MS,
 };
 
 /// How soon a change is in force at every machine in touch, in milliseconds, as the settings of a deployment say.
@@ -43,7 +43,11 @@
 
     /// Whether it takes new connections.
     pub(crate) fn is_ready(&self, now: Millis) -> bool {
-        self.ending_since.is_none() && self.machine.known().is_confirmed_within(READY_MS, now)
+        self.ending_since.is_none()
+            && self
+                .machine
+                .known()
+                .is_confirmed_within(READY_TIMEOUT_MS, now)
     }
 
     /// The newest view that it knows.
@@ -62,8 +66,8 @@
         let Some(waited) = self.ending_since.map(|since| now.since(since)) else {
             return false;
         };
-        let served_on = waited >= GRACE_MS * SERVE_ON_PERCENT / 100;
-        (served_on && self.machine.is_idle()) || waited >= GRACE_MS * END_PERCENT / 100
+        let served_on = waited >= GRACE_MS * ACCEPT_CALLS_PERCENT / 100;
+        (served_on && self.machine.is_idle()) || waited >= GRACE_MS * EXIT_PERCENT / 100
     }
 
     /// A frame came.
