--- a/crates/cluster-simulation/src/process_start.rs
+++ b/crates/cluster-simulation/src/process_start.rs
@@ -11,7 +11,7 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::Voter;
 use lupinrack_cluster_membership::{LiveMember, LiveTable};
-use lupinrack_cluster_node::core::state_size::admitted_bytes_most;
+use lupinrack_cluster_node::core::state_size::max_admitted_bytes;
 use lupinrack_cluster_node::core::{CoreMachine, CoreSettings};
 use lupinrack_control_store::Recovered;
 use lupinrack_scheduler::SchedulerSettings;
@@ -141,7 +141,7 @@
                 ..SchedulerSettings::default()
             },
             log_bytes: self.config.log_bytes(),
-            admitted_state_bytes: admitted_bytes_most(0, 0),
+            admitted_state_bytes: max_admitted_bytes(0, 0),
         };
         let moment = self.machines[machine].clock.read(self.now);
         match CoreMachine::new(config, recovered, moment) {
