--- a/crates/worker-agent/src/agent.rs
+++ b/crates/worker-agent/src/agent.rs
@@ -2,7 +2,7 @@
 
 use crate::heartbeat_response::{HeartbeatResponse, StopOrder};
 use crate::incarnation::Incarnation;
-use crate::incarnation_history::{HeartbeatStatus, IncarnationHistory, PresentIncarnation};
+use crate::incarnation_history::{CurrentIncarnation, HeartbeatStatus, IncarnationHistory};
 use crate::owner_link::OwnerLink;
 use crate::owner_message_error::OwnerMessageError;
 use crate::owner_session::MessageNumbers;
@@ -14,11 +14,11 @@
 use lupinrack_cluster_api::server::ServerFacts;
 use lupinrack_cluster_api::time::Millis;
 
-/// The agent on a server's machine. All moments that it is given are of one steady clock, and never go back.
+/// The agent on a server's machine. All times passed to it are readings of one monotonic clock and never decrease.
 #[derive(Clone, Debug)]
 pub struct Agent {
     settings: AgentSettings,
-    /// The server's present incarnation, with its desired state and lease.
+    /// The server's current incarnation, with its desired state and lease.
     incarnation: Option<Incarnation>,
     history: IncarnationHistory,
     /// The highest token under which orders were accepted.
@@ -27,7 +27,7 @@
 }
 
 impl Agent {
-    /// An agent that knows of no server and no owner.
+    /// An agent without a server and without an owner.
     pub fn new(settings: AgentSettings) -> Agent {
         Agent {
             settings,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// What the server in its present incarnation says of itself.
+    /// The facts that the server's current incarnation reports about itself.
     pub fn server(&self) -> Option<&ServerFacts> {
         self.incarnation.as_ref().map(Incarnation::facts)
     }
@@ -48,24 +48,25 @@
         self.token
     }
 
-    /// Receives a heartbeat that arrived at `now`. The newest one of the living server is left pending: its response may
-    /// wait a moment for orders. One that is late, repeated or of an earlier incarnation is answered without orders; so are
-    /// the first heartbeats of an incarnation that follows one that did not deregister.
+    /// Receives a heartbeat that arrived at `now`. The newest heartbeat of the running server is left pending, so that the
+    /// driver may delay its response until there are orders. A heartbeat that is late, repeated or from an earlier
+    /// incarnation is answered without orders. So are the first heartbeats of an incarnation whose predecessor did not
+    /// deregister.
     pub fn receive_heartbeat(
         &mut self,
         received: ServerHeartbeat,
         now: Millis,
     ) -> HeartbeatOutcome {
-        let present = self
+        let current = self
             .incarnation
             .as_ref()
-            .map(|incarnation| PresentIncarnation {
+            .map(|incarnation| CurrentIncarnation {
                 newest: incarnation.heartbeat(),
                 overdue: incarnation.is_overdue(now),
             });
-        match self.history.classify(&received.heartbeat, present) {
+        match self.history.classify(&received.heartbeat, current) {
             HeartbeatStatus::Current => {
-                HeartbeatOutcome::Pending(self.take_current_heartbeat(received, now))
+                HeartbeatOutcome::Pending(self.accept_current_heartbeat(received, now))
             }
             HeartbeatStatus::Unconfirmed => HeartbeatOutcome::Answered(HeartbeatResponse {
                 heartbeat_after_ms: self.settings.busy_heartbeat_ms,
@@ -75,20 +76,20 @@
         }
     }
 
-    /// Answers the newest heartbeat with all orders that there are at `now`.
+    /// Responds to the newest heartbeat with all orders that are outstanding at `now`.
     pub fn respond_to_heartbeat(
         &mut self,
         pending: &PendingHeartbeat,
         now: Millis,
     ) -> HeartbeatResponse {
-        let response = self.compose_response(pending);
+        let response = self.build_response(pending);
         if let Some(incarnation) = &mut self.incarnation {
             incarnation.expect_heartbeat(now, response.heartbeat_after_ms);
         }
         response
     }
 
-    /// Whether the newest heartbeat could be answered with a start or a stop now.
+    /// Whether a response to the newest heartbeat would hold a start or a stop now.
     pub fn has_orders(&self, now: Millis) -> bool {
         let Some(incarnation) = &self.incarnation else {
             return false;
@@ -98,46 +99,46 @@
         !missing.starts.is_empty() || incarnation.stops().next().is_some()
     }
 
-    /// Receives a server's call that deregisters it.
+    /// Handles a server's request to deregister.
     ///
-    /// An incarnation that drained before ends now. One that deregisters without having drained goes on serving what runs on
-    /// it: it counts as draining from now on, and ends when its lease expires. An incarnation that this agent does not know
-    /// to drain is treated alike, since the agent may have been restarted.
+    /// An incarnation that has drained ends now. An incarnation that deregisters without having drained continues to serve
+    /// its runs: it counts as draining from now on, and ends when its lease expires. An incarnation that is unknown to this
+    /// agent is treated as one that has not drained, since the agent may have restarted in between.
     pub fn deregister(&mut self, server: ServerId) {
-        let present = self
+        let current = self
             .incarnation
             .as_mut()
             .filter(|incarnation| *incarnation.id() == server);
-        match present {
+        match current {
             Some(incarnation) if incarnation.ends_on_deregistration() => {
                 self.end_incarnation();
                 self.history.record_departed(&server);
                 self.owner.report_departure(server);
             }
             Some(incarnation) => incarnation.deregister_without_draining(),
-            None => self.history.record_deregistration_while_absent(server),
+            None => self.history.record_deregistration_while_not_current(server),
         }
     }
 
-    /// Begins a session on a connection to the owner. It replaces an earlier session; what was ordered stays.
+    /// Starts a session on a connection to the owner. It replaces an earlier session; the desired state stays.
     pub fn owner_connected(&mut self, connection: u64) {
         let departures = self.history.departed().cloned().collect();
         self.owner.connect(connection, departures);
-        self.forget_orders_seen();
+        self.reset_orders_seen();
     }
 
-    /// Ends the session if it is on this connection; what was ordered stays.
+    /// Ends the session if it is on this connection; the desired state stays.
     pub fn owner_disconnected(&mut self, connection: u64) {
         if self.owner.disconnect(connection) {
-            self.forget_orders_seen();
+            self.reset_orders_seen();
         }
     }
 
-    /// Receives a message of an owner.
+    /// Receives a message from an owner.
     ///
     /// # Errors
     ///
-    /// Why the message was rejected. It changed nothing, except that the session begins anew after
+    /// Returns why the message was rejected. A rejected message changes nothing, except that the session restarts after
     /// [`OwnerMessageError::Gap`].
     pub fn receive_owner_message(
         &mut self,
@@ -160,7 +161,7 @@
         if let Err(error) = session.accept(&message) {
             if error == OwnerMessageError::Gap {
                 session.restart();
-                incarnation.forget_orders_seen();
+                incarnation.reset_orders_seen();
             }
             return Err(error);
         }
@@ -169,18 +170,18 @@
         Ok(())
     }
 
-    /// What to send to the owner on the session's connection. To be called after each other call, and when
-    /// [`Agent::next_poll`] says so.
+    /// Returns the messages to send to the owner on the session's connection. The driver calls it after every other call,
+    /// and at [`Agent::next_poll`].
     pub fn poll(&mut self, now: Millis) -> Vec<AgentMessage> {
         self.owner.poll(self.incarnation.as_mut(), self.token, now)
     }
 
-    /// When [`Agent::poll`] should be called if nothing else happens.
+    /// When the driver has to call [`Agent::poll`] if nothing else happens.
     pub fn next_poll(&self) -> Option<Millis> {
         self.owner.next_poll(self.incarnation.as_ref()?)
     }
 
-    fn take_current_heartbeat(
+    fn accept_current_heartbeat(
         &mut self,
         received: ServerHeartbeat,
         now: Millis,
@@ -206,7 +207,7 @@
         delivered: MessageNumbers,
         now: Millis,
     ) {
-        let deregistered = self.history.deregistered_while_absent(&first.facts.id);
+        let deregistered = self.history.deregistered_while_not_current(&first.facts.id);
         let mut incarnation = Incarnation::new(first, delivered, now);
         if deregistered {
             incarnation.deregister_without_draining();
@@ -214,7 +215,7 @@
         self.incarnation = Some(incarnation);
     }
 
-    /// Drops the present incarnation, if there is one, with everything that belongs to it. The session is of one
+    /// Drops the current incarnation, if there is one, with its lease and desired state. A session is tied to one
     /// incarnation, so the agent has to attach again.
     fn end_incarnation(&mut self) {
         if let Some(incarnation) = self.incarnation.take() {
@@ -223,7 +224,7 @@
         self.owner.restart_session();
     }
 
-    fn compose_response(&mut self, pending: &PendingHeartbeat) -> HeartbeatResponse {
+    fn build_response(&mut self, pending: &PendingHeartbeat) -> HeartbeatResponse {
         let Some(incarnation) = &self.incarnation else {
             return HeartbeatResponse::default();
         };
@@ -233,7 +234,7 @@
         let stops: Vec<StopOrder> = incarnation.stops().chain(unknown).collect();
         let busy =
             !missing.starts.is_empty() || !stops.is_empty() || incarnation.has_unobserved_ends();
-        // A draining server is given no starts, so its withheld starts count as delivered, too.
+        // A draining server receives no starts, so its withheld starts count as delivered too.
         if incarnation.is_draining() || !missing.has_withheld {
             self.owner.record_delivery();
         }
@@ -247,7 +248,7 @@
         }
     }
 
-    /// How soon the next heartbeat is wanted. Without an owner nothing comes of it, however busy the server is.
+    /// The interval to the next heartbeat. Without an owner there are no new orders, so a busy server gets no shorter one.
     fn heartbeat_after_ms(&self, busy: bool) -> u64 {
         let wanted = self
             .owner
@@ -261,9 +262,9 @@
         wanted.min(self.settings.heartbeat_ms).max(1)
     }
 
-    fn forget_orders_seen(&mut self) {
+    fn reset_orders_seen(&mut self) {
         if let Some(incarnation) = &mut self.incarnation {
-            incarnation.forget_orders_seen();
+            incarnation.reset_orders_seen();
         }
     }
 }
--- a/crates/worker-agent/src/attempt_watermarks.rs
+++ b/crates/worker-agent/src/attempt_watermarks.rs
@@ -1,20 +1,20 @@
-//! A bounded memory of the highest attempt of each task of which something is known.
+//! A bounded map of the highest marked attempt of each task.
 
 use lupinrack_cluster_api::identity::{Attempt, TaskId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The highest marked attempt of each task. When there are too many tasks, the one that was marked first is forgotten.
+/// The highest marked attempt of each task. Above the capacity, the task that was marked first is evicted.
 #[derive(Clone, Debug)]
 pub(crate) struct AttemptWatermarks {
     highest: BTreeMap<TaskId, Attempt>,
     /// The tasks in `highest`, in the order of their first mark.
     first_marked: VecDeque<TaskId>,
-    /// How many tasks `highest` may hold.
+    /// The largest number of tasks in `highest`.
     capacity: usize,
 }
 
 impl AttemptWatermarks {
-    /// No marks, and room for those of `capacity` tasks.
+    /// An empty map for at most `capacity` tasks.
     pub(crate) fn new(capacity: usize) -> AttemptWatermarks {
         AttemptWatermarks {
             highest: BTreeMap::new(),
@@ -41,7 +41,7 @@
             .is_some_and(|watermark| attempt <= *watermark)
     }
 
-    /// Forgets all marks.
+    /// Removes all marks.
     pub(crate) fn clear(&mut self) {
         self.highest.clear();
         self.first_marked.clear();
--- a/crates/worker-agent/src/desired_state.rs
+++ b/crates/worker-agent/src/desired_state.rs
@@ -1,4 +1,4 @@
-//! What the owner wants to run on the server, compared with what runs there.
+//! The runs that the owner wants on the server, compared with the runs that the server lists.
 
 use crate::attempt_watermarks::AttemptWatermarks;
 use crate::heartbeat_response::StopOrder;
@@ -7,32 +7,32 @@
 use lupinrack_cluster_api::server::{FinishedTask, RunningTask};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many tasks' ends, and as many tasks' stops, are remembered.
+/// The largest number of tasks whose ends are kept, and of tasks whose stops are kept.
 pub const MAX_WATERMARKED_TASKS: usize = 50_000;
 
-/// The largest total size, in bytes, of the specs and checkpoints in the starts of one response. A byte can take six in JSON,
-/// and a server accepts 4 MiB.
+/// The largest total size, in bytes, of the specs and checkpoints in the starts of one response. A byte can take six bytes in
+/// JSON, and a server accepts 4 MiB.
 pub const MAX_START_BYTES: usize = 512 * 1024;
 
 /// Whether the server may be ordered to start runs now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StartPermission {
-    /// It may: it has a lease, does not drain, and lists every end.
+    /// It may: it has a lease, is not draining, and lists every end.
     Granted,
-    /// Its starts have to wait.
+    /// Starts have to wait.
     Withheld,
 }
 
-/// The starts that are missing on the server.
+/// The desired runs that the server has not started.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct MissingStarts {
-    /// Those to order now.
+    /// The starts to order now.
     pub(crate) starts: Vec<Assignment>,
     /// Whether further starts were withheld.
     pub(crate) has_withheld: bool,
 }
 
-/// What should run in one incarnation of the server, and what must not any more.
+/// The runs that one incarnation of the server should have, and the attempts that must not run there again.
 #[derive(Clone, Debug)]
 pub(crate) struct DesiredState {
     assignments: BTreeMap<TaskId, Assignment>,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Records ends: what has ended is no longer desired, nor accepted as an order again.
+    /// Records ends: an ended run is no longer desired, and is not accepted as an order again.
     pub(crate) fn record_ends(&mut self, finished: &[FinishedTask]) {
         for end in finished {
             self.ended.raise(end.task, end.attempt);
@@ -75,8 +75,8 @@
         }
     }
 
-    /// The desired runs that the server does not have. A run waits while an earlier one of its task is still there, and
-    /// while it does not fit the response.
+    /// The desired runs that the server does not list. A start waits while an earlier attempt of its task is still running,
+    /// and while it does not fit into the response.
     pub(crate) fn missing_starts(
         &self,
         running: &[RunningTask],
@@ -92,7 +92,7 @@
                 continue;
             }
             bytes += assignment.spec.len() + assignment.checkpoint.len();
-            // A single start that is over the bound on its own would otherwise wait forever.
+            // The first start is always included: one that exceeds the limit alone would otherwise wait forever.
             let fits = missing.starts.is_empty() || bytes <= MAX_START_BYTES;
             if permission == StartPermission::Granted && newest.is_none() && fits {
                 missing.starts.push(assignment.clone());
@@ -103,7 +103,7 @@
         missing
     }
 
-    /// The runs on the server that the owner wants stopped, or that a newer start of their task replaces.
+    /// The runs on the server that the owner has stopped, or that a newer attempt of their task replaces.
     pub(crate) fn stops<'a>(
         &'a self,
         running: &'a [RunningTask],
--- a/crates/worker-agent/src/heartbeat_json.rs
+++ b/crates/worker-agent/src/heartbeat_json.rs
@@ -1,8 +1,7 @@
 //! The JSON of heartbeats and of the responses to them.
 //!
-//! The forms are those of the servers' interface: fields of a heartbeat that are not known are skipped, lists of runs and
-//! ends are rows of values in a fixed order, and numbers may come with fractions. What is 0 or empty is left out of a
-//! response.
+//! The formats are those of the servers' interface: unknown fields of a heartbeat are skipped, lists of runs and ends are
+//! rows of values in a fixed order, and numbers may have fractions. A response omits fields that are 0 or empty.
 
 mod count;
 mod parse;
--- a/crates/worker-agent/src/heartbeat_json/count.rs
+++ b/crates/worker-agent/src/heartbeat_json/count.rs
@@ -4,12 +4,12 @@
 use serde::Deserialize;
 use std::fmt;
 
-/// A number that counts something; fractions are cut off and negative numbers are 0.
+/// A count; fractions are truncated and negative numbers become 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Count(pub(crate) u64);
 
 impl Count {
-    /// The number, or the largest that fits.
+    /// The count as `u32`; a larger one becomes `u32::MAX`.
     pub(crate) fn as_u32(self) -> u32 {
         u32::try_from(self.0).unwrap_or(u32::MAX)
     }
--- a/crates/worker-agent/src/heartbeat_json/parse.rs
+++ b/crates/worker-agent/src/heartbeat_json/parse.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a heartbeat.
+//! Parses the body of a heartbeat.
 
 use super::count::Count;
 use super::parse_error::ParseHeartbeatError;
@@ -11,10 +11,10 @@
 use lupinrack_cluster_api::server::{FinishedTask, RunningTask, ServerFacts};
 use serde::Deserialize;
 
-/// The longest identity of a server, in bytes.
+/// The largest length of a server's identity, in bytes.
 pub const MAX_SERVER_ID_BYTES: usize = 256;
 
-/// Whether a server takes new runs, as it writes it.
+/// Whether a server accepts new runs, in its JSON form.
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum ServerStateForm {
@@ -30,7 +30,7 @@
     gpu: Count,
 }
 
-/// The body of a heartbeat. The fields' order is part of the form: a body may also be a list of their values.
+/// The body of a heartbeat. The order of the fields is part of the format: a body may also be a list of their values.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct HeartbeatForm {
@@ -61,12 +61,12 @@
     finished: Vec<FinishedRow>,
 }
 
-/// Reads the heartbeat of the server `id`. Keys that are not known are skipped.
+/// Parses a heartbeat of the server `id`. Unknown keys are skipped.
 ///
 /// # Errors
 ///
-/// [`ParseHeartbeatError::ServerId`] where `id` is empty or over [`MAX_SERVER_ID_BYTES`];
-/// [`ParseHeartbeatError::Body`] where the body is not JSON of this form.
+/// [`ParseHeartbeatError::ServerId`] if `id` is empty or longer than [`MAX_SERVER_ID_BYTES`];
+/// [`ParseHeartbeatError::Body`] if the body is not JSON of this format.
 pub fn parse(id: &str, body: &[u8]) -> Result<ServerHeartbeat, ParseHeartbeatError> {
     if id.is_empty() || id.len() > MAX_SERVER_ID_BYTES {
         return Err(ParseHeartbeatError::ServerId);
@@ -115,7 +115,7 @@
     }
 }
 
-/// The runs of this system's tasks, sorted, and the others.
+/// Splits the rows into runs of this system's tasks, sorted, and other runs.
 fn split_runs(rows: Vec<RunningRow>) -> (Vec<RunningTask>, Vec<UnknownRun>) {
     let mut known = Vec::with_capacity(rows.len());
     let mut unknown = Vec::new();
@@ -137,7 +137,7 @@
     (known, unknown)
 }
 
-/// The ends of this system's tasks, sorted by their numbers.
+/// The ends of this system's tasks, sorted by number.
 fn known_ends(rows: Vec<FinishedRow>) -> Vec<FinishedTask> {
     let mut ends: Vec<FinishedTask> = rows.into_iter().filter_map(known_end).collect();
     ends.sort_by_key(|end| end.number);
--- a/crates/worker-agent/src/heartbeat_json/parse_error.rs
+++ b/crates/worker-agent/src/heartbeat_json/parse_error.rs
@@ -1,4 +1,4 @@
-//! Why a heartbeat cannot be read.
+//! Errors of parsing a heartbeat.
 
 use displaydoc::Display;
 use std::error::Error;
--- a/crates/worker-agent/src/heartbeat_json/render.rs
+++ b/crates/worker-agent/src/heartbeat_json/render.rs
@@ -1,11 +1,11 @@
-//! Writes the body of the response to a heartbeat.
+//! Renders the body of the response to a heartbeat.
 
 use crate::heartbeat_response::{HeartbeatResponse, StopOrder};
 use lupinrack_cluster_api::agent::Assignment;
 use lupinrack_cluster_api::identity::{Attempt, TaskId};
 use serde::{Serialize, Serializer};
 
-/// A task's identity written as text.
+/// A task's identity, serialized as text.
 struct TaskText<'a>(&'a TaskId);
 
 impl Serialize for TaskText<'_> {
@@ -14,7 +14,7 @@
     }
 }
 
-/// `[task, run, spec, saved]`, by the names of the servers' interface; `saved` is the checkpoint.
+/// `[task, run, spec, saved]`, with the names of the servers' interface: `run` is the attempt, `saved` the checkpoint.
 #[derive(Serialize)]
 struct StartRow<'a>(TaskText<'a>, Attempt, &'a str, &'a str);
 
@@ -39,7 +39,7 @@
     retry_after_ms: u64,
 }
 
-/// The response's JSON; what is 0 or empty is left out.
+/// Renders the response as JSON, without the fields that are 0 or empty.
 pub fn render(response: &HeartbeatResponse) -> String {
     let form = ResponseForm {
         lease_ms: response.lease_ms,
@@ -49,7 +49,7 @@
         stop: response.stops.iter().map(stop_row).collect(),
         retry_after_ms: response.heartbeat_after_ms,
     };
-    // Numbers, texts and lists of them: there is nothing that JSON cannot hold.
+    // Serialization cannot fail: the form holds only numbers, strings and lists of them.
     serde_json::to_string(&form).unwrap_or_else(|_| String::from("{}"))
 }
 
--- a/crates/worker-agent/src/heartbeat_json/rows.rs
+++ b/crates/worker-agent/src/heartbeat_json/rows.rs
@@ -1,5 +1,5 @@
-//! The rows of a heartbeat's lists of runs and ends. A row may lack fields at its end that have a default, and may have
-//! more fields than are known.
+//! The rows in a heartbeat's lists of runs and ends. A row may omit trailing fields that have a default, and may have
+//! additional unknown fields at its end.
 
 use super::count::Count;
 use super::run_end::RunEndForm;
@@ -10,16 +10,16 @@
 use serde::Deserialize;
 use std::fmt;
 
-/// A row of `running`: `[task, run, saved, percent]`, of which the last two may be missing.
+/// A row of `running`: `[task, run, saved, percent]`; the last two fields are optional.
 #[derive(Clone, Debug)]
 pub(crate) struct RunningRow {
     /// The task.
     pub(crate) task: TaskName,
-    /// The number of its start.
+    /// The number of the attempt.
     pub(crate) attempt: Attempt,
     /// Its last checkpoint; empty for none.
     pub(crate) checkpoint: String,
-    /// How far it is, in percent.
+    /// Its progress, in percent.
     pub(crate) percent: u32,
 }
 
@@ -53,14 +53,14 @@
     }
 }
 
-/// A row of `finished`: `[number, task, run, how, saved]`, of which the last may be missing.
+/// A row of `finished`: `[number, task, run, how, saved]`; the last field is optional.
 #[derive(Clone, Debug)]
 pub(crate) struct FinishedRow {
-    /// The number of the end, from 1 in each incarnation of the server.
+    /// The number of the end; each incarnation of the server counts from 1.
     pub(crate) number: u64,
     /// The task.
     pub(crate) task: TaskName,
-    /// The number of its start.
+    /// The number of the attempt.
     pub(crate) attempt: Attempt,
     /// How it ended.
     pub(crate) end: RunEnd,
--- a/crates/worker-agent/src/heartbeat_json/run_end.rs
+++ b/crates/worker-agent/src/heartbeat_json/run_end.rs
@@ -1,9 +1,9 @@
-//! How a run ended, as servers write it.
+//! The JSON form of how a run ended.
 
 use lupinrack_cluster_api::server::RunEnd;
 use serde::Deserialize;
 
-/// How a run ended, as servers write it.
+/// How a run ended, by the names that servers use.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum RunEndForm {
--- a/crates/worker-agent/src/heartbeat_json/task_name.rs
+++ b/crates/worker-agent/src/heartbeat_json/task_name.rs
@@ -1,4 +1,4 @@
-//! Names of tasks in a heartbeat.
+//! Task names in a heartbeat.
 
 use lupinrack_cluster_api::identity::TaskId;
 use serde::de::{Deserializer, Error, Visitor};
@@ -8,9 +8,9 @@
 /// The name of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum TaskName {
-    /// It is written as this system writes names.
+    /// It is a name in this system's format.
     Known(TaskId),
-    /// It is not one of this system's.
+    /// It is any other name.
     Unknown(String),
 }
 
@@ -24,7 +24,7 @@
     }
 
     fn visit_str<E: Error>(self, text: &str) -> Result<TaskName, E> {
-        // A name that is only written differently, as with capital digits, was not given by this system either.
+        // A name that parses but is spelled differently, such as with upper-case digits, is not from this system either.
         let task = text
             .parse::<TaskId>()
             .ok()
--- a/crates/worker-agent/src/incarnation.rs
+++ b/crates/worker-agent/src/incarnation.rs
@@ -1,4 +1,4 @@
-//! The server's present incarnation.
+//! The server's current incarnation.
 
 use crate::desired_state::{DesiredState, MissingStarts, StartPermission};
 use crate::heartbeat_response::StopOrder;
@@ -10,44 +10,47 @@
 use lupinrack_cluster_api::server::ServerFacts;
 use lupinrack_cluster_api::time::Millis;
 
-/// How many ends a server lists at once. A list of that length may lack others, so nothing follows from a run's absence.
+/// The largest number of ends in one heartbeat. A list of that length may be cut off, so a run that it lacks may still have
+/// ended.
 pub const MAX_LISTED_ENDS: usize = 500;
 
-/// A server whose heartbeat is later than was asked for by more than this many milliseconds is overdue.
+/// A server is overdue if its next heartbeat arrives more than this many milliseconds after the requested interval.
 pub const HEARTBEAT_GRACE_MS: u64 = 600;
 
-/// How far the server's draining has come. It never goes back, also where a heartbeat does not repeat it.
+/// The server's progress in draining. It never returns to an earlier state, even if a later heartbeat does not report
+/// draining.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DrainState {
     /// It takes new runs.
     Serving,
-    /// It has said that it drains; once it deregisters it is over.
+    /// It has reported that it drains; it ends when it deregisters.
     Draining,
-    /// It has deregistered without having said that it drains: it counts as draining, and serves on until its lease expires.
+    /// It has deregistered without having reported that it drains: it counts as draining, and serves until its lease
+    /// expires.
     DeregisteredWithoutDraining,
 }
 
-/// What the agent knows of the server's present incarnation; all of it ends with the incarnation.
+/// The agent's state of the server's current incarnation; it is dropped when the incarnation ends.
 #[derive(Clone, Debug)]
 pub(crate) struct Incarnation {
     facts: ServerFacts,
-    /// The newest heartbeat, with `orders_seen` and `draining` as the owner is to see them.
+    /// The newest heartbeat, with the `orders_seen` and `draining` that the agent reports to the owner.
     heartbeat: Heartbeat,
     /// The number of the owner's newest message with orders that the heartbeat's `orders_seen` covers.
     orders_delivered: u64,
-    /// Whether the heartbeat lists every end that was not observed (see [`MAX_LISTED_ENDS`]).
+    /// Whether the heartbeat lists every end that the owner has not observed (see [`MAX_LISTED_ENDS`]).
     all_ends_listed: bool,
     drain_state: DrainState,
     /// The owner has recorded the ends up to this number.
     observed: u64,
-    /// After this moment the next heartbeat is overdue.
+    /// The next heartbeat is overdue after this time.
     expected_by: Millis,
     lease: Lease,
     desired: DesiredState,
 }
 
 impl Incarnation {
-    /// The incarnation whose first heartbeat this is.
+    /// Creates an incarnation from its first heartbeat.
     pub(crate) fn new(
         first: ServerHeartbeat,
         delivered: MessageNumbers,
@@ -68,7 +71,8 @@
         incarnation
     }
 
-    /// Takes the newest heartbeat. `delivered` are the owner's messages whose orders the server had been sent before.
+    /// Replaces the newest heartbeat. `delivered` covers the owner's messages whose orders were in a response before the
+    /// server sent this heartbeat.
     pub(crate) fn update(
         &mut self,
         received: ServerHeartbeat,
@@ -101,7 +105,7 @@
         &self.facts
     }
 
-    /// The newest heartbeat, as the owner is to see it.
+    /// The newest heartbeat, as it is reported to the owner.
     pub(crate) fn heartbeat(&self) -> &Heartbeat {
         &self.heartbeat
     }
@@ -116,17 +120,17 @@
         self.observed
     }
 
-    /// Whether it has said that it drains, or has deregistered.
+    /// Whether the server has reported that it drains, or has deregistered.
     pub(crate) fn is_draining(&self) -> bool {
         self.drain_state != DrainState::Serving
     }
 
-    /// Whether it ends once it deregisters.
+    /// Whether the incarnation ends when the server deregisters.
     pub(crate) fn ends_on_deregistration(&self) -> bool {
         self.drain_state == DrainState::Draining
     }
 
-    /// Records that it has deregistered without having drained.
+    /// Records that the server has deregistered without having drained.
     pub(crate) fn deregister_without_draining(&mut self) {
         self.drain_state = DrainState::DeregisteredWithoutDraining;
         self.heartbeat.draining = true;
@@ -137,12 +141,13 @@
         now > self.expected_by
     }
 
-    /// Expects the next heartbeat after so many milliseconds from now.
+    /// Sets the time by which the next heartbeat is expected: `heartbeat_after_ms` after `now`, plus
+    /// [`HEARTBEAT_GRACE_MS`].
     pub(crate) fn expect_heartbeat(&mut self, now: Millis, heartbeat_after_ms: u64) {
         self.expected_by = now.plus(heartbeat_after_ms + HEARTBEAT_GRACE_MS);
     }
 
-    /// Applies an accepted message of the owner. Its lease counts from a moment at which the agent did send something.
+    /// Applies an accepted message from the owner. Its lease starts no later than the agent's last message to the owner.
     pub(crate) fn apply(&mut self, message: OwnerMessage, last_sent: Millis) {
         self.observed = self.observed.max(message.observed);
         let granted_from = message.lease_from.min(last_sent);
@@ -159,7 +164,7 @@
         self.lease.remaining_ms(arrived_at, max_ms)
     }
 
-    /// The starts that the newest heartbeat lacks, where the response carries this lease.
+    /// The desired runs that the newest heartbeat does not list. Without a lease in the response they are withheld.
     pub(crate) fn missing_starts(&self, lease_ms: Option<u64>) -> MissingStarts {
         let permission = if lease_ms.is_some() && !self.is_draining() && self.all_ends_listed {
             StartPermission::Granted
@@ -170,7 +175,7 @@
             .missing_starts(&self.heartbeat.running, permission)
     }
 
-    /// The runs of the newest heartbeat that are to be stopped.
+    /// The runs in the newest heartbeat that the server has to stop.
     pub(crate) fn stops(&self) -> impl Iterator<Item = StopOrder> + '_ {
         self.desired.stops(&self.heartbeat.running)
     }
@@ -183,8 +188,8 @@
             .any(|end| end.number > self.observed)
     }
 
-    /// Forgets which orders the server has seen: the message numbers of one session mean nothing in the next.
-    pub(crate) fn forget_orders_seen(&mut self) {
+    /// Resets which orders the server has seen: message numbers are valid within one session only.
+    pub(crate) fn reset_orders_seen(&mut self) {
         self.heartbeat.orders_seen = 0;
         self.orders_delivered = 0;
     }
--- a/crates/worker-agent/src/incarnation_history.rs
+++ b/crates/worker-agent/src/incarnation_history.rs
@@ -1,38 +1,38 @@
-//! Which heartbeats are the living server's.
+//! Decides whether a heartbeat is from the running server or from another incarnation.
 //!
-//! One server stands beside the agent, but its incarnations follow one another, and a heartbeat may arrive after its sender
-//! has ended. To mistake a dead incarnation for a new one would make the owner give up the runs of the living one. So where
-//! the present incarnation has not deregistered, another identity is accepted only once the present one is overdue and the
-//! other has sent a second heartbeat; it is asked to do so soon.
+//! An agent serves one server, which may restart as a new incarnation, and a heartbeat may arrive after its sender has
+//! ended. If the agent took a dead incarnation for a new one, the owner would give up the runs of the running one. So while
+//! the current incarnation has not deregistered, another identity is accepted only when the current incarnation is overdue
+//! and the other one has sent a second heartbeat. The response to its first heartbeat requests the second one soon.
 
 use lupinrack_cluster_api::agent::Heartbeat;
 use lupinrack_cluster_api::identity::ServerId;
 use std::collections::VecDeque;
 
-/// How many earlier incarnations of the server are remembered, of each kind.
+/// The largest number of earlier incarnations of the server in each list of the history.
 const MAX_REMEMBERED_INCARNATIONS: usize = 16;
 
-/// How a heartbeat is classified.
+/// The class of a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeartbeatStatus {
-    /// It is the newest of the living server.
+    /// It is the newest heartbeat of the running server.
     Current,
-    /// It is of another incarnation, which is not confirmed yet.
+    /// It is from another incarnation, which has not been confirmed.
     Unconfirmed,
-    /// It is late, repeated, or of an incarnation that is over.
+    /// It is late, repeated, or from an incarnation that has ended.
     Stale,
 }
 
-/// The present incarnation, as far as it decides about other heartbeats.
+/// The properties of the current incarnation by which heartbeats are classified.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct PresentIncarnation<'a> {
+pub(crate) struct CurrentIncarnation<'a> {
     /// Its newest heartbeat.
     pub(crate) newest: &'a Heartbeat,
     /// Whether its next heartbeat should have arrived by now.
     pub(crate) overdue: bool,
 }
 
-/// An incarnation and the sequence number of a heartbeat of it.
+/// An incarnation and the sequence number of one of its heartbeats.
 #[derive(Clone, Debug)]
 struct SequencePoint {
     server: ServerId,
@@ -52,16 +52,16 @@
     }
 }
 
-/// The incarnations of the server other than the present one.
+/// The incarnations of the server other than the current one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct IncarnationHistory {
-    /// The newest heartbeats of incarnations that seem to be over.
+    /// The newest heartbeats of incarnations that seem to have ended.
     past: VecDeque<SequencePoint>,
-    /// Departed incarnations: they drained and then deregistered, and are over for certain.
+    /// Departed incarnations: they drained and then deregistered, so they have certainly ended.
     departed: VecDeque<ServerId>,
-    /// Incarnations that deregistered while this agent knew nothing of them: they may still serve.
-    deregistered_while_absent: VecDeque<ServerId>,
-    /// The newest heartbeat of an incarnation that is not confirmed yet.
+    /// Incarnations that deregistered while they were not the current one: they may still serve.
+    deregistered_while_not_current: VecDeque<ServerId>,
+    /// The newest heartbeat of an incarnation that has not been confirmed.
     unconfirmed: Option<SequencePoint>,
 }
 
@@ -70,14 +70,14 @@
     pub(crate) fn classify(
         &mut self,
         heartbeat: &Heartbeat,
-        present: Option<PresentIncarnation<'_>>,
+        current: Option<CurrentIncarnation<'_>>,
     ) -> HeartbeatStatus {
-        let status = match present {
-            Some(present) if present.newest.server == heartbeat.server => {
-                status_by_sequence(heartbeat, present.newest.sequence)
+        let status = match current {
+            Some(current) if current.newest.server == heartbeat.server => {
+                status_by_sequence(heartbeat, current.newest.sequence)
             }
-            Some(present) => self.status_beside_present(heartbeat, present.overdue),
-            None => self.status_without_present(heartbeat),
+            Some(current) => self.status_of_other_incarnation(heartbeat, current.overdue),
+            None => self.status_without_current_incarnation(heartbeat),
         };
         match status {
             HeartbeatStatus::Current => self.unconfirmed = None,
@@ -87,29 +87,31 @@
         status
     }
 
-    /// Records that an incarnation seems to be over, by its newest heartbeat.
+    /// Records the newest heartbeat of an incarnation that seems to have ended.
     pub(crate) fn record_past(&mut self, newest: &Heartbeat) {
         self.past.retain(|past| past.server != newest.server);
         push_bounded(&mut self.past, SequencePoint::of(newest));
     }
 
-    /// Records that an incarnation drained and deregistered; nothing that it sent counts any more.
+    /// Records that an incarnation drained and deregistered; all its later heartbeats are stale.
     pub(crate) fn record_departed(&mut self, server: &ServerId) {
         if !self.departed.contains(server) {
             push_bounded(&mut self.departed, server.clone());
         }
     }
 
-    /// Records that an incarnation other than the present one has deregistered.
-    pub(crate) fn record_deregistration_while_absent(&mut self, server: ServerId) {
-        if !self.departed.contains(&server) && !self.deregistered_while_absent.contains(&server) {
-            push_bounded(&mut self.deregistered_while_absent, server);
+    /// Records that an incarnation other than the current one has deregistered.
+    pub(crate) fn record_deregistration_while_not_current(&mut self, server: ServerId) {
+        if !self.departed.contains(&server)
+            && !self.deregistered_while_not_current.contains(&server)
+        {
+            push_bounded(&mut self.deregistered_while_not_current, server);
         }
     }
 
-    /// Whether an incarnation has deregistered while it was not the present one.
-    pub(crate) fn deregistered_while_absent(&self, server: &ServerId) -> bool {
-        self.deregistered_while_absent.contains(server)
+    /// Whether an incarnation has deregistered while it was not the current one.
+    pub(crate) fn deregistered_while_not_current(&self, server: &ServerId) -> bool {
+        self.deregistered_while_not_current.contains(server)
     }
 
     /// The incarnations that drained and deregistered, the latest last.
@@ -117,11 +119,11 @@
         self.departed.iter()
     }
 
-    /// The status of a heartbeat whose incarnation is not the present one.
-    fn status_beside_present(
+    /// The status of a heartbeat whose incarnation is not the current one.
+    fn status_of_other_incarnation(
         &self,
         heartbeat: &Heartbeat,
-        present_overdue: bool,
+        current_overdue: bool,
     ) -> HeartbeatStatus {
         if self.is_outdated(heartbeat) {
             return HeartbeatStatus::Stale;
@@ -130,18 +132,18 @@
             .unconfirmed
             .as_ref()
             .is_some_and(|first| first.precedes(heartbeat));
-        if present_overdue && second_heartbeat {
+        if current_overdue && second_heartbeat {
             HeartbeatStatus::Current
         } else {
             HeartbeatStatus::Unconfirmed
         }
     }
 
-    fn status_without_present(&self, heartbeat: &Heartbeat) -> HeartbeatStatus {
+    fn status_without_current_incarnation(&self, heartbeat: &Heartbeat) -> HeartbeatStatus {
         let known = self.past.iter().any(|past| past.server == heartbeat.server);
         if known {
-            // A past incarnation may return as if the present one were overdue.
-            return self.status_beside_present(heartbeat, true);
+            // A past incarnation may return in the same way as beside an overdue current one.
+            return self.status_of_other_incarnation(heartbeat, true);
         }
         if self.is_outdated(heartbeat) {
             HeartbeatStatus::Stale
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Whether the heartbeat is of an incarnation that departed, or no newer than one that was taken of a past incarnation.
+    /// Whether the heartbeat is from a departed incarnation, or no newer than one that was accepted from a past incarnation.
     fn is_outdated(&self, heartbeat: &Heartbeat) -> bool {
         let past = self
             .past
--- a/crates/worker-agent/src/lib.rs
+++ b/crates/worker-agent/src/lib.rs
@@ -1,21 +1,21 @@
-//! The agent beside each server: heartbeats in, starts and stops out.
+//! The agent on each server's machine: it receives heartbeats and responds with starts and stops.
 //!
 //! [`Agent`] is a state machine that reads no clock and does no I/O. Its driver (the agent's process in
 //! `lupinrack-cluster-node`, or a simulation) hands it the server's heartbeats and the messages of the owner of the server's
-//! shard, each with the moment of its arrival, and carries what the agent returns: responses to heartbeats
+//! shard, each with its arrival time, and delivers what the agent returns: responses to heartbeats
 //! ([`Agent::respond_to_heartbeat`]) and messages to the owner ([`Agent::poll`]).
 //!
-//! What the owner wants is kept as desired state and compared with every heartbeat, so a start or stop survives any number
-//! of lost responses. The agent keeps nothing on disk: after its own restart, the owner's first message of the next session
-//! holds the complete desired state again.
+//! The agent keeps the owner's orders as desired state and compares it with every heartbeat, so a start or stop survives
+//! any number of lost responses. The agent stores nothing on disk: after the agent has restarted, the owner's first message
+//! of the next session holds the complete desired state again.
 //!
-//! Where to start reading: [`Agent`], then the parts that it is made of, each the only writer of its state:
+//! Start reading at [`Agent`], then continue with its parts, each of which is the only writer of its state:
 //!
-//! - `incarnation`: the server's present incarnation, with its newest heartbeat, lease and desired state;
-//! - `incarnation_history`: which heartbeats are the living server's, where incarnations follow one another;
-//! - `owner_link`: the session with the owner, and which messages are due on it.
+//! - `incarnation`: the server's current incarnation, with its newest heartbeat, lease and desired state;
+//! - `incarnation_history`: decides whether a heartbeat is from the running server or from another incarnation;
+//! - `owner_link`: the session with the owner, and the messages that are due in it.
 //!
-//! [`heartbeat_json`] reads the bodies of heartbeats and writes the bodies of their responses.
+//! [`heartbeat_json`] parses the bodies of heartbeats and renders the bodies of their responses.
 
 mod agent;
 mod attempt_watermarks;
--- a/crates/worker-agent/src/owner_link.rs
+++ b/crates/worker-agent/src/owner_link.rs
@@ -1,4 +1,4 @@
-//! The agent's side of its connection to the owner of the server's shard.
+//! The agent's side of the connection to the owner of the server's shard.
 
 use crate::incarnation::Incarnation;
 use crate::owner_session::{MessageNumbers, OwnerSession};
@@ -7,25 +7,25 @@
 use lupinrack_cluster_api::identity::{FencingToken, ServerId};
 use lupinrack_cluster_api::time::Millis;
 
-/// The session with the owner, what was reported in it, and what is still to be sent.
+/// The session with the owner, the reports in it, and the messages to be sent.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OwnerLink {
     session: Option<OwnerSession>,
     reports: ReportSchedule,
-    /// Incarnations that drained and deregistered, of which the owner was not notified in this session.
+    /// Incarnations that drained and deregistered, and that were not reported to the owner in this session.
     unreported_departures: Vec<ServerId>,
     /// When the agent last sent anything, in any session.
     last_sent: Option<Millis>,
 }
 
 impl OwnerLink {
-    /// Begins a session on a new connection, in which the owner learns of these departures.
+    /// Starts a session on a new connection, and queues notifications of these departures.
     pub(crate) fn connect(&mut self, connection: u64, departures: Vec<ServerId>) {
         self.session = Some(OwnerSession::new(connection));
         self.unreported_departures = departures;
     }
 
-    /// Drops the session if it is on this connection. Returns whether it was.
+    /// Drops the session if it is on this connection. Returns whether it dropped one.
     pub(crate) fn disconnect(&mut self, connection: u64) -> bool {
         self.session
             .take_if(|session| session.connection() == connection)
@@ -65,12 +65,12 @@
         }
     }
 
-    /// After how many milliseconds the owner wants the next heartbeat; none where it has not said.
+    /// After how many milliseconds the owner wants the next heartbeat; `None` if it has requested no interval.
     pub(crate) fn heartbeat_after_ms(&self) -> Option<u64> {
         self.session.as_ref()?.heartbeat_after_ms()
     }
 
-    /// When the agent last sent anything; the beginning of its clock if it never did.
+    /// When the agent last sent anything; zero if it has sent nothing.
     pub(crate) fn last_sent(&self) -> Millis {
         self.last_sent.unwrap_or_default()
     }
@@ -80,7 +80,7 @@
         self.unreported_departures.push(server);
     }
 
-    /// The messages that are due to the owner, in their order.
+    /// The messages that are due to the owner, in the order to send them.
     pub(crate) fn poll(
         &mut self,
         mut incarnation: Option<&mut Incarnation>,
@@ -109,7 +109,7 @@
         messages
     }
 
-    /// When [`OwnerLink::poll`] has something to send if nothing else happens; never for a server that is overdue by then.
+    /// When [`OwnerLink::poll`] has something to send if nothing else happens; `None` if the server is overdue by then.
     pub(crate) fn next_poll(&self, incarnation: &Incarnation) -> Option<Millis> {
         let session = self.session.as_ref()?;
         let report = self
@@ -138,7 +138,7 @@
         if !due {
             return None;
         }
-        incarnation.forget_orders_seen();
+        incarnation.reset_orders_seen();
         session.record_attach(now);
         self.reports = ReportSchedule::default();
         self.reports
@@ -151,7 +151,8 @@
         })
     }
 
-    /// An attach is later than every earlier message, so that the owner's `lease_from` tells which attach it answers.
+    /// The earliest time for an attach. It is later than every earlier message, so that the `lease_from` in the owner's
+    /// response identifies the attach that it answers.
     fn earliest_attach(&self) -> Millis {
         self.last_sent.map_or(Millis::default(), |at| at.plus(1))
     }
--- a/crates/worker-agent/src/owner_message_error.rs
+++ b/crates/worker-agent/src/owner_message_error.rs
@@ -1,4 +1,4 @@
-//! Why a message of an owner was rejected.
+//! Reasons to reject a message from an owner.
 
 use displaydoc::Display;
 
--- a/crates/worker-agent/src/owner_session.rs
+++ b/crates/worker-agent/src/owner_session.rs
@@ -1,9 +1,9 @@
 //! The agent's session with the owner of its shard.
 //!
-//! A session begins with an attach and the owner's first message in answer to it, which is complete; the messages after it
-//! are numbered and hold changes. An attach is later than everything that the agent sent before, and each message repeats
-//! the moment of the report that it answers (`lease_from`): so a message that answers an earlier attach is recognised on
-//! whatever connection it comes.
+//! A session starts with an attach and the owner's first message in response to it, which holds the complete desired state.
+//! The messages after it are numbered and hold changes. The agent sends an attach later than all its earlier messages, and
+//! each message of the owner repeats the send time of the report that it answers (`lease_from`). So the agent recognises a
+//! message that answers an earlier attach, on any connection.
 
 use crate::owner_message_error::OwnerMessageError;
 use lupinrack_cluster_api::agent::OwnerMessage;
@@ -13,28 +13,28 @@
 /// How long, in milliseconds, an owner may take to answer an attach before it is sent again.
 pub const ATTACH_RETRY_MS: u64 = 2_000;
 
-/// How far a session has come.
+/// The phase of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SessionPhase {
     /// The agent has to attach.
     Detached,
-    /// The agent attached at this moment and waits for the owner's first message.
+    /// The agent attached at this time and waits for the owner's first message.
     Attached(Millis),
-    /// The owner has said what should run.
+    /// The owner has sent the desired state.
     Active {
-        /// Under this token.
+        /// The owner's token.
         token: FencingToken,
-        /// In answer to the attach of this moment.
+        /// When the agent sent the attach that the owner answered.
         attached_at: Millis,
     },
 }
 
-/// Numbers of the owner's messages up to a point of the session.
+/// Numbers of the owner's messages up to some point in the session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct MessageNumbers {
     /// The newest message.
     pub(crate) newest: u64,
-    /// The newest one that held a start or a stop.
+    /// The newest message that held a start or a stop.
     pub(crate) newest_with_orders: u64,
 }
 
@@ -43,16 +43,16 @@
 pub(crate) struct OwnerSession {
     connection: u64,
     phase: SessionPhase,
-    /// The messages that were accepted.
+    /// The messages that the agent has accepted.
     accepted: MessageNumbers,
     /// The messages all of whose orders were in a response to the server.
     delivered: MessageNumbers,
-    /// The heartbeat interval that the owner's newest message asks for.
+    /// The heartbeat interval that the owner's newest message requests.
     heartbeat_after_ms: Option<u64>,
 }
 
 impl OwnerSession {
-    /// A session that is yet to begin on this connection.
+    /// A session on this connection in which the agent has not attached.
     pub(crate) fn new(connection: u64) -> OwnerSession {
         OwnerSession {
             connection,
@@ -68,43 +68,43 @@
         self.connection
     }
 
-    /// Begins anew on the same connection: the agent has to attach again.
+    /// Restarts the session on the same connection: the agent has to attach again.
     pub(crate) fn restart(&mut self) {
         *self = OwnerSession::new(self.connection);
     }
 
-    /// Whether an attach is to be sent: none was, or the owner left it unanswered for too long.
+    /// Whether the agent has to send an attach: it has sent none, or the owner has not answered in time.
     pub(crate) fn needs_attach(&self, now: Millis) -> bool {
         self.attach_due().is_some_and(|due| due <= now)
     }
 
-    /// When an attach is to be sent if nothing else happens; none once the owner has answered.
+    /// When the agent has to send an attach if nothing else happens; `None` after the owner has answered.
     pub(crate) fn attach_due(&self) -> Option<Millis> {
         match self.phase {
-            // At once.
+            // Immediately.
             SessionPhase::Detached => Some(Millis::default()),
             SessionPhase::Attached(at) => Some(at.plus(ATTACH_RETRY_MS)),
             SessionPhase::Active { .. } => None,
         }
     }
 
-    /// Records that the attach was sent.
+    /// Records that the agent has sent the attach.
     pub(crate) fn record_attach(&mut self, now: Millis) {
         self.restart();
         self.phase = SessionPhase::Attached(now);
     }
 
-    /// Whether the attach was sent.
+    /// Whether the agent has sent the attach.
     pub(crate) fn is_attached(&self) -> bool {
         self.phase != SessionPhase::Detached
     }
 
-    /// Accepts a message if it answers the newest attach or something later, and follows the one before.
+    /// Accepts a message if it answers the newest attach or a later report, and follows the last accepted message.
     ///
     /// # Errors
     ///
     /// [`OwnerMessageError::EarlierSession`], [`OwnerMessageError::Repeated`] or [`OwnerMessageError::Gap`]; the session
-    /// stays as it was.
+    /// is unchanged.
     pub(crate) fn accept(&mut self, message: &OwnerMessage) -> Result<(), OwnerMessageError> {
         let attached_at = match self.phase {
             SessionPhase::Attached(at) if message.complete => at,
@@ -141,7 +141,7 @@
         self.delivered
     }
 
-    /// After how many milliseconds the owner wants the next heartbeat; none where it has not said.
+    /// After how many milliseconds the owner wants the next heartbeat; `None` if it has requested no interval.
     pub(crate) fn heartbeat_after_ms(&self) -> Option<u64> {
         self.heartbeat_after_ms
             .filter(|milliseconds| *milliseconds > 0)
--- a/crates/worker-agent/src/pending_heartbeat.rs
+++ b/crates/worker-agent/src/pending_heartbeat.rs
@@ -1,26 +1,26 @@
-//! What becomes of a heartbeat that the agent received.
+//! The outcome of receiving a heartbeat.
 
 use crate::heartbeat_response::HeartbeatResponse;
 use crate::server_heartbeat::{ServerHeartbeat, UnknownRun};
 use lupinrack_cluster_api::time::Millis;
 
-/// What becomes of a heartbeat that the agent received.
+/// The outcome of receiving a heartbeat.
 #[derive(Clone, Debug)]
 pub enum HeartbeatOutcome {
-    /// It is answered at once, without orders: it is stale, or of an incarnation that is not confirmed yet.
+    /// The driver sends this response, without orders, at once: the heartbeat is stale, or its incarnation is unconfirmed.
     Answered(HeartbeatResponse),
-    /// It is answered by [`Agent::respond_to_heartbeat`](crate::Agent::respond_to_heartbeat), now or a moment later.
+    /// The driver calls [`Agent::respond_to_heartbeat`](crate::Agent::respond_to_heartbeat) now or shortly afterwards.
     Pending(PendingHeartbeat),
 }
 
-/// A heartbeat that was taken and not answered yet. The driver may let the server wait a moment for orders.
+/// An accepted heartbeat without a response. The driver may delay the response until there are orders.
 #[derive(Clone, Debug)]
 pub struct PendingHeartbeat {
-    /// Runs that this system cannot have started, and that the response stops.
+    /// Runs that this system cannot have started; the response stops them.
     pub(crate) unknown_runs: Vec<UnknownRun>,
-    /// When it arrived; the lease in its response counts from then.
+    /// When it arrived; the lease in its response starts at this time.
     pub arrived_at: Millis,
-    /// Whether it lists ends, whose capacity is likely to be given to other tasks soon.
+    /// Whether it lists ends: the freed capacity is likely to be assigned to other tasks soon.
     pub lists_ends: bool,
     /// Whether it lists neither runs nor ends.
     pub idle: bool,
--- a/crates/worker-agent/src/report_schedule.rs
+++ b/crates/worker-agent/src/report_schedule.rs
@@ -1,19 +1,19 @@
-//! Which heartbeats are to be forwarded to the owner, and when.
+//! Decides which heartbeats are forwarded to the owner, and when.
 
 use lupinrack_cluster_api::agent::Heartbeat;
 use lupinrack_cluster_api::server::RunningTask;
 use lupinrack_cluster_api::time::Millis;
 
-/// The longest time, in milliseconds, without a report while heartbeats arrive: reports renew the lease.
+/// The longest time, in milliseconds, between reports while heartbeats arrive: reports renew the lease.
 pub const REPORT_INTERVAL_MS: u64 = 400;
 
-/// The shortest time, in milliseconds, between heartbeats that are forwarded for the progress of runs alone.
+/// The shortest time, in milliseconds, between forwarded heartbeats that differ in the progress of runs alone.
 pub const PROGRESS_INTERVAL_MS: u64 = 500;
 
-/// The longest time, in milliseconds, without a heartbeat in a report, even if nothing has changed.
+/// The longest time, in milliseconds, between reports with a heartbeat, even if nothing has changed.
 pub const FULL_REPORT_INTERVAL_MS: u64 = 2_000;
 
-/// What a report holds.
+/// The content of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReportKind {
     /// The newest heartbeat.
@@ -30,7 +30,7 @@
     at: Millis,
 }
 
-/// Remembers what was reported to the owner in this session, and when.
+/// What was last reported to the owner in this session, and when; it decides when the next report is due.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReportSchedule {
     forwarded: Option<ForwardedHeartbeat>,
@@ -44,7 +44,7 @@
     }
 
     /// Records that this heartbeat was forwarded. `orders_delivered` is the number of the owner's newest message with orders
-    /// that its `orders_seen` covers.
+    /// that the heartbeat's `orders_seen` covers.
     pub(crate) fn record_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -72,7 +72,7 @@
         (self.no_change_due_at() <= now).then_some(ReportKind::NoChange)
     }
 
-    /// When something has to be reported if nothing else happens.
+    /// When the next report is due if nothing else happens.
     pub(crate) fn next_due(&self, heartbeat: &Heartbeat, orders_delivered: u64) -> Millis {
         self.heartbeat_due_at(heartbeat, orders_delivered)
             .min(self.no_change_due_at())
@@ -100,7 +100,7 @@
     }
 }
 
-/// Whether the two differ in more than progress, leaving aside what changes with every heartbeat.
+/// Whether the heartbeats differ in more than the progress of runs. Fields that change with every heartbeat are ignored.
 fn has_changed(old: &Heartbeat, new: &Heartbeat) -> bool {
     let same_runs = old.running.len() == new.running.len()
         && old.running.iter().zip(&new.running).all(is_same_run);
