--- a/crates/worker-agent/tests/golden.rs
+++ b/crates/worker-agent/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Heartbeats as they are read, answers as they are written, the texts of errors, and the agent's decisions, pinned by
-//! the files under `tests/golden/`.
+//! Compares parsed heartbeats, rendered responses, error texts and the agent's decisions with the files under
+//! `tests/golden/`.
 
 #[path = "support/answer_at_once.rs"]
 mod answer_at_once;
@@ -42,8 +42,8 @@
     }
 }
 
-/// What is read of a body of the required fields alone.
-fn least_heartbeat() -> ServerHeartbeat {
+/// The parsed form of a body with the required fields alone.
+fn minimal_heartbeat() -> ServerHeartbeat {
     ServerHeartbeat {
         facts: ServerFacts {
             id: ServerId(SERVER.into()),
@@ -118,7 +118,7 @@
     }
 }
 
-fn least_body(fields: &str) -> String {
+fn minimal_body(fields: &str) -> String {
     format!(r#"{{"service":"search","state":"ready","sequence":7{fields}}}"#)
 }
 
@@ -136,7 +136,7 @@
     )
 }
 
-/// A body with its fields in a list, in place of names: the order of the fields counts.
+/// A body whose fields are a list of values without names, in the order of the format.
 fn full_body_as_list() -> String {
     format!(
         concat!(
@@ -147,7 +147,7 @@
     )
 }
 
-/// A heartbeat that lists the ends of both tasks, one of each word.
+/// A heartbeat that lists one run of each kind of end.
 fn heartbeat_of_every_end() -> (String, ServerHeartbeat) {
     let ends = [
         ("done", RunEnd::Done),
@@ -161,14 +161,14 @@
     let rows: Vec<String> = ends
         .iter()
         .zip(1..)
-        .map(|((word, _), number)| {
+        .map(|((name, _), number)| {
             format!(
-                r#"[{number},"{TASK}",{},"{word}","s{number}"]"#,
+                r#"[{number},"{TASK}",{},"{name}","s{number}"]"#,
                 number + 20
             )
         })
         .collect();
-    let body = least_body(&format!(r#","finished":[{}]"#, rows.join(",")));
+    let body = minimal_body(&format!(r#","finished":[{}]"#, rows.join(",")));
     let finished = ends.iter().zip(1..).map(|((_, end), number)| FinishedTask {
         number,
         task: task(),
@@ -176,19 +176,19 @@
         end: *end,
         checkpoint: format!("s{number}"),
     });
-    let mut read = least_heartbeat();
-    read.heartbeat.finished = finished.collect();
-    read.ends_listed = ends.len();
-    (body, read)
+    let mut parsed = minimal_heartbeat();
+    parsed.heartbeat.finished = finished.collect();
+    parsed.ends_listed = ends.len();
+    (body, parsed)
 }
 
-/// Rows that lack fields at their end, or have more of them; rows out of order.
+/// Rows that omit trailing fields or have additional ones, and that are not sorted.
 fn heartbeat_of_short_and_long_rows() -> (String, ServerHeartbeat) {
     let running = format!(
         r#"[["{OTHER_TASK}",4,"0d",88,"more"],["{TASK}",2],["{TASK}",3,null,12.7],["{OTHER_TASK}",3,"0c"]]"#
     );
     let finished = format!(r#"[[9,"{TASK}",2,"failed",null,5],[8,"{OTHER_TASK}",1,"stopped"]]"#);
-    let body = least_body(&format!(
+    let body = minimal_body(&format!(
         r#","running":{running},"finished":{finished},"mood":{{"good":[1]}}"#
     ));
     let run = |task, attempt, checkpoint: &str, percent| RunningTask {
@@ -204,35 +204,35 @@
         end,
         checkpoint: String::new(),
     };
-    let mut read = least_heartbeat();
-    read.heartbeat.running = vec![
+    let mut parsed = minimal_heartbeat();
+    parsed.heartbeat.running = vec![
         run(task(), 2, "", 0),
         run(task(), 3, "", 12),
         run(other_task(), 3, "0c", 0),
         run(other_task(), 4, "0d", 88),
     ];
-    read.heartbeat.finished = vec![
+    parsed.heartbeat.finished = vec![
         end(8, other_task(), 1, RunEnd::Stopped),
         end(9, task(), 2, RunEnd::Failed),
     ];
-    read.ends_listed = 2;
-    (body, read)
+    parsed.ends_listed = 2;
+    (body, parsed)
 }
 
-/// Runs whose names are not written as this system writes them.
+/// Runs whose task names are not in this system's format.
 fn heartbeat_of_unknown_runs() -> (String, ServerHeartbeat) {
     let upper = TASK.to_uppercase();
-    let body = least_body(&format!(
+    let body = minimal_body(&format!(
         r#","running":[["other",3,"",1],["{TASK}",1,"",2],["{upper}",4]],"finished":[[1,"other",2,"done",""]]"#
     ));
-    let mut read = least_heartbeat();
-    read.heartbeat.running = vec![RunningTask {
+    let mut parsed = minimal_heartbeat();
+    parsed.heartbeat.running = vec![RunningTask {
         task: task(),
         attempt: 1,
         checkpoint: String::new(),
         percent: 2,
     }];
-    read.unknown_runs = vec![
+    parsed.unknown_runs = vec![
         UnknownRun {
             task: "other".into(),
             attempt: 3,
@@ -242,13 +242,13 @@
             attempt: 4,
         },
     ];
-    read.ends_listed = 1;
-    (body, read)
+    parsed.ends_listed = 1;
+    (body, parsed)
 }
 
-/// Numbers that are negative, broken or too large.
+/// Numbers that are negative, fractional or too large.
 fn heartbeat_of_odd_numbers() -> (String, ServerHeartbeat) {
-    let body = least_body(&format!(
+    let body = minimal_body(&format!(
         concat!(
             r#","slots":-3,"cold-remaining-ms":2.9,"remaining-ms":-0.5,"clock-ms":18446744073709551615,"#,
             r#""running":[["{}",4294967296,"",4294967297]],"#,
@@ -256,27 +256,27 @@
         ),
         TASK
     ));
-    let mut read = least_heartbeat();
-    read.warm_up_remaining_ms = 2;
-    read.heartbeat.remaining_ms = Some(0);
-    read.clock_ms = u64::MAX;
-    read.heartbeat.running = vec![RunningTask {
+    let mut parsed = minimal_heartbeat();
+    parsed.warm_up_remaining_ms = 2;
+    parsed.heartbeat.remaining_ms = Some(0);
+    parsed.clock_ms = u64::MAX;
+    parsed.heartbeat.running = vec![RunningTask {
         task: task(),
         attempt: u32::MAX,
         checkpoint: String::new(),
         percent: u32::MAX,
     }];
-    read.facts.capacity.cpu = 1_000;
-    (body, read)
+    parsed.facts.capacity.cpu = 1_000;
+    (body, parsed)
 }
 
-/// Heartbeats by names: bodies, and what is read of them.
+/// Named heartbeats: their bodies and parsed forms.
 fn heartbeats() -> Vec<(&'static str, String, ServerHeartbeat)> {
-    let named = |name, (body, read): (String, ServerHeartbeat)| (name, body, read);
-    let mut without_remaining = least_heartbeat();
+    let named = |name, (body, parsed): (String, ServerHeartbeat)| (name, body, parsed);
+    let mut without_remaining = minimal_heartbeat();
     without_remaining.heartbeat.draining = true;
     vec![
-        named("least", (least_body(""), least_heartbeat())),
+        named("least", (minimal_body(""), minimal_heartbeat())),
         named("every field", (full_body(), full_heartbeat())),
         named(
             "every field in a list",
@@ -297,9 +297,9 @@
     ]
 }
 
-/// What was read, apart from the facts and the heartbeat proper, which have a binary form.
-fn rest_of(read: &ServerHeartbeat) -> String {
-    let unknown: Vec<String> = read
+/// The parsed values except the facts and the heartbeat itself, which are compared in binary form.
+fn other_values(parsed: &ServerHeartbeat) -> String {
+    let unknown: Vec<String> = parsed
         .unknown_runs
         .iter()
         .map(|run| format!("{}/{}", run.task, run.attempt))
@@ -307,51 +307,51 @@
     format!(
         "unknown-runs=[{}] ends-listed={} address={} slots={} cold-remaining-ms={} clock-ms={}",
         unknown.join(" "),
-        read.ends_listed,
-        read.address,
-        read.slots,
-        read.warm_up_remaining_ms,
-        read.clock_ms
+        parsed.ends_listed,
+        parsed.address,
+        parsed.slots,
+        parsed.warm_up_remaining_ms,
+        parsed.clock_ms
     )
 }
 
 #[test]
-fn heartbeats_are_read_as_before() {
+fn parsed_heartbeats_match_the_golden_files() {
     let mut bodies = GoldenFile::open(path!("heartbeats.txt"));
-    let mut read_forms = GoldenFile::open(path!("heartbeats-read.txt"));
-    for (name, body, read) in heartbeats() {
+    let mut parsed_values = GoldenFile::open(path!("heartbeats-read.txt"));
+    for (name, body, parsed) in heartbeats() {
         bodies.add(name, body);
-        read_forms.add_bytes(
+        parsed_values.add_bytes(
             format!("{name} | facts"),
-            &borsh::to_vec(&read.facts).expect("borsh"),
+            &borsh::to_vec(&parsed.facts).expect("borsh"),
         );
-        read_forms.add_bytes(
+        parsed_values.add_bytes(
             format!("{name} | heartbeat"),
-            &borsh::to_vec(&read.heartbeat).expect("borsh"),
+            &borsh::to_vec(&parsed.heartbeat).expect("borsh"),
         );
-        read_forms.add(format!("{name} | rest"), rest_of(&read));
+        parsed_values.add(format!("{name} | rest"), other_values(&parsed));
     }
     let bodies = bodies.check();
-    let read_forms = read_forms.check();
+    let parsed_values = parsed_values.check();
     for (name, _, expected) in heartbeats() {
-        let read = parse(SERVER, bodies.text(name).as_bytes())
-            .unwrap_or_else(|fault| panic!("{name}: {fault}"));
-        assert_eq!(read, expected, "{name}");
-        let facts = read_forms.bytes(&format!("{name} | facts"));
+        let parsed = parse(SERVER, bodies.text(name).as_bytes())
+            .unwrap_or_else(|error| panic!("{name}: {error}"));
+        assert_eq!(parsed, expected, "{name}");
+        let facts = parsed_values.bytes(&format!("{name} | facts"));
         assert_eq!(
             ServerFacts::try_from_slice(&facts).expect("facts"),
-            read.facts,
+            parsed.facts,
             "{name}"
         );
-        let heartbeat = read_forms.bytes(&format!("{name} | heartbeat"));
+        let heartbeat = parsed_values.bytes(&format!("{name} | heartbeat"));
         assert_eq!(
             Heartbeat::try_from_slice(&heartbeat).expect("a heartbeat"),
-            read.heartbeat,
+            parsed.heartbeat,
             "{name}"
         );
         assert_eq!(
-            read_forms.text(&format!("{name} | rest")),
-            rest_of(&read),
+            parsed_values.text(&format!("{name} | rest")),
+            other_values(&parsed),
             "{name}"
         );
     }
@@ -366,7 +366,7 @@
     }
 }
 
-fn full_answer() -> HeartbeatResponse {
+fn full_response() -> HeartbeatResponse {
     HeartbeatResponse {
         starts: vec![
             assignment(task(), 6, "say \"hello\"\n\u{1}\u{e9}", "0f0f"),
@@ -389,23 +389,23 @@
     }
 }
 
-/// Answers by names: each field alone, all, and none.
-fn answers() -> Vec<(&'static str, HeartbeatResponse)> {
+/// Named responses: with no field, with all fields, and with each field alone.
+fn responses() -> Vec<(&'static str, HeartbeatResponse)> {
     let none = HeartbeatResponse::default;
     vec![
         ("empty", none()),
-        ("all", full_answer()),
+        ("all", full_response()),
         (
             "starts",
             HeartbeatResponse {
-                starts: full_answer().starts,
+                starts: full_response().starts,
                 ..none()
             },
         ),
         (
             "stops",
             HeartbeatResponse {
-                stops: full_answer().stops,
+                stops: full_response().stops,
                 ..none()
             },
         ),
@@ -441,48 +441,48 @@
 }
 
 #[test]
-fn answers_are_written_as_before() {
+fn rendered_responses_match_the_golden_file() {
     let mut file = GoldenFile::open(path!("answers.txt"));
-    for (name, answer) in answers() {
-        file.add(name, render(&answer));
+    for (name, response) in responses() {
+        file.add(name, render(&response));
     }
-    let kept = file.check();
-    for (name, answer) in answers() {
-        let json: serde_json::Value = serde_json::from_str(kept.text(name)).expect("JSON");
+    let golden = file.check();
+    for (name, response) in responses() {
+        let json: serde_json::Value = serde_json::from_str(golden.text(name)).expect("JSON");
         let starts = json["start"].as_array().map_or(0, Vec::len);
         let stops = json["stop"].as_array().map_or(0, Vec::len);
         assert_eq!(
             (starts, stops),
-            (answer.starts.len(), answer.stops.len()),
+            (response.starts.len(), response.stops.len()),
             "{name}"
         );
         assert_eq!(
             json["fence-token"].as_u64().unwrap_or(0),
-            answer.token.0,
+            response.token.0,
             "{name}"
         );
         assert_eq!(
             json["hold-ms"].as_u64().unwrap_or(0),
-            answer.lease_ms,
+            response.lease_ms,
             "{name}"
         );
         assert_eq!(
             json["observed"].as_u64().unwrap_or(0),
-            answer.observed,
+            response.observed,
             "{name}"
         );
         assert_eq!(
             json["retry-after-ms"].as_u64().unwrap_or(0),
-            answer.heartbeat_after_ms,
+            response.heartbeat_after_ms,
             "{name}"
         );
     }
 }
 
-/// Bodies that cannot be read, by names.
-fn faulty_bodies() -> BTreeMap<&'static str, String> {
-    let row = |fields: &str| least_body(&format!(r#","running":[{fields}]"#));
-    let end = |fields: &str| least_body(&format!(r#","finished":[{fields}]"#));
+/// Named bodies that cannot be parsed.
+fn malformed_bodies() -> BTreeMap<&'static str, String> {
+    let row = |fields: &str| minimal_body(&format!(r#","running":[{fields}]"#));
+    let end = |fields: &str| minimal_body(&format!(r#","finished":[{fields}]"#));
     BTreeMap::from([
         ("nothing", String::new()),
         ("cut off", r#"{"service":"#.into()),
@@ -498,7 +498,7 @@
             "sequence missing",
             r#"{"service":"search","state":"ready"}"#.into(),
         ),
-        ("service twice", least_body(r#","service":"search""#)),
+        ("service twice", minimal_body(r#","service":"search""#)),
         (
             "unknown state",
             r#"{"service":"search","state":"asleep","sequence":7}"#.into(),
@@ -507,9 +507,9 @@
             "sequence as text",
             r#"{"service":"search","state":"ready","sequence":"seven"}"#.into(),
         ),
-        ("labels as text", least_body(r#","labels":"big""#)),
-        ("address as number", least_body(r#","address":80"#)),
-        ("running as object", least_body(r#","running":{}"#)),
+        ("labels as text", minimal_body(r#","labels":"big""#)),
+        ("address as number", minimal_body(r#","address":80"#)),
+        ("running as object", minimal_body(r#","running":{}"#)),
         ("run as text", row(r#""x""#)),
         ("run without task", row("[]")),
         ("run without start", row(&format!(r#"["{TASK}"]"#))),
@@ -532,18 +532,18 @@
 }
 
 #[test]
-fn errors_are_told_as_before() {
+fn error_texts_match_the_golden_file() {
     let mut file = GoldenFile::open(path!("errors.txt"));
-    let mut add_fault = |name: &str, id: &str, body: &str| match parse(id, body.as_bytes()) {
-        Ok(_) => panic!("{name} was read"),
-        Err(fault) => file.add(format!("heartbeat, {name}"), fault.to_string()),
+    let mut add_parse_error = |name: &str, id: &str, body: &str| match parse(id, body.as_bytes()) {
+        Ok(_) => panic!("{name} was parsed"),
+        Err(error) => file.add(format!("heartbeat, {name}"), error.to_string()),
     };
-    add_fault("identity empty", "", &least_body(""));
-    add_fault("identity too long", &"x".repeat(257), &least_body(""));
-    for (name, body) in faulty_bodies() {
-        add_fault(name, SERVER, &body);
+    add_parse_error("identity empty", "", &minimal_body(""));
+    add_parse_error("identity too long", &"x".repeat(257), &minimal_body(""));
+    for (name, body) in malformed_bodies() {
+        add_parse_error(name, SERVER, &body);
     }
-    let refused = [
+    let rejected = [
         ("other connection", OwnerMessageError::OtherConnection),
         ("other incarnation", OwnerMessageError::OtherIncarnation),
         ("lower token", OwnerMessageError::LowerToken),
@@ -551,15 +551,15 @@
         ("repeated", OwnerMessageError::Repeated),
         ("gap", OwnerMessageError::Gap),
     ];
-    for (name, refused) in refused {
-        file.add(format!("rejected message, {name}"), refused.to_string());
+    for (name, rejected) in rejected {
+        file.add(format!("rejected message, {name}"), rejected.to_string());
     }
     file.check();
-    assert!(parse(&"x".repeat(256), least_body("").as_bytes()).is_ok());
+    assert!(parse(&"x".repeat(256), minimal_body("").as_bytes()).is_ok());
 }
 
 #[test]
-fn the_agent_decides_as_before() {
+fn decisions_of_the_agent_match_the_golden_file() {
     const STEPS: usize = 200;
     let mut file = GoldenFile::open(path!("agent-trace.txt"));
     for seed in 1..=3 {
@@ -574,7 +574,7 @@
 }
 
 #[test]
-fn the_agent_decides_as_before_over_long_runs() {
+fn digests_of_long_runs_match_the_golden_file() {
     const STEPS: usize = 3_000;
     let mut file = GoldenFile::open(path!("agent-trace-digests.txt"));
     for seed in 100..140 {
--- a/crates/worker-agent/tests/golden_trace/mod.rs
+++ b/crates/worker-agent/tests/golden_trace/mod.rs
@@ -1,8 +1,8 @@
-//! A seeded run of an agent between a server and owners that keep to the protocol most of the time, and a line for each
-//! call: what came in and what the agent did.
+//! A seeded run of an agent between a server and owners that follow the protocol most of the time. Each call gives one
+//! line with its input and the agent's reaction.
 //!
-//! The lines hold forms that are fixed outside (JSON, `borsh`, texts of errors, numbers) and no names of Rust types, so
-//! that they stay the same while the code is rewritten.
+//! The lines hold external formats (JSON, `borsh`, error texts, numbers) and no names of Rust types, so that they stay the
+//! same when the code is rewritten.
 
 mod owner;
 mod server;
@@ -20,14 +20,14 @@
 use owner::Owner;
 use server::Server;
 
-/// Whether the run has lists and texts that are as long as they may be.
+/// Whether the run has lists and specs of the largest allowed size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bulk {
     Without,
     With,
 }
 
-/// Plays so many calls and returns a line for each.
+/// Runs `steps` calls and returns a line for each.
 pub fn play(seed: u64, steps: usize, bulk: Bulk) -> Vec<String> {
     let mut run = Run::new(seed, bulk);
     (0..steps).map(|_| run.step()).collect()
@@ -49,7 +49,7 @@
     agent: Agent,
     server: Server,
     owner: Owner,
-    open: Option<PendingHeartbeat>,
+    pending: Option<PendingHeartbeat>,
     bulk: Bulk,
 }
 
@@ -68,27 +68,27 @@
             server: Server::new(1, bulk),
             owner: Owner::new(bulk),
             bulk,
-            open: None,
+            pending: None,
         }
     }
 
     fn step(&mut self) -> String {
-        let longest = if self.random.once_in(40) { 2_500 } else { 60 };
-        self.now += self.random.below(longest);
-        let call = match self.random.below(20) {
-            0..=6 => self.beat(),
-            7..=9 => self.answer_open(),
-            10..=14 => self.tell(),
+        let max_step_ms = if self.random.once_in(40) { 2_500 } else { 60 };
+        self.now += self.random.below(max_step_ms);
+        let event = match self.random.below(20) {
+            0..=6 => self.heartbeat(),
+            7..=9 => self.respond_to_pending(),
+            10..=14 => self.deliver_owner_message(),
             15 => self.connect(),
-            16 if self.random.once_in(3) => self.leave(),
-            17 if self.random.once_in(3) => self.lose(),
+            16 if self.random.once_in(3) => self.deregister(),
+            17 if self.random.once_in(3) => self.disconnect(),
             _ => String::from("wait"),
         };
         let observed = self.observe();
-        format!("at {} {call} {observed}", self.now)
+        format!("at {} {event} {observed}", self.now)
     }
 
-    /// What the agent shows of itself after a call, and what it sends.
+    /// Describes the agent's visible state after a call, and the messages that it sends.
     fn observe(&mut self) -> String {
         let now = Millis(self.now);
         let has_orders = self.agent.has_orders(now);
@@ -110,33 +110,36 @@
         )
     }
 
-    fn beat(&mut self) -> String {
+    fn heartbeat(&mut self) -> String {
         if self.random.once_in(60) {
-            self.server = Server::new(self.next_life(), self.bulk);
+            self.server = Server::new(self.next_incarnation(), self.bulk);
         }
-        let (id, body) = self.server.beat(self.now, &mut self.random);
-        let beat = parse(&id, body.as_bytes()).expect("a heartbeat");
+        let (id, body) = self.server.heartbeat(self.now, &mut self.random);
+        let heartbeat = parse(&id, body.as_bytes()).expect("a heartbeat");
         if self.random.once_in(3) {
-            let answer = self.agent.heartbeat(beat, Millis(self.now));
-            return format!("beats {id} {body} -> {}", self.answered(&answer));
+            let response = self.agent.heartbeat(heartbeat, Millis(self.now));
+            return format!("beats {id} {body} -> {}", self.send_response(&response));
         }
-        match self.agent.receive_heartbeat(beat, Millis(self.now)) {
-            HeartbeatOutcome::Answered(answer) => {
-                format!("beat {id} {body} -> answer {}", self.answered(&answer))
+        match self.agent.receive_heartbeat(heartbeat, Millis(self.now)) {
+            HeartbeatOutcome::Answered(response) => {
+                format!(
+                    "beat {id} {body} -> answer {}",
+                    self.send_response(&response)
+                )
             }
-            HeartbeatOutcome::Pending(open) => {
-                let shown = format!(
+            HeartbeatOutcome::Pending(pending) => {
+                let properties = format!(
                     "arrived {} ends {} idle {}",
-                    open.arrived_at.0, open.lists_ends, open.idle
+                    pending.arrived_at.0, pending.lists_ends, pending.idle
                 );
-                self.open = Some(open);
-                format!("beat {id} {body} -> open {shown}")
+                self.pending = Some(pending);
+                format!("beat {id} {body} -> open {properties}")
             }
         }
     }
 
-    /// The life after this one, at times this one again or the one before.
-    fn next_life(&mut self) -> u64 {
+    /// The number of the next incarnation, sometimes that of the current or the previous one again.
+    fn next_incarnation(&mut self) -> u64 {
         let incarnation = self.server.incarnation();
         let earlier = self.random.once_in(3);
         if earlier {
@@ -146,28 +149,28 @@
         }
     }
 
-    fn answer_open(&mut self) -> String {
-        let Some(open) = self.open.take() else {
+    fn respond_to_pending(&mut self) -> String {
+        let Some(pending) = self.pending.take() else {
             return String::from("no open heartbeat");
         };
-        let answer = self.agent.respond_to_heartbeat(&open, Millis(self.now));
-        format!("answers -> {}", self.answered(&answer))
+        let response = self.agent.respond_to_heartbeat(&pending, Millis(self.now));
+        format!("answers -> {}", self.send_response(&response))
     }
 
-    fn answered(&mut self, answer: &HeartbeatResponse) -> String {
+    fn send_response(&mut self, response: &HeartbeatResponse) -> String {
         let lost = self.random.once_in(8);
         if !lost {
-            self.server.answered(answer, &mut self.random);
+            self.server.receive_response(response, &mut self.random);
         }
-        render(answer)
+        render(response)
     }
 
-    fn tell(&mut self) -> String {
+    fn deliver_owner_message(&mut self) -> String {
         let (connection, message) = self.owner.message(self.now, &mut self.random);
-        let written = borsh_hex(&message);
-        let taken = self.agent.receive_owner_message(connection, message);
-        let outcome = taken.map_or_else(refusal_word, |()| "taken");
-        format!("message on {connection} {written} -> {outcome}")
+        let encoded = borsh_hex(&message);
+        let result = self.agent.receive_owner_message(connection, message);
+        let outcome = result.map_or_else(error_text, |()| "taken");
+        format!("message on {connection} {encoded} -> {outcome}")
     }
 
     fn connect(&mut self) -> String {
@@ -179,18 +182,18 @@
         format!("connected {connection}")
     }
 
-    fn lose(&mut self) -> String {
+    fn disconnect(&mut self) -> String {
         let connection = if self.random.once_in(5) {
             1
         } else {
             self.owner.connection()
         };
         self.agent.owner_disconnected(connection);
-        self.owner.lost(connection);
+        self.owner.disconnected(connection);
         format!("lost {connection}")
     }
 
-    fn leave(&mut self) -> String {
+    fn deregister(&mut self) -> String {
         let incarnation = self.server.incarnation();
         let incarnation = if self.random.once_in(4) {
             incarnation + self.random.below(2)
@@ -203,9 +206,9 @@
     }
 }
 
-/// A word for each refusal that no change of names or texts alters.
-fn refusal_word(refused: OwnerMessageError) -> &'static str {
-    match refused {
+/// A fixed text for each error, independent of variant names and error texts.
+fn error_text(error: OwnerMessageError) -> &'static str {
+    match error {
         OwnerMessageError::OtherConnection => "refused: other connection",
         OwnerMessageError::OtherIncarnation => "refused: other server",
         OwnerMessageError::LowerToken => "refused: lower token",
@@ -215,27 +218,27 @@
     }
 }
 
-/// A form of a message that is fixed on the wire.
-trait WireForm {
-    fn wire_form(&self) -> Vec<u8>;
+/// The encoding of a message on the wire.
+trait WireEncoding {
+    fn encode(&self) -> Vec<u8>;
 }
 
-impl WireForm for AgentMessage {
-    fn wire_form(&self) -> Vec<u8> {
+impl WireEncoding for AgentMessage {
+    fn encode(&self) -> Vec<u8> {
         borsh::to_vec(self).expect("borsh")
     }
 }
 
-impl WireForm for OwnerMessage {
-    fn wire_form(&self) -> Vec<u8> {
+impl WireEncoding for OwnerMessage {
+    fn encode(&self) -> Vec<u8> {
         borsh::to_vec(self).expect("borsh")
     }
 }
 
-fn borsh_hex(message: &impl WireForm) -> String {
-    to_hex(&message.wire_form())
+fn borsh_hex(message: &impl WireEncoding) -> String {
+    to_hex(&message.encode())
 }
 
-fn optional(moment: Option<Millis>) -> String {
-    moment.map_or_else(|| String::from("none"), |moment| moment.0.to_string())
+fn optional(time: Option<Millis>) -> String {
+    time.map_or_else(|| String::from("none"), |time| time.0.to_string())
 }
--- a/crates/worker-agent/tests/golden_trace/owner.rs
+++ b/crates/worker-agent/tests/golden_trace/owner.rs
@@ -1,4 +1,5 @@
-//! The owner of a trace: it answers attaches, orders starts and stops, and now and then says what owners do not.
+//! The owner in a trace: it answers attaches and orders starts and stops. Sometimes it sends a message that violates the
+//! protocol.
 
 use super::Bulk;
 use crate::random::Random;
@@ -9,7 +10,7 @@
 const TASKS: u64 = 6;
 const ATTEMPTS: u64 = 4;
 
-/// More than half of an answer's room.
+/// More than half of the size limit for the starts of one response.
 const LARGE_SPEC_BYTES: usize = 300_000;
 
 /// The owner of the server's shard, and its session.
@@ -19,7 +20,7 @@
     connected: bool,
     server: ServerId,
     number: u64,
-    heard_at: Millis,
+    reported_at: Millis,
     observed: u64,
     bulk: Bulk,
 }
@@ -32,7 +33,7 @@
             connected: false,
             server: ServerId(String::new()),
             number: 0,
-            heard_at: Millis(0),
+            reported_at: Millis(0),
             observed: 0,
             bulk,
         }
@@ -46,7 +47,7 @@
         self.connections
     }
 
-    /// Opens the next connection, at times as another owner.
+    /// Opens the next connection, sometimes as another owner.
     pub fn connect(&mut self, random: &mut Random) -> u64 {
         self.connections += 1;
         self.connected = true;
@@ -56,7 +57,7 @@
         self.connections
     }
 
-    pub fn lost(&mut self, connection: u64) {
+    pub fn disconnected(&mut self, connection: u64) {
         self.connected &= connection != self.connections;
     }
 
@@ -70,11 +71,11 @@
             } => {
                 self.server = facts.id.clone();
                 self.number = 0;
-                self.heard_at = *sent_at;
+                self.reported_at = *sent_at;
                 self.observed = heartbeat.finished.last().map_or(0, |end| end.number);
             }
             AgentMessage::Report { heartbeat, sent_at } => {
-                self.heard_at = *sent_at;
+                self.reported_at = *sent_at;
                 if let Some(heartbeat) = heartbeat {
                     self.observed = heartbeat
                         .finished
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The connection and the next message; one in eight is not what an owner would say.
+    /// The next message with its connection; one in eight messages violates the protocol.
     pub fn message(&mut self, now: u64, random: &mut Random) -> (u64, OwnerMessage) {
         self.number += 1;
         let complete = self.number == 1;
@@ -99,15 +100,15 @@
                 .map(|_| self.assignment(random))
                 .collect(),
             stop: (0..random.below(5).saturating_sub(3))
-                .map(|_| run(random))
+                .map(|_| random_run(random))
                 .collect(),
             observed: if random.once_in(2) { self.observed } else { 0 },
-            lease_from: self.heard_at,
+            lease_from: self.reported_at,
             lease_ms: 500 + random.below(8_000),
             heartbeat_after_ms: random.below(3) * 150,
         };
         if random.once_in(8) {
-            self.distort(&mut message, now, random);
+            self.corrupt(&mut message, now, random);
         }
         let connection = if random.once_in(30) {
             self.connections + 1
@@ -118,7 +119,7 @@
     }
 
     fn assignment(&self, random: &mut Random) -> Assignment {
-        let (task, attempt) = run(random);
+        let (task, attempt) = random_run(random);
         let large = random.once_in(400) && self.bulk == Bulk::With;
         let spec = if large {
             "x".repeat(LARGE_SPEC_BYTES)
@@ -138,7 +139,7 @@
         }
     }
 
-    fn distort(&mut self, message: &mut OwnerMessage, now: u64, random: &mut Random) {
+    fn corrupt(&mut self, message: &mut OwnerMessage, now: u64, random: &mut Random) {
         match random.below(8) {
             0 => message.token = FencingToken(self.token.saturating_sub(1)),
             1 => message.token = FencingToken(self.token + 1),
@@ -152,7 +153,7 @@
     }
 }
 
-fn run(random: &mut Random) -> (TaskId, Attempt) {
+fn random_run(random: &mut Random) -> (TaskId, Attempt) {
     let index = random.below(TASKS) as u32;
     let attempt = 1 + random.below(ATTEMPTS) as u32;
     (
--- a/crates/worker-agent/tests/golden_trace/server.rs
+++ b/crates/worker-agent/tests/golden_trace/server.rs
@@ -1,4 +1,4 @@
-//! The server of a trace: it beats, runs what it is told to run, and now and then does what servers do not.
+//! The server in a trace: it sends heartbeats and carries out orders. Sometimes it violates the protocol.
 
 use super::Bulk;
 use crate::random::Random;
@@ -7,14 +7,14 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-const END_WORDS: [&str; 7] = [
+const END_NAMES: [&str; 7] = [
     "done", "failed", "stopped", "lapsed", "broken", "alone", "refused",
 ];
 
-/// One end in so many comes in a list that is full, with ends of other systems.
-const FULL_LISTS: u64 = 40;
+/// One in so many heartbeats with ends lists as many ends as it may, filled with ends of other systems' tasks.
+const FULL_LIST_INTERVAL: u64 = 40;
 
-/// One life of the server.
+/// One incarnation of the server.
 pub struct Server {
     incarnation: u64,
     sequence: u64,
@@ -22,7 +22,7 @@
     draining: bool,
     running: BTreeMap<String, Run>,
     finished: Vec<Value>,
-    last_number: u64,
+    last_end_number: u64,
     bulk: Bulk,
 }
 
@@ -32,7 +32,7 @@
     percent: u64,
 }
 
-/// The identity of a life.
+/// The identity of an incarnation.
 pub fn id_of(incarnation: u64) -> String {
     format!("life-{incarnation}")
 }
@@ -46,7 +46,7 @@
             draining: false,
             running: BTreeMap::new(),
             finished: Vec::new(),
-            last_number: 0,
+            last_end_number: 0,
             bulk,
         }
     }
@@ -55,11 +55,11 @@
         self.incarnation
     }
 
-    /// The identity and the body of the next heartbeat, which may be an earlier one again.
-    pub fn beat(&mut self, now: u64, random: &mut Random) -> (String, String) {
-        self.live(random);
-        let again = self.sequence > 0 && random.once_in(20);
-        if !again {
+    /// The identity and body of the next heartbeat, sometimes with an earlier sequence number or incarnation.
+    pub fn heartbeat(&mut self, now: u64, random: &mut Random) -> (String, String) {
+        self.advance(random);
+        let repeated = self.sequence > 0 && random.once_in(20);
+        if !repeated {
             self.sequence += 1;
         }
         let sequence = if random.once_in(30) {
@@ -75,14 +75,14 @@
         (id_of(incarnation), self.body(sequence, now, random))
     }
 
-    /// Takes an answer.
-    pub fn answered(&mut self, answer: &HeartbeatResponse, random: &mut Random) {
+    /// Receives a response.
+    pub fn receive_response(&mut self, response: &HeartbeatResponse, random: &mut Random) {
         self.finished.retain(|end| {
             end[0]
                 .as_u64()
-                .is_some_and(|number| number > answer.observed)
+                .is_some_and(|number| number > response.observed)
         });
-        for stop in &answer.stops {
+        for stop in &response.stops {
             if self
                 .running
                 .get(&stop.task)
@@ -91,7 +91,7 @@
                 self.end(&stop.task, "stopped");
             }
         }
-        for start in &answer.starts {
+        for start in &response.starts {
             if !random.once_in(5) {
                 let run = Run {
                     attempt: start.attempt,
@@ -103,7 +103,7 @@
         }
     }
 
-    fn live(&mut self, random: &mut Random) {
+    fn advance(&mut self, random: &mut Random) {
         self.draining |= random.once_in(80);
         if random.once_in(100) {
             self.version += 1;
@@ -117,8 +117,8 @@
         let tasks: Vec<String> = self.running.keys().cloned().collect();
         for task in tasks {
             if random.once_in(12) {
-                let word = END_WORDS[random.below(END_WORDS.len() as u64) as usize];
-                self.end(&task, word);
+                let name = END_NAMES[random.below(END_NAMES.len() as u64) as usize];
+                self.end(&task, name);
             }
         }
         if random.once_in(50) {
@@ -133,14 +133,14 @@
         }
     }
 
-    fn end(&mut self, task: &str, word: &str) {
+    fn end(&mut self, task: &str, name: &str) {
         if let Some(run) = self.running.remove(task) {
-            self.last_number += 1;
+            self.last_end_number += 1;
             self.finished.push(json!([
-                self.last_number,
+                self.last_end_number,
                 task,
                 run.attempt,
-                word,
+                name,
                 run.checkpoint
             ]));
         }
@@ -153,7 +153,7 @@
             .map(|(task, run)| json!([task, run.attempt, run.checkpoint, run.percent]))
             .collect();
         let mut finished = self.finished.clone();
-        let full = random.once_in(FULL_LISTS) && self.bulk == Bulk::With;
+        let full = random.once_in(FULL_LIST_INTERVAL) && self.bulk == Bulk::With;
         if !finished.is_empty() && full {
             finished.extend((0..500).map(|number| json!([1_000_000 + number, "other", 1, "done"])));
         }
--- a/crates/worker-agent/tests/heartbeat_json.rs
+++ b/crates/worker-agent/tests/heartbeat_json.rs
@@ -1,4 +1,4 @@
-//! The JSON of heartbeats and of their answers.
+//! The JSON of heartbeats and of their responses.
 
 use lupinrack_cluster_api::agent::Assignment;
 use lupinrack_cluster_api::identity::{FencingToken, JobId, ServiceName, TaskId};
@@ -20,7 +20,7 @@
     }
 }
 
-/// A body of the required fields and these.
+/// A body with the required fields and `fields`.
 fn body(fields: Value) -> Vec<u8> {
     let mut body = json!({"service": "search", "state": "ready", "sequence": 7});
     let fields = fields.as_object().expect("an object").clone();
@@ -28,7 +28,7 @@
     body.to_string().into_bytes()
 }
 
-fn read(fields: Value) -> ServerHeartbeat {
+fn parse_with(fields: Value) -> ServerHeartbeat {
     parse("server-1", &body(fields)).expect("a heartbeat")
 }
 
@@ -40,8 +40,8 @@
 }
 
 #[test]
-fn reads_every_field() {
-    let heartbeat = read(json!({
+fn every_field_is_parsed() {
+    let heartbeat = parse_with(json!({
         "address": "127.0.0.1:80", "zone": "north", "version": "v3", "slots": 8, "state": "draining",
         "cold-remaining-ms": 12, "remaining-ms": 3400, "clock-ms": 99, "labels": ["big", "rack-2"],
         "capacity": {"cpu": 16000, "mem-mb": 32768, "gpu": 1},
@@ -95,15 +95,15 @@
 
 #[test]
 fn absent_lists_are_empty_and_unknown_keys_are_skipped() {
-    let heartbeat = read(json!({"mood": {"good": [1, 2]}}));
+    let heartbeat = parse_with(json!({"mood": {"good": [1, 2]}}));
     assert!(heartbeat.heartbeat.running.is_empty() && heartbeat.heartbeat.finished.is_empty());
     assert_eq!(heartbeat.heartbeat.remaining_ms, None);
     assert!(!heartbeat.heartbeat.draining);
 }
 
 #[test]
-fn rows_may_lack_or_add_fields_at_their_end() {
-    let heartbeat = read(json!({
+fn rows_may_omit_or_add_trailing_fields() {
+    let heartbeat = parse_with(json!({
         "running": [[TASK, 1], [TASK, 2, ""], [TASK, 3, null, 12.7, "more"]],
         "finished": [[1, TASK, 1, "stopped"], [2, TASK, 2, "lapsed", "0f", 5]],
     }));
@@ -124,8 +124,8 @@
 }
 
 #[test]
-fn every_name_of_an_end_is_known_and_no_other() {
-    let words = [
+fn every_name_of_a_run_end_is_parsed_and_others_are_rejected() {
+    let names = [
         ("done", RunEnd::Done),
         ("failed", RunEnd::Failed),
         ("stopped", RunEnd::Stopped),
@@ -134,9 +134,9 @@
         ("alone", RunEnd::Alone),
         ("refused", RunEnd::Refused),
     ];
-    for (name, end) in words {
+    for (name, end) in names {
         assert_eq!(
-            read(json!({"finished": [[1, TASK, 1, name, ""]]}))
+            parse_with(json!({"finished": [[1, TASK, 1, name, ""]]}))
                 .heartbeat
                 .finished[0]
                 .end,
@@ -149,9 +149,9 @@
 }
 
 #[test]
-fn names_of_other_systems_are_listed_separately() {
+fn runs_with_task_names_of_other_systems_are_listed_separately() {
     let upper = TASK.to_uppercase();
-    let heartbeat = read(json!({
+    let heartbeat = parse_with(json!({
         "running": [["other", 3, "", 1], [TASK, 1, "", 2], [upper, 4, "", 0]],
         "finished": [[1, "other", 2, "done", ""], [2, TASK, 1, "done", ""]],
     }));
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn bodies_of_another_form_are_rejected() {
+fn malformed_bodies_are_rejected() {
     assert!(is_error(json!({"state": "asleep"})));
     assert!(is_error(json!({"sequence": "seven"})));
     assert!(is_error(json!({"running": [[TASK]]})));
@@ -195,14 +195,14 @@
 }
 
 #[test]
-fn a_response_contains_what_is_set() {
+fn a_response_contains_the_fields_that_are_set() {
     let start = Assignment {
         task: task(),
         attempt: 1,
         spec: "say \"hello\"\n".into(),
         checkpoint: String::new(),
     };
-    let answer = HeartbeatResponse {
+    let response = HeartbeatResponse {
         starts: vec![start],
         stops: vec![StopOrder {
             task: "other".into(),
@@ -213,24 +213,24 @@
         lease_ms: 4000,
         heartbeat_after_ms: 200,
     };
-    let written: Value = serde_json::from_str(&render(&answer)).expect("JSON");
+    let rendered: Value = serde_json::from_str(&render(&response)).expect("JSON");
     let expected = json!({
         "hold-ms": 4000, "observed": 58, "fence-token": 7,
         "start": [[TASK, 1, "say \"hello\"\n", ""]], "stop": [["other", 2]], "retry-after-ms": 200,
     });
-    assert_eq!(written, expected);
+    assert_eq!(rendered, expected);
 }
 
 quickcheck! {
-    fn any_bytes_are_read_or_rejected(bytes: Vec<u8>) -> bool {
+    fn any_bytes_are_parsed_or_rejected(bytes: Vec<u8>) -> bool {
         let _ = parse("server-1", &bytes);
         true
     }
 
-    fn any_text_survives_a_start(spec: String, checkpoint: String) -> bool {
+    fn any_spec_and_checkpoint_are_rendered_unchanged(spec: String, checkpoint: String) -> bool {
         let start = Assignment { task: task(), attempt: 3, spec: spec.clone(), checkpoint: checkpoint.clone() };
-        let answer = HeartbeatResponse { starts: vec![start], ..HeartbeatResponse::default() };
-        let written: Value = serde_json::from_str(&render(&answer)).expect("JSON");
-        written["start"][0] == json!([TASK, 3, spec, checkpoint])
+        let response = HeartbeatResponse { starts: vec![start], ..HeartbeatResponse::default() };
+        let rendered: Value = serde_json::from_str(&render(&response)).expect("JSON");
+        rendered["start"][0] == json!([TASK, 3, spec, checkpoint])
     }
 }
--- a/crates/worker-agent/tests/incarnations.rs
+++ b/crates/worker-agent/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! Incarnations of a server: which heartbeats count, and what becomes of orders.
+//! Incarnations of a server: which heartbeats are accepted, and which orders stay when the incarnation changes.
 
 mod support;
 
@@ -12,7 +12,7 @@
     task, AnswerAtOnce, CONNECTION, OVERDUE,
 };
 
-/// Server "a" starts draining, and then deregisters.
+/// Lets server "a" report that it drains, and then deregister.
 fn drain_and_deregister(agent: &mut Agent) {
     let mut draining = heartbeat_of("a", 2);
     draining.heartbeat.draining = true;
@@ -48,18 +48,18 @@
 }
 
 #[test]
-fn a_new_incarnation_begins_with_a_new_attach_and_no_orders() {
+fn a_new_incarnation_starts_with_an_attach_and_no_orders() {
     let mut agent = ordered();
     for sequence in 1..3 {
-        let answer = agent.heartbeat(heartbeat_of("b", sequence), OVERDUE);
-        assert_eq!((started(&answer), answer.lease_ms), (vec![], 0));
+        let response = agent.heartbeat(heartbeat_of("b", sequence), OVERDUE);
+        assert_eq!((started(&response), response.lease_ms), (vec![], 0));
     }
-    let late = OwnerMessage {
+    let late_message = OwnerMessage {
         assign: vec![assignment(2, 1)],
         ..message(2, "a", 5)
     };
     assert_eq!(
-        agent.receive_owner_message(CONNECTION, late),
+        agent.receive_owner_message(CONNECTION, late_message),
         Err(OwnerMessageError::OtherIncarnation)
     );
     let messages = agent.poll(OVERDUE);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_dead_incarnation_that_shows_up_late_does_not_replace_the_living() {
+fn a_late_heartbeat_of_a_dead_incarnation_does_not_replace_the_running_one() {
     let mut agent = ordered();
     let unconfirmed = agent.heartbeat(heartbeat_of("dead", 1), Millis(100));
     let expected = HeartbeatResponse {
@@ -92,12 +92,12 @@
 }
 
 #[test]
-fn a_new_incarnation_counts_after_a_second_heartbeat_while_the_other_is_overdue() {
+fn a_new_incarnation_is_accepted_with_its_second_heartbeat_while_the_current_one_is_overdue() {
     let mut agent = ordered();
     agent.heartbeat(heartbeat_of("a", 2), Millis(100));
     for sequence in 1..4 {
-        let answer = agent.heartbeat(heartbeat_of("b", sequence), Millis(100 + sequence));
-        assert_eq!(answer.heartbeat_after_ms, settings().busy_heartbeat_ms);
+        let response = agent.heartbeat(heartbeat_of("b", sequence), Millis(100 + sequence));
+        assert_eq!(response.heartbeat_after_ms, settings().busy_heartbeat_ms);
         assert_eq!(
             agent.server().map(|facts| &facts.id),
             Some(&ServerId("a".into()))
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn the_first_heartbeat_of_a_new_incarnation_is_not_enough_however_overdue_the_other_is() {
+fn the_first_heartbeat_of_a_new_incarnation_is_not_accepted_however_overdue_the_current_one_is() {
     let mut agent = ordered();
     agent.heartbeat(heartbeat_of("b", 1), OVERDUE.plus(60_000));
     assert_eq!(
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_new_incarnation_counts_at_once_after_the_other_deregistered() {
+fn a_new_incarnation_is_accepted_at_once_after_the_current_one_deregistered() {
     let mut agent = ordered();
     drain_and_deregister(&mut agent);
     agent.heartbeat(heartbeat_of("b", 1), Millis(110));
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn an_incarnation_that_seemed_over_comes_back_by_further_heartbeats() {
+fn a_replaced_incarnation_returns_with_further_heartbeats() {
     let mut agent = ordered();
     agent.heartbeat(heartbeat_of("b", 1), OVERDUE);
     agent.heartbeat(heartbeat_of("b", 2), OVERDUE);
@@ -153,10 +153,10 @@
 fn a_deregistration_is_reported_to_this_and_to_each_later_owner() {
     let mut agent = ordered();
     drain_and_deregister(&mut agent);
-    let leave = AgentMessage::Deregister {
+    let deregister = AgentMessage::Deregister {
         server: ServerId("a".into()),
     };
-    assert_eq!(agent.poll(Millis(101)), std::slice::from_ref(&leave));
+    assert_eq!(agent.poll(Millis(101)), std::slice::from_ref(&deregister));
     agent.deregister(ServerId("a".into()));
     assert!(agent.poll(Millis(111)).is_empty());
     assert_eq!(
@@ -164,7 +164,7 @@
         HeartbeatResponse::default()
     );
     agent.owner_connected(2);
-    assert_eq!(agent.poll(Millis(130)), [leave]);
+    assert_eq!(agent.poll(Millis(130)), [deregister]);
 }
 
 #[test]
@@ -185,7 +185,7 @@
     );
 }
 
-/// A heartbeat of "a" on which task 1 runs.
+/// A heartbeat of server "a" that lists a run of task 1.
 fn heartbeat_with_run(sequence: u64) -> ServerHeartbeat {
     let mut listed = heartbeat_of("a", sequence);
     listed.heartbeat.running = vec![running(1, 1)];
@@ -193,19 +193,19 @@
 }
 
 #[test]
-fn a_server_that_deregisters_without_having_drained_keeps_its_runs_and_gets_no_more() {
+fn a_server_that_deregisters_without_having_drained_keeps_its_runs_and_gets_no_starts() {
     let mut agent = ordered();
     agent.heartbeat(heartbeat_with_run(2), Millis(100));
     agent.poll(Millis(101));
     agent.deregister(ServerId("a".into()));
-    let notified = agent.poll(Millis(111));
+    let messages = agent.poll(Millis(111));
     assert!(
-        notified
+        messages
             .iter()
             .all(|message| !matches!(message, AgentMessage::Deregister { .. })),
-        "it serves on: {notified:?}"
+        "the server still serves: {messages:?}"
     );
-    let report = reported(&notified).expect("the owner is notified at once");
+    let report = reported(&messages).expect("the owner is notified immediately");
     assert!(report.draining);
     assert_eq!(report.running, [running(1, 1)]);
     let second = OwnerMessage {
@@ -213,12 +213,12 @@
         ..message(2, "a", 5)
     };
     assert_eq!(agent.receive_owner_message(CONNECTION, second), Ok(()));
-    let answer = agent.heartbeat(heartbeat_with_run(3), Millis(120));
+    let response = agent.heartbeat(heartbeat_with_run(3), Millis(120));
     assert!(
-        answer.starts.is_empty(),
-        "nothing starts on a server that has deregistered"
+        response.starts.is_empty(),
+        "a start for a server that has deregistered"
     );
-    assert!(answer.lease_ms > 0, "what runs keeps its lease");
+    assert!(response.lease_ms > 0, "running tasks keep their lease");
 }
 
 #[test]
@@ -227,13 +227,13 @@
     agent.deregister(ServerId("a".into()));
     agent.heartbeat(heartbeat_with_run(2), Millis(100));
     agent.poll(Millis(101));
-    // The call is sent again where its answer was lost.
+    // The server repeats the call if the response was lost.
     agent.deregister(ServerId("a".into()));
     let mut ended = heartbeat_of("a", 3);
     ended.heartbeat.finished = vec![finished(1, 1, 1, RunEnd::Done)];
     agent.heartbeat(ended, Millis(120));
-    let notified = agent.poll(Millis(121));
-    let report = reported(&notified).expect("the end is reported");
+    let messages = agent.poll(Millis(121));
+    let report = reported(&messages).expect("the end is reported");
     assert!(report.draining);
     assert_eq!(report.finished, [finished(1, 1, 1, RunEnd::Done)]);
 }
@@ -252,42 +252,42 @@
 }
 
 #[test]
-fn a_late_heartbeat_takes_back_nothing() {
+fn a_late_heartbeat_does_not_revert_newer_state() {
     let mut agent = ordered();
     let mut newest = heartbeat_of("a", 9);
     newest.heartbeat.draining = true;
     newest.heartbeat.finished = vec![finished(1, 1, 1, RunEnd::Done)];
     agent.heartbeat(newest, Millis(100));
     agent.poll(Millis(101));
-    // Sent before the run had ended and the draining began.
+    // The server sent it before the run ended and before it started to drain.
     assert_eq!(
         agent.heartbeat(heartbeat_with_run(8), Millis(110)),
         HeartbeatResponse::default()
     );
     assert!(
         reported(&agent.poll(Millis(111))).is_none(),
-        "a late one is not passed on"
+        "the late heartbeat was forwarded"
     );
-    let answer = agent.heartbeat(heartbeat_of("a", 10), Millis(120));
+    let response = agent.heartbeat(heartbeat_of("a", 10), Millis(120));
     assert!(
-        answer.starts.is_empty(),
-        "it is draining, and the run has ended"
+        response.starts.is_empty(),
+        "a start on a draining server, of a run that has ended"
     );
 }
 
 #[test]
-fn a_restarted_agent_takes_a_deregistration_for_one_of_a_server_that_serves_on() {
+fn a_restarted_agent_assumes_that_a_deregistered_server_still_serves() {
     let mut agent = Agent::new(settings());
     agent.owner_connected(CONNECTION);
     agent.deregister(ServerId("a".into()));
     assert!(
         agent.poll(Millis(6)).is_empty(),
-        "nobody knows that it is over"
+        "the server may still serve"
     );
     agent.heartbeat(heartbeat_with_run(2), Millis(10));
-    let notified = agent.poll(Millis(11));
-    let [AgentMessage::Attach { heartbeat, .. }] = notified.as_slice() else {
-        panic!("an attach: {notified:?}")
+    let messages = agent.poll(Millis(11));
+    let [AgentMessage::Attach { heartbeat, .. }] = messages.as_slice() else {
+        panic!("an attach: {messages:?}")
     };
     assert!(heartbeat.draining);
     assert_eq!(heartbeat.running, [running(1, 1)]);
--- a/crates/worker-agent/tests/model.rs
+++ b/crates/worker-agent/tests/model.rs
@@ -1,14 +1,14 @@
-//! The agent between a modelled server and modelled owners, through crashes, lost and late answers, broken connections,
-//! restarts of the agent and changes of the owner. The model's parts panic where a rule is broken.
+//! Runs the agent between a modelled server and modelled owners with injected faults: crashes, lost and late responses,
+//! broken connections, restarts of the agent and changes of the owner. The model panics when a rule is violated.
 
-#[path = "model/answers.rs"]
-mod answers;
 #[path = "model/owner.rs"]
 mod owner;
 #[path = "model/random.rs"]
 mod random;
 #[path = "model/record.rs"]
 mod record;
+#[path = "model/responses.rs"]
+mod responses;
 #[path = "model/server.rs"]
 mod server;
 #[path = "model/world.rs"]
@@ -18,16 +18,16 @@
 use world::{Counts, World};
 
 quickcheck! {
-    /// No run starts twice or after its end or stop, for another incarnation, under a lower token or beyond its lease; no task
-    /// runs here after the owner may conclude that it does not; and all tasks end once the faults are over.
-    fn every_rule_holds_and_all_tasks_end(seed: u64) -> bool {
+    /// No run starts twice, after its end or stop, for another incarnation, under a lower token or without a lease. No task
+    /// runs on the server after the owner may conclude that it does not. All tasks end after the last fault.
+    fn no_rule_is_violated_and_all_tasks_end(seed: u64) -> bool {
         World::new(seed).play();
         true
     }
 }
 
 #[test]
-fn the_model_plays_every_kind_of_fault() {
+fn the_model_covers_every_kind_of_fault() {
     let mut sum = Counts::default();
     for seed in 0..20 {
         let counts = World::new(seed).play();
@@ -38,37 +38,40 @@
         sum.server.dropped_responses += counts.server.dropped_responses;
         sum.takeovers += counts.takeovers;
         sum.agent_restarts += counts.agent_restarts;
-        sum.deregistered_first += counts.deregistered_first;
+        sum.deregistered_without_draining += counts.deregistered_without_draining;
         sum.never_ran += counts.never_ran;
         sum.expired_leases += counts.expired_leases;
-        sum.refused_messages += counts.refused_messages;
-        sum.waits += counts.waits;
-        sum.waits_for_orders += counts.waits_for_orders;
-        sum.messages_meanwhile += counts.messages_meanwhile;
+        sum.rejected_messages += counts.rejected_messages;
+        sum.delayed_without_orders += counts.delayed_without_orders;
+        sum.delayed_with_orders += counts.delayed_with_orders;
+        sum.delayed_with_messages += counts.delayed_with_messages;
     }
     let counts = [
         ("starts", sum.server.starts),
         ("stops", sum.server.stops),
-        ("lapses at the server", sum.server.expired_leases),
-        ("answers under an old token", sum.server.fenced),
-        ("dropped answers", sum.server.dropped_responses),
-        ("changes of the owner", sum.takeovers),
+        (
+            "leases that expired at the server",
+            sum.server.expired_leases,
+        ),
+        ("responses under an old token", sum.server.fenced),
+        ("dropped responses", sum.server.dropped_responses),
+        ("takeovers by another owner", sum.takeovers),
         ("restarts of the agent", sum.agent_restarts),
         (
             "servers that deregistered without having drained",
-            sum.deregistered_first,
+            sum.deregistered_without_draining,
         ),
-        ("runs shown never to have started", sum.never_ran),
-        ("lapses at the owner", sum.expired_leases),
-        ("refused messages", sum.refused_messages),
-        ("answers that waited in vain", sum.waits),
+        ("runs that are known never to have started", sum.never_ran),
+        ("leases that expired at the owner", sum.expired_leases),
+        ("rejected messages", sum.rejected_messages),
         (
-            "answers that waited until orders came",
-            sum.waits_for_orders,
+            "delayed responses without orders",
+            sum.delayed_without_orders,
         ),
+        ("delayed responses with orders", sum.delayed_with_orders),
         (
-            "messages of the owner while an answer waited",
-            sum.messages_meanwhile,
+            "delayed responses during which a message of the owner arrived",
+            sum.delayed_with_messages,
         ),
     ];
     for (name, count) in counts {
--- a/crates/worker-agent/tests/model/owner.rs
+++ b/crates/worker-agent/tests/model/owner.rs
@@ -1,4 +1,4 @@
-//! An owner that gives random orders, and concludes from the agent's reports what an owner may conclude.
+//! An owner that gives random orders, and concludes from the agent's reports which runs have ended.
 
 use crate::random::Random;
 use crate::record::{Record, TaskState};
@@ -10,12 +10,12 @@
 
 /// The lease that owners grant.
 pub const LEASE_MS: u64 = 2_000;
-/// What an owner adds to a lease before it counts as expired: clocks that run slow, and steps of the model.
+/// An owner adds this to a lease before the lease counts as expired: for slow clocks and the steps of the model.
 const LEASE_SLACK_MS: u64 = LEASE_MS / 40 + 100;
-/// For how long an owner may act after another took over.
+/// How long an owner may act after another owner has taken over.
 pub const AUTHORITY_MS: u64 = 1_000;
 
-/// What the owner knows of the session with the agent.
+/// The owner's state of the session with the agent.
 struct Session {
     connection: u64,
     server: ServerId,
@@ -23,9 +23,9 @@
     reported_at: Millis,
     number: u64,
     assigned: BTreeSet<(TaskId, Attempt)>,
-    /// Stops, and the number of the message that ordered them.
+    /// Stopped runs, with the number of the message that held the stop.
     stops: BTreeMap<(TaskId, Attempt), u64>,
-    owes_message: bool,
+    message_due: bool,
 }
 
 #[derive(Default)]
@@ -38,10 +38,10 @@
     pub token: u64,
     pub counts: OwnerCounts,
     took_over_at: u64,
-    /// When the lease of each incarnation that the owner knows has expired for certain.
-    lease_bounds: BTreeMap<ServerId, u64>,
+    /// When the lease of each known incarnation has certainly expired.
+    lease_expiry_bounds: BTreeMap<ServerId, u64>,
     session: Option<Session>,
-    /// The owner is no longer the newest since this moment.
+    /// When another owner took over.
     pub replaced_at: Option<u64>,
 }
 
@@ -52,7 +52,7 @@
             token,
             counts: OwnerCounts::default(),
             took_over_at: now,
-            lease_bounds: BTreeMap::new(),
+            lease_expiry_bounds: BTreeMap::new(),
             session: None,
             replaced_at: None,
         }
@@ -85,7 +85,7 @@
                     number: 0,
                     assigned: BTreeSet::new(),
                     stops: BTreeMap::new(),
-                    owes_message: true,
+                    message_due: true,
                 });
                 self.record_report(record);
             }
@@ -96,7 +96,7 @@
                     .filter(|session| session.connection == connection);
                 let Some(session) = session else { return };
                 session.reported_at = sent_at;
-                session.owes_message = true;
+                session.message_due = true;
                 if let Some(heartbeat) = heartbeat {
                     assert_eq!(
                         heartbeat.server, session.server,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Acts, and gives a message with its connection if there is one.
+    /// Runs one step. Returns the message to send, if any, with its connection.
     pub fn act(
         &mut self,
         record: &mut Record,
@@ -143,17 +143,17 @@
                 });
             }
         }
-        let wanted = session.owes_message || !assign.is_empty() || !stop.is_empty();
-        if !wanted || (!fault_free && random.once_in(3)) && stop.is_empty() && assign.is_empty() {
+        let send = session.message_due || !assign.is_empty() || !stop.is_empty();
+        if !send || (!fault_free && random.once_in(3)) && stop.is_empty() && assign.is_empty() {
             return None;
         }
-        session.owes_message = false;
+        session.message_due = false;
         session.number += 1;
         for run in &stop {
             session.stops.insert(*run, session.number);
         }
-        // The bound counts from this moment, which is after the report that the lease counts from.
-        let bound = self.lease_bounds.entry(server.clone()).or_insert(0);
+        // The bound counts from now, which is later than the report that the lease counts from.
+        let bound = self.lease_expiry_bounds.entry(server.clone()).or_insert(0);
         *bound = (*bound).max(now + LEASE_MS + LEASE_SLACK_MS);
         let observed = session
             .heartbeat
@@ -179,7 +179,7 @@
         Some((session.connection, message))
     }
 
-    /// Takes the newest heartbeat into the record.
+    /// Writes the ends in the newest heartbeat to the record.
     fn record_report(&mut self, record: &mut Record) {
         let Some(session) = &mut self.session else {
             return;
@@ -194,8 +194,8 @@
             .map(|run| (run.task, run.attempt))
             .collect();
         for (task, attempt) in record.assigned(&session.server) {
-            let notified = session.stops.get(&(task, attempt));
-            let seen = notified.is_some_and(|number| heartbeat.orders_seen >= *number);
+            let stop_number = session.stops.get(&(task, attempt));
+            let seen = stop_number.is_some_and(|number| heartbeat.orders_seen >= *number);
             if seen && !listed.contains(&(task, attempt)) {
                 record.end(self.token, task, attempt, RunEnd::Stopped);
                 self.counts.never_ran += 1;
@@ -205,16 +205,16 @@
 
     /// Ends the runs of incarnations whose lease has expired.
     fn expire_leases(&mut self, record: &mut Record, now: u64) {
-        let unknown_until = self.took_over_at + AUTHORITY_MS + LEASE_MS + LEASE_SLACK_MS;
-        let bounds = self.lease_bounds.clone();
-        let over = |incarnation: &ServerId| {
+        let unknown_leases_expire_at = self.took_over_at + AUTHORITY_MS + LEASE_MS + LEASE_SLACK_MS;
+        let bounds = self.lease_expiry_bounds.clone();
+        let has_expired = |incarnation: &ServerId| {
             now > bounds
                 .get(incarnation)
                 .copied()
                 .unwrap_or(0)
-                .max(unknown_until)
+                .max(unknown_leases_expire_at)
         };
-        let expired = record.assigned_if(over);
+        let expired = record.assigned_if(has_expired);
         let connected = self.session.as_ref().map(|session| session.server.clone());
         for (task, attempt) in expired {
             let incarnation = record.tasks.get(&task).map(|entry| entry.state.clone());
@@ -225,14 +225,18 @@
         }
     }
 
-    fn end_incarnations(&mut self, record: &mut Record, fits: impl Fn(&ServerId) -> bool) {
-        for (task, attempt) in record.assigned_if(&fits) {
+    fn end_incarnations(
+        &mut self,
+        record: &mut Record,
+        matches_incarnation: impl Fn(&ServerId) -> bool,
+    ) {
+        for (task, attempt) in record.assigned_if(&matches_incarnation) {
             record.end(self.token, task, attempt, RunEnd::LeaseExpired);
         }
         if self
             .session
             .as_ref()
-            .is_some_and(|session| fits(&session.server))
+            .is_some_and(|session| matches_incarnation(&session.server))
         {
             self.session = None;
         }
@@ -265,8 +269,8 @@
     }
 }
 
-/// Stops what runs without being assigned, and some of what is assigned. What a draining server never started is taken
-/// back.
+/// Stops runs that are not assigned, and some of those that are. On a draining server it stops every assigned run, which
+/// also covers runs that the server has not started.
 fn choose_stops(
     session: &Session,
     record: &Record,
@@ -275,20 +279,20 @@
     random: &mut Random,
 ) {
     let assigned = record.assigned(&session.server);
-    let notified = |run: &(TaskId, Attempt)| session.stops.contains_key(run);
+    let is_stopped = |run: &(TaskId, Attempt)| session.stops.contains_key(run);
     for run in session
         .heartbeat
         .running
         .iter()
         .map(|run| (run.task, run.attempt))
     {
-        if !assigned.contains(&run) && !notified(&run) {
+        if !assigned.contains(&run) && !is_stopped(&run) {
             stop.push(run);
         }
     }
     for run in assigned {
         let unwanted = (!fault_free && random.once_in(40)) || session.heartbeat.draining;
-        if unwanted && !notified(&run) && session.assigned.contains(&run) {
+        if unwanted && !is_stopped(&run) && session.assigned.contains(&run) {
             stop.push(run);
         }
     }
--- a/crates/worker-agent/tests/model/random.rs
+++ b/crates/worker-agent/tests/model/random.rs
@@ -1,6 +1,6 @@
-//! Seeded randomness.
+//! A seeded random number generator.
 
-/// A small generator (xorshift*), equal for equal seeds.
+/// A small generator (xorshift*) whose sequence depends on the seed alone.
 pub struct Random(u64);
 
 impl Random {
@@ -16,7 +16,7 @@
         (self.0.wrapping_mul(0x2545_f491_4f6c_dd1d) >> 33) % bound
     }
 
-    /// True once in `times`.
+    /// True in one of `times` calls on average.
     pub fn once_in(&mut self, times: u64) -> bool {
         self.below(times) == 0
     }
--- a/crates/worker-agent/tests/model/record.rs
+++ b/crates/worker-agent/tests/model/record.rs
@@ -1,15 +1,15 @@
-//! The replicated record of tasks, reduced to what the agent's safety rests on.
+//! The replicated record of tasks, reduced to the parts that the agent's safety depends on.
 
 use lupinrack_cluster_api::identity::{Attempt, ServerId, TaskId};
 use lupinrack_cluster_api::server::RunEnd;
 use std::collections::BTreeMap;
 
-/// Where a task stands.
+/// The state of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TaskState {
     Waiting,
     Assigned(ServerId),
-    /// It runs on a server other than the modelled one until this moment.
+    /// It runs on a server other than the modelled one until this time.
     Elsewhere(u64),
     Done,
 }
@@ -20,7 +20,7 @@
     pub attempt: Attempt,
 }
 
-/// The record; writes under a lower token than the highest are refused.
+/// The record; it rejects writes under a lower token than the highest.
 pub struct Record {
     pub tasks: BTreeMap<TaskId, TaskEntry>,
     pub token: u64,
@@ -49,7 +49,7 @@
         Some(entry.attempt)
     }
 
-    /// Records an end; whether the token was not refused.
+    /// Records an end. Returns whether the token was accepted.
     pub fn end(&mut self, token: u64, task: TaskId, attempt: Attempt, end: RunEnd) -> bool {
         if token < self.token {
             return false;
@@ -66,14 +66,17 @@
         true
     }
 
-    /// The tasks that are assigned to this incarnation of the server.
+    /// The tasks assigned to this incarnation of the server.
     pub fn assigned(&self, server: &ServerId) -> Vec<(TaskId, Attempt)> {
         self.assigned_if(|incarnation| incarnation == server)
     }
 
-    /// The tasks that are assigned to incarnations for which `fits` is true.
-    pub fn assigned_if(&self, fits: impl Fn(&ServerId) -> bool) -> Vec<(TaskId, Attempt)> {
-        let assigned = |entry: &TaskEntry| matches!(&entry.state, TaskState::Assigned(incarnation) if fits(incarnation));
+    /// The tasks assigned to incarnations for which `matches_incarnation` is true.
+    pub fn assigned_if(
+        &self,
+        matches_incarnation: impl Fn(&ServerId) -> bool,
+    ) -> Vec<(TaskId, Attempt)> {
+        let assigned = |entry: &TaskEntry| matches!(&entry.state, TaskState::Assigned(incarnation) if matches_incarnation(incarnation));
         let tasks = self.tasks.iter().filter(|(_, entry)| assigned(entry));
         tasks.map(|(task, entry)| (*task, entry.attempt)).collect()
     }
--- a/crates/worker-agent/tests/model/server.rs
+++ b/crates/worker-agent/tests/model/server.rs
@@ -1,19 +1,19 @@
-//! A server that follows the protocol and panics on orders that no agent may give.
+//! A server that follows the protocol and panics on orders that violate it.
 
 use crate::random::Random;
 use lupinrack_cluster_api::identity::{Attempt, ServerId, TaskId};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// A server drops an answer that took longer, in milliseconds.
+/// A server drops a response that took longer than this many milliseconds.
 const RESPONSE_TIMEOUT_MS: u64 = 1_000;
 const LEASE_MAX_MS: u64 = 6_000;
 const HEARTBEAT_MS: u64 = 1_500;
-/// The steady clock of a server may run this much slow, in percent.
+/// By how much the monotonic clock of a server may be slow, in percent.
 const CLOCK_SLOW_PERCENT: u64 = 2;
 
-/// One start in so many ends well, so that tasks last through the faults.
-const RUNS_TO_DONE: Attempt = 4;
+/// Only every attempt with a multiple of this number succeeds, so that tasks are still running when faults occur.
+const ATTEMPTS_PER_SUCCESS: Attempt = 4;
 
 struct Run {
     attempt: Attempt,
@@ -25,18 +25,18 @@
     number: u64,
     task: TaskId,
     attempt: Attempt,
-    how: &'static str,
+    outcome: &'static str,
 }
 
 #[derive(Clone, Copy)]
-struct Outstanding {
+struct UnansweredHeartbeat {
     sequence: u64,
     sent_at: u64,
-    /// Whether it said that the server is draining.
+    /// Whether the heartbeat reported that the server is draining.
     draining: bool,
 }
 
-/// What the server has seen, to show that a run of the model was not empty.
+/// Counts the events at the server, to show that a run of the model covers them.
 #[derive(Default)]
 pub struct ServerCounts {
     pub starts: u64,
@@ -49,18 +49,19 @@
 pub struct Server {
     pub id: ServerId,
     pub draining: bool,
-    /// When it ends, if it has deregistered without having drained.
+    /// When the server ends after it has deregistered without having drained.
     pub shuts_down_at: Option<u64>,
     pub counts: ServerCounts,
     token: u64,
     sequence: u64,
     running: BTreeMap<TaskId, Run>,
     finished: Vec<End>,
-    last_number: u64,
-    barred: BTreeMap<TaskId, Attempt>,
-    next_heartbeat: u64,
-    outstanding: Option<Outstanding>,
-    lease_until: u64,
+    last_end_number: u64,
+    /// The highest attempt of each task that has ended or was stopped.
+    closed_attempts: BTreeMap<TaskId, Attempt>,
+    next_heartbeat_at: u64,
+    unanswered: Option<UnansweredHeartbeat>,
+    lease_expires_at: u64,
 }
 
 impl Server {
@@ -74,11 +75,11 @@
             sequence: 0,
             running: BTreeMap::new(),
             finished: Vec::new(),
-            last_number: 0,
-            barred: BTreeMap::new(),
-            next_heartbeat: now,
-            outstanding: None,
-            lease_until: 0,
+            last_end_number: 0,
+            closed_attempts: BTreeMap::new(),
+            next_heartbeat_at: now,
+            unanswered: None,
+            lease_expires_at: 0,
         }
     }
 
@@ -86,22 +87,22 @@
         self.running.contains_key(task)
     }
 
-    /// Lets time pass; a heartbeat's sequence and body, if one is sent.
+    /// Advances to `now`. Returns the sequence number and body of a heartbeat if one is due.
     pub fn tick(&mut self, now: u64) -> Option<(u64, String)> {
         self.end_runs(now);
         if self
-            .outstanding
+            .unanswered
             .is_some_and(|heartbeat| now > heartbeat.sent_at + RESPONSE_TIMEOUT_MS)
         {
-            self.outstanding = None;
+            self.unanswered = None;
             self.counts.dropped_responses += 1;
-            self.next_heartbeat = now;
+            self.next_heartbeat_at = now;
         }
-        if self.outstanding.is_some() || now < self.next_heartbeat {
+        if self.unanswered.is_some() || now < self.next_heartbeat_at {
             return None;
         }
         self.sequence += 1;
-        self.outstanding = Some(Outstanding {
+        self.unanswered = Some(UnansweredHeartbeat {
             sequence: self.sequence,
             sent_at: now,
             draining: self.draining,
@@ -109,9 +110,9 @@
         Some((self.sequence, self.body(now)))
     }
 
-    pub fn answered(&mut self, sequence: u64, body: &str, now: u64, random: &mut Random) {
+    pub fn receive_response(&mut self, sequence: u64, body: &str, now: u64, random: &mut Random) {
         let Some(heartbeat) = self
-            .outstanding
+            .unanswered
             .filter(|heartbeat| heartbeat.sequence == sequence)
         else {
             self.counts.dropped_responses += 1;
@@ -120,31 +121,37 @@
         if now > heartbeat.sent_at + RESPONSE_TIMEOUT_MS {
             return;
         }
-        self.outstanding = None;
-        let answer: Value = serde_json::from_str(body).expect("an answer is JSON");
-        self.next_heartbeat = now + answer["retry-after-ms"].as_u64().unwrap_or(HEARTBEAT_MS);
-        let token = answer["fence-token"].as_u64().unwrap_or(0);
+        self.unanswered = None;
+        let response: Value = serde_json::from_str(body).expect("a response is JSON");
+        self.next_heartbeat_at = now + response["retry-after-ms"].as_u64().unwrap_or(HEARTBEAT_MS);
+        let token = response["fence-token"].as_u64().unwrap_or(0);
         if token < self.token {
             self.counts.fenced += 1;
             return;
         }
         self.token = token;
-        self.apply(&answer, heartbeat, now, random);
+        self.apply(&response, heartbeat, now, random);
     }
 
-    fn apply(&mut self, answer: &Value, heartbeat: Outstanding, now: u64, random: &mut Random) {
-        let lease_ms = answer["hold-ms"].as_u64();
+    fn apply(
+        &mut self,
+        response: &Value,
+        heartbeat: UnansweredHeartbeat,
+        now: u64,
+        random: &mut Random,
+    ) {
+        let lease_ms = response["hold-ms"].as_u64();
         if let Some(lease_ms) = lease_ms {
-            let slow = 100 + random.below(CLOCK_SLOW_PERCENT + 1);
-            let until = heartbeat.sent_at + lease_ms.min(LEASE_MAX_MS) * slow / 100;
-            self.lease_until = self.lease_until.max(until);
+            let clock_percent = 100 + random.below(CLOCK_SLOW_PERCENT + 1);
+            let until = heartbeat.sent_at + lease_ms.min(LEASE_MAX_MS) * clock_percent / 100;
+            self.lease_expires_at = self.lease_expires_at.max(until);
         }
-        let observed = answer["observed"].as_u64().unwrap_or(0);
+        let observed = response["observed"].as_u64().unwrap_or(0);
         self.finished.retain(|end| end.number > observed);
-        for row in rows(&answer["stop"]) {
+        for row in rows(&response["stop"]) {
             self.stop(task_of(row), attempt_of(row), now, random);
         }
-        for row in rows(&answer["start"]) {
+        for row in rows(&response["start"]) {
             assert!(lease_ms.is_some(), "a start without a lease");
             assert!(!heartbeat.draining, "a start for a server that is draining");
             self.start(task_of(row), attempt_of(row), now, random);
@@ -154,19 +161,19 @@
     fn start(&mut self, task: TaskId, attempt: Attempt, now: u64, random: &mut Random) {
         assert!(
             !self.running.contains_key(&task),
-            "{task} started while it runs"
+            "{task} started while it was running"
         );
-        let barred = self.barred.get(&task).copied().unwrap_or(0);
+        let highest_closed = self.closed_attempts.get(&task).copied().unwrap_or(0);
         assert!(
-            attempt > barred,
-            "{task} started as {attempt} after {barred} had ended or was stopped"
+            attempt > highest_closed,
+            "attempt {attempt} of {task} started after attempt {highest_closed} had ended or was stopped"
         );
-        let longest = if attempt % RUNS_TO_DONE == 1 {
+        let max_duration_ms = if attempt % ATTEMPTS_PER_SUCCESS == 1 {
             5_000
         } else {
             1_000
         };
-        let ends_at = now + 20 + random.below(longest);
+        let ends_at = now + 20 + random.below(max_duration_ms);
         self.running.insert(
             task,
             Run {
@@ -189,20 +196,20 @@
                 self.counts.stops += 1;
             }
             Some(_) => {}
-            None => self.bar(task, attempt),
+            None => self.close_attempts_up_to(task, attempt),
         }
     }
 
     fn end_runs(&mut self, now: u64) {
-        let lease_until = self.lease_until;
-        let over = |run: &Run| match run {
-            _ if lease_until <= now => Some("lapsed"),
+        let lease_expires_at = self.lease_expires_at;
+        let outcome_at_now = |run: &Run| match run {
+            _ if lease_expires_at <= now => Some("lapsed"),
             Run {
                 stops_at: Some(at), ..
             } if *at <= now => Some("stopped"),
             Run {
                 ends_at, attempt, ..
-            } if *ends_at <= now => Some(if attempt.is_multiple_of(RUNS_TO_DONE) {
+            } if *ends_at <= now => Some(if attempt.is_multiple_of(ATTEMPTS_PER_SUCCESS) {
                 "done"
             } else {
                 "failed"
@@ -212,31 +219,31 @@
         let ends: Vec<_> = self
             .running
             .iter()
-            .filter_map(|(task, run)| over(run).map(|how| (*task, how)))
+            .filter_map(|(task, run)| outcome_at_now(run).map(|outcome| (*task, outcome)))
             .collect();
-        for (task, how) in ends {
-            self.end(task, how, now);
+        for (task, outcome) in ends {
+            self.end(task, outcome, now);
         }
     }
 
-    fn end(&mut self, task: TaskId, how: &'static str, now: u64) {
+    fn end(&mut self, task: TaskId, outcome: &'static str, now: u64) {
         let Some(run) = self.running.remove(&task) else {
             return;
         };
-        self.counts.expired_leases += u64::from(how == "lapsed");
-        self.last_number += 1;
+        self.counts.expired_leases += u64::from(outcome == "lapsed");
+        self.last_end_number += 1;
         self.finished.push(End {
-            number: self.last_number,
+            number: self.last_end_number,
             task,
             attempt: run.attempt,
-            how,
+            outcome,
         });
-        self.bar(task, run.attempt);
-        self.next_heartbeat = self.next_heartbeat.min(now + 50);
+        self.close_attempts_up_to(task, run.attempt);
+        self.next_heartbeat_at = self.next_heartbeat_at.min(now + 50);
     }
 
-    fn bar(&mut self, task: TaskId, attempt: Attempt) {
-        let watermark = self.barred.entry(task).or_insert(0);
+    fn close_attempts_up_to(&mut self, task: TaskId, attempt: Attempt) {
+        let watermark = self.closed_attempts.entry(task).or_insert(0);
         *watermark = attempt.max(*watermark);
     }
 
@@ -249,7 +256,15 @@
         let finished: Vec<Value> = self
             .finished
             .iter()
-            .map(|end| json!([end.number, end.task.to_string(), end.attempt, end.how, ""]))
+            .map(|end| {
+                json!([
+                    end.number,
+                    end.task.to_string(),
+                    end.attempt,
+                    end.outcome,
+                    ""
+                ])
+            })
             .collect();
         json!({
             "service": "search", "state": if self.draining { "draining" } else { "ready" },
--- a/crates/worker-agent/tests/model/world.rs
+++ b/crates/worker-agent/tests/model/world.rs
@@ -1,9 +1,9 @@
-//! Server, agent, owners and the network between them.
+//! The modelled server, agent and owners, and the network between them.
 
-use crate::answers::{HeartbeatCall, PendingCall};
 use crate::owner::{Owner, LEASE_MS};
 use crate::random::Random;
 use crate::record::{Record, TaskState};
+use crate::responses::{HeartbeatCall, PendingCall};
 use crate::server::{Server, ServerCounts};
 use lupinrack_cluster_api::agent::{AgentMessage, OwnerMessage};
 use lupinrack_cluster_api::identity::{FencingToken, JobId, ServerId, TaskId};
@@ -16,10 +16,10 @@
 pub const FAULTS_MS: u64 = 15_000;
 const FAULT_FREE_MS: u64 = 40_000;
 const TASKS: u32 = 24;
-/// A response waits for less than this, in milliseconds.
-const PENDING_MS: u64 = 400;
+/// The response to a pending heartbeat is delayed by less than this many milliseconds.
+const MAX_RESPONSE_DELAY_MS: u64 = 400;
 
-/// Something on its way.
+/// A message in the network.
 pub enum Packet {
     Heartbeat {
         server: ServerId,
@@ -43,8 +43,8 @@
     },
 }
 
-struct Sent {
-    arrives: u64,
+struct InFlightPacket {
+    arrives_at: u64,
     packet: Packet,
 }
 
@@ -55,23 +55,23 @@
     token: u64,
 }
 
-/// What happened, to show that a run was not empty.
+/// Counts events, to show that a run covers them.
 #[derive(Default)]
 pub struct Counts {
     pub server: ServerCounts,
     pub takeovers: u64,
     pub agent_restarts: u64,
-    /// Servers that deregistered without having drained, and served on.
-    pub deregistered_first: u64,
+    /// Servers that deregistered without having drained, and continued to serve.
+    pub deregistered_without_draining: u64,
     pub never_ran: u64,
     pub expired_leases: u64,
-    pub refused_messages: u64,
-    /// Answers that waited in vain.
-    pub waits: u64,
-    /// Answers that waited until orders came.
-    pub waits_for_orders: u64,
-    /// Answers during whose waiting the owner said something.
-    pub messages_meanwhile: u64,
+    pub rejected_messages: u64,
+    /// Delayed responses that hold no orders.
+    pub delayed_without_orders: u64,
+    /// Delayed responses that hold orders.
+    pub delayed_with_orders: u64,
+    /// Delayed responses during whose delay a message of the owner was accepted.
+    pub delayed_with_messages: u64,
 }
 
 pub struct World {
@@ -79,25 +79,25 @@
     pub random: Random,
     record: Record,
     server: Option<Server>,
-    server_back: u64,
+    server_restarts_at: u64,
     incarnations: u64,
     pub agent: Agent,
-    agent_born: u64,
-    pub open: Option<PendingCall>,
-    /// The highest token in an answer of this agent.
+    agent_started_at: u64,
+    pub pending: Option<PendingCall>,
+    /// The highest token in a response of this agent.
     pub response_token: FencingToken,
-    /// The end of what was granted to each incarnation in messages that this agent accepted, by the model's clock.
+    /// When the lease granted to each incarnation expires, on the model's clock. Only messages that this agent accepted count.
     pub granted_until: BTreeMap<ServerId, u64>,
     /// Incarnations whose deregistration this agent received.
     pub deregistered: BTreeSet<ServerId>,
     owners: Vec<Owner>,
     link: Option<Link>,
-    /// Until this moment the agent reaches no owner.
-    cut_until: u64,
+    /// The agent cannot reach any owner until this time.
+    unreachable_until: u64,
     connections: u64,
-    packets: Vec<Sent>,
-    to_owner_free: u64,
-    to_agent_free: u64,
+    in_flight_packets: Vec<InFlightPacket>,
+    next_arrival_at_owner: u64,
+    next_arrival_at_agent: u64,
     pub counts: Counts,
 }
 
@@ -116,26 +116,26 @@
             random: Random::new(seed),
             record,
             server: None,
-            server_back: 0,
+            server_restarts_at: 0,
             incarnations: 0,
             agent: new_agent(),
-            agent_born: 0,
-            open: None,
+            agent_started_at: 0,
+            pending: None,
             response_token: FencingToken::default(),
             granted_until: BTreeMap::new(),
             deregistered: BTreeSet::new(),
             owners: vec![owner],
             link: None,
-            cut_until: 0,
+            unreachable_until: 0,
             connections: 0,
-            packets: Vec::new(),
-            to_owner_free: 0,
-            to_agent_free: 0,
+            in_flight_packets: Vec::new(),
+            next_arrival_at_owner: 0,
+            next_arrival_at_agent: 0,
             counts: Counts::default(),
         }
     }
 
-    /// Plays faults, then a time without them in which all tasks have to end; returns what happened.
+    /// Runs the model with faults, then without faults until all tasks have ended. Returns the counts of events.
     pub fn play(mut self) -> Counts {
         while self.now < FAULTS_MS || !self.record.all_done() {
             assert!(
@@ -173,12 +173,12 @@
         {
             self.poll_agent();
         }
-        self.act_owners(fault_free);
+        self.step_owners(fault_free);
         self.check_no_second_run();
     }
 
     pub fn agent_now(&self) -> Millis {
-        Millis(self.now - self.agent_born)
+        Millis(self.now - self.agent_started_at)
     }
 
     fn inject_faults(&mut self) {
@@ -199,7 +199,7 @@
             self.end_server(true);
         }
         if self.random.once_in(500) {
-            self.deregister_first();
+            self.deregister_without_draining();
         }
         if self.random.once_in(300) {
             self.restart_agent();
@@ -209,32 +209,32 @@
         }
         if self.random.once_in(500) {
             self.disconnect();
-            self.cut_until = self.now + self.random.below(5_000);
+            self.unreachable_until = self.now + self.random.below(5_000);
         }
         if self.random.once_in(300) {
             self.take_over();
         }
     }
 
-    fn end_server(&mut self, in_order: bool) {
+    fn end_server(&mut self, graceful: bool) {
         let Some(server) = self.server.take() else {
             return;
         };
-        if in_order {
+        if graceful {
             self.send(Packet::Deregister(server.id), 0);
         }
         self.counts.server = server.counts;
-        self.server_back = self.now + self.random.below(1_500);
+        self.server_restarts_at = self.now + self.random.below(1_500);
     }
 
-    /// The server deregisters, at times twice, and serves on for a while.
-    fn deregister_first(&mut self) {
-        let serves_ms = self.random.below(4_000);
-        let staying = |server: &&mut Server| !server.draining && server.shuts_down_at.is_none();
-        let Some(server) = self.server.as_mut().filter(staying) else {
+    /// The server deregisters, sometimes twice, and continues to serve for a while.
+    fn deregister_without_draining(&mut self) {
+        let remaining_ms = self.random.below(4_000);
+        let is_serving = |server: &&mut Server| !server.draining && server.shuts_down_at.is_none();
+        let Some(server) = self.server.as_mut().filter(is_serving) else {
             return;
         };
-        server.shuts_down_at = Some(self.now + serves_ms);
+        server.shuts_down_at = Some(self.now + remaining_ms);
         let id = server.id.clone();
         if self.random.once_in(2) {
             let delay = self.delay(false);
@@ -242,22 +242,23 @@
         }
         let delay = self.delay(false);
         self.send(Packet::Deregister(id), delay);
-        self.counts.deregistered_first += 1;
+        self.counts.deregistered_without_draining += 1;
     }
 
-    /// The agent's process ends, with all connections, and another begins.
+    /// The agent's process ends with all its connections, and a new one starts.
     fn restart_agent(&mut self) {
         self.disconnect();
-        let to_agent = |sent: &Sent| {
+        let to_agent = |in_flight: &InFlightPacket| {
             matches!(
-                sent.packet,
+                in_flight.packet,
                 Packet::Heartbeat { .. } | Packet::Response { .. } | Packet::Deregister(_)
             )
         };
-        self.packets.retain(|sent| !to_agent(sent));
+        self.in_flight_packets
+            .retain(|in_flight| !to_agent(in_flight));
         self.agent = new_agent();
-        self.agent_born = self.now;
-        self.open = None;
+        self.agent_started_at = self.now;
+        self.pending = None;
         self.response_token = FencingToken::default();
         self.granted_until.clear();
         self.deregistered.clear();
@@ -266,8 +267,12 @@
 
     fn disconnect(&mut self) {
         let Some(link) = self.link.take() else { return };
-        self.packets
-            .retain(|sent| !matches!(sent.packet, Packet::ToOwner { .. } | Packet::ToAgent { .. }));
+        self.in_flight_packets.retain(|in_flight| {
+            !matches!(
+                in_flight.packet,
+                Packet::ToOwner { .. } | Packet::ToAgent { .. }
+            )
+        });
         self.agent.owner_disconnected(link.connection);
         if let Some(owner) = self
             .owners
@@ -288,7 +293,7 @@
         self.counts.takeovers += 1;
     }
 
-    /// The agent's driver finds an owner, while faults are injected at times an old one.
+    /// The agent's driver connects to an owner; while faults are injected, sometimes to a replaced one.
     fn connect(&mut self, fault_free: bool) {
         let newest = self.record.token;
         if self.link.is_some_and(|link| link.token != newest)
@@ -296,11 +301,11 @@
         {
             self.disconnect();
         }
-        if self.link.is_some() || self.now < self.cut_until || !self.random.once_in(10) {
+        if self.link.is_some() || self.now < self.unreachable_until || !self.random.once_in(10) {
             return;
         }
-        let old = !fault_free && self.random.once_in(4);
-        let token = if old {
+        let to_replaced_owner = !fault_free && self.random.once_in(4);
+        let token = if to_replaced_owner {
             newest.saturating_sub(1).max(1)
         } else {
             newest
@@ -310,13 +315,13 @@
             connection: self.connections,
             token,
         });
-        (self.to_owner_free, self.to_agent_free) = (0, 0);
+        (self.next_arrival_at_owner, self.next_arrival_at_agent) = (0, 0);
         self.agent.owner_connected(self.connections);
         self.poll_agent();
     }
 
     fn tick_server(&mut self, fault_free: bool) {
-        if self.server.is_none() && self.now >= self.server_back {
+        if self.server.is_none() && self.now >= self.server_restarts_at {
             self.incarnations += 1;
             let counts = std::mem::take(&mut self.counts.server);
             self.server = Some(Server::new(
@@ -360,20 +365,20 @@
     }
 
     pub fn send(&mut self, packet: Packet, delay: u64) {
-        self.packets.push(Sent {
-            arrives: self.now + delay,
+        self.in_flight_packets.push(InFlightPacket {
+            arrives_at: self.now + delay,
             packet,
         });
     }
 
     fn deliver(&mut self) {
-        while let Some(state) = self
-            .packets
+        while let Some(index) = self
+            .in_flight_packets
             .iter()
-            .position(|sent| sent.arrives <= self.now)
+            .position(|in_flight| in_flight.arrives_at <= self.now)
         {
-            let sent = self.packets.remove(state);
-            self.arrive(sent.packet);
+            let in_flight = self.in_flight_packets.remove(index);
+            self.arrive(in_flight.packet);
         }
     }
 
@@ -390,7 +395,7 @@
                 body,
             } => {
                 if let Some(server) = self.server.as_mut().filter(|living| living.id == server) {
-                    server.answered(sequence, &body, self.now, &mut self.random);
+                    server.receive_response(sequence, &body, self.now, &mut self.random);
                 }
             }
             Packet::Deregister(server) => {
@@ -424,15 +429,15 @@
             arrived_at: self.now,
         };
         match self.agent.receive_heartbeat(heartbeat, now) {
-            HeartbeatOutcome::Answered(answer) => self.send_response(call, &answer),
-            HeartbeatOutcome::Pending(open) => {
+            HeartbeatOutcome::Answered(response) => self.send_response(call, &response),
+            HeartbeatOutcome::Pending(pending) => {
                 let wait_ms = if self.random.once_in(3) {
                     0
                 } else {
-                    self.random.below(PENDING_MS)
+                    self.random.below(MAX_RESPONSE_DELAY_MS)
                 };
-                self.open = Some(PendingCall {
-                    open,
+                self.pending = Some(PendingCall {
+                    pending,
                     call,
                     until: self.now + wait_ms,
                     messages: 0,
@@ -444,24 +449,24 @@
     }
 
     fn deliver_to_agent(&mut self, connection: u64, message: OwnerMessage) {
-        let until = self.agent_born + message.lease_from.0 + message.lease_ms;
+        let until = self.agent_started_at + message.lease_from.0 + message.lease_ms;
         let server = message.server.clone();
-        let lower = message.token < self.agent.token();
-        let taken = self.agent.receive_owner_message(connection, message);
+        let lower_token = message.token < self.agent.token();
+        let result = self.agent.receive_owner_message(connection, message);
         assert!(
-            !(lower && taken.is_ok()),
+            !(lower_token && result.is_ok()),
             "an order under a lower token was accepted"
         );
-        match taken {
+        match result {
             Ok(()) => {
                 let granted = self.granted_until.entry(server).or_insert(0);
                 *granted = until.max(*granted);
-                if let Some(open) = &mut self.open {
-                    open.messages += 1;
+                if let Some(pending) = &mut self.pending {
+                    pending.messages += 1;
                 }
                 self.respond_if_due();
             }
-            Err(_) => self.counts.refused_messages += 1,
+            Err(_) => self.counts.rejected_messages += 1,
         }
         self.poll_agent();
     }
@@ -473,8 +478,10 @@
             return;
         };
         for message in messages {
-            self.to_owner_free = self.to_owner_free.max(self.now + self.random.below(30));
-            let delay = self.to_owner_free - self.now;
+            self.next_arrival_at_owner = self
+                .next_arrival_at_owner
+                .max(self.now + self.random.below(30));
+            let delay = self.next_arrival_at_owner - self.now;
             self.send(
                 Packet::ToOwner {
                     token,
@@ -486,9 +493,9 @@
         }
     }
 
-    fn act_owners(&mut self, fault_free: bool) {
-        for state in 0..self.owners.len() {
-            let owner = &mut self.owners[state];
+    fn step_owners(&mut self, fault_free: bool) {
+        for index in 0..self.owners.len() {
+            let owner = &mut self.owners[index];
             let Some((connection, message)) =
                 owner.act(&mut self.record, fault_free, self.now, &mut self.random)
             else {
@@ -496,8 +503,10 @@
             };
             assert_eq!(message.lease_ms, LEASE_MS);
             if self.link.is_some_and(|link| link.connection == connection) {
-                self.to_agent_free = self.to_agent_free.max(self.now + self.random.below(60));
-                let delay = self.to_agent_free - self.now;
+                self.next_arrival_at_agent = self
+                    .next_arrival_at_agent
+                    .max(self.now + self.random.below(60));
+                let delay = self.next_arrival_at_agent - self.now;
                 self.send(
                     Packet::ToAgent {
                         connection,
@@ -509,14 +518,14 @@
         }
     }
 
-    /// What has ended according to the record, or runs elsewhere, must not run here.
+    /// A task that has ended according to the record, or runs on another server, must not run on this server.
     fn check_no_second_run(&self) {
         let Some(server) = &self.server else { return };
         for (task, entry) in &self.record.tasks {
-            let here = matches!(&entry.state, TaskState::Assigned(incarnation) if *incarnation == server.id);
+            let assigned_here = matches!(&entry.state, TaskState::Assigned(incarnation) if *incarnation == server.id);
             assert!(
-                here || !server.runs(task),
-                "{task} runs here, but is recorded as {:?}",
+                assigned_here || !server.runs(task),
+                "{task} runs on the server, but is recorded as {:?}",
                 entry.state
             );
         }
--- a/crates/worker-agent/tests/reports.rs
+++ b/crates/worker-agent/tests/reports.rs
@@ -1,4 +1,4 @@
-//! What the agent reports to the owner, and when.
+//! The agent's reports to the owner: their content, and when they are sent.
 
 mod support;
 
@@ -10,15 +10,15 @@
 use support::{finished, heartbeat_of, ordered, reported, running, started, AnswerAtOnce, OVERDUE};
 
 #[test]
-fn a_list_of_ends_that_may_be_cut_allows_no_start() {
+fn no_run_starts_while_the_list_of_ends_may_be_cut_off() {
     let mut agent = ordered();
     agent.heartbeat(heartbeat_of("a", 2), Millis(30));
-    let mut cut = heartbeat_of("a", 3);
-    cut.heartbeat.finished = (0..MAX_LISTED_ENDS as u32)
+    let mut cut_off = heartbeat_of("a", 3);
+    cut_off.heartbeat.finished = (0..MAX_LISTED_ENDS as u32)
         .map(|n| finished(u64::from(n) + 1, 100 + n, 1, RunEnd::Done))
         .collect();
-    cut.ends_listed = MAX_LISTED_ENDS;
-    assert!(agent.heartbeat(cut, Millis(40)).starts.is_empty());
+    cut_off.ends_listed = MAX_LISTED_ENDS;
+    assert!(agent.heartbeat(cut_off, Millis(40)).starts.is_empty());
     assert_eq!(
         reported(&agent.poll(Millis(41))).map(|heartbeat| heartbeat.orders_seen),
         Some(0)
@@ -60,7 +60,7 @@
     agent.heartbeat(listed.clone(), Millis(200));
     assert!(
         reported(&agent.poll(Millis(200))).is_some(),
-        "the start was answered"
+        "a response with the start was sent since"
     );
     listed.heartbeat.sequence = 4;
     agent.heartbeat(listed, Millis(300));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn progress_is_passed_on_seldom_and_checkpoints_at_once() {
+fn progress_is_forwarded_at_intervals_and_checkpoints_at_once() {
     let mut agent = ordered();
     let mut listed = heartbeat_of("a", 2);
     listed.heartbeat.running = vec![running(1, 1)];
@@ -100,8 +100,8 @@
 #[test]
 fn an_overdue_server_is_not_reported() {
     let mut agent = ordered();
-    let answer = agent.heartbeat(heartbeat_of("a", 2), Millis(100));
-    let overdue_at = 100 + answer.heartbeat_after_ms + HEARTBEAT_GRACE_MS;
+    let response = agent.heartbeat(heartbeat_of("a", 2), Millis(100));
+    let overdue_at = 100 + response.heartbeat_after_ms + HEARTBEAT_GRACE_MS;
     assert!(!agent.poll(Millis(overdue_at)).is_empty());
     assert!(agent
         .poll(Millis(overdue_at + REPORT_INTERVAL_MS))
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn numbers_of_one_session_do_not_reach_the_next() {
+fn message_numbers_of_one_session_are_not_reported_in_the_next() {
     let mut agent = ordered();
     agent.heartbeat(heartbeat_of("a", 2), Millis(100));
     agent.heartbeat(heartbeat_of("a", 3), Millis(200));
--- a/crates/worker-agent/tests/session_model.rs
+++ b/crates/worker-agent/tests/session_model.rs
@@ -1,5 +1,5 @@
-//! An agent's sessions with the owner of its shard in a model checker: connections that are reset while messages are on
-//! their way, sessions that begin anew, messages that come late. Every order of a bounded number of steps is played.
+//! Model checking of an agent's sessions with the owner of its shard: connections are reset while messages are in flight,
+//! sessions restart, and messages arrive late. The checker explores every order of a bounded number of steps.
 
 #[path = "support/answer_at_once.rs"]
 mod answer_at_once;
@@ -15,29 +15,29 @@
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
 
-/// Messages that the owner sends.
-const ORDERS: u32 = 4;
-const RESETS: u8 = 1;
-/// How often the agent begins a session anew although no connection has ended.
-const OWNER_TIMEOUTS: u8 = 1;
-const RENEWALS: u8 = 1;
-/// Steps of the longest orders that are played.
-const DEPTH: usize = 14;
+/// The largest number of messages with an order.
+const MAX_ORDERS: u32 = 4;
+const MAX_RESETS: u8 = 1;
+/// How often the agent restarts a session although no connection has ended.
+const MAX_OWNER_TIMEOUTS: u8 = 1;
+const MAX_RENEWALS: u8 = 1;
+/// The largest number of steps in a path.
+const MAX_DEPTH: usize = 14;
 
-/// What may be wrong, to see that the checker finds it.
+/// A bug that is injected to show that the checker finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum InjectedBug {
     None,
-    /// A message is matched by its number alone, whatever attach it answers.
+    /// The agent matches a message by its number alone, whichever attach the message answers.
     MatchesByNumber,
 }
 
 /// A connection from the agent to the owner.
 #[derive(Clone, Debug, Default)]
 struct Link {
-    /// Nothing new goes on it any more; what is on its way to the agent still arrives until the agent sees its end.
+    /// No new messages are sent on it; messages in flight to the agent still arrive until the agent sees the reset.
     reset: bool,
-    over: bool,
+    reset_seen: bool,
     to_owner: VecDeque<AgentMessage>,
     to_agent: VecDeque<(u32, OwnerMessage)>,
 }
@@ -64,11 +64,11 @@
     resets: u8,
     owner_timeouts: u8,
     renewals: u8,
-    /// The sessions of the messages that the agent took, in order.
-    taken: Vec<u32>,
+    /// The sessions of the messages that the agent accepted, in order.
+    accepted_sessions: Vec<u32>,
 }
 
-/// Two states are the same if their debug texts are.
+/// Two states are equal if their debug texts are equal.
 impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
         format!("{self:?}") == format!("{other:?}")
@@ -88,16 +88,16 @@
     PassToOwner(usize),
     PassToAgent(usize),
     Order,
-    /// The owner's next message is complete.
+    /// The owner makes its next message complete.
     Renew,
     Reset(usize),
     SeeReset(usize),
-    /// The owner sent nothing for too long.
+    /// The agent restarts its session because the owner sent nothing for too long.
     OwnerTimeout,
 }
 
 struct System {
-    fault: InjectedBug,
+    bug: InjectedBug,
 }
 
 fn server() -> ServerId {
@@ -139,7 +139,7 @@
 }
 
 impl State {
-    /// A server that has sent one heartbeat, beside an agent that is about to attach.
+    /// A server that has sent one heartbeat, and an agent that is about to attach.
     fn new() -> State {
         let settings = AgentSettings {
             lease_max_ms: 6_000,
@@ -160,18 +160,18 @@
             resets: 0,
             owner_timeouts: 0,
             renewals: 0,
-            taken: Vec::new(),
+            accepted_sessions: Vec::new(),
         };
-        state.begin_session();
+        state.start_session();
         state
     }
 
-    fn begin_session(&mut self) {
+    fn start_session(&mut self) {
         self.agent_session += 1;
         self.agent.owner_connected(self.agent_session);
     }
 
-    /// Sends what the agent has to say on its newest connection, or a new one.
+    /// Sends the agent's messages on its newest connection, or on a new one.
     fn poll_agent(&mut self) {
         let messages = self.agent.poll(Millis(self.now));
         if messages.is_empty() {
@@ -188,7 +188,7 @@
         self.links[newest].to_owner.extend(messages);
     }
 
-    fn owner_takes(&mut self, link: usize, message: &AgentMessage) {
+    fn deliver_to_owner(&mut self, link: usize, message: &AgentMessage) {
         match message {
             AgentMessage::Attach { sent_at, .. } => {
                 self.sessions += 1;
@@ -244,9 +244,9 @@
         Some(())
     }
 
-    fn agent_takes(&mut self, link: usize, fault: InjectedBug) -> Option<()> {
+    fn deliver_to_agent(&mut self, link: usize, bug: InjectedBug) -> Option<()> {
         let (session, mut message) = self.links[link].to_agent.pop_front()?;
-        if fault == InjectedBug::MatchesByNumber {
+        if bug == InjectedBug::MatchesByNumber {
             message.lease_from = Millis(u64::MAX);
         }
         if self
@@ -254,7 +254,7 @@
             .receive_owner_message(self.agent_session, message)
             .is_ok()
         {
-            self.taken.push(session);
+            self.accepted_sessions.push(session);
         }
         Some(())
     }
@@ -275,23 +275,23 @@
             if !link.to_owner.is_empty() {
                 actions.push(Action::PassToOwner(number));
             }
-            if !link.to_agent.is_empty() && !link.over {
+            if !link.to_agent.is_empty() && !link.reset_seen {
                 actions.push(Action::PassToAgent(number));
             }
-            if !link.reset && state.resets < RESETS {
+            if !link.reset && state.resets < MAX_RESETS {
                 actions.push(Action::Reset(number));
             }
-            if link.reset && !link.over {
+            if link.reset && !link.reset_seen {
                 actions.push(Action::SeeReset(number));
             }
         }
-        if state.owner.is_some() && state.orders < ORDERS {
+        if state.owner.is_some() && state.orders < MAX_ORDERS {
             actions.push(Action::Order);
         }
-        if state.orders > 0 && state.renewals < RENEWALS {
+        if state.orders > 0 && state.renewals < MAX_RENEWALS {
             actions.push(Action::Renew);
         }
-        if state.owner_timeouts < OWNER_TIMEOUTS {
+        if state.owner_timeouts < MAX_OWNER_TIMEOUTS {
             actions.push(Action::OwnerTimeout);
         }
     }
@@ -302,9 +302,9 @@
         match action {
             Action::PassToOwner(link) => {
                 let message = state.links[link].to_owner.pop_front()?;
-                state.owner_takes(link, &message);
+                state.deliver_to_owner(link, &message);
             }
-            Action::PassToAgent(link) => state.agent_takes(link, self.fault)?,
+            Action::PassToAgent(link) => state.deliver_to_agent(link, self.bug)?,
             Action::Order => state.order()?,
             Action::Renew => {
                 state.renewals += 1;
@@ -316,13 +316,13 @@
                 state.links[link].to_owner.clear();
             }
             Action::SeeReset(link) => {
-                state.links[link].over = true;
+                state.links[link].reset_seen = true;
                 state.links[link].to_agent.clear();
-                state.begin_session();
+                state.start_session();
             }
             Action::OwnerTimeout => {
                 state.owner_timeouts += 1;
-                state.begin_session();
+                state.start_session();
             }
         }
         state.poll_agent();
@@ -333,42 +333,49 @@
         vec![
             Property::always(
                 "no message of an earlier session is accepted after a later one",
-                |_, state: &State| state.taken.is_sorted(),
+                |_, state: &State| state.accepted_sessions.is_sorted(),
             ),
             Property::sometimes(
                 "two messages of the second session are accepted",
-                |_, state: &State| state.taken.iter().filter(|session| **session == 2).count() == 2,
+                |_, state: &State| {
+                    state
+                        .accepted_sessions
+                        .iter()
+                        .filter(|session| **session == 2)
+                        .count()
+                        == 2
+                },
             ),
             Property::sometimes(
                 "a complete message within a session is accepted",
                 |_, state: &State| {
                     state.renewals > 0
-                        && state.taken.len() == 3
-                        && state.taken.iter().all(|session| *session == 1)
+                        && state.accepted_sessions.len() == 3
+                        && state.accepted_sessions.iter().all(|session| *session == 1)
                 },
             ),
         ]
     }
 }
 
-fn check(fault: InjectedBug) -> impl Checker<System> {
-    System { fault }
+fn check(bug: InjectedBug) -> impl Checker<System> {
+    System { bug }
         .checker()
         .threads(2)
-        .target_max_depth(DEPTH)
+        .target_max_depth(MAX_DEPTH)
         .spawn_bfs()
         .join()
 }
 
 #[test]
-fn messages_of_an_earlier_session_are_never_taken_in_a_later_one() {
+fn messages_of_an_earlier_session_are_never_accepted_in_a_later_one() {
     let checked = check(InjectedBug::None);
     checked.assert_properties();
     println!("{} states", checked.unique_state_count());
 }
 
 #[test]
-fn a_message_that_is_matched_by_number_alone_is_taken_in_another_session() {
+fn a_message_that_is_matched_by_number_alone_is_accepted_in_another_session() {
     let checked = check(InjectedBug::MatchesByNumber);
     let path = checked
         .assert_any_discovery("no message of an earlier session is accepted after a later one");
--- a/crates/worker-agent/tests/support/answer_at_once.rs
+++ b/crates/worker-agent/tests/support/answer_at_once.rs
@@ -1,10 +1,10 @@
-//! Heartbeats whose answers do not wait for orders.
+//! Heartbeats whose responses are not delayed.
 
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_worker_agent::{Agent, HeartbeatOutcome, HeartbeatResponse, ServerHeartbeat};
 
 pub trait AnswerAtOnce {
-    /// Receives a heartbeat at `now` and answers it at the same moment.
+    /// Receives a heartbeat at `now` and responds to it at the same time.
     fn heartbeat(&mut self, heartbeat: ServerHeartbeat, now: Millis) -> HeartbeatResponse;
 }
 
--- a/crates/worker-agent/tests/support/mod.rs
+++ b/crates/worker-agent/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Small makers of what the tests hand to an agent.
+//! Builders for the heartbeats, messages and agents of the tests.
 
-// Each test file uses some of them.
+// Each test file uses some of the builders.
 #![allow(dead_code)]
 
 pub mod answer_at_once;
@@ -65,7 +65,7 @@
     }
 }
 
-/// A message that changes nothing and grants a lease from 11 to 3011.
+/// A message without orders that grants a lease from 11 ms to 3011 ms.
 pub fn message(number: u64, server: &str, token: u64) -> OwnerMessage {
     OwnerMessage {
         token: FencingToken(token),
@@ -117,7 +117,7 @@
     }
 }
 
-/// An agent whose server "a" has beaten once at 10 and whose session is attached since 11.
+/// An agent whose server "a" sent one heartbeat at 10 ms, and whose session is attached since 11 ms.
 pub fn attached() -> Agent {
     let mut agent = Agent::new(settings());
     agent.owner_connected(CONNECTION);
@@ -127,10 +127,10 @@
     agent
 }
 
-/// A moment at which an agent that `ordered` gives, or that received a heartbeat at 100, takes that server for overdue.
+/// A time at which the server is overdue for an agent from `ordered`, or for one that received its last heartbeat at 100 ms.
 pub const OVERDUE: Millis = Millis(100 + 400 + HEARTBEAT_GRACE_MS + 1);
 
-/// A first message that assigns task 1 and grants a lease from 11 to 3011.
+/// The first message of a session: it assigns task 1 and grants a lease from 11 ms to 3011 ms.
 pub fn first_message() -> OwnerMessage {
     OwnerMessage {
         complete: true,
@@ -139,7 +139,7 @@
     }
 }
 
-/// An agent that was ordered to run task 1.
+/// An agent whose owner has ordered a run of task 1.
 pub fn ordered() -> Agent {
     let mut agent = attached();
     assert_eq!(
@@ -149,8 +149,8 @@
     agent
 }
 
-pub fn started(answer: &HeartbeatResponse) -> Vec<(u32, u32)> {
-    answer
+pub fn started(response: &HeartbeatResponse) -> Vec<(u32, u32)> {
+    response
         .starts
         .iter()
         .map(|start| (start.task.index, start.attempt))
