--- a/crates/cluster-membership/src/datagram.rs
+++ b/crates/cluster-membership/src/datagram.rs
@@ -1,16 +1,16 @@
-//! Datagrams of the protocol and their form on the wire.
+//! Datagrams of the protocol and their encoding.
 //!
-//! A datagram is one byte with the number of the format, then the [`Datagram`] in `borsh`.
+//! A datagram is one byte with the format number, followed by the [`Datagram`] in `borsh`.
 
 use crate::member_update::{MemberUpdate, MAX_ZONE_BYTES};
 use crate::message::Message;
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// The largest datagram, in bytes: it fits into one Ethernet frame with its headers.
+/// The largest datagram, in bytes: with its headers it fits into one Ethernet frame.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// The first byte of a datagram; another format takes another number.
+/// The format number, which is the first byte of a datagram. Each new format needs another number.
 const FORMAT: u8 = 1;
-/// Bytes of the number of updates.
+/// The encoded size of the number of updates, in bytes.
 const COUNT_BYTES: usize = 4;
 
 /// A datagram.
@@ -18,15 +18,15 @@
 pub struct Datagram {
     /// The sender's update about itself.
     pub sender: MemberUpdate,
-    /// A digest of the members that the sender considers present, to detect that membership lists differ.
+    /// A digest of the members that the sender considers present, to detect differing membership lists.
     pub list_digest: u64,
-    /// What it is sent for.
+    /// The message that it carries.
     pub message: Message,
     /// Updates about members, piggybacked on the message.
     pub updates: Vec<MemberUpdate>,
 }
 
-/// Why bytes are no datagram.
+/// An error of decoding a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum DatagramError {
     /// the datagram is larger than allowed
@@ -40,7 +40,7 @@
 impl std::error::Error for DatagramError {}
 
 impl Datagram {
-    /// Encodes the datagram. Updates at the end that would make it larger than [`MAX_DATAGRAM_BYTES`] are left out.
+    /// Encodes the datagram. Trailing updates that would make it larger than [`MAX_DATAGRAM_BYTES`] are omitted.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![FORMAT];
         append(&mut bytes, &self.sender);
@@ -53,13 +53,13 @@
         bytes
     }
 
-    /// Decodes bytes that any sender may have made.
+    /// Decodes a datagram from an untrusted sender.
     ///
     /// # Errors
     ///
-    /// [`DatagramError::TooLarge`] above [`MAX_DATAGRAM_BYTES`], [`DatagramError::UnknownFormat`] where the first byte is
-    /// that of another format, and [`DatagramError::Malformed`] where the rest is not exactly one datagram or the name
-    /// of a zone is longer than [`MAX_ZONE_BYTES`].
+    /// [`DatagramError::TooLarge`] above [`MAX_DATAGRAM_BYTES`], [`DatagramError::UnknownFormat`] if the first byte is
+    /// another format number, and [`DatagramError::Malformed`] if the rest is not exactly one datagram or a zone name is
+    /// longer than [`MAX_ZONE_BYTES`].
     pub fn decode(bytes: &[u8]) -> Result<Datagram, DatagramError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DatagramError::TooLarge);
@@ -78,21 +78,21 @@
     }
 }
 
-/// How many bytes of updates fit into any datagram of this sender.
+/// The space for updates in any datagram of this sender, in bytes.
 pub(crate) fn capacity_for_updates(sender: &MemberUpdate) -> usize {
-    /// Bounds the format, the digest, the message and the number of updates.
+    /// An upper bound for the format, the digest, the message and the number of updates.
     const MAX_OTHER_BYTES: usize = 32;
     MAX_DATAGRAM_BYTES.saturating_sub(max_encoded_len(sender) + MAX_OTHER_BYTES)
 }
 
-/// Bounds the bytes that an update takes.
+/// An upper bound of the encoded size of an update, in bytes.
 pub(crate) fn max_encoded_len(update: &MemberUpdate) -> usize {
-    /// Address, role, length of the zone, both incarnations, and the largest state.
+    /// Address, role, length of the zone name, both incarnations, and the largest state.
     const MAX_FIXED_BYTES: usize = 6 + 1 + 4 + 8 + 4 + 7;
     MAX_FIXED_BYTES + update.zone.len()
 }
 
-/// Appends as many updates as fit; their number.
+/// Appends as many updates as fit, and returns their number.
 fn append_updates(bytes: &mut Vec<u8>, updates: &[MemberUpdate]) -> u32 {
     let mut count = 0;
     for update in updates {
--- a/crates/cluster-membership/src/dissemination.rs
+++ b/crates/cluster-membership/src/dissemination.rs
@@ -1,7 +1,7 @@
-//! The dissemination of updates: each rides on a bounded number of datagrams, the least often sent first.
+//! The dissemination of updates: each update is piggybacked on a bounded number of datagrams, the least often sent first.
 //!
-//! Section 4.1 of the SWIM paper (*infection-style dissemination*). The queue holds addresses and counts; what is sent of
-//! a member is what the membership list has at that moment.
+//! See section 4.1 of the SWIM paper (*infection-style dissemination*). The queue holds addresses and counts; the update that
+//! is sent about a member is the one in the membership list at that time.
 
 use crate::datagram::max_encoded_len;
 use crate::member_update::MemberUpdate;
@@ -10,7 +10,7 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// How many more times the update about each member is to be sent.
+/// How many more times the update about each member has to be sent.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DisseminationQueue {
     remaining: BTreeMap<PeerAddress, u32>,
@@ -22,11 +22,11 @@
         self.remaining.insert(address, transmissions);
     }
 
-    /// Takes the updates for one datagram, of at most `max_bytes` together.
+    /// Takes updates for one datagram, of at most `max_bytes` in total.
     pub(crate) fn take(&mut self, members: &MembershipList, max_bytes: usize) -> Vec<MemberUpdate> {
         let mut taken = Vec::new();
         let mut free_bytes = max_bytes;
-        for address in self.least_sent_first() {
+        for address in self.addresses_by_fewest_transmissions() {
             let Some(update) = members.get(address) else {
                 self.remaining.remove(&address);
                 continue;
@@ -41,7 +41,7 @@
         taken
     }
 
-    fn least_sent_first(&self) -> Vec<PeerAddress> {
+    fn addresses_by_fewest_transmissions(&self) -> Vec<PeerAddress> {
         let mut queue: Vec<(Reverse<u32>, PeerAddress)> = self
             .remaining
             .iter()
--- a/crates/cluster-membership/src/earlier_members.rs
+++ b/crates/cluster-membership/src/earlier_members.rs
@@ -1,14 +1,14 @@
-//! Addresses of members that were forgotten, for a member that loses sight of all others.
+//! Addresses of members that were removed from the membership list, for a member that has lost contact with all others.
 //!
-//! While it is partitioned for long, a member forgets whoever it does not reach. Its seeds may be replaced meanwhile; then
-//! these addresses are all that is left to find the cluster by.
+//! During a long partition, a member removes all members that it cannot reach. If its seeds are replaced in the meantime, it
+//! can find the cluster again only by these addresses.
 
 use lupinrack_cluster_api::identity::PeerAddress;
 
-/// How many addresses are kept.
+/// The largest number of addresses.
 const MAX_ADDRESSES: usize = 32;
 
-/// A few addresses at which members were once.
+/// Some addresses of earlier members.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EarlierMembers {
     addresses: Vec<PeerAddress>,
@@ -20,9 +20,9 @@
         self.addresses.iter().copied()
     }
 
-    /// Remembers an address. Where there are too many it takes the place of any other one, so that what is kept of many
-    /// that are forgotten together is a random sample.
-    pub(crate) fn remember(&mut self, address: PeerAddress, random: &mut fastrand::Rng) {
+    /// Adds an address. At [`MAX_ADDRESSES`] it replaces a random one, so that many members that are removed together leave
+    /// a random sample of their addresses.
+    pub(crate) fn add(&mut self, address: PeerAddress, random: &mut fastrand::Rng) {
         if self.addresses.contains(&address) {
             return;
         }
--- a/crates/cluster-membership/src/lib.rs
+++ b/crates/cluster-membership/src/lib.rs
@@ -2,12 +2,12 @@
 //! shrinks.
 //!
 //! Start reading at [`swim::Swim`], the state machine of one member. It has no I/O, clock or source of randomness of its
-//! own: a driver (`cluster-node`) owns the UDP socket and the timer, and passes it datagrams and the time.
-//! [`datagram`] and [`message`] are what members send each other, [`live_table`] is what the rest of a process reads:
-//! among other things which process is the home of a zone.
+//! own: a driver (`cluster-node`) owns the UDP socket and the timer, and passes it datagrams and the time. Members send
+//! each other a [`datagram`] with a [`message`]. The rest of a process reads the [`live_table`], which also selects the home
+//! front of each zone.
 //!
-//! No decision whose safety matters may depend on this crate: every answer may be wrong for a while, at one process or
-//! at all.
+//! No decision that affects safety may depend on this crate: the live table of one process, or of all processes, may be
+//! wrong for some time.
 //!
 //! # Sources
 //!
@@ -18,16 +18,18 @@
 //!
 //! # Why there are two SWIM detectors
 //!
-//! The crate `lupinrack-fleet-membership` has a SWIM detector too, for the fronts of one configured list. Both take their
-//! arithmetic (local health, timeouts of suspicions, transmissions) from `lupinrack-failure-detection`. The rest is not
+//! The crate `lupinrack-fleet-membership` also has a SWIM detector, for the fronts in one configured list. Both use
+//! `lupinrack-failure-detection` to compute local health, suspicion timeouts and numbers of transmissions. The rest is not
 //! shared, for these reasons:
 //!
-//! - There, members are indices into a fixed list, kept in arrays and bit sets of that length, and the processes at an
-//!   address are ordered by their time of start. Here, members are addresses that come, go and are forgotten, and
-//!   processes are told apart by random numbers without an order, so SWIM incarnation numbers have to rise across them.
-//! - There, a suspect is pinged by everybody before it is considered dead, which keeps mistakes rare among tens of fronts
-//!   but costs more the larger the list is. Here, the messages of a process in a period are bounded whatever the size.
-//! - There, everybody learns the list from its settings; here, from seeds and pages of the membership list.
+//! - There, members are indices into a fixed list, stored in arrays and bit sets of that length, and the processes at an
+//!   address are ordered by their start time. Here, members are addresses that are added and removed at run time, and
+//!   processes are identified by random numbers without an order, so SWIM incarnation numbers have to rise across the
+//!   processes at an address.
+//! - There, every front pings a suspect before it is considered dead, which keeps false deaths rare among tens of fronts but
+//!   costs more as the list grows. Here, the number of messages that a process sends in a period is bounded at any size.
+//! - There, a process reads the list from its settings. Here, it reads seeds from its settings, and pages of the membership
+//!   list from other members.
 
 pub mod datagram;
 mod dissemination;
--- a/crates/cluster-membership/src/list_sync.rs
+++ b/crates/cluster-membership/src/list_sync.rs
@@ -1,24 +1,24 @@
-//! When pages of other processes' membership lists are requested: the full list once after the start, and single pages
-//! later while lists differ.
+//! Schedules requests for pages of other processes' membership lists: for the full list once after the start, and for single
+//! pages later while lists differ.
 //!
-//! SWIM leaves open how a process joins. Here it walks through the list of a seed, or of anybody it has learned of, page
-//! by page. Digests that differ later, after losses that dissemination did not make up for, are resolved alike.
+//! SWIM does not specify how a process joins. Here it requests the list of a seed or of any known member, page by page.
+//! Lists that differ later, because dissemination did not make up for lost datagrams, are synchronized in the same way.
 
 use crate::settings::SwimSettings;
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 
-/// The state of the walk through the lists of others.
+/// The progress of reading other members' lists page by page.
 #[derive(Clone, Debug)]
 pub(crate) struct ListSync {
-    /// The next page begins after this address; none for the first page.
+    /// The next page starts after this address; `None` for the first page.
     cursor: Option<PeerAddress>,
-    /// Whether no walk has reached the end of a list yet.
+    /// Whether this process has never read a list to its end.
     joining: bool,
-    /// Whether the last page changed who is present.
+    /// Whether the last page changed the live table.
     last_page_was_new: bool,
     next_request_at: Millis,
-    /// A member whose list differs from the own one.
+    /// A member whose list differs from this process's list.
     differing_peer: Option<PeerAddress>,
 }
 
@@ -45,7 +45,7 @@
         self.differing_peer
     }
 
-    /// When the next page is to be requested; none where lists agree.
+    /// When the next page has to be requested; `None` if the lists agree.
     pub(crate) fn next_request_at(&self) -> Option<Millis> {
         let needed = self.joining || self.differing_peer.is_some();
         needed.then_some(self.next_request_at)
@@ -53,16 +53,16 @@
 
     /// Schedules the request after the one that is sent now.
     pub(crate) fn schedule_next(&mut self, settings: &SwimSettings, now: Millis) {
-        let pause_ms = if self.joining || self.last_page_was_new {
+        let interval_ms = if self.joining || self.last_page_was_new {
             settings.join_retry_ms
         } else {
             settings.page_every_periods * settings.protocol_period_ms
         };
         self.last_page_was_new = false;
-        self.next_request_at = now.plus(pause_ms.max(1));
+        self.next_request_at = now.plus(interval_ms.max(1));
     }
 
-    /// Notes whether a member's list has the own digest.
+    /// Records whether a member's list has the same digest as this process's list.
     pub(crate) fn compare(&mut self, peer: PeerAddress, agrees: bool) {
         if !agrees {
             self.differing_peer = Some(peer);
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Notes that a page has arrived, which ended with `last` and, if `was_new`, changed who is present.
+    /// Records the arrival of a page that ended with `last`. `was_new` states whether it changed the live table.
     pub(crate) fn page_arrived(
         &mut self,
         last: Option<PeerAddress>,
--- a/crates/cluster-membership/src/live_table.rs
+++ b/crates/cluster-membership/src/live_table.rs
@@ -1,13 +1,13 @@
-//! The present members as an immutable table, and which of them serves the others of its zone.
+//! An immutable table of the present members, and the selection of home fronts and view sources from it.
 
 use crate::member_update::MemberUpdate;
 use lupinrack_cluster_api::frame::Role;
 use lupinrack_cluster_api::identity::{PeerAddress, ServiceName};
 use lupinrack_cluster_api::rendezvous::address_weight;
 
-/// A zone has a home front only with at least so many fronts; a single one subscribes to the head itself.
+/// The smallest number of fronts with which a zone has a home front; a single front subscribes to the head itself.
 const MIN_FRONTS_FOR_HOME: usize = 2;
-/// Separates the zone from the service in the key of a home; neither contains it.
+/// Separates the zone from the service in the key of a home front; neither name contains it.
 const KEY_SEPARATOR: u8 = 0;
 
 /// A present member.
@@ -15,7 +15,7 @@
 pub struct LiveMember {
     /// Its internal address.
     pub address: PeerAddress,
-    /// The kind of machine that it runs on.
+    /// The role of the machine that it runs on.
     pub role: Role,
     /// Its zone.
     pub zone: String,
@@ -34,14 +34,14 @@
     }
 }
 
-/// All members that this process considers present at one moment, itself included.
+/// All members that this process considers present at one time, itself included.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LiveTable {
     members: Vec<LiveMember>,
 }
 
 impl LiveTable {
-    /// Builds the table of these members, in any order.
+    /// Builds the table from members in any order.
     pub fn new(mut members: Vec<LiveMember>) -> LiveTable {
         members.sort_by_key(|member| member.address);
         LiveTable { members }
@@ -69,7 +69,7 @@
         core.map(|member| member.address)
     }
 
-    /// The members of one kind in a zone, by address.
+    /// The members of a zone with this role, by address.
     pub fn in_zone<'a>(
         &'a self,
         zone: &'a str,
@@ -80,8 +80,8 @@
             .filter(move |member| member.role == role && member.zone == zone)
     }
 
-    /// The front of a zone that subscribes to the head for the others of it, for a service or for everything. None in a
-    /// zone of fewer than two fronts.
+    /// The front that subscribes to the head on behalf of the other fronts of its zone, for one service or for all. `None`
+    /// in a zone of fewer than two fronts.
     pub fn home_front(&self, zone: &str, service: Option<&ServiceName>) -> Option<PeerAddress> {
         if self.in_zone(zone, Role::Frontend).count() < MIN_FRONTS_FOR_HOME {
             return None;
@@ -90,8 +90,8 @@
         self.heaviest(zone, Role::Frontend, &key)
     }
 
-    /// The process of a zone from which a subscriber there learns views: a core process, or else a front. Subscribers
-    /// spread over the processes that there are.
+    /// The process of a zone that sends views to this subscriber: a core process, or a front if the zone has no core
+    /// process. Subscribers are distributed over all candidates.
     pub fn view_source(&self, zone: &str, subscriber: PeerAddress) -> Option<PeerAddress> {
         let key = subscriber.0.to_string();
         let core = self.heaviest(zone, Role::Core, key.as_bytes());
--- a/crates/cluster-membership/src/membership_list.rs
+++ b/crates/cluster-membership/src/membership_list.rs
@@ -1,7 +1,7 @@
-//! The membership list: what this process knows of the other members.
+//! The membership list: the latest update about every other member.
 //!
-//! The list alone decides whether an update overrides what is known, and owns the suspicions. The state machine reads it
-//! and passes on what changed.
+//! The list decides whether an update overrides the known one, and owns the suspicions. The state machine reads the list and
+//! disseminates its changes.
 
 use crate::member_state::MemberState;
 use crate::member_update::MemberUpdate;
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// The largest number of members that are remembered, so that forged updates cannot fill the memory.
+/// The largest number of members in the list, so that forged updates cannot exhaust memory.
 const MAX_MEMBERS: usize = 16_384;
 
 /// One member.
@@ -21,22 +21,22 @@
 struct Member {
     update: MemberUpdate,
     state_entered_at: Millis,
-    /// Present while its state is [`MemberState::Suspect`].
+    /// `Some` while the member's state is [`MemberState::Suspect`].
     suspicion: Option<Suspicion>,
 }
 
-/// What an update changed.
+/// The change that an update made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListChange {
-    /// Nothing: the update was known, or older than what is known.
+    /// No change: the update was known, or older than the known one.
     Unchanged,
-    /// The update is to be disseminated, and changes nothing in who is present.
+    /// The update has to be disseminated, but the set of present members is the same.
     Details,
-    /// A member appeared, disappeared, or was replaced by another process at its address.
+    /// A member became present or absent, or was replaced by another process at its address.
     Presence,
 }
 
-/// All other members, also dead ones and those that left until they are forgotten.
+/// All other members. Members that are dead or have left are removed after some time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MembershipList {
     members: BTreeMap<PeerAddress, Member>,
@@ -60,8 +60,8 @@
         self.present_count
     }
 
-    /// A digest of the members that are present, equal at all processes that have the same ones, in whatever order they
-    /// learned of them.
+    /// A digest of the members that are present. It does not depend on the order of the updates, so processes with the same
+    /// present members have the same digest.
     pub(crate) fn digest(&self) -> u64 {
         self.digest
     }
@@ -89,7 +89,7 @@
         self.iter().filter(|update| !update.state.is_present())
     }
 
-    /// Members at higher addresses than this, by address; all where there is none.
+    /// Members with higher addresses than this one, by address; all members for `None`.
     pub(crate) fn after(
         &self,
         address: Option<PeerAddress>,
@@ -100,10 +100,10 @@
             .map(|(_, member)| &member.update)
     }
 
-    /// Applies an update about another member if it overrides what is known.
+    /// Applies an update about another member if it overrides the known one.
     ///
-    /// The end of an unknown member changes nothing: the member was forgotten here. If the update counted as new, members
-    /// that forget at different times would disseminate it to each other for ever.
+    /// An update that an unknown member is dead or has left changes nothing: this list has already removed the member.
+    /// Otherwise, members that remove it at different times would disseminate the update to each other forever.
     pub(crate) fn apply(
         &mut self,
         update: &MemberUpdate,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Members whose suspicion has timed out, as updates of their death.
+    /// Updates that declare the members dead whose suspicion has timed out.
     pub(crate) fn expired_suspects(&self, rule: SuspicionRule, now: Millis) -> Vec<MemberUpdate> {
         let has_expired = |suspicion: &Suspicion| suspicion.has_expired(rule, now);
         self.members
@@ -141,7 +141,7 @@
             .collect()
     }
 
-    /// Removes members that have been absent for long enough, and returns where they were.
+    /// Removes members that have been absent for `forget_after_ms`, and returns their addresses.
     pub(crate) fn forget_absent(&mut self, forget_after_ms: u64, now: Millis) -> Vec<PeerAddress> {
         let mut forgotten = Vec::new();
         self.members.retain(|address, member| {
@@ -155,7 +155,7 @@
         forgotten
     }
 
-    /// This process was suspended for so many milliseconds, in which no refutation could reach it.
+    /// Extends all suspicions by the time for which this process was suspended: no refutation could reach it meanwhile.
     pub(crate) fn extend_suspicions(&mut self, milliseconds: u64) {
         for member in self.members.values_mut() {
             if let Some(suspicion) = &mut member.suspicion {
@@ -192,7 +192,7 @@
 }
 
 impl Member {
-    /// Applies an update of the same version: it may confirm a suspicion.
+    /// Applies an update of the same version, which may confirm a suspicion.
     fn confirm(&mut self, update: &MemberUpdate, max_confirmations: usize) -> ListChange {
         let (Some(suspicion), MemberState::Suspect { by }) = (&mut self.suspicion, update.state)
         else {
@@ -206,7 +206,7 @@
     }
 }
 
-/// What a member adds to the digest of those that are present: nothing where it is not.
+/// The member's contribution to the digest of present members; 0 if it is absent.
 pub(crate) fn presence_digest(update: &MemberUpdate) -> u64 {
     if update.state.is_present() {
         address_weight(&[], update.address) ^ mix(update.process_incarnation)
--- a/crates/cluster-membership/src/own_member.rs
+++ b/crates/cluster-membership/src/own_member.rs
@@ -1,18 +1,19 @@
-//! This process as a member: what it announces of itself.
+//! This process as a member: the update that it announces about itself.
 
 use crate::live_table::LiveMember;
 use crate::member_state::MemberState;
 use crate::member_update::MemberUpdate;
 use lupinrack_cluster_api::identity::PeerAddress;
 
-/// Whether an update about this process was refuted, by a higher incarnation number.
+/// Whether an update about this process was refuted by a higher incarnation number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refutation {
-    /// It is right, or too old to override what others know. A higher incarnation number of this very process is adopted.
+    /// It is correct, or too old to override the update that others have. A higher incarnation number of this process is
+    /// adopted.
     NotNeeded,
-    /// It concerned an earlier process at the same address.
+    /// It was about an earlier process at the same address.
     OfEarlierProcess,
-    /// It said that this very process is not alive.
+    /// It stated that this process is not alive.
     OfThisProcess,
 }
 
@@ -23,7 +24,7 @@
 }
 
 impl OwnMember {
-    /// A process that begins, with the lowest incarnation number.
+    /// A process that starts, with the lowest incarnation number.
     pub(crate) fn new(member: LiveMember) -> OwnMember {
         let update = MemberUpdate {
             address: member.address,
@@ -36,7 +37,7 @@
         OwnMember { update }
     }
 
-    /// What it announces of itself.
+    /// The update that the process announces about itself.
     pub(crate) fn update(&self) -> &MemberUpdate {
         &self.update
     }
@@ -49,7 +50,7 @@
         &self.update.zone
     }
 
-    /// Announces from now on that it has left.
+    /// Makes the process announce that it has left.
     pub(crate) fn leave(&mut self) {
         self.update.state = MemberState::Left;
     }
@@ -58,8 +59,8 @@
         self.update.state == MemberState::Left
     }
 
-    /// Takes an update of others about this process. One that is wrong, and that others would believe, is refuted by a
-    /// higher incarnation number (section 4.2 of the SWIM paper).
+    /// Processes an update from others about this process. A wrong update that overrides the own one at other members is
+    /// refuted by a higher incarnation number (section 4.2 of the SWIM paper).
     pub(crate) fn refute(&mut self, update: &MemberUpdate) -> Refutation {
         let same_process = update.process_incarnation == self.update.process_incarnation;
         if same_process && update.state == MemberState::Alive {
--- a/crates/cluster-membership/src/pending_ping.rs
+++ b/crates/cluster-membership/src/pending_ping.rs
@@ -7,33 +7,33 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PendingPing {
     pub(crate) target: PeerAddress,
-    /// The process at the target's address when the ping began.
+    /// The process at the target's address when the ping was first sent.
     pub(crate) process_incarnation: u64,
     pub(crate) sequence_number: u32,
     /// When the datagram is sent again, since it may have been lost.
     pub(crate) resend_at: Millis,
-    /// When ping requests are sent; none once they were.
+    /// When ping requests are sent; `None` after that.
     pub(crate) indirect_at: Option<Millis>,
     /// The end of the protocol period: without an acknowledgement the ping has failed.
     pub(crate) deadline: Millis,
-    /// The members that were asked by ping requests.
+    /// The members that received ping requests.
     pub(crate) request_targets: PingRequestTargets,
 }
 
-/// The members that were asked to ping a target as well.
+/// The members that received a ping request for the target.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct PingRequestTargets {
     count: usize,
-    /// Those that have not answered.
+    /// The members that have not sent a nack.
     unanswered: Vec<PeerAddress>,
 }
 
-/// What is to be sent for a pending ping.
+/// The datagrams that are due for a pending ping.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct DuePings {
-    /// The ping itself, once more.
+    /// The ping itself has to be sent again.
     pub(crate) direct: bool,
-    /// Ping requests to other members.
+    /// Ping requests have to be sent to other members.
     pub(crate) indirect: bool,
 }
 
@@ -44,7 +44,7 @@
         self.resend_at.min(indirect_at).min(self.deadline)
     }
 
-    /// Takes the steps that are due; the ping is sent again every `resend_ms` milliseconds.
+    /// Takes the steps that are due at `now`; the ping is sent again every `resend_ms` milliseconds.
     pub(crate) fn take_due(&mut self, resend_ms: u64, now: Millis) -> DuePings {
         let direct = now >= self.resend_at && now < self.deadline;
         if direct {
@@ -63,13 +63,13 @@
         }
     }
 
-    /// Notes that a member could not reach the target either.
+    /// Records that a member could not reach the target either.
     pub(crate) fn nack_from(&mut self, member: PeerAddress) {
-        self.unanswered.retain(|asked| *asked != member);
+        self.unanswered.retain(|unanswered| *unanswered != member);
     }
 
-    /// Whether members were asked, and all of them answered that they could not reach the target either. Otherwise the
-    /// connection of this process may be at fault.
+    /// Whether ping requests were sent, and all receivers replied with a nack. If not, the network connection of this process
+    /// may be faulty.
     pub(crate) fn all_sent_nacks(&self) -> bool {
         self.count > 0 && self.unanswered.is_empty()
     }
--- a/crates/cluster-membership/src/period_clock.rs
+++ b/crates/cluster-membership/src/period_clock.rs
@@ -2,7 +2,7 @@
 
 use lupinrack_cluster_api::time::Millis;
 
-/// Counts protocol periods, and notices when the process was not run for a while.
+/// Counts protocol periods, and measures the time between ticks to detect that the process was suspended.
 #[derive(Clone, Debug)]
 pub(crate) struct PeriodClock {
     periods: u64,
@@ -11,7 +11,7 @@
 }
 
 impl PeriodClock {
-    /// The first period begins at `first_at`.
+    /// A clock whose first period starts at `first_at`.
     pub(crate) fn new(first_at: Millis, now: Millis) -> PeriodClock {
         PeriodClock {
             periods: 0,
@@ -20,24 +20,24 @@
         }
     }
 
-    /// When the next period begins, which ends the current one.
+    /// When the current period ends and the next one starts.
     pub(crate) fn next_at(&self) -> Millis {
         self.next_at
     }
 
-    /// Whether this is one of the periods whose number is a multiple of `every`; each one is where that is 0.
+    /// Whether the number of the current period is a multiple of `every`; 0 counts as 1.
     pub(crate) fn is_multiple_of(&self, every: u64) -> bool {
         self.periods.is_multiple_of(every.max(1))
     }
 
-    /// Notes that the process runs; the milliseconds since it did last.
+    /// Records a tick, and returns the milliseconds since the previous one.
     pub(crate) fn tick(&mut self, now: Millis) -> u64 {
-        let pause_ms = now.since(self.last_tick_at);
+        let elapsed_ms = now.since(self.last_tick_at);
         self.last_tick_at = self.last_tick_at.max(now);
-        pause_ms
+        elapsed_ms
     }
 
-    /// Lets a period begin, of this length in milliseconds.
+    /// Starts a period of this length in milliseconds.
     pub(crate) fn begin(&mut self, period_ms: u64, now: Millis) {
         self.periods += 1;
         self.next_at = now.plus(period_ms);
--- a/crates/cluster-membership/src/ping_order.rs
+++ b/crates/cluster-membership/src/ping_order.rs
@@ -6,7 +6,7 @@
 /// Which members a ping prefers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PingScope {
-    /// Members of the own zone.
+    /// Members of this member's zone.
     OwnZone,
     /// Members of all other zones.
     OtherZones,
@@ -21,11 +21,11 @@
     }
 }
 
-/// The order in which members are pinged: all members of a scope in random order, then again in another order
+/// The order in which members are pinged: all members of a scope in random order, then all again in a new random order
 /// (section 4.3 of the SWIM paper, *round-robin probe target selection*).
 ///
-/// Most pings stay in the zone, which keeps traffic between zones low. Every member is pinged by those of other zones at
-/// a lower, but fixed rate, so that the end of a zone, or of the only member of a zone, is noticed too.
+/// Most pings stay in the zone, which keeps traffic between zones low. Members of other zones ping every member at a lower
+/// but fixed rate, so that the failure of a whole zone, or of the only member of a zone, is detected too.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PingOrder {
     own_zone: Vec<PeerAddress>,
@@ -33,7 +33,7 @@
 }
 
 impl PingOrder {
-    /// The next member to ping: of the preferred scope, or of the other one where that is empty.
+    /// The next member to ping: from the preferred scope, or from the other scope if the preferred one is empty.
     pub(crate) fn next(
         &mut self,
         members: &MembershipList,
--- a/crates/cluster-membership/src/pings.rs
+++ b/crates/cluster-membership/src/pings.rs
@@ -6,7 +6,7 @@
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 
-/// All pings of a member: their order, the one of the current period, and those on behalf of others.
+/// All pings of a member: their order, the ping of the current period, and the pings on behalf of other members.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pings {
     pub(crate) order: PingOrder,
@@ -22,21 +22,21 @@
         pending.into_iter().chain(self.relayed.next_step_at()).min()
     }
 
-    /// Notes that a member could not reach the target of the pending ping.
+    /// Records that a member could not reach the target of the pending ping.
     pub(crate) fn nack_received(&mut self, from: PeerAddress, sequence_number: u32) {
         if let Some(ping) = self.pending_with(sequence_number) {
             ping.request_targets.nack_from(from);
         }
     }
 
-    /// The pending ping, if it has this number.
+    /// The pending ping, if it has this sequence number.
     pub(crate) fn pending_with(&mut self, sequence_number: u32) -> Option<&mut PendingPing> {
         self.pending
             .as_mut()
             .filter(|ping| ping.sequence_number == sequence_number)
     }
 
-    /// Draws the number of a further ping.
+    /// The sequence number for a new ping.
     pub(crate) fn next_sequence_number(&mut self) -> u32 {
         self.last_sequence_number = self.last_sequence_number.wrapping_add(1);
         self.last_sequence_number
--- a/crates/cluster-membership/src/relayed_pings.rs
+++ b/crates/cluster-membership/src/relayed_pings.rs
@@ -1,28 +1,28 @@
-//! Pings that were made on behalf of other members, by their ping requests.
+//! Pings on behalf of other members, which requested them by ping requests.
 
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 
-/// The largest number of relayed pings that are remembered; the oldest gives way.
+/// The largest number of relayed pings; above it, the oldest one is dropped.
 const MAX_RELAYED_PINGS: usize = 64;
 
-/// A ping that was made on behalf of another member.
+/// A ping on behalf of another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RelayedPing {
     pub(crate) target: PeerAddress,
     /// The number of the ping to the target.
     pub(crate) sequence_number: u32,
-    /// The member that asked for it.
+    /// The member that sent the ping request.
     pub(crate) requester: PeerAddress,
     /// The number of the requester's own ping.
     pub(crate) requester_sequence_number: u32,
-    /// When it is sent once more; none once it was.
+    /// When the ping is sent a second time; `None` after that.
     pub(crate) resend_at: Option<Millis>,
-    /// When the requester is told that the target did not acknowledge.
+    /// When the requester receives a nack if the target has not acknowledged.
     pub(crate) deadline: Millis,
 }
 
-/// The pings that this process relays, in the order of their requests.
+/// The pings that this process relays, in the order in which they were requested.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RelayedPings {
     pings: Vec<RelayedPing>,
@@ -45,7 +45,7 @@
         self.pings.iter().map(next).min()
     }
 
-    /// The pings to send once more now: their targets and numbers.
+    /// The targets and sequence numbers of the pings to send a second time now.
     pub(crate) fn take_due_resends(&mut self, now: Millis) -> Vec<(PeerAddress, u32)> {
         let mut due = Vec::new();
         for ping in &mut self.pings {
@@ -56,7 +56,7 @@
         due
     }
 
-    /// Removes the pings that were not acknowledged in time.
+    /// Removes and returns the pings that were not acknowledged in time.
     pub(crate) fn take_expired(&mut self, now: Millis) -> Vec<RelayedPing> {
         let (expired, pending) = std::mem::take(&mut self.pings)
             .into_iter()
@@ -65,7 +65,7 @@
         expired
     }
 
-    /// Removes the ping that this acknowledgement answers.
+    /// Removes and returns the ping that this acknowledgement answers.
     pub(crate) fn take_acknowledged(
         &mut self,
         target: PeerAddress,
--- a/crates/cluster-membership/src/suspicion.rs
+++ b/crates/cluster-membership/src/suspicion.rs
@@ -1,4 +1,4 @@
-//! How long a suspicion lasts.
+//! The timeout of a suspicion.
 
 use crate::settings::SwimSettings;
 use lupinrack_cluster_api::identity::PeerAddress;
@@ -7,17 +7,17 @@
     confirmations_needed, size_factor, suspicion_timeout, LocalHealth,
 };
 
-/// A suspicion as this process sees it.
+/// A suspicion at this process.
 ///
 /// Its timeout shrinks with every independent confirmation (Lifeguard's *dynamic suspicion timeouts*).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Suspicion {
     started_at: Millis,
-    /// Members that suspect on their own evidence; at most as many as shorten the timeout.
+    /// The members that suspect on their own evidence; limited to the number that shortens the timeout.
     suspected_by: Vec<PeerAddress>,
 }
 
-/// What the timeout of all suspicions of a process depends on.
+/// The inputs to the timeout of all suspicions at a process.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SuspicionRule<'a> {
     pub(crate) settings: &'a SwimSettings,
@@ -34,28 +34,28 @@
         }
     }
 
-    /// Another member suspects as well; whether its suspicion is new and shortens the timeout.
+    /// Adds the suspicion of another member. Returns whether it is new and shortens the timeout.
     pub(crate) fn confirm(&mut self, by: PeerAddress, max_confirmations: usize) -> bool {
-        let counts =
+        let is_new =
             self.suspected_by.len() <= max_confirmations && !self.suspected_by.contains(&by);
-        if counts {
+        if is_new {
             self.suspected_by.push(by);
         }
-        counts
+        is_new
     }
 
-    /// This process was suspended for so many milliseconds, in which no refutation could reach it.
+    /// Extends the suspicion by the time for which this process was suspended: no refutation could reach it meanwhile.
     pub(crate) fn extend(&mut self, milliseconds: u64) {
         self.started_at = self.started_at.plus(milliseconds);
     }
 
     pub(crate) fn has_expired(&self, rule: SuspicionRule, now: Millis) -> bool {
         let settings = rule.settings;
-        let shortest_ms = settings.suspicion_timeout_ms as f64
+        let min_timeout_ms = settings.suspicion_timeout_ms as f64
             * f64::from(rule.health.multiplier())
             * size_factor(rule.members);
         let timeout_ms = suspicion_timeout(
-            shortest_ms,
+            min_timeout_ms,
             f64::from(settings.suspicion_timeout_ratio),
             self.suspected_by.len().saturating_sub(1),
             confirmations_needed(settings.suspicion_confirmations, rule.members),
--- a/crates/cluster-membership/src/swim.rs
+++ b/crates/cluster-membership/src/swim.rs
@@ -1,16 +1,17 @@
 //! The state machine of one member.
 //!
-//! In every protocol period a member pings one other member. Where no acknowledgement arrives in time it asks a few
-//! others by ping requests to ping in its stead, and where that fails too it suspects the member. A suspicion that is
-//! not refuted in time is a death. Local health (Lifeguard) makes a member that is slow itself wait longer: for direct
-//! acknowledgements within the period, and before its suspicions end. Updates ride on all messages.
+//! In every protocol period a member pings one other member. If no acknowledgement arrives in time, it sends ping requests to
+//! a few others, which ping the target on its behalf. If that fails too, it suspects the target. A suspect that does not
+//! refute the suspicion in time is considered dead. Local health (Lifeguard) lengthens the timeouts of a member that is slow
+//! itself: for direct acknowledgements within the period, and for its suspicions. Updates are piggybacked on all messages.
 //!
-//! Messages per period are bounded at every member whatever their number: one ping (repeated while it is not
-//! acknowledged), a few ping requests, one ping of a seed, a dead or an earlier member every few periods, one request for a page of the
-//! membership list every few periods while lists differ; and answers to what others send, which is the same in the mean.
+//! The number of messages that a member sends in a period is bounded, independent of the number of members: one ping (sent
+//! again until it is acknowledged), a few ping requests, one ping to a seed, an absent or an earlier member every few
+//! periods, and one request for a page of the membership list every few periods while lists differ. In addition it answers
+//! the messages of others, of which it receives as many as it sends on average.
 //!
-//! [`Swim`] passes datagrams to the parts that own the state: the membership list, the queue of updates, the pings that
-//! are pending, and the synchronization of lists.
+//! [`Swim`] passes datagrams to the parts that own the state: the membership list, the dissemination queue, the pending
+//! pings, and the synchronization of lists.
 
 mod failure_detection;
 mod synchronization;
@@ -33,12 +34,12 @@
 use lupinrack_failure_detection::{size_factor, transmission_limit, LocalHealth};
 use std::cmp::Ordering;
 
-/// An update is sent this many times the common logarithm of the number of members, and
-/// [`MIN_TRANSMISSIONS`] times at least.
+/// An update is sent this factor times the decimal logarithm of the number of members, and at least
+/// [`MIN_TRANSMISSIONS`] times.
 const TRANSMISSIONS_FACTOR: f64 = 3.0;
 /// See [`TRANSMISSIONS_FACTOR`].
 const MIN_TRANSMISSIONS: f64 = 4.0;
-/// A member that leaves notifies this many others.
+/// How many other members a leaving member notifies.
 const LEAVE_FANOUT: usize = 4;
 
 /// A datagram to send.
@@ -60,7 +61,7 @@
     seeds: Vec<PeerAddress>,
     settings: SwimSettings,
     members: MembershipList,
-    /// Where members that were forgotten were last.
+    /// Addresses of members that were removed from the list.
     earlier_members: EarlierMembers,
     dissemination: DisseminationQueue,
     pings: Pings,
@@ -68,16 +69,17 @@
     health: LocalHealth,
     clock: PeriodClock,
     random: fastrand::Rng,
-    /// Counts the changes in who is present.
+    /// Counts changes of the live table.
     version: u64,
-    /// What the current call is going to return.
+    /// The datagrams that the current call returns.
     outgoing: Vec<Outgoing>,
 }
 
 impl Swim {
-    /// A member that begins at `now` and knows only the addresses of its seeds.
+    /// A member that starts at `now` and knows only the addresses of its seeds.
     ///
-    /// `own.process_incarnation` has to be drawn at random for each process; `random_seed` decides its choices.
+    /// `own.process_incarnation` has to be drawn at random for each process; `random_seed` determines the member's random
+    /// choices.
     pub fn new(
         own: LiveMember,
         seeds: Vec<PeerAddress>,
@@ -86,7 +88,7 @@
         now: Millis,
     ) -> Swim {
         let mut random = fastrand::Rng::with_seed(random_seed);
-        // Members that start together do not ping in step.
+        // A random first period keeps members that start together from pinging at the same times.
         let first_period_at = now.plus(random.u64(0..settings.protocol_period_ms.max(1)));
         let own = OwnMember::new(own);
         Swim {
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Replaces the seeds. Members that are known stay known.
+    /// Replaces the seeds. Known members stay in the list.
     pub fn set_seeds(&mut self, seeds: Vec<PeerAddress>) {
         self.seeds = without(seeds, self.own.address());
     }
@@ -122,7 +124,7 @@
         LiveTable::new(present.map(LiveMember::from).collect())
     }
 
-    /// The latest update about every other member that is not forgotten, by address.
+    /// The latest update about every other member in the membership list, by address.
     pub fn members(&self) -> impl Iterator<Item = &MemberUpdate> {
         self.members.iter()
     }
@@ -132,12 +134,12 @@
         self.own.update().incarnation
     }
 
-    /// Lifeguard's local health score, from 0 for good health.
+    /// Lifeguard's local health score; 0 is the best health.
     pub fn health_score(&self) -> u32 {
         self.health.score()
     }
 
-    /// When [`Swim::tick`] has something to do. It may be called earlier and more often.
+    /// When the driver has to call [`Swim::tick`]. Earlier and additional calls are allowed.
     pub fn next_wakeup(&self) -> Millis {
         let pings = self.pings.next_step_at();
         let page = self.sync.next_request_at();
@@ -147,14 +149,14 @@
             .fold(self.clock.next_at(), Millis::min)
     }
 
-    /// Does what is due.
+    /// Runs the steps that are due at `now`.
     pub fn tick(&mut self, now: Millis) -> Vec<Outgoing> {
         if self.own.has_left() {
             return Vec::new();
         }
-        let pause_ms = self.clock.tick(now);
-        if pause_ms > self.settings.suspended_after_ms {
-            self.resume(pause_ms, now);
+        let elapsed_ms = self.clock.tick(now);
+        if elapsed_ms > self.settings.suspended_after_ms {
+            self.resume(elapsed_ms, now);
         }
         self.advance_relayed_pings(now);
         self.advance_ping(now);
@@ -167,8 +169,8 @@
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Processes a datagram that arrived from this address. One that claims another sender is ignored, and so is one of
-    /// a sender that calls itself suspected or dead.
+    /// Processes a datagram that arrived from this address. It ignores a datagram that claims another sender address, or
+    /// whose sender describes itself as a suspect or dead.
     pub fn receive(&mut self, from: PeerAddress, datagram: Datagram, now: Millis) -> Vec<Outgoing> {
         let Datagram {
             sender,
@@ -176,9 +178,9 @@
             message,
             updates,
         } = datagram;
-        let genuine = sender.address == from && from != self.own.address();
+        let is_genuine = sender.address == from && from != self.own.address();
         let may_send = matches!(sender.state, MemberState::Alive | MemberState::Left);
-        if self.own.has_left() || !genuine || !may_send {
+        if self.own.has_left() || !is_genuine || !may_send {
             return Vec::new();
         }
         self.apply(&sender, now);
@@ -211,7 +213,7 @@
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Notifies some others that this member leaves. It does nothing more afterwards.
+    /// Notifies some other members that this member leaves. All later calls do nothing.
     pub fn leave(&mut self) -> Vec<Outgoing> {
         if self.own.has_left() {
             return Vec::new();
@@ -229,7 +231,7 @@
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Applies an update, and disseminates it if it changed something.
+    /// Applies an update, and queues it for dissemination if it changed something.
     fn apply(&mut self, update: &MemberUpdate, now: Millis) {
         if update.address == self.own.address() {
             if self.own.refute(update) == Refutation::OfThisProcess {
@@ -264,13 +266,13 @@
         self.send_with(to, message, Vec::new());
     }
 
-    /// Answers a member, and corrects it where this member knows an update that overrides what it says of itself.
+    /// Replies to a member. The reply carries the update that overrides the sender's own one, if this member knows one.
     fn reply(&mut self, sender: &MemberUpdate, message: Message) {
         let correction = self.correction_for(sender);
         self.send_with(sender.address, message, correction);
     }
 
-    /// The update about a member that overrides what it says of itself, for it to refute.
+    /// The update that overrides the sender's update about itself, so that the sender can refute it.
     fn correction_for(&self, sender: &MemberUpdate) -> Vec<MemberUpdate> {
         self.members
             .get(sender.address)
@@ -303,7 +305,7 @@
     }
 }
 
-/// The addresses without one of them.
+/// The addresses except `excluded`.
 fn without(addresses: Vec<PeerAddress>, excluded: PeerAddress) -> Vec<PeerAddress> {
     let others = addresses.into_iter().filter(|address| *address != excluded);
     others.collect()
--- a/crates/cluster-membership/src/swim/failure_detection.rs
+++ b/crates/cluster-membership/src/swim/failure_detection.rs
@@ -1,4 +1,4 @@
-//! Failure detection: the ping of each protocol period, pings on behalf of others, and what follows from their outcome.
+//! Failure detection: the ping of each protocol period, pings on behalf of other members, and suspicions.
 
 use super::Swim;
 use crate::member_state::MemberState;
@@ -11,10 +11,10 @@
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_api::time::Millis;
 
-/// However bad the local health is, ping requests are sent before this part of the period is over, in percent.
+/// The latest time in a period to send ping requests, in percent of the period, however bad the local health is.
 const MAX_ACK_TIMEOUT_PERCENT: u64 = 60;
-/// In every period whose number is a multiple of this the ping goes to a suspect, if there is one, so that it learns of
-/// the suspicion and refutes it.
+/// In every period whose number is a multiple of this, the ping goes to a suspect, if there is one. The ping carries the
+/// suspicion, so that the suspect can refute it.
 const SUSPECT_EVERY_PERIODS: u64 = 2;
 
 impl Swim {
@@ -37,11 +37,12 @@
     fn forget_absent(&mut self, now: Millis) {
         let forget_after_ms = self.settings.forget_after_ms;
         for address in self.members.forget_absent(forget_after_ms, now) {
-            self.earlier_members.remember(address, &mut self.random);
+            self.earlier_members.add(address, &mut self.random);
         }
     }
 
-    /// This process was suspended for so many milliseconds: what timed out meanwhile is no evidence against others.
+    /// Continues after this process was suspended for `suspended_ms`. Timeouts that elapsed during the suspension are no
+    /// evidence against other members.
     pub(super) fn resume(&mut self, suspended_ms: u64, now: Millis) {
         self.pings.pending = None;
         self.pings.relayed.clear();
@@ -50,7 +51,7 @@
         self.clock.end_now(now);
     }
 
-    /// The next member in the order of pings.
+    /// The next member in the ping order.
     pub(super) fn next_ping_target(&mut self, preferred: PingScope) -> Option<PeerAddress> {
         self.pings
             .order
@@ -107,7 +108,7 @@
         self.send_ping(target, sequence_number);
     }
 
-    /// How long a direct acknowledgement may take: longer in bad local health, within the period.
+    /// How long a direct acknowledgement may take: longer in bad local health, but never a whole period.
     fn ack_timeout_ms(&self) -> u64 {
         let base_ms = self.settings.ack_timeout_ms;
         let scaled_ms = base_ms * u64::from(self.health.multiplier());
@@ -115,17 +116,17 @@
         scaled_ms.min(max_ms).max(base_ms)
     }
 
-    /// Sends a ping; a member that is suspected learns of it with the ping.
+    /// Sends a ping. If the target is not considered alive, the ping carries that update, so that the target can refute it.
     fn send_ping(&mut self, target: PeerAddress, sequence_number: u32) {
-        let accusation = self
+        let update_to_refute = self
             .members
             .get(target)
             .filter(|known| known.state != MemberState::Alive);
-        let updates = accusation.cloned().into_iter().collect();
+        let updates = update_to_refute.cloned().into_iter().collect();
         self.send_with(target, Message::Ping { sequence_number }, updates);
     }
 
-    /// Sends what is due for the ping of the current period.
+    /// Sends the datagrams that are due for the ping of the current period.
     pub(super) fn advance_ping(&mut self, now: Millis) {
         let Some(ping) = &mut self.pings.pending else {
             return;
@@ -161,9 +162,9 @@
         }
     }
 
-    /// The period is over: a member that did not acknowledge its ping is suspected. Members that did not even answer a
-    /// ping request are evidence of the own health, unless the target was suspected already: then no acknowledgement was
-    /// to be expected.
+    /// Ends the ping of a period: a member that did not acknowledge it is suspected. If the receivers of ping requests did
+    /// not all reply with a nack, the local health worsens, unless the target was already suspected: then no acknowledgement
+    /// was to be expected.
     fn end_ping(&mut self, now: Millis) {
         let Some(ping) = self.pings.pending.take() else {
             return;
@@ -222,7 +223,7 @@
         self.send_ping(target, sequence_number);
     }
 
-    /// Sends what is due for pings on behalf of others, and ends those at their deadline.
+    /// Sends the pings on behalf of other members that are due, and a nack for each one that has reached its deadline.
     pub(super) fn advance_relayed_pings(&mut self, now: Millis) {
         for (target, sequence_number) in self.pings.relayed.take_due_resends(now) {
             self.send_ping(target, sequence_number);
@@ -233,7 +234,7 @@
         }
     }
 
-    /// Pings a seed or member that is not present: it may be on the other side of a partition.
+    /// Pings a seed, an absent member or an earlier member: it may be on the other side of a partition.
     fn ping_absent(&mut self) {
         let seeds = self.seeds.iter().copied();
         let absent = self.members.absent().map(|update| update.address);
--- a/crates/cluster-membership/src/swim/synchronization.rs
+++ b/crates/cluster-membership/src/swim/synchronization.rs
@@ -17,13 +17,14 @@
         }
     }
 
-    /// While this member joins, a seed or any member that it has learned of; later, the member whose list differs.
+    /// The member to request a page from: a seed or any known member while this member joins, later a member whose list
+    /// differs.
     fn page_source(&mut self) -> Option<PeerAddress> {
         if !self.sync.is_joining() {
             return self.sync.differing_peer();
         }
-        let ask_seed = self.members.present_count() == 0 || self.random.bool();
-        let seed = if ask_seed {
+        let prefer_seed = self.members.present_count() == 0 || self.random.bool();
+        let seed = if prefer_seed {
             self.random.choice(self.seeds.iter().copied())
         } else {
             None
@@ -31,7 +32,7 @@
         seed.or_else(|| self.next_ping_target(PingScope::OwnZone))
     }
 
-    /// Sends the members after an address, as many as fit; first of all what the requester should know of itself.
+    /// Sends a page with as many members after an address as fit. An update that the requester has to refute comes first.
     pub(super) fn send_page(&mut self, requester: &MemberUpdate, after: Option<PeerAddress>) {
         let mut updates = self.correction_for(requester);
         let mut free_bytes = self.free_bytes_beside(&updates);
--- a/crates/cluster-membership/tests/common/mod.rs
+++ b/crates/cluster-membership/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated network of members: delays, loss, partitions, suspensions and restarts, all from one seed.
-#![allow(dead_code, reason = "every test file uses another part")]
+//! A simulated network of members with delays, loss, partitions, suspensions and restarts, all determined by one seed.
+#![allow(dead_code, reason = "every test file uses a different part")]
 
 use lupinrack_cluster_api::frame::Role;
 use lupinrack_cluster_api::identity::PeerAddress;
@@ -14,7 +14,7 @@
 const PORT: u16 = 7_000;
 const MIN_DELAY_MS: u64 = 1;
 const MAX_DELAY_MS: u64 = 12;
-/// Bytes that UDP and IP add to a datagram.
+/// The size of the UDP and IP headers of a datagram, in bytes.
 const HEADER_BYTES: u64 = 28;
 
 pub fn address(index: usize) -> PeerAddress {
@@ -26,7 +26,7 @@
     ZONES[index % ZONES.len()]
 }
 
-/// What one member sent.
+/// The traffic that one member sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Sent {
     pub datagrams: u64,
@@ -34,12 +34,12 @@
     pub bytes_between_zones: u64,
 }
 
-struct Node {
+struct SimulatedMember {
     swim: Option<Swim>,
     suspended: bool,
     socket_buffer: Vec<(usize, Vec<u8>)>,
     partition: usize,
-    /// Members whose datagrams do not arrive here.
+    /// Members whose datagrams do not reach this member.
     unreachable_from: Vec<usize>,
     sent: Sent,
 }
@@ -48,15 +48,15 @@
     pub now: Millis,
     pub settings: SwimSettings,
     pub loss_percent: u64,
-    nodes: Vec<Node>,
+    nodes: Vec<SimulatedMember>,
     in_flight: BinaryHeap<Reverse<(u64, u64, usize, usize)>>,
-    contents: BTreeMap<u64, Vec<u8>>,
+    bytes_in_flight: BTreeMap<u64, Vec<u8>>,
     last_sequence_number: u64,
     random: fastrand::Rng,
 }
 
 impl Network {
-    /// So many members that begin within 300 ms of each other, with the first of them as seeds.
+    /// Starts `count` members at the same time, with the first three of them as seeds.
     pub fn start(count: usize, loss_percent: u64, seed: u64) -> Network {
         let mut network = Network::empty(loss_percent, seed);
         for _ in 0..count {
@@ -72,16 +72,16 @@
             loss_percent,
             nodes: Vec::new(),
             in_flight: BinaryHeap::new(),
-            contents: BTreeMap::new(),
+            bytes_in_flight: BTreeMap::new(),
             last_sequence_number: 0,
             random: fastrand::Rng::with_seed(seed),
         }
     }
 
-    /// Adds a member; its index.
+    /// Adds a member, and returns its index.
     pub fn add(&mut self) -> usize {
         let index = self.nodes.len();
-        self.nodes.push(Node {
+        self.nodes.push(SimulatedMember {
             swim: None,
             suspended: false,
             socket_buffer: Vec::new(),
@@ -93,7 +93,7 @@
         index
     }
 
-    /// Starts another process in a member's place.
+    /// Starts a new process at a member's address.
     pub fn restart(&mut self, index: usize) {
         let role = match index % 4 {
             0 => Role::Core,
@@ -128,7 +128,7 @@
         self.nodes[index].suspended = true;
     }
 
-    /// Datagrams that arrived meanwhile are received at once, as from the buffer of a socket.
+    /// Ends a suspension: the member receives all datagrams that arrived meanwhile, as from a socket's buffer.
     pub fn resume(&mut self, index: usize) {
         self.nodes[index].suspended = false;
         for (from, bytes) in std::mem::take(&mut self.nodes[index].socket_buffer) {
@@ -136,12 +136,12 @@
         }
     }
 
-    /// Puts a member into a partition: datagrams pass only within one.
+    /// Moves a member to a partition: datagrams are delivered only within a partition.
     pub fn move_to_partition(&mut self, index: usize, partition: usize) {
         self.nodes[index].partition = partition;
     }
 
-    /// Breaks the link between two members, both ways.
+    /// Breaks the link between two members in both directions.
     pub fn break_link(&mut self, one: usize, other: usize) {
         self.nodes[one].unreachable_from.push(other);
         self.nodes[other].unreachable_from.push(one);
@@ -163,9 +163,11 @@
 
     /// Whether the live table of each of these members holds exactly these members.
     pub fn agree_on(&self, members: &[usize]) -> bool {
-        let mut wanted: Vec<PeerAddress> = members.iter().map(|index| address(*index)).collect();
-        wanted.sort();
-        members.iter().all(|index| self.table_of(*index) == wanted)
+        let mut expected: Vec<PeerAddress> = members.iter().map(|index| address(*index)).collect();
+        expected.sort();
+        members
+            .iter()
+            .all(|index| self.table_of(*index) == expected)
     }
 
     pub fn table_of(&self, index: usize) -> Vec<PeerAddress> {
@@ -177,10 +179,11 @@
             .collect()
     }
 
-    /// How many of these members consider that one present.
+    /// How many of the observers consider the member `of` present.
     pub fn observer_count(&self, observers: &[usize], of: usize) -> usize {
-        let holds = |index: &&usize| self.swim(**index).live_table().get(address(of)).is_some();
-        observers.iter().filter(holds).count()
+        let considers_present =
+            |index: &&usize| self.swim(**index).live_table().get(address(of)).is_some();
+        observers.iter().filter(considers_present).count()
     }
 
     pub fn sent(&self, index: usize) -> Sent {
@@ -193,7 +196,7 @@
             .for_each(|node| node.sent = Sent::default());
     }
 
-    /// Lets so many milliseconds pass.
+    /// Runs the network for this many milliseconds.
     pub fn run(&mut self, milliseconds: u64) {
         let end = self.now.plus(milliseconds);
         while self.now < end {
@@ -201,27 +204,28 @@
         }
     }
 
-    /// Runs until a condition holds, checked every 100 ms; the milliseconds that it took, none where it took longer.
-    pub fn run_until(&mut self, bound_ms: u64, holds: impl Fn(&Network) -> bool) -> Option<u64> {
-        let began = self.now;
-        while self.now.since(began) <= bound_ms {
-            if holds(self) {
-                return Some(self.now.since(began));
+    /// Runs until a condition holds, which is checked every 100 ms. Returns the elapsed milliseconds, or `None` if it took
+    /// longer than `max_ms`.
+    pub fn run_until(&mut self, max_ms: u64, condition: impl Fn(&Network) -> bool) -> Option<u64> {
+        let started_at = self.now;
+        while self.now.since(started_at) <= max_ms {
+            if condition(self) {
+                return Some(self.now.since(started_at));
             }
             self.run(100);
         }
         None
     }
 
-    /// A millisecond.
+    /// Runs the network for one millisecond.
     fn step(&mut self) {
         self.now = self.now.plus(1);
-        while let Some(Reverse((at, number, from, to))) = self.in_flight.peek().copied() {
-            if at > self.now.0 {
+        while let Some(Reverse((arrives_at, number, from, to))) = self.in_flight.peek().copied() {
+            if arrives_at > self.now.0 {
                 break;
             }
             self.in_flight.pop();
-            if let Some(bytes) = self.contents.remove(&number) {
+            if let Some(bytes) = self.bytes_in_flight.remove(&number) {
                 self.arrive(from, to, bytes);
             }
         }
@@ -243,8 +247,8 @@
     }
 
     fn arrive(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        let reaches = self.nodes[from].partition == self.nodes[to].partition;
-        if !reaches || self.nodes[to].unreachable_from.contains(&from) {
+        let same_partition = self.nodes[from].partition == self.nodes[to].partition;
+        if !same_partition || self.nodes[to].unreachable_from.contains(&from) {
             return;
         }
         match self.nodes[to].suspended {
@@ -255,7 +259,7 @@
 
     fn receive(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let now = self.now;
-        let datagram = Datagram::decode(bytes).expect("members send what can be read");
+        let datagram = Datagram::decode(bytes).expect("members send valid datagrams");
         let Some(swim) = self.nodes[to].swim.as_mut() else {
             return;
         };
@@ -269,14 +273,14 @@
             assert_eq!(
                 Datagram::decode(&bytes).as_ref(),
                 Ok(&datagram),
-                "no update was left out"
+                "the encoding omits no update"
             );
             let to = index_of(to);
-            let between = to.is_none_or(|to| zone_of(from) != zone_of(to));
+            let between_zones = to.is_none_or(|to| zone_of(from) != zone_of(to));
             let sent = &mut self.nodes[from].sent;
             sent.datagrams += 1;
             sent.bytes += bytes.len() as u64 + HEADER_BYTES;
-            sent.bytes_between_zones += if between {
+            sent.bytes_between_zones += if between_zones {
                 bytes.len() as u64 + HEADER_BYTES
             } else {
                 0
@@ -286,10 +290,11 @@
                 continue;
             };
             self.last_sequence_number += 1;
-            let at = self.now.0 + self.random.u64(MIN_DELAY_MS..=MAX_DELAY_MS);
+            let arrives_at = self.now.0 + self.random.u64(MIN_DELAY_MS..=MAX_DELAY_MS);
             self.in_flight
-                .push(Reverse((at, self.last_sequence_number, from, to)));
-            self.contents.insert(self.last_sequence_number, bytes);
+                .push(Reverse((arrives_at, self.last_sequence_number, from, to)));
+            self.bytes_in_flight
+                .insert(self.last_sequence_number, bytes);
         }
     }
 }
--- a/crates/cluster-membership/tests/convergence.rs
+++ b/crates/cluster-membership/tests/convergence.rs
@@ -1,4 +1,4 @@
-//! Once faults have ended, all running members agree that exactly the running members are present.
+//! After all faults have ended, the live tables of all running members hold exactly the running members.
 
 mod common;
 
@@ -18,7 +18,7 @@
     Resume(usize),
     Partition(u16),
     Join,
-    Pass(u64),
+    RunFor(u64),
 }
 
 impl Arbitrary for Fault {
@@ -32,17 +32,17 @@
             5 => Fault::Resume(index),
             6 => Fault::Partition(u16::arbitrary(random)),
             7 => Fault::Join,
-            _ => Fault::Pass(u64::from(u16::arbitrary(random)) % 20_000),
+            _ => Fault::RunFor(u64::from(u16::arbitrary(random)) % 20_000),
         }
     }
 }
 
 fn apply(network: &mut Network, fault: Fault) {
-    let runs = |network: &Network, index: usize| network.running().contains(&index);
+    let is_running = |network: &Network, index: usize| network.running().contains(&index);
     match fault {
         Fault::Kill(index) => network.kill(index),
         Fault::Restart(index) => network.restart(index),
-        Fault::Leave(index) if runs(network, index) => network.leave(index),
+        Fault::Leave(index) if is_running(network, index) => network.leave(index),
         Fault::Suspend(index) => network.suspend(index),
         Fault::Resume(index) => network.resume(index),
         Fault::Partition(mask) => {
@@ -52,12 +52,12 @@
         Fault::Join if network.running().len() < 2 * MEMBERS => {
             network.add();
         }
-        Fault::Pass(milliseconds) => network.run(milliseconds),
+        Fault::RunFor(milliseconds) => network.run(milliseconds),
         Fault::Leave(_) | Fault::Join => {}
     }
 }
 
-/// Ends all faults. At least one seed runs, since members find each other by seeds.
+/// Ends all faults. At least one seed has to run, since members find each other by seeds.
 fn end_all_faults(network: &mut Network) {
     (0..MEMBERS).for_each(|index| network.resume(index));
     apply(network, Fault::Partition(0));
@@ -68,8 +68,8 @@
 
 #[test]
 fn all_members_agree_after_any_faults() {
-    fn property(faults: Vec<Fault>, loss: u8, seed: u64) -> TestResult {
-        let mut network = Network::start(MEMBERS, u64::from(loss) % 21, seed);
+    fn property(faults: Vec<Fault>, loss_percent: u8, seed: u64) -> TestResult {
+        let mut network = Network::start(MEMBERS, u64::from(loss_percent) % 21, seed);
         network.run(5_000);
         for fault in faults.into_iter().take(30) {
             apply(&mut network, fault);
--- a/crates/cluster-membership/tests/datagrams.rs
+++ b/crates/cluster-membership/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! The form of datagrams on the wire.
+//! Encoding and decoding of datagrams.
 
 use lupinrack_cluster_api::frame::Role;
 use lupinrack_cluster_api::identity::PeerAddress;
@@ -93,11 +93,11 @@
 }
 
 quickcheck! {
-    fn garbage_is_refused(bytes: Vec<u8>) -> bool {
+    fn random_bytes_are_rejected(bytes: Vec<u8>) -> bool {
         Datagram::decode(&bytes).is_err()
     }
 
-    fn a_datagram_decodes_to_what_fits_of_it(any: AnyDatagram) -> bool {
+    fn a_datagram_decodes_to_itself_without_the_updates_that_do_not_fit(any: AnyDatagram) -> bool {
         let AnyDatagram(datagram) = any;
         let bytes = datagram.encode();
         let Ok(decoded) = Datagram::decode(&bytes) else { return false };
@@ -106,31 +106,31 @@
         same && bytes.len() <= MAX_DATAGRAM_BYTES && datagram.updates.starts_with(&decoded.updates)
     }
 
-    fn a_damaged_datagram_is_refused_or_decoded(any: AnyDatagram, at: usize, byte: u8, isolated: bool) -> bool {
+    fn a_corrupt_datagram_is_rejected_or_decoded_exactly(any: AnyDatagram, offset: usize, byte: u8, truncated: bool) -> bool {
         let mut bytes = any.0.encode();
-        let at = at % bytes.len();
-        if isolated {
-            bytes.truncate(at);
+        let offset = offset % bytes.len();
+        if truncated {
+            bytes.truncate(offset);
             return Datagram::decode(&bytes).is_err();
         }
-        bytes[at] = byte;
+        bytes[offset] = byte;
         match Datagram::decode(&bytes) {
             Ok(decoded) => decoded.encode() == bytes,
             Err(_) => true,
         }
     }
 
-    fn forged_datagrams_do_not_make_a_member_fail(datagrams: Vec<AnyDatagram>) -> bool {
+    fn a_member_survives_forged_datagrams(datagrams: Vec<AnyDatagram>) -> bool {
         let mut swim = swim();
         let mut now = Millis(1);
         for AnyDatagram(datagram) in datagrams {
             let sent = swim.receive(datagram.sender.address, datagram, now);
             now = now.plus(170);
-            let ticked = swim.tick(now);
-            let fits = |outgoing: &lupinrack_cluster_membership::Outgoing| {
+            let sent_by_tick = swim.tick(now);
+            let encodes_completely = |outgoing: &lupinrack_cluster_membership::Outgoing| {
                 Datagram::decode(&outgoing.datagram.encode()).as_ref() == Ok(&outgoing.datagram)
             };
-            if !sent.iter().chain(&ticked).all(fits) {
+            if !sent.iter().chain(&sent_by_tick).all(encodes_completely) {
                 return false;
             }
         }
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn datagrams_of_other_sizes_and_formats_are_refused() {
+fn datagrams_of_invalid_size_or_format_are_rejected() {
     let bytes = vec![1; MAX_DATAGRAM_BYTES + 1];
     assert_eq!(Datagram::decode(&bytes), Err(DatagramError::TooLarge));
     assert_eq!(Datagram::decode(&[]), Err(DatagramError::Malformed));
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_zone_with_too_long_a_name_is_refused() {
+fn a_datagram_with_a_too_long_zone_name_is_rejected() {
     let mut datagram = Datagram {
         sender: MemberUpdate {
             address: PeerAddress(SocketAddrV4::new([10, 0, 0, 2].into(), 7_000)),
--- a/crates/cluster-membership/tests/failure_detection.rs
+++ b/crates/cluster-membership/tests/failure_detection.rs
@@ -1,25 +1,28 @@
-//! Deaths, partitions and suspensions: what is detected when, and what is refuted.
+//! Detection of deaths and partitions, and refutation of suspicions after a suspension.
 
 mod common;
 
 use common::{address, zone_of, Network, ZONES};
 use lupinrack_cluster_membership::MemberState;
 
-/// How long all members together may take to detect a death, in milliseconds.
-const DETECTION_BOUND_MS: u64 = 40_000;
+/// The longest time in which all other members have to detect a death, in milliseconds.
+const MAX_DETECTION_MS: u64 = 40_000;
 
 #[test]
-fn a_death_is_detected_by_all_at_any_size_and_loss() {
+fn all_members_detect_a_death_at_any_size_and_loss() {
     for (count, loss_percent) in [(5, 0), (5, 30), (40, 10), (40, 30), (300, 0), (300, 10)] {
         let mut network = Network::start(count, loss_percent, 23);
         network.run(60_000);
         let victim = count - 1;
         network.kill(victim);
-        let rest = network.running();
-        let took = network.run_until(DETECTION_BOUND_MS, |network| {
-            network.observer_count(&rest, victim) == 0
+        let others = network.running();
+        let detected_after = network.run_until(MAX_DETECTION_MS, |network| {
+            network.observer_count(&others, victim) == 0
         });
-        assert!(took.is_some(), "{count} members, loss of {loss_percent} %");
+        assert!(
+            detected_after.is_some(),
+            "{count} members, loss of {loss_percent} %"
+        );
     }
 }
 
@@ -29,14 +32,15 @@
         let mut network = Network::start(20, 0, seed);
         network.run(20_000);
         network.kill(13);
-        let rest = network.running();
-        let took = network.run_until(20_000, |network| network.observer_count(&rest, 13) == 0);
-        assert!(took.is_some(), "seed {seed}");
+        let others = network.running();
+        let detected_after =
+            network.run_until(20_000, |network| network.observer_count(&others, 13) == 0);
+        assert!(detected_after.is_some(), "seed {seed}");
     }
 }
 
 #[test]
-fn without_loss_nobody_is_considered_dead() {
+fn without_loss_no_member_is_considered_dead() {
     let mut network = Network::start(40, 0, 29);
     network.run(20_000);
     let all = network.running();
@@ -47,7 +51,7 @@
 }
 
 #[test]
-fn at_a_loss_of_10_percent_nobody_is_considered_dead() {
+fn at_a_loss_of_10_percent_no_member_is_considered_dead() {
     for seed in 0..3 {
         let mut network = Network::start(40, 10, seed);
         network.run(40_000);
@@ -76,7 +80,7 @@
     let observations = seconds * count * count;
     assert!(
         missing * 1_000 < observations,
-        "{missing} of {observations} observations missed a member that runs"
+        "{missing} of {observations} observations lack a running member"
     );
 }
 
@@ -106,17 +110,17 @@
     network.run(20_000);
     network.move_to_partition(11, 1);
     let forgotten = network.run_until(600_000, |network| network.swim(11).members().count() == 0);
-    assert!(forgotten.is_some(), "all are forgotten");
-    // Machines 0 to 2 are the seeds.
+    assert!(forgotten.is_some(), "the member has not removed all others");
+    // Members 0 to 2 are the seeds.
     (0..3).for_each(|seed| network.kill(seed));
     network.move_to_partition(11, 0);
-    let rest = network.running();
-    let found = network.run_until(60_000, |network| network.agree_on(&rest));
-    assert!(found.is_some());
+    let others = network.running();
+    let reconnected_after = network.run_until(60_000, |network| network.agree_on(&others));
+    assert!(reconnected_after.is_some());
 }
 
 #[test]
-fn halves_that_forgot_each_other_reconnect_by_the_seeds() {
+fn sides_of_a_partition_that_removed_each_other_reconnect_by_seeds() {
     let mut network = Network::start(12, 0, 41);
     network.run(20_000);
     let all = network.running();
@@ -129,7 +133,7 @@
             .swim(11)
             .members()
             .all(|update| update.address != address(0)),
-        "forgotten"
+        "the other side has not been removed from the list"
     );
     for index in 6..12 {
         network.move_to_partition(index, 0);
@@ -140,10 +144,10 @@
 }
 
 #[test]
-fn the_partition_of_a_zone_is_detected() {
+fn a_partitioned_zone_is_detected_on_both_sides() {
     let mut network = Network::start(18, 0, 43);
     network.run(20_000);
-    let (isolated, rest): (Vec<usize>, Vec<usize>) = network
+    let (isolated, others): (Vec<usize>, Vec<usize>) = network
         .running()
         .iter()
         .partition(|index| zone_of(**index) == ZONES[1]);
@@ -151,7 +155,7 @@
         network.move_to_partition(*index, 1);
     }
     let detected = network.run_until(90_000, |network| {
-        network.agree_on(&rest) && network.agree_on(&isolated)
+        network.agree_on(&others) && network.agree_on(&isolated)
     });
     assert!(detected.is_some());
 }
@@ -165,15 +169,15 @@
         network.suspend(9);
         network.run(suspended_ms);
         network.resume(9);
-        let back = network.run_until(15_000, |network| network.agree_on(&all));
-        assert!(back.is_some(), "suspended for {suspended_ms} ms");
+        let refuted_after = network.run_until(15_000, |network| network.agree_on(&all));
+        assert!(refuted_after.is_some(), "suspended for {suspended_ms} ms");
         network.run(15_000);
-        assert!(network.agree_on(&all), "no later suspicion follows");
+        assert!(network.agree_on(&all), "a late suspicion spread");
     }
 }
 
 #[test]
-fn a_process_that_was_suspended_considers_nobody_dead() {
+fn a_process_that_was_suspended_considers_no_member_dead() {
     let mut network = Network::start(20, 0, 53);
     network.run(20_000);
     let all = network.running();
@@ -187,19 +191,19 @@
 }
 
 #[test]
-fn the_death_of_half_is_detected() {
+fn the_death_of_half_the_members_is_detected() {
     let mut network = Network::start(40, 0, 59);
     network.run(30_000);
     for index in (1..40).step_by(2) {
         network.kill(index);
     }
-    let rest = network.running();
-    let took = network.run_until(90_000, |network| network.agree_on(&rest));
-    assert!(took.is_some());
+    let others = network.running();
+    let detected_after = network.run_until(90_000, |network| network.agree_on(&others));
+    assert!(detected_after.is_some());
 }
 
 #[test]
-fn a_broken_link_makes_nobody_a_suspect() {
+fn a_broken_link_causes_no_suspicion() {
     let mut network = Network::start(12, 0, 71);
     network.run(20_000);
     network.break_link(3, 6);
@@ -213,7 +217,7 @@
                 .all(|update| update.state == MemberState::Alive);
             assert!(
                 alive,
-                "ping requests reach a member that pings do not reach"
+                "a member is suspected although ping requests reach it"
             );
         }
     }
--- a/crates/cluster-membership/tests/golden.rs
+++ b/crates/cluster-membership/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Datagrams byte for byte as they are kept in `tests/golden`, so that processes of different builds understand each
-//! other. `UPDATE_GOLDEN=1` writes the files.
+//! Compares encoded datagrams byte for byte with the files in `tests/golden`, so that processes of different builds can read
+//! each other's datagrams. `UPDATE_GOLDEN=1` writes the files.
 
 use lupinrack_cluster_api::frame::Role;
 use lupinrack_cluster_api::identity::{PeerAddress, ServiceName};
@@ -15,7 +15,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
 
-/// The files that the tests here build.
+/// The golden files of these tests.
 const FILES: [&str; 5] = [
     "datagrams.txt",
     "datagrams_of_swim.txt",
@@ -32,26 +32,26 @@
         .join("golden")
 }
 
-/// Compares entries with a golden file, which holds one `name: text` line for each, and returns the file's entries.
-fn check(file: &str, built: &[(String, String)]) -> Vec<(String, String)> {
+/// Compares entries with a golden file, which holds one `name: text` line per entry, and returns the file's entries.
+fn check(file: &str, entries: &[(String, String)]) -> Vec<(String, String)> {
     assert!(FILES.contains(&file), "{file} is not listed");
     let mut golden = GoldenFile::open(folder().join(file));
-    for (name, text) in built {
+    for (name, text) in entries {
         golden.add(name, text);
     }
-    let kept = golden.check();
-    built
+    let golden = golden.check();
+    entries
         .iter()
-        .map(|(name, _)| (name.clone(), kept.text(name).to_owned()))
+        .map(|(name, _)| (name.clone(), golden.text(name).to_owned()))
         .collect()
 }
 
-/// Checks that datagrams are encoded as the file says, and that the file decodes to them.
+/// Checks that datagrams are encoded as in the file, and that the file decodes to the datagrams.
 fn check_datagrams(file: &str, datagrams: &[(String, Datagram)]) {
     let encoded =
         |(name, datagram): &(String, Datagram)| (name.clone(), to_hex(&datagram.encode()));
-    let kept = check(file, &datagrams.iter().map(encoded).collect::<Vec<_>>());
-    for ((name, text), (_, datagram)) in kept.iter().zip(datagrams) {
+    let golden = check(file, &datagrams.iter().map(encoded).collect::<Vec<_>>());
+    for ((name, text), (_, datagram)) in golden.iter().zip(datagrams) {
         assert_eq!(
             Datagram::decode(&from_hex(text)).as_ref(),
             Ok(datagram),
@@ -75,7 +75,7 @@
     }
 }
 
-/// A member in every state.
+/// One member in each state.
 fn members_in_every_state() -> Vec<MemberUpdate> {
     let suspect = MemberState::Suspect {
         by: address(9, 7_009),
@@ -97,7 +97,7 @@
     ]
 }
 
-/// The name of an entry in the golden files, which were first written with these.
+/// The name of the message in the golden files, which keep the names of an earlier version.
 fn name_of_message(message: Message) -> &'static str {
     match message {
         Message::Ping { .. } => "probe",
@@ -129,7 +129,7 @@
     }
 }
 
-/// Every message: the digest, numbers and addresses differ from each other.
+/// Every kind of message, with sequence numbers and addresses that all differ.
 fn messages() -> [Message; 9] {
     [
         Message::Ping {
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn datagrams_keep_their_form() {
+fn encoded_datagrams_match_the_golden_file() {
     let datagram = |sender: MemberUpdate, message, updates| Datagram {
         sender,
         list_digest: 0x8182_8384_8586_8788,
@@ -210,7 +210,7 @@
     );
 }
 
-/// A member of the protocol at the first address, in zone `north`.
+/// The state machine of a member at the first address, in zone `north`.
 fn swim() -> Swim {
     let MemberUpdate {
         address,
@@ -233,8 +233,8 @@
     )
 }
 
-/// What a member sends back for this.
-fn answers(
+/// The datagrams that a member sends when it receives this message.
+fn responses_to(
     swim: &mut Swim,
     sender: &MemberUpdate,
     message: Message,
@@ -249,9 +249,10 @@
     swim.receive(sender.address, datagram, START)
 }
 
-/// Names each datagram by what it answers, its place and where it goes.
-fn named(what: &str, outgoing: Vec<Outgoing>) -> Vec<(String, Datagram)> {
-    let name = |(place, sent): (usize, &Outgoing)| format!("{what} {place} to {}", sent.to.0);
+/// Names each datagram by its cause, its position and its receiver.
+fn with_names(cause: &str, outgoing: Vec<Outgoing>) -> Vec<(String, Datagram)> {
+    let name =
+        |(position, sent): (usize, &Outgoing)| format!("{cause} {position} to {}", sent.to.0);
     let names: Vec<String> = outgoing.iter().enumerate().map(name).collect();
     names
         .into_iter()
@@ -259,16 +260,16 @@
         .collect()
 }
 
-/// Digests of membership lists, updates on answers, and pages: what other processes compare or rely on.
+/// Covers digests of membership lists, updates on responses, and pages: other processes compare them or rely on them.
 #[test]
-fn a_member_answers_in_the_same_bytes() {
+fn responses_of_a_member_match_the_golden_file() {
     let other = alive(11, Role::Frontend, "north");
     let mut swim = swim();
     let mut sent = Vec::new();
-    let mut record = |what: &str, outgoing| sent.extend(named(what, outgoing));
+    let mut record = |cause: &str, outgoing| sent.extend(with_names(cause, outgoing));
     record(
         "probe",
-        answers(
+        responses_to(
             &mut swim,
             &other,
             Message::Ping {
@@ -277,26 +278,26 @@
             &members_in_every_state(),
         ),
     );
-    let own = Message::PingRequest {
+    let to_itself = Message::PingRequest {
         sequence_number: 42,
         target: address(1, 7_000),
     };
     record(
         "request to probe itself",
-        answers(&mut swim, &other, own, &[]),
+        responses_to(&mut swim, &other, to_itself, &[]),
     );
-    let third = Message::PingRequest {
+    let relayed = Message::PingRequest {
         sequence_number: 43,
         target: address(12, 7_000),
     };
     record(
         "request to probe a suspect",
-        answers(&mut swim, &other, third, &[]),
+        responses_to(&mut swim, &other, relayed, &[]),
     );
     let suspect = alive(12, Role::Agent, "east");
     record(
         "answer to a relayed probe",
-        answers(
+        responses_to(
             &mut swim,
             &suspect,
             Message::Ack { sequence_number: 1 },
@@ -305,7 +306,7 @@
     );
     record(
         "contradicted probe",
-        answers(
+        responses_to(
             &mut swim,
             &suspect,
             Message::Ping {
@@ -314,19 +315,19 @@
             &[],
         ),
     );
-    let accused = MemberUpdate {
+    let own_death = MemberUpdate {
         state: MemberState::Dead,
         ..alive(1, Role::Core, "north")
     };
     record(
         "word of its own death",
-        answers(
+        responses_to(
             &mut swim,
             &other,
             Message::Ping {
                 sequence_number: 45,
             },
-            &[accused],
+            &[own_death],
         ),
     );
     let many: Vec<MemberUpdate> = (100..160)
@@ -334,16 +335,16 @@
         .collect();
     record(
         "news",
-        answers(&mut swim, &other, Message::UpdatesOnly, &many),
+        responses_to(&mut swim, &other, Message::UpdatesOnly, &many),
     );
     record(
         "first page",
-        answers(&mut swim, &other, Message::PageRequest { after: None }, &[]),
+        responses_to(&mut swim, &other, Message::PageRequest { after: None }, &[]),
     );
     let after = Some(address(140, 7_000));
     record(
         "page after an address",
-        answers(&mut swim, &other, Message::PageRequest { after }, &[]),
+        responses_to(&mut swim, &other, Message::PageRequest { after }, &[]),
     );
     check_datagrams("datagrams_of_swim.txt", &sent);
 
@@ -356,18 +357,18 @@
     assert_eq!(
         (pages.count(), last_pages.count()),
         (2, 1),
-        "one page is cut and one reaches the end"
+        "one page is cut off and one reaches the end of the list"
     );
 }
 
 #[test]
-fn a_member_that_leaves_says_so_in_the_same_bytes() {
+fn a_leaving_member_announces_that_it_has_left() {
     let other = alive(11, Role::Frontend, "north");
     let mut swim = swim();
-    answers(&mut swim, &other, Message::UpdatesOnly, &[]);
+    responses_to(&mut swim, &other, Message::UpdatesOnly, &[]);
     let notifications = swim.leave();
     let [Outgoing { to, datagram }] = notifications.as_slice() else {
-        panic!("one farewell, not {notifications:?}");
+        panic!("one notification, not {notifications:?}");
     };
     let own = MemberUpdate {
         incarnation: 0,
@@ -381,24 +382,24 @@
 }
 
 #[test]
-fn errors_keep_their_texts() {
+fn error_texts_match_the_golden_file() {
     let name = |error| match error {
         DatagramError::TooLarge => "too_large",
         DatagramError::UnknownFormat => "unknown_form",
         DatagramError::Malformed => "malformed",
     };
     let too_large = vec![1; MAX_DATAGRAM_BYTES + 1];
-    let refused = [too_large.as_slice(), &[2, 0], &[1, 0]];
-    let errors = refused.map(|bytes| Datagram::decode(bytes).expect_err("no datagram"));
+    let rejected = [too_large.as_slice(), &[2, 0], &[1, 0]];
+    let errors = rejected.map(|bytes| Datagram::decode(bytes).expect_err("no datagram"));
     check(
         "errors.txt",
         &errors.map(|error| (name(error).to_string(), error.to_string())),
     );
 }
 
-/// Which process is asked follows from the table alone, alike in every build.
+/// Every build has to select the same processes from the same table.
 #[test]
-fn homes_and_sources_of_views_stay_where_they_are() {
+fn home_fronts_and_view_sources_match_the_golden_file() {
     let member = |last, role, zone: &str| {
         let MemberUpdate {
             address,
@@ -443,9 +444,9 @@
     check("homes.txt", &entries);
 }
 
-/// All processes of a cluster should have the same, also while it is updated.
+/// All processes of a cluster should use the same values, also while the cluster is being updated.
 #[test]
-fn defaults_of_the_protocol_stay() {
+fn protocol_defaults_match_the_golden_file() {
     let SwimSettings {
         protocol_period_ms,
         ack_timeout_ms,
--- a/crates/cluster-membership/tests/joining.rs
+++ b/crates/cluster-membership/tests/joining.rs
@@ -1,34 +1,34 @@
-//! Members find one another: at the start, later, after a restart, and when they leave.
+//! Members join, restart and leave.
 
 mod common;
 
 use common::{address, Network};
 use quickcheck::{QuickCheck, TestResult};
 
-/// How long members that begin together may take to know one another, in milliseconds.
-fn join_bound_ms(count: usize) -> u64 {
+/// The longest time in which members that start together have to learn of each other, in milliseconds.
+fn max_join_ms(count: usize) -> u64 {
     10_000 + 250 * count as u64
 }
 
 fn assert_joins(count: usize, loss_percent: u64) {
     let mut network = Network::start(count, loss_percent, 11);
     let all = network.running();
-    let took = network.run_until(join_bound_ms(count), |network| network.agree_on(&all));
+    let agreed_after = network.run_until(max_join_ms(count), |network| network.agree_on(&all));
     assert!(
-        took.is_some(),
-        "{count} members did not all know one another at a loss of {loss_percent} %"
+        agreed_after.is_some(),
+        "{count} members did not all find each other at a loss of {loss_percent} %"
     );
 }
 
 #[test]
-fn five_members_find_one_another_at_any_loss() {
+fn five_members_find_each_other_at_any_loss() {
     for loss_percent in [0, 10, 20, 30] {
         assert_joins(5, loss_percent);
     }
 }
 
 #[test]
-fn many_members_find_one_another() {
+fn many_members_find_each_other() {
     assert_joins(40, 0);
     assert_joins(100, 10);
     assert_joins(300, 0);
@@ -42,13 +42,13 @@
 }
 
 #[test]
-fn members_know_one_another_at_random_sizes_and_losses() {
+fn members_find_each_other_at_random_sizes_and_losses() {
     fn property(count: u8, loss: u8, seed: u64) -> TestResult {
         let (count, loss_percent) = (2 + usize::from(count) % 30, u64::from(loss) % 31);
         let mut network = Network::start(count, loss_percent, seed);
         let all = network.running();
-        let took = network.run_until(60_000, |network| network.agree_on(&all));
-        TestResult::from_bool(took.is_some())
+        let agreed_after = network.run_until(60_000, |network| network.agree_on(&all));
+        TestResult::from_bool(agreed_after.is_some())
     }
     QuickCheck::new()
         .tests(25)
@@ -56,13 +56,13 @@
 }
 
 #[test]
-fn a_late_member_learns_of_all_and_all_of_it() {
+fn a_late_member_and_all_others_find_each_other() {
     let mut network = Network::start(60, 10, 5);
     network.run(30_000);
     network.add();
     let all = network.running();
-    let took = network.run_until(15_000, |network| network.agree_on(&all));
-    assert!(took.is_some());
+    let agreed_after = network.run_until(15_000, |network| network.agree_on(&all));
+    assert!(agreed_after.is_some());
 }
 
 #[test]
@@ -70,7 +70,7 @@
     for seed in 0..10 {
         let mut network = Network::start(12, 0, seed);
         network.run(15_000);
-        let process_before = network
+        let process_before_restart = network
             .swim(0)
             .live_table()
             .get(address(7))
@@ -83,7 +83,7 @@
             .live_table()
             .get(address(7))
             .map(|member| member.process_incarnation);
-        assert_ne!(process_incarnation, process_before);
+        assert_ne!(process_incarnation, process_before_restart);
         let all = network.running();
         let knows_new_process = |network: &Network| {
             let known = all.iter().map(|index| network.swim(*index).live_table());
@@ -96,12 +96,12 @@
                 .collect();
             processes.iter().all(|known| *known == process_incarnation)
         };
-        let took = network.run_until(15_000, knows_new_process);
-        assert!(took.is_some(), "seed {seed}");
+        let agreed_after = network.run_until(15_000, knows_new_process);
+        assert!(agreed_after.is_some(), "seed {seed}");
         network.run(30_000);
         assert!(
             network.agree_on(&all),
-            "the death of the predecessor is not attributed to the new process"
+            "the death of the predecessor is attributed to the new process"
         );
     }
 }
@@ -124,14 +124,14 @@
     let mut network = Network::start(30, 0, 13);
     network.run(30_000);
     network.leave(11);
-    let rest = network.running();
-    let took = network.run_until(6_000, |network| network.observer_count(&rest, 11) == 0);
-    assert!(took.is_some());
-    assert!(network.agree_on(&rest));
+    let others = network.running();
+    let agreed_after = network.run_until(6_000, |network| network.observer_count(&others, 11) == 0);
+    assert!(agreed_after.is_some());
+    assert!(network.agree_on(&others));
 }
 
 #[test]
-fn dead_members_are_forgotten_everywhere() {
+fn all_members_remove_a_dead_member_from_the_list() {
     let mut network = Network::start(20, 10, 17);
     network.run(20_000);
     network.kill(15);
@@ -145,20 +145,20 @@
 }
 
 #[test]
-fn lost_seeds_do_not_partition_the_others() {
+fn dead_seeds_do_not_partition_the_other_members() {
     let mut network = Network::start(15, 0, 19);
     network.run(15_000);
     for seed in 0..3 {
         network.kill(seed);
     }
-    let rest = network.running();
-    let took = network.run_until(30_000, |network| network.agree_on(&rest));
-    assert!(took.is_some());
+    let others = network.running();
+    let agreed_after = network.run_until(30_000, |network| network.agree_on(&others));
+    assert!(agreed_after.is_some());
     network.restart(0);
     let all = network.running();
-    let came_back = network.run_until(30_000, |network| network.agree_on(&all));
+    let agreed_after_return = network.run_until(30_000, |network| network.agree_on(&all));
     assert!(
-        came_back.is_some(),
-        "members ping seeds that are not present"
+        agreed_after_return.is_some(),
+        "no member pings the seed that returned"
     );
 }
--- a/crates/cluster-membership/tests/live_table.rs
+++ b/crates/cluster-membership/tests/live_table.rs
@@ -1,4 +1,4 @@
-//! Homes and view sources: every process with the same table chooses the same ones.
+//! Selection of home fronts and view sources: every process with the same table selects the same ones.
 
 use lupinrack_cluster_api::frame::Role;
 use lupinrack_cluster_api::identity::{PeerAddress, ServiceName};
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_zone_of_one_front_has_no_home() {
+fn a_zone_of_one_front_has_no_home_front() {
     let mut members = fronts([1], "east");
     members.extend(fronts([2, 3], "west"));
     members.push(member(4, Role::Core, "east"));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn services_spread_over_the_fronts_of_a_zone() {
+fn services_are_distributed_over_the_fronts_of_a_zone() {
     let table = LiveTable::new(fronts(1..=4, "east"));
     let mut homes = BTreeMap::new();
     for number in 0..400 {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn views_come_from_a_core_process_of_the_zone_or_a_front() {
+fn the_view_source_is_a_core_process_of_the_zone_or_else_a_front() {
     let mut members = fronts(1..=2, "east");
     let table = LiveTable::new(members.clone());
     let source = table.view_source("east", address(99));
@@ -71,7 +71,7 @@
 }
 
 quickcheck! {
-    fn the_order_of_members_does_not_matter(numbers: BTreeSet<u16>, shift: usize) -> bool {
+    fn the_table_does_not_depend_on_the_order_of_members(numbers: BTreeSet<u16>, shift: usize) -> bool {
         let members = fronts(numbers, "east");
         let mut shifted = members.clone();
         shifted.rotate_left(shift % members.len().max(1));
@@ -79,7 +79,7 @@
         one == other && one.home_front("east", None) == other.home_front("east", None)
     }
 
-    fn a_home_moves_only_when_it_disappears_or_to_a_new_front(numbers: BTreeSet<u16>, change: u16) -> bool {
+    fn a_home_front_moves_only_when_it_disappears_or_to_a_new_front(numbers: BTreeSet<u16>, change: u16) -> bool {
         let mut without = numbers.clone();
         without.remove(&change);
         if without.len() < 2 {
@@ -87,8 +87,8 @@
         }
         let mut with = without.clone();
         with.insert(change);
-        let few = LiveTable::new(fronts(without, "east")).home_front("east", None);
-        let more = LiveTable::new(fronts(with, "east")).home_front("east", None);
-        more == few || more == Some(address(change))
+        let home_without = LiveTable::new(fronts(without, "east")).home_front("east", None);
+        let home_with = LiveTable::new(fronts(with, "east")).home_front("east", None);
+        home_with == home_without || home_with == Some(address(change))
     }
 }
--- a/crates/cluster-membership/tests/state_machine.rs
+++ b/crates/cluster-membership/tests/state_machine.rs
@@ -1,4 +1,4 @@
-//! Rules of the state machine, one by one.
+//! Rules of the state machine, one per test.
 
 use lupinrack_cluster_api::frame::Role;
 use lupinrack_cluster_api::identity::PeerAddress;
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_suspicion_of_the_own_process_is_refuted_by_a_higher_incarnation() {
+fn a_suspected_member_refutes_by_a_higher_incarnation() {
     let mut swim = swim();
     let state = MemberState::Suspect { by: address(3) };
     let suspicion = MemberUpdate {
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_new_process_takes_a_higher_incarnation_than_its_predecessor() {
+fn a_new_process_announces_a_higher_incarnation_than_its_predecessor() {
     let mut swim = swim();
     let predecessor = MemberUpdate {
         process_incarnation: 900,
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_member_that_is_considered_dead_is_notified() {
+fn a_ping_of_a_dead_member_is_answered_with_the_update_about_its_death() {
     let mut swim = swim();
     deliver(&mut swim, 2, Message::UpdatesOnly, vec![alive(3)], 10);
     let death = MemberUpdate {
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn the_end_of_an_unknown_member_is_not_disseminated() {
+fn the_death_or_departure_of_an_unknown_member_is_not_disseminated() {
     let mut swim = swim();
     for state in [MemberState::Dead, MemberState::Left] {
         deliver(
@@ -259,10 +259,10 @@
 #[test]
 fn the_version_rises_only_with_changes_of_the_live_table() {
     let mut swim = swim();
-    let before = swim.version();
+    let version_before = swim.version();
     deliver(&mut swim, 2, Message::UpdatesOnly, Vec::new(), 10);
-    let joined = swim.version();
-    assert!(joined > before);
+    let version_after_join = swim.version();
+    assert!(version_after_join > version_before);
     let state = MemberState::Suspect { by: address(3) };
     deliver(
         &mut swim,
@@ -271,11 +271,15 @@
         vec![MemberUpdate { state, ..alive(2) }],
         20,
     );
-    assert_eq!(swim.version(), joined, "a suspect stays in the live table");
+    assert_eq!(
+        swim.version(),
+        version_after_join,
+        "a suspect stays in the live table"
+    );
 }
 
 #[test]
-fn the_time_of_a_suspension_does_not_count_against_a_suspect() {
+fn a_suspension_extends_the_timeout_of_suspicions() {
     let mut swim = swim();
     deliver(&mut swim, 2, Message::UpdatesOnly, vec![alive(3)], 10);
     let suspicion = MemberUpdate {
@@ -294,16 +298,16 @@
 }
 
 #[test]
-fn a_ping_from_before_a_suspension_makes_nobody_a_suspect() {
+fn a_ping_sent_before_a_suspension_causes_no_suspicion() {
     let mut swim = swim();
     deliver(&mut swim, 2, Message::UpdatesOnly, Vec::new(), 10);
-    let pinged = (100..2_000).step_by(50).map(Millis).find(|now| {
+    let pinged_at = (100..2_000).step_by(50).map(Millis).find(|now| {
         let sent = swim.tick(*now);
         sent.iter()
             .any(|outgoing| matches!(outgoing.datagram.message, Message::Ping { .. }))
     });
-    let pinged = pinged.expect("a ping in each period");
-    swim.tick(pinged.plus(30_000));
+    let pinged_at = pinged_at.expect("a ping in each period");
+    swim.tick(pinged_at.plus(30_000));
     let states: Vec<MemberState> = swim.members().map(|update| update.state).collect();
     assert_eq!(states, [MemberState::Alive]);
 }
--- a/crates/cluster-membership/tests/update_order.rs
+++ b/crates/cluster-membership/tests/update_order.rs
@@ -1,4 +1,4 @@
-//! Which of two updates about a member overrides the other.
+//! The rule for which of two updates about a member overrides the other.
 
 use lupinrack_cluster_api::frame::Role;
 use lupinrack_cluster_api::identity::PeerAddress;
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn within_an_incarnation_the_worse_state_overrides() {
+fn within_an_incarnation_the_state_of_higher_precedence_overrides() {
     let suspect = MemberState::Suspect { by: address(2) };
     let states = [
         MemberState::Alive,
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_end_of_one_process_says_nothing_about_another() {
+fn within_an_incarnation_the_higher_process_incarnation_overrides_any_state() {
     assert_overrides(
         &update(3, 9, MemberState::Alive),
         &update(3, 1, MemberState::Dead),
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn the_suspecting_member_does_not_matter_for_the_order() {
+fn the_order_does_not_depend_on_the_suspecting_member() {
     let by = |number| {
         update(
             3,
