--- a/crates/admin/src/call.rs
+++ b/crates/admin/src/call.rs
@@ -1,65 +1,66 @@
-//! What may be asked at the door, and how its line is read. No I/O.
+//! The calls of the admin interface and the parser of their lines. No I/O.
 
-/// The longest line, its end included.
-pub const LINE_MOST: usize = 256;
+/// Longest accepted line in bytes, the line end included.
+pub const MAX_LINE_BYTES: usize = 256;
 
-/// A call.
+/// A call to the admin interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     /// Whether this process is ready to serve.
     Status,
-    /// All figures.
+    /// All metrics.
     Stats,
-    /// What this front knows of its fleet, one JSON object.
+    /// What this front knows of its fleet, as one JSON object.
     Fleet,
 }
 
-/// Why a line is no call.
+/// Why a line is not a valid call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum NoCall {
-    /// Nothing stands in it.
+pub enum InvalidCall {
+    /// The line is empty.
     #[error("the line is empty")]
     Empty,
-    /// It is longer than any call.
-    #[error("the line is longer than {LINE_MOST} bytes")]
-    Long,
-    /// It is not text.
+    /// The line exceeds [`MAX_LINE_BYTES`].
+    #[error("the line is longer than {MAX_LINE_BYTES} bytes")]
+    TooLong,
+    /// The line is not UTF-8.
     #[error("the line is not UTF-8")]
-    Text,
-    /// It names no call.
+    NotUtf8,
+    /// The line names no known call.
     #[error("no such call; there are: status, stats, fleet")]
     Unknown,
-    /// It did not come whole in time.
+    /// The line was not complete before the parse timeout.
     #[error("no whole line in time")]
-    Late,
+    TimedOut,
 }
 
-/// A line on its way in.
+/// Accumulates the bytes of a line until it is complete.
 #[derive(Debug, Default)]
 pub struct Line(Vec<u8>);
 
 impl Line {
-    /// Takes bytes that came; no bytes are the end of what comes. The call, once the line is whole or cannot become one.
-    pub fn feed(&mut self, bytes: &[u8]) -> Option<Result<Call, NoCall>> {
+    /// Appends received bytes; an empty slice marks the end of the stream. Returns the parsed call once the line is complete
+    /// or has become invalid.
+    pub fn feed(&mut self, bytes: &[u8]) -> Option<Result<Call, InvalidCall>> {
         self.0.extend_from_slice(bytes);
         let end = self.0.iter().position(|b| *b == b'\n');
         let end = end.or(bytes.is_empty().then_some(self.0.len()));
         match end {
-            Some(end) if end < LINE_MOST => Some(read(&self.0[..end])),
-            None if self.0.len() < LINE_MOST => None,
-            _ => Some(Err(NoCall::Long)),
+            Some(end) if end < MAX_LINE_BYTES => Some(parse(&self.0[..end])),
+            None if self.0.len() < MAX_LINE_BYTES => None,
+            _ => Some(Err(InvalidCall::TooLong)),
         }
     }
 }
 
-fn read(line: &[u8]) -> Result<Call, NoCall> {
-    let line = std::str::from_utf8(line).map_err(|_| NoCall::Text)?;
+fn parse(line: &[u8]) -> Result<Call, InvalidCall> {
+    let line = std::str::from_utf8(line).map_err(|_| InvalidCall::NotUtf8)?;
     match line.trim() {
-        "" => Err(NoCall::Empty),
+        "" => Err(InvalidCall::Empty),
         "status" => Ok(Call::Status),
         "stats" => Ok(Call::Stats),
         "fleet" => Ok(Call::Fleet),
-        _ => Err(NoCall::Unknown),
+        _ => Err(InvalidCall::Unknown),
     }
 }
 
@@ -67,42 +68,42 @@
 mod tests {
     use super::*;
 
-    fn whole(pieces: &[&[u8]]) -> Option<Result<Call, NoCall>> {
+    fn feed_all(chunks: &[&[u8]]) -> Option<Result<Call, InvalidCall>> {
         let mut line = Line::default();
-        pieces.iter().find_map(|p| line.feed(p))
+        chunks.iter().find_map(|p| line.feed(p))
     }
 
     #[test]
-    fn a_line_may_come_in_pieces_with_either_end() {
+    fn a_line_may_arrive_in_chunks_and_end_with_lf_crlf_or_end_of_stream() {
         assert_eq!(
-            whole(&[b"sta", b"tus", b"\r", b"\n"]),
+            feed_all(&[b"sta", b"tus", b"\r", b"\n"]),
             Some(Ok(Call::Status))
         );
         assert_eq!(
-            whole(&[b"stats\nmore that nobody reads"]),
+            feed_all(&[b"stats\nmore that nobody reads"]),
             Some(Ok(Call::Stats))
         );
         assert_eq!(
-            whole(&[b"stats", b""]),
+            feed_all(&[b"stats", b""]),
             Some(Ok(Call::Stats)),
-            "its end is the end of what comes"
+            "the end of the stream ends the line"
         );
-        assert_eq!(whole(&[b"stat"]), None);
+        assert_eq!(feed_all(&[b"stat"]), None);
     }
 
     #[test]
-    fn what_is_no_call_says_why() {
-        let long = [b'a'; LINE_MOST];
-        for (pieces, why) in [
-            (&[b"\r\n" as &[u8]][..], NoCall::Empty),
-            (&[b""], NoCall::Empty),
-            (&[b"reboot\n"], NoCall::Unknown),
-            (&[b"STATUS\n"], NoCall::Unknown),
-            (&[b"\xff\xfe\n"], NoCall::Text),
-            (&[&long], NoCall::Long),
-            (&[&long[1..], b"\n"], NoCall::Unknown),
+    fn an_invalid_line_reports_why() {
+        let long = [b'a'; MAX_LINE_BYTES];
+        for (chunks, error) in [
+            (&[b"\r\n" as &[u8]][..], InvalidCall::Empty),
+            (&[b""], InvalidCall::Empty),
+            (&[b"reboot\n"], InvalidCall::Unknown),
+            (&[b"STATUS\n"], InvalidCall::Unknown),
+            (&[b"\xff\xfe\n"], InvalidCall::NotUtf8),
+            (&[&long], InvalidCall::TooLong),
+            (&[&long[1..], b"\n"], InvalidCall::Unknown),
         ] {
-            assert_eq!(whole(pieces), Some(Err(why)), "{pieces:?}");
+            assert_eq!(feed_all(chunks), Some(Err(error)), "{chunks:?}");
         }
     }
 }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,14 +1,14 @@
-//! The operators' door: a second address, one line a connection, one answer.
+//! The admin interface for operators: a second listener that reads one line per connection and writes one answer.
 //!
-//! Callers without a whole line are bounded in number and time. When all places are taken, the one that has waited for the
-//! longest makes way, so that a whole call never stands behind a silent one.
+//! Connections that have not sent a complete line are limited in number and time. When all slots are taken, the oldest of
+//! them is closed, so that idle connections cannot block a complete call.
 #![warn(missing_docs)]
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub)]
 
 pub mod call;
 
-use call::{Call, Line, NoCall};
+use call::{Call, InvalidCall, Line};
 use std::collections::VecDeque;
 use std::future::Future;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
@@ -19,101 +19,109 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// The most callers at once.
-pub const CALLERS_MOST: usize = 32;
-/// How long a line may take to come whole.
-const WHOLE: Duration = Duration::from_secs(2);
-/// How long an answer may take to leave.
-const LEAVE: Duration = Duration::from_secs(1);
-/// The wait after an accept that failed.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Most connections open at once.
+pub const MAX_CONNECTIONS: usize = 32;
+/// Timeout for receiving a complete line.
+const LINE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout for writing the answer.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Wait after a failed accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// What a call is answered with.
+/// The answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// Yes, with a word.
-    Yes(&'static str),
-    /// No, with the reason.
-    No(String),
-    /// Lines, and `EOF` behind them.
+    /// Success, with a one-word status.
+    Ok(&'static str),
+    /// Failure, with the reason.
+    Error(String),
+    /// Success, with lines that end with `EOF`.
     Lines(String),
 }
 
 impl Answer {
     fn text(&self) -> String {
         match self {
-            Answer::Yes(word) => format!("200 {word}\n"),
-            Answer::No(why) => format!("400 {why}\n"),
-            // An empty set is no answer to a call for figures.
+            Answer::Ok(status) => format!("200 {status}\n"),
+            Answer::Error(reason) => format!("400 {reason}\n"),
+            // A call for metrics that yields none is an error.
             Answer::Lines(lines) if lines.is_empty() => "400 there are no figures\n".into(),
             Answer::Lines(lines) => format!("200 OK\n{lines}EOF\n"),
         }
     }
 }
 
-struct Caller {
-    heard: Arc<AtomicBool>,
+struct Connection {
+    line_received: Arc<AtomicBool>,
     task: AbortHandle,
 }
 
-/// Answers calls for as long as it is polled.
+/// Accepts connections and answers calls for as long as the future is polled.
 pub async fn run<F, A>(listener: TcpListener, answer: F)
 where
     F: Fn(Call) -> A + Clone + Send + 'static,
     A: Future<Output = Answer> + Send + 'static,
 {
-    let mut callers: VecDeque<Caller> = VecDeque::new();
+    let mut connections: VecDeque<Connection> = VecDeque::new();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(ACCEPT_BACKOFF).await;
             continue;
         };
-        callers.retain(|c| !c.task.is_finished());
-        if callers.len() >= CALLERS_MOST {
-            // One that has been heard is answered in a moment and keeps its place while another can go.
-            let at = callers
+        connections.retain(|c| !c.task.is_finished());
+        if connections.len() >= MAX_CONNECTIONS {
+            // A connection whose line is complete is answered shortly: evict one that still has to send its line, if any.
+            let evicted = connections
                 .iter()
-                .position(|c| !c.heard.load(Relaxed))
+                .position(|c| !c.line_received.load(Relaxed))
                 .unwrap_or(0);
-            if let Some(caller) = callers.remove(at) {
-                caller.task.abort();
+            if let Some(connection) = connections.remove(evicted) {
+                connection.task.abort();
             }
         }
-        let heard = Arc::new(AtomicBool::new(false));
-        let task = tokio::spawn(one(stream, answer.clone(), heard.clone())).abort_handle();
-        callers.push_back(Caller { heard, task });
+        let line_received = Arc::new(AtomicBool::new(false));
+        let task = tokio::spawn(serve_connection(
+            stream,
+            answer.clone(),
+            line_received.clone(),
+        ))
+        .abort_handle();
+        connections.push_back(Connection {
+            line_received,
+            task,
+        });
     }
 }
 
-async fn one<F, A>(mut stream: TcpStream, answer: F, heard: Arc<AtomicBool>)
+async fn serve_connection<F, A>(mut stream: TcpStream, answer: F, line_received: Arc<AtomicBool>)
 where
     F: Fn(Call) -> A,
     A: Future<Output = Answer>,
 {
     let _ = stream.set_nodelay(true);
-    let call = timeout(WHOLE, hear(&mut stream))
+    let call = timeout(LINE_TIMEOUT, read_call(&mut stream))
         .await
-        .unwrap_or(Err(NoCall::Late));
-    heard.store(true, Relaxed);
+        .unwrap_or(Err(InvalidCall::TimedOut));
+    line_received.store(true, Relaxed);
     let answer = match call {
         Ok(call) => answer(call).await,
-        Err(why) => Answer::No(why.to_string()),
+        Err(reason) => Answer::Error(reason.to_string()),
     };
-    let said = async {
+    let write = async {
         stream.write_all(answer.text().as_bytes()).await?;
         stream.shutdown().await
     };
-    if !matches!(timeout(LEAVE, said).await, Ok(Ok(()))) {
-        tracing::debug!("a caller at the door took no answer");
+    if !matches!(timeout(WRITE_TIMEOUT, write).await, Ok(Ok(()))) {
+        tracing::debug!("failed to write the answer to an admin call");
     }
 }
 
-async fn hear(stream: &mut TcpStream) -> Result<Call, NoCall> {
-    let (mut line, mut bytes) = (Line::default(), [0; call::LINE_MOST]);
+async fn read_call(stream: &mut TcpStream) -> Result<Call, InvalidCall> {
+    let (mut line, mut buffer) = (Line::default(), [0; call::MAX_LINE_BYTES]);
     loop {
-        // A connection that broke says no more than one that ended.
-        let n = stream.read(&mut bytes).await.unwrap_or(0);
-        if let Some(call) = line.feed(&bytes[..n]) {
+        // A read error is treated like the end of the stream.
+        let n = stream.read(&mut buffer).await.unwrap_or(0);
+        if let Some(call) = line.feed(&buffer[..n]) {
             return call;
         }
     }
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -1,5 +1,5 @@
-//! The demo: a process of the program, stand-in nodes and a stand-in discovery on loopback, and a short mixed load: reads, new
-//! writes, bulk reads, one volume over its limit, one node that drains half-way.
+//! The demo: one front process, mock nodes and a mock discovery service on loopback, and a short mixed load: reads, new
+//! writes, bulk reads, one volume over its limit, and one node that drains half-way.
 #![warn(missing_docs)]
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub)]
@@ -31,123 +31,132 @@
     pub json: bool,
 }
 
-/// What came of it.
+/// The report of a demo run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Figures {
+pub struct Report {
     /// The seed.
     pub seed: u64,
-    /// What came of the requests.
+    /// Numbers of requests by result.
     #[serde(flatten)]
     pub tally: Tally,
-    /// New writes that ran more than once.
+    /// New writes that were executed more than once.
     pub duplicates: u64,
-    /// Of all served: the median from the first byte sent to the last byte of the answer, in milliseconds.
+    /// Median latency of the served requests in milliseconds, from the first byte sent to the last byte of the response.
     pub p50_ms: f64,
-    /// The same, 99th percentile.
+    /// The 99th percentile of the same latency.
     pub p99_ms: f64,
 }
 
-/// Nodes of the demo, a shard each; the first drains half-way and its successor takes over the shard.
-const NODES: u32 = 4;
-/// Requests a second.
-const RATE: u64 = 150;
-/// The volume that asks for many times its limit.
-const GREEDY: u64 = 3;
+/// Number of nodes, one shard each. The first drains half-way and its successor takes over its shard.
+const NODE_COUNT: u32 = 4;
+/// Request rate.
+const REQUESTS_PER_SECOND: u64 = 150;
+/// The volume whose load is many times its limit.
+const GREEDY_VOLUME: u64 = 3;
 
-impl Figures {
-    /// As a table.
+impl Report {
+    /// Formats the report as a table.
     pub fn table(&self) -> String {
-        let f = self;
+        let report = self;
         let mut text = format!(
-            "seed {}: {} requests through one front to {NODES} nodes\n\n",
-            f.seed, f.tally.requests
+            "seed {}: {} requests through one front to {NODE_COUNT} nodes\n\n",
+            report.seed, report.tally.requests
         );
         for (name, count) in [
-            ("served", f.tally.served),
-            ("refused", f.tally.refused),
-            ("failed", f.tally.failed),
-            ("lost", f.tally.lost),
-            ("duplicated new writes", f.duplicates),
+            ("served", report.tally.served),
+            ("refused", report.tally.refused),
+            ("failed", report.tally.failed),
+            ("lost", report.tally.lost),
+            ("duplicated new writes", report.duplicates),
         ] {
             text += &format!("{name:<24}{count:>8}\n");
         }
-        for (name, ms) in [("median latency", f.p50_ms), ("99th percentile", f.p99_ms)] {
+        for (name, ms) in [
+            ("median latency", report.p50_ms),
+            ("99th percentile", report.p99_ms),
+        ] {
             text += &format!("{name:<24}{ms:>8.1} ms\n");
         }
         text
     }
 }
 
-/// Plays it with this program.
-pub async fn play(demo: &Demo, program: PathBuf) -> Result<Figures, RigError> {
+/// Runs the demo with this program as the front.
+pub async fn run(demo: &Demo, program: PathBuf) -> Result<Report, RigError> {
     let seed = demo.seed.unwrap_or_else(|| fastrand::u64(..));
-    let mut dice = fastrand::Rng::with_seed(seed);
+    let mut rng = fastrand::Rng::with_seed(seed);
     let mut stage = Stage::new(program).await?;
-    // One node for each shard, and the successor of the first, which is not listed yet.
-    for i in 0..=NODES {
+    // One node per shard, and the successor of the first, which is not listed yet.
+    for i in 0..=NODE_COUNT {
         stage
             .node(Manner {
-                shard: i % NODES,
-                seed: dice.u64(..),
+                shard: i % NODE_COUNT,
+                seed: rng.u64(..),
                 ..Manner::default()
             })
             .await?;
     }
-    for i in 0..NODES as usize {
+    for i in 0..NODE_COUNT as usize {
         stage.list(i, "SERVING");
     }
-    let config = configuration("demo", stage.discovery.address, dice.u64(..), 1);
+    let config = configuration("demo", stage.discovery.address, rng.u64(..), 1);
     let front = stage.front(0, config, String::new()).await?;
-    let Some(at) = front.listens.clients else {
-        return Err(RigError::Script("nothing listens".into()));
+    let Some(client_address) = front.listens.clients else {
+        return Err(RigError::Script(
+            "the front reported no client address".into(),
+        ));
     };
 
-    let began = Instant::now();
-    let span = Duration::from_secs(demo.seconds);
-    let (clients, mut asked) = (Clients::default(), JoinSet::new());
-    let (mut figures, mut latency) = (
-        Figures {
+    let started = Instant::now();
+    let duration = Duration::from_secs(demo.seconds);
+    let (clients, mut requests) = (Clients::default(), JoinSet::new());
+    let (mut report, mut latency) = (
+        Report {
             seed,
-            ..Figures::default()
+            ..Report::default()
         },
         Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(std::io::Error::other)?,
     );
     let mut drained = false;
-    let total = RATE * demo.seconds;
-    // Evenly spread with some chance, so that requests bunch as they do in service.
+    let total = REQUESTS_PER_SECOND * demo.seconds;
+    // Evenly spread with random jitter, so that requests come in small bursts as in production.
     for number in 0..total {
-        let due = span.mul_f64((number as f64 + dice.f64()) / total as f64);
-        sleep_until(began + due).await;
-        if !drained && due * 2 >= span {
+        let send_at = duration.mul_f64((number as f64 + rng.f64()) / total as f64);
+        sleep_until(started + send_at).await;
+        if !drained && send_at * 2 >= duration {
             drained = true;
-            stage.list(NODES as usize, "SERVING");
+            stage.list(NODE_COUNT as usize, "SERVING");
             stage.list(0, "DRAINING");
         }
-        let (clients, ask) = (clients.clone(), ask(&mut dice, number));
-        asked.spawn(async move { clients.ask(at, &ask).await });
-        while let Some(Ok((came, after))) = asked.try_join_next() {
-            if figures.tally.count(came) {
-                latency.saturating_record(after.as_micros() as u64);
+        let (clients, ask) = (clients.clone(), ask(&mut rng, number));
+        requests.spawn(async move { clients.ask(client_address, &ask).await });
+        while let Some(Ok((result, elapsed))) = requests.try_join_next() {
+            if report.tally.count(result) {
+                latency.saturating_record(elapsed.as_micros() as u64);
             }
         }
     }
-    while let Some(came) = asked.join_next().await {
-        let (came, after) = came.map_err(std::io::Error::other)?;
-        if figures.tally.count(came) {
-            latency.saturating_record(after.as_micros() as u64);
+    while let Some(joined) = requests.join_next().await {
+        let (result, elapsed) = joined.map_err(std::io::Error::other)?;
+        if report.tally.count(result) {
+            latency.saturating_record(elapsed.as_micros() as u64);
         }
     }
     stage.end(front).await?;
-    figures.duplicates = stage.duplicates();
-    figures.p50_ms = latency.value_at_quantile(0.5) as f64 / 1000.0;
-    figures.p99_ms = latency.value_at_quantile(0.99) as f64 / 1000.0;
-    Ok(figures)
+    report.duplicates = stage.duplicates();
+    report.p50_ms = latency.value_at_quantile(0.5) as f64 / 1000.0;
+    report.p99_ms = latency.value_at_quantile(0.99) as f64 / 1000.0;
+    Ok(report)
 }
 
-fn ask(dice: &mut fastrand::Rng, number: u64) -> Ask {
-    let greedy = dice.u32(0..3) == 0;
-    let volume = if greedy { GREEDY } else { 10 + dice.u64(0..12) };
-    let mixed = mix(dice);
+fn ask(rng: &mut fastrand::Rng, number: u64) -> Ask {
+    let greedy = rng.u32(0..3) == 0;
+    let volume = if greedy {
+        GREEDY_VOLUME
+    } else {
+        10 + rng.u64(0..12)
+    };
+    let mixed = mix(rng);
     let (class, writes, units) = if greedy { ("read", false, 4) } else { mixed };
     Ask {
         id: format!("{number:016x}"),
@@ -159,12 +168,12 @@
             "priority"
         },
         volume,
-        key: 1 + dice.u64(0..1 << 40),
+        key: 1 + rng.u64(0..1 << 40),
         units,
         shard: if writes {
             -1
         } else {
-            i64::from(dice.u32(0..NODES))
+            i64::from(rng.u32(0..NODE_COUNT))
         },
         hosts: 1,
         deadline: Duration::from_secs(if class == "read" { 2 } else { 4 }),
--- a/crates/demo/tests/golden.rs
+++ b/crates/demo/tests/golden.rs
@@ -1,12 +1,12 @@
-//! A golden file of `lupinrack demo --json`.
+//! Golden file of `lupinrack demo --json`.
 
-use lupinrack_demo::Figures;
+use lupinrack_demo::Report;
 use lupinrack_golden_files::{check_text, path};
 use mock_servers::load::Tally;
 
 #[test]
-fn the_report_keeps_its_form() {
-    let figures = Figures {
+fn the_report_matches_the_golden_file() {
+    let report = Report {
         seed: 1,
         tally: Tally {
             requests: 2,
@@ -21,6 +21,6 @@
     };
     check_text(
         path!("report.json"),
-        &(serde_json::to_string(&figures).unwrap() + "\n"),
+        &(serde_json::to_string(&report).unwrap() + "\n"),
     );
 }
--- a/crates/http/src/accept.rs
+++ b/crates/http/src/accept.rs
@@ -20,7 +20,7 @@
 use hyper_util::service::TowerToHyperService;
 use lupinrack_front_settings::FrontSettings;
 use lupinrack_graceful_shutdown::{reached, Phase};
-use lupinrack_metrics::{End, Figures, Life};
+use lupinrack_metrics::{Metrics, RequestGuard, RequestResult};
 use lupinrack_request_engine::EngineHandle;
 use std::convert::Infallible;
 use std::future::Future;
@@ -62,7 +62,7 @@
     /// The memory for large bodies.
     pub memory: MemoryPool,
     /// The metrics of requests.
-    pub figures: Figures,
+    pub metrics: Metrics,
     /// From this phase on no connection is accepted, and each response is the last on its connection.
     pub close_phase: Phase,
 }
@@ -184,13 +184,14 @@
 
 /// Handles one client request, up to its final response.
 async fn handle_request(State(front): State<Front>, request: AxumRequest) -> Response<Body> {
-    let mut life = None;
+    let mut request_guard = None;
     let connection = request.extensions().get::<ClientConnection>().cloned();
-    let mut response = match admit(&front, request, &mut life).await {
+    let mut response = match admit(&front, request, &mut request_guard).await {
         Ok(final_response) => match final_response.await {
             Ok(FinalResponse::Complete(response)) => response,
             Ok(FinalResponse::Streamed(body)) => {
-                let mut response = Response::new(Body::new(body.with(life.take(), connection)));
+                let mut response =
+                    Response::new(Body::new(body.with(request_guard.take(), connection)));
                 response.extensions_mut().insert(IsStreamed);
                 response
             }
@@ -207,11 +208,13 @@
             )
         }
     };
-    if let Some(life) = life {
-        life.end(match response.status() {
-            StatusCode::OK => End::Success,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => End::Overload,
-            _ => End::Error,
+    if let Some(request_guard) = request_guard {
+        request_guard.finish(match response.status() {
+            StatusCode::OK => RequestResult::Success,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
+                RequestResult::Overload
+            }
+            _ => RequestResult::Error,
         });
     }
     if *front.phase.borrow() >= front.close_phase {
@@ -226,7 +229,7 @@
 async fn admit(
     front: &Front,
     request: AxumRequest,
-    life: &mut Option<Life>,
+    request_guard: &mut Option<RequestGuard>,
 ) -> Result<oneshot::Receiver<FinalResponse>, IntakeError> {
     let (parts, body) = request.into_parts();
     let connection = parts.extensions.get::<ClientConnection>().cloned();
@@ -242,7 +245,7 @@
         .classes
         .get(usize::from(policy_request.class))
         .map_or("", String::as_str);
-    let life = life.insert(front.figures.life(class));
+    let request_guard = request_guard.insert(front.metrics.start_request(class));
     let forwarded = tokio::select! {
         // A body that is complete counts as received in time, however late this task was polled.
         biased;
@@ -250,7 +253,7 @@
         () = request_timed_out(connection.clone()) => return Err(IntakeError::BodyTimeout),
     };
     // The request's deadline and latency run from its last byte, however slowly it arrived.
-    life.taken();
+    request_guard.received();
     policy_request.client_deadline = front.engine.clock.now() + time_to_deadline.as_micros() as i64;
     let open_id = front
         .ids
--- a/crates/http/src/streamed_response.rs
+++ b/crates/http/src/streamed_response.rs
@@ -4,7 +4,7 @@
 use crate::upstream::ResponseTruncated;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
-use lupinrack_metrics::{End, Life};
+use lupinrack_metrics::{RequestGuard, RequestResult};
 use std::collections::VecDeque;
 use std::pin::Pin;
 use std::task::{ready, Context, Poll};
@@ -17,7 +17,7 @@
     chunks: mpsc::Receiver<Result<Bytes, ResponseTruncated>>,
     remaining_bytes: Option<u64>,
     complete: bool,
-    life: Option<Life>,
+    request_guard: Option<RequestGuard>,
     connection: Option<ClientConnection>,
 }
 
@@ -33,7 +33,7 @@
             chunks,
             remaining_bytes: length,
             complete: false,
-            life: None,
+            request_guard: None,
             connection: None,
         }
     }
@@ -41,10 +41,10 @@
     /// Sets the metrics of the request and the client's connection, which both learn the end of the response.
     pub fn with(
         mut self,
-        life: Option<Life>,
+        request_guard: Option<RequestGuard>,
         connection: Option<ClientConnection>,
     ) -> StreamedResponse {
-        (self.life, self.connection) = (life, connection);
+        (self.request_guard, self.connection) = (request_guard, connection);
         self
     }
 }
@@ -86,8 +86,8 @@
 
 impl Drop for StreamedResponse {
     fn drop(&mut self) {
-        if let Some(life) = self.life.take().filter(|_| self.complete) {
-            life.end(End::Success);
+        if let Some(request_guard) = self.request_guard.take().filter(|_| self.complete) {
+            request_guard.finish(RequestResult::Success);
         }
         if let Some(connection) = self.connection.take() {
             connection.finish_request();
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -20,7 +20,7 @@
 use hyper::body::{Body, Incoming};
 use lupinrack_extent_map::Version;
 use lupinrack_front_settings::{micros, FrontSettings};
-use lupinrack_metrics::Figures;
+use lupinrack_metrics::Metrics;
 use lupinrack_policy::*;
 use lupinrack_request_engine::{Attempt, Clock};
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
     pool: ConnectionPool,
     clock: Clock,
     load_columns: std::sync::Arc<[String]>,
-    figures: Figures,
+    metrics: Metrics,
     memory: MemoryPool,
 }
 
@@ -117,7 +117,7 @@
         clock: Clock,
         max_connections: usize,
         memory: MemoryPool,
-        figures: Figures,
+        metrics: Metrics,
     ) -> Self {
         let duration = |us: Micros| Duration::from_micros(us.max(1) as u64);
         let pool = ConnectionPool::new(
@@ -129,7 +129,7 @@
             pool,
             clock,
             load_columns: settings.load_columns.clone().into(),
-            figures,
+            metrics,
             memory,
         }
     }
@@ -187,7 +187,7 @@
         let outgoing = OutgoingRequest::Attempt {
             request,
             permit: attempt.permit,
-            figures: self.figures.clone(),
+            metrics: self.metrics.clone(),
         };
         let result = match self.exchange(&mut connection, outgoing, timeout).await {
             Ok(Collected::TimedOut) => {
--- a/crates/http/src/upstream_connection.rs
+++ b/crates/http/src/upstream_connection.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
-use lupinrack_metrics::Figures;
+use lupinrack_metrics::Metrics;
 use lupinrack_request_engine::SendPermit;
 use std::collections::HashMap;
 use std::future::Future;
@@ -68,7 +68,7 @@
     /// Whether the whole request was handed to the operating system.
     flushed: bool,
     /// Counts the request once it is flushed.
-    dispatch_counter: Option<Figures>,
+    dispatch_counter: Option<Metrics>,
     read: usize,
     /// The most bytes that may be read. A streamed response is limited by its reader instead.
     max_read: usize,
@@ -225,8 +225,8 @@
         let mut progress = self.0.progress();
         progress.flushed = progress.written > 0;
         if progress.flushed {
-            if let Some(figures) = progress.dispatch_counter.take() {
-                figures.dispatched();
+            if let Some(metrics) = progress.dispatch_counter.take() {
+                metrics.record_dispatch();
             }
         }
         Poll::Ready(Ok(()))
@@ -246,7 +246,7 @@
         /// Permits this one send and is used up by it.
         permit: SendPermit,
         /// Counts the request once it is handed to the operating system.
-        figures: Figures,
+        metrics: Metrics,
     },
     /// A health probe. It needs no permit, since it may be repeated.
     Probe(http::Request<Full<Bytes>>),
@@ -296,8 +296,8 @@
             OutgoingRequest::Attempt {
                 request,
                 permit: SendPermit { .. },
-                figures,
-            } => (request, Some(figures)),
+                metrics,
+            } => (request, Some(metrics)),
             OutgoingRequest::Probe(request) => (request, None),
         };
         *self.stream.progress() = Progress {
--- a/crates/lupinrack/src/cli.rs
+++ b/crates/lupinrack/src/cli.rs
@@ -1,11 +1,11 @@
-//! The command line: its words, its log, and the way to each command.
+//! The command line: arguments, logging, and dispatch to the commands.
 //!
-//! Exit codes: 0 good, 1 failed while running (or a promise was broken), 2 wrong input.
+//! Exit codes: 0 success, 1 failure while running (or a violated guarantee), 2 invalid input.
 
 use crate::cluster;
+use crate::command_error::CommandError;
 use crate::commands::{admin, buffer, check, demo, extents, fleet, overload, simulate};
-use crate::ended::Ended;
-use crate::log_targets::with_present_names;
+use crate::log_targets::with_current_names;
 use crate::serve;
 use clap::{Args, CommandFactory, FromArgMatches, Parser, Subcommand, ValueEnum};
 use lupinrack_operator_config::{Format, Log, OperatorConfig};
@@ -13,7 +13,7 @@
 use std::process::ExitCode;
 use tracing_subscriber::EnvFilter;
 
-/// The variable that sets the log's levels by target.
+/// The environment variable that sets log levels by target.
 pub const LOG_VARIABLE: &str = "LUPINRACK_LOG";
 
 /// External processor for storage requests: decides where each goes and whether it goes.
@@ -86,10 +86,10 @@
     operator: Option<PathBuf>,
 }
 
-/// Reads the process's arguments and runs the command that they name.
+/// Parses the process's arguments and runs the command that they name.
 ///
-/// The commands of the cluster scheduler are read from a small tree of their own: a process of the scheduler starts
-/// often and on little processor time.
+/// The commands of the cluster scheduler are parsed with a small command tree of their own, because scheduler processes
+/// start often and on little processor time.
 pub fn run_from_arguments() -> ExitCode {
     if let Some(code) = std::env::args_os()
         .nth(1)
@@ -104,49 +104,58 @@
     })
 }
 
-/// Runs a command to its exit code.
+/// Runs a command and returns its exit code.
 pub fn run(cli: Cli) -> ExitCode {
     let format = cli.log_format.map(|f| match f {
         LogFormat::Text => Format::Text,
         LogFormat::Json => Format::Json,
     });
-    let ended = match cli.command {
-        None => start(cli.serve, format),
-        Some(Command::Serve(args)) => start(args, format),
+    let result = match cli.command {
+        None => start_front(cli.serve, format),
+        Some(Command::Serve(args)) => start_front(args, format),
         Some(Command::Check { files }) => check::run(&files),
         Some(Command::Schema) => check::schema(),
-        Some(Command::Demo(demo)) => quiet(format).and_then(|()| demo::run(&demo)),
+        Some(Command::Demo(demo)) => log_errors_only(format).and_then(|()| demo::run(&demo)),
         Some(Command::Admin(call)) => admin::run(&call),
-        Some(Command::Buffer(what)) => buffer::run(&what),
-        Some(Command::Fleet(what)) => quiet(format).and_then(|()| fleet::run(&what)),
-        Some(Command::Overload(what)) => quiet(format).and_then(|()| overload::run(&what)),
-        Some(Command::Simulate(what)) => quiet(format).and_then(|()| simulate::run(&what)),
-        Some(Command::Extents(what)) => quiet(format).and_then(|()| extents::run(&what)),
+        Some(Command::Buffer(command)) => buffer::run(&command),
+        Some(Command::Fleet(command)) => {
+            log_errors_only(format).and_then(|()| fleet::run(&command))
+        }
+        Some(Command::Overload(command)) => {
+            log_errors_only(format).and_then(|()| overload::run(&command))
+        }
+        Some(Command::Simulate(command)) => {
+            log_errors_only(format).and_then(|()| simulate::run(&command))
+        }
+        Some(Command::Extents(command)) => {
+            log_errors_only(format).and_then(|()| extents::run(&command))
+        }
     };
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(ended) => ended.report(),
+        Err(error) => error.report(),
     }
 }
 
-/// Reads what a front needs and serves until it is told to end.
-fn start(args: ServeArgs, format: Option<Format>) -> Result<(), Ended> {
-    let named = |given: Option<PathBuf>, variable: &str| {
-        given.or_else(|| std::env::var_os(variable).map(PathBuf::from))
+/// Loads the configuration of a front and serves until a signal asks it to stop.
+fn start_front(args: ServeArgs, format: Option<Format>) -> Result<(), CommandError> {
+    let path_from = |argument: Option<PathBuf>, variable: &str| {
+        argument.or_else(|| std::env::var_os(variable).map(PathBuf::from))
     };
-    let operator =
-        named(args.operator, "LUPINRACK_CONFIG").unwrap_or_else(|| "deploy/lupinrack.toml".into());
-    let operator = OperatorConfig::load(&operator).map_err(Ended::wrong)?;
-    log(&operator.log, format)?;
-    let config = named(args.config, "LB_CONFIG")
-        .ok_or_else(|| Ended::wrong("no configuration: --config or LB_CONFIG names it"))?;
-    let plan = serve::Plan::read(&config, operator).map_err(Ended::wrong)?;
-    serve::until_told(config, plan).map_err(Ended::failed)
+    let operator = path_from(args.operator, "LUPINRACK_CONFIG")
+        .unwrap_or_else(|| "deploy/lupinrack.toml".into());
+    let operator = OperatorConfig::load(&operator).map_err(CommandError::invalid_input)?;
+    start_log(&operator.log, format)?;
+    let config = path_from(args.config, "LB_CONFIG").ok_or_else(|| {
+        CommandError::invalid_input("no configuration: --config or LB_CONFIG names it")
+    })?;
+    let plan = serve::Plan::read(&config, operator).map_err(CommandError::invalid_input)?;
+    serve::run_until_signal(config, plan).map_err(CommandError::failed)
 }
 
-/// A log for commands whose output is what they print.
-fn quiet(format: Option<Format>) -> Result<(), Ended> {
-    log(
+/// Starts a log of errors only, for commands whose output goes to standard output.
+fn log_errors_only(format: Option<Format>) -> Result<(), CommandError> {
+    start_log(
         &Log {
             filter: Some("error".into()),
             ..Log::default()
@@ -155,23 +164,23 @@
     )
 }
 
-/// Starts the log on standard error.
-fn log(log: &Log, format: Option<Format>) -> Result<(), Ended> {
+/// Starts logging to standard error.
+fn start_log(log: &Log, format: Option<Format>) -> Result<(), CommandError> {
     let filter = match std::env::var(LOG_VARIABLE) {
-        Ok(text) => EnvFilter::try_new(with_present_names(&text))
-            .map_err(|e| Ended::wrong(format!("{LOG_VARIABLE}: {e}")))?,
+        Ok(text) => EnvFilter::try_new(with_current_names(&text))
+            .map_err(|e| CommandError::invalid_input(format!("{LOG_VARIABLE}: {e}")))?,
         Err(_) => {
             let text = log.filter.as_deref().unwrap_or("info");
-            EnvFilter::try_new(with_present_names(text)).map_err(Ended::wrong)?
+            EnvFilter::try_new(with_current_names(text)).map_err(CommandError::invalid_input)?
         }
     };
-    let lines = tracing_subscriber::fmt()
+    let subscriber = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr)
         .with_ansi(false);
     match format.unwrap_or(log.format) {
-        Format::Text => lines.init(),
-        Format::Json => lines
+        Format::Text => subscriber.init(),
+        Format::Json => subscriber
             .json()
             .with_current_span(true)
             .with_span_list(true)
--- a/crates/lupinrack/src/cluster/call.rs
+++ b/crates/lupinrack/src/cluster/call.rs
@@ -1,4 +1,4 @@
-//! Calls to a process of the cluster scheduler over HTTP.
+//! HTTP calls to a process of the cluster scheduler.
 
 use bytes::Bytes;
 use displaydoc::Display;
@@ -11,36 +11,36 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// How long a call may take with all its redirects.
-const TIMEOUT: Duration = Duration::from_secs(5);
-/// How many redirects are followed.
-const REDIRECTS: usize = 2;
-/// Bytes of the longest answer that is read.
-const MAX_ANSWER_BYTES: usize = 16 << 20;
+/// Timeout of a call, redirects included.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Most redirects that are followed.
+const MAX_REDIRECTS: usize = 2;
+/// Limit on the size of a response body.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// A call.
+/// An HTTP call.
 #[derive(Clone, Debug)]
 pub(super) struct Call {
-    /// The process that is asked.
+    /// The address of the called process.
     pub address: SocketAddr,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// The path.
+    /// The request path.
     pub path: String,
-    /// The `Host` header; the process's address where there is none.
+    /// The value of the `Host` header; the address if `None`.
     pub host: Option<String>,
 }
 
-/// An answer.
+/// The response to a call.
 #[derive(Clone, Debug)]
-pub(super) struct Answer {
+pub(super) struct CallResponse {
     /// Its status code.
     pub status: StatusCode,
     /// Its body.
     pub body: Bytes,
 }
 
-/// Why there is no answer.
+/// Why a call failed.
 #[derive(Debug, Display)]
 pub(super) enum CallError {
     /// no answer within {0:?}
@@ -59,22 +59,22 @@
     TooManyRedirects,
 }
 
-/// Makes a call and reads its whole answer, following redirects.
-pub(super) fn exchange(call: Call) -> Result<Answer, CallError> {
+/// Sends a call, follows redirects, and reads the complete response.
+pub(super) fn exchange(call: Call) -> Result<CallResponse, CallError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     runtime.map_err(CallError::Connection)?.block_on(async {
-        let answer = tokio::time::timeout(TIMEOUT, follow(call)).await;
-        answer.unwrap_or(Err(CallError::TimedOut(TIMEOUT)))
+        let response = tokio::time::timeout(CALL_TIMEOUT, send_following_redirects(call)).await;
+        response.unwrap_or(Err(CallError::TimedOut(CALL_TIMEOUT)))
     })
 }
 
-async fn follow(mut call: Call) -> Result<Answer, CallError> {
-    for _ in 0..=REDIRECTS {
+async fn send_following_redirects(mut call: Call) -> Result<CallResponse, CallError> {
+    for _ in 0..=MAX_REDIRECTS {
         let response = send(&call).await?;
         if response.status() != StatusCode::TEMPORARY_REDIRECT {
-            return read(response).await;
+            return read_body(response).await;
         }
         redirect(&mut call, &response)?;
     }
@@ -106,33 +106,33 @@
         .map_err(CallError::Exchange)
 }
 
-async fn read(response: Response<hyper::body::Incoming>) -> Result<Answer, CallError> {
+async fn read_body(response: Response<hyper::body::Incoming>) -> Result<CallResponse, CallError> {
     let status = response.status();
-    let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
+    let body = Limited::new(response.into_body(), MAX_BODY_BYTES)
         .collect()
         .await
         .map_err(CallError::Body)?;
-    Ok(Answer {
+    Ok(CallResponse {
         status,
         body: body.to_bytes(),
     })
 }
 
-/// Turns the call to where the response points.
+/// Directs the call at the location of a redirect response.
 fn redirect<B>(call: &mut Call, response: &Response<B>) -> Result<(), CallError> {
     let location = response
         .headers()
         .get(LOCATION)
         .map_or(&b""[..], |value| value.as_bytes());
     let text = String::from_utf8_lossy(location).into_owned();
-    let (address, path) = target(&text).ok_or(CallError::Redirect(text))?;
+    let (address, path) = parse_location(&text).ok_or(CallError::Redirect(text))?;
     call.address = address;
     call.path = path;
     Ok(())
 }
 
-/// Address and path of a location of the form `http://10.0.0.4:8080/path`.
-fn target(location: &str) -> Option<(SocketAddr, String)> {
+/// Parses address and path of a location of the form `http://10.0.0.4:8080/path`.
+fn parse_location(location: &str) -> Option<(SocketAddr, String)> {
     let uri: Uri = location.parse().ok()?;
     let address = uri.authority()?.as_str().parse().ok()?;
     Some((address, uri.path_and_query()?.to_string()))
--- a/crates/lupinrack/src/cluster/job.rs
+++ b/crates/lupinrack/src/cluster/job.rs
@@ -1,8 +1,8 @@
-//! `lupinrack job`: a job's state, and its cancellation.
+//! `lupinrack job`: shows a job's state or cancels it.
 
-use super::call::{exchange, Answer, Call};
+use super::call::{exchange, Call, CallResponse};
 use super::{address, address_argument};
-use crate::ended::Ended;
+use crate::command_error::CommandError;
 use clap::{Arg, ArgMatches, Command};
 use http::{Method, StatusCode};
 use lupinrack_cluster_json::{parse_job_state, JobTarget};
@@ -13,7 +13,7 @@
 const SHOW: &str = "show";
 /// The command that cancels a job.
 const CANCEL: &str = "cancel";
-/// The argument for the host of the job's queue.
+/// The argument for the host name of the job's queue.
 const HOST: &str = "host";
 /// The argument for the job's path.
 const PATH: &str = "path";
@@ -40,32 +40,32 @@
 }
 
 /// Runs one of the commands.
-pub(super) fn run(matches: &ArgMatches) -> Result<(), Ended> {
+pub(super) fn run(matches: &ArgMatches) -> Result<(), CommandError> {
     match matches.subcommand() {
         Some((CANCEL, matches)) => cancel(matches),
         Some((_, matches)) => show(matches),
-        None => Err(Ended::wrong("no command for the job")),
+        None => Err(CommandError::invalid_input("no command for the job")),
     }
 }
 
-fn show(matches: &ArgMatches) -> Result<(), Ended> {
-    let answer = answered(matches, Method::GET)?;
-    let state = parse_job_state(&answer.body).map_err(Ended::failed)?;
+fn show(matches: &ArgMatches) -> Result<(), CommandError> {
+    let response = call_job(matches, Method::GET)?;
+    let state = parse_job_state(&response.body).map_err(CommandError::failed)?;
     println!("{}", state.as_str());
     Ok(())
 }
 
-fn cancel(matches: &ArgMatches) -> Result<(), Ended> {
-    answered(matches, Method::DELETE)?;
+fn cancel(matches: &ArgMatches) -> Result<(), CommandError> {
+    call_job(matches, Method::DELETE)?;
     println!("cancelled");
     Ok(())
 }
 
-/// Makes the call and demands success.
-fn answered(matches: &ArgMatches, method: Method) -> Result<Answer, Ended> {
-    let (host, path) = (text(matches, HOST)?, text(matches, PATH)?);
+/// Sends the call and returns the response if its status is a success.
+fn call_job(matches: &ArgMatches, method: Method) -> Result<CallResponse, CommandError> {
+    let (host, path) = (required_text(matches, HOST)?, required_text(matches, PATH)?);
     if JobTarget::from_path(&path).job.is_none() {
-        return Err(Ended::wrong(format!(
+        return Err(CommandError::invalid_input(format!(
             "{path}: does not end in the sixteen digits of a job"
         )));
     }
@@ -76,17 +76,22 @@
         path: path.clone(),
         host: Some(host),
     };
-    let answer = exchange(call).map_err(|error| Ended::failed(format!("{address}: {error}")))?;
-    match answer.status {
-        StatusCode::GONE => Err(Ended::failed(format!("{path}: there is no such job"))),
-        status if status.is_success() => Ok(answer),
-        status => Err(Ended::failed(format!("{address}: answered {status}"))),
+    let response =
+        exchange(call).map_err(|error| CommandError::failed(format!("{address}: {error}")))?;
+    match response.status {
+        StatusCode::GONE => Err(CommandError::failed(format!(
+            "{path}: there is no such job"
+        ))),
+        status if status.is_success() => Ok(response),
+        status => Err(CommandError::failed(format!(
+            "{address}: answered {status}"
+        ))),
     }
 }
 
-fn text(matches: &ArgMatches, name: &str) -> Result<String, Ended> {
+fn required_text(matches: &ArgMatches, name: &str) -> Result<String, CommandError> {
     matches
         .get_one::<String>(name)
         .cloned()
-        .ok_or_else(|| Ended::wrong(format!("no {name}")))
+        .ok_or_else(|| CommandError::invalid_input(format!("no {name}")))
 }
--- a/crates/lupinrack/src/cluster/local.rs
+++ b/crates/lupinrack/src/cluster/local.rs
@@ -1,6 +1,6 @@
-//! `lupinrack local`: a complete cluster on loopback in one command.
+//! `lupinrack local`: runs a complete cluster on loopback.
 
-use crate::ended::Ended;
+use crate::command_error::CommandError;
 use clap::builder::PossibleValuesParser;
 use clap::{value_parser, Arg, ArgAction, ArgMatches, Command};
 use lupinrack_cluster_local::{KillTarget, LocalReport, LocalSettings, Progress};
@@ -11,20 +11,20 @@
 
 /// The name of the command.
 pub(super) const NAME: &str = "local";
-/// The argument for how long jobs are submitted.
+/// The argument for the duration of job submission.
 const SECONDS: &str = "seconds";
-/// The argument for how long the last job may take to end.
+/// The argument for the time allowed for the last job to end.
 const END_WITHIN: &str = "end-within";
-/// The argument for the processes that are killed.
+/// The argument for the kinds of processes to kill.
 const KILL: &str = "kill";
-/// The argument for a report as JSON.
+/// The argument for printing the report as JSON.
 const JSON: &str = "json";
 /// The value that kills nothing.
 const NONE: &str = "none";
-/// How long jobs are submitted, in seconds, where the command line does not say.
-const SECONDS_DEFAULT: &str = "10";
-/// How long the last job may take to end, in seconds, where the command line does not say.
-const END_WITHIN_DEFAULT: &str = "60";
+/// Default of [`SECONDS`].
+const DEFAULT_SECONDS: &str = "10";
+/// Default of [`END_WITHIN`], in seconds.
+const DEFAULT_END_WITHIN_SECONDS: &str = "60";
 
 /// The command.
 pub(super) fn command() -> Command {
@@ -47,9 +47,9 @@
         .about(
             "Run a complete cluster on loopback: processes, workers, jobs, and kills of processes",
         )
-        .arg(seconds(SECONDS, SECONDS_DEFAULT).help("How long jobs are submitted"))
+        .arg(seconds(SECONDS, DEFAULT_SECONDS).help("How long jobs are submitted"))
         .arg(
-            seconds(END_WITHIN, END_WITHIN_DEFAULT)
+            seconds(END_WITHIN, DEFAULT_END_WITHIN_SECONDS)
                 .help("How long after that the last job may end"),
         )
         .arg(
@@ -65,14 +65,14 @@
         )
 }
 
-/// Runs the cluster. Exit code 0 where every job ended as expected.
-pub(super) fn run(matches: &ArgMatches) -> Result<ExitCode, Ended> {
+/// Runs the cluster. The exit code is 0 if every job ended as expected.
+pub(super) fn run(matches: &ArgMatches) -> Result<ExitCode, CommandError> {
     let json = matches.get_flag(JSON);
     let settings = LocalSettings {
-        program: std::env::current_exe().map_err(Ended::failed)?,
-        folder: new_folder()?,
-        submit_for: duration(matches, SECONDS),
-        end_within: duration(matches, END_WITHIN),
+        program: std::env::current_exe().map_err(CommandError::failed)?,
+        folder: create_folder()?,
+        submit_for: duration_argument(matches, SECONDS),
+        end_within: duration_argument(matches, END_WITHIN),
         kill: kill_targets(matches),
         progress: if json {
             Progress::Hidden
@@ -81,18 +81,18 @@
         },
     };
     let report = run_until_signalled(&settings)?;
-    print(&report, json)?;
+    print_report(&report, json)?;
     if report.good {
-        remove(&settings.folder);
+        remove_folder(&settings.folder);
         return Ok(ExitCode::SUCCESS);
     }
-    Err(Ended::failed(format!(
+    Err(CommandError::failed(format!(
         "not every job ended as expected; the logs are in {}",
         settings.folder.display()
     )))
 }
 
-fn duration(matches: &ArgMatches, name: &str) -> Duration {
+fn duration_argument(matches: &ArgMatches, name: &str) -> Duration {
     Duration::from_secs(matches.get_one(name).copied().unwrap_or_default())
 }
 
@@ -107,8 +107,8 @@
         .collect()
 }
 
-/// A folder of this process's own.
-fn new_folder() -> Result<PathBuf, Ended> {
+/// Creates a temporary folder for this run.
+fn create_folder() -> Result<PathBuf, CommandError> {
     let name = format!(
         "lupinrack-local-{}-{:08x}",
         std::process::id(),
@@ -116,35 +116,38 @@
     );
     let folder = std::env::temp_dir().join(name);
     std::fs::create_dir(&folder)
-        .map_err(|error| Ended::failed(format!("{}: {error}", folder.display())))?;
+        .map_err(|error| CommandError::failed(format!("{}: {error}", folder.display())))?;
     Ok(folder)
 }
 
-/// Removes what a good run leaves. What cannot be removed does no harm.
-fn remove(folder: &Path) {
+/// Removes the folder of a successful run. A failure to remove it is harmless and ignored.
+fn remove_folder(folder: &Path) {
     let _ = std::fs::remove_dir_all(folder);
 }
 
-/// Runs to the end, or until a signal asks this process to end: then the child processes are killed.
-fn run_until_signalled(settings: &LocalSettings) -> Result<LocalReport, Ended> {
+/// Runs the cluster to its end. If SIGTERM or SIGINT arrives first, the child processes are killed and an error is returned.
+fn run_until_signalled(settings: &LocalSettings) -> Result<LocalReport, CommandError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(Ended::failed)?;
+        .map_err(CommandError::failed)?;
     runtime.block_on(async {
-        let mut terminate = signal(SignalKind::terminate()).map_err(Ended::failed)?;
-        let mut interrupt = signal(SignalKind::interrupt()).map_err(Ended::failed)?;
+        let mut terminate = signal(SignalKind::terminate()).map_err(CommandError::failed)?;
+        let mut interrupt = signal(SignalKind::interrupt()).map_err(CommandError::failed)?;
         tokio::select! {
-            report = lupinrack_cluster_local::run(settings) => report.map_err(Ended::failed),
-            _ = terminate.recv() => Err(Ended::failed("interrupted by a signal")),
-            _ = interrupt.recv() => Err(Ended::failed("interrupted by a signal")),
+            report = lupinrack_cluster_local::run(settings) => report.map_err(CommandError::failed),
+            _ = terminate.recv() => Err(CommandError::failed("interrupted by a signal")),
+            _ = interrupt.recv() => Err(CommandError::failed("interrupted by a signal")),
         }
     })
 }
 
-fn print(report: &LocalReport, json: bool) -> Result<(), Ended> {
+fn print_report(report: &LocalReport, json: bool) -> Result<(), CommandError> {
     if json {
-        println!("{}", serde_json::to_string(report).map_err(Ended::failed)?);
+        println!(
+            "{}",
+            serde_json::to_string(report).map_err(CommandError::failed)?
+        );
     } else {
         print!("{report}");
     }
--- a/crates/lupinrack/src/cluster/mod.rs
+++ b/crates/lupinrack/src/cluster/mod.rs
@@ -6,16 +6,16 @@
 mod node;
 mod status;
 
-use crate::ended::Ended;
+use crate::command_error::CommandError;
 use clap::{Arg, ArgMatches, Command};
 use std::ffi::OsStr;
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
-/// The argument that names a process's address.
+/// The name of the argument for a process's address.
 const AT: &str = "at";
 
-/// The commands.
+/// The cluster commands.
 fn commands() -> [Command; 4] {
     [
         node::command(),
@@ -25,12 +25,12 @@
     ]
 }
 
-/// Adds the commands to the program's.
+/// Adds the cluster commands to the program's command.
 pub fn add_to(program: Command) -> Command {
     program.subcommands(commands())
 }
 
-/// Runs the process's command, where its first argument is the name of one of these; none for another name.
+/// Runs the process's command if `name`, its first argument, is a cluster command. Returns `None` otherwise.
 pub fn run_by_name(name: &OsStr) -> Option<ExitCode> {
     let known = [node::NAME, job::NAME, status::NAME, local::NAME]
         .iter()
@@ -40,19 +40,19 @@
         .flatten()
 }
 
-/// Runs the command that was matched; none where it is not one of these.
+/// Runs the matched command. Returns `None` if it is not a cluster command.
 pub fn run(matches: &ArgMatches) -> Option<ExitCode> {
-    let ended = match matches.subcommand()? {
+    let result = match matches.subcommand()? {
         (node::NAME, matches) => node::run(matches),
         (job::NAME, matches) => job::run(matches).map(|()| ExitCode::SUCCESS),
         (status::NAME, matches) => status::run(matches).map(|()| ExitCode::SUCCESS),
         (local::NAME, matches) => local::run(matches),
         _ => return None,
     };
-    Some(ended.unwrap_or_else(Ended::report))
+    Some(result.unwrap_or_else(CommandError::report))
 }
 
-/// The argument for the address of the process that is asked.
+/// The argument for the address of the process to call.
 fn address_argument() -> Arg {
     let argument = Arg::new(AT).long(AT).value_name("ADDRESS").required(true);
     argument
@@ -60,10 +60,10 @@
         .help("Address and port of the process that is asked")
 }
 
-/// The address of the process that is asked.
-fn address(matches: &ArgMatches) -> Result<SocketAddr, Ended> {
+/// The address of the process to call.
+fn address(matches: &ArgMatches) -> Result<SocketAddr, CommandError> {
     matches
         .get_one(AT)
         .copied()
-        .ok_or_else(|| Ended::wrong("no address: --at names it"))
+        .ok_or_else(|| CommandError::invalid_input("no address: --at names it"))
 }
--- a/crates/lupinrack/src/cluster/node.rs
+++ b/crates/lupinrack/src/cluster/node.rs
@@ -1,6 +1,6 @@
-//! `lupinrack node`: a process of the cluster scheduler, and the check of its files.
+//! `lupinrack node`: runs a process of the cluster scheduler, or checks its files.
 
-use crate::ended::Ended;
+use crate::command_error::CommandError;
 use clap::{value_parser, Arg, ArgMatches, Command};
 use lupinrack_cluster_log::{MalformedLevels, LEVEL_VARIABLE};
 use lupinrack_node_settings::{settings_path, SettingsFile, PATH_VARIABLE};
@@ -11,7 +11,7 @@
 pub(super) const NAME: &str = "node";
 /// The argument for the settings file to run with.
 const SETTINGS: &str = "settings";
-/// The argument for the levels of the log.
+/// The argument for the log levels.
 const LOG: &str = "log";
 /// The argument for the files to check.
 const CHECK: &str = "check";
@@ -44,7 +44,7 @@
 }
 
 /// Runs the process, or checks its files.
-pub(super) fn run(matches: &ArgMatches) -> Result<ExitCode, Ended> {
+pub(super) fn run(matches: &ArgMatches) -> Result<ExitCode, CommandError> {
     if let Some(files) = matches.get_many::<PathBuf>(CHECK) {
         return check(&files.collect::<Vec<_>>()).map(|()| ExitCode::SUCCESS);
     }
@@ -52,37 +52,37 @@
         .get_one(SETTINGS)
         .cloned()
         .unwrap_or_else(settings_path);
-    let settings = read_settings(&path).map_err(Ended::Wrong)?;
-    begin_log(matches.get_one::<String>(LOG))?;
+    let settings = read_settings(&path).map_err(CommandError::InvalidInput)?;
+    start_log(matches.get_one::<String>(LOG))?;
     Ok(lupinrack_cluster_node::run(settings))
 }
 
-fn begin_log(levels: Option<&String>) -> Result<(), Ended> {
+fn start_log(levels: Option<&String>) -> Result<(), CommandError> {
     let Some(text) = levels else {
-        return lupinrack_cluster_log::init_from_environment().map_err(Ended::wrong);
+        return lupinrack_cluster_log::init_from_environment().map_err(CommandError::invalid_input);
     };
     let levels = text
         .parse()
-        .map_err(|fault: MalformedLevels| Ended::Wrong(fault.to_string()))?;
-    lupinrack_cluster_log::init(levels).map_err(Ended::wrong)
+        .map_err(|error: MalformedLevels| CommandError::InvalidInput(error.to_string()))?;
+    lupinrack_cluster_log::init(levels).map_err(CommandError::invalid_input)
 }
 
-/// Checks a settings file and, where there is a second file, a configuration; the faults of both are told.
-fn check(files: &[&PathBuf]) -> Result<(), Ended> {
+/// Checks a settings file and, if a second file is given, a configuration. Reports the errors of both.
+fn check(files: &[&PathBuf]) -> Result<(), CommandError> {
     let settings = files.first().map(|file| read_settings(file).map(|_| *file));
     let configuration = files
         .get(1)
         .map(|file| check_configuration(file).map(|()| *file));
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for result in [settings, configuration].into_iter().flatten() {
         match result {
             Ok(file) => println!("{}: good", file.display()),
-            Err(why) => faults.push(why),
+            Err(message) => errors.push(message),
         }
     }
-    match faults.is_empty() {
+    match errors.is_empty() {
         true => Ok(()),
-        false => Err(Ended::Wrong(faults.join("\n"))),
+        false => Err(CommandError::InvalidInput(errors.join("\n"))),
     }
 }
 
@@ -91,10 +91,10 @@
 }
 
 fn check_configuration(path: &Path) -> Result<(), String> {
-    let at_fault = |why: String| format!("{}: {why}", path.display());
-    let text = std::fs::read_to_string(path).map_err(|error| at_fault(error.to_string()))?;
+    let with_path = |message: String| format!("{}: {message}", path.display());
+    let text = std::fs::read_to_string(path).map_err(|error| with_path(error.to_string()))?;
     let checked = lupinrack_control_state::check_configuration(&text);
     checked
         .map(|_| ())
-        .map_err(|fault| at_fault(fault.to_string()))
+        .map_err(|error| with_path(error.to_string()))
 }
--- a/crates/lupinrack/src/cluster/status.rs
+++ b/crates/lupinrack/src/cluster/status.rs
@@ -1,8 +1,8 @@
-//! `lupinrack cluster`: what a process knows of the system.
+//! `lupinrack cluster`: prints what a process knows of the cluster.
 
 use super::call::{exchange, Call};
 use super::{address, address_argument};
-use crate::ended::Ended;
+use crate::command_error::CommandError;
 use clap::{ArgMatches, Command};
 use http::Method;
 use std::io::Write;
@@ -13,9 +13,9 @@
 const STATUS: &str = "status";
 /// The command that prints the newest configuration.
 const CONFIGURATION: &str = "configuration";
-/// Where a process answers what it knows, as text.
+/// Path of a process's status, as text.
 const STATUS_PATH: &str = "/lupinrack/status";
-/// Where a process answers the newest configuration, as JSON.
+/// Path of the newest configuration, as JSON.
 const CONFIGURATION_PATH: &str = "/lupinrack/config";
 
 /// The command.
@@ -35,16 +35,16 @@
 }
 
 /// Runs one of the commands.
-pub(super) fn run(matches: &ArgMatches) -> Result<(), Ended> {
+pub(super) fn run(matches: &ArgMatches) -> Result<(), CommandError> {
     match matches.subcommand() {
-        Some((CONFIGURATION, matches)) => print(matches, CONFIGURATION_PATH),
-        Some((_, matches)) => print(matches, STATUS_PATH),
-        None => Err(Ended::wrong("no command for the cluster")),
+        Some((CONFIGURATION, matches)) => print_response(matches, CONFIGURATION_PATH),
+        Some((_, matches)) => print_response(matches, STATUS_PATH),
+        None => Err(CommandError::invalid_input("no command for the cluster")),
     }
 }
 
-/// Prints the answer at a path.
-fn print(matches: &ArgMatches, path: &str) -> Result<(), Ended> {
+/// Prints the response at a path.
+fn print_response(matches: &ArgMatches, path: &str) -> Result<(), CommandError> {
     let address = address(matches)?;
     let call = Call {
         address,
@@ -52,21 +52,22 @@
         path: path.to_string(),
         host: None,
     };
-    let answer = exchange(call).map_err(|error| Ended::failed(format!("{address}: {error}")))?;
-    if !answer.status.is_success() {
-        return Err(Ended::failed(format!(
+    let response =
+        exchange(call).map_err(|error| CommandError::failed(format!("{address}: {error}")))?;
+    if !response.status.is_success() {
+        return Err(CommandError::failed(format!(
             "{address}: answered {}",
-            answer.status
+            response.status
         )));
     }
-    let end: &[u8] = if answer.body.ends_with(b"\n") {
+    let line_end: &[u8] = if response.body.ends_with(b"\n") {
         b""
     } else {
         b"\n"
     };
     let mut output = std::io::stdout().lock();
     output
-        .write_all(&answer.body)
-        .and_then(|()| output.write_all(end))
-        .map_err(Ended::failed)
+        .write_all(&response.body)
+        .and_then(|()| output.write_all(line_end))
+        .map_err(CommandError::failed)
 }
--- a/crates/lupinrack/src/commands/admin.rs
+++ b/crates/lupinrack/src/commands/admin.rs
@@ -1,15 +1,15 @@
-//! `lupinrack admin`: one call to a front's admin interface. `ask`, its earlier name, stays as a hidden alias.
+//! `lupinrack admin`: sends one call to a front's admin interface. `ask`, its earlier name, stays as a hidden alias.
 
-use crate::ended::Ended;
+use crate::command_error::CommandError;
 use clap::{Args, ValueEnum};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long connecting and each read may take; the interface itself answers within a second.
+/// Timeout for the connect and for each read. The interface answers within a second.
 const TIMEOUT: Duration = Duration::from_secs(3);
-/// The largest answer that is read, in bytes.
-const ANSWER_BYTES_MAX: u64 = 1 << 20;
+/// Limit on the size of an answer.
+const MAX_ANSWER_BYTES: u64 = 1 << 20;
 
 /// The call, and where it goes.
 #[derive(Debug, Args)]
@@ -37,18 +37,21 @@
 /// # Errors
 ///
 /// If no answer comes, or one other than 200.
-pub fn run(admin: &Admin) -> Result<(), Ended> {
+pub fn run(admin: &Admin) -> Result<(), CommandError> {
     let answer = exchange(admin.address, admin.call)
-        .map_err(|e| Ended::failed(format!("{}: {e}", admin.address)))?;
+        .map_err(|e| CommandError::failed(format!("{}: {e}", admin.address)))?;
     print!("{answer}");
     match answer.starts_with("200") {
         true => Ok(()),
-        false if answer.is_empty() => Err(Ended::failed(format!("{}: no answer", admin.address))),
-        false => Err(Ended::Failed(String::new())),
+        false if answer.is_empty() => Err(CommandError::failed(format!(
+            "{}: no answer",
+            admin.address
+        ))),
+        false => Err(CommandError::Failed(String::new())),
     }
 }
 
-/// One call and its complete answer.
+/// Sends a call and reads its complete answer.
 ///
 /// # Errors
 ///
@@ -63,6 +66,6 @@
     };
     stream.write_all(line)?;
     let mut answer = String::new();
-    stream.take(ANSWER_BYTES_MAX).read_to_string(&mut answer)?;
+    stream.take(MAX_ANSWER_BYTES).read_to_string(&mut answer)?;
     Ok(answer)
 }
--- a/crates/lupinrack/src/commands/buffer.rs
+++ b/crates/lupinrack/src/commands/buffer.rs
@@ -1,7 +1,7 @@
-//! `lupinrack buffer`: looks at the log of a write-back buffer that is closed. It changes nothing: a torn end is told of
-//! and left for the front's own start to cut.
+//! `lupinrack buffer`: inspects the closed log of a write-back buffer. It does not modify the log: a torn end is reported, and
+//! the front truncates it at its next start.
 
-use crate::ended::Ended;
+use crate::command_error::CommandError;
 use clap::{Args, Subcommand};
 use lupinrack_write_back::{
     inspect, Folder, FolderError, Moment, PendingWrite, Record, Recovered, RetryStatus, WriteTable,
@@ -23,7 +23,7 @@
     /// Write the bodies of all writes that are not settled into a folder, a file each.
     Export {
         #[command(flatten)]
-        place: Place,
+        args: Place,
         /// The folder; it is made, and must not be there yet.
         #[arg(long)]
         to: PathBuf,
@@ -43,9 +43,9 @@
     json: bool,
 }
 
-/// A write as it is printed.
+/// The printed form of a write.
 #[derive(Serialize)]
-struct Row {
+struct PrintedWrite {
     write: u64,
     volume: String,
     plan: String,
@@ -58,53 +58,53 @@
     left_ms: Option<i64>,
 }
 
-/// Runs one of them.
-pub fn run(what: &Buffer) -> Result<(), Ended> {
-    match what {
-        Buffer::Ls(place) => list(place, |_| true).map(drop),
-        Buffer::InDoubt(place) => {
-            match list(place, |s| matches!(s, RetryStatus::WindowExpired { .. }))? {
+/// Runs the command.
+pub fn run(command: &Buffer) -> Result<(), CommandError> {
+    match command {
+        Buffer::Ls(args) => list(args, |_| true).map(drop),
+        Buffer::InDoubt(args) => {
+            match list(args, |s| matches!(s, RetryStatus::WindowExpired { .. }))? {
                 0 => Ok(()),
-                n => Err(Ended::failed(format!(
-                    "{n} writes may have run; their nodes must be asked first"
+                count => Err(CommandError::failed(format!(
+                    "{count} writes may have run; their nodes must be asked first"
                 ))),
             }
         }
-        Buffer::Verify(place) => verify(place),
-        Buffer::Export { place, to } => export(place, to),
+        Buffer::Verify(args) => verify(args),
+        Buffer::Export { args, to } => export(args, to),
     }
 }
 
-/// Reads a log without changing it. One that a front has open is refused.
-fn read(place: &Place) -> Result<(Recovered, WriteTable), Ended> {
-    if !place.dir.is_dir() {
-        return Err(Ended::wrong(format!(
+/// Reads a log without modifying it. Fails if a front has the log open.
+fn read_log(args: &Place) -> Result<(Recovered, WriteTable), CommandError> {
+    if !args.dir.is_dir() {
+        return Err(CommandError::invalid_input(format!(
             "{}: no such folder",
-            place.dir.display()
+            args.dir.display()
         )));
     }
-    let mut folder = Folder::open(&place.dir).map_err(|e| match e {
+    let mut folder = Folder::open(&args.dir).map_err(|e| match e {
         FolderError::InUse(_) => {
-            Ended::wrong(format!("{e}; its figures are in that program's log"))
+            CommandError::invalid_input(format!("{e}; its figures are in that program's log"))
         }
-        e => Ended::wrong(e),
+        e => CommandError::invalid_input(e),
     })?;
-    let found =
-        inspect(&mut folder).map_err(|e| Ended::failed(format!("{}: {e}", place.dir.display())))?;
+    let recovered = inspect(&mut folder)
+        .map_err(|e| CommandError::failed(format!("{}: {e}", args.dir.display())))?;
     let mut writes = WriteTable::default();
-    found
+    recovered
         .records
         .iter()
         .for_each(|(sequence, record)| writes.apply(*sequence, record));
-    Ok((found, writes))
+    Ok((recovered, writes))
 }
 
-fn now() -> Result<Moment, Ended> {
-    Moment::now().map_err(|e| Ended::failed(format!("the time since boot: {e}")))
+fn now() -> Result<Moment, CommandError> {
+    Moment::now().map_err(|e| CommandError::failed(format!("the time since boot: {e}")))
 }
 
-fn row(p: &PendingWrite, status: &RetryStatus) -> Row {
-    let (state, nodes, left) = match status {
+fn printed_row(pending_write: &PendingWrite, status: &RetryStatus) -> PrintedWrite {
+    let (state, nodes, remaining) = match status {
         RetryStatus::NeverSent => ("never sent", Vec::new(), None),
         RetryStatus::Stored => ("answered", Vec::new(), None),
         RetryStatus::WithinWindow { shard, remaining } => (
@@ -114,39 +114,42 @@
         ),
         RetryStatus::WindowExpired { nodes } => ("past window", nodes.clone(), None),
     };
-    Row {
-        write: p.accepted.write.0,
-        volume: format!("{:016x}", p.accepted.volume),
-        plan: p.accepted.plan.clone(),
-        bytes: p.accepted.body.len(),
-        key: String::from_utf8_lossy(&p.accepted.key).into_owned(),
-        target: String::from_utf8_lossy(&p.accepted.target).into_owned(),
-        attempts: p.attempts.len(),
+    PrintedWrite {
+        write: pending_write.accepted.write.0,
+        volume: format!("{:016x}", pending_write.accepted.volume),
+        plan: pending_write.accepted.plan.clone(),
+        bytes: pending_write.accepted.body.len(),
+        key: String::from_utf8_lossy(&pending_write.accepted.key).into_owned(),
+        target: String::from_utf8_lossy(&pending_write.accepted.target).into_owned(),
+        attempts: pending_write.attempts.len(),
         state,
         nodes,
-        left_ms: left.map(|l| l / 1000),
+        left_ms: remaining.map(|micros| micros / 1000),
     }
 }
 
-fn list(place: &Place, wanted: impl Fn(&RetryStatus) -> bool) -> Result<usize, Ended> {
-    let ((_, writes), now) = (read(place)?, now()?);
-    let window = i64::from(place.window_ms) * 1000;
+fn list(args: &Place, filter: impl Fn(&RetryStatus) -> bool) -> Result<usize, CommandError> {
+    let ((_, writes), now) = (read_log(args)?, now()?);
+    let window = i64::from(args.window_ms) * 1000;
     let mut count = 0;
-    for p in writes.pending() {
-        let status = p.retry_status(now, window);
-        if !wanted(&status) {
+    for pending_write in writes.pending() {
+        let status = pending_write.retry_status(now, window);
+        if !filter(&status) {
             continue;
         }
-        if count == 0 && !place.json {
+        if count == 0 && !args.json {
             println!(
                 "{:>8}  {:<16}  {:<10}{:>7}{:>9}  {:<12}{:<24}  key",
                 "write", "volume", "plan", "bytes", "attempts", "state", "where"
             );
         }
         count += 1;
-        let row = row(p, &status);
-        if place.json {
-            println!("{}", serde_json::to_string(&row).map_err(Ended::failed)?);
+        let row = printed_row(pending_write, &status);
+        if args.json {
+            println!(
+                "{}",
+                serde_json::to_string(&row).map_err(CommandError::failed)?
+            );
             continue;
         }
         println!(
@@ -164,10 +167,10 @@
     Ok(count)
 }
 
-fn verify(place: &Place) -> Result<(), Ended> {
-    let (found, writes) = read(place)?;
+fn verify(args: &Place) -> Result<(), CommandError> {
+    let (recovered, writes) = read_log(args)?;
     let mut kinds: BTreeMap<&str, usize> = BTreeMap::new();
-    for (_, record) in &found.records {
+    for (_, record) in &recovered.records {
         let kind = match record {
             Record::Accepted(_) => "taken",
             Record::Attempt { .. } => "attempt",
@@ -179,41 +182,42 @@
         *kinds.entry(kind).or_default() += 1;
     }
     let pending = writes.pending().count();
-    if place.json {
-        let (records, torn) = (found.records.len(), found.torn);
+    if args.json {
+        let (records, torn) = (recovered.records.len(), recovered.torn);
         let line = serde_json::json!({"records": records, "kinds": kinds, "pending": pending, "torn_bytes": torn});
         println!("{line}");
         return Ok(());
     }
     let mut text = format!(
         "{} records, {pending} writes not settled",
-        found.records.len()
+        recovered.records.len()
     );
     for (kind, count) in kinds {
         let _ = write!(text, "\n{kind:<10}{count:>8}");
     }
-    if found.torn > 0 {
+    if recovered.torn > 0 {
         let _ = write!(
             text,
             "\na torn end of {} bytes; the next start cuts it off",
-            found.torn
+            recovered.torn
         );
     }
     println!("{text}");
     Ok(())
 }
 
-fn export(place: &Place, to: &Path) -> Result<(), Ended> {
-    let (_, writes) = read(place)?;
-    std::fs::create_dir(to).map_err(|e| Ended::wrong(format!("{}: {e}", to.display())))?;
+fn export(args: &Place, to: &Path) -> Result<(), CommandError> {
+    let (_, writes) = read_log(args)?;
+    std::fs::create_dir(to)
+        .map_err(|e| CommandError::invalid_input(format!("{}: {e}", to.display())))?;
     let mut count = 0;
-    for p in writes.pending() {
+    for pending_write in writes.pending() {
         let file = to.join(format!(
             "{:016x}-{:08}.body",
-            p.accepted.volume, p.accepted.write.0
+            pending_write.accepted.volume, pending_write.accepted.write.0
         ));
-        std::fs::write(&file, &p.accepted.body)
-            .map_err(|e| Ended::failed(format!("{}: {e}", file.display())))?;
+        std::fs::write(&file, &pending_write.accepted.body)
+            .map_err(|e| CommandError::failed(format!("{}: {e}", file.display())))?;
         count += 1;
     }
     println!("{count} bodies in {}", to.display());
--- a/crates/lupinrack/src/commands/demo.rs
+++ b/crates/lupinrack/src/commands/demo.rs
@@ -1,32 +1,31 @@
-//! `lupinrack demo`: a process of this program among stand-ins on loopback, under a short mixed load.
+//! `lupinrack demo`: a process of this program and mock servers on loopback, under a short mixed load.
 
-use crate::ended::Ended;
-use lupinrack_demo::play;
+use crate::command_error::CommandError;
 pub use lupinrack_demo::Demo;
 
-/// Plays the demo and prints what came of it.
-pub fn run(demo: &Demo) -> Result<(), Ended> {
-    let program = std::env::current_exe().map_err(Ended::failed)?;
+/// Runs the demo and prints its report.
+pub fn run(demo: &Demo) -> Result<(), CommandError> {
+    let program = std::env::current_exe().map_err(CommandError::failed)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(Ended::failed)?;
-    let figures = runtime
-        .block_on(play(demo, program))
-        .map_err(Ended::failed)?;
+        .map_err(CommandError::failed)?;
+    let report = runtime
+        .block_on(lupinrack_demo::run(demo, program))
+        .map_err(CommandError::failed)?;
     if demo.json {
         println!(
             "{}",
-            serde_json::to_string(&figures).map_err(Ended::failed)?
+            serde_json::to_string(&report).map_err(CommandError::failed)?
         );
     } else {
-        print!("{}", figures.table());
+        print!("{}", report.table());
     }
-    match figures.tally.lost + figures.duplicates {
+    match report.tally.lost + report.duplicates {
         0 => Ok(()),
-        _ => Err(Ended::failed(format!(
+        _ => Err(CommandError::failed(format!(
             "{} lost, {} duplicated",
-            figures.tally.lost, figures.duplicates
+            report.tally.lost, report.duplicates
         ))),
     }
 }
--- a/crates/lupinrack/src/commands/extents/mod.rs
+++ b/crates/lupinrack/src/commands/extents/mod.rs
@@ -1,9 +1,9 @@
-//! `lupinrack extents`: the drill, and the model without sockets.
+//! `lupinrack extents`: the drill of the extent map, and its simulation.
 
 pub mod drill;
 pub mod sim;
 
-use crate::ended::Ended;
+use crate::command_error::CommandError;
 use clap::Subcommand;
 
 /// What can be done with the map of extents.
@@ -15,9 +15,9 @@
     Sim(sim::Sim),
 }
 
-/// Runs one of them.
-pub fn run(what: &Extents) -> Result<(), Ended> {
-    match what {
+/// Runs the command.
+pub fn run(command: &Extents) -> Result<(), CommandError> {
+    match command {
         Extents::Drill(drill) => drill::run(drill),
         Extents::Sim(sim) => sim::run(sim),
     }
--- a/crates/lupinrack/src/commands/extents/sim.rs
+++ b/crates/lupinrack/src/commands/extents/sim.rs
@@ -1,7 +1,7 @@
-//! The same state machines without sockets, in simulated time: what the messages cost at sizes that sockets do not
-//! reach. A run is the same for the same seed.
+//! `lupinrack extents sim`: runs the extent map's state machines without sockets, in simulated time, and measures the cost of
+//! messages at sizes that real sockets do not reach. Runs are deterministic for a seed.
 
-use crate::ended::Ended;
+use crate::command_error::CommandError;
 use clap::Args;
 use lupinrack_extent_map::config::Section;
 use lupinrack_extent_map::ranges::Ranges;
@@ -52,77 +52,77 @@
     pub json: bool,
 }
 
-/// What came of one run.
+/// The results of one run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
     /// Fronts.
     pub fronts: usize,
-    /// Extents of the whole map.
+    /// Extents in the map.
     pub extents: u64,
     /// Requests.
     pub requests: u64,
-    /// Requests that met the wrong shard.
+    /// Requests that were sent to the wrong shard.
     pub misdirected: u64,
-    /// Their share.
+    /// Share of misdirected requests.
     pub misdirected_share: f64,
-    /// Requests that met it twice.
+    /// Requests that were sent to a wrong shard twice.
     pub second_misdirected: u64,
-    /// Polls and fetches for each request.
+    /// Polls and fetches per request.
     pub calls_per_request: f64,
-    /// Bytes of calls, answers and datagrams for each request.
+    /// Bytes of calls, responses and datagrams per request.
     pub message_bytes_per_request: f64,
-    /// Of these, the bytes of datagrams between fronts.
+    /// Of these, bytes of datagrams between fronts.
     pub peer_bytes_per_request: f64,
-    /// Bytes of tables that one front holds, in the mean.
+    /// Mean memory of a front's tables, in bytes.
     pub table_bytes_per_front: f64,
-    /// Real seconds that the run took.
+    /// Wall-clock seconds that the run took.
     pub took_s: f64,
 }
 
-/// Head bytes of a call and its answer, as the driver and a plain server word them.
-const HEADS: usize = 160;
-/// One way between a front and the authority, or between fronts.
-const WAY: std::ops::Range<Micros> = 500..20_000;
-/// Share of datagrams that are lost.
-const LOST: f64 = 0.05;
-const S: Micros = 1_000_000;
-/// Time for the fronts to learn what they need.
-const WARM: Micros = 10 * S;
+/// Bytes of HTTP headers of a call and its response, as the driver and a plain server send them.
+const HEADER_BYTES: usize = 160;
+/// One-way delay between a front and the authority, or between fronts.
+const ONE_WAY_DELAY_US: std::ops::Range<Micros> = 500..20_000;
+/// Share of datagrams that are dropped.
+const DATAGRAM_LOSS: f64 = 0.05;
+const SECOND_US: Micros = 1_000_000;
+/// Time for the fronts to fetch the extents that they need, before the measurement starts.
+const WARM_UP_US: Micros = 10 * SECOND_US;
 
-enum Happens {
+enum Event {
     Request(usize),
     Move,
     Call(usize, Action),
-    HoldOver(u64),
-    Answer(usize, Input),
+    HoldExpired(u64),
+    Input(usize, Input),
     Timer(usize),
 }
 
-/// What waits at a front until its place is known.
-struct Waits {
+/// A request that waits at a front until its extent's shard is known.
+struct WaitingRequest {
     volume: VolumeId,
     key: Key,
-    turned: u32,
+    misdirections: u32,
 }
 
 struct Front {
     cache: Cache,
     volumes: Vec<u64>,
-    waits: Vec<Waits>,
+    waiting: Vec<WaitingRequest>,
 }
 
-struct World<'a> {
+struct Simulation<'a> {
     sim: &'a Sim,
-    dice: fastrand::Rng,
+    rng: fastrand::Rng,
     now: Micros,
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
-    what: BTreeMap<u64, Happens>,
-    number: u64,
+    events: BTreeMap<u64, Event>,
+    last_event_number: u64,
     version: Version,
-    truth: Vec<Ranges<256>>,
+    ground_truth: Vec<Ranges<256>>,
     history: VecDeque<Change>,
-    /// Polls that are held, by number: front and version.
-    held: BTreeMap<u64, (usize, Version)>,
+    /// Held polls by event number: the front and the version it knows.
+    held_polls: BTreeMap<u64, (usize, Version)>,
     fronts: Vec<Front>,
     figures: Figures,
     calls: u64,
@@ -130,15 +130,15 @@
     peer_bytes: u64,
 }
 
-/// Plays all runs and prints what came of them.
-pub fn run(sim: &Sim) -> Result<(), Ended> {
+/// Runs the simulation for each number of fronts and prints the results.
+pub fn run(sim: &Sim) -> Result<(), CommandError> {
     if sim.fronts.contains(&0)
         || sim.volumes == 0
         || sim.extents == 0
         || sim.shards < 2
         || sim.rate <= 0.0
     {
-        return Err(Ended::wrong(
+        return Err(CommandError::invalid_input(
             "fronts, volumes, extents and rate must be above zero, shards above one",
         ));
     }
@@ -159,48 +159,51 @@
         );
     }
     for fronts in &sim.fronts {
-        let f = World::new(sim, *fronts).play();
+        let figures = Simulation::new(sim, *fronts).run();
         if sim.json {
-            println!("{}", serde_json::to_string(&f).map_err(Ended::failed)?);
+            println!(
+                "{}",
+                serde_json::to_string(&figures).map_err(CommandError::failed)?
+            );
             continue;
         }
         println!(
             "{:>7}{:>9}{:>10}{:>13}{:>9.3}{:>8}{:>11.5}{:>11.2}{:>12.2}{:>13.0}{:>7.1}",
-            f.fronts,
-            f.extents,
-            f.requests,
-            f.misdirected,
-            f.misdirected_share * 100.0,
-            f.second_misdirected,
-            f.calls_per_request,
-            f.message_bytes_per_request,
-            f.peer_bytes_per_request,
-            f.table_bytes_per_front / 1024.0,
-            f.took_s
+            figures.fronts,
+            figures.extents,
+            figures.requests,
+            figures.misdirected,
+            figures.misdirected_share * 100.0,
+            figures.second_misdirected,
+            figures.calls_per_request,
+            figures.message_bytes_per_request,
+            figures.peer_bytes_per_request,
+            figures.table_bytes_per_front / 1024.0,
+            figures.took_s
         );
     }
     Ok(())
 }
 
-impl<'a> World<'a> {
-    fn new(sim: &'a Sim, count: usize) -> World<'a> {
-        let mut dice = fastrand::Rng::with_seed(sim.seed);
+impl<'a> Simulation<'a> {
+    fn new(sim: &'a Sim, count: usize) -> Simulation<'a> {
+        let mut rng = fastrand::Rng::with_seed(sim.seed);
         let span = u64::MAX / sim.extents;
         let mut epoch = 0;
-        let truth = (0..sim.volumes)
+        let ground_truth = (0..sim.volumes)
             .map(|_| {
                 let mut ranges = Ranges::new(0);
-                for lot in 0..sim.extents {
+                for extent in 0..sim.extents {
                     epoch += 1;
-                    let last = if lot + 1 == sim.extents {
+                    let last = if extent + 1 == sim.extents {
                         u64::MAX
                     } else {
-                        (lot + 1) * span - 1
+                        (extent + 1) * span - 1
                     };
                     ranges.set(
-                        lot * span,
+                        extent * span,
                         last,
-                        Some(dice.u32(0..sim.shards)),
+                        Some(rng.u32(0..sim.shards)),
                         epoch,
                         epoch,
                     );
@@ -216,30 +219,34 @@
                 let section = Section {
                     enabled: true,
                     peer_listen: Some(peers[i]),
-                    peers: peers.iter().copied().filter(|p| *p != peers[i]).collect(),
+                    peers: peers
+                        .iter()
+                        .copied()
+                        .filter(|peer| *peer != peers[i])
+                        .collect(),
                     ..Section::default()
                 };
                 Front {
                     cache: Cache::new(section, 0),
                     volumes: Vec::new(),
-                    waits: Vec::new(),
+                    waiting: Vec::new(),
                 }
             })
             .collect();
-        let mut world = World {
+        let mut simulation = Simulation {
             sim,
-            dice,
+            rng,
             now: 0,
             queue: BinaryHeap::new(),
-            what: BTreeMap::new(),
-            number: 0,
+            events: BTreeMap::new(),
+            last_event_number: 0,
             version: Version {
                 incarnation: 1,
                 epoch,
             },
-            truth,
+            ground_truth,
             history: VecDeque::new(),
-            held: BTreeMap::new(),
+            held_polls: BTreeMap::new(),
             fronts,
             figures: Figures {
                 fronts: count,
@@ -251,122 +258,127 @@
             peer_bytes: 0,
         };
         for volume in 0..sim.volumes {
-            let first = world.dice.usize(0..count);
+            let first = simulation.rng.usize(0..count);
             for host in 0..sim.hosts.min(count) {
-                world.fronts[(first + host) % count].volumes.push(volume);
+                simulation.fronts[(first + host) % count]
+                    .volumes
+                    .push(volume);
             }
         }
-        world
+        simulation
     }
 
-    fn play(mut self) -> Figures {
-        let began = Instant::now();
-        // The fronts learn what they need; that is not counted.
+    fn run(mut self) -> Figures {
+        let started = Instant::now();
+        // Warm-up, which is not counted: the fronts fetch the extents that they need.
         for front in 0..self.fronts.len() {
-            self.tell(front, Input::Timer);
+            self.handle_input(front, Input::Timer);
         }
-        self.until(S);
+        self.run_until(SECOND_US);
         for front in 0..self.fronts.len() {
             for volume in self.fronts[front].volumes.clone() {
-                let mut out = Vec::new();
+                let mut actions = Vec::new();
                 self.fronts[front]
                     .cache
-                    .locate(self.now, VolumeId(volume), Key(0), &mut out);
-                self.carry(front, out);
+                    .locate(self.now, VolumeId(volume), Key(0), &mut actions);
+                self.perform(front, actions);
             }
         }
-        self.until(WARM);
+        self.run_until(WARM_UP_US);
         (self.calls, self.bytes, self.peer_bytes) = (0, 0, 0);
         for front in 0..self.fronts.len() {
-            self.later(0, Happens::Request(front));
+            self.schedule(0, Event::Request(front));
         }
-        self.later(0, Happens::Move);
-        self.until(WARM + self.sim.seconds * S);
-        let f = &mut self.figures;
-        let requests = f.requests.max(1) as f64;
-        f.misdirected_share = f.misdirected as f64 / requests;
-        f.calls_per_request = self.calls as f64 / requests;
-        f.message_bytes_per_request = (self.bytes + self.peer_bytes) as f64 / requests;
-        f.peer_bytes_per_request = self.peer_bytes as f64 / requests;
-        let held: usize = self
+        self.schedule(0, Event::Move);
+        self.run_until(WARM_UP_US + self.sim.seconds * SECOND_US);
+        let figures = &mut self.figures;
+        let requests = figures.requests.max(1) as f64;
+        figures.misdirected_share = figures.misdirected as f64 / requests;
+        figures.calls_per_request = self.calls as f64 / requests;
+        figures.message_bytes_per_request = (self.bytes + self.peer_bytes) as f64 / requests;
+        figures.peer_bytes_per_request = self.peer_bytes as f64 / requests;
+        let table_bytes: usize = self
             .fronts
             .iter()
-            .map(|f| f.cache.map().memory_bytes())
+            .map(|front| front.cache.map().memory_bytes())
             .sum();
-        f.table_bytes_per_front = held as f64 / self.fronts.len() as f64;
-        f.took_s = began.elapsed().as_secs_f64();
+        figures.table_bytes_per_front = table_bytes as f64 / self.fronts.len() as f64;
+        figures.took_s = started.elapsed().as_secs_f64();
         self.figures
     }
 
-    fn later(&mut self, after: Micros, what: Happens) -> u64 {
-        self.number += 1;
-        self.queue.push(Reverse((self.now + after, self.number)));
-        self.what.insert(self.number, what);
-        self.number
+    fn schedule(&mut self, delay: Micros, event: Event) -> u64 {
+        self.last_event_number += 1;
+        self.queue
+            .push(Reverse((self.now + delay, self.last_event_number)));
+        self.events.insert(self.last_event_number, event);
+        self.last_event_number
     }
 
-    fn until(&mut self, end: Micros) {
+    fn run_until(&mut self, end: Micros) {
         while let Some(Reverse((at, number))) = self.queue.peek().copied().filter(|q| q.0 .0 <= end)
         {
             self.queue.pop();
             self.now = at;
-            match self.what.remove(&number) {
-                Some(Happens::Request(front)) => {
-                    let gap = -(1.0 - self.dice.f64()).ln() / self.sim.rate * S as f64;
-                    self.later(gap as Micros, Happens::Request(front));
+            match self.events.remove(&number) {
+                Some(Event::Request(front)) => {
+                    let interval = -(1.0 - self.rng.f64()).ln() / self.sim.rate * SECOND_US as f64;
+                    self.schedule(interval as Micros, Event::Request(front));
                     self.request(front);
                 }
-                Some(Happens::Move) => self.change(),
-                Some(Happens::Call(front, action)) => self.call(front, action),
-                Some(Happens::HoldOver(poll)) => {
-                    if let Some((front, version)) = self.held.remove(&poll) {
-                        self.answer_poll(front, Some(version));
+                Some(Event::Move) => self.move_extent(),
+                Some(Event::Call(front, action)) => self.receive_call(front, action),
+                Some(Event::HoldExpired(poll)) => {
+                    if let Some((front, version)) = self.held_polls.remove(&poll) {
+                        self.respond_to_poll(front, Some(version));
                     }
                 }
-                Some(Happens::Answer(front, input)) => self.tell(front, input),
-                Some(Happens::Timer(front)) => self.tell(front, Input::Timer),
+                Some(Event::Input(front, input)) => self.handle_input(front, input),
+                Some(Event::Timer(front)) => self.handle_input(front, Input::Timer),
                 None => {}
             }
         }
         self.now = end;
     }
 
-    fn silent(&self) -> bool {
-        let third = self.sim.seconds * S / 3;
-        self.sim.silence && (WARM + third..WARM + 2 * third).contains(&self.now)
+    fn authority_is_silent(&self) -> bool {
+        let third = self.sim.seconds * SECOND_US / 3;
+        self.sim.silence && (WARM_UP_US + third..WARM_UP_US + 2 * third).contains(&self.now)
     }
 
-    fn tell(&mut self, front: usize, input: Input) {
-        let mut out = Vec::new();
-        self.fronts[front].cache.handle(self.now, input, &mut out);
-        self.carry(front, out);
+    fn handle_input(&mut self, front: usize, input: Input) {
+        let mut actions = Vec::new();
+        self.fronts[front]
+            .cache
+            .handle(self.now, input, &mut actions);
+        self.perform(front, actions);
     }
 
-    fn carry(&mut self, front: usize, actions: Vec<Action>) {
+    fn perform(&mut self, front: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Wake(at) => {
-                    self.later((at - self.now).max(0), Happens::Timer(front));
+                    self.schedule((at - self.now).max(0), Event::Timer(front));
                 }
                 Action::Changed { .. } | Action::ChangedAll => {
-                    for w in std::mem::take(&mut self.fronts[front].waits) {
-                        self.resolve(front, w);
+                    for request in std::mem::take(&mut self.fronts[front].waiting) {
+                        self.resolve(front, request);
                     }
                 }
                 Action::SendToPeers(bytes) => {
-                    for peer in (0..self.fronts.len()).filter(|p| *p != front) {
+                    for peer in (0..self.fronts.len()).filter(|peer| *peer != front) {
                         self.peer_bytes += datagram::MAX_DATAGRAM_BYTES.min(bytes.len()) as u64;
-                        if self.dice.f64() >= LOST {
-                            let way = self.dice.i64(WAY);
+                        if self.rng.f64() >= DATAGRAM_LOSS {
+                            let delay = self.rng.i64(ONE_WAY_DELAY_US);
                             let input = Input::PeerUpdate(front as u16, bytes.clone());
-                            self.later(way, Happens::Answer(peer, input));
+                            self.schedule(delay, Event::Input(peer, input));
                         }
                     }
                 }
                 call @ (Action::Poll { .. } | Action::Fetch { .. }) => {
                     self.calls += 1;
-                    let way = self.dice.i64(WAY);
-                    self.later(way, Happens::Call(front, call));
+                    let delay = self.rng.i64(ONE_WAY_DELAY_US);
+                    self.schedule(delay, Event::Call(front, call));
                 }
                 Action::Save(_) | Action::Warn { .. } => {}
             }
@@ -374,82 +386,93 @@
     }
 
     fn request(&mut self, front: usize) {
-        let Some(volume) = self.dice.choice(&self.fronts[front].volumes).copied() else {
+        let Some(volume) = self.rng.choice(&self.fronts[front].volumes).copied() else {
             return;
         };
         self.figures.requests += 1;
-        let waits = Waits {
+        let request = WaitingRequest {
             volume: VolumeId(volume),
-            key: Key(self.dice.u64(..)),
-            turned: 0,
+            key: Key(self.rng.u64(..)),
+            misdirections: 0,
         };
-        self.resolve(front, waits);
+        self.resolve(front, request);
     }
 
-    /// Sends a request where its front believes its data to lie, as often as it takes.
-    fn resolve(&mut self, front: usize, mut w: Waits) {
-        let mut out = Vec::new();
-        let f = &mut self.fronts[front];
-        let mut place = f.cache.locate(self.now, w.volume, w.key, &mut out);
-        let truth = self.truth[w.volume.0 as usize]
-            .get(w.key.0)
+    /// Sends a request to the shard in its front's map, and follows redirects until it reaches the right shard or has to wait.
+    fn resolve(&mut self, front: usize, mut request: WaitingRequest) {
+        let mut actions = Vec::new();
+        let front_state = &mut self.fronts[front];
+        let mut location =
+            front_state
+                .cache
+                .locate(self.now, request.volume, request.key, &mut actions);
+        let ground_truth = self.ground_truth[request.volume.0 as usize]
+            .get(request.key.0)
             .shard
             .map(Shard);
-        while let Location::OnShard(shard) = place {
-            if Some(shard) == truth {
+        while let Location::OnShard(shard) = location {
+            if Some(shard) == ground_truth {
                 break;
             }
-            w.turned += 1;
-            self.figures.misdirected += u64::from(w.turned == 1);
-            self.figures.second_misdirected += u64::from(w.turned == 2);
-            match f.cache.on_wrong_shard(
+            request.misdirections += 1;
+            self.figures.misdirected += u64::from(request.misdirections == 1);
+            self.figures.second_misdirected += u64::from(request.misdirections == 2);
+            match front_state.cache.on_wrong_shard(
                 self.now,
-                (w.volume, w.key),
+                (request.volume, request.key),
                 shard,
                 Some(self.version),
-                &mut out,
+                &mut actions,
             ) {
-                Reroute::To(shard) if w.turned < 3 => place = Location::OnShard(shard),
-                Reroute::Pending => place = Location::Unknown,
+                Reroute::To(shard) if request.misdirections < 3 => {
+                    location = Location::OnShard(shard)
+                }
+                Reroute::Pending => location = Location::Unknown,
                 _ => break,
             }
         }
-        if place == Location::Unknown {
-            f.waits.push(w);
+        if location == Location::Unknown {
+            front_state.waiting.push(request);
         }
-        self.carry(front, out);
+        self.perform(front, actions);
     }
 
-    /// An extent moves; polls that are held hear of it.
-    fn change(&mut self) {
+    /// Moves an extent to another shard and answers the held polls.
+    fn move_extent(&mut self) {
         if self.sim.moves_per_s > 0.0 {
-            let gap = -(1.0 - self.dice.f64()).ln() / self.sim.moves_per_s * S as f64;
-            self.later(gap as Micros, Happens::Move);
+            let interval = -(1.0 - self.rng.f64()).ln() / self.sim.moves_per_s * SECOND_US as f64;
+            self.schedule(interval as Micros, Event::Move);
         }
-        let volume = self.dice.u64(0..self.sim.volumes);
-        let piece = self.truth[volume as usize].get(self.dice.u64(..));
+        let volume = self.rng.u64(0..self.sim.volumes);
+        let range_at_key = self.ground_truth[volume as usize].get(self.rng.u64(..));
         self.version.epoch += 1;
-        let (epoch, shard) = (self.version.epoch, Some(self.dice.u32(0..self.sim.shards)));
-        self.truth[volume as usize].set(piece.first, piece.last, shard, epoch, epoch);
+        let (epoch, shard) = (self.version.epoch, Some(self.rng.u32(0..self.sim.shards)));
+        self.ground_truth[volume as usize].set(
+            range_at_key.first,
+            range_at_key.last,
+            shard,
+            epoch,
+            epoch,
+        );
         let change = Change {
             volume: VolumeId(volume),
-            first: piece.first,
-            last: piece.last,
+            first: range_at_key.first,
+            last: range_at_key.last,
             shard,
             epoch,
         };
         self.history.push_back(change);
-        if self.silent() {
+        if self.authority_is_silent() {
             return;
         }
-        for (front, version) in std::mem::take(&mut self.held).into_values() {
-            self.answer_poll(front, Some(version));
+        for (front, version) in std::mem::take(&mut self.held_polls).into_values() {
+            self.respond_to_poll(front, Some(version));
         }
     }
 
-    fn call(&mut self, front: usize, action: Action) {
-        if self.silent() {
-            // Given up by the driver.
+    fn receive_call(&mut self, front: usize, action: Action) {
+        if self.authority_is_silent() {
+            // The driver's call times out.
             let input = match action {
                 Action::Fetch { volume, .. } => Input::Fetched {
                     volume,
@@ -457,7 +480,7 @@
                 },
                 _ => Input::Polled(Err("silent".into())),
             };
-            self.later(S, Happens::Answer(front, input));
+            self.schedule(SECOND_US, Event::Input(front, input));
             return;
         }
         match action {
@@ -465,39 +488,39 @@
                 from: Some(from),
                 hold,
             } if from == self.version => {
-                let poll = self.later(hold, Happens::HoldOver(self.number + 1));
-                self.held.insert(poll, (front, from));
+                let poll = self.schedule(hold, Event::HoldExpired(self.last_event_number + 1));
+                self.held_polls.insert(poll, (front, from));
             }
-            Action::Poll { from, .. } => self.answer_poll(front, from),
+            Action::Poll { from, .. } => self.respond_to_poll(front, from),
             Action::Fetch { volume, key } => {
-                let ranges = &self.truth[volume.0 as usize];
-                let piece = key.map(|k| ranges.get(k.0));
-                let within = piece.map_or((0, u64::MAX), |p| (p.first, p.last));
-                let pieces = ranges
-                    .iter()
-                    .filter(|p| p.shard.is_some() && p.first >= within.0 && p.last <= within.1);
-                let extent = |p: lupinrack_extent_map::KeyRange| Change {
+                let ranges = &self.ground_truth[volume.0 as usize];
+                let range_at_key = key.map(|k| ranges.get(k.0));
+                let bounds = range_at_key.map_or((0, u64::MAX), |range| (range.first, range.last));
+                let ranges_in_scope = ranges.iter().filter(|range| {
+                    range.shard.is_some() && range.first >= bounds.0 && range.last <= bounds.1
+                });
+                let extent = |range: lupinrack_extent_map::KeyRange| Change {
                     volume,
-                    first: p.first,
-                    last: p.last,
-                    shard: p.shard,
-                    epoch: p.epoch,
+                    first: range.first,
+                    last: range.last,
+                    shard: range.shard,
+                    epoch: range.epoch,
                 };
-                let extents = pieces.map(extent).collect();
-                let cover = FetchResponse {
+                let extents = ranges_in_scope.map(extent).collect();
+                let response = FetchResponse {
                     version: self.version,
                     volume,
-                    first: within.0,
-                    last: within.1,
+                    first: bounds.0,
+                    last: bounds.1,
                     extents,
                 };
-                let size = serde_json::to_vec(&cover).map_or(0, |b| b.len());
-                self.answer(
+                let body_bytes = serde_json::to_vec(&response).map_or(0, |b| b.len());
+                self.send_response(
                     front,
-                    size,
+                    body_bytes,
                     Input::Fetched {
                         volume,
-                        answer: Ok(cover),
+                        answer: Ok(response),
                     },
                 );
             }
@@ -505,8 +528,8 @@
         }
     }
 
-    fn answer_poll(&mut self, front: usize, from: Option<Version>) {
-        let news = match from {
+    fn respond_to_poll(&mut self, front: usize, from: Option<Version>) {
+        let response = match from {
             Some(from) => {
                 let known = self.history.partition_point(|c| c.epoch <= from.epoch);
                 let changes = self.history.range(known..).copied().collect();
@@ -517,7 +540,7 @@
                     changes,
                 }
             }
-            // Too large to be told whole: volumes are fetched on need.
+            // The map is too large for a full snapshot: fronts fetch volumes on demand.
             None => PollResponse {
                 version: self.version,
                 reset: true,
@@ -525,13 +548,13 @@
                 changes: Vec::new(),
             },
         };
-        let size = serde_json::to_vec(&news).map_or(0, |b| b.len());
-        self.answer(front, size, Input::Polled(Ok(news)));
+        let body_bytes = serde_json::to_vec(&response).map_or(0, |b| b.len());
+        self.send_response(front, body_bytes, Input::Polled(Ok(response)));
     }
 
-    fn answer(&mut self, front: usize, size: usize, input: Input) {
-        self.bytes += (size + HEADS) as u64;
-        let way = self.dice.i64(WAY);
-        self.later(way, Happens::Answer(front, input));
+    fn send_response(&mut self, front: usize, body_bytes: usize, input: Input) {
+        self.bytes += (body_bytes + HEADER_BYTES) as u64;
+        let delay = self.rng.i64(ONE_WAY_DELAY_US);
+        self.schedule(delay, Event::Input(front, input));
     }
 }
--- a/crates/lupinrack/src/commands/fleet/drill.rs
+++ b/crates/lupinrack/src/commands/fleet/drill.rs
@@ -1,6 +1,6 @@
-//! `lupinrack fleet drill`: several processes of this program, faults between them, and every promise checked.
+//! `lupinrack fleet drill`: runs several processes of this program, injects faults between them, and checks every guarantee.
 
-use crate::ended::Ended;
+use crate::command_error::CommandError;
 use clap::Args;
 use lupinrack_fault_injection::{Plan, Script};
 use lupinrack_fleet_membership_drill::cases::{chance, named, CASES};
@@ -39,9 +39,9 @@
     json: bool,
 }
 
-/// Plays and checks.
-pub fn run(drill: &Drill) -> Result<(), Ended> {
-    if drill.faults.iter().any(|f| f == "list") {
+/// Runs the scripts and checks their results.
+pub fn run(drill: &Drill) -> Result<(), CommandError> {
+    if drill.faults.iter().any(|name| name == "list") {
         CASES
             .iter()
             .for_each(|c| println!("{:<10}{}", c.name, c.shows));
@@ -50,96 +50,101 @@
     if drill.faults.is_empty() {
         let script = match &drill.replay {
             Some(file) => {
-                let text = std::fs::read_to_string(file).map_err(Ended::wrong)?;
-                serde_json::from_str(&text).map_err(Ended::wrong)?
+                let text = std::fs::read_to_string(file).map_err(CommandError::invalid_input)?;
+                serde_json::from_str(&text).map_err(CommandError::invalid_input)?
             }
             None => {
                 let seed = drill.seed.unwrap_or_else(|| fastrand::u64(..1 << 32));
                 chance(seed, drill.fronts, drill.seconds)
             }
         };
-        return one(drill, script);
+        return run_script(drill, script);
     }
     let seed = drill.seed.unwrap_or_else(|| fastrand::u64(..1 << 32));
     let mut cases = Vec::new();
     for name in &drill.faults {
         match name.as_str() {
             "all" => cases.extend(CASES),
-            name => cases
-                .push(named(name).ok_or_else(|| Ended::wrong(format!("no such case: {name}")))?),
+            name => cases.push(
+                named(name)
+                    .ok_or_else(|| CommandError::invalid_input(format!("no such case: {name}")))?,
+            ),
         }
     }
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for case in cases {
-        if let Err(Ended::Failed(why)) = one(drill, (case.script)(seed)) {
-            broken.push(format!("{}: {why}", case.name));
+        if let Err(CommandError::Failed(message)) = run_script(drill, (case.script)(seed)) {
+            violations.push(format!("{}: {message}", case.name));
         }
     }
-    match broken.is_empty() {
+    match violations.is_empty() {
         true => Ok(()),
-        false => Err(Ended::failed(broken.join("\n"))),
+        false => Err(CommandError::failed(violations.join("\n"))),
     }
 }
 
-fn one(drill: &Drill, mut script: Script) -> Result<(), Ended> {
+fn run_script(drill: &Drill, mut script: Script) -> Result<(), CommandError> {
     script.fleet = !drill.told_once;
     if let Some(file) = &drill.script {
         std::fs::write(
             file,
-            serde_json::to_string_pretty(&script).map_err(Ended::failed)?,
+            serde_json::to_string_pretty(&script).map_err(CommandError::failed)?,
         )
-        .map_err(Ended::failed)?;
+        .map_err(CommandError::failed)?;
     }
     let folder = std::env::temp_dir().join(format!(
         "lupinrack-drill-{}-{}",
         std::process::id(),
         script.seed
     ));
-    let program = std::env::current_exe().map_err(Ended::failed)?;
+    let program = std::env::current_exe().map_err(CommandError::failed)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(Ended::failed)?;
+        .map_err(CommandError::failed)?;
     let plan = Plan {
         script: script.clone(),
         program,
         folder,
         fleet: String::new(),
     };
-    let played = runtime
+    let outcome = runtime
         .block_on(play(plan))
-        .map_err(|e| Ended::failed(format!("seed {}: {e}", script.seed)))?;
-    let figures = &played.figures;
+        .map_err(|e| CommandError::failed(format!("seed {}: {e}", script.seed)))?;
+    let figures = &outcome.figures;
     if let Some(file) = &drill.history {
-        std::fs::write(file, played.history.last(usize::MAX)).map_err(Ended::failed)?;
+        std::fs::write(file, outcome.history.last(usize::MAX)).map_err(CommandError::failed)?;
     }
     match drill.json {
-        true => println!("{}", serde_json::to_string(figures).map_err(Ended::failed)?),
+        true => println!(
+            "{}",
+            serde_json::to_string(figures).map_err(CommandError::failed)?
+        ),
         false => print!("{}", table(figures, drill.told_once)),
     }
     match figures.verdict() {
         Ok(()) => Ok(()),
-        Err(broken) => {
+        Err(violations) => {
             let script = serde_json::to_string(&script).unwrap_or_default();
             eprintln!(
                 "seed {}\nscript {script}\n{}",
                 figures.seed,
-                played.history.last(60)
+                outcome.history.last(60)
             );
-            Err(Ended::failed(broken.join("\n")))
+            Err(CommandError::failed(violations.join("\n")))
         }
     }
 }
 
-fn table(f: &Figures, told_once: bool) -> String {
+fn table(figures: &Figures, told_once: bool) -> String {
     let mut text = format!(
         "{}, seed {}: {} processes, {} kills, {} pauses, {} cuts, parts {}\n\n",
-        f.script,
-        f.seed,
-        f.processes,
-        f.kills,
-        f.pauses,
-        f.partitions,
+        figures.script,
+        figures.seed,
+        figures.processes,
+        figures.kills,
+        figures.pauses,
+        figures.partitions,
         if told_once {
             "told once"
         } else {
@@ -147,28 +152,28 @@
         }
     );
     for (name, count) in [
-        ("requests", f.requests),
-        ("served", f.served),
-        ("views", f.views),
-        ("view_conflicts", f.view_conflicts),
-        ("limit_broken", f.limit_broken),
-        ("cold_over", f.cold_over),
-        ("lost", f.lost),
-        ("duplicates", f.duplicates),
-        ("repeats dropped", f.repeats),
-        ("false_deaths", f.false_deaths),
+        ("requests", figures.requests),
+        ("served", figures.served),
+        ("views", figures.views),
+        ("view_conflicts", figures.view_conflicts),
+        ("limit_broken", figures.limit_broken),
+        ("cold_over", figures.cold_over),
+        ("lost", figures.lost),
+        ("duplicates", figures.duplicates),
+        ("repeats dropped", figures.repeats),
+        ("false_deaths", figures.false_deaths),
     ] {
         text += &format!("{name:<26}{count:>10}\n");
     }
     for (name, value) in [
-        ("parts_sum_max", f.parts_sum_max),
-        ("idle_limit_share", f.idle_limit_share),
-        ("detect_ms_p50", f.detect_ms_p50),
-        ("detect_ms_p99", f.detect_ms_p99),
-        ("agree_ms_p99", f.agree_ms_p99),
-        ("bytes_per_front_s", f.bytes_per_front_s),
-        ("datagrams_per_front_s", f.datagrams_per_front_s),
-        ("cpu_us_per_request", f.cpu_us_per_request),
+        ("parts_sum_max", figures.parts_sum_max),
+        ("idle_limit_share", figures.idle_limit_share),
+        ("detect_ms_p50", figures.detect_ms_p50),
+        ("detect_ms_p99", figures.detect_ms_p99),
+        ("agree_ms_p99", figures.agree_ms_p99),
+        ("bytes_per_front_s", figures.bytes_per_front_s),
+        ("datagrams_per_front_s", figures.datagrams_per_front_s),
+        ("cpu_us_per_request", figures.cpu_us_per_request),
     ] {
         text += &format!("{name:<26}{value:>10.3}\n");
     }
--- a/crates/lupinrack/src/commands/fleet/ls.rs
+++ b/crates/lupinrack/src/commands/fleet/ls.rs
@@ -1,7 +1,7 @@
-//! `lupinrack fleet ls|watch`: a front's knowledge of its fleet, asked at its door.
+//! `lupinrack fleet ls|watch`: prints what a front knows of its fleet, read from its admin interface.
 
+use crate::command_error::CommandError;
 use crate::commands::admin::{exchange, Call};
-use crate::ended::Ended;
 use clap::Args;
 use lupinrack_fleet_driver::Report;
 use std::net::SocketAddr;
@@ -30,37 +30,39 @@
     count: u64,
 }
 
-/// Asks once.
-pub fn run(ls: &Ls) -> Result<(), Ended> {
+/// Prints the report once.
+pub fn run(ls: &Ls) -> Result<(), CommandError> {
     let answer = exchange(ls.address, Call::Fleet)
-        .map_err(|e| Ended::failed(format!("{}: {e}", ls.address)))?;
+        .map_err(|e| CommandError::failed(format!("{}: {e}", ls.address)))?;
     let mut lines = answer.lines();
     let head = lines.next().unwrap_or("no answer");
     if !head.starts_with("200") {
-        return Err(Ended::failed(format!("{}: {head}", ls.address)));
+        return Err(CommandError::failed(format!("{}: {head}", ls.address)));
     }
     let line = lines.next().unwrap_or("");
     if ls.json {
         println!("{line}");
         return Ok(());
     }
-    let report: Report = serde_json::from_str(line).map_err(Ended::failed)?;
+    let report: Report = serde_json::from_str(line).map_err(CommandError::failed)?;
     print!("{}", table(&report));
     Ok(())
 }
 
-/// Asks again and again; a front that does not answer is said so, and asked on.
-pub fn watch(watch: &Watch) -> Result<(), Ended> {
+/// Prints the report at an interval. Errors of a call are printed and do not end the loop.
+pub fn watch(watch: &Watch) -> Result<(), CommandError> {
     if !(0.05..=3600.0).contains(&watch.every) {
-        return Err(Ended::wrong("--every: from 0.05 to 3600 seconds"));
+        return Err(CommandError::invalid_input(
+            "--every: from 0.05 to 3600 seconds",
+        ));
     }
-    let mut asked = 0;
+    let mut calls = 0;
     loop {
-        if let Err(Ended::Failed(why)) = run(&watch.ls) {
-            println!("{why}");
+        if let Err(CommandError::Failed(message)) = run(&watch.ls) {
+            println!("{message}");
         }
-        asked += 1;
-        if asked == watch.count {
+        calls += 1;
+        if calls == watch.count {
             return Ok(());
         }
         std::thread::sleep(Duration::from_secs_f64(watch.every));
@@ -70,28 +72,28 @@
     }
 }
 
-fn table(r: &Report) -> String {
-    let lease = r.lease_left_ms.map_or("no lease".to_string(), |ms| {
+fn table(report: &Report) -> String {
+    let lease = report.lease_left_ms.map_or("no lease".to_string(), |ms| {
         format!("lease {:.1} s", ms as f64 / 1000.0)
     });
-    let leads = if r.leads { ", leads" } else { "" };
+    let leader = if report.leads { ", leads" } else { "" };
     let mut text = format!(
-        "{}: {}, view {}{leads}, {lease}, uses {:.3} of its even part, more of {} of {} volumes\n\n",
-        r.name, r.stance, r.view, r.part, r.taken_over, r.volumes
+        "{}: {}, view {}{leader}, {lease}, uses {:.3} of its even part, more of {} of {} volumes\n\n",
+        report.name, report.stance, report.view, report.part, report.taken_over, report.volumes
     );
     text += &format!(
         "{:<16}{:<9}{:>10}  {:<16}{:>12}{:>6}\n",
         "front", "state", "for s", "by", "incarnation", "view"
     );
-    for m in &r.members {
+    for member in &report.members {
         text += &format!(
             "{:<16}{:<9}{:>10.1}  {:<16}{:>12}{:>6}\n",
-            m.name,
-            m.state,
-            m.since_ms as f64 / 1000.0,
-            m.by,
-            m.incarnation,
-            if m.in_view { "in" } else { "-" }
+            member.name,
+            member.state,
+            member.since_ms as f64 / 1000.0,
+            member.by,
+            member.incarnation,
+            if member.in_view { "in" } else { "-" }
         );
     }
     text
--- a/crates/lupinrack/src/commands/fleet/mod.rs
+++ b/crates/lupinrack/src/commands/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! `lupinrack fleet`: what a front knows of its fleet, and the drill.
+//! `lupinrack fleet`: prints what a front knows of its fleet, and runs the fleet's drill.
 
 mod drill;
 mod ls;
 
-use crate::ended::Ended;
+use crate::command_error::CommandError;
 use clap::Subcommand;
 
 /// The fronts among each other.
@@ -17,8 +17,8 @@
     Drill(drill::Drill),
 }
 
-/// Runs one of them.
-pub fn run(fleet: &Fleet) -> Result<(), Ended> {
+/// Runs the command.
+pub fn run(fleet: &Fleet) -> Result<(), CommandError> {
     match fleet {
         Fleet::Ls(ls) => ls::run(ls),
         Fleet::Watch(watch) => ls::watch(watch),
--- a/crates/lupinrack/src/commands/mod.rs
+++ b/crates/lupinrack/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands beside `serve`.
+//! All commands except `serve` and those of the cluster scheduler.
 
 pub mod admin;
 pub mod buffer;
--- a/crates/lupinrack/src/commands/overload.rs
+++ b/crates/lupinrack/src/commands/overload.rs
@@ -1,6 +1,6 @@
-//! `lupinrack overload drill`: several processes of this program and a node that hangs; every promise checked.
+//! `lupinrack overload drill`: runs several processes of this program against a node that hangs, and checks every guarantee.
 
-use crate::ended::Ended;
+use crate::command_error::CommandError;
 use clap::{Args, Subcommand};
 use lupinrack_fault_injection::Plan;
 use lupinrack_overload_drill::{named, play, CASES, SECONDS, SECONDS_LEAST};
@@ -35,8 +35,8 @@
     json: bool,
 }
 
-/// Runs one of them.
-pub fn run(Overload::Drill(drill): &Overload) -> Result<(), Ended> {
+/// Runs the drill.
+pub fn run(Overload::Drill(drill): &Overload) -> Result<(), CommandError> {
     if drill.script == "list" {
         CASES
             .iter()
@@ -44,7 +44,7 @@
         return Ok(());
     }
     let case = named(&drill.script)
-        .ok_or_else(|| Ended::wrong(format!("no such script: {}", drill.script)))?;
+        .ok_or_else(|| CommandError::invalid_input(format!("no such script: {}", drill.script)))?;
     let seed = drill.seed.unwrap_or_else(|| fastrand::u64(..1 << 32));
     let mut script = (case.script)(drill.fronts, seed, drill.seconds);
     if drill.alone {
@@ -52,11 +52,11 @@
     }
     let folder =
         std::env::temp_dir().join(format!("lupinrack-overload-{}-{seed}", std::process::id()));
-    let program = std::env::current_exe().map_err(Ended::failed)?;
+    let program = std::env::current_exe().map_err(CommandError::failed)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(Ended::failed)?;
+        .map_err(CommandError::failed)?;
     let plan = Plan {
         script,
         program,
@@ -65,38 +65,45 @@
     };
     let played = runtime
         .block_on(play(plan))
-        .map_err(|e| Ended::failed(format!("seed {seed}: {e}")))?;
-    let f = &played.figures;
+        .map_err(|e| CommandError::failed(format!("seed {seed}: {e}")))?;
+    let figures = &played.figures;
     if drill.json {
-        println!("{}", serde_json::to_string(f).map_err(Ended::failed)?);
+        println!(
+            "{}",
+            serde_json::to_string(figures).map_err(CommandError::failed)?
+        );
     } else {
-        let how = if f.alone { "each for itself" } else { "as one" };
+        let coordination = if figures.alone {
+            "each for itself"
+        } else {
+            "as one"
+        };
         println!(
-            "{}, seed {}: {} processes, {how}, {} requests\n",
-            f.script, f.seed, f.processes, f.requests
+            "{}, seed {}: {} processes, {coordination}, {} requests\n",
+            figures.script, figures.seed, figures.processes, figures.requests
         );
         println!(
             "{:<20}{:>10.3}\n{:<20}{:>10}",
-            "served_share", f.served_share, "attempts_at_hung", f.attempts_at_hung
+            "served_share", figures.served_share, "attempts_at_hung", figures.attempts_at_hung
         );
         println!(
             "{:<20}{:>10.2}\n{:<20}{:>10}",
-            "trials_per_s", f.trials_per_s, "trials_over", f.trials_over
+            "trials_per_s", figures.trials_per_s, "trials_over", figures.trials_over
         );
-        let recovery = f
+        let recovery = figures
             .recovery_ms
             .map_or("never".to_string(), |ms| format!("{ms:.0}"));
         println!(
             "{:<20}{recovery:>10}\n{:<20}{:>10}",
-            "recovery_ms", "limit_broken", f.limit_broken
+            "recovery_ms", "limit_broken", figures.limit_broken
         );
         println!(
             "{:<20}{:>10}\n{:<20}{:>10}",
-            "lost", f.lost, "duplicates", f.duplicates
+            "lost", figures.lost, "duplicates", figures.duplicates
         );
     }
-    f.verdict().map_err(|broken| {
+    figures.verdict().map_err(|violations| {
         eprintln!("seed {seed}\n{}", played.history.last(60));
-        Ended::failed(broken.join("\n"))
+        CommandError::failed(violations.join("\n"))
     })
 }
--- a/crates/lupinrack/src/commands/simulate.rs
+++ b/crates/lupinrack/src/commands/simulate.rs
@@ -1,6 +1,6 @@
-//! `lupinrack simulate`: a fleet's state machines in virtual time. `lab`, its earlier name, stays as a hidden alias.
+//! `lupinrack simulate`: runs a fleet's state machines in virtual time. `lab`, its earlier name, stays as a hidden alias.
 
-use crate::ended::Ended;
+use crate::command_error::CommandError;
 use clap::{Args, Subcommand};
 use lupinrack_fleet_simulation::{plot, Experiment, Point};
 use std::path::PathBuf;
@@ -50,45 +50,49 @@
 ///
 /// # Errors
 ///
-/// If the experiment cannot be read or run, or a promise was broken in it.
-pub fn run(simulate: &Simulate) -> Result<(), Ended> {
+/// If the experiment cannot be read or run, or one of its runs violates a guarantee.
+pub fn run(simulate: &Simulate) -> Result<(), CommandError> {
     match simulate {
         Simulate::Run(run) => {
-            let (experiment, points) = play(run)?;
+            let (experiment, points) = run_experiment(run)?;
             if run.json {
-                println!("{}", serde_json::to_string(&points).map_err(Ended::failed)?);
+                println!(
+                    "{}",
+                    serde_json::to_string(&points).map_err(CommandError::failed)?
+                );
             } else {
                 print!("{}", table(&experiment, &points));
             }
             match points.iter().all(Point::kept) {
                 true => Ok(()),
-                false => Err(Ended::failed(
+                false => Err(CommandError::failed(
                     "a promise was broken: view_conflicts must be 0, parts_sum_max at most 1",
                 )),
             }
         }
-        Simulate::Plot(p) => {
-            let (experiment, points) = play(&p.run)?;
-            let title = format!("{}: {}", experiment.name, p.figure);
-            let svg = plot::svg(&points, &p.figure, &title).map_err(Ended::wrong)?;
-            std::fs::write(&p.out, svg).map_err(Ended::failed)
+        Simulate::Plot(plot) => {
+            let (experiment, points) = run_experiment(&plot.run)?;
+            let title = format!("{}: {}", experiment.name, plot.figure);
+            let svg =
+                plot::svg(&points, &plot.figure, &title).map_err(CommandError::invalid_input)?;
+            std::fs::write(&plot.out, svg).map_err(CommandError::failed)
         }
     }
 }
 
-fn play(run: &Run) -> Result<(Experiment, Vec<Point>), Ended> {
+fn run_experiment(run: &Run) -> Result<(Experiment, Vec<Point>), CommandError> {
     let text = std::fs::read_to_string(&run.experiment)
-        .map_err(|e| Ended::wrong(format!("{}: {e}", run.experiment.display())))?;
-    let mut set = run.set.clone();
-    set.extend(run.seeds.map(|n| format!("seeds={n}")));
-    let experiment = Experiment::parse(&text, &set).map_err(Ended::wrong)?;
+        .map_err(|e| CommandError::invalid_input(format!("{}: {e}", run.experiment.display())))?;
+    let mut overrides = run.set.clone();
+    overrides.extend(run.seeds.map(|n| format!("seeds={n}")));
+    let experiment = Experiment::parse(&text, &overrides).map_err(CommandError::invalid_input)?;
     let threads = run
         .threads
         .or_else(|| std::thread::available_parallelism().ok().map(usize::from))
         .unwrap_or(1);
     let points = experiment
         .run(threads, |done, all| eprint!("\r{done} of {all} runs"))
-        .map_err(Ended::wrong)?;
+        .map_err(CommandError::invalid_input)?;
     eprintln!();
     Ok((experiment, points))
 }
@@ -98,12 +102,12 @@
         "{}: {} seeds; median (least to most)\n",
         experiment.name, experiment.seeds
     );
-    for p in points {
-        text += &format!("\n{} fronts, loss {}\n", p.fronts, p.loss);
-        for (name, s) in &p.spread {
+    for point in points {
+        text += &format!("\n{} fronts, loss {}\n", point.fronts, point.loss);
+        for (name, spread) in &point.spread {
             text += &format!(
                 "  {name:<24}{:>12.3}  ({:.3} to {:.3})\n",
-                s.median, s.least, s.most
+                spread.median, spread.least, spread.most
             );
         }
     }
--- a/crates/lupinrack/src/log_targets.rs
+++ b/crates/lupinrack/src/log_targets.rs
@@ -1,12 +1,12 @@
-//! Names of log targets that a filter may still use although the crate has another name now.
+//! Former names of log targets, which filters may still use.
 //!
-//! A target is a crate's name. Operators' files and `LUPINRACK_LOG` name targets, so a renamed crate keeps its earlier
-//! name here: a filter that was written before goes on working.
+//! A target is a crate's name. Operators' files and `LUPINRACK_LOG` name targets, so this table maps the earlier name of each
+//! renamed crate to its current one: existing filters keep working.
 
-/// A crate's earlier target and its present one.
+/// A crate's earlier target and its current one.
 struct RenamedTarget {
     earlier: &'static str,
-    present: &'static str,
+    current: &'static str,
 }
 
 const RENAMED: [RenamedTarget; 20] = [
@@ -35,28 +35,28 @@
     renamed("lupinrack_takeover", "lupinrack_hot_restart"),
 ];
 
-const fn renamed(earlier: &'static str, present: &'static str) -> RenamedTarget {
-    RenamedTarget { earlier, present }
+const fn renamed(earlier: &'static str, current: &'static str) -> RenamedTarget {
+    RenamedTarget { earlier, current }
 }
 
-/// The same filter with the present names of crates: `info,lupinrack_core=debug` becomes
+/// Replaces earlier crate names in a filter by the current ones: `info,lupinrack_core=debug` becomes
 /// `info,lupinrack_request_engine=debug`.
-pub fn with_present_names(filter: &str) -> String {
-    let directives: Vec<String> = filter.split(',').map(with_present_name).collect();
+pub fn with_current_names(filter: &str) -> String {
+    let directives: Vec<String> = filter.split(',').map(with_current_name).collect();
     directives.join(",")
 }
 
-/// One directive: a target, perhaps with modules, a span or a level after it.
-fn with_present_name(directive: &str) -> String {
+/// The same for one directive: a target, optionally followed by modules, a span or a level.
+fn with_current_name(directive: &str) -> String {
     let spaces = directive.len() - directive.trim_start().len();
     let (leading, rest) = directive.split_at(spaces);
     let is_name = |character: char| character.is_ascii_alphanumeric() || character == '_';
     let end = rest
         .find(|character| !is_name(character))
         .unwrap_or(rest.len());
-    let (target, behind) = rest.split_at(end);
+    let (target, suffix) = rest.split_at(end);
     match RENAMED.iter().find(|renamed| renamed.earlier == target) {
-        Some(renamed) => format!("{leading}{}{behind}", renamed.present),
+        Some(renamed) => format!("{leading}{}{suffix}", renamed.current),
         None => directive.to_owned(),
     }
 }
--- a/crates/lupinrack/src/serve.rs
+++ b/crates/lupinrack/src/serve.rs
@@ -1,6 +1,7 @@
-//! Puts a front together from its parts and runs it: one core, the fronts that are on, the watch of the node list.
+//! Assembles a front from its parts and runs it: the request engine, the enabled protocol fronts, and the watcher of the
+//! node list.
 
-use crate::takeover::Takeover;
+use crate::hot_restart::HotRestart;
 use lupinrack_admin::{call::Call, Answer};
 use lupinrack_extent_map::{self as extents, Cache, Counters};
 use lupinrack_extent_map_driver::Driver;
@@ -13,7 +14,7 @@
 use lupinrack_http::memory_budget::{MemoryBudget, MemoryPool};
 use lupinrack_http::upstream::Upstream;
 use lupinrack_http::{accept, probe};
-use lupinrack_metrics::{Figures, Targets};
+use lupinrack_metrics::{Metrics, NodeCounts};
 use lupinrack_operator_config::OperatorConfig;
 use lupinrack_overload::Section as OverloadSection;
 use lupinrack_peer_transport::Tag;
@@ -31,7 +32,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 
-/// All that a front is started from, checked.
+/// The checked configuration that a front is started from.
 pub struct Plan {
     config: Config,
     rsync: Option<RsyncConfig>,
@@ -42,40 +43,40 @@
     inherited: Option<std::net::TcpListener>,
 }
 
-/// Why a front cannot be started from what it was given.
+/// Why a front cannot be started from its configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanError {
-    /// The platform's configuration.
+    /// The platform's configuration is invalid.
     #[error("{0}")]
     Config(#[from] lupinrack_platform::config::ConfigError),
-    /// The rsync front's section.
+    /// The rsync front's section is invalid.
     #[error("{0}")]
     Rsync(#[from] lupinrack_rsync::config::ConfigError),
-    /// The flow export's section.
+    /// The flow export's section is invalid.
     #[error("{0}")]
     Ipfix(#[from] lupinrack_flow_export::config::ConfigError),
-    /// The inherited socket.
+    /// The inherited socket cannot be used.
     #[error("{0}")]
     Inherited(#[from] inherited::InheritError),
 }
 
 impl Plan {
-    /// Reads the platform's configuration and joins it with the operators' file. `LUPINRACK_RSYNC` and
-    /// `LUPINRACK_IPFIX` name files of their own that stand in for the sections, as they always did.
+    /// Reads the platform's configuration and combines it with the operators' file. The files that `LUPINRACK_RSYNC` and
+    /// `LUPINRACK_IPFIX` name replace the sections of the operators' file.
     pub fn read(config: &Path, operator: OperatorConfig) -> Result<Plan, PlanError> {
         let mut plan = Plan::new(Config::load(config)?.with_environment()?, operator)?;
         plan.inherited = inherited::listener(plan.config.listen)?;
-        let named = |variable: &str| std::env::var_os(variable).map(PathBuf::from);
-        if let Some(file) = named("LUPINRACK_RSYNC") {
+        let path_from = |variable: &str| std::env::var_os(variable).map(PathBuf::from);
+        if let Some(file) = path_from("LUPINRACK_RSYNC") {
             plan.rsync = RsyncConfig::load(&file, &plan.config.settings)?;
         }
-        if let Some(file) = named("LUPINRACK_IPFIX") {
+        if let Some(file) = path_from("LUPINRACK_IPFIX") {
             plan.ipfix = IpfixConfig::load(&file)?;
         }
         Ok(plan)
     }
 
-    /// The same from what is in hand.
+    /// Builds the plan from configurations that are already loaded, without environment variables or an inherited socket.
     pub fn new(config: Config, operator: OperatorConfig) -> Result<Plan, PlanError> {
         let rsync = match operator.rsync {
             Some(section) => RsyncConfig::new(section, &config.settings)?,
@@ -97,47 +98,53 @@
     }
 }
 
-/// A front that serves.
+/// A running front.
 pub struct Front {
-    /// Where its clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Its core.
-    pub core: EngineHandle,
-    /// What it counts.
-    pub figures: Figures,
-    /// What its map of extents did so far.
-    pub extents: watch::Receiver<Counters>,
-    /// Ends with the front: well when it was told to end and all is answered.
-    pub ended: JoinHandle<std::io::Result<()>>,
+    /// Its request engine.
+    pub engine: EngineHandle,
+    /// Its request metrics.
+    pub metrics: Metrics,
+    /// The counters of its extent map.
+    pub extent_counters: watch::Receiver<Counters>,
+    /// Completes when the front ends: with `Ok` after a graceful shutdown in which all requests were answered.
+    pub task: JoinHandle<std::io::Result<()>>,
 }
 
-/// Runs a front until it is told to end by a signal and all that it took is answered.
-pub fn until_told(path: PathBuf, plan: Plan) -> std::io::Result<()> {
+/// Runs a front until a signal asks it to stop and all accepted requests are answered.
+pub fn run_until_signal(path: PathBuf, plan: Plan) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     runtime.block_on(async {
-        let current = reload::ActiveConfig::new(&plan.config);
-        let told = current.settings();
+        let active_config = reload::ActiveConfig::new(&plan.config);
+        let settings = active_config.settings();
         let phase =
-            lifecycle::watch(move || lifecycle::Plan::new(&told.borrow().policy_settings()))?;
+            lifecycle::watch(move || lifecycle::Plan::new(&settings.borrow().policy_settings()))?;
         let hangups = reload::sighup_signals()?;
-        let front = start_with(plan, phase, current.settings(), current.discovery()).await?;
+        let front = start_with(
+            plan,
+            phase,
+            active_config.settings(),
+            active_config.discovery(),
+        )
+        .await?;
         tokio::spawn(reload::reload_on_sighup(
             hangups,
             path,
-            current,
-            front.core.clone(),
-            front.figures.clone(),
+            active_config,
+            front.engine.clone(),
+            front.metrics.clone(),
         ));
         front
-            .ended
+            .task
             .await
             .unwrap_or_else(|e| Err(std::io::Error::other(e)))
     })
 }
 
-/// Starts a front; it follows `phase` to its end, and the node list at `discovery`.
+/// Starts a front that follows `phase` until shutdown and polls the node list at `discovery`.
 pub async fn start(
     plan: Plan,
     phase: watch::Receiver<Phase>,
@@ -147,7 +154,7 @@
     start_with(plan, phase, settings, discovery).await
 }
 
-/// The same, with the settings in use followed too.
+/// Like [`start`], and applies changes of `settings`.
 async fn start_with(
     plan: Plan,
     phase: watch::Receiver<Phase>,
@@ -165,99 +172,104 @@
     } = plan;
     let clock = Clock::start();
     let clock_offset = UnixClockOffset::measure(&clock);
-    let told = Arc::new(config.settings);
-    let figures = Figures::default();
-    figures.classes(told.classes.iter().map(String::as_str));
+    let initial_settings = Arc::new(config.settings);
+    let metrics = Metrics::default();
+    metrics.add_classes(initial_settings.classes.iter().map(String::as_str));
     let EngineParts {
         mut engine,
         handle,
-        health_checks: targets,
-    } = EngineParts::new(told.policy.clone(), config.seed, clock);
+        health_checks,
+    } = EngineParts::new(initial_settings.policy.clone(), config.seed, clock);
     if let Some(config) = ipfix {
         let (to, flows) = mpsc::channel(lupinrack_flow_export::WAITING_MOST);
         engine = engine.export_flows(to);
-        tracing::info!("flows go to {}", config.collector);
+        tracing::info!("exporting flows to {}", config.collector);
         tokio::spawn(async move {
-            if let Err(why) =
+            if let Err(error) =
                 lupinrack_flow_export::run(config, clock_offset.unix_offset(), flows).await
             {
-                tracing::error!("ipfix: {why}");
+                tracing::error!("flow export failed: {error}");
             }
         });
     }
     let mut counters = watch::channel(Counters::default()).1;
-    let mut driver = None;
+    let mut extent_driver = None;
     if let Some(section) = extents {
-        let cache = cache(&section, clock.now());
+        let cache = load_extent_map(&section, clock.now());
         let (with_map, channels) = engine.with_extent_map(cache);
         let ExtentMapChannels {
             actions,
-            counters: seen,
+            counters: counters_sender,
         } = channels;
-        (engine, counters) = (with_map, seen.clone());
-        tracing::info!("extents from {}", section.authority);
-        driver = Some(tokio::spawn(
+        (engine, counters) = (with_map, counters_sender.clone());
+        tracing::info!("extent map from the authority at {}", section.authority);
+        extent_driver = Some(tokio::spawn(
             Driver::new(&section, handle.clone())
                 .await?
-                .run(actions, seen),
+                .run(actions, counters_sender),
         ));
     }
-    // A client of the rsync front holds two descriptors, its own and one to a server; the door its callers and the next.
-    let callers = config
+    // File descriptors: an rsync client uses two, its own and one to a server. The admin interface uses one per connection
+    // and one for the connection that is accepted next.
+    let admin_descriptors = config
         .management
-        .map_or(0, |_| lupinrack_admin::CALLERS_MOST + 1);
-    let others = rsync.as_ref().map_or(0, |r| 2 * r.max_clients) + callers;
-    let room = MemoryPool::new(MemoryBudget::of_memory_mb(config.limits.memory_mb));
+        .map_or(0, |_| lupinrack_admin::MAX_CONNECTIONS + 1);
+    let other_descriptors = rsync.as_ref().map_or(0, |r| 2 * r.max_clients) + admin_descriptors;
+    let memory_pool = MemoryPool::new(MemoryBudget::of_memory_mb(config.limits.memory_mb));
     let upstream = Upstream::new(
-        &told,
+        &initial_settings,
         clock,
-        config.limits.max_node_connections(others),
-        room.clone(),
-        figures.clone(),
+        config.limits.max_node_connections(other_descriptors),
+        memory_pool.clone(),
+        metrics.clone(),
     );
-    let core = tokio::spawn(engine.run());
+    let engine_task = tokio::spawn(engine.run());
     let (zones, mode_and_fronts, seed) = (
-        told.zones.clone(),
-        (told.policy.discovery, told.policy.hosts),
+        initial_settings.zones.clone(),
+        (
+            initial_settings.policy.discovery,
+            initial_settings.policy.hosts,
+        ),
         config.seed,
     );
-    let watch = NodeListWatcher {
+    let node_list_watcher = NodeListWatcher {
         address: discovery,
         zones,
         clock_offset,
         mode_and_fronts,
         seed,
     };
-    let watch = tokio::spawn(watch.run(handle.clone(), config.known));
-    let prober = tokio::spawn(probe::run(handle.clone(), upstream.clone(), targets));
+    let node_list_watcher = tokio::spawn(node_list_watcher.run(handle.clone(), config.known));
+    let health_prober = tokio::spawn(probe::run(handle.clone(), upstream.clone(), health_checks));
 
-    let most = config.limits.max_client_connections(others);
-    let connect = Duration::from_micros(told.connect_timeout.max(1) as u64);
-    let second = second_front(rsync, &handle, connect, &phase).await?;
-    let shared = inherited.is_some();
-    // Another process may be this front too: what they use together is decided before this one takes anybody.
-    let takeover = match shared {
-        true => Takeover::begin(handle.clone())
+    let max_client_connections = config.limits.max_client_connections(other_descriptors);
+    let connect_timeout = Duration::from_micros(initial_settings.connect_timeout.max(1) as u64);
+    let rsync_front = start_rsync_front(rsync, &handle, connect_timeout, &phase).await?;
+    let listener_inherited = inherited.is_some();
+    // During an upgrade another process serves the same front: agree on shares of the limits before accepting clients.
+    let hot_restart = match listener_inherited {
+        true => HotRestart::start(handle.clone())
             .await
             .map(|t| tokio::spawn(t.run(phase.clone()))),
         false => None,
     };
-    let mut as_one = None;
+    let mut overload_driver = None;
     let (membership, fleet) = match fleet {
         Some(section) => {
-            let (mut driver, fleet) =
-                FleetDriver::new(section, handle.clone(), shared).map_err(std::io::Error::other)?;
+            let (mut fleet_driver, fleet) =
+                FleetDriver::new(section, handle.clone(), listener_inherited)
+                    .map_err(std::io::Error::other)?;
             if let Some(section) = overload {
-                let machine = driver.attach(Tag::OVERLOAD);
-                as_one = Some(tokio::spawn(lupinrack_overload_driver::run(
+                let overload_machine = fleet_driver.attach(Tag::OVERLOAD);
+                overload_driver = Some(tokio::spawn(lupinrack_overload_driver::run(
                     section,
                     handle.clone(),
-                    machine,
+                    overload_machine,
                 )));
             }
-            let socket = driver.begin().await.map_err(std::io::Error::other)?;
+            let socket = fleet_driver.begin().await.map_err(std::io::Error::other)?;
             (
-                Some(tokio::spawn(driver.run(socket, phase.clone()))),
+                Some(tokio::spawn(fleet_driver.run(socket, phase.clone()))),
                 Some(fleet),
             )
         }
@@ -268,12 +280,12 @@
         None => TcpListener::bind(config.listen).await?,
     };
     let listen = listener.local_addr()?;
-    let door = match config.management {
+    let admin = match config.management {
         Some(address) => Some(
-            door(
+            start_admin(
                 address,
                 handle.clone(),
-                figures.clone(),
+                metrics.clone(),
                 phase.clone(),
                 fleet,
             )
@@ -284,10 +296,15 @@
     tracing::info!(
         "{} listens on {listen}{}",
         config.name,
-        if shared { ", inherited" } else { "" }
+        if listener_inherited {
+            ", inherited"
+        } else {
+            ""
+        }
     );
-    // Another process takes from an inherited socket: this one stops at once, not when it must.
-    let last = if shared {
+    // The successor accepts from the inherited socket too, so this process stops accepting as soon as its shutdown starts,
+    // not only when the listener has to close.
+    let close_phase = if listener_inherited {
         Phase::Ending
     } else {
         Phase::Closing
@@ -298,67 +315,70 @@
         settings,
         phase,
         ids: Default::default(),
-        memory: room,
-        figures: figures.clone(),
-        close_phase: last,
+        memory: memory_pool,
+        metrics: metrics.clone(),
+        close_phase,
     };
-    let ended = tokio::spawn(async move {
+    let task = tokio::spawn(async move {
         let fronts = async {
-            tokio::join!(accept::run(listener, front, most), async {
-                if let Some(second) = second {
-                    second.await;
+            tokio::join!(
+                accept::run(listener, front, max_client_connections),
+                async {
+                    if let Some(rsync_front) = rsync_front {
+                        rsync_front.await;
+                    }
                 }
-            })
+            )
         };
-        let ended = tokio::select! {
+        let result = tokio::select! {
             _ = fronts => Ok(()),
-            // Without the core nothing would ever be answered: better a crash that the platform sees.
-            _ = core => Err(std::io::Error::other("the core ended")),
+            // Without the engine no request would be answered: exit with an error that the platform sees.
+            _ = engine_task => Err(std::io::Error::other("the request engine ended unexpectedly")),
         };
-        watch.abort();
-        driver.inspect(JoinHandle::abort);
-        prober.abort();
-        door.inspect(JoinHandle::abort);
-        takeover.inspect(JoinHandle::abort);
+        node_list_watcher.abort();
+        extent_driver.inspect(JoinHandle::abort);
+        health_prober.abort();
+        admin.inspect(JoinHandle::abort);
+        hot_restart.inspect(JoinHandle::abort);
         membership.inspect(JoinHandle::abort);
-        as_one.inspect(JoinHandle::abort);
-        ended
+        overload_driver.inspect(JoinHandle::abort);
+        result
     });
     Ok(Front {
         listen,
-        core: handle,
-        figures,
-        extents: counters,
-        ended,
+        engine: handle,
+        metrics,
+        extent_counters: counters,
+        task,
     })
 }
 
-/// Opens the operators' door. An address that cannot be had stops the start.
-async fn door(
+/// Starts the admin interface. If its address cannot be bound, the front does not start.
+async fn start_admin(
     address: SocketAddr,
-    core: EngineHandle,
-    figures: Figures,
+    engine: EngineHandle,
+    metrics: Metrics,
     phase: watch::Receiver<Phase>,
     fleet: Option<Fleet>,
 ) -> std::io::Result<JoinHandle<()>> {
-    let why =
+    let with_address =
         |e: std::io::Error| std::io::Error::new(e.kind(), format!("management on {address}: {e}"));
-    let listener = TcpListener::bind(address).await.map_err(why)?;
+    let listener = TcpListener::bind(address).await.map_err(with_address)?;
     tracing::info!("management on {}", listener.local_addr()?);
     Ok(tokio::spawn(lupinrack_admin::run(listener, move |call| {
-        let (core, figures, fleet, phase) = (
-            core.clone(),
-            figures.clone(),
+        let (engine, metrics, fleet, phase) = (
+            engine.clone(),
+            metrics.clone(),
             fleet.clone(),
             *phase.borrow(),
         );
         async move {
             match (call, phase) {
-                (Call::Status, Phase::Ready) => Answer::Yes("ready"),
-                (Call::Status, _) => Answer::No("ending".into()),
-                (Call::Stats, _) => match core.count_nodes().await {
+                (Call::Status, Phase::Ready) => Answer::Ok("ready"),
+                (Call::Status, _) => Answer::Error("ending".into()),
+                (Call::Stats, _) => match engine.count_nodes().await {
                     Some(nodes) => {
-                        let mut text = figures.text(Targets {
+                        let mut text = metrics.text(NodeCounts {
                             listed: nodes.listed,
                             disabled: nodes.avoided,
                         });
@@ -367,23 +387,24 @@
                         }
                         Answer::Lines(text)
                     }
-                    None => Answer::No("the core has ended".into()),
+                    None => Answer::Error("the core has ended".into()),
                 },
                 (Call::Fleet, _) => match fleet_report(&fleet)
                     .await
                     .map(|r| serde_json::to_string(&r))
                 {
                     Some(Ok(line)) => Answer::Lines(line + "\n"),
-                    Some(Err(why)) => Answer::No(why.to_string()),
-                    None if fleet.is_none() => Answer::No("[fleet] is off".into()),
-                    None => Answer::No("no place in the fleet yet".into()),
+                    Some(Err(error)) => Answer::Error(error.to_string()),
+                    None if fleet.is_none() => Answer::Error("[fleet] is off".into()),
+                    None => Answer::Error("no place in the fleet yet".into()),
                 },
             }
         }
     })))
 }
 
-/// What the fleet's driver tells, where there is one; it may wait for its address, and the door may not wait for it.
+/// The report of the fleet's driver, if there is one. The driver may still be waiting for its own address; the timeout keeps
+/// the admin interface from waiting for it.
 async fn fleet_report(fleet: &Option<Fleet>) -> Option<lupinrack_fleet_driver::Report> {
     let report = fleet.as_ref()?.report();
     tokio::time::timeout(Duration::from_millis(300), report)
@@ -391,8 +412,8 @@
         .ok()?
 }
 
-/// The map as its file has it; one that cannot be used costs a fetch of what is needed, nothing more.
-fn cache(section: &extents::config::Section, now: lupinrack_policy::Micros) -> Cache {
+/// The extent map, restored from its snapshot file. With an unusable snapshot the map starts empty and fetches what it needs.
+fn load_extent_map(section: &extents::config::Section, now: lupinrack_policy::Micros) -> Cache {
     let mut cache = Cache::new(section.clone(), now);
     if let Some(file) = &section.snapshot {
         let restored = match lupinrack_extent_map_driver::load(file) {
@@ -406,16 +427,16 @@
                 cache.map().volumes(),
                 file.display()
             ),
-            Err(why) => tracing::warn!("extents: {} is left aside: {why}", file.display()),
+            Err(error) => tracing::warn!("extents: {} is left aside: {error}", file.display()),
         }
     }
     cache
 }
 
-async fn second_front(
+async fn start_rsync_front(
     config: Option<RsyncConfig>,
-    core: &EngineHandle,
-    connect: Duration,
+    engine: &EngineHandle,
+    connect_timeout: Duration,
     phase: &watch::Receiver<Phase>,
 ) -> std::io::Result<Option<impl Future<Output = ()>>> {
     let Some(config) = config else {
@@ -423,13 +444,13 @@
     };
     let listener = TcpListener::bind(config.listen).await?;
     tracing::info!("rsync on {}", listener.local_addr()?);
-    let (core, config, phase) = (core.clone(), Arc::new(config), phase.clone());
+    let (engine, config, phase) = (engine.clone(), Arc::new(config), phase.clone());
     Ok(Some(daemon::run(
         listener,
         daemon::Front {
-            core,
+            core: engine,
             config,
-            connect,
+            connect: connect_timeout,
             phase,
         },
     )))
--- a/crates/lupinrack/tests/common/front.rs
+++ b/crates/lupinrack/tests/common/front.rs
@@ -125,7 +125,7 @@
         phase: seen.clone(),
         ids: Default::default(),
         memory: room.clone(),
-        figures: Default::default(),
+        metrics: Default::default(),
         close_phase: Phase::Closing,
     };
     let connect = Duration::from_millis(500);
--- a/crates/lupinrack/tests/extents.rs
+++ b/crates/lupinrack/tests/extents.rs
@@ -367,11 +367,11 @@
     assert_eq!(room.ask(3).await, Came::Refused);
     assert!(room.fates(1).is_empty());
     room.authority.silence(false);
-    until(|| room.front.extents.borrow().changes > 0).await;
+    until(|| room.front.extent_counters.borrow().changes > 0).await;
     assert_eq!(room.ask(4).await, Came::Served);
     assert_eq!(room.fates(1), [Fate::Ran]);
     room.phase.send_replace(Phase::Closing);
-    room.front.ended.await.unwrap().unwrap();
+    room.front.task.await.unwrap().unwrap();
 }
 
 #[tokio::test]
@@ -385,7 +385,7 @@
         t.restart(4);
         t.put(7, 0, u64::MAX, 0);
     });
-    until(|| room.front.extents.borrow().resets > 1).await;
+    until(|| room.front.extent_counters.borrow().resets > 1).await;
     assert_eq!(room.ask(2).await, Came::Served);
     assert_eq!(
         (room.fates(0), room.fates(1)),
--- a/crates/lupinrack/tests/golden.rs
+++ b/crates/lupinrack/tests/golden.rs
@@ -726,7 +726,7 @@
     let figures = [
         (
             "demo",
-            serde_json::to_value(lupinrack_demo::Figures::default()),
+            serde_json::to_value(lupinrack_demo::Report::default()),
         ),
         (
             "extents drill",
--- a/crates/lupinrack/tests/log_targets.rs
+++ b/crates/lupinrack/tests/log_targets.rs
@@ -1,15 +1,15 @@
 //! Filters that name a crate's earlier target go on working.
 
-use lupinrack::log_targets::with_present_names;
+use lupinrack::log_targets::with_current_names;
 
 #[test]
 fn earlier_targets_are_read_as_the_present_ones() {
     assert_eq!(
-        with_present_names("info,lupinrack_core=debug, lupinrack_fleet_net::driver=trace"),
+        with_current_names("info,lupinrack_core=debug, lupinrack_fleet_net::driver=trace"),
         "info,lupinrack_request_engine=debug, lupinrack_fleet_driver::driver=trace"
     );
     assert_eq!(
-        with_present_names("lupinrack_membership[round]=debug"),
+        with_current_names("lupinrack_membership[round]=debug"),
         "lupinrack_fleet_membership[round]=debug"
     );
 }
@@ -23,6 +23,6 @@
         "warn,lupinrack_cores=trace",
         "off,[span]=info",
     ] {
-        assert_eq!(with_present_names(filter), filter);
+        assert_eq!(with_current_names(filter), filter);
     }
 }
--- a/crates/lupinrack/tests/reload.rs
+++ b/crates/lupinrack/tests/reload.rs
@@ -8,7 +8,7 @@
 use lupinrack::net::reload::ActiveConfig;
 use lupinrack::settings::FrontSettings;
 use lupinrack::*;
-use lupinrack_metrics::{Figures, Targets};
+use lupinrack_metrics::{Metrics, NodeCounts};
 use serde_json::{json, Value};
 
 fn file() -> Value {
@@ -213,12 +213,12 @@
     new["settings"]["policyLimits"]["mostTries"] = json!(1);
     std::fs::write(&path, new.to_string()).unwrap();
     let change = current.check(&path).unwrap();
-    let figures = Figures::default();
-    current.apply(change, &handle, &figures).await;
+    let metrics = Metrics::default();
+    current.apply(change, &handle, &metrics).await;
     std::fs::remove_file(&path).unwrap();
     assert_eq!(current.settings().borrow().policy.max_attempts, 1);
-    assert!(figures
-        .text(Targets::default())
+    assert!(metrics
+        .text(NodeCounts::default())
         .contains("lb_success{type=\"new-write\"} 0\n"));
 
     let mut after = handle.open(request).await;
--- a/crates/lupinrack/tests/scarce.rs
+++ b/crates/lupinrack/tests/scarce.rs
@@ -154,7 +154,7 @@
     until(|| calls.lock().unwrap().len() > 1).await;
     for id in 0..8 {
         let mut more = Vec::new();
-        for _ in 0..lupinrack_admin::CALLERS_MOST {
+        for _ in 0..lupinrack_admin::MAX_CONNECTIONS {
             more.push(TcpStream::connect(program.door).await.unwrap());
         }
         for _ in 0..SOCKETS / 4 {
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,4 +1,4 @@
-//! What a front did, counted once where it happens, and the text in which the operators read it.
+//! A front's request metrics, counted where the events happen, and their text form for operators.
 #![warn(missing_docs)]
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub)]
@@ -7,113 +7,114 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The most names of classes counted apart; what comes beyond them shares the last row.
-pub const ROWS_MOST: usize = 256;
+/// Most classes that have a row of their own; requests of further classes are counted in the last row.
+pub const MAX_CLASS_ROWS: usize = 256;
 
-/// How a request ended for its client.
+/// The result of a request, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestResult {
     /// Served.
     Success,
-    /// Refused: asking again is harmless.
+    /// Rejected for overload; a retry is safe.
     Overload,
     /// Failed in any other way.
     Error,
 }
 
-/// Nodes, as they stand at the moment of asking.
+/// Numbers of nodes at the time of the call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Targets {
-    /// In the list.
+pub struct NodeCounts {
+    /// Nodes in the node list.
     pub listed: usize,
-    /// Of these, those that the front is now avoiding.
+    /// Of these, the nodes that the front currently avoids.
     pub disabled: usize,
 }
 
 #[derive(Debug)]
 struct Row {
     class: String,
-    ends: [u64; 3],
+    results: [u64; 3],
 }
 
 #[derive(Debug, Default)]
-struct Ledger {
+struct Counters {
     rows: Mutex<Vec<Row>>,
     concurrent: AtomicU64,
     dispatches: AtomicU64,
     reloads: [AtomicU64; 2],
 }
 
-/// The one owner of all counts of a process; clones share it.
+/// All counters of a process. Clones share them.
 #[derive(Clone, Debug, Default)]
-pub struct Figures(Arc<Ledger>);
+pub struct Metrics(Arc<Counters>);
 
-/// One request, from its head to its end. Dropped without an end it counts as failed.
+/// Counts one request, from its head to its end. A request whose guard is dropped without a result counts as
+/// [`RequestResult::Error`].
 #[derive(Debug)]
-pub struct Life {
-    figures: Figures,
-    row: usize,
-    taken: bool,
-    end: End,
+pub struct RequestGuard {
+    metrics: Metrics,
+    row_index: usize,
+    received: bool,
+    result: RequestResult,
 }
 
-impl Figures {
+impl Metrics {
     fn rows(&self) -> MutexGuard<'_, Vec<Row>> {
         self.0.rows.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn row(&self, class: &str) -> usize {
+    fn row_index(&self, class: &str) -> usize {
         let mut rows = self.rows();
         rows.iter()
             .position(|r| r.class == class)
             .unwrap_or_else(|| {
-                if rows.len() < ROWS_MOST {
+                if rows.len() < MAX_CLASS_ROWS {
                     rows.push(Row {
                         class: class.into(),
-                        ends: [0; 3],
+                        results: [0; 3],
                     });
                 }
                 rows.len() - 1
             })
     }
 
-    /// Has a row for each of these classes from now on. Rows of others stay, with their counts.
-    pub fn classes<'a>(&self, names: impl IntoIterator<Item = &'a str>) {
+    /// Ensures that each of these classes has a row. Rows of other classes keep their counts.
+    pub fn add_classes<'a>(&self, names: impl IntoIterator<Item = &'a str>) {
         for name in names {
-            self.row(name);
+            self.row_index(name);
         }
     }
 
-    /// A request of this class whose head is there.
-    pub fn life(&self, class: &str) -> Life {
-        Life {
-            figures: self.clone(),
-            row: self.row(class),
-            taken: false,
-            end: End::Error,
+    /// Starts counting a request of this class, whose head has been received.
+    pub fn start_request(&self, class: &str) -> RequestGuard {
+        RequestGuard {
+            metrics: self.clone(),
+            row_index: self.row_index(class),
+            received: false,
+            result: RequestResult::Error,
         }
     }
 
-    /// An attempt's last byte was handed to the system.
-    pub fn dispatched(&self) {
+    /// Counts an attempt whose last byte was handed to the kernel.
+    pub fn record_dispatch(&self) {
         self.0.dispatches.fetch_add(1, Relaxed);
     }
 
-    /// A configuration was read again, and taken or not.
-    pub fn reloaded(&self, taken: bool) {
-        self.0.reloads[usize::from(taken)].fetch_add(1, Relaxed);
+    /// Counts a reload of the configuration, which was applied or rejected.
+    pub fn record_reload(&self, applied: bool) {
+        self.0.reloads[usize::from(applied)].fetch_add(1, Relaxed);
     }
 
-    /// All figures, a line each.
-    pub fn text(&self, targets: Targets) -> String {
+    /// All metrics, one per line.
+    pub fn text(&self, nodes: NodeCounts) -> String {
         let mut text = String::new();
-        for (at, name) in ["success", "overload", "error"].iter().enumerate() {
+        for (index, name) in ["success", "overload", "error"].iter().enumerate() {
             for row in self.rows().iter() {
                 let _ = writeln!(
                     text,
                     "lb_{name}{{type=\"{}\"}} {}",
-                    escaped(&row.class),
-                    row.ends[at]
+                    escape(&row.class),
+                    row.results[index]
                 );
             }
         }
@@ -122,8 +123,8 @@
         for (name, value) in [
             ("dispatches", count(&self.0.dispatches)),
             ("concurrent", count(&self.0.concurrent)),
-            ("targets", targets.listed as u64),
-            ("targets_disabled", targets.disabled as u64),
+            ("targets", nodes.listed as u64),
+            ("targets_disabled", nodes.disabled as u64),
             ("reload_success", count(success)),
             ("reload_failure", count(failure)),
         ] {
@@ -133,31 +134,31 @@
     }
 }
 
-impl Life {
-    /// Its last byte is there: it counts as open until it ends.
-    pub fn taken(&mut self) {
-        if !std::mem::replace(&mut self.taken, true) {
-            self.figures.0.concurrent.fetch_add(1, Relaxed);
+impl RequestGuard {
+    /// Counts the request as concurrent until it ends; its last byte has been received.
+    pub fn received(&mut self) {
+        if !std::mem::replace(&mut self.received, true) {
+            self.metrics.0.concurrent.fetch_add(1, Relaxed);
         }
     }
 
-    /// Its end for its client.
-    pub fn end(mut self, end: End) {
-        self.end = end;
+    /// Ends the request with this result.
+    pub fn finish(mut self, result: RequestResult) {
+        self.result = result;
     }
 }
 
-impl Drop for Life {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.figures.rows()[self.row].ends[self.end as usize] += 1;
-        if self.taken {
-            self.figures.0.concurrent.fetch_sub(1, Relaxed);
+        self.metrics.rows()[self.row_index].results[self.result as usize] += 1;
+        if self.received {
+            self.metrics.0.concurrent.fetch_sub(1, Relaxed);
         }
     }
 }
 
-/// A label's value: backslash, quote and line end may not stand there as they are.
-fn escaped(value: &str) -> String {
+/// Escapes backslash, quote and line feed in the value of a label.
+fn escape(value: &str) -> String {
     value
         .replace('\\', "\\\\")
         .replace('"', "\\\"")
@@ -170,7 +171,7 @@
     use quickcheck::quickcheck;
     use std::collections::BTreeMap;
 
-    fn read(text: &str) -> BTreeMap<String, u64> {
+    fn parse(text: &str) -> BTreeMap<String, u64> {
         let line = |l: &str| {
             l.rsplit_once(' ')
                 .map(|(k, v)| (k.to_string(), v.parse().expect("a number")))
@@ -181,71 +182,71 @@
     const CLASSES: [&str; 3] = ["read", "new-write", "a\"b\\c\nd"];
 
     quickcheck! {
-        /// Random lives against a ledger kept from the client's side.
-        fn lives_end_once_in_one_class(steps: Vec<(u8, u8)>) -> bool {
-            let figures = Figures::default();
-            figures.classes(CLASSES);
-            let mut open: Vec<(usize, bool, Life)> = Vec::new();
-            let mut ledger = BTreeMap::new();
-            for (what, which) in steps {
-                let class = usize::from(which) % CLASSES.len();
-                let at = usize::from(which) % open.len().max(1);
-                match what % 6 {
-                    0 | 1 => open.push((class, false, figures.life(CLASSES[class]))),
-                    2 if !open.is_empty() => {
-                        open[at].1 = true;
-                        open[at].2.taken();
+        /// Random request lifetimes, compared with counts kept by the test.
+        fn each_request_is_counted_once_with_its_class_and_result(operations: Vec<(u8, u8)>) -> bool {
+            let metrics = Metrics::default();
+            metrics.add_classes(CLASSES);
+            let mut open_requests: Vec<(usize, bool, RequestGuard)> = Vec::new();
+            let mut expected = BTreeMap::new();
+            for (operation, selector) in operations {
+                let class = usize::from(selector) % CLASSES.len();
+                let index = usize::from(selector) % open_requests.len().max(1);
+                match operation % 6 {
+                    0 | 1 => open_requests.push((class, false, metrics.start_request(CLASSES[class]))),
+                    2 if !open_requests.is_empty() => {
+                        open_requests[index].1 = true;
+                        open_requests[index].2.received();
                     }
-                    n @ 3..=5 if !open.is_empty() => {
-                        let (class, _, life) = open.swap_remove(at);
-                        // The last kind is a client that went: its life is dropped.
+                    n @ 3..=5 if !open_requests.is_empty() => {
+                        let (class, _, guard) = open_requests.swap_remove(index);
+                        // The last kind is a client that disconnected: its guard is dropped.
                         let end = match n {
-                            3 => { life.end(End::Success); "success" }
-                            4 => { life.end(End::Overload); "overload" }
-                            _ => { drop(life); "error" }
+                            3 => { guard.finish(RequestResult::Success); "success" }
+                            4 => { guard.finish(RequestResult::Overload); "overload" }
+                            _ => { drop(guard); "error" }
                         };
-                        *ledger.entry((end, class)).or_insert(0) += 1;
+                        *expected.entry((end, class)).or_insert(0) += 1;
                     }
                     _ => {}
                 }
             }
-            let seen = read(&figures.text(Targets { listed: 8, disabled: 2 }));
+            let rendered = parse(&metrics.text(NodeCounts { listed: 8, disabled: 2 }));
             let counts = ["success", "overload", "error"].iter().all(|end| {
                 (0..CLASSES.len()).all(|c| {
-                    let key = format!("lb_{end}{{type=\"{}\"}}", escaped(CLASSES[c]));
-                    seen.get(&key) == Some(ledger.get(&(*end, c)).unwrap_or(&0))
+                    let key = format!("lb_{end}{{type=\"{}\"}}", escape(CLASSES[c]));
+                    rendered.get(&key) == Some(expected.get(&(*end, c)).unwrap_or(&0))
                 })
             });
             counts
-                && seen["lb_concurrent"] == open.iter().filter(|o| o.1).count() as u64
-                && (seen["lb_targets"], seen["lb_targets_disabled"]) == (8, 2)
-                && seen.len() == 9 + 6
+                && rendered["lb_concurrent"] == open_requests.iter().filter(|o| o.1).count() as u64
+                && (rendered["lb_targets"], rendered["lb_targets_disabled"]) == (8, 2)
+                && rendered.len() == 9 + 6
         }
     }
 
     #[test]
-    fn a_class_that_is_dropped_keeps_its_counts_and_reloads_are_told_apart() {
-        let figures = Figures::default();
-        figures.classes(["read"]);
-        figures.life("read").end(End::Success);
-        figures.classes(["scan"]);
-        figures.reloaded(true);
-        figures.reloaded(false);
-        figures.reloaded(false);
-        figures.dispatched();
-        let seen = read(&figures.text(Targets::default()));
+    fn a_removed_class_keeps_its_counts_and_reloads_count_by_success() {
+        let metrics = Metrics::default();
+        metrics.add_classes(["read"]);
+        metrics.start_request("read").finish(RequestResult::Success);
+        metrics.add_classes(["scan"]);
+        metrics.record_reload(true);
+        metrics.record_reload(false);
+        metrics.record_reload(false);
+        metrics.record_dispatch();
+        let rendered = parse(&metrics.text(NodeCounts::default()));
         assert_eq!(
             (
-                seen["lb_success{type=\"read\"}"],
-                seen["lb_success{type=\"scan\"}"]
+                rendered["lb_success{type=\"read\"}"],
+                rendered["lb_success{type=\"scan\"}"]
             ),
             (1, 0)
         );
         assert_eq!(
             (
-                seen["lb_reload_success"],
-                seen["lb_reload_failure"],
-                seen["lb_dispatches"]
+                rendered["lb_reload_success"],
+                rendered["lb_reload_failure"],
+                rendered["lb_dispatches"]
             ),
             (1, 2, 1)
         );
--- a/crates/platform/src/reload.rs
+++ b/crates/platform/src/reload.rs
@@ -8,7 +8,7 @@
 use crate::config::{Config, ConfigError};
 use crate::required_keys;
 use lupinrack_front_settings::FrontSettings;
-use lupinrack_metrics::Figures;
+use lupinrack_metrics::Metrics;
 use lupinrack_request_engine::EngineHandle;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -88,8 +88,8 @@
     }
 
     /// Applies a new configuration. The engine gets the new settings before any request is admitted under them.
-    pub async fn apply(&mut self, new: CheckedConfig, engine: &EngineHandle, figures: &Figures) {
-        figures.classes(new.settings.active_class_names());
+    pub async fn apply(&mut self, new: CheckedConfig, engine: &EngineHandle, metrics: &Metrics) {
+        metrics.add_classes(new.settings.active_class_names());
         engine.update_settings(new.settings.policy_settings()).await;
         self.settings.send_replace(Arc::new(new.settings));
         self.file = new.file;
@@ -109,11 +109,11 @@
     path: PathBuf,
     mut active: ActiveConfig,
     engine: EngineHandle,
-    figures: Figures,
+    metrics: Metrics,
 ) {
     while signals.recv().await.is_some() {
         let checked = active.check(&path);
-        figures.reloaded(checked.is_ok());
+        metrics.record_reload(checked.is_ok());
         match checked {
             Ok(new) => {
                 let names: Vec<&str> = new.settings.active_class_names().collect();
@@ -123,7 +123,7 @@
                     names.join(" "),
                     new.settings.policy.max_attempts
                 );
-                active.apply(new, &engine, &figures).await;
+                active.apply(new, &engine, &metrics).await;
             }
             Err(error) => tracing::error!("the configuration stays as it was: {error}"),
         }
