--- a/crates/lupinrack/tests/allocations.rs
+++ b/crates/lupinrack/tests/allocations.rs
@@ -1,5 +1,5 @@
-//! What a fleet costs in allocations: the same requests through a front with the section `[fleet]` on and off, in pairs. Its test
-//! stands alone in its process, since the whole of it is counted.
+//! Allocations that the fleet adds per request: the same requests through a front with the section `[fleet]` on and off, in
+//! pairs. This is the only test of its process, because all allocations of the process are counted.
 
 use allocation_counter::measure;
 use lupinrack::net::config::Config;
@@ -15,20 +15,23 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-const WARM: u64 = 200;
-const COUNTED: u64 = 500;
+const WARM_UP_REQUESTS: u64 = 200;
+const COUNTED_REQUESTS: u64 = 500;
 
-/// Ports that are free now.
-fn free(n: usize) -> Vec<SocketAddr> {
-    let held: Vec<UdpSocket> = (0..n)
+/// Addresses with ports that are free at the time of the call.
+fn free_addresses(count: usize) -> Vec<SocketAddr> {
+    let sockets: Vec<UdpSocket> = (0..count)
         .map(|_| UdpSocket::bind("127.0.0.1:0").unwrap())
         .collect();
-    held.iter().map(|s| s.local_addr().unwrap()).collect()
+    sockets
+        .iter()
+        .map(|socket| socket.local_addr().unwrap())
+        .collect()
 }
 
 fn section(name: usize, addresses: &[SocketAddr]) -> Section {
-    let member = addresses.iter().enumerate();
-    let member = member
+    let indexed = addresses.iter().enumerate();
+    let members = indexed
         .map(|(i, address)| Peer {
             name: format!("n{i}"),
             address: *address,
@@ -37,20 +40,20 @@
     Section {
         enabled: true,
         name: format!("n{name}"),
-        member,
+        member: members,
         lease_ms: 600,
         ..Section::default()
     }
 }
 
-/// Allocations a request, of all that this process holds: client, node, discovery and three fronts, of which one is asked.
-fn a_request(fleet: bool) -> f64 {
+/// Allocations per request of the whole process: client, node, discovery service and three fronts, one of which serves.
+fn allocations_per_request(fleet: bool) -> f64 {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
-    let (phase, seen) = watch::channel(Phase::Ready);
-    let (clients, fronts, held) = runtime.block_on(async {
+    let (phase, phase_receiver) = watch::channel(Phase::Ready);
+    let (clients, fronts, servers) = runtime.block_on(async {
         let node = Node::start(
             Manner {
                 work: Duration::from_micros(200),
@@ -67,8 +70,8 @@
             started: 0,
         };
         let discovery = Discovery::start(vec![entry]).await.unwrap();
-        let (at, address) = watch::channel(discovery.address);
-        let (addresses, mut fronts) = (free(3), Vec::new());
+        let (address_sender, address) = watch::channel(discovery.address);
+        let (addresses, mut fronts) = (free_addresses(3), Vec::new());
         for i in 0..3 {
             let fleet = fleet.then(|| section(i, &addresses));
             let config = configuration(&format!("n{i}"), discovery.address, 7, 3).to_string();
@@ -78,14 +81,18 @@
             };
             let plan = Plan::new(Config::parse(&config).unwrap(), operator).unwrap();
             fronts.push(
-                serve::start(plan, seen.clone(), address.clone())
+                serve::start(plan, phase_receiver.clone(), address.clone())
                     .await
                     .unwrap(),
             );
         }
-        (Clients::default(), fronts, (node, discovery, at))
+        (
+            Clients::default(),
+            fronts,
+            (node, discovery, address_sender),
+        )
     });
-    let at = fronts[0].listen;
+    let front_address = fronts[0].listen;
     let ask = |number: u64| Ask {
         id: format!("{number:016x}"),
         class: "read",
@@ -98,30 +105,40 @@
         hosts: 3,
         deadline: Duration::from_secs(2),
     };
-    let asks = |from: u64, to: u64| {
+    let send_requests = |from: u64, to: u64| {
         runtime.block_on(async {
             for number in from..to {
-                assert_eq!(clients.ask(at, &ask(number)).await.0, Came::Served);
+                assert_eq!(
+                    clients.ask(front_address, &ask(number)).await.0,
+                    Came::Served
+                );
             }
         });
     };
-    // The fleet comes up meanwhile, and buffers get their sizes.
+    // Meanwhile the fleet forms a view, and buffers reach their sizes.
     runtime.block_on(async { tokio::time::sleep(Duration::from_secs(3)).await });
-    asks(1, WARM);
-    let counted = measure(|| asks(WARM, WARM + COUNTED)).count_total;
+    send_requests(1, WARM_UP_REQUESTS);
+    let allocations =
+        measure(|| send_requests(WARM_UP_REQUESTS, WARM_UP_REQUESTS + COUNTED_REQUESTS))
+            .count_total;
     phase.send_replace(Phase::Closing);
-    drop((fronts, held));
-    counted as f64 / COUNTED as f64
+    drop((fronts, servers));
+    allocations as f64 / COUNTED_REQUESTS as f64
 }
 
 #[test]
 fn a_fleet_adds_few_allocations_to_a_request() {
     let pairs: Vec<(f64, f64)> = (0..2)
-        .map(|_| (a_request(false), a_request(true)))
+        .map(|_| {
+            (
+                allocations_per_request(false),
+                allocations_per_request(true),
+            )
+        })
         .collect();
     println!("allocations a request, off and on: {pairs:.1?}");
     for (off, on) in pairs {
-        // What is told round the fleet meanwhile is counted too, so that a slow machine counts more of it.
+        // The fleet's messages in that time are counted too, so the count is higher on a slow machine.
         assert!(on < off * 1.5, "{off:.1} off, {on:.1} on");
     }
 }
--- a/crates/lupinrack/tests/bodies.rs
+++ b/crates/lupinrack/tests/bodies.rs
@@ -1,42 +1,42 @@
-//! Bodies and answers beyond 64 KiB: passed on as they come, whole or told to be cut, within one budget of memory.
+//! Request and response bodies beyond 64 KiB: streamed, complete or visibly truncated, and within one memory budget.
 
 mod common;
 
-use common::front::{room, start, Fronts};
+use common::front::{memory_pool, start, Fronts};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// A byte that says where in which body it stands.
-fn byte(seed: usize, at: usize) -> u8 {
-    (at.wrapping_mul(31).wrapping_add(seed * 7) % 251) as u8
+/// The byte of a body at an offset.
+fn byte(seed: usize, offset: usize) -> u8 {
+    (offset.wrapping_mul(31).wrapping_add(seed * 7) % 251) as u8
 }
 
-/// The pattern comes round after 251 bytes.
+/// A body, whose pattern repeats after 251 bytes.
 fn bytes(seed: usize, length: usize) -> Vec<u8> {
-    let period: Vec<u8> = (0..251).map(|at| byte(seed, at)).collect();
+    let period: Vec<u8> = (0..251).map(|offset| byte(seed, offset)).collect();
     let mut all = period.repeat(length / 251 + 1);
     all.truncate(length);
     all
 }
 
-/// How a stand-in node words an answer.
+/// How a mock node frames a response.
 #[derive(Clone, Copy)]
-enum Wording {
+enum Framing {
     Length,
     Chunked,
     Close,
-    /// The length is said, and only half of it comes.
+    /// With a length, of which only half is sent.
     Half,
-    /// Nothing is said, the first chunk comes, and the rest an hour later.
-    Rests,
+    /// Chunked; the rest follows the first chunk after an hour.
+    Stalls,
 }
 
-/// A node that answers each request with the body that its id names, in pieces of an odd size, and each write with the
-/// sum of its body.
-async fn node(wording: Wording, length: usize) -> SocketAddr {
+/// A node that answers each read with the body that the request's id selects, in chunks of an odd size, and each write with
+/// the length of its body and whether it is right.
+async fn node(framing: Framing, length: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -46,10 +46,10 @@
                 loop {
                     let mut head = Vec::new();
                     while !head.ends_with(b"\r\n\r\n") {
-                        let Ok(b) = stream.read_u8().await else {
+                        let Ok(byte_read) = stream.read_u8().await else {
                             return;
                         };
-                        head.push(b);
+                        head.push(byte_read);
                     }
                     let head = String::from_utf8(head).unwrap().to_lowercase();
                     let field = |name: &str| {
@@ -60,46 +60,49 @@
                         vec![0; field("content-length: ").map_or(0, |l| l.parse().unwrap())];
                     stream.read_exact(&mut body).await.unwrap();
                     if !body.is_empty() {
-                        let right = body.iter().enumerate().all(|(at, b)| *b == byte(seed, at));
-                        let said = format!("{} {right}", body.len());
-                        let answer = format!(
-                            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{said}",
-                            said.len()
+                        let matches = body
+                            .iter()
+                            .enumerate()
+                            .all(|(offset, body_byte)| *body_byte == byte(seed, offset));
+                        let result = format!("{} {matches}", body.len());
+                        let response = format!(
+                            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{result}",
+                            result.len()
                         );
-                        stream.write_all(answer.as_bytes()).await.unwrap();
+                        stream.write_all(response.as_bytes()).await.unwrap();
                         continue;
                     }
-                    let framing = match wording {
-                        Wording::Length | Wording::Half => format!("Content-Length: {length}\r\n"),
-                        Wording::Chunked | Wording::Rests => {
+                    let framing_header = match framing {
+                        Framing::Length | Framing::Half => format!("Content-Length: {length}\r\n"),
+                        Framing::Chunked | Framing::Stalls => {
                             "Transfer-Encoding: chunked\r\n".into()
                         }
-                        Wording::Close => "Connection: close\r\n".into(),
+                        Framing::Close => "Connection: close\r\n".into(),
                     };
-                    let head = format!("HTTP/1.1 200 OK\r\n{framing}\r\n");
+                    let head = format!("HTTP/1.1 200 OK\r\n{framing_header}\r\n");
                     if stream.write_all(head.as_bytes()).await.is_err() {
                         return;
                     }
-                    for (number, piece) in bytes(seed, length).chunks(40_013).enumerate() {
-                        let chunked = matches!(wording, Wording::Chunked | Wording::Rests);
-                        let mut piece = piece.to_vec();
+                    for (number, chunk) in bytes(seed, length).chunks(40_013).enumerate() {
+                        let chunked = matches!(framing, Framing::Chunked | Framing::Stalls);
+                        let mut chunk = chunk.to_vec();
                         if chunked {
-                            let size = format!("{:x};of=odd\r\n", piece.len());
-                            piece = [size.as_bytes(), &piece, b"\r\n"].concat();
+                            let size = format!("{:x};of=odd\r\n", chunk.len());
+                            chunk = [size.as_bytes(), &chunk, b"\r\n"].concat();
                         }
-                        if stream.write_all(&piece).await.is_err()
-                            || matches!(wording, Wording::Half) && number * 40_013 > length / 2
+                        if stream.write_all(&chunk).await.is_err()
+                            || matches!(framing, Framing::Half) && number * 40_013 > length / 2
                         {
                             return;
                         }
-                        if matches!(wording, Wording::Rests) {
+                        if matches!(framing, Framing::Stalls) {
                             sleep(Duration::from_secs(3_600)).await;
                         }
                     }
-                    if matches!(wording, Wording::Chunked) {
+                    if matches!(framing, Framing::Chunked) {
                         let _ = stream.write_all(b"0\r\nX-Trailer: yes\r\n\r\n").await;
                     }
-                    if matches!(wording, Wording::Close) {
+                    if matches!(framing, Framing::Close) {
                         return;
                     }
                 }
@@ -109,8 +112,8 @@
     address
 }
 
-async fn front(wording: Wording, length: usize) -> Fronts {
-    let address = node(wording, length).await;
+async fn front(framing: Framing, length: usize) -> Fronts {
+    let address = node(framing, length).await;
     start(address, address, "priority", 1_000).await
 }
 
@@ -130,8 +133,8 @@
     )
 }
 
-/// A whole answer: its status and its body; none where it was cut off.
-async fn answer(stream: &mut TcpStream) -> Option<(u16, Vec<u8>)> {
+/// Reads a complete response: its status and body. `None` if it is truncated.
+async fn read_response(stream: &mut TcpStream) -> Option<(u16, Vec<u8>)> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(stream.read_u8().await.ok()?);
@@ -150,23 +153,25 @@
             size.push(stream.read_u8().await.ok()?);
         }
         let size = usize::from_str_radix(std::str::from_utf8(&size).unwrap().trim(), 16).unwrap();
-        let mut piece = vec![0; size + 2];
-        stream.read_exact(&mut piece).await.ok()?;
+        let mut chunk = vec![0; size + 2];
+        stream.read_exact(&mut chunk).await.ok()?;
         if size == 0 {
             return Some((status, body));
         }
-        body.extend_from_slice(&piece[..size]);
+        body.extend_from_slice(&chunk[..size]);
     }
 }
 
 #[tokio::test]
-async fn a_long_answer_arrives_byte_for_byte_however_it_is_framed_and_the_connection_goes_on() {
-    for wording in [Wording::Length, Wording::Chunked, Wording::Close] {
-        let fronts = front(wording, 3_000_000).await;
+async fn a_long_response_arrives_byte_for_byte_in_each_framing_and_keeps_the_connection() {
+    for framing in [Framing::Length, Framing::Chunked, Framing::Close] {
+        let fronts = front(framing, 3_000_000).await;
         let mut stream = TcpStream::connect(fronts.http).await.unwrap();
         for seed in 0..3 {
             stream.write_all(get(seed).as_bytes()).await.unwrap();
-            let (status, body) = answer(&mut stream).await.expect("a whole answer");
+            let (status, body) = read_response(&mut stream)
+                .await
+                .expect("a complete response");
             assert!(
                 status == 200 && body == bytes(seed, 3_000_000),
                 "{status} {}",
@@ -177,14 +182,16 @@
 }
 
 #[tokio::test]
-async fn an_answer_about_as_long_as_is_collected_arrives_whole_wherever_its_end_falls() {
-    for wording in [Wording::Length, Wording::Chunked, Wording::Close] {
+async fn a_response_near_the_collect_limit_arrives_completely() {
+    for framing in [Framing::Length, Framing::Chunked, Framing::Close] {
         for length in [65_535, 65_536, 65_537, 66_000, 80_026, 80_027] {
-            let fronts = front(wording, length).await;
+            let fronts = front(framing, length).await;
             for seed in 0..8 {
                 let mut stream = TcpStream::connect(fronts.http).await.unwrap();
                 stream.write_all(get(seed).as_bytes()).await.unwrap();
-                let (status, body) = answer(&mut stream).await.expect("a whole answer");
+                let (status, body) = read_response(&mut stream)
+                    .await
+                    .expect("a complete response");
                 assert!(
                     status == 200 && body == bytes(seed, length),
                     "{length}: {status}, {}",
@@ -196,8 +203,8 @@
 }
 
 #[tokio::test]
-async fn a_client_that_closes_its_side_once_it_has_asked_gets_all_of_a_long_answer() {
-    let fronts = front(Wording::Length, 6_000_000).await;
+async fn a_client_that_half_closes_after_its_request_gets_the_complete_response() {
+    let fronts = front(Framing::Length, 6_000_000).await;
     let mut stream = TcpStream::connect(fronts.http).await.unwrap();
     stream.write_all(get(1).as_bytes()).await.unwrap();
     let mut first = [0; 4];
@@ -210,18 +217,18 @@
 }
 
 #[tokio::test]
-async fn requests_sent_ahead_are_served_though_their_client_is_slow_to_read() {
-    const MANY: usize = 150;
-    let fronts = front(Wording::Length, 60_000).await;
+async fn pipelined_requests_of_a_slow_reader_are_served() {
+    const COUNT: usize = 150;
+    let fronts = front(Framing::Length, 60_000).await;
     let mut stream = TcpStream::connect(fronts.http).await.unwrap();
-    let all: String = (0..MANY).map(get).collect();
+    let all: String = (0..COUNT).map(get).collect();
     stream.write_all(all.as_bytes()).await.unwrap();
-    // What the system's buffers cannot hold stands in the front meanwhile, its request long answered.
+    // Responses that exceed the socket buffers wait in the front, although their requests have ended.
     sleep(Duration::from_millis(3_500)).await;
-    for seed in 0..MANY {
-        let (status, body) = answer(&mut stream)
+    for seed in 0..COUNT {
+        let (status, body) = read_response(&mut stream)
             .await
-            .unwrap_or_else(|| panic!("cut off at {seed}"));
+            .unwrap_or_else(|| panic!("truncated at {seed}"));
         assert!(
             status == 200 && body == bytes(seed, 60_000),
             "{seed}: {status}"
@@ -230,37 +237,37 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_breaks_off_is_told_by_a_broken_frame() {
-    for wording in [Wording::Half, Wording::Rests] {
-        let fronts = front(wording, 300_000).await;
+async fn a_truncated_response_is_visible_by_its_framing() {
+    for framing in [Framing::Half, Framing::Stalls] {
+        let fronts = front(framing, 300_000).await;
         let mut stream = TcpStream::connect(fronts.http).await.unwrap();
         stream.write_all(get(1).as_bytes()).await.unwrap();
-        let came = timeout(Duration::from_secs(15), answer(&mut stream))
+        let response = timeout(Duration::from_secs(15), read_response(&mut stream))
             .await
-            .expect("not held for good");
+            .expect("the response ends in time");
         assert!(
-            came.is_none_or(|(status, _)| status != 200),
-            "never a false whole"
+            response.is_none_or(|(status, _)| status != 200),
+            "a truncated response is never delivered as complete"
         );
     }
 }
 
 #[tokio::test]
-async fn long_answers_to_slow_readers_stay_within_the_budget_while_short_requests_are_served() {
+async fn long_responses_to_slow_readers_stay_within_the_memory_budget() {
     const LENGTH: usize = 6_000_000;
-    let fronts = front(Wording::Length, LENGTH).await;
-    let mut slow = Vec::new();
+    let fronts = front(Framing::Length, LENGTH).await;
+    let mut slow_clients = Vec::new();
     for seed in 0..12 {
         let mut stream = TcpStream::connect(fronts.http).await.unwrap();
         stream.write_all(get(seed).as_bytes()).await.unwrap();
-        slow.push((seed, stream));
+        slow_clients.push((seed, stream));
     }
     sleep(Duration::from_millis(300)).await;
-    let free = fronts.room.free_bytes();
-    let all = room().free_bytes();
+    let free = fronts.memory.free_bytes();
+    let total = memory_pool().free_bytes();
     assert!(
-        free > 0 && free < all,
-        "held while they crawl: {free} of {all}"
+        free > 0 && free < total,
+        "reserved while the clients read slowly: {free} of {total}"
     );
     let mut stream = TcpStream::connect(fronts.http).await.unwrap();
     let head = put(99, "Content-Length: 5");
@@ -268,46 +275,46 @@
         .write_all(&[head.as_bytes(), &bytes(99, 5)].concat())
         .await
         .unwrap();
-    let (status, body) = timeout(Duration::from_secs(5), answer(&mut stream))
+    let (status, body) = timeout(Duration::from_secs(5), read_response(&mut stream))
         .await
         .unwrap()
         .unwrap();
     assert_eq!(
         (status, body.as_slice()),
         (200, b"5 true".as_slice()),
-        "a short one is served meanwhile"
+        "a short request is served meanwhile"
     );
-    let mut whole = 0;
-    for (seed, mut stream) in slow {
-        let came = answer(&mut stream).await;
-        whole += usize::from(
-            came.is_some_and(|(status, body)| status == 200 && body == bytes(seed, LENGTH)),
+    let mut complete = 0;
+    for (seed, mut stream) in slow_clients {
+        let response = read_response(&mut stream).await;
+        complete += usize::from(
+            response.is_some_and(|(status, body)| status == 200 && body == bytes(seed, LENGTH)),
         );
     }
-    assert_eq!(whole, 12);
+    assert_eq!(complete, 12);
     sleep(Duration::from_millis(50)).await;
-    assert_eq!(fronts.room.free_bytes(), all, "all of it is given back");
+    assert_eq!(fronts.memory.free_bytes(), total, "all memory is released");
 }
 
 #[tokio::test]
-async fn a_large_body_passes_on_whole_with_a_length_or_in_chunks_and_slowly() {
-    let fronts = front(Wording::Length, 5).await;
+async fn a_large_body_is_forwarded_with_a_length_or_in_chunks_and_slowly() {
+    let fronts = front(Framing::Length, 5).await;
     let body = bytes(7, 400_000);
     let mut stream = TcpStream::connect(fronts.http).await.unwrap();
     stream
         .write_all(put(7, "Content-Length: 400000\r\nExpect: 100-continue").as_bytes())
         .await
         .unwrap();
-    let mut go = [0; 25];
-    stream.read_exact(&mut go).await.unwrap();
-    assert_eq!(&go, b"HTTP/1.1 100 Continue\r\n\r\n");
-    // Slower than a request may come whole, and as fast as a client may go.
-    for piece in body.chunks(40_000) {
-        stream.write_all(piece).await.unwrap();
+    let mut continue_response = [0; 25];
+    stream.read_exact(&mut continue_response).await.unwrap();
+    assert_eq!(&continue_response, b"HTTP/1.1 100 Continue\r\n\r\n");
+    // This takes longer than a request without progress may take, at a rate that a client may have.
+    for chunk in body.chunks(40_000) {
+        stream.write_all(chunk).await.unwrap();
         sleep(Duration::from_millis(400)).await;
     }
     assert_eq!(
-        answer(&mut stream).await,
+        read_response(&mut stream).await,
         Some((200, b"400000 true".to_vec()))
     );
 
@@ -316,28 +323,28 @@
         .write_all(put(7, "Transfer-Encoding: CHUNKED").as_bytes())
         .await
         .unwrap();
-    for piece in body.chunks(33_333) {
-        let size = format!("{:X};a=\"b\"\r\n", piece.len());
+    for chunk in body.chunks(33_333) {
+        let size = format!("{:X};a=\"b\"\r\n", chunk.len());
         stream
-            .write_all(&[size.as_bytes(), piece, b"\r\n"].concat())
+            .write_all(&[size.as_bytes(), chunk, b"\r\n"].concat())
             .await
             .unwrap();
     }
     stream.write_all(b"0\r\nX-Sum: 1\r\n\r\n").await.unwrap();
     assert_eq!(
-        answer(&mut stream).await,
+        read_response(&mut stream).await,
         Some((200, b"400000 true".to_vec()))
     );
 }
 
 #[tokio::test]
-async fn a_body_without_room_is_refused_with_a_time_to_come_back_and_small_ones_are_served() {
-    let fronts = front(Wording::Length, 5).await;
+async fn a_body_without_memory_is_rejected_with_retry_after_and_small_ones_are_served() {
+    let fronts = front(Framing::Length, 5).await;
     let mut all = Default::default();
     assert!(
         fronts
-            .room
-            .reserve_body(&mut all, fronts.room.budget().max_body_bytes())
+            .memory
+            .reserve_body(&mut all, fronts.memory.budget().max_body_bytes())
             .await
     );
     let mut stream = TcpStream::connect(fronts.http).await.unwrap();
@@ -345,27 +352,30 @@
         .write_all(put(1, "Content-Length: 100000").as_bytes())
         .await
         .unwrap();
-    let mut said = vec![0; 400];
-    let n = timeout(Duration::from_secs(5), stream.read(&mut said))
+    let mut response = vec![0; 400];
+    let n = timeout(Duration::from_secs(5), stream.read(&mut response))
         .await
         .expect("soon")
         .unwrap();
-    let said = String::from_utf8_lossy(&said[..n]).to_lowercase();
+    let response = String::from_utf8_lossy(&response[..n]).to_lowercase();
     assert!(
-        said.starts_with("http/1.1 503") && said.contains("retry-after: 0.500"),
-        "{said}"
+        response.starts_with("http/1.1 503") && response.contains("retry-after: 0.500"),
+        "{response}"
     );
     let mut stream = TcpStream::connect(fronts.http).await.unwrap();
     stream
         .write_all(&[put(2, "Content-Length: 5").as_bytes(), &bytes(2, 5)].concat())
         .await
         .unwrap();
-    assert_eq!(answer(&mut stream).await, Some((200, b"5 true".to_vec())));
+    assert_eq!(
+        read_response(&mut stream).await,
+        Some((200, b"5 true".to_vec()))
+    );
 }
 
 #[tokio::test]
-async fn a_body_that_trickles_or_never_fits_hears_so_soon() {
-    let fronts = front(Wording::Length, 5).await;
+async fn a_slow_or_oversized_body_is_refused_soon() {
+    let fronts = front(Framing::Length, 5).await;
     for framing in [
         "Content-Length: 60000000",
         "Content-Length: 400000",
@@ -374,13 +384,13 @@
         let mut stream = TcpStream::connect(fronts.http).await.unwrap();
         stream.write_all(put(3, framing).as_bytes()).await.unwrap();
         stream.write_all(b"4\r\nabcd\r\n").await.unwrap();
-        let came = timeout(Duration::from_secs(5), answer(&mut stream))
+        let response = timeout(Duration::from_secs(5), read_response(&mut stream))
             .await
             .expect("in time");
         assert!(
-            came.is_some_and(|(status, _)| [408, 413].contains(&status)),
+            response.is_some_and(|(status, _)| [408, 413].contains(&status)),
             "{framing}"
         );
     }
-    assert_eq!(fronts.room.free_bytes(), room().free_bytes());
+    assert_eq!(fronts.memory.free_bytes(), memory_pool().free_bytes());
 }
--- a/crates/lupinrack/tests/cluster_commands.rs
+++ b/crates/lupinrack/tests/cluster_commands.rs
@@ -1,4 +1,4 @@
-//! The commands of the cluster scheduler: the check of files, and calls to a process.
+//! The commands of the cluster scheduler: checks of files, and calls to a process.
 
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -28,7 +28,7 @@
     "max-body-bytes":262144,"header-timeout-ms":3000,"idle-timeout-ms":15000}}"#;
 const JOB: &str = "/orders/0123456789abcdef";
 
-fn lupinrack(args: &[&str]) -> Output {
+fn run_program(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_lupinrack"));
     let command = command
         .args(args)
@@ -37,50 +37,50 @@
     command.output().expect("the program runs")
 }
 
-fn printed(output: &Output) -> String {
+fn stdout(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-fn said(output: &Output) -> String {
+fn stderr(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-fn file(name: &str, text: &str) -> String {
+fn write_file(name: &str, text: &str) -> String {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).expect("a file");
     path.display().to_string()
 }
 
-/// What a stand-in process was asked: the request line and the `Host` header.
+/// A request that a mock process received: the request line and the `Host` header.
 #[derive(Debug, PartialEq, Eq)]
-struct Asked {
+struct ReceivedRequest {
     line: String,
     host: String,
 }
 
-/// A process that gives these answers, a connection each, and says what it was asked.
-fn process(answers: Vec<String>) -> (SocketAddr, JoinHandle<Vec<Asked>>) {
+/// A mock process that sends one of these responses per connection. The thread returns the requests that it received.
+fn mock_process(responses: Vec<String>) -> (SocketAddr, JoinHandle<Vec<ReceivedRequest>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let serve = move || {
-        answers
+        responses
             .iter()
-            .map(|answer| serve_one(&listener, answer))
+            .map(|response| serve_connection(&listener, response))
             .collect()
     };
     (address, std::thread::spawn(serve))
 }
 
-fn serve_one(listener: &TcpListener, answer: &str) -> Asked {
+fn serve_connection(listener: &TcpListener, response: &str) -> ReceivedRequest {
     let (mut stream, _) = listener.accept().expect("a connection");
-    let asked = read_head(&stream);
+    let received = read_head(&stream);
     stream
-        .write_all(answer.as_bytes())
-        .expect("an answer written");
-    asked
+        .write_all(response.as_bytes())
+        .expect("the response is written");
+    received
 }
 
-fn read_head(stream: &TcpStream) -> Asked {
+fn read_head(stream: &TcpStream) -> ReceivedRequest {
     let lines = BufReader::new(stream)
         .lines()
         .map(|line| line.expect("a line"));
@@ -90,13 +90,13 @@
             .strip_prefix("host: ")
             .map(str::to_string)
     });
-    Asked {
+    ReceivedRequest {
         line: head[0].clone(),
         host: host.unwrap_or_default(),
     }
 }
 
-fn answer(status: &str, body: &str) -> String {
+fn http_response(status: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{body}",
         body.len()
@@ -107,10 +107,10 @@
     format!("HTTP/1.1 307 x\r\nLocation: http://{address}{path}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 }
 
-/// Runs a command of `job` against a stand-in process that gives these answers.
-fn job(command: &str, answers: Vec<String>) -> (Output, Vec<Asked>) {
-    let (address, asked) = process(answers);
-    let output = lupinrack(&[
+/// Runs a command of `run_job_command` against a mock process that sends these responses.
+fn run_job_command(command: &str, responses: Vec<String>) -> (Output, Vec<ReceivedRequest>) {
+    let (address, received) = mock_process(responses);
+    let output = run_program(&[
         "job",
         command,
         "--at",
@@ -119,65 +119,65 @@
         "shop.example",
         JOB,
     ]);
-    (output, asked.join().expect("the stand-in ends"))
+    (output, received.join().expect("the mock process ends"))
 }
 
 #[test]
-fn good_files_pass_the_check() {
-    let settings = file("good.conf", SETTINGS);
-    let configuration = file("good.json", CONFIGURATION);
-    let output = lupinrack(&["node", "--check", &settings, &configuration]);
-    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
+fn valid_files_pass_the_check() {
+    let settings = write_file("good.conf", SETTINGS);
+    let configuration = write_file("good.json", CONFIGURATION);
+    let output = run_program(&["node", "--check", &settings, &configuration]);
+    assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
     assert_eq!(
-        printed(&output),
+        stdout(&output),
         format!("{settings}: good\n{configuration}: good\n")
     );
     assert_eq!(
-        lupinrack(&["node", "--check", &settings]).status.code(),
+        run_program(&["node", "--check", &settings]).status.code(),
         Some(0)
     );
 }
 
 #[test]
-fn every_fault_of_both_files_is_told_with_its_file() {
-    let settings = file(
+fn every_error_of_both_files_is_reported_with_its_file() {
+    let settings = write_file(
         "bad.conf",
         &SETTINGS
             .replace("zone=north", "zone=")
             .replace("1200", "often"),
     );
-    let configuration = file(
+    let configuration = write_file(
         "bad.json",
         &CONFIGURATION.replace(r#""version":1"#, r#""version":0"#),
     );
-    let output = lupinrack(&["node", "--check", &settings, &configuration]);
+    let output = run_program(&["node", "--check", &settings, &configuration]);
     assert_eq!(output.status.code(), Some(2));
-    let said = said(&output);
+    let stderr = stderr(&output);
     assert!(
-        said.contains(&format!("{settings}: zone: lacking or empty\n")),
-        "{said}"
+        stderr.contains(&format!("{settings}: zone: lacking or empty\n")),
+        "{stderr}"
     );
     assert!(
-        said.contains(&format!(
+        stderr.contains(&format!(
             "{settings}: heartbeat-ms: \"often\" is not a number\n"
         )),
-        "{said}"
+        "{stderr}"
     );
     assert!(
-        said.contains(&format!("{configuration}: version: ")),
-        "{said}"
+        stderr.contains(&format!("{configuration}: version: ")),
+        "{stderr}"
     );
 }
 
 #[test]
-fn a_process_does_not_start_on_settings_at_fault() {
-    let settings = file("lacking.conf", &SETTINGS.replace("node=front-1\n", ""));
-    let output = lupinrack(&["node", "--settings", &settings]);
+fn a_process_does_not_start_with_invalid_settings() {
+    let settings = write_file("lacking.conf", &SETTINGS.replace("node=front-1\n", ""));
+    let output = run_program(&["node", "--settings", &settings]);
     assert_eq!(output.status.code(), Some(2));
     assert!(
-        said(&output).contains(&format!("{settings}: node: lacking or empty")),
+        stderr(&output).contains(&format!("{settings}: node: lacking or empty")),
         "{}",
-        said(&output)
+        stderr(&output)
     );
     let mut command = Command::new(env!("CARGO_BIN_EXE_lupinrack"));
     let output = command
@@ -189,20 +189,20 @@
 }
 
 #[test]
-fn a_process_does_not_start_on_levels_that_cannot_be_read() {
-    let settings = file("levels.conf", SETTINGS);
+fn a_process_does_not_start_with_invalid_log_levels() {
+    let settings = write_file("levels.conf", SETTINGS);
     let mut command = Command::new(env!("CARGO_BIN_EXE_lupinrack"));
     let command = command
         .args(["node", "--settings", &settings])
         .env("LUPINRACK_LOG", "loud");
     let output = command.output().expect("the program runs");
     assert_eq!(output.status.code(), Some(2));
-    assert!(said(&output).contains("\"loud\""), "{}", said(&output));
+    assert!(stderr(&output).contains("\"loud\""), "{}", stderr(&output));
 }
 
 #[test]
-fn the_commands_stand_in_the_programs_help() {
-    let help = printed(&lupinrack(&["--help"]));
+fn the_programs_help_lists_the_commands() {
+    let help = stdout(&run_program(&["--help"]));
     for name in ["serve", "node", "job", "cluster", "local"] {
         assert!(
             help.lines()
@@ -210,9 +210,9 @@
             "{name} in {help}"
         );
     }
-    assert_eq!(lupinrack(&["node", "--help"]).status.code(), Some(0));
+    assert_eq!(run_program(&["node", "--help"]).status.code(), Some(0));
     assert_eq!(
-        lupinrack(&["--log-format", "text", "cluster", "--help"])
+        run_program(&["--log-format", "text", "cluster", "--help"])
             .status
             .code(),
         Some(0)
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn wrong_arguments_end_with_2() {
+fn invalid_arguments_exit_with_2() {
     for args in [
         &["node", "--frob"][..],
         &["job"],
@@ -247,100 +247,103 @@
         &["cluster", "status"],
         &["node", "--check", "/nowhere.conf"],
     ] {
-        assert_eq!(lupinrack(args).status.code(), Some(2), "{args:?}");
+        assert_eq!(run_program(args).status.code(), Some(2), "{args:?}");
     }
 }
 
 #[test]
-fn a_jobs_state_is_asked_under_its_host() {
-    let (output, asked) = job("show", vec![answer("200 OK", r#"{"state":"running"}"#)]);
+fn a_jobs_state_is_requested_with_its_host() {
+    let (output, received) = run_job_command(
+        "show",
+        vec![http_response("200 OK", r#"{"state":"running"}"#)],
+    );
     assert_eq!(
-        (output.status.code(), printed(&output).as_str()),
+        (output.status.code(), stdout(&output).as_str()),
         (Some(0), "running\n"),
         "{}",
-        said(&output)
+        stderr(&output)
     );
-    let expected = Asked {
+    let expected = ReceivedRequest {
         line: format!("GET {JOB} HTTP/1.1"),
         host: "shop.example".to_string(),
     };
-    assert_eq!(asked, [expected]);
+    assert_eq!(received, [expected]);
 }
 
 #[test]
 fn a_job_is_cancelled() {
-    let (output, asked) = job("cancel", vec![answer("200 OK", "")]);
+    let (output, received) = run_job_command("cancel", vec![http_response("200 OK", "")]);
     assert_eq!(
-        (output.status.code(), printed(&output).as_str()),
+        (output.status.code(), stdout(&output).as_str()),
         (Some(0), "cancelled\n"),
         "{}",
-        said(&output)
+        stderr(&output)
     );
-    assert_eq!(asked[0].line, format!("DELETE {JOB} HTTP/1.1"));
+    assert_eq!(received[0].line, format!("DELETE {JOB} HTTP/1.1"));
 }
 
 #[test]
-fn a_job_that_is_not_there_fails() {
+fn an_unknown_job_is_an_error() {
     for command in ["show", "cancel"] {
-        let (output, _) = job(command, vec![answer("410 Gone", "")]);
+        let (output, _) = run_job_command(command, vec![http_response("410 Gone", "")]);
         assert_eq!(output.status.code(), Some(1));
         assert!(
-            said(&output).contains("there is no such job"),
+            stderr(&output).contains("there is no such job"),
             "{}",
-            said(&output)
+            stderr(&output)
         );
     }
 }
 
 #[test]
-fn other_answers_fail_with_their_status() {
-    let (output, _) = job("cancel", vec![answer("503 Service Unavailable", "")]);
+fn other_statuses_are_errors() {
+    let (output, _) = run_job_command("cancel", vec![http_response("503 Service Unavailable", "")]);
     assert_eq!(output.status.code(), Some(1));
-    assert!(said(&output).contains("503"), "{}", said(&output));
-    let (output, _) = job("show", vec![answer("200 OK", "not JSON")]);
+    assert!(stderr(&output).contains("503"), "{}", stderr(&output));
+    let (output, _) = run_job_command("show", vec![http_response("200 OK", "not JSON")]);
     assert_eq!(output.status.code(), Some(1));
 }
 
 #[test]
-fn the_state_of_the_system_is_printed_as_it_comes() {
-    let (address, asked) = process(vec![answer("200 OK", "view 3")]);
-    let output = lupinrack(&["cluster", "status", "--at", &address.to_string()]);
+fn the_status_is_printed_as_received() {
+    let (address, received) = mock_process(vec![http_response("200 OK", "view 3")]);
+    let output = run_program(&["cluster", "status", "--at", &address.to_string()]);
     assert_eq!(
-        (output.status.code(), printed(&output).as_str()),
+        (output.status.code(), stdout(&output).as_str()),
         (Some(0), "view 3\n"),
         "{}",
-        said(&output)
+        stderr(&output)
     );
-    let expected = Asked {
+    let expected = ReceivedRequest {
         line: "GET /lupinrack/status HTTP/1.1".to_string(),
         host: address.to_string(),
     };
-    assert_eq!(asked.join().expect("the stand-in ends"), [expected]);
+    assert_eq!(received.join().expect("the mock process ends"), [expected]);
 }
 
 #[test]
-fn a_state_that_ends_its_last_line_is_printed_without_an_empty_one() {
-    let (address, _) = process(vec![answer("200 OK", "node core-1\nview 3\n")]);
-    let output = lupinrack(&["cluster", "status", "--at", &address.to_string()]);
+fn a_status_that_ends_with_a_line_feed_gets_no_second_one() {
+    let (address, _) = mock_process(vec![http_response("200 OK", "node core-1\nview 3\n")]);
+    let output = run_program(&["cluster", "status", "--at", &address.to_string()]);
     assert_eq!(
-        printed(&output),
+        stdout(&output),
         "node core-1\nview 3\n",
         "{}",
-        said(&output)
+        stderr(&output)
     );
 }
 
 #[test]
 fn redirects_are_followed_twice() {
-    let (last, _) = process(vec![answer("200 OK", "{}")]);
-    let (middle, _) = process(vec![redirect_to(last, "/lupinrack/config")]);
-    let (first, _) = process(vec![redirect_to(middle, "/elsewhere")]);
-    let output = lupinrack(&["cluster", "configuration", "--at", &first.to_string()]);
+    let (last, _) = mock_process(vec![http_response("200 OK", "{}")]);
+    let (middle, _) = mock_process(vec![redirect_to(last, "/lupinrack/config")]);
+    let (first, _) = mock_process(vec![redirect_to(middle, "/elsewhere")]);
+    let output = run_program(&["cluster", "configuration", "--at", &first.to_string()]);
     assert_eq!(
-        (output.status.code(), printed(&output).as_str()),
+        (output.status.code(), stdout(&output).as_str()),
         (Some(0), "{}\n"),
         "{}",
-        said(&output)
+        stderr(&output)
     );
 }
 
@@ -349,75 +352,78 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let serving = std::thread::spawn(move || {
-        let again = redirect_to(address, "/lupinrack/status");
+        let redirect = redirect_to(address, "/lupinrack/status");
         (0..3)
-            .map(|_| serve_one(&listener, &again))
-            .collect::<Vec<Asked>>()
+            .map(|_| serve_connection(&listener, &redirect))
+            .collect::<Vec<ReceivedRequest>>()
     });
-    let output = lupinrack(&["cluster", "status", "--at", &address.to_string()]);
+    let output = run_program(&["cluster", "status", "--at", &address.to_string()]);
     assert_eq!(output.status.code(), Some(1));
     assert!(
-        said(&output).contains("redirected too often"),
+        stderr(&output).contains("redirected too often"),
         "{}",
-        said(&output)
+        stderr(&output)
     );
-    assert_eq!(serving.join().expect("the stand-in ends").len(), 3);
+    assert_eq!(serving.join().expect("the mock process ends").len(), 3);
 }
 
 #[test]
-fn a_process_that_is_not_there_fails() {
-    let free = TcpListener::bind("127.0.0.1:0")
+fn an_absent_process_is_an_error() {
+    let unused_address = TcpListener::bind("127.0.0.1:0")
         .and_then(|listener| listener.local_addr())
         .expect("a port");
-    let output = lupinrack(&["cluster", "status", "--at", &free.to_string()]);
+    let output = run_program(&["cluster", "status", "--at", &unused_address.to_string()]);
     assert_eq!(output.status.code(), Some(1));
     assert!(
-        said(&output).contains(&free.to_string()),
+        stderr(&output).contains(&unused_address.to_string()),
         "{}",
-        said(&output)
+        stderr(&output)
     );
 }
 
-/// A process of the scheduler that writes its log to a pipe; it is killed at the end of its test.
-struct Running(Child);
+/// A process of the scheduler that logs to a pipe. It is killed when it is dropped.
+struct RunningNode(Child);
 
-impl Running {
-    fn node(settings: &str) -> Running {
+impl RunningNode {
+    fn node(settings: &str) -> RunningNode {
         let mut command = Command::new(env!("CARGO_BIN_EXE_lupinrack"));
         let command = command
             .args(["node", "--settings", settings, "--log", "info"])
             .stderr(Stdio::piped());
-        Running(command.spawn().expect("the program starts"))
+        RunningNode(command.spawn().expect("the program starts"))
     }
 
     fn signal(&self, name: Signal) {
-        let process = Pid::from_raw(self.0.id() as i32);
-        kill(process, name).expect("the process is there");
+        let process_id = Pid::from_raw(self.0.id() as i32);
+        kill(process_id, name).expect("the process is there");
     }
 
-    /// Waits until the readiness address of these settings answers: signals are listened to by then.
-    fn wait_until_it_listens(&self, settings: &str) {
+    /// Waits until the readiness address of these settings accepts connections; signals are handled by then.
+    fn wait_until_ready(&self, settings: &str) {
         let line = settings
             .lines()
             .find_map(|line| line.strip_prefix("bind-addresses.readiness="));
         let address = line.expect("a readiness address");
-        let late = Instant::now() + Duration::from_secs(20);
+        let deadline = Instant::now() + Duration::from_secs(20);
         while TcpStream::connect(address).is_err() {
-            assert!(Instant::now() < late, "nobody listens at {address}");
+            assert!(
+                Instant::now() < deadline,
+                "{address} does not accept connections"
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Sends SIGHUP again and again until the log has a line with this text.
+    /// Sends SIGHUP repeatedly until the log has a line with this text.
     fn reload_until(&mut self, text: &str) {
         let output = self.0.stderr.take().expect("a pipe");
-        let (lines_in, lines) = mpsc::channel();
+        let (line_sender, lines) = mpsc::channel();
         std::thread::spawn(move || {
             let read = BufReader::new(output).lines().map_while(Result::ok);
-            read.for_each(|line| drop(lines_in.send(line)));
+            read.for_each(|line| drop(line_sender.send(line)));
         });
-        let late = Instant::now() + Duration::from_secs(20);
-        while Instant::now() < late {
+        let deadline = Instant::now() + Duration::from_secs(20);
+        while Instant::now() < deadline {
             self.signal(Signal::SIGHUP);
             let line = lines.recv_timeout(Duration::from_millis(200));
             if line.is_ok_and(|line| line.contains(text)) {
@@ -428,7 +434,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningNode {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -441,15 +447,15 @@
 }
 
 #[test]
-fn a_process_takes_new_seeds_at_a_hangup_and_says_what_waits() {
+fn a_reload_applies_new_seeds_and_logs_what_needs_a_restart() {
     let text = SETTINGS
         .replace("9300", &free_port().to_string())
         .replace("9301", &free_port().to_string())
         .replace("7000,7015", &format!("{0},{0}", free_port()));
-    let settings = file("reload.conf", &text);
-    let mut running = Running::node(&settings);
-    running.wait_until_it_listens(&text);
+    let settings = write_file("reload.conf", &text);
+    let mut node = RunningNode::node(&settings);
+    node.wait_until_ready(&text);
     let changed = text.replace("9100", "9109").replace("1200", "700");
-    file("reload.conf", &changed);
-    running.reload_until("SIGHUP: taken: seeds; waiting for a restart: heartbeat-ms");
+    write_file("reload.conf", &changed);
+    node.reload_until("SIGHUP: taken: seeds; waiting for a restart: heartbeat-ms");
 }
--- a/crates/lupinrack/tests/common/front.rs
+++ b/crates/lupinrack/tests/common/front.rs
@@ -1,4 +1,4 @@
-//! The fronts on loopback, with one core, as the program starts them.
+//! The HTTP and rsync fronts on loopback with one engine, as the program starts them.
 
 use lupinrack::engine::{Clock, EngineHandle, EngineParts, NodeListing};
 use lupinrack::net::memory_budget::{MemoryBudget, MemoryPool};
@@ -15,7 +15,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Settings in the platform's form: three classes, and a plan with and one without a limit.
+/// Settings in the platform's format: three classes, plans with a limit and one without.
 pub const SETTINGS: &str = r#"{
   "areas": ["salt-lake"], "peersTotal": 1, "registryMode": "push", "resolution": 2.0, "zone": 0,
   "classes": [
@@ -32,20 +32,20 @@
   "safety": {"stopSendingWithin": 1000.0}
 }"#;
 
-/// Clients of the HTTP front at once.
-pub const PLACES: usize = 64;
+/// Most client connections of the HTTP front.
+pub const MAX_HTTP_CLIENTS: usize = 64;
 
-/// Memory for large bodies, as a front of 48 MB has it.
-pub fn room() -> MemoryPool {
+/// The memory for large bodies of a front with 48 MB.
+pub fn memory_pool() -> MemoryPool {
     MemoryPool::new(MemoryBudget::of_memory_mb(48))
 }
 
-pub fn told() -> FrontSettings {
+pub fn front_settings() -> FrontSettings {
     settings::parse_json(&serde_json::from_str(SETTINGS).unwrap()).unwrap()
 }
 
 /// Node `n0` on shard 0, as discovery lists it.
-pub fn listing(address: SocketAddr, state: NodeState) -> NodeListing {
+pub fn node_listing(address: SocketAddr, state: NodeState) -> NodeListing {
     NodeListing {
         name: "n0".into(),
         address,
@@ -57,38 +57,38 @@
     }
 }
 
-/// The same at an address where nothing is ever sent.
-pub fn unreached(state: NodeState) -> NodeListing {
-    listing(SocketAddr::from(([127, 0, 0, 1], 9)), state)
+/// The same node at an address that no test sends to.
+pub fn unreachable_node(state: NodeState) -> NodeListing {
+    node_listing(SocketAddr::from(([127, 0, 0, 1], 9)), state)
 }
 
 pub struct Fronts {
-    pub core: EngineHandle,
-    pub room: MemoryPool,
+    pub engine: EngineHandle,
+    pub memory: MemoryPool,
     pub http: SocketAddr,
     pub rsync: SocketAddr,
     pub phase: watch::Sender<Phase>,
-    pub ended: tokio::task::JoinHandle<()>,
+    pub task: tokio::task::JoinHandle<()>,
 }
 
-/// Starts both fronts: node `n0` on shard 0 is the HTTP node and the rsync server given.
+/// Starts both fronts. Node `n0` on shard 0 is the given HTTP node and rsync server.
 pub async fn start(node: SocketAddr, server: SocketAddr, plan: &str, deadline_ms: u64) -> Fronts {
-    start_with(node, &[("n0", server)], plan, deadline_ms).await
+    start_with_rsync_servers(node, &[("n0", server)], plan, deadline_ms).await
 }
 
-/// The same with several rsync servers, by the names of their nodes.
-pub async fn start_with(
+/// Like [`start`], with several rsync servers by the names of their nodes.
+pub async fn start_with_rsync_servers(
     node: SocketAddr,
     servers: &[(&str, SocketAddr)],
     plan: &str,
     deadline_ms: u64,
 ) -> Fronts {
-    start_told(told(), node, servers, plan, deadline_ms).await
+    start_with_settings(front_settings(), node, servers, plan, deadline_ms).await
 }
 
-/// The same with these settings.
-pub async fn start_told(
-    told: FrontSettings,
+/// Like [`start_with_rsync_servers`], with these settings.
+pub async fn start_with_settings(
+    settings: FrontSettings,
     node: SocketAddr,
     servers: &[(&str, SocketAddr)],
     plan: &str,
@@ -99,69 +99,77 @@
         engine,
         handle,
         health_checks: _health_checks,
-    } = EngineParts::new(told.policy.clone(), 7, clock);
-    let mut text = format!(
+    } = EngineParts::new(settings.policy.clone(), 7, clock);
+    let mut rsync_section = format!(
         "enabled = true\nlisten = '127.0.0.1:0'\n[[module]]\nname = 'trips'\ncomment = 'Trip exports'\n\
          plan = '{plan}'\nvolume = 'a1'\nclass = 'bulk-read'\nshard = 0\nbytes_per_unit = 16384\n\
          deadline_ms = {deadline_ms}\n"
     );
     for (name, address) in servers {
-        text += &format!("[[server]]\nnode = '{name}'\naddress = '{address}'\n");
+        rsync_section += &format!("[[server]]\nnode = '{name}'\naddress = '{address}'\n");
     }
-    let config = RsyncConfig::parse(&text, &told).unwrap().unwrap();
-    let (phase, seen) = watch::channel(Phase::Ready);
-    let (a, b) = (
+    let config = RsyncConfig::parse(&rsync_section, &settings)
+        .unwrap()
+        .unwrap();
+    let (phase, phase_receiver) = watch::channel(Phase::Ready);
+    let (http_listener, rsync_listener) = (
         TcpListener::bind("127.0.0.1:0").await.unwrap(),
         TcpListener::bind("127.0.0.1:0").await.unwrap(),
     );
-    let (http, rsync) = (a.local_addr().unwrap(), b.local_addr().unwrap());
+    let (http, rsync) = (
+        http_listener.local_addr().unwrap(),
+        rsync_listener.local_addr().unwrap(),
+    );
     tokio::spawn(engine.run());
-    let room = room();
-    let upstream = Upstream::new(&told, clock, 64, room.clone(), Default::default());
-    let front = accept::Front {
+    let memory = memory_pool();
+    let upstream = Upstream::new(&settings, clock, 64, memory.clone(), Default::default());
+    let http_front = accept::Front {
         engine: handle.clone(),
         upstream,
-        settings: watch::channel(Arc::new(told)).1,
-        phase: seen.clone(),
+        settings: watch::channel(Arc::new(settings)).1,
+        phase: phase_receiver.clone(),
         ids: Default::default(),
-        memory: room.clone(),
+        memory: memory.clone(),
         metrics: Default::default(),
         close_phase: Phase::Closing,
     };
-    let connect = Duration::from_millis(500);
-    let second = daemon::Front {
+    let connect_timeout = Duration::from_millis(500);
+    let rsync_front = daemon::Front {
         core: handle.clone(),
         config: Arc::new(config),
-        connect,
-        phase: seen,
+        connect: connect_timeout,
+        phase: phase_receiver,
     };
-    let ended = tokio::spawn(async move {
-        tokio::join!(accept::run(a, front, PLACES), daemon::run(b, second));
+    let task = tokio::spawn(async move {
+        tokio::join!(
+            accept::run(http_listener, http_front, MAX_HTTP_CLIENTS),
+            daemon::run(rsync_listener, rsync_front)
+        );
     });
     let fronts = Fronts {
-        core: handle,
-        room,
+        engine: handle,
+        memory,
         http,
         rsync,
         phase,
-        ended,
+        task,
     };
     fronts
-        .node(NodeListKind::Cached, node, NodeState::Ready)
+        .update_node(NodeListKind::Cached, node, NodeState::Ready)
         .await;
     fronts
 }
 
-/// Fronts with an rsync server and no HTTP node.
-pub async fn with_rsync(server: &RsyncServer, plan: &str, deadline_ms: u64) -> Fronts {
+/// Starts the fronts with an rsync server and without an HTTP node.
+pub async fn start_with_rsync_server(server: &RsyncServer, plan: &str, deadline_ms: u64) -> Fronts {
     start(server.address, server.address, plan, deadline_ms).await
 }
 
 impl Fronts {
-    /// Tells the core of node `n0`.
-    pub async fn node(&self, kind: NodeListKind, address: SocketAddr, state: NodeState) {
-        self.core
-            .update_nodes(kind, vec![listing(address, state)])
+    /// Updates node `n0` in the engine.
+    pub async fn update_node(&self, kind: NodeListKind, address: SocketAddr, state: NodeState) {
+        self.engine
+            .update_nodes(kind, vec![node_listing(address, state)])
             .await;
     }
 }
--- a/crates/lupinrack/tests/common/mod.rs
+++ b/crates/lupinrack/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The fronts that the tests share.
+//! Helpers that the tests share.
 #![allow(dead_code, unused_imports)]
 
 pub mod front;
--- a/crates/lupinrack/tests/extents.rs
+++ b/crates/lupinrack/tests/extents.rs
@@ -1,8 +1,8 @@
-//! Requests and the map of extents: in the core on paused time, and through whole fronts on loopback.
+//! Requests and the extent map: in the engine on paused time, and through complete fronts on loopback.
 
 mod common;
 
-use common::front::{told, unreached};
+use common::front::{front_settings, unreachable_node};
 use lupinrack::engine::{Clock, EngineHandle, EngineParts, NodeListing, Order, RequestHandle};
 use lupinrack::net::config::Config;
 use lupinrack::net::shutdown::Phase;
@@ -23,8 +23,8 @@
 use tokio::sync::{mpsc, watch};
 
 const VOLUME: VolumeId = VolumeId(7);
-/// On paused time: ends a test that would never end.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout on paused time for an order that never comes.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn version(epoch: u64) -> Version {
     Version {
@@ -43,7 +43,7 @@
     }
 }
 
-fn cover(shard: u32, epoch: u64) -> FetchResponse {
+fn fetch_response(shard: u32, epoch: u64) -> FetchResponse {
     FetchResponse {
         version: version(epoch),
         volume: VOLUME,
@@ -53,7 +53,7 @@
     }
 }
 
-fn news(epoch: u64, changes: Vec<Change>) -> Input {
+fn poll_input(epoch: u64, changes: Vec<Change>) -> Input {
     Input::Polled(Ok(PollResponse {
         version: version(epoch),
         reset: epoch == 1,
@@ -62,14 +62,14 @@
     }))
 }
 
-/// A core with nodes `n0` to `n2` on shards 0 to 2, and the actions of its map.
-async fn core() -> (EngineHandle, mpsc::Receiver<Action>) {
+/// An engine with nodes `n0` to `n2` on shards 0 to 2, and the actions of its extent map.
+async fn start_engine() -> (EngineHandle, mpsc::Receiver<Action>) {
     let clock = Clock::start();
     let EngineParts {
         engine,
         handle,
         health_checks: _health_checks,
-    } = EngineParts::new(told().policy, 3, clock);
+    } = EngineParts::new(front_settings().policy, 3, clock);
     let (engine, channels) = engine.with_extent_map(Cache::new(Section::default(), clock.now()));
     tokio::spawn(engine.run());
     handle
@@ -78,7 +78,7 @@
             (0..3).map(|n| node(n, NodeState::Ready)).collect(),
         )
         .await;
-    handle.extent_map_input(news(1, Vec::new())).await;
+    handle.extent_map_input(poll_input(1, Vec::new())).await;
     (handle, channels.actions)
 }
 
@@ -86,12 +86,12 @@
     NodeListing {
         name: format!("n{shard}"),
         shard: Shard(shard),
-        ..unreached(state)
+        ..unreachable_node(state)
     }
 }
 
-/// Opens a read or a new write whose client believes in shard 0.
-async fn open(core: &EngineHandle, write: bool) -> RequestHandle {
+/// Opens a read or a new write whose client assumes shard 0.
+async fn open(engine: &EngineHandle, write: bool) -> RequestHandle {
     let request = Request {
         class: u16::from(write),
         plan: 2,
@@ -100,33 +100,34 @@
         volume: VOLUME,
         key: Some(Key(5)),
         shard: Some(Shard(0)),
-        client_deadline: core.clock.now() + 4_000_000,
+        client_deadline: engine.clock.now() + 4_000_000,
         ..Request::default()
     };
-    core.open(request).await
+    engine.open(request).await
 }
 
-/// Waits for the next fetch that the map asks for.
-async fn fetch(actions: &mut mpsc::Receiver<Action>) {
+/// Waits for the next fetch that the map requests.
+async fn wait_for_fetch(actions: &mut mpsc::Receiver<Action>) {
     let fetched = async { while !matches!(actions.recv().await, Some(Action::Fetch { .. })) {} };
-    tokio::time::timeout(PATIENCE, fetched)
+    tokio::time::timeout(ORDER_TIMEOUT, fetched)
         .await
-        .expect("it is fetched");
+        .expect("the map requests a fetch");
 }
 
-async fn answer(core: &EngineHandle, cover: FetchResponse) {
-    core.extent_map_input(Input::Fetched {
-        volume: VOLUME,
-        answer: Ok(cover),
-    })
-    .await;
+async fn answer_fetch(engine: &EngineHandle, fetch_response: FetchResponse) {
+    engine
+        .extent_map_input(Input::Fetched {
+            volume: VOLUME,
+            answer: Ok(fetch_response),
+        })
+        .await;
 }
 
-/// The next order must be a Send; tells where to, and the attempt's number.
-async fn sent(ticket: &mut RequestHandle) -> (String, u16) {
-    match tokio::time::timeout(PATIENCE, ticket.next_order())
+/// Expects a send as the next order. Returns its node and the attempt's number.
+async fn next_send(request: &mut RequestHandle) -> (String, u16) {
+    match tokio::time::timeout(ORDER_TIMEOUT, request.next_order())
         .await
-        .expect("it is sent")
+        .expect("an order in time")
     {
         Some(Order::Send(attempt)) => (attempt.target.name.to_string(), attempt.number),
         other => panic!("{other:?}"),
@@ -134,150 +135,155 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_waits_for_its_volume_and_goes_where_the_map_says() {
-    let (core, mut actions) = core().await;
-    let (mut first, mut second) = (open(&core, false).await, open(&core, false).await);
-    fetch(&mut actions).await;
-    answer(&core, cover(1, 1)).await;
+async fn a_request_waits_for_the_fetch_and_goes_to_the_shard_of_the_map() {
+    let (engine, mut actions) = start_engine().await;
+    let (mut first, mut second) = (open(&engine, false).await, open(&engine, false).await);
+    wait_for_fetch(&mut actions).await;
+    answer_fetch(&engine, fetch_response(1, 1)).await;
     assert_eq!(
-        sent(&mut first).await.0,
+        next_send(&mut first).await.0,
         "n1",
-        "not where the client believed"
+        "not the shard that the client assumed"
     );
-    assert_eq!(sent(&mut second).await.0, "n1");
+    assert_eq!(next_send(&mut second).await.0, "n1");
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_that_is_turned_away_as_moved_goes_to_the_new_shard_once_the_map_has_it() {
-    let (core, mut actions) = core().await;
-    let mut ticket = open(&core, true).await;
-    fetch(&mut actions).await;
-    answer(&core, cover(1, 1)).await;
-    let (_, number) = sent(&mut ticket).await;
-    ticket
+async fn a_misdirected_request_is_retried_on_the_new_shard_once_the_map_has_it() {
+    let (engine, mut actions) = start_engine().await;
+    let mut request = open(&engine, true).await;
+    wait_for_fetch(&mut actions).await;
+    answer_fetch(&engine, fetch_response(1, 1)).await;
+    let (_, number) = next_send(&mut request).await;
+    request
         .reporter()
         .wrong_shard(number, Some(version(2)))
         .await;
-    fetch(&mut actions).await;
-    answer(&core, cover(2, 2)).await;
+    wait_for_fetch(&mut actions).await;
+    answer_fetch(&engine, fetch_response(2, 2)).await;
     assert_eq!(
-        sent(&mut ticket).await,
+        next_send(&mut request).await,
         ("n2".to_string(), 1),
-        "never ran, so even a write goes on"
+        "it never ran, so even a write is retried"
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_that_lies_is_like_one_without_room_and_the_request_ends_in_a_refusal() {
-    let (core, mut actions) = core().await;
-    let mut ticket = open(&core, false).await;
-    fetch(&mut actions).await;
-    answer(&core, cover(1, 1)).await;
-    let mut tries = 0;
+async fn a_node_that_denies_its_shard_counts_as_full_and_the_request_is_rejected() {
+    let (engine, mut actions) = start_engine().await;
+    let mut request = open(&engine, false).await;
+    wait_for_fetch(&mut actions).await;
+    answer_fetch(&engine, fetch_response(1, 1)).await;
+    let mut attempts = 0;
     loop {
-        match ticket.next_order().await {
+        match request.next_order().await {
             Some(Order::Send(attempt)) => {
-                tries += 1;
-                ticket
+                attempts += 1;
+                request
                     .reporter()
                     .wrong_shard(attempt.number, Some(version(1)))
                     .await;
             }
             Some(Order::Reject(after)) => {
-                break assert!(after.is_some(), "it says when to come back")
+                break assert!(after.is_some(), "a rejection has a retry time")
             }
             other => panic!("{other:?}"),
         }
     }
-    assert!((1..=3).contains(&tries), "{tries} attempts");
+    assert!((1..=3).contains(&attempts), "{attempts} attempts");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_write_that_may_have_run_does_not_follow_its_data_out_of_its_group() {
-    let (core, mut actions) = core().await;
-    let mut ticket = open(&core, true).await;
-    fetch(&mut actions).await;
-    answer(&core, cover(1, 1)).await;
-    let (_, number) = sent(&mut ticket).await;
-    core.extent_map_input(news(2, vec![change(2, 2)])).await;
-    ticket
+async fn a_write_that_may_have_run_is_not_retried_outside_its_deduplication_scope() {
+    let (engine, mut actions) = start_engine().await;
+    let mut request = open(&engine, true).await;
+    wait_for_fetch(&mut actions).await;
+    answer_fetch(&engine, fetch_response(1, 1)).await;
+    let (_, number) = next_send(&mut request).await;
+    engine
+        .extent_map_input(poll_input(2, vec![change(2, 2)]))
+        .await;
+    request
         .reporter()
         .attempt_ended(number, Outcome::Reset, None)
         .await;
     assert!(
-        matches!(ticket.next_order().await, Some(Order::Fail)),
-        "it fails plainly, and at once"
+        matches!(request.next_order().await, Some(Order::Fail)),
+        "it fails at once"
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_move_during_a_drain_leaves_the_node_free_and_brings_what_waits_to_the_new_place() {
-    let (core, mut actions) = core().await;
-    let mut first = open(&core, false).await;
-    fetch(&mut actions).await;
-    answer(&core, cover(1, 1)).await;
-    sent(&mut first).await;
-    // Far more than the node is given at once, then it drains, and the extent moves away a little later.
+async fn a_move_during_a_drain_redirects_waiting_requests_to_the_new_shard() {
+    let (engine, mut actions) = start_engine().await;
+    let mut first = open(&engine, false).await;
+    wait_for_fetch(&mut actions).await;
+    answer_fetch(&engine, fetch_response(1, 1)).await;
+    next_send(&mut first).await;
+    // More requests than the node gets at once. Then it drains, and the extent moves shortly after.
     let mut waiting = Vec::new();
     for _ in 0..30 {
-        waiting.push(open(&core, false).await);
+        waiting.push(open(&engine, false).await);
     }
-    core.update_nodes(NodeListKind::Changes, vec![node(1, NodeState::Draining)])
+    engine
+        .update_nodes(NodeListKind::Changes, vec![node(1, NodeState::Draining)])
         .await;
-    let before = sends(&mut waiting).await;
+    let before = sent_nodes(&mut waiting).await;
     assert!(
-        before.len() < 30 && before.iter().all(|to| to == "n1"),
-        "within its grace: {before:?}"
+        before.len() < 30 && before.iter().all(|node| node == "n1"),
+        "within its drain grace: {before:?}"
     );
-    core.extent_map_input(news(2, vec![change(2, 2)])).await;
+    engine
+        .extent_map_input(poll_input(2, vec![change(2, 2)]))
+        .await;
     tokio::time::sleep(Duration::from_millis(400)).await;
-    let after = sends(&mut waiting).await;
+    let after = sent_nodes(&mut waiting).await;
     assert!(
-        !after.is_empty() && after.iter().all(|to| to == "n2"),
-        "none to the old place: {after:?}"
+        !after.is_empty() && after.iter().all(|node| node == "n2"),
+        "none to the old shard: {after:?}"
     );
 }
 
-/// Where what was sent by now went.
-async fn sends(tickets: &mut [RequestHandle]) -> Vec<String> {
-    let mut to = Vec::new();
-    for ticket in tickets {
-        let order = tokio::time::timeout(Duration::from_millis(1), ticket.next_order()).await;
+/// The nodes of the sends that have been ordered so far.
+async fn sent_nodes(requests: &mut [RequestHandle]) -> Vec<String> {
+    let mut nodes = Vec::new();
+    for request in requests {
+        let order = tokio::time::timeout(Duration::from_millis(1), request.next_order()).await;
         if let Ok(Some(Order::Send(attempt))) = order {
-            to.push(attempt.target.name.to_string());
+            nodes.push(attempt.target.name.to_string());
         }
     }
-    to
+    nodes
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_no_extent_covers_lies_where_its_client_says() {
-    let (core, mut actions) = core().await;
-    let mut ticket = open(&core, false).await;
-    fetch(&mut actions).await;
-    answer(
-        &core,
+async fn a_key_without_an_extent_goes_to_the_shard_of_its_client() {
+    let (engine, mut actions) = start_engine().await;
+    let mut request = open(&engine, false).await;
+    wait_for_fetch(&mut actions).await;
+    answer_fetch(
+        &engine,
         FetchResponse {
             extents: Vec::new(),
-            ..cover(1, 1)
+            ..fetch_response(1, 1)
         },
     )
     .await;
-    assert_eq!(sent(&mut ticket).await.0, "n0");
+    assert_eq!(next_send(&mut request).await.0, "n0");
 }
 
-/// A front, two nodes on shards 0 and 1, an authority, all on loopback.
-struct Room {
+/// A front, two nodes on shards 0 and 1, and an authority, all on loopback.
+struct Cluster {
     authority: Arc<Authority>,
     nodes: Vec<Node>,
     front: serve::Front,
     phase: watch::Sender<Phase>,
     clients: Clients,
-    _kept: (Discovery, watch::Sender<std::net::SocketAddr>),
+    _keep_alive: (Discovery, watch::Sender<std::net::SocketAddr>),
 }
 
-impl Room {
-    async fn new() -> Room {
+impl Cluster {
+    async fn new() -> Cluster {
         let mut truth = Truth::new(3);
         truth.put(7, 0, u64::MAX, 0);
         let authority = Arc::new(Authority::start(truth).await.unwrap());
@@ -315,16 +321,16 @@
             ..OperatorConfig::default()
         };
         let plan = Plan::new(Config::parse(&config.to_string()).unwrap(), operator).unwrap();
-        let (phase, seen) = watch::channel(Phase::Ready);
-        let (at, address) = watch::channel(discovery.address);
-        let front = serve::start(plan, seen, address).await.unwrap();
-        Room {
+        let (phase, phase_receiver) = watch::channel(Phase::Ready);
+        let (address_sender, address) = watch::channel(discovery.address);
+        let front = serve::start(plan, phase_receiver, address).await.unwrap();
+        Cluster {
             authority,
             nodes,
             front,
             phase,
             clients: Clients::default(),
-            _kept: (discovery, at),
+            _keep_alive: (discovery, address_sender),
         }
     }
 
@@ -353,48 +359,49 @@
 }
 
 #[tokio::test]
-async fn a_silent_authority_costs_what_moved_and_nothing_else() {
-    let room = Room::new().await;
-    assert_eq!(room.ask(1).await, Came::Served);
-    room.authority.silence(true);
+async fn a_silent_authority_affects_only_moved_extents() {
+    let cluster = Cluster::new().await;
+    assert_eq!(cluster.ask(1).await, Came::Served);
+    cluster.authority.silence(true);
     assert_eq!(
-        room.ask(2).await,
+        cluster.ask(2).await,
         Came::Served,
-        "it goes on with what it had"
+        "the front keeps using its map"
     );
-    // Moved unheard: the node turns it away, nobody says where to, and the client hears that in time.
-    room.authority.change(|t| t.put(7, 0, u64::MAX, 1));
-    assert_eq!(room.ask(3).await, Came::Refused);
-    assert!(room.fates(1).is_empty());
-    room.authority.silence(false);
-    until(|| room.front.extent_counters.borrow().changes > 0).await;
-    assert_eq!(room.ask(4).await, Came::Served);
-    assert_eq!(room.fates(1), [Fate::Ran]);
-    room.phase.send_replace(Phase::Closing);
-    room.front.task.await.unwrap().unwrap();
+    // The extent moves while the authority is silent: the node rejects the request, its new shard is unknown, and the client
+    // gets a rejection in time.
+    cluster.authority.change(|t| t.put(7, 0, u64::MAX, 1));
+    assert_eq!(cluster.ask(3).await, Came::Refused);
+    assert!(cluster.fates(1).is_empty());
+    cluster.authority.silence(false);
+    until(|| cluster.front.extent_counters.borrow().changes > 0).await;
+    assert_eq!(cluster.ask(4).await, Came::Served);
+    assert_eq!(cluster.fates(1), [Fate::Ran]);
+    cluster.phase.send_replace(Phase::Closing);
+    cluster.front.task.await.unwrap().unwrap();
 }
 
 #[tokio::test]
-async fn an_authority_that_starts_anew_with_lower_epochs_is_followed() {
-    let room = Room::new().await;
+async fn a_restarted_authority_with_lower_epochs_is_followed() {
+    let cluster = Cluster::new().await;
     for n in 0..10 {
-        room.authority.change(|t| t.put(7, 0, u64::MAX, n % 2));
+        cluster.authority.change(|t| t.put(7, 0, u64::MAX, n % 2));
     }
-    assert_eq!(room.ask(1).await, Came::Served);
-    room.authority.change(|t| {
+    assert_eq!(cluster.ask(1).await, Came::Served);
+    cluster.authority.change(|t| {
         t.restart(4);
         t.put(7, 0, u64::MAX, 0);
     });
-    until(|| room.front.extent_counters.borrow().resets > 1).await;
-    assert_eq!(room.ask(2).await, Came::Served);
+    until(|| cluster.front.extent_counters.borrow().resets > 1).await;
+    assert_eq!(cluster.ask(2).await, Came::Served);
     assert_eq!(
-        (room.fates(0), room.fates(1)),
+        (cluster.fates(0), cluster.fates(1)),
         (vec![Fate::Ran], vec![Fate::Ran])
     );
 }
 
 #[test]
-fn the_drill_keeps_its_promises() {
+fn the_drill_passes_its_checks() {
     let drill = |args: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_lupinrack"));
         let output = command
@@ -405,7 +412,7 @@
         let figures: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap_or_default();
         (output.status.code(), figures)
     };
-    let small = [
+    let small_drill = [
         "--fronts",
         "3",
         "--nodes",
@@ -419,7 +426,7 @@
     ];
     let (code, figures) = drill(
         &[
-            &small[..],
+            &small_drill[..],
             &[
                 "--moves-per-s",
                 "20",
@@ -448,10 +455,10 @@
         count("moves") > 90 && count("refresh_calls") > 0,
         "{figures}"
     );
-    // A burst: bounded calls, whatever the speed of this machine.
+    // A burst of moves: the number of calls is bounded at any speed of the machine.
     let (code, figures) = drill(
         &[
-            &small[..],
+            &small_drill[..],
             &["--burst", "2000", "--seed", "12", "--strategy", "versioned"],
         ]
         .concat(),
@@ -462,13 +469,13 @@
         figures["burst_calls_per_front"].as_u64().unwrap() < 64,
         "{figures}"
     );
-    // What it was given cannot be used.
+    // Invalid arguments.
     assert_eq!(drill(&["--nodes", "1"]).0, Some(2));
     assert_eq!(drill(&["--moves-per-s", "-1"]).0, Some(2));
 }
 
 #[test]
-fn the_model_gives_the_same_for_the_same_seed() {
+fn the_simulation_is_deterministic_for_a_seed() {
     let sim = || {
         let mut command = Command::new(env!("CARGO_BIN_EXE_lupinrack"));
         let args = [
@@ -498,10 +505,10 @@
     assert!(figures["requests"].as_u64() > Some(10_000), "{figures}");
     assert!(
         figures["misdirected"].as_u64() > Some(0),
-        "silence is felt: {figures}"
+        "the silence misdirects requests: {figures}"
     );
     assert!(
         figures["peer_bytes_per_request"].as_f64() > Some(0.0),
-        "and peers tell of it: {figures}"
+        "peers send updates: {figures}"
     );
 }
--- a/crates/lupinrack/tests/fleet.rs
+++ b/crates/lupinrack/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program with faults between them. Promises are asserted, never speed; every case of the rig is
-//! played once, four at a time at the most, with shorter leases than in service.
+//! Several processes of the program with injected faults. The tests check guarantees, not speed. Every case of the drill runs
+//! once, at most four at a time, with shorter leases than in production.
 
 use lupinrack_fault_injection::{Act, Plan, Script};
 use lupinrack_fleet_membership_drill::cases::{named, CASES};
@@ -7,12 +7,13 @@
 use std::sync::OnceLock;
 use tokio::sync::Semaphore;
 
-const SHORT: &str = "lease_ms = 1500\nsuspicion_ms = 500\nperiod_ms = 120\npatience_ms = 60\n";
+const SHORT_LEASES: &str =
+    "lease_ms = 1500\nsuspicion_ms = 500\nperiod_ms = 120\npatience_ms = 60\n";
 const SEED: u64 = 7;
 
-async fn figures(script: Script) -> (Figures, String) {
-    static PLACES: OnceLock<Semaphore> = OnceLock::new();
-    let _place = PLACES
+async fn run_script(script: Script) -> (Figures, String) {
+    static SLOTS: OnceLock<Semaphore> = OnceLock::new();
+    let _permit = SLOTS
         .get_or_init(|| Semaphore::new(4))
         .acquire()
         .await
@@ -24,40 +25,43 @@
     ));
     let program = env!("CARGO_BIN_EXE_lupinrack").into();
     let text = serde_json::to_string(&script).unwrap();
-    let played = play(Plan {
+    let outcome = play(Plan {
         script,
         program,
         folder,
-        fleet: SHORT.into(),
+        fleet: SHORT_LEASES.into(),
     })
     .await
     .unwrap();
-    let last = format!("{text}\n{}", played.history.last(80));
-    (played.figures, last)
+    let history = format!("{text}\n{}", outcome.history.last(80));
+    (outcome.figures, history)
 }
 
-async fn played(script: Script) -> Figures {
-    let (figures, last) = figures(script).await;
-    if let Err(broken) = figures.verdict() {
-        panic!("{last}\n{broken:#?}\n{figures:#?}");
+async fn run_and_check(script: Script) -> Figures {
+    let (figures, history) = run_script(script).await;
+    if let Err(violations) = figures.verdict() {
+        panic!("{history}\n{violations:#?}\n{figures:#?}");
     }
     figures
 }
 
-async fn case(name: &str) -> Figures {
+async fn run_case(name: &str) -> Figures {
     let script = (named(name).expect("a case").script)(SEED);
-    let f = played(script).await;
-    assert!(f.requests > 0 && f.served > 0 && f.views > 0, "{f:#?}");
-    f
+    let figures = run_and_check(script).await;
+    assert!(
+        figures.requests > 0 && figures.served > 0 && figures.views > 0,
+        "{figures:#?}"
+    );
+    figures
 }
 
 macro_rules! cases {
     ($($test:ident: $name:literal),* $(,)?) => {
         $(#[tokio::test]
         async fn $test() {
-            case($name).await;
+            run_case($name).await;
         })*
-        const TESTED: &[&str] = &[$($name),*];
+        const TESTED_CASES: &[&str] = &[$($name),*];
     };
 }
 
@@ -81,90 +85,95 @@
 }
 
 #[tokio::test]
-async fn what_a_dead_front_had_goes_to_the_living() {
-    let f = case("dead").await;
+async fn the_share_of_a_dead_front_goes_to_the_others() {
+    let figures = run_case("dead").await;
     assert!(
-        f.views >= 2 && f.parts_sum_max > 0.9,
-        "the whole is used again: {f:#?}"
+        figures.views >= 2 && figures.parts_sum_max > 0.9,
+        "the whole limits are used again: {figures:#?}"
     );
 }
 
 #[tokio::test]
-async fn all_start_at_once_from_nothing() {
-    let f = case("start").await;
-    assert!(f.views <= 4, "few views: {f:#?}");
+async fn all_fronts_start_at_once() {
+    let figures = run_case("start").await;
+    assert!(figures.views <= 4, "few views: {figures:#?}");
 }
 
 #[test]
-fn every_case_is_played() {
-    let played = |name: &str| TESTED.contains(&name) || ["dead", "start"].contains(&name);
-    assert!(CASES.iter().all(|c| played(c.name)));
+fn every_case_has_a_test() {
+    let has_test = |name: &str| TESTED_CASES.contains(&name) || ["dead", "start"].contains(&name);
+    assert!(CASES.iter().all(|c| has_test(c.name)));
 }
 
-/// The drill can fail: fronts that each believe to be the only one, and nodes that forget each other's writes.
+/// The drill detects violations: fronts that each assume to be the only one, and nodes that forget earlier writes.
 #[tokio::test]
-async fn planted_faults_break_the_promises() {
+async fn injected_faults_violate_the_guarantees() {
     let mut script = Script::new("planted", SEED, 4, 10.0).at(3_000, Act::Cold);
     (script.spoilt, script.fleet) = (true, false);
-    let figures = figures(script).await.0;
-    let (cold, limits, twice) = (figures.cold_over, figures.limit_broken, figures.duplicates);
-    assert!(cold > 0 && limits > 0 && twice > 0, "{figures:#?}");
+    let figures = run_script(script).await.0;
+    let (cold_over, limit_broken, duplicates) =
+        (figures.cold_over, figures.limit_broken, figures.duplicates);
+    assert!(
+        cold_over > 0 && limit_broken > 0 && duplicates > 0,
+        "{figures:#?}"
+    );
 }
 
-/// What operators see of a fleet: three processes, their door and the command.
+/// What operators see of a fleet of three processes: the admin interface and the command.
 #[tokio::test]
-async fn operators_see_each_member_at_the_door_and_by_the_command() {
+async fn operators_see_each_member_by_the_admin_interface_and_the_command() {
     use lupinrack_fault_injection::stage::Stage;
     use mock_servers::settings::configuration;
     let program: std::path::PathBuf = env!("CARGO_BIN_EXE_lupinrack").into();
     let stage = Stage::new(program.clone()).await.unwrap();
-    let held: Vec<_> = (0..3)
+    let sockets: Vec<_> = (0..3)
         .map(|_| std::net::UdpSocket::bind("127.0.0.1:0").unwrap())
         .collect();
-    let at: Vec<_> = held.iter().map(|s| s.local_addr().unwrap()).collect();
-    drop(held);
+    let addresses: Vec<_> = sockets.iter().map(|s| s.local_addr().unwrap()).collect();
+    drop(sockets);
     let members: String = (0..3)
         .map(|i| {
             format!(
                 "[[fleet.member]]\nname = \"n{i}\"\naddress = \"{}\"\n",
-                at[i]
+                addresses[i]
             )
         })
         .collect();
     let mut fronts = Vec::new();
     for i in 0..3_u16 {
         let config = configuration(&format!("n{i}"), stage.discovery.address, 7, 3);
-        let operator = format!("[fleet]\nenabled = true\nname = \"n{i}\"\n{SHORT}{members}");
+        let operator = format!("[fleet]\nenabled = true\nname = \"n{i}\"\n{SHORT_LEASES}{members}");
         fronts.push(stage.front(i, config, operator).await.unwrap());
     }
-    let door = fronts[0].listens.door.unwrap().to_string();
-    let ls = |json: bool| {
+    let admin = fronts[0].listens.door.unwrap().to_string();
+    let fleet_ls = |json: bool| {
         let mut command = std::process::Command::new(&program);
         command
-            .args(["fleet", "ls", &door])
+            .args(["fleet", "ls", &admin])
             .args(json.then_some("--json"));
         command.output().unwrap()
     };
-    let until = std::time::Instant::now() + std::time::Duration::from_secs(60);
-    let told: serde_json::Value = loop {
-        let told: serde_json::Value = serde_json::from_slice(&ls(true).stdout).unwrap_or_default();
-        let members = told["members"].as_array().cloned().unwrap_or_default();
-        let whole = members.len() == 3 && members.iter().all(|m| m["in_view"] == true);
-        if told["stance"] == "majority" && whole {
-            break told;
+    let deadline = std::time::Instant::now() + std::time::Duration::from_secs(60);
+    let report: serde_json::Value = loop {
+        let report: serde_json::Value =
+            serde_json::from_slice(&fleet_ls(true).stdout).unwrap_or_default();
+        let members = report["members"].as_array().cloned().unwrap_or_default();
+        let complete = members.len() == 3 && members.iter().all(|m| m["in_view"] == true);
+        if report["stance"] == "majority" && complete {
+            break report;
         }
-        assert!(std::time::Instant::now() < until, "{told}");
+        assert!(std::time::Instant::now() < deadline, "{report}");
         tokio::time::sleep(std::time::Duration::from_millis(200)).await;
     };
     assert!(
-        told["members"]
+        report["members"]
             .as_array()
             .unwrap()
             .iter()
             .all(|m| m["state"] == "alive"),
-        "{told}"
+        "{report}"
     );
-    let table = String::from_utf8(ls(false).stdout).unwrap();
+    let table = String::from_utf8(fleet_ls(false).stdout).unwrap();
     assert!(
         table.contains("majority") && table.matches("alive").count() >= 3,
         "{table}"
--- a/crates/lupinrack/tests/golden.rs
+++ b/crates/lupinrack/tests/golden.rs
@@ -1,7 +1,7 @@
-//! What the program prints, compared with the files in `tests/golden`: help, schema, checks of files, calls to processes, the
-//! log of a write-back buffer, and the names of fields of what is printed as JSON. Exit codes stand beside what is printed.
+//! Compares the program's output and exit codes with the files in `tests/golden`: help, schema, checks of files, calls to
+//! processes, the log of a write-back buffer, and the field names of JSON output.
 //!
-//! `UPDATE_GOLDEN=1` writes the files anew.
+//! `UPDATE_GOLDEN=1` rewrites the files.
 
 use clap::ValueEnum as _;
 use lupinrack::commands::admin::Call;
@@ -18,7 +18,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-const FILES: [&str; 11] = [
+const GOLDEN_FILES: [&str; 11] = [
     "arguments.txt",
     "ask.txt",
     "buffer.txt",
@@ -37,36 +37,36 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden")
 }
 
-/// Compares a text with its file, or writes the file.
+/// Compares a text with its golden file, or writes the file.
 fn assert_golden(name: &str, text: &str) {
     check_text(golden_folder().join(name), text);
 }
 
 #[test]
 fn every_golden_file_is_built_by_a_test() {
-    // While files are updated other tests may not have written theirs yet.
+    // During an update other tests may not have written their files yet.
     if is_update() {
         return;
     }
-    check_folder(golden_folder(), FILES);
+    check_folder(golden_folder(), GOLDEN_FILES);
 }
 
-/// A folder in which the program is run; removed when it is dropped.
-struct Place(PathBuf);
+/// A temporary folder in which the program runs. It is removed when it is dropped.
+struct TestFolder(PathBuf);
 
-impl Place {
-    fn new(name: &str) -> Place {
+impl TestFolder {
+    fn new(name: &str) -> TestFolder {
         let folder =
             std::env::temp_dir().join(format!("lupinrack-golden-{name}-{}", std::process::id()));
         fs::create_dir(&folder).expect("a folder");
-        Place(folder)
+        TestFolder(folder)
     }
 
     fn write(&self, name: &str, text: &str) {
         fs::write(self.0.join(name), text).expect("a file");
     }
 
-    /// Runs the program here, without variables.
+    /// Runs the program in the folder without environment variables.
     fn run(&self, args: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_lupinrack"));
         command
@@ -77,15 +77,15 @@
             .expect("the program runs")
     }
 
-    /// The command line, the exit code and all that was printed.
+    /// Runs the program and returns the command line, the output and the exit code.
     fn transcript(&self, args: &[&str]) -> String {
         transcript(args, &self.run(args))
     }
 }
 
-impl Drop for Place {
+impl Drop for TestFolder {
     fn drop(&mut self) {
-        // What cannot be removed is of no harm.
+        // A failure to remove the folder is harmless.
         let _ = fs::remove_dir_all(&self.0);
     }
 }
@@ -95,15 +95,15 @@
         .status
         .code()
         .map_or("none".to_owned(), |code| code.to_string());
-    let printed = |name: &str, bytes: &[u8]| {
+    let prefixed = |name: &str, bytes: &[u8]| {
         let text = String::from_utf8_lossy(bytes);
         text.lines()
             .map(|line| format!("{name} {line}\n"))
             .collect::<String>()
     };
     let (stdout, stderr) = (
-        printed("out|", &output.stdout),
-        printed("err|", &output.stderr),
+        prefixed("out|", &output.stdout),
+        prefixed("err|", &output.stderr),
     );
     format!(
         "$ lupinrack {}\n{stdout}{stderr}exit code {code}\n\n",
@@ -111,7 +111,7 @@
     )
 }
 
-/// The names of commands that a help text lists.
+/// The commands that a help text lists.
 fn listed_commands(help: &str) -> Vec<String> {
     let commands = help.lines().skip_while(|line| *line != "Commands:").skip(1);
     let commands = commands.take_while(|line| !line.is_empty());
@@ -123,45 +123,45 @@
         .collect()
 }
 
-/// The help of a command and of all below it.
-fn help_of(place: &Place, command: &[&str]) -> String {
+/// The help of a command and of all its subcommands.
+fn help_of(folder: &TestFolder, command: &[&str]) -> String {
     let args = [command, &["--help"]].concat();
-    let output = place.run(&args);
+    let output = folder.run(&args);
     let listed = listed_commands(&String::from_utf8_lossy(&output.stdout));
-    let below = listed
+    let subcommand_help = listed
         .iter()
-        .map(|name| help_of(place, &[command, &[name.as_str()]].concat()));
-    transcript(&args, &output) + &below.collect::<String>()
+        .map(|name| help_of(folder, &[command, &[name.as_str()]].concat()));
+    transcript(&args, &output) + &subcommand_help.collect::<String>()
 }
 
 #[test]
-fn help_stays_the_same() {
-    let place = Place::new("help");
-    let text = help_of(&place, &[])
-        + &place.transcript(&["-h"])
-        + &place.transcript(&["--log-format", "json", "job", "show", "--help"]);
+fn help_matches_the_golden_file() {
+    let folder = TestFolder::new("help");
+    let text = help_of(&folder, &[])
+        + &folder.transcript(&["-h"])
+        + &folder.transcript(&["--log-format", "json", "job", "show", "--help"]);
     assert_golden("help.txt", &text);
 }
 
 #[test]
-fn the_schema_stays_the_same() {
-    let place = Place::new("schema");
-    let output = place.run(&["schema"]);
+fn the_schema_matches_the_golden_file() {
+    let folder = TestFolder::new("schema");
+    let output = folder.run(&["schema"]);
     assert_eq!(output.status.code(), Some(0));
     let text = String::from_utf8(output.stdout).expect("text");
     assert_golden("schema.json", &text);
-    let kept = fs::read_to_string(golden_folder().join("schema.json")).expect("a golden file");
-    let kept: Value = serde_json::from_str(&kept).expect("JSON");
+    let golden = fs::read_to_string(golden_folder().join("schema.json")).expect("a golden file");
+    let golden: Value = serde_json::from_str(&golden).expect("JSON");
     assert_eq!(
-        kept,
+        golden,
         serde_json::to_value(lupinrack_operator_config::schema()).expect("JSON")
     );
 }
 
 #[test]
-fn answers_to_wrong_arguments_stay_the_same() {
-    let place = Place::new("arguments");
-    let all = [
+fn errors_for_invalid_arguments_match_the_golden_file() {
+    let folder = TestFolder::new("arguments");
+    let command_lines = [
         &["--version"][..],
         &[],
         &["frob"],
@@ -219,7 +219,10 @@
         &["lab", "run", "nowhere.toml"],
         &["buffer", "verify", "nowhere"],
     ];
-    let text: String = all.iter().map(|args| place.transcript(args)).collect();
+    let text: String = command_lines
+        .iter()
+        .map(|args| folder.transcript(args))
+        .collect();
     assert_golden("arguments.txt", &text);
 }
 
@@ -232,13 +235,13 @@
 address = "10.0.0.2:7946"
 "#;
 
-fn fleet_file(name: &str, more: &str, members: &str) -> String {
+fn fleet_file(name: &str, extra: &str, members: &str) -> String {
     format!(
-        "[fleet]\nenabled = true\nname = \"{name}\"\nlisten = \"0.0.0.0:7946\"\n{more}\n{members}"
+        "[fleet]\nenabled = true\nname = \"{name}\"\nlisten = \"0.0.0.0:7946\"\n{extra}\n{members}"
     )
 }
 
-/// A platform configuration without any setting; the check asks for no more than its form.
+/// A platform configuration; the placeholder for its settings is replaced.
 const PLATFORM: &str = r#"{"name":"n1","listen":"127.0.0.1:8080","discovery":"127.0.0.1:8500","seed":"8c",
     "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
     "known":{"generation":41,"reset":true,"instances":[]},"settings":SETTINGS}"#;
@@ -248,32 +251,32 @@
     "safety":{"stopSendingWithin":1000.0}}"#;
 
 #[test]
-fn checks_of_files_stay_the_same() {
-    let place = Place::new("check");
+fn checks_of_files_match_the_golden_file() {
+    let folder = TestFolder::new("check");
     let deployed = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/lupinrack.toml");
-    fs::copy(deployed, place.0.join("deployed.toml")).expect("the file of the deployment");
-    place.write(
+    fs::copy(deployed, folder.0.join("deployed.toml")).expect("the file of the deployment");
+    folder.write(
         "faults.toml",
         "[ipfix]\ncollector = 'x'\n[rsync]\nlisten = 'y'\nmore = 1\n",
     );
-    place.write("syntax.toml", "[fleet\n");
-    place.write("n1.toml", &fleet_file("n1", "lease_ms = 1000", MEMBERS));
-    place.write(
+    folder.write("syntax.toml", "[fleet\n");
+    folder.write("n1.toml", &fleet_file("n1", "lease_ms = 1000", MEMBERS));
+    folder.write(
         "n2.toml",
         &fleet_file("n2", "lease_ms = 1200\nreserve = 0.2", MEMBERS),
     );
     let overload = "[overload]\nenabled = true\ntrials_per_s = 3.0\n";
-    place.write(
+    folder.write(
         "twin.toml",
         &(fleet_file("n1", "lease_ms = 1000", MEMBERS) + overload),
     );
-    place.write(
+    folder.write(
         "platform.json",
         &PLATFORM.replace("SETTINGS", PLATFORM_SETTINGS),
     );
-    place.write("platform-bad.json", &PLATFORM.replace("SETTINGS", "{}"));
-    place.write("platform-form.json", "{");
-    let all = [
+    folder.write("platform-bad.json", &PLATFORM.replace("SETTINGS", "{}"));
+    folder.write("platform-form.json", "{");
+    let command_lines = [
         &["check", "deployed.toml"][..],
         &["check", "platform.json"],
         &["check", "platform-bad.json", "platform-form.json"],
@@ -296,7 +299,10 @@
             "platform-bad.json",
         ],
     ];
-    let text: String = all.iter().map(|args| place.transcript(args)).collect();
+    let text: String = command_lines
+        .iter()
+        .map(|args| folder.transcript(args))
+        .collect();
     assert_golden("check.txt", &text);
 }
 
@@ -318,22 +324,22 @@
     "max-body-bytes":262144,"header-timeout-ms":3000,"idle-timeout-ms":15000}}"#;
 
 #[test]
-fn checks_of_the_files_of_a_process_stay_the_same() {
-    let place = Place::new("node-check");
+fn checks_of_node_files_match_the_golden_file() {
+    let folder = TestFolder::new("node-check");
     let bad = SETTINGS
         .replace("zone=north", "zone=")
         .replace("1200", "often")
         .replace("serves=frontend", "serves=x");
-    place.write("good.conf", SETTINGS);
-    place.write("bad.conf", &bad.replace("ip=127.0.0.1", "ip=here"));
-    place.write("syntax.conf", "node\n");
-    place.write("good.json", CONFIGURATION);
-    place.write(
+    folder.write("good.conf", SETTINGS);
+    folder.write("bad.conf", &bad.replace("ip=127.0.0.1", "ip=here"));
+    folder.write("syntax.conf", "node\n");
+    folder.write("good.json", CONFIGURATION);
+    folder.write(
         "version.json",
         &CONFIGURATION.replace(r#""version":1"#, r#""version":0"#),
     );
-    place.write("form.json", &CONFIGURATION.replace(r#""routes":[],"#, ""));
-    let all = [
+    folder.write("form.json", &CONFIGURATION.replace(r#""routes":[],"#, ""));
+    let command_lines = [
         &["node", "--check", "good.conf"][..],
         &["node", "--check", "good.conf", "good.json"],
         &["node", "--check", "good.conf", "version.json"],
@@ -344,33 +350,36 @@
         &["node", "--settings", "bad.conf"],
         &["node", "--settings", "good.conf", "--log", "loud"],
     ];
-    let text: String = all.iter().map(|args| place.transcript(args)).collect();
+    let text: String = command_lines
+        .iter()
+        .map(|args| folder.transcript(args))
+        .collect();
     assert_golden("node-check.txt", &text);
 }
 
-/// A process that gives these answers, a connection each, and gives the heads of what it was asked.
-fn process(answers: Vec<String>) -> (SocketAddr, JoinHandle<String>) {
+/// A mock process that sends one of these responses per connection. The thread returns the heads of the requests.
+fn mock_process(responses: Vec<String>) -> (SocketAddr, JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let serve = move || {
-        answers
+        responses
             .iter()
-            .map(|answer| serve_one(&listener, answer))
+            .map(|response| serve_connection(&listener, response))
             .collect()
     };
     (address, std::thread::spawn(serve))
 }
 
-fn serve_one(listener: &TcpListener, answer: &str) -> String {
+fn serve_connection(listener: &TcpListener, response: &str) -> String {
     let (mut stream, _) = listener.accept().expect("a connection");
-    let asked = read_head(&stream);
+    let received = read_head(&stream);
     stream
-        .write_all(answer.as_bytes())
-        .expect("an answer written");
-    asked
+        .write_all(response.as_bytes())
+        .expect("the response is written");
+    received
 }
 
-/// The lines of a head, or the one line of a call at the door.
+/// The lines of an HTTP head, or the one line of an admin call.
 fn read_head(stream: &TcpStream) -> String {
     let mut head = String::new();
     for line in BufReader::new(stream)
@@ -388,16 +397,16 @@
     head
 }
 
-fn answer(status: &str, body: &str) -> String {
+fn http_response(status: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{body}",
         body.len()
     )
 }
 
-/// Runs a command against a process with these answers: what the process was asked, and the transcript.
-fn transcript_at(place: &Place, args: &[&str], answers: &[String]) -> String {
-    let (address, asked) = process(answers.to_vec());
+/// Runs a command against a mock process with these responses. Returns the received requests and the transcript.
+fn transcript_at(folder: &TestFolder, args: &[&str], responses: &[String]) -> String {
+    let (address, received) = mock_process(responses.to_vec());
     let text = address.to_string();
     let args: Vec<&str> = args
         .iter()
@@ -409,45 +418,46 @@
             }
         })
         .collect();
-    let transcript = place.transcript(&args);
-    let asked = asked.join().expect("the process ends");
-    (asked + &transcript).replace(&text, "ADDRESS")
+    let transcript = folder.transcript(&args);
+    let received = received.join().expect("the process ends");
+    (received + &transcript).replace(&text, "ADDRESS")
 }
 
 #[test]
-fn calls_of_the_cluster_commands_stay_the_same() {
-    let place = Place::new("cluster");
+fn cluster_commands_match_the_golden_file() {
+    let folder = TestFolder::new("cluster");
     let mut text = String::new();
     for command in ["status", "configuration"] {
         let args = ["cluster", command, "--at", "ADDRESS"];
-        for answers in [
-            &[answer("200 OK", "{\"version\":7}")][..],
-            &[answer("200 OK", "view 3\nchain position 0\n")],
-            &[answer("404 Not Found", "no")],
-            &[answer("503 Service Unavailable", "")],
+        for responses in [
+            &[http_response("200 OK", "{\"version\":7}")][..],
+            &[http_response("200 OK", "view 3\nchain position 0\n")],
+            &[http_response("404 Not Found", "no")],
+            &[http_response("503 Service Unavailable", "")],
             &["HTTP/1.1 307 x\r\nLocation: nowhere\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
                 .to_owned()],
             &["no HTTP\r\n\r\n".to_owned()],
         ] {
-            text += &transcript_at(&place, &args, answers);
+            text += &transcript_at(&folder, &args, responses);
         }
     }
     assert_golden("cluster.txt", &text);
 }
 
 #[test]
-fn calls_of_the_job_commands_stay_the_same() {
-    let place = Place::new("job");
+fn job_commands_match_the_golden_file() {
+    let folder = TestFolder::new("job");
     let mut text = String::new();
-    let states = ["queued", "running", "succeeded", "failed", "cancelled"];
-    let states = states.map(|state| answer("200 OK", &format!(r#"{{"state":"{state}"}}"#)));
-    let others = [
-        answer("200 OK", "not JSON"),
-        answer("200 OK", r#"{"state":"none-such"}"#),
-        answer("400 Bad Request", ""),
-        answer("404 Not Found", ""),
-        answer("410 Gone", ""),
-        answer("503 Service Unavailable", ""),
+    let state_responses = ["queued", "running", "succeeded", "failed", "cancelled"];
+    let state_responses =
+        state_responses.map(|state| http_response("200 OK", &format!(r#"{{"state":"{state}"}}"#)));
+    let other_responses = [
+        http_response("200 OK", "not JSON"),
+        http_response("200 OK", r#"{"state":"none-such"}"#),
+        http_response("400 Bad Request", ""),
+        http_response("404 Not Found", ""),
+        http_response("410 Gone", ""),
+        http_response("503 Service Unavailable", ""),
     ];
     for command in ["show", "cancel"] {
         let args = [
@@ -459,17 +469,17 @@
             "shop.example",
             JOB,
         ];
-        for answer in states.iter().chain(&others) {
-            text += &transcript_at(&place, &args, std::slice::from_ref(answer));
+        for response in state_responses.iter().chain(&other_responses) {
+            text += &transcript_at(&folder, &args, std::slice::from_ref(response));
         }
     }
     assert_golden("job.txt", &text);
 }
 
 #[test]
-fn a_process_that_is_not_there_fails_each_command() {
-    let place = Place::new("absent");
-    // Nobody listens at a port that needs privileges.
+fn an_absent_process_is_an_error_for_each_command() {
+    let folder = TestFolder::new("absent");
+    // Port 1 needs privileges and has no listener.
     let address = "127.0.0.1:1".to_owned();
     for args in [
         &["cluster", "status", "--at", &address][..],
@@ -495,34 +505,38 @@
         &["ask", &address, "status"],
         &["fleet", "ls", &address],
     ] {
-        let output = place.run(args);
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(1), "{args:?}: {said}");
+        let output = folder.run(args);
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(1), "{args:?}: {stderr}");
         assert!(
-            said.starts_with(&format!("lupinrack: {address}: ")),
-            "{args:?}: {said}"
+            stderr.starts_with(&format!("lupinrack: {address}: ")),
+            "{args:?}: {stderr}"
         );
     }
 }
 
 #[test]
-fn calls_at_the_door_stay_the_same() {
-    let place = Place::new("ask");
+fn admin_calls_match_the_golden_file() {
+    let folder = TestFolder::new("ask");
     let mut text = String::new();
     for call in Call::value_variants() {
-        let word = call
+        let call_name = call
             .to_possible_value()
             .expect("a word")
             .get_name()
             .to_owned();
-        for answer in ["200 ready\nmore\n", "400 no\n", ""] {
-            text += &transcript_at(&place, &["ask", "ADDRESS", &word], &[answer.to_owned()]);
+        for response in ["200 ready\nmore\n", "400 no\n", ""] {
+            text += &transcript_at(
+                &folder,
+                &["ask", "ADDRESS", &call_name],
+                &[response.to_owned()],
+            );
         }
     }
     assert_golden("ask.txt", &text);
 }
 
-/// A report with distinct values in every field.
+/// A report with a distinct value in every field.
 fn report(lease_left_ms: Option<i64>, leads: bool) -> Value {
     let member = |name: &str, state: &str, number: u64, in_view: bool| {
         json!({"name": name, "state": state, "since_ms": 1000 + number, "by": format!("by-{number}"),
@@ -536,40 +550,40 @@
 }
 
 #[test]
-fn the_fleet_as_a_front_tells_it_stays_the_same() {
-    let place = Place::new("fleet");
+fn fleet_reports_match_the_golden_file() {
+    let folder = TestFolder::new("fleet");
     let mut text = String::new();
     for report in [report(Some(1_234), true), report(None, false)] {
-        let read: Report = serde_json::from_value(report.clone()).expect("a report");
+        let parsed: Report = serde_json::from_value(report.clone()).expect("a report");
         assert_eq!(
-            serde_json::to_value(&read).expect("JSON"),
+            serde_json::to_value(&parsed).expect("JSON"),
             report,
-            "every field is read and written"
+            "every field survives a round trip"
         );
-        let written = serde_json::to_string(&read).expect("JSON");
-        let told = format!("200 fleet\n{written}\n");
+        let report_json = serde_json::to_string(&parsed).expect("JSON");
+        let response = format!("200 fleet\n{report_json}\n");
         for args in [
             &["fleet", "ls", "ADDRESS"][..],
             &["fleet", "ls", "ADDRESS", "--json"],
             &["fleet", "watch", "ADDRESS", "--count", "1"],
         ] {
-            text += &transcript_at(&place, args, std::slice::from_ref(&told));
+            text += &transcript_at(&folder, args, std::slice::from_ref(&response));
         }
     }
     text += &transcript_at(
-        &place,
+        &folder,
         &["fleet", "ls", "ADDRESS"],
         &["400 no fleet\n".to_owned()],
     );
     text += &transcript_at(
-        &place,
+        &folder,
         &["fleet", "ls", "ADDRESS"],
         &["200 fleet\nnot JSON\n".to_owned()],
     );
     assert_golden("fleet.txt", &text);
 }
 
-fn taken(number: u64) -> Record {
+fn accepted(number: u64) -> Record {
     Record::Accepted(AcceptedWrite {
         write: WriteId(number),
         volume: 0x0900 + number,
@@ -592,23 +606,23 @@
     }
 }
 
-/// Writes a log with a write in each standing, and a record of each kind.
+/// Writes a log with a write in each state and a record of each kind.
 fn write_log(folder: &Path) {
     let (mut log, _) = Log::open(Folder::open(folder).expect("a folder"), 1 << 20).expect("a log");
     let now = Moment::now().expect("the time since boot");
-    let ended = |number, outcome| Record::AttemptEnded {
+    let attempt_ended = |number, outcome| Record::AttemptEnded {
         write: WriteId(number),
         attempt: 1,
         outcome,
     };
     for number in 1..=5 {
-        log.append(&taken(number)).expect("a record");
+        log.append(&accepted(number)).expect("a record");
     }
     for record in [
         attempt(2, 1, "node-2", 22, now),
-        ended(2, AttemptOutcome::Stored),
+        attempt_ended(2, AttemptOutcome::Stored),
         attempt(3, 1, "node-3", 33, now),
-        ended(3, AttemptOutcome::MayHaveRun),
+        attempt_ended(3, AttemptOutcome::MayHaveRun),
         attempt(
             4,
             1,
@@ -630,19 +644,19 @@
     log.sync().expect("a sync");
 }
 
-/// Waits until the log can be read: a process that another test starts holds its lock too until it runs its own program.
-fn wait_until_free(place: &Place) {
+/// Waits until the log can be read: a process that another test forks inherits its lock until it executes its program.
+fn wait_until_lock_is_released(folder: &TestFolder) {
     for _ in 0..100 {
-        if place.run(&["buffer", "verify", "log"]).status.code() == Some(0) {
+        if folder.run(&["buffer", "verify", "log"]).status.code() == Some(0) {
             return;
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    panic!("the lock is free once the log is closed");
+    panic!("the lock is released once the log is closed");
 }
 
-/// The time that is left differs from run to run: it is replaced by a word.
-fn without_time_left(text: &str) -> String {
+/// Replaces the remaining time, which differs between runs, by a word.
+fn without_remaining_time(text: &str) -> String {
     let mut parts = text.split("\"left_ms\":");
     let first = parts.next().unwrap_or_default().to_owned();
     parts.fold(first, |text, part| {
@@ -653,10 +667,10 @@
 }
 
 #[test]
-fn what_is_printed_of_a_buffer_stays_the_same() {
-    let place = Place::new("buffer");
-    write_log(&place.0.join("log"));
-    wait_until_free(&place);
+fn buffer_commands_match_the_golden_file() {
+    let folder = TestFolder::new("buffer");
+    write_log(&folder.0.join("log"));
+    wait_until_lock_is_released(&folder);
     let window = ["--window-ms", "4000000"];
     let mut text = String::new();
     for args in [
@@ -668,9 +682,9 @@
         &["buffer", "in-doubt", "log", "--json"],
         &["buffer", "export", "log", "--to", "out"],
     ] {
-        text += &without_time_left(&place.transcript(&[args, &window].concat()));
+        text += &without_remaining_time(&folder.transcript(&[args, &window].concat()));
     }
-    let mut bodies: Vec<String> = fs::read_dir(place.0.join("out"))
+    let mut bodies: Vec<String> = fs::read_dir(folder.0.join("out"))
         .expect("the bodies")
         .map(|file| {
             let path = file.expect("a file").path();
@@ -689,7 +703,7 @@
     assert_golden("buffer.txt", &(text + &bodies.concat()));
 }
 
-/// The paths of all fields; those of the first element stand for a list.
+/// Collects the paths of all fields. A list is represented by its first element.
 fn field_names(value: &Value, path: &str, names: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
@@ -716,9 +730,9 @@
 }
 
 #[test]
-fn the_fields_of_figures_stay_the_same() {
-    let place = Place::new("fields");
-    place.write(
+fn field_names_of_json_reports_match_the_golden_file() {
+    let folder = TestFolder::new("fields");
+    folder.write(
         "experiment.toml",
         "name = \"golden\"\nfronts = [3]\nseconds = 4.0\nseeds = 1\n",
     );
@@ -758,7 +772,7 @@
         ][..],
         &["lab", "run", "experiment.toml", "--threads", "1", "--json"],
     ] {
-        let output = place.run(args);
+        let output = folder.run(args);
         assert_eq!(output.status.code(), Some(0), "{args:?}");
         let value: Value = serde_json::from_slice(&output.stdout).expect("JSON");
         text += &field_lines(&args[..2].join(" "), &value);
--- a/crates/lupinrack/tests/http.rs
+++ b/crates/lupinrack/tests/http.rs
@@ -1,8 +1,8 @@
-//! The platform's front against stand-in nodes on loopback.
+//! The HTTP front against mock nodes on loopback.
 
 mod common;
 
-use common::front::{ask, get, node, start, told, Fronts, Heads, PLACES};
+use common::front::{ask, front_settings, get, node, start, Fronts, Heads, MAX_HTTP_CLIENTS};
 use common::rsync::until;
 use lupinrack::net::shutdown::{Phase, Plan};
 use std::time::Duration;
@@ -12,13 +12,16 @@
 
 const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
 
-/// A front with one node that answers like this.
+/// Fronts with one HTTP node that sends this response.
 async fn front(answer: &'static str) -> (Fronts, Heads) {
-    let (address, heads) = node(answer).await;
-    (start(address, address, "priority", 1_000).await, heads)
+    let (address, node_requests) = node(answer).await;
+    (
+        start(address, address, "priority", 1_000).await,
+        node_requests,
+    )
 }
 
-/// A write of one unit, with this body.
+/// A write of one unit with this body.
 fn put(deadline: &str, body: &str) -> String {
     format!(
         "PUT /new-write/7f3a9c21e0b4d655?x=1&y=%2Fz HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: w-1\r\n\
@@ -33,25 +36,26 @@
 }
 
 #[tokio::test]
-async fn a_request_passes_on_as_the_bytes_that_came() {
-    let (fronts, heads) = front(OK).await;
+async fn a_request_is_forwarded_byte_for_byte() {
+    let (fronts, node_requests) = front(OK).await;
     let answer = ask(fronts.http, &put("900000u", "some\0bytes")).await;
     assert!(
         answer.starts_with("HTTP/1.1 200") && answer.ends_with("\r\n\r\nhello"),
         "{answer}"
     );
-    let seen = heads.lock().unwrap()[0].1.clone();
-    let lower = seen.to_lowercase();
+    let forwarded = node_requests.lock().unwrap()[0].1.clone();
+    let forwarded_lower = forwarded.to_lowercase();
     assert!(
-        seen.starts_with("PUT /new-write/7f3a9c21e0b4d655?x=1&y=%2Fz HTTP/1.1\r\n"),
-        "{seen}"
+        forwarded.starts_with("PUT /new-write/7f3a9c21e0b4d655?x=1&y=%2Fz HTTP/1.1\r\n"),
+        "{forwarded}"
     );
     assert!(
-        lower.contains("x-request-id: w-1\r\n") && lower.contains("idempotency-key: k \"7\"\r\n"),
-        "{seen}"
+        forwarded_lower.contains("x-request-id: w-1\r\n")
+            && forwarded_lower.contains("idempotency-key: k \"7\"\r\n"),
+        "{forwarded}"
     );
-    assert!(seen.ends_with("\r\n\r\nsome\0bytes"), "{seen}");
-    let left = lower
+    assert!(forwarded.ends_with("\r\n\r\nsome\0bytes"), "{forwarded}");
+    let remaining = forwarded_lower
         .split("x-deadline: ")
         .nth(1)
         .unwrap()
@@ -59,55 +63,55 @@
         .next()
         .unwrap();
     assert!(
-        (1..=900_000).contains(&left.parse::<u32>().unwrap()),
-        "what is left of the client's time: {left}"
+        (1..=900_000).contains(&remaining.parse::<u32>().unwrap()),
+        "the client's remaining time: {remaining}"
     );
 }
 
 #[tokio::test]
-async fn malformed_input_gets_a_reason_and_reaches_no_node() {
-    let (fronts, heads) = front(OK).await;
-    let good = get(1, "priority", 1, 500);
-    let long = put("500m", "").replace("Content-Length: 0", "Content-Length: 40000000");
+async fn a_malformed_request_gets_a_reason_and_reaches_no_node() {
+    let (fronts, node_requests) = front(OK).await;
+    let valid = get(1, "priority", 1, 500);
+    let too_long = put("500m", "").replace("Content-Length: 0", "Content-Length: 40000000");
     for (request, expected, reason) in [
-        (good.replace("/read/", "/reed/"), "400", "no known class"),
+        (valid.replace("/read/", "/reed/"), "400", "no known class"),
         (
-            good.replace("7f3a9c21e0b4d655", "7f3a9c21e0b4d65"),
+            valid.replace("7f3a9c21e0b4d655", "7f3a9c21e0b4d65"),
             "400",
             "16 hexadecimal digits",
         ),
         (
-            good.replace("7f3a9c21e0b4d655", "+f3a9c21e0b4d655"),
+            valid.replace("7f3a9c21e0b4d655", "+f3a9c21e0b4d655"),
             "400",
             "16 hexadecimal digits",
         ),
         (
-            good.replace("X-Plan: priority\r\n", ""),
+            valid.replace("X-Plan: priority\r\n", ""),
             "400",
             "x-plan is missing",
         ),
         (
-            good.replace("X-Plan: priority", "X-Plan: gold"),
+            valid.replace("X-Plan: priority", "X-Plan: gold"),
             "400",
             "no known plan",
         ),
         (
-            good.replace("500m", "500"),
+            valid.replace("500m", "500"),
             "400",
             "x-deadline cannot be read",
         ),
         (
-            good.replace("500m", "-5m"),
+            valid.replace("500m", "-5m"),
             "400",
             "x-deadline cannot be read",
         ),
         (
-            good.replace("500m", "99999999999999999999m"),
+            valid.replace("500m", "99999999999999999999m"),
             "400",
             "x-deadline cannot be read",
         ),
         (
-            good.replace(
+            valid.replace(
                 "X-Deadline: 500m\r\n",
                 "X-Deadline: 500m\r\nX-Deadline: 9m\r\n",
             ),
@@ -115,32 +119,32 @@
             "x-deadline",
         ),
         (
-            good.replace("units=1", "units=nan"),
+            valid.replace("units=1", "units=nan"),
             "400",
             "x-io cannot be read",
         ),
         (
-            good.replace("units=1", "units=9"),
+            valid.replace("units=1", "units=9"),
             "400",
             "x-io cannot be read",
         ),
         (
-            good.replace("shard=0", "shard=-2"),
+            valid.replace("shard=0", "shard=-2"),
             "400",
             "x-io cannot be read",
         ),
         (
-            good.replace("hosts=1", "hosts=0"),
+            valid.replace("hosts=1", "hosts=0"),
             "400",
             "x-io cannot be read",
         ),
         (
-            good.replace("GET", "POST"),
+            valid.replace("GET", "POST"),
             "400",
             "not used with this method",
         ),
         (
-            good.replace("X-Request-Id", "X-Other-Id"),
+            valid.replace("X-Request-Id", "X-Other-Id"),
             "400",
             "x-request-id is missing",
         ),
@@ -149,18 +153,18 @@
             "400",
             "idempotency-key is missing",
         ),
-        (long, "413", "longer than"),
+        (too_long, "413", "longer than"),
     ] {
         let answer = ask(fronts.http, &request).await;
         assert_eq!(status(&answer), expected, "{request}\n{answer}");
         assert!(answer.contains(reason), "{reason}: {answer}");
     }
-    assert!(heads.lock().unwrap().is_empty());
+    assert!(node_requests.lock().unwrap().is_empty());
 }
 
 #[tokio::test]
-async fn what_a_node_answers_is_served_whole_or_not_at_all() {
-    // A write may have run: that can't be called a refusal. Turned away unrun, it can.
+async fn a_nodes_response_is_served_completely_or_not_at_all() {
+    // A write that may have run is no rejection (502). One that provably did not run is (503).
     for (answer, write, read) in [
         ("HTTP/1.1 500 Oops\r\nContent-Length: 4\r\n\r\nnode", "502", "503"),
         ("HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nnode", "502", "503"),
@@ -174,21 +178,21 @@
         ),
         ("close", "502", "503"),
     ] {
-        let (fronts, heads) = front(answer).await;
+        let (fronts, node_requests) = front(answer).await;
         for (request, expected) in [(put("20000m", "body"), write), (get(1, "priority", 1, 20_000), read)] {
-            let said = ask(fronts.http, &request).await;
-            assert_eq!(status(&said), expected, "after {answer:?}: {said}");
-            assert!(!said.contains("node"), "nothing of the node's answer: {said}");
-            assert_eq!(said.contains("retry-after"), expected == "503", "{said}");
+            let response = ask(fronts.http, &request).await;
+            assert_eq!(status(&response), expected, "after {answer:?}: {response}");
+            assert!(!response.contains("node"), "nothing of the node's response: {response}");
+            assert_eq!(response.contains("retry-after"), expected == "503", "{response}");
         }
-        assert!(heads.lock().unwrap().len() <= 6, "three attempts each: no library sends again on its own");
+        assert!(node_requests.lock().unwrap().len() <= 6, "three attempts each: no library retries by itself");
     }
 }
 
 #[tokio::test]
-async fn a_node_that_is_silent_or_gone_ends_in_one_answer_in_time() {
+async fn a_silent_or_absent_node_yields_one_response_before_the_deadline() {
     let (fronts, _) = front("").await;
-    let began = Instant::now();
+    let started = Instant::now();
     assert_eq!(
         status(&ask(fronts.http, &get(1, "priority", 1, 1_500)).await),
         "503"
@@ -198,16 +202,16 @@
         "502"
     );
     assert!(
-        began.elapsed() >= Duration::from_millis(2_500),
-        "it waited for the node"
+        started.elapsed() >= Duration::from_millis(2_500),
+        "the front waited for the node"
     );
-    // Nobody listens: it provably never ran, so even a write is refused.
-    let dead = tokio::net::TcpListener::bind("127.0.0.1:0")
+    // The connection is refused, so the write provably never ran and is rejected.
+    let unused_address = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
         .unwrap()
         .local_addr()
         .unwrap();
-    let fronts = start(dead, dead, "priority", 1_000).await;
+    let fronts = start(unused_address, unused_address, "priority", 1_000).await;
     assert_eq!(
         status(&ask(fronts.http, &put("1500m", "body")).await),
         "503"
@@ -215,24 +219,24 @@
 }
 
 #[tokio::test]
-async fn what_the_module_gives_up_is_answered_at_once_with_a_time_to_come_back() {
-    let (fronts, heads) = front(OK).await;
-    let began = Instant::now();
+async fn a_request_that_the_policy_rejects_gets_retry_after_at_once() {
+    let (fronts, node_requests) = front(OK).await;
+    let started = Instant::now();
     let answer = ask(fronts.http, &get(1, "tiny", 8, 60_000)).await;
     assert!(
         answer.contains("retry-after: 1.000") && status(&answer) == "503",
         "{answer}"
     );
     assert!(
-        began.elapsed() < Duration::from_secs(15),
-        "not held back for long of its minute"
+        started.elapsed() < Duration::from_secs(15),
+        "rejected long before its deadline"
     );
-    assert!(heads.lock().unwrap().is_empty());
+    assert!(node_requests.lock().unwrap().is_empty());
 }
 
 #[tokio::test]
 async fn a_connection_serves_one_request_after_another() {
-    let (fronts, heads) = front(OK).await;
+    let (fronts, node_requests) = front(OK).await;
     let mut stream = TcpStream::connect(fronts.http).await.unwrap();
     for i in 0..3 {
         stream
@@ -245,69 +249,69 @@
         }
         assert_eq!(status(&answer), "200");
     }
-    assert_eq!(heads.lock().unwrap().len(), 3);
+    assert_eq!(node_requests.lock().unwrap().len(), 3);
 }
 
 #[tokio::test]
-async fn a_client_that_leaves_owes_the_front_nothing_more() {
-    let (fronts, heads) = front("").await;
+async fn a_disconnected_client_does_not_delay_the_shutdown() {
+    let (fronts, node_requests) = front("").await;
     let mut stream = TcpStream::connect(fronts.http).await.unwrap();
     stream
         .write_all(get(1, "priority", 1, 60_000).as_bytes())
         .await
         .unwrap();
-    until(|| heads.lock().unwrap().len() == 1).await;
+    until(|| node_requests.lock().unwrap().len() == 1).await;
     drop(stream);
-    // The front ends without waiting for the minute of a client that is gone.
+    // The front ends without waiting for the deadline of the disconnected client, a minute.
     fronts.phase.send_replace(Phase::Closing);
-    timeout(Duration::from_secs(20), fronts.ended)
+    timeout(Duration::from_secs(20), fronts.task)
         .await
         .unwrap()
         .unwrap();
 }
 
 #[tokio::test]
-async fn a_planned_end_finishes_what_was_taken() {
-    let (fronts, heads) = front("").await;
+async fn a_graceful_shutdown_finishes_accepted_requests() {
+    let (fronts, node_requests) = front("").await;
     let ready = "GET /health/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n";
     assert_eq!(status(&ask(fronts.http, ready).await), "200");
     let http = fronts.http;
-    let early = tokio::spawn(async move { ask(http, &get(1, "priority", 1, 3_000)).await });
-    until(|| heads.lock().unwrap().len() == 1).await;
+    let first = tokio::spawn(async move { ask(http, &get(1, "priority", 1, 3_000)).await });
+    until(|| node_requests.lock().unwrap().len() == 1).await;
     fronts.phase.send_replace(Phase::Ending);
     assert_eq!(status(&ask(fronts.http, ready).await), "503");
-    // Connections still come, and are closed with their answer once the front is closing.
+    // New connections are still accepted, and closed with their response once the front is closing.
     let mut stream = TcpStream::connect(http).await.unwrap();
     stream
         .write_all(get(2, "priority", 1, 3_000).as_bytes())
         .await
         .unwrap();
-    until(|| heads.lock().unwrap().len() == 2).await;
+    until(|| node_requests.lock().unwrap().len() == 2).await;
     fronts.phase.send_replace(Phase::Closing);
-    let mut late = String::new();
-    stream.read_to_string(&mut late).await.unwrap();
+    let mut second = String::new();
+    stream.read_to_string(&mut second).await.unwrap();
     assert!(
-        status(&late) == "503" && late.contains("connection: close"),
-        "{late}"
+        status(&second) == "503" && second.contains("connection: close"),
+        "{second}"
     );
-    assert_eq!(status(&early.await.unwrap()), "503");
-    timeout(Duration::from_secs(20), fronts.ended)
+    assert_eq!(status(&first.await.unwrap()), "503");
+    timeout(Duration::from_secs(20), fronts.task)
         .await
         .unwrap()
         .unwrap();
     assert!(
         TcpStream::connect(http).await.is_err(),
-        "nobody listens any more"
+        "the listener is closed"
     );
 }
 
 #[tokio::test]
-async fn while_a_front_is_ending_its_clients_connections_serve_on() {
-    let (fronts, heads) = front(OK).await;
+async fn connections_of_an_ending_front_keep_serving() {
+    let (fronts, node_requests) = front(OK).await;
     let mut stream = TcpStream::connect(fronts.http).await.unwrap();
     fronts.phase.send_replace(Phase::Ending);
     for i in 0..2 {
-        // Longer than a connection may idle otherwise: it could not be replaced.
+        // Longer than the idle timeout of a ready front. The client could not open another connection.
         tokio::time::sleep(Duration::from_millis(2_300)).await;
         stream
             .write_all(get(i, "priority", 1, 60_000).as_bytes())
@@ -322,75 +326,78 @@
             "{answer}"
         );
     }
-    assert_eq!(heads.lock().unwrap().len(), 2);
+    assert_eq!(node_requests.lock().unwrap().len(), 2);
 }
 
 #[tokio::test]
-async fn what_is_open_when_the_time_is_over_is_answered_at_once() {
-    let (fronts, heads) = front("").await;
+async fn open_requests_are_answered_at_once_when_the_shutdown_is_over() {
+    let (fronts, node_requests) = front("").await;
     let http = fronts.http;
-    let open = tokio::spawn(async move { ask(http, &put("60000m", "body")).await });
-    until(|| heads.lock().unwrap().len() == 1).await;
+    let pending = tokio::spawn(async move { ask(http, &put("60000m", "body")).await });
+    until(|| node_requests.lock().unwrap().len() == 1).await;
     fronts.phase.send_replace(Phase::Over);
-    let answer = timeout(Duration::from_secs(20), open)
+    let answer = timeout(Duration::from_secs(20), pending)
         .await
         .unwrap()
         .unwrap();
-    assert_eq!(status(&answer), "502", "it may have run: {answer}");
-    timeout(Duration::from_secs(20), fronts.ended)
+    assert_eq!(status(&answer), "502", "the write may have run: {answer}");
+    timeout(Duration::from_secs(20), fronts.task)
         .await
         .unwrap()
         .unwrap();
 }
 
 #[test]
-fn a_planned_end_is_over_before_the_platform_kills() {
+fn a_graceful_shutdown_is_over_before_the_platform_kills() {
     let plan = |deadline| {
-        let mut settings = told().policy;
+        let mut settings = front_settings().policy;
         settings
             .classes
             .iter_mut()
             .for_each(|c| c.deadline = deadline);
         Plan::new(&settings)
     };
-    // 0.7 s after the longest deadline, which counts as 3 s where it is longer.
-    for (deadline, kill) in [
+    // The platform kills 0.7 s after the longest deadline, of which at most 3 s count.
+    for (deadline, kill_after) in [
         (500_000, 1_200),
         (2_000_000, 2_700),
         (4_000_000, 3_700),
         (60_000_000, 3_700),
     ] {
-        let (plan, kill) = (plan(deadline), Duration::from_millis(kill));
+        let (plan, kill_after) = (plan(deadline), Duration::from_millis(kill_after));
         assert!(
             plan.closing >= Duration::from_millis(700),
-            "new connections come for up to 0.4 s"
+            "new connections arrive for up to 0.4 s"
         );
         assert!(
-            plan.closing <= plan.over && plan.over + Duration::from_millis(200) <= kill,
+            plan.closing <= plan.over && plan.over + Duration::from_millis(200) <= kill_after,
             "{plan:?}"
         );
     }
 }
 
 #[tokio::test]
-async fn clients_that_ask_once_and_stay_give_up_their_places() {
+async fn idle_clients_give_up_their_slots_after_the_idle_timeout() {
     let (fronts, _) = front(OK).await;
-    let mut staying = Vec::new();
-    // One more than there are places: the last is served once the first have idled for long enough.
-    for i in 0..=PLACES as u32 {
+    let mut clients = Vec::new();
+    // One more than the limit: the last is served once the first ones reach the idle timeout.
+    for i in 0..=MAX_HTTP_CLIENTS as u32 {
         let mut stream = TcpStream::connect(fronts.http).await.unwrap();
         stream
             .write_all(get(i, "priority", 1, 60_000).as_bytes())
             .await
             .unwrap();
-        staying.push(stream);
+        clients.push(stream);
     }
-    for mut stream in staying {
-        let mut all = String::new();
-        timeout(Duration::from_secs(15), stream.read_to_string(&mut all))
-            .await
-            .unwrap()
-            .unwrap();
-        assert_eq!(status(&all), "200", "{all}");
+    for mut stream in clients {
+        let mut response = String::new();
+        timeout(
+            Duration::from_secs(15),
+            stream.read_to_string(&mut response),
+        )
+        .await
+        .unwrap()
+        .unwrap();
+        assert_eq!(status(&response), "200", "{response}");
     }
 }
--- a/crates/lupinrack/tests/ipfix.rs
+++ b/crates/lupinrack/tests/ipfix.rs
@@ -1,8 +1,8 @@
-//! Flow export, decoded from the bytes by the rules of RFC 7011.
+//! Flow export, decoded from bytes according to RFC 7011.
 
 mod common;
 
-use common::front::{told, unreached};
+use common::front::{front_settings, unreachable_node};
 use lupinrack::engine::{Clock, EngineParts, Order};
 use lupinrack::ipfix::{self, config::IpfixConfig, ENTERPRISE_NUMBER};
 use lupinrack::*;
@@ -12,39 +12,45 @@
 use tokio::sync::mpsc;
 
 type Fields = Vec<(u32, u16, usize)>;
-/// A record: enterprise number and element to value.
+/// A record: enterprise number and element id to value.
 type Record = BTreeMap<(u32, u16), u64>;
 
 fn number(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0, |n, b| n << 8 | u64::from(*b))
+    bytes
+        .iter()
+        .fold(0, |value, byte| value << 8 | u64::from(*byte))
 }
 
-/// Decodes one message: its sequence number, and what its sets hold. `templates` keeps what was learnt.
+/// Decodes one message into its sequence number and its records. Templates are added to `templates`.
 fn decode(message: &[u8], templates: &mut BTreeMap<u16, Fields>) -> (u64, Vec<Record>) {
     assert_eq!(number(&message[..2]), 10, "version");
     assert_eq!(number(&message[2..4]) as usize, message.len(), "length");
     assert_eq!(number(&message[12..16]), 7, "observation domain");
-    let (mut at, mut records) = (16, Vec::new());
-    while at < message.len() {
+    let (mut offset, mut records) = (16, Vec::new());
+    while offset < message.len() {
         let (set, length) = (
-            number(&message[at..at + 2]) as u16,
-            number(&message[at + 2..at + 4]) as usize,
+            number(&message[offset..offset + 2]) as u16,
+            number(&message[offset + 2..offset + 4]) as usize,
         );
-        let mut body = &message[at + 4..at + length];
-        at += length;
+        let mut body = &message[offset + 4..offset + length];
+        offset += length;
         if set == 2 {
             let (id, count) = (number(&body[..2]) as u16, number(&body[2..4]));
             body = &body[4..];
             let mut fields = Fields::new();
             for _ in 0..count {
                 let (element, length) = (number(&body[..2]) as u16, number(&body[2..4]) as usize);
-                let own = element & 0x8000 != 0;
+                let enterprise_specific = element & 0x8000 != 0;
                 fields.push((
-                    if own { number(&body[4..8]) as u32 } else { 0 },
+                    if enterprise_specific {
+                        number(&body[4..8]) as u32
+                    } else {
+                        0
+                    },
                     element & 0x7fff,
                     length,
                 ));
-                body = &body[if own { 8 } else { 4 }..];
+                body = &body[if enterprise_specific { 8 } else { 4 }..];
             }
             assert!(body.is_empty(), "the template set holds one template");
             templates.insert(id, fields);
@@ -76,17 +82,20 @@
         engine,
         handle,
         health_checks: _health_checks,
-    } = EngineParts::new(told().policy, 3, clock);
-    let (to, flows) = mpsc::channel(ipfix::WAITING_MOST);
-    tokio::spawn(engine.export_flows(to).run());
-    // A clock that reads a known Unix time: the records' times are whole milliseconds from there.
+    } = EngineParts::new(front_settings().policy, 3, clock);
+    let (flow_sender, flows) = mpsc::channel(ipfix::WAITING_MOST);
+    tokio::spawn(engine.export_flows(flow_sender).run());
+    // A fixed Unix time at the start of the clock, so that the range of the records' times is known.
     tokio::spawn(ipfix::run(
         config,
         1_700_000_000_000_000 - clock.now(),
         flows,
     ));
     handle
-        .update_nodes(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
+        .update_nodes(
+            NodeListKind::Cached,
+            vec![unreachable_node(NodeState::Ready)],
+        )
         .await;
     let request = |units| Request {
         class: 2,
@@ -98,68 +107,77 @@
         ..Request::default()
     };
     let mut templates = BTreeMap::new();
-    let mut seen = Vec::new();
+    let mut records_seen = Vec::new();
     for round in 0..3_u64 {
-        // A transfer: it moves two units more than it began with, and 300 bytes in all.
-        let mut ticket = handle.open(request(2.0)).await;
-        let Some(Order::Send(_)) = ticket.next_order().await else {
+        // A transfer that is granted two more units, and forwards 300 bytes in all.
+        let mut request_handle = handle.open(request(2.0)).await;
+        let Some(Order::Send(_)) = request_handle.next_order().await else {
             panic!("not sent")
         };
-        let reporter = ticket.reporter();
+        let reporter = request_handle.reporter();
         reporter.response_started(0).await;
         reporter.bytes_forwarded(100).await;
         reporter.request_units(2.0).await;
-        let Some(Order::Grant) = ticket.next_order().await else {
+        let Some(Order::Grant) = request_handle.next_order().await else {
             panic!("not granted")
         };
         reporter.bytes_forwarded(200).await;
         reporter.attempt_ended(0, Outcome::Ok, None).await;
-        assert!(ticket.next_order().await.is_none());
+        assert!(request_handle.next_order().await.is_none());
         let mut message = [0; 2048];
-        let n = tokio::time::timeout(Duration::from_secs(20), collector.recv(&mut message))
+        let length = tokio::time::timeout(Duration::from_secs(20), collector.recv(&mut message))
             .await
             .unwrap()
             .unwrap();
-        // Each message is decoded as if it were the first: the template came with it again.
+        // Each message carries its template again, so it is decoded without the earlier ones.
         templates.clear();
-        let (sequence, records) = decode(&message[..n], &mut templates);
+        let (sequence, records) = decode(&message[..length], &mut templates);
         assert_eq!(sequence, round, "records sent before this message");
-        seen.extend(records);
+        records_seen.extend(records);
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
-    assert_eq!(seen.len(), 3);
-    let own = |element| (ENTERPRISE_NUMBER, element);
-    for (i, r) in seen.iter().enumerate() {
+    assert_eq!(records_seen.len(), 3);
+    let enterprise_field = |element| (ENTERPRISE_NUMBER, element);
+    for (index, record) in records_seen.iter().enumerate() {
         assert_eq!(
-            (r[&(0, 1)], r[&own(1)], r[&own(2)], r[&own(3)]),
+            (
+                record[&(0, 1)],
+                record[&enterprise_field(1)],
+                record[&enterprise_field(2)],
+                record[&enterprise_field(3)]
+            ),
             (300, 0xa1, 4_000, 2),
             "bytes, volume, units, class"
         );
         assert_eq!(
-            (r[&own(4)], r[&own(5)], r[&(0, 136)]),
+            (
+                record[&enterprise_field(4)],
+                record[&enterprise_field(5)],
+                record[&(0, 136)]
+            ),
             (1, 0, 3),
             "attempts, served, end of flow"
         );
-        assert_eq!(r[&(0, 148)], i as u64 + 1, "the request's number");
+        assert_eq!(record[&(0, 148)], index as u64 + 1, "the request's number");
         assert!(
-            r[&(0, 152)] >= 1_700_000_000_000 && r[&(0, 153)] >= r[&(0, 152)],
-            "{r:?}"
+            record[&(0, 152)] >= 1_700_000_000_000 && record[&(0, 153)] >= record[&(0, 152)],
+            "{record:?}"
         );
     }
 }
 
 #[tokio::test]
-async fn a_full_queue_costs_records_and_never_time() {
+async fn a_full_queue_drops_records_without_blocking() {
     let clock = Clock::start();
     let EngineParts {
         engine,
         handle,
         health_checks: _health_checks,
-    } = EngineParts::new(told().policy, 3, clock);
-    let (to, mut flows) = mpsc::channel(2);
-    tokio::spawn(engine.export_flows(to).run());
+    } = EngineParts::new(front_settings().policy, 3, clock);
+    let (flow_sender, mut flows) = mpsc::channel(2);
+    tokio::spawn(engine.export_flows(flow_sender).run());
     for _ in 0..50 {
-        // No node is known: each is left by its client.
+        // Without a node each request ends by the disconnect of its client.
         let request = Request {
             plan: 2,
             units: 1.0,
@@ -167,10 +185,10 @@
             client_deadline: clock.now() + 60_000_000,
             ..Request::default()
         };
-        let mut ticket = handle.open(request).await;
-        ticket.reporter().client_gone().await;
-        assert!(ticket.next_order().await.is_none());
+        let mut request_handle = handle.open(request).await;
+        request_handle.reporter().client_gone().await;
+        assert!(request_handle.next_order().await.is_none());
     }
-    let kept = std::iter::from_fn(|| flows.try_recv().ok()).count();
-    assert_eq!(kept, 2, "two waited, the rest were dropped");
+    let queued = std::iter::from_fn(|| flows.try_recv().ok()).count();
+    assert_eq!(queued, 2, "two records were queued, the others dropped");
 }
--- a/crates/lupinrack/tests/local.rs
+++ b/crates/lupinrack/tests/local.rs
@@ -1,17 +1,17 @@
-//! A whole cluster on loopback: processes, workers, jobs, and kills on the way.
+//! `lupinrack run_local`: a complete cluster on loopback with processes, workers, jobs and killed processes.
 
 use serde_json::Value;
 use std::process::{Command, Output};
 
-/// Kinds of jobs, one of each of which is handed in each second.
-const KINDS: [&str; 5] = ["plain", "gang", "dependent", "cancelled", "failing"];
-/// How long the last job may take to end, in seconds. Far more than it needs: other tests run beside this one.
-const END_WITHIN: &str = "120";
+/// Kinds of jobs. One job of each kind is submitted per second.
+const JOB_KINDS: [&str; 5] = ["plain", "gang", "dependent", "cancelled", "failing"];
+/// Time allowed for the last job to end, in seconds. Far more than needed, because other tests run at the same time.
+const END_WITHIN_SECONDS: &str = "120";
 
-fn local(args: &[&str]) -> Output {
+fn run_local(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_lupinrack"));
     let command = command
-        .args(["local", "--json", "--end-within", END_WITHIN])
+        .args(["local", "--json", "--end-within", END_WITHIN_SECONDS])
         .args(args);
     command
         .env_remove("LUPINRACK_CONFIG")
@@ -19,12 +19,12 @@
         .expect("the program runs")
 }
 
-/// The report of a play in which everything went as it should.
+/// The report of a successful run.
 fn good_report(output: &Output) -> Value {
-    let printed = String::from_utf8_lossy(&output.stdout);
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(output.status.code(), Some(0), "{printed}{said}");
-    let report: Value = serde_json::from_str(&printed).expect("a report as JSON");
+    let stdout = String::from_utf8_lossy(&output.stdout);
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(0), "{stdout}{stderr}");
+    let report: Value = serde_json::from_str(&stdout).expect("a report as JSON");
     assert_eq!(report["good"], true);
     assert_eq!(report["wrong"], Value::Array(Vec::new()));
     for count in ["run-twice", "out-of-order", "left-running"] {
@@ -33,9 +33,9 @@
     report
 }
 
-/// How often each kind of job ended as it should.
+/// The number of jobs of each kind that ended as expected.
 fn ended_as_expected(report: &Value) -> Vec<u64> {
-    KINDS
+    JOB_KINDS
         .iter()
         .map(|kind| report["as-expected"][kind].as_u64().unwrap_or(0))
         .collect()
@@ -50,8 +50,8 @@
 }
 
 #[test]
-fn every_job_ends_as_it_should_although_the_head_is_killed() {
-    let report = good_report(&local(&["--seconds", "4"]));
+fn every_job_ends_as_expected_when_the_head_is_killed() {
+    let report = good_report(&run_local(&["--seconds", "4"]));
     assert_eq!(ended_as_expected(&report), [4; 5]);
     assert_eq!(report["jobs"], 20);
     assert_eq!(killed_parts(&report), ["head"]);
@@ -62,8 +62,8 @@
 }
 
 #[test]
-fn every_job_ends_as_it_should_although_a_front_and_an_agent_are_killed() {
-    let report = good_report(&local(&[
+fn every_job_ends_as_expected_when_a_front_and_an_agent_are_killed() {
+    let report = good_report(&run_local(&[
         "--seconds",
         "6",
         "--kill",
@@ -76,12 +76,12 @@
 }
 
 #[test]
-fn arguments_that_cannot_be_used_are_refused() {
+fn invalid_arguments_are_refused() {
     for args in [
         &["--seconds", "0"][..],
         &["--kill", "everything"],
         &["--frob"],
     ] {
-        assert_eq!(local(args).status.code(), Some(2), "{args:?}");
+        assert_eq!(run_local(args).status.code(), Some(2), "{args:?}");
     }
 }
--- a/crates/lupinrack/tests/log_targets.rs
+++ b/crates/lupinrack/tests/log_targets.rs
@@ -1,9 +1,9 @@
-//! Filters that name a crate's earlier target go on working.
+//! Filters that name a crate's earlier target keep working.
 
 use lupinrack::log_targets::with_current_names;
 
 #[test]
-fn earlier_targets_are_read_as_the_present_ones() {
+fn earlier_targets_are_replaced_by_current_ones() {
     assert_eq!(
         with_current_names("info,lupinrack_core=debug, lupinrack_fleet_net::driver=trace"),
         "info,lupinrack_request_engine=debug, lupinrack_fleet_driver::driver=trace"
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn other_filters_stay_as_they_are() {
+fn other_filters_are_unchanged() {
     for filter in [
         "",
         "info",
--- a/crates/lupinrack/tests/spoilt.rs
+++ b/crates/lupinrack/tests/malformed_responses.rs
@@ -1,4 +1,4 @@
-//! Nodes whose answers come spoilt, or bring more than belongs to them.
+//! Nodes that send malformed responses, or bytes after a complete response.
 
 mod common;
 
@@ -9,14 +9,17 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A stand-in node that answers each request with its own id, made into an answer by `word`, in pieces.
-async fn node(word: impl FnMut(&str) -> Vec<Vec<u8>> + Send + 'static) -> SocketAddr {
+/// A mock node that answers each request with the chunks that `respond` makes of the request's id.
+async fn node(respond: impl FnMut(&str) -> Vec<Vec<u8>> + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (address, word) = (listener.local_addr().unwrap(), Arc::new(Mutex::new(word)));
+    let (address, respond) = (
+        listener.local_addr().unwrap(),
+        Arc::new(Mutex::new(respond)),
+    );
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             stream.set_nodelay(true).unwrap();
-            let word = word.clone();
+            let respond = respond.clone();
             tokio::spawn(async move {
                 let mut head = Vec::new();
                 while let Ok(b) = stream.read_u8().await {
@@ -33,9 +36,9 @@
                         .next()
                         .unwrap()
                         .to_string();
-                    let pieces = (word.lock().unwrap())(&id);
-                    for piece in pieces {
-                        if stream.write_all(&piece).await.is_err() {
+                    let chunks = (respond.lock().unwrap())(&id);
+                    for chunk in chunks {
+                        if stream.write_all(&chunk).await.is_err() {
                             return;
                         }
                         tokio::task::yield_now().await;
@@ -47,7 +50,7 @@
     address
 }
 
-fn whole(id: &str) -> Vec<u8> {
+fn complete_response(id: &str) -> Vec<u8> {
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}",
         id.len()
@@ -55,20 +58,24 @@
     .into_bytes()
 }
 
-/// Asks so many times on one connection, without a pause, and gives the answers' status and body.
-async fn ask_all(front: SocketAddr, many: u32, deadline_ms: u64) -> Vec<(u32, String, String)> {
+/// Sends `count` requests on one connection, one after another without a pause. Returns id, status and body of each.
+async fn request_all(
+    front: SocketAddr,
+    count: u32,
+    deadline_ms: u64,
+) -> Vec<(u32, String, String)> {
     let mut stream = TcpStream::connect(front).await.unwrap();
-    let mut all = Vec::new();
-    for id in 1..=many {
+    let mut responses = Vec::new();
+    for id in 1..=count {
         stream
             .write_all(get(id, "priority", 1, deadline_ms).as_bytes())
             .await
             .unwrap();
-        let mut said = Vec::new();
-        while !said.ends_with(b"\r\n\r\n") {
-            said.push(stream.read_u8().await.unwrap());
+        let mut head_bytes = Vec::new();
+        while !head_bytes.ends_with(b"\r\n\r\n") {
+            head_bytes.push(stream.read_u8().await.unwrap());
         }
-        let head = String::from_utf8_lossy(&said).to_lowercase();
+        let head = String::from_utf8_lossy(&head_bytes).to_lowercase();
         let length = head
             .split("content-length: ")
             .nth(1)
@@ -81,62 +88,69 @@
         let mut body = vec![0; length];
         stream.read_exact(&mut body).await.unwrap();
         let status = head.split(' ').nth(1).unwrap().to_string();
-        all.push((id, status, String::from_utf8_lossy(&body).into_owned()));
+        responses.push((id, status, String::from_utf8_lossy(&body).into_owned()));
     }
-    all
+    responses
 }
 
 #[tokio::test]
-async fn what_comes_behind_an_answer_is_nobodys() {
-    for behind in [
-        (|id| vec![whole(id), whole(id)]) as fn(&str) -> Vec<Vec<u8>>,
-        |id| vec![[whole(id), whole(id)].concat()],
-        |id| vec![whole(id), Vec::new(), Vec::new(), whole(id)],
-        |id| vec![whole(id), b"noise".to_vec()],
+async fn bytes_after_a_complete_response_reach_no_client() {
+    for response_with_trailing_bytes in [
+        (|id| vec![complete_response(id), complete_response(id)]) as fn(&str) -> Vec<Vec<u8>>,
+        |id| vec![[complete_response(id), complete_response(id)].concat()],
+        |id| {
+            vec![
+                complete_response(id),
+                Vec::new(),
+                Vec::new(),
+                complete_response(id),
+            ]
+        },
+        |id| vec![complete_response(id), b"noise".to_vec()],
     ] {
-        let address = node(behind).await;
+        let address = node(response_with_trailing_bytes).await;
         let fronts = start(address, address, "priority", 1_000).await;
-        for (id, status, body) in ask_all(fronts.http, 200, 3_000).await {
+        for (id, status, body) in request_all(fronts.http, 200, 3_000).await {
             assert_eq!((status.as_str(), body), ("200", format!("{id:016x}")));
         }
     }
 }
 
-/// A node whose first answer comes like this, and all further ones whole.
-async fn first(spoilt: fn(&str) -> Vec<Vec<u8>>) -> SocketAddr {
-    let mut before = 0;
+/// A node whose first response is malformed; all further responses are complete.
+async fn node_with_malformed_first(malformed: fn(&str) -> Vec<Vec<u8>>) -> SocketAddr {
+    let mut responses_sent = 0;
     node(move |id| {
-        before += 1;
-        if before == 1 {
-            spoilt(id)
+        responses_sent += 1;
+        if responses_sent == 1 {
+            malformed(id)
         } else {
-            vec![whole(id)]
+            vec![complete_response(id)]
         }
     })
     .await
 }
 
-/// Asks twice; both times the right answer must come, long before the client's minute is over.
-async fn served_soon(address: SocketAddr, what: &str) {
+/// Sends two requests. Both must get the right response long before the client's deadline of one minute.
+async fn assert_served_soon(address: SocketAddr, name: &str) {
     let fronts = start(address, address, "priority", 1_000).await;
-    let began = Instant::now();
-    for (id, status, body) in ask_all(fronts.http, 2, 60_000).await {
+    let started = Instant::now();
+    for (id, status, body) in request_all(fronts.http, 2, 60_000).await {
         assert_eq!(
             (status.as_str(), body),
             ("200", format!("{id:016x}")),
-            "{what}"
+            "{name}"
         );
     }
     assert!(
-        began.elapsed() < Duration::from_secs(15),
-        "{what}: {:?}",
-        began.elapsed()
+        started.elapsed() < Duration::from_secs(15),
+        "{name}: {:?}",
+        started.elapsed()
     );
 }
 
 #[tokio::test]
-async fn a_spoilt_answer_is_a_failed_attempt_and_soon() {
-    for (what, spoilt) in [
+async fn a_malformed_response_fails_the_attempt_without_waiting_for_the_deadline() {
+    for (name, malformed) in [
         (
             "noise",
             (|_| vec![b"\x00\xff noise \r\n\r\n".to_vec()]) as fn(&str) -> Vec<Vec<u8>>,
@@ -151,10 +165,10 @@
             ]
             .concat()
         }),
-        ("endless news", |_| {
+        ("endless informational responses", |_| {
             vec![b"HTTP/1.1 103 Early\r\n\r\n".repeat(1_000); 64]
         }),
-        ("too much promised", |id| {
+        ("a length that is too large", |id| {
             vec![format!("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{id}").into_bytes()]
         }),
         ("3 GB", |_| {
@@ -164,7 +178,7 @@
             ]
             .concat()
         }),
-        ("no end", |id| {
+        ("no length and no end", |id| {
             vec![format!("HTTP/1.1 200 OK\r\n\r\n{id}").into_bytes()]
         }),
         ("endless chunks", |_| {
@@ -192,23 +206,28 @@
             vec![format!("HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n{id}").into_bytes()]
         }),
     ] {
-        served_soon(first(spoilt).await, what).await;
+        assert_served_soon(node_with_malformed_first(malformed).await, name).await;
     }
 }
 
 #[tokio::test]
-async fn a_good_answer_with_more_to_it_is_served() {
-    let word = |id: &str| {
-        let news = b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early\r\nX: y\r\n\r\n".to_vec();
-        let load = format!(
+async fn a_response_after_informational_responses_and_with_an_odd_header_is_served() {
+    let respond = |id: &str| {
+        let informational =
+            b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early\r\nX: y\r\n\r\n".to_vec();
+        let load_header_and_body = format!(
             "X-Load: \u{e9}\u{fe} inflight=many,,=\r\nContent-Length: {}\r\n\r\n{id}",
             id.len()
         );
-        vec![news, b"HTTP/1.1 200 OK\r\n".to_vec(), load.into_bytes()]
+        vec![
+            informational,
+            b"HTTP/1.1 200 OK\r\n".to_vec(),
+            load_header_and_body.into_bytes(),
+        ]
     };
-    let address = node(word).await;
+    let address = node(respond).await;
     let fronts = start(address, address, "priority", 1_000).await;
-    for (id, status, body) in ask_all(fronts.http, 3, 60_000).await {
+    for (id, status, body) in request_all(fronts.http, 3, 60_000).await {
         assert_eq!((status.as_str(), body), ("200", format!("{id:016x}")));
     }
 }
--- a/crates/lupinrack/tests/program.rs
+++ b/crates/lupinrack/tests/program.rs
@@ -1,8 +1,8 @@
-//! What stands round the fronts: configuration, discovery, and the program itself from start to end.
+//! What surrounds the fronts: the configuration, the node list watcher, and the program from start to exit.
 
 mod common;
 
-use common::front::{ask, get, node, start, told, Fronts, SETTINGS};
+use common::front::{ask, front_settings, get, node, start, Fronts, SETTINGS};
 use common::rsync::until;
 use lupinrack::net::clock::UnixClockOffset;
 use lupinrack::net::config::{Config, Limits};
@@ -18,7 +18,7 @@
 const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
 
 #[test]
-fn nested_settings_say_the_same_as_lines() {
+fn settings_as_json_equal_settings_as_lines() {
     let lines = "areas=salt-lake\npeersTotal=3\nresolution=2.0\nclasses.count=1\nclasses.0.name=read\n\
                  classes.0.aim=300.0\nclasses.0.deadline=2000.0\nclasses.0.repeat=free\n\
                  domain.changesData=true\nreport.columns=recent_ms,backlog\nsafety.stopSendingWithin=1000.0\n";
@@ -27,98 +27,98 @@
         "classes": [{"name": "read", "aim": 300.0, "deadline": 2000.0, "repeat": "free"}],
         "domain": {"changesData": [true]}, "report": {"columns": ["recent_ms", "backlog"]},
         "safety": {"stopSendingWithin": 1000.0}});
-    let (a, b) = (
+    let (from_lines, from_json) = (
         settings::parse(lines).unwrap(),
         settings::parse_json(&nested).unwrap(),
     );
-    assert_eq!(format!("{a:?}"), format!("{b:?}"));
+    assert_eq!(format!("{from_lines:?}"), format!("{from_json:?}"));
     assert_eq!(
         (
-            b.policy.hosts,
-            b.policy.classes[0].writes,
-            b.load_columns.len()
+            from_json.policy.hosts,
+            from_json.policy.classes[0].writes,
+            from_json.load_columns.len()
         ),
         (3, true, 2)
     );
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_says_why() {
-    let good = configuration("127.0.0.1:1".parse().unwrap());
-    assert!(Config::parse(&good).is_ok());
-    for (bad, why) in [
-        (good.replace("\"seed\":\"8c\"", "\"seed\":\"xyz\""), "seed"),
+fn an_invalid_configuration_is_refused_with_the_reason() {
+    let valid = configuration("127.0.0.1:1".parse().unwrap());
+    assert!(Config::parse(&valid).is_ok());
+    for (invalid, reason) in [
+        (valid.replace("\"seed\":\"8c\"", "\"seed\":\"xyz\""), "seed"),
         (
-            good.replace("\"stopSendingWithin\"", "\"other\""),
+            valid.replace("\"stopSendingWithin\"", "\"other\""),
             "safety.stopSendingWithin is missing",
         ),
         (
-            good.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""),
+            valid.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""),
             "listen: invalid socket address",
         ),
         (
-            good.replace("\"sockets\":1024", "\"sockets\":-4"),
+            valid.replace("\"sockets\":1024", "\"sockets\":-4"),
             "limits.sockets: invalid value",
         ),
         (
-            good.replace("\"sockets\":1024", "\"sockets\":0"),
+            valid.replace("\"sockets\":1024", "\"sockets\":0"),
             "limits.sockets: not a positive number",
         ),
         (
-            good.replace("\"generation\":41", "\"generation\":\"x\""),
+            valid.replace("\"generation\":41", "\"generation\":\"x\""),
             "known.generation: invalid type",
         ),
         (
-            good.replace("\"aim\": 300.0", "\"aim\": -300"),
+            valid.replace("\"aim\": 300.0", "\"aim\": -300"),
             "classes.0.aim: not a positive number",
         ),
         (
-            good.replace("\"deadline\": 2000.0", "\"deadline\": 1e300"),
+            valid.replace("\"deadline\": 2000.0", "\"deadline\": 1e300"),
             "classes.0.deadline: over ten days",
         ),
         (
-            good.replace("\"connectTimeout\": 250.0", "\"connectTimeout\": -1"),
+            valid.replace("\"connectTimeout\": 250.0", "\"connectTimeout\": -1"),
             "policyLimits.connectTimeout: not a positive",
         ),
         (
-            good.replace(
+            valid.replace(
                 "\"stopSendingWithin\": 1000.0",
                 "\"stopSendingWithin\": 1e18",
             ),
             "safety.stopSendingWithin: over ten days",
         ),
         (
-            good.replace("\"limitBurst\": 32.0", "\"limitBurst\": -32"),
+            valid.replace("\"limitBurst\": 32.0", "\"limitBurst\": -32"),
             "grades.0.limitBurst: not a positive",
         ),
         (
-            good.replace(
+            valid.replace(
                 "\"safety\": {",
                 "\"safety\": {\"tipAfter\": 1000, \"coldFrom\": 7, ",
             ),
             "safety.coldFrom: 7 is over 1",
         ),
     ] {
-        let said = Config::parse(&bad)
+        let error = Config::parse(&invalid)
             .err()
-            .expect("it is not usable")
+            .expect("the configuration is invalid")
             .to_string();
-        assert!(said.contains(why), "{said}");
+        assert!(error.contains(reason), "{error}");
     }
 }
 
 #[test]
-fn the_places_for_clients_follow_the_descriptors() {
-    // A third of the descriptors for open requests alone, and as much again for what idles; never all of them.
+fn the_limit_of_client_connections_follows_the_descriptors() {
+    // A third of the descriptors for open requests and as many again for idle connections, but never all of them.
     for sockets in [256, 384, 512, 1024] {
-        let most = Limits {
+        let max_clients = Limits {
             sockets,
             ..Limits::default()
         }
         .max_client_connections(0);
         assert!(
-            most > sockets / 2 && most < sockets * 3 / 4,
-            "{most} of {sockets}"
+            max_clients > sockets / 2 && max_clients < sockets * 3 / 4,
+            "{max_clients} of {sockets}"
         );
         assert_eq!(
             Limits {
@@ -126,7 +126,7 @@
                 ..Limits::default()
             }
             .max_client_connections(60),
-            most - 40
+            max_clients - 40
         );
     }
     assert_eq!(
@@ -158,7 +158,7 @@
     )
 }
 
-/// The versions that calls went on from; each may be held for 2 s at most.
+/// The versions that calls asked to continue from. Each call may be held for 2 s at most.
 fn versions(calls: &Calls) -> Vec<u64> {
     let version = |call: &String| {
         let (from, hold) = call
@@ -183,64 +183,67 @@
 }
 
 #[tokio::test]
-async fn the_watch_goes_on_from_each_version_and_its_news_reach_the_decisions() {
-    let (address, heads) = node(OK).await;
-    let (at, calls, tell) = discovery().await;
+async fn the_watcher_continues_from_each_version_and_updates_reach_the_policy() {
+    let (address, node_requests) = node(OK).await;
+    let (discovery_address, calls, responses) = discovery().await;
     let fronts = start(address, address, "priority", 1_000).await;
-    let clock_offset = UnixClockOffset::measure(&fronts.core.clock);
-    let (move_to, at) = watch::channel(at);
-    let watch = NodeListWatcher {
-        address: at,
-        zones: told().zones,
+    let clock_offset = UnixClockOffset::measure(&fronts.engine.clock);
+    let (address_sender, discovery_address) = watch::channel(discovery_address);
+    let watcher = NodeListWatcher {
+        address: discovery_address,
+        zones: front_settings().zones,
         clock_offset,
         mode_and_fronts: (lupinrack_policy::DiscoveryMode::Push, 3),
         seed: 1,
     };
-    // The cached list is empty: the node known so far is not in it.
+    // The cached list is empty: it lacks the node that was known so far.
     let known = serde_json::from_str(&list(41, true, "")).unwrap();
-    tokio::spawn(watch.run(fronts.core.clone(), Some(known)));
+    tokio::spawn(watcher.run(fronts.engine.clone(), Some(known)));
     until(|| calls.lock().unwrap().len() == 1).await;
     assert_eq!(status(&fronts).await, "503");
-    // A new node, told as a change.
-    tell.send(list(43, false, &entry("s-1", address, "SERVING")))
+    // A new node, as a change of the list.
+    responses
+        .send(list(43, false, &entry("s-1", address, "SERVING")))
         .unwrap();
     until(|| calls.lock().unwrap().len() == 2).await;
     assert_eq!(status(&fronts).await, "200");
-    // A call that breaks and one that brings nothing new change nothing; the watch goes on.
-    tell.send("break".into()).unwrap();
+    // A failed call, a malformed response and an empty update change nothing, and the watcher continues.
+    responses.send("break".into()).unwrap();
     until(|| calls.lock().unwrap().len() == 3).await;
-    tell.send("nonsense".into()).unwrap();
+    responses.send("nonsense".into()).unwrap();
     until(|| calls.lock().unwrap().len() == 4).await;
-    tell.send(list(43, false, "")).unwrap();
+    responses.send(list(43, false, "")).unwrap();
     until(|| calls.lock().unwrap().len() == 5).await;
     assert_eq!(status(&fronts).await, "200");
-    // A connection that falls silent costs the hold and little more, long before a held call of old would end.
-    let began = tokio::time::Instant::now();
-    tell.send("silence".into()).unwrap();
+    // A silent connection costs little more than the hold time of a call.
+    let started = tokio::time::Instant::now();
+    responses.send("silence".into()).unwrap();
     until(|| calls.lock().unwrap().len() == 6).await;
     assert!(
-        began.elapsed() < Duration::from_secs(12),
+        started.elapsed() < Duration::from_secs(12),
         "{:?}",
-        began.elapsed()
+        started.elapsed()
     );
-    // A whole list without it: it is gone. A lifecycle never heard of takes nothing new either.
-    tell.send(list(50, true, &entry("s-2", address, "RESTING")))
+    // A full list without the node removes it. A node with an unknown lifecycle gets no requests either.
+    responses
+        .send(list(50, true, &entry("s-2", address, "RESTING")))
         .unwrap();
     until(|| calls.lock().unwrap().len() == 7).await;
-    let before = heads.lock().unwrap().len();
+    let requests_before = node_requests.lock().unwrap().len();
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     assert_eq!(status(&fronts).await, "503");
     assert_eq!(
-        heads.lock().unwrap().len(),
-        before,
-        "nothing new once its grace is over"
+        node_requests.lock().unwrap().len(),
+        requests_before,
+        "no request once its grace is over"
     );
     assert_eq!(versions(&calls), [41, 43, 43, 43, 43, 43, 50]);
-    // Discovery moves while a call is out: the watch goes on there, from the same version, nothing forgotten.
-    let (at, calls, tell) = discovery().await;
-    move_to.send_replace(at);
+    // The discovery address changes during a call: the watcher continues there from the same version and keeps the nodes.
+    let (discovery_address, calls, responses) = discovery().await;
+    address_sender.send_replace(discovery_address);
     until(|| calls.lock().unwrap().len() == 1).await;
-    tell.send(list(51, false, &entry("s-1", address, "SERVING")))
+    responses
+        .send(list(51, false, &entry("s-1", address, "SERVING")))
         .unwrap();
     until(|| calls.lock().unwrap().len() == 2).await;
     assert_eq!(status(&fronts).await, "200");
@@ -248,13 +251,14 @@
 }
 
 #[tokio::test]
-async fn the_program_starts_serves_and_ends_in_order() {
+async fn the_program_starts_serves_reloads_and_shuts_down() {
     let (address, _) = node(OK).await;
-    let (at, _, tell) = discovery().await;
-    tell.send(list(42, true, &entry("s-1", address, "SERVING")))
+    let (discovery_address, _, responses) = discovery().await;
+    responses
+        .send(list(42, true, &entry("s-1", address, "SERVING")))
         .unwrap();
     let config = std::env::temp_dir().join(format!("lupinrack-{}.json", std::process::id()));
-    std::fs::write(&config, configuration(at)).unwrap();
+    std::fs::write(&config, configuration(discovery_address)).unwrap();
     let mut program = tokio::process::Command::new(env!("CARGO_BIN_EXE_lupinrack"))
         .env("LB_CONFIG", &config)
         .stderr(Stdio::piped())
@@ -263,13 +267,9 @@
         .unwrap();
     let mut log = BufReader::new(program.stderr.take().unwrap()).lines();
     let listen: SocketAddr = loop {
-        let line = log
-            .next_line()
-            .await
-            .unwrap()
-            .expect("it says where it listens");
-        if let Some((_, at)) = line.split_once("n1 listens on ") {
-            break at.parse().unwrap();
+        let line = log.next_line().await.unwrap().expect("it logs its address");
+        if let Some((_, address)) = line.split_once("n1 listens on ") {
+            break address.parse().unwrap();
         }
     };
     let ready = "GET /health/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n";
@@ -290,35 +290,35 @@
             .unwrap()
             .success());
     };
-    // A file that cannot be read changes nothing; one that names another discovery moves the watch there.
+    // An invalid file changes nothing. A file with another discovery address moves the watcher there.
     std::fs::write(&config, "{").unwrap();
     signal("-HUP");
     while !log
         .next_line()
         .await
         .unwrap()
-        .expect("it goes on")
+        .expect("it keeps running")
         .contains("stays as it was")
     {}
-    let (at, calls, tell) = discovery().await;
-    std::fs::write(&config, configuration(at)).unwrap();
+    let (discovery_address, calls, responses) = discovery().await;
+    std::fs::write(&config, configuration(discovery_address)).unwrap();
     signal("-HUP");
     until(|| calls.lock().unwrap().len() == 1).await;
     assert_eq!(versions(&calls)[0], 42);
-    tell.send(list(43, false, "")).unwrap();
+    responses.send(list(43, false, "")).unwrap();
     let answer = ask(listen, &get(2, "priority", 1, 2_000)).await;
     assert!(
         answer.ends_with("hello"),
-        "the nodes known before serve on: {answer}"
+        "the nodes known before keep serving: {answer}"
     );
-    // A file read again as the end comes, and while it lasts, changes nothing of the end.
+    // A reload right before and during the shutdown does not affect the shutdown.
     signal("-HUP");
     signal("-TERM");
     signal("-HUP");
-    let ended = tokio::time::timeout(Duration::from_secs(30), program.wait())
+    let status = tokio::time::timeout(Duration::from_secs(30), program.wait())
         .await
         .unwrap()
         .unwrap();
-    assert!(ended.success(), "{ended}");
+    assert!(status.success(), "{status}");
     std::fs::remove_file(&config).unwrap();
 }
--- a/crates/lupinrack/tests/readme.rs
+++ b/crates/lupinrack/tests/readme.rs
@@ -1,4 +1,4 @@
-//! The README's table of packages names every crate of the workspace, and no other.
+//! The README's tables list every crate of the workspace and no other.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -38,7 +38,7 @@
     assert_eq!(
         distinct.len(),
         listed.len(),
-        "a crate stands twice in the README"
+        "the README lists a crate twice"
     );
     assert_eq!(distinct, crates_of_the_workspace());
 }
--- a/crates/lupinrack/tests/reload.rs
+++ b/crates/lupinrack/tests/reload.rs
@@ -1,4 +1,4 @@
-//! New settings while the front runs: taken whole or not at all, and each request under the rules it came with.
+//! Reload of the settings: applied completely or not at all, and each request keeps the rules it started with.
 
 mod common;
 
@@ -17,8 +17,8 @@
         "settings": serde_json::from_str::<Value>(SETTINGS).unwrap()})
 }
 
-/// A process started with `file()`, and a path for new files.
-fn started(name: &str) -> (ActiveConfig, std::path::PathBuf) {
+/// The active configuration of a process started with `file()`, and a path for new files.
+fn active_config_of(name: &str) -> (ActiveConfig, std::path::PathBuf) {
     let path = std::env::temp_dir().join(format!(
         "lupinrack-reload-{name}-{}.json",
         std::process::id()
@@ -30,8 +30,8 @@
 }
 
 #[test]
-fn nothing_is_taken_from_a_broken_file_and_the_reason_names_the_key() {
-    let (current, path) = started("broken");
+fn an_invalid_file_changes_nothing_and_the_error_names_the_key() {
+    let (active_config, path) = active_config_of("broken");
     let changed = |change: &dyn Fn(&mut Value)| {
         let mut new = file();
         new["discovery"] = json!("127.0.0.1:2");
@@ -41,11 +41,11 @@
     let class = |i: usize, key: &'static str, value: Value| {
         changed(&move |f| f["settings"]["classes"][i][key] = value.clone())
     };
-    let whole = changed(&|_| {});
-    for (text, why) in [
+    let valid = changed(&|_| {});
+    for (text, reason) in [
         (String::new(), "EOF"),
         ("{".into(), "EOF"),
-        (whole[..whole.len() / 2].into(), "EOF"),
+        (valid[..valid.len() / 2].into(), "EOF"),
         ("[]".into(), "invalid length"),
         (
             changed(&|f| drop(f.as_object_mut().map(|o| o.remove("settings")))),
@@ -95,24 +95,27 @@
         ),
     ] {
         std::fs::write(&path, &text).unwrap();
-        let said = current.check(&path).expect_err(why).to_string();
-        assert!(said.contains(why), "{why}: {said}");
+        let error = active_config.check(&path).expect_err(reason).to_string();
+        assert!(error.contains(reason), "{reason}: {error}");
     }
-    std::fs::write(&path, whole).unwrap();
-    assert!(current.check(&path).is_ok(), "the same without a fault");
+    std::fs::write(&path, valid).unwrap();
+    assert!(
+        active_config.check(&path).is_ok(),
+        "the same file without an error"
+    );
     std::fs::remove_file(&path).unwrap();
 }
 
-fn told(change: impl Fn(&mut Value)) -> FrontSettings {
+fn settings_with(change: impl Fn(&mut Value)) -> FrontSettings {
     let mut settings: Value = serde_json::from_str(SETTINGS).unwrap();
     change(&mut settings);
     settings::parse_json(&settings).unwrap()
 }
 
 #[test]
-fn a_class_keeps_its_index_while_its_rules_stay_and_gets_a_new_one_with_new_rules() {
-    let first = told(|_| {});
-    let second = first.updated_with(told(|s| {
+fn a_class_keeps_its_index_until_its_rules_change() {
+    let first = settings_with(|_| {});
+    let second = first.updated_with(settings_with(|s| {
         s["classes"][0]["repeat"] = json!("single_shot");
         let swapped = (s["classes"][1].clone(), s["classes"][2].clone());
         (s["classes"][2], s["classes"][1]) = swapped;
@@ -122,7 +125,7 @@
     assert_eq!(
         (second.class("new-write"), second.class("bulk-read")),
         (Some(1), Some(2)),
-        "wherever they stand"
+        "at any position"
     );
     assert_eq!(second.class("read"), Some(3));
     assert_eq!(
@@ -133,7 +136,7 @@
         (Idempotence::Idempotent, Idempotence::NotIdempotent)
     );
     let dropped = second
-        .updated_with(told(|s| {
+        .updated_with(settings_with(|s| {
             drop(s["classes"].as_array_mut().map(|c| c.remove(0)))
         }))
         .unwrap();
@@ -145,8 +148,8 @@
         dropped.policy_settings().classes[0].latency_target == 0
             && dropped.policy.classes[0].latency_target > 0
     );
-    // A list of writes that was not brought up to date tells nothing of which class is which.
-    let stale = first.updated_with(told(|s| {
+    // An outdated `changesData` list says nothing about a class whose position does not match.
+    let stale = first.updated_with(settings_with(|s| {
         let mut more = s["classes"][1].clone();
         more["name"] = json!("new-write-2");
         s["classes"].as_array_mut().unwrap().insert(0, more);
@@ -157,43 +160,43 @@
         [writes("read"), writes("new-write"), writes("new-write-2")],
         [Some(false), Some(true), None]
     );
-    // Back to the first file, and on like that all day: no new indices.
-    let mut now = dropped;
+    // Switching between known files uses no new indices.
+    let mut latest = dropped;
     for round in 0..1_000 {
         let next = if round % 2 == 0 {
-            told(|_| {})
+            settings_with(|_| {})
         } else {
-            told(|s| s["classes"][0]["repeat"] = json!("single_shot"))
+            settings_with(|s| s["classes"][0]["repeat"] = json!("single_shot"))
         };
-        now = now.updated_with(next).unwrap();
+        latest = latest.updated_with(next).unwrap();
     }
-    assert_eq!(now.classes.len(), 4);
-    // Ever new rules end at the bound, and say so.
+    assert_eq!(latest.classes.len(), 4);
+    // New rules in every file end at the limit of classes, with a reason.
     let refused = (1..).find_map(|latency_target| {
-        let next = now.updated_with(told(|s| {
+        let next = latest.updated_with(settings_with(|s| {
             s["classes"][0]["aim"] = json!(1_000 + latency_target)
         }));
-        next.map(|n| now = n).err()
+        next.map(|n| latest = n).err()
     });
     assert!(refused.unwrap().contains("more than 256 classes"));
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_open_request_keeps_its_attempts_and_new_ones_have_the_new() {
-    let (mut current, path) = started("attempts");
-    let told = current.settings().borrow().clone();
+async fn an_open_request_keeps_its_attempt_limit_after_a_reload() {
+    let (mut active_config, path) = active_config_of("attempts");
+    let settings = active_config.settings().borrow().clone();
     let clock = Clock::start();
     let EngineParts {
         engine,
         handle,
         health_checks: _health_checks,
-    } = EngineParts::new(told.policy.clone(), 7, clock);
+    } = EngineParts::new(settings.policy.clone(), 7, clock);
     tokio::spawn(engine.run());
-    let at = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
+    let address = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     handle
         .update_nodes(
             NodeListKind::Cached,
-            vec![common::front::listing(at, NodeState::Ready)],
+            vec![common::front::node_listing(address, NodeState::Ready)],
         )
         .await;
     let request = Request {
@@ -205,35 +208,38 @@
         client_deadline: clock.now() + 100_000_000,
         ..Request::default()
     };
-    let mut old = handle.open(request).await;
+    let mut old_request = handle.open(request).await;
     let sent = |order: Option<Order>| matches!(order, Some(Order::Send(_)));
-    assert!(sent(old.next_order().await));
+    assert!(sent(old_request.next_order().await));
 
     let mut new = file();
     new["settings"]["policyLimits"]["mostTries"] = json!(1);
     std::fs::write(&path, new.to_string()).unwrap();
-    let change = current.check(&path).unwrap();
+    let change = active_config.check(&path).unwrap();
     let metrics = Metrics::default();
-    current.apply(change, &handle, &metrics).await;
+    active_config.apply(change, &handle, &metrics).await;
     std::fs::remove_file(&path).unwrap();
-    assert_eq!(current.settings().borrow().policy.max_attempts, 1);
+    assert_eq!(active_config.settings().borrow().policy.max_attempts, 1);
     assert!(metrics
         .text(NodeCounts::default())
         .contains("lb_success{type=\"new-write\"} 0\n"));
 
-    let mut after = handle.open(request).await;
-    assert!(sent(after.next_order().await));
-    after
+    let mut new_request = handle.open(request).await;
+    assert!(sent(new_request.next_order().await));
+    new_request
         .reporter()
         .attempt_ended(0, Outcome::Error, None)
         .await;
     assert!(
-        matches!(after.next_order().await, Some(Order::Reject(_))),
-        "one attempt is all it has"
+        matches!(new_request.next_order().await, Some(Order::Reject(_))),
+        "the new request has one attempt"
     );
-    old.reporter().attempt_ended(0, Outcome::Error, None).await;
+    old_request
+        .reporter()
+        .attempt_ended(0, Outcome::Error, None)
+        .await;
     assert!(
-        sent(old.next_order().await),
-        "three were its own when it was taken"
+        sent(old_request.next_order().await),
+        "the old request keeps its three attempts"
     );
 }
--- a/crates/lupinrack/tests/scarce.rs
+++ b/crates/lupinrack/tests/resource_limits.rs
@@ -1,4 +1,4 @@
-//! The program where something is scarce: descriptors, or a discovery that answers.
+//! The program with few descriptors, or with a discovery service that does not answer.
 
 mod common;
 
@@ -22,7 +22,7 @@
     log: Lines<BufReader<ChildStderr>>,
     config: PathBuf,
     listen: SocketAddr,
-    door: SocketAddr,
+    admin: SocketAddr,
 }
 
 fn configuration(discovery: SocketAddr, sockets: usize, known: Option<SocketAddr>) -> String {
@@ -34,15 +34,15 @@
     )
 }
 
-fn entry(at: SocketAddr) -> String {
+fn entry(address: SocketAddr) -> String {
     format!(
-        r#"{{"instanceId":"s-1","hostPort":"{at}","zone":"salt-lake","machineType":"m2","cell":0,
+        r#"{{"instanceId":"s-1","hostPort":"{address}","zone":"salt-lake","machineType":"m2","cell":0,
             "lifecycle":"SERVING","weight":1.0,"startedAtMs":0}}"#
     )
 }
 
 impl Program {
-    /// The program as it runs, with no more descriptors than it is told of.
+    /// Starts the program with a limit of `sockets` descriptors.
     async fn start(name: &str, text: String, sockets: usize) -> Program {
         let config =
             std::env::temp_dir().join(format!("lupinrack-{name}-{}.json", std::process::id()));
@@ -62,23 +62,26 @@
             .spawn()
             .unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap()).lines();
-        let mut said = async |word: &str| loop {
+        let mut address_after = async |prefix: &str| loop {
             let line = log
                 .next_line()
                 .await
                 .unwrap()
-                .expect("it says where it listens");
-            if let Some((_, at)) = line.split_once(word) {
-                return at.parse().unwrap();
+                .expect("it logs its addresses");
+            if let Some((_, address)) = line.split_once(prefix) {
+                return address.parse().unwrap();
             }
         };
-        let (door, listen) = (said("management on ").await, said("n1 listens on ").await);
+        let (admin, listen) = (
+            address_after("management on ").await,
+            address_after("n1 listens on ").await,
+        );
         Program {
             child,
             log,
             config,
             listen,
-            door,
+            admin,
         }
     }
 
@@ -91,7 +94,7 @@
             .success());
     }
 
-    /// Processor time used, in ticks of 10 ms.
+    /// The processor time used so far, in ticks of 10 ms.
     fn ticks(&self) -> u64 {
         let stat =
             std::fs::read_to_string(format!("/proc/{}/stat", self.child.id().unwrap())).unwrap();
@@ -99,89 +102,90 @@
         fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
     }
 
-    async fn ends(mut self) {
+    async fn shut_down(mut self) {
         self.signal("-TERM");
-        let ended = timeout(Duration::from_secs(30), self.child.wait())
+        let status = timeout(Duration::from_secs(30), self.child.wait())
             .await
             .unwrap()
             .unwrap();
-        assert!(ended.success(), "{ended}");
+        assert!(status.success(), "{status}");
         std::fs::remove_file(&self.config).unwrap();
     }
 }
 
-/// Four times as many idle clients as there are descriptors, and as many callers at the door as it takes, while discovery is down: what it tells at its return arrives, nodes are
-/// reached, those who ask are served, SIGHUP and the end work.
+/// Idle clients, four times as many as descriptors, and all connections of the admin interface are open while discovery is down.
+/// Once discovery is back its list arrives, nodes are reached, requests are served, and SIGHUP and the shutdown work.
 #[tokio::test]
-async fn a_crowd_of_idle_clients_leaves_descriptors_for_all_else() {
+async fn idle_clients_leave_descriptors_for_everything_else() {
     const SOCKETS: usize = 88;
     let (node, _) = node(OK).await;
-    // Down: what connects is never answered.
-    let down = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let text = configuration(down.local_addr().unwrap(), SOCKETS, None);
+    // Down: connections to it are never answered.
+    let unresponsive = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let text = configuration(unresponsive.local_addr().unwrap(), SOCKETS, None);
     let mut program = Program::start("crowd", text, SOCKETS).await;
-    let mut crowd = Vec::new();
+    let mut idle_clients = Vec::new();
     for _ in 0..SOCKETS * 4 {
-        crowd.push(TcpStream::connect(program.listen).await.unwrap());
+        idle_clients.push(TcpStream::connect(program.listen).await.unwrap());
     }
     assert!(ask(program.listen, READY).await.starts_with("HTTP/1.1 200"));
-    // Waiting for room is no work.
-    let before = program.ticks();
+    // Waiting for a free descriptor uses no processor time.
+    let ticks_before = program.ticks();
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert!(
-        program.ticks() - before < 50,
-        "it spins: {} ticks",
-        program.ticks() - before
+        program.ticks() - ticks_before < 50,
+        "it busy-waits: {} ticks",
+        program.ticks() - ticks_before
     );
-    // Discovery elsewhere, told by a new file: the list comes, and a node is reached through the crowd.
-    let (at, calls, tell) = discovery().await;
-    std::fs::write(&program.config, configuration(at, SOCKETS, None)).unwrap();
+    // A reload with another discovery address: the list arrives, and a node is reached in spite of the idle clients.
+    let (address, calls, responses) = discovery().await;
+    std::fs::write(&program.config, configuration(address, SOCKETS, None)).unwrap();
     program.signal("-HUP");
     while !program
         .log
         .next_line()
         .await
         .unwrap()
-        .expect("it goes on")
+        .expect("it keeps running")
         .contains("read again")
     {}
     until(|| !calls.lock().unwrap().is_empty()).await;
-    tell.send(format!(
-        r#"{{"generation":43,"reset":false,"instances":[{}]}}"#,
-        entry(node)
-    ))
-    .unwrap();
+    responses
+        .send(format!(
+            r#"{{"generation":43,"reset":false,"instances":[{}]}}"#,
+            entry(node)
+        ))
+        .unwrap();
     until(|| calls.lock().unwrap().len() > 1).await;
     for id in 0..8 {
-        let mut more = Vec::new();
+        let mut more_connections = Vec::new();
         for _ in 0..lupinrack_admin::MAX_CONNECTIONS {
-            more.push(TcpStream::connect(program.door).await.unwrap());
+            more_connections.push(TcpStream::connect(program.admin).await.unwrap());
         }
         for _ in 0..SOCKETS / 4 {
-            more.push(TcpStream::connect(program.listen).await.unwrap());
+            more_connections.push(TcpStream::connect(program.listen).await.unwrap());
         }
-        let said = timeout(
+        let response = timeout(
             Duration::from_secs(20),
             ask(program.listen, &get(id, "priority", 1, 4_000)),
         )
         .await;
-        assert!(said.expect("an answer").starts_with("HTTP/1.1 200"));
-        crowd.extend(more);
+        assert!(response.expect("an answer").starts_with("HTTP/1.1 200"));
+        idle_clients.extend(more_connections);
     }
-    program.ends().await;
+    program.shut_down().await;
 }
 
-/// A process is ready at once, whatever discovery does: the list that it was given last serves until then.
+/// A process is ready at once in any state of discovery: it serves with the list from its configuration until a new one arrives.
 #[tokio::test]
-async fn a_process_is_ready_while_discovery_is_silent_slow_or_refuses() {
+async fn a_process_is_ready_while_discovery_is_silent_slow_or_refusing() {
     let (node, _) = node(OK).await;
     let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let refuses = TcpListener::bind("127.0.0.1:0")
+    let refusing = TcpListener::bind("127.0.0.1:0")
         .await
         .unwrap()
         .local_addr()
         .unwrap();
-    // Slow: it takes the call and says its answer a byte at a time, for longer than the test.
+    // Slow: it accepts the call and sends one byte of its response at a time, for longer than the test.
     let slow = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let slow_at = slow.local_addr().unwrap();
     tokio::spawn(async move {
@@ -201,25 +205,26 @@
             });
         }
     });
-    for (name, at) in [
+    for (name, address) in [
         ("silent", silent.local_addr().unwrap()),
-        ("refuses", refuses),
+        ("refuses", refusing),
         ("slow", slow_at),
     ] {
-        let whole = async {
-            let program = Program::start(name, configuration(at, 1024, Some(node)), 1024).await;
+        let serving = async {
+            let program =
+                Program::start(name, configuration(address, 1024, Some(node)), 1024).await;
             assert!(
                 ask(program.listen, READY).await.starts_with("HTTP/1.1 200"),
                 "{name}"
             );
-            let said = ask(program.listen, &get(1, "priority", 1, 4_000)).await;
-            assert!(said.starts_with("HTTP/1.1 200"), "{name}: {said}");
+            let response = ask(program.listen, &get(1, "priority", 1, 4_000)).await;
+            assert!(response.starts_with("HTTP/1.1 200"), "{name}: {response}");
             program
         };
-        timeout(Duration::from_secs(10), whole)
+        timeout(Duration::from_secs(10), serving)
             .await
             .expect(name)
-            .ends()
+            .shut_down()
             .await;
     }
 }
