--- a/crates/lupinrack/tests/rsync.rs
+++ b/crates/lupinrack/tests/rsync.rs
@@ -1,8 +1,10 @@
-//! The rsync front against stand-in clients and servers on loopback.
+//! The rsync front against mock clients and servers on loopback.
 
 mod common;
 
-use common::front::{ask, get, listing, node, start, start_with, with_rsync};
+use common::front::{
+    ask, get, node, node_listing, start, start_with_rsync_server, start_with_rsync_servers,
+};
 use common::rsync::*;
 use lupinrack::engine::NodeListing;
 use lupinrack::*;
@@ -19,32 +21,35 @@
         ("a/two.csv", content(70_000, 2)),
         ("none", Vec::new()),
     ];
-    files.into_iter().map(|(n, d)| (n.to_string(), d)).collect()
+    files
+        .into_iter()
+        .map(|(name, data)| (name.to_string(), data))
+        .collect()
 }
 
-/// Bytes of a file that a server sent.
+/// Bytes of file data that a server has sent.
 fn sent(server: &RsyncServer) -> u64 {
     server.seen.lock().unwrap().sent.iter().map(|s| s.1).sum()
 }
 
 #[tokio::test]
-async fn a_pull_brings_every_file_whole() {
+async fn a_pull_transfers_every_file_completely() {
     let server = server(two_files(), Server::Sound).await;
-    let fronts = with_rsync(&server, "priority", 10_000).await;
-    let got = RsyncClient::pull(fronts.rsync, "trips/").await;
-    assert_eq!((got.complete, &got.errors), (true, &vec![]));
-    assert!(got.whole == two_files(), "{got:?}");
-    // One file, named in full, is listed by its last part.
-    let got = RsyncClient::pull(fronts.rsync, "trips/a/two.csv").await;
-    assert_eq!(got.listed, ["two.csv"]);
-    assert!(got.whole["two.csv"] == two_files()["a/two.csv"]);
+    let fronts = start_with_rsync_server(&server, "priority", 10_000).await;
+    let pulled = RsyncClient::pull(fronts.rsync, "trips/").await;
+    assert_eq!((pulled.complete, &pulled.errors), (true, &vec![]));
+    assert!(pulled.whole == two_files(), "{pulled:?}");
+    // A single file that is named by its full path is listed under its base name.
+    let pulled = RsyncClient::pull(fronts.rsync, "trips/a/two.csv").await;
+    assert_eq!(pulled.listed, ["two.csv"]);
+    assert!(pulled.whole["two.csv"] == two_files()["a/two.csv"]);
 }
 
 #[tokio::test]
-async fn modules_are_listed_and_what_is_not_served_is_named() {
+async fn modules_are_listed_and_unsupported_requests_are_refused_with_a_reason() {
     let server = server(two_files(), Server::Sound).await;
-    let fronts = with_rsync(&server, "priority", 10_000).await;
-    for (hello, answer) in [
+    let fronts = start_with_rsync_server(&server, "priority", 10_000).await;
+    for (greeting, answer) in [
         (
             "@RSYNCD: 31.0 md5\n#list\n",
             "trips          \tTrip exports\n@RSYNCD: EXIT\n",
@@ -64,12 +69,16 @@
         ),
     ] {
         let mut stream = TcpStream::connect(fronts.rsync).await.unwrap();
-        stream.write_all(hello.as_bytes()).await.unwrap();
-        let mut said = String::new();
-        stream.read_to_string(&mut said).await.unwrap();
-        assert_eq!(said, format!("@RSYNCD: 27\n{answer}"), "after {hello:?}");
+        stream.write_all(greeting.as_bytes()).await.unwrap();
+        let mut reply = String::new();
+        stream.read_to_string(&mut reply).await.unwrap();
+        assert_eq!(
+            reply,
+            format!("@RSYNCD: 27\n{answer}"),
+            "after {greeting:?}"
+        );
     }
-    for (path, options, why) in [
+    for (path, options, error) in [
         ("trips/", "-rz", "@ERROR: option -z is not served"),
         (
             "trips/",
@@ -82,84 +91,92 @@
             "@ERROR: the path leads out of the module",
         ),
     ] {
-        let mut c = RsyncClient::open(fronts.rsync, path, options)
+        let mut client = RsyncClient::open(fronts.rsync, path, options)
             .await
             .unwrap();
-        c.run().await;
+        client.run().await;
         assert_eq!(
-            (c.got.errors, c.got.complete),
-            (vec![why.to_string()], false)
+            (client.got.errors, client.got.complete),
+            (vec![error.to_string()], false)
         );
     }
     assert!(
         server.seen.lock().unwrap().asked.is_empty(),
-        "none of this reached a server"
+        "no request reached a server"
     );
 }
 
 #[tokio::test]
-async fn a_node_that_drains_halfway_finishes_what_is_in_hand_and_gets_nothing_new() {
+async fn a_draining_node_finishes_its_file_and_gets_no_new_one() {
     let server = server(two_files(), Server::Sound).await;
     server.hold.send_replace(true);
-    let fronts = with_rsync(&server, "priority", 6_000).await;
+    let fronts = start_with_rsync_server(&server, "priority", 6_000).await;
     let pull = tokio::spawn(RsyncClient::pull(fronts.rsync, "trips/a/"));
-    // Halfway through the first file, the node is told to drain.
+    // The node starts to drain halfway through the first file.
     until(|| sent(&server) >= 150_000 - 16_384).await;
     fronts
-        .node(NodeListKind::Changes, server.address, NodeState::Draining)
+        .update_node(NodeListKind::Changes, server.address, NodeState::Draining)
         .await;
-    let told = Instant::now();
+    let drain_started = Instant::now();
     sleep(Duration::from_millis(1_200)).await;
     server.hold.send_replace(false);
-    let got = timeout(Duration::from_secs(30), pull)
+    let pulled = timeout(Duration::from_secs(30), pull)
         .await
         .unwrap()
         .unwrap();
     assert_eq!(
-        got.whole.keys().collect::<Vec<_>>(),
+        pulled.whole.keys().collect::<Vec<_>>(),
         ["one.csv"],
-        "what was in hand came whole"
+        "the file in transfer is complete"
     );
-    assert!(got.whole["one.csv"] == two_files()["a/one.csv"]);
+    assert!(pulled.whole["one.csv"] == two_files()["a/one.csv"]);
     assert!(
-        matches!(&got.errors[..], [e] if e.starts_with("@ERROR: two.csv: refused; come back in")),
-        "{got:?}"
+        matches!(&pulled.errors[..], [e] if e.starts_with("@ERROR: two.csv: refused; come back in")),
+        "{pulled:?}"
+    );
+    assert!(
+        pulled.complete,
+        "the client reaches the regular end of the session"
     );
-    assert!(got.complete, "the client goes on to a proper end");
     let asked = server.seen.lock().unwrap().asked.clone();
     assert!(
-        asked.iter().all(|a| a.0 < told + Duration::from_secs(1)),
+        asked
+            .iter()
+            .all(|a| a.0 < drain_started + Duration::from_secs(1)),
         "{asked:?}"
     );
     assert_eq!(asked.len(), 2, "the list and one file");
 }
 
 #[tokio::test]
-async fn a_successor_takes_the_next_file_of_a_node_that_drained_halfway() {
+async fn a_successor_serves_the_next_file_of_a_draining_node() {
     let (old, new) = (
         server(two_files(), Server::Sound).await,
         server(two_files(), Server::Sound).await,
     );
     old.hold.send_replace(true);
     let servers = [("n0", old.address), ("n1", new.address)];
-    let fronts = start_with(old.address, &servers, "priority", 20_000).await;
+    let fronts = start_with_rsync_servers(old.address, &servers, "priority", 20_000).await;
     let pull = tokio::spawn(RsyncClient::pull(fronts.rsync, "trips/a/"));
     until(|| sent(&old) >= 150_000 - 16_384).await;
     let successor = NodeListing {
         name: "n1".into(),
-        ..listing(new.address, NodeState::Ready)
+        ..node_listing(new.address, NodeState::Ready)
     };
-    let news = vec![listing(old.address, NodeState::Draining), successor];
-    fronts.core.update_nodes(NodeListKind::Changes, news).await;
+    let update = vec![node_listing(old.address, NodeState::Draining), successor];
+    fronts
+        .engine
+        .update_nodes(NodeListKind::Changes, update)
+        .await;
     sleep(Duration::from_millis(1_200)).await;
     old.hold.send_replace(false);
-    let got = timeout(Duration::from_secs(60), pull)
+    let pulled = timeout(Duration::from_secs(60), pull)
         .await
         .unwrap()
         .unwrap();
     assert!(
-        got.complete && got.errors.is_empty() && got.whole.len() == 2,
-        "{got:?}"
+        pulled.complete && pulled.errors.is_empty() && pulled.whole.len() == 2,
+        "{pulled:?}"
     );
     let asked = |s: &RsyncServer| {
         s.seen
@@ -180,14 +197,14 @@
 }
 
 #[tokio::test]
-async fn a_basic_volume_keeps_its_limit_over_both_fronts_together() {
+async fn a_volumes_limit_holds_over_both_fronts_together() {
     let (http, heads) = node(OK).await;
     let files = [("big".to_string(), content(1_300_000, 3))]
         .into_iter()
         .collect();
     let server = server(files, Server::Sound).await;
     let fronts = start(http, server.address, "basic", 60_000).await;
-    let began = Instant::now();
+    let started = Instant::now();
     let pull = tokio::spawn(RsyncClient::pull(fronts.rsync, "trips/big"));
     let mut tasks = Vec::new();
     for i in 0..60 {
@@ -198,59 +215,62 @@
         }));
     }
     let mut served = 0;
-    for t in tasks {
-        let answer = t.await.unwrap();
+    for task in tasks {
+        let answer = task.await.unwrap();
         served += usize::from(answer.starts_with("HTTP/1.1 200"));
         assert!(
             answer.starts_with("HTTP/1.1 200") || answer.starts_with("HTTP/1.1 503"),
             "{answer}"
         );
     }
-    let got = pull.await.unwrap();
-    // Units as they moved: two for each read at its node, and the file's by the bytes passed on.
+    let pulled = pull.await.unwrap();
+    // Units by time: two for each read at its node, and those of the file by its forwarded bytes.
     let mut units: Vec<(Instant, f64)> = heads.lock().unwrap().iter().map(|h| (h.0, 2.0)).collect();
-    units.extend(got.parts.iter().map(|s| (s.0, s.1 as f64 / 16_384.0)));
+    units.extend(pulled.parts.iter().map(|s| (s.0, s.1 as f64 / 16_384.0)));
     units.sort_by_key(|u| u.0);
-    let (mut store, mut last) = (32.0_f64, began);
-    for (at, n) in &units {
-        store = (store + 16.0 * (*at - last).as_secs_f64()).min(32.0) - n;
-        last = *at;
-        // Times are taken at the far ends: a machine that stands still for a second may bunch what went out
-        // in order. The bound to the unit is in tests/rules.rs; unpaced, the file alone falls below this one.
-        assert!(store >= -8.0 - 16.0, "the volume's store fell to {store}");
+    let (mut tokens, mut last_time) = (32.0_f64, started);
+    for (at, units_moved) in &units {
+        tokens = (tokens + 16.0 * (*at - last_time).as_secs_f64()).min(32.0) - units_moved;
+        last_time = *at;
+        // Times are taken at node and client, so a machine that stalls for a second may bunch units that were sent at the
+        // right times. tests/rules.rs checks the exact bound; without pacing the file alone falls below this one.
+        assert!(
+            tokens >= -8.0 - 16.0,
+            "the volume's tokens fell to {tokens}"
+        );
     }
     assert!(
         served > 0 && served < 60,
-        "{served} reads served: the limit holds some back and not all"
+        "{served} reads served: the limit rejects some and not all"
     );
     assert_eq!(
-        got.whole.get("big").map(Vec::len),
+        pulled.whole.get("big").map(Vec::len),
         Some(1_300_000),
         "{:?}",
-        got.errors
+        pulled.errors
     );
 }
 
 #[tokio::test]
-async fn a_refusal_says_at_once_when_to_come_back() {
+async fn a_rejection_says_at_once_when_to_retry() {
     let server = server(two_files(), Server::Sound).await;
-    // A unit in five seconds, and none saved up: the limit has nothing to give within the class's aim.
-    let fronts = with_rsync(&server, "tiny", 60_000).await;
-    let began = Instant::now();
-    let got = RsyncClient::pull(fronts.rsync, "trips/").await;
+    // One unit per five seconds and an empty bucket: the limit admits nothing within the class's latency target.
+    let fronts = start_with_rsync_server(&server, "tiny", 60_000).await;
+    let started = Instant::now();
+    let pulled = RsyncClient::pull(fronts.rsync, "trips/").await;
     assert!(
-        matches!(&got.errors[..], [e] if e.starts_with("@ERROR: the file list: refused; come back in")),
-        "{got:?}"
+        matches!(&pulled.errors[..], [e] if e.starts_with("@ERROR: the file list: refused; come back in")),
+        "{pulled:?}"
     );
     assert!(
-        began.elapsed() < Duration::from_secs(15),
-        "at once, not held for long of its minute"
+        started.elapsed() < Duration::from_secs(15),
+        "rejected long before its deadline"
     );
     assert!(server.seen.lock().unwrap().asked.is_empty());
 }
 
 #[tokio::test]
-async fn servers_that_fail_before_the_first_byte_end_in_one_clear_error() {
+async fn a_server_that_fails_before_the_first_byte_yields_one_error() {
     for kind in [
         Server::Silent,
         Server::Full,
@@ -258,118 +278,122 @@
         Server::Garbage,
     ] {
         let server = server(two_files(), kind).await;
-        let fronts = with_rsync(&server, "priority", 700).await;
-        let got = timeout(
+        let fronts = start_with_rsync_server(&server, "priority", 700).await;
+        let pulled = timeout(
             Duration::from_secs(20),
             RsyncClient::pull(fronts.rsync, "trips/"),
         )
         .await
         .unwrap();
         assert!(
-            matches!(&got.errors[..], [e] if e.starts_with("@ERROR: the file list: ")),
-            "{kind:?}: {got:?}"
+            matches!(&pulled.errors[..], [e] if e.starts_with("@ERROR: the file list: ")),
+            "{kind:?}: {pulled:?}"
         );
-        assert!(!got.complete);
+        assert!(!pulled.complete);
     }
-    // Nobody listens there any more.
-    let dead = tokio::net::TcpListener::bind("127.0.0.1:0")
+    // The listener of this address is closed.
+    let unused_address = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
         .unwrap()
         .local_addr()
         .unwrap();
-    let fronts = start(dead, dead, "priority", 700).await;
-    let got = timeout(
+    let fronts = start(unused_address, unused_address, "priority", 700).await;
+    let pulled = timeout(
         Duration::from_secs(20),
         RsyncClient::pull(fronts.rsync, "trips/"),
     )
     .await
     .unwrap();
     assert!(
-        matches!(&got.errors[..], [e] if e.starts_with("@ERROR: the file list: ")),
-        "{got:?}"
+        matches!(&pulled.errors[..], [e] if e.starts_with("@ERROR: the file list: ")),
+        "{pulled:?}"
     );
 }
 
 #[tokio::test]
-async fn a_break_after_the_first_bytes_is_seen_as_not_whole_and_not_tried_again() {
+async fn a_truncated_file_is_reported_and_not_retried() {
     for kind in [Server::Breaks, Server::WrongSum] {
         let server = server(two_files(), kind).await;
-        let fronts = with_rsync(&server, "priority", 5_000).await;
-        let got = RsyncClient::pull(fronts.rsync, "trips/a/one.csv").await;
-        assert!(got.whole.is_empty() && !got.complete, "{kind:?}: {got:?}");
+        let fronts = start_with_rsync_server(&server, "priority", 5_000).await;
+        let pulled = RsyncClient::pull(fronts.rsync, "trips/a/one.csv").await;
+        assert!(
+            pulled.whole.is_empty() && !pulled.complete,
+            "{kind:?}: {pulled:?}"
+        );
         let one = "@ERROR: one.csv: broke off; what came is not whole";
-        assert_eq!(got.errors, [one], "{kind:?}");
+        assert_eq!(pulled.errors, [one], "{kind:?}");
         let asked = server.seen.lock().unwrap().asked.len();
         assert_eq!(asked, 2, "the list and one attempt at the file");
     }
 }
 
 #[tokio::test]
-async fn a_reader_that_stops_is_cut_off_at_the_deadline() {
+async fn a_client_that_stops_reading_is_disconnected_at_the_deadline() {
     let files = [("big".to_string(), content(16 << 20, 3))]
         .into_iter()
         .collect();
     let server = server(files, Server::Sound).await;
-    let fronts = with_rsync(&server, "priority", 3_000).await;
-    let mut c = RsyncClient::open(fronts.rsync, "trips/big", "-vlogDtpre.iLsfxCIvu")
+    let fronts = start_with_rsync_server(&server, "priority", 3_000).await;
+    let mut client = RsyncClient::open(fronts.rsync, "trips/big", "-vlogDtpre.iLsfxCIvu")
         .await
         .unwrap();
-    c.list().await.unwrap();
-    c.ask(0).await;
-    let taken = c.take(1 << 16).await;
-    assert!(taken.is_some(), "it begins");
+    client.list().await.unwrap();
+    client.ask(0).await;
+    let received = client.take(1 << 16).await;
+    assert!(received.is_some(), "the transfer starts");
     sleep(Duration::from_millis(4_500)).await;
     assert!(
         sent(&server) < 16 << 20,
-        "the front does not read on for a client that does not"
+        "the front stops reading while its client does not read"
     );
-    let mut rest = 0;
-    while c.take(1).await.is_some() {
-        rest += 1;
+    let mut remaining_bytes = 0;
+    while client.take(1).await.is_some() {
+        remaining_bytes += 1;
     }
     assert!(
-        rest < 16 << 20,
-        "the connection ended before the file was whole"
+        remaining_bytes < 16 << 20,
+        "the connection ended before the file was complete"
     );
 }
 
 #[tokio::test]
-async fn a_client_that_asks_for_nonsense_is_told_so() {
+async fn an_invalid_request_is_answered_with_an_error() {
     let server = server(two_files(), Server::Sound).await;
-    let fronts = with_rsync(&server, "priority", 5_000).await;
-    let asks = [
+    let fronts = start_with_rsync_server(&server, "priority", 5_000).await;
+    let requests = [
         vec![99, 0, 700, 2, 0],
         vec![0, -1, 700, 2, 0],
         vec![0, i32::MAX, 700, 16, 0],
         vec![-7],
     ];
-    for ask in asks {
-        let mut c = RsyncClient::open(fronts.rsync, "trips/a/", "-vlogDtpre.iLsfxCIvu")
+    for ask in requests {
+        let mut client = RsyncClient::open(fronts.rsync, "trips/a/", "-vlogDtpre.iLsfxCIvu")
             .await
             .unwrap();
-        c.list().await.unwrap();
-        c.write(
-            &ask.iter()
-                .flat_map(|n: &i32| n.to_le_bytes())
-                .collect::<Vec<u8>>(),
-        )
-        .await;
-        assert!(c.file().await.is_none(), "{ask:?}");
+        client.list().await.unwrap();
+        client
+            .write(
+                &ask.iter()
+                    .flat_map(|number: &i32| number.to_le_bytes())
+                    .collect::<Vec<u8>>(),
+            )
+            .await;
+        assert!(client.file().await.is_none(), "{ask:?}");
         assert!(
-            matches!(&c.got.errors[..], [e] if e.starts_with("@ERROR: ")),
+            matches!(&client.got.errors[..], [e] if e.starts_with("@ERROR: ")),
             "{ask:?}: {:?}",
-            c.got.errors
+            client.got.errors
         );
     }
     let stream = TcpStream::connect(fronts.rsync).await.unwrap();
-    // Far more than the front reads of it: the reason must still arrive.
-    let (mut from, mut to) = stream.into_split();
-    let garbage = tokio::spawn(async move { to.write_all(&vec![b'x'; 2 << 20]).await });
-    let mut said = Vec::new();
-    let _ = from.read_to_end(&mut said).await;
+    // Far more than the front reads: the reason must still arrive.
+    let (mut read_half, mut write_half) = stream.into_split();
+    let garbage = tokio::spawn(async move { write_half.write_all(&vec![b'x'; 2 << 20]).await });
+    let mut reply = Vec::new();
+    let _ = read_half.read_to_end(&mut reply).await;
     garbage.abort();
     assert!(
-        String::from_utf8_lossy(&said).contains("@ERROR: too long: line"),
-        "{said:?}"
+        String::from_utf8_lossy(&reply).contains("@ERROR: too long: line"),
+        "{reply:?}"
     );
 }
--- a/crates/lupinrack/tests/sites.rs
+++ b/crates/lupinrack/tests/sites.rs
@@ -1,11 +1,11 @@
-//! The deployments of our own that the standing test is played on beside the operators': they parse, they say what they are there
-//! for, and settings of their kind are taken.
+//! The project's own deployments, on which the standing test runs beside the operators': the files parse, have the
+//! properties that they exist for, and yield valid settings.
 
 use lupinrack::{settings, DeduplicationScope, Idempotence};
 use serde_json::{json, Value};
 use std::path::Path;
 
-fn site(name: &str) -> Value {
+fn load_site(name: &str) -> Value {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../deploy/sites")
         .join(name);
@@ -13,9 +13,9 @@
     serde_json::to_value(toml::from_str::<toml::Table>(&text).unwrap()).unwrap()
 }
 
-/// The settings that a front of such a deployment is told.
-fn told(site: &Value) -> settings::FrontSettings {
-    let list = |of: &Value| of.as_array().unwrap().clone();
+/// The settings that a front of this deployment gets.
+fn front_settings(site: &Value) -> settings::FrontSettings {
+    let list = |value: &Value| value.as_array().unwrap().clone();
     let repeat = |effect: &str| match effect {
         "safe" => "free",
         "keyed" => "guarded",
@@ -57,35 +57,41 @@
 }
 
 #[test]
-fn the_variants_parse_and_are_what_they_are_there_for() {
-    let short = told(&site("harbour-ledger.toml")).policy;
-    assert!(short
+fn the_variants_parse_and_have_their_intended_properties() {
+    let ledger = front_settings(&load_site("harbour-ledger.toml")).policy;
+    assert!(ledger
         .classes
         .iter()
         .all(|c| c.deadline <= 1_200_000 && c.latency_target < c.deadline));
-    let window = |e: &Idempotence| matches!(e, Idempotence::Deduplicated { scope: DeduplicationScope::Shard, window } if *window < 1_000_000);
+    let has_short_shard_window = |e: &Idempotence| matches!(e, Idempotence::Deduplicated { scope: DeduplicationScope::Shard, window } if *window < 1_000_000);
     assert_eq!(
-        short
+        ledger
             .classes
             .iter()
-            .filter(|c| window(&c.idempotence))
+            .filter(|c| has_short_shard_window(&c.idempotence))
             .count(),
         1
     );
-    let other = told(&site("quarry-archive.toml")).policy;
-    let effects: Vec<Idempotence> = other.classes.iter().map(|c| c.idempotence).collect();
-    let keyed = Idempotence::Deduplicated {
+    let archive = front_settings(&load_site("quarry-archive.toml")).policy;
+    let effects: Vec<Idempotence> = archive.classes.iter().map(|c| c.idempotence).collect();
+    let deduplicated = Idempotence::Deduplicated {
         scope: DeduplicationScope::AllNodes,
         window: 3_000_000,
     };
     assert_eq!(
         effects,
-        [Idempotence::NotIdempotent, keyed, Idempotence::Idempotent]
+        [
+            Idempotence::NotIdempotent,
+            deduplicated,
+            Idempotence::Idempotent
+        ]
     );
-    assert!(other.plans.iter().all(|p| p.limit.is_none()) && other.plans[0].reserved_rate == 0.0);
-    assert!(!other.parallel_attempts && !other.health_checks && !other.send_retry_after);
+    assert!(
+        archive.plans.iter().all(|p| p.limit.is_none()) && archive.plans[0].reserved_rate == 0.0
+    );
+    assert!(!archive.parallel_attempts && !archive.health_checks && !archive.send_retry_after);
     for name in ["harbour-ledger.toml", "quarry-archive.toml"] {
-        let site = site(name);
+        let site = load_site(name);
         let shares: f64 = site["tenant"]
             .as_array()
             .unwrap()
--- a/crates/lupinrack/tests/system_packages.rs
+++ b/crates/lupinrack/tests/system_packages.rs
@@ -1,15 +1,15 @@
-//! The system packages that a build needs: `deploy/system.toml` and the README name the same ones, and no library asks for
-//! more than the linker.
+//! The system packages that a build needs: `deploy/system.toml` and the README list the same ones, and no dependency needs more
+//! than the linker.
 
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// The command in the README's set-up; the packages follow it.
+/// The install command in the README, which the package names follow.
 const INSTALL: &str = "apt-get install --no-install-recommends ";
 
-/// Crates by which a build script compiles C or looks for a system library. Whoever comes to use one of them has to say
-/// here why it needs no further package, or name the package.
-const FINDERS_OF_SYSTEM_LIBRARIES: [&str; 7] = [
+/// Crates with which a build script compiles C or searches a system library. A dependency on one of them needs an entry here
+/// that says why no further package is needed, or an entry in the list of packages.
+const SYSTEM_LIBRARY_FINDERS: [&str; 7] = [
     "bindgen",
     "cmake",
     "nasm-rs",
@@ -19,11 +19,11 @@
     "vcpkg",
 ];
 
-/// Crates that depend on `cc`, and why none of them compiles anything here.
-const USERS_OF_CC: [&str; 3] = [
-    // Its feature `pure` is on: the build script then only asks whether there is a compiler.
+/// Crates that depend on `cc`, each with the reason why it compiles nothing here.
+const CC_DEPENDENTS: [&str; 3] = [
+    // With its feature `pure` the build script only checks whether there is a compiler.
     "blake3",
-    // It compiles assembly for other processors and for Windows alone.
+    // It compiles assembly only for other processors and for Windows.
     "generator",
     // For another operating system.
     "iana-time-zone-haiku",
@@ -37,19 +37,19 @@
     std::fs::read_to_string(root().join(path)).unwrap()
 }
 
-fn table(path: &str) -> toml::Table {
+fn read_toml(path: &str) -> toml::Table {
     toml::from_str(&read(path)).unwrap()
 }
 
-fn listed() -> Vec<String> {
-    let deployment = table("deploy/system.toml");
+fn listed_packages() -> Vec<String> {
+    let deployment = read_toml("deploy/system.toml");
     let packages = deployment["packages"].as_array().unwrap().iter();
     packages
         .map(|name| name.as_str().unwrap().to_owned())
         .collect()
 }
 
-/// The names of a lock file's packages that depend on `dependency`.
+/// The packages of a lock file that depend on `dependency`.
 fn dependents(lock: &toml::Table, dependency: &str) -> BTreeSet<String> {
     let packages = lock["package"]
         .as_array()
@@ -70,36 +70,36 @@
 }
 
 #[test]
-fn the_readme_installs_what_the_deployment_lists() {
+fn the_readme_installs_the_packages_of_the_deployment() {
     let readme = read("README.md");
     let commands: Vec<&str> = readme
         .lines()
         .filter_map(|line| line.trim().strip_prefix(INSTALL))
         .collect();
-    let named: Vec<Vec<&str>> = commands
+    let packages_of_commands: Vec<Vec<&str>> = commands
         .iter()
         .map(|names| names.split_whitespace().collect())
         .collect();
-    assert_eq!(named, [listed()]);
+    assert_eq!(packages_of_commands, [listed_packages()]);
 }
 
 #[test]
 fn each_package_is_listed_once() {
-    let listed = listed();
+    let listed = listed_packages();
     assert_eq!(listed.iter().collect::<BTreeSet<_>>().len(), listed.len());
 }
 
 #[test]
-fn no_library_needs_a_package_that_is_not_listed() {
-    let lock = table("Cargo.lock");
-    for finder in FINDERS_OF_SYSTEM_LIBRARIES {
+fn no_dependency_needs_an_unlisted_package() {
+    let lock = read_toml("Cargo.lock");
+    for finder in SYSTEM_LIBRARY_FINDERS {
         assert_eq!(dependents(&lock, finder), BTreeSet::new(), "{finder}");
     }
     assert_eq!(
         dependents(&lock, "cc"),
-        USERS_OF_CC.map(String::from).into_iter().collect()
+        CC_DEPENDENTS.map(String::from).into_iter().collect()
     );
-    let workspace = table("Cargo.toml");
+    let workspace = read_toml("Cargo.toml");
     let features = workspace["workspace"]["dependencies"]["blake3"]["features"]
         .as_array()
         .unwrap();
--- a/crates/lupinrack/tests/upgrade.rs
+++ b/crates/lupinrack/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! The program started again beside itself, on one listening socket that neither owns, under load.
+//! Hot restart under load: a second process of the program on the same inherited listening socket.
 
 mod common;
 
@@ -16,7 +16,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_lupinrack");
 
-/// A folder of this test's own, removed with it.
+/// A temporary folder, which is removed when it is dropped.
 struct Folder(std::path::PathBuf);
 
 impl Folder {
@@ -42,8 +42,8 @@
     )
 }
 
-/// The program with the socket as its descriptor 7.
-fn program(folder: &Folder, socket: &TcpListener, variable: &str) -> Child {
+/// Starts the program with the socket as descriptor 7.
+fn start_program(folder: &Folder, socket: &TcpListener, variable: &str) -> Child {
     let socket: OwnedFd = socket.try_clone().unwrap().into();
     Command::new("/bin/sh")
         .args(["-c", "exec \"$0\" 7<&0 </dev/null", PROGRAM])
@@ -57,32 +57,31 @@
         .unwrap()
 }
 
-/// Its log, read up to the address of its door.
-async fn door(program: &mut Child, alone: bool) -> (SocketAddr, Lines<BufReader<ChildStderr>>) {
+/// Reads the log up to the address of the admin interface, and returns both.
+async fn read_admin_address(
+    program: &mut Child,
+    only_process: bool,
+) -> (SocketAddr, Lines<BufReader<ChildStderr>>) {
     let mut log = BufReader::new(program.stderr.take().unwrap()).lines();
-    let mut at = None;
+    let mut address = None;
     loop {
-        let line = log
-            .next_line()
-            .await
-            .unwrap()
-            .expect("it says where it listens");
-        at = line
+        let line = log.next_line().await.unwrap().expect("it logs its address");
+        address = line
             .split_once("management on ")
-            .map(|(_, a)| a.parse().unwrap())
-            .or(at);
+            .map(|(_, value)| value.parse().unwrap())
+            .or(address);
         assert!(
-            alone || !line.contains("uses 1.00 of"),
-            "two have the whole: {line}"
+            only_process || !line.contains("uses 1.00 of"),
+            "two processes use the whole limits: {line}"
         );
         if line.contains("inherited") {
-            return (at.expect("the door opens first"), log);
+            return (address.expect("the admin interface starts first"), log);
         }
     }
 }
 
-async fn call(door: SocketAddr, line: &str) -> String {
-    let mut stream = TcpStream::connect(door).await.unwrap();
+async fn call(admin: SocketAddr, line: &str) -> String {
+    let mut stream = TcpStream::connect(admin).await.unwrap();
     stream
         .write_all(format!("{line}\n").as_bytes())
         .await
@@ -92,19 +91,19 @@
     answer
 }
 
-/// A client that asks one request after another, and opens a connection where it was told to.
-async fn client(at: SocketAddr, number: u32, stop: Arc<AtomicBool>, served: Arc<AtomicU32>) {
-    let (mut stream, mut asked) = (None, 0);
+/// A client that sends one request after another, and opens a new connection when the front closes one.
+async fn client(address: SocketAddr, number: u32, stop: Arc<AtomicBool>, served: Arc<AtomicU32>) {
+    let (mut stream, mut requests_sent) = (None, 0);
     while !stop.load(Relaxed) {
-        asked += 1;
+        requests_sent += 1;
         let mut open: TcpStream = match stream.take() {
             Some(open) => open,
-            None => TcpStream::connect(at)
+            None => TcpStream::connect(address)
                 .await
                 .expect("no connection is refused"),
         };
         let head = format!(
-            "GET /read/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: a\r\nX-Request-Id: c{number}-{asked}\r\nX-Plan: priority\r\n\
+            "GET /read/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: a\r\nX-Request-Id: c{number}-{requests_sent}\r\nX-Plan: priority\r\n\
              X-Deadline: 2000m\r\nX-IO: volume=00000000000000b{number},units=1,shard=0,hosts=1\r\n\r\n"
         );
         open.write_all(head.as_bytes())
@@ -114,7 +113,7 @@
             .next(&mut open)
             .await
             .expect("an answer")
-            .expect("a whole one");
+            .expect("a complete answer");
         assert!([200, 503].contains(&answer.status()), "{}", answer.status());
         served.fetch_add(u32::from(answer.status() == 200), Relaxed);
         if answer.field("connection") != Some("close") {
@@ -134,28 +133,28 @@
 }
 
 #[tokio::test]
-async fn an_upgrade_under_load_turns_nobody_back_and_the_old_process_ends_by_itself() {
+async fn an_upgrade_under_load_answers_every_request_and_the_old_process_exits() {
     let folder = Folder::new("upgrade");
     let (node, _) = common::front::node("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello").await;
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = socket.local_addr().unwrap();
-    std::fs::write(folder.0.join("config.json"), configuration(at, node)).unwrap();
-    let mut old = program(&folder, &socket, "7");
-    let (old_door, _log) = door(&mut old, true).await;
-    assert_eq!(call(old_door, "status").await, "200 ready\n");
-    let asked = |at: SocketAddr, what: &'static str| {
+    let address = socket.local_addr().unwrap();
+    std::fs::write(folder.0.join("config.json"), configuration(address, node)).unwrap();
+    let mut old = start_program(&folder, &socket, "7");
+    let (old_admin, _log) = read_admin_address(&mut old, true).await;
+    assert_eq!(call(old_admin, "status").await, "200 ready\n");
+    let admin_command = |address: SocketAddr, call: &'static str| {
         Command::new(PROGRAM)
-            .args(["ask", &at.to_string(), what])
+            .args(["ask", &address.to_string(), call])
             .kill_on_drop(true)
             .output()
     };
-    let answer = asked(old_door, "stats").await.unwrap();
+    let answer = admin_command(old_admin, "stats").await.unwrap();
     assert!(
         answer.status.success() && answer.stdout.ends_with(b"\nEOF\n"),
         "{answer:?}"
     );
     assert_eq!(
-        asked("127.0.0.1:9".parse().unwrap(), "status")
+        admin_command("127.0.0.1:9".parse().unwrap(), "status")
             .await
             .unwrap()
             .status
@@ -163,7 +162,11 @@
         Some(1)
     );
     assert_eq!(
-        asked(old_door, "reboot").await.unwrap().status.code(),
+        admin_command(old_admin, "reboot")
+            .await
+            .unwrap()
+            .status
+            .code(),
         Some(2)
     );
 
@@ -172,9 +175,9 @@
         Arc::new(AtomicU32::new(0)),
     );
     let clients: Vec<_> = (0..8)
-        .map(|n| tokio::spawn(client(at, n, stop.clone(), served.clone())))
+        .map(|n| tokio::spawn(client(address, n, stop.clone(), served.clone())))
         .collect();
-    let enough = |more: u32| {
+    let wait_until_served = |more: u32| {
         let (served, from) = (served.clone(), served.load(Relaxed));
         async move {
             while served.load(Relaxed) < from + more {
@@ -182,48 +185,48 @@
             }
         }
     };
-    enough(50).await;
-    let mut new = program(&folder, &socket, "7");
-    let (new_door, mut new_log) = door(&mut new, false).await;
-    assert_eq!(call(new_door, "status").await, "200 ready\n");
-    enough(50).await;
+    wait_until_served(50).await;
+    let mut new = start_program(&folder, &socket, "7");
+    let (new_admin, mut new_log) = read_admin_address(&mut new, false).await;
+    assert_eq!(call(new_admin, "status").await, "200 ready\n");
+    wait_until_served(50).await;
     signal(&old, "-TERM");
-    let ended = tokio::time::timeout(Duration::from_secs(20), old.wait())
+    let status = tokio::time::timeout(Duration::from_secs(20), old.wait())
         .await
-        .expect("it ends")
+        .expect("the old process exits")
         .unwrap();
-    assert!(ended.success(), "{ended}");
-    // The one that stays has all of the front's limits, once the other is gone and not before.
-    let part = async {
+    assert!(status.success(), "{status}");
+    // The remaining process uses all of the front's limits once the other has exited, and not before.
+    let whole_share = async {
         while !new_log
             .next_line()
             .await
             .unwrap()
-            .expect("it goes on")
+            .expect("the new process keeps running")
             .contains("uses 1.00 of")
         {}
     };
-    tokio::time::timeout(Duration::from_secs(20), part)
+    tokio::time::timeout(Duration::from_secs(20), whole_share)
         .await
-        .expect("it hears of the end");
-    enough(50).await;
+        .expect("the new process notices the exit");
+    wait_until_served(50).await;
     stop.store(true, Relaxed);
     for client in clients {
         client.await.unwrap();
     }
-    let figures = call(new_door, "stats").await;
-    let success = figures
+    let metrics = call(new_admin, "stats").await;
+    let success = metrics
         .lines()
         .find(|l| l.starts_with("lb_success{type=\"read\"}"))
-        .expect("a row");
+        .expect("a row of the class");
     assert!(
         success.rsplit(' ').next().unwrap().parse::<u32>().unwrap() >= 50,
-        "{figures}"
+        "{metrics}"
     );
-    assert!(figures.starts_with("200") && figures.ends_with("\nEOF\n"));
+    assert!(metrics.starts_with("200") && metrics.ends_with("\nEOF\n"));
     assert!(
-        figures.contains("\nlb_concurrent 0\n") && figures.contains("\nlb_targets 1\n"),
-        "{figures}"
+        metrics.contains("\nlb_concurrent 0\n") && metrics.contains("\nlb_targets 1\n"),
+        "{metrics}"
     );
     signal(&new, "-TERM");
     assert!(tokio::time::timeout(Duration::from_secs(20), new.wait())
@@ -234,18 +237,22 @@
 }
 
 #[tokio::test]
-async fn a_descriptor_that_cannot_be_used_stops_the_start_with_the_reason() {
+async fn an_unusable_inherited_descriptor_stops_the_start_with_the_reason() {
     let folder = Folder::new("inherit");
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = socket.local_addr().unwrap();
-    for (listen, variable, why) in [
-        (at, "seven", "'seven' is not the number of a descriptor"),
-        (at, "1", "'1' is not the number"),
-        (at, "93", "LB_INHERITED_FD"),
+    let address = socket.local_addr().unwrap();
+    for (listen, variable, reason) in [
+        (
+            address,
+            "seven",
+            "'seven' is not the number of a descriptor",
+        ),
+        (address, "1", "'1' is not the number"),
+        (address, "93", "LB_INHERITED_FD"),
         ("127.0.0.1:9".parse().unwrap(), "7", "not on 127.0.0.1:9"),
     ] {
-        std::fs::write(folder.0.join("config.json"), configuration(listen, at)).unwrap();
-        let mut program = program(&folder, &socket, variable);
+        std::fs::write(folder.0.join("config.json"), configuration(listen, address)).unwrap();
+        let mut program = start_program(&folder, &socket, variable);
         let mut log = String::new();
         program
             .stderr
@@ -254,7 +261,7 @@
             .read_to_string(&mut log)
             .await
             .unwrap();
-        assert!(log.contains(why), "{variable}: {log}");
+        assert!(log.contains(reason), "{variable}: {log}");
         assert_eq!(program.wait().await.unwrap().code(), Some(2));
     }
 }
--- a/crates/lupinrack/tests/upstream.rs
+++ b/crates/lupinrack/tests/upstream.rs
@@ -1,10 +1,10 @@
-//! A node's connection: what each way for an exchange to end proves, and whether the connection is used again,
-//! against a small model under random steps.
+//! Upstream connections: what each end of an exchange proves about the request, and whether the connection is reused,
+//! compared with a small model under random steps.
 
 mod common;
 
 use bytes::Bytes;
-use common::front::{told, unreached};
+use common::front::{front_settings, unreachable_node};
 use futures_util::FutureExt;
 use lupinrack::engine::{Attempt, Clock, EngineHandle, EngineParts, Order};
 use lupinrack::net::client_stream::ClientStream;
@@ -20,22 +20,22 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// What the node does with a request.
+/// What the mock node does with a request.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// Answers whole with this status; true: and says that it never ran.
-    Whole(u16, bool),
-    /// Breaks off its answer.
-    Partial,
-    /// Closes the connection once it has the request.
-    Breaks,
-    /// Says nothing; the front gives the attempt up.
+    /// Sends a complete response with this status; with `true` it says that the request did not run.
+    Complete(u16, bool),
+    /// Truncates its response.
+    Truncated,
+    /// Closes the connection after reading the request.
+    Closes,
+    /// Sends nothing; the front cancels the attempt.
     Silent,
 }
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Step {
-        let whole = [
+        let responses = [
             (200, false),
             (200, false),
             (500, false),
@@ -46,37 +46,40 @@
         ];
         match u8::arbitrary(g) % 10 {
             0..=5 => g
-                .choose(&whole)
-                .map_or(Step::Breaks, |(status, unrun)| Step::Whole(*status, *unrun)),
-            6 => Step::Partial,
-            7 => Step::Breaks,
+                .choose(&responses)
+                .map_or(Step::Closes, |(status, did_not_run)| {
+                    Step::Complete(*status, *did_not_run)
+                }),
+            6 => Step::Truncated,
+            7 => Step::Closes,
             _ => Step::Silent,
         }
     }
 }
 
-/// The model: what the step proves, and whether its connection may serve again.
+/// The model: the outcome of a step, and whether its connection may be reused.
 fn expected(step: Step) -> (Outcome, bool) {
     match step {
-        Step::Whole(200, _) => (Outcome::Ok, true),
-        Step::Whole(503 | 504, true) => (Outcome::Rejected, true),
-        Step::Whole(..) => (Outcome::Error, true),
-        Step::Partial | Step::Breaks => (Outcome::Reset, false),
+        Step::Complete(200, _) => (Outcome::Ok, true),
+        Step::Complete(503 | 504, true) => (Outcome::Rejected, true),
+        Step::Complete(..) => (Outcome::Error, true),
+        Step::Truncated | Step::Closes => (Outcome::Reset, false),
         Step::Silent => (Outcome::Cancelled, false),
     }
 }
 
-/// A node that goes through the steps, and tells of each request which connection it came on.
-async fn scripted(steps: Vec<Step>) -> (SocketAddr, mpsc::UnboundedReceiver<usize>) {
+/// A mock node that performs the steps in order. The receiver yields the connection number of each request.
+async fn scripted_node(steps: Vec<Step>) -> (SocketAddr, mpsc::UnboundedReceiver<usize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (address, (tell, told)) = (listener.local_addr().unwrap(), mpsc::unbounded_channel());
+    let (address, (connection_sender, connections)) =
+        (listener.local_addr().unwrap(), mpsc::unbounded_channel());
     let steps = std::sync::Arc::new(std::sync::Mutex::new(steps.into_iter()));
     tokio::spawn(async move {
         for connection in 0.. {
             let Ok((mut stream, _)) = listener.accept().await else {
                 return;
             };
-            let (tell, steps) = (tell.clone(), steps.clone());
+            let (connection_sender, steps) = (connection_sender.clone(), steps.clone());
             tokio::spawn(async move {
                 let mut head = Vec::new();
                 while let Ok(b) = stream.read_u8().await {
@@ -85,34 +88,34 @@
                         continue;
                     }
                     head.clear();
-                    let _ = tell.send(connection);
+                    let _ = connection_sender.send(connection);
                     let step = steps.lock().unwrap().next();
                     let answer = match step {
-                        Some(Step::Whole(status, unrun)) => {
-                            let mark = if unrun { "X-Not-Run: 1\r\n" } else { "" };
-                            format!("HTTP/1.1 {status} Said\r\n{mark}Content-Length: 4\r\n\r\nbody")
+                        Some(Step::Complete(status, did_not_run)) => {
+                            let not_run_header = if did_not_run { "X-Not-Run: 1\r\n" } else { "" };
+                            format!("HTTP/1.1 {status} Said\r\n{not_run_header}Content-Length: 4\r\n\r\nbody")
                         }
-                        Some(Step::Partial) => {
+                        Some(Step::Truncated) => {
                             "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody".into()
                         }
-                        Some(Step::Breaks) | None => return,
-                        // The front closes the connection of what it gave up: the loop ends with it.
+                        Some(Step::Closes) | None => return,
+                        // The front closes the connection of a cancelled attempt, which ends the loop.
                         Some(Step::Silent) => continue,
                     };
                     let _ = stream.write_all(answer.as_bytes()).await;
-                    if matches!(step, Some(Step::Partial)) {
+                    if matches!(step, Some(Step::Truncated)) {
                         return;
                     }
                 }
             });
         }
     });
-    (address, told)
+    (address, connections)
 }
 
-/// An attempt as the core orders it, at this address.
-async fn attempt(core: &EngineHandle, address: SocketAddr) -> Attempt {
-    let client_deadline = core.clock.now() + 60_000_000;
+/// An attempt ordered by the engine, redirected to this address.
+async fn attempt(engine: &EngineHandle, address: SocketAddr) -> Attempt {
+    let client_deadline = engine.clock.now() + 60_000_000;
     let request = Request {
         plan: 2,
         units: 1.0,
@@ -120,25 +123,28 @@
         client_deadline,
         ..Request::default()
     };
-    let mut ticket = core.open(request).await;
-    let Some(Order::Send(mut attempt)) = ticket.next_order().await else {
+    let mut request_handle = engine.open(request).await;
+    let Some(Order::Send(mut attempt)) = request_handle.next_order().await else {
         panic!("not sent")
     };
     attempt.target.address = address;
-    ticket.reporter().attempt_ended(0, Outcome::Ok, None).await;
+    request_handle
+        .reporter()
+        .attempt_ended(0, Outcome::Ok, None)
+        .await;
     attempt
 }
 
-/// Nobody waits for a long answer here.
-fn begins() -> tokio::sync::mpsc::Sender<lupinrack::net::upstream::StartedResponse> {
+/// A sender for started responses whose receiver is closed: no test here expects a long response.
+fn response_sender() -> tokio::sync::mpsc::Sender<lupinrack::net::upstream::StartedResponse> {
     tokio::sync::mpsc::channel(1).0
 }
 
 /// A client that waits for as long as the test runs.
-fn waits() -> ClientWait {
-    let (waiting, over) = watch::channel(());
-    Box::leak(Box::new(waiting));
-    ClientWait::new(over, None)
+fn connected_client() -> ClientWait {
+    let (client_wait, client_gone) = watch::channel(());
+    Box::leak(Box::new(client_wait));
+    ClientWait::new(client_gone, None)
 }
 
 fn forwarded_request() -> ForwardedRequest {
@@ -154,75 +160,78 @@
     }
 }
 
-async fn play(steps: Vec<Step>) {
-    let (address, mut came) = scripted(steps.clone()).await;
+async fn run_steps(steps: Vec<Step>) {
+    let (address, mut request_connections) = scripted_node(steps.clone()).await;
     let clock = Clock::start();
     let EngineParts {
         engine,
         handle,
         health_checks: _health_checks,
-    } = EngineParts::new(told().policy, 3, clock);
+    } = EngineParts::new(front_settings().policy, 3, clock);
     tokio::spawn(engine.run());
     handle
-        .update_nodes(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
+        .update_nodes(
+            NodeListKind::Cached,
+            vec![unreachable_node(NodeState::Ready)],
+        )
         .await;
     let upstream = Upstream::new(
-        &told(),
+        &front_settings(),
         clock,
         64,
-        common::front::room(),
+        common::front::memory_pool(),
         Default::default(),
     );
-    let mut closed = BTreeSet::new();
+    let mut unusable = BTreeSet::new();
     for step in steps {
         let exchange = upstream.attempt(
             forwarded_request(),
             attempt(&handle, address).await,
-            begins(),
-            waits(),
+            response_sender(),
+            connected_client(),
         );
         tokio::pin!(exchange);
-        let (outcome, reuse) = expected(step);
-        let (seen, connection) = match step {
-            // Given up once the node has it: the attempt is dropped, as a cancel does.
+        let (outcome, reusable) = expected(step);
+        let (actual, connection) = match step {
+            // Cancelled once the node has the request: the attempt's future is dropped.
             Step::Silent => tokio::select! {
-                ended = &mut exchange => panic!("{ended:?}"),
-                connection = came.recv() => (Outcome::Cancelled, connection),
+                result = &mut exchange => panic!("{result:?}"),
+                connection = request_connections.recv() => (Outcome::Cancelled, connection),
             },
             _ => {
-                let ended = exchange.await;
+                let result = exchange.await;
                 assert_eq!(
-                    ended.body.is_empty(),
-                    !matches!(step, Step::Whole(..)),
-                    "whole or nothing"
+                    result.body.is_empty(),
+                    !matches!(step, Step::Complete(..)),
+                    "a complete body or none"
                 );
-                (ended.outcome, came.recv().await)
+                (result.outcome, request_connections.recv().await)
             }
         };
-        assert_eq!(seen, outcome, "{step:?}");
-        let connection = connection.expect("the node is there");
+        assert_eq!(actual, outcome, "{step:?}");
+        let connection = connection.expect("the node got the request");
         assert!(
-            !closed.contains(&connection),
-            "a connection that had failed or was given up is not used again"
+            !unusable.contains(&connection),
+            "a failed or cancelled connection is not reused"
         );
-        if !reuse {
-            closed.insert(connection);
+        if !reusable {
+            unusable.insert(connection);
         }
         assert!(
-            came.try_recv().is_err(),
+            request_connections.try_recv().is_err(),
             "one attempt is one request at the node"
         );
     }
 }
 
 #[test]
-fn an_attempt_proves_what_the_protocol_says_and_leaves_no_doubtful_connection() {
+fn outcomes_and_connection_reuse_follow_the_model() {
     fn holds(steps: Vec<Step>) -> bool {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
             .unwrap();
-        runtime.block_on(play(steps));
+        runtime.block_on(run_steps(steps));
         true
     }
     QuickCheck::new()
@@ -231,80 +240,100 @@
 }
 
 #[tokio::test]
-async fn where_no_descriptor_is_left_an_attempt_was_never_sent() {
-    let (address, mut came) = scripted(vec![Step::Silent, Step::Silent]).await;
+async fn an_attempt_without_a_descriptor_is_not_sent() {
+    let (address, mut request_connections) = scripted_node(vec![Step::Silent, Step::Silent]).await;
     let clock = Clock::start();
     let EngineParts {
         engine,
         handle,
         health_checks: _health_checks,
-    } = EngineParts::new(told().policy, 3, clock);
+    } = EngineParts::new(front_settings().policy, 3, clock);
     tokio::spawn(engine.run());
     handle
-        .update_nodes(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
+        .update_nodes(
+            NodeListKind::Cached,
+            vec![unreachable_node(NodeState::Ready)],
+        )
         .await;
-    let upstream = Upstream::new(&told(), clock, 2, common::front::room(), Default::default());
-    let mut out = Vec::new();
+    let upstream = Upstream::new(
+        &front_settings(),
+        clock,
+        2,
+        common::front::memory_pool(),
+        Default::default(),
+    );
+    let mut attempts = Vec::new();
     for _ in 0..2 {
         let (upstream, attempt) = (upstream.clone(), attempt(&handle, address).await);
-        out.push(tokio::spawn(async move {
+        attempts.push(tokio::spawn(async move {
             upstream
-                .attempt(forwarded_request(), attempt, begins(), waits())
+                .attempt(
+                    forwarded_request(),
+                    attempt,
+                    response_sender(),
+                    connected_client(),
+                )
                 .await
         }));
-        came.recv().await.expect("the node has it");
+        request_connections
+            .recv()
+            .await
+            .expect("the node got the request");
     }
     let third = upstream
         .attempt(
             forwarded_request(),
             attempt(&handle, address).await,
-            begins(),
-            waits(),
+            response_sender(),
+            connected_client(),
         )
         .await;
     assert_eq!(
         third.outcome,
         Outcome::NotSent,
-        "it tells nothing of the node"
+        "the outcome says nothing about the node"
     );
-    // Given up, an attempt leaves its descriptor to others.
-    out.remove(0).abort();
+    // A cancelled attempt frees its descriptor.
+    attempts.remove(0).abort();
     let fourth = upstream
         .attempt(
             forwarded_request(),
             attempt(&handle, address).await,
-            begins(),
-            waits(),
+            response_sender(),
+            connected_client(),
         )
         .await;
     assert_eq!(fourth.outcome, Outcome::Reset);
 }
 
-/// A process that was stopped between the decision and the send wakes with an attempt that others may have paid for by now.
+/// A process that was suspended between decision and send may resume with an attempt whose quota others use by now.
 #[tokio::test]
-async fn an_attempt_whose_right_has_ended_is_never_begun() {
-    let (address, mut came) = scripted(vec![Step::Whole(200, false)]).await;
+async fn an_attempt_whose_quota_has_expired_is_never_sent() {
+    let (address, mut request_connections) = scripted_node(vec![Step::Complete(200, false)]).await;
     let clock = Clock::start();
     let EngineParts {
         engine,
         handle,
         health_checks: _health_checks,
-    } = EngineParts::new(told().policy, 3, clock);
+    } = EngineParts::new(front_settings().policy, 3, clock);
     tokio::spawn(engine.run());
     handle
-        .update_nodes(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
+        .update_nodes(
+            NodeListKind::Cached,
+            vec![unreachable_node(NodeState::Ready)],
+        )
         .await;
     let upstream = Upstream::new(
-        &told(),
+        &front_settings(),
         clock,
         64,
-        common::front::room(),
+        common::front::memory_pool(),
         Default::default(),
     );
-    let until = clock.now() + 60_000_000;
+    let valid_until = clock.now() + 60_000_000;
     handle
         .set_quota_shares(QuotaShares {
-            valid_until: until,
+            valid_until,
             reserve: 0.1,
             slow_start: 1.0,
             default_volume_factor: 1.0,
@@ -312,25 +341,38 @@
         })
         .await;
     let mut late = attempt(&handle, address).await;
-    assert_eq!(late.begin_by, until);
+    assert_eq!(late.begin_by, valid_until);
     late.begin_by = clock.now();
     assert_eq!(
         upstream
-            .attempt(forwarded_request(), late, begins(), waits())
+            .attempt(
+                forwarded_request(),
+                late,
+                response_sender(),
+                connected_client()
+            )
             .await
             .outcome,
         Outcome::Expired
     );
-    assert!(came.try_recv().is_err(), "nothing of it reached the node");
-    let right = attempt(&handle, address).await;
+    assert!(
+        request_connections.try_recv().is_err(),
+        "no request reached the node"
+    );
+    let valid_attempt = attempt(&handle, address).await;
     assert_eq!(
         upstream
-            .attempt(forwarded_request(), right, begins(), waits())
+            .attempt(
+                forwarded_request(),
+                valid_attempt,
+                response_sender(),
+                connected_client()
+            )
             .await
             .outcome,
         Outcome::Ok
     );
-    // What draws on the reserve has no end.
+    // An attempt that draws on the reserve does not expire.
     handle
         .set_quota_shares(QuotaShares {
             reserve: 0.1,
@@ -341,70 +383,81 @@
     assert_eq!(attempt(&handle, address).await.begin_by, Micros::MAX);
 }
 
-/// A front's end of the core with one node on the list, and the way to the nodes, with this long for a connection to come up.
-async fn way(connect: Micros) -> (EngineHandle, Upstream) {
-    let mut told = told();
-    told.connect_timeout = connect;
+/// An engine with one listed node, and an upstream with this connect timeout.
+async fn engine_and_upstream(connect_timeout: Micros) -> (EngineHandle, Upstream) {
+    let mut settings = front_settings();
+    settings.connect_timeout = connect_timeout;
     let clock = Clock::start();
     let EngineParts {
         engine,
         handle,
         health_checks: _health_checks,
-    } = EngineParts::new(told.policy.clone(), 3, clock);
+    } = EngineParts::new(settings.policy.clone(), 3, clock);
     tokio::spawn(engine.run());
     handle
-        .update_nodes(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
+        .update_nodes(
+            NodeListKind::Cached,
+            vec![unreachable_node(NodeState::Ready)],
+        )
         .await;
     (
         handle,
-        Upstream::new(&told, clock, 64, common::front::room(), Default::default()),
+        Upstream::new(
+            &settings,
+            clock,
+            64,
+            common::front::memory_pool(),
+            Default::default(),
+        ),
     )
 }
 
-/// A node whose connections come up once it takes those that wait: its queue is full.
-fn late_node() -> (std::net::TcpListener, Vec<std::net::TcpStream>) {
+/// A node whose accept queue is full: further connections are established once the queue is drained.
+fn node_with_full_accept_queue() -> (std::net::TcpListener, Vec<std::net::TcpStream>) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket
         .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
         .unwrap();
     socket.listen(0).unwrap();
     let listener: std::net::TcpListener = socket.into();
-    let at = listener.local_addr().unwrap();
-    let mut fill = Vec::new();
+    let address = listener.local_addr().unwrap();
+    let mut queued = Vec::new();
     while let Ok(stream) =
-        std::net::TcpStream::connect_timeout(&at, std::time::Duration::from_millis(200))
+        std::net::TcpStream::connect_timeout(&address, std::time::Duration::from_millis(200))
     {
-        fill.push(stream);
+        queued.push(stream);
     }
-    (listener, fill)
+    (listener, queued)
 }
 
 #[tokio::test]
-async fn nothing_begins_for_a_client_that_left_while_the_connection_came_up() {
-    let (core, upstream) = way(60_000_000).await;
-    let (node, fill) = late_node();
-    let order = attempt(&core, node.local_addr().unwrap()).await;
-    let (client, over) = watch::channel(());
+async fn nothing_is_sent_for_a_client_that_left_during_the_connect() {
+    let (engine, upstream) = engine_and_upstream(60_000_000).await;
+    let (node, queued) = node_with_full_accept_queue();
+    let attempt_order = attempt(&engine, node.local_addr().unwrap()).await;
+    let (client, client_gone) = watch::channel(());
     let exchange = upstream.attempt(
         forwarded_request(),
-        order,
-        begins(),
-        ClientWait::new(over, None),
+        attempt_order,
+        response_sender(),
+        ClientWait::new(client_gone, None),
     );
     tokio::pin!(exchange);
     assert!(
         (&mut exchange).now_or_never().is_none(),
-        "its connection is coming up"
+        "the connection is being established"
     );
     drop(client);
-    let ended = tokio::time::timeout(std::time::Duration::from_secs(10), exchange).await;
+    let result = tokio::time::timeout(std::time::Duration::from_secs(10), exchange).await;
     assert_eq!(
-        ended.expect("at once, not when it is up").outcome,
+        result
+            .expect("at once, before the connection is established")
+            .outcome,
         Outcome::NotSent,
-        "and tells nothing of the node"
+        "the outcome says nothing about the node"
     );
-    // Whatever still comes up brings no byte.
-    drop(fill);
+    // A connection that is still established carries no byte.
+    drop(queued);
     node.set_nonblocking(true).unwrap();
     while let Ok((mut stream, _)) = node.accept() {
         use std::io::Read;
@@ -417,49 +470,56 @@
 }
 
 #[tokio::test]
-async fn a_client_is_looked_at_once_more_in_the_moment_of_the_send() {
-    let (address, mut came) = scripted(vec![Step::Whole(200, false); 2]).await;
-    let (core, upstream) = way(250_000).await;
-    let door = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let client = TcpStream::connect(door.local_addr().unwrap())
+async fn a_disconnect_of_the_client_is_checked_right_before_the_send() {
+    let (address, mut request_connections) =
+        scripted_node(vec![Step::Complete(200, false); 2]).await;
+    let (engine, upstream) = engine_and_upstream(250_000).await;
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let client = TcpStream::connect(listener.local_addr().unwrap())
         .await
         .unwrap();
-    // Its connection's own task never runs here: only a look at the socket can tell.
-    let (_gate, visit) = ClientStream::new(
-        door.accept().await.unwrap().0,
+    // The task of the client's connection never runs here: only a check of the socket shows the disconnect.
+    let (_gate, connection) = ClientStream::new(
+        listener.accept().await.unwrap().0,
         watch::channel(Phase::Ready).1,
     );
-    let (_open, over) = watch::channel(());
-    let waiting = ClientWait::new(over, Some(visit.clone()));
+    let (_open, client_gone) = watch::channel(());
+    let client_wait = ClientWait::new(client_gone, Some(connection.clone()));
     let first = upstream
         .attempt(
             forwarded_request(),
-            attempt(&core, address).await,
-            begins(),
-            waiting.clone(),
+            attempt(&engine, address).await,
+            response_sender(),
+            client_wait.clone(),
         )
         .await;
-    assert_eq!((first.outcome, came.recv().await), (Outcome::Ok, Some(0)));
+    assert_eq!(
+        (first.outcome, request_connections.recv().await),
+        (Outcome::Ok, Some(0))
+    );
     drop(client);
-    common::rsync::until(|| visit.client_left()).await;
+    common::rsync::until(|| connection.client_left()).await;
     let second = upstream
         .attempt(
             forwarded_request(),
-            attempt(&core, address).await,
-            begins(),
-            waiting,
+            attempt(&engine, address).await,
+            response_sender(),
+            client_wait,
         )
         .await;
     assert_eq!(second.outcome, Outcome::NotSent);
-    assert!(came.try_recv().is_err(), "nothing of it reached the node");
+    assert!(
+        request_connections.try_recv().is_err(),
+        "no request reached the node"
+    );
 }
 
-/// A keyed write may be repeated while nodes remember it: one whose connection came up too late is not sent.
+/// A keyed write may be retried while nodes remember its key. A retry whose connection is established too late is not sent.
 #[tokio::test]
-async fn a_repeat_is_not_begun_once_the_nodes_may_have_forgotten_the_first() {
-    let mut told = told();
+async fn a_retry_is_not_sent_once_nodes_may_have_forgotten_the_first_attempt() {
+    let mut settings = front_settings();
     let window = 400_000;
-    told.policy.classes[1].idempotence = Idempotence::Deduplicated {
+    settings.policy.classes[1].idempotence = Idempotence::Deduplicated {
         scope: DeduplicationScope::Shard,
         window,
     };
@@ -468,10 +528,13 @@
         engine,
         handle,
         health_checks: _health_checks,
-    } = EngineParts::new(told.policy.clone(), 3, clock);
+    } = EngineParts::new(settings.policy.clone(), 3, clock);
     tokio::spawn(engine.run());
     handle
-        .update_nodes(NodeListKind::Cached, vec![unreached(NodeState::Ready)])
+        .update_nodes(
+            NodeListKind::Cached,
+            vec![unreachable_node(NodeState::Ready)],
+        )
         .await;
     let (class, client_deadline) = (1, clock.now() + 60_000_000);
     let request = Request {
@@ -484,41 +547,41 @@
         ..Request::default()
     };
     let before = clock.now();
-    let mut ticket = handle.open(request).await;
-    let Some(Order::Send(first)) = ticket.next_order().await else {
+    let mut request_handle = handle.open(request).await;
+    let Some(Order::Send(first)) = request_handle.next_order().await else {
         panic!("not sent")
     };
     assert_eq!(
         first.begin_by,
         Micros::MAX,
-        "the first one has all its time"
+        "the first attempt does not expire"
     );
-    ticket
+    request_handle
         .reporter()
         .attempt_ended(0, Outcome::Reset, None)
         .await;
-    let Some(Order::Send(second)) = ticket.next_order().await else {
-        panic!("not repeated")
+    let Some(Order::Send(second)) = request_handle.next_order().await else {
+        panic!("not retried")
     };
-    let sent = before..=clock.now();
+    let sent_between = before..=clock.now();
     assert!(
-        sent.contains(&(second.begin_by - window * 9 / 10)),
-        "from the first that may have run"
+        sent_between.contains(&(second.begin_by - window * 9 / 10)),
+        "the window starts at the first attempt that may have run"
     );
-    // The order that was not carried out in time is the last, and the client hears that it failed.
-    ticket
+    // An order that expired before its send is the last one, and the request fails.
+    request_handle
         .reporter()
         .attempt_ended(1, Outcome::Expired, None)
         .await;
     tokio::time::sleep_until(clock.instant(second.begin_by)).await;
     loop {
-        match ticket.next_order().await {
-            // Still in time: the module's choice.
-            Some(Order::Send(again)) => {
-                assert!(again.begin_by == second.begin_by);
-                ticket
+        match request_handle.next_order().await {
+            // Still within the window: the policy may order another attempt.
+            Some(Order::Send(attempt)) => {
+                assert!(attempt.begin_by == second.begin_by);
+                request_handle
                     .reporter()
-                    .attempt_ended(again.number, Outcome::Expired, None)
+                    .attempt_ended(attempt.number, Outcome::Expired, None)
                     .await;
             }
             Some(Order::Fail) => break,
@@ -527,43 +590,61 @@
     }
 }
 
-/// News of a drain while the connection is coming up, and as it came up: nothing new is written once the grace is used.
+/// The node starts to drain while a connection is being established, or before one is used: nothing is written once the drain
+/// grace is over.
 #[tokio::test]
-async fn nothing_begins_at_a_node_that_stops_while_the_connection_came_up() {
-    let (core, upstream) = way(60_000_000).await;
-    let (node, fill) = late_node();
-    let order = attempt(&core, node.local_addr().unwrap()).await;
-    let stops = order.target.stop_at.clone();
-    // One that was ordered before and whose connection is there at once.
-    let (address, mut came) = scripted(vec![Step::Whole(200, false)]).await;
-    let late = attempt(&core, address).await;
-    let exchange = upstream.attempt(forwarded_request(), order, begins(), waits());
+async fn nothing_is_sent_to_a_node_whose_drain_grace_ends_during_the_connect() {
+    let (engine, upstream) = engine_and_upstream(60_000_000).await;
+    let (node, queued) = node_with_full_accept_queue();
+    let attempt_order = attempt(&engine, node.local_addr().unwrap()).await;
+    let stop_at = attempt_order.target.stop_at.clone();
+    // An attempt that was ordered before the drain and whose connection is established at once.
+    let (address, mut request_connections) = scripted_node(vec![Step::Complete(200, false)]).await;
+    let late = attempt(&engine, address).await;
+    let exchange = upstream.attempt(
+        forwarded_request(),
+        attempt_order,
+        response_sender(),
+        connected_client(),
+    );
     tokio::pin!(exchange);
     assert!(
         (&mut exchange).now_or_never().is_none(),
-        "its connection is coming up"
+        "the connection is being established"
     );
-    core.update_nodes(NodeListKind::Changes, vec![unreached(NodeState::Draining)])
+    engine
+        .update_nodes(
+            NodeListKind::Changes,
+            vec![unreachable_node(NodeState::Draining)],
+        )
         .await;
-    common::rsync::until(|| *stops.borrow() != Micros::MAX).await;
-    let ended = tokio::time::timeout(std::time::Duration::from_secs(10), exchange).await;
+    common::rsync::until(|| *stop_at.borrow() != Micros::MAX).await;
+    let result = tokio::time::timeout(std::time::Duration::from_secs(10), exchange).await;
     assert_eq!(
-        ended.expect("when the grace is used").outcome,
+        result.expect("when the grace is over").outcome,
         Outcome::ConnectFailed,
-        "it never ran"
+        "the request never ran"
     );
     assert!(
-        core.clock.now() < *stops.borrow() + 1_000_000,
-        "and not when the connection is up"
+        engine.clock.now() < *stop_at.borrow() + 1_000_000,
+        "before the connection is established"
     );
-    drop(fill);
-    // The other one is too late as well.
+    drop(queued);
+    // The other attempt is too late as well.
     assert_eq!(
         upstream
-            .attempt(forwarded_request(), late, begins(), waits())
+            .attempt(
+                forwarded_request(),
+                late,
+                response_sender(),
+                connected_client()
+            )
             .await
             .outcome,
         Outcome::ConnectFailed
     );
-    assert!(came.try_recv().is_err(), "nothing reached the node");
+    assert!(
+        request_connections.try_recv().is_err(),
+        "no request reached the node"
+    );
 }
