--- a/crates/lupinrack/src/serve.rs
+++ b/crates/lupinrack/src/serve.rs
@@ -181,8 +181,8 @@
         health_checks,
     } = EngineParts::new(initial_settings.policy.clone(), config.seed, clock);
     if let Some(config) = ipfix {
-        let (to, flows) = mpsc::channel(lupinrack_flow_export::WAITING_MOST);
-        engine = engine.export_flows(to);
+        let (flow_sender, flows) = mpsc::channel(lupinrack_flow_export::WAITING_MOST);
+        engine = engine.export_flows(flow_sender);
         tracing::info!("exporting flows to {}", config.collector);
         tokio::spawn(async move {
             if let Err(error) =
@@ -199,14 +199,14 @@
         let (with_map, channels) = engine.with_extent_map(cache);
         let ExtentMapChannels {
             actions,
-            counters: counters_sender,
+            counters: counters_receiver,
         } = channels;
-        (engine, counters) = (with_map, counters_sender.clone());
+        (engine, counters) = (with_map, counters_receiver.clone());
         tracing::info!("extent map from the authority at {}", section.authority);
         extent_driver = Some(tokio::spawn(
             Driver::new(&section, handle.clone())
                 .await?
-                .run(actions, counters_sender),
+                .run(actions, counters_receiver),
         ));
     }
     // File descriptors: an rsync client uses two, its own and one to a server. The admin interface uses one per connection
--- a/crates/lupinrack/tests/bodies.rs
+++ b/crates/lupinrack/tests/bodies.rs
@@ -211,9 +211,13 @@
     stream.read_exact(&mut first).await.unwrap();
     stream.shutdown().await.unwrap();
     sleep(Duration::from_millis(100)).await;
-    let mut rest = Vec::new();
-    stream.read_to_end(&mut rest).await.unwrap();
-    assert!(rest.ends_with(&bytes(1, 6_000_000)), "{}", rest.len());
+    let mut remaining = Vec::new();
+    stream.read_to_end(&mut remaining).await.unwrap();
+    assert!(
+        remaining.ends_with(&bytes(1, 6_000_000)),
+        "{}",
+        remaining.len()
+    );
 }
 
 #[tokio::test]
--- a/crates/lupinrack/tests/client_stream.rs
+++ b/crates/lupinrack/tests/client_stream.rs
@@ -254,7 +254,7 @@
         .await
         .unwrap();
     let (stream, _) = listener.accept().await.unwrap();
-    let (_tell, phase) = watch::channel(Phase::Ready);
+    let (_phase_sender, phase) = watch::channel(Phase::Ready);
     let (mut client_stream, connection) = ClientStream::new(stream, phase);
     client.write_all(b"GET / HTTP/1.1\r\n\r\n").await.unwrap();
     let mut bytes = vec![0; 64 << 10];
--- a/crates/lupinrack/tests/races.rs
+++ b/crates/lupinrack/tests/races.rs
@@ -184,28 +184,28 @@
     let client = TcpStream::connect(listener.local_addr().unwrap())
         .await
         .unwrap();
-    let (_tell, phase) = watch::channel(Phase::Ready);
-    let (accept_client, connection) = ClientStream::new(listener.accept().await.unwrap().0, phase);
-    (client, accept_client, connection)
+    let (_phase_sender, phase) = watch::channel(Phase::Ready);
+    let (client_stream, connection) = ClientStream::new(listener.accept().await.unwrap().0, phase);
+    (client, client_stream, connection)
 }
 
 /// The front detects that a client closed its connection behind any number of bytes sent ahead.
 #[tokio::test]
 async fn a_close_behind_excess_bytes_is_detected() {
-    let (mut client, mut accept_client, connection) = accept_client().await;
+    let (mut client, mut client_stream, connection) = accept_client().await;
     client
         .write_all(get(1, "priority", 1, 4_000).as_bytes())
         .await
         .unwrap();
     let mut bytes = vec![0; 64 << 10];
     assert!(
-        accept_client.read(&mut bytes).await.unwrap() > 0,
+        client_stream.read(&mut bytes).await.unwrap() > 0,
         "its request is passed on"
     );
     let sender = tokio::spawn(async move {
         client.write_all(&[b'x'; 1 << 20]).await.unwrap();
     });
-    let end = timeout(Duration::from_secs(10), accept_client.read(&mut bytes))
+    let end = timeout(Duration::from_secs(10), client_stream.read(&mut bytes))
         .await
         .expect("the close is detected");
     assert_eq!(end.unwrap_or(0), 0);
@@ -216,28 +216,28 @@
 /// A request that has arrived when the idle timer expires is served: the socket is polled before the timer.
 #[tokio::test(start_paused = true)]
 async fn bytes_that_arrive_before_the_idle_timer_are_read() {
-    let (mut client, mut accept_client, _visit) = accept_client().await;
+    let (mut client, mut client_stream, _connection) = accept_client().await;
     client.write_all(b"GET / HTTP/1.1\r\n\r\n").await.unwrap();
     tokio::time::advance(Duration::from_secs(60)).await;
     let mut bytes = [0; 64];
-    assert_eq!(accept_client.read(&mut bytes).await.unwrap(), 18);
+    assert_eq!(client_stream.read(&mut bytes).await.unwrap(), 18);
 }
 
 /// A request that arrives after the decision to close is never read: its client gets no response and may retry elsewhere.
 #[tokio::test(start_paused = true)]
 async fn bytes_that_arrive_after_the_idle_timer_are_never_read() {
-    let (mut client, mut accept_client, connection) = accept_client().await;
+    let (mut client, mut client_stream, connection) = accept_client().await;
     let mut bytes = [0; 64];
     let started = Instant::now();
     assert_eq!(
-        accept_client.read(&mut bytes).await.unwrap(),
+        client_stream.read(&mut bytes).await.unwrap(),
         0,
         "reads as closed by the client"
     );
     assert!(started.elapsed() >= Duration::from_secs(2));
     client.write_all(b"GET / HTTP/1.1\r\n\r\n").await.unwrap();
-    accept_client.shutdown().await.unwrap();
-    drop(accept_client);
+    client_stream.shutdown().await.unwrap();
+    drop(client_stream);
     assert!(connection.client_left(), "nothing is sent to a node for it");
     assert!(
         !matches!(client.read(&mut bytes).await, Ok(1..)),
@@ -249,7 +249,7 @@
 #[tokio::test]
 async fn a_partial_request_at_the_close_is_served_once_or_never_read() {
     for split_at in [1, 40, 100] {
-        let (address, heads) = node(std::str::from_utf8(OK).unwrap()).await;
+        let (address, node_requests) = node(std::str::from_utf8(OK).unwrap()).await;
         let fronts = start(address, address, "priority", 4_000).await;
         // A connection that has had a response, and a new one.
         let mut used = client(&fronts, &get(1, "priority", 1, 4_000)).await;
@@ -278,7 +278,7 @@
             .expect("the front ends")
             .unwrap();
         assert_eq!(
-            heads.lock().unwrap().len(),
+            node_requests.lock().unwrap().len(),
             responses,
             "each request at a node has exactly one response"
         );
--- a/crates/lupinrack/tests/rsync.rs
+++ b/crates/lupinrack/tests/rsync.rs
@@ -138,14 +138,14 @@
         pulled.complete,
         "the client reaches the regular end of the session"
     );
-    let asked = server.seen.lock().unwrap().asked.clone();
+    let server_requests = server.seen.lock().unwrap().asked.clone();
     assert!(
-        asked
+        server_requests
             .iter()
             .all(|a| a.0 < drain_started + Duration::from_secs(1)),
-        "{asked:?}"
+        "{server_requests:?}"
     );
-    assert_eq!(asked.len(), 2, "the list and one file");
+    assert_eq!(server_requests.len(), 2, "the list and one file");
 }
 
 #[tokio::test]
@@ -178,7 +178,7 @@
         pulled.complete && pulled.errors.is_empty() && pulled.whole.len() == 2,
         "{pulled:?}"
     );
-    let asked = |s: &RsyncServer| {
+    let server_requests = |s: &RsyncServer| {
         s.seen
             .lock()
             .unwrap()
@@ -188,7 +188,7 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(
-        (asked(&old), asked(&new)),
+        (server_requests(&old), server_requests(&new)),
         (
             vec!["a/".into(), "a/one.csv".into()],
             vec!["a/two.csv".to_string()]
@@ -322,8 +322,8 @@
         );
         let one = "@ERROR: one.csv: broke off; what came is not whole";
         assert_eq!(pulled.errors, [one], "{kind:?}");
-        let asked = server.seen.lock().unwrap().asked.len();
-        assert_eq!(asked, 2, "the list and one attempt at the file");
+        let server_requests = server.seen.lock().unwrap().asked.len();
+        assert_eq!(server_requests, 2, "the list and one attempt at the file");
     }
 }
 
--- a/crates/lupinrack/tests/upstream.rs
+++ b/crates/lupinrack/tests/upstream.rs
@@ -479,11 +479,11 @@
         .await
         .unwrap();
     // The task of the client's connection never runs here: only a check of the socket shows the disconnect.
-    let (_gate, connection) = ClientStream::new(
+    let (_client_stream, connection) = ClientStream::new(
         listener.accept().await.unwrap().0,
         watch::channel(Phase::Ready).1,
     );
-    let (_open, client_gone) = watch::channel(());
+    let (_client_waits, client_gone) = watch::channel(());
     let client_wait = ClientWait::new(client_gone, Some(connection.clone()));
     let first = upstream
         .attempt(
