--- a/crates/cluster-local/src/dependency_order.rs
+++ b/crates/cluster-local/src/dependency_order.rs
@@ -3,7 +3,7 @@
 use crate::client::JobOutcome;
 use crate::job_kind::JobKind;
 use lupinrack_cluster_api::identity::{JobId, TaskId};
-use mock_servers::worker::floor::Event;
+use mock_servers::worker::cluster_events::Event;
 use mock_servers::worker::messages::End;
 use std::collections::BTreeSet;
 
--- a/crates/cluster-local/src/local_cluster.rs
+++ b/crates/cluster-local/src/local_cluster.rs
@@ -7,10 +7,10 @@
 use crate::ports::Ports;
 use crate::settings_file::StartKind;
 use crate::shared_limits::{GANG_WAIT_MS, HEARTBEAT_INTERVAL_MS, MAX_LEASE_MS, RUN_STOP_MS, ZONE};
-use mock_servers::worker::beats::{self, BeatSettings};
-use mock_servers::worker::floor::Floor;
-use mock_servers::worker::machine::{Worker, WorkerSettings};
+use mock_servers::worker::cluster_events::ClusterEvents;
+use mock_servers::worker::heartbeats::{self, HeartbeatSettings};
 use mock_servers::worker::messages::Capacity;
+use mock_servers::worker::state_machine::{Worker, WorkerSettings};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::task::JoinSet;
@@ -34,7 +34,7 @@
     folder: PathBuf,
     ports: Ports,
     processes: Vec<ChildProcess>,
-    worker_events: Floor,
+    worker_events: ClusterEvents,
     // Aborts the workers' tasks when it is dropped.
     _workers: JoinSet<()>,
 }
@@ -47,7 +47,7 @@
     /// [`LocalError::NoFreePorts`], or where a process cannot be started.
     pub(crate) fn start(program: &Path, folder: &Path) -> Result<LocalCluster, LocalError> {
         let ports = Ports::draw()?;
-        let worker_events = Floor::default();
+        let worker_events = ClusterEvents::default();
         let mut cluster = LocalCluster {
             program: program.to_owned(),
             folder: folder.to_owned(),
@@ -68,7 +68,7 @@
     }
 
     /// What the workers recorded of their runs.
-    pub(crate) fn worker_events(&self) -> &Floor {
+    pub(crate) fn worker_events(&self) -> &ClusterEvents {
         &self.worker_events
     }
 
@@ -133,17 +133,17 @@
 }
 
 /// Starts a worker beside each agent.
-fn start_workers(ports: Ports, events: &Floor) -> JoinSet<()> {
+fn start_workers(ports: Ports, events: &ClusterEvents) -> JoinSet<()> {
     let epoch = Instant::now();
     let mut workers = JoinSet::new();
     for agent in Member::with_role(Role::Agent) {
-        let heartbeats = BeatSettings {
+        let heartbeats = HeartbeatSettings {
             agent: ports.control_address(agent),
-            every: Duration::from_millis(HEARTBEAT_INTERVAL_MS),
+            interval: Duration::from_millis(HEARTBEAT_INTERVAL_MS),
             epoch,
         };
         let worker = Worker::new(worker_settings(agent.number), events.clone());
-        workers.spawn(beats::run(worker, heartbeats));
+        workers.spawn(heartbeats::run(worker, heartbeats));
     }
     workers
 }
@@ -156,9 +156,9 @@
         zone: ZONE.to_owned(),
         labels: vec!["plain".to_owned(), rack],
         capacity: WORKER_CAPACITY,
-        lease_most_ms: MAX_LEASE_MS,
+        max_lease_ms: MAX_LEASE_MS,
         // Half the limit: the stop of a run is reported well within it.
-        stop_takes_ms: RUN_STOP_MS / 2,
-        gang_waits_ms: GANG_WAIT_MS,
+        stop_duration_ms: RUN_STOP_MS / 2,
+        gang_timeout_ms: GANG_WAIT_MS,
     }
 }
--- a/crates/cluster-local/src/report.rs
+++ b/crates/cluster-local/src/report.rs
@@ -3,7 +3,7 @@
 use crate::client::JobOutcome;
 use crate::dependency_order::count_early_starts;
 use lupinrack_cluster_api::job::JobState;
-use mock_servers::worker::floor::Floor;
+use mock_servers::worker::cluster_events::ClusterEvents;
 use mock_servers::worker::messages::End;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -75,7 +75,7 @@
     /// The report on these jobs, by what the workers recorded.
     pub fn new(
         outcomes: &[JobOutcome],
-        events: &Floor,
+        events: &ClusterEvents,
         killed: Vec<KilledProcess>,
         duration_ms: u64,
     ) -> LocalReport {
@@ -86,7 +86,7 @@
         for outcome in expected {
             *as_expected.entry(outcome.kind.as_str()).or_default() += 1;
         }
-        let duplicate_starts = events.run_twice();
+        let duplicate_starts = events.duplicate_starts();
         let early_starts = count_early_starts(outcomes, &events.events());
         let left_running = events.alive();
         LocalReport {
--- a/crates/cluster-local/tests/golden.rs
+++ b/crates/cluster-local/tests/golden.rs
@@ -11,7 +11,7 @@
 };
 use lupinrack_golden_files::{check_folder, check_text, is_update};
 use lupinrack_node_settings::NodeSettings;
-use mock_servers::worker::floor::{Event, Floor, RunName};
+use mock_servers::worker::cluster_events::{ClusterEvents, Event, RunName};
 use mock_servers::worker::messages::End;
 use serde_json::Value;
 use std::fs;
@@ -237,20 +237,25 @@
         accepted: true,
         state: Some(kind.expected_state()),
     };
-    let floor = Floor::default();
+    let cluster_events = ClusterEvents::default();
     let run = RunName {
         task: format!("{}.0.0.0", JobId(1)),
         run: 1,
     };
-    floor.note(Event::Started {
+    cluster_events.record(Event::Started {
         run: run.clone(),
         worker: "worker".to_owned(),
     });
-    floor.note(Event::Ended {
+    cluster_events.record(Event::Ended {
         run,
         end: End::Done,
     });
-    LocalReport::new(&JobKind::ALL.map(outcome), &floor, Vec::new(), 1_234)
+    LocalReport::new(
+        &JobKind::ALL.map(outcome),
+        &cluster_events,
+        Vec::new(),
+        1_234,
+    )
 }
 
 #[test]
--- a/crates/cluster-local/tests/report.rs
+++ b/crates/cluster-local/tests/report.rs
@@ -3,7 +3,7 @@
 use lupinrack_cluster_api::identity::JobId;
 use lupinrack_cluster_api::job::JobState;
 use lupinrack_cluster_local::{count_early_starts, JobKind, JobOutcome, LocalReport};
-use mock_servers::worker::floor::{Event, Floor, RunName};
+use mock_servers::worker::cluster_events::{ClusterEvents, Event, RunName};
 use mock_servers::worker::messages::End;
 
 const JOB: JobId = JobId(1);
@@ -40,9 +40,11 @@
 }
 
 fn report(jobs: &[JobOutcome], events: Vec<Event>) -> LocalReport {
-    let floor = Floor::default();
-    events.into_iter().for_each(|event| floor.note(event));
-    LocalReport::new(jobs, &floor, Vec::new(), 10)
+    let cluster_events = ClusterEvents::default();
+    events
+        .into_iter()
+        .for_each(|event| cluster_events.record(event));
+    LocalReport::new(jobs, &cluster_events, Vec::new(), 10)
 }
 
 #[test]
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -6,10 +6,10 @@
 
 use clap::Args;
 use hdrhistogram::Histogram;
-use lupinrack_fault_injection::stage::Stage;
-use lupinrack_fault_injection::RigError;
-use mock_servers::load::{mix, Ask, Clients, Tally};
-use mock_servers::node::Manner;
+use lupinrack_fault_injection::local_fleet::LocalFleet;
+use lupinrack_fault_injection::HarnessError;
+use mock_servers::load::{mix, ClientRequest, Clients, RequestCounts};
+use mock_servers::node::NodeConfig;
 use mock_servers::settings::configuration;
 use serde::Serialize;
 use std::path::PathBuf;
@@ -38,7 +38,7 @@
     pub seed: u64,
     /// What came of the requests.
     #[serde(flatten)]
-    pub tally: Tally,
+    pub tally: RequestCounts,
     /// New writes that ran more than once.
     pub duplicates: u64,
     /// Of all served: the median from the first byte sent to the last byte of the answer, in milliseconds.
@@ -79,27 +79,27 @@
 }
 
 /// Plays it with this program.
-pub async fn play(demo: &Demo, program: PathBuf) -> Result<Figures, RigError> {
+pub async fn play(demo: &Demo, program: PathBuf) -> Result<Figures, HarnessError> {
     let seed = demo.seed.unwrap_or_else(|| fastrand::u64(..));
     let mut dice = fastrand::Rng::with_seed(seed);
-    let mut stage = Stage::new(program).await?;
+    let mut local_fleet = LocalFleet::new(program).await?;
     // One node for each shard, and the successor of the first, which is not listed yet.
     for i in 0..=NODES {
-        stage
-            .node(Manner {
+        local_fleet
+            .node(NodeConfig {
                 shard: i % NODES,
                 seed: dice.u64(..),
-                ..Manner::default()
+                ..NodeConfig::default()
             })
             .await?;
     }
     for i in 0..NODES as usize {
-        stage.list(i, "SERVING");
+        local_fleet.list(i, "SERVING");
     }
-    let config = configuration("demo", stage.discovery.address, dice.u64(..), 1);
-    let front = stage.front(0, config, String::new()).await?;
-    let Some(at) = front.listens.clients else {
-        return Err(RigError::Script("nothing listens".into()));
+    let config = configuration("demo", local_fleet.discovery.address, dice.u64(..), 1);
+    let front = local_fleet.front(0, config, String::new()).await?;
+    let Some(at) = front.addresses.clients else {
+        return Err(HarnessError::Script("nothing listens".into()));
     };
 
     let began = Instant::now();
@@ -120,11 +120,11 @@
         sleep_until(began + due).await;
         if !drained && due * 2 >= span {
             drained = true;
-            stage.list(NODES as usize, "SERVING");
-            stage.list(0, "DRAINING");
+            local_fleet.list(NODES as usize, "SERVING");
+            local_fleet.list(0, "DRAINING");
         }
         let (clients, ask) = (clients.clone(), ask(&mut dice, number));
-        asked.spawn(async move { clients.ask(at, &ask).await });
+        asked.spawn(async move { clients.send(at, &ask).await });
         while let Some(Ok((came, after))) = asked.try_join_next() {
             if figures.tally.count(came) {
                 latency.saturating_record(after.as_micros() as u64);
@@ -137,19 +137,19 @@
             latency.saturating_record(after.as_micros() as u64);
         }
     }
-    stage.end(front).await?;
-    figures.duplicates = stage.duplicates();
+    local_fleet.end(front).await?;
+    figures.duplicates = local_fleet.duplicates();
     figures.p50_ms = latency.value_at_quantile(0.5) as f64 / 1000.0;
     figures.p99_ms = latency.value_at_quantile(0.99) as f64 / 1000.0;
     Ok(figures)
 }
 
-fn ask(dice: &mut fastrand::Rng, number: u64) -> Ask {
+fn ask(dice: &mut fastrand::Rng, number: u64) -> ClientRequest {
     let greedy = dice.u32(0..3) == 0;
     let volume = if greedy { GREEDY } else { 10 + dice.u64(0..12) };
     let mixed = mix(dice);
     let (class, writes, units) = if greedy { ("read", false, 4) } else { mixed };
-    Ask {
+    ClientRequest {
         id: format!("{number:016x}"),
         class,
         writes,
--- a/crates/demo/tests/golden.rs
+++ b/crates/demo/tests/golden.rs
@@ -2,13 +2,13 @@
 
 use lupinrack_demo::Figures;
 use lupinrack_golden_files::{check_text, path};
-use mock_servers::load::Tally;
+use mock_servers::load::RequestCounts;
 
 #[test]
 fn the_report_keeps_its_form() {
     let figures = Figures {
         seed: 1,
-        tally: Tally {
+        tally: RequestCounts {
             requests: 2,
             served: 3,
             refused: 4,
--- a/crates/extent-map-drill/src/lib.rs
+++ b/crates/extent-map-drill/src/lib.rs
@@ -5,13 +5,13 @@
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub)]
 
 use clap::{Args, ValueEnum};
+use lupinrack_fault_injection::local_fleet::LocalFleet;
 use lupinrack_fault_injection::process::Process;
 use lupinrack_fault_injection::relay::Relay;
-use lupinrack_fault_injection::stage::Stage;
-use lupinrack_fault_injection::RigError;
-use mock_servers::authority::{Authority, Entrance, Lot, Traffic, Truth};
-use mock_servers::load::{mix, Ask, Came, Clients, Tally};
-use mock_servers::node::{lock, Fate, Manner, Whereabouts};
+use lupinrack_fault_injection::HarnessError;
+use mock_servers::authority::{Authority, AuthorityListener, Extent, GroundTruth, Traffic};
+use mock_servers::load::{mix, ClientRequest, Clients, RequestCounts, RequestOutcome};
+use mock_servers::node::{lock, AttemptOutcome, NodeConfig, PlacementLookup};
 use mock_servers::settings::configuration;
 use serde::Serialize;
 use serde_json::json;
@@ -92,7 +92,7 @@
     pub seed: u64,
     /// Requests by result. Guaranteed: `lost` is 0.
     #[serde(flatten)]
-    pub tally: Tally,
+    pub tally: RequestCounts,
     /// New writes that ran more than once. Guaranteed: 0.
     pub duplicates: u64,
     /// Requests received by a draining node more than 1.05 s after the last front was notified. Guaranteed: 0.
@@ -151,7 +151,7 @@
     }
 
     /// Runs the drill with fronts of this program; without a given strategy, also the other two for comparison.
-    pub async fn run(&self, program: &Path) -> Result<Report, RigError> {
+    pub async fn run(&self, program: &Path) -> Result<Report, HarnessError> {
         let seed = self.seed.unwrap_or_else(|| fastrand::u64(..));
         let figures = play(
             self,
@@ -227,7 +227,7 @@
 /// The mock servers: the authority, discovery and the nodes.
 struct Cluster {
     authority: Arc<Authority>,
-    stage: Stage,
+    local_fleet: LocalFleet,
     /// The version of the node list in which a node started to drain, by the node's index.
     drained: HashMap<usize, u64>,
     /// The index of the node that serves each shard.
@@ -241,11 +241,11 @@
         authority: Arc<Authority>,
         program: PathBuf,
         rng: &mut fastrand::Rng,
-    ) -> Result<Cluster, RigError> {
-        let (stage, resets) = (Stage::new(program).await?, drill.resets);
+    ) -> Result<Cluster, HarnessError> {
+        let (local_fleet, resets) = (LocalFleet::new(program).await?, drill.resets);
         let mut cluster = Cluster {
             authority,
-            stage,
+            local_fleet,
             drained: HashMap::new(),
             serving_nodes: Vec::new(),
             resets,
@@ -258,19 +258,24 @@
     }
 
     /// Starts a node for a shard and lists it as serving. Returns its index.
-    async fn add_node(&mut self, shard: u32, rng: &mut fastrand::Rng) -> Result<usize, RigError> {
-        let truth = self.authority.truth.clone();
-        let whereabouts: Whereabouts = Arc::new(move |volume, key| lock(&truth).lies(volume, key));
+    async fn add_node(
+        &mut self,
+        shard: u32,
+        rng: &mut fastrand::Rng,
+    ) -> Result<usize, HarnessError> {
+        let truth = self.authority.ground_truth.clone();
+        let placement_lookup: PlacementLookup =
+            Arc::new(move |volume, key| lock(&truth).placement(volume, key));
         let (seed, resets) = (rng.u64(..), self.resets);
-        let manner = Manner {
+        let node_config = NodeConfig {
             shard,
             seed,
             resets,
-            whereabouts: Some(whereabouts),
-            ..Manner::default()
+            placement_lookup: Some(placement_lookup),
+            ..NodeConfig::default()
         };
-        let index = self.stage.node(manner).await?;
-        self.stage.list(index, "SERVING");
+        let index = self.local_fleet.node(node_config).await?;
+        self.local_fleet.list(index, "SERVING");
         Ok(index)
     }
 
@@ -280,15 +285,16 @@
         &mut self,
         late_successor: bool,
         rng: &mut fastrand::Rng,
-    ) -> Result<usize, RigError> {
+    ) -> Result<usize, HarnessError> {
         let shard = rng.u32(0..self.serving_nodes.len() as u32);
         let node = self.serving_nodes[shard as usize];
         if !late_successor {
             self.serving_nodes[shard as usize] = self.add_node(shard, rng).await?;
         }
-        self.drained.insert(node, self.stage.list(node, "DRAINING"));
-        let extents: Vec<Lot> = lock(&self.authority.truth)
-            .lots()
+        self.drained
+            .insert(node, self.local_fleet.list(node, "DRAINING"));
+        let extents: Vec<Extent> = lock(&self.authority.ground_truth)
+            .extents()
             .filter(|extent| extent.shard == shard)
             .copied()
             .collect();
@@ -306,7 +312,7 @@
 struct Front {
     process: Process,
     clients: SocketAddr,
-    entrance: Entrance,
+    entrance: AuthorityListener,
 }
 
 impl Front {
@@ -336,9 +342,9 @@
     seed: u64,
     strategy: Strategy,
     program: &Path,
-) -> Result<Figures, RigError> {
+) -> Result<Figures, HarnessError> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut truth = Truth::new(rng.u64(1..1 << 40));
+    let mut truth = GroundTruth::new(rng.u64(1..1 << 40));
     for volume in 0..drill.volumes {
         for extent in 0..EXTENTS_PER_VOLUME {
             truth.put(
@@ -371,15 +377,15 @@
                 next_request(&mut rng, Some(volume)),
                 front.clients,
             );
-            warm_up.spawn(async move { clients.ask(address, &request).await });
+            warm_up.spawn(async move { clients.send(address, &request).await });
             while warm_up.len() > 32 {
                 warm_up.join_next().await;
             }
         }
     }
     while warm_up.join_next().await.is_some() {}
-    for (node, _) in &cluster.stage.nodes {
-        lock(&node.seen).clear();
+    for (node, _) in &cluster.local_fleet.nodes {
+        lock(&node.attempts).clear();
     }
     let count_calls = |fronts: &[Front]| fronts.iter().map(Front::calls).collect::<Vec<u64>>();
     let (calls_before, traffic_before) = (count_calls(&fronts), traffic(&fronts, &relay));
@@ -394,7 +400,7 @@
     let (started, duration) = (Instant::now(), Duration::from_secs(drill.seconds));
     let total = drill.rate * drill.seconds * u64::from(drill.fronts);
     let mut schedule = Schedule::new(drill, duration, &mut rng);
-    let mut in_flight: JoinSet<(Came, Duration)> = JoinSet::new();
+    let mut in_flight: JoinSet<(RequestOutcome, Duration)> = JoinSet::new();
     let mut follow_ups: Vec<(Duration, FollowUp)> = Vec::new();
     let (mut burst_end, mut calls_before_burst): (Option<Duration>, Vec<u64>) = (None, Vec::new());
     for n in 0..total {
@@ -414,7 +420,7 @@
                     if late_successor {
                         follow_ups.push((
                             at + LATE_SUCCESSOR_DELAY,
-                            FollowUp::StartSuccessor(cluster.stage.nodes[node].1),
+                            FollowUp::StartSuccessor(cluster.local_fleet.nodes[node].1),
                         ));
                     }
                     follow_ups.push((at + DRAIN_DURATION, FollowUp::Delete(node)));
@@ -438,14 +444,14 @@
                         cluster.add_node(shard, &mut rng).await?
                 }
                 FollowUp::Delete(node) => {
-                    cluster.stage.list(node, "DELETED");
+                    cluster.local_fleet.list(node, "DELETED");
                 }
             }
         }
         sleep_until(started + due).await;
         let address = fronts[rng.usize(0..fronts.len())].clients;
         let (clients, request) = (clients.clone(), next_request(&mut rng, None));
-        in_flight.spawn(async move { clients.ask(address, &request).await });
+        in_flight.spawn(async move { clients.send(address, &request).await });
         while let Some(Ok(result)) = in_flight.try_join_next() {
             figures.tally.count(result.0);
         }
@@ -461,7 +467,7 @@
     let message_bytes = traffic_after.0 - traffic_before.0 + traffic_after.2 - traffic_before.2;
     figures.message_bytes_per_request = message_bytes as f64 / figures.tally.requests.max(1) as f64;
     for front in fronts {
-        cluster.stage.end(front.process).await?;
+        cluster.local_fleet.end(front.process).await?;
     }
     figures.count_node_observations(&cluster);
     Ok(figures)
@@ -476,7 +482,7 @@
     cluster: &Cluster,
     relay: &Relay,
     rng: &mut fastrand::Rng,
-) -> Result<Vec<Front>, RigError> {
+) -> Result<Vec<Front>, HarnessError> {
     // Finds free ports, which the fronts bind shortly afterwards.
     let reserved: Vec<std::net::UdpSocket> = (0..drill.fronts)
         .map(|_| std::net::UdpSocket::bind("127.0.0.1:0"))
@@ -488,8 +494,8 @@
     drop(reserved);
     let mut fronts = Vec::new();
     for (i, own_address) in peer_addresses.iter().enumerate() {
-        let entrance = cluster.authority.entrance().await?;
-        let discovery = cluster.stage.discovery.address;
+        let entrance = cluster.authority.open_listener().await?;
+        let discovery = cluster.local_fleet.discovery.address;
         let module_config = configuration(&format!("n{i}"), discovery, rng.u64(..), drill.fronts);
         let others = (0..drill.fronts as usize).filter(|j| *j != i);
         let peers: Vec<SocketAddr> = others
@@ -501,13 +507,13 @@
             strategy.name(),
             json!(peers)
         );
-        relay.target(i, Some(*own_address));
+        relay.set_target(i, Some(*own_address));
         let process = cluster
-            .stage
+            .local_fleet
             .front(i as u16, module_config, operator_config)
             .await?;
-        let Some(clients) = process.listens.clients else {
-            return Err(RigError::Script(
+        let Some(clients) = process.addresses.clients else {
+            return Err(HarnessError::Script(
                 "a front has no address for clients".into(),
             ));
         };
@@ -520,9 +526,9 @@
     Ok(fronts)
 }
 
-fn request(rng: &mut fastrand::Rng, number: u64, volume: u64, fronts: u32) -> Ask {
+fn request(rng: &mut fastrand::Rng, number: u64, volume: u64, fronts: u32) -> ClientRequest {
     let (class, writes, units) = mix(rng);
-    Ask {
+    ClientRequest {
         id: format!("{number:016x}"),
         class,
         writes,
@@ -559,7 +565,7 @@
 struct Schedule {
     /// The last one is the next to happen.
     events: Vec<(Duration, ScheduledEvent)>,
-    undoable: Vec<Lot>,
+    undoable: Vec<Extent>,
 }
 
 impl Schedule {
@@ -615,7 +621,7 @@
 fn change_extent(
     authority: &Authority,
     drill: &Drill,
-    undoable: &mut Vec<Lot>,
+    undoable: &mut Vec<Extent>,
     rng: &mut fastrand::Rng,
 ) {
     let (volume, key, to) = (
@@ -624,7 +630,7 @@
         rng.u32(0..drill.nodes),
     );
     authority.change(|truth| {
-        let Some(extent) = truth.lot(volume, key) else {
+        let Some(extent) = truth.extent_at(volume, key) else {
             return;
         };
         match rng.u32(0..10) {
@@ -655,7 +661,7 @@
                 let next = extent
                     .last
                     .checked_add(1)
-                    .and_then(|n| truth.lot(volume, n))
+                    .and_then(|n| truth.extent_at(volume, n))
                     .unwrap_or(extent);
                 truth.put(volume, extent.first, next.last, extent.shard);
             }
@@ -674,13 +680,13 @@
     /// Counts rejections and violated guarantees in the requests that the nodes received.
     fn count_node_observations(&mut self, cluster: &Cluster) {
         let mut rejections: HashMap<String, u64> = HashMap::new();
-        for (index, (node, _)) in cluster.stage.nodes.iter().enumerate() {
+        for (index, (node, _)) in cluster.local_fleet.nodes.iter().enumerate() {
             let notified_at = cluster
                 .drained
                 .get(&index)
-                .and_then(|version| cluster.stage.discovery.told(*version));
-            for seen in lock(&node.seen).iter() {
-                if seen.fate == Fate::Elsewhere {
+                .and_then(|version| cluster.local_fleet.discovery.last_sent_at(*version));
+            for seen in lock(&node.attempts).iter() {
+                if seen.outcome == AttemptOutcome::WrongShard {
                     *rejections.entry(seen.id.clone()).or_default() += 1;
                 }
                 self.drain_late += u64::from(
@@ -688,7 +694,7 @@
                 );
             }
         }
-        self.duplicates = cluster.stage.duplicates();
+        self.duplicates = cluster.local_fleet.duplicates();
         self.misdirected = rejections.len() as u64;
         self.second_misdirected = rejections.values().filter(|n| **n > 1).count() as u64;
         self.misdirected_share = self.misdirected as f64 / self.tally.requests.max(1) as f64;
--- a/crates/extent-map-drill/tests/golden.rs
+++ b/crates/extent-map-drill/tests/golden.rs
@@ -2,14 +2,14 @@
 
 use lupinrack_extent_map_drill::Figures;
 use lupinrack_golden_files::{check_text, path};
-use mock_servers::load::Tally;
+use mock_servers::load::RequestCounts;
 
 #[test]
 fn the_results_of_a_run_keep_their_json() {
     let figures = Figures {
         strategy: "versioned",
         seed: 1,
-        tally: Tally {
+        tally: RequestCounts {
             requests: 2,
             served: 3,
             refused: 4,
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -1,17 +1,17 @@
-//! What happened, on one clock: the wall clock in microseconds, which all processes of this machine read alike. Each entry is
-//! stamped where it happened.
+//! The history of a run on one clock: the wall clock in microseconds, which all processes of the machine share. Each entry has
+//! the timestamp of the process in which it occurred.
 
 use serde_json::Value;
 use std::sync::{Mutex, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Entries that are kept.
-const MOST: usize = 400_000;
+/// The most entries that are kept. Later ones are dropped.
+const MAX_ENTRIES: usize = 400_000;
 
-/// A moment, in microseconds of Unix time.
+/// A point in time, in microseconds of Unix time.
 pub type Moment = u64;
 
-/// The moment now.
+/// The current time.
 pub fn now() -> Moment {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -19,60 +19,60 @@
         .as_micros() as u64
 }
 
-/// What a process said of its fleet.
+/// A log line of a process about its fleet.
 #[derive(Clone, Debug)]
-pub struct Note {
-    /// Whose process.
+pub struct LogRecord {
+    /// The front that the process belongs to.
     pub front: u16,
-    /// A second process under that name.
+    /// Whether it is a second process under the front's name.
     pub twin: bool,
-    /// Which line.
-    pub what: String,
-    /// Its fields.
+    /// The event: the log message without its prefix `fleet: `.
+    pub event: String,
+    /// The structured fields of the log line.
     pub fields: Value,
 }
 
-/// One entry.
+/// An entry of the history.
 #[derive(Clone, Debug)]
 pub enum Entry {
-    /// A process said something.
-    Said(Note),
-    /// The rig did something.
-    Did(String),
-    /// A process began to live, or ended, as the rig knows.
-    Lives(u16, bool, bool),
+    /// A process logged an event.
+    Logged(LogRecord),
+    /// The harness carried out an act of the script, or began the load.
+    Acted(String),
+    /// A process started or ended: its front, whether it is a second process under that name, and whether it runs now.
+    Running(u16, bool, bool),
 }
 
-/// All of it.
+/// All entries of a run, in the order in which they were recorded.
 #[derive(Default)]
 pub struct History(Mutex<Vec<(Moment, Entry)>>);
 
 impl History {
-    fn put(&self, at: Moment, entry: Entry) {
+    fn push(&self, at: Moment, entry: Entry) {
         let mut all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if all.len() < MOST {
+        if all.len() < MAX_ENTRIES {
             all.push((at, entry));
         }
     }
 
-    /// A process said something; its own stamp counts, where the line has one.
-    pub fn note(&self, note: Note) {
-        let at = note.fields["unix_us"].as_u64().unwrap_or_else(now);
-        self.put(at, Entry::Said(note));
+    /// Records a log line, with the line's own timestamp if it has one.
+    pub fn record_log(&self, record: LogRecord) {
+        let at = record.fields["unix_us"].as_u64().unwrap_or_else(now);
+        self.push(at, Entry::Logged(record));
     }
 
-    /// The rig does something.
-    pub fn did(&self, what: String) {
-        self.put(now(), Entry::Did(what));
+    /// Records an act of the harness.
+    pub fn record_act(&self, act: String) {
+        self.push(now(), Entry::Acted(act));
     }
 
-    /// A process (a twin of it) lives from now on, or no longer.
-    pub fn lives(&self, front: u16, twin: bool, lives: bool) {
-        self.put(now(), Entry::Lives(front, twin, lives));
+    /// Records that a front's process, or its second process, started or ended.
+    pub fn record_running(&self, front: u16, twin: bool, running: bool) {
+        self.push(now(), Entry::Running(front, twin, running));
     }
 
-    /// All entries in the order of their moments.
-    pub fn all(&self) -> Vec<(Moment, Entry)> {
+    /// All entries, ordered by time.
+    pub fn entries(&self) -> Vec<(Moment, Entry)> {
         let mut all = self
             .0
             .lock()
@@ -82,31 +82,31 @@
         all
     }
 
-    /// The last entries, a line each.
-    pub fn last(&self, most: usize) -> String {
-        let all = self.all();
+    /// The last entries as text, one per line. Times are relative to the last entry. Quota updates (`rights`) are left out.
+    pub fn tail(&self, max_lines: usize) -> String {
+        let all = self.entries();
         let Some((end, _)) = all.last() else {
             return String::new();
         };
         let line = |(at, entry): &(Moment, Entry)| {
-            let what = match entry {
-                Entry::Said(n) => {
-                    let twin = if n.twin { "'" } else { "" };
-                    format!("n{}{twin} {} {}", n.front, n.what, n.fields)
+            let text = match entry {
+                Entry::Logged(record) => {
+                    let twin = if record.twin { "'" } else { "" };
+                    format!("n{}{twin} {} {}", record.front, record.event, record.fields)
                 }
-                Entry::Did(what) => format!("rig: {what}"),
-                Entry::Lives(front, twin, lives) => {
+                Entry::Acted(act) => format!("harness: {act}"),
+                Entry::Running(front, twin, running) => {
                     format!(
                         "n{front}{} {}",
                         if *twin { "'" } else { "" },
-                        if *lives { "lives" } else { "ended" }
+                        if *running { "running" } else { "ended" }
                     )
                 }
             };
-            format!("{:>9.3} s  {what}\n", (*at as f64 - *end as f64) / 1e6)
+            format!("{:>9.3} s  {text}\n", (*at as f64 - *end as f64) / 1e6)
         };
-        let quiet = |e: &&(Moment, Entry)| !matches!(&e.1, Entry::Said(n) if n.what == "rights");
-        let lines: Vec<String> = all.iter().filter(quiet).map(line).collect();
-        lines[lines.len().saturating_sub(most)..].concat()
+        let is_shown = |e: &&(Moment, Entry)| !matches!(&e.1, Entry::Logged(record) if record.event == "rights");
+        let lines: Vec<String> = all.iter().filter(is_shown).map(line).collect();
+        lines[lines.len().saturating_sub(max_lines)..].concat()
     }
 }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,49 +1,49 @@
-//! The rig: real processes of the program on loopback with a fault relay between them, stand-ins for what surrounds them, a
-//! history on one clock, and the checkers that all drills share. A drill is a crate of its own. It ends all that it started, by id, however
-//! it ends itself.
+//! Test harness for drills: real processes of the program on loopback, a relay between them that injects faults, mock servers
+//! for everything else that they talk to, a history on one clock, and the checks that all drills share. Each drill is a
+//! crate of its own. The harness kills every process that it started, by its ID, even if it is killed itself.
 #![warn(missing_docs)]
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub)]
 
 pub mod checks;
+pub mod harness;
 pub mod history;
+pub mod local_fleet;
 pub mod process;
 pub mod relay;
-pub mod rig;
+pub mod run_record;
 pub mod script;
-pub mod stage;
-pub mod witness;
 
 pub use checks::Verdict;
+pub use harness::{play, Plan, PlayedScript};
 pub use history::{History, Moment};
-pub use rig::{play, Plan, Played};
 pub use script::{Act, Script};
 
-/// Why the rig could not play.
+/// Why a script could not be played.
 #[derive(Debug, thiserror::Error)]
-pub enum RigError {
-    /// Something of the system's.
+pub enum HarnessError {
+    /// An operating system call failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// A process did not come up; its log's last lines follow.
-    #[error("front {front} did not come up: {why}\n{log}")]
+    /// A process did not start. The message ends with the last lines of its log.
+    #[error("front {front} did not start: {why}\n{log}")]
     Start {
-        /// Which.
+        /// The front's number.
         front: u16,
-        /// Why.
+        /// The reason.
         why: String,
-        /// What it said.
+        /// The last lines of its log.
         log: String,
     },
-    /// A process did not end in order; its log's last lines follow.
-    #[error("a front ended with {status}\n{log}")]
+    /// A process did not shut down gracefully. The message ends with the last lines of its log.
+    #[error("a front did not shut down gracefully; its exit status is {status}\n{log}")]
     End {
-        /// How it ended.
+        /// Its exit status, if it has exited.
         status: String,
-        /// What it said.
+        /// The last lines of its log.
         log: String,
     },
-    /// A script that cannot be played.
+    /// The script is invalid.
     #[error("script: {0}")]
     Script(String),
 }
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -1,7 +1,7 @@
-//! Processes of the program: started with files of their own, stopped, continued and ended by their id.
+//! Processes of the program. Each is started with configuration files of its own and is signalled by its process ID.
 
-use crate::history::{History, Note};
-use crate::RigError;
+use crate::history::{History, LogRecord};
+use crate::HarnessError;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use serde_json::Value;
@@ -17,20 +17,21 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Lines of a process's log that are kept for a failure.
-const LOG_KEPT: usize = 200;
-/// How long a process may take until it listens.
-const COMES_UP: Duration = Duration::from_secs(20);
+/// Log lines of a process that are kept for the error message.
+const MAX_LOG_LINES: usize = 200;
+/// How long a process may take until it listens on all its addresses.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Ends what was started even where the rig itself is killed: a shell that waits for the rig's end of a pipe.
+/// Kills the processes that the harness started even if the harness itself is killed. It is a shell that reads process IDs
+/// from a pipe and kills the remaining ones when the pipe closes.
 pub struct Guard {
     child: std::process::Child,
 }
 
 impl Guard {
-    /// A guard that knows of nothing yet.
+    /// Starts the shell, with no process to guard yet.
     pub fn new() -> std::io::Result<Guard> {
-        // Lines "+ID" and "-ID"; at the end of its input it ends what is left.
+        // Lines "+ID" and "-ID" add and remove a process. At the end of its input the shell kills the remaining ones.
         let script = "p=''; while read l; do case $l in +*) p=\"$p ${l#+}\";; \
                       -*) q=''; for i in $p; do [ $i = ${l#-} ] || q=\"$q $i\"; done; p=$q;; esac; done; \
                       [ -z \"$p\" ] || kill -9 $p 2>/dev/null";
@@ -43,7 +44,7 @@
         Ok(Guard { child })
     }
 
-    fn say(&mut self, line: String) {
+    fn send_line(&mut self, line: String) {
         if let Some(input) = &mut self.child.stdin {
             let _ = input
                 .write_all(line.as_bytes())
@@ -59,86 +60,86 @@
     }
 }
 
-/// Where a process listens.
+/// The addresses on which a process listens.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Listens {
-    /// Clients.
+pub struct ListenAddresses {
+    /// For clients.
     pub clients: Option<SocketAddr>,
-    /// Operators.
-    pub door: Option<SocketAddr>,
-    /// Other fronts.
+    /// For operators: the management address.
+    pub management: Option<SocketAddr>,
+    /// For other fronts.
     pub fleet: Option<SocketAddr>,
 }
 
-impl Listens {
-    fn whole(&self, fleet: bool) -> bool {
-        self.clients.is_some() && self.door.is_some() && (self.fleet.is_some() || !fleet)
+impl ListenAddresses {
+    fn complete(&self, fleet: bool) -> bool {
+        self.clients.is_some() && self.management.is_some() && (self.fleet.is_some() || !fleet)
     }
 }
 
 /// A process of the program.
 pub struct Process {
-    /// Its id.
+    /// The process ID.
     pub id: u32,
-    /// Where it listens.
-    pub listens: Listens,
+    /// The addresses on which it listens.
+    pub addresses: ListenAddresses,
     child: Child,
     guard: Arc<Mutex<Guard>>,
     log: Arc<Mutex<VecDeque<String>>>,
 }
 
-/// What a process is started from.
-pub struct Start<'a> {
-    /// The program.
+/// How a process is started.
+pub struct StartOptions<'a> {
+    /// The program's path.
     pub program: &'a Path,
-    /// A folder of its own.
+    /// The process's own folder.
     pub folder: PathBuf,
-    /// The platform's configuration.
+    /// The platform's configuration file.
     pub config: Value,
-    /// The operators' file.
+    /// The text of the operators' file.
     pub operator: String,
-    /// Whose process it is, for the history.
+    /// The front that it belongs to, for the history.
     pub front: u16,
-    /// A second process under the name of another.
+    /// Whether it is a second process under the front's name, for the history.
     pub twin: bool,
-    /// A listening socket that it inherits, as its configuration names it.
+    /// A listening socket that it inherits. Its configuration has the socket's address.
     pub socket: Option<std::os::fd::OwnedFd>,
 }
 
 impl Process {
-    /// Starts a process and waits until it listens everywhere; `fleet`: to other fronts too.
+    /// Starts a process and waits until it listens for clients and operators, and for other fronts if `fleet` is true.
     pub async fn start(
-        start: Start<'_>,
+        options: StartOptions<'_>,
         guard: Arc<Mutex<Guard>>,
         history: Arc<History>,
         fleet: bool,
-    ) -> Result<Process, RigError> {
-        let tmp = start.folder.join("tmp");
+    ) -> Result<Process, HarnessError> {
+        let tmp = options.folder.join("tmp");
         std::fs::create_dir_all(&tmp)?;
         let (config, operator) = (
-            start.folder.join("config.json"),
-            start.folder.join("operator.toml"),
+            options.folder.join("config.json"),
+            options.folder.join("operator.toml"),
         );
-        std::fs::write(&config, start.config.to_string())?;
-        std::fs::write(&operator, &start.operator)?;
-        // Whoever asks for a log of their own gets it, beside the lines that the rig lives by.
-        let wanted = std::env::var("LUPINRACK_LOG").ok();
-        let own = wanted
+        std::fs::write(&config, options.config.to_string())?;
+        std::fs::write(&operator, &options.operator)?;
+        // A log filter from the environment comes before the lines that the harness needs.
+        let requested_filter = std::env::var("LUPINRACK_LOG").ok();
+        let filter_prefix = requested_filter
             .as_deref()
-            .map(|w| format!("{w},"))
+            .map(|filter| format!("{filter},"))
             .unwrap_or_default();
-        let filter = format!("{own}info,lupinrack_fleet_driver=debug");
-        let mut command = match start.socket {
+        let filter = format!("{filter_prefix}info,lupinrack_fleet_driver=debug");
+        let mut command = match options.socket {
             Some(socket) => {
                 let mut shell = Command::new("/bin/sh");
                 shell
                     .args(["-c", "exec \"$0\" \"$@\" 7<&0 </dev/null"])
-                    .arg(start.program);
+                    .arg(options.program);
                 shell.env("LB_INHERITED_FD", "7").stdin(Stdio::from(socket));
                 shell
             }
             None => {
-                let mut program = Command::new(start.program);
+                let mut program = Command::new(options.program);
                 program.env_remove("LB_INHERITED_FD").stdin(Stdio::null());
                 program
             }
@@ -160,52 +161,52 @@
         guard
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .say(format!("+{id}\n"));
+            .send_line(format!("+{id}\n"));
         let log = Arc::new(Mutex::new(VecDeque::new()));
-        let (tell, mut told) = watch::channel(Listens::default());
+        let (address_sender, mut address_receiver) = watch::channel(ListenAddresses::default());
         if let Some(lines) = child.stderr.take() {
-            let follows = Follows {
+            let log_reader = LogReader {
                 log: log.clone(),
-                tell,
+                address_sender,
                 history,
-                front: start.front,
-                twin: start.twin,
+                front: options.front,
+                twin: options.twin,
             };
-            tokio::spawn(follows.lines(lines, wanted.is_some()));
+            tokio::spawn(log_reader.read_lines(lines, requested_filter.is_some()));
         }
-        let came = timeout(COMES_UP, async {
+        let started = timeout(STARTUP_TIMEOUT, async {
             loop {
-                if told.borrow_and_update().whole(fleet) {
+                if address_receiver.borrow_and_update().complete(fleet) {
                     return Ok(());
                 }
                 tokio::select! {
-                    changed = told.changed() => if changed.is_err() { return Err("its log ended".to_string()) },
-                    ended = child.wait() => return Err(format!("it ended: {ended:?}")),
+                    changed = address_receiver.changed() => if changed.is_err() { return Err("its log ended".to_string()) },
+                    ended = child.wait() => return Err(format!("it exited: {ended:?}")),
                 }
             }
         });
-        let came = came
+        let started = started
             .await
             .unwrap_or_else(|_| Err("it did not listen in time".into()));
-        let listens = *told.borrow();
+        let addresses = *address_receiver.borrow();
         let process = Process {
             id,
-            listens,
+            addresses,
             child,
             guard,
             log,
         };
-        match came {
+        match started {
             Ok(()) => Ok(process),
-            Err(why) => Err(RigError::Start {
-                front: start.front,
+            Err(why) => Err(HarnessError::Start {
+                front: options.front,
                 why,
-                log: process.said(),
+                log: process.log_tail(),
             }),
         }
     }
 
-    /// Processor time so far, as the kernel counts it (in hundredths of a second).
+    /// CPU time used so far, in milliseconds. The kernel counts it in hundredths of a second.
     pub fn cpu_ms(&self) -> Option<f64> {
         let text = std::fs::read_to_string(format!("/proc/{}/stat", self.id)).ok()?;
         let mut fields = text.rsplit_once(')')?.1.split_whitespace().skip(11);
@@ -214,27 +215,27 @@
         Some((user + system) * 10.0)
     }
 
-    /// The last lines of its log.
-    pub fn said(&self) -> String {
+    /// The last lines of the process's log.
+    pub fn log_tail(&self) -> String {
         let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
-        log.iter().map(|l| format!("    {l}\n")).collect()
+        log.iter().map(|line| format!("    {line}\n")).collect()
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         if self.id != 0 {
             let _ = kill(Pid::from_raw(self.id as i32), signal);
         }
     }
 
-    /// Kills it outright and waits until it is gone.
+    /// Kills the process and waits until it has exited.
     pub async fn kill(mut self) {
         let _ = self.child.kill().await;
     }
 
-    /// Waits for its own end.
-    pub async fn ended(&mut self, patience: Duration) -> Option<std::process::ExitStatus> {
-        timeout(patience, self.child.wait()).await.ok()?.ok()
+    /// Waits until the process exits by itself. Returns `None` after `limit`.
+    pub async fn wait_for_exit(&mut self, limit: Duration) -> Option<std::process::ExitStatus> {
+        timeout(limit, self.child.wait()).await.ok()?.ok()
     }
 }
 
@@ -244,24 +245,24 @@
         self.guard
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .say(format!("-{}\n", self.id));
+            .send_line(format!("-{}\n", self.id));
     }
 }
 
-/// Reads a process's log: where it listens, and what it says of its fleet.
-struct Follows {
+/// Reads a process's log for its listen addresses and its fleet events.
+struct LogReader {
     log: Arc<Mutex<VecDeque<String>>>,
-    tell: watch::Sender<Listens>,
+    address_sender: watch::Sender<ListenAddresses>,
     history: Arc<History>,
     front: u16,
     twin: bool,
 }
 
-impl Follows {
-    async fn lines(self, lines: tokio::process::ChildStderr, echo: bool) {
-        let Follows {
+impl LogReader {
+    async fn read_lines(self, lines: tokio::process::ChildStderr, echo: bool) {
+        let LogReader {
             log,
-            tell,
+            address_sender,
             history,
             front,
             twin,
@@ -281,23 +282,23 @@
             };
             if let Some((_, at)) = message.split_once(" listens on ") {
                 let at = at.split(',').next().and_then(|a| a.parse().ok());
-                tell.send_modify(|l| l.clients = at);
+                address_sender.send_modify(|addresses| addresses.clients = at);
             } else if message.starts_with("management on ") {
-                tell.send_modify(|l| l.door = address(message));
+                address_sender.send_modify(|addresses| addresses.management = address(message));
             } else if message == "fleet: begins" {
                 let at = fields["listen"].as_str().and_then(|a| a.parse().ok());
-                tell.send_modify(|l| l.fleet = at);
+                address_sender.send_modify(|addresses| addresses.fleet = at);
             }
-            if let Some(what) = message.strip_prefix("fleet: ") {
-                history.note(Note {
+            if let Some(event) = message.strip_prefix("fleet: ") {
+                history.record_log(LogRecord {
                     front,
                     twin,
-                    what: what.to_string(),
+                    event: event.to_string(),
                     fields: fields.clone(),
                 });
             }
             let mut log = log.lock().unwrap_or_else(PoisonError::into_inner);
-            if log.len() >= LOG_KEPT {
+            if log.len() >= MAX_LOG_LINES {
                 log.pop_front();
             }
             log.push_back(line);
--- a/crates/fault-injection/src/script.rs
+++ b/crates/fault-injection/src/script.rs
@@ -1,165 +1,166 @@
-//! What happens when: a script is data, printed where a run fails and played again from a file.
+//! Scripts: timed acts that the harness carries out. A script is data. It is printed when a run fails and can be played again
+//! from a file.
 
 use crate::relay::Fault;
 use serde::{Deserialize, Serialize};
 
-/// Something that the rig does.
+/// An act that the harness carries out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "do")]
 pub enum Act {
-    /// A process is killed outright.
+    /// Kills a front's process with SIGKILL.
     Kill {
-        /// Whose.
+        /// The front.
         front: u16,
     },
-    /// It is started again under its name, with nothing kept.
+    /// Starts a front's process again under its name, without any state.
     Start {
-        /// Whose.
+        /// The front.
         front: u16,
     },
-    /// It is stopped where it stands.
+    /// Pauses a front's process with SIGSTOP.
     Stop {
-        /// Whose.
+        /// The front.
         front: u16,
     },
-    /// It goes on.
+    /// Resumes a paused process with SIGCONT.
     Cont {
-        /// Whose.
+        /// The front.
         front: u16,
     },
-    /// It is told to end.
+    /// Sends SIGTERM to a front's process.
     Term {
-        /// Whose.
+        /// The front.
         front: u16,
     },
-    /// A newer process of it starts beside it, in the same `$TMPDIR`, and the older one is told to end.
+    /// Starts a newer process of a front beside the older one, with the same `$TMPDIR`, and sends SIGTERM to the older one.
     Upgrade {
-        /// Whose.
+        /// The front.
         front: u16,
     },
-    /// A second process under its name, at another address.
+    /// Starts a second process under a front's name, at another address.
     Twin {
-        /// Whose.
+        /// The front.
         front: u16,
     },
-    /// The second process is killed.
+    /// Kills the second process.
     NoTwin {
-        /// Whose.
+        /// The front.
         front: u16,
     },
-    /// One directed path gets this fault.
+    /// Sets the faults of a directed path.
     Path {
-        /// From whom.
+        /// The sending front.
         from: u16,
-        /// To whom.
+        /// The receiving front.
         to: u16,
-        /// What it does from now on.
+        /// The faults from now on.
         fault: Fault,
     },
-    /// Every path between fronts gets this fault; cuts stay.
+    /// Sets the faults of every path between fronts, apart from cuts.
     Net {
-        /// What they do from now on.
+        /// The faults from now on.
         fault: Fault,
     },
-    /// Fronts of different groups don't hear each other; one that is in none hears nobody.
+    /// Partitions the fronts. Only fronts of the same group reach each other; a front in no group reaches none.
     Split {
-        /// The groups.
+        /// The groups of fronts.
         groups: Vec<Vec<u16>>,
     },
-    /// A front hears all and is heard by none.
+    /// Cuts all paths from a front. It still receives from all others.
     Mute {
-        /// Which.
+        /// The front.
         front: u16,
     },
-    /// No path between fronts is cut any more.
+    /// Restores all cut paths between fronts.
     Heal,
-    /// A front's ways to nodes are cut, or joined again.
+    /// Cuts or restores a front's connections to the nodes.
     Nodes {
-        /// Whose.
+        /// The front.
         front: u16,
-        /// Whether they are cut.
+        /// Whether they are cut from now on.
         cut: bool,
     },
-    /// A front's way to discovery is cut, or joined again.
+    /// Cuts or restores a front's connection to discovery.
     Discovery {
-        /// Whose.
+        /// The front.
         front: u16,
-        /// Whether it is cut.
+        /// Whether it is cut from now on.
         cut: bool,
     },
-    /// Datagrams are kept from now on, or no longer.
+    /// Starts or stops recording datagrams for replay.
     Keep {
-        /// Whether.
+        /// Whether datagrams are recorded from now on.
         on: bool,
     },
-    /// What was kept is played again.
+    /// Replays the recorded datagrams.
     Again,
-    /// From its next start on a front's file has these keys.
+    /// Sets the keys in a front's configuration from its next start on.
     Keys {
-        /// Whose; none: all.
+        /// The front, or all fronts if none is given.
         front: Option<u16>,
         /// The keys.
         keys: Vec<String>,
     },
-    /// From its next start on a front's file lacks this member.
+    /// Omits a member from a front's configuration from its next start on.
     Forgets {
-        /// Whose.
+        /// The front.
         front: u16,
-        /// Whom it lacks.
+        /// The member that is omitted.
         member: u16,
     },
-    /// A warm node hangs: it takes connections and requests, and answers nothing; or no longer.
+    /// Makes a warmed-up node hang, or ends the hang. A hung node accepts connections and requests and answers nothing.
     Hang {
-        /// Which, from 0 on.
+        /// The node's index, from 0.
         node: u16,
         /// Whether it hangs from now on.
         on: bool,
     },
-    /// A cold node starts, and is listed.
+    /// Starts a warming-up node and lists it in discovery.
     Cold,
-    /// A volume works through another front from now on, in place of one that is dead.
+    /// Lets a volume's clients use another front, in place of one that is dead.
     Joins {
-        /// Which volume.
+        /// The volume.
         volume: u16,
-        /// Which front.
+        /// The front.
         front: u16,
     },
 }
 
-/// What a script is played on, and what happens in it.
+/// A script: the setup of a run, and the acts in it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Script {
-    /// Its name.
+    /// The script's name.
     pub name: String,
-    /// The seed of all chances.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// Fronts.
+    /// Number of fronts.
     pub fronts: u16,
-    /// Seconds of load, from when all are ready.
+    /// Duration of the load in seconds. It begins when all fronts are ready.
     pub seconds: f64,
-    /// Through how many fronts each volume works.
+    /// Number of fronts that the clients of each volume use.
     pub hosts: u16,
-    /// Volumes at their limits.
+    /// Number of volumes whose load exceeds their limit.
     pub volumes: u16,
-    /// Keys of all files at first.
+    /// The keys in every front's initial configuration.
     #[serde(default)]
     pub keys: Vec<String>,
-    /// What happens, at milliseconds from the first load on.
+    /// The acts, with their times in milliseconds since the load began.
     pub acts: Vec<(u64, Act)>,
-    /// Fronts know of each other. Otherwise their parts are told once, at the start.
+    /// Whether the fronts form a fleet. Otherwise each gets its share of the limits once, at the start.
     #[serde(default = "yes")]
     pub fleet: bool,
-    /// No front is started before the script says so.
+    /// Whether fronts start only when the script starts them.
     #[serde(default)]
     pub late: bool,
-    /// Faults planted to show that the drill finds them: each front is told that it is the only one, so that it takes the
-    /// whole of everything for its part, and nodes do not remember which writes ran.
+    /// Injects faults that the drill has to detect: each front is configured as the only one and thus takes all limits for
+    /// itself, and nodes do not remember which keyed writes ran.
     #[serde(default)]
     pub spoilt: bool,
-    /// Each warm node holds a shard of its own, not two of them one.
+    /// Whether each warmed-up node holds a shard of its own. Otherwise two nodes hold each shard.
     #[serde(default)]
     pub apart: bool,
-    /// What stands in each front's operators' file beside `[fleet]`.
+    /// Further sections of each front's operators' file, after `[fleet]`.
     #[serde(default)]
     pub sections: String,
 }
@@ -168,13 +169,13 @@
     true
 }
 
-/// A key for tests and drills.
+/// A key for tests and drills: the byte `n` in hexadecimal, 32 times.
 pub fn key(n: u8) -> String {
     format!("{n:02x}").repeat(32)
 }
 
 impl Script {
-    /// A script without any fault.
+    /// A script without acts.
     pub fn new(name: &str, seed: u64, fronts: u16, seconds: f64) -> Script {
         Script {
             name: name.into(),
@@ -193,23 +194,23 @@
         }
     }
 
-    /// The same with one thing more.
+    /// Adds an act at `ms` milliseconds after the load began.
     pub fn at(mut self, ms: u64, act: Act) -> Script {
         self.acts.push((ms, act));
         self
     }
 
-    /// Which fronts a volume works through.
-    pub fn set(&self, volume: u16) -> Vec<u16> {
+    /// The fronts that a volume's clients use.
+    pub fn fronts_of(&self, volume: u16) -> Vec<u16> {
         let hosts = self.hosts.clamp(1, self.fronts);
-        // Spread round the fleet, so that sets overlap.
+        // The sets of different volumes overlap.
         let first = usize::from(volume) * 2 % usize::from(self.fronts);
         (0..hosts)
             .map(|k| ((first + usize::from(k)) % usize::from(self.fronts)) as u16)
             .collect()
     }
 
-    /// Its faults as a file has them.
+    /// Checks the limits of a script that was read from a file.
     pub fn check(&self) -> Result<(), String> {
         if !(1..=64).contains(&self.fronts) {
             return Err("1 to 64 fronts".into());
@@ -220,9 +221,9 @@
         if !(1..=256).contains(&self.volumes) {
             return Err("1 to 256 volumes".into());
         }
-        let known = |f: &u16| *f < self.fronts;
+        let exists = |f: &u16| *f < self.fronts;
         for (_, act) in &self.acts {
-            let named: Vec<u16> = match act {
+            let named_fronts: Vec<u16> = match act {
                 Act::Kill { front }
                 | Act::Start { front }
                 | Act::Stop { front }
@@ -246,8 +247,8 @@
                 | Act::Cold
                 | Act::Hang { .. } => Vec::new(),
             };
-            if !named.iter().all(known) {
-                return Err(format!("{act:?} names a front that is not there"));
+            if !named_fronts.iter().all(exists) {
+                return Err(format!("{act:?} names a front that does not exist"));
             }
         }
         Ok(())
--- a/crates/fault-injection/tests/golden.rs
+++ b/crates/fault-injection/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden files of scripts: a drill prints one where a promise is broken, and plays it again from a file.
+//! Golden file of scripts. A drill prints a script when a guarantee is violated, and can play it again from a file.
 
 use lupinrack_fault_injection::relay::Fault;
 use lupinrack_fault_injection::{Act, Script};
@@ -15,7 +15,7 @@
     }
 }
 
-/// Everything that a rig can do, once.
+/// Every act once.
 fn acts() -> Vec<Act> {
     vec![
         Act::Kill { front: 1 },
@@ -70,8 +70,8 @@
     ]
 }
 
-/// Fails to compile where an act is added, so that it is added above too.
-fn known(act: &Act) {
+/// Fails to compile when an act is added, so that it is also added to `acts`.
+fn assert_listed(act: &Act) {
     match act {
         Act::Kill { .. }
         | Act::Start { .. }
@@ -116,18 +116,21 @@
 }
 
 #[test]
-fn scripts_keep_their_form() {
-    acts().iter().for_each(known);
-    let kept = check_text(
+fn scripts_keep_their_json_form() {
+    acts().iter().for_each(assert_listed);
+    let golden_text = check_text(
         path!("script.json"),
         &(serde_json::to_string_pretty(&script()).unwrap() + "\n"),
     );
-    assert_eq!(serde_json::from_str::<Script>(&kept).unwrap(), script());
+    assert_eq!(
+        serde_json::from_str::<Script>(&golden_text).unwrap(),
+        script()
+    );
 }
 
-/// Scripts of earlier versions lack what came later.
+/// Scripts of earlier versions lack the fields that were added later.
 #[test]
-fn short_scripts_are_read() {
+fn scripts_without_later_fields_are_read() {
     let text = r#"{"name": "short", "seed": 1, "fronts": 3, "seconds": 8.0, "hosts": 3, "volumes": 4,
         "acts": [[100, {"do": "net", "fault": {"loss": 0.5}}], [200, {"do": "heal"}]]}"#;
     let fault = Fault {
--- a/crates/fleet-membership-drill/src/check.rs
+++ b/crates/fleet-membership-drill/src/check.rs
@@ -1,13 +1,13 @@
 //! The checkers: what was promised against what was seen, written apart from the program's code. They know the processes'
-//! lines, the nodes' notes and the rig's own deeds, and nothing of the machines.
+//! lines, the nodes' notes and the harness's own deeds, and nothing of the machines.
 
 use lupinrack_fault_injection::checks::{
-    cold, duplicates, limits, lost, quantile, said, Verdict, Wellness,
+    cold, duplicates, limits, log_records, lost, quantile, FaultTimeline, Verdict,
 };
 use lupinrack_fault_injection::history::{Entry, Moment};
-use lupinrack_fault_injection::witness::{Seen, Witness, LIMIT};
+use lupinrack_fault_injection::run_record::{NodeAttempt, RunRecord, LIMIT};
 use lupinrack_fault_injection::{Act, Script};
-use mock_servers::load::Came;
+use mock_servers::load::RequestOutcome;
 use serde::Serialize;
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -83,30 +83,32 @@
     }
 
     /// Puts all that was seen against what was promised.
-    pub fn of(script: &Script, witness: Witness) -> Figures {
-        let Witness {
+    pub fn of(script: &Script, run_record: RunRecord) -> Figures {
+        let RunRecord {
             span,
             history,
-            deeds,
+            injected_acts,
             seen,
             done,
             sent,
             processes,
             cpu_ms,
-        } = witness;
-        let (history, deeds, seen, done) = (&history[..], &deeds[..], &seen[..], &done[..]);
-        let count = |of: fn(&Act) -> bool| deeds.iter().filter(|(_, a)| of(a)).count() as u64;
+        } = run_record;
+        let (history, injected_acts, seen, done) =
+            (&history[..], &injected_acts[..], &seen[..], &done[..]);
+        let count =
+            |of: fn(&Act) -> bool| injected_acts.iter().filter(|(_, a)| of(a)).count() as u64;
         let seconds = (span.end - span.start).max(1) as f64 / 1e6;
-        let well = Wellness::new(script, deeds);
+        let well = FaultTimeline::new(script, injected_acts);
         let mut broken = Vec::new();
         let (views, view_conflicts) = views(history, &mut broken);
-        let parts_sum_max = parts(script, history, deeds, &mut broken);
+        let parts_sum_max = parts(script, history, injected_acts, &mut broken);
         let limit_broken = limits(seen, &mut broken);
         let (cold_over, cold_most) = cold(seen, &mut broken);
         let lost = lost(done, &well, &mut broken);
         let duplicates = duplicates(seen, &mut broken);
         let false_deaths = deaths(history, &well).len() as u64;
-        let (detect, agree) = detection(script, history, deeds, &well);
+        let (detect, agree) = detection(script, history, injected_acts, &well);
         let per_front = |n: u64| n as f64 / sent.len().max(1) as f64 / seconds;
         Figures {
             script: script.name.clone(),
@@ -117,7 +119,10 @@
             partitions: count(|a| matches!(a, Act::Split { .. } | Act::Mute { .. }))
                 + count(|a| matches!(a, Act::Path { fault, .. } if fault.cut)),
             requests: done.len() as u64,
-            served: done.iter().filter(|(_, c)| *c == Came::Served).count() as u64,
+            served: done
+                .iter()
+                .filter(|(_, c)| *c == RequestOutcome::Served)
+                .count() as u64,
             views,
             view_conflicts,
             limit_broken,
@@ -143,7 +148,7 @@
 /// Numbers of views, and numbers under which two lists were accepted.
 pub fn views(history: &[(Moment, Entry)], broken: &mut Vec<String>) -> (u64, u64) {
     let mut lists: BTreeMap<String, HashSet<String>> = BTreeMap::new();
-    for (_, n) in said(history, "view") {
+    for (_, n) in log_records(history, "view") {
         let text = |name: &str| n.fields[name].as_str().unwrap_or("").to_string();
         lists
             .entry(text("view"))
@@ -205,7 +210,7 @@
 pub fn parts(
     script: &Script,
     history: &[(Moment, Entry)],
-    deeds: &[(Moment, Act)],
+    injected_acts: &[(Moment, Act)],
     broken: &mut Vec<String>,
 ) -> f64 {
     let mut held: HashMap<(u16, bool), Holds> = HashMap::new();
@@ -213,10 +218,10 @@
     let n = f64::from(script.fronts);
     for (at, entry) in history {
         match entry {
-            Entry::Said(note) if note.what == "rights" => {
+            Entry::Logged(note) if note.event == "rights" => {
                 held.insert((note.front, note.twin), Holds::read(&note.fields));
             }
-            Entry::Lives(front, twin, false) => drop(held.remove(&(*front, *twin))),
+            Entry::Running(front, twin, false) => drop(held.remove(&(*front, *twin))),
             _ => continue,
         }
         let of = |front: u16, volume: Option<u64>| -> f64 {
@@ -229,17 +234,14 @@
         let cold: f64 = (0..script.fronts).map(|f| of(f, None) / n).sum();
         let mut worst = (cold, "cold budgets".to_string());
         for volume in 0..script.volumes {
-            let mut set = script.set(volume);
+            let mut set = script.fronts_of(volume);
             let hosts = set.len() as f64;
-            set.extend(
-                deeds
-                    .iter()
-                    .filter(|(t, _)| t <= at)
-                    .filter_map(|(_, act)| match act {
-                        Act::Joins { volume: v, front } if *v == volume => Some(*front),
-                        _ => None,
-                    }),
-            );
+            set.extend(injected_acts.iter().filter(|(t, _)| t <= at).filter_map(
+                |(_, act)| match act {
+                    Act::Joins { volume: v, front } if *v == volume => Some(*front),
+                    _ => None,
+                },
+            ));
             let id = u64::from(volume) + 1;
             let sum: f64 = set.iter().map(|f| of(*f, Some(id)) / hosts).sum();
             if sum > worst.0 {
@@ -259,12 +261,12 @@
 }
 
 /// Moments at which a well front was held for dead by a well one; once in 5 s for each.
-pub fn deaths(history: &[(Moment, Entry)], well: &Wellness) -> Vec<(Moment, u16, u16)> {
+pub fn deaths(history: &[(Moment, Entry)], well: &FaultTimeline) -> Vec<(Moment, u16, u16)> {
     let mut last: HashMap<u16, Moment> = HashMap::new();
-    said(history, "member")
+    log_records(history, "member")
         .filter(|(_, n)| n.fields["to"] == "dead")
         .filter_map(|(at, n)| Some((at, n.front, index(&n.fields["front"])?)))
-        .filter(|(at, by, of)| well.well(*of, *at) && well.well(*by, *at))
+        .filter(|(at, by, of)| well.is_healthy(*of, *at) && well.is_healthy(*by, *at))
         .filter(|(at, _, of)| last.insert(*of, *at).is_none_or(|t| at - t > 5_000_000))
         .collect()
 }
@@ -273,31 +275,32 @@
 fn detection(
     script: &Script,
     history: &[(Moment, Entry)],
-    deeds: &[(Moment, Act)],
-    well: &Wellness,
+    injected_acts: &[(Moment, Act)],
+    well: &FaultTimeline,
 ) -> (Vec<f64>, Vec<f64>) {
     let (mut detect, mut agree) = (Vec::new(), Vec::new());
-    for (at, act) in deeds {
+    for (at, act) in injected_acts {
         let (Act::Kill { front } | Act::Stop { front }) = act else {
             continue;
         };
         // Until it is back.
-        let back = deeds.iter().find(|(t, a)| {
+        let back = injected_acts.iter().find(|(t, a)| {
             t > at && matches!(a, Act::Start { front: f } | Act::Cont { front: f } if f == front)
         });
         let back = back.map_or(Moment::MAX, |(t, _)| *t);
         let name = format!("n{front}");
-        let first = said(history, "member").find(|(t, n)| {
+        let first = log_records(history, "member").find(|(t, n)| {
             t > at && *t < back && n.fields["to"] == "dead" && n.fields["front"] == name.as_str()
         });
         let Some((first, _)) = first else { continue };
         detect.push((first - at) as f64 / 1000.0);
-        if !well.majority(first) {
+        if !well.majority_running(first) {
             continue;
         }
-        let others = (0..script.fronts).filter(|f| f != front && well.well(*f, first + 1_000_000));
+        let others =
+            (0..script.fronts).filter(|f| f != front && well.is_healthy(*f, first + 1_000_000));
         for other in others {
-            let without = said(history, "view").find(|(t, n)| {
+            let without = log_records(history, "view").find(|(t, n)| {
                 let members = n.fields["members"].as_str().unwrap_or("");
                 n.front == other && *t > *at && *t < back && !members.split(' ').any(|m| m == name)
             });
@@ -310,7 +313,7 @@
 }
 
 /// Of what the limits allow over the span, the share that did not run.
-fn idle(script: &Script, seen: &[Seen], span: &Range<Moment>) -> f64 {
+fn idle(script: &Script, seen: &[NodeAttempt], span: &Range<Moment>) -> f64 {
     let allowed = LIMIT.0 * (span.end - span.start) as f64 / 1e6 * f64::from(script.volumes);
     let ran: f64 = seen
         .iter()
--- a/crates/fleet-membership-drill/src/lib.rs
+++ b/crates/fleet-membership-drill/src/lib.rs
@@ -1,4 +1,4 @@
-//! The drill of the membership: scripts of its hard cases, the checkers of what only it promises, and its table of figures. The rig
+//! The drill of the membership: scripts of its hard cases, the checkers of what only it promises, and its table of figures. The harness
 //! plays it.
 #![warn(missing_docs)]
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
@@ -8,7 +8,7 @@
 pub mod check;
 
 pub use check::Figures;
-use lupinrack_fault_injection::{rig, History, Plan, RigError};
+use lupinrack_fault_injection::{harness, HarnessError, History, Plan};
 use std::sync::Arc;
 
 /// What came of a script.
@@ -20,11 +20,11 @@
 }
 
 /// Plays a script and checks it.
-pub async fn play(plan: Plan) -> Result<Played, RigError> {
+pub async fn play(plan: Plan) -> Result<Played, HarnessError> {
     let script = plan.script.clone();
-    let played = rig::play(plan).await?;
+    let played = harness::play(plan).await?;
     Ok(Played {
-        figures: Figures::of(&script, played.witness),
+        figures: Figures::of(&script, played.run_record),
         history: played.history,
     })
 }
--- a/crates/fleet-membership-drill/tests/check.rs
+++ b/crates/fleet-membership-drill/tests/check.rs
@@ -1,21 +1,21 @@
 //! Each checker finds the fault that is planted for it, and nothing where there is none.
 
-use lupinrack_fault_injection::checks::{cold, duplicates, limits, lost, Wellness};
-use lupinrack_fault_injection::history::{Entry, Note};
-use lupinrack_fault_injection::witness::{Asked, Seen};
+use lupinrack_fault_injection::checks::{cold, duplicates, limits, lost, FaultTimeline};
+use lupinrack_fault_injection::history::{Entry, LogRecord};
+use lupinrack_fault_injection::run_record::{NodeAttempt, SentRequest};
 use lupinrack_fault_injection::{Act, Script};
 use lupinrack_fleet_membership_drill::check::{deaths, parts, views};
-use mock_servers::load::Came;
+use mock_servers::load::RequestOutcome;
 use serde_json::{json, Value};
 use std::sync::atomic::{AtomicU64, Ordering};
 
 const S: u64 = 1_000_000;
 
 fn said(front: u16, what: &str, fields: Value) -> Entry {
-    Entry::Said(Note {
+    Entry::Logged(LogRecord {
         front,
         twin: false,
-        what: what.into(),
+        event: what.into(),
         fields,
     })
 }
@@ -24,11 +24,11 @@
     json!({"until_unix_us": until, "reserve": 0.15, "cold": cold, "factors": factors})
 }
 
-fn ran(at: u64, node: usize, volume: u64, units: u32) -> Seen {
+fn ran(at: u64, node: usize, volume: u64, units: u32) -> NodeAttempt {
     // Each its own request.
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let id = NEXT.fetch_add(1, Ordering::Relaxed).to_string();
-    Seen {
+    NodeAttempt {
         at,
         node,
         cold: None,
@@ -85,7 +85,7 @@
 fn a_newcomer_that_uses_its_even_part_beside_those_who_share_out_a_dead_ones() {
     let mut script = Script::new("x", 1, 4, 1.0);
     (script.hosts, script.volumes) = (3, 1);
-    let deeds = [(
+    let injected_acts = [(
         2 * S,
         Act::Joins {
             volume: 0,
@@ -98,15 +98,15 @@
     let mut careful = rights(9 * S, 1.0, "");
     careful["rest"] = json!(0.15);
     history.push((3 * S, said(3, "rights", careful)));
-    assert!(parts(&script, &history, &deeds, &mut Vec::new()) <= 1.0 + 1e-9);
+    assert!(parts(&script, &history, &injected_acts, &mut Vec::new()) <= 1.0 + 1e-9);
     history.push((4 * S, said(3, "rights", rights(9 * S, 1.0, ""))));
-    assert!(parts(&script, &history, &deeds, &mut Vec::new()) > 1.2);
+    assert!(parts(&script, &history, &injected_acts, &mut Vec::new()) > 1.2);
 }
 
 #[test]
 fn a_limit_that_is_passed() {
     // 40 units a second after a first 46 at once.
-    let mut seen: Vec<Seen> = (0..11).map(|_| ran(S, 0, 1, 4)).collect();
+    let mut seen: Vec<NodeAttempt> = (0..11).map(|_| ran(S, 0, 1, 4)).collect();
     seen.extend((1..100).map(|i| ran(S + i * 100_000, 0, 1, 4)));
     let mut broken = Vec::new();
     assert_eq!((limits(&seen, &mut broken), broken.len()), (0, 0));
@@ -118,8 +118,8 @@
         "at whichever nodes"
     );
     // A request draws once, whatever became of its first attempt; another one draws for itself.
-    let mut one: Vec<Seen> = (0..3)
-        .map(|i| Seen {
+    let mut one: Vec<NodeAttempt> = (0..3)
+        .map(|i| NodeAttempt {
             id: "one".into(),
             ..ran(S, i, 1, 16)
         })
@@ -133,15 +133,15 @@
 
 #[test]
 fn a_cold_node_that_is_pushed_over() {
-    let on = |at: u64| Seen {
+    let on = |at: u64| NodeAttempt {
         cold: Some(S),
         ..ran(at, 5, 0, 4)
     };
     let mut broken = Vec::new();
-    let seen: Vec<Seen> = (0..25).map(|i| on(S + i * 28_000)).collect();
+    let seen: Vec<NodeAttempt> = (0..25).map(|i| on(S + i * 28_000)).collect();
     let (over, most) = cold(&seen, &mut broken);
     assert!(over == 0 && most > 0.5 && most <= 1.0, "{over} {most}");
-    let seen: Vec<Seen> = (0..60).map(|i| on(S + i * 15_000)).collect();
+    let seen: Vec<NodeAttempt> = (0..60).map(|i| on(S + i * 15_000)).collect();
     let (over, most) = cold(&seen, &mut broken);
     assert!(
         over > 0 && most > 1.0 && !broken.is_empty(),
@@ -151,12 +151,12 @@
 
 #[test]
 fn a_write_that_runs_twice_and_a_request_without_an_answer() {
-    let write = |node: usize| Seen {
+    let write = |node: usize| NodeAttempt {
         key: Some("k".into()),
         ..ran(S, node, 10_000, 1)
     };
     let mut broken = Vec::new();
-    let dropped = Seen {
+    let dropped = NodeAttempt {
         dropped: true,
         ..write(1)
     };
@@ -166,7 +166,7 @@
         "the node dropped the repeat"
     );
     assert_eq!(duplicates(&[write(1), write(2)], &mut broken), 1);
-    let late = Seen {
+    let late = NodeAttempt {
         at: 9 * S,
         ..write(1)
     };
@@ -176,9 +176,9 @@
         "past the window, at the same node"
     );
     let script = Script::new("x", 1, 3, 20.0);
-    let deeds = [(10 * S, Act::Kill { front: 1 })];
-    let well = Wellness::new(&script, &deeds);
-    let ask = |front: u16, at: u64| Asked {
+    let injected_acts = [(10 * S, Act::Kill { front: 1 })];
+    let well = FaultTimeline::new(&script, &injected_acts);
+    let ask = |front: u16, at: u64| SentRequest {
         at,
         front,
         volume: 1,
@@ -186,7 +186,7 @@
         limited: true,
         writes: false,
     };
-    let done = |front, at| (ask(front, at), Came::Lost);
+    let done = |front, at| (ask(front, at), RequestOutcome::Lost);
     assert_eq!(
         lost(&[done(1, 9 * S)], &well, &mut broken),
         0,
@@ -201,8 +201,8 @@
 #[test]
 fn a_front_held_for_dead_while_it_is_well() {
     let script = Script::new("x", 1, 5, 30.0);
-    let deeds = [(10 * S, Act::Mute { front: 1 }), (20 * S, Act::Heal)];
-    let well = Wellness::new(&script, &deeds);
+    let injected_acts = [(10 * S, Act::Mute { front: 1 }), (20 * S, Act::Heal)];
+    let well = FaultTimeline::new(&script, &injected_acts);
     let dead = |at: u64, by: u16, of: u16| {
         (
             at,
--- a/crates/fleet-simulation/src/experiment.rs
+++ b/crates/fleet-simulation/src/experiment.rs
@@ -1,6 +1,6 @@
-//! Experiments: a file says what is played at which sizes; seeds run side by side.
+//! Experiments: a file describes the runs and their sizes. Seeds run in parallel.
 
-use crate::world::{Net, Outcome, World};
+use crate::simulation::{NetworkModel, Outcome, Simulation};
 use lupinrack_fault_injection::relay::Fault;
 use lupinrack_fault_injection::{Act, Script};
 use lupinrack_fleet_membership::config::Section;
@@ -12,52 +12,52 @@
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::sync::Mutex;
 
-/// The most fronts of a world.
-const FRONTS_MOST: u16 = 1024;
+/// The most fronts of a run.
+const MAX_FRONTS: u16 = 1024;
 
-/// Why an experiment cannot be played.
+/// Why an experiment cannot run.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
-    /// Its file.
+    /// The file is not a valid experiment in TOML.
     #[error("experiment: {0}")]
     Form(#[from] toml::de::Error),
-    /// What it says.
+    /// A value is out of range, or an override is malformed.
     #[error("experiment: {0}")]
     Content(String),
 }
 
-/// An experiment as its file has it. Lists are swept: each value with each other.
+/// An experiment, as read from its file. It runs all combinations of the values in lists.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Experiment {
-    /// Its name.
+    /// The experiment's name.
     pub name: String,
-    /// A case of the rig, played as it stands; `fronts`, `kill` and the like then count for nothing. Or `chance`: faults by chance,
-    /// for `fronts` and `seconds`.
+    /// A case of the fleet drill to play unchanged, in which case `fronts`, `kill` and similar settings have no effect. Or
+    /// `chance`: random faults, for `fronts` and `seconds`.
     pub case: Option<String>,
-    /// Fronts.
+    /// Numbers of fronts.
     pub fronts: Vec<u16>,
-    /// Shares of datagrams lost.
+    /// Shares of datagrams that are lost.
     pub loss: Vec<f64>,
-    /// Seconds after the fleet came up.
+    /// Duration in seconds, from when the fleet is up.
     pub seconds: f64,
-    /// The share of the fronts that is killed.
+    /// The share of fronts that are killed.
     pub kill: f64,
-    /// Within how many milliseconds.
+    /// Within how many milliseconds they are killed.
     pub kill_within_ms: u64,
-    /// At which second.
+    /// At which second the first is killed.
     pub kill_at: f64,
-    /// They are back after so many seconds; 0: never.
+    /// After how many seconds killed fronts start again; 0 means never.
     pub back_after: f64,
-    /// Another share is stopped at the same time, and goes on after 5 s.
+    /// The share of fronts that are paused at the same time, for 5 s.
     pub stop: f64,
-    /// Seeds, from 1 on.
+    /// Number of seeds, which count from 1.
     pub seeds: u64,
-    /// Settings of the section `[fleet]` that differ from its defaults.
+    /// Settings of the section `[fleet]` that override its defaults.
     pub fleet: toml::Table,
-    /// The median of a datagram's way, in milliseconds.
+    /// Median network delay of a datagram, in milliseconds.
     pub way_ms: f64,
-    /// By how much clocks run fast or slow, in millionths.
+    /// Largest clock drift of a front, in parts per million.
     pub drift_ppm: f64,
 }
 
@@ -82,94 +82,98 @@
     }
 }
 
-/// Of one figure over the seeds.
+/// Distribution of a figure over the seeds.
 #[derive(Clone, Copy, Debug, Default, Serialize, PartialEq)]
 pub struct Spread {
     /// The median.
     pub median: f64,
-    /// The least.
+    /// The smallest value.
     pub least: f64,
-    /// The most.
+    /// The largest value.
     pub most: f64,
 }
 
 impl Spread {
-    /// Of these values.
+    /// The distribution of these values; all 0 if there are none.
     pub fn of(values: impl Iterator<Item = f64>) -> Spread {
         let mut all: Vec<f64> = values.collect();
         all.sort_by(f64::total_cmp);
-        let at = |i: usize| all.get(i).copied().unwrap_or(0.0);
+        let value_at = |i: usize| all.get(i).copied().unwrap_or(0.0);
         Spread {
-            median: at(all.len() / 2),
-            least: at(0),
-            most: at(all.len().saturating_sub(1)),
+            median: value_at(all.len() / 2),
+            least: value_at(0),
+            most: value_at(all.len().saturating_sub(1)),
         }
     }
 }
 
-/// One point of an experiment: a size, a loss, all seeds.
+/// One point of an experiment: a number of fronts and a loss rate, over all seeds.
 #[derive(Clone, Debug, Serialize)]
 pub struct Point {
-    /// Fronts.
+    /// Number of fronts.
     pub fronts: u16,
-    /// The share lost.
+    /// The share of datagrams lost.
     pub loss: f64,
-    /// Each run.
+    /// The outcome of each run.
     pub runs: Vec<Outcome>,
-    /// Figures over the seeds, by name.
+    /// The distribution of each figure over the seeds, by name.
     pub spread: Vec<(&'static str, Spread)>,
 }
 
 impl Point {
-    /// Whether every promise held in every run.
-    pub fn kept(&self) -> bool {
+    /// Whether every guarantee held in every run.
+    pub fn guarantees_held(&self) -> bool {
         self.runs
             .iter()
-            .all(|r| r.view_conflicts == 0 && r.parts_sum_max <= 1.0 + 1e-6)
+            .all(|run| run.view_conflicts == 0 && run.parts_sum_max <= 1.0 + 1e-6)
     }
 }
 
 type Figure = (&'static str, fn(&Outcome) -> f64);
 
-/// The figures that are put together over seeds.
+/// The figures that are aggregated over the seeds, by name.
 pub const FIGURES: &[Figure] = &[
-    ("detect_ms_p50", |o| o.detect_ms_p50),
-    ("detect_ms_p99", |o| o.detect_ms_p99),
-    ("agree_ms_p99", |o| o.agree_ms_p99),
-    ("false_deaths", |o| o.false_deaths as f64),
-    ("unnoticed", |o| o.unnoticed as f64),
-    ("views", |o| o.views as f64),
-    ("view_conflicts", |o| o.view_conflicts as f64),
-    ("parts_sum_max", |o| o.parts_sum_max),
-    ("idle_share", |o| o.idle_share),
-    ("settled_ms", |o| o.settled_ms.unwrap_or(f64::INFINITY)),
-    ("datagrams_per_front_s", |o| o.datagrams_per_front_s),
-    ("datagrams_most_s", |o| o.datagrams_most_s),
-    ("bytes_per_front_s", |o| o.bytes_per_front_s),
+    ("detect_ms_p50", |outcome| outcome.detect_ms_p50),
+    ("detect_ms_p99", |outcome| outcome.detect_ms_p99),
+    ("agree_ms_p99", |outcome| outcome.agree_ms_p99),
+    ("false_deaths", |outcome| outcome.false_deaths as f64),
+    ("unnoticed", |outcome| outcome.unnoticed as f64),
+    ("views", |outcome| outcome.views as f64),
+    ("view_conflicts", |outcome| outcome.view_conflicts as f64),
+    ("parts_sum_max", |outcome| outcome.parts_sum_max),
+    ("idle_share", |outcome| outcome.idle_share),
+    ("settled_ms", |outcome| {
+        outcome.settled_ms.unwrap_or(f64::INFINITY)
+    }),
+    ("datagrams_per_front_s", |outcome| {
+        outcome.datagrams_per_front_s
+    }),
+    ("datagrams_most_s", |outcome| outcome.datagrams_most_s),
+    ("bytes_per_front_s", |outcome| outcome.bytes_per_front_s),
 ];
 
 impl Experiment {
-    /// Reads a file's text, with settings `key=value` put over it.
+    /// Parses the text of an experiment's file and applies overrides of the form `key=value`.
     pub fn parse(text: &str, set: &[String]) -> Result<Experiment, ExperimentError> {
         let mut table: toml::Table = toml::from_str(text)?;
         for pair in set {
-            let wrong = || {
+            let invalid = || {
                 ExperimentError::Content(format!("--set {pair}: KEY=VALUE, where VALUE is TOML"))
             };
-            let (key, value) = pair.split_once('=').ok_or_else(wrong)?;
+            let (key, value) = pair.split_once('=').ok_or_else(invalid)?;
             let value: toml::Table =
-                toml::from_str(&format!("v = {value}")).map_err(|_| wrong())?;
-            let mut at = &mut table;
+                toml::from_str(&format!("v = {value}")).map_err(|_| invalid())?;
+            let mut inner_table = &mut table;
             let mut parts = key.split('.').peekable();
             while let Some(part) = parts.next() {
                 if parts.peek().is_none() {
-                    at.insert(part.into(), value.get("v").cloned().ok_or_else(wrong)?);
+                    inner_table.insert(part.into(), value.get("v").cloned().ok_or_else(invalid)?);
                     break;
                 }
-                let inner = at
+                let inner = inner_table
                     .entry(part)
                     .or_insert_with(|| toml::Value::Table(toml::Table::new()));
-                at = inner.as_table_mut().ok_or_else(wrong)?;
+                inner_table = inner.as_table_mut().ok_or_else(invalid)?;
             }
         }
         let experiment: Experiment = toml::Value::Table(table).try_into()?;
@@ -178,10 +182,15 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        if self.fronts.is_empty() || self.fronts.iter().any(|n| !(2..=FRONTS_MOST).contains(n)) {
-            return Err(format!("fronts: each from 2 to {FRONTS_MOST}"));
+        if self.fronts.is_empty()
+            || self
+                .fronts
+                .iter()
+                .any(|count| !(2..=MAX_FRONTS).contains(count))
+        {
+            return Err(format!("fronts: each from 2 to {MAX_FRONTS}"));
         }
-        if self.loss.is_empty() || self.loss.iter().any(|l| !(0.0..1.0).contains(l)) {
+        if self.loss.is_empty() || self.loss.iter().any(|loss| !(0.0..1.0).contains(loss)) {
             return Err("loss: each from 0 to less than 1".into());
         }
         if !(0.0..=3600.0).contains(&self.seconds) || !(1..=10_000).contains(&self.seeds) {
@@ -196,7 +205,7 @@
         if self
             .case
             .as_ref()
-            .is_some_and(|c| c != "chance" && named(c).is_none())
+            .is_some_and(|case| case != "chance" && named(case).is_none())
         {
             return Err(format!(
                 "no such case: {}",
@@ -208,7 +217,7 @@
 
     fn section(&self) -> Result<Section, String> {
         let mut table = self.fleet.clone();
-        // Runs of large worlds need no keys; a plain sum is cheaper.
+        // Large simulated fleets need no keys; an unkeyed checksum is cheaper.
         table.remove("keys");
         toml::Value::Table(table)
             .try_into()
@@ -233,38 +242,39 @@
         script = script.at(0, Act::Net { fault });
         let mut all: Vec<u16> = (0..fronts).collect();
         all.shuffle(&mut StdRng::seed_from_u64(seed ^ 0x5eed));
-        let share = |part: f64| (f64::from(fronts) * part).round() as usize;
-        let at = (self.kill_at * 1000.0) as u64;
-        let (kills, stops) = (share(self.kill), share(self.stop));
+        let count = |share: f64| (f64::from(fronts) * share).round() as usize;
+        let kill_at_ms = (self.kill_at * 1000.0) as u64;
+        let (kills, stops) = (count(self.kill), count(self.stop));
         for (i, front) in all.iter().take(kills).enumerate() {
-            let when = at + self.kill_within_ms * i as u64 / kills.max(1) as u64;
-            script = script.at(when, Act::Kill { front: *front });
+            let when_ms = kill_at_ms + self.kill_within_ms * i as u64 / kills.max(1) as u64;
+            script = script.at(when_ms, Act::Kill { front: *front });
             if self.back_after > 0.0 {
                 script = script.at(
-                    when + (self.back_after * 1000.0) as u64,
+                    when_ms + (self.back_after * 1000.0) as u64,
                     Act::Start { front: *front },
                 );
             }
         }
         for front in all.iter().skip(kills).take(stops) {
             script = script
-                .at(at, Act::Stop { front: *front })
-                .at(at + 5_000, Act::Cont { front: *front });
+                .at(kill_at_ms, Act::Stop { front: *front })
+                .at(kill_at_ms + 5_000, Act::Cont { front: *front });
         }
         script
     }
 
-    /// Plays all of it, seeds side by side; tells after each run how many are done of how many.
+    /// Runs the experiment with seeds in parallel. Calls `progress` after each run with the number of completed and of all
+    /// runs.
     pub fn run(
         &self,
         threads: usize,
-        tell: impl Fn(usize, usize) + Sync,
+        progress: impl Fn(usize, usize) + Sync,
     ) -> Result<Vec<Point>, ExperimentError> {
         let section = self.section().map_err(ExperimentError::Content)?;
-        let net = Net {
+        let net = NetworkModel {
             median_us: self.way_ms * 1000.0,
             drift_ppm: self.drift_ppm,
-            ..Net::default()
+            ..NetworkModel::default()
         };
         let mut jobs = Vec::new();
         for fronts in &self.fronts {
@@ -277,16 +287,17 @@
         std::thread::scope(|scope| {
             for _ in 0..threads.max(1) {
                 scope.spawn(|| loop {
-                    let at = next.fetch_add(1, Relaxed);
-                    let Some((fronts, loss, seed)) = jobs.get(at).copied() else {
+                    let index = next.fetch_add(1, Relaxed);
+                    let Some((fronts, loss, seed)) = jobs.get(index).copied() else {
                         return;
                     };
                     let outcome =
-                        World::new(self.script(fronts, loss, seed), section.clone(), net).run();
+                        Simulation::new(self.script(fronts, loss, seed), section.clone(), net)
+                            .run();
                     if let Ok(mut all) = results.lock() {
-                        all[at] = Some(outcome);
+                        all[index] = Some(outcome);
                     }
-                    tell(done.fetch_add(1, Relaxed) + 1, jobs.len());
+                    progress(done.fetch_add(1, Relaxed) + 1, jobs.len());
                 });
             }
         });
@@ -294,14 +305,17 @@
         let mut points = Vec::new();
         for fronts in &self.fronts {
             for loss in &self.loss {
-                let mine = jobs
-                    .iter()
-                    .zip(&results)
-                    .filter(|((f, l, _), _)| f == fronts && l == loss);
-                let runs: Vec<Outcome> = mine.filter_map(|(_, r)| r.clone()).collect();
+                let of_point =
+                    jobs.iter()
+                        .zip(&results)
+                        .filter(|((job_fronts, job_loss, _), _)| {
+                            job_fronts == fronts && job_loss == loss
+                        });
+                let runs: Vec<Outcome> =
+                    of_point.filter_map(|(_, result)| result.clone()).collect();
                 let spread = FIGURES
                     .iter()
-                    .map(|(name, of)| (*name, Spread::of(runs.iter().map(of))))
+                    .map(|(name, figure)| (*name, Spread::of(runs.iter().map(figure))))
                     .collect();
                 points.push(Point {
                     fronts: *fronts,
--- a/crates/fleet-simulation/src/plot.rs
+++ b/crates/fleet-simulation/src/plot.rs
@@ -6,52 +6,60 @@
 /// Why a plot cannot be drawn.
 #[derive(Debug, thiserror::Error)]
 pub enum PlotError {
-    /// No such figure.
+    /// There is no figure of this name.
     #[error("no such figure: {0}; there are: parts, {1}")]
     Figure(String, String),
-    /// The drawing itself.
+    /// The drawing failed.
     #[error("plot: {0}")]
     Draw(String),
 }
 
 type Line = (String, Vec<(f64, f64)>);
 
-/// Draws one figure over the number of fronts, a line for each loss; or `parts`: what is in use over time, a line a point.
+/// Draws one figure over the number of fronts, with a line for each loss rate. The figure `parts` draws the sum of quota
+/// shares in use over time instead, with a line for each point.
 pub fn svg(points: &[Point], figure: &str, title: &str) -> Result<String, PlotError> {
-    let names: Vec<&str> = FIGURES.iter().map(|(n, _)| *n).collect();
+    let names: Vec<&str> = FIGURES.iter().map(|(name, _)| *name).collect();
     let mut lines: Vec<Line> = Vec::new();
     let over_time = figure == "parts";
     if over_time {
-        for p in points {
-            let Some(run) = p.runs.first() else { continue };
+        for point in points {
+            let Some(run) = point.runs.first() else {
+                continue;
+            };
             lines.push((
-                format!("{} fronts, loss {}", p.fronts, p.loss),
+                format!("{} fronts, loss {}", point.fronts, point.loss),
                 run.line.clone(),
             ));
         }
     } else if names.contains(&figure) {
-        let mut losses: Vec<f64> = points.iter().map(|p| p.loss).collect();
+        let mut losses: Vec<f64> = points.iter().map(|point| point.loss).collect();
         losses.dedup();
         losses.sort_by(f64::total_cmp);
         losses.dedup();
         for loss in losses {
-            let of = |p: &Point| {
-                p.spread
+            let median = |point: &Point| {
+                point
+                    .spread
                     .iter()
-                    .find(|(n, _)| *n == figure)
-                    .map(|(_, s)| s.median)
+                    .find(|(name, _)| *name == figure)
+                    .map(|(_, spread)| spread.median)
             };
-            let line = points.iter().filter(|p| p.loss == loss);
-            let line =
-                line.filter_map(|p| Some((f64::from(p.fronts), of(p).filter(|v| v.is_finite())?)));
+            let line = points.iter().filter(|point| point.loss == loss);
+            let line = line.filter_map(|point| {
+                Some((
+                    f64::from(point.fronts),
+                    median(point).filter(|v| v.is_finite())?,
+                ))
+            });
             lines.push((format!("loss {loss}"), line.collect()));
         }
     } else {
         return Err(PlotError::Figure(figure.into(), names.join(", ")));
     }
     let all = || lines.iter().flat_map(|(_, l)| l.iter().copied());
-    let x = all().map(|p| p.0).fold(1.0, f64::max);
-    let y = all().map(|p| p.1).fold(1e-9, f64::max) * 1.05;
+    let max_x = all().map(|point| point.0).fold(1.0, f64::max);
+    let max_y = all().map(|point| point.1).fold(1e-9, f64::max) * 1.05;
     let mut text = String::new();
     {
         let failed = |e: &dyn std::fmt::Display| PlotError::Draw(e.to_string());
@@ -62,7 +70,7 @@
             .margin(12)
             .x_label_area_size(36)
             .y_label_area_size(64)
-            .build_cartesian_2d(0.0..x, 0.0..y)
+            .build_cartesian_2d(0.0..max_x, 0.0..max_y)
             .map_err(|e| failed(&e))?;
         chart
             .configure_mesh()
--- a/crates/fleet-simulation/tests/golden.rs
+++ b/crates/fleet-simulation/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden files of the lab: an experiment's file, and `lupinrack lab run --json`.
+//! Golden files of the fleet simulation: an experiment's file, and the JSON output of its run.
 
 use lupinrack_fleet_simulation::experiment::FIGURES;
 use lupinrack_fleet_simulation::{Experiment, Outcome, Point, Spread};
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn points_keep_their_form() {
+fn points_keep_their_json_form() {
     let point = Point {
         fronts: 18,
         loss: 0.19,
@@ -49,9 +49,9 @@
     );
 }
 
-/// The names under which figures are put together over seeds, and which figure of a run each is.
+/// The names of the figures that are aggregated over seeds, and the field of the outcome that each one is.
 #[test]
-fn figures_over_seeds_keep_their_names() {
+fn aggregated_figures_keep_their_names() {
     let mut figures = GoldenFile::open(path!("figures.txt"));
     for (name, figure) in FIGURES {
         figures.add(*name, format!("{:?}", figure(&outcome(Some(11.5)))));
--- a/crates/lupinrack/src/commands/fleet/drill.rs
+++ b/crates/lupinrack/src/commands/fleet/drill.rs
@@ -111,7 +111,7 @@
         .map_err(|e| Ended::failed(format!("seed {}: {e}", script.seed)))?;
     let figures = &played.figures;
     if let Some(file) = &drill.history {
-        std::fs::write(file, played.history.last(usize::MAX)).map_err(Ended::failed)?;
+        std::fs::write(file, played.history.tail(usize::MAX)).map_err(Ended::failed)?;
     }
     match drill.json {
         true => println!("{}", serde_json::to_string(figures).map_err(Ended::failed)?),
@@ -124,7 +124,7 @@
             eprintln!(
                 "seed {}\nscript {script}\n{}",
                 figures.seed,
-                played.history.last(60)
+                played.history.tail(60)
             );
             Err(Ended::failed(broken.join("\n")))
         }
--- a/crates/lupinrack/src/commands/overload.rs
+++ b/crates/lupinrack/src/commands/overload.rs
@@ -96,7 +96,7 @@
         );
     }
     f.verdict().map_err(|broken| {
-        eprintln!("seed {seed}\n{}", played.history.last(60));
+        eprintln!("seed {seed}\n{}", played.history.tail(60));
         Ended::failed(broken.join("\n"))
     })
 }
--- a/crates/lupinrack/src/commands/simulate.rs
+++ b/crates/lupinrack/src/commands/simulate.rs
@@ -60,7 +60,7 @@
             } else {
                 print!("{}", table(&experiment, &points));
             }
-            match points.iter().all(Point::kept) {
+            match points.iter().all(Point::guarantees_held) {
                 true => Ok(()),
                 false => Err(Ended::failed(
                     "a promise was broken: view_conflicts must be 0, parts_sum_max at most 1",
--- a/crates/lupinrack/tests/allocations.rs
+++ b/crates/lupinrack/tests/allocations.rs
@@ -8,8 +8,8 @@
 use lupinrack_fleet_membership::config::{Peer, Section};
 use lupinrack_operator_config::OperatorConfig;
 use mock_servers::discovery::{Discovery, Entry};
-use mock_servers::load::{Ask, Came, Clients};
-use mock_servers::node::{Manner, Node};
+use mock_servers::load::{ClientRequest, Clients, RequestOutcome};
+use mock_servers::node::{Node, NodeConfig};
 use mock_servers::settings::configuration;
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
@@ -52,9 +52,9 @@
     let (phase, seen) = watch::channel(Phase::Ready);
     let (clients, fronts, held) = runtime.block_on(async {
         let node = Node::start(
-            Manner {
-                work: Duration::from_micros(200),
-                ..Manner::default()
+            NodeConfig {
+                mean_work: Duration::from_micros(200),
+                ..NodeConfig::default()
             },
             Default::default(),
         );
@@ -86,7 +86,7 @@
         (Clients::default(), fronts, (node, discovery, at))
     });
     let at = fronts[0].listen;
-    let ask = |number: u64| Ask {
+    let ask = |number: u64| ClientRequest {
         id: format!("{number:016x}"),
         class: "read",
         writes: false,
@@ -101,7 +101,10 @@
     let asks = |from: u64, to: u64| {
         runtime.block_on(async {
             for number in from..to {
-                assert_eq!(clients.ask(at, &ask(number)).await.0, Came::Served);
+                assert_eq!(
+                    clients.send(at, &ask(number)).await.0,
+                    RequestOutcome::Served
+                );
             }
         });
     };
--- a/crates/lupinrack/tests/crossings.rs
+++ b/crates/lupinrack/tests/crossings.rs
@@ -7,7 +7,7 @@
 use lupinrack::net::clock::UnixClockOffset;
 use lupinrack::net::discovery::NodeListWatcher;
 use lupinrack::net::shutdown::Phase;
-use mock_servers::scripted::{head, node_in_hand, reset};
+use mock_servers::scripted::{head, manual_node, reset};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -17,7 +17,7 @@
 const OK: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole";
 
 async fn front() -> (Fronts, mpsc::UnboundedReceiver<TcpStream>) {
-    let (address, taken) = node_in_hand().await;
+    let (address, taken) = manual_node().await;
     (start(address, address, "priority", 4_000).await, taken)
 }
 
@@ -305,7 +305,7 @@
 async fn a_list_that_is_cut_or_comes_after_its_time_changes_nothing() {
     let (address, _) = node(std::str::from_utf8(OK).unwrap()).await;
     let fronts = start(address, address, "priority", 4_000).await;
-    let (discovery, mut calls) = node_in_hand().await;
+    let (discovery, mut calls) = manual_node().await;
     let entry = format!(
         r#"{{"instanceId":"s-1","hostPort":"{address}","cell":0,"lifecycle":"SERVING","startedAtMs":0}}"#
     );
--- a/crates/lupinrack/tests/ending.rs
+++ b/crates/lupinrack/tests/ending.rs
@@ -4,8 +4,8 @@
 
 use common::front::{get, node, start};
 use lupinrack::net::shutdown::Phase;
-use lupinrack_fault_injection::stage::Stage;
-use mock_servers::node::Manner;
+use lupinrack_fault_injection::local_fleet::LocalFleet;
+use mock_servers::node::NodeConfig;
 use mock_servers::settings::configuration;
 use nix::sys::signal::Signal;
 use std::net::SocketAddr;
@@ -94,21 +94,21 @@
 
 #[tokio::test]
 async fn after_sigterm_what_is_sent_on_open_connections_is_answered_to_the_last() {
-    let mut stage = Stage::new(env!("CARGO_BIN_EXE_lupinrack").into())
+    let mut local_fleet = LocalFleet::new(env!("CARGO_BIN_EXE_lupinrack").into())
         .await
         .unwrap();
-    stage
-        .node(Manner {
+    local_fleet
+        .node(NodeConfig {
             slots: 64,
             queue: 512,
-            ..Manner::default()
+            ..NodeConfig::default()
         })
         .await
         .unwrap();
-    stage.list(0, "SERVING");
-    let config = configuration("ending", stage.discovery.address, 7, 1);
-    let mut front = stage.front(0, config, String::new()).await.unwrap();
-    let at: SocketAddr = front.listens.clients.unwrap();
+    local_fleet.list(0, "SERVING");
+    let config = configuration("ending", local_fleet.discovery.address, 7, 1);
+    let mut front = local_fleet.front(0, config, String::new()).await.unwrap();
+    let at: SocketAddr = front.addresses.clients.unwrap();
     let number = Arc::new(AtomicU32::new(1));
     let (tell, told) = watch::channel(None::<Instant>);
     let (over, ended) = watch::channel(false);
@@ -147,7 +147,7 @@
     tell.send_replace(Some(Instant::now()));
     front.signal(Signal::SIGTERM);
     let status = front
-        .ended(Duration::from_secs(30))
+        .wait_for_exit(Duration::from_secs(30))
         .await
         .expect("it ends by itself");
     over.send_replace(true);
--- a/crates/lupinrack/tests/extents.rs
+++ b/crates/lupinrack/tests/extents.rs
@@ -11,11 +11,11 @@
 use lupinrack_extent_map::{Action, Cache, Change, FetchResponse, Input, PollResponse, Version};
 use lupinrack_operator_config::OperatorConfig;
 use lupinrack_policy::{Key, NodeListKind, NodeState, Outcome, Request, Shard, VolumeId};
-use mock_servers::authority::{Authority, Truth};
+use mock_servers::authority::{Authority, GroundTruth};
 use mock_servers::discovery::{Discovery, Entry};
-use mock_servers::load::{Ask, Came, Clients};
-use mock_servers::node::{lock, Fate, Group, Manner, Node, Whereabouts};
-use mock_servers::rsync::until;
+use mock_servers::load::{ClientRequest, Clients, RequestOutcome};
+use mock_servers::node::{lock, AttemptOutcome, KeyedWrites, Node, NodeConfig, PlacementLookup};
+use mock_servers::rsync::wait_until;
 use mock_servers::settings::configuration;
 use std::process::Command;
 use std::sync::Arc;
@@ -278,20 +278,24 @@
 
 impl Room {
     async fn new() -> Room {
-        let mut truth = Truth::new(3);
+        let mut truth = GroundTruth::new(3);
         truth.put(7, 0, u64::MAX, 0);
         let authority = Arc::new(Authority::start(truth).await.unwrap());
         let mut nodes = Vec::new();
         for shard in 0..2 {
-            let truth = authority.truth.clone();
-            let whereabouts: Whereabouts =
-                Arc::new(move |volume, key| lock(&truth).lies(volume, key));
-            let manner = Manner {
+            let truth = authority.ground_truth.clone();
+            let placement_lookup: PlacementLookup =
+                Arc::new(move |volume, key| lock(&truth).placement(volume, key));
+            let node_config = NodeConfig {
                 shard,
-                whereabouts: Some(whereabouts),
-                ..Manner::default()
+                placement_lookup: Some(placement_lookup),
+                ..NodeConfig::default()
             };
-            nodes.push(Node::start(manner, Group::default()).await.unwrap());
+            nodes.push(
+                Node::start(node_config, KeyedWrites::default())
+                    .await
+                    .unwrap(),
+            );
         }
         let entry = |(i, n): (usize, &Node)| Entry {
             name: format!("s-{i}"),
@@ -328,8 +332,8 @@
         }
     }
 
-    async fn ask(&self, id: u32) -> Came {
-        let ask = Ask {
+    async fn ask(&self, id: u32) -> RequestOutcome {
+        let ask = ClientRequest {
             id: format!("{id:016x}"),
             class: "read",
             writes: false,
@@ -341,13 +345,13 @@
             hosts: 1,
             deadline: Duration::from_secs(2),
         };
-        self.clients.ask(self.front.listen, &ask).await.0
+        self.clients.send(self.front.listen, &ask).await.0
     }
 
-    fn fates(&self, shard: usize) -> Vec<Fate> {
-        lock(&self.nodes[shard].seen)
+    fn fates(&self, shard: usize) -> Vec<AttemptOutcome> {
+        lock(&self.nodes[shard].attempts)
             .iter()
-            .map(|s| s.fate)
+            .map(|s| s.outcome)
             .collect()
     }
 }
@@ -355,21 +359,21 @@
 #[tokio::test]
 async fn a_silent_authority_costs_what_moved_and_nothing_else() {
     let room = Room::new().await;
-    assert_eq!(room.ask(1).await, Came::Served);
+    assert_eq!(room.ask(1).await, RequestOutcome::Served);
     room.authority.silence(true);
     assert_eq!(
         room.ask(2).await,
-        Came::Served,
+        RequestOutcome::Served,
         "it goes on with what it had"
     );
     // Moved unheard: the node turns it away, nobody says where to, and the client hears that in time.
     room.authority.change(|t| t.put(7, 0, u64::MAX, 1));
-    assert_eq!(room.ask(3).await, Came::Refused);
+    assert_eq!(room.ask(3).await, RequestOutcome::Refused);
     assert!(room.fates(1).is_empty());
     room.authority.silence(false);
-    until(|| room.front.extents.borrow().changes > 0).await;
-    assert_eq!(room.ask(4).await, Came::Served);
-    assert_eq!(room.fates(1), [Fate::Ran]);
+    wait_until(|| room.front.extents.borrow().changes > 0).await;
+    assert_eq!(room.ask(4).await, RequestOutcome::Served);
+    assert_eq!(room.fates(1), [AttemptOutcome::Ran]);
     room.phase.send_replace(Phase::Closing);
     room.front.ended.await.unwrap().unwrap();
 }
@@ -380,16 +384,16 @@
     for n in 0..10 {
         room.authority.change(|t| t.put(7, 0, u64::MAX, n % 2));
     }
-    assert_eq!(room.ask(1).await, Came::Served);
+    assert_eq!(room.ask(1).await, RequestOutcome::Served);
     room.authority.change(|t| {
         t.restart(4);
         t.put(7, 0, u64::MAX, 0);
     });
-    until(|| room.front.extents.borrow().resets > 1).await;
-    assert_eq!(room.ask(2).await, Came::Served);
+    wait_until(|| room.front.extents.borrow().resets > 1).await;
+    assert_eq!(room.ask(2).await, RequestOutcome::Served);
     assert_eq!(
         (room.fates(0), room.fates(1)),
-        (vec![Fate::Ran], vec![Fate::Ran])
+        (vec![AttemptOutcome::Ran], vec![AttemptOutcome::Ran])
     );
 }
 
--- a/crates/lupinrack/tests/fleet.rs
+++ b/crates/lupinrack/tests/fleet.rs
@@ -32,7 +32,7 @@
     })
     .await
     .unwrap();
-    let last = format!("{text}\n{}", played.history.last(80));
+    let last = format!("{text}\n{}", played.history.tail(80));
     (played.figures, last)
 }
 
@@ -114,10 +114,10 @@
 /// What operators see of a fleet: three processes, their door and the command.
 #[tokio::test]
 async fn operators_see_each_member_at_the_door_and_by_the_command() {
-    use lupinrack_fault_injection::stage::Stage;
+    use lupinrack_fault_injection::local_fleet::LocalFleet;
     use mock_servers::settings::configuration;
     let program: std::path::PathBuf = env!("CARGO_BIN_EXE_lupinrack").into();
-    let stage = Stage::new(program.clone()).await.unwrap();
+    let local_fleet = LocalFleet::new(program.clone()).await.unwrap();
     let held: Vec<_> = (0..3)
         .map(|_| std::net::UdpSocket::bind("127.0.0.1:0").unwrap())
         .collect();
@@ -133,11 +133,11 @@
         .collect();
     let mut fronts = Vec::new();
     for i in 0..3_u16 {
-        let config = configuration(&format!("n{i}"), stage.discovery.address, 7, 3);
+        let config = configuration(&format!("n{i}"), local_fleet.discovery.address, 7, 3);
         let operator = format!("[fleet]\nenabled = true\nname = \"n{i}\"\n{SHORT}{members}");
-        fronts.push(stage.front(i, config, operator).await.unwrap());
+        fronts.push(local_fleet.front(i, config, operator).await.unwrap());
     }
-    let door = fronts[0].listens.door.unwrap().to_string();
+    let door = fronts[0].addresses.management.unwrap().to_string();
     let ls = |json: bool| {
         let mut command = std::process::Command::new(&program);
         command
@@ -170,6 +170,6 @@
         "{table}"
     );
     for front in fronts {
-        stage.end(front).await.unwrap();
+        local_fleet.end(front).await.unwrap();
     }
 }
--- a/crates/lupinrack/tests/gate.rs
+++ b/crates/lupinrack/tests/gate.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::front::{ask, get, node, start, Fronts, Heads, PLACES};
-use common::rsync::until;
+use common::rsync::wait_until;
 use lupinrack::net::client_stream::{ClientStream, RequestFraming, Stage};
 use lupinrack::net::shutdown::Phase;
 use quickcheck::{quickcheck, Arbitrary, Gen};
@@ -204,7 +204,7 @@
     let (fronts, heads) = front("").await;
     let http = fronts.http;
     let first = tokio::spawn(async move { ask(http, &get(1, "priority", 1, 4_000)).await });
-    until(|| heads.lock().unwrap().len() == 1).await;
+    wait_until(|| heads.lock().unwrap().len() == 1).await;
     assert!(ask(http, &get(1, "priority", 1, 4_000))
         .await
         .starts_with("HTTP/1.1 409"));
--- a/crates/lupinrack/tests/http.rs
+++ b/crates/lupinrack/tests/http.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::front::{ask, get, node, start, told, Fronts, Heads, PLACES};
-use common::rsync::until;
+use common::rsync::wait_until;
 use lupinrack::net::shutdown::{Phase, Plan};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -256,7 +256,7 @@
         .write_all(get(1, "priority", 1, 60_000).as_bytes())
         .await
         .unwrap();
-    until(|| heads.lock().unwrap().len() == 1).await;
+    wait_until(|| heads.lock().unwrap().len() == 1).await;
     drop(stream);
     // The front ends without waiting for the minute of a client that is gone.
     fronts.phase.send_replace(Phase::Closing);
@@ -273,7 +273,7 @@
     assert_eq!(status(&ask(fronts.http, ready).await), "200");
     let http = fronts.http;
     let early = tokio::spawn(async move { ask(http, &get(1, "priority", 1, 3_000)).await });
-    until(|| heads.lock().unwrap().len() == 1).await;
+    wait_until(|| heads.lock().unwrap().len() == 1).await;
     fronts.phase.send_replace(Phase::Ending);
     assert_eq!(status(&ask(fronts.http, ready).await), "503");
     // Connections still come, and are closed with their answer once the front is closing.
@@ -282,7 +282,7 @@
         .write_all(get(2, "priority", 1, 3_000).as_bytes())
         .await
         .unwrap();
-    until(|| heads.lock().unwrap().len() == 2).await;
+    wait_until(|| heads.lock().unwrap().len() == 2).await;
     fronts.phase.send_replace(Phase::Closing);
     let mut late = String::new();
     stream.read_to_string(&mut late).await.unwrap();
@@ -330,7 +330,7 @@
     let (fronts, heads) = front("").await;
     let http = fronts.http;
     let open = tokio::spawn(async move { ask(http, &put("60000m", "body")).await });
-    until(|| heads.lock().unwrap().len() == 1).await;
+    wait_until(|| heads.lock().unwrap().len() == 1).await;
     fronts.phase.send_replace(Phase::Over);
     let answer = timeout(Duration::from_secs(20), open)
         .await
--- a/crates/lupinrack/tests/overload.rs
+++ b/crates/lupinrack/tests/overload.rs
@@ -21,7 +21,7 @@
     if let Err(broken) = played.figures.verdict() {
         panic!(
             "{}\n{broken:#?}\n{:#?}",
-            played.history.last(80),
+            played.history.tail(80),
             played.figures
         );
     }
--- a/crates/lupinrack/tests/program.rs
+++ b/crates/lupinrack/tests/program.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::front::{ask, get, node, start, told, Fronts, SETTINGS};
-use common::rsync::until;
+use common::rsync::wait_until;
 use lupinrack::net::clock::UnixClockOffset;
 use lupinrack::net::config::{Config, Limits};
 use lupinrack::net::discovery::NodeListWatcher;
@@ -199,25 +199,25 @@
     // The cached list is empty: the node known so far is not in it.
     let known = serde_json::from_str(&list(41, true, "")).unwrap();
     tokio::spawn(watch.run(fronts.core.clone(), Some(known)));
-    until(|| calls.lock().unwrap().len() == 1).await;
+    wait_until(|| calls.lock().unwrap().len() == 1).await;
     assert_eq!(status(&fronts).await, "503");
     // A new node, told as a change.
     tell.send(list(43, false, &entry("s-1", address, "SERVING")))
         .unwrap();
-    until(|| calls.lock().unwrap().len() == 2).await;
+    wait_until(|| calls.lock().unwrap().len() == 2).await;
     assert_eq!(status(&fronts).await, "200");
     // A call that breaks and one that brings nothing new change nothing; the watch goes on.
     tell.send("break".into()).unwrap();
-    until(|| calls.lock().unwrap().len() == 3).await;
+    wait_until(|| calls.lock().unwrap().len() == 3).await;
     tell.send("nonsense".into()).unwrap();
-    until(|| calls.lock().unwrap().len() == 4).await;
+    wait_until(|| calls.lock().unwrap().len() == 4).await;
     tell.send(list(43, false, "")).unwrap();
-    until(|| calls.lock().unwrap().len() == 5).await;
+    wait_until(|| calls.lock().unwrap().len() == 5).await;
     assert_eq!(status(&fronts).await, "200");
     // A connection that falls silent costs the hold and little more, long before a held call of old would end.
     let began = tokio::time::Instant::now();
     tell.send("silence".into()).unwrap();
-    until(|| calls.lock().unwrap().len() == 6).await;
+    wait_until(|| calls.lock().unwrap().len() == 6).await;
     assert!(
         began.elapsed() < Duration::from_secs(12),
         "{:?}",
@@ -226,7 +226,7 @@
     // A whole list without it: it is gone. A lifecycle never heard of takes nothing new either.
     tell.send(list(50, true, &entry("s-2", address, "RESTING")))
         .unwrap();
-    until(|| calls.lock().unwrap().len() == 7).await;
+    wait_until(|| calls.lock().unwrap().len() == 7).await;
     let before = heads.lock().unwrap().len();
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     assert_eq!(status(&fronts).await, "503");
@@ -239,10 +239,10 @@
     // Discovery moves while a call is out: the watch goes on there, from the same version, nothing forgotten.
     let (at, calls, tell) = discovery().await;
     move_to.send_replace(at);
-    until(|| calls.lock().unwrap().len() == 1).await;
+    wait_until(|| calls.lock().unwrap().len() == 1).await;
     tell.send(list(51, false, &entry("s-1", address, "SERVING")))
         .unwrap();
-    until(|| calls.lock().unwrap().len() == 2).await;
+    wait_until(|| calls.lock().unwrap().len() == 2).await;
     assert_eq!(status(&fronts).await, "200");
     assert_eq!(versions(&calls), [50, 51]);
 }
@@ -303,7 +303,7 @@
     let (at, calls, tell) = discovery().await;
     std::fs::write(&config, configuration(at)).unwrap();
     signal("-HUP");
-    until(|| calls.lock().unwrap().len() == 1).await;
+    wait_until(|| calls.lock().unwrap().len() == 1).await;
     assert_eq!(versions(&calls)[0], 42);
     tell.send(list(43, false, "")).unwrap();
     let answer = ask(listen, &get(2, "priority", 1, 2_000)).await;
--- a/crates/lupinrack/tests/rsync.rs
+++ b/crates/lupinrack/tests/rsync.rs
@@ -29,20 +29,20 @@
 
 #[tokio::test]
 async fn a_pull_brings_every_file_whole() {
-    let server = server(two_files(), Server::Sound).await;
+    let server = server(two_files(), ServerBehavior::Sound).await;
     let fronts = with_rsync(&server, "priority", 10_000).await;
     let got = RsyncClient::pull(fronts.rsync, "trips/").await;
     assert_eq!((got.complete, &got.errors), (true, &vec![]));
-    assert!(got.whole == two_files(), "{got:?}");
+    assert!(got.complete_files == two_files(), "{got:?}");
     // One file, named in full, is listed by its last part.
     let got = RsyncClient::pull(fronts.rsync, "trips/a/two.csv").await;
     assert_eq!(got.listed, ["two.csv"]);
-    assert!(got.whole["two.csv"] == two_files()["a/two.csv"]);
+    assert!(got.complete_files["two.csv"] == two_files()["a/two.csv"]);
 }
 
 #[tokio::test]
 async fn modules_are_listed_and_what_is_not_served_is_named() {
-    let server = server(two_files(), Server::Sound).await;
+    let server = server(two_files(), ServerBehavior::Sound).await;
     let fronts = with_rsync(&server, "priority", 10_000).await;
     for (hello, answer) in [
         (
@@ -87,7 +87,7 @@
             .unwrap();
         c.run().await;
         assert_eq!(
-            (c.got.errors, c.got.complete),
+            (c.received.errors, c.received.complete),
             (vec![why.to_string()], false)
         );
     }
@@ -99,12 +99,12 @@
 
 #[tokio::test]
 async fn a_node_that_drains_halfway_finishes_what_is_in_hand_and_gets_nothing_new() {
-    let server = server(two_files(), Server::Sound).await;
+    let server = server(two_files(), ServerBehavior::Sound).await;
     server.hold.send_replace(true);
     let fronts = with_rsync(&server, "priority", 6_000).await;
     let pull = tokio::spawn(RsyncClient::pull(fronts.rsync, "trips/a/"));
     // Halfway through the first file, the node is told to drain.
-    until(|| sent(&server) >= 150_000 - 16_384).await;
+    wait_until(|| sent(&server) >= 150_000 - 16_384).await;
     fronts
         .node(NodeListKind::Changes, server.address, NodeState::Draining)
         .await;
@@ -116,11 +116,11 @@
         .unwrap()
         .unwrap();
     assert_eq!(
-        got.whole.keys().collect::<Vec<_>>(),
+        got.complete_files.keys().collect::<Vec<_>>(),
         ["one.csv"],
         "what was in hand came whole"
     );
-    assert!(got.whole["one.csv"] == two_files()["a/one.csv"]);
+    assert!(got.complete_files["one.csv"] == two_files()["a/one.csv"]);
     assert!(
         matches!(&got.errors[..], [e] if e.starts_with("@ERROR: two.csv: refused; come back in")),
         "{got:?}"
@@ -137,14 +137,14 @@
 #[tokio::test]
 async fn a_successor_takes_the_next_file_of_a_node_that_drained_halfway() {
     let (old, new) = (
-        server(two_files(), Server::Sound).await,
-        server(two_files(), Server::Sound).await,
+        server(two_files(), ServerBehavior::Sound).await,
+        server(two_files(), ServerBehavior::Sound).await,
     );
     old.hold.send_replace(true);
     let servers = [("n0", old.address), ("n1", new.address)];
     let fronts = start_with(old.address, &servers, "priority", 20_000).await;
     let pull = tokio::spawn(RsyncClient::pull(fronts.rsync, "trips/a/"));
-    until(|| sent(&old) >= 150_000 - 16_384).await;
+    wait_until(|| sent(&old) >= 150_000 - 16_384).await;
     let successor = NodeListing {
         name: "n1".into(),
         ..listing(new.address, NodeState::Ready)
@@ -158,7 +158,7 @@
         .unwrap()
         .unwrap();
     assert!(
-        got.complete && got.errors.is_empty() && got.whole.len() == 2,
+        got.complete && got.errors.is_empty() && got.complete_files.len() == 2,
         "{got:?}"
     );
     let asked = |s: &RsyncServer| {
@@ -185,7 +185,7 @@
     let files = [("big".to_string(), content(1_300_000, 3))]
         .into_iter()
         .collect();
-    let server = server(files, Server::Sound).await;
+    let server = server(files, ServerBehavior::Sound).await;
     let fronts = start(http, server.address, "basic", 60_000).await;
     let began = Instant::now();
     let pull = tokio::spawn(RsyncClient::pull(fronts.rsync, "trips/big"));
@@ -209,7 +209,7 @@
     let got = pull.await.unwrap();
     // Units as they moved: two for each read at its node, and the file's by the bytes passed on.
     let mut units: Vec<(Instant, f64)> = heads.lock().unwrap().iter().map(|h| (h.0, 2.0)).collect();
-    units.extend(got.parts.iter().map(|s| (s.0, s.1 as f64 / 16_384.0)));
+    units.extend(got.chunks.iter().map(|s| (s.0, s.1 as f64 / 16_384.0)));
     units.sort_by_key(|u| u.0);
     let (mut store, mut last) = (32.0_f64, began);
     for (at, n) in &units {
@@ -224,7 +224,7 @@
         "{served} reads served: the limit holds some back and not all"
     );
     assert_eq!(
-        got.whole.get("big").map(Vec::len),
+        got.complete_files.get("big").map(Vec::len),
         Some(1_300_000),
         "{:?}",
         got.errors
@@ -233,7 +233,7 @@
 
 #[tokio::test]
 async fn a_refusal_says_at_once_when_to_come_back() {
-    let server = server(two_files(), Server::Sound).await;
+    let server = server(two_files(), ServerBehavior::Sound).await;
     // A unit in five seconds, and none saved up: the limit has nothing to give within the class's aim.
     let fronts = with_rsync(&server, "tiny", 60_000).await;
     let began = Instant::now();
@@ -252,10 +252,10 @@
 #[tokio::test]
 async fn servers_that_fail_before_the_first_byte_end_in_one_clear_error() {
     for kind in [
-        Server::Silent,
-        Server::Full,
-        Server::Oversize,
-        Server::Garbage,
+        ServerBehavior::Silent,
+        ServerBehavior::Full,
+        ServerBehavior::Oversize,
+        ServerBehavior::Garbage,
     ] {
         let server = server(two_files(), kind).await;
         let fronts = with_rsync(&server, "priority", 700).await;
@@ -292,11 +292,14 @@
 
 #[tokio::test]
 async fn a_break_after_the_first_bytes_is_seen_as_not_whole_and_not_tried_again() {
-    for kind in [Server::Breaks, Server::WrongSum] {
+    for kind in [ServerBehavior::Breaks, ServerBehavior::WrongSum] {
         let server = server(two_files(), kind).await;
         let fronts = with_rsync(&server, "priority", 5_000).await;
         let got = RsyncClient::pull(fronts.rsync, "trips/a/one.csv").await;
-        assert!(got.whole.is_empty() && !got.complete, "{kind:?}: {got:?}");
+        assert!(
+            got.complete_files.is_empty() && !got.complete,
+            "{kind:?}: {got:?}"
+        );
         let one = "@ERROR: one.csv: broke off; what came is not whole";
         assert_eq!(got.errors, [one], "{kind:?}");
         let asked = server.seen.lock().unwrap().asked.len();
@@ -309,13 +312,13 @@
     let files = [("big".to_string(), content(16 << 20, 3))]
         .into_iter()
         .collect();
-    let server = server(files, Server::Sound).await;
+    let server = server(files, ServerBehavior::Sound).await;
     let fronts = with_rsync(&server, "priority", 3_000).await;
     let mut c = RsyncClient::open(fronts.rsync, "trips/big", "-vlogDtpre.iLsfxCIvu")
         .await
         .unwrap();
-    c.list().await.unwrap();
-    c.ask(0).await;
+    c.read_list().await.unwrap();
+    c.request_file(0).await;
     let taken = c.take(1 << 16).await;
     assert!(taken.is_some(), "it begins");
     sleep(Duration::from_millis(4_500)).await;
@@ -335,7 +338,7 @@
 
 #[tokio::test]
 async fn a_client_that_asks_for_nonsense_is_told_so() {
-    let server = server(two_files(), Server::Sound).await;
+    let server = server(two_files(), ServerBehavior::Sound).await;
     let fronts = with_rsync(&server, "priority", 5_000).await;
     let asks = [
         vec![99, 0, 700, 2, 0],
@@ -347,18 +350,18 @@
         let mut c = RsyncClient::open(fronts.rsync, "trips/a/", "-vlogDtpre.iLsfxCIvu")
             .await
             .unwrap();
-        c.list().await.unwrap();
+        c.read_list().await.unwrap();
         c.write(
             &ask.iter()
                 .flat_map(|n: &i32| n.to_le_bytes())
                 .collect::<Vec<u8>>(),
         )
         .await;
-        assert!(c.file().await.is_none(), "{ask:?}");
+        assert!(c.next_file().await.is_none(), "{ask:?}");
         assert!(
-            matches!(&c.got.errors[..], [e] if e.starts_with("@ERROR: ")),
+            matches!(&c.received.errors[..], [e] if e.starts_with("@ERROR: ")),
             "{ask:?}: {:?}",
-            c.got.errors
+            c.received.errors
         );
     }
     let stream = TcpStream::connect(fronts.rsync).await.unwrap();
--- a/crates/lupinrack/tests/scarce.rs
+++ b/crates/lupinrack/tests/scarce.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::front::{ask, get, node, SETTINGS};
-use common::rsync::until;
+use common::rsync::wait_until;
 use mock_servers::scripted::discovery;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -145,13 +145,13 @@
         .expect("it goes on")
         .contains("read again")
     {}
-    until(|| !calls.lock().unwrap().is_empty()).await;
+    wait_until(|| !calls.lock().unwrap().is_empty()).await;
     tell.send(format!(
         r#"{{"generation":43,"reset":false,"instances":[{}]}}"#,
         entry(node)
     ))
     .unwrap();
-    until(|| calls.lock().unwrap().len() > 1).await;
+    wait_until(|| calls.lock().unwrap().len() > 1).await;
     for id in 0..8 {
         let mut more = Vec::new();
         for _ in 0..lupinrack_admin::CALLERS_MOST {
--- a/crates/lupinrack/tests/single_send.rs
+++ b/crates/lupinrack/tests/single_send.rs
@@ -5,7 +5,7 @@
 
 use common::front::{get, start_told, Fronts, SETTINGS};
 use lupinrack::settings::{self, FrontSettings};
-use mock_servers::scripted::{head, node_in_hand, reset};
+use mock_servers::scripted::{head, manual_node, reset};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -120,7 +120,7 @@
 
 #[tokio::test]
 async fn one_that_may_have_run_is_not_sent_again_however_its_answer_breaks_off() {
-    let (address, mut taken) = node_in_hand().await;
+    let (address, mut taken) = manual_node().await;
     let fronts = front(address).await;
     let broken: [(&[u8], bool); 8] = [
         (b"", true),
@@ -153,7 +153,7 @@
 /// So a second sending would be seen: one that may be repeated comes again.
 #[tokio::test]
 async fn a_read_whose_connection_is_reset_is_sent_again() {
-    let (address, mut taken) = node_in_hand().await;
+    let (address, mut taken) = manual_node().await;
     let fronts = front(address).await;
     let read = get(1, "priority", 1, 4_000).replacen("\r\n", "\r\nConnection: close\r\n", 1);
     let client = client(&fronts, &read).await;
@@ -174,7 +174,7 @@
 /// its own.
 #[tokio::test]
 async fn one_without_an_answer_is_not_sent_again_and_its_late_answer_is_nobodys() {
-    let (address, mut taken) = node_in_hand().await;
+    let (address, mut taken) = manual_node().await;
     let fronts = front(address).await;
     let client_without_answer = client(&fronts, &write(1, 300)).await;
     let mut silent = connection(&mut taken).await;
@@ -215,7 +215,7 @@
 
 #[tokio::test]
 async fn one_that_its_client_left_is_not_sent_again() {
-    let (address, mut taken) = node_in_hand().await;
+    let (address, mut taken) = manual_node().await;
     let fronts = front(address).await;
     let client = client(&fronts, &write(1, 4_000)).await;
     let mut node = connection(&mut taken).await;
--- a/crates/lupinrack/tests/upstream.rs
+++ b/crates/lupinrack/tests/upstream.rs
@@ -441,7 +441,7 @@
         .await;
     assert_eq!((first.outcome, came.recv().await), (Outcome::Ok, Some(0)));
     drop(client);
-    common::rsync::until(|| visit.client_left()).await;
+    common::rsync::wait_until(|| visit.client_left()).await;
     let second = upstream
         .attempt(
             forwarded_request(),
@@ -545,7 +545,7 @@
     );
     core.update_nodes(NodeListKind::Changes, vec![unreached(NodeState::Draining)])
         .await;
-    common::rsync::until(|| *stops.borrow() != Micros::MAX).await;
+    common::rsync::wait_until(|| *stops.borrow() != Micros::MAX).await;
     let ended = tokio::time::timeout(std::time::Duration::from_secs(10), exchange).await;
     assert_eq!(
         ended.expect("when the grace is used").outcome,
--- a/crates/mock-servers/src/http1.rs
+++ b/crates/mock-servers/src/http1.rs
@@ -1,125 +1,125 @@
-//! Just enough HTTP/1.1 for the stand-ins: one message at a time, lengths given by `Content-Length`. Written apart from
-//! the fronts' own code, so that one mistake does not hide in both.
+//! A minimal HTTP/1.1 implementation for the mock servers: one message at a time, bodies framed by `Content-Length`. It
+//! shares no code with the fronts, so that a bug in one does not hide the same bug in the other.
 
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Heads and bodies longer than this end the connection.
-const MOST: usize = 32 << 20;
+/// A longer head or body closes the connection.
+const MAX_MESSAGE_BYTES: usize = 32 << 20;
 
-/// A message: its first line, its fields by lower-case name, its body.
+/// A request or response.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     /// The request line or the status line.
     pub line: String,
-    /// The fields, names in lower case.
+    /// The header fields, with names in lower case.
     pub fields: Vec<(String, String)>,
-    /// The body.
+    /// The message body.
     pub body: Vec<u8>,
-    /// Bytes on the wire, head and body.
+    /// Size on the wire in bytes, head and body.
     pub size: usize,
 }
 
 impl Message {
-    /// A field's value.
+    /// The value of a header field. `name` is in lower case.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields
             .iter()
-            .find(|(n, _)| n == name)
-            .map(|(_, v)| v.as_str())
+            .find(|(field_name, _)| field_name == name)
+            .map(|(_, value)| value.as_str())
     }
 
-    /// The second word of the first line: a request's target, or an answer's status.
+    /// The second word of the first line: a request's target or a response's status code.
     pub fn second(&self) -> &str {
         self.line.split(' ').nth(1).unwrap_or("")
     }
 
-    /// An answer's status; 0 where there is none.
+    /// A response's status code; 0 if there is none.
     pub fn status(&self) -> u16 {
         self.second().parse().unwrap_or(0)
     }
 
-    /// The value of a parameter of the target's query.
+    /// The value of a query parameter of the request target.
     pub fn query(&self, name: &str) -> Option<&str> {
         let query = self.second().split_once('?')?.1;
         query
             .split('&')
-            .filter_map(|p| p.split_once('='))
-            .find(|(n, _)| *n == name)
-            .map(|(_, v)| v)
+            .filter_map(|pair| pair.split_once('='))
+            .find(|(key, _)| *key == name)
+            .map(|(_, value)| value)
     }
 }
 
-/// Reads messages off a stream, keeping what came ahead of the next.
+/// Reads messages from a stream and buffers bytes that belong to the next one.
 pub struct Reader {
-    kept: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl Default for Reader {
     fn default() -> Self {
         Reader {
-            kept: Vec::with_capacity(1024),
+            buffer: Vec::with_capacity(1024),
         }
     }
 }
 
 impl Reader {
-    /// The next message; none where the stream ends between two.
+    /// The next message, or none if the stream ends between two messages.
     pub async fn next(
         &mut self,
         stream: &mut (impl AsyncRead + Unpin),
     ) -> io::Result<Option<Message>> {
-        let end = loop {
-            if let Some(at) = self.kept.windows(4).position(|w| w == b"\r\n\r\n") {
-                break at + 4;
+        let body_start = loop {
+            if let Some(head_end) = self.buffer.windows(4).position(|w| w == b"\r\n\r\n") {
+                break head_end + 4;
             }
-            if self.more(stream).await? == 0 {
-                return match self.kept.is_empty() {
+            if self.read_more(stream).await? == 0 {
+                return match self.buffer.is_empty() {
                     true => Ok(None),
                     false => Err(io::ErrorKind::UnexpectedEof.into()),
                 };
             }
         };
-        let head = String::from_utf8_lossy(&self.kept[..end]).into_owned();
+        let head = String::from_utf8_lossy(&self.buffer[..body_start]).into_owned();
         let mut lines = head.split("\r\n");
         let line = lines.next().unwrap_or("").to_string();
-        let field = |l: &str| {
-            l.split_once(':')
-                .map(|(n, v)| (n.to_ascii_lowercase(), v.trim().to_string()))
+        let parse_field = |line: &str| {
+            line.split_once(':')
+                .map(|(name, value)| (name.to_ascii_lowercase(), value.trim().to_string()))
         };
         let mut message = Message {
             line,
-            fields: lines.filter_map(field).collect(),
+            fields: lines.filter_map(parse_field).collect(),
             ..Message::default()
         };
         let length: usize = message
             .field("content-length")
-            .and_then(|l| l.parse().ok())
+            .and_then(|length| length.parse().ok())
             .unwrap_or(0);
-        if length > MOST {
+        if length > MAX_MESSAGE_BYTES {
             return Err(io::ErrorKind::InvalidData.into());
         }
-        while self.kept.len() < end + length {
-            if self.more(stream).await? == 0 {
+        while self.buffer.len() < body_start + length {
+            if self.read_more(stream).await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         }
-        message.body = self.kept[end..end + length].to_vec();
-        message.size = end + length;
-        self.kept.drain(..end + length);
+        message.body = self.buffer[body_start..body_start + length].to_vec();
+        message.size = body_start + length;
+        self.buffer.drain(..body_start + length);
         Ok(Some(message))
     }
 
-    async fn more(&mut self, stream: &mut (impl AsyncRead + Unpin)) -> io::Result<usize> {
-        if self.kept.len() > MOST {
+    async fn read_more(&mut self, stream: &mut (impl AsyncRead + Unpin)) -> io::Result<usize> {
+        if self.buffer.len() > MAX_MESSAGE_BYTES {
             return Err(io::ErrorKind::InvalidData.into());
         }
-        stream.read_buf(&mut self.kept).await
+        stream.read_buf(&mut self.buffer).await
     }
 }
 
-/// Writes an answer; `fields` are whole lines, each with its end. Tells how many bytes went out.
+/// Writes a response and returns its size in bytes. `fields` holds header lines, each with its line ending.
 pub async fn answer(
     stream: &mut TcpStream,
     status: &str,
--- a/crates/mock-servers/src/lib.rs
+++ b/crates/mock-servers/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins on loopback for what surrounds a front, written apart from the fronts' own code. Tests, the demo and
-//! the drills share them. They serve no traffic but their own.
+//! Mock servers and clients on loopback for everything a front talks to. They share no code with the fronts. Tests, the
+//! demo and the drills use them. They serve no production traffic.
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub, missing_docs)]
 
--- a/crates/mock-servers/src/load.rs
+++ b/crates/mock-servers/src/load.rs
@@ -1,5 +1,5 @@
-//! A stand-in client: asks fronts over kept connections, one request at a time on each, never by itself again, and
-//! tells what came of each request.
+//! A mock client. It sends requests to fronts over pooled connections, one at a time on each, sends none twice except where an idle
+//! connection turns out to be closed, and reports the outcome of each.
 
 use crate::http1::Reader;
 use crate::node::lock;
@@ -11,123 +11,135 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, Instant};
 
-/// A request as a client words it.
+/// A request that a client sends.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// Its id, fresh for each.
+pub struct ClientRequest {
+    /// The request ID, unique to the request.
     pub id: String,
-    /// The class: the first part of the path.
+    /// The traffic class, which is the first path segment.
     pub class: &'static str,
-    /// Whether it writes; it then carries a key.
+    /// Whether the request writes. Writes carry an idempotency key.
     pub writes: bool,
-    /// The plan's name.
+    /// The name of the client's plan.
     pub plan: &'static str,
-    /// The volume.
+    /// The volume that it addresses.
     pub volume: u64,
-    /// The piece of data.
+    /// The key within the volume.
     pub key: u64,
-    /// Its size in units.
+    /// The cost in units.
     pub units: u32,
-    /// The shard that the client believes in; -1: a new object.
+    /// The shard that the client expects to hold the key; -1 for a new object.
     pub shard: i64,
-    /// How many fronts the volume works through.
+    /// Number of fronts that the volume's clients use.
     pub hosts: u32,
-    /// How long the client waits.
+    /// The deadline that the request carries.
     pub deadline: Duration,
 }
 
-/// What came of a request.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Came {
-    /// Served with the answer made for it.
+pub enum RequestOutcome {
+    /// Answered with the node's response to this request.
     Served,
-    /// Refused: 429 or 503.
+    /// Rejected with status 429 or 503.
     Refused,
-    /// Failed: any other answer.
+    /// Answered with any other status.
     Failed,
-    /// No answer by the deadline and a little, or a connection that ended without one, or the answer to another.
+    /// No answer by the deadline plus `DEADLINE_GRACE`, a connection that closed without one, or the response to another
+    /// request.
     Lost,
 }
 
-/// What came of all requests.
+/// Number of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
-pub struct Tally {
+pub struct RequestCounts {
     /// Requests sent.
     pub requests: u64,
-    /// Answered with what a node made for them.
+    /// Answered with the node's response to the request.
     pub served: u64,
-    /// Turned away; asking again is harmless.
+    /// Rejected without running; a retry is safe.
     pub refused: u64,
-    /// Answered as failed.
+    /// Answered with a failure.
     pub failed: u64,
-    /// Never answered, or with the answer of another.
+    /// Never answered, or answered with the response to another request.
     pub lost: u64,
 }
 
-impl Tally {
-    /// Counts one; true: it was served.
-    pub fn count(&mut self, came: Came) -> bool {
+impl RequestCounts {
+    /// Counts an outcome and returns whether the request was served.
+    pub fn count(&mut self, outcome: RequestOutcome) -> bool {
         self.requests += 1;
-        *match came {
-            Came::Served => &mut self.served,
-            Came::Refused => &mut self.refused,
-            Came::Failed => &mut self.failed,
-            Came::Lost => &mut self.lost,
+        *match outcome {
+            RequestOutcome::Served => &mut self.served,
+            RequestOutcome::Refused => &mut self.refused,
+            RequestOutcome::Failed => &mut self.failed,
+            RequestOutcome::Lost => &mut self.lost,
         } += 1;
-        came == Came::Served
+        outcome == RequestOutcome::Served
     }
 }
 
-/// The ordinary mix of classes: the class, whether it writes, and its units.
-pub fn mix(dice: &mut fastrand::Rng) -> (&'static str, bool, u32) {
-    match dice.u32(0..100) {
+/// Draws a request from the standard traffic mix: its class, whether it writes, and its units.
+pub fn mix(rng: &mut fastrand::Rng) -> (&'static str, bool, u32) {
+    match rng.u32(0..100) {
         0..=54 => ("read", false, 1),
         55..=84 => ("new-write", true, 2),
         _ => ("bulk-read", false, 4),
     }
 }
 
-/// How much longer than its deadline a client listens before it calls a request lost.
-const GRACE: Duration = Duration::from_millis(500);
+/// How long after its deadline a client still waits before it counts a request as lost.
+const DEADLINE_GRACE: Duration = Duration::from_millis(500);
 
-/// Connections that rest, and since when.
-type Resting = HashMap<SocketAddr, Vec<(TcpStream, Instant)>>;
+/// Idle connections by front, with the time since which each is idle.
+type IdleConnections = HashMap<SocketAddr, Vec<(TcpStream, Instant)>>;
 
-/// Clients' connections, by front.
+/// The clients' connection pool.
 #[derive(Clone, Default)]
 pub struct Clients {
-    idle: Arc<Mutex<Resting>>,
+    idle: Arc<Mutex<IdleConnections>>,
 }
 
 impl Clients {
-    /// Asks a front and waits for its answer; tells what came, and after how long.
-    pub async fn ask(&self, front: SocketAddr, ask: &Ask) -> (Came, Duration) {
-        let began = Instant::now();
-        let came = timeout(ask.deadline + GRACE, self.exchange(front, ask)).await;
-        (came.unwrap_or(None).unwrap_or(Came::Lost), began.elapsed())
+    /// Sends a request to a front and returns its outcome and latency.
+    pub async fn send(
+        &self,
+        front: SocketAddr,
+        request: &ClientRequest,
+    ) -> (RequestOutcome, Duration) {
+        let sent_at = Instant::now();
+        let outcome = timeout(
+            request.deadline + DEADLINE_GRACE,
+            self.exchange(front, request),
+        )
+        .await;
+        (
+            outcome.unwrap_or(None).unwrap_or(RequestOutcome::Lost),
+            sent_at.elapsed(),
+        )
     }
 
-    async fn exchange(&self, front: SocketAddr, ask: &Ask) -> Option<Came> {
-        // Fronts close what idles for 2 s; one that rested for less is surely open.
-        let kept = lock(&self.idle)
+    async fn exchange(&self, front: SocketAddr, request: &ClientRequest) -> Option<RequestOutcome> {
+        // Fronts close connections that idle for 2 s, so one that idled for less than 1 s is still open.
+        let idle_connection = lock(&self.idle)
             .entry(front)
             .or_default()
             .pop()
-            .filter(|(_, since)| since.elapsed() < Duration::from_secs(1));
-        let over = |mut stream: TcpStream| async move {
+            .filter(|(_, idle_since)| idle_since.elapsed() < Duration::from_secs(1));
+        let send_on = |mut stream: TcpStream| async move {
             let _ = stream.set_nodelay(true);
-            stream.write_all(ask.head().as_bytes()).await.ok()?;
+            stream.write_all(request.head().as_bytes()).await.ok()?;
             let answer = Reader::default().next(&mut stream).await.ok()??;
             Some((stream, answer))
         };
-        // A kept connection that closes as the request goes out: it is sent once more, on a new one.
-        let came = match kept {
-            Some((stream, _)) => over(stream).await,
+        // If an idle connection closes while the request is sent, the request is sent once more on a new connection.
+        let outcome = match idle_connection {
+            Some((stream, _)) => send_on(stream).await,
             None => None,
         };
-        let (stream, answer) = match came {
-            Some(came) => came,
-            None => over(TcpStream::connect(front).await.ok()?).await?,
+        let (stream, answer) = match outcome {
+            Some(outcome) => outcome,
+            None => send_on(TcpStream::connect(front).await.ok()?).await?,
         };
         if answer.field("connection") != Some("close") {
             lock(&self.idle)
@@ -136,17 +148,19 @@
                 .push((stream, Instant::now()));
         }
         Some(match answer.status() {
-            200 if answer.body == format!("ran {}", ask.id).as_bytes() => Came::Served,
-            200 => Came::Lost,
-            429 | 503 => Came::Refused,
-            _ => Came::Failed,
+            200 if answer.body == format!("ran {}", request.id).as_bytes() => {
+                RequestOutcome::Served
+            }
+            200 => RequestOutcome::Lost,
+            429 | 503 => RequestOutcome::Refused,
+            _ => RequestOutcome::Failed,
         })
     }
 }
 
-impl Ask {
+impl ClientRequest {
     fn head(&self) -> String {
-        let (method, keyed) = match self.writes {
+        let (method, key_headers) = match self.writes {
             true => (
                 "PUT",
                 format!("Idempotency-Key: k-{}\r\nContent-Length: 0\r\n", self.id),
@@ -155,7 +169,7 @@
         };
         format!(
             "{method} /{}/{:016x}/{:016x} HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: {}\r\nX-Plan: {}\r\n\
-             X-Deadline: {}m\r\n{keyed}X-IO: volume={:016x},units={},shard={},hosts={}\r\n\r\n",
+             X-Deadline: {}m\r\n{key_headers}X-IO: volume={:016x},units={},shard={},hosts={}\r\n\r\n",
             self.class,
             self.volume,
             self.key,
--- a/crates/mock-servers/src/node.rs
+++ b/crates/mock-servers/src/node.rs
@@ -1,5 +1,5 @@
-//! A stand-in storage node: holds shards, serves requests in turn, drops the repeat of a keyed write, turns away what it
-//! does not hold, and remembers all that ran.
+//! A mock storage node. It holds one shard, serves requests from a bounded queue, deduplicates keyed writes, rejects
+//! requests for other shards, and records every attempt.
 
 use crate::http1::{answer, Message, Reader};
 use std::collections::HashMap;
@@ -11,92 +11,92 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, Instant};
 
-/// How long nodes that hold one shard drop the repeat of a keyed write.
-pub const WINDOW: Duration = Duration::from_secs(4);
+/// How long after its first run a keyed write is deduplicated by the nodes of a shard.
+pub const DEDUP_WINDOW: Duration = Duration::from_secs(4);
 
-/// Where a piece of data lies, as a node sees it: the shard, and the version (incarnation and epoch) that says so.
-pub type Lies = (u32, u64, u64);
+/// The placement of a key: its shard, and the incarnation and epoch of the map that says so.
+pub type Placement = (u32, u64, u64);
 
-/// What a node asks to learn where a piece of data lies; none: it does not look, and serves what comes.
-pub type Whereabouts = Arc<dyn Fn(u64, u64) -> Option<Lies> + Send + Sync>;
+/// Looks up the placement of a volume's key. `None` means that the placement is unknown, and the node serves the request.
+pub type PlacementLookup = Arc<dyn Fn(u64, u64) -> Option<Placement> + Send + Sync>;
 
-/// How a node works.
+/// Configuration of a mock node, with the faults that it injects.
 #[derive(Clone)]
-pub struct Manner {
-    /// The shard it holds.
+pub struct NodeConfig {
+    /// The shard that the node holds.
     pub shard: u32,
-    /// Requests in work at once.
+    /// Requests that run at once.
     pub slots: usize,
-    /// Requests that may wait; further ones are turned away unrun.
+    /// Requests that may wait in the queue. Further ones are rejected without running.
     pub queue: usize,
-    /// The mean of a request's work; each takes between half and one and a half times this.
-    pub work: Duration,
-    /// One attempt in this many breaks its connection, half of them before it runs; 0: none.
+    /// Mean time that a request runs. Each takes between 0.5 and 1.5 times this.
+    pub mean_work: Duration,
+    /// One attempt in this many breaks its connection, half of them before the request runs. 0 disables this.
     pub resets: u32,
-    /// It does not remember which keyed writes ran, and runs them again: a fault, for checkers that have to find it.
-    pub forgets: bool,
-    /// The seed of its own chances.
+    /// Injects a fault that checks have to detect: the node does not remember which keyed writes ran, and runs retries again.
+    pub forgets_keys: bool,
+    /// Seed of the node's random generator.
     pub seed: u64,
-    /// Where data lies.
-    pub whereabouts: Option<Whereabouts>,
+    /// Looks up the placement of requested data. Without it the node serves every request.
+    pub placement_lookup: Option<PlacementLookup>,
 }
 
-impl Default for Manner {
+impl Default for NodeConfig {
     fn default() -> Self {
-        let work = Duration::from_millis(5);
-        Manner {
+        let mean_work = Duration::from_millis(5);
+        NodeConfig {
             shard: 0,
             slots: 4,
             queue: 64,
-            work,
+            mean_work,
             resets: 0,
-            forgets: false,
+            forgets_keys: false,
             seed: 1,
-            whereabouts: None,
+            placement_lookup: None,
         }
     }
 }
 
-/// What one attempt came to at a node.
+/// The outcome of an attempt at a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// It ran.
+pub enum AttemptOutcome {
+    /// The request ran.
     Ran,
-    /// A repeat of a write that ran; dropped.
-    Dropped,
-    /// Turned away unrun: the queue was full.
-    Full,
-    /// Turned away unrun: the data lies elsewhere.
-    Elsewhere,
-    /// Its connection was broken before it ran.
-    Broken,
-    /// The node hung when it came: it was never answered, and did not run.
+    /// A retry of a keyed write that already ran; it was not run again.
+    Deduplicated,
+    /// Rejected without running: the queue was full.
+    QueueFull,
+    /// Rejected without running: another shard holds the data.
+    WrongShard,
+    /// The node broke the connection before the request ran.
+    ConnectionBroken,
+    /// The request arrived while the node hung. It did not run and was never answered.
     Hung,
 }
 
-/// One attempt as the node saw it.
+/// An attempt as the node recorded it.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    /// The request's id.
+pub struct AttemptRecord {
+    /// The request ID.
     pub id: String,
-    /// The key of a keyed write.
+    /// The idempotency key of a keyed write.
     pub key: Option<String>,
-    /// When its last byte came.
+    /// When the last byte of the request arrived.
     pub at: Instant,
-    /// What it came to.
-    pub fate: Fate,
+    /// The outcome.
+    pub outcome: AttemptOutcome,
 }
 
-/// The memory of the nodes that hold one shard: which keyed writes ran, and when the first of each did.
-pub type Group = Arc<Mutex<HashMap<String, Instant>>>;
+/// The keyed writes that ran on the nodes of a shard, with the time of each one's first run. Nodes of a shard share it.
+pub type KeyedWrites = Arc<Mutex<HashMap<String, Instant>>>;
 
-/// A node at work, until it is dropped.
+/// A running node. Dropping it stops the server.
 pub struct Node {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// What reached it.
-    pub seen: Arc<Mutex<Vec<Seen>>>,
-    hangs: watch::Sender<bool>,
+    /// All attempts that the node received, apart from those without a request ID.
+    pub attempts: Arc<Mutex<Vec<AttemptRecord>>>,
+    hang: watch::Sender<bool>,
     task: JoinHandle<()>,
 }
 
@@ -106,66 +106,66 @@
     }
 }
 
-struct Work {
-    manner: Manner,
-    hangs: watch::Receiver<bool>,
-    seen: Arc<Mutex<Vec<Seen>>>,
-    group: Group,
+struct NodeServer {
+    config: NodeConfig,
+    hang: watch::Receiver<bool>,
+    attempts: Arc<Mutex<Vec<AttemptRecord>>>,
+    keyed_writes: KeyedWrites,
     slots: Semaphore,
     waiting: Mutex<usize>,
-    dice: Mutex<fastrand::Rng>,
+    rng: Mutex<fastrand::Rng>,
 }
 
-/// Takes a lock; a task that panicked beside it has failed its test already.
-pub fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+/// Locks a mutex. Poisoning is ignored, because the test in which a task panicked has failed already.
+pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Node {
-    /// Starts a node on loopback. Nodes that hold one shard share a group.
-    pub async fn start(manner: Manner, group: Group) -> std::io::Result<Node> {
+    /// Starts a node on loopback. Nodes of a shard share their record of keyed writes.
+    pub async fn start(config: NodeConfig, keyed_writes: KeyedWrites) -> std::io::Result<Node> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let (address, seen) = (listener.local_addr()?, Arc::new(Mutex::new(Vec::new())));
-        let (slots, dice) = (
-            Semaphore::new(manner.slots),
-            Mutex::new(fastrand::Rng::with_seed(manner.seed)),
+        let (address, attempts) = (listener.local_addr()?, Arc::new(Mutex::new(Vec::new())));
+        let (slots, rng) = (
+            Semaphore::new(config.slots),
+            Mutex::new(fastrand::Rng::with_seed(config.seed)),
         );
-        let (hangs, hung) = watch::channel(false);
-        let work = Work {
-            manner,
-            hangs: hung,
-            seen: seen.clone(),
-            group,
+        let (hang, hang_receiver) = watch::channel(false);
+        let server = NodeServer {
+            config,
+            hang: hang_receiver,
+            attempts: attempts.clone(),
+            keyed_writes,
             slots,
             waiting: Mutex::new(0),
-            dice,
+            rng,
         };
-        let work = Arc::new(work);
+        let server = Arc::new(server);
         let task = tokio::spawn(async move {
             let mut connections = tokio::task::JoinSet::new();
             while let Ok((stream, _)) = listener.accept().await {
-                let work = work.clone();
-                connections.spawn(async move { work.connection(stream).await });
+                let server = server.clone();
+                connections.spawn(async move { server.connection(stream).await });
                 while connections.try_join_next().is_some() {}
             }
         });
         Ok(Node {
             address,
-            seen,
-            hangs,
+            attempts,
+            hang,
             task,
         })
     }
 }
 
 impl Node {
-    /// Hangs from now on, or no longer: what came meanwhile ends with its connection.
-    pub fn hang(&self, hangs: bool) {
-        self.hangs.send_replace(hangs);
+    /// Makes the node hang, or ends the hang. Requests that arrived during the hang lose their connection.
+    pub fn hang(&self, hang: bool) {
+        self.hang.send_replace(hang);
     }
 }
 
-impl Work {
+impl NodeServer {
     async fn connection(&self, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut reader = Reader::default();
@@ -176,44 +176,44 @@
         }
     }
 
-    /// Serves one request; none where the connection is to close.
+    /// Serves one request. `None` closes the connection.
     async fn request(&self, stream: &mut TcpStream, request: &Message) -> Option<()> {
         let at = Instant::now();
         let id = request.field("x-request-id").unwrap_or("").to_string();
         let key = request.field("idempotency-key").map(String::from);
-        let note = |fate| {
-            lock(&self.seen).push(Seen {
+        let record = |outcome| {
+            lock(&self.attempts).push(AttemptRecord {
                 id: id.clone(),
                 key: key.clone(),
                 at,
-                fate,
+                outcome,
             })
         };
         if id.is_empty() {
             answer(stream, "404 Not Found", "", b"").await.ok()?;
             return Some(());
         }
-        if *self.hangs.borrow() {
-            note(Fate::Hung);
-            let _ = self.hangs.clone().wait_for(|hangs| !hangs).await;
+        if *self.hang.borrow() {
+            record(AttemptOutcome::Hung);
+            let _ = self.hang.clone().wait_for(|hang| !hang).await;
             return None;
         }
-        let (reset, before, work) = {
-            let mut dice = lock(&self.dice);
-            let reset = self.manner.resets > 0 && dice.u32(0..self.manner.resets) == 0;
+        let (reset, reset_before_run, work) = {
+            let mut rng = lock(&self.rng);
+            let reset = self.config.resets > 0 && rng.u32(0..self.config.resets) == 0;
             (
                 reset,
-                dice.bool(),
-                self.manner.work.mul_f64(0.5 + dice.f64()),
+                rng.bool(),
+                self.config.mean_work.mul_f64(0.5 + rng.f64()),
             )
         };
-        if reset && before {
-            note(Fate::Broken);
+        if reset && reset_before_run {
+            record(AttemptOutcome::ConnectionBroken);
             return None;
         }
-        if let Some((shard, incarnation, epoch)) = self.lies(request.second()) {
-            if shard != self.manner.shard {
-                note(Fate::Elsewhere);
+        if let Some((shard, incarnation, epoch)) = self.placement(request.second()) {
+            if shard != self.config.shard {
+                record(AttemptOutcome::WrongShard);
                 let fields = format!("X-Not-Run: 1\r\nX-Extent-Epoch: {incarnation}.{epoch}\r\n");
                 answer(stream, "503 Service Unavailable", &fields, b"moved")
                     .await
@@ -223,12 +223,12 @@
         }
         let full = {
             let mut waiting = lock(&self.waiting);
-            let full = *waiting >= self.manner.queue + self.manner.slots;
+            let full = *waiting >= self.config.queue + self.config.slots;
             *waiting += usize::from(!full);
             full
         };
         if full {
-            note(Fate::Full);
+            record(AttemptOutcome::QueueFull);
             answer(
                 stream,
                 "503 Service Unavailable",
@@ -241,7 +241,7 @@
         }
         {
             let _slot = self.slots.acquire().await.ok()?;
-            note(self.run(key.as_deref(), at));
+            record(self.run(key.as_deref(), at));
             sleep(work).await;
         }
         *lock(&self.waiting) -= 1;
@@ -254,28 +254,28 @@
         Some(())
     }
 
-    /// Runs a request, or drops it as the repeat of a keyed write that ran within the window.
-    fn run(&self, key: Option<&str>, at: Instant) -> Fate {
-        let Some(key) = key.filter(|_| !self.manner.forgets) else {
-            return Fate::Ran;
+    /// Runs a request, or deduplicates a keyed write that ran within `DEDUP_WINDOW`.
+    fn run(&self, key: Option<&str>, at: Instant) -> AttemptOutcome {
+        let Some(key) = key.filter(|_| !self.config.forgets_keys) else {
+            return AttemptOutcome::Ran;
         };
-        let mut group = lock(&self.group);
-        group.retain(|_, first| at < *first + WINDOW);
-        match group.contains_key(key) {
-            true => Fate::Dropped,
+        let mut keyed_writes = lock(&self.keyed_writes);
+        keyed_writes.retain(|_, first_ran_at| at < *first_ran_at + DEDUP_WINDOW);
+        match keyed_writes.contains_key(key) {
+            true => AttemptOutcome::Deduplicated,
             false => {
-                group.insert(key.to_string(), at);
-                Fate::Ran
+                keyed_writes.insert(key.to_string(), at);
+                AttemptOutcome::Ran
             }
         }
     }
 
-    /// Where the target's data lies: its last two parts are the volume and the piece of data.
-    fn lies(&self, target: &str) -> Option<Lies> {
-        let whereabouts = self.manner.whereabouts.as_ref()?;
+    /// The placement of the data that a target names. Its last two path segments are the volume and the key.
+    fn placement(&self, target: &str) -> Option<Placement> {
+        let placement_lookup = self.config.placement_lookup.as_ref()?;
         let mut parts = target.split('?').next().unwrap_or("").rsplit('/');
         let key = u64::from_str_radix(parts.next()?, 16).ok()?;
         let volume = u64::from_str_radix(parts.next()?, 16).ok()?;
-        whereabouts(volume, key)
+        placement_lookup(volume, key)
     }
 }
--- a/crates/mock-servers/src/settings.rs
+++ b/crates/mock-servers/src/settings.rs
@@ -1,9 +1,9 @@
-//! Settings and a configuration in the platform's form, for stand-in fronts.
+//! Platform settings and a configuration for fronts under test.
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Settings: reads, new writes and bulk reads; plans with and without a limit.
+/// Settings with the classes read, new write and bulk read, and with one limited and one unlimited plan.
 pub fn settings(hosts: u32) -> Value {
     json!({
         "areas": ["room"], "peersTotal": hosts, "registryMode": "push", "resolution": 2.0, "zone": 0,
@@ -25,7 +25,7 @@
     })
 }
 
-/// A front's configuration: a free port on loopback, this discovery, this seed.
+/// A front's configuration. It listens on a free port of loopback.
 pub fn configuration(name: &str, discovery: SocketAddr, seed: u64, hosts: u32) -> Value {
     json!({
         "name": name, "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": format!("{seed:x}"),
--- a/crates/mock-servers/src/worker/floor.rs
+++ b/crates/mock-servers/src/worker/cluster_events.rs
@@ -1,4 +1,4 @@
-//! What the workers of one cluster share: the meeting places of gangs, and the record of all starts and ends.
+//! State that the workers of a cluster share: the progress of gangs, and the record of all starts and ends of runs.
 
 use crate::node::lock;
 use crate::worker::messages::End;
@@ -10,30 +10,30 @@
 pub struct RunName {
     /// The task's name.
     pub task: String,
-    /// The number of its start.
+    /// Which start of the task this is.
     pub run: u32,
 }
 
 /// Something that happened at a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A run began at this worker.
+    /// A worker started a run.
     Started {
-        /// Which.
+        /// The run.
         run: RunName,
-        /// Where.
+        /// The worker's ID.
         worker: String,
     },
-    /// A run ended there.
+    /// A run ended.
     Ended {
-        /// Which.
+        /// The run.
         run: RunName,
-        /// How.
+        /// How it ended.
         end: End,
     },
-    /// An end was observed: its worker was told that it is kept.
+    /// The cluster confirmed to the worker that it has stored the end of a run.
     Observed {
-        /// Which run's end.
+        /// The run that ended.
         run: RunName,
         /// How it ended.
         end: End,
@@ -48,17 +48,17 @@
     broken: bool,
 }
 
-/// How a gang stands.
+/// The state of a gang.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GangState {
-    /// Members are missing.
+    /// Some members have not started.
     Gathering,
-    /// All were present at this moment and have worked together since.
+    /// All members have started.
     Working {
-        /// The moment.
+        /// When the last member started.
         since: u64,
     },
-    /// A member has ended before the work was done.
+    /// A member ended before its work was done.
     Broken,
 }
 
@@ -68,22 +68,22 @@
     gangs: BTreeMap<RunName, Gang>,
 }
 
-/// The floor; its clones are the same floor.
+/// The shared record. Clones refer to the same record.
 #[derive(Clone, Debug, Default)]
-pub struct Floor(Arc<Mutex<Record>>);
+pub struct ClusterEvents(Arc<Mutex<Record>>);
 
-impl Floor {
-    /// Notes an event.
-    pub fn note(&self, event: Event) {
+impl ClusterEvents {
+    /// Appends an event.
+    pub fn record(&self, event: Event) {
         lock(&self.0).events.push(event);
     }
 
-    /// Everything that was noted so far.
+    /// All events so far.
     pub fn events(&self) -> Vec<Event> {
         lock(&self.0).events.clone()
     }
 
-    /// A member of a gang of this size is there.
+    /// Adds a member that has started to its gang of `size` members.
     pub fn join(&self, member: &RunName, size: usize, now: u64) {
         let mut record = lock(&self.0);
         let gang = record.gangs.entry(gang_of(member)).or_default();
@@ -93,7 +93,7 @@
         }
     }
 
-    /// A member ended without being done.
+    /// Marks a gang as broken because a member ended before its work was done.
     pub fn break_up(&self, member: &RunName) {
         lock(&self.0)
             .gangs
@@ -102,7 +102,7 @@
             .broken = true;
     }
 
-    /// How the gang of a member stands.
+    /// The state of a member's gang.
     pub fn gang(&self, member: &RunName) -> GangState {
         match lock(&self.0).gangs.get(&gang_of(member)) {
             Some(gang) if gang.broken => GangState::Broken,
@@ -114,16 +114,16 @@
         }
     }
 
-    /// Starts of a task while another run of it was alive, or after an end `done` of it was observed.
-    pub fn run_twice(&self) -> usize {
+    /// Number of starts of a task while another run of it was alive, or after its completion was observed.
+    pub fn duplicate_starts(&self) -> usize {
         let mut alive: BTreeMap<String, usize> = BTreeMap::new();
         let mut done: BTreeSet<String> = BTreeSet::new();
-        let mut twice = 0;
+        let mut duplicate_starts = 0;
         for event in self.events() {
             match event {
                 Event::Started { run, .. } => {
                     let alive = alive.entry(run.task.clone()).or_default();
-                    twice += usize::from(*alive > 0 || done.contains(&run.task));
+                    duplicate_starts += usize::from(*alive > 0 || done.contains(&run.task));
                     *alive += 1;
                 }
                 Event::Ended {
@@ -143,10 +143,10 @@
                 Event::Observed { .. } => {}
             }
         }
-        twice
+        duplicate_starts
     }
 
-    /// How many runs are alive.
+    /// Number of runs that are alive.
     pub fn alive(&self) -> usize {
         let mut alive: BTreeSet<RunName> = BTreeSet::new();
         for event in self.events() {
@@ -159,7 +159,7 @@
         alive.len()
     }
 
-    /// How many runs ended in each way.
+    /// Number of runs by how they ended.
     pub fn ends(&self) -> BTreeMap<End, usize> {
         let mut ends = BTreeMap::new();
         for event in self.events() {
@@ -171,7 +171,7 @@
     }
 }
 
-/// A run's gang: its task without the last number, in this run.
+/// The name of a run's gang: the task name without its last number, and the run's number.
 fn gang_of(member: &RunName) -> RunName {
     let step = member
         .task
--- a/crates/mock-servers/src/worker/messages.rs
+++ b/crates/mock-servers/src/worker/messages.rs
@@ -1,4 +1,4 @@
-//! The bodies of heartbeats and of their answers, written apart from the system's own code.
+//! The JSON bodies of heartbeats and their answers. They share no code with the cluster's own types.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,31 +6,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum End {
-    /// Its work is done.
+    /// The task completed.
     Done,
-    /// It failed.
+    /// The task failed.
     Failed,
-    /// It was stopped on an order.
+    /// It was stopped by an order.
     Stopped,
-    /// The hold was over.
+    /// The worker's lease expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// It waited too long for the others of its gang.
+    /// It waited too long for the other members of its gang.
     Alone,
-    /// It was not started.
+    /// The worker rejected the start order.
     Refused,
 }
 
-/// A row of `running`: task, run, checkpoint, percent.
+/// A row of `running`: task, run, checkpoint, percentage done.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RunningRow(pub String, pub u32, pub String, pub u32);
 
-/// A row of `finished`: number, task, run, how, checkpoint.
+/// A row of `finished`: number of the end, task, run, how it ended, checkpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FinishedRow(pub u64, pub String, pub u32, pub End, pub String);
 
-/// What a worker has in all.
+/// A worker's total resources.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Capacity {
@@ -45,26 +45,26 @@
 /// A heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Beat {
+pub struct Heartbeat {
     /// The service that the worker belongs to.
     pub service: String,
-    /// Its zone.
+    /// The worker's zone.
     pub zone: String,
-    /// The version of its software.
+    /// The version of the worker's software.
     pub version: String,
     /// `ready` or `draining`.
     pub state: &'static str,
-    /// Rises with every heartbeat.
+    /// Increases with every heartbeat.
     pub sequence: u64,
     /// The worker's own clock, in milliseconds.
     pub clock_ms: u64,
-    /// What it has in all.
+    /// The worker's total resources.
     pub capacity: Capacity,
-    /// Its kind and its rack.
+    /// The worker's labels: its kind and its rack.
     pub labels: Vec<String>,
-    /// What runs.
+    /// The runs in progress.
     pub running: Vec<RunningRow>,
-    /// What has ended and was not observed yet.
+    /// Ends that the cluster has not confirmed as observed yet.
     pub finished: Vec<FinishedRow>,
 }
 
@@ -76,20 +76,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct StopRow(pub String, pub u32);
 
-/// The answer to a heartbeat; what is not there is 0 or empty.
+/// The answer to a heartbeat. A missing field is 0 or empty.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
-pub struct BeatAnswer {
-    /// How long, from the sending of the heartbeat, everything may be held.
+pub struct HeartbeatAnswer {
+    /// Duration of the worker's lease on all its runs, counted from the sending of the heartbeat.
     pub hold_ms: u64,
-    /// Ends up to this number may be forgotten.
+    /// The worker may drop ends up to this number.
     pub observed: u64,
     /// The sender's fencing token.
     pub fence_token: u64,
-    /// What to start.
+    /// Runs to start.
     pub start: Vec<StartRow>,
-    /// What to stop.
+    /// Runs to stop.
     pub stop: Vec<StopRow>,
-    /// When to beat again, in milliseconds; 0 for the usual pace.
+    /// Delay until the next heartbeat, in milliseconds; 0 for the usual interval.
     pub retry_after_ms: u64,
 }
--- a/crates/mock-servers/src/worker/mod.rs
+++ b/crates/mock-servers/src/worker/mod.rs
@@ -1,12 +1,12 @@
-//! A stand-in for an application server that runs tasks: it tells an agent of itself in heartbeats and takes its orders
-//! from the answers.
+//! A mock application server that runs tasks. It reports its state to an agent in heartbeats and takes its orders from the
+//! answers.
 //!
-//! [`machine::Worker`] is the server without its connection; [`beats::run`] lets it beat over HTTP. All workers of one
-//! cluster share a [`floor::Floor`], on which the members of a gang meet, and which notes every start and end, so that
-//! what must never happen can be counted afterwards.
+//! [`state_machine::Worker`] is the server without its connection; [`heartbeats::run`] sends its heartbeats over HTTP. All
+//! workers of a cluster share [`cluster_events::ClusterEvents`], through which the members of a gang find each other. It
+//! records every start and end of a run, so that a test can count violated guarantees afterwards.
 
-pub mod beats;
-pub mod floor;
-pub mod machine;
+pub mod cluster_events;
+pub mod heartbeats;
 pub mod messages;
+pub mod state_machine;
 pub mod work;
--- a/crates/mock-servers/src/worker/machine.rs
+++ b/crates/mock-servers/src/worker/state_machine.rs
@@ -1,90 +1,90 @@
-//! A worker without its connection: what it runs, what it has ended, how long it may hold it, and whom it obeys.
+//! A worker without its connection: its runs, their ends, its lease and its fencing token.
 
-use super::floor::{Event, Floor, GangState, RunName};
+use super::cluster_events::{ClusterEvents, Event, GangState, RunName};
 use super::messages::{
-    Beat, BeatAnswer, Capacity, End, FinishedRow, RunningRow, StartRow, StopRow,
+    Capacity, End, FinishedRow, Heartbeat, HeartbeatAnswer, RunningRow, StartRow, StopRow,
 };
 use super::work::Work;
 use std::collections::BTreeMap;
 
-/// Ends that one heartbeat lists at most.
-const ENDS_LISTED_MOST: usize = 500;
-/// An answer that comes later than this is dropped, in milliseconds.
-const ANSWER_WITHIN_MS: u64 = 1_000;
+/// The most ends that a heartbeat lists.
+const MAX_LISTED_ENDS: usize = 500;
+/// Answers that arrive later than this are ignored, in milliseconds.
+const ANSWER_TIMEOUT_MS: u64 = 1_000;
 
-/// What a worker is and how it counts its times, in milliseconds.
+/// A worker's description and its timings, in milliseconds.
 #[derive(Clone, Debug)]
 pub struct WorkerSettings {
-    /// Its identity in this life.
+    /// The worker's ID in this incarnation.
     pub id: String,
-    /// Its service.
+    /// The service that it belongs to.
     pub service: String,
     /// Its zone.
     pub zone: String,
-    /// Its kind and its rack.
+    /// Its labels: its kind and its rack.
     pub labels: Vec<String>,
-    /// What it has.
+    /// Its total resources.
     pub capacity: Capacity,
-    /// The longest hold.
-    pub lease_most_ms: u64,
-    /// How long a stop takes.
-    pub stop_takes_ms: u64,
-    /// How long a member of a gang waits for the others.
-    pub gang_waits_ms: u64,
+    /// The longest lease that it accepts.
+    pub max_lease_ms: u64,
+    /// How long it takes to stop a run.
+    pub stop_duration_ms: u64,
+    /// How long a gang member waits for the others.
+    pub gang_timeout_ms: u64,
 }
 
 #[derive(Clone, Debug)]
 struct Run {
     work: Work,
-    began: u64,
+    started_at: u64,
     stops_at: Option<u64>,
 }
 
-/// A worker.
+/// The state machine of a worker.
 #[derive(Debug)]
 pub struct Worker {
     settings: WorkerSettings,
-    floor: Floor,
+    events: ClusterEvents,
     sequence: u64,
-    token: u64,
-    hold_until: u64,
+    fence_token: u64,
+    lease_until: u64,
     runs: BTreeMap<RunName, Run>,
     finished: Vec<FinishedRow>,
-    ends: u64,
-    /// The highest run of each task that was stopped or has ended here.
+    end_count: u64,
+    /// The highest run of each task that was stopped or has ended on this worker. It starts no run up to that number.
     closed: BTreeMap<String, u32>,
 }
 
 impl Worker {
-    /// One that has seen nothing yet.
-    pub fn new(settings: WorkerSettings, floor: Floor) -> Worker {
+    /// A worker without runs.
+    pub fn new(settings: WorkerSettings, events: ClusterEvents) -> Worker {
         Worker {
             settings,
-            floor,
+            events,
             sequence: 0,
-            token: 0,
-            hold_until: 0,
+            fence_token: 0,
+            lease_until: 0,
             runs: BTreeMap::new(),
             finished: Vec::new(),
-            ends: 0,
+            end_count: 0,
             closed: BTreeMap::new(),
         }
     }
 
-    /// Its identity.
+    /// The worker's ID.
     pub fn id(&self) -> &str {
         &self.settings.id
     }
 
-    /// How many ends there were.
+    /// Number of runs that have ended.
     pub fn ends(&self) -> u64 {
-        self.ends
+        self.end_count
     }
 
-    /// The next heartbeat.
-    pub fn beat(&mut self, now: u64) -> Beat {
+    /// Composes the next heartbeat.
+    pub fn heartbeat(&mut self, now: u64) -> Heartbeat {
         self.sequence += 1;
-        Beat {
+        Heartbeat {
             service: self.settings.service.clone(),
             zone: self.settings.zone.clone(),
             version: "v1".to_owned(),
@@ -101,18 +101,20 @@
             finished: self
                 .finished
                 .iter()
-                .take(ENDS_LISTED_MOST)
+                .take(MAX_LISTED_ENDS)
                 .cloned()
                 .collect(),
         }
     }
 
-    /// Takes the answer to the heartbeat that was sent at `sent_at`. Whether it was obeyed.
-    pub fn obey(&mut self, answer: BeatAnswer, sent_at: u64, now: u64) -> bool {
-        if now.saturating_sub(sent_at) > ANSWER_WITHIN_MS || answer.fence_token < self.token {
+    /// Carries out the answer to the heartbeat that was sent at `sent_at`. Returns false if the answer was ignored, because it
+    /// is late or has an older fencing token.
+    pub fn apply_answer(&mut self, answer: HeartbeatAnswer, sent_at: u64, now: u64) -> bool {
+        if now.saturating_sub(sent_at) > ANSWER_TIMEOUT_MS || answer.fence_token < self.fence_token
+        {
             return false;
         }
-        self.token = answer.fence_token;
+        self.fence_token = answer.fence_token;
         self.observe(answer.observed);
         for stop in answer.stop {
             self.stop(stop, now);
@@ -120,16 +122,16 @@
         if answer.hold_ms == 0 {
             return true;
         }
-        let hold = answer.hold_ms.min(self.settings.lease_most_ms);
-        self.hold_until = self.hold_until.max(sent_at + hold);
+        let lease_ms = answer.hold_ms.min(self.settings.max_lease_ms);
+        self.lease_until = self.lease_until.max(sent_at + lease_ms);
         for start in answer.start {
             self.start(start, now);
         }
         true
     }
 
-    /// Lets time pass: work gets done, stops take effect, gangs meet or give up, the hold runs out.
-    pub fn pass(&mut self, now: u64) {
+    /// Advances the clock: work completes, stops take effect, gangs form or time out, the lease expires.
+    pub fn advance_to(&mut self, now: u64) {
         let due: Vec<(RunName, End)> = self
             .runs
             .iter()
@@ -141,13 +143,13 @@
     }
 
     fn observe(&mut self, up_to: u64) {
-        let (observed, left) = std::mem::take(&mut self.finished)
+        let (observed, unobserved) = std::mem::take(&mut self.finished)
             .into_iter()
             .partition(|row| row.0 <= up_to);
-        self.finished = left;
+        self.finished = unobserved;
         let observed: Vec<FinishedRow> = observed;
         for FinishedRow(_, task, run, end, _) in observed {
-            self.floor.note(Event::Observed {
+            self.events.record(Event::Observed {
                 run: RunName { task, run },
                 end,
             });
@@ -156,7 +158,7 @@
 
     fn stop(&mut self, StopRow(task, run): StopRow, now: u64) {
         self.close(&task, run);
-        let stops_at = now + self.settings.stop_takes_ms;
+        let stops_at = now + self.settings.stop_duration_ms;
         if let Some(run) = self.runs.get_mut(&RunName { task, run }) {
             run.stops_at.get_or_insert(stops_at);
         }
@@ -168,51 +170,51 @@
             return;
         }
         let work: Work = text.parse().unwrap_or_default();
-        let runs_already = self.runs.keys().any(|other| other.task == name.task);
-        let too_old = self
+        let is_running = self.runs.keys().any(|other| other.task == name.task);
+        let is_closed = self
             .closed
             .get(&name.task)
             .is_some_and(|closed| name.run <= *closed);
-        if too_old || runs_already || !self.has_room_for(&work) {
+        if is_closed || is_running || !self.has_capacity_for(&work) {
             self.finish(name, End::Refused);
             return;
         }
-        self.floor.note(Event::Started {
+        self.events.record(Event::Started {
             run: name.clone(),
             worker: self.settings.id.clone(),
         });
         if work.gang > 0 {
-            self.floor.join(&name, work.gang, now);
+            self.events.join(&name, work.gang, now);
         }
         self.runs.insert(
             name,
             Run {
                 work,
-                began: now,
+                started_at: now,
                 stops_at: None,
             },
         );
     }
 
-    fn has_room_for(&self, work: &Work) -> bool {
+    fn has_capacity_for(&self, work: &Work) -> bool {
         let used: u64 = self.runs.values().map(|run| run.work.cpu).sum();
         used + work.cpu <= self.settings.capacity.cpu
     }
 
     fn end_due(&self, name: &RunName, run: &Run, now: u64) -> Option<End> {
-        if now >= self.hold_until {
+        if now >= self.lease_until {
             return Some(End::Lapsed);
         }
         if run.stops_at.is_some_and(|at| now >= at) {
             return Some(End::Stopped);
         }
-        let worked_since = match self.floor.gang(name) {
-            _ if run.work.gang == 0 => run.began,
+        let worked_since = match self.events.gang(name) {
+            _ if run.work.gang == 0 => run.started_at,
             GangState::Working { since } => since,
             GangState::Broken => return Some(End::Broken),
             GangState::Gathering => {
-                let waited = now.saturating_sub(run.began);
-                return (waited >= self.settings.gang_waits_ms).then_some(End::Alone);
+                let waited = now.saturating_sub(run.started_at);
+                return (waited >= self.settings.gang_timeout_ms).then_some(End::Alone);
             }
         };
         let done = now >= worked_since + run.work.takes_ms;
@@ -226,22 +228,22 @@
     fn end(&mut self, name: RunName, end: End) {
         let in_gang = self.runs.remove(&name).is_some_and(|run| run.work.gang > 0);
         if in_gang && end != End::Done {
-            self.floor.break_up(&name);
+            self.events.break_up(&name);
         }
         self.finish(name, end);
     }
 
     fn finish(&mut self, name: RunName, end: End) {
-        self.ends += 1;
+        self.end_count += 1;
         self.close(&name.task, name.run);
         self.finished.push(FinishedRow(
-            self.ends,
+            self.end_count,
             name.task.clone(),
             name.run,
             end,
             String::new(),
         ));
-        self.floor.note(Event::Ended { run: name, end });
+        self.events.record(Event::Ended { run: name, end });
     }
 
     fn close(&mut self, task: &str, run: u32) {
@@ -251,7 +253,7 @@
 }
 
 fn running_row(name: &RunName, run: &Run, now: u64) -> RunningRow {
-    let worked = now.saturating_sub(run.began);
+    let worked = now.saturating_sub(run.started_at);
     let percent = (worked * 100)
         .checked_div(run.work.takes_ms)
         .unwrap_or(0)
--- a/crates/mock-servers/src/worker/work.rs
+++ b/crates/mock-servers/src/worker/work.rs
@@ -1,18 +1,18 @@
-//! What a task does at a stand-in worker, as the text of its job says it.
+//! The simulated work of a task, parsed from its job's text.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// A task's work. Its text is a list of `key=value` words; unknown words are skipped.
+/// A task's simulated work. Its text is a list of `key=value` words; unknown keys are ignored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Work {
-    /// Milliseconds that it takes.
+    /// How long the task runs, in milliseconds.
     pub takes_ms: u64,
-    /// Thousandths of a core that it takes meanwhile.
+    /// CPU that it uses, in thousandths of a core.
     pub cpu: u64,
-    /// How many tasks its gang has; 0 for no gang.
+    /// Number of tasks in its gang; 0 if it is not part of a gang.
     pub gang: usize,
-    /// Whether it fails in the end.
+    /// Whether the task fails when its time is over.
     pub fails: bool,
 }
 
--- a/crates/mock-servers/tests/worker.rs
+++ b/crates/mock-servers/tests/worker.rs
@@ -1,8 +1,10 @@
-//! The stand-in worker without its connection.
+//! The mock worker's state machine.
 
-use mock_servers::worker::floor::Floor;
-use mock_servers::worker::machine::{Worker, WorkerSettings};
-use mock_servers::worker::messages::{BeatAnswer, Capacity, End, FinishedRow, StartRow, StopRow};
+use mock_servers::worker::cluster_events::ClusterEvents;
+use mock_servers::worker::messages::{
+    Capacity, End, FinishedRow, HeartbeatAnswer, StartRow, StopRow,
+};
+use mock_servers::worker::state_machine::{Worker, WorkerSettings};
 use mock_servers::worker::work::Work;
 
 const TASK: &str = "0000000000000001.0.0.0";
@@ -13,9 +15,9 @@
     gang: 0,
     fails: false,
 };
-const HOLD_MS: u64 = 2_000;
+const LEASE_MS: u64 = 2_000;
 
-fn worker_on(floor: &Floor, id: &str) -> Worker {
+fn worker_on(events: &ClusterEvents, id: &str) -> Worker {
     let settings = WorkerSettings {
         id: id.to_owned(),
         service: "search".to_owned(),
@@ -26,34 +28,34 @@
             mem_mb: 1_000,
             gpu: 0,
         },
-        lease_most_ms: 5_000,
-        stop_takes_ms: 30,
-        gang_waits_ms: 300,
+        max_lease_ms: 5_000,
+        stop_duration_ms: 30,
+        gang_timeout_ms: 300,
     };
-    Worker::new(settings, floor.clone())
+    Worker::new(settings, events.clone())
 }
 
 fn worker() -> Worker {
-    worker_on(&Floor::default(), "w")
+    worker_on(&ClusterEvents::default(), "w")
 }
 
 fn start(task: &str, run: u32, work: Work) -> StartRow {
     StartRow(task.to_owned(), run, work.to_string(), String::new())
 }
 
-/// An answer that holds for two seconds and starts these.
-fn starting(start: Vec<StartRow>) -> BeatAnswer {
-    BeatAnswer {
-        hold_ms: HOLD_MS,
+/// An answer with a lease of two seconds that starts these runs.
+fn answer_that_starts(start: Vec<StartRow>) -> HeartbeatAnswer {
+    HeartbeatAnswer {
+        hold_ms: LEASE_MS,
         fence_token: 5,
         start,
-        ..BeatAnswer::default()
+        ..HeartbeatAnswer::default()
     }
 }
 
-/// The ends that the next heartbeat lists.
+/// The ends in the next heartbeat: number, run and how it ended.
 fn ends(worker: &mut Worker, now: u64) -> Vec<(u64, u32, End)> {
-    let finished = worker.beat(now).finished;
+    let finished = worker.heartbeat(now).finished;
     finished
         .into_iter()
         .map(|FinishedRow(number, _, run, end, _)| (number, run, end))
@@ -61,7 +63,7 @@
 }
 
 #[test]
-fn a_text_of_work_reads_as_it_was_written() {
+fn work_survives_a_round_trip_through_its_text() {
     let work = Work {
         takes_ms: 7,
         cpu: 8,
@@ -72,29 +74,29 @@
 }
 
 #[test]
-fn a_run_works_and_is_done() {
+fn a_run_completes_after_its_duration() {
     let mut worker = worker();
-    assert!(worker.obey(starting(vec![start(TASK, 1, WORK)]), 1_000, 1_001));
-    worker.pass(1_100);
-    assert_eq!(worker.beat(1_100).running.len(), 1);
-    worker.pass(1_101);
+    assert!(worker.apply_answer(answer_that_starts(vec![start(TASK, 1, WORK)]), 1_000, 1_001));
+    worker.advance_to(1_100);
+    assert_eq!(worker.heartbeat(1_100).running.len(), 1);
+    worker.advance_to(1_101);
     assert_eq!(ends(&mut worker, 1_101), [(1, 1, End::Done)]);
 }
 
 #[test]
 fn ends_are_listed_until_they_are_observed() {
     let mut worker = worker();
-    worker.obey(
-        starting(vec![start(TASK, 1, WORK), start(OTHER, 1, WORK)]),
+    worker.apply_answer(
+        answer_that_starts(vec![start(TASK, 1, WORK), start(OTHER, 1, WORK)]),
         1_000,
         1_000,
     );
-    worker.pass(1_100);
+    worker.advance_to(1_100);
     assert_eq!(ends(&mut worker, 1_100).len(), 2);
-    worker.obey(
-        BeatAnswer {
+    worker.apply_answer(
+        HeartbeatAnswer {
             observed: 1,
-            ..starting(Vec::new())
+            ..answer_that_starts(Vec::new())
         },
         1_100,
         1_100,
@@ -103,171 +105,187 @@
 }
 
 #[test]
-fn an_answer_without_a_hold_starts_nothing() {
+fn an_answer_without_a_lease_starts_nothing() {
     let mut worker = worker();
-    worker.obey(
-        BeatAnswer {
+    worker.apply_answer(
+        HeartbeatAnswer {
             hold_ms: 0,
-            ..starting(vec![start(TASK, 1, WORK)])
+            ..answer_that_starts(vec![start(TASK, 1, WORK)])
         },
         1_000,
         1_000,
     );
-    assert!(worker.beat(1_000).running.is_empty());
+    assert!(worker.heartbeat(1_000).running.is_empty());
 }
 
 #[test]
-fn late_answers_and_lower_tokens_are_not_obeyed() {
+fn late_answers_and_lower_fencing_tokens_are_ignored() {
     let mut worker = worker();
-    assert!(!worker.obey(starting(vec![start(TASK, 1, WORK)]), 1_000, 2_001));
-    assert!(worker.obey(starting(Vec::new()), 1_000, 1_000));
-    let lower = BeatAnswer {
+    assert!(!worker.apply_answer(answer_that_starts(vec![start(TASK, 1, WORK)]), 1_000, 2_001));
+    assert!(worker.apply_answer(answer_that_starts(Vec::new()), 1_000, 1_000));
+    let lower = HeartbeatAnswer {
         fence_token: 4,
-        ..starting(vec![start(TASK, 1, WORK)])
+        ..answer_that_starts(vec![start(TASK, 1, WORK)])
     };
-    assert!(!worker.obey(lower, 1_000, 1_000));
-    assert!(worker.beat(1_000).running.is_empty());
+    assert!(!worker.apply_answer(lower, 1_000, 1_000));
+    assert!(worker.heartbeat(1_000).running.is_empty());
 }
 
 #[test]
-fn everything_lapses_with_the_hold_which_counts_from_the_sending() {
+fn runs_lapse_with_the_lease_which_counts_from_the_sending_of_the_heartbeat() {
     let mut worker = worker();
     let long = Work {
         takes_ms: 60_000,
         ..WORK
     };
-    worker.obey(starting(vec![start(TASK, 1, long)]), 1_000, 1_900);
-    worker.pass(1_000 + HOLD_MS - 1);
-    assert_eq!(worker.beat(2_999).running.len(), 1);
-    worker.pass(1_000 + HOLD_MS);
+    worker.apply_answer(answer_that_starts(vec![start(TASK, 1, long)]), 1_000, 1_900);
+    worker.advance_to(1_000 + LEASE_MS - 1);
+    assert_eq!(worker.heartbeat(2_999).running.len(), 1);
+    worker.advance_to(1_000 + LEASE_MS);
     assert_eq!(ends(&mut worker, 3_000), [(1, 1, End::Lapsed)]);
 }
 
 #[test]
-fn a_hold_never_shortens_and_never_exceeds_the_longest() {
+fn a_lease_never_shortens_and_never_exceeds_the_maximum() {
     let mut worker = worker();
     let long = Work {
         takes_ms: 60_000,
         ..WORK
     };
-    worker.obey(
-        BeatAnswer {
+    worker.apply_answer(
+        HeartbeatAnswer {
             hold_ms: 90_000,
-            ..starting(vec![start(TASK, 1, long)])
+            ..answer_that_starts(vec![start(TASK, 1, long)])
         },
         1_000,
         1_000,
     );
-    worker.obey(
-        BeatAnswer {
+    worker.apply_answer(
+        HeartbeatAnswer {
             hold_ms: 10,
-            ..starting(Vec::new())
+            ..answer_that_starts(Vec::new())
         },
         1_100,
         1_100,
     );
-    worker.pass(5_999);
-    assert_eq!(worker.beat(5_999).running.len(), 1);
-    worker.pass(6_000);
+    worker.advance_to(5_999);
+    assert_eq!(worker.heartbeat(5_999).running.len(), 1);
+    worker.advance_to(6_000);
     assert_eq!(ends(&mut worker, 6_000), [(1, 1, End::Lapsed)]);
 }
 
 #[test]
-fn a_stop_takes_its_time_and_bars_what_is_not_above_it() {
+fn a_stop_takes_effect_after_its_duration_and_rejects_starts_up_to_its_run_number() {
     let mut worker = worker();
     let long = Work {
         takes_ms: 60_000,
         ..WORK
     };
-    worker.obey(starting(vec![start(TASK, 2, long)]), 1_000, 1_000);
+    worker.apply_answer(answer_that_starts(vec![start(TASK, 2, long)]), 1_000, 1_000);
     let stop = vec![StopRow(TASK.to_owned(), 2), StopRow(OTHER.to_owned(), 3)];
-    worker.obey(
-        BeatAnswer {
+    worker.apply_answer(
+        HeartbeatAnswer {
             stop,
-            ..starting(Vec::new())
+            ..answer_that_starts(Vec::new())
         },
         1_100,
         1_100,
     );
-    worker.pass(1_129);
-    assert_eq!(worker.beat(1_129).running.len(), 1);
-    worker.pass(1_130);
+    worker.advance_to(1_129);
+    assert_eq!(worker.heartbeat(1_129).running.len(), 1);
+    worker.advance_to(1_130);
     assert_eq!(ends(&mut worker, 1_130), [(1, 2, End::Stopped)]);
-    worker.obey(starting(vec![start(OTHER, 3, WORK)]), 1_200, 1_200);
+    worker.apply_answer(
+        answer_that_starts(vec![start(OTHER, 3, WORK)]),
+        1_200,
+        1_200,
+    );
     assert_eq!(ends(&mut worker, 1_200).last(), Some(&(2, 3, End::Refused)));
-    worker.obey(starting(vec![start(OTHER, 4, WORK)]), 1_300, 1_300);
-    assert_eq!(worker.beat(1_300).running.len(), 1);
+    worker.apply_answer(
+        answer_that_starts(vec![start(OTHER, 4, WORK)]),
+        1_300,
+        1_300,
+    );
+    assert_eq!(worker.heartbeat(1_300).running.len(), 1);
 }
 
 #[test]
-fn what_does_not_fit_is_refused() {
+fn a_start_over_the_capacity_is_refused() {
     let mut worker = worker();
     let large = Work { cpu: 700, ..WORK };
-    worker.obey(
-        starting(vec![start(TASK, 1, large), start(OTHER, 1, large)]),
+    worker.apply_answer(
+        answer_that_starts(vec![start(TASK, 1, large), start(OTHER, 1, large)]),
         1_000,
         1_000,
     );
-    assert_eq!(worker.beat(1_000).running.len(), 1);
+    assert_eq!(worker.heartbeat(1_000).running.len(), 1);
     assert_eq!(ends(&mut worker, 1_000), [(1, 1, End::Refused)]);
 }
 
 #[test]
-fn a_gang_works_from_when_its_last_member_is_there() {
-    let floor = Floor::default();
+fn a_gang_works_from_the_start_of_its_last_member() {
+    let events = ClusterEvents::default();
     let gang = Work { gang: 2, ..WORK };
-    let (mut one, mut two) = (worker_on(&floor, "one"), worker_on(&floor, "two"));
-    one.obey(starting(vec![start(TASK, 1, gang)]), 1_000, 1_000);
-    one.pass(1_200);
+    let (mut one, mut two) = (worker_on(&events, "one"), worker_on(&events, "two"));
+    one.apply_answer(answer_that_starts(vec![start(TASK, 1, gang)]), 1_000, 1_000);
+    one.advance_to(1_200);
     assert!(ends(&mut one, 1_200).is_empty());
-    two.obey(starting(vec![start(OTHER, 1, gang)]), 1_200, 1_200);
-    one.pass(1_300);
-    two.pass(1_300);
+    two.apply_answer(
+        answer_that_starts(vec![start(OTHER, 1, gang)]),
+        1_200,
+        1_200,
+    );
+    one.advance_to(1_300);
+    two.advance_to(1_300);
     assert_eq!(ends(&mut one, 1_300), [(1, 1, End::Done)]);
     assert_eq!(ends(&mut two, 1_300), [(1, 1, End::Done)]);
 }
 
 #[test]
 fn a_member_that_waits_too_long_ends_alone_and_breaks_its_gang() {
-    let floor = Floor::default();
+    let events = ClusterEvents::default();
     let gang = Work { gang: 3, ..WORK };
-    let (mut one, mut two) = (worker_on(&floor, "one"), worker_on(&floor, "two"));
-    one.obey(starting(vec![start(TASK, 1, gang)]), 1_000, 1_000);
-    two.obey(starting(vec![start(OTHER, 1, gang)]), 1_200, 1_200);
-    one.pass(1_300);
-    two.pass(1_300);
+    let (mut one, mut two) = (worker_on(&events, "one"), worker_on(&events, "two"));
+    one.apply_answer(answer_that_starts(vec![start(TASK, 1, gang)]), 1_000, 1_000);
+    two.apply_answer(
+        answer_that_starts(vec![start(OTHER, 1, gang)]),
+        1_200,
+        1_200,
+    );
+    one.advance_to(1_300);
+    two.advance_to(1_300);
     assert_eq!(ends(&mut one, 1_300), [(1, 1, End::Alone)]);
     assert_eq!(ends(&mut two, 1_300), [(1, 1, End::Broken)]);
 }
 
 #[test]
-fn the_floor_counts_runs_side_by_side_and_after_an_observed_end() {
-    let floor = Floor::default();
-    let (mut one, mut two) = (worker_on(&floor, "one"), worker_on(&floor, "two"));
-    one.obey(starting(vec![start(TASK, 1, WORK)]), 1_000, 1_000);
-    assert_eq!((floor.run_twice(), floor.alive()), (0, 1));
-    two.obey(starting(vec![start(TASK, 2, WORK)]), 1_010, 1_010);
-    assert_eq!((floor.run_twice(), floor.alive()), (1, 2));
-    one.pass(1_200);
-    two.pass(1_200);
-    one.obey(
-        BeatAnswer {
+fn concurrent_runs_and_starts_after_an_observed_completion_count_as_duplicates() {
+    let events = ClusterEvents::default();
+    let (mut one, mut two) = (worker_on(&events, "one"), worker_on(&events, "two"));
+    one.apply_answer(answer_that_starts(vec![start(TASK, 1, WORK)]), 1_000, 1_000);
+    assert_eq!((events.duplicate_starts(), events.alive()), (0, 1));
+    two.apply_answer(answer_that_starts(vec![start(TASK, 2, WORK)]), 1_010, 1_010);
+    assert_eq!((events.duplicate_starts(), events.alive()), (1, 2));
+    one.advance_to(1_200);
+    two.advance_to(1_200);
+    one.apply_answer(
+        HeartbeatAnswer {
             observed: 1,
-            ..starting(Vec::new())
+            ..answer_that_starts(Vec::new())
         },
         1_200,
         1_200,
     );
-    two.obey(starting(vec![start(TASK, 3, WORK)]), 1_300, 1_300);
-    assert_eq!((floor.run_twice(), floor.alive()), (2, 1));
+    two.apply_answer(answer_that_starts(vec![start(TASK, 3, WORK)]), 1_300, 1_300);
+    assert_eq!((events.duplicate_starts(), events.alive()), (2, 1));
 }
 
 #[test]
-fn a_run_after_one_that_lapsed_is_no_second_one() {
-    let floor = Floor::default();
-    let (mut one, mut two) = (worker_on(&floor, "one"), worker_on(&floor, "two"));
-    one.obey(
-        starting(vec![start(
+fn a_run_after_a_lapsed_one_is_no_duplicate() {
+    let events = ClusterEvents::default();
+    let (mut one, mut two) = (worker_on(&events, "one"), worker_on(&events, "two"));
+    one.apply_answer(
+        answer_that_starts(vec![start(
             TASK,
             1,
             Work {
@@ -278,7 +296,7 @@
         1_000,
         1_000,
     );
-    one.pass(3_000);
-    two.obey(starting(vec![start(TASK, 2, WORK)]), 3_010, 3_010);
-    assert_eq!((floor.run_twice(), floor.alive()), (0, 1));
+    one.advance_to(3_000);
+    two.apply_answer(answer_that_starts(vec![start(TASK, 2, WORK)]), 3_010, 3_010);
+    assert_eq!((events.duplicate_starts(), events.alive()), (0, 1));
 }
