--- a/crates/overload-drill/src/lib.rs
+++ b/crates/overload-drill/src/lib.rs
@@ -1,14 +1,14 @@
 //! The drill of overload handled as one: real processes, a node that hangs under one and the same load, and what reached it.
 //!
-//! The checkers know what the nodes saw and what the rig did, and nothing of the machines.
+//! The checkers know what the nodes saw and what the harness did, and nothing of the machines.
 #![warn(missing_docs)]
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub)]
 
-use lupinrack_fault_injection::checks::{duplicates, limits, lost, Verdict, Wellness};
-use lupinrack_fault_injection::witness::{Seen, Witness};
-use lupinrack_fault_injection::{rig, Act, History, Plan, RigError, Script};
-use mock_servers::load::Came;
+use lupinrack_fault_injection::checks::{duplicates, limits, lost, FaultTimeline, Verdict};
+use lupinrack_fault_injection::run_record::{NodeAttempt, RunRecord};
+use lupinrack_fault_injection::{harness, Act, HarnessError, History, Plan, Script};
+use mock_servers::load::RequestOutcome;
 use serde::Serialize;
 use std::sync::Arc;
 
@@ -137,20 +137,20 @@
     }
 
     /// Puts what was seen against what was promised.
-    pub fn of(script: &Script, witness: &Witness) -> Figures {
+    pub fn of(script: &Script, run_record: &RunRecord) -> Figures {
         let alone = script.sections.is_empty();
         let mut broken = Vec::new();
         let at = |on: bool| {
             let hang = |(_, act): &&(u64, Act)| *act == Act::Hang { node: 0, on };
-            witness
-                .deeds
+            run_record
+                .injected_acts
                 .iter()
                 .find(hang)
-                .map_or(witness.span.end, |(at, _)| *at)
+                .map_or(run_record.span.end, |(at, _)| *at)
         };
         let (from, to) = (at(true), at(false));
-        let node = |s: &&Seen| s.node == 0;
-        let hung: Vec<u64> = witness
+        let node = |s: &&NodeAttempt| s.node == 0;
+        let hung: Vec<u64> = run_record
             .seen
             .iter()
             .filter(node)
@@ -168,26 +168,26 @@
         if trials_over > 0 {
             broken.push(format!("{trials_over} trials above the fleet's budget"));
         }
-        let well = Wellness::new(script, &witness.deeds);
-        let served = witness
+        let well = FaultTimeline::new(script, &run_record.injected_acts);
+        let served = run_record
             .done
             .iter()
-            .filter(|(_, c)| *c == Came::Served)
+            .filter(|(_, c)| *c == RequestOutcome::Served)
             .count();
         Figures {
             script: script.name.clone(),
             seed: script.seed,
             alone,
-            processes: witness.processes,
-            requests: witness.done.len() as u64,
-            served_share: served as f64 / witness.done.len().max(1) as f64,
+            processes: run_record.processes,
+            requests: run_record.done.len() as u64,
+            served_share: served as f64 / run_record.done.len().max(1) as f64,
             attempts_at_hung: hung.len() as u64,
             trials_per_s: trials.len() as f64 / seconds,
             trials_over,
-            recovery_ms: recovery(witness, from, to),
-            limit_broken: limits(&witness.seen, &mut broken),
-            lost: lost(&witness.done, &well, &mut broken),
-            duplicates: duplicates(&witness.seen, &mut broken),
+            recovery_ms: recovery(run_record, from, to),
+            limit_broken: limits(&run_record.seen, &mut broken),
+            lost: lost(&run_record.done, &well, &mut broken),
+            duplicates: duplicates(&run_record.seen, &mut broken),
             broken,
         }
     }
@@ -209,8 +209,8 @@
     over
 }
 
-fn recovery(witness: &Witness, from: u64, to: u64) -> Option<f64> {
-    let ran: Vec<u64> = witness
+fn recovery(run_record: &RunRecord, from: u64, to: u64) -> Option<f64> {
+    let ran: Vec<u64> = run_record
         .seen
         .iter()
         .filter(|s| s.node == 0 && s.ran)
@@ -218,9 +218,9 @@
         .collect();
     let before = ran
         .iter()
-        .filter(|t| (witness.span.start..from).contains(t))
+        .filter(|t| (run_record.span.start..from).contains(t))
         .count() as f64;
-    let per_s = before / (from.saturating_sub(witness.span.start).max(1) as f64 / 1e6);
+    let per_s = before / (from.saturating_sub(run_record.span.start).max(1) as f64 / 1e6);
     // A second in which at least half of that many came.
     let after: Vec<u64> = ran.into_iter().filter(|t| *t >= to).collect();
     let need = (per_s / 2.0).ceil().max(1.0) as usize;
@@ -240,11 +240,11 @@
 }
 
 /// Plays a script and checks it.
-pub async fn play(plan: Plan) -> Result<Played, RigError> {
+pub async fn play(plan: Plan) -> Result<Played, HarnessError> {
     let script = plan.script.clone();
-    let played = rig::play(plan).await?;
+    let played = harness::play(plan).await?;
     Ok(Played {
-        figures: Figures::of(&script, &played.witness),
+        figures: Figures::of(&script, &played.run_record),
         history: played.history,
     })
 }
