--- a/crates/extent-map-drill/src/lib.rs
+++ b/crates/extent-map-drill/src/lib.rs
@@ -312,13 +312,13 @@
 struct Front {
     process: Process,
     clients: SocketAddr,
-    entrance: AuthorityListener,
+    authority_listener: AuthorityListener,
 }
 
 impl Front {
     /// Polls and fetches so far.
     fn calls(&self) -> u64 {
-        calls(&self.entrance.traffic)
+        calls(&self.authority_listener.traffic)
     }
 }
 
@@ -326,7 +326,13 @@
 fn traffic(fronts: &[Front], relay: &Relay) -> (u64, u64, u64) {
     let call_bytes = fronts
         .iter()
-        .map(|front| front.entrance.traffic.bytes.load(Ordering::Relaxed))
+        .map(|front| {
+            front
+                .authority_listener
+                .traffic
+                .bytes
+                .load(Ordering::Relaxed)
+        })
         .sum();
     let sent: Vec<(u64, u64)> = (0..fronts.len()).map(|i| relay.sent(i)).collect();
     (
@@ -494,7 +500,7 @@
     drop(reserved);
     let mut fronts = Vec::new();
     for (i, own_address) in peer_addresses.iter().enumerate() {
-        let entrance = cluster.authority.open_listener().await?;
+        let authority_listener = cluster.authority.open_listener().await?;
         let discovery = cluster.local_fleet.discovery.address;
         let module_config = configuration(&format!("n{i}"), discovery, rng.u64(..), drill.fronts);
         let others = (0..drill.fronts as usize).filter(|j| *j != i);
@@ -503,7 +509,7 @@
             .collect::<Result<_, _>>()?;
         let operator_config = format!(
             "[extents]\nenabled = true\nauthority = \"{}\"\nstrategy = \"{}\"\npeer_listen = \"{own_address}\"\npeers = {}\n",
-            entrance.address,
+            authority_listener.address,
             strategy.name(),
             json!(peers)
         );
@@ -520,7 +526,7 @@
         fronts.push(Front {
             process,
             clients,
-            entrance,
+            authority_listener,
         });
     }
     Ok(fronts)
--- a/crates/fleet-simulation/tests/simulation.rs
+++ b/crates/fleet-simulation/tests/simulation.rs
@@ -3,7 +3,7 @@
 use lupinrack_fault_injection::relay::Fault;
 use lupinrack_fault_injection::{Act, Script};
 use lupinrack_fleet_membership::config::Section;
-use lupinrack_fleet_membership_drill::cases::{chance, CASES};
+use lupinrack_fleet_membership_drill::cases::{random_script, CASES};
 use lupinrack_fleet_simulation::simulation::NetworkModel;
 use lupinrack_fleet_simulation::{plot, Experiment, Outcome, Simulation};
 
@@ -24,9 +24,9 @@
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
-    let script = chance(5, 6, 25);
+    let script = random_script(5, 6, 25);
     assert_eq!(run(&script), run(&script));
-    assert_ne!(run(&script), run(&chance(6, 6, 25)));
+    assert_ne!(run(&script), run(&random_script(6, 6, 25)));
 }
 
 #[test]
@@ -47,7 +47,7 @@
 #[test]
 fn random_faults_violate_no_guarantee() {
     for seed in 0..300 {
-        run_checked(&chance(seed, 3 + (seed % 7) as u16, 25));
+        run_checked(&random_script(seed, 3 + (seed % 7) as u16, 25));
     }
 }
 
@@ -59,7 +59,7 @@
         ..NetworkModel::default()
     };
     let violates_sum = |seed| {
-        let script = chance(seed, 4, 30);
+        let script = random_script(seed, 4, 30);
         Simulation::new(script, Section::default(), net)
             .run()
             .parts_sum_max
@@ -72,7 +72,7 @@
 #[test]
 fn a_fleet_settles_after_the_last_fault() {
     for seed in 0..40 {
-        let mut script = chance(1000 + seed, 5, 20);
+        let mut script = random_script(1000 + seed, 5, 20);
         script.seconds = 45.0;
         let outcome = run_checked(&script);
         assert!(
