--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -6,10 +6,10 @@
 
 use clap::Args;
 use hdrhistogram::Histogram;
-use lupinrack_fault_injection::stage::Stage;
-use lupinrack_fault_injection::RigError;
-use mock_servers::load::{mix, Ask, Clients, Tally};
-use mock_servers::node::Manner;
+use lupinrack_fault_injection::local_fleet::LocalFleet;
+use lupinrack_fault_injection::HarnessError;
+use mock_servers::load::{mix, ClientRequest, Clients, RequestCounts};
+use mock_servers::node::NodeConfig;
 use mock_servers::settings::configuration;
 use serde::Serialize;
 use std::path::PathBuf;
@@ -38,7 +38,7 @@
     pub seed: u64,
     /// Numbers of requests by result.
     #[serde(flatten)]
-    pub tally: Tally,
+    pub tally: RequestCounts,
     /// New writes that were executed more than once.
     pub duplicates: u64,
     /// Median latency of the served requests in milliseconds, from the first byte sent to the last byte of the response.
@@ -82,27 +82,27 @@
 }
 
 /// Runs the demo with this program as the front.
-pub async fn run(demo: &Demo, program: PathBuf) -> Result<Report, RigError> {
+pub async fn run(demo: &Demo, program: PathBuf) -> Result<Report, HarnessError> {
     let seed = demo.seed.unwrap_or_else(|| fastrand::u64(..));
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut stage = Stage::new(program).await?;
+    let mut local_fleet = LocalFleet::new(program).await?;
     // One node per shard, and the successor of the first, which is not listed yet.
     for i in 0..=NODE_COUNT {
-        stage
-            .node(Manner {
+        local_fleet
+            .node(NodeConfig {
                 shard: i % NODE_COUNT,
                 seed: rng.u64(..),
-                ..Manner::default()
+                ..NodeConfig::default()
             })
             .await?;
     }
     for i in 0..NODE_COUNT as usize {
-        stage.list(i, "SERVING");
+        local_fleet.list(i, "SERVING");
     }
-    let config = configuration("demo", stage.discovery.address, rng.u64(..), 1);
-    let front = stage.front(0, config, String::new()).await?;
-    let Some(client_address) = front.listens.clients else {
-        return Err(RigError::Script(
+    let config = configuration("demo", local_fleet.discovery.address, rng.u64(..), 1);
+    let front = local_fleet.front(0, config, String::new()).await?;
+    let Some(client_address) = front.addresses.clients else {
+        return Err(HarnessError::Script(
             "the front reported no client address".into(),
         ));
     };
@@ -125,11 +125,11 @@
         sleep_until(started + send_at).await;
         if !drained && send_at * 2 >= duration {
             drained = true;
-            stage.list(NODE_COUNT as usize, "SERVING");
-            stage.list(0, "DRAINING");
+            local_fleet.list(NODE_COUNT as usize, "SERVING");
+            local_fleet.list(0, "DRAINING");
         }
         let (clients, ask) = (clients.clone(), ask(&mut rng, number));
-        requests.spawn(async move { clients.ask(client_address, &ask).await });
+        requests.spawn(async move { clients.send(client_address, &ask).await });
         while let Some(Ok((result, elapsed))) = requests.try_join_next() {
             if report.tally.count(result) {
                 latency.saturating_record(elapsed.as_micros() as u64);
@@ -142,14 +142,14 @@
             latency.saturating_record(elapsed.as_micros() as u64);
         }
     }
-    stage.end(front).await?;
-    report.duplicates = stage.duplicates();
+    local_fleet.end(front).await?;
+    report.duplicates = local_fleet.duplicates();
     report.p50_ms = latency.value_at_quantile(0.5) as f64 / 1000.0;
     report.p99_ms = latency.value_at_quantile(0.99) as f64 / 1000.0;
     Ok(report)
 }
 
-fn ask(rng: &mut fastrand::Rng, number: u64) -> Ask {
+fn ask(rng: &mut fastrand::Rng, number: u64) -> ClientRequest {
     let greedy = rng.u32(0..3) == 0;
     let volume = if greedy {
         GREEDY_VOLUME
@@ -158,7 +158,7 @@
     };
     let mixed = mix(rng);
     let (class, writes, units) = if greedy { ("read", false, 4) } else { mixed };
-    Ask {
+    ClientRequest {
         id: format!("{number:016x}"),
         class,
         writes,
--- a/crates/fleet-membership-drill/src/check.rs
+++ b/crates/fleet-membership-drill/src/check.rs
@@ -2,12 +2,12 @@
 //! nodes, and the faults that were injected. It shares no code with the state machines, so that a bug there cannot hide itself.
 
 use lupinrack_fault_injection::checks::{
-    cold, duplicates, limits, lost, quantile, said, Verdict, Wellness,
+    cold, duplicates, limits, log_records, lost, quantile, FaultTimeline, Verdict,
 };
 use lupinrack_fault_injection::history::{Entry, Moment};
-use lupinrack_fault_injection::witness::{Seen, Witness, LIMIT};
+use lupinrack_fault_injection::run_record::{NodeAttempt, RunRecord, LIMIT};
 use lupinrack_fault_injection::{Act, Script};
-use mock_servers::load::Came;
+use mock_servers::load::RequestOutcome;
 use serde::Serialize;
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -83,31 +83,33 @@
     }
 
     /// Checks what was observed while a script ran.
-    pub fn new(script: &Script, witness: Witness) -> DrillReport {
-        let Witness {
+    pub fn new(script: &Script, run_record: RunRecord) -> DrillReport {
+        let RunRecord {
             span,
             history,
-            deeds,
+            injected_acts,
             seen,
             done,
             sent,
             processes,
             cpu_ms,
-        } = witness;
-        let (history, deeds, seen, done) = (&history[..], &deeds[..], &seen[..], &done[..]);
-        let count =
-            |matches: fn(&Act) -> bool| deeds.iter().filter(|(_, act)| matches(act)).count() as u64;
+        } = run_record;
+        let (history, injected_acts, seen, done) =
+            (&history[..], &injected_acts[..], &seen[..], &done[..]);
+        let count = |matches: fn(&Act) -> bool| {
+            injected_acts.iter().filter(|(_, act)| matches(act)).count() as u64
+        };
         let seconds = (span.end - span.start).max(1) as f64 / 1e6;
-        let well = Wellness::new(script, deeds);
+        let well = FaultTimeline::new(script, injected_acts);
         let mut broken = Vec::new();
         let (views, view_conflicts) = count_views(history, &mut broken);
-        let parts_sum_max = max_share_sum(script, history, deeds, &mut broken);
+        let parts_sum_max = max_share_sum(script, history, injected_acts, &mut broken);
         let limit_broken = limits(seen, &mut broken);
         let (cold_over, cold_most) = cold(seen, &mut broken);
         let lost = lost(done, &well, &mut broken);
         let duplicates = duplicates(seen, &mut broken);
         let false_deaths = false_deaths(history, &well).len() as u64;
-        let (detect_ms, agree_ms) = detection_times(script, history, deeds, &well);
+        let (detect_ms, agree_ms) = detection_times(script, history, injected_acts, &well);
         let per_front_s = |total: u64| total as f64 / sent.len().max(1) as f64 / seconds;
         DrillReport {
             script: script.name.clone(),
@@ -118,7 +120,10 @@
             partitions: count(|a| matches!(a, Act::Split { .. } | Act::Mute { .. }))
                 + count(|a| matches!(a, Act::Path { fault, .. } if fault.cut)),
             requests: done.len() as u64,
-            served: done.iter().filter(|(_, c)| *c == Came::Served).count() as u64,
+            served: done
+                .iter()
+                .filter(|(_, c)| *c == RequestOutcome::Served)
+                .count() as u64,
             views,
             view_conflicts,
             limit_broken,
@@ -144,7 +149,7 @@
 /// The number of accepted view numbers, and of those with more than one member list.
 pub fn count_views(history: &[(Moment, Entry)], violations: &mut Vec<String>) -> (u64, u64) {
     let mut member_lists: BTreeMap<String, HashSet<String>> = BTreeMap::new();
-    for (_, note) in said(history, "view") {
+    for (_, note) in log_records(history, "view") {
         let text = |name: &str| note.fields[name].as_str().unwrap_or("").to_string();
         member_lists
             .entry(text("view"))
@@ -212,7 +217,7 @@
 pub fn max_share_sum(
     script: &Script,
     history: &[(Moment, Entry)],
-    deeds: &[(Moment, Act)],
+    injected_acts: &[(Moment, Act)],
     violations: &mut Vec<String>,
 ) -> f64 {
     let mut shares: HashMap<(u16, bool), LoggedShares> = HashMap::new();
@@ -220,10 +225,10 @@
     let front_count = f64::from(script.fronts);
     for (at, entry) in history {
         match entry {
-            Entry::Said(note) if note.what == "rights" => {
+            Entry::Logged(note) if note.event == "rights" => {
                 shares.insert((note.front, note.twin), LoggedShares::parse(&note.fields));
             }
-            Entry::Lives(front, twin, false) => drop(shares.remove(&(*front, *twin))),
+            Entry::Running(front, twin, false) => drop(shares.remove(&(*front, *twin))),
             _ => continue,
         }
         let factor = |front: u16, volume: Option<u64>| -> f64 {
@@ -238,10 +243,10 @@
             .sum();
         let mut largest = (slow_start, "slow-start budgets".to_string());
         for volume in 0..script.volumes {
-            let mut fronts = script.set(volume);
+            let mut fronts = script.fronts_of(volume);
             let hosts = fronts.len() as f64;
             fronts.extend(
-                deeds
+                injected_acts
                     .iter()
                     .filter(|(acted_at, _)| acted_at <= at)
                     .filter_map(|(_, act)| match act {
@@ -277,12 +282,12 @@
 }
 
 /// When a healthy front declared another healthy one dead, with the indexes of both; at most once in 5 s for each front.
-pub fn false_deaths(history: &[(Moment, Entry)], well: &Wellness) -> Vec<(Moment, u16, u16)> {
+pub fn false_deaths(history: &[(Moment, Entry)], well: &FaultTimeline) -> Vec<(Moment, u16, u16)> {
     let mut last: HashMap<u16, Moment> = HashMap::new();
-    said(history, "member")
+    log_records(history, "member")
         .filter(|(_, note)| note.fields["to"] == "dead")
         .filter_map(|(at, note)| Some((at, note.front, front_index(&note.fields["front"])?)))
-        .filter(|(at, by, front)| well.well(*front, *at) && well.well(*by, *at))
+        .filter(|(at, by, front)| well.is_healthy(*front, *at) && well.is_healthy(*by, *at))
         .filter(|(at, _, front)| {
             last.insert(*front, *at)
                 .is_none_or(|previous| at - previous > 5_000_000)
@@ -295,21 +300,21 @@
 fn detection_times(
     script: &Script,
     history: &[(Moment, Entry)],
-    deeds: &[(Moment, Act)],
-    well: &Wellness,
+    injected_acts: &[(Moment, Act)],
+    well: &FaultTimeline,
 ) -> (Vec<f64>, Vec<f64>) {
     let (mut detect_ms, mut agree_ms) = (Vec::new(), Vec::new());
-    for (at, act) in deeds {
+    for (at, act) in injected_acts {
         let (Act::Kill { front } | Act::Stop { front }) = act else {
             continue;
         };
-        let returned = deeds.iter().find(|(acted_at, act)| {
+        let returned = injected_acts.iter().find(|(acted_at, act)| {
             acted_at > at
                 && matches!(act, Act::Start { front: f } | Act::Cont { front: f } if f == front)
         });
         let returned_at = returned.map_or(Moment::MAX, |(acted_at, _)| *acted_at);
         let name = format!("n{front}");
-        let declared = said(history, "member").find(|(logged_at, note)| {
+        let declared = log_records(history, "member").find(|(logged_at, note)| {
             logged_at > at
                 && *logged_at < returned_at
                 && note.fields["to"] == "dead"
@@ -319,13 +324,13 @@
             continue;
         };
         detect_ms.push((declared_at - at) as f64 / 1000.0);
-        if !well.majority(declared_at) {
+        if !well.majority_running(declared_at) {
             continue;
         }
         let others = (0..script.fronts)
-            .filter(|other| other != front && well.well(*other, declared_at + 1_000_000));
+            .filter(|other| other != front && well.is_healthy(*other, declared_at + 1_000_000));
         for other in others {
-            let view_without = said(history, "view").find(|(logged_at, note)| {
+            let view_without = log_records(history, "view").find(|(logged_at, note)| {
                 let members = note.fields["members"].as_str().unwrap_or("");
                 note.front == other
                     && *logged_at > *at
@@ -341,7 +346,7 @@
 }
 
 /// The fraction of what the limits allow in the span that was not used.
-fn unused_limit_share(script: &Script, seen: &[Seen], span: &Range<Moment>) -> f64 {
+fn unused_limit_share(script: &Script, seen: &[NodeAttempt], span: &Range<Moment>) -> f64 {
     let allowed_units = LIMIT.0 * (span.end - span.start) as f64 / 1e6 * f64::from(script.volumes);
     let used_units: f64 = seen
         .iter()
--- a/crates/fleet-membership-drill/src/lib.rs
+++ b/crates/fleet-membership-drill/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod check;
 
 pub use check::DrillReport;
-use lupinrack_fault_injection::{rig, History, Plan, RigError};
+use lupinrack_fault_injection::{harness, HarnessError, History, Plan};
 use std::sync::Arc;
 
 /// The outcome of a script.
@@ -20,11 +20,11 @@
 }
 
 /// Runs a script and checks its outcome.
-pub async fn play(plan: Plan) -> Result<DrillOutcome, RigError> {
+pub async fn play(plan: Plan) -> Result<DrillOutcome, HarnessError> {
     let script = plan.script.clone();
-    let played = rig::play(plan).await?;
+    let played = harness::play(plan).await?;
     Ok(DrillOutcome {
-        report: DrillReport::new(&script, played.witness),
+        report: DrillReport::new(&script, played.run_record),
         history: played.history,
     })
 }
--- a/crates/fleet-membership-drill/tests/check.rs
+++ b/crates/fleet-membership-drill/tests/check.rs
@@ -1,21 +1,21 @@
 //! Each checker reports the violation in a history made for it, and nothing in a history without one.
 
-use lupinrack_fault_injection::checks::{cold, duplicates, limits, lost, Wellness};
-use lupinrack_fault_injection::history::{Entry, Note};
-use lupinrack_fault_injection::witness::{Asked, Seen};
+use lupinrack_fault_injection::checks::{cold, duplicates, limits, lost, FaultTimeline};
+use lupinrack_fault_injection::history::{Entry, LogRecord};
+use lupinrack_fault_injection::run_record::{NodeAttempt, SentRequest};
 use lupinrack_fault_injection::{Act, Script};
 use lupinrack_fleet_membership_drill::check::{count_views, false_deaths, max_share_sum};
-use mock_servers::load::Came;
+use mock_servers::load::RequestOutcome;
 use serde_json::{json, Value};
 use std::sync::atomic::{AtomicU64, Ordering};
 
 const SECOND_US: u64 = 1_000_000;
 
 fn said(front: u16, what: &str, fields: Value) -> Entry {
-    Entry::Said(Note {
+    Entry::Logged(LogRecord {
         front,
         twin: false,
-        what: what.into(),
+        event: what.into(),
         fields,
     })
 }
@@ -24,11 +24,11 @@
     json!({"until_unix_us": valid_until, "reserve": 0.15, "cold": slow_start, "factors": factors})
 }
 
-fn ran(at: u64, node: usize, volume: u64, units: u32) -> Seen {
+fn ran(at: u64, node: usize, volume: u64, units: u32) -> NodeAttempt {
     // Each call is a request of its own.
     static NEXT_ID: AtomicU64 = AtomicU64::new(0);
     let id = NEXT_ID.fetch_add(1, Ordering::Relaxed).to_string();
-    Seen {
+    NodeAttempt {
         at,
         node,
         cold: None,
@@ -110,7 +110,7 @@
 fn even_share_of_a_new_front_beside_a_taken_over_share_is_reported() {
     let mut script = Script::new("x", 1, 4, 1.0);
     (script.hosts, script.volumes) = (3, 1);
-    let deeds = [(
+    let injected_acts = [(
         2 * SECOND_US,
         Act::Joins {
             volume: 0,
@@ -128,18 +128,18 @@
     let mut reserve_only = shares(9 * SECOND_US, 1.0, "");
     reserve_only["rest"] = json!(0.15);
     history.push((3 * SECOND_US, said(3, "rights", reserve_only)));
-    assert!(max_share_sum(&script, &history, &deeds, &mut Vec::new()) <= 1.0 + 1e-9);
+    assert!(max_share_sum(&script, &history, &injected_acts, &mut Vec::new()) <= 1.0 + 1e-9);
     history.push((
         4 * SECOND_US,
         said(3, "rights", shares(9 * SECOND_US, 1.0, "")),
     ));
-    assert!(max_share_sum(&script, &history, &deeds, &mut Vec::new()) > 1.2);
+    assert!(max_share_sum(&script, &history, &injected_acts, &mut Vec::new()) > 1.2);
 }
 
 #[test]
 fn exceeded_limit_is_reported() {
     // A burst of 46 units at once, then 40 units per second.
-    let mut seen: Vec<Seen> = (0..11).map(|_| ran(SECOND_US, 0, 1, 4)).collect();
+    let mut seen: Vec<NodeAttempt> = (0..11).map(|_| ran(SECOND_US, 0, 1, 4)).collect();
     seen.extend((1..100).map(|i| ran(SECOND_US + i * 100_000, 0, 1, 4)));
     let mut violations = Vec::new();
     assert_eq!((limits(&seen, &mut violations), violations.len()), (0, 0));
@@ -151,8 +151,8 @@
         "the units of all nodes count"
     );
     // All attempts of one request count once; each request counts by itself.
-    let mut attempts: Vec<Seen> = (0..3)
-        .map(|i| Seen {
+    let mut attempts: Vec<NodeAttempt> = (0..3)
+        .map(|i| NodeAttempt {
             id: "one".into(),
             ..ran(SECOND_US, i, 1, 16)
         })
@@ -167,18 +167,18 @@
 
 #[test]
 fn overload_of_a_node_in_slow_start_is_reported() {
-    let request = |at: u64| Seen {
+    let request = |at: u64| NodeAttempt {
         cold: Some(SECOND_US),
         ..ran(at, 5, 0, 4)
     };
     let mut violations = Vec::new();
-    let seen: Vec<Seen> = (0..25).map(|i| request(SECOND_US + i * 28_000)).collect();
+    let seen: Vec<NodeAttempt> = (0..25).map(|i| request(SECOND_US + i * 28_000)).collect();
     let (seconds_over, max_load) = cold(&seen, &mut violations);
     assert!(
         seconds_over == 0 && max_load > 0.5 && max_load <= 1.0,
         "{seconds_over} {max_load}"
     );
-    let seen: Vec<Seen> = (0..60).map(|i| request(SECOND_US + i * 15_000)).collect();
+    let seen: Vec<NodeAttempt> = (0..60).map(|i| request(SECOND_US + i * 15_000)).collect();
     let (seconds_over, max_load) = cold(&seen, &mut violations);
     assert!(
         seconds_over > 0 && max_load > 1.0 && !violations.is_empty(),
@@ -188,12 +188,12 @@
 
 #[test]
 fn duplicate_writes_and_unanswered_requests_are_reported() {
-    let write = |node: usize| Seen {
+    let write = |node: usize| NodeAttempt {
         key: Some("k".into()),
         ..ran(SECOND_US, node, 10_000, 1)
     };
     let mut violations = Vec::new();
-    let dropped = Seen {
+    let dropped = NodeAttempt {
         dropped: true,
         ..write(1)
     };
@@ -203,7 +203,7 @@
         "the node dropped the repeat"
     );
     assert_eq!(duplicates(&[write(1), write(2)], &mut violations), 1);
-    let later = Seen {
+    let later = NodeAttempt {
         at: 9 * SECOND_US,
         ..write(1)
     };
@@ -213,9 +213,9 @@
         "at the same node, after its deduplication window"
     );
     let script = Script::new("x", 1, 3, 20.0);
-    let deeds = [(10 * SECOND_US, Act::Kill { front: 1 })];
-    let well = Wellness::new(&script, &deeds);
-    let request = |front: u16, at: u64| Asked {
+    let injected_acts = [(10 * SECOND_US, Act::Kill { front: 1 })];
+    let well = FaultTimeline::new(&script, &injected_acts);
+    let request = |front: u16, at: u64| SentRequest {
         at,
         front,
         volume: 1,
@@ -223,7 +223,7 @@
         limited: true,
         writes: false,
     };
-    let unanswered = |front, at| (request(front, at), Came::Lost);
+    let unanswered = |front, at| (request(front, at), RequestOutcome::Lost);
     assert_eq!(
         lost(&[unanswered(1, 9 * SECOND_US)], &well, &mut violations),
         0,
@@ -242,11 +242,11 @@
 #[test]
 fn false_deaths_are_reported() {
     let script = Script::new("x", 1, 5, 30.0);
-    let deeds = [
+    let injected_acts = [
         (10 * SECOND_US, Act::Mute { front: 1 }),
         (20 * SECOND_US, Act::Heal),
     ];
-    let well = Wellness::new(&script, &deeds);
+    let well = FaultTimeline::new(&script, &injected_acts);
     let declared_dead = |at: u64, by: u16, front: u16| {
         (
             at,
--- a/crates/lupinrack/src/commands/fleet/drill.rs
+++ b/crates/lupinrack/src/commands/fleet/drill.rs
@@ -113,7 +113,7 @@
         .map_err(|e| CommandError::failed(format!("seed {}: {e}", script.seed)))?;
     let figures = &outcome.report;
     if let Some(file) = &drill.history {
-        std::fs::write(file, outcome.history.last(usize::MAX)).map_err(CommandError::failed)?;
+        std::fs::write(file, outcome.history.tail(usize::MAX)).map_err(CommandError::failed)?;
     }
     match drill.json {
         true => println!(
@@ -129,7 +129,7 @@
             eprintln!(
                 "seed {}\nscript {script}\n{}",
                 figures.seed,
-                outcome.history.last(60)
+                outcome.history.tail(60)
             );
             Err(CommandError::failed(violations.join("\n")))
         }
--- a/crates/lupinrack/src/commands/overload.rs
+++ b/crates/lupinrack/src/commands/overload.rs
@@ -103,7 +103,7 @@
         );
     }
     figures.verdict().map_err(|violations| {
-        eprintln!("seed {seed}\n{}", played.history.last(60));
+        eprintln!("seed {seed}\n{}", played.history.tail(60));
         CommandError::failed(violations.join("\n"))
     })
 }
--- a/crates/lupinrack/tests/allocations.rs
+++ b/crates/lupinrack/tests/allocations.rs
@@ -8,8 +8,8 @@
 use lupinrack_fleet_membership::config::{Peer, Section};
 use lupinrack_operator_config::OperatorConfig;
 use mock_servers::discovery::{Discovery, Entry};
-use mock_servers::load::{Ask, Came, Clients};
-use mock_servers::node::{Manner, Node};
+use mock_servers::load::{ClientRequest, Clients, RequestOutcome};
+use mock_servers::node::{Node, NodeConfig};
 use mock_servers::settings::configuration;
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
@@ -55,9 +55,9 @@
     let (phase, phase_receiver) = watch::channel(Phase::Ready);
     let (clients, fronts, servers) = runtime.block_on(async {
         let node = Node::start(
-            Manner {
-                work: Duration::from_micros(200),
-                ..Manner::default()
+            NodeConfig {
+                mean_work: Duration::from_micros(200),
+                ..NodeConfig::default()
             },
             Default::default(),
         );
@@ -93,7 +93,7 @@
         )
     });
     let front_address = fronts[0].listen;
-    let ask = |number: u64| Ask {
+    let ask = |number: u64| ClientRequest {
         id: format!("{number:016x}"),
         class: "read",
         writes: false,
@@ -109,8 +109,8 @@
         runtime.block_on(async {
             for number in from..to {
                 assert_eq!(
-                    clients.ask(front_address, &ask(number)).await.0,
-                    Came::Served
+                    clients.send(front_address, &ask(number)).await.0,
+                    RequestOutcome::Served
                 );
             }
         });
--- a/crates/lupinrack/tests/extents.rs
+++ b/crates/lupinrack/tests/extents.rs
@@ -11,11 +11,11 @@
 use lupinrack_extent_map::{Action, Cache, Change, FetchResponse, Input, PollResponse, Version};
 use lupinrack_operator_config::OperatorConfig;
 use lupinrack_policy::{Key, NodeListKind, NodeState, Outcome, Request, Shard, VolumeId};
-use mock_servers::authority::{Authority, Truth};
+use mock_servers::authority::{Authority, GroundTruth};
 use mock_servers::discovery::{Discovery, Entry};
-use mock_servers::load::{Ask, Came, Clients};
-use mock_servers::node::{lock, Fate, Group, Manner, Node, Whereabouts};
-use mock_servers::rsync::until;
+use mock_servers::load::{ClientRequest, Clients, RequestOutcome};
+use mock_servers::node::{lock, AttemptOutcome, KeyedWrites, Node, NodeConfig, PlacementLookup};
+use mock_servers::rsync::wait_until;
 use mock_servers::settings::configuration;
 use std::process::Command;
 use std::sync::Arc;
@@ -284,20 +284,24 @@
 
 impl Cluster {
     async fn new() -> Cluster {
-        let mut truth = Truth::new(3);
+        let mut truth = GroundTruth::new(3);
         truth.put(7, 0, u64::MAX, 0);
         let authority = Arc::new(Authority::start(truth).await.unwrap());
         let mut nodes = Vec::new();
         for shard in 0..2 {
-            let truth = authority.truth.clone();
-            let whereabouts: Whereabouts =
-                Arc::new(move |volume, key| lock(&truth).lies(volume, key));
-            let manner = Manner {
+            let truth = authority.ground_truth.clone();
+            let placement_lookup: PlacementLookup =
+                Arc::new(move |volume, key| lock(&truth).placement(volume, key));
+            let node_config = NodeConfig {
                 shard,
-                whereabouts: Some(whereabouts),
-                ..Manner::default()
+                placement_lookup: Some(placement_lookup),
+                ..NodeConfig::default()
             };
-            nodes.push(Node::start(manner, Group::default()).await.unwrap());
+            nodes.push(
+                Node::start(node_config, KeyedWrites::default())
+                    .await
+                    .unwrap(),
+            );
         }
         let entry = |(i, n): (usize, &Node)| Entry {
             name: format!("s-{i}"),
@@ -334,8 +338,8 @@
         }
     }
 
-    async fn ask(&self, id: u32) -> Came {
-        let ask = Ask {
+    async fn ask(&self, id: u32) -> RequestOutcome {
+        let ask = ClientRequest {
             id: format!("{id:016x}"),
             class: "read",
             writes: false,
@@ -347,13 +351,13 @@
             hosts: 1,
             deadline: Duration::from_secs(2),
         };
-        self.clients.ask(self.front.listen, &ask).await.0
+        self.clients.send(self.front.listen, &ask).await.0
     }
 
-    fn fates(&self, shard: usize) -> Vec<Fate> {
-        lock(&self.nodes[shard].seen)
+    fn fates(&self, shard: usize) -> Vec<AttemptOutcome> {
+        lock(&self.nodes[shard].attempts)
             .iter()
-            .map(|s| s.fate)
+            .map(|s| s.outcome)
             .collect()
     }
 }
@@ -361,22 +365,22 @@
 #[tokio::test]
 async fn a_silent_authority_affects_only_moved_extents() {
     let cluster = Cluster::new().await;
-    assert_eq!(cluster.ask(1).await, Came::Served);
+    assert_eq!(cluster.ask(1).await, RequestOutcome::Served);
     cluster.authority.silence(true);
     assert_eq!(
         cluster.ask(2).await,
-        Came::Served,
+        RequestOutcome::Served,
         "the front keeps using its map"
     );
     // The extent moves while the authority is silent: the node rejects the request, its new shard is unknown, and the client
     // gets a rejection in time.
     cluster.authority.change(|t| t.put(7, 0, u64::MAX, 1));
-    assert_eq!(cluster.ask(3).await, Came::Refused);
+    assert_eq!(cluster.ask(3).await, RequestOutcome::Refused);
     assert!(cluster.fates(1).is_empty());
     cluster.authority.silence(false);
-    until(|| cluster.front.extent_counters.borrow().changes > 0).await;
-    assert_eq!(cluster.ask(4).await, Came::Served);
-    assert_eq!(cluster.fates(1), [Fate::Ran]);
+    wait_until(|| cluster.front.extent_counters.borrow().changes > 0).await;
+    assert_eq!(cluster.ask(4).await, RequestOutcome::Served);
+    assert_eq!(cluster.fates(1), [AttemptOutcome::Ran]);
     cluster.phase.send_replace(Phase::Draining);
     cluster.front.task.await.unwrap().unwrap();
 }
@@ -387,16 +391,16 @@
     for n in 0..10 {
         cluster.authority.change(|t| t.put(7, 0, u64::MAX, n % 2));
     }
-    assert_eq!(cluster.ask(1).await, Came::Served);
+    assert_eq!(cluster.ask(1).await, RequestOutcome::Served);
     cluster.authority.change(|t| {
         t.restart(4);
         t.put(7, 0, u64::MAX, 0);
     });
-    until(|| cluster.front.extent_counters.borrow().resets > 1).await;
-    assert_eq!(cluster.ask(2).await, Came::Served);
+    wait_until(|| cluster.front.extent_counters.borrow().resets > 1).await;
+    assert_eq!(cluster.ask(2).await, RequestOutcome::Served);
     assert_eq!(
         (cluster.fates(0), cluster.fates(1)),
-        (vec![Fate::Ran], vec![Fate::Ran])
+        (vec![AttemptOutcome::Ran], vec![AttemptOutcome::Ran])
     );
 }
 
--- a/crates/lupinrack/tests/fleet.rs
+++ b/crates/lupinrack/tests/fleet.rs
@@ -33,7 +33,7 @@
     })
     .await
     .unwrap();
-    let history = format!("{text}\n{}", outcome.history.last(80));
+    let history = format!("{text}\n{}", outcome.history.tail(80));
     (outcome.report, history)
 }
 
@@ -122,10 +122,10 @@
 /// What operators see of a fleet of three processes: the admin interface and the command.
 #[tokio::test]
 async fn operators_see_each_member_by_the_admin_interface_and_the_command() {
-    use lupinrack_fault_injection::stage::Stage;
+    use lupinrack_fault_injection::local_fleet::LocalFleet;
     use mock_servers::settings::configuration;
     let program: std::path::PathBuf = env!("CARGO_BIN_EXE_lupinrack").into();
-    let stage = Stage::new(program.clone()).await.unwrap();
+    let local_fleet = LocalFleet::new(program.clone()).await.unwrap();
     let sockets: Vec<_> = (0..3)
         .map(|_| std::net::UdpSocket::bind("127.0.0.1:0").unwrap())
         .collect();
@@ -141,11 +141,11 @@
         .collect();
     let mut fronts = Vec::new();
     for i in 0..3_u16 {
-        let config = configuration(&format!("n{i}"), stage.discovery.address, 7, 3);
+        let config = configuration(&format!("n{i}"), local_fleet.discovery.address, 7, 3);
         let operator = format!("[fleet]\nenabled = true\nname = \"n{i}\"\n{SHORT_LEASES}{members}");
-        fronts.push(stage.front(i, config, operator).await.unwrap());
+        fronts.push(local_fleet.front(i, config, operator).await.unwrap());
     }
-    let admin = fronts[0].listens.door.unwrap().to_string();
+    let admin = fronts[0].addresses.management.unwrap().to_string();
     let fleet_ls = |json: bool| {
         let mut command = std::process::Command::new(&program);
         command
@@ -179,6 +179,6 @@
         "{table}"
     );
     for front in fronts {
-        stage.end(front).await.unwrap();
+        local_fleet.end(front).await.unwrap();
     }
 }
--- a/crates/lupinrack/tests/graceful_shutdown.rs
+++ b/crates/lupinrack/tests/graceful_shutdown.rs
@@ -4,8 +4,8 @@
 
 use common::front::{get, node, start};
 use lupinrack::net::shutdown::Phase;
-use lupinrack_fault_injection::stage::Stage;
-use mock_servers::node::Manner;
+use lupinrack_fault_injection::local_fleet::LocalFleet;
+use mock_servers::node::NodeConfig;
 use mock_servers::settings::configuration;
 use nix::sys::signal::Signal;
 use std::net::SocketAddr;
@@ -94,21 +94,21 @@
 
 #[tokio::test]
 async fn after_sigterm_requests_on_open_connections_are_answered() {
-    let mut stage = Stage::new(env!("CARGO_BIN_EXE_lupinrack").into())
+    let mut local_fleet = LocalFleet::new(env!("CARGO_BIN_EXE_lupinrack").into())
         .await
         .unwrap();
-    stage
-        .node(Manner {
+    local_fleet
+        .node(NodeConfig {
             slots: 64,
             queue: 512,
-            ..Manner::default()
+            ..NodeConfig::default()
         })
         .await
         .unwrap();
-    stage.list(0, "SERVING");
-    let config = configuration("ending", stage.discovery.address, 7, 1);
-    let mut front = stage.front(0, config, String::new()).await.unwrap();
-    let front_address: SocketAddr = front.listens.clients.unwrap();
+    local_fleet.list(0, "SERVING");
+    let config = configuration("ending", local_fleet.discovery.address, 7, 1);
+    let mut front = local_fleet.front(0, config, String::new()).await.unwrap();
+    let front_address: SocketAddr = front.addresses.clients.unwrap();
     let next_id = Arc::new(AtomicU32::new(1));
     let (shutdown_sender, shutdown_started) = watch::channel(None::<Instant>);
     let (stop_sender, stopped) = watch::channel(false);
@@ -149,7 +149,7 @@
     shutdown_sender.send_replace(Some(Instant::now()));
     front.signal(Signal::SIGTERM);
     let status = front
-        .ended(Duration::from_secs(30))
+        .wait_for_exit(Duration::from_secs(30))
         .await
         .expect("the front exits by itself");
     stop_sender.send_replace(true);
--- a/crates/lupinrack/tests/http.rs
+++ b/crates/lupinrack/tests/http.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::front::{ask, front_settings, get, node, start, Fronts, Heads, MAX_HTTP_CLIENTS};
-use common::rsync::until;
+use common::rsync::wait_until;
 use lupinrack::net::shutdown::{Phase, Plan};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -260,7 +260,7 @@
         .write_all(get(1, "priority", 1, 60_000).as_bytes())
         .await
         .unwrap();
-    until(|| node_requests.lock().unwrap().len() == 1).await;
+    wait_until(|| node_requests.lock().unwrap().len() == 1).await;
     drop(stream);
     // The front ends without waiting for the deadline of the disconnected client, a minute.
     fronts.phase.send_replace(Phase::Draining);
@@ -277,7 +277,7 @@
     assert_eq!(status(&ask(fronts.http, ready).await), "200");
     let http = fronts.http;
     let first = tokio::spawn(async move { ask(http, &get(1, "priority", 1, 3_000)).await });
-    until(|| node_requests.lock().unwrap().len() == 1).await;
+    wait_until(|| node_requests.lock().unwrap().len() == 1).await;
     fronts.phase.send_replace(Phase::NotReady);
     assert_eq!(status(&ask(fronts.http, ready).await), "503");
     // New connections are still accepted, and closed with their response once the front is closing.
@@ -286,7 +286,7 @@
         .write_all(get(2, "priority", 1, 3_000).as_bytes())
         .await
         .unwrap();
-    until(|| node_requests.lock().unwrap().len() == 2).await;
+    wait_until(|| node_requests.lock().unwrap().len() == 2).await;
     fronts.phase.send_replace(Phase::Draining);
     let mut second = String::new();
     stream.read_to_string(&mut second).await.unwrap();
@@ -334,7 +334,7 @@
     let (fronts, node_requests) = front("").await;
     let http = fronts.http;
     let pending = tokio::spawn(async move { ask(http, &put("60000m", "body")).await });
-    until(|| node_requests.lock().unwrap().len() == 1).await;
+    wait_until(|| node_requests.lock().unwrap().len() == 1).await;
     fronts.phase.send_replace(Phase::GraceExpired);
     let answer = timeout(Duration::from_secs(20), pending)
         .await
--- a/crates/lupinrack/tests/overload.rs
+++ b/crates/lupinrack/tests/overload.rs
@@ -23,7 +23,7 @@
     if let Err(violations) = outcome.report.verdict() {
         panic!(
             "{}\n{violations:#?}\n{:#?}",
-            outcome.history.last(80),
+            outcome.history.tail(80),
             outcome.report
         );
     }
--- a/crates/lupinrack/tests/program.rs
+++ b/crates/lupinrack/tests/program.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::front::{ask, front_settings, get, node, start, Fronts, SETTINGS};
-use common::rsync::until;
+use common::rsync::wait_until;
 use lupinrack::net::clock::UnixClockOffset;
 use lupinrack::net::config::{Config, Limits};
 use lupinrack::net::discovery::NodeListWatcher;
@@ -199,26 +199,26 @@
     // The cached list is empty: it lacks the node that was known so far.
     let known = serde_json::from_str(&list(41, true, "")).unwrap();
     tokio::spawn(watcher.run(fronts.engine.clone(), Some(known)));
-    until(|| calls.lock().unwrap().len() == 1).await;
+    wait_until(|| calls.lock().unwrap().len() == 1).await;
     assert_eq!(status(&fronts).await, "503");
     // A new node, as a change of the list.
     responses
         .send(list(43, false, &entry("s-1", address, "SERVING")))
         .unwrap();
-    until(|| calls.lock().unwrap().len() == 2).await;
+    wait_until(|| calls.lock().unwrap().len() == 2).await;
     assert_eq!(status(&fronts).await, "200");
     // A failed call, a malformed response and an empty update change nothing, and the watcher continues.
     responses.send("break".into()).unwrap();
-    until(|| calls.lock().unwrap().len() == 3).await;
+    wait_until(|| calls.lock().unwrap().len() == 3).await;
     responses.send("nonsense".into()).unwrap();
-    until(|| calls.lock().unwrap().len() == 4).await;
+    wait_until(|| calls.lock().unwrap().len() == 4).await;
     responses.send(list(43, false, "")).unwrap();
-    until(|| calls.lock().unwrap().len() == 5).await;
+    wait_until(|| calls.lock().unwrap().len() == 5).await;
     assert_eq!(status(&fronts).await, "200");
     // A silent connection costs little more than the hold time of a call.
     let started = tokio::time::Instant::now();
     responses.send("silence".into()).unwrap();
-    until(|| calls.lock().unwrap().len() == 6).await;
+    wait_until(|| calls.lock().unwrap().len() == 6).await;
     assert!(
         started.elapsed() < Duration::from_secs(12),
         "{:?}",
@@ -228,7 +228,7 @@
     responses
         .send(list(50, true, &entry("s-2", address, "RESTING")))
         .unwrap();
-    until(|| calls.lock().unwrap().len() == 7).await;
+    wait_until(|| calls.lock().unwrap().len() == 7).await;
     let requests_before = node_requests.lock().unwrap().len();
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     assert_eq!(status(&fronts).await, "503");
@@ -241,11 +241,11 @@
     // The discovery address changes during a call: the watcher continues there from the same version and keeps the nodes.
     let (discovery_address, calls, responses) = discovery().await;
     address_sender.send_replace(discovery_address);
-    until(|| calls.lock().unwrap().len() == 1).await;
+    wait_until(|| calls.lock().unwrap().len() == 1).await;
     responses
         .send(list(51, false, &entry("s-1", address, "SERVING")))
         .unwrap();
-    until(|| calls.lock().unwrap().len() == 2).await;
+    wait_until(|| calls.lock().unwrap().len() == 2).await;
     assert_eq!(status(&fronts).await, "200");
     assert_eq!(versions(&calls), [50, 51]);
 }
@@ -303,7 +303,7 @@
     let (discovery_address, calls, responses) = discovery().await;
     std::fs::write(&config, configuration(discovery_address)).unwrap();
     signal("-HUP");
-    until(|| calls.lock().unwrap().len() == 1).await;
+    wait_until(|| calls.lock().unwrap().len() == 1).await;
     assert_eq!(versions(&calls)[0], 42);
     responses.send(list(43, false, "")).unwrap();
     let answer = ask(listen, &get(2, "priority", 1, 2_000)).await;
--- a/crates/lupinrack/tests/races.rs
+++ b/crates/lupinrack/tests/races.rs
@@ -7,7 +7,7 @@
 use lupinrack::net::clock::UnixClockOffset;
 use lupinrack::net::discovery::NodeListWatcher;
 use lupinrack::net::shutdown::Phase;
-use mock_servers::scripted::{head, node_in_hand, reset};
+use mock_servers::scripted::{head, manual_node, reset};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -17,7 +17,7 @@
 const OK: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole";
 
 async fn front() -> (Fronts, mpsc::UnboundedReceiver<TcpStream>) {
-    let (address, node_connections) = node_in_hand().await;
+    let (address, node_connections) = manual_node().await;
     (
         start(address, address, "priority", 4_000).await,
         node_connections,
@@ -320,7 +320,7 @@
 async fn a_truncated_or_late_node_list_changes_nothing() {
     let (address, _) = node(std::str::from_utf8(OK).unwrap()).await;
     let fronts = start(address, address, "priority", 4_000).await;
-    let (discovery, mut calls) = node_in_hand().await;
+    let (discovery, mut calls) = manual_node().await;
     let entry = format!(
         r#"{{"instanceId":"s-1","hostPort":"{address}","cell":0,"lifecycle":"SERVING","startedAtMs":0}}"#
     );
--- a/crates/lupinrack/tests/resource_limits.rs
+++ b/crates/lupinrack/tests/resource_limits.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::front::{ask, get, node, SETTINGS};
-use common::rsync::until;
+use common::rsync::wait_until;
 use mock_servers::scripted::discovery;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -148,14 +148,14 @@
         .expect("it keeps running")
         .contains("read again")
     {}
-    until(|| !calls.lock().unwrap().is_empty()).await;
+    wait_until(|| !calls.lock().unwrap().is_empty()).await;
     responses
         .send(format!(
             r#"{{"generation":43,"reset":false,"instances":[{}]}}"#,
             entry(node)
         ))
         .unwrap();
-    until(|| calls.lock().unwrap().len() > 1).await;
+    wait_until(|| calls.lock().unwrap().len() > 1).await;
     for id in 0..8 {
         let mut more_connections = Vec::new();
         for _ in 0..lupinrack_admin::MAX_CONNECTIONS {
--- a/crates/lupinrack/tests/rsync.rs
+++ b/crates/lupinrack/tests/rsync.rs
@@ -34,20 +34,20 @@
 
 #[tokio::test]
 async fn a_pull_transfers_every_file_completely() {
-    let server = server(two_files(), Server::Sound).await;
+    let server = server(two_files(), ServerBehavior::Sound).await;
     let fronts = start_with_rsync_server(&server, "priority", 10_000).await;
     let pulled = RsyncClient::pull(fronts.rsync, "trips/").await;
     assert_eq!((pulled.complete, &pulled.errors), (true, &vec![]));
-    assert!(pulled.whole == two_files(), "{pulled:?}");
+    assert!(pulled.complete_files == two_files(), "{pulled:?}");
     // A single file that is named by its full path is listed under its base name.
     let pulled = RsyncClient::pull(fronts.rsync, "trips/a/two.csv").await;
     assert_eq!(pulled.listed, ["two.csv"]);
-    assert!(pulled.whole["two.csv"] == two_files()["a/two.csv"]);
+    assert!(pulled.complete_files["two.csv"] == two_files()["a/two.csv"]);
 }
 
 #[tokio::test]
 async fn modules_are_listed_and_unsupported_requests_are_refused_with_a_reason() {
-    let server = server(two_files(), Server::Sound).await;
+    let server = server(two_files(), ServerBehavior::Sound).await;
     let fronts = start_with_rsync_server(&server, "priority", 10_000).await;
     for (greeting, answer) in [
         (
@@ -96,7 +96,7 @@
             .unwrap();
         client.run().await;
         assert_eq!(
-            (client.got.errors, client.got.complete),
+            (client.received.errors, client.received.complete),
             (vec![error.to_string()], false)
         );
     }
@@ -108,12 +108,12 @@
 
 #[tokio::test]
 async fn a_draining_node_finishes_its_file_and_gets_no_new_one() {
-    let server = server(two_files(), Server::Sound).await;
+    let server = server(two_files(), ServerBehavior::Sound).await;
     server.hold.send_replace(true);
     let fronts = start_with_rsync_server(&server, "priority", 6_000).await;
     let pull = tokio::spawn(RsyncClient::pull(fronts.rsync, "trips/a/"));
     // The node starts to drain halfway through the first file.
-    until(|| sent(&server) >= 150_000 - 16_384).await;
+    wait_until(|| sent(&server) >= 150_000 - 16_384).await;
     fronts
         .update_node(NodeListKind::Changes, server.address, NodeState::Draining)
         .await;
@@ -125,11 +125,11 @@
         .unwrap()
         .unwrap();
     assert_eq!(
-        pulled.whole.keys().collect::<Vec<_>>(),
+        pulled.complete_files.keys().collect::<Vec<_>>(),
         ["one.csv"],
         "the file in transfer is complete"
     );
-    assert!(pulled.whole["one.csv"] == two_files()["a/one.csv"]);
+    assert!(pulled.complete_files["one.csv"] == two_files()["a/one.csv"]);
     assert!(
         matches!(&pulled.errors[..], [e] if e.starts_with("@ERROR: two.csv: refused; come back in")),
         "{pulled:?}"
@@ -151,14 +151,14 @@
 #[tokio::test]
 async fn a_successor_serves_the_next_file_of_a_draining_node() {
     let (old, new) = (
-        server(two_files(), Server::Sound).await,
-        server(two_files(), Server::Sound).await,
+        server(two_files(), ServerBehavior::Sound).await,
+        server(two_files(), ServerBehavior::Sound).await,
     );
     old.hold.send_replace(true);
     let servers = [("n0", old.address), ("n1", new.address)];
     let fronts = start_with_rsync_servers(old.address, &servers, "priority", 20_000).await;
     let pull = tokio::spawn(RsyncClient::pull(fronts.rsync, "trips/a/"));
-    until(|| sent(&old) >= 150_000 - 16_384).await;
+    wait_until(|| sent(&old) >= 150_000 - 16_384).await;
     let successor = NodeListing {
         name: "n1".into(),
         ..node_listing(new.address, NodeState::Ready)
@@ -175,7 +175,7 @@
         .unwrap()
         .unwrap();
     assert!(
-        pulled.complete && pulled.errors.is_empty() && pulled.whole.len() == 2,
+        pulled.complete && pulled.errors.is_empty() && pulled.complete_files.len() == 2,
         "{pulled:?}"
     );
     let server_requests = |s: &RsyncServer| {
@@ -202,7 +202,7 @@
     let files = [("big".to_string(), content(1_300_000, 3))]
         .into_iter()
         .collect();
-    let server = server(files, Server::Sound).await;
+    let server = server(files, ServerBehavior::Sound).await;
     let fronts = start(http, server.address, "basic", 60_000).await;
     let started = Instant::now();
     let pull = tokio::spawn(RsyncClient::pull(fronts.rsync, "trips/big"));
@@ -226,7 +226,7 @@
     let pulled = pull.await.unwrap();
     // Units by time: two for each read at its node, and those of the file by its forwarded bytes.
     let mut units: Vec<(Instant, f64)> = heads.lock().unwrap().iter().map(|h| (h.0, 2.0)).collect();
-    units.extend(pulled.parts.iter().map(|s| (s.0, s.1 as f64 / 16_384.0)));
+    units.extend(pulled.chunks.iter().map(|s| (s.0, s.1 as f64 / 16_384.0)));
     units.sort_by_key(|u| u.0);
     let (mut tokens, mut last_time) = (32.0_f64, started);
     for (at, units_moved) in &units {
@@ -244,7 +244,7 @@
         "{served} reads served: the limit rejects some and not all"
     );
     assert_eq!(
-        pulled.whole.get("big").map(Vec::len),
+        pulled.complete_files.get("big").map(Vec::len),
         Some(1_300_000),
         "{:?}",
         pulled.errors
@@ -253,7 +253,7 @@
 
 #[tokio::test]
 async fn a_rejection_says_at_once_when_to_retry() {
-    let server = server(two_files(), Server::Sound).await;
+    let server = server(two_files(), ServerBehavior::Sound).await;
     // One unit per five seconds and an empty bucket: the limit admits nothing within the class's latency target.
     let fronts = start_with_rsync_server(&server, "tiny", 60_000).await;
     let started = Instant::now();
@@ -272,10 +272,10 @@
 #[tokio::test]
 async fn a_server_that_fails_before_the_first_byte_yields_one_error() {
     for kind in [
-        Server::Silent,
-        Server::Full,
-        Server::Oversize,
-        Server::Garbage,
+        ServerBehavior::Silent,
+        ServerBehavior::Full,
+        ServerBehavior::Oversize,
+        ServerBehavior::Garbage,
     ] {
         let server = server(two_files(), kind).await;
         let fronts = start_with_rsync_server(&server, "priority", 700).await;
@@ -312,12 +312,12 @@
 
 #[tokio::test]
 async fn a_truncated_file_is_reported_and_not_retried() {
-    for kind in [Server::Breaks, Server::WrongSum] {
+    for kind in [ServerBehavior::Breaks, ServerBehavior::WrongSum] {
         let server = server(two_files(), kind).await;
         let fronts = start_with_rsync_server(&server, "priority", 5_000).await;
         let pulled = RsyncClient::pull(fronts.rsync, "trips/a/one.csv").await;
         assert!(
-            pulled.whole.is_empty() && !pulled.complete,
+            pulled.complete_files.is_empty() && !pulled.complete,
             "{kind:?}: {pulled:?}"
         );
         let one = "@ERROR: one.csv: broke off; what came is not whole";
@@ -332,13 +332,13 @@
     let files = [("big".to_string(), content(16 << 20, 3))]
         .into_iter()
         .collect();
-    let server = server(files, Server::Sound).await;
+    let server = server(files, ServerBehavior::Sound).await;
     let fronts = start_with_rsync_server(&server, "priority", 3_000).await;
     let mut client = RsyncClient::open(fronts.rsync, "trips/big", "-vlogDtpre.iLsfxCIvu")
         .await
         .unwrap();
-    client.list().await.unwrap();
-    client.ask(0).await;
+    client.read_list().await.unwrap();
+    client.request_file(0).await;
     let received = client.take(1 << 16).await;
     assert!(received.is_some(), "the transfer starts");
     sleep(Duration::from_millis(4_500)).await;
@@ -358,7 +358,7 @@
 
 #[tokio::test]
 async fn an_invalid_request_is_answered_with_an_error() {
-    let server = server(two_files(), Server::Sound).await;
+    let server = server(two_files(), ServerBehavior::Sound).await;
     let fronts = start_with_rsync_server(&server, "priority", 5_000).await;
     let requests = [
         vec![99, 0, 700, 2, 0],
@@ -370,7 +370,7 @@
         let mut client = RsyncClient::open(fronts.rsync, "trips/a/", "-vlogDtpre.iLsfxCIvu")
             .await
             .unwrap();
-        client.list().await.unwrap();
+        client.read_list().await.unwrap();
         client
             .write(
                 &ask.iter()
@@ -378,11 +378,11 @@
                     .collect::<Vec<u8>>(),
             )
             .await;
-        assert!(client.file().await.is_none(), "{ask:?}");
+        assert!(client.next_file().await.is_none(), "{ask:?}");
         assert!(
-            matches!(&client.got.errors[..], [e] if e.starts_with("@ERROR: ")),
+            matches!(&client.received.errors[..], [e] if e.starts_with("@ERROR: ")),
             "{ask:?}: {:?}",
-            client.got.errors
+            client.received.errors
         );
     }
     let stream = TcpStream::connect(fronts.rsync).await.unwrap();
--- a/crates/lupinrack/tests/single_send.rs
+++ b/crates/lupinrack/tests/single_send.rs
@@ -5,7 +5,7 @@
 
 use common::front::{get, start_with_settings, Fronts, SETTINGS};
 use lupinrack::settings::{self, FrontSettings};
-use mock_servers::scripted::{head, node_in_hand, reset};
+use mock_servers::scripted::{head, manual_node, reset};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -127,7 +127,7 @@
 
 #[tokio::test]
 async fn a_request_that_may_have_run_is_not_retried_after_any_truncated_response() {
-    let (address, mut node_connections) = node_in_hand().await;
+    let (address, mut node_connections) = manual_node().await;
     let fronts = front(address).await;
     let truncated: [(&[u8], bool); 8] = [
         (b"", true),
@@ -160,7 +160,7 @@
 /// Shows that these tests would see a second attempt: a read is retried.
 #[tokio::test]
 async fn a_read_whose_connection_is_reset_is_retried() {
-    let (address, mut node_connections) = node_in_hand().await;
+    let (address, mut node_connections) = manual_node().await;
     let fronts = front(address).await;
     let read = get(1, "priority", 1, 4_000).replacen("\r\n", "\r\nConnection: close\r\n", 1);
     let client = client(&fronts, &read).await;
@@ -180,7 +180,7 @@
 /// The late response ends its own attempt, so its connection may be reused. The next request there gets its own response.
 #[tokio::test]
 async fn a_timed_out_request_is_not_retried_and_its_late_response_reaches_no_client() {
-    let (address, mut node_connections) = node_in_hand().await;
+    let (address, mut node_connections) = manual_node().await;
     let fronts = front(address).await;
     let client_without_response = client(&fronts, &write(1, 300)).await;
     let mut silent = connection(&mut node_connections).await;
@@ -225,7 +225,7 @@
 
 #[tokio::test]
 async fn a_request_of_a_disconnected_client_is_not_retried() {
-    let (address, mut node_connections) = node_in_hand().await;
+    let (address, mut node_connections) = manual_node().await;
     let fronts = front(address).await;
     let client = client(&fronts, &write(1, 4_000)).await;
     let mut node = connection(&mut node_connections).await;
--- a/crates/lupinrack/tests/upstream.rs
+++ b/crates/lupinrack/tests/upstream.rs
@@ -498,7 +498,7 @@
         (Outcome::Ok, Some(0))
     );
     drop(client);
-    common::rsync::until(|| connection.client_left()).await;
+    common::rsync::wait_until(|| connection.client_left()).await;
     let second = upstream
         .attempt(
             forwarded_request(),
@@ -618,7 +618,7 @@
             vec![unreachable_node(NodeState::Draining)],
         )
         .await;
-    common::rsync::until(|| *stop_at.borrow() != Micros::MAX).await;
+    common::rsync::wait_until(|| *stop_at.borrow() != Micros::MAX).await;
     let result = tokio::time::timeout(std::time::Duration::from_secs(10), exchange).await;
     assert_eq!(
         result.expect("when the grace is over").outcome,
--- a/crates/overload-drill/src/lib.rs
+++ b/crates/overload-drill/src/lib.rs
@@ -6,10 +6,10 @@
 // 2026-12-02: not yet under the workspace's strict lints; listed in docs/ROADMAP.md.
 #![allow(clippy::pedantic, clippy::unwrap_used, unreachable_pub)]
 
-use lupinrack_fault_injection::checks::{duplicates, limits, lost, Verdict, Wellness};
-use lupinrack_fault_injection::witness::{Seen, Witness};
-use lupinrack_fault_injection::{rig, Act, History, Plan, RigError, Script};
-use mock_servers::load::Came;
+use lupinrack_fault_injection::checks::{duplicates, limits, lost, FaultTimeline, Verdict};
+use lupinrack_fault_injection::run_record::{NodeAttempt, RunRecord};
+use lupinrack_fault_injection::{harness, Act, HarnessError, History, Plan, Script};
+use mock_servers::load::RequestOutcome;
 use serde::Serialize;
 use std::sync::Arc;
 
@@ -142,20 +142,20 @@
     }
 
     /// Checks what was observed while a script ran.
-    pub fn new(script: &Script, witness: &Witness) -> DrillReport {
+    pub fn new(script: &Script, run_record: &RunRecord) -> DrillReport {
         let alone = script.sections.is_empty();
         let mut broken = Vec::new();
         let hang_changed_at = |on: bool| {
             let is_change = |(_, act): &&(u64, Act)| *act == Act::Hang { node: 0, on };
-            witness
-                .deeds
+            run_record
+                .injected_acts
                 .iter()
                 .find(is_change)
-                .map_or(witness.span.end, |(at, _)| *at)
+                .map_or(run_record.span.end, |(at, _)| *at)
         };
         let (hang_start, hang_end) = (hang_changed_at(true), hang_changed_at(false));
-        let at_hung_node = |s: &&Seen| s.node == 0;
-        let attempts: Vec<u64> = witness
+        let at_hung_node = |s: &&NodeAttempt| s.node == 0;
+        let attempts: Vec<u64> = run_record
             .seen
             .iter()
             .filter(at_hung_node)
@@ -177,26 +177,26 @@
         if trials_over > 0 {
             broken.push(format!("{trials_over} probes above the fleet's budget"));
         }
-        let well = Wellness::new(script, &witness.deeds);
-        let served = witness
+        let well = FaultTimeline::new(script, &run_record.injected_acts);
+        let served = run_record
             .done
             .iter()
-            .filter(|(_, c)| *c == Came::Served)
+            .filter(|(_, c)| *c == RequestOutcome::Served)
             .count();
         DrillReport {
             script: script.name.clone(),
             seed: script.seed,
             alone,
-            processes: witness.processes,
-            requests: witness.done.len() as u64,
-            served_share: served as f64 / witness.done.len().max(1) as f64,
+            processes: run_record.processes,
+            requests: run_record.done.len() as u64,
+            served_share: served as f64 / run_record.done.len().max(1) as f64,
             attempts_at_hung: attempts.len() as u64,
             trials_per_s: probes.len() as f64 / probing_s,
             trials_over,
-            recovery_ms: recovery_ms(witness, hang_start, hang_end),
-            limit_broken: limits(&witness.seen, &mut broken),
-            lost: lost(&witness.done, &well, &mut broken),
-            duplicates: duplicates(&witness.seen, &mut broken),
+            recovery_ms: recovery_ms(run_record, hang_start, hang_end),
+            limit_broken: limits(&run_record.seen, &mut broken),
+            lost: lost(&run_record.done, &well, &mut broken),
+            duplicates: duplicates(&run_record.seen, &mut broken),
             broken,
         }
     }
@@ -218,8 +218,8 @@
     excess
 }
 
-fn recovery_ms(witness: &Witness, hang_start: u64, hang_end: u64) -> Option<f64> {
-    let served: Vec<u64> = witness
+fn recovery_ms(run_record: &RunRecord, hang_start: u64, hang_end: u64) -> Option<f64> {
+    let served: Vec<u64> = run_record
         .seen
         .iter()
         .filter(|s| s.node == 0 && s.ran)
@@ -227,10 +227,10 @@
         .collect();
     let served_before = served
         .iter()
-        .filter(|t| (witness.span.start..hang_start).contains(t))
+        .filter(|t| (run_record.span.start..hang_start).contains(t))
         .count() as f64;
     let rate_before =
-        served_before / (hang_start.saturating_sub(witness.span.start).max(1) as f64 / 1e6);
+        served_before / (hang_start.saturating_sub(run_record.span.start).max(1) as f64 / 1e6);
     // The first second in which the node served at least half of the rate before the hang.
     let served_after: Vec<u64> = served.into_iter().filter(|t| *t >= hang_end).collect();
     let required = (rate_before / 2.0).ceil().max(1.0) as usize;
@@ -251,11 +251,11 @@
 }
 
 /// Runs a script and checks its outcome.
-pub async fn play(plan: Plan) -> Result<DrillOutcome, RigError> {
+pub async fn play(plan: Plan) -> Result<DrillOutcome, HarnessError> {
     let script = plan.script.clone();
-    let played = rig::play(plan).await?;
+    let played = harness::play(plan).await?;
     Ok(DrillOutcome {
-        report: DrillReport::new(&script, &played.witness),
+        report: DrillReport::new(&script, &played.run_record),
         history: played.history,
     })
 }
