--- a/crates/chain/src/barrier.rs
+++ b/crates/chain/src/barrier.rs
@@ -1,8 +1,8 @@
 //! Barriers of one view: numbers that pass from the head to the tail and are acknowledged back.
 //!
-//! A barrier says that everything that the head had when it started it has reached the whole chain.
-//! The first one of a view, the *recovery barrier*, makes every member's status durable; those
-//! after it answer reads.
+//! A completed barrier proves that every entry that the head had when it started the barrier has
+//! reached all members. The first barrier of a view, the *recovery barrier*, makes every member's
+//! status durable; later barriers serve reads.
 
 use crate::effect::Effect;
 use crate::outbox::Outbox;
@@ -13,9 +13,9 @@
 /// The barriers of the current view.
 #[derive(Debug, Default)]
 pub(crate) struct Barriers {
-    /// The newest one that was received, or started; 0 for none.
+    /// The newest barrier that was received or started; 0 for none.
     newest: u64,
-    /// The last one of this head that every member has acknowledged.
+    /// The last barrier of this head that every member has acknowledged.
     completed: u64,
 }
 
@@ -24,12 +24,12 @@
         self.newest
     }
 
-    /// Notes a barrier of the head.
+    /// Notes a barrier received from the head.
     pub(crate) fn receive(&mut self, barrier: u64) {
         self.newest = self.newest.max(barrier);
     }
 
-    /// Whether the recovery barrier was received, or started.
+    /// Whether the recovery barrier was received or started.
     pub(crate) fn has_recovery_barrier(&self) -> bool {
         self.newest >= RECOVERY_BARRIER
     }
--- a/crates/chain/src/catch_up.rs
+++ b/crates/chain/src/catch_up.rs
@@ -2,7 +2,7 @@
 
 use crate::catch_up_source::CatchUpSource;
 use crate::commit_lag::CommitLag;
-use crate::limits::JOIN_MS;
+use crate::limits::JOIN_INTERVAL_MS;
 use lupinrack_cluster_api::time::Millis;
 
 /// The `Join` message that was sent last.
@@ -10,14 +10,14 @@
 struct LastJoin {
     /// When it was sent.
     at: Millis,
-    /// The index up to which it said that the disk was synced.
+    /// The index up to which it reported the disk as synced.
     synced: u64,
 }
 
-/// The state of a spare in the current view; without meaning for a member.
+/// The state of a spare in the current view; unused by a member.
 #[derive(Debug)]
 pub(crate) struct CatchUp {
-    /// Which member feeds it.
+    /// The member that feeds it.
     pub(crate) source: CatchUpSource,
     /// How far it is behind that member.
     pub(crate) lag: CommitLag,
@@ -34,18 +34,19 @@
         }
     }
 
-    /// Whether it is time to tell the source again where this spare stands.
+    /// Whether the next `Join` to the source is due.
     pub(crate) fn is_join_due(&self, now: Millis) -> bool {
         self.last_join
-            .is_none_or(|join| now.since(join.at) >= JOIN_MS)
+            .is_none_or(|join| now.since(join.at) >= JOIN_INTERVAL_MS)
     }
 
-    /// Notes a `Join` which said that everything up to `synced` is synced.
+    /// Notes a `Join` that reported everything up to `synced` as synced.
     pub(crate) fn joined(&mut self, synced: u64, now: Millis) {
         self.last_join = Some(LastJoin { at: now, synced });
     }
 
-    /// Notes a message which said that this spare is at work, though nothing more is synced yet.
+    /// Notes a message that showed the source that this spare is alive, without newly synced
+    /// entries; it replaces the next `Join`.
     pub(crate) fn postpone_join(&mut self, now: Millis) {
         let synced = self.synced_at_last_join();
         self.last_join = Some(LastJoin { at: now, synced });
@@ -56,7 +57,7 @@
         self.last_join.is_some()
     }
 
-    /// What was synced at the last `Join`; 0 if there was none.
+    /// The index that the last `Join` reported as synced; 0 if there was none.
     pub(crate) fn synced_at_last_join(&self) -> u64 {
         self.last_join.map_or(0, |join| join.synced)
     }
--- a/crates/chain/src/chain.rs
+++ b/crates/chain/src/chain.rs
@@ -1,11 +1,11 @@
-//! The state of a replica, and what others may ask of it.
+//! The state of a replica, and its public operations.
 
 use crate::barrier::Barriers;
 use crate::catch_up::CatchUp;
 use crate::downstream::Downstream;
 use crate::effect::Effect;
 use crate::leadership::Leadership;
-use crate::limits::{ByteLimits, CAUGHT_UP_MS, ENTRY_BYTES_MOST, UNCOMMITTED_ENTRIES_MOST};
+use crate::limits::{ByteLimits, CAUGHT_UP_MS, MAX_ENTRY_BYTES, MAX_UNCOMMITTED_ENTRIES};
 use crate::log::encoded_bytes;
 use crate::outbox::Outbox;
 use crate::replica_log::ReplicaLog;
@@ -22,14 +22,14 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
 
-/// The replica of one disk: member of the chain of the newest view, or spare.
+/// The replica of one disk: a member of the chain of the newest view, or a spare.
 #[derive(Debug)]
 pub struct Chain {
     /// With fewer members the chain commits nothing.
     pub(crate) minimum_length: usize,
-    /// Bounds in bytes of the log and of what is in flight.
+    /// Limits in bytes of the log and of the entries in flight.
     pub(crate) limits: ByteLimits,
-    /// The newest view, and the place of this disk in it.
+    /// The newest view, and the role of this disk in it.
     pub(crate) role: ViewRole,
     /// The log, and how far it is synced, verified and committed.
     pub(crate) log: ReplicaLog,
@@ -37,22 +37,22 @@
     pub(crate) status: StatusRecord,
     /// The barriers of the view.
     pub(crate) barriers: Barriers,
-    /// What matters only to the head.
+    /// State that only the head uses.
     pub(crate) leadership: Leadership,
     /// The link to the disk that sends this one entries.
     pub(crate) upstream: Upstream,
     /// The disks that this one sends entries to.
     pub(crate) downstream: Downstream,
-    /// What matters only to a spare.
+    /// State that only a spare uses.
     pub(crate) catch_up: CatchUp,
     /// The snapshot that is being received or installed.
     pub(crate) snapshots: SnapshotReceiver,
-    /// The effects that the driver has not been given yet.
+    /// The effects that were not returned to the driver yet.
     pub(crate) outbox: Outbox,
 }
 
 impl Chain {
-    /// The replica of a disk, which commits nothing while the chain has fewer than `minimum_length`
+    /// Creates the replica of a disk, which commits nothing while the chain has fewer than `minimum_length`
     /// members.
     pub fn new(me: DiskId, minimum_length: usize, stored: StoredState) -> Chain {
         let mut chain = Chain {
@@ -75,19 +75,19 @@
         chain
     }
 
-    /// The same replica with other bounds in bytes.
+    /// Replaces the limits in bytes.
     #[must_use]
     pub fn with_byte_limits(mut self, limits: ByteLimits) -> Chain {
         self.limits = limits;
         self
     }
 
-    /// Appends an operation, under the index that is returned.
+    /// Appends an operation and returns its index.
     ///
     /// # Errors
     ///
-    /// If this is not the head, or it is not ready, or too much is uncommitted, or the operation is
-    /// too large.
+    /// If this disk is not the head, is not ready, has too many uncommitted entries, or the operation
+    /// is too large.
     pub fn submit(
         &mut self,
         operation: Operation,
@@ -101,7 +101,7 @@
         }
         let index = self.log.last() + 1;
         let entry = LogEntry { index, operation };
-        if encoded_bytes(&entry) > ENTRY_BYTES_MOST {
+        if encoded_bytes(&entry) > MAX_ENTRY_BYTES {
             return Err(SubmitError::TooLarge);
         }
         self.log.append(entry, &mut self.outbox);
@@ -109,15 +109,15 @@
         Ok((index, self.outbox.take()))
     }
 
-    /// Whether so much is uncommitted that nothing more may be appended for now.
+    /// Whether the limit of uncommitted entries is reached, so that nothing can be appended for now.
     pub fn is_full(&self) -> bool {
         let (committed, last) = (self.log.committed(), self.log.last());
         let uncommitted_bytes = self.log.entries().bytes_between(committed, last);
-        last - committed >= UNCOMMITTED_ENTRIES_MOST || uncommitted_bytes >= self.limits.uncommitted
+        last - committed >= MAX_UNCOMMITTED_ENTRIES || uncommitted_bytes >= self.limits.uncommitted
     }
 
     /// Starts a barrier; [`Effect::Barrier`] with its number follows once every member has seen it.
-    /// None if this is not the head, or it is not ready.
+    /// None if this disk is not the head or is not ready.
     pub fn start_barrier(&mut self, now: Millis) -> Option<(u64, Vec<Effect>)> {
         if !self.is_ready() {
             return None;
@@ -138,8 +138,8 @@
         self.role.is_member()
     }
 
-    /// Whether this is the head and everything that it had when the view began was committed in the
-    /// view.
+    /// Whether this is the head, and every entry that it had when the view began has been committed
+    /// in this view.
     pub fn is_ready(&self) -> bool {
         self.is_head() && self.leadership.is_ready
     }
@@ -159,9 +159,9 @@
         self.role.view()
     }
 
-    /// Whether this is a spare that has synced everything that was committed a moment ago, as far
-    /// as the member that feeds it in this view knows. What was committed since then may be in
-    /// flight: under a steady load something always is.
+    /// Whether this is a spare that has synced every entry committed at most [`CAUGHT_UP_MS`] ago, as
+    /// far as the member that feeds it in this view knows. Entries committed since then may be in
+    /// flight, as some always are under a steady load.
     pub fn is_caught_up(&self, now: Millis) -> bool {
         let keeps_up = self.catch_up.lag.is_within(CAUGHT_UP_MS, now);
         keeps_up && !self.is_member() && self.is_disk_idle()
@@ -174,25 +174,25 @@
         self.is_member() && is_complete && self.status.is_durable()
     }
 
-    /// Whether the chain makes no progress until a newer view, which may have the same members: its
-    /// head was restarted within the view.
+    /// Whether the chain makes no progress until a newer view, because its head was restarted within
+    /// this one. The newer view may have the same members.
     pub fn needs_new_view(&self) -> bool {
         self.is_head() && self.leadership.was_interrupted
     }
 
-    /// An entry, while it is in memory.
+    /// The entry at an index, if it is in memory.
     pub fn entry(&self, index: u64) -> Option<&LogEntry> {
         self.log.entries().get(index)
     }
 
-    /// Whether a new snapshot is due because of the bytes of what was applied since the last one.
+    /// Whether a new snapshot is due, by the bytes of the entries applied since the last one.
     pub fn wants_snapshot(&self, snapshot_index: u64, applied: u64) -> bool {
         let bytes = self.log.entries().bytes_between(snapshot_index, applied);
         bytes >= self.limits.snapshot_after
     }
 
-    /// Drops entries from memory that a snapshot covers, except those retained for disks that join.
-    /// The driver has made a snapshot up to `index`.
+    /// Drops the entries that a snapshot up to `index` covers from memory, except those retained for
+    /// disks that join. The driver has stored that snapshot before.
     pub fn compact_log(&mut self, index: u64) {
         let needs_after = self.downstream.needs_after();
         let index = index.min(self.log.committed());
@@ -211,8 +211,8 @@
         !self.log.has_pending_rewrite() && self.status.is_durable()
     }
 
-    /// From which disk this one receives entries: a member from its predecessor, a spare from its
-    /// catch-up source.
+    /// The disk that sends this one entries: the predecessor of a member, or the catch-up source of a
+    /// spare.
     pub(crate) fn source(&self) -> Option<DiskId> {
         if self.is_member() {
             self.role.predecessor()
@@ -221,7 +221,7 @@
         }
     }
 
-    /// What the successor is sent: everything verified.
+    /// The state sent to the successor: every verified entry.
     pub(crate) fn member_state(&self) -> SenderState {
         SenderState {
             view_number: self.role.view_number(),
@@ -232,7 +232,7 @@
         }
     }
 
-    /// What a spare is sent: committed entries only.
+    /// The state sent to a spare: committed entries only.
     pub(crate) fn joiner_state(&self) -> SenderState {
         SenderState {
             view_number: self.role.view_number(),
--- a/crates/chain/src/commit.rs
+++ b/crates/chain/src/commit.rs
@@ -1,4 +1,4 @@
-//! What is synced, acknowledged and committed.
+//! Syncs, acknowledgements and commits.
 
 use crate::barrier::RECOVERY_BARRIER;
 use crate::chain::Chain;
@@ -8,7 +8,7 @@
 use lupinrack_cluster_api::time::Millis;
 
 impl Chain {
-    /// Everything up to `index` that was to be appended is synced.
+    /// Reports that every appended entry up to `index` is synced.
     pub fn entries_written(&mut self, index: u64, now: Millis) -> Vec<Effect> {
         if self.log.entries_written(index) {
             self.progress(now);
@@ -16,25 +16,25 @@
         self.outbox.take()
     }
 
-    /// A truncation after `index` is synced.
+    /// Reports that a truncation after `index` is synced.
     pub fn log_truncated(&mut self, index: u64, now: Millis) -> Vec<Effect> {
         self.rewritten(index, now)
     }
 
-    /// A snapshot up to `index` is installed and synced.
+    /// Reports that a snapshot up to `index` is installed and synced.
     pub fn snapshot_installed(&mut self, index: u64, now: Millis) -> Vec<Effect> {
         self.snapshots.installed();
         self.rewritten(index, now)
     }
 
-    /// The status is synced, with everything that was ordered before it.
+    /// Reports that the status is synced, and every earlier write with it.
     pub fn replica_status_stored(&mut self, now: Millis) -> Vec<Effect> {
         self.status.written();
         self.progress(now);
         self.outbox.take()
     }
 
-    /// A truncation or installation that left everything up to `index` is synced.
+    /// Notes that a truncation or installation is synced, after which the log ends at `index`.
     fn rewritten(&mut self, index: u64, now: Millis) -> Vec<Effect> {
         if self.log.rewritten(index) {
             self.progress(now);
@@ -42,7 +42,7 @@
         self.outbox.take()
     }
 
-    /// Commits, acknowledges and reports whatever has become possible.
+    /// Commits, acknowledges and reports as far as the current state allows.
     pub(crate) fn progress(&mut self, now: Millis) {
         if self.is_head() {
             self.progress_as_head(now);
@@ -71,7 +71,8 @@
         self.barriers.report_completed(barrier, &mut self.outbox);
     }
 
-    /// Starts the recovery barrier once all members have what this head had when the view began.
+    /// Starts the recovery barrier once all members have every entry that this head had when the view
+    /// began.
     fn start_recovery_barrier(&mut self, now: Millis) {
         let successor = self.downstream.successor();
         let has_responded = successor.is_none_or(|successor| successor.acknowledged().is_some());
@@ -82,8 +83,8 @@
         }
     }
 
-    /// The last index up to which this disk has its log synced and verified, and all members after
-    /// it have acknowledged theirs.
+    /// The last index that is synced and verified on this disk and acknowledged by all members after
+    /// it.
     fn replicated(&self) -> u64 {
         let synced = self.log.verified_synced();
         match self.downstream.successor() {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// The last barrier that this disk and all after it have seen, with their status durable.
+    /// The last barrier that this disk and all members after it have seen with a durable status.
     fn barrier_acknowledged_by_all(&self) -> u64 {
         let own = if self.is_complete() {
             self.barriers.newest()
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Acknowledges to the predecessor what was not acknowledged yet.
+    /// Sends the predecessor an acknowledgement if it differs from the last one.
     fn acknowledge(&mut self) {
         if !self.upstream.is_aligned() {
             return;
--- a/crates/chain/src/commit_lag.rs
+++ b/crates/chain/src/commit_lag.rs
@@ -1,28 +1,28 @@
-//! How a spare knows that it keeps up with the chain.
+//! Measures how far a spare lags behind the chain.
 
 use lupinrack_cluster_api::time::Millis;
 
-/// What the source called committed, and when.
+/// A committed index that the source announced, and when.
 #[derive(Clone, Copy, Debug)]
 struct Announcement {
     committed: u64,
     at: Millis,
 }
 
-/// How far a spare is behind what its source calls committed in the current view.
+/// How far a spare lags behind the committed index that its source announces in the current view.
 #[derive(Debug, Default)]
 pub(crate) struct CommitLag {
-    /// The oldest announcement of which this disk has not synced all entries. Of those between it
-    /// and the newest one none is kept, which bounds the memory.
+    /// The oldest announcement whose entries this disk has not all synced. Those between it and the
+    /// newest one are not kept, which bounds the memory.
     pending: Option<Announcement>,
     /// The newest announcement.
     newest: Option<Announcement>,
-    /// When the newest of the announcements came whose entries this disk has all synced.
+    /// When the newest announcement arrived whose entries this disk has all synced.
     reached_at: Option<Millis>,
 }
 
 impl CommitLag {
-    /// Notes that the source calls everything up to `committed` committed.
+    /// Notes that the source announced everything up to `committed` as committed.
     pub(crate) fn announced(&mut self, committed: u64, now: Millis) {
         let announcement = Announcement { committed, at: now };
         self.newest = Some(announcement);
@@ -39,8 +39,7 @@
         }
     }
 
-    /// Whether everything is synced that the source called committed so many milliseconds ago, or
-    /// later.
+    /// Whether an announcement at most this old is completely synced.
     pub(crate) fn is_within(&self, milliseconds: u64, now: Millis) -> bool {
         self.reached_at
             .is_some_and(|at| now.since(at) <= milliseconds)
--- a/crates/chain/src/downstream.rs
+++ b/crates/chain/src/downstream.rs
@@ -2,7 +2,7 @@
 
 use crate::effect::Effect;
 use crate::follower::Follower;
-use crate::limits::{ByteLimits, JOINER_TIMEOUT_MS, PROBE_MS};
+use crate::limits::{ByteLimits, JOINER_TIMEOUT_MS, PROBE_AFTER_MS};
 use crate::log::Log;
 use crate::outbox::Outbox;
 use crate::sender_state::SenderState;
@@ -11,29 +11,29 @@
 use lupinrack_cluster_api::time::Millis;
 use std::collections::BTreeMap;
 
-/// Whether a spare is sent a message in any case, or only if there is something for it.
+/// Whether a spare is always sent a message, or only if there are new entries for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JoinerFeed {
-    /// At least one message, which answers the spare's.
+    /// At least one message, as the answer to the spare's.
     Answer,
-    /// Only what was not sent yet.
+    /// Only entries and a committed index that were not sent yet.
     NewOnly,
 }
 
-/// The disks that this member feeds in the current view, and the snapshot that they share. A
-/// *joiner* is a spare that has sent this member a `Join`.
+/// The disks that this member feeds in the current view, and the snapshot that is shared between
+/// them. A *joiner* is a spare that has sent this member a `Join`.
 #[derive(Debug, Default)]
 pub(crate) struct Downstream {
     successor: Option<Follower>,
     joiners: BTreeMap<DiskId, Follower>,
     /// The snapshot that is being sent.
     snapshot: Option<SharedSnapshot>,
-    /// Whether the driver was asked for a snapshot.
+    /// Whether a snapshot was requested from the driver.
     is_snapshot_requested: bool,
 }
 
 impl Downstream {
-    /// Feeds this successor, or none, and no spare yet.
+    /// Feeds the successor, if there is one, and no spare yet.
     pub(crate) fn to_successor(successor: Option<Follower>) -> Downstream {
         Downstream {
             successor,
@@ -57,7 +57,7 @@
         self.joiners.get_mut(&disk)
     }
 
-    /// The spare that joins, which is new if it was not known.
+    /// The spare that joins; it is added if it was not known.
     pub(crate) fn joiner_or_insert(
         &mut self,
         disk: DiskId,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Sends the successor what it was not sent yet.
+    /// Sends the successor the entries that were not sent to it yet.
     pub(crate) fn feed_successor(
         &mut self,
         log: &Log,
@@ -126,27 +126,27 @@
         self.feed_successor(log, state, now, outbox);
     }
 
-    /// Whether the successor owes an acknowledgement and was quiet for so long that it is to be
-    /// probed, which is noted.
+    /// Whether a probe of the successor is due: an acknowledgement is outstanding, and the successor
+    /// was quiet for too long. If so, the probe is noted.
     pub(crate) fn take_due_probe(&mut self, state: SenderState, now: Millis) -> bool {
         let Some(successor) = &mut self.successor else {
             return false;
         };
-        let is_due = successor.quiet_ms(now) >= PROBE_MS && successor.is_behind(state);
+        let is_due = successor.quiet_ms(now) >= PROBE_AFTER_MS && successor.is_behind(state);
         if is_due {
             successor.probed(now);
         }
         is_due
     }
 
-    /// Whether no entry has carried the committed index to the successor.
+    /// Whether the committed index was not sent to the successor yet.
     pub(crate) fn successor_lacks_committed(&self, state: SenderState) -> bool {
         self.successor
             .as_ref()
             .is_some_and(|successor| successor.lacks_committed(state))
     }
 
-    /// Sends a spare what it was not sent yet.
+    /// Sends a spare the entries that were not sent to it yet.
     pub(crate) fn feed_joiner(
         &mut self,
         disk: DiskId,
@@ -167,7 +167,8 @@
         }
     }
 
-    /// Sends all spares what they were not sent yet, and forgets those that no longer join.
+    /// Sends all spares the entries that were not sent to them yet, and forgets spares that timed
+    /// out.
     pub(crate) fn feed_joiners(
         &mut self,
         log: &Log,
@@ -218,15 +219,15 @@
         }
     }
 
-    /// Frees the snapshot once no disk is being sent it.
+    /// Frees the snapshot once it is no longer being sent to any disk.
     pub(crate) fn drop_sent_snapshot(&mut self) {
         if !self.followers().any(Follower::is_sent_snapshot) {
             self.snapshot = None;
         }
     }
 
-    /// Sends the snapshot that is being sent to others already, while the log still has what
-    /// follows it; otherwise asks the driver for one.
+    /// Sends the snapshot that other disks are receiving already, if the log still has the entries
+    /// after it; otherwise requests one from the driver.
     fn provide_snapshot(
         &mut self,
         log: &Log,
@@ -255,8 +256,7 @@
     }
 }
 
-/// Sends a follower entries as far as its window allows. Whether a snapshot has to be provided for
-/// it.
+/// Sends a follower entries as far as its window allows. Returns whether it needs a snapshot.
 fn send_entries(
     follower: &mut Follower,
     log: &Log,
--- a/crates/chain/src/feed.rs
+++ b/crates/chain/src/feed.rs
@@ -6,13 +6,13 @@
 use lupinrack_cluster_api::time::Millis;
 
 impl Chain {
-    /// A connection to the process of a disk has ended, and what was in flight to it may be lost.
-    /// The next tick sends it again.
+    /// Reports that a connection to the process of a disk has ended. Messages in flight to it may be
+    /// lost; the next tick sends them again.
     pub fn peer_disconnected(&mut self, disk: DiskId, now: Millis) {
         self.downstream.peer_disconnected(disk, now);
     }
 
-    /// Sends the successor what it was not sent yet.
+    /// Sends the successor the entries that were not sent to it yet.
     pub(crate) fn feed_successor(&mut self, now: Millis) {
         if self.may_send() {
             let (log, state) = (self.log.entries(), self.member_state());
@@ -40,21 +40,21 @@
         }
     }
 
-    /// Sends a spare what it was not sent yet.
+    /// Sends a spare the entries that were not sent to it yet.
     pub(crate) fn feed_joiner(&mut self, disk: DiskId, feed: JoinerFeed, now: Millis) {
         let (log, state) = (self.log.entries(), self.joiner_state());
         self.downstream
             .feed_joiner(disk, feed, log, state, now, &mut self.outbox);
     }
 
-    /// Sends all spares what they were not sent yet.
+    /// Sends all spares the entries that were not sent to them yet.
     pub(crate) fn feed_joiners(&mut self, now: Millis) {
         let (log, state) = (self.log.entries(), self.joiner_state());
         self.downstream
             .feed_joiners(log, state, now, &mut self.outbox);
     }
 
-    /// Whether this member sends to its successor at all: a head only while it leads.
+    /// Whether this member may send to its successor: a head only while it leads.
     fn may_send(&self) -> bool {
         !self.is_head() || self.leads()
     }
--- a/crates/chain/src/flow_control.rs
+++ b/crates/chain/src/flow_control.rs
@@ -1,20 +1,20 @@
-//! How much may be in flight to one disk, and when it counts as lost.
+//! Flow control: how many bytes may be in flight to one disk, and when they count as lost.
 
-use crate::limits::{JOINER_STALLED_MOST_MS, JOINER_STALLED_MS, SLOW_LINK_BYTES_PER_S};
+use crate::limits::{JOINER_STALLED_MS, MAX_JOINER_STALLED_MS, SLOW_LINK_BYTES_PER_S};
 use lupinrack_cluster_api::time::Millis;
 
-/// The narrowest window, in bytes.
-pub(crate) const WINDOW_BYTES_LEAST: u64 = 64 * 1024;
-/// How many stalls in a row narrow the window and lengthen the wait; further ones change nothing.
-const STALLS_MOST: u32 = 8;
+/// The smallest window, in bytes.
+pub(crate) const MIN_WINDOW_BYTES: u64 = 64 * 1024;
+/// The largest count of stalls; each one halves the window and doubles the wait.
+const MAX_STALLS: u32 = 8;
 
-/// The flow control of what is sent to one disk. Without progress the window narrows and the wait
-/// before a repetition grows, so that repetitions do not pile up on a slow link.
+/// The flow control of one disk. Each stall halves the window and doubles the wait before the next
+/// repetition, so that repetitions do not pile up on a slow link.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FlowControl {
-    /// Stalls, less the times with progress since.
+    /// Stalls, minus the times that the receiver made progress since.
     stalls: u32,
-    /// When there was progress last, or the wait for it began.
+    /// When the receiver last made progress, or the wait for it began.
     progress_at: Millis,
 }
 
@@ -26,9 +26,9 @@
         }
     }
 
-    /// How many bytes may be in flight, of at most `widest`.
+    /// How many bytes may be in flight; at most `widest`.
     pub(crate) fn window_bytes(&self, widest: u64) -> u64 {
-        (widest >> self.stalls).max(WINDOW_BYTES_LEAST)
+        (widest >> self.stalls).max(MIN_WINDOW_BYTES)
     }
 
     /// Notes that the receiver has more than before.
@@ -37,19 +37,19 @@
         self.progress_at = now;
     }
 
-    /// Notes that something is sent now, and the wait for a response begins.
+    /// Notes that a message is sent now, which starts the wait for a response.
     pub(crate) fn begin_wait(&mut self, now: Millis) {
         self.progress_at = now;
     }
 
-    /// Whether so many bytes in flight are to be taken for lost. If so, the stall is noted: the
-    /// window narrows and the next wait is longer.
+    /// Whether these bytes in flight count as lost. If so, the stall is counted: the window shrinks
+    /// and the next wait is longer.
     pub(crate) fn detect_stall(&mut self, bytes_in_flight: u64, now: Millis) -> bool {
         let link_ms = bytes_in_flight * 1_000 / SLOW_LINK_BYTES_PER_S;
         let wait_ms = (JOINER_STALLED_MS + link_ms) << self.stalls;
-        let stalled = now.since(self.progress_at) >= wait_ms.min(JOINER_STALLED_MOST_MS);
+        let stalled = now.since(self.progress_at) >= wait_ms.min(MAX_JOINER_STALLED_MS);
         if stalled {
-            self.stalls = (self.stalls + 1).min(STALLS_MOST);
+            self.stalls = (self.stalls + 1).min(MAX_STALLS);
             self.progress_at = now;
         }
         stalled
--- a/crates/chain/src/follower.rs
+++ b/crates/chain/src/follower.rs
@@ -1,7 +1,7 @@
-//! A disk that is sent entries: the successor of a member, or a spare that joins.
+//! A disk that receives entries from this one: the successor of a member, or a spare that joins.
 
-use crate::flow_control::{FlowControl, WINDOW_BYTES_LEAST};
-use crate::limits::{ByteLimits, RESEND_MS, WINDOW_ENTRIES};
+use crate::flow_control::{FlowControl, MIN_WINDOW_BYTES};
+use crate::limits::{ByteLimits, RESEND_INTERVAL_MS, WINDOW_ENTRIES};
 use crate::log::Log;
 use crate::sender_state::SenderState;
 use crate::snapshot::{SharedSnapshot, SnapshotTransfer};
@@ -9,17 +9,17 @@
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::time::Millis;
 
-/// How often the time for which a repeated request is ignored doubles at most.
-const RESEND_DOUBLINGS_MOST: u32 = 4;
+/// How many times the period in which a repeated request is ignored doubles at most.
+const MAX_RESEND_DOUBLINGS: u32 = 4;
 
-/// The last request to send entries again.
+/// The last request to resend entries.
 #[derive(Clone, Copy, Debug)]
 struct ResendRequest {
     /// The last index that the requester had.
     have: u64,
     /// When the request came.
     at: Millis,
-    /// How often the same was requested before.
+    /// How many times the same was requested before.
     repetitions: u32,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl Follower {
-    /// A disk that is assumed to have everything up to `sent`, until it says otherwise.
+    /// A disk that is assumed to have every entry up to `sent` until it reports otherwise.
     pub(crate) fn new(disk: DiskId, sent: u64, now: Millis) -> Follower {
         Follower {
             disk,
@@ -74,22 +74,22 @@
         self.barrier_acknowledged
     }
 
-    /// For how many milliseconds it has sent nothing and was not probed.
+    /// Milliseconds since its last message or the last probe.
     pub(crate) fn quiet_ms(&self, now: Millis) -> u64 {
         now.since(self.last_contact)
     }
 
-    /// Notes that it is probed because it was quiet.
+    /// Notes that it is probed after it was quiet.
     pub(crate) fn probed(&mut self, now: Millis) {
         self.last_contact = now;
     }
 
-    /// The next entries for it; none if all are sent, the window is full or a snapshot is in
-    /// transfer.
+    /// The next entries for it; none if all are sent, the window is full, or a snapshot is being
+    /// transferred.
     pub(crate) fn next_entries(&mut self, log: &Log, state: SenderState) -> Option<ChainMessage> {
         let limit = state.limit.min(self.window_start + WINDOW_ENTRIES);
         let in_flight = log.bytes_between(self.window_start, self.sent);
-        // What is no longer in memory cannot be counted; all of it is still in flight.
+        // Entries that are no longer in memory cannot be counted; all of them are still in flight.
         let has_uncounted = self.window_start < log.floor() && self.window_start < self.sent;
         let window = self.flow.window_bytes(state.limits.window);
         let is_full = has_uncounted || in_flight >= window;
@@ -100,7 +100,7 @@
         Some(self.append(log, limit, state))
     }
 
-    /// Whether what follows is no longer in memory.
+    /// Whether the next entry for it is no longer in memory.
     pub(crate) fn lacks_entries(&self, log: &Log) -> bool {
         self.sent < log.floor()
     }
@@ -115,7 +115,7 @@
         }
     }
 
-    /// An `Append` without entries, which carries the committed index and the barrier, and asks for
+    /// An `Append` without entries, which carries the committed index and the barrier and requests
     /// an acknowledgement.
     pub(crate) fn probe(&mut self, log: &Log, state: SenderState) -> ChainMessage {
         self.append(log, self.sent, state)
@@ -125,8 +125,7 @@
         let previous = self.sent;
         let entries = log.batch(previous, limit);
         self.sent = previous + entries.len() as u64;
-        // A barrier vouches for everything that the sender has, so it goes out only after all of
-        // that.
+        // A barrier covers every entry that the sender has, so it is sent only after all of them.
         let barrier = if self.sent >= state.limit {
             state.barrier
         } else {
@@ -153,7 +152,7 @@
         self.barrier_sent < state.barrier && self.sent >= state.limit
     }
 
-    /// Whether it owes an acknowledgement.
+    /// Whether an acknowledgement of it is outstanding.
     pub(crate) fn is_behind(&self, state: SenderState) -> bool {
         let expected = self.sent.max(state.limit);
         let has_acknowledged = self.acknowledged.is_some_and(|index| index >= expected);
@@ -177,18 +176,19 @@
         self.resend = None;
     }
 
-    /// Continues after `have`, as far as the sender has entries. Whether it does: where that is
-    /// much, the same request again is ignored for a while, which grows with each repetition, since
-    /// what was sent for it is still in flight.
+    /// Resends the entries after `have`, up to `limit`. Returns false if the request is ignored: a
+    /// repeated request for many bytes is ignored for a period that grows with each repetition,
+    /// since the answer to the earlier one is still in flight.
     pub(crate) fn resend_after(&mut self, have: u64, limit: u64, log: &Log, now: Millis) -> bool {
         self.last_contact = now;
         let before = self.resend.filter(|before| before.have == have);
         let repetitions = before.map_or(0, |before| before.repetitions + 1);
         let is_too_early = |before: ResendRequest| {
-            now.since(before.at) < RESEND_MS << before.repetitions.min(RESEND_DOUBLINGS_MOST)
+            now.since(before.at)
+                < RESEND_INTERVAL_MS << before.repetitions.min(MAX_RESEND_DOUBLINGS)
         };
-        let is_much = log.bytes_between(have, limit) > WINDOW_BYTES_LEAST;
-        if is_much && before.is_some_and(is_too_early) {
+        let is_large = log.bytes_between(have, limit) > MIN_WINDOW_BYTES;
+        if is_large && before.is_some_and(is_too_early) {
             return false;
         }
         self.resend = Some(ResendRequest {
@@ -206,8 +206,8 @@
         self.window_start = self.sent;
     }
 
-    /// Notes the `Join` of a spare that has synced everything up to `have`. Where what is in flight
-    /// seems to be lost, sending begins again after `have`.
+    /// Notes the `Join` of a spare that has synced everything up to `have`. If the entries in flight
+    /// count as lost, they are sent again from `have` on.
     pub(crate) fn receive_join(&mut self, have: u64, limit: u64, log: &Log, now: Millis) {
         self.last_contact = now;
         let before = self.acknowledged.replace(have);
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Notes that what was in flight may be lost; it is sent again at the next occasion.
+    /// Notes that the entries in flight may be lost; they are resent with the next entries.
     pub(crate) fn disconnected(&mut self, now: Millis) {
         self.flow = FlowControl::new(now);
         self.resend = None;
@@ -240,20 +240,20 @@
         matches!(self.transfer, SnapshotTransfer::Sending(_))
     }
 
-    /// Whether a snapshot is to be requested for it; it is noted as requested then.
+    /// Whether a snapshot has to be requested for it; if so, it is marked as requested.
     pub(crate) fn request_snapshot(&mut self, now: Millis) -> bool {
         self.transfer.request(self.acknowledged, now)
     }
 
-    /// Begins to send a snapshot if one was requested for it.
+    /// Starts to send a snapshot if one was requested for it.
     pub(crate) fn start_snapshot(&mut self, snapshot: &SharedSnapshot, now: Millis) {
         if self.transfer.start(snapshot) {
             self.flow.begin_wait(now);
         }
     }
 
-    /// The next chunks of a snapshot, as many as the window holds; those that seem to be lost are
-    /// sent again.
+    /// The next chunks of a snapshot, as many as the window holds; chunks that count as lost are
+    /// resent.
     pub(crate) fn next_chunks(
         &mut self,
         view_number: u64,
@@ -270,7 +270,7 @@
         std::iter::from_fn(|| snapshot.next_message(view_number, window)).collect()
     }
 
-    /// Notes how many chunks of a snapshot it says to have.
+    /// Notes how many chunks of a snapshot it reports to have.
     pub(crate) fn snapshot_received(
         &mut self,
         identity: SnapshotIdentity,
@@ -287,7 +287,7 @@
                     self.end_transfer_at(identity.index, now);
                 }
             }
-            // It is still installing it.
+            // The disk is still installing the snapshot.
             SnapshotTransfer::Received { index, at } if *index == identity.index => *at = now,
             SnapshotTransfer::NotNeeded
             | SnapshotTransfer::Requested
@@ -295,7 +295,7 @@
         }
     }
 
-    /// Continues with entries once the receiver has what the snapshot covers.
+    /// Continues with entries once the receiver has installed the snapshot.
     fn end_transfer_at(&mut self, have: u64, now: Millis) {
         if let Some(index) = self.transfer.end_at(have, now) {
             self.sent = index;
--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -10,8 +10,8 @@
 //! # How it is driven
 //!
 //! [`Chain`] is the state machine of one disk, member or spare. It makes no I/O and reads no clock:
-//! the driver hands it messages, moments and the completion of writes, and carries out the
-//! [`Effect`]s in their order. Messages may be lost, repeated and reordered.
+//! the driver passes in messages, the current time and the completion of writes, and carries out
+//! the [`Effect`]s in order. Messages may be lost, repeated and reordered.
 //!
 //! # Why it is safe
 //!
@@ -19,25 +19,25 @@
 //!   within its view no longer knows what it sent, so it sends nothing until a newer view begins
 //!   ([`Chain::needs_new_view`]).
 //! - *Verified prefix.* At the beginning of a view a member trusts its log only as far as it is
-//!   known to be committed; the rest is compared with what its predecessor sends, and replaced
-//!   where it differs. Only the verified part is acknowledged and forwarded.
+//!   known to be committed; later entries are compared with those of its predecessor, and replaced
+//!   where they differ. Only the verified part is acknowledged and forwarded.
 //! - *Replica status.* A disk is [`ReplicaStatus::Complete`] if it has everything that was committed
 //!   before its view. A view that appends a spare begins with an incomplete member, since the old
-//!   chain may commit until its members learn of the view. The head first has everything
-//!   acknowledged that it had when the view began, then passes barrier 1, on which members make
-//!   their status durable; nothing is committed before that barrier has come back. So every member
+//!   chain may commit until its members learn of the view. The head first waits until every entry
+//!   that it had when the view began is acknowledged, then starts barrier 1, on which members make
+//!   their status durable; nothing is committed before that barrier is acknowledged. So every member
 //!   of a view in which anything was committed is complete, also after a restart.
 //! - *Succession.* The head of a view has to be a disk that was complete in the view before it
-//!   ([`Chain::is_complete`] under that view's number); the policy that proposes views has to see
-//!   to that. A complete member that has adopted a view keeps every older view from committing.
+//!   ([`Chain::is_complete`] under that view's number); the policy that proposes views ensures
+//!   this. A complete member that has adopted a view keeps every older view from committing.
 //!
 //! # Where to start reading
 //!
-//! `chain` holds the state of a replica, in parts that own their invariants: the place in the view
+//! `chain` holds the state of a replica, in parts that own their invariants: the role in the view
 //! (`view_role`), the log (`replica_log`), the status (`status_record`), barriers, the link to the
 //! source of entries (`upstream`), the disks that are fed (`downstream`, `follower`), catching up
-//! as a spare (`catch_up`) and snapshots in transfer (`snapshot`). What happens to it is in
-//! `view_change`, `receive`, `commit`, `feed` and `tick`.
+//! as a spare (`catch_up`) and snapshots in transfer (`snapshot`). The events that change this state
+//! are in `view_change`, `receive`, `commit`, `feed` and `tick`.
 
 mod barrier;
 mod catch_up;
--- a/crates/chain/src/log.rs
+++ b/crates/chain/src/log.rs
@@ -12,7 +12,7 @@
     end: u64,
 }
 
-/// The end of the log, without gaps.
+/// The last entries of the log, without gaps.
 #[derive(Debug)]
 pub(crate) struct Log {
     /// The index before the first entry in memory.
@@ -24,8 +24,8 @@
 
 /// The bytes of an entry's encoded form.
 pub(crate) fn encoded_bytes(entry: &LogEntry) -> u64 {
-    // The length of a value in memory can always be counted; an entry of unknown size would fill a
-    // batch by itself.
+    // Counting the length of a value in memory cannot fail; an entry of unknown size would fill a
+    // batch alone.
     borsh::object_length(entry).map_or(BATCH_BYTES, |bytes| bytes as u64)
 }
 
@@ -55,7 +55,7 @@
         self.floor + self.entries.len() as u64
     }
 
-    /// An entry, while it is in memory.
+    /// The entry at an index, if it is in memory.
     pub(crate) fn get(&self, index: u64) -> Option<&LogEntry> {
         self.offset_entry(index).map(|entry| &entry.entry)
     }
@@ -93,8 +93,8 @@
         *self = Log::new(index, Vec::new());
     }
 
-    /// Drops entries up to `index` that are not among the last ones, which are retained. Entries
-    /// after `needed` are retained for a disk that joins, up to a wider bound.
+    /// Drops entries up to `index`, except the last ones within the retention limits. Entries after
+    /// `needed` are retained for a disk that joins, up to the larger limit `catch_up`.
     pub(crate) fn compact(&mut self, index: u64, needed: Option<u64>, limits: &ByteLimits) {
         while self.floor < index && self.exceeds_retention(needed, limits) {
             let Some(dropped) = self.entries.pop_front() else {
--- a/crates/chain/src/outbox.rs
+++ b/crates/chain/src/outbox.rs
@@ -4,7 +4,7 @@
 use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::identity::DiskId;
 
-/// The effects of the call in progress, in their order. Those of the constructor wait for the first
+/// The effects of the call in progress, in order. Those of the constructor are returned by the first
 /// call.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
@@ -17,7 +17,7 @@
         self.effects.push(Effect::Send(to, message));
     }
 
-    /// Adds an order to the driver.
+    /// Adds an effect for the driver.
     pub(crate) fn push(&mut self, effect: Effect) {
         self.effects.push(effect);
     }
@@ -28,7 +28,7 @@
             .retain(|effect| !matches!(effect, Effect::Send(..)));
     }
 
-    /// Everything for the driver, which begins anew.
+    /// Takes all effects for the driver and leaves none.
     pub(crate) fn take(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
--- a/crates/chain/src/receive.rs
+++ b/crates/chain/src/receive.rs
@@ -1,4 +1,4 @@
-//! Messages of other replicas.
+//! Messages received from other replicas.
 
 use crate::chain::Chain;
 use crate::downstream::JoinerFeed;
@@ -14,20 +14,20 @@
 struct Append {
     /// The index before the first of the entries.
     previous: u64,
-    /// Entries without gaps; none in a probe.
+    /// Entries without gaps; empty in a probe.
     entries: Vec<LogEntry>,
     /// Everything up to this index is committed.
     committed: u64,
-    /// The newest barrier of the sender; 0 for none, or if entries before it were not sent yet.
+    /// The newest barrier of the sender; 0 if there is none or entries before it were not sent yet.
     barrier: u64,
 }
 
 impl Chain {
     /// Receives a message.
     ///
-    /// One of an older view is answered with the newer view; one of a newer view is dropped, since
-    /// its sender repeats it. The view in an `Outdated` message is for the driver, who has it
-    /// agreed and stored first.
+    /// A message of an older view is answered with the newer view. A message of a newer view is
+    /// dropped, since its sender repeats it. The view in an `Outdated` message is handled by the
+    /// driver, which stores it and then calls [`Chain::adopt_view`].
     pub fn receive(&mut self, from: DiskId, message: ChainMessage, now: Millis) -> Vec<Effect> {
         let Some(view_number) = view_number(&message) else {
             return self.outbox.take();
@@ -109,7 +109,7 @@
         self.upstream.align();
         let is_probe = append.entries.is_empty();
         if is_probe {
-            self.upstream.acknowledge_anew();
+            self.upstream.acknowledge_again();
         }
         self.log.merge(append.entries, &mut self.outbox);
         self.receive_barrier(append.barrier);
@@ -120,8 +120,8 @@
         }
     }
 
-    /// A complete replica holds every committed entry, so its log is verified as far as it is
-    /// committed.
+    /// Notes the committed index of the predecessor. A complete replica holds every committed entry,
+    /// so its log is verified up to that index.
     fn learn_committed(&mut self, committed: u64) {
         self.log.announce(committed);
         if self.status.status() == ReplicaStatus::Complete {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// A spare appends committed entries only.
+    /// Appends entries to a spare, which holds committed entries only.
     fn append_as_spare(&mut self, append: Append, now: Millis) {
         if append.previous > self.log.last() {
             self.request_resend(self.log.last(), now);
@@ -148,7 +148,7 @@
         self.progress(now);
     }
 
-    /// A barrier comes after everything that the head had when the view began.
+    /// Notes a barrier, which follows every entry that the head had when the view began.
     fn receive_barrier(&mut self, barrier: u64) {
         self.barriers.receive(barrier);
         if self.barriers.has_recovery_barrier() {
@@ -191,7 +191,8 @@
         self.feed_joiner(from, JoinerFeed::Answer, now);
     }
 
-    /// Asks the source for the entries after `have`, unless it was asked for the same a moment ago.
+    /// Requests the entries after `have` from the source, unless the same were requested within
+    /// [`RESEND_INTERVAL_MS`](crate::limits::RESEND_INTERVAL_MS).
     pub(crate) fn request_resend(&mut self, have: u64, now: Millis) {
         let Some(source) = self.source() else { return };
         if self.upstream.request_resend(have, now) {
--- a/crates/chain/src/replica_log.rs
+++ b/crates/chain/src/replica_log.rs
@@ -1,4 +1,4 @@
-//! The log of a replica: what of it is on the disk, what of it is right, and what is committed.
+//! The log of a replica, and how far it is synced, verified and committed.
 
 use crate::effect::Effect;
 use crate::log::Log;
@@ -7,27 +7,27 @@
 
 /// The log, and the indices up to which it is synced, verified and committed.
 ///
-/// The log is changed in memory at once; the disk follows by effects. `committed` never falls, and
-/// no entry up to it is ever truncated.
+/// The log changes in memory at once; effects bring the change to the disk. `committed` never
+/// decreases, and no entry up to it is ever truncated.
 #[derive(Debug)]
 pub(crate) struct ReplicaLog {
     entries: Log,
     /// The last index that is synced.
     synced: u64,
-    /// Truncations and installations that are not synced yet. Until they are, the completion of
-    /// older writes says nothing, since they may have removed what was written.
+    /// Truncations and installations that are not synced yet. Until they are, completions of older
+    /// writes are ignored, since the written entries may have been removed.
     pending_rewrites: u32,
-    /// Up to here the log is that of the head of this view.
+    /// The index up to which the log equals that of the head of this view.
     verified: u64,
-    /// Up to here the log is known to be committed.
+    /// The index up to which the log is known to be committed.
     committed: u64,
-    /// The highest index that another replica has called committed in this view; it may lie beyond
-    /// the end of this log.
+    /// The highest index that another replica has announced as committed in this view; it may be
+    /// beyond the end of this log.
     announced: u64,
 }
 
 impl ReplicaLog {
-    /// What the disk held. Only what the snapshot covers is known to be committed.
+    /// The log that the disk held. Only the entries that the snapshot covers are known to be committed.
     pub(crate) fn stored(snapshot_index: u64, entries: Vec<LogEntry>) -> ReplicaLog {
         let entries = Log::new(snapshot_index, entries);
         ReplicaLog {
@@ -70,7 +70,7 @@
         self.announced
     }
 
-    /// What is both synced and verified.
+    /// The index up to which the log is both synced and verified.
     pub(crate) fn verified_synced(&self) -> u64 {
         self.verified.min(self.synced)
     }
@@ -80,28 +80,28 @@
         self.pending_rewrites > 0
     }
 
-    /// Forgets what was announced in an older view.
+    /// Forgets the index announced in an older view.
     pub(crate) fn forget_announced(&mut self) {
         self.announced = self.committed;
     }
 
-    /// Takes the whole log for verified: it is the head's own, or a spare's, which holds nothing
-    /// but what is committed.
+    /// Marks the whole log as verified: that of the head by definition, that of a spare because it
+    /// holds committed entries only.
     pub(crate) fn verify_all(&mut self) {
         self.verified = self.last();
     }
 
-    /// Takes only what is committed for verified.
+    /// Marks only the committed entries as verified.
     pub(crate) fn verify_committed_only(&mut self) {
         self.verified = self.committed;
     }
 
-    /// Takes everything that was announced for verified, which only a complete replica may do.
+    /// Marks everything announced as verified, which only a complete replica may do.
     pub(crate) fn verify_announced(&mut self) {
         self.verified = self.verified.max(self.announced.min(self.last()));
     }
 
-    /// Notes that others call everything up to this index committed.
+    /// Notes that another replica announced everything up to this index as committed.
     pub(crate) fn announce(&mut self, index: u64) {
         self.announced = self.announced.max(index);
     }
@@ -169,8 +169,8 @@
         outbox.push(Effect::Install { index, bytes });
     }
 
-    /// Notes that everything up to an index was written. Whether it counts: it does not while a
-    /// rewrite is pending that may have removed it.
+    /// Notes that everything up to an index was written. Returns whether this counts: it does not
+    /// while a pending rewrite may have removed the entries.
     pub(crate) fn entries_written(&mut self, index: u64) -> bool {
         if self.has_pending_rewrite() {
             return false;
@@ -179,8 +179,8 @@
         true
     }
 
-    /// Notes that a rewrite which left everything up to an index is synced. Whether it was the last
-    /// pending one.
+    /// Notes that a rewrite is synced that left the entries up to an index. Returns whether it was the
+    /// last pending one.
     pub(crate) fn rewritten(&mut self, index: u64) -> bool {
         self.pending_rewrites = self.pending_rewrites.saturating_sub(1);
         if self.has_pending_rewrite() {
--- a/crates/chain/src/replica_status.rs
+++ b/crates/chain/src/replica_status.rs
@@ -6,11 +6,11 @@
 /// disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum ReplicaStatus {
-    /// As a member of the newest view that the disk has adopted, it has everything that was
-    /// committed before that view. An empty disk that has adopted no view yet has this status:
-    /// there is nothing that it could lack.
+    /// The disk is a member of the newest view that it has adopted, and has everything that was
+    /// committed before that view. An empty disk that has adopted no view yet has this status too,
+    /// since nothing was committed that it could lack.
     #[default]
     Complete,
-    /// It is a spare, or was one and has not received everything yet.
+    /// The disk is a spare, or was one and has not received everything yet.
     Joining,
 }
--- a/crates/chain/src/sender_state.rs
+++ b/crates/chain/src/sender_state.rs
@@ -1,8 +1,8 @@
-//! What a sender of entries says, and its bounds.
+//! The state that a sender includes in its messages.
 
 use crate::limits::ByteLimits;
 
-/// What a sender says with every `Append`, and the bounds of what it has in flight.
+/// The state that a sender includes in every `Append`, and the limits of its entries.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SenderState {
     /// The number of the sender's view.
@@ -13,6 +13,6 @@
     pub(crate) committed: u64,
     /// The newest barrier.
     pub(crate) barrier: u64,
-    /// Bounds of what is in flight.
+    /// Limits in bytes, of which `window` bounds the entries in flight.
     pub(crate) limits: ByteLimits,
 }
--- a/crates/chain/src/snapshot/incoming.rs
+++ b/crates/chain/src/snapshot/incoming.rs
@@ -15,7 +15,7 @@
 }
 
 impl SnapshotChunk {
-    /// Whether it is one that a sender cuts: all but the last have the same size.
+    /// Whether the chunk has the size that a sender gives it: all but the last are equally large.
     fn is_well_formed(&self) -> bool {
         let is_last = self.chunk.checked_add(1) == Some(self.snapshot.chunks);
         let size_fits = if is_last {
@@ -27,29 +27,29 @@
     }
 }
 
-/// What became of a chunk.
+/// The result of receiving a chunk.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ReceiveOutcome {
-    /// It is malformed, and is not answered.
+    /// The chunk is malformed, and is not answered.
     Malformed,
-    /// So many chunks of its snapshot have come without a gap.
+    /// How many chunks of the snapshot were received without a gap.
     Partial(u32),
-    /// It was the last one: the bytes of the snapshot.
+    /// The chunk was the last one; the bytes of the snapshot.
     Complete(Vec<u8>),
 }
 
-/// A snapshot of which some chunks have come.
+/// A snapshot of which some chunks were received.
 #[derive(Debug)]
 struct PartialSnapshot {
     snapshot: SnapshotIdentity,
-    /// How many chunks have come, from the first one on.
+    /// How many chunks were received, from the first one on.
     chunks: u32,
     bytes: Vec<u8>,
-    /// When its last chunk came.
+    /// When its last chunk was received.
     progress_at: Millis,
 }
 
-/// Puts the chunks of one snapshot together.
+/// Reassembles the chunks of one snapshot.
 #[derive(Debug, Default)]
 pub(crate) struct IncomingSnapshot {
     partial: Option<PartialSnapshot>,
@@ -88,8 +88,8 @@
         ReceiveOutcome::Partial(partial.chunks)
     }
 
-    /// Whether a snapshot may replace what has come: not if it is the same one, nor if it is an
-    /// older one, of which a late chunk came, while a newer one makes progress.
+    /// Whether a snapshot may replace the one in progress: not if it is the same, nor if a late chunk
+    /// belongs to an older one while a newer one makes progress.
     fn may_begin(&self, snapshot: SnapshotIdentity, now: Millis) -> bool {
         self.partial.as_ref().is_none_or(|partial| {
             let has_stalled = now.since(partial.progress_at) >= JOINER_STALLED_MS;
@@ -98,7 +98,7 @@
         })
     }
 
-    /// Returns the snapshot if its checksum is right; otherwise it has to be sent again.
+    /// Returns the snapshot if its checksum matches; otherwise it has to be sent again.
     fn finish(&mut self) -> ReceiveOutcome {
         match self.partial.take() {
             Some(partial) if checksum(&partial.bytes) == partial.snapshot.checksum => {
--- a/crates/chain/src/snapshot/mod.rs
+++ b/crates/chain/src/snapshot/mod.rs
@@ -1,8 +1,8 @@
-//! Snapshots in transfer: cut into chunks by the sender, put together by the receiver.
+//! Snapshots in transfer: split into chunks by the sender, reassembled by the receiver.
 //!
-//! Each chunk is answered by how many chunks have come without a gap. So the sender has a bounded
-//! number in flight and continues from there after a loss, and neither a lost nor a repeated chunk
-//! costs the whole transfer.
+//! The receiver answers each chunk with the number of chunks received without a gap. So the sender
+//! has a bounded number of chunks in flight and continues from that number after a loss; a lost or
+//! repeated chunk does not restart the transfer.
 
 mod checksum;
 mod incoming;
--- a/crates/chain/src/snapshot/outgoing.rs
+++ b/crates/chain/src/snapshot/outgoing.rs
@@ -10,7 +10,7 @@
     snapshot: SharedSnapshot,
     /// The chunk to send next.
     next_chunk: u32,
-    /// How many chunks, from the first one on, the receiver has.
+    /// How many chunks the receiver has, from the first one on.
     received: u32,
 }
 
@@ -37,13 +37,13 @@
         self.next_chunk > self.received
     }
 
-    /// Continues from what the receiver is known to have.
+    /// Continues with the first chunk that the receiver is not known to have.
     pub(crate) fn rewind(&mut self) {
         self.next_chunk = self.received;
     }
 
-    /// Notes how many chunks the receiver says to have. Whether it has more than before; one that
-    /// has fewer has lost them.
+    /// Notes how many chunks the receiver reports. Returns whether it has more than before; if it has
+    /// fewer, it has lost them.
     pub(crate) fn acknowledge(&mut self, snapshot: SnapshotIdentity, chunks: u32) -> bool {
         if snapshot != self.snapshot.identity() || chunks > snapshot.chunks {
             return false;
@@ -56,12 +56,12 @@
         chunks > before
     }
 
-    /// Whether the receiver has all of it.
+    /// Whether the receiver has all chunks.
     pub(crate) fn is_received(&self) -> bool {
         self.received == self.snapshot.chunks()
     }
 
-    /// The next chunk; none after the last, or if the window is full.
+    /// The next chunk; none after the last one, or if the window is full.
     pub(crate) fn next_message(
         &mut self,
         view_number: u64,
--- a/crates/chain/src/snapshot/receiver.rs
+++ b/crates/chain/src/snapshot/receiver.rs
@@ -12,7 +12,7 @@
 }
 
 impl SnapshotReceiver {
-    /// Forgets what has come of a snapshot. One that is being written stays so.
+    /// Forgets received chunks. A snapshot that is being written to the disk is not affected.
     pub(crate) fn forget_chunks(&mut self) {
         self.incoming = IncomingSnapshot::default();
     }
--- a/crates/chain/src/snapshot/shared.rs
+++ b/crates/chain/src/snapshot/shared.rs
@@ -5,7 +5,7 @@
 use lupinrack_cluster_api::chain::SnapshotIdentity;
 use std::sync::Arc;
 
-/// A snapshot as the driver provided it; all disks that are sent it share its bytes.
+/// A snapshot as the driver provided it; its bytes are shared by the transfers to all disks.
 #[derive(Clone, Debug)]
 pub(crate) struct SharedSnapshot {
     identity: SnapshotIdentity,
@@ -36,12 +36,12 @@
         self.identity.index
     }
 
-    /// How many chunks it is cut into.
+    /// How many chunks the snapshot is split into.
     pub(crate) fn chunks(&self) -> u32 {
         self.identity.chunks
     }
 
-    /// The bytes of a chunk, counted from 0.
+    /// The bytes of a chunk; numbers begin at 0.
     pub(crate) fn chunk(&self, number: u32) -> Vec<u8> {
         let start = number as usize * SNAPSHOT_CHUNK_BYTES;
         let end = (start + SNAPSHOT_CHUNK_BYTES).min(self.bytes.len());
--- a/crates/chain/src/snapshot/transfer.rs
+++ b/crates/chain/src/snapshot/transfer.rs
@@ -1,4 +1,4 @@
-//! Whether a disk needs a snapshot, and how far its transfer has come.
+//! Whether a disk needs a snapshot, and the progress of its transfer.
 
 use super::outgoing::OutgoingSnapshot;
 use super::shared::SharedSnapshot;
@@ -8,17 +8,17 @@
 /// The transfer of a snapshot to one disk.
 #[derive(Debug)]
 pub(crate) enum SnapshotTransfer {
-    /// The disk needs none.
+    /// The disk needs no snapshot.
     NotNeeded,
-    /// The disk needs one, which the driver was asked for.
+    /// The disk needs a snapshot, which was requested from the driver.
     Requested,
-    /// It is being sent.
+    /// The snapshot is being sent.
     Sending(OutgoingSnapshot),
-    /// The disk has received it completely.
+    /// The disk has received the snapshot completely.
     Received {
-        /// The last index that it covers.
+        /// The last index that the snapshot covers.
         index: u64,
-        /// When the disk was last known to be installing it.
+        /// When the disk was last known to be installing the snapshot.
         at: Millis,
     },
 }
@@ -32,9 +32,9 @@
         )
     }
 
-    /// Whether a snapshot is to be requested; it is noted as requested then. A disk that has
-    /// installed one and fallen behind again needs the next one at once; one that is still
-    /// installing it is given time.
+    /// Whether a snapshot has to be requested; if so, it is marked as requested. A disk that has
+    /// installed a snapshot and lags behind again needs the next one at once; a disk that is still
+    /// installing it gets [`SNAPSHOT_RETRY_MS`] to finish.
     pub(crate) fn request(&mut self, acknowledged: Option<u64>, now: Millis) -> bool {
         let is_due = match self {
             SnapshotTransfer::NotNeeded => true,
@@ -50,7 +50,7 @@
         is_due
     }
 
-    /// Begins to send a snapshot if one was requested. Whether it does.
+    /// Starts to send a snapshot if one was requested. Returns whether it does.
     pub(crate) fn start(&mut self, snapshot: &SharedSnapshot) -> bool {
         let is_requested = matches!(self, SnapshotTransfer::Requested);
         if is_requested {
@@ -59,7 +59,8 @@
         is_requested
     }
 
-    /// Ends the transfer if the disk has what the snapshot covers, up to the index that is returned.
+    /// Ends the transfer if the disk has everything that the snapshot covers. Returns the last index
+    /// that the snapshot covers if so.
     pub(crate) fn end_at(&mut self, have: u64, now: Millis) -> Option<u64> {
         let SnapshotTransfer::Sending(snapshot) = self else {
             return None;
--- a/crates/chain/src/snapshot_messages.rs
+++ b/crates/chain/src/snapshot_messages.rs
@@ -1,4 +1,4 @@
-//! Snapshots that a replica receives, and those that it sends.
+//! Messages that transfer snapshots, received and sent.
 
 use crate::chain::Chain;
 use crate::downstream::JoinerFeed;
@@ -19,14 +19,14 @@
         self.outbox.take()
     }
 
-    /// Sends the next chunks of a snapshot to all that are being sent it.
+    /// Sends the next chunks of the snapshot to all disks that are receiving it.
     pub(crate) fn send_chunks(&mut self, now: Millis) {
         let view_number = self.role.view_number();
         self.downstream
             .send_chunks(view_number, &self.limits, now, &mut self.outbox);
     }
 
-    /// Receives a chunk. Snapshots are for disks that lack committed entries; a complete member
+    /// Receives a chunk. Only disks that lack committed entries accept snapshots; a complete member
     /// lacks none.
     pub(crate) fn receive_chunk(&mut self, from: DiskId, chunk: &SnapshotChunk, now: Millis) {
         if self.source() != Some(from) || self.status.status() != ReplicaStatus::Joining {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Tells the source how many chunks of a snapshot have come.
+    /// Reports to the source how many chunks of a snapshot were received.
     pub(crate) fn answer_chunk(&mut self, snapshot: SnapshotIdentity, chunks: u32) {
         let Some(source) = self.source() else { return };
         let view = self.role.view_number();
@@ -61,7 +61,7 @@
         );
     }
 
-    /// Receives the answer of a disk that is being sent a snapshot.
+    /// Receives the answer of a disk to chunks of a snapshot.
     pub(crate) fn receive_snapshot_answer(
         &mut self,
         from: DiskId,
--- a/crates/chain/src/status_record.rs
+++ b/crates/chain/src/status_record.rs
@@ -1,4 +1,4 @@
-//! The status of this replica, and what of it is on the disk.
+//! The status of this replica, and whether the disk holds it.
 
 use crate::effect::Effect;
 use crate::outbox::Outbox;
@@ -31,7 +31,7 @@
         self.pending_writes == 0
     }
 
-    /// Changes the status, and has it written.
+    /// Changes the status and has it written to the disk.
     pub(crate) fn change(&mut self, status: ReplicaStatus, outbox: &mut Outbox) {
         if self.status == status {
             return;
--- a/crates/chain/src/stored_state.rs
+++ b/crates/chain/src/stored_state.rs
@@ -1,10 +1,10 @@
-//! What a replica begins with.
+//! The stored state with which a replica starts.
 
 use crate::replica_status::ReplicaStatus;
 use lupinrack_cluster_api::operation::LogEntry;
 use lupinrack_cluster_api::view::View;
 
-/// What a disk held when its process began. The default is an empty disk.
+/// The contents of a disk when its process starts. The default is an empty disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoredState {
     /// The last index that the snapshot covers; 0 without a snapshot.
--- a/crates/chain/src/submit_error.rs
+++ b/crates/chain/src/submit_error.rs
@@ -1,6 +1,6 @@
 //! Why an operation is rejected.
 
-/// Why an operation was not appended. No part of it was.
+/// Why an operation was not appended. A rejected operation leaves no part in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum SubmitError {
     /// this disk is not the head of a chain that is ready
--- a/crates/chain/src/tick.rs
+++ b/crates/chain/src/tick.rs
@@ -1,4 +1,4 @@
-//! What is repeated as time goes by.
+//! Periodic work: repetitions, probes and `Join` messages.
 
 use crate::chain::Chain;
 use crate::effect::Effect;
@@ -6,7 +6,7 @@
 use lupinrack_cluster_api::time::Millis;
 
 impl Chain {
-    /// Repeats what was not answered, and keeps spares fed. To be called about every 50 ms.
+    /// Repeats unanswered messages and sends spares new entries. To be called about every 50 ms.
     pub fn tick(&mut self, now: Millis) -> Vec<Effect> {
         if self.is_member() {
             self.tick_as_member(now);
@@ -39,17 +39,17 @@
         if self.is_disk_idle() {
             self.join(now);
         } else if let Some(snapshot) = self.snapshots.installing() {
-            // A slow disk may take long; meanwhile the source is to retain what follows the
-            // snapshot.
+            // A slow disk may take long to install. The answer keeps the source from dropping the
+            // entries after the snapshot.
             self.catch_up.postpone_join(now);
             self.answer_chunk(snapshot, snapshot.chunks);
         }
     }
 
-    /// Tells the source up to where this spare has everything.
+    /// Reports to the source the index up to which this spare has synced everything.
     fn join(&mut self, now: Millis) {
         let view = self.role.view();
-        self.catch_up.source.turn_on_timeout(view, now);
+        self.catch_up.source.switch_on_timeout(view, now);
         let Some(source) = self.source() else { return };
         let synced = self.log.synced();
         self.catch_up.joined(synced, now);
@@ -64,7 +64,8 @@
         );
     }
 
-    /// Tells the source ahead of time once much was synced, so that its window moves on.
+    /// Sends a `Join` early once half a window was synced since the last one, so that the window of
+    /// the source moves on.
     pub(crate) fn join_after_progress(&mut self, now: Millis) {
         let (before, synced) = (self.catch_up.synced_at_last_join(), self.log.synced());
         let bytes = self.log.entries().bytes_between(before, synced);
--- a/crates/chain/src/upstream.rs
+++ b/crates/chain/src/upstream.rs
@@ -1,14 +1,14 @@
 //! The link of a replica to the disk from which it receives entries.
 
-use crate::limits::RESEND_MS;
+use crate::limits::RESEND_INTERVAL_MS;
 use lupinrack_cluster_api::time::Millis;
 
 /// An acknowledgement to the predecessor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Acknowledgement {
-    /// The last index that is on the disks of this member and all after it.
+    /// The last index that is on the disks of this member and of all members after it.
     pub(crate) synced: u64,
-    /// The last barrier that this member and all after it have seen.
+    /// The last barrier that this member and all members after it have seen.
     pub(crate) barrier: u64,
 }
 
@@ -21,44 +21,45 @@
     at: Millis,
 }
 
-/// What was exchanged with the source of entries in the current view.
+/// The state of the exchange with the source of entries in the current view.
 #[derive(Debug, Default)]
 pub(crate) struct Upstream {
-    /// Whether entries of the predecessor came without a gap.
+    /// Whether entries of the predecessor were received without a gap.
     is_aligned: bool,
-    /// What was last acknowledged; none if it is to be acknowledged anew.
+    /// The last acknowledgement; none if the next one is sent even without a change.
     acknowledged: Option<Acknowledgement>,
-    /// What was last requested.
+    /// The last request to resend entries.
     resend: Option<ResendRequest>,
 }
 
 impl Upstream {
-    /// Whether entries of the predecessor came without a gap, so that there is something to
-    /// acknowledge.
+    /// Whether entries of the predecessor were received without a gap, so that they can be
+    /// acknowledged.
     pub(crate) fn is_aligned(&self) -> bool {
         self.is_aligned
     }
 
-    /// Notes that entries of the predecessor came without a gap.
+    /// Notes that entries of the predecessor were received without a gap.
     pub(crate) fn align(&mut self) {
         self.is_aligned = true;
     }
 
-    /// Acknowledges at the next occasion, even if nothing has changed.
-    pub(crate) fn acknowledge_anew(&mut self) {
+    /// Makes the next acknowledgement be sent even if it equals the last one.
+    pub(crate) fn acknowledge_again(&mut self) {
         self.acknowledged = None;
     }
 
-    /// Whether this was not acknowledged yet; it is noted as acknowledged.
+    /// Records an acknowledgement. Returns whether it differs from the last one and has to be sent.
     pub(crate) fn acknowledge(&mut self, acknowledgement: Acknowledgement) -> bool {
         self.acknowledged.replace(acknowledgement) != Some(acknowledgement)
     }
 
-    /// Whether to request the entries after `have` now, which is noted; not if the same was
-    /// requested a moment ago.
+    /// Whether to request the entries after `have` now; not if the same were requested within
+    /// [`RESEND_INTERVAL_MS`]. A request is recorded.
     pub(crate) fn request_resend(&mut self, have: u64, now: Millis) -> bool {
-        let is_repetition =
-            |request: &ResendRequest| request.have == have && now.since(request.at) < RESEND_MS;
+        let is_repetition = |request: &ResendRequest| {
+            request.have == have && now.since(request.at) < RESEND_INTERVAL_MS
+        };
         if self.resend.as_ref().is_some_and(is_repetition) {
             return false;
         }
--- a/crates/chain/src/view_change.rs
+++ b/crates/chain/src/view_change.rs
@@ -1,4 +1,4 @@
-//! The beginning of a view.
+//! The start of a view.
 
 use crate::barrier::Barriers;
 use crate::catch_up::CatchUp;
@@ -12,10 +12,10 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
 
-/// How a process comes to act in a view.
+/// How a process starts to act in a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ViewStart {
-    /// It has not acted in the view before.
+    /// The disk has not acted in the view before.
     Fresh,
     /// An earlier process of the disk may have acted in the view.
     Restarted,
@@ -24,7 +24,7 @@
 impl Chain {
     /// Adopts a newer agreed view; an older one changes nothing.
     ///
-    /// The driver has the view on its disk before it calls this, so that a restarted process knows
+    /// The driver stores the view on the disk before it calls this, so that a restarted process knows
     /// every view in which it may have acted.
     pub fn adopt_view(&mut self, view: View, now: Millis) -> Vec<Effect> {
         if self.role.adopt(view) {
@@ -34,7 +34,7 @@
         self.outbox.take()
     }
 
-    /// Enters the view that the disk had adopted when the process began.
+    /// Enters the view that the disk had adopted when the process started.
     pub(crate) fn reenter_view(&mut self) {
         self.enter_view(ViewStart::Restarted, Millis::default());
     }
@@ -59,8 +59,8 @@
         self.snapshots.forget_chunks();
     }
 
-    /// Removes what is not known to be committed: the chain continues without this disk, and may
-    /// never commit it.
+    /// Removes the entries that are not known to be committed: the chain continues without this disk
+    /// and may never commit them.
     fn enter_as_spare(&mut self) {
         self.log
             .truncate_after(self.log.committed(), &mut self.outbox);
@@ -68,7 +68,7 @@
         self.status.change(ReplicaStatus::Joining, &mut self.outbox);
     }
 
-    /// Verifies the log as far as this member may trust it, and begins to exchange entries with its
+    /// Verifies the log as far as this member may trust it, and starts to exchange entries with its
     /// neighbours in the chain.
     fn enter_as_member(&mut self, start: ViewStart, now: Millis) {
         self.leadership.was_interrupted = self.is_interrupted_head(start);
@@ -89,9 +89,9 @@
         start == ViewStart::Restarted && self.is_head() && has_followers
     }
 
-    /// A replica that is not complete keeps only what is known to be committed. A head then trusts
-    /// its whole log, since the log of the head is that of the view; any other member trusts only
-    /// what is known to be committed, until its predecessor confirms the rest.
+    /// A replica that is not complete keeps only the entries known to be committed. A head then
+    /// trusts its whole log, since the log of the head is that of the view. Any other member trusts
+    /// only the entries known to be committed, until its predecessor confirms the rest.
     fn trust_log_as_member(&mut self) {
         if self.status.status() == ReplicaStatus::Joining {
             self.log
--- a/crates/chain/src/view_role.rs
+++ b/crates/chain/src/view_role.rs
@@ -1,4 +1,4 @@
-//! The place of a disk in the newest view.
+//! The role of a disk in the newest view.
 
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::view::View;
@@ -15,7 +15,7 @@
         ViewRole { me, view }
     }
 
-    /// Adopts a newer view; any other changes nothing. Whether it was adopted.
+    /// Adopts a newer view and ignores any other. Returns whether it was adopted.
     pub(crate) fn adopt(&mut self, view: View) -> bool {
         let is_newer = view.number > self.view.number;
         if is_newer {
--- a/crates/chain/tests/byte_bounds.rs
+++ b/crates/chain/tests/byte_bounds.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{acknowledge, large_operation, messages, view, START};
-use lupinrack_chain::limits::{ByteLimits, ENTRY_BYTES_MOST};
+use lupinrack_chain::limits::{ByteLimits, MAX_ENTRY_BYTES};
 use lupinrack_chain::{Chain, Effect, StoredState, SubmitError};
 use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::frame::{Frame, FRAME_BYTES_MOST};
@@ -14,7 +14,7 @@
 /// Changes that a member was away for.
 const CHANGES: u64 = 600;
 /// A connection is closed by a further frame once so many bytes wait to be written to it.
-const CONNECTION_BYTES_MOST: usize = 4 * 1024 * 1024;
+const MAX_CONNECTION_BYTES: usize = 4 * 1024 * 1024;
 
 /// The bytes of all entries in these messages.
 fn entry_bytes(messages: &[(DiskId, ChainMessage)]) -> usize {
@@ -54,7 +54,7 @@
     };
     let sent = entry_bytes(&messages(&head.receive(DiskId(2), join, START)));
     assert!(sent > 0, "it is sent something");
-    assert!(sent < CONNECTION_BYTES_MOST, "{sent} bytes at once");
+    assert!(sent < MAX_CONNECTION_BYTES, "{sent} bytes at once");
 }
 
 #[test]
@@ -73,7 +73,7 @@
         sent += entry_bytes(&messages(&effects));
     }
     assert!(
-        sent < CONNECTION_BYTES_MOST,
+        sent < MAX_CONNECTION_BYTES,
         "{sent} bytes without an acknowledgement"
     );
     assert!(taken < 6 * 1024 * 1024, "{taken} bytes uncommitted");
@@ -129,7 +129,7 @@
             "{disk_mb} MB: {limits:?}"
         );
         assert!(
-            limits.window <= CONNECTION_BYTES_MOST as u64 / 2,
+            limits.window <= MAX_CONNECTION_BYTES as u64 / 2,
             "{limits:?}"
         );
         assert!(limits.retained <= limits.catch_up, "{limits:?}");
@@ -156,11 +156,11 @@
 fn every_message_fits_a_frame_and_what_would_not_is_refused() {
     let mut head = head_with_changes(3);
     assert_eq!(
-        head.submit(change_of(ENTRY_BYTES_MOST + 1_000), START),
+        head.submit(change_of(MAX_ENTRY_BYTES + 1_000), START),
         Err(SubmitError::TooLarge)
     );
     let (index, _) = head
-        .submit(change_of(ENTRY_BYTES_MOST), START)
+        .submit(change_of(MAX_ENTRY_BYTES), START)
         .expect("the largest one");
     head.entries_written(index, START);
     let mut have = 0;
--- a/crates/chain/tests/catch_up/mod.rs
+++ b/crates/chain/tests/catch_up/mod.rs
@@ -18,7 +18,7 @@
 /// Between two ticks of a process, in milliseconds.
 const TICK_MS: u64 = 25;
 /// A connection is closed by a further message once so many bytes wait on it.
-pub const CONNECTION_BYTES_MOST: u64 = 4 * 1024 * 1024;
+pub const MAX_CONNECTION_BYTES: u64 = 4 * 1024 * 1024;
 
 /// One direction of the connection.
 #[derive(Debug, Default)]
@@ -35,7 +35,7 @@
 
 impl Link {
     fn push(&mut self, message: ChainMessage) {
-        if self.waiting >= CONNECTION_BYTES_MOST {
+        if self.waiting >= MAX_CONNECTION_BYTES {
             self.overflows += 1;
             self.reset();
             return;
@@ -402,7 +402,7 @@
         if !self.joiner.is_caught_up(self.moment()) {
             return;
         }
-        let on_link = CONNECTION_BYTES_MOST * 1_000 / self.circumstances.link_bytes_per_s;
+        let on_link = MAX_CONNECTION_BYTES * 1_000 / self.circumstances.link_bytes_per_s;
         let allowed = lupinrack_chain::limits::CAUGHT_UP_MS + on_link + 2 * STEP_MS;
         let then = self
             .committed
--- a/crates/chain/tests/replication.rs
+++ b/crates/chain/tests/replication.rs
@@ -5,7 +5,7 @@
 use common::{
     acknowledge, append, entry, messages, operation, orders, stored, view, Cluster, START,
 };
-use lupinrack_chain::limits::{BATCH_BYTES, PROBE_MS, UNCOMMITTED_ENTRIES_MOST};
+use lupinrack_chain::limits::{BATCH_BYTES, MAX_UNCOMMITTED_ENTRIES, PROBE_AFTER_MS};
 use lupinrack_chain::{Chain, Effect, ReplicaStatus, StoredState, SubmitError};
 use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::identity::DiskId;
@@ -119,7 +119,7 @@
 #[test]
 fn a_head_bounds_what_is_uncommitted() {
     let mut head = ready_head();
-    for number in 0..UNCOMMITTED_ENTRIES_MOST {
+    for number in 0..MAX_UNCOMMITTED_ENTRIES {
         assert!(head.submit(operation(number), START).is_ok());
     }
     assert_eq!(head.submit(operation(0), START), Err(SubmitError::Full));
@@ -299,8 +299,8 @@
 fn a_silent_successor_is_probed() {
     let mut head = ready_head();
     head.submit(operation(7), START).expect("the head takes it");
-    assert_eq!(head.tick(START.plus(PROBE_MS - 1)), []);
-    let effects = head.tick(START.plus(PROBE_MS));
+    assert_eq!(head.tick(START.plus(PROBE_AFTER_MS - 1)), []);
+    let effects = head.tick(START.plus(PROBE_AFTER_MS));
     assert_eq!(
         messages(&effects),
         [(DiskId(2), append(1, 1, vec![], 0, 1))]
--- a/crates/cluster-node/src/core/machine/mod.rs
+++ b/crates/cluster-node/src/core/machine/mod.rs
@@ -121,7 +121,7 @@
         let policy_settings = PolicySettings {
             heartbeat_ms: HEARTBEAT_INTERVAL_MS,
             suspect_after_ms: SUSPECT_AFTER_MS,
-            suspect_after_least_ms: SUSPECT_AFTER_LEAST_MS,
+            min_suspect_after_ms: SUSPECT_AFTER_LEAST_MS,
             tolerated_losses: settings.tolerated_losses,
             catch_up_ms: settings.catch_up_ms,
         };
--- a/crates/view-agreement/src/policy/settings.rs
+++ b/crates/view-agreement/src/policy/settings.rs
@@ -20,7 +20,7 @@
     pub suspect_after_ms: u64,
     /// The same for a process whose heartbeats have come in time for a while. What lies between
     /// follows the longest gap that was lately observed between two of its heartbeats.
-    pub suspect_after_least_ms: u64,
+    pub min_suspect_after_ms: u64,
     /// How many disks may be lost at once without the loss of anything acknowledged.
     pub tolerated_losses: usize,
     /// Milliseconds from the start of a lost machine's successor until the loss no longer counts
@@ -34,7 +34,7 @@
     pub(super) fn suspect_after_gap_ms(&self, longest_gap_ms: f64) -> u64 {
         let tolerated_ms = (GAPS_TOLERATED * longest_gap_ms) as u64 + self.heartbeat_ms / 2;
         tolerated_ms.clamp(
-            self.suspect_after_least_ms.min(self.suspect_after_ms),
+            self.min_suspect_after_ms.min(self.suspect_after_ms),
             self.suspect_after_ms,
         )
     }
--- a/crates/view-agreement/src/policy/voter_plan.rs
+++ b/crates/view-agreement/src/policy/voter_plan.rs
@@ -9,9 +9,9 @@
 use lupinrack_cluster_api::view::{View, Voter};
 
 /// How many voters there are at most.
-const VOTERS_MOST: usize = 13;
+const MAX_VOTERS: usize = 13;
 /// How many voters there are at least.
-const VOTERS_LEAST: usize = 3;
+const MIN_VOTERS: usize = 3;
 /// What the timeout of a process is divided by for the time after which its heartbeat is late.
 const LATE_DIVISOR: u64 = 2;
 
@@ -60,7 +60,7 @@
     fn extended(&self) -> Option<Vec<Voter>> {
         let voters = &self.current().voters;
         let all_in_time = voters.iter().all(|voter| self.is_in_time(voter));
-        if voters.len() >= VOTERS_MOST || (is_odd(voters.len()) && !all_in_time) {
+        if voters.len() >= MAX_VOTERS || (is_odd(voters.len()) && !all_in_time) {
             return None;
         }
         let new = self.new_disks().next()?;
@@ -71,7 +71,7 @@
     /// reduced, since that makes the majority smaller. With an odd number the majority would stay
     /// as large as it is, and the chance that the voter returns would be lost for nothing.
     fn reduced(&self) -> Option<Vec<Voter>> {
-        let least = VOTERS_LEAST.max(2 * self.snapshot.settings.tolerated_losses + 1);
+        let least = MIN_VOTERS.max(2 * self.snapshot.settings.tolerated_losses + 1);
         let voters = &self.current().voters;
         if is_odd(voters.len()) || voters.len() <= least {
             return None;
--- a/crates/view-agreement/src/proposer.rs
+++ b/crates/view-agreement/src/proposer.rs
@@ -10,7 +10,7 @@
 use lupinrack_cluster_api::view::View;
 
 /// Attempts after which a proposal is dropped unless its view is asked for again.
-const ATTEMPTS_MOST: u32 = 5;
+const MAX_ATTEMPTS: u32 = 5;
 
 /// Messages to acceptors, each with its receiver.
 pub(crate) type Requests = Vec<(PeerAddress, AgreementMessage)>;
@@ -63,7 +63,7 @@
         if let Some(proposal) = &mut self.proposal {
             proposal.wanted = wanted;
             // At least one more attempt is left for what was asked for again.
-            proposal.attempts = proposal.attempts.min(ATTEMPTS_MOST - 1);
+            proposal.attempts = proposal.attempts.min(MAX_ATTEMPTS - 1);
             return Vec::new();
         }
         let phase = Phase::BackingOff { until: now };
@@ -191,7 +191,7 @@
         let Some(proposal) = &mut self.proposal else {
             return;
         };
-        if proposal.attempts >= ATTEMPTS_MOST {
+        if proposal.attempts >= MAX_ATTEMPTS {
             self.proposal = None;
             return;
         }
--- a/crates/view-agreement/tests/policy/watch.rs
+++ b/crates/view-agreement/tests/policy/watch.rs
@@ -11,7 +11,7 @@
 pub const SETTINGS: PolicySettings = PolicySettings {
     heartbeat_ms: 150,
     suspect_after_ms: 700,
-    suspect_after_least_ms: 700,
+    min_suspect_after_ms: 700,
     tolerated_losses: 1,
     catch_up_ms: 4000,
 };
@@ -66,9 +66,9 @@
     }
 
     /// The same where a process that is in time is suspected after this time already; before anything was heard.
-    pub fn suspecting_after(mut self, suspect_after_least_ms: u64) -> Watch {
+    pub fn suspecting_after(mut self, min_suspect_after_ms: u64) -> Watch {
         let settings = PolicySettings {
-            suspect_after_least_ms,
+            min_suspect_after_ms,
             ..SETTINGS
         };
         self.policy = ViewPolicy::new(settings, Vec::new());
--- a/crates/view-agreement/tests/simulation/machine.rs
+++ b/crates/view-agreement/tests/simulation/machine.rs
@@ -12,7 +12,7 @@
 pub const POLICY: PolicySettings = PolicySettings {
     heartbeat_ms: 100,
     suspect_after_ms: 700,
-    suspect_after_least_ms: 350,
+    min_suspect_after_ms: 350,
     tolerated_losses: 1,
     catch_up_ms: 4000,
 };
--- a/crates/view-agreement/tests/simulation/one_way_links.rs
+++ b/crates/view-agreement/tests/simulation/one_way_links.rs
@@ -15,10 +15,10 @@
 const WATCHED_MS: u64 = 8000;
 const WATCH_STEP_MS: u64 = 500;
 /// How many views a shape costs at most.
-const VIEWS_MOST: u64 = 4;
+const MAX_VIEWS: u64 = 4;
 /// The number of links of five machines is too large for all their shapes in one test: all of so few lost links are
 /// played, and this many others.
-const LOST_LINKS_MOST: u32 = 2;
+const MAX_LOST_LINKS: u32 = 2;
 const DRAWN_SHAPES: usize = 1500;
 
 type Shape = u32;
@@ -107,7 +107,7 @@
     let views = world.checker.newest().number - before;
     match () {
         () if world.checker.violations != Vec::<Violation>::new() => Outcome::Wrong,
-        () if views > VIEWS_MOST => Outcome::Churns { views },
+        () if views > MAX_VIEWS => Outcome::Churns { views },
         () if may_go_on => Outcome::GoesOn,
         () => Outcome::Stands,
     }
@@ -181,7 +181,7 @@
 
 #[test]
 fn every_shape_of_few_lost_links_of_five_machines() {
-    let few = all_shapes(5).filter(|shape| shape.count_ones() <= LOST_LINKS_MOST);
+    let few = all_shapes(5).filter(|shape| shape.count_ones() <= MAX_LOST_LINKS);
     assert_all_go_on(5, few);
 }
 
--- a/crates/view-agreement/tests/simulation/random_proposals.rs
+++ b/crates/view-agreement/tests/simulation/random_proposals.rs
@@ -4,9 +4,9 @@
 use crate::world::{Network, PlantedFault, World, CALM, ROUGH};
 use lupinrack_cluster_api::view::{View, Voter};
 
-const VOTERS_LEAST: usize = 3;
+const MIN_VOTERS: usize = 3;
 const ROUNDS: usize = 150;
-const ROUND_MS_MOST: u64 = 150;
+const MAX_ROUND_MS: u64 = 150;
 const TARGETED_FAULTS: f64 = 0.4;
 const PLANTED_SEEDS: std::ops::Range<u64> = 1000..1500;
 
@@ -32,9 +32,7 @@
         .map(|index| world.machines[index].voter.clone())
         .collect();
     world.rng.shuffle(&mut voters);
-    let count = world
-        .rng
-        .usize(VOTERS_LEAST..=voters.len().max(VOTERS_LEAST));
+    let count = world.rng.usize(MIN_VOTERS..=voters.len().max(MIN_VOTERS));
     voters.truncate(count);
     let mut chain: Vec<_> = voters.iter().map(|voter| voter.disk).collect();
     world.rng.shuffle(&mut chain);
@@ -50,7 +48,7 @@
     let machine = world.rng.usize(0..setup.machines);
     let number = world.current(machine).number + 1;
     let view = random_view(world, number, setup.founders);
-    if view.voters.len() >= VOTERS_LEAST {
+    if view.voters.len() >= MIN_VOTERS {
         world.propose(machine, view);
     }
 }
@@ -76,7 +74,7 @@
     for _ in 0..ROUNDS {
         propose_at_random(&mut world, setup);
         disturb(&mut world, setup);
-        let pause = world.rng.u64(1..=ROUND_MS_MOST);
+        let pause = world.rng.u64(1..=MAX_ROUND_MS);
         world.run_for(pause);
     }
     world
--- a/crates/view-agreement/tests/simulation/world.rs
+++ b/crates/view-agreement/tests/simulation/world.rs
@@ -14,14 +14,14 @@
 
 const TICK_MS: u64 = 25;
 const HEARTBEAT_MS: u64 = POLICY.heartbeat_ms;
-const SYNC_MS_MOST: u64 = 30;
+const MAX_SYNC_MS: u64 = 30;
 /// How often a sync is slow, and how long such a one takes at most.
 const SLOW_SYNCS: f64 = 0.2;
-const SLOW_SYNC_MS_MOST: u64 = 300;
+const MAX_SLOW_SYNC_MS: u64 = 300;
 /// Milliseconds that a process outside the chain needs until it has caught up.
 const CATCH_UP_MS: u64 = 400;
 /// A process that was told to end does so by then.
-const LEAVE_MS_MOST: u64 = 4500;
+const MAX_DRAIN_MS: u64 = 4500;
 
 /// A fault that is planted, to see that the checker finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -403,7 +403,7 @@
         let leaving_since = process.leaving_since;
         let ends = leaving_since.is_some_and(|since| {
             let handed_over = process.policy.may_shut_down(&current, &voter, now);
-            now.since(since) >= LEAVE_MS_MOST || handed_over
+            now.since(since) >= MAX_DRAIN_MS || handed_over
         });
         self.perform(machine, effects);
         if ends {
@@ -489,13 +489,9 @@
         process.writes.push(write);
         let incarnation = process.incarnation;
         let slow = self.rng.f64() < SLOW_SYNCS;
-        let sync_ms = self.rng.u64(
-            1..=if slow {
-                SLOW_SYNC_MS_MOST
-            } else {
-                SYNC_MS_MOST
-            },
-        );
+        let sync_ms = self
+            .rng
+            .u64(1..=if slow { MAX_SLOW_SYNC_MS } else { MAX_SYNC_MS });
         self.schedule(
             sync_ms,
             Event::Synced {
