--- a/crates/view-agreement/src/acceptor.rs
+++ b/crates/view-agreement/src/acceptor.rs
@@ -7,7 +7,7 @@
 /// The response to a proposer.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Response {
-    /// The vote was changed or confirmed; the message may be sent once the vote is on disk.
+    /// The vote was changed or confirmed; the message may be sent only once the vote is on the disk.
     Vote(AgreementMessage),
     /// A higher proposal number was prepared; the message may be sent at once.
     Rejected(AgreementMessage),
@@ -34,13 +34,13 @@
         })
     }
 
-    /// What the response to a prepare request reports: the accepted view, or the agreed one if that
-    /// is newer.
+    /// The view that a prepare response reports: the accepted view, or the agreed one if that is
+    /// newer.
     ///
-    /// An agreed view may stand for an accepted one, since no other can be chosen under its number.
-    /// Reporting it keeps an outdated proposer from counting this disk as one that accepted
-    /// nothing. That matters before view 1, where acceptors are counted by address and a new disk
-    /// may have been put in the place of a founder's.
+    /// An agreed view can be reported as an accepted one, since no other can be chosen under its
+    /// number. Reporting it keeps an outdated proposer from counting this disk as one that accepted
+    /// nothing. That matters before view 1, where acceptors are counted by address and a founder's
+    /// disk may have been replaced by a new one.
     fn newest_view(&self) -> (ProposalNumber, View) {
         if self.accepted.number < self.agreed.number {
             return (self.prepared, self.agreed.clone());
@@ -70,9 +70,9 @@
         })
     }
 
-    /// Whether this disk may accept this view: it follows the agreed one, and the disk is an
-    /// acceptor or becomes a voter by it. One that becomes a voter counts only towards the majority
-    /// of the new view's voters.
+    /// Whether this disk may accept this view: the view follows the agreed one, and the disk is an
+    /// acceptor or a voter of the new view. A disk that is only the latter counts only towards the
+    /// majority of the new view's voters.
     fn may_accept(&self, me: &Voter, view: &View) -> bool {
         let follows = view.number == self.next_view_number();
         let becomes_voter = self.agreed.number > 0 && view.voter(me.disk).is_some();
--- a/crates/view-agreement/src/agreement.rs
+++ b/crates/view-agreement/src/agreement.rs
@@ -15,18 +15,18 @@
 pub struct Agreement {
     me: Voter,
     vote: VoteState,
-    /// Whether `vote` differs from what the disk was asked to hold.
+    /// Whether `vote` has changed since it was last handed to the driver for writing.
     has_unsaved_vote: bool,
     proposer: Proposer,
 }
 
 impl Agreement {
-    /// Begins with what the disk holds.
+    /// Starts from the vote stored on the disk.
     ///
-    /// `incarnation` is drawn at random when the process begins and never used again. `founders`
-    /// are the internal addresses of all founders, this process's own among them, if it founds the
-    /// system; otherwise they are empty. They matter only while the disk is empty; later the disk
-    /// itself holds them.
+    /// `incarnation` is drawn at random when the process starts and never used again. `founders`
+    /// are the internal addresses of all founders, including this process, if it founds the system;
+    /// otherwise the list is empty. It is used only while the disk is empty; later the disk itself
+    /// holds the founders.
     pub fn new(
         me: Voter,
         incarnation: u64,
@@ -53,7 +53,7 @@
         &self.vote.agreed
     }
 
-    /// What the disk has to hold.
+    /// The vote that the disk has to hold.
     pub fn vote(&self) -> &VoteState {
         &self.vote
     }
@@ -108,11 +108,12 @@
         }
     }
 
-    /// Asks for the next view.
+    /// Proposes the next view.
     ///
-    /// Nothing happens if it does not follow the current view or this disk has no vote. If another
-    /// view may have been chosen already, that one is completed and announced instead. Asking again
-    /// keeps the proposal alive and replaces its view, unless that was sent for acceptance already.
+    /// Nothing happens if the view does not follow the current one or this disk has no vote. If
+    /// another view may have been chosen already, that one is completed and announced instead. A
+    /// repeated call keeps the proposal alive and replaces its view, unless accept requests for it
+    /// were sent already.
     pub fn propose(&mut self, next: View, now: Millis) -> Vec<Effect> {
         let follows = next.number == self.vote.next_view_number();
         if !follows || !is_well_formed(&next) || !self.vote.electorate().includes(&self.me) {
@@ -130,7 +131,7 @@
         effects
     }
 
-    /// Learns that a view is agreed; one that is not newer than the current view changes nothing.
+    /// Learns that a view is agreed; a view that is not newer than the current one changes nothing.
     pub fn learn(&mut self, view: View) -> Vec<Effect> {
         if view.number <= self.current().number {
             return Vec::new();
@@ -140,7 +141,7 @@
         vec![self.persist(Vec::new()), Effect::Agreed(view)]
     }
 
-    /// Puts on disk that this process founds the system, before it has anything to respond to.
+    /// Stores on the disk that this process founds the system, before it responds to any message.
     fn save_founders(&mut self) -> Vec<Effect> {
         if !self.has_unsaved_vote {
             return Vec::new();
@@ -173,7 +174,7 @@
         self.respond(from, response)
     }
 
-    /// Sends a response after the newest agreed view, which the proposer may not know.
+    /// Sends the newest agreed view, which the proposer may not know, and then a response.
     fn respond(&mut self, to: PeerAddress, response: Response) -> Vec<Effect> {
         let mut effects = self.send_current(to);
         match response {
@@ -184,8 +185,8 @@
         effects
     }
 
-    /// Counts a prepare response, unless the disk has accepted a view of a later instance already:
-    /// such a response says nothing about this one.
+    /// Counts a prepare response, unless the responding disk has already accepted a view of a later
+    /// instance: such a response has no meaning in this instance.
     fn on_prepared(&mut self, response: Prepared, now: Millis) -> Vec<Effect> {
         let (electorate, view_number) = (self.vote.electorate(), self.vote.next_view_number());
         let is_of_later_instance = response.accepted.1.number > view_number;
@@ -218,7 +219,7 @@
         effects
     }
 
-    /// Sends requests, each after the current view, without which an outdated process could not
+    /// Sends requests, each preceded by the current view, without which an outdated process could not
     /// respond.
     fn send(&self, requests: Requests) -> Vec<Effect> {
         let mut effects = Vec::new();
@@ -239,8 +240,8 @@
     }
 }
 
-/// Whether a view can be proposed at all: it lists no disk twice, and its chain is not empty and
-/// made of voters.
+/// Whether a view can be proposed: it lists no disk twice, and its chain is not empty and consists of
+/// voters.
 fn is_well_formed(view: &View) -> bool {
     let disks: BTreeSet<DiskId> = view.voters.iter().map(|voter| voter.disk).collect();
     let chain: BTreeSet<DiskId> = view.chain.iter().copied().collect();
--- a/crates/view-agreement/src/backoff.rs
+++ b/crates/view-agreement/src/backoff.rs
@@ -3,7 +3,7 @@
 
 /// The upper bound of the first delay, in milliseconds; it doubles with each attempt.
 const FIRST_DELAY_MS: u64 = 40;
-/// How often the upper bound doubles at most.
+/// How many times the upper bound doubles at most.
 const MAX_DOUBLINGS: u32 = 4;
 
 /// A source of random delays. Its seed is the incarnation of the process, which differs between
@@ -19,7 +19,7 @@
         Backoff { state: incarnation }
     }
 
-    /// The delay before the next attempt, in milliseconds, after so many attempts.
+    /// The delay before the next attempt after this many attempts, in milliseconds.
     pub(crate) fn delay_ms(&mut self, attempts: u32) -> u64 {
         let bound = FIRST_DELAY_MS << attempts.saturating_sub(1).min(MAX_DOUBLINGS);
         self.next_random() % bound + 1
--- a/crates/view-agreement/src/electorate.rs
+++ b/crates/view-agreement/src/electorate.rs
@@ -1,4 +1,4 @@
-//! Who decides the next view.
+//! The acceptors that decide the next view.
 
 use crate::quorum::Responders;
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
@@ -8,9 +8,10 @@
 /// The acceptors of one instance of Paxos.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Electorate<'a> {
-    /// Of view 1: the founders. They are known by address, since no view lists their disks yet.
+    /// The acceptors of view 1: the founders, identified by address since no view lists their disks
+    /// yet.
     Founders(&'a [PeerAddress]),
-    /// Of any later view: the voters of the agreed view before it, known by disk.
+    /// The acceptors of any later view: the voters of the agreed view before it, identified by disk.
     Voters(&'a View),
 }
 
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Whether a response of this disk counts. It has to come from the acceptor's own address: a
+    /// Whether a response of this disk counts. It counts only from the acceptor's own address: a
     /// process that runs on a copy of an acceptor's data has no vote.
     pub(crate) fn counts_response(self, disk: DiskId, from: PeerAddress) -> bool {
         match self {
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Where the acceptors listen.
+    /// The addresses of the acceptors.
     pub(crate) fn addresses(self) -> BTreeSet<PeerAddress> {
         match self {
             Electorate::Founders(founders) => founders.iter().copied().collect(),
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Where the acceptors and the voters of a proposed view listen.
+    /// The addresses of the acceptors and of the voters of a proposed view.
     pub(crate) fn addresses_with(self, proposed: &View) -> BTreeSet<PeerAddress> {
         let mut addresses = self.addresses();
         addresses.extend(proposed.voters.iter().map(|voter| voter.address));
--- a/crates/view-agreement/src/policy/chain_plan.rs
+++ b/crates/view-agreement/src/policy/chain_plan.rs
@@ -4,7 +4,7 @@
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::view::Voter;
 
-/// How long, in milliseconds, a disk may be unhealthy before it is removed from the chain.
+/// Milliseconds for which a disk may be unhealthy before it is removed from the chain.
 const UNHEALTHY_AFTER_MS: u64 = 400;
 
 /// Derives the chain: members that are lost or draining are removed, disks that have caught up are
@@ -21,7 +21,7 @@
     }
 
     /// The chain of the next view; none while no member is known to be reachable, since then no
-    /// process that is reachable is certain to hold what was acknowledged.
+    /// reachable process is certain to hold everything that was acknowledged.
     pub(super) fn next(&self) -> Option<Vec<DiskId>> {
         let remaining = self.remaining();
         if !remaining
@@ -36,7 +36,7 @@
         let members = self.without(members, spares.len(), is_draining);
         let chain = self.headed_by_complete(&self.linked(&members))?;
         let length =
-            wanted_chain_length(self.voters().len(), self.snapshot.settings.tolerated_losses);
+            target_chain_length(self.voters().len(), self.snapshot.settings.tolerated_losses);
         let is_linked = |one: &Voter, other: &Voter| self.are_linked(one, other);
         Some(spread_over_zones(
             chain,
@@ -47,8 +47,8 @@
         ))
     }
 
-    /// The members, with the first complete one moved to the head. None if there is no complete
-    /// one, or if one before it has not reported in this view whether it is complete.
+    /// The members, with the first complete one moved to the head. None if no member is complete, or
+    /// if a member before it has not reported in this view whether it is complete.
     fn headed_by_complete(&self, members: &[&Voter]) -> Option<Vec<DiskId>> {
         let is_complete = |voter: &&Voter| self.snapshot.is_complete(voter);
         let head = members
@@ -75,11 +75,11 @@
         self.linked(&members)
     }
 
-    /// These members without those whose neighbour does not reach them. Messages of a chain pass
-    /// between neighbours only, so a member may stay that this process does not reach itself.
+    /// The members without those that their neighbour does not reach. Messages of the chain pass only
+    /// between neighbours, so a member that this process does not reach itself may stay.
     ///
-    /// It is decided from this process outwards, or from the first member that it reaches: of two
-    /// members without a link, the one that is farther from it leaves.
+    /// Links are checked outwards from this process, or from the first member that it reaches: of two
+    /// members without a link, the one farther from the start is removed.
     fn linked(&self, members: &[&'a Voter]) -> Vec<&'a Voter> {
         let own = members.iter().position(|voter| voter.disk == self.me.disk);
         let first = || {
@@ -123,8 +123,8 @@
             .collect()
     }
 
-    /// Removes the members that are better removed, provided that the rest together with the spares
-    /// still outlasts the tolerated losses, and that one of the rest could be the head.
+    /// Removes the members for which the predicate holds, provided that the rest together with the
+    /// spares still survives the tolerated losses, and that one of the rest could be the head.
     fn without(
         &self,
         members: Vec<&'a Voter>,
@@ -156,15 +156,14 @@
     }
 }
 
-/// The length of the chain for so many voters. The chain is a majority of them, so every majority
-/// that agrees on the next view includes a member; and it outlasts the tolerated losses.
-pub(super) fn wanted_chain_length(voters: usize, tolerated_losses: usize) -> usize {
+/// The length of the chain for this many voters. The chain is a majority of them, so every majority
+/// that agrees on the next view includes a member, and it survives the tolerated losses.
+pub(super) fn target_chain_length(voters: usize, tolerated_losses: usize) -> usize {
     (voters / 2 + 1).max(tolerated_losses + 1).min(voters)
 }
 
-/// Appends candidates to a chain up to a length. Each time it is one that is linked with the last
-/// member: first of all with as many members as possible, then one whose zone has the fewest members
-/// so far.
+/// Appends candidates to a chain up to a length. Each one appended is linked with the last member:
+/// preferably one linked with the most members, then one whose zone has the fewest members so far.
 pub(super) fn spread_over_zones(
     mut chain: Vec<DiskId>,
     candidates: &[Voter],
--- a/crates/view-agreement/src/policy/cluster_snapshot.rs
+++ b/crates/view-agreement/src/policy/cluster_snapshot.rs
@@ -1,4 +1,4 @@
-//! What the plans of the next view are made from.
+//! The knowledge from which the plans of the next view are derived.
 
 use super::failure_detector::FailureDetector;
 use super::redundancy::Redundancy;
@@ -6,7 +6,7 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::{View, Voter};
 
-/// The cluster at one moment, as this process knows it.
+/// The cluster at one time, as this process knows it.
 #[derive(Clone, Copy)]
 pub(super) struct ClusterSnapshot<'a> {
     /// The settings of the policy.
@@ -15,7 +15,7 @@
     pub(super) detector: &'a FailureDetector,
     /// The newest agreed view.
     pub(super) current: &'a View,
-    /// The moment.
+    /// The time of the snapshot.
     pub(super) now: Millis,
 }
 
@@ -40,17 +40,18 @@
     pub(super) fn is_linked_with_another(&self, voter: &Voter) -> bool {
         let mut others = self.current.voters.iter();
         others.any(|other| {
-            other != voter && self.is_reachable(other) && self.detector.lists(other, voter)
+            other != voter && self.is_reachable(other) && self.detector.reports_link(other, voter)
         })
     }
 
     /// Whether messages pass between two processes, as this process, `me`, knows.
     ///
-    /// Of its own links it knows by itself. Of others it knows by the reports of those that it
-    /// receives from: a link between two such processes is taken for broken only if both of them say
-    /// so, since one report may be older than the link. If it receives from neither, a member of the
-    /// chain takes the link for working where others are linked with both; a process outside the
-    /// chain leaves the judgement to the members, of which every majority of voters has one.
+    /// This process observes its own links. It learns of other links from the reports of the processes
+    /// that it receives from: a link between two such processes counts as broken only if both of them
+    /// report so, since one report may be older than the link. If it receives from neither, a member
+    /// of the chain assumes that the link works if others are linked with both. A process outside the
+    /// chain always assumes so and leaves the decision to the members; every majority of voters
+    /// includes a member.
     pub(super) fn are_linked(&self, me: &Voter, one: &Voter, other: &Voter) -> bool {
         let ClusterSnapshot { detector, now, .. } = *self;
         if one.disk == me.disk {
@@ -61,12 +62,12 @@
         }
         match (detector.is_silent(one, now), detector.is_silent(other, now)) {
             (false, false) => {
-                let are_apart = detector.reports_no_link(one, other, now)
+                let are_unlinked = detector.reports_no_link(one, other, now)
                     && detector.reports_no_link(other, one, now);
-                !are_apart
+                !are_unlinked
             }
-            (false, true) => detector.lists(one, other),
-            (true, false) => detector.lists(other, one),
+            (false, true) => detector.reports_link(one, other),
+            (true, false) => detector.reports_link(other, one),
             (true, true) => {
                 let have_links =
                     self.is_linked_with_another(one) && self.is_linked_with_another(other);
@@ -104,7 +105,7 @@
             current,
             now,
         } = *self;
-        // A disk that receives a snapshot on a narrow link acknowledges heartbeats late.
+        // A disk that receives a snapshot on a slow link acknowledges heartbeats late.
         let is_usable = |voter: &&Voter| {
             !detector.is_silent(voter, now)
                 && detector.has_healthy_disk(voter)
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Whether the head is there and cannot continue in this view.
+    /// Whether the head is alive and cannot continue in this view.
     pub(super) fn head_needs_view(&self) -> bool {
         let head = self.chain_members().next();
         head.is_some_and(|voter| self.detector.needs_view(voter, self.current.number))
--- a/crates/view-agreement/src/policy/failure_detector.rs
+++ b/crates/view-agreement/src/policy/failure_detector.rs
@@ -1,9 +1,10 @@
 //! The failure detector: which core processes are reachable, by their heartbeats.
 //!
-//! A link counts only if both ends know that it works. Each heartbeat acknowledges the newest one
-//! that its sender received from the process that it goes to; a process whose heartbeats come but
-//! acknowledge nothing for too long counts as lost. Each heartbeat also lists whom its sender is
-//! linked with, so others know which links work between processes that they do not reach themselves.
+//! A link counts as working only if both ends know that it works. Each heartbeat acknowledges the
+//! newest heartbeat that its sender received from the receiver. A process whose heartbeats arrive but
+//! acknowledge nothing for too long counts as lost. Each heartbeat also lists the disks that its
+//! sender is linked with, so a process knows which links work between processes that it does not
+//! reach itself.
 
 use super::peer::Peer;
 use super::peer_report::{DuplicateDisk, PeerReport};
@@ -15,13 +16,13 @@
 use lupinrack_cluster_api::view::Voter;
 use std::collections::BTreeMap;
 
-/// How long, in milliseconds, a process has to be present before it is made a voter.
+/// Milliseconds for which a process has to be present before it becomes a voter.
 const STABLE_AFTER_MS: u64 = 500;
-/// How many heartbeat intervals may pass between two calls before this process concludes that it
-/// was the one that stalled.
+/// Heartbeat intervals between two calls after which this process concludes that it has stalled
+/// itself.
 const STALL_HEARTBEATS: u64 = 2;
 
-/// Everything known of the core processes that ever sent a heartbeat, by address.
+/// The state of all core processes that ever sent a heartbeat, by address.
 #[derive(Clone, Debug)]
 pub(super) struct FailureDetector {
     settings: PolicySettings,
@@ -47,7 +48,7 @@
     ///
     /// # Errors
     ///
-    /// If it claims a disk that is alive at another address.
+    /// If the heartbeat claims a disk that is alive at another address.
     pub(super) fn receive_heartbeat(
         &mut self,
         voter: Voter,
@@ -63,7 +64,7 @@
     ///
     /// # Errors
     ///
-    /// If there is one.
+    /// If there is such a process.
     pub(super) fn check_disk(
         &self,
         disk: DiskId,
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Replaces what is known of the process at the voter's address. The times since when it is
-    /// present, and since when its disk is unhealthy, are carried over where they still hold.
+    /// Replaces the state of the process at the voter's address. The times since when the process is
+    /// present and its disk unhealthy are kept if they still apply.
     fn record(&mut self, voter: Voter, report: PeerReport, now: Millis) {
         self.started.get_or_insert(now);
         let before = self.peer(&voter);
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Advances time. Time during which this process stalled does not count against the others.
+    /// Advances time. Time during which this process stalled does not count against other processes.
     pub(super) fn advance(&mut self, me: &Voter, now: Millis) {
         let started = *self.started.get_or_insert(now);
         let gap_ms = now.since(self.last_advance.max(started));
@@ -144,8 +145,8 @@
         self.record_self(me, now);
     }
 
-    /// Moves the last heartbeats, and what is known of their acknowledgement, forward by the time
-    /// that this process stalled, in milliseconds.
+    /// Moves the times of the last heartbeats and acknowledgements forward by the milliseconds that
+    /// this process stalled.
     fn exclude_stall(&mut self, gap_ms: u64, now: Millis) {
         for peer in self.peers.values_mut() {
             peer.last_heartbeat = peer.last_heartbeat.plus(gap_ms).min(now);
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Notes that this process is alive. Its last report stays as it was: in a newer view its
+    /// Notes that this process is alive. Its last report is unchanged, since in a newer view its
     /// replica may be in another state.
     fn record_self(&mut self, me: &Voter, now: Millis) {
         let unknown = PeerReport {
@@ -174,7 +175,7 @@
         self.record(me.clone(), report, now);
     }
 
-    /// For how long, in milliseconds, heartbeats have been watched.
+    /// Milliseconds since this process started to watch heartbeats.
     pub(super) fn watched_ms(&self, now: Millis) -> u64 {
         self.started.map_or(0, |started| now.since(started))
     }
@@ -185,8 +186,8 @@
             .is_some_and(|peer| peer.is_reachable(&self.settings, now))
     }
 
-    /// Whether nothing is received from this disk's process, or it never sent anything although this
-    /// process has watched for long enough.
+    /// Whether the heartbeats of this disk's process have timed out, or it never sent one although
+    /// this process has watched for long enough.
     pub(super) fn is_silent(&self, voter: &Voter, now: Millis) -> bool {
         match self.peer(voter) {
             Some(peer) => self.has_timed_out(peer, now),
@@ -194,7 +195,7 @@
         }
     }
 
-    /// The disks whose processes messages pass to and from.
+    /// The disks with whose processes this one exchanges messages in both directions.
     pub(super) fn reachable_disks(&self, now: Millis) -> Vec<DiskId> {
         let reachable = |peer: &&Peer| peer.is_reachable(&self.settings, now);
         let peers = self.peers.values().filter(reachable);
@@ -202,18 +203,19 @@
     }
 
     /// Whether the last heartbeat of one process listed the other as linked with it.
-    pub(super) fn lists(&self, one: &Voter, other: &Voter) -> bool {
-        self.peer(one).is_some_and(|peer| peer.lists(other.disk))
+    pub(super) fn reports_link(&self, one: &Voter, other: &Voter) -> bool {
+        self.peer(one)
+            .is_some_and(|peer| peer.reports_link(other.disk))
     }
 
     /// Whether one process, which is reachable, reports no link with the other although it has been
-    /// there for long enough to know of one.
+    /// present for long enough to know of one.
     pub(super) fn reports_no_link(&self, one: &Voter, other: &Voter, now: Millis) -> bool {
         let Some(peer) = self.peer(one) else {
             return false;
         };
         let has_watched = now.since(peer.present_since) >= self.settings.unacknowledged_after_ms();
-        has_watched && !peer.lists(other.disk)
+        has_watched && !peer.reports_link(other.disk)
     }
 
     /// Whether this disk's process counts as lost to this process. One that never sent a heartbeat counts as lost
@@ -226,7 +228,7 @@
         }
     }
 
-    /// For how long, in milliseconds, this disk's process has sent nothing or received nothing.
+    /// Milliseconds for which this disk's process has sent or received nothing.
     pub(super) fn since_contact_ms(&self, voter: &Voter, now: Millis) -> u64 {
         let since_heartbeat_ms = self.since_heartbeat_ms(voter, now);
         let unacknowledged_ms = self
@@ -235,7 +237,7 @@
         since_heartbeat_ms.max(unacknowledged_ms)
     }
 
-    /// For how long, in milliseconds, no heartbeat of this disk has come.
+    /// Milliseconds since the last heartbeat of this disk.
     pub(super) fn since_heartbeat_ms(&self, voter: &Voter, now: Millis) -> u64 {
         let peer = self.peer(voter);
         peer.map_or(self.watched_ms(now), |peer| now.since(peer.last_heartbeat))
@@ -246,12 +248,12 @@
         self.peer(voter).is_some_and(Peer::has_healthy_disk)
     }
 
-    /// Whether this disk's process shuts down, by its last heartbeat.
+    /// Whether this disk's process is shutting down, by its last heartbeat.
     pub(super) fn is_draining(&self, voter: &Voter) -> bool {
         self.peer(voter).is_some_and(|peer| peer.report.draining)
     }
 
-    /// For how long, in milliseconds, this disk has been reported as unhealthy.
+    /// Milliseconds for which this disk has been reported as unhealthy.
     pub(super) fn unhealthy_ms(&self, voter: &Voter, now: Millis) -> u64 {
         let since = self.peer(voter).and_then(|peer| peer.unhealthy_since);
         since.map_or(0, |since| now.since(since))
@@ -268,7 +270,8 @@
             && self.peer(voter).is_some_and(is_ready)
     }
 
-    /// How far the replica of this disk is in this view; none if its process has not reported in it.
+    /// The progress of the replica of this disk in this view; none if its process has not reported in
+    /// it.
     pub(super) fn spare_replica(
         &self,
         voter: &Voter,
@@ -321,7 +324,7 @@
         usable.then_some(&peer.voter)
     }
 
-    /// All disks that could become voters of the view after this one, or stay such.
+    /// All disks that could become or remain voters of the view after this one.
     pub(super) fn candidates(&self, view_number: u64, now: Millis) -> impl Iterator<Item = &Voter> {
         let usable = move |peer: &&Peer| self.is_stable(peer, view_number, now);
         self.peers.values().filter(usable).map(|peer| &peer.voter)
@@ -347,7 +350,7 @@
         at_address.is_some_and(|peer| !peer.has_disk(voter.disk) && !self.has_timed_out(peer, now))
     }
 
-    /// Whether a process has been present for long enough, knows this view, and will stay.
+    /// Whether a process has been present for long enough, knows this view, and is not about to leave.
     fn is_stable(&self, peer: &Peer, view_number: u64, now: Millis) -> bool {
         let is_present = peer.is_reachable(&self.settings, now)
             && now.since(peer.present_since) >= STABLE_AFTER_MS;
@@ -359,7 +362,7 @@
         peer.has_timed_out(&self.settings, now)
     }
 
-    /// What is known of this disk's process at this address.
+    /// The state of this disk's process at this address.
     fn peer(&self, voter: &Voter) -> Option<&Peer> {
         self.peers
             .get(&voter.address)
--- a/crates/view-agreement/src/policy/mod.rs
+++ b/crates/view-agreement/src/policy/mod.rs
@@ -1,8 +1,8 @@
 //! Which view a process should propose next, given the heartbeats of the other core processes.
 //!
-//! [`ViewPolicy`] owns the failure detector and is asked for the view to propose. The rules of the
-//! next view are in three plans: `founding` for view 1, and from then on `chain_plan` and
-//! `voter_plan`; `proposer_order` says whose turn it is to propose.
+//! [`ViewPolicy`] owns the failure detector and returns the view to propose. The rules of the next
+//! view are in three modules: `founding` for view 1, and `chain_plan` and `voter_plan` for later
+//! views. `proposer_order` decides whose turn it is to propose.
 
 mod chain_plan;
 mod cluster_snapshot;
--- a/crates/view-agreement/src/policy/peer.rs
+++ b/crates/view-agreement/src/policy/peer.rs
@@ -1,4 +1,4 @@
-//! What is known of the process at one address.
+//! The state of the process at one address.
 
 use super::peer_report::PeerReport;
 use super::settings::PolicySettings;
@@ -7,12 +7,12 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::Voter;
 
-/// What the timeout is divided by after a connection was reset.
+/// The timeout is divided by this after a connection was reset.
 const RESET_DIVISOR: u64 = 2;
-/// So many intervals of heartbeats are waited for after a reset at least: a process that is there sends the next one on a
-/// new connection.
+/// The minimum timeout after a reset, in heartbeat intervals: a process that is alive sends its next
+/// heartbeat on a new connection.
 const HEARTBEATS_AFTER_RESET: u64 = 2;
-/// Which part of the longest gap is left after one more heartbeat: it falls to a half in 44 of them.
+/// The factor by which the longest gap decays with each heartbeat; 44 heartbeats halve it.
 const GAP_DECAY: f64 = 63.0 / 64.0;
 
 /// A core process, as its heartbeats describe it.
@@ -24,13 +24,13 @@
     pub(super) report: PeerReport,
     /// Since when heartbeats of this incarnation have come without a timeout between them.
     pub(super) present_since: Millis,
-    /// When its last heartbeat came.
+    /// When its last heartbeat arrived.
     pub(super) last_heartbeat: Millis,
-    /// When this process sent the newest heartbeat that this one is known to have received; 0 for
-    /// none.
+    /// When the observing process sent the newest heartbeat that the peer is known to have received; 0
+    /// for none.
     pub(super) acknowledged: Millis,
-    /// When it last acknowledged a newer one than before, or when the first heartbeat of this
-    /// incarnation came: until then it had no chance to.
+    /// When the peer last acknowledged a newer heartbeat than before, or when the first heartbeat of
+    /// its incarnation arrived, before which it could acknowledge none.
     pub(super) acknowledged_at: Millis,
     /// Since when its disk has been reported as unhealthy; none if it is healthy.
     pub(super) unhealthy_since: Option<Millis>,
@@ -42,7 +42,7 @@
 }
 
 impl Peer {
-    /// The longest gap between heartbeats once one more has come.
+    /// The longest gap between heartbeats after one that arrives now.
     pub(super) fn longest_gap_after(&self, now: Millis) -> f64 {
         let gap_ms = now.since(self.last_heartbeat) as f64;
         gap_ms.max(self.longest_gap_ms * GAP_DECAY)
@@ -53,8 +53,8 @@
         self.voter.disk == disk
     }
 
-    /// Whether no heartbeat came for longer than the gaps between earlier ones explain. A reset
-    /// connection makes the timeout shorter, since it may mean that the process has ended.
+    /// Whether no heartbeat arrived for longer than the gaps between earlier ones explain. A reset
+    /// connection shortens the timeout, since the process may have ended.
     pub(super) fn has_timed_out(&self, settings: &PolicySettings, now: Millis) -> bool {
         let suspect_after_ms = settings.suspect_after_gap_ms(self.longest_gap_ms);
         let timeout_ms = if self.connection_reset {
@@ -66,16 +66,16 @@
         now.since(self.last_heartbeat) >= timeout_ms
     }
 
-    /// Whether messages pass in both directions, as far as is known: its heartbeats come in time,
-    /// and acknowledge newer and newer ones of this process. How old those are does not count: on a
-    /// narrow link they wait behind other messages.
+    /// Whether messages are known to pass in both directions: the peer's heartbeats arrive in time and
+    /// keep acknowledging newer heartbeats of the observing process. The age of the acknowledged
+    /// heartbeats does not count, since on a slow link they wait behind other messages.
     pub(super) fn is_reachable(&self, settings: &PolicySettings, now: Millis) -> bool {
         let unacknowledged_ms = now.since(self.acknowledged_at);
         !self.has_timed_out(settings, now) && unacknowledged_ms < settings.unacknowledged_after_ms()
     }
 
     /// Whether its last heartbeat listed this disk as linked with it.
-    pub(super) fn lists(&self, disk: DiskId) -> bool {
+    pub(super) fn reports_link(&self, disk: DiskId) -> bool {
         self.report.linked.contains(&disk)
     }
 
--- a/crates/view-agreement/src/policy/peer_report.rs
+++ b/crates/view-agreement/src/policy/peer_report.rs
@@ -1,10 +1,10 @@
-//! What a heartbeat says.
+//! The contents of a heartbeat.
 
 use lupinrack_cluster_api::chain::ReplicaReport;
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::time::Millis;
 
-/// The contents of a heartbeat, beside who sent it.
+/// The contents of a heartbeat, except its sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerReport {
     /// The incarnation of the sender's process.
@@ -13,16 +13,16 @@
     pub view_number: u64,
     /// Whether the sender's disk answers in time.
     pub disk_healthy: bool,
-    /// Whether the sender shuts down.
+    /// Whether the sender is shutting down.
     pub draining: bool,
-    /// The state of the sender's replica in that view.
+    /// The state of the sender's replica in the view `view_number`.
     pub replica: ReplicaReport,
     /// The index up to which the sender has applied the log.
     pub applied: u64,
-    /// When the receiver of this heartbeat sent, by its own steady clock, the newest of its
-    /// heartbeats that the sender has received from this incarnation of it; none if there is none.
+    /// The send time, by the receiver's own steady clock, of the newest heartbeat that the sender has
+    /// received from this incarnation of the receiver; none if there is none.
     pub acknowledged: Option<Millis>,
-    /// The disks whose processes the sender receives from and is received by.
+    /// The disks with whose processes the sender exchanges messages in both directions.
     pub linked: Vec<DiskId>,
 }
 
--- a/crates/view-agreement/src/policy/proposer_order.rs
+++ b/crates/view-agreement/src/policy/proposer_order.rs
@@ -1,33 +1,32 @@
-//! Whose turn it is to propose a view after the first.
+//! The order in which processes propose a view after the first.
 
 use super::cluster_snapshot::ClusterSnapshot;
 use crate::quorum::is_majority;
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::view::Voter;
 
-/// How much longer, in milliseconds, each further process waits before it proposes what the one
-/// before it should have proposed.
-pub(super) const TURN_MS: u64 = 300;
-/// How much longer still, in milliseconds, a process outside the chain waits while a member could
-/// propose.
+/// Milliseconds that each process waits longer than the one before it in the order before it proposes
+/// the same change.
+pub(super) const PROPOSER_TURN_MS: u64 = 300;
+/// Additional milliseconds that a process outside the chain waits while a member could propose.
 const SPARE_DELAY_MS: u64 = 3000;
 
-/// How long, in milliseconds, a process leaves a change to others: one turn for each proposer before
-/// it, and longer outside the chain while a member could propose; none if it may not propose.
+/// Milliseconds for which a process leaves a change to others: one turn for each proposer before it,
+/// and [`SPARE_DELAY_MS`] more outside the chain while a member could propose; none if it may not
+/// propose.
 ///
-/// Without the longer delay two processes that cannot reach each other would take turns in removing
-/// the other from the chain.
+/// Without the additional delay, two processes that cannot reach each other would alternately remove
+/// each other from the chain.
 pub(super) fn proposer_delay_ms(snapshot: &ClusterSnapshot, me: &Voter) -> Option<u64> {
     let proposers = proposers(snapshot);
     let rank = proposers.iter().position(|disk| *disk == me.disk)?;
     let is_member = |disk: &DiskId| snapshot.current.position(*disk).is_some();
     let left_to_members = !is_member(&me.disk) && proposers.iter().any(is_member);
-    Some(rank as u64 * TURN_MS + if left_to_members { SPARE_DELAY_MS } else { 0 })
+    Some(rank as u64 * PROPOSER_TURN_MS + if left_to_members { SPARE_DELAY_MS } else { 0 })
 }
 
-/// Who may propose, in the order of their turns: voters that are reachable, reach a majority
-/// themselves as far as is known, have a healthy disk and are not draining; members of the chain
-/// first.
+/// The processes that may propose, in order: voters that are reachable, are not known to lack links
+/// to a majority, have a healthy disk and are not draining; members of the chain come first.
 fn proposers(snapshot: &ClusterSnapshot) -> Vec<DiskId> {
     let ClusterSnapshot {
         detector, current, ..
@@ -42,7 +41,7 @@
     disks
 }
 
-/// Whether a reachable voter does not report that it is without links to a majority of the voters.
+/// Whether a reachable voter may have links to a majority of the voters, by its own report.
 fn may_reach_majority(snapshot: &ClusterSnapshot, voter: &Voter) -> bool {
     let ClusterSnapshot {
         detector,
--- a/crates/view-agreement/src/policy/redundancy.rs
+++ b/crates/view-agreement/src/policy/redundancy.rs
@@ -1,21 +1,22 @@
-//! How many disks hold what is committed, and which ones are on the way there.
+//! How many disks hold everything committed, and which disks are catching up.
 
-/// A disk outside the chain that is fit to join it once it has everything.
+/// A healthy disk outside the chain that can join it once it has caught up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SpareReplica {
     /// The index up to which it has applied the log, by its last heartbeat.
     pub applied: u64,
-    /// For how long its process has been there, in milliseconds.
+    /// Milliseconds for which its process has been present.
     pub present_ms: u64,
 }
 
 /// The disks that hold, or will hold, everything that is committed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Redundancy {
-    /// How many have to hold everything so that after the tolerated losses enough are left to bear them once more.
+    /// How many disks have to hold everything so that enough are left after the tolerated losses to
+    /// tolerate the same losses again.
     pub needed: usize,
-    /// How many members the chain has that are there and fit.
+    /// How many members of the chain are alive, healthy and not draining.
     pub members: usize,
-    /// The fit disks outside the chain whose processes are there.
+    /// The disks outside the chain that are alive, healthy and not draining.
     pub spares: Vec<SpareReplica>,
 }
--- a/crates/view-agreement/src/policy/shutdown.rs
+++ b/crates/view-agreement/src/policy/shutdown.rs
@@ -4,9 +4,9 @@
 use super::voter_plan::VoterPlan;
 use lupinrack_cluster_api::view::Voter;
 
-/// Whether a draining process may end. It may if it is the only voter; otherwise it has to be out of
-/// the chain, the state has to be safe without it, and the next view must not be about to pass its
-/// vote to another disk.
+/// Whether a draining process may exit. The only voter may; any other has to be outside the chain,
+/// the state has to be replicated without it, and the next view must not be about to pass its vote
+/// to another disk.
 pub(super) fn may_shut_down(snapshot: &ClusterSnapshot, me: &Voter) -> bool {
     let is_only_voter = snapshot
         .current
@@ -18,8 +18,8 @@
     is_only_voter || (is_outside_chain && !is_needed)
 }
 
-/// Whether enough other members of the chain are reachable and complete that the tolerated losses leave
-/// one of them.
+/// Whether so many other members of the chain are reachable and complete that one of them is left
+/// after the tolerated losses.
 fn is_replicated_without(snapshot: &ClusterSnapshot, me: &Voter) -> bool {
     let is_replica = |voter: &&Voter| {
         let is_complete = snapshot.is_complete(voter) == Some(true);
@@ -29,7 +29,7 @@
     replicas.count() > snapshot.settings.tolerated_losses
 }
 
-/// Whether the next view should be without this voter.
+/// Whether the next view would no longer include this voter.
 fn is_about_to_be_replaced(snapshot: &ClusterSnapshot, me: &Voter) -> bool {
     let is_voter = snapshot.current.voter(me.disk).is_some();
     is_voter
--- a/crates/view-agreement/src/policy/view_policy.rs
+++ b/crates/view-agreement/src/policy/view_policy.rs
@@ -1,4 +1,4 @@
-//! The policy: from heartbeats to the view that should be proposed.
+//! The policy that derives the view to propose from heartbeats.
 
 use super::chain_plan::ChainPlan;
 use super::cluster_snapshot::ClusterSnapshot;
@@ -22,16 +22,16 @@
     settings: PolicySettings,
     founders: Vec<PeerAddress>,
     detector: FailureDetector,
-    /// The change that is wanted and was not agreed yet.
+    /// The wanted change that is not agreed yet.
     pending: Option<PendingChange>,
 }
 
-/// A change of the view that is wanted.
+/// A wanted change of the view.
 #[derive(Clone, Copy, Debug)]
 struct PendingChange {
-    /// The number of the view that it would replace.
+    /// The number of the view that the change replaces.
     replaces: u64,
-    /// Since when it has been wanted without interruption.
+    /// Since when the change has been wanted without interruption.
     since: Millis,
 }
 
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     ///
-    /// If the heartbeat claims a disk that is alive at another address; it is ignored then.
+    /// If the heartbeat claims a disk that is alive at another address; the heartbeat is ignored.
     pub fn receive_heartbeat(
         &mut self,
         voter: Voter,
@@ -98,15 +98,15 @@
 
     /// Whether this process, which is draining, is no longer needed.
     ///
-    /// It is not needed once it is out of the chain, enough other members of the chain hold the
-    /// state that the tolerated losses leave one of them, and no other disk is about to take its
-    /// vote. The only voter has nobody to wait for.
+    /// It is no longer needed once it is outside the chain, so many other members of the chain hold
+    /// the state that one is left after the tolerated losses, and no other disk is about to take over
+    /// its vote. The only voter waits for nothing.
     pub fn may_shut_down(&self, current: &View, me: &Voter, now: Millis) -> bool {
         shutdown::may_shut_down(&self.snapshot(current, now), me)
     }
 
-    /// The disks whose processes messages pass to and from, for the next heartbeat. Time during which
-    /// this process stalled does not count against the others.
+    /// The disks with whose processes this one exchanges messages in both directions, for the next
+    /// heartbeat. Time during which this process stalled does not count against other processes.
     pub fn linked_disks(&mut self, me: &Voter, now: Millis) -> Vec<DiskId> {
         self.detector.advance(me, now);
         self.detector.reachable_disks(now)
@@ -114,8 +114,8 @@
 
     /// The view that this process should propose now, if any.
     ///
-    /// To be called every few tens of milliseconds: a longer gap is taken for a stall of this
-    /// process. A process that is no voter or has an unhealthy disk has nothing to propose.
+    /// To be called every few tens of milliseconds: a longer gap counts as a stall of this process. A
+    /// process that is not a voter or has an unhealthy disk proposes nothing.
     pub fn view_to_propose(&mut self, current: &View, me: &Voter, now: Millis) -> Option<View> {
         self.detector.advance(me, now);
         let snapshot = self.snapshot(current, now);
@@ -136,7 +136,7 @@
         self.snapshot(current, now).redundancy()
     }
 
-    /// For how long, in milliseconds, a change of the view of this number has been wanted without
+    /// Milliseconds for which a change of the view with this number has been wanted without
     /// interruption.
     fn pending_ms(&mut self, is_wanted: bool, replaces: u64, now: Millis) -> u64 {
         if !is_wanted {
--- a/crates/view-agreement/src/policy/voter_plan.rs
+++ b/crates/view-agreement/src/policy/voter_plan.rs
@@ -1,22 +1,22 @@
-//! The voters of the next view. One view adds one voter, removes one, or replaces one by another: the
-//! disk that is added is reachable, so a majority that was reachable before is so after.
+//! The voters of the next view. Each view adds one voter, removes one, or replaces one. The added
+//! disk is reachable, so if a majority was reachable before, one is reachable afterwards.
 //!
-//! A vote needs the agreed view and nothing else, so a disk may vote before it has caught up. The
+//! Voting requires only the agreed view, so a disk may vote before it has caught up. The
 //! control state is held by the chain, whose rules are in [`super::chain_plan`]; no disk loses its
 //! vote while it is in the chain.
 
 use super::cluster_snapshot::ClusterSnapshot;
 use lupinrack_cluster_api::view::{View, Voter};
 
-/// How many voters there are at most.
+/// The maximum number of voters.
 const MAX_VOTERS: usize = 13;
-/// How many voters there are at least.
+/// The minimum number of voters.
 const MIN_VOTERS: usize = 3;
-/// What the timeout of a process is divided by for the time after which its heartbeat is late.
+/// A heartbeat is late after the timeout of its process divided by this.
 const LATE_DIVISOR: u64 = 2;
 
-/// Derives the voters: new disks replace voters that are gone, further ones are added, and an even
-/// number is made odd by removing a voter that is gone.
+/// Derives the voters: new disks replace voters that are gone, further disks are added, and an even
+/// number of voters becomes odd by removing a voter that is gone.
 pub(super) struct VoterPlan<'a> {
     snapshot: &'a ClusterSnapshot<'a>,
 }
@@ -37,7 +37,7 @@
         self.snapshot.current
     }
 
-    /// The voters with a new disk in place of one that is gone, or else of one that is draining.
+    /// The voters with a new disk in place of a voter that is gone, or else of one that is draining.
     fn with_replacement(&self) -> Option<Vec<Voter>> {
         let outside_chain = || self.snapshot.voters_outside_chain();
         let gone = outside_chain().filter(|voter| self.is_gone(voter));
@@ -55,8 +55,8 @@
     }
 
     /// The voters with one more disk. An odd number is not extended while a voter is late: an even
-    /// number has a larger majority, and the new disk is of more use as the replacement of that
-    /// voter, should it be gone.
+    /// number needs a larger majority, and the new disk is more useful as the replacement of the late
+    /// voter if that proves to be gone.
     fn extended(&self) -> Option<Vec<Voter>> {
         let voters = &self.current().voters;
         let all_in_time = voters.iter().all(|voter| self.is_in_time(voter));
@@ -68,8 +68,8 @@
     }
 
     /// The voters without one that is draining or has been gone for long. Only an even number is
-    /// reduced, since that makes the majority smaller. With an odd number the majority would stay
-    /// as large as it is, and the chance that the voter returns would be lost for nothing.
+    /// reduced, since that makes the majority smaller. Reducing an odd number would not, and would
+    /// only give up the chance that the voter returns.
     fn reduced(&self) -> Option<Vec<Voter>> {
         let least = MIN_VOTERS.max(2 * self.snapshot.settings.tolerated_losses + 1);
         let voters = &self.current().voters;
@@ -99,8 +99,8 @@
         candidates.filter(|candidate| is_new(current, candidate))
     }
 
-    /// The disk that replaces a voter: the new disk at its address, or else a new disk, of its zone
-    /// if there is one.
+    /// The disk that replaces a voter: the new disk at its address, or else a new disk, preferably of
+    /// its zone.
     fn replacement_for(&self, old: &Voter) -> Option<&'a Voter> {
         let ClusterSnapshot {
             detector,
@@ -113,7 +113,7 @@
         same_address.or_else(|| self.new_disks().min_by_key(|new| new.zone != old.zone))
     }
 
-    /// Whether a voter is reachable and not even close to its timeout.
+    /// Whether a voter is reachable and its heartbeat is not late.
     fn is_in_time(&self, voter: &Voter) -> bool {
         let ClusterSnapshot {
             settings,
@@ -126,8 +126,8 @@
         self.snapshot.is_reachable(voter) && !is_late
     }
 
-    /// Whether a voter may be replaced: its address has another disk, or it has been out of contact
-    /// with everybody for too long, or it was draining and counts as lost.
+    /// Whether a voter may be replaced: its address has another disk, or it counts as lost to all and
+    /// has been out of contact for too long or was draining.
     fn is_gone(&self, voter: &Voter) -> bool {
         let ClusterSnapshot {
             settings,
@@ -142,8 +142,8 @@
         self.is_lost_to_all(voter) && (has_timed_out || detector.is_draining(voter))
     }
 
-    /// Whether a voter that is there and draining may be replaced now. New disks are reserved for
-    /// voters that are late.
+    /// Whether a draining voter may be replaced now: one new disk is reserved for each late voter, and
+    /// one more has to be available.
     fn may_hand_over(&self, voter: &Voter) -> bool {
         let late = self
             .current()
@@ -166,7 +166,7 @@
         (self.is_lost_to_all(voter) && has_timed_out) || detector.is_draining(voter)
     }
 
-    /// Whether a voter is lost to this process, and to all whom this process reaches.
+    /// Whether a voter counts as lost to this process and to all processes that it reaches.
     fn is_lost_to_all(&self, voter: &Voter) -> bool {
         self.snapshot.is_lost(voter) && !self.snapshot.is_linked_with_another(voter)
     }
--- a/crates/view-agreement/src/proposal.rs
+++ b/crates/view-agreement/src/proposal.rs
@@ -1,4 +1,4 @@
-//! One proposal: the view that is wanted, and how far its current attempt has come.
+//! One proposal: the wanted view, and the phase of its current attempt.
 
 use crate::quorum::Responders;
 use lupinrack_cluster_api::agreement::ProposalNumber;
@@ -6,28 +6,29 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
 
-/// How long an attempt may take, in milliseconds, before another one is made.
+/// Milliseconds after which an attempt is abandoned and the next one scheduled.
 const ATTEMPT_TIMEOUT_MS: u64 = 400;
-/// After how many milliseconds a request without a response is sent again.
+/// Milliseconds after which a request without a response is sent again.
 const RESEND_AFTER_MS: u64 = 100;
 
-/// A view that this process wants to be agreed.
+/// A view that this process proposes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Proposal {
     /// The view to propose unless an earlier proposal may have been chosen already.
     pub(crate) wanted: View,
-    /// Attempts begun. Asking for a view again lowers it so far that one more is left.
+    /// The number of attempts started. Proposing a view again lowers it so that at least one more
+    /// attempt is left.
     pub(crate) attempts: u32,
     /// The phase of the current attempt.
     pub(crate) phase: Phase,
 }
 
-/// The phase of an attempt, which is what the proposer waits for.
+/// The phase of an attempt, which determines what the proposer waits for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Phase {
-    /// The next attempt, which begins after a delay.
+    /// Waiting for the random delay before the next attempt.
     BackingOff {
-        /// When it begins.
+        /// When the next attempt starts.
         until: Millis,
     },
     /// Phase 1 of Paxos: prepare responses from a majority of the acceptors.
@@ -46,9 +47,9 @@
         proposal_number: ProposalNumber,
         /// When requests are repeated and the attempt ends.
         timers: Timers,
-        /// The proposed view, which is not always the one that was wanted.
+        /// The proposed view, which differs from the wanted one if another may have been chosen.
         view: View,
-        /// The disks that have accepted it.
+        /// The disks that have accepted the view.
         accepted_by: Responders,
     },
 }
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Whether the requests of this phase were responded to from this address.
+    /// Whether a response to the requests of this phase came from this address.
     pub(crate) fn has_response_from(&self, address: PeerAddress) -> bool {
         match self {
             Phase::BackingOff { .. } => false,
@@ -97,7 +98,7 @@
         now >= self.timeout_at
     }
 
-    /// Whether requests are to be sent again now; if so, the next time is set.
+    /// Whether the requests are due to be sent again; if so, the next time is set.
     pub(crate) fn take_due_resend(&mut self, now: Millis) -> bool {
         let due = now >= self.resend_at;
         if due {
@@ -137,8 +138,9 @@
         }
     }
 
-    /// The view that has to be proposed because it may have been chosen already: that of the highest
-    /// proposal number which any responder has accepted (condition P2c of *Paxos Made Simple*).
+    /// The view that has to be proposed because it may have been chosen already: the view accepted
+    /// under the highest proposal number among the responders (condition P2c of *Paxos Made
+    /// Simple*).
     pub(crate) fn view_to_keep(&self) -> Option<&View> {
         self.highest_accepted.as_ref().map(|(_, view)| view)
     }
--- a/crates/view-agreement/src/proposer.rs
+++ b/crates/view-agreement/src/proposer.rs
@@ -9,7 +9,7 @@
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_api::view::View;
 
-/// Attempts after which a proposal is dropped unless its view is asked for again.
+/// Attempts after which a proposal is dropped unless its view is proposed again.
 const MAX_ATTEMPTS: u32 = 5;
 
 /// Messages to acceptors, each with its receiver.
@@ -30,7 +30,7 @@
 pub(crate) struct Proposer {
     /// The incarnation of the process, which makes its proposal numbers unique.
     incarnation: u64,
-    /// The highest term that was seen in any message.
+    /// The highest term seen in any message.
     highest_term: u64,
     proposal: Option<Proposal>,
     backoff: Backoff,
@@ -47,13 +47,13 @@
         }
     }
 
-    /// Notes the proposal number of another proposer: the next attempt goes above its term.
+    /// Notes the proposal number of another proposer: the next attempt uses a higher term.
     pub(crate) fn observe(&mut self, proposal_number: ProposalNumber) {
         self.highest_term = self.highest_term.max(proposal_number.term);
     }
 
-    /// Asks for a view. If a proposal is in progress already, it is kept alive, and its view is
-    /// replaced unless that was sent for acceptance already.
+    /// Proposes a view. A proposal in progress is kept alive, and its view is replaced unless accept
+    /// requests for it were sent already.
     pub(crate) fn propose(
         &mut self,
         wanted: View,
@@ -62,7 +62,7 @@
     ) -> Requests {
         if let Some(proposal) = &mut self.proposal {
             proposal.wanted = wanted;
-            // At least one more attempt is left for what was asked for again.
+            // Leaves at least one more attempt for the repeated proposal.
             proposal.attempts = proposal.attempts.min(MAX_ATTEMPTS - 1);
             return Vec::new();
         }
@@ -75,13 +75,12 @@
         self.begin_attempt(electorate, now)
     }
 
-    /// Drops the proposal: its instance is decided.
+    /// Drops the proposal, since its instance is decided.
     pub(crate) fn abandon(&mut self) {
         self.proposal = None;
     }
 
-    /// Begins the next attempt, or repeats the requests of the current one, when their time has
-    /// come.
+    /// Starts the next attempt, or repeats the requests of the current one, when either is due.
     pub(crate) fn tick(&mut self, electorate: Electorate, now: Millis) -> Requests {
         let Some(proposal) = &mut self.proposal else {
             return Vec::new();
@@ -102,8 +101,8 @@
         }
     }
 
-    /// Counts a response of an acceptor to a prepare request for the view of this number, and goes
-    /// on to phase 2 once a majority has responded.
+    /// Counts a response of an acceptor to a prepare request for the view with this number, and
+    /// starts phase 2 once a majority has responded.
     pub(crate) fn on_prepared(
         &mut self,
         response: Prepared,
@@ -140,8 +139,8 @@
         self.begin_accepting(electorate, now)
     }
 
-    /// Counts a response to an accept request. Returns the view once it is chosen: majorities of
-    /// the acceptors and of its own voters have accepted it.
+    /// Counts a response to an accept request. Returns the view once it is chosen, which means that
+    /// majorities of the acceptors and of the view's own voters have accepted it.
     pub(crate) fn on_accepted(
         &mut self,
         from: PeerAddress,
@@ -186,7 +185,7 @@
         }
     }
 
-    /// Waits for a random delay, or drops the proposal after many attempts.
+    /// Waits for a random delay, or drops the proposal after [`MAX_ATTEMPTS`].
     fn back_off(&mut self, now: Millis) {
         let Some(proposal) = &mut self.proposal else {
             return;
@@ -199,7 +198,7 @@
         proposal.phase = Phase::BackingOff { until };
     }
 
-    /// Begins an attempt under a number above all that were seen.
+    /// Starts an attempt under a proposal number above all numbers seen.
     fn begin_attempt(&mut self, electorate: Electorate, now: Millis) -> Requests {
         let Some(proposal) = &mut self.proposal else {
             return Vec::new();
@@ -217,7 +216,7 @@
         self.requests(electorate)
     }
 
-    /// Goes on to phase 2 if a majority of the acceptors has responded to the prepare request.
+    /// Starts phase 2 if a majority of the acceptors has responded to the prepare request.
     fn begin_accepting(&mut self, electorate: Electorate, now: Millis) -> Requests {
         let Some(proposal) = &mut self.proposal else {
             return Vec::new();
@@ -242,7 +241,7 @@
         self.requests(electorate)
     }
 
-    /// The request of the current phase, to all that have not responded to it.
+    /// The requests of the current phase, to all acceptors that have not responded.
     fn requests(&self, electorate: Electorate) -> Requests {
         let Some(Proposal { phase, .. }) = &self.proposal else {
             return Vec::new();
--- a/crates/view-agreement/src/quorum.rs
+++ b/crates/view-agreement/src/quorum.rs
@@ -1,4 +1,4 @@
-//! Majorities: of the founders' addresses before view 1, and of the voters' disks from then on.
+//! Majorities: of the founders' addresses before view 1, and of the voters' disks afterwards.
 
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
 use lupinrack_cluster_api::view::View;
--- a/crates/view-agreement/src/vote.rs
+++ b/crates/view-agreement/src/vote.rs
@@ -1,4 +1,4 @@
-//! What the disk of a voter keeps of the agreement.
+//! The state of the agreement on the disk of a voter.
 
 use crate::electorate::Electorate;
 use borsh::{BorshDeserialize, BorshSerialize};
@@ -12,7 +12,7 @@
 /// The number of `accepted` is at most one above the number of `agreed`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub struct VoteState {
-    /// The highest proposal number that was prepared: nothing is accepted under a lower one.
+    /// The highest proposal number that was prepared; no view is accepted under a lower one.
     pub prepared: ProposalNumber,
     /// The proposal number under which `accepted` was accepted.
     pub accepted_proposal: ProposalNumber,
