--- a/crates/chain/tests/byte_bounds.rs
+++ b/crates/chain/tests/byte_bounds.rs
@@ -1,4 +1,5 @@
-//! Bounds in bytes: what a head takes, what is on its way to a follower, and what stays in memory.
+//! Limits in bytes: uncommitted entries of a head, entries in flight to a follower, and the log in
+//! memory.
 
 mod common;
 
@@ -11,9 +12,9 @@
 
 /// Bytes of one change of the configuration.
 const CHANGE_BYTES: usize = 300_000;
-/// Changes that a member was away for.
+/// Changes that are submitted.
 const CHANGES: u64 = 600;
-/// A connection is closed by a further frame once so many bytes wait to be written to it.
+/// Waiting bytes with which a connection is closed instead of taking a further frame.
 const MAX_CONNECTION_BYTES: usize = 4 * 1024 * 1024;
 
 /// The bytes of all entries in these messages.
@@ -31,14 +32,14 @@
         .sum()
 }
 
-/// The only member of a chain, which has committed this many large changes.
+/// The only member of a chain, with this many large changes committed.
 fn head_with_changes(changes: u64) -> Chain {
     let mut head = Chain::new(DiskId(1), 1, StoredState::default());
     head.adopt_view(view(1, &[1]), START);
     for number in 1..=changes {
         let (index, _) = head
             .submit(large_operation(number, CHANGE_BYTES), START)
-            .expect("the head takes it");
+            .expect("the head accepts it");
         head.entries_written(index, START);
     }
     head
@@ -53,7 +54,7 @@
         have: Some(0),
     };
     let sent = entry_bytes(&messages(&head.receive(DiskId(2), join, START)));
-    assert!(sent > 0, "it is sent something");
+    assert!(sent > 0, "the joiner receives entries");
     assert!(sent < MAX_CONNECTION_BYTES, "{sent} bytes at once");
 }
 
@@ -64,43 +65,46 @@
     head.receive(DiskId(2), acknowledge(1, 0, 0), START);
     head.receive(DiskId(2), acknowledge(1, 0, 1), START);
     let mut sent = 0;
-    let mut taken = 0;
+    let mut accepted_bytes = 0;
     for number in 1..=CHANGES {
         let Ok((_, effects)) = head.submit(large_operation(number, CHANGE_BYTES), START) else {
             break;
         };
-        taken += CHANGE_BYTES;
+        accepted_bytes += CHANGE_BYTES;
         sent += entry_bytes(&messages(&effects));
     }
     assert!(
         sent < MAX_CONNECTION_BYTES,
         "{sent} bytes without an acknowledgement"
     );
-    assert!(taken < 6 * 1024 * 1024, "{taken} bytes uncommitted");
+    assert!(
+        accepted_bytes < 6 * 1024 * 1024,
+        "{accepted_bytes} bytes uncommitted"
+    );
 }
 
 #[test]
 fn the_log_is_bounded_by_bytes_while_changes_go_on() {
     let mut head = head_with_changes(1);
-    let mut most = 0;
+    let mut max_entries = 0;
     for number in 2..=CHANGES {
         let (index, effects) = head
             .submit(large_operation(number, CHANGE_BYTES), START)
-            .expect("takes it");
+            .expect("the head accepts every change");
         assert!(matches!(effects.first(), Some(Effect::Append(_))));
         head.entries_written(index, START);
         if number % 20 == 0 {
             head.compact_log(index);
         }
-        most = most.max(
+        max_entries = max_entries.max(
             (1..=index)
                 .filter(|index| head.entry(*index).is_some())
                 .count(),
         );
     }
     assert!(
-        most * CHANGE_BYTES <= 14 * 1024 * 1024,
-        "{most} entries in memory"
+        max_entries * CHANGE_BYTES <= 14 * 1024 * 1024,
+        "{max_entries} entries in memory"
     );
 }
 
@@ -123,7 +127,7 @@
             in_memory <= memory_mb * 1_000_000 / 8,
             "{memory_mb} MB: {limits:?}"
         );
-        // An entry takes whole pages on the disk, at worst twice its size.
+        // An entry occupies full pages on the disk, in the worst case twice its size.
         assert!(
             2 * since_snapshot <= disk_mb * 1_000_000 / 4,
             "{disk_mb} MB: {limits:?}"
@@ -137,7 +141,7 @@
 }
 
 #[test]
-fn a_machine_that_says_nothing_of_itself_has_bounds() {
+fn a_machine_of_unknown_size_has_bounds() {
     assert_eq!(
         ByteLimits::of_machine(0, 0),
         ByteLimits::of_machine(256, 128)
@@ -146,14 +150,14 @@
     assert!(ByteLimits::of_machine(1, 1).uncommitted > 0);
 }
 
-/// A change whose entry has so many bytes.
+/// A change whose entry has this many bytes.
 fn change_of(bytes: u64) -> lupinrack_cluster_api::operation::Operation {
     let around = borsh::object_length(&common::entry(1, 1)).expect("counts") as u64;
     large_operation(1, (bytes - around - 6) as usize)
 }
 
 #[test]
-fn every_message_fits_a_frame_and_what_would_not_is_refused() {
+fn every_message_fits_a_frame_and_a_larger_operation_is_rejected() {
     let mut head = head_with_changes(3);
     assert_eq!(
         head.submit(change_of(MAX_ENTRY_BYTES + 1_000), START),
@@ -161,7 +165,7 @@
     );
     let (index, _) = head
         .submit(change_of(MAX_ENTRY_BYTES), START)
-        .expect("the largest one");
+        .expect("an entry of the maximum size");
     head.entries_written(index, START);
     let mut have = 0;
     let mut now = START;
@@ -186,7 +190,7 @@
 }
 
 #[test]
-fn the_same_request_again_and_again_is_answered_less_and_less_often() {
+fn a_repeated_request_is_answered_less_and_less_often() {
     let mut head = head_with_changes(10);
     head.receive(
         DiskId(2),
@@ -207,7 +211,7 @@
 }
 
 #[test]
-fn a_request_for_little_is_always_answered() {
+fn a_request_for_few_bytes_is_always_answered() {
     let mut head = Chain::new(DiskId(1), 2, StoredState::default());
     head.adopt_view(view(1, &[1, 2]), START);
     for time in 0..20 {
--- a/crates/chain/tests/catch_up/mod.rs
+++ b/crates/chain/tests/catch_up/mod.rs
@@ -1,4 +1,4 @@
-//! A head, a disk that joins it, and a link of bounded speed between them, in steps of simulated time.
+//! A simulation of a head, a disk that joins it, and a link of limited speed between them.
 
 #![allow(dead_code, reason = "each test file uses some of it")]
 
@@ -13,72 +13,72 @@
 
 pub const HEAD: DiskId = DiskId(1);
 pub const JOINER: DiskId = DiskId(2);
-/// A step, in milliseconds.
+/// One step of simulated time, in milliseconds.
 const STEP_MS: u64 = 5;
-/// Between two ticks of a process, in milliseconds.
+/// Milliseconds between two ticks of a process.
 const TICK_MS: u64 = 25;
-/// A connection is closed by a further message once so many bytes wait on it.
+/// Waiting bytes with which a connection is closed instead of taking a further message.
 pub const MAX_CONNECTION_BYTES: u64 = 4 * 1024 * 1024;
 
 /// One direction of the connection.
 #[derive(Debug, Default)]
 pub struct Link {
     queue: VecDeque<(ChainMessage, u64)>,
-    /// Bytes of the first message that are through.
-    through: u64,
-    waiting: u64,
-    /// The most that ever waited, in bytes.
-    pub most: u64,
-    /// How often it was closed since too much waited.
+    /// Bytes of the first message that were delivered.
+    delivered_bytes: u64,
+    waiting_bytes: u64,
+    /// The maximum of `waiting_bytes` so far.
+    pub max_waiting_bytes: u64,
+    /// How many times the connection was closed because too many bytes waited.
     pub overflows: u64,
 }
 
 impl Link {
     fn push(&mut self, message: ChainMessage) {
-        if self.waiting >= MAX_CONNECTION_BYTES {
+        if self.waiting_bytes >= MAX_CONNECTION_BYTES {
             self.overflows += 1;
             self.reset();
             return;
         }
         let bytes = borsh::object_length(&message).expect("counts") as u64;
-        self.waiting += bytes;
-        self.most = self.most.max(self.waiting);
+        self.waiting_bytes += bytes;
+        self.max_waiting_bytes = self.max_waiting_bytes.max(self.waiting_bytes);
         self.queue.push_back((message, bytes));
     }
 
-    /// Everything on its way is lost.
+    /// Loses every message in flight.
     pub fn reset(&mut self) {
         self.queue.clear();
-        self.through = 0;
-        self.waiting = 0;
+        self.delivered_bytes = 0;
+        self.waiting_bytes = 0;
     }
 
     fn deliver(&mut self, mut bytes: u64) -> Vec<ChainMessage> {
         let mut arrived = Vec::new();
         while let Some((_, size)) = self.queue.front() {
-            let missing = size - self.through;
-            if missing > bytes {
-                self.through += bytes;
+            let missing_bytes = size - self.delivered_bytes;
+            if missing_bytes > bytes {
+                self.delivered_bytes += bytes;
                 break;
             }
-            bytes -= missing;
-            self.through = 0;
-            let (message, size) = self.queue.pop_front().expect("the first one");
-            self.waiting -= size;
+            bytes -= missing_bytes;
+            self.delivered_bytes = 0;
+            let (message, size) = self.queue.pop_front().expect("the queue is not empty");
+            self.waiting_bytes -= size;
             arrived.push(message);
         }
         arrived
     }
 }
 
-/// A disk: what is synced, and the writes under way.
+/// A disk: the synced state and the pending writes.
 #[derive(Debug, Default)]
 pub struct Disk {
     stored: StoredState,
     writes: VecDeque<Effect>,
-    /// When the sync under way ends, and how many writes it covers.
+    /// When the sync in progress ends, and how many writes it covers.
     sync: Option<(u64, usize)>,
-    /// How long the first sync after the next installation hangs, in milliseconds.
+    /// Milliseconds for which the sync of the next installation hangs.
     hang_ms: Option<u64>,
 }
 
@@ -101,30 +101,30 @@
     }
 }
 
-/// The state up to an index, as bytes that tell it from that of every other index, in every part.
+/// The state up to an index. Each part of its bytes differs from that of every other index.
 pub fn state(index: u64, bytes: usize) -> Vec<u8> {
     index.to_le_bytes().repeat(bytes / 8)
 }
 
-/// How the world is.
+/// The speed of link and disk, and the load.
 #[derive(Clone, Copy, Debug)]
-pub struct Circumstances {
-    /// Bytes a second of the link, each way.
+pub struct Environment {
+    /// Bytes per second of the link in each direction.
     pub link_bytes_per_s: u64,
-    /// Milliseconds that a sync of the joiner's disk takes.
+    /// Milliseconds of one sync of the joiner's disk.
     pub joiner_sync_ms: u64,
     /// Bytes of a change.
     pub change_bytes: usize,
     /// Milliseconds between two changes.
     pub change_every_ms: u64,
-    /// Bytes of the whole state.
+    /// Bytes of the state.
     pub state_bytes: usize,
     /// Changes between two snapshots at the head.
     pub snapshot_every: u64,
 }
 
 pub struct World {
-    pub circumstances: Circumstances,
+    pub environment: Environment,
     pub now: u64,
     pub view: View,
     pub head: Chain,
@@ -134,23 +134,23 @@
     pub to_head: Link,
     changes: u64,
     last_change: u64,
-    /// What the head had committed at each step.
+    /// The committed index of the head at each step.
     committed: Vec<u64>,
-    /// Snapshots that the joiner installed.
+    /// How many snapshots the joiner installed.
     pub installs: u64,
-    /// Snapshots that the head was asked for.
-    pub encoded: u64,
-    /// The most bytes of entries in the head's memory.
-    pub log_most: u64,
+    /// How many snapshots the head requested from its driver.
+    pub snapshots_requested: u64,
+    /// The maximum bytes of entries in the head's memory so far.
+    pub max_log_bytes: u64,
 }
 
 impl World {
-    pub fn new(circumstances: Circumstances) -> World {
+    pub fn new(environment: Environment) -> World {
         let first = view(1, &[HEAD.0]);
         let mut head = Chain::new(HEAD, 1, StoredState::default());
         head.adopt_view(first.clone(), Millis(0));
         let mut world = World {
-            circumstances,
+            environment,
             now: 0,
             view: first,
             head,
@@ -162,8 +162,8 @@
             last_change: 0,
             committed: Vec::new(),
             installs: 0,
-            encoded: 0,
-            log_most: 0,
+            snapshots_requested: 0,
+            max_log_bytes: 0,
         };
         world.adopt_at_joiner();
         world
@@ -173,8 +173,8 @@
         Millis(self.now)
     }
 
-    /// The head takes changes while the joiner is away.
-    pub fn change_alone(&mut self, changes: u64) {
+    /// Submits changes to the head while the joiner is away.
+    pub fn change_while_joiner_is_away(&mut self, changes: u64) {
         for _ in 0..changes {
             self.change();
             let effects = self
@@ -185,13 +185,13 @@
     }
 
     pub fn change(&mut self) {
-        let operation = large_operation(self.changes + 1, self.circumstances.change_bytes);
+        let operation = large_operation(self.changes + 1, self.environment.change_bytes);
         let Ok((index, effects)) = self.head.submit(operation, self.moment()) else {
             return;
         };
         self.changes += 1;
         self.at_head(effects);
-        if index.is_multiple_of(self.circumstances.snapshot_every) {
+        if index.is_multiple_of(self.environment.snapshot_every) {
             self.compact();
         }
     }
@@ -201,7 +201,7 @@
         self.head.compact_log(committed);
     }
 
-    /// A new view of the same chain.
+    /// Adopts a new view with the same chain.
     pub fn change_view(&mut self) {
         self.view.number += 1;
         let effects = self.head.adopt_view(self.view.clone(), self.moment());
@@ -219,7 +219,7 @@
         self.at_joiner(effects);
     }
 
-    /// The joiner's process dies; some of its writes under way reached the disk.
+    /// Restarts the joiner's process; the first `writes_kept` pending writes reach the disk.
     pub fn crash_joiner(&mut self, writes_kept: usize) {
         for _ in 0..writes_kept {
             let Some(write) = self.disk.writes.pop_front() else {
@@ -234,18 +234,18 @@
         self.adopt_at_joiner();
     }
 
-    /// The joiner's disk hangs for so long when the next snapshot is written to it.
+    /// Makes the joiner's disk hang this long when the next snapshot is written to it.
     pub fn hang_at_next_install(&mut self, milliseconds: u64) {
         self.disk.hang_ms = Some(milliseconds);
     }
 
-    /// The connection ends, and nobody is told.
+    /// Ends the connection without notifying either process.
     pub fn reset(&mut self) {
         self.to_joiner.reset();
         self.to_head.reset();
     }
 
-    /// The connection ends, and the head is told.
+    /// Ends the connection and notifies the head.
     pub fn disconnect(&mut self) {
         self.reset();
         self.head.peer_disconnected(JOINER, self.moment());
@@ -257,9 +257,9 @@
             match effect {
                 Effect::Send(_, message) => self.to_joiner.push(message),
                 Effect::NeedSnapshot => {
-                    self.encoded += 1;
+                    self.snapshots_requested += 1;
                     let index = self.head.committed();
-                    let bytes = state(index, self.circumstances.state_bytes);
+                    let bytes = state(index, self.environment.state_bytes);
                     work.extend(self.head.provide_snapshot(index, bytes, self.moment()));
                 }
                 Effect::Append(entries) => {
@@ -282,10 +282,10 @@
             match effect {
                 Effect::Send(_, message) => self.to_head.push(message),
                 Effect::Install { index, bytes } => {
-                    let expected = state(index, self.circumstances.state_bytes);
+                    let expected = state(index, self.environment.state_bytes);
                     assert!(
                         bytes == expected,
-                        "the snapshot up to {index} is not that state"
+                        "the snapshot up to {index} does not hold that state"
                     );
                     assert!(
                         index <= self.head.committed(),
@@ -305,11 +305,11 @@
         }
     }
 
-    /// Lets one step of time pass.
+    /// Advances time by one step.
     pub fn step(&mut self) {
         self.now += STEP_MS;
         self.sync();
-        let bytes = self.circumstances.link_bytes_per_s * STEP_MS / 1_000;
+        let bytes = self.environment.link_bytes_per_s * STEP_MS / 1_000;
         for message in self.to_joiner.deliver(bytes) {
             let effects = self.joiner.receive(HEAD, message, self.moment());
             self.at_joiner(effects);
@@ -324,24 +324,24 @@
             let effects = self.joiner.tick(self.moment());
             self.at_joiner(effects);
         }
-        if self.now - self.last_change >= self.circumstances.change_every_ms {
+        if self.now - self.last_change >= self.environment.change_every_ms {
             self.last_change = self.now;
             self.change();
         }
         self.committed.push(self.head.committed());
-        self.note_log();
-        self.check_claim();
+        self.record_log_size();
+        self.check_caught_up_claim();
     }
 
-    fn note_log(&mut self) {
+    fn record_log_size(&mut self) {
         let last = self.head.last_index();
         let in_memory = (1..=last)
             .rev()
             .take_while(|index| self.head.entry(*index).is_some())
             .count();
-        self.log_most = self
-            .log_most
-            .max(in_memory as u64 * self.circumstances.change_bytes as u64);
+        self.max_log_bytes = self
+            .max_log_bytes
+            .max(in_memory as u64 * self.environment.change_bytes as u64);
     }
 
     fn sync(&mut self) {
@@ -370,7 +370,7 @@
             } else {
                 None
             };
-            let end = self.now + hang_ms.unwrap_or(self.circumstances.joiner_sync_ms);
+            let end = self.now + hang_ms.unwrap_or(self.environment.joiner_sync_ms);
             self.disk.sync = Some((end, self.disk.writes.len()));
         }
     }
@@ -397,13 +397,14 @@
             .map_or(stored.snapshot_index, |entry| entry.index)
     }
 
-    /// A joiner that says it has caught up lacks nothing that was committed before its word, and the time on the link.
-    fn check_claim(&self) {
+    /// Checks that a joiner that reports to have caught up lacks only entries committed within `CAUGHT_UP_MS` and the
+    /// delay of a full connection.
+    fn check_caught_up_claim(&self) {
         if !self.joiner.is_caught_up(self.moment()) {
             return;
         }
-        let on_link = MAX_CONNECTION_BYTES * 1_000 / self.circumstances.link_bytes_per_s;
-        let allowed = lupinrack_chain::limits::CAUGHT_UP_MS + on_link + 2 * STEP_MS;
+        let link_ms = MAX_CONNECTION_BYTES * 1_000 / self.environment.link_bytes_per_s;
+        let allowed = lupinrack_chain::limits::CAUGHT_UP_MS + link_ms + 2 * STEP_MS;
         let then = self
             .committed
             .len()
@@ -417,19 +418,19 @@
         assert!(!self.joiner.is_complete(), "no spare is complete");
     }
 
-    /// Steps until the joiner has caught up; how long it took.
-    pub fn until_caught_up(&mut self, most_ms: u64) -> Option<u64> {
-        let begun = self.now;
-        while self.now - begun < most_ms {
+    /// Advances time until the joiner has caught up. Returns the milliseconds that it took.
+    pub fn until_caught_up(&mut self, timeout_ms: u64) -> Option<u64> {
+        let start = self.now;
+        while self.now - start < timeout_ms {
             self.step();
             if self.joiner.is_caught_up(self.moment()) {
-                return Some(self.now - begun);
+                return Some(self.now - start);
             }
         }
         None
     }
 
-    pub fn pass(&mut self, milliseconds: u64) {
+    pub fn advance(&mut self, milliseconds: u64) {
         let end = self.now + milliseconds;
         while self.now < end {
             self.step();
@@ -443,7 +444,7 @@
             .entries
             .iter()
             .all(|entry: &LogEntry| self.head.entry(entry.index).is_none_or(|own| own == entry));
-        let standing_fits = stored.replica_status == ReplicaStatus::Joining;
-        entries_equal && standing_fits && self.on_disk() == self.head.committed()
+        let is_joining = stored.replica_status == ReplicaStatus::Joining;
+        entries_equal && is_joining && self.on_disk() == self.head.committed()
     }
 }
--- a/crates/chain/tests/catching_up.rs
+++ b/crates/chain/tests/catching_up.rs
@@ -1,16 +1,17 @@
-//! How long a disk takes that was away for hundreds of changes, against changes that go on, a slow link and a slow disk.
+//! The time to catch up of a disk that was away for hundreds of changes, while changes go on, over a slow link and
+//! with a slow disk.
 
 mod catch_up;
 mod common;
 
-use catch_up::{Circumstances, World};
+use catch_up::{Environment, World};
 use quickcheck::quickcheck;
 
 /// Changes that were made while the joiner was away.
-const AWAY: u64 = 600;
+const CHANGES_WHILE_AWAY: u64 = 600;
 
-/// A gigabit a second, a sync of 9 ms, a change of 300 KB four times a second, a state of 1 MB.
-const USUAL: Circumstances = Circumstances {
+/// A link of 1 Gbit/s, a sync of 9 ms, four changes of 300 KB per second, a state of 1 MB.
+const DEFAULT_ENVIRONMENT: Environment = Environment {
     link_bytes_per_s: 125_000_000,
     joiner_sync_ms: 9,
     change_bytes: 300_000,
@@ -19,21 +20,21 @@
     snapshot_every: 20,
 };
 
-/// A joiner that was away, in these circumstances, and the milliseconds until it has caught up.
-fn catch_up(circumstances: Circumstances, most_ms: u64) -> (World, Option<u64>) {
-    let mut world = World::new(circumstances);
-    world.change_alone(AWAY);
-    let took = world.until_caught_up(most_ms);
+/// A joiner that was away, and the milliseconds until it has caught up.
+fn catch_up(environment: Environment, timeout_ms: u64) -> (World, Option<u64>) {
+    let mut world = World::new(environment);
+    world.change_while_joiner_is_away(CHANGES_WHILE_AWAY);
+    let took = world.until_caught_up(timeout_ms);
     println!(
-        "{took:?} ms, {} installs, {} encoded, {} overflows, {} bytes waited at most, log {} bytes at most",
-        world.installs, world.encoded, world.to_joiner.overflows, world.to_joiner.most, world.log_most
+        "{took:?} ms, {} installs, {} snapshots requested, {} overflows, at most {} bytes waiting, log of at most {} bytes",
+        world.installs, world.snapshots_requested, world.to_joiner.overflows, world.to_joiner.max_waiting_bytes, world.max_log_bytes
     );
     (world, took)
 }
 
 #[test]
 fn a_member_that_was_away_for_hundreds_of_changes_is_back_within_a_second() {
-    let (world, took) = catch_up(USUAL, 10_000);
+    let (world, took) = catch_up(DEFAULT_ENVIRONMENT, 10_000);
     assert!(took.is_some_and(|took| took <= 1_000), "{took:?}");
     assert_eq!(world.to_joiner.overflows, 0);
 }
@@ -41,9 +42,9 @@
 #[test]
 fn a_disk_thirty_times_slower_is_back_within_four_seconds() {
     let (world, took) = catch_up(
-        Circumstances {
+        Environment {
             joiner_sync_ms: 270,
-            ..USUAL
+            ..DEFAULT_ENVIRONMENT
         },
         20_000,
     );
@@ -53,11 +54,11 @@
 
 #[test]
 fn a_link_hardly_faster_than_the_changes_is_enough() {
-    // 1.2 MB of changes a second over a link of 2 MB a second.
+    // 1.2 MB of changes per second over a link of 2 MB/s.
     let (world, took) = catch_up(
-        Circumstances {
+        Environment {
             link_bytes_per_s: 2_000_000,
-            ..USUAL
+            ..DEFAULT_ENVIRONMENT
         },
         60_000,
     );
@@ -68,26 +69,26 @@
 
 #[test]
 fn a_slow_link_and_a_slow_disk_together() {
-    let circumstances = Circumstances {
+    let environment = Environment {
         link_bytes_per_s: 4_000_000,
         joiner_sync_ms: 270,
-        ..USUAL
+        ..DEFAULT_ENVIRONMENT
     };
-    let (world, took) = catch_up(circumstances, 60_000);
+    let (world, took) = catch_up(environment, 60_000);
     assert!(took.is_some_and(|took| took <= 15_000), "{took:?}");
     assert_eq!(world.to_joiner.overflows, 0);
 }
 
 #[test]
-fn under_a_steady_load_a_joiner_is_caught_up_although_something_is_always_under_way() {
-    // A change every step, each synced in several steps.
-    let circumstances = Circumstances {
+fn under_a_steady_load_a_joiner_is_caught_up_although_entries_are_always_in_flight() {
+    // A change in every step, each of which takes several steps to sync.
+    let environment = Environment {
         change_bytes: 500,
         change_every_ms: 5,
         joiner_sync_ms: 20,
-        ..USUAL
+        ..DEFAULT_ENVIRONMENT
     };
-    let (mut world, took) = catch_up(circumstances, 10_000);
+    let (mut world, took) = catch_up(environment, 10_000);
     assert!(took.is_some_and(|took| took <= 1_000), "{took:?}");
     let mut is_caught_up = 0;
     for _ in 0..200 {
@@ -102,34 +103,35 @@
 }
 
 #[test]
-fn what_follows_its_snapshot_stays_in_memory_while_it_joins() {
-    // The head drops what it can after every change; meanwhile 4.8 MB come, more than it keeps for nobody.
-    let circumstances = Circumstances {
+fn entries_after_its_snapshot_stay_in_memory_while_a_disk_joins() {
+    // The head compacts its log after every change. Meanwhile 4.8 MB are submitted, more than it retains without a
+    // joiner.
+    let environment = Environment {
         link_bytes_per_s: 2_000_000,
         state_bytes: 8_000_000,
         snapshot_every: 1,
-        ..USUAL
+        ..DEFAULT_ENVIRONMENT
     };
-    let (world, took) = catch_up(circumstances, 60_000);
-    assert!(took.is_some(), "it never catches up");
+    let (world, took) = catch_up(environment, 60_000);
+    assert!(took.is_some(), "the joiner never catches up");
     assert_eq!(world.installs, 1, "rounds");
     assert!(
-        world.log_most <= 20_000_000,
+        world.max_log_bytes <= 20_000_000,
         "{} bytes in memory",
-        world.log_most
+        world.max_log_bytes
     );
 }
 
 #[test]
 fn a_disk_that_hangs_while_it_installs_needs_no_second_snapshot() {
-    // Meanwhile 6 MB come, more than a head keeps for nobody.
-    let circumstances = Circumstances {
+    // Meanwhile 6 MB are submitted, more than a head retains without a joiner.
+    let environment = Environment {
         snapshot_every: 1,
-        ..USUAL
+        ..DEFAULT_ENVIRONMENT
     };
-    let mut world = World::new(circumstances);
+    let mut world = World::new(environment);
     world.hang_at_next_install(5_000);
-    world.change_alone(AWAY);
+    world.change_while_joiner_is_away(CHANGES_WHILE_AWAY);
     let took = world.until_caught_up(60_000);
     assert!(took.is_some_and(|took| took <= 6_000), "{took:?}");
     assert_eq!(world.installs, 1, "rounds");
@@ -137,13 +139,13 @@
 
 #[test]
 fn a_long_log_does_not_wait_for_the_next_join_after_each_window() {
-    // 30 MB of log: the head has made no snapshot yet.
-    let mut world = World::new(Circumstances {
+    // The log has 30 MB, since the head has made no snapshot yet.
+    let mut world = World::new(Environment {
         snapshot_every: 1_000,
         change_every_ms: u64::MAX,
-        ..USUAL
+        ..DEFAULT_ENVIRONMENT
     });
-    world.change_alone(100);
+    world.change_while_joiner_is_away(100);
     let took = world.until_caught_up(10_000);
     assert_eq!(world.installs, 0);
     assert!(took.is_some_and(|took| took <= 1_000), "{took:?}");
@@ -151,33 +153,36 @@
 
 #[test]
 fn repetitions_do_not_pile_up_on_a_very_slow_link() {
-    // One chunk takes 2.6 s, and the whole state 10 s.
-    let circumstances = Circumstances {
+    // One chunk takes 2.6 s, and the complete state 10 s.
+    let environment = Environment {
         link_bytes_per_s: 100_000,
         snapshot_every: 1,
         change_every_ms: u64::MAX,
-        ..USUAL
+        ..DEFAULT_ENVIRONMENT
     };
-    let mut world = World::new(circumstances);
-    world.change_alone(50);
+    let mut world = World::new(environment);
+    world.change_while_joiner_is_away(50);
     let took = world.until_caught_up(120_000);
-    println!("{took:?} ms, {} bytes waited at most", world.to_joiner.most);
+    println!(
+        "{took:?} ms, at most {} bytes waiting",
+        world.to_joiner.max_waiting_bytes
+    );
     assert!(took.is_some_and(|took| took <= 25_000), "{took:?}");
     assert_eq!(world.to_joiner.overflows, 0);
 }
 
-/// Nothing slows the head down for a joiner; but one that cannot keep up is not left behind further and further.
+/// The head does not slow down for a joiner, but the lag of a joiner that cannot keep up stays bounded.
 #[test]
 fn a_joiner_slower_than_the_changes_stays_within_a_few_snapshots_of_them() {
-    // 1.2 MB of changes a second over a link of 0.6 MB a second.
+    // 1.2 MB of changes per second over a link of 0.6 MB/s.
     let (mut world, took) = catch_up(
-        Circumstances {
+        Environment {
             link_bytes_per_s: 600_000,
-            ..USUAL
+            ..DEFAULT_ENVIRONMENT
         },
         60_000,
     );
-    assert_eq!(took, None, "it says that it has caught up");
+    assert_eq!(took, None, "the joiner reports to have caught up");
     let mut behind = 0;
     for _ in 0..12_000 {
         world.step();
@@ -191,7 +196,7 @@
     assert_eq!(world.to_joiner.overflows, 0);
 }
 
-/// What happens to a transfer.
+/// Injects a fault, changes or a pause, as chosen.
 fn inject_fault(world: &mut World, choice: u8) {
     match choice % 16 {
         0 => world.reset(),
@@ -199,16 +204,16 @@
         2 => world.crash_joiner(usize::from(choice / 16)),
         3 | 4 => world.change_view(),
         5 | 6 => world.compact(),
-        7 => world.change_alone(u64::from(choice)),
-        _ => world.pass(u64::from(choice)),
+        7 => world.change_while_joiner_is_away(u64::from(choice)),
+        _ => world.advance(u64::from(choice)),
     }
 }
 
 quickcheck! {
-    /// Whatever cuts a transfer short: a joiner never loads a state that is not whole, never says that it has caught up
-    /// where it has not (both are checked at every step), and ends with what the head has.
+    /// Whatever interrupts a transfer, a joiner never loads an incomplete state, never reports to have caught up when it
+    /// has not (both are checked at every step), and finally has the state of the head.
     fn every_transfer_ends_with_the_state_of_the_head(choices: Vec<u8>, fast: bool, slow_disk: bool) -> bool {
-        let circumstances = Circumstances {
+        let environment = Environment {
             link_bytes_per_s: if fast { 125_000_000 } else { 10_000_000 },
             joiner_sync_ms: if slow_disk { 200 } else { 10 },
             change_bytes: 60_000,
@@ -216,15 +221,15 @@
             state_bytes: 1_200_000,
             snapshot_every: 25,
         };
-        let mut world = World::new(circumstances);
-        world.change_alone(100);
+        let mut world = World::new(environment);
+        world.change_while_joiner_is_away(100);
         world.compact();
         for choice in choices {
             inject_fault(&mut world, choice);
             world.step();
         }
-        world.circumstances.change_every_ms = u64::MAX;
-        world.pass(15_000);
+        world.environment.change_every_ms = u64::MAX;
+        world.advance(15_000);
         world.is_equal()
     }
 }
--- a/crates/chain/tests/common/mod.rs
+++ b/crates/chain/tests/common/mod.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// A view whose chain has these disks.
+/// A view whose chain consists of these disks.
 pub fn view(number: u64, chain: &[u64]) -> View {
     View {
         number,
@@ -78,7 +78,7 @@
     effects.iter().filter_map(message).collect()
 }
 
-/// The effects that are no messages.
+/// The effects other than messages.
 pub fn orders(effects: &[Effect]) -> Vec<Effect> {
     effects
         .iter()
@@ -87,19 +87,19 @@
         .collect()
 }
 
-/// Replicas whose writes and messages are done at once, in order.
+/// Replicas whose writes and messages complete at once, in order.
 pub struct Cluster {
     pub chains: Vec<Chain>,
     pub now: Millis,
-    /// Disks whose writes are not done.
+    /// Disks whose writes do not complete.
     pub stalled: Vec<DiskId>,
-    /// What happened, but for messages and writes.
+    /// The effects other than messages and writes, in order.
     pub seen: Vec<(DiskId, Effect)>,
     queue: VecDeque<(usize, Effect)>,
 }
 
 impl Cluster {
-    /// Fresh disks with the numbers from 1.
+    /// A cluster of empty disks, numbered from 1.
     pub fn new(disks: u64, minimum_length: usize) -> Cluster {
         let chain = |disk| Chain::new(DiskId(disk), minimum_length, StoredState::default());
         Cluster {
@@ -136,8 +136,8 @@
         Some(number)
     }
 
-    /// Lets time pass, in ticks of 50 ms.
-    pub fn pass(&mut self, milliseconds: u64) {
+    /// Advances time in ticks of 50 ms.
+    pub fn advance(&mut self, milliseconds: u64) {
         let end = self.now.plus(milliseconds);
         while self.now < end {
             self.now = self.now.plus(50);
@@ -193,7 +193,7 @@
     }
 }
 
-/// An operation of about so many bytes.
+/// An operation of about this many bytes.
 pub fn large_operation(number: u64, bytes: usize) -> Operation {
     let body = ConfigurationBody::Replacement("x".repeat(bytes));
     Operation::ChangeConfiguration(ConfigurationChange {
--- a/crates/chain/tests/golden.rs
+++ b/crates/chain/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Encoded forms that must stay as they are: the status on the disk, snapshots and their checksum, and the messages of
+//! Encoded forms that must not change: the status on the disk, snapshots and their checksum, and the messages of
 //! replicas.
 
 mod common;
@@ -19,12 +19,12 @@
 const HEAD: DiskId = DiskId(0x21);
 const TAIL: DiskId = DiskId(0x32);
 const SPARE: DiskId = DiskId(0x43);
-/// The view that all of them begin in.
+/// The number of the view in which all replicas start.
 const VIEW: u64 = 0x0504;
 /// The index that the snapshot of the members covers.
 const SNAPSHOT_INDEX: u64 = 0x0708;
 
-/// Checks that the file holds the encoded form of these values and nothing else, and that what it holds decodes to them.
+/// Checks that the file holds exactly the encoded forms of these values, and that they decode to the values.
 fn assert_kept<T>(file: &str, examples: &[(String, T)])
 where
     T: BorshSerialize + BorshDeserialize + PartialEq + Debug,
@@ -61,7 +61,7 @@
     check_text(path!("checksum.hex"), &lengths.map(line).concat());
 }
 
-/// The message up to the chunk's bytes, whose own part is kept as their number and their checksum.
+/// The file has each message up to the bytes of the chunk, and the number and checksum of these bytes.
 #[test]
 fn the_chunks_of_a_snapshot() {
     let mut text = String::new();
@@ -79,7 +79,7 @@
                 message
             );
             let ChainMessage::Snapshot { chunk, bytes, .. } = message else {
-                panic!("no piece: {message:?}")
+                panic!("not a chunk: {message:?}")
             };
             let (head, tail) = encoded.split_at(encoded.len() - bytes.len());
             assert_eq!(tail, bytes);
@@ -105,7 +105,7 @@
     replicas.start_barrier();
     replicas.tick();
     replicas.tick();
-    // A new view, which the spare does not know at first.
+    // The spare does not know the new view at first.
     replicas.adopt_by(&[HEAD, TAIL], VIEW + 1, &[TAIL]);
     replicas.tick();
     let kinds: BTreeSet<&str> = replicas
@@ -117,14 +117,14 @@
     assert_kept("messages.hex", &replicas.sent);
 }
 
-/// A state of so many bytes.
+/// A state of this many bytes.
 fn state(length: usize) -> Vec<u8> {
     (0..length)
         .map(|index| (index * 7 + index / 256) as u8)
         .collect()
 }
 
-/// The messages that bring this state to a spare.
+/// The messages that transfer this state to a spare.
 fn chunks(state: Vec<u8>) -> Vec<ChainMessage> {
     let mut tail = member(TAIL, 1);
     tail.adopt_view(view(VIEW, &[TAIL.0]), START);
@@ -138,7 +138,7 @@
         .contains(&Effect::NeedSnapshot));
     let message = |effect| match effect {
         Effect::Send(_, message) => message,
-        other => panic!("no message: {other:?}"),
+        other => panic!("not a message: {other:?}"),
     };
     tail.provide_snapshot(SNAPSHOT_INDEX, state, START)
         .into_iter()
@@ -146,7 +146,7 @@
         .collect()
 }
 
-/// A disk that has nothing but a snapshot.
+/// A disk that has only a snapshot.
 fn member(disk: DiskId, minimum_length: usize) -> Chain {
     Chain::new(
         disk,
@@ -158,11 +158,11 @@
     )
 }
 
-/// A head, a tail and a spare whose writes and messages are done at once, in order.
+/// A head, a tail and a spare whose writes and messages complete at once, in order.
 struct Replicas {
     chains: BTreeMap<DiskId, Chain>,
     now: Millis,
-    /// Every message, under its number and what it is.
+    /// Every message, named by its number, kind, sender and receiver.
     sent: Vec<(String, ChainMessage)>,
 }
 
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Lets these disks adopt a view with this chain.
+    /// Makes these disks adopt a view with this chain.
     fn adopt_by(&mut self, disks: &[DiskId], number: u64, chain: &[DiskId]) {
         let chain: Vec<u64> = chain.iter().map(|disk| disk.0).collect();
         for disk in disks {
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Carries out one order; whose effects follow, and which.
+    /// Carries out one effect. Returns the effects that follow, and the disk that returned them.
     fn carry_out(&mut self, disk: DiskId, effect: Effect) -> (DiskId, Vec<Effect>) {
         let now = self.now;
         let chain = self.chains.get_mut(&disk).unwrap();
--- a/crates/chain/tests/joining.rs
+++ b/crates/chain/tests/joining.rs
@@ -50,29 +50,32 @@
     for number in 1..=5 {
         cluster.submit(1, number);
     }
-    cluster.pass(500);
+    cluster.advance(500);
     let now = cluster.now;
     assert_eq!(cluster.chain(3).committed(), 5);
     assert!(cluster.chain(3).is_caught_up(now));
     assert!(!cluster.chain(3).is_member() && !cluster.chain(3).is_complete());
     assert!(!cluster.chain(3).is_caught_up(now.plus(CAUGHT_UP_MS + 200)));
-    assert!(!cluster.chain(2).is_caught_up(now), "a member");
+    assert!(
+        !cluster.chain(2).is_caught_up(now),
+        "a member is not a spare"
+    );
 }
 
 #[test]
 fn a_spare_whose_disk_hangs_has_not_caught_up() {
     let mut cluster = Cluster::new(3, 2);
     cluster.adopt(view(1, &[1, 2]));
-    cluster.pass(500);
+    cluster.advance(500);
     cluster.stalled = vec![DiskId(3)];
     cluster.submit(1, 1);
-    cluster.pass(500);
+    cluster.advance(500);
     let now = cluster.now;
     assert!(!cluster.chain(3).is_caught_up(now));
     assert_eq!(cluster.chain(3).committed(), 0);
 }
 
-/// To whom a spare sends `Join` messages while time passes in steps of 50 ms.
+/// The members that a spare sends `Join` messages to while time advances in steps of 50 ms.
 fn joined_within(spare: &mut Chain, now: &mut Millis, milliseconds: u64) -> Vec<DiskId> {
     let mut joined = Vec::new();
     for _ in 0..milliseconds / 50 {
@@ -89,7 +92,7 @@
 }
 
 #[test]
-fn a_spare_whose_sources_are_all_slow_turns_ever_more_seldom() {
+fn a_spare_whose_sources_are_all_slow_switches_less_and_less_often() {
     let kept = stored(vec![], view(1, &[1, 2, 3]), ReplicaStatus::Joining);
     let mut spare = Chain::new(DiskId(4), 2, kept);
     spare.adopt_view(view(2, &[1, 2, 3]), START);
@@ -100,12 +103,12 @@
         asked.len()
     };
     let (first, later) = (turns_in(3_000), turns_in(60_000));
-    assert!(first >= 5, "{first} members asked in the first seconds");
-    assert!(later <= 20, "{later} members asked in the minute after");
+    assert!(first >= 5, "{first} members joined in the first seconds");
+    assert!(later <= 20, "{later} members joined in the minute after");
 }
 
 #[test]
-fn a_spare_whose_source_times_out_turns_to_the_member_before_it_and_around() {
+fn a_spare_whose_source_times_out_switches_to_the_member_before_it_and_wraps_around() {
     let kept = stored(vec![], view(1, &[1, 2, 3]), ReplicaStatus::Joining);
     let mut spare = Chain::new(DiskId(4), 2, kept);
     spare.adopt_view(view(2, &[1, 2, 3]), START);
@@ -116,7 +119,7 @@
 }
 
 #[test]
-fn a_spare_keeps_to_a_source_that_answers() {
+fn a_spare_keeps_a_source_that_answers() {
     let kept = stored(vec![], view(1, &[1, 2]), ReplicaStatus::Joining);
     let mut spare = Chain::new(DiskId(3), 2, kept);
     spare.adopt_view(view(2, &[1, 2]), START);
@@ -174,11 +177,11 @@
     for number in 1..=5 {
         cluster.submit(1, number);
     }
-    cluster.pass(500);
+    cluster.advance(500);
     cluster.stalled = vec![DiskId(2)];
     cluster.submit(1, 6);
     cluster.adopt(view(2, &[1, 2]));
-    cluster.pass(500);
+    cluster.advance(500);
     assert!(!cluster.chain(2).is_complete());
     assert!(!cluster.chain(1).is_ready());
 }
@@ -190,12 +193,12 @@
     for number in 1..=5 {
         cluster.submit(1, number);
     }
-    cluster.pass(500);
+    cluster.advance(500);
     cluster.adopt(view(2, &[1, 2]));
     assert!(cluster.chain(1).is_ready());
     assert!(cluster.chain(2).is_complete());
     assert_eq!(cluster.submit(1, 6), Some(6));
-    cluster.pass(100);
+    cluster.advance(100);
     assert_eq!(cluster.chain(2).committed(), 6);
 }
 
@@ -213,7 +216,7 @@
     cluster.stalled.clear();
     let effects = cluster.chain(2).replica_status_stored(START);
     cluster.run(1, effects);
-    cluster.pass(1000);
+    cluster.advance(1000);
     let installs = cluster
         .seen
         .iter()
@@ -225,7 +228,7 @@
 }
 
 #[test]
-fn chunks_have_their_size_and_a_missing_one_spoils_the_snapshot() {
+fn chunks_have_their_size_and_a_missing_one_prevents_the_installation() {
     let mut tail = Chain::new(
         DiskId(1),
         1,
@@ -260,7 +263,7 @@
 }
 
 #[test]
-fn a_complete_member_takes_no_snapshot() {
+fn a_complete_member_ignores_snapshots() {
     let mut tail = Chain::new(DiskId(2), 1, StoredState::default());
     tail.adopt_view(view(1, &[1, 2]), START);
     let snapshot = SnapshotIdentity {
@@ -278,7 +281,7 @@
 }
 
 #[test]
-fn an_incomplete_member_drops_what_is_not_known_to_be_committed() {
+fn an_incomplete_member_drops_entries_not_known_to_be_committed() {
     let kept = stored(vec![entry(1, 1)], view(1, &[1, 2]), ReplicaStatus::Joining);
     let mut tail = Chain::new(DiskId(2), 1, kept);
     let effects = tail.tick(START);
@@ -305,7 +308,7 @@
 }
 
 #[test]
-fn entries_that_a_reset_took_are_sent_again_at_the_next_tick() {
+fn entries_lost_by_a_reset_are_sent_again_at_the_next_tick() {
     let mut cluster = Cluster::new(1, 1);
     cluster.adopt(view(1, &[1]));
     for number in 1..=3 {
--- a/crates/chain/tests/properties.rs
+++ b/crates/chain/tests/properties.rs
@@ -17,7 +17,7 @@
         .collect()
 }
 
-/// A member of a chain of two which has another sequence on its disk from some index on.
+/// A member of a chain of two whose log differs from that of the head from some index on.
 fn follower(own_from: u8) -> Chain {
     let own_from = u64::from(own_from) % LOG;
     let entries = (1..=LOG / 2).map(|index| {
@@ -41,7 +41,7 @@
 }
 
 quickcheck! {
-    /// Whatever arrives, in whatever order and however often: what is acknowledged is the head's.
+    /// In whatever order and however often entries arrive, only those of the head are acknowledged.
     fn only_the_heads_entries_are_acknowledged(own_from: u8, slices: Vec<(u8, u8)>) -> bool {
         let mut chain = follower(own_from);
         slices.into_iter().all(|(previous, length)| {
@@ -53,7 +53,7 @@
         })
     }
 
-    /// A follower that is sent everything from where it asks ends with the head's log, at any batch size.
+    /// A follower that receives the entries that it requests ends with the head's log, at any batch size.
     fn a_follower_ends_with_the_heads_log(own_from: u8, batch: u8) -> bool {
         let mut chain = follower(own_from);
         let mut previous = 0;
@@ -65,7 +65,7 @@
         (1..=LOG).all(|index| chain.entry(index) == Some(&entry(index, index * 3)))
     }
 
-    /// The head numbers operations without gaps, and its log is what it ordered to be written.
+    /// The head numbers operations without gaps, and its log equals the entries that it wrote.
     fn the_head_numbers_without_gaps(count: u8) -> bool {
         let mut head = Chain::new(DiskId(1), 1, StoredState::default());
         head.adopt_view(view(1, &[1]), START);
@@ -78,7 +78,7 @@
     }
 }
 
-/// The disk's answer to an effect.
+/// Completes an effect as the disk would.
 fn complete(chain: &mut Chain, effect: &Effect) -> Vec<Effect> {
     match effect {
         Effect::Append(entries) => chain.entries_written(entries[entries.len() - 1].index, START),
@@ -87,7 +87,7 @@
     }
 }
 
-/// An acknowledgement covers entries of the head only.
+/// Whether an acknowledgement covers entries of the head only.
 fn is_sound(chain: &Chain, effect: &Effect) -> bool {
     let Effect::Send(_, lupinrack_cluster_api::chain::ChainMessage::Acknowledge { synced, .. }) =
         effect
--- a/crates/chain/tests/replication.rs
+++ b/crates/chain/tests/replication.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_member_acknowledges_only_what_is_synced_here_and_behind() {
+fn a_member_acknowledges_only_entries_synced_by_it_and_all_members_after_it() {
     let mut middle = Chain::new(DiskId(2), 3, StoredState::default());
     middle.adopt_view(view(1, &[1, 2, 3]), START);
     let effects = middle.receive(DiskId(1), append(1, 0, vec![entry(1, 7)], 0, 0), START);
@@ -70,13 +70,13 @@
 }
 
 #[test]
-fn everybody_applies_what_is_committed() {
+fn every_member_applies_committed_entries() {
     let mut cluster = Cluster::new(3, 2);
     cluster.adopt(view(1, &[1, 2, 3]));
     assert!(cluster.chain(1).is_ready());
     assert_eq!(cluster.submit(1, 7), Some(1));
     assert_eq!(cluster.submit(1, 8), Some(2));
-    cluster.pass(200);
+    cluster.advance(200);
     for disk in 1..=3 {
         assert_eq!(cluster.chain(disk).committed(), 2, "disk {disk}");
         assert_eq!(
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn only_a_ready_head_takes_operations_and_barriers() {
+fn only_a_ready_head_accepts_operations_and_barriers() {
     let mut cluster = Cluster::new(2, 2);
     assert_eq!(cluster.submit(1, 7), None);
     cluster.adopt(view(1, &[1, 2]));
@@ -102,7 +102,7 @@
 fn a_chain_that_is_too_short_commits_nothing() {
     let mut cluster = Cluster::new(2, 3);
     cluster.adopt(view(1, &[1, 2]));
-    cluster.pass(1000);
+    cluster.advance(1000);
     assert!(!cluster.chain(1).is_ready());
     assert_eq!(cluster.submit(1, 7), None);
 }
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_head_bounds_what_is_uncommitted() {
+fn a_head_bounds_its_uncommitted_entries() {
     let mut head = ready_head();
     for number in 0..MAX_UNCOMMITTED_ENTRIES {
         assert!(head.submit(operation(number), START).is_ok());
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_gap_is_asked_for() {
+fn missing_entries_are_requested() {
     let mut tail = tail_with(vec![]);
     let effects = tail.receive(
         DiskId(1),
@@ -230,7 +230,7 @@
     assert_eq!(
         messages(&tail.entries_written(3, START)),
         [],
-        "a report of the replaced entries"
+        "the completed write is that of replaced entries"
     );
     assert_eq!(messages(&tail.log_truncated(1, START)), []);
     assert_eq!(
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn what_the_predecessor_has_not_confirmed_is_not_acknowledged() {
+fn entries_that_the_predecessor_has_not_confirmed_are_not_acknowledged() {
     let mut tail = tail_with(vec![entry(1, 1), entry(2, 2)]);
     let effects = tail.receive(DiskId(1), append(2, 0, vec![entry(1, 1)], 0, 0), START);
     assert_eq!(messages(&effects), [(DiskId(1), acknowledge(2, 1, 0))]);
@@ -289,7 +289,7 @@
         ),
     ];
     cluster.adopt(view(2, &[1, 2]));
-    cluster.pass(1000);
+    cluster.advance(1000);
     assert!(cluster.chain(1).is_ready());
     assert_eq!(cluster.chain(1).committed(), 2);
     assert_eq!(cluster.chain(2).committed(), 2);
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn the_head_waits_for_all_that_it_had_before_it_has_members_complete() {
+fn the_head_starts_the_recovery_barrier_once_all_its_earlier_entries_are_acknowledged() {
     let kept = stored(
         vec![entry(1, 1), entry(2, 2)],
         view(1, &[1, 2]),
@@ -343,7 +343,7 @@
 }
 
 #[test]
-fn a_barrier_comes_behind_all_entries() {
+fn a_barrier_is_sent_after_all_entries() {
     let mut head = ready_head();
     for _ in 0..3 {
         let body = ConfigurationBody::Replacement("x".repeat(BATCH_BYTES as usize * 2 / 3));
@@ -369,9 +369,9 @@
     }
 }
 
-/// A head restarted from a snapshot, without the entries that a follower has after it: those were never committed.
+/// A head restarted from a snapshot lacks entries that a follower has after it; those were never committed.
 #[test]
-fn a_follower_gives_up_what_a_head_without_the_tail_of_the_log_does_not_have() {
+fn a_follower_truncates_entries_that_the_head_does_not_have() {
     let mut head = Chain::new(
         DiskId(1),
         2,
@@ -383,14 +383,18 @@
     );
     let mut follower = tail_with((1..=5).map(|index| entry(index, index)).collect());
     head.adopt_view(view(2, &[1, 2]), START);
-    // The head tells what is committed, and finds the follower to have just that.
+    // The head sends the committed index, and the follower acknowledges exactly that.
     let probe = append(2, 2, vec![], 2, 0);
     let effects = follower.receive(DiskId(1), probe, START);
     assert_eq!(
         messages(&effects).last(),
         Some(&(DiskId(1), acknowledge(2, 2, 0)))
     );
-    assert_eq!(follower.committed(), 2, "no more than the head has");
+    assert_eq!(
+        follower.committed(),
+        2,
+        "only the entries that the head has"
+    );
     for (synced, barrier) in [(2, 0), (2, 1)] {
         head.receive(DiskId(2), acknowledge(2, synced, barrier), START);
     }
@@ -398,7 +402,7 @@
         .submit(operation(30), START)
         .expect("the head is ready");
     assert_eq!(index, 3);
-    let (_, message) = messages(&effects).pop().expect("it is sent on");
+    let (_, message) = messages(&effects).pop().expect("the entry is forwarded");
     let effects = follower.receive(DiskId(1), message, START);
     assert_eq!(
         orders(&effects),
--- a/crates/chain/tests/snapshot_chunks.rs
+++ b/crates/chain/tests/snapshot_chunks.rs
@@ -1,4 +1,4 @@
-//! Pieces of snapshots that come out of order, twice, spoilt, or from where they should not.
+//! Chunks of snapshots that arrive out of order, twice, malformed, or from the wrong sender or view.
 
 mod common;
 
@@ -11,10 +11,10 @@
 
 const TAIL: DiskId = DiskId(1);
 const SPARE: DiskId = DiskId(2);
-/// Pieces of the snapshots here.
+/// Chunks of each snapshot in these tests.
 const PIECES: u32 = 4;
 
-/// A tail whose log begins after `index`, in this view, and the chunks of this state that it sends.
+/// The chunks of a snapshot up to `index`, filled with this byte, that a tail sends in this view.
 fn chunks_of(view_number: u64, index: u64, fill: u8) -> Vec<ChainMessage> {
     let mut tail = Chain::new(
         TAIL,
@@ -54,7 +54,7 @@
     spare
 }
 
-/// What the spare installs from these chunks.
+/// The installations that the spare orders after these chunks.
 fn snapshot_installed(spare: &mut Chain, chunks: &[ChainMessage]) -> Vec<Effect> {
     let effects: Vec<Effect> = chunks
         .iter()
@@ -69,24 +69,24 @@
 fn identity(chunk: &ChainMessage) -> SnapshotIdentity {
     match chunk {
         ChainMessage::Snapshot { snapshot, .. } => *snapshot,
-        other => panic!("no chunk: {other:?}"),
+        other => panic!("not a chunk: {other:?}"),
     }
 }
 
 #[test]
-fn chunks_of_two_snapshots_are_never_put_together() {
-    // The same index and number of chunks, other bytes.
+fn chunks_of_two_snapshots_are_never_combined() {
+    // Two snapshots with the same index and number of chunks, but different bytes.
     let (one, other) = (chunks_of(1, 5, 1), chunks_of(1, 5, 2));
     let mixed = [&one[..2], &other[2..]].concat();
     assert_eq!(snapshot_installed(&mut spare(1), &mixed), []);
-    // Other indices.
+    // Two snapshots with different indices.
     let newer = chunks_of(1, 6, 1);
     let mixed = [&one[..2], &newer[2..]].concat();
     assert_eq!(snapshot_installed(&mut spare(1), &mixed), []);
 }
 
 #[test]
-fn chunks_of_another_view_are_not_taken() {
+fn chunks_of_another_view_are_ignored() {
     let old = chunks_of(1, 5, 1);
     let mut spare = spare(1);
     assert_eq!(snapshot_installed(&mut spare, &old[..3]), []);
@@ -94,13 +94,13 @@
     assert_eq!(
         snapshot_installed(&mut spare, &old[3..]),
         [],
-        "the rest of one that began in the old view"
+        "the remaining chunks of a snapshot that began in the old view"
     );
     let new = chunks_of(2, 5, 1);
     assert_eq!(
         snapshot_installed(&mut spare, &new[1..]),
         [],
-        "what came in the old view is forgotten"
+        "chunks received in the old view are forgotten"
     );
     assert_eq!(
         snapshot_installed(&mut spare, &new),
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn chunks_of_another_sender_are_not_taken() {
+fn chunks_of_another_sender_are_ignored() {
     let chunks = chunks_of(1, 5, 1);
     let mut spare = spare(1);
     for chunk in &chunks {
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_repeated_chunk_and_a_late_one_cost_nothing() {
+fn repeated_and_late_chunks_do_not_disturb_the_transfer() {
     let (old, new) = (chunks_of(1, 5, 1), chunks_of(1, 6, 2));
     let order = [
         &new[0], &new[0], &new[1], &old[0], &old[1], &new[1], &new[2], &old[0], &new[3],
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn an_older_snapshot_is_taken_once_a_newer_one_comes_no_further() {
+fn an_older_snapshot_is_accepted_once_a_newer_one_makes_no_progress() {
     let (old, new) = (chunks_of(1, 5, 1), chunks_of(1, 6, 2));
     let mut spare = spare(1);
     snapshot_installed(&mut spare, &new[..2]);
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn spoilt_chunks_are_not_taken() {
+fn malformed_chunks_are_ignored() {
     let chunks = chunks_of(1, 5, 1);
     let right = identity(&chunks[0]);
     let chunk = |snapshot, chunk, length| ChainMessage::Snapshot {
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_snapshot_with_another_checksum_comes_again() {
+fn a_snapshot_with_a_wrong_checksum_is_sent_again() {
     let mut chunks = chunks_of(1, 5, 1);
     if let ChainMessage::Snapshot { bytes, .. } = &mut chunks[1] {
         bytes[9] ^= 1;
@@ -190,7 +190,7 @@
     assert_eq!(snapshot_installed(&mut spare, &chunks_of(1, 5, 1)).len(), 1);
 }
 
-/// A tail that sends a snapshot of many chunks, with a narrow window, and the first of them.
+/// A tail that sends a snapshot of many chunks through a small window, and the first of these chunks.
 fn sending_tail() -> (Chain, Vec<ChainMessage>) {
     let limits = ByteLimits {
         window: 2 * SNAPSHOT_CHUNK_BYTES as u64,
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn a_sender_has_no_more_chunks_on_their_way_than_its_window() {
+fn a_sender_has_no_more_chunks_in_flight_than_its_window() {
     let (mut tail, first) = sending_tail();
     assert_eq!(numbers(&first), [0, 1]);
     assert_eq!(sent(&tail.tick(START.plus(25))), []);
@@ -248,16 +248,16 @@
 }
 
 #[test]
-fn a_sender_goes_on_from_what_the_receiver_has() {
+fn a_sender_continues_after_the_chunks_that_the_receiver_has() {
     let (mut tail, first) = sending_tail();
     let snapshot = identity(&first[0]);
     assert_eq!(answer(&mut tail, snapshot, 1, START), [2]);
     assert_eq!(
         sent(&tail.tick(START.plus(JOINER_STALLED_MS))),
         [],
-        "a slow link may still carry them"
+        "the chunks may still be in flight on a slow link"
     );
-    // It is not forgotten meanwhile.
+    // Join messages keep the receiver from being dropped.
     let join = ChainMessage::Join {
         view: 1,
         disk: SPARE,
@@ -271,12 +271,12 @@
     assert_eq!(
         numbers(&sent(&tail.tick(later))),
         [1],
-        "lost chunks come again, in a narrower window"
+        "lost chunks are sent again, in a smaller window"
     );
     assert_eq!(
         answer(&mut tail, snapshot, 0, later),
         [0],
-        "a receiver that was restarted has nothing"
+        "a restarted receiver has no chunks"
     );
 }
 
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn one_snapshot_is_encoded_for_all_that_join() {
+fn one_snapshot_is_requested_for_all_joiners() {
     let (mut tail, _) = sending_tail();
     let other = ChainMessage::Join {
         view: 1,
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn what_a_reset_took_is_sent_again_without_a_wait() {
+fn chunks_lost_by_a_reset_are_sent_again_without_a_wait() {
     let (mut tail, first) = sending_tail();
     let snapshot = identity(&first[0]);
     assert_eq!(answer(&mut tail, snapshot, 1, START), [2]);
@@ -330,6 +330,6 @@
     assert_eq!(
         sent(&tail.tick(START.plus(75))),
         [],
-        "somebody else's connection"
+        "the connection of another disk"
     );
 }
--- a/crates/chain/tests/support/checker.rs
+++ b/crates/chain/tests/support/checker.rs
@@ -1,4 +1,4 @@
-//! What has to hold in every history.
+//! The invariants that every history is checked against.
 
 use super::apply;
 use lupinrack_cluster_api::identity::DiskId;
@@ -30,25 +30,25 @@
     },
     /// A snapshot does not hold the state of its index.
     WrongSnapshot { disk: DiskId, index: u64 },
-    /// A replica holds as committed what nobody committed.
+    /// A replica holds an entry as committed that no replica has committed.
     CommittedByNobody { disk: DiskId, index: u64 },
-    /// At the end, in calm, the chain did not come back with everything that was committed.
+    /// At the end, without faults, the chain did not recover every committed entry.
     Lost { committed: u64, expected: u64 },
-    /// At the end, in calm, nothing more could be committed.
+    /// At the end, without faults, no further entry could be committed.
     Stuck { view: u64 },
 }
 
-/// The one sequence that was committed, in the order of first commitment.
+/// The sequence of committed operations, in the order in which they were first committed.
 #[derive(Debug, Default)]
 pub struct Checker {
     operations: Vec<Operation>,
-    /// States by index, the empty state first.
+    /// The state at each index, beginning with the empty state.
     states: Vec<u64>,
     newest_view: u64,
     violation: Option<Violation>,
 }
 
-/// Who commits.
+/// The replica that commits.
 #[derive(Clone, Copy, Debug)]
 pub struct Committer {
     pub disk: DiskId,
@@ -83,7 +83,7 @@
         self.violation.get_or_insert(violation);
     }
 
-    /// A replica applies an entry.
+    /// Notes that a replica applies an entry.
     pub fn applied(&mut self, by: Committer, index: u64, operation: &Operation) {
         if index <= self.committed() {
             if self.operations[index as usize - 1] != *operation {
@@ -120,7 +120,7 @@
         self.operations.push(operation.clone());
     }
 
-    /// A replica loads a snapshot.
+    /// Notes that a replica loads a snapshot.
     pub fn loaded(&mut self, disk: DiskId, index: u64, state: u64) {
         match self.states.get(index as usize) {
             None => self.report(Violation::CommittedByNobody { disk, index }),
@@ -131,7 +131,7 @@
         }
     }
 
-    /// A barrier passes which began when `expected` was committed.
+    /// Notes that a barrier passes that was started when `expected` was committed.
     pub fn barrier(&mut self, disk: DiskId, committed: u64, expected: u64) {
         if committed < expected {
             self.report(Violation::StaleBarrier {
--- a/crates/chain/tests/support/disk.rs
+++ b/crates/chain/tests/support/disk.rs
@@ -1,6 +1,6 @@
-//! A disk that keeps what was synced, and of the rest any first part, at a loss of power.
+//! A disk that keeps all synced writes at a loss of power, and any prefix of the pending ones.
 
-use super::PlantedFault;
+use super::InjectedFault;
 use lupinrack_chain::{ReplicaStatus, StoredState};
 use lupinrack_cluster_api::operation::LogEntry;
 use lupinrack_cluster_api::view::View;
@@ -13,7 +13,7 @@
     pub state: u64,
 }
 
-/// A write that is under way.
+/// A pending write.
 #[derive(Clone, Debug)]
 pub enum Write {
     Append(Vec<LogEntry>),
@@ -23,7 +23,7 @@
     View(View),
 }
 
-/// A disk's contents and the writes under way.
+/// The contents of a disk and its pending writes.
 #[derive(Debug, Default)]
 pub struct Disk {
     pub snapshot: Snapshot,
@@ -56,7 +56,7 @@
         self.writes.push_back(write);
     }
 
-    /// Begins a sync if none is under way; how many writes it covers.
+    /// Starts a sync unless one is in progress. Returns how many writes it covers.
     pub fn start_sync(&mut self) -> usize {
         if self.syncing || self.writes.is_empty() {
             return 0;
@@ -69,36 +69,36 @@
         self.syncing = false;
     }
 
-    /// The oldest write is synced.
-    pub fn sync_next(&mut self, fault: PlantedFault) -> Option<Write> {
+    /// Completes the oldest write.
+    pub fn sync_next(&mut self, fault: InjectedFault) -> Option<Write> {
         let write = self.writes.pop_front()?;
         self.perform(write.clone(), fault);
         Some(write)
     }
 
-    fn perform(&mut self, write: Write, fault: PlantedFault) {
+    fn perform(&mut self, write: Write, fault: InjectedFault) {
         match write {
             Write::Append(entries) => self.log.extend(entries),
             Write::View(view) => self.view = view,
-            Write::Truncate(_) if fault == PlantedFault::NoTruncation => {}
+            Write::Truncate(_) if fault == InjectedFault::NoTruncation => {}
             Write::Truncate(index) => self.log.retain(|entry| entry.index <= index),
             Write::Install(snapshot) => {
                 self.snapshot = snapshot;
                 self.log.clear();
             }
-            Write::ReplicaStatus(_) if fault == PlantedFault::AlwaysComplete => {}
+            Write::ReplicaStatus(_) if fault == InjectedFault::AlwaysComplete => {}
             Write::ReplicaStatus(replica_status) => self.replica_status = replica_status,
         }
     }
 
-    /// The applied state becomes the snapshot.
+    /// Stores the applied state as the snapshot.
     pub fn compact(&mut self, snapshot: Snapshot) {
         self.snapshot = snapshot;
         self.log.retain(|entry| entry.index > snapshot.index);
     }
 
-    /// Of the writes under way nothing lasts, or a first part, whose last write may be torn.
-    pub fn lose_power(&mut self, random: &mut fastrand::Rng, fault: PlantedFault) {
+    /// Keeps none of the pending writes, or a prefix of them whose last write may be torn.
+    pub fn lose_power(&mut self, random: &mut fastrand::Rng, fault: InjectedFault) {
         let kept = if random.bool() {
             0
         } else {
--- a/crates/chain/tests/support/faults.rs
+++ b/crates/chain/tests/support/faults.rs
@@ -1,8 +1,8 @@
-//! What goes wrong, and which views are agreed meanwhile.
+//! Faults, and the views that are agreed meanwhile.
 
 use super::node::Node;
 use super::world::{Event, World};
-use super::PlantedFault;
+use super::InjectedFault;
 use lupinrack_chain::ReplicaStatus;
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::view::View;
@@ -27,7 +27,7 @@
         self.network.reconnect(from, to, &mut self.random);
     }
 
-    /// Cuts one machine off from some others.
+    /// Partitions one machine from some others.
     pub(super) fn partition(&mut self) {
         let node = self.any_node();
         let until = self.now + self.random.u64(50..2500);
@@ -66,7 +66,7 @@
         self.crash(node);
     }
 
-    /// Crashes the newest head just after it has sent entries on, and before they are synced.
+    /// Crashes the newest head after it has forwarded entries and before it has synced them.
     pub(super) fn crash_head(&mut self) {
         self.submit();
         let head = self.newest().head().and_then(|disk| self.position(disk));
@@ -81,16 +81,17 @@
         }
     }
 
-    /// Right after something was committed, or the first thing in a view: at times the worst that is to be borne.
-    pub(super) fn consider_strike(&mut self, is_first_in_view: bool) {
+    /// Sometimes loses as many disks as are tolerated right after an entry was committed; more often if it was the first
+    /// of its view.
+    pub(super) fn maybe_lose_disks(&mut self, is_first_in_view: bool) {
         let odds = if is_first_in_view { 6 } else { 200 };
-        if !self.is_calm && self.random.u32(0..odds) == 0 {
-            self.wipe();
+        if !self.faults_ended && self.random.u32(0..odds) == 0 {
+            self.lose_disks();
         }
     }
 
-    /// Loses as many disks as are to be borne, those of the chain first, at times while all others lose power.
-    pub(super) fn wipe(&mut self) {
+    /// Loses as many disks as are tolerated, sometimes those of the chain first, sometimes while all others lose power.
+    pub(super) fn lose_disks(&mut self) {
         let mut victims: Vec<usize> = (0..self.nodes.len()).collect();
         self.random.shuffle(&mut victims);
         if self.random.bool() {
@@ -125,8 +126,8 @@
         );
     }
 
-    /// Whether the contract bears this loss: the newest view commits with all its members, or one that may lead on
-    /// remains for certain.
+    /// Whether this loss is tolerated: the newest view has committed with all its members, or a disk is certain to remain
+    /// that may be the head of the next view.
     fn may_lose(&self, victims: &[usize]) -> bool {
         let view = self.newest();
         let is_whole = view.chain.iter().all(|disk| self.position(*disk).is_some());
@@ -134,13 +135,13 @@
         (commits && is_whole) || self.survives(victims)
     }
 
-    /// Whether a disk remains that may lead on from the newest view.
+    /// Whether a disk remains that may be the head of the view after the newest one.
     fn survives(&self, victims: &[usize]) -> bool {
         let mut rest = (0..self.nodes.len()).filter(|node| !victims.contains(node));
-        rest.any(|node| self.can_lead_on(&self.nodes[node]))
+        rest.any(|node| self.can_lead_next_view(&self.nodes[node]))
     }
 
-    fn can_lead_on(&self, node: &Node) -> bool {
+    fn can_lead_next_view(&self, node: &Node) -> bool {
         let known = node.disk.view.number.max(1) as usize;
         let is_founder_or_complete = node.disk.replica_status() == ReplicaStatus::Complete;
         let always_member = self.views[known - 1..]
@@ -161,8 +162,8 @@
         self.adopt(next);
     }
 
-    /// In calm, a view is proposed where the chain stands still or is short.
-    pub(super) fn propose_in_calm(&mut self) {
+    /// Without faults, proposes a view if the chain makes no progress.
+    pub(super) fn propose_after_faults(&mut self) {
         if self.now < self.proposed_at + 1000 {
             return;
         }
@@ -181,11 +182,11 @@
         self.adopt(next);
     }
 
-    /// A view is agreed, unless it would rest on lost disks alone, which is more than is to be borne.
+    /// Agrees on a view, unless only lost disks could lead the one after it, which exceeds the tolerated losses.
     fn adopt(&mut self, next: Option<View>) {
         let Some(view) = next else { return };
         self.views.push(view);
-        if self.fault != PlantedFault::AnyHead && !self.survives(&[]) {
+        if self.fault != InjectedFault::AnyHead && !self.survives(&[]) {
             self.views.pop();
             return;
         }
--- a/crates/chain/tests/support/mod.rs
+++ b/crates/chain/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A world of simulated disks, processes and connections, played from a seed.
+//! A deterministic simulation of disks, processes and connections, driven by a seed.
 
 pub mod checker;
 pub mod disk;
@@ -11,7 +11,7 @@
 use lupinrack_cluster_api::operation::Operation;
 use lupinrack_cluster_api::time::WallMillis;
 
-/// An operation that can be told from all others.
+/// An operation that differs from all others.
 pub fn operation(number: u64) -> Operation {
     Operation::ForgetJobs {
         ended_before: WallMillis(number),
@@ -28,27 +28,27 @@
         .rotate_left(29)
 }
 
-/// A mistake of the driver that the checker has to notice.
+/// A fault of the driver that the checker has to detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PlantedFault {
-    /// None; the driver keeps to its contract.
+pub enum InjectedFault {
+    /// No fault; the driver is correct.
     None,
     /// Writes are reported before they are synced.
     AcknowledgeBeforeSync,
-    /// Truncations are reported, but not carried out.
+    /// Truncations are reported but not carried out.
     NoTruncation,
-    /// Messages of other views are passed off as ones of the receiver's view.
+    /// Messages of other views are changed to ones of the receiver's view.
     AcceptOtherViews,
     /// A restarted process has forgotten the view in which it acted.
     ViewNotStored,
     /// A view is written, but adopted before it is synced.
     ViewStoredLate,
-    /// The status is stored as complete, whatever it is.
+    /// The status on the disk is always complete.
     AlwaysComplete,
     /// Views are proposed whose head was not complete in the view before.
     AnyHead,
-    /// A snapshot that is sent is said to cover one entry more than it does.
+    /// A sent snapshot has an index one higher than that of its state.
     SentSnapshotTooNew,
-    /// A snapshot on the disk is said to cover one entry more than it does.
+    /// A stored snapshot has an index one higher than that of its state.
     StoredSnapshotTooNew,
 }
--- a/crates/chain/tests/support/network.rs
+++ b/crates/chain/tests/support/network.rs
@@ -1,16 +1,16 @@
-//! Connections that keep order while they live, and may lose or repeat what they carry.
+//! Connections that keep the order of messages until they end, and may lose or repeat messages.
 
 use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::identity::DiskId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone, Debug)]
 pub struct Packet {
     pub from: DiskId,
     pub to: DiskId,
     pub message: ChainMessage,
-    /// Which connection carries it; a connection that ended loses some.
+    /// The connection that carries it; a connection that ends may lose its packets.
     connection: u64,
 }
 
@@ -36,7 +36,7 @@
     links: BTreeMap<(DiskId, DiskId), Link>,
     /// Connections whose packets are lost.
     lost: BTreeSet<(DiskId, DiskId, u64)>,
-    pub is_calm: bool,
+    pub faults_ended: bool,
 }
 
 impl Network {
@@ -50,7 +50,7 @@
         random: &mut fastrand::Rng,
     ) -> Vec<Arrival> {
         let link = self.links.entry((from, to)).or_default();
-        if link.cut_until > now && !self.is_calm {
+        if link.cut_until > now && !self.faults_ended {
             return Vec::new();
         }
         let delay = if random.u8(..) < 8 {
@@ -78,14 +78,14 @@
         arrivals
     }
 
-    /// Whether a packet arrives after all.
+    /// Whether a packet arrives, which is decided when its connection ends.
     pub fn arrives(&self, packet: &Packet) -> bool {
         !self
             .lost
             .contains(&(packet.from, packet.to, packet.connection))
     }
 
-    /// A connection ends: what it carries is lost, or arrives among what the next connection carries.
+    /// Ends a connection: its packets are lost, or arrive mixed with those of the next connection.
     pub fn reconnect(&mut self, from: DiskId, to: DiskId, random: &mut fastrand::Rng) {
         let link = self.links.entry((from, to)).or_default();
         if random.bool() {
@@ -95,7 +95,7 @@
         link.busy_until = 0;
     }
 
-    /// Loses everything between two disks for a while.
+    /// Loses all messages in one direction between two disks until a given time.
     pub fn partition(&mut self, from: DiskId, to: DiskId, until: u64, random: &mut fastrand::Rng) {
         self.reconnect(from, to, random);
         self.links.entry((from, to)).or_default().cut_until = until;
--- a/crates/chain/tests/support/node.rs
+++ b/crates/chain/tests/support/node.rs
@@ -2,7 +2,7 @@
 
 use super::checker::{Checker, Committer, Violation};
 use super::disk::{Disk, Snapshot, Write};
-use super::{apply, PlantedFault};
+use super::{apply, InjectedFault};
 use lupinrack_chain::{Chain, Effect};
 use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::identity::DiskId;
@@ -10,7 +10,7 @@
 use lupinrack_cluster_api::view::View;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Bytes of a snapshot, so that it takes more than one chunk.
+/// Bytes of a snapshot; more than one chunk.
 const SNAPSHOT_BYTES: usize = 700 * 1024;
 
 /// A message to be sent.
@@ -20,13 +20,13 @@
     pub message: ChainMessage,
 }
 
-/// What a node asks of its world.
+/// The requests of a node to its world.
 #[derive(Debug, Default)]
 pub struct Requests {
     pub outgoing: Vec<Outgoing>,
 }
 
-/// A machine: its disk, and its process while that runs.
+/// A machine: its disk, and its process while it runs.
 #[derive(Debug)]
 pub struct Node {
     pub id: DiskId,
@@ -37,13 +37,13 @@
     pub applied: Snapshot,
     pub disk_slow_until: u64,
     minimum_length: usize,
-    fault: PlantedFault,
-    /// What was committed anywhere when a barrier of this head began.
+    fault: InjectedFault,
+    /// The highest index committed by any replica when each barrier of this head was started.
     barriers: BTreeMap<u64, u64>,
 }
 
 impl Node {
-    pub fn new(id: DiskId, minimum_length: usize, fault: PlantedFault) -> Node {
+    pub fn new(id: DiskId, minimum_length: usize, fault: InjectedFault) -> Node {
         Node {
             id,
             disk: Disk::default(),
@@ -77,8 +77,8 @@
             return Requests::default();
         }
         match self.fault {
-            PlantedFault::ViewNotStored => {}
-            PlantedFault::ViewStoredLate => self.disk.order(Write::View(view.clone())),
+            InjectedFault::ViewNotStored => {}
+            InjectedFault::ViewStoredLate => self.disk.order(Write::View(view.clone())),
             _ => self.disk.view = view.clone(),
         }
         self.barriers.clear();
@@ -96,7 +96,7 @@
         let Some(chain) = self.chain.as_mut() else {
             return Requests::default();
         };
-        if self.fault == PlantedFault::AcceptOtherViews {
+        if self.fault == InjectedFault::AcceptOtherViews {
             renumber(&mut message, chain.view().number);
         }
         let effects = chain.receive(from, message, now);
@@ -134,7 +134,7 @@
         self.carry_out(effects, now, checker)
     }
 
-    /// The oldest write of the disk is done.
+    /// Completes the oldest write of the disk.
     pub fn synced(&mut self, now: Millis, checker: &mut Checker) -> Requests {
         let write = self.disk.sync_next(self.fault);
         let (Some(write), Some(chain)) = (write, self.chain.as_mut()) else {
@@ -153,13 +153,13 @@
         self.carry_out(effects, now, checker)
     }
 
-    /// Makes a snapshot of the applied state; only while no write is under way.
+    /// Makes a snapshot of the applied state, if no write is pending.
     pub fn compact(&mut self) {
         let Some(chain) = self.chain.as_mut() else {
             return;
         };
         if self.disk.is_idle() {
-            let too_new = u64::from(self.fault == PlantedFault::StoredSnapshotTooNew);
+            let too_new = u64::from(self.fault == InjectedFault::StoredSnapshotTooNew);
             self.disk.compact(Snapshot {
                 index: self.applied.index + too_new,
                 ..self.applied
@@ -193,7 +193,7 @@
             Effect::Append(entries) => {
                 let last = entries.last().map_or(0, |entry| entry.index);
                 self.disk.order(Write::Append(entries));
-                if self.fault == PlantedFault::AcknowledgeBeforeSync {
+                if self.fault == InjectedFault::AcknowledgeBeforeSync {
                     return chain.entries_written(last, now);
                 }
             }
@@ -214,7 +214,7 @@
             }
             Effect::NeedSnapshot => {
                 let bytes = self.applied.state.to_le_bytes().repeat(SNAPSHOT_BYTES / 8);
-                let too_new = u64::from(self.fault == PlantedFault::SentSnapshotTooNew);
+                let too_new = u64::from(self.fault == InjectedFault::SentSnapshotTooNew);
                 return chain.provide_snapshot(self.applied.index + too_new, bytes, now);
             }
         }
@@ -268,7 +268,7 @@
     }
 }
 
-/// Passes a message of another view off as one of this view.
+/// Changes a message of another view to one of this view.
 fn renumber(message: &mut ChainMessage, newest: u64) {
     match message {
         ChainMessage::Append { view, .. }
--- a/crates/chain/tests/support/policy.rs
+++ b/crates/chain/tests/support/policy.rs
@@ -1,11 +1,11 @@
-//! Which views may be agreed: any that the policy allows, whether wise or not.
+//! The views that may be agreed: any that the safety rules allow, useful or not.
 
-use super::PlantedFault;
+use super::InjectedFault;
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::view::View;
 use std::collections::BTreeSet;
 
-/// What was ever said in heartbeats under the newest view, also by processes that have died since.
+/// The reports in heartbeats under the newest view, including those of processes that have ended since.
 #[derive(Debug, Default)]
 pub struct Claims {
     view: u64,
@@ -23,29 +23,29 @@
         }
     }
 
-    /// A member of the newest view is complete.
+    /// Notes that a member of the newest view is complete.
     pub fn complete(&mut self, view: u64, disk: DiskId) {
         self.turn_to(view);
         self.complete.insert(disk);
     }
 
-    /// A spare has caught up in the newest view.
+    /// Notes that a spare has caught up in the newest view.
     pub fn is_caught_up(&mut self, view: u64, disk: DiskId) {
         self.turn_to(view);
         self.is_caught_up.insert(disk);
     }
 
-    /// The next view: some members of the current one, then some spares. None where no head is to be had.
+    /// The next view: some members of the current one, then some spares. None if no disk can be the head.
     pub fn next_view(
         &self,
         current: &View,
         usable: impl Fn(DiskId) -> bool,
         random: &mut fastrand::Rng,
-        fault: PlantedFault,
+        fault: InjectedFault,
     ) -> Option<View> {
         let fresh = self.view == current.number;
         let may_lead = |disk: &DiskId| {
-            fault == PlantedFault::AnyHead || (fresh && self.complete.contains(disk))
+            fault == InjectedFault::AnyHead || (fresh && self.complete.contains(disk))
         };
         let kept = current.chain.iter().copied().filter(|disk| usable(*disk));
         let mut chain: Vec<DiskId> = kept.skip_while(|disk| !may_lead(disk)).collect();
--- a/crates/chain/tests/support/world.rs
+++ b/crates/chain/tests/support/world.rs
@@ -1,10 +1,10 @@
-//! The history of one seed: load, faults and views, then calm.
+//! The history of one seed: load, faults and views, then a period without faults.
 
 use super::checker::{Checker, Violation};
 use super::network::{Network, Packet};
 use super::node::{Node, Requests};
 use super::policy::Claims;
-use super::PlantedFault;
+use super::InjectedFault;
 use lupinrack_cluster_api::chain::ChainMessage;
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::time::Millis;
@@ -13,13 +13,13 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 const TICK_MS: u64 = 50;
-const TROUBLE_MS: u64 = 12_000;
-const CALM_MS: u64 = 8_000;
+const FAULTS_MS: u64 = 12_000;
+const RECOVERY_MS: u64 = 8_000;
 
-/// Something that happens.
+/// An event of the simulation.
 #[derive(Debug)]
 pub(super) enum Event {
-    /// A packet arrives, if the receiver's process is still the one that it was sent to.
+    /// A packet arrives if the receiver's process is still the one that it was sent to.
     Arrive {
         packet: Packet,
         incarnation: u64,
@@ -34,7 +34,7 @@
         node: usize,
         incarnation: u64,
     },
-    /// A process hears of a view.
+    /// A process learns of a view.
     Learn {
         node: usize,
         view: View,
@@ -43,11 +43,11 @@
         node: usize,
         incarnation: u64,
     },
-    /// The next order, fault or proposal.
+    /// The next operation, fault or proposal.
     Act,
 }
 
-/// How a history went.
+/// The outcome of a history.
 #[derive(Debug, Default)]
 pub struct Summary {
     pub committed: u64,
@@ -58,10 +58,10 @@
     pub violation: Option<Violation>,
 }
 
-/// The world of one seed.
+/// The simulated world of one seed.
 pub struct World {
     pub(super) random: fastrand::Rng,
-    pub(super) fault: PlantedFault,
+    pub(super) fault: InjectedFault,
     pub(super) now: u64,
     pub(super) sequence: u64,
     pub(super) queue: BinaryHeap<Reverse<(u64, u64)>>,
@@ -75,13 +75,13 @@
     pub(super) minimum_length: usize,
     pub(super) next_disk: u64,
     pub(super) next_operation: u64,
-    pub(super) is_calm: bool,
+    pub(super) faults_ended: bool,
     pub(super) proposed_at: u64,
     pub(super) summary: Summary,
 }
 
 impl World {
-    pub fn new(seed: u64, fault: PlantedFault) -> World {
+    pub fn new(seed: u64, fault: InjectedFault) -> World {
         let mut random = fastrand::Rng::with_seed(seed);
         let count = random.usize(3..=9);
         let losses = random.usize(0..=(count - 1) / 2);
@@ -110,7 +110,7 @@
             minimum_length,
             next_disk: count as u64 + 1,
             next_operation: 1,
-            is_calm: false,
+            faults_ended: false,
             proposed_at: 0,
             summary: Summary::default(),
         };
@@ -121,11 +121,11 @@
         world
     }
 
-    /// Plays the history; ends early at the first violation.
+    /// Runs the history; ends early at the first violation.
     pub fn run(mut self) -> Summary {
-        self.run_until(TROUBLE_MS);
-        self.become_calm();
-        self.run_until(TROUBLE_MS + CALM_MS);
+        self.run_until(FAULTS_MS);
+        self.end_faults();
+        self.run_until(FAULTS_MS + RECOVERY_MS);
         self.check_end();
         self.summary.committed = self.checker.committed();
         self.summary.views = self.newest().number;
@@ -148,7 +148,7 @@
                 let (view, committed) = (self.checker.newest_view(), self.checker.committed());
                 self.happen(event);
                 if self.checker.committed() > committed {
-                    self.consider_strike(view < self.checker.newest_view());
+                    self.maybe_lose_disks(view < self.checker.newest_view());
                 }
             }
         }
@@ -208,7 +208,7 @@
         self.announce(node);
     }
 
-    /// A process hears of the newest view, sooner or later.
+    /// Schedules the time at which a process learns of the newest view.
     pub(super) fn announce(&mut self, node: usize) {
         let view = self.newest().clone();
         let delay = if self.random.u8(..) < 40 {
@@ -267,7 +267,7 @@
         }
     }
 
-    /// Sends what a node wants sent, and lets its disk work.
+    /// Sends the messages of a node and starts a sync of its disk.
     fn serve(&mut self, node: usize, requests: Requests) {
         let from = self.nodes[node].id;
         self.start_sync(node);
@@ -300,7 +300,7 @@
         }
     }
 
-    /// One sync at a time covers all writes that were ordered before it.
+    /// Starts a sync if none is in progress; it covers all pending writes.
     fn start_sync(&mut self, node: usize) {
         let writes = self.nodes[node].disk.start_sync();
         if writes == 0 {
@@ -340,15 +340,15 @@
             0..400 => self.submit(),
             400..600 => self.start_barriers(),
             600..680 => self.compact(),
-            680..760 if !self.is_calm => self.reconnect(),
-            760..785 if !self.is_calm => self.partition(),
-            785..800 if !self.is_calm => self.slow_disk(),
-            800..815 if !self.is_calm => self.crash_one(),
-            815..830 if !self.is_calm => self.crash_head(),
-            830..834 if !self.is_calm => self.crash_all(),
-            834..842 if !self.is_calm => self.wipe(),
-            842..900 if !self.is_calm => self.propose_any(),
-            900..1000 if self.is_calm => self.propose_in_calm(),
+            680..760 if !self.faults_ended => self.reconnect(),
+            760..785 if !self.faults_ended => self.partition(),
+            785..800 if !self.faults_ended => self.slow_disk(),
+            800..815 if !self.faults_ended => self.crash_one(),
+            815..830 if !self.faults_ended => self.crash_head(),
+            830..834 if !self.faults_ended => self.crash_all(),
+            834..842 if !self.faults_ended => self.lose_disks(),
+            842..900 if !self.faults_ended => self.propose_any(),
+            900..1000 if self.faults_ended => self.propose_after_faults(),
             _ => {}
         }
     }
@@ -373,10 +373,10 @@
         }
     }
 
-    /// Everything works from now on.
-    fn become_calm(&mut self) {
-        self.is_calm = true;
-        self.network.is_calm = true;
+    /// Ends all faults.
+    fn end_faults(&mut self) {
+        self.faults_ended = true;
+        self.network.faults_ended = true;
         for node in 0..self.nodes.len() {
             self.nodes[node].disk_slow_until = 0;
             if self.nodes[node].chain.is_none() {
@@ -403,7 +403,7 @@
                 expected,
             });
         }
-        // Every replica follows closely, members and spares.
+        // Every replica, member or spare, is at most 1000 entries behind.
         let behind = self
             .nodes
             .iter()
