--- a/crates/chain/tests/snapshot_chunks.rs
+++ b/crates/chain/tests/snapshot_chunks.rs
@@ -12,7 +12,7 @@
 const TAIL: DiskId = DiskId(1);
 const SPARE: DiskId = DiskId(2);
 /// Chunks of each snapshot in these tests.
-const PIECES: u32 = 4;
+const CHUNKS: u32 = 4;
 
 /// The chunks of a snapshot up to `index`, filled with this byte, that a tail sends in this view.
 fn chunks_of(view_number: u64, index: u64, fill: u8) -> Vec<ChainMessage> {
@@ -35,7 +35,7 @@
 }
 
 fn bytes(fill: u8) -> Vec<u8> {
-    vec![fill; SNAPSHOT_CHUNK_BYTES * (PIECES as usize - 1) + 5]
+    vec![fill; SNAPSHOT_CHUNK_BYTES * (CHUNKS as usize - 1) + 5]
 }
 
 /// The chunks among these effects.
@@ -166,11 +166,11 @@
     };
     let mut spare = spare(1);
     let spoilt = [
-        chunk(right, PIECES, 5),
+        chunk(right, CHUNKS, 5),
         chunk(right, u32::MAX, 5),
         chunk(right, 0, 5),
         chunk(right, 0, SNAPSHOT_CHUNK_BYTES + 1),
-        chunk(right, PIECES - 1, SNAPSHOT_CHUNK_BYTES + 1),
+        chunk(right, CHUNKS - 1, SNAPSHOT_CHUNK_BYTES + 1),
         chunk(SnapshotIdentity { chunks: 0, ..right }, 0, 0),
     ];
     for message in spoilt {
@@ -301,7 +301,7 @@
     for other in others {
         assert_eq!(answer(&mut tail, other, 3, START), [0; 0]);
     }
-    assert_eq!(answer(&mut tail, snapshot, PIECES + 1, START), [0; 0]);
+    assert_eq!(answer(&mut tail, snapshot, CHUNKS + 1, START), [0; 0]);
     assert_eq!(answer(&mut tail, snapshot, 2, START), [2, 3]);
 }
 
--- a/crates/chain/tests/support/network.rs
+++ b/crates/chain/tests/support/network.rs
@@ -78,7 +78,7 @@
         arrivals
     }
 
-    /// Whether a packet arrives, which is decided when its connection ends.
+    /// Whether a packet arrives: its connection has not ended with the loss of its packets.
     pub fn arrives(&self, packet: &Packet) -> bool {
         !self
             .lost
--- a/crates/view-agreement/tests/agreement.rs
+++ b/crates/view-agreement/tests/agreement.rs
@@ -1,4 +1,4 @@
-//! The rules of acceptors, proposers and learners, one by one.
+//! Tests of single rules of acceptors, proposers and learners.
 
 mod common;
 
@@ -46,7 +46,7 @@
     effects.iter().flat_map(one).collect()
 }
 
-/// What may leave only after a sync.
+/// The messages that may be sent only after a sync.
 fn held_back(effects: &[Effect]) -> Vec<AgreementMessage> {
     let one = |effect: &Effect| match effect {
         Effect::Persist { then, .. } => then.iter().map(|(_, message)| message.clone()).collect(),
@@ -118,7 +118,7 @@
         })
 }
 
-/// The view of the accepts among the effects, and to whom they go.
+/// The view in the accept requests among the effects, and the receivers.
 fn asked_to_accept(effects: &[Effect]) -> Option<(View, Vec<PeerAddress>)> {
     let mut found: Option<(View, Vec<PeerAddress>)> = None;
     for (to, message) in sent(effects) {
@@ -129,13 +129,13 @@
     found
 }
 
-/// Proposes a view; the number of the attempt that begins.
+/// Proposes a view and returns the proposal number of the attempt.
 fn propose(by: &mut Agreement, view: View) -> ProposalNumber {
-    attempted_proposal(&by.propose(view, START)).expect("an attempt begins")
+    attempted_proposal(&by.propose(view, START)).expect("an attempt starts")
 }
 
 #[test]
-fn a_promise_leaves_only_after_the_sync_that_keeps_it() {
+fn a_promise_is_sent_only_after_it_is_synced() {
     let mut acceptor = knowing(0, view(1, &[0, 1, 2], &[0, 1]));
     let effects = prepare(&mut acceptor, 5);
     assert!(matches!(
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_disk_that_is_no_voter_answers_with_the_newest_view_alone() {
+fn a_disk_that_is_not_a_voter_answers_only_with_the_newest_view() {
     let current = view(1, &[0, 1, 2], &[0, 1]);
     let new_disk = Voter {
         disk: DiskId(77),
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn an_empty_disk_that_does_not_found_answers_nothing() {
+fn an_empty_disk_that_is_not_a_founder_does_not_answer() {
     let mut acceptor = knowing(0, View::default());
     assert_eq!(prepare(&mut acceptor, 5), Vec::new());
     assert_eq!(
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn founders_are_only_taken_on_an_empty_disk() {
+fn founders_are_stored_only_on_an_empty_disk() {
     let vote = VoteState {
         prepared: proposal_number(3),
         ..VoteState::default()
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_founder_keeps_on_disk_that_it_founds() {
+fn a_founder_stores_the_founders_on_its_disk() {
     let mut first = founder(0);
     let effects = first.tick(START);
     let [Effect::Persist { vote, .. }] = &effects[..] else {
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn a_disk_that_entered_later_does_not_count_as_a_founder_that_accepted_nothing() {
+fn a_disk_that_joined_later_does_not_count_as_a_founder_that_accepted_nothing() {
     let replaced = Voter {
         disk: DiskId(77),
         ..voter(1)
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn a_view_that_may_have_been_chosen_is_finished_and_announced_to_all() {
+fn a_view_that_may_have_been_chosen_is_completed_and_announced_to_all() {
     let newer = view(2, &[1, 2, 3], &[1]);
     let mut proposer = knowing(0, view(1, &[0, 1, 2, 4, 5], &[0, 1, 2]));
     let running = propose(&mut proposer, view(2, &[0, 1, 2], &[2]));
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn prepare_responses_of_strangers_of_the_same_disk_and_of_later_instances_do_not_count() {
+fn prepare_responses_of_unknown_senders_of_the_same_disk_and_of_later_instances_do_not_count() {
     let mut proposer = knowing(0, view(1, &[0, 1, 2], &[0, 1]));
     let running = propose(&mut proposer, view(2, &[0, 1, 2], &[1]));
     let beyond = Some((proposal_number(9), view(3, &[0, 1, 2], &[2])));
@@ -347,7 +347,7 @@
 }
 
 #[test]
-fn a_disk_votes_from_its_own_address_alone() {
+fn a_disk_votes_only_from_its_own_address() {
     let mut proposer = knowing(0, view(1, &[0, 1, 2], &[0, 1]));
     let running = propose(&mut proposer, view(2, &[0, 1, 3], &[0]));
     send_prepared(&mut proposer, 0, running, None);
@@ -378,7 +378,7 @@
 }
 
 #[test]
-fn the_majority_of_the_old_voters_and_that_of_the_new_are_both_needed() {
+fn majorities_of_the_old_and_the_new_voters_are_both_needed() {
     for (first, last) in [([0, 1], [3, 4]), ([3, 4], [0, 1])] {
         let mut proposer = knowing(0, view(1, &[0, 1, 2], &[0, 1]));
         let running = propose(&mut proposer, view(2, &[2, 3, 4], &[2]));
@@ -392,7 +392,7 @@
 }
 
 #[test]
-fn a_disk_that_enters_accepts_its_view_and_promises_nothing_before() {
+fn a_new_voter_accepts_its_view_and_promises_nothing_before() {
     let mut entering = knowing(3, view(1, &[0, 1, 2], &[0, 1]));
     assert_eq!(held_back(&prepare(&mut entering, 5)), Vec::new());
     assert_eq!(
@@ -418,7 +418,7 @@
 }
 
 #[test]
-fn a_voter_that_was_removed_learns_of_it_from_those_that_it_asks() {
+fn a_removed_voter_learns_of_its_removal_from_the_acceptors() {
     let newest = view(3, &[1, 2, 3], &[1, 2]);
     let mut removed = knowing(0, view(1, &[0, 1, 2], &[0, 1]));
     let running = propose(&mut removed, view(2, &[0, 1, 2], &[0]));
@@ -440,7 +440,7 @@
 }
 
 #[test]
-fn old_news_change_nothing() {
+fn older_views_and_proposals_change_nothing() {
     let newest = view(3, &[0, 1, 2], &[0, 1]);
     let mut learner = knowing(0, newest.clone());
     for number in [1, 2, 3] {
@@ -474,7 +474,7 @@
 }
 
 #[test]
-fn a_timeout_leads_to_the_same_message_and_then_to_a_higher_proposal() {
+fn a_timeout_repeats_the_request_and_then_starts_a_higher_proposal() {
     let mut proposer = knowing(0, view(1, &[0, 1, 2], &[0, 1]));
     let running = propose(&mut proposer, view(2, &[0, 1, 2], &[1]));
     send_prepared(&mut proposer, 2, running, None);
@@ -482,7 +482,7 @@
     assert_eq!(attempted_proposal(&again), Some(running));
     assert!(
         !sent(&again).iter().any(|(to, _)| *to == address(2)),
-        "it has answered"
+        "this acceptor has answered"
     );
     assert_eq!(proposer.tick(START.plus(ATTEMPT_TIMEOUT_MS)), Vec::new());
     let next = attempted_proposal(&proposer.tick(START.plus(LONG_MS))).expect("another proposal");
@@ -490,7 +490,7 @@
 }
 
 #[test]
-fn a_rejection_leads_above_the_proposal_that_was_prepared() {
+fn a_rejection_leads_to_a_proposal_above_the_prepared_one() {
     let mut proposer = knowing(0, view(1, &[0, 1, 2], &[0, 1]));
     let running = propose(&mut proposer, view(2, &[0, 1, 2], &[1]));
     let rejection = AgreementMessage::Rejected {
@@ -502,7 +502,7 @@
     assert!(next > proposal_number(40));
 }
 
-/// Counts the proposals that begin within a minute of silence.
+/// Counts the attempts that start within a minute in which no message arrives.
 fn count_attempts(proposer: &mut Agreement, wanted: Option<&View>) -> usize {
     let mut attempts = std::collections::BTreeSet::new();
     for step in 0..2400 {
@@ -526,7 +526,7 @@
 }
 
 #[test]
-fn every_ask_is_preceded_by_the_view_that_it_builds_on() {
+fn every_request_is_preceded_by_the_view_before_it() {
     let current = view(1, &[0, 1, 2], &[0, 1]);
     let mut proposer = knowing(0, current.clone());
     let effects = proposer.propose(view(2, &[0, 1, 2], &[1]), START);
--- a/crates/view-agreement/tests/common/mod.rs
+++ b/crates/view-agreement/tests/common/mod.rs
@@ -8,12 +8,12 @@
     PeerAddress(SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, index), 7000))
 }
 
-/// The disk that the machine of this index has at first.
+/// The first disk of the machine with this index.
 pub fn disk(index: u8) -> DiskId {
     DiskId(u64::from(index))
 }
 
-/// The machine of this index, in one of three zones.
+/// The machine with this index, in one of three zones.
 pub fn voter(index: u8) -> Voter {
     Voter {
         disk: disk(index),
--- a/crates/view-agreement/tests/golden.rs
+++ b/crates/view-agreement/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Encoded forms that must stay as they are: the vote on the disk, and the messages that an agreement sends.
+//! Encoded forms that must not change: the vote on the disk, and the messages that an agreement sends.
 
 mod common;
 
@@ -17,10 +17,10 @@
 /// The machines that found the system.
 const FOUNDERS: [u8; 3] = [1, 2, 3];
 
-/// A message on its way: from, to, and what.
+/// A message in flight: its sender, its receiver and its contents.
 type Envelope = (PeerAddress, PeerAddress, AgreementMessage);
 
-/// Checks that the file holds the encoded form of these values and nothing else, and that what it holds decodes to them.
+/// Checks that the file holds exactly the encoded forms of these values, and that they decode to the values.
 fn assert_kept<T>(file: &str, examples: &[(String, T)])
 where
     T: BorshSerialize + BorshDeserialize + PartialEq + Debug,
@@ -118,7 +118,7 @@
     seen
 }
 
-/// What a proposer gets that asks under a lower proposal than was promised.
+/// The messages of a proposer whose proposal number is lower than the promised one.
 fn overtaken_ballot() -> Vec<Envelope> {
     let (proposer, acceptor) = (address(9), address(2));
     let prepared = ProposalNumber {
@@ -156,12 +156,12 @@
     )
 }
 
-/// What the process of the machine of this index drew.
+/// The incarnation of the process on the machine with this index.
 fn incarnation(index: u8) -> u64 {
     0x5152_5354_5556_5700 + disk(index).0
 }
 
-/// The messages among the effects of a process, both those that go out at once and those that wait for its disk.
+/// The messages among the effects of a process, both those sent at once and those that wait for its disk.
 fn messages(from: PeerAddress, effects: Vec<Effect>) -> Vec<Envelope> {
     let of = |effect| match effect {
         Effect::Persist { then, .. } => then,
--- a/crates/view-agreement/tests/model/agreement.rs
+++ b/crates/view-agreement/tests/model/agreement.rs
@@ -1,11 +1,11 @@
 //! Three voters and two proposals.
 
 use crate::common::view;
-use crate::system::{explore, Answers, PlantedFault, Setup, TWO_VIEWS};
+use crate::system::{explore, Answers, InjectedFault, Setup, TWO_VIEWS};
 use lupinrack_cluster_api::view::View;
 use stateright::Checker;
 
-/// What a machine wants: each another view, one of them with fewer voters.
+/// The view that a machine proposes: each a different one, one of them with fewer voters.
 fn wanted_by(machine: u8) -> View {
     match machine {
         0 => view(2, &[0, 1, 2], &[0]),
@@ -24,7 +24,7 @@
         losses: 0,
         draining: None,
         answers: Answers::Delayed,
-        fault: PlantedFault::None,
+        fault: InjectedFault::None,
         known_outcomes: Default::default(),
     }
 }
@@ -47,7 +47,7 @@
 #[test]
 fn an_answer_before_the_sync_is_found() {
     let setup = Setup {
-        fault: PlantedFault::AnswersBeforeSync,
+        fault: InjectedFault::AnswersBeforeSync,
         ..three(&[1, 1], 1)
     };
     explore(setup, Some(14), &[TWO_VIEWS]).assert_any_discovery(TWO_VIEWS);
--- a/crates/view-agreement/tests/model/main.rs
+++ b/crates/view-agreement/tests/model/main.rs
@@ -1,5 +1,5 @@
-//! The agreement in a model checker: messages are delivered in any order, again, or never; processes end, and disks are
-//! lost, at any moment.
+//! Model checking of the agreement: messages are delivered in any order, repeatedly, or never; processes crash and disks
+//! are lost at any time.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/view-agreement/tests/model/replacement.rs
+++ b/crates/view-agreement/tests/model/replacement.rs
@@ -1,11 +1,11 @@
-//! A new disk takes the place of one of three or four voters, while two machines are lost and a third is draining.
+//! A new disk replaces one of three or four voters, while two machines are lost and a third is draining.
 
 use crate::common::view;
-use crate::system::{explore, Answers, PlantedFault, Setup, NOT_ON_DISKS, STANDS_STILL, TWO_VIEWS};
+use crate::system::{explore, Answers, InjectedFault, Setup, NOT_ON_DISKS, NO_PROGRESS, TWO_VIEWS};
 use lupinrack_cluster_api::view::View;
 use stateright::Checker;
 
-/// Machine 3 takes the place of machine 2, for some; for others, that of machine 0.
+/// Some machines propose that machine 3 replaces machine 2, others that it replaces machine 0.
 fn wanted_of_three(machine: u8) -> View {
     match machine {
         0 => view(2, &[0, 1, 3], &[0, 1]),
@@ -14,7 +14,7 @@
     }
 }
 
-/// Machine 4 takes the place of machine 3, for some; for others, machine 3 is removed.
+/// Some machines propose that machine 4 replaces machine 3, others that machine 3 is removed.
 fn wanted_of_four(machine: u8) -> View {
     match machine {
         0 => view(2, &[0, 1, 2, 4], &[0, 1, 2]),
@@ -33,7 +33,7 @@
         losses: 2,
         draining: Some(2),
         answers: Answers::Immediate,
-        fault: PlantedFault::None,
+        fault: InjectedFault::None,
         known_outcomes: Default::default(),
     }
 }
@@ -62,7 +62,7 @@
 fn a_voter_that_is_removed_without_an_overlap_of_majorities_is_found() {
     for setup in [three(&[1, 1]), four(&[1, 1])] {
         let setup = Setup {
-            fault: PlantedFault::CountsNewVotersOnly,
+            fault: InjectedFault::CountsNewVotersOnly,
             ..setup
         };
         explore(setup, None, &[NOT_ON_DISKS]).assert_any_discovery(NOT_ON_DISKS);
@@ -70,21 +70,21 @@
 }
 
 #[test]
-fn two_views_come_of_a_removal_without_an_overlap() {
+fn a_removal_without_an_overlap_leads_to_two_views() {
     let setup = Setup {
-        fault: PlantedFault::CountsNewVotersOnly,
+        fault: InjectedFault::CountsNewVotersOnly,
         ..three(&[1, 1])
     };
     explore(setup, None, &[TWO_VIEWS]).assert_any_discovery(TWO_VIEWS);
 }
 
 #[test]
-fn a_loss_too_many_is_found() {
+fn one_loss_more_than_tolerated_is_found() {
     let setup = Setup {
-        fault: PlantedFault::LosesTooMuch,
+        fault: InjectedFault::LosesTooMany,
         ..three(&[1, 1])
     };
-    explore(setup, None, &[STANDS_STILL]).assert_any_discovery(STANDS_STILL);
+    explore(setup, None, &[NO_PROGRESS]).assert_any_discovery(NO_PROGRESS);
 }
 
 #[test]
--- a/crates/view-agreement/tests/model/system.rs
+++ b/crates/view-agreement/tests/model/system.rs
@@ -1,4 +1,4 @@
-//! Processes and messages, as the model checker explores them.
+//! The model of processes and messages that the model checker explores.
 
 use crate::common::{address, voter};
 use lupinrack_cluster_api::agreement::AgreementMessage;
@@ -11,74 +11,75 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::{Arc, Mutex};
 
-/// Longer than every delay between two attempts.
-const ATTEMPT_MS: u64 = 2000;
-/// Ballots after which an agreement that goes on has come to its end.
-const BALLOTS_TO_GO_ON: u64 = 6;
+/// Longer than every delay between two attempts, in milliseconds.
+const MAX_ATTEMPT_DELAY_MS: u64 = 2000;
+/// Proposals of each remaining machine within which an agreement that makes progress decides.
+const MAX_PROPOSALS_UNTIL_AGREED: u64 = 6;
 
-/// The properties that may turn out to be broken: one view for each number.
+/// The property that each number has one view.
 pub const TWO_VIEWS: &str = "one view for each number";
-/// Agreed views are on the disks of majorities.
+/// The property that agreed views are on the disks of majorities.
 pub const NOT_ON_DISKS: &str = "agreed views are on disks";
-/// Whoever is left agrees on a next view.
-pub const STANDS_STILL: &str = "the agreement goes on";
+/// The property that the remaining machines can agree on a next view.
+pub const NO_PROGRESS: &str = "the agreement makes progress";
 
-/// What a process may do wrong, to see that the checker finds it.
+/// A fault that the checker has to find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PlantedFault {
+pub enum InjectedFault {
     None,
     /// A vote is sent before it is on disk, so that a crash may lose the newest one.
     AnswersBeforeSync,
     /// A view counts as agreed without a majority of the voters before it: a voter is removed without an overlap.
     CountsNewVotersOnly,
-    /// More is lost than a majority bears.
-    LosesTooMuch,
+    /// More machines are lost than a majority tolerates.
+    LosesTooMany,
 }
 
-/// How an answer reaches the process that asked.
+/// How an answer reaches the process that sent the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answers {
-    /// Like any other message.
+    /// The answer is delivered like any other message.
     Delayed,
-    /// At once or never. An answer changes nothing but the proposal that it is for, so nothing can come of its delay
-    /// that does not come of a delay of the messages that it leads to.
+    /// The answer is delivered at once or never. It changes only the proposal that it is for, so its delay has no effect
+    /// that a delay of the messages sent because of it does not have too.
     Immediate,
 }
 
-/// What is explored.
+/// The system that is explored.
 #[derive(Clone)]
 pub struct Setup {
-    /// View 1, which everybody knows.
+    /// View 1, which every machine knows.
     pub founded: View,
-    /// How many machines there are: the voters, and new disks after them.
+    /// The number of machines: the voters, followed by new disks.
     pub machines: u8,
-    /// View 2 as each machine wants it.
+    /// View 2 as each machine proposes it.
     pub wanted: fn(u8) -> View,
-    /// How many proposals each machine may begin; none for those that are not listed.
+    /// How many proposals each machine may start; none for machines that are not listed.
     pub attempts: &'static [u8],
-    /// How many processes may end and start again on their disks.
+    /// How many processes may crash and restart on their disks.
     pub crashes: u8,
-    /// How many machines may be lost for good, with their disks, at any moment. For what is agreed that is the same as
-    /// messages that are never delivered; whether the others go on is looked at in every state, for all such losses.
+    /// How many machines may be lost permanently, with their disks, at any time. For the agreed views this equals
+    /// messages that are never delivered. Whether the other machines make progress is checked in every state, for all
+    /// such losses.
     pub losses: u32,
-    /// A machine that was told to end, and may do so at any moment beside those losses.
+    /// A draining machine, which may end at any time in addition to those losses.
     pub draining: Option<u8>,
     pub answers: Answers,
-    pub fault: PlantedFault,
-    /// Whether disks in a certain state, without some machines, go on: what was found out before.
+    pub fault: InjectedFault,
+    /// A cache of outcomes: whether the remaining machines make progress, by a hash of their disks.
     pub known_outcomes: Arc<Mutex<HashMap<u64, bool>>>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Machine {
-    /// What is on disk for certain.
+    /// The synced vote on the disk.
     stored: VoteState,
     agreement: Agreement,
     incarnations: u64,
     attempts: u8,
 }
 
-/// A message on its way, encoded so that it has an order and a hash.
+/// A message in flight, encoded so that it has an order and a hash.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Envelope {
     from: u8,
@@ -89,29 +90,29 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     machines: Vec<Machine>,
-    /// Everything that was ever sent: what is here may arrive at any time, and again.
+    /// All messages ever sent; each may arrive at any time and repeatedly.
     sent: BTreeSet<Envelope>,
-    /// The encoded views that were taken for agreed, by number.
+    /// The encoded views that any machine considers agreed, by number.
     agreed: BTreeMap<u64, BTreeSet<Vec<u8>>>,
-    /// Whose disks ever held which view as accepted, by encoded view.
-    held: BTreeMap<Vec<u8>, BTreeSet<u8>>,
+    /// The machines whose disks ever held a view as accepted, by encoded view.
+    holders_by_view: BTreeMap<Vec<u8>, BTreeSet<u8>>,
     crashes: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    BeginBallot(u8),
+    BeginProposal(u8),
     Deliver(Envelope),
     /// Delivers a message whose answer is lost.
     DeliverUnanswered(Envelope),
     Crash(u8),
 }
 
-/// The process that asked and is answered at once.
+/// The process that sent a request and is answered at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Asker {
+struct Requester {
     index: u8,
-    hears: bool,
+    receives_answer: bool,
 }
 
 fn encode_message(message: &AgreementMessage) -> Vec<u8> {
@@ -165,21 +166,27 @@
             machines: (0..self.machines).map(machine).collect(),
             sent: BTreeSet::new(),
             agreed: BTreeMap::new(),
-            held: BTreeMap::new(),
+            holders_by_view: BTreeMap::new(),
             crashes: 0,
         }
     }
 
-    /// Does what a process asks for. Its messages to itself arrive at once, and its writes are synced at once: a sync
-    /// that takes time is no different from messages that do.
-    fn perform(&self, state: &mut State, index: u8, effects: Vec<Effect>, asker: Option<Asker>) {
+    /// Carries out the effects of a process. Its messages to itself arrive at once, and its writes are synced at once: a
+    /// slow sync has the same effect as delayed messages.
+    fn perform(
+        &self,
+        state: &mut State,
+        index: u8,
+        effects: Vec<Effect>,
+        requester: Option<Requester>,
+    ) {
         for effect in effects {
             match effect {
-                Effect::Send(to, message) => self.send(state, index, (to, message), asker),
+                Effect::Send(to, message) => self.send(state, index, (to, message), requester),
                 Effect::Persist { vote, then } => {
                     self.persist(state, index, vote);
                     for message in then {
-                        self.send(state, index, message, asker);
+                        self.send(state, index, message, requester);
                     }
                 }
                 Effect::Agreed(view) => {
@@ -194,12 +201,12 @@
     }
 
     fn persist(&self, state: &mut State, index: u8, vote: VoteState) {
-        if self.fault == PlantedFault::AnswersBeforeSync {
+        if self.fault == InjectedFault::AnswersBeforeSync {
             return;
         }
         if vote.accepted.number > 1 {
             state
-                .held
+                .holders_by_view
                 .entry(encode_view(&vote.accepted))
                 .or_default()
                 .insert(index);
@@ -207,13 +214,13 @@
         state.machines[usize::from(index)].stored = vote;
     }
 
-    /// Sends what can matter: everybody knows view 1 here.
+    /// Sends a message, unless it only announces view 1, which every machine knows.
     fn send(
         &self,
         state: &mut State,
         from: u8,
         (to, message): (PeerAddress, AgreementMessage),
-        asker: Option<Asker>,
+        requester: Option<Requester>,
     ) {
         let known = matches!(&message, AgreementMessage::Agreed { view } if view.number <= 1);
         let Some(to) = self.index_of(to).filter(|_| !known) else {
@@ -222,9 +229,15 @@
         if to == from {
             return self.receive(state, from, to, message, None);
         }
-        match asker.filter(|asker| asker.index == to) {
-            Some(Asker { hears: true, .. }) => self.receive(state, from, to, message, None),
-            Some(Asker { hears: false, .. }) => {}
+        match requester.filter(|requester| requester.index == to) {
+            Some(Requester {
+                receives_answer: true,
+                ..
+            }) => self.receive(state, from, to, message, None),
+            Some(Requester {
+                receives_answer: false,
+                ..
+            }) => {}
             None => {
                 state.sent.insert(Envelope {
                     from,
@@ -241,18 +254,18 @@
         from: u8,
         to: u8,
         message: AgreementMessage,
-        asker: Option<Asker>,
+        requester: Option<Requester>,
     ) {
-        if self.fault == PlantedFault::CountsNewVotersOnly {
-            self.make_up_old_votes(state, to, &message);
+        if self.fault == InjectedFault::CountsNewVotersOnly {
+            self.forge_old_votes(state, to, &message);
         }
         let machine = &mut state.machines[usize::from(to)];
         let effects = machine.agreement.receive(address(from), message, Millis(0));
-        self.perform(state, to, effects, asker);
+        self.perform(state, to, effects, requester);
     }
 
-    /// Makes votes of the voters before a view up wherever one of its own voters has accepted it.
-    fn make_up_old_votes(&self, state: &mut State, to: u8, message: &AgreementMessage) {
+    /// Forges votes of the voters before a view whenever one of its own voters has accepted it.
+    fn forge_old_votes(&self, state: &mut State, to: u8, message: &AgreementMessage) {
         let AgreementMessage::Accepted {
             proposal_number, ..
         } = message
@@ -260,68 +273,68 @@
             return;
         };
         for old in &self.founded.voters {
-            let made_up = AgreementMessage::Accepted {
+            let forged = AgreementMessage::Accepted {
                 proposal_number: *proposal_number,
                 disk: old.disk,
             };
             let new = (self.wanted)(to);
             if new.voter(old.disk).is_none() {
                 let machine = &mut state.machines[usize::from(to)];
-                let effects = machine.agreement.receive(old.address, made_up, Millis(0));
+                let effects = machine.agreement.receive(old.address, forged, Millis(0));
                 self.perform(state, to, effects, None);
             }
         }
     }
 
-    fn deliver(&self, state: &mut State, envelope: &Envelope, hears: bool) -> Option<()> {
+    fn deliver(&self, state: &mut State, envelope: &Envelope, receives_answer: bool) -> Option<()> {
         let Envelope { from, to, message } = envelope;
         let message = borsh::from_slice(message).ok()?;
-        let asker = match self.answers {
+        let requester = match self.answers {
             Answers::Delayed => None,
-            Answers::Immediate => Some(Asker {
+            Answers::Immediate => Some(Requester {
                 index: *from,
-                hears,
+                receives_answer,
             }),
         };
-        self.receive(state, *from, *to, message, asker);
+        self.receive(state, *from, *to, message, requester);
         Some(())
     }
 
-    fn may_begin(&self, state: &State, index: u8) -> bool {
-        let most = self
+    fn may_propose(&self, state: &State, index: u8) -> bool {
+        let max_attempts = self
             .attempts
             .get(usize::from(index))
             .copied()
             .unwrap_or_default();
-        state.machines[usize::from(index)].attempts < most
+        state.machines[usize::from(index)].attempts < max_attempts
     }
 
-    /// Begins a proposal: the first by a proposal, later ones by letting the time of the one before run out.
-    fn begin_ballot(&self, state: &mut State, index: u8) {
+    /// Starts a proposal: the first by a call, later ones by letting the attempt before time out.
+    fn begin_proposal(&self, state: &mut State, index: u8) {
         let machine = &mut state.machines[usize::from(index)];
-        let now = Millis(u64::from(machine.attempts) * 3 * ATTEMPT_MS);
+        let now = Millis(u64::from(machine.attempts) * 3 * MAX_ATTEMPT_DELAY_MS);
         machine.attempts += 1;
         let mut effects = machine.agreement.propose((self.wanted)(index), now);
         if effects.is_empty() {
-            effects = machine.agreement.tick(now.plus(ATTEMPT_MS));
+            effects = machine.agreement.tick(now.plus(MAX_ATTEMPT_DELAY_MS));
         }
         if effects.is_empty() {
-            effects = machine.agreement.tick(now.plus(2 * ATTEMPT_MS));
+            effects = machine.agreement.tick(now.plus(2 * MAX_ATTEMPT_DELAY_MS));
         }
         self.perform(state, index, effects, None);
     }
 
-    /// Whether every view that was agreed is, or was, on the disks of majorities of the voters before it and of its own.
+    /// Whether every agreed view is or was on the disks of majorities of the voters before it and of its own voters.
     fn is_agreed_on_disks(&self, state: &State) -> bool {
         state.agreed.values().flatten().all(|encoded| {
             let nobody = BTreeSet::new();
-            let holders = state.held.get(encoded).unwrap_or(&nobody);
+            let holders = state.holders_by_view.get(encoded).unwrap_or(&nobody);
             has_majority(holders, &self.founded) && has_majority(holders, &decode_view(encoded))
         })
     }
 
-    /// All sets of machines that may be left after the losses and the end of the draining machine.
-    fn remainders(&self) -> impl Iterator<Item = BTreeSet<u8>> + '_ {
+    /// All sets of machines that may remain after the losses and the end of the draining machine.
+    fn remaining_sets(&self) -> impl Iterator<Item = BTreeSet<u8>> + '_ {
         let sets = (0..1_u32 << self.machines)
             .map(|set| (0..self.machines).filter(move |i| set >> i & 1 == 1));
         sets.map(Iterator::collect).filter(|left: &BTreeSet<u8>| {
@@ -331,25 +344,29 @@
         })
     }
 
-    /// Whether a majority of the voters is left, and one of those of every view that may have been proposed.
-    fn are_enough(&self, left: &BTreeSet<u8>) -> bool {
+    /// Whether the remaining machines include majorities of the voters and of those of every view that may have been
+    /// proposed.
+    fn are_sufficient(&self, left: &BTreeSet<u8>) -> bool {
         let proposed = (0..self.attempts.len() as u8).map(|index| (self.wanted)(index));
         let enough = proposed
             .chain([self.founded.clone()])
             .all(|view| has_majority(left, &view));
-        enough || self.fault == PlantedFault::LosesTooMuch
+        enough || self.fault == InjectedFault::LosesTooMany
     }
 
-    /// Whether, whatever of the possible losses comes now, machines that are enough agree on a next view once all is
-    /// calm.
-    fn goes_on(&self, state: &State) -> bool {
-        let remainders = self.remainders().filter(|left| self.are_enough(left));
-        remainders
+    /// Whether, for every possible loss from this state, sufficient remaining machines agree on a next view once no
+    /// further fault occurs.
+    fn makes_progress(&self, state: &State) -> bool {
+        let remaining_sets = self
+            .remaining_sets()
+            .filter(|left| self.are_sufficient(left));
+        remaining_sets
             .into_iter()
             .all(|left| self.is_decided_by(state, &left))
     }
 
-    /// Has all that are left start again from their disks, and one after another propose; nothing is lost any more.
+    /// Whether the remaining machines agree on a next view if all restart from their disks and propose one after another
+    /// without loss of messages.
     fn is_decided_by(&self, state: &State, left: &BTreeSet<u8>) -> bool {
         let mut hasher = DefaultHasher::new();
         left.hash(&mut hasher);
@@ -375,7 +392,7 @@
     }
 
     fn propose_until_agreed(&self, state: &State, left: &BTreeSet<u8>) -> bool {
-        let calm = Setup {
+        let delayed_setup = Setup {
             answers: Answers::Delayed,
             ..self.clone()
         };
@@ -388,16 +405,16 @@
             machine.agreement = boot(index as u8, machine.stored.clone(), machine.incarnations);
         }
         for (term, index) in
-            (0..BALLOTS_TO_GO_ON).flat_map(|term| left.iter().map(move |i| (term, *i)))
+            (0..MAX_PROPOSALS_UNTIL_AGREED).flat_map(|term| left.iter().map(move |i| (term, *i)))
         {
             let machine = &mut state.machines[usize::from(index)];
-            let now = Millis((term + 1) * 3 * ATTEMPT_MS);
+            let now = Millis((term + 1) * 3 * MAX_ATTEMPT_DELAY_MS);
             let mut effects = machine.agreement.propose((self.wanted)(index), now);
-            effects.extend(machine.agreement.tick(now.plus(ATTEMPT_MS)));
-            calm.perform(&mut state, index, effects, None);
+            effects.extend(machine.agreement.tick(now.plus(MAX_ATTEMPT_DELAY_MS)));
+            delayed_setup.perform(&mut state, index, effects, None);
             while let Some(envelope) = state.sent.pop_first() {
                 if left.contains(&envelope.to) {
-                    calm.deliver(&mut state, &envelope, true);
+                    delayed_setup.deliver(&mut state, &envelope, true);
                 }
             }
             if state.machines[usize::from(index)]
@@ -423,8 +440,8 @@
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         for index in 0..self.machines {
-            if self.may_begin(state, index) {
-                actions.push(Action::BeginBallot(index));
+            if self.may_propose(state, index) {
+                actions.push(Action::BeginProposal(index));
             }
             if state.crashes < self.crashes {
                 actions.push(Action::Crash(index));
@@ -439,7 +456,7 @@
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         match action {
-            Action::BeginBallot(index) => self.begin_ballot(&mut state, index),
+            Action::BeginProposal(index) => self.begin_proposal(&mut state, index),
             Action::Deliver(envelope) => self.deliver(&mut state, &envelope, true)?,
             Action::DeliverUnanswered(envelope) => self.deliver(&mut state, &envelope, false)?,
             Action::Crash(index) => {
@@ -458,11 +475,11 @@
                 state.agreed.values().all(|views| views.len() <= 1)
             }),
             Property::always(NOT_ON_DISKS, |setup: &Setup, state: &State| {
-                setup.fault == PlantedFault::AnswersBeforeSync || setup.is_agreed_on_disks(state)
+                setup.fault == InjectedFault::AnswersBeforeSync || setup.is_agreed_on_disks(state)
             }),
-            Property::always(STANDS_STILL, |setup: &Setup, state: &State| {
+            Property::always(NO_PROGRESS, |setup: &Setup, state: &State| {
                 let loses = setup.losses > 0 || setup.draining.is_some();
-                !loses || setup.goes_on(state)
+                !loses || setup.makes_progress(state)
             }),
             Property::sometimes("a view is agreed", |_, state: &State| {
                 !state.agreed.is_empty()
@@ -471,7 +488,8 @@
     }
 }
 
-/// Explores everything, or up to a depth, or until one of these properties is broken, and prints how much that was.
+/// Explores all states, or those up to a depth, or until one of these properties is violated, and prints how many it
+/// explored.
 pub fn explore(setup: Setup, depth: Option<usize>, until: &[&'static str]) -> impl Checker<Setup> {
     let finish = match until {
         [] => HasDiscoveries::AnyFailures,
--- a/crates/view-agreement/tests/policy/draining.rs
+++ b/crates/view-agreement/tests/policy/draining.rs
@@ -1,11 +1,11 @@
-//! Processes that are told to end: they hand their place over and say so.
+//! Draining processes: they leave the chain, hand over their votes, and end once they are no longer needed.
 
 use crate::common::{disk, view, voter, voters};
 use crate::watch::{Watch, SETTINGS};
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_api::view::View;
 
-/// So soon after the word of a draining process its place is to be taken, in milliseconds.
+/// Milliseconds after the first heartbeat of a draining process within which it has to leave the chain.
 const AT_ONCE_MS: u64 = 100;
 /// Longer than every delay of the policy.
 const LONG_MS: u64 = 30_000;
@@ -14,19 +14,19 @@
     view.chain.clone()
 }
 
-/// So many voters, of which the first form the chain, seen from machine `me`.
-fn calm(me: u8, count: u8) -> Watch {
+/// A stable view with this many voters, of which the first form the chain, as seen from machine `me`.
+fn stable(me: u8, count: u8) -> Watch {
     let all: Vec<u8> = (0..count).collect();
     let mut watch =
         Watch::new(me, view(4, &all, &all[..usize::from(count) / 2 + 1]), &[]).with(&all);
-    assert_eq!(watch.pass(2000), None);
+    assert_eq!(watch.advance(2000), None);
     watch
 }
 
 #[test]
 fn a_draining_member_is_out_of_the_chain_at_once_where_enough_remain() {
     for count in [5, 7, 9] {
-        let mut watch = calm(0, count);
+        let mut watch = stable(0, count);
         watch.heartbeat(1).draining = true;
         let (wanted, _) = watch.until_wanted(AT_ONCE_MS).expect("it leaves the chain");
         let expected: Vec<DiskId> = (0..count / 2 + 1)
@@ -41,7 +41,7 @@
 #[test]
 fn a_spare_joins_in_the_view_in_which_a_draining_member_leaves() {
     for count in [3, 5, 7, 9] {
-        let mut watch = calm(0, count);
+        let mut watch = stable(0, count);
         watch.heartbeat(count - 1).replica.caught_up = true;
         watch.heartbeat(1).draining = true;
         let (wanted, _) = watch.until_wanted(AT_ONCE_MS).expect("it leaves the chain");
@@ -53,10 +53,10 @@
 
 #[test]
 fn a_draining_head_leaves_the_proposal_to_the_next_member() {
-    let mut head = calm(0, 5);
+    let mut head = stable(0, 5);
     head.heartbeat(0).draining = true;
-    assert_eq!(head.pass(LONG_MS), None);
-    let mut next = calm(1, 5);
+    assert_eq!(head.advance(LONG_MS), None);
+    let mut next = stable(1, 5);
     next.heartbeat(0).draining = true;
     let (wanted, _) = next
         .until_wanted(AT_ONCE_MS)
@@ -66,17 +66,17 @@
 
 #[test]
 fn a_draining_member_stays_while_too_few_would_remain() {
-    let mut three = calm(0, 3);
+    let mut three = stable(0, 3);
     three.heartbeat(1).draining = true;
-    assert_eq!(three.pass(LONG_MS), None);
+    assert_eq!(three.advance(LONG_MS), None);
     for (tolerated, stays) in [(1, false), (2, true)] {
         let mut five =
             Watch::new(0, view(4, &[0, 1, 2, 3, 4], &[0, 1, 2]), &[]).tolerating(tolerated);
         five = five.with(&[0, 1, 2, 3, 4]);
-        five.pass(2000);
+        five.advance(2000);
         five.heartbeat(2).draining = true;
         assert_eq!(
-            five.pass(LONG_MS).is_none(),
+            five.advance(LONG_MS).is_none(),
             stays,
             "{tolerated} tolerated losses"
         );
@@ -85,11 +85,11 @@
 
 #[test]
 fn the_only_member_that_has_everything_stays() {
-    let mut watch = calm(1, 5);
+    let mut watch = stable(1, 5);
     watch.heartbeat(1).replica.complete = false;
     watch.heartbeat(2).replica.complete = false;
     watch.heartbeat(0).draining = true;
-    assert_eq!(watch.pass(LONG_MS), None);
+    assert_eq!(watch.advance(LONG_MS), None);
     watch.heartbeat(2).replica.complete = true;
     let (wanted, _) = watch
         .until_wanted(AT_ONCE_MS)
@@ -98,22 +98,22 @@
 }
 
 #[test]
-fn a_draining_voter_keeps_its_vote_where_no_new_disk_is_there() {
+fn a_draining_voter_keeps_its_vote_without_a_new_disk() {
     for count in [3, 5, 7, 9] {
-        let mut watch = calm(0, count);
+        let mut watch = stable(0, count);
         watch.heartbeat(count - 1).draining = true;
-        assert_eq!(watch.pass(1000), None, "{count} voters");
+        assert_eq!(watch.advance(1000), None, "{count} voters");
         watch.lose(&[count - 1]);
-        assert_eq!(watch.pass(LONG_MS), None, "{count} voters");
+        assert_eq!(watch.advance(LONG_MS), None, "{count} voters");
         watch.add(count - 1);
-        assert_eq!(watch.pass(LONG_MS), None, "{count} voters");
+        assert_eq!(watch.advance(LONG_MS), None, "{count} voters");
     }
 }
 
 #[test]
-fn a_new_disk_takes_the_vote_of_a_draining_voter_that_still_lives() {
+fn a_new_disk_takes_the_vote_of_a_draining_voter_that_is_still_alive() {
     for count in [3, 5, 7, 9] {
-        let mut watch = calm(0, count);
+        let mut watch = stable(0, count);
         watch.lose(&[count - 1]);
         watch.add(count);
         watch.wait_until_stable(4000);
@@ -129,11 +129,11 @@
 
 #[test]
 fn a_draining_voter_that_has_ended_is_replaced_by_the_next_new_disk_at_once() {
-    let mut watch = calm(0, 5);
+    let mut watch = stable(0, 5);
     watch.heartbeat(4).draining = true;
-    watch.pass(500);
+    watch.advance(500);
     watch.lose(&[4]);
-    watch.pass(100);
+    watch.advance(100);
     watch.add(5);
     let (wanted, passed) = watch.until_wanted(LONG_MS).expect("it is replaced");
     assert_eq!(wanted.voters, voters(&[0, 1, 2, 3, 5]));
@@ -146,7 +146,7 @@
 #[test]
 fn of_an_even_number_a_draining_voter_is_removed_before_it_ends() {
     for count in [4, 6, 8, 10] {
-        let mut watch = calm(0, count);
+        let mut watch = stable(0, count);
         watch.heartbeat(1).draining = true;
         watch.heartbeat(count - 1).replica.caught_up = true;
         watch.wait_until_stable(2000);
@@ -156,9 +156,9 @@
 }
 
 #[test]
-fn a_lost_voter_goes_before_one_that_is_draining() {
+fn a_lost_voter_is_replaced_before_one_that_is_draining() {
     for count in [5, 7, 9] {
-        let mut watch = calm(0, count);
+        let mut watch = stable(0, count);
         watch.lose(&[count - 1]);
         watch.heartbeat(count - 2).draining = true;
         watch.add(count);
@@ -179,15 +179,15 @@
 }
 
 #[test]
-fn a_draining_process_neither_enters_nor_joins() {
-    let mut watch = calm(0, 3);
+fn a_draining_process_becomes_neither_voter_nor_member() {
+    let mut watch = stable(0, 3);
     watch.add(3);
     watch.heartbeat(3).draining = true;
-    assert_eq!(watch.pass(LONG_MS), None);
+    assert_eq!(watch.advance(LONG_MS), None);
     let mut spare = Watch::new(0, view(4, &[0, 1, 2], &[0]), &[]).with(&[0, 1, 2]);
     spare.heartbeat(1).replica.caught_up = true;
     spare.heartbeat(1).draining = true;
-    assert_eq!(spare.pass(LONG_MS), None);
+    assert_eq!(spare.advance(LONG_MS), None);
 }
 
 /// Whether machine `index`, which is draining, may end.
@@ -200,10 +200,10 @@
 #[test]
 fn a_member_may_end_once_enough_others_have_everything() {
     for count in [3, 5, 7, 9] {
-        let mut watch = calm(1, count);
+        let mut watch = stable(1, count);
         watch.catch_all_up();
         watch.heartbeat(1).draining = true;
-        watch.pass(500);
+        watch.advance(500);
         assert!(
             !may_shut_down(&watch, 1),
             "{count} voters: it is in the chain"
@@ -214,7 +214,7 @@
         incomplete
             .iter()
             .for_each(|member| watch.heartbeat(*member).replica.complete = false);
-        watch.pass(500);
+        watch.advance(500);
         assert!(
             !may_shut_down(&watch, 1),
             "{count} voters: one other has everything"
@@ -222,39 +222,42 @@
         incomplete
             .iter()
             .for_each(|member| watch.heartbeat(*member).replica.complete = true);
-        watch.pass(50);
+        watch.advance(50);
         assert!(may_shut_down(&watch, 1), "{count} voters");
     }
 }
 
 #[test]
 fn a_spare_does_not_end_while_a_member_is_lost() {
-    let mut watch = calm(2, 3);
+    let mut watch = stable(2, 3);
     watch.heartbeat(2).draining = true;
-    watch.pass(50);
+    watch.advance(50);
     assert!(may_shut_down(&watch, 2));
     watch.lose(&[1]);
-    watch.pass(1000);
-    assert!(!may_shut_down(&watch, 2), "one disk has everything");
+    watch.advance(1000);
+    assert!(
+        !may_shut_down(&watch, 2),
+        "only one other disk has everything"
+    );
 }
 
 #[test]
-fn a_voter_waits_for_its_successor() {
-    let mut watch = calm(4, 5);
+fn a_voter_waits_for_its_replacement() {
+    let mut watch = stable(4, 5);
     watch.add(5);
     watch.heartbeat(4).draining = true;
-    watch.pass(600);
+    watch.advance(600);
     assert!(
         !may_shut_down(&watch, 4),
         "the new disk is about to take its vote"
     );
     watch.adopt(view(5, &[0, 1, 2, 3, 5], &[0, 1, 2]));
-    watch.pass(50);
+    watch.advance(50);
     assert!(may_shut_down(&watch, 4));
 }
 
 #[test]
-fn the_only_voter_waits_for_nobody() {
+fn the_only_voter_may_end_at_once() {
     let watch = Watch::new(0, view(4, &[0], &[0]), &[])
         .tolerating(0)
         .with(&[0]);
--- a/crates/view-agreement/tests/policy/identity.rs
+++ b/crates/view-agreement/tests/policy/identity.rs
@@ -1,4 +1,4 @@
-//! Heartbeats that claim a disk which another process has.
+//! Heartbeats that claim the disk of another process.
 
 use crate::common::{address, disk, view, voter};
 use crate::watch::Watch;
@@ -27,12 +27,12 @@
 }
 
 #[test]
-fn a_disk_that_is_alive_at_another_address_is_refused() {
+fn a_disk_that_is_alive_at_another_address_is_rejected() {
     for count in [3, 5, 7, 9] {
         let all: Vec<u8> = (0..count).collect();
         let mut watch =
             Watch::new(0, view(4, &all, &all[..usize::from(count) / 2 + 1]), &[]).with(&all);
-        watch.pass(1000);
+        watch.advance(1000);
         for claimed in 0..count {
             let refused = watch.policy.receive_heartbeat(
                 claim(disk(claimed), count + 1),
@@ -53,9 +53,9 @@
             assert_eq!(watch.policy.disk_at(address(count + 1)), None);
         }
         assert_eq!(
-            watch.pass(5000),
+            watch.advance(5000),
             None,
-            "{count} voters: nothing of it is taken"
+            "{count} voters: the rejected heartbeat has no effect"
         );
     }
 }
@@ -63,13 +63,13 @@
 #[test]
 fn a_copy_of_a_lost_voters_disk_does_not_vote_for_it() {
     let mut watch = Watch::new(0, view(4, &[0, 1, 2], &[0, 1]), &[]).with(&[0, 1, 2]);
-    watch.pass(1000);
+    watch.advance(1000);
     watch.lose(&[2]);
-    watch.pass(2000);
+    watch.advance(2000);
     watch.add(3);
     watch.heartbeat(3).voter.disk = disk(2);
     assert_eq!(
-        watch.pass(30_000),
+        watch.advance(30_000),
         None,
         "neither as the voter nor as a new disk"
     );
@@ -78,7 +78,7 @@
 #[test]
 fn a_disk_comes_back_at_its_own_address() {
     let mut watch = Watch::new(0, view(4, &[0, 1, 2], &[0, 1]), &[]).with(&[0, 1, 2]);
-    watch.pass(1000);
+    watch.advance(1000);
     assert_eq!(
         watch
             .policy
--- a/crates/view-agreement/tests/policy/replacement.rs
+++ b/crates/view-agreement/tests/policy/replacement.rs
@@ -1,4 +1,4 @@
-//! The replacement of voters: one view takes a new disk in and a voter that is gone out.
+//! The replacement of voters: one view adds a new disk and removes a voter that is gone.
 
 use crate::common::{disk, view, voter, voters};
 use crate::watch::{Watch, SETTINGS, STEP_MS};
@@ -6,9 +6,9 @@
 use lupinrack_cluster_api::view::{View, Voter};
 
 const SIZES: [u8; 4] = [3, 5, 7, 9];
-/// How long the platform takes to bring a machine in the place of another, in milliseconds.
+/// Milliseconds in which the platform starts a replacement of a lost machine.
 const SUCCESSOR_AFTER_MS: u64 = 300;
-/// A replacement has to be over by then: a half of the time after which the lost machine counts no longer.
+/// Milliseconds within which a voter has to be replaced: half of the time until the loss no longer counts.
 const REPLACED_WITHIN_MS: u64 = SETTINGS.catch_up_ms / 2;
 /// Longer than every delay of the policy.
 const LONG_MS: u64 = 30_000;
@@ -17,16 +17,16 @@
     (0..count).collect()
 }
 
-/// So many voters, of which the first form the chain, all of them there for long.
-fn calm(count: u8) -> Watch {
+/// A stable view with this many voters, of which the first form the chain, all present for a long time.
+fn stable(count: u8) -> Watch {
     let all = indices(count);
     let chain = &all[..usize::from(count) / 2 + 1];
     let mut watch = Watch::new(0, view(4, &all, chain), &[]).with(&all);
-    assert_eq!(watch.pass(2000), None);
+    assert_eq!(watch.advance(2000), None);
     watch
 }
 
-/// The voters with one in the place of another.
+/// The voters with one replaced by another.
 fn swapped(count: u8, old: u8, new: u8) -> Vec<Voter> {
     indices(count)
         .into_iter()
@@ -41,12 +41,12 @@
 }
 
 #[test]
-fn one_view_takes_a_new_disk_in_and_a_lost_voter_out() {
+fn one_view_adds_a_new_disk_and_removes_a_lost_voter() {
     for count in SIZES {
         let lost = count - 1;
-        let mut watch = calm(count);
+        let mut watch = stable(count);
         watch.lose(&[lost]);
-        assert_eq!(watch.pass(SUCCESSOR_AFTER_MS), None);
+        assert_eq!(watch.advance(SUCCESSOR_AFTER_MS), None);
         watch.add(count);
         let (wanted, passed) = watch
             .until_wanted(LONG_MS)
@@ -61,9 +61,9 @@
 fn a_lost_member_leaves_the_chain_and_is_then_replaced() {
     for count in SIZES {
         for lost in 1..count / 2 + 1 {
-            let mut watch = calm(count);
+            let mut watch = stable(count);
             watch.lose(&[lost]);
-            watch.pass(SUCCESSOR_AFTER_MS);
+            watch.advance(SUCCESSOR_AFTER_MS);
             watch.add(count);
             let passed = watch.wait_until_stable(4000);
             assert_eq!(
@@ -85,11 +85,11 @@
 }
 
 #[test]
-fn a_replacement_follows_the_time_to_catch_up() {
+fn the_replacement_timeout_follows_the_time_to_catch_up() {
     let gone_after = |catch_up_ms: u64| {
-        let mut watch = calm(5);
-        watch.set_catch_up(catch_up_ms);
-        watch.pass(2000);
+        let mut watch = stable(5);
+        watch.set_catch_up_ms(catch_up_ms);
+        watch.advance(2000);
         watch.add(5);
         watch.lose(&[4]);
         watch
@@ -103,20 +103,20 @@
 }
 
 #[test]
-fn without_a_new_disk_a_lost_voter_keeps_its_place() {
+fn without_a_new_disk_a_lost_voter_keeps_its_vote() {
     for count in SIZES {
-        let mut watch = calm(count);
+        let mut watch = stable(count);
         watch.lose(&[count - 1]);
-        assert_eq!(watch.pass(2 * LONG_MS), None, "{count} voters");
+        assert_eq!(watch.advance(2 * LONG_MS), None, "{count} voters");
     }
 }
 
 #[test]
 fn a_voter_that_comes_back_in_time_is_not_replaced() {
-    let mut watch = calm(3);
+    let mut watch = stable(3);
     watch.lose(&[2]);
     watch.add(3);
-    assert_eq!(watch.pass(900), None, "it is silent, and may come back");
+    assert_eq!(watch.advance(900), None, "the silent voter may return");
     watch.add(2);
     let (wanted, _) = watch.until_wanted(LONG_MS).expect("the new disk is added");
     assert_eq!(wanted.voters, voters(&[0, 1, 2, 3]));
@@ -126,10 +126,10 @@
 fn lost_voters_are_replaced_one_after_another() {
     for count in [5, 7, 9] {
         let most = count / 2;
-        let mut watch = calm(count);
+        let mut watch = stable(count);
         let lost: Vec<u8> = (count - most..count).collect();
         watch.lose(&lost);
-        watch.pass(SUCCESSOR_AFTER_MS);
+        watch.advance(SUCCESSOR_AFTER_MS);
         let successors: Vec<u8> = (count..count + most).collect();
         successors.iter().for_each(|index| watch.add(*index));
         let passed = watch.wait_until_stable(4000);
@@ -142,11 +142,11 @@
 #[test]
 fn replacements_one_by_one_renew_all_voters() {
     for count in SIZES {
-        let mut watch = calm(count);
+        let mut watch = stable(count);
         let mut successor = count;
         for lost in 1..count {
             watch.lose(&[lost]);
-            watch.pass(SUCCESSOR_AFTER_MS);
+            watch.advance(SUCCESSOR_AFTER_MS);
             watch.add(successor);
             successor += 1;
             watch.catch_all_up();
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_proposer_that_was_restarted_replaces_a_lost_voter_it_never_heard() {
+fn a_restarted_proposer_replaces_a_lost_voter_that_never_sent_it_a_heartbeat() {
     for count in SIZES {
         let all = indices(count);
         let chain = &all[..usize::from(count) / 2 + 1];
@@ -185,8 +185,8 @@
 }
 
 #[test]
-fn a_new_disk_of_the_lost_voters_zone_goes_first() {
-    let mut watch = calm(5);
+fn a_new_disk_of_the_lost_voters_zone_is_preferred() {
+    let mut watch = stable(5);
     watch.lose(&[4]);
     watch.add(5);
     watch.add(7);
@@ -201,12 +201,12 @@
 }
 
 #[test]
-fn a_replacement_that_is_wiped_while_it_catches_up_enters_under_its_new_disk() {
+fn a_replacement_wiped_while_it_catches_up_becomes_a_voter_under_its_new_disk() {
     for count in SIZES {
-        let mut watch = calm(count);
+        let mut watch = stable(count);
         watch.lose(&[count - 1]);
         watch.add(count);
-        watch.pass(400);
+        watch.advance(400);
         let wiped = Voter {
             disk: DiskId(900),
             ..voter(count)
@@ -221,9 +221,9 @@
 }
 
 #[test]
-fn a_voter_that_is_wiped_after_it_entered_is_replaced_by_its_new_disk() {
+fn a_new_voter_that_is_wiped_is_replaced_by_its_new_disk() {
     for count in SIZES {
-        let mut watch = calm(count);
+        let mut watch = stable(count);
         watch.lose(&[count - 1]);
         watch.add(count);
         watch.wait_until_stable(4000);
@@ -242,7 +242,7 @@
 #[test]
 fn an_even_number_grows_while_a_voter_is_silent_and_an_odd_one_waits() {
     for count in [4, 6, 8] {
-        let mut watch = calm(count);
+        let mut watch = stable(count);
         watch.lose(&[count - 1]);
         watch.add(count);
         let (wanted, passed) = watch.until_wanted(LONG_MS).expect("the new disk is added");
@@ -257,29 +257,29 @@
 #[test]
 fn of_an_even_number_a_voter_that_is_gone_is_replaced_or_removed() {
     for count in [4, 6, 8] {
-        let mut replaced = calm(count);
+        let mut replaced = stable(count);
         replaced.lose(&[count - 1]);
-        replaced.pass(1000);
+        replaced.advance(1000);
         replaced.add(count);
         let (wanted, _) = replaced
             .until_wanted(LONG_MS)
             .expect("the lost voter is replaced");
         assert_eq!(wanted.voters, swapped(count, count - 1, count));
-        let mut removed = calm(count);
+        let mut removed = stable(count);
         removed.lose(&[count - 1]);
-        assert_eq!(removed.pass(SETTINGS.catch_up_ms / 2 - STEP_MS), None);
+        assert_eq!(removed.advance(SETTINGS.catch_up_ms / 2 - STEP_MS), None);
         assert_eq!(
-            removed.pass(STEP_MS).map(|view| view.voters),
+            removed.advance(STEP_MS).map(|view| view.voters),
             Some(voters(&indices(count - 1)))
         );
     }
 }
 
 #[test]
-fn thirteen_voters_are_the_most() {
-    let mut watch = calm(13);
+fn thirteen_voters_are_the_maximum() {
+    let mut watch = stable(13);
     watch.add(13);
-    assert_eq!(watch.pass(LONG_MS), None);
+    assert_eq!(watch.advance(LONG_MS), None);
     watch.lose(&[12]);
     let (wanted, _) = watch
         .until_wanted(LONG_MS)
@@ -290,7 +290,9 @@
 #[test]
 fn a_founder_that_is_replaced_before_the_first_view_is_no_founder() {
     let mut watch = Watch::new(0, View::default(), &[0, 1, 2]).with(&[0, 1, 3]);
-    let (first, _) = watch.until_wanted(LONG_MS).expect("two of three found");
+    let (first, _) = watch
+        .until_wanted(LONG_MS)
+        .expect("two of three founders agree");
     assert_eq!(first.voters, voters(&[0, 1]));
     watch.adopt(first);
     let (second, _) = watch.until_wanted(LONG_MS).expect("the new disk is added");
@@ -300,10 +302,10 @@
 #[test]
 fn a_founder_that_is_wiped_before_the_first_view_does_not_end_the_founding() {
     let mut watch = Watch::new(0, View::default(), &[0, 1, 2]).with(&[0, 1]);
-    watch.pass(300);
+    watch.advance(300);
     watch.add(2);
     watch.heartbeat(2).voter.disk = DiskId(900);
-    let (first, _) = watch.until_wanted(LONG_MS).expect("the founders found");
+    let (first, _) = watch.until_wanted(LONG_MS).expect("the founders agree");
     assert_eq!(
         first.voters.len(),
         3,
--- a/crates/view-agreement/tests/policy/tolerance.rs
+++ b/crates/view-agreement/tests/policy/tolerance.rs
@@ -1,7 +1,7 @@
-//! How many losses so many voters bear, in which rhythm: counted over all sets of lost disks, all views on the way of
-//! their replacement, and all sets of processes that can agree on such a view.
+//! How many losses each number of voters tolerates, also during replacements: checked for all sets of lost disks, all
+//! views during their replacement, and all sets of processes that can agree on such a view.
 //!
-//! A set of machines is a number here: machine `i` belongs to it where bit `i` is set.
+//! A set of machines is a bit set: machine `i` belongs to it if bit `i` is set.
 
 use crate::common::{address, disk, voter, voters};
 use crate::watch::Watch;
@@ -11,8 +11,8 @@
 use lupinrack_cluster_api::view::View;
 use lupinrack_view_agreement::{Agreement, Effect, VoteState};
 
-/// How many losses at once each number of voters bears.
-const BORNE: [(u8, u8); 11] = [
+/// How many simultaneous losses each number of voters tolerates.
+const TOLERATED_LOSSES: [(u8, u8); 11] = [
     (3, 1),
     (4, 1),
     (5, 2),
@@ -25,7 +25,7 @@
     (12, 5),
     (13, 6),
 ];
-/// Newcomers that come so late find the voters that they replace gone, in milliseconds.
+/// Milliseconds after which the voters that new disks replace already count as gone.
 const LATE_MS: u64 = 1200;
 /// Longer than any replacement.
 const LONG_MS: u64 = 20_000;
@@ -71,21 +71,21 @@
     2 * (alive & voters).count_ones() > voters.count_ones()
 }
 
-fn borne_by(count: u8) -> u32 {
-    BORNE
+fn tolerated_by(count: u8) -> u32 {
+    TOLERATED_LOSSES
         .iter()
         .find(|(voters, _)| *voters == count)
         .map_or(0, |(_, losses)| u32::from(*losses))
 }
 
-/// A view of so many voters as the policy makes it of founders that are all there.
+/// The view with this many voters that the policy proposes if all founders are present.
 fn founded(count: u8) -> View {
     let mut watch = Watch::new(0, View::default(), &all(count)).with(&all(count));
     watch.until_wanted(1000).expect("all founders are there").0
 }
 
-/// The views by which the policy replaces lost disks by as many new disks, who come so many milliseconds after the loss,
-/// all others being warm; the first is the view at the time of the loss.
+/// The views by which the policy replaces lost disks by as many new ones, which start `after_ms` after the loss while
+/// all other replicas are caught up. The first is the view at the time of the loss.
 fn replacement_of(lost: Machines, from: &View, after_ms: u64) -> Vec<View> {
     let count = from.voters.len() as u8;
     let me = members(chain_of(from) & !lost)[0];
@@ -109,7 +109,7 @@
     while !views.last().is_some_and(is_over) {
         let (wanted, _) = watch
             .until_wanted(LONG_MS)
-            .expect("the replacement goes on");
+            .expect("the replacement continues");
         watch.adopt(wanted.clone());
         watch.catch_all_up();
         views.push(wanted);
@@ -117,7 +117,7 @@
     views
 }
 
-/// Who agrees on a view by the rules of the agreement: whether the votes of these machines are enough.
+/// Whether the votes of these machines are sufficient to agree on a view, by the rules of the agreement.
 fn agree(old: &View, new: &View, votes: Machines) -> bool {
     let agreed = VoteState {
         agreed: old.clone(),
@@ -130,7 +130,7 @@
         Effect::Send(_, AgreementMessage::Prepare { proposal_number }) => Some(*proposal_number),
         _ => None,
     });
-    let proposal_number = proposal_number.expect("a proposal begins");
+    let proposal_number = proposal_number.expect("a proposal starts");
     for index in members(voters_of(old)) {
         let send_prepared = AgreementMessage::Prepared {
             proposal_number,
@@ -150,8 +150,8 @@
     proposer.current() == new
 }
 
-/// Asserts that a view, while these disks are lost, bears every further loss of so many disks.
-fn assert_bears(view: &View, holders: Machines, lost: Machines, further: u32) {
+/// Asserts that a view, while these disks are lost, tolerates the loss of any `further` other disks.
+fn assert_tolerates(view: &View, holders: Machines, lost: Machines, further: u32) {
     let alive = voters_of(view) & !lost;
     for loss in subsets(alive).filter(|loss| loss.count_ones() <= further) {
         let left = alive & !loss;
@@ -161,14 +161,14 @@
         );
         assert!(
             left & holders != 0,
-            "{lost:b} and {loss:b} lost: nobody has everything in {view:?}"
+            "{lost:b} and {loss:b} lost: no remaining disk has everything in {view:?}"
         );
     }
 }
 
 #[test]
-fn every_majority_holds_a_member_of_the_chain() {
-    for (count, _) in BORNE {
+fn every_majority_includes_a_member_of_the_chain() {
+    for (count, _) in TOLERATED_LOSSES {
         let view = founded(count);
         assert_eq!(view.voters, voters(&all(count)));
         for alive in subsets(voters_of(&view)).filter(|alive| has_majority(*alive, &view)) {
@@ -178,10 +178,10 @@
 }
 
 #[test]
-fn so_many_losses_at_once_are_borne_and_one_more_is_not() {
-    for (count, losses) in BORNE {
+fn exactly_the_stated_number_of_losses_is_tolerated() {
+    for (count, losses) in TOLERATED_LOSSES {
         let view = founded(count);
-        assert_bears(&view, chain_of(&view), 0, u32::from(losses));
+        assert_tolerates(&view, chain_of(&view), 0, u32::from(losses));
         let more = u32::from(losses) + 1;
         let too_many = subsets(voters_of(&view)).filter(|loss| loss.count_ones() == more);
         assert!(too_many
@@ -190,72 +190,72 @@
     }
 }
 
-/// How many losses a view bears beside those that its voters have already.
+/// How many losses a view tolerates in addition to those that have already hit its voters.
 fn left(view: &View, lost: Machines) -> u32 {
-    borne_by(view.voters.len() as u8) - (voters_of(view) & lost).count_ones()
+    tolerated_by(view.voters.len() as u8) - (voters_of(view) & lost).count_ones()
 }
 
-/// For every set of lost disks that is borne: every view on the way of the replacement bears so many further losses as
-/// were borne at first, less those that are not made up yet, also while only a part of the processes knows the view;
-/// with each view it is as many or more, and in the end as many as at first.
-fn assert_replacement_bears_losses(first: &View, lost: Machines, after_ms: u64) {
+/// Asserts for a tolerated set of lost disks that every view during the replacement tolerates as many further losses as
+/// at first, minus those not replaced yet, also while only a part of the processes knows the view. The number never
+/// decreases from view to view, and finally equals the first.
+fn assert_replacement_tolerates_losses(first: &View, lost: Machines, after_ms: u64) {
     let views = replacement_of(lost, first, after_ms);
     for pair in views.windows(2) {
         let [before, after] = pair else { continue };
         let further = left(before, lost);
         assert!(
             left(after, lost) >= further,
-            "{after:?} bears less than {before:?}"
+            "{after:?} tolerates fewer losses than {before:?}"
         );
         let holders = chain_of(before) & chain_of(after) & !lost;
-        assert_bears(before, chain_of(before) & !lost, lost, further);
-        assert_bears(after, holders, lost, further);
+        assert_tolerates(before, chain_of(before) & !lost, lost, further);
+        assert_tolerates(after, holders, lost, further);
     }
     let last = views.last().expect("the first view is among them");
-    assert_bears(
+    assert_tolerates(
         last,
         chain_of(last),
         lost,
-        borne_by(first.voters.len() as u8),
+        tolerated_by(first.voters.len() as u8),
     );
 }
 
-fn assert_replacements_bear_losses(count: u8) {
+fn assert_replacements_tolerate_losses(count: u8) {
     let first = founded(count);
-    let borne = 1..=borne_by(count);
+    let borne = 1..=tolerated_by(count);
     for lost in subsets(voters_of(&first)).filter(|lost| borne.contains(&lost.count_ones())) {
         for after_ms in [0, LATE_MS] {
-            assert_replacement_bears_losses(&first, lost, after_ms);
+            assert_replacement_tolerates_losses(&first, lost, after_ms);
         }
     }
 }
 
 #[test]
-fn replacements_of_three_to_seven_voters_bear_further_losses() {
-    (3..=7).for_each(assert_replacements_bear_losses);
+fn replacements_of_three_to_seven_voters_tolerate_further_losses() {
+    (3..=7).for_each(assert_replacements_tolerate_losses);
 }
 
 #[test]
-fn replacements_of_eight_and_nine_voters_bear_further_losses() {
-    (8..=9).for_each(assert_replacements_bear_losses);
+fn replacements_of_eight_and_nine_voters_tolerate_further_losses() {
+    (8..=9).for_each(assert_replacements_tolerate_losses);
 }
 
 #[test]
-fn replacements_of_ten_and_eleven_voters_bear_further_losses() {
-    (10..=11).for_each(assert_replacements_bear_losses);
+fn replacements_of_ten_and_eleven_voters_tolerate_further_losses() {
+    (10..=11).for_each(assert_replacements_tolerate_losses);
 }
 
 #[test]
-fn replacements_of_twelve_voters_bear_further_losses() {
-    assert_replacements_bear_losses(12);
+fn replacements_of_twelve_voters_tolerate_further_losses() {
+    assert_replacements_tolerate_losses(12);
 }
 
 #[test]
-fn replacements_of_thirteen_voters_bear_further_losses() {
-    assert_replacements_bear_losses(13);
+fn replacements_of_thirteen_voters_tolerate_further_losses() {
+    assert_replacements_tolerate_losses(13);
 }
 
-/// The views that may follow one view by the policy: a swap, one voter more, one voter less.
+/// The views that may follow one view by the policy: one voter replaced, added or removed.
 fn successors(view: &View) -> Vec<View> {
     let count = view.voters.len() as u8;
     let spare = |view: &View| voters_of(view) & !chain_of(view);
@@ -270,8 +270,8 @@
 }
 
 #[test]
-fn whoever_can_agree_on_a_view_meets_every_majority_before_and_after() {
-    for (count, _) in BORNE {
+fn every_set_that_can_agree_on_a_view_overlaps_every_majority_before_and_after() {
+    for (count, _) in TOLERATED_LOSSES {
         let old = founded(count);
         for new in successors(&old) {
             let everybody = voters_of(&old) | voters_of(&new);
@@ -288,13 +288,13 @@
                 );
                 sets += 1;
             }
-            assert!(sets > 0, "nobody can agree on {new:?}");
+            assert!(sets > 0, "no set can agree on {new:?}");
         }
     }
 }
 
 #[test]
-fn a_majority_of_the_new_voters_alone_would_miss_one_of_the_old() {
+fn a_majority_of_the_new_voters_alone_may_not_overlap_one_of_the_old() {
     for count in [3, 5, 7, 9, 11, 13] {
         let old = founded(count);
         let swap = replacement_of(1 << (count - 1), &old, LATE_MS)
--- a/crates/view-agreement/tests/policy/watch.rs
+++ b/crates/view-agreement/tests/policy/watch.rs
@@ -1,4 +1,4 @@
-//! A policy at one machine, driven by heartbeats that a test makes up.
+//! A policy at one machine, driven by heartbeats that the test defines.
 
 use crate::common::{address, disk, voter};
 use lupinrack_cluster_api::chain::ReplicaReport;
@@ -17,7 +17,7 @@
 };
 pub const STEP_MS: u64 = 50;
 
-/// What one machine says of itself.
+/// The contents of the heartbeats of one machine.
 #[derive(Clone)]
 pub struct Heartbeat {
     pub voter: Voter,
@@ -25,15 +25,15 @@
     pub healthy: bool,
     pub draining: bool,
     pub replica: ReplicaReport,
-    /// Whether it receives what this machine sends.
+    /// Whether the machine receives the heartbeats of the policy's machine.
     pub receives: bool,
-    /// How much later than now a moment is that it claims to have received a heartbeat of, in milliseconds.
+    /// How many milliseconds after now the send time is of the heartbeat that the machine claims to have received.
     pub claims_to_receive_later_ms: u64,
-    /// The machines that it reports no link with, although they are there.
-    pub apart_from: Vec<u8>,
+    /// The machines that are present and that this machine reports no link with.
+    pub reported_unlinked: Vec<u8>,
 }
 
-/// A policy at one machine, and what the others say.
+/// A policy at one machine, and the heartbeats of the others.
 pub struct Watch {
     pub policy: ViewPolicy,
     pub me: u8,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The same with another number of tolerated losses; before anything was heard.
+    /// Changes the number of tolerated losses; to be called before any heartbeat.
     pub fn tolerating(mut self, tolerated_losses: usize) -> Watch {
         let settings = PolicySettings {
             tolerated_losses,
@@ -65,7 +65,7 @@
         self
     }
 
-    /// The same where a process that is in time is suspected after this time already; before anything was heard.
+    /// Changes the minimum timeout; to be called before any heartbeat.
     pub fn suspecting_after(mut self, min_suspect_after_ms: u64) -> Watch {
         let settings = PolicySettings {
             min_suspect_after_ms,
@@ -75,8 +75,8 @@
         self
     }
 
-    /// The same with another time to catch up.
-    pub fn set_catch_up(&mut self, catch_up_ms: u64) {
+    /// Changes the time to catch up.
+    pub fn set_catch_up_ms(&mut self, catch_up_ms: u64) {
         let settings = PolicySettings {
             catch_up_ms,
             ..SETTINGS
@@ -84,7 +84,7 @@
         self.policy = ViewPolicy::new(settings, Vec::new());
     }
 
-    /// Machines that are there, healthy, and in step with the current view; those in the chain have caught up.
+    /// Adds machines that are present, healthy, and know the current view; those in the chain have caught up.
     pub fn with(mut self, indices: &[u8]) -> Watch {
         for index in indices {
             self.add(*index);
@@ -106,7 +106,7 @@
             replica,
             receives: true,
             claims_to_receive_later_ms: 0,
-            apart_from: Vec::new(),
+            reported_unlinked: Vec::new(),
         };
         self.heartbeats.insert(index, heartbeat);
     }
@@ -114,38 +114,38 @@
     pub fn heartbeat(&mut self, index: u8) -> &mut Heartbeat {
         self.heartbeats
             .get_mut(&index)
-            .expect("the machine is there")
+            .expect("the machine is present")
     }
 
     /// The disks of the machines that one of them reports links with.
     fn linked_with(&self, index: u8) -> Vec<DiskId> {
-        let apart_from = &self.heartbeats[&index].apart_from;
+        let reported_unlinked = &self.heartbeats[&index].reported_unlinked;
         let others = self.heartbeats.iter();
         others
-            .filter(|(other, _)| !apart_from.contains(other))
+            .filter(|(other, _)| !reported_unlinked.contains(other))
             .map(|(_, heartbeat)| heartbeat.voter.disk)
             .collect()
     }
 
-    /// The link between two machines works in neither direction, as both report.
-    pub fn part(&mut self, one: u8, other: u8) {
-        self.heartbeat(one).apart_from.push(other);
-        self.heartbeat(other).apart_from.push(one);
+    /// Breaks the link between two machines in both directions, as both report.
+    pub fn break_link(&mut self, one: u8, other: u8) {
+        self.heartbeat(one).reported_unlinked.push(other);
+        self.heartbeat(other).reported_unlinked.push(one);
     }
 
-    /// Machines that are there no longer.
+    /// Removes machines.
     pub fn lose(&mut self, indices: &[u8]) {
         self.heartbeats.retain(|index, _| !indices.contains(index));
     }
 
-    /// All voters outside the chain could join it now.
+    /// Makes all voters outside the chain caught up.
     pub fn catch_all_up(&mut self) {
         for heartbeat in self.heartbeats.values_mut() {
             heartbeat.replica.caught_up = self.current.position(heartbeat.voter.disk).is_none();
         }
     }
 
-    /// The view is agreed, and everybody who is there knows it; the members of its chain have everything.
+    /// Makes a view agreed and known to every machine; the members of its chain have everything.
     pub fn adopt(&mut self, view: View) {
         for heartbeat in self.heartbeats.values_mut() {
             heartbeat.view_number = view.number;
@@ -154,36 +154,36 @@
         self.current = view;
     }
 
-    /// Lets time pass until something is wanted, for so long at most; gives it and the time that passed.
-    pub fn until_wanted(&mut self, milliseconds_most: u64) -> Option<(View, u64)> {
+    /// Advances time until a view is proposed, at most by `max_ms`. Returns the view and the time that passed.
+    pub fn until_wanted(&mut self, max_ms: u64) -> Option<(View, u64)> {
         let mut passed = 0;
-        while passed < milliseconds_most {
+        while passed < max_ms {
             passed += STEP_MS;
-            if let Some(view) = self.pass(STEP_MS) {
+            if let Some(view) = self.advance(STEP_MS) {
                 return Some((view, passed));
             }
         }
         None
     }
 
-    /// Has every wanted view agreed until nothing more is wanted for a second; gives the time until the last one.
-    pub fn wait_until_stable(&mut self, milliseconds_most: u64) -> u64 {
+    /// Agrees on every proposed view until none is proposed for a second. Returns the time until the last one.
+    pub fn wait_until_stable(&mut self, max_ms: u64) -> u64 {
         let began = self.now;
         let mut last = 0;
-        while let Some((view, _)) = self.until_wanted(milliseconds_most) {
+        while let Some((view, _)) = self.until_wanted(max_ms) {
             self.adopt(view);
             last = self.now.since(began);
         }
         last
     }
 
-    pub fn look(&mut self) -> Option<View> {
+    pub fn view_to_propose_now(&mut self) -> Option<View> {
         self.policy
             .view_to_propose(&self.current, &voter(self.me), self.now)
     }
 
-    /// Lets time pass, with heartbeats of all who are there; gives what is wanted at its end.
-    pub fn pass(&mut self, milliseconds: u64) -> Option<View> {
+    /// Advances time with heartbeats of all machines. Returns the view proposed at the end.
+    pub fn advance(&mut self, milliseconds: u64) -> Option<View> {
         let mut wanted = None;
         for _ in 0..milliseconds / STEP_MS {
             self.now = self.now.plus(STEP_MS);
@@ -211,10 +211,10 @@
                         .then(|| self.now.plus(claims_to_receive_later_ms)),
                     linked,
                 };
-                // A refusal is what the tests of identities look at by themselves.
+                // Rejected heartbeats are checked by the tests of identities.
                 let _ = self.policy.receive_heartbeat(voter, report, self.now);
             }
-            wanted = self.look();
+            wanted = self.view_to_propose_now();
         }
         wanted
     }
--- a/crates/view-agreement/tests/properties.rs
+++ b/crates/view-agreement/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of a process that receives anything in any order.
+//! Properties of a process that receives arbitrary messages in any order.
 
 mod common;
 
@@ -78,7 +78,7 @@
     rises && bounded && before.accepted_proposal <= after.accepted_proposal
 }
 
-/// Whether votes are only among the messages that wait for a sync, together with the state that they tell of.
+/// Whether votes are only among the messages that wait for a sync, together with the state that they report.
 fn votes_wait_for_syncs(effects: &[Effect], vote: &VoteState) -> bool {
     let is_vote = |message: &AgreementMessage| {
         matches!(
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn votes_only_rise_and_wait_for_the_disk() {
+fn votes_only_increase_and_wait_for_the_disk() {
     fn holds(founds: bool, me: u8, received: Vec<Received>) -> bool {
         let founders = if founds {
             (0..3).map(address).collect()
--- a/crates/view-agreement/tests/simulation/checker.rs
+++ b/crates/view-agreement/tests/simulation/checker.rs
@@ -1,22 +1,22 @@
-//! What must hold of agreed views in every run.
+//! The invariants of agreed views that every run is checked against.
 
 use lupinrack_cluster_api::view::View;
 use std::collections::{BTreeMap, HashSet};
 
-/// A rule that was broken.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// Two different views are agreed under one number.
     TwoViews { number: u64 },
-    /// A view is agreed that nobody proposed.
+    /// A view is agreed that no process proposed.
     NeverProposed { number: u64 },
-    /// A view is agreed though the disks of no majority of the voters before it, or of its own voters, hold it.
+    /// A view is agreed that is not on the disks of majorities of the voters before it and of its own voters.
     NotOnDisks { number: u64 },
-    /// The chain does not begin with members of the chain before it, in their order.
+    /// The chain does not begin with members of the previous chain in their order.
     BrokenChain { number: u64 },
 }
 
-/// Collects what is proposed and agreed.
+/// Collects proposed and agreed views and checks the invariants.
 #[derive(Clone, Debug, Default)]
 pub struct Checker {
     proposed: HashSet<View>,
@@ -29,7 +29,7 @@
         self.proposed.insert(view);
     }
 
-    /// Notes that a process takes a view for agreed; tells whether it is the first to do so.
+    /// Notes that a process considers a view agreed. Returns whether it is the first to do so.
     pub fn on_agreed(&mut self, view: &View) -> bool {
         let number = view.number;
         if !self.proposed.contains(view) {
@@ -45,7 +45,7 @@
         true
     }
 
-    /// Checks that a chain goes on from the one before it.
+    /// Checks that a chain continues the previous one.
     pub fn check_chain(&mut self, view: &View) {
         let Some(before) = self.agreed.get(&(view.number - 1)) else {
             return;
--- a/crates/view-agreement/tests/simulation/links.rs
+++ b/crates/view-agreement/tests/simulation/links.rs
@@ -1,14 +1,14 @@
-//! Which machines reach each other.
+//! The links between machines.
 
 use fastrand::Rng;
 use std::collections::BTreeSet;
 
-/// Two groups of machines, and perhaps one link within them that is broken.
+/// Two groups of machines without links between them, and broken links within the groups.
 #[derive(Clone)]
 pub struct Links {
     groups: Vec<bool>,
     broken: Option<(usize, usize)>,
-    /// Links on which nothing passes, each from one machine to another.
+    /// Links that lose every message, each from one machine to another.
     lost: BTreeSet<(usize, usize)>,
 }
 
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Cuts one machine off from all others.
+    /// Partitions one machine from all others.
     pub fn isolate(&mut self, machine: usize) {
         self.heal();
         self.groups[machine] = false;
@@ -39,7 +39,7 @@
         self.broken = Some((one, other));
     }
 
-    /// Loses all that one machine sends another.
+    /// Loses all messages from one machine to another.
     pub fn lose(&mut self, from: usize, to: usize) {
         self.lost.insert((from, to));
     }
--- a/crates/view-agreement/tests/simulation/machine.rs
+++ b/crates/view-agreement/tests/simulation/machine.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// The policy's settings, with the intervals of the program.
+/// The settings of the policy, with the intervals of the production program.
 pub const POLICY: PolicySettings = PolicySettings {
     heartbeat_ms: 100,
     suspect_after_ms: 700,
@@ -17,7 +17,7 @@
     catch_up_ms: 4000,
 };
 
-/// A vote that was handed to the disk and is not synced yet, with the messages that wait for it.
+/// A vote that is written and not synced yet, with the messages that wait for it.
 #[derive(Clone)]
 pub struct Write {
     pub vote: VoteState,
@@ -34,7 +34,7 @@
     pub started: Millis,
     /// The incarnation of the sender of the last heartbeat from each address, and when it sent it.
     pub received: BTreeMap<PeerAddress, (u64, Millis)>,
-    /// When it was told to end.
+    /// When the process began to drain.
     pub leaving_since: Option<Millis>,
 }
 
@@ -89,7 +89,7 @@
         });
     }
 
-    /// Ends the process. The first `survivors` of the writes that were not synced reach the disk all the same.
+    /// Ends the process. The first `survivors` of the unsynced writes still reach the disk.
     pub fn kill(&mut self, survivors: usize) {
         let Some(process) = self.process.take() else {
             return;
--- a/crates/view-agreement/tests/simulation/main.rs
+++ b/crates/view-agreement/tests/simulation/main.rs
@@ -1,4 +1,4 @@
-//! Seeded simulations of the agreement, with proposals at random and by the policy.
+//! Seeded simulations of the agreement, with random proposals and with proposals of the policy.
 
 mod checker;
 mod links;
--- a/crates/view-agreement/tests/simulation/one_way_links.rs
+++ b/crates/view-agreement/tests/simulation/one_way_links.rs
@@ -1,29 +1,29 @@
-//! Links on which all that is sent one way is lost, while the other way works: somebody acknowledges again soon, and then
-//! the views stay as they are.
+//! Links that lose all messages in one direction while the other works: a chain soon acknowledges again, and then the
+//! view is stable.
 //!
-//! A shape is a set of lost links; bit `i` of its number stands for link `i` of [`links`].
+//! A shape is a set of lost links; bit `i` of its number represents link `i` of [`links`].
 
 use crate::checker::Violation;
 use crate::machine::{address, POLICY};
 use crate::with_policy::machine_of;
-use crate::world::{PlantedFault, World};
+use crate::world::{InjectedFault, World};
 use std::ops::RangeInclusive;
 
-/// After this time somebody acknowledges again, in milliseconds.
+/// Milliseconds within which the chain has to acknowledge again.
 const ACKNOWLEDGED_WITHIN_MS: u64 = 2000;
-/// How long a shape is watched after that, and in which steps, in milliseconds.
+/// Milliseconds for which a shape is watched after that; the next constant is the step.
 const WATCHED_MS: u64 = 8000;
 const WATCH_STEP_MS: u64 = 500;
-/// How many views a shape costs at most.
+/// The maximum number of views agreed because of one shape.
 const MAX_VIEWS: u64 = 4;
-/// The number of links of five machines is too large for all their shapes in one test: all of so few lost links are
-/// played, and this many others.
+/// Five machines have too many shapes for one test. It runs all shapes with at most this many lost links, and
+/// `DRAWN_SHAPES` random ones.
 const MAX_LOST_LINKS: u32 = 2;
 const DRAWN_SHAPES: usize = 1500;
 
 type Shape = u32;
 
-/// All links of so many machines, each from one to another.
+/// All links between this many machines, each in one direction.
 fn links(machines: usize) -> Vec<(usize, usize)> {
     let pairs = (0..machines).flat_map(|from| (0..machines).map(move |to| (from, to)));
     pairs.filter(|(from, to)| from != to).collect()
@@ -36,7 +36,7 @@
         .map(|(_, link)| link)
 }
 
-/// Whether some majority of the machines is left whose members all reach each other in both directions.
+/// Whether there is a majority of the machines whose members all reach each other in both directions.
 fn has_linked_majority(world: &World) -> bool {
     let machines = world.machines.len();
     let is_linked = |one, other| world.links.connect(one, other) && world.links.connect(other, one);
@@ -47,7 +47,7 @@
     })
 }
 
-/// Whether the newest chain can acknowledge: each member knows the view, and reaches the next one and is reached by it.
+/// Whether the newest chain can acknowledge: each member knows the view and exchanges messages with the next member.
 fn acknowledges(world: &World) -> bool {
     let view = world.checker.newest();
     let members: Vec<usize> = view
@@ -64,9 +64,9 @@
     members.len() > POLICY.tolerated_losses && know && are_linked
 }
 
-/// So many machines in one stable view.
-fn calm(machines: usize) -> World {
-    let mut world = World::new(1, 3, machines, PlantedFault::None);
+/// A world with this many machines in one stable view.
+fn stable_world(machines: usize) -> World {
+    let mut world = World::new(1, 3, machines, InjectedFault::None);
     world.policy_proposes = true;
     world.run_for(12_000);
     assert_eq!(world.checker.newest().voters.len(), machines);
@@ -74,23 +74,23 @@
     world
 }
 
-/// What a shape led to.
+/// The outcome of a shape.
 #[derive(Debug, PartialEq, Eq)]
 enum Outcome {
-    /// No majority is left that could acknowledge.
-    Stands,
-    /// Somebody acknowledges.
-    GoesOn,
-    /// Nobody acknowledged in time, or not any more after so many milliseconds.
+    /// No linked majority is left that could acknowledge.
+    NoMajority,
+    /// The chain acknowledges.
+    Acknowledges,
+    /// The chain does not acknowledge at this time, although a linked majority is left.
     NobodyAcknowledges { after_ms: u64 },
-    /// So many views were agreed.
+    /// Too many views were agreed.
     Churns { views: u64 },
-    /// A view is wrong.
+    /// An invariant of the views is violated.
     Wrong,
 }
 
-fn play(calm: &World, shape: Shape) -> Outcome {
-    let mut world = calm.clone();
+fn play(stable: &World, shape: Shape) -> Outcome {
+    let mut world = stable.clone();
     let before = world.checker.newest().number;
     for (from, to) in lost_links(shape, world.machines.len()) {
         world.links.lose(from, to);
@@ -108,19 +108,22 @@
     match () {
         () if world.checker.violations != Vec::<Violation>::new() => Outcome::Wrong,
         () if views > MAX_VIEWS => Outcome::Churns { views },
-        () if may_go_on => Outcome::GoesOn,
-        () => Outcome::Stands,
+        () if may_go_on => Outcome::Acknowledges,
+        () => Outcome::NoMajority,
     }
 }
 
-/// Plays these shapes; gives those that led to something they should not.
+/// Runs these shapes and describes those with a wrong outcome.
 fn failures(machines: usize, shapes: impl Iterator<Item = Shape>) -> Vec<String> {
-    let calm = calm(machines);
-    let chain = calm.checker.newest().chain;
-    let chain: Vec<usize> = chain.iter().map(|disk| machine_of(&calm, *disk)).collect();
-    let outcomes = shapes.map(|shape| (shape, play(&calm, shape)));
+    let stable = stable_world(machines);
+    let chain = stable.checker.newest().chain;
+    let chain: Vec<usize> = chain
+        .iter()
+        .map(|disk| machine_of(&stable, *disk))
+        .collect();
+    let outcomes = shapes.map(|shape| (shape, play(&stable, shape)));
     outcomes
-        .filter(|(_, outcome)| !matches!(outcome, Outcome::Stands | Outcome::GoesOn))
+        .filter(|(_, outcome)| !matches!(outcome, Outcome::NoMajority | Outcome::Acknowledges))
         .map(|(shape, outcome)| {
             let lost: Vec<_> = lost_links(shape, machines).collect();
             format!("chain {chain:?}, shape {shape}, lost {lost:?}: {outcome:?}")
@@ -128,7 +131,7 @@
         .collect()
 }
 
-fn assert_all_go_on(machines: usize, shapes: impl Iterator<Item = Shape>) {
+fn assert_all_acknowledge(machines: usize, shapes: impl Iterator<Item = Shape>) {
     let failures = failures(machines, shapes);
     assert!(
         failures.is_empty(),
@@ -166,23 +169,23 @@
 
 #[test]
 fn every_shape_of_three_machines() {
-    assert_all_go_on(3, all_shapes(3));
+    assert_all_acknowledge(3, all_shapes(3));
 }
 
 #[test]
 fn every_shape_of_four_machines() {
-    assert_all_go_on(4, all_shapes(4));
+    assert_all_acknowledge(4, all_shapes(4));
 }
 
 #[test]
 fn every_shape_around_one_of_five_machines() {
-    assert_all_go_on(5, shapes_around_one(5).into_iter());
+    assert_all_acknowledge(5, shapes_around_one(5).into_iter());
 }
 
 #[test]
 fn every_shape_of_few_lost_links_of_five_machines() {
     let few = all_shapes(5).filter(|shape| shape.count_ones() <= MAX_LOST_LINKS);
-    assert_all_go_on(5, few);
+    assert_all_acknowledge(5, few);
 }
 
 #[test]
@@ -190,13 +193,13 @@
     let mut rng = fastrand::Rng::with_seed(5);
     let all = all_shapes(5);
     let drawn: Vec<Shape> = (0..DRAWN_SHAPES).map(|_| rng.u32(all.clone())).collect();
-    assert_all_go_on(5, drawn.into_iter());
+    assert_all_acknowledge(5, drawn.into_iter());
 }
 
 #[test]
-fn a_head_that_nothing_reaches_is_replaced_although_all_that_it_sends_arrives() {
+fn a_head_that_receives_nothing_is_replaced_although_its_messages_arrive() {
     for machines in 3..=5 {
-        let mut world = calm(machines);
+        let mut world = stable_world(machines);
         let head = machine_of(&world, world.checker.newest().chain[0]);
         for other in (0..machines).filter(|other| *other != head) {
             world.links.lose(other, head);
--- a/crates/view-agreement/tests/simulation/random_proposals.rs
+++ b/crates/view-agreement/tests/simulation/random_proposals.rs
@@ -1,26 +1,26 @@
-//! Processes that propose views at random, whatever they hear, several at once and over one another.
+//! Processes that propose random views concurrently, whatever messages they receive.
 
 use crate::checker::Violation;
-use crate::world::{Network, PlantedFault, World, CALM, ROUGH};
+use crate::world::{InjectedFault, Network, World, FAULT_FREE, ROUGH};
 use lupinrack_cluster_api::view::{View, Voter};
 
 const MIN_VOTERS: usize = 3;
 const ROUNDS: usize = 150;
 const MAX_ROUND_MS: u64 = 150;
 const TARGETED_FAULTS: f64 = 0.4;
-const PLANTED_SEEDS: std::ops::Range<u64> = 1000..1500;
+const FAULT_SEEDS: std::ops::Range<u64> = 1000..1500;
 
-/// How many machines there are, and how many disks may be lost.
+/// The number of machines, and how many disks may be lost.
 #[derive(Clone, Copy)]
 struct Setup {
     founders: usize,
     machines: usize,
-    wipes_most: usize,
+    max_wipes: usize,
     network: Network,
-    planted: PlantedFault,
+    injected_fault: InjectedFault,
 }
 
-/// A view of random voters, of those that run.
+/// A view with random voters among the running machines.
 fn random_view(world: &mut World, number: u64, founders: usize) -> View {
     let reach = if number == 1 {
         founders
@@ -66,11 +66,11 @@
 }
 
 fn run_rough(seed: u64, setup: Setup) -> World {
-    let mut world = World::new(seed, setup.founders, setup.machines, setup.planted);
+    let mut world = World::new(seed, setup.founders, setup.machines, setup.injected_fault);
     world.run_for(400);
     world.network = setup.network;
     world.targeted_faults = TARGETED_FAULTS;
-    world.wipes_left = setup.wipes_most;
+    world.wipes_left = setup.max_wipes;
     for _ in 0..ROUNDS {
         propose_at_random(&mut world, setup);
         disturb(&mut world, setup);
@@ -80,9 +80,9 @@
     world
 }
 
-/// Ends all faults and lets one voter propose; tells how many views were agreed since.
-fn run_calm(world: &mut World, founders: usize) -> u64 {
-    world.network = CALM;
+/// Ends all faults and lets one voter propose. Returns how many views were agreed since.
+fn run_without_faults(world: &mut World, founders: usize) -> u64 {
+    world.network = FAULT_FREE;
     world.targeted_faults = 0.0;
     world.links.heal();
     world.run_for(3000);
@@ -106,7 +106,7 @@
     for seed in seeds.clone() {
         let mut world = run_rough(seed, setup);
         agreed += world.checker.newest().number;
-        let progress = run_calm(&mut world, setup.founders);
+        let progress = run_without_faults(&mut world, setup.founders);
         assert_eq!(
             world.checker.violations,
             Vec::<Violation>::new(),
@@ -114,7 +114,7 @@
         );
         assert!(
             progress > 0 || !must_progress,
-            "seed {seed}: nothing was agreed once all was calm"
+            "seed {seed}: no view was agreed after the faults ended"
         );
     }
     let runs = seeds.end - seeds.start;
@@ -125,13 +125,13 @@
     );
 }
 
-fn setup(founders: usize, machines: usize, wipes_most: usize) -> Setup {
+fn setup(founders: usize, machines: usize, max_wipes: usize) -> Setup {
     Setup {
         founders,
         machines,
-        wipes_most,
+        max_wipes,
         network: ROUGH,
-        planted: PlantedFault::None,
+        injected_fault: InjectedFault::None,
     }
 }
 
@@ -160,30 +160,30 @@
     check(400..460, setup(3, 6, 100), false);
 }
 
-/// Asserts that the checker finds a planted fault, and nothing in the same runs without it.
+/// Asserts that the checker finds an injected fault, and finds nothing in the same runs without it.
 fn assert_found(setup: Setup) {
     let sound = Setup {
-        planted: PlantedFault::None,
+        injected_fault: InjectedFault::None,
         ..setup
     };
-    for seed in PLANTED_SEEDS {
+    for seed in FAULT_SEEDS {
         assert_eq!(
             run_rough(seed, sound).checker.violations,
             Vec::<Violation>::new(),
             "seed {seed}"
         );
         if run_rough(seed, setup).checker.found_two_views() {
-            println!("{:?}: two views with seed {seed}", setup.planted);
+            println!("{:?}: two views with seed {seed}", setup.injected_fault);
             return;
         }
     }
-    panic!("{:?} was not found", setup.planted);
+    panic!("{:?} was not found", setup.injected_fault);
 }
 
 #[test]
 fn an_empty_disk_under_the_old_identity_is_found() {
     assert_found(Setup {
-        planted: PlantedFault::WipedDiskKeepsIdentity,
+        injected_fault: InjectedFault::WipedDiskKeepsIdentity,
         ..setup(3, 5, 100)
     });
 }
@@ -191,7 +191,7 @@
 #[test]
 fn an_answer_before_the_sync_is_found() {
     assert_found(Setup {
-        planted: PlantedFault::AnswersBeforeSync,
+        injected_fault: InjectedFault::AnswersBeforeSync,
         ..setup(3, 5, 0)
     });
 }
@@ -199,7 +199,7 @@
 #[test]
 fn a_quorum_of_the_new_voters_alone_is_found() {
     assert_found(Setup {
-        planted: PlantedFault::CountsNewVotersOnly,
+        injected_fault: InjectedFault::CountsNewVotersOnly,
         ..setup(3, 7, 0)
     });
 }
--- a/crates/view-agreement/tests/simulation/replacement.rs
+++ b/crates/view-agreement/tests/simulation/replacement.rs
@@ -1,19 +1,19 @@
-//! Days on which machines are replaced by others at other addresses.
+//! Runs in which machines are replaced by others at other addresses.
 
 use crate::checker::Violation;
 use crate::machine::POLICY;
 use crate::with_policy::{assert_stable, machine_of};
-use crate::world::{PlantedFault, World, CALM, ROUGH};
+use crate::world::{InjectedFault, World, FAULT_FREE, ROUGH};
 
 const SIZES: [usize; 4] = [3, 5, 7, 9];
 const SUCCESSOR_AFTER_MS: u64 = 300;
-/// Between the start of a successor and the next loss, in milliseconds: the loss before it counts no longer.
+/// Milliseconds between the start of a replacement and the next loss: the loss before no longer counts.
 const APART_MS: u64 = POLICY.catch_up_ms;
 
-/// So many machines that run, and others of which none has run yet.
-fn calm(seed: u64, running: usize, others: usize) -> World {
+/// A world with `running` machines in a stable view, and `others` that were not started yet.
+fn stable_world(seed: u64, running: usize, others: usize) -> World {
     let founders = running.min(3);
-    let mut world = World::new(seed, founders, running + others, PlantedFault::None);
+    let mut world = World::new(seed, founders, running + others, InjectedFault::None);
     world.policy_proposes = true;
     (running..running + others).for_each(|machine| world.kill(machine));
     world.run_for(6000);
@@ -25,8 +25,8 @@
     world
 }
 
-/// Asserts that the voters are so many, and that all of them run.
-fn assert_whole(world: &World, seed: u64, count: usize) {
+/// Asserts that there are `count` voters and that all of them run.
+fn assert_all_voters_run(world: &World, seed: u64, count: usize) {
     let view = assert_stable(world, seed);
     assert_eq!(view.voters.len(), count, "seed {seed}: {view:?}");
     let runs = |disk| world.is_running(machine_of(world, disk));
@@ -39,25 +39,25 @@
 #[test]
 fn machines_are_replaced_one_after_another_and_then_disks_are_lost() {
     for (seed, count) in (0..10).flat_map(|seed| SIZES.map(|count| (seed, count))) {
-        let mut world = calm(seed, count, count);
+        let mut world = stable_world(seed, count, count);
         for lost in 0..count {
             world.kill(lost);
             world.run_for(SUCCESSOR_AFTER_MS);
             world.start(count + lost);
             world.run_for(APART_MS);
-            assert_whole(&world, seed, count);
+            assert_all_voters_run(&world, seed, count);
         }
         let losses = (count - 1) / 2;
         (count..count + losses).for_each(|machine| world.wipe(machine, 300));
         world.run_for(APART_MS);
-        assert_whole(&world, seed, count);
+        assert_all_voters_run(&world, seed, count);
     }
 }
 
 #[test]
 fn heads_are_replaced_one_after_another() {
     for (seed, count) in (0..10).flat_map(|seed| SIZES.map(|count| (seed, count))) {
-        let mut world = calm(seed, count, 3);
+        let mut world = stable_world(seed, count, 3);
         for new_disk in count..count + 3 {
             let head = world.checker.newest().chain[0];
             let lost = machine_of(&world, head);
@@ -65,28 +65,28 @@
             world.run_for(SUCCESSOR_AFTER_MS);
             world.start(new_disk);
             world.run_for(APART_MS);
-            assert_whole(&world, seed, count);
+            assert_all_voters_run(&world, seed, count);
         }
     }
 }
 
 #[test]
-fn as_many_as_are_borne_are_replaced_at_once() {
+fn as_many_as_are_tolerated_are_replaced_at_once() {
     for (seed, count) in (0..10).flat_map(|seed| [5, 7, 9].map(|count| (seed, count))) {
         let losses = (count - 1) / 2;
-        let mut world = calm(seed, count, losses);
+        let mut world = stable_world(seed, count, losses);
         (0..losses).for_each(|machine| world.kill(machine));
         world.run_for(SUCCESSOR_AFTER_MS);
         (count..count + losses).for_each(|machine| world.start(machine));
         world.run_for(APART_MS);
-        assert_whole(&world, seed, count);
+        assert_all_voters_run(&world, seed, count);
     }
 }
 
 #[test]
-fn a_machine_whose_successor_came_first_hands_its_places_over() {
+fn a_draining_machine_hands_over_to_a_replacement_that_started_before() {
     for (seed, count) in (0..10).flat_map(|seed| SIZES.map(|count| (seed, count))) {
-        let mut world = calm(seed, count, 1);
+        let mut world = stable_world(seed, count, 1);
         let head = world.checker.newest().chain[0];
         let old = machine_of(&world, head);
         world.start(count);
@@ -97,19 +97,19 @@
             !world.is_running(old),
             "seed {seed}: {count} voters: it still runs"
         );
-        assert_whole(&world, seed, count);
+        assert_all_voters_run(&world, seed, count);
         let next = world.checker.newest().chain[0];
         let lost = machine_of(&world, next);
         world.wipe(lost, 300);
         world.run_for(APART_MS);
-        assert_whole(&world, seed, count);
+        assert_all_voters_run(&world, seed, count);
     }
 }
 
 #[test]
-fn a_machine_that_is_lost_while_another_leaves_costs_no_majority() {
+fn a_machine_lost_while_another_drains_leaves_a_majority() {
     for (seed, count) in (0..10).flat_map(|seed| SIZES.map(|count| (seed, count))) {
-        let mut world = calm(seed, count, 1);
+        let mut world = stable_world(seed, count, 1);
         let chain = world.checker.newest().chain;
         let (draining, lost) = (machine_of(&world, chain[0]), machine_of(&world, chain[1]));
         world.terminate(draining);
@@ -120,14 +120,14 @@
         world.run_for(APART_MS);
         world.start(draining);
         world.run_for(APART_MS);
-        assert_whole(&world, seed, count);
+        assert_all_voters_run(&world, seed, count);
     }
 }
 
 #[test]
 fn a_rolling_restart_changes_no_vote() {
     for (seed, count) in (0..10).flat_map(|seed| SIZES.map(|count| (seed, count))) {
-        let mut world = calm(seed, count, 0);
+        let mut world = stable_world(seed, count, 0);
         let before = world.checker.newest().voters;
         for machine in 0..count {
             world.terminate(machine);
@@ -148,23 +148,23 @@
 }
 
 #[test]
-fn a_successor_that_is_wiped_while_it_catches_up_enters_all_the_same() {
+fn a_replacement_wiped_while_it_catches_up_still_becomes_a_voter() {
     for (seed, count) in (0..10).flat_map(|seed| SIZES.map(|count| (seed, count))) {
-        let mut world = calm(seed, count, 1);
+        let mut world = stable_world(seed, count, 1);
         world.kill(0);
         world.run_for(SUCCESSOR_AFTER_MS);
         world.start(count);
         world.run_for(100 + 150 * seed);
         world.wipe(count, 300);
         world.run_for(APART_MS);
-        assert_whole(&world, seed, count);
+        assert_all_voters_run(&world, seed, count);
     }
 }
 
 #[test]
-fn a_founder_that_is_replaced_before_the_first_view_costs_nothing() {
+fn a_founder_replaced_before_the_first_view_does_not_prevent_the_founding() {
     for seed in 0..20 {
-        let mut world = World::new(seed, 3, 4, PlantedFault::None);
+        let mut world = World::new(seed, 3, 4, InjectedFault::None);
         world.policy_proposes = true;
         world.kill(3);
         world.run_for(seed * 20);
@@ -177,14 +177,14 @@
             Vec::<Violation>::new(),
             "seed {seed}"
         );
-        assert_whole(&world, seed, 3);
+        assert_all_voters_run(&world, seed, 3);
     }
 }
 
 #[test]
-fn a_replacement_goes_on_while_views_are_being_agreed_in_a_rough_network() {
+fn a_replacement_completes_while_views_are_agreed_in_a_rough_network() {
     for (seed, count) in (0..20).flat_map(|seed| SIZES.map(|count| (seed, count))) {
-        let mut world = calm(seed, count, 2);
+        let mut world = stable_world(seed, count, 2);
         world.network = ROUGH;
         world.targeted_faults = 0.5;
         for new_disk in [count, count + 1] {
@@ -197,9 +197,9 @@
                 world.links.heal();
             }
         }
-        world.network = CALM;
+        world.network = FAULT_FREE;
         world.targeted_faults = 0.0;
         world.run_for(2 * APART_MS);
-        assert_whole(&world, seed, count);
+        assert_all_voters_run(&world, seed, count);
     }
 }
--- a/crates/view-agreement/tests/simulation/with_policy.rs
+++ b/crates/view-agreement/tests/simulation/with_policy.rs
@@ -1,12 +1,12 @@
-//! Processes that propose by the policy, through founding, losses and returns.
+//! Processes that propose by the policy during founding, losses and returns.
 
 use crate::checker::Violation;
 use crate::machine::POLICY;
-use crate::world::{PlantedFault, World, ROUGH};
+use crate::world::{InjectedFault, World, ROUGH};
 use lupinrack_cluster_api::view::View;
 
 fn founded(seed: u64, founders: usize, machines: usize) -> World {
-    let mut world = World::new(seed, founders, machines, PlantedFault::None);
+    let mut world = World::new(seed, founders, machines, InjectedFault::None);
     world.policy_proposes = true;
     world.run_for(6000);
     world
@@ -18,7 +18,7 @@
         .min(voters)
 }
 
-/// Asserts that everybody who runs knows one view, and that its chain is whole.
+/// Asserts that all running machines know the same view, and that its chain is complete.
 pub fn assert_stable(world: &World, seed: u64) -> View {
     assert_eq!(
         world.checker.violations,
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_lost_member_leaves_and_another_takes_its_place() {
+fn a_lost_member_is_removed_and_another_replaces_it() {
     for seed in 0..20 {
         for position in 0..2 {
             let mut world = founded(seed, 3, 3);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_machine_on_a_new_disk_takes_the_old_disks_place() {
+fn a_machine_on_a_new_disk_replaces_the_old_disk() {
     for seed in 0..20 {
         for lost in 0..3 {
             let mut world = founded(seed, 3, 3);
@@ -131,7 +131,7 @@
         assert_eq!(
             world.checker.newest().number,
             number,
-            "seed {seed}: views keep changing in a calm"
+            "seed {seed}: views keep changing without faults"
         );
     }
 }
@@ -139,7 +139,7 @@
 #[test]
 fn a_kill_in_the_middle_of_founding_does_not_end_it() {
     for seed in 0..40 {
-        let mut world = World::new(seed, 3, 3, PlantedFault::None);
+        let mut world = World::new(seed, 3, 3, InjectedFault::None);
         world.policy_proposes = true;
         world.run_for(340 + seed * 10);
         for machine in 0..3 {
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_machine_that_was_cut_off_comes_back_into_the_newest_view() {
+fn a_partitioned_machine_returns_to_the_newest_view() {
     for seed in 0..20 {
         let mut world = founded(seed, 3, 4);
         for machine in 0..4 {
@@ -192,7 +192,7 @@
             }
             world.run_for(200);
         }
-        world.network = crate::world::CALM;
+        world.network = crate::world::FAULT_FREE;
         world.links.heal();
         world.run_for(8000);
         assert_stable(&world, seed);
--- a/crates/view-agreement/tests/simulation/world.rs
+++ b/crates/view-agreement/tests/simulation/world.rs
@@ -1,4 +1,4 @@
-//! Machines, a network that loses, delays, reorders and repeats messages, and time.
+//! Simulated machines, time, and a network that loses, delays, reorders and repeats messages.
 
 use crate::checker::{Checker, Violation};
 use crate::links::Links;
@@ -15,19 +15,19 @@
 const TICK_MS: u64 = 25;
 const HEARTBEAT_MS: u64 = POLICY.heartbeat_ms;
 const MAX_SYNC_MS: u64 = 30;
-/// How often a sync is slow, and how long such a one takes at most.
-const SLOW_SYNCS: f64 = 0.2;
+/// The probability of a slow sync; the next constant is its maximum duration.
+const SLOW_SYNC_PROBABILITY: f64 = 0.2;
 const MAX_SLOW_SYNC_MS: u64 = 300;
-/// Milliseconds that a process outside the chain needs until it has caught up.
+/// Milliseconds in which a process outside the chain catches up.
 const CATCH_UP_MS: u64 = 400;
-/// A process that was told to end does so by then.
+/// Milliseconds after which a draining process ends at the latest.
 const MAX_DRAIN_MS: u64 = 4500;
 
-/// A fault that is planted, to see that the checker finds it.
+/// A fault that the checker has to find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PlantedFault {
+pub enum InjectedFault {
     None,
-    /// A machine whose disk was lost goes on under the old disk's identity.
+    /// A machine whose disk was lost continues under the identity of the old disk.
     WipedDiskKeepsIdentity,
     /// A vote is sent before it is on disk.
     AnswersBeforeSync,
@@ -76,7 +76,7 @@
     },
 }
 
-/// How bad the network is.
+/// The faults of the network.
 #[derive(Clone, Copy)]
 pub struct Network {
     pub loss: f64,
@@ -84,7 +84,7 @@
     pub delay_ms_most: u64,
 }
 
-pub const CALM: Network = Network {
+pub const FAULT_FREE: Network = Network {
     loss: 0.0,
     repeats: 0.0,
     delay_ms_most: 3,
@@ -105,13 +105,13 @@
     pub checker: Checker,
     /// Whether processes propose by the policy.
     pub policy_proposes: bool,
-    /// Whether to check that disks hold what is agreed; it makes no sense once a disk was lost.
+    /// Whether to check that disks hold the agreed views; this cannot be checked once a disk was lost.
     pub check_disks: bool,
-    /// How often the process that completes an agreement is cut off at that moment, while another voter dies.
+    /// The probability that the process that completes an agreement is partitioned at that time while another voter ends.
     pub targeted_faults: f64,
     /// How many disks may still be lost.
     pub wipes_left: usize,
-    planted: PlantedFault,
+    injected_fault: InjectedFault,
     asked: BTreeMap<ProposalNumber, View>,
     events: BTreeMap<(Millis, u64), Event>,
     sequence: u64,
@@ -119,19 +119,24 @@
 }
 
 impl World {
-    /// The first `founders` of the machines found the system; all start within 300 ms.
-    pub fn new(seed: u64, founders: usize, machines: usize, planted: PlantedFault) -> World {
+    /// Creates a world in which the first `founders` machines found the system; all start within 300 ms.
+    pub fn new(
+        seed: u64,
+        founders: usize,
+        machines: usize,
+        injected_fault: InjectedFault,
+    ) -> World {
         let mut world = World {
             rng: Rng::with_seed(seed),
             now: Millis(0),
             machines: Vec::new(),
-            network: CALM,
+            network: FAULT_FREE,
             checker: Checker::default(),
             policy_proposes: false,
             check_disks: true,
             targeted_faults: 0.0,
             wipes_left: 0,
-            planted,
+            injected_fault,
             links: Links::whole(machines),
             asked: BTreeMap::new(),
             events: BTreeMap::new(),
@@ -169,7 +174,7 @@
         self.now = until;
     }
 
-    /// Ends a process and starts it again after a while. Unsynced writes may or may not have reached the disk.
+    /// Ends a process and starts it again after `after_ms`. Unsynced writes may or may not have reached the disk.
     pub fn restart(&mut self, machine: usize, after_ms: u64) {
         self.kill(machine);
         self.schedule(after_ms, Event::Start { machine });
@@ -180,7 +185,7 @@
         self.machines[machine].kill(survivors);
     }
 
-    /// Tells a process to end; it does so once its places are taken.
+    /// Makes a process drain; it ends once it is no longer needed.
     pub fn terminate(&mut self, machine: usize) {
         let now = self.now;
         if let Some(process) = &mut self.machines[machine].process {
@@ -200,7 +205,7 @@
         self.wipes_left = self.wipes_left.saturating_sub(1);
         self.machines[machine].kill(0);
         self.machines[machine].stored = Default::default();
-        if self.planted != PlantedFault::WipedDiskKeepsIdentity {
+        if self.injected_fault != InjectedFault::WipedDiskKeepsIdentity {
             self.machines[machine].voter.disk = DiskId(self.draw_identity());
         }
         self.schedule(after_ms, Event::Start { machine });
@@ -210,7 +215,7 @@
         self.machines[machine].process.is_some()
     }
 
-    /// The view that a running process takes for the current one.
+    /// The newest view that a running process knows.
     pub fn current(&self, machine: usize) -> View {
         let process = self.machines[machine].process.as_ref();
         process
@@ -280,7 +285,9 @@
             Event::Heartbeat {
                 machine,
                 incarnation,
-            } if self.incarnations(machine, incarnation) => self.beat(machine, incarnation),
+            } if self.incarnations(machine, incarnation) => {
+                self.send_heartbeats(machine, incarnation)
+            }
             Event::Start { machine } => self.start(machine),
             Event::Synced { .. } | Event::Tick { .. } | Event::Heartbeat { .. } => {}
         }
@@ -289,7 +296,7 @@
     fn deliver(&mut self, from: PeerAddress, to: usize, message: Message) {
         match message {
             Message::Agreement(message) => {
-                self.plant_old_votes(to, &message);
+                self.forge_old_votes(to, &message);
                 self.receive(from, to, message);
             }
             Message::Heartbeat {
@@ -339,8 +346,8 @@
         self.perform(to, effects);
     }
 
-    /// Makes the votes of old voters up, so that only those of the new ones still matter.
-    fn plant_old_votes(&mut self, to: usize, message: &AgreementMessage) {
+    /// Forges the votes of the old voters, so that only those of the new voters decide.
+    fn forge_old_votes(&mut self, to: usize, message: &AgreementMessage) {
         let AgreementMessage::Accepted {
             proposal_number, ..
         } = message
@@ -350,7 +357,7 @@
         let Some(view) = self.asked.get(proposal_number).cloned() else {
             return;
         };
-        if self.planted != PlantedFault::CountsNewVotersOnly {
+        if self.injected_fault != InjectedFault::CountsNewVotersOnly {
             return;
         }
         let current = self.current(to);
@@ -370,7 +377,7 @@
         }
     }
 
-    /// The disk holds the newest of the writes; all messages that waited go out.
+    /// Completes a sync of the newest write and sends all messages that waited for it.
     fn synced(&mut self, machine: usize) {
         let Some(process) = &mut self.machines[machine].process else {
             return;
@@ -415,7 +422,7 @@
         }
     }
 
-    fn beat(&mut self, machine: usize, incarnation: u64) {
+    fn send_heartbeats(&mut self, machine: usize, incarnation: u64) {
         self.schedule(
             HEARTBEAT_MS,
             Event::Heartbeat {
@@ -478,7 +485,7 @@
     }
 
     fn persist(&mut self, machine: usize, mut write: Write) {
-        if self.planted == PlantedFault::AnswersBeforeSync {
+        if self.injected_fault == InjectedFault::AnswersBeforeSync {
             for (to, message) in std::mem::take(&mut write.then) {
                 self.send(machine, to, Message::Agreement(message));
             }
@@ -488,7 +495,7 @@
         };
         process.writes.push(write);
         let incarnation = process.incarnation;
-        let slow = self.rng.f64() < SLOW_SYNCS;
+        let slow = self.rng.f64() < SLOW_SYNC_PROBABILITY;
         let sync_ms = self
             .rng
             .u64(1..=if slow { MAX_SLOW_SYNC_MS } else { MAX_SYNC_MS });
@@ -514,12 +521,12 @@
             });
         }
         if self.rng.f64() < self.targeted_faults {
-            self.fail_around(machine);
+            self.inject_fault_around(machine);
         }
     }
 
-    /// Cuts a machine off before it can announce anything, and ends another, perhaps with its disk.
-    fn fail_around(&mut self, machine: usize) {
+    /// Partitions a machine before it can announce a view, and ends another, sometimes with its disk.
+    fn inject_fault_around(&mut self, machine: usize) {
         self.links.isolate(machine);
         let voters = self.checker.newest().voters;
         let others = (0..self.machines.len()).filter(|index| {
