--- a/crates/cluster-simulation/examples/hunt.rs
+++ b/crates/cluster-simulation/examples/hunt.rs
@@ -1,19 +1,19 @@
 //! Runs many seeds and prints those that violate a rule:
 //! `hunt FIRST COUNT [CORES] [TOLERANCE] [KIND] [SECONDS] [BUG]`, where the kind is `usual` (mixed faults), `worst` (severe
 //! faults) or the name of a scenario such as `PartitionWithCallers`, and the bug is its number in `InjectedBug::ALL`.
-//! The names that scenarios had earlier are accepted too, so that recorded command lines can be repeated.
+//! The earlier names of scenarios are accepted too, so that recorded command lines can be repeated.
 
 use lupinrack_cluster_simulation::{
     simulate, FaultProfile, FaultScenario, InjectedBug, SimulationConfig,
 };
 use std::process::ExitCode;
 
-/// Runs between two lines on progress.
-const PROGRESS_EVERY: u64 = 100;
-/// Between two submissions of jobs, on average, in milliseconds.
-const JOB_EVERY_MS: u64 = 1_000;
+/// Number of runs between two progress lines.
+const RUNS_PER_PROGRESS_LINE: u64 = 100;
+/// Average interval between two job submissions, in milliseconds.
+const JOB_INTERVAL_MS: u64 = 1_000;
 
-/// The names that scenarios had earlier, which recorded command lines use.
+/// Earlier names of scenarios, which recorded command lines use.
 const EARLIER_NAMES: [(&str, FaultScenario); 10] = [
     ("ReplacedAgainAndAgain", FaultScenario::RepeatedReplacement),
     ("ReplacedInOrder", FaultScenario::GracefulReplacement),
@@ -60,13 +60,13 @@
         tolerance: number(3, cores as u64 / 2) as usize,
         profile,
         traffic_ms,
-        jobs: traffic_ms / JOB_EVERY_MS,
+        jobs: traffic_ms / JOB_INTERVAL_MS,
         injected_bug: injected_bug.and_then(|number| InjectedBug::ALL.get(number).copied()),
         ..defaults
     }
 }
 
-/// The profile of a kind; none where no profile or scenario has this name.
+/// The profile for a kind; `None` if no profile or scenario has this name.
 fn profile(kind: &str) -> Option<FaultProfile> {
     match kind {
         "usual" => Some(FaultProfile::Mixed),
@@ -100,7 +100,7 @@
         written += report.snapshots_written;
         sent += report.snapshots_sent;
         let runs = seed + 1 - first;
-        if runs.is_multiple_of(PROGRESS_EVERY) {
+        if runs.is_multiple_of(RUNS_PER_PROGRESS_LINE) {
             println!("{runs} runs, {failed} failed before this one");
         }
         if report.violations.is_empty() {
--- a/crates/cluster-simulation/src/agent_link.rs
+++ b/crates/cluster-simulation/src/agent_link.rs
@@ -1,4 +1,4 @@
-//! What passes between servers and their agents.
+//! Messages between servers and their agents.
 
 use crate::machine::ProcessEvent;
 use crate::world::{AgentLinkMessage, World};
--- a/crates/cluster-simulation/src/call_routing.rs
+++ b/crates/cluster-simulation/src/call_routing.rs
@@ -1,11 +1,11 @@
-//! Which front or core machine a client or the operator calls, and the call itself.
+//! Chooses the front or core machine that a client or the operator calls, and makes the call.
 
 use crate::machine::{Machine, Process, ProcessEvent};
 use crate::world::World;
 use lupinrack_cluster_node::control_api::HeadCall;
 
 impl World {
-    /// The front that a client calls: one that the platform gives new connections to, or the one that callers insist on.
+    /// The front for a client's call: a ready one, or the isolated one that all callers are directed to.
     pub(crate) fn choose_ready_front(&mut self) -> Option<usize> {
         if let Some(isolated_targets) = self
             .active_faults
@@ -26,7 +26,7 @@
         self.rng.choice(fronts)
     }
 
-    /// The core machine that the operator calls: one whose process runs, or the one that callers insist on.
+    /// The core machine for the operator's call: a running one, or the isolated one that all callers are directed to.
     pub(crate) fn choose_core(&mut self) -> Option<usize> {
         if let Some(isolated_targets) = self
             .active_faults
--- a/crates/cluster-simulation/src/client.rs
+++ b/crates/cluster-simulation/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: each hands in a job, asks for its state, and may cancel it.
+//! Clients: each submits a job, reads its state, and may cancel it.
 
 use crate::configuration_body::HOST;
 use crate::faults::schedule::Acknowledgement;
@@ -10,18 +10,18 @@
 use lupinrack_cluster_api::job::JobState;
 use lupinrack_cluster_api::request::{Reply, Request, Target};
 
-/// How long a client waits for an answer, in milliseconds.
-const WAIT_MS: u64 = 2_250;
-/// Tries after which a client gives up what is always refused.
+/// Timeout of a client's call, in milliseconds.
+const CALL_TIMEOUT_MS: u64 = 2_250;
+/// Attempts after which a client gives up a call that is always refused.
 const MAX_ATTEMPTS: u32 = 12;
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Intent {
     Submit,
-    Ask,
+    Read,
     Cancel,
 }
 
-/// A client and its one job.
+/// A client and its single job.
 #[derive(Debug)]
 pub(crate) struct Client {
     job: JobId,
@@ -30,16 +30,16 @@
     cancel_at: Option<u64>,
     open: Option<(Intent, PendingCall)>,
     rejections: u32,
-    /// Whether a try may have been taken.
+    /// Whether an earlier attempt may have been accepted.
     is_indeterminate: bool,
     /// When the job was accepted.
     pub accepted_at: Option<u64>,
-    /// Whether the client has nothing more to do.
+    /// Whether the client has finished.
     pub finished: bool,
 }
 
 impl Client {
-    /// One that hands in a job at `begins_at` and cancels it at `cancel_at`.
+    /// Creates a client that submits its job at `begins_at` and cancels it at `cancel_at`.
     pub(crate) fn new(
         job: JobId,
         queue: &'static str,
@@ -64,8 +64,8 @@
         self.job
     }
 
-    /// Does what is due.
-    pub(crate) fn serve(&mut self, world: &mut World) {
+    /// Advances the client's call and begins the next one when it is due.
+    pub(crate) fn advance(&mut self, world: &mut World) {
         if !self.finished {
             self.read_answer(world);
             self.begin_call(world);
@@ -105,9 +105,9 @@
             expected.cancel_sent = true;
             (Intent::Cancel, Request::CancelJob { target, job })
         } else {
-            (Intent::Ask, Request::ReadJob { target, job })
+            (Intent::Read, Request::ReadJob { target, job })
         };
-        let (call, open) = call(request, now, WAIT_MS);
+        let (call, open) = call(request, now, CALL_TIMEOUT_MS);
         self.open = Some((intent, open));
         world.call_front(front, call);
     }
@@ -130,7 +130,7 @@
         self.next_at = now + 100 + world.rng.u64(0..300);
         match intent {
             Intent::Submit => self.check_submission_response(outcome, world),
-            Intent::Ask => self.check_read_response(&outcome, world),
+            Intent::Read => self.check_read_response(&outcome, world),
             Intent::Cancel => self.check_cancel_response(&outcome, world),
         }
     }
--- a/crates/cluster-simulation/src/config.rs
+++ b/crates/cluster-simulation/src/config.rs
@@ -7,46 +7,46 @@
 /// Which faults a run has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FaultProfile {
-    /// Nothing but traffic.
+    /// No faults.
     Quiet,
     /// Short faults of all machines.
     #[default]
     Mixed,
     /// Scenarios in which machines are replaced, partitioned off with their callers, or lost again right after a repair.
     Severe,
-    /// One scenario of the severe profile, again and again.
+    /// One scenario of the severe profile, repeatedly.
     Only(FaultScenario),
 }
 
 impl FaultProfile {
-    /// Whether it consists of scenarios of the severe profile.
-    pub fn is_worst(self) -> bool {
+    /// Whether the profile consists of scenarios of the severe profile.
+    pub fn is_severe(self) -> bool {
         matches!(self, FaultProfile::Severe | FaultProfile::Only(_))
     }
 }
 
-/// A sequence of faults of core machines. Each loses as many machines at once as is tolerated.
+/// A sequence of faults of core machines, each of which loses the tolerated number of machines at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultScenario {
-    /// The oldest core machines are replaced by empty ones at other addresses, as fast as is allowed.
+    /// The core machines with the oldest disks are replaced by empty ones at other addresses, as fast as allowed.
     RepeatedReplacement,
-    /// A new core machine starts first, then the old one is asked to shut down for good.
+    /// A new core machine starts, then the old one shuts down for good.
     GracefulReplacement,
-    /// A machine is replaced; as soon as its successor counts, the oldest disk is lost right after an acknowledgement.
+    /// A machine is replaced. Once its successor has caught up, the oldest disk is lost right after an acknowledgement.
     ReplacementThenDiskLoss,
     /// A machine is replaced, and its successor loses its disk while it catches up.
     DiskLossDuringCatchUp,
     /// A disk is lost right after an acknowledgement, and another right after the repair.
     ConsecutiveDiskLosses,
-    /// A core machine is partitioned off for 20 seconds with a front and agents, and its callers go on.
+    /// A core machine is partitioned off for 20 seconds with a front and agents, while callers keep calling both machines.
     PartitionWithCallers,
-    /// All core machines are killed or lose power at one moment, also right after an acknowledgement.
+    /// All core machines are killed or lose power at once, also right after an acknowledgement.
     SimultaneousCrash,
-    /// As many machines as is tolerated are lost at the same moment.
+    /// The tolerated number of machines is lost at once.
     SimultaneousLosses,
     /// A machine, its links or its disk are slow, or its disk hangs, is full or refuses writes.
     DegradedMachine,
-    /// Each core machine is asked to shut down and comes back, one after the other.
+    /// The core machines shut down and restart one after the other.
     RollingRestart,
 }
 
@@ -65,7 +65,7 @@
         FaultScenario::RollingRestart,
     ];
 
-    /// Its name, by which it is chosen on a command line.
+    /// The name that selects the scenario on a command line.
     pub fn name(self) -> &'static str {
         match self {
             FaultScenario::RepeatedReplacement => "RepeatedReplacement",
@@ -85,23 +85,23 @@
 /// The size of a run, and its faults.
 #[derive(Clone, Copy, Debug)]
 pub struct SimulationConfig {
-    /// Core machines, an odd number.
+    /// Number of core machines; odd.
     pub cores: usize,
-    /// How many of them may be lost at once.
+    /// Number of core machines that may be lost at once.
     pub tolerance: usize,
-    /// Machines that clients reach.
+    /// Number of fronts, the machines that clients call.
     pub fronts: usize,
-    /// Servers, each beside an agent.
+    /// Number of servers, each with an agent.
     pub servers: usize,
-    /// Jobs.
+    /// Number of jobs.
     pub jobs: u64,
     /// When the traffic and the faults end, in milliseconds.
     pub traffic_ms: u64,
-    /// How long after that everything has to be done, in milliseconds.
+    /// Time after the traffic's end within which all jobs have to end, in milliseconds.
     pub finish_ms: u64,
-    /// Which faults there are.
+    /// The profile of the faults.
     pub profile: FaultProfile,
-    /// A fault of the system itself.
+    /// A bug injected into the system itself.
     pub injected_bug: Option<InjectedBug>,
 }
 
@@ -121,7 +121,7 @@
     }
 }
 
-/// Bounds of the log under severe faults, so small that snapshots are written and sent all the time.
+/// Limits of the log under severe faults, small enough that snapshots are constantly written and sent.
 const SMALL_LOG: ByteLimits = ByteLimits {
     uncommitted: 256 * 1024,
     snapshot_after: 32 * 1024,
@@ -131,9 +131,9 @@
 };
 
 impl SimulationConfig {
-    /// The bounds of the log of core processes.
+    /// The limits of the core processes' log.
     pub fn log_bytes(&self) -> ByteLimits {
-        if self.profile.is_worst() {
+        if self.profile.is_severe() {
             SMALL_LOG
         } else {
             ByteLimits::default()
--- a/crates/cluster-simulation/src/configuration_body.rs
+++ b/crates/cluster-simulation/src/configuration_body.rs
@@ -6,13 +6,13 @@
 /// The host of all routes.
 pub(crate) const HOST: &str = "h";
 
-/// The services; each queue belongs to the one of its place.
+/// The services; each queue belongs to the service with the same index.
 pub(crate) const SERVICES: [&str; 2] = ["alpha", "beta"];
 
-/// Routes of a large configuration beyond the usual ones; about 200 bytes each.
+/// Number of additional routes of a large configuration; about 200 bytes each.
 const LARGE_ROUTES: usize = 1_500;
 
-/// The service of the queue of this number.
+/// The service of the queue with this number.
 pub(crate) fn service_of_queue(queue: usize) -> &'static str {
     SERVICES[queue % SERVICES.len()]
 }
@@ -29,7 +29,7 @@
     )
 }
 
-/// The route by which the change of this number is known again.
+/// The marker route, which identifies the change with this number.
 pub(crate) fn marker_route_name(change: usize) -> String {
     format!("mark-{change}")
 }
@@ -63,7 +63,7 @@
     ))
 }
 
-/// A patch that adds the mark of this change.
+/// A patch that adds the marker route of this change.
 pub(crate) fn patch(version: u64, change: usize) -> ConfigurationBody {
     ConfigurationBody::Patch(format!(
         r#"{{"version":{version},"upsert":{{"routes":[{}]}}}}"#,
@@ -79,7 +79,7 @@
     ))
 }
 
-/// A body that ends too soon.
+/// A truncated body.
 pub(crate) fn truncated(version: u64) -> ConfigurationBody {
     ConfigurationBody::Patch(format!(r#"{{"version":{version},"upsert":{{"routes":["#))
 }
--- a/crates/cluster-simulation/src/faults/active.rs
+++ b/crates/cluster-simulation/src/faults/active.rs
@@ -6,38 +6,38 @@
 /// After the last fault, all machines are connected again within this time, in milliseconds.
 const STABILIZATION_MS: u64 = 4_000;
 
-/// What ends a fault.
+/// The action that ends a fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Recovery {
-    /// Nothing: it has ended by itself.
+    /// No action: the fault ends without one.
     Automatic,
-    /// The machine goes on.
+    /// Resume the machine's process.
     Resume(usize),
-    /// The machine runs all the time again.
+    /// End the machine's intermittent run.
     EndIntermittentRun(usize),
-    /// Frames pass these links again.
+    /// Unblock these links.
     HealPartition(Vec<DirectedLink>),
-    /// Callers no longer keep to the isolated machines.
+    /// Let callers choose any machine again.
     ReleaseCallers,
-    /// The disk works again.
+    /// Repair the machine's disk.
     RepairDisk(usize),
-    /// The links are quick again.
+    /// Remove the extra delay of the machine's links.
     RestoreLinks(usize),
-    /// The wall clock jumps back by so many milliseconds.
+    /// Step the machine's wall clock back by these milliseconds.
     StepClockBack(usize, i64),
-    /// The server is sound again.
+    /// Reset the server's behavior to healthy.
     HealServer(usize),
-    /// The process of this incarnation, which was asked to shut down, is killed if it still runs.
+    /// Kill the process of this incarnation if it still runs after its shutdown signal.
     KillIfRunning(usize, u64),
-    /// The machine, whose replacement runs, is asked to shut down for good.
+    /// Shut the machine down for good; its replacement already runs.
     ShutDownForGood(usize),
-    /// Acknowledgements arrive again.
+    /// Deliver acknowledgements to the operator again.
     RestoreAcknowledgements,
-    /// The crash has waited for its acknowledgement for long enough.
+    /// Disarm a crash whose acknowledgement did not come in time.
     DisarmCrash,
 }
 
-/// Isolated machines that clients and the operator go on calling.
+/// Isolated machines that clients and the operator keep calling.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct IsolatedTargets {
     /// The core machine that the operator calls.
@@ -46,33 +46,33 @@
     pub front: usize,
 }
 
-/// What is under way.
+/// The faults in effect.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ActiveFaults {
-    /// What ends by itself, with the moment.
+    /// Pending recoveries, each with its time.
     pub ends: Vec<(u64, Recovery)>,
-    /// When the last one ended.
+    /// When the last fault ended.
     pub last_recovery_at: u64,
-    /// What strikes after an acknowledgement.
+    /// The crash that waits for an acknowledgement.
     pub crash_on_ack: Option<CrashOnAck>,
     /// Whether acknowledgements to the operator are lost.
     pub acknowledgements_lost: bool,
-    /// The machines that callers insist on.
+    /// The isolated machines that all callers are directed to.
     pub isolated_targets: Option<IsolatedTargets>,
 }
 
 impl ActiveFaults {
-    /// Whether all machines are in touch.
+    /// Whether no fault is in effect and all machines have had time to reconnect.
     pub(crate) fn is_stable(&self, now: u64) -> bool {
         self.ends.is_empty() && now >= self.last_recovery_at + STABILIZATION_MS
     }
 
-    /// Takes what is over by now.
+    /// Takes the recoveries that are due.
     pub(crate) fn take_expired(&mut self, now: u64) -> Vec<Recovery> {
-        let (over, going_on): (Vec<_>, Vec<_>) = std::mem::take(&mut self.ends)
+        let (over, remaining): (Vec<_>, Vec<_>) = std::mem::take(&mut self.ends)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        self.ends = going_on;
+        self.ends = remaining;
         if !over.is_empty() {
             self.last_recovery_at = now;
         }
--- a/crates/cluster-simulation/src/faults/core_faults.rs
+++ b/crates/cluster-simulation/src/faults/core_faults.rs
@@ -1,6 +1,6 @@
 //! Injects the faults of core machines.
 
-use super::injection::SLOW_MS;
+use super::injection::MAX_EXTRA_DELAY_MS;
 use crate::faults::active::{IsolatedTargets, Recovery};
 use crate::faults::schedule::{CoreFault, CoreSelector, PartitionDirection, CATCH_UP_MS, GRACE_MS};
 use crate::machine::disk::DiskFault;
@@ -8,7 +8,7 @@
 use crate::world::World;
 use lupinrack_cluster_api::frame::Role;
 
-/// How many times as long a slow disk takes.
+/// Factor on the sync time of a slow disk.
 const DISK_SLOW_FACTOR: u64 = 30;
 
 impl World {
@@ -58,7 +58,7 @@
                 self.partition_with_callers(&self.minority_of(machine), direction, duration_ms)
             }
             CoreFault::SlowLinks => {
-                self.network.set_slow(machine, SLOW_MS);
+                self.network.set_slow(machine, MAX_EXTRA_DELAY_MS);
                 Recovery::RestoreLinks(machine)
             }
             CoreFault::SlowDisk => {
@@ -95,7 +95,7 @@
         chosen.unwrap_or(cores[0])
     }
 
-    /// A machine and those that follow it in the list, as many as leave a majority.
+    /// The largest minority of the list that starts with this machine.
     fn minority_of(&self, machine: usize) -> Vec<usize> {
         let cores = self.cores();
         let slot = cores.iter().position(|core| *core == machine).unwrap_or(0);
@@ -109,8 +109,8 @@
             .collect()
     }
 
-    /// Partitions core machines off together with the last front and every second agent, while callers insist on the first of
-    /// them and the front.
+    /// Partitions core machines off together with the last front and every second agent, and directs all callers to that
+    /// front and the first of these core machines.
     fn partition_with_callers(
         &mut self,
         cores: &[usize],
@@ -150,7 +150,7 @@
         self.machines[machine].disk.fault = DiskFault::None;
     }
 
-    /// A machine is gone for good; an empty one takes its place after so many milliseconds.
+    /// Removes a machine for good. An empty one takes its place after the given milliseconds.
     fn replace(&mut self, old: usize, empty_after_ms: u64) {
         self.machines[old].removed = true;
         let powered = self.rng.bool();
@@ -159,14 +159,14 @@
         self.recover_after(empty_after_ms + CATCH_UP_MS, Recovery::Automatic);
     }
 
-    /// An empty machine is started in place of another, which is asked to shut down after `overlap_ms`.
+    /// Starts an empty machine in place of another, which is shut down after `overlap_ms`.
     fn replace_gracefully(&mut self, old: usize, overlap_ms: u64) {
         self.add_core(old, 0);
         self.recover_after(overlap_ms, Recovery::ShutDownForGood(old));
         self.recover_after(overlap_ms + GRACE_MS, Recovery::Automatic);
     }
 
-    /// Puts a new core machine, with an empty disk and another address, in the place of an old one.
+    /// Replaces a core machine by a new one with an empty disk and another address.
     fn add_core(&mut self, old: usize, starts_after_ms: u64) {
         let new = self.add_machine(Role::Core);
         self.machines[new].starts_at = Some(self.now + starts_after_ms);
--- a/crates/cluster-simulation/src/faults/crash_on_ack.rs
+++ b/crates/cluster-simulation/src/faults/crash_on_ack.rs
@@ -1,19 +1,19 @@
-//! Crashes right after an acknowledgement: what was acknowledged must survive them.
+//! Crashes right after an acknowledgement. The acknowledged change or job must survive them.
 
 use crate::faults::active::Recovery;
 use crate::faults::schedule::{Acknowledgement, Crash};
 use crate::world::World;
 
-/// How long a crash counts as a fault in effect, in milliseconds.
-const LASTS_MS: u64 = 2_000;
+/// Time for which a crash counts as a fault in effect, in milliseconds.
+const CRASH_DURATION_MS: u64 = 2_000;
 
 impl World {
-    /// Something was acknowledged: strikes where that was planned.
-    pub(crate) fn acknowledged(&mut self, what: Acknowledgement) {
+    /// Handles an acknowledgement: injects the crash that waits for it, if any.
+    pub(crate) fn acknowledged(&mut self, acknowledgement: Acknowledgement) {
         let Some(crash_on_ack) = self
             .active_faults
             .crash_on_ack
-            .filter(|crash_on_ack| crash_on_ack.after == what)
+            .filter(|crash_on_ack| crash_on_ack.after == acknowledgement)
         else {
             return;
         };
@@ -34,7 +34,7 @@
                 self.wipe(machine);
             }
         }
-        self.recover_after(LASTS_MS, Recovery::Automatic);
+        self.recover_after(CRASH_DURATION_MS, Recovery::Automatic);
     }
 
     pub(super) fn lose_power_of_all_cores(&mut self) {
--- a/crates/cluster-simulation/src/faults/fault.rs
+++ b/crates/cluster-simulation/src/faults/fault.rs
@@ -1,34 +1,34 @@
-//! What may be planned.
+//! The faults and actions that a schedule can contain.
 
 use crate::server::ServerBehavior;
 
-/// A core machine, chosen among those of the operator's list when the entry begins.
+/// Selects a core machine from the operator's list when the schedule entry begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CoreSelector {
-    /// The one at this place of the list. A machine takes the place of the one that it replaces.
+    /// The machine at this index of the list. A replacement takes the index of the machine that it replaces.
     Index(usize),
-    /// The one whose disk has lasted longest.
+    /// The machine with the oldest disk.
     OldestDisk,
-    /// The one whose disk is newest.
+    /// The machine with the newest disk.
     NewestDisk,
-    /// The head of the chain, by the newest view that a front knows.
+    /// The head of the chain in the newest view known to a front.
     Head,
-    /// One outside the chain, by that view.
+    /// A machine outside the chain of that view.
     Spare,
 }
 
-/// Which ways a partition blocks, seen from the machine that is partitioned off.
+/// The directions that a partition blocks, seen from the partitioned machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartitionDirection {
-    /// Both.
+    /// Both directions.
     Both,
-    /// What the others send to it.
+    /// Frames to the machine.
     Inbound,
-    /// What it sends to the others.
+    /// Frames from the machine.
     Outbound,
 }
 
-/// Faults of core machines, of which no more may be lost at once than is tolerated.
+/// Faults of core machines. At most `tolerance` machines may be lost at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CoreFault {
     /// Its process is killed.
@@ -39,41 +39,41 @@
     DiskLoss,
     /// Its process is suspended: it runs nothing until it is resumed.
     Suspend,
-    /// It runs for a part of the time only.
+    /// Its process runs only for a part of each period.
     IntermittentRun,
-    /// It is asked to shut down, and is started again.
+    /// It shuts down gracefully and is restarted.
     Shutdown,
-    /// It is gone for good; an empty one at another address takes its place after the time of the entry.
+    /// It is removed for good. An empty one at another address takes its place after the entry's duration.
     Replacement,
-    /// An empty one at another address is started; at the end of the fault the old one is asked to shut down, for good.
+    /// An empty one at another address is started. At the end of the fault the old one shuts down for good.
     GracefulReplacement,
     /// It cannot reach, or be reached by, the other core machines.
     Partition(PartitionDirection),
     /// It is partitioned from all machines.
     Isolation,
-    /// It is partitioned from all machines but the last front and every second agent, while the operator and the clients go
-    /// on calling there.
+    /// It is partitioned from all machines except the last front and every second agent, while the operator and the clients
+    /// keep calling it and that front.
     PartitionWithCallers(PartitionDirection),
-    /// The same, together with as many others as leave a majority of the list on the other side.
+    /// Like [`CoreFault::PartitionWithCallers`], for the largest minority of the list that starts with this machine.
     MinorityPartitionWithCallers(PartitionDirection),
-    /// What it sends takes longer.
+    /// Its outgoing frames are delayed.
     SlowLinks,
-    /// Its disk takes longer.
+    /// Its disk syncs slowly.
     SlowDisk,
-    /// Its disk answers nothing.
+    /// Its disk completes no sync.
     StalledDisk,
     /// Its disk is full.
     FullDisk,
-    /// Its disk refuses writes now and then.
+    /// Its disk refuses writes for half of each period.
     FailingDisk,
 }
 
 /// An acknowledgement that triggers a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acknowledgement {
-    /// Of a job.
+    /// The acknowledgement of a job.
     Job,
-    /// Of a change of the configuration.
+    /// The acknowledgement of a configuration change.
     Configuration,
 }
 
@@ -91,35 +91,35 @@
 /// A crash that waits for its acknowledgement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashOnAck {
-    /// After which.
+    /// The acknowledgement that triggers the crash.
     pub after: Acknowledgement,
-    /// What.
+    /// The crash.
     pub crash: Crash,
 }
 
-/// What the operator begins.
+/// An action that the operator begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorAction {
-    /// A change of the configuration.
+    /// A configuration change.
     Change,
-    /// One whose body has some hundreds of kilobytes.
+    /// A change whose body has some hundreds of kilobytes.
     LargeChange,
-    /// Two of them on the same version.
+    /// Two concurrent changes of the same version.
     ConcurrentPair,
-    /// Eight of them on the same version.
+    /// Eight concurrent changes of the same version.
     ConcurrentBurst,
-    /// An invalid or stale one.
+    /// An invalid or stale change.
     InvalidChange,
-    /// One that was acknowledged at any time before is sent again.
+    /// The resending of a change that was acknowledged earlier.
     Resend,
 }
 
-/// Anything that is planned.
+/// A scheduled fault or action.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// A fault of one core machine.
     Core(CoreFault, CoreSelector),
-    /// A crash right after an acknowledgement; none where no acknowledgement comes in time.
+    /// A crash right after an acknowledgement; dropped if no acknowledgement comes in time.
     CrashOnAck(CrashOnAck),
     /// All processes are killed at once.
     KillAll,
@@ -131,29 +131,29 @@
     FrontKill(usize),
     /// A front is suspended.
     FrontSuspend(usize),
-    /// A front is asked to shut down, and is started again.
+    /// A front shuts down gracefully and is restarted.
     FrontShutdown(usize),
-    /// A front is asked to shut down for good, unless it is the last.
+    /// A front shuts down for good, unless it is the last one.
     FrontRemoval(usize),
     /// An agent is killed.
     AgentKill(usize),
     /// An agent is suspended.
     AgentSuspend(usize),
-    /// An agent is asked to shut down, and is started again.
+    /// An agent shuts down gracefully and is restarted.
     AgentShutdown(usize),
     /// An agent is partitioned from all core machines, in these directions as seen from the agent.
     AgentPartition(usize, PartitionDirection),
-    /// What an agent sends takes longer.
+    /// An agent's outgoing frames are delayed.
     AgentSlowLinks(usize),
     /// Connections of a machine are reset.
     ConnectionReset(usize),
-    /// The wall clock of a machine jumps by so many milliseconds.
+    /// The wall clock of a machine jumps by these milliseconds.
     ClockStep(usize, i64),
-    /// Processes that begin from now on are given other seeds.
+    /// Processes that start from now on get other seeds.
     SeedChange,
     /// A server crashes.
     ServerCrash(usize),
-    /// A server behaves differently.
+    /// A server changes its behavior.
     ServerBehaviorChange(usize, ServerBehavior),
     /// A server drains and shuts down.
     ServerShutdown(usize),
@@ -164,7 +164,7 @@
 }
 
 impl Fault {
-    /// Whether it leaves all machines in touch.
+    /// Whether the fault leaves all machines connected.
     pub(super) fn is_planned(self) -> bool {
         matches!(self, Fault::Operator(_) | Fault::ServerShutdown(_))
     }
--- a/crates/cluster-simulation/src/faults/injection.rs
+++ b/crates/cluster-simulation/src/faults/injection.rs
@@ -8,18 +8,18 @@
 use crate::server::ServerBehavior;
 use crate::world::{AgentLinkMessage, World};
 
-/// How much longer frames take on slow links at most, in milliseconds.
-pub(super) const SLOW_MS: u64 = 400;
+/// Maximum extra delay of frames on slow links, in milliseconds.
+pub(super) const MAX_EXTRA_DELAY_MS: u64 = 400;
 
 impl World {
-    /// Ends what is over.
+    /// Ends the faults whose time has passed.
     pub(crate) fn recover_from_expired_faults(&mut self) {
         for recovery in self.active_faults.take_expired(self.now) {
             self.recover(recovery);
         }
     }
 
-    /// Injects a fault. Actions of the operator are not the world's to take.
+    /// Injects a fault. The operator's actions are handled by the simulation, not here.
     pub(crate) fn inject_fault(&mut self, entry: ScheduledFault) {
         let ScheduledFault {
             duration_ms, fault, ..
@@ -67,7 +67,7 @@
                 self.partition_from_core(machine, direction)
             }
             Fault::AgentSlowLinks(machine) => {
-                self.network.set_slow(machine, SLOW_MS);
+                self.network.set_slow(machine, MAX_EXTRA_DELAY_MS);
                 Recovery::RestoreLinks(machine)
             }
             Fault::ConnectionReset(machine) => {
@@ -140,20 +140,20 @@
         self.recover_after(back_within_ms, Recovery::Automatic);
     }
 
-    /// Tells a process to end; it is killed where it has not ended within the grace.
+    /// Sends a process the shutdown signal, and schedules its kill after the grace.
     pub(super) fn shut_down(&mut self, machine: usize) -> Recovery {
         self.dispatch(machine, ProcessEvent::Terminate);
         Recovery::KillIfRunning(machine, self.machines[machine].incarnation)
     }
 
     fn kill_if_running(&mut self, machine: usize, incarnation: u64) {
-        let one = &self.machines[machine];
-        if one.incarnation == incarnation && one.process.is_some() {
+        let state = &self.machines[machine];
+        if state.incarnation == incarnation && state.process.is_some() {
             self.kill(machine, true, 200);
         }
     }
 
-    /// Tells the process of a machine to end, which is not started again.
+    /// Shuts a machine's process down without a restart.
     fn shut_down_for_good(&mut self, machine: usize) {
         self.machines[machine].removed = true;
         let recovery = self.shut_down(machine);
@@ -200,7 +200,7 @@
         }
     }
 
-    /// A server has shut down: its agent is notified.
+    /// Notifies the agent that its server has shut down.
     pub(crate) fn deregister_server(&mut self, slot: usize) {
         if let Some(server) = &self.server_slots[slot].server {
             let id = server.id().clone();
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Whether the acknowledgement to a call of the operator is lost.
+    /// Whether this acknowledgement to the operator is lost.
     pub(crate) fn loses_acknowledgement(&mut self) -> bool {
         self.active_faults.acknowledgements_lost && self.rng.u32(0..10) < 7
     }
--- a/crates/cluster-simulation/src/faults/mixed.rs
+++ b/crates/cluster-simulation/src/faults/mixed.rs
@@ -7,11 +7,11 @@
 use crate::config::SimulationConfig;
 use crate::server::ServerBehavior;
 
-/// The pause after a loss: the time to catch up and a margin, in milliseconds.
-const REST_AFTER_LOSS_MS: u64 = 5_000;
+/// Pause after the loss of a machine: the time to catch up plus a margin, in milliseconds.
+const PAUSE_AFTER_LOSS_MS: u64 = 5_000;
 
-/// Draws the faults of a run. Of four runs one has planned work alone, one has faults of core machines alone, one has faults
-/// in its first half, and one has faults all the time.
+/// Draws the faults of a run. One run in four has planned work alone, one has faults of core machines alone, one has faults
+/// in its first half, and one has faults throughout.
 pub(super) fn draw(rng: &mut fastrand::Rng, config: &SimulationConfig) -> Vec<ScheduledFault> {
     let mut entries = Vec::new();
     let kind = rng.u32(0..4);
@@ -34,7 +34,7 @@
     entries: &mut Vec<ScheduledFault>,
 ) {
     let lanes = config.tolerance;
-    // Each lane has its own machines, so that no more are lost at once than there are lanes.
+    // Each lane has its own machines, so at most one machine per lane is lost at a time.
     for _ in 0..lanes {
         let mut at = 3_000 + rng.u64(0..4_000);
         while at + 6_000 < config.traffic_ms {
@@ -58,7 +58,7 @@
                     duration_ms: 2_000,
                     fault,
                 });
-                at += 4_000 + REST_AFTER_LOSS_MS + rng.u64(0..3_000);
+                at += 4_000 + PAUSE_AFTER_LOSS_MS + rng.u64(0..3_000);
                 continue;
             }
             entries.push(ScheduledFault {
@@ -66,7 +66,7 @@
                 duration_ms,
                 fault: Fault::Core(fault, machine),
             });
-            at += duration_ms + REST_AFTER_LOSS_MS + rng.u64(0..4_000);
+            at += duration_ms + PAUSE_AFTER_LOSS_MS + rng.u64(0..4_000);
         }
     }
 }
--- a/crates/cluster-simulation/src/faults/schedule.rs
+++ b/crates/cluster-simulation/src/faults/schedule.rs
@@ -9,31 +9,31 @@
 use crate::config::{FaultProfile, SimulationConfig};
 use std::collections::BTreeMap;
 
-/// Grace between the signal to end and the kill, in milliseconds.
+/// Grace between the shutdown signal and the kill, in milliseconds.
 pub(crate) const GRACE_MS: u64 = 5_000;
 
-/// A core machine counts as lost for this long after its return, or after its start where it is new, in milliseconds.
+/// Time for which a core machine still counts as lost after its restart, or after its start if it is new, in milliseconds.
 pub(crate) const CATCH_UP_MS: u64 = 4_000;
 
-/// One entry.
+/// An entry of a fault schedule.
 #[derive(Clone, Copy, Debug)]
 pub struct ScheduledFault {
     /// When it begins, in milliseconds.
     pub at: u64,
-    /// How long it lasts.
+    /// Duration in milliseconds.
     pub duration_ms: u64,
-    /// What.
+    /// The fault or action.
     pub fault: Fault,
 }
 
-/// All entries that have not begun, by their beginning.
+/// The entries that have not begun, by their start time.
 #[derive(Clone, Debug, Default)]
 pub struct FaultSchedule {
     entries: BTreeMap<(u64, usize), ScheduledFault>,
 }
 
 impl FaultSchedule {
-    /// Draws the schedule of the profile that the configuration asks for.
+    /// Draws the schedule for the configuration's profile.
     pub fn draw(rng: &mut fastrand::Rng, config: &SimulationConfig) -> FaultSchedule {
         match config.profile {
             FaultProfile::Quiet => FaultSchedule::default(),
@@ -64,7 +64,7 @@
         Some(next.remove())
     }
 
-    /// Its entries, in their order.
+    /// The entries by start time.
     pub fn entries(&self) -> impl Iterator<Item = &ScheduledFault> {
         self.entries.values()
     }
--- a/crates/cluster-simulation/src/faults/severe.rs
+++ b/crates/cluster-simulation/src/faults/severe.rs
@@ -6,14 +6,14 @@
 };
 use crate::config::{FaultScenario, SimulationConfig};
 
-/// How long a machine is partitioned while its callers go on, in milliseconds.
+/// Duration of a partition during which callers keep calling the partitioned machines, in milliseconds.
 const PARTITION_MS: u64 = 20_000;
-/// How long a crash waits for its acknowledgement, in milliseconds.
-const ARMED_MS: u64 = 2_000;
-/// A machine without power is back after this long at most, in milliseconds.
-const BACK_MOST_MS: u64 = 1_800;
+/// Time for which a crash waits for its acknowledgement, in milliseconds.
+const CRASH_ARMED_MS: u64 = 2_000;
+/// Longest time until a machine that lost power restarts, in milliseconds.
+const MAX_RESTART_DELAY_MS: u64 = 1_800;
 
-/// Faults after which a machine counts as lost.
+/// Faults that count as the loss of a machine.
 const LOSSES: [CoreFault; 6] = [
     CoreFault::Kill,
     CoreFault::PowerLoss,
@@ -22,7 +22,7 @@
     CoreFault::Isolation,
     CoreFault::Replacement,
 ];
-/// Faults with which a machine goes on, slowly or now and then.
+/// Faults with which a machine keeps running, slowly or intermittently.
 const DEGRADATIONS: [CoreFault; 6] = [
     CoreFault::IntermittentRun,
     CoreFault::SlowLinks,
@@ -37,11 +37,11 @@
     rng: &'a mut fastrand::Rng,
     config: &'a SimulationConfig,
     entries: Vec<ScheduledFault>,
-    /// Up to here it is written.
+    /// When the next scenario begins, in milliseconds.
     at: u64,
 }
 
-/// Draws the faults of a run: this scenario again and again, or all of them at random.
+/// Draws the faults of a run: the given scenario repeatedly, or random ones.
 pub(super) fn draw(
     rng: &mut fastrand::Rng,
     config: &SimulationConfig,
@@ -61,7 +61,7 @@
         draft.at += draft.rng.u64(0..3_000);
     }
     draft.others();
-    draft.orders();
+    draft.operator_actions();
     draft.entries
 }
 
@@ -109,13 +109,13 @@
         };
         self.push(
             self.at,
-            ARMED_MS,
+            CRASH_ARMED_MS,
             Fault::CrashOnAck(CrashOnAck { after, crash }),
         );
-        self.at += ARMED_MS + BACK_MOST_MS + CATCH_UP_MS;
+        self.at += CRASH_ARMED_MS + MAX_RESTART_DELAY_MS + CATCH_UP_MS;
     }
 
-    /// Oldest machines are replaced by empty ones at other addresses, as fast as is allowed.
+    /// Replaces the machines with the oldest disks by empty ones at other addresses, as fast as allowed.
     fn repeated_replacement(&mut self) {
         for _ in 0..self.rng.u32(1..5) {
             let empty_after = self.rng.u64(200..2_000);
@@ -184,17 +184,17 @@
         match self.rng.u32(0..4) {
             0 => self.crash_on_ack(Crash::PowerLossOfAll),
             1 => self.crash_on_ack(Crash::DiskLossAndPowerLossOfAll(selector)),
-            2 => self.moment(Fault::KillAll),
-            _ => self.moment(Fault::PowerLossOfAllCores),
+            2 => self.crash_all(Fault::KillAll),
+            _ => self.crash_all(Fault::PowerLossOfAllCores),
         }
     }
 
-    fn moment(&mut self, fault: Fault) {
+    fn crash_all(&mut self, fault: Fault) {
         self.push(self.at, 1_000, fault);
         self.at += 1_000 + CATCH_UP_MS;
     }
 
-    /// As many machines as is tolerated, at the same moment.
+    /// Loses `tolerance` machines at the same time.
     fn simultaneous_losses(&mut self) {
         let duration_ms = self.rng.u64(300..6_000);
         let first = self.rng.usize(0..self.config.cores);
@@ -214,7 +214,7 @@
         self.at += duration_ms + CATCH_UP_MS;
     }
 
-    /// Each machine is asked to shut down and comes back, one after the other.
+    /// Shuts down and restarts the machines one after the other.
     fn rolling_restart(&mut self) {
         for slot in 0..self.config.cores.min(5) {
             self.core(GRACE_MS, CoreFault::Shutdown, CoreSelector::Index(slot));
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Faults of fronts, agents, servers and clocks beside the scenarios.
+    /// Faults of fronts, agents, servers and clocks, concurrent with the scenarios.
     fn others(&mut self) {
         let fronts = self.config.fronts();
         let agents = self.config.agents();
@@ -252,12 +252,12 @@
         }
     }
 
-    /// The operator's actions; in some runs several a second.
-    fn orders(&mut self) {
-        let gap_most = [400, 1_500, 4_000][self.rng.usize(0..3)];
+    /// The operator's actions; in some runs several per second.
+    fn operator_actions(&mut self) {
+        let max_interval_ms = [400, 1_500, 4_000][self.rng.usize(0..3)];
         let mut at = 4_000;
         while at < self.config.traffic_ms {
-            at += self.rng.u64(150..gap_most);
+            at += self.rng.u64(150..max_interval_ms);
             let fault = match self.rng.u32(0..20) {
                 0..12 => Fault::Operator(OperatorAction::Change),
                 12 => Fault::Operator(OperatorAction::Resend),
--- a/crates/cluster-simulation/src/fenced_senders.rs
+++ b/crates/cluster-simulation/src/fenced_senders.rs
@@ -1,32 +1,32 @@
-//! Who goes on under a fencing token although a server has refused it for a higher one.
+//! Finds senders that keep using a fencing token after a server refused it because of a higher one.
 
-use crate::server::LEASE_MOST_MS;
+use crate::server::MAX_LEASE_MS;
 use lupinrack_cluster_api::identity::FencingToken;
 use std::collections::BTreeMap;
 
-/// So many orders under a refused token may still be on their way, or be due to a message that was.
-const LATE_ORDERS_MOST: u32 = 3;
+/// Number of commands under a refused token that may still be in transit, or follow from a message in transit.
+const MAX_LATE_COMMANDS: u32 = 3;
 
-/// A sender, by its machine and incarnation, and the token that it was refused with.
+/// A sender by machine and incarnation, and its refused token.
 type RefusedSender = (usize, u64, FencingToken);
 
-/// What followed a refusal.
+/// A refusal and the commands that followed it.
 #[derive(Clone, Copy, Debug)]
 struct Refusal {
     first_at: u64,
-    /// Orders under the token that came later than a lease after the first refusal.
-    late_orders: u32,
+    /// Commands under the token that came later than one lease after the first refusal.
+    late_commands: u32,
 }
 
-/// The refusals that servers have given.
+/// The refusals by all servers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FencedSenders {
     refusals: BTreeMap<RefusedSender, Refusal>,
 }
 
 impl FencedSenders {
-    /// Notes that a server refused an order under a token lower than one that it has seen. True once the sender has gone
-    /// on for longer than it may: exactly once for each sender and token.
+    /// Records that a server refused a command because it had seen a higher token. Returns true when the sender has kept
+    /// using the token for longer than allowed, exactly once for each sender and token.
     pub(crate) fn refused(
         &mut self,
         machine: usize,
@@ -39,11 +39,11 @@
             .entry((machine, incarnation, token))
             .or_insert(Refusal {
                 first_at: now,
-                late_orders: 0,
+                late_commands: 0,
             });
-        if now > refusal.first_at + LEASE_MOST_MS {
-            refusal.late_orders += 1;
+        if now > refusal.first_at + MAX_LEASE_MS {
+            refusal.late_commands += 1;
         }
-        refusal.late_orders == LATE_ORDERS_MOST + 1
+        refusal.late_commands == MAX_LATE_COMMANDS + 1
     }
 }
--- a/crates/cluster-simulation/src/gangs.rs
+++ b/crates/cluster-simulation/src/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs on the servers of the model: tasks that work only while all members of their gang do.
+//! Gangs on the simulated servers: tasks that make progress only while all members of their gang run.
 
 use crate::server::ServerBehavior;
 use crate::world::World;
@@ -6,11 +6,11 @@
 use lupinrack_cluster_api::server::RunEnd;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A member ends when its gang is not complete this long after its start, in milliseconds.
-const GANG_MS: u64 = 3_000;
+/// Time after a member's start within which its gang has to be complete, or the member ends, in milliseconds.
+const GANG_TIMEOUT_MS: u64 = 3_000;
 
 impl World {
-    pub(crate) fn gang_member_over(&mut self, task: TaskId, attempt: u32, end: RunEnd) {
+    pub(crate) fn record_gang_member_end(&mut self, task: TaskId, attempt: u32, end: RunEnd) {
         let now = self.now;
         if end == RunEnd::Done {
             let count = self.oracle.step(task).map_or(0, |step| step.count);
@@ -23,8 +23,8 @@
         }
     }
 
-    /// The gangs all of whose members are there.
-    pub(crate) fn gangs_at_work(&mut self) -> BTreeSet<(TaskId, u32)> {
+    /// The gangs whose members all make progress. Marks these gangs as begun.
+    pub(crate) fn working_gangs(&mut self) -> BTreeSet<(TaskId, u32)> {
         let mut present: BTreeMap<(TaskId, u32), u32> = BTreeMap::new();
         for machine in &self.server_slots {
             let Some(server) = &machine.server else {
@@ -39,14 +39,14 @@
                 }
             }
         }
-        let replacement = |key: &(TaskId, u32), count: &u32| {
+        let is_complete = |key: &(TaskId, u32), count: &u32| {
             self.oracle
                 .step(key.0)
                 .is_some_and(|step| step.count == *count)
         };
         let working: BTreeSet<(TaskId, u32)> = present
             .iter()
-            .filter(|(key, count)| replacement(key, count))
+            .filter(|(key, count)| is_complete(key, count))
             .map(|(key, _)| *key)
             .collect();
         for key in &working {
@@ -55,7 +55,7 @@
         working
     }
 
-    /// Ends members whose gang has lost one, and those that waited too long for the others.
+    /// Ends members whose gang has lost a member, and members that waited too long for the others.
     pub(crate) fn end_gangs(&mut self) {
         let mut over = Vec::new();
         for (machine, slot) in self.server_slots.iter().enumerate() {
@@ -65,7 +65,7 @@
             for (task, run) in server.runs.iter().filter(|(_, run)| run.gang) {
                 match self.gangs.get(&gang_key(*task, run.attempt)) {
                     Some(true) => over.push((machine, *task, run.attempt)),
-                    None if self.now > run.started_at + GANG_MS => {
+                    None if self.now > run.started_at + GANG_TIMEOUT_MS => {
                         over.push((machine, *task, run.attempt));
                     }
                     _ => {}
@@ -89,7 +89,7 @@
     }
 }
 
-/// A gang in one attempt, by its first member.
+/// Identifies an attempt of a gang, by its first member.
 pub(crate) fn gang_key(task: TaskId, attempt: u32) -> (TaskId, u32) {
     (TaskId { index: 0, ..task }, attempt)
 }
--- a/crates/cluster-simulation/src/injected_bugs/hooks.rs
+++ b/crates/cluster-simulation/src/injected_bugs/hooks.rs
@@ -1,4 +1,4 @@
-//! Where injected bugs change what processes send and write. The processes themselves contain none of it.
+//! Applies injected bugs to the frames and batches of processes. The processes themselves contain no bug code.
 
 use crate::injected_bugs::{InjectedBug, LateReply};
 use crate::machine::{address_of, ProcessEvent};
@@ -17,15 +17,15 @@
 use lupinrack_control_store::Batch;
 use lupinrack_worker_agent::HeartbeatResponse;
 
-/// How much longer than granted leases last, in milliseconds.
+/// Excess of a lease over the granted time, in milliseconds.
 const LEASE_EXCESS_MS: u64 = 1_000;
-/// Copies of answers come later than the answers by this, in milliseconds.
-const LATE_MS: std::ops::Range<u64> = 100..1_500;
-/// The numbers of connections that are made up begin here.
+/// Delay of a reply's copy after the reply, in milliseconds.
+const REPLY_COPY_DELAY_MS: std::ops::Range<u64> = 100..1_500;
+/// First number of forged connections.
 const FORGED_CONNECTIONS: u64 = 1 << 62;
 
 impl World {
-    /// What a process sends, changed where a bug is injected.
+    /// Applies the injected bug to a frame that a process sends.
     pub(crate) fn apply_bug_to_frame(&self, frame: Frame) -> Frame {
         match frame {
             Frame::Submit(Operation::TakeShard {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// What a core process writes, with another snapshot where a bug is injected.
+    /// Applies the injected bug to a batch that a core process writes: it may replace the snapshot.
     pub(crate) fn apply_bug_to_batch(&mut self, machine: usize, batch: Batch) -> Batch {
         let Some((index, bytes)) = batch.snapshot else {
             return batch;
@@ -115,7 +115,7 @@
         self.forge_frame(machine, to, Frame::Chain(acknowledge));
     }
 
-    /// Hands a process a frame as if another had sent it.
+    /// Delivers a frame to a process as if another process had sent it.
     fn forge_frame(&mut self, machine: usize, from: usize, frame: Frame) {
         let (incarnation, connection) = (
             self.machines[from].incarnation,
@@ -132,7 +132,7 @@
         );
     }
 
-    /// Has a copy of each answer come late, on whatever connection its caller's machine has by then.
+    /// Schedules a late copy of each reply, to be delivered on the connection that the caller's machine has by then.
     pub(crate) fn duplicate_reply(&mut self, machine: usize, connection: u64, frame: &Frame) {
         if self.injected_bug != Some(InjectedBug::ReplyMatchedByNumber) {
             return;
@@ -143,7 +143,7 @@
         let Some(to) = self.network.other_end(machine, connection) else {
             return;
         };
-        let due = self.now + self.rng.u64(LATE_MS);
+        let due = self.now + self.rng.u64(REPLY_COPY_DELAY_MS);
         self.bug_state.late_replies.push(LateReply {
             due,
             from: machine,
@@ -153,7 +153,7 @@
         });
     }
 
-    /// Delivers the copies of answers that are due.
+    /// Delivers the reply copies that are due.
     pub(crate) fn deliver_late_replies(&mut self) {
         let now = self.now;
         let (due, later) = std::mem::take(&mut self.bug_state.late_replies)
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Delivers a copy under the incarnation that the caller's process has by now, as if incarnations were not compared.
+    /// Delivers a copy under the current incarnation of the caller's process, as if incarnations were not compared.
     fn deliver_late_reply(&mut self, late: LateReply) {
         let LateReply {
             from,
@@ -209,7 +209,7 @@
     }
 }
 
-/// The next view, with the voters at these machines alone.
+/// The next view, with only the voters on these machines.
 fn view_of(view: &View, machines: &[usize]) -> View {
     let is_here = |voter: &Voter| {
         machines
@@ -231,7 +231,7 @@
     }
 }
 
-/// The parts of a state, in the order in which its bytes hold them.
+/// The parts of an encoded state, in encoding order.
 type StateParts = (
     Configuration,
     ConfigurationDocument,
@@ -241,7 +241,7 @@
     AgentBindings,
 );
 
-/// The bytes of a state without its record of accepted changes.
+/// Encodes a state without its record of accepted changes.
 fn without_accepted_changes(bytes: Vec<u8>) -> Vec<u8> {
     let Ok(parts) = borsh::from_slice::<StateParts>(&bytes) else {
         return bytes;
--- a/crates/cluster-simulation/src/injected_bugs/mod.rs
+++ b/crates/cluster-simulation/src/injected_bugs/mod.rs
@@ -6,20 +6,20 @@
 use lupinrack_cluster_api::request::Reply;
 use std::collections::BTreeMap;
 
-/// A fault in place of the right behaviour.
+/// A bug that replaces correct behavior.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
-    /// A disk says that a write is synced before it is.
+    /// A disk reports a write as synced too early.
     MissingSync,
-    /// An agent passes on a lease a second longer than it was granted.
+    /// An agent passes on a lease that is a second longer than granted.
     LeaseTooLong,
-    /// A front answers 503 where a call is in doubt.
+    /// A front answers 503 although the effect of the call is unknown.
     RejectedInDoubt,
-    /// An agent says that an end was observed before it is recorded.
+    /// An agent reports an end as observed before it is recorded.
     ObservedTooEarly,
-    /// A disk that comes back empty votes under the identity that it had.
+    /// A core process votes under its former identity after the loss of its disk.
     VoteOfEmptyDisk,
-    /// A process that takes a shard over asks for the lowest token. The record refuses that, and nobody owns the shard.
+    /// A process that takes over a shard requests the lowest token. The record refuses it, and the shard has no owner.
     TokenNotIncremented,
     /// A head that is partitioned off assumes its successor's acknowledgement: its barriers pass without a quorum.
     BarrierWithoutQuorum,
@@ -28,12 +28,12 @@
     VotersRemovedByMinority,
     /// Accepted changes are missing from the snapshots on disks.
     AcceptedChangesNotInSnapshot,
-    /// Instead of each later snapshot a disk keeps its first one, as if that covered all that the later one covers.
+    /// A disk stores its first snapshot in place of each later one, under the later one's log position.
     StaleSnapshot,
-    /// A copy of each answer comes late, on whatever connection its caller's machine has by then, so that the number alone
-    /// says which call it answers.
+    /// A late copy of each reply arrives on the connection that the caller's machine has by then, so that only the call
+    /// number matches it to a call.
     ReplyMatchedByNumber,
-    /// An agent orders under the first token that it ever had, whatever has come since.
+    /// An agent keeps sending commands under its first token after newer ones.
     DeposedOwnerKeepsOn,
 }
 
@@ -60,13 +60,13 @@
 pub(crate) struct BugState {
     /// The first snapshot that each machine wrote.
     pub first_snapshots: BTreeMap<usize, Vec<u8>>,
-    /// Copies of answers on their way.
+    /// Reply copies in transit.
     pub late_replies: Vec<LateReply>,
-    /// The first token that each agent's machine had.
+    /// The first token of each agent's machine.
     pub first_tokens: BTreeMap<usize, FencingToken>,
 }
 
-/// A copy of an answer on its way.
+/// A reply copy in transit.
 #[derive(Debug)]
 pub(crate) struct LateReply {
     /// When it arrives.
--- a/crates/cluster-simulation/src/machine/agent.rs
+++ b/crates/cluster-simulation/src/machine/agent.rs
@@ -1,4 +1,4 @@
-//! The process beside a server, without its sockets: the machine of the real one.
+//! The agent beside a server: the program's state machine without sockets.
 
 use lupinrack_cluster_api::frame::Frame;
 use lupinrack_cluster_api::identity::{PeerAddress, ServerId};
@@ -7,31 +7,31 @@
 use lupinrack_cluster_node::agent::machine::{AgentEffect, AgentMachine};
 use lupinrack_worker_agent::{AgentSettings, ServerHeartbeat};
 
-/// A heartbeat of the server, as it is known again in the answer.
+/// Identifies a server's heartbeat, so that the reply can be matched to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct HeartbeatCall {
     /// The server's incarnation.
     pub server: ServerId,
     /// When the server sent it.
     pub sent_at: u64,
-    /// The highest number of an end that it lists; 0 without any.
+    /// The highest number among the ends that it lists; 0 if it lists none.
     pub highest_end: u64,
 }
 
-/// What an agent's process does.
+/// An effect of an agent process.
 pub(crate) type HeartbeatAgentEffect = AgentEffect<HeartbeatCall>;
 
 /// The process of an agent.
 #[derive(Debug)]
 pub(crate) struct AgentProcess {
     machine: AgentMachine<HeartbeatCall>,
-    /// The processes that membership reports as alive, whether they are or not.
+    /// The processes that membership reports as alive, which may be wrong.
     table: LiveTable,
     has_ended: bool,
 }
 
 impl AgentProcess {
-    /// Starts now, with this membership table until it ends.
+    /// Starts the process now. It keeps this membership table until it ends.
     pub(crate) fn new(
         own: LiveMember,
         table: LiveTable,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A frame came.
+    /// Handles a received frame.
     pub(crate) fn on_frame(
         &mut self,
         from: PeerAddress,
@@ -56,7 +56,7 @@
         self.machine.on_frame(from, frame, now)
     }
 
-    /// A connection ended.
+    /// Handles the end of a connection.
     pub(crate) fn on_closed(
         &mut self,
         from: PeerAddress,
@@ -65,7 +65,7 @@
         self.machine.on_closed(from, now)
     }
 
-    /// A heartbeat of the server came.
+    /// Handles a heartbeat of the server.
     pub(crate) fn on_heartbeat(
         &mut self,
         heartbeat: ServerHeartbeat,
@@ -86,19 +86,19 @@
         self.machine.on_heartbeat(heartbeat, call, now)
     }
 
-    /// The open heartbeat has waited for long enough.
+    /// Answers the open heartbeat, whose waiting time has passed.
     pub(crate) fn on_answer_due(&mut self, now: Millis) -> Vec<HeartbeatAgentEffect> {
         self.machine.on_response_due(now)
     }
 
-    /// Whether the open heartbeat has waited for long enough.
+    /// Whether the open heartbeat has to be answered now.
     pub(crate) fn is_answer_due(&self, now: Millis) -> bool {
         self.machine
             .response_due_at()
             .is_some_and(|until| now >= until)
     }
 
-    /// The server has shut down gracefully.
+    /// Handles the graceful shutdown of the server.
     pub(crate) fn on_deregister(
         &mut self,
         server: ServerId,
@@ -107,18 +107,18 @@
         self.machine.on_deregister(server, now)
     }
 
-    /// It is asked to shut down, and does so at once.
+    /// Shuts down at once.
     pub(crate) fn on_terminate(&mut self) -> Vec<HeartbeatAgentEffect> {
         self.has_ended = true;
         Vec::new()
     }
 
-    /// Whether it has ended.
+    /// Whether the process has ended.
     pub(crate) fn has_ended(&self) -> bool {
         self.has_ended
     }
 
-    /// Time has passed.
+    /// Handles the passing of time.
     pub(crate) fn on_tick(&mut self, now: Millis) -> Vec<HeartbeatAgentEffect> {
         self.machine.on_tick(&self.table, now)
     }
--- a/crates/cluster-simulation/src/machine/disk.rs
+++ b/crates/cluster-simulation/src/machine/disk.rs
@@ -1,24 +1,24 @@
-//! A disk that loses what was not synced, and may be slow, hang, be full or be wiped.
+//! A disk that loses unsynced writes in a crash, and can be slow, hang, be full or be wiped.
 
 use lupinrack_control_store::{Batch, Recovered};
 use std::collections::VecDeque;
 
-/// How a disk behaves.
+/// The fault of a disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiskFault {
-    /// It works.
+    /// No fault.
     None,
-    /// Its syncs take so many times as long.
+    /// Syncs take longer by this factor.
     Slow(u64),
-    /// No sync ends.
+    /// No sync completes.
     Stalled,
     /// It refuses every write.
     Full,
-    /// It refuses every write for a half of the time.
+    /// It refuses every write in the first half of each period.
     Failing,
 }
 
-/// A batch under way.
+/// A batch that is not synced yet.
 #[derive(Clone, Debug)]
 struct PendingBatch {
     batch_id: u64,
@@ -31,23 +31,23 @@
 pub(crate) struct SimulatedDisk {
     contents: Recovered,
     pending: VecDeque<PendingBatch>,
-    /// Its behaviour.
+    /// The current fault.
     pub fault: DiskFault,
     busy_until: u64,
 }
 
-/// What a disk has to tell its process.
+/// A completion that a disk reports to its process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum DiskCompletion {
     /// These tickets are synced.
     Synced(Vec<u64>),
-    /// A write was refused and is tried again.
+    /// A write was refused and will be retried.
     Refused,
 }
 
-/// Between two tries of a write that was refused, in milliseconds.
+/// Delay before a refused write is retried, in milliseconds.
 const RETRY_MS: u64 = 200;
-/// A disk that refuses writes now and then does so in the first half of each of these spans, in milliseconds.
+/// Period of a failing disk, in milliseconds. It refuses writes in the first half of each period.
 const FAILURE_PERIOD_MS: u64 = 1_000;
 
 impl Default for SimulatedDisk {
@@ -62,19 +62,19 @@
 }
 
 impl SimulatedDisk {
-    /// What a process finds that begins now.
+    /// The state that a process recovers when it starts now.
     pub(crate) fn contents(&self) -> Recovered {
         self.contents.clone()
     }
 
-    /// Queues a batch whose sync takes `sync_ms` on a sound disk.
+    /// Queues a batch whose sync takes `sync_ms` on a healthy disk.
     pub(crate) fn write(&mut self, batch_id: u64, batch: Batch, now: u64, sync_ms: u64) {
         let factor = if let DiskFault::Slow(factor) = self.fault {
             factor
         } else {
             1
         };
-        // Batches that wait are synced together, so a later one takes little longer.
+        // Waiting batches are synced together, so a later one takes little longer.
         let synced_at = self.busy_until.max(now + sync_ms * factor);
         self.busy_until = synced_at;
         self.pending.push_back(PendingBatch {
@@ -84,7 +84,7 @@
         });
     }
 
-    /// Lets time pass; what there is to tell the process.
+    /// Advances the disk to `now` and returns the completions for the process.
     pub(crate) fn advance(&mut self, now: u64) -> Option<DiskCompletion> {
         match self.fault {
             DiskFault::Stalled => return None,
@@ -117,7 +117,7 @@
         Some(DiskCompletion::Refused)
     }
 
-    /// The process dies, or the power is lost: a part of what was under way may have reached the disk.
+    /// Handles a killed process or a power loss: a prefix of the pending batches may have reached the disk.
     pub(crate) fn crash(&mut self, rng: &mut fastrand::Rng) {
         let kept = rng.usize(0..=self.pending.len());
         let can_write = matches!(self.fault, DiskFault::None | DiskFault::Slow(_));
@@ -163,7 +163,7 @@
             .entries
             .last()
             .map_or(contents.snapshot_index, |entry| entry.index);
-        // The store refuses a batch that leaves a gap; a machine that sends one is at fault.
+        // The store rejects a batch that leaves a gap in the log; a core process must not write one.
         assert_eq!(
             entry.index,
             last + 1,
--- a/crates/cluster-simulation/src/machine/front.rs
+++ b/crates/cluster-simulation/src/machine/front.rs
@@ -1,4 +1,4 @@
-//! A front, without its sockets: the machine of the real one, and what its driver decides by the clock.
+//! A front: the program's state machine without sockets, with its driver's timed decisions.
 
 use crate::faults::schedule::GRACE_MS;
 use lupinrack_cluster_api::error::ErrorKind;
@@ -14,20 +14,20 @@
     FrontEffect, FrontMachine, ACCEPT_CALLS_PERCENT, EXIT_PERCENT, READY_TIMEOUT_MS,
 };
 
-/// How soon a change is in force at every machine in touch, in milliseconds, as the settings of a deployment say.
+/// Time until a change is in force on every connected machine, in milliseconds, as in a deployment's settings.
 const CONFIGURATION_APPLY_MS: u64 = 2_000;
 
 /// The process of a front.
 #[derive(Debug)]
 pub(crate) struct FrontProcess {
     machine: FrontMachine,
-    /// The fronts that membership reports as alive, whether they are or not.
+    /// The fronts that membership reports as alive, which may be wrong.
     table: LiveTable,
     ending_since: Option<Millis>,
 }
 
 impl FrontProcess {
-    /// Starts now, with this membership table until it ends.
+    /// Starts the process now. It keeps this membership table until it ends.
     pub(crate) fn new(
         own: LiveMember,
         table: LiveTable,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Whether it takes new connections.
+    /// Whether it accepts new connections.
     pub(crate) fn is_ready(&self, now: Millis) -> bool {
         self.ending_since.is_none()
             && self
@@ -50,18 +50,18 @@
                 .is_confirmed_within(READY_TIMEOUT_MS, now)
     }
 
-    /// The newest view that it knows.
+    /// The newest view known to it.
     pub(crate) fn view(&self) -> &View {
         self.machine.view()
     }
 
-    /// It is asked to shut down, and goes on serving for a part of its grace.
+    /// Begins the graceful shutdown; the front keeps serving for a part of its grace.
     pub(crate) fn on_terminate(&mut self, now: Millis) -> Vec<FrontEffect> {
         self.ending_since.get_or_insert(now);
         Vec::new()
     }
 
-    /// Whether the process, asked to shut down, has ended.
+    /// Whether the process has ended after its shutdown signal.
     pub(crate) fn has_ended(&self, now: Millis) -> bool {
         let Some(waited) = self.ending_since.map(|since| now.since(since)) else {
             return false;
@@ -70,7 +70,7 @@
         (served_on && self.machine.is_idle()) || waited >= GRACE_MS * EXIT_PERCENT / 100
     }
 
-    /// A frame came.
+    /// Handles a received frame.
     pub(crate) fn on_frame(
         &mut self,
         from: PeerAddress,
@@ -81,7 +81,7 @@
         self.machine.on_frame(from, connection, frame, now)
     }
 
-    /// A connection ended.
+    /// Handles the end of a connection.
     pub(crate) fn on_closed(
         &mut self,
         from: PeerAddress,
@@ -91,7 +91,7 @@
         self.machine.on_closed(from, connection, now)
     }
 
-    /// A client's call; answered at once where the queue is known not to exist.
+    /// Handles a client's call. A call for a queue that does not exist is answered at once.
     pub(crate) fn on_call(&mut self, call: HeadCall, now: Millis) -> Vec<FrontEffect> {
         let negative_answer_validity_ms = negative_answer_validity_ms(CONFIGURATION_APPLY_MS);
         let lacks_queue = |target| {
@@ -100,14 +100,14 @@
                 .lacks_queue(target, negative_answer_validity_ms, now)
         };
         if target_of(&call.request).is_some_and(lacks_queue) {
-            // A client that has gone needs no answer.
+            // A client that has disconnected needs no answer.
             let _ = call.reply_to.send(Reply::Error(ErrorKind::UnknownQueue));
             return Vec::new();
         }
         self.machine.on_call(call, now)
     }
 
-    /// Time has passed.
+    /// Handles the passing of time.
     pub(crate) fn on_tick(&mut self, now: Millis) -> Vec<FrontEffect> {
         self.machine.on_tick(&self.table, now)
     }
--- a/crates/cluster-simulation/src/machine/mod.rs
+++ b/crates/cluster-simulation/src/machine/mod.rs
@@ -24,9 +24,9 @@
 /// The port of all internal traffic.
 const PORT: u16 = 7_000;
 
-/// A process that stutters runs for the first part of each of these spans, in milliseconds.
+/// Period of an intermittent run, in milliseconds. The process runs in the first part of each period.
 const INTERMITTENT_PERIOD_MS: u64 = 150;
-/// How long that part is, in milliseconds.
+/// Length of that part, in milliseconds.
 const INTERMITTENT_RUN_MS: u64 = 25;
 
 /// The internal address of a machine.
@@ -42,7 +42,7 @@
     usize::from(address.0.ip().octets()[3]) - 1
 }
 
-/// What runs on a machine.
+/// The process of a machine.
 #[derive(Debug)]
 pub(crate) enum Process {
     /// A core process.
@@ -53,14 +53,14 @@
     Agent(Box<AgentProcess>),
 }
 
-/// What reaches a process.
+/// An input of a process.
 #[derive(Debug)]
 pub(crate) enum ProcessEvent {
     /// A frame of another process.
     Frame {
-        /// Its machine.
+        /// The sender's machine.
         from: usize,
-        /// Its incarnation.
+        /// The sender's incarnation.
         incarnation: u64,
         /// The connection.
         connection: u64,
@@ -87,17 +87,17 @@
         /// When the server sent it.
         sent_at: u64,
     },
-    /// An open heartbeat has waited for long enough.
+    /// The waiting time of an open heartbeat has passed.
     AnswerDue,
     /// The server has shut down gracefully.
     Deregistered(ServerId),
     /// Time has passed.
     Tick,
-    /// The process is asked to shut down.
+    /// The shutdown signal.
     Terminate,
 }
 
-/// What a process does.
+/// An effect of a process.
 #[derive(Debug)]
 #[allow(
     clippy::large_enum_variant,
@@ -128,28 +128,28 @@
     pub clock: MachineClock,
     /// Its disk; used by core machines.
     pub disk: SimulatedDisk,
-    /// What runs; none while it is down.
+    /// The running process; `None` while it is down.
     pub process: Option<Process>,
     /// The incarnation of the process, or of the last one.
     pub incarnation: u64,
     /// Whether the process is suspended.
     pub suspended: bool,
-    /// Whether the process runs for a part of the time only.
+    /// Whether the process runs only for a part of each period.
     pub intermittent: bool,
     /// Whether the machine is gone for good, or will be once its process has ended.
     pub removed: bool,
-    /// Since when its disk has been filled.
+    /// When its disk was last created empty.
     pub disk_since: u64,
     /// Whether its process has never run.
     pub is_new: bool,
-    /// When it is started again, where that is due.
+    /// When the process is restarted, if it is.
     pub starts_at: Option<u64>,
-    /// What reached the process while it stood still.
+    /// Events that arrived while the process was suspended.
     pub inbox: VecDeque<ProcessEvent>,
 }
 
 impl Machine {
-    /// One on which nothing runs yet.
+    /// Creates a machine on which nothing runs yet.
     pub(crate) fn new(role: Role, clock: MachineClock) -> Machine {
         Machine {
             role,
@@ -167,12 +167,12 @@
         }
     }
 
-    /// Whether the process is suspended at this moment.
+    /// Whether the process is suspended at `now`.
     pub(crate) fn is_suspended(&self, now: u64) -> bool {
         self.suspended || (self.intermittent && now % INTERMITTENT_PERIOD_MS >= INTERMITTENT_RUN_MS)
     }
 
-    /// Whether the process, asked to shut down, has ended by itself.
+    /// Whether the process has exited after its shutdown signal.
     pub(crate) fn has_ended(&self, now: u64) -> bool {
         let now = self.clock.read(now).now;
         match &self.process {
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Whether a heartbeat that was left open is to be answered now.
+    /// Whether an open heartbeat has to be answered now.
     pub(crate) fn is_answer_due(&self, now: u64) -> bool {
         match &self.process {
             Some(Process::Agent(agent)) => agent.is_answer_due(self.clock.read(now).now),
--- a/crates/cluster-simulation/src/network/mod.rs
+++ b/crates/cluster-simulation/src/network/mod.rs
@@ -1,11 +1,11 @@
-//! Connections between machines: frames in order, delays, partitions, resets. `transmission` moves them on in time.
+//! Connections between machines: frames in order, delays, partitions, resets. `transmission` advances them in time.
 
 mod transmission;
 
 use lupinrack_cluster_api::frame::Frame;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Frames take at least and at most so long, in milliseconds.
+/// Range of the frame delay, in milliseconds.
 const DELAY_MS: std::ops::Range<u64> = 1..5;
 
 /// A machine's number.
@@ -34,9 +34,9 @@
 struct End {
     machine: MachineIndex,
     open: bool,
-    /// Frames on their way from this end, with the moment of their arrival.
+    /// Frames in transit from this end, with their arrival times.
     outgoing: VecDeque<(u64, Frame)>,
-    /// Since when frames from here are not acknowledged.
+    /// Since when frames from this end are unacknowledged.
     unacknowledged_since: Option<u64>,
 }
 
@@ -45,14 +45,14 @@
     ends: [End; 2],
 }
 
-/// Frames that wait for a connection, and when it is tried.
+/// Frames that wait for a connection, and the time of the next attempt to open it.
 #[derive(Clone, Debug, Default)]
 struct PendingConnect {
     waiting: VecDeque<(u64, Frame)>,
     due: u64,
 }
 
-/// What arrives at a machine.
+/// An event of the network for a machine.
 #[derive(Clone, Debug)]
 #[allow(
     clippy::large_enum_variant,
@@ -77,14 +77,14 @@
     },
 }
 
-/// What the network knows of a machine.
+/// State of a machine's network stack.
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
     /// Whether its process runs.
     pub running: bool,
     /// Whether its kernel answers: false after a loss of power.
     pub powered: bool,
-    /// What it says first on each connection.
+    /// The first frame that it sends on each connection.
     pub hello: Frame,
 }
 
@@ -94,18 +94,18 @@
     rng: fastrand::Rng,
     connections: BTreeMap<u64, Connection>,
     next_connection: u64,
-    /// Who opened each connection so far to whom.
+    /// The opener and the acceptor of each connection so far.
     opened: BTreeMap<u64, DirectedLink>,
     pending_connects: BTreeMap<DirectedLink, PendingConnect>,
-    /// Links that are blocked, and by how many partitions.
+    /// Blocked links, each with the number of partitions that block it.
     partitions: BTreeMap<DirectedLink, u32>,
-    /// Machines whose frames take up to so many milliseconds longer.
+    /// Maximum extra delay of outgoing frames by machine, in milliseconds.
     slow: BTreeMap<MachineIndex, u64>,
     deliveries: Vec<(MachineIndex, Delivery)>,
 }
 
 impl Network {
-    /// Without connections.
+    /// Creates a network without connections.
     pub(crate) fn new(seed: u64) -> Network {
         Network {
             rng: fastrand::Rng::with_seed(seed),
@@ -119,12 +119,12 @@
         }
     }
 
-    /// Lets nothing pass a link.
+    /// Blocks a link for one partition.
     pub(crate) fn partition(&mut self, link: DirectedLink) {
         *self.partitions.entry(link).or_default() += 1;
     }
 
-    /// Ends one partition; what other partitions block stays blocked.
+    /// Unblocks a link for one partition; it stays blocked while other partitions block it.
     pub(crate) fn heal(&mut self, link: DirectedLink) {
         let Some(count) = self.partitions.get_mut(&link) else {
             return;
@@ -135,18 +135,18 @@
         }
     }
 
-    /// Whether nothing passes a link.
+    /// Whether a link is blocked.
     pub(crate) fn is_partitioned(&self, link: DirectedLink) -> bool {
         self.partitions.contains_key(&link)
     }
 
-    /// The machine at the other end of a connection, also of one that has ended.
+    /// The machine at the other end of a connection, even after the connection has ended.
     pub(crate) fn other_end(&self, machine: MachineIndex, connection: u64) -> Option<MachineIndex> {
         let DirectedLink { from, to } = *self.opened.get(&connection)?;
         Some(if from == machine { to } else { from })
     }
 
-    /// Has what a machine sends take up to so many milliseconds longer; 0 ends that.
+    /// Delays a machine's outgoing frames by up to these milliseconds; 0 ends the delay.
     pub(crate) fn set_slow(&mut self, machine: MachineIndex, most_ms: u64) {
         self.slow.insert(machine, most_ms);
     }
@@ -192,7 +192,7 @@
             .find(|end| end.machine == machine)
     }
 
-    /// The newest connection that a machine has open to another.
+    /// The newest open connection between two machines.
     pub(crate) fn newest(&self, from: MachineIndex, to: MachineIndex) -> Option<u64> {
         let joins = |connection: &Connection| {
             let [a, b] = &connection.ends;
@@ -206,7 +206,7 @@
             .map(|(number, _)| *number)
     }
 
-    /// A machine's process has ended. Where its kernel answers, the others learn of it at once.
+    /// Handles the end of a machine's process. If its kernel still answers, its peers see closed connections at once.
     pub(crate) fn process_ended(&mut self, machine: MachineIndex, powered: bool) {
         for (number, connection) in &mut self.connections {
             let [a, b] = &mut connection.ends;
--- a/crates/cluster-simulation/src/network/transmission.rs
+++ b/crates/cluster-simulation/src/network/transmission.rs
@@ -1,18 +1,19 @@
-//! Moves connections on in time: opens those that are due, delivers frames, and closes what is not acknowledged.
+//! Advances connections in time: opens those that are due, delivers frames, and closes connections without
+//! acknowledgements.
 
 use super::{Connection, Delivery, DirectedLink, End, Endpoint, MachineIndex, Network};
 use lupinrack_cluster_api::frame::Frame;
 use std::collections::VecDeque;
 
-/// A connection whose frames are not acknowledged for this long is closed by their sender, in milliseconds.
+/// Time without an acknowledgement after which the sender closes the connection, in milliseconds.
 const USER_TIMEOUT_MS: u64 = 1_500;
-/// How long a frame waits for a connection, in milliseconds.
+/// Longest time that a frame waits for a connection, in milliseconds.
 const MAX_CONNECT_WAIT_MS: u64 = 1_000;
-/// Between two attempts to open a connection, in milliseconds.
+/// Interval between two attempts to open a connection, in milliseconds.
 const CONNECT_RETRY_MS: u64 = 250;
 
 impl Network {
-    /// Lets time pass; what arrives where, in order.
+    /// Advances the network to `now` and returns what arrives at each machine, in order.
     pub(crate) fn advance(
         &mut self,
         now: u64,
@@ -114,7 +115,7 @@
             if due && (is_blocked_there || dark) {
                 from.unacknowledged_since.get_or_insert(now);
             } else if due && !to.open {
-                // Nobody listens there any longer: the connection is reset.
+                // The process has ended, so nothing listens there: the connection is reset.
                 if is_blocked_back {
                     from.unacknowledged_since.get_or_insert(now);
                 } else {
@@ -140,7 +141,7 @@
     }
 }
 
-/// Delivers the frames of an end that have arrived by now, in the order in which they were sent.
+/// Delivers the frames from one end that are due, in the order in which they were sent.
 fn deliver_due(
     end: &mut End,
     receiver: MachineIndex,
--- a/crates/cluster-simulation/src/operator/configuration_changes.rs
+++ b/crates/cluster-simulation/src/operator/configuration_changes.rs
@@ -12,25 +12,25 @@
 use lupinrack_cluster_api::request::Request;
 use lupinrack_configuration_history::{Call, CallNumber, ChangeId, ConditionalChange, Response};
 
-/// How many changes a crowd of operators begins at once.
+/// Number of changes that a concurrent burst begins at once.
 const BURST_SIZE: usize = 8;
-/// How soon an acknowledged change is sent again, in milliseconds.
-const REPEAT_MS: u64 = 300;
-/// The longest time after which it is sent again under severe faults, in milliseconds.
-const LATE_REPEAT_MOST_MS: u64 = 15_000;
+/// Delay until an acknowledged change is sent again, in milliseconds.
+const RESEND_DELAY_MS: u64 = 300;
+/// Upper bound of that delay under severe faults, in milliseconds.
+const MAX_RESEND_DELAY_MS: u64 = 15_000;
 
-/// What a change is expected to come to.
+/// The expected verdict on a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Validity {
-    /// It may be accepted.
+    /// Valid: it can be accepted.
     Valid,
     /// Its body is invalid.
     Invalid,
-    /// It builds on an older version, or sets none that is newer.
+    /// Its base version is outdated, or its own version is not newer.
     Stale,
 }
 
-/// A change, and what its sender knows of it.
+/// A change, and what its sender knows about its attempts.
 #[derive(Debug)]
 pub(super) struct ChangeAttempts {
     if_match: u64,
@@ -42,7 +42,7 @@
     backoff_ms: u64,
     acknowledged_at: Option<u64>,
     rejected: bool,
-    /// Whether its sender tries no more.
+    /// Whether its sender has stopped retrying.
     over: bool,
     repeats_left: u32,
 }
@@ -52,19 +52,19 @@
 struct PendingAttempt {
     call: PendingCall,
     number: CallNumber,
-    /// Whether its answer is lost on the way.
+    /// Whether its answer is lost in transit.
     answer_lost: bool,
-    /// Whether all machines were in touch when it began.
+    /// Whether all machines were connected when the call began.
     was_stable: bool,
 }
 
 impl ChangeAttempts {
-    /// Whether its sender tries no more.
+    /// Whether its sender has stopped retrying.
     pub(super) fn is_over(&self) -> bool {
         self.over
     }
 
-    /// When it was acknowledged first.
+    /// Time of the first acknowledgement.
     pub(super) fn acknowledged_at(&self) -> Option<u64> {
         self.acknowledged_at
     }
@@ -79,10 +79,10 @@
         matches!(self.body, ConfigurationBody::Replacement(_))
     }
 
-    /// Whether it may be in force as the change of this number.
-    pub(super) fn may_be(&self, number: usize, version: u64, routes: &[String]) -> bool {
-        let rightful = self.validity == Validity::Valid && !self.rejected;
-        rightful && self.version == version && routes.contains(&marker_route_name(number))
+    /// Whether the change, under this number, can be in force.
+    pub(super) fn may_be_in_force(&self, number: usize, version: u64, routes: &[String]) -> bool {
+        let is_acceptable = self.validity == Validity::Valid && !self.rejected;
+        is_acceptable && self.version == version && routes.contains(&marker_route_name(number))
     }
 
     fn for_history(&self, number: usize) -> ConditionalChange {
@@ -96,8 +96,8 @@
 }
 
 impl Operator {
-    pub(super) fn begin_order(&mut self, order: OperatorAction, world: &mut World) {
-        match order {
+    pub(super) fn begin_action(&mut self, action: OperatorAction, world: &mut World) {
+        match action {
             OperatorAction::Change => self.begin_change(world),
             OperatorAction::LargeChange => self.begin_large_change(world),
             OperatorAction::ConcurrentPair => (0..2).for_each(|_| self.begin_change(world)),
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Begins a change on top of the newest known version.
+    /// Begins a change based on the newest known version.
     fn begin_change(&mut self, world: &mut World) {
         let number = self.changes.len();
         let if_match = self.known;
@@ -162,7 +162,7 @@
         self.send_change(if_match, version, body, validity, world);
     }
 
-    /// Sends a change again that was acknowledged at any time before.
+    /// Resends a change that was acknowledged earlier.
     fn begin_resend(&mut self, world: &mut World) {
         let acknowledged = self
             .changes
@@ -320,16 +320,16 @@
     }
 }
 
-/// After how many milliseconds an acknowledged change is sent again.
+/// Draws the delay until an acknowledged change is sent again, in milliseconds.
 fn repeat_after(world: &mut World) -> u64 {
-    if world.config.profile.is_worst() && world.rng.u32(0..4) == 0 {
-        world.rng.u64(REPEAT_MS..LATE_REPEAT_MOST_MS)
+    if world.config.profile.is_severe() && world.rng.u32(0..4) == 0 {
+        world.rng.u64(RESEND_DELAY_MS..MAX_RESEND_DELAY_MS)
     } else {
-        REPEAT_MS
+        RESEND_DELAY_MS
     }
 }
 
-/// While all machines are in touch, every one of them answers an order clearly.
+/// While all machines are connected, each of them must answer a change with success or a definite refusal.
 fn check_response_while_stable(number: usize, outcome: &Outcome, world: &mut World) {
     if answer_of(outcome) == Response::Indeterminate {
         let text = format!(
--- a/crates/cluster-simulation/src/operator/configuration_reads.rs
+++ b/crates/cluster-simulation/src/operator/configuration_reads.rs
@@ -7,7 +7,7 @@
 use lupinrack_configuration_history::{Call, CallNumber, ChangeId, Response};
 use lupinrack_control_state::check_configuration;
 
-/// A read under way, and the newest version that was acknowledged when it began.
+/// A pending read, and the newest version acknowledged before it began.
 #[derive(Debug)]
 pub(super) struct PendingRead {
     call: PendingCall,
@@ -15,7 +15,7 @@
     acknowledged: u64,
 }
 
-/// What a reader makes of a document.
+/// The parts of a configuration document that reads check.
 struct Document {
     version: u64,
     routes: Vec<String>,
@@ -82,7 +82,7 @@
         }
         self.read_version = self.read_version.max(version);
         self.known = self.known.max(version);
-        if world.closing {
+        if world.final_reads_begun {
             self.read_at_end = Some(now);
         }
     }
@@ -102,14 +102,14 @@
         }
     }
 
-    /// The change that set what was read, by its version and its mark. Of several that set one version only those that
-    /// were not refused may be in force.
+    /// Finds the change that produced the document, by version and marker route. Among changes to the same version only
+    /// those that were not refused can be in force.
     fn change_in_force(&self, document: &Document) -> Option<ChangeId> {
         let Document { version, routes } = document;
         let changes = self.changes.iter().enumerate();
-        let mut rightful =
-            changes.filter(|(number, change)| change.may_be(*number, *version, routes));
-        rightful.next().map(|(number, _)| ChangeId(number as u64))
+        let mut candidates =
+            changes.filter(|(number, change)| change.may_be_in_force(*number, *version, routes));
+        candidates.next().map(|(number, _)| ChangeId(number as u64))
     }
 }
 
--- a/crates/cluster-simulation/src/operator/mod.rs
+++ b/crates/cluster-simulation/src/operator/mod.rs
@@ -1,5 +1,5 @@
-//! The operator: changes with races, repeats and faults, and reads. Its calls are checked one by one against the rules of
-//! the configuration, and at the end as one history, for linearizability.
+//! The operator: concurrent, repeated and invalid changes, and reads. Each call is checked against the rules of
+//! the configuration; at the end all calls are checked together for linearizability.
 
 mod configuration_changes;
 mod configuration_reads;
@@ -12,7 +12,7 @@
 use lupinrack_configuration_history::History;
 use queue_reads::PendingQueueRead;
 
-/// How long the operator waits for an answer before it goes on to another process, in milliseconds.
+/// Timeout of a call, after which the operator tries another process, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 1_000;
 
 /// The operator.
@@ -23,15 +23,15 @@
     count: Option<PendingQueueRead>,
     next_read_at: u64,
     next_queue_read_at: u64,
-    /// The newest version that was acknowledged.
+    /// The newest acknowledged version.
     acknowledged: u64,
-    /// The newest version that is known from an acknowledgement or a read.
+    /// The newest version known from an acknowledgement or a read.
     known: u64,
     /// The newest version that was read.
     read_version: u64,
     /// When the newest configuration was read back after the traffic ended.
     pub read_at_end: Option<u64>,
-    /// All its calls but counts.
+    /// All its calls except queue reads.
     history: History,
 }
 
@@ -41,7 +41,7 @@
         self.changes.iter().any(|change| !change.is_over())
     }
 
-    /// How many changes were acknowledged.
+    /// Number of acknowledged changes.
     pub(crate) fn count_acknowledged(&self) -> usize {
         self.changes
             .iter()
@@ -49,13 +49,13 @@
             .count()
     }
 
-    /// Begins what the fault schedule has it do.
-    pub(crate) fn begin(&mut self, order: OperatorAction, world: &mut World) {
-        self.begin_order(order, world);
+    /// Begins an action of the fault schedule.
+    pub(crate) fn begin(&mut self, action: OperatorAction, world: &mut World) {
+        self.begin_action(action, world);
     }
 
-    /// Lets the operator do what is due.
-    pub(crate) fn serve(&mut self, world: &mut World) {
+    /// Advances the operator's calls and begins those that are due.
+    pub(crate) fn advance(&mut self, world: &mut World) {
         for number in 0..self.changes.len() {
             self.advance_change(number, world);
         }
--- a/crates/cluster-simulation/src/operator/queue_reads.rs
+++ b/crates/cluster-simulation/src/operator/queue_reads.rs
@@ -1,4 +1,4 @@
-//! Counts that are asked of fronts, which tell whether a route is in force there.
+//! Reads of a queue's counts from fronts: the answer shows whether the queue's route is in force there.
 
 use super::{Operator, CALL_TIMEOUT_MS};
 use crate::configuration_body::{marker_route_name, HOST};
@@ -7,19 +7,19 @@
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::request::{Request, Target};
 
-/// How soon an acknowledged configuration is in force at every machine in touch, in milliseconds. A machine out of touch
-/// answers nothing after that by what was in force before.
-const APPLY_MS: u64 = 1_500;
-/// Between two counts that are asked of fronts, in milliseconds.
+/// Time until an acknowledged configuration is in force on every connected machine, in milliseconds. After this time a
+/// disconnected machine no longer answers by the earlier configuration.
+const CONFIGURATION_IN_FORCE_MS: u64 = 1_500;
+/// Interval between two queue reads, in milliseconds.
 const QUEUE_READ_INTERVAL_MS: u64 = 300;
 
-/// A count asked of a front.
+/// A pending queue read from a front.
 #[derive(Debug)]
 pub(super) struct PendingQueueRead {
     call: PendingCall,
     route: String,
     is_there: bool,
-    /// How many changes had been begun.
+    /// Number of changes begun before the read.
     changes: usize,
 }
 
@@ -62,7 +62,7 @@
         world.call_front(front, control_call);
     }
 
-    /// A route of which it is certain whether fronts know it: the newest change is settled and nothing else was sent
+    /// The newest change's route, if it is certain whether fronts know it: the change is settled and nothing was sent
     /// since.
     fn current_route(&self, now: u64) -> Option<(String, bool)> {
         if self.is_busy() {
@@ -71,7 +71,9 @@
         let changes = self.changes.iter().enumerate();
         let acknowledged = changes.filter(|(_, change)| change.acknowledged_at().is_some());
         let (number, change) = acknowledged.max_by_key(|(_, change)| change.version())?;
-        if change.version() != self.known || change.acknowledged_at()? + APPLY_MS > now {
+        if change.version() != self.known
+            || change.acknowledged_at()? + CONFIGURATION_IN_FORCE_MS > now
+        {
             return None;
         }
         if change.is_replacement() && number > 0 && now.is_multiple_of(2) {
--- a/crates/cluster-simulation/src/oracle.rs
+++ b/crates/cluster-simulation/src/oracle.rs
@@ -5,37 +5,37 @@
 use lupinrack_cluster_api::job::{JobSpec, Resources, Step};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What has happened to a task.
+/// The observed history of a task.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TaskHistory {
     /// Incarnations of servers on which it runs, as (slot, incarnation).
     pub running_on: BTreeSet<(usize, u64)>,
     pub last_start_at: Option<u64>,
     pub done_at: Option<u64>,
-    /// Whether an end that was done was taken note of.
-    pub done_noted: bool,
+    /// Whether a successful end was confirmed as observed.
+    pub done_observed: bool,
     pub failures: u32,
-    pub failures_noted: u32,
+    pub failures_observed: u32,
     pub highest_attempt: Attempt,
 }
 
-/// What the client of a job knows.
+/// What a job's client knows about the job.
 #[derive(Clone, Debug)]
 pub(crate) struct ExpectedJob {
     pub spec: JobSpec,
     pub max_retries: u32,
     pub cancelled_at: Option<u64>,
-    /// Own failures of each task before it can succeed; more than the queue allows for a hopeless job.
+    /// Failures of each task before it succeeds; for a hopeless job more than the queue allows.
     pub scripted_failures: u32,
     pub work_factor: f64,
-    /// Whether a client has sent it, and whether every try was rejected and no other will follow.
+    /// Whether a client has sent it, and whether every attempt was rejected and no other will follow.
     pub sent: bool,
     pub rejected: bool,
     pub cancel_sent: bool,
 }
 
 impl ExpectedJob {
-    /// Whether its gangs may end for want of members.
+    /// Whether its gangs may end for lack of members.
     pub(crate) fn is_excused(&self) -> bool {
         self.cancel_sent || self.scripted_failures > 0
     }
@@ -50,7 +50,7 @@
     pub attempt: Attempt,
     pub spec: &'a str,
     pub checkpoint: &'a str,
-    /// What runs there already.
+    /// Tasks that already run there.
     pub used: Resources,
     pub capacity: Resources,
     pub labels: &'a [String],
@@ -70,7 +70,7 @@
     fn is_early(&self, job: &ExpectedJob) -> bool {
         let spec = &job.spec;
         let due = spec.start_at_ms + u64::from(self.task.occurrence) * spec.interval_ms;
-        spec.repeat > 0 && self.wall + EARLY_MS < due
+        spec.repeat > 0 && self.wall + EARLY_START_TOLERANCE_MS < due
     }
 
     fn lacks_label(&self, step: &Step) -> bool {
@@ -94,30 +94,31 @@
     }
 
     fn is_after_cancellation(&self, job: &ExpectedJob) -> bool {
-        job.cancelled_at.is_some_and(|at| self.now > at + CANCEL_MS)
+        job.cancelled_at
+            .is_some_and(|at| self.now > at + CANCELLATION_GRACE_MS)
     }
 
     fn is_on_draining_server(&self) -> bool {
         self.draining_since
-            .is_some_and(|since| self.now > since + DRAIN_MS)
+            .is_some_and(|since| self.now > since + DRAIN_GRACE_MS)
     }
 }
 
 /// Which rules with time bounds are checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TimeBounds {
-    /// All: no fault is in effect but cancelled and hopeless jobs and new servers.
+    /// All of them: no fault is in effect. Cancelled jobs, hopeless jobs and new servers are allowed.
     Checked,
-    /// None: a fault is in effect, or ended a short time ago.
+    /// None: a fault is in effect or ended recently.
     Suspended,
 }
 
-/// A server that drains for longer than this may be given nothing, in milliseconds.
-pub(crate) const DRAIN_MS: u64 = 2_000;
-/// An occurrence of a recurring job may start this much before it is due, in milliseconds.
-pub(crate) const EARLY_MS: u64 = 5_000;
-/// A job that was cancelled longer ago than this may not start, in milliseconds.
-pub(crate) const CANCEL_MS: u64 = 3_000;
+/// Time after which a draining server may get no more tasks, in milliseconds.
+pub(crate) const DRAIN_GRACE_MS: u64 = 2_000;
+/// Tolerance for an early start of a recurring job's occurrence, in milliseconds.
+pub(crate) const EARLY_START_TOLERANCE_MS: u64 = 5_000;
+/// Time after a cancellation from which the job may no longer start, in milliseconds.
+pub(crate) const CANCELLATION_GRACE_MS: u64 = 3_000;
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Oracle {
@@ -157,7 +158,7 @@
         history.highest_attempt = history.highest_attempt.max(observed_start.attempt);
     }
 
-    /// The rules that a start breaks.
+    /// The rules that a start violates.
     fn broken_rules(
         &self,
         start: &ObservedStart<'_>,
@@ -182,12 +183,12 @@
         let runs = !history.running_on.is_empty();
         check(runs && !step.speculative, "TWICE: runs elsewhere");
         let is_idempotent = step.long_running || step.speculative;
-        check(history.done_noted && !is_idempotent, "TWICE: was done");
+        check(history.done_observed && !is_idempotent, "TWICE: was done");
         check(!self.dependencies_done(job, step, start.task), "ORDER");
         check(start.is_early(job), "ORDER: ahead of its time");
         check(start.lacks_label(step), "ROUTE: label");
         check(start.exceeds_anti_affinity(step), "ROUTE: anti-affinity");
-        let budget_is_spent = history.failures_noted >= job.max_retries;
+        let budget_is_spent = history.failures_observed >= job.max_retries;
         check(budget_is_spent && !step.long_running, "BUDGET");
         check(start.spec != job.spec.spec, "UNASKED: spec");
         check(start.has_foreign_checkpoint(), "UNASKED: saved");
@@ -222,7 +223,7 @@
             .remove(&(machine, incarnation));
     }
 
-    /// An end that was done; for a gang it stands for all its members.
+    /// Records a successful end; for a gang it counts for all members.
     pub(crate) fn done(&mut self, task: TaskId, now: u64) {
         self.tasks
             .entry(task)
@@ -235,10 +236,10 @@
         self.tasks.entry(task).or_default().failures += 1;
     }
 
-    pub(crate) fn done_noted(&mut self, task: TaskId, done_at: u64, now: u64) {
+    pub(crate) fn done_observed(&mut self, task: TaskId, done_at: u64, now: u64) {
         let long_running_steps = self.step(task).is_some_and(|step| step.long_running);
         let history = self.tasks.entry(task).or_default();
-        history.done_noted = true;
+        history.done_observed = true;
         let again = history.last_start_at.is_some_and(|at| at > done_at);
         if again && !long_running_steps {
             self.report_violation(
@@ -248,7 +249,7 @@
         }
     }
 
-    /// A server refused an order under this token of the agent on its machine.
+    /// Records that a server refused a command under this token from the agent on its machine.
     pub(crate) fn token_refused(
         &mut self,
         machine: usize,
@@ -263,11 +264,11 @@
         }
     }
 
-    pub(crate) fn failure_noted(&mut self, task: TaskId) {
-        self.tasks.entry(task).or_default().failures_noted += 1;
+    pub(crate) fn failure_observed(&mut self, task: TaskId) {
+        self.tasks.entry(task).or_default().failures_observed += 1;
     }
 
-    /// Whether a task, or a gang, has failed as often as its queue allows.
+    /// Whether a task or gang has reached the number of failures that its queue allows.
     pub(crate) fn has_cause_to_fail(&self, job: JobId) -> bool {
         let Some(expected) = self.jobs.get(&job) else {
             return false;
--- a/crates/cluster-simulation/src/pending_call.rs
+++ b/crates/cluster-simulation/src/pending_call.rs
@@ -1,4 +1,4 @@
-//! Calls over HTTP, of clients and of the operator, without HTTP.
+//! HTTP calls of clients and of the operator, simulated without HTTP.
 
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::request::{Reply, Request};
@@ -6,26 +6,26 @@
 use tokio::sync::oneshot;
 use tokio::sync::oneshot::error::TryRecvError;
 
-/// A call under way.
+/// A pending call.
 #[derive(Debug)]
 pub(crate) struct PendingCall {
     reply: oneshot::Receiver<Reply>,
-    /// After this the caller waits no longer.
+    /// When the call times out.
     deadline: u64,
 }
 
-/// What its caller sees of a call.
+/// The outcome of a call as its caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// An answer with success.
+    /// A success answer.
     Success(Reply),
-    /// A clear refusal of this try.
+    /// A definite refusal of this attempt.
     Rejected(ErrorKind),
-    /// A timeout, a lost connection, or an answer that says that the effect is not known.
+    /// A timeout, a lost connection, or an answer that leaves the effect unknown.
     Indeterminate,
 }
 
-/// A call to be handed to a process, and what its caller keeps.
+/// Creates a call: the part that is passed to a process, and the part that the caller keeps.
 pub(crate) fn call(request: Request, now: u64, wait_ms: u64) -> (HeadCall, PendingCall) {
     let (reply_to, reply) = oneshot::channel();
     let call = HeadCall {
@@ -43,7 +43,7 @@
 }
 
 impl PendingCall {
-    /// What has come of it, once anything has.
+    /// The outcome, once there is one.
     pub(crate) fn outcome(&mut self, now: u64) -> Option<Outcome> {
         match self.reply.try_recv() {
             Ok(reply) => Some(outcome_of(reply)),
--- a/crates/cluster-simulation/src/process_start.rs
+++ b/crates/cluster-simulation/src/process_start.rs
@@ -1,10 +1,10 @@
-//! Starts the processes of machines: what each role is given, and on which machines core processes found the system.
+//! Starts the processes of machines: the inputs of each role, and the machines whose core processes found the system.
 
 use crate::faults::schedule::{CATCH_UP_MS, GRACE_MS};
 use crate::machine::agent::AgentProcess;
 use crate::machine::front::FrontProcess;
 use crate::machine::{address_of, Machine, Process, ProcessEvent};
-use crate::server::LEASE_MOST_MS;
+use crate::server::MAX_LEASE_MS;
 use crate::world::World;
 use lupinrack_cluster_api::frame::{Frame, Hello, Role};
 use lupinrack_cluster_api::identity::{DiskId, PeerAddress};
@@ -17,9 +17,9 @@
 use lupinrack_scheduler::SchedulerSettings;
 use lupinrack_worker_agent::AgentSettings;
 
-/// Ended jobs are kept for this much longer than the run lasts, since the final reads ask for all of them, in
+/// Retention of ended jobs beyond the length of the run, since the final reads cover all of them, in
 /// milliseconds.
-const REMEMBER_MARGIN_MS: u64 = 60_000;
+const RETENTION_MARGIN_MS: u64 = 60_000;
 
 impl World {
     pub(crate) fn start_machines(&mut self) {
@@ -38,14 +38,14 @@
         let incarnation = self.rng.u64(1..);
         let now = self.now;
         let seeds = self.seeds.clone();
-        let one = &mut self.machines[machine];
-        one.incarnation = incarnation;
-        one.clock.began = now;
-        one.suspended = false;
-        one.inbox.clear();
-        let moment = one.clock.read(now);
+        let state = &mut self.machines[machine];
+        state.incarnation = incarnation;
+        state.clock.began = now;
+        state.suspended = false;
+        state.inbox.clear();
+        let moment = state.clock.read(now);
         let mut disk = None;
-        let process = match one.role {
+        let process = match state.role {
             Role::Frontend => Some(Process::Front(Box::new(
                 self.new_front(machine, seeds, moment.now),
             ))),
@@ -53,7 +53,7 @@
                 self.new_agent(machine, seeds, moment.now),
             ))),
             Role::Core => {
-                let recovered = one.disk.contents();
+                let recovered = state.disk.contents();
                 let id = recovered.disk.unwrap_or_else(|| DiskId(self.rng.u64(1..)));
                 disk = Some(id);
                 self.new_core(machine, id, recovered)
@@ -104,10 +104,10 @@
         }
     }
 
-    /// All fronts that were not removed. It may list processes that are down or partitioned off.
+    /// All fronts that were not removed, including those that are down or partitioned off.
     fn live_table(&self) -> LiveTable {
-        let there = self.fronts().filter(|front| !self.machines[*front].removed);
-        LiveTable::new(there.map(|front| self.member(front)).collect())
+        let listed = self.fronts().filter(|front| !self.machines[*front].removed);
+        LiveTable::new(listed.map(|front| self.member(front)).collect())
     }
 
     fn new_core(
@@ -117,7 +117,7 @@
         recovered: Recovered,
     ) -> Option<CoreMachine> {
         let seeds = self.seeds.clone();
-        let founders = if self.founds(machine) {
+        let founders = if self.founds_system(machine) {
             seeds.clone()
         } else {
             Vec::new()
@@ -135,9 +135,9 @@
             tolerated_losses: self.config.tolerance,
             catch_up_ms: CATCH_UP_MS,
             grace_ms: GRACE_MS,
-            remember_ms: self.config.traffic_ms + self.config.finish_ms + REMEMBER_MARGIN_MS,
+            remember_ms: self.config.traffic_ms + self.config.finish_ms + RETENTION_MARGIN_MS,
             scheduler: SchedulerSettings {
-                lease_ms: LEASE_MOST_MS,
+                lease_ms: MAX_LEASE_MS,
                 ..SchedulerSettings::default()
             },
             log_bytes: self.config.log_bytes(),
@@ -155,7 +155,7 @@
     }
 
     /// Whether a core process may found the system: on its first start, if it is one of the first seeds.
-    fn founds(&self, machine: usize) -> bool {
+    fn founds_system(&self, machine: usize) -> bool {
         let first = machine < self.config.cores && self.machines[machine].is_new;
         first && self.seeds.contains(&address_of(machine))
     }
@@ -163,7 +163,7 @@
 
 fn agent_settings() -> AgentSettings {
     AgentSettings {
-        lease_max_ms: LEASE_MOST_MS,
+        lease_max_ms: MAX_LEASE_MS,
         heartbeat_ms: 1_000,
         idle_heartbeat_ms: 400,
         busy_heartbeat_ms: 100,
--- a/crates/cluster-simulation/src/processes.rs
+++ b/crates/cluster-simulation/src/processes.rs
@@ -13,14 +13,14 @@
 use lupinrack_control_store::Batch;
 use lupinrack_worker_agent::HeartbeatResponse;
 
-/// How often processes look at their clocks, in milliseconds.
+/// Tick interval of processes, in milliseconds.
 const CORE_TICK_MS: u64 = 25;
 const OTHER_TICK_MS: u64 = 50;
-/// How soon writes reach the disk under [`InjectedBug::MissingSync`], in milliseconds.
+/// Time until writes reach the disk under [`InjectedBug::MissingSync`], in milliseconds.
 const UNSYNCED_MS: u64 = 400;
 
 impl World {
-    /// Moves machines, network and disks on by a millisecond.
+    /// Advances machines, network and disks by one millisecond.
     pub(crate) fn step(&mut self) {
         self.now += 1;
         let now = self.now;
@@ -34,18 +34,18 @@
         self.deliver_late_replies();
     }
 
-    /// Ends a process at once; without power its machine answers nobody until it starts again.
+    /// Ends a process at once. After a power loss its machine answers nothing until it restarts.
     pub(crate) fn kill(&mut self, machine: usize, powered: bool, down_ms: u64) {
         let now = self.now;
-        let one = &mut self.machines[machine];
-        one.process = None;
-        one.suspended = false;
-        one.inbox.clear();
-        one.starts_at = (!one.removed).then_some(now + down_ms);
+        let state = &mut self.machines[machine];
+        state.process = None;
+        state.suspended = false;
+        state.inbox.clear();
+        state.starts_at = (!state.removed).then_some(now + down_ms);
         if self.injected_bug == Some(InjectedBug::MissingSync) {
-            one.disk.crash_hard();
+            state.disk.crash_hard();
         } else {
-            one.disk.crash(&mut self.rng);
+            state.disk.crash(&mut self.rng);
         }
         self.endpoints[machine].running = false;
         self.endpoints[machine].powered = powered;
@@ -54,12 +54,12 @@
 
     /// Empties the disk of a machine that is down.
     pub(crate) fn wipe(&mut self, machine: usize) {
-        let one = &mut self.machines[machine];
-        let identity = one.disk.contents().disk;
-        one.disk.wipe();
-        one.disk_since = self.now;
+        let state = &mut self.machines[machine];
+        let identity = state.disk.contents().disk;
+        state.disk.wipe();
+        state.disk_since = self.now;
         if self.injected_bug == Some(InjectedBug::VoteOfEmptyDisk) {
-            one.disk.write(
+            state.disk.write(
                 0,
                 Batch {
                     disk: identity,
@@ -68,7 +68,7 @@
                 0,
                 0,
             );
-            one.disk.advance(0);
+            state.disk.advance(0);
         }
     }
 
@@ -82,7 +82,7 @@
         self.drain_inbox(machine);
     }
 
-    /// Hands a process that runs what reached it while it was suspended.
+    /// Delivers to a resumed process the events that arrived while it was suspended.
     fn drain_inbox(&mut self, machine: usize) {
         if self.machines[machine].is_suspended(self.now) {
             return;
@@ -157,18 +157,18 @@
         }
     }
 
-    /// Hands an event to a process, and carries out what comes of it.
+    /// Passes an event to a process and carries out the resulting effects.
     pub(crate) fn dispatch(&mut self, machine: usize, event: ProcessEvent) {
         let now = self.now;
-        let one = &mut self.machines[machine];
-        if one.process.is_none() {
+        let state = &mut self.machines[machine];
+        if state.process.is_none() {
             return;
         }
-        if one.is_suspended(now) {
-            one.inbox.push_back(event);
+        if state.is_suspended(now) {
+            state.inbox.push_back(event);
             return;
         }
-        let effects = one.handle(event, now);
+        let effects = state.handle(event, now);
         for effect in effects {
             self.carry_out(machine, effect);
         }
--- a/crates/cluster-simulation/src/server.rs
+++ b/crates/cluster-simulation/src/server.rs
@@ -1,4 +1,4 @@
-//! A server that follows the protocol: fencing, attempts, leases, lists of runs and ends.
+//! A server that follows the protocol: fencing, attempts, leases, lists of runs and of ended runs.
 
 use lupinrack_cluster_api::agent::Heartbeat;
 use lupinrack_cluster_api::identity::{Attempt, FencingToken, ServerId, TaskId};
@@ -6,25 +6,25 @@
 use lupinrack_cluster_api::server::{FinishedTask, RunEnd, RunningTask, ServerFacts};
 use std::collections::BTreeMap;
 
-/// A server's clock may run this much slow, so that a lease lasts longer.
-const SLOW_CLOCK: f64 = 1.02;
+/// Factor by which a slow server clock prolongs a lease.
+const SLOW_CLOCK_FACTOR: f64 = 1.02;
 /// The longest lease that a server accepts, in milliseconds.
-pub(crate) const LEASE_MOST_MS: u64 = 3_000;
-/// An answer later than this is dropped.
+pub(crate) const MAX_LEASE_MS: u64 = 3_000;
+/// Replies older than this are dropped, in milliseconds.
 pub(crate) const MAX_REPLY_AGE_MS: u64 = 1_000;
-/// A heartbeat lists so many ends.
-const ENDS_LISTED: usize = 500;
+/// Maximum number of ended runs in a heartbeat.
+const MAX_LISTED_ENDS: usize = 500;
 
-/// What a server does with its work.
+/// How a server treats its runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerBehavior {
-    /// It works.
+    /// Runs proceed normally.
     Healthy,
-    /// Everything that it starts fails soon.
+    /// Every run fails shortly after its start.
     Failing,
-    /// Everything takes longer.
+    /// Runs take longer.
     Slow,
-    /// Nothing moves.
+    /// Runs make no progress.
     Stalled,
 }
 
@@ -34,16 +34,16 @@
     pub attempt: Attempt,
     pub needs: Resources,
     pub started_at: u64,
-    /// Nothing happens before this moment: restoring, or a short start.
+    /// The run makes no progress before this time: it restores a checkpoint or starts up.
     pub works_from: u64,
-    /// Work done and all work, in milliseconds on this server.
+    /// Completed and total work, in milliseconds on this server.
     pub done_ms: f64,
     pub total_ms: f64,
     pub saved_ms: f64,
     pub checkpoints: bool,
     pub gang: bool,
     pub long_running: bool,
-    /// By its own fault it fails after so much work.
+    /// Work after which the run fails through its own fault, if it does.
     pub fails_at_ms: Option<f64>,
     pub stops_at: Option<u64>,
 }
@@ -53,7 +53,7 @@
         (100.0 * self.done_ms / self.total_ms.max(1.0)).clamp(0.0, 100.0) as u32
     }
 
-    /// The text of its checkpoint: its job, step and time, and the part of the work that is done.
+    /// The text of its checkpoint: job, step, occurrence time, and the completed part of the work.
     pub(crate) fn saved_text(&self, task: TaskId) -> String {
         if self.saved_ms <= 0.0 {
             return String::new();
@@ -69,7 +69,7 @@
     }
 }
 
-/// An end that was not observed yet.
+/// An ended run whose end the control plane has not confirmed as observed.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerEnd {
     pub finished: FinishedTask,
@@ -78,7 +78,7 @@
     pub lease_expired_since: bool,
 }
 
-/// An order of an answer to start a run.
+/// A command in a reply to start a run.
 #[derive(Clone, Debug)]
 pub(crate) struct StartCommand {
     pub task: TaskId,
@@ -87,7 +87,7 @@
     pub checkpoint: String,
 }
 
-/// The answer to a heartbeat.
+/// The reply to a heartbeat.
 #[derive(Clone, Debug)]
 pub(crate) struct HeartbeatReply {
     pub heartbeat_sent_at: u64,
@@ -174,20 +174,21 @@
             finished: self
                 .ends
                 .iter()
-                .take(ENDS_LISTED)
+                .take(MAX_LISTED_ENDS)
                 .map(|end| end.finished.clone())
                 .collect(),
             orders_seen: 0,
         }
     }
 
-    /// Whether the reply orders something under a lower token than one that was seen before.
+    /// Whether the reply carries commands under a lower token than one seen before.
     pub(crate) fn refuses(&self, answer: &HeartbeatReply) -> bool {
-        let orders = answer.lease_ms > 0 || !answer.starts.is_empty() || !answer.stops.is_empty();
-        orders && answer.token < self.token
+        let has_effect =
+            answer.lease_ms > 0 || !answer.starts.is_empty() || !answer.stops.is_empty();
+        has_effect && answer.token < self.token
     }
 
-    /// Takes the lease and the observed ends of a reply; returns whether its commands are to be followed.
+    /// Applies the lease and the observed ends of a reply; returns whether its commands have to be followed.
     pub(crate) fn take_reply(&mut self, answer: &HeartbeatReply, now: u64) -> bool {
         self.awaiting_since = None;
         if now > answer.heartbeat_sent_at + MAX_REPLY_AGE_MS || answer.token < self.token {
@@ -195,14 +196,14 @@
         }
         self.token = answer.token;
         self.next_heartbeat_at = now + answer.retry_after_ms;
-        let lease_ms = (answer.lease_ms.min(LEASE_MOST_MS) as f64 * SLOW_CLOCK) as u64;
+        let lease_ms = (answer.lease_ms.min(MAX_LEASE_MS) as f64 * SLOW_CLOCK_FACTOR) as u64;
         if answer.lease_ms > 0 {
             self.lease_until = self.lease_until.max(answer.heartbeat_sent_at + lease_ms);
         }
         true
     }
 
-    /// Drops the ends that were observed, and gives them.
+    /// Removes and returns the observed ends.
     pub(crate) fn observe(&mut self, observed: u64) -> Vec<ServerEnd> {
         let (observed_start, kept) = self
             .ends
@@ -212,7 +213,7 @@
         observed_start
     }
 
-    /// Whether an attempt is above all that ended here and all that run.
+    /// Whether an attempt is higher than all attempts of its task that ended or run here.
     pub(crate) fn is_newer(&self, task: TaskId, attempt: Attempt) -> bool {
         let ended = self.ended.get(&task).is_none_or(|ended| attempt > *ended);
         ended && !self.runs.contains_key(&task)
--- a/crates/cluster-simulation/src/simulation.rs
+++ b/crates/cluster-simulation/src/simulation.rs
@@ -3,33 +3,33 @@
 use crate::client::Client;
 use crate::config::{FaultProfile, SimulationConfig};
 use crate::faults::schedule::{Fault, FaultSchedule, OperatorAction, ScheduledFault};
-use crate::machine::clock::WALL_BEGIN_MS;
+use crate::machine::clock::WALL_START_MS;
 use crate::operator::Operator;
 use crate::workload::draw;
 use crate::world::World;
 use lupinrack_cluster_api::identity::JobId;
 
-/// Servers, clients and the operator are moved on by this, in milliseconds.
+/// Step by which servers, clients and the operator advance, in milliseconds.
 const WORK_STEP_MS: u64 = 5;
 
 /// The outcome of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SimulationReport {
-    /// The rules that were broken, each with the moment.
+    /// The violated rules, each with its time.
     pub violations: Vec<String>,
-    /// Jobs that were accepted.
+    /// Number of accepted jobs.
     pub accepted: usize,
-    /// Tasks that were started at least once.
+    /// Number of tasks that started at least once.
     pub tasks_started: usize,
-    /// Tasks that were done.
+    /// Number of tasks that succeeded.
     pub tasks_done: usize,
-    /// Changes of the configuration that were acknowledged.
+    /// Number of acknowledged configuration changes.
     pub changes: usize,
-    /// The number of the newest view that a front knew.
+    /// Number of the newest view known to a front.
     pub views: u64,
-    /// Snapshots that were written.
+    /// Number of snapshots that core processes wrote.
     pub snapshots_written: usize,
-    /// Snapshots that disks were sent, by their first pieces.
+    /// Number of snapshots sent between core processes, counted by their first chunks.
     pub snapshots_sent: usize,
 }
 
@@ -42,24 +42,24 @@
 pub fn simulate_schedule(
     seed: u64,
     config: SimulationConfig,
-    plan: FaultSchedule,
+    schedule: FaultSchedule,
 ) -> SimulationReport {
-    let mut day = Simulation::new(
+    let mut simulation = Simulation::new(
         seed,
         SimulationConfig {
             profile: FaultProfile::Quiet,
             ..config
         },
     );
-    day.plan = plan;
-    day.run()
+    simulation.schedule = schedule;
+    simulation.run()
 }
 
-/// The world and those who act on it.
+/// The world and the actors: clients, the operator, the fault schedule.
 #[derive(Debug)]
 struct Simulation {
     world: World,
-    plan: FaultSchedule,
+    schedule: FaultSchedule,
     clients: Vec<Client>,
     operator: Operator,
 }
@@ -67,14 +67,14 @@
 impl Simulation {
     fn new(seed: u64, config: SimulationConfig) -> Simulation {
         let mut world = World::new(fastrand::Rng::with_seed(seed), config);
-        let plan = FaultSchedule::draw(&mut world.rng, &config);
+        let schedule = FaultSchedule::draw(&mut world.rng, &config);
         world.seed_network();
         let clients = generate_clients(&mut world);
         let mut operator = Operator::default();
         operator.begin(OperatorAction::Change, &mut world);
         Simulation {
             world,
-            plan,
+            schedule,
             clients,
             operator,
         }
@@ -86,7 +86,7 @@
         while self.world.now < config.traffic_ms + 6_000 {
             self.step();
         }
-        self.begin_closing();
+        self.begin_final_reads();
         while self.world.now < config.traffic_ms + config.finish_ms && !self.is_finished() {
             self.step();
         }
@@ -94,7 +94,7 @@
         self.report()
     }
 
-    /// Moves on by a millisecond.
+    /// Advances by one millisecond.
     fn step(&mut self) {
         self.world.step();
         if self.world.now.is_multiple_of(WORK_STEP_MS) {
@@ -106,30 +106,30 @@
         self.world.work(WORK_STEP_MS);
         self.world.send_heartbeats();
         for client in &mut self.clients {
-            client.serve(&mut self.world);
+            client.advance(&mut self.world);
         }
-        self.operator.serve(&mut self.world);
-        self.follow_plan();
+        self.operator.advance(&mut self.world);
+        self.begin_due_faults();
     }
 
-    fn follow_plan(&mut self) {
+    fn begin_due_faults(&mut self) {
         self.world.recover_from_expired_faults();
-        while let Some(entry) = self.plan.take_due(self.world.now) {
+        while let Some(entry) = self.schedule.take_due(self.world.now) {
             match entry {
                 ScheduledFault {
-                    fault: Fault::Operator(order),
+                    fault: Fault::Operator(action),
                     ..
                 } => {
-                    self.operator.begin(order, &mut self.world);
+                    self.operator.begin(action, &mut self.world);
                 }
                 entry => self.world.inject_fault(entry),
             }
         }
     }
 
-    /// The last questions begin: every accepted job is asked for once more.
-    fn begin_closing(&mut self) {
-        self.world.closing = true;
+    /// Starts the final reads: the state of every accepted job is read once more.
+    fn begin_final_reads(&mut self) {
+        self.world.final_reads_begun = true;
         for client in &mut self.clients {
             client.finished = client.accepted_at.is_none() && client.finished;
         }
@@ -201,7 +201,7 @@
 
 fn generate_client(number: u64, world: &mut World) -> Client {
     let begins_at = 2_500 + world.rng.u64(0..world.config.traffic_ms - 10_000);
-    let generated = draw(&mut world.rng, number, WALL_BEGIN_MS + begins_at);
+    let generated = draw(&mut world.rng, number, WALL_START_MS + begins_at);
     let cancelled = generated.expected.is_long_running() || world.rng.u32(0..15) == 0;
     let cancel_at = cancelled.then(|| begins_at + world.rng.u64(500..9_000));
     let job = JobId(number);
--- a/crates/cluster-simulation/src/work.rs
+++ b/crates/cluster-simulation/src/work.rs
@@ -1,4 +1,4 @@
-//! What happens on the servers of the model: starts, progress, ends.
+//! Task runs on the simulated servers: starts, progress, ends.
 
 use crate::gangs::gang_key;
 use crate::oracle::{ExpectedJob, ObservedStart, TimeBounds};
@@ -8,21 +8,21 @@
 use lupinrack_cluster_api::server::RunEnd;
 use std::collections::BTreeSet;
 
-/// A run that is asked to stop ends before this time has passed, in milliseconds.
-const STOP_MS: u64 = 400;
-/// Work between two checkpoints of a run, in milliseconds.
-const CHECKPOINT_EVERY_MS: f64 = 1_000.0;
-/// A run that continues from a checkpoint begins to work after this time, in milliseconds.
+/// Longest time from the stop order to the end of a run (exclusive), in milliseconds.
+const MAX_STOP_MS: u64 = 400;
+/// Work of a run between two checkpoints, in milliseconds.
+const CHECKPOINT_INTERVAL_MS: f64 = 1_000.0;
+/// Time that a run takes to restore its checkpoint, in milliseconds.
 const RESTORE_MS: u64 = 200;
-/// How many times as long a run takes on a server without the label that the step has an affinity to.
-const FAR_FACTOR: f64 = 1.5;
-/// How many times as long a slow server takes.
+/// Factor on the run time on a server without the label that the step prefers.
+const WITHOUT_LABEL_FACTOR: f64 = 1.5;
+/// Factor on the run time on a slow server.
 const SLOW_FACTOR: f64 = 4.0;
-/// A failing server fails what it starts after this time.
-const FAILS_AFTER_MS: u64 = 100;
+/// Run time until a failing server fails a task, in milliseconds.
+const FAILURE_AFTER_MS: u64 = 100;
 
 impl World {
-    /// A server takes the answer to its heartbeat.
+    /// Applies the reply to a server's heartbeat.
     pub(crate) fn answer(&mut self, machine: usize, incarnation: u64, answer: &HeartbeatReply) {
         let now = self.now;
         if self.server_slots[machine].incarnation != incarnation {
@@ -46,9 +46,9 @@
             let task = end.finished.task;
             match end.finished.end {
                 RunEnd::Done if !end.lease_expired_since => {
-                    self.oracle.done_noted(task, end.at, now);
+                    self.oracle.done_observed(task, end.at, now);
                 }
-                RunEnd::Failed if !end.lease_expired_since => self.oracle.failure_noted(task),
+                RunEnd::Failed if !end.lease_expired_since => self.oracle.failure_observed(task),
                 _ => {}
             }
         }
@@ -61,7 +61,7 @@
                 .get_mut(task)
                 .filter(|run| run.attempt == *attempt)
             {
-                let stops_at = now + self.rng.u64(20..STOP_MS);
+                let stops_at = now + self.rng.u64(20..MAX_STOP_MS);
                 run.stops_at.get_or_insert(stops_at);
             }
         }
@@ -117,7 +117,7 @@
         let step = expected.spec.steps.get(start.task.step as usize)?;
         let server = self.server_slots[machine].server.as_ref()?;
         let near = step.affinity.is_empty() || server.facts.labels.contains(&step.affinity);
-        let factor = expected.work_factor * if near { 1.0 } else { FAR_FACTOR };
+        let factor = expected.work_factor * if near { 1.0 } else { WITHOUT_LABEL_FACTOR };
         let total_ms = step.estimate_ms as f64 * factor;
         let part: f64 = start
             .checkpoint
@@ -151,9 +151,9 @@
         })
     }
 
-    /// Moves everything on the servers on by a step of so many milliseconds.
+    /// Advances all servers by a step of the given milliseconds.
     pub(crate) fn work(&mut self, step_ms: u64) {
-        let working_gangs = self.gangs_at_work();
+        let working_gangs = self.working_gangs();
         for machine in 0..self.server_slots.len() {
             self.expire_lease(machine);
             self.work_on(machine, step_ms, &working_gangs);
@@ -199,7 +199,7 @@
                 over.push((*task, RunEnd::Stopped));
                 continue;
             }
-            if behavior == ServerBehavior::Failing && now >= run.started_at + FAILS_AFTER_MS {
+            if behavior == ServerBehavior::Failing && now >= run.started_at + FAILURE_AFTER_MS {
                 over.push((*task, RunEnd::Failed));
                 continue;
             }
@@ -213,7 +213,7 @@
                 } else {
                     1.0
                 };
-            if run.checkpoints && run.done_ms >= run.saved_ms + CHECKPOINT_EVERY_MS {
+            if run.checkpoints && run.done_ms >= run.saved_ms + CHECKPOINT_INTERVAL_MS {
                 run.saved_ms = run.done_ms;
             }
             if run.fails_at_ms.is_some_and(|at| run.done_ms >= at) {
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Ends a run, and notes what that means for its gang.
+    /// Ends a run and records the consequence for its gang.
     pub(crate) fn end_run(&mut self, machine: usize, task: TaskId, end: RunEnd) {
         let now = self.now;
         let incarnation = self.server_slots[machine].incarnation;
@@ -254,7 +254,7 @@
             }
         }
         if run.gang {
-            self.gang_member_over(task, run.attempt, end);
+            self.record_gang_member_end(task, run.attempt, end);
         } else if end == RunEnd::Done {
             self.oracle.done(task, now);
         }
@@ -278,7 +278,7 @@
         }
     }
 
-    /// The server dies with all that it runs, and comes back later in a new incarnation.
+    /// Crashes the server with all its runs. It restarts later with a new incarnation.
     pub(crate) fn crash(&mut self, machine: usize, back_after_ms: u64) {
         let now = self.now;
         let incarnation = self.server_slots[machine].incarnation;
@@ -288,7 +288,7 @@
         for (task, run) in server.runs {
             self.oracle.run_over(task, machine, incarnation);
             if run.gang {
-                self.gang_member_over(task, run.attempt, RunEnd::LeaseExpired);
+                self.record_gang_member_end(task, run.attempt, RunEnd::LeaseExpired);
             }
         }
         self.server_slots[machine].back_at = Some(now + back_after_ms);
--- a/crates/cluster-simulation/src/workload.rs
+++ b/crates/cluster-simulation/src/workload.rs
@@ -3,10 +3,10 @@
 use crate::oracle::ExpectedJob;
 use lupinrack_cluster_api::job::{JobSpec, Resources, Step};
 
-/// Failed runs after which a job has failed, in every queue.
+/// Number of failed attempts of a task after which its job fails, in every queue.
 pub(crate) const MAX_RETRIES: u32 = 3;
 
-/// A job and the queue that it comes to.
+/// A generated job and its queue.
 pub(crate) struct GeneratedJob {
     pub queue: &'static str,
     pub expected: ExpectedJob,
--- a/crates/cluster-simulation/src/world.rs
+++ b/crates/cluster-simulation/src/world.rs
@@ -5,7 +5,7 @@
 use crate::configuration_body::service_of_queue;
 use crate::faults::active::ActiveFaults;
 use crate::injected_bugs::{BugState, InjectedBug};
-use crate::machine::clock::{MachineClock, WALL_BEGIN_MS};
+use crate::machine::clock::{MachineClock, WALL_START_MS};
 use crate::machine::{address_of, machine_at, Machine, Process};
 use crate::network::{Endpoint, Network};
 use crate::oracle::{Oracle, TimeBounds};
@@ -20,32 +20,32 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// How many seeds a process is given at most.
+/// Maximum number of seeds that a process gets.
 const SEEDS: usize = 3;
 
-/// The place of a server.
+/// The slot of a server, which keeps it across incarnations.
 #[derive(Debug)]
 pub(crate) struct ServerSlot {
-    /// The server; none while it is down.
+    /// The server; `None` while it is down.
     pub server: Option<ModelServer>,
-    /// Its incarnation, or that of the last one.
+    /// The incarnation of the current server, or of the last one.
     pub incarnation: u64,
-    /// When it comes back.
+    /// When the server restarts.
     pub back_at: Option<u64>,
 }
 
-/// What is on its way between a server and its agent.
+/// A message in transit between a server and its agent.
 #[derive(Debug)]
 pub(crate) enum AgentLinkMessage {
     /// A heartbeat.
     Heartbeat(Box<ServerHeartbeat>, u64),
-    /// The answer to one.
+    /// The reply to a heartbeat.
     Answer(u64, HeartbeatReply),
     /// The server has shut down gracefully.
     Deregistered(ServerId),
 }
 
-/// Everything.
+/// The state of the simulated world.
 #[derive(Debug)]
 pub(crate) struct World {
     /// Milliseconds since the run began.
@@ -57,25 +57,25 @@
     pub(crate) network: Network,
     pub(crate) machines: Vec<Machine>,
     pub(crate) endpoints: Vec<Endpoint>,
-    /// The core machines of the operator's list.
+    /// The core machines on the operator's list.
     pub(crate) core_list: Vec<usize>,
-    /// The seeds that a process is given that starts now.
+    /// The seeds for processes that start now.
     pub(crate) seeds: Vec<PeerAddress>,
     pub(crate) server_slots: Vec<ServerSlot>,
     pub(crate) local: BTreeMap<(u64, u64), (usize, AgentLinkMessage)>,
     pub(crate) sequence: u64,
     pub(crate) gangs: BTreeMap<(TaskId, u32), bool>,
     pub(crate) active_faults: ActiveFaults,
-    /// How many snapshots were written.
+    /// Number of snapshots that core processes wrote.
     pub(crate) snapshots_written: usize,
-    /// How many snapshots disks were sent, by their first pieces.
+    /// Number of snapshots sent between core processes, counted by their first chunks.
     pub(crate) snapshots_sent: usize,
-    /// What was seen.
+    /// Checks what servers and clients observe.
     pub oracle: Oracle,
-    /// Whether the operator knows that a configuration was taken.
+    /// Whether the operator knows that a configuration was accepted.
     pub(crate) has_configuration: bool,
-    /// Whether the last questions are being asked.
-    pub(crate) closing: bool,
+    /// Whether the final reads are in progress.
+    pub(crate) final_reads_begun: bool,
 }
 
 impl World {
@@ -92,10 +92,10 @@
         let machines: Vec<Machine> = roles
             .map(|role| Machine::new(role, draw_clock(&mut rng)))
             .collect();
-        let endpoint = |(machine, one): (usize, &Machine)| Endpoint {
+        let endpoint = |(machine, state): (usize, &Machine)| Endpoint {
             running: false,
             powered: true,
-            hello: hello(machine, one.role),
+            hello: hello(machine, state.role),
         };
         let endpoints = machines.iter().enumerate().map(endpoint).collect();
         let slot = |number| ServerSlot {
@@ -121,13 +121,13 @@
             snapshots_sent: 0,
             oracle: Oracle::default(),
             has_configuration: false,
-            closing: false,
+            final_reads_begun: false,
             config,
             rng,
         }
     }
 
-    /// Gives the network its own seed.
+    /// Seeds the network's own random generator.
     pub(crate) fn seed_network(&mut self) {
         self.network = Network::new(self.rng.u64(..));
     }
@@ -138,7 +138,7 @@
         self.local.insert((arrives, self.sequence), (slot, message));
     }
 
-    /// The core machines of the operator's list.
+    /// The core machines on the operator's list.
     pub(crate) fn cores(&self) -> Vec<usize> {
         self.core_list.clone()
     }
@@ -151,7 +151,7 @@
         self.config.agents().start + slot
     }
 
-    /// Draws other seeds from the operator's list, for processes that start from now on.
+    /// Draws new seeds from the operator's list for processes that start from now on.
     pub(crate) fn choose_seeds(&mut self) {
         let chosen = self
             .rng
@@ -159,7 +159,7 @@
         self.seeds = chosen.into_iter().map(address_of).collect();
     }
 
-    /// Adds a machine, which nothing starts yet.
+    /// Adds a machine without starting its process.
     pub(crate) fn add_machine(&mut self, role: Role) -> usize {
         let clock = draw_clock(&mut self.rng);
         let machine = self.machines.len();
@@ -176,7 +176,7 @@
         machine
     }
 
-    /// Lets a core machine take the place of another in the operator's list.
+    /// Replaces a core machine by another on the operator's list.
     pub(crate) fn replace_in_list(&mut self, old: usize, new: usize) {
         self.core_list
             .iter_mut()
@@ -184,7 +184,7 @@
             .for_each(|machine| *machine = new);
     }
 
-    /// The newest view that a front knows.
+    /// The newest view known to a front.
     pub(crate) fn newest_view(&self) -> Option<View> {
         let views = self
             .fronts()
@@ -211,7 +211,7 @@
     }
 
     pub(crate) fn wall(&self) -> u64 {
-        WALL_BEGIN_MS + self.now
+        WALL_START_MS + self.now
     }
 
     pub(crate) fn is_stable(&self) -> bool {
@@ -228,10 +228,10 @@
 
     pub(crate) fn restart_server(&mut self, slot: usize) {
         let now = self.now;
-        let one = &mut self.server_slots[slot];
-        one.incarnation += 1;
-        one.back_at = None;
-        one.server = Some(ModelServer::new(facts(slot, one.incarnation), now));
+        let state = &mut self.server_slots[slot];
+        state.incarnation += 1;
+        state.back_at = None;
+        state.server = Some(ModelServer::new(facts(slot, state.incarnation), now));
     }
 }
 
--- a/crates/cluster-simulation/tests/golden.rs
+++ b/crates/cluster-simulation/tests/golden.rs
@@ -1,8 +1,8 @@
-//! What a few short runs do, compared with the files in `tests/golden`: the fault schedules that seeds draw, the counts of the
-//! runs, and the moments at which rules are violated. A change of the simulation that plays another run for a seed is seen
-//! here.
+//! Compares a few short runs with the files in `tests/golden`: the fault schedules that seeds draw, the counts of the
+//! runs, and the times of rule violations. A change to the simulation that alters the run of a seed fails
+//! these tests.
 //!
-//! All words are spelled out, so that no file depends on the names of types. `UPDATE_GOLDEN=1` writes the files anew.
+//! Names are written out here, so that no file depends on the names of types. `UPDATE_GOLDEN=1` rewrites the files.
 
 use lupinrack_cluster_simulation::{
     simulate, simulate_schedule, Acknowledgement, CoreFault, CoreSelector, Crash, CrashOnAck,
@@ -19,21 +19,21 @@
     "planted-by-hand.txt",
     "planted-usual.txt",
 ];
-/// Traffic of a short run, in milliseconds; a job comes in each second.
-const SHORT_MS: u64 = 20_000;
+/// Traffic of a short run, in milliseconds; one job is submitted per second.
+const SHORT_TRAFFIC_MS: u64 = 20_000;
 
 fn golden_folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden")
 }
 
-/// Compares a text with its file, or writes the file.
+/// Compares a text with its golden file, or writes the file.
 fn assert_golden(name: &str, text: &str) {
     check_text(golden_folder().join(name), text);
 }
 
 #[test]
 fn every_golden_file_is_built_by_a_test() {
-    // While files are updated other tests may not have written theirs yet.
+    // During an update, other tests may not have written their files yet.
     if is_update() {
         return;
     }
@@ -43,8 +43,8 @@
 fn short(profile: FaultProfile) -> SimulationConfig {
     SimulationConfig {
         profile,
-        jobs: SHORT_MS / 1_000,
-        traffic_ms: SHORT_MS,
+        jobs: SHORT_TRAFFIC_MS / 1_000,
+        traffic_ms: SHORT_TRAFFIC_MS,
         ..SimulationConfig::default()
     }
 }
@@ -65,7 +65,7 @@
     }
 }
 
-fn choice_word(selector: CoreSelector) -> String {
+fn selector_word(selector: CoreSelector) -> String {
     match selector {
         CoreSelector::Index(slot) => format!("place {slot}"),
         CoreSelector::OldestDisk => "oldest".to_owned(),
@@ -102,23 +102,23 @@
     word.to_owned()
 }
 
-fn strike_word(crash_on_ack: CrashOnAck) -> String {
+fn crash_word(crash_on_ack: CrashOnAck) -> String {
     let after = match crash_on_ack.after {
         Acknowledgement::Job => "job",
         Acknowledgement::Configuration => "configuration",
     };
     let crash = match crash_on_ack.crash {
         Crash::PowerLossOfAll => "all power".to_owned(),
-        Crash::DiskLoss(selector) => format!("wipe {}", choice_word(selector)),
+        Crash::DiskLoss(selector) => format!("wipe {}", selector_word(selector)),
         Crash::DiskLossAndPowerLossOfAll(selector) => {
-            format!("wipe and all power {}", choice_word(selector))
+            format!("wipe and all power {}", selector_word(selector))
         }
     };
     format!("strike after {after}: {crash}")
 }
 
-fn order_word(order: OperatorAction) -> &'static str {
-    match order {
+fn action_word(action: OperatorAction) -> &'static str {
+    match action {
         OperatorAction::Change => "change",
         OperatorAction::LargeChange => "large change",
         OperatorAction::ConcurrentPair => "race",
@@ -128,7 +128,7 @@
     }
 }
 
-fn conduct_word(behavior: ServerBehavior) -> &'static str {
+fn behavior_word(behavior: ServerBehavior) -> &'static str {
     match behavior {
         ServerBehavior::Healthy => "sound",
         ServerBehavior::Failing => "failing",
@@ -137,12 +137,12 @@
     }
 }
 
-fn trouble_word(fault: Fault) -> String {
+fn fault_word(fault: Fault) -> String {
     match fault {
         Fault::Core(kind, selector) => {
-            format!("core {}: {}", choice_word(selector), core_word(kind))
+            format!("core {}: {}", selector_word(selector), core_word(kind))
         }
-        Fault::CrashOnAck(crash_on_ack) => strike_word(crash_on_ack),
+        Fault::CrashOnAck(crash_on_ack) => crash_word(crash_on_ack),
         Fault::KillAll => "all killed".to_owned(),
         Fault::PowerLossOfAllCores => "all cores power".to_owned(),
         Fault::FrontPartition(front) => format!("front {front}: cut"),
@@ -162,10 +162,10 @@
         Fault::SeedChange => "new seeds".to_owned(),
         Fault::ServerCrash(slot) => format!("server {slot}: crash"),
         Fault::ServerBehaviorChange(slot, behavior) => {
-            format!("server {slot}: {}", conduct_word(behavior))
+            format!("server {slot}: {}", behavior_word(behavior))
         }
         Fault::ServerShutdown(slot) => format!("server {slot}: leaves"),
-        Fault::Operator(order) => format!("operator: {}", order_word(order)),
+        Fault::Operator(action) => format!("operator: {}", action_word(action)),
         Fault::AcknowledgementLoss => "acknowledgements lost".to_owned(),
     }
 }
@@ -217,16 +217,16 @@
             "{} +{} {}\n",
             entry.at,
             entry.duration_ms,
-            trouble_word(entry.fault)
+            fault_word(entry.fault)
         )
     };
     schedule.entries().map(line).collect()
 }
 
-/// Rules whose lines hold values as the language prints them.
+/// Rules whose lines contain `Debug` output.
 const RULES_WITHOUT_NUMBERS: [&str; 3] = ["ACKS", "CONFIG", "HISTORY"];
 
-/// The moment, the rule and the numbers (task, attempt, machine) of a line of `broken`. Words are left out: they may hold the
+/// The time, the rule and the numbers (task, attempt, machine) of a violation. Words are left out, since they may contain
 /// names of types.
 fn moment_and_rule(line: &str) -> String {
     let (moment, text) = line.split_once(" ms: ").unwrap_or(("?", line));
@@ -264,7 +264,7 @@
     )
 }
 
-/// Each kind of trouble, of selector, of blow, of order and of conduct at least once.
+/// Every fault, selector, crash, operator action and server behavior at least once.
 fn schedule_by_hand() -> FaultSchedule {
     let core = |kind, selector| Fault::Core(kind, selector);
     let crash_on_ack = |after, crash| Fault::CrashOnAck(CrashOnAck { after, crash });
@@ -422,19 +422,22 @@
 
 #[test]
 fn mixed_fault_runs_with_injected_bugs_stay_the_same() {
-    let day = |injected_bug| {
+    let report = |injected_bug| {
         let config = SimulationConfig {
             injected_bug: Some(injected_bug),
             ..short(FaultProfile::Mixed)
         };
         report_text(bug_word(injected_bug), &simulate(4, config))
     };
-    assert_golden("planted-usual.txt", &InjectedBug::ALL.map(day).concat());
+    assert_golden("planted-usual.txt", &InjectedBug::ALL.map(report).concat());
 }
 
 #[test]
 fn a_run_by_hand_with_injected_bugs_stays_the_same() {
-    let day =
+    let report =
         |injected_bug| report_text(bug_word(injected_bug), &run_by_hand(1, Some(injected_bug)));
-    assert_golden("planted-by-hand.txt", &InjectedBug::ALL.map(day).concat());
+    assert_golden(
+        "planted-by-hand.txt",
+        &InjectedBug::ALL.map(report).concat(),
+    );
 }
--- a/crates/cluster-simulation/tests/injected_bugs.rs
+++ b/crates/cluster-simulation/tests/injected_bugs.rs
@@ -1,4 +1,4 @@
-//! Injected bugs: each is caught by the runs of a few seeds, which violate no rule without it.
+//! Injected bugs: the oracle finds each in runs of a few seeds, which violate no rule without it.
 
 use lupinrack_cluster_simulation::{
     simulate, simulate_schedule, CoreFault, CoreSelector, Fault, FaultSchedule, InjectedBug,
@@ -33,12 +33,12 @@
 }
 
 #[test]
-fn orders_under_a_token_that_servers_refuse_are_caught() {
+fn commands_under_a_refused_token_are_caught() {
     assert_caught(InjectedBug::DeposedOwnerKeepsOn, &[4, 8, 13], &["DUTY: "]);
 }
 
 #[test]
-fn a_sync_left_out_is_caught() {
+fn a_missing_sync_is_caught() {
     assert_caught(
         InjectedBug::MissingSync,
         &[4, 8, 13],
@@ -46,11 +46,11 @@
     );
 }
 
-/// The same for a fault schedule in place of the seeds' own.
-fn assert_caught_in(plan: &FaultSchedule, injected_bug: InjectedBug, rule: &str) {
+/// Like [`assert_caught`], with a fixed fault schedule in place of those that the seeds draw.
+fn assert_caught_in(schedule: &FaultSchedule, injected_bug: InjectedBug, rule: &str) {
     let mut caught = false;
     for seed in 1..=4 {
-        let sound = simulate_schedule(seed, SimulationConfig::default(), plan.clone());
+        let sound = simulate_schedule(seed, SimulationConfig::default(), schedule.clone());
         assert!(
             sound.violations.is_empty(),
             "seed {seed} without the fault: {:#?}",
@@ -60,13 +60,13 @@
             injected_bug: Some(injected_bug),
             ..SimulationConfig::default()
         };
-        let violations = simulate_schedule(seed, config, plan.clone()).violations;
+        let violations = simulate_schedule(seed, config, schedule.clone()).violations;
         caught |= violations.iter().any(|line| line.contains(rule));
     }
     assert!(caught, "{injected_bug:?} is not caught by {rule}");
 }
 
-/// Agents are cut off from the core for longer than a hold lasts, again and again.
+/// Partitions agents from the core repeatedly, for longer than a lease.
 fn agents_cut_off() -> FaultSchedule {
     let config = SimulationConfig::default();
     let first = config.cores + config.fronts;
@@ -79,11 +79,11 @@
 }
 
 #[test]
-fn a_lease_too_long_is_caught() {
+fn an_overlong_lease_is_caught() {
     assert_caught_in(&agents_cut_off(), InjectedBug::LeaseTooLong, "TWICE");
 }
 
-/// Fronts are cut off from the core for longer than clients wait, again and again.
+/// Partitions fronts from the core repeatedly, for longer than clients wait.
 fn fronts_cut_off() -> FaultSchedule {
     let config = SimulationConfig::default();
     let partition = |number: usize| ScheduledFault {
@@ -95,17 +95,17 @@
 }
 
 #[test]
-fn a_refusal_in_doubt_is_caught() {
+fn a_refusal_of_a_call_with_unknown_effect_is_caught() {
     assert_caught_in(&fronts_cut_off(), InjectedBug::RejectedInDoubt, "REFUSED");
 }
 
 #[test]
-fn an_end_observed_too_soon_is_caught() {
+fn an_end_reported_as_observed_too_early_is_caught() {
     assert_caught(InjectedBug::ObservedTooEarly, &[2, 4, 5], &["TWICE"]);
 }
 
 #[test]
-fn a_token_that_is_not_raised_is_caught() {
+fn a_token_that_is_not_incremented_is_caught() {
     assert_caught(
         InjectedBug::TokenNotIncremented,
         &[37, 38],
@@ -113,8 +113,8 @@
     );
 }
 
-/// One machine is cut off while the others go on; then the second is cut off and the third comes back empty, next to the
-/// first. Without the identity that it had, the empty one is no voter, and the two wait for the second.
+/// Partitions one machine off while the others proceed. Then the second is isolated and the third restarts with an empty
+/// disk, connected to the first. Without its former identity the empty one is no voter, and both wait for the second.
 fn empty_disk_beside_an_old_one(old: usize, newest: usize, empty: usize) -> FaultSchedule {
     let core = |at, duration_ms, kind, machine| ScheduledFault {
         at,
@@ -133,7 +133,7 @@
     ])
 }
 
-fn play_empty_disk(seed: u64, injected_bug: Option<InjectedBug>) -> Vec<SimulationReport> {
+fn simulate_empty_disk(seed: u64, injected_bug: Option<InjectedBug>) -> Vec<SimulationReport> {
     let roles = [
         [0, 1, 2],
         [0, 2, 1],
@@ -146,24 +146,24 @@
         injected_bug,
         ..SimulationConfig::default()
     };
-    let day = |[old, newest, empty]: [usize; 3]| {
+    let run = |[old, newest, empty]: [usize; 3]| {
         simulate_schedule(
             seed,
             config,
             empty_disk_beside_an_old_one(old, newest, empty),
         )
     };
-    roles.into_iter().map(day).collect()
+    roles.into_iter().map(run).collect()
 }
 
 #[test]
 fn the_vote_of_an_empty_disk_is_caught() {
-    let sound = play_empty_disk(1, None);
+    let sound = simulate_empty_disk(1, None);
     assert!(
         sound.iter().all(|report| report.violations.is_empty()),
         "{sound:#?}"
     );
-    let injected_bug = play_empty_disk(1, Some(InjectedBug::VoteOfEmptyDisk));
+    let injected_bug = simulate_empty_disk(1, Some(InjectedBug::VoteOfEmptyDisk));
     let lost = |report: &SimulationReport| {
         report
             .violations
--- a/crates/cluster-simulation/tests/injected_control_bugs.rs
+++ b/crates/cluster-simulation/tests/injected_control_bugs.rs
@@ -1,5 +1,5 @@
-//! Injected bugs of the control side, one for each point that operators keep meeting: each is caught by days that break
-//! no rule without it.
+//! Injected bugs of the control plane, one for each of five problems that operators meet repeatedly. The oracle finds each bug
+//! in runs that violate no rule without it.
 
 use lupinrack_cluster_simulation::{
     simulate, simulate_schedule, CoreFault, CoreSelector, Fault, FaultProfile, FaultScenario,
@@ -7,8 +7,8 @@
     SimulationConfig, SimulationReport,
 };
 
-/// Whether a line of the reports begins, after its moment, with one of the rules.
-fn breaks(reports: &[SimulationReport], rules: &[&str]) -> bool {
+/// Whether a violation in the reports contains one of the rules.
+fn any_violation_contains(reports: &[SimulationReport], rules: &[&str]) -> bool {
     let mut lines = reports.iter().flat_map(|report| &report.violations);
     lines.any(|line| rules.iter().any(|rule| line.contains(rule)))
 }
@@ -30,7 +30,7 @@
     assert_sound(&simulate_all(None));
     let reports = simulate_all(Some(injected_bug));
     assert!(
-        breaks(&reports, rules),
+        any_violation_contains(&reports, rules),
         "{injected_bug:?} is not caught: {reports:#?}"
     );
 }
@@ -59,20 +59,20 @@
     }
 }
 
-fn orders(
-    order: OperatorAction,
-    moments: impl Iterator<Item = u64>,
+fn operator_actions(
+    action: OperatorAction,
+    times: impl Iterator<Item = u64>,
 ) -> impl Iterator<Item = ScheduledFault> {
-    moments.map(move |at| ScheduledFault {
+    times.map(move |at| ScheduledFault {
         at,
         duration_ms: 0,
-        fault: Fault::Operator(order),
+        fault: Fault::Operator(action),
     })
 }
 
-/// Point 1.
+/// Problem 1.
 #[test]
-fn an_old_configuration_served_without_contact_is_caught() {
+fn a_barrier_without_a_quorum_is_caught() {
     let rules = ["CONFIG: version", "HISTORY"];
     assert_caught(InjectedBug::BarrierWithoutQuorum, &rules, |injected_bug| {
         scenario(
@@ -84,9 +84,9 @@
     });
 }
 
-/// Point 2.
+/// Problem 2.
 #[test]
-fn taken_changes_lost_over_a_snapshot_are_caught() {
+fn accepted_changes_missing_from_a_snapshot_are_caught() {
     let rules = ["acknowledged, is refused", "HISTORY"];
     assert_caught(
         InjectedBug::AcceptedChangesNotInSnapshot,
@@ -102,21 +102,21 @@
     );
 }
 
-/// The head is cut off with another machine, twice, while the operator goes on on both sides.
+/// Twice partitions the head off together with another machine, while the operator keeps sending changes to both sides.
 fn minority_cut_off() -> FaultSchedule {
     let partition = CoreFault::MinorityPartitionWithCallers(PartitionDirection::Both);
     let mut entries = vec![
         core(8_000, 9_000, partition, CoreSelector::Head),
         core(24_000, 9_000, partition, CoreSelector::Head),
     ];
-    entries.extend(orders(
+    entries.extend(operator_actions(
         OperatorAction::Change,
         (5..36).map(|second| 1_000 * second),
     ));
     FaultSchedule::of(entries)
 }
 
-/// Point 3.
+/// Problem 3.
 #[test]
 fn voters_removed_without_an_overlap_of_majorities_are_caught() {
     let rules = [
@@ -142,9 +142,9 @@
     );
 }
 
-/// Point 4.
+/// Problem 4.
 #[test]
-fn a_snapshot_taken_for_newer_than_it_is_is_caught() {
+fn a_stale_snapshot_is_caught() {
     let rules = ["CONFIG: version", "LOST: accepted job", "TWICE"];
     assert_caught(InjectedBug::StaleSnapshot, &rules, |injected_bug| {
         scenario(
@@ -156,7 +156,7 @@
     });
 }
 
-/// Fronts are killed and come back at once, again and again, while slow links of the head make answers late.
+/// Kills and restarts fronts repeatedly, while slow links of the head delay the replies.
 fn fronts_come_back_at_once() -> FaultSchedule {
     let config = SimulationConfig::default();
     let kill = |number: usize| ScheduledFault {
@@ -174,9 +174,9 @@
     FaultSchedule::of(entries)
 }
 
-/// Point 5.
+/// Problem 5.
 #[test]
-fn an_answer_matched_by_number_alone_is_caught() {
+fn a_reply_matched_by_number_alone_is_caught() {
     let rules = [
         "MIXED",
         "without cause",
--- a/crates/cluster-simulation/tests/mixed_faults.rs
+++ b/crates/cluster-simulation/tests/mixed_faults.rs
@@ -17,7 +17,7 @@
     }
 }
 
-/// A run in which nothing happens violates no rule either.
+/// Guards against an empty run, which would violate no rule either.
 fn assert_work_was_done(seed: u64, report: &SimulationReport) {
     assert!(
         report.accepted >= 30,
@@ -32,12 +32,12 @@
 }
 
 #[test]
-fn mixed_faults_of_three_core_machines_break_no_rule() {
+fn mixed_faults_of_three_core_machines_violate_no_rule() {
     check(1..=24, SimulationConfig::default());
 }
 
 #[test]
-fn mixed_faults_of_five_core_machines_break_no_rule() {
+fn mixed_faults_of_five_core_machines_violate_no_rule() {
     check(
         1..=8,
         SimulationConfig {
@@ -48,8 +48,8 @@
     );
 }
 
-/// Agents are suspended for longer than a lease lasts, again and again: what ended meanwhile must not come back.
-fn agents_stand_still() -> FaultSchedule {
+/// Suspends agents repeatedly for longer than a lease: runs that ended meanwhile must not start again.
+fn agents_suspended() -> FaultSchedule {
     let config = SimulationConfig::default();
     let first = config.cores + config.fronts;
     let freeze = |number: usize| ScheduledFault {
@@ -63,7 +63,7 @@
 #[test]
 fn a_start_under_an_expired_lease_does_not_come_back() {
     for seed in 1..=6 {
-        let report = simulate_schedule(seed, SimulationConfig::default(), agents_stand_still());
+        let report = simulate_schedule(seed, SimulationConfig::default(), agents_suspended());
         assert!(
             report.violations.is_empty(),
             "seed {seed}: {:#?}",
--- a/crates/cluster-simulation/tests/severe_scenarios.rs
+++ b/crates/cluster-simulation/tests/severe_scenarios.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// A run in which nothing happens violates no rule either.
+/// Guards against an empty run, which would violate no rule either.
 fn assert_work_was_done(scenario: FaultScenario, seed: u64, report: &SimulationReport) {
     assert!(
         report.accepted >= 30,
@@ -58,47 +58,47 @@
 }
 
 #[test]
-fn a_machine_cut_off_with_its_callers_breaks_no_rule() {
+fn a_partition_with_callers_violates_no_rule() {
     check(FaultScenario::PartitionWithCallers, 1..=4, three());
     check(FaultScenario::PartitionWithCallers, 1..=2, five());
 }
 
 #[test]
-fn a_disk_lost_right_after_the_repair_of_another_breaks_no_rule() {
+fn a_disk_loss_right_after_the_repair_of_another_violates_no_rule() {
     check(FaultScenario::ConsecutiveDiskLosses, 1..=4, three());
     check(FaultScenario::ConsecutiveDiskLosses, 1..=2, five());
 }
 
 #[test]
-fn all_at_once_breaks_no_rule() {
+fn a_crash_of_all_machines_violates_no_rule() {
     check(FaultScenario::SimultaneousCrash, 1..=4, three());
     check(FaultScenario::SimultaneousCrash, 1..=2, five());
 }
 
 #[test]
-fn slow_and_sick_machines_break_no_rule() {
+fn degraded_machines_violate_no_rule() {
     check(FaultScenario::DegradedMachine, 1..=4, three());
 }
 
 #[test]
-fn machines_ended_in_turn_break_no_rule() {
+fn a_rolling_restart_violates_no_rule() {
     check(FaultScenario::RollingRestart, 1..=4, three());
 }
 
 #[test]
-fn machines_replaced_in_order_break_no_rule() {
+fn graceful_replacements_violate_no_rule() {
     check(FaultScenario::GracefulReplacement, 1..=4, three());
 }
 
 #[test]
-fn machines_replaced_again_and_again_break_no_rule() {
+fn repeated_replacements_violate_no_rule() {
     check(FaultScenario::RepeatedReplacement, 1..=4, three());
     check(FaultScenario::RepeatedReplacement, 1..=2, five());
 }
 
-/// Nine voters are renewed like fewer.
+/// All voters of a cluster of nine can be replaced, as in a smaller one.
 #[test]
-fn machines_of_nine_replaced_again_and_again_break_no_rule() {
+fn repeated_replacements_in_a_cluster_of_nine_violate_no_rule() {
     check(
         FaultScenario::RepeatedReplacement,
         1..=1,
@@ -111,18 +111,18 @@
 }
 
 #[test]
-fn a_disk_lost_right_after_a_replacement_breaks_no_rule() {
+fn a_disk_loss_right_after_a_replacement_violates_no_rule() {
     check(FaultScenario::ReplacementThenDiskLoss, 1..=4, three());
     check(FaultScenario::ReplacementThenDiskLoss, 1..=2, five());
 }
 
 #[test]
-fn a_newcomer_wiped_while_it_catches_up_breaks_no_rule() {
+fn a_disk_loss_during_catch_up_violates_no_rule() {
     check(FaultScenario::DiskLossDuringCatchUp, 1..=4, three());
 }
 
 #[test]
-fn losses_at_once_break_no_rule() {
+fn simultaneous_losses_violate_no_rule() {
     check(FaultScenario::SimultaneousLosses, 1..=4, three());
     check(FaultScenario::SimultaneousLosses, 1..=2, five());
 }
