--- a/crates/cluster-local/src/child_process.rs
+++ b/crates/cluster-local/src/child_process.rs
@@ -9,9 +9,9 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// The environment variable that holds the levels of the log.
+/// The environment variable with the log levels.
 const LOG_VARIABLE: &str = "LUPINRACK_LOG";
-/// The levels of the log where the variable is not set.
+/// The log levels if the variable is not set.
 const DEFAULT_LOG_LEVELS: &str = "info";
 
 /// A process of the cluster; killed when it is dropped.
@@ -48,16 +48,16 @@
         Ok(ChildProcess { member, child, log })
     }
 
-    /// The process that this is.
+    /// The member whose process this is.
     pub(crate) fn member(&self) -> Member {
         self.member
     }
 
-    /// Checks that it still runs.
+    /// Checks that the process still runs.
     ///
     /// # Errors
     ///
-    /// [`LocalError::Exited`] where it has exited by itself.
+    /// [`LocalError::Exited`] if it has exited by itself.
     pub(crate) fn check_running(&mut self) -> Result<(), LocalError> {
         match self.child.try_wait() {
             Ok(None) => Ok(()),
@@ -71,7 +71,7 @@
 
 impl Drop for ChildProcess {
     fn drop(&mut self) {
-        // It may have exited already; then there is nothing to kill.
+        // The process may have exited already; then the kill fails and has no effect.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/cluster-local/src/client.rs
+++ b/crates/cluster-local/src/client.rs
@@ -1,4 +1,4 @@
-//! A client: submits one job, cancels it where its kind asks for that, and follows it to its end.
+//! A client: submits one job, cancels it if its kind requires that, and polls it until it ends.
 
 use crate::http_call::{send, HttpCall, HttpResponse};
 use crate::job_kind::JobKind;
@@ -11,11 +11,11 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Between two attempts of a call.
+/// Interval between two attempts of a call.
 const RETRY_INTERVAL: Duration = Duration::from_millis(150);
-/// Between two reads of a job's state.
+/// Interval between two reads of a job's state.
 const POLL_INTERVAL: Duration = Duration::from_millis(300);
-/// How long after its acceptance a job is cancelled.
+/// Time from the acceptance of a job to its cancellation.
 const CANCEL_AFTER: Duration = Duration::from_millis(700);
 
 /// What a client saw of its job.
@@ -25,16 +25,16 @@
     pub job: JobId,
     /// Its kind.
     pub kind: JobKind,
-    /// How many times it was sent until it was accepted; 0 where it never was.
+    /// Number of times the job was sent until it was accepted; 0 if it never was.
     pub submissions: u32,
     /// Whether it was accepted.
     pub accepted: bool,
-    /// The last state that was seen.
+    /// The last state that the client read.
     pub state: Option<JobState>,
 }
 
 impl JobOutcome {
-    /// Whether it ended as jobs of its kind should.
+    /// Whether the job was accepted and ended in the state expected of its kind.
     pub fn is_as_expected(&self) -> bool {
         self.accepted && self.state == Some(self.kind.expected_state())
     }
@@ -45,12 +45,12 @@
 pub(crate) struct Client {
     /// The fronts, in the order in which they are called.
     pub(crate) fronts: Vec<SocketAddrV4>,
-    /// When it gives up.
+    /// When the client gives up.
     pub(crate) deadline: Instant,
 }
 
 impl Client {
-    /// Submits a job and follows it to its end.
+    /// Submits a job and polls it until it ends.
     pub(crate) async fn run(self, job: JobId, kind: JobKind) -> JobOutcome {
         let mut outcome = JobOutcome {
             job,
@@ -83,8 +83,8 @@
         self.send_until(&call(Method::DELETE, job), answered).await;
     }
 
-    /// Sends a call to one front after the other until a response is `sufficient`. Returns how many times it was sent; none
-    /// where the deadline has passed.
+    /// Sends a call to one front after the other until a response is `sufficient`. Returns the number of attempts; `None`
+    /// if the deadline passes first.
     async fn send_until(
         &self,
         call: &HttpCall,
@@ -104,7 +104,7 @@
         None
     }
 
-    /// Reads the job's state until it is final, or the deadline has passed: the last state that was seen.
+    /// Reads the job's state until it is final or the deadline passes. Returns the last state read.
     async fn final_state(&self, job: JobId) -> Option<JobState> {
         let read = call(Method::GET, job);
         let mut state = None;
--- a/crates/cluster-local/src/dependency_order.rs
+++ b/crates/cluster-local/src/dependency_order.rs
@@ -1,4 +1,4 @@
-//! Whether tasks started before the step that they depend on was done.
+//! Detects tasks that started before the step that they depend on was done.
 
 use crate::client::JobOutcome;
 use crate::job_kind::JobKind;
@@ -7,7 +7,7 @@
 use mock_servers::worker::messages::End;
 use std::collections::BTreeSet;
 
-/// Counts starts in the second step of dependent jobs at which not all tasks of the first step were done.
+/// Counts the starts in the second step of dependent jobs that came before all tasks of the first step were done.
 pub fn count_early_starts(outcomes: &[JobOutcome], events: &[Event]) -> usize {
     let dependent: BTreeSet<JobId> = outcomes
         .iter()
@@ -36,7 +36,7 @@
     early_starts
 }
 
-/// Whether a task of the second step starts while tasks of the first are not done.
+/// Whether a task of the second step starts before all tasks of the first step are done.
 fn is_early(task: TaskId, done: &BTreeSet<TaskId>) -> bool {
     let first_step_tasks = JobKind::Dependent
         .spec()
--- a/crates/cluster-local/src/http_call.rs
+++ b/crates/cluster-local/src/http_call.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// How long a call may take.
+/// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A call.
@@ -16,7 +16,7 @@
     pub(crate) method: Method,
     /// The path.
     pub(crate) path: String,
-    /// The `Host` header; the address of the server where it is empty.
+    /// The `Host` header; if empty, the address of the server.
     pub(crate) host: String,
     /// The version in the `If-Match` header.
     pub(crate) if_match: Option<u64>,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Sends a call and reads its response; none where no response came in time.
+/// Sends a call and reads its response; `None` if no response comes in time.
 pub(crate) async fn send(address: SocketAddrV4, call: &HttpCall) -> Option<HttpResponse> {
     let request = request(call)?;
     let response = http_client::call(address, request, CALL_TIMEOUT)
--- a/crates/cluster-local/src/job_kind.rs
+++ b/crates/cluster-local/src/job_kind.rs
@@ -1,31 +1,31 @@
-//! The kinds of jobs that are submitted, and how a job of each kind should end.
+//! The kinds of submitted jobs, and the expected end of each.
 
 use lupinrack_cluster_api::job::{JobSpec, JobState, Resources, Step};
 use mock_servers::worker::work::Work;
 
-/// What a task takes of its worker's processor, in thousandths of a core.
+/// Processor demand of a task, in thousandths of a core.
 const TASK_CPU: u64 = 500;
-/// What a task takes of its worker's memory, in megabytes.
+/// Memory demand of a task, in megabytes.
 const TASK_MEMORY_MB: u64 = 64;
-/// How long a task works, in milliseconds.
+/// Run time of a task, in milliseconds.
 const TASK_WORK_MS: u64 = 250;
-/// How long a task works that is to be cancelled, in milliseconds: longer than any run of a cluster lasts.
+/// Run time of a task of a cancelled job, in milliseconds; longer than any run of a cluster.
 const CANCELLED_TASK_WORK_MS: u64 = 3_600_000;
-/// How many members a gang has.
+/// Number of members of a gang.
 const GANG_SIZE: u32 = 3;
 
 /// A kind of job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum JobKind {
-    /// Two steps side by side.
+    /// Two independent steps.
     Plain,
-    /// Tasks that work only together.
+    /// A gang: tasks that run only together.
     Gang,
     /// A step that depends on another.
     Dependent,
     /// Cancelled by its client while it runs.
     Cancelled,
-    /// Its task fails each time.
+    /// Its task fails in every attempt.
     Failing,
 }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The state in which such a job should end.
+    /// The expected final state of a job of this kind.
     pub fn expected_state(self) -> JobState {
         match self {
             JobKind::Plain | JobKind::Gang | JobKind::Dependent => JobState::Succeeded,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The specification of such a job. Its text tells the mock worker how each task works.
+    /// The specification of a job of this kind. Its text describes to the mock worker how each task behaves.
     pub fn spec(self) -> JobSpec {
         JobSpec {
             spec: self.work().to_string(),
@@ -111,7 +111,7 @@
     }
 }
 
-/// A step of so many tasks.
+/// A step with `count` tasks.
 fn step(count: u32) -> Step {
     let needs = Resources {
         cpu: TASK_CPU,
--- a/crates/cluster-local/src/lib.rs
+++ b/crates/cluster-local/src/lib.rs
@@ -1,12 +1,12 @@
 //! A complete cluster on loopback: real processes of the program, mock workers, jobs, and process kills.
 //!
-//! Three core processes, two fronts and four agents run as child processes. Each has a loopback address of its own, so that
+//! Three core processes, two fronts and four agents run as child processes. Each has its own loopback address, so that
 //! all of them use the same ports, as they do on separate machines. [`run`] starts them, submits jobs while it kills and
 //! restarts processes, and returns a [`LocalReport`] that says whether every job ended as expected.
 //!
 //! The crate owns the child processes, their folder (settings, disks and logs) and the mock workers; dropping the future of
-//! [`run`] ends all of them. Start reading in `run.rs`, which holds the course of a run; `local_cluster.rs` holds what runs,
-//! `client.rs` what submits jobs, and `report.rs` what is reported.
+//! [`run`] ends all of them. Start reading in `run.rs`, which contains the phases of a run; `local_cluster.rs` manages the
+//! processes and workers, `client.rs` submits jobs, and `report.rs` builds the report.
 
 mod child_process;
 mod client;
--- a/crates/cluster-local/src/local_cluster.rs
+++ b/crates/cluster-local/src/local_cluster.rs
@@ -16,15 +16,15 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, Instant};
 
-/// What each worker has: thousandths of a core, megabytes of memory, accelerators.
+/// Resources of each worker: thousandths of a core, megabytes of memory, accelerators.
 const WORKER_CAPACITY: Capacity = Capacity {
     cpu: 4_000,
     mem_mb: 4_096,
     gpu: 0,
 };
-/// How many workers share a rack.
+/// Number of workers in a rack.
 const WORKERS_PER_RACK: u8 = 2;
-/// Between two checks whether all runs have ended.
+/// Interval between two checks whether all runs have ended.
 const RUNS_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A running cluster. All its processes and workers end when it is dropped.
@@ -35,7 +35,7 @@
     ports: Ports,
     processes: Vec<ChildProcess>,
     worker_events: Floor,
-    // Aborts the workers' tasks when it is dropped.
+    // Dropping the set aborts the workers' tasks.
     _workers: JoinSet<()>,
 }
 
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     ///
-    /// [`LocalError::NoFreePorts`], or where a process cannot be started.
+    /// [`LocalError::NoFreePorts`], or an error if a process cannot be started.
     pub(crate) fn start(program: &Path, folder: &Path) -> Result<LocalCluster, LocalError> {
         let ports = Ports::draw()?;
         let worker_events = Floor::default();
@@ -67,21 +67,21 @@
         self.ports
     }
 
-    /// What the workers recorded of their runs.
+    /// The events that the workers recorded of their runs.
     pub(crate) fn worker_events(&self) -> &Floor {
         &self.worker_events
     }
 
-    /// Kills a process at once; its disk stays.
+    /// Kills a process at once; its disk remains.
     pub(crate) fn kill(&mut self, member: Member) {
         self.processes.retain(|process| process.member() != member);
     }
 
-    /// Starts a process again that was killed.
+    /// Restarts a killed process.
     ///
     /// # Errors
     ///
-    /// Where it cannot be started.
+    /// If the process cannot be started.
     pub(crate) fn restart(&mut self, member: Member) -> Result<(), LocalError> {
         self.start_process(member, StartKind::Restart)
     }
@@ -90,7 +90,7 @@
     ///
     /// # Errors
     ///
-    /// [`LocalError::Exited`] for the first that has.
+    /// [`LocalError::Exited`] for the first process that has.
     pub(crate) fn check_running(&mut self) -> Result<(), LocalError> {
         self.processes
             .iter_mut()
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     ///
-    /// [`LocalError::TimedOut`] after `deadline`, or where a process has exited by itself.
+    /// [`LocalError::TimedOut`] after `deadline`, or [`LocalError::Exited`] if a process has exited by itself.
     pub(crate) async fn wait_for_next_check(
         &mut self,
         step: Step,
@@ -117,7 +117,7 @@
         Ok(())
     }
 
-    /// Waits until no worker runs anything, for `limit` at most.
+    /// Waits until no worker has a run, for at most `limit`.
     pub(crate) async fn wait_for_runs_to_end(&self, limit: Duration) {
         let deadline = Instant::now() + limit;
         while self.worker_events.alive() > 0 && Instant::now() < deadline {
@@ -157,7 +157,7 @@
         labels: vec!["plain".to_owned(), rack],
         capacity: WORKER_CAPACITY,
         lease_most_ms: MAX_LEASE_MS,
-        // Half the limit: the stop of a run is reported well within it.
+        // Half the limit, so that the stop of a run is reported well within it.
         stop_takes_ms: RUN_STOP_MS / 2,
         gang_waits_ms: GANG_WAIT_MS,
     }
--- a/crates/cluster-local/src/member.rs
+++ b/crates/cluster-local/src/member.rs
@@ -1,14 +1,14 @@
-//! The processes of the cluster and the loopback addresses that stand for their machines.
+//! The processes of the cluster and their loopback addresses, each of which represents a machine.
 
 use std::fmt;
 use std::net::Ipv4Addr;
 
-/// What a process does in the cluster.
+/// The role of a process in the cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// A core process: votes on views, replicates the state, schedules.
     Core,
-    /// A front, which takes clients' calls.
+    /// A front, which accepts clients' calls.
     Front,
     /// The agent beside a worker.
     Agent,
@@ -18,7 +18,7 @@
     /// Every role, in the order in which processes are started.
     pub const ALL: [Role; 3] = [Role::Core, Role::Front, Role::Agent];
 
-    /// How many processes of this role a cluster has.
+    /// Number of processes of this role in a cluster.
     pub fn count(self) -> u8 {
         match self {
             Role::Core => 3,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The last byte of the addresses of this role's processes, less their number.
+    /// The last byte of the addresses of this role's processes, minus their number.
     fn address_base(self) -> u8 {
         match self {
             Role::Core => 10,
@@ -48,7 +48,7 @@
 /// A process of the cluster. Its [`Display`](fmt::Display) form, such as `core-1`, is its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// What it does.
+    /// Its role.
     pub role: Role,
     /// Its number among the processes of its role, from 1.
     pub number: u8,
@@ -71,7 +71,7 @@
         (1..=role.count()).map(move |number| Member { role, number })
     }
 
-    /// The loopback address that stands for its machine.
+    /// The loopback address that represents its machine.
     pub fn ip(self) -> Ipv4Addr {
         Ipv4Addr::new(127, 0, 0, self.role.address_base() + self.number)
     }
--- a/crates/cluster-local/src/operator.rs
+++ b/crates/cluster-local/src/operator.rs
@@ -1,4 +1,4 @@
-//! The calls of the cluster's operator: the configuration, and questions for readiness and status.
+//! The operator's calls: the configuration, and reads of readiness and status.
 
 use crate::error::LocalError;
 use crate::http_call::{send, HttpCall, HttpResponse};
@@ -14,17 +14,17 @@
 /// The path prefix of the queue.
 pub(crate) const PREFIX: &str = "/jobs/";
 
-/// Failed runs of a task after which its job has failed.
+/// Number of failed runs of a task after which its job fails.
 const MAX_RETRIES: u32 = 2;
-/// Where core processes take the configuration.
+/// Path at which core processes accept the configuration.
 const CONFIGURATION_PATH: &str = "/lupinrack/config";
-/// Where processes report their status.
+/// Path of a process's status.
 const STATUS_PATH: &str = "/lupinrack/status";
-/// Where fronts answer whether they are ready.
+/// Path of a front's readiness check.
 const READINESS_PATH: &str = "/lupinrack/ready";
-/// The line by which a core process's status says that it is the head.
+/// The line in a core process's status that identifies the head.
 const HEAD_LINE: &str = "chain position 0";
-/// Answers which say that a configuration will never be accepted.
+/// Status codes after which a configuration will never be accepted.
 const REJECTIONS: [StatusCode; 4] = [
     StatusCode::BAD_REQUEST,
     StatusCode::CONFLICT,
@@ -53,11 +53,11 @@
     .to_string()
 }
 
-/// Sends the configuration to one core process after the other until one accepts it; false where none did.
+/// Sends the configuration to one core process after the other until one accepts it; returns false if none does.
 ///
 /// # Errors
 ///
-/// [`LocalError::ConfigurationRejected`] where it will never be accepted.
+/// [`LocalError::ConfigurationRejected`] if it will never be accepted.
 pub(crate) async fn configure(ports: Ports) -> Result<bool, LocalError> {
     let call = HttpCall {
         method: Method::PUT,
@@ -108,7 +108,7 @@
     true
 }
 
-/// The core process whose status says that it is the head of the chain.
+/// The core process that reports itself as the head of the chain.
 pub(crate) async fn find_head(ports: Ports) -> Option<Member> {
     for core in Member::with_role(Role::Core) {
         let status = status(ports.control_address(core)).await;
@@ -119,7 +119,7 @@
     None
 }
 
-/// What the process at this address reports of itself.
+/// Reads the status of the process at this address.
 async fn status(address: SocketAddrV4) -> Option<String> {
     let response = send(address, &get(STATUS_PATH))
         .await
--- a/crates/cluster-local/src/ports.rs
+++ b/crates/cluster-local/src/ports.rs
@@ -4,13 +4,13 @@
 use crate::member::Member;
 use std::net::{SocketAddrV4, TcpListener};
 
-/// The first ports are drawn from here on, up to [`LAST`].
-const FIRST: u16 = 12_000;
-/// Below the range from which kernels commonly assign ports to outgoing connections.
-const LAST: u16 = 32_000;
-/// How many ports a cluster uses, one after the other.
-const COUNT: u16 = 4;
-/// How many times ports are drawn before that is given up.
+/// Start of the range from which the first port of a cluster is drawn.
+const FIRST_PORT_START: u16 = 12_000;
+/// End of that range (exclusive); below the ports that kernels commonly assign to outgoing connections.
+const FIRST_PORT_END: u16 = 32_000;
+/// Number of consecutive ports that a cluster uses.
+const PORT_COUNT: u16 = 4;
+/// Maximum number of draws before the search fails.
 const MAX_DRAWS: usize = 200;
 
 /// The ports that all processes use.
@@ -31,10 +31,10 @@
     ///
     /// # Errors
     ///
-    /// [`LocalError::NoFreePorts`] where none of many draws is free everywhere.
+    /// [`LocalError::NoFreePorts`] if no drawn range is free at all addresses.
     pub fn draw() -> Result<Ports, LocalError> {
         (0..MAX_DRAWS)
-            .map(|_| Ports::starting_at(fastrand::u16(FIRST..LAST)))
+            .map(|_| Ports::starting_at(fastrand::u16(FIRST_PORT_START..FIRST_PORT_END)))
             .find(|ports| ports.are_free())
             .ok_or(LocalError::NoFreePorts)
     }
@@ -64,7 +64,7 @@
     }
 
     fn are_free(self) -> bool {
-        let ports = self.internal..self.internal + COUNT;
+        let ports = self.internal..self.internal + PORT_COUNT;
         Member::all().map(Member::ip).all(|ip| {
             ports
                 .clone()
--- a/crates/cluster-local/src/process_kills.rs
+++ b/crates/cluster-local/src/process_kills.rs
@@ -11,9 +11,9 @@
 
 /// How long a killed process stays down.
 const DOWNTIME: Duration = Duration::from_secs(1);
-/// How long it may take to find the head.
+/// Time limit for finding the head.
 const FIND_HEAD_TIMEOUT: Duration = Duration::from_secs(30);
-/// Between two searches for the head.
+/// Interval between two searches for the head.
 const FIND_HEAD_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Which process is killed.
--- a/crates/cluster-local/src/progress.rs
+++ b/crates/cluster-local/src/progress.rs
@@ -1,10 +1,10 @@
-//! Prints what happens in a run, as it happens.
+//! Prints the events of a run as they happen.
 
 use crate::run::Progress;
 use std::fmt;
 use tokio::time::Instant;
 
-/// The clock of a run, and where its events are printed.
+/// The clock of a run, and whether its events are printed.
 #[derive(Debug)]
 pub(crate) struct ProgressLog {
     started: Instant,
@@ -12,7 +12,7 @@
 }
 
 impl ProgressLog {
-    /// One whose clock starts now.
+    /// Creates a log whose clock starts now.
     pub(crate) fn start(progress: Progress) -> ProgressLog {
         ProgressLog {
             started: Instant::now(),
--- a/crates/cluster-local/src/report.rs
+++ b/crates/cluster-local/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run, for people and for programs.
+//! The report of a run, as text and as JSON.
 
 use crate::client::JobOutcome;
 use crate::dependency_order::count_early_starts;
@@ -9,11 +9,11 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A process that was killed and started again.
+/// A process that was killed and restarted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct KilledProcess {
-    /// What was to be killed: `head`, `front` or `agent`.
+    /// The kill target: `head`, `front` or `agent`.
     #[serde(rename = "part")]
     pub target: &'static str,
     /// The name of the process.
@@ -32,9 +32,9 @@
     pub kind: &'static str,
     /// Whether it was accepted.
     pub accepted: bool,
-    /// The state in which it should have ended.
+    /// The expected final state.
     pub expected: &'static str,
-    /// The last state that was seen.
+    /// The last state that the client read.
     pub state: Option<&'static str>,
 }
 
@@ -44,35 +44,35 @@
 pub struct LocalReport {
     /// Whether every job ended as expected and nothing ran that should not.
     pub good: bool,
-    /// How many jobs were submitted.
+    /// Number of submitted jobs.
     pub jobs: usize,
-    /// How many of them ended as expected, by kind.
+    /// Number of jobs that ended as expected, by kind.
     pub as_expected: BTreeMap<&'static str, usize>,
-    /// The others.
+    /// The jobs that did not end as expected.
     #[serde(rename = "wrong")]
     pub unexpected: Vec<UnexpectedJob>,
-    /// How many times jobs were sent again until they were accepted.
+    /// Number of resent submissions until the jobs were accepted.
     #[serde(rename = "sent-again")]
     pub resubmissions: u32,
-    /// How many runs of tasks ended in each way.
+    /// Number of task runs by how they ended.
     pub run_ends: BTreeMap<End, usize>,
-    /// Starts of tasks that ran already or were known to be done.
+    /// Number of starts of tasks that already ran or were known to be done.
     #[serde(rename = "run-twice")]
     pub duplicate_starts: usize,
-    /// Starts before a step that had to be done first.
+    /// Number of starts before the step that the task depends on was done.
     #[serde(rename = "out-of-order")]
     pub early_starts: usize,
-    /// Runs that were alive at the end.
+    /// Number of runs that were still alive at the end.
     pub left_running: usize,
     /// Processes that were killed.
     pub killed: Vec<KilledProcess>,
-    /// How long the run took, in milliseconds.
+    /// Duration of the run, in milliseconds.
     #[serde(rename = "took-ms")]
     pub duration_ms: u64,
 }
 
 impl LocalReport {
-    /// The report on these jobs, by what the workers recorded.
+    /// Builds the report on these jobs from the workers' events.
     pub fn new(
         outcomes: &[JobOutcome],
         events: &Floor,
--- a/crates/cluster-local/src/run.rs
+++ b/crates/cluster-local/src/run.rs
@@ -1,4 +1,4 @@
-//! The course of a run: start, configuration, jobs and kills, the last runs' ends.
+//! The phases of a run: start, configuration, jobs and kills, and the end of the last task runs.
 
 use crate::client::{Client, JobOutcome};
 use crate::error::{LocalError, Step};
@@ -16,36 +16,36 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
 
-/// How long the cluster may take until its fronts are ready.
+/// Time limit until the fronts are ready.
 const STARTUP_TIMEOUT: Duration = Duration::from_mins(1);
-/// Between two checks whether the cluster is ready.
+/// Interval between two checks whether the cluster is ready.
 const STARTUP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Between two rounds of submissions, one of each kind of job.
+/// Interval between two rounds of submissions. A round submits one job of each kind.
 const ROUND_INTERVAL: Duration = Duration::from_secs(1);
-/// How long runs may take to end after the last job has.
+/// Time limit for task runs to end after the last job has ended.
 const RUNS_END_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Whether a run prints what happens.
+/// Whether a run prints its events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// To standard output.
+    /// Events are printed to standard output.
     Printed,
     /// Nothing is printed.
     Hidden,
 }
 
-/// What is run.
+/// The settings of a run.
 #[derive(Clone, Debug)]
 pub struct LocalSettings {
     /// The program that is started as each process.
     pub program: PathBuf,
     /// An empty folder for settings, disks and logs.
     pub folder: PathBuf,
-    /// How long jobs are submitted.
+    /// Time for which jobs are submitted.
     pub submit_for: Duration,
-    /// How long after that the last job may take to end.
+    /// Time limit after that for the last job to end.
     pub end_within: Duration,
-    /// What is killed while jobs are submitted, in this order.
+    /// The targets that are killed while jobs are submitted, in this order.
     pub kill: Vec<KillTarget>,
     /// Whether events are printed.
     pub progress: Progress,
@@ -55,7 +55,7 @@
 ///
 /// # Errors
 ///
-/// Where the cluster does not become ready, or a process exits by itself.
+/// If the cluster does not become ready, or a process exits by itself.
 pub async fn run(settings: &LocalSettings) -> Result<LocalReport, LocalError> {
     let progress = ProgressLog::start(settings.progress);
     let mut cluster = LocalCluster::start(&settings.program, &settings.folder)?;
@@ -111,7 +111,7 @@
     Ok(())
 }
 
-/// Submits a job of each kind in every round until `end`, and follows all of them to their ends or to the deadline.
+/// Submits a job of each kind in every round until `end`, and polls all of them until they end or the deadline passes.
 async fn submit_jobs(
     mut fronts: Vec<SocketAddrV4>,
     end: Instant,
@@ -121,7 +121,7 @@
     let mut next_round = Instant::now();
     while next_round < end {
         for kind in JobKind::ALL {
-            // Each client starts with another front than the one before it.
+            // Each client starts with a different front than the previous one.
             fronts.rotate_left(1);
             let client = Client {
                 fronts: fronts.clone(),
--- a/crates/cluster-local/src/settings_file.rs
+++ b/crates/cluster-local/src/settings_file.rs
@@ -5,16 +5,16 @@
 use crate::shared_limits::{GANG_WAIT_MS, HEARTBEAT_INTERVAL_MS, MAX_LEASE_MS, RUN_STOP_MS, ZONE};
 use std::path::Path;
 
-/// Whether a process starts on an empty disk, or after it was killed.
+/// Whether a process starts on an empty disk or restarts after a kill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartKind {
     /// The first start: core processes found the cluster.
     Bootstrap,
-    /// A restart: the process joins the cluster that is there.
+    /// A restart: the process joins the existing cluster.
     Restart,
 }
 
-/// The settings file of a process whose disk lies in `folder`.
+/// The settings file of a process whose disk is in `folder`.
 pub fn settings_text(member: Member, ports: Ports, folder: &Path, start: StartKind) -> String {
     let lines = [
         identity_lines(member),
--- a/crates/cluster-local/tests/golden.rs
+++ b/crates/cluster-local/tests/golden.rs
@@ -1,6 +1,6 @@
-//! What a local cluster writes, sends and prints, compared byte for byte with the files in `tests/golden`.
+//! Compares what a local cluster writes, sends and prints byte for byte with the files in `tests/golden`.
 //!
-//! `UPDATE_GOLDEN=1` writes the files anew.
+//! `UPDATE_GOLDEN=1` rewrites the files.
 
 use lupinrack_cluster_api::identity::JobId;
 use lupinrack_cluster_api::job::JobState;
@@ -28,7 +28,7 @@
     front: 7_002,
     readiness: 7_003,
 };
-/// Files beside those of the settings.
+/// The golden files other than settings files.
 const FILES: [&str; 8] = [
     "configuration-call.txt",
     "errors.txt",
@@ -39,7 +39,7 @@
     "reports.txt",
     "words.txt",
 ];
-/// How long the mock of a core process waits for a call.
+/// Time for which the mock core process waits for a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn golden_folder() -> PathBuf {
@@ -59,7 +59,7 @@
         .flat_map(|member| [StartKind::Bootstrap, StartKind::Restart].map(|start| (member, start)))
 }
 
-/// Compares a text with its file, or writes the file.
+/// Compares a text with its golden file, or writes the file.
 fn assert_golden(name: &str, text: &str) {
     check_text(golden_folder().join(name), text);
 }
@@ -73,7 +73,7 @@
 
 #[test]
 fn every_golden_file_is_built_by_a_test() {
-    // While files are updated other tests may not have written theirs yet.
+    // During an update, other tests may not have written their files yet.
     if is_update() {
         return;
     }
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn words_and_addresses_stay_the_same() {
+fn names_and_addresses_stay_the_same() {
     let kind = |kind: JobKind| {
         (
             format!("kind {}", kind.as_str()),
@@ -176,7 +176,7 @@
     );
 }
 
-/// A job of each kind and an unexpected one for each state and for none, with distinct values in every field.
+/// A report with a job of each kind, and an unexpected job for each state and for none. All fields have distinct values.
 fn bad_report() -> LocalReport {
     let states = [
         None,
@@ -271,14 +271,14 @@
 }
 
 #[test]
-fn reports_for_people_stay_the_same() {
+fn text_reports_stay_the_same() {
     assert_golden(
         "reports.txt",
         &format!("{}\n{}", good_report(), bad_report()),
     );
 }
 
-/// Writes a program that keeps its arguments and the levels of its log beside its settings, and then waits.
+/// Writes a program that records its arguments and log levels beside its settings file, and then sleeps.
 fn write_mock_program(folder: &Path) -> PathBuf {
     let program = folder.join("mock-program");
     let text = "#!/bin/sh\nprintf '%s\\n' \"arguments: $*\" \"levels: $LUPINRACK_LOG\" > \"$3.start\"\nexec sleep 60\n";
@@ -287,7 +287,7 @@
     program
 }
 
-/// Waits until a file is complete: until it can be read and `find` finds what it looks for.
+/// Waits until a file can be read and `find` returns a value for its text.
 fn wait_for<T>(path: &Path, find: impl Fn(&str) -> Option<T>) -> T {
     let deadline = Instant::now() + CALL_TIMEOUT;
     loop {
@@ -312,7 +312,7 @@
         .map(|(_, value)| value.to_owned())
 }
 
-/// What each process was started with, by its name.
+/// The arguments and log levels of each process, by name.
 fn wait_for_starts(folder: &Path) -> String {
     let complete = |text: &str| {
         text.lines()
@@ -329,16 +329,16 @@
     Member::all().map(start).collect()
 }
 
-/// What a run did to its surroundings.
+/// The effects of a run that the test observes.
 struct Observed {
-    /// What the processes were started with.
+    /// The arguments and log levels of the processes.
     starts: String,
     /// The first call of the operator.
     call: String,
 }
 
-/// Waits until all processes have started, then stands at the control address of the first core process, takes one call and
-/// refuses it.
+/// Waits until all processes have started, then listens on the control address of the first core process and rejects the
+/// first call.
 fn observe(folder: PathBuf) -> JoinHandle<Observed> {
     std::thread::spawn(move || {
         let starts = wait_for_starts(&folder);
@@ -372,7 +372,7 @@
 }
 
 #[tokio::test]
-async fn the_start_of_a_process_and_the_call_with_the_configuration_stay_the_same() {
+async fn process_starts_and_the_configuration_call_stay_the_same() {
     let folder =
         std::env::temp_dir().join(format!("lupinrack-local-golden-{}", std::process::id()));
     fs::create_dir(&folder).expect("a folder");
@@ -395,7 +395,7 @@
     );
     let Observed { starts, call } = observed.join().expect("a call");
     assert_golden("configuration-call.txt", &call);
-    // Levels that are set for the test itself are passed on.
+    // Log levels that are set for the test itself are inherited by the processes.
     let levels = std::env::var("LUPINRACK_LOG").unwrap_or_else(|_| "info".to_owned());
     assert_golden(
         "process-start.txt",
--- a/crates/cluster-local/tests/report.rs
+++ b/crates/cluster-local/tests/report.rs
@@ -1,4 +1,4 @@
-//! Which outcomes make a report good.
+//! Tests of which outcomes make a report good.
 
 use lupinrack_cluster_api::identity::JobId;
 use lupinrack_cluster_api::job::JobState;
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_job_in_another_state_or_in_none_or_never_accepted_is_unexpected() {
+fn a_job_that_was_not_accepted_or_is_not_in_the_expected_state_is_unexpected() {
     let not_accepted = JobOutcome {
         accepted: false,
         ..outcome(JobKind::Plain, Some(JobState::Succeeded))
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_run_that_is_left_running_is_not_good() {
+fn a_run_left_running_makes_a_bad_report() {
     assert!(!report(&[], vec![started(0, 0)]).good);
     assert!(report(&[], vec![started(0, 0), ended(0, 0, End::Stopped)]).good);
 }
--- a/crates/cluster-local/tests/settings_files.rs
+++ b/crates/cluster-local/tests/settings_files.rs
@@ -1,4 +1,4 @@
-//! The generated settings files.
+//! Tests of the generated settings files.
 
 use lupinrack_cluster_local::{settings_text, Member, Ports, Role, StartKind};
 use lupinrack_node_settings::{NodeSettings, ServedInterface};
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn every_process_has_an_address_and_a_name_of_its_own() {
+fn every_process_has_its_own_address_and_name() {
     let count = 9;
     let members: Vec<Member> = Member::all().collect();
     let addresses: BTreeSet<_> = members.iter().map(|member| member.ip()).collect();
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn every_settings_file_is_valid_and_says_what_the_process_is() {
+fn every_settings_file_is_valid_and_names_the_process_and_its_role() {
     for member in Member::all() {
         let settings = settings(member, StartKind::Bootstrap);
         let serves = match member.role {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_core_processes_found_the_cluster_and_only_at_the_first_start() {
+fn only_core_processes_found_the_cluster_and_only_on_their_first_start() {
     for member in Member::all() {
         assert_eq!(
             settings(member, StartKind::Bootstrap).is_founder(),
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn only_core_processes_have_disks_and_each_its_own() {
+fn only_core_processes_have_disks_and_each_has_its_own() {
     let disks: BTreeSet<PathBuf> = Member::all()
         .filter_map(|member| settings(member, StartKind::Bootstrap).data_dir)
         .collect();
--- a/crates/golden-files/src/folder.rs
+++ b/crates/golden-files/src/folder.rs
@@ -1,14 +1,14 @@
-//! Comparison of the names of files with those that tests build.
+//! Compares the file names in a folder with the names that tests build.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::Path;
 
-/// Checks that a folder holds the files of these names and no others, so that none is left which no test reads.
+/// Checks that a folder contains exactly the files with these names, so that no file remains that no test reads.
 ///
 /// # Panics
 ///
-/// If a name is used twice, or the folder cannot be listed, lacks one of the files or holds another one.
+/// If a name is used twice, or the folder cannot be listed, lacks one of the files, or contains another one.
 pub fn check_folder<N: AsRef<str>>(folder: impl AsRef<Path>, names: impl IntoIterator<Item = N>) {
     let folder = folder.as_ref();
     let mut expected = BTreeSet::new();
--- a/crates/golden-files/src/golden_file.rs
+++ b/crates/golden-files/src/golden_file.rs
@@ -1,4 +1,4 @@
-//! The examples that a test builds for one file.
+//! Compares the examples that a test builds with a golden file.
 
 use crate::hex::to_hex;
 use crate::kept_examples::KeptExamples;
@@ -7,7 +7,7 @@
 use std::fmt::{Debug, Display};
 use std::path::{Path, PathBuf};
 
-/// Stands between the name of an example and its encoding.
+/// Separates the name of an example from its encoding.
 pub(crate) const SEPARATOR: &str = ": ";
 
 /// A line of the file.
@@ -17,7 +17,7 @@
     encoding: String,
 }
 
-/// A file of named examples, compared with those that a test builds.
+/// A golden file of named examples, which is compared with those that a test builds.
 ///
 /// Examples are added in the order of the file; [`GoldenFile::check`] compares all of them.
 #[derive(Debug)]
@@ -28,11 +28,11 @@
 }
 
 impl GoldenFile {
-    /// Opens the file at this path. It may be missing only while files are updated.
+    /// Opens the file at this path. The file may be missing only during an update.
     ///
     /// # Panics
     ///
-    /// If the file cannot be read, or one of its lines is no example.
+    /// If the file cannot be read, or one of its lines is not an example.
     pub fn open(path: impl AsRef<Path>) -> GoldenFile {
         let path = path.as_ref().to_owned();
         let text = if is_update() {
@@ -47,11 +47,11 @@
         }
     }
 
-    /// Adds an example whose encoding is text of one line.
+    /// Adds an example whose encoding is a single line of text.
     ///
     /// # Panics
     ///
-    /// If the text has several lines, or the name holds the separator, a line end, or is used twice.
+    /// If the text has several lines, or the name contains the separator or a line end, or is used twice.
     pub fn add(&mut self, name: impl Into<String>, encoding: impl Display) {
         let (name, encoding) = (name.into(), encoding.to_string());
         assert!(
@@ -78,11 +78,11 @@
         self.add(name, to_hex(bytes));
     }
 
-    /// Adds a value in its `borsh` encoding, and decodes the kept encoding into the value again.
+    /// Adds a value in its `borsh` encoding, and checks that the kept encoding decodes into the value.
     ///
     /// # Panics
     ///
-    /// If the kept encoding is not that of the value, and as [`GoldenFile::add`].
+    /// If the kept encoding does not decode into the value, and as [`GoldenFile::add`].
     pub fn add_borsh<T>(&mut self, name: impl Into<String>, value: &T)
     where
         T: BorshSerialize + BorshDeserialize + Debug + PartialEq,
@@ -98,25 +98,25 @@
         self.add_bytes(name, &built);
     }
 
-    /// The text of an example as the file keeps it; `None` if it does not, or while files are updated.
+    /// The kept text of an example; `None` if the file lacks the example, or during an update.
     pub fn kept_text(&self, name: &str) -> Option<&str> {
         self.kept.get(name)
     }
 
-    /// The bytes of an example as the file keeps them; `None` if it does not, or while files are updated.
+    /// The kept bytes of an example; `None` if the file lacks the example, or during an update.
     ///
     /// # Panics
     ///
-    /// If the example is no hexadecimal text.
+    /// If the example is not hexadecimal text.
     pub fn kept_bytes(&self, name: &str) -> Option<Vec<u8>> {
         self.kept.get(name).map(crate::hex::from_hex)
     }
 
-    /// Compares what was built with the file, or writes the file, and returns what the file holds.
+    /// Compares the built examples with the file, or writes the file. Returns the examples of the file.
     ///
     /// # Panics
     ///
-    /// If an example differs, or the file has one that was not built, lacks one that was, or has them in another order.
+    /// If an example differs, the file has an example that was not built or lacks one that was, or their order differs.
     pub fn check(self) -> KeptExamples {
         let mut text = String::new();
         for example in &self.built {
--- a/crates/golden-files/src/hex.rs
+++ b/crates/golden-files/src/hex.rs
@@ -1,8 +1,8 @@
-//! Bytes as hexadecimal digits.
+//! Conversion between bytes and hexadecimal digits.
 
 use std::fmt::Write;
 
-/// The bytes as lowercase hexadecimal digits, two for each byte.
+/// Encodes bytes as lowercase hexadecimal digits, two per byte.
 pub fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
         // Writing to a string never fails.
@@ -11,11 +11,11 @@
     })
 }
 
-/// Reads what [`to_hex`] wrote.
+/// Decodes the output of [`to_hex`].
 ///
 /// # Panics
 ///
-/// If the text has other characters than hexadecimal digits, or an odd number of them.
+/// If the text contains other characters, or an odd number of digits.
 pub fn from_hex(text: &str) -> Vec<u8> {
     assert!(
         text.len().is_multiple_of(2) && text.bytes().all(|byte| byte.is_ascii_hexdigit()),
--- a/crates/golden-files/src/kept_examples.rs
+++ b/crates/golden-files/src/kept_examples.rs
@@ -1,10 +1,10 @@
-//! The examples that a file holds.
+//! The examples of a golden file.
 
 use crate::golden_file::SEPARATOR;
 use crate::hex::from_hex;
 use std::collections::BTreeMap;
 
-/// What a golden file holds, by the names of its examples.
+/// The examples of a golden file, by name.
 #[derive(Debug)]
 pub struct KeptExamples(BTreeMap<String, String>);
 
@@ -37,12 +37,12 @@
     ///
     /// # Panics
     ///
-    /// If the file has no example of this name, or it is no hexadecimal text.
+    /// If the file has no example of this name, or it is not hexadecimal text.
     pub fn bytes(&self, name: &str) -> Vec<u8> {
         from_hex(self.text(name))
     }
 
-    /// The names and texts of all examples, in the order of their names.
+    /// The names and texts of all examples, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.0
             .iter()
--- a/crates/golden-files/src/lib.rs
+++ b/crates/golden-files/src/lib.rs
@@ -1,12 +1,13 @@
-//! Golden files: encoded examples of what a crate writes to a socket or a disk, or prints, kept beside its tests.
+//! Golden files: encoded examples of what a crate writes to a socket or a disk, or prints, stored beside its tests.
 //!
-//! A test builds each value in code, compares its encoding with the kept one byte for byte, and decodes the kept one into the value
-//! again, so that no change of an encoding passes unnoticed, not even one that changes writer and reader alike. [`GoldenFile`] compares
-//! named examples, one to a line; [`check_text`] compares a whole file; [`check_folder`] finds files that no test builds.
+//! A test builds each value in code, compares its encoding byte for byte with the kept encoding, and checks that the kept
+//! encoding decodes into the value. This detects every change of an encoding, even one that changes writer and reader
+//! alike. [`GoldenFile`] compares named examples, one per line; [`check_text`] compares a whole file; [`check_folder`]
+//! finds files that no test builds.
 //!
-//! With the environment variable [`UPDATE_VARIABLE`] set to `1` the tests write the files in place of comparing them.
+//! With the environment variable [`UPDATE_VARIABLE`] set to `1` tests write the files instead of comparing them.
 //!
-//! This crate is a development dependency of others; nothing in it is part of a build that is deployed.
+//! This crate is only a development dependency; no deployed build contains it.
 //!
 //! ```no_run
 //! use lupinrack_golden_files::{path, GoldenFile};
@@ -29,7 +30,7 @@
 pub use kept_examples::KeptExamples;
 pub use text_file::{check_text, is_update, UPDATE_VARIABLE};
 
-/// The path of a golden file of the crate that calls, or of the folder of these files: `path!("frames.txt")`, `path!()`.
+/// The path of a golden file of the calling crate, or of the folder of its golden files: `path!("frames.txt")`, `path!()`.
 #[macro_export]
 macro_rules! path {
     () => {
--- a/crates/golden-files/src/text_file.rs
+++ b/crates/golden-files/src/text_file.rs
@@ -1,20 +1,20 @@
-//! Comparison of a text with a whole file.
+//! Compares a text with a whole file.
 
 use std::fs;
 use std::path::Path;
 
-/// The environment variable that makes the tests write the files, when it is `1`.
+/// The environment variable that makes tests write golden files when it is `1`.
 pub const UPDATE_VARIABLE: &str = "UPDATE_GOLDEN";
 
-/// Lines that differ which are shown, of each kind.
-const LINES_SHOWN_MOST: usize = 6;
+/// Maximum number of removed lines, and of added lines, that a failure shows.
+const MAX_SHOWN_LINES: usize = 6;
 
-/// Whether the tests write the files in place of comparing them.
+/// Whether tests write the files instead of comparing them.
 pub fn is_update() -> bool {
     std::env::var(UPDATE_VARIABLE).is_ok_and(|value| value == "1")
 }
 
-/// Compares a text with the file at this path byte for byte, or writes the file, and returns the file's text.
+/// Compares a text byte for byte with the file at this path, or writes the file. Returns the text of the file.
 ///
 /// # Panics
 ///
@@ -34,7 +34,7 @@
     kept
 }
 
-/// The first lines that only one of the texts has, `-` before those kept and `+` before those built.
+/// The first lines that are in only one of the texts: `-` marks kept lines, `+` built lines.
 fn differences(kept: &str, built: &str) -> String {
     let (kept_lines, built_lines): (Vec<&str>, Vec<&str>) =
         (kept.lines().collect(), built.lines().collect());
@@ -47,11 +47,12 @@
         .filter(|line| !kept_lines.contains(line))
         .map(|line| format!("+ {line}"));
     let shown: Vec<String> = removed
-        .take(LINES_SHOWN_MOST)
-        .chain(added.take(LINES_SHOWN_MOST))
+        .take(MAX_SHOWN_LINES)
+        .chain(added.take(MAX_SHOWN_LINES))
         .collect();
     if shown.is_empty() {
-        return "the order of the lines, how often one stands there, or a line end".to_owned();
+        return "only the order of lines, the number of equal lines, or line ends differ"
+            .to_owned();
     }
     shown.join("\n")
 }
--- a/crates/golden-files/tests/golden_file.rs
+++ b/crates/golden-files/tests/golden_file.rs
@@ -1,28 +1,28 @@
-//! What a comparison with a golden file finds.
+//! Tests of the comparison with golden files.
 
 use lupinrack_golden_files::{check_folder, check_text, from_hex, path, to_hex, GoldenFile};
 use std::fs;
 use std::panic::catch_unwind;
 use std::path::PathBuf;
 
-/// A folder of this name for one test alone.
+/// Creates an empty folder of this name for a single test.
 fn folder(name: &str) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    // What an earlier run left.
+    // An earlier run may have left the folder.
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).expect("the folder can be made");
     folder
 }
 
-/// A file of this name that holds `text`.
+/// Writes a file of this name with `text`.
 fn file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     fs::write(&path, text).expect("the folder can be written");
     path
 }
 
-/// Whether the examples `one` and `two` fit a file with this text.
-fn fits(name: &str, text: &str) -> bool {
+/// Whether the examples `one` and `two` match a file with this text.
+fn examples_match(name: &str, text: &str) -> bool {
     let path = file(name, text);
     let compare = || {
         let mut golden = GoldenFile::open(path);
@@ -34,22 +34,28 @@
 }
 
 #[test]
-fn examples_that_are_as_they_were_fit() {
-    assert!(fits("same.hex", "one: 0100\ntwo: 0102\n"));
+fn unchanged_examples_match() {
+    assert!(examples_match("same.hex", "one: 0100\ntwo: 0102\n"));
 }
 
 #[test]
-fn a_changed_missing_or_additional_example_does_not_fit() {
-    assert!(!fits("changed.hex", "one: 0101\ntwo: 0102\n"));
-    assert!(!fits("missing.hex", "one: 0100\n"));
-    assert!(!fits("additional.hex", "one: 0100\ntwo: 0102\nthree: 00\n"));
-    assert!(!fits("order.hex", "two: 0102\none: 0100\n"));
-    assert!(!fits("doubled.hex", "one: 0100\ntwo: 0102\ntwo: 0102\n"));
-    assert!(!fits("cut.hex", "one: 0100\ntwo: 0102"));
+fn a_changed_missing_or_additional_example_does_not_match() {
+    assert!(!examples_match("changed.hex", "one: 0101\ntwo: 0102\n"));
+    assert!(!examples_match("missing.hex", "one: 0100\n"));
+    assert!(!examples_match(
+        "additional.hex",
+        "one: 0100\ntwo: 0102\nthree: 00\n"
+    ));
+    assert!(!examples_match("order.hex", "two: 0102\none: 0100\n"));
+    assert!(!examples_match(
+        "doubled.hex",
+        "one: 0100\ntwo: 0102\ntwo: 0102\n"
+    ));
+    assert!(!examples_match("cut.hex", "one: 0100\ntwo: 0102"));
 }
 
 #[test]
-fn a_missing_file_and_a_name_used_twice_do_not_fit() {
+fn a_missing_file_or_a_duplicate_name_is_rejected() {
     assert!(catch_unwind(|| GoldenFile::open("no/such/file.hex")).is_err());
     let path = file("twice.hex", "one: 00\none: 00\n");
     let twice = || {
@@ -62,7 +68,7 @@
 }
 
 #[test]
-fn a_name_or_a_text_that_could_not_be_read_back_is_refused() {
+fn a_name_or_text_that_cannot_be_parsed_again_is_rejected() {
     for (name, text) in [("a: b", "c"), ("a\nb", "c"), ("a", "b\nc")] {
         let path = file("unreadable.txt", "");
         let add = || {
@@ -74,7 +80,7 @@
 }
 
 #[test]
-fn what_the_file_holds_is_returned_by_name() {
+fn kept_examples_are_returned_by_name() {
     let path = file("kept.txt", "bytes: 00ab\nempty: \ntext: a: b\n");
     let mut golden = GoldenFile::open(path);
     assert_eq!(golden.kept_text("text"), Some("a: b"));
@@ -91,14 +97,14 @@
 }
 
 #[test]
-fn texts_are_compared_to_their_last_byte() {
+fn texts_are_compared_byte_for_byte() {
     let path = file("text.json", "{\n}\n");
     assert_eq!(check_text(&path, "{\n}\n"), "{\n}\n");
     assert!(catch_unwind(|| check_text(&path, "{\n}")).is_err());
 }
 
 #[test]
-fn a_folder_holds_the_files_that_are_built_and_no_others() {
+fn a_folder_must_contain_exactly_the_built_files() {
     let folder = folder("listed");
     fs::write(folder.join("one.txt"), "").expect("the folder can be written");
     fs::write(folder.join("two.txt"), "").expect("the folder can be written");
@@ -111,7 +117,7 @@
 }
 
 #[test]
-fn paths_lead_to_the_folder_of_the_crate_that_calls() {
+fn paths_lead_to_the_folder_of_the_calling_crate() {
     assert_eq!(
         path!("a.txt"),
         concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/a.txt")
@@ -123,7 +129,7 @@
 }
 
 #[test]
-fn hexadecimal_digits_are_read_as_they_were_written() {
+fn hexadecimal_encoding_round_trips() {
     let bytes: Vec<u8> = (0..=u8::MAX).collect();
     assert_eq!(from_hex(&to_hex(&bytes)), bytes);
     assert_eq!(to_hex(&[0, 10, 255]), "000aff");
