--- a/crates/cluster-node/tests/client_call.rs
+++ b/crates/cluster-node/tests/client_call.rs
@@ -1,4 +1,4 @@
-//! Calls of clients at a front.
+//! How a front parses clients' calls and which of them it answers itself.
 
 use lupinrack_cluster_api::configuration::{Configuration, Route};
 use lupinrack_cluster_api::error::ErrorKind;
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_queue_that_is_not_there_is_refused_only_while_the_configuration_is_trusted() {
+fn an_unknown_queue_is_refused_only_while_the_configuration_is_trusted() {
     let target = Target {
         host: "h.example".to_owned(),
         path: "/b/".to_owned(),
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn what_the_state_of_the_cluster_decides_is_for_the_head_however_fresh_the_front_is() {
+fn calls_that_depend_on_the_cluster_state_always_go_to_the_head() {
     let target = Target {
         host: "h.example".to_owned(),
         path: JOB_PATH.to_owned(),
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_malformed() {
+fn calls_that_cannot_be_parsed_are_malformed() {
     for call in [
         call("POST", JOB_PATH, "{"),
         call("PUT", JOB_PATH, ""),
--- a/crates/cluster-node/tests/core_faults.rs
+++ b/crates/cluster-node/tests/core_faults.rs
@@ -1,4 +1,4 @@
-//! When a core process has to end, since what it has in memory and what is on its disk no longer agree.
+//! Faults after which a core process has to end, since its memory and its disk no longer agree.
 
 use lupinrack_chain::{Chain, Effect, StoredState};
 use lupinrack_cluster_api::chain::{ChainMessage, ReplicaReport};
@@ -82,7 +82,7 @@
     spare
 }
 
-/// Hands in an event, and all syncs that follow; what is sent meanwhile.
+/// Passes an event and the syncs that follow from it to the machine; returns the other effects.
 fn receive(machine: &mut CoreMachine, event: CoreEvent) -> Vec<CoreEffect> {
     let mut events = vec![event];
     let mut seen = Vec::new();
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_snapshot_that_cannot_be_read_ends_the_process() {
+fn an_unreadable_snapshot_ends_the_process() {
     let mut spare = spare();
     assert_eq!(spare.fault(), None);
     for chunk in chunks(vec![0xff; 100]) {
@@ -146,12 +146,12 @@
     assert_eq!(
         receive(&mut spare, CoreEvent::Tick),
         [],
-        "nothing goes out any more"
+        "nothing is sent after the fault"
     );
 }
 
 #[test]
-fn a_snapshot_that_can_be_read_does_not() {
+fn a_readable_snapshot_does_not_end_the_process() {
     let mut spare = spare();
     let state = lupinrack_control_state::ControlState::default()
         .to_bytes()
@@ -165,19 +165,19 @@
 }
 
 #[test]
-fn a_write_that_does_not_fit_the_disk_ends_the_process() {
+fn a_rejected_write_ends_the_process() {
     let mut spare = spare();
     receive(&mut spare, CoreEvent::WriteFailed);
     assert_eq!(
         spare.fault(),
         None,
-        "a write that is tried again is no fault"
+        "a failed write is retried and is no fault"
     );
     receive(&mut spare, CoreEvent::WriteRejected);
     assert_eq!(spare.fault(), Some(CoreFault::WriteRejected));
     assert_eq!(
         receive(&mut spare, CoreEvent::Tick),
         [],
-        "nothing goes out any more"
+        "nothing is sent after the fault"
     );
 }
--- a/crates/cluster-node/tests/core_settings.rs
+++ b/crates/cluster-node/tests/core_settings.rs
@@ -1,10 +1,10 @@
-//! What a core process takes from the settings of its node.
+//! The settings that a core process derives from those of its node.
 
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_node::core::{ByteLimits, CoreSettings};
 use lupinrack_node_settings::NodeSettings;
 
-/// Settings of a core process on a machine with so much memory and disk.
+/// Settings of a core process on a machine with this memory and disk, in MB.
 fn node(memory_mb: u64, disk_mb: u64) -> NodeSettings {
     let text = format!(
         "node=core-1\nrole=keeper\nmachine-class=core\nserves=control_plane\nip=127.0.4.1\nzone=north\nregion=coast\n\
--- a/crates/cluster-node/tests/disk_health.rs
+++ b/crates/cluster-node/tests/disk_health.rs
@@ -1,4 +1,4 @@
-//! What a process thinks of its disk.
+//! When a process counts its disk as healthy.
 
 use lupinrack_cluster_api::time::Millis;
 use lupinrack_cluster_node::core::pending_writes::{PendingWrites, WriteContinuation};
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn what_follows_comes_once_and_in_order() {
+fn continuations_are_returned_once_and_in_order() {
     let mut disk = disk();
     write(&mut disk, 10, Millis(1));
     write(&mut disk, 11, Millis(2));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_write_that_hangs_makes_it_unhealthy() {
+fn a_hanging_write_makes_the_disk_unhealthy() {
     let mut disk = disk();
     write(&mut disk, 1, Millis(100));
     assert!(disk.is_healthy(Millis(249)));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn time_in_which_the_process_stood_still_is_not_the_disks() {
+fn stalls_of_the_process_do_not_count_as_write_time() {
     let mut disk = disk();
     write(&mut disk, 1, Millis(100));
     disk.exclude_stall(3_000, Millis(3_110));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn the_oldest_write_counts() {
+fn the_oldest_pending_write_decides() {
     let mut disk = disk();
     write(&mut disk, 1, Millis(100));
     write(&mut disk, 2, Millis(240));
@@ -92,12 +92,12 @@
     disk.synced(&[1], Millis(200));
     assert!(
         disk.is_healthy(Millis(260)),
-        "the one that is left is young"
+        "the remaining write is recent"
     );
 }
 
 #[test]
-fn after_a_slow_write_it_has_to_be_quick_for_a_while() {
+fn after_a_slow_write_the_disk_stays_unhealthy_for_two_seconds() {
     let mut disk = disk();
     write(&mut disk, 1, Millis(100));
     disk.synced(&[1], Millis(250));
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn quick_writes_do_not_end_the_time_after_a_slow_one() {
+fn fast_writes_do_not_shorten_the_time_after_a_slow_one() {
     let mut disk = disk();
     write(&mut disk, 1, Millis(100));
     disk.synced(&[1], Millis(300));
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_refused_write_makes_it_unhealthy_for_a_while() {
+fn a_failed_write_makes_the_disk_unhealthy_for_two_seconds() {
     let mut disk = disk();
     disk.failed(Millis(100));
     assert!(!disk.is_healthy(Millis(101)));
--- a/crates/cluster-node/tests/known_configuration.rs
+++ b/crates/cluster-node/tests/known_configuration.rs
@@ -1,4 +1,4 @@
-//! What a process without a disk takes over from updates.
+//! What a process without a disk learns from configuration updates.
 
 use lupinrack_cluster_api::configuration::Configuration;
 use lupinrack_cluster_api::request::Target;
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn freshness_counts_from_the_question_less_the_senders_age() {
+fn the_confirmation_time_is_the_request_time_less_the_senders_age() {
     let mut known = KnownConfiguration::default();
     assert_eq!(
         known.learn(update(3, true, 1_000, 150)),
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_answer_that_was_long_on_its_way_makes_nothing_fresher() {
+fn a_delayed_answer_does_not_advance_the_confirmation() {
     let mut known = KnownConfiguration::default();
     known.learn(update(3, true, 5_000, 0));
     assert_eq!(
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_notice_of_a_version_without_its_configuration_is_not_taken() {
+fn an_update_without_its_new_configuration_is_ignored() {
     let mut known = KnownConfiguration::default();
     known.learn(update(3, true, 1_000, 0));
     assert_eq!(
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_update_that_nobody_vouches_for_is_taken_and_makes_nothing_more_certain() {
+fn an_update_without_a_timestamp_is_adopted_but_confirms_nothing() {
     let mut known = KnownConfiguration::default();
     known.learn(update(3, true, 1_000, 0));
     let unasked = update(4, true, 0, 0);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn what_does_not_exist_is_only_said_within_the_bound_of_a_confirmation() {
+fn a_queue_is_reported_unknown_only_within_the_bound_of_a_confirmation() {
     let mut known = KnownConfiguration::default();
     assert!(!lacks(&known, "/a/", 900, 1), "nothing is known yet");
     known.learn(update(3, true, 5_000, 200));
@@ -108,13 +108,13 @@
         assert_eq!(
             lacks(&known, "/a/", 900, now),
             says,
-            "at {now}, also where the process stood still meanwhile"
+            "at {now}, also if the process was paused meanwhile"
         );
     }
 }
 
 #[test]
-fn a_configuration_is_trusted_for_half_of_the_time_that_a_change_may_take() {
+fn a_configuration_is_trusted_for_half_of_the_propagation_time() {
     assert_eq!(
         [0, 600, 1_000, 2_000, 60_000].map(negative_answer_validity_ms),
         [0, 300, 500, 900, 900]
@@ -122,7 +122,7 @@
 }
 
 quickcheck! {
-    fn it_never_goes_back(all: Vec<(u8, bool, u16, u16)>) -> bool {
+    fn version_and_confirmation_never_decrease(all: Vec<(u8, bool, u16, u16)>) -> bool {
         let mut known = KnownConfiguration::default();
         all.into_iter().all(|(version, full, requested_at, age_ms)| {
             let before = (known.configuration.version, known.confirmed_at);
--- a/crates/cluster-node/tests/shard_authority.rs
+++ b/crates/cluster-node/tests/shard_authority.rs
@@ -1,4 +1,4 @@
-//! For how long a process may act as the owner of shards.
+//! How long a process may act as the owner of shards without a new confirmation of the head.
 
 use lupinrack_cluster_api::request::Reply;
 use lupinrack_cluster_api::time::Millis;
@@ -7,7 +7,7 @@
 const VIEW: u64 = 3;
 
 #[test]
-fn authority_counts_from_the_question_not_from_its_answer() {
+fn authority_counts_from_the_request_not_from_its_answer() {
     let mut authority = ShardAuthority::default();
     let reply_to = authority.begin_request(VIEW, Millis(10_000));
     reply_to.send(Reply::Done).expect("the answer is awaited");
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_head_that_takes_longer_than_the_interval_still_confirms() {
+fn an_answer_that_takes_longer_than_the_interval_still_confirms() {
     let mut authority = ShardAuthority::default();
     let reply_to = authority.begin_request(VIEW, Millis(10_000));
     let due_within = |now: u64| authority.is_request_due(Millis(now));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_question_that_nobody_answers_is_repeated_once_its_answer_would_be_of_no_use() {
+fn an_unanswered_request_is_repeated_once_its_authority_would_have_expired() {
     let mut authority = ShardAuthority::default();
     let _reply_to = authority.begin_request(VIEW, Millis(10_000));
     assert!(!authority.poll(VIEW));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_question_that_was_dropped_is_repeated_after_the_interval() {
+fn a_dropped_request_is_repeated_after_the_interval() {
     let mut authority = ShardAuthority::default();
     drop(authority.begin_request(VIEW, Millis(10_000)));
     assert!(!authority.poll(VIEW));
--- a/crates/cluster-node/tests/shard_owner.rs
+++ b/crates/cluster-node/tests/shard_owner.rs
@@ -8,7 +8,7 @@
 use lupinrack_cluster_node::shard_owner::{owner_address, owner_of};
 use quickcheck::quickcheck;
 
-/// Services of the tests that count.
+/// The number of services in the tests.
 const SERVICES: usize = 600;
 
 fn services() -> impl Iterator<Item = ServiceName> {
@@ -62,7 +62,7 @@
 
 quickcheck! {
     /// Processes whose views list the same chain in another order agree on the owner.
-    fn the_order_of_the_chain_does_not_matter(disks: Vec<u64>, name: String, turn: usize) -> bool {
+    fn the_owner_does_not_depend_on_the_order_of_the_chain(disks: Vec<u64>, name: String, turn: usize) -> bool {
         let service = ServiceName(name);
         let chain: Vec<DiskId> = disks.iter().copied().map(DiskId).collect();
         let mut turned = chain.clone();
@@ -70,7 +70,7 @@
         owner_of(&with_chain(chain), &service) == owner_of(&with_chain(turned), &service)
     }
 
-    /// Where a disk joins, a shard stays where it is or moves to the disk that joined.
+    /// When a disk joins, a shard keeps its owner or moves to the new disk.
     fn shards_move_only_to_the_disk_that_joins(disks: Vec<u64>, joining: u64, name: String) -> bool {
         let service = ServiceName(name);
         let before = with_chain(disks.iter().copied().map(DiskId).collect());
@@ -80,7 +80,7 @@
         owner == Some(DiskId(joining)) || owner == owner_of(&before, &service)
     }
 
-    /// Where a disk leaves, only its own shards move.
+    /// When a disk leaves, only its own shards move.
     fn only_the_shards_of_the_disk_that_leaves_move(disks: Vec<u64>, leaving: usize, name: String) -> bool {
         let service = ServiceName(name);
         let mut chain: Vec<DiskId> = disks.iter().copied().map(DiskId).collect();
@@ -88,7 +88,7 @@
         chain.dedup();
         let Some(at) = leaving.checked_rem(chain.len()) else { return true };
         let before = owner_of(&with_chain(chain.clone()), &service);
-        let gone = chain.remove(at);
-        before == Some(gone) || before == owner_of(&with_chain(chain), &service)
+        let removed = chain.remove(at);
+        before == Some(removed) || before == owner_of(&with_chain(chain), &service)
     }
 }
