--- a/crates/chain/src/limits.rs
+++ b/crates/chain/src/limits.rs
@@ -1,13 +1,13 @@
 //! Bounds and intervals of the replication.
 
-use lupinrack_cluster_api::frame::FRAME_BYTES_MOST;
+use lupinrack_cluster_api::frame::MAX_FRAME_BYTES;
 
 /// The most entries that a head has uncommitted.
 pub const UNCOMMITTED_ENTRIES_MOST: u64 = 4096;
 
 /// The largest entry, in bytes. It fits into one frame, and leaves capacity on its connection for
 /// other frames.
-pub const ENTRY_BYTES_MOST: u64 = FRAME_BYTES_MOST as u64 / 8 * 5;
+pub const ENTRY_BYTES_MOST: u64 = MAX_FRAME_BYTES as u64 / 8 * 5;
 
 /// How many entries are retained in memory after a snapshot, for disks that join.
 pub const RETAINED_ENTRIES: u64 = 2000;
--- a/crates/chain/tests/byte_bounds.rs
+++ b/crates/chain/tests/byte_bounds.rs
@@ -6,7 +6,7 @@
 use lupinrack_chain::limits::{ByteLimits, ENTRY_BYTES_MOST};
 use lupinrack_chain::{Chain, Effect, StoredState, SubmitError};
 use lupinrack_cluster_api::chain::ChainMessage;
-use lupinrack_cluster_api::frame::{Frame, FRAME_BYTES_MOST};
+use lupinrack_cluster_api::frame::{Frame, MAX_FRAME_BYTES};
 use lupinrack_cluster_api::identity::DiskId;
 
 /// Bytes of one change of the configuration.
@@ -174,7 +174,7 @@
         };
         for (_, message) in messages(&head.receive(DiskId(2), join, now)) {
             let frame = Frame::Chain(message);
-            assert!(borsh::object_length(&frame).expect("counts") <= FRAME_BYTES_MOST);
+            assert!(borsh::object_length(&frame).expect("counts") <= MAX_FRAME_BYTES);
             if let Frame::Chain(ChainMessage::Append {
                 previous, entries, ..
             }) = frame
--- a/crates/cluster-api/src/agent.rs
+++ b/crates/cluster-api/src/agent.rs
@@ -1,10 +1,10 @@
 //! Messages between a server's agent, which is the process on the server's machine, and the owner
 //! of its shard.
 //!
-//! The owner orders what should run on the server. The agent turns that into starts and stops in
-//! its answers to the server's heartbeats, and may be asked for it again at any time. A session
-//! begins with [`AgentMessage::Attach`] and ends with its connection. The first [`OwnerMessage`] of
-//! a session is complete, later ones hold changes.
+//! The owner decides what should run on the server. The agent turns that into starts and stops in
+//! its answers to the server's heartbeats, and repeats them when it is asked again. A session
+//! starts with [`AgentMessage::Attach`] and ends with its connection. The first [`OwnerMessage`] of
+//! a session is a snapshot of everything that should run, later ones are deltas.
 
 use crate::identity::{Attempt, FencingToken, ServerId, TaskId};
 use crate::server::{FinishedTask, RunningTask, ServerFacts};
@@ -39,7 +39,7 @@
     Attach {
         /// The server.
         facts: ServerFacts,
-        /// The highest token that the agent has seen; it accepts no orders under a lower one.
+        /// The highest token that the agent has seen; the agent rejects orders under a lower one.
         token: FencingToken,
         /// The newest heartbeat.
         heartbeat: Heartbeat,
@@ -78,8 +78,8 @@
 pub struct OwnerMessage {
     /// The owner's token.
     pub token: FencingToken,
-    /// The incarnation of the server that this is for; the agent drops it if another one is there
-    /// now.
+    /// The incarnation of the server that this message is for. The agent drops the message if the
+    /// server has another incarnation by now.
     pub server: ServerId,
     /// Its number in this session, from 1.
     pub number: u64,
@@ -88,12 +88,12 @@
     pub complete: bool,
     /// What should run from now on.
     pub assign: Vec<Assignment>,
-    /// Runs that should not: they are stopped if they run, and are never started otherwise.
+    /// Runs that must not run: they are stopped if they run, and are never started otherwise.
     pub stop: Vec<(TaskId, Attempt)>,
-    /// Ends up to this [`FinishedTask::number`] are recorded and may be forgotten.
+    /// Ends up to this [`FinishedTask::number`] are recorded; the server may drop them.
     pub observed: u64,
     /// The `sent_at` of the newest message that the owner has received from the agent. The lease
-    /// begins at that moment.
+    /// starts at that time.
     pub lease_from: Millis,
     /// How long the lease lasts from `lease_from` on, in milliseconds. The server may run tasks
     /// until then.
--- a/crates/cluster-api/src/agreement.rs
+++ b/crates/cluster-api/src/agreement.rs
@@ -25,7 +25,7 @@
 pub struct ProposalNumber {
     /// Higher than the term of every proposal that the proposer had seen.
     pub term: u64,
-    /// Drawn at random when the proposer's process began.
+    /// Drawn at random when the proposer's process started.
     pub incarnation: u64,
 }
 
--- a/crates/cluster-api/src/chain.rs
+++ b/crates/cluster-api/src/chain.rs
@@ -8,7 +8,7 @@
 use crate::view::View;
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// Identifies a snapshot. Chunks of different snapshots are never put together.
+/// Identifies a snapshot. Chunks of different snapshots are never combined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct SnapshotIdentity {
     /// The index up to which the snapshot covers the log.
@@ -96,13 +96,13 @@
 /// What a core process reports of its replica, in the view of the heartbeat that this is part of.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ReplicaReport {
-    /// The replica is a spare that has everything that is committed, as far as it knows, and could
-    /// join the chain.
+    /// The replica is a spare that could join the chain: as far as it knows, it has everything that
+    /// is committed.
     pub caught_up: bool,
-    /// The replica is known to have everything that was committed before this view, so it may be
-    /// the head of the next.
+    /// The replica is known to have everything that was committed before this view, so it may
+    /// become the head of the next view.
     pub complete: bool,
-    /// The replica was restarted as the head of this view and cannot continue as such, so a new
-    /// view is needed.
+    /// The replica was the head of this view when it restarted. It cannot continue as the head, so
+    /// a new view is needed.
     pub needs_view: bool,
 }
--- a/crates/cluster-api/src/configuration.rs
+++ b/crates/cluster-api/src/configuration.rs
@@ -20,9 +20,9 @@
     pub priority: u32,
     /// The service whose servers run its tasks.
     pub service: ServiceName,
-    /// After how many failed runs of one task its job has failed.
+    /// The number of failed runs of one task after which its job has failed.
     pub max_retries: u32,
-    /// In how many times its longest chain of work a job should be done, in thousandths.
+    /// The target duration of a job as a multiple of its longest chain of work, in thousandths.
     pub extension_milli: u64,
 }
 
@@ -38,9 +38,9 @@
 /// Limits on what clients send.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Limits {
-    /// The most bytes of a request's head.
+    /// The maximum size of a request's head, in bytes.
     pub max_header_bytes: u64,
-    /// The most bytes of a request's body.
+    /// The maximum size of a request's body, in bytes.
     pub max_body_bytes: u64,
     /// How long a request's head may take to arrive, in milliseconds.
     pub header_timeout_ms: u64,
--- a/crates/cluster-api/src/core_heartbeat.rs
+++ b/crates/cluster-api/src/core_heartbeat.rs
@@ -1,6 +1,6 @@
 //! Heartbeats between core processes.
 //!
-//! The crate `view-agreement` judges by them which processes are reachable.
+//! The crate `view-agreement` uses them to decide which processes are reachable.
 
 use crate::chain::ReplicaReport;
 use crate::identity::DiskId;
@@ -35,8 +35,9 @@
     pub applied: u64,
     /// When the sender sent this, by its own monotonic clock; the receiver's heartbeats return it.
     pub sent_at: Millis,
-    /// The newest heartbeat that the sender has received from the process that this one goes to.
+    /// The newest heartbeat that the sender has received from the receiver of this one.
     pub acknowledges: Option<HeartbeatStamp>,
-    /// The disks whose processes the sender receives from and is received by, in ascending order.
+    /// The disks whose processes exchange messages with the sender in both directions, in ascending
+    /// order.
     pub linked: Vec<DiskId>,
 }
--- a/crates/cluster-api/src/error.rs
+++ b/crates/cluster-api/src/error.rs
@@ -44,7 +44,7 @@
     pub retry_after_s: Option<u32>,
 }
 
-/// What `Retry-After` asks of a client whose call was not carried out, in seconds.
+/// The value of `Retry-After`, in seconds, for a client whose call was not carried out.
 const RETRY_AFTER_S: u32 = 1;
 
 impl HttpError {
--- a/crates/cluster-api/src/frame.rs
+++ b/crates/cluster-api/src/frame.rs
@@ -1,8 +1,8 @@
 //! Frames of the internal protocol.
 //!
-//! A connection begins with [`Frame::Hello`] from the process that opened it. On the wire a frame
+//! A connection starts with [`Frame::Hello`] from the process that opened it. On the wire a frame
 //! is its length in four bytes, little-endian, followed by its `borsh` form. Connections may end at
-//! any time; whoever needs an answer sends its request again.
+//! any time; a process that still needs an answer sends its request again.
 
 use crate::agent::{AgentMessage, OwnerMessage};
 use crate::agreement::AgreementMessage;
@@ -16,15 +16,15 @@
 use crate::view::View;
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// The most bytes of an encoded frame, without its length.
-pub const FRAME_BYTES_MOST: usize = 8 * 1024 * 1024;
+/// The maximum size of an encoded frame, without its length prefix.
+pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
 /// The role of a process, which follows from the kind of its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub enum Role {
     /// Accepts clients' calls.
     Frontend,
-    /// Runs beside a server, as its agent.
+    /// Runs on the machine of a server, as its agent.
     Agent,
     /// Has a disk, and takes part in agreement, replication and scheduling.
     Core,
@@ -39,7 +39,7 @@
     pub role: Role,
     /// Its zone.
     pub zone: String,
-    /// The incarnation of the process, drawn at random when it began.
+    /// The incarnation of the process, drawn at random when it started.
     pub incarnation: u64,
     /// Its disk; none unless it is a core process.
     pub disk: Option<DiskId>,
@@ -85,7 +85,7 @@
     /// A message of the replication chain.
     Chain(ChainMessage),
     /// From the owner of a shard to the head: an operation to append. It is not answered: the owner
-    /// sees it applied in its own replica, and submits it again otherwise.
+    /// submits it again until its own replica has applied it.
     Submit(Operation),
     /// A message from a server's agent.
     Agent(AgentMessage),
@@ -101,14 +101,15 @@
         /// When the sender sent this, by its own monotonic clock.
         requested_at: Millis,
     },
-    /// The newest configuration, for a subscriber. The configuration was confirmed to be the newest
-    /// at a moment not before `requested_at` less `age_ms`. So the subscriber knows how old it is
-    /// at most, however long the message took.
+    /// The newest configuration, for a subscriber. It was confirmed to be the newest at
+    /// `requested_at` minus `age_ms` or later. So the subscriber knows its maximum age, however
+    /// long the message took.
     ConfigurationUpdate {
-        /// The moment in the subscription that this answers, by the subscriber's clock; 0 if the
-        /// sender guarantees no moment, as when it reports a change without being asked.
+        /// The time in the subscription that this answers, by the subscriber's clock; 0 if the
+        /// sender guarantees no time, as when it reports a change without being asked.
         requested_at: Millis,
-        /// How long ago the sender had it confirmed itself, in milliseconds; 0 from the head.
+        /// How long ago the configuration was confirmed to the sender, in milliseconds; 0 from the
+        /// head.
         age_ms: u64,
         /// The newest version.
         version: u64,
--- a/crates/cluster-api/src/identity.rs
+++ b/crates/cluster-api/src/identity.rs
@@ -8,9 +8,9 @@
 /// Digits of a job's identity.
 const JOB_ID_DIGITS: usize = 16;
 
-/// A disk of a core machine, drawn at random when the disk is first found empty. Replicas and
-/// voters are identified by their disk rather than their address: a machine that comes back with an
-/// empty disk is another replica.
+/// The identity of a core machine's disk, drawn at random when the disk is first found empty.
+/// Replicas and voters are identified by their disk rather than their address: a machine that comes
+/// back with an empty disk is another replica.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
@@ -47,7 +47,7 @@
 /// The number of a start of a task, from 1. The members of a gang share it.
 pub type Attempt = u32;
 
-/// An incarnation of a server: the identity that the server chooses anew whenever it starts.
+/// An incarnation of a server: the server chooses a new identity each time it starts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct ServerId(pub String);
 
@@ -59,8 +59,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct ServiceName(pub String);
 
-/// A fencing token. It rises with each change of a shard's owner; orders under a lower token are
-/// refused.
+/// A fencing token. It increases with each change of a shard's owner; orders under a lower token
+/// are refused.
 #[derive(
     Clone,
     Copy,
--- a/crates/cluster-api/src/job.rs
+++ b/crates/cluster-api/src/job.rs
@@ -13,7 +13,7 @@
     pub gpu: u64,
 }
 
-/// A step of a job: a number of tasks that are alike.
+/// A step of a job: a number of identical tasks.
 // Each flag is a field of the JSON in which clients submit jobs; they are independent of each
 // other.
 #[allow(clippy::struct_excessive_bools)]
@@ -39,7 +39,7 @@
     pub affinity: String,
     /// The most tasks of this step and occurrence on one server; 0 for no limit.
     pub anti_affinity: u32,
-    /// Whether a slow task may be started a second time beside its first run (speculative
+    /// Whether a slow task may be started a second time while its first run continues (speculative
     /// execution).
     pub speculative: bool,
     /// Whether its tasks run until the job is cancelled.
@@ -68,7 +68,7 @@
 pub enum JobState {
     /// None of its tasks was started yet.
     Queued,
-    /// Some task was started.
+    /// At least one task was started.
     Running,
     /// All tasks of all occurrences have succeeded.
     Succeeded,
@@ -79,7 +79,7 @@
 }
 
 impl JobState {
-    /// Whether the job has ended; it keeps such a state for ever.
+    /// Whether the job has ended. A final state never changes.
     pub fn is_final(self) -> bool {
         matches!(
             self,
--- a/crates/cluster-api/src/lib.rs
+++ b/crates/cluster-api/src/lib.rs
@@ -7,8 +7,8 @@
 //! under `tests/golden` show them. The only computation is [`rendezvous`], on whose results all
 //! processes must agree.
 //!
-//! Start reading at [`identity`], then [`operation`] for what is replicated, [`request`] for what
-//! clients ask, and [`frame`] for everything that one process sends another.
+//! Start reading at [`identity`], then [`operation`] for what is replicated, [`request`] for the
+//! calls of clients, and [`frame`] for everything that one process sends another.
 
 pub mod agent;
 pub mod agreement;
--- a/crates/cluster-api/src/operation.rs
+++ b/crates/cluster-api/src/operation.rs
@@ -90,8 +90,8 @@
         token: FencingToken,
         /// The disk whose process owns the shard from now on.
         owner: DiskId,
-        /// The incarnation of that process. A later incarnation reads this operation in its log
-        /// again, and must recognize that the token is not its own.
+        /// The incarnation of that process. A later incarnation of the process reads this operation
+        /// in its log again, and must recognize that the token is not its own.
         incarnation: u64,
     },
     /// Records starts, before any server is ordered to run them.
@@ -100,10 +100,11 @@
         service: ServiceName,
         /// The owner's token.
         token: FencingToken,
-        /// The starts. Each is accepted or refused by itself, the members of a gang together.
+        /// The starts. Each is accepted or refused separately, except that the members of a gang
+        /// are accepted or refused together.
         starts: Vec<StartRecord>,
     },
-    /// Records ends, before any server is told that it may forget them.
+    /// Records ends, before any server is notified that it may drop them.
     RecordEnds {
         /// The service of the shard.
         service: ServiceName,
@@ -115,8 +116,8 @@
         at: WallMillis,
     },
     /// Records which agent an incarnation of a server is bound to, when an owner first receives
-    /// from it. An agent stands beside one server at a time, so every incarnation that was bound to
-    /// it earlier is over, even for an owner that never received from that one.
+    /// from it. An agent serves one server at a time, so every incarnation that was bound to the
+    /// agent earlier has ended, even if the owner never received from that incarnation.
     RecordServer {
         /// The service of the shard.
         service: ServiceName,
@@ -127,9 +128,9 @@
         /// Its agent.
         agent: PeerAddress,
     },
-    /// Forgets jobs that ended before a moment.
+    /// Removes jobs that ended before a point in time.
     ForgetJobs {
-        /// The moment.
+        /// The point in time.
         ended_before: WallMillis,
     },
     /// Changes nothing. Once it is committed, everything before it is too.
--- a/crates/cluster-api/src/rendezvous.rs
+++ b/crates/cluster-api/src/rendezvous.rs
@@ -1,6 +1,7 @@
 //! Rendezvous hashing (Thaler and Ravishankar, "Using name-based mappings to increase hit rates",
-//! IEEE/ACM Transactions on Networking 1998): everybody who knows the same candidates chooses the
-//! same one for a key, and few keys change their candidate when the candidates change.
+//! IEEE/ACM Transactions on Networking 1998): all processes that know the same candidates choose
+//! the same one for a key, and few keys move to another candidate when the set of candidates
+//! changes.
 //!
 //! All processes must compute the same weights, so the functions here must not change.
 
@@ -12,7 +13,7 @@
 /// The prime of 64-bit FNV-1a.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// The weight of a candidate for a key. The candidate of the greatest weight is chosen.
+/// The weight of a candidate for a key. The candidate with the highest weight is chosen.
 pub fn weight(key: &[u8], candidate: u64) -> u64 {
     mix(fnv_1a(key) ^ candidate)
 }
--- a/crates/cluster-api/src/request.rs
+++ b/crates/cluster-api/src/request.rs
@@ -27,9 +27,10 @@
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
 pub struct CallId {
-    /// The incarnation of the calling process, drawn at random when it began. Numbers begin anew
-    /// with each incarnation, and a process that was restarted listens at the same address: without
-    /// this it would take the answer to a call of its former incarnation for one to its own.
+    /// The incarnation of the calling process, drawn at random when it started. Each incarnation
+    /// numbers its calls from the beginning, and a restarted process listens at the same address:
+    /// without this field it would mistake the answer to a call of its former incarnation for the
+    /// answer to its own.
     pub incarnation: u64,
     /// The number of the call in that incarnation.
     pub number: u64,
@@ -40,11 +41,12 @@
 pub enum IdempotenceReason {
     /// It changes nothing.
     Read,
-    /// It names a job by the identity that its client chose; the same job again is the same job.
+    /// It identifies a job by the identity that its client chose, so a repeated call refers to the
+    /// same job.
     JobIdentity,
     /// The digests of accepted changes are kept; the same change again gets the same answer.
     ChangeDigest,
-    /// What it asks for is final; once that is so, the call changes nothing.
+    /// It asks for a final state; once that state is reached, the call changes nothing.
     Final,
 }
 
@@ -53,15 +55,14 @@
     pub trait Sealed {}
 }
 
-/// A call that may be sent again if no answer came, to the same process or another one: however
+/// A call that may be sent again if no answer arrived, to the same process or another one: however
 /// often it is carried out, the state is as after the first time, and each answer is true.
 pub trait Idempotent: sealed::Sealed {
-    /// Why that is so.
+    /// Why the call is idempotent.
     fn idempotence_reason(&self) -> IdempotenceReason;
 }
 
-/// A call to the head of the chain. Every kind is idempotent; a kind that is not does not belong
-/// here.
+/// A call to the head of the chain. Every variant must be idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Request {
     /// Changes the configuration.
@@ -121,8 +122,8 @@
     }
 }
 
-/// A question that only the process which is asked can answer. It is never forwarded or retried,
-/// since another process would answer for itself.
+/// A query that only its receiver can answer. It is never forwarded or retried, since another
+/// process would answer for itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessQuery {
     /// The process's own status, for operators.
@@ -142,7 +143,7 @@
     Pending(u64),
     /// The call failed.
     Error(ErrorKind),
-    /// The process that was asked is not the head, and has accepted nothing. With the newest view
-    /// that it knows.
+    /// The called process is not the head, and has accepted nothing. Holds the newest view that the
+    /// process knows.
     NotHead(View),
 }
--- a/crates/cluster-api/src/server.rs
+++ b/crates/cluster-api/src/server.rs
@@ -4,7 +4,7 @@
 use crate::job::Resources;
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// What a server reports of itself. It seldom changes within an incarnation.
+/// What a server reports of itself. The values seldom change within an incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ServerFacts {
     /// The incarnation of the server.
--- a/crates/cluster-api/src/time.rs
+++ b/crates/cluster-api/src/time.rs
@@ -1,9 +1,9 @@
-//! Moments. The driver of a state machine hands them in; state machines read no clock.
+//! Points in time. The driver of a state machine passes them in; state machines read no clock.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// A moment by the monotonic clock of one process, in milliseconds since that process began.
-/// Moments of different processes cannot be compared.
+/// A time by the monotonic clock of one process, in milliseconds since that process started. Times
+/// of different processes cannot be compared.
 #[derive(
     Clone,
     Copy,
@@ -19,8 +19,8 @@
 )]
 pub struct Millis(pub u64);
 
-/// A moment by a wall clock, in milliseconds since 1970. Such a clock may jump, and differ between
-/// machines.
+/// A time by a wall clock, in milliseconds since 1970. Such a clock may jump, and may differ
+/// between machines.
 #[derive(
     Clone,
     Copy,
@@ -37,13 +37,13 @@
 pub struct WallMillis(pub u64);
 
 impl Millis {
-    /// The moment so many milliseconds after this one.
+    /// The time this many milliseconds after this one.
     #[must_use]
     pub fn plus(self, milliseconds: u64) -> Millis {
         Millis(self.0.saturating_add(milliseconds))
     }
 
-    /// The milliseconds from `earlier` to this moment; 0 if `earlier` is later.
+    /// The milliseconds from `earlier` to this time; 0 if `earlier` is later.
     pub fn since(self, earlier: Millis) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
--- a/crates/cluster-api/src/view.rs
+++ b/crates/cluster-api/src/view.rs
@@ -14,16 +14,16 @@
     pub zone: String,
 }
 
-/// An agreed membership of the core. Each view is agreed by a majority of the voters of the view
-/// before it and by a majority of its own.
+/// An agreed membership of the core. Each view is agreed by a majority of the voters of the
+/// previous view and by a majority of its own voters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub struct View {
-    /// Its number; 0 is the state before the first view.
+    /// Its number; 0 stands for no view yet.
     pub number: u64,
     /// Who votes.
     pub voters: Vec<Voter>,
-    /// The replication chain, head first. Every member but those that joined last has everything
-    /// that was committed before this view.
+    /// The replication chain, head first. Every member except those that joined last has
+    /// everything that was committed before this view.
     pub chain: Vec<DiskId>,
 }
 
--- a/crates/cluster-api/tests/golden.rs
+++ b/crates/cluster-api/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The wire forms of all types, compared with the examples in `tests/golden`.
 //!
-//! Every variant and every optional field occurs, and no two fields of a value are equal where
-//! their types let them differ, so that a swap of fields shows.
+//! Every variant and every optional field occurs. The fields of a value differ from each other
+//! where their types allow it, so that swapped fields are detected.
 
 mod golden_values;
 
@@ -11,7 +11,7 @@
 use lupinrack_cluster_api::chain::ReplicaReport;
 use lupinrack_cluster_api::configuration::{Configuration, Limits};
 use lupinrack_cluster_api::error::ErrorKind;
-use lupinrack_cluster_api::frame::{Interest, Role, FRAME_BYTES_MOST};
+use lupinrack_cluster_api::frame::{Interest, Role, MAX_FRAME_BYTES};
 use lupinrack_cluster_api::identity::{
     DiskId, FencingToken, JobId, QueueName, ServerId, ServiceName, TaskId,
 };
@@ -373,7 +373,7 @@
     );
     file.add_bytes(
         "bytes of a frame at most",
-        &(FRAME_BYTES_MOST as u64).to_le_bytes(),
+        &(MAX_FRAME_BYTES as u64).to_le_bytes(),
     );
     file.check();
 }
--- a/crates/cluster-api/tests/golden_values/control.rs
+++ b/crates/cluster-api/tests/golden_values/control.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// A step for each of its flags, under the flag's name, with this one alone set.
+/// A step for each flag, under the flag's name, with only that flag set.
 pub(crate) fn steps_with_one_flag() -> Vec<(&'static str, Step)> {
     vec![
         (
--- a/crates/cluster-api/tests/golden_values/messages.rs
+++ b/crates/cluster-api/tests/golden_values/messages.rs
@@ -339,7 +339,7 @@
     ]
 }
 
-/// Subscriptions, and what subscribers are told.
+/// Subscriptions, and the messages to subscribers.
 fn subscriptions() -> Vec<(String, Frame)> {
     let requested_at = Millis(119);
     let news = |configuration| Frame::ConfigurationUpdate {
--- a/crates/cluster-node/src/core/process.rs
+++ b/crates/cluster-node/src/core/process.rs
@@ -8,7 +8,7 @@
 use crate::protocol_violations::ProtocolViolationLog;
 use crate::settings_reload::reread_seeds;
 use crate::signals::{ProcessSignal, Signals};
-use lupinrack_cluster_api::frame::{Hello, Role, FRAME_BYTES_MOST};
+use lupinrack_cluster_api::frame::{Hello, Role, MAX_FRAME_BYTES};
 use lupinrack_cluster_api::identity::DiskId;
 use lupinrack_cluster_membership::{LiveMember, LiveTable, SwimSettings};
 use lupinrack_cluster_transport::peers::{PeerEvent, PeerSettings, Peers};
@@ -157,7 +157,7 @@
 /// Lets a connection buffer the largest frame.
 fn peer_settings() -> PeerSettings {
     PeerSettings {
-        max_unwritten_bytes: FRAME_BYTES_MOST,
+        max_unwritten_bytes: MAX_FRAME_BYTES,
         ..PeerSettings::default()
     }
 }
--- a/crates/cluster-transport/src/peers/accept.rs
+++ b/crates/cluster-transport/src/peers/accept.rs
@@ -3,16 +3,16 @@
 use super::codec::FrameReader;
 use super::shared::Shared;
 use super::{reader_task, writer_task};
-use lupinrack_cluster_api::frame::{Frame, Hello, FRAME_BYTES_MOST};
+use lupinrack_cluster_api::frame::{Frame, Hello, MAX_FRAME_BYTES};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::tcp::OwnedReadHalf;
 use tokio::net::{TcpListener, TcpStream};
 
-/// The largest first frame: it comes from a process that is not known yet.
+/// The maximum size of the first frame, which is small since the sender is not known yet.
 const MAX_HELLO_BYTES: usize = 4096;
 
-/// The pause after an accept that failed, as it does when file descriptors run out.
+/// The delay after a failed accept, which fails for example when file descriptors run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Accepts connections until it is notified to stop, or nobody receives events any more.
@@ -41,7 +41,7 @@
     let Ok(Some(hello)) = tokio::time::timeout(shared.settings.hello_timeout, hello).await else {
         return;
     };
-    reader.set_max_frame_bytes(FRAME_BYTES_MOST);
+    reader.set_max_frame_bytes(MAX_FRAME_BYTES);
     let connection = shared
         .table()
         .open(hello.address, &shared.hello, &shared.settings);
@@ -49,7 +49,7 @@
     reader_task::run(shared, connection, read_half, reader, Some(hello)).await;
 }
 
-/// The first frame, where it is a greeting.
+/// The first frame, if it is a greeting.
 async fn read_hello(
     shared: &Shared,
     reader: &mut FrameReader,
--- a/crates/cluster-transport/src/peers/codec.rs
+++ b/crates/cluster-transport/src/peers/codec.rs
@@ -1,14 +1,14 @@
 //! Frames as bytes: a length of four bytes, little-endian, then the frame in `borsh`.
 
 use bytes::{Buf, BytesMut};
-use lupinrack_cluster_api::frame::{Frame, FRAME_BYTES_MOST};
+use lupinrack_cluster_api::frame::{Frame, MAX_FRAME_BYTES};
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// Bytes of the length before each frame.
+/// Bytes of the length prefix of a frame.
 const LENGTH_BYTES: usize = 4;
 
-/// The least space that a read has in the buffer.
+/// The minimum buffer space for a read.
 const MIN_READ_BYTES: usize = 16 * 1024;
 
 /// A buffer that grew beyond this for a large frame is released once it is empty.
@@ -25,11 +25,11 @@
 
 impl std::error::Error for FrameError {}
 
-/// Appends a frame with its length to `buffer`, which is left unchanged where that fails.
+/// Appends a frame with its length to `buffer`, which is not changed on an error.
 ///
 /// # Errors
 ///
-/// [`FrameError::TooLarge`] where the frame has more than [`FRAME_BYTES_MOST`] bytes.
+/// [`FrameError::TooLarge`] if the frame has more than [`MAX_FRAME_BYTES`] bytes.
 pub(super) fn append(buffer: &mut Vec<u8>, frame: &Frame) -> Result<(), FrameError> {
     let start = buffer.len();
     let appended = append_unchecked(buffer, frame);
@@ -44,7 +44,7 @@
     buffer.extend_from_slice(&[0; LENGTH_BYTES]);
     let encoded = borsh::to_writer(&mut *buffer, frame);
     let length = buffer.len() - start - LENGTH_BYTES;
-    if length > FRAME_BYTES_MOST {
+    if length > MAX_FRAME_BYTES {
         return Err(FrameError::TooLarge);
     }
     encoded.map_err(|_| FrameError::Malformed)?;
@@ -68,12 +68,12 @@
         }
     }
 
-    /// Changes the size of the largest frame.
+    /// Changes the maximum size of a frame.
     pub(super) fn set_max_frame_bytes(&mut self, max_frame_bytes: usize) {
         self.max_frame_bytes = max_frame_bytes;
     }
 
-    /// Reads once; 0 at the end of the stream. Nothing is lost where the future is dropped.
+    /// Reads once; 0 at the end of the stream. Nothing is lost if the future is dropped.
     pub(super) async fn read(
         &mut self,
         stream: &mut (impl AsyncRead + Unpin),
@@ -90,7 +90,7 @@
     ///
     /// # Errors
     ///
-    /// Where the frame is larger than allowed, or its bytes are none.
+    /// If the frame is larger than allowed, or its bytes are not a frame.
     pub(super) fn next(&mut self) -> Result<Option<Frame>, FrameError> {
         let Some(length) = self.frame_length() else {
             return Ok(None);
--- a/crates/cluster-transport/src/peers/dial.rs
+++ b/crates/cluster-transport/src/peers/dial.rs
@@ -3,7 +3,7 @@
 use super::codec::FrameReader;
 use super::shared::Shared;
 use super::{reader_task, writer_task};
-use lupinrack_cluster_api::frame::FRAME_BYTES_MOST;
+use lupinrack_cluster_api::frame::MAX_FRAME_BYTES;
 use lupinrack_cluster_api::identity::PeerAddress;
 use std::io;
 use std::sync::Arc;
@@ -42,6 +42,6 @@
     };
     let (read_half, write_half) = stream.into_split();
     tokio::spawn(writer_task::run(connection.clone(), write_half));
-    let reader = FrameReader::new(FRAME_BYTES_MOST);
+    let reader = FrameReader::new(MAX_FRAME_BYTES);
     reader_task::run(shared, connection, read_half, reader, None).await;
 }
--- a/crates/cluster-transport/tests/peers/bounds.rs
+++ b/crates/cluster-transport/tests/peers/bounds.rs
@@ -1,7 +1,7 @@
 //! Limits on frames, queues and connections.
 
 use crate::support::{large, plain_peer, process, process_with, read_frame, request, within, ANY};
-use lupinrack_cluster_api::frame::{Frame, FRAME_BYTES_MOST};
+use lupinrack_cluster_api::frame::{Frame, MAX_FRAME_BYTES};
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_transport::peers::{PeerSettings, SendOutcome};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -12,7 +12,7 @@
 #[tokio::test]
 async fn a_large_frame_arrives_complete() {
     let (first, mut second) = (process(1), process(2));
-    let frame = large(7, FRAME_BYTES_MOST - 100);
+    let frame = large(7, MAX_FRAME_BYTES - 100);
     first.peers.send(second.address, request(1));
     second.greeted().await;
     second.frame().await;
@@ -28,7 +28,7 @@
 #[tokio::test]
 async fn a_frame_that_is_too_large_is_dropped_alone() {
     let (first, mut second) = (process(1), process(2));
-    let frame = large(7, FRAME_BYTES_MOST);
+    let frame = large(7, MAX_FRAME_BYTES);
     assert_eq!(
         first.peers.send(second.address, &frame),
         SendOutcome::Dropped
@@ -113,7 +113,7 @@
     }
     assert!(!first.peers.is_connected(to));
     assert_eq!(first.closed().await.0, connection);
-    // The socket itself ends too, after what the kernel had taken.
+    // The socket ends too, after the bytes that the kernel had accepted.
     let mut rest = Vec::new();
     let _ = within(stream.read_to_end(&mut rest)).await;
 }
--- a/crates/cluster-transport/tests/peers/protocol.rs
+++ b/crates/cluster-transport/tests/peers/protocol.rs
@@ -1,14 +1,14 @@
 //! Violations of the protocol, and how connections end.
 
 use crate::support::{encoded, hello, plain_peer, process, request, within, ANY};
-use lupinrack_cluster_api::frame::{Frame, FRAME_BYTES_MOST};
+use lupinrack_cluster_api::frame::{Frame, MAX_FRAME_BYTES};
 use lupinrack_cluster_api::identity::PeerAddress;
 use lupinrack_cluster_transport::peers::PeerEvent;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Checks that bytes which are no greeting close the connection and cause no event.
+/// Checks that bytes that are not a greeting close the connection and cause no event.
 async fn is_rejected_as_greeting(bytes: &[u8]) {
     let mut first = process(1);
     let mut stream = TcpStream::connect(first.address.0).await.unwrap();
@@ -37,7 +37,7 @@
 
 #[tokio::test]
 async fn malformed_bytes_close_a_connection() {
-    let too_long = u32::try_from(FRAME_BYTES_MOST + 1).unwrap().to_le_bytes();
+    let too_long = u32::try_from(MAX_FRAME_BYTES + 1).unwrap().to_le_bytes();
     let trailing = [&[2, 0, 0, 0][..], &[250, 250]].concat();
     let second_hello = encoded(&Frame::Hello(hello(2)));
     for bytes in [&too_long[..], &trailing, &second_hello] {
