--- a/crates/cluster-transport/src/http_client.rs
+++ b/crates/cluster-transport/src/http_client.rs
@@ -30,12 +30,12 @@
 
 impl std::error::Error for CallError {}
 
-/// Sends a request, whose target is a path, and reads the response. The field `Host` is the address where the request
-/// has none.
+/// Sends a request, whose target is a path, and reads the response. A request without the field `Host` gets the address
+/// as its host.
 ///
 /// # Errors
 ///
-/// Where no complete response arrived within `timeout`.
+/// If no complete response arrived within `timeout`.
 pub async fn call(
     address: SocketAddrV4,
     request: Request<Bytes>,
@@ -77,7 +77,7 @@
     }
 }
 
-/// Drives a connection. The exchange fails where the connection ends, so this never resolves.
+/// Drives a connection. The exchange fails when the connection ends, so this never resolves.
 async fn drive(connection: impl Future<Output = hyper::Result<()>>) -> Infallible {
     let _ = connection.await;
     pending().await
--- a/crates/cluster-transport/src/http_server/accept.rs
+++ b/crates/cluster-transport/src/http_server/accept.rs
@@ -11,13 +11,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{timeout_at, Instant};
 
-/// The pause after an accept that failed, as it does when file descriptors run out.
+/// The delay after a failed accept, which fails for example when file descriptors run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// How long connections that wait in the kernel's queue are still accepted before the socket is closed.
+/// How long connections in the kernel's queue are still accepted before the socket is closed.
 const FINAL_ACCEPT_WINDOW: Duration = Duration::from_millis(2);
 
-/// Accepts connections until it is notified to stop, and those that wait at that moment.
+/// Accepts connections until it is notified to stop, including those in the kernel's queue at that time.
 pub(super) async fn run<F, A>(listener: TcpListener, state: Arc<ServerState>, handler: Arc<F>)
 where
     F: Fn(HttpRequest) -> A + Send + Sync + 'static,
--- a/crates/cluster-transport/src/http_server/activity.rs
+++ b/crates/cluster-transport/src/http_server/activity.rs
@@ -17,8 +17,8 @@
 const HEAD: u8 = 1;
 const BUSY: u8 = 2;
 
-/// What a connection is doing. All its users run in the connection's task, so the order of its accesses is that of the
-/// program.
+/// What a connection is doing. All users run in the connection's task, so relaxed ordering is enough: accesses happen
+/// in program order.
 #[derive(Default)]
 pub(super) struct Activity {
     phase: AtomicU8,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A number that rises with each change of the phase.
+    /// A number that increases with each change of the phase.
     pub(super) fn phase_changes(&self) -> u64 {
         self.phase_changes.load(Ordering::Relaxed)
     }
@@ -73,7 +73,7 @@
         self.input_ended.load(Ordering::Relaxed)
     }
 
-    /// Bytes have arrived; none are the end of the client's output.
+    /// Bytes have arrived; zero bytes mean the end of the client's output.
     pub(super) fn received(&self, bytes: usize) {
         if bytes == 0 {
             self.input_ended.store(true, Ordering::Relaxed);
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The socket has or has not taken what was written.
+    /// Records whether the socket has accepted everything that was written.
     pub(super) fn set_write_blocked(&self, blocked: bool) {
         self.write_blocked.store(blocked, Ordering::Relaxed);
     }
--- a/crates/cluster-transport/src/http_server/connection.rs
+++ b/crates/cluster-transport/src/http_server/connection.rs
@@ -24,8 +24,8 @@
 /// The largest read buffer of a connection; larger header sections are rejected.
 const MAX_BUFFER_BYTES: usize = 64 * 1024;
 
-/// How long input is still read after a response that was sent before the request's end. Closing the socket at once would
-/// reset the connection, and the client might never see the response (RFC 9112, section 9.6).
+/// How long input is still read after a response that was sent before the request's end. Closing the socket at once
+/// would reset the connection, and the client might never see the response (RFC 9112, section 9.6).
 const LINGER: Duration = Duration::from_millis(500);
 
 /// How many bytes are read at most during [`LINGER`].
@@ -38,11 +38,11 @@
 const SLOW_HEAD_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
 
-/// How a connection came to its end.
+/// How a connection ended.
 enum ConnectionEnd {
     /// By HTTP itself, or by the client.
     Finished,
-    /// What the client sent is no request, and hyper has answered so.
+    /// The client sent something that is not a request, and hyper has answered with an error.
     Rejected,
     /// The watchdog closed it.
     Closed(CloseReason),
@@ -95,7 +95,7 @@
         ConnectionEnd::Finished => activity.has_unread_input(),
         ConnectionEnd::Rejected => true,
         ConnectionEnd::Closed(CloseReason::SlowHead) => {
-            // The response is small; where the socket's buffer has no space for it, the client does not read.
+            // The response is small; if the socket's buffer has no space for it, the client does not read.
             let _ = stream.try_write(SLOW_HEAD_RESPONSE);
             true
         }
--- a/crates/cluster-transport/src/http_server/drain.rs
+++ b/crates/cluster-transport/src/http_server/drain.rs
@@ -5,7 +5,7 @@
 /// How long the phases of a graceful shutdown last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainTimeouts {
-    /// How long new connections are still accepted. Meanwhile each response is the last one on its connection.
+    /// How long new connections are still accepted. During that time each response is the last one on its connection.
     pub accept_for: Duration,
     /// How long requests may take after that until their connections are aborted.
     pub response_timeout: Duration,
--- a/crates/cluster-transport/src/http_server/handle.rs
+++ b/crates/cluster-transport/src/http_server/handle.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long idle connections stay open after the last one was accepted: a request that is on its way when its connection
-/// closes would be lost.
+/// How long idle connections stay open after the last one was accepted. A request in transit would be lost if its
+/// connection closed at once.
 const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(20);
 
-/// A running server. It goes on where all handles are dropped.
+/// A running server. It continues to run when all handles are dropped.
 #[derive(Clone)]
 pub struct ServerHandle {
     state: Arc<ServerState>,
@@ -32,8 +32,9 @@
         self.state.open_connections()
     }
 
-    /// Shuts the server down gracefully: accepts connections for a while, then closes idle ones and answers the requests
-    /// that are being read or handled. Resolves when all are answered or the time is up. To be called once.
+    /// Shuts the server down gracefully: accepts connections for a while, then closes idle ones and answers the
+    /// requests that are being read or handled. Resolves when all requests are answered or the time is up. Must be
+    /// called only once.
     pub async fn drain(&self, timeouts: DrainTimeouts) -> DrainOutcome {
         self.state.enter(Stage::LastResponses);
         tokio::time::sleep(timeouts.accept_for).await;
--- a/crates/cluster-transport/src/http_server/limits.rs
+++ b/crates/cluster-transport/src/http_server/limits.rs
@@ -10,12 +10,13 @@
     pub max_header_bytes: u64,
     /// The largest body of a request, in bytes; a larger one is answered with status 413.
     pub max_body_bytes: u64,
-    /// How long a request's header section may take to arrive, and the pauses between two parts of its body, in
-    /// milliseconds; a slower one is answered with status 408.
+    /// The timeout for a request's header section, and for each pause between two parts of its body, in milliseconds; a
+    /// slower request is answered with status 408.
     pub header_timeout_ms: u64,
-    /// After which time an idle connection is closed, in milliseconds; also how long a body may take in all.
+    /// The time after which an idle connection is closed, in milliseconds; also the total time for a body.
     pub idle_timeout_ms: u64,
-    /// How many connections may be open. Further ones wait in the kernel's queue, and idle ones are closed for them.
+    /// How many connections may be open. Further ones wait in the kernel's queue, and idle
+    /// connections are closed to free capacity for them.
     pub max_connections: usize,
 }
 
--- a/crates/cluster-transport/src/http_server/mod.rs
+++ b/crates/cluster-transport/src/http_server/mod.rs
@@ -1,12 +1,12 @@
 //! An HTTP/1.1 server (RFC 9110, RFC 9112) for small JSON interfaces.
 //!
-//! A handler turns each complete [`HttpRequest`] into an [`HttpResponse`]. It runs in the task of the client's connection:
-//! where the connection fails, the handler's future is dropped, so work that must not be cancelled belongs into another
-//! task. A client that has only ended its output still gets its response.
+//! A handler turns each complete [`HttpRequest`] into an [`HttpResponse`]. It runs in the task of the client's
+//! connection: if the connection fails, the handler's future is dropped, so work that must not be cancelled belongs in
+//! another task. A client that has only ended its output still gets its response.
 //!
 //! Start reading at [`serve`]: `accept` accepts connections, and for each `connection` drives hyper, with a `service`
-//! between hyper and the handler and a `watchdog` for slow and idle clients. What all connections of a server share is in
-//! `state`.
+//! between hyper and the handler and a `watchdog` for slow and idle clients. What all connections of a server share is
+//! in `state`.
 
 mod accept;
 mod activity;
@@ -35,11 +35,11 @@
 use std::io;
 use std::sync::Arc;
 
-/// Serves all connections of a listening socket. To be called within a tokio runtime.
+/// Serves all connections of a listening socket. Must be called within a tokio runtime.
 ///
 /// # Errors
 ///
-/// Where the socket cannot be made asynchronous or has no local address.
+/// If the socket cannot be made asynchronous or has no local address.
 pub fn serve<F, A>(
     listener: std::net::TcpListener,
     limits: Arc<SharedValue<HttpLimits>>,
--- a/crates/cluster-transport/src/http_server/observed_stream.rs
+++ b/crates/cluster-transport/src/http_server/observed_stream.rs
@@ -19,7 +19,7 @@
         ObservedStream { stream, activity }
     }
 
-    /// Ends the observation.
+    /// Stops the reports.
     pub(super) fn into_stream(self) -> TcpStream {
         self.stream
     }
--- a/crates/cluster-transport/src/http_server/request.rs
+++ b/crates/cluster-transport/src/http_server/request.rs
@@ -5,7 +5,7 @@
 use http::request::Parts;
 use http::{header, HeaderMap, Method};
 
-/// The field in which clients state for how many more milliseconds they wait.
+/// The field in which clients send their remaining time until the deadline, in milliseconds.
 pub const DEADLINE_REMAINING: &str = "lupinrack-deadline-remaining";
 
 /// A request that was read to its end.
@@ -16,18 +16,18 @@
     /// The path, as sent, without a query.
     pub path: String,
     /// The host, in lower case and without a port: that of an absolute target, or of the field `Host` (RFC 9112,
-    /// section 3.2.2). Empty where there is none.
+    /// section 3.2.2). Empty if there is none.
     pub host: String,
     /// The precondition.
     pub if_match: IfMatch,
-    /// For how many more milliseconds the client waits; none where it does not say.
+    /// The client's remaining time until the deadline, in milliseconds; none if the field is missing.
     pub deadline_remaining_ms: Option<u64>,
     /// The body.
     pub body: Bytes,
 }
 
 impl HttpRequest {
-    /// The request of a header section and the body that follows it.
+    /// Builds a request from its header section and its body.
     pub(super) fn new(parts: &Parts, body: Bytes) -> Self {
         HttpRequest {
             method: parts.method.clone(),
--- a/crates/cluster-transport/src/http_server/response.rs
+++ b/crates/cluster-transport/src/http_server/response.rs
@@ -19,7 +19,7 @@
 }
 
 impl HttpResponse {
-    /// A status and nothing else.
+    /// A response with only a status.
     pub fn empty(status: u16) -> Self {
         HttpResponse {
             status,
@@ -56,8 +56,8 @@
         }
     }
 
-    /// The response as it is sent. Status 500 replaces one that is none; `Connection: close` says that it is the last
-    /// one on its connection (RFC 9112, section 9.6).
+    /// The response as it is sent. Status 500 replaces an invalid status code; `Connection: close` says that it is the
+    /// last one on its connection (RFC 9112, section 9.6).
     pub(super) fn into_response(self, persistence: Persistence) -> Response<Full<Bytes>> {
         let mut response = Response::new(Full::new(self.body.clone()));
         *response.status_mut() =
@@ -83,10 +83,10 @@
     }
 }
 
-/// What becomes of a connection after a response.
+/// What happens to a connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Persistence {
-    /// It is kept for further requests.
+    /// It stays open for further requests.
     KeepAlive,
     /// It is closed.
     Close,
--- a/crates/cluster-transport/src/http_server/service.rs
+++ b/crates/cluster-transport/src/http_server/service.rs
@@ -1,4 +1,4 @@
-//! The service between hyper and the handler: reads a request to its end and has it answered.
+//! The service between hyper and the handler: reads a complete request and passes it to the handler.
 
 use super::activity::Activity;
 use super::limits::HttpLimits;
@@ -83,7 +83,7 @@
         .unwrap_or(Err(ErrorKind::TooSlow))
 }
 
-/// Collects the frames of a body, each of which has to arrive in time.
+/// Collects the frames of a body, each of which must arrive in time.
 async fn collect_frames(mut body: Incoming, limits: &HttpLimits) -> Result<Bytes, ErrorKind> {
     let expected = usize::try_from(body.size_hint().lower()).map_err(|_| ErrorKind::TooLarge)?;
     let mut collected = BytesMut::new();
--- a/crates/cluster-transport/src/http_server/state.rs
+++ b/crates/cluster-transport/src/http_server/state.rs
@@ -1,4 +1,5 @@
-//! What all connections of a server share: its limits, the stage of its shutdown, and the number of connections.
+//! The state that all connections of a server share: its limits, the stage of its shutdown, and the number of
+//! connections.
 
 use super::limits::HttpLimits;
 use crate::shared_value::SharedValue;
@@ -19,7 +20,7 @@
     Closing = 3,
 }
 
-/// What all connections of a server share.
+/// The state that all connections of a server share.
 pub(super) struct ServerState {
     /// The limits in force.
     pub(super) limits: Arc<SharedValue<HttpLimits>>,
@@ -56,24 +57,24 @@
         }
     }
 
-    /// Enters a stage and wakes all connections. A stage is never left for an earlier one.
+    /// Enters a stage and wakes all connections. The server never returns to an earlier stage.
     pub(super) fn enter(&self, stage: Stage) {
         self.stage.fetch_max(stage as u8, Ordering::AcqRel);
         self.wake_connections();
     }
 
-    /// Whether this stage is reached.
+    /// Whether the server has reached this stage.
     pub(super) fn has_reached(&self, stage: Stage) -> bool {
         self.stage.load(Ordering::Acquire) >= stage as u8
     }
 
-    /// Whether each response is to be the last one on its connection: during shutdown, and while new connections wait for
-    /// capacity.
+    /// Whether each response must be the last one on its connection: during shutdown, and while new connections wait
+    /// for capacity.
     pub(super) fn closes_after_response(&self) -> bool {
         self.has_reached(Stage::LastResponses) || self.idle_close_requested.load(Ordering::Acquire)
     }
 
-    /// A number that rises with each change that concerns connections.
+    /// A number that increases with each change that concerns connections.
     pub(super) fn changes(&self) -> u64 {
         self.changes.load(Ordering::Acquire)
     }
@@ -105,7 +106,7 @@
         self.idle_close_requested.store(false, Ordering::Release);
     }
 
-    /// Whether the idle connection that calls this has to close: one connection answers each request.
+    /// Whether the idle connection that calls this must close: each close request is taken by one connection.
     pub(super) fn take_idle_close(&self) -> bool {
         self.idle_close_requested
             .compare_exchange(true, false, Ordering::AcqRel, Ordering::Relaxed)
@@ -124,13 +125,13 @@
 }
 
 impl OpenConnection {
-    /// Counts one connection more.
+    /// Counts one more connection.
     pub(super) fn new(state: Arc<ServerState>) -> Self {
         state.open.fetch_add(1, Ordering::AcqRel);
         OpenConnection { state }
     }
 
-    /// The state of its server.
+    /// The state of the connection's server.
     pub(super) fn state(&self) -> &Arc<ServerState> {
         &self.state
     }
--- a/crates/cluster-transport/src/http_server/watchdog.rs
+++ b/crates/cluster-transport/src/http_server/watchdog.rs
@@ -1,4 +1,5 @@
-//! The watchdog of a connection: decides when it has to close for its slowness, its idleness, or the server's shutdown.
+//! The watchdog of a connection: decides when it must close because it is slow or idle, or because
+//! the server shuts down.
 
 use super::activity::{Activity, Phase};
 use super::limits::HttpLimits;
@@ -10,10 +11,10 @@
 use tokio::sync::futures::Notified;
 use tokio::time::{sleep_until, Instant, Sleep};
 
-/// Why a connection has to close.
+/// Why a connection must close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// It is idle and timed out, or its capacity is needed, or the server shuts down.
+    /// It is idle, and it timed out, its capacity is needed, or the server shuts down.
     Idle,
     /// The header section of a request took too long.
     SlowHead,
@@ -21,7 +22,7 @@
     Shutdown,
 }
 
-/// Watches one connection. It is polled in the connection's task each time that something has happened on it.
+/// Watches one connection. It is polled in the connection's task after each event on the connection.
 pub(super) struct Watchdog<'a, 'server> {
     state: &'server ServerState,
     activity: Arc<Activity>,
@@ -34,7 +35,7 @@
 }
 
 impl<'a, 'server> Watchdog<'a, 'server> {
-    /// Watches from now on. `state_changed` is the storage of the future that changes of the state wake.
+    /// Starts to watch. `state_changed` stores the future that a change of the server's state wakes.
     pub(super) fn new(
         state: &'server ServerState,
         activity: Arc<Activity>,
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Ready once the connection has to close.
+    /// Ready once the connection must close.
     pub(super) fn poll(&mut self, context: &mut Context<'_>) -> Poll<CloseReason> {
         self.watch_state(context);
         if self.state.has_reached(Stage::Closing) {
@@ -69,7 +70,7 @@
         self.state.has_reached(Stage::ClosingIdle) || self.state.take_idle_close()
     }
 
-    /// Lets the state's next change wake the task. It costs nothing while there is none.
+    /// Registers the task to be woken at the next change of the state. It costs nothing while there is no change.
     fn watch_state(&mut self, context: &mut Context<'_>) {
         while self.seen_state_changes != Some(self.state.changes()) {
             self.state_changed.set(self.state.changed.notified());
@@ -92,7 +93,7 @@
         self.poll_timer(context, deadline).map(|()| reason)
     }
 
-    /// Ready at the deadline. A timer that is set to an earlier moment stays, and is set anew when it fires, since
+    /// Ready at the deadline. A timer that is set to an earlier time is kept and is reset only when it fires, since
     /// resetting it for every request would cost more.
     fn poll_timer(&mut self, context: &mut Context<'_>, deadline: Instant) -> Poll<()> {
         let timer = self
--- a/crates/cluster-transport/src/listen.rs
+++ b/crates/cluster-transport/src/listen.rs
@@ -5,7 +5,8 @@
 use std::net::{SocketAddrV4, TcpListener};
 use std::time::Duration;
 
-/// How many connections the kernel queues until they are accepted. Where the queue is full, a client retries after seconds.
+/// How many connections the kernel queues until they are accepted. If the queue is full, a client retries after
+/// seconds.
 const BACKLOG: i32 = 1024;
 
 /// How long [`bind`] waits for an address that is in use.
--- a/crates/cluster-transport/src/peers/connection.rs
+++ b/crates/cluster-transport/src/peers/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: what is to be written on it, and how it ended.
+//! One connection: its queue of bytes to write, and how it ended.
 
 use super::codec::{self, FrameError, MAX_IDLE_BUFFER_BYTES};
 use lupinrack_cluster_api::frame::Frame;
@@ -8,30 +8,30 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Why a connection did not take a frame.
+/// Why a frame could not be queued on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PushError {
     /// It is closed.
     Closed,
-    /// The peer reads too slowly; the connection is closed by this.
+    /// The peer reads too slowly; the connection has been closed.
     Overflow,
     /// The frame cannot be sent on any connection.
     Frame(FrameError),
 }
 
-/// What is to be written, and the state of the socket.
+/// The bytes to write, and the state of the socket.
 #[derive(Default)]
 struct ConnectionState {
-    /// Encoded frames that no write has taken.
+    /// Encoded frames that are not part of a write yet.
     queued: Vec<u8>,
-    /// How many bytes the current write has taken.
+    /// The number of bytes in the current write.
     bytes_being_written: usize,
     closed: bool,
     failed: bool,
     last_received: Option<Instant>,
 }
 
-/// One connection, as its two tasks and the table of connections share it.
+/// One connection, shared by its two tasks and the table of connections.
 pub(super) struct Connection {
     /// Its number, unique in this process.
     pub(super) number: u64,
@@ -60,8 +60,8 @@
     ///
     /// # Errors
     ///
-    /// Where the connection is closed, the frame is too large, or `max_unwritten_bytes` or more are not yet written: the
-    /// connection is then closed.
+    /// If the connection is closed or the frame is too large. Also if `max_unwritten_bytes` or more are not written
+    /// yet; the connection is then closed.
     pub(super) fn push(&self, frame: &Frame, max_unwritten_bytes: usize) -> Result<(), PushError> {
         let mut state = self.state();
         if state.closed {
@@ -77,7 +77,7 @@
         Ok(())
     }
 
-    /// Queues a frame that is encoded already.
+    /// Queues an encoded frame.
     pub(super) fn push_encoded(&self, bytes: &[u8]) {
         let mut state = self.state();
         if !state.closed {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Swaps everything that is queued into `batch`, whose former content has been written; false if there is nothing.
+    /// Swaps all queued bytes into `batch`, whose previous content has been written; false if nothing is queued.
     pub(super) fn take_queued(&self, batch: &mut Vec<u8>) -> bool {
         batch.clear();
         if batch.capacity() > MAX_IDLE_BUFFER_BYTES {
@@ -98,12 +98,12 @@
         !batch.is_empty()
     }
 
-    /// Resolves once something is queued.
+    /// Resolves once bytes are queued.
     pub(super) async fn queue_filled(&self) {
         self.queue_filled.notified().await;
     }
 
-    /// Ends the connection without writing what is queued; its tasks learn of it by [`Connection::closing`].
+    /// Closes the connection without writing the queued bytes; its tasks are notified by [`Connection::closing`].
     pub(super) fn close(&self) {
         let mut state = self.state();
         state.closed = true;
@@ -111,7 +111,7 @@
         self.closing.notify_waiters();
     }
 
-    /// Takes nothing more to write since the socket failed, and leaves it to be read to its end.
+    /// Accepts no more frames, since a write on the socket failed. The socket is still read to its end.
     pub(super) fn fail_writes(&self) {
         let mut state = self.state();
         state.failed = true;
@@ -119,7 +119,7 @@
         state.queued = Vec::new();
     }
 
-    /// Ends the connection since its socket failed.
+    /// Closes the connection because its socket failed.
     pub(super) fn fail(&self) {
         self.state().failed = true;
         self.close();
@@ -130,9 +130,9 @@
         self.state().failed
     }
 
-    /// Notes which incarnation of the peer's process is at the other end.
+    /// Records the incarnation of the peer's process at the other end.
     pub(super) fn set_incarnation(&self, incarnation: u64) {
-        // The greeting is accepted once, so nothing is set before.
+        // Only one greeting is accepted, so the value was not set before.
         let _ = self.incarnation.set(incarnation);
     }
 
@@ -153,7 +153,7 @@
         self.closing.notified()
     }
 
-    /// Notes that bytes arrived.
+    /// Records that bytes arrived.
     pub(super) fn received(&self, now: Instant) {
         self.state().last_received = Some(now);
     }
--- a/crates/cluster-transport/src/peers/connection_table.rs
+++ b/crates/cluster-transport/src/peers/connection_table.rs
@@ -1,4 +1,4 @@
-//! The table of connections: which there are to which peer, and the frames that wait for one.
+//! The table of connections: the connections to each peer, and the frames that wait for one.
 
 use super::codec;
 use super::connection::{Connection, PushError};
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// How many replaced connections to a peer are still read; the oldest one beyond is closed.
+/// The maximum number of replaced connections to a peer that are still read; beyond it the oldest one is closed.
 const MAX_REPLACED_CONNECTIONS: usize = 2;
 
 /// What is known of one peer.
@@ -28,9 +28,9 @@
 
 /// The result of sending a frame.
 pub(super) struct SendResult {
-    /// What became of the frame.
+    /// What happened to the frame.
     pub(super) outcome: SendOutcome,
-    /// Whether the caller has to open a connection now.
+    /// Whether the caller must open a connection now.
     pub(super) needs_dial: bool,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl ConnectionTable {
-    /// Queues a frame on the newest connection to a peer, or lets it wait for one.
+    /// Queues a frame on the newest connection to a peer, or adds it to the pending frames.
     pub(super) fn send(
         &mut self,
         to: PeerAddress,
@@ -70,14 +70,14 @@
         }
     }
 
-    /// Queues a frame on one certain connection; false where that is impossible.
+    /// Queues a frame on the connection with this number; false if that is impossible.
     pub(super) fn send_on(&mut self, number: u64, frame: &Frame, settings: &PeerSettings) -> bool {
         self.connections_by_number
             .get(&number)
             .is_some_and(|connection| connection.push(frame, settings.max_unwritten_bytes).is_ok())
     }
 
-    /// Adds a connection, on which `hello` and all pending frames of the peer are sent, and from now on all others.
+    /// Adds a connection. `hello`, all pending frames of the peer and all later frames are sent on it.
     pub(super) fn open(
         &mut self,
         to: PeerAddress,
@@ -87,7 +87,7 @@
         self.last_number += 1;
         let connection = Arc::new(Connection::new(self.last_number, to));
         let peer = self.peers.entry(to).or_default();
-        // A new connection takes any frame, and the own greeting is never too large.
+        // A new connection accepts any frame, and this process's greeting is never too large.
         let _ = connection.push(hello, settings.max_unwritten_bytes);
         peer.pending.drop_expired(Instant::now(), settings);
         for bytes in peer.pending.take_all() {
@@ -150,7 +150,7 @@
         open.chain(peer.last_received).max()
     }
 
-    /// Whether to try to connect again, which is while frames wait. Otherwise the next frame begins anew.
+    /// Whether to try to connect again, which is so while frames wait. Otherwise the next frame starts new attempts.
     pub(super) fn continue_dialing(&mut self, to: PeerAddress, settings: &PeerSettings) -> bool {
         let peer = self.peers.entry(to).or_default();
         peer.pending.drop_expired(Instant::now(), settings);
@@ -158,7 +158,7 @@
         peer.dialing
     }
 
-    /// Notes that a connection was opened.
+    /// Records that a connection was opened.
     pub(super) fn dialing_ended(&mut self, to: PeerAddress) {
         self.peers.entry(to).or_default().dialing = false;
     }
@@ -173,7 +173,7 @@
             .find(|connection| !connection.is_closed())
     }
 
-    /// Queues a frame on the newest connection; none where there is no connection.
+    /// Queues a frame on the newest connection; none if there is no connection.
     fn push(&self, frame: &Frame, settings: &PeerSettings) -> Option<SendOutcome> {
         let connection = self.newest()?;
         match connection.push(frame, settings.max_unwritten_bytes) {
--- a/crates/cluster-transport/src/peers/mod.rs
+++ b/crates/cluster-transport/src/peers/mod.rs
@@ -1,11 +1,11 @@
 //! Connections between the processes of the system, which carry [`Frame`]s both ways.
 //!
-//! Either side may open a connection; the first frame each way is [`Frame::Hello`]. There are no acknowledgements: frames
-//! are lost with their connection, and their order is kept within one connection only.
+//! Either side may open a connection; the first frame each way is [`Frame::Hello`]. There are no acknowledgements:
+//! frames are lost with their connection, and their order is kept within one connection only.
 //!
-//! Start reading at [`Peers`]. Each connection has a task that reads (`reader_task`) and one that writes (`writer_task`);
-//! all frames that are sent in one turn of the runtime go out in one write. The `connection_table` owns which connections
-//! there are to which peer, and `shared` what all tasks share.
+//! Start reading at [`Peers`]. Each connection has a task that reads (`reader_task`) and one that writes
+//! (`writer_task`); all frames that are sent in one turn of the runtime go out in one write. The `connection_table`
+//! owns the connections to each peer, and `shared` the state that all tasks share.
 
 mod accept;
 mod codec;
@@ -42,13 +42,13 @@
 }
 
 impl Peers {
-    /// Listens for peers at an address. To be called within a tokio runtime.
+    /// Listens for peers at an address. Must be called within a tokio runtime.
     ///
     /// A port of 0 in `hello.address` is replaced by the port that the kernel chose.
     ///
     /// # Errors
     ///
-    /// Where the process cannot listen at the address.
+    /// If the process cannot listen at the address.
     pub fn start(
         address: SocketAddrV4,
         hello: Hello,
@@ -57,11 +57,11 @@
         Peers::start_on(listen::bind_once(address)?, hello, settings)
     }
 
-    /// As [`Peers::start`], with a socket that listens already.
+    /// Like [`Peers::start`], with a socket that is already listening.
     ///
     /// # Errors
     ///
-    /// Where the socket cannot be made asynchronous or has no IPv4 address.
+    /// If the socket cannot be made asynchronous or has no IPv4 address.
     pub fn start_on(
         listener: std::net::TcpListener,
         mut hello: Hello,
@@ -98,14 +98,14 @@
         sent.outcome
     }
 
-    /// Sends a frame on this very connection; false where the connection has ended. Never blocks.
+    /// Sends a frame on the connection with this number; false if the connection has ended. Never blocks.
     pub fn send_on(&self, connection: u64, frame: impl Borrow<Frame>) -> bool {
         self.shared
             .table()
             .send_on(connection, frame.borrow(), &self.shared.settings)
     }
 
-    /// Closes all connections to a peer at once; what was not written yet is lost.
+    /// Closes all connections to a peer at once; bytes that were not written yet are lost.
     pub fn close(&self, to: PeerAddress) {
         self.shared.table().close(to);
     }
@@ -120,8 +120,8 @@
         self.shared.table().last_received(from)
     }
 
-    /// How many connections were closed because of what arrived on them: bytes that are no frame, a frame that is too
-    /// large, or a greeting that is missing, repeated or another process's.
+    /// How many connections were closed because of their input: bytes that are not a frame, a frame that is too large,
+    /// or a greeting that is missing, repeated or from another process.
     pub fn protocol_violations(&self) -> u64 {
         self.shared.violations()
     }
--- a/crates/cluster-transport/src/peers/pending_frames.rs
+++ b/crates/cluster-transport/src/peers/pending_frames.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// An encoded frame, and since when it waits.
+/// An encoded frame, and the time since which it waits.
 struct PendingFrame {
     since: Instant,
     bytes: Vec<u8>,
@@ -18,7 +18,7 @@
 }
 
 impl PendingFrames {
-    /// Adds an encoded frame. Expired frames are dropped, and the oldest ones while there are too many.
+    /// Adds an encoded frame. Expired frames are dropped, then the oldest ones while there are too many.
     pub(super) fn push(&mut self, bytes: Vec<u8>, now: Instant, settings: &PeerSettings) {
         self.drop_expired(now, settings);
         self.bytes += bytes.len();
--- a/crates/cluster-transport/src/peers/reader_task.rs
+++ b/crates/cluster-transport/src/peers/reader_task.rs
@@ -12,7 +12,7 @@
 
 /// Delivers the frames of a connection as events until it ends.
 ///
-/// `hello` is the peer's greeting where it was read already; otherwise it has to be the first frame.
+/// `hello` is the peer's greeting if it was read already; otherwise the first frame must be the greeting.
 pub(super) async fn run(
     shared: Arc<Shared>,
     connection: Arc<Connection>,
@@ -39,18 +39,18 @@
         connection: connection.number,
         reset: connection.has_failed(),
     };
-    // Where this fails, nobody receives events any more.
+    // If this fails, nobody receives events any more.
     let _ = shared.events.send(closed).await;
 }
 
-/// What a peer's greeting says about the sender of all its frames.
+/// The sender of all frames of a connection, from the peer's greeting.
 #[derive(Clone, Copy)]
 struct Sender {
     role: Role,
     incarnation: u64,
 }
 
-/// Whether a connection can go on after what arrived on it.
+/// Whether a connection can continue after its latest input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
     Continue,
@@ -124,8 +124,8 @@
         }
     }
 
-    /// The sender of a frame, unless the frame breaks the protocol: the greeting comes first, once, and from the process
-    /// that the connection belongs to.
+    /// The sender of a frame, unless the frame breaks the protocol: the greeting comes first, once, and from the
+    /// process that the connection belongs to.
     fn sender_of(&mut self, frame: &Frame) -> Option<Sender> {
         match (self.sender, frame) {
             (None, Frame::Hello(hello)) if hello.address == self.connection.peer => {
--- a/crates/cluster-transport/src/peers/send_outcome.rs
+++ b/crates/cluster-transport/src/peers/send_outcome.rs
@@ -1,6 +1,6 @@
-//! What becomes of a frame that is sent.
+//! What happens to a frame that is sent.
 
-/// What became of a frame that was passed to [`Peers::send`](super::Peers::send).
+/// What happened to a frame that was passed to [`Peers::send`](super::Peers::send).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendOutcome {
     /// It was queued on a connection.
@@ -10,6 +10,6 @@
     },
     /// It waits for a connection to be opened.
     Pending,
-    /// It was dropped: it is too large, or the peer does not read, in which case its connection was closed.
+    /// It was dropped: it is too large, or the peer does not read. In the latter case the connection was closed.
     Dropped,
 }
--- a/crates/cluster-transport/src/peers/settings.rs
+++ b/crates/cluster-transport/src/peers/settings.rs
@@ -7,9 +7,9 @@
 pub struct PeerSettings {
     /// How long opening a connection may take.
     pub connect_timeout: Duration,
-    /// The shortest delay after an attempt to connect that failed.
+    /// The minimum delay after a failed attempt to connect.
     pub min_reconnect_delay: Duration,
-    /// The longest such delay; its bound doubles with each failure, and it is drawn at random below that.
+    /// The maximum of that delay. The delay is drawn at random below a bound that doubles with each failure.
     pub max_reconnect_delay: Duration,
     /// How long an accepted connection may take to send its greeting.
     pub hello_timeout: Duration,
@@ -22,8 +22,8 @@
     pub max_pending_bytes: usize,
     /// How long a frame waits for a connection before it is dropped.
     pub max_pending_age: Duration,
-    /// With so many bytes not yet written, a further frame closes the connection. A single frame may be larger, so a
-    /// sender of much data at once splits it into frames that are small beside this.
+    /// With this many bytes not yet written, a further frame closes the connection. A single frame may be larger, so a
+    /// sender of much data at once splits it into frames that are much smaller than this.
     pub max_unwritten_bytes: usize,
     /// How many events may wait for their receiver before connections are no longer read.
     pub max_queued_events: usize,
--- a/crates/cluster-transport/src/peers/shared.rs
+++ b/crates/cluster-transport/src/peers/shared.rs
@@ -1,4 +1,4 @@
-//! What all tasks of the internal connections share.
+//! The state that all tasks of the internal connections share.
 
 use super::connection_table::ConnectionTable;
 use super::event::PeerEvent;
@@ -16,7 +16,7 @@
 /// The bound of the delay between attempts to connect doubles up to this number of failures.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
-/// What all tasks of the internal connections share.
+/// The state that all tasks of the internal connections share.
 pub(super) struct Shared {
     /// The greeting that this process sends first on each connection.
     pub(super) hello: Frame,
@@ -24,7 +24,7 @@
     pub(super) address: SocketAddrV4,
     pub(super) settings: PeerSettings,
     pub(super) runtime: Handle,
-    /// Where events go.
+    /// The sender of events.
     pub(super) events: mpsc::Sender<PeerEvent>,
     /// Notifies the accepting task that it has to stop.
     pub(super) stop_accepting: Notify,
@@ -35,7 +35,7 @@
 }
 
 impl Shared {
-    /// The shared part of a process without connections. To be called within a tokio runtime.
+    /// The shared state of a process without connections. Must be called within a tokio runtime.
     pub(super) fn new(
         address: SocketAddrV4,
         hello: Hello,
@@ -60,7 +60,7 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a connection that is closed because of what arrived on it.
+    /// Counts a connection that is closed because of its input.
     pub(super) fn count_violation(&self) {
         self.violations.fetch_add(1, Ordering::Relaxed);
     }
@@ -69,16 +69,16 @@
         self.violations.load(Ordering::Relaxed)
     }
 
-    /// Sets the options of every internal connection: small writes are not delayed, and the connection ends where the
-    /// other side acknowledges nothing.
+    /// Sets the options of every internal connection: small writes are not delayed, and the connection fails if
+    /// the other side acknowledges nothing.
     pub(super) fn configure(&self, stream: &TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let socket = socket2::SockRef::from(stream);
         socket.set_tcp_user_timeout(Some(self.settings.tcp_user_timeout))
     }
 
-    /// The delay before the next attempt to connect, after so many failures in a row: exponential backoff with jitter.
-    /// It is drawn between the shortest delay and a bound that doubles with each failure.
+    /// The delay before the next attempt to connect, after this many failures in a row: exponential backoff with
+    /// jitter. It is drawn between the minimum delay and a bound that doubles with each failure.
     pub(super) fn reconnect_delay(&self, failures: u32) -> Duration {
         let min = self.settings.min_reconnect_delay;
         let bound = min
--- a/crates/cluster-transport/src/peers/writer_task.rs
+++ b/crates/cluster-transport/src/peers/writer_task.rs
@@ -6,7 +6,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::OwnedWriteHalf;
 
-/// Writes what is queued on a connection until it closes, everything that is queued in one call.
+/// Writes the queued bytes of a connection until it closes. One call writes everything that is queued.
 pub(super) async fn run(connection: Arc<Connection>, mut stream: OwnedWriteHalf) {
     let mut closing = pin!(connection.closing());
     let mut batch = Vec::new();
@@ -25,7 +25,7 @@
             () = &mut closing => break,
         };
         if result.is_err() {
-            // What the peer had sent before is still read; the reading task then closes the connection.
+            // Bytes that the peer has already sent are still read; the reading task then closes the connection.
             return connection.fail_writes();
         }
     }
--- a/crates/cluster-transport/src/shared_value.rs
+++ b/crates/cluster-transport/src/shared_value.rs
@@ -1,8 +1,8 @@
 //! A value that is read often and replaced atomically.
 //!
-//! Readers get the value of one moment and keep it as long as they like; a reader that loads again never gets an older
-//! one than before. The cell that holds the current value is a parameter, so that tests can use one whose every
-//! interleaving of threads they explore.
+//! A reader gets the current value and may keep it for any time; when it loads again, it never gets an older value. The
+//! cell that holds the current value is a type parameter, so that tests can use a cell for which they explore every
+//! interleaving of threads.
 
 use arc_swap::ArcSwap;
 use std::marker::PhantomData;
@@ -19,7 +19,7 @@
     /// Replaces the value.
     fn store(&self, value: Arc<T>);
 
-    /// Replaces the value by `next` if `current` is still the very value that the cell holds; whether it was.
+    /// Replaces the value by `next` if the cell still holds `current`, compared by pointer; returns whether it did.
     fn compare_and_swap(&self, current: &Arc<T>, next: Arc<T>) -> bool;
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl<T, C: SharedCell<T>> SharedValue<T, C> {
-    /// Begins with this value.
+    /// A shared value that starts with this value.
     pub fn new(value: T) -> Self {
         SharedValue {
             cell: C::new(Arc::new(value)),
@@ -62,14 +62,14 @@
         self.cell.load()
     }
 
-    /// Replaces the value, whatever it is. With several writers the last one wins; see [`SharedValue::update`].
+    /// Replaces the value unconditionally. With several writers the last one wins; see [`SharedValue::update`].
     pub fn replace(&self, value: Arc<T>) {
         self.cell.store(value);
     }
 
-    /// Replaces the value by what `next` makes of it, or leaves it where that is none; whether it was replaced.
+    /// Replaces the value by the result of `next`, unless that is none; returns whether it was replaced.
     ///
-    /// `next` is called again where another writer replaced the value meanwhile, so no update is lost.
+    /// `next` is called again if another writer replaced the value meanwhile, so no update is lost.
     pub fn update(&self, mut next: impl FnMut(&T) -> Option<T>) -> bool {
         loop {
             let current = self.cell.load();
--- a/crates/cluster-transport/tests/golden/answers.rs
+++ b/crates/cluster-transport/tests/golden/answers.rs
@@ -16,10 +16,10 @@
 
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A whole request, after which the connection stays open.
+/// A complete request, after which the connection stays open.
 const GET: &str = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
 
-/// The bounds of the server whose refusals are kept.
+/// The limits of the server whose error responses are in the golden file.
 const LIMITS: HttpLimits = HttpLimits {
     max_header_bytes: 1000,
     max_body_bytes: 10,
@@ -28,7 +28,7 @@
     max_connections: 8,
 };
 
-/// A server that gives one answer to all.
+/// A server that gives the same answer to all requests.
 fn server(limits: HttpLimits, answer: HttpResponse) -> ServerHandle {
     let handler = move |_| {
         let answer = answer.clone();
@@ -49,7 +49,7 @@
     read_message(&mut stream).await
 }
 
-/// The response that the client makes of these bytes.
+/// The response that the client parses from these bytes.
 async fn received(message: &str) -> Response<Bytes> {
     let (listener, address) = listener().await;
     let server = async {
--- a/crates/cluster-transport/tests/golden/examples.rs
+++ b/crates/cluster-transport/tests/golden/examples.rs
@@ -1,7 +1,7 @@
-//! Examples that are kept in files beside this one, and the two forms in which they are kept.
+//! Examples in golden files, and their two formats.
 //!
-//! Binary examples are one `name: hex` line each. HTTP messages are sections that begin with `[name]`; there the end of a
-//! line stands as `\r\n` before the end of the file's own line.
+//! Binary examples are one `name: hex` line each. HTTP messages are sections that begin with `[name]`; there each end
+//! of a line is written as the text `\r\n` followed by the line end of the file.
 
 use lupinrack_golden_files::{check_text, path, GoldenFile, KeptExamples};
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
     Path::new(path!()).join(file)
 }
 
-/// Checks that the file holds these bytes and nothing else, and gives what it holds.
+/// Checks that the file holds exactly these bytes, and returns its content.
 pub fn assert_hex(file: &str, examples: &[(String, Vec<u8>)]) -> KeptExamples {
     let mut golden = GoldenFile::open(path_of(file));
     for (name, bytes) in examples {
@@ -23,7 +23,7 @@
     golden.check()
 }
 
-/// Checks that the file holds these HTTP messages and nothing else, and gives what it holds by name.
+/// Checks that the file holds exactly these HTTP messages, and returns its content by name.
 pub fn assert_http(file: &str, examples: &[(String, String)]) -> BTreeMap<String, String> {
     let section = |(name, message): &(String, String)| {
         assert!(
--- a/crates/cluster-transport/tests/golden/frames.rs
+++ b/crates/cluster-transport/tests/golden/frames.rs
@@ -115,7 +115,7 @@
     (peers, events, address)
 }
 
-/// What a process sends on a connection that it opens.
+/// The bytes that a process sends on a connection that it opens.
 async fn sent(hello: Hello, frames: &[Frame]) -> Vec<Vec<u8>> {
     let (listener, to) = listener().await;
     let (peers, _events, _) = start(hello);
@@ -134,14 +134,14 @@
     sent
 }
 
-/// What a process sends first on a connection that it opens.
+/// The first bytes that a process sends on a connection that it opens.
 async fn greeting(hello: Hello) -> Vec<u8> {
-    // A connection is opened for the sake of a frame.
+    // Sending a frame opens a connection.
     let (_, frame) = frames().remove(0);
     sent(hello, &[frame]).await.remove(0)
 }
 
-/// What a process makes of these bytes on a connection that it accepts, and its own greeting.
+/// The events of a process that receives these bytes on a connection that it accepts, and its own greeting.
 async fn received(bytes: &[u8], count: usize) -> (Vec<PeerEvent>, Vec<u8>) {
     let (_peers, mut events, address) = start(hello(Role::Core));
     let mut stream = TcpStream::connect(address).await.unwrap();
@@ -171,7 +171,7 @@
     }
 }
 
-/// Checks that the kept greeting and frames are taken for these values.
+/// Checks that the greeting and frames in the golden file are decoded to these values.
 async fn assert_taken(kept: &KeptExamples, greeting: &str, hello: &Hello) {
     let mut bytes = kept.bytes(greeting);
     let mut expected = vec![Frame::Hello(hello.clone())];
--- a/crates/cluster-transport/tests/golden/requests.rs
+++ b/crates/cluster-transport/tests/golden/requests.rs
@@ -18,10 +18,10 @@
 
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What stands for the port of the server, which differs from run to run.
+/// The placeholder for the port of the server, which differs from run to run.
 const PORT: &str = "7";
 
-/// A request, and what the server makes of it.
+/// A request, and how the server parses it.
 struct Example {
     name: &'static str,
     request: Request<Bytes>,
@@ -122,7 +122,7 @@
     message.replace(&address.to_string(), &format!("{}:{PORT}", address.ip()))
 }
 
-/// What the server makes of a request.
+/// The request as the server parses it.
 async fn received(message: &str) -> HttpRequest {
     let (calls, mut received) = mpsc::unbounded_channel();
     let handler = move |call| {
--- a/crates/cluster-transport/tests/golden/sockets.rs
+++ b/crates/cluster-transport/tests/golden/sockets.rs
@@ -9,17 +9,17 @@
 /// Any port of the loopback address.
 pub const ANY: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
 
-/// A bound that no test comes near while it works.
+/// A timeout far above the duration of a passing test.
 const STUCK: Duration = Duration::from_secs(60);
 
-/// A future that has to resolve.
+/// Awaits a future that must resolve.
 pub async fn within<T>(future: impl Future<Output = T>) -> T {
     tokio::time::timeout(STUCK, future)
         .await
         .expect("the test is stuck")
 }
 
-/// A socket that listens, and where.
+/// A listening socket and its address.
 pub async fn listener() -> (TcpListener, SocketAddrV4) {
     let listener = TcpListener::bind(ANY).await.unwrap();
     let address = version_4(listener.local_addr().unwrap());
@@ -31,7 +31,7 @@
     within(listener.accept()).await.unwrap().0
 }
 
-/// The address, which is one of IPv4.
+/// The address as an IPv4 address.
 pub fn version_4(address: SocketAddr) -> SocketAddrV4 {
     match address {
         SocketAddr::V4(address) => address,
@@ -61,7 +61,7 @@
     head + &String::from_utf8(body).unwrap()
 }
 
-/// What the head of an HTTP message says of its body.
+/// The body length from the head of an HTTP message.
 fn body_length(head: &str) -> usize {
     let mut lengths = head.lines().filter_map(|line| {
         line.to_ascii_lowercase()
--- a/crates/cluster-transport/tests/http/properties.rs
+++ b/crates/cluster-transport/tests/http/properties.rs
@@ -60,7 +60,7 @@
             let server = echo(HttpLimits::default());
             let mut client = Client::connect(&server).await;
             client.stream.write_all(&bytes).await.unwrap();
-            // Fails where the server has closed the connection already.
+            // Fails if the server has already closed the connection.
             let _ = client.stream.shutdown().await;
             let mut answer = Vec::new();
             let _ = client.stream.read_to_end(&mut answer).await;
--- a/crates/cluster-transport/tests/http/support.rs
+++ b/crates/cluster-transport/tests/http/support.rs
@@ -1,4 +1,4 @@
-//! What the tests of the HTTP server share.
+//! Helpers of the tests of the HTTP server.
 
 use http::Method;
 use lupinrack_cluster_transport::http_server::{
@@ -17,10 +17,10 @@
 /// Any port of the loopback address.
 pub const ANY: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
 
-/// A bound that no test comes near while it works.
+/// A timeout far above the duration of a passing test.
 const STUCK: Duration = Duration::from_secs(60);
 
-/// Awaits a future that has to resolve.
+/// Awaits a future that must resolve.
 pub async fn within<T>(future: impl Future<Output = T>) -> T {
     tokio::time::timeout(STUCK, future)
         .await
@@ -92,7 +92,7 @@
         self.answer().await
     }
 
-    /// The next response; there has to be one.
+    /// The next response, which must exist.
     pub async fn answer(&mut self) -> ReceivedResponse {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Whether the server closes the connection, without another byte.
+    /// Whether the server closes the connection without sending another byte.
     pub async fn is_closed(&mut self) -> bool {
         within(self.stream.read(&mut [0])).await.unwrap_or(0) == 0
     }
--- a/crates/cluster-transport/tests/peers/answers.rs
+++ b/crates/cluster-transport/tests/peers/answers.rs
@@ -1,5 +1,5 @@
-//! Replies and requests that are truncated, repeated, or for no connection: each is delivered completely and as often as it
-//! was sent, or its connection is closed.
+//! Replies and requests that are truncated, repeated, or for an unknown connection: each is delivered completely and as
+//! often as it was sent, or its connection is closed.
 
 use crate::support::{
     call_id, encoded, plain_peer, process, process_at, request, within, Process, ANY,
@@ -10,7 +10,7 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// The port that the plain peer says it listens at.
+/// The listening port in the greeting of the plain peer.
 const PORT: u16 = 9;
 /// Cases of each property.
 const CASES: u64 = 60;
@@ -61,7 +61,7 @@
     }
 }
 
-/// The frames that have to arrive before the first damaged one, and whether one is damaged.
+/// The frames that must arrive before the first damaged one, and whether one is damaged.
 fn undamaged_prefix(sends: &[Transmission]) -> (Vec<Frame>, bool) {
     let mut frames = Vec::new();
     for (number, sent) in (1..).zip(sends) {
@@ -98,7 +98,7 @@
                 .flat_map(|(number, sent)| bytes_of(&reply(number), *sent))
                 .collect();
             let send = async {
-                // Fails where the reader has closed the connection because of earlier bytes.
+                // Fails if the reader has closed the connection because of earlier bytes.
                 let _ = stream.write_all(&bytes).await;
                 let _ = stream.shutdown().await;
                 let _ = stream.read_to_end(&mut Vec::new()).await;
--- a/crates/cluster-transport/tests/peers/connections.rs
+++ b/crates/cluster-transport/tests/peers/connections.rs
@@ -121,7 +121,7 @@
     // The replaced connection is still read.
     old.write_all(&encoded(&request(3))).await.unwrap();
     assert_eq!(first.frame().await, (request(3), old_number));
-    // Where the newer one ends, the older one serves again.
+    // When the newer one ends, the older one is used again.
     drop(new);
     assert_eq!(first.closed().await.0, new_number);
     assert_eq!(
--- a/crates/cluster-transport/tests/peers/properties.rs
+++ b/crates/cluster-transport/tests/peers/properties.rs
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The port that the plain peer says it listens at.
+/// The listening port in the greeting of the plain peer.
 const PORT: u16 = 9;
 
 /// Cases of each property.
@@ -119,7 +119,7 @@
             let sent = [encoded(&request(1)), encoded(&request(2)), bytes].concat();
             let send = async {
                 write_split(&mut stream, &sent, &split_sizes).await;
-                // Both fail where the reader has closed the connection already.
+                // Both fail if the reader has already closed the connection.
                 let _ = stream.shutdown().await;
                 let _ = stream.read_to_end(&mut Vec::new()).await;
             };
--- a/crates/cluster-transport/tests/peers/support.rs
+++ b/crates/cluster-transport/tests/peers/support.rs
@@ -1,4 +1,4 @@
-//! What the tests of internal connections share.
+//! Helpers of the tests of internal connections.
 
 use lupinrack_cluster_api::frame::{Frame, Hello, Role};
 use lupinrack_cluster_api::identity::PeerAddress;
@@ -13,7 +13,7 @@
 /// Any port of the loopback address.
 pub const ANY: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
 
-/// A bound that no test comes near while it works.
+/// A timeout far above the duration of a passing test.
 const STUCK: Duration = Duration::from_secs(20);
 
 /// A process of the system with its connections.
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Waits for the end of a connection, whatever comes before.
+    /// Waits for the end of a connection, and ignores other events.
     pub async fn closed(&mut self) -> (u64, bool) {
         loop {
             if let PeerEvent::Closed {
@@ -90,7 +90,7 @@
     }
 }
 
-/// Awaits a future that has to resolve.
+/// Awaits a future that must resolve.
 pub async fn within<T>(future: impl std::future::Future<Output = T>) -> T {
     tokio::time::timeout(STUCK, future)
         .await
@@ -114,7 +114,7 @@
     }
 }
 
-/// A frame with a text of so many bytes.
+/// A frame with a text of this many bytes.
 pub fn large(id: u64, bytes: usize) -> Frame {
     Frame::Reply {
         id: call_id(id),
@@ -138,7 +138,7 @@
     borsh::from_slice(&body).unwrap()
 }
 
-/// Connects a plain socket that says `hello` with this port, and reads the greeting back.
+/// Connects a plain socket, sends a greeting with this port, and reads the greeting of the other side.
 pub async fn plain_peer(to: &Process, port: u16, incarnation: u64) -> TcpStream {
     let mut stream = TcpStream::connect(to.address.0).await.unwrap();
     let mut greeting = hello(incarnation);
--- a/crates/cluster-transport/tests/shared_value.rs
+++ b/crates/cluster-transport/tests/shared_value.rs
@@ -1,12 +1,12 @@
-//! Shared values: what readers and writers of several threads see, in every interleaving.
+//! Shared values: the guarantees to readers and writers on several threads, in every interleaving.
 
 use lupinrack_cluster_transport::shared_value::{SharedCell, SharedValue};
 use shuttle::scheduler::DfsScheduler;
 use shuttle::{thread, Config, Runner};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// A cell whose operations are one step each, as those of the usual cell are. Before each step every other thread may
-/// have its turn, so the schedules that shuttle explores are all orders of the steps.
+/// A cell whose operations are one atomic step each, like those of the default cell. Before each step any other thread
+/// may run, so shuttle explores every order of the steps.
 struct InterleavedCell<T>(Mutex<Arc<T>>);
 
 impl<T> InterleavedCell<T> {
@@ -61,14 +61,14 @@
 
 type Interleaved = SharedValue<Pair, InterleavedCell<Pair>>;
 
-/// More schedules than there are.
-const SCHEDULES_MOST: usize = 1_000_000;
+/// An upper bound on the schedules, above their real number.
+const MAX_SCHEDULES: usize = 1_000_000;
 
 /// Explores all schedules.
 fn all_schedules(test: impl Fn() + Send + Sync + 'static) {
-    let scheduler = DfsScheduler::new(Some(SCHEDULES_MOST), false);
+    let scheduler = DfsScheduler::new(Some(MAX_SCHEDULES), false);
     let played = Runner::new(scheduler, Config::default()).run(test);
-    assert!(played < SCHEDULES_MOST, "some schedules were left out");
+    assert!(played < MAX_SCHEDULES, "some schedules were left out");
 }
 
 /// Loads twice and checks that the second value is no older than the first.
