--- a/crates/control-store/src/data_file.rs
+++ b/crates/control-store/src/data_file.rs
@@ -13,8 +13,8 @@
 /// The sequence number of the commit with which a file is created.
 const FIRST_SEQUENCE: u64 = 0;
 
-/// How much longer than its file a torn header may claim the file to be. The header holds the
-/// number of pages in fewer than three bytes, so a lower byte that is out of date is off by up to
+/// The maximum difference between the file length in a torn header and the real length. The header
+/// holds the number of pages in fewer than three bytes, so an outdated lower byte is wrong by up to
 /// 255 pages of 4 KiB.
 const TORN_LENGTH_BYTES: u64 = 256 * 4096;
 
@@ -46,9 +46,9 @@
         })
     }
 
-    /// Writes the file's own bytes to it again, and syncs it. After a sync that failed, the
-    /// operating system may treat pages as clean that never reached the disk; pages that were
-    /// written again are covered by the next sync.
+    /// Writes the file's own bytes to it again, and syncs it. After a failed sync the operating
+    /// system may treat pages as clean that never reached the disk; rewritten pages are covered by
+    /// the next sync.
     pub(crate) fn rewrite(&self) -> Result<(), StoreError> {
         let Some(length) = self.directory.length(DATA_FILE)? else {
             return Ok(());
@@ -73,7 +73,7 @@
         Ok(())
     }
 
-    /// Creates a database with one commit, and only then gives it its name.
+    /// Creates a database under a temporary name, and renames it after its first commit.
     fn create(&self) -> Result<Database, StoreError> {
         if self.directory.length(NEW_FILE)?.is_some() {
             self.directory.remove(NEW_FILE)?;
@@ -96,9 +96,9 @@
         Ok(database)
     }
 
-    /// Opens the file. `redb` rejects a file that is shorter than its header says, which a header
-    /// can do that was torn while the file was about to be shortened. It accepts a longer file, and
-    /// computes its layout from the length.
+    /// Opens the file. `redb` rejects a file that is shorter than its header says. A header that
+    /// was torn while the file was about to be shortened can cause that. `redb` accepts a longer
+    /// file, and computes its layout from the length.
     fn open_or_lengthen(&self, length: u64) -> Result<Database, StoreError> {
         let open = || catch_panic(|| self.open_database(self.directory.open(DATA_FILE)?));
         let result = open();
--- a/crates/control-store/src/directory.rs
+++ b/crates/control-store/src/directory.rs
@@ -1,5 +1,4 @@
-//! The directory that a store's files are in: on a real disk, or on a [simulated](crate::simulated)
-//! one.
+//! The directory of a store's files, on a real disk or on a [simulated](crate::simulated) one.
 
 use crate::disk_file::DiskFile;
 use redb::StorageBackend;
@@ -42,7 +41,7 @@
     ///
     /// # Errors
     ///
-    /// If the disk fails; the renames and removals may or may not be durable then.
+    /// If the disk fails; it is then unknown whether the renames and removals are durable.
     fn sync(&self) -> io::Result<()>;
 }
 
--- a/crates/control-store/src/growth_synced_file.rs
+++ b/crates/control-store/src/growth_synced_file.rs
@@ -15,7 +15,8 @@
         self.0.load(Ordering::SeqCst)
     }
 
-    /// Everything that the failed sync may have lost was written again and synced.
+    /// Clears the flag, once everything that the failed sync may have lost was written again and
+    /// synced.
     pub(crate) fn clear(&self) {
         self.0.store(false, Ordering::SeqCst);
     }
@@ -25,7 +26,7 @@
     }
 }
 
-/// A file that is synced as soon as it grows, and that records syncs that fail.
+/// A file that is synced as soon as it grows, and that records failed syncs.
 ///
 /// `redb` expects a file to be as long as its header says, so the header must not reach the disk
 /// before the length.
--- a/crates/control-store/src/lib.rs
+++ b/crates/control-store/src/lib.rs
@@ -15,19 +15,19 @@
 //!   So a file under the latter name contains a synced commit; if it cannot be read, that is an
 //!   error and never an empty disk. Only a file of zero bytes counts as absent.
 //! * When the file grows, its new length is synced before any page refers to it.
-//! * After a sync that failed, the operating system may treat pages as clean that never reached the
+//! * After a failed sync, the operating system may treat pages as clean that never reached the
 //!   disk (Rebello et al., "Can applications recover from fsync failures?", USENIX ATC 2020). So
 //!   the store closes, and rewrites the file when it is opened again.
 //!
 //! # Why `redb`
 //!
-//! The house style asks for `sled`, whose flush (0.34) does not sync its file. `redb` is the
-//! closest alternative: an embedded, ordered, transactional store in Rust.
+//! The coding rules of this project ask for `sled`, but its flush (0.34) does not sync its file.
+//! `redb` is the closest alternative: an embedded, ordered, transactional store in Rust.
 //!
 //! # Where to start
 //!
-//! [`Batch`] and [`Recovered`] are what goes in and comes out, `store.rs` is the life cycle of a
-//! store, `schema.rs` the layout of the rows.
+//! [`Batch`] is the input and [`Recovered`] the output of a store. `store.rs` has the life cycle of
+//! a store, `schema.rs` the layout of the rows.
 
 mod batch;
 mod data_file;
--- a/crates/control-store/src/log_bounds.rs
+++ b/crates/control-store/src/log_bounds.rs
@@ -1,4 +1,4 @@
-//! Which indices the log covers, and the check that a batch fits it.
+//! Which indices the log covers, and the check that a batch fits the log.
 
 use crate::batch::Batch;
 
--- a/crates/control-store/src/panic_guard.rs
+++ b/crates/control-store/src/panic_guard.rs
@@ -3,8 +3,8 @@
 use crate::error::StoreError;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Calls into `redb`, which panics where the contents of a file contradict each other, and returns
-/// such a panic as [`StoreError::Damaged`].
+/// Calls into `redb`, which panics if the contents of a file are inconsistent, and returns such a
+/// panic as [`StoreError::Damaged`].
 pub(crate) fn catch_panic<T>(
     call: impl FnOnce() -> Result<T, StoreError>,
 ) -> Result<T, StoreError> {
--- a/crates/control-store/src/recovered.rs
+++ b/crates/control-store/src/recovered.rs
@@ -21,7 +21,7 @@
     pub snapshot: Vec<u8>,
     /// The log entries after the snapshot, without gaps.
     pub entries: Vec<LogEntry>,
-    /// The highest index that was recorded as committed; entries above it may be committed too.
+    /// The highest index that was recorded as committed; later entries may be committed too.
     pub committed: u64,
 }
 
--- a/crates/control-store/src/row_reader.rs
+++ b/crates/control-store/src/row_reader.rs
@@ -25,7 +25,7 @@
         Ok(Self { table })
     }
 
-    /// What the newest commit wrote in its header.
+    /// The header of the newest commit.
     pub(crate) fn commit_header(&self) -> Result<CommitHeader, StoreError> {
         Ok(self.value(COMMIT_HEADER)?.unwrap_or_default())
     }
--- a/crates/control-store/src/schema.rs
+++ b/crates/control-store/src/schema.rs
@@ -35,7 +35,7 @@
 /// Bytes of a snapshot in one row. Together with the row's own header they fill a page of 64 KiB.
 pub(crate) const CHUNK_BYTES: usize = 65_536 - 512;
 
-/// What a snapshot covers, and how long it is.
+/// Which part of the log a snapshot covers, and its length.
 #[derive(Clone, Copy, Debug, Default, BorshSerialize, BorshDeserialize)]
 pub(crate) struct SnapshotHeader {
     /// The index up to which the snapshot covers the log.
@@ -44,7 +44,7 @@
     pub(crate) bytes: u64,
 }
 
-/// What every commit changes.
+/// The row that every commit changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub(crate) struct CommitHeader {
     /// The number of commits before this one.
--- a/crates/control-store/src/simulated/disk_state.rs
+++ b/crates/control-store/src/simulated/disk_state.rs
@@ -7,7 +7,7 @@
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What a disk was asked to do.
+/// Counts of the operations on a disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DiskCounters {
     /// Syncs of files.
@@ -40,13 +40,13 @@
 pub(super) struct DiskState {
     files: BTreeMap<FileNumber, FileState>,
     names: BTreeMap<String, FileNumber>,
-    /// The names that are on the disk for certain.
+    /// The durable names.
     synced_names: BTreeMap<String, FileNumber>,
     last_file: FileNumber,
-    /// Rises with each loss of power and each restart; files opened before are unusable.
+    /// Increases with each loss of power and each restart; files opened before are unusable.
     pub(super) generation: u64,
     pub(super) faults: InjectedFaults,
-    /// Bytes that all files together may have; none for any number.
+    /// The maximum total length of all files, in bytes; none for no limit.
     pub(super) capacity: Option<usize>,
     pub(super) counters: DiskCounters,
 }
@@ -140,7 +140,7 @@
         let file = self.file(number, generation)?;
         file.sync();
         let name = file.created_as.clone();
-        // The sync makes the name of a new file durable, unless it was renamed since.
+        // The sync makes the name of a new file durable, unless it has been renamed since.
         if self.names.get(&name) == Some(&number) {
             self.synced_names.insert(name, number);
         }
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Leaves each name as it was when the directory was synced, or as it is.
+    /// Resets each name to its state at the last sync of the directory, or keeps its current state.
     fn lose_names(&mut self, random: &mut Random) {
         let names = self.names.keys().chain(self.synced_names.keys());
         let names: BTreeSet<String> = names.cloned().collect();
--- a/crates/control-store/src/simulated/file_state.rs
+++ b/crates/control-store/src/simulated/file_state.rs
@@ -1,12 +1,12 @@
-//! A file of the simulated disk: what is synced, what is not, and what a loss of power leaves of
-//! it.
+//! A file of the simulated disk: its synced and unsynced changes, and its state after a loss of
+//! power.
 
 use super::random::Random;
 
-/// Bytes that reach a disk together or not at all where a write is torn between sectors.
+/// Bytes of a sector, which reaches the disk completely or not at all when a write is torn.
 const SECTOR_BYTES: usize = 512;
 
-/// In one of so many losses of power everything that was not synced is missing.
+/// One of this many losses of power drops everything that was not synced.
 const ALL_MISSING_ODDS: u64 = 4;
 
 /// A change of a file.
@@ -17,7 +17,7 @@
 }
 
 impl FileChange {
-    /// The least length of the file after the change.
+    /// The minimum length of the file after the change.
     pub(super) fn end(&self) -> usize {
         match self {
             FileChange::Write { offset, bytes } => offset + bytes.len(),
@@ -44,9 +44,9 @@
 pub(super) struct FileState {
     /// The name under which it was created.
     pub(super) created_as: String,
-    /// What is on the disk for certain.
+    /// The durable bytes.
     synced: Vec<u8>,
-    /// What is read.
+    /// The bytes that a read returns.
     bytes: Vec<u8>,
     /// The changes from `synced` to `bytes`.
     unsynced: Vec<FileChange>,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// After a sync that failed, the operating system takes the pages as clean: they are read as
+    /// After a failed sync, the operating system treats the pages as clean: they are read as
     /// before, and no later sync covers them.
     pub(super) fn fail_to_sync(&mut self) {
         self.unsynced.clear();
--- a/crates/control-store/src/simulated/injected_faults.rs
+++ b/crates/control-store/src/simulated/injected_faults.rs
@@ -1,11 +1,11 @@
-//! Faults that a test has ordered.
+//! Faults that a test injects.
 
 use std::io;
 
 /// Which of the next changes fail.
 #[derive(Debug, Default)]
 pub(super) struct InjectedFaults {
-    /// After so many further changes the power is off.
+    /// The power is off after this many further changes.
     changes_until_power_loss: Option<u64>,
     errors: Option<InjectedErrors>,
 }
@@ -14,9 +14,9 @@
 #[derive(Clone, Copy, Debug)]
 struct InjectedErrors {
     kind: io::ErrorKind,
-    /// Changes that succeed before the first that fails.
+    /// Changes that succeed before the first failing one.
     successes_before: u64,
-    /// Changes that fail then; none for all.
+    /// Changes that fail after those; none for all further changes.
     count: Option<u64>,
 }
 
@@ -38,7 +38,7 @@
         });
     }
 
-    /// Lets no change fail, but leaves a loss of power as it was ordered.
+    /// Removes the injected errors, but keeps an injected loss of power.
     pub(super) fn heal(&mut self) {
         self.errors = None;
     }
@@ -47,7 +47,7 @@
         self.changes_until_power_loss == Some(0)
     }
 
-    /// Counts a change, and fails if it is one that shall fail.
+    /// Counts a change, and fails if a fault is injected for it.
     pub(super) fn check_change(&mut self) -> io::Result<()> {
         if let Some(changes) = &mut self.changes_until_power_loss {
             *changes = changes.saturating_sub(1);
--- a/crates/control-store/src/simulated/mod.rs
+++ b/crates/control-store/src/simulated/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! After a loss of power a file contains what its last sync covered; each later write is present,
 //! missing or torn, and in one case of four all of them are missing. A new file is durable once it
-//! is synced, a rename or a removal once the directory is; before that, each name by itself may be
-//! as it was or as it is.
+//! is synced, a rename or a removal once the directory is synced. Before that, each name may have
+//! its old or its new state, independently of the other names.
 
 mod disk_state;
 mod file_state;
@@ -31,12 +31,12 @@
         Self::default()
     }
 
-    /// What the disk was asked to do so far.
+    /// Counts of the operations on the disk so far.
     pub fn counters(&self) -> DiskCounters {
         self.lock().counters
     }
 
-    /// Loses power after so many further changes (writes, lengths, syncs, renames, removals).
+    /// Loses power after this many further changes (writes, lengths, syncs, renames, removals).
     pub fn lose_power_after(&self, changes: u64) {
         self.lock().faults.lose_power_after(changes);
     }
@@ -46,30 +46,29 @@
         self.lock().faults.is_power_off()
     }
 
-    /// Turns the power off and on again; `seed` decides what became of changes that were not
-    /// synced.
+    /// Turns the power off and on again; `seed` decides which unsynced changes are kept.
     pub fn cycle_power(&self, seed: u64) {
         self.lock().cycle_power(&mut Random::new(seed));
     }
 
-    /// Treats a loss of power as the death of the process alone: files opened before are unusable,
-    /// and everything that was written is read as before, synced or not.
+    /// Treats a loss of power as a crash of the process only: files opened before are unusable, but
+    /// everything that was written can still be read, synced or not.
     pub fn restart_process(&self) {
         self.lock().close_all_files();
     }
 
-    /// After so many further changes, lets `count` changes fail with this kind of error, or all if
-    /// that is none.
+    /// After this many further changes, lets `count` changes fail with this kind of error, or all
+    /// further changes if `count` is none.
     pub fn fail_after(&self, after: u64, count: Option<u64>, kind: io::ErrorKind) {
         self.lock().faults.fail_after(after, count, kind);
     }
 
-    /// Lets no further change fail.
+    /// Removes the injected errors.
     pub fn heal(&self) {
         self.lock().faults.heal();
     }
 
-    /// Limits the total length of all files to so many bytes; none for no limit.
+    /// Limits the total length of all files to this many bytes; none for no limit.
     pub fn set_capacity(&self, bytes: Option<usize>) {
         self.lock().capacity = bytes;
     }
--- a/crates/control-store/src/store.rs
+++ b/crates/control-store/src/store.rs
@@ -27,16 +27,16 @@
     bounds: LogBounds,
     /// The sequence number of the commit.
     sequence: u64,
-    /// The bounds after a commit that failed, of which it is unknown whether it reached the disk.
+    /// The bounds after a failed commit, if it is unknown whether that commit reached the disk.
     uncertain_commit: Option<LogBounds>,
 }
 
-/// Whether a commit that had failed is on the disk nevertheless.
+/// Whether a failed commit is on the disk nevertheless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailedCommit {
     /// It is on the disk, and must not be repeated.
     Durable,
-    /// It is not, or there was none.
+    /// It is not on the disk, or no commit had failed.
     NotApplied,
 }
 
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     ///
-    /// If the disk fails or is full, or the data file is damaged. A damaged file is left as it is.
+    /// If the disk fails or is full, or the data file is damaged. A damaged file is not changed.
     pub fn open(
         path: &Path,
         settings: StoreSettings,
@@ -80,9 +80,9 @@
         Ok((store, recovered))
     }
 
-    /// Returns the identity of the disk. An empty disk is given the one that was `drawn`, which is
-    /// synced when this returns; only then may others learn it, since they rely on the disk from
-    /// then on.
+    /// Returns the identity of the disk. An empty disk gets the identity `drawn`, which is synced
+    /// when this returns. Other processes must not receive the identity earlier, since they rely on
+    /// the disk once they know it.
     ///
     /// # Errors
     ///
@@ -144,12 +144,13 @@
         }
     }
 
-    /// Opens the store again after an error, and finds out whether the commit that failed is on the
+    /// Opens the store again after an error, and finds out whether the failed commit is on the
     /// disk.
     ///
     /// # Errors
     ///
-    /// If the disk fails still, or the data file holds another commit than those that are possible.
+    /// If the disk still fails, or the data file holds neither the commit before the failed one nor
+    /// the failed one.
     pub fn reopen(&mut self) -> Result<FailedCommit, StoreError> {
         self.close();
         self.file.rewrite_after_failed_sync()?;
@@ -160,7 +161,7 @@
         Ok(failed_commit)
     }
 
-    /// Compares the sequence number that was found with the one before the commit that failed.
+    /// Compares the sequence number in the file with the one before the failed commit.
     fn resolve_uncertain_commit(&mut self, found: u64) -> Result<FailedCommit, StoreError> {
         if found == self.sequence {
             self.uncertain_commit = None;
@@ -182,7 +183,7 @@
     /// Closes the database. `redb` writes nothing more after an error.
     fn close(&mut self) {
         let database = self.database.take();
-        // A panic while it closes has the same cause as the error that was returned already.
+        // A panic during the close has the same cause as the error that was already returned.
         let _ = catch_panic(|| {
             drop(database);
             Ok(())
--- a/crates/control-store/src/writer.rs
+++ b/crates/control-store/src/writer.rs
@@ -1,4 +1,4 @@
-//! Group commit: a thread that owns a store and writes what is queued.
+//! Group commit: a thread that owns a store and writes the queued batches.
 
 use crate::batch::Batch;
 use crate::error::StoreError;
@@ -44,8 +44,8 @@
     pub synced: Vec<u64>,
     /// The numbers of batches that do not fit the log. They were dropped and will never be written.
     pub rejected: Vec<u64>,
-    /// The disk's error, after which the pending batches are retried; or that of the first batch
-    /// that was rejected.
+    /// An error of the disk, after which the pending batches are retried, or the error of the first
+    /// rejected batch.
     pub result: Result<(), StoreError>,
 }
 
@@ -55,8 +55,8 @@
 
 impl std::error::Error for WriterStopped {}
 
-/// Queues batches for the thread that writes them. When this is dropped, the thread writes what is
-/// queued, if the disk permits, and ends.
+/// Queues batches for the thread that writes them. When the writer is dropped, the thread writes
+/// the queued batches, if the disk does not fail, and ends.
 #[derive(Debug)]
 pub struct Writer {
     queue: Sender<QueuedBatch>,
@@ -107,10 +107,11 @@
             .map_err(|_| WriterStopped)
     }
 
-    /// Ends the thread once it has written what is queued, or has failed to, and waits for that.
+    /// Closes the queue, and waits until the thread has written the queued batches, or has failed
+    /// to, and has ended.
     pub fn close(self) {
         drop(self.queue);
-        // A panic of the thread has been reported there.
+        // The panic hook has already reported a panic of the thread.
         let _ = self.thread.join();
     }
 }
--- a/crates/control-store/src/writer_thread.rs
+++ b/crates/control-store/src/writer_thread.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Waits for a batch, and groups all that are queued; false if none will come.
+    /// Waits for a batch, and groups all queued batches; false if the queue is closed and empty.
     fn form_group(&mut self) -> bool {
         if self.pending.is_empty() {
             match self.incoming.recv() {
@@ -69,7 +69,7 @@
         true
     }
 
-    /// Drops batches that do not fit the log after those before them.
+    /// Drops batches that do not fit the log after the preceding batches.
     fn reject_invalid(&mut self) {
         let mut bounds = self.store.bounds();
         let mut rejected = Vec::new();
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Writes the group, and retries until the disk takes it.
+    /// Writes the group, and retries until the write succeeds.
     fn write_group(&mut self) -> Result<(), QueueClosed> {
         if self.group.is_empty() {
             return Ok(());
@@ -126,7 +126,7 @@
         self.store.commit_all(&batches)
     }
 
-    /// Opens the store again, and commits the group unless the commit that failed is on the disk.
+    /// Opens the store again, and commits the group unless the failed commit is on the disk.
     fn retry_group(&mut self) -> Result<(), StoreError> {
         match self.store.reopen()? {
             FailedCommit::Durable => Ok(()),
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Lets time pass, and receives what is queued meanwhile.
+    /// Waits, and receives the batches that are queued meanwhile.
     fn wait(&mut self, delay: Duration) -> Result<(), QueueClosed> {
         let end = Instant::now() + delay;
         loop {
--- a/crates/control-store/tests/common/mod.rs
+++ b/crates/control-store/tests/common/mod.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// Applies a batch to what would be recovered.
+/// Applies a batch to the expected recovered state.
 pub(crate) fn apply(state: &mut Recovered, batch: &Batch) {
     state.disk = batch.disk.or(state.disk);
     state.vote = batch.vote.clone().unwrap_or_else(|| state.vote.clone());
@@ -102,7 +102,7 @@
         .map_or(state.snapshot_index, |entry| entry.index)
 }
 
-/// A batch that fits this state.
+/// A batch that fits the log of this state.
 pub(crate) fn random_batch(state: &Recovered, choices: &mut Choices) -> Batch {
     let mut batch = Batch::default();
     match choices.below(17) {
--- a/crates/control-store/tests/crashes.rs
+++ b/crates/control-store/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! Losses of power and deaths of the process at any moment: what was committed is there, and
-//! nothing is there in part.
+//! Losses of power and crashes of the process at any point: committed batches are kept, and no
+//! batch is kept partially.
 
 mod common;
 
@@ -9,15 +9,15 @@
 use std::collections::VecDeque;
 use std::thread;
 
-/// Disks, each of which loses power, or only its process, several times.
+/// Disks, each of which has several losses of power or crashes of the process.
 const DISKS: u64 = 1_200;
 const LOSSES: u64 = 4;
 const THREADS: u64 = 3;
-/// A loss of power comes within so many changes: at times while the file is opened, at times after
-/// many commits.
-const CHANGES_MOST: u64 = 250;
+/// The maximum number of changes before a loss of power. It happens sometimes while the file is
+/// opened, sometimes after many commits.
+const MAX_CHANGES: u64 = 250;
 
-/// What has to be there: after the last commit, or after the one that was under way.
+/// The allowed states: that after the last commit, or that after the commit in progress.
 struct Expected {
     committed: Recovered,
     under_way: Option<Recovered>,
@@ -56,9 +56,9 @@
         under_way: None,
     };
     for loss in 0..LOSSES {
-        let most = [10, 60, CHANGES_MOST][choices.below(3) as usize];
+        let most = [10, 60, MAX_CHANGES][choices.below(3) as usize];
         disk.lose_power_after(1 + choices.below(most));
-        // Opening fails where the power is lost meanwhile; that is no commit.
+        // Opening fails if the power is lost meanwhile; that is no commit.
         if let Ok((store, found)) = open(&disk) {
             assert!(expected.allows(&found), "seed {seed}, before loss {loss}");
             expected = Expected {
--- a/crates/control-store/tests/golden.rs
+++ b/crates/control-store/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The rows of the data file, compared with the examples in `tests/golden`.
 //!
-//! The rows are read and written with `redb` itself, so that their table, keys and bytes are seen
-//! as they are on a disk.
+//! The rows are read and written with `redb` itself, so that the test compares their table, keys
+//! and bytes as they are on a disk.
 
 mod golden_rows;
 mod golden_sparse;
@@ -175,7 +175,7 @@
     }
 }
 
-/// What is found on a disk to which this batch was written.
+/// The recovered state of a disk to which this batch was written.
 fn recovered(batch: &Batch) -> Recovered {
     let (snapshot_index, snapshot) = batch.snapshot.clone().unwrap_or_default();
     Recovered {
@@ -202,7 +202,7 @@
     read_rows(&folder.join(DATA_FILE))
 }
 
-/// What a store finds in rows that were written by other means.
+/// The state that a store recovers from rows that were written without the store.
 fn found_in(folder: &Path, rows: &[Row]) -> Recovered {
     write_rows(&folder.join(DATA_FILE), rows);
     let (_, found) = ControlStore::open(folder, StoreSettings::default()).expect("a sound file");
@@ -225,7 +225,7 @@
     format!("({kind}, {number}) {what}")
 }
 
-/// Compares rows with a golden file, and gives them as the file keeps them.
+/// Compares rows with a golden file, and returns the rows of the file.
 fn kept_rows(file: &mut GoldenFile, rows: &[Row]) -> Vec<Row> {
     let kept = |(key, bytes): &Row| {
         let name = row_name(*key);
@@ -269,8 +269,8 @@
     assert_eq!(found_in(&folder("all-read"), &rows), recovered(&batch));
 }
 
-/// What a later batch leaves: entries cut off and replaced, a snapshot that covers some of them, a
-/// changed replica status.
+/// The rows after a later batch: truncated and replaced entries, a snapshot that covers some of
+/// them, a changed replica status.
 #[test]
 fn rows_after_changes() {
     let mut file = golden("rows_after_changes.hex");
@@ -303,8 +303,8 @@
     assert_eq!(found_in(&folder("changed-read"), &rows), expected);
 }
 
-/// The chunks of a long snapshot. Their bytes are compared in code, since the file keeps no more
-/// than their beginnings.
+/// The chunks of a long snapshot. Their bytes are compared in code, since the file keeps only their
+/// first bytes.
 #[test]
 fn rows_of_a_long_snapshot() {
     let mut file = golden("rows_of_a_long_snapshot.txt");
@@ -336,7 +336,7 @@
     assert_eq!(found_in(&folder("long-read"), &rows).snapshot, bytes);
 }
 
-/// What the rows of votes, views and replica statuses hold.
+/// The contents of the rows of votes, views and replica statuses.
 #[test]
 fn values_of_rows() {
     let mut file = golden("values.hex");
--- a/crates/control-store/tests/golden_rows/mod.rs
+++ b/crates/control-store/tests/golden_rows/mod.rs
@@ -9,7 +9,7 @@
 /// A row: its key and its bytes.
 pub(crate) type Row = (Key, Vec<u8>);
 
-/// The table of all rows, in the words of this test.
+/// The table of all rows, defined independently of the store.
 const TABLE: TableDefinition<Key, &[u8]> = TableDefinition::new("control");
 
 /// All rows of a file.
--- a/crates/control-store/tests/golden_sparse/mod.rs
+++ b/crates/control-store/tests/golden_sparse/mod.rs
@@ -1,5 +1,4 @@
-//! Files that hold few different blocks, as lines `offset xCOUNT: block`; blocks of zeros are left
-//! out.
+//! Files with few different blocks, as lines `offset xCOUNT: block`. Blocks of zeros are omitted.
 
 use lupinrack_golden_files::{from_hex, to_hex};
 use std::fs;
@@ -10,7 +9,7 @@
 /// Begins the line of the file's length.
 const LENGTH: &str = "length";
 
-/// Keeps these bytes in a file.
+/// Writes these bytes to a file in the sparse form.
 pub(crate) fn write_sparse(file: &Path, bytes: &[u8]) {
     let mut text = format!("{LENGTH}: {}\n", bytes.len());
     let blocks: Vec<&[u8]> = bytes.chunks(BLOCK_BYTES).collect();
@@ -29,7 +28,7 @@
     fs::write(file, text).expect("the file can be written");
 }
 
-/// The bytes that [`write_sparse`] kept.
+/// Reads the bytes that [`write_sparse`] wrote.
 pub(crate) fn read_sparse(file: &Path) -> Vec<u8> {
     let text = fs::read_to_string(file).expect("the file is there");
     let mut lines = text
--- a/crates/control-store/tests/growth.rs
+++ b/crates/control-store/tests/growth.rs
@@ -1,4 +1,4 @@
-//! Losses of power at each change of a commit that makes the file longer or shorter.
+//! A loss of power at each change within a commit that lengthens or shortens the file.
 
 mod common;
 
@@ -6,8 +6,8 @@
 use lupinrack_control_store::simulated::SimulatedDisk;
 use lupinrack_control_store::{Batch, Recovered, DATA_FILE};
 
-/// How often each moment is tried, with other fates of what was not synced.
-const FATES: u64 = 4;
+/// Trials of each point of the loss, with different outcomes of the unsynced changes.
+const OUTCOMES: u64 = 4;
 /// More than an empty file holds.
 const LARGE: usize = 1_600_000;
 
@@ -18,9 +18,9 @@
     }
 }
 
-/// Makes the first commits, loses power after so many changes of the last one, and gives what is
-/// found; none where the last commit did not need so many changes.
-fn found_after(commits: &[Batch], last: &Batch, changes: u64, fate: u64) -> Option<Recovered> {
+/// Makes the first commits, loses power after this many changes of the last one, and returns the
+/// recovered state; none if the last commit needed fewer changes.
+fn found_after(commits: &[Batch], last: &Batch, changes: u64, outcome: u64) -> Option<Recovered> {
     let disk = SimulatedDisk::new();
     let (mut store, _) = open(&disk).expect("a new disk");
     for batch in commits {
@@ -32,14 +32,14 @@
         return None;
     }
     drop(store);
-    disk.cycle_power(fate);
+    disk.cycle_power(outcome);
     let (_, found) =
-        open(&disk).unwrap_or_else(|error| panic!("change {changes}, fate {fate}: {error}"));
+        open(&disk).unwrap_or_else(|error| panic!("change {changes}, outcome {outcome}: {error}"));
     Some(found)
 }
 
-/// Plays every moment of the last commit; gives how many changes it took.
-fn every_moment(commits: &[Batch], last: &Batch) -> u64 {
+/// Loses power at every change of the last commit; returns how many changes the commit needed.
+fn lose_power_at_every_change(commits: &[Batch], last: &Batch) -> u64 {
     let mut before = Recovered::default();
     commits
         .iter()
@@ -47,11 +47,11 @@
     let mut after = before.clone();
     common::apply(&mut after, last);
     for changes in 1.. {
-        for fate in 0..FATES {
-            match found_after(commits, last, changes, changes * FATES + fate) {
+        for outcome in 0..OUTCOMES {
+            match found_after(commits, last, changes, changes * OUTCOMES + outcome) {
                 Some(found) => assert!(
                     found == before || found == after,
-                    "change {changes}, fate {fate}"
+                    "change {changes}, outcome {outcome}"
                 ),
                 None => return changes,
             }
@@ -61,24 +61,24 @@
 }
 
 #[test]
-fn a_commit_that_lengthens_the_file() {
-    let changes = every_moment(&[append(1..=3)], &snapshot(2, LARGE));
+fn power_loss_in_a_commit_that_lengthens_the_file() {
+    let changes = lose_power_at_every_change(&[append(1..=3)], &snapshot(2, LARGE));
     assert!(changes > 40, "the file had to grow");
 }
 
 #[test]
-fn a_commit_that_shortens_the_file() {
+fn power_loss_in_a_commit_that_shortens_the_file() {
     let commits = [
         append(1..=9),
         snapshot(2, LARGE),
         snapshot(3, 10),
         append(10..=10),
     ];
-    every_moment(&commits, &append(11..=11));
-    every_moment(&commits[..2], &snapshot(3, 10));
+    lose_power_at_every_change(&commits, &append(11..=11));
+    lose_power_at_every_change(&commits[..2], &snapshot(3, 10));
 }
 
-/// Bytes at the beginning of the file that are written anew by every commit.
+/// Bytes at the beginning of the file that every commit rewrites.
 const HEADER_BYTES: usize = 320;
 
 /// The file's bytes while it is open, after these commits.
--- a/crates/control-store/tests/opening.rs
+++ b/crates/control-store/tests/opening.rs
@@ -1,4 +1,4 @@
-//! What is found when a store is opened: nothing, all of it, or damage.
+//! The result of opening a store: an empty disk, the complete state, or damage.
 
 mod common;
 
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn everything_is_found_again() {
+fn everything_is_recovered() {
     let disk = SimulatedDisk::new();
     committed(&disk, &[full_batch()]);
     let expected = Recovered {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_smaller_snapshot_leaves_nothing_of_a_larger_one() {
+fn a_smaller_snapshot_replaces_a_larger_one_completely() {
     let disk = SimulatedDisk::new();
     let smaller = Batch {
         snapshot: Some((7, vec![6; 70_000])),
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn a_file_that_was_never_finished_is_made_anew() {
+fn an_unfinished_file_is_created_again() {
     for rest in [
         vec![],
         vec![0; 100],
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_damaged_file_is_named() {
+fn the_error_names_a_damaged_file() {
     let disk = SimulatedDisk::new();
     committed(&disk, &[full_batch()]);
     let whole = disk.contents(DATA_FILE).expect("the file");
@@ -236,9 +236,10 @@
     }
 }
 
-/// Any damage to a file that was not closed in order is found: what opens is what was there.
+/// Any damage to a file that was not closed cleanly is detected, or the file opens with its
+/// original state.
 #[test]
-fn flipped_bytes_are_found() {
+fn flipped_bytes_are_detected() {
     let disk = SimulatedDisk::new();
     let (mut store, _) = open(&disk).expect("opens");
     store.commit(&append(1..=30)).expect("commits");
@@ -272,7 +273,7 @@
 }
 
 #[test]
-fn a_disk_that_refuses_is_no_empty_disk() {
+fn a_failing_disk_is_not_an_empty_disk() {
     let disk = SimulatedDisk::new();
     committed(&disk, &[full_batch()]);
     disk.fail_after(0, None, ErrorKind::StorageFull);
@@ -306,8 +307,8 @@
     assert_eq!(found(&disk).entries.len(), 6);
 }
 
-/// A sync that fails leaves pages that look written and are not. What the store then takes as
-/// committed has to survive a loss of power.
+/// A failed sync leaves pages that can be read but are not on the disk. Whatever the store then
+/// reports as committed must survive a loss of power.
 #[test]
 fn what_a_failed_sync_may_have_lost_is_rewritten() {
     for fate in 0..20 {
@@ -375,8 +376,8 @@
     std::fs::remove_dir_all(&folder).expect("removed");
 }
 
-/// A snapshot writes about itself and the pages of the log's ends, not every page of the log many
-/// times over.
+/// The bytes that a snapshot writes are about its own size plus the pages at both ends of the log,
+/// not many times every page of the log.
 #[test]
 fn dropping_a_long_log_is_cheap() {
     let disk = SimulatedDisk::new();
@@ -411,9 +412,9 @@
 }
 
 /// The rename of a new file may be done and not synced when opening fails or the process dies.
-/// Whoever opens the file then has to make its name last.
+/// The next open has to make the name durable.
 #[test]
-fn a_file_whose_making_was_interrupted_lasts_once_it_is_opened() {
+fn a_file_whose_creation_was_interrupted_is_durable_once_it_is_opened() {
     for after in 0..60 {
         for fate in 0..8 {
             let disk = SimulatedDisk::new();
@@ -452,7 +453,7 @@
 }
 
 #[test]
-fn a_disk_that_does_not_take_its_identity_has_none() {
+fn a_disk_that_fails_to_store_its_identity_has_none() {
     let disk = SimulatedDisk::new();
     let (mut store, mut found) = open(&disk).expect("opens");
     disk.fail_after(0, None, ErrorKind::StorageFull);
@@ -460,10 +461,10 @@
     assert_eq!(found.disk, None);
 }
 
-/// A system may take pages for clean whose sync has failed: read as if they were there, and gone
-/// with the power.
+/// The operating system may treat pages as clean after their sync failed: they can be read, but are
+/// lost when the power fails.
 #[test]
-fn what_a_restarted_process_finds_after_a_failed_sync_lasts() {
+fn state_recovered_after_a_failed_sync_is_durable() {
     for seed in 0..40 {
         let disk = SimulatedDisk::new();
         let (mut store, _) = open(&disk).expect("opens");
--- a/crates/control-store/tests/writer.rs
+++ b/crates/control-store/tests/writer.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn all_pending_batches_are_written_by_one_sync() {
+fn all_pending_batches_are_written_with_one_sync() {
     let disk = SimulatedDisk::new();
     let (writer, outcomes, go) = paused_writer(&disk);
     writer.write(1, append(1..=1)).expect("the writer runs");
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_writer_whose_disk_fails_for_good_can_be_closed() {
+fn a_writer_with_a_permanently_failing_disk_can_be_closed() {
     let disk = SimulatedDisk::new();
     let (writer, outcomes) = spawn_writer(&disk);
     disk.fail_after(0, None, ErrorKind::StorageFull);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_closed_writer_has_written_what_was_queued() {
+fn a_closed_writer_has_written_all_queued_batches() {
     let disk = SimulatedDisk::new();
     let (writer, outcomes) = spawn_writer(&disk);
     assert!((1..=20).all(|number| writer.write(number, append(number..=number)).is_ok()));
@@ -235,11 +235,11 @@
     );
 }
 
-/// More than fits beside an empty file.
+/// More than fits on the limited disk in addition to an empty file.
 const LARGE_ENTRY: usize = 300_000;
 
 #[test]
-fn a_full_disk_keeps_what_was_committed_and_goes_on_once_there_is_space() {
+fn a_full_disk_keeps_committed_batches_and_accepts_writes_once_there_is_space() {
     let disk = SimulatedDisk::new();
     let (writer, outcomes) = spawn_writer(&disk);
     writer.write(1, append(1..=1)).expect("the writer runs");
