--- a/crates/control-store/tests/opening.rs
+++ b/crates/control-store/tests/opening.rs
@@ -311,7 +311,7 @@
 /// reports as committed must survive a loss of power.
 #[test]
 fn what_a_failed_sync_may_have_lost_is_rewritten() {
-    for fate in 0..20 {
+    for outcome in 0..20 {
         for after in 0..40 {
             let disk = SimulatedDisk::new();
             let (mut store, _) = open(&disk).expect("opens");
@@ -321,13 +321,13 @@
             disk.heal();
             let is_durable = result.is_ok()
                 || store.reopen().expect("the disk works again") == FailedCommit::Durable;
-            disk.cycle_power(fate);
+            disk.cycle_power(outcome);
             drop(store);
             let entries = found(&disk).entries.len();
             assert_eq!(
                 entries,
                 if is_durable { 9 } else { 5 },
-                "change {after}, fate {fate}"
+                "change {after}, outcome {outcome}"
             );
             if result.is_ok() {
                 break;
@@ -416,16 +416,20 @@
 #[test]
 fn a_file_whose_creation_was_interrupted_is_durable_once_it_is_opened() {
     for after in 0..60 {
-        for fate in 0..8 {
+        for outcome in 0..8 {
             let disk = SimulatedDisk::new();
             disk.fail_after(after, Some(1), ErrorKind::Other);
             drop(open(&disk));
             disk.heal();
             let (mut store, _) = open(&disk).expect("opens");
             store.commit(&append(1..=3)).expect("commits");
-            disk.cycle_power(fate);
+            disk.cycle_power(outcome);
             drop(store);
-            assert_eq!(found(&disk).entries.len(), 3, "change {after}, fate {fate}");
+            assert_eq!(
+                found(&disk).entries.len(),
+                3,
+                "change {after}, outcome {outcome}"
+            );
         }
     }
 }
