--- a/crates/chain/src/limits.rs
+++ b/crates/chain/src/limits.rs
@@ -1,13 +1,13 @@
 //! Limits, intervals and timeouts of the replication.
 
-use lupinrack_cluster_api::frame::FRAME_BYTES_MOST;
+use lupinrack_cluster_api::frame::MAX_FRAME_BYTES;
 
 /// Uncommitted entries after which a head rejects further operations.
 pub const MAX_UNCOMMITTED_ENTRIES: u64 = 4096;
 
 /// The largest entry, in bytes. Its frame leaves capacity on the connection for other
 /// frames.
-pub const MAX_ENTRY_BYTES: u64 = FRAME_BYTES_MOST as u64 / 8 * 5;
+pub const MAX_ENTRY_BYTES: u64 = MAX_FRAME_BYTES as u64 / 8 * 5;
 
 /// Entries retained in memory after a snapshot, for disks that join later.
 pub const RETAINED_ENTRIES: u64 = 2000;
