--- a/crates/extent-map/src/cache.rs
+++ b/crates/extent-map/src/cache.rs
@@ -25,7 +25,8 @@
 pub const MAX_IN_FLIGHT_FETCHES: usize = 64;
 /// Volumes queued for a fetch. A volume beyond this limit is queued by a later request for it.
 pub const MAX_QUEUED_FETCHES: usize = 4_096;
-/// Volumes with a refresh budget of their own. At this limit, the full budgets are dropped.
+/// Volumes with a refresh budget of their own. At this limit, the budgets that are full again are dropped: a new one
+/// starts full as well.
 const MAX_VOLUME_BUDGETS: usize = 4_096;
 /// First and longest delay before a failed poll is repeated. Failed fetches are always repeated after the first delay.
 const MIN_RETRY_BACKOFF_US: Micros = 100_000;
@@ -206,15 +207,15 @@
     /// Zero unless the last poll failed.
     poll_backoff: Micros,
     poll_budget: TokenBucket,
-    /// For fetches of volumes that are not known completely, or possibly stale.
+    /// For fetches of volumes that are incomplete or may be stale, and for all others that no rejection caused.
     load_budget: TokenBucket,
-    /// For fetches caused by rejections, of all volumes together.
+    /// For fetches caused by rejections, all volumes together. Covers volumes that are complete and not stale.
     refresh_budget: TokenBucket,
     /// For fetches caused by rejections, of each volume.
     volume_budgets: HashMap<VolumeId, TokenBucket>,
     in_flight: BTreeMap<VolumeId, InFlightFetch>,
-    /// Volumes to fetch: not before which time, for which key (`None`: the complete volume), and whether a rejection
-    /// caused it.
+    /// Volumes that wait for a fetch. For each, the earliest time of the fetch, its key (`None`: the complete volume),
+    /// and whether a rejection caused it.
     queued: BTreeMap<VolumeId, (Micros, Option<Key>, bool)>,
     /// No fetch starts before this time, because one failed.
     fetch_backoff_until: Micros,
@@ -415,6 +416,7 @@
             }
         }
         self.start_due_fetches(now, out);
+        // While polls fail, no unconfirmed change expires, because the peers may know more than this front.
         for (volume, min_epoch) in self.confirmations.take_expired(now, self.poll_backoff == 0) {
             self.counters.unconfirmed += 1;
             self.map.mark_stale(volume, min_epoch);
@@ -870,7 +872,7 @@
     }
 }
 
-/// The epoch from which on a fetch of a volume has every change. Maximal for a volume that is not cached.
+/// The lowest epoch of a fetch answer that cannot lack a change of the volume. `u64::MAX` for a volume that is not cached.
 fn min_fetch_epoch(map: &Map, volume: VolumeId) -> u64 {
     map.get(volume).map_or(u64::MAX, |v| v.min_fetch_epoch)
 }
--- a/crates/fleet-membership/src/front.rs
+++ b/crates/fleet-membership/src/front.rs
@@ -24,9 +24,11 @@
 const MAX_PENDING_PINGS: usize = 64;
 /// How many fronts receive an urgent change directly. A fleet of at most this many fronts needs no further gossip.
 const DIRECT_FANOUT: usize = 16;
-/// A view is issued once nobody joined or left for this long, in a fleet of ten; longer by the common logarithm of its size.
+/// A view is issued once nobody joined or left for this long. The wait is multiplied by the common logarithm of the fleet's
+/// size, which is 1 for a fleet of ten, and by no less than 1.
 const VIEW_STABILITY_WAIT: Micros = 250_000;
-/// A view is issued after this long even if members keep changing; scaled like [`VIEW_STABILITY_WAIT`].
+/// A view is issued this long after the members began to differ from the last one, even if they keep changing. Scaled like
+/// [`VIEW_STABILITY_WAIT`].
 const MAX_VIEW_DELAY: Micros = 1_000_000;
 /// How long a name counts as contested after another process was last seen to use it.
 const NAME_CONTESTED_FOR: Micros = 10_000_000;
@@ -182,12 +184,12 @@
     last_ack_at: Micros,
     next_lease_ping_at: Micros,
     next_expiry_at: Micros,
-    /// The front that served volumes were last sent to; the next round-robin turn starts behind it.
+    /// The front that served volumes were last sent to. The next round-robin turn starts with the front after it.
     served_volumes_cursor: u16,
     cached_factors: RefCell<Option<CachedFactors>>,
     unknown_sender_answered_at: Micros,
     gossip_ticks_left: u32,
-    /// Datagrams for which a new view is gossiped; every other one of them carries the view itself.
+    /// How many more datagrams gossip a new view. Every other one of them carries the view itself.
     view_gossip_left: u32,
     counts: Counts,
 }
@@ -232,8 +234,8 @@
         let lease = Section::micros(section.lease_ms);
         let drift = i64::from(section.drift_ppm);
         let lease_expiry_bound = lease + lease * 4 * drift / 1_000_000 + 1;
-        // A promise of an earlier process incarnation is used or given up within twice this time, and the leases that rest
-        // on it have ended.
+        // Within twice this time, a promise of an earlier process incarnation is used or given up. The quiet period after a
+        // start adds the longest time that a lease can last, so that the leases that rest on the promise have ended too.
         let give_up_after = lease / 2;
         let timing = Timing {
             lease,
@@ -330,8 +332,9 @@
 
     /// The share of this front in limits that all fronts of the roster share.
     ///
-    /// With a lease on a view that lists this front, the fronts that are surely absent leave it their shares, except for
-    /// their reserves. Otherwise it has its reserve, or nothing where not even that is safe.
+    /// With a lease on a view that lists this front, it has its even share and an even part of what the surely absent fronts
+    /// leave, which is all but their reserves. Without such a lease, it has its reserve, or nothing where not even that is
+    /// safe.
     pub fn share(&self, now: Micros) -> Share {
         let (_, allowance) = self.decide_participation(now);
         let grant = self.lease.grant(now);
@@ -361,8 +364,8 @@
         }
     }
 
-    /// The shares of this front as the policy takes them: [`Front::share`], and for each volume what the fronts that serve it
-    /// share among themselves.
+    /// The shares of this front in the form that the policy takes: [`Front::share`], and a factor for each volume, whose limit
+    /// is divided among the fronts that serve it.
     pub fn quota_shares(&self, now: Micros) -> QuotaShares {
         let (share, grant) = (self.share(now), self.lease.grant(now));
         let has_lease = share.valid_until > now;
@@ -421,6 +424,7 @@
         }
     }
 
+    /// Computes the participation and the allowance from what this front knows now.
     fn decide_participation(&self, now: Micros) -> (Participation, Allowance) {
         decide(&Observations {
             acknowledged: self.acknowledged,
@@ -528,7 +532,8 @@
         frame::max_payload_bytes(&self.keys)
     }
 
-    /// The process incarnation of a front, known first-hand or from others; 0 if unknown: then it can only be sent a hello.
+    /// The newest known process incarnation of a front, from its own datagrams or from other fronts. It is 0 if unknown; then
+    /// the front can only be sent a hello.
     fn process_incarnation_of(&self, front: u16) -> u64 {
         let index = usize::from(front);
         let reported = self
@@ -546,7 +551,7 @@
         self.process_incarnation_of(front) != 0
     }
 
-    /// The piggyback for a front that was just heard, whose view is therefore known.
+    /// The piggyback for a front that has just sent a datagram, so that its view is known.
     fn piggyback_for_known_view(&mut self, to: u16) -> wire::Piggyback {
         let their_view = self
             .peers
@@ -555,11 +560,11 @@
         self.piggyback(to, their_view)
     }
 
-    /// The piggyback for a front that was not just heard.
+    /// The piggyback for a front that has not just sent a datagram.
     ///
-    /// In a large fleet its view is not known, and a datagram has no room for both the view and the promises or
-    /// acknowledgements collected under it. They alternate while the view is new. After that a front that lacks the view gets
-    /// it with the acknowledgements of its own pings.
+    /// In a large fleet the view of that front is not known, and a datagram has no room for both the view and the promises or
+    /// acknowledgements collected under it. While the view is new, datagrams carry the one and the other in turn. After that, a
+    /// front that lacks the view gets it with the acknowledgements of its own pings.
     fn piggyback_for(&mut self, to: u16) -> wire::Piggyback {
         if self.front_count <= DIRECT_FANOUT {
             return self.piggyback_for_known_view(to);
@@ -572,6 +577,7 @@
         self.piggyback(to, their_view)
     }
 
+    /// The piggyback for a front whose view is, or is assumed to be, `their_view`.
     fn piggyback(&mut self, to: u16, their_view: ViewNumber) -> wire::Piggyback {
         let (agreement, leads) = (
             self.agreement.message_for(their_view),
@@ -711,8 +717,8 @@
                 self.counts.stale += 1;
             }
             let known = peer.process_incarnation;
-            // The hello only addresses the sender's process incarnation. It is accepted once the sender addresses the current
-            // one of this front.
+            // The sender's process incarnation is used only as the address of the hello. It is accepted once the sender
+            // addresses the current process incarnation of this front.
             let due = peer
                 .hello_sent_at
                 .is_none_or(|at| now - at >= self.tick_interval);
@@ -749,10 +755,11 @@
         new
     }
 
+    /// Handles the content of an accepted datagram.
     fn on_body(&mut self, now: Micros, from: u16, body: Body, out: &mut Vec<Output>) {
         let mut probes = Vec::new();
         match body {
-            // At most once per sender: it sends hellos only until it is addressed by its own process incarnation.
+            // Reported at most once per sender: a sender sends hellos only until it is addressed by its own process incarnation.
             Body::Hello(known) if known > self.process_incarnation => {
                 out.push(Output::Event(Event::Superseded(known)))
             }
@@ -814,6 +821,7 @@
         self.send_probes(now, probes, out);
     }
 
+    /// Extends the lease on a view. A pause of the process has no further effect once a lease is held again.
     fn extend_lease(&mut self, now: Micros, view_number: ViewNumber, valid_until: Micros) {
         let members = self.agreement.view().members;
         self.lease.extend(now, view_number, valid_until, members);
@@ -830,7 +838,7 @@
     ) {
         if let Some(peer) = self.peers.get_mut(usize::from(from)) {
             peer.view_number = piggyback.agreement.view_number;
-            // A proposer leads under each of its proposals once: one that no longer leads has abandoned its last proposal.
+            // A proposer leads at most once under each of its proposals. If it does not lead, it has abandoned its last one.
             let own = ProposalNumber {
                 proposer: from,
                 process_incarnation: peer.process_incarnation,
@@ -859,6 +867,7 @@
         let position = |m: &crate::agreement::AgreementMessage| {
             (m.promised, m.view_number, m.renewal.map(|r| r.sequence))
         };
+        // In a large fleet the leader could not handle a push from every front: on average, DIRECT_FANOUT fronts send one.
         if position(&before) != position(&after) {
             if before.promised != after.promised {
                 self.promised_at = now;
@@ -885,6 +894,7 @@
         EXTRA_GOSSIP_TICKS + (self.front_count as f64).log2().ceil() as u32
     }
 
+    /// Carries out what the agreement returned.
     fn on_agreement_effects(&mut self, now: Micros, effects: Vec<Effect>, out: &mut Vec<Output>) {
         for effect in effects {
             match effect {
@@ -934,7 +944,7 @@
         self.report_participation(now, out);
     }
 
-    /// Marks a name as contested, the own one included, and reports the first time.
+    /// Marks the name of a front, which may be this one, as contested. Reports it unless the name is already contested.
     fn mark_contested(
         &mut self,
         now: Micros,
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -29,15 +29,15 @@
 use tokio::sync::mpsc;
 use tokio::time::Sleep;
 
-/// Tenths of the node's idle timeout for which an idle connection is kept. A request written to a connection that the
+/// An idle connection is kept for this many tenths of the node's idle timeout. A request written to a connection that the
 /// node has just closed would be reset.
 const IDLE_TIMEOUT_TENTHS: Micros = 6;
 
-/// Bytes collected from a response whose declared length makes it long before it is streamed to the client. Until then a
-/// response of which only the head arrives can still be retried.
+/// A response whose declared length makes it long is streamed to the client once this many bytes of its body have arrived.
+/// If only the head of a response arrives, the request can still be retried.
 const MIN_BYTES_BEFORE_STREAMING: usize = 1;
-/// How long before the attempt's timeout a response that may be long is streamed, however little of it has arrived. The
-/// policy needs a little less time than this to give up on the request.
+/// How long before the attempt's timeout a response that may be long is streamed, however little of it has arrived. It is a
+/// little longer than the time by which the policy answers an open request before its client gives up.
 const STREAM_BEFORE_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// Sends requests to storage nodes over pooled connections.
@@ -137,7 +137,8 @@
     /// Sends one attempt to its node and waits for its outcome.
     ///
     /// A response that has to be streamed is handed to `response_started`; the attempt then lasts until all of it has
-    /// been passed on. Nothing is written once the client has left. Dropping the future closes the attempt's connection.
+    /// been passed on. The request is not sent if the client leaves before it is written. Dropping the future closes
+    /// the attempt's connection.
     pub async fn attempt(
         &self,
         forwarded: ForwardedRequest,
@@ -449,8 +450,8 @@
     }
 }
 
-/// The outcome of an attempt that got no connection. Nothing was sent; a shortage of this front's own descriptors says
-/// nothing about the node.
+/// The outcome of an attempt that got no connection, so that nothing was sent. A shortage of this front's own descriptors
+/// says nothing about the node and is no failed connection.
 fn connect_outcome(error: &ConnectError) -> Outcome {
     tracing::debug!("attempt: {error}");
     match error {
@@ -459,7 +460,8 @@
     }
 }
 
-/// Parses a load report such as `TEXT inflight=7, queue=2`. A value may have its name in the settings or in the protocol.
+/// Parses a load report such as `TEXT inflight=7, queue=2`. Each value is accepted under its name in the settings and under
+/// its name in the protocol. `None` if the settings list no load columns, or the text has no known value.
 fn parse_load_report(text: &str, load_columns: &[String]) -> Option<LoadReport> {
     let text = text.trim();
     let fields = text.strip_prefix("TEXT").unwrap_or(text);
--- a/crates/policy/src/balancer/health.rs
+++ b/crates/policy/src/balancer/health.rs
@@ -8,15 +8,16 @@
 
 use super::*;
 
-/// The largest latency that paces a node whose D is below 1, as a multiple of the latency threshold. It
-/// keeps sends coming, so that D can recover.
+/// The largest latency that spaces the sends to a node whose D is below 1, as a multiple of the latency
+/// threshold. Without this limit a slow node would get hardly any requests, and its D could not recover.
 const MAX_PACING_LATENCY_MULTIPLE: f64 = 4.0;
 /// Weight of a new answer in a node's running means of latency and errors.
 const EWMA_WEIGHT: f64 = 0.15;
-/// Half-life of a latency estimate since the node's last answer: of its weight against a new answer, and of
-/// its value while nothing is in flight.
+/// Half-life of a node's latency estimate, counted from the node's last answer. The estimate's weight against
+/// a new answer decays with it, and while nothing is in flight, so does the estimate's value.
 const ESTIMATE_HALF_LIFE: Micros = 700_000;
-/// With few hosts, the half-life of the weight is up to this many times as long.
+/// The half-life of the weight is this many times as long while the number of hosts is small. The multiple
+/// falls to 1 as the number of hosts grows.
 const MAX_HALF_LIFE_MULTIPLE: f64 = 4.0;
 /// An attempt is overtaken once the node has answered another that was sent this much later.
 const OVERTAKEN_AFTER: Micros = 250_000;
@@ -25,7 +26,7 @@
 const MIN_STALL_TIME: Micros = 400_000;
 const STALL_LATENCY_MULTIPLE: f64 = 8.0;
 /// A rejection counts as a latency of this many times the shortest latency target. A timeout counts as a
-/// failure from the same length on.
+/// failure only if the attempt took longer than that.
 const OVERLOAD_LATENCY_MULTIPLE: f64 = 2.0;
 /// Weight of one answer or timeout of any node in the latency of the fleet.
 const FLEET_EWMA_WEIGHT: f64 = 0.1;
@@ -39,12 +40,12 @@
     ///
     /// `D' = (1 - γ) D + γ (threshold / latency × D + β)`, γ = [`DEPTH_GAIN`], β = [`DEPTH_INCREMENT`].
     ///
-    /// The ratio is at most 2. Below D = 1, γ is doubled, β is scaled by D, and D waits for an answer since
-    /// its last update.
+    /// The ratio is at most 2. Below D = 1, γ is doubled, β is scaled by D, and D is updated only if the node
+    /// has answered since the last update.
     ///
     /// A latency above the threshold shrinks D. A latency below it lets D grow, but only if D has held a
-    /// request back; otherwise the latency says nothing about a larger D. An attempt that has not been
-    /// answered counts as a latency of half its age.
+    /// request back since the last update; otherwise the latency says nothing about a larger D. The oldest
+    /// attempt in flight that is not overtaken counts as a latency of half its age.
     pub(super) fn update_depth(&mut self, now: Micros, id: NodeId) {
         let Some(node) = self.nodes.get_mut(&id) else {
             return;
@@ -79,8 +80,8 @@
     /// rejection, and its breaker.
     ///
     /// Failed and broken connections and timeouts, [`BREAKER_FAILURES`] in a row, open the breaker. Any
-    /// answer closes it, errors included. A node that gives no outcome at all is seen elsewhere, by the age
-    /// of its attempts: [`Node::current_latency`] and [`Self::update_depth`].
+    /// answer closes it, errors included. Attempts that have no outcome yet do not get here:
+    /// [`Node::current_latency`] and [`Self::update_depth`] take their age into account.
     pub(super) fn record_outcome(
         &mut self,
         now: Micros,
@@ -140,9 +141,10 @@
                 node.consecutive_failures += u32::from(
                     !overtaken && elapsed as f64 > OVERLOAD_LATENCY_MULTIPLE * min_latency_target,
                 );
-                // One timeout may be a lost attempt, so a second failure in a row has to confirm it. An
-                // attempt that timed out before the shortest latency target does not show how slow the node
-                // is: it counts at once, as a latency of twice its age.
+                // A single timeout may come from a lost attempt, so it counts as a latency only if the node
+                // failed at least twice in a row. An attempt whose timeout is below the shortest latency
+                // target does not show how slow the node is: it counts at once, as a latency of twice its
+                // age. Neither lowers the running mean.
                 let is_short = (elapsed as f64) < min_latency_target;
                 if !overtaken && (node.consecutive_failures > 1 || is_short) {
                     node.record_latency(
@@ -166,7 +168,7 @@
             "node {} does not answer; circuit breaker opened",
             node_id.0
         )));
-        // New objects that were never sent may go to another node.
+        // A request that is not bound to a shard (a new object) and was never sent may go to another node.
         let mut waiting: Vec<RequestId> = node.queue.values().copied().collect();
         waiting.retain(|id| {
             self.requests
@@ -178,8 +180,8 @@
 }
 
 impl Node {
-    /// When each attempt in flight that was not overtaken was sent. An overtaken attempt is lost or runs
-    /// for long: it takes no slot of D, and its age says nothing about the node.
+    /// The send times of the attempts in flight that are not overtaken. An overtaken attempt is lost or
+    /// unusually long: it takes no slot of D, and its age says nothing about the node.
     pub(super) fn not_overtaken(&self) -> impl Iterator<Item = Micros> + '_ {
         self.in_flight
             .values()
@@ -188,8 +190,9 @@
     }
 
     /// Adds an answer to the running mean. With an `estimate_weight` of 1 the answer gets the weight
-    /// [`EWMA_WEIGHT`]; with 0 it replaces the mean. The answer is clipped, since a pause or a flush of the
-    /// node says little about the next answers.
+    /// [`EWMA_WEIGHT`]; with 0 it replaces the mean. The answer is clipped to `MAX_SAMPLE_MULTIPLE` times
+    /// the mean (more for an older mean), since a pause or a flush of the node says little about the next
+    /// answers.
     fn record_latency(&mut self, elapsed: f64, estimate_weight: f64) {
         let max_sample = if estimate_weight > 0.0 {
             self.latency_ewma * MAX_SAMPLE_MULTIPLE / estimate_weight
@@ -200,8 +203,8 @@
             * (elapsed.min(max_sample) - self.latency_ewma);
     }
 
-    /// When the next request may be sent while D is below 1. Such a D is a rate: one request per latency /
-    /// D, with jitter.
+    /// When the next request may be sent while D is below 1. Such a D limits the rate of sends: one request
+    /// in each period of latency / D, with jitter.
     pub(super) fn next_paced_send(&self, latency_threshold: f64) -> Micros {
         let latency = self.latency_ewma.clamp(
             latency_threshold,
@@ -213,7 +216,8 @@
     /// The latency that a request sent now is expected to have.
     ///
     /// With nothing in flight, the mean decays toward 0, so that a node that was slow is used again. With
-    /// unanswered attempts in flight, their age raises it.
+    /// attempts in flight, their age raises the result above the mean. On a stalled node it does not, because
+    /// all its attempts may be lost.
     pub(super) fn current_latency(&self, now: Micros, half_life_multiple: f64) -> f64 {
         let half_lives = (now - self.last_answer_at).max(0) as f64
             / (ESTIMATE_HALF_LIFE as f64 * half_life_multiple);
@@ -226,9 +230,9 @@
         }
     }
 
-    /// Whether every attempt in flight is late; true with none in flight. All may be lost, as after their
-    /// connections broke silently. Then one more request is sent to find out, even if D or the latency
-    /// would hold it back.
+    /// Whether every attempt in flight is late; true with none in flight. All of them may be lost, for
+    /// example because their connections broke silently. One more request is then sent to find out, even
+    /// if D or the latency would hold it back.
     pub(super) fn is_stalled(&self, now: Micros) -> bool {
         let late_after = MIN_STALL_TIME.max((self.latency_ewma * STALL_LATENCY_MULTIPLE) as Micros);
         self.not_overtaken()
