--- a/crates/cluster-node/tests/call_model.rs
+++ b/crates/cluster-node/tests/call_model.rs
@@ -1,6 +1,6 @@
-//! Calls and their answers in a model checker: one caller in two incarnations at one address, two heads that may be
-//! restarted, connections that are reset while answers are on their way, and answers that come late. Every order of a
-//! bounded number of steps is played.
+//! Model check of calls and replies: one caller in two incarnations at one address, and two heads that may restart.
+//! Connections are reset while replies are in flight, and replies may arrive late. The checker explores every order
+//! of a bounded number of steps.
 
 mod common;
 
@@ -14,22 +14,22 @@
 use std::hash::{Hash, Hasher};
 
 const INCARNATIONS: u64 = 2;
-/// Calls that each incarnation of the caller makes.
+/// The number of calls per incarnation of the caller.
 const CALLS: u64 = 2;
-/// A step of the clock after which a call without an answer is sent again.
+/// A clock step after which an unanswered call is retried.
 const STEP_MS: u64 = 900;
 const CLOCK_STEPS: u64 = 1;
 const RESETS: u8 = 1;
 const HEAD_RESTARTS: u8 = 1;
-/// How long callers wait: longer than the clock of the model goes.
+/// The deadline of calls; the model's clock never reaches it.
 const UNTIL: Millis = Millis(100_000);
 
-/// What may be wrong, to see that the checker finds it.
+/// Injected faults, which show that the checker finds them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct InjectedBug {
-    /// A head answers a call at its caller's address, on whatever connection there is now.
+    /// A head replies to the caller's address, on whichever connection is open at that time.
     answers_by_address: bool,
-    /// The caller goes by the number of an answer alone.
+    /// The caller matches replies by their call number alone.
     matches_by_number: bool,
 }
 
@@ -38,7 +38,7 @@
     matches_by_number: false,
 };
 
-/// Which call of which incarnation of the caller; what a head answers repeats it.
+/// Identifies the call and the caller's incarnation; a head's reply repeats it.
 type Tag = u64;
 
 fn tag(incarnation: u64, number: u64) -> Tag {
@@ -50,14 +50,14 @@
 struct Link {
     incarnation: u64,
     head: u8,
-    /// Nothing new goes on it any more; what is on its way to the caller still arrives until the caller sees its end.
+    /// Nothing more is sent on the connection. Replies in flight still arrive until the caller sees it close.
     reset: bool,
     over: bool,
     calls: VecDeque<(CallId, Tag)>,
     answers: VecDeque<(CallId, Tag)>,
 }
 
-/// A call that a head has taken and not answered.
+/// A call that a head has accepted and not yet answered.
 #[derive(Clone, Debug)]
 struct Taken {
     head: u8,
@@ -77,13 +77,13 @@
     taken: Vec<Taken>,
     resets: u8,
     head_restarts: u8,
-    /// Calls that were answered, with the answer: the numbers are those of the present incarnation.
+    /// Calls that got the reply to another call, with that reply. Call numbers are those of the current incarnation.
     wrong: Vec<(Tag, Tag)>,
     receive_reply: Vec<Tag>,
     sends: Vec<(Tag, u8)>,
 }
 
-/// Two states are the same if all that they hold is written the same.
+/// Two states are equal if their contents have the same textual form.
 impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
         format!("{self:?}") == format!("{other:?}")
@@ -244,7 +244,7 @@
     fn restart_caller(&mut self) {
         for link in &mut self.links {
             (link.reset, link.over) = (true, true);
-            // What was handed to the network still arrives at the head; answers find nobody.
+            // Calls in flight still arrive at the head; replies have no receiver.
             link.answers.clear();
         }
         self.incarnation += 1;
@@ -398,7 +398,7 @@
     }
 }
 
-/// Steps of the longest orders that are played.
+/// The maximum number of steps per explored order.
 const DEPTH: usize = 12;
 
 fn check(fault: InjectedBug) -> impl Checker<System> {
--- a/crates/cluster-node/tests/core_machine.rs
+++ b/crates/cluster-node/tests/core_machine.rs
@@ -1,4 +1,4 @@
-//! The core process as a state machine, driven by hand.
+//! Tests of the core process as a state machine: each test feeds events and runs effects itself.
 
 use lupinrack_cluster_api::chain::{ChainMessage, ReplicaReport};
 use lupinrack_cluster_api::core_heartbeat::{CoreHeartbeat, HeartbeatStamp};
@@ -39,7 +39,7 @@
     }
 }
 
-/// A machine whose writes are synced at once.
+/// A core machine whose writes are synced immediately.
 struct Driven {
     machine: CoreMachine,
     incarnation: u64,
@@ -62,7 +62,7 @@
         Driven::with(settings, number)
     }
 
-    /// The only core process, which founds by itself.
+    /// A single core process, which founds the cluster alone.
     fn alone() -> Driven {
         let seeds = vec![voter(1).address];
         let settings = CoreSettings {
@@ -125,7 +125,7 @@
         });
     }
 
-    /// What a process says that has just received this machine's last heartbeat.
+    /// The stamp that a peer returns after it has received this machine's last heartbeat.
     fn acknowledgement(&self) -> Option<HeartbeatStamp> {
         Some(HeartbeatStamp {
             incarnation: self.incarnation,
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Calls the head and waits for the answer.
+    /// Calls the head and waits for its reply.
     fn call(&mut self, request: Request) -> Reply {
         let (reply_to, mut reply) = oneshot::channel();
         self.receive(CoreEvent::Call(HeadCall {
@@ -174,7 +174,7 @@
         reply.try_recv().expect("the call is answered in time")
     }
 
-    /// Whether it has sent entries or a check to its successor in this view.
+    /// Whether this machine has sent entries or a check to its successor in this view.
     fn leads_in(&self, number: u64) -> bool {
         let leads = |frame: &Frame| matches!(frame, Frame::Chain(ChainMessage::Append { view, .. }) if *view == number);
         self.sent.iter().any(|(_, frame)| leads(frame))
@@ -278,7 +278,7 @@
     let mut driven = Driven::alone();
     driven.advance_ms(2_000);
     let front = voter(9).address;
-    // Two incarnations of a front at one address: both have asked as their first call.
+    // Two incarnations of a front at one address; both requests are first calls (number 1).
     let calls = [
         (
             40,
@@ -369,7 +369,7 @@
 }
 
 impl Driven {
-    /// A heartbeat of a process whose replica has everything, or not.
+    /// Delivers a heartbeat of a member whose replica is complete or incomplete.
     fn heartbeat_of_member(&mut self, from: u8, view: View, complete: bool) {
         let replica = ReplicaReport {
             complete,
@@ -529,7 +529,7 @@
     assert!(called(&mut driven, 9));
 }
 
-/// To whom heartbeats went since the last call.
+/// The peers that heartbeats were sent to since the last call.
 fn heartbeat_receivers(driven: &mut Driven) -> Vec<PeerAddress> {
     let sent = std::mem::take(&mut driven.sent);
     let heartbeats = sent
--- a/crates/cluster-node/tests/head_client.rs
+++ b/crates/cluster-node/tests/head_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the head: sent again, given up, in doubt or not taken.
+//! Calls to the head: retried, expired, with an unknown outcome, or not taken.
 
 mod common;
 
@@ -13,12 +13,12 @@
 use quickcheck::quickcheck;
 use tokio::sync::oneshot::{channel, Receiver};
 
-/// The incarnation of the process that calls.
+/// The incarnation of the calling process.
 const INCARNATION: u64 = 7;
 const START: Millis = Millis(1_000);
-/// When the callers of these tests give up.
+/// The deadline of the calls in these tests.
 const UNTIL: Millis = Millis(4_000);
-/// Open calls that a client takes.
+/// The limit on pending calls per client.
 const MAX_PENDING_CALLS: usize = 2_000;
 
 /// A client that knows a view whose head is core process 1.
@@ -48,7 +48,7 @@
     remaining_ms: u64,
 }
 
-/// An answer to the call with this number in the client's incarnation.
+/// Delivers a reply to the call with this number in the client's incarnation.
 fn receive_reply(
     client: &mut HeadClient,
     from: u8,
@@ -87,7 +87,7 @@
     outgoing.into_iter().map(one).collect()
 }
 
-/// What goes out while the clock runs in ticks of 10 ms, with the moments.
+/// The messages sent while the clock advances in ticks of 10 ms, with their times.
 fn ticks(client: &mut HeadClient, from: Millis, until: Millis) -> Vec<(Millis, Sent)> {
     let mut all = Vec::new();
     for now in (from.0..until.0).step_by(10).map(Millis) {
@@ -385,7 +385,7 @@
     drop(open);
 }
 
-/// What happens to a client in the property below.
+/// An event at the client in the property below.
 #[derive(Clone, Copy, Debug)]
 enum Happening {
     Pass(u64),
@@ -411,8 +411,8 @@
 }
 
 quickcheck! {
-    /// Whatever happens, a call is answered by its time; `NotTaken` only where nothing was sent, and a refusal only where
-    /// it was sent once.
+    /// Every call is answered by its deadline. `NotTaken` occurs only for a call that was never sent; a refusal occurs
+    /// only for a call that was sent once.
     fn every_call_is_answered_in_time_and_truly(draws: Vec<u16>) -> bool {
         let mut client = HeadClient::new(INCARNATION);
         let (first, mut answer) = begin(&mut client, START);
@@ -435,7 +435,7 @@
                     client.learn_view(&view(view_number, &[1, 2, 3], &[]), now)
                 }
                 Happening::Close(at) => client.disconnected(core(at), now),
-                // Answers come only to what was sent.
+                // Replies arrive only for calls that were sent.
                 other => match asked {
                     Some(from) => client.receive_reply(from, CallId { incarnation: INCARNATION, number: 1 }, reply(other), now),
                     None => Vec::new(),
--- a/crates/cluster-node/tests/request_steps.rs
+++ b/crates/cluster-node/tests/request_steps.rs
@@ -1,4 +1,4 @@
-//! What the head does with calls, by the state that is applied.
+//! How the head handles calls, depending on the applied state.
 
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::identity::{JobId, QueueName};
@@ -97,7 +97,7 @@
     state
 }
 
-/// What a step submits; none for another step.
+/// The operation that a step submits; `None` for any other step.
 fn submitted(step: RequestStep) -> Option<Operation> {
     match step {
         RequestStep::Append(operation) => Some(operation),
@@ -105,7 +105,7 @@
     }
 }
 
-/// What a step answers; none for another step.
+/// The reply that a step gives; `None` for any other step.
 fn answered(step: RequestStep) -> Option<Reply> {
     match step {
         RequestStep::Reply(reply) => Some(reply),
--- a/crates/cluster-node/tests/restarted_owner.rs
+++ b/crates/cluster-node/tests/restarted_owner.rs
@@ -1,4 +1,5 @@
-//! A core process that owned a shard, lost its power and comes back: what its earlier incarnation recorded.
+//! A shard owner restarts after a power loss. The tests guard against a new incarnation that misuses what the earlier
+//! one recorded.
 
 use lupinrack_chain::ReplicaStatus;
 use lupinrack_cluster_api::agent::{AgentMessage, Heartbeat, OwnerMessage};
@@ -23,7 +24,7 @@
 const HEAD: u8 = 1;
 const OWNER: u8 = 2;
 const TICK_MS: u64 = 25;
-/// The token that the earlier incarnation of the owner took the shard under.
+/// The fencing token under which the owner's earlier incarnation took the shard.
 const OLD_TOKEN: FencingToken = FencingToken(1);
 const OLD_LIFE: u64 = 1;
 const JOB: JobId = JobId(0xaa);
@@ -47,7 +48,7 @@
     }
 }
 
-/// A service that the view gives to the process under test.
+/// A service whose shard the view assigns to the process under test.
 fn service() -> ServiceName {
     let names = (0..).map(|number| ServiceName(format!("service-{number}")));
     let owned = |name: &ServiceName| owner_of(&view(), name) == Some(voter(OWNER).disk);
@@ -92,7 +93,7 @@
     }
 }
 
-/// What the earlier incarnation had in its log: it owns the shard, and a task was started.
+/// The log of the earlier incarnation: it owns the shard and has started a task.
 fn log() -> Vec<LogEntry> {
     let step = Step {
         count: 1,
@@ -126,7 +127,7 @@
         .collect()
 }
 
-/// The restarted process; its writes are synced at once.
+/// The restarted process; its writes are synced immediately.
 struct Restarted {
     machine: CoreMachine,
     now: u64,
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Carries out an effect; gives the event that follows from it. The head confirms the view at once.
+    /// Carries out an effect and returns the resulting event. The head confirms the view immediately.
     fn carry_out(&mut self, effect: CoreEffect) -> Option<CoreEvent> {
         match effect {
             CoreEffect::Write { number, .. } => Some(CoreEvent::Synced(vec![number])),
@@ -217,7 +218,7 @@
         self.receive(of_head(frame));
     }
 
-    /// The agent of the server attaches; the run has ended there.
+    /// Attaches the server's agent, which reports that the run has ended.
     fn agent_attaches(&mut self) {
         let id = ServerId(SERVER.to_owned());
         let ended = FinishedTask {
@@ -264,7 +265,7 @@
         });
     }
 
-    /// The head sends these entries again, and says how far all is committed.
+    /// The head resends these entries and reports the committed position.
     fn appended(&mut self, entries: &[LogEntry], committed: u64) {
         let first = entries.first().map_or(committed + 1, |entry| entry.index);
         let append = ChainMessage::Append {
@@ -285,7 +286,7 @@
         }
     }
 
-    /// The tokens under which it asked for the shard.
+    /// The tokens under which the process requested the shard.
     fn takes(&self) -> Vec<FencingToken> {
         let token = |operation: &Operation| match operation {
             Operation::TakeShard { token, .. } => Some(*token),
@@ -311,7 +312,7 @@
     }
 }
 
-/// The ends that were to be recorded.
+/// The end records among the submitted operations.
 fn ends(submitted: &[Operation]) -> Vec<EndRecord> {
     let ends = submitted.iter().filter_map(|operation| match operation {
         Operation::RecordEnds { ends, .. } => Some(ends.clone()),
@@ -324,7 +325,7 @@
 fn a_start_of_the_earlier_incarnation_is_not_taken_for_one_that_no_server_received() {
     let mut restarted = Restarted::new();
     let log = log();
-    // Commits come in parts, with rounds between: first all before the start, then the start.
+    // The log commits in two parts with rounds in between: first all entries before the start, then the start.
     restarted.appended(&log[..3], 3);
     restarted.advance_ms(300);
     restarted.appended(&log[3..], 4);
