--- a/crates/cluster-node/tests/disk_of_the_version_before.rs
+++ b/crates/cluster-node/tests/disk_of_the_version_before.rs
@@ -1,4 +1,5 @@
-//! Disks that a former version wrote are read by this one: the same configuration, jobs, view, vote and standing.
+//! This version reads disks that an earlier version wrote. The tests guard against a format change that alters the
+//! configuration, jobs, view, vote or replica status.
 //!
 //! `tests/disks/README.md` says how the disks were made.
 
@@ -20,17 +21,17 @@
 use std::fmt::Write;
 use support::packed_disk::UnpackedDisk;
 
-/// The disks, and the numbers of their processes in a network that goes on from them.
+/// The disks, indexed by the numbers of their processes in a network that restarts from them.
 const DISKS: [&str; 3] = ["core-1", "core-2", "core-3"];
-/// The disk of the process that was told to end first, in a view before the last one.
+/// The disk of the process that was asked to shut down first, in a view before the last one.
 const ENDED_FIRST: &str = "core-2";
-/// How long processes that were begun anew take to agree on a view and to answer, in simulated milliseconds.
+/// The time that restarted processes take to agree on a view and to answer, in simulated milliseconds.
 const SETTLED_MS: u64 = 10_000;
-/// How long a call may take, in simulated milliseconds.
+/// The time limit of a call, in simulated milliseconds.
 const CALL_MS: u64 = 2_000;
 const HOST: &str = "batch.example";
 
-/// What is on a disk.
+/// Reads the contents of a disk.
 fn read(name: &str) -> Recovered {
     let disk = UnpackedDisk::new(name, DATA_FILE);
     let (_store, recovered) = ControlStore::open(disk.folder(), StoreSettings::default())
@@ -56,7 +57,7 @@
     state
 }
 
-// What the disks hold, as text.
+// The contents of the disks, as text.
 
 fn write_disk(text: &mut String, name: &str, recovered: &Recovered) {
     let last = recovered
@@ -88,7 +89,7 @@
     );
 }
 
-/// A disk that was in the chain from the first view on has none written.
+/// No replica status is written on a disk that has been in the chain since the first view.
 fn standing_text(bytes: &[u8]) -> &'static str {
     let replica_status: Option<ReplicaStatus> = (!bytes.is_empty()).then(|| decode(bytes));
     match replica_status {
@@ -254,7 +255,7 @@
     }
 }
 
-// Core processes that go on from the disks.
+// Core processes that restart from the disks.
 
 /// The voters of the last view, each with its disk, in the order of [`DISKS`].
 fn disks() -> Vec<(Voter, Recovered)> {
@@ -286,7 +287,7 @@
     reply.try_recv().expect("the call is answered in time")
 }
 
-/// The state of which the members of the last chain hold all.
+/// The state that every member of the last chain has in full.
 fn last_state() -> ControlState {
     let last = DISKS
         .iter()
--- a/crates/cluster-node/tests/golden.rs
+++ b/crates/cluster-node/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What processes tell operators, clients and servers, byte for byte: the status texts, the texts of errors, and the
-//! answers over HTTP of a core process, a front and an agent.
+//! Golden tests of the output to operators, clients and servers: status texts, error texts, and the HTTP responses of a
+//! core process, a front and an agent. They guard against any unintended change, byte for byte.
 
 mod common;
 mod support;
@@ -39,9 +39,9 @@
 const PATCH: &str = r#"{"version":5,"remove":{"routes":["orders"]}}"#;
 const HOST: &str = "shop.example";
 const JOB_PATH: &str = "/orders/00000000000000aa";
-/// One byte more than an operator or a server may send.
+/// One byte over the body limit of operators and servers.
 const BODY_BYTES_TOO_MANY: u64 = 4 * 1024 * 1024 + 1;
-/// One byte more than a client may send.
+/// One byte over the body limit of clients.
 const CLIENT_BODY_BYTES_TOO_MANY: u64 = 256 * 1024 + 1;
 
 fn search() -> ServiceName {
@@ -50,7 +50,7 @@
 
 // The status texts.
 
-/// Texts under their names.
+/// Recorded texts, each under its name.
 #[derive(Default)]
 struct Texts(String);
 
@@ -235,7 +235,7 @@
     texts.add("an agent without", alone);
 }
 
-// The texts of errors.
+// The error texts.
 
 #[test]
 fn error_texts() {
@@ -297,7 +297,7 @@
 
 // The control API of a core process.
 
-/// Every kind of answer of the head but [`Reply::NotHead`], under a name.
+/// Every kind of reply of the head except [`Reply::NotHead`], each under a name.
 fn replies() -> Vec<(String, Reply)> {
     let states = [
         JobState::Queued,
@@ -320,7 +320,7 @@
     others.into_iter().chain(jobs).chain(errors).collect()
 }
 
-/// Serves the control API of a core process whose head answers as the script says, and whose status is one line.
+/// Serves the control API of a core process. The script determines the head's replies; the status is one line.
 fn start_control_api(addresses: Addresses, script: Arc<Script>) -> SocketAddrV4 {
     let address = addresses.control(PROCESS);
     let further = [
@@ -347,7 +347,7 @@
     address
 }
 
-/// Answers calls until the script tells a call to be dropped and no further ones to be taken.
+/// Answers calls until the script has no reply for one; drops that call and accepts no further ones.
 async fn answer_calls(
     mut calls: mpsc::Receiver<HeadCall>,
     mut queries: mpsc::Receiver<ProcessCall>,
@@ -366,7 +366,7 @@
     }
 }
 
-/// Calls with their answers, as they are recorded.
+/// Makes calls and records them with their responses.
 struct Session<'a> {
     address: SocketAddrV4,
     addresses: Addresses,
@@ -383,7 +383,7 @@
             .add(name, call, &asked, &self.addresses.masked(&answer));
     }
 
-    /// A call that the head answers, if it is asked.
+    /// Makes a call for which the head, if asked, gives this reply.
     fn call_answered(&mut self, name: &str, call: &Call, reply: Reply) {
         self.script.clear();
         self.script.then(reply);
@@ -497,7 +497,7 @@
     Call::new(line).header("host", HOST)
 }
 
-/// A text with the milliseconds since a confirmation or a message left out.
+/// Masks the milliseconds since a confirmation or a message in a text.
 fn without_ages(text: &str) -> String {
     let line = |line: &str| match line
         .strip_suffix(" ms ago")
@@ -509,7 +509,7 @@
     text.split('\n').map(line).collect::<Vec<_>>().join("\n")
 }
 
-/// Records the status of a process, whose length depends on what is left out of it.
+/// Records the status of a process. Its length depends on the masked parts.
 fn add_status(session: &mut Session<'_>, name: &str, address: SocketAddrV4) {
     let call = Call::new(&format!("GET {STATUS_PATH}"));
     let answer = exchange(address, &call).expect("an answer");
@@ -568,7 +568,7 @@
             .is_ok_and(|answer| answer.starts_with("HTTP/1.1 200"))
     });
     let status = Call::new(&format!("GET {STATUS_PATH}"));
-    // The view is shown with the next tick of its clock.
+    // The front shows the view after its next clock tick.
     wait_until("a front that shows the view", || {
         exchange(addresses.readiness(), &status).is_ok_and(|answer| answer.contains("view 7"))
     });
@@ -616,7 +616,7 @@
     session.script.then(unknown);
     let elsewhere = at_host("GET /elsewhere/");
     let answer = exchange(session.address, &elsewhere).expect("an answer");
-    // Whether the front says so itself depends on how long ago the head confirmed its configuration.
+    // The age of the head's last confirmation decides whether the front responds itself or asks the head.
     session
         .record
         .add("no such queue", &elsewhere, &[], &answer);
@@ -650,7 +650,7 @@
     }
 }
 
-/// The heartbeat of the server beside the agent.
+/// A heartbeat of the agent's local server.
 fn heartbeat(sequence: u64, state: &str, running: &str, finished: &str) -> Call {
     let body = format!(
         r#"{{"service":"search","state":"{state}","sequence":{sequence},"address":"127.0.0.1:1","zone":"north","version":"1","slots":8,"clock-ms":1000,"capacity":{{"cpu":4000,"mem-mb":4096,"gpu":1}},"labels":["plain","rack-1"],"running":{running},"finished":{finished}}}"#
@@ -706,7 +706,7 @@
         "the status of an agent with an owner",
         address,
     );
-    // The number of a heartbeat depends on how long the owner took; it is high enough here.
+    // The heartbeat's sequence number depends on how long the owner took; this one is high enough.
     let sequence = 1_000_000;
     session.call(
         "a heartbeat of an idle server",
--- a/crates/cluster-node/tests/joiner_throttle.rs
+++ b/crates/cluster-node/tests/joiner_throttle.rs
@@ -1,4 +1,5 @@
-//! A disk that joins more slowly than changes come gets in all the same: new work is slowed until it has.
+//! The tests guard against a disk that never joins because changes arrive faster than its link carries them. New work
+//! is throttled until the disk has joined.
 
 mod network;
 
@@ -12,18 +13,18 @@
 use network::Network;
 use tokio::sync::oneshot;
 
-/// The time by which a disk should have joined, in milliseconds.
+/// The time within which a disk should join, in milliseconds.
 const CATCH_UP_MS: u64 = 4_000;
-/// White space fills a change up to so many bytes.
+/// The size of a change in bytes; white space pads it.
 const CHANGE_BYTES: usize = 300_000;
 const CHANGE_EVERY_MS: u64 = 250;
-/// The links to the disk that joins carry half of what the changes come to.
+/// The links to the joining disk carry half the data rate of the changes.
 const LINK_BYTES_PER_S: u64 = 600_000;
-/// It is there again within this time, in milliseconds: ten times that by which it should have joined.
+/// The time within which the disk must be joined again, in milliseconds: ten times [`CATCH_UP_MS`].
 const JOINED_WITHIN_MS: u64 = 10 * CATCH_UP_MS;
-/// So many changes behind it counts as having caught up: those of a second at the pace of its link.
+/// A disk at most this many changes behind counts as caught up: one second of changes at its link's rate.
 const BEHIND_MOST: u64 = 2;
-/// How long it is watched, in milliseconds.
+/// The observation time, in milliseconds.
 const WATCHED_MS: u64 = 90_000;
 
 fn change(version: u64) -> Request {
@@ -37,7 +38,7 @@
     })
 }
 
-/// An operator that brings one large change after the other to one process.
+/// An operator that submits large changes to one process, one after the other.
 struct Operator {
     at: usize,
     version: u64,
@@ -76,7 +77,7 @@
     }
 }
 
-/// The number behind a word of a process's status.
+/// The number that follows a word in a process's status.
 fn figure(network: &mut Network, process: usize, word: &str) -> u64 {
     let status = network.status(process);
     let after = status.split(word).nth(1).unwrap_or_default();
@@ -125,7 +126,7 @@
     );
     assert!(longest_ms <= JOINED_WITHIN_MS, "{longest_ms} ms");
     assert!(operator.refused > 0);
-    // Once it receives as fast as changes come, nothing is refused.
+    // Once the disk receives changes as fast as they arrive, no change is refused.
     for other in 0..2 {
         network.limit_bandwidth(other, 2, 100 * LINK_BYTES_PER_S);
     }
@@ -136,7 +137,7 @@
     assert_eq!(operator.refused, refused);
 }
 
-/// Bytes that are taken in a second of offers.
+/// The bytes admitted during one second of offered changes.
 fn taken_in_a_second(throttle: &mut JoinerThrottle, is_late: bool, from: u64) -> u64 {
     let mut taken = 0;
     for now in (from..from + 1_000).step_by(25).map(Millis) {
--- a/crates/cluster-node/tests/zone_configuration_updates.rs
+++ b/crates/cluster-node/tests/zone_configuration_updates.rs
@@ -1,5 +1,5 @@
-//! Fronts of a zone, a head, and a table of live members that may be nonsense: everybody stays fresh, and nobody takes
-//! itself for fresher than it is.
+//! Configuration updates in a zone of fronts and a head, where tables of live members may be wrong. The tests guard
+//! against a front that falls behind, or one that assumes it is fresher than it is.
 
 use lupinrack_cluster_api::configuration::Configuration;
 use lupinrack_cluster_api::frame::{Frame, Interest, Role};
@@ -18,7 +18,7 @@
 const TICK_MS: u64 = 50;
 const DELAY_MS: u64 = 2;
 const HEAD: usize = 0;
-/// A front that is older than this passes what it does not know on to the head.
+/// A front whose configuration is older than this asks the head about names it does not know.
 const FRESH_MS: u64 = 900;
 
 fn address(index: usize) -> PeerAddress {
@@ -59,15 +59,15 @@
     frame: Frame,
 }
 
-/// Index 0 is the head, the others are fronts. Every pair has one connection, numbered by the other's index.
+/// Index 0 is the head; the others are fronts. Every pair has one connection, numbered by the peer's index.
 struct Zone {
     now: u64,
-    /// When each version was committed, from version 1 on.
+    /// The commit time of each version, starting at version 1.
     committed: Vec<u64>,
     fronts: Vec<ConfigurationFeed>,
     tables: Vec<LiveTable>,
     unresponsive: Vec<bool>,
-    /// Fronts between which and the head nothing passes.
+    /// Fronts that are partitioned from the head.
     cut_off: Vec<bool>,
     in_flight: VecDeque<InFlight>,
     asked_head: u64,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// What a front holds for certain at a moment was the newest version then.
+    /// Asserts that a front does not overstate its freshness: its version is at least the newest one at `confirmed_at`.
     fn assert_honest(&self, front: usize) {
         let known = self.fronts[front - 1].known();
         let newest_then = self
@@ -156,7 +156,7 @@
         });
     }
 
-    /// What reaches a unresponsive process waits for it; what goes to a process that never existed is lost.
+    /// Messages to an unresponsive process are queued; messages to a process that never existed are lost.
     fn deliver(&mut self) {
         for _ in 0..self.in_flight.len() {
             let Some(next) = self.in_flight.pop_front() else {
@@ -386,7 +386,7 @@
         zone.run(3_000);
         for (turn, mask) in masks.iter().take(8).enumerate() {
             let front = turn % count;
-            // Whoever this front holds for there, also such as never existed; it may leave itself out.
+            // The members that this front assumes are live, including ones that never existed; it may omit itself.
             zone.tables[front] = table_of((1..=8).filter(|index| mask & (1 << (index - 1)) != 0));
             zone.run(1_500);
         }
