--- a/crates/cluster-node/tests/admission.rs
+++ b/crates/cluster-node/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of new work by the bytes of the state.
+//! Admission of new work by the size of the state in bytes.
 
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::identity::{
@@ -100,7 +100,7 @@
     }
 }
 
-/// A state, and its size as a core process keeps it.
+/// A state and its size as a core process tracks it.
 struct Sized {
     state: ControlState,
     size: StateSize,
@@ -137,11 +137,11 @@
     }
 }
 
-/// What is neither a job nor a configuration, in bytes: owners of shards and their like.
+/// The bytes of everything but jobs and configurations, such as shard owners.
 const OTHER_BYTES: u64 = 4_096;
 
 quickcheck! {
-    /// Whatever is accepted, run and ended, the size is never estimated below what it is.
+    /// The estimated size is never below the actual size, whatever is accepted, run and ended.
     fn the_size_is_estimated_from_above(jobs: Vec<(u16, Vec<u8>, bool, bool)>) -> bool {
         let mut sized = Sized::new();
         let mut is_above = true;
--- a/crates/cluster-node/tests/configuration_request.rs
+++ b/crates/cluster-node/tests/configuration_request.rs
@@ -1,4 +1,4 @@
-//! Orders of the operator as they come over HTTP, good and bad.
+//! Valid and invalid configuration changes that operators send over HTTP.
 
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::operation::{ConfigurationBody, ConfigurationChange};
--- a/crates/cluster-node/tests/pending_requests.rs
+++ b/crates/cluster-node/tests/pending_requests.rs
@@ -1,4 +1,4 @@
-//! Calls that are pending at the head.
+//! Pending calls at the head.
 
 mod common;
 
@@ -12,7 +12,7 @@
 };
 use quickcheck::quickcheck;
 
-/// No calls.
+/// An empty list of call numbers.
 const NOTHING: [u64; 0] = [];
 
 fn call_until(id: u64, until: u64) -> PendingRequest {
@@ -42,7 +42,7 @@
         .collect()
 }
 
-/// The calls that a barrier makes certain.
+/// The numbers of the calls that a completed barrier confirms.
 fn passed_ids(passed: CompletedBarrier) -> Vec<u64> {
     ids(passed.requests)
 }
@@ -163,12 +163,12 @@
 }
 
 quickcheck! {
-    /// Every read is answered by exactly one barrier, and by none that began before the read came.
+    /// Exactly one barrier answers each read, and that barrier starts after the read arrives.
     fn no_read_is_answered_early_or_twice(steps: Vec<bool>) -> bool {
         let mut waiting = PendingRequests::default();
         let mut barrier = 0;
         let mut under_way = false;
-        // The barrier that was the newest when each read came.
+        // The newest barrier at the arrival of each read.
         let mut came_at: Vec<u64> = Vec::new();
         let mut answered: Vec<u64> = Vec::new();
         for read_comes in steps {
--- a/crates/cluster-node/tests/status.rs
+++ b/crates/cluster-node/tests/status.rs
@@ -1,4 +1,4 @@
-//! The lines that processes report to operators.
+//! The status lines that processes report to operators.
 
 mod common;
 
--- a/crates/cluster-node/tests/subscription.rs
+++ b/crates/cluster-node/tests/subscription.rs
@@ -26,7 +26,7 @@
     outgoing.map(|outgoing| outgoing.to)
 }
 
-/// The receivers of all subscriptions while time passes in steps of 10 ms.
+/// The receivers of all subscriptions sent while the clock advances in steps of 10 ms.
 fn receivers(
     subscription: &mut Subscription,
     view: &View,
@@ -160,7 +160,7 @@
 }
 
 quickcheck! {
-    /// Whatever the moments of the ticks, two subscriptions never lie closer together than the search's pace.
+    /// Two subscriptions are never sent within less than the search interval, whatever the times of the ticks.
     fn it_never_floods(steps: Vec<u16>, known: bool) -> bool {
         let view = if known { view(1, &[1, 2], &[1, 2]) } else { View::default() };
         let mut subscription = subscription(&[1, 2]);
--- a/crates/cluster-node/tests/update_relay.rs
+++ b/crates/cluster-node/tests/update_relay.rs
@@ -1,4 +1,4 @@
-//! What fronts relay, and when a home is left.
+//! The updates that fronts relay, and when a front leaves its home front.
 
 use lupinrack_cluster_api::configuration::Configuration;
 use lupinrack_cluster_api::frame::{Frame, Interest, Role};
@@ -138,7 +138,7 @@
     assert_eq!(relay.send_view(&view(4)), []);
 }
 
-/// A front at address 7 in a zone whose other front is at address 8.
+/// A front in a zone of two fronts at addresses 7 and 8; the other one is its home.
 fn follower() -> (ConfigurationFeed, LiveTable) {
     let zone = "east".to_string();
     let member = |number| LiveMember {
