--- a/crates/node-settings/src/bounds.rs
+++ b/crates/node-settings/src/bounds.rs
@@ -1,63 +1,63 @@
-//! Bounds on times, which the operators and the system promise each other.
+//! Time bounds that the system and its operators guarantee to each other.
 
 use crate::reader::Reader;
 
-/// Bounds on times that the system has to keep or may rely on. Those that the file does not give have their value of
+/// Time bounds that the system must meet or may rely on. A bound that is missing in the file has its value of
 /// [`Bounds::default`].
 ///
 /// Fields are named after the keys below `bounds.`; `lease_max_ms` is `bounds.hold-max`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// How far the operators' list of processes lags behind, in milliseconds.
+    /// How long the operators' list of processes may be out of date, in milliseconds.
     pub seed_lag_ms: u64,
-    /// How soon the address of a server that has ended may belong to another server, in milliseconds.
+    /// The shortest time until the address of a terminated server may be reused by another server, in milliseconds.
     pub reuse_after_ms: u64,
-    /// How recent a process's last contact has to be for it to count as connected, in milliseconds.
+    /// The maximum age of the last contact of a process that counts as connected, in milliseconds.
     pub contact_ms: u64,
-    /// How long an acknowledgement may take while there are no faults, in milliseconds.
+    /// The maximum latency of an acknowledgement in the absence of faults, in milliseconds.
     pub ack_ms: u64,
-    /// How long a machine still counts as lost after its return, in milliseconds.
+    /// How long a machine still counts as lost after it has returned, in milliseconds.
     pub catch_up_ms: u64,
-    /// How long a server may still be given work after it announced that it is draining, in milliseconds.
+    /// How long a server may still receive work after it has announced its drain, in milliseconds.
     pub drain_ms: u64,
-    /// How long a process has between the signal to end and being killed, in milliseconds.
+    /// The grace period between the termination signal to a process and its kill, in milliseconds.
     pub grace_ms: u64,
     /// The tolerance in time around losses, in milliseconds.
     pub loss_slack_ms: u64,
-    /// How soon an acknowledged configuration has to be in force everywhere, in milliseconds.
+    /// The time within which an acknowledged configuration is in force everywhere, in milliseconds.
     pub config_apply_ms: u64,
     /// The tolerance in time before a return to an older configuration counts, in milliseconds.
     pub rollback_slack_ms: u64,
-    /// How far the clocks of different machines may differ, in milliseconds.
+    /// The maximum clock skew between machines, in milliseconds.
     pub max_skew_ms: u64,
-    /// How soon the system has to work again after a loss of all processes, in milliseconds.
+    /// The time within which the system recovers from the loss of all processes, in milliseconds.
     pub recovery_ms: u64,
     /// The longest lease under which a server runs its tasks without a renewal, in milliseconds.
     pub lease_max_ms: u64,
-    /// How long a server takes at most to stop a task, in milliseconds.
+    /// The maximum time that a server takes to stop a task, in milliseconds.
     pub stop_ms: u64,
     /// How long a member of a gang waits for the others, in milliseconds.
     pub gang_ms: u64,
-    /// After which time nothing of a cancelled job may start any more, in milliseconds.
+    /// The time after which no task of a cancelled job may start, in milliseconds.
     pub cancel_ms: u64,
-    /// How soon an accepted job has to be visible everywhere, in milliseconds.
+    /// The time within which an accepted job is visible everywhere, in milliseconds.
     pub visible_ms: u64,
     /// How long before its due time a task may start, in milliseconds.
     pub early_ms: u64,
-    /// How soon all jobs have to be finished after the last submission, in milliseconds.
+    /// The time within which all jobs finish after the last submission, in milliseconds.
     pub finish_ms: u64,
-    /// How long a job's state can be queried, in milliseconds.
+    /// How long the state of a job can be queried, in milliseconds.
     pub status_ms: u64,
     /// The work between two checkpoints of a task, in milliseconds.
     pub save_ms: u64,
     /// How long a task takes to continue from a checkpoint, in milliseconds.
     pub restore_ms: u64,
-    /// How many times as long a task takes on another rack than that of its data, or a gang on several racks.
+    /// The slowdown factor of a task on another rack than its data, and of a gang that spans several racks.
     pub far_factor: f64,
 }
 
 impl Default for Bounds {
-    /// Cautious values: short where the system promises, long where it waits for others.
+    /// Conservative values: short for guarantees of the system, long for waits on others.
     fn default() -> Bounds {
         Bounds {
             seed_lag_ms: 5_000,
--- a/crates/node-settings/src/error.rs
+++ b/crates/node-settings/src/error.rs
@@ -24,7 +24,7 @@
 impl std::error::Error for SettingsError {}
 
 impl SettingsError {
-    /// The error's text with the path of its file; of several invalid settings each one stands on a line of its own.
+    /// The error message prefixed with the path of the file, with one line per invalid setting.
     pub fn message_for_file(&self, path: &Path) -> String {
         let path = path.display();
         match self {
--- a/crates/node-settings/src/fault_tolerance.rs
+++ b/crates/node-settings/src/fault_tolerance.rs
@@ -1,8 +1,8 @@
-//! What the system has to withstand.
+//! The failures that the system must tolerate.
 
 use crate::reader::Reader;
 
-/// How many machines, zones or regions may be lost at once without a loss of what was acknowledged.
+/// The number of machines, zones or regions that may be lost at once without a loss of acknowledged data.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultTolerance {
     /// Machines that count for the quorum.
--- a/crates/node-settings/src/key_values.rs
+++ b/crates/node-settings/src/key_values.rs
@@ -6,17 +6,17 @@
 
 /// The name of the section to which the library assigns lines that follow no `[section]` header.
 const TOP_SECTION: &str = "top";
-/// What follows this prefix of a key is the name of a zone, whose underscores are kept.
+/// The rest of a key with this prefix is the name of a zone. Underscores in the name are kept.
 const ZONES_PREFIX: &str = "zones.";
 
-/// Values by key, both trimmed. An underscore in a key counts as a dash, except in names of zones.
+/// Values by key, both trimmed. An underscore in a key is read as a dash, except in names of zones.
 #[derive(Debug, Default)]
 pub(crate) struct KeyValues {
     values: BTreeMap<String, String>,
 }
 
 impl KeyValues {
-    /// Parses a file's text; of a key that occurs twice the last line counts.
+    /// Parses the text of a file. The last line of a repeated key wins.
     ///
     /// # Errors
     ///
@@ -34,7 +34,7 @@
         Ok(KeyValues { values })
     }
 
-    /// The value of a key; none where the key is missing or empty.
+    /// The value of a key; `None` if the key is missing or empty.
     pub(crate) fn get(&self, key: &str) -> Option<&str> {
         self.values
             .get(key)
@@ -42,7 +42,7 @@
             .filter(|value| !value.is_empty())
     }
 
-    /// The keys whose values differ in another file, or which only one of both has, in their order.
+    /// The keys whose values differ between the two files, or that only one of them has, in ascending order.
     pub(crate) fn changed_keys(&self, other: &KeyValues) -> Vec<String> {
         let all: BTreeSet<&String> = self.values.keys().chain(other.values.keys()).collect();
         let changed = all
@@ -51,7 +51,7 @@
         changed.cloned().collect()
     }
 
-    /// Takes the value of a key from another file.
+    /// Copies the value of a key from another file.
     pub(crate) fn take(&mut self, key: &str, other: &KeyValues) {
         match other.values.get(key) {
             Some(value) => self.values.insert(key.to_string(), value.clone()),
@@ -82,7 +82,7 @@
     Ini::new_from_defaults(defaults)
 }
 
-/// The spelling of a key in [`KeyValues`].
+/// The canonical form of a key in [`KeyValues`].
 fn canonical_key(key: String) -> String {
     if key.starts_with(ZONES_PREFIX) {
         key
--- a/crates/node-settings/src/lib.rs
+++ b/crates/node-settings/src/lib.rs
@@ -1,10 +1,10 @@
 //! The settings file of a process of the cluster scheduler.
 //!
-//! A settings file consists of lines `a.b=value`; lists are joined by commas. [`NodeSettings::load`] reads and checks a
-//! complete file: the error names every key that is at fault, not only the first. Unknown keys are ignored, so that newer
-//! files can be read.
+//! A settings file consists of lines `a.b=value`; list items are separated by commas. [`NodeSettings::load`] reads
+//! and validates a complete file: the error names every invalid key, not only the first. Unknown keys are ignored, so
+//! that newer files can be read.
 //!
-//! [`SettingsFile`] keeps the file of a running process, which reads it again when it is told that it has changed.
+//! [`SettingsFile`] is the file of a running process. The process reloads the file when it is notified of a change.
 //!
 //! Start reading at [`NodeSettings`]. Below it a reader collects typed values and their errors from the lines of the
 //! file.
--- a/crates/node-settings/src/machine_limits.rs
+++ b/crates/node-settings/src/machine_limits.rs
@@ -1,21 +1,21 @@
-//! What the machine gives the process.
+//! The resources that the machine provides to the process.
 
 use crate::reader::Reader;
 
-/// What the machine gives the process; 0 where the file does not say.
+/// The resources that the machine provides to the process; 0 if the file does not state them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MachineLimits {
     /// The share of one core.
     pub cpu_share: f64,
-    /// How many times as fast as one core that share runs.
+    /// The speed of that share, as a multiple of one core.
     pub cores: u64,
-    /// Memory in megabytes; the process is killed beyond it.
+    /// Memory in megabytes; the process is killed if it uses more.
     pub memory_mb: u64,
     /// The number of file descriptors.
     pub max_fds: u64,
     /// The bandwidth of the machine's link, in megabits per second.
     pub link_mbps: f64,
-    /// Disk space in megabytes; 0 where there is no disk.
+    /// Disk space in megabytes; 0 if there is no disk.
     pub disk_mb: u64,
 }
 
--- a/crates/node-settings/src/node_settings.rs
+++ b/crates/node-settings/src/node_settings.rs
@@ -19,60 +19,60 @@
 /// The settings of a process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
-    /// The name of its machine.
+    /// The name of the process's machine.
     pub node: String,
-    /// The name that the operators give to its role.
+    /// The operators' name for the role of the process.
     pub role: String,
-    /// The class of its machine.
+    /// The class of the process's machine.
     pub machine_class: String,
-    /// The interfaces that it serves.
+    /// The interfaces that the process serves.
     pub serves: Vec<ServedInterface>,
-    /// The address of its machine.
+    /// The address of the process's machine.
     pub ip: Ipv4Addr,
-    /// Its zone.
+    /// The zone of the process.
     pub zone: String,
-    /// The region of its zone.
+    /// The region of the process's zone.
     pub region: String,
     /// The region of every zone.
     pub zones: BTreeMap<String, String>,
-    /// Where it serves clients.
+    /// The bind address for clients.
     pub front: Option<SocketAddrV4>,
-    /// Where it answers whether it is ready.
+    /// The bind address for readiness probes.
     pub readiness: Option<SocketAddrV4>,
-    /// Where it serves the operators, or the server on its machine.
+    /// The bind address for control calls: those of the operators, or of the server on the process's machine.
     pub control: Option<SocketAddrV4>,
     /// The ports for traffic between processes of the system.
     pub internal_ports: PortRange,
-    /// Where it listens for other processes of the system: its machine's address and the first internal port.
+    /// The listen address for other processes of the system: the machine's address and the first internal port.
     pub internal_address: SocketAddrV4,
-    /// Control addresses of processes by which the system is found.
+    /// Control addresses of the processes that a starting process contacts to join the system.
     pub seeds: Vec<SocketAddrV4>,
-    /// Whether this is the first start of the system as a whole.
+    /// Whether this is the first start of the entire system.
     pub bootstrap: bool,
-    /// Whether its machine is one of those that the fault tolerance counts.
+    /// Whether the process's machine counts for the fault tolerance.
     pub counts_for_quorum: bool,
-    /// What its machine gives it.
+    /// The resources that the machine provides to the process.
     pub limits: MachineLimits,
-    /// The folder of its stored data; none where it has no disk.
+    /// The directory for stored data; `None` if the process has no disk.
     pub data_dir: Option<PathBuf>,
     /// The interval between two heartbeats of a server, in milliseconds.
     pub heartbeat_ms: u64,
-    /// What may be lost at once.
+    /// The failures that the system must tolerate at once.
     pub fault_tolerance: FaultTolerance,
-    /// Bounds on times.
+    /// Time bounds.
     pub bounds: Bounds,
     /// How servers receive their commands.
     pub commands: CommandDelivery,
-    /// Where the server on its machine takes calls.
+    /// The address of the server on the process's machine.
     pub app: Option<SocketAddrV4>,
-    /// The service of the server on its machine.
+    /// The service of the server on the process's machine.
     pub service: Option<String>,
     /// The parts of the operators' rules that are in force.
     pub contracts: Vec<String>,
 }
 
 impl NodeSettings {
-    /// Loads the file that the environment names (see [`settings_path`]).
+    /// Loads the file whose path the environment provides (see [`settings_path`]).
     ///
     /// # Errors
     ///
@@ -85,17 +85,17 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Unreadable`] where the file cannot be read, and otherwise as [`NodeSettings::parse`].
+    /// [`SettingsError::Unreadable`] if the file cannot be read, and otherwise as [`NodeSettings::parse`].
     pub fn load(path: &Path) -> Result<NodeSettings, SettingsError> {
         let file = SettingsFile::load(path)?;
         Ok(file.settings().clone())
     }
 
-    /// Reads and checks a file's text.
+    /// Parses and validates the text of a file.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Syntax`] where the text does not consist of lines `key=value`, and
+    /// [`SettingsError::Syntax`] if the text does not consist of lines `key=value`, and
     /// [`SettingsError::Invalid`] with all settings that are missing, malformed or inconsistent.
     pub fn parse(text: &str) -> Result<NodeSettings, SettingsError> {
         let values = KeyValues::parse(text)?;
@@ -110,12 +110,12 @@
         }
     }
 
-    /// Whether it serves this interface.
+    /// Whether the process serves this interface.
     pub fn serves(&self, interface: ServedInterface) -> bool {
         self.serves.contains(&interface)
     }
 
-    /// Whether it may found the system: on the first start, where its own control address is one of the seeds.
+    /// Whether the process may bootstrap the system: only on the first start, and if its own control address is a seed.
     pub fn is_founder(&self) -> bool {
         self.bootstrap
             && self
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Reports settings that others make necessary, and those that make no sense.
+    /// Reports missing settings that other settings require, and settings that are inconsistent.
     fn check(&self, reader: &mut Reader) {
         if self.serves(ServedInterface::Frontend) {
             self.check_frontend(reader);
--- a/crates/node-settings/src/path.rs
+++ b/crates/node-settings/src/path.rs
@@ -1,10 +1,10 @@
-//! Where the settings file is found.
+//! The path of the settings file.
 
 use std::path::PathBuf;
 
 /// The environment variable with the path of the settings file.
 pub const PATH_VARIABLE: &str = "LUPINRACK_CONFIG";
-/// The path where the variable is not set or empty.
+/// The path if the variable is unset or empty.
 pub const DEFAULT_PATH: &str = "/etc/lupinrack/local.conf";
 
 /// The path of the settings file, from the environment.
--- a/crates/node-settings/src/reader.rs
+++ b/crates/node-settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Typed reading of values, which collects errors instead of ending at the first.
+//! Typed reading of values. Errors are collected instead of returned at the first one.
 
 use crate::invalid_setting::InvalidSetting;
 use crate::key_values::KeyValues;
@@ -6,12 +6,12 @@
 use std::net::SocketAddrV4;
 use std::str::FromStr;
 
-/// From this number on, which is 2^53, not every integer has a 64-bit float.
+/// From this number on, 2^53, a 64-bit float cannot represent every integer.
 const EXACT_INTEGER_LIMIT: f64 = 9_007_199_254_740_992.0;
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// Reads values by key and collects what is invalid. An invalid value is read as the given default, or as the default of
-/// its type where the key is required.
+/// Reads values by key and collects the invalid settings. An invalid value is read as the given default, or as the default
+/// of its type if the key is required.
 pub(crate) struct Reader<'a> {
     values: &'a KeyValues,
     invalid: Vec<InvalidSetting>,
@@ -34,12 +34,12 @@
         self.invalid.push(invalid);
     }
 
-    /// Whether this key was reported already.
+    /// Whether this key is already reported.
     pub(crate) fn is_reported(&self, key: &str) -> bool {
         self.invalid.iter().any(|invalid| invalid.key() == key)
     }
 
-    /// Reports that a key does not fit to others, unless the key was reported already.
+    /// Reports that a key conflicts with other settings, unless the key is already reported.
     pub(crate) fn report_inconsistent(&mut self, key: &str, reason: &str) {
         if !self.is_reported(key) {
             self.report(InvalidSetting::Inconsistent {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Reports that a key is required, unless the key was reported already.
+    /// Reports that a required key is missing, unless the key is already reported.
     pub(crate) fn report_missing(&mut self, key: &str) {
         if !self.is_reported(key) {
             self.report(InvalidSetting::Missing {
@@ -58,17 +58,17 @@
         }
     }
 
-    /// A text that may be missing.
+    /// An optional text.
     pub(crate) fn optional_text(&self, key: &str) -> Option<String> {
         self.values.get(key).map(str::to_string)
     }
 
-    /// A text that is required.
+    /// A required text.
     pub(crate) fn text(&mut self, key: &str) -> String {
         self.required(key).unwrap_or_default().to_string()
     }
 
-    /// The parts of a list; none where it is missing or empty.
+    /// The items of a list; no items if the key is missing or empty.
     pub(crate) fn list(&self, key: &str) -> Vec<String> {
         self.values
             .get(key)
@@ -80,7 +80,7 @@
             .collect()
     }
 
-    /// The values that the keywords of a list stand for.
+    /// The values that the keywords of a list denote.
     pub(crate) fn keywords<T>(&mut self, key: &str, parse: fn(&str) -> Option<T>) -> Vec<T> {
         let keywords = self.list(key);
         keywords
@@ -89,7 +89,7 @@
             .collect()
     }
 
-    /// The value that a keyword stands for, or `default` where the key is missing.
+    /// The value that a keyword denotes, or `default` if the key is missing.
     pub(crate) fn keyword_or<T>(
         &mut self,
         key: &str,
@@ -102,7 +102,7 @@
             .unwrap_or(default)
     }
 
-    /// True or false; `default` where the key is missing.
+    /// A boolean, or `default` if the key is missing.
     pub(crate) fn boolean_or(&mut self, key: &str, default: bool) -> bool {
         let Some(value) = self.values.get(key) else {
             return default;
@@ -116,13 +116,13 @@
         })
     }
 
-    /// An address of this type that is required.
+    /// A required address of type `T`.
     pub(crate) fn address<T: FromStr>(&mut self, key: &str) -> Option<T> {
         let value = self.required(key)?;
         self.parse_address(key, value)
     }
 
-    /// A socket address that may be missing.
+    /// An optional socket address.
     pub(crate) fn optional_address(&mut self, key: &str) -> Option<SocketAddrV4> {
         let value = self.values.get(key)?;
         self.parse_address(key, value)
@@ -137,7 +137,7 @@
             .collect()
     }
 
-    /// An integer that is required.
+    /// A required integer.
     pub(crate) fn integer(&mut self, key: &str) -> u64 {
         match self.required(key) {
             Some(_) => self.integer_or(key, 0),
@@ -145,18 +145,18 @@
         }
     }
 
-    /// An integer, or `default` where the key is missing; a fraction is rounded down.
+    /// An integer, or `default` if the key is missing. A fraction is rounded down.
     pub(crate) fn integer_or(&mut self, key: &str, default: u64) -> u64 {
         self.optional_number(key)
             .map_or(default, |number| number.floor() as u64)
     }
 
-    /// A number that is not negative, or `default` where the key is missing.
+    /// A non-negative number, or `default` if the key is missing.
     pub(crate) fn number_or(&mut self, key: &str, default: f64) -> f64 {
         self.optional_number(key).unwrap_or(default)
     }
 
-    /// A duration in milliseconds, from the key `STEM-ms` or, in seconds, `STEM-s`; `default_ms` where both are
+    /// A duration in milliseconds, from the key `STEM-ms` or, in seconds, `STEM-s`; `default_ms` if both are
     /// missing.
     pub(crate) fn duration_ms_or(&mut self, stem: &str, default_ms: u64) -> u64 {
         let milliseconds = self
@@ -165,7 +165,7 @@
         milliseconds.map_or(default_ms, |number| number.round() as u64)
     }
 
-    /// A range of ports that is required.
+    /// A required range of ports.
     pub(crate) fn port_range(&mut self, key: &str) -> PortRange {
         let Some(value) = self.required(key) else {
             return PortRange::default();
--- a/crates/node-settings/src/settings_file.rs
+++ b/crates/node-settings/src/settings_file.rs
@@ -1,14 +1,14 @@
-//! A settings file that is read at a process's start, and again when the platform says that it has changed.
+//! A settings file that a process reads at startup, and again when the platform notifies it of a change.
 
 use crate::error::SettingsError;
 use crate::key_values::KeyValues;
 use crate::node_settings::NodeSettings;
 use std::path::{Path, PathBuf};
 
-/// The keys whose new values a running process takes.
+/// The keys whose new values a running process applies without a restart.
 const REREADABLE_KEYS: [&str; 1] = ["seeds"];
 
-/// A settings file and the settings that a process runs with.
+/// A settings file and the settings in force in the process.
 #[derive(Debug)]
 pub struct SettingsFile {
     path: PathBuf,
@@ -16,12 +16,12 @@
     settings: NodeSettings,
 }
 
-/// The keys of a settings file that was read again whose values differ from those that the process runs with.
+/// The keys of a reloaded settings file whose values differ from those in force in the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SettingsChanges {
-    /// Those whose new values are in force.
+    /// The keys whose new values are in force.
     pub taken: Vec<String>,
-    /// Those whose new values wait for a restart of the process.
+    /// The keys whose new values take effect at the next restart of the process.
     pub deferred: Vec<String>,
 }
 
@@ -35,7 +35,7 @@
         SettingsFile::parse(path, &read(path)?)
     }
 
-    /// Reads and checks the text of the file at this path.
+    /// Parses and validates the text of the file at this path.
     ///
     /// # Errors
     ///
@@ -53,16 +53,16 @@
         &self.path
     }
 
-    /// The settings that the process runs with.
+    /// The settings in force in the process.
     pub fn settings(&self) -> &NodeSettings {
         &self.settings
     }
 
-    /// Reads the file again and takes what a running process may take.
+    /// Reloads the file and applies the values that may change in a running process.
     ///
     /// # Errors
     ///
-    /// As [`SettingsFile::load`]; nothing has changed then.
+    /// As [`SettingsFile::load`]; on an error no setting changes.
     pub fn reread(&mut self) -> Result<SettingsChanges, SettingsError> {
         let text = read(&self.path)?;
         let values = KeyValues::parse(&text)?;
--- a/crates/node-settings/tests/golden.rs
+++ b/crates/node-settings/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What is read from the settings files that are kept in `tests/golden`, and the text of every error. `UPDATE_GOLDEN=1`
-//! writes the files of what is read; the settings files themselves are written by hand.
+//! Golden files of the parsed settings and of every error message, in `tests/golden`. `UPDATE_GOLDEN=1` rewrites them;
+//! the settings files that they are parsed from are written by hand.
 
 use lupinrack_golden_files::{check_folder, GoldenFile};
 use lupinrack_node_settings::{
@@ -11,7 +11,7 @@
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 
-/// The files that the tests here read or build.
+/// The files that these tests read or generate.
 const FILES: [&str; 6] = [
     "every_key.conf",
     "every_key.txt",
@@ -27,7 +27,7 @@
         .join("golden")
 }
 
-/// Compares entries with a golden file, which holds one `name: text` line for each.
+/// Compares entries with a golden file, which has one `name: text` line per entry.
 fn check(file: &str, built: &[(String, String)]) {
     assert!(FILES.contains(&file), "{file} is not listed");
     let mut golden = GoldenFile::open(folder().join(file));
@@ -243,7 +243,7 @@
     check("needed_keys.txt", &entries(settings));
 }
 
-/// No two values of the file are alike, so that swapped keys are seen.
+/// All values of the file are distinct, so that swapped keys are detected.
 #[test]
 fn every_key_has_a_value_of_its_own() {
     let alike = ["region", "zones.north"];
@@ -264,7 +264,7 @@
     }
 }
 
-/// The name of a kind in the golden files, which were first written with these.
+/// The name of an error kind in the golden files. The names predate those of the variants.
 fn kind_of_invalid(invalid: &InvalidSetting) -> &'static str {
     match invalid {
         InvalidSetting::Missing { .. } => "lacking",
@@ -277,12 +277,13 @@
     }
 }
 
-/// The file of all keys with lines of its own after it; of a key that occurs twice the last line counts.
+/// The file of all keys with extra lines appended. The last line of a repeated key wins.
 fn error_with(lines: &str) -> SettingsError {
     NodeSettings::parse(&format!("{}{lines}\n", kept("every_key.conf"))).expect_err("a fault")
 }
 
-/// The kind of each invalid setting, the error's text, and the text with the file's name; its lines are joined by ` / `.
+/// The kind of each invalid setting, the error message, and the message with the file's path. The lines of the latter
+/// are joined by ` / `.
 fn entry_of_error(what: &str, error: &SettingsError) -> (String, String) {
     let kinds: Vec<&str> = match error {
         SettingsError::Invalid(invalid_settings) => {
--- a/crates/node-settings/tests/settings.rs
+++ b/crates/node-settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What is read from settings files, and which invalid settings are reported.
+//! Parsing of settings files, and the reports of invalid settings.
 
 use lupinrack_node_settings::{
     Bounds, CommandDelivery, FaultTolerance, InvalidSetting, InvalidSettings, MachineLimits,
@@ -85,7 +85,7 @@
     text.parse().expect("an address")
 }
 
-/// The file's text with one line replaced by another; an empty one takes it out.
+/// The text of the file with one line replaced. An empty replacement removes the line.
 fn with_line(file: &str, key: &str, line: &str) -> String {
     let replaced = |old: &str| {
         if old.starts_with(&format!("{key}=")) {
