--- a/crates/configuration-history/src/call.rs
+++ b/crates/configuration-history/src/call.rs
@@ -5,10 +5,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ChangeId(pub u64);
 
-/// A change of the configuration on condition that a certain version is current (`If-Match`).
+/// A conditional change of the configuration: it requires a certain current version (`If-Match`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConditionalChange {
-    /// Which change this is; retries share it.
+    /// The identity of the change; retries share it.
     pub id: ChangeId,
     /// The version that must be current for the change to be applied; 0 for the first change.
     pub base_version: u64,
--- a/crates/configuration-history/src/call_record.rs
+++ b/crates/configuration-history/src/call_record.rs
@@ -12,17 +12,17 @@
 pub struct CallRecord {
     /// The call.
     pub call: Call,
-    /// When the client sent it.
+    /// When the client sent the call.
     pub invoked_at: u64,
-    /// When the response arrived or the client gave up; without meaning while the response is
+    /// When the response arrived or the client gave up. Meaningless while the response is
     /// indeterminate.
     pub responded_at: u64,
-    /// The response; indeterminate while there is none.
+    /// The response; indeterminate until one arrives.
     pub response: Response,
 }
 
 impl CallRecord {
-    /// The change that this call may have applied, judged by its response.
+    /// The change that this call may have applied, according to its response.
     pub(crate) fn possible_change(&self) -> Option<&ConditionalChange> {
         match (&self.call, self.response) {
             (Call::Change(change), Response::Acknowledged | Response::Indeterminate) => {
--- a/crates/configuration-history/src/history.rs
+++ b/crates/configuration-history/src/history.rs
@@ -5,7 +5,7 @@
 use crate::linearization::{find_linearization, NotLinearizable};
 use crate::response::Response;
 
-/// Calls and their responses, as the clients saw them.
+/// Calls and their responses, as observed by the clients.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct History {
     calls: Vec<CallRecord>,
@@ -25,7 +25,7 @@
     }
 
     /// Records the response to a call, or with [`Response::Indeterminate`] that its client gave up.
-    /// Does nothing for a number that is not of this history.
+    /// Does nothing if the number is not in this history.
     pub fn respond(&mut self, number: CallNumber, response: Response, at: u64) {
         if let Some(record) = self.calls.get_mut(number.0) {
             record.responded_at = at;
@@ -39,11 +39,11 @@
     }
 
     /// Searches for a linearization of the history, and returns the changes that it applies, in
-    /// their order.
+    /// order.
     ///
     /// # Errors
     ///
-    /// If there is none.
+    /// If no linearization exists.
     pub fn check(&self) -> Result<Vec<ChangeId>, NotLinearizable> {
         find_linearization(&self.calls)
     }
--- a/crates/configuration-history/src/lib.rs
+++ b/crates/configuration-history/src/lib.rs
@@ -1,10 +1,10 @@
 //! Linearizability checking for histories of configuration calls.
 //!
-//! A test or simulation records in a [`History`] when each [`Call`] was invoked and when which
-//! [`Response`] came back. [`History::check`] then decides whether the history is linearizable
+//! A test or simulation records each [`Call`] and its [`Response`], with their times, in a
+//! [`History`]. [`History::check`] then decides whether the history is linearizable
 //! (Herlihy and Wing, "Linearizability: a correctness condition for concurrent objects", TOPLAS
-//! 1990): whether every call can have taken effect at one moment between its invocation and its
-//! response, such that the responses are those of a single [`Register`], the sequential
+//! 1990): whether every call can have taken effect atomically at some point between its invocation
+//! and its response, such that the responses are those of a single [`Register`], the sequential
 //! specification of the configuration.
 //!
 //! ```
@@ -21,11 +21,11 @@
 //! assert_eq!(history.check(), Ok(vec![ChangeId(1)]));
 //! ```
 //!
-//! Times may have any unit, but all come from one clock that sees every caller; calls whose
+//! Times may have any unit, but all of them come from one clock that all callers share. Calls whose
 //! intervals touch count as concurrent. The crate is for tests and simulations: nothing in a
 //! deployed process depends on it.
 //!
-//! Start reading at [`Register`], then `linearization.rs`, the search itself.
+//! Start reading at [`Register`], then `linearization.rs`, which implements the search.
 
 mod call;
 mod call_record;
--- a/crates/configuration-history/src/linearization.rs
+++ b/crates/configuration-history/src/linearization.rs
@@ -1,12 +1,12 @@
 //! The search for a linearization (Wing and Gong, "Testing and verifying concurrent objects",
-//! 1993), with a memory of the states that were searched (Lowe, "Testing for linearizability",
+//! 1993), with a cache of the visited states (Lowe, "Testing for linearizability",
 //! 2017).
 //!
-//! A call may come next in the order if no other pending call had its response before this one was
-//! invoked. A call that may get its response in the current state without changing that state is
-//! linearized at once, since this rules out no other order. So only changes that are applied make
-//! the search branch; and since every change names its base version, the search branches only where
-//! several changes have the same base.
+//! A call is a candidate for the next place in the order if no other pending call had its response
+//! before this one was invoked. A candidate whose response is permitted in the current state and
+//! leaves that state unchanged is linearized at once, since this rules out no other order. So the
+//! search branches only on applied changes. Every change names its base version, so the search
+//! branches only if several changes have the same base.
 
 use crate::call::{Call, ChangeId, ConditionalChange};
 use crate::call_record::{CallNumber, CallRecord};
@@ -55,24 +55,24 @@
     ))
 }
 
-/// The first calls of an order, and what is left.
+/// A prefix of a linearization, and the calls that are still pending.
 #[derive(Clone, Debug)]
 struct PartialLinearization<'history> {
     calls: &'history [CallRecord],
-    /// The state after the calls that were linearized.
+    /// The state after the linearized calls.
     register: Register,
-    /// The changes among them that had an effect, in their order.
+    /// The linearized changes that had an effect, in order.
     applied: Vec<ChangeId>,
-    /// Indices of calls with a definite response that are not linearized yet.
+    /// Indices of the calls with a definite response that are still to be linearized.
     pending: BTreeSet<usize>,
 }
 
-/// All that decides how a partial linearization can continue.
+/// The state that determines how a partial linearization can continue.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SearchState {
     current_change: Option<ChangeId>,
     pending: BTreeSet<usize>,
-    /// The changes among the pending calls that were applied, by another call for the same change.
+    /// The changes of pending calls that are already applied, by another call for the same change.
     applied: BTreeSet<ChangeId>,
 }
 
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Linearizes calls that may come next and leave the state as it is, until there is none.
+    /// Linearizes candidates that leave the state unchanged, until none is left.
     fn linearize_calls_without_effect(&mut self) {
         loop {
             let without_effect: Vec<usize> = self
@@ -109,7 +109,7 @@
         self.register.permits(&record.call, &record.response)
     }
 
-    /// The pending calls that may come next by their times.
+    /// The pending calls whose times allow them to be linearized next.
     fn candidates(&self) -> impl Iterator<Item = usize> + '_ {
         let deadline = self.earliest_pending_response();
         self.pending
@@ -118,7 +118,8 @@
             .filter(move |index| self.calls[*index].invoked_at <= deadline)
     }
 
-    /// A call that was invoked after this must follow some call that is still pending.
+    /// The earliest response time of a pending call. A call that was invoked later must follow a
+    /// pending call.
     fn earliest_pending_response(&self) -> u64 {
         self.pending
             .iter()
@@ -127,7 +128,7 @@
             .unwrap_or(u64::MAX)
     }
 
-    /// This partial linearization with one more change, for each change that may be applied next.
+    /// This partial linearization extended by one change, for each change that can be applied next.
     fn successors(&self) -> Vec<Self> {
         let deadline = self.earliest_pending_response();
         let mut changes: Vec<&ConditionalChange> = Vec::new();
@@ -172,7 +173,7 @@
         }
     }
 
-    /// The fault to report where this is the longest partial linearization.
+    /// The error to report if this is the longest partial linearization.
     fn fault(&self) -> NotLinearizable {
         NotLinearizable {
             applied: self.applied.clone(),
--- a/crates/configuration-history/src/register.rs
+++ b/crates/configuration-history/src/register.rs
@@ -1,10 +1,10 @@
-//! The sequential specification: the configuration as one register that handles one call at a time.
+//! The sequential specification: the configuration as a register that handles one call at a time.
 
 use crate::call::{Call, ChangeId, ConditionalChange};
 use crate::response::Response;
 use std::collections::BTreeSet;
 
-/// The state of a single register to which some changes were applied.
+/// The state of a single register after a sequence of changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Register {
     version: u64,
@@ -23,26 +23,26 @@
         self.current_change
     }
 
-    /// Whether a change was applied, now or earlier.
+    /// Whether a change was applied, as the current one or earlier.
     pub fn has_applied(&self, id: ChangeId) -> bool {
         self.applied.contains(&id)
     }
 
-    /// Whether a change would be applied in this state. One that was applied already would not: a
-    /// retry is acknowledged without effect.
+    /// Whether a change would be applied in this state. A change that was applied already is not
+    /// applied again: its retry is acknowledged without effect.
     pub fn accepts(&self, change: &ConditionalChange) -> bool {
         let fits_version = change.base_version == self.version && change.new_version > self.version;
         change.is_valid && fits_version && !self.has_applied(change.id)
     }
 
-    /// Applies a change which the register [accepts](Register::accepts).
+    /// Applies a change that the register [accepts](Register::accepts).
     pub fn apply(&mut self, change: &ConditionalChange) {
         self.version = change.new_version;
         self.current_change = Some(change.id);
         self.applied.insert(change.id);
     }
 
-    /// Whether a call may get this response in this state without changing the state.
+    /// Whether this response to a call is correct in this state and leaves the state unchanged.
     pub fn permits(&self, call: &Call, response: &Response) -> bool {
         match (call, response) {
             (_, Response::Indeterminate) => true,
--- a/crates/configuration-history/src/response.rs
+++ b/crates/configuration-history/src/response.rs
@@ -1,4 +1,4 @@
-//! Responses that clients of the configuration get.
+//! Responses to clients of the configuration.
 
 use crate::call::ChangeId;
 
@@ -11,14 +11,14 @@
     Conflict,
     /// The change was rejected as invalid (400).
     Invalid,
-    /// The configuration that was read.
+    /// The result of a read.
     Observed {
-        /// Its version; 0 before the first change.
+        /// The version of the configuration; 0 before the first change.
         version: u64,
-        /// The change that set it, where the reader recognizes the change by its content.
+        /// The change that set this version, if the reader recognizes it by its content.
         change: Option<ChangeId>,
     },
-    /// No response, or one that leaves the outcome open (5xx). A change may have been applied, may
-    /// be applied later, or may never be.
+    /// No response, or one that leaves the outcome unknown (5xx). A change may have been applied,
+    /// may be applied later, or may never be applied.
     Indeterminate,
 }
--- a/crates/configuration-history/tests/random_histories.rs
+++ b/crates/configuration-history/tests/random_histories.rs
@@ -1,12 +1,12 @@
-//! Random histories: those of a register are linearizable, and small ones are judged as by trying
-//! every order.
+//! Random histories. Histories of a register are linearizable. For small histories the verdict
+//! equals that of an exhaustive search over all orders.
 
 use lupinrack_configuration_history::{
     Call, CallRecord, ChangeId, ConditionalChange, History, Register, Response,
 };
 use quickcheck::{quickcheck, TestResult};
 
-/// Changes that compete in the histories.
+/// Conflicting changes in the histories.
 const CHANGES: [ConditionalChange; 6] = [
     ConditionalChange {
         id: ChangeId(0),
@@ -46,7 +46,7 @@
     },
 ];
 
-/// Calls of a small history, at most.
+/// The maximum number of calls in a small history.
 const SMALL: usize = 5;
 
 fn call_of(draw: u16) -> Call {
@@ -56,7 +56,7 @@
     }
 }
 
-/// Handles a call, and gives the register's response.
+/// Handles a call and returns the register's response.
 fn serve(register: &mut Register, call: &Call) -> Response {
     let change = match call {
         Call::Read => {
@@ -82,8 +82,8 @@
         .expect("a register has an response to everything")
 }
 
-/// A history of a register: calls take effect one after the other, are invoked some time before and
-/// answered some time after. Some responses are lost.
+/// A history of a register. Calls take effect one after another. Each call is invoked some time
+/// before its effect and answered some time after it. Some responses are lost.
 fn of_a_register(draws: &[u16]) -> History {
     let mut register = Register::default();
     let mut history = History::default();
@@ -106,7 +106,7 @@
     history
 }
 
-/// Any history, linearizable or not.
+/// An arbitrary history, linearizable or not.
 fn of_anything(draws: &[u16]) -> History {
     let mut history = History::default();
     for (place, draw) in draws.iter().enumerate() {
@@ -138,8 +138,8 @@
     history
 }
 
-/// Whether some order of the calls, and of those indeterminate ones that take effect, is one of a
-/// register.
+/// Whether a register permits some order of the definite calls and of a subset of the indeterminate
+/// calls.
 fn has_order(register: &Register, open: &[CallRecord]) -> bool {
     if open
         .iter()
--- a/crates/configuration-history/tests/violations.rs
+++ b/crates/configuration-history/tests/violations.rs
@@ -1,4 +1,4 @@
-//! Histories with one violation each, and the linearizable ones beside them.
+//! Histories with one violation each, and similar histories that are linearizable.
 
 use lupinrack_configuration_history::{
     Call, CallNumber, ChangeId, ConditionalChange, History, Response,
@@ -32,7 +32,7 @@
     change: None,
 };
 
-/// A history of calls, each with the moments of its invocation and its response.
+/// A history of calls, each with the times of its invocation and its response.
 fn history(calls: &[(Call, u64, u64, Response)]) -> History {
     let mut history = History::default();
     for (call, invoked_at, responded_at, response) in calls {
