--- a/crates/node-settings/src/reader.rs
+++ b/crates/node-settings/src/reader.rs
@@ -10,8 +10,8 @@
 const EXACT_INTEGER_LIMIT: f64 = 9_007_199_254_740_992.0;
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// Reads values by key and collects the invalid settings. An invalid value is read as the given default, or as the default
-/// of its type if the key is required.
+/// Reads values by key and collects the invalid settings. An invalid value is read as the given default, or as the
+/// default of its type if the key is required.
 pub(crate) struct Reader<'a> {
     values: &'a KeyValues,
     invalid: Vec<InvalidSetting>,
