--- a/crates/cluster-json/src/job_body.rs
+++ b/crates/cluster-json/src/job_body.rs
@@ -1,11 +1,11 @@
-//! Jobs as they stand in bodies of requests, before any check.
+//! The JSON form of jobs in request bodies, before validation.
 
 use crate::json_object::JsonObject;
 use lupinrack_cluster_api::job::{JobSpec, Step};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// The body of a request that submits a job; fields of their default value are not written.
+/// The body of a request that submits a job. Fields with their default value are not written.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub(crate) struct JobBody<'a> {
--- a/crates/cluster-json/src/job_limits.rs
+++ b/crates/cluster-json/src/job_limits.rs
@@ -1,19 +1,19 @@
-//! Bounds on what one job may ask for.
+//! Limits on the size of a job.
 
-/// Bounds on what one job may ask for.
+/// Limits on the size of a job and on the quantities that it requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobLimits {
-    /// The largest length of the text that every start carries, in bytes.
+    /// The maximum length, in bytes, of the job's `spec` text, which every task start carries.
     pub max_spec_bytes: usize,
-    /// The largest number of steps.
+    /// The maximum number of steps.
     pub max_steps: usize,
-    /// The largest number of tasks of one step.
+    /// The maximum number of tasks of one step.
     pub max_tasks_per_step: u64,
-    /// The largest number of tasks of all steps together.
+    /// The maximum number of tasks of all steps together.
     pub max_tasks: u64,
-    /// The largest number of occurrences.
+    /// The maximum number of occurrences.
     pub max_repeat: u64,
-    /// The largest value of each [`Quantity`](crate::Quantity) of a task.
+    /// The maximum value of each [`Quantity`](crate::Quantity) of a task.
     pub max_quantity: u64,
 }
 
--- a/crates/cluster-json/src/job_reader.rs
+++ b/crates/cluster-json/src/job_reader.rs
@@ -1,4 +1,4 @@
-//! Reading and checking of submitted jobs.
+//! Parsing and validation of submitted jobs.
 
 use crate::job_body::{JobBody, StepBody};
 use crate::job_error::JobError;
@@ -7,11 +7,11 @@
 use crate::quantity::Quantity;
 use lupinrack_cluster_api::job::{JobSpec, Resources, Step};
 
-/// Reads and checks a job from the body of a request.
+/// Parses and validates a job from the body of a request.
 ///
 /// # Errors
 ///
-/// [`JobError::Syntax`] where the body is not a job in JSON, and otherwise the first rule or limit that the job breaks.
+/// [`JobError::Syntax`] if the body is not a job in JSON, and otherwise the first rule or limit that the job violates.
 pub fn parse_job(body: &[u8], limits: JobLimits) -> Result<JobSpec, JobError> {
     let JsonObject(job) = serde_json::from_slice::<JsonObject<JobBody>>(body)
         .map_err(|error| JobError::Syntax(error.to_string()))?;
@@ -74,7 +74,7 @@
     Ok(())
 }
 
-/// The number of occurrences. The last one has to be due within the range of 64-bit milliseconds.
+/// The number of occurrences. The due time of the last one must fit into 64-bit milliseconds.
 fn read_repeat(job: &JobBody, limits: JobLimits) -> Result<u32, JobError> {
     let too_many = || JobError::TooManyOccurrences {
         repeat: job.repeat,
@@ -90,7 +90,7 @@
     u32::try_from(job.repeat).map_err(|_| too_many())
 }
 
-/// Reads one step of a job.
+/// Parses and validates one step of a job.
 #[derive(Clone, Copy)]
 struct StepReader {
     /// The step's number.
@@ -134,7 +134,7 @@
         Ok(value)
     }
 
-    /// The steps that this one depends on, in ascending order and each once.
+    /// The dependencies of this step, in ascending order and without duplicates.
     fn dependencies(self, stated: &[u64]) -> Result<Vec<u32>, JobError> {
         let mut dependencies = stated
             .iter()
--- a/crates/cluster-json/src/json_object.rs
+++ b/crates/cluster-json/src/json_object.rs
@@ -1,4 +1,4 @@
-//! Structs that are read from JSON objects alone.
+//! Structs that are deserialized only from JSON objects.
 //!
 //! Derived implementations of `Deserialize` also accept arrays of values, which requests must not contain.
 
@@ -8,7 +8,7 @@
 use std::fmt;
 use std::marker::PhantomData;
 
-/// A value that is read from a JSON object alone, and written as one.
+/// A value that is deserialized only from a JSON object, and serialized as one.
 #[derive(Debug)]
 pub(crate) struct JsonObject<T>(pub(crate) T);
 
--- a/crates/cluster-json/src/lib.rs
+++ b/crates/cluster-json/src/lib.rs
@@ -1,8 +1,9 @@
-//! JSON of the cluster scheduler's interface for clients: jobs, their states, and the paths that name them.
+//! JSON of the cluster scheduler's client interface: jobs, their states, and the paths that name them.
 //!
-//! Start reading at [`parse_job`], which reads and checks a submitted job, and [`JobTarget`], which takes a request's path
-//! apart. Bodies are parsed into typed structs without a tree of values in between. Missing fields are 0, false or
-//! empty; unknown fields are ignored, so that newer clients are understood; wrong types and repeated fields are errors.
+//! Start reading at [`parse_job`], which parses and validates a submitted job, and [`JobTarget`], which parses the path
+//! of a request. Bodies are parsed directly into typed structs, without an intermediate tree of values. Missing fields
+//! are 0, false or empty. Unknown fields are ignored, so that requests of newer clients are accepted. Wrong types and
+//! repeated fields are errors.
 
 mod job_body;
 mod job_error;
--- a/crates/cluster-json/src/response.rs
+++ b/crates/cluster-json/src/response.rs
@@ -32,23 +32,23 @@
 
 impl std::error::Error for MalformedResponse {}
 
-/// Writes the response to a query of a job's state.
+/// Writes the response to a query of the state of a job.
 pub fn job_state_body(state: JobState) -> String {
     to_json(&JobStateBody {
         state: Cow::Borrowed(state.as_str()),
     })
 }
 
-/// Writes the response to a query of the number of a queue's jobs that have not ended.
+/// Writes the response to a query of the number of unfinished jobs in a queue.
 pub fn pending_body(pending: u64) -> String {
     to_json(&PendingBody { pending })
 }
 
-/// Reads what [`job_state_body`] wrote.
+/// Parses a body that [`job_state_body`] wrote.
 ///
 /// # Errors
 ///
-/// [`MalformedResponse`] where the body is another one or names an unknown state.
+/// [`MalformedResponse`] if the body has another form or names an unknown state.
 pub fn parse_job_state(body: &[u8]) -> Result<JobState, MalformedResponse> {
     let JsonObject(response) =
         serde_json::from_slice::<JsonObject<JobStateBody>>(body).map_err(|_| MalformedResponse)?;
@@ -58,11 +58,11 @@
         .ok_or(MalformedResponse)
 }
 
-/// Reads what [`pending_body`] wrote.
+/// Parses a body that [`pending_body`] wrote.
 ///
 /// # Errors
 ///
-/// [`MalformedResponse`] where the body is another one.
+/// [`MalformedResponse`] if the body has another form.
 pub fn parse_pending(body: &[u8]) -> Result<u64, MalformedResponse> {
     let JsonObject(response) =
         serde_json::from_slice::<JsonObject<PendingBody>>(body).map_err(|_| MalformedResponse)?;
--- a/crates/cluster-json/tests/golden.rs
+++ b/crates/cluster-json/tests/golden.rs
@@ -1,5 +1,5 @@
-//! JSON bodies byte for byte as they are kept in `tests/golden`, what is read from requests, and the text of every
-//! error. `UPDATE_GOLDEN=1` writes the files.
+//! Golden files in `tests/golden` of JSON bodies (byte for byte), of the jobs parsed from requests, and of every error
+//! message. `UPDATE_GOLDEN=1` rewrites the files.
 
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::identity::JobId;
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// The files that the tests here build.
+/// The files that these tests generate.
 const FILES: [&str; 6] = [
     "answers.txt",
     "faults.txt",
@@ -28,7 +28,7 @@
         .join("golden")
 }
 
-/// Compares entries with a golden file, which holds one `name: text` line for each, and returns the file's entries.
+/// Compares entries with a golden file, which has one `name: text` line per entry, and returns the file's entries.
 fn check(file: &str, built: &[(String, String)]) -> Vec<(String, String)> {
     assert!(FILES.contains(&file), "{file} is not listed");
     let lines: String = built
@@ -52,7 +52,7 @@
     parse_job(body.as_bytes(), JobLimits::default())
 }
 
-/// A job with a value of its own in every field.
+/// A job with a distinct value in every field.
 fn full_job() -> JobSpec {
     let first = Step {
         count: 11,
@@ -96,7 +96,7 @@
     }
 }
 
-/// A job of one step, with one flag.
+/// A job of one step with one flag set.
 fn job_with_flag(set: impl Fn(&mut Step)) -> JobSpec {
     let mut step = Step {
         count: 1,
@@ -146,7 +146,7 @@
     r#""affinity":"","anti-affinity":0,"speculative":false,"long-running":false}]}"#
 );
 
-/// Requests of others and, in the form that this crate writes, what is read from them.
+/// Requests of other clients, and the jobs parsed from them in the form that this crate writes.
 #[test]
 fn requests_are_read_alike() {
     let requests = [
@@ -195,7 +195,7 @@
     }
 }
 
-/// Bodies of requests that are refused.
+/// Bodies of rejected requests.
 fn refused_bodies() -> Vec<String> {
     let with_step = |step: &str| format!(r#"{{"steps":[{{"count":1}},{step}]}}"#);
     let with_times = |times: &str| format!(r#"{{{times},"steps":[{{"count":1}}]}}"#);
--- a/crates/cluster-json/tests/jobs.rs
+++ b/crates/cluster-json/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs from JSON and back.
+//! Parsing of jobs from JSON, and their serialization.
 
 use lupinrack_cluster_api::error::ErrorKind;
 use lupinrack_cluster_api::job::{JobSpec, Resources, Step};
@@ -9,7 +9,7 @@
     parse_job(body.as_bytes(), JobLimits::default())
 }
 
-/// The error of a job with this one step.
+/// The error of a job with only this step.
 fn error_of_step(step: &str) -> JobError {
     parse(&format!(r#"{{"steps":[{step}]}}"#)).expect_err("an error")
 }
