--- a/crates/cluster-log/src/error_chain.rs
+++ b/crates/cluster-log/src/error_chain.rs
@@ -1,8 +1,8 @@
-//! Errors and their causes as one text.
+//! Formatting of an error and its causes as one text.
 
 use std::error::Error;
 
-/// The text of an error and of all its causes, the outermost first, joined by colons.
+/// The messages of an error and all its causes, outermost first, joined by colons.
 pub fn error_chain(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
--- a/crates/cluster-log/src/init.rs
+++ b/crates/cluster-log/src/init.rs
@@ -9,7 +9,7 @@
 use spdlog::Logger;
 use std::sync::Arc;
 
-/// The environment variable with the text of the [`Levels`]; `info` where it is not set.
+/// The environment variable with the text of the [`Levels`]; `info` if it is unset.
 pub const LEVEL_VARIABLE: &str = "LUPINRACK_LOG";
 
 /// Why the log cannot be initialized. Its text contains the cause, so there is no `source` beside it.
@@ -35,21 +35,21 @@
     }
 }
 
-/// Logs to standard error from now on, with the levels of [`LEVEL_VARIABLE`].
+/// Installs the default logger, which writes to standard error, with the levels of [`LEVEL_VARIABLE`].
 ///
 /// # Errors
 ///
-/// [`LogError::Levels`] where the variable's text is malformed, and otherwise as [`init`].
+/// [`LogError::Levels`] if the variable's text is malformed, and otherwise as [`init`].
 pub fn init_from_environment() -> Result<(), LogError> {
     let text = std::env::var(LEVEL_VARIABLE).unwrap_or_default();
     init(text.parse()?)
 }
 
-/// Logs to standard error from now on.
+/// Installs the default logger, which writes to standard error.
 ///
 /// # Errors
 ///
-/// [`LogError::Library`] where `spdlog` cannot build the logger.
+/// [`LogError::Library`] if `spdlog` cannot build the logger.
 pub fn init(levels: Levels) -> Result<(), LogError> {
     let standard_error = StdStreamSink::builder()
         .stderr()
@@ -59,11 +59,11 @@
     Ok(())
 }
 
-/// Builds a logger that writes the events which `levels` allow to a sink, one line each.
+/// Builds a logger that writes the events allowed by `levels` to a sink, one line per event.
 ///
 /// # Errors
 ///
-/// [`LogError::Library`] where `spdlog` cannot build the logger.
+/// [`LogError::Library`] if `spdlog` cannot build the logger.
 pub fn logger(levels: Levels, sink: Arc<dyn Sink>) -> Result<Logger, LogError> {
     sink.set_formatter(Box::new(LineFormatter));
     let most_verbose = levels.most_verbose();
--- a/crates/cluster-log/src/levels.rs
+++ b/crates/cluster-log/src/levels.rs
@@ -1,15 +1,15 @@
-//! Which events are logged, by module.
+//! Log levels by module.
 
 use crate::renamed_crate::with_present_crate;
 use displaydoc::Display;
 use spdlog::{Level, LevelFilter};
 use std::str::FromStr;
 
-/// The level where none is given.
+/// The level if none is given.
 const DEFAULT_LEVEL: Level = Level::Info;
-/// The text that turns the events of a module off.
+/// The keyword that disables the events of a module.
 const OFF: &str = "off";
-/// The common prefix of the project's crates; a module may be named without it.
+/// The common prefix of the project's crates. It is optional in the name of a module.
 const CRATE_PREFIX: &str = "lupinrack_";
 
 /// the levels of the log cannot be read: {0:?} is neither LEVEL nor MODULE=LEVEL
@@ -18,17 +18,17 @@
 
 impl std::error::Error for MalformedLevels {}
 
-/// The least severe level that is logged, for all modules and for single ones.
+/// The least severe level that is logged, for all modules and for individual ones.
 ///
-/// Its text is a list joined by commas: a level for all modules, and `MODULE=LEVEL` for a module and those inside it, as
-/// in `info,chain=debug`. Levels are `off`, `critical`, `error`, `warn`, `info`, `debug` and `trace`.
+/// The text form is a comma-separated list: a level for all modules, and `MODULE=LEVEL` for a module and its
+/// submodules, as in `info,chain=debug`. Levels are `off`, `critical`, `error`, `warn`, `info`, `debug` and `trace`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Levels {
     default: LevelFilter,
     modules: Vec<ModuleLevel>,
 }
 
-/// The filter of one module and those inside it.
+/// The filter of a module and its submodules.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct ModuleLevel {
     module: String,
@@ -60,7 +60,7 @@
 }
 
 impl Levels {
-    /// Whether an event of this module and level is logged. The longest named module that contains it decides.
+    /// Whether an event of this module and level is logged. The longest configured module that contains it decides.
     pub fn allow(&self, module: &str, level: Level) -> bool {
         let module = without_crate_prefix(module);
         self.modules
@@ -71,7 +71,7 @@
             .test(level)
     }
 
-    /// The filter that lets through whatever is logged of any module.
+    /// The filter that passes every event that is logged for any module.
     pub fn most_verbose(&self) -> LevelFilter {
         self.modules
             .iter()
@@ -81,7 +81,7 @@
             .unwrap_or(self.default)
     }
 
-    /// Adds one part of the text; none where it is malformed.
+    /// Adds one item of the text; `None` if the item is malformed.
     fn add(&mut self, part: &str) -> Option<()> {
         match part.split_once('=') {
             None => self.default = parse_filter(part)?,
@@ -94,11 +94,11 @@
     }
 }
 
-/// Greater for filters that let more through.
+/// The verbosity of a filter. It is greater for filters that pass more events.
 fn verbosity(filter: LevelFilter) -> Option<usize> {
     match filter {
         LevelFilter::MoreSevereEqual(level) => Some(level as usize),
-        // Levels hold no other filters, and this one lets nothing through.
+        // The only other filter in `Levels` is `Off`, which passes no events.
         _ => None,
     }
 }
@@ -121,7 +121,7 @@
     module.strip_prefix(CRATE_PREFIX).unwrap_or(module)
 }
 
-/// Whether a module is the outer one or lies inside it.
+/// Whether `module` is `outer` or one of its submodules.
 fn contains(outer: &str, module: &str) -> bool {
     module
         .strip_prefix(outer)
--- a/crates/cluster-log/src/lib.rs
+++ b/crates/cluster-log/src/lib.rs
@@ -1,8 +1,8 @@
-//! The log of a process of the cluster scheduler: one line for each event on standard error, with time, level, module
-//! and message.
+//! The log of a process of the cluster scheduler: one line per event on standard error, with time, level, module and
+//! message.
 //!
 //! Events are logged with the macros of `spdlog` (`spdlog::info!` and the like) once [`init_from_environment`] has set
-//! the default logger. [`Levels`] decide by module which events are written, [`LineFormatter`] how.
+//! the default logger. [`Levels`] select the events by module, and [`LineFormatter`] formats them.
 
 mod error_chain;
 mod init;
--- a/crates/cluster-log/src/line_formatter.rs
+++ b/crates/cluster-log/src/line_formatter.rs
@@ -1,14 +1,14 @@
-//! How an event is written.
+//! The format of a log line.
 
 use chrono::{DateTime, Utc};
 use spdlog::formatter::{Formatter, FormatterContext};
 use spdlog::{Error, Record, StringBuf};
 use std::fmt::Write;
 
-/// Replaces the module of an event that names none.
+/// The placeholder for the module of an event without one.
 const NO_MODULE: &str = "-";
 
-/// Writes an event as one line: its time (RFC 3339, in UTC, with milliseconds), level, module and message. Line breaks
+/// Formats an event as one line: its time (RFC 3339, in UTC, with milliseconds), level, module and message. Line breaks
 /// in the message are written as `\n`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LineFormatter;
--- a/crates/cluster-log/src/module_sink.rs
+++ b/crates/cluster-log/src/module_sink.rs
@@ -7,7 +7,7 @@
 use spdlog::{ErrorHandler, LevelFilter, Record};
 use std::sync::Arc;
 
-/// Forwards the events that the [`Levels`] of their module allow to another sink.
+/// Forwards to another sink the events that the [`Levels`] of their module allow.
 pub struct ModuleSink {
     levels: Levels,
     inner: Arc<dyn Sink>,
--- a/crates/cluster-log/src/renamed_crate.rs
+++ b/crates/cluster-log/src/renamed_crate.rs
@@ -1,12 +1,12 @@
-//! Crates whose names have changed: texts that were written for the earlier names go on working.
+//! Renamed crates. Level settings that use an earlier name remain valid.
 
-/// The earlier name of a crate and its present one, without the common prefix.
+/// The earlier and the current name of each renamed crate, without the common prefix.
 const RENAMED: [(&str, &str); 2] = [
     ("cluster_net", "cluster_transport"),
     ("cluster_settings", "node_settings"),
 ];
 
-/// The module with the present name of its crate: `cluster_net::peers` is `cluster_transport::peers`.
+/// The path of a module with the current name of its crate: `cluster_net::peers` is `cluster_transport::peers`.
 pub(crate) fn with_present_crate(module: &str) -> String {
     let (named, inner) = match module.find("::") {
         Some(end) => module.split_at(end),
--- a/crates/cluster-log/tests/golden.rs
+++ b/crates/cluster-log/tests/golden.rs
@@ -1,5 +1,4 @@
-//! Lines of the log as they are kept in `tests/golden`, and the text of every error. `UPDATE_GOLDEN=1` writes the
-//! files.
+//! Golden files of log lines, levels and every error message, in `tests/golden`. `UPDATE_GOLDEN=1` rewrites the files.
 
 use lupinrack_cluster_log::{
     error_chain, logger, Levels, LogError, MalformedLevels, LEVEL_VARIABLE,
@@ -11,10 +10,10 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// The files that the tests here build.
+/// The files that these tests generate.
 const FILES: [&str; 3] = ["errors.txt", "levels.txt", "lines.txt"];
 
-/// Stands in the golden file for the time, which differs from run to run.
+/// The placeholder for the time in the golden file, since the time differs between runs.
 const TIME: &str = "YYYY-MM-DDThh:mm:ss.mmmZ";
 
 fn folder() -> PathBuf {
@@ -23,7 +22,7 @@
         .join("golden")
 }
 
-/// Compares entries with a golden file, which holds one `name: text` line for each.
+/// Compares entries with a golden file, which has one `name: text` line per entry.
 fn check(file: &str, built: &[(String, String)]) {
     assert!(FILES.contains(&file), "{file} is not listed");
     let mut golden = GoldenFile::open(folder().join(file));
@@ -33,7 +32,7 @@
     golden.check();
 }
 
-/// What a logger that leaves nothing out writes.
+/// The output of a logger without a filter.
 fn written(log: impl Fn(&spdlog::Logger)) -> String {
     let sink = Arc::new(
         WriteSink::builder()
@@ -47,7 +46,7 @@
     String::from_utf8(sink.clone_target()).expect("text")
 }
 
-/// A line without its time, after a check that it has the form of [`TIME`].
+/// Checks that the time of a line has the form of [`TIME`], and replaces it by that placeholder.
 fn without_time(line: &str) -> String {
     let line = line.strip_suffix('\n').expect("a whole line");
     assert!(!line.contains('\n'), "one line only: {line}");
@@ -61,7 +60,7 @@
     format!("{TIME} {rest}")
 }
 
-/// Logs one event; the macros take their level from their names alone.
+/// Logs one event. The level of each macro is fixed by its name.
 fn log_at(logger: &spdlog::Logger, level: Level) {
     match level {
         Level::Critical => spdlog::critical!(logger: logger, "disk {}: {} ms", "slow", 41),
@@ -73,7 +72,7 @@
     }
 }
 
-/// A module in a module, as lines name them.
+/// A nested module, whose path appears in log lines.
 mod outer {
     pub mod inner {
         pub fn log(logger: &spdlog::Logger) {
@@ -109,7 +108,7 @@
     check("lines.txt", &entries);
 }
 
-/// Whether an event of each level is logged, the most severe first.
+/// The levels at which events of a module are logged, the most severe first.
 fn allowed(levels: &Levels, module: &str) -> String {
     let names = Level::iter()
         .filter(|level| levels.allow(module, *level))
--- a/crates/cluster-log/tests/log.rs
+++ b/crates/cluster-log/tests/log.rs
@@ -1,4 +1,4 @@
-//! Which events are logged, and how their lines read.
+//! Filtering of events by level, and the format of log lines.
 
 use lupinrack_cluster_log::{error_chain, logger, Levels, MalformedLevels};
 use quickcheck::quickcheck;
@@ -12,7 +12,7 @@
     text.parse().expect("good levels")
 }
 
-/// What a logger of these levels writes.
+/// The output of a logger with these levels.
 fn written(text: &str, log: impl Fn(&spdlog::Logger)) -> String {
     let sink = Arc::new(
         WriteSink::builder()
