--- a/crates/node-settings/src/node_settings.rs
+++ b/crates/node-settings/src/node_settings.rs
@@ -45,7 +45,7 @@
     pub internal_ports: PortRange,
     /// The listen address for other processes of the system: the machine's address and the first internal port.
     pub internal_address: SocketAddrV4,
-    /// Control addresses of the processes that a starting process contacts to join the system.
+    /// Control addresses of the processes through which a starting process discovers the system.
     pub seeds: Vec<SocketAddrV4>,
     /// Whether this is the first start of the entire system.
     pub bootstrap: bool,
