--- a/crates/cluster-json/tests/jobs.rs
+++ b/crates/cluster-json/tests/jobs.rs
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn what_is_not_a_json_object_is_rejected() {
+fn only_a_json_object_is_accepted() {
     for body in [
         "",
         "{",
--- a/crates/cluster-log/tests/log.rs
+++ b/crates/cluster-log/tests/log.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_level_of_a_module_holds_for_those_inside_it() {
+fn the_level_of_a_module_applies_to_its_submodules() {
     let levels = levels("warn, chain=debug, cluster-transport::peers = off");
     assert!(levels.allow("lupinrack_chain", Level::Debug));
     assert!(levels.allow("lupinrack_chain::member", Level::Debug));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn the_earlier_name_of_a_renamed_crate_goes_on_working() {
+fn the_earlier_name_of_a_renamed_crate_is_accepted() {
     let levels = levels("warn,cluster-net::peers=off,lupinrack_cluster_settings=trace");
     assert!(!levels.allow("lupinrack_cluster_transport::peers", Level::Critical));
     assert!(levels.allow("lupinrack_cluster_transport", Level::Warn));
--- a/crates/cluster-node/tests/admission.rs
+++ b/crates/cluster-node/tests/admission.rs
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn what_never_fits_is_too_large_and_what_may_fit_later_is_put_off() {
+fn work_over_the_limit_is_too_large_and_work_that_may_fit_later_is_deferred() {
     let mut admission = Admission::new(50_000, 4_000);
     assert_eq!(admission.admit(&accept(1, 4_000, &[1]), NOW), Ok(()));
     let huge = accept(2, 100, &[250, 250, 250]);
--- a/crates/cluster-node/tests/core_machine.rs
+++ b/crates/cluster-node/tests/core_machine.rs
@@ -40,7 +40,7 @@
 }
 
 /// A core machine whose writes are synced immediately.
-struct Driven {
+struct DrivenMachine {
     machine: CoreMachine,
     incarnation: u64,
     now: u64,
@@ -48,8 +48,8 @@
     sent_on: Vec<(u64, Frame)>,
 }
 
-impl Driven {
-    fn new(number: u8) -> Driven {
+impl DrivenMachine {
+    fn new(number: u8) -> DrivenMachine {
         let seeds: Vec<PeerAddress> = (1..=3).map(|number| voter(number).address).collect();
         let settings = CoreSettings {
             seeds,
@@ -59,11 +59,11 @@
             remember_ms: REMEMBER_MS,
             ..CoreSettings::with_defaults(voter(number), u64::from(number))
         };
-        Driven::with(settings, number)
+        DrivenMachine::with(settings, number)
     }
 
     /// A single core process, which founds the cluster alone.
-    fn alone() -> Driven {
+    fn alone() -> DrivenMachine {
         let seeds = vec![voter(1).address];
         let settings = CoreSettings {
             founders: seeds.clone(),
@@ -73,10 +73,10 @@
             remember_ms: REMEMBER_MS,
             ..CoreSettings::with_defaults(voter(1), 1)
         };
-        Driven::with(settings, 1)
+        DrivenMachine::with(settings, 1)
     }
 
-    fn with(settings: CoreSettings, number: u8) -> Driven {
+    fn with(settings: CoreSettings, number: u8) -> DrivenMachine {
         let disk = Some(voter(number).disk);
         let recovered = Recovered {
             disk,
@@ -85,7 +85,7 @@
         let incarnation = settings.incarnation;
         let machine =
             CoreMachine::new(settings, recovered, moment(1)).expect("an empty disk can be read");
-        Driven {
+        DrivenMachine {
             machine,
             incarnation,
             now: 1,
@@ -190,7 +190,7 @@
 
 #[test]
 fn a_view_is_adopted_that_an_answer_carried_first() {
-    let mut driven = Driven::new(2);
+    let mut driven = DrivenMachine::new(2);
     driven.heartbeat(1, view(1, [1, 2]));
     let (reply_to, _reply) = oneshot::channel();
     let call = HeadCall {
@@ -228,7 +228,7 @@
 
 #[test]
 fn a_view_is_adopted_that_a_heartbeat_carries() {
-    let mut driven = Driven::new(2);
+    let mut driven = DrivenMachine::new(2);
     driven.heartbeat(1, view(1, [1, 2]));
     driven.heartbeat(3, view(2, [2, 3]));
     for _ in 0..20 {
@@ -256,7 +256,7 @@
 
 #[test]
 fn a_question_to_a_process_is_answered_by_it_and_never_sent() {
-    let mut driven = Driven::new(2);
+    let mut driven = DrivenMachine::new(2);
     driven.heartbeat(1, view(1, [1, 2]));
     driven.sent.clear();
     let (reply_to, mut text) = oneshot::channel();
@@ -275,7 +275,7 @@
 
 #[test]
 fn an_answer_goes_out_on_the_connection_of_its_call() {
-    let mut driven = Driven::alone();
+    let mut driven = DrivenMachine::alone();
     driven.advance_ms(2_000);
     let front = voter(9).address;
     // Two incarnations of a front at one address; both requests are first calls (number 1).
@@ -326,7 +326,7 @@
 
 #[test]
 fn an_ended_job_is_forgotten_after_its_time_and_not_before() {
-    let mut driven = Driven::alone();
+    let mut driven = DrivenMachine::alone();
     driven.advance_ms(2_000);
     let body = ConfigurationBody::Replacement(CONFIGURATION.to_owned());
     let change = ConfigurationChange { if_match: 0, body };
@@ -368,7 +368,7 @@
     assert_eq!(driven.call(read()), Reply::Error(ErrorKind::UnknownJob));
 }
 
-impl Driven {
+impl DrivenMachine {
     /// Delivers a heartbeat of a member whose replica is complete or incomplete.
     fn heartbeat_of_member(&mut self, from: u8, view: View, complete: bool) {
         let replica = ReplicaReport {
@@ -399,7 +399,7 @@
 
 #[test]
 fn a_draining_member_waits_until_others_have_everything() {
-    let mut driven = Driven::new(2);
+    let mut driven = DrivenMachine::new(2);
     driven.heartbeat(1, view(1, [1, 2]));
     driven.receive(CoreEvent::Terminate);
     let says_so = |frame: &Frame| {
@@ -434,7 +434,7 @@
 
 #[test]
 fn a_draining_process_ends_before_its_grace_is_over() {
-    let mut driven = Driven::new(2);
+    let mut driven = DrivenMachine::new(2);
     driven.heartbeat(1, view(1, [1, 2]));
     driven.receive(CoreEvent::Terminate);
     driven.advance_ms(GRACE_MS - 500);
@@ -443,7 +443,7 @@
 
 #[test]
 fn the_only_process_ends_soon_after_it_begins_to_drain() {
-    let mut driven = Driven::alone();
+    let mut driven = DrivenMachine::alone();
     driven.advance_ms(2_000);
     driven.receive(CoreEvent::Terminate);
     driven.advance_ms(700);
@@ -451,8 +451,8 @@
 }
 
 #[test]
-fn nothing_is_taken_of_a_process_that_claims_the_disk_of_another() {
-    let mut driven = Driven::new(2);
+fn frames_of_a_process_that_claims_anothers_disk_are_ignored() {
+    let mut driven = DrivenMachine::new(2);
     for _ in 0..4 {
         driven.heartbeat(1, view(1, [1, 2]));
         driven.heartbeat(3, view(1, [1, 2]));
@@ -506,11 +506,11 @@
 }
 
 #[test]
-fn a_machine_that_is_gone_and_no_voter_is_called_no_more() {
-    let mut driven = Driven::new(2);
+fn a_gone_nonvoter_gets_no_heartbeats() {
+    let mut driven = DrivenMachine::new(2);
     driven.heartbeat(1, view(1, [1, 2]));
     driven.heartbeat(9, view(1, [1, 2]));
-    let called = |driven: &mut Driven, number: u8| {
+    let called = |driven: &mut DrivenMachine, number: u8| {
         driven.sent.clear();
         driven.advance_ms(500);
         driven
@@ -530,7 +530,7 @@
 }
 
 /// The peers that heartbeats were sent to since the last call.
-fn heartbeat_receivers(driven: &mut Driven) -> Vec<PeerAddress> {
+fn heartbeat_receivers(driven: &mut DrivenMachine) -> Vec<PeerAddress> {
     let sent = std::mem::take(&mut driven.sent);
     let heartbeats = sent
         .into_iter()
@@ -540,7 +540,7 @@
 
 #[test]
 fn a_process_whose_voters_were_all_replaced_finds_the_others_by_membership() {
-    let mut driven = Driven::new(1);
+    let mut driven = DrivenMachine::new(1);
     let found = voter(9).address;
     for _ in 0..20 {
         (2..=3).for_each(|other| driven.heartbeat(other, view(4, [1, 2])));
--- a/crates/cluster-node/tests/disk_of_the_version_before.rs
+++ b/crates/cluster-node/tests/disk_of_the_version_before.rs
@@ -24,7 +24,7 @@
 /// The disks, indexed by the numbers of their processes in a network that restarts from them.
 const DISKS: [&str; 3] = ["core-1", "core-2", "core-3"];
 /// The disk of the process that was asked to shut down first, in a view before the last one.
-const ENDED_FIRST: &str = "core-2";
+const STOPPED_FIRST: &str = "core-2";
 /// The time that restarted processes take to agree on a view and to answer, in simulated milliseconds.
 const SETTLED_MS: u64 = 10_000;
 /// The time limit of a call, in simulated milliseconds.
@@ -74,7 +74,7 @@
     let _ = writeln!(
         text,
         "standing {}",
-        standing_text(&recovered.replica_status)
+        replica_status_text(&recovered.replica_status)
     );
     let snapshot_bytes = recovered.snapshot.len();
     let _ = writeln!(
@@ -90,7 +90,7 @@
 }
 
 /// No replica status is written on a disk that has been in the chain since the first view.
-fn standing_text(bytes: &[u8]) -> &'static str {
+fn replica_status_text(bytes: &[u8]) -> &'static str {
     let replica_status: Option<ReplicaStatus> = (!bytes.is_empty()).then(|| decode(bytes));
     match replica_status {
         None => "not written",
@@ -291,7 +291,7 @@
 fn last_state() -> ControlState {
     let last = DISKS
         .iter()
-        .find(|name| **name != ENDED_FIRST)
+        .find(|name| **name != STOPPED_FIRST)
         .expect("one that did not end first");
     state_of(&read(last))
 }
--- a/crates/cluster-node/tests/golden.rs
+++ b/crates/cluster-node/tests/golden.rs
@@ -40,9 +40,9 @@
 const HOST: &str = "shop.example";
 const JOB_PATH: &str = "/orders/00000000000000aa";
 /// One byte over the body limit of operators and servers.
-const BODY_BYTES_TOO_MANY: u64 = 4 * 1024 * 1024 + 1;
+const OVERSIZED_BODY_BYTES: u64 = 4 * 1024 * 1024 + 1;
 /// One byte over the body limit of clients.
-const CLIENT_BODY_BYTES_TOO_MANY: u64 = 256 * 1024 + 1;
+const OVERSIZED_CLIENT_BODY_BYTES: u64 = 256 * 1024 + 1;
 
 fn search() -> ServiceName {
     ServiceName("search".to_owned())
@@ -448,7 +448,7 @@
     session.call("a body that is no text", &no_text);
     let too_large = Call::new("PUT /lupinrack/config")
         .header("if-match", 0)
-        .declares(BODY_BYTES_TOO_MANY);
+        .declares(OVERSIZED_BODY_BYTES);
     session.call("a body that is too large", &too_large);
     session.call("another method", &Call::new("DELETE /lupinrack/config"));
     session.call("another path", &Call::new("GET /lupinrack/other"));
@@ -498,7 +498,7 @@
 }
 
 /// Masks the milliseconds since a confirmation or a message in a text.
-fn without_ages(text: &str) -> String {
+fn mask_ages(text: &str) -> String {
     let line = |line: &str| match line
         .strip_suffix(" ms ago")
         .and_then(|line| line.rsplit_once(' '))
@@ -516,7 +516,7 @@
     let lines = answer
         .split('\n')
         .filter(|line| !line.starts_with("content-length:"));
-    let text = without_ages(&lines.collect::<Vec<_>>().join("\n"));
+    let text = mask_ages(&lines.collect::<Vec<_>>().join("\n"));
     session
         .record
         .add(name, &call, &[], &session.addresses.masked(&text));
@@ -609,7 +609,7 @@
     session.call("a job without steps", &submit(r#"{"spec":"work"}"#));
     session.call("a job without a name", &at_host("POST /orders/").body(job));
     session.call("another method", &at_host(&format!("PUT {JOB_PATH}")));
-    let too_large = at_host(&format!("POST {JOB_PATH}")).declares(CLIENT_BODY_BYTES_TOO_MANY);
+    let too_large = at_host(&format!("POST {JOB_PATH}")).declares(OVERSIZED_CLIENT_BODY_BYTES);
     session.call("a body that is too large", &too_large);
     let unknown = Reply::Error(ErrorKind::UnknownQueue);
     session.script.clear();
@@ -755,6 +755,6 @@
         "the status by another method",
         &Call::new(&format!("PUT {STATUS_PATH}")),
     );
-    let too_large = Call::new("PUT /lupinrack/instances/worker-1").declares(BODY_BYTES_TOO_MANY);
+    let too_large = Call::new("PUT /lupinrack/instances/worker-1").declares(OVERSIZED_BODY_BYTES);
     session.call("a body that is too large", &too_large);
 }
--- a/crates/cluster-node/tests/head_client.rs
+++ b/crates/cluster-node/tests/head_client.rs
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn a_call_without_an_answer_is_sent_again_now_and_then() {
+fn an_unanswered_call_is_retried() {
     let mut client = client();
     let _answer = begin(&mut client, START);
     let again = ticks(&mut client, START.plus(10), UNTIL);
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn a_call_that_was_sent_is_in_doubt_when_its_time_is_over() {
+fn an_expired_call_that_was_sent_has_an_unknown_outcome() {
     let mut client = client();
     let (_, mut answer) = begin(&mut client, START);
     ticks(&mut client, START.plus(10), UNTIL);
@@ -387,7 +387,7 @@
 
 /// An event at the client in the property below.
 #[derive(Clone, Copy, Debug)]
-enum Happening {
+enum ClientEvent {
     Pass(u64),
     NewHead(u8),
     NoHead,
@@ -397,23 +397,23 @@
     Done,
 }
 
-fn happening(draw: u16) -> Happening {
+fn client_event(draw: u16) -> ClientEvent {
     let detail = draw / 7;
     match draw % 7 {
-        0 => Happening::Pass(u64::from(detail % 1_000)),
-        1 => Happening::NewHead((detail % 3) as u8 + 1),
-        2 => Happening::NoHead,
-        3 => Happening::Close((detail % 3) as u8 + 1),
-        4 => Happening::NotHead,
-        5 => Happening::Overloaded,
-        _ => Happening::Done,
+        0 => ClientEvent::Pass(u64::from(detail % 1_000)),
+        1 => ClientEvent::NewHead((detail % 3) as u8 + 1),
+        2 => ClientEvent::NoHead,
+        3 => ClientEvent::Close((detail % 3) as u8 + 1),
+        4 => ClientEvent::NotHead,
+        5 => ClientEvent::Overloaded,
+        _ => ClientEvent::Done,
     }
 }
 
 quickcheck! {
     /// Every call is answered by its deadline. `NotTaken` occurs only for a call that was never sent; a refusal occurs
     /// only for a call that was sent once.
-    fn every_call_is_answered_in_time_and_truly(draws: Vec<u16>) -> bool {
+    fn every_call_is_answered_by_its_deadline_with_a_correct_outcome(draws: Vec<u16>) -> bool {
         let mut client = HeadClient::new(INCARNATION);
         let (first, mut answer) = begin(&mut client, START);
         let mut sends = first.len();
@@ -421,20 +421,20 @@
         let mut now = START;
         let mut view_number = 0;
         for draw in draws {
-            let outgoing = match happening(draw) {
-                Happening::Pass(ms) => {
+            let outgoing = match client_event(draw) {
+                ClientEvent::Pass(ms) => {
                     now = now.plus(ms);
                     client.tick(now)
                 }
-                Happening::NewHead(at) => {
+                ClientEvent::NewHead(at) => {
                     view_number += 1;
                     client.learn_view(&head(view_number, at), now)
                 }
-                Happening::NoHead => {
+                ClientEvent::NoHead => {
                     view_number += 1;
                     client.learn_view(&view(view_number, &[1, 2, 3], &[]), now)
                 }
-                Happening::Close(at) => client.disconnected(core(at), now),
+                ClientEvent::Close(at) => client.disconnected(core(at), now),
                 // Replies arrive only for calls that were sent.
                 other => match asked {
                     Some(from) => client.receive_reply(from, CallId { incarnation: INCARNATION, number: 1 }, reply(other), now),
@@ -453,10 +453,10 @@
     }
 }
 
-fn reply(happening: Happening) -> Reply {
-    match happening {
-        Happening::NotHead => Reply::NotHead(View::default()),
-        Happening::Overloaded => Reply::Error(ErrorKind::Overloaded),
+fn reply(client_event: ClientEvent) -> Reply {
+    match client_event {
+        ClientEvent::NotHead => Reply::NotHead(View::default()),
+        ClientEvent::Overloaded => Reply::Error(ErrorKind::Overloaded),
         _ => Reply::Done,
     }
 }
--- a/crates/cluster-node/tests/joiner_throttle.rs
+++ b/crates/cluster-node/tests/joiner_throttle.rs
@@ -17,15 +17,15 @@
 const CATCH_UP_MS: u64 = 4_000;
 /// The size of a change in bytes; white space pads it.
 const CHANGE_BYTES: usize = 300_000;
-const CHANGE_EVERY_MS: u64 = 250;
+const CHANGE_INTERVAL_MS: u64 = 250;
 /// The links to the joining disk carry half the data rate of the changes.
 const LINK_BYTES_PER_S: u64 = 600_000;
 /// The time within which the disk must be joined again, in milliseconds: ten times [`CATCH_UP_MS`].
-const JOINED_WITHIN_MS: u64 = 10 * CATCH_UP_MS;
+const MAX_TIME_BEHIND_MS: u64 = 10 * CATCH_UP_MS;
 /// A disk at most this many changes behind counts as caught up: one second of changes at its link's rate.
-const BEHIND_MOST: u64 = 2;
+const MAX_CHANGES_BEHIND: u64 = 2;
 /// The observation time, in milliseconds.
-const WATCHED_MS: u64 = 90_000;
+const OBSERVATION_MS: u64 = 90_000;
 
 fn change(version: u64) -> Request {
     let document = format!(
@@ -63,7 +63,7 @@
             }
         }
         if self.open.is_none() && network.now >= self.next_at {
-            self.next_at = network.now + CHANGE_EVERY_MS;
+            self.next_at = network.now + CHANGE_INTERVAL_MS;
             self.open = Some(network.call(self.at, change(self.version), 2_000));
         }
     }
@@ -110,12 +110,12 @@
     }
     let mut last_joined = network.now;
     let mut longest_ms = 0;
-    let until = network.now + WATCHED_MS;
+    let until = network.now + OBSERVATION_MS;
     while network.now < until {
         advance_ms(&mut network, &mut operator, 100);
         let newest = figure(&mut network, 0, "committed");
         let applied = figure(&mut network, 2, "applied");
-        if applied > 0 && newest.saturating_sub(applied) <= BEHIND_MOST {
+        if applied > 0 && newest.saturating_sub(applied) <= MAX_CHANGES_BEHIND {
             last_joined = network.now;
         }
         longest_ms = longest_ms.max(network.now - last_joined);
@@ -124,7 +124,7 @@
         "behind for {longest_ms} ms at the longest; {} changes taken, {} refused",
         operator.taken, operator.refused
     );
-    assert!(longest_ms <= JOINED_WITHIN_MS, "{longest_ms} ms");
+    assert!(longest_ms <= MAX_TIME_BEHIND_MS, "{longest_ms} ms");
     assert!(operator.refused > 0);
     // Once the disk receives changes as fast as they arrive, no change is refused.
     for other in 0..2 {
@@ -138,7 +138,7 @@
 }
 
 /// The bytes admitted during one second of offered changes.
-fn taken_in_a_second(throttle: &mut JoinerThrottle, is_late: bool, from: u64) -> u64 {
+fn bytes_admitted_in_a_second(throttle: &mut JoinerThrottle, is_late: bool, from: u64) -> u64 {
     let mut taken = 0;
     for now in (from..from + 1_000).step_by(25).map(Millis) {
         throttle.set_late(is_late, now);
@@ -152,24 +152,27 @@
 }
 
 #[test]
-fn a_late_joiner_halves_what_is_taken_down_to_a_least() {
+fn a_late_joiner_halves_the_admitted_rate_down_to_a_minimum() {
     let mut throttle = JoinerThrottle::new(CATCH_UP_MS);
     for second in 0..30 {
-        let taken = taken_in_a_second(&mut throttle, false, second * 1_000);
+        let taken = bytes_admitted_in_a_second(&mut throttle, false, second * 1_000);
         assert_eq!(taken, 1_000_000, "nothing is slowed without one");
     }
     let mut last = 1_000_000;
     for late in 0..5 {
         let seconds = 30 + late * 4..34 + late * 4;
         let taken: u64 = seconds
-            .map(|second| taken_in_a_second(&mut throttle, true, second * 1_000))
+            .map(|second| bytes_admitted_in_a_second(&mut throttle, true, second * 1_000))
             .sum();
         let per_second = taken / 4;
         assert!(per_second * 10 <= last * 6, "{per_second} after {last}");
         last = per_second;
     }
     assert!(last >= 25_000, "{last}: something is always taken");
-    assert_eq!(taken_in_a_second(&mut throttle, false, 60_000), 1_000_000);
+    assert_eq!(
+        bytes_admitted_in_a_second(&mut throttle, false, 60_000),
+        1_000_000
+    );
 }
 
 fn redundancy(members: usize, spares: &[(u64, u64)]) -> Redundancy {
--- a/crates/cluster-node/tests/pending_requests.rs
+++ b/crates/cluster-node/tests/pending_requests.rs
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn a_view_change_voids_the_questions_of_subscribers() {
+fn a_view_change_discards_update_requests() {
     let mut waiting = PendingRequests::default();
     waiting.await_update(question(4, 100));
     waiting.barrier_started(1);
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn so_many_operations_wait_at_most() {
+fn pending_operations_are_limited() {
     let mut waiting = PendingRequests::default();
     (0..1_000).for_each(|token| waiting.defer_operation(take_shard(token)));
     assert_eq!(waiting.take_deferred_operations().len(), 64);
--- a/crates/cluster-node/tests/request_steps.rs
+++ b/crates/cluster-node/tests/request_steps.rs
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn before_the_first_configuration_nothing_is_said_not_to_exist() {
+fn before_the_first_configuration_no_queue_is_reported_unknown() {
     let read = Request::ReadJob {
         target: orders(),
         job: JOB,
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn only_the_view_that_rules_is_confirmed() {
+fn only_the_current_view_is_confirmed() {
     let confirm = |number| second(&configured(), &Request::ConfirmView { number });
     assert_eq!(confirm(VIEW), Some(Reply::Done));
     assert_eq!(confirm(VIEW - 1), error(ErrorKind::Fenced));
--- a/crates/cluster-node/tests/restarted_owner.rs
+++ b/crates/cluster-node/tests/restarted_owner.rs
@@ -26,7 +26,7 @@
 const TICK_MS: u64 = 25;
 /// The fencing token under which the owner's earlier incarnation took the shard.
 const OLD_TOKEN: FencingToken = FencingToken(1);
-const OLD_LIFE: u64 = 1;
+const OLD_INCARNATION: u64 = 1;
 const JOB: JobId = JobId(0xaa);
 const SERVER: &str = "server";
 const AGENT_CONNECTION: u64 = 9;
@@ -89,7 +89,7 @@
         service: service(),
         token,
         owner: voter(OWNER).disk,
-        incarnation: OLD_LIFE,
+        incarnation: OLD_INCARNATION,
     }
 }
 
@@ -140,7 +140,7 @@
         let settings = CoreSettings {
             seeds: (1..=3).map(|number| voter(number).address).collect(),
             tolerated_losses: 1,
-            ..CoreSettings::with_defaults(voter(OWNER), OLD_LIFE + 1)
+            ..CoreSettings::with_defaults(voter(OWNER), OLD_INCARNATION + 1)
         };
         let recovered = Recovered {
             disk: Some(voter(OWNER).disk),
@@ -192,7 +192,7 @@
                         ..
                     },
                 ..
-            } => Some(of_head(Frame::Reply {
+            } => Some(frame_from_head(Frame::Reply {
                 id,
                 reply: Reply::Done,
             })),
@@ -215,7 +215,7 @@
     }
 
     fn head_sends(&mut self, frame: Frame) {
-        self.receive(of_head(frame));
+        self.receive(frame_from_head(frame));
     }
 
     /// Attaches the server's agent, which reports that the run has ended.
@@ -303,7 +303,7 @@
     }
 }
 
-fn of_head(frame: Frame) -> CoreEvent {
+fn frame_from_head(frame: Frame) -> CoreEvent {
     CoreEvent::Frame {
         from: voter(HEAD).address,
         incarnation: 1,
@@ -351,7 +351,7 @@
 }
 
 #[test]
-fn a_take_over_that_a_head_dropped_is_asked_for_again_within_two_hundred_milliseconds() {
+fn a_dropped_takeover_is_retried_within_200_ms() {
     let mut restarted = Restarted::new();
     restarted.appended(&log(), 4);
     restarted.advance_ms(100);
@@ -406,7 +406,7 @@
 }
 
 #[test]
-fn a_take_over_that_nobody_applies_is_asked_for_less_and_less_often() {
+fn an_unapplied_takeover_is_retried_with_growing_backoff() {
     let mut restarted = Restarted::new();
     restarted.appended(&log(), 4);
     restarted.advance_ms(10_000);
--- a/crates/cluster-node/tests/subscription.rs
+++ b/crates/cluster-node/tests/subscription.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_hurry_subscribes_at_once() {
+fn make_due_subscribes_immediately() {
     let mut subscription = subscription(&[1]);
     let known = view(4, &[1, 2, 3], &[2, 1]);
     assert_eq!(
@@ -161,7 +161,7 @@
 
 quickcheck! {
     /// Two subscriptions are never sent within less than the search interval, whatever the times of the ticks.
-    fn it_never_floods(steps: Vec<u16>, known: bool) -> bool {
+    fn subscriptions_keep_the_minimum_interval(steps: Vec<u16>, known: bool) -> bool {
         let view = if known { view(1, &[1, 2], &[1, 2]) } else { View::default() };
         let mut subscription = subscription(&[1, 2]);
         let mut now = BEGAN;
--- a/crates/cluster-node/tests/update_relay.rs
+++ b/crates/cluster-node/tests/update_relay.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn what_was_not_confirmed_for_long_is_not_relayed() {
+fn a_stale_configuration_is_not_relayed() {
     let mut relay = UpdateRelay::default();
     let known = knowledge(0, 4);
     assert_eq!(
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn who_wants_views_gets_nothing_else() {
+fn a_view_subscriber_gets_only_views() {
     let mut relay = UpdateRelay::default();
     assert_eq!(
         subscribe(&mut relay, Interest::Views, &knowledge(2, 4), CONFIRMED_AT),
--- a/crates/cluster-node/tests/zone_configuration_updates.rs
+++ b/crates/cluster-node/tests/zone_configuration_updates.rs
@@ -19,7 +19,7 @@
 const DELAY_MS: u64 = 2;
 const HEAD: usize = 0;
 /// A front whose configuration is older than this asks the head about names it does not know.
-const FRESH_MS: u64 = 900;
+const MAX_CONFIGURATION_AGE_MS: u64 = 900;
 
 fn address(index: usize) -> PeerAddress {
     PeerAddress(SocketAddrV4::new([10, 0, 0, index as u8 + 1].into(), 7_000))
@@ -114,12 +114,12 @@
             if self.now.is_multiple_of(TICK_MS) {
                 (1..=self.fronts.len()).for_each(|front| self.tick(front));
             }
-            (1..=self.fronts.len()).for_each(|front| self.assert_honest(front));
+            (1..=self.fronts.len()).for_each(|front| self.assert_freshness_not_overstated(front));
         }
     }
 
     /// Asserts that a front does not overstate its freshness: its version is at least the newest one at `confirmed_at`.
-    fn assert_honest(&self, front: usize) {
+    fn assert_freshness_not_overstated(&self, front: usize) {
         let known = self.fronts[front - 1].known();
         let newest_then = self
             .committed
@@ -270,7 +270,7 @@
         zone.run(1);
         for front in 1..=4 {
             assert!(
-                zone.age_ms(front) < FRESH_MS,
+                zone.age_ms(front) < MAX_CONFIGURATION_AGE_MS,
                 "front {front} is {} ms old",
                 zone.age_ms(front)
             );
@@ -298,12 +298,12 @@
     zone.run(500);
     for front in (1..=4).filter(|front| *front != home) {
         assert_eq!(zone.version(front), 2);
-        assert!(zone.age_ms(front) < FRESH_MS);
+        assert!(zone.age_ms(front) < MAX_CONFIGURATION_AGE_MS);
     }
 }
 
 #[test]
-fn a_home_that_wakes_up_makes_nobody_fresher_than_it_is() {
+fn a_home_that_responds_again_does_not_overstate_freshness() {
     let mut zone = Zone::new(4);
     zone.run(5_000);
     let home = zone.home();
@@ -333,12 +333,14 @@
             zone.version(front) + 1 >= newest,
             "front {front} goes on with the head"
         );
-        assert!(zone.age_ms(front) < FRESH_MS);
+        assert!(zone.age_ms(front) < MAX_CONFIGURATION_AGE_MS);
     }
     assert!(zone.age_ms(home) > 20_000, "nobody made the home fresher");
     zone.cut_off[home] = false;
     zone.run(1_000);
-    assert!((1..=4).all(|front| zone.version(front) == newest && zone.age_ms(front) < FRESH_MS));
+    assert!((1..=4).all(
+        |front| zone.version(front) == newest && zone.age_ms(front) < MAX_CONFIGURATION_AGE_MS
+    ));
 }
 
 #[test]
@@ -378,7 +380,7 @@
 }
 
 #[test]
-fn nonsense_in_the_tables_leaves_every_front_fresh() {
+fn wrong_live_tables_leave_every_front_fresh() {
     fn property(masks: Vec<u8>, unresponsive: u8) -> TestResult {
         let count = 5;
         let mut zone = Zone::new(count);
--- a/crates/configuration-history/tests/random_histories.rs
+++ b/crates/configuration-history/tests/random_histories.rs
@@ -177,7 +177,7 @@
         of_a_register(&draws).check().is_ok()
     }
 
-    fn small_histories_are_judged_as_by_trying_every_order(draws: Vec<u16>) -> TestResult {
+    fn small_histories_agree_with_exhaustive_search(draws: Vec<u16>) -> TestResult {
         let history = of_anything(&draws[..draws.len().min(SMALL)]);
         let expected = has_order(&Register::default(), history.calls());
         TestResult::from_bool(history.check().is_ok() == expected)
--- a/crates/configuration-history/tests/violations.rs
+++ b/crates/configuration-history/tests/violations.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn two_that_are_confirmed_under_one_number_are_found() {
+fn two_acknowledged_changes_with_one_new_version_are_detected() {
     let calls = [
         change_call(change(1, 0, 3), 0, 5, Response::Acknowledged),
         change_call(change(2, 0, 3), 1, 6, Response::Acknowledged),
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn two_that_are_confirmed_on_one_version_are_found() {
+fn two_acknowledged_changes_with_one_base_version_are_detected() {
     let calls = [
         change_call(change(1, 0, 3), 0, 1, Response::Acknowledged),
         change_call(change(2, 3, 5), 2, 9, Response::Acknowledged),
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn content_under_a_number_that_another_set_is_found() {
+fn a_read_of_content_that_another_change_set_is_detected() {
     let first = change_call(change(1, 0, 3), 0, 1, Response::Acknowledged);
     let lost = change_call(change(2, 0, 3), 0, 1, Response::Indeterminate);
     assert!(!is_linearizable(&[first, lost, read(2, 3, observed(3, 2))]));
--- a/crates/node-settings/tests/golden.rs
+++ b/crates/node-settings/tests/golden.rs
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn what_is_not_given_takes_its_default() {
+fn missing_keys_have_their_defaults() {
     let settings = NodeSettings::load(&folder().join("needed_keys.conf")).expect("good settings");
     check("needed_keys.txt", &entries(settings));
 }
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn settings_are_found_in_the_same_place() {
+fn settings_path_is_unchanged() {
     let entries = [
         entry("variable", PATH_VARIABLE),
         entry("path without it", DEFAULT_PATH),
--- a/crates/node-settings/tests/settings.rs
+++ b/crates/node-settings/tests/settings.rs
@@ -544,7 +544,7 @@
 }
 
 #[test]
-fn a_file_that_is_read_again_changes_its_seeds_and_says_what_waits() {
+fn a_reload_applies_seeds_and_reports_deferred_keys() {
     let on_disk = TestFile::new("reread");
     on_disk.write(CORE);
     let mut file = SettingsFile::load(&on_disk.0).expect("good settings");
@@ -568,7 +568,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_used_when_it_is_read_again_changes_nothing() {
+fn a_failed_reload_changes_nothing() {
     let on_disk = TestFile::new("unusable");
     on_disk.write(CORE);
     let mut file = SettingsFile::load(&on_disk.0).expect("good settings");
